--- a/internal/record/types.go
+++ b/internal/record/types.go
@@ -337,9 +337,9 @@
 // ConfigResult answers a PutConfig, the same for each resend of an order.
 type ConfigResult struct {
 	// Version is the new version if accepted, else the one in force.
-	Version uint64
+	Version uint64 `cbor:"Version"`
 	// Refusal is nil if the order was accepted, then or earlier.
-	Refusal *api.Error
+	Refusal *api.Error `cbor:"Refusal"`
 }
 
 // View reads the record. It is valid only inside the callback that it was
