--- a/internal/compatibility/messages/calls_test.go
+++ b/internal/compatibility/messages/calls_test.go
@@ -13,6 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"github.com/decklever/decklever/internal/compatibility/golden"
 	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/rpc"
 )
@@ -57,12 +58,12 @@
 	client  *rpc.Client
 	seen    *recorder
 	address string
-	lines   map[string]string
+	lines   golden.Lines
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{server: rpc.NewServer(rpc.ServerConfig{}), client: rpc.NewClient(rpc.ClientConfig{}), lines: map[string]string{}}
+	f := &fixture{server: rpc.NewServer(rpc.ServerConfig{}), client: rpc.NewClient(rpc.ClientConfig{}), lines: golden.Lines{}}
 	f.seen = &recorder{next: f.server}
 	listener := httptest.NewServer(f.seen)
 	t.Cleanup(listener.Close)
@@ -71,7 +72,7 @@
 	return f
 }
 
-// record makes calls of a method with empty and with filled messages, checks
+// record makes calls of a method with empty messages, skeletons and filled ones, checks
 // that both sides read what was sent, and keeps the bytes.
 func record[Request, Answer any](t *testing.T, f *fixture, method fleet.Method) {
 	t.Helper()
@@ -84,6 +85,9 @@
 	var empty Request
 	call[Request, Answer](t, f, method, empty)
 	f.keep("empty")
+	reply = skeleton[Answer]()
+	call[Request, Answer](t, f, method, skeleton[Request]())
+	f.keep("skeleton")
 
 	sent := filled[Request](t, string(method)+" request")
 	reply = filled[Answer](t, string(method)+" answer")
@@ -129,7 +133,7 @@
 	recordJobCalls(t, f)
 	recordConfigCalls(t, f)
 	recordOperatorCalls(t, f)
-	compareGolden(t, "calls.txt", f.lines, explainCBOR)
+	golden.CompareExplained(t, "testdata/calls.txt", f.lines, explainCBOR)
 }
 
 func recordReplicaCalls(t *testing.T, f *fixture) {
--- a/internal/compatibility/messages/fill_test.go
+++ b/internal/compatibility/messages/fill_test.go
@@ -32,6 +32,38 @@
 	return value
 }
 
+// skeleton returns a value of the type in which every list has one element and
+// every pointer is set, and all else is empty: it shows what is left out where
+// it is empty.
+func skeleton[T any]() T {
+	var value T
+	extend(reflect.ValueOf(&value).Elem(), 0)
+	return value
+}
+
+// extend gives a value of a skeleton its lists and pointers.
+func extend(value reflect.Value, depth int) {
+	if depth > maxDepth || value.Type() == reflect.TypeFor[time.Time]() {
+		return
+	}
+	switch value.Kind() {
+	case reflect.Struct:
+		for index := range value.NumField() {
+			if value.Field(index).CanSet() {
+				extend(value.Field(index), depth+1)
+			}
+		}
+	case reflect.Pointer:
+		value.Set(reflect.New(value.Type().Elem()))
+		extend(value.Elem(), depth+1)
+	case reflect.Slice:
+		if value.Type().Elem().Kind() != reflect.Uint8 {
+			value.Set(reflect.MakeSlice(value.Type(), 1, 1))
+			extend(value.Index(0), depth+1)
+		}
+	}
+}
+
 // fill sets one value, which stands at path.
 func fill(value reflect.Value, path string, depth int) error {
 	if depth > maxDepth {
--- a/internal/compatibility/messages/refusals_test.go
+++ b/internal/compatibility/messages/refusals_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/compatibility/golden"
 	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
@@ -20,7 +21,7 @@
 func TestRefusals_EncodedAsBefore(t *testing.T) {
 	apiError := filled[api.Error](t, "refusal")
 	apiError.Status = 409
-	lines := map[string]string{}
+	lines := golden.Lines{}
 	for _, refusal := range []*rpc.Error{
 		{Code: rpc.CodeNotLeader, Message: "not the leader", LeaderAddress: "127.0.0.1:7001"},
 		{Code: rpc.CodeUnavailable, Message: "unavailable"},
@@ -36,7 +37,7 @@
 			lines[string(refusal.Code)] = strconv.Itoa(seen.status) + " " + hex.EncodeToString(seen.answer)
 		})
 	}
-	compareGolden(t, "refusals.txt", lines, func(text string) string {
+	golden.CompareExplained(t, "testdata/refusals.txt", lines, func(text string) string {
 		if len(text) < 4 {
 			return text
 		}
@@ -70,14 +71,14 @@
 	if err != nil || !reflect.DeepEqual(decoded, membership) {
 		t.Errorf("read %+v and error %v, written was %+v", decoded, err, membership)
 	}
-	lines := map[string]string{"log entry": hex.EncodeToString(encoded)}
-	compareGolden(t, "membership.txt", lines, explainCBOR)
+	lines := golden.Lines{"log entry": hex.EncodeToString(encoded)}
+	golden.CompareExplained(t, "testdata/membership.txt", lines, explainCBOR)
 }
 
 // TestEnumerations_NumberedAsBefore covers the numbers that filled messages do
 // not choose by themselves.
 func TestEnumerations_NumberedAsBefore(t *testing.T) {
-	lines := map[string]string{}
+	lines := golden.Lines{}
 	for name, number := range map[string]int{
 		"entry command":          int(raft.EntryCommand),
 		"entry no-op":            int(raft.EntryNoop),
@@ -93,5 +94,5 @@
 	} {
 		lines[name] = strconv.Itoa(number)
 	}
-	compareGolden(t, "enumerations.txt", lines, func(text string) string { return text })
+	golden.Compare(t, "testdata/enumerations.txt", lines)
 }
--- /dev/null
+++ b/internal/front/exchanges_test.go
@@ -0,0 +1,119 @@
+package front
+
+import (
+	"fmt"
+	"maps"
+	"net/http/httptest"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/decklever/decklever/internal/compatibility/golden"
+	"github.com/decklever/decklever/internal/telemetry"
+)
+
+// sampleRequestID is the id that the requests of these tests carry.
+const sampleRequestID = "request-1"
+
+// TestExchanges_AnsweredAsBefore compares status, headers and body of every
+// route's answers, refusals included, with those of an earlier commit.
+func TestExchanges_AnsweredAsBefore(t *testing.T) {
+	leader := newLeader(t)
+	serveSamples(leader)
+	front := newDescribedFront(t, &fakeLink{leader: leader.address}, telemetry.NewHealth())
+	without := newDescribedFront(t, &fakeLink{}, telemetry.NewHealth())
+	stale := newDescribedFront(t, &fakeLink{leader: leader.address, stale: true}, telemetry.NewHealth())
+	found := golden.Lines{}
+	for _, request := range exchangeRequests(t) {
+		found[request.name()] = request.answerOf(t, front)
+	}
+	for _, path := range []string{"/v1/workers", "/readyz", "/healthz"} {
+		request := sampleRequest{method: "GET", path: path}
+		found[request.name()+" without a leader"] = request.answerOf(t, without)
+		found[request.name()+" while stale"] = request.answerOf(t, stale)
+	}
+	golden.Compare(t, "testdata/exchanges.txt", found)
+}
+
+// sampleRequest is one request of a caller or an operator.
+type sampleRequest struct {
+	method, path, body string
+	headers            []string
+}
+
+func (r sampleRequest) name() string {
+	body := r.body
+	if strings.TrimSpace(body) == "" {
+		body = fmt.Sprintf("%d blanks", len(body))
+	}
+	return strings.TrimSpace(fmt.Sprintf("%s %s %q %s", r.method, r.path, r.headers, body))
+}
+
+// answerOf is the answer of a front in one line.
+func (r sampleRequest) answerOf(t *testing.T, front *Front) string {
+	t.Helper()
+	headers := append([]string{requestIDHeader, sampleRequestID}, r.headers...)
+	return describe(ask(t, front, r.method, r.path, r.body, headers...))
+}
+
+func describe(answer *httptest.ResponseRecorder) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "%d", answer.Code)
+	for _, name := range slices.Sorted(maps.Keys(answer.Header())) {
+		fmt.Fprintf(&text, " %s: %s;", name, strings.Join(answer.Header()[name], ", "))
+	}
+	fmt.Fprintf(&text, " %s", strings.TrimSuffix(answer.Body.String(), "\n"))
+	return text.String()
+}
+
+// exchangeRequests covers each route, and each way in which it refuses.
+func exchangeRequests(t *testing.T) []sampleRequest {
+	t.Helper()
+	order := []string{"If-Match", `"7"`, "Idempotency-Key", "o"}
+	requests := []sampleRequest{
+		{"PUT", "/v1/jobs/new", marshalSample(t, sampleJob()), nil},
+		{"PUT", "/v1/jobs/a", `{"queue":"q","stepz":[]}`, nil},
+		{"PUT", "/v1/jobs/a", `{"queue":"Q","steps":[]}`, nil},
+		{"PUT", "/v1/jobs/a", strings.Repeat(" ", 2<<20), nil},
+		{"PUT", "/v1/config", marshalSample(t, sampleConfig()), order},
+		{"PUT", "/v1/config", goodConfig, []string{"If-Match", "6", "Idempotency-Key", "o"}},
+		{"PUT", "/v1/config", goodConfig, nil},
+		{"PUT", "/v1/config", goodConfig, []string{"If-Match", "x", "Idempotency-Key", "o"}},
+		{"PUT", "/v1/config", goodConfig, []string{"If-Match", "7"}},
+		{"PUT", "/v1/config", strings.Repeat(" ", maxConfigBytes+1), order},
+		{"POST", "/v1/config/validate", goodConfig, nil},
+		{"POST", "/v1/config/validate", `{"queues":[{"name":"Q"}]}`, nil},
+		{"POST", "/v1/bookings/release", goodRelease, nil},
+		{"POST", "/v1/bookings/release", strings.Replace(goodRelease, "opening", "missing", 1), nil},
+		{"POST", "/v1/bookings/release", `{"queue":"q","booking":"b","start":"soon"}`, nil},
+		{"POST", "/v1/bookings/release", `{"queue":"q"}`, nil},
+		{"POST", "/v1/bookings/release", strings.Repeat(" ", maxReleaseBytes+1), nil},
+		{"POST", "/v1/cancellations", `{"jobs":["a","b"]}`, nil},
+		{"POST", "/v1/cancellations", `{"queue":"q"}`, nil},
+		{"POST", "/v1/cancellations", `{"jobz":["a"]}`, nil},
+		{"POST", "/v1/cancellations", `{"jobs":["a"],"queue":"q"}`, nil},
+		{"POST", "/v1/cancellations", `{}`, nil},
+		{"POST", "/v1/cancellations", strings.Repeat(" ", maxCancelBytes+1), nil},
+	}
+	for _, id := range []string{"same", "conflict", "impossible", "limit", "later", "broken", "-"} {
+		requests = append(requests, sampleRequest{"PUT", "/v1/jobs/" + id, goodJob, nil})
+	}
+	for _, path := range []string{
+		"/v1/jobs/new", "/v1/jobs/new?wait=1m", "/v1/jobs/new?wait=1", "/v1/jobs/new?wait=2m", "/v1/jobs/missing", "/v1/jobs/-",
+		"/v1/jobs?queue=q&state=failed&limit=1000&page_token=t", "/v1/jobs?limit=1001", "/v1/jobs?limit=x", "/v1/jobs?state=done",
+		"/v1/config", "/v1/config/versions", "/v1/config/rollout", "/v1/workers", "/v1/members", "/v1/queues", "/v1/queues/q",
+		"/v1/queues/missing", "/v1/bookings", "/v1/bookings?hours=168", "/v1/bookings?hours=169", "/v1/drains",
+		"/v1/nothing", "/v1/jobs/new/cancel", "/v1/config/validate", "/other", "/",
+	} {
+		requests = append(requests, sampleRequest{"GET", path, "", nil})
+	}
+	for _, call := range []string{
+		"POST /v1/jobs/new/cancel", "POST /v1/jobs/missing/cancel", "PUT /v1/drains/zones/z1", "PUT /v1/drains/zones/z%201",
+		"PUT /v1/drains/zones/full", "DELETE /v1/drains/zones/z1", "DELETE /v1/drains/zones/z%201", "DELETE /v1/jobs/new",
+		"POST /v1/workers", "PATCH /v1/config",
+	} {
+		method, path, _ := strings.Cut(call, " ")
+		requests = append(requests, sampleRequest{method, path, "", nil})
+	}
+	return requests
+}
