--- a/Makefile
+++ b/Makefile
@@ -28,6 +28,10 @@
 test: ## run all tests
 	$(GO) test -count=1 -timeout 8m ./...
 
+.PHONY: race
+race: ## run all tests with the race detector
+	$(GO) test -race -count=1 -timeout 20m ./...
+
 .PHONY: tools
 tools: ## build golangci-lint and gofumpt into bin/tools/
 	@mkdir -p $(TOOLS)
