--- a/internal/front/exchanges_test.go
+++ b/internal/front/exchanges_test.go
@@ -2,9 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
-	"net/http/httptest"
-	"slices"
 	"strings"
 	"testing"
 
@@ -53,17 +50,7 @@
 func (r sampleRequest) answerOf(t *testing.T, front *Front) string {
 	t.Helper()
 	headers := append([]string{requestIDHeader, sampleRequestID}, r.headers...)
-	return describe(ask(t, front, r.method, r.path, r.body, headers...))
-}
-
-func describe(answer *httptest.ResponseRecorder) string {
-	var text strings.Builder
-	fmt.Fprintf(&text, "%d", answer.Code)
-	for _, name := range slices.Sorted(maps.Keys(answer.Header())) {
-		fmt.Fprintf(&text, " %s: %s;", name, strings.Join(answer.Header()[name], ", "))
-	}
-	fmt.Fprintf(&text, " %s", strings.TrimSuffix(answer.Body.String(), "\n"))
-	return text.String()
+	return golden.Answer(ask(t, front, r.method, r.path, r.body, headers...))
 }
 
 // exchangeRequests covers each route, and each way in which it refuses.
