--- a/internal/clusterclock/clock.go
+++ b/internal/clusterclock/clock.go
@@ -22,12 +22,12 @@
 
 // reading is one voter's wall clock, with the monotonic time it was heard at.
 type reading struct {
-	wall time.Duration // since the Unix epoch
-	at   time.Duration // monotonic
+	wall       time.Duration // since the Unix epoch
+	observedAt time.Duration // monotonic
 }
 
-// carried is the reading carried forward on the monotonic clock.
-func (r reading) carried(at time.Duration) time.Duration { return r.wall + (at - r.at) }
+// extrapolate is the reading carried forward on the monotonic clock.
+func (r reading) extrapolate(at time.Duration) time.Duration { return r.wall + (at - r.observedAt) }
 
 // Clock computes cluster time. The zero value is ready for use. It is not safe
 // for concurrent use. Every monotonic time passed in is on the same clock; one
@@ -38,8 +38,8 @@
 	// base is cluster time (since the Unix epoch) at the monotonic baseAt.
 	base   time.Duration
 	baseAt time.Duration
-	// settled is true once a median was used since the last Restart.
-	settled bool
+	// synchronized is true once a median was used since the last Restart.
+	synchronized bool
 }
 
 // SetVoters says whose readings count; those of others are forgotten.
@@ -61,7 +61,7 @@
 	if c.readings == nil {
 		c.readings = make(map[raft.ReplicaID]reading)
 	}
-	c.readings[voter] = reading{wall: time.Duration(wall) * time.Millisecond, at: at}
+	c.readings[voter] = reading{wall: time.Duration(wall) * time.Millisecond, observedAt: at}
 }
 
 // Restart begins a term: the clock goes on from floor, the greatest time in
@@ -70,7 +70,7 @@
 func (c *Clock) Restart(floor record.Millis, at time.Duration) {
 	c.base = time.Duration(floor) * time.Millisecond
 	c.baseAt = at
-	c.settled = false
+	c.synchronized = false
 }
 
 // Now returns cluster time. It never goes back between two calls of Restart,
@@ -78,38 +78,38 @@
 func (c *Clock) Now(at time.Duration) record.Millis {
 	at = max(at, c.baseAt)
 	elapsed := at - c.baseAt
-	carried := c.base + elapsed
-	median, known := c.median(at, carried)
+	extrapolated := c.base + elapsed
+	median, known := c.median(at, extrapolated)
 	if known {
-		carried = c.correct(carried, median, elapsed)
-		c.settled = true
+		extrapolated = c.correct(extrapolated, median, elapsed)
+		c.synchronized = true
 	}
-	c.base, c.baseAt = carried, at
-	return record.Millis(carried / time.Millisecond)
+	c.base, c.baseAt = extrapolated, at
+	return record.Millis(extrapolated / time.Millisecond)
 }
 
 // correct moves the carried time towards the median, never behind c.base.
-func (c *Clock) correct(carried, median, elapsed time.Duration) time.Duration {
-	gap := median - carried
+func (c *Clock) correct(extrapolated, median, elapsed time.Duration) time.Duration {
+	gap := median - extrapolated
 	switch {
-	case !c.settled && (gap > 0 || c.base == 0):
+	case !c.synchronized && (gap > 0 || c.base == 0):
 		return max(median, c.base)
 	case gap > 0:
 		slew := max(elapsed/minSlewDivisor, time.Duration(float64(gap)*elapsed.Seconds()/slewTime.Seconds()))
-		return carried + min(gap, slew)
+		return extrapolated + min(gap, slew)
 	default:
-		return carried - min(-gap, elapsed/slowDivisor)
+		return extrapolated - min(-gap, elapsed/slowDivisor)
 	}
 }
 
 // median is the median of the fresh readings; known is false without those of
 // a majority of voters. Of the two middle ones of an even number, the one
 // nearer to the carried time counts, the lower one if there is no such time.
-func (c *Clock) median(at, carried time.Duration) (median time.Duration, known bool) {
+func (c *Clock) median(at, extrapolated time.Duration) (median time.Duration, known bool) {
 	walls := make([]time.Duration, 0, len(c.readings))
 	for _, r := range c.readings {
-		if at-r.at <= maxReadingAge {
-			walls = append(walls, r.carried(at))
+		if at-r.observedAt <= maxReadingAge {
+			walls = append(walls, r.extrapolate(at))
 		}
 	}
 	if len(walls) == 0 || len(walls) <= len(c.voters)/2 {
@@ -118,7 +118,7 @@
 	slices.Sort(walls)
 	lower := walls[(len(walls)-1)/2]
 	upper := walls[len(walls)/2]
-	if c.base != 0 && (upper-carried).Abs() < (lower-carried).Abs() {
+	if c.base != 0 && (upper-extrapolated).Abs() < (lower-extrapolated).Abs() {
 		return upper, true
 	}
 	return lower, true
--- a/internal/clusterclock/clock_test.go
+++ b/internal/clusterclock/clock_test.go
@@ -12,14 +12,14 @@
 
 var voters = []raft.ReplicaID{"a", "b", "c"}
 
-// observe lets each voter in offsets answer at the monotonic time at.
-func observe(c *Clock, at time.Duration, offsets map[raft.ReplicaID]time.Duration) {
+// observeVoters lets each voter in offsets answer at the monotonic time at.
+func observeVoters(c *Clock, at time.Duration, offsets map[raft.ReplicaID]time.Duration) {
 	for id, offset := range offsets {
 		c.Observe(id, epoch+(at+offset).Milliseconds(), at)
 	}
 }
 
-func expect(t *testing.T, c *Clock, at time.Duration, want record.Millis, tolerance record.Millis) {
+func requireClusterTime(t *testing.T, c *Clock, at time.Duration, want record.Millis, tolerance record.Millis) {
 	t.Helper()
 	got := c.Now(at)
 	if got < want-tolerance || got > want+tolerance {
@@ -29,11 +29,11 @@
 
 func trueTime(at time.Duration) record.Millis { return record.Millis(epoch + at.Milliseconds()) }
 
-func TestOneJumpMovesNothing(t *testing.T) {
+func TestClock_OneJumpDoesNotMoveClusterTime(t *testing.T) {
 	for _, jump := range []time.Duration{time.Hour, -time.Hour} {
 		for _, jumper := range voters {
-			for _, silent := range append([]raft.ReplicaID{""}, voters...) {
-				if silent == jumper {
+			for _, disconnected := range append([]raft.ReplicaID{""}, voters...) {
+				if disconnected == jumper {
 					continue
 				}
 				var c Clock
@@ -46,10 +46,10 @@
 						offsets[jumper] += jump
 					}
 					if at == 15*time.Second {
-						delete(offsets, silent)
+						delete(offsets, disconnected)
 					}
-					observe(&c, at, offsets)
-					expect(t, &c, at, trueTime(at), 30)
+					observeVoters(&c, at, offsets)
+					requireClusterTime(t, &c, at, trueTime(at), 30)
 					if now := c.Now(at); now < last {
 						t.Fatalf("went back from %d to %d", last, now)
 					} else {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestNewLeaderGoesOnFromTheLog(t *testing.T) {
+func TestClock_NewLeaderContinuesFromLog(t *testing.T) {
 	var c Clock
 	c.SetVoters(voters)
 	floor := trueTime(time.Minute) // logged by a leader whose clock was ahead
@@ -69,57 +69,57 @@
 	if got := c.Now(0); got != floor {
 		t.Fatalf("started at %d, floor is %d", got, floor)
 	}
-	expect(t, &c, time.Second, floor+1000, 0) // no majority yet: carried
+	requireClusterTime(t, &c, time.Second, floor+1000, 0) // no majority yet: carried
 	c.Observe("a", epoch+1000, time.Second)
-	expect(t, &c, 2*time.Second, floor+2000, 0) // one of three is no majority
+	requireClusterTime(t, &c, 2*time.Second, floor+2000, 0) // one of three is no majority
 	last := c.Now(2 * time.Second)
 	for at := 2 * time.Second; at < 3*time.Minute; at += 50 * time.Millisecond {
-		observe(&c, at, map[raft.ReplicaID]time.Duration{"a": 0, "b": 0, "c": 0})
+		observeVoters(&c, at, map[raft.ReplicaID]time.Duration{"a": 0, "b": 0, "c": 0})
 		now := c.Now(at)
 		if now < last {
 			t.Fatalf("went back from %d to %d", last, now)
 		}
 		last = now
 	}
-	expect(t, &c, 3*time.Minute, trueTime(3*time.Minute), 0)
+	requireClusterTime(t, &c, 3*time.Minute, trueTime(3*time.Minute), 0)
 }
 
-func TestFirstMedianStepsForward(t *testing.T) {
+func TestClock_FirstMedianStepsForward(t *testing.T) {
 	for _, floor := range []record.Millis{0, record.Millis(epoch) - 3_600_000} {
 		var c Clock
 		c.SetVoters(voters)
 		c.Restart(floor, 0)
-		observe(&c, time.Second, map[raft.ReplicaID]time.Duration{"a": 0, "b": 0})
-		expect(t, &c, time.Second, trueTime(time.Second), 0)
+		observeVoters(&c, time.Second, map[raft.ReplicaID]time.Duration{"a": 0, "b": 0})
+		requireClusterTime(t, &c, time.Second, trueTime(time.Second), 0)
 	}
 }
 
-func TestMajorityAheadIsFollowedGently(t *testing.T) {
+func TestClock_MajorityAheadIsSlewed(t *testing.T) {
 	var c Clock
 	c.SetVoters(voters)
 	c.Restart(trueTime(0), 0)
 	offsets := map[raft.ReplicaID]time.Duration{"a": 0, "b": 0, "c": 0}
-	observe(&c, 0, offsets)
-	expect(t, &c, 0, trueTime(0), 0)
+	observeVoters(&c, 0, offsets)
+	requireClusterTime(t, &c, 0, trueTime(0), 0)
 	offsets["a"], offsets["b"] = time.Second, time.Second
-	observe(&c, time.Second, offsets)
-	expect(t, &c, time.Second, trueTime(time.Second)+100, 1)
+	observeVoters(&c, time.Second, offsets)
+	requireClusterTime(t, &c, time.Second, trueTime(time.Second)+100, 1)
 	for at := time.Second; at < time.Minute; at += 50 * time.Millisecond {
-		observe(&c, at, offsets)
+		observeVoters(&c, at, offsets)
 		c.Now(at)
 	}
-	expect(t, &c, time.Minute, trueTime(time.Minute)+1000, 1)
+	requireClusterTime(t, &c, time.Minute, trueTime(time.Minute)+1000, 1)
 }
 
-func TestStaleAndForeignReadingsDoNotCount(t *testing.T) {
+func TestClock_StaleAndForeignReadingsIgnored(t *testing.T) {
 	var c Clock
 	c.SetVoters(voters)
 	c.Restart(1000, 0)
 	c.Observe("stranger", epoch, 0)
-	observe(&c, 0, map[raft.ReplicaID]time.Duration{"a": 0, "b": 0})
+	observeVoters(&c, 0, map[raft.ReplicaID]time.Duration{"a": 0, "b": 0})
 	c.SetVoters([]raft.ReplicaID{"b", "c", "d"})
-	expect(t, &c, 0, 1000, 0)
+	requireClusterTime(t, &c, 0, 1000, 0)
 	c.SetVoters(voters)
 	c.Observe("a", epoch, 0)
-	expect(t, &c, 11*time.Second, 12_000, 0)
+	requireClusterTime(t, &c, 11*time.Second, 12_000, 0)
 }
--- a/internal/compatibility/stored/describe_test.go
+++ b/internal/compatibility/stored/describe_test.go
@@ -80,7 +80,7 @@
 }
 
 // describeLoaded is what a restart finds in a data folder.
-func describeLoaded(t *testing.T, loaded storage.Loaded) string {
+func describeLoaded(t *testing.T, loaded storage.LoadedState) string {
 	t.Helper()
 	var text strings.Builder
 	state, snapshot := loaded.HardState, loaded.Snapshot
--- a/internal/compatibility/stored/stored_test.go
+++ b/internal/compatibility/stored/stored_test.go
@@ -107,7 +107,7 @@
 }
 
 // openFolder opens a copy of a data folder of the corpus.
-func openFolder(t *testing.T, name string) (*storage.Disk, storage.Loaded) {
+func openFolder(t *testing.T, name string) (*storage.Disk, storage.LoadedState) {
 	t.Helper()
 	store, err := storage.OpenDisk(storage.DiskConfig{Directory: unpackFolder(t, golden(name+folderSuffix))})
 	if err != nil {
@@ -121,7 +121,7 @@
 }
 
 // replay brings a machine to the state of all that was committed.
-func replay(t *testing.T, store *storage.Disk, loaded storage.Loaded) *record.Machine {
+func replay(t *testing.T, store *storage.Disk, loaded storage.LoadedState) *record.Machine {
 	t.Helper()
 	machine := record.NewMachine(record.Config{Archive: store.Archive(), OrdersKept: ordersKept})
 	if err := machine.Restore(bytes.NewReader(loaded.SnapshotData)); err != nil {
--- a/internal/process/integration/fulldisk_test.go
+++ b/internal/process/integration/fulldisk_test.go
@@ -46,7 +46,7 @@
 
 func (s *boundedStore) Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error {
 	if err := s.write(&s.full); err != nil {
-		return fmt.Errorf("%w: %w", storage.ErrNoRoom, err)
+		return fmt.Errorf("%w: %w", storage.ErrNoSpace, err)
 	}
 	return s.Memory.Save(hardState, entries, sync)
 }
--- a/internal/raft/append.go
+++ b/internal/raft/append.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// stepFromLeader takes what only a leader sends.
-func (n *Node) stepFromLeader(m Message) error {
+// stepLeaderMessage takes what only a leader sends.
+func (n *Node) stepLeaderMessage(m Message) error {
 	if m.Term < n.term {
 		// The sender learns that its term is over.
-		n.send(Message{Kind: MessageAppendAnswer, To: m.From, Index: m.Index, Reject: true})
+		n.send(Message{Kind: MessageAppendResponse, To: m.From, Index: m.Index, Reject: true})
 		return nil
 	}
 	if m.Term == n.term && n.role == RoleLeader {
@@ -16,29 +16,29 @@
 		n.becomeFollower(m.Term, m.From)
 	}
 	n.leader = m.From
-	n.heardLeader = heardLeader{ever: true, at: n.now, term: m.Term}
+	n.leaderContact = leaderContact{known: true, at: n.now, term: m.Term}
 	n.resetElectionDeadline()
 	if m.Kind == MessageSnapshot {
 		n.handleSnapshot(m)
 		return nil
 	}
-	return n.handleAppend(m)
+	return n.handleAppendEntries(m)
 }
 
-func (n *Node) handleAppend(m Message) error {
+func (n *Node) handleAppendEntries(m Message) error {
 	if err := checkContiguous(m); err != nil {
 		return err
 	}
 	previous, previousTerm, entries := n.trimCommitted(m)
-	if previous < n.log.commit {
-		n.acceptAppend(m, n.log.commit)
+	if previous < n.log.committed {
+		n.acceptAppend(m, n.log.committed)
 		return nil
 	}
-	if !n.log.holds(previous, previousTerm) {
-		n.refuseAppend(m)
+	if !n.log.matchTerm(previous, previousTerm) {
+		n.rejectAppend(m)
 		return nil
 	}
-	if err := n.takeEntries(entries); err != nil {
+	if err := n.appendNewEntries(entries); err != nil {
 		return err
 	}
 	matched := previous + uint64(len(entries))
@@ -59,42 +59,42 @@
 // trimCommitted drops what is committed here already: it cannot differ, and
 // may be compacted.
 func (n *Node) trimCommitted(m Message) (previous, previousTerm uint64, entries []Entry) {
-	if m.Index >= n.log.commit {
+	if m.Index >= n.log.committed {
 		return m.Index, m.LogTerm, m.Entries
 	}
-	skipped := min(n.log.commit-m.Index, uint64(len(m.Entries)))
-	previousTerm, _ = n.log.term(n.log.commit)
+	skipped := min(n.log.committed-m.Index, uint64(len(m.Entries)))
+	previousTerm, _ = n.log.term(n.log.committed)
 	return m.Index + skipped, previousTerm, m.Entries[skipped:]
 }
 
 func (n *Node) acceptAppend(m Message, matched uint64) {
-	n.send(Message{Kind: MessageAppendAnswer, To: m.From, Index: matched, Round: m.Round})
+	n.send(Message{Kind: MessageAppendResponse, To: m.From, Index: matched, Round: m.Round})
 }
 
-// refuseAppend says how far back the logs may agree: not above the last entry,
+// rejectAppend says how far back the logs may agree: not above the last entry,
 // and not where the own terms are higher than the leader's (Raft paper, 5.3).
-func (n *Node) refuseAppend(m Message) {
+func (n *Node) rejectAppend(m Message) {
 	var hint uint64
 	if m.Index > 0 {
-		hint = n.log.lastWithTermAtMost(m.Index-1, m.LogTerm)
+		hint = n.log.findConflictByTerm(m.Index-1, m.LogTerm)
 	}
-	hint = max(hint, n.log.commit)
+	hint = max(hint, n.log.committed)
 	term, _ := n.log.term(hint)
 	n.send(Message{
-		Kind:    MessageAppendAnswer,
-		To:      m.From,
-		Index:   m.Index,
-		LogTerm: term,
-		Reject:  true,
-		Hint:    hint,
-		Round:   m.Round,
+		Kind:       MessageAppendResponse,
+		To:         m.From,
+		Index:      m.Index,
+		LogTerm:    term,
+		Reject:     true,
+		RejectHint: hint,
+		Round:      m.Round,
 	})
 }
 
-// takeEntries appends what is new and drops what contradicts the leader.
-func (n *Node) takeEntries(entries []Entry) error {
+// appendNewEntries appends what is new and drops what contradicts the leader.
+func (n *Node) appendNewEntries(entries []Entry) error {
 	known := 0
-	for known < len(entries) && n.log.holds(entries[known].Index, entries[known].Term) {
+	for known < len(entries) && n.log.matchTerm(entries[known].Index, entries[known].Term) {
 		known++
 	}
 	entries = entries[known:]
@@ -102,7 +102,7 @@
 		return nil
 	}
 	first := entries[0].Index
-	if first <= n.log.commit {
+	if first <= n.log.committed {
 		return fmt.Errorf("raft: entry %d of term %d contradicts a committed one", first, entries[0].Term)
 	}
 	decoded, err := decodeMemberships(entries)
@@ -111,9 +111,9 @@
 	}
 	if first <= n.log.lastIndex() {
 		n.log.truncateFrom(first)
-		n.dropMembershipsFrom(first)
+		n.truncateMembershipsFrom(first)
 	}
 	n.log.append(entries...)
-	n.addMemberships(decoded)
+	n.appendMemberships(decoded)
 	return nil
 }
--- a/internal/raft/bench_test.go
+++ b/internal/raft/bench_test.go
@@ -13,7 +13,7 @@
 	nodes := make(map[ReplicaID]*Node, 3)
 	order := []ReplicaID{"a", "b", "c"}
 	for _, id := range order {
-		node, err := New(Config{ID: id}, founding(order...))
+		node, err := New(Config{ID: id}, initialState(order...))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -31,7 +31,7 @@
 				busy = true
 				ready := node.Ready()
 				node.Advance(ready)
-				for _, message := range slices.Concat(ready.Early, ready.Messages) {
+				for _, message := range slices.Concat(ready.EarlyMessages, ready.Messages) {
 					if err := nodes[message.To].Step(now, message); err != nil {
 						b.Fatal(err)
 					}
@@ -68,7 +68,7 @@
 func compactAll(nodes map[ReplicaID]*Node, order []ReplicaID) {
 	for _, id := range order {
 		node := nodes[id]
-		if applied := node.log.applied; applied > node.log.baseIndex+10000 {
+		if applied := node.log.applied; applied > node.log.compactedIndex+10000 {
 			term, _ := node.log.term(applied)
 			node.Compact(SnapshotMeta{Index: applied, Term: term})
 		}
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -6,11 +6,11 @@
 	spread := n.config.ElectionTimeoutMax - n.config.ElectionTimeoutMin
 	timeout := n.config.ElectionTimeoutMin + time.Duration(n.random.Int64N(int64(spread)+1))
 	n.electionDeadline = n.now + timeout
-	n.deadlineSet = true
+	n.electionDeadlineSet = true
 }
 
 // becomeFollower gives up whatever role there was. The promise made to an
-// earlier leader (heardLeader) outlives the term.
+// earlier leader (leaderContact) outlives the term.
 func (n *Node) becomeFollower(term uint64, leader ReplicaID) {
 	if term > n.term {
 		n.term = term
@@ -18,8 +18,8 @@
 	}
 	n.role = RoleFollower
 	n.leader = leader
-	n.lead = leadership{}
-	n.appendsPending = false
+	n.leadership = leadership{}
+	n.broadcastPending = false
 	n.resetElectionDeadline()
 }
 
@@ -27,20 +27,20 @@
 	if n.now < n.electionDeadline {
 		return
 	}
-	if !n.mayCampaign() {
+	if !n.promotable() {
 		n.resetElectionDeadline()
 		return
 	}
-	n.startPreVote()
+	n.becomePreCandidate()
 }
 
-// mayCampaign: a candidate votes for itself, so what forbids a vote forbids
+// promotable: a candidate votes for itself, so what forbids a vote forbids
 // standing as well. A replica that the newest membership leaves out stands as
 // long as that may be uncommitted: it can be the only one with a log that the
 // others would elect. It then counts no vote of its own (Ongaro's thesis,
 // 4.2.2).
-func (n *Node) mayCampaign() bool {
-	if n.now < n.config.QuietUntil {
+func (n *Node) promotable() bool {
+	if n.now < n.config.NoVoteBefore {
 		return false
 	}
 	for i := len(n.memberships) - 1; i >= 0; i-- {
@@ -48,60 +48,60 @@
 		if containsID(entry.membership.Voters, n.config.ID) || containsID(entry.membership.Outgoing, n.config.ID) {
 			return true
 		}
-		if entry.index <= n.log.commit {
+		if entry.index <= n.log.committed {
 			return false
 		}
 	}
 	return false
 }
 
-// startPreVote asks whether an election could be won, without a new term
+// becomePreCandidate asks whether an election could be won, without a new term
 // (Ongaro's thesis, 9.6).
-func (n *Node) startPreVote() {
+func (n *Node) becomePreCandidate() {
 	n.role = RolePreCandidate
 	n.leader = ""
 	n.resetElectionDeadline()
-	n.askForVotes(Message{Kind: MessagePreVote, Term: n.term + 1})
+	n.requestVotes(Message{Kind: MessagePreVote, Term: n.term + 1})
 }
 
-// startElection stands for the next term. transfer marks the one election that
+// becomeCandidate stands for the next term. transfer marks the one election that
 // the leader of the present term asked for.
-func (n *Node) startElection(transfer bool) {
+func (n *Node) becomeCandidate(transfer bool) {
 	n.role = RoleCandidate
 	n.leader = ""
 	n.term++
 	n.votedFor = n.config.ID
 	n.resetElectionDeadline()
-	n.askForVotes(Message{Kind: MessageVote, Term: n.term, Transfer: transfer})
+	n.requestVotes(Message{Kind: MessageVote, Term: n.term, Transfer: transfer})
 }
 
-func (n *Node) askForVotes(question Message) {
-	question.Index = n.log.lastIndex()
-	question.LogTerm = n.log.lastTerm()
+func (n *Node) requestVotes(request Message) {
+	request.Index = n.log.lastIndex()
+	request.LogTerm = n.log.lastTerm()
 	for _, p := range n.peers {
-		p.ballot = ballotNone
+		p.vote = voteMissing
 		if p.id == n.config.ID {
-			p.ballot = ballotGranted
+			p.vote = voteGranted
 			continue
 		}
 		if p.voter {
-			question.To = p.id
-			n.send(question)
+			request.To = p.id
+			n.send(request)
 		}
 	}
-	n.countBallots()
+	n.countVotes()
 }
 
-func (n *Node) countBallots() {
-	if n.quorumHas(func(p *peer) bool { return p.ballot == ballotGranted }) {
+func (n *Node) countVotes() {
+	if n.hasQuorum(func(p *progress) bool { return p.vote == voteGranted }) {
 		if n.role == RolePreCandidate {
-			n.startElection(false)
+			n.becomeCandidate(false)
 			return
 		}
 		n.becomeLeader()
 		return
 	}
-	if n.quorumLost(func(p *peer) bool { return p.ballot == ballotRefused }) {
+	if n.quorumUnreachable(func(p *progress) bool { return p.vote == voteRejected }) {
 		n.becomeFollower(n.term, "")
 	}
 }
@@ -111,44 +111,44 @@
 func (n *Node) becomeLeader() {
 	n.role = RoleLeader
 	n.leader = n.config.ID
-	n.lead = leadership{firstIndex: n.log.lastIndex() + 1}
+	n.leadership = leadership{firstIndex: n.log.lastIndex() + 1}
 	for _, p := range n.peers {
 		p.resetForTerm(n.log.lastIndex()+1, n.now)
 	}
-	n.appendOwn(EntryNoop, nil)
-	n.startRound()
+	n.appendEntry(EntryNoop, nil)
+	n.broadcastHeartbeat()
 }
 
-func (n *Node) termReady() bool {
-	return n.role == RoleLeader && n.log.commit >= n.lead.firstIndex
+func (n *Node) committedEntryInTerm() bool {
+	return n.role == RoleLeader && n.log.committed >= n.leadership.firstIndex
 }
 
-// refusesVotes is leader stickiness: a voter that answered a leader's round has
+// withholdsVote is leader stickiness: a voter that answered a leader's round has
 // promised it ElectionTimeoutMin without another leader, which is what a lease
 // rests on. A restarted voter may have forgotten such a promise and is quiet
 // for as long as one can last. Only the election that the old leader asked for
 // passes over the promise (see transfer.go), and it never ends the quiet time.
-func (n *Node) refusesVotes(question Message) bool {
-	if n.now < n.config.QuietUntil {
+func (n *Node) withholdsVote(request Message) bool {
+	if n.now < n.config.NoVoteBefore {
 		return true
 	}
 	if n.leaseUntil() > n.now {
 		return true
 	}
-	if question.Transfer && question.Term > n.heardLeader.term {
+	if request.Transfer && request.Term > n.leaderContact.term {
 		return false
 	}
-	return n.heardLeader.ever && n.now < n.heardLeader.at+n.config.ElectionTimeoutMin
+	return n.leaderContact.known && n.now < n.leaderContact.at+n.config.ElectionTimeoutMin
 }
 
 // isUpToDate compares the candidate's last entry with the own (Raft paper,
 // 5.4.1).
-func (n *Node) isUpToDate(question Message) bool {
+func (n *Node) isUpToDate(request Message) bool {
 	lastTerm := n.log.lastTerm()
-	if question.LogTerm != lastTerm {
-		return question.LogTerm > lastTerm
+	if request.LogTerm != lastTerm {
+		return request.LogTerm > lastTerm
 	}
-	return question.Index >= n.log.lastIndex()
+	return request.Index >= n.log.lastIndex()
 }
 
 // handlePreVote and handleVote do not ask whether this replica is a voter: the
@@ -156,8 +156,8 @@
 // promotion is committed but has not reached it must be able to answer, or the
 // loss of one more replica would leave no quorum.
 func (n *Node) handlePreVote(m Message) {
-	granted := m.Term > n.term && !n.refusesVotes(m) && n.isUpToDate(m)
-	answer := Message{Kind: MessagePreVoteAnswer, To: m.From, Reject: !granted}
+	granted := m.Term > n.term && !n.withholdsVote(m) && n.isUpToDate(m)
+	answer := Message{Kind: MessagePreVoteResponse, To: m.From, Reject: !granted}
 	if granted {
 		answer.Term = m.Term
 	}
@@ -166,62 +166,62 @@
 
 func (n *Node) handleVote(m Message) {
 	if m.Term < n.term {
-		n.send(Message{Kind: MessageVoteAnswer, To: m.From, Reject: true})
+		n.send(Message{Kind: MessageVoteResponse, To: m.From, Reject: true})
 		return
 	}
-	if n.refusesVotes(m) {
+	if n.withholdsVote(m) {
 		return
 	}
 	if m.Term > n.term {
 		n.becomeFollower(m.Term, "")
 	}
-	unbound := n.votedFor == "" || n.votedFor == m.From
-	granted := unbound && n.leader == "" && n.isUpToDate(m)
+	canVote := n.votedFor == "" || n.votedFor == m.From
+	granted := canVote && n.leader == "" && n.isUpToDate(m)
 	if granted {
 		n.votedFor = m.From
 		n.resetElectionDeadline()
 	}
-	n.send(Message{Kind: MessageVoteAnswer, To: m.From, Reject: !granted})
+	n.send(Message{Kind: MessageVoteResponse, To: m.From, Reject: !granted})
 }
 
-func (n *Node) handlePreVoteAnswer(m Message) {
-	if n.followHigherTerm(m, m.Reject) {
+func (n *Node) handlePreVoteResponse(m Message) {
+	if n.adoptHigherTerm(m, m.Reject) {
 		return
 	}
 	if n.role != RolePreCandidate || (!m.Reject && m.Term != n.term+1) {
 		return
 	}
-	n.recordBallot(m)
+	n.recordVote(m)
 }
 
-func (n *Node) handleVoteAnswer(m Message) {
-	if n.followHigherTerm(m, true) {
+func (n *Node) handleVoteResponse(m Message) {
+	if n.adoptHigherTerm(m, true) {
 		return
 	}
 	if n.role != RoleCandidate || m.Term != n.term {
 		return
 	}
-	n.recordBallot(m)
+	n.recordVote(m)
 }
 
-// followHigherTerm takes the term of an answer whose sender is ahead. A
+// adoptHigherTerm takes the term of an answer whose sender is ahead. A
 // replica outside the membership has no say.
-func (n *Node) followHigherTerm(m Message, isSendersTerm bool) bool {
-	if !isSendersTerm || m.Term <= n.term || n.peer(m.From) == nil {
+func (n *Node) adoptHigherTerm(m Message, isSenderTerm bool) bool {
+	if !isSenderTerm || m.Term <= n.term || n.progressOf(m.From) == nil {
 		return false
 	}
 	n.becomeFollower(m.Term, "")
 	return true
 }
 
-func (n *Node) recordBallot(m Message) {
-	p := n.peer(m.From)
+func (n *Node) recordVote(m Message) {
+	p := n.progressOf(m.From)
 	if p == nil {
 		return
 	}
-	p.ballot = ballotGranted
+	p.vote = voteGranted
 	if m.Reject {
-		p.ballot = ballotRefused
+		p.vote = voteRejected
 	}
-	n.countBallots()
+	n.countVotes()
 }
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -9,13 +9,13 @@
 	return Message{Kind: MessageVote, From: from, Term: term, Index: 100, LogTerm: 100}
 }
 
-func TestVoteIsPersistedWithItsAnswer(t *testing.T) {
-	node := newTestNode(t, Config{ID: "a"}, founding("a", "b", "c"))
+func TestVote_PersistedBeforeResponse(t *testing.T) {
+	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	if err := node.Step(0, Message{Kind: MessageVote, From: "b", To: "a", Term: 5, Index: 1, LogTerm: 1}); err != nil {
 		t.Fatal(err)
 	}
 	ready := node.Ready()
-	if answer := only(t, ready.Messages, MessageVoteAnswer); answer.Reject || answer.Term != 5 {
+	if answer := only(t, ready.Messages, MessageVoteResponse); answer.Reject || answer.Term != 5 {
 		t.Errorf("answer %+v, want a grant in term 5", answer)
 	}
 	if !ready.MustSync || ready.HardState == nil || *ready.HardState != (HardState{Term: 5, VotedFor: "b", Commit: 1}) {
@@ -23,25 +23,25 @@
 	}
 }
 
-func TestOneVoteForEachTerm(t *testing.T) {
-	node := newTestNode(t, Config{ID: "a"}, founding("a", "b", "c"))
+func TestVote_OneCandidatePerTerm(t *testing.T) {
+	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	node.step(0, vote("b", 5))
-	if answer := only(t, node.step(0, vote("c", 5)), MessageVoteAnswer); !answer.Reject {
+	if answer := only(t, node.step(0, vote("c", 5)), MessageVoteResponse); !answer.Reject {
 		t.Error("second candidate of the term got the vote")
 	}
-	if answer := only(t, node.step(0, vote("b", 5)), MessageVoteAnswer); answer.Reject {
+	if answer := only(t, node.step(0, vote("b", 5)), MessageVoteResponse); answer.Reject {
 		t.Error("the repeated question was refused")
 	}
-	restarted := newTestNode(t, Config{ID: "a"}, Restored{
+	restarted := newTestNode(t, Config{ID: "a"}, RestoredState{
 		HardState: node.hardState(),
-		Snapshot:  founding("a", "b", "c").Snapshot,
+		Snapshot:  initialState("a", "b", "c").Snapshot,
 	})
-	if answer := only(t, restarted.step(0, vote("c", 5)), MessageVoteAnswer); !answer.Reject {
+	if answer := only(t, restarted.step(0, vote("c", 5)), MessageVoteResponse); !answer.Reject {
 		t.Error("a restart forgot the vote")
 	}
 }
 
-func TestVoteNeedsUpToDateLog(t *testing.T) {
+func TestVote_RequiresUpToDateLog(t *testing.T) {
 	cases := []struct {
 		name           string
 		index, logTerm uint64
@@ -54,20 +54,20 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			restored := founding("a", "b", "c")
+			restored := initialState("a", "b", "c")
 			restored.HardState.Term = 3
 			restored.Entries = []Entry{{Index: 2, Term: 2}, {Index: 3, Term: 3}}
 			node := newTestNode(t, Config{ID: "a"}, restored)
-			question := Message{Kind: MessageVote, From: "b", Term: 5, Index: c.index, LogTerm: c.logTerm}
-			if answer := only(t, node.step(0, question), MessageVoteAnswer); answer.Reject == c.granted {
+			request := Message{Kind: MessageVote, From: "b", Term: 5, Index: c.index, LogTerm: c.logTerm}
+			if answer := only(t, node.step(0, request), MessageVoteResponse); answer.Reject == c.granted {
 				t.Errorf("refused: %v", answer.Reject)
 			}
 		})
 	}
 }
 
-func TestStickinessKeepsTermAndOutlivesIt(t *testing.T) {
-	node := newTestNode(t, Config{ID: "a"}, founding("a", "b", "c"))
+func TestLeaderStickiness_KeepsTermAndOutlivesIt(t *testing.T) {
+	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	heard := time.Second
 	node.step(heard, Message{Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Round: 1})
 	early := heard + DefaultElectionTimeoutMin - 1
@@ -76,39 +76,39 @@
 	}
 	preVote := vote("c", 9)
 	preVote.Kind = MessagePreVote
-	if answer := only(t, node.step(early, preVote), MessagePreVoteAnswer); !answer.Reject || answer.Term != 2 {
+	if answer := only(t, node.step(early, preVote), MessagePreVoteResponse); !answer.Reject || answer.Term != 2 {
 		t.Errorf("pre-vote answer %+v", answer)
 	}
 	// The term rises through another's answer; the promise still holds.
-	node.step(early, Message{Kind: MessageAppendAnswer, From: "c", Term: 4, Reject: true})
+	node.step(early, Message{Kind: MessageAppendResponse, From: "c", Term: 4, Reject: true})
 	if messages := node.step(early, vote("c", 9)); len(messages) != 0 {
 		t.Errorf("a new term ended the promise: %+v", messages)
 	}
-	if answer := only(t, node.step(early+1, vote("c", 9)), MessageVoteAnswer); answer.Reject {
+	if answer := only(t, node.step(early+1, vote("c", 9)), MessageVoteResponse); answer.Reject {
 		t.Error("vote refused after the promise")
 	}
 }
 
-func TestTransferVotePassesOverPromiseButNotQuietTime(t *testing.T) {
+func TestVote_TransferBypassesStickinessButNotVoteDelay(t *testing.T) {
 	heartbeat := Message{Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Round: 1}
 	transfer := vote("c", 3)
 	transfer.Transfer = true
 
-	node := newTestNode(t, Config{ID: "a"}, founding("a", "b", "c"))
+	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	node.step(time.Second, heartbeat)
-	if answer := only(t, node.step(time.Second, transfer), MessageVoteAnswer); answer.Reject {
+	if answer := only(t, node.step(time.Second, transfer), MessageVoteResponse); answer.Reject {
 		t.Error("transfer vote refused")
 	}
-	quiet := newTestNode(t, Config{ID: "a", QuietUntil: 2 * time.Second}, founding("a", "b", "c"))
+	quiet := newTestNode(t, Config{ID: "a", NoVoteBefore: 2 * time.Second}, initialState("a", "b", "c"))
 	quiet.step(time.Second, heartbeat)
 	if messages := quiet.step(time.Second, transfer); len(messages) != 0 || quiet.Status().Term != 2 {
 		t.Errorf("a quiet voter answered %+v", messages)
 	}
 }
 
-func TestQuietReplicaNeitherVotesNorStands(t *testing.T) {
+func TestVoteDelay_ReplicaNeitherVotesNorCampaigns(t *testing.T) {
 	quietUntil := 10 * time.Second
-	node := newTestNode(t, Config{ID: "a", QuietUntil: quietUntil}, founding("a"))
+	node := newTestNode(t, Config{ID: "a", NoVoteBefore: quietUntil}, initialState("a"))
 	for now := time.Duration(0); now < quietUntil; now += DefaultTickInterval {
 		node.Tick(now)
 		if node.Status().Term != 1 {
@@ -117,48 +117,48 @@
 	}
 	for now := quietUntil; now < quietUntil+2*DefaultElectionTimeoutMax; now += DefaultTickInterval {
 		node.Tick(now)
-		node.turn()
+		node.processReady()
 	}
 	if node.Status().Role != RoleLeader {
 		t.Error("never stood for election")
 	}
 }
 
-func TestPreVoteKeepsTermOfCutOffReplica(t *testing.T) {
+func TestPreVote_PartitionedReplicaKeepsTerm(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
 	term := leader.Status().Term
 	cluster.dropTo("c")
-	cluster.pass(10 * time.Second)
+	cluster.advance(10 * time.Second)
 	if got := cluster.node("c").Status().Term; got != term {
 		t.Errorf("term %d of the cut-off replica, want %d", got, term)
 	}
 	cluster.dropNothing()
-	cluster.pass(2 * time.Second)
+	cluster.advance(2 * time.Second)
 	if status := leader.Status(); status.Role != RoleLeader || status.Term != term {
 		t.Errorf("the return disturbed the leader: %+v", status)
 	}
 }
 
-func TestReplicaWithoutMembershipNeverStands(t *testing.T) {
-	node := newTestNode(t, Config{ID: "new"}, Restored{})
+func TestCampaign_NonMemberNeverCampaigns(t *testing.T) {
+	node := newTestNode(t, Config{ID: "new"}, RestoredState{})
 	for now := time.Duration(0); now < time.Minute; now += DefaultTickInterval {
 		node.Tick(now)
-		if messages := node.turn(); len(messages) != 0 {
+		if messages := node.processReady(); len(messages) != 0 {
 			t.Fatalf("sent %+v", messages)
 		}
 	}
 }
 
-func TestCheckQuorumEndsLeadership(t *testing.T) {
+func TestCheckQuorum_LeaderWithoutQuorumStepsDown(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
 	cluster.dropTo("a")
-	cluster.pass(DefaultElectionTimeoutMax - 2*DefaultTickInterval)
+	cluster.advance(DefaultElectionTimeoutMax - 2*DefaultTickInterval)
 	if leader.Status().Role != RoleLeader {
 		t.Error("stepped down early")
 	}
-	cluster.pass(3 * DefaultTickInterval)
+	cluster.advance(3 * DefaultTickInterval)
 	if role := leader.Status().Role; role == RoleLeader {
 		t.Error("still leads without a quorum")
 	}
--- a/internal/raft/fuzz_test.go
+++ b/internal/raft/fuzz_test.go
@@ -48,8 +48,8 @@
 		{Kind: MessagePreVote, From: "b", To: "a", Term: 9, Index: 2, LogTerm: 2},
 		{Kind: MessageVote, From: "b", To: "a", Term: 9, Index: 2, LogTerm: 2, Transfer: true},
 		{Kind: MessageAppend, From: "b", To: "a", Term: 9, Index: 2, LogTerm: 2, Entries: entries, Commit: 3, Round: 1},
-		{Kind: MessageAppendAnswer, From: "b", To: "a", Term: 2, Index: 2, LogTerm: 2, Round: 1},
-		{Kind: MessageAppendAnswer, From: "b", To: "a", Term: 2, Reject: true, Hint: 1},
+		{Kind: MessageAppendResponse, From: "b", To: "a", Term: 2, Index: 2, LogTerm: 2, Round: 1},
+		{Kind: MessageAppendResponse, From: "b", To: "a", Term: 2, Reject: true, RejectHint: 1},
 		{Kind: MessageSnapshot, From: "b", To: "a", Term: 9, Snapshot: &SnapshotMeta{Index: 8, Term: 8}},
 		{Kind: MessageTimeoutNow, From: "b", To: "a", Term: 9},
 		{Kind: 200, From: "b", To: "a", Term: 9},
@@ -71,7 +71,7 @@
 }
 
 func stepFollower(t *testing.T, message Message) {
-	follower := newTestNode(t, Config{ID: "a", Seed: 1}, founding("a", "b", "c"))
+	follower := newTestNode(t, Config{ID: "a", Seed: 1}, initialState("a", "b", "c"))
 	follower.Tick(0)
 	stepChecked(t, follower, time.Millisecond, message)
 }
@@ -79,17 +79,17 @@
 // stepLeader elects the node and then gives it the message.
 func stepLeader(t *testing.T, message Message) {
 	const elected = 2 * time.Second
-	leader := newTestNode(t, Config{ID: "a", Seed: 1}, founding("a", "b", "c"))
+	leader := newTestNode(t, Config{ID: "a", Seed: 1}, initialState("a", "b", "c"))
 	leader.Tick(0)
 	leader.Tick(elected)
 	for range 2 {
-		for _, asked := range leader.turn() {
+		for _, asked := range leader.processReady() {
 			answer := Message{From: asked.To, To: "a", Term: asked.Term}
 			switch asked.Kind {
 			case MessagePreVote:
-				answer.Kind = MessagePreVoteAnswer
+				answer.Kind = MessagePreVoteResponse
 			case MessageVote:
-				answer.Kind = MessageVoteAnswer
+				answer.Kind = MessageVoteResponse
 			default:
 				continue
 			}
@@ -98,7 +98,7 @@
 			}
 		}
 	}
-	leader.turn()
+	leader.processReady()
 	if leader.Status().Role != RoleLeader {
 		t.Fatalf("not elected: %+v", leader.Status())
 	}
@@ -108,9 +108,9 @@
 func stepChecked(t *testing.T, node *testNode, now time.Duration, message Message) {
 	before := node.Status()
 	_ = node.Step(now, message) // a refusal is as good
-	node.turn()
+	node.processReady()
 	node.Tick(now + time.Second)
-	node.turn()
+	node.processReady()
 	after := node.Status()
 	if after.Term < before.Term || after.Commit < before.Commit {
 		t.Fatalf("from term %d, commit %d back to %d, %d", before.Term, before.Commit, after.Term, after.Commit)
--- a/internal/raft/harness_test.go
+++ b/internal/raft/harness_test.go
@@ -24,11 +24,11 @@
 	return membership
 }
 
-func founding(ids ...ReplicaID) Restored {
-	return Restored{Snapshot: SnapshotMeta{Index: 1, Term: 1, Membership: testMembership(ids...)}}
+func initialState(ids ...ReplicaID) RestoredState {
+	return RestoredState{Snapshot: SnapshotMeta{Index: 1, Term: 1, Membership: testMembership(ids...)}}
 }
 
-func newTestNode(t *testing.T, config Config, restored Restored) *testNode {
+func newTestNode(t *testing.T, config Config, restored RestoredState) *testNode {
 	t.Helper()
 	node, err := New(config, restored)
 	if err != nil {
@@ -37,12 +37,12 @@
 	return &testNode{Node: node, t: t}
 }
 
-// turn does what is ready and returns the messages.
-func (n *testNode) turn() []Message {
+// processReady does what is ready and returns the messages.
+func (n *testNode) processReady() []Message {
 	var messages []Message
 	for n.HasReady() {
 		ready := n.Ready()
-		messages = append(append(messages, ready.Early...), ready.Messages...)
+		messages = append(append(messages, ready.EarlyMessages...), ready.Messages...)
 		n.applied = append(n.applied, ready.Committed...)
 		n.reads = append(n.reads, ready.ReadStates...)
 		n.Advance(ready)
@@ -57,7 +57,7 @@
 	if err := n.Step(now, message); err != nil {
 		n.t.Fatalf("step %+v: %v", message, err)
 	}
-	return n.turn()
+	return n.processReady()
 }
 
 // only returns the one message of a kind.
@@ -92,7 +92,7 @@
 	t.Helper()
 	c := &testCluster{t: t, drop: func(Message) bool { return false }}
 	for _, id := range ids {
-		c.nodes = append(c.nodes, newTestNode(t, Config{ID: id}, founding(ids...)))
+		c.nodes = append(c.nodes, newTestNode(t, Config{ID: id}, initialState(ids...)))
 	}
 	return c
 }
@@ -106,13 +106,13 @@
 	return nil
 }
 
-// settle delivers until nothing is under way.
-func (c *testCluster) settle() {
+// deliverAll delivers until nothing is under way.
+func (c *testCluster) deliverAll() {
 	c.t.Helper()
 	for range 1000 {
 		var messages []Message
 		for _, node := range c.nodes {
-			messages = append(messages, node.turn()...)
+			messages = append(messages, node.processReady()...)
 		}
 		if len(messages) == 0 {
 			return
@@ -130,15 +130,15 @@
 	c.t.Fatal("messages never end")
 }
 
-// pass lets time go by in ticks.
-func (c *testCluster) pass(duration time.Duration) {
+// advance lets time go by in ticks.
+func (c *testCluster) advance(duration time.Duration) {
 	c.t.Helper()
 	for end := c.now + duration; c.now < end; {
 		c.now += DefaultTickInterval
 		for _, node := range c.nodes {
 			node.Tick(c.now)
 		}
-		c.settle()
+		c.deliverAll()
 	}
 }
 
@@ -148,10 +148,10 @@
 	node := c.node(id)
 	c.now += 2 * DefaultElectionTimeoutMax
 	node.Tick(c.now - DefaultElectionTimeoutMax)
-	node.turn()
+	node.processReady()
 	node.Tick(c.now)
-	c.settle()
-	c.pass(2 * DefaultTickInterval)
+	c.deliverAll()
+	c.advance(2 * DefaultTickInterval)
 	if status := node.Status(); status.Role != RoleLeader || !status.TermReady {
 		c.t.Fatalf("replica %s did not become leader: %+v", id, status)
 	}
@@ -165,7 +165,7 @@
 			c.t.Fatal(err)
 		}
 	}
-	c.settle()
+	c.deliverAll()
 }
 
 // dropTo cuts a replica off.
--- a/internal/raft/lease_test.go
+++ b/internal/raft/lease_test.go
@@ -9,106 +9,106 @@
 // leaderOfThree is a leader whose messages the test answers by hand.
 func leaderOfThree(t *testing.T, now time.Duration) *testNode {
 	t.Helper()
-	node := newTestNode(t, Config{ID: "a"}, founding("a", "b", "c"))
+	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	node.Tick(now - 2*DefaultElectionTimeoutMax)
 	node.Tick(now - 1)
-	node.turn()
-	node.step(now, Message{Kind: MessagePreVoteAnswer, From: "b", Term: 2})
-	node.step(now, Message{Kind: MessageVoteAnswer, From: "b", Term: 2})
+	node.processReady()
+	node.step(now, Message{Kind: MessagePreVoteResponse, From: "b", Term: 2})
+	node.step(now, Message{Kind: MessageVoteResponse, From: "b", Term: 2})
 	if status := node.Status(); status.Role != RoleLeader || status.LeaseUntil != 0 {
 		t.Fatalf("status %+v", status)
 	}
 	return node
 }
 
-func answer(from ReplicaID, index, round uint64) Message {
-	return Message{Kind: MessageAppendAnswer, From: from, Term: 2, Index: index, Round: round}
+func appendResponse(from ReplicaID, index, round uint64) Message {
+	return Message{Kind: MessageAppendResponse, From: from, Term: 2, Index: index, Round: round}
 }
 
-func TestLeaseCountsFromSendTimeOfRound(t *testing.T) {
+func TestLease_CountsFromSendTimeOfHeartbeat(t *testing.T) {
 	start := 10 * time.Second
 	node := leaderOfThree(t, start)
 	node.Tick(start + 50*time.Millisecond)
 	node.Tick(start + 100*time.Millisecond)
-	node.turn()
+	node.processReady()
 	// Round 2 was sent at 50ms; the answer comes late.
-	node.step(start+130*time.Millisecond, answer("b", 1, 2))
+	node.step(start+130*time.Millisecond, appendResponse("b", 1, 2))
 	if got, want := node.Status().LeaseUntil, start+50*time.Millisecond+DefaultLeaseDuration; got != want {
 		t.Errorf("lease until %v, want %v", got, want)
 	}
 	// An older round that comes later changes nothing.
-	node.step(start+140*time.Millisecond, answer("c", 1, 1))
+	node.step(start+140*time.Millisecond, appendResponse("c", 1, 1))
 	if got, want := node.Status().LeaseUntil, start+50*time.Millisecond+DefaultLeaseDuration; got != want {
 		t.Errorf("lease until %v, want %v", got, want)
 	}
 	// A round that was never sent is no promise.
-	node.step(start+140*time.Millisecond, answer("c", 1, 99))
+	node.step(start+140*time.Millisecond, appendResponse("c", 1, 99))
 	if got, want := node.Status().LeaseUntil, start+50*time.Millisecond+DefaultLeaseDuration; got != want {
 		t.Errorf("lease until %v, want %v", got, want)
 	}
 }
 
-func TestLeaderUnderLeaseRefusesVotes(t *testing.T) {
+func TestLease_LeaderRejectsVotes(t *testing.T) {
 	start := 10 * time.Second
 	node := leaderOfThree(t, start)
-	node.step(start, answer("b", 1, 1))
-	question := vote("c", 7)
-	question.Transfer = true
-	if messages := node.step(start+DefaultLeaseDuration-1, question); len(messages) != 0 {
+	node.step(start, appendResponse("b", 1, 1))
+	request := vote("c", 7)
+	request.Transfer = true
+	if messages := node.step(start+DefaultLeaseDuration-1, request); len(messages) != 0 {
 		t.Errorf("answered %+v", messages)
 	}
-	if got := only(t, node.step(start+DefaultLeaseDuration, question), MessageVoteAnswer); got.Reject {
+	if got := only(t, node.step(start+DefaultLeaseDuration, request), MessageVoteResponse); got.Reject {
 		t.Error("refused without a lease")
 	}
 }
 
-func TestJointLeaseNeedsBothMajorities(t *testing.T) {
+func TestLease_JointMembershipNeedsBothMajorities(t *testing.T) {
 	start := 10 * time.Second
-	restored := founding("a", "d", "e")
+	restored := initialState("a", "d", "e")
 	restored.Snapshot.Membership.Outgoing = testMembership("a", "b", "c").Voters
 	node := newTestNode(t, Config{ID: "a"}, restored)
 	node.Tick(start)
 	node.Tick(start + DefaultElectionTimeoutMax)
 	now := start + DefaultElectionTimeoutMax
-	node.step(now, Message{Kind: MessagePreVoteAnswer, From: "b", Term: 2})
+	node.step(now, Message{Kind: MessagePreVoteResponse, From: "b", Term: 2})
 	if node.Status().Role != RolePreCandidate {
 		t.Fatal("one majority sufficed for the pre-vote")
 	}
-	node.step(now, Message{Kind: MessagePreVoteAnswer, From: "d", Term: 2})
-	node.step(now, Message{Kind: MessageVoteAnswer, From: "b", Term: 2})
+	node.step(now, Message{Kind: MessagePreVoteResponse, From: "d", Term: 2})
+	node.step(now, Message{Kind: MessageVoteResponse, From: "b", Term: 2})
 	if node.Status().Role != RoleCandidate {
 		t.Fatal("one majority sufficed for the vote")
 	}
-	node.step(now, Message{Kind: MessageVoteAnswer, From: "d", Term: 2})
-	node.step(now, answer("d", 2, 1))
+	node.step(now, Message{Kind: MessageVoteResponse, From: "d", Term: 2})
+	node.step(now, appendResponse("d", 2, 1))
 	if status := node.Status(); status.LeaseUntil != 0 || status.Commit != 1 {
 		t.Fatalf("one majority sufficed: %+v", status)
 	}
-	node.step(now, answer("c", 2, 1))
+	node.step(now, appendResponse("c", 2, 1))
 	if status := node.Status(); status.LeaseUntil == 0 || status.Commit != 2 {
 		t.Errorf("both majorities did not suffice: %+v", status)
 	}
 }
 
-func TestTransferGivesUpLeaseThenStepsDown(t *testing.T) {
+func TestTransfer_RelinquishesLeaseThenStepsDown(t *testing.T) {
 	start := 10 * time.Second
 	node := leaderOfThree(t, start)
-	node.step(start, answer("b", 1, 1))
+	node.step(start, appendResponse("b", 1, 1))
 	if err := node.TransferLeadership(start, "b"); err != nil {
 		t.Fatal(err)
 	}
-	if messages := node.turn(); len(ofKind(messages, MessageTimeoutNow)) != 0 {
+	if messages := node.processReady(); len(ofKind(messages, MessageTimeoutNow)) != 0 {
 		t.Error("TimeoutNow to a target that lacks entries")
 	}
-	if _, _, err := node.Propose(start, [][]byte{nil}); !errors.Is(err, ErrTransferring) {
+	if _, _, err := node.Propose(start, [][]byte{nil}); !errors.Is(err, ErrLeadershipTransferPending) {
 		t.Errorf("propose: %v", err)
 	}
-	messages := node.step(start+time.Millisecond, answer("b", 2, 1))
+	messages := node.step(start+time.Millisecond, appendResponse("b", 2, 1))
 	only(t, messages, MessageTimeoutNow)
 	for at := DefaultTickInterval; at < DefaultElectionTimeoutMax; at += DefaultTickInterval {
 		node.Tick(start + at)
-		node.turn()
-		node.step(start+at, answer("b", 2, node.lead.lease.round))
+		node.processReady()
+		node.step(start+at, appendResponse("b", 2, node.leadership.lease.round))
 		if status := node.Status(); status.LeaseUntil != 0 || status.Role != RoleLeader {
 			t.Fatalf("at %v: %+v", at, status)
 		}
@@ -119,8 +119,8 @@
 	}
 }
 
-func TestTimeoutNowOfAnEarlierTermIsIgnored(t *testing.T) {
-	node := newTestNode(t, Config{ID: "a"}, founding("a", "b", "c"))
+func TestTimeoutNow_EarlierTermIgnored(t *testing.T) {
+	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	node.step(time.Second, Message{Kind: MessageAppend, From: "b", Term: 3, Index: 1, LogTerm: 1})
 	if messages := node.step(time.Second, Message{Kind: MessageTimeoutNow, From: "c", Term: 2}); len(messages) != 0 {
 		t.Errorf("sent %+v", messages)
@@ -133,12 +133,12 @@
 	}
 	// The next attempt is an ordinary one.
 	node.Tick(time.Second + 3*DefaultElectionTimeoutMax)
-	if messages := node.turn(); len(ofKind(messages, MessageVote)) != 0 || len(ofKind(messages, MessagePreVote)) != 2 {
+	if messages := node.processReady(); len(ofKind(messages, MessageVote)) != 0 || len(ofKind(messages, MessagePreVote)) != 2 {
 		t.Errorf("sent %+v", messages)
 	}
 }
 
-func TestTransferMovesLeadership(t *testing.T) {
+func TestTransfer_TargetBecomesLeader(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
 	cluster.propose(leader, 3)
@@ -148,24 +148,24 @@
 	if err := leader.TransferLeadership(cluster.now, ""); err != nil {
 		t.Fatal(err)
 	}
-	cluster.settle()
+	cluster.deliverAll()
 	if leader.Status().Role == RoleLeader || leader.Status().Leader == "" {
 		t.Errorf("status %+v", leader.Status())
 	}
 }
 
-func TestReadWaitsForNoopAndRound(t *testing.T) {
+func TestReadIndex_WaitsForNoopAndHeartbeatQuorum(t *testing.T) {
 	start := 10 * time.Second
 	node := leaderOfThree(t, start)
 	if err := node.ReadIndex(start, 1); err != nil {
 		t.Fatal(err)
 	}
 	// Round 1 gives a lease; the noop is not committed.
-	node.step(start, answer("b", 1, 1))
+	node.step(start, appendResponse("b", 1, 1))
 	if len(node.reads) != 0 {
 		t.Fatalf("read before the noop: %+v", node.reads)
 	}
-	node.step(start, answer("b", 2, 1))
+	node.step(start, appendResponse("b", 2, 1))
 	if len(node.reads) != 1 || node.reads[0] != (ReadState{Request: 1, Index: 2}) {
 		t.Fatalf("reads %+v", node.reads)
 	}
@@ -174,16 +174,16 @@
 	if err := node.ReadIndex(late, 2); err != nil {
 		t.Fatal(err)
 	}
-	node.turn()
-	node.step(late, answer("c", 2, 1))
+	node.processReady()
+	node.step(late, appendResponse("c", 2, 1))
 	if len(node.reads) != 1 {
 		t.Fatalf("an old round confirmed the read: %+v", node.reads)
 	}
-	node.step(late, answer("c", 2, 2))
+	node.step(late, appendResponse("c", 2, 2))
 	if len(node.reads) != 2 || node.reads[1] != (ReadState{Request: 2, Index: 2}) {
 		t.Errorf("reads %+v", node.reads)
 	}
-	follower := newTestNode(t, Config{ID: "b"}, founding("a", "b", "c"))
+	follower := newTestNode(t, Config{ID: "b"}, initialState("a", "b", "c"))
 	if err := follower.ReadIndex(0, 1); !errors.Is(err, ErrNotLeader) {
 		t.Errorf("read on a follower: %v", err)
 	}
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -9,20 +9,20 @@
 // an entry is never overwritten in place (see truncateFrom), so that they stay
 // as they were.
 type raftLog struct {
-	// baseIndex and baseTerm name the entry before the first one held.
-	baseIndex uint64
-	baseTerm  uint64
-	entries   []Entry
+	// compactedIndex and compactedTerm name the entry before the first one held.
+	compactedIndex uint64
+	compactedTerm  uint64
+	entries        []Entry
 	// stable is the last index that the owner has persisted.
-	stable uint64
-	commit uint64
+	stable    uint64
+	committed uint64
 	// applied is the last index whose entry was handed out and advanced over.
 	applied uint64
 }
 
-func (l *raftLog) firstIndex() uint64 { return l.baseIndex + 1 }
+func (l *raftLog) firstIndex() uint64 { return l.compactedIndex + 1 }
 
-func (l *raftLog) lastIndex() uint64 { return l.baseIndex + uint64(len(l.entries)) }
+func (l *raftLog) lastIndex() uint64 { return l.compactedIndex + uint64(len(l.entries)) }
 
 func (l *raftLog) lastTerm() uint64 {
 	term, _ := l.term(l.lastIndex())
@@ -33,24 +33,24 @@
 // not know it.
 func (l *raftLog) term(index uint64) (term uint64, ok bool) {
 	switch {
-	case index == l.baseIndex:
-		return l.baseTerm, true
-	case index < l.baseIndex || index > l.lastIndex():
+	case index == l.compactedIndex:
+		return l.compactedTerm, true
+	case index < l.compactedIndex || index > l.lastIndex():
 		return 0, false
 	default:
 		return l.entries[index-l.firstIndex()].Term, true
 	}
 }
 
-// holds reports whether the log surely has that very entry.
-func (l *raftLog) holds(index, term uint64) bool {
+// matchTerm reports whether the log surely has that very entry.
+func (l *raftLog) matchTerm(index, term uint64) bool {
 	held, ok := l.term(index)
 	return ok && held == term
 }
 
-// between returns the entries from first to last, at least one if there is
+// slice returns the entries from first to last, at least one if there is
 // any, and no more than fit in maxBytes and maxCount.
-func (l *raftLog) between(first, last uint64, maxBytes, maxCount int) []Entry {
+func (l *raftLog) slice(first, last uint64, maxBytes, maxCount int) []Entry {
 	if first > last {
 		return nil
 	}
@@ -66,8 +66,8 @@
 	return l.entries[start:end:end]
 }
 
-// unstable returns the entries that the owner has yet to persist.
-func (l *raftLog) unstable() []Entry {
+// unstableEntries returns the entries that the owner has yet to persist.
+func (l *raftLog) unstableEntries() []Entry {
 	if l.stable >= l.lastIndex() {
 		return nil
 	}
@@ -88,10 +88,10 @@
 	l.stable = min(l.stable, index-1)
 }
 
-// markStable notes that written is on disk, unless it was replaced since.
-func (l *raftLog) markStable(written []Entry) {
+// stableTo notes that written is on disk, unless it was replaced since.
+func (l *raftLog) stableTo(written []Entry) {
 	for i := len(written) - 1; i >= 0; i-- {
-		if l.holds(written[i].Index, written[i].Term) {
+		if l.matchTerm(written[i].Index, written[i].Term) {
 			l.stable = max(l.stable, written[i].Index)
 			return
 		}
@@ -101,24 +101,24 @@
 // compactTo forgets the entries up to index, which the log must hold.
 func (l *raftLog) compactTo(index uint64) {
 	term, _ := l.term(index)
-	kept := l.entries[index-l.baseIndex:]
+	kept := l.entries[index-l.compactedIndex:]
 	l.entries = append(make([]Entry, 0, len(kept)+len(kept)/4), kept...)
-	l.baseIndex, l.baseTerm = index, term
+	l.compactedIndex, l.compactedTerm = index, term
 }
 
-// reset makes the log that of a snapshot alone.
-func (l *raftLog) reset(index, term uint64) {
-	*l = raftLog{baseIndex: index, baseTerm: term, stable: index, commit: index, applied: index}
+// restore makes the log that of a snapshot alone.
+func (l *raftLog) restore(index, term uint64) {
+	*l = raftLog{compactedIndex: index, compactedTerm: term, stable: index, committed: index, applied: index}
 }
 
-// lastWithTermAtMost returns the highest index not above index whose term is
+// findConflictByTerm returns the highest index not above index whose term is
 // at most term. Nothing between it and index can match a log with that term at
 // index, so backtracking skips it. It does not go below base.
-func (l *raftLog) lastWithTermAtMost(index, term uint64) uint64 {
+func (l *raftLog) findConflictByTerm(index, term uint64) uint64 {
 	index = min(index, l.lastIndex())
-	if index <= l.baseIndex {
+	if index <= l.compactedIndex {
 		return index
 	}
-	above := sort.Search(int(index-l.baseIndex), func(i int) bool { return l.entries[i].Term > term })
-	return l.baseIndex + uint64(above)
+	above := sort.Search(int(index-l.compactedIndex), func(i int) bool { return l.entries[i].Term > term })
+	return l.compactedIndex + uint64(above)
 }
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -11,11 +11,11 @@
 // when it is made a voter.
 const maxPromotionLag = 1000
 
-// ErrWrongMembership: the wanted membership contradicts itself.
-var ErrWrongMembership = errors.New("raft: wrong membership")
+// ErrInvalidMembership: the wanted membership contradicts itself.
+var ErrInvalidMembership = errors.New("raft: wrong membership")
 
-// membershipAt is a membership and the entry that brought it.
-type membershipAt struct {
+// membershipEntry is a membership and the entry that brought it.
+type membershipEntry struct {
 	index      uint64
 	membership Membership
 }
@@ -41,28 +41,28 @@
 	return found.clone()
 }
 
-// unsettledMemberships are those from the committed one on, without the newest;
+// fallbackMemberships are those from the committed one on, without the newest;
 // nil once that is committed.
-func (n *Node) unsettledMemberships() []Membership {
-	var unsettled []Membership
+func (n *Node) fallbackMemberships() []Membership {
+	var fallbacks []Membership
 	for i, next := range n.memberships[1:] {
-		if next.index > n.log.commit {
-			unsettled = append(unsettled, n.memberships[i].membership.clone())
+		if next.index > n.log.committed {
+			fallbacks = append(fallbacks, n.memberships[i].membership.clone())
 		}
 	}
-	return unsettled
+	return fallbacks
 }
 
-func (n *Node) addMemberships(added []membershipAt) {
+func (n *Node) appendMemberships(added []membershipEntry) {
 	if len(added) == 0 {
 		return
 	}
 	n.memberships = append(n.memberships, added...)
-	n.refreshPeers()
+	n.refreshProgress()
 }
 
-// dropMembershipsFrom rolls back to the one before a truncation.
-func (n *Node) dropMembershipsFrom(index uint64) {
+// truncateMembershipsFrom rolls back to the one before a truncation.
+func (n *Node) truncateMembershipsFrom(index uint64) {
 	kept := len(n.memberships)
 	for kept > 1 && n.memberships[kept-1].index >= index {
 		kept--
@@ -71,11 +71,11 @@
 		return
 	}
 	n.memberships = n.memberships[:kept]
-	n.refreshPeers()
+	n.refreshProgress()
 }
 
-// forgetMembershipsBefore keeps the one in force at index and all later ones.
-func (n *Node) forgetMembershipsBefore(index uint64) {
+// compactMembershipsTo keeps the one in force at index and all later ones.
+func (n *Node) compactMembershipsTo(index uint64) {
 	first := 0
 	for first+1 < len(n.memberships) && n.memberships[first+1].index <= index {
 		first++
@@ -83,8 +83,8 @@
 	n.memberships = slices.Delete(n.memberships, 0, first)
 }
 
-func decodeMemberships(entries []Entry) ([]membershipAt, error) {
-	var decoded []membershipAt
+func decodeMemberships(entries []Entry) ([]membershipEntry, error) {
+	var decoded []membershipEntry
 	for _, entry := range entries {
 		if entry.Kind != EntryMembership {
 			continue
@@ -93,13 +93,13 @@
 		if err != nil {
 			return nil, fmt.Errorf("raft: entry %d: %w", entry.Index, err)
 		}
-		decoded = append(decoded, membershipAt{index: entry.Index, membership: membership})
+		decoded = append(decoded, membershipEntry{index: entry.Index, membership: membership})
 	}
 	return decoded, nil
 }
 
 // peer returns what is known of a replica; nil outside of the membership.
-func (n *Node) peer(id ReplicaID) *peer {
+func (n *Node) progressOf(id ReplicaID) *progress {
 	for _, p := range n.peers {
 		if p.id == id {
 			return p
@@ -108,21 +108,21 @@
 	return nil
 }
 
-// refreshPeers follows the membership and keeps what is known of those who
+// refreshProgress follows the membership and keeps what is known of those who
 // stay.
-func (n *Node) refreshPeers() {
+func (n *Node) refreshProgress() {
 	membership := n.membership()
 	known := n.peers
 	n.peers = nil
-	n.voters = n.collectPeers(known, membership.Voters, true)
-	n.outgoing = n.collectPeers(known, membership.Outgoing, true)
-	n.collectPeers(known, membership.Learners, false)
+	n.voters = n.collectProgress(known, membership.Voters, true)
+	n.outgoing = n.collectProgress(known, membership.Outgoing, true)
+	n.collectProgress(known, membership.Learners, false)
 }
 
-func (n *Node) collectPeers(known []*peer, members []Member, voter bool) []*peer {
-	collected := make([]*peer, 0, len(members))
+func (n *Node) collectProgress(known []*progress, members []Member, voter bool) []*progress {
+	collected := make([]*progress, 0, len(members))
 	for _, member := range members {
-		p := n.peer(member.ID)
+		p := n.progressOf(member.ID)
 		if p == nil {
 			p = n.knownOrNew(known, member.ID)
 			p.voter = voter
@@ -133,30 +133,30 @@
 	return collected
 }
 
-func (n *Node) knownOrNew(known []*peer, id ReplicaID) *peer {
+func (n *Node) knownOrNew(known []*progress, id ReplicaID) *progress {
 	for _, p := range known {
 		if p.id == id {
 			return p
 		}
 	}
-	return &peer{id: id, next: n.log.lastIndex() + 1}
+	return &progress{id: id, next: n.log.lastIndex() + 1}
 }
 
 // ChangeMembership proposes target. Learners and member data change directly;
-// a change of voters is joint first. Fails with ErrNotLeader, ErrTransferring,
-// ErrChangePending (also before the term's first commit), ErrWrongMembership,
+// a change of voters is joint first. Fails with ErrNotLeader, ErrLeadershipTransferPending,
+// ErrMembershipChangePending (also before the term's first commit), ErrInvalidMembership,
 // or ErrNotCaughtUp.
 func (n *Node) ChangeMembership(now time.Duration, target Membership) error {
-	n.observe(now)
+	n.advanceTime(now)
 	if n.role != RoleLeader {
 		return ErrNotLeader
 	}
 	if n.transferring() {
-		return ErrTransferring
+		return ErrLeadershipTransferPending
 	}
 	current := n.membership()
-	if !n.termReady() || current.joint() || n.membershipIndex() > n.log.commit {
-		return ErrChangePending
+	if !n.committedEntryInTerm() || current.joint() || n.membershipIndex() > n.log.committed {
+		return ErrMembershipChangePending
 	}
 	if err := target.validate(); err != nil {
 		return err
@@ -178,7 +178,7 @@
 		if containsID(current.Voters, voter.ID) {
 			continue
 		}
-		p := n.peer(voter.ID)
+		p := n.progressOf(voter.ID)
 		if p == nil || !n.isCaughtUp(p) {
 			return fmt.Errorf("raft: replica %s: %w", voter.ID, ErrNotCaughtUp)
 		}
@@ -188,8 +188,8 @@
 
 // isCaughtUp: the peer answers, its log agrees with the leader's, and little of
 // it is missing.
-func (n *Node) isCaughtUp(p *peer) bool {
-	return p.heard && !n.isSilent(p) && p.mode == modeReplicate && p.match+maxPromotionLag >= n.log.commit
+func (n *Node) isCaughtUp(p *progress) bool {
+	return p.respondedThisTerm && !n.isInactive(p) && p.state == stateReplicate && p.match+maxPromotionLag >= n.log.committed
 }
 
 func (n *Node) appendMembership(membership Membership) error {
@@ -198,15 +198,15 @@
 	if err != nil {
 		return err
 	}
-	n.appendOwn(EntryMembership, data)
-	n.addMemberships([]membershipAt{{index: n.log.lastIndex(), membership: membership}})
+	n.appendEntry(EntryMembership, data)
+	n.appendMemberships([]membershipEntry{{index: n.log.lastIndex(), membership: membership}})
 	return nil
 }
 
-// continueMembershipChange ends a joint membership once it is committed, and
+// advanceMembershipChange ends a joint membership once it is committed, and
 // the leadership of one who is no longer a voter.
-func (n *Node) continueMembershipChange() {
-	if n.role != RoleLeader || n.membershipIndex() > n.log.commit || !n.termReady() {
+func (n *Node) advanceMembershipChange() {
+	if n.role != RoleLeader || n.membershipIndex() > n.log.committed || !n.committedEntryInTerm() {
 		return
 	}
 	current := n.membership()
@@ -220,16 +220,16 @@
 		return
 	}
 	if !containsID(current.Voters, n.config.ID) {
-		n.leaveLeadership()
+		n.stepDownAsNonVoter()
 	}
 }
 
-// leaveLeadership ends the term of a leader that is no longer a voter. Its last
+// stepDownAsNonVoter ends the term of a leader that is no longer a voter. Its last
 // round tells the others that the change is committed; the best of them may
 // stand at once, since the lease ends here (see transfer.go).
-func (n *Node) leaveLeadership() {
-	n.startRound()
-	n.lead.lease.givenUp = true
+func (n *Node) stepDownAsNonVoter() {
+	n.broadcastHeartbeat()
+	n.leadership.lease.relinquished = true
 	target := n.transferTarget("")
 	if target != nil && target.match == n.log.lastIndex() {
 		n.send(Message{Kind: MessageTimeoutNow, To: target.id})
@@ -237,8 +237,8 @@
 	n.becomeFollower(n.term, "")
 }
 
-// votes reports whether a replica votes in each half of the membership.
-func (m Membership) votes(id ReplicaID) bool {
+// isVoter reports whether a replica votes in each half of the membership.
+func (m Membership) isVoter(id ReplicaID) bool {
 	return containsID(m.Voters, id) && (!m.joint() || containsID(m.Outgoing, id))
 }
 
@@ -263,12 +263,12 @@
 // validate checks a target of ChangeMembership.
 func (m Membership) validate() error {
 	if len(m.Voters) == 0 || m.joint() {
-		return fmt.Errorf("%w: it needs voters and no outgoing ones", ErrWrongMembership)
+		return fmt.Errorf("%w: it needs voters and no outgoing ones", ErrInvalidMembership)
 	}
 	seen := make(map[ReplicaID]bool, len(m.Voters)+len(m.Learners))
 	for _, member := range slices.Concat(m.Voters, m.Learners) {
 		if member.ID == "" || seen[member.ID] {
-			return fmt.Errorf("%w: replica id %q is empty or doubled", ErrWrongMembership, member.ID)
+			return fmt.Errorf("%w: replica id %q is empty or doubled", ErrInvalidMembership, member.ID)
 		}
 		seen[member.ID] = true
 	}
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -11,27 +11,27 @@
 // withLearner adds an empty replica to a running cluster.
 func withLearner(t *testing.T, cluster *testCluster, leader *testNode, id ReplicaID) Membership {
 	t.Helper()
-	cluster.nodes = append(cluster.nodes, newTestNode(t, Config{ID: id}, Restored{}))
+	cluster.nodes = append(cluster.nodes, newTestNode(t, Config{ID: id}, RestoredState{}))
 	target := leader.Status().Membership
 	target.Learners = append(target.Learners, testMember(id))
 	if err := leader.ChangeMembership(cluster.now, target); err != nil {
 		t.Fatal(err)
 	}
-	cluster.settle()
+	cluster.deliverAll()
 	return target
 }
 
 // installSnapshots lets the new replica take the founders' first place.
 func installSnapshots(cluster *testCluster, leader *testNode, id ReplicaID) {
 	meta := leader.snapshot
-	if node := cluster.node(id); node.WantsSnapshot(meta) {
+	if node := cluster.node(id); node.ShouldInstallSnapshot(meta) {
 		node.SnapshotInstalled(cluster.now, meta)
-		leader.SnapshotSent(cluster.now, id, meta.Index, true)
+		leader.ReportSnapshot(cluster.now, id, meta.Index, true)
 	}
-	cluster.pass(4 * DefaultTickInterval)
+	cluster.advance(4 * DefaultTickInterval)
 }
 
-func TestMembershipEncoding(t *testing.T) {
+func TestMembership_EncodingRoundTrips(t *testing.T) {
 	membership := testMembership("a", "b")
 	membership.Outgoing = testMembership("a").Voters
 	membership.Learners = []Member{{ID: "d", Name: "n", Zone: "z", Address: "h:1"}}
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestReplacementIsJoint(t *testing.T) {
+func TestMembershipChange_ReplacementIsJoint(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
 	cluster.dropTo("c")
@@ -57,7 +57,7 @@
 	if err := leader.ChangeMembership(cluster.now, target); !errors.Is(err, ErrNotCaughtUp) {
 		t.Fatalf("promotion of an unheard learner: %v", err)
 	}
-	cluster.pass(4 * DefaultTickInterval)
+	cluster.advance(4 * DefaultTickInterval)
 	installSnapshots(cluster, leader, "d")
 	if err := leader.ChangeMembership(cluster.now, target); err != nil {
 		t.Fatal(err)
@@ -66,20 +66,20 @@
 	if len(joint.Membership.Outgoing) != 3 {
 		t.Errorf("membership %+v is not joint", joint.Membership)
 	}
-	if joint.Votes("d") || joint.Votes("c") || !joint.Votes("a") {
-		t.Errorf("while the change is joint d votes: %v, c: %v, a: %v", joint.Votes("d"), joint.Votes("c"), joint.Votes("a"))
+	if joint.IsVoter("d") || joint.IsVoter("c") || !joint.IsVoter("a") {
+		t.Errorf("while the change is joint d votes: %v, c: %v, a: %v", joint.IsVoter("d"), joint.IsVoter("c"), joint.IsVoter("a"))
 	}
-	if err := leader.ChangeMembership(cluster.now, target); !errors.Is(err, ErrChangePending) {
+	if err := leader.ChangeMembership(cluster.now, target); !errors.Is(err, ErrMembershipChangePending) {
 		t.Errorf("second change: %v", err)
 	}
-	cluster.pass(2 * DefaultTickInterval)
+	cluster.advance(2 * DefaultTickInterval)
 	for _, id := range []ReplicaID{"a", "b", "d"} {
 		if got := cluster.node(id).Status().Membership; !cmp.Equal(got, target) {
 			t.Errorf("replica %s: %s", id, cmp.Diff(target, got))
 		}
 	}
-	if settled := leader.Status(); !settled.Votes("d") || len(settled.Unsettled) > 0 {
-		t.Errorf("once the change is committed d votes: %v, unsettled are %+v", settled.Votes("d"), settled.Unsettled)
+	if settled := leader.Status(); !settled.IsVoter("d") || len(settled.FallbackMemberships) > 0 {
+		t.Errorf("once the change is committed d votes: %v, unsettled are %+v", settled.IsVoter("d"), settled.FallbackMemberships)
 	}
 	// The new voter carries the quorum with one loss more.
 	cluster.dropTo("b")
@@ -89,13 +89,13 @@
 	}
 }
 
-// TestNewcomerDoesNotCountBeforeTheEndIsCommitted: the entry that ends a joint
+// TestMembershipChange_NewVoterCountsOnceFinalCommitted: the entry that ends a joint
 // membership may be lost, and with it the newcomer's vote.
-func TestNewcomerDoesNotCountBeforeTheEndIsCommitted(t *testing.T) {
+func TestMembershipChange_NewVoterCountsOnceFinalCommitted(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
 	withLearner(t, cluster, leader, "d")
-	cluster.pass(4 * DefaultTickInterval)
+	cluster.advance(4 * DefaultTickInterval)
 	installSnapshots(cluster, leader, "d")
 	if err := leader.ChangeMembership(cluster.now, testMembership("a", "b", "d")); err != nil {
 		t.Fatal(err)
@@ -109,26 +109,26 @@
 		}
 		return false
 	}
-	cluster.pass(2 * DefaultTickInterval)
+	cluster.advance(2 * DefaultTickInterval)
 	status := leader.Status()
 	if len(status.Membership.Outgoing) != 0 || status.Commit != joined {
 		t.Fatalf("the end of the change is not appended alone: %+v", status)
 	}
-	if status.Votes("d") || !status.Votes("b") {
-		t.Errorf("d votes: %v, b: %v", status.Votes("d"), status.Votes("b"))
+	if status.IsVoter("d") || !status.IsVoter("b") {
+		t.Errorf("d votes: %v, b: %v", status.IsVoter("d"), status.IsVoter("b"))
 	}
 }
 
-func TestLearnerDoesNotCount(t *testing.T) {
+func TestLearner_DoesNotCountTowardsQuorum(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
 	withLearner(t, cluster, leader, "d")
-	cluster.pass(4 * DefaultTickInterval)
+	cluster.advance(4 * DefaultTickInterval)
 	installSnapshots(cluster, leader, "d")
 	cluster.drop = func(message Message) bool { return message.From == "b" || message.From == "c" }
 	before := leader.Status()
 	cluster.propose(leader, 1)
-	cluster.pass(DefaultLeaseDuration)
+	cluster.advance(DefaultLeaseDuration)
 	status := leader.Status()
 	if progressOf(t, leader, "d").Match != status.LastIndex {
 		t.Error("the learner got no entries")
@@ -138,19 +138,19 @@
 	}
 }
 
-func TestChangeRefusals(t *testing.T) {
+func TestMembershipChange_InvalidRejected(t *testing.T) {
 	node := leaderOfThree(t, 10*time.Second)
 	now := 10 * time.Second
-	if err := node.ChangeMembership(now, testMembership("a", "b")); !errors.Is(err, ErrChangePending) {
+	if err := node.ChangeMembership(now, testMembership("a", "b")); !errors.Is(err, ErrMembershipChangePending) {
 		t.Errorf("before the noop: %v", err)
 	}
-	node.step(now, answer("b", 2, 1))
+	node.step(now, appendResponse("b", 2, 1))
 	doubled := testMembership("a", "b", "c")
 	doubled.Learners = doubled.Voters[:1]
 	joint := testMembership("a", "b")
 	joint.Outgoing = testMembership("a").Voters
 	for _, wrong := range []Membership{{}, doubled, joint} {
-		if err := node.ChangeMembership(now, wrong); !errors.Is(err, ErrWrongMembership) {
+		if err := node.ChangeMembership(now, wrong); !errors.Is(err, ErrInvalidMembership) {
 			t.Errorf("%+v: %v", wrong, err)
 		}
 	}
@@ -159,24 +159,24 @@
 	}
 }
 
-func TestLaggingLearnerIsNotPromoted(t *testing.T) {
+func TestMembershipChange_LaggingLearnerNotPromoted(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
 	withLearner(t, cluster, leader, "d")
-	cluster.pass(4 * DefaultTickInterval)
+	cluster.advance(4 * DefaultTickInterval)
 	installSnapshots(cluster, leader, "d")
 	cluster.drop = func(message Message) bool { return message.To == "d" && len(message.Entries) > 0 }
 	if _, _, err := leader.Propose(cluster.now, make([][]byte, maxPromotionLag+10)); err != nil {
 		t.Fatal(err)
 	}
-	cluster.settle()
+	cluster.deliverAll()
 	if err := leader.ChangeMembership(cluster.now, testMembership("a", "b", "d")); !errors.Is(err, ErrNotCaughtUp) {
 		t.Errorf("got %v", err)
 	}
 }
 
-func TestMembershipRollsBackWithTruncation(t *testing.T) {
-	node := newTestNode(t, Config{ID: "a"}, founding("a", "b", "c"))
+func TestMembership_RollsBackWithTruncation(t *testing.T) {
+	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	data, err := EncodeMembership(testMembership("a", "b"))
 	if err != nil {
 		t.Fatal(err)
@@ -197,14 +197,14 @@
 	}
 }
 
-func TestLeaderOutsideNewVotersStepsDown(t *testing.T) {
+func TestMembershipChange_RemovedLeaderStepsDown(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
 	if err := leader.ChangeMembership(cluster.now, testMembership("b", "c")); err != nil {
 		t.Fatal(err)
 	}
-	cluster.settle()
-	cluster.pass(3 * DefaultElectionTimeoutMax)
+	cluster.deliverAll()
+	cluster.advance(3 * DefaultElectionTimeoutMax)
 	if leader.Status().Role == RoleLeader {
 		t.Error("the removed leader leads")
 	}
@@ -214,7 +214,7 @@
 	}
 	// The removed replica cannot disturb.
 	term := successor.Status().Term
-	cluster.pass(5 * DefaultElectionTimeoutMax)
+	cluster.advance(5 * DefaultElectionTimeoutMax)
 	if status := successor.Status(); status.Role != RoleLeader || status.Term != term {
 		t.Errorf("disturbed: %+v", status)
 	}
@@ -222,12 +222,12 @@
 
 // The loss of a disk in the middle of a change may leave a replica that was
 // about to go as the only one that can be elected.
-func TestReplicaLeftOutByUncommittedChangeStands(t *testing.T) {
+func TestCampaign_ReplicaRemovedByUncommittedChangeCampaigns(t *testing.T) {
 	data, err := EncodeMembership(testMembership("b", "c"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := founding("a", "b", "c")
+	restored := initialState("a", "b", "c")
 	restored.HardState.Term = 2
 	restored.Entries = []Entry{{Index: 2, Term: 2, Kind: EntryMembership, Data: data}}
 	for _, committed := range []bool{false, true} {
@@ -237,7 +237,7 @@
 		node := newTestNode(t, Config{ID: "a"}, restored)
 		node.Tick(0)
 		node.Tick(DefaultElectionTimeoutMax)
-		stands := len(ofKind(node.turn(), MessagePreVote)) > 0
+		stands := len(ofKind(node.processReady(), MessagePreVote)) > 0
 		if stands == committed {
 			t.Errorf("committed %v: stands %v", committed, stands)
 		}
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -28,36 +28,36 @@
 	log      raftLog
 	// snapshot is the newest one that the owner told of.
 	snapshot SnapshotMeta
-	// persisted is the hard state that the owner has.
-	persisted HardState
+	// persistedHardState is the hard state that the owner has.
+	persistedHardState HardState
 
 	// memberships are the latest at or before the log's base and every later
 	// one of the log, oldest first.
-	memberships []membershipAt
+	memberships []membershipEntry
 	// peers are in the order of the membership; voters and outgoing point into
 	// it. No behaviour depends on the order of a map.
-	peers    []*peer
-	voters   []*peer
-	outgoing []*peer
+	peers    []*progress
+	voters   []*progress
+	outgoing []*progress
 
 	// electionDeadline is unset until the first call names a time.
-	electionDeadline time.Duration
-	deadlineSet      bool
-	heardLeader      heardLeader
+	electionDeadline    time.Duration
+	electionDeadlineSet bool
+	leaderContact       leaderContact
 
-	lead leadership
+	leadership leadership
 
 	messages   []Message
 	readStates []ReadState
-	// appendsPending: entries were appended and not yet sent to the peers.
-	appendsPending bool
+	// broadcastPending: entries were appended and not yet sent to the peers.
+	broadcastPending bool
 }
 
-// heardLeader is the promise a voter made by answering a leader.
-type heardLeader struct {
-	ever bool
-	at   time.Duration
-	term uint64
+// leaderContact is the promise a voter made by answering a leader.
+type leaderContact struct {
+	known bool
+	at    time.Duration
+	term  uint64
 }
 
 // leadership is the state of one term as leader.
@@ -73,7 +73,7 @@
 
 // New makes a Node from what its owner found on disk. It fails on a wrong
 // Config and on restored state that has a gap or contradicts itself.
-func New(config Config, restored Restored) (*Node, error) {
+func New(config Config, restored RestoredState) (*Node, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
 		return nil, fmt.Errorf("raft: wrong config: %w", err)
@@ -90,10 +90,10 @@
 	return n, nil
 }
 
-// observe takes over the caller's time, which never goes back.
-func (n *Node) observe(now time.Duration) {
+// advanceTime takes over the caller's time, which never goes back.
+func (n *Node) advanceTime(now time.Duration) {
 	n.now = max(n.now, now)
-	if !n.deadlineSet {
+	if !n.electionDeadlineSet {
 		n.resetElectionDeadline()
 	}
 }
@@ -106,9 +106,9 @@
 
 // Tick lets time pass: elections, heartbeats and timeouts start from here.
 func (n *Node) Tick(now time.Duration) {
-	n.observe(now)
+	n.advanceTime(now)
 	if n.role == RoleLeader {
-		n.tickLeader()
+		n.tickHeartbeat()
 		return
 	}
 	n.tickElection()
@@ -118,23 +118,23 @@
 // message was received: the promise behind a lease counts from it. An error
 // means that the message contradicts what is known here and was not taken.
 func (n *Node) Step(now time.Duration, message Message) error {
-	n.observe(now)
+	n.advanceTime(now)
 	if message.To != n.config.ID {
 		return fmt.Errorf("raft: message for replica %s came to %s: %w", message.To, n.config.ID, ErrUnknownReplica)
 	}
 	switch message.Kind {
 	case MessagePreVote:
 		n.handlePreVote(message)
-	case MessagePreVoteAnswer:
-		n.handlePreVoteAnswer(message)
+	case MessagePreVoteResponse:
+		n.handlePreVoteResponse(message)
 	case MessageVote:
 		n.handleVote(message)
-	case MessageVoteAnswer:
-		n.handleVoteAnswer(message)
+	case MessageVoteResponse:
+		n.handleVoteResponse(message)
 	case MessageAppend, MessageSnapshot:
-		return n.stepFromLeader(message)
-	case MessageAppendAnswer:
-		n.handleAppendAnswer(message)
+		return n.stepLeaderMessage(message)
+	case MessageAppendResponse:
+		n.handleAppendResponse(message)
 	case MessageTimeoutNow:
 		n.handleTimeoutNow(message)
 	default:
@@ -154,15 +154,15 @@
 }
 
 func (n *Node) hardState() HardState {
-	return HardState{Term: n.term, VotedFor: n.votedFor, Commit: n.log.commit}
+	return HardState{Term: n.term, VotedFor: n.votedFor, Commit: n.log.committed}
 }
 
 // HasReady reports whether Ready has anything to do.
 func (n *Node) HasReady() bool {
-	return n.hardState() != n.persisted ||
+	return n.hardState() != n.persistedHardState ||
 		n.log.stable < n.log.lastIndex() ||
-		n.log.applied < n.log.commit ||
-		n.appendsPending ||
+		n.log.applied < n.log.committed ||
+		n.broadcastPending ||
 		len(n.messages) > 0 ||
 		len(n.readStates) > 0
 }
@@ -171,25 +171,25 @@
 // handed out once. The owner calls Advance before the next Ready; Step, Tick
 // and the like may come between.
 func (n *Node) Ready() Ready {
-	if n.appendsPending {
-		n.broadcastEntries()
+	if n.broadcastPending {
+		n.broadcastAppend()
 	}
 	ready := Ready{
-		Entries:    n.log.unstable(),
+		Entries:    n.log.unstableEntries(),
 		Messages:   n.messages,
-		Committed:  n.log.between(n.log.applied+1, n.log.commit, maxCommittedBytes, maxCommittedEntries),
+		Committed:  n.log.slice(n.log.applied+1, n.log.committed, maxCommittedBytes, maxCommittedEntries),
 		ReadStates: n.readStates,
 	}
 	hardState := n.hardState()
-	if hardState != n.persisted {
+	if hardState != n.persistedHardState {
 		ready.HardState = &hardState
 	}
 	// A lost commit index is learned again; a lost vote, term or entry is not.
 	ready.MustSync = len(ready.Entries) > 0 ||
-		hardState.Term != n.persisted.Term || hardState.VotedFor != n.persisted.VotedFor
+		hardState.Term != n.persistedHardState.Term || hardState.VotedFor != n.persistedHardState.VotedFor
 	n.messages, n.readStates = nil, nil
-	if n.role == RoleLeader && hardState.Term == n.persisted.Term && hardState.VotedFor == n.persisted.VotedFor {
-		ready.Early, ready.Messages = splitEarly(ready.Messages)
+	if n.role == RoleLeader && hardState.Term == n.persistedHardState.Term && hardState.VotedFor == n.persistedHardState.VotedFor {
+		ready.EarlyMessages, ready.Messages = splitEarly(ready.Messages)
 	}
 	return ready
 }
@@ -210,9 +210,9 @@
 // Advance tells that everything in ready was done.
 func (n *Node) Advance(ready Ready) {
 	if ready.HardState != nil {
-		n.persisted = *ready.HardState
+		n.persistedHardState = *ready.HardState
 	}
-	n.log.markStable(ready.Entries)
+	n.log.stableTo(ready.Entries)
 	if count := len(ready.Committed); count > 0 {
 		n.log.applied = max(n.log.applied, ready.Committed[count-1].Index)
 	}
@@ -224,34 +224,34 @@
 // Status returns a copy of the node's state.
 func (n *Node) Status() Status {
 	status := Status{
-		ID:         n.config.ID,
-		Role:       n.role,
-		Term:       n.term,
-		Leader:     n.leader,
-		Commit:     n.log.commit,
-		Applied:    n.log.applied,
-		LastIndex:  n.log.lastIndex(),
-		FirstIndex: n.log.firstIndex(),
-		Membership: n.membership().clone(),
-		Unsettled:  n.unsettledMemberships(),
-		LeaseUntil: n.leaseUntil(),
-		TermReady:  n.termReady(),
+		ID:                  n.config.ID,
+		Role:                n.role,
+		Term:                n.term,
+		Leader:              n.leader,
+		Commit:              n.log.committed,
+		Applied:             n.log.applied,
+		LastIndex:           n.log.lastIndex(),
+		FirstIndex:          n.log.firstIndex(),
+		Membership:          n.membership().clone(),
+		FallbackMemberships: n.fallbackMemberships(),
+		LeaseUntil:          n.leaseUntil(),
+		TermReady:           n.committedEntryInTerm(),
 	}
 	if n.role == RoleLeader {
-		status.Progress = n.progress()
+		status.Progress = n.progressReport()
 	}
 	return status
 }
 
-func (n *Node) progress() []Progress {
+func (n *Node) progressReport() []Progress {
 	progress := make([]Progress, 0, len(n.peers))
 	for _, p := range n.peers {
 		entry := Progress{
 			ID:            p.id,
-			Match:         n.matchOf(p),
+			Match:         n.matchIndex(p),
 			Learner:       !p.voter,
 			LastSeen:      p.lastSeen,
-			NeedsSnapshot: p.mode == modeSnapshot,
+			NeedsSnapshot: p.state == stateSnapshot,
 		}
 		if p.id == n.config.ID {
 			entry.LastSeen = n.now
--- a/internal/raft/quorum.go
+++ b/internal/raft/quorum.go
@@ -7,59 +7,59 @@
 )
 
 // mode tells how a leader sends to one peer.
-type mode uint8
+type progressState uint8
 
 const (
-	// modeProbe: the peer's log is not known; one append at a time.
-	modeProbe mode = iota
-	// modeReplicate: appends are sent without waiting for the answers.
-	modeReplicate
-	// modeSnapshot: the peer needs entries that are compacted.
-	modeSnapshot
+	// stateProbe: the peer's log is not known; one append at a time.
+	stateProbe progressState = iota
+	// stateReplicate: appends are sent without waiting for the answers.
+	stateReplicate
+	// stateSnapshot: the peer needs entries that are compacted.
+	stateSnapshot
 )
 
 // ballot is a peer's answer in the present election.
-type ballot uint8
+type voteOutcome uint8
 
 const (
-	ballotNone ballot = iota
-	ballotGranted
-	ballotRefused
+	voteMissing voteOutcome = iota
+	voteGranted
+	voteRejected
 )
 
 // peer is what a node keeps about one replica of the membership, itself
 // included.
-type peer struct {
-	id     ReplicaID
-	voter  bool
-	ballot ballot
+type progress struct {
+	id    ReplicaID
+	voter bool
+	vote  voteOutcome
 
 	// The rest is used by a leader.
-	mode  mode
+	state progressState
 	match uint64
 	next  uint64
 	// inflight has the last index of each unanswered append, oldest first.
 	inflight []uint64
-	// probeSent: an append of modeProbe waits for its answer.
+	// probeSent: an append of stateProbe waits for its answer.
 	probeSent bool
-	// round is the highest heartbeat round that it answered.
-	round uint64
-	// heard is true once it answered in this term.
-	heard    bool
-	lastSeen time.Duration
-	// snapshotRetry is when a failed snapshot is announced again; zero while
+	// ackedRound is the highest heartbeat round that it answered.
+	ackedRound uint64
+	// respondedThisTerm is true once it answered in this term.
+	respondedThisTerm bool
+	lastSeen          time.Duration
+	// snapshotRetryAt is when a failed snapshot is announced again; zero while
 	// one is under way.
-	snapshotRetry time.Duration
+	snapshotRetryAt time.Duration
 }
 
 // resetForTerm forgets what an earlier term knew.
-func (p *peer) resetForTerm(next uint64, now time.Duration) {
-	*p = peer{id: p.id, voter: p.voter, next: next, lastSeen: now}
+func (p *progress) resetForTerm(next uint64, now time.Duration) {
+	*p = progress{id: p.id, voter: p.voter, next: next, lastSeen: now}
 }
 
-// quorumValue returns the highest value that a majority of peers reaches. An
+// majorityValue returns the highest value that a majority of peers reaches. An
 // empty set is reached by anything.
-func quorumValue(peers []*peer, value func(*peer) uint64) uint64 {
+func majorityValue(peers []*progress, value func(*progress) uint64) uint64 {
 	if len(peers) == 0 {
 		return math.MaxUint64
 	}
@@ -72,18 +72,18 @@
 	return values[(len(values)-1)/2]
 }
 
-// jointValue is quorumValue of both sets of a joint membership.
-func (n *Node) jointValue(value func(*peer) uint64) uint64 {
+// quorumValue is majorityValue of both sets of a joint membership.
+func (n *Node) quorumValue(value func(*progress) uint64) uint64 {
 	if len(n.voters) == 0 {
 		return 0
 	}
-	return min(quorumValue(n.voters, value), quorumValue(n.outgoing, value))
+	return min(majorityValue(n.voters, value), majorityValue(n.outgoing, value))
 }
 
-// quorumHas reports whether a majority, of both sets if joint, fulfils the
+// hasQuorum reports whether a majority, of both sets if joint, fulfils the
 // condition.
-func (n *Node) quorumHas(condition func(*peer) bool) bool {
-	return n.jointValue(func(p *peer) uint64 {
+func (n *Node) hasQuorum(condition func(*progress) bool) bool {
+	return n.quorumValue(func(p *progress) uint64 {
 		if condition(p) {
 			return 1
 		}
@@ -91,8 +91,8 @@
 	}) == 1
 }
 
-// quorumLost reports whether a majority can no longer come together, since
+// quorumUnreachable reports whether a majority can no longer come together, since
 // too many peers fulfil the condition.
-func (n *Node) quorumLost(condition func(*peer) bool) bool {
-	return !n.quorumHas(func(p *peer) bool { return !condition(p) })
+func (n *Node) quorumUnreachable(condition func(*progress) bool) bool {
+	return !n.hasQuorum(func(p *progress) bool { return !condition(p) })
 }
--- a/internal/raft/raftsim/checker.go
+++ b/internal/raft/raftsim/checker.go
@@ -8,58 +8,60 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// record is an entry as the first machine that applied it saw it.
-type record struct {
+// appliedEntry is an entry as the first machine that applied it saw it.
+type appliedEntry struct {
 	term uint64
 	kind raft.EntryKind
 	hash uint64
 }
 
-// firstRecorded is the index of the first record: the founders begin with a
+// firstAppliedIndex is the index of the first record: the founders begin with a
 // snapshot at 1.
-const firstRecorded = 2
+const firstAppliedIndex = 2
 
 // checker knows all that was ever applied or acknowledged.
 type checker struct {
-	records []record
+	applied []appliedEntry
 	// membership is the newest one applied anywhere.
 	membership raft.Membership
-	// places has the index of each command; it may have only one.
-	places       map[uint64]uint64
+	// commandIndex has the index of each command; it may have only one.
+	commandIndex map[uint64]uint64
 	acknowledged map[uint64]uint64
-	// highest is the highest index acknowledged, newest the highest proposal.
-	highest uint64
-	newest  uint64
-	leaders map[uint64]raft.ReplicaID
+	// highestAcknowledged is the highest index acknowledged, newest the highest proposal.
+	highestAcknowledged        uint64
+	newestAcknowledgedProposal uint64
+	leaders                    map[uint64]raft.ReplicaID
 }
 
 func newChecker() checker {
 	return checker{
-		places:       make(map[uint64]uint64),
+		commandIndex: make(map[uint64]uint64),
 		acknowledged: make(map[uint64]uint64),
 		leaders:      make(map[uint64]raft.ReplicaID),
 	}
 }
 
-func (c *checker) lastIndex() uint64 { return uint64(len(c.records)) + firstRecorded - 1 }
+func (c *checker) lastIndex() uint64 { return uint64(len(c.applied)) + firstAppliedIndex - 1 }
 
 func (c *checker) termAt(index uint64) (uint64, bool) {
 	switch {
-	case index == firstRecorded-1:
+	case index == firstAppliedIndex-1:
 		return 1, true
-	case index < firstRecorded || index > c.lastIndex():
+	case index < firstAppliedIndex || index > c.lastIndex():
 		return 0, false
 	default:
-		return c.records[index-firstRecorded].term, true
+		return c.applied[index-firstAppliedIndex].term, true
 	}
 }
 
-func (c *checker) acknowledgedAfter(proposal uint64) bool { return c.newest > proposal }
+func (c *checker) acknowledgedAfter(proposal uint64) bool {
+	return c.newestAcknowledgedProposal > proposal
+}
 
 // checkApplied compares an entry with what others applied at its index.
 func (s *simulation) checkApplied(m *machine, entry raft.Entry) {
 	c := &s.checker
-	s.note(m.index, "apply", entry.Index, entry.Term, uint64(entry.Kind))
+	s.recordEvent(m.index, "apply", entry.Index, entry.Term, uint64(entry.Kind))
 	if entry.Kind == raft.EntryMembership {
 		membership, err := raft.DecodeMembership(entry.Data)
 		if err != nil {
@@ -68,14 +70,14 @@
 		}
 		m.membership = membership
 	}
-	seen := record{term: entry.Term, kind: entry.Kind, hash: hashBytes(entry.Data)}
+	seen := appliedEntry{term: entry.Term, kind: entry.Kind, hash: hashBytes(entry.Data)}
 	if entry.Index <= c.lastIndex() {
-		if known := c.records[entry.Index-firstRecorded]; known != seen {
+		if known := c.applied[entry.Index-firstAppliedIndex]; known != seen {
 			s.fail("machine %d applies %+v at %d, where %+v was applied", m.index, seen, entry.Index, known)
 		}
 		return
 	}
-	c.records = append(c.records, seen)
+	c.applied = append(c.applied, seen)
 	switch entry.Kind {
 	case raft.EntryCommand:
 		s.recordCommand(entry)
@@ -86,10 +88,10 @@
 
 func (s *simulation) recordCommand(entry raft.Entry) {
 	id := binary.LittleEndian.Uint64(entry.Data)
-	if earlier, ok := s.checker.places[id]; ok {
+	if earlier, ok := s.checker.commandIndex[id]; ok {
 		s.fail("command %d is at %d and at %d", id, earlier, entry.Index)
 	}
-	s.checker.places[id] = entry.Index
+	s.checker.commandIndex[id] = entry.Index
 }
 
 func (s *simulation) recordMembership(membership raft.Membership) {
@@ -107,13 +109,13 @@
 // acknowledge notes that a client was told of its command.
 func (s *simulation) acknowledge(m *machine, id, index uint64) {
 	c := &s.checker
-	s.note(m.index, "acknowledge", id, index, 0)
-	if c.places[id] != index {
-		s.fail("command %d is acknowledged at %d and lies at %d", id, index, c.places[id])
+	s.recordEvent(m.index, "acknowledge", id, index, 0)
+	if c.commandIndex[id] != index {
+		s.fail("command %d is acknowledged at %d and lies at %d", id, index, c.commandIndex[id])
 	}
 	c.acknowledged[id] = index
-	c.highest = max(c.highest, index)
-	c.newest = max(c.newest, id)
+	c.highestAcknowledged = max(c.highestAcknowledged, index)
+	c.newestAcknowledgedProposal = max(c.newestAcknowledgedProposal, id)
 	s.report.Acknowledged++
 }
 
@@ -125,7 +127,7 @@
 		return
 	}
 	delete(m.reads, state.Request)
-	s.note(m.index, "read", state.Request, state.Index, floor)
+	s.recordEvent(m.index, "read", state.Request, state.Index, floor)
 	s.report.Reads++
 	if state.Index < floor {
 		s.fail("machine %d reads at %d, though %d was acknowledged before", m.index, state.Index, floor)
@@ -140,7 +142,7 @@
 	if !ok {
 		s.checker.leaders[m.status.Term] = m.id
 		s.report.Leaders++
-		s.note(m.index, "lead", m.status.Term, 0, 0)
+		s.recordEvent(m.index, "lead", m.status.Term, 0, 0)
 		return
 	}
 	if known != m.id {
@@ -151,7 +153,7 @@
 // checkLease: at one true time only one machine may believe in its lease,
 // those that are frozen included.
 func (s *simulation) checkLease(m *machine) {
-	if s.options.weakening == weakenVote || !m.claimsLease() {
+	if s.options.mutation == mutationForgetVote || !m.claimsLease() {
 		return // without quiet time leases overlap; votes are the question there
 	}
 	for _, other := range s.machines {
@@ -162,13 +164,13 @@
 	}
 }
 
-// settled: the membership is whole and every voter has applied all that is
+// converged: the membership is whole and every voter has applied all that is
 // acknowledged.
-func (s *simulation) settled() bool { return s.unsettledReason() == "" }
+func (s *simulation) converged() bool { return s.notConvergedReason() == "" }
 
-func (s *simulation) unsettledReason() string {
+func (s *simulation) notConvergedReason() string {
 	membership := s.checker.membership
-	if len(membership.Outgoing) > 0 || len(membership.Voters) != s.founders {
+	if len(membership.Outgoing) > 0 || len(membership.Voters) != s.initialVoters {
 		return fmt.Sprintf("membership %+v", membership)
 	}
 	for _, voter := range membership.Voters {
@@ -176,8 +178,8 @@
 		if m == nil {
 			return fmt.Sprintf("voter %s was not replaced", voter.ID)
 		}
-		if m.applied < s.checker.highest {
-			return fmt.Sprintf("machine %d applied %d of %d", m.index, m.applied, s.checker.highest)
+		if m.applied < s.checker.highestAcknowledged {
+			return fmt.Sprintf("machine %d applied %d of %d", m.index, m.applied, s.checker.highestAcknowledged)
 		}
 	}
 	return ""
@@ -193,7 +195,7 @@
 	}
 	for id := uint64(1); id <= s.nextProposal; id++ {
 		index, ok := c.acknowledged[id]
-		if ok && (c.places[id] != index || index > lowest) {
+		if ok && (c.commandIndex[id] != index || index > lowest) {
 			s.fail("acknowledged command %d at %d is lost", id, index)
 		}
 	}
--- a/internal/raft/raftsim/clients.go
+++ b/internal/raft/raftsim/clients.go
@@ -19,7 +19,7 @@
 		return
 	}
 	m := leaders[s.random.IntN(len(leaders))]
-	if s.chance(0.8) && (s.healed || s.now >= s.proposeFrom) {
+	if s.chance(0.8) && (s.healed || s.now >= s.proposalsPausedUntil) {
 		s.propose(m)
 	}
 	if s.chance(0.5) {
@@ -28,7 +28,7 @@
 }
 
 func (s *simulation) pauseProposals(duration time.Duration) {
-	s.proposeFrom = max(s.proposeFrom, s.now+duration)
+	s.proposalsPausedUntil = max(s.proposalsPausedUntil, s.now+duration)
 }
 
 func (s *simulation) believedLeaders() []*machine {
@@ -64,9 +64,9 @@
 
 func (s *simulation) read(m *machine) {
 	s.nextRead++
-	request, floor := s.nextRead, s.checker.highest
+	request, floor := s.nextRead, s.checker.highestAcknowledged
 	m.do(func(now time.Duration) {
-		if s.options.weakening == weakenReads && m.status.Role == raft.RoleLeader {
+		if s.options.mutation == mutationUnconfirmedReads && m.status.Role == raft.RoleLeader {
 			m.reads[request] = floor
 			s.checkRead(m, raft.ReadState{Request: request, Index: m.status.Commit})
 			return
--- a/internal/raft/raftsim/disk.go
+++ b/internal/raft/raftsim/disk.go
@@ -23,7 +23,7 @@
 		d.unsynced = *ready.HardState
 	}
 	if len(ready.Entries) > 0 {
-		d.cutFrom(ready.Entries[0].Index)
+		d.truncateFrom(ready.Entries[0].Index)
 		d.entries = append(d.entries, ready.Entries...)
 		d.lastWrite = len(ready.Entries)
 	}
@@ -32,7 +32,7 @@
 	}
 }
 
-func (d *disk) cutFrom(index uint64) {
+func (d *disk) truncateFrom(index uint64) {
 	for len(d.entries) > 0 && d.entries[len(d.entries)-1].Index >= index {
 		d.entries = d.entries[:len(d.entries)-1]
 	}
@@ -82,8 +82,8 @@
 }
 
 // restored is what a restarted node begins with.
-func (d *disk) restored() raft.Restored {
-	return raft.Restored{
+func (d *disk) restored() raft.RestoredState {
+	return raft.RestoredState{
 		HardState: d.synced,
 		Snapshot:  d.snapshot,
 		Entries:   slices.Clone(d.entries),
--- a/internal/raft/raftsim/faults.go
+++ b/internal/raft/raftsim/faults.go
@@ -16,8 +16,8 @@
 	case scenarioVoterRestarts:
 		s.restartVoterRepeatedly()
 		s.after(s.between(2*time.Second, 4*time.Second), s.nextFault)
-	case scenarioLateHandovers:
-		s.delayHandover()
+	case scenarioLateTransfers:
+		s.delayTimeoutNow()
 		s.transferLeadership()
 		s.after(maxTimeoutNowDelay, s.nextFault)
 	default:
@@ -39,12 +39,12 @@
 	case draw < 48:
 		s.isolate(m)
 	case draw < 64:
-		s.cutPair(m)
+		s.partitionPair(m)
 	case draw < 72:
 		s.loseDisk(m)
 	case draw < 83:
 		if s.chance(0.4) {
-			s.delayHandover()
+			s.delayTimeoutNow()
 		}
 		s.transferLeadership()
 	case draw < 89:
@@ -99,8 +99,8 @@
 	candidate, voter := s.machines[order[0]], s.machines[order[1]]
 	duration := s.between(2*time.Second, 4*time.Second)
 	s.pauseProposals(duration)
-	s.cutLink(leader.index, candidate.index, duration)
-	s.cutLink(candidate.index, leader.index, duration)
+	s.partitionLink(leader.index, candidate.index, duration)
+	s.partitionLink(candidate.index, leader.index, duration)
 	s.network.slowRate = 0
 	if s.chance(0.5) {
 		s.network.slowRate = 0.6
@@ -121,40 +121,40 @@
 	outgoing := !incoming || s.chance(0.7)
 	duration := s.between(200*time.Millisecond, 4*time.Second)
 	if incoming {
-		s.cutIncoming(m, duration)
+		s.partitionIncoming(m, duration)
 	}
 	if outgoing {
 		for _, other := range s.machines {
-			s.cutLink(m.index, other.index, duration)
+			s.partitionLink(m.index, other.index, duration)
 		}
 	}
 }
 
-// cutIncoming cuts all links to a machine.
-func (s *simulation) cutIncoming(m *machine, duration time.Duration) {
+// partitionIncoming cuts all links to a machine.
+func (s *simulation) partitionIncoming(m *machine, duration time.Duration) {
 	for _, other := range s.machines {
-		s.cutLink(other.index, m.index, duration)
+		s.partitionLink(other.index, m.index, duration)
 	}
 }
 
-func (s *simulation) cutPair(m *machine) {
+func (s *simulation) partitionPair(m *machine) {
 	other := s.machines[s.random.IntN(len(s.machines))]
 	duration := s.between(200*time.Millisecond, 5*time.Second)
-	s.cutLink(m.index, other.index, duration)
+	s.partitionLink(m.index, other.index, duration)
 	if s.chance(0.6) {
-		s.cutLink(other.index, m.index, duration)
+		s.partitionLink(other.index, m.index, duration)
 	}
 }
 
-func (s *simulation) cutLink(from, to int, duration time.Duration) {
+func (s *simulation) partitionLink(from, to int, duration time.Duration) {
 	if from == to {
 		return
 	}
-	s.note(from, "cut", uint64(to), uint64(duration), 0)
-	s.network.cut[from][to]++
+	s.recordEvent(from, "cut", uint64(to), uint64(duration), 0)
+	s.network.partitions[from][to]++
 	s.after(duration, func() {
 		if !s.healed {
-			s.network.cut[from][to]--
+			s.network.partitions[from][to]--
 		}
 	})
 }
@@ -165,11 +165,11 @@
 	s.network.slowRate = s.random.Float64() * s.random.Float64() * 0.4
 }
 
-// delayHandover makes a transfer fail, with the requests to stand coming after
+// delayTimeoutNow makes a transfer fail, with the requests to stand coming after
 // others were elected. Proposals pause, so that the late one still has a log
 // that may win.
-func (s *simulation) delayHandover() {
-	s.network.timeoutNowLateUntil = s.now + electionTimeoutMax + electionTimeoutMin
+func (s *simulation) delayTimeoutNow() {
+	s.network.delayTimeoutNowUntil = s.now + electionTimeoutMax + electionTimeoutMin
 	s.pauseProposals(maxTimeoutNowDelay)
 }
 
@@ -177,7 +177,7 @@
 	for _, m := range s.believedLeaders() {
 		if s.options.scenario == scenarioMixed && s.chance(0.4) {
 			// It does not hear that it was succeeded.
-			s.cutIncoming(m, s.between(300*time.Millisecond, 2*time.Second))
+			s.partitionIncoming(m, s.between(300*time.Millisecond, 2*time.Second))
 		}
 		target := raft.ReplicaID("")
 		if s.chance(0.5) {
@@ -186,14 +186,14 @@
 		m.do(func(now time.Duration) {
 			if m.node.TransferLeadership(now, target) == nil {
 				s.report.Transfers++
-				s.note(m.index, "transfer", m.status.Term, 0, 0)
+				s.recordEvent(m.index, "transfer", m.status.Term, 0, 0)
 			}
 		})
 	}
 }
 
 func (s *simulation) loseDisk(m *machine) {
-	if s.mayLose(m.id) {
+	if s.canLoseDisk(m.id) {
 		m.loseDisk(s.between(50*time.Millisecond, 2*time.Second))
 	}
 }
@@ -201,33 +201,33 @@
 // secondLoss takes a disk right after a replacement was complete.
 func (s *simulation) secondLoss() {
 	m := s.machines[s.random.IntN(len(s.machines))]
-	if s.healed || !s.mayLose(m.id) {
+	if s.healed || !s.canLoseDisk(m.id) {
 		return
 	}
 	s.report.SecondLosses++
 	m.loseDisk(s.between(50*time.Millisecond, 2*time.Second))
 }
 
-// mayLose keeps a majority of every voter set that may decide: the newest one
+// canLoseDisk keeps a majority of every voter set that may decide: the newest one
 // applied, and those that its voters hold in their logs. Losing more is beyond
 // what a replicated log can promise.
-func (s *simulation) mayLose(id raft.ReplicaID) bool {
-	if !s.keepsMajority(s.checker.membership, id) {
+func (s *simulation) canLoseDisk(id raft.ReplicaID) bool {
+	if !s.retainsMajority(s.checker.membership, id) {
 		return false
 	}
 	for _, m := range s.machines {
-		if m.up && isMember(s.checker.membership, m.id) && !s.keepsMajority(m.status.Membership, id) {
+		if m.up && isMember(s.checker.membership, m.id) && !s.retainsMajority(m.status.Membership, id) {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *simulation) keepsMajority(membership raft.Membership, id raft.ReplicaID) bool {
-	return s.keepsMajorityOf(membership.Voters, id) && s.keepsMajorityOf(membership.Outgoing, id)
+func (s *simulation) retainsMajority(membership raft.Membership, id raft.ReplicaID) bool {
+	return s.retainsMajorityOf(membership.Voters, id) && s.retainsMajorityOf(membership.Outgoing, id)
 }
 
-func (s *simulation) keepsMajorityOf(voters []raft.Member, id raft.ReplicaID) bool {
+func (s *simulation) retainsMajorityOf(voters []raft.Member, id raft.ReplicaID) bool {
 	votes := slices.ContainsFunc(voters, func(voter raft.Member) bool { return voter.ID == id })
 	return !votes || s.lostIn(voters)+1 <= (len(voters)-1)/2
 }
--- a/internal/raft/raftsim/machine.go
+++ b/internal/raft/raftsim/machine.go
@@ -15,7 +15,7 @@
 	maxAppendBytes     = 200
 	maxInflightAppends = 4
 	maxInbox           = 4000
-	entriesKept        = 10
+	retainedEntries    = 10
 )
 
 // Probabilities of an interruption at one point of handling a Ready.
@@ -37,13 +37,13 @@
 	name       string
 	id         raft.ReplicaID
 	disk       *disk
-	// brandNew: the disk was never used before.
-	brandNew bool
+	// neverStarted: the disk was never used before.
+	neverStarted bool
 
-	// life counts the process's starts.
-	life   int
-	up     bool
-	frozen bool
+	// incarnation counts the process's starts.
+	incarnation int
+	up          bool
+	frozen      bool
 	// resume finishes the work that a freeze interrupted.
 	resume func()
 	// inbox has what came while the process did not run.
@@ -80,7 +80,7 @@
 		return
 	}
 	s := m.simulation
-	m.life++
+	m.incarnation++
 	m.clockOffset = s.between(0, 1000*time.Second)
 	m.clockDrift = s.random.Int64N(201) - 100
 	config := m.config()
@@ -89,8 +89,8 @@
 		s.fail("machine %d does not start: %v", m.index, err)
 		return
 	}
-	s.note(m.index, "start", uint64(m.life), m.disk.snapshot.Index, m.disk.synced.Term)
-	m.brandNew = false
+	s.recordEvent(m.index, "start", uint64(m.incarnation), m.disk.snapshot.Index, m.disk.synced.Term)
+	m.neverStarted = false
 	m.up, m.frozen, m.resume, m.inbox = true, false, nil, nil
 	m.node = node
 	m.applied = m.disk.snapshot.Index
@@ -98,8 +98,8 @@
 	m.nextSave = m.applied + 20 + s.random.Uint64N(60)
 	m.proposals = make(map[uint64]proposal)
 	m.reads = make(map[uint64]uint64)
-	m.observe()
-	m.planTick(m.life)
+	m.refreshStatus()
+	m.planTick(m.incarnation)
 }
 
 func (m *machine) config() raft.Config {
@@ -112,24 +112,24 @@
 		MaxAppendBytes:     maxAppendBytes,
 		MaxInflightAppends: maxInflightAppends,
 		Seed:               m.simulation.random.Int64(),
-		QuietUntil:         m.clock() + electionTimeoutMin,
+		NoVoteBefore:       m.clock() + electionTimeoutMin,
 	}
-	weakened := m.simulation.options.weakening == weakenQuietTime || m.simulation.options.weakening == weakenVote
-	if m.brandNew || weakened {
-		config.QuietUntil = 0
+	weakened := m.simulation.options.mutation == mutationNoVoteDelay || m.simulation.options.mutation == mutationForgetVote
+	if m.neverStarted || weakened {
+		config.NoVoteBefore = 0
 	}
 	return config
 }
 
-func (m *machine) planTick(life int) {
+func (m *machine) planTick(incarnation int) {
 	m.simulation.after(m.simulation.between(tickInterval-2*time.Millisecond, tickInterval+5*time.Millisecond), func() {
-		if !m.up || m.life != life {
+		if !m.up || m.incarnation != incarnation {
 			return
 		}
 		if !m.frozen {
 			m.do(m.node.Tick)
 		}
-		m.planTick(life)
+		m.planTick(incarnation)
 	})
 }
 
@@ -152,15 +152,15 @@
 		return
 	}
 	work(now)
-	m.finishTurn()
+	m.processReadies()
 }
 
 func (m *machine) step(now time.Duration, message raft.Message) {
-	m.simulation.note(m.index, "step", uint64(message.Kind), message.Term, message.Index)
+	m.simulation.recordEvent(m.index, "step", uint64(message.Kind), message.Term, message.Index)
 	if message.To != m.id {
 		return
 	}
-	if m.simulation.options.weakening == weakenTimeoutNow && message.Kind == raft.MessageTimeoutNow {
+	if m.simulation.options.mutation == mutationStaleTimeoutNow && message.Kind == raft.MessageTimeoutNow {
 		message.Term = max(message.Term, m.status.Term)
 	}
 	if err := m.node.Step(now, message); err != nil {
@@ -168,12 +168,12 @@
 	}
 }
 
-// finishTurn handles Readys until there is none.
-func (m *machine) finishTurn() {
-	m.observe()
+// processReadies handles Readys until there is none.
+func (m *machine) processReadies() {
+	m.refreshStatus()
 	for m.up && !m.frozen && m.simulation.violation == nil && m.node.HasReady() {
 		m.handleReady(m.node.Ready(), 0)
-		m.observe()
+		m.refreshStatus()
 	}
 }
 
@@ -186,7 +186,7 @@
 		}
 		switch part {
 		case 0:
-			m.sendAll(ready.Early)
+			m.sendAll(ready.EarlyMessages)
 		case 1:
 			m.persist(ready)
 		case 2:
@@ -273,7 +273,7 @@
 	s := m.simulation
 	keep := uint64(0)
 	if s.chance(0.5) {
-		keep = entriesKept
+		keep = retainedEntries
 	}
 	term, _ := s.checker.termAt(m.applied)
 	meta := raft.SnapshotMeta{Index: m.applied, Term: term, Membership: m.membership}
@@ -283,7 +283,7 @@
 	early.Term, _ = s.checker.termAt(early.Index)
 	m.node.Compact(early)
 	m.nextSave = m.applied + 20 + s.random.Uint64N(60)
-	s.note(m.index, "save", m.applied, keep, 0)
+	s.recordEvent(m.index, "save", m.applied, keep, 0)
 }
 
 // install takes a snapshot from the leader, unless it came too late.
@@ -292,13 +292,13 @@
 	// this is one step of it.
 	for m.node.HasReady() {
 		ready := m.node.Ready()
-		m.sendAll(ready.Early)
+		m.sendAll(ready.EarlyMessages)
 		m.persist(ready)
 		m.sendAll(ready.Messages)
 		m.apply(ready)
 		m.node.Advance(ready)
 	}
-	if m.simulation.violation != nil || !m.node.WantsSnapshot(meta) {
+	if m.simulation.violation != nil || !m.node.ShouldInstallSnapshot(meta) {
 		return
 	}
 	m.disk.installSnapshot(meta)
@@ -307,17 +307,17 @@
 	m.nextSave = max(m.nextSave, m.applied+20)
 	m.node.SnapshotInstalled(now, meta)
 	m.simulation.report.SnapshotsInstalled++
-	m.simulation.note(m.index, "install", meta.Index, meta.Term, 0)
+	m.simulation.recordEvent(m.index, "install", meta.Index, meta.Term, 0)
 }
 
-// observe reads the status and checks what must hold at every moment.
-func (m *machine) observe() {
+// refreshStatus reads the status and checks what must hold at every moment.
+func (m *machine) refreshStatus() {
 	if !m.up {
 		return
 	}
 	before := m.status
 	m.status = m.node.Status()
-	if m.simulation.options.weakening == weakenTransfer && m.status.LeaseUntil == 0 &&
+	if m.simulation.options.mutation == mutationLeaseDuringTransfer && m.status.LeaseUntil == 0 &&
 		m.status.Role == raft.RoleLeader && before.Term == m.status.Term {
 		m.status.LeaseUntil = before.LeaseUntil
 	}
@@ -331,7 +331,7 @@
 		return false
 	}
 	until := m.status.LeaseUntil
-	if m.simulation.options.weakening == weakenLease {
+	if m.simulation.options.mutation == mutationOverlongLease {
 		until += 2 * time.Second
 	}
 	return until > m.clock()
--- a/internal/raft/raftsim/network.go
+++ b/internal/raft/raftsim/network.go
@@ -15,28 +15,28 @@
 
 // network says which links work and how well.
 type network struct {
-	// cut[from][to] counts the partitions that cut the link one way.
-	cut [][]int
+	// partitions[from][to] counts the partitions that cut the link one way.
+	partitions [][]int
 	// dropRate, doubleRate and slowRate are probabilities for one message.
 	dropRate   float64
 	doubleRate float64
 	slowRate   float64
-	// timeoutNowLateUntil: requests to stand that are sent before come late.
-	timeoutNowLateUntil time.Duration
+	// delayTimeoutNowUntil: requests to stand that are sent before come late.
+	delayTimeoutNowUntil time.Duration
 }
 
 func newNetwork(machines int) network {
-	n := network{cut: make([][]int, machines)}
-	for i := range n.cut {
-		n.cut[i] = make([]int, machines)
+	n := network{partitions: make([][]int, machines)}
+	for i := range n.partitions {
+		n.partitions[i] = make([]int, machines)
 	}
 	return n
 }
 
 func (n *network) heal() {
-	n.timeoutNowLateUntil = 0
+	n.delayTimeoutNowUntil = 0
 	n.dropRate, n.doubleRate, n.slowRate = 0, 0, 0
-	for _, row := range n.cut {
+	for _, row := range n.partitions {
 		clear(row)
 	}
 }
@@ -47,8 +47,8 @@
 	if to == nil {
 		return
 	}
-	s.note(from.index, "send", uint64(message.Kind), uint64(to.index), message.Term)
-	if s.network.cut[from.index][to.index] > 0 || s.chance(s.network.dropRate) {
+	s.recordEvent(from.index, "send", uint64(message.Kind), uint64(to.index), message.Term)
+	if s.network.partitions[from.index][to.index] > 0 || s.chance(s.network.dropRate) {
 		return
 	}
 	s.deliverAfter(from, to, message, s.delay(message))
@@ -60,7 +60,7 @@
 // delay makes a message late at times, and TimeoutNow very late: the old
 // leader's permission then comes long after others were elected.
 func (s *simulation) delay(message raft.Message) time.Duration {
-	if message.Kind == raft.MessageTimeoutNow && s.now < s.network.timeoutNowLateUntil {
+	if message.Kind == raft.MessageTimeoutNow && s.now < s.network.delayTimeoutNowUntil {
 		return s.between(minTimeoutNowDelay, maxTimeoutNowDelay)
 	}
 	if s.chance(s.network.slowRate) {
@@ -70,46 +70,46 @@
 }
 
 func (s *simulation) deliverAfter(from, to *machine, message raft.Message, delay time.Duration) {
-	if s.options.weakening == weakenStickiness && message.Kind <= raft.MessageVote {
+	if s.options.mutation == mutationNoStickiness && message.Kind <= raft.MessageVote {
 		message.Transfer = true
 	}
 	s.after(delay, func() {
-		if s.network.cut[from.index][to.index] > 0 {
+		if s.network.partitions[from.index][to.index] > 0 {
 			return
 		}
 		if message.Kind == raft.MessageTimeoutNow && delay > time.Second {
 			s.report.LateTimeoutNows++
-			s.hideFromLeaders(to)
+			s.partitionFromLeaders(to)
 		}
 		to.do(func(now time.Duration) { to.step(now, message) })
 	})
 }
 
-// hideFromLeaders cuts a machine's links to the leaders at times: the present
+// partitionFromLeaders cuts a machine's links to the leaders at times: the present
 // one does not hear that a late request was heeded.
-func (s *simulation) hideFromLeaders(m *machine) {
+func (s *simulation) partitionFromLeaders(m *machine) {
 	if s.healed || s.chance(0.5) {
 		return
 	}
 	for _, leader := range s.believedLeaders() {
-		s.cutLink(m.index, leader.index, electionTimeoutMin)
+		s.partitionLink(m.index, leader.index, electionTimeoutMin)
 	}
 }
 
 // transferSnapshot moves the sender's newest snapshot, as its driver would.
 func (s *simulation) transferSnapshot(from *machine, message raft.Message) {
 	meta := from.disk.snapshot
-	life := from.life
+	incarnation := from.incarnation
 	report := func(succeeded bool) {
 		s.after(s.between(time.Millisecond, 50*time.Millisecond), func() {
-			if from.life == life {
-				from.do(func(now time.Duration) { from.node.SnapshotSent(now, message.To, meta.Index, succeeded) })
+			if from.incarnation == incarnation {
+				from.do(func(now time.Duration) { from.node.ReportSnapshot(now, message.To, meta.Index, succeeded) })
 			}
 		})
 	}
 	s.after(s.between(20*time.Millisecond, 400*time.Millisecond), func() {
 		to := s.machineOf(message.To)
-		if to == nil || !to.up || s.network.cut[from.index][to.index] > 0 || s.chance(s.network.dropRate) {
+		if to == nil || !to.up || s.network.partitions[from.index][to.index] > 0 || s.chance(s.network.dropRate) {
 			report(false)
 			return
 		}
--- a/internal/raft/raftsim/operator.go
+++ b/internal/raft/raftsim/operator.go
@@ -10,11 +10,11 @@
 // swapRate is how often a turn moves a vote to the spare machine.
 const swapRate = 0.08
 
-// operate is what the owner of a leader does about the membership: machines
+// operatorTurn is what the owner of a leader does about the membership: machines
 // unknown to it join as learners, and a learner replaces the lost voter of the
 // same machine.
-func (s *simulation) operate() {
-	s.after(s.between(100*time.Millisecond, 250*time.Millisecond), s.operate)
+func (s *simulation) operatorTurn() {
+	s.after(s.between(100*time.Millisecond, 250*time.Millisecond), s.operatorTurn)
 	leaders := s.believedLeaders()
 	if len(leaders) == 0 {
 		return
@@ -26,7 +26,7 @@
 			return
 		}
 		if err := m.node.ChangeMembership(now, target); err == nil {
-			s.note(m.index, "change", uint64(len(target.Voters)), uint64(len(target.Learners)), 0)
+			s.recordEvent(m.index, "change", uint64(len(target.Voters)), uint64(len(target.Learners)), 0)
 		}
 	})
 }
--- a/internal/raft/raftsim/options.go
+++ b/internal/raft/raftsim/options.go
@@ -21,7 +21,7 @@
 	// Trace, if not nil, gets a line for each event.
 	Trace io.Writer
 
-	weakening weakening
+	mutation mutation
 	// scenario is drawn from the seed if it is zero.
 	scenario scenario
 }
@@ -34,36 +34,36 @@
 	// scenarioMixed has all of them, and is most common.
 	scenarioMixed
 	// scenarioVoterRestarts has only restartVoterRepeatedly, and
-	// scenarioLateHandovers only failing transfers of leadership: other faults
+	// scenarioLateTransfers only failing transfers of leadership: other faults
 	// would mostly keep the rare outcome from showing.
 	scenarioVoterRestarts
-	scenarioLateHandovers
+	scenarioLateTransfers
 )
 
-// weakening switches off one safety rule, to prove that the checks can fail.
-type weakening uint8
+// mutation switches off one safety rule, to prove that the checks can fail.
+type mutation uint8
 
 const (
 	// The zero value weakens nothing.
-	_ weakening = iota
-	// weakenQuietTime: restarted voters vote at once.
-	weakenQuietTime
-	// weakenVote: a restart forgets the vote, and there is no quiet time.
-	weakenVote
-	// weakenLease: a lease is believed for two seconds too long.
-	weakenLease
-	// weakenTransfer: a lease is still believed while leadership is handed over.
-	weakenTransfer
-	// weakenTimeoutNow: permission to stand is heeded in any later term.
-	weakenTimeoutNow
-	// weakenStickiness: every vote passes over the promise to the leader.
-	weakenStickiness
-	// weakenSync: a crash loses the last synced entries as well.
-	weakenSync
-	// weakenReplicaID: an emptied machine comes back as the voter it was.
-	weakenReplicaID
-	// weakenReads: reads are answered from the commit index at once.
-	weakenReads
+	_ mutation = iota
+	// mutationNoVoteDelay: restarted voters vote at once.
+	mutationNoVoteDelay
+	// mutationForgetVote: a restart forgets the vote, and there is no quiet time.
+	mutationForgetVote
+	// mutationOverlongLease: a lease is believed for two seconds too long.
+	mutationOverlongLease
+	// mutationLeaseDuringTransfer: a lease is still believed while leadership is handed over.
+	mutationLeaseDuringTransfer
+	// mutationStaleTimeoutNow: permission to stand is heeded in any later term.
+	mutationStaleTimeoutNow
+	// mutationNoStickiness: every vote passes over the promise to the leader.
+	mutationNoStickiness
+	// mutationLoseSyncedWrite: a crash loses the last synced entries as well.
+	mutationLoseSyncedWrite
+	// mutationReuseReplicaID: an emptied machine comes back as the voter it was.
+	mutationReuseReplicaID
+	// mutationUnconfirmedReads: reads are answered from the commit index at once.
+	mutationUnconfirmedReads
 )
 
 // Report says what happened in a run.
--- a/internal/raft/raftsim/outage.go
+++ b/internal/raft/raftsim/outage.go
@@ -13,14 +13,14 @@
 	}
 	s := m.simulation
 	s.report.Crashes++
-	s.note(m.index, "crash", uint64(downTime), 0, 0)
+	s.recordEvent(m.index, "crash", uint64(downTime), 0, 0)
 	m.up, m.frozen, m.resume, m.inbox = false, false, nil, nil
 	m.node, m.status = nil, raft.Status{}
 	m.disk.crash(s.chance(0.5))
-	switch s.options.weakening {
-	case weakenVote:
+	switch s.options.mutation {
+	case mutationForgetVote:
 		m.disk.synced.VotedFor, m.disk.unsynced.VotedFor = "", ""
-	case weakenSync:
+	case mutationLoseSyncedWrite:
 		m.disk.loseLastWrite()
 	}
 	s.after(downTime, m.start)
@@ -33,12 +33,12 @@
 	}
 	s := m.simulation
 	s.report.Freezes++
-	m.observe()
-	s.note(m.index, "freeze", uint64(duration), 0, 0)
+	m.refreshStatus()
+	s.recordEvent(m.index, "freeze", uint64(duration), 0, 0)
 	m.frozen = true
-	life := m.life
+	incarnation := m.incarnation
 	s.after(duration, func() {
-		if m.life == life {
+		if m.incarnation == incarnation {
 			m.unfreeze()
 		}
 	})
@@ -50,15 +50,15 @@
 	if !m.up || !m.frozen {
 		return
 	}
-	m.simulation.note(m.index, "unfreeze", uint64(len(m.inbox)), 0, 0)
+	m.simulation.recordEvent(m.index, "unfreeze", uint64(len(m.inbox)), 0, 0)
 	m.frozen = false
-	m.observe()
+	m.refreshStatus()
 	if resume := m.resume; resume != nil {
 		m.resume = nil
 		resume()
 	}
 	if m.up && !m.frozen {
-		m.finishTurn()
+		m.processReadies()
 	}
 	m.drainInbox()
 }
@@ -82,15 +82,15 @@
 func (m *machine) loseDisk(downTime time.Duration) {
 	s := m.simulation
 	s.report.LostDisks++
-	s.note(m.index, "lose disk", 0, 0, 0)
+	s.recordEvent(m.index, "lose disk", 0, 0, 0)
 	if m.up {
 		m.crash(downTime)
 	}
-	if s.options.weakening == weakenReplicaID {
+	if s.options.mutation == mutationReuseReplicaID {
 		m.disk = &disk{snapshot: raft.SnapshotMeta{Index: 1, Term: 1, Membership: s.checker.membership}}
 		return
 	}
 	m.disk = &disk{}
 	m.id = s.newReplicaID()
-	m.brandNew = true
+	m.neverStarted = true
 }
--- a/internal/raft/raftsim/raftsim_test.go
+++ b/internal/raft/raftsim/raftsim_test.go
@@ -22,8 +22,8 @@
 	seedsGrown = 150
 )
 
-// TestSeeds plays many seeds; RAFTSIM_SEED=n plays one and prints its trace.
-func TestSeeds(t *testing.T) {
+// TestSimulation_SeedsKeepGuarantees plays many seeds; RAFTSIM_SEED=n plays one and prints its trace.
+func TestSimulation_SeedsKeepGuarantees(t *testing.T) {
 	if text := os.Getenv("RAFTSIM_SEED"); text != "" {
 		playOne(t, text)
 		return
@@ -35,22 +35,22 @@
 	playSeeds(t, count, Options{})
 }
 
-// grown is a cluster of a grown deployment: five vote and three stand by.
-func grown() Options { return Options{Machines: 5, Spares: 3} }
+// fiveVoters is a cluster of a grown deployment: five vote and three stand by.
+func fiveVoters() Options { return Options{Machines: 5, Spares: 3} }
 
-func grownWith(weakened weakening) Options {
-	options := grown()
-	options.weakening = weakened
+func fiveVotersWith(weakened mutation) Options {
+	options := fiveVoters()
+	options.mutation = weakened
 	return options
 }
 
-// TestSeedsOfAGrownCluster plays the same faults on eight machines.
-func TestSeedsOfAGrownCluster(t *testing.T) {
+// TestSimulation_FiveVotersKeepGuarantees plays the same faults on eight machines.
+func TestSimulation_FiveVotersKeepGuarantees(t *testing.T) {
 	count := seedsGrown
 	if testing.Short() {
 		count = seedsShort
 	}
-	playSeeds(t, count, grown())
+	playSeeds(t, count, fiveVoters())
 }
 
 // playSeeds plays seeds from zero on and wants no promise broken.
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestSeedRepeats(t *testing.T) {
+func TestSimulation_SeedIsReproducible(t *testing.T) {
 	for seed := int64(0); seed < 5; seed++ {
 		first, firstErr := Run(Options{Seed: seed})
 		second, secondErr := Run(Options{Seed: seed})
@@ -130,26 +130,26 @@
 	}
 }
 
-// TestWeakenedRulesAreFound proves that the checks can fail: for each rule that
+// TestSimulation_MutationsAreDetected proves that the checks can fail: for each rule that
 // is switched off, some seed shows the violation that the rule prevents.
-func TestWeakenedRulesAreFound(t *testing.T) {
+func TestSimulation_MutationsAreDetected(t *testing.T) {
 	const twoLeases, twoLeaders = "both hold a lease", "both lead term"
 	cases := []struct {
 		name    string
 		options Options
 		reason  string
 	}{
-		{"quiet time", Options{weakening: weakenQuietTime, scenario: scenarioVoterRestarts}, twoLeases},
-		{"vote", Options{weakening: weakenVote, scenario: scenarioVoterRestarts}, twoLeaders},
-		{"lease", Options{weakening: weakenLease}, twoLeases},
-		{"transfer", Options{weakening: weakenTransfer}, twoLeases},
-		{"timeout now", Options{weakening: weakenTimeoutNow, scenario: scenarioLateHandovers}, twoLeases},
-		{"stickiness", Options{weakening: weakenStickiness}, twoLeases},
-		{"sync", Options{weakening: weakenSync}, "applies"},
-		{"replica id", Options{weakening: weakenReplicaID}, "applies"},
-		{"sync, grown", grownWith(weakenSync), "applies"},
-		{"lease, grown", grownWith(weakenLease), twoLeases},
-		{"reads", Options{weakening: weakenReads}, "was acknowledged before"},
+		{"quiet time", Options{mutation: mutationNoVoteDelay, scenario: scenarioVoterRestarts}, twoLeases},
+		{"vote", Options{mutation: mutationForgetVote, scenario: scenarioVoterRestarts}, twoLeaders},
+		{"lease", Options{mutation: mutationOverlongLease}, twoLeases},
+		{"transfer", Options{mutation: mutationLeaseDuringTransfer}, twoLeases},
+		{"timeout now", Options{mutation: mutationStaleTimeoutNow, scenario: scenarioLateTransfers}, twoLeases},
+		{"stickiness", Options{mutation: mutationNoStickiness}, twoLeases},
+		{"sync", Options{mutation: mutationLoseSyncedWrite}, "applies"},
+		{"replica id", Options{mutation: mutationReuseReplicaID}, "applies"},
+		{"sync, grown", fiveVotersWith(mutationLoseSyncedWrite), "applies"},
+		{"lease, grown", fiveVotersWith(mutationOverlongLease), twoLeases},
+		{"reads", Options{mutation: mutationUnconfirmedReads}, "was acknowledged before"},
 	}
 	for _, weakened := range cases {
 		t.Run(weakened.name, func(t *testing.T) {
--- a/internal/raft/raftsim/simulation.go
+++ b/internal/raft/raftsim/simulation.go
@@ -11,12 +11,12 @@
 // Times of a run.
 const (
 	defaultFaultTime = 15 * time.Second
-	// recoveryTime is how long after the last fault the cluster may take until
+	// recoveryTimeout is how long after the last fault the cluster may take until
 	// a new proposal is acknowledged.
-	recoveryTime = 12 * time.Second
-	// settleTime is how long until all replicas and the membership are whole.
-	settleTime = 30 * time.Second
-	settleStep = 250 * time.Millisecond
+	recoveryTimeout = 12 * time.Second
+	// convergenceTimeout is how long until all replicas and the membership are whole.
+	convergenceTimeout      = 30 * time.Second
+	convergencePollInterval = 250 * time.Millisecond
 )
 
 // simulation is one run.
@@ -27,20 +27,20 @@
 	queue    eventQueue
 	planned  uint64
 	machines []*machine
-	// founders of machines form the cluster; a spare may come after them.
-	founders int
-	network  network
-	checker  checker
-	healed   bool
+	// initialVoters of machines form the cluster; a spare may come after them.
+	initialVoters int
+	network       network
+	checker       checker
+	healed        bool
 
 	nextReplica  uint64
 	nextProposal uint64
 	nextRead     uint64
-	// proposeFrom is when the clients' pause ends.
-	proposeFrom time.Duration
+	// proposalsPausedUntil is when the clients' pause ends.
+	proposalsPausedUntil time.Duration
 
 	report    Report
-	traces    [tracesKept]trace
+	trace     [maxTraceEvents]traceEvent
 	violation *Violation
 }
 
@@ -65,11 +65,11 @@
 		random:  rand.New(rand.NewPCG(uint64(options.Seed), 0x7261667473696d)),
 		report:  Report{Seed: options.Seed},
 	}
-	s.founders = options.Machines
-	if s.founders == 0 {
-		s.founders = 3
+	s.initialVoters = options.Machines
+	if s.initialVoters == 0 {
+		s.initialVoters = 3
 		if s.chance(0.2) {
-			s.founders = 5
+			s.initialVoters = 5
 		}
 	}
 	if s.options.scenario == scenarioDrawn {
@@ -87,40 +87,40 @@
 	case draw < 0.1:
 		return scenarioVoterRestarts
 	case draw < 0.2:
-		return scenarioLateHandovers
+		return scenarioLateTransfers
 	default:
 		return scenarioMixed
 	}
 }
 
 func (s *simulation) addMachines() {
-	count := s.founders + s.options.Spares
+	count := s.initialVoters + s.options.Spares
 	if s.options.Spares == 0 && s.chance(0.3) {
 		count++
 	}
-	founding := raft.SnapshotMeta{Index: 1, Term: 1}
+	initialSnapshot := raft.SnapshotMeta{Index: 1, Term: 1}
 	for i := range count {
 		m := &machine{simulation: s, index: i, name: fmt.Sprintf("control-%d", i), id: s.newReplicaID()}
 		s.machines = append(s.machines, m)
-		if i < s.founders {
-			founding.Membership.Voters = append(founding.Membership.Voters, m.member())
+		if i < s.initialVoters {
+			initialSnapshot.Membership.Voters = append(initialSnapshot.Membership.Voters, m.member())
 		}
 	}
 	for i, m := range s.machines {
 		m.disk = &disk{}
-		if i < s.founders {
-			m.disk.snapshot = founding
+		if i < s.initialVoters {
+			m.disk.snapshot = initialSnapshot
 		}
 	}
-	s.checker.membership = founding.Membership
+	s.checker.membership = initialSnapshot.Membership
 }
 
 func (s *simulation) startAll() {
 	for _, m := range s.machines {
-		m.brandNew = true
+		m.neverStarted = true
 		s.after(s.between(0, 300*time.Millisecond), m.start)
 	}
-	s.after(time.Second, s.operate)
+	s.after(time.Second, s.operatorTurn)
 	s.after(200*time.Millisecond, s.clientTurn)
 	s.after(1500*time.Millisecond, s.nextFault)
 }
@@ -145,7 +145,7 @@
 		Seed:   s.options.Seed,
 		At:     s.now,
 		Reason: fmt.Sprintf(format, arguments...),
-		Last:   s.lastTraces(),
+		Last:   s.lastTraceEvents(),
 	}
 }
 
@@ -162,7 +162,7 @@
 // heal ends all faults.
 func (s *simulation) heal() {
 	s.healed = true
-	s.note(0, "heal", 0, 0, 0)
+	s.recordEvent(0, "heal", 0, 0, 0)
 	s.network.heal()
 	for _, m := range s.machines {
 		m.unfreeze()
@@ -177,20 +177,20 @@
 func (s *simulation) checkRecovery() {
 	before := s.nextProposal
 	healedAt := s.now
-	deadline := s.now + recoveryTime
+	deadline := s.now + recoveryTimeout
 	for s.violation == nil && !s.checker.acknowledgedAfter(before) {
 		if s.now >= deadline {
-			s.fail("no proposal was acknowledged within %v after the last fault", recoveryTime)
+			s.fail("no proposal was acknowledged within %v after the last fault", recoveryTimeout)
 			return
 		}
-		s.runUntil(s.now + settleStep)
+		s.runUntil(s.now + convergencePollInterval)
 	}
-	for s.violation == nil && !s.settled() {
-		if s.now >= healedAt+settleTime {
-			s.fail("not whole again within %v: %s", settleTime, s.unsettledReason())
+	for s.violation == nil && !s.converged() {
+		if s.now >= healedAt+convergenceTimeout {
+			s.fail("not whole again within %v: %s", convergenceTimeout, s.notConvergedReason())
 			return
 		}
-		s.runUntil(s.now + settleStep)
+		s.runUntil(s.now + convergencePollInterval)
 	}
 	if s.violation == nil {
 		s.checkFinal()
--- a/internal/raft/raftsim/trace.go
+++ b/internal/raft/raftsim/trace.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// tracesKept is how many events an error shows.
-const tracesKept = 150
+// maxTraceEvents is how many events an error shows.
+const maxTraceEvents = 150
 
-// trace is one event; what a, b, c mean depends on the action.
-type trace struct {
+// traceEvent is one event; what a, b, c mean depends on the action.
+type traceEvent struct {
 	at      time.Duration
 	machine int
 	action  string
 	a, b, c uint64
 }
 
-func (t trace) String() string {
+func (t traceEvent) String() string {
 	return fmt.Sprintf("%12v m%d %-18s %d %d %d", t.at, t.machine, t.action, t.a, t.b, t.c)
 }
 
-// note adds an event to the trace and its hash.
-func (s *simulation) note(machine int, action string, a, b, c uint64) {
-	event := trace{at: s.now, machine: machine, action: action, a: a, b: b, c: c}
-	s.traces[s.report.Events%tracesKept] = event
+// recordEvent adds an event to the trace and its hash.
+func (s *simulation) recordEvent(machine int, action string, a, b, c uint64) {
+	event := traceEvent{at: s.now, machine: machine, action: action, a: a, b: b, c: c}
+	s.trace[s.report.Events%maxTraceEvents] = event
 	s.report.Events++
 	hash := s.report.TraceHash
 	for _, part := range [...]uint64{uint64(event.at), uint64(machine), hashText(action), a, b, c} {
@@ -35,11 +35,11 @@
 	}
 }
 
-func (s *simulation) lastTraces() []string {
-	count := min(s.report.Events, tracesKept)
+func (s *simulation) lastTraceEvents() []string {
+	count := min(s.report.Events, maxTraceEvents)
 	lines := make([]string, 0, count)
 	for i := s.report.Events - count; i < s.report.Events; i++ {
-		lines = append(lines, s.traces[i%tracesKept].String())
+		lines = append(lines, s.trace[i%maxTraceEvents].String())
 	}
 	return lines
 }
--- a/internal/raft/read.go
+++ b/internal/raft/read.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// minRoundGap keeps a flood of reads from starting a round for each.
-const minRoundGap = 5 * time.Millisecond
+// minReadHeartbeatInterval keeps a flood of reads from starting a round for each.
+const minReadHeartbeatInterval = 5 * time.Millisecond
 
 // pendingRead waits for its round, and first for the term's noop.
 type pendingRead struct {
@@ -19,53 +19,53 @@
 // request came in, and otherwise after a heartbeat round that began later was
 // answered by a quorum. Requests end unanswered when the term does.
 func (n *Node) ReadIndex(now time.Duration, request uint64) error {
-	n.observe(now)
+	n.advanceTime(now)
 	if n.role != RoleLeader {
 		return ErrNotLeader
 	}
-	if !n.termReady() {
-		n.lead.reads = append(n.lead.reads, pendingRead{request: request})
+	if !n.committedEntryInTerm() {
+		n.leadership.reads = append(n.leadership.reads, pendingRead{request: request})
 		return nil
 	}
-	n.admitRead(pendingRead{request: request})
+	n.startRead(pendingRead{request: request})
 	return nil
 }
 
-// admitRead fixes the read point of a request; the noop is committed.
-func (n *Node) admitRead(read pendingRead) {
-	read.index = n.log.commit
+// startRead fixes the read point of a request; the noop is committed.
+func (n *Node) startRead(read pendingRead) {
+	read.index = n.log.committed
 	if n.leaseUntil() > n.now {
 		n.readStates = append(n.readStates, ReadState{Request: read.request, Index: read.index})
 		return
 	}
-	read.round = n.lead.lease.round + 1
-	n.lead.reads = append(n.lead.reads, read)
-	if n.now-n.lastRoundAt() >= minRoundGap {
-		n.startRound()
+	read.round = n.leadership.lease.round + 1
+	n.leadership.reads = append(n.leadership.reads, read)
+	if n.now-n.lastHeartbeatAt() >= minReadHeartbeatInterval {
+		n.broadcastHeartbeat()
 	}
 }
 
-// admitWaitingReads is called once the term's noop is committed.
-func (n *Node) admitWaitingReads() {
-	waiting := n.lead.reads
-	n.lead.reads = nil
+// startPendingReads is called once the term's noop is committed.
+func (n *Node) startPendingReads() {
+	waiting := n.leadership.reads
+	n.leadership.reads = nil
 	for _, read := range waiting {
 		if read.round == 0 {
-			n.admitRead(read)
+			n.startRead(read)
 			continue
 		}
-		n.lead.reads = append(n.lead.reads, read)
+		n.leadership.reads = append(n.leadership.reads, read)
 	}
 }
 
-func (n *Node) releaseReads() {
-	kept := n.lead.reads[:0]
-	for _, read := range n.lead.reads {
-		if read.round == 0 || read.round > n.lead.lease.confirmed {
+func (n *Node) completeReads() {
+	kept := n.leadership.reads[:0]
+	for _, read := range n.leadership.reads {
+		if read.round == 0 || read.round > n.leadership.lease.confirmed {
 			kept = append(kept, read)
 			continue
 		}
 		n.readStates = append(n.readStates, ReadState{Request: read.request, Index: read.index})
 	}
-	n.lead.reads = kept
+	n.leadership.reads = kept
 }
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-func TestOnlyEntriesOfOwnTermAreCounted(t *testing.T) {
-	restored := founding("a", "b", "c")
+func TestCommit_OnlyEntriesOfCurrentTermCounted(t *testing.T) {
+	restored := initialState("a", "b", "c")
 	restored.HardState.Term = 1
 	restored.Entries = []Entry{{Index: 2, Term: 1}}
 	node := newTestNode(t, Config{ID: "a"}, restored)
 	node.Tick(0)
 	node.Tick(DefaultElectionTimeoutMax)
-	node.turn()
+	node.processReady()
 	now := DefaultElectionTimeoutMax
-	node.step(now, Message{Kind: MessagePreVoteAnswer, From: "b", Term: 2})
-	node.step(now, Message{Kind: MessageVoteAnswer, From: "b", Term: 2})
-	node.step(now, answer("b", 2, 1))
+	node.step(now, Message{Kind: MessagePreVoteResponse, From: "b", Term: 2})
+	node.step(now, Message{Kind: MessageVoteResponse, From: "b", Term: 2})
+	node.step(now, appendResponse("b", 2, 1))
 	if status := node.Status(); status.Commit != 1 || status.TermReady {
 		t.Fatalf("an earlier term's entry was counted: %+v", status)
 	}
-	node.step(now, answer("b", 3, 1))
+	node.step(now, appendResponse("b", 3, 1))
 	if status := node.Status(); status.Commit != 3 || !status.TermReady {
 		t.Errorf("status %+v", status)
 	}
 }
 
-func TestLeaderCountsItselfOncePersisted(t *testing.T) {
+func TestCommit_LeaderCountsItselfOncePersisted(t *testing.T) {
 	start := 10 * time.Second
 	node := leaderOfThree(t, start)
 	index, _, err := node.Propose(start, [][]byte{nil})
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	ready := node.Ready()
-	if err := node.Step(start, Message{Kind: MessageAppendAnswer, From: "b", To: "a", Term: 2, Index: index}); err != nil {
+	if err := node.Step(start, Message{Kind: MessageAppendResponse, From: "b", To: "a", Term: 2, Index: index}); err != nil {
 		t.Fatal(err)
 	}
 	if commit := node.Status().Commit; commit >= index {
@@ -49,8 +49,8 @@
 }
 
 // A write that was overtaken by a truncation persists nothing of the new log.
-func TestAdvanceAfterTruncation(t *testing.T) {
-	node := newTestNode(t, Config{ID: "a"}, founding("a", "b", "c"))
+func TestAdvance_AfterTruncationKeepsReplacedEntriesUnstable(t *testing.T) {
+	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	appendOf := func(from ReplicaID, term uint64, entries ...Entry) Message {
 		return Message{Kind: MessageAppend, From: from, To: "a", Term: term, Index: 1, LogTerm: 1, Entries: entries}
 	}
@@ -72,8 +72,8 @@
 	}
 }
 
-func TestCommittedEntryIsNeverReplaced(t *testing.T) {
-	node := newTestNode(t, Config{ID: "a"}, founding("a", "b", "c"))
+func TestAppend_CommittedEntryNeverReplaced(t *testing.T) {
+	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	node.step(0, Message{
 		Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Commit: 2,
 		Entries: []Entry{{Index: 2, Term: 2}},
@@ -82,7 +82,7 @@
 		Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Commit: 3,
 		Entries: []Entry{{Index: 2, Term: 2}, {Index: 3, Term: 2}},
 	}
-	if got := only(t, node.step(0, late), MessageAppendAnswer); got.Reject || got.Index != 3 {
+	if got := only(t, node.step(0, late), MessageAppendResponse); got.Reject || got.Index != 3 {
 		t.Errorf("answer %+v", got)
 	}
 	if len(node.applied) != 2 || node.Status().Commit != 3 {
@@ -90,11 +90,11 @@
 	}
 }
 
-func TestBacktrackingSkipsWholeTerms(t *testing.T) {
+func TestAppendRejection_BacktracksByTerm(t *testing.T) {
 	const length = 500
 	ids := []ReplicaID{"a", "b", "c"}
 	cluster := newTestCluster(t, ids...)
-	leaderLog, followerLog := founding(ids...), founding(ids...)
+	leaderLog, followerLog := initialState(ids...), initialState(ids...)
 	for index := uint64(2); index < length; index++ {
 		leaderLog.Entries = append(leaderLog.Entries, Entry{Index: index, Term: 5})
 		followerLog.Entries = append(followerLog.Entries, Entry{Index: index, Term: 3})
@@ -104,7 +104,7 @@
 	cluster.nodes[1] = newTestNode(t, Config{ID: "b"}, followerLog)
 	refusals := 0
 	cluster.drop = func(message Message) bool {
-		if message.Kind == MessageAppendAnswer && message.Reject && message.From == "b" {
+		if message.Kind == MessageAppendResponse && message.Reject && message.From == "b" {
 			refusals++
 		}
 		return false
@@ -132,15 +132,15 @@
 	return Progress{}
 }
 
-func TestAppendsAreBoundedAndPipelined(t *testing.T) {
+func TestAppend_BoundedAndPipelined(t *testing.T) {
 	start := 10 * time.Second
-	node := newTestNode(t, Config{ID: "a", MaxAppendBytes: 300, MaxInflightAppends: 3}, founding("a", "b"))
+	node := newTestNode(t, Config{ID: "a", MaxAppendBytes: 300, MaxInflightAppends: 3}, initialState("a", "b"))
 	node.Tick(start - DefaultElectionTimeoutMax)
 	node.Tick(start)
-	node.turn()
-	node.step(start, Message{Kind: MessagePreVoteAnswer, From: "b", Term: 2})
-	node.step(start, Message{Kind: MessageVoteAnswer, From: "b", Term: 2})
-	node.step(start, answer("b", 2, 1))
+	node.processReady()
+	node.step(start, Message{Kind: MessagePreVoteResponse, From: "b", Term: 2})
+	node.step(start, Message{Kind: MessageVoteResponse, From: "b", Term: 2})
+	node.step(start, appendResponse("b", 2, 1))
 	commands := make([][]byte, 20)
 	for i := range commands {
 		commands[i] = make([]byte, 100)
@@ -148,7 +148,7 @@
 	if _, _, err := node.Propose(start, commands); err != nil {
 		t.Fatal(err)
 	}
-	appends := ofKind(node.turn(), MessageAppend)
+	appends := ofKind(node.processReady(), MessageAppend)
 	if len(appends) != 3 {
 		t.Fatalf("%d appends under way, want 3", len(appends))
 	}
@@ -158,28 +158,28 @@
 		}
 	}
 	// One answer makes room for one more; the window moves on.
-	if more := ofKind(node.step(start, answer("b", 4, 1)), MessageAppend); len(more) != 1 || more[0].Index != 8 {
+	if more := ofKind(node.step(start, appendResponse("b", 4, 1)), MessageAppend); len(more) != 1 || more[0].Index != 8 {
 		t.Errorf("after an answer: %+v", more)
 	}
 }
 
-func TestLostAppendIsSentAgain(t *testing.T) {
+func TestAppend_LostAppendResent(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
 	cluster.drop = func(message Message) bool { return len(message.Entries) > 0 }
 	cluster.propose(leader, 5)
 	cluster.dropNothing()
-	cluster.pass(2 * DefaultTickInterval)
+	cluster.advance(2 * DefaultTickInterval)
 	if status := leader.Status(); status.Commit != status.LastIndex {
 		t.Errorf("status %+v", status)
 	}
 }
 
-func TestCommittedIsHandedOutInBatches(t *testing.T) {
-	node := newTestNode(t, Config{ID: "a"}, founding("a"))
+func TestReady_CommittedEntriesInBatches(t *testing.T) {
+	node := newTestNode(t, Config{ID: "a"}, initialState("a"))
 	node.Tick(0)
 	node.Tick(DefaultElectionTimeoutMax)
-	node.turn()
+	node.processReady()
 	if _, _, err := node.Propose(DefaultElectionTimeoutMax, make([][]byte, maxCommittedEntries+10)); err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestSnapshotForFollowerThatLags(t *testing.T) {
+func TestSnapshot_SentToLaggingFollower(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader, follower := cluster.elect("a"), cluster.node("c")
 	cluster.dropTo("c")
@@ -201,7 +201,7 @@
 	term, _ := leader.log.term(status.Applied)
 	meta := SnapshotMeta{Index: status.Applied, Term: term, Membership: status.Membership}
 	leader.Compact(meta)
-	cluster.pass(2 * DefaultElectionTimeoutMax)
+	cluster.advance(2 * DefaultElectionTimeoutMax)
 	announced := 0
 	cluster.drop = func(message Message) bool {
 		if message.Kind == MessageSnapshot {
@@ -209,21 +209,21 @@
 		}
 		return false
 	}
-	cluster.pass(4 * DefaultTickInterval)
+	cluster.advance(4 * DefaultTickInterval)
 	if announced != 1 || !progressOf(t, leader, "c").NeedsSnapshot {
 		t.Fatalf("announced %d times, progress %+v", announced, progressOf(t, leader, "c"))
 	}
-	leader.SnapshotSent(cluster.now, "c", meta.Index, false)
-	cluster.pass(DefaultElectionTimeoutMin + DefaultTickInterval)
+	leader.ReportSnapshot(cluster.now, "c", meta.Index, false)
+	cluster.advance(DefaultElectionTimeoutMin + DefaultTickInterval)
 	if announced != 2 {
 		t.Fatalf("announced %d times after a failure", announced)
 	}
-	if !follower.WantsSnapshot(meta) {
+	if !follower.ShouldInstallSnapshot(meta) {
 		t.Fatal("follower does not want the snapshot")
 	}
 	follower.SnapshotInstalled(cluster.now, meta)
-	leader.SnapshotSent(cluster.now, "c", meta.Index, true)
-	cluster.settle()
+	leader.ReportSnapshot(cluster.now, "c", meta.Index, true)
+	cluster.deliverAll()
 	cluster.propose(leader, 1)
 	if progress := progressOf(t, leader, "c"); progress.NeedsSnapshot || progress.Match != leader.Status().LastIndex {
 		t.Errorf("progress %+v", progress)
@@ -231,14 +231,14 @@
 }
 
 // A snapshot that comes late must not drop entries that were answered for.
-func TestLateSnapshotIsNotWanted(t *testing.T) {
-	node := newTestNode(t, Config{ID: "a"}, founding("a", "b", "c"))
+func TestSnapshot_StaleNotInstalled(t *testing.T) {
+	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	node.step(0, Message{
 		Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Commit: 1,
 		Entries: []Entry{{Index: 2, Term: 2}, {Index: 3, Term: 2}, {Index: 4, Term: 2}},
 	})
 	meta := SnapshotMeta{Index: 3, Term: 2, Membership: testMembership("a", "b", "c")}
-	if node.WantsSnapshot(meta) {
+	if node.ShouldInstallSnapshot(meta) {
 		t.Error("a snapshot is wanted that the log covers")
 	}
 	if status := node.Status(); status.Commit != 3 || status.LastIndex != 4 {
--- a/internal/raft/restore.go
+++ b/internal/raft/restore.go
@@ -4,27 +4,27 @@
 
 // restore checks and takes what the owner found on disk. Entries may begin
 // before the snapshot's end, when the owner keeps some for followers that lag.
-func (n *Node) restore(restored Restored) error {
+func (n *Node) restore(restored RestoredState) error {
 	if err := checkRestored(restored); err != nil {
 		return err
 	}
 	snapshot := restored.Snapshot
 	n.snapshot = snapshot
-	n.log.reset(snapshot.Index, snapshot.Term)
+	n.log.restore(snapshot.Index, snapshot.Term)
 	entries := restored.Entries
 	if len(entries) > 0 && entries[0].Index <= snapshot.Index {
 		// The first entry stands in as base, since its term is known.
-		n.log.baseIndex, n.log.baseTerm = entries[0].Index, entries[0].Term
+		n.log.compactedIndex, n.log.compactedTerm = entries[0].Index, entries[0].Term
 		entries = entries[1:]
 	}
 	n.log.append(entries...)
 	n.log.stable = n.log.lastIndex()
-	n.log.commit = max(snapshot.Index, restored.HardState.Commit, restored.Applied)
+	n.log.committed = max(snapshot.Index, restored.HardState.Commit, restored.Applied)
 	n.log.applied = max(snapshot.Index, restored.Applied)
-	if n.log.commit > n.log.lastIndex() {
-		return fmt.Errorf("commit index %d is beyond the last entry %d", n.log.commit, n.log.lastIndex())
+	if n.log.committed > n.log.lastIndex() {
+		return fmt.Errorf("commit index %d is beyond the last entry %d", n.log.committed, n.log.lastIndex())
 	}
-	n.persisted = restored.HardState
+	n.persistedHardState = restored.HardState
 	n.term, n.votedFor = restored.HardState.Term, restored.HardState.VotedFor
 	if lastTerm := n.log.lastTerm(); lastTerm > n.term {
 		// Only a founder, whose log begins with a snapshot that no leader made.
@@ -33,7 +33,7 @@
 	return n.restoreMemberships(restored)
 }
 
-func checkRestored(restored Restored) error {
+func checkRestored(restored RestoredState) error {
 	snapshot, entries := restored.Snapshot, restored.Entries
 	if len(entries) == 0 {
 		return nil
@@ -66,9 +66,9 @@
 }
 
 // restoreMemberships finds every membership after the snapshot.
-func (n *Node) restoreMemberships(restored Restored) error {
+func (n *Node) restoreMemberships(restored RestoredState) error {
 	base := restored.Snapshot.Membership
-	n.memberships = []membershipAt{{index: restored.Snapshot.Index, membership: base}}
+	n.memberships = []membershipEntry{{index: restored.Snapshot.Index, membership: base}}
 	for _, entry := range restored.Entries {
 		if entry.Kind != EntryMembership || entry.Index <= restored.Snapshot.Index {
 			continue
@@ -77,12 +77,12 @@
 		if err != nil {
 			return fmt.Errorf("entry %d: %w", entry.Index, err)
 		}
-		n.memberships = append(n.memberships, membershipAt{index: entry.Index, membership: membership})
+		n.memberships = append(n.memberships, membershipEntry{index: entry.Index, membership: membership})
 	}
 	newest := n.membership()
 	if given := restored.Membership; !given.empty() && !given.sameReplicas(newest) {
 		return fmt.Errorf("membership given differs from the newest of the log, at index %d", n.membershipIndex())
 	}
-	n.refreshPeers()
+	n.refreshProgress()
 	return nil
 }
--- a/internal/raft/restore_test.go
+++ b/internal/raft/restore_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestNewRefusesWrongConfig(t *testing.T) {
+func TestNew_InvalidConfigRejected(t *testing.T) {
 	cases := []struct {
 		config Config
 		text   string
@@ -17,29 +17,29 @@
 		{Config{ID: "a", MaxAppendBytes: -1}, "MaxAppendBytes"},
 	}
 	for _, c := range cases {
-		if _, err := New(c.config, founding("a")); err == nil || !strings.Contains(err.Error(), c.text) {
+		if _, err := New(c.config, initialState("a")); err == nil || !strings.Contains(err.Error(), c.text) {
 			t.Errorf("%+v: %v", c.config, err)
 		}
 	}
 }
 
-func TestNewRefusesContradictions(t *testing.T) {
+func TestNew_InconsistentStateRejected(t *testing.T) {
 	snapshot := SnapshotMeta{Index: 5, Term: 2, Membership: testMembership("a")}
 	state := HardState{Term: 3, Commit: 5}
 	cases := []struct {
 		name     string
-		restored Restored
+		restored RestoredState
 		text     string
 	}{
-		{"gap after snapshot", Restored{Entries: []Entry{{Index: 7, Term: 3}}}, "gap after the snapshot"},
-		{"gap inside", Restored{Entries: []Entry{{Index: 6, Term: 3}, {Index: 8, Term: 3}}}, "follows entry 6"},
-		{"ends before", Restored{Entries: []Entry{{Index: 3, Term: 2}}}, "before the snapshot"},
-		{"term falls", Restored{Entries: []Entry{{Index: 6, Term: 3}, {Index: 7, Term: 2}}}, "below"},
-		{"term below snapshot", Restored{Entries: []Entry{{Index: 6, Term: 1}}}, "below the snapshot's"},
-		{"snapshot differs", Restored{Entries: []Entry{{Index: 5, Term: 1}}}, "the snapshot there has"},
-		{"applied beyond", Restored{Applied: 9}, "beyond the last entry"},
-		{"membership", Restored{Membership: testMembership("b")}, "differs from the newest"},
-		{"unreadable", Restored{Entries: []Entry{{Index: 6, Term: 3, Kind: EntryMembership, Data: []byte{0xff}}}}, "decode"},
+		{"gap after snapshot", RestoredState{Entries: []Entry{{Index: 7, Term: 3}}}, "gap after the snapshot"},
+		{"gap inside", RestoredState{Entries: []Entry{{Index: 6, Term: 3}, {Index: 8, Term: 3}}}, "follows entry 6"},
+		{"ends before", RestoredState{Entries: []Entry{{Index: 3, Term: 2}}}, "before the snapshot"},
+		{"term falls", RestoredState{Entries: []Entry{{Index: 6, Term: 3}, {Index: 7, Term: 2}}}, "below"},
+		{"term below snapshot", RestoredState{Entries: []Entry{{Index: 6, Term: 1}}}, "below the snapshot's"},
+		{"snapshot differs", RestoredState{Entries: []Entry{{Index: 5, Term: 1}}}, "the snapshot there has"},
+		{"applied beyond", RestoredState{Applied: 9}, "beyond the last entry"},
+		{"membership", RestoredState{Membership: testMembership("b")}, "differs from the newest"},
+		{"unreadable", RestoredState{Entries: []Entry{{Index: 6, Term: 3, Kind: EntryMembership, Data: []byte{0xff}}}}, "decode"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,8 +51,8 @@
 	}
 }
 
-func TestRestoreKeepsEntriesBeforeSnapshot(t *testing.T) {
-	node := newTestNode(t, Config{ID: "a"}, Restored{
+func TestNew_KeepsEntriesBeforeSnapshot(t *testing.T) {
+	node := newTestNode(t, Config{ID: "a"}, RestoredState{
 		HardState: HardState{Term: 3, Commit: 6},
 		Snapshot:  SnapshotMeta{Index: 5, Term: 2, Membership: testMembership("a", "b")},
 		Entries:   []Entry{{Index: 3, Term: 1}, {Index: 4, Term: 2}, {Index: 5, Term: 2}, {Index: 6, Term: 3}, {Index: 7, Term: 3}},
@@ -61,22 +61,22 @@
 	if status.FirstIndex != 4 || status.LastIndex != 7 || status.Applied != 5 || status.Commit != 6 {
 		t.Errorf("status %+v", status)
 	}
-	node.turn()
+	node.processReady()
 	if len(node.applied) != 1 || node.applied[0].Index != 6 {
 		t.Errorf("applied %+v", node.applied)
 	}
 }
 
-func TestFounderBeginsInTermOfItsSnapshot(t *testing.T) {
-	node := newTestNode(t, Config{ID: "a"}, founding("a", "b", "c"))
+func TestNew_BootstrapStartsInTermOfSnapshot(t *testing.T) {
+	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	ready := node.Ready()
 	if !ready.MustSync || ready.HardState == nil || ready.HardState.Term != 1 || ready.HardState.Commit != 1 {
 		t.Errorf("ready %+v", ready)
 	}
 }
 
-func TestMessageForAnotherReplicaIsRefused(t *testing.T) {
-	node := newTestNode(t, Config{ID: "a"}, founding("a", "b", "c"))
+func TestStep_MessageForOtherReplicaRejected(t *testing.T) {
+	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	if err := node.Step(0, Message{Kind: MessageVote, From: "b", To: "former", Term: 9}); err == nil {
 		t.Error("taken")
 	}
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -2,59 +2,59 @@
 
 import "time"
 
-// startSnapshot announces the snapshot to a peer whose next entry is compacted.
-// The owner moves the bytes and calls SnapshotSent.
-func (n *Node) startSnapshot(p *peer) {
-	p.mode = modeSnapshot
+// sendSnapshot announces the snapshot to a peer whose next entry is compacted.
+// The owner moves the bytes and calls ReportSnapshot.
+func (n *Node) sendSnapshot(p *progress) {
+	p.state = stateSnapshot
 	p.inflight = p.inflight[:0]
 	p.probeSent = false
-	p.snapshotRetry = 0
+	p.snapshotRetryAt = 0
 	meta := n.snapshot
 	n.send(Message{Kind: MessageSnapshot, To: p.id, Snapshot: &meta})
 }
 
 // retrySnapshot announces again after a failed transfer, once the peer is heard.
-func (n *Node) retrySnapshot(p *peer) {
-	if p.snapshotRetry != 0 && n.now >= p.snapshotRetry && !n.isSilent(p) {
-		n.startSnapshot(p)
+func (n *Node) retrySnapshot(p *progress) {
+	if p.snapshotRetryAt != 0 && n.now >= p.snapshotRetryAt && !n.isInactive(p) {
+		n.sendSnapshot(p)
 	}
 }
 
-// SnapshotSent tells a leader how the transfer to a replica went: it probes
+// ReportSnapshot tells a leader how the transfer to a replica went: it probes
 // from index on, or announces the snapshot again after ElectionTimeoutMin.
-func (n *Node) SnapshotSent(now time.Duration, to ReplicaID, index uint64, succeeded bool) {
-	n.observe(now)
-	p := n.peer(to)
-	if n.role != RoleLeader || p == nil || p.mode != modeSnapshot {
+func (n *Node) ReportSnapshot(now time.Duration, to ReplicaID, index uint64, succeeded bool) {
+	n.advanceTime(now)
+	p := n.progressOf(to)
+	if n.role != RoleLeader || p == nil || p.state != stateSnapshot {
 		return
 	}
 	if !succeeded {
-		p.snapshotRetry = n.now + n.config.ElectionTimeoutMin
+		p.snapshotRetryAt = n.now + n.config.ElectionTimeoutMin
 		return
 	}
-	p.startProbe(min(index, n.log.lastIndex()) + 1)
+	p.becomeProbe(min(index, n.log.lastIndex()) + 1)
 	n.sendProbe(p)
 }
 
 // handleSnapshot answers at once if the log has the snapshot's last entry;
 // otherwise the owner installs the snapshot and calls SnapshotInstalled.
 func (n *Node) handleSnapshot(m Message) {
-	if m.Snapshot == nil || n.WantsSnapshot(*m.Snapshot) {
+	if m.Snapshot == nil || n.ShouldInstallSnapshot(*m.Snapshot) {
 		return
 	}
-	n.acceptAppend(m, n.log.commit)
+	n.acceptAppend(m, n.log.committed)
 }
 
-// WantsSnapshot reports whether the owner should replace its state by this
+// ShouldInstallSnapshot reports whether the owner should replace its state by this
 // snapshot. The owner asks right before it does, after the last Ready is
 // advanced over: a snapshot that comes late could otherwise drop entries which
 // this replica has answered for. If the log holds the snapshot's last entry
 // then that entry is now known to be committed, and the answer is false.
-func (n *Node) WantsSnapshot(meta SnapshotMeta) bool {
-	if meta.Index <= n.log.commit {
+func (n *Node) ShouldInstallSnapshot(meta SnapshotMeta) bool {
+	if meta.Index <= n.log.committed {
 		return false
 	}
-	if n.log.holds(meta.Index, meta.Term) {
+	if n.log.matchTerm(meta.Index, meta.Term) {
 		n.commitTo(meta.Index)
 		return false
 	}
@@ -62,18 +62,18 @@
 }
 
 // SnapshotInstalled tells that the owner replaced its whole state and log by
-// the snapshot, after WantsSnapshot said so.
+// the snapshot, after ShouldInstallSnapshot said so.
 func (n *Node) SnapshotInstalled(now time.Duration, meta SnapshotMeta) {
-	n.observe(now)
-	if meta.Index <= n.log.commit {
+	n.advanceTime(now)
+	if meta.Index <= n.log.committed {
 		return
 	}
-	n.log.reset(meta.Index, meta.Term)
+	n.log.restore(meta.Index, meta.Term)
 	n.snapshot = meta
-	n.memberships = []membershipAt{{index: meta.Index, membership: meta.Membership}}
-	n.refreshPeers()
+	n.memberships = []membershipEntry{{index: meta.Index, membership: meta.Membership}}
+	n.refreshProgress()
 	if n.role == RoleFollower && n.leader != "" {
-		n.send(Message{Kind: MessageAppendAnswer, To: n.leader, Index: meta.Index})
+		n.send(Message{Kind: MessageAppendResponse, To: n.leader, Index: meta.Index})
 	}
 }
 
@@ -87,9 +87,9 @@
 	if meta.Index > n.snapshot.Index {
 		n.snapshot = SnapshotMeta{Index: meta.Index, Term: meta.Term, Membership: n.membershipAtIndex(meta.Index)}
 	}
-	if meta.Index <= n.log.baseIndex {
+	if meta.Index <= n.log.compactedIndex {
 		return
 	}
 	n.log.compactTo(meta.Index)
-	n.forgetMembershipsBefore(meta.Index)
+	n.compactMembershipsTo(meta.Index)
 }
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -23,17 +23,17 @@
 // TransferLeadership hands over to a voter; empty means the most caught-up
 // one. The lease is given up for the rest of the term, proposals are refused,
 // and unless the target takes over within ElectionTimeoutMax the node steps
-// down. Fails with ErrNotLeader, ErrTransferring or ErrUnknownReplica.
+// down. Fails with ErrNotLeader, ErrLeadershipTransferPending or ErrUnknownReplica.
 func (n *Node) TransferLeadership(now time.Duration, to ReplicaID) error {
-	n.observe(now)
+	n.advanceTime(now)
 	if n.role != RoleLeader {
 		return ErrNotLeader
 	}
 	if n.transferring() {
-		if to == "" || to == n.lead.transfer.target {
+		if to == "" || to == n.leadership.transfer.target {
 			return nil
 		}
-		return ErrTransferring
+		return ErrLeadershipTransferPending
 	}
 	if to == n.config.ID {
 		return nil
@@ -42,18 +42,18 @@
 	if target == nil {
 		return ErrUnknownReplica
 	}
-	n.lead.lease.givenUp = true
-	n.lead.transfer = transfer{target: target.id, deadline: n.now + n.config.ElectionTimeoutMax}
+	n.leadership.lease.relinquished = true
+	n.leadership.transfer = transfer{target: target.id, deadline: n.now + n.config.ElectionTimeoutMax}
 	n.replicate(target)
 	n.sendTimeoutNow(target)
 	return nil
 }
 
-func (n *Node) transferring() bool { return n.lead.transfer.target != "" }
+func (n *Node) transferring() bool { return n.leadership.transfer.target != "" }
 
 // transferTarget returns the voter named, or the best of them.
-func (n *Node) transferTarget(to ReplicaID) *peer {
-	var best *peer
+func (n *Node) transferTarget(to ReplicaID) *progress {
+	var best *progress
 	for _, p := range n.voters {
 		switch {
 		case p.id == n.config.ID || (to != "" && p.id != to):
@@ -65,8 +65,8 @@
 }
 
 // sendTimeoutNow lets a target that has every entry stand for election.
-func (n *Node) sendTimeoutNow(p *peer) {
-	if p.id == n.lead.transfer.target && p.match == n.log.lastIndex() {
+func (n *Node) sendTimeoutNow(p *progress) {
+	if p.id == n.leadership.transfer.target && p.match == n.log.lastIndex() {
 		n.send(Message{Kind: MessageTimeoutNow, To: p.id})
 	}
 }
@@ -76,8 +76,8 @@
 	if !n.transferring() {
 		return false
 	}
-	target := n.peer(n.lead.transfer.target)
-	if target == nil || n.now >= n.lead.transfer.deadline {
+	target := n.progressOf(n.leadership.transfer.target)
+	if target == nil || n.now >= n.leadership.transfer.deadline {
 		n.becomeFollower(n.term, "")
 		return true
 	}
@@ -86,8 +86,8 @@
 }
 
 func (n *Node) handleTimeoutNow(m Message) {
-	if m.Term != n.term || n.role == RoleLeader || n.role == RoleCandidate || !n.mayCampaign() {
+	if m.Term != n.term || n.role == RoleLeader || n.role == RoleCandidate || !n.promotable() {
 		return
 	}
-	n.startElection(true)
+	n.becomeCandidate(true)
 }
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -12,10 +12,10 @@
 var (
 	// ErrNotLeader: the call needs a leader and this node is none.
 	ErrNotLeader = errors.New("raft: not the leader")
-	// ErrTransferring: proposals pause while leadership is handed over.
-	ErrTransferring = errors.New("raft: leadership is being transferred")
-	// ErrChangePending: one membership change at a time.
-	ErrChangePending = errors.New("raft: a membership change is pending")
+	// ErrLeadershipTransferPending: proposals pause while leadership is handed over.
+	ErrLeadershipTransferPending = errors.New("raft: leadership is being transferred")
+	// ErrMembershipChangePending: one membership change at a time.
+	ErrMembershipChangePending = errors.New("raft: a membership change is pending")
 	// ErrCompacted: the wanted entries were replaced by a snapshot.
 	ErrCompacted = errors.New("raft: entries are compacted")
 	// ErrUnknownReplica: the replica is not part of the membership.
@@ -83,12 +83,12 @@
 // Message kinds.
 const (
 	MessagePreVote MessageKind = iota + 1
-	MessagePreVoteAnswer
+	MessagePreVoteResponse
 	MessageVote
-	MessageVoteAnswer
+	MessageVoteResponse
 	// MessageAppend replicates entries; an empty one is the heartbeat.
 	MessageAppend
-	MessageAppendAnswer
+	MessageAppendResponse
 	// MessageSnapshot announces that the receiver must take the leader's
 	// snapshot; the driver moves the bytes in chunks and then calls
 	// SnapshotInstalled.
@@ -111,8 +111,8 @@
 	Entries []Entry `cbor:"7,keyasint,omitempty"`
 	Commit  uint64  `cbor:"8,keyasint,omitempty"`
 	// Reject refuses; Hint is then the last index worth trying.
-	Reject bool   `cbor:"9,keyasint,omitempty"`
-	Hint   uint64 `cbor:"10,keyasint,omitempty"`
+	Reject     bool   `cbor:"9,keyasint,omitempty"`
+	RejectHint uint64 `cbor:"10,keyasint,omitempty"`
 	// Round numbers the leader's heartbeat rounds; an answer repeats it, so
 	// that the lease counts from when the round was sent.
 	Round uint64 `cbor:"11,keyasint,omitempty"`
@@ -154,15 +154,15 @@
 	MaxInflightAppends int
 	// Seed makes the election timeouts.
 	Seed int64
-	// QuietUntil: a restarted voter grants no vote before this time, since it
+	// NoVoteBefore: a restarted voter grants no vote before this time, since it
 	// may have promised a lease that it forgot. The owner sets it to one
 	// ElectionTimeoutMin after start, the length of such a promise, unless the
 	// replica is brand new.
-	QuietUntil time.Duration
+	NoVoteBefore time.Duration
 }
 
-// Restored is what a Node starts from.
-type Restored struct {
+// RestoredState is what a Node starts from.
+type RestoredState struct {
 	HardState HardState
 	// Snapshot is the zero value if there is none.
 	Snapshot SnapshotMeta
@@ -178,10 +178,10 @@
 // HardState and Entries with one sync; send Messages; apply Committed; answer
 // ReadStates once Applied reaches their index; call Advance.
 type Ready struct {
-	// Early are a leader's appends. They promise nothing that is not on disk
+	// EarlyMessages are a leader's appends. They promise nothing that is not on disk
 	// yet: a leader counts itself only once its entries are persisted, so its
 	// followers may write at the same time (Ongaro's thesis, 10.2.1).
-	Early []Message
+	EarlyMessages []Message
 	// HardState is nil when unchanged.
 	HardState *HardState
 	// Entries replace all held entries from their first index on.
@@ -212,10 +212,10 @@
 	LastIndex  uint64
 	FirstIndex uint64
 	Membership Membership
-	// Unsettled are the older memberships that still decide should the newest
+	// FallbackMemberships are the older memberships that still decide should the newest
 	// be lost: from the committed one on. There are none once the newest is
 	// committed.
-	Unsettled []Membership
+	FallbackMemberships []Membership
 	// LeaseUntil is the monotonic time at which the leader lease ends; zero
 	// on others.
 	LeaseUntil time.Duration
@@ -225,15 +225,15 @@
 	Progress []Progress
 }
 
-// Votes reports whether a replica votes under the newest membership, both
+// IsVoter reports whether a replica votes under the newest membership, both
 // halves of it if it is joint, and under all unsettled ones: then any majority
 // may count on it.
-func (s *Status) Votes(id ReplicaID) bool {
-	if !s.Membership.votes(id) {
+func (s *Status) IsVoter(id ReplicaID) bool {
+	if !s.Membership.isVoter(id) {
 		return false
 	}
-	for _, older := range s.Unsettled {
-		if !older.votes(id) {
+	for _, older := range s.FallbackMemberships {
+		if !older.isVoter(id) {
 			return false
 		}
 	}
@@ -270,10 +270,10 @@
 	// caught-up one. The lease is given up first.
 	TransferLeadership(now time.Duration, to ReplicaID) error
 	// SnapshotInstalled tells that the owner replaced its state by a snapshot,
-	// which it may do only if Node.WantsSnapshot said so right before.
+	// which it may do only if Node.ShouldInstallSnapshot said so right before.
 	SnapshotInstalled(now time.Duration, meta SnapshotMeta)
-	// SnapshotSent tells a leader how the transfer to a replica went.
-	SnapshotSent(now time.Duration, to ReplicaID, index uint64, succeeded bool)
+	// ReportSnapshot tells a leader how the transfer to a replica went.
+	ReportSnapshot(now time.Duration, to ReplicaID, index uint64, succeeded bool)
 	// Compact forgets entries up to index, which the owner's snapshot holds.
 	Compact(meta SnapshotMeta)
 	HasReady() bool
--- a/internal/replica/fulldisk.go
+++ b/internal/replica/fulldisk.go
@@ -19,13 +19,13 @@
 func (l *loop) save(ready raft.Ready) error {
 	began := time.Now()
 	err := l.saveOnce(ready, began)
-	if !errors.Is(err, storage.ErrNoRoom) {
+	if !errors.Is(err, storage.ErrNoSpace) {
 		return err
 	}
 	l.logger.Error("no room on the disk, this replica takes no part until there is", "error", err)
 	l.metrics.diskFull.Set(1)
 	defer l.metrics.diskFull.Set(0)
-	for errors.Is(err, storage.ErrNoRoom) {
+	for errors.Is(err, storage.ErrNoSpace) {
 		if stopped := l.sitOut(roomInterval); stopped != nil {
 			return stopped
 		}
--- a/internal/replica/join.go
+++ b/internal/replica/join.go
@@ -170,7 +170,7 @@
 		return nil
 	}
 	err := l.node.ChangeMembership(l.now(), step.target)
-	if errors.Is(err, raft.ErrChangePending) || errors.Is(err, raft.ErrNotCaughtUp) {
+	if errors.Is(err, raft.ErrMembershipChangePending) || errors.Is(err, raft.ErrNotCaughtUp) {
 		return nil
 	}
 	if err != nil {
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -67,7 +67,7 @@
 		ElectionTimeoutMax: timing.ElectionTimeoutMax,
 		LeaseDuration:      timing.Lease,
 		Seed:               r.start.UnixNano(),
-		QuietUntil:         quietUntil,
+		NoVoteBefore:       quietUntil,
 	}, restored.raft)
 	if err != nil {
 		return nil, fmt.Errorf("start node: %w", err)
@@ -196,7 +196,7 @@
 			l.logger.Warn("raft message refused", "from", string(message.From), "error", err)
 			continue
 		}
-		if message.Kind == raft.MessageAppendAnswer && message.WallClock != 0 && l.term.leading {
+		if message.Kind == raft.MessageAppendResponse && message.WallClock != 0 && l.term.leading {
 			l.observeClock(message.From, message.WallClock, now)
 		}
 	}
@@ -234,7 +234,7 @@
 }
 
 func (l *loop) handleOne(ready raft.Ready) error {
-	l.send(ready.Early)
+	l.send(ready.EarlyMessages)
 	if ready.HardState != nil || len(ready.Entries) > 0 {
 		if err := l.save(ready); err != nil {
 			return err
--- a/internal/replica/peerlink.go
+++ b/internal/replica/peerlink.go
@@ -73,7 +73,7 @@
 // deliver makes one call; what fails is lost, raft sends it again.
 func (p *peerLink) deliver(messages []raft.Message) bool {
 	for i := range messages {
-		if messages[i].Kind == raft.MessageAppendAnswer {
+		if messages[i].Kind == raft.MessageAppendResponse {
 			messages[i].WallClock = p.replica.config.WallClock().UnixMilli()
 		}
 	}
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -107,7 +107,7 @@
 	}
 	index, term, err := l.node.Propose(l.now(), commands)
 	if err != nil {
-		if errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrTransferring) {
+		if errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrLeadershipTransferPending) {
 			err = ErrNotLeader
 		}
 		for _, p := range batch {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -182,7 +182,7 @@
 
 // restored is what a start finds in the store.
 type restored struct {
-	raft     raft.Restored
+	raft     raft.RestoredState
 	snapshot raft.SnapshotMeta
 }
 
@@ -206,7 +206,7 @@
 		return restored{}, fmt.Errorf("%w: %w", storage.ErrCorrupt, err)
 	}
 	return restored{
-		raft: raft.Restored{
+		raft: raft.RestoredState{
 			HardState:  loaded.HardState,
 			Snapshot:   loaded.Snapshot,
 			Entries:    loaded.Entries,
@@ -217,7 +217,7 @@
 	}, nil
 }
 
-func newestMembership(loaded storage.Loaded) (raft.Membership, error) {
+func newestMembership(loaded storage.LoadedState) (raft.Membership, error) {
 	for _, entry := range slices.Backward(loaded.Entries) {
 		if entry.Kind == raft.EntryMembership && entry.Index > loaded.Snapshot.Index {
 			return raft.DecodeMembership(entry.Data)
--- a/internal/replica/sendsnapshot.go
+++ b/internal/replica/sendsnapshot.go
@@ -41,7 +41,7 @@
 		}
 		_ = l.call(l.ctx, func(l *loop) error {
 			delete(l.transfers, to)
-			l.node.SnapshotSent(l.now(), to, index, err == nil)
+			l.node.ReportSnapshot(l.now(), to, index, err == nil)
 			return nil
 		})
 	})
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -129,7 +129,7 @@
 		l.fail(err)
 		return err
 	}
-	if !l.node.WantsSnapshot(meta) {
+	if !l.node.ShouldInstallSnapshot(meta) {
 		return errNotWanted
 	}
 	if err := l.config.Record.Restore(source.reader()); err != nil {
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -64,7 +64,7 @@
 func memberStatus(status *raft.Status, member raft.Member, now time.Duration) api.MemberStatus {
 	row := api.MemberStatus{
 		ReplicaID: string(member.ID), Name: member.Name, Zone: member.Zone, Address: member.Address,
-		Leader: member.ID == status.Leader, Voter: status.Votes(member.ID),
+		Leader: member.ID == status.Leader, Voter: status.IsVoter(member.ID),
 	}
 	if row.Leader {
 		row.Matched = status.LastIndex
--- a/internal/storage/archivejobs.go
+++ b/internal/storage/archivejobs.go
@@ -13,20 +13,20 @@
 func putJob(file string, tx *bbolt.Tx, job record.ArchivedJob) error {
 	key := []byte(job.ID)
 	jobs := tx.Bucket(jobsBucket)
-	if sealed := jobs.Get(key); sealed != nil {
+	if stored := jobs.Get(key); stored != nil {
 		var old record.ArchivedJob
-		if err := unsealValue(file, key, sealed, &old); err != nil {
+		if err := decodeValue(file, key, stored, &old); err != nil {
 			return err
 		}
 		if err := deleteIndexKeys(tx, old); err != nil {
 			return err
 		}
 	}
-	sealed, err := sealValue(key, job)
+	stored, err := encodeValue(key, job)
 	if err != nil {
 		return err
 	}
-	if err := jobs.Put(key, sealed); err != nil {
+	if err := jobs.Put(key, stored); err != nil {
 		return err
 	}
 	if err := tx.Bucket(indexBucket).Put(indexKey(job.Index, job.ID), nil); err != nil {
@@ -44,11 +44,11 @@
 
 // readJob reads and checks one job.
 func readJob(file string, tx *bbolt.Tx, id []byte) (job record.ArchivedJob, known bool, err error) {
-	sealed := tx.Bucket(jobsBucket).Get(id)
-	if sealed == nil {
+	stored := tx.Bucket(jobsBucket).Get(id)
+	if stored == nil {
 		return job, false, nil
 	}
-	if err := unsealValue(file, id, sealed, &job); err != nil {
+	if err := decodeValue(file, id, stored, &job); err != nil {
 		return job, false, err
 	}
 	return job, true, nil
@@ -81,10 +81,10 @@
 	var ids [][]byte
 	cursor := tx.Bucket(endedBucket).Cursor()
 	for key, _ := cursor.First(); key != nil && len(ids) < limit; key, _ = cursor.Next() {
-		if endOf(key) >= before {
+		if endedAtOf(key) >= before {
 			break
 		}
-		ids = append(ids, bytes.Clone(idOf(key)))
+		ids = append(ids, bytes.Clone(jobIDOf(key)))
 	}
 	return ids
 }
--- a/internal/storage/archivekeys.go
+++ b/internal/storage/archivekeys.go
@@ -28,8 +28,8 @@
 // keyPrefixBytes is the length of the index or time before the id in a key.
 const keyPrefixBytes = 8
 
-// idOf is the id in an indexKey or an endedKey.
-func idOf(key []byte) []byte { return key[keyPrefixBytes:] }
+// jobIDOf is the id in an indexKey or an endedKey.
+func jobIDOf(key []byte) []byte { return key[keyPrefixBytes:] }
 
-// endOf is the time in an endedKey.
-func endOf(key []byte) record.Millis { return record.Millis(binary.BigEndian.Uint64(key)) }
+// endedAtOf is the time in an endedKey.
+func endedAtOf(key []byte) record.Millis { return record.Millis(binary.BigEndian.Uint64(key)) }
--- a/internal/storage/archiveopen.go
+++ b/internal/storage/archiveopen.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &DiskArchive{db: db, waiting: make(map[string]record.ArchivedJob)}
+	a := &DiskArchive{db: db, pending: make(map[string]record.ArchivedJob)}
 	db.AllocSize = archiveGrowth
 	err = a.view(checkArchiveBuckets(path))
 	if err == nil && torn {
@@ -94,7 +94,7 @@
 // countPages makes bbolt count its free pages, which it does at the end of a
 // transaction that can write. This one writes nothing.
 func (a *DiskArchive) countPages() error {
-	return guard(a.db.Path(), func() error {
+	return recoverPageFault(a.db.Path(), func() error {
 		tx, err := a.db.Begin(true)
 		if err != nil {
 			return err
--- a/internal/storage/boltmeta_test.go
+++ b/internal/storage/boltmeta_test.go
@@ -18,16 +18,16 @@
 	t.Helper()
 	path := filepath.Join(directory, archiveFile)
 	content, err := os.ReadFile(path)
-	must(t, err)
+	requireNoError(t, err)
 	at := int(transaction%boltMetaPages)*os.Getpagesize() + boltPageHeader + boltChecksumAt
 	content[at] ^= 1
-	must(t, os.WriteFile(path, content, filePermission))
+	requireNoError(t, os.WriteFile(path, content, filePermission))
 }
 
-// TestArchiveMetaDamage: the newest transaction of the archive may be torn while
+// TestArchive_DamagedMetaPage: the newest transaction of the archive may be torn while
 // the log has all that was in it, and must be there once a snapshot leaves it
 // out, also when both metas are damaged.
-func TestArchiveMetaDamage(t *testing.T) {
+func TestArchive_DamagedMetaPage(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		snapshot, refuse bool
@@ -40,18 +40,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			directory := t.TempDir()
-			d := open(t, directory)
-			must(t, d.Save(&raft.HardState{Term: 1}, entries(1, 4, 1), true))
+			d := openStore(t, directory)
+			requireNoError(t, d.Save(&raft.HardState{Term: 1}, entries(1, 4, 1), true))
 			for index := range uint64(4) {
 				job := record.ArchivedJob{ID: fmt.Sprintf("job-%d", index), Index: index + 1}
-				must(t, d.Archive().Put([]record.ArchivedJob{job}))
-				must(t, d.Archive().Sync())
+				requireNoError(t, d.Archive().Put([]record.ArchivedJob{job}))
+				requireNoError(t, d.Archive().Sync())
 			}
 			if c.snapshot {
-				must(t, d.SaveSnapshot(raft.SnapshotMeta{Index: 4, Term: 1}, 0, writeText("state")))
+				requireNoError(t, d.SaveSnapshot(raft.SnapshotMeta{Index: 4, Term: 1}, 0, writeText("state")))
 			}
 			newest := d.archive.transaction()
-			must(t, d.Close())
+			requireNoError(t, d.Close())
 			for _, back := range c.damaged {
 				damageMeta(t, directory, newest-back)
 			}
@@ -62,14 +62,14 @@
 				}
 				return
 			}
-			must(t, err)
+			requireNoError(t, err)
 			held, err := d.Archive().List("", 9)
-			must(t, err)
+			requireNoError(t, err)
 			if want := 4 - 1 + int(c.damaged[0]); len(held) != want {
 				t.Fatalf("%d jobs are left, want %d", len(held), want)
 			}
-			must(t, d.Close())
-			must(t, open(t, directory).Close())
+			requireNoError(t, d.Close())
+			requireNoError(t, openStore(t, directory).Close())
 		})
 	}
 }
--- a/internal/storage/checksum.go
+++ b/internal/storage/checksum.go
@@ -18,39 +18,39 @@
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, payload)
 }
 
-// seal puts the checksum before a payload.
-func seal(key, payload []byte) []byte {
-	sealed := make([]byte, checksumSize, checksumSize+len(payload))
-	binary.BigEndian.PutUint32(sealed, checksum(key, payload))
-	return append(sealed, payload...)
+// addChecksum puts the checksum before a payload.
+func addChecksum(key, payload []byte) []byte {
+	stored := make([]byte, checksumSize, checksumSize+len(payload))
+	binary.BigEndian.PutUint32(stored, checksum(key, payload))
+	return append(stored, payload...)
 }
 
-// unseal checks a sealed value and returns its payload, which shares memory
+// verifyChecksum checks a sealed value and returns its payload, which shares memory
 // with it.
-func unseal(file string, key, sealed []byte) ([]byte, error) {
-	if len(sealed) < checksumSize {
-		return nil, corrupt(file, "value under key %x has only %d bytes", key, len(sealed))
+func verifyChecksum(file string, key, stored []byte) ([]byte, error) {
+	if len(stored) < checksumSize {
+		return nil, corrupt(file, "value under key %x has only %d bytes", key, len(stored))
 	}
-	payload := sealed[checksumSize:]
-	want := binary.BigEndian.Uint32(sealed)
+	payload := stored[checksumSize:]
+	want := binary.BigEndian.Uint32(stored)
 	if got := checksum(key, payload); got != want {
 		return nil, corrupt(file, "value under key %x has checksum %08x, expected %08x", key, got, want)
 	}
 	return payload, nil
 }
 
-// sealValue encodes and seals a value.
-func sealValue(key []byte, value any) ([]byte, error) {
+// encodeValue encodes and seals a value.
+func encodeValue(key []byte, value any) ([]byte, error) {
 	payload, err := cbor.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
-	return seal(key, payload), nil
+	return addChecksum(key, payload), nil
 }
 
-// unsealValue checks and decodes a value.
-func unsealValue(file string, key, sealed []byte, into any) error {
-	payload, err := unseal(file, key, sealed)
+// decodeValue checks and decodes a value.
+func decodeValue(file string, key, stored []byte, into any) error {
+	payload, err := verifyChecksum(file, key, stored)
 	if err != nil {
 		return err
 	}
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -72,10 +72,10 @@
 // made it, and ErrCorrupt if it does not check.
 func OpenDisk(config DiskConfig) (*Disk, error) {
 	config = config.withDefaults()
-	if err := makeFolder(config.Directory); err != nil {
+	if err := makeDirectory(config.Directory); err != nil {
 		return nil, err
 	}
-	lock, err := lockFolder(config.Directory)
+	lock, err := lockDirectory(config.Directory)
 	if err != nil {
 		return nil, err
 	}
@@ -88,8 +88,8 @@
 	return d, nil
 }
 
-// makeFolder makes the folder's name durable as well, if it is new.
-func makeFolder(directory string) error {
+// makeDirectory makes the folder's name durable as well, if it is new.
+func makeDirectory(directory string) error {
 	_, err := os.Stat(directory)
 	if err == nil {
 		return nil
@@ -101,22 +101,22 @@
 }
 
 func openLocked(config DiskConfig) (*Disk, error) {
-	present, err := folderPresent(config.files, config.Directory)
+	present, err := directoryInitialized(config.files, config.Directory)
 	if err != nil {
 		return nil, err
 	}
 	if !present {
-		if err := createFolder(config); err != nil {
+		if err := createDirectory(config); err != nil {
 			return nil, err
 		}
 		config.Logger.Info("data folder created", "directory", config.Directory)
 	}
-	return openFolder(config)
+	return openDirectory(config)
 }
 
-// folderPresent tells whether the folder was made; the log is the last file to
+// directoryInitialized tells whether the folder was made; the log is the last file to
 // get its name, so all others without it are damage.
-func folderPresent(files fileSystem, directory string) (bool, error) {
+func directoryInitialized(files fileSystem, directory string) (bool, error) {
 	names, err := files.Names(directory)
 	if err != nil {
 		return false, fmt.Errorf("list data folder: %w", err)
@@ -136,9 +136,9 @@
 	return false, nil
 }
 
-// createFolder makes both files under other names first. archive.db.new gets
+// createDirectory makes both files under other names first. archive.db.new gets
 // its name only after the log has, when the folder is opened.
-func createFolder(config DiskConfig) error {
+func createDirectory(config DiskConfig) error {
 	if err := createArchive(config.files, config.Directory); err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 	return raft.ReplicaID(hex.EncodeToString(random[:]))
 }
 
-func openFolder(config DiskConfig) (*Disk, error) {
+func openDirectory(config DiskConfig) (*Disk, error) {
 	numbers, err := segmentNumbers(config.files, config.Directory)
 	if err != nil {
 		return nil, err
@@ -185,7 +185,7 @@
 	if err != nil {
 		return nil, err
 	}
-	err = nameArchive(config.files, config.Directory, log.Empty())
+	err = finishArchiveCreation(config.files, config.Directory, log.Empty())
 	var archive *DiskArchive
 	if err == nil {
 		archive, err = openDiskArchive(config, log.wal.state.ArchiveTransaction)
@@ -194,14 +194,14 @@
 		_ = log.wal.file.Close()
 		return nil, err
 	}
-	log.archived = archive.transaction
+	log.archiveTransaction = archive.transaction
 	return &Disk{diskLog: log, archive: archive}, nil
 }
 
-// nameArchive finishes a creation that stopped between the two renames. A power
+// finishArchiveCreation finishes a creation that stopped between the two renames. A power
 // loss may have taken either name; while the log is empty, so was the archive,
 // and one without its name may be half made.
-func nameArchive(files fileSystem, directory string, empty bool) error {
+func finishArchiveCreation(files fileSystem, directory string, empty bool) error {
 	names, err := files.Names(directory)
 	if err != nil {
 		return fmt.Errorf("list data folder: %w", err)
@@ -224,7 +224,7 @@
 }
 
 func openBolt(path string, options *bbolt.Options) (db *bbolt.DB, err error) {
-	err = guard(path, func() error {
+	err = recoverPageFault(path, func() error {
 		db, err = bbolt.Open(path, filePermission, options)
 		return err
 	})
--- a/internal/storage/diskarchive.go
+++ b/internal/storage/diskarchive.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// maxWaitingJobs bounds the jobs that wait in memory for a transaction.
-	maxWaitingJobs = 1024
-	// maxUnwrittenJobs bounds those that wait for room on a full disk.
-	maxUnwrittenJobs = 16 * maxWaitingJobs
+	// maxPendingJobs bounds the jobs that wait in memory for a transaction.
+	maxPendingJobs = 1024
+	// maxPendingJobsWithoutSpace bounds those that wait for room on a full disk.
+	maxPendingJobsWithoutSpace = 16 * maxPendingJobs
 )
 
 // DiskArchive is a record.Archive in a bbolt file. Put collects jobs in memory;
@@ -28,8 +28,8 @@
 	db *bbolt.DB
 
 	mutex sync.RWMutex
-	// waiting holds jobs that are not in the file yet, by id.
-	waiting map[string]record.ArchivedJob
+	// pending holds jobs that are not in the file yet, by id.
+	pending map[string]record.ArchivedJob
 }
 
 var _ record.Archive = (*DiskArchive)(nil)
@@ -47,11 +47,11 @@
 }
 
 func (a *DiskArchive) view(read func(*bbolt.Tx) error) error {
-	return guard(a.db.Path(), func() error { return a.db.View(read) })
+	return recoverPageFault(a.db.Path(), func() error { return a.db.View(read) })
 }
 
 func (a *DiskArchive) update(change func(*bbolt.Tx) error) error {
-	return guard(a.db.Path(), func() error { return a.db.Update(change) })
+	return recoverPageFault(a.db.Path(), func() error { return a.db.Update(change) })
 }
 
 // Bytes implements record.Archive: the pages in use. The file does not shrink,
@@ -71,9 +71,9 @@
 	err = a.view(func(tx *bbolt.Tx) error {
 		jobs, cursor := tx.Bucket(jobsBucket), tx.Bucket(endedBucket).Cursor()
 		for key, _ := cursor.First(); key != nil && bytes > 0 && count < limit; key, _ = cursor.Next() {
-			end = endOf(key)
+			end = endedAtOf(key)
 			// Each of the three buckets has a key of about this length.
-			bytes -= int64(len(jobs.Get(idOf(key))) + len(archiveBuckets)*len(key))
+			bytes -= int64(len(jobs.Get(jobIDOf(key))) + len(archiveBuckets)*len(key))
 			count++
 		}
 		return nil
@@ -87,13 +87,13 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for _, job := range jobs {
-		a.waiting[job.ID] = job
+		a.pending[job.ID] = job
 	}
-	if len(a.waiting) < maxWaitingJobs {
+	if len(a.pending) < maxPendingJobs {
 		return nil
 	}
 	err := a.flush()
-	if errors.Is(refused(err), ErrNoRoom) && len(a.waiting) < maxUnwrittenJobs {
+	if errors.Is(classifyWriteError(err), ErrNoSpace) && len(a.pending) < maxPendingJobsWithoutSpace {
 		return nil
 	}
 	return err
@@ -108,11 +108,11 @@
 
 // flush writes the waiting jobs; the lock is held.
 func (a *DiskArchive) flush() error {
-	if len(a.waiting) == 0 {
+	if len(a.pending) == 0 {
 		return nil
 	}
 	err := a.update(func(tx *bbolt.Tx) error {
-		for _, job := range a.waiting {
+		for _, job := range a.pending {
 			if err := putJob(a.db.Path(), tx, job); err != nil {
 				return err
 			}
@@ -122,7 +122,7 @@
 	if err != nil {
 		return fmt.Errorf("write archive: %w", err)
 	}
-	clear(a.waiting)
+	clear(a.pending)
 	return nil
 }
 
@@ -130,7 +130,7 @@
 func (a *DiskArchive) Get(id string) (job record.ArchivedJob, known bool, err error) {
 	a.mutex.RLock()
 	defer a.mutex.RUnlock()
-	if job, known := a.waiting[id]; known {
+	if job, known := a.pending[id]; known {
 		return job, true, nil
 	}
 	err = a.view(func(tx *bbolt.Tx) error {
@@ -142,7 +142,7 @@
 
 // Page implements record.Archive.
 func (a *DiskArchive) Page(afterIndex uint64, afterID string, limit int) ([]record.ArchivedJob, error) {
-	return a.scan(indexBucket, indexKey(afterIndex, afterID), limit, idOf)
+	return a.scan(indexBucket, indexKey(afterIndex, afterID), limit, jobIDOf)
 }
 
 // List implements record.Archive.
@@ -150,7 +150,7 @@
 	return a.scan(jobsBucket, []byte(afterID), limit, func(key []byte) []byte { return key })
 }
 
-// scan returns at most limit jobs in the order of a bucket's keys, after a key.
+// scanBatches returns at most limit jobs in the order of a bucket's keys, after a key.
 func (a *DiskArchive) scan(bucket, after []byte, limit int, id func([]byte) []byte) ([]record.ArchivedJob, error) {
 	if err := a.Sync(); err != nil {
 		return nil, err
--- a/internal/storage/diskload.go
+++ b/internal/storage/diskload.go
@@ -8,67 +8,67 @@
 
 // Load implements Store. It also finishes an InstallSnapshot that was
 // interrupted between the snapshot file and the log.
-func (d *diskLog) Load() (Loaded, error) {
-	var loaded Loaded
+func (d *diskLog) Load() (LoadedState, error) {
+	var loaded LoadedState
 	snapshot, data, found, err := readSnapshotFile(d.files, d.directory)
 	if err != nil {
-		return Loaded{}, err
+		return LoadedState{}, err
 	}
 	if found {
 		loaded.Snapshot, loaded.SnapshotData = snapshot, data
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if loaded.Entries, err = d.heldEntries(); err != nil {
-		return Loaded{}, err
+	if loaded.Entries, err = d.loadEntries(); err != nil {
+		return LoadedState{}, err
 	}
 	loaded.HardState = d.hardState
-	if noted := d.wal.state.SnapshotIndex; noted > loaded.Snapshot.Index {
-		return Loaded{}, corrupt(filepath.Join(d.directory, snapshotFile),
-			"is of index %d, expected at least %d", loaded.Snapshot.Index, noted)
-	} else if noted < loaded.Snapshot.Index {
+	if recorded := d.wal.state.SnapshotIndex; recorded > loaded.Snapshot.Index {
+		return LoadedState{}, corrupt(filepath.Join(d.directory, snapshotFile),
+			"is of index %d, expected at least %d", loaded.Snapshot.Index, recorded)
+	} else if recorded < loaded.Snapshot.Index {
 		if err := d.finishSnapshot(&loaded); err != nil {
-			return Loaded{}, err
+			return LoadedState{}, err
 		}
 	}
 	path := d.wal.newestPath()
 	if last := loaded.last(); last != d.wal.state.LastIndex {
-		return Loaded{}, corrupt(path, "log ends at %d, expected %d", last, d.wal.state.LastIndex)
+		return LoadedState{}, corrupt(path, "log ends at %d, expected %d", last, d.wal.state.LastIndex)
 	}
 	if err := checkLoaded(path, loaded); err != nil {
-		return Loaded{}, err
+		return LoadedState{}, err
 	}
 	return loaded, nil
 }
 
-// heldEntries are those found at the start, read again after a change. The
+// loadEntries are those found at the start, read again after a change. The
 // lock is held.
-func (d *diskLog) heldEntries() ([]raft.Entry, error) {
-	if !d.fresh {
+func (d *diskLog) loadEntries() ([]raft.Entry, error) {
+	if !d.replayValid {
 		return d.wal.read()
 	}
-	entries := d.replayed
-	d.fresh, d.replayed = false, nil
+	entries := d.replayedEntries
+	d.replayValid, d.replayedEntries = false, nil
 	return entries, nil
 }
 
 // finishSnapshot brings the log up to a newer snapshot file. The log is dropped
 // unless it holds the snapshot's last entry.
-func (d *diskLog) finishSnapshot(loaded *Loaded) error {
+func (d *diskLog) finishSnapshot(loaded *LoadedState) error {
 	meta := loaded.Snapshot
-	keep := holds(loaded.Entries, meta)
-	archived := d.archived()
-	note := d.dropNote(meta, archived)
+	keep := containsEntry(loaded.Entries, meta)
+	archiveTransaction := d.archiveTransaction()
+	snapshot := d.dropLogRecord(meta, archiveTransaction)
 	if keep {
 		state := d.wal.state
-		note = snapshotNote{
-			Index: meta.Index, Term: meta.Term, ArchiveTransaction: archived,
+		snapshot = snapshotRecord{
+			Index: meta.Index, Term: meta.Term, ArchiveTransaction: archiveTransaction,
 			FirstIndex: state.FirstIndex, FirstSegment: state.FirstSegment,
 		}
 	} else {
 		loaded.Entries = nil
 	}
-	if err := d.noteSnapshot(note); err != nil {
+	if err := d.appendSnapshotRecord(snapshot); err != nil {
 		return err
 	}
 	d.logger.Info("interrupted snapshot finished", "index", meta.Index, "log_kept", keep)
@@ -76,15 +76,15 @@
 }
 
 // last is the last entry's index, or the snapshot's if there is none.
-func (l Loaded) last() uint64 {
+func (l LoadedState) last() uint64 {
 	if n := len(l.Entries); n > 0 {
 		return l.Entries[n-1].Index
 	}
 	return l.Snapshot.Index
 }
 
-// holds tells whether entries hold the one that a snapshot ends with.
-func holds(entries []raft.Entry, snapshot raft.SnapshotMeta) bool {
+// containsEntry tells whether entries hold the one that a snapshot ends with.
+func containsEntry(entries []raft.Entry, snapshot raft.SnapshotMeta) bool {
 	for _, entry := range entries {
 		if entry.Index == snapshot.Index {
 			return entry.Term == snapshot.Term
@@ -94,7 +94,7 @@
 }
 
 // checkLoaded refuses gaps, and a commit index beyond all that is held.
-func checkLoaded(file string, loaded Loaded) error {
+func checkLoaded(file string, loaded LoadedState) error {
 	last := loaded.Snapshot.Index
 	for i, entry := range loaded.Entries {
 		if i == 0 && entry.Index > last+1 {
--- a/internal/storage/disklog.go
+++ b/internal/storage/disklog.go
@@ -12,9 +12,9 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// maxKeptSegments bounds what is kept behind a snapshot for followers that lag,
+// maxRetainedSegments bounds what is kept behind a snapshot for followers that lag,
 // in segments of the usual length.
-const maxKeptSegments = 3
+const maxRetainedSegments = 3
 
 // diskLog is the part of a data folder that raft needs: the write-ahead log
 // and the snapshot. Its methods may be called from several goroutines.
@@ -22,20 +22,20 @@
 	files     fileSystem
 	directory string
 	logger    *slog.Logger
-	// archived is the newest durable transaction of the archive.
-	archived func() uint64
+	// archiveTransaction is the newest durable transaction of the archive.
+	archiveTransaction func() uint64
 
-	// snapshots is held while the snapshot file is replaced.
-	snapshots sync.Mutex
+	// snapshotMutex is held while the snapshot file is replaced.
+	snapshotMutex sync.Mutex
 
 	mutex sync.Mutex // guards the fields below
 	wal   *writeAheadLog
 	empty bool
 	// hardState is the newest one; the files may lack its commit index.
 	hardState raft.HardState
-	// replayed are the entries found at the start, until the first change.
-	replayed []raft.Entry
-	fresh    bool
+	// replayedEntries are the entries found at the start, until the first change.
+	replayedEntries []raft.Entry
+	replayValid     bool
 }
 
 // openDiskLog opens the log in a folder that holds one.
@@ -44,10 +44,10 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &diskLog{files: files, directory: directory, logger: logger, wal: wal, replayed: entries, fresh: true}
-	d.archived = func() uint64 { return wal.state.ArchiveTransaction }
+	d := &diskLog{files: files, directory: directory, logger: logger, wal: wal, replayedEntries: entries, replayValid: true}
+	d.archiveTransaction = func() uint64 { return wal.state.ArchiveTransaction }
 	d.hardState = wal.state.HardState
-	found, err := d.cleanSnapshots()
+	found, err := d.removeUnfinishedSnapshot()
 	if err != nil {
 		_ = wal.file.Close()
 		return nil, err
@@ -56,9 +56,9 @@
 	return d, nil
 }
 
-// cleanSnapshots removes one whose writing was interrupted, and tells whether
+// removeUnfinishedSnapshot removes one whose writing was interrupted, and tells whether
 // there is a whole one.
-func (d *diskLog) cleanSnapshots() (found bool, err error) {
+func (d *diskLog) removeUnfinishedSnapshot() (found bool, err error) {
 	names, err := d.files.Names(d.directory)
 	if err != nil {
 		return false, fmt.Errorf("list data folder: %w", err)
@@ -111,12 +111,12 @@
 }
 
 // append is called with the lock held.
-func (d *diskLog) append(batch walBatch, sync bool, doing string) error {
+func (d *diskLog) append(batch walBatch, sync bool, operation string) error {
 	if batch.records() > 0 {
-		d.empty, d.fresh, d.replayed = false, false, nil
+		d.empty, d.replayValid, d.replayedEntries = false, false, nil
 	}
 	if err := d.wal.append(batch, sync); err != nil {
-		return fmt.Errorf("%s: %w", doing, err)
+		return fmt.Errorf("%s: %w", operation, err)
 	}
 	return nil
 }
@@ -134,38 +134,38 @@
 // says so, and that before a segment is removed. A snapshot that is not newer
 // than the present one is passed over.
 func (d *diskLog) SaveSnapshot(meta raft.SnapshotMeta, keepEntries uint64, write func(io.Writer) error) error {
-	d.snapshots.Lock()
-	defer d.snapshots.Unlock()
+	d.snapshotMutex.Lock()
+	defer d.snapshotMutex.Unlock()
 	if stale, err := d.hasNewerSnapshot(meta); stale || err != nil {
 		return err
 	}
-	archived := d.archived()
+	archiveTransaction := d.archiveTransaction()
 	if err := writeSnapshotFile(d.files, d.directory, meta, write); err != nil {
 		return err
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	forget := meta.Index - min(meta.Index, keepEntries)
-	number, bytes := d.wal.firstNeeded(forget)
-	if bytes > maxKeptSegments*d.wal.segmentSize {
-		forget = meta.Index
-		number, _ = d.wal.firstNeeded(forget)
-	}
-	note := snapshotNote{Index: meta.Index, Term: meta.Term, FirstSegment: number, ArchiveTransaction: archived}
-	note.FirstIndex = max(forget+1, d.wal.state.FirstIndex)
-	return d.noteSnapshot(note)
+	compactIndex := meta.Index - min(meta.Index, keepEntries)
+	number, bytes := d.wal.oldestNeeded(compactIndex)
+	if bytes > maxRetainedSegments*d.wal.segmentSize {
+		compactIndex = meta.Index
+		number, _ = d.wal.oldestNeeded(compactIndex)
+	}
+	snapshot := snapshotRecord{Index: meta.Index, Term: meta.Term, FirstSegment: number, ArchiveTransaction: archiveTransaction}
+	snapshot.FirstIndex = max(compactIndex+1, d.wal.state.FirstIndex)
+	return d.appendSnapshotRecord(snapshot)
 }
 
-// noteSnapshot is called with the lock held.
-func (d *diskLog) noteSnapshot(note snapshotNote) error {
-	batch, err := noteBatch(note)
+// appendSnapshotRecord is called with the lock held.
+func (d *diskLog) appendSnapshotRecord(snapshot snapshotRecord) error {
+	batch, err := newSnapshotBatch(snapshot)
 	if err != nil {
 		return fmt.Errorf("note snapshot: %w", err)
 	}
 	if err := d.append(batch, true, "note snapshot"); err != nil {
 		return err
 	}
-	return d.wal.removeBefore(note.FirstSegment)
+	return d.wal.removeBefore(snapshot.FirstSegment)
 }
 
 // hasNewerSnapshot: one from the leader was installed while this was prepared.
@@ -183,26 +183,26 @@
 // InstallSnapshot implements Store. If it is interrupted after the file got
 // its name, Load finds the log behind the snapshot and drops it.
 func (d *diskLog) InstallSnapshot(meta raft.SnapshotMeta, data io.Reader) error {
-	d.snapshots.Lock()
-	defer d.snapshots.Unlock()
+	d.snapshotMutex.Lock()
+	defer d.snapshotMutex.Unlock()
 	copyData := func(writer io.Writer) error {
 		_, err := io.Copy(writer, data)
 		return err
 	}
-	archived := d.archived()
+	archiveTransaction := d.archiveTransaction()
 	if err := writeSnapshotFile(d.files, d.directory, meta, copyData); err != nil {
 		return err
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.noteSnapshot(d.dropNote(meta, archived))
+	return d.appendSnapshotRecord(d.dropLogRecord(meta, archiveTransaction))
 }
 
-// dropNote leaves the snapshot alone. The newest segment stays, since it holds
+// dropLogRecord leaves the snapshot alone. The newest segment stays, since it holds
 // the note.
-func (d *diskLog) dropNote(meta raft.SnapshotMeta, archived uint64) snapshotNote {
-	return snapshotNote{
-		Index: meta.Index, Term: meta.Term, DropLog: true, ArchiveTransaction: archived,
+func (d *diskLog) dropLogRecord(meta raft.SnapshotMeta, archiveTransaction uint64) snapshotRecord {
+	return snapshotRecord{
+		Index: meta.Index, Term: meta.Term, DropLog: true, ArchiveTransaction: archiveTransaction,
 		FirstIndex: meta.Index + 1, FirstSegment: d.wal.newest().number,
 	}
 }
--- a/internal/storage/flip_test.go
+++ b/internal/storage/flip_test.go
@@ -12,22 +12,22 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// TestAnyFlippedBit: whatever bit of a log that was closed in order is wrong, a
+// TestOpen_AnyFlippedBitDetected: whatever bit of a log that was closed in order is wrong, a
 // start refuses, or finds all that was saved if the bit is behind that.
-func TestAnyFlippedBit(t *testing.T) {
+func TestOpen_AnyFlippedBitDetected(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, segmentName(firstSegment))
-	d := open(t, directory)
-	must(t, d.Save(&raft.HardState{Term: 1, VotedFor: "b", Commit: 3}, entries(1, 200, 1), true))
-	must(t, d.Save(nil, entries(201, 300, 1), true))
+	d := openStore(t, directory)
+	requireNoError(t, d.Save(&raft.HardState{Term: 1, VotedFor: "b", Commit: 3}, entries(1, 200, 1), true))
+	requireNoError(t, d.Save(nil, entries(201, 300, 1), true))
 	used := int(d.wal.offset)
-	must(t, d.Close())
+	requireNoError(t, d.Close())
 	id := d.ReplicaID()
 	intact, err := os.ReadFile(path)
-	must(t, err)
-	d = open(t, directory)
-	want := load(t, d)
-	must(t, d.Close())
+	requireNoError(t, err)
+	d = openStore(t, directory)
+	want := loadState(t, d)
+	requireNoError(t, d.Close())
 
 	random := rand.New(rand.NewPCG(1, 1))
 	for i := range 90 {
@@ -40,12 +40,12 @@
 			at = used - 1 - random.IntN(1000)
 		}
 		damaged[at] ^= 1 << random.IntN(8)
-		must(t, os.WriteFile(path, damaged, filePermission))
+		requireNoError(t, os.WriteFile(path, damaged, filePermission))
 		d, err := OpenDisk(DiskConfig{Directory: directory})
-		var loaded Loaded
+		var loaded LoadedState
 		if err == nil {
 			loaded, err = d.Load()
-			must(t, d.Close())
+			requireNoError(t, d.Close())
 		}
 		switch {
 		case errors.Is(err, ErrCorrupt) && at < used:
