--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -19,22 +19,22 @@
 // and that a value which checks is one that was sealed under its key.
 func FuzzUnseal(f *testing.F) {
 	key := []byte("job-7")
-	sealed, err := sealValue(key, record.ArchivedJob{ID: "job-7", Index: 3, EndedAt: 9})
-	must(f, err)
-	f.Add(key, sealed)
-	f.Add(key, seal(key, nil))
+	stored, err := encodeValue(key, record.ArchivedJob{ID: "job-7", Index: 3, EndedAt: 9})
+	requireNoError(f, err)
+	f.Add(key, stored)
+	f.Add(key, addChecksum(key, nil))
 	f.Add([]byte{}, []byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, key, value []byte) {
 		const file = "folder/archive.db"
 		var job record.ArchivedJob
-		checkRefusal(t, file, unsealValue(file, key, value, &job))
-		payload, err := unseal(file, key, value)
+		checkRefusal(t, file, decodeValue(file, key, value, &job))
+		payload, err := verifyChecksum(file, key, value)
 		checkRefusal(t, file, err)
-		if err == nil && !bytes.Equal(seal(key, payload), value) {
+		if err == nil && !bytes.Equal(addChecksum(key, payload), value) {
 			t.Fatalf("%x checks, but is not what is sealed", value)
 		}
 		// A payload that checks, whatever is in it.
-		checkRefusal(t, file, unsealValue(file, key, seal(key, value), &job))
+		checkRefusal(t, file, decodeValue(file, key, addChecksum(key, value), &job))
 	})
 }
 
@@ -44,9 +44,9 @@
 	state := raft.HardState{Term: 3, VotedFor: "a", Commit: 1}
 	batch := walBatch{hardState: &state, entries: entries(1, 2, 3), closed: true}
 	f.Add(batch.encode(nil, 4, 3))
-	note, err := noteBatch(snapshotNote{Index: 5, Term: 1, FirstIndex: 3, FirstSegment: 2})
-	must(f, err)
-	f.Add(note.encode(nil, 1, 0))
+	snapshot, err := newSnapshotBatch(snapshotRecord{Index: 5, Term: 1, FirstIndex: 3, FirstSegment: 2})
+	requireNoError(f, err)
+	f.Add(snapshot.encode(nil, 1, 0))
 	f.Add(make([]byte, recordHeaderSize))
 	f.Add([]byte{255, 255, 255, 255})
 	f.Fuzz(func(t *testing.T, content []byte) {
@@ -74,14 +74,14 @@
 func FuzzSegment(f *testing.F) {
 	const size = 2048
 	files := newPowerFiles(1)
-	must(f, createLog(files, "d", "0123456789abcdef", size))
+	requireNoError(f, createLog(files, "d", "0123456789abcdef", size))
 	path := filepath.Join("d", segmentName(firstSegment))
 	log, _, err := openLog(files, "d", discard(), size, []uint64{firstSegment})
-	must(f, err)
-	must(f, log.append(walBatch{hardState: &raft.HardState{Term: 1, VotedFor: "a"}, entries: entries(1, 3, 1)}, true))
+	requireNoError(f, err)
+	requireNoError(f, log.append(walBatch{hardState: &raft.HardState{Term: 1, VotedFor: "a"}, entries: entries(1, 3, 1)}, true))
 	f.Add(files.content(path))
-	must(f, log.append(walBatch{entries: entries(3, 4, 2)}, true))
-	must(f, log.close())
+	requireNoError(f, log.append(walBatch{entries: entries(3, 4, 2)}, true))
+	requireNoError(f, log.close())
 	f.Add(files.content(path))
 	f.Add(files.content(path)[:300])
 	f.Add([]byte{})
@@ -94,7 +94,7 @@
 			return
 		}
 		_, again, err := openLog(files, "d", discard(), size, []uint64{firstSegment})
-		must(t, err)
+		requireNoError(t, err)
 		if diff := cmp.Diff(held, again); diff != "" {
 			t.Fatalf("reads differently once its end was cut: %s", diff)
 		}
@@ -115,7 +115,7 @@
 	meta := raft.SnapshotMeta{Index: 9, Term: 2, Membership: raft.Membership{Voters: []raft.Member{{ID: "a", Name: "control-1"}}}}
 	for _, content := range []string{"", "what the record wrote"} {
 		var file bytes.Buffer
-		must(f, writeSnapshotTo(&file, meta, writeText(content)))
+		requireNoError(f, writeSnapshotTo(&file, meta, writeText(content)))
 		f.Add(file.Bytes())
 		f.Add(file.Bytes()[:file.Len()-1])
 	}
@@ -124,15 +124,15 @@
 	directory := f.TempDir()
 	f.Fuzz(func(t *testing.T, content []byte) {
 		path := filepath.Join(directory, snapshotFile)
-		must(t, os.WriteFile(path, content, filePermission))
+		requireNoError(t, os.WriteFile(path, content, filePermission))
 		meta, data, found, err := readSnapshotFile(systemFiles{}, directory)
 		checkRefusal(t, path, err)
 		if err != nil {
 			return
 		}
-		must(t, writeSnapshotFile(systemFiles{}, directory, meta, writeText(string(data))))
+		requireNoError(t, writeSnapshotFile(systemFiles{}, directory, meta, writeText(string(data))))
 		again, dataAgain, foundAgain, err := readSnapshotFile(systemFiles{}, directory)
-		must(t, err)
+		requireNoError(t, err)
 		if diff := cmp.Diff(meta, again); !found || !foundAgain || diff != "" || !bytes.Equal(data, dataAgain) {
 			t.Fatalf("reads differently after it was written: %s", diff)
 		}
--- a/internal/storage/guard.go
+++ b/internal/storage/guard.go
@@ -10,10 +10,10 @@
 	return fmt.Errorf("%w: %s: %s", ErrCorrupt, file, fmt.Sprintf(format, args...))
 }
 
-// guard runs a read of a bbolt file. bbolt trusts its pages and panics on ones
+// recoverPageFault runs a read of a bbolt file. bbolt trusts its pages and panics on ones
 // that make no sense, and a file cut short faults when its mapping is read:
 // both become ErrCorrupt.
-func guard(file string, read func() error) (err error) {
+func recoverPageFault(file string, read func() error) (err error) {
 	old := debug.SetPanicOnFault(true)
 	defer debug.SetPanicOnFault(old)
 	defer func() {
--- a/internal/storage/lock.go
+++ b/internal/storage/lock.go
@@ -12,8 +12,8 @@
 // creation on; bbolt's own locks cover only files that are there.
 const lockFile = "lock"
 
-// lockFolder returns ErrLocked at once if another process holds the lock.
-func lockFolder(directory string) (*os.File, error) {
+// lockDirectory returns ErrLocked at once if another process holds the lock.
+func lockDirectory(directory string) (*os.File, error) {
 	path := filepath.Join(directory, lockFile)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, filePermission)
 	if err != nil {
--- a/internal/storage/logbench_test.go
+++ b/internal/storage/logbench_test.go
@@ -41,9 +41,9 @@
 	for _, batch := range []uint64{1, 16, 256} {
 		b.Run(fmt.Sprintf("write-ahead/batch-%d", batch), func(b *testing.B) {
 			directory := b.TempDir()
-			must(b, createLog(slowFiles{}, directory, "0123456789abcdef", defaultSegmentSize))
+			requireNoError(b, createLog(slowFiles{}, directory, "0123456789abcdef", defaultSegmentSize))
 			wal, _, err := openLog(slowFiles{}, directory, discard(), defaultSegmentSize, []uint64{firstSegment})
-			must(b, err)
+			requireNoError(b, err)
 			defer func() { _ = wal.close() }()
 			benchmarkBatches(b, batch, func(made []raft.Entry) error {
 				return wal.append(walBatch{entries: made}, true)
@@ -52,10 +52,10 @@
 		b.Run(fmt.Sprintf("bbolt/batch-%d", batch), func(b *testing.B) {
 			db, err := bbolt.Open(filepath.Join(b.TempDir(), earlierLogFile), filePermission,
 				&bbolt.Options{NoSync: true, FreelistType: bbolt.FreelistMapType, InitialMmapSize: 64 << 20})
-			must(b, err)
+			requireNoError(b, err)
 			defer func() { _ = db.Close() }()
 			benchmarkBatches(b, batch, func(made []raft.Entry) error {
-				err := db.Update(func(tx *bbolt.Tx) error { return putEarlier(tx, made) })
+				err := db.Update(func(tx *bbolt.Tx) error { return putEarlierFormat(tx, made) })
 				time.Sleep(2 * simulatedSync)
 				return err
 			})
@@ -63,8 +63,8 @@
 	}
 }
 
-// putEarlier is what earlier versions did in the transaction of a batch.
-func putEarlier(tx *bbolt.Tx, made []raft.Entry) error {
+// putEarlierFormat is what earlier versions did in the transaction of a batch.
+func putEarlierFormat(tx *bbolt.Tx, made []raft.Entry) error {
 	bucket, err := tx.CreateBucketIfNotExists([]byte("log"))
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 	bucket.FillPercent = 0.95
 	for i := range made {
 		key := binary.BigEndian.AppendUint64(nil, made[i].Index)
-		if err := bucket.Put(key, seal(key, appendEntry(nil, &made[i]))); err != nil {
+		if err := bucket.Put(key, addChecksum(key, appendEntry(nil, &made[i]))); err != nil {
 			return err
 		}
 	}
@@ -81,11 +81,11 @@
 		return err
 	}
 	key := []byte("state")
-	sealed, err := sealValue(key, walState{LastIndex: made[len(made)-1].Index})
+	stored, err := encodeValue(key, walState{LastIndex: made[len(made)-1].Index})
 	if err != nil {
 		return err
 	}
-	return meta.Put(key, sealed)
+	return meta.Put(key, stored)
 }
 
 func benchmarkBatches(b *testing.B, batch uint64, save func([]raft.Entry) error) {
@@ -98,7 +98,7 @@
 			made[i] = raft.Entry{Index: next, Term: 1, Data: data}
 			next++
 		}
-		must(b, save(made))
+		requireNoError(b, save(made))
 	}
 	b.ReportMetric(float64(next-1)/b.Elapsed().Seconds(), "entries/s")
 }
--- a/internal/storage/memory.go
+++ b/internal/storage/memory.go
@@ -21,7 +21,7 @@
 
 	mutex    sync.Mutex
 	synced   memoryState
-	unsynced []memorySave
+	unsynced []unsyncedWrite
 }
 
 var _ Store = (*Memory)(nil)
@@ -35,8 +35,8 @@
 	entries      []raft.Entry
 }
 
-// memorySave is one call of Save.
-type memorySave struct {
+// unsyncedWrite is one call of Save.
+type unsyncedWrite struct {
 	hardState *raft.HardState
 	entries   []raft.Entry
 }
@@ -69,7 +69,7 @@
 }
 
 // Load implements Store.
-func (m *Memory) Load() (Loaded, error) {
+func (m *Memory) Load() (LoadedState, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	state := m.synced
@@ -77,7 +77,7 @@
 	for _, save := range m.unsynced {
 		state.apply(save)
 	}
-	loaded := Loaded{
+	loaded := LoadedState{
 		HardState:    state.hardState,
 		Snapshot:     state.snapshot,
 		SnapshotData: state.snapshotData,
@@ -90,7 +90,7 @@
 func (m *Memory) Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	save := memorySave{entries: slices.Clone(entries)}
+	save := unsyncedWrite{entries: slices.Clone(entries)}
 	if hardState != nil {
 		copied := *hardState
 		save.hardState = &copied
@@ -109,7 +109,7 @@
 	m.unsynced = nil
 }
 
-func (s *memoryState) apply(save memorySave) {
+func (s *memoryState) apply(save unsyncedWrite) {
 	s.used = true
 	if save.hardState != nil {
 		s.hardState = *save.hardState
--- a/internal/storage/memoryarchive.go
+++ b/internal/storage/memoryarchive.go
@@ -56,8 +56,8 @@
 // Page implements record.Archive.
 func (a *MemoryArchive) Page(afterIndex uint64, afterID string, limit int) ([]record.ArchivedJob, error) {
 	after := record.ArchivedJob{Index: afterIndex, ID: afterID}
-	jobs := a.sorted(byPlace)
-	jobs = slices.DeleteFunc(jobs, func(job record.ArchivedJob) bool { return byPlace(job, after) <= 0 })
+	jobs := a.sorted(byIndex)
+	jobs = slices.DeleteFunc(jobs, func(job record.ArchivedJob) bool { return byIndex(job, after) <= 0 })
 	return jobs[:min(limit, len(jobs))], nil
 }
 
@@ -70,7 +70,7 @@
 
 // Expire implements record.Archive.
 func (a *MemoryArchive) Expire(before record.Millis, limit int) (int, error) {
-	jobs := a.sorted(byEnd)
+	jobs := a.sorted(byEndedAt)
 	jobs = slices.DeleteFunc(jobs, func(job record.ArchivedJob) bool { return job.EndedAt >= before })
 	jobs = jobs[:min(limit, len(jobs))]
 	a.mutex.Lock()
@@ -93,7 +93,7 @@
 
 // OldestEnd implements record.Archive.
 func (a *MemoryArchive) OldestEnd(bytes int64, limit int) (record.Millis, int, error) {
-	jobs := a.sorted(byEnd)
+	jobs := a.sorted(byEndedAt)
 	count := min(int((bytes+memoryJobBytes-1)/memoryJobBytes), limit, len(jobs))
 	if count <= 0 {
 		return 0, 0, nil
@@ -115,10 +115,10 @@
 	return slices.SortedFunc(maps.Values(a.jobs), order)
 }
 
-func byPlace(x, y record.ArchivedJob) int {
+func byIndex(x, y record.ArchivedJob) int {
 	return cmp.Or(cmp.Compare(x.Index, y.Index), strings.Compare(x.ID, y.ID))
 }
 
-func byEnd(x, y record.ArchivedJob) int {
+func byEndedAt(x, y record.ArchivedJob) int {
 	return cmp.Or(cmp.Compare(x.EndedAt, y.EndedAt), strings.Compare(x.ID, y.ID))
 }
--- a/internal/storage/power_test.go
+++ b/internal/storage/power_test.go
@@ -23,15 +23,15 @@
 	powerSteps       = 40
 )
 
-// powerRun drives a log as raft does, and knows every state that its files may
+// powerLossRun drives a log as raft does, and knows every state that its files may
 // be found in after a loss of power.
-type powerRun struct {
+type powerLossRun struct {
 	random *rand.Rand
-	files  *powerFiles
+	files  *powerLossFiles
 	log    *diskLog
 	// states are what each step made of the log, oldest first; the files may
 	// hold any of them from floor on.
-	states []Loaded
+	states []LoadedState
 	floor  int
 	// newest is the newest hard state handed over, committed or not.
 	newest raft.HardState
@@ -39,19 +39,19 @@
 	faults map[string]int
 }
 
-func (r *powerRun) state() Loaded { return r.states[len(r.states)-1] }
+func (r *powerLossRun) state() LoadedState { return r.states[len(r.states)-1] }
 
-func (r *powerRun) add(state Loaded) { r.states = append(r.states, state) }
+func (r *powerLossRun) add(state LoadedState) { r.states = append(r.states, state) }
 
 // done marks that a step returned and all up to it is durable.
-func (r *powerRun) done() { r.floor = len(r.states) - 1 }
+func (r *powerLossRun) done() { r.floor = len(r.states) - 1 }
 
-// TestPowerLoss: whatever was saved before a sync returned is there after a
+// TestPowerLoss_LogRecovers: whatever was saved before a sync returned is there after a
 // loss of power, and what is there is the log as it stood after some step.
-func TestPowerLoss(t *testing.T) {
+func TestPowerLoss_LogRecovers(t *testing.T) {
 	faults := make(map[string]int)
 	for seed := range uint64(powerSeeds) {
-		r := &powerRun{random: rand.New(rand.NewPCG(seed, 2)), files: newPowerFiles(seed), faults: faults}
+		r := &powerLossRun{random: rand.New(rand.NewPCG(seed, 2)), files: newPowerFiles(seed), faults: faults}
 		if err := r.run(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -63,11 +63,11 @@
 	}
 }
 
-func (r *powerRun) run() error {
+func (r *powerLossRun) run() error {
 	if err := createLog(r.files, powerDirectory, "0123456789abcdef", powerSegmentSize); err != nil {
 		return err
 	}
-	r.states = []Loaded{{}}
+	r.states = []LoadedState{{}}
 	for round := range powerRounds {
 		if err := r.open(); err != nil {
 			return fmt.Errorf("round %d: %w", round, err)
@@ -84,7 +84,7 @@
 }
 
 // fault ends the process, at times with the power.
-func (r *powerRun) fault() {
+func (r *powerLossRun) fault() {
 	switch r.random.IntN(4) {
 	case 0:
 		r.files.killProcess()
@@ -98,9 +98,9 @@
 	}
 }
 
-// open starts anew, at times with a fault amid the start, and checks what is
+// openStore starts anew, at times with a fault amid the start, and checks what is
 // found.
-func (r *powerRun) open() error {
+func (r *powerLossRun) open() error {
 	r.files.failAfter = -1
 	if r.random.IntN(3) == 0 {
 		r.files.failAfter = r.random.IntN(4)
@@ -117,18 +117,18 @@
 	return r.check(loaded)
 }
 
-func (r *powerRun) reopen() (Loaded, error) {
+func (r *powerLossRun) reopen() (LoadedState, error) {
 	numbers, err := segmentNumbers(r.files, powerDirectory)
 	if err != nil {
-		return Loaded{}, err
+		return LoadedState{}, err
 	}
 	logger := slog.New(slog.NewTextHandler(faultCounter(r.faults), nil))
 	if r.log, err = openDiskLog(r.files, powerDirectory, logger, powerSegmentSize, numbers); err != nil {
-		return Loaded{}, err
+		return LoadedState{}, err
 	}
 	left, err := segmentNumbers(r.files, powerDirectory)
 	if err != nil {
-		return Loaded{}, err
+		return LoadedState{}, err
 	}
 	if len(left) < len(numbers) && left[0] > numbers[0] {
 		r.faults["leftover"]++
@@ -150,21 +150,21 @@
 
 // check finds the state that was loaded among the possible ones, and goes on
 // from there.
-func (r *powerRun) check(loaded Loaded) error {
+func (r *powerLossRun) check(loaded LoadedState) error {
 	r.files.failAfter = -1
-	found := slices.ContainsFunc(r.states[r.floor:], func(state Loaded) bool { return stands(loaded, state) })
+	found := slices.ContainsFunc(r.states[r.floor:], func(state LoadedState) bool { return matchesState(loaded, state) })
 	if !found {
 		return fmt.Errorf("found what was never there: %s", cmp.Diff(r.states[r.floor], loaded))
 	}
-	r.states, r.floor = []Loaded{loaded}, 0
+	r.states, r.floor = []LoadedState{loaded}, 0
 	r.newest = loaded.HardState
 	r.newest.Commit = max(r.newest.Commit, loaded.Snapshot.Index)
 	r.term = max(r.term, loaded.HardState.Term)
 	return nil
 }
 
-// stands: entries that a snapshot covers may be forgotten or not.
-func stands(loaded, state Loaded) bool {
+// matchesState: entries that a snapshot covers may be forgotten or not.
+func matchesState(loaded, state LoadedState) bool {
 	covered := func(entry raft.Entry) bool { return entry.Index <= state.Snapshot.Index }
 	needed := slices.DeleteFunc(slices.Clone(state.Entries), covered)
 	if len(loaded.Entries) < len(needed) || len(loaded.Entries) > len(state.Entries) {
@@ -179,7 +179,7 @@
 	return a.Index == b.Index && a.Term == b.Term && a.Kind == b.Kind && bytes.Equal(a.Data, b.Data)
 }
 
-func (r *powerRun) step() error {
+func (r *powerLossRun) step() error {
 	switch n := r.random.IntN(20); {
 	case n == 0:
 		return r.snapshot()
@@ -192,7 +192,7 @@
 
 // save is one Ready: entries that go on or replace uncommitted ones, a hard
 // state, or both.
-func (r *powerRun) save() error {
+func (r *powerLossRun) save() error {
 	state := r.state()
 	var hardState *raft.HardState
 	last := state.last()
@@ -238,7 +238,7 @@
 }
 
 // data is at times longer than a segment.
-func (r *powerRun) data() []byte {
+func (r *powerLossRun) data() []byte {
 	length := 1 + r.random.IntN(200)
 	if r.random.IntN(50) == 0 {
 		length = 2 * powerSegmentSize
@@ -252,7 +252,7 @@
 
 // persist makes all durable that was saved, as a replica has before it takes
 // or installs a snapshot.
-func (r *powerRun) persist() error {
+func (r *powerLossRun) persist() error {
 	state := r.state()
 	state.HardState = r.newest
 	r.add(state)
@@ -263,7 +263,7 @@
 	return nil
 }
 
-func (r *powerRun) snapshot() error {
+func (r *powerLossRun) snapshot() error {
 	if err := r.persist(); err != nil {
 		return err
 	}
@@ -288,7 +288,7 @@
 	return nil
 }
 
-func (r *powerRun) install() error {
+func (r *powerLossRun) install() error {
 	if err := r.persist(); err != nil {
 		return err
 	}
--- a/internal/storage/powerarchive_test.go
+++ b/internal/storage/powerarchive_test.go
@@ -13,12 +13,12 @@
 	"strings"
 )
 
-// powerFolder is powerFiles for a whole data folder. bbolt needs a real file, so
+// powerLossDirectory is powerLossFiles for a whole data folder. bbolt needs a real file, so
 // archive.db is one, and is followed here: what a transaction changed counts as
 // the writes and syncs that bbolt made, in the order of its Tx.Commit: length,
 // sync, data pages in any order, sync, meta page, sync.
-type powerFolder struct {
-	*powerFiles
+type powerLossDirectory struct {
+	*powerLossFiles
 	directory string
 	// failAtMeta: the power fails when the next meta page has been written.
 	failAtMeta bool
@@ -30,27 +30,27 @@
 func isArchive(path string) bool { return strings.HasPrefix(filepath.Base(path), archiveFile) }
 
 // Names first learns of a file that bbolt made.
-func (p *powerFolder) Names(directory string) ([]string, error) {
+func (p *powerLossDirectory) Names(directory string) ([]string, error) {
 	if err := p.follow(); err != nil {
 		return nil, err
 	}
-	return p.powerFiles.Names(directory)
+	return p.powerLossFiles.Names(directory)
 }
 
 // Rename moves the real file as well.
-func (p *powerFolder) Rename(from, to string) error {
+func (p *powerLossDirectory) Rename(from, to string) error {
 	if err := p.follow(); err != nil {
 		return err
 	}
-	if err := p.powerFiles.Rename(from, to); err != nil || !isArchive(from) {
+	if err := p.powerLossFiles.Rename(from, to); err != nil || !isArchive(from) {
 		return err
 	}
 	return os.Rename(from, to)
 }
 
 // Remove removes the real file as well.
-func (p *powerFolder) Remove(path string) error {
-	if err := p.powerFiles.Remove(path); err != nil || !isArchive(path) {
+func (p *powerLossDirectory) Remove(path string) error {
+	if err := p.powerLossFiles.Remove(path); err != nil || !isArchive(path) {
 		return err
 	}
 	if err := os.Remove(path); !errors.Is(err, fs.ErrNotExist) {
@@ -60,15 +60,15 @@
 }
 
 // SyncDirectory is asked for after a file was made.
-func (p *powerFolder) SyncDirectory(directory string) error {
+func (p *powerLossDirectory) SyncDirectory(directory string) error {
 	if err := p.follow(); err != nil {
 		return err
 	}
-	return p.powerFiles.SyncDirectory(directory)
+	return p.powerLossFiles.SyncDirectory(directory)
 }
 
 // follow takes over what bbolt did to real files since the last call.
-func (p *powerFolder) follow() error {
+func (p *powerLossDirectory) follow() error {
 	for _, name := range []string{archiveFile, archiveFile + newSuffix} {
 		path := filepath.Join(p.directory, name)
 		content, err := os.ReadFile(path)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func (p *powerFolder) followFile(path string, content []byte) error {
+func (p *powerLossDirectory) followFile(path string, content []byte) error {
 	node := p.names[path]
 	if node == nil {
 		if _, err := p.Create(path); err != nil {
@@ -96,7 +96,7 @@
 	if bytes.Equal(node.content, content) {
 		return nil
 	}
-	file := &powerFile{files: p.powerFiles, path: path, node: node}
+	file := &powerLossFile{files: p.powerLossFiles, path: path, node: node}
 	if len(content) != len(node.content) {
 		if err := file.Truncate(int64(len(content))); err != nil {
 			return err
@@ -109,7 +109,7 @@
 }
 
 // followCommit writes the changed pages, the meta pages last.
-func (p *powerFolder) followCommit(file *powerFile, content []byte) error {
+func (p *powerLossDirectory) followCommit(file *powerLossFile, content []byte) error {
 	var data, metas []int
 	for at := 0; at < len(content); at += powerPage {
 		switch {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-func (p *powerFolder) followPages(file *powerFile, content []byte, pages []int) error {
+func (p *powerLossDirectory) followPages(file *powerLossFile, content []byte, pages []int) error {
 	for _, at := range pages {
 		if _, err := file.WriteAt(page(content, at), int64(at)); err != nil {
 			return err
@@ -151,7 +151,7 @@
 func page(content []byte, at int) []byte { return content[at:min(at+powerPage, len(content))] }
 
 // restore makes the real files be what a fault left.
-func (p *powerFolder) restore() error {
+func (p *powerLossDirectory) restore() error {
 	entries, err := os.ReadDir(p.directory)
 	if err != nil {
 		return err
@@ -176,9 +176,9 @@
 
 // tornPages cuts unsynced pages into pieces, which are torn by themselves: at
 // the sectors of a disk, or finer than the meta of bbolt.
-func tornPages(random *rand.Rand, writes []powerWrite) []powerWrite {
+func tornPages(random *rand.Rand, writes []powerLossWrite) []powerLossWrite {
 	const sector, fine = 512, 16
-	var pieces []powerWrite
+	var pieces []powerLossWrite
 	for _, write := range writes {
 		if len(write.data) != powerPage || random.IntN(2) == 0 {
 			pieces = append(pieces, write)
@@ -189,7 +189,7 @@
 			size = fine
 		}
 		for piece := range slices.Chunk(write.data, size) {
-			pieces = append(pieces, powerWrite{at: write.at, data: piece})
+			pieces = append(pieces, powerLossWrite{at: write.at, data: piece})
 			write.at += int64(size)
 		}
 	}
--- a/internal/storage/powerfiles_test.go
+++ b/internal/storage/powerfiles_test.go
@@ -12,15 +12,15 @@
 	"syscall"
 )
 
-// powerFiles is a fileSystem in memory. It keeps what was synced apart from
+// powerLossFiles is a fileSystem in memory. It keeps what was synced apart from
 // what was not; at a power loss each unsynced write is kept, lost or torn, and
 // each unsynced change of a name kept or lost, by itself.
-type powerFiles struct {
+type powerLossFiles struct {
 	random *rand.Rand
-	names  map[string]*powerNode
+	names  map[string]*powerLossNode
 	// durable are the names as of the last sync of the folder, or of the file
 	// for one that was made since.
-	durable map[string]*powerNode
+	durable map[string]*powerLossNode
 	// failAfter is the number of writes and syncs that still succeed; negative
 	// for all.
 	failAfter int
@@ -31,44 +31,44 @@
 	syncs, folderSyncs, writes int
 }
 
-// powerNode is a file.
-type powerNode struct {
+// powerLossNode is a file.
+type powerLossNode struct {
 	content []byte
 	durable []byte
 	// unsynced changes, oldest first.
-	unsynced []powerWrite
+	unsynced []powerLossWrite
 }
 
-// powerWrite is a write, or a change of length if data is nil.
-type powerWrite struct {
+// powerLossWrite is a write, or a change of length if data is nil.
+type powerLossWrite struct {
 	at   int64
 	data []byte
 }
 
 var (
-	_           fileSystem = (*powerFiles)(nil)
+	_           fileSystem = (*powerLossFiles)(nil)
 	errPowerOff            = errors.New("the power is off")
 )
 
-func newPowerFiles(seed uint64) *powerFiles {
-	return &powerFiles{
+func newPowerFiles(seed uint64) *powerLossFiles {
+	return &powerLossFiles{
 		random:    rand.New(rand.NewPCG(seed, 1)),
-		names:     make(map[string]*powerNode),
-		durable:   make(map[string]*powerNode),
+		names:     make(map[string]*powerLossNode),
+		durable:   make(map[string]*powerLossNode),
 		failAfter: -1,
 	}
 }
 
 // put places a durable file.
-func (p *powerFiles) put(path string, content []byte) {
-	node := &powerNode{content: slices.Clone(content), durable: slices.Clone(content)}
+func (p *powerLossFiles) put(path string, content []byte) {
+	node := &powerLossNode{content: slices.Clone(content), durable: slices.Clone(content)}
 	p.names[path], p.durable[path] = node, node
 }
 
-func (p *powerFiles) content(path string) []byte { return slices.Clone(p.names[path].content) }
+func (p *powerLossFiles) content(path string) []byte { return slices.Clone(p.names[path].content) }
 
 // bytes is the length of all files.
-func (p *powerFiles) bytes() int {
+func (p *powerLossFiles) bytes() int {
 	total := 0
 	for _, node := range p.names {
 		total += len(node.content)
@@ -77,7 +77,7 @@
 }
 
 // growth is step for what a full disk refuses.
-func (p *powerFiles) growth() error {
+func (p *powerLossFiles) growth() error {
 	if p.full {
 		return syscall.ENOSPC
 	}
@@ -85,7 +85,7 @@
 }
 
 // step counts a write or sync, and fails it once the power is off.
-func (p *powerFiles) step() error {
+func (p *powerLossFiles) step() error {
 	if p.failAfter == 0 {
 		return errPowerOff
 	}
@@ -96,10 +96,10 @@
 }
 
 // killProcess ends the writer alone: nothing is lost.
-func (p *powerFiles) killProcess() { p.failAfter = -1 }
+func (p *powerLossFiles) killProcess() { p.failAfter = -1 }
 
 // loseAllUnsynced is a power loss after which nothing unsynced is there.
-func (p *powerFiles) loseAllUnsynced() {
+func (p *powerLossFiles) loseAllUnsynced() {
 	p.failAfter = -1
 	p.names = maps.Clone(p.durable)
 	for _, node := range p.names {
@@ -108,7 +108,7 @@
 }
 
 // losePower decides on each unsynced write and name by itself.
-func (p *powerFiles) losePower() {
+func (p *powerLossFiles) losePower() {
 	p.failAfter = -1
 	survived := maps.Clone(p.durable)
 	for _, path := range slices.Sorted(maps.Keys(union(p.names, p.durable))) {
@@ -121,7 +121,7 @@
 			delete(survived, path)
 		}
 	}
-	seen := make(map[*powerNode]bool)
+	seen := make(map[*powerLossNode]bool)
 	for _, path := range slices.Sorted(maps.Keys(survived)) {
 		if node := survived[path]; !seen[node] {
 			seen[node] = true
@@ -129,10 +129,10 @@
 		}
 	}
 	// A file of two names would not be two files.
-	owners := make(map[*powerNode]bool)
+	owners := make(map[*powerLossNode]bool)
 	for path, node := range survived {
 		if owners[node] {
-			copied := powerNode{content: slices.Clone(node.content), durable: slices.Clone(node.durable)}
+			copied := powerLossNode{content: slices.Clone(node.content), durable: slices.Clone(node.durable)}
 			survived[path] = &copied
 		}
 		owners[node] = true
@@ -140,14 +140,14 @@
 	p.names, p.durable = survived, maps.Clone(survived)
 }
 
-func union(a, b map[string]*powerNode) map[string]*powerNode {
+func union(a, b map[string]*powerLossNode) map[string]*powerLossNode {
 	all := maps.Clone(a)
 	maps.Copy(all, b)
 	return all
 }
 
 // tear keeps, loses or tears each unsynced write.
-func (n *powerNode) tear(random *rand.Rand) {
+func (n *powerLossNode) tear(random *rand.Rand) {
 	content := slices.Clone(n.durable)
 	for _, write := range n.unsynced {
 		if write.data == nil {
@@ -191,29 +191,29 @@
 	return content
 }
 
-func (p *powerFiles) Create(path string) (dataFile, error) {
+func (p *powerLossFiles) Create(path string) (dataFile, error) {
 	if err := p.growth(); err != nil {
 		return nil, err
 	}
 	if node := p.names[path]; node != nil && p.durable[path] == node {
 		// Cutting an existing file to nothing is a change of its length.
-		node.unsynced = append(node.unsynced, powerWrite{})
+		node.unsynced = append(node.unsynced, powerLossWrite{})
 		node.content = nil
-		return &powerFile{files: p, path: path, node: node}, nil
+		return &powerLossFile{files: p, path: path, node: node}, nil
 	}
-	p.names[path] = &powerNode{}
-	return &powerFile{files: p, path: path, node: p.names[path]}, nil
+	p.names[path] = &powerLossNode{}
+	return &powerLossFile{files: p, path: path, node: p.names[path]}, nil
 }
 
-func (p *powerFiles) Open(path string) (dataFile, error) {
+func (p *powerLossFiles) Open(path string) (dataFile, error) {
 	node := p.names[path]
 	if node == nil {
 		return nil, fmt.Errorf("open %s: %w", path, fs.ErrNotExist)
 	}
-	return &powerFile{files: p, path: path, node: node}, nil
+	return &powerLossFile{files: p, path: path, node: node}, nil
 }
 
-func (p *powerFiles) Rename(from, to string) error {
+func (p *powerLossFiles) Rename(from, to string) error {
 	if err := p.step(); err != nil {
 		return err
 	}
@@ -222,7 +222,7 @@
 	return nil
 }
 
-func (p *powerFiles) Remove(path string) error {
+func (p *powerLossFiles) Remove(path string) error {
 	if err := p.step(); err != nil {
 		return err
 	}
@@ -233,7 +233,7 @@
 	return nil
 }
 
-func (p *powerFiles) Names(directory string) ([]string, error) {
+func (p *powerLossFiles) Names(directory string) ([]string, error) {
 	var names []string
 	for path := range p.names {
 		if filepath.Dir(path) == directory {
@@ -244,7 +244,7 @@
 	return names, nil
 }
 
-func (p *powerFiles) SyncDirectory(string) error {
+func (p *powerLossFiles) SyncDirectory(string) error {
 	if err := p.step(); err != nil {
 		return err
 	}
@@ -253,13 +253,13 @@
 	return nil
 }
 
-type powerFile struct {
-	files *powerFiles
+type powerLossFile struct {
+	files *powerLossFiles
 	path  string
-	node  *powerNode
+	node  *powerLossNode
 }
 
-func (f *powerFile) ReadAt(into []byte, at int64) (int, error) {
+func (f *powerLossFile) ReadAt(into []byte, at int64) (int, error) {
 	if at >= int64(len(f.node.content)) {
 		return 0, io.EOF
 	}
@@ -270,31 +270,31 @@
 	return n, nil
 }
 
-func (f *powerFile) WriteAt(data []byte, at int64) (int, error) {
+func (f *powerLossFile) WriteAt(data []byte, at int64) (int, error) {
 	f.files.writes++
 	err := f.files.growth()
 	if err != nil { // some of it may be there
 		data = data[:f.files.random.IntN(len(data)+1)]
 	}
 	if len(data) > 0 {
-		f.node.unsynced = append(f.node.unsynced, powerWrite{at: at, data: slices.Clone(data)})
+		f.node.unsynced = append(f.node.unsynced, powerLossWrite{at: at, data: slices.Clone(data)})
 		f.node.content = overwritten(f.node.content, at, data)
 	}
 	return len(data), err
 }
 
-func (f *powerFile) Truncate(size int64) error {
+func (f *powerLossFile) Truncate(size int64) error {
 	if err := f.files.growth(); err != nil {
 		return err
 	}
-	f.node.unsynced = append(f.node.unsynced, powerWrite{at: size})
+	f.node.unsynced = append(f.node.unsynced, powerLossWrite{at: size})
 	f.node.content = resized(slices.Clone(f.node.content), size)
 	return nil
 }
 
-func (f *powerFile) Size() (int64, error) { return int64(len(f.node.content)), nil }
+func (f *powerLossFile) Size() (int64, error) { return int64(len(f.node.content)), nil }
 
-func (f *powerFile) Sync() error {
+func (f *powerLossFile) Sync() error {
 	if err := f.files.step(); err != nil {
 		return err
 	}
@@ -303,4 +303,4 @@
 	return nil
 }
 
-func (f *powerFile) Close() error { return nil }
+func (f *powerLossFile) Close() error { return nil }
--- a/internal/storage/powerstore_test.go
+++ b/internal/storage/powerstore_test.go
@@ -19,13 +19,13 @@
 	powerStoreSteps  = 30
 )
 
-// powerStoreRun drives a whole store as a replica does, one ended job an entry,
+// storePowerLossRun drives a whole store as a replica does, one ended job an entry,
 // and knows what may never be lost: an entry once it was synced, and, of all
 // that a snapshot leaves out, every job in the archive.
-type powerStoreRun struct {
+type storePowerLossRun struct {
 	directory string
 	random    *rand.Rand
-	files     *powerFolder
+	files     *powerLossDirectory
 	store     *Disk
 	faults    map[string]int
 	// last is the newest entry handed over, synced the newest one that is
@@ -37,9 +37,9 @@
 	expired record.Millis
 }
 
-// TestPowerLossOfStore: a store opens after whatever a loss of power left of
+// TestPowerLoss_StoreRecovers: a store opens after whatever a loss of power left of
 // log, snapshot and archive, and what was acknowledged is in one of them.
-func TestPowerLossOfStore(t *testing.T) {
+func TestPowerLoss_StoreRecovers(t *testing.T) {
 	faults := make(map[string]int)
 	failed := 0
 	for seed := range uint64(powerStoreSeeds) {
@@ -56,12 +56,12 @@
 	}
 }
 
-func newPowerStoreRun(directory string, seed uint64, faults map[string]int) *powerStoreRun {
-	files := &powerFolder{powerFiles: newPowerFiles(seed), directory: directory}
-	return &powerStoreRun{directory: directory, random: rand.New(rand.NewPCG(seed, 3)), files: files, faults: faults}
+func newPowerStoreRun(directory string, seed uint64, faults map[string]int) *storePowerLossRun {
+	files := &powerLossDirectory{powerLossFiles: newPowerFiles(seed), directory: directory}
+	return &storePowerLossRun{directory: directory, random: rand.New(rand.NewPCG(seed, 3)), files: files, faults: faults}
 }
 
-func (r *powerStoreRun) run() error {
+func (r *storePowerLossRun) run() error {
 	for round := range powerStoreRounds {
 		if err := r.open(); err != nil {
 			return fmt.Errorf("round %d: %w", round, err)
@@ -81,7 +81,7 @@
 }
 
 // fault ends the process, at times with the power.
-func (r *powerStoreRun) fault() error {
+func (r *storePowerLossRun) fault() error {
 	if r.store != nil {
 		_ = r.store.archive.db.Close()
 		_ = r.store.lock.Close()
@@ -104,9 +104,9 @@
 	return r.files.restore()
 }
 
-// open starts anew, at times with faults amid the start, and checks what is
+// openStore starts anew, at times with faults amid the start, and checks what is
 // found.
-func (r *powerStoreRun) open() error {
+func (r *storePowerLossRun) open() error {
 	for r.random.IntN(3) == 0 {
 		r.files.failAtMeta = r.random.IntN(2) == 0
 		r.files.failAfter = r.random.IntN(12)
@@ -131,11 +131,11 @@
 	return r.check(loaded)
 }
 
-func (r *powerStoreRun) reopen() (Loaded, error) {
+func (r *storePowerLossRun) reopen() (LoadedState, error) {
 	logger := slog.New(slog.NewTextHandler(storeFaultCounter(r.faults), nil))
 	store, err := OpenDisk(DiskConfig{Directory: r.directory, Logger: logger, files: r.files, segmentSize: powerSegmentSize})
 	if err != nil {
-		return Loaded{}, err
+		return LoadedState{}, err
 	}
 	r.store = store
 	store.archive.db.NoSync = true // the folder counts the syncs, real ones only take time
@@ -156,7 +156,7 @@
 	return faultCounter(c).Write(line)
 }
 
-func (r *powerStoreRun) check(loaded Loaded) error {
+func (r *storePowerLossRun) check(loaded LoadedState) error {
 	if loaded.last() < r.synced || loaded.Snapshot.Index < r.snapshot {
 		return fmt.Errorf("log ends at %d and snapshot at %d, expected at least %d and %d", loaded.last(), loaded.Snapshot.Index, r.synced, r.snapshot)
 	}
@@ -170,7 +170,7 @@
 
 // checkArchive: each job that the snapshot leaves out is there, by id and by
 // place, and the file is sound.
-func (r *powerStoreRun) checkArchive(snapshot uint64) error {
+func (r *storePowerLossRun) checkArchive(snapshot uint64) error {
 	archive := r.store.archive
 	err := archive.view(func(tx *bbolt.Tx) error {
 		for err := range tx.Check() {
@@ -207,7 +207,7 @@
 	}
 }
 
-func (r *powerStoreRun) step() error {
+func (r *storePowerLossRun) step() error {
 	switch n := r.random.IntN(20); {
 	case n == 0:
 		return r.takeSnapshot()
@@ -223,7 +223,7 @@
 }
 
 // save hands entries over, and applies what is durable.
-func (r *powerStoreRun) save() error {
+func (r *storePowerLossRun) save() error {
 	var made []raft.Entry
 	for range 1 + r.random.IntN(4) {
 		r.last++
@@ -249,7 +249,7 @@
 }
 
 // apply puts the jobs that ended up to an index.
-func (r *powerStoreRun) apply(index uint64) error {
+func (r *storePowerLossRun) apply(index uint64) error {
 	var jobs []record.ArchivedJob
 	for r.applied < index {
 		r.applied++
@@ -258,14 +258,14 @@
 	return r.store.archive.Put(jobs)
 }
 
-func (r *powerStoreRun) syncArchive() error {
+func (r *storePowerLossRun) syncArchive() error {
 	if err := r.store.archive.Sync(); err != nil {
 		return err
 	}
 	return r.files.follow()
 }
 
-func (r *powerStoreRun) takeSnapshot() error {
+func (r *storePowerLossRun) takeSnapshot() error {
 	if err := r.syncArchive(); err != nil {
 		return err
 	}
@@ -279,7 +279,7 @@
 }
 
 // install copies the archive of another replica and then takes its snapshot.
-func (r *powerStoreRun) install() error {
+func (r *storePowerLossRun) install() error {
 	index := r.last + 1 + r.random.Uint64N(9)
 	if err := r.apply(index); err != nil {
 		return err
@@ -296,7 +296,7 @@
 }
 
 // expire drops jobs that a durable snapshot hides.
-func (r *powerStoreRun) expire() error {
+func (r *storePowerLossRun) expire() error {
 	if r.snapshot < 20 {
 		return nil
 	}
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -23,24 +23,24 @@
 	return made
 }
 
-func must(t testing.TB, err error) {
+func requireNoError(t testing.TB, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-func open(t testing.TB, directory string) *Disk {
+func openStore(t testing.TB, directory string) *Disk {
 	t.Helper()
 	d, err := OpenDisk(DiskConfig{Directory: directory})
-	must(t, err)
+	requireNoError(t, err)
 	return d
 }
 
-func load(t *testing.T, s Store) Loaded {
+func loadState(t *testing.T, s Store) LoadedState {
 	t.Helper()
 	loaded, err := s.Load()
-	must(t, err)
+	requireNoError(t, err)
 	return loaded
 }
 
@@ -48,15 +48,15 @@
 	return func(w io.Writer) error { _, err := io.WriteString(w, text); return err }
 }
 
-// reopened runs a test on both stores; reopen starts anew on the same data.
-func reopened(t *testing.T, test func(t *testing.T, s Store, reopen func() Store)) {
+// forEachStore runs a test on both stores; reopen starts anew on the same data.
+func forEachStore(t *testing.T, test func(t *testing.T, s Store, reopen func() Store)) {
 	t.Run("disk", func(t *testing.T) {
 		directory := t.TempDir()
-		d := open(t, directory)
+		d := openStore(t, directory)
 		t.Cleanup(func() { _ = d.Close() })
 		test(t, d, func() Store {
-			must(t, d.Close())
-			d = open(t, directory)
+			requireNoError(t, d.Close())
+			d = openStore(t, directory)
 			return d
 		})
 	})
@@ -66,8 +66,8 @@
 	})
 }
 
-func TestRoundTripAndReplacedSuffix(t *testing.T) {
-	reopened(t, func(t *testing.T, s Store, reopen func() Store) {
+func TestStore_RoundTripAndReplacedSuffix(t *testing.T) {
+	forEachStore(t, func(t *testing.T, s Store, reopen func() Store) {
 		id := s.ReplicaID()
 		if len(id) != 16 || strings.Trim(string(id), "0123456789abcdef") != "" {
 			t.Fatalf("replica id %q is not 16 hex digits", id)
@@ -76,82 +76,82 @@
 			t.Fatal("a new store is not empty")
 		}
 		hardState := raft.HardState{Term: 2, VotedFor: id, Commit: 1}
-		must(t, s.Save(&hardState, entries(1, 5, 1), true))
-		must(t, s.Save(nil, entries(3, 4, 2), true))
+		requireNoError(t, s.Save(&hardState, entries(1, 5, 1), true))
+		requireNoError(t, s.Save(nil, entries(3, 4, 2), true))
 		s = reopen()
 		if s.ReplicaID() != id || s.Empty() {
 			t.Fatalf("after reopening: id %q, empty %v", s.ReplicaID(), s.Empty())
 		}
-		want := Loaded{HardState: hardState, Entries: append(entries(1, 2, 1), entries(3, 4, 2)...)}
-		if diff := cmp.Diff(want, load(t, s)); diff != "" {
+		want := LoadedState{HardState: hardState, Entries: append(entries(1, 2, 1), entries(3, 4, 2)...)}
+		if diff := cmp.Diff(want, loadState(t, s)); diff != "" {
 			t.Fatal(diff)
 		}
 	})
 }
 
-func TestSnapshots(t *testing.T) {
-	reopened(t, func(t *testing.T, s Store, reopen func() Store) {
+func TestStore_SnapshotsReplaceLog(t *testing.T) {
+	forEachStore(t, func(t *testing.T, s Store, reopen func() Store) {
 		members := raft.Membership{Voters: []raft.Member{{ID: "a", Name: "one", Address: "127.0.0.1:1"}}}
 		meta := raft.SnapshotMeta{Index: 8, Term: 1, Membership: members}
-		must(t, s.Save(&raft.HardState{Term: 1}, entries(1, 10, 1), true))
-		must(t, s.SaveSnapshot(meta, 3, writeText("state at 8")))
+		requireNoError(t, s.Save(&raft.HardState{Term: 1}, entries(1, 10, 1), true))
+		requireNoError(t, s.SaveSnapshot(meta, 3, writeText("state at 8")))
 
 		half := func(w io.Writer) error { _, _ = io.WriteString(w, "half"); return errors.New("no more") }
 		if err := s.SaveSnapshot(raft.SnapshotMeta{Index: 9, Term: 1}, 0, half); err == nil {
 			t.Fatal("a snapshot that could not be written was taken")
 		}
 		s = reopen()
-		want := Loaded{HardState: raft.HardState{Term: 1}, Snapshot: meta, SnapshotData: []byte("state at 8"), Entries: entries(6, 10, 1)}
-		if diff := cmp.Diff(want, load(t, s)); diff != "" {
+		want := LoadedState{HardState: raft.HardState{Term: 1}, Snapshot: meta, SnapshotData: []byte("state at 8"), Entries: entries(6, 10, 1)}
+		if diff := cmp.Diff(want, loadState(t, s)); diff != "" {
 			t.Fatal(diff)
 		}
 
 		newer := raft.SnapshotMeta{Index: 50, Term: 3, Membership: members}
-		must(t, s.InstallSnapshot(newer, strings.NewReader("state at 50")))
+		requireNoError(t, s.InstallSnapshot(newer, strings.NewReader("state at 50")))
 		s = reopen()
-		want = Loaded{HardState: raft.HardState{Term: 1}, Snapshot: newer, SnapshotData: []byte("state at 50")}
-		if diff := cmp.Diff(want, load(t, s)); diff != "" {
+		want = LoadedState{HardState: raft.HardState{Term: 1}, Snapshot: newer, SnapshotData: []byte("state at 50")}
+		if diff := cmp.Diff(want, loadState(t, s)); diff != "" {
 			t.Fatal(diff)
 		}
 		gotMeta, data, ok, err := s.OpenSnapshot()
-		must(t, err)
+		requireNoError(t, err)
 		content, err := io.ReadAll(data)
-		must(t, err)
-		must(t, data.Close())
+		requireNoError(t, err)
+		requireNoError(t, data.Close())
 		if !ok || string(content) != "state at 50" || !cmp.Equal(gotMeta, newer) {
 			t.Fatalf("opened %v %q %+v", ok, content, gotMeta)
 		}
-		must(t, s.SaveSnapshot(raft.SnapshotMeta{Index: 9, Term: 1}, 0, writeText("late"))) // passed over
-		must(t, s.Save(nil, entries(51, 52, 3), true))
-		if got := len(load(t, reopen()).Entries); got != 2 {
+		requireNoError(t, s.SaveSnapshot(raft.SnapshotMeta{Index: 9, Term: 1}, 0, writeText("late"))) // passed over
+		requireNoError(t, s.Save(nil, entries(51, 52, 3), true))
+		if got := len(loadState(t, reopen()).Entries); got != 2 {
 			t.Fatalf("%d entries follow the installed snapshot, want 2", got)
 		}
 	})
 }
 
-func TestInterruptedInstallDropsTheLog(t *testing.T) {
+func TestInstallSnapshot_InterruptedDropsLog(t *testing.T) {
 	directory := t.TempDir()
-	d := open(t, directory)
-	must(t, d.Save(&raft.HardState{Term: 1, Commit: 2}, entries(1, 3, 1), true))
+	d := openStore(t, directory)
+	requireNoError(t, d.Save(&raft.HardState{Term: 1, Commit: 2}, entries(1, 3, 1), true))
 	meta := raft.SnapshotMeta{Index: 40, Term: 2}
-	must(t, writeSnapshotFile(systemFiles{}, directory, meta, writeText("state")))
-	must(t, d.Close())
-	d = open(t, directory)
-	if loaded := load(t, d); len(loaded.Entries) != 0 || loaded.Snapshot.Index != 40 {
+	requireNoError(t, writeSnapshotFile(systemFiles{}, directory, meta, writeText("state")))
+	requireNoError(t, d.Close())
+	d = openStore(t, directory)
+	if loaded := loadState(t, d); len(loaded.Entries) != 0 || loaded.Snapshot.Index != 40 {
 		t.Fatalf("loaded %d entries, snapshot %d", len(loaded.Entries), loaded.Snapshot.Index)
 	}
-	must(t, d.Save(nil, entries(41, 41, 2), true))
-	if got := len(load(t, d).Entries); got != 1 {
+	requireNoError(t, d.Save(nil, entries(41, 41, 2), true))
+	if got := len(loadState(t, d).Entries); got != 1 {
 		t.Fatalf("%d entries, want 1", got)
 	}
-	must(t, d.Close())
+	requireNoError(t, d.Close())
 }
 
-// flip inverts a bit of the one place in a file where text stands.
-func flip(t *testing.T, path, text string) {
+// flipByte inverts a bit of the one place in a file where text stands.
+func flipByte(t *testing.T, path, text string) {
 	t.Helper()
 	content, err := os.ReadFile(path)
-	must(t, err)
+	requireNoError(t, err)
 	found := false
 	for start := 0; ; {
 		at := strings.Index(string(content[start:]), text)
@@ -165,19 +165,19 @@
 	if !found {
 		t.Fatalf("%q is not in %s", text, path)
 	}
-	must(t, os.WriteFile(path, content, filePermission))
+	requireNoError(t, os.WriteFile(path, content, filePermission))
 }
 
-func TestDamageIsRefused(t *testing.T) {
+func TestOpen_DamageRejected(t *testing.T) {
 	remove := func(name string) func(t *testing.T, directory, _ string) {
-		return func(t *testing.T, directory, _ string) { must(t, os.Remove(filepath.Join(directory, name))) }
+		return func(t *testing.T, directory, _ string) { requireNoError(t, os.Remove(filepath.Join(directory, name))) }
 	}
 	flipIn := func(name, text string) func(t *testing.T, directory, _ string) {
-		return func(t *testing.T, directory, _ string) { flip(t, filepath.Join(directory, name), text) }
+		return func(t *testing.T, directory, _ string) { flipByte(t, filepath.Join(directory, name), text) }
 	}
 	truncate := func(name string, size int64) func(t *testing.T, directory, _ string) {
 		return func(t *testing.T, directory, _ string) {
-			must(t, os.Truncate(filepath.Join(directory, name), size))
+			requireNoError(t, os.Truncate(filepath.Join(directory, name), size))
 		}
 	}
 	logFile := segmentName(firstSegment)
@@ -186,7 +186,7 @@
 		damage func(t *testing.T, directory, id string)
 	}{
 		"entry":           {logFile, flipIn(logFile, "entry-9-of-term-1")},
-		"replica id":      {logFile, func(t *testing.T, directory, id string) { flip(t, filepath.Join(directory, logFile), id) }},
+		"replica id":      {logFile, func(t *testing.T, directory, id string) { flipByte(t, filepath.Join(directory, logFile), id) }},
 		"snapshot data":   {snapshotFile, flipIn(snapshotFile, "state at 8")},
 		"snapshot meta":   {snapshotFile, flipIn(snapshotFile, "machine-one")},
 		"snapshot short":  {snapshotFile, truncate(snapshotFile, 90)},
@@ -202,11 +202,11 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			directory := t.TempDir()
-			d := open(t, directory)
-			must(t, d.Save(&raft.HardState{Term: 1, VotedFor: "b"}, entries(1, 10, 1), true))
+			d := openStore(t, directory)
+			requireNoError(t, d.Save(&raft.HardState{Term: 1, VotedFor: "b"}, entries(1, 10, 1), true))
 			members := raft.Membership{Voters: []raft.Member{{ID: "a", Name: "machine-one"}}}
-			must(t, d.SaveSnapshot(raft.SnapshotMeta{Index: 8, Term: 1, Membership: members}, 2, writeText("state at 8")))
-			must(t, d.Close())
+			requireNoError(t, d.SaveSnapshot(raft.SnapshotMeta{Index: 8, Term: 1, Membership: members}, 2, writeText("state at 8")))
+			requireNoError(t, d.Close())
 			c.damage(t, directory, string(d.ReplicaID()))
 
 			d, err := OpenDisk(DiskConfig{Directory: directory})
@@ -221,56 +221,56 @@
 	}
 }
 
-func TestGapsAreRefused(t *testing.T) {
-	d := open(t, t.TempDir())
+func TestLoad_GapsRejected(t *testing.T) {
+	d := openStore(t, t.TempDir())
 	defer func() { _ = d.Close() }()
-	must(t, d.Save(nil, entries(2, 3, 1), true))
+	requireNoError(t, d.Save(nil, entries(2, 3, 1), true))
 	if _, err := d.Load(); !errors.Is(err, ErrCorrupt) {
 		t.Fatalf("a log that starts at 2: %v", err)
 	}
-	must(t, d.Save(nil, entries(1, 2, 1), true))
-	must(t, d.Save(nil, entries(5, 6, 1), true))
+	requireNoError(t, d.Save(nil, entries(1, 2, 1), true))
+	requireNoError(t, d.Save(nil, entries(5, 6, 1), true))
 	if _, err := d.Load(); !errors.Is(err, ErrCorrupt) {
 		t.Fatalf("a log without 3 and 4: %v", err)
 	}
 }
 
-func TestLockedFolder(t *testing.T) {
+func TestOpen_LockedDirectoryRejected(t *testing.T) {
 	directory := t.TempDir()
-	d := open(t, directory)
+	d := openStore(t, directory)
 	if _, err := OpenDisk(DiskConfig{Directory: directory}); !errors.Is(err, ErrLocked) {
 		t.Fatalf("got %v, want ErrLocked", err)
 	}
-	must(t, d.Close())
-	must(t, open(t, directory).Close())
+	requireNoError(t, d.Close())
+	requireNoError(t, openStore(t, directory).Close())
 }
 
-func TestCrashLosesOnlyWhatWasNotSynced(t *testing.T) {
+func TestMemory_CrashLosesOnlyUnsynced(t *testing.T) {
 	m := NewMemory(7)
-	must(t, m.Save(&raft.HardState{Term: 1}, entries(1, 2, 1), true))
-	must(t, m.Save(&raft.HardState{Term: 1, Commit: 2}, entries(3, 4, 1), false))
-	must(t, m.Archive().Put([]record.ArchivedJob{{ID: "kept"}}))
-	must(t, m.Archive().Sync())
-	must(t, m.Archive().Put([]record.ArchivedJob{{ID: "lost"}}))
-	if got := len(load(t, m).Entries); got != 4 {
+	requireNoError(t, m.Save(&raft.HardState{Term: 1}, entries(1, 2, 1), true))
+	requireNoError(t, m.Save(&raft.HardState{Term: 1, Commit: 2}, entries(3, 4, 1), false))
+	requireNoError(t, m.Archive().Put([]record.ArchivedJob{{ID: "kept"}}))
+	requireNoError(t, m.Archive().Sync())
+	requireNoError(t, m.Archive().Put([]record.ArchivedJob{{ID: "lost"}}))
+	if got := len(loadState(t, m).Entries); got != 4 {
 		t.Fatalf("%d entries before the crash, want 4", got)
 	}
 	m.Crash()
-	want := Loaded{HardState: raft.HardState{Term: 1}, Entries: entries(1, 2, 1)}
-	if diff := cmp.Diff(want, load(t, m)); diff != "" {
+	want := LoadedState{HardState: raft.HardState{Term: 1}, Entries: entries(1, 2, 1)}
+	if diff := cmp.Diff(want, loadState(t, m)); diff != "" {
 		t.Fatal(diff)
 	}
 	jobs, err := m.Archive().List("", 10)
-	must(t, err)
+	requireNoError(t, err)
 	if len(jobs) != 1 || jobs[0].ID != "kept" {
 		t.Fatalf("archive holds %v", jobs)
 	}
 }
 
-func ids(t *testing.T) func(jobs []record.ArchivedJob, err error) string {
+func jobIDs(t *testing.T) func(jobs []record.ArchivedJob, err error) string {
 	return func(jobs []record.ArchivedJob, err error) string {
 		t.Helper()
-		must(t, err)
+		requireNoError(t, err)
 		var all []string
 		for _, job := range jobs {
 			all = append(all, job.ID)
@@ -279,8 +279,8 @@
 	}
 }
 
-func TestArchive(t *testing.T) {
-	reopened(t, func(t *testing.T, s Store, reopen func() Store) {
+func TestArchive_PutPageListExpire(t *testing.T) {
+	forEachStore(t, func(t *testing.T, s Store, reopen func() Store) {
 		archive := s.Archive()
 		jobs := []record.ArchivedJob{
 			{ID: "d", Index: 1, EndedAt: 40},
@@ -288,12 +288,12 @@
 			{ID: "a", Index: 2, EndedAt: 20},
 			{ID: "c", Index: 3, EndedAt: 30},
 		}
-		must(t, archive.Put(jobs))
+		requireNoError(t, archive.Put(jobs))
 		if job, known, err := archive.Get("b"); err != nil || !known || job.EndedAt != 10 {
 			t.Fatalf("unsynced job: %v %v %v", job, known, err)
 		}
-		must(t, archive.Put(jobs[:2])) // applied again
-		must(t, archive.Sync())
+		requireNoError(t, archive.Put(jobs[:2])) // applied again
+		requireNoError(t, archive.Sync())
 		archive = reopen().Archive()
 		expect := func(what, got, want string) {
 			t.Helper()
@@ -301,17 +301,17 @@
 				t.Fatalf("%s: got %q, want %q", what, got, want)
 			}
 		}
-		expect("first page", ids(t)(archive.Page(0, "", 2)), "d a")
-		expect("page after 2/a", ids(t)(archive.Page(2, "a", 9)), "b c")
-		expect("last page", ids(t)(archive.Page(3, "c", 9)), "")
-		expect("list", ids(t)(archive.List("", 3)), "a b c")
-		expect("list after b", ids(t)(archive.List("b", 3)), "c d")
+		expect("first page", jobIDs(t)(archive.Page(0, "", 2)), "d a")
+		expect("page after 2/a", jobIDs(t)(archive.Page(2, "a", 9)), "b c")
+		expect("last page", jobIDs(t)(archive.Page(3, "c", 9)), "")
+		expect("list", jobIDs(t)(archive.List("", 3)), "a b c")
+		expect("list after b", jobIDs(t)(archive.List("b", 3)), "c d")
 		expired, err := archive.Expire(40, 2)
-		must(t, err)
+		requireNoError(t, err)
 		if expired != 2 {
 			t.Fatalf("expired %d, want 2", expired)
 		}
-		expect("left", ids(t)(archive.List("", 9)), "c d")
+		expect("left", jobIDs(t)(archive.List("", 9)), "c d")
 		if _, known, err := archive.Get("b"); err != nil || known {
 			t.Fatalf("expired job: known %v, %v", known, err)
 		}
@@ -321,7 +321,7 @@
 func BenchmarkDiskSave(b *testing.B) {
 	for _, batch := range []uint64{1, 16, 64, 256} {
 		b.Run(fmt.Sprintf("batch-%d", batch), func(b *testing.B) {
-			d := open(b, b.TempDir())
+			d := openStore(b, b.TempDir())
 			defer func() { _ = d.Close() }()
 			data := make([]byte, 400)
 			next := uint64(1)
@@ -331,7 +331,7 @@
 					made[i] = raft.Entry{Index: next, Term: 1, Data: data}
 					next++
 				}
-				must(b, d.Save(nil, made, true))
+				requireNoError(b, d.Save(nil, made, true))
 			}
 			b.ReportMetric(float64(next-1)/b.Elapsed().Seconds(), "entries/s")
 		})
--- a/internal/storage/types.go
+++ b/internal/storage/types.go
@@ -15,22 +15,22 @@
 	// ErrEarlierFormat: the folder holds the log of an earlier version, which
 	// this one does not read; the replica has to join anew, with an empty one.
 	ErrEarlierFormat = errors.New("storage: data folder is of an earlier version; empty it to join again")
-	// ErrNoRoom: the disk is full, and nothing of what was to be saved was taken. The
+	// ErrNoSpace: the disk is full, and nothing of what was to be saved was taken. The
 	// same may be saved again once there is room.
-	ErrNoRoom = errors.New("storage: no room on the disk")
+	ErrNoSpace = errors.New("storage: no room on the disk")
 	// ErrLocked: another process has the folder open.
 	ErrLocked = errors.New("storage: data folder is in use by another process")
 )
 
 // Store is a replica's durable state. Save returns once everything is synced;
-// a store whose Save failed with any error but ErrNoRoom must not be used again.
+// a store whose Save failed with any error but ErrNoSpace must not be used again.
 type Store interface {
 	// ReplicaID is drawn when the folder is made.
 	ReplicaID() raft.ReplicaID
 	// Empty reports that nothing was ever saved.
 	Empty() bool
 	// Load reads all back and checks it.
-	Load() (Loaded, error)
+	Load() (LoadedState, error)
 	// Save writes hard state (nil: unchanged) and entries, which replace all
 	// held from their first index on, with one sync when sync is true.
 	Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error
@@ -49,8 +49,8 @@
 	Close() error
 }
 
-// Loaded is what a restart finds.
-type Loaded struct {
+// LoadedState is what a restart finds.
+type LoadedState struct {
 	HardState raft.HardState
 	Snapshot  raft.SnapshotMeta
 	// SnapshotData is nil if there is no snapshot.
--- a/internal/storage/wal.go
+++ b/internal/storage/wal.go
@@ -12,8 +12,8 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// maxKeptBuffer bounds the memory that is kept for encoding, in bytes.
-const maxKeptBuffer = 1 << 20
+// maxRetainedBuffer bounds the memory that is kept for encoding, in bytes.
+const maxRetainedBuffer = 1 << 20
 
 // errFailed: what a file holds is unknown after a write failed.
 var errFailed = errors.New("storage: an earlier write failed")
@@ -36,9 +36,9 @@
 	// sequence is the newest record, synced the newest that is durable.
 	sequence, synced uint64
 	buffer           []byte
-	// marked: the newest record is a mark of closing.
-	marked bool
-	failed error
+	// closedCleanly: the newest record is a mark of closing.
+	closedCleanly bool
+	failed        error
 }
 
 // createLog makes the first segment. It has its name only once it is whole, so
@@ -87,7 +87,7 @@
 	}
 	buffer, start := beginRecord(buffer)
 	buffer = append(buffer, payload...)
-	endRecord(buffer, start, walRecord{Sequence: sequence, Synced: synced, Type: recordSegment, End: true})
+	endRecord(buffer, start, walRecord{Sequence: sequence, Synced: synced, Type: recordTypeSegment, End: true})
 	return buffer, nil
 }
 
@@ -95,7 +95,7 @@
 // entries that it holds. numbers are its segments, at least one.
 func openLog(files fileSystem, directory string, logger *slog.Logger, segmentSize int64, numbers []uint64) (*writeAheadLog, []raft.Entry, error) {
 	r := &replay{files: files, directory: directory, logger: logger}
-	if err := r.run(numbers); err != nil {
+	if err := r.readAll(numbers); err != nil {
 		return nil, nil, err
 	}
 	newest := r.segments[len(r.segments)-1]
@@ -110,7 +110,7 @@
 	w := &writeAheadLog{
 		files: files, directory: directory, logger: logger, segmentSize: segmentSize,
 		id: r.id, state: r.state, segments: r.segments, file: file, offset: r.end,
-		sequence: r.next - 1, synced: r.next - 1, marked: r.marked,
+		sequence: r.next - 1, synced: r.next - 1, closedCleanly: r.closedCleanly,
 	}
 	return w, r.entries, nil
 }
@@ -125,7 +125,7 @@
 	if len(numbers) == 0 {
 		return nil, corrupt(w.newestPath(), "missing")
 	}
-	if err := r.run(numbers); err != nil {
+	if err := r.readAll(numbers); err != nil {
 		return nil, err
 	}
 	if r.next != w.sequence+1 {
@@ -147,7 +147,7 @@
 		return fmt.Errorf("%w: %w", errFailed, w.failed)
 	}
 	err := w.write(batch)
-	if errors.Is(err, ErrNoRoom) {
+	if errors.Is(err, ErrNoSpace) {
 		return err
 	}
 	if err == nil && sync {
@@ -157,12 +157,12 @@
 	return err
 }
 
-// refused tells a write that a full disk refused from other failures. What it left in
+// classifyWriteError tells a write that a full disk refused from other failures. What it left in
 // the file lies beyond all that counts, and the next write begins at the same place. A
 // sync that fails is never taken for that: what the file holds is unknown then.
-func refused(err error) error {
+func classifyWriteError(err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
-		return fmt.Errorf("%w: %w", ErrNoRoom, err)
+		return fmt.Errorf("%w: %w", ErrNoSpace, err)
 	}
 	return err
 }
@@ -173,7 +173,7 @@
 		return nil
 	}
 	if w.offset+batch.size() > w.newest().size {
-		return w.writeInNewSegment(batch)
+		return w.rollSegment(batch)
 	}
 	w.buffer = batch.encode(w.buffer[:0], w.sequence+1, w.synced)
 	return w.writeBuffer(batch, records)
@@ -181,22 +181,22 @@
 
 func (w *writeAheadLog) writeBuffer(batch walBatch, records int) error {
 	if _, err := w.file.WriteAt(w.buffer, w.offset); err != nil {
-		return refused(err)
+		return classifyWriteError(err)
 	}
-	w.noteWritten(batch, records)
+	w.advance(batch, records)
 	return nil
 }
 
-// noteWritten takes in that the buffer with a batch was written.
-func (w *writeAheadLog) noteWritten(batch walBatch, records int) {
+// advance takes in that the buffer with a batch was written.
+func (w *writeAheadLog) advance(batch walBatch, records int) {
 	w.offset += int64(len(w.buffer))
 	w.sequence += uint64(records)
-	w.marked = batch.closed
-	batch.change(&w.state)
+	w.closedCleanly = batch.closed
+	batch.applyTo(&w.state)
 	if n := len(batch.entries); n > 0 {
 		w.newest().last = max(w.newest().last, batch.entries[n-1].Index)
 	}
-	if cap(w.buffer) > maxKeptBuffer {
+	if cap(w.buffer) > maxRetainedBuffer {
 		w.buffer = nil
 	}
 }
@@ -213,12 +213,12 @@
 	return nil
 }
 
-// writeInNewSegment: the former segment is synced before, and the length of
+// rollSegment: the former segment is synced before, and the length of
 // the new one before its header is written, so that neither can be torn once a
 // header is there. Header and batch are durable together, name included. If the disk
 // has no room, the former segment stays the newest, and the next attempt makes the new
 // one again.
-func (w *writeAheadLog) writeInNewSegment(batch walBatch) error {
+func (w *writeAheadLog) rollSegment(batch walBatch) error {
 	if err := w.sync(); err != nil {
 		return err
 	}
@@ -235,16 +235,16 @@
 	w.buffer = batch.encode(encoded, w.sequence+2, w.synced)
 	file, err := w.createSegment(header)
 	if err != nil {
-		return refused(err)
+		return classifyWriteError(err)
 	}
 	if _, err := file.WriteAt(w.buffer, 0); err != nil {
 		_ = file.Close()
-		return refused(err)
+		return classifyWriteError(err)
 	}
 	former := w.file
 	w.file, w.offset = file, 0
 	w.segments = append(w.segments, segment{number: header.Segment, size: header.Size})
-	w.noteWritten(batch, 1+batch.records())
+	w.advance(batch, 1+batch.records())
 	if err := former.Close(); err != nil {
 		return err
 	}
@@ -275,7 +275,7 @@
 
 // firstNeeded is the oldest segment that is still needed once entries up to
 // index are not, and the bytes in the ones from it on.
-func (w *writeAheadLog) firstNeeded(index uint64) (number uint64, bytes int64) {
+func (w *writeAheadLog) oldestNeeded(index uint64) (number uint64, bytes int64) {
 	kept := 0
 	for kept < len(w.segments)-1 && w.segments[kept].last <= index {
 		kept++
@@ -307,7 +307,7 @@
 // close marks the end. It needs no sync: nothing depends on the mark.
 func (w *writeAheadLog) close() error {
 	var err error
-	if w.failed == nil && !w.marked && w.offset+recordHeaderSize <= w.newest().size {
+	if w.failed == nil && !w.closedCleanly && w.offset+recordHeaderSize <= w.newest().size {
 		err = w.append(walBatch{closed: true}, false)
 	}
 	return errors.Join(err, w.file.Close())
--- a/internal/storage/wal_test.go
+++ b/internal/storage/wal_test.go
@@ -18,22 +18,22 @@
 // newDiskLog makes a log on files.
 func newDiskLog(t testing.TB, files fileSystem, segmentSize int64) *diskLog {
 	t.Helper()
-	must(t, createLog(files, powerDirectory, "0123456789abcdef", segmentSize))
+	requireNoError(t, createLog(files, powerDirectory, "0123456789abcdef", segmentSize))
 	return reopenDiskLog(t, files, segmentSize)
 }
 
 func reopenDiskLog(t testing.TB, files fileSystem, segmentSize int64) *diskLog {
 	t.Helper()
 	numbers, err := segmentNumbers(files, powerDirectory)
-	must(t, err)
+	requireNoError(t, err)
 	d, err := openDiskLog(files, powerDirectory, discard(), segmentSize, numbers)
-	must(t, err)
+	requireNoError(t, err)
 	return d
 }
 
-// TestOneWriteAndOneSync: a Ready costs one of each, whatever is in it, and
+// TestSave_OneWriteAndOneSync: a Ready costs one of each, whatever is in it, and
 // nothing if nothing changed.
-func TestOneWriteAndOneSync(t *testing.T) {
+func TestSave_OneWriteAndOneSync(t *testing.T) {
 	files := newPowerFiles(1)
 	d := newDiskLog(t, files, defaultSegmentSize)
 	state := raft.HardState{Term: 1, VotedFor: "a"}
@@ -57,7 +57,7 @@
 		{"a vote without sync asked for", &raft.HardState{Term: 2, VotedFor: "b", Commit: 300}, nil, false, 1, 1},
 	} {
 		writes, syncs, folderSyncs := files.writes, files.syncs, files.folderSyncs
-		must(t, d.Save(step.hardState, step.entries, step.sync))
+		requireNoError(t, d.Save(step.hardState, step.entries, step.sync))
 		if files.writes-writes != step.writes || files.syncs-syncs != step.syncs || files.folderSyncs != folderSyncs {
 			t.Errorf("%s: %d writes, %d syncs, %d of the folder, want %d, %d and 0", step.what,
 				files.writes-writes, files.syncs-syncs, files.folderSyncs-folderSyncs, step.writes, step.syncs)
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestSegmentsAreRemoved holds the log's bytes under a bound while snapshots
+// TestSaveSnapshot_RemovesSegments holds the log's bytes under a bound while snapshots
 // are taken, and that followers that lag a little still find their entries.
-func TestSegmentsAreRemoved(t *testing.T) {
+func TestSaveSnapshot_RemovesSegments(t *testing.T) {
 	const size, batch, keep = 64 << 10, 20, 5
 	files := newPowerFiles(1)
 	d := newDiskLog(t, files, size)
@@ -77,9 +77,9 @@
 		for i := range made {
 			made[i] = raft.Entry{Index: index + uint64(i), Term: 1, Data: data}
 		}
-		must(t, d.Save(nil, made, true))
+		requireNoError(t, d.Save(nil, made, true))
 		if index/batch%10 == 0 { // about three segments
-			must(t, d.SaveSnapshot(raft.SnapshotMeta{Index: index + 9, Term: 1}, keep, writeText("state")))
+			requireNoError(t, d.SaveSnapshot(raft.SnapshotMeta{Index: index + 9, Term: 1}, keep, writeText("state")))
 			if bytes := files.bytes(); bytes > 3*size {
 				t.Fatalf("%d bytes are held after a snapshot at %d", bytes, index+9)
 			}
@@ -87,23 +87,23 @@
 	}
 	d = reopenDiskLog(t, files, size)
 	loaded, err := d.Load()
-	must(t, err)
+	requireNoError(t, err)
 	if first := loaded.Entries[0].Index; first != loaded.Snapshot.Index-keep+1 {
 		t.Fatalf("log starts at %d, snapshot is of %d", first, loaded.Snapshot.Index)
 	}
 }
 
-// TestKeptBytesAreBounded: long entries are not kept behind a snapshot for as
+// TestSaveSnapshot_RetainedBytesBounded: long entries are not kept behind a snapshot for as
 // many entries as short ones are.
-func TestKeptBytesAreBounded(t *testing.T) {
+func TestSaveSnapshot_RetainedBytesBounded(t *testing.T) {
 	const size = 64 << 10
 	files := newPowerFiles(1)
 	d := newDiskLog(t, files, size)
 	for index := uint64(1); index <= 40; index++ {
-		must(t, d.Save(nil, []raft.Entry{{Index: index, Term: 1, Data: make([]byte, size)}}, true))
+		requireNoError(t, d.Save(nil, []raft.Entry{{Index: index, Term: 1, Data: make([]byte, size)}}, true))
 	}
-	must(t, d.SaveSnapshot(raft.SnapshotMeta{Index: 40, Term: 1}, 2000, writeText("state")))
-	if bytes := files.bytes(); bytes > (maxKeptSegments+1)*size {
+	requireNoError(t, d.SaveSnapshot(raft.SnapshotMeta{Index: 40, Term: 1}, 2000, writeText("state")))
+	if bytes := files.bytes(); bytes > (maxRetainedSegments+1)*size {
 		t.Fatalf("%d bytes are held after the snapshot", bytes)
 	}
 	if loaded := loadLog(t, reopenDiskLog(t, files, size)); loaded.Snapshot.Index != 40 || len(loaded.Entries) > 1 {
@@ -111,20 +111,20 @@
 	}
 }
 
-func loadLog(t *testing.T, d *diskLog) Loaded {
+func loadLog(t *testing.T, d *diskLog) LoadedState {
 	t.Helper()
 	loaded, err := d.Load()
-	must(t, err)
+	requireNoError(t, err)
 	return loaded
 }
 
-// TestNothingAfterAFailedWrite: what a file holds after a failed write or sync
+// TestSave_RejectedAfterFailedWrite: what a file holds after a failed write or sync
 // is unknown, so that nothing more may be promised.
-func TestNothingAfterAFailedWrite(t *testing.T) {
+func TestSave_RejectedAfterFailedWrite(t *testing.T) {
 	for failAfter := range 2 { // the write, the sync
 		files := newPowerFiles(1)
 		d := newDiskLog(t, files, defaultSegmentSize)
-		must(t, d.Save(&raft.HardState{Term: 1}, entries(1, 3, 1), true))
+		requireNoError(t, d.Save(&raft.HardState{Term: 1}, entries(1, 3, 1), true))
 		files.failAfter = failAfter
 		if err := d.Save(nil, entries(4, 5, 1), true); !errors.Is(err, errPowerOff) {
 			t.Fatalf("got %v, want %v", err, errPowerOff)
@@ -137,28 +137,28 @@
 			t.Fatalf("close: %v", err)
 		}
 		files.loseAllUnsynced()
-		want := Loaded{HardState: raft.HardState{Term: 1}, Entries: entries(1, 3, 1)}
+		want := LoadedState{HardState: raft.HardState{Term: 1}, Entries: entries(1, 3, 1)}
 		if diff := cmp.Diff(want, loadLog(t, reopenDiskLog(t, files, defaultSegmentSize))); diff != "" {
 			t.Fatal(diff)
 		}
 	}
 }
 
-// TestCreationIsAllOrNothing: a loss of power at any moment of a folder's
+// TestOpen_CreationIsAtomic: a loss of power at any moment of a folder's
 // creation leaves none, or a whole one.
-func TestCreationIsAllOrNothing(t *testing.T) {
+func TestOpen_CreationIsAtomic(t *testing.T) {
 	for seed := range uint64(300) {
 		files := newPowerFiles(seed)
 		files.failAfter = int(seed % 8)
 		err := createLog(files, powerDirectory, "0123456789abcdef", powerSegmentSize)
 		files.losePower()
 		numbers, listErr := segmentNumbers(files, powerDirectory)
-		must(t, listErr)
+		requireNoError(t, listErr)
 		if len(numbers) == 0 {
 			if err == nil {
 				t.Fatalf("seed %d: the folder was made and is gone", seed)
 			}
-			must(t, createLog(files, powerDirectory, "0123456789abcdef", powerSegmentSize))
+			requireNoError(t, createLog(files, powerDirectory, "0123456789abcdef", powerSegmentSize))
 		}
 		d := reopenDiskLog(t, files, powerSegmentSize)
 		if !d.Empty() || d.ReplicaID() != "0123456789abcdef" {
@@ -167,17 +167,17 @@
 	}
 }
 
-// TestDamagedSegmentIsNamed: a missing or damaged segment before the newest one
+// TestOpen_DamagedSegmentNamed: a missing or damaged segment before the newest one
 // is refused with its name, wherever the damage is.
-func TestDamagedSegmentIsNamed(t *testing.T) {
+func TestOpen_DamagedSegmentNamed(t *testing.T) {
 	files := newPowerFiles(1)
 	d := newDiskLog(t, files, powerSegmentSize)
 	for index := uint64(1); index <= 200; index += 4 {
-		must(t, d.Save(nil, entries(index, index+3, 1), true))
+		requireNoError(t, d.Save(nil, entries(index, index+3, 1), true))
 	}
-	must(t, d.close())
+	requireNoError(t, d.close())
 	numbers, err := segmentNumbers(files, powerDirectory)
-	must(t, err)
+	requireNoError(t, err)
 	if len(numbers) < 4 {
 		t.Fatalf("%d segments, want at least 4", len(numbers))
 	}
@@ -186,7 +186,7 @@
 	refused := func(what string) {
 		t.Helper()
 		left, err := segmentNumbers(files, powerDirectory)
-		must(t, err)
+		requireNoError(t, err)
 		_, _, err = openLog(files, powerDirectory, discard(), powerSegmentSize, left)
 		if !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), path) {
 			t.Fatalf("%s: got %v, want ErrCorrupt that names %s", what, err, path)
@@ -202,16 +202,16 @@
 	refused("cut")
 	files.put(path, make([]byte, len(intact)))
 	refused("zeros")
-	must(t, files.Remove(path))
+	requireNoError(t, files.Remove(path))
 	refused("missing")
 }
 
-// TestEarlierFormatIsRefused: a folder of a version with a bbolt log is named
+// TestOpen_EarlierFormatRejected: a folder of a version with a bbolt log is named
 // as that, and left alone.
-func TestEarlierFormatIsRefused(t *testing.T) {
+func TestOpen_EarlierFormatRejected(t *testing.T) {
 	directory := t.TempDir()
 	for _, name := range []string{earlierLogFile, archiveFile, snapshotFile} {
-		must(t, os.WriteFile(filepath.Join(directory, name), []byte("earlier"), filePermission))
+		requireNoError(t, os.WriteFile(filepath.Join(directory, name), []byte("earlier"), filePermission))
 	}
 	_, err := OpenDisk(DiskConfig{Directory: directory})
 	if !errors.Is(err, ErrEarlierFormat) || !strings.Contains(err.Error(), earlierLogFile) {
@@ -222,15 +222,15 @@
 	}
 }
 
-// TestLostNamesOfANewFolder: while nothing was saved, a loss of power that took
+// TestOpen_LostNamesOfNewDirectory: while nothing was saved, a loss of power that took
 // the archive's name does no harm.
-func TestLostNamesOfANewFolder(t *testing.T) {
+func TestOpen_LostNamesOfNewDirectory(t *testing.T) {
 	directory := t.TempDir()
-	must(t, open(t, directory).Close())
-	must(t, os.Remove(filepath.Join(directory, archiveFile)))
-	d := open(t, directory)
-	must(t, d.Save(&raft.HardState{Term: 1}, nil, true))
-	must(t, d.Close())
+	requireNoError(t, openStore(t, directory).Close())
+	requireNoError(t, os.Remove(filepath.Join(directory, archiveFile)))
+	d := openStore(t, directory)
+	requireNoError(t, d.Save(&raft.HardState{Term: 1}, nil, true))
+	requireNoError(t, d.Close())
 }
 
 func discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
--- a/internal/storage/walpayload.go
+++ b/internal/storage/walpayload.go
@@ -43,8 +43,8 @@
 	ArchiveTransaction uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// snapshotNote says that a snapshot is durable, and what it replaces.
-type snapshotNote struct {
+// snapshotRecord says that a snapshot is durable, and what it replaces.
+type snapshotRecord struct {
 	Index        uint64 `cbor:"1,keyasint"`
 	Term         uint64 `cbor:"2,keyasint"`
 	FirstIndex   uint64 `cbor:"3,keyasint"`
@@ -54,35 +54,35 @@
 	ArchiveTransaction uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-func (s *walState) note(note snapshotNote) {
-	s.SnapshotIndex, s.SnapshotTerm = note.Index, note.Term
-	s.FirstIndex, s.FirstSegment = note.FirstIndex, note.FirstSegment
-	s.ArchiveTransaction = note.ArchiveTransaction
-	s.LastIndex = max(s.LastIndex, note.Index)
-	if note.DropLog {
-		s.LastIndex = note.Index
+func (s *walState) applySnapshot(snapshot snapshotRecord) {
+	s.SnapshotIndex, s.SnapshotTerm = snapshot.Index, snapshot.Term
+	s.FirstIndex, s.FirstSegment = snapshot.FirstIndex, snapshot.FirstSegment
+	s.ArchiveTransaction = snapshot.ArchiveTransaction
+	s.LastIndex = max(s.LastIndex, snapshot.Index)
+	if snapshot.DropLog {
+		s.LastIndex = snapshot.Index
 	}
 }
 
 // walBatch is what one append writes, all or nothing.
 type walBatch struct {
-	note      *snapshotNote // encoded as notePayload
+	snapshot  *snapshotRecord // encoded as snapshotPayload
 	hardState *raft.HardState
 	entries   []raft.Entry
 	closed    bool
 
-	notePayload []byte
+	snapshotPayload []byte
 }
 
-func noteBatch(note snapshotNote) (walBatch, error) {
-	payload, err := cbor.Marshal(note)
-	return walBatch{note: &note, notePayload: payload}, err
+func newSnapshotBatch(snapshot snapshotRecord) (walBatch, error) {
+	payload, err := cbor.Marshal(snapshot)
+	return walBatch{snapshot: &snapshot, snapshotPayload: payload}, err
 }
 
 // records counts the records.
 func (b walBatch) records() int {
 	count := len(b.entries)
-	for _, present := range []bool{b.note != nil, b.hardState != nil, b.closed} {
+	for _, present := range []bool{b.snapshot != nil, b.hardState != nil, b.closed} {
 		if present {
 			count++
 		}
@@ -92,7 +92,7 @@
 
 // size is the length of the batch in the log, in bytes.
 func (b walBatch) size() int64 {
-	size := int64(b.records()*recordHeaderSize + len(b.notePayload))
+	size := int64(b.records()*recordHeaderSize + len(b.snapshotPayload))
 	if b.hardState != nil {
 		size += int64(hardStateHeaderSize + len(b.hardState.VotedFor))
 	}
@@ -112,25 +112,25 @@
 		endRecord(buffer, start, walRecord{Sequence: sequence, Synced: synced, Type: kind, End: sequence == last})
 		sequence++
 	}
-	if b.note != nil {
-		add(recordSnapshot, func(to []byte) []byte { return append(to, b.notePayload...) })
+	if b.snapshot != nil {
+		add(recordTypeSnapshot, func(to []byte) []byte { return append(to, b.snapshotPayload...) })
 	}
 	if b.hardState != nil {
-		add(recordHardState, func(to []byte) []byte { return appendHardState(to, *b.hardState) })
+		add(recordTypeHardState, func(to []byte) []byte { return appendHardState(to, *b.hardState) })
 	}
 	for i := range b.entries {
-		add(recordEntry, func(to []byte) []byte { return appendEntry(to, &b.entries[i]) })
+		add(recordTypeEntry, func(to []byte) []byte { return appendEntry(to, &b.entries[i]) })
 	}
 	if b.closed {
-		add(recordClosed, func(to []byte) []byte { return to })
+		add(recordTypeClosed, func(to []byte) []byte { return to })
 	}
 	return buffer
 }
 
-// change brings a state to what it is after the batch.
-func (b walBatch) change(state *walState) {
-	if b.note != nil {
-		state.note(*b.note)
+// applyTo brings a state to what it is after the batch.
+func (b walBatch) applyTo(state *walState) {
+	if b.snapshot != nil {
+		state.applySnapshot(*b.snapshot)
 	}
 	if b.hardState != nil {
 		state.HardState = *b.hardState
--- a/internal/storage/walrecord.go
+++ b/internal/storage/walrecord.go
@@ -17,17 +17,17 @@
 type recordType byte
 
 const (
-	// recordSegment opens each segment: a segmentHeader.
-	recordSegment recordType = 1
-	// recordHardState is a raft.HardState.
-	recordHardState recordType = 2
-	// recordEntry is a raft.Entry, in place of all held from its index on.
-	recordEntry recordType = 3
-	// recordSnapshot is a snapshotNote.
-	recordSnapshot recordType = 4
-	// recordClosed ends a log that was closed in order, so that damage to the
+	// recordTypeSegment opens each segment: a segmentHeader.
+	recordTypeSegment recordType = 1
+	// recordTypeHardState is a raft.HardState.
+	recordTypeHardState recordType = 2
+	// recordTypeEntry is a raft.Entry, in place of all held from its index on.
+	recordTypeEntry recordType = 3
+	// recordTypeSnapshot is a snapshotRecord.
+	recordTypeSnapshot recordType = 4
+	// recordTypeClosed ends a log that was closed in order, so that damage to the
 	// record before it is told apart from a torn write.
-	recordClosed recordType = 5
+	recordTypeClosed recordType = 5
 )
 
 // walRecord is one record.
@@ -89,7 +89,7 @@
 		End:      content[25] == 1,
 		Payload:  content[recordHeaderSize:size],
 	}
-	if record.Type < recordSegment || record.Type > recordClosed || content[25] > 1 || record.Synced >= record.Sequence {
+	if record.Type < recordTypeSegment || record.Type > recordTypeClosed || content[25] > 1 || record.Synced >= record.Sequence {
 		return walRecord{}, 0, false
 	}
 	if binary.BigEndian.Uint32(content[lengthSize:]) != recordChecksum(content[:size]) {
--- a/internal/storage/walreplay.go
+++ b/internal/storage/walreplay.go
@@ -23,17 +23,17 @@
 	segments []segment
 	// next is the sequence of the record that follows.
 	next uint64
-	// marked: the newest record is a mark of closing.
-	marked bool
+	// closedCleanly: the newest record is a mark of closing.
+	closedCleanly bool
 	// tail is what is wrong behind the end of the newest segment; nil if
 	// nothing is.
 	tail *tornTail
 	// end is where the newest segment is to be written on.
 	end int64
-	// leftovers are segments that are not needed; torn is a newest one that
+	// obsolete are segments that are not needed; torn is a newest one that
 	// was being made, 0 if there is none.
-	leftovers []uint64
-	torn      uint64
+	obsolete   []uint64
+	unfinished uint64
 }
 
 // tornTail is the place of unsynced bytes that do not check.
@@ -45,16 +45,16 @@
 	return filepath.Join(r.directory, segmentName(number))
 }
 
-// run reads everything and changes nothing. numbers are not empty.
-func (r *replay) run(numbers []uint64) error {
+// readAll reads everything and changes nothing. numbers are not empty.
+func (r *replay) readAll(numbers []uint64) error {
 	newest, err := r.findNewest(numbers)
 	if err != nil {
 		return err
 	}
-	if r.leftovers, err = r.needed(newest.numbers, newest.firstNeeded, newest.number()); err != nil {
+	if r.obsolete, err = r.checkNeeded(newest.numbers, newest.oldestNeeded, newest.number()); err != nil {
 		return err
 	}
-	for number := newest.firstNeeded; number < newest.number(); number++ {
+	for number := newest.oldestNeeded; number < newest.number(); number++ {
 		older, err := readSegment(r.files, r.directory, number)
 		if err != nil {
 			return err
@@ -67,7 +67,7 @@
 		return err
 	}
 	if provesSynced(newest.unfinished, r.next) {
-		return corrupt(r.path(r.torn), "does not start with a whole segment header, though it was synced")
+		return corrupt(r.path(r.unfinished), "does not start with a whole segment header, though it was synced")
 	}
 	return nil
 }
@@ -78,7 +78,7 @@
 	numbers []uint64
 	content []byte
 	// firstNeeded is the oldest segment that is still needed.
-	firstNeeded uint64
+	oldestNeeded uint64
 	// unfinished is what there is of the segment after it, if that one was being
 	// made when the power failed.
 	unfinished []byte
@@ -96,13 +96,13 @@
 	}
 	older := numbers[:len(numbers)-1]
 	if len(older) == 0 || older[len(older)-1] != newest.number()-1 {
-		return newest, r.withoutHeader(newest.number())
+		return newest, r.errMissingHeader(newest.number())
 	}
-	r.torn = newest.number()
+	r.unfinished = newest.number()
 	unfinished := newest.content
 	newest, whole, err = r.readHeader(older)
 	if err == nil && !whole {
-		err = r.withoutHeader(newest.number())
+		err = r.errMissingHeader(newest.number())
 	}
 	newest.unfinished = unfinished
 	return newest, err
@@ -114,16 +114,16 @@
 	if last.content, err = readSegment(r.files, r.directory, last.number()); err != nil {
 		return last, false, err
 	}
-	last.firstNeeded, whole = firstNeeded(last.content)
+	last.oldestNeeded, whole = oldestNeededSegment(last.content)
 	return last, whole, nil
 }
 
-func (r *replay) withoutHeader(number uint64) error {
+func (r *replay) errMissingHeader(number uint64) error {
 	return corrupt(r.path(number), "does not start with a whole segment header")
 }
 
-// needed returns the segments before first, and refuses a gap from there on.
-func (r *replay) needed(numbers []uint64, first, newest uint64) (leftovers []uint64, err error) {
+// checkNeeded returns the segments before first, and refuses a gap from there on.
+func (r *replay) checkNeeded(numbers []uint64, first, newest uint64) (obsolete []uint64, err error) {
 	for number := first; number <= newest; number++ {
 		if !slices.Contains(numbers, number) {
 			return nil, corrupt(r.path(number), "missing")
@@ -131,10 +131,10 @@
 	}
 	for _, number := range numbers {
 		if number < first {
-			leftovers = append(leftovers, number)
+			obsolete = append(obsolete, number)
 		}
 	}
-	return leftovers, nil
+	return obsolete, nil
 }
 
 // readOlder reads a segment that was synced before a newer one was made, so
@@ -171,13 +171,13 @@
 	return nil
 }
 
-func (r *replay) read(number uint64, content []byte) (scanned, error) {
+func (r *replay) read(number uint64, content []byte) (scanResult, error) {
 	r.segments = append(r.segments, segment{number: number, size: int64(len(content))})
 	opened := false
-	result, err := scan(content, r.next, func(batch []walRecord) error {
+	result, err := scanBatches(content, r.next, func(batch []walRecord) error {
 		for i, record := range batch {
 			// The header stands first, and nowhere else.
-			if (record.Type == recordSegment) == (opened || i > 0) {
+			if (record.Type == recordTypeSegment) == (opened || i > 0) {
 				return corrupt(r.path(number), "record %d of type %d is out of place", record.Sequence, record.Type)
 			}
 			opened = true
@@ -199,27 +199,27 @@
 
 func (r *replay) apply(number uint64, content []byte, record walRecord) error {
 	ok := true
-	r.marked = record.Type == recordClosed
+	r.closedCleanly = record.Type == recordTypeClosed
 	switch record.Type {
-	case recordSegment:
+	case recordTypeSegment:
 		return r.openSegment(number, content, record)
-	case recordHardState:
+	case recordTypeHardState:
 		var state raft.HardState
 		if state, ok = decodeHardState(record.Payload); ok {
 			r.state.HardState = state
 		}
-	case recordEntry:
+	case recordTypeEntry:
 		var entry raft.Entry
 		if entry, ok = decodeEntry(record.Payload); ok {
 			r.addEntry(entry)
 		}
-	case recordSnapshot:
-		var note snapshotNote
-		if ok = decodeInto(record.Payload, &note); ok {
-			r.state.note(note)
-			r.forget(note)
+	case recordTypeSnapshot:
+		var snapshot snapshotRecord
+		if ok = decodeInto(record.Payload, &snapshot); ok {
+			r.state.applySnapshot(snapshot)
+			r.discardBefore(snapshot)
 		}
-	case recordClosed:
+	case recordTypeClosed:
 	}
 	if !ok {
 		return corrupt(r.path(number), "record %d of type %d cannot be decoded", record.Sequence, record.Type)
@@ -259,12 +259,12 @@
 	}
 }
 
-func (r *replay) forget(note snapshotNote) {
-	if note.DropLog {
+func (r *replay) discardBefore(snapshot snapshotRecord) {
+	if snapshot.DropLog {
 		r.entries = nil
 		return
 	}
-	kept := slices.IndexFunc(r.entries, func(entry raft.Entry) bool { return entry.Index >= note.FirstIndex })
+	kept := slices.IndexFunc(r.entries, func(entry raft.Entry) bool { return entry.Index >= snapshot.FirstIndex })
 	if kept < 0 {
 		kept = len(r.entries)
 	}
@@ -284,10 +284,10 @@
 	if err := newest.Sync(); err != nil {
 		return fmt.Errorf("sync segment: %w", err)
 	}
-	remove := r.leftovers
-	if r.torn != 0 {
-		r.logger.Warn("unfinished segment removed", "file", r.path(r.torn))
-		remove = append(remove, r.torn)
+	remove := r.obsolete
+	if r.unfinished != 0 {
+		r.logger.Warn("unfinished segment removed", "file", r.path(r.unfinished))
+		remove = append(remove, r.unfinished)
 	}
 	for _, number := range remove {
 		if err := r.files.Remove(r.path(number)); err != nil {
--- a/internal/storage/walsegment.go
+++ b/internal/storage/walsegment.go
@@ -81,8 +81,8 @@
 	return content, nil
 }
 
-// scanned says how far a segment is good.
-type scanned struct {
+// scanResult says how far a segment is good.
+type scanResult struct {
 	// end is the offset behind the last whole batch, next the sequence that
 	// has to follow there.
 	end  int
@@ -91,13 +91,13 @@
 	bad uint64
 }
 
-// scan visits the whole batches of a segment until a record does not check.
+// scanBatches visits the whole batches of a segment until a record does not check.
 // The first record must have the sequence, unless that is 0.
-func scan(content []byte, sequence uint64, visit func(batch []walRecord) error) (scanned, error) {
+func scanBatches(content []byte, sequence uint64, visit func(batch []walRecord) error) (scanResult, error) {
 	if sequence == 0 && len(content) >= recordHeaderSize {
 		sequence = binary.BigEndian.Uint64(content[8:])
 	}
-	result := scanned{next: sequence, bad: sequence}
+	result := scanResult{next: sequence, bad: sequence}
 	var batch []walRecord
 	for at := 0; ; {
 		record, size, ok := nextRecord(content[at:], result.bad)
@@ -120,19 +120,19 @@
 
 // firstNeeded is the oldest segment that a segment says must be there; ok is
 // false if it does not open with a whole header.
-func firstNeeded(content []byte) (number uint64, ok bool) {
-	_, _ = scan(content, 0, func(batch []walRecord) error {
+func oldestNeededSegment(content []byte) (number uint64, ok bool) {
+	_, _ = scanBatches(content, 0, func(batch []walRecord) error {
 		for _, record := range batch {
 			switch record.Type {
-			case recordSegment:
+			case recordTypeSegment:
 				var header segmentHeader
 				if decodeInto(record.Payload, &header) {
 					number, ok = header.State.FirstSegment, true
 				}
-			case recordSnapshot:
-				var note snapshotNote
-				if decodeInto(record.Payload, &note) {
-					number = note.FirstSegment
+			case recordTypeSnapshot:
+				var snapshot snapshotRecord
+				if decodeInto(record.Payload, &snapshot) {
+					number = snapshot.FirstSegment
 				}
 			default:
 			}
