--- a/internal/process/agentprocess/process.go
+++ b/internal/process/agentprocess/process.go
@@ -18,7 +18,7 @@
 
 // Process is one agent with all its parts.
 type Process struct {
-	*process.Linked[settings.Agent]
+	*process.LeaderClientBase[settings.Agent]
 	// Agent relays heartbeats.
 	Agent *agent.Agent
 
@@ -29,7 +29,7 @@
 func New(initial settings.Agent, options settings.LoadOptions) (*Process, error) {
 	p := &Process{}
 	p.zone.Store(&initial.Zone)
-	linked, err := process.NewLinked(process.LinkedConfig[settings.Agent]{
+	linked, err := process.NewLeaderClientBase(process.LeaderClientConfig[settings.Agent]{
 		BaseConfig: process.BaseConfig[settings.Agent]{
 			Program: Program,
 			Initial: initial,
@@ -45,12 +45,12 @@
 	if err != nil {
 		return nil, err
 	}
-	p.Linked = linked
+	p.LeaderClientBase = linked
 	p.Agent, err = agent.New(agent.Config{
 		Name:         initial.Name,
 		Zone:         p.Zone,
 		RelayTimeout: initial.RelayTimeout.Std(),
-		Link:         p.Link,
+		Link:         p.Leader,
 		Client:       p.Client,
 		Status:       p.Status(),
 		Logger:       p.Logger,
@@ -68,5 +68,5 @@
 // Run serves, on extra listeners too, until the context ends or a signal stops
 // the process.
 func (p *Process) Run(ctx context.Context, extra ...daemon.Listener) error {
-	return p.Linked.Run(ctx, p.Agent, extra)
+	return p.LeaderClientBase.Run(ctx, p.Agent, extra)
 }
--- a/internal/process/base.go
+++ b/internal/process/base.go
@@ -14,8 +14,8 @@
 	"github.com/decklever/decklever/internal/telemetry"
 )
 
-// stoppingPart names in /readyz why a process that stops is not ready.
-const stoppingPart = "shutdown"
+// shutdownComponent names in /readyz why a process that stops is not ready.
+const shutdownComponent = "shutdown"
 
 // BaseConfig describes a process; T is its settings. All but Options and Apply
 // is required.
@@ -34,9 +34,9 @@
 
 // Readiness is the part of a process that /readyz follows.
 type Readiness struct {
-	// Part names it, Unready says why it is not ready when it is not.
-	Part, Unready string
-	Ready         func() bool
+	// Component names it, Unready says why it is not ready when it is not.
+	Component, Unready string
+	Ready              func() bool
 }
 
 // Base is what all processes have in common: logging, health, metrics, and
@@ -96,7 +96,7 @@
 		Listen:        common.Listen,
 		Logger:        b.Logger,
 		Background:    append(parts, b.watchSettings, watchHealth),
-		Stopping:      func() { b.Health.SetReady(stoppingPart, false, "the process is about to stop") },
+		Stopping:      func() { b.Health.SetReady(shutdownComponent, false, "the process is about to stop") },
 		ShutdownDelay: time.Duration(common.ShutdownDelay),
 		StopTimeout:   time.Duration(common.StopTimeout),
 
@@ -107,10 +107,10 @@
 // CheckHealth brings /readyz in step with the readiness.
 func (b *Base[T]) CheckHealth(readiness Readiness) {
 	if readiness.Ready() {
-		b.Health.SetReady(readiness.Part, true, "")
+		b.Health.SetReady(readiness.Component, true, "")
 		return
 	}
-	b.Health.SetReady(readiness.Part, false, readiness.Unready)
+	b.Health.SetReady(readiness.Component, false, readiness.Unready)
 }
 
 // watchSettings puts changes of the settings file in force.
--- a/internal/process/base_test.go
+++ b/internal/process/base_test.go
@@ -34,9 +34,9 @@
 	return base
 }
 
-func TestDaemonTakesTheSettings(t *testing.T) {
+func TestBase_DaemonConfigFollowsSettings(t *testing.T) {
 	base := newTestBase(t, nil)
-	config := base.Daemon(Readiness{Part: "p", Ready: func() bool { return true }}, func(context.Context) error { return nil })
+	config := base.Daemon(Readiness{Component: "p", Ready: func() bool { return true }}, func(context.Context) error { return nil })
 	if config.Listen != "127.0.0.1:7200" || config.ShutdownDelay != time.Second || config.StopTimeout != 2*time.Second {
 		t.Errorf("listens on %s, stops after %v within %v", config.Listen, config.ShutdownDelay, config.StopTimeout)
 	}
@@ -48,10 +48,10 @@
 	}
 }
 
-func TestHealthFollowsTheReadinessAndTheStop(t *testing.T) {
+func TestBase_HealthFollowsReadinessAndShutdown(t *testing.T) {
 	base := newTestBase(t, nil)
 	ready := false
-	readiness := Readiness{Part: "p", Unready: "not yet", Ready: func() bool { return ready }}
+	readiness := Readiness{Component: "p", Unready: "not yet", Ready: func() bool { return ready }}
 	base.CheckHealth(readiness)
 	if status := base.Health.Status(); status.Ready || status.Parts[0].Reason != "not yet" {
 		t.Errorf("at first %+v", status)
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestChangedSettingsAreApplied(t *testing.T) {
+func TestBase_AppliesChangedSettings(t *testing.T) {
 	var applied settings.Front
 	base := newTestBase(t, func(changed settings.Front) { applied = changed })
 	changed := testSettings()
--- a/internal/process/frontprocess/process.go
+++ b/internal/process/frontprocess/process.go
@@ -16,7 +16,7 @@
 
 // Process is one front with all its parts.
 type Process struct {
-	*process.Linked[settings.Front]
+	*process.LeaderClientBase[settings.Front]
 	// Front makes the calls that the HTTP interface offers.
 	Front *front.Front
 }
@@ -24,7 +24,7 @@
 // New makes the parts; none is at work yet.
 func New(initial settings.Front, options settings.LoadOptions) (*Process, error) {
 	p := &Process{}
-	linked, err := process.NewLinked(process.LinkedConfig[settings.Front]{
+	linked, err := process.NewLeaderClientBase(process.LeaderClientConfig[settings.Front]{
 		BaseConfig: process.BaseConfig[settings.Front]{
 			Program: Program,
 			Initial: initial,
@@ -39,9 +39,9 @@
 	if err != nil {
 		return nil, err
 	}
-	p.Linked = linked
+	p.LeaderClientBase = linked
 	p.Front, err = front.New(front.Config{
-		Link:       p.Link,
+		Link:       p.Leader,
 		Client:     p.Client,
 		Settings:   liveSettings(initial),
 		Status:     p.Status(),
@@ -61,5 +61,5 @@
 // Run serves, on extra listeners too, until the context ends or a signal stops
 // the process.
 func (p *Process) Run(ctx context.Context, extra ...daemon.Listener) error {
-	return p.Linked.Run(ctx, p.Front, extra)
+	return p.LeaderClientBase.Run(ctx, p.Front, extra)
 }
--- a/internal/process/integration/badinput_test.go
+++ b/internal/process/integration/badinput_test.go
@@ -19,10 +19,10 @@
 // fleet makes for itself.
 const goroutineSlack = 20
 
-// TestBadInput gives each daemon what no user of it sends. Each refuses or cuts
+// TestDaemons_RejectBadInput gives each daemon what no user of it sends. Each refuses or cuts
 // it off, goes on with ordinary requests, and keeps nothing of it.
-func TestBadInput(t *testing.T) {
-	targets := newFleet(t)
+func TestDaemons_RejectBadInput(t *testing.T) {
+	targets := startDaemons(t)
 	base := runtime.NumGoroutine()
 	for _, attacked := range targets {
 		t.Run(attacked.name, func(t *testing.T) {
@@ -36,7 +36,7 @@
 			} {
 				t.Run(name, func(t *testing.T) {
 					test(t, attacked)
-					wantOrdinary(t, attacked)
+					wantServing(t, attacked)
 				})
 			}
 		})
@@ -46,12 +46,12 @@
 	})
 }
 
-// wantOrdinary waits until an ordinary request gets its answer: one may be cut
+// wantServing waits until an ordinary request gets its answer: one may be cut
 // off with the connections around it.
-func wantOrdinary(t *testing.T, target target) {
+func wantServing(t *testing.T, target target) {
 	t.Helper()
 	err := target.ordinary()
-	for deadline := time.Now().Add(patience); err != nil; err = target.ordinary() {
+	for deadline := time.Now().Add(waitTimeout); err != nil; err = target.ordinary() {
 		if time.Now().After(deadline) {
 			t.Fatalf("ordinary requests fail: %v", err)
 		}
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = connection.Close() })
-	if err := connection.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := connection.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return connection.(*net.TCPConn)
@@ -168,7 +168,7 @@
 // trickle sends a byte at a time until the connection is cut off.
 func trickle(t *testing.T, connection net.Conn) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		if _, err := connection.Write([]byte("x")); err != nil {
 			return
 		}
@@ -231,11 +231,11 @@
 			closed <- struct{}{}
 		}()
 	}
-	wantOrdinary(t, target)
+	wantServing(t, target)
 	for range opened { // the last ones by the timeout of their header
 		select {
 		case <-closed:
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Fatal("silent connections stay open")
 		}
 	}
--- a/internal/process/integration/callers_test.go
+++ b/internal/process/integration/callers_test.go
@@ -32,7 +32,7 @@
 	serial  int
 }
 
-// run makes calls by chance until ctx ends.
+// faultRun makes calls by chance until ctx ends.
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		switch c.random.IntN(8) {
@@ -56,10 +56,10 @@
 func (c *caller) readConfig() (configOutput, bool) {
 	began := c.history.now()
 	answer, end := call[fleet.Empty, fleet.ConfigAnswer](c, fleet.MethodGetConfig, fleet.Empty{})
-	if end.how != endedAnswered {
+	if end.outcome != outcomeAnswered {
 		return configOutput{}, false // a read that had no answer says nothing
 	}
-	c.unexpected("read the configuration", end.refusal)
+	c.unexpected("read the configuration", end.rejection)
 	output := configOutput{result: configRead, version: answer.Status.Version, tag: tagOf(answer.Status.Config)}
 	c.history.addConfig(c.number, configInput{}, output, began)
 	c.counts.add("configuration read")
@@ -104,7 +104,7 @@
 	request := fleet.PutConfigRequest{OrderID: input.order, Base: input.base, Config: taggedConfig(input.tag)}
 	began := c.history.now()
 	answer, end := call[fleet.PutConfigRequest, fleet.PutConfigAnswer](c, fleet.MethodPutConfig, request)
-	if end.how == endedWithoutEffect {
+	if end.outcome == outcomeNoEffect {
 		return
 	}
 	result := resultOf(c, "put a configuration", end, configUnknown, configAccepted, map[api.ErrorCode]configResult{
@@ -143,10 +143,10 @@
 	request := fleet.SubmitRequest{ID: input.job, Spec: taggedJob(input.tag)}
 	began := c.history.now()
 	answer, end := call[fleet.SubmitRequest, fleet.SubmitAnswer](c, fleet.MethodSubmit, request)
-	if end.how == endedWithoutEffect {
+	if end.outcome == outcomeNoEffect {
 		return
 	}
-	accepted := submitResult(answer.Created, end.tries)
+	accepted := submitResult(answer.Created, end.attempts)
 	result := resultOf(c, "submit", end, jobUnknown, accepted, map[api.ErrorCode]jobResult{api.CodeConflict: jobConflict})
 	if result == accepted {
 		c.counts.add("submitted")
@@ -170,21 +170,21 @@
 	input := jobInput{call: jobCancel, job: c.job()}
 	began := c.history.now()
 	answer, end := call[fleet.CancelRequest, fleet.JobAnswer](c, fleet.MethodCancel, fleet.CancelRequest{ID: input.job})
-	c.noteStatus(input, answer, end, began)
+	c.recordStatus(input, answer, end, began)
 }
 
 func (c *caller) readJob() {
 	input := jobInput{call: jobRead, job: c.job()}
 	began := c.history.now()
 	answer, end := call[fleet.GetJobRequest, fleet.JobAnswer](c, fleet.MethodGetJob, fleet.GetJobRequest{ID: input.job})
-	if end.how == endedAnswered { // a read that had no answer says nothing
-		c.noteStatus(input, answer, end, began)
+	if end.outcome == outcomeAnswered { // a read that had no answer says nothing
+		c.recordStatus(input, answer, end, began)
 	}
 }
 
-// noteStatus notes a call that answers with the state of the job.
-func (c *caller) noteStatus(input jobInput, answer fleet.JobAnswer, end callEnd, began int64) {
-	if end.how == endedWithoutEffect {
+// recordStatus notes a call that answers with the state of the job.
+func (c *caller) recordStatus(input jobInput, answer fleet.JobAnswer, end callResult, began int64) {
+	if end.outcome == outcomeNoEffect {
 		return
 	}
 	result := resultOf(c, "ask for a job", end, jobUnknown, jobStatus, map[api.ErrorCode]jobResult{api.CodeNotFound: jobMissing})
--- a/internal/process/integration/calls_test.go
+++ b/internal/process/integration/calls_test.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	tryTimeout  = 400 * time.Millisecond
-	callTimeout = 1500 * time.Millisecond
-	// resendChance is how often a caller repeats a call of unknown outcome
+	attemptTimeout = 400 * time.Millisecond
+	callTimeout    = 1500 * time.Millisecond
+	// retryProbability is how often a caller repeats a call of unknown outcome
 	// rather than leave it open.
-	resendChance = 0.9
+	retryProbability = 0.9
 )
 
-// ended tells how a call ended: with an answer, without effect, or unknown.
-type ended uint8
+// callOutcome tells how a call ended: with an answer, without effect, or unknown.
+type callOutcome uint8
 
 const (
-	endedAnswered ended = iota
-	endedWithoutEffect
-	endedUnknown
+	outcomeAnswered callOutcome = iota
+	outcomeNoEffect
+	outcomeUnknown
 )
 
-// callEnd is how a call ended. refusal comes with an answer that refuses; tries
+// callResult is how a call ended. refusal comes with an answer that refuses; tries
 // is how many of the tries may have had an effect.
-type callEnd struct {
-	how     ended
-	refusal *api.Error
-	tries   int
+type callResult struct {
+	outcome   callOutcome
+	rejection *api.Error
+	attempts  int
 }
 
 // call tries nodes until one answers.
-func call[Request, Answer any](c *caller, method fleet.Method, request Request) (answer Answer, end callEnd) {
+func call[Request, Answer any](c *caller, method fleet.Method, request Request) (answer Answer, end callResult) {
 	unknown := 0
 	for deadline := time.Now().Add(callTimeout); time.Now().Before(deadline); {
-		failure := c.tryOnce(func(ctx context.Context, address string) (err error) {
+		failure := c.attemptOnce(func(ctx context.Context, address string) (err error) {
 			answer, err = rpc.Call[Request, Answer](ctx, c.client, address, method, request)
 			return err
 		})
 		if failure == nil || failure.Code == rpc.CodeRefused {
-			return answer, callEnd{how: endedAnswered, refusal: refusalIn(failure), tries: unknown + 1}
+			return answer, callResult{outcome: outcomeAnswered, rejection: rejectionOf(failure), attempts: unknown + 1}
 		}
 		if failure.Code == rpc.CodeBadRequest {
 			c.t.Errorf("caller %d: %v", c.number, failure)
@@ -53,7 +53,7 @@
 		if mayHaveEffect(failure) {
 			unknown++
 			c.counts.add("unknown tries")
-			if c.random.Float64() > resendChance {
+			if c.random.Float64() > retryProbability {
 				break
 			}
 		}
@@ -61,17 +61,17 @@
 	}
 	if unknown > 0 {
 		c.counts.add("left open")
-		return answer, callEnd{how: endedUnknown, tries: unknown}
+		return answer, callResult{outcome: outcomeUnknown, attempts: unknown}
 	}
-	return answer, callEnd{how: endedWithoutEffect}
+	return answer, callResult{outcome: outcomeNoEffect}
 }
 
-// tryOnce makes one call to one node.
-func (c *caller) tryOnce(attempt func(ctx context.Context, address string) error) *rpc.Error {
+// attemptOnce makes one call to one node.
+func (c *caller) attemptOnce(attempt func(ctx context.Context, address string) error) *rpc.Error {
 	if c.target == "" {
 		c.target = c.nodes[c.random.IntN(len(c.nodes))].address
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), tryTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
 	err := attempt(ctx, c.target)
 	if err == nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-func refusalIn(failure *rpc.Error) *api.Error {
+func rejectionOf(failure *rpc.Error) *api.Error {
 	if failure == nil {
 		return nil
 	}
@@ -104,16 +104,16 @@
 // resultOf is what a call that may have had an effect came to, in the terms of a
 // model: accepted for an answer without a refusal. A refusal that is not among
 // those expected fails the test.
-func resultOf[Result any](c *caller, what string, end callEnd, unknown, accepted Result, refused map[api.ErrorCode]Result) Result {
+func resultOf[Result any](c *caller, what string, end callResult, unknown, accepted Result, refused map[api.ErrorCode]Result) Result {
 	switch {
-	case end.how == endedUnknown:
+	case end.outcome == outcomeUnknown:
 		return unknown
-	case end.refusal == nil:
+	case end.rejection == nil:
 		return accepted
 	}
-	result, expected := refused[end.refusal.Code]
+	result, expected := refused[end.rejection.Code]
 	if !expected {
-		c.unexpected(what, end.refusal)
+		c.unexpected(what, end.rejection)
 		return unknown
 	}
 	return result
--- a/internal/process/integration/fulldisk_test.go
+++ b/internal/process/integration/fulldisk_test.go
@@ -91,7 +91,7 @@
 	}
 	startAll(nodes)
 	request := fleet.PutConfigRequest{OrderID: "first", Config: taggedConfig("first")}
-	if _, err := ask[fleet.PutConfigRequest, fleet.PutConfigAnswer](t, newClient(t), nodes, fleet.MethodPutConfig, request); err != nil {
+	if _, err := callUntilAnswered[fleet.PutConfigRequest, fleet.PutConfigAnswer](t, newClient(t), nodes, fleet.MethodPutConfig, request); err != nil {
 		t.Fatal(err)
 	}
 	return nodes, stores
@@ -105,7 +105,7 @@
 	for i := range ids {
 		ids[i] = fmt.Sprintf("%s-%d", prefix, i)
 		request := fleet.SubmitRequest{ID: ids[i], Spec: taggedJob("first")}
-		if _, err := ask[fleet.SubmitRequest, fleet.SubmitAnswer](t, client, nodes, fleet.MethodSubmit, request); err != nil {
+		if _, err := callUntilAnswered[fleet.SubmitRequest, fleet.SubmitAnswer](t, client, nodes, fleet.MethodSubmit, request); err != nil {
 			t.Fatalf("%s: %v", ids[i], err)
 		}
 	}
@@ -152,18 +152,18 @@
 	})
 }
 
-// wantSittingOut waits until a node's disk has refused a write, and checks that the
+// wantNotParticipating waits until a node's disk has refused a write, and checks that the
 // node goes on running, and neither leads nor counts for the majority: beside it and one
 // other, nothing is acknowledged.
-func wantSittingOut(t *testing.T, full *node, store *boundedStore, nodes []*node) {
+func wantNotParticipating(t *testing.T, full *node, store *boundedStore, nodes []*node) {
 	t.Helper()
 	eventually(t, full.name+" met its full disk", func() bool { return store.refused.Load() > 0 })
 	rest := without(nodes, full)
 	eventually(t, full.name+" leads no more", func() bool { return !full.leads() && leaderOf(t, rest) != nil })
 	stopped := without(rest, leaderOf(t, rest))[0]
 	stopped.crash()
-	for deadline := time.Now().Add(sitOutTime); time.Now().Before(deadline); {
-		ctx, cancel := context.WithTimeout(t.Context(), tryTimeout)
+	for deadline := time.Now().Add(fullDiskObservation); time.Now().Before(deadline); {
+		ctx, cancel := context.WithTimeout(t.Context(), attemptTimeout)
 		request := fleet.SubmitRequest{ID: fmt.Sprintf("lonely-%d", time.Now().UnixNano()), Spec: taggedJob("first")}
 		_, err := rpc.Call[fleet.SubmitRequest, fleet.SubmitAnswer](ctx, newClient(t), without(rest, stopped)[0].address, fleet.MethodSubmit, request)
 		cancel()
@@ -179,12 +179,12 @@
 	stopped.start()
 }
 
-// sitOutTime is for how long a full disk is watched.
-const sitOutTime = 1500 * time.Millisecond
+// fullDiskObservation is for how long a full disk is watched.
+const fullDiskObservation = 1500 * time.Millisecond
 
-// TestFullDiskOfAFollower: it takes no part while its disk is full, and goes on by
+// TestFullDisk_FollowerStopsParticipating: it takes no part while its disk is full, and goes on by
 // itself, without a restart, once there is room.
-func TestFullDiskOfAFollower(t *testing.T) {
+func TestFullDisk_FollowerStopsParticipating(t *testing.T) {
 	nodes, stores := boundedNodes(t)
 	ids := submitJobs(t, nodes, "before", 10)
 	leader := leaderOf(t, nodes)
@@ -192,7 +192,7 @@
 	stores[full].full.Store(true)
 	rest := without(nodes, full)
 	ids = append(ids, submitJobs(t, rest, "meanwhile", 50)...) // more than the log keeps
-	wantSittingOut(t, full, stores[full], nodes)
+	wantNotParticipating(t, full, stores[full], nodes)
 	ids = append(ids, submitJobs(t, rest, "still", 10)...)
 	stores[full].full.Store(false)
 	wantJobs(t, full, ids)
@@ -202,8 +202,8 @@
 	wantJobs(t, full, ids)
 }
 
-// TestStartOnAFullDisk: a node that is started while its disk is full waits for room.
-func TestStartOnAFullDisk(t *testing.T) {
+// TestFullDisk_StartWaits: a node that is started while its disk is full waits for room.
+func TestFullDisk_StartWaits(t *testing.T) {
 	nodes, stores := boundedNodes(t)
 	ids := submitJobs(t, nodes, "before", 10)
 	full := without(nodes, leaderOf(t, nodes))[0]
@@ -212,13 +212,13 @@
 	rest := without(nodes, full)
 	full.start()
 	ids = append(ids, submitJobs(t, rest, "meanwhile", 10)...)
-	wantSittingOut(t, full, stores[full], nodes)
+	wantNotParticipating(t, full, stores[full], nodes)
 	stores[full].full.Store(false)
 	wantJobs(t, full, ids)
 }
 
-// TestStopOnAFullDisk: a node that has no room still ends when it is told to.
-func TestStopOnAFullDisk(t *testing.T) {
+// TestFullDisk_StopSucceeds: a node that has no room still ends when it is told to.
+func TestFullDisk_StopSucceeds(t *testing.T) {
 	nodes, stores := boundedNodes(t)
 	full := without(nodes, leaderOf(t, nodes))[0]
 	stores[full].full.Store(true)
@@ -227,9 +227,9 @@
 	full.stop()
 }
 
-// TestFullDiskOfTheLeader fills the leader's disk while callers submit, and
+// TestFullDisk_LeaderLosesLeadership fills the leader's disk while callers submit, and
 // holds that what was acknowledged stays, whoever acknowledged it.
-func TestFullDiskOfTheLeader(t *testing.T) {
+func TestFullDisk_LeaderLosesLeadership(t *testing.T) {
 	nodes, stores := boundedNodes(t)
 	leader := leaderOf(t, nodes)
 	acknowledged := submitJobs(t, nodes, "before", 10)
@@ -259,7 +259,7 @@
 		return len(acknowledged) >= 100
 	})
 	stores[leader].full.Store(true)
-	wantSittingOut(t, leader, stores[leader], nodes)
+	wantNotParticipating(t, leader, stores[leader], nodes)
 	cancel()
 	callers.Wait()
 
@@ -272,9 +272,9 @@
 	wantJobs(t, leader, acknowledged)
 }
 
-// TestNoRoomForSnapshots: a snapshot only saves room; without it a replica
+// TestFullDisk_SnapshotsFail: a snapshot only saves room; without it a replica
 // goes on.
-func TestNoRoomForSnapshots(t *testing.T) {
+func TestFullDisk_SnapshotsFail(t *testing.T) {
 	nodes, stores := boundedNodes(t)
 	for _, store := range stores {
 		store.noSnapshots.Store(true)
@@ -296,16 +296,16 @@
 	}
 }
 
-// TestFullDiskForTheArchive: an ended job that cannot be kept stops the
+// TestFullDisk_ArchiveFails: an ended job that cannot be kept stops the
 // replica; the others answer for it.
-func TestFullDiskForTheArchive(t *testing.T) {
+func TestFullDisk_ArchiveFails(t *testing.T) {
 	nodes, stores := boundedNodes(t)
 	ids := submitJobs(t, nodes, "job", 3)
 	leader := leaderOf(t, nodes)
 	full := without(nodes, leader)[0]
 	stores[full].noArchive.Store(true)
 	rest := without(nodes, full)
-	answer, err := ask[fleet.CancelRequest, fleet.JobAnswer](t, newClient(t), rest, fleet.MethodCancel, fleet.CancelRequest{ID: ids[0]})
+	answer, err := callUntilAnswered[fleet.CancelRequest, fleet.JobAnswer](t, newClient(t), rest, fleet.MethodCancel, fleet.CancelRequest{ID: ids[0]})
 	if err != nil || answer.Status.State != api.StateCancelled {
 		t.Fatalf("cancelled: %+v, %v", answer.Status, err)
 	}
--- a/internal/process/integration/linear_test.go
+++ b/internal/process/integration/linear_test.go
@@ -27,23 +27,23 @@
 	wrongTimeout = 2 * time.Second
 )
 
-// TestAnswersAreLinearizable makes concurrent calls while links are cut,
+// TestCluster_ResponsesLinearizable makes concurrent calls while links are cut,
 // answers lost and leaders stopped, and then looks for one order of all calls,
 // in keeping with their times, that explains every answer.
-func TestAnswersAreLinearizable(t *testing.T) {
+func TestCluster_ResponsesLinearizable(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			t.Parallel()
-			r := newRun(t, seed)
-			r.faultsDuringCalls()
+			r := newFaultRun(t, seed)
+			r.injectFaultsDuringCalls()
 			r.wantProgress()
 			r.check()
 		})
 	}
 }
 
-// run is one seeded run.
-type run struct {
+// faultRun is one seeded run.
+type faultRun struct {
 	t       *testing.T
 	random  *rand.Rand
 	nodes   []*node
@@ -55,9 +55,9 @@
 	callers []*caller
 }
 
-func newRun(t *testing.T, seed uint64) *run {
+func newFaultRun(t *testing.T, seed uint64) *faultRun {
 	nodes := newNodes(t, 3)
-	r := &run{t: t, random: rand.New(rand.NewPCG(seed, 1)), nodes: nodes, links: newLinks(seed, nodes), stores: map[*node]*hangingStore{}}
+	r := &faultRun{t: t, random: rand.New(rand.NewPCG(seed, 1)), nodes: nodes, links: newLinks(seed, nodes), stores: map[*node]*hangingStore{}}
 	for i, n := range nodes {
 		r.stores[n] = &hangingStore{Memory: storage.NewMemory(int64(i + 1))}
 		n.store = r.stores[n]
@@ -65,7 +65,7 @@
 	startAll(nodes)
 	const first = "first-order"
 	request := fleet.PutConfigRequest{OrderID: first, Config: taggedConfig(first)}
-	answer, err := ask[fleet.PutConfigRequest, fleet.PutConfigAnswer](t, newClient(t), nodes, fleet.MethodPutConfig, request)
+	answer, err := callUntilAnswered[fleet.PutConfigRequest, fleet.PutConfigAnswer](t, newClient(t), nodes, fleet.MethodPutConfig, request)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 	return r
 }
 
-func (r *run) newCaller(seed uint64, number int) *caller {
+func (r *faultRun) newCaller(seed uint64, number int) *caller {
 	client := rpc.NewClient(rpc.ClientConfig{Dialer: r.links.dialer(fmt.Sprintf("caller-%d", number), answerLoss)})
 	r.t.Cleanup(client.Close)
 	return &caller{
@@ -91,7 +91,7 @@
 	}
 }
 
-func (r *run) faultsDuringCalls() {
+func (r *faultRun) injectFaultsDuringCalls() {
 	ctx, cancel := context.WithCancel(r.t.Context())
 	var working sync.WaitGroup
 	defer working.Wait()
@@ -101,7 +101,7 @@
 	}
 	for number := range faults {
 		leader := leaderOf(r.t, r.nodes)
-		repair, lasts := r.fault(number, leader)
+		repair, lasts := r.injectFault(number, leader)
 		time.Sleep(lasts) // nothing is concluded from it
 		repair()
 	}
@@ -109,7 +109,7 @@
 }
 
 // wantProgress holds that the run was one of many answers and some losses.
-func (r *run) wantProgress() {
+func (r *faultRun) wantProgress() {
 	for what, least := range map[string]int{
 		"configuration read":     30,
 		"configuration accepted": 5,
@@ -129,7 +129,7 @@
 		len(r.history.config), len(r.history.jobs), r.counts.of("left open"), r.links.lost, token)
 }
 
-func (r *run) check() {
+func (r *faultRun) check() {
 	config := configModel(r.initial)
 	for what, checked := range map[string]struct {
 		model   porcupine.Model
@@ -144,12 +144,12 @@
 		}
 		r.t.Logf("%s checked in %v", what, time.Since(began))
 	}
-	r.wantNotedIfWrong(config)
+	r.wantWrongHistoryDetected(config)
 }
 
-// wantNotedIfWrong checks the check: with the newest read of the configuration
+// wantWrongHistoryDetected checks the check: with the newest read of the configuration
 // answered by the first version, no order that explains the history is found.
-func (r *run) wantNotedIfWrong(model porcupine.Model) {
+func (r *faultRun) wantWrongHistoryDetected(model porcupine.Model) {
 	wrong := slices.Clone(r.history.config)
 	slices.SortFunc(wrong, func(a, b porcupine.Operation) int { return int(a.Call - b.Call) })
 	for i, operation := range slices.Backward(wrong) {
--- a/internal/process/integration/linearfaults_test.go
+++ b/internal/process/integration/linearfaults_test.go
@@ -16,46 +16,46 @@
 	hangTime = 1500 * time.Millisecond
 )
 
-// fault makes a fault, of each kind in turn, and returns what ends it and how
+// injectFault makes a fault, of each kind in turn, and returns what ends it and how
 // long it is to last.
-func (r *run) fault(number int, leader *node) (repair func(), lasts time.Duration) {
+func (r *faultRun) injectFault(number int, leader *node) (repair func(), lasts time.Duration) {
 	other := without(r.nodes, leader)[r.random.IntN(2)]
 	kinds := []func() (repair func(), lasts time.Duration){
-		func() (func(), time.Duration) { return r.cutOff(leader) }, // callers still reach the old leader
+		func() (func(), time.Duration) { return r.partition(leader) }, // callers still reach the old leader
 		func() (func(), time.Duration) { return r.crash(leader) },
-		func() (func(), time.Duration) { return r.cutOneWay(leader, other) },
+		func() (func(), time.Duration) { return r.partitionOneWay(leader, other) },
 		// The old leader answers, but does not learn that it leads no more.
 		func() (func(), time.Duration) { return r.stores[leader].hang(), hangTime },
 		func() (func(), time.Duration) { return r.crash(other) },
-		func() (func(), time.Duration) { return r.cutOff(r.nodes...) }, // nobody has a majority
-		func() (func(), time.Duration) { return r.crash(r.nodes...) },  // the power fails
+		func() (func(), time.Duration) { return r.partition(r.nodes...) }, // nobody has a majority
+		func() (func(), time.Duration) { return r.crash(r.nodes...) },     // the power fails
 	}
 	return kinds[number%len(kinds)]()
 }
 
 // crash stops nodes, and starts them again at the end.
-func (r *run) crash(nodes ...*node) (repair func(), lasts time.Duration) {
+func (r *faultRun) crash(nodes ...*node) (repair func(), lasts time.Duration) {
 	for _, n := range nodes {
 		n.crash()
 	}
 	return func() { startAll(nodes) }, faultTime
 }
 
-// cutOff cuts all links between nodes and the others, and among them.
-func (r *run) cutOff(nodes ...*node) (repair func(), lasts time.Duration) {
+// partition cuts all links between nodes and the others, and among them.
+func (r *faultRun) partition(nodes ...*node) (repair func(), lasts time.Duration) {
 	for _, n := range nodes {
-		r.links.cutLinks(r.around(n)...)
+		r.links.cutAll(r.linksOf(n)...)
 	}
 	return r.links.heal, faultTime
 }
 
-// cutOneWay cuts one direction alone, and some callers too.
-func (r *run) cutOneWay(from, to *node) (repair func(), lasts time.Duration) {
+// partitionOneWay cuts one direction alone, and some callers too.
+func (r *faultRun) partitionOneWay(from, to *node) (repair func(), lasts time.Duration) {
 	cuts := []link{{from: from.name, to: to.name}}
 	for number := range callers / 2 {
 		cuts = append(cuts, link{from: fmt.Sprintf("caller-%d", number), to: from.name})
 	}
-	r.links.cutLinks(cuts...)
+	r.links.cutAll(cuts...)
 	return r.links.heal, faultTime
 }
 
@@ -77,8 +77,8 @@
 	return s.Memory.Save(hardState, entries, sync)
 }
 
-// around are the links between a node and the other nodes.
-func (r *run) around(n *node) []link {
+// linksOf are the links between a node and the other nodes.
+func (r *faultRun) linksOf(n *node) []link {
 	var cuts []link
 	for _, other := range without(r.nodes, n) {
 		cuts = append(cuts, link{from: n.name, to: other.name}, link{from: other.name, to: n.name})
--- a/internal/process/integration/links_test.go
+++ b/internal/process/integration/links_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// cutLinks cuts links until heal, with the connections on them.
-func (l *links) cutLinks(cuts ...link) {
+// cutAll cuts links until heal, with the connections on them.
+func (l *links) cutAll(cuts ...link) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, between := range cuts {
--- a/internal/process/integration/models_check_test.go
+++ b/internal/process/integration/models_check_test.go
@@ -7,9 +7,9 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// TestModelsTellWrongHistories holds that the models take what a right system
+// TestConfigModel_DetectsWrongHistories holds that the models take what a right system
 // may answer, and refuse what it may not.
-func TestModelsTellWrongHistories(t *testing.T) {
+func TestConfigModel_DetectsWrongHistories(t *testing.T) {
 	put := func(order string, base uint64, tag string) configInput {
 		return configInput{put: true, order: order, base: base, tag: tag, resent: true}
 	}
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestJobModelTellsWrongHistories(t *testing.T) {
+func TestJobModel_DetectsWrongHistories(t *testing.T) {
 	submit := jobInput{call: jobSubmit, job: "j", tag: "x"}
 	other := jobInput{call: jobSubmit, job: "j", tag: "y"}
 	cancel, read := jobInput{call: jobCancel, job: "j"}, jobInput{call: jobRead, job: "j"}
--- a/internal/process/integration/node_test.go
+++ b/internal/process/integration/node_test.go
@@ -25,8 +25,8 @@
 	"github.com/decklever/decklever/internal/testaddress"
 )
 
-// patience bounds waits for a condition; none takes nearly as long.
-const patience = 60 * time.Second
+// waitTimeout bounds waits for a condition; none takes nearly as long.
+const waitTimeout = 60 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -95,18 +95,18 @@
 		Registerer: prometheus.NewRegistry(),
 	})
 	made, err := replica.New(replica.Config{
-		Name:          n.name,
-		Zone:          "zone",
-		Address:       n.address,
-		Seeds:         n.seeds,
-		Store:         n.store,
-		Record:        record.NewMachine(record.Config{Archive: n.store.Archive()}),
-		Client:        client,
-		Timing:        fastTiming(),
-		SnapshotEvery: n.snapshotEvery,
-		KeepEntries:   20,
-		Logger:        logger,
-		Lead:          service.Lead,
+		Name:            n.name,
+		Zone:            "zone",
+		Address:         n.address,
+		Seeds:           n.seeds,
+		Store:           n.store,
+		Record:          record.NewMachine(record.Config{Archive: n.store.Archive()}),
+		Client:          client,
+		Timing:          fastTiming(),
+		SnapshotEvery:   n.snapshotEvery,
+		RetainedEntries: 20,
+		Logger:          logger,
+		Lead:            service.Lead,
 	})
 	if err != nil {
 		n.t.Fatal(err)
@@ -122,7 +122,7 @@
 	n.run(config, client.Close)
 }
 
-// run runs a daemon until stop, and then cleans up.
+// faultRun runs a daemon until stop, and then cleans up.
 func (n *node) run(config daemon.Config, clean func()) {
 	listening := make(chan struct{})
 	config.Listening = func(net.Addr) { close(listening) }
@@ -146,22 +146,22 @@
 // stop ends the node's process; it may be called again.
 func (n *node) stop() {
 	n.cancel()
-	if err := n.result(); err != nil && !errors.Is(err, errExpected) {
+	if err := n.result(); err != nil && !errors.Is(err, errResultTaken) {
 		n.t.Errorf("%s: %v", n.name, err)
 	}
 }
 
-// errExpected replaces the result of a process once a test has looked at it.
-var errExpected = errors.New("already looked at")
+// errResultTaken replaces the result of a process once a test has looked at it.
+var errResultTaken = errors.New("already looked at")
 
 // result waits for the end of the process.
 func (n *node) result() error {
 	n.t.Helper()
 	select {
 	case err := <-n.ended:
-		n.ended <- errExpected
+		n.ended <- errResultTaken
 		return err
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		n.t.Fatalf("%s: still runs", n.name)
 		return nil
 	}
@@ -217,17 +217,17 @@
 // eventually waits for a condition.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// ask calls the nodes in turn until one gives a final answer.
-func ask[Request, Answer any](t *testing.T, client *rpc.Client, nodes []*node, method fleet.Method, request Request) (Answer, error) {
+// callUntilAnswered calls the nodes in turn until one gives a final answer.
+func callUntilAnswered[Request, Answer any](t *testing.T, client *rpc.Client, nodes []*node, method fleet.Method, request Request) (Answer, error) {
 	t.Helper()
 	var answer Answer
 	var err error
--- a/internal/process/integration/programs_test.go
+++ b/internal/process/integration/programs_test.go
@@ -49,14 +49,14 @@
 	ordinary func() error
 }
 
-// newFleet runs a scheduler, a front and an agent, and waits until each serves.
-func newFleet(t *testing.T) []target {
+// startDaemons runs a scheduler, a front and an agent, and waits until each serves.
+func startDaemons(t *testing.T) []target {
 	t.Helper()
 	scheduler := newNodes(t, 1)[0]
 	scheduler.bounds, scheduler.maxRequest = tightBounds(), bodyLimit
 	scheduler.start()
 	request := fleet.PutConfigRequest{OrderID: "first", Config: taggedConfig("first")}
-	if _, err := ask[fleet.PutConfigRequest, fleet.PutConfigAnswer](t, newClient(t), []*node{scheduler}, fleet.MethodPutConfig, request); err != nil {
+	if _, err := callUntilAnswered[fleet.PutConfigRequest, fleet.PutConfigAnswer](t, newClient(t), []*node{scheduler}, fleet.MethodPutConfig, request); err != nil {
 		t.Fatal(err)
 	}
 	targets := []target{schedulerTarget(t, scheduler), frontTarget(t, scheduler), agentTarget(t, scheduler)}
--- a/internal/process/linked.go
+++ b/internal/process/linked.go
@@ -11,16 +11,16 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// leaderPart names the link to the leader in /readyz.
-const leaderPart = "leader"
+// leaderComponent names the link to the leader in /readyz.
+const leaderComponent = "leader"
 
-// descriptorsPerRelay is what a request under way takes: the connection that it
+// descriptorsPerForwardedRequest is what a request under way takes: the connection that it
 // came by, and one to the leader.
-const descriptorsPerRelay = 2
+const descriptorsPerForwardedRequest = 2
 
-// LinkedConfig describes a process that is linked to the leader; T is its
+// LeaderClientConfig describes a process that is linked to the leader; T is its
 // settings. Role and CallTimeout are required.
-type LinkedConfig[T any] struct {
+type LeaderClientConfig[T any] struct {
 	BaseConfig[T]
 	// Role is the process's role as the leader knows it.
 	Role string
@@ -30,20 +30,20 @@
 	CallTimeout time.Duration
 }
 
-// Linked is what fronts, agents and relays have in common: a link to the
+// LeaderClientBase is what fronts, agents and relays have in common: a link to the
 // leader, and readiness that follows it.
-type Linked[T any] struct {
+type LeaderClientBase[T any] struct {
 	*Base[T]
 	Client *rpc.Client
-	Link   *leaderlink.Link
+	Leader *leaderlink.Link
 
-	config LinkedConfig[T]
+	config LeaderClientConfig[T]
 	seeds  atomic.Pointer[[]string]
 }
 
-// NewLinked makes the parts; none is at work yet.
-func NewLinked[T any](config LinkedConfig[T]) (*Linked[T], error) {
-	l := &Linked[T]{config: config}
+// NewLeaderClientBase makes the parts; none is at work yet.
+func NewLeaderClientBase[T any](config LeaderClientConfig[T]) (*LeaderClientBase[T], error) {
+	l := &LeaderClientBase[T]{config: config}
 	baseConfig := config.BaseConfig
 	baseConfig.Apply = l.apply
 	base, err := NewBase(baseConfig)
@@ -58,7 +58,7 @@
 		Dialer:  rpc.DialFrom(common.Source),
 		Metrics: base.Calls,
 	})
-	l.Link = leaderlink.New(leaderlink.Config{
+	l.Leader = leaderlink.New(leaderlink.Config{
 		Process: common.Name,
 		Role:    config.Role,
 
@@ -73,30 +73,30 @@
 }
 
 // Run serves until the context ends or a signal stops the process.
-func (l *Linked[T]) Run(ctx context.Context, handler http.Handler, extra []daemon.Listener) error {
+func (l *LeaderClientBase[T]) Run(ctx context.Context, handler http.Handler, extra []daemon.Listener) error {
 	defer l.Client.Close()
-	config := l.Daemon(l.readiness(), l.Link.Run)
+	config := l.Daemon(l.readiness(), l.Leader.Run)
 	config.Handler = handler
 	config.Extra = extra
-	config.DescriptorsPerConnection = descriptorsPerRelay
+	config.DescriptorsPerConnection = descriptorsPerForwardedRequest
 	return daemon.Run(ctx, config)
 }
 
 // apply puts in force what can change while the process runs.
-func (l *Linked[T]) apply(changed T) {
+func (l *LeaderClientBase[T]) apply(changed T) {
 	common := l.config.Common(&changed)
 	l.seeds.Store(&common.Seeds)
-	l.Link.SetZone(common.Zone)
+	l.Leader.SetZone(common.Zone)
 	if l.config.Apply != nil {
 		l.config.Apply(changed)
 	}
 }
 
 // readiness follows the link to the leader.
-func (l *Linked[T]) readiness() Readiness {
+func (l *LeaderClientBase[T]) readiness() Readiness {
 	return Readiness{
-		Part:    leaderPart,
-		Unready: "the leading scheduler has not answered lately",
-		Ready:   l.Link.Fresh,
+		Component: leaderComponent,
+		Unready:   "the leading scheduler has not answered lately",
+		Ready:     l.Leader.Fresh,
 	}
 }
--- a/internal/process/schedulerprocess/garbage.go
+++ b/internal/process/schedulerprocess/garbage.go
@@ -6,10 +6,10 @@
 	"github.com/decklever/decklever/internal/replica"
 )
 
-// collectingAt lets garbage be collected, while the process leads, when what was
+// withGCPercent lets garbage be collected, while the process leads, when what was
 // allocated anew is so many percent of what is in use; 0 changes nothing. Serving
 // calls leaves much garbage and little in use, and a leader does most of it.
-func collectingAt(percent int, lead func(replica.Leadership)) func(replica.Leadership) {
+func withGCPercent(percent int, lead func(replica.Leadership)) func(replica.Leadership) {
 	if percent == 0 {
 		return lead
 	}
--- a/internal/process/schedulerprocess/garbage_test.go
+++ b/internal/process/schedulerprocess/garbage_test.go
@@ -7,26 +7,26 @@
 	"github.com/decklever/decklever/internal/replica"
 )
 
-// presentGCPercent reads what is in force.
-func presentGCPercent() int {
+// currentGCPercent reads what is in force.
+func currentGCPercent() int {
 	percent := debug.SetGCPercent(100)
 	debug.SetGCPercent(percent)
 	return percent
 }
 
-func TestGarbageIsCollectedSeldomerOnlyWhileLeading(t *testing.T) {
-	before := presentGCPercent()
+func TestWithGCPercent_AppliesOnlyWhileLeading(t *testing.T) {
+	before := currentGCPercent()
 	for percent, want := range map[int]int{0: before, 250: 250} {
 		led := 0
-		lead := collectingAt(percent, func(replica.Leadership) {
+		lead := withGCPercent(percent, func(replica.Leadership) {
 			led++
-			if got := presentGCPercent(); got != want {
+			if got := currentGCPercent(); got != want {
 				t.Errorf("set to %d: %d while leading, want %d", percent, got, want)
 			}
 		})
 		for range 2 {
 			lead(replica.Leadership{})
-			if got := presentGCPercent(); got != before {
+			if got := currentGCPercent(); got != before {
 				t.Errorf("set to %d: %d after leading, want %d", percent, got, before)
 			}
 		}
--- a/internal/process/schedulerprocess/gateway.go
+++ b/internal/process/schedulerprocess/gateway.go
@@ -16,7 +16,7 @@
 // the one that acts. It uses the process's connections, which Run closes.
 func (p *Process) NewGateway() (*front.Front, error) {
 	client := rpc.NewClient(rpc.ClientConfig{Timeout: front.MaxTry + time.Second, Dialer: rpc.DialFrom(p.initial.Source)})
-	gateway, err := front.New(front.Config{Link: replicaLink{p.replica}, Client: client, Logger: p.base.Logger})
+	gateway, err := front.New(front.Config{Link: replicaLeaderSource{p.replica}, Client: client, Logger: p.base.Logger})
 	if err != nil {
 		client.Close()
 		return nil, fmt.Errorf("make the gateway: %w", err)
@@ -25,29 +25,29 @@
 	return gateway, nil
 }
 
-// replicaLink is a front's link to the leader that asks the replica beside it.
-type replicaLink struct{ replica *replica.Replica }
+// replicaLeaderSource is a front's link to the leader that asks the replica beside it.
+type replicaLeaderSource struct{ replica *replica.Replica }
 
 // Leader implements front.Link.
-func (l replicaLink) Leader() (address string, ok bool) {
+func (l replicaLeaderSource) Leader() (address string, ok bool) {
 	leader, known := l.replica.Leader()
 	return leader.Address, known
 }
 
 // Hint and Failed implement front.Link; the replica learns for itself.
-func (replicaLink) Hint(string)   {}
-func (replicaLink) Failed(string) {}
+func (replicaLeaderSource) Hint(string)   {}
+func (replicaLeaderSource) Failed(string) {}
 
 // Attend implements front.Link: a call goes on until its own time is over.
-func (replicaLink) Attend(ctx context.Context, _ string) (context.Context, context.CancelFunc) {
+func (replicaLeaderSource) Attend(ctx context.Context, _ string) (context.Context, context.CancelFunc) {
 	return context.WithCancel(ctx)
 }
 
 // Config implements front.Link: none, as a gateway's limits are the defaults.
-func (replicaLink) Config() *api.Config { return nil }
+func (replicaLeaderSource) Config() *api.Config { return nil }
 
 // Fresh implements front.Link.
-func (l replicaLink) Fresh() bool {
+func (l replicaLeaderSource) Fresh() bool {
 	_, known := l.replica.Leader()
 	return known
 }
--- a/internal/process/schedulerprocess/gateway_test.go
+++ b/internal/process/schedulerprocess/gateway_test.go
@@ -12,10 +12,10 @@
 	"github.com/decklever/decklever/internal/settings"
 )
 
-// TestGatewayCarriesCallsToTheLeader, and an extra listener serves beside it
+// TestGateway_ForwardsCallsToLeader, and an extra listener serves beside it
 // until the process ends.
-func TestGatewayCarriesCallsToTheLeader(t *testing.T) {
-	p, err := New(schedulerOn(t, t.TempDir()), settings.LoadOptions{})
+func TestGateway_ForwardsCallsToLeader(t *testing.T) {
+	p, err := New(schedulerSettings(t, t.TempDir()), settings.LoadOptions{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 		})
 	}()
 	put := api.Config{Queues: []api.QueueConfig{{Name: "default"}}}
-	for deadline := time.Now().Add(patience); ; {
+	for deadline := time.Now().Add(waitTimeout); ; {
 		status, refusal := gateway.PutConfig(t.Context(), "order-1", 0, put)
 		if refusal == nil && status.Version == 1 {
 			break
--- a/internal/process/schedulerprocess/process.go
+++ b/internal/process/schedulerprocess/process.go
@@ -23,8 +23,8 @@
 const (
 	// Program is the name of the product's program.
 	Program = "decklever-scheduler"
-	// logPart names the replicated log in /readyz.
-	logPart = "log"
+	// logComponent names the replicated log in /readyz.
+	logComponent = "log"
 )
 
 // Process is one scheduler with all its parts.
@@ -89,7 +89,7 @@
 		Logger:       p.base.Logger,
 		Registerer:   p.base.Registry,
 	})
-	made, err := replica.New(p.replicaConfig(collectingAt(p.initial.LeaderGCPercent, service.Lead)))
+	made, err := replica.New(p.replicaConfig(withGCPercent(p.initial.LeaderGCPercent, service.Lead)))
 	if err != nil {
 		return fmt.Errorf("make the replica: %w", err)
 	}
@@ -150,12 +150,12 @@
 // Run serves, on extra listeners too, until the context ends or a signal stops
 // the process. Leadership is handed over first.
 func (p *Process) Run(ctx context.Context, extra ...daemon.Listener) error {
-	defer useProcessors(p.initial.Processors)()
+	defer setProcessors(p.initial.Processors)()
 	config := p.base.Daemon(p.readiness(), p.replica.Run)
 	config.Wrap = rpc.Probed
 	config.Handler = p.calls.Before(p.handler)
 	config.Extra = extra
-	config.BeforeStop = p.replica.HandOver
+	config.BeforeStop = p.replica.PrepareShutdown
 	err := daemon.Run(ctx, config)
 	for _, client := range append(p.gatewayClients, p.client) {
 		client.Close()
@@ -177,8 +177,8 @@
 // readiness: a scheduler is ready while it knows a leader.
 func (p *Process) readiness() process.Readiness {
 	return process.Readiness{
-		Part:    logPart,
-		Unready: "no leader is known",
+		Component: logComponent,
+		Unready:   "no leader is known",
 		Ready: func() bool {
 			_, known := p.replica.Leader()
 			return known
--- a/internal/process/schedulerprocess/process_test.go
+++ b/internal/process/schedulerprocess/process_test.go
@@ -18,13 +18,13 @@
 	"github.com/decklever/decklever/internal/testaddress"
 )
 
-// patience bounds waits for a condition; none takes nearly as long.
-const patience = 60 * time.Second
+// waitTimeout bounds waits for a condition; none takes nearly as long.
+const waitTimeout = 60 * time.Second
 
-// schedulerOn returns the settings of a cluster of one on a data folder. A stop
+// schedulerSettings returns the settings of a cluster of one on a data folder. A stop
 // waits for the sync under way, which may take seconds on a busy disk, and no
 // test here is about how long it takes.
-func schedulerOn(t *testing.T, directory string) settings.Scheduler {
+func schedulerSettings(t *testing.T, directory string) settings.Scheduler {
 	t.Helper()
 	address := testaddress.New(t)
 	content := "name: control-1\nzone: z1\nlisten: " + address + "\nseeds: [" + address + "]\n" +
@@ -40,8 +40,8 @@
 	return loaded
 }
 
-// execute runs the program's parts as main does, until ctx ends.
-func execute(ctx context.Context, t *testing.T, initial settings.Scheduler) (code int, stderr string, err error) {
+// runScheduler runs the program's parts as main does, until ctx ends.
+func runScheduler(ctx context.Context, t *testing.T, initial settings.Scheduler) (code int, stderr string, err error) {
 	t.Helper()
 	command := &cobra.Command{Use: Program, RunE: func(command *cobra.Command, _ []string) error {
 		var p *Process
@@ -56,9 +56,9 @@
 	return code, output.String(), err
 }
 
-// makeFolder runs a scheduler until its folder holds a log and its first
+// createDataDirectory runs a scheduler until its folder holds a log and its first
 // snapshot.
-func makeFolder(t *testing.T, directory string) {
+func createDataDirectory(t *testing.T, directory string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -67,7 +67,7 @@
 		defer cancel()
 		ready <- waitForSnapshot(ctx, directory)
 	}()
-	if code, stderr, err := execute(ctx, t, schedulerOn(t, directory)); code != daemon.ExitOK {
+	if code, stderr, err := runScheduler(ctx, t, schedulerSettings(t, directory)); code != daemon.ExitOK {
 		t.Fatalf("exit code %d, %q, %v", code, stderr, err)
 	}
 	if err := <-ready; err != nil {
@@ -76,7 +76,7 @@
 }
 
 func waitForSnapshot(ctx context.Context, directory string) error {
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		if _, err := os.Stat(filepath.Join(directory, "snapshot")); err == nil {
 			return nil
 		}
@@ -92,11 +92,11 @@
 // logSegment is the only file of a short log.
 const logSegment = "log-0000000000000001.wal"
 
-// TestDamagedFilesAreRefused: whichever file is damaged, the program ends with
+// TestStart_DamagedFileFails: whichever file is damaged, the program ends with
 // exit code 1 and one line that names the file, and leaves the file alone.
-func TestDamagedFilesAreRefused(t *testing.T) {
+func TestStart_DamagedFileFails(t *testing.T) {
 	intact := t.TempDir()
-	makeFolder(t, intact)
+	createDataDirectory(t, intact)
 	flipAt := func(at func(size int) int) func([]byte) []byte {
 		return func(content []byte) []byte {
 			content[at(len(content))] ^= 0x10
@@ -142,7 +142,7 @@
 			if err := os.WriteFile(path, damaged, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			wantRefused(t, directory, path)
+			wantStartFails(t, directory, path)
 			if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, damaged) {
 				t.Errorf("the damaged file was changed, %v", err)
 			}
@@ -150,10 +150,10 @@
 	}
 }
 
-// TestMissingFilesAreRefused: a folder that lost a file is damaged, not new.
-func TestMissingFilesAreRefused(t *testing.T) {
+// TestStart_MissingFileFails: a folder that lost a file is damaged, not new.
+func TestStart_MissingFileFails(t *testing.T) {
 	intact := t.TempDir()
-	makeFolder(t, intact)
+	createDataDirectory(t, intact)
 	for _, file := range []string{logSegment, "snapshot", "archive.db"} {
 		t.Run(file, func(t *testing.T) {
 			directory := t.TempDir()
@@ -164,16 +164,16 @@
 			if err := os.Remove(path); err != nil {
 				t.Fatal(err)
 			}
-			wantRefused(t, directory, path)
+			wantStartFails(t, directory, path)
 		})
 	}
 }
 
-func wantRefused(t *testing.T, directory, path string) {
+func wantStartFails(t *testing.T, directory, path string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	code, stderr, err := execute(ctx, t, schedulerOn(t, directory))
+	code, stderr, err := runScheduler(ctx, t, schedulerSettings(t, directory))
 	if !errors.Is(err, storage.ErrCorrupt) || code != daemon.ExitFailure {
 		t.Fatalf("exit code %d with %v, want %d with %v", code, err, daemon.ExitFailure, storage.ErrCorrupt)
 	}
--- a/internal/process/schedulerprocess/processors.go
+++ b/internal/process/schedulerprocess/processors.go
@@ -7,10 +7,10 @@
 // ends, and with only one all other work of the process stands still meanwhile.
 const minProcessors = 2
 
-// useProcessors sets how many goroutines run at once (GOMAXPROCS) and returns a
+// setProcessors sets how many goroutines run at once (GOMAXPROCS) and returns a
 // function that sets it back. With 0 it is what the runtime chose, minProcessors
 // at least.
-func useProcessors(wanted int) (restore func()) {
+func setProcessors(wanted int) (restore func()) {
 	if wanted == 0 {
 		wanted = max(runtime.GOMAXPROCS(0), minProcessors)
 	}
--- a/internal/process/schedulerprocess/processors_test.go
+++ b/internal/process/schedulerprocess/processors_test.go
@@ -23,17 +23,17 @@
 )
 
 const (
-	// beatingWorkers send a heartbeat each beatPause, so that some are under way in
+	// heartbeatingWorkers send a heartbeat each heartbeatInterval, so that some are under way in
 	// each sync.
-	beatingWorkers = 20
-	beatPause      = 10 * time.Millisecond
-	// beatingFor is how long heartbeats are sent.
-	beatingFor = 2 * time.Second
-	// servedSyncs is the least share of the syncs during which heartbeats are answered,
+	heartbeatingWorkers = 20
+	heartbeatInterval   = 10 * time.Millisecond
+	// heartbeatDuration is how long heartbeats are sent.
+	heartbeatDuration = 2 * time.Second
+	// minServedSyncPercent is the least share of the syncs during which heartbeats are answered,
 	// in percent; with one processor there is none.
-	servedSyncs = 25
-	// slowestAnswer is the bound on the median of heartbeats that wait for no commit.
-	slowestAnswer = 25 * time.Millisecond
+	minServedSyncPercent = 25
+	// maxMedianResponse is the bound on the median of heartbeats that wait for no commit.
+	maxMedianResponse = 25 * time.Millisecond
 )
 
 // blockingStore is a store on a disk whose syncs keep the thread, and with it the
@@ -62,8 +62,8 @@
 	return s.Memory.Save(hardState, entries, sync)
 }
 
-// processOn makes the process of a scheduler on a store.
-func processOn(t *testing.T, initial settings.Scheduler, store storage.Store) *Process {
+// newTestProcess makes the process of a scheduler on a store.
+func newTestProcess(t *testing.T, initial settings.Scheduler, store storage.Store) *Process {
 	t.Helper()
 	base, err := process.NewBase(baseConfig(initial, settings.LoadOptions{}))
 	if err != nil {
@@ -90,8 +90,8 @@
 	})
 }
 
-// beatingWorker is a worker whose tasks end at once.
-type beatingWorker struct {
+// heartbeatingWorker is a worker whose tasks end at once.
+type heartbeatingWorker struct {
 	client    *rpc.Client
 	heartbeat api.Heartbeat
 	// took are the times of answers to heartbeats without a report.
@@ -99,8 +99,8 @@
 	answered *atomic.Int64
 }
 
-// beat exchanges one heartbeat and runs what it is told to start.
-func (w *beatingWorker) beat(ctx context.Context, address string) {
+// sendHeartbeat exchanges one heartbeat and runs what it is told to start.
+func (w *heartbeatingWorker) sendHeartbeat(ctx context.Context, address string) {
 	w.heartbeat.Seq++
 	began := time.Now()
 	request := fleet.HeartbeatRequest{Agent: w.heartbeat.Name, Zone: "z1", Heartbeat: w.heartbeat}
@@ -126,15 +126,15 @@
 	t        *testing.T
 	client   *rpc.Client
 	answered atomic.Int64
-	workers  []*beatingWorker
+	workers  []*heartbeatingWorker
 }
 
 func newLoad(t *testing.T) *load {
 	l := &load{t: t, client: rpc.NewClient(rpc.ClientConfig{})}
 	t.Cleanup(l.client.Close)
-	for i := range beatingWorkers {
+	for i := range heartbeatingWorkers {
 		name := fmt.Sprintf("worker-%02d", i)
-		l.workers = append(l.workers, &beatingWorker{client: l.client, answered: &l.answered, heartbeat: api.Heartbeat{
+		l.workers = append(l.workers, &heartbeatingWorker{client: l.client, answered: &l.answered, heartbeat: api.Heartbeat{
 			WorkerID: name + "-1", Name: name, Services: []string{"s"}, Capacity: api.Resources{CPUMillis: 4000, MemoryMB: 4000},
 		}})
 	}
@@ -149,8 +149,8 @@
 	for _, worker := range l.workers {
 		running.Go(func() {
 			for ctx.Err() == nil {
-				worker.beat(ctx, address)
-				time.Sleep(beatPause)
+				worker.sendHeartbeat(ctx, address)
+				time.Sleep(heartbeatInterval)
 			}
 		})
 	}
@@ -166,7 +166,7 @@
 			Queue: "q", Steps: []api.StepSpec{{Name: "s", Tasks: []api.TaskSpec{task, task, task, task}}},
 		}}
 		_, _ = rpc.Call[fleet.SubmitRequest, fleet.SubmitAnswer](ctx, l.client, address, fleet.MethodSubmit, request)
-		time.Sleep(beatPause)
+		time.Sleep(heartbeatInterval)
 	}
 }
 
@@ -174,7 +174,7 @@
 func (l *load) configure(address string) {
 	l.t.Helper()
 	request := fleet.PutConfigRequest{OrderID: "order-1", Config: api.Config{Queues: []api.QueueConfig{{Name: "q"}}}}
-	for deadline := time.Now().Add(patience); ; time.Sleep(beatPause) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(heartbeatInterval) {
 		_, err := rpc.Call[fleet.PutConfigRequest, fleet.PutConfigAnswer](l.t.Context(), l.client, address, fleet.MethodPutConfig, request)
 		if err == nil {
 			return
@@ -192,52 +192,52 @@
 		all = append(all, worker.took...)
 	}
 	if len(all) == 0 {
-		return patience
+		return waitTimeout
 	}
 	slices.Sort(all)
 	return all[len(all)/2]
 }
 
-// oneProcessor has the test begin as a process on a machine of one core does.
-func oneProcessor(t *testing.T) {
+// useOneProcessor has the test begin as a process on a machine of one core does.
+func useOneProcessor(t *testing.T) {
 	t.Helper()
 	before := runtime.GOMAXPROCS(1)
 	t.Cleanup(func() { runtime.GOMAXPROCS(before) })
 }
 
-// TestHeartbeatsAreAnsweredWhileTheDiskSyncs: on one core, with a disk that is nearly
+// TestProcessors_HeartbeatsAnsweredDuringDiskSync: on one core, with a disk that is nearly
 // always in a sync, heartbeats go on during the syncs, and nobody is taken for silent.
-func TestHeartbeatsAreAnsweredWhileTheDiskSyncs(t *testing.T) {
+func TestProcessors_HeartbeatsAnsweredDuringDiskSync(t *testing.T) {
 	for _, syncTakes := range []time.Duration{4 * time.Millisecond, 9 * time.Millisecond} {
 		t.Run(syncTakes.String(), func(t *testing.T) {
-			oneProcessor(t)
+			useOneProcessor(t)
 			l := newLoad(t)
 			store := &blockingStore{Memory: storage.NewMemory(1), syncTakes: syncTakes, answered: &l.answered}
-			p := processOn(t, schedulerOn(t, t.TempDir()), store)
+			p := newTestProcess(t, schedulerSettings(t, t.TempDir()), store)
 			runProcess(t, p)
 			l.configure(p.initial.Listen)
-			l.run(p.initial.Listen, beatingFor)
-			checkServing(t, l, store)
-			checkNobodySilent(t, p)
+			l.run(p.initial.Listen, heartbeatDuration)
+			checkHeartbeatsDuringSyncs(t, l, store)
+			checkHeartbeatsOfAll(t, p)
 		})
 	}
 }
 
-// checkServing holds what was seen of heartbeats and syncs against the bounds.
-func checkServing(t *testing.T, l *load, store *blockingStore) {
+// checkHeartbeatsDuringSyncs holds what was seen of heartbeats and syncs against the bounds.
+func checkHeartbeatsDuringSyncs(t *testing.T, l *load, store *blockingStore) {
 	t.Helper()
 	syncs, served := store.syncs.Load(), store.served.Load()
 	t.Logf("%d of %d syncs saw heartbeats answered; %d answered, median %v", served, syncs, l.answered.Load(), l.median())
-	if syncs < 20 || 100*served < servedSyncs*syncs {
-		t.Errorf("heartbeats were answered during %d of %d syncs, want %d%% at least", served, syncs, servedSyncs)
+	if syncs < 20 || 100*served < minServedSyncPercent*syncs {
+		t.Errorf("heartbeats were answered during %d of %d syncs, want %d%% at least", served, syncs, minServedSyncPercent)
 	}
-	if median := l.median(); median > slowestAnswer {
-		t.Errorf("heartbeats took %v (median), want %v at most", median, slowestAnswer)
+	if median := l.median(); median > maxMedianResponse {
+		t.Errorf("heartbeats took %v (median), want %v at most", median, maxMedianResponse)
 	}
 }
 
-// checkNobodySilent: no run was taken back from a worker.
-func checkNobodySilent(t *testing.T, p *Process) {
+// checkHeartbeatsOfAll: no run was taken back from a worker.
+func checkHeartbeatsOfAll(t *testing.T, p *Process) {
 	t.Helper()
 	const name = "decklever_scheduler_runs_withdrawn_total"
 	expected := "# HELP " + name + " Runs taken back from silent workers before any order named them.\n# TYPE " + name + " counter\n" + name + " 0\n"
@@ -246,13 +246,13 @@
 	}
 }
 
-// clusterOf returns the settings of schedulers that form one cluster.
-func clusterOf(t *testing.T, count int) []settings.Scheduler {
+// clusterSettings returns the settings of schedulers that form one cluster.
+func clusterSettings(t *testing.T, count int) []settings.Scheduler {
 	t.Helper()
 	made := make([]settings.Scheduler, count)
 	var seeds []string
 	for i := range made {
-		made[i] = schedulerOn(t, t.TempDir())
+		made[i] = schedulerSettings(t, t.TempDir())
 		made[i].Name = fmt.Sprintf("control-%d", i+1)
 		seeds = append(seeds, made[i].Listen)
 	}
@@ -262,40 +262,40 @@
 	return made
 }
 
-// TestNewLeaderServesWhileItsDiskSyncs: a follower on such a machine that takes over
+// TestProcessors_NewLeaderServesDuringDiskSync: a follower on such a machine that takes over
 // serves as a leader does that began there.
-func TestNewLeaderServesWhileItsDiskSyncs(t *testing.T) {
-	oneProcessor(t)
+func TestProcessors_NewLeaderServesDuringDiskSync(t *testing.T) {
+	useOneProcessor(t)
 	l := newLoad(t)
 	store := &blockingStore{Memory: storage.NewMemory(1), syncTakes: 4 * time.Millisecond, answered: &l.answered}
 	var processes []*Process
-	for i, initial := range clusterOf(t, 3) {
+	for i, initial := range clusterSettings(t, 3) {
 		var chosen storage.Store = store
 		if i > 0 {
 			chosen = storage.NewMemory(int64(i + 1))
 		}
-		processes = append(processes, processOn(t, initial, chosen))
+		processes = append(processes, newTestProcess(t, initial, chosen))
 		runProcess(t, processes[i])
 	}
-	l.configure(leadingOf(t, processes).initial.Listen)
+	l.configure(leaderAmong(t, processes).initial.Listen)
 	follower := processes[0]
-	for leading := leadingOf(t, processes); leading != follower; leading = leadingOf(t, processes) {
-		l.run(leading.initial.Listen, 10*beatPause)
+	for leading := leaderAmong(t, processes); leading != follower; leading = leaderAmong(t, processes) {
+		l.run(leading.initial.Listen, 10*heartbeatInterval)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-		leading.replica.HandOver(ctx)
+		leading.replica.PrepareShutdown(ctx)
 		cancel()
 	}
 	store.syncs.Store(0)
 	store.served.Store(0)
-	l.run(follower.initial.Listen, beatingFor)
-	checkServing(t, l, store)
-	checkNobodySilent(t, follower)
+	l.run(follower.initial.Listen, heartbeatDuration)
+	checkHeartbeatsDuringSyncs(t, l, store)
+	checkHeartbeatsOfAll(t, follower)
 }
 
-// leadingOf waits until one of the processes leads.
-func leadingOf(t *testing.T, processes []*Process) *Process {
+// leaderAmong waits until one of the processes leads.
+func leaderAmong(t *testing.T, processes []*Process) *Process {
 	t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(beatPause) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(heartbeatInterval) {
 		for _, p := range processes {
 			if p.replica.HoldsLease(p.replica.Status().Term) {
 				return p
--- a/internal/process/schedulerprocess/relay.go
+++ b/internal/process/schedulerprocess/relay.go
@@ -20,7 +20,7 @@
 // Relay is a scheduler on a machine without a data folder: it keeps no record,
 // never votes, and passes operators' calls to the leader.
 type Relay struct {
-	*process.Linked[settings.Scheduler]
+	*process.LeaderClientBase[settings.Scheduler]
 	// Gateway makes the calls.
 	Gateway *front.Front
 	handler http.Handler
@@ -29,7 +29,7 @@
 // NewRelay makes the parts; none is at work yet.
 func NewRelay(initial settings.Scheduler, options settings.LoadOptions) (*Relay, error) {
 	r := &Relay{}
-	linked, err := process.NewLinked(process.LinkedConfig[settings.Scheduler]{
+	linked, err := process.NewLeaderClientBase(process.LeaderClientConfig[settings.Scheduler]{
 		BaseConfig: baseConfig(initial, options),
 		Role:       relayRole,
 		// As in every gateway, the limits are the defaults.
@@ -40,14 +40,14 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Linked = linked
-	r.Gateway, err = front.New(front.Config{Link: r.Link, Client: r.Client, Logger: r.Logger})
+	r.LeaderClientBase = linked
+	r.Gateway, err = front.New(front.Config{Link: r.Leader, Client: r.Client, Logger: r.Logger})
 	if err != nil {
 		return nil, fmt.Errorf("make the gateway: %w", err)
 	}
 	server := rpc.NewServer(rpc.ServerConfig{Logger: r.Logger})
 	rpc.Handle(server, fleet.MethodIdentity, func(context.Context, fleet.Empty) (fleet.IdentityAnswer, error) {
-		address, _ := r.Link.Leader()
+		address, _ := r.Leader.Leader()
 		return fleet.IdentityAnswer{Relay: true, LeaderAddress: address}, nil
 	})
 	r.handler = routes(server, r.Status())
@@ -63,5 +63,5 @@
 // Run serves, on extra listeners too, until the context ends or a signal stops
 // the process.
 func (r *Relay) Run(ctx context.Context, extra ...daemon.Listener) error {
-	return r.Linked.Run(ctx, r.handler, extra)
+	return r.LeaderClientBase.Run(ctx, r.handler, extra)
 }
--- a/internal/process/schedulerprocess/relay_test.go
+++ b/internal/process/schedulerprocess/relay_test.go
@@ -10,11 +10,11 @@
 	"github.com/decklever/decklever/internal/settings"
 )
 
-// TestRelayCarriesCallsAndIsNotWaitedFor: a cluster whose seeds name a relay
+// TestRelay_ForwardsCallsAndDoesNotDelayBootstrap: a cluster whose seeds name a relay
 // forms without it, and a configuration put through the relay is taken.
-func TestRelayCarriesCallsAndIsNotWaitedFor(t *testing.T) {
-	replica := schedulerOn(t, t.TempDir())
-	relay := schedulerOn(t, t.TempDir())
+func TestRelay_ForwardsCallsAndDoesNotDelayBootstrap(t *testing.T) {
+	replica := schedulerSettings(t, t.TempDir())
+	relay := schedulerSettings(t, t.TempDir())
 	relay.Name, relay.Relay, relay.DataDir = "relay-1", true, ""
 	replica.Seeds = []string{relay.Listen, replica.Listen}
 	relay.Seeds = replica.Seeds
@@ -35,7 +35,7 @@
 	running.Go(func() { _ = relaying.Run(ctx) })
 
 	config := api.Config{Queues: []api.QueueConfig{{Name: "q"}}}
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		status, refusal := relaying.Gateway.PutConfig(ctx, "order-1", 0, config)
 		if refusal == nil && status.Version == 1 {
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -14,9 +14,9 @@
 		if err != nil {
 			return fmt.Errorf("apply entry %d of term %d: %w", entry.Index, entry.Term, err)
 		}
-		l.snapshots.noteApplied(entry)
+		l.snapshots.recordApplied(entry)
 		l.applied.advance(entry.Index)
-		l.pending.answer(entry, result)
+		l.pending.complete(entry, result)
 	}
 	return nil
 }
@@ -27,15 +27,15 @@
 		return l.config.Record.Apply(entry.Index, entry.Data)
 	case raft.EntryMembership:
 		l.config.Record.Skip(entry.Index)
-		return record.Result{}, l.noteMembership(entry)
+		return record.Result{}, l.logMembership(entry)
 	default:
 		l.config.Record.Skip(entry.Index)
 		return record.Result{}, nil
 	}
 }
 
-// noteMembership logs who votes from now on.
-func (l *loop) noteMembership(entry raft.Entry) error {
+// logMembership logs who votes from now on.
+func (l *loop) logMembership(entry raft.Entry) error {
 	membership, err := raft.DecodeMembership(entry.Data)
 	if err != nil {
 		return err
--- a/internal/replica/archive.go
+++ b/internal/replica/archive.go
@@ -8,50 +8,50 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// archiveCopy remembers up to where the archive was copied from others.
+// archiveCopier remembers up to where the archive was copied from others.
 //
 // A snapshot leaves ended jobs out, so before one is installed the archive
 // pages after the last entry applied here are copied and synced. A crash in
 // between starts again from the old state and copies again. Jobs that ended
 // later than the snapshot may come along; the record does not see them until
 // it applies the entries that ended them.
-type archiveCopy struct {
+type archiveCopier struct {
 	// turn is held while a page is on its way: one copies at a time, and whoever
 	// waits for that can give up.
-	turn  chan struct{}
-	place archivePlace
+	semaphore chan struct{}
+	position  archivePosition
 }
 
-func newArchiveCopy() archiveCopy { return archiveCopy{turn: make(chan struct{}, 1)} }
+func newArchiveCopier() archiveCopier { return archiveCopier{semaphore: make(chan struct{}, 1)} }
 
 // take waits until nobody else copies. Its error is the context's.
-func (c *archiveCopy) take(ctx context.Context) error {
+func (c *archiveCopier) acquire(ctx context.Context) error {
 	select {
-	case c.turn <- struct{}{}:
+	case c.semaphore <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("wait for another copy of the archive: %w", ctx.Err())
 	}
 }
 
-func (c *archiveCopy) release() { <-c.turn }
+func (c *archiveCopier) release() { <-c.semaphore }
 
-// archivePlace is a place in the order of (Index, ID).
-type archivePlace struct {
+// archivePosition is a place in the order of (Index, ID).
+type archivePosition struct {
 	index uint64
 	id    string
 }
 
 // copyArchive copies what the replica at address has and this one lacks.
 func (r *Replica) copyArchive(ctx context.Context, address string) error {
-	if err := r.archive.take(ctx); err != nil {
+	if err := r.archive.acquire(ctx); err != nil {
 		return err
 	}
 	defer r.archive.release()
-	if applied := r.applied.get(); applied > r.archive.place.index {
+	if applied := r.applied.load(); applied > r.archive.position.index {
 		// All that ended up to here was archived when it was applied. The next
 		// index comes after every id of this one.
-		r.archive.place = archivePlace{index: applied + 1}
+		r.archive.position = archivePosition{index: applied + 1}
 	}
 	copied := 0
 	for {
@@ -76,8 +76,8 @@
 
 func (r *Replica) copyArchivePage(ctx context.Context, address string) (int, error) {
 	request := fleet.ArchivePageRequest{
-		AfterIndex: r.archive.place.index,
-		AfterID:    r.archive.place.id,
+		AfterIndex: r.archive.position.index,
+		AfterID:    r.archive.position.id,
 		Limit:      maxArchivePage,
 	}
 	page, err := rpc.Call[fleet.ArchivePageRequest, fleet.ArchivePageAnswer](ctx, r.config.Client, address, fleet.MethodArchivePage, request)
@@ -92,6 +92,6 @@
 		return 0, fmt.Errorf("copy archive: %w", err)
 	}
 	last := page.Jobs[count-1]
-	r.archive.place = archivePlace{index: last.Index, id: last.ID}
+	r.archive.position = archivePosition{index: last.Index, id: last.ID}
 	return count, nil
 }
--- a/internal/replica/commitpace_test.go
+++ b/internal/replica/commitpace_test.go
@@ -32,10 +32,10 @@
 	return s.syncs
 }
 
-// TestSteadyProposalsShareSyncs: proposals that come one after the other share a batch,
+// TestPropose_SteadyProposalsShareSyncs: proposals that come one after the other share a batch,
 // so that the disk rests for about as long as it syncs, and none waits for long. A
 // proposal after a pause does not wait at all.
-func TestSteadyProposalsShareSyncs(t *testing.T) {
+func TestPropose_SteadyProposalsShareSyncs(t *testing.T) {
 	const (
 		syncTakes = 4 * time.Millisecond
 		lasting   = 2 * time.Second
@@ -46,7 +46,7 @@
 		slowestProposal = 20 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
-		machines := newBubbleMachines(t, 3)
+		machines := newSynctestMachines(t, 3)
 		stores := make(map[*machine]*countingStore)
 		for i, m := range machines {
 			stores[m] = &countingStore{slowStore: slowStore{Memory: storage.NewMemory(int64(i + 1))}}
@@ -55,7 +55,7 @@
 		}
 		startAll(machines)
 		leader := leaderOf(t, machines...)
-		register(t, "first", leader)
+		proposeRegistration(t, "first", leader)
 		before := stores[leader].count()
 		slowest := proposeSteadily(t, leader, lasting)
 		syncs := stores[leader].count() - before
@@ -68,7 +68,7 @@
 		}
 		time.Sleep(time.Second)
 		began := time.Now()
-		register(t, "after a pause", leader)
+		proposeRegistration(t, "after a pause", leader)
 		if took := time.Since(began); took > 3*syncTakes {
 			t.Errorf("a proposal after a pause took %v", took)
 		}
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	defaultSnapshotEvery = 10_000  // entries
-	defaultSnapshotBytes = 8 << 20 // bytes
-	defaultKeepEntries   = 2_000   // entries
+	defaultSnapshotEvery   = 10_000  // entries
+	defaultSnapshotBytes   = 8 << 20 // bytes
+	defaultRetainedEntries = 2_000   // entries
 	// defaultMaxVoters bears the loss of two replicas.
 	defaultMaxVoters = 5
 )
@@ -63,10 +63,10 @@
 	Timing    Timing
 	// SnapshotEvery is how many applied entries make a new snapshot, default
 	// 10000. SnapshotBytes of them, default 8 MiB, make one as well, so that
-	// the log is bounded whatever is in it. KeepEntries stay in the log behind it, default 2000.
-	SnapshotEvery uint64
-	SnapshotBytes int64
-	KeepEntries   uint64
+	// the log is bounded whatever is in it. RetainedEntries stay in the log behind it, default 2000.
+	SnapshotEvery   uint64
+	SnapshotBytes   int64
+	RetainedEntries uint64
 	// Logger and Registerer may be nil.
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
@@ -79,7 +79,7 @@
 	c.Timing = c.Timing.withDefaults()
 	defaultTo(&c.SnapshotEvery, defaultSnapshotEvery)
 	defaultTo(&c.SnapshotBytes, int64(defaultSnapshotBytes))
-	defaultTo(&c.KeepEntries, defaultKeepEntries)
+	defaultTo(&c.RetainedEntries, defaultRetainedEntries)
 	defaultTo(&c.MaxVoters, defaultMaxVoters)
 	if c.WallClock == nil {
 		c.WallClock = time.Now
--- a/internal/replica/decisions_test.go
+++ b/internal/replica/decisions_test.go
@@ -22,51 +22,51 @@
 	return membership
 }
 
-func founder(id string, proposal raft.Membership) seedAnswer {
-	return seedAnswer{address: id, answer: fleet.IdentityAnswer{Member: member(id), Empty: true, Founder: true, Membership: proposal}}
+func bootstrappingSeed(id string, proposal raft.Membership) seedResponse {
+	return seedResponse{address: id, identity: fleet.IdentityAnswer{Member: member(id), Empty: true, Founder: true, Membership: proposal}}
 }
 
-func TestDecideFormation(t *testing.T) {
+func TestDecideBootstrap_FollowsSeedResponses(t *testing.T) {
 	all := members("a", "b", "c")
-	silent := seedAnswer{address: "c", err: errors.New("refused")}
-	full := func(founded raft.Membership) seedAnswer {
-		return seedAnswer{address: "c", answer: fleet.IdentityAnswer{Member: member("c"), Founded: &founded}}
+	silent := seedResponse{address: "c", err: errors.New("refused")}
+	full := func(founded raft.Membership) seedResponse {
+		return seedResponse{address: "c", identity: fleet.IdentityAnswer{Member: member("c"), Founded: &founded}}
 	}
-	joiner := seedAnswer{address: "c", answer: fleet.IdentityAnswer{Member: member("c"), Empty: true}}
-	sameName := founder("c", raft.Membership{})
-	sameName.answer.Member.Name = "name-a"
+	joiner := seedResponse{address: "c", identity: fleet.IdentityAnswer{Member: member("c"), Empty: true}}
+	sameName := bootstrappingSeed("c", raft.Membership{})
+	sameName.identity.Member.Name = "name-a"
 	cases := map[string]struct {
 		proposal raft.Membership
-		answers  []seedAnswer
-		want     formationAction
+		answers  []seedResponse
+		want     bootstrapAction
 		founds   raft.Membership
 	}{
-		"first round":        {raft.Membership{}, []seedAnswer{founder("c", all), founder("a", raft.Membership{}), founder("b", all)}, formationPropose, all},
-		"not all agree":      {all, []seedAnswer{founder("a", all), founder("b", raft.Membership{}), founder("c", all)}, formationWait, raft.Membership{}},
-		"other proposal":     {all, []seedAnswer{founder("a", all), founder("b", members("b", "c")), founder("c", all)}, formationWait, raft.Membership{}},
-		"all agree":          {all, []seedAnswer{founder("a", all), founder("c", all), founder("b", all), founder("b", all)}, formationFound, all},
-		"new id after loss":  {all, []seedAnswer{founder("a", all), founder("b", all), founder("d", raft.Membership{})}, formationPropose, members("a", "b", "d")},
-		"one silent":         {all, []seedAnswer{founder("a", all), founder("b", all), silent}, formationWait, raft.Membership{}},
-		"one joins":          {all, []seedAnswer{founder("a", all), founder("b", all), joiner}, formationWait, raft.Membership{}},
-		"same name":          {all, []seedAnswer{founder("a", all), founder("b", all), sameName}, formationWait, raft.Membership{}},
-		"not a seed":         {all, []seedAnswer{founder("b", all), founder("c", all)}, formationWait, raft.Membership{}},
-		"founded with us":    {raft.Membership{}, []seedAnswer{founder("a", all), silent, full(all)}, formationFound, all},
-		"founded without us": {all, []seedAnswer{founder("a", all), silent, full(members("b", "c", "x"))}, formationJoin, raft.Membership{}},
+		"first round":        {raft.Membership{}, []seedResponse{bootstrappingSeed("c", all), bootstrappingSeed("a", raft.Membership{}), bootstrappingSeed("b", all)}, bootstrapPropose, all},
+		"not all agree":      {all, []seedResponse{bootstrappingSeed("a", all), bootstrappingSeed("b", raft.Membership{}), bootstrappingSeed("c", all)}, bootstrapWait, raft.Membership{}},
+		"other proposal":     {all, []seedResponse{bootstrappingSeed("a", all), bootstrappingSeed("b", members("b", "c")), bootstrappingSeed("c", all)}, bootstrapWait, raft.Membership{}},
+		"all agree":          {all, []seedResponse{bootstrappingSeed("a", all), bootstrappingSeed("c", all), bootstrappingSeed("b", all), bootstrappingSeed("b", all)}, bootstrapCreate, all},
+		"new id after loss":  {all, []seedResponse{bootstrappingSeed("a", all), bootstrappingSeed("b", all), bootstrappingSeed("d", raft.Membership{})}, bootstrapPropose, members("a", "b", "d")},
+		"one silent":         {all, []seedResponse{bootstrappingSeed("a", all), bootstrappingSeed("b", all), silent}, bootstrapWait, raft.Membership{}},
+		"one joins":          {all, []seedResponse{bootstrappingSeed("a", all), bootstrappingSeed("b", all), joiner}, bootstrapWait, raft.Membership{}},
+		"same name":          {all, []seedResponse{bootstrappingSeed("a", all), bootstrappingSeed("b", all), sameName}, bootstrapWait, raft.Membership{}},
+		"not a seed":         {all, []seedResponse{bootstrappingSeed("b", all), bootstrappingSeed("c", all)}, bootstrapWait, raft.Membership{}},
+		"founded with us":    {raft.Membership{}, []seedResponse{bootstrappingSeed("a", all), silent, full(all)}, bootstrapCreate, all},
+		"founded without us": {all, []seedResponse{bootstrappingSeed("a", all), silent, full(members("b", "c", "x"))}, bootstrapJoin, raft.Membership{}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := decideFormation("a", c.proposal, c.answers)
+			got := decideBootstrap("a", c.proposal, c.answers)
 			if got.action != c.want || !sameMembership(got.membership, c.founds) {
 				t.Fatalf("got %+v, want action %d with %v", got, c.want, c.founds)
 			}
-			if (got.missing == "") == (got.action == formationWait) {
-				t.Fatalf("missing is %q", got.missing)
+			if (got.reason == "") == (got.action == bootstrapWait) {
+				t.Fatalf("missing is %q", got.reason)
 			}
 		})
 	}
 }
 
-func TestNextJoinStep(t *testing.T) {
+func TestNextMembershipStep_FollowsNewcomerProgress(t *testing.T) {
 	newcomer := raft.Member{ID: "n", Name: "name-c", Address: "address-n"}
 	learner := members("a", "b", "c")
 	learner.Learners = []raft.Member{newcomer}
@@ -87,58 +87,58 @@
 		refused bool
 		voter   bool
 	}{
-		"new":              {members("a", "b", "c"), false, 0, 0, changeLearner, false, false},
-		"earlier learner":  {earlier, false, 0, 0, changeLearner, false, false},
+		"new":              {members("a", "b", "c"), false, 0, 0, changeAddLearner, false, false},
+		"earlier learner":  {earlier, false, 0, 0, changeAddLearner, false, false},
 		"archive missing":  {learner, false, 500, 0, "", false, false},
 		"behind":           {learner, true, 399, 0, "", false, false},
 		"old one is heard": {learner, true, 500, 9 * time.Second, "", true, false},
-		"old one silent":   {learner, true, 400, 7 * time.Second, changeVoter, false, false},
+		"old one silent":   {learner, true, 400, 7 * time.Second, changePromote, false, false},
 		"joint":            {joint, true, 500, 0, "", false, false},
 		"done":             {done, true, 500, 0, "", false, true},
-		"other address":    {moved, true, 500, 0, changeData, false, true},
+		"other address":    {moved, true, 500, 0, changeMemberData, false, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			step := nextJoinStep(joinQuestion{
+			step := nextMembershipStep(membershipQuery{
 				request: fleet.JoinRequest{Member: newcomer, ArchiveCopied: c.copied},
 				status: raft.Status{
 					ID: "a", LastIndex: 500, Membership: c.current,
 					Progress: []raft.Progress{{ID: "n", Match: c.match, Learner: true}, {ID: "c", LastSeen: c.heard}},
 				},
-				now:       10 * time.Second,
-				silence:   2 * time.Second,
-				maxVoters: 3,
+				now:          10 * time.Second,
+				voterTimeout: 2 * time.Second,
+				maxVoters:    3,
 			})
-			if step.change != c.change || (step.refusal != "") != c.refused || step.voter != c.voter {
+			if step.change != c.change || (step.postponed != "") != c.refused || step.voter != c.voter {
 				t.Fatalf("got %+v", step)
 			}
-			if c.change == changeVoter && (!sameMembership(step.target, done) || step.replaces != "c") {
+			if c.change == changePromote && (!sameMembership(step.target, done) || step.replaces != "c") {
 				t.Fatalf("target %+v replaces %s", step.target, step.replaces)
 			}
-			if c.change == changeLearner && len(step.target.Learners) != 1 {
+			if c.change == changeAddLearner && len(step.target.Learners) != 1 {
 				t.Fatalf("learners %v, want the newcomer alone", step.target.Learners)
 			}
 		})
 	}
 }
 
-func TestDecideJoinNeverForms(t *testing.T) {
-	empty := []seedAnswer{founder("a", members("a", "b")), founder("b", members("a", "b"))}
-	if got := decideJoin(empty); got.action != formationWait || got.missing == "" {
+func TestDecideJoin_NeverCreatesCluster(t *testing.T) {
+	empty := []seedResponse{bootstrappingSeed("a", members("a", "b")), bootstrappingSeed("b", members("a", "b"))}
+	if got := decideJoin(empty); got.action != bootstrapWait || got.reason == "" {
 		t.Fatalf("empty seeds: %+v", got)
 	}
-	full := append(empty, seedAnswer{address: "c", answer: fleet.IdentityAnswer{Member: member("c")}})
-	if got := decideJoin(full); got.action != formationJoin {
+	full := append(empty, seedResponse{address: "c", identity: fleet.IdentityAnswer{Member: member("c")}})
+	if got := decideJoin(full); got.action != bootstrapJoin {
 		t.Fatalf("a seed has a cluster: %+v", got)
 	}
-	silent := []seedAnswer{{address: "c", err: errors.New("refused")}}
-	if got := decideJoin(silent); got.action != formationWait {
+	silent := []seedResponse{{address: "c", err: errors.New("refused")}}
+	if got := decideJoin(silent); got.action != bootstrapWait {
 		t.Fatalf("silent seed: %+v", got)
 	}
 }
 
-// TestPromotion: where a newcomer that has caught up goes.
-func TestPromotion(t *testing.T) {
+// TestNextMembershipStep_PromotesCaughtUpLearner: where a newcomer that has caught up goes.
+func TestNextMembershipStep_PromotesCaughtUpLearner(t *testing.T) {
 	sameAddress := raft.Member{ID: "n", Name: "name-c", Address: "address-c"}
 	stranger := raft.Member{ID: "n", Name: "name-n", Address: "address-n"}
 	const now, silence = 10 * time.Second, 2 * time.Second
@@ -151,25 +151,25 @@
 		replaces  raft.ReplicaID
 		standby   bool
 	}{
-		"same address, heard a moment ago":  {sameAddress, 3, now, now, changeVoter, "c", false},
+		"same address, heard a moment ago":  {sameAddress, 3, now, now, changePromote, "c", false},
 		"stranger, all are heard":           {stranger, 3, now, now, "", "", true},
-		"stranger, few voters":              {stranger, 5, now, now, changeVoter, "", false},
-		"stranger, one is silent":           {stranger, 3, 7 * time.Second, now, changeVoter, "b", false},
-		"stranger, few voters, one silent":  {stranger, 5, now, 7 * time.Second, changeVoter, "c", false},
-		"stranger, takes the longest gone":  {stranger, 3, 6 * time.Second, 5 * time.Second, changeVoter, "c", false},
+		"stranger, few voters":              {stranger, 5, now, now, changePromote, "", false},
+		"stranger, one is silent":           {stranger, 3, 7 * time.Second, now, changePromote, "b", false},
+		"stranger, few voters, one silent":  {stranger, 5, now, 7 * time.Second, changePromote, "c", false},
+		"stranger, takes the longest gone":  {stranger, 3, 6 * time.Second, 5 * time.Second, changePromote, "c", false},
 		"stranger, silent but not for long": {stranger, 3, 9 * time.Second, now, "", "", true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			current := members("a", "b", "c")
 			current.Learners = []raft.Member{c.newcomer}
-			step := nextJoinStep(joinQuestion{
+			step := nextMembershipStep(membershipQuery{
 				request: fleet.JoinRequest{Member: c.newcomer, ArchiveCopied: true},
 				status: raft.Status{
 					ID: "a", LastIndex: 500, Membership: current,
 					Progress: []raft.Progress{{ID: "n", Match: 500, Learner: true}, {ID: "b", LastSeen: c.heardB}, {ID: "c", LastSeen: c.heardC}},
 				},
-				now: now, silence: silence, maxVoters: c.maxVoters,
+				now: now, voterTimeout: silence, maxVoters: c.maxVoters,
 			})
 			if step.change != c.change || step.replaces != c.replaces || step.standby != c.standby {
 				t.Fatalf("got %+v", step)
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestNextRetireStep(t *testing.T) {
+func TestNextRetireStep_PrefersLearnerOfSameZone(t *testing.T) {
 	const now, silence = 10 * time.Second, time.Second
 	standby := func(id, zone string) raft.Member { return raft.Member{ID: raft.ReplicaID(id), Name: id, Zone: zone} }
 	progress := func(id string, match uint64, seen time.Duration) raft.Progress {
@@ -213,21 +213,21 @@
 	}
 }
 
-func TestLeaseEndsWhileFrozen(t *testing.T) {
+func TestHoldsLease_ExpiresWhileProcessFrozen(t *testing.T) {
 	client := rpc.NewClient(rpc.ClientConfig{})
 	defer client.Close()
-	r := newMachines(t, 1)[0].make(client)
-	r.lease.Store(&leaseView{leader: true, term: 7, until: r.now() + time.Hour})
+	r := newMachines(t, 1)[0].newReplica(client)
+	r.leadership.Store(&leadershipView{leader: true, term: 7, leaseUntil: r.now() + time.Hour})
 	if !r.HoldsLease(7) || r.HoldsLease(6) || r.HoldsLease(8) {
 		t.Fatal("the lease is held under token 7 alone")
 	}
-	r.start = r.start.Add(-time.Hour) // the process was frozen so long
+	r.startedAt = r.startedAt.Add(-time.Hour) // the process was frozen so long
 	if r.HoldsLease(7) {
 		t.Fatal("the lease outlived its end")
 	}
 }
 
-func TestSendQueuesBoundWhatWaits(t *testing.T) {
+func TestSendQueue_BoundsQueuedBytes(t *testing.T) {
 	q := newSendQueue()
 	entries := []raft.Entry{{Data: make([]byte, maxRequestBytes/2)}}
 	for range 100 {
--- a/internal/replica/formation.go
+++ b/internal/replica/formation.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// formationInterval is how often seeds are asked.
-	formationInterval = 200 * time.Millisecond
-	// waitLogInterval is how often what is missing is logged.
-	waitLogInterval = 5 * time.Second
-	// foundingIndex and foundingTerm name the snapshot that every founder
+	// bootstrapInterval is how often seeds are asked.
+	bootstrapInterval = 200 * time.Millisecond
+	// bootstrapLogInterval is how often what is missing is logged.
+	bootstrapLogInterval = 5 * time.Second
+	// bootstrapIndex and bootstrapTerm name the snapshot that every founder
 	// begins with.
-	foundingIndex = 1
-	foundingTerm  = 1
+	bootstrapIndex = 1
+	bootstrapTerm  = 1
 )
 
-// formationState is what Identity answers about a replica that has not started
+// bootstrapState is what Identity answers about a replica that has not started
 // its node, and the founding membership after it has.
-type formationState struct {
-	mutex    sync.Mutex
-	waiting  bool
-	proposal raft.Membership
-	founded  *raft.Membership
+type bootstrapState struct {
+	mutex      sync.Mutex
+	inProgress bool
+	proposal   raft.Membership
+	created    *raft.Membership
 }
 
-// form returns once the store holds the start of a new cluster, or once there
+// bootstrap returns once the store holds the start of a new cluster, or once there
 // is a cluster to join. How exactly one cluster forms:
 //
 //  1. An empty replica asks every seed. Once all answer, are empty and wait to
@@ -54,108 +54,108 @@
 //
 // A replica that may only join takes part in none of this: it waits until a
 // seed belongs to a cluster.
-func (r *Replica) form(ctx context.Context) error {
+func (r *Replica) bootstrap(ctx context.Context) error {
 	if !r.config.JoinOnly {
-		r.formation.begin()
+		r.bootstrapState.begin()
 	}
-	lastLog := r.start.Add(-waitLogInterval)
+	lastLog := r.startedAt.Add(-bootstrapLogInterval)
 	for {
-		decision := r.decideFormation(replicasOf(r.askSeeds(ctx)))
+		decision := r.decideBootstrap(withoutRelays(r.querySeeds(ctx)))
 		switch decision.action {
-		case formationFound:
-			return r.found(decision.membership)
-		case formationJoin:
-			r.formation.end(nil)
+		case bootstrapCreate:
+			return r.createCluster(decision.membership)
+		case bootstrapJoin:
+			r.bootstrapState.end(nil)
 			r.logger.Info("joins a cluster")
 			return nil
-		case formationPropose:
-			r.formation.propose(decision.membership)
-		case formationWait:
-			if time.Since(lastLog) >= waitLogInterval {
+		case bootstrapPropose:
+			r.bootstrapState.propose(decision.membership)
+		case bootstrapWait:
+			if time.Since(lastLog) >= bootstrapLogInterval {
 				lastLog = time.Now()
-				r.logger.Info("waits to form a cluster", "missing", decision.missing)
+				r.logger.Info("waits to form a cluster", "missing", decision.reason)
 			}
 		}
-		if !wait.For(ctx, formationInterval) {
+		if !wait.For(ctx, bootstrapInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-func (f *formationState) begin() {
+func (f *bootstrapState) begin() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.waiting = true
+	f.inProgress = true
 }
 
-func (f *formationState) propose(membership raft.Membership) {
+func (f *bootstrapState) propose(membership raft.Membership) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.proposal = membership
 }
 
-func (f *formationState) end(founded *raft.Membership) {
+func (f *bootstrapState) end(founded *raft.Membership) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.waiting = false
-	f.founded = founded
+	f.inProgress = false
+	f.created = founded
 }
 
-// found persists the founding snapshot and only then lets others see it.
-func (r *Replica) found(membership raft.Membership) error {
+// createCluster persists the founding snapshot and only then lets others see it.
+func (r *Replica) createCluster(membership raft.Membership) error {
 	_, write, err := r.config.Record.Snapshot()
 	if err != nil {
 		return fmt.Errorf("found cluster: %w", err)
 	}
-	meta := raft.SnapshotMeta{Index: foundingIndex, Term: foundingTerm, Membership: membership}
+	meta := raft.SnapshotMeta{Index: bootstrapIndex, Term: bootstrapTerm, Membership: membership}
 	if err := r.config.Store.SaveSnapshot(meta, 0, write); err != nil {
 		return fmt.Errorf("found cluster: %w", err)
 	}
-	r.formation.end(&membership)
+	r.bootstrapState.end(&membership)
 	r.logger.Info("cluster formed", "voters", memberNames(membership.Voters))
 	return nil
 }
 
-// seedAnswer is what one seed said; err is set if it did not answer.
-type seedAnswer struct {
-	address string
-	answer  fleet.IdentityAnswer
-	err     error
+// seedResponse is what one seed said; err is set if it did not answer.
+type seedResponse struct {
+	address  string
+	identity fleet.IdentityAnswer
+	err      error
 }
 
-// askSeeds asks every seed at the same time, itself without the network.
-func (r *Replica) askSeeds(ctx context.Context) []seedAnswer {
+// querySeeds asks every seed at the same time, itself without the network.
+func (r *Replica) querySeeds(ctx context.Context) []seedResponse {
 	seeds := *r.seeds.Load()
-	answers := make([]seedAnswer, len(seeds))
+	answers := make([]seedResponse, len(seeds))
 	var asked sync.WaitGroup
 	for i, seed := range seeds {
-		asked.Go(func() { answers[i] = r.askSeed(ctx, seed) })
+		asked.Go(func() { answers[i] = r.querySeed(ctx, seed) })
 	}
 	asked.Wait()
 	return answers
 }
 
-// replicasOf leaves out seeds that are no replicas.
-func replicasOf(answers []seedAnswer) []seedAnswer {
-	return slices.DeleteFunc(answers, func(seed seedAnswer) bool { return seed.err == nil && seed.answer.Relay })
+// withoutRelays leaves out seeds that are no replicas.
+func withoutRelays(answers []seedResponse) []seedResponse {
+	return slices.DeleteFunc(answers, func(seed seedResponse) bool { return seed.err == nil && seed.identity.Relay })
 }
 
-func (r *Replica) askSeed(ctx context.Context, seed string) seedAnswer {
+func (r *Replica) querySeed(ctx context.Context, seed string) seedResponse {
 	if seed == r.config.Address {
-		return seedAnswer{address: seed, answer: r.identity()}
+		return seedResponse{address: seed, identity: r.identity()}
 	}
 	answer, err := rpc.Call[fleet.Empty, fleet.IdentityAnswer](ctx, r.config.Client, seed, fleet.MethodIdentity, fleet.Empty{})
-	return seedAnswer{address: seed, answer: answer, err: err}
+	return seedResponse{address: seed, identity: answer, err: err}
 }
 
-func (r *Replica) decideFormation(answers []seedAnswer) formationDecision {
-	r.formation.mutex.Lock()
-	proposal := r.formation.proposal
-	r.formation.mutex.Unlock()
+func (r *Replica) decideBootstrap(answers []seedResponse) bootstrapDecision {
+	r.bootstrapState.mutex.Lock()
+	proposal := r.bootstrapState.proposal
+	r.bootstrapState.mutex.Unlock()
 	if r.config.JoinOnly {
 		return decideJoin(answers)
 	}
-	return decideFormation(r.self.ID, proposal, answers)
+	return decideBootstrap(r.self.ID, proposal, answers)
 }
 
 func (r *Replica) serveIdentity(context.Context, fleet.Empty) (fleet.IdentityAnswer, error) {
@@ -163,16 +163,16 @@
 }
 
 func (r *Replica) identity() fleet.IdentityAnswer {
-	r.formation.mutex.Lock()
-	defer r.formation.mutex.Unlock()
+	r.bootstrapState.mutex.Lock()
+	defer r.bootstrapState.mutex.Unlock()
 	answer := fleet.IdentityAnswer{
 		Member:     r.member(),
 		Empty:      r.config.Store.Empty(),
-		Founder:    r.formation.waiting,
-		Membership: r.formation.proposal,
-		Founded:    r.formation.founded,
+		Founder:    r.bootstrapState.inProgress,
+		Membership: r.bootstrapState.proposal,
+		Founded:    r.bootstrapState.created,
 	}
-	if r.formation.waiting && !answer.Empty {
+	if r.bootstrapState.inProgress && !answer.Empty {
 		// Founding is under way: as long as it is not surely done, others
 		// hear what they heard before.
 		answer.Empty = true
--- a/internal/replica/formationdecision.go
+++ b/internal/replica/formationdecision.go
@@ -8,103 +8,103 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// formationAction is what an empty replica does next.
-type formationAction uint8
+// bootstrapAction is what an empty replica does next.
+type bootstrapAction uint8
 
 const (
-	formationWait formationAction = iota
-	formationPropose
-	formationFound
-	formationJoin
+	bootstrapWait bootstrapAction = iota
+	bootstrapPropose
+	bootstrapCreate
+	bootstrapJoin
 )
 
-// formationDecision carries the membership to propose or found, or what is
+// bootstrapDecision carries the membership to propose or found, or what is
 // missing.
-type formationDecision struct {
-	action     formationAction
+type bootstrapDecision struct {
+	action     bootstrapAction
 	membership raft.Membership
-	missing    string
+	reason     string
 }
 
-func waitFor(format string, args ...any) formationDecision {
-	return formationDecision{action: formationWait, missing: fmt.Sprintf(format, args...)}
+func waitBecause(format string, args ...any) bootstrapDecision {
+	return bootstrapDecision{action: bootstrapWait, reason: fmt.Sprintf(format, args...)}
 }
 
-// decideFormation follows the rules at Replica.form. proposal is this replica's
+// decideBootstrap follows the rules at Replica.form. proposal is this replica's
 // present one.
-func decideFormation(self raft.ReplicaID, proposal raft.Membership, answers []seedAnswer) formationDecision {
-	if decision, exists := decideExisting(self, answers); exists {
+func decideBootstrap(self raft.ReplicaID, proposal raft.Membership, answers []seedResponse) bootstrapDecision {
+	if decision, exists := decideExistingCluster(self, answers); exists {
 		return decision
 	}
-	if missing := missingSeeds(answers); len(missing) > 0 {
-		return waitFor("%s", strings.Join(missing, "; "))
+	if missing := unreadySeeds(answers); len(missing) > 0 {
+		return waitBecause("%s", strings.Join(missing, "; "))
 	}
-	membership := foundingMembership(answers)
-	if problem := membershipProblem(self, membership); problem != "" {
-		return waitFor("%s", problem)
+	membership := bootstrapMembership(answers)
+	if problem := invalidMembershipReason(self, membership); problem != "" {
+		return waitBecause("%s", problem)
 	}
 	if !sameMembership(proposal, membership) {
-		return formationDecision{action: formationPropose, membership: membership}
+		return bootstrapDecision{action: bootstrapPropose, membership: membership}
 	}
 	for _, seed := range answers {
-		if !sameMembership(seed.answer.Membership, membership) {
-			return waitFor("seed %s does not propose the same members yet", seed.address)
+		if !sameMembership(seed.identity.Membership, membership) {
+			return waitBecause("seed %s does not propose the same members yet", seed.address)
 		}
 	}
-	return formationDecision{action: formationFound, membership: membership}
+	return bootstrapDecision{action: bootstrapCreate, membership: membership}
 }
 
 // decideJoin waits for a seed that belongs to a cluster.
-func decideJoin(answers []seedAnswer) formationDecision {
+func decideJoin(answers []seedResponse) bootstrapDecision {
 	for _, seed := range answers {
-		if seed.err == nil && !seed.answer.Empty {
-			return formationDecision{action: formationJoin}
+		if seed.err == nil && !seed.identity.Empty {
+			return bootstrapDecision{action: bootstrapJoin}
 		}
 	}
-	return waitFor("no seed belongs to a cluster yet, and this replica may not form one")
+	return waitBecause("no seed belongs to a cluster yet, and this replica may not form one")
 }
 
-// decideExisting looks for a seed that belongs to a cluster already.
-func decideExisting(self raft.ReplicaID, answers []seedAnswer) (decision formationDecision, exists bool) {
+// decideExistingCluster looks for a seed that belongs to a cluster already.
+func decideExistingCluster(self raft.ReplicaID, answers []seedResponse) (decision bootstrapDecision, exists bool) {
 	for _, seed := range answers {
-		if seed.err != nil || seed.answer.Empty {
+		if seed.err != nil || seed.identity.Empty {
 			continue
 		}
-		founded := seed.answer.Founded
+		founded := seed.identity.Founded
 		if founded != nil && indexOf(founded.Voters, self) >= 0 {
-			return formationDecision{action: formationFound, membership: *founded}, true
+			return bootstrapDecision{action: bootstrapCreate, membership: *founded}, true
 		}
-		decision, exists = formationDecision{action: formationJoin}, true
+		decision, exists = bootstrapDecision{action: bootstrapJoin}, true
 	}
 	return decision, exists
 }
 
-func missingSeeds(answers []seedAnswer) []string {
+func unreadySeeds(answers []seedResponse) []string {
 	var missing []string
 	for _, seed := range answers {
 		switch {
 		case seed.err != nil:
 			missing = append(missing, fmt.Sprintf("seed %s does not answer: %v", seed.address, seed.err))
-		case !seed.answer.Founder:
+		case !seed.identity.Founder:
 			missing = append(missing, fmt.Sprintf("seed %s does not wait to form a cluster", seed.address))
 		}
 	}
 	return missing
 }
 
-// foundingMembership is every seed once, in the order of the ids.
-func foundingMembership(answers []seedAnswer) raft.Membership {
+// bootstrapMembership is every seed once, in the order of the ids.
+func bootstrapMembership(answers []seedResponse) raft.Membership {
 	var voters []raft.Member
 	for _, seed := range answers {
-		if indexOf(voters, seed.answer.Member.ID) < 0 {
-			voters = append(voters, seed.answer.Member)
+		if indexOf(voters, seed.identity.Member.ID) < 0 {
+			voters = append(voters, seed.identity.Member)
 		}
 	}
 	slices.SortFunc(voters, func(a, b raft.Member) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return raft.Membership{Voters: voters}
 }
 
-func membershipProblem(self raft.ReplicaID, membership raft.Membership) string {
+func invalidMembershipReason(self raft.ReplicaID, membership raft.Membership) string {
 	names := make(map[string]raft.ReplicaID)
 	for _, voter := range membership.Voters {
 		if other, taken := names[voter.Name]; taken {
--- a/internal/replica/fulldisk.go
+++ b/internal/replica/fulldisk.go
@@ -9,8 +9,8 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
-// roomInterval is the pause before a full disk is tried again.
-const roomInterval = 100 * time.Millisecond
+// fullDiskRetryInterval is the pause before a full disk is tried again.
+const fullDiskRetryInterval = 100 * time.Millisecond
 
 // save persists what a Ready brings. While the disk has no room it waits: the replica
 // then answers no other, so that it neither votes nor counts for a commit, and as a
@@ -18,7 +18,7 @@
 // that took as long.
 func (l *loop) save(ready raft.Ready) error {
 	began := time.Now()
-	err := l.saveOnce(ready, began)
+	err := l.trySave(ready, began)
 	if !errors.Is(err, storage.ErrNoSpace) {
 		return err
 	}
@@ -26,10 +26,10 @@
 	l.metrics.diskFull.Set(1)
 	defer l.metrics.diskFull.Set(0)
 	for errors.Is(err, storage.ErrNoSpace) {
-		if stopped := l.sitOut(roomInterval); stopped != nil {
+		if stopped := l.discardInput(fullDiskRetryInterval); stopped != nil {
 			return stopped
 		}
-		err = l.saveOnce(ready, began)
+		err = l.trySave(ready, began)
 	}
 	if err == nil {
 		l.logger.Info("room on the disk again", "after", time.Since(began))
@@ -37,19 +37,19 @@
 	return err
 }
 
-func (l *loop) saveOnce(ready raft.Ready, began time.Time) error {
+func (l *loop) trySave(ready raft.Ready, began time.Time) error {
 	if err := l.config.Store.Save(ready.HardState, ready.Entries, ready.MustSync); err != nil {
 		return fmt.Errorf("save: %w", err)
 	}
 	if ready.MustSync {
-		l.noteSave(time.Since(began))
+		l.observeSave(time.Since(began))
 	}
 	return nil
 }
 
-// sitOut lets time pass in which messages are lost and proposals refused. Calls wait:
+// discardInput lets time pass in which messages are lost and proposals refused. Calls wait:
 // they may need the node, which is in the middle of a Ready.
-func (l *loop) sitOut(length time.Duration) error {
+func (l *loop) discardInput(length time.Duration) error {
 	over := time.NewTimer(length)
 	defer over.Stop()
 	for {
@@ -58,7 +58,7 @@
 			return l.ctx.Err()
 		case <-l.inbox:
 		case p := <-l.proposals:
-			p.refuse(ErrNotLeader)
+			p.reject(ErrNotLeader)
 		case <-over.C:
 			return nil
 		}
--- a/internal/replica/handlers.go
+++ b/internal/replica/handlers.go
@@ -66,7 +66,7 @@
 
 // serveReadIndex gives a follower a read point; leader only.
 func (r *Replica) serveReadIndex(ctx context.Context, _ fleet.Empty) (fleet.ReadIndexAnswer, error) {
-	index, err := r.readPoint(ctx)
+	index, err := r.readIndex(ctx)
 	if errors.Is(err, ErrNotLeader) {
 		return fleet.ReadIndexAnswer{}, r.notLeader()
 	}
--- a/internal/replica/handover.go
+++ b/internal/replica/handover.go
@@ -10,31 +10,31 @@
 	"github.com/decklever/decklever/internal/wait"
 )
 
-// handOverInterval is how often a replica that stops looks whether another can
+// transferPollInterval is how often a replica that stops looks whether another can
 // lead, and offers its seat.
-const handOverInterval = 50 * time.Millisecond
+const transferPollInterval = 50 * time.Millisecond
 
-// HandOver passes leadership on, if held, and then the seat of a voter, if a
+// PrepareShutdown passes leadership on, if held, and then the seat of a voter, if a
 // learner stands by. It returns once that is done, nobody is left to take over,
 // or ctx ends.
-func (r *Replica) HandOver(ctx context.Context) {
+func (r *Replica) PrepareShutdown(ctx context.Context) {
 	if !r.running.Load() {
 		return
 	}
-	r.passLeadership(ctx)
+	r.transferLeadership(ctx)
 	r.retire(ctx)
 }
 
-// passLeadership returns once another replica leads, or none of that can be.
-func (r *Replica) passLeadership(ctx context.Context) {
-	err := r.call(ctx, func(l *loop) error { return l.node.TransferLeadership(r.now(), "") })
+// transferLeadership returns once another replica leads, or none of that can be.
+func (r *Replica) transferLeadership(ctx context.Context) {
+	err := r.runOnLoop(ctx, func(l *loop) error { return l.node.TransferLeadership(r.now(), "") })
 	if err != nil {
 		return
 	}
-	look := time.NewTicker(handOverInterval)
+	look := time.NewTicker(transferPollInterval)
 	defer look.Stop()
 	for {
-		version, changed := r.roleChanges.next()
+		version, changed := r.roleChanges.watch()
 		status := r.status.Load()
 		if status.Role != raft.RoleLeader && status.Leader != "" {
 			r.logger.Info("leadership handed over", "to", string(status.Leader), "term", status.Term, "change", version)
@@ -43,7 +43,7 @@
 		select {
 		case <-changed:
 		case <-look.C:
-			if !r.othersCanLead(ctx) {
+			if !r.successorReachable(ctx) {
 				r.logger.Info("leadership not handed over: too few replicas can be reached", "term", status.Term)
 				return
 			}
@@ -63,7 +63,7 @@
 		return
 	}
 	request := fleet.RetireRequest{ID: r.self.ID}
-	for r.othersCanLead(ctx) {
+	for r.successorReachable(ctx) {
 		leader, known := r.Leader()
 		if known && leader.ID != r.self.ID {
 			answer, err := rpc.Call[fleet.RetireRequest, fleet.RetireAnswer](ctx, r.config.Client, leader.Address, fleet.MethodRetire, request)
@@ -72,33 +72,33 @@
 			}
 			r.logger.Debug("seat not handed over yet", "error", err)
 		}
-		if !wait.For(ctx, handOverInterval) {
+		if !wait.For(ctx, transferPollInterval) {
 			return
 		}
 	}
 }
 
-// othersCanLead reports whether another voter can be reached, and with this one
+// successorReachable reports whether another voter can be reached, and with this one
 // a majority of the voters.
-func (r *Replica) othersCanLead(ctx context.Context) bool {
+func (r *Replica) successorReachable(ctx context.Context) bool {
 	can := false
-	err := r.call(ctx, func(l *loop) error {
+	err := r.runOnLoop(ctx, func(l *loop) error {
 		membership := l.node.Status().Membership
-		can = l.reachesMajority(membership.Voters) && (len(membership.Outgoing) == 0 || l.reachesMajority(membership.Outgoing))
+		can = l.reachesQuorum(membership.Voters) && (len(membership.Outgoing) == 0 || l.reachesQuorum(membership.Outgoing))
 		return nil
 	})
 	return err == nil && can
 }
 
-// reachesMajority counts this replica and the voters to whom the newest call was
+// reachesQuorum counts this replica and the voters to whom the newest call was
 // answered.
-func (l *loop) reachesMajority(voters []raft.Member) bool {
+func (l *loop) reachesQuorum(voters []raft.Member) bool {
 	others, reached := 0, 0
 	for _, voter := range voters {
 		switch {
 		case voter.ID == l.self.ID:
 			reached++
-		case l.transport.reaches(voter.ID):
+		case l.transport.reachable(voter.ID):
 			others++
 			reached++
 		}
--- a/internal/replica/helper_test.go
+++ b/internal/replica/helper_test.go
@@ -20,19 +20,19 @@
 	"github.com/decklever/decklever/internal/testnetwork"
 )
 
-// patience bounds waits for a condition; none takes nearly as long.
-const patience = 60 * time.Second
+// waitTimeout bounds waits for a condition; none takes nearly as long.
+const waitTimeout = 60 * time.Second
 
 // machine is a place where replicas run: a name and an address that outlive
 // them.
 type machine struct {
-	t       testing.TB
-	name    string
-	zone    string
-	address string
-	seeds   []string
-	store   storage.Store
-	every   uint64
+	t             testing.TB
+	name          string
+	zone          string
+	address       string
+	seeds         []string
+	store         storage.Store
+	snapshotEvery uint64
 	// maxVoters and joinOnly go into the replica's Config.
 	maxVoters int
 	joinOnly  bool
@@ -59,9 +59,9 @@
 	return machinesAt(t, nil, addresses...)
 }
 
-// newBubbleMachines is newMachines for a bubble of testing/synctest: time passes
+// newSynctestMachines is newMachines for a bubble of testing/synctest: time passes
 // only while every replica waits, so that a busy machine delays none of them.
-func newBubbleMachines(t testing.TB, count int) []*machine {
+func newSynctestMachines(t testing.TB, count int) []*machine {
 	t.Helper()
 	var addresses []string
 	for i := range count {
@@ -75,36 +75,36 @@
 	machines := make([]*machine, len(addresses))
 	for i := range machines {
 		machines[i] = &machine{
-			t:       t,
-			name:    fmt.Sprintf("control-%d", i+1),
-			zone:    "zone",
-			address: addresses[i],
-			seeds:   addresses,
-			store:   storage.NewMemory(int64(i + 1)),
-			every:   1_000_000,
-			network: network,
+			t:             t,
+			name:          fmt.Sprintf("control-%d", i+1),
+			zone:          "zone",
+			address:       addresses[i],
+			seeds:         addresses,
+			store:         storage.NewMemory(int64(i + 1)),
+			snapshotEvery: 1_000_000,
+			network:       network,
 		}
 	}
 	return machines
 }
 
-// make makes a replica on the machine's store.
-func (m *machine) make(client *rpc.Client) *Replica {
+// newReplica makes a replica on the machine's store.
+func (m *machine) newReplica(client *rpc.Client) *Replica {
 	m.t.Helper()
 	replica, err := New(Config{
-		Name:          m.name,
-		Zone:          m.zone,
-		Address:       m.address,
-		Seeds:         m.seeds,
-		Store:         m.store,
-		Record:        record.NewMachine(record.Config{Archive: m.store.Archive()}),
-		Client:        client,
-		SnapshotEvery: m.every,
-		MaxVoters:     m.maxVoters,
-		JoinOnly:      m.joinOnly,
-		KeepEntries:   2,
-		Logger:        slog.New(slog.NewTextHandler(m.t.Output(), nil)).With("machine", m.name),
-		Lead:          m.lead,
+		Name:            m.name,
+		Zone:            m.zone,
+		Address:         m.address,
+		Seeds:           m.seeds,
+		Store:           m.store,
+		Record:          record.NewMachine(record.Config{Archive: m.store.Archive()}),
+		Client:          client,
+		SnapshotEvery:   m.snapshotEvery,
+		MaxVoters:       m.maxVoters,
+		JoinOnly:        m.joinOnly,
+		RetainedEntries: 2,
+		Logger:          slog.New(slog.NewTextHandler(m.t.Output(), nil)).With("machine", m.name),
+		Lead:            m.lead,
 	})
 	if err != nil {
 		m.t.Fatal(err)
@@ -112,12 +112,12 @@
 	return replica
 }
 
-// start runs a replica on the machine's store.
+// startedAt runs a replica on the machine's store.
 func (m *machine) start() {
 	m.t.Helper()
 	listener, config := m.connect()
 	client := rpc.NewClient(config)
-	replica := m.make(client)
+	replica := m.newReplica(client)
 	server := rpc.NewServer(rpc.ServerConfig{})
 	replica.Register(server)
 	httpServer := &http.Server{Handler: m.hanging(server), ReadHeaderTimeout: time.Second}
@@ -197,7 +197,7 @@
 	m.mutex.Unlock()
 }
 
-func (m *machine) led() []uint64 {
+func (m *machine) leadTokens() []uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return append([]uint64(nil), m.leads...)
@@ -206,10 +206,10 @@
 // eventually waits for a condition.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -222,7 +222,7 @@
 	eventually(t, "a leader", func() bool {
 		for _, m := range machines {
 			status := m.replica.Status()
-			leads := m.led()
+			leads := m.leadTokens()
 			if m.replica.HoldsLease(status.Term) && len(leads) > 0 && leads[len(leads)-1] == status.Term {
 				leader = m
 				return true
@@ -233,8 +233,8 @@
 	return leader
 }
 
-// register proposes until it is acknowledged by whoever leads.
-func register(t testing.TB, name string, machines ...*machine) uint64 {
+// proposeRegistration proposes until it is acknowledged by whoever leads.
+func proposeRegistration(t testing.TB, name string, machines ...*machine) uint64 {
 	t.Helper()
 	var index uint64
 	eventually(t, "acknowledged: "+name, func() bool {
@@ -256,8 +256,8 @@
 	return record.Command{Register: &record.RegisterWorkers{Workers: []record.Worker{{Name: name, ID: name + "-1"}}}}
 }
 
-// workers returns the names in a replica's record after a read barrier.
-func workers(t testing.TB, m *machine) []string {
+// workerNames returns the names in a replica's record after a read barrier.
+func workerNames(t testing.TB, m *machine) []string {
 	t.Helper()
 	eventually(t, "read barrier on "+m.name, func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
--- a/internal/replica/join.go
+++ b/internal/replica/join.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	// joinInterval is how often a replica that is no voter asks to become one.
-	joinInterval = 200 * time.Millisecond
-	// settledInterval is how often a voter checks that it still is one.
-	settledInterval = time.Second
-	// replacedAfter is how long a voter hears no leader before it asks the
+	// joinRetryInterval is how often a replica that is no voter asks to become one.
+	joinRetryInterval = 200 * time.Millisecond
+	// voterCheckInterval is how often a voter checks that it still is one.
+	voterCheckInterval = time.Second
+	// replacementCheckDelay is how long a voter hears no leader before it asks the
 	// seeds whether it was replaced.
-	replacedAfter = 1500 * time.Millisecond
-	// maxJoinLag is how many entries a learner may lack when it is made a voter.
-	maxJoinLag = 100
-	// refusalLogInterval is how often the leader logs why it keeps a newcomer
+	replacementCheckDelay = 1500 * time.Millisecond
+	// maxPromotionLag is how many entries a learner may lack when it is made a voter.
+	maxPromotionLag = 100
+	// joinLogInterval is how often the leader logs why it keeps a newcomer
 	// waiting.
-	refusalLogInterval = 5 * time.Second
+	joinLogInterval = 5 * time.Second
 )
 
-// keepMembership runs as long as the replica does: it asks the leader to take
+// maintainMembership runs as long as the replica does: it asks the leader to take
 // this replica in until it is a voter under its present name and address. One
 // that stands by goes on asking, more slowly, since a voter may fall silent.
-func (r *Replica) keepMembership(ctx context.Context) {
+func (r *Replica) maintainMembership(ctx context.Context) {
 	lastLed := r.now()
 	joining, replaced := false, false
 	for {
-		interval := settledInterval
+		interval := voterCheckInterval
 		switch {
-		case !r.settled() || replaced:
+		case !r.isCurrentVoter() || replaced:
 			joining = true
-			if !r.tryJoin(ctx) {
-				interval = joinInterval
+			if !r.requestJoin(ctx) {
+				interval = joinRetryInterval
 			}
 		case joining:
 			joining = false
-			r.logger.Info("joined", "index", r.applied.get())
+			r.logger.Info("joined", "index", r.applied.load())
 		}
-		if _, known := r.Leader(); known || !r.settled() {
+		if _, known := r.Leader(); known || !r.isCurrentVoter() {
 			lastLed, replaced = r.now(), false
-		} else if r.now()-lastLed > replacedAfter {
+		} else if r.now()-lastLed > replacementCheckDelay {
 			lastLed = r.now()
 			replaced = r.wasReplaced(ctx)
 		}
@@ -58,17 +58,17 @@
 	}
 }
 
-// settled: the newest membership known here lists this replica as a voter with
+// isCurrentVoter: the newest membership known here lists this replica as a voter with
 // its present name, zone and address.
-func (r *Replica) settled() bool {
+func (r *Replica) isCurrentVoter() bool {
 	return slices.Contains(r.status.Load().Membership.Voters, r.member())
 }
 
-// tryJoin copies the archive and asks the leader once; it reports whether the
+// requestJoin copies the archive and asks the leader once; it reports whether the
 // replica stands by. The archive goes first: it may take long, and a snapshot
 // waits for the rest of it.
-func (r *Replica) tryJoin(ctx context.Context) (standby bool) {
-	leader, known := r.findLeader(ctx)
+func (r *Replica) requestJoin(ctx context.Context) (standby bool) {
+	leader, known := r.discoverLeader(ctx)
 	if !known {
 		return false
 	}
@@ -80,7 +80,7 @@
 	}
 	// Whatever is applied here began with a snapshot, before which the archive
 	// was copied.
-	request := fleet.JoinRequest{Member: r.member(), ArchiveCopied: r.applied.get() > 0}
+	request := fleet.JoinRequest{Member: r.member(), ArchiveCopied: r.applied.load() > 0}
 	if leader == r.config.Address {
 		answer, _ := r.serveJoin(ctx, request)
 		return answer.Standby
@@ -92,14 +92,14 @@
 	return answer.Standby
 }
 
-// findLeader returns the leader's address, as known here or by a seed.
-func (r *Replica) findLeader(ctx context.Context) (string, bool) {
+// discoverLeader returns the leader's address, as known here or by a seed.
+func (r *Replica) discoverLeader(ctx context.Context) (string, bool) {
 	if leader, known := r.Leader(); known {
 		return leader.Address, true
 	}
-	for _, seed := range r.askSeeds(ctx) {
-		if seed.err == nil && seed.answer.LeaderAddress != "" {
-			return seed.answer.LeaderAddress, true
+	for _, seed := range r.querySeeds(ctx) {
+		if seed.err == nil && seed.identity.LeaderAddress != "" {
+			return seed.identity.LeaderAddress, true
 		}
 	}
 	return "", false
@@ -109,12 +109,12 @@
 // joins again. Its log is still its own: as a learner it is brought up to date,
 // and what it once voted for it still remembers.
 func (r *Replica) wasReplaced(ctx context.Context) bool {
-	for _, seed := range r.askSeeds(ctx) {
-		if seed.err != nil || seed.answer.LeaderAddress == "" || seed.answer.Relay {
+	for _, seed := range r.querySeeds(ctx) {
+		if seed.err != nil || seed.identity.LeaderAddress == "" || seed.identity.Relay {
 			continue
 		}
-		if _, listed := findMember(seed.answer.Membership, r.self.ID); !listed {
-			r.logger.Warn("this replica was replaced and joins again", "leader", seed.answer.LeaderAddress)
+		if _, listed := findMember(seed.identity.Membership, r.self.ID); !listed {
+			r.logger.Warn("this replica was replaced and joins again", "leader", seed.identity.LeaderAddress)
 			return true
 		}
 	}
@@ -126,13 +126,13 @@
 	if request.Member.ID == "" || request.Member.Name == "" || request.Member.Address == "" {
 		return fleet.JoinAnswer{}, &rpc.Error{Code: rpc.CodeBadRequest, Message: "member data is incomplete"}
 	}
-	if view := r.lease.Load(); !view.leader || !r.HoldsLease(view.term) {
+	if view := r.leadership.Load(); !view.leader || !r.HoldsLease(view.term) {
 		return fleet.JoinAnswer{}, r.notLeader()
 	}
-	var step joinStep
-	err := r.call(ctx, func(l *loop) error {
-		step = l.joinStep(request)
-		return l.takeJoinStep(request.Member, step)
+	var step membershipStep
+	err := r.runOnLoop(ctx, func(l *loop) error {
+		step = l.nextMembershipStep(request)
+		return l.proposeMembershipStep(request.Member, step)
 	})
 	if err != nil {
 		return fleet.JoinAnswer{}, fmt.Errorf("join: %w", err)
@@ -143,15 +143,15 @@
 // serveRetire gives the seat of a voter that is about to stop to a learner that
 // stands by; leader only.
 func (r *Replica) serveRetire(ctx context.Context, request fleet.RetireRequest) (fleet.RetireAnswer, error) {
-	if view := r.lease.Load(); !view.leader || !r.HoldsLease(view.term) {
+	if view := r.leadership.Load(); !view.leader || !r.HoldsLease(view.term) {
 		return fleet.RetireAnswer{}, r.notLeader()
 	}
 	var done bool
-	err := r.call(ctx, func(l *loop) error {
+	err := r.runOnLoop(ctx, func(l *loop) error {
 		status := l.node.Status()
-		done = retired(request.ID, status.Membership)
+		done = hasRetired(request.ID, status.Membership)
 		step := nextRetireStep(request.ID, status, l.now(), l.config.Timing.ElectionTimeoutMax)
-		return l.takeJoinStep(step.newcomer, step)
+		return l.proposeMembershipStep(step.learner, step)
 	})
 	if err != nil {
 		return fleet.RetireAnswer{}, fmt.Errorf("retire: %w", err)
@@ -159,11 +159,11 @@
 	return fleet.RetireAnswer{Done: done}, nil
 }
 
-// takeJoinStep proposes the change of a step; a change that cannot be made now
+// proposeMembershipStep proposes the change of a step; a change that cannot be made now
 // is asked for again.
-func (l *loop) takeJoinStep(member raft.Member, step joinStep) error {
-	if step.refusal != "" {
-		l.logJoinRefusal(member, step.refusal)
+func (l *loop) proposeMembershipStep(member raft.Member, step membershipStep) error {
+	if step.postponed != "" {
+		l.logPostponedJoin(member, step.postponed)
 		return nil
 	}
 	if step.change == "" {
@@ -176,20 +176,20 @@
 	if err != nil {
 		return err
 	}
-	if step.newcomer.ID != "" {
-		member = step.newcomer
+	if step.learner.ID != "" {
+		member = step.learner
 	}
 	l.logger.Info("membership change proposed", "change", step.change,
 		"newcomer", string(member.ID), "name", member.Name, "replaces", string(step.replaces))
 	return nil
 }
 
-// logJoinRefusal logs at most one line each few seconds.
-func (l *loop) logJoinRefusal(member raft.Member, refusal string) {
+// logPostponedJoin logs at most one line each few seconds.
+func (l *loop) logPostponedJoin(member raft.Member, refusal string) {
 	now := l.now()
-	if l.refusalLogged != 0 && now-l.refusalLogged < refusalLogInterval {
+	if l.lastPostponedLog != 0 && now-l.lastPostponedLog < joinLogInterval {
 		return
 	}
-	l.refusalLogged = now
+	l.lastPostponedLog = now
 	l.logger.Warn("newcomer has to wait", "newcomer", string(member.ID), "name", member.Name, "reason", refusal)
 }
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -7,18 +7,18 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// slowLead is how long Lead may take to return without a warning.
-const slowLead = time.Second
+// leadReturnGrace is how long Lead may take to return without a warning.
+const leadReturnGrace = time.Second
 
-// termRun is this replica's present term as leader, and the Lead goroutine of
+// leaderTerm is this replica's present term as leader, and the Lead goroutine of
 // this or an earlier term.
-type termRun struct {
-	// leading: the node leads term. readyAt is the commit index when the term
+type leaderTerm struct {
+	// leading: the node leads term. readyIndex is the commit index when the term
 	// became ready, 0 before.
-	leading bool
-	term    uint64
-	readyAt uint64
-	started bool
+	leading    bool
+	term       uint64
+	readyIndex uint64
+	started    bool
 
 	// cancel ends the newest Lead, done is closed when it has returned.
 	cancel context.CancelFunc
@@ -28,8 +28,8 @@
 	warned  bool
 }
 
-// followRole is called when term, role or leader changed.
-func (l *loop) followRole(before, after *raft.Status) {
+// handleRoleChange is called when term, role or leader changed.
+func (l *loop) handleRoleChange(before, after *raft.Status) {
 	leads := after.Role == raft.RoleLeader
 	if l.term.leading && (!leads || after.Term != l.term.term) {
 		l.logger.Info("lost leadership", "term", l.term.term, "leader", string(after.Leader))
@@ -38,14 +38,14 @@
 	if leads && !l.term.leading {
 		l.logger.Info("became leader", "term", after.Term, "last_index", after.LastIndex)
 		l.term.leading, l.term.term = true, after.Term
-		l.term.readyAt, l.term.started = 0, false
+		l.term.readyIndex, l.term.started = 0, false
 		l.observeClock(l.self.ID, l.config.WallClock().UnixMilli(), l.now())
 	}
 	if !leads && after.Leader != "" && after.Leader != before.Leader {
 		l.logger.Info("follows leader", "term", after.Term, "leader", string(after.Leader))
 	}
-	if after.TermReady && l.term.readyAt == 0 {
-		l.term.readyAt = after.Commit
+	if after.TermReady && l.term.readyIndex == 0 {
+		l.term.readyIndex = after.Commit
 	}
 }
 
@@ -63,13 +63,13 @@
 	l.term.warned = false
 }
 
-// runTerm starts Lead once the record holds all of the terms before, the lease
+// startLeadIfReady starts Lead once the record holds all of the terms before, the lease
 // is held, and the former Lead has returned.
-func (l *loop) runTerm() {
-	if !l.formerLeadReturned() {
+func (l *loop) startLeadIfReady() {
+	if !l.previousLeadReturned() {
 		return
 	}
-	if !l.term.leading || l.term.started || l.term.readyAt == 0 || l.applied.get() < l.term.readyAt {
+	if !l.term.leading || l.term.started || l.term.readyIndex == 0 || l.applied.load() < l.term.readyIndex {
 		return
 	}
 	if !l.HoldsLease(l.term.term) {
@@ -86,7 +86,7 @@
 	})
 }
 
-func (l *loop) formerLeadReturned() bool {
+func (l *loop) previousLeadReturned() bool {
 	if l.term.done == nil {
 		return true
 	}
@@ -100,7 +100,7 @@
 		return true
 	default:
 	}
-	if l.term.cancel == nil && !l.term.warned && l.now()-l.term.endedAt > slowLead {
+	if l.term.cancel == nil && !l.term.warned && l.now()-l.term.endedAt > leadReturnGrace {
 		l.term.warned = true
 		l.logger.Warn("the former term's work has not ended", "after", l.now()-l.term.endedAt)
 	}
--- a/internal/replica/lease.go
+++ b/internal/replica/lease.go
@@ -8,19 +8,19 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// leaseView is what callers need to know at once and without a lock.
-type leaseView struct {
+// leadershipView is what callers need to know at once and without a lock.
+type leadershipView struct {
 	leader bool
 	term   uint64
-	// until is the monotonic end of the lease; zero before the term is ready.
-	until time.Duration
+	// leaseUntil is the monotonic end of the lease; zero before the term is ready.
+	leaseUntil time.Duration
 }
 
 // HoldsLease implements Log. It compares the end of the lease with the time of
 // the call, so that it is right after the process was frozen.
 func (r *Replica) HoldsLease(token uint64) bool {
-	view := r.lease.Load()
-	return view.leader && view.term == token && r.now() < view.until
+	view := r.leadership.Load()
+	return view.leader && view.term == token && r.now() < view.leaseUntil
 }
 
 // Now implements Log.
@@ -48,23 +48,23 @@
 // publish shows the node's state to the other goroutines, and follows changes
 // of term, role and membership.
 func (l *loop) publish(status raft.Status) {
-	view := leaseView{leader: status.Role == raft.RoleLeader, term: status.Term}
+	view := leadershipView{leader: status.Role == raft.RoleLeader, term: status.Term}
 	if status.TermReady {
-		view.until = status.LeaseUntil
+		view.leaseUntil = status.LeaseUntil
 	}
 	// The status goes first: who sees the lease must see the term's commit.
 	before := l.status.Swap(&status)
-	if *l.lease.Load() != view {
-		l.lease.Store(&view)
+	if *l.leadership.Load() != view {
+		l.leadership.Store(&view)
 	}
 	if roleDiffers(before, &status) {
-		l.followRole(before, &status)
-		l.roleChanges.advance(l.roleChanges.get() + 1)
+		l.handleRoleChange(before, &status)
+		l.roleChanges.advance(l.roleChanges.load() + 1)
 	}
 	if !sameMembership(before.Membership, status.Membership) {
-		l.followMembership(status.Membership)
+		l.handleMembershipChange(status.Membership)
 	}
-	l.metrics.show(status)
+	l.metrics.update(status)
 }
 
 func roleDiffers(a, b *raft.Status) bool {
@@ -75,7 +75,7 @@
 	return slices.Equal(a.Voters, b.Voters) && slices.Equal(a.Outgoing, b.Outgoing) && slices.Equal(a.Learners, b.Learners)
 }
 
-func (l *loop) followMembership(membership raft.Membership) {
+func (l *loop) handleMembershipChange(membership raft.Membership) {
 	l.transport.setMembers(membership)
 	var voters []raft.ReplicaID
 	for _, member := range slices.Concat(membership.Voters, membership.Outgoing) {
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -8,9 +8,9 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// maxDrained bounds the messages taken in one turn of the loop, so that their
+// maxInboxBatch bounds the messages taken in one turn of the loop, so that their
 // entries share one sync and heartbeats still go out in time.
-const maxDrained = 64
+const maxInboxBatch = 64
 
 // inbound is one RaftRequest.
 type inbound struct {
@@ -31,33 +31,33 @@
 	node      *raft.Node
 	transport *transport
 	lastTick  time.Duration
-	// everyTick: the ticker of turns runs at the pace of a leader.
-	everyTick bool
+	// ticksAsLeader: the ticker of turns runs at the pace of a leader.
+	ticksAsLeader bool
 	// failure ends the loop after the present turn.
 	failure error
-	// refusalLogged is when a newcomer was last told of in the log to wait.
-	refusalLogged time.Duration
+	// lastPostponedLog is when a newcomer was last told of in the log to wait.
+	lastPostponedLog time.Duration
 
 	pending pendingProposals
-	pace    commitPace
+	pacer   batchPacer
 	reads   pendingReads
-	// lastRequest numbers the reads.
-	lastRequest uint64
-	term        termRun
-	snapshots   snapshotState
-	disk        slowDisk
-	// transfers are the replicas that a snapshot is being sent to.
-	transfers map[raft.ReplicaID]bool
+	// lastReadID numbers the reads.
+	lastReadID uint64
+	term       leaderTerm
+	snapshots  snapshotState
+	disk       slowDisk
+	// snapshotTransfers are the replicas that a snapshot is being sent to.
+	snapshotTransfers map[raft.ReplicaID]bool
 }
 
-func (r *Replica) newLoop(ctx context.Context, brandNew bool) (*loop, error) {
+func (r *Replica) newLoop(ctx context.Context, storeWasEmpty bool) (*loop, error) {
 	restored, err := r.restore()
 	if err != nil {
 		return nil, err
 	}
 	timing := r.config.Timing
 	quietUntil := r.now() + timing.ElectionTimeoutMin
-	if brandNew {
+	if storeWasEmpty {
 		quietUntil = 0
 	}
 	node, err := raft.New(raft.Config{
@@ -66,46 +66,46 @@
 		ElectionTimeoutMin: timing.ElectionTimeoutMin,
 		ElectionTimeoutMax: timing.ElectionTimeoutMax,
 		LeaseDuration:      timing.Lease,
-		Seed:               r.start.UnixNano(),
+		Seed:               r.startedAt.UnixNano(),
 		NoVoteBefore:       quietUntil,
 	}, restored.raft)
 	if err != nil {
 		return nil, fmt.Errorf("start node: %w", err)
 	}
 	return &loop{
-		Replica:   r,
-		ctx:       ctx,
-		node:      node,
-		transport: newTransport(ctx, r),
-		pending:   make(pendingProposals),
-		pace:      commitPace{longest: timing.Tick / 2},
-		reads:     make(pendingReads),
-		snapshots: newSnapshotState(restored.snapshot),
-		transfers: make(map[raft.ReplicaID]bool),
+		Replica:           r,
+		ctx:               ctx,
+		node:              node,
+		transport:         newTransport(ctx, r),
+		pending:           make(pendingProposals),
+		pacer:             batchPacer{maxDelay: timing.Tick / 2},
+		reads:             make(pendingReads),
+		snapshots:         newSnapshotState(restored.snapshot),
+		snapshotTransfers: make(map[raft.ReplicaID]bool),
 	}, nil
 }
 
 // run drives the node until the context ends or a failure.
 func (l *loop) run() error {
-	err := l.turns()
+	err := l.processEvents()
 	l.publish(raft.Status{ID: l.self.ID, Membership: l.status.Load().Membership})
 	l.endTerm()
-	l.failWaiting()
+	l.failPending()
 	close(l.stopped)
 	l.waitForLead()
 	return err
 }
 
-func (l *loop) turns() error {
+func (l *loop) processEvents() error {
 	ticker := time.NewTicker(l.config.Timing.Tick)
 	defer ticker.Stop()
 	l.node.Tick(l.now())
-	if err := l.handleReady(); err != nil {
+	if err := l.processReady(); err != nil {
 		return err
 	}
 	for {
-		l.setTicker(ticker)
-		if err := l.turn(ticker.C); err != nil {
+		l.resetTicker(ticker)
+		if err := l.processEvent(ticker.C); err != nil {
 			return err
 		}
 		if l.ctx.Err() != nil {
@@ -114,33 +114,33 @@
 	}
 }
 
-// setTicker lets the next tick come when the node needs it: as often as
+// resetTicker lets the next tick come when the node needs it: as often as
 // configured while it leads, else when its election timeout is over.
-func (l *loop) setTicker(ticker *time.Ticker) {
+func (l *loop) resetTicker(ticker *time.Ticker) {
 	deadline, waits := l.node.ElectionDeadline()
 	if !waits {
-		if !l.everyTick {
+		if !l.ticksAsLeader {
 			ticker.Reset(l.config.Timing.Tick)
 		}
-		l.everyTick = true
+		l.ticksAsLeader = true
 		return
 	}
-	l.everyTick = false
+	l.ticksAsLeader = false
 	due := max(deadline, l.lastTick+l.config.Timing.Tick)
 	ticker.Reset(max(due-l.now(), 1))
 }
 
 // turn waits for one thing to do, does it, and handles what follows from it.
-func (l *loop) turn(ticks <-chan time.Time) error {
+func (l *loop) processEvent(ticks <-chan time.Time) error {
 	proposals, paused := l.proposals, (<-chan time.Time)(nil)
-	if pause := l.pace.wait(l.now()); pause > 0 {
+	if pause := l.pacer.delay(l.now()); pause > 0 {
 		proposals, paused = nil, time.After(pause)
 	}
 	select {
 	case <-l.ctx.Done():
 		return l.ctx.Err()
 	case <-ticks:
-		l.metrics.ticks.Inc()
+		l.metrics.tickWakeups.Inc()
 	case received := <-l.inbox:
 		l.tick()
 		l.stepAll(received)
@@ -157,7 +157,7 @@
 		return l.failure
 	}
 	l.tick()
-	return l.handleReady()
+	return l.processReady()
 }
 
 // fail ends the loop after the present turn.
@@ -178,7 +178,7 @@
 }
 
 func (l *loop) stepAll(received inbound) {
-	for range maxDrained {
+	for range maxInboxBatch {
 		l.step(received)
 		select {
 		case received = <-l.inbox:
@@ -189,7 +189,7 @@
 }
 
 func (l *loop) step(received inbound) {
-	l.transport.noteSender(received.sender)
+	l.transport.observeSender(received.sender)
 	for _, message := range received.messages {
 		now := l.now()
 		if err := l.node.Step(now, message); err != nil {
@@ -202,30 +202,30 @@
 	}
 }
 
-// handleReady persists, sends and applies until nothing is left to do. What
+// processReady persists, sends and applies until nothing is left to do. What
 // others must not believe any longer is published before a message goes out. When
 // the replica stops it leaves the rest, as a crash would: each save may take long.
-func (l *loop) handleReady() error {
-	if err := l.handleAll(); err != nil {
+func (l *loop) processReady() error {
+	if err := l.drainReady(); err != nil {
 		return err
 	}
-	if l.giveUpSlowLead() {
-		if err := l.handleAll(); err != nil {
+	if l.transferLeadershipOnSlowDisk() {
+		if err := l.drainReady(); err != nil {
 			return err
 		}
 	}
-	l.runTerm()
+	l.startLeadIfReady()
 	l.maybeSnapshot()
 	return nil
 }
 
-func (l *loop) handleAll() error {
+func (l *loop) drainReady() error {
 	l.publish(l.node.Status())
 	for l.node.HasReady() {
 		if l.ctx.Err() != nil {
 			return l.ctx.Err()
 		}
-		if err := l.handleOne(l.node.Ready()); err != nil {
+		if err := l.handleReady(l.node.Ready()); err != nil {
 			return err
 		}
 		l.publish(l.node.Status())
@@ -233,7 +233,7 @@
 	return nil
 }
 
-func (l *loop) handleOne(ready raft.Ready) error {
+func (l *loop) handleReady(ready raft.Ready) error {
 	l.send(ready.EarlyMessages)
 	if ready.HardState != nil || len(ready.Entries) > 0 {
 		if err := l.save(ready); err != nil {
@@ -244,7 +244,7 @@
 	if err := l.apply(ready.Committed); err != nil {
 		return err
 	}
-	l.reads.answer(ready.ReadStates)
+	l.reads.complete(ready.ReadStates)
 	l.node.Advance(ready)
 	return nil
 }
@@ -252,14 +252,14 @@
 func (l *loop) send(messages []raft.Message) {
 	for _, message := range messages {
 		if message.Kind == raft.MessageSnapshot {
-			l.startTransfer(message.To)
+			l.startSnapshotTransfer(message.To)
 		}
 		l.transport.send(message)
 	}
 }
 
-// call runs a function in the loop's goroutine and returns its error.
-func (r *Replica) call(ctx context.Context, run func(*loop) error) error {
+// runOnLoop runs a function in the loop's goroutine and returns its error.
+func (r *Replica) runOnLoop(ctx context.Context, run func(*loop) error) error {
 	call := loopCall{run: run, done: make(chan error, 1)}
 	select {
 	case r.calls <- call:
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -15,7 +15,7 @@
 	commit      prometheus.Gauge
 	applied     prometheus.Gauge
 	proposals   prometheus.Counter
-	ticks       prometheus.Counter
+	tickWakeups prometheus.Counter
 	saveSeconds prometheus.Histogram
 	diskFull    prometheus.Gauge
 }
@@ -34,7 +34,7 @@
 			Namespace: "decklever", Subsystem: "replica", Name: "proposals_total",
 			Help: "Commands appended as leader.",
 		}),
-		ticks: prometheus.NewCounter(prometheus.CounterOpts{
+		tickWakeups: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: "decklever", Subsystem: "replica", Name: "ticks_total",
 			Help: "Times that time alone woke the replica.",
 		}),
@@ -47,7 +47,7 @@
 	if registerer == nil {
 		return m, nil
 	}
-	for _, collector := range []prometheus.Collector{m.term, m.isLeader, m.commit, m.applied, m.proposals, m.ticks, m.saveSeconds, m.diskFull} {
+	for _, collector := range []prometheus.Collector{m.term, m.isLeader, m.commit, m.applied, m.proposals, m.tickWakeups, m.saveSeconds, m.diskFull} {
 		if err := registerer.Register(collector); err != nil {
 			return nil, fmt.Errorf("register metrics: %w", err)
 		}
@@ -55,7 +55,7 @@
 	return m, nil
 }
 
-func (m *metrics) show(status raft.Status) {
+func (m *metrics) update(status raft.Status) {
 	m.term.Set(float64(status.Term))
 	m.commit.Set(float64(status.Commit))
 	m.applied.Set(float64(status.Applied))
--- a/internal/replica/peerlink.go
+++ b/internal/replica/peerlink.go
@@ -14,12 +14,12 @@
 // messageTimeout bounds one RaftRequest.
 const messageTimeout = time.Second
 
-// peerLink sends to one replica from two queues, each with a goroutine and one
+// peer sends to one replica from two queues, each with a goroutine and one
 // call under way. Appends keep their order in one; all else, which is small,
 // goes through the other. While appends wait, a new heartbeat round goes through
 // the urgent queue as well, bare of any place in the log: it is true whatever the
 // peer holds, so it extends the lease without provoking a refusal.
-type peerLink struct {
+type peer struct {
 	id      raft.ReplicaID
 	address string
 	replica *Replica
@@ -33,9 +33,9 @@
 	unreachable         atomic.Bool
 }
 
-func newPeerLink(ctx context.Context, replica *Replica, member raft.Member) *peerLink {
+func newPeer(ctx context.Context, replica *Replica, member raft.Member) *peer {
 	ctx, cancel := context.WithCancel(ctx)
-	return &peerLink{
+	return &peer{
 		id:      member.ID,
 		address: member.Address,
 		replica: replica,
@@ -47,10 +47,10 @@
 	}
 }
 
-func (p *peerLink) stop() { p.cancel() }
+func (p *peer) stop() { p.cancel() }
 
 // send queues a message; the loop's goroutine calls it.
-func (p *peerLink) send(message raft.Message) {
+func (p *peer) send(message raft.Message) {
 	if message.Kind != raft.MessageAppend {
 		p.urgent.push(message)
 		return
@@ -71,7 +71,7 @@
 }
 
 // deliver makes one call; what fails is lost, raft sends it again.
-func (p *peerLink) deliver(messages []raft.Message) bool {
+func (p *peer) deliver(messages []raft.Message) bool {
 	for i := range messages {
 		if messages[i].Kind == raft.MessageAppendResponse {
 			messages[i].WallClock = p.replica.config.WallClock().UnixMilli()
@@ -81,12 +81,12 @@
 	defer cancel()
 	request := fleet.RaftRequest{Messages: messages, Sender: p.replica.member()}
 	_, err := rpc.Call[fleet.RaftRequest, fleet.Empty](ctx, p.replica.config.Client, p.address, fleet.MethodRaft, request)
-	p.noteReachable(err)
+	p.recordReachability(err)
 	return err == nil
 }
 
-// noteReachable logs changes only.
-func (p *peerLink) noteReachable(err error) {
+// recordReachability logs changes only.
+func (p *peer) recordReachability(err error) {
 	if p.ctx.Err() != nil || p.unreachable.Swap(err != nil) == (err != nil) {
 		return
 	}
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -20,7 +20,7 @@
 const (
 	proposalQueued int32 = iota
 	proposalTaken
-	proposalWithdrawn
+	proposalCanceled
 )
 
 // proposal is one command on its way into the log.
@@ -41,8 +41,8 @@
 	p.done <- proposalOutcome{result: result, err: err}
 }
 
-// refuse ends a proposal that the loop never appended.
-func (p *proposal) refuse(err error) {
+// reject ends a proposal that the loop never appended.
+func (p *proposal) reject(err error) {
 	if p.state.CompareAndSwap(proposalQueued, proposalTaken) {
 		p.finish(record.Result{}, err)
 	}
@@ -51,8 +51,8 @@
 // Propose implements Log. If ctx ends first, the error matches its error and
 // either ErrOverloaded (no effect) or ErrOutcomeUnknown.
 func (r *Replica) Propose(ctx context.Context, token uint64, command record.Command) (record.Result, error) {
-	if view := r.lease.Load(); !view.leader || view.term != token {
-		return record.Result{}, r.refusal()
+	if view := r.leadership.Load(); !view.leader || view.term != token {
+		return record.Result{}, r.rejection()
 	}
 	command.Time, command.Token = r.Now(), token
 	data, err := record.Encode(command)
@@ -76,7 +76,7 @@
 }
 
 // refusal is why this replica takes no proposal at all.
-func (r *Replica) refusal() error {
+func (r *Replica) rejection() error {
 	select {
 	case <-r.stopped:
 		return ErrStopped
@@ -88,7 +88,7 @@
 // abandon gives untaken if the loop can no longer take the proposal, else the
 // outcome if it is there, else taken.
 func (p *proposal) abandon(untaken, taken error) (record.Result, error) {
-	if p.state.CompareAndSwap(proposalQueued, proposalWithdrawn) {
+	if p.state.CompareAndSwap(proposalQueued, proposalCanceled) {
 		return record.Result{}, untaken
 	}
 	select {
@@ -115,7 +115,7 @@
 		}
 		return
 	}
-	l.pace.noteBatch(l.now())
+	l.pacer.recordBatch(l.now())
 	l.metrics.proposals.Add(float64(len(batch)))
 	for i, p := range batch {
 		p.term = term
@@ -158,7 +158,7 @@
 
 // answer gives a proposer the result of its entry. Another entry in that place
 // means that the proposal was replaced and never takes effect.
-func (p pendingProposals) answer(entry raft.Entry, result record.Result) {
+func (p pendingProposals) complete(entry raft.Entry, result record.Result) {
 	waiting, ok := p[entry.Index]
 	if !ok {
 		return
@@ -179,15 +179,15 @@
 	}
 }
 
-// failWaiting ends every proposal and read when the loop stops. The record is
+// failPending ends every proposal and read when the loop stops. The record is
 // as the last turn left it, so those appended have an unknown outcome.
-func (l *loop) failWaiting() {
+func (l *loop) failPending() {
 	l.pending.fail(ErrOutcomeUnknown)
 	l.reads.fail(ErrStopped)
 	for {
 		select {
 		case p := <-l.proposals:
-			p.refuse(ErrStopped)
+			p.reject(ErrStopped)
 		default:
 			return
 		}
--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -14,9 +14,9 @@
 // follower asks the leader for one. Failed: ErrNotLeader if no leader could be
 // asked, ErrStopped, the context's error, or an *rpc.Error.
 func (r *Replica) ReadBarrier(ctx context.Context) error {
-	index, err := r.readPoint(ctx)
+	index, err := r.readIndex(ctx)
 	if errors.Is(err, ErrNotLeader) {
-		index, err = r.askReadPoint(ctx)
+		index, err = r.leaderReadIndex(ctx)
 	}
 	if err != nil {
 		return err
@@ -24,27 +24,27 @@
 	return r.applied.wait(ctx, r.stopped, index)
 }
 
-// readPoint gives a read point if this replica leads, else ErrNotLeader.
-func (r *Replica) readPoint(ctx context.Context) (uint64, error) {
-	view := r.lease.Load()
+// readIndex gives a read point if this replica leads, else ErrNotLeader.
+func (r *Replica) readIndex(ctx context.Context) (uint64, error) {
+	view := r.leadership.Load()
 	if !view.leader {
-		return 0, r.refusal()
+		return 0, r.rejection()
 	}
 	if !r.HoldsLease(view.term) {
-		return r.confirmedReadPoint(ctx)
+		return r.confirmedReadIndex(ctx)
 	}
 	// Proposers hear of a commit only after it is applied, and applied is read
 	// after the call began: nothing acknowledged lies beyond the two.
-	index := max(r.status.Load().Commit, r.applied.get())
+	index := max(r.status.Load().Commit, r.applied.load())
 	if !r.HoldsLease(view.term) {
-		return r.confirmedReadPoint(ctx)
+		return r.confirmedReadIndex(ctx)
 	}
 	return index, nil
 }
 
-func (r *Replica) confirmedReadPoint(ctx context.Context) (uint64, error) {
+func (r *Replica) confirmedReadIndex(ctx context.Context) (uint64, error) {
 	read := make(chan readOutcome, 1)
-	err := r.call(ctx, func(l *loop) error { return l.startRead(read) })
+	err := r.runOnLoop(ctx, func(l *loop) error { return l.startRead(read) })
 	if errors.Is(err, raft.ErrNotLeader) {
 		return 0, ErrNotLeader
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-func (r *Replica) askReadPoint(ctx context.Context) (uint64, error) {
+func (r *Replica) leaderReadIndex(ctx context.Context) (uint64, error) {
 	leader, known := r.Leader()
 	if !known || leader.ID == r.self.ID {
 		return 0, ErrNotLeader
@@ -80,15 +80,15 @@
 type pendingReads map[uint64]chan<- readOutcome
 
 func (l *loop) startRead(read chan<- readOutcome) error {
-	l.lastRequest++
-	if err := l.node.ReadIndex(l.now(), l.lastRequest); err != nil {
+	l.lastReadID++
+	if err := l.node.ReadIndex(l.now(), l.lastReadID); err != nil {
 		return err
 	}
-	l.reads[l.lastRequest] = read
+	l.reads[l.lastReadID] = read
 	return nil
 }
 
-func (p pendingReads) answer(states []raft.ReadState) {
+func (p pendingReads) complete(states []raft.ReadState) {
 	for _, state := range states {
 		if read, ok := p[state.Request]; ok {
 			delete(p, state.Request)
--- a/internal/replica/receivesnapshot.go
+++ b/internal/replica/receivesnapshot.go
@@ -16,8 +16,8 @@
 // maxSnapshotBytes bounds what a receiver holds in memory.
 const maxSnapshotBytes = 1 << 30
 
-// incomingSnapshot collects the chunks of one transfer in memory.
-type incomingSnapshot struct {
+// snapshotReceiver collects the chunks of one transfer in memory.
+type snapshotReceiver struct {
 	mutex      sync.Mutex
 	from       raft.ReplicaID
 	address    string
@@ -26,26 +26,26 @@
 	installing bool
 }
 
-func (s *incomingSnapshot) is(from raft.ReplicaID, meta raft.SnapshotMeta) bool {
+func (s *snapshotReceiver) matches(from raft.ReplicaID, meta raft.SnapshotMeta) bool {
 	return s.from == from && s.meta.Index == meta.Index && s.meta.Term == meta.Term
 }
 
-func (s *incomingSnapshot) reset() {
+func (s *snapshotReceiver) reset() {
 	s.from, s.address, s.meta, s.data = "", "", raft.SnapshotMeta{}, nil
 }
 
 // take adds a chunk; complete is true once, with the last one.
-func (s *incomingSnapshot) take(chunk fleet.SnapshotChunkRequest) (complete bool, err error) {
+func (s *snapshotReceiver) addChunk(chunk fleet.SnapshotChunkRequest) (complete bool, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
-	case s.installing && s.is(chunk.From, chunk.Meta):
+	case s.installing && s.matches(chunk.From, chunk.Meta):
 		return false, nil
 	case s.installing:
 		return false, errors.New("another snapshot is being installed")
-	case !s.is(chunk.From, chunk.Meta) && chunk.Offset == 0:
+	case !s.matches(chunk.From, chunk.Meta) && chunk.Offset == 0:
 		s.from, s.address, s.meta, s.data = chunk.From, chunk.Address, chunk.Meta, nil
-	case !s.is(chunk.From, chunk.Meta):
+	case !s.matches(chunk.From, chunk.Meta):
 		return false, errors.New("another snapshot is being received")
 	}
 	held, end := uint64(len(s.data)), chunk.Offset+uint64(len(chunk.Data))
@@ -64,7 +64,7 @@
 }
 
 // finish makes room for the next transfer.
-func (s *incomingSnapshot) finish() {
+func (s *snapshotReceiver) finish() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.reset()
@@ -85,15 +85,15 @@
 	if chunk.Term < status.Term {
 		return answer, &rpc.Error{Code: rpc.CodeUnavailable, Message: fmt.Sprintf("term %d is over", chunk.Term)}
 	}
-	if r.applied.get() >= chunk.Meta.Index {
+	if r.applied.load() >= chunk.Meta.Index {
 		return fleet.SnapshotChunkAnswer{Installed: true}, nil
 	}
-	complete, err := r.transfer.take(chunk)
+	complete, err := r.snapshotReceiver.addChunk(chunk)
 	if err != nil {
 		return answer, &rpc.Error{Code: rpc.CodeUnavailable, Message: err.Error()}
 	}
 	if complete {
-		r.installInBackground()
+		r.startInstall()
 	}
 	return answer, nil
 }
@@ -105,25 +105,25 @@
 
 func (s *snapshotSource) size() int { return len(s.data) }
 
-func (r *Replica) installInBackground() {
+func (r *Replica) startInstall() {
 	started := r.startBackground(func(ctx context.Context) {
-		defer r.transfer.finish()
-		if err := r.install(ctx); err != nil && ctx.Err() == nil && !errors.Is(err, errNotWanted) {
-			r.logger.Warn("snapshot not installed", "index", r.transfer.meta.Index, "error", err)
+		defer r.snapshotReceiver.finish()
+		if err := r.installReceivedSnapshot(ctx); err != nil && ctx.Err() == nil && !errors.Is(err, errSnapshotStale) {
+			r.logger.Warn("snapshot not installed", "index", r.snapshotReceiver.meta.Index, "error", err)
 		}
 	})
 	if !started {
-		r.transfer.finish()
+		r.snapshotReceiver.finish()
 	}
 }
 
-// install copies the archive first: the snapshot leaves ended jobs out. While
+// installReceivedSnapshot copies the archive first: the snapshot leaves ended jobs out. While
 // installing is set nobody changes what was collected.
-func (r *Replica) install(ctx context.Context) error {
-	meta := r.transfer.meta
-	if err := r.copyArchive(ctx, r.transfer.address); err != nil {
+func (r *Replica) installReceivedSnapshot(ctx context.Context) error {
+	meta := r.snapshotReceiver.meta
+	if err := r.copyArchive(ctx, r.snapshotReceiver.address); err != nil {
 		return err
 	}
-	source := &snapshotSource{data: r.transfer.data}
-	return r.call(ctx, func(l *loop) error { return l.installSnapshot(meta, source) })
+	source := &snapshotSource{data: r.snapshotReceiver.data}
+	return r.runOnLoop(ctx, func(l *loop) error { return l.installSnapshot(meta, source) })
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -34,8 +34,8 @@
 	zone    atomic.Pointer[string]
 	logger  *slog.Logger
 	metrics *metrics
-	// start is the origin of the monotonic times passed to the node.
-	start time.Time
+	// startedAt is the origin of the monotonic times passed to the node.
+	startedAt time.Time
 
 	inbox     chan inbound
 	proposals chan *proposal
@@ -47,9 +47,9 @@
 	background sync.WaitGroup
 
 	// What the loop publishes.
-	lease   atomic.Pointer[leaseView]
-	status  atomic.Pointer[raft.Status]
-	applied watermark
+	leadership atomic.Pointer[leadershipView]
+	status     atomic.Pointer[raft.Status]
+	applied    watermark
 	// roleChanges counts changes of term, role, leader or readiness.
 	roleChanges watermark
 	running     atomic.Bool
@@ -57,11 +57,11 @@
 	clockMutex sync.Mutex
 	clock      clusterclock.Clock
 
-	tasks     backgroundTasks
-	seeds     atomic.Pointer[[]string]
-	formation formationState
-	transfer  incomingSnapshot
-	archive   archiveCopy
+	tasks            backgroundTasks
+	seeds            atomic.Pointer[[]string]
+	bootstrapState   bootstrapState
+	snapshotReceiver snapshotReceiver
+	archive          archiveCopier
 }
 
 var _ Log = (*Replica)(nil)
@@ -82,16 +82,16 @@
 		self:      raft.Member{ID: id, Name: config.Name, Zone: config.Zone, Address: config.Address},
 		logger:    config.Logger.With("replica", string(id)),
 		metrics:   metrics,
-		start:     time.Now(),
+		startedAt: time.Now(),
 		inbox:     make(chan inbound, inboxQueue),
 		proposals: make(chan *proposal, proposalQueue),
 		calls:     make(chan loopCall, callQueue),
 		stopped:   make(chan struct{}),
-		archive:   newArchiveCopy(),
+		archive:   newArchiveCopier(),
 	}
 	r.SetZone(config.Zone)
 	r.status.Store(&raft.Status{ID: id})
-	r.lease.Store(&leaseView{})
+	r.leadership.Store(&leadershipView{})
 	r.SetSeeds(config.Seeds)
 	return r, nil
 }
@@ -115,7 +115,7 @@
 
 // now is the monotonic time since the replica was made. It goes on while the
 // process is frozen.
-func (r *Replica) now() time.Duration { return time.Since(r.start) }
+func (r *Replica) now() time.Duration { return time.Since(r.startedAt) }
 
 // Record implements Log.
 func (r *Replica) Record() *record.Machine { return r.config.Record }
@@ -160,20 +160,20 @@
 }
 
 func (r *Replica) run(ctx context.Context) error {
-	brandNew := r.config.Store.Empty()
-	if brandNew {
-		if err := r.form(ctx); err != nil {
+	storeWasEmpty := r.config.Store.Empty()
+	if storeWasEmpty {
+		if err := r.bootstrap(ctx); err != nil {
 			r.stopBeforeLoop()
 			return err
 		}
 	}
-	l, err := r.newLoop(ctx, brandNew)
+	l, err := r.newLoop(ctx, storeWasEmpty)
 	if err != nil {
 		r.stopBeforeLoop()
 		return err
 	}
 	r.running.Store(true)
-	r.background.Go(func() { r.keepMembership(ctx) })
+	r.background.Go(func() { r.maintainMembership(ctx) })
 	return l.run()
 }
 
@@ -198,8 +198,8 @@
 		}
 	}
 	r.applied.advance(loaded.Snapshot.Index)
-	if loaded.Snapshot.Index == foundingIndex {
-		r.formation.end(&loaded.Snapshot.Membership)
+	if loaded.Snapshot.Index == bootstrapIndex {
+		r.bootstrapState.end(&loaded.Snapshot.Membership)
 	}
 	membership, err := newestMembership(loaded)
 	if err != nil {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -23,11 +23,11 @@
 	}
 }
 
-func others(machines []*machine, left ...*machine) []*machine {
+func without(machines []*machine, left ...*machine) []*machine {
 	return slices.DeleteFunc(slices.Clone(machines), func(m *machine) bool { return slices.Contains(left, m) })
 }
 
-func sortedNames(count int) []string {
+func workerNameRange(count int) []string {
 	names := make([]string, count)
 	for i := range names {
 		names[i] = fmt.Sprintf("worker-%03d", i)
@@ -35,14 +35,14 @@
 	return names
 }
 
-func TestFormsCommitsAndFailsOver(t *testing.T) {
+func TestReplica_BootstrapsCommitsAndFailsOver(t *testing.T) {
 	machines := newMachines(t, 3)
 	startAll(machines)
 	leader := leaderOf(t, machines...)
 	for _, m := range machines {
 		eventually(t, "three voters on "+m.name, func() bool { return len(voterIDs(m)) == 3 })
 	}
-	names := sortedNames(200)
+	names := workerNameRange(200)
 	token := leader.replica.Status().Term
 	var proposers sync.WaitGroup
 	indexes := make([]uint64, len(names))
@@ -61,11 +61,11 @@
 		t.Fatalf("%d places for %d commands", got, len(names))
 	}
 	for _, m := range machines {
-		if got := workers(t, m); !slices.Equal(got, names) {
+		if got := workerNames(t, m); !slices.Equal(got, names) {
 			t.Fatalf("%s holds %d workers, want %d in order", m.name, len(got), len(names))
 		}
 	}
-	follower := others(machines, leader)[0]
+	follower := without(machines, leader)[0]
 	if _, err := follower.replica.Propose(t.Context(), token, registration("x")); !errors.Is(err, ErrNotLeader) {
 		t.Fatalf("follower: %v, want ErrNotLeader", err)
 	}
@@ -81,7 +81,7 @@
 	if leader.replica.HoldsLease(token) {
 		t.Fatal("a stopped replica claims the lease")
 	}
-	rest := others(machines, leader)
+	rest := without(machines, leader)
 	next := leaderOf(t, rest...)
 	if got := next.replica.Status().Term; got <= token {
 		t.Fatalf("new token %d is not above %d", got, token)
@@ -89,36 +89,36 @@
 	if got := next.replica.Now(); got < clock-1 {
 		t.Fatalf("cluster clock went back from %d to %d", clock, got)
 	}
-	if got := workers(t, next); !slices.Equal(got, names) {
+	if got := workerNames(t, next); !slices.Equal(got, names) {
 		t.Fatalf("new leader holds %d workers, want %d", len(got), len(names))
 	}
-	register(t, "zz-after", rest...)
+	proposeRegistration(t, "zz-after", rest...)
 
 	leader.start() // on its own store
 	want := append(slices.Clone(names), "zz-after")
-	if got := workers(t, leader); !slices.Equal(got, want) {
+	if got := workerNames(t, leader); !slices.Equal(got, want) {
 		t.Fatalf("restarted replica holds %d workers, want %d", len(got), len(want))
 	}
 }
 
-func TestHandOver(t *testing.T) {
+func TestPrepareShutdown_TransfersLeadership(t *testing.T) {
 	machines := newMachines(t, 3)
 	startAll(machines)
 	leader := leaderOf(t, machines...)
 	token := leader.replica.Status().Term
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	leader.replica.HandOver(ctx)
+	leader.replica.PrepareShutdown(ctx)
 	if ctx.Err() != nil || leader.replica.HoldsLease(token) {
 		t.Fatalf("after the handover: %v, lease held %v", ctx.Err(), leader.replica.HoldsLease(token))
 	}
-	next := leaderOf(t, others(machines, leader)...)
+	next := leaderOf(t, without(machines, leader)...)
 	if got := next.replica.Status().Term; got <= token {
 		t.Fatalf("new token %d is not above %d", got, token)
 	}
 }
 
-func TestZoneChangeReachesTheMembership(t *testing.T) {
+func TestSetZone_ReachesMembership(t *testing.T) {
 	machines := newMachines(t, 3)
 	startAll(machines)
 	leaderOf(t, machines...)
@@ -137,8 +137,8 @@
 	})
 }
 
-// replace gives a machine an empty disk and waits until its new replica votes.
-func replace(t *testing.T, m *machine, seed int64, rest []*machine) {
+// replaceDisk gives a machine an empty disk and waits until its new replica votes.
+func replaceDisk(t *testing.T, m *machine, seed int64, rest []*machine) {
 	t.Helper()
 	old := m.replica.self.ID
 	m.crash()
@@ -153,17 +153,17 @@
 	}
 }
 
-func TestLostDiskIsReplaced(t *testing.T) {
+func TestMembership_LostDiskReplaced(t *testing.T) {
 	for _, every := range []uint64{1_000_000, 20} { // without and with newer snapshots
 		t.Run(fmt.Sprintf("snapshot-every-%d", every), func(t *testing.T) {
 			machines := newMachines(t, 3)
 			for _, m := range machines {
-				m.every = every
+				m.snapshotEvery = every
 			}
 			startAll(machines)
-			names := sortedNames(100)
+			names := workerNameRange(100)
 			for _, name := range names {
-				register(t, name, leaderOf(t, machines...))
+				proposeRegistration(t, name, leaderOf(t, machines...))
 			}
 			leader := leaderOf(t, machines...)
 			archived := record.ArchivedJob{ID: "ended", Index: 2, EndedAt: 1}
@@ -172,19 +172,19 @@
 					t.Fatal(err)
 				}
 			}
-			lost := others(machines, leader)[0]
-			replace(t, lost, 99, others(machines, lost))
+			lost := without(machines, leader)[0]
+			replaceDisk(t, lost, 99, without(machines, lost))
 			if _, known, err := lost.store.Archive().Get("ended"); err != nil || !known {
 				t.Fatalf("the newcomer lacks the archived job: %v, %v", known, err)
 			}
 			// A second loss right after the repair: the newcomer must count.
-			second := others(machines, lost, leader)[0]
+			second := without(machines, lost, leader)[0]
 			second.crash()
-			left := others(machines, second)
-			register(t, "zz-after", left...)
+			left := without(machines, second)
+			proposeRegistration(t, "zz-after", left...)
 			want := append(slices.Clone(names), "zz-after")
 			for _, m := range left {
-				if got := workers(t, m); !slices.Equal(got, want) {
+				if got := workerNames(t, m); !slices.Equal(got, want) {
 					t.Fatalf("%s holds %d workers, want %d", m.name, len(got), len(want))
 				}
 			}
@@ -192,50 +192,50 @@
 	}
 }
 
-// TestEveryDiskIsLostInTurn: the last newcomer gets a snapshot whose membership
+// TestMembership_EveryDiskLostInTurn: the last newcomer gets a snapshot whose membership
 // lists nobody who is left, not even its sender.
-func TestEveryDiskIsLostInTurn(t *testing.T) {
+func TestMembership_EveryDiskLostInTurn(t *testing.T) {
 	machines := newMachines(t, 3)
 	startAll(machines)
-	register(t, "before", machines...)
+	proposeRegistration(t, "before", machines...)
 	for i, lost := range machines {
-		replace(t, lost, int64(90+i), others(machines, lost))
+		replaceDisk(t, lost, int64(90+i), without(machines, lost))
 	}
 	for _, m := range machines {
-		if got := workers(t, m); !slices.Equal(got, []string{"before"}) {
+		if got := workerNames(t, m); !slices.Equal(got, []string{"before"}) {
 			t.Errorf("%s has the workers %v", m.name, got)
 		}
 	}
 }
 
-func TestLaggingFollowerGetsASnapshot(t *testing.T) {
+func TestSnapshot_SentToLaggingFollower(t *testing.T) {
 	machines := newMachines(t, 3)
 	for _, m := range machines {
-		m.every = 10
+		m.snapshotEvery = 10
 	}
 	startAll(machines)
 	leader := leaderOf(t, machines...)
-	lagging := others(machines, leader)[0]
+	lagging := without(machines, leader)[0]
 	lagging.crash()
-	names := sortedNames(100)
+	names := workerNameRange(100)
 	for _, name := range names {
-		register(t, name, others(machines, lagging)...)
+		proposeRegistration(t, name, without(machines, lagging)...)
 	}
 	lagging.start()
-	if got := workers(t, lagging); !slices.Equal(got, names) {
+	if got := workerNames(t, lagging); !slices.Equal(got, names) {
 		t.Fatalf("holds %d workers, want %d", len(got), len(names))
 	}
-	if loaded, err := lagging.store.Load(); err != nil || loaded.Snapshot.Index <= foundingIndex {
+	if loaded, err := lagging.store.Load(); err != nil || loaded.Snapshot.Index <= bootstrapIndex {
 		t.Fatalf("snapshot at %d, %v: want a newer one", loaded.Snapshot.Index, err)
 	}
 }
 
-func TestWaitsForAnUnansweredSeed(t *testing.T) {
+func TestBootstrap_WaitsForUnreachableSeed(t *testing.T) {
 	machines := newMachines(t, 4)
 	startAll(machines[:3])
 	rounds := func(m *machine) bool { return len(m.replica.identity().Membership.Voters) > 0 }
 	for range 5 {
-		time.Sleep(formationInterval)
+		time.Sleep(bootstrapInterval)
 		for _, m := range machines[:3] {
 			if rounds(m) || !m.store.Empty() || m.replica.running.Load() {
 				t.Fatalf("%s did not wait for the fourth seed", m.name)
@@ -249,12 +249,12 @@
 	}
 }
 
-func TestProposalWithoutQuorum(t *testing.T) {
+func TestPropose_WithoutQuorumNotAcknowledged(t *testing.T) {
 	machines := newMachines(t, 3)
 	startAll(machines)
 	leader := leaderOf(t, machines...)
 	token := leader.replica.Status().Term
-	for _, m := range others(machines, leader) {
+	for _, m := range without(machines, leader) {
 		m.crash()
 	}
 	_, err := leader.replica.Propose(t.Context(), token, registration("maybe"))
@@ -269,12 +269,12 @@
 	}
 }
 
-func TestHangingPeerDelaysNobody(t *testing.T) {
+func TestTransport_HangingPeerDelaysNoCommit(t *testing.T) {
 	machines := newMachines(t, 3)
 	startAll(machines)
 	leader := leaderOf(t, machines...)
 	token := leader.replica.Status().Term
-	others(machines, leader)[0].hangs.Store(true)
+	without(machines, leader)[0].hangs.Store(true)
 	data := make([]byte, 256<<10) // many of them fill the queue to the hanging peer
 	for i := range 60 {
 		command := registration(fmt.Sprintf("worker-%03d", i))
@@ -286,21 +286,21 @@
 	if !leader.replica.HoldsLease(token) {
 		t.Fatal("the lease was lost")
 	}
-	others(machines, leader)[0].hangs.Store(false)
-	if got := len(workers(t, others(machines, leader)[0])); got != 60 {
+	without(machines, leader)[0].hangs.Store(false)
+	if got := len(workerNames(t, without(machines, leader)[0])); got != 60 {
 		t.Fatalf("the peer caught up to %d workers, want 60", got)
 	}
 }
 
-func TestSingleReplicaRestartsFromDisk(t *testing.T) {
+func TestReplica_SingleRestartsFromDisk(t *testing.T) {
 	m := newMachines(t, 1)[0]
-	m.every = 10
+	m.snapshotEvery = 10
 	directory := t.TempDir()
 	m.useDisk(directory)
 	m.start()
-	names := sortedNames(35)
+	names := workerNameRange(35)
 	for _, name := range names {
-		register(t, name, m)
+		proposeRegistration(t, name, m)
 	}
 	token := leaderOf(t, m).replica.Status().Term
 	m.stop()
@@ -309,7 +309,7 @@
 	}
 	m.useDisk(directory)
 	m.start()
-	if got := workers(t, m); !slices.Equal(got, names) {
+	if got := workerNames(t, m); !slices.Equal(got, names) {
 		t.Fatalf("holds %d workers, want %d", len(got), len(names))
 	}
 	if got := m.replica.Status().Term; got <= token {
@@ -323,7 +323,7 @@
 	machines := newMachines(b, 3)
 	for _, m := range machines {
 		m.useDisk(b.TempDir())
-		m.every = 10_000
+		m.snapshotEvery = 10_000
 	}
 	startAll(machines)
 	leader := leaderOf(b, machines...)
--- a/internal/replica/seats.go
+++ b/internal/replica/seats.go
@@ -6,60 +6,60 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// zoneWeight says how badly voters are spread over zones; less is better.
-type zoneWeight struct {
-	// decides: without some one zone, the rest is no majority.
-	decides bool
-	// most is the number of voters in the zone with most of them.
-	most int
+// zoneSpread says how badly voters are spread over zones; less is better.
+type zoneSpread struct {
+	// oneZoneIsCritical: without some one zone, the rest is no majority.
+	oneZoneIsCritical bool
+	// largestZone is the number of voters in the zone with most of them.
+	largestZone int
 }
 
-func (w zoneWeight) lighterThan(other zoneWeight) bool {
-	if w.decides != other.decides {
-		return other.decides
+func (w zoneSpread) betterThan(other zoneSpread) bool {
+	if w.oneZoneIsCritical != other.oneZoneIsCritical {
+		return other.oneZoneIsCritical
 	}
-	return w.most < other.most
+	return w.largestZone < other.largestZone
 }
 
-func weighZones(voters []raft.Member) zoneWeight {
+func measureZoneSpread(voters []raft.Member) zoneSpread {
 	most, counts := 0, make(map[string]int)
 	for _, voter := range voters {
 		counts[voter.Zone]++
 		most = max(most, counts[voter.Zone])
 	}
-	return zoneWeight{decides: len(voters)-most < len(voters)/2+1, most: most}
+	return zoneSpread{oneZoneIsCritical: len(voters)-most < len(voters)/2+1, largestZone: most}
 }
 
-// seatStep gives a seat to a learner that has caught up, best the one that
+// voterSlotStep gives a seat to a learner that has caught up, best the one that
 // asked: that of a voter that is silent; else one more if there are few, but
 // none that lets one zone decide; else one of a zone that decides already. Of
 // several ways the one with the voters spread best over zones is taken.
-func seatStep(q joinQuestion) joinStep {
+func voterSlotStep(q membershipQuery) membershipStep {
 	current, learners := q.status.Membership, readyLearners(q)
-	if step, found := lightest(replacements(current, learners, silentVoters(q))); found {
+	if step, found := bestSpread(replacements(current, learners, unresponsiveVoters(q))); found {
 		return step
 	}
-	present := weighZones(current.Voters)
-	grown, canGrow := lightest(growths(current, learners, q.maxVoters))
-	if canGrow && !weighZones(grown.target.Voters).decides {
+	present := measureZoneSpread(current.Voters)
+	grown, canGrow := bestSpread(additions(current, learners, q.maxVoters))
+	if canGrow && !measureZoneSpread(grown.target.Voters).oneZoneIsCritical {
 		return grown
 	}
-	if present.decides {
-		if step, found := lightest(replacements(current, learners, followers(q))); found && !weighZones(step.target.Voters).decides {
+	if present.oneZoneIsCritical {
+		if step, found := bestSpread(replacements(current, learners, followers(q))); found && !measureZoneSpread(step.target.Voters).oneZoneIsCritical {
 			return step
 		}
 		if canGrow {
 			return grown
 		}
 	}
-	return joinStep{standby: true}
+	return membershipStep{standby: true}
 }
 
-// lightest is the first of the steps with the best spread.
-func lightest(steps []joinStep) (joinStep, bool) {
-	var best joinStep
+// bestSpread is the first of the steps with the best spread.
+func bestSpread(steps []membershipStep) (membershipStep, bool) {
+	var best membershipStep
 	for _, step := range steps {
-		if best.change == "" || weighZones(step.target.Voters).lighterThan(weighZones(best.target.Voters)) {
+		if best.change == "" || measureZoneSpread(step.target.Voters).betterThan(measureZoneSpread(best.target.Voters)) {
 			best = step
 		}
 	}
@@ -68,8 +68,8 @@
 
 // replacements are all ways to put one learner in the place of one voter, in
 // the order of the places and then of the learners.
-func replacements(current raft.Membership, learners []raft.Member, places []raft.ReplicaID) []joinStep {
-	var steps []joinStep
+func replacements(current raft.Membership, learners []raft.Member, places []raft.ReplicaID) []membershipStep {
+	var steps []membershipStep
 	for _, place := range places {
 		for _, learner := range learners {
 			steps = append(steps, replaceStep(current, learner, place))
@@ -78,40 +78,40 @@
 	return steps
 }
 
-// growths are all ways to add one learner; and two at once, since of four
+// additions are all ways to add one learner; and two at once, since of four
 // voters no zone may have two, and of five it may.
-func growths(current raft.Membership, learners []raft.Member, maxVoters int) []joinStep {
-	var steps []joinStep
+func additions(current raft.Membership, learners []raft.Member, maxVoters int) []membershipStep {
+	var steps []membershipStep
 	room := maxVoters - len(current.Voters)
 	for i, first := range learners {
 		if room >= 1 {
-			steps = append(steps, growStep(current, first))
+			steps = append(steps, addVotersStep(current, first))
 		}
 		for _, second := range learners[i+1:] {
 			if room >= 2 {
-				steps = append(steps, growStep(current, first, second))
+				steps = append(steps, addVotersStep(current, first, second))
 			}
 		}
 	}
 	return steps
 }
 
-func growStep(current raft.Membership, learners ...raft.Member) joinStep {
+func addVotersStep(current raft.Membership, learners ...raft.Member) membershipStep {
 	target := copyMembership(current)
 	for _, learner := range learners {
 		target = withoutLearner(target, learner.ID)
 		target.Voters = append(target.Voters, learner)
 	}
-	return joinStep{change: changeVoter, target: target, newcomer: learners[0]}
+	return membershipStep{change: changePromote, target: target, learner: learners[0]}
 }
 
 // readyLearners are the one that asked, and then all others that answer and
 // have caught up. A learner follows only once it has the archive.
-func readyLearners(q joinQuestion) []raft.Member {
+func readyLearners(q membershipQuery) []raft.Member {
 	ready := []raft.Member{q.request.Member}
 	for _, learner := range q.status.Membership.Learners {
 		progress, known := progressOf(q.status, learner.ID)
-		if learner.ID == q.request.Member.ID || !known || q.now-progress.LastSeen > q.silence/2 || !caughtUp(q.status, learner.ID) {
+		if learner.ID == q.request.Member.ID || !known || q.now-progress.LastSeen > q.voterTimeout/2 || !caughtUp(q.status, learner.ID) {
 			continue
 		}
 		ready = append(ready, learner)
@@ -119,11 +119,11 @@
 	return ready
 }
 
-// silentVoters were not heard for the whole silence, the longest silent first.
-func silentVoters(q joinQuestion) []raft.ReplicaID {
+// unresponsiveVoters were not heard for the whole silence, the longest silent first.
+func unresponsiveVoters(q membershipQuery) []raft.ReplicaID {
 	var found []raft.Progress
 	for _, voter := range q.status.Membership.Voters {
-		if progress, _ := progressOf(q.status, voter.ID); silent(q, voter.ID) {
+		if progress, _ := progressOf(q.status, voter.ID); unresponsive(q, voter.ID) {
 			found = append(found, progress)
 		}
 	}
@@ -136,7 +136,7 @@
 }
 
 // followers are all voters but the leader.
-func followers(q joinQuestion) []raft.ReplicaID {
+func followers(q membershipQuery) []raft.ReplicaID {
 	var ids []raft.ReplicaID
 	for _, voter := range q.status.Membership.Voters {
 		if voter.ID != q.status.ID {
--- a/internal/replica/seats_test.go
+++ b/internal/replica/seats_test.go
@@ -9,8 +9,8 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// inZones makes members of names whose first letter is their zone: "a1 b1".
-func inZones(names string) []raft.Member {
+// membersInZones makes members of names whose first letter is their zone: "a1 b1".
+func membersInZones(names string) []raft.Member {
 	var made []raft.Member
 	for name := range strings.FieldsSeq(names) {
 		made = append(made, raft.Member{ID: raft.ReplicaID(name), Name: name, Zone: name[:1], Address: name})
@@ -18,26 +18,26 @@
 	return made
 }
 
-// askForSeat is the step for the first of the learners; all of them and all
+// stepForLearners is the step for the first of the learners; all of them and all
 // voters are well but those named silent. The first voter leads.
-func askForSeat(voters, learners, silent string, maxVoters int) joinStep {
+func stepForLearners(voters, learners, silent string, maxVoters int) membershipStep {
 	const now, silence = 10 * time.Second, 2 * time.Second
-	membership := raft.Membership{Voters: inZones(voters), Learners: inZones(learners)}
+	membership := raft.Membership{Voters: membersInZones(voters), Learners: membersInZones(learners)}
 	status := raft.Status{ID: membership.Voters[0].ID, LastIndex: 500, Membership: membership}
-	for _, member := range append(inZones(voters), inZones(learners)...) {
+	for _, member := range append(membersInZones(voters), membersInZones(learners)...) {
 		progress := raft.Progress{ID: member.ID, Match: 500, LastSeen: now}
 		if strings.Contains(silent, member.Name) {
 			progress.LastSeen = 5 * time.Second
 		}
 		status.Progress = append(status.Progress, progress)
 	}
-	return nextJoinStep(joinQuestion{
+	return nextMembershipStep(membershipQuery{
 		request: fleet.JoinRequest{Member: membership.Learners[0], ArchiveCopied: true},
-		status:  status, now: now, silence: silence, maxVoters: maxVoters,
+		status:  status, now: now, voterTimeout: silence, maxVoters: maxVoters,
 	})
 }
 
-func names(members []raft.Member) string {
+func joinNames(members []raft.Member) string {
 	var all []string
 	for _, member := range members {
 		all = append(all, member.Name)
@@ -45,8 +45,8 @@
 	return strings.Join(all, " ")
 }
 
-// TestSeatsAreSpreadOverZones: no zone decides alone where that can be had.
-func TestSeatsAreSpreadOverZones(t *testing.T) {
+// TestVoterSlotStep_SpreadsVotersOverZones: no zone decides alone where that can be had.
+func TestVoterSlotStep_SpreadsVotersOverZones(t *testing.T) {
 	cases := map[string]struct {
 		voters, learners, silent string
 		maxVoters                int
@@ -68,8 +68,8 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			step := askForSeat(c.voters, c.learners, c.silent, c.maxVoters)
-			if got := names(step.target.Voters); got != c.want || step.standby != (c.want == "") {
+			step := stepForLearners(c.voters, c.learners, c.silent, c.maxVoters)
+			if got := joinNames(step.target.Voters); got != c.want || step.standby != (c.want == "") {
 				t.Fatalf("voters %q, stands by %v; want %q", got, step.standby, c.want)
 			}
 		})
--- a/internal/replica/sendqueue.go
+++ b/internal/replica/sendqueue.go
@@ -90,7 +90,7 @@
 }
 
 // run sends until the link is stopped.
-func (q *sendQueue) run(link *peerLink) {
+func (q *sendQueue) run(link *peer) {
 	for {
 		select {
 		case <-link.ctx.Done():
--- a/internal/replica/sendsnapshot.go
+++ b/internal/replica/sendsnapshot.go
@@ -16,31 +16,31 @@
 const (
 	// snapshotChunk is the size of one chunk in bytes.
 	snapshotChunk = 256 << 10
-	// chunkTries is how often a chunk is sent before the transfer starts again.
-	chunkTries = 3
-	// installPoll is how often the sender asks whether the receiver is done.
-	installPoll = 100 * time.Millisecond
+	// chunkAttempts is how often a chunk is sent before the transfer starts again.
+	chunkAttempts = 3
+	// installPollInterval is how often the sender asks whether the receiver is done.
+	installPollInterval = 100 * time.Millisecond
 )
 
-// startTransfer sends the newest snapshot to a replica in the background; one
+// startSnapshotTransfer sends the newest snapshot to a replica in the background; one
 // at a time to each.
-func (l *loop) startTransfer(to raft.ReplicaID) {
-	if l.transfers[to] {
+func (l *loop) startSnapshotTransfer(to raft.ReplicaID) {
+	if l.snapshotTransfers[to] {
 		return
 	}
 	member, known := findMember(l.node.Status().Membership, to)
 	if !known {
 		return
 	}
-	l.transfers[to] = true
+	l.snapshotTransfers[to] = true
 	term := l.node.Status().Term
 	l.background.Go(func() {
 		index, err := l.sendSnapshot(l.ctx, member, term)
 		if err != nil && l.ctx.Err() == nil {
 			l.logger.Warn("snapshot not sent", "to", string(to), "error", err)
 		}
-		_ = l.call(l.ctx, func(l *loop) error {
-			delete(l.transfers, to)
+		_ = l.runOnLoop(l.ctx, func(l *loop) error {
+			delete(l.snapshotTransfers, to)
 			l.node.ReportSnapshot(l.now(), to, index, err == nil)
 			return nil
 		})
@@ -80,7 +80,7 @@
 
 // sendChunk tries a few times; a doubled chunk is ignored there.
 func (r *Replica) sendChunk(ctx context.Context, address string, chunk fleet.SnapshotChunkRequest) (installed bool, err error) {
-	for range chunkTries {
+	for range chunkAttempts {
 		var answer fleet.SnapshotChunkAnswer
 		answer, err = rpc.Call[fleet.SnapshotChunkRequest, fleet.SnapshotChunkAnswer](ctx, r.config.Client, address, fleet.MethodSnapshotChunk, chunk)
 		var refusal *rpc.Error
@@ -94,7 +94,7 @@
 // awaitInstalled repeats the last chunk until the receiver is done with it.
 func (r *Replica) awaitInstalled(ctx context.Context, address string, last fleet.SnapshotChunkRequest) error {
 	for {
-		if !wait.For(ctx, installPoll) {
+		if !wait.For(ctx, installPollInterval) {
 			return ctx.Err()
 		}
 		installed, err := r.sendChunk(ctx, address, last)
--- a/internal/replica/slowdisk_test.go
+++ b/internal/replica/slowdisk_test.go
@@ -42,27 +42,27 @@
 	return machines, stores
 }
 
-// TestSlowDiskGivesUpTheLead: syncs that take as long as a lease, but less than
+// TestSlowDisk_LeaderTransfersLeadership: syncs that take as long as a lease, but less than
 // an election timeout, do not make others elect; the leader itself gives up.
-func TestSlowDiskGivesUpTheLead(t *testing.T) {
+func TestSlowDisk_LeaderTransfersLeadership(t *testing.T) {
 	machines, stores := slowMachines(t)
 	leader := leaderOf(t, machines...)
-	register(t, "before", leader)
+	proposeRegistration(t, "before", leader)
 	stores[leader].syncTakes.Store(int64(raft.DefaultLeaseDuration + 20*time.Millisecond))
 	defer stores[leader].syncTakes.Store(0)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	_, _ = leader.replica.Propose(ctx, leader.replica.Status().Term, registration("slow"))
-	next := leaderOf(t, others(machines, leader)...)
-	register(t, "after", next)
+	next := leaderOf(t, without(machines, leader)...)
+	proposeRegistration(t, "after", next)
 }
 
-// TestStalledDiskOfTheLeader: a sync that does not end costs the lease, and
+// TestStalledDisk_LeaderLosesLease: a sync that does not end costs the lease, and
 // neither callers nor the other replicas wait for it.
-func TestStalledDiskOfTheLeader(t *testing.T) {
+func TestStalledDisk_LeaderLosesLease(t *testing.T) {
 	machines, stores := slowMachines(t)
 	leader := leaderOf(t, machines...)
-	register(t, "before", leader)
+	proposeRegistration(t, "before", leader)
 	token := leader.replica.Status().Term
 	stores[leader].hangs.Lock()
 	release := sync.OnceFunc(stores[leader].hangs.Unlock)
@@ -74,12 +74,12 @@
 		// cannot know while it writes.
 		t.Fatal("a command was acknowledged by a leader whose disk stalls")
 	}
-	next := leaderOf(t, others(machines, leader)...)
+	next := leaderOf(t, without(machines, leader)...)
 	if leader.replica.HoldsLease(token) {
 		t.Fatal("the stalled leader claims the lease beside a new one")
 	}
 	leader.replica.Record().Read(func(record.View) {}) // does not wait
-	register(t, "after", next)
+	proposeRegistration(t, "after", next)
 	release()
 	eventually(t, "the old leader follows", func() bool {
 		status := leader.replica.Status()
@@ -87,8 +87,8 @@
 	})
 }
 
-// TestLongEntriesMakeSnapshots: the log is bounded by bytes as well.
-func TestLongEntriesMakeSnapshots(t *testing.T) {
+// TestSnapshot_TakenForLongEntries: the log is bounded by bytes as well.
+func TestSnapshot_TakenForLongEntries(t *testing.T) {
 	machines := newMachines(t, 1)
 	m := machines[0]
 	m.useDisk(t.TempDir())
@@ -96,7 +96,7 @@
 	leader := leaderOf(t, m)
 	long := strings.Repeat("x", 256<<10)
 	for i := range 80 { // 20 MiB, over the default bound twice
-		register(t, fmt.Sprint(long, i%2), leader)
+		proposeRegistration(t, fmt.Sprint(long, i%2), leader)
 	}
 	eventually(t, "a second snapshot", func() bool {
 		meta, data, ok, err := m.store.OpenSnapshot()
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// noteApplied follows term and membership; the data were decoded before.
-func (s *snapshotState) noteApplied(entry raft.Entry) {
+// recordApplied follows term and membership; the data were decoded before.
+func (s *snapshotState) recordApplied(entry raft.Entry) {
 	if s.terms[len(s.terms)-1].term != entry.Term {
 		s.terms = append(s.terms, termStart{index: entry.Index, term: entry.Term})
 	}
@@ -64,8 +64,8 @@
 	return s.terms[after-1].term, true
 }
 
-// forgetBefore drops terms that no place from index on needs.
-func (s *snapshotState) forgetBefore(index uint64) {
+// discardTermsBefore drops terms that no place from index on needs.
+func (s *snapshotState) discardTermsBefore(index uint64) {
 	for len(s.terms) > 1 && s.terms[1].index <= index {
 		s.terms = s.terms[1:]
 	}
@@ -79,7 +79,7 @@
 // maybeSnapshot captures the record every SnapshotEvery entries or SnapshotBytes
 // bytes, and lets it be written beside the loop.
 func (l *loop) maybeSnapshot() {
-	applied := l.applied.get()
+	applied := l.applied.load()
 	if l.snapshots.writing || !l.snapshots.due(applied, l.config) {
 		return
 	}
@@ -94,8 +94,8 @@
 	meta := raft.SnapshotMeta{Index: index, Term: term, Membership: l.snapshots.membership}
 	l.snapshots.last, l.snapshots.writing = index, true
 	l.background.Go(func() {
-		err := l.config.Store.SaveSnapshot(meta, l.config.KeepEntries, write)
-		_ = l.call(l.ctx, func(l *loop) error { return l.snapshotWritten(meta, err) })
+		err := l.config.Store.SaveSnapshot(meta, l.config.RetainedEntries, write)
+		_ = l.runOnLoop(l.ctx, func(l *loop) error { return l.snapshotWritten(meta, err) })
 	})
 }
 
@@ -106,31 +106,31 @@
 		return nil
 	}
 	l.logger.Info("snapshot written", "index", meta.Index, "term", meta.Term)
-	if meta.Index <= l.config.KeepEntries {
+	if meta.Index <= l.config.RetainedEntries {
 		return nil
 	}
-	index := meta.Index - l.config.KeepEntries
+	index := meta.Index - l.config.RetainedEntries
 	if term, ok := l.snapshots.termAt(index); ok {
 		l.node.Compact(raft.SnapshotMeta{Index: index, Term: term})
-		l.snapshots.forgetBefore(index)
+		l.snapshots.discardTermsBefore(index)
 	}
 	return nil
 }
 
-// errNotWanted: the log got ahead of the snapshot meanwhile.
-var errNotWanted = errors.New("replica: snapshot is not needed any more")
+// errSnapshotStale: the log got ahead of the snapshot meanwhile.
+var errSnapshotStale = errors.New("replica: snapshot is not needed any more")
 
 // installSnapshot replaces record, store and log by a snapshot of the leader;
 // the archive up to it is here already. The record checks the checksum before
 // it changes. A failure after that leaves record and store at odds, and ends
 // the loop.
 func (l *loop) installSnapshot(meta raft.SnapshotMeta, source *snapshotSource) error {
-	if err := l.handleReady(); err != nil {
+	if err := l.processReady(); err != nil {
 		l.fail(err)
 		return err
 	}
 	if !l.node.ShouldInstallSnapshot(meta) {
-		return errNotWanted
+		return errSnapshotStale
 	}
 	if err := l.config.Record.Restore(source.reader()); err != nil {
 		return fmt.Errorf("restore record: %w", err)
--- a/internal/replica/standby_test.go
+++ b/internal/replica/standby_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// newFour makes three seeds and one machine more, of a cluster with three
+// newClusterWithStandby makes three seeds and one machine more, of a cluster with three
 // voters.
-func newFour(t *testing.T) (seeds []*machine, fourth *machine) {
+func newClusterWithStandby(t *testing.T) (seeds []*machine, fourth *machine) {
 	t.Helper()
 	machines := newMachines(t, 4)
 	for _, m := range machines {
@@ -20,21 +20,21 @@
 
 func isVoter(on, whose *machine) bool { return voterIDs(on)[whose.replica.self.ID] }
 
-func standsBy(on, whose *machine) bool {
+func isLearner(on, whose *machine) bool {
 	return indexOf(on.replica.Status().Membership.Learners, whose.replica.self.ID) >= 0
 }
 
-// TestStandbyTakesTheSeatOfALostVoter also covers the lost one's return: it was
+// TestMembership_StandbyReplacesLostVoter also covers the lost one's return: it was
 // replaced while it was away and joins again with the data that it has.
-func TestStandbyTakesTheSeatOfALostVoter(t *testing.T) {
-	seeds, fourth := newFour(t)
+func TestMembership_StandbyReplacesLostVoter(t *testing.T) {
+	seeds, fourth := newClusterWithStandby(t)
 	startAll(seeds)
 	leader := leaderOf(t, seeds...)
 	fourth.start()
-	eventually(t, "the fourth stands by", func() bool { return standsBy(leader, fourth) })
-	register(t, "before", leader)
+	eventually(t, "the fourth stands by", func() bool { return isLearner(leader, fourth) })
+	proposeRegistration(t, "before", leader)
 
-	lost := others(seeds, leader)[0]
+	lost := without(seeds, leader)[0]
 	lost.crash()
 	eventually(t, "the fourth votes, and the change is over", func() bool {
 		for _, m := range []*machine{leader, fourth} {
@@ -46,44 +46,44 @@
 		return true
 	})
 	// A second loss right after: the two that are left are a majority.
-	second := others(seeds, leader, lost)[0]
+	second := without(seeds, leader, lost)[0]
 	second.crash()
-	register(t, "after", leader, fourth)
+	proposeRegistration(t, "after", leader, fourth)
 
 	lost.start()
 	eventually(t, "the lost one is back", func() bool {
 		now := leaderOf(t, leader, fourth, lost)
 		return isVoter(now, lost) && len(voterIDs(now)) == 3
 	})
-	eventually(t, "it holds all", func() bool { return len(workers(t, lost)) == 2 })
+	eventually(t, "it holds all", func() bool { return len(workerNames(t, lost)) == 2 })
 }
 
-// TestRetiringVoterHandsItsSeatOver: with one that stands by, a planned stop
+// TestPrepareShutdown_StandbyTakesVoterSlot: with one that stands by, a planned stop
 // leaves as many voters as before, at once.
-func TestRetiringVoterHandsItsSeatOver(t *testing.T) {
-	seeds, fourth := newFour(t)
+func TestPrepareShutdown_StandbyTakesVoterSlot(t *testing.T) {
+	seeds, fourth := newClusterWithStandby(t)
 	startAll(seeds)
 	leader := leaderOf(t, seeds...)
 	fourth.start()
-	eventually(t, "the fourth stands by", func() bool { return standsBy(leader, fourth) })
-	register(t, "before", leader)
+	eventually(t, "the fourth stands by", func() bool { return isLearner(leader, fourth) })
+	proposeRegistration(t, "before", leader)
 
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	leader.replica.HandOver(ctx)
-	left := append(others(seeds, leader), fourth)
+	leader.replica.PrepareShutdown(ctx)
+	left := append(without(seeds, leader), fourth)
 	eventually(t, "the fourth has the seat", func() bool {
 		now := leaderOf(t, left...)
 		return isVoter(now, fourth) && !isVoter(now, leader) && len(voterIDs(now)) == 3
 	})
 	leader.crash()
-	register(t, "after", left...)
+	proposeRegistration(t, "after", left...)
 }
 
-// TestJoinOnlyNeverForms: an empty replica that may only join waits, though all
+// TestBootstrap_JoinOnlyNeverCreatesCluster: an empty replica that may only join waits, though all
 // seeds are empty as well.
-func TestJoinOnlyNeverForms(t *testing.T) {
-	seeds, fourth := newFour(t)
+func TestBootstrap_JoinOnlyNeverCreatesCluster(t *testing.T) {
+	seeds, fourth := newClusterWithStandby(t)
 	seeds[0].joinOnly = true
 	startAll(seeds)
 	fourth.start()
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestLossOfAnyZoneIsBorne: six machines in three zones, five of which vote. The
+// TestMembership_SurvivesLossOfZone: six machines in three zones, five of which vote. The
 // zone of the leader goes, with two voters or one.
-func TestLossOfAnyZoneIsBorne(t *testing.T) {
+func TestMembership_SurvivesLossOfZone(t *testing.T) {
 	machines := newMachines(t, 6)
 	for i, m := range machines {
 		m.zone = string(rune('a' + i%3))
@@ -117,10 +117,10 @@
 		membership := leader.replica.Status().Membership
 		return len(membership.Voters) == 5 && len(membership.Outgoing) == 0 && len(membership.Learners) == 1
 	})
-	if weight := weighZones(leader.replica.Status().Membership.Voters); weight.decides || weight.most != 2 {
+	if weight := measureZoneSpread(leader.replica.Status().Membership.Voters); weight.oneZoneIsCritical || weight.largestZone != 2 {
 		t.Fatalf("voters are spread as %+v", weight)
 	}
-	register(t, "before", leader)
+	proposeRegistration(t, "before", leader)
 	var left []*machine
 	for _, m := range machines {
 		if m.zone == leader.zone {
@@ -129,5 +129,5 @@
 			left = append(left, m)
 		}
 	}
-	register(t, "after", left...)
+	proposeRegistration(t, "after", left...)
 }
--- a/internal/replica/stop_test.go
+++ b/internal/replica/stop_test.go
@@ -30,10 +30,10 @@
 	return s.Memory.Save(hardState, entries, sync)
 }
 
-// TestStopBeginsNoFurtherSave: a busy disk may take seconds for each sync, so a
+// TestRun_StopBeginsNoFurtherSave: a busy disk may take seconds for each sync, so a
 // stop waits for the one under way only. A replica alone would next stand for
 // election and save its vote.
-func TestStopBeginsNoFurtherSave(t *testing.T) {
+func TestRun_StopBeginsNoFurtherSave(t *testing.T) {
 	m := newMachines(t, 1)[0]
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -41,7 +41,7 @@
 	m.store = store
 	client := rpc.NewClient(rpc.ClientConfig{})
 	defer client.Close()
-	if err := m.make(client).Run(ctx); err != nil {
+	if err := m.newReplica(client).Run(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if ctx.Err() == nil || store.after != 0 {
--- a/internal/replica/ticks_test.go
+++ b/internal/replica/ticks_test.go
@@ -7,16 +7,16 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-// TestFollowersSleepUntilTheirDeadline: while a leader is heard, time alone
+// TestTicker_FollowersSleepUntilElectionDeadline: while a leader is heard, time alone
 // hardly ever wakes a follower, but it wakes the leader for each heartbeat. In
 // the bubble no heartbeat is late, so nothing excuses a move of the lead.
-func TestFollowersSleepUntilTheirDeadline(t *testing.T) {
+func TestTicker_FollowersSleepUntilElectionDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		machines := newBubbleMachines(t, 3)
+		machines := newSynctestMachines(t, 3)
 		startAll(machines)
 		leader := leaderOf(t, machines...)
 		term := leader.replica.Status().Term
-		ticks := func(m *machine) float64 { return testutil.ToFloat64(m.replica.metrics.ticks) }
+		ticks := func(m *machine) float64 { return testutil.ToFloat64(m.replica.metrics.tickWakeups) }
 		before := make(map[*machine]float64)
 		for _, m := range machines {
 			before[m] = ticks(m)
@@ -25,13 +25,13 @@
 		if !leader.replica.HoldsLease(term) {
 			t.Errorf("%s lost the lead of term %d, now %+v", leader.name, term, leader.replica.Status())
 		}
-		for _, m := range others(machines, leader) {
+		for _, m := range without(machines, leader) {
 			if woken := ticks(m) - before[m]; woken > 8 {
 				t.Errorf("%s: woken %v times while the leader was woken 40 times", m.name, woken)
 			}
 		}
 		t.Logf("leader %v", ticks(leader)-before[leader])
-		for _, m := range others(machines, leader) {
+		for _, m := range without(machines, leader) {
 			t.Logf("follower %v", ticks(m)-before[m])
 		}
 	})
--- a/internal/replica/transport.go
+++ b/internal/replica/transport.go
@@ -7,34 +7,34 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// maxGuests bounds the senders outside of the membership that answers are
+// maxNonMembers bounds the senders outside of the membership that answers are
 // kept for; it is the newest ones.
-const maxGuests = 8
+const maxNonMembers = 8
 
 // transport sends messages to the other replicas. It belongs to the loop;
 // only the queues' goroutines run beside it.
 type transport struct {
 	ctx     context.Context
 	replica *Replica
-	members map[raft.ReplicaID]*peerLink
-	// guests are senders that the membership does not list (yet): a replica
+	members map[raft.ReplicaID]*peer
+	// nonMembers are senders that the membership does not list (yet): a replica
 	// that joins must answer a leader it has no membership from.
-	guests     map[raft.ReplicaID]*peerLink
-	guestOrder []raft.ReplicaID
+	nonMembers     map[raft.ReplicaID]*peer
+	nonMemberOrder []raft.ReplicaID
 }
 
 func newTransport(ctx context.Context, replica *Replica) *transport {
 	return &transport{
-		ctx:     ctx,
-		replica: replica,
-		members: make(map[raft.ReplicaID]*peerLink),
-		guests:  make(map[raft.ReplicaID]*peerLink),
+		ctx:        ctx,
+		replica:    replica,
+		members:    make(map[raft.ReplicaID]*peer),
+		nonMembers: make(map[raft.ReplicaID]*peer),
 	}
 }
 
 // setMembers starts and stops links to follow the membership.
 func (t *transport) setMembers(membership raft.Membership) {
-	wanted := make(map[raft.ReplicaID]*peerLink)
+	wanted := make(map[raft.ReplicaID]*peer)
 	for _, member := range slices.Concat(membership.Voters, membership.Outgoing, membership.Learners) {
 		if member.ID == t.replica.self.ID || wanted[member.ID] != nil {
 			continue
@@ -44,7 +44,7 @@
 			link = t.start(member)
 		}
 		wanted[member.ID] = link
-		t.dropGuest(member.ID)
+		t.dropNonMember(member.ID)
 	}
 	for id, link := range t.members {
 		if wanted[id] != link {
@@ -54,36 +54,36 @@
 	t.members = wanted
 }
 
-// noteSender remembers where to answer a sender outside of the membership.
-func (t *transport) noteSender(sender raft.Member) {
+// observeSender remembers where to answer a sender outside of the membership.
+func (t *transport) observeSender(sender raft.Member) {
 	if sender.ID == "" || sender.ID == t.replica.self.ID || t.members[sender.ID] != nil {
 		return
 	}
-	if link := t.guests[sender.ID]; link != nil {
+	if link := t.nonMembers[sender.ID]; link != nil {
 		if link.address == sender.Address {
 			return
 		}
-		t.dropGuest(sender.ID)
+		t.dropNonMember(sender.ID)
 	}
-	if len(t.guestOrder) >= maxGuests {
-		t.dropGuest(t.guestOrder[0])
+	if len(t.nonMemberOrder) >= maxNonMembers {
+		t.dropNonMember(t.nonMemberOrder[0])
 	}
-	t.guests[sender.ID] = t.start(sender)
-	t.guestOrder = append(t.guestOrder, sender.ID)
+	t.nonMembers[sender.ID] = t.start(sender)
+	t.nonMemberOrder = append(t.nonMemberOrder, sender.ID)
 }
 
-func (t *transport) dropGuest(id raft.ReplicaID) {
-	link := t.guests[id]
+func (t *transport) dropNonMember(id raft.ReplicaID) {
+	link := t.nonMembers[id]
 	if link == nil {
 		return
 	}
 	link.stop()
-	delete(t.guests, id)
-	t.guestOrder = slices.DeleteFunc(t.guestOrder, func(guest raft.ReplicaID) bool { return guest == id })
+	delete(t.nonMembers, id)
+	t.nonMemberOrder = slices.DeleteFunc(t.nonMemberOrder, func(guest raft.ReplicaID) bool { return guest == id })
 }
 
-func (t *transport) start(member raft.Member) *peerLink {
-	link := newPeerLink(t.ctx, t.replica, member)
+func (t *transport) start(member raft.Member) *peer {
+	link := newPeer(t.ctx, t.replica, member)
 	t.replica.background.Go(func() { link.urgent.run(link) })
 	t.replica.background.Go(func() { link.appends.run(link) })
 	return link
@@ -94,16 +94,16 @@
 func (t *transport) send(message raft.Message) {
 	link := t.members[message.To]
 	if link == nil {
-		link = t.guests[message.To]
+		link = t.nonMembers[message.To]
 	}
 	if link != nil {
 		link.send(message)
 	}
 }
 
-// reaches reports whether the newest call to a member was answered, or none has
+// reachable reports whether the newest call to a member was answered, or none has
 // failed yet.
-func (t *transport) reaches(id raft.ReplicaID) bool {
+func (t *transport) reachable(id raft.ReplicaID) bool {
 	link := t.members[id]
 	return link != nil && !link.unreachable.Load()
 }
--- a/internal/replica/watermark.go
+++ b/internal/replica/watermark.go
@@ -12,7 +12,7 @@
 	changed chan struct{} // closed at the next change; nil if nobody waits
 }
 
-func (w *watermark) get() uint64 {
+func (w *watermark) load() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.value
@@ -32,7 +32,7 @@
 }
 
 // next returns the present value and a channel that closes when it changes.
-func (w *watermark) next() (uint64, <-chan struct{}) {
+func (w *watermark) watch() (uint64, <-chan struct{}) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.changed == nil {
@@ -41,11 +41,11 @@
 	return w.value, w.changed
 }
 
-// wait returns nil once the value has reached target, ErrStopped when stopped
+// delay returns nil once the value has reached target, ErrStopped when stopped
 // is closed, or the context's error.
 func (w *watermark) wait(ctx context.Context, stopped <-chan struct{}, target uint64) error {
 	for {
-		value, changed := w.next()
+		value, changed := w.watch()
 		if value >= target {
 			return nil
 		}
--- a/lab/model/scheduler_test.go
+++ b/lab/model/scheduler_test.go
@@ -71,7 +71,7 @@
 		Store: m.store, Record: record.NewMachine(record.Config{Archive: m.store.Archive()}), Client: client,
 		JoinOnly: !m.mayForm, MaxVoters: 2*f.shape.tolerate + 1,
 		WallClock:     func() time.Time { return time.Now().Add(time.Duration(m.wallOffset.Load())) },
-		SnapshotEvery: snapshotEvery, KeepEntries: keptEntries, Logger: logger, Lead: service.Lead,
+		SnapshotEvery: snapshotEvery, RetainedEntries: keptEntries, Logger: logger, Lead: service.Lead,
 	})
 	if err != nil {
 		f.t.Error(err)
@@ -127,7 +127,7 @@
 func (m *schedulerMachine) terminate() {
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
-	m.running().HandOver(ctx)
+	m.running().PrepareShutdown(ctx)
 	m.kill()
 }
 
