--- a/internal/compatibility/stored/corpus_test.go
+++ b/internal/compatibility/stored/corpus_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	machine := record.NewMachine(record.Config{Archive: store.Archive(), OrdersKept: ordersKept})
+	machine := record.NewMachine(record.Config{Archive: store.Archive(), MaxConfigOrders: ordersKept})
 	w := &writer{t: t, directory: directory, store: store, machine: machine}
 	machine.Observe(nil, func(event record.Event) { w.results.WriteString("  " + describeEvent(event) + "\n") })
 	return w
--- a/internal/compatibility/stored/describe_test.go
+++ b/internal/compatibility/stored/describe_test.go
@@ -154,7 +154,7 @@
 func viewOrders(v record.View) fields {
 	orders := fields{}
 	for _, id := range []string{"order-1", "order-2", "order-3", "order-4", "order-5"} {
-		result, digest, known := v.Order(id)
+		result, digest, known := v.ConfigOrder(id)
 		orders[id] = fields{"version": result.Version, "refusal": result.Refusal, "digest": digest, "known": known}
 	}
 	return orders
@@ -165,15 +165,15 @@
 	t.Helper()
 	jobs := fields{}
 	for _, c := range script() {
-		if c.Submit == nil {
+		if c.SubmitJob == nil {
 			continue
 		}
-		id := c.Submit.ID
+		id := c.SubmitJob.ID
 		status, known, err := v.Status(id, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		brief, _, err := v.BriefStatus(id)
+		brief, _, err := v.StatusWithoutSteps(id)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -194,7 +194,7 @@
 				"task": task.ID.String(), "state": task.State, "failures": task.Failures, "allowed_failures": task.AllowedFailures,
 				"last_run": task.LastRun, "next_run": task.NextRun(), "last_worker": task.LastWorker, "preemptions": task.Preemptions,
 				"checkpoint": task.NewestCheckpoint(), "not_before": task.NotBefore, "reason": task.Reason, "spec": task.Spec,
-				"waits_on": step.WaitsOn, "open_tasks": step.OpenTasks, "failed_tasks": step.FailedTasks,
+				"waits_on": step.OpenDependencies, "open_tasks": step.OpenTasks, "failed_tasks": step.FailedTasks,
 			})
 		}
 	}
@@ -209,7 +209,7 @@
 	for worker := range v.Workers() {
 		workers = append(workers, fields{
 			"name": worker.Name, "id": worker.ID, "zone": worker.Zone, "capacity": worker.Capacity, "services": worker.Services,
-			"labels": worker.Labels, "registered_at": worker.RegisteredAt, "place": worker.Place, "used": v.Used(worker.ID),
+			"labels": worker.Labels, "registered_at": worker.RegisteredAt, "place": worker.Address, "used": v.UsedResources(worker.ID),
 		})
 	}
 	return workers
--- a/internal/compatibility/stored/script_test.go
+++ b/internal/compatibility/stored/script_test.go
@@ -43,8 +43,8 @@
 	return &record.PutConfig{OrderID: orderID, Base: base, Config: config, Digest: config.Digest(), Refusal: refusal}
 }
 
-func submit(id string, spec api.JobSpec) *record.Submit {
-	return &record.Submit{ID: id, Spec: spec, Digest: spec.Digest()}
+func submit(id string, spec api.JobSpec) *record.SubmitJob {
+	return &record.SubmitJob{ID: id, Spec: spec, Digest: spec.Digest()}
 }
 
 func runOf(job, step string, index int, number uint32) record.RunID {
@@ -60,11 +60,11 @@
 	return record.Placement{Run: run, WorkerID: worker + "-life-1", Worker: worker}
 }
 
-func place(placements ...record.Placement) *record.Place {
-	return &record.Place{Placements: placements}
+func place(placements ...record.Placement) *record.PlaceTasks {
+	return &record.PlaceTasks{Placements: placements}
 }
 
-func closeRuns(ends ...record.RunEnd) *record.Close { return &record.Close{Runs: ends} }
+func closeRuns(ends ...record.RunEnd) *record.CloseRuns { return &record.CloseRuns{Runs: ends} }
 
 func ended(run record.RunID, outcome api.Outcome, message string) record.RunEnd {
 	return record.RunEnd{Run: run, Outcome: outcome, Message: message}
@@ -149,7 +149,7 @@
 		Services:     []string{"convert", "index"},
 		Labels:       map[string]string{"disk": "fast", "zone": zone},
 		RegisteredAt: 5,
-		Place:        "127.0.0.1:7001/" + name,
+		Address:      "127.0.0.1:7001/" + name,
 	}
 }
 
@@ -159,9 +159,9 @@
 	stranger := workerNamed("stranger", "life-1", "north")
 	stranger.ID = "w1-life-1"
 	return []command{
-		{"three workers", time.Second, record.Command{Token: 2, Register: &record.RegisterWorkers{Workers: workers}}},
-		{"worker under the id of another", 1010 * time.Millisecond, record.Command{Token: 2, Register: &record.RegisterWorkers{Workers: []record.Worker{stranger}}}},
-		{"worker that comes back in another life", 1020 * time.Millisecond, record.Command{Token: 2, Register: &record.RegisterWorkers{Workers: []record.Worker{{Name: "plain", ID: "plain-life-2"}}}}},
+		{"three workers", time.Second, record.Command{Token: 2, RegisterWorkers: &record.RegisterWorkers{Workers: workers}}},
+		{"worker under the id of another", 1010 * time.Millisecond, record.Command{Token: 2, RegisterWorkers: &record.RegisterWorkers{Workers: []record.Worker{stranger}}}},
+		{"worker that comes back in another life", 1020 * time.Millisecond, record.Command{Token: 2, RegisterWorkers: &record.RegisterWorkers{Workers: []record.Worker{{Name: "plain", ID: "plain-life-2"}}}}},
 	}
 }
 
@@ -231,7 +231,7 @@
 	once.Tasks[0].AllowedFailures = &failures
 	endless.Tasks[0].UntilCancelled = true
 	submitAfter := func(milliseconds int, id string, spec api.JobSpec) command {
-		return command{"submission of " + id, 2*time.Second + time.Duration(milliseconds)*time.Millisecond, record.Command{Token: 2, Submit: submit(id, spec)}}
+		return command{"submission of " + id, 2*time.Second + time.Duration(milliseconds)*time.Millisecond, record.Command{Token: 2, SubmitJob: submit(id, spec)}}
 	}
 	return []command{
 		submitAfter(0, "detailed", detailedJob()),
@@ -260,72 +260,72 @@
 	detailed, resumed := runOf("detailed", "extract", 0, 1), runOf("resumed", "work", 0, 1)
 	invalid := "the worker's text has \xff in it"
 	return []command{
-		{"expired job starts", 5 * time.Second, record.Command{Token: 2, Place: place(on("w1", runOf("expired", "a", 0, 1)))}},
-		{"expired job ends", 5100 * time.Millisecond, record.Command{Token: 2, Close: closeRuns(ended(runOf("expired", "a", 0, 1), api.OutcomeSucceeded, ""))}},
-		{"runs start", 6 * time.Second, record.Command{Token: 2, Place: place(
+		{"expired job starts", 5 * time.Second, record.Command{Token: 2, PlaceTasks: place(on("w1", runOf("expired", "a", 0, 1)))}},
+		{"expired job ends", 5100 * time.Millisecond, record.Command{Token: 2, CloseRuns: closeRuns(ended(runOf("expired", "a", 0, 1), api.OutcomeSucceeded, ""))}},
+		{"runs start", 6 * time.Second, record.Command{Token: 2, PlaceTasks: place(
 			on("w1", detailed), on("w2", resumed), on("w1", runOf("doomed", "try", 0, 1)), on("w1", runOf("doomed", "try", 1, 1)),
 			on("w2", runOf("endless", "serve", 0, 1)), on("w1", runOf("lost", "a", 0, 1)), on("w2", runOf("lost", "a", 1, 1)),
 			on("w1", runOf("cancelled-running", "a", 0, 1)), on("w2", runOf("retried", "a", 0, 1)), on("w1", runOf("succeeded", "a", 0, 1)),
 		)}},
-		{"placements that do not hold", 6010 * time.Millisecond, record.Command{Token: 2, Place: place(
+		{"placements that do not hold", 6010 * time.Millisecond, record.Command{Token: 2, PlaceTasks: place(
 			on("w1", runOf("lost", "a", 2, 1)), on("w1", runOf("stopped", "a", 0, 2)), on("unknown", runOf("stopped", "a", 0, 1)),
 			on("w1", runOf("unknown", "a", 0, 1)), on("plain", runOf("stopped", "a", 0, 1)), on("w1", runOf("detailed", "load", 0, 1)),
 		)}},
-		{"runs that are to stop start", 6100 * time.Millisecond, record.Command{Token: 3, Place: place(
+		{"runs that are to stop start", 6100 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(
 			on("w1", runOf("stopped", "a", 0, 1)), on("w1", runOf("stopped", "a", 1, 1)), on("w2", runOf("stopped", "a", 2, 1)),
 			on("w2", runOf("stopped", "a", 3, 1)),
 		)}},
-		{"stop for a drain", 6200 * time.Millisecond, record.Command{Token: 3, Stop: &record.Stop{Runs: []record.RunID{runOf("stopped", "a", 0, 1)}, Reason: record.StopDrained}}},
-		{"stop for others", 6210 * time.Millisecond, record.Command{Token: 3, Stop: &record.Stop{Runs: []record.RunID{runOf("stopped", "a", 1, 1)}, Reason: record.StopPreempted}}},
-		{"stop of a stalled run", 6220 * time.Millisecond, record.Command{Token: 3, Stop: &record.Stop{Runs: []record.RunID{runOf("stopped", "a", 2, 1)}, Reason: record.StopStalled}}},
-		{"stop of a group", 6230 * time.Millisecond, record.Command{Token: 3, Stop: &record.Stop{Runs: []record.RunID{runOf("stopped", "a", 3, 1), runOf("unknown", "a", 0, 1)}, Reason: record.StopGroup}}},
-		{"stopped runs end", 6300 * time.Millisecond, record.Command{Token: 3, Close: closeRuns(
+		{"stop for a drain", 6200 * time.Millisecond, record.Command{Token: 3, StopRuns: &record.StopRuns{Runs: []record.RunID{runOf("stopped", "a", 0, 1)}, Reason: record.StopDrained}}},
+		{"stop for others", 6210 * time.Millisecond, record.Command{Token: 3, StopRuns: &record.StopRuns{Runs: []record.RunID{runOf("stopped", "a", 1, 1)}, Reason: record.StopPreempted}}},
+		{"stop of a stalled run", 6220 * time.Millisecond, record.Command{Token: 3, StopRuns: &record.StopRuns{Runs: []record.RunID{runOf("stopped", "a", 2, 1)}, Reason: record.StopStalled}}},
+		{"stop of a group", 6230 * time.Millisecond, record.Command{Token: 3, StopRuns: &record.StopRuns{Runs: []record.RunID{runOf("stopped", "a", 3, 1), runOf("unknown", "a", 0, 1)}, Reason: record.StopGang}}},
+		{"stopped runs end", 6300 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
 			ended(runOf("stopped", "a", 0, 1), api.OutcomeStopped, ""), ended(runOf("stopped", "a", 1, 1), api.OutcomeStopped, ""),
 		)}},
-		{"run ends with a checkpoint", 6400 * time.Millisecond, record.Command{Token: 3, Close: closeRuns(
+		{"run ends with a checkpoint", 6400 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
 			record.RunEnd{Run: resumed, Outcome: api.OutcomeStopped, Message: "gave way", Checkpoint: "frame 1200", Percent: 60},
 		)}},
-		{"run starts from a checkpoint", 6500 * time.Millisecond, record.Command{Token: 3, Place: place(on("w1", runOf("resumed", "work", 0, 2)))}},
-		{"runs fail", 6600 * time.Millisecond, record.Command{Token: 3, Close: closeRuns(
+		{"run starts from a checkpoint", 6500 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(on("w1", runOf("resumed", "work", 0, 2)))}},
+		{"runs fail", 6600 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
 			ended(runOf("doomed", "try", 0, 1), api.OutcomeFailed, "broken: "+strings.Repeat("long ", 300)),
 			ended(runOf("doomed", "try", 1, 1), api.OutcomeSucceeded, ""),
 			ended(runOf("retried", "a", 0, 1), api.OutcomeFailed, invalid),
 			ended(runOf("endless", "serve", 0, 1), api.OutcomeFailed, "address in use"),
 		)}},
-		{"runs are lost", 6700 * time.Millisecond, record.Command{Token: 3, Close: closeRuns(ended(runOf("lost", "a", 0, 1), api.OutcomeLost, ""), ended(runOf("lost", "a", 1, 1), api.OutcomeLost, ""))}},
-		{"lost run reports its success late", 6800 * time.Millisecond, record.Command{Token: 3, Close: closeRuns(ended(runOf("lost", "a", 0, 1), api.OutcomeSucceeded, ""))}},
-		{"retry before its pause is over", 6850 * time.Millisecond, record.Command{Token: 3, Place: place(on("w1", runOf("retried", "a", 0, 2)))}},
-		{"cancel", 6900 * time.Millisecond, record.Command{Token: 3, Cancel: &record.Cancel{Jobs: []string{"cancelled-running", "cancelled-waiting", "unknown"}}}},
-		{"first step ends", 7 * time.Second, record.Command{Token: 3, Close: closeRuns(ended(runOf("succeeded", "a", 0, 1), api.OutcomeSucceeded, "done"))}},
-		{"second step starts", 7100 * time.Millisecond, record.Command{Token: 3, Place: place(on("w2", runOf("succeeded", "b", 0, 1)))}},
-		{"job ends", 7200 * time.Millisecond, record.Command{Token: 3, Close: closeRuns(ended(runOf("succeeded", "b", 0, 1), api.OutcomeSucceeded, "done"))}},
-		{"endless task succeeds and starts again", 20 * time.Second, record.Command{Token: 3, Place: place(on("w1", runOf("endless", "serve", 0, 2)))}},
-		{"endless task ended", 31 * time.Second, record.Command{Token: 3, Close: closeRuns(ended(runOf("endless", "serve", 0, 2), api.OutcomeSucceeded, ""))}},
+		{"runs are lost", 6700 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(ended(runOf("lost", "a", 0, 1), api.OutcomeLost, ""), ended(runOf("lost", "a", 1, 1), api.OutcomeLost, ""))}},
+		{"lost run reports its success late", 6800 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(ended(runOf("lost", "a", 0, 1), api.OutcomeSucceeded, ""))}},
+		{"retry before its pause is over", 6850 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(on("w1", runOf("retried", "a", 0, 2)))}},
+		{"cancel", 6900 * time.Millisecond, record.Command{Token: 3, CancelJobs: &record.CancelJobs{Jobs: []string{"cancelled-running", "cancelled-waiting", "unknown"}}}},
+		{"first step ends", 7 * time.Second, record.Command{Token: 3, CloseRuns: closeRuns(ended(runOf("succeeded", "a", 0, 1), api.OutcomeSucceeded, "done"))}},
+		{"second step starts", 7100 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(on("w2", runOf("succeeded", "b", 0, 1)))}},
+		{"job ends", 7200 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(ended(runOf("succeeded", "b", 0, 1), api.OutcomeSucceeded, "done"))}},
+		{"endless task succeeds and starts again", 20 * time.Second, record.Command{Token: 3, PlaceTasks: place(on("w1", runOf("endless", "serve", 0, 2)))}},
+		{"endless task ended", 31 * time.Second, record.Command{Token: 3, CloseRuns: closeRuns(ended(runOf("endless", "serve", 0, 2), api.OutcomeSucceeded, ""))}},
 	}
 }
 
 // groupRuns takes groups through whole and broken runs.
 func groupRuns() []command {
-	members := func(job string, number uint32) *record.Place {
+	members := func(job string, number uint32) *record.PlaceTasks {
 		return place(on("w1", runOf(job, "members", 0, number)), on("w2", runOf(job, "members", 1, number)), on("w1", runOf(job, "members", 2, number)))
 	}
 	partly := members("gang", 1)
 	partly.Placements = partly.Placements[:2]
 	return []command{
-		{"gang that is not whole", 32 * time.Second, record.Command{Token: 3, Place: partly}},
-		{"gang", 32010 * time.Millisecond, record.Command{Token: 3, Place: members("gang", 1)}},
-		{"group in lockstep", 32020 * time.Millisecond, record.Command{Token: 3, Place: members("lockstep", 1)}},
-		{"member fails", 32100 * time.Millisecond, record.Command{Token: 3, Close: closeRuns(
+		{"gang that is not whole", 32 * time.Second, record.Command{Token: 3, PlaceTasks: partly}},
+		{"gang", 32010 * time.Millisecond, record.Command{Token: 3, PlaceTasks: members("gang", 1)}},
+		{"group in lockstep", 32020 * time.Millisecond, record.Command{Token: 3, PlaceTasks: members("lockstep", 1)}},
+		{"member fails", 32100 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
 			record.RunEnd{Run: runOf("lockstep", "members", 1, 1), Outcome: api.OutcomeFailed, Message: "no memory", Checkpoint: "round 7", Percent: 30},
 		)}},
-		{"others are stopped", 32200 * time.Millisecond, record.Command{Token: 3, Close: closeRuns(
+		{"others are stopped", 32200 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
 			record.RunEnd{Run: runOf("lockstep", "members", 0, 1), Outcome: api.OutcomeStopped, Checkpoint: "round 8", Percent: 35},
 			ended(runOf("lockstep", "members", 2, 1), api.OutcomeStopped, ""),
 		)}},
-		{"group starts again", 33 * time.Second, record.Command{Token: 3, Place: members("lockstep", 2)}},
-		{"member is marked to stop", 33100 * time.Millisecond, record.Command{Token: 3, Stop: &record.Stop{Runs: []record.RunID{runOf("lockstep", "members", 2, 2)}, Reason: record.StopPreempted}}},
-		{"other group starts", 33200 * time.Millisecond, record.Command{Token: 3, Place: members("lockstep-open", 1)}},
-		{"member succeeds", 33300 * time.Millisecond, record.Command{Token: 3, Close: closeRuns(ended(runOf("lockstep-open", "members", 1, 1), api.OutcomeSucceeded, ""))}},
+		{"group starts again", 33 * time.Second, record.Command{Token: 3, PlaceTasks: members("lockstep", 2)}},
+		{"member is marked to stop", 33100 * time.Millisecond, record.Command{Token: 3, StopRuns: &record.StopRuns{Runs: []record.RunID{runOf("lockstep", "members", 2, 2)}, Reason: record.StopPreempted}}},
+		{"other group starts", 33200 * time.Millisecond, record.Command{Token: 3, PlaceTasks: members("lockstep-open", 1)}},
+		{"member succeeds", 33300 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(ended(runOf("lockstep-open", "members", 1, 1), api.OutcomeSucceeded, ""))}},
 	}
 }
 
@@ -342,20 +342,20 @@
 		return occurrenceRun("repeating", step, occurrence, 1)
 	}
 	return []command{
-		{"repeating job", 35 * time.Second, record.Command{Token: 3, Submit: submit("repeating", repeating)}},
-		{"job of one occurrence", 35010 * time.Millisecond, record.Command{Token: 3, Submit: submit("repeating-finished", finished)}},
-		{"repeating job to cancel", 35020 * time.Millisecond, record.Command{Token: 3, Submit: submit("repeating-cancelled", cancelled)}},
-		{"occurrence before it falls due", 36 * time.Second, record.Command{Token: 3, Place: place(on("w1", run("a", 0)))}},
-		{"occurrences fall due", 60200 * time.Millisecond, record.Command{Token: 3, Expand: expand(2)}},
-		{"occurrences start", 60300 * time.Millisecond, record.Command{Token: 3, Place: place(on("w1", run("a", 0)), on("w2", run("a", 1)), on("w1", run("a", 2)), on("w1", occurrenceRun("repeating-finished", "a", 0, 1)))}},
-		{"first steps end", 60400 * time.Millisecond, record.Command{Token: 3, Close: closeRuns(
+		{"repeating job", 35 * time.Second, record.Command{Token: 3, SubmitJob: submit("repeating", repeating)}},
+		{"job of one occurrence", 35010 * time.Millisecond, record.Command{Token: 3, SubmitJob: submit("repeating-finished", finished)}},
+		{"repeating job to cancel", 35020 * time.Millisecond, record.Command{Token: 3, SubmitJob: submit("repeating-cancelled", cancelled)}},
+		{"occurrence before it falls due", 36 * time.Second, record.Command{Token: 3, PlaceTasks: place(on("w1", run("a", 0)))}},
+		{"occurrences fall due", 60200 * time.Millisecond, record.Command{Token: 3, ExpandRepeats: expand(2)}},
+		{"occurrences start", 60300 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(on("w1", run("a", 0)), on("w2", run("a", 1)), on("w1", run("a", 2)), on("w1", occurrenceRun("repeating-finished", "a", 0, 1)))}},
+		{"first steps end", 60400 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
 			ended(run("a", 0), api.OutcomeSucceeded, ""), ended(run("a", 1), api.OutcomeFailed, "no input"), ended(occurrenceRun("repeating-finished", "a", 0, 1), api.OutcomeSucceeded, ""),
 		)}},
-		{"second steps start", 60500 * time.Millisecond, record.Command{Token: 3, Place: place(on("w1", run("b", 0)), on("w1", occurrenceRun("repeating-finished", "b", 0, 1)))}},
-		{"occurrences end", 60600 * time.Millisecond, record.Command{Token: 3, Close: closeRuns(
+		{"second steps start", 60500 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(on("w1", run("b", 0)), on("w1", occurrenceRun("repeating-finished", "b", 0, 1)))}},
+		{"occurrences end", 60600 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
 			ended(run("b", 0), api.OutcomeSucceeded, ""), ended(occurrenceRun("repeating-finished", "b", 0, 1), api.OutcomeSucceeded, ""),
 		)}},
-		{"cancel of a repeating job", 60700 * time.Millisecond, record.Command{Token: 3, Cancel: &record.Cancel{Jobs: []string{"repeating-cancelled"}}}},
+		{"cancel of a repeating job", 60700 * time.Millisecond, record.Command{Token: 3, CancelJobs: &record.CancelJobs{Jobs: []string{"repeating-cancelled"}}}},
 	}
 }
 
@@ -370,8 +370,8 @@
 		spec.Payload = payload
 		after := 61*time.Second + time.Duration(i)*time.Millisecond
 		commands = append(commands,
-			command{"submission of " + id, after, record.Command{Token: 3, Submit: submit(id, spec)}},
-			command{"cancel of " + id, after, record.Command{Token: 3, Cancel: &record.Cancel{Jobs: []string{id}}}},
+			command{"submission of " + id, after, record.Command{Token: 3, SubmitJob: submit(id, spec)}},
+			command{"cancel of " + id, after, record.Command{Token: 3, CancelJobs: &record.CancelJobs{Jobs: []string{id}}}},
 		)
 	}
 	return commands
@@ -391,20 +391,20 @@
 	third := configuration()
 	third.Queues = append(third.Queues, api.QueueConfig{Name: "added", Service: "index", Team: "media"})
 	return []command{
-		{"window given back", 70 * time.Second, record.Command{Token: 4, Release: window("evening", time.Minute, time.Hour)}},
-		{"window given back again", 70010 * time.Millisecond, record.Command{Token: 4, Release: window("evening", time.Minute, time.Hour)}},
-		{"window that ends soon given back", 70020 * time.Millisecond, record.Command{Token: 4, Release: window("hourly", time.Minute, 71*time.Second)}},
-		{"second window given back", 70030 * time.Millisecond, record.Command{Token: 4, Release: window("hourly", time.Hour, 2*time.Hour)}},
+		{"window given back", 70 * time.Second, record.Command{Token: 4, ReleaseWindow: window("evening", time.Minute, time.Hour)}},
+		{"window given back again", 70010 * time.Millisecond, record.Command{Token: 4, ReleaseWindow: window("evening", time.Minute, time.Hour)}},
+		{"window that ends soon given back", 70020 * time.Millisecond, record.Command{Token: 4, ReleaseWindow: window("hourly", time.Minute, 71*time.Second)}},
+		{"second window given back", 70030 * time.Millisecond, record.Command{Token: 4, ReleaseWindow: window("hourly", time.Hour, 2*time.Hour)}},
 		{"drain of a zone", 72 * time.Second, record.Command{Token: 4, DrainZone: &record.DrainZone{Zone: "south", Drained: true}}},
 		{"drain of another zone", 72010 * time.Millisecond, record.Command{Token: 4, DrainZone: &record.DrainZone{Zone: "east", Drained: true}}},
 		{"drain taken back", 72020 * time.Millisecond, record.Command{Token: 4, DrainZone: &record.DrainZone{Zone: "east"}}},
 		{"drain of a third zone", 72030 * time.Millisecond, record.Command{Token: 4, DrainZone: &record.DrainZone{Zone: "west", Drained: true}}},
-		{"workers forgotten", 73 * time.Second, record.Command{Token: 4, Forget: &record.ForgetWorkers{Names: []string{"plain", "w1", "unknown"}}}},
-		{"new life beside open runs, and a change", 73010 * time.Millisecond, record.Command{Token: 4, Register: &record.RegisterWorkers{Workers: []record.Worker{newLife, changed, workerNamed("w3", "life-1", "west")}}}},
+		{"workers forgotten", 73 * time.Second, record.Command{Token: 4, ForgetWorkers: &record.ForgetWorkers{Names: []string{"plain", "w1", "unknown"}}}},
+		{"new life beside open runs, and a change", 73010 * time.Millisecond, record.Command{Token: 4, RegisterWorkers: &record.RegisterWorkers{Workers: []record.Worker{newLife, changed, workerNamed("w3", "life-1", "west")}}}},
 		{"third configuration", 74 * time.Second, record.Command{Token: 4, PutConfig: putConfig("order-5", 2, third, nil)}},
-		{"job of the added queue", 74010 * time.Millisecond, record.Command{Token: 4, Submit: submit("added", jobOf("added", api.StepSpec{Name: "a", Tasks: []api.TaskSpec{{}}}))}},
-		{"earlier clock", 70 * time.Second, record.Command{Token: 4, Cancel: &record.Cancel{Jobs: []string{"doomed"}}}},
-		{"expiry", 75 * time.Second, record.Command{Token: 4, Expire: &record.ExpireArchive{Before: startTime + 6_000, Limit: 10}}},
-		{"expiry again", 76 * time.Second, record.Command{Token: 4, Expire: &record.ExpireArchive{Before: startTime + 6_000, Limit: 1}}},
+		{"job of the added queue", 74010 * time.Millisecond, record.Command{Token: 4, SubmitJob: submit("added", jobOf("added", api.StepSpec{Name: "a", Tasks: []api.TaskSpec{{}}}))}},
+		{"earlier clock", 70 * time.Second, record.Command{Token: 4, CancelJobs: &record.CancelJobs{Jobs: []string{"doomed"}}}},
+		{"expiry", 75 * time.Second, record.Command{Token: 4, ExpireArchive: &record.ExpireArchive{Before: startTime + 6_000, Limit: 10}}},
+		{"expiry again", 76 * time.Second, record.Command{Token: 4, ExpireArchive: &record.ExpireArchive{Before: startTime + 6_000, Limit: 1}}},
 	}
 }
--- a/internal/compatibility/stored/stored_test.go
+++ b/internal/compatibility/stored/stored_test.go
@@ -123,7 +123,7 @@
 // replay brings a machine to the state of all that was committed.
 func replay(t *testing.T, store *storage.Disk, loaded storage.LoadedState) *record.Machine {
 	t.Helper()
-	machine := record.NewMachine(record.Config{Archive: store.Archive(), OrdersKept: ordersKept})
+	machine := record.NewMachine(record.Config{Archive: store.Archive(), MaxConfigOrders: ordersKept})
 	if err := machine.Restore(bytes.NewReader(loaded.SnapshotData)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/indexheap/heap_test.go
+++ b/internal/indexheap/heap_test.go
@@ -22,16 +22,16 @@
 // checkPositions holds what each item knows against where it is.
 func checkPositions(t *testing.T, h Heap[*entry]) {
 	t.Helper()
-	for place, item := range h {
-		if item.position != place {
-			t.Fatalf("the item at %d has position %d", place, item.position)
+	for position, item := range h {
+		if item.position != position {
+			t.Fatalf("the item at %d has position %d", position, item.position)
 		}
 	}
 }
 
-// TestItemsAreFoundAtTheirPosition: after any order of adding, moving and
+// TestHeap_ItemsKnowTheirPosition: after any order of adding, moving and
 // removing, positions are right and items come out in order.
-func TestItemsAreFoundAtTheirPosition(t *testing.T) {
+func TestHeap_ItemsKnowTheirPosition(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var h Heap[*entry]
 	for range 2000 {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestPopKeepsNothing: the room behind the heap does not hold on to items.
-func TestPopKeepsNothing(t *testing.T) {
+// TestPop_ReleasesTheItem: the room behind the heap does not hold on to items.
+func TestPop_ReleasesTheItem(t *testing.T) {
 	var h Heap[*entry]
 	heap.Push(&h, &entry{due: 1})
 	heap.Pop(&h)
--- a/internal/objective/objective.go
+++ b/internal/objective/objective.go
@@ -22,49 +22,49 @@
 )
 
 const (
-	// lateTimes: a job is worth little once it takes so many times its objective.
-	lateTimes = 3
-	// patienceTimes objectives after that, and leastPatience at least, a task goes
+	// lostMultiple: a job is worth little once it takes so many times its objective.
+	lostMultiple = 3
+	// starvationMultiple objectives after that, and minStarvationDelay at least, a task goes
 	// first, so that it does not starve.
-	patienceTimes = 10
-	leastPatience = time.Minute
+	starvationMultiple = 10
+	minStarvationDelay = time.Minute
 )
 
-// Chains are the longest chains of estimates in a job.
-type Chains struct {
-	// From is the longest chain that begins with a step, by the step's place.
-	From []time.Duration
-	// Whole is the longest of the job.
-	Whole time.Duration
+// CriticalPaths are the longest chains of estimates in a job.
+type CriticalPaths struct {
+	// FromStep is the longest chain that begins with a step, by the step's place.
+	FromStep []time.Duration
+	// Job is the longest of the job.
+	Job time.Duration
 }
 
-// ChainsOf works the chains of a job's steps out. Tasks of one step count as
+// CriticalPathsOf works the chains of a job's steps out. Tasks of one step count as
 // running side by side.
-func ChainsOf(steps []api.StepSpec) Chains {
-	chains := Chains{From: make([]time.Duration, len(steps))}
+func CriticalPathsOf(steps []api.StepSpec) CriticalPaths {
+	chains := CriticalPaths{FromStep: make([]time.Duration, len(steps))}
 	known := make([]bool, len(steps))
-	for at := range steps {
-		chains.Whole = max(chains.Whole, chains.follow(steps, known, at))
+	for index := range steps {
+		chains.Job = max(chains.Job, chains.pathFrom(steps, known, index))
 	}
 	return chains
 }
 
-func (c *Chains) follow(steps []api.StepSpec, known []bool, at int) time.Duration {
-	if known[at] {
-		return c.From[at]
+func (c *CriticalPaths) pathFrom(steps []api.StepSpec, known []bool, index int) time.Duration {
+	if known[index] {
+		return c.FromStep[index]
 	}
-	known[at] = true
+	known[index] = true
 	var rest time.Duration
 	for next := range steps {
-		if slices.Contains(steps[next].After, steps[at].Name) {
-			rest = max(rest, c.follow(steps, known, next))
+		if slices.Contains(steps[next].After, steps[index].Name) {
+			rest = max(rest, c.pathFrom(steps, known, next))
 		}
 	}
-	c.From[at] = longestOf(&steps[at]) + rest
-	return c.From[at]
+	c.FromStep[index] = longestEstimate(&steps[index]) + rest
+	return c.FromStep[index]
 }
 
-func longestOf(step *api.StepSpec) time.Duration {
+func longestEstimate(step *api.StepSpec) time.Duration {
 	var longest time.Duration
 	for i := range step.Tasks {
 		longest = max(longest, step.Tasks[i].Estimate.Std())
@@ -72,41 +72,41 @@
 	return longest
 }
 
-// Times are the moments at which a task's rank changes.
-type Times struct {
+// Deadlines are the moments at which a task's rank changes.
+type Deadlines struct {
 	// Since is when the objective began to count.
 	Since record.Millis
-	// Latest is the latest start with which the job can meet its objective, Lost
-	// the one with which it can still end within lateTimes of it.
-	Latest, Lost record.Millis
-	// First is from when on the task goes before all others.
-	First record.Millis
+	// LatestStart is the latest start with which the job can meet its objective, Lost
+	// the one with which it can still end within lostMultiple of it.
+	LatestStart, LostAt record.Millis
+	// PromotedAt is from when on the task goes before all others.
+	PromotedAt record.Millis
 }
 
-// TimesOf returns the times of a task, and false if the queue has no objective
+// DeadlinesOf returns the times of a task, and false if the queue has no objective
 // for it. whole is the job's longest chain, remaining that from the task on.
-func TimesOf(rule *api.ObjectiveConfig, since record.Millis, whole, remaining time.Duration) (Times, bool) {
+func DeadlinesOf(rule *api.ObjectiveConfig, since record.Millis, jobPath, remainingPath time.Duration) (Deadlines, bool) {
 	if rule == nil {
-		return Times{}, false
+		return Deadlines{}, false
 	}
-	span := record.MillisOf(rule.Target.Std() + time.Duration(rule.Stretch*float64(whole)))
+	span := record.MillisOf(rule.Target.Std() + time.Duration(rule.Stretch*float64(jobPath)))
 	if span <= 0 {
-		return Times{}, false
+		return Deadlines{}, false
 	}
-	lost := since + lateTimes*span - record.MillisOf(remaining)
-	return Times{
-		Since:  since,
-		Latest: since + span - record.MillisOf(remaining),
-		Lost:   lost,
-		First:  max(lost, since) + max(patienceTimes*span, record.MillisOf(leastPatience)),
+	lost := since + lostMultiple*span - record.MillisOf(remainingPath)
+	return Deadlines{
+		Since:       since,
+		LatestStart: since + span - record.MillisOf(remainingPath),
+		LostAt:      lost,
+		PromotedAt:  max(lost, since) + max(starvationMultiple*span, record.MillisOf(minStarvationDelay)),
 	}, true
 }
 
-// Allowance is how long a job may wait for its start and still end within a
+// StartAllowance is how long a job may wait for its start and still end within a
 // multiple of its objective; 0 at least. whole is its longest chain.
-func Allowance(rule *api.ObjectiveConfig, whole time.Duration, multiple float64) time.Duration {
-	span := float64(rule.Target.Std()) + rule.Stretch*float64(whole)
-	return max(time.Duration(multiple*span)-whole, 0)
+func StartAllowance(rule *api.ObjectiveConfig, jobPath time.Duration, multiple float64) time.Duration {
+	span := float64(rule.Target.Std()) + rule.Stretch*float64(jobPath)
+	return max(time.Duration(multiple*span)-jobPath, 0)
 }
 
 // Tier comes before order: all of a lower tier go first.
@@ -114,33 +114,33 @@
 
 // Tiers.
 const (
-	// Met: the objective can still be met, or the task has waited for too long.
-	Met Tier = iota
-	// Late: the job can still end within lateTimes of its objective.
-	Late
+	// TierOnTime: the objective can still be met, or the task has waited for too long.
+	TierOnTime Tier = iota
+	// TierLate: the job can still end within lostMultiple of its objective.
+	TierLate
 	// Lost: it cannot.
-	Lost
+	TierLost
 )
 
 // Rank is a task's place among those of equal priority: by Tier, then by Key.
 type Rank struct {
 	Tier Tier
 	Key  record.Millis
-	// Until is when the rank changes; 0 if it does not.
-	Until record.Millis
+	// ValidUntil is when the rank changes; 0 if it does not.
+	ValidUntil record.Millis
 }
 
 // RankAt returns the rank that holds at a moment.
-func (t Times) RankAt(now record.Millis) Rank {
+func (t Deadlines) RankAt(now record.Millis) Rank {
 	switch {
-	case now < t.Latest:
-		return Rank{Tier: Met, Key: t.Latest, Until: t.Latest}
-	case now < t.Lost:
-		return Rank{Tier: Late, Key: t.Lost, Until: t.Lost}
-	case now < t.First:
-		return Rank{Tier: Lost, Key: t.First, Until: t.First}
+	case now < t.LatestStart:
+		return Rank{Tier: TierOnTime, Key: t.LatestStart, ValidUntil: t.LatestStart}
+	case now < t.LostAt:
+		return Rank{Tier: TierLate, Key: t.LostAt, ValidUntil: t.LostAt}
+	case now < t.PromotedAt:
+		return Rank{Tier: TierLost, Key: t.PromotedAt, ValidUntil: t.PromotedAt}
 	default:
 		// Earlier than any latest start that is still to come.
-		return Rank{Tier: Met, Key: t.Since}
+		return Rank{Tier: TierOnTime, Key: t.Since}
 	}
 }
--- a/internal/record/archive.go
+++ b/internal/record/archive.go
@@ -38,15 +38,15 @@
 	Tasks int `cbor:"4,keyasint"`
 }
 
-// times is the number of all occurrences.
-func (o *ArchivedOccurrences) times() int { return o.Succeeded + o.Failed + o.Cancelled }
+// total is the number of all occurrences.
+func (o *ArchivedOccurrences) total() int { return o.Succeeded + o.Failed + o.Cancelled }
 
 // status is the answer to a caller; nil if the job did not repeat.
 func (o *ArchivedOccurrences) status() *api.OccurrenceStatus {
 	if o == nil {
 		return nil
 	}
-	return &api.OccurrenceStatus{Times: o.times(), Succeeded: o.Succeeded, Failed: o.Failed, Cancelled: o.Cancelled}
+	return &api.OccurrenceStatus{Times: o.total(), Succeeded: o.Succeeded, Failed: o.Failed, Cancelled: o.Cancelled}
 }
 
 // ArchivedStep keeps the outcomes of one step.
@@ -75,7 +75,7 @@
 	Page(afterIndex uint64, afterID string, limit int) ([]ArchivedJob, error)
 	// List returns at most limit jobs in the order of their ids.
 	List(afterID string, limit int) ([]ArchivedJob, error)
-	// Expire drops at most limit jobs that ended before the time, oldest
+	// ExpireArchive drops at most limit jobs that ended before the time, oldest
 	// first, and returns how many.
 	Expire(before Millis, limit int) (int, error)
 	// Bytes is the room that the store takes now, in bytes.
@@ -91,20 +91,20 @@
 
 // archiveExpiry holds back the dropping of expired jobs.
 type archiveExpiry struct {
-	// safeBefore is the expiry of a snapshot that is surely durable.
-	safeBefore Millis
-	// last is the newest snapshot taken; it is durable once another is asked
+	// durableBefore is the expiry of a snapshot that is surely durable.
+	durableBefore Millis
+	// latest is the newest snapshot taken; it is durable once another is asked
 	// for after it was written.
-	last *takenSnapshot
+	latest *snapshotExpiry
 }
 
-type takenSnapshot struct {
+type snapshotExpiry struct {
 	expiredBefore Millis
 	written       atomic.Bool
 }
 
-// archived returns an ended job that the present state knows of.
-func (m *Machine) archived(id string) (ArchivedJob, bool, error) {
+// findArchived returns an ended job that the present state knows of.
+func (m *Machine) findArchived(id string) (ArchivedJob, bool, error) {
 	job, found, err := m.archive.Get(id)
 	if err != nil {
 		return ArchivedJob{}, false, fmt.Errorf("record: read archived job %q: %w", id, err)
@@ -115,14 +115,14 @@
 	return job, true, nil
 }
 
-// archiveEnded hands over, in one batch, the jobs that the entry ended.
-func (m *Machine) archiveEnded() error {
-	if len(m.ended) == 0 {
+// archiveEndedJobs hands over, in one batch, the jobs that the entry ended.
+func (m *Machine) archiveEndedJobs() error {
+	if len(m.archiveBatch) == 0 {
 		return nil
 	}
 	m.state.compactJobs(m.endedJobs)
-	err := m.archive.Put(m.ended)
-	m.ended = nil
+	err := m.archive.Put(m.archiveBatch)
+	m.archiveBatch = nil
 	m.endedJobs = nil
 	if err != nil {
 		return fmt.Errorf("record: archive ended jobs: %w", err)
@@ -130,11 +130,11 @@
 	return nil
 }
 
-// applyExpire hides archived jobs that ended before a time, and drops at most
+// applyExpireArchive hides archived jobs that ended before a time, and drops at most
 // Limit of those that are hidden in a durable snapshot too.
-func (m *Machine) applyExpire(expire *ExpireArchive) error {
+func (m *Machine) applyExpireArchive(expire *ExpireArchive) error {
 	m.state.expiredBefore = max(m.state.expiredBefore, expire.Before)
-	before := min(m.state.expiredBefore, m.expiry.safeBefore)
+	before := min(m.state.expiredBefore, m.expiry.durableBefore)
 	if before <= 0 || expire.Limit <= 0 {
 		return nil
 	}
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// archiveJob reduces an ended job to its outcome.
-func archiveJob(job *Job, endedAt Millis, index uint64) ArchivedJob {
+// newArchivedJob reduces an ended job to its outcome.
+func newArchivedJob(job *Job, endedAt Millis, index uint64) ArchivedJob {
 	archived := ArchivedJob{
 		ID:          job.ID,
 		Digest:      job.Digest,
@@ -156,15 +156,15 @@
 		EndedAt:     endedAt,
 		Steps:       make([]ArchivedStep, len(job.Steps)),
 		Index:       index,
-		Occurrences: archiveOccurrences(job),
+		Occurrences: newArchivedOccurrences(job),
 	}
 	for i, step := range job.Steps {
-		archived.Steps[i] = archiveStep(step)
+		archived.Steps[i] = newArchivedStep(step)
 	}
 	return archived
 }
 
-func archiveOccurrences(job *Job) *ArchivedOccurrences {
+func newArchivedOccurrences(job *Job) *ArchivedOccurrences {
 	if job.Repetition == nil {
 		return nil
 	}
@@ -176,7 +176,7 @@
 	}
 }
 
-func archiveStep(step *Step) ArchivedStep {
+func newArchivedStep(step *Step) ArchivedStep {
 	archived := ArchivedStep{
 		Name:  step.Spec.Name,
 		Tasks: make([]ArchivedTask, len(step.Tasks)),
@@ -195,7 +195,7 @@
 
 // Status is the answer to a caller.
 func (a *ArchivedJob) Status() api.JobStatus {
-	status := a.brief()
+	status := a.statusWithoutSteps()
 	status.Steps = make([]api.StepStatus, len(a.Steps))
 	for i := range a.Steps {
 		status.Steps[i] = a.Steps[i].status(a.ID)
@@ -203,8 +203,8 @@
 	return status
 }
 
-// brief is the answer to a caller without the steps.
-func (a *ArchivedJob) brief() api.JobStatus {
+// statusWithoutSteps is the answer to a caller without the steps.
+func (a *ArchivedJob) statusWithoutSteps() api.JobStatus {
 	endedAt := a.EndedAt.Time()
 	return api.JobStatus{
 		ID:          a.ID,
@@ -225,7 +225,7 @@
 		tasks += len(a.Steps[i].Tasks)
 	}
 	if a.Occurrences != nil {
-		tasks = a.Occurrences.Tasks * a.Occurrences.times()
+		tasks = a.Occurrences.Tasks * a.Occurrences.total()
 	}
 	return api.JobSummary{
 		ID:          a.ID,
--- a/internal/record/cancel.go
+++ b/internal/record/cancel.go
@@ -1,17 +1,17 @@
 package record
 
-// applyCancel cancels live jobs; unknown, ended and cancelled ones are passed
+// applyCancelJobs cancels live jobs; unknown, ended and cancelled ones are passed
 // over. A job has ended once all its tasks are final, although runs may be open.
-func (m *Machine) applyCancel(cancel *Cancel) {
+func (m *Machine) applyCancelJobs(cancel *CancelJobs) {
 	for _, id := range cancel.Jobs {
 		job := m.state.jobs[id]
 		if job == nil || !job.MayCancel() {
 			continue
 		}
 		job.Cancelled = true
-		job.cancelRest()
+		job.cancelFutureOccurrences()
 		m.cancelTasks(job)
-		m.endJobIfDone(job)
+		m.archiveJobIfComplete(job)
 	}
 }
 
@@ -21,29 +21,29 @@
 			switch {
 			case task.State.Final():
 			case task.Run != nil:
-				m.markStopping(task.Run, StopCancelled)
+				m.requestStop(task.Run, StopCancelled)
 			default:
-				m.endWaiting(task, TaskCancelled, reasonJobCancelled)
+				m.finishWithoutRun(task, TaskCancelled, reasonJobCancelled)
 			}
 		}
 	}
 }
 
-// applyStop marks open runs to be stopped.
-func (m *Machine) applyStop(stop *Stop) {
+// applyStopRuns marks open runs to be stopped.
+func (m *Machine) applyStopRuns(stop *StopRuns) {
 	if stop.Reason == StopNone {
 		return
 	}
 	for _, id := range stop.Runs {
-		if run := m.openRun(id); run != nil {
-			m.markStopping(run, stop.Reason)
-			m.breakGroup(run.Task, "stopped: "+string(run.Stop))
+		if run := m.findOpenRun(id); run != nil {
+			m.requestStop(run, stop.Reason)
+			m.stopGangPeers(run.Task, "stopped: "+string(run.Stop))
 		}
 	}
 }
 
-// markStopping keeps the first reason, except that StopCancelled overrides.
-func (m *Machine) markStopping(run *Run, reason StopReason) {
+// requestStop keeps the first reason, except that StopCancelled overrides.
+func (m *Machine) requestStop(run *Run, reason StopReason) {
 	overrides := reason == StopCancelled && run.Stop != StopCancelled
 	if run.Stop != StopNone && !overrides {
 		return
@@ -52,8 +52,8 @@
 	m.emit(RunStopping{Run: run})
 }
 
-// openRun returns the run if it is open, else nil.
-func (m *Machine) openRun(id RunID) *Run {
+// findOpenRun returns the run if it is open, else nil.
+func (m *Machine) findOpenRun(id RunID) *Run {
 	task := m.state.task(id.Task)
 	if task == nil || task.Run == nil || task.Run.Number != id.Number {
 		return nil
--- a/internal/record/checker_test.go
+++ b/internal/record/checker_test.go
@@ -9,16 +9,16 @@
 	"github.com/decklever/decklever/api"
 )
 
-// checker holds the machine against what it has shown before.
-type checker struct {
+// invariantChecker holds the machine against what it has shown before.
+type invariantChecker struct {
 	t        *rapid.T
 	machine  *Machine
 	open     map[RunID]bool
 	lastRun  map[*Task]uint32
 	final    map[*Task]TaskState
 	accepted map[string]bool
-	// preempted counts as Task.Preemptions should.
-	preempted map[*Task]int
+	// preemptions counts as Task.Preemptions should.
+	preemptions map[*Task]int
 	// failedRuns are the numbers of the failed runs of groups in lockstep.
 	failedRuns map[*Step]map[uint32]bool
 	// checkpointRun is the run that left the checkpoint seen last.
@@ -33,71 +33,71 @@
 	configVersion   uint64
 }
 
-func newChecker(t *rapid.T, machine *Machine) *checker {
-	c := &checker{
+func newInvariantChecker(t *rapid.T, machine *Machine) *invariantChecker {
+	c := &invariantChecker{
 		t: t, machine: machine, open: make(map[RunID]bool), lastRun: make(map[*Task]uint32),
 		final: make(map[*Task]TaskState), accepted: make(map[string]bool),
-		preempted: make(map[*Task]int), drained: make(map[string]bool),
+		preemptions: make(map[*Task]int), drained: make(map[string]bool),
 		failedRuns: make(map[*Step]map[uint32]bool), checkpointRun: make(map[*Task]uint32),
 	}
-	machine.Observe(nil, c.event)
+	machine.Observe(nil, c.observeEvent)
 	return c
 }
 
-func (c *checker) event(event Event) {
+func (c *invariantChecker) observeEvent(event Event) {
 	switch e := event.(type) {
 	case RunOpened:
 		if c.open[e.Run.ID()] || e.Run.Number != c.lastRun[e.Run.Task]+1 {
 			c.t.Fatalf("%v opened again or out of order", e.Run.ID())
 		}
-		if e.Run.Task.Step.WaitsOn != 0 || e.Run.Task.Step.Job.Cancelled {
+		if e.Run.Task.Step.OpenDependencies != 0 || e.Run.Task.Step.Job.Cancelled {
 			c.t.Fatalf("%v must not start", e.Run.ID())
 		}
-		if e.Run.Task.Step.earliestStart() > c.machine.state.clock {
+		if e.Run.Task.Step.earliestTaskStart() > c.machine.state.clock {
 			c.t.Fatalf("%v started before it fell due", e.Run.ID())
 		}
 		c.lastRun[e.Run.Task] = e.Run.Number
 		c.open[e.Run.ID()] = true
-		c.boundsHold(e.Run.Task.Step.Job.Spec.Queue)
+		c.checkRunningLimits(e.Run.Task.Step.Job.Spec.Queue)
 	case RunClosed:
 		if !c.open[e.Run.ID()] {
 			c.t.Fatalf("%v closed but not open", e.Run.ID())
 		}
 		delete(c.open, e.Run.ID())
 		if e.Run.Stop == StopPreempted && e.Outcome != api.OutcomeSucceeded && e.Run.Task.State != TaskSucceeded {
-			c.preempted[e.Run.Task]++
+			c.preemptions[e.Run.Task]++
 		}
 		// The event comes after the change, so that a task whose last failure
 		// is not counted by then would show.
 		cancelled := e.Run.Stop == StopCancelled || e.Run.Task.Step.Job.Cancelled
 		if !cancelled && e.Outcome == api.OutcomeFailed && e.Run.Task.State != TaskSucceeded {
-			c.noteFailedRun(e.Run)
+			c.recordFailedRun(e.Run)
 		}
-		c.pause(e.Run.Task)
+		c.checkBackoff(e.Run.Task)
 	case WindowReleased:
 		c.released = append(c.released, e.Window)
 	case OccurrenceEnded:
-		c.ended(e.Steps)
+		c.checkFinished(e.Steps)
 	case JobEnded:
-		c.ended(e.Job.Steps)
-		c.repetition(e.Job)
+		c.checkFinished(e.Job.Steps)
+		c.checkRepetition(e.Job)
 	}
 }
 
-// pause checks that a task that runs until cancelled may soon run again.
-func (c *checker) pause(task *Task) {
+// checkBackoff checks that a task that runs until cancelled may soon run again.
+func (c *invariantChecker) checkBackoff(task *Task) {
 	s := c.machine.state
 	longest := max(Millis(s.settings.effective.Timings.RetryDelay.Std()/time.Millisecond), 2000)
-	if pause := task.NotBefore - max(s.clock, task.Step.earliestStart()); task.Endless() && pause > longest {
+	if pause := task.NotBefore - max(s.clock, task.Step.earliestTaskStart()); task.RunsUntilCancelled() && pause > longest {
 		c.t.Fatalf("%s waits for %d ms after a run", task.ID, pause)
 	}
 }
 
 // ended checks steps that leave memory.
-func (c *checker) ended(steps []*Step) {
+func (c *invariantChecker) checkFinished(steps []*Step) {
 	for _, step := range steps {
 		for _, task := range step.Tasks {
-			c.task(task)
+			c.checkTask(task)
 			if !task.State.Final() {
 				c.t.Fatalf("%s left memory in state %d", task.ID, task.State)
 			}
@@ -105,8 +105,8 @@
 	}
 }
 
-// repetition holds the counts of a repeating job against its live occurrences.
-func (c *checker) repetition(job *Job) {
+// checkRepetition holds the counts of a repeating job against its live occurrences.
+func (c *invariantChecker) checkRepetition(job *Job) {
 	if job.Repetition == nil {
 		return
 	}
@@ -118,30 +118,30 @@
 		c.t.Fatalf("job %s: occurrences are cancelled, the job is not", job.ID)
 	}
 	for _, one := range job.occurrences {
-		if one.over() {
+		if one.ended() {
 			c.t.Fatalf("job %s: occurrence %d has ended and is live", job.ID, one.number)
 		}
 	}
 }
 
 // boundsHold checks queue and team right after a run was opened.
-func (c *checker) boundsHold(queue string) {
+func (c *invariantChecker) checkRunningLimits(queue string) {
 	s := c.machine.state
-	most := s.settings.queues[queue].MaxRunningTasks
-	if most > 0 && s.queues[queue].RunningTasks > most {
-		c.t.Fatalf("queue %s runs more than %d tasks", queue, most)
+	limit := s.settings.queues[queue].MaxRunningTasks
+	if limit > 0 && s.queueCounts[queue].RunningTasks > limit {
+		c.t.Fatalf("queue %s runs more than %d tasks", queue, limit)
 	}
 	team := s.settings.queues[queue].Team
-	most = s.settings.teams[team].MaxRunningTasks
-	if most > 0 && s.teams[team].RunningTasks > most {
-		c.t.Fatalf("team %s runs more than %d tasks", team, most)
+	limit = s.settings.teams[team].MaxRunningTasks
+	if limit > 0 && s.teamCounts[team].RunningTasks > limit {
+		c.t.Fatalf("team %s runs more than %d tasks", team, limit)
 	}
 }
 
-// windows holds the released windows against those that events told of.
-func (c *checker) windows(command Command, before int) {
+// checkReleasedWindows holds the released windows against those that events told of.
+func (c *invariantChecker) checkReleasedWindows(command Command, before int) {
 	s := c.machine.state
-	if release := command.Release; release != nil {
+	if release := command.ReleaseWindow; release != nil {
 		known := slices.ContainsFunc(c.released[:before], func(other ReleaseWindow) bool {
 			return other.End > s.clock && release.sameWindow(other)
 		})
@@ -151,27 +151,27 @@
 	}
 	c.released = slices.DeleteFunc(c.released, func(window ReleaseWindow) bool { return window.End <= s.clock })
 	slices.SortFunc(c.released, compareReleases)
-	if !slices.Equal(c.released, s.released) {
-		c.t.Fatalf("released %v, expected %v", s.released, c.released)
+	if !slices.Equal(c.released, s.releasedWindows) {
+		c.t.Fatalf("released %v, expected %v", s.releasedWindows, c.released)
 	}
 }
 
-func (c *checker) after(command Command, result Result) {
-	if command.Submit != nil && result.Submit.Outcome == SubmitAccepted {
-		c.accepted[command.Submit.ID] = true
+func (c *invariantChecker) checkCommand(command Command, result Result) {
+	if command.SubmitJob != nil && result.Submit.Outcome == SubmitAccepted {
+		c.accepted[command.SubmitJob.ID] = true
 	}
 	s := c.machine.state
-	c.drains(command, result)
-	c.windows(command, c.releasedBefore)
+	c.checkDrains(command, result)
+	c.checkReleasedWindows(command, c.releasedBefore)
 	c.releasedBefore = len(c.released)
 	tasks, runs, used, queues := 0, 0, make(map[string]api.Resources), make(map[string]QueueCounts)
-	for _, job := range s.jobList {
+	for _, job := range s.sortedJobs {
 		open, outlasting := 0, 0
 		counts := queues[job.Spec.Queue]
 		counts.Jobs++
 		for _, step := range job.Steps {
 			for _, task := range step.Tasks {
-				c.task(task)
+				c.checkTask(task)
 				tasks++
 				switch {
 				case task.Run != nil:
@@ -190,7 +190,7 @@
 			}
 		}
 		queues[job.Spec.Queue] = counts
-		c.repetition(job)
+		c.checkRepetition(job)
 		toCome := job.Repetition != nil && job.Repetition.Next < job.Occurrences()
 		if open+outlasting == 0 && !toCome || open != job.OpenTasks || s.jobs[job.ID] != job {
 			c.t.Fatalf("job %s: %d open tasks, %d counted", job.ID, open, job.OpenTasks)
@@ -199,12 +199,12 @@
 	if tasks != s.taskTotal {
 		c.t.Fatalf("%d tasks, %d counted", tasks, s.taskTotal)
 	}
-	c.totals(runs, used, queues)
-	c.teams(queues)
-	c.jobsAreFound()
+	c.checkTotals(runs, used, queues)
+	c.checkTeamCounts(queues)
+	c.checkJobsFound()
 }
 
-func (c *checker) task(task *Task) {
+func (c *invariantChecker) checkTask(task *Task) {
 	if before, ended := c.final[task]; ended && before != task.State {
 		c.t.Fatalf("%s was final and changed", task.ID)
 	}
@@ -218,12 +218,12 @@
 	if outlasts && task.Run != nil && task.Run.Stop == StopNone {
 		c.t.Fatalf("%s: its group has succeeded and its run may go on", task.ID)
 	}
-	c.checkpoint(task)
-	if task.Preemptions != c.preempted[task] {
-		c.t.Fatalf("%s: %d preemptions, expected %d", task.ID, task.Preemptions, c.preempted[task])
+	c.checkCheckpoint(task)
+	if task.Preemptions != c.preemptions[task] {
+		c.t.Fatalf("%s: %d preemptions, expected %d", task.ID, task.Preemptions, c.preemptions[task])
 	}
 	if task.Step.Spec.Lockstep {
-		c.member(task)
+		c.checkGangMember(task)
 		return
 	}
 	if task.Spec.UntilCancelled {
@@ -237,14 +237,14 @@
 	}
 }
 
-func (c *checker) totals(runs int, used map[string]api.Resources, queues map[string]QueueCounts) {
+func (c *invariantChecker) checkTotals(runs int, used map[string]api.Resources, queues map[string]QueueCounts) {
 	s := c.machine.state
-	if runs != s.runTotal || runs != len(c.open) || len(s.jobs) != len(s.jobList) {
+	if runs != s.runTotal || runs != len(c.open) || len(s.jobs) != len(s.sortedJobs) {
 		c.t.Fatalf("%d runs, %d counted, %d by events", runs, s.runTotal, len(c.open))
 	}
 	listed := 0
-	for workerID, held := range s.loads {
-		for _, run := range held.runs {
+	for workerID, load := range s.loadByWorkerID {
+		for _, run := range load.runs {
 			listed++
 			if run.Task.Run != run || run.WorkerID != workerID {
 				c.t.Fatalf("worker %s: run %v is listed and not open there", workerID, run.ID())
@@ -256,22 +256,22 @@
 	}
 	for workerID, amount := range used {
 		worker := s.workersByID[workerID]
-		if s.used(workerID) != amount || worker == nil || !amount.Fits(worker.Capacity) {
-			c.t.Fatalf("worker %s: used %v, counted %v", workerID, amount, s.used(workerID))
+		if s.usedResources(workerID) != amount || worker == nil || !amount.Fits(worker.Capacity) {
+			c.t.Fatalf("worker %s: used %v, counted %v", workerID, amount, s.usedResources(workerID))
 		}
 	}
-	if len(used) != len(s.loads) || len(queues) != len(s.queues) {
+	if len(used) != len(s.loadByWorkerID) || len(queues) != len(s.queueCounts) {
 		c.t.Fatal("a load or a queue is left over")
 	}
 	for name, counts := range queues {
-		if *s.queues[name] != counts {
-			c.t.Fatalf("queue %s: %v, counted %v", name, counts, *s.queues[name])
+		if *s.queueCounts[name] != counts {
+			c.t.Fatalf("queue %s: %v, counted %v", name, counts, *s.queueCounts[name])
 		}
 	}
 }
 
 // teams holds a team's counts against the sum over its queues.
-func (c *checker) teams(queues map[string]QueueCounts) {
+func (c *invariantChecker) checkTeamCounts(queues map[string]QueueCounts) {
 	s := c.machine.state
 	var sum QueueCounts
 	for name, counts := range queues {
@@ -286,12 +286,12 @@
 			c.t.Fatalf("team counted %v, expected %v", got, sum)
 		}
 	})
-	if sum == (QueueCounts{}) && len(s.teams) > 0 {
+	if sum == (QueueCounts{}) && len(s.teamCounts) > 0 {
 		c.t.Fatal("a team is left over")
 	}
 }
 
-func (c *checker) jobsAreFound() {
+func (c *invariantChecker) checkJobsFound() {
 	expired := c.machine.state.expiredBefore > 0
 	c.machine.Read(func(v View) {
 		for id := range c.accepted {
--- a/internal/record/checkpoint.go
+++ b/internal/record/checkpoint.go
@@ -2,7 +2,7 @@
 
 import "github.com/decklever/decklever/api"
 
-// checkpoint is the newest text that an earlier run of a task left, from which
+// checkCheckpoint is the newest text that an earlier run of a task left, from which
 // the next run goes on.
 type checkpoint struct {
 	text string
@@ -17,26 +17,26 @@
 	if !t.Spec.Resumable {
 		return ""
 	}
-	return t.checkpointHolder().checkpoint.text
+	return t.checkpointOwner().checkpoint.text
 }
 
-// checkpointHolder is the task that keeps the checkpoint: a group in lockstep
+// checkpointOwner is the task that keeps the checkpoint: a group in lockstep
 // has one, which its first member keeps.
-func (t *Task) checkpointHolder() *Task {
+func (t *Task) checkpointOwner() *Task {
 	if t.Step.Spec.Lockstep {
 		return t.Step.Tasks[0]
 	}
 	return t
 }
 
-// keepCheckpoint keeps what a run left that is closed or was closed before. A
+// updateCheckpoint keeps what a run left that is closed or was closed before. A
 // run that left none changes nothing. Of several ends of one run number, as
 // members of a group have, the one that got furthest counts.
-func (t *Task) keepCheckpoint(end *RunEnd) {
+func (t *Task) updateCheckpoint(end *RunEnd) {
 	if !t.Spec.Resumable || end.Checkpoint == "" || len(end.Checkpoint) > api.MaxCheckpointBytes {
 		return
 	}
-	kept := &t.checkpointHolder().checkpoint
+	kept := &t.checkpointOwner().checkpoint
 	older := end.Run.Number < kept.run
 	behind := end.Run.Number == kept.run && end.Percent < kept.percent
 	if end.Outcome == api.OutcomeSucceeded || older || behind {
--- a/internal/record/checkpoint_property_test.go
+++ b/internal/record/checkpoint_property_test.go
@@ -8,10 +8,10 @@
 	return fmt.Sprintf("%s %d %d", run.Task, run.Number, percent)
 }
 
-// checkpoint checks that a task keeps only what its own runs left, or those of
+// checkCheckpoint checks that a task keeps only what its own runs left, or those of
 // its group in lockstep, and never goes back to an earlier run.
-func (c *checker) checkpoint(task *Task) {
-	kept := task.checkpointHolder().checkpoint
+func (c *invariantChecker) checkCheckpoint(task *Task) {
+	kept := task.checkpointOwner().checkpoint
 	if kept.text == "" {
 		if kept != (checkpoint{}) || c.checkpointRun[task] != 0 {
 			c.t.Fatalf("%s lost its checkpoint", task.ID)
--- a/internal/record/checkpoint_test.go
+++ b/internal/record/checkpoint_test.go
@@ -16,20 +16,20 @@
 	return spec
 }
 
-func (r *rig) closeAt(task TaskID, number uint32, outcome api.Outcome, percent int, text string) {
+func (r *harness) closeWithCheckpoint(task TaskID, number uint32, outcome api.Outcome, percent int, text string) {
 	r.t.Helper()
 	end := RunEnd{Run: RunID{Task: task, Number: number}, Outcome: outcome, Checkpoint: text, Percent: percent}
-	r.apply(Command{Close: &Close{Runs: []RunEnd{end}}})
+	r.apply(Command{CloseRuns: &CloseRuns{Runs: []RunEnd{end}}})
 }
 
-func TestCheckpointOfTheNewestRunIsKept(t *testing.T) {
-	r := newRig(t)
+func TestCheckpoint_NewestRunWins(t *testing.T) {
+	r := newHarness(t)
 	r.register(testWorker("w1"))
-	spec := resumable(step("a", 2))
+	spec := resumable(stepSpec("a", 2))
 	spec.Tasks[1].Resumable = false
 	spec.Tasks[0].UntilCancelled, spec.Tasks[1].UntilCancelled = true, true
 	r.submit("j", spec)
-	task, other := id("j", "a", 0), id("j", "a", 1)
+	task, other := taskID("j", "a", 0), taskID("j", "a", 1)
 	steps := []struct {
 		what    string
 		outcome api.Outcome
@@ -47,9 +47,9 @@
 	for i, step := range steps {
 		number := uint32(i + 1)
 		r.now += 100_000
-		r.mustPlace(onWorker(task, number, "w1"), onWorker(other, number, "w1"))
-		r.closeAt(task, number, step.outcome, step.percent, step.text)
-		r.closeAt(other, number, step.outcome, step.percent, step.text)
+		r.mustPlace(placementOn(task, number, "w1"), placementOn(other, number, "w1"))
+		r.closeWithCheckpoint(task, number, step.outcome, step.percent, step.text)
+		r.closeWithCheckpoint(other, number, step.outcome, step.percent, step.text)
 		expect(t, step.what, r.task(task).NewestCheckpoint(), step.want)
 		expect(t, "a task that is not resumable", r.task(other).NewestCheckpoint(), "")
 	}
@@ -61,44 +61,44 @@
 	}
 }
 
-func TestLateReportBringsItsCheckpoint(t *testing.T) {
-	r := newRig(t)
+func TestCheckpoint_LateReportOfNewestRunCounts(t *testing.T) {
+	r := newHarness(t)
 	r.register(testWorker("w1"))
-	r.submit("j", resumable(step("a", 1)))
-	task := id("j", "a", 0)
-	r.mustPlace(onWorker(task, 1, "w1"))
-	r.closeAt(task, 1, api.OutcomeLost, 40, "heard")
-	r.closeAt(task, 1, api.OutcomeStopped, 40, "at the stop")
+	r.submit("j", resumable(stepSpec("a", 1)))
+	task := taskID("j", "a", 0)
+	r.mustPlace(placementOn(task, 1, "w1"))
+	r.closeWithCheckpoint(task, 1, api.OutcomeLost, 40, "heard")
+	r.closeWithCheckpoint(task, 1, api.OutcomeStopped, 40, "at the stop")
 	expect(t, "newer of one run", r.task(task).NewestCheckpoint(), "at the stop")
-	r.mustPlace(onWorker(task, 2, "w1"))
-	r.closeAt(task, 1, api.OutcomeStopped, 90, "stale")
+	r.mustPlace(placementOn(task, 2, "w1"))
+	r.closeWithCheckpoint(task, 1, api.OutcomeStopped, 90, "stale")
 	expect(t, "while a newer run is open", r.task(task).NewestCheckpoint(), "at the stop")
-	r.closeAt(task, 2, api.OutcomeLost, 0, "")
-	r.closeAt(task, 1, api.OutcomeStopped, 90, "stale")
+	r.closeWithCheckpoint(task, 2, api.OutcomeLost, 0, "")
+	r.closeWithCheckpoint(task, 1, api.OutcomeStopped, 90, "stale")
 	expect(t, "of an older run", r.task(task).NewestCheckpoint(), "at the stop")
 }
 
-func TestLockstepMembersStartFromOneCheckpoint(t *testing.T) {
-	r := newLockstepRig(t, 3)
-	group := resumable(step("a", 3))
+func TestGang_CommonOutcomeSharesOneCheckpoint(t *testing.T) {
+	r := newGangHarness(t, 3)
+	group := resumable(stepSpec("a", 3))
 	group.Lockstep = true
 	r.submit("k", group)
-	r.members = []TaskID{id("k", "a", 0), id("k", "a", 1), id("k", "a", 2)}
+	r.members = []TaskID{taskID("k", "a", 0), taskID("k", "a", 1), taskID("k", "a", 2)}
 	want := func(what, text string) {
 		t.Helper()
 		for _, member := range r.members {
 			expect(t, what, r.task(member).NewestCheckpoint(), text)
 		}
 	}
-	r.mustPlace(r.whole(1)...)
-	r.closeAt(r.members[2], 1, api.OutcomeLost, 30, "at 30")
-	r.closeAt(r.members[0], 1, api.OutcomeStopped, 40, "at 40")
-	r.closeAt(r.members[1], 1, api.OutcomeStopped, 35, "at 35")
+	r.mustPlace(r.allMembers(1)...)
+	r.closeWithCheckpoint(r.members[2], 1, api.OutcomeLost, 30, "at 30")
+	r.closeWithCheckpoint(r.members[0], 1, api.OutcomeStopped, 40, "at 40")
+	r.closeWithCheckpoint(r.members[1], 1, api.OutcomeStopped, 35, "at 35")
 	want("the one that got furthest", "at 40")
-	r.mustPlace(r.whole(2)...)
-	r.closeAt(r.members[1], 2, api.OutcomeFailed, 0, "")
-	r.closeAt(r.members[2], 2, api.OutcomeStopped, 5, "second at 5")
-	r.closeAt(r.members[0], 2, api.OutcomeStopped, 0, "")
+	r.mustPlace(r.allMembers(2)...)
+	r.closeWithCheckpoint(r.members[1], 2, api.OutcomeFailed, 0, "")
+	r.closeWithCheckpoint(r.members[2], 2, api.OutcomeStopped, 5, "second at 5")
+	r.closeWithCheckpoint(r.members[0], 2, api.OutcomeStopped, 0, "")
 	want("a newer run", "second at 5")
 	again := restored(t, snapshotBytes(t, r.machine), r.archive)
 	for _, member := range r.members {
--- a/internal/record/close.go
+++ b/internal/record/close.go
@@ -11,31 +11,31 @@
 const (
 	// maxReasonBytes bounds the text that is kept of a worker's message.
 	maxReasonBytes = 1024
-	// maxRetryDoublings bounds the growth of the pause before a retry.
-	maxRetryDoublings = 5
-	// longestEndlessPause bounds the pause of a task that runs until cancelled,
+	// maxBackoffDoublings bounds the growth of the pause before a retry.
+	maxBackoffDoublings = 5
+	// maxUntilCancelledBackoff bounds the pause of a task that runs until cancelled,
 	// unless the first pause is longer.
-	longestEndlessPause Millis = 2_000
-	// steadyRun is how long a run of such a task must have been open for its failure
+	maxUntilCancelledBackoff Millis = 2_000
+	// failureResetAfter is how long a run of such a task must have been open for its failure
 	// to be counted as the first: what broke it is not what broke the runs before.
-	steadyRun Millis = 10_000
+	failureResetAfter Millis = 10_000
 )
 
-// applyClose ends runs in the order given.
-func (m *Machine) applyClose(closing *Close) {
-	m.takeGroupSuccesses(closing.Runs)
-	for i := range closing.Runs {
-		end := &closing.Runs[i]
+// applyCloseRuns ends runs in the order given.
+func (m *Machine) applyCloseRuns(closeRuns *CloseRuns) {
+	m.applyGangSuccesses(closeRuns.Runs)
+	for i := range closeRuns.Runs {
+		end := &closeRuns.Runs[i]
 		task := m.state.task(end.Run.Task)
 		if task == nil {
 			continue
 		}
-		if run := m.openRun(end.Run); run != nil {
+		if run := m.findOpenRun(end.Run); run != nil {
 			m.closeRun(run, end)
 		} else {
-			m.closeLate(task, end)
+			m.applyLateReport(task, end)
 		}
-		m.endJobIfDone(task.Step.Job)
+		m.archiveJobIfComplete(task.Step.Job)
 	}
 }
 
@@ -48,17 +48,17 @@
 		m.emit(RunClosed{Run: run, Outcome: end.Outcome})
 		return
 	}
-	task.keepCheckpoint(end)
+	task.updateCheckpoint(end)
 	next := m.stateAfterRun(run, end)
 	m.state.setRun(task, next, nil)
 	m.emit(RunClosed{Run: run, Outcome: end.Outcome})
 	if next != TaskReady {
-		m.taskEnded(task)
+		m.taskFinished(task)
 		return
 	}
 	m.emit(TaskBecameReady{Task: task})
-	m.breakGroup(task, task.Reason)
-	m.failGroupIfOver(task.Step)
+	m.stopGangPeers(task, task.Reason)
+	m.failGangIfExhausted(task.Step)
 }
 
 // stateAfterRun decides what becomes of the task and notes failures and
@@ -69,7 +69,7 @@
 func (m *Machine) stateAfterRun(run *Run, end *RunEnd) TaskState {
 	task := run.Task
 	succeeded := end.Outcome == api.OutcomeSucceeded
-	if succeeded && !task.Endless() {
+	if succeeded && !task.RunsUntilCancelled() {
 		task.Reason = ""
 		return TaskSucceeded
 	}
@@ -83,17 +83,17 @@
 	if end.Outcome == api.OutcomeFailed {
 		return m.stateAfterFailure(run, end)
 	}
-	if run.Stop == StopGroup && task.Step.Spec.Lockstep {
+	if run.Stop == StopGang && task.Step.Spec.Lockstep {
 		return TaskReady // the reason is why the group was broken
 	}
-	task.Reason = interruption(run, end.Outcome)
+	task.Reason = interruptionReason(run, end.Outcome)
 	return TaskReady
 }
 
 func (m *Machine) stateAfterFailure(run *Run, end *RunEnd) TaskState {
 	task := run.Task
 	if task.Step.Spec.Lockstep {
-		m.countGroupFailure(run, end)
+		m.countGangFailure(run, end)
 		return TaskReady
 	}
 	task.countFailure(run, m.state.clock)
@@ -101,53 +101,53 @@
 	if task.Failures >= task.AllowedFailures && !task.Spec.UntilCancelled {
 		return TaskFailed
 	}
-	task.NotBefore = m.state.clock + m.pauseOf(task)
+	task.NotBefore = m.state.clock + m.retryBackoff(task)
 	return TaskReady
 }
 
 // countFailure counts a failure that ended a run, which may be another member's.
 func (t *Task) countFailure(run *Run, now Millis) {
-	if t.Endless() && now-run.PlacedAt >= steadyRun {
+	if t.RunsUntilCancelled() && now-run.PlacedAt >= failureResetAfter {
 		t.Failures = 0
 	}
 	t.Failures++
 }
 
-// pauseOf is the pause after a task's newest failure.
-func (m *Machine) pauseOf(task *Task) Millis {
-	pause := m.retryDelay(task.Failures)
-	if task.Endless() {
-		pause = min(pause, max(m.retryDelay(1), longestEndlessPause))
+// retryBackoff is the pause after a task's newest failure.
+func (m *Machine) retryBackoff(task *Task) Millis {
+	pause := m.backoffAfter(task.Failures)
+	if task.RunsUntilCancelled() {
+		pause = min(pause, max(m.backoffAfter(1), maxUntilCancelledBackoff))
 	}
 	return pause
 }
 
-// retryDelay is the pause after the given number of failures.
-func (m *Machine) retryDelay(failures int) Millis {
-	doublings := min(failures-1, maxRetryDoublings)
+// backoffAfter is the pause after the given number of failures.
+func (m *Machine) backoffAfter(failures int) Millis {
+	doublings := min(failures-1, maxBackoffDoublings)
 	delay := m.state.settings.effective.Timings.RetryDelay.Std() << doublings
 	return Millis(delay / time.Millisecond)
 }
 
-// closeLate takes the success of a closed run if the task still waits: what
+// applyLateReport takes the success of a closed run if the task still waits: what
 // the run did is done, whatever became of newer runs, and none of them is open.
 // One that runs until cancelled has no success. Any other late report changes
 // nothing but the checkpoint, if it is of the newest run.
-func (m *Machine) closeLate(task *Task, end *RunEnd) {
+func (m *Machine) applyLateReport(task *Task, end *RunEnd) {
 	if task.State == TaskReady && end.Run.Number == task.LastRun {
-		task.keepCheckpoint(end)
+		task.updateCheckpoint(end)
 	}
-	if end.Outcome != api.OutcomeSucceeded || task.State != TaskReady || task.Endless() || task.Step.Spec.Lockstep {
+	if end.Outcome != api.OutcomeSucceeded || task.State != TaskReady || task.RunsUntilCancelled() || task.Step.Spec.Lockstep {
 		return
 	}
 	if end.Run.Number == 0 || end.Run.Number > task.LastRun {
 		return
 	}
-	m.endWaiting(task, TaskSucceeded, "")
+	m.finishWithoutRun(task, TaskSucceeded, "")
 }
 
-// interruption says why a run ended that neither failed nor ended its task.
-func interruption(run *Run, outcome api.Outcome) string {
+// interruptionReason says why a run ended that neither failed nor ended its task.
+func interruptionReason(run *Run, outcome api.Outcome) string {
 	if outcome == api.OutcomeSucceeded {
 		return fmt.Sprintf("run %d succeeded; the task runs until cancelled", run.Number)
 	}
@@ -164,16 +164,16 @@
 	if message == "" {
 		return "failed"
 	}
-	return shorten(message, maxReasonBytes)
+	return truncate(message, maxReasonBytes)
 }
 
-// shorten cuts text to a number of bytes, not within a character.
-func shorten(text string, most int) string {
-	if len(text) <= most {
+// truncate cuts text to a number of bytes, not within a character.
+func truncate(text string, limit int) string {
+	if len(text) <= limit {
 		return text
 	}
-	for most > 0 && !utf8.RuneStart(text[most]) {
-		most--
+	for limit > 0 && !utf8.RuneStart(text[limit]) {
+		limit--
 	}
-	return text[:most]
+	return text[:limit]
 }
--- a/internal/record/command.go
+++ b/internal/record/command.go
@@ -12,15 +12,15 @@
 var (
 	// ErrNoCommand: none of the command's pointers is set.
 	ErrNoCommand = errors.New("record: command is empty or unknown")
-	// ErrManyCommands: more than one of the command's pointers is set.
-	ErrManyCommands = errors.New("record: command holds more than one change")
+	// ErrSeveralCommands: more than one of the command's pointers is set.
+	ErrSeveralCommands = errors.New("record: command holds more than one change")
 	// ErrTimeRange: a time cannot be written in RFC 3339.
 	ErrTimeRange = errors.New("record: time lies outside of the years 0 to 9999")
 )
 
-// maxElements bounds arrays and maps of one CBOR item. Memory is bounded by
+// maxCBORElements bounds arrays and maps of one CBOR item. Memory is bounded by
 // the length of the input, as items are checked for shape before decoding.
-const maxElements = 1 << 24
+const maxCBORElements = 1 << 24
 
 // maxYear is the last year that RFC 3339 can write.
 const maxYear = 9999
@@ -45,8 +45,8 @@
 
 func mustDecoding() cbor.DecMode {
 	options := cbor.DecOptions{
-		MaxArrayElements: maxElements,
-		MaxMapPairs:      maxElements,
+		MaxArrayElements: maxCBORElements,
+		MaxMapPairs:      maxCBORElements,
 		UTF8:             cbor.UTF8DecodeInvalid,
 	}
 	mode, err := options.DecMode()
@@ -58,11 +58,11 @@
 
 // Encode writes a command as CBOR. It refuses what Decode could not read.
 func Encode(command Command) ([]byte, error) {
-	if err := command.check(); err != nil {
+	if err := command.validate(); err != nil {
 		return nil, err
 	}
-	if command.Submit != nil {
-		if err := checkTimes(command.Submit); err != nil {
+	if command.SubmitJob != nil {
+		if err := validateTimes(command.SubmitJob); err != nil {
 			return nil, err
 		}
 	}
@@ -80,19 +80,19 @@
 	if err := decoding.Unmarshal(data, &command); err != nil {
 		return Command{}, fmt.Errorf("record: decode command: %w", err)
 	}
-	if err := command.check(); err != nil {
+	if err := command.validate(); err != nil {
 		return Command{}, err
 	}
 	return command, nil
 }
 
-// check returns an error unless exactly one change is set.
-func (c *Command) check() error {
+// validate returns an error unless exactly one change is set.
+func (c *Command) validate() error {
 	set := []bool{
-		c.Submit != nil, c.Cancel != nil, c.PutConfig != nil,
-		c.Place != nil, c.Close != nil, c.Stop != nil,
-		c.Register != nil, c.Forget != nil, c.Expire != nil,
-		c.Release != nil, c.Expand != nil, c.DrainZone != nil,
+		c.SubmitJob != nil, c.CancelJobs != nil, c.PutConfig != nil,
+		c.PlaceTasks != nil, c.CloseRuns != nil, c.StopRuns != nil,
+		c.RegisterWorkers != nil, c.ForgetWorkers != nil, c.ExpireArchive != nil,
+		c.ReleaseWindow != nil, c.ExpandRepeats != nil, c.DrainZone != nil,
 	}
 	count := 0
 	for _, present := range set {
@@ -104,25 +104,25 @@
 	case count == 0:
 		return ErrNoCommand
 	case count > 1:
-		return ErrManyCommands
+		return ErrSeveralCommands
 	}
 	return nil
 }
 
-func checkTimes(submit *Submit) error {
-	if repeat := submit.Spec.Repeat; repeat != nil && !writable(repeat.First) {
+func validateTimes(submit *SubmitJob) error {
+	if repeat := submit.Spec.Repeat; repeat != nil && !representable(repeat.First) {
 		return fmt.Errorf("first occurrence: %w", ErrTimeRange)
 	}
 	for i := range submit.Spec.Steps {
 		step := &submit.Spec.Steps[i]
-		if step.NotBefore != nil && !writable(*step.NotBefore) {
+		if step.NotBefore != nil && !representable(*step.NotBefore) {
 			return fmt.Errorf("step %q: %w", step.Name, ErrTimeRange)
 		}
 	}
 	return nil
 }
 
-func writable(t time.Time) bool {
+func representable(t time.Time) bool {
 	year := t.UTC().Year()
 	return year >= 0 && year <= maxYear
 }
--- a/internal/record/config.go
+++ b/internal/record/config.go
@@ -8,47 +8,47 @@
 	"github.com/decklever/decklever/api"
 )
 
-// versionsKept bounds the history of accepted configurations.
-const versionsKept = 1000
+// maxConfigVersions bounds the history of accepted configurations.
+const maxConfigVersions = 1000
 
-// configuration is the configuration in force, its history and its orders.
-type configuration struct {
+// configState is the configuration in force, its history and its orders.
+type configState struct {
 	version uint64
 	// accepted is as the operator gave it; effective has defaults filled in.
 	accepted  *api.Config
 	effective *api.Config
-	// queues and teams are by name.
+	// queueCounts and teams are by name.
 	queues map[string]api.QueueConfig
 	teams  map[string]api.TeamConfig
 	// versions is the history, oldest first.
 	versions []api.ConfigVersion
-	orders   orderBook
+	orders   orderHistory
 }
 
-// order is one decided PutConfig; it is never changed.
-type order struct {
+// configOrder is one decided PutConfig; it is never changed.
+type configOrder struct {
 	ID     string       `cbor:"1,keyasint"`
 	Digest string       `cbor:"2,keyasint"`
 	Result ConfigResult `cbor:"3,keyasint"`
 }
 
-// orderBook keeps the newest orders, first in, first out.
-type orderBook struct {
-	kept int
-	byID map[string]*order
-	// list is a ring once it is full; next is then the oldest.
-	list []*order
+// orderHistory keeps the newest orders, first in, first out.
+type orderHistory struct {
+	limit int
+	byID  map[string]*configOrder
+	// ring is a ring once it is full; next is then the oldest.
+	ring []*configOrder
 	next int
 }
 
-func newConfiguration(ordersKept int) configuration {
-	c := configuration{orders: orderBook{kept: ordersKept, byID: make(map[string]*order)}}
-	c.use(0, &api.Config{})
+func newConfigState(maxConfigOrders int) configState {
+	c := configState{orders: orderHistory{limit: maxConfigOrders, byID: make(map[string]*configOrder)}}
+	c.activate(0, &api.Config{})
 	return c
 }
 
-// use puts a configuration in force.
-func (c *configuration) use(version uint64, config *api.Config) {
+// activate puts a configuration in force.
+func (c *configState) activate(version uint64, config *api.Config) {
 	effective := config.WithDefaults()
 	c.version = version
 	c.accepted = config
@@ -63,45 +63,45 @@
 	}
 }
 
-func (c *configuration) addVersion(version api.ConfigVersion) {
+func (c *configState) addVersion(version api.ConfigVersion) {
 	c.versions = append(c.versions, version)
-	if surplus := len(c.versions) - versionsKept; surplus > 0 {
+	if surplus := len(c.versions) - maxConfigVersions; surplus > 0 {
 		c.versions = slices.Clone(c.versions[surplus:])
 	}
 }
 
-func (b *orderBook) add(added *order) {
+func (b *orderHistory) add(added *configOrder) {
 	b.byID[added.ID] = added
-	if len(b.list) < b.kept {
-		b.list = append(b.list, added)
+	if len(b.ring) < b.limit {
+		b.ring = append(b.ring, added)
 		return
 	}
-	delete(b.byID, b.list[b.next].ID)
-	b.list[b.next] = added
-	b.next = (b.next + 1) % len(b.list)
+	delete(b.byID, b.ring[b.next].ID)
+	b.ring[b.next] = added
+	b.next = (b.next + 1) % len(b.ring)
 }
 
 // oldestFirst returns the orders in the order in which they were decided.
-func (b *orderBook) oldestFirst() []*order {
-	return slices.Concat(b.list[b.next:], b.list[:b.next])
+func (b *orderHistory) oldestFirst() []*configOrder {
+	return slices.Concat(b.ring[b.next:], b.ring[:b.next])
 }
 
 // applyPutConfig decides an order once; a resend gets the same answer.
 func (m *Machine) applyPutConfig(put *PutConfig, result *Result) {
 	settings := &m.state.settings
 	if known := settings.orders.byID[put.OrderID]; known != nil {
-		result.Config = answerKnown(known, put, settings.version)
+		result.Config = resendResult(known, put, settings.version)
 		return
 	}
 	decided := m.decideConfig(put)
-	settings.orders.add(&order{ID: put.OrderID, Digest: put.Digest, Result: decided})
+	settings.orders.add(&configOrder{ID: put.OrderID, Digest: put.Digest, Result: decided})
 	result.Config = &decided
 	if decided.Refusal == nil {
 		m.emit(ConfigChanged{Version: settings.version, Config: settings.effective})
 	}
 }
 
-func answerKnown(known *order, put *PutConfig, inForce uint64) *ConfigResult {
+func resendResult(known *configOrder, put *PutConfig, inForce uint64) *ConfigResult {
 	if known.Digest == put.Digest {
 		result := known.Result
 		return &result
@@ -119,9 +119,9 @@
 		return ConfigResult{Version: settings.version, Refusal: put.Refusal}
 	}
 	if put.Base != settings.version {
-		return ConfigResult{Version: settings.version, Refusal: lostRace(put.Base, settings.version)}
+		return ConfigResult{Version: settings.version, Refusal: versionConflict(put.Base, settings.version)}
 	}
-	settings.use(settings.version+1, &put.Config)
+	settings.activate(settings.version+1, &put.Config)
 	m.state.recountTeams()
 	settings.addVersion(api.ConfigVersion{
 		Version:    settings.version,
@@ -132,7 +132,7 @@
 	return ConfigResult{Version: settings.version}
 }
 
-func lostRace(base, inForce uint64) *api.Error {
+func versionConflict(base, inForce uint64) *api.Error {
 	return &api.Error{
 		Status:  http.StatusPreconditionFailed,
 		Code:    api.CodeLostRace,
--- a/internal/record/config_test.go
+++ b/internal/record/config_test.go
@@ -8,8 +8,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-func TestConfigOrders(t *testing.T) {
-	r := newRig(t)
+func TestPutConfig_OutcomesAndResends(t *testing.T) {
+	r := newHarness(t)
 	changed := testConfig()
 	changed.Queues[0].Weight = 5
 	refusal := &api.Error{Status: 422, Code: api.CodeInvalid, Message: "no"}
@@ -33,9 +33,9 @@
 		versions := v.ConfigVersions()
 		expect(t, "newest", versions[0].OrderID, "order-2")
 		expect(t, "versions", len(versions), 2)
-		_, digest, known := v.Order("order-2")
+		_, digest, known := v.ConfigOrder("order-2")
 		expect(t, "order", known && digest == changed.Digest(), true)
-		_, _, known = v.Order("bad")
+		_, _, known = v.ConfigOrder("bad")
 		expect(t, "second oldest", known, false)
 	})
 }
--- a/internal/record/counts.go
+++ b/internal/record/counts.go
@@ -4,31 +4,31 @@
 // sum over the queues that name it in the configuration in force, so they are
 // added up anew when that changes.
 
-// callerKey is one caller in one queue.
-type callerKey struct{ queue, caller string }
+// queueCaller is one caller in one queue.
+type queueCaller struct{ queue, caller string }
 
-// count adds a change of a job to its queue, to the queue's team and to the job's
+// adjustCounts adds a change of a job to its queue, to the queue's team and to the job's
 // caller; what is zero is dropped.
-func (s *state) count(job *Job, change QueueCounts) {
+func (s *state) adjustCounts(job *Job, change QueueCounts) {
 	queue := job.Spec.Queue
-	addCounts(s.queues, queue, change)
-	s.countCaller(callerKey{queue, job.Spec.Caller}, change.PendingTasks)
+	adjustNamedCounts(s.queueCounts, queue, change)
+	s.adjustCallerPending(queueCaller{queue, job.Spec.Caller}, change.PendingTasks)
 	if team := s.settings.queues[queue].Team; team != "" {
-		addCounts(s.teams, team, change)
+		adjustNamedCounts(s.teamCounts, team, change)
 	}
 }
 
-func (s *state) countCaller(key callerKey, change int) {
+func (s *state) adjustCallerPending(key queueCaller, change int) {
 	if change == 0 {
 		return
 	}
-	s.callers[key] += change
-	if s.callers[key] == 0 {
-		delete(s.callers, key)
+	s.callerPending[key] += change
+	if s.callerPending[key] == 0 {
+		delete(s.callerPending, key)
 	}
 }
 
-func addCounts(all map[string]*QueueCounts, name string, change QueueCounts) {
+func adjustNamedCounts(all map[string]*QueueCounts, name string, change QueueCounts) {
 	counts := all[name]
 	if counts == nil {
 		counts = &QueueCounts{}
@@ -44,17 +44,17 @@
 
 // recountTeams adds up the teams under the configuration in force.
 func (s *state) recountTeams() {
-	s.teams = make(map[string]*QueueCounts)
-	for name, counts := range s.queues {
+	s.teamCounts = make(map[string]*QueueCounts)
+	for name, counts := range s.queueCounts {
 		if team := s.settings.queues[name].Team; team != "" {
-			addCounts(s.teams, team, *counts)
+			adjustNamedCounts(s.teamCounts, team, *counts)
 		}
 	}
 }
 
-// countOf is what one task adds to its queue. It runs while a run is open, also
+// countsOf is what one task adds to its queue. It runs while a run is open, also
 // one that goes on after the success of its group.
-func countOf(task *Task) QueueCounts {
+func countsOf(task *Task) QueueCounts {
 	switch {
 	case task.Run != nil:
 		return QueueCounts{RunningTasks: 1}
--- a/internal/record/drain.go
+++ b/internal/record/drain.go
@@ -5,15 +5,15 @@
 // applyDrainZone drains a zone by an order of its own, or takes that back. The
 // configuration's drains stand beside it.
 func (m *Machine) applyDrainZone(drain *DrainZone) {
-	place, drained := slices.BinarySearch(m.state.drainedZones, drain.Zone)
+	position, drained := slices.BinarySearch(m.state.drainedZones, drain.Zone)
 	if drained == drain.Drained {
 		return
 	}
 	zones := slices.Clone(m.state.drainedZones)
 	if drain.Drained {
-		m.state.drainedZones = slices.Insert(zones, place, drain.Zone)
+		m.state.drainedZones = slices.Insert(zones, position, drain.Zone)
 	} else {
-		m.state.drainedZones = slices.Delete(zones, place, place+1)
+		m.state.drainedZones = slices.Delete(zones, position, position+1)
 	}
 	m.emit(ZoneDrainChanged{Zone: drain.Zone, Drained: drain.Drained})
 }
--- a/internal/record/drain_test.go
+++ b/internal/record/drain_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-func (r *rig) drainZone(zone string, drained bool) {
+func (r *harness) drainZone(zone string, drained bool) {
 	r.t.Helper()
 	r.apply(Command{DrainZone: &DrainZone{Zone: zone, Drained: drained}})
 }
@@ -23,24 +23,24 @@
 	})
 }
 
-func TestZoneDrainsAreOrdersOfTheirOwn(t *testing.T) {
-	r := newRig(t)
+func TestDrainZone_IdempotentAndRestored(t *testing.T) {
+	r := newHarness(t)
 	r.drainZone("z2", true)
 	r.drainZone("z1", true)
 	r.drainZone("z1", true)
 	expectDrained(t, r.machine, "z1", "z2")
 	expectDrained(t, restored(t, snapshotBytes(t, r.machine), r.archive), "z1", "z2")
 
-	r.submit("j", step("a", 1))
+	r.submit("j", stepSpec("a", 1))
 	expectDrained(t, r.machine, "z1", "z2")
 	r.drainZone("z1", false)
 	r.drainZone("z1", false)
 	expectDrained(t, r.machine, "z2")
 }
 
-// drains holds the zones drained by orders against the orders alone, and those
+// checkDrains holds the zones drained by orders against the orders alone, and those
 // of the configuration against accepted configurations alone.
-func (c *checker) drains(command Command, result Result) {
+func (c *invariantChecker) checkDrains(command Command, result Result) {
 	if order := command.DrainZone; order != nil {
 		c.drained[order.Zone] = order.Drained
 	}
--- a/internal/record/encoding_test.go
+++ b/internal/record/encoding_test.go
@@ -12,36 +12,36 @@
 	"github.com/decklever/decklever/api"
 )
 
-func TestBrokenEntries(t *testing.T) {
-	r := newRig(t)
+func TestEncodeAndApply_RejectInvalidEntries(t *testing.T) {
+	r := newHarness(t)
 	if _, err := Encode(Command{}); !errors.Is(err, ErrNoCommand) {
 		t.Fatal(err)
 	}
-	if _, err := Encode(Command{Cancel: &Cancel{}, Stop: &Stop{}}); !errors.Is(err, ErrManyCommands) {
+	if _, err := Encode(Command{CancelJobs: &CancelJobs{}, StopRuns: &StopRuns{}}); !errors.Is(err, ErrSeveralCommands) {
 		t.Fatal(err)
 	}
 	late := time.Date(9999, 12, 31, 23, 0, 0, 0, time.FixedZone("west", -7200))
-	timed := step("a", 1)
+	timed := stepSpec("a", 1)
 	timed.NotBefore = &late
 	spec := api.JobSpec{Steps: []api.StepSpec{timed}}
-	if _, err := Encode(Command{Submit: &Submit{Spec: spec}}); !errors.Is(err, ErrTimeRange) {
+	if _, err := Encode(Command{SubmitJob: &SubmitJob{Spec: spec}}); !errors.Is(err, ErrTimeRange) {
 		t.Fatal(err)
 	}
 	if _, err := r.machine.Apply(2, []byte{0xa0}); !errors.Is(err, ErrNoCommand) {
 		t.Fatal(err)
 	}
-	data, _ := Encode(Command{Cancel: &Cancel{}})
+	data, _ := Encode(Command{CancelJobs: &CancelJobs{}})
 	if _, err := r.machine.Apply(1, data); !errors.Is(err, ErrOutOfOrder) {
 		t.Fatal(err)
 	}
 }
 
-func TestTimesKeepTheirFraction(t *testing.T) {
+func TestEncode_TimesKeepMilliseconds(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 678_000_000, time.UTC)
-	timed := step("a", 1)
+	timed := stepSpec("a", 1)
 	timed.NotBefore = &start
 	spec := api.JobSpec{Queue: testQueue, Steps: []api.StepSpec{timed}}
-	data, err := Encode(Command{Submit: &Submit{ID: "j", Spec: spec}})
+	data, err := Encode(Command{SubmitJob: &SubmitJob{ID: "j", Spec: spec}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,16 +49,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(spec, command.Submit.Spec); diff != "" {
+	if diff := cmp.Diff(spec, command.SubmitJob.Spec); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-func TestRestoreRefusesDamage(t *testing.T) {
-	r := newRig(t)
-	r.submit("j", step("a", 1))
+func TestRestore_DamagedSnapshotChangesNothing(t *testing.T) {
+	r := newHarness(t)
+	r.submit("j", stepSpec("a", 1))
 	before := snapshotBytes(t, r.machine)
-	for _, damaged := range [][]byte{nil, before[:len(before)-1], flipped(before, 40), flipped(before, len(before)-1)} {
+	for _, damaged := range [][]byte{nil, before[:len(before)-1], withFlippedBit(before, 40), withFlippedBit(before, len(before)-1)} {
 		if err := r.machine.Restore(bytes.NewReader(damaged)); !errors.Is(err, ErrSnapshot) {
 			t.Fatalf("damaged snapshot: %v", err)
 		}
@@ -71,7 +71,7 @@
 	expectEvents(t, r, "replaced")
 }
 
-func flipped(data []byte, at int) []byte {
+func withFlippedBit(data []byte, at int) []byte {
 	changed := slices.Clone(data)
 	changed[at] ^= 1
 	return changed
--- a/internal/record/fuzz_test.go
+++ b/internal/record/fuzz_test.go
@@ -9,17 +9,17 @@
 )
 
 func FuzzDecode(f *testing.F) {
-	spec := api.JobSpec{Queue: testQueue, Steps: []api.StepSpec{step("a", 2), replicas("b", 3, "a")}}
+	spec := api.JobSpec{Queue: testQueue, Steps: []api.StepSpec{stepSpec("a", 2), replicatedStep("b", 3, "a")}}
 	seeds := []Command{
-		{Submit: &Submit{ID: "j", Spec: spec, Digest: spec.Digest()}},
-		{Cancel: &Cancel{Jobs: []string{"j"}}},
+		{SubmitJob: &SubmitJob{ID: "j", Spec: spec, Digest: spec.Digest()}},
+		{CancelJobs: &CancelJobs{Jobs: []string{"j"}}},
 		{PutConfig: &PutConfig{OrderID: "o", Config: testConfig()}},
-		{Place: &Place{Placements: []Placement{onWorker(id("j", "a", 0), 1, "w")}}},
-		{Close: &Close{Runs: []RunEnd{{Run: RunID{Task: id("j", "a", 0), Number: 1}, Outcome: api.OutcomeFailed}}}},
-		{Register: &RegisterWorkers{Workers: []Worker{testWorker("w")}}},
-		{Submit: &Submit{ID: "k", Spec: repeating(3, 2000, step("a", 1)), Digest: "d"}},
-		{Expand: &ExpandRepeats{Jobs: []Expansion{{Job: "r", Through: 2}}}},
-		{Release: &ReleaseWindow{Queue: testQueue, Booking: "b", Start: 2000, End: 3000}},
+		{PlaceTasks: &PlaceTasks{Placements: []Placement{placementOn(taskID("j", "a", 0), 1, "w")}}},
+		{CloseRuns: &CloseRuns{Runs: []RunEnd{{Run: RunID{Task: taskID("j", "a", 0), Number: 1}, Outcome: api.OutcomeFailed}}}},
+		{RegisterWorkers: &RegisterWorkers{Workers: []Worker{testWorker("w")}}},
+		{SubmitJob: &SubmitJob{ID: "k", Spec: repeatingJob(3, 2000, stepSpec("a", 1)), Digest: "d"}},
+		{ExpandRepeats: &ExpandRepeats{Jobs: []Expansion{{Job: "r", Through: 2}}}},
+		{ReleaseWindow: &ReleaseWindow{Queue: testQueue, Booking: "b", Start: 2000, End: 3000}},
 	}
 	for _, seed := range seeds {
 		data, err := Encode(seed)
@@ -33,10 +33,10 @@
 		if _, err := Decode(data); err != nil {
 			return
 		}
-		r := newRig(t)
+		r := newHarness(t)
 		r.register(testWorker("w"))
-		r.submit("j", step("a", 2), step("b", 1, "a"))
-		r.submitSpec("r", repeating(3, 2000, step("a", 1)))
+		r.submit("j", stepSpec("a", 2), stepSpec("b", 1, "a"))
+		r.submitSpec("r", repeatingJob(3, 2000, stepSpec("a", 1)))
 		if _, err := r.machine.Apply(r.index+1, data); err != nil {
 			t.Fatalf("a readable entry could not be applied: %v", err)
 		}
@@ -44,12 +44,12 @@
 }
 
 func FuzzRestore(f *testing.F) {
-	r := newRig(f)
+	r := newHarness(f)
 	r.register(testWorker("w"))
-	r.submit("j", step("a", 2), replicas("b", 3, "a"))
-	r.mustPlace(onWorker(id("j", "a", 0), 1, "w"))
-	r.apply(Command{Release: &ReleaseWindow{Queue: testQueue, Booking: "b", Start: 2000, End: 3000}})
-	r.submitSpec("r", repeating(9, 2000, step("a", 2), step("b", 1, "a")))
+	r.submit("j", stepSpec("a", 2), replicatedStep("b", 3, "a"))
+	r.mustPlace(placementOn(taskID("j", "a", 0), 1, "w"))
+	r.apply(Command{ReleaseWindow: &ReleaseWindow{Queue: testQueue, Booking: "b", Start: 2000, End: 3000}})
+	r.submitSpec("r", repeatingJob(9, 2000, stepSpec("a", 2), stepSpec("b", 1, "a")))
 	r.expand("r", 3)
 	data := snapshotBytes(f, r.machine)
 	f.Add(data[len(snapshotMagic) : len(data)-sha256.Size])
--- a/internal/record/helper_test.go
+++ b/internal/record/helper_test.go
@@ -8,8 +8,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// rig drives one machine and notes its events.
-type rig struct {
+// harness drives one machine and notes its events.
+type harness struct {
 	t       testing.TB
 	machine *Machine
 	archive *testArchive
@@ -20,9 +20,9 @@
 
 const testQueue = "q"
 
-func newRig(t testing.TB) *rig {
-	r := &rig{t: t, archive: newTestArchive(), now: 1000}
-	r.machine = NewMachine(Config{Archive: r.archive, OrdersKept: 3})
+func newHarness(t testing.TB) *harness {
+	r := &harness{t: t, archive: newTestArchive(), now: 1000}
+	r.machine = NewMachine(Config{Archive: r.archive, MaxConfigOrders: 3})
 	r.putConfig("order-1", 0, testConfig())
 	r.machine.Observe(nil, func(event Event) { r.events = append(r.events, describe(event)) })
 	return r
@@ -63,7 +63,7 @@
 	return "replaced"
 }
 
-func (r *rig) apply(command Command) Result {
+func (r *harness) apply(command Command) Result {
 	r.t.Helper()
 	command.Time = r.now
 	command.Token = 7
@@ -80,38 +80,38 @@
 }
 
 // takeEvents returns the events since it was last called.
-func (r *rig) takeEvents() []string {
+func (r *harness) takeEvents() []string {
 	events := r.events
 	r.events = nil
 	return events
 }
 
-func (r *rig) putConfig(order string, base uint64, config api.Config) *ConfigResult {
+func (r *harness) putConfig(order string, base uint64, config api.Config) *ConfigResult {
 	r.t.Helper()
 	put := &PutConfig{OrderID: order, Base: base, Config: config, Digest: config.Digest()}
 	return r.apply(Command{PutConfig: put}).Config
 }
 
-func (r *rig) submit(id string, steps ...api.StepSpec) SubmitOutcome {
+func (r *harness) submit(id string, steps ...api.StepSpec) SubmitOutcome {
 	r.t.Helper()
 	return r.submitTo(testQueue, id, steps...)
 }
 
-func (r *rig) submitTo(queue, id string, steps ...api.StepSpec) SubmitOutcome {
+func (r *harness) submitTo(queue, id string, steps ...api.StepSpec) SubmitOutcome {
 	r.t.Helper()
 	spec := api.JobSpec{Queue: queue, Steps: steps}
-	result := r.apply(Command{Submit: &Submit{ID: id, Spec: spec, Digest: spec.Digest()}})
+	result := r.apply(Command{SubmitJob: &SubmitJob{ID: id, Spec: spec, Digest: spec.Digest()}})
 	return result.Submit.Outcome
 }
 
-func (r *rig) cancel(ids ...string) {
+func (r *harness) cancel(ids ...string) {
 	r.t.Helper()
-	r.apply(Command{Cancel: &Cancel{Jobs: ids}})
+	r.apply(Command{CancelJobs: &CancelJobs{Jobs: ids}})
 }
 
-func (r *rig) register(workers ...Worker) []string {
+func (r *harness) register(workers ...Worker) []string {
 	r.t.Helper()
-	return r.apply(Command{Register: &RegisterWorkers{Workers: workers}}).RejectedWorkers
+	return r.apply(Command{RegisterWorkers: &RegisterWorkers{Workers: workers}}).RejectedWorkers
 }
 
 func testWorker(name string) Worker {
@@ -121,45 +121,45 @@
 	}
 }
 
-func onWorker(task TaskID, number uint32, worker string) Placement {
+func placementOn(task TaskID, number uint32, worker string) Placement {
 	return Placement{Run: RunID{Task: task, Number: number}, Worker: worker, WorkerID: worker + "-1"}
 }
 
-func (r *rig) place(placements ...Placement) []RunID {
+func (r *harness) place(placements ...Placement) []RunID {
 	r.t.Helper()
-	return r.apply(Command{Place: &Place{Placements: placements}}).Rejected
+	return r.apply(Command{PlaceTasks: &PlaceTasks{Placements: placements}}).Rejected
 }
 
-func (r *rig) mustPlace(placements ...Placement) {
+func (r *harness) mustPlace(placements ...Placement) {
 	r.t.Helper()
 	if rejected := r.place(placements...); len(rejected) > 0 {
 		r.t.Fatalf("rejected %v", rejected)
 	}
 }
 
-func (r *rig) mustReject(placements ...Placement) {
+func (r *harness) mustRejectAll(placements ...Placement) {
 	r.t.Helper()
 	if rejected := r.place(placements...); len(rejected) != len(placements) {
 		r.t.Fatalf("rejected %v, expected all of %v", rejected, placements)
 	}
 }
 
-func (r *rig) close(task TaskID, number uint32, outcome api.Outcome) {
+func (r *harness) close(task TaskID, number uint32, outcome api.Outcome) {
 	r.t.Helper()
 	end := RunEnd{Run: RunID{Task: task, Number: number}, Outcome: outcome, Message: "why"}
-	r.apply(Command{Close: &Close{Runs: []RunEnd{end}}})
+	r.apply(Command{CloseRuns: &CloseRuns{Runs: []RunEnd{end}}})
 }
 
-func (r *rig) stop(reason StopReason, tasks ...TaskID) {
+func (r *harness) stop(reason StopReason, tasks ...TaskID) {
 	r.t.Helper()
-	stop := &Stop{Reason: reason}
+	stop := &StopRuns{Reason: reason}
 	for _, id := range tasks {
 		stop.Runs = append(stop.Runs, RunID{Task: id, Number: r.task(id).LastRun})
 	}
-	r.apply(Command{Stop: stop})
+	r.apply(Command{StopRuns: stop})
 }
 
-func (r *rig) task(id TaskID) (task *Task) {
+func (r *harness) task(id TaskID) (task *Task) {
 	r.t.Helper()
 	r.machine.Read(func(v View) { task, _ = v.Task(id) })
 	if task == nil {
@@ -168,7 +168,7 @@
 	return task
 }
 
-func (r *rig) status(id string) (status api.JobStatus) {
+func (r *harness) status(id string) (status api.JobStatus) {
 	r.t.Helper()
 	r.machine.Read(func(v View) {
 		found, known, err := v.Status(id, nil)
@@ -180,7 +180,7 @@
 	return status
 }
 
-func step(name string, tasks int, after ...string) api.StepSpec {
+func stepSpec(name string, tasks int, after ...string) api.StepSpec {
 	made := api.StepSpec{Name: name, After: after}
 	for range tasks {
 		made.Tasks = append(made.Tasks, api.TaskSpec{Service: "s", Resources: api.Resources{CPUMillis: 1000}})
@@ -188,7 +188,7 @@
 	return made
 }
 
-func id(job, step string, index int) TaskID { return TaskID{Job: job, Step: step, Index: index} }
+func taskID(job, step string, index int) TaskID { return TaskID{Job: job, Step: step, Index: index} }
 
 // failer is met by the tests of package testing and of rapid.
 type failer interface {
@@ -211,7 +211,7 @@
 
 func restored(t failer, data []byte, archive Archive) *Machine {
 	t.Helper()
-	machine := NewMachine(Config{Archive: archive, OrdersKept: 3})
+	machine := NewMachine(Config{Archive: archive, MaxConfigOrders: 3})
 	if err := machine.Restore(bytes.NewReader(data)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/record/ids_test.go
+++ b/internal/record/ids_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestTaskNamesAreReadBack(t *testing.T) {
+func TestParseTaskID_RoundTrip(t *testing.T) {
 	for _, id := range []TaskID{
 		{Job: "j", Step: "s"},
 		{Job: "job-1", Step: "step", Index: 12},
@@ -14,7 +14,7 @@
 	}
 }
 
-func TestTextsThatNameNoTask(t *testing.T) {
+func TestParseTaskID_RejectsMalformedText(t *testing.T) {
 	for _, text := range []string{"", "j", "j/s", "j/s/", "j/s/x", "j/s/-1", "j/s/1/", "j/s/1/0", "j/s/1/-2", "j/s/1/x", "j/s/1/2/", "j/s/1/2/3"} {
 		if id, ok := ParseTaskID(text); ok {
 			t.Errorf("%q is read as %+v", text, id)
@@ -22,9 +22,9 @@
 	}
 }
 
-// TestReadingATaskNameAllocatesNothing: a leader reads one for each run of each
+// TestParseTaskID_DoesNotAllocate: a leader reads one for each run of each
 // heartbeat.
-func TestReadingATaskNameAllocatesNothing(t *testing.T) {
+func TestParseTaskID_DoesNotAllocate(t *testing.T) {
 	const runs = 100
 	allocations := testing.AllocsPerRun(runs, func() {
 		if _, ok := ParseTaskID("job-1/step/12/3"); !ok {
--- a/internal/record/lifecycle.go
+++ b/internal/record/lifecycle.go
@@ -23,29 +23,29 @@
 	m.emit(TaskBecameReady{Task: task})
 }
 
-// endWaiting makes a task without an open run final.
-func (m *Machine) endWaiting(task *Task, final TaskState, reason string) {
+// finishWithoutRun makes a task without an open run final.
+func (m *Machine) finishWithoutRun(task *Task, final TaskState, reason string) {
 	wasReady := task.State == TaskReady
 	task.Reason = reason
 	m.state.setState(task, final)
 	if wasReady {
 		m.emit(TaskLeftReady{Task: task})
 	}
-	m.taskEnded(task)
+	m.taskFinished(task)
 }
 
-// taskEnded follows a task that has just become final: the next steps start,
+// taskFinished follows a task that has just become final: the next steps start,
 // or those that can never start are cancelled. The caller ends the job.
-func (m *Machine) taskEnded(task *Task) {
+func (m *Machine) taskFinished(task *Task) {
 	step := task.Step
 	step.OpenTasks--
 	step.Job.OpenTasks--
 	step.occurrence.openTasks--
-	step.noteIfOver()
+	step.flagIfOccurrenceEnded()
 	switch task.State {
 	case TaskSucceeded:
 		step.succeededTasks++
-		if step.done() {
+		if step.succeeded() {
 			m.unblockDependents(step)
 		}
 	case TaskFailed:
@@ -58,14 +58,14 @@
 }
 
 // done reports that every task of the step succeeded.
-func (s *Step) done() bool {
+func (s *Step) succeeded() bool {
 	return s.succeededTasks == len(s.Tasks)
 }
 
 func (m *Machine) unblockDependents(step *Step) {
 	for _, dependent := range step.dependents {
-		dependent.WaitsOn--
-		if dependent.WaitsOn == 0 {
+		dependent.OpenDependencies--
+		if dependent.OpenDependencies == 0 {
 			m.startStep(dependent)
 		}
 	}
@@ -94,24 +94,24 @@
 func (m *Machine) cancelBlocked(step *Step, reason string) {
 	for _, task := range step.Tasks {
 		if task.State == TaskBlocked {
-			m.endWaiting(task, TaskCancelled, reason)
+			m.finishWithoutRun(task, TaskCancelled, reason)
 		}
 	}
 }
 
-// endJobIfDone takes what has ended out of memory: occurrences of a repeating
+// archiveJobIfComplete takes what has ended out of memory: occurrences of a repeating
 // job, and the job once all its tasks are final, no run is open and no
 // occurrence is to come.
-func (m *Machine) endJobIfDone(job *Job) {
+func (m *Machine) archiveJobIfComplete(job *Job) {
 	if m.state.jobs[job.ID] != job {
 		return
 	}
-	m.reduceEnded(job)
-	if job.openRuns > 0 || !job.done() {
+	m.removeEndedOccurrences(job)
+	if job.openRuns > 0 || !job.complete() {
 		return
 	}
 	m.state.removeJob(job)
-	m.ended = append(m.ended, archiveJob(job, m.state.clock, m.state.applied))
+	m.archiveBatch = append(m.archiveBatch, newArchivedJob(job, m.state.clock, m.state.applied))
 	m.endedJobs = append(m.endedJobs, job)
 	m.emit(JobEnded{Job: job})
 }
--- a/internal/record/lockstep.go
+++ b/internal/record/lockstep.go
@@ -12,7 +12,7 @@
 // first end of a member that is applied:
 //
 //   - A success makes every member that is not final succeeded.
-//   - Anything else breaks the group: the other members are marked StopGroup,
+//   - Anything else breaks the group: the other members are marked StopGang,
 //     and their ends, other than a success, count for nothing. A failure of a
 //     member that was not to be stopped counts as one failure of the group, so
 //     that there is at most one for each run number.
@@ -26,8 +26,8 @@
 // A group one of whose members runs until cancelled has no success and no limit
 // of failures: whatever ends a member, the group is broken and runs again.
 
-// Grouped reports whether the tasks of the step start together.
-func (s *Step) Grouped() bool { return s.Spec.Together || s.Spec.Lockstep }
+// IsGang reports whether the tasks of the step start together.
+func (s *Step) IsGang() bool { return s.Spec.Together || s.Spec.Lockstep }
 
 // NextRun is the number that the next run of the task must have. It is the same
 // for all members of a group in lockstep.
@@ -42,20 +42,20 @@
 	return newest + 1
 }
 
-// Endless reports whether the task has neither success nor limit of failures: it
+// RunsUntilCancelled reports whether the task has neither success nor limit of failures: it
 // runs until cancelled, or a member of its group in lockstep does.
-func (t *Task) Endless() bool {
-	return t.Spec.UntilCancelled || t.Step.Spec.Lockstep && t.Step.endless()
+func (t *Task) RunsUntilCancelled() bool {
+	return t.Spec.UntilCancelled || t.Step.Spec.Lockstep && t.Step.runsUntilCancelled()
 }
 
 // endless reports whether any task of the step runs until cancelled.
-func (s *Step) endless() bool {
+func (s *Step) runsUntilCancelled() bool {
 	return slices.ContainsFunc(s.Tasks, func(task *Task) bool { return task.Spec.UntilCancelled })
 }
 
-// takeGroupSuccesses lets the successes of one Close come before its other
+// applyGangSuccesses lets the successes of one Close come before its other
 // ends, for groups in lockstep.
-func (m *Machine) takeGroupSuccesses(ends []RunEnd) {
+func (m *Machine) applyGangSuccesses(ends []RunEnd) {
 	for i := range ends {
 		end := &ends[i]
 		if end.Outcome != api.OutcomeSucceeded {
@@ -63,63 +63,63 @@
 		}
 		task := m.state.task(end.Run.Task)
 		if task != nil && task.Step.Spec.Lockstep {
-			m.takeGroupSuccess(task, end.Run.Number)
+			m.succeedGang(task, end.Run.Number)
 		}
 	}
 }
 
-// takeGroupSuccess ends a group whose newest run has succeeded. The runs that
+// succeedGang ends a group whose newest run has succeeded. The runs that
 // are still open work for nothing and are marked to stop.
-func (m *Machine) takeGroupSuccess(task *Task, number uint32) {
-	if number == 0 || number != task.LastRun || task.State.Final() || task.Endless() {
+func (m *Machine) succeedGang(task *Task, number uint32) {
+	if number == 0 || number != task.LastRun || task.State.Final() || task.RunsUntilCancelled() {
 		return
 	}
 	for _, member := range task.Step.Tasks {
 		switch {
 		case member.State.Final():
 		case member.Run == nil:
-			m.endWaiting(member, TaskSucceeded, "")
+			m.finishWithoutRun(member, TaskSucceeded, "")
 		default:
-			m.succeedOpen(member)
-			m.stopOther(member.Run, task)
+			m.succeedWithOpenRun(member)
+			m.stopPeerRun(member.Run, task)
 		}
 	}
 }
 
-// succeedOpen makes a member succeeded whose run is open and stays so.
-func (m *Machine) succeedOpen(member *Task) {
+// succeedWithOpenRun makes a member succeeded whose run is open and stays so.
+func (m *Machine) succeedWithOpenRun(member *Task) {
 	member.Reason = ""
 	m.state.setState(member, TaskSucceeded)
-	m.taskEnded(member)
+	m.taskFinished(member)
 }
 
-// stopOther marks the run of another member to stop.
-func (m *Machine) stopOther(run *Run, cause *Task) {
+// stopPeerRun marks the run of another member to stop.
+func (m *Machine) stopPeerRun(run *Run, cause *Task) {
 	if run.Task != cause {
-		m.markStopping(run, StopGroup)
+		m.requestStop(run, StopGang)
 	}
 }
 
-// breakGroup follows the first end of a run of the group that is no success, or
+// stopGangPeers follows the first end of a run of the group that is no success, or
 // a mark to stop: the other members must stop. Once broken it changes nothing.
-func (m *Machine) breakGroup(cause *Task, why string) {
+func (m *Machine) stopGangPeers(cause *Task, why string) {
 	if !cause.Step.Spec.Lockstep || cause.Step.Job.Cancelled {
 		return
 	}
-	reason := shorten(fmt.Sprintf("member %d: %s", cause.ID.Index, why), maxReasonBytes)
+	reason := truncate(fmt.Sprintf("member %d: %s", cause.ID.Index, why), maxReasonBytes)
 	for _, member := range cause.Step.Tasks {
 		if member == cause || member.Run == nil || member.State.Final() || member.Run.Stop != StopNone {
 			continue
 		}
 		member.Reason = reason
-		m.markStopping(member.Run, StopGroup)
+		m.requestStop(member.Run, StopGang)
 	}
 }
 
-// failGroupIfOver fails a group for good once its last run is closed and its
+// failGangIfExhausted fails a group for good once its last run is closed and its
 // failures are used up.
-func (m *Machine) failGroupIfOver(step *Step) {
-	if !step.Spec.Lockstep || !step.outOfFailures() {
+func (m *Machine) failGangIfExhausted(step *Step) {
+	if !step.Spec.Lockstep || !step.failuresExhausted() {
 		return
 	}
 	for _, member := range step.Tasks {
@@ -128,14 +128,14 @@
 		}
 	}
 	for _, member := range step.Tasks {
-		m.endWaiting(member, TaskFailed, member.Reason)
+		m.finishWithoutRun(member, TaskFailed, member.Reason)
 	}
 }
 
-// outOfFailures reports whether the group has failed as often as the least
+// failuresExhausted reports whether the group has failed as often as the least
 // tolerant of its members allows.
-func (s *Step) outOfFailures() bool {
-	if s.endless() {
+func (s *Step) failuresExhausted() bool {
+	if s.runsUntilCancelled() {
 		return false
 	}
 	for _, member := range s.Tasks {
@@ -146,17 +146,17 @@
 	return false
 }
 
-// countGroupFailure counts the first failure under a run number as one of the
+// countGangFailure counts the first failure under a run number as one of the
 // group, and sets when it runs again.
-func (m *Machine) countGroupFailure(run *Run, end *RunEnd) {
+func (m *Machine) countGangFailure(run *Run, end *RunEnd) {
 	step := run.Task.Step
-	if step.failedRun == run.Number {
+	if step.lastFailedRun == run.Number {
 		return
 	}
-	step.failedRun = run.Number
+	step.lastFailedRun = run.Number
 	run.Task.Reason = failureReason(end.Message)
 	for _, member := range step.Tasks {
 		member.countFailure(run, m.state.clock)
-		member.NotBefore = max(member.NotBefore, m.state.clock+m.pauseOf(member))
+		member.NotBefore = max(member.NotBefore, m.state.clock+m.retryBackoff(member))
 	}
 }
--- a/internal/record/lockstep_property_test.go
+++ b/internal/record/lockstep_property_test.go
@@ -1,19 +1,19 @@
 package record
 
-func (c *checker) noteFailedRun(run *Run) {
+func (c *invariantChecker) recordFailedRun(run *Run) {
 	step := run.Task.Step
-	isFirst := run.Task.Endless() && c.machine.state.clock-run.PlacedAt >= steadyRun
+	isFirst := run.Task.RunsUntilCancelled() && c.machine.state.clock-run.PlacedAt >= failureResetAfter
 	if c.failedRuns[step] == nil || isFirst && !c.failedRuns[step][run.Number] {
 		c.failedRuns[step] = make(map[uint32]bool)
 	}
 	c.failedRuns[step][run.Number] = true
 }
 
-// member checks a task in lockstep against the others of its group.
-func (c *checker) member(task *Task) {
-	allowed := leastAllowed(task.Step)
+// checkGangMember checks a task in lockstep against the others of its group.
+func (c *invariantChecker) checkGangMember(task *Task) {
+	allowed := lowestAllowedFailures(task.Step)
 	outOfFailures := task.Failures == allowed
-	if task.Endless() {
+	if task.RunsUntilCancelled() {
 		outOfFailures = false
 		if task.State == TaskSucceeded || task.State == TaskFailed {
 			c.t.Fatalf("%s has no end of its own and is in state %d", task.ID, task.State)
@@ -21,7 +21,7 @@
 	} else if task.Failures > allowed || (task.State == TaskFailed && !outOfFailures) {
 		c.t.Fatalf("%s: %d failures of %d allowed in state %d", task.ID, task.Failures, allowed, task.State)
 	}
-	group := groupOf(task.Step)
+	group := gangCountsOf(task.Step)
 	if group.open == 0 && outOfFailures && !task.State.Final() {
 		c.t.Fatalf("%s: its group is out of failures and waits", task.ID)
 	}
@@ -38,8 +38,8 @@
 	}
 }
 
-// leastAllowed is the allowance of a group: that of its least tolerant member.
-func leastAllowed(step *Step) int {
+// lowestAllowedFailures is the allowance of a group: that of its least tolerant member.
+func lowestAllowedFailures(step *Step) int {
 	least := step.Tasks[0].AllowedFailures
 	for _, member := range step.Tasks {
 		least = min(least, member.AllowedFailures)
@@ -47,15 +47,15 @@
 	return least
 }
 
-// groupCounts counts the members of a group in lockstep.
-type groupCounts struct {
-	// open have an open run, mayGoOn one that is not to be stopped, and
+// gangCounts counts the members of a group in lockstep.
+type gangCounts struct {
+	// openRun have an open run, mayGoOn one that is not to be stopped, and
 	// waitsOrRuns are not final and were placed before.
 	open, mayGoOn, waitsOrRuns int
 }
 
-func groupOf(step *Step) groupCounts {
-	var counts groupCounts
+func gangCountsOf(step *Step) gangCounts {
+	var counts gangCounts
 	for _, member := range step.Tasks {
 		if !member.State.Final() && member.LastRun > 0 {
 			counts.waitsOrRuns++
--- a/internal/record/machine.go
+++ b/internal/record/machine.go
@@ -9,16 +9,16 @@
 // ErrOutOfOrder: an entry was applied that is not after all earlier ones.
 var ErrOutOfOrder = errors.New("record: entry is not newer than those applied")
 
-// DefaultOrdersKept is how many outcomes of configuration orders are kept.
-const DefaultOrdersKept = 10000
+// DefaultMaxConfigOrders is how many outcomes of configuration orders are kept.
+const DefaultMaxConfigOrders = 10000
 
 // Config sets up a Machine.
 type Config struct {
 	// Archive stores ended jobs. Required.
 	Archive Archive
-	// OrdersKept bounds the outcomes of configuration orders that are kept,
+	// MaxConfigOrders bounds the outcomes of configuration orders that are kept,
 	// the oldest being dropped first. Default 10000; the same on every replica.
-	OrdersKept int
+	MaxConfigOrders int
 }
 
 // Machine is the state machine; see doc.go. Its methods are safe for
@@ -30,8 +30,8 @@
 	state     *state
 	observers []*observer
 	// ended and endedJobs collect what the entry being applied ended.
-	ended     []ArchivedJob
-	endedJobs []*Job
+	archiveBatch []ArchivedJob
+	endedJobs    []*Job
 
 	// expiry bounds what may be dropped from the archive; it is local to the
 	// replica and no part of the replicated state.
@@ -44,10 +44,10 @@
 
 // NewMachine returns an empty record.
 func NewMachine(config Config) *Machine {
-	if config.OrdersKept <= 0 {
-		config.OrdersKept = DefaultOrdersKept
+	if config.MaxConfigOrders <= 0 {
+		config.MaxConfigOrders = DefaultMaxConfigOrders
 	}
-	return &Machine{archive: config.Archive, state: newState(config.OrdersKept)}
+	return &Machine{archive: config.Archive, state: newState(config.MaxConfigOrders)}
 }
 
 // Apply applies one entry of the log. An error is fatal for the replica: the
@@ -63,12 +63,12 @@
 		return Result{}, fmt.Errorf("entry %d after %d: %w", index, m.state.applied, ErrOutOfOrder)
 	}
 	m.state.applied = index
-	m.state.advance(command.Time)
+	m.state.advanceClock(command.Time)
 	result := Result{Index: index}
 	if err := m.dispatch(&command, &result); err != nil {
 		return Result{}, fmt.Errorf("entry %d: %w", index, err)
 	}
-	if err := m.archiveEnded(); err != nil {
+	if err := m.archiveEndedJobs(); err != nil {
 		return Result{}, fmt.Errorf("entry %d: %w", index, err)
 	}
 	return result, nil
@@ -76,28 +76,28 @@
 
 func (m *Machine) dispatch(command *Command, result *Result) error {
 	switch {
-	case command.Submit != nil:
-		return m.applySubmit(command.Submit, result)
-	case command.Cancel != nil:
-		m.applyCancel(command.Cancel)
+	case command.SubmitJob != nil:
+		return m.applySubmitJob(command.SubmitJob, result)
+	case command.CancelJobs != nil:
+		m.applyCancelJobs(command.CancelJobs)
 	case command.PutConfig != nil:
 		m.applyPutConfig(command.PutConfig, result)
-	case command.Place != nil:
-		m.applyPlace(command.Place, command.Token, result)
-	case command.Close != nil:
-		m.applyClose(command.Close)
-	case command.Stop != nil:
-		m.applyStop(command.Stop)
-	case command.Register != nil:
-		m.applyRegister(command.Register, result)
-	case command.Forget != nil:
-		m.applyForget(command.Forget)
-	case command.Expire != nil:
-		return m.applyExpire(command.Expire)
-	case command.Release != nil:
-		m.applyRelease(command.Release)
-	case command.Expand != nil:
-		m.applyExpand(command.Expand)
+	case command.PlaceTasks != nil:
+		m.applyPlaceTasks(command.PlaceTasks, command.Token, result)
+	case command.CloseRuns != nil:
+		m.applyCloseRuns(command.CloseRuns)
+	case command.StopRuns != nil:
+		m.applyStopRuns(command.StopRuns)
+	case command.RegisterWorkers != nil:
+		m.applyRegisterWorkers(command.RegisterWorkers, result)
+	case command.ForgetWorkers != nil:
+		m.applyForgetWorkers(command.ForgetWorkers)
+	case command.ExpireArchive != nil:
+		return m.applyExpireArchive(command.ExpireArchive)
+	case command.ReleaseWindow != nil:
+		m.applyReleaseWindow(command.ReleaseWindow)
+	case command.ExpandRepeats != nil:
+		m.applyExpandRepeats(command.ExpandRepeats)
 	case command.DrainZone != nil:
 		m.applyDrainZone(command.DrainZone)
 	default:
--- a/internal/record/place.go
+++ b/internal/record/place.go
@@ -7,17 +7,17 @@
 	"github.com/decklever/decklever/api"
 )
 
-// GroupSize is the number of members that must be placed in one Place, or 0
+// GangSize is the number of members that must be placed in one Place, or 0
 // if a member of the step may be placed alone.
 //
 // The rule: a step that is Together must be placed whole, which means all its
 // members that are not final, unless some member has an open run that is not
 // being stopped; then a member that is retried joins it alone. An open run
-// marked StopGroup holds the whole step back until it is closed. So members
+// marked StopGang holds the whole step back until it is closed. So members
 // wait together again after a group stop, and a member that fails once all
 // have started is retried by itself. A step in lockstep is always placed whole.
-func (s *Step) GroupSize() int {
-	if !s.Grouped() {
+func (s *Step) GangSize() int {
+	if !s.IsGang() {
 		return 0
 	}
 	members, going, stopping := 0, false, false
@@ -27,7 +27,7 @@
 		}
 		if task.Run != nil {
 			going = going || task.Run.Stop == StopNone
-			stopping = stopping || task.Run.Stop == StopGroup
+			stopping = stopping || task.Run.Stop == StopGang
 		}
 	}
 	if going && !stopping && !s.Spec.Lockstep {
@@ -36,11 +36,11 @@
 	return members
 }
 
-// applyPlace opens the runs that still fit, in the order given. The members
+// applyPlaceTasks opens the runs that still fit, in the order given. The members
 // of a group are tried where the first of them stands.
-func (m *Machine) applyPlace(place *Place, token uint64, result *Result) {
-	for _, unit := range m.placeUnits(place.Placements) {
-		if !m.placeUnit(unit, token) {
+func (m *Machine) applyPlaceTasks(position *PlaceTasks, token uint64, result *Result) {
+	for _, unit := range m.groupIntoUnits(position.Placements) {
+		if !m.applyUnit(unit, token) {
 			for _, placement := range unit.placements {
 				result.Rejected = append(result.Rejected, placement.Run)
 			}
@@ -49,21 +49,21 @@
 }
 
 // placeUnit is what is placed whole or not at all.
-type placeUnit struct {
+type placementUnit struct {
 	placements []Placement
 	// size is the number of placements that the unit must have.
 	size int
 }
 
-// placeUnits joins the placements of each group; all others stand alone.
-func (m *Machine) placeUnits(placements []Placement) []*placeUnit {
-	units := make([]*placeUnit, 0, len(placements))
-	groups := make(map[*Step]*placeUnit)
+// groupIntoUnits joins the placements of each group; all others stand alone.
+func (m *Machine) groupIntoUnits(placements []Placement) []*placementUnit {
+	units := make([]*placementUnit, 0, len(placements))
+	groups := make(map[*Step]*placementUnit)
 	for _, placement := range placements {
 		size := 1
 		var group *Step
 		if task := m.state.task(placement.Run.Task); task != nil {
-			if groupSize := task.Step.GroupSize(); groupSize > 0 {
+			if groupSize := task.Step.GangSize(); groupSize > 0 {
 				size, group = groupSize, task.Step
 			}
 		}
@@ -71,7 +71,7 @@
 			unit.placements = append(unit.placements, placement)
 			continue
 		}
-		unit := &placeUnit{placements: []Placement{placement}, size: size}
+		unit := &placementUnit{placements: []Placement{placement}, size: size}
 		units = append(units, unit)
 		if group != nil {
 			groups[group] = unit
@@ -81,30 +81,30 @@
 }
 
 // placeUnit opens the unit's runs if every one holds.
-func (m *Machine) placeUnit(unit *placeUnit, token uint64) bool {
+func (m *Machine) applyUnit(unit *placementUnit, token uint64) bool {
 	if len(unit.placements) != unit.size {
 		return false
 	}
-	check := placeCheck{state: m.state}
+	check := placementChecker{state: m.state}
 	for i := range unit.placements {
-		if !check.take(&unit.placements[i]) {
+		if !check.accept(&unit.placements[i]) {
 			return false
 		}
 	}
-	for _, taken := range check.taken {
-		m.open(taken, token)
+	for _, accepted := range check.accepted {
+		m.openRun(accepted, token)
 	}
 	return true
 }
 
-// open opens a run that was checked.
-func (m *Machine) open(taken takenPlace, token uint64) {
-	task := taken.task
+// openRun opens a run that was checked.
+func (m *Machine) openRun(accepted acceptedPlacement, token uint64) {
+	task := accepted.task
 	run := &Run{
 		Task:     task,
-		Number:   taken.number,
-		WorkerID: taken.worker.ID,
-		Worker:   taken.worker.Name,
+		Number:   accepted.number,
+		WorkerID: accepted.worker.ID,
+		Worker:   accepted.worker.Name,
 		Token:    token,
 		PlacedAt: m.state.clock,
 	}
@@ -116,53 +116,53 @@
 	m.emit(RunOpened{Run: run})
 }
 
-// placeCheck checks the placements of one unit, each against the record and
+// placementChecker checks the placements of one unit, each against the record and
 // those taken before it.
-type placeCheck struct {
-	state *state
-	taken []takenPlace
+type placementChecker struct {
+	state    *state
+	accepted []acceptedPlacement
 }
 
-type takenPlace struct {
+type acceptedPlacement struct {
 	task   *Task
 	worker *Worker
 	number uint32
 }
 
-// take checks one placement and counts it in if it holds.
-func (c *placeCheck) take(placement *Placement) bool {
+// accept checks one placement and counts it in if it holds.
+func (c *placementChecker) accept(placement *Placement) bool {
 	task := c.state.task(placement.Run.Task)
-	if task == nil || !c.taskHolds(task, placement.Run.Number) {
+	if task == nil || !c.taskIsPlaceable(task, placement.Run.Number) {
 		return false
 	}
 	worker := c.state.workers[placement.Worker]
 	if worker == nil || worker.ID != placement.WorkerID {
 		return false
 	}
-	if !c.workerHolds(worker, task) || !c.boundsHold(task) {
+	if !c.workerIsFeasible(worker, task) || !c.withinRunningLimits(task) {
 		return false
 	}
-	c.taken = append(c.taken, takenPlace{task: task, worker: worker, number: placement.Run.Number})
+	c.accepted = append(c.accepted, acceptedPlacement{task: task, worker: worker, number: placement.Run.Number})
 	return true
 }
 
-func (c *placeCheck) taskHolds(task *Task, number uint32) bool {
+func (c *placementChecker) taskIsPlaceable(task *Task, number uint32) bool {
 	if task.State != TaskReady || task.Step.Job.Cancelled {
 		return false
 	}
 	if c.state.clock < task.NotBefore || number != task.NextRun() {
 		return false
 	}
-	return !slices.ContainsFunc(c.taken, func(taken takenPlace) bool {
-		return taken.task == task
+	return !slices.ContainsFunc(c.accepted, func(accepted acceptedPlacement) bool {
+		return accepted.task == task
 	})
 }
 
-func (c *placeCheck) workerHolds(worker *Worker, task *Task) bool {
+func (c *placementChecker) workerIsFeasible(worker *Worker, task *Task) bool {
 	return slices.Contains(worker.Services, task.Spec.Service) &&
 		labelsMatch(task.Spec.Labels, worker.Labels) &&
 		c.fits(worker, task) &&
-		c.spreadHolds(worker, task)
+		c.spreadSatisfied(worker, task)
 }
 
 func labelsMatch(wanted, offered map[string]string) bool {
@@ -174,18 +174,18 @@
 	return true
 }
 
-func (c *placeCheck) fits(worker *Worker, task *Task) bool {
-	used := c.state.used(worker.ID)
-	for _, taken := range c.taken {
-		if taken.worker == worker {
-			used = used.Add(taken.task.Spec.Resources)
+func (c *placementChecker) fits(worker *Worker, task *Task) bool {
+	used := c.state.usedResources(worker.ID)
+	for _, accepted := range c.accepted {
+		if accepted.worker == worker {
+			used = used.Add(accepted.task.Spec.Resources)
 		}
 	}
 	return used.Add(task.Spec.Resources).Fits(worker.Capacity)
 }
 
-// spreadHolds counts the open runs of the task's step in the worker's domain.
-func (c *placeCheck) spreadHolds(worker *Worker, task *Task) bool {
+// spreadSatisfied counts the open runs of the task's step in the worker's domain.
+func (c *placementChecker) spreadSatisfied(worker *Worker, task *Task) bool {
 	spread := task.Spec.Spread
 	if spread == nil {
 		return true
@@ -197,8 +197,8 @@
 			count++
 		}
 	}
-	for _, taken := range c.taken {
-		if taken.task.Step == task.Step && spreadDomain(spread, taken.worker) == domain {
+	for _, accepted := range c.accepted {
+		if accepted.task.Step == task.Step && spreadDomain(spread, accepted.worker) == domain {
 			count++
 		}
 	}
@@ -217,24 +217,24 @@
 }
 
 // boundsHold checks the bounds of the task's queue and of its team.
-func (c *placeCheck) boundsHold(task *Task) bool {
+func (c *placementChecker) withinRunningLimits(task *Task) bool {
 	queue := c.state.settings.queues[task.Step.Job.Spec.Queue]
-	if !c.roomWithin(queue.MaxRunningTasks, c.state.queues[queue.Name]) {
+	if !c.withinLimit(queue.MaxRunningTasks, c.state.queueCounts[queue.Name]) {
 		return false
 	}
 	team := c.state.settings.teams[queue.Team]
-	return c.roomWithin(team.MaxRunningTasks, c.state.teams[team.Name])
+	return c.withinLimit(team.MaxRunningTasks, c.state.teamCounts[team.Name])
 }
 
-// roomWithin reports whether a bound on open runs, 0 for none, lets in one more
+// withinLimit reports whether a bound on open runs, 0 for none, lets in one more
 // than what is counted and was taken. counts is nil if nothing is counted.
-func (c *placeCheck) roomWithin(most int, counts *QueueCounts) bool {
-	if most <= 0 {
+func (c *placementChecker) withinLimit(limit int, counts *QueueCounts) bool {
+	if limit <= 0 {
 		return true
 	}
-	running := len(c.taken) // a unit lies within one job, hence one queue
+	running := len(c.accepted) // a unit lies within one job, hence one queue
 	if counts != nil {
 		running += counts.RunningTasks
 	}
-	return running < most
+	return running < limit
 }
--- a/internal/record/property_test.go
+++ b/internal/record/property_test.go
@@ -13,27 +13,27 @@
 	"github.com/decklever/decklever/api"
 )
 
-// entries is what a random run applied, to be applied again elsewhere.
-type entries struct {
+// appliedEntries is what a random run applied, to be applied again elsewhere.
+type appliedEntries struct {
 	data    [][]byte
 	results []Result
 }
 
-func TestRandomCommandsKeepInvariants(t *testing.T) {
+func TestMachine_RandomCommandsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		archive := newTestArchive()
-		machine := NewMachine(Config{Archive: archive, OrdersKept: 3})
+		machine := NewMachine(Config{Archive: archive, MaxConfigOrders: 3})
 		count := rapid.IntRange(5, 120).Draw(t, "count")
 		cut := rapid.IntRange(0, count).Draw(t, "cut")
 		// An id that expires and is used again loses its first life in the
 		// archive, so only a run without expiry may restart on a later one.
 		expiry := rapid.Bool().Draw(t, "expiry")
-		check := newChecker(t, machine)
-		var log entries
+		check := newInvariantChecker(t, machine)
+		var log appliedEntries
 		config := testConfig()
 		log.apply(t, machine, Command{Time: 1000, PutConfig: &PutConfig{Config: config, Digest: config.Digest()}})
 		workers := []Worker{testWorker("w1"), testWorker("w2")}
-		log.apply(t, machine, Command{Register: &RegisterWorkers{Workers: workers}})
+		log.apply(t, machine, Command{RegisterWorkers: &RegisterWorkers{Workers: workers}})
 		var snapshot []byte
 		var first int // entry after the snapshot
 		var archiveAtCut *testArchive
@@ -44,7 +44,7 @@
 			}
 			command := drawCommand(t, machine, expiry)
 			log.apply(t, machine, command)
-			check.after(command, log.results[len(log.results)-1])
+			check.checkCommand(command, log.results[len(log.results)-1])
 		}
 		if snapshot == nil {
 			return
@@ -56,7 +56,7 @@
 	})
 }
 
-func (e *entries) apply(t *rapid.T, machine *Machine, command Command) {
+func (e *appliedEntries) apply(t *rapid.T, machine *Machine, command Command) {
 	data, err := Encode(command)
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 
 // replay applies the entries from first on to a restored machine, which must
 // give the same results and end the same.
-func (e *entries) replay(t *rapid.T, snapshot []byte, archive *testArchive, first int, original *Machine) {
+func (e *appliedEntries) replay(t *rapid.T, snapshot []byte, archive *testArchive, first int, original *Machine) {
 	machine := restored(t, snapshot, archive)
 	if !bytes.Equal(snapshot, snapshotBytes(t, machine)) {
 		t.Fatal("a restored machine writes another snapshot")
@@ -98,13 +98,13 @@
 		what string
 		a, b any
 	}{
-		{"jobs", slices.Concat(a.jobList), slices.Concat(b.jobList)}, // nil if empty
+		{"jobs", slices.Concat(a.sortedJobs), slices.Concat(b.sortedJobs)}, // nil if empty
 		{"workers", a.workers, b.workers},
-		{"loads", a.loads, b.loads},
-		{"queues", a.queues, b.queues},
-		{"teams", a.teams, b.teams},
+		{"loads", a.loadByWorkerID, b.loadByWorkerID},
+		{"queues", a.queueCounts, b.queueCounts},
+		{"teams", a.teamCounts, b.teamCounts},
 		{"drained zones", slices.Concat(a.drainedZones), slices.Concat(b.drainedZones)},
-		{"released", slices.Concat(a.released), slices.Concat(b.released)},
+		{"released", slices.Concat(a.releasedWindows), slices.Concat(b.releasedWindows)},
 		{"versions", slices.Concat(a.settings.versions), slices.Concat(b.settings.versions)},
 		{"orders", a.settings.orders.oldestFirst(), b.settings.orders.oldestFirst()},
 	}
@@ -118,39 +118,39 @@
 func drawCommand(t *rapid.T, machine *Machine, expiry bool) Command {
 	command := Command{Time: machine.state.clock + Millis(rapid.IntRange(-50, 300).Draw(t, "time")), Token: 1}
 	if rapid.IntRange(0, 19).Draw(t, "pause") == 0 {
-		command.Time += steadyRun
+		command.Time += failureResetAfter
 	}
-	most := 18
+	limit := 18
 	if expiry {
-		most++
+		limit++
 	}
-	switch kind := rapid.IntRange(0, most).Draw(t, "kind"); kind {
+	switch kind := rapid.IntRange(0, limit).Draw(t, "kind"); kind {
 	case 0, 1, 2:
-		command.Submit = drawSubmit(t)
+		command.SubmitJob = drawSubmit(t)
 	case 3:
-		command.Cancel = &Cancel{Jobs: rapid.SliceOfN(drawJobID, 1, 3).Draw(t, "jobs")}
+		command.CancelJobs = &CancelJobs{Jobs: rapid.SliceOfN(drawJobID, 1, 3).Draw(t, "jobs")}
 	case 4, 5:
 		command.PutConfig = drawPutConfig(t)
 	case 6, 7, 8:
-		command.Place = drawPlace(t, machine)
+		command.PlaceTasks = drawPlace(t, machine)
 	case 9, 10, 11:
-		command.Close = drawClose(t, machine)
+		command.CloseRuns = drawClose(t, machine)
 	case 12:
-		command.Register = drawRegister(t)
+		command.RegisterWorkers = drawRegister(t)
 	case 13, 14:
 		if rapid.Bool().Draw(t, "stop") {
-			command.Stop = &Stop{Runs: drawOpen(t, machine), Reason: rapid.SampledFrom([]StopReason{StopDrained, StopGroup, StopPreempted}).Draw(t, "reason")}
+			command.StopRuns = &StopRuns{Runs: drawOpen(t, machine), Reason: rapid.SampledFrom([]StopReason{StopDrained, StopGang, StopPreempted}).Draw(t, "reason")}
 		} else {
-			command.Forget = &ForgetWorkers{Names: []string{drawWorker.Draw(t, "name")}}
+			command.ForgetWorkers = &ForgetWorkers{Names: []string{drawWorker.Draw(t, "name")}}
 		}
 	case 15:
-		command.Release = drawRelease(t, machine)
+		command.ReleaseWindow = drawRelease(t, machine)
 	case 16:
 		command.DrainZone = &DrainZone{Zone: drawZone.Draw(t, "zone"), Drained: rapid.Bool().Draw(t, "drained")}
 	case 17, 18:
-		command.Expand = drawExpand(t)
+		command.ExpandRepeats = drawExpand(t)
 	default:
-		command.Expire = &ExpireArchive{Before: machine.state.clock - 100, Limit: 2}
+		command.ExpireArchive = &ExpireArchive{Before: machine.state.clock - 100, Limit: 2}
 	}
 	return command
 }
@@ -161,8 +161,8 @@
 	drawZone   = rapid.SampledFrom([]string{"z1", "z2", "z3"})
 )
 
-func drawSubmit(t *rapid.T) *Submit {
-	first := step("one", rapid.IntRange(1, 3).Draw(t, "tasks"))
+func drawSubmit(t *rapid.T) *SubmitJob {
+	first := stepSpec("one", rapid.IntRange(1, 3).Draw(t, "tasks"))
 	first.Together = rapid.Bool().Draw(t, "together")
 	first.Lockstep = rapid.Bool().Draw(t, "lockstep")
 	if rapid.Bool().Draw(t, "spread") {
@@ -179,15 +179,15 @@
 		first.Tasks[0].AllowedFailures = &one
 	}
 	first.Tasks[0].UntilCancelled = rapid.IntRange(0, 3).Draw(t, "until cancelled") == 0
-	second := step("two", 1, "one")
-	third := step("three", 1, "two")
+	second := stepSpec("two", 1, "one")
+	third := stepSpec("three", 1, "two")
 	spec := api.JobSpec{Queue: rapid.SampledFrom([]string{testQueue, "narrow"}).Draw(t, "queue")}
 	spec.Steps = []api.StepSpec{first, second, third}
 	if rapid.IntRange(0, 2).Draw(t, "repeat") == 0 {
-		repeat := repeating(rapid.IntRange(1, 4).Draw(t, "times"), Millis(rapid.IntRange(900, 2000).Draw(t, "first")))
+		repeat := repeatingJob(rapid.IntRange(1, 4).Draw(t, "times"), Millis(rapid.IntRange(900, 2000).Draw(t, "first")))
 		spec.Repeat = repeat.Repeat
 	}
-	return &Submit{ID: drawJobID.Draw(t, "id"), Spec: spec, Digest: spec.Digest()}
+	return &SubmitJob{ID: drawJobID.Draw(t, "id"), Spec: spec, Digest: spec.Digest()}
 }
 
 func drawExpand(t *rapid.T) *ExpandRepeats {
@@ -234,32 +234,32 @@
 }
 
 // drawPlace mostly names placements that can hold.
-func drawPlace(t *rapid.T, machine *Machine) *Place {
-	place := &Place{}
-	for _, job := range machine.state.jobList {
+func drawPlace(t *rapid.T, machine *Machine) *PlaceTasks {
+	position := &PlaceTasks{}
+	for _, job := range machine.state.sortedJobs {
 		for _, step := range job.Steps {
 			for _, task := range step.Tasks {
 				if task.State != TaskReady || rapid.IntRange(0, 3).Draw(t, "skip") == 0 {
 					continue
 				}
 				name := drawWorker.Draw(t, "worker")
-				placement := onWorker(task.ID, task.LastRun+1, name)
+				placement := placementOn(task.ID, task.LastRun+1, name)
 				if rapid.IntRange(0, 9).Draw(t, "wrong number") == 0 {
 					placement.Run.Number++
 				}
 				if worker := machine.state.workers[name]; worker != nil {
 					placement.WorkerID = worker.ID
 				}
-				place.Placements = append(place.Placements, placement)
+				position.Placements = append(position.Placements, placement)
 			}
 		}
 	}
-	return place
+	return position
 }
 
 func drawOpen(t *rapid.T, machine *Machine) []RunID {
 	var runs []RunID
-	for _, run := range machine.state.allRuns() {
+	for _, run := range machine.state.sortedOpenRuns() {
 		if rapid.Bool().Draw(t, "take") {
 			runs = append(runs, run.ID())
 		}
@@ -267,11 +267,11 @@
 	return runs
 }
 
-func drawClose(t *rapid.T, machine *Machine) *Close {
+func drawClose(t *rapid.T, machine *Machine) *CloseRuns {
 	outcomes := []api.Outcome{api.OutcomeSucceeded, api.OutcomeFailed, api.OutcomeStopped, api.OutcomeLost}
-	closing := &Close{}
+	closeRuns := &CloseRuns{}
 	runs := drawOpen(t, machine)
-	strayTask := occurrenceID(drawJobID.Draw(t, "job"), "one", 0, rapid.IntRange(0, 3).Draw(t, "occurrence"))
+	strayTask := occurrenceTaskID(drawJobID.Draw(t, "job"), "one", 0, rapid.IntRange(0, 3).Draw(t, "occurrence"))
 	stray := RunID{Task: strayTask, Number: uint32(rapid.IntRange(0, 2).Draw(t, "number"))}
 	for _, run := range append(runs, stray) {
 		outcome := rapid.SampledFrom(outcomes).Draw(t, "outcome")
@@ -280,7 +280,7 @@
 			end.Percent = rapid.IntRange(0, 3).Draw(t, "percent")
 			end.Checkpoint = checkpointText(run, end.Percent)
 		}
-		closing.Runs = append(closing.Runs, end)
+		closeRuns.Runs = append(closeRuns.Runs, end)
 	}
-	return closing
+	return closeRuns
 }
--- a/internal/record/release.go
+++ b/internal/record/release.go
@@ -6,33 +6,33 @@
 	"strings"
 )
 
-// applyRelease notes that the room of a window is given back. A window that
+// applyReleaseWindow notes that the room of a window is given back. A window that
 // has ended by the command clock, or was released before, is passed over.
-func (m *Machine) applyRelease(release *ReleaseWindow) {
-	if m.state.release(*release) {
+func (m *Machine) applyReleaseWindow(release *ReleaseWindow) {
+	if m.state.addReleasedWindow(*release) {
 		m.emit(WindowReleased{Window: *release})
 	}
 }
 
-// release keeps a released window until its end, and reports whether it is new.
-func (s *state) release(window ReleaseWindow) bool {
-	if window.End <= s.clock || slices.ContainsFunc(s.released, window.sameWindow) {
+// addReleasedWindow keeps a released window until its end, and reports whether it is new.
+func (s *state) addReleasedWindow(window ReleaseWindow) bool {
+	if window.End <= s.clock || slices.ContainsFunc(s.releasedWindows, window.sameWindow) {
 		return false
 	}
-	place, _ := slices.BinarySearchFunc(s.released, window, compareReleases)
-	s.released = slices.Concat(s.released[:place], []ReleaseWindow{window}, s.released[place:])
+	position, _ := slices.BinarySearchFunc(s.releasedWindows, window, compareReleases)
+	s.releasedWindows = slices.Concat(s.releasedWindows[:position], []ReleaseWindow{window}, s.releasedWindows[position:])
 	return true
 }
 
-// advance moves the clock, which never goes back, and forgets releases of
+// advanceClock moves the clock, which never goes back, and forgets releases of
 // windows that have ended.
-func (s *state) advance(clock Millis) {
+func (s *state) advanceClock(clock Millis) {
 	s.clock = max(s.clock, clock)
 	ended := 0
-	for ended < len(s.released) && s.released[ended].End <= s.clock {
+	for ended < len(s.releasedWindows) && s.releasedWindows[ended].End <= s.clock {
 		ended++
 	}
-	s.released = s.released[ended:]
+	s.releasedWindows = s.releasedWindows[ended:]
 }
 
 // sameWindow compares what names a window; its end follows from that.
--- a/internal/record/repeat.go
+++ b/internal/record/repeat.go
@@ -33,13 +33,13 @@
 	openRuns  int
 }
 
-// over reports that nothing of the occurrence can change any more.
-func (o *occurrence) over() bool { return o.openTasks == 0 && o.openRuns == 0 }
+// ended reports that nothing of the occurrence can change any more.
+func (o *occurrence) ended() bool { return o.openTasks == 0 && o.openRuns == 0 }
 
-// noteIfOver lets endJobIfDone look for occurrences that have ended.
-func (s *Step) noteIfOver() {
-	if s.occurrence.over() {
-		s.Job.mayReduce = true
+// flagIfOccurrenceEnded lets archiveJobIfComplete look for occurrences that have ended.
+func (s *Step) flagIfOccurrenceEnded() {
+	if s.occurrence.ended() {
+		s.Job.mayHaveEndedOccurrence = true
 	}
 }
 
@@ -51,17 +51,17 @@
 	return min(j.Spec.Repeat.Times, api.MaxOccurrences)
 }
 
-// FellDue is when the step's occurrence fell due, but not before the job was
+// DueAt is when the step's occurrence fell due, but not before the job was
 // handed in; of a job that does not repeat, when it was handed in.
-func (s *Step) FellDue() Millis {
+func (s *Step) DueAt() Millis {
 	if s.Job.Spec.Repeat == nil {
 		return s.Job.SubmittedAt
 	}
 	return max(s.Job.SubmittedAt, Millis(s.Job.Spec.Repeat.DueMillis(s.Occurrence)))
 }
 
-// earliestStart is the first start of the step's tasks; 0 for at once.
-func (s *Step) earliestStart() Millis {
+// earliestTaskStart is the first start of the step's tasks; 0 for at once.
+func (s *Step) earliestTaskStart() Millis {
 	if s.Job.Spec.Repeat == nil {
 		return notBefore(s.Spec)
 	}
@@ -80,10 +80,10 @@
 		byName[step.Spec.Name] = step
 	}
 	for _, step := range added.steps {
-		linkStep(step, byName)
+		linkDependencies(step, byName)
 	}
 	j.OpenTasks += added.openTasks
-	j.mayReduce = j.mayReduce || added.over()
+	j.mayHaveEndedOccurrence = j.mayHaveEndedOccurrence || added.ended()
 	j.occurrences = append(j.occurrences, added)
 	j.Steps = append(j.Steps, added.steps...)
 	return added
@@ -91,13 +91,13 @@
 
 // findOccurrence returns a live occurrence, or nil.
 func (j *Job) findOccurrence(number int) *occurrence {
-	place, found := slices.BinarySearchFunc(j.occurrences, number, func(one *occurrence, number int) int {
+	position, found := slices.BinarySearchFunc(j.occurrences, number, func(one *occurrence, number int) int {
 		return cmp.Compare(one.number, number)
 	})
 	if !found {
 		return nil
 	}
-	return j.occurrences[place]
+	return j.occurrences[position]
 }
 
 // liveOccurrences returns the numbers of the live occurrences.
@@ -109,11 +109,11 @@
 	return numbers
 }
 
-// prepare fills in what the tasks of a new occurrence take from the queue and
+// initializeTasks fills in what the tasks of a new occurrence take from the queue and
 // from their start time.
-func (o *occurrence) prepare(defaultAllowedFailures int) {
+func (o *occurrence) initializeTasks(defaultAllowedFailures int) {
 	for _, step := range o.steps {
-		earliest := step.earliestStart()
+		earliest := step.earliestTaskStart()
 		for _, task := range step.Tasks {
 			task.AllowedFailures = allowedFailures(task.Spec, defaultAllowedFailures)
 			task.NotBefore = earliest
@@ -121,69 +121,69 @@
 	}
 }
 
-// start makes the first steps of a new occurrence ready.
-func (m *Machine) start(added *occurrence) {
+// startOccurrence makes the first steps of a new occurrence ready.
+func (m *Machine) startOccurrence(added *occurrence) {
 	for _, step := range added.steps {
-		if len(step.before) == 0 {
+		if len(step.dependencies) == 0 {
 			m.startStep(step)
 		}
 	}
 }
 
-// applyExpand adds the occurrences that fall due. One for which the job has too
+// applyExpandRepeats adds the occurrences that fall due. One for which the job has too
 // many open tasks is left for a later command.
-func (m *Machine) applyExpand(expand *ExpandRepeats) {
+func (m *Machine) applyExpandRepeats(expand *ExpandRepeats) {
 	for _, expansion := range expand.Jobs {
 		job := m.state.jobs[expansion.Job]
 		if job == nil || job.Repetition == nil {
 			continue
 		}
-		for job.canAdd(expansion.Through) {
-			m.addNext(job)
+		for job.canAddOccurrence(expansion.Through) {
+			m.addNextOccurrence(job)
 		}
-		m.endJobIfDone(job)
+		m.archiveJobIfComplete(job)
 	}
 }
 
-// canAdd reports whether the next occurrence is one up to through, and may be
+// canAddOccurrence reports whether the next occurrence is one up to through, and may be
 // open beside those that are.
-func (j *Job) canAdd(through int) bool {
+func (j *Job) canAddOccurrence(through int) bool {
 	if j.Repetition.Next > through || j.Repetition.Next >= j.Occurrences() {
 		return false
 	}
 	return j.OpenTasks == 0 || j.OpenTasks+j.Spec.TaskCount() <= api.MaxOpenTasksPerJob
 }
 
-// addNext adds a repeating job's next occurrence.
-func (m *Machine) addNext(job *Job) {
+// addNextOccurrence adds a repeating job's next occurrence.
+func (m *Machine) addNextOccurrence(job *Job) {
 	added := job.addOccurrence(job.Repetition.Next)
-	added.prepare(job.Repetition.AllowedFailures)
+	added.initializeTasks(job.Repetition.AllowedFailures)
 	job.Repetition.Next++
 	m.state.indexSteps(job, added.steps)
 	m.emit(OccurrenceAdded{Job: job, Occurrence: added.number})
-	m.start(added)
+	m.startOccurrence(added)
 }
 
-// reduceEnded takes ended occurrences of a repeating job out of memory and
+// removeEndedOccurrences takes ended occurrences of a repeating job out of memory and
 // counts them.
-func (m *Machine) reduceEnded(job *Job) {
-	if job.Repetition == nil || !job.mayReduce {
+func (m *Machine) removeEndedOccurrences(job *Job) {
+	if job.Repetition == nil || !job.mayHaveEndedOccurrence {
 		return
 	}
-	job.mayReduce = false
+	job.mayHaveEndedOccurrence = false
 	for _, one := range job.occurrences {
-		if one.over() {
-			job.countEnded(one)
+		if one.ended() {
+			job.countOutcome(one)
 			m.state.removeSteps(one.steps)
 			m.emit(OccurrenceEnded{Job: job, Occurrence: one.number, Steps: one.steps})
 		}
 	}
-	job.Steps = emptyIsNil(slices.DeleteFunc(job.Steps, func(step *Step) bool { return step.occurrence.over() }))
-	job.occurrences = emptyIsNil(slices.DeleteFunc(job.occurrences, func(one *occurrence) bool { return one.over() }))
+	job.Steps = nilIfEmpty(slices.DeleteFunc(job.Steps, func(step *Step) bool { return step.occurrence.ended() }))
+	job.occurrences = nilIfEmpty(slices.DeleteFunc(job.occurrences, func(one *occurrence) bool { return one.ended() }))
 }
 
-// countEnded counts an ended occurrence by its outcome.
-func (j *Job) countEnded(ended *occurrence) {
+// countOutcome counts an ended occurrence by its outcome.
+func (j *Job) countOutcome(ended *occurrence) {
 	outcome := api.StateSucceeded
 	for _, step := range ended.steps {
 		j.failedTasks -= step.FailedTasks
@@ -204,8 +204,8 @@
 	}
 }
 
-// cancelRest counts the occurrences that will not be added any more.
-func (j *Job) cancelRest() {
+// cancelFutureOccurrences counts the occurrences that will not be added any more.
+func (j *Job) cancelFutureOccurrences() {
 	if j.Repetition == nil {
 		return
 	}
@@ -213,8 +213,8 @@
 	j.Repetition.Next = j.Occurrences()
 }
 
-// emptyIsNil makes a list that ran empty equal to one that never had anything.
-func emptyIsNil[T any](list []T) []T {
+// nilIfEmpty makes a list that ran empty equal to one that never had anything.
+func nilIfEmpty[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
 	}
--- a/internal/record/repeat_test.go
+++ b/internal/record/repeat_test.go
@@ -14,48 +14,48 @@
 
 const testInterval = 100 * time.Millisecond
 
-func repeating(times int, first Millis, steps ...api.StepSpec) api.JobSpec {
+func repeatingJob(times int, first Millis, steps ...api.StepSpec) api.JobSpec {
 	repeat := &api.RepeatSpec{Times: times, First: first.Time(), Interval: api.Duration(testInterval)}
 	return api.JobSpec{Queue: testQueue, Repeat: repeat, Steps: steps}
 }
 
-func (r *rig) submitSpec(id string, spec api.JobSpec) SubmitOutcome {
+func (r *harness) submitSpec(id string, spec api.JobSpec) SubmitOutcome {
 	r.t.Helper()
-	return r.apply(Command{Submit: &Submit{ID: id, Spec: spec, Digest: spec.Digest()}}).Submit.Outcome
+	return r.apply(Command{SubmitJob: &SubmitJob{ID: id, Spec: spec, Digest: spec.Digest()}}).Submit.Outcome
 }
 
-func (r *rig) expand(id string, through int) {
+func (r *harness) expand(id string, through int) {
 	r.t.Helper()
-	r.apply(Command{Expand: &ExpandRepeats{Jobs: []Expansion{{Job: id, Through: through}}}})
+	r.apply(Command{ExpandRepeats: &ExpandRepeats{Jobs: []Expansion{{Job: id, Through: through}}}})
 }
 
-func occurrenceID(job, step string, index, occurrence int) TaskID {
+func occurrenceTaskID(job, step string, index, occurrence int) TaskID {
 	return TaskID{Job: job, Step: step, Index: index, Occurrence: occurrence}
 }
 
-// runOnce takes a task through one run.
-func (r *rig) runOnce(task TaskID, outcome api.Outcome) {
+// placeAndClose takes a task through one run.
+func (r *harness) placeAndClose(task TaskID, outcome api.Outcome) {
 	r.t.Helper()
 	number := r.task(task).LastRun + 1
-	r.mustPlace(onWorker(task, number, "w1"))
+	r.mustPlace(placementOn(task, number, "w1"))
 	r.close(task, number, outcome)
 }
 
-func TestOccurrencesFallDueOneAfterTheOther(t *testing.T) {
-	r := newRig(t)
+func TestRepeat_OccurrencesRunAsTheyFallDue(t *testing.T) {
+	r := newHarness(t)
 	r.register(testWorker("w1"))
-	r.submitSpec("j", repeating(3, 2000, step("a", 1), step("b", 1, "a")))
+	r.submitSpec("j", repeatingJob(3, 2000, stepSpec("a", 1), stepSpec("b", 1, "a")))
 	if got := r.status("j"); got.State != api.StatePending || len(got.Steps) != 2 || got.Occurrences.Open != 1 {
 		t.Fatalf("at first: %+v", got)
 	}
-	r.mustReject(onWorker(occurrenceID("j", "a", 0, 0), 1, "w1")) // before it falls due
+	r.mustRejectAll(placementOn(occurrenceTaskID("j", "a", 0, 0), 1, "w1")) // before it falls due
 	r.now = 2000
-	r.runOnce(occurrenceID("j", "a", 0, 0), api.OutcomeSucceeded)
+	r.placeAndClose(occurrenceTaskID("j", "a", 0, 0), api.OutcomeSucceeded)
 	r.expand("j", 1)
 	r.expand("j", 1) // doubled
-	r.mustReject(onWorker(occurrenceID("j", "a", 0, 1), 1, "w1"))
+	r.mustRejectAll(placementOn(occurrenceTaskID("j", "a", 0, 1), 1, "w1"))
 	r.now = 2100
-	r.runOnce(occurrenceID("j", "a", 0, 1), api.OutcomeSucceeded) // beside the first
+	r.placeAndClose(occurrenceTaskID("j", "a", 0, 1), api.OutcomeSucceeded) // beside the first
 	status := r.status("j")
 	var names []string
 	for _, step := range status.Steps {
@@ -71,15 +71,15 @@
 	if diff := cmp.Diff(want, status.Occurrences); diff != "" || status.State != api.StateRunning {
 		t.Fatalf("%s: %s", status.State, diff)
 	}
-	r.runOnce(occurrenceID("j", "b", 0, 0), api.OutcomeSucceeded)
-	r.runOnce(occurrenceID("j", "b", 0, 1), api.OutcomeSucceeded)
+	r.placeAndClose(occurrenceTaskID("j", "b", 0, 0), api.OutcomeSucceeded)
+	r.placeAndClose(occurrenceTaskID("j", "b", 0, 1), api.OutcomeSucceeded)
 	if got := r.status("j"); got.State != api.StateRunning || len(got.Steps) != 0 || got.Occurrences.Succeeded != 2 {
 		t.Fatalf("between occurrences: %+v", got)
 	}
 	r.expand("j", 99)
 	r.now = 2200
-	r.runOnce(occurrenceID("j", "a", 0, 2), api.OutcomeSucceeded)
-	r.runOnce(occurrenceID("j", "b", 0, 2), api.OutcomeSucceeded)
+	r.placeAndClose(occurrenceTaskID("j", "a", 0, 2), api.OutcomeSucceeded)
+	r.placeAndClose(occurrenceTaskID("j", "b", 0, 2), api.OutcomeSucceeded)
 	got := r.status("j")
 	if got.State != api.StateSucceeded || !got.Archived || got.Occurrences.Succeeded != 3 || got.Occurrences.Times != 3 {
 		t.Fatalf("at last: %+v", got)
@@ -90,21 +90,21 @@
 	}
 }
 
-func TestFailedOccurrenceDoesNotStopTheOthers(t *testing.T) {
-	r := newRig(t)
+func TestRepeat_FailedOccurrenceDoesNotStopOthers(t *testing.T) {
+	r := newHarness(t)
 	r.register(testWorker("w1"))
-	failing := step("a", 1)
+	failing := stepSpec("a", 1)
 	one := 1
 	failing.Tasks[0].AllowedFailures = &one
-	r.submitSpec("j", repeating(2, 1000, failing, step("b", 1, "a")))
-	r.runOnce(occurrenceID("j", "a", 0, 0), api.OutcomeFailed)
+	r.submitSpec("j", repeatingJob(2, 1000, failing, stepSpec("b", 1, "a")))
+	r.placeAndClose(occurrenceTaskID("j", "a", 0, 0), api.OutcomeFailed)
 	if got := r.status("j"); got.State != api.StateRunning || got.Occurrences.Failed != 1 || got.Occurrences.Open != 0 {
 		t.Fatalf("after the first: %+v", got)
 	}
 	r.expand("j", 1)
 	r.now = 1100
-	r.runOnce(occurrenceID("j", "a", 0, 1), api.OutcomeSucceeded)
-	r.runOnce(occurrenceID("j", "b", 0, 1), api.OutcomeSucceeded)
+	r.placeAndClose(occurrenceTaskID("j", "a", 0, 1), api.OutcomeSucceeded)
+	r.placeAndClose(occurrenceTaskID("j", "b", 0, 1), api.OutcomeSucceeded)
 	got := r.status("j")
 	want := &api.OccurrenceStatus{Times: 2, Succeeded: 1, Failed: 1}
 	if diff := cmp.Diff(want, got.Occurrences); diff != "" || got.State != api.StateFailed || !got.Archived {
@@ -112,20 +112,20 @@
 	}
 }
 
-func TestCancelEndsARepeatingJob(t *testing.T) {
-	r := newRig(t)
+func TestRepeat_CancelCountsRemainingOccurrences(t *testing.T) {
+	r := newHarness(t)
 	r.register(testWorker("w1"))
-	r.submitSpec("j", repeating(1000, 1000, step("a", 1)))
-	r.runOnce(occurrenceID("j", "a", 0, 0), api.OutcomeSucceeded)
+	r.submitSpec("j", repeatingJob(1000, 1000, stepSpec("a", 1)))
+	r.placeAndClose(occurrenceTaskID("j", "a", 0, 0), api.OutcomeSucceeded)
 	r.now = 1200
 	r.expand("j", 2)
-	r.mustPlace(onWorker(occurrenceID("j", "a", 0, 1), 1, "w1"))
+	r.mustPlace(placementOn(occurrenceTaskID("j", "a", 0, 1), 1, "w1"))
 	r.cancel("j")
 	r.expand("j", 500)
 	if got := r.status("j"); got.State != api.StateCancelled || got.EndedAt != nil || got.Occurrences.Open != 1 {
 		t.Fatalf("while one runs: %+v", got)
 	}
-	r.close(occurrenceID("j", "a", 0, 1), 1, api.OutcomeStopped)
+	r.close(occurrenceTaskID("j", "a", 0, 1), 1, api.OutcomeStopped)
 	got := r.status("j")
 	want := &api.OccurrenceStatus{Times: 1000, Succeeded: 1, Cancelled: 999}
 	if diff := cmp.Diff(want, got.Occurrences); diff != "" || got.State != api.StateCancelled || got.EndedAt == nil {
@@ -133,16 +133,16 @@
 	}
 }
 
-func TestEndedOccurrencesLeaveMemory(t *testing.T) {
-	r := newRig(t)
+func TestRepeat_EndedOccurrencesLeaveMemory(t *testing.T) {
+	r := newHarness(t)
 	r.register(testWorker("w1"))
-	r.submitSpec("j", repeating(api.MaxOccurrences, 1000, replicas("a", 3)))
+	r.submitSpec("j", repeatingJob(api.MaxOccurrences, 1000, replicatedStep("a", 3)))
 	size := len(snapshotBytes(t, r.machine))
 	for number := range 200 {
 		r.now = 1000 + Millis(number)*100
 		r.expand("j", number)
 		for index := range 3 {
-			r.runOnce(occurrenceID("j", "a", index, number), api.OutcomeSucceeded)
+			r.placeAndClose(occurrenceTaskID("j", "a", index, number), api.OutcomeSucceeded)
 		}
 		job := r.machine.state.jobs["j"]
 		if len(job.Steps) != 0 || len(job.occurrences) != 0 || r.machine.state.taskTotal != 0 {
@@ -158,9 +158,9 @@
 	}
 }
 
-func TestOpenTasksOfARepeatingJobAreBounded(t *testing.T) {
-	r := newRig(t)
-	r.submitSpec("j", repeating(api.MaxOccurrences, 1000, replicas("a", 1000)))
+func TestRepeat_OpenTasksAreBounded(t *testing.T) {
+	r := newHarness(t)
+	r.submitSpec("j", repeatingJob(api.MaxOccurrences, 1000, replicatedStep("a", 1000)))
 	r.now = 1 << 40
 	r.expand("j", api.MaxOccurrences)
 	job := r.machine.state.jobs["j"]
@@ -172,27 +172,27 @@
 	}
 }
 
-func TestSpreadHoldsWithinOneOccurrence(t *testing.T) {
-	r := newRig(t)
+func TestRepeat_SpreadAppliesWithinOneOccurrence(t *testing.T) {
+	r := newHarness(t)
 	r.register(testWorker("w1"))
-	apart := replicas("a", 2)
+	apart := replicatedStep("a", 2)
 	apart.Tasks[0].Spread = &api.Spread{By: api.SpreadByWorker}
-	r.submitSpec("j", repeating(2, 1000, apart))
+	r.submitSpec("j", repeatingJob(2, 1000, apart))
 	r.now = 1100
 	r.expand("j", 1)
-	r.mustPlace(onWorker(occurrenceID("j", "a", 0, 0), 1, "w1"))
-	r.mustReject(onWorker(occurrenceID("j", "a", 1, 0), 1, "w1"))
-	r.mustPlace(onWorker(occurrenceID("j", "a", 0, 1), 1, "w1"))
+	r.mustPlace(placementOn(occurrenceTaskID("j", "a", 0, 0), 1, "w1"))
+	r.mustRejectAll(placementOn(occurrenceTaskID("j", "a", 1, 0), 1, "w1"))
+	r.mustPlace(placementOn(occurrenceTaskID("j", "a", 0, 1), 1, "w1"))
 }
 
-func TestRestoreBetweenOccurrences(t *testing.T) {
-	r := newRig(t)
+func TestRepeat_RestoreBetweenOccurrences(t *testing.T) {
+	r := newHarness(t)
 	r.register(testWorker("w1"))
-	failing := step("a", 1)
+	failing := stepSpec("a", 1)
 	one := 1
 	failing.Tasks[0].AllowedFailures = &one
-	r.submitSpec("j", repeating(3, 1000, failing))
-	r.runOnce(occurrenceID("j", "a", 0, 0), api.OutcomeFailed)
+	r.submitSpec("j", repeatingJob(3, 1000, failing))
+	r.placeAndClose(occurrenceTaskID("j", "a", 0, 0), api.OutcomeFailed)
 	again := restored(t, snapshotBytes(t, r.machine), r.archive)
 	if before, after := r.machine.state.jobs["j"], again.state.jobs["j"]; !reflect.DeepEqual(before, after) {
 		t.Fatalf("%+v became %+v", before, after)
@@ -203,17 +203,17 @@
 	}
 }
 
-func TestRunsOfOccurrencesAreToldApart(t *testing.T) {
+func TestRepeat_RunsOfOccurrencesAreDistinct(t *testing.T) {
 	for _, first := range []int{0, 1, 2} {
-		r := newRig(t)
+		r := newHarness(t)
 		r.register(testWorker("w1"))
-		r.submitSpec("j", repeating(3, 1000, step("a", 1)))
+		r.submitSpec("j", repeatingJob(3, 1000, stepSpec("a", 1)))
 		r.now = 2000
 		r.expand("j", 2)
 		for number := range 3 {
-			r.mustPlace(onWorker(occurrenceID("j", "a", 0, number), 1, "w1"))
+			r.mustPlace(placementOn(occurrenceTaskID("j", "a", 0, number), 1, "w1"))
 		}
-		r.close(occurrenceID("j", "a", 0, first), 1, api.OutcomeSucceeded)
+		r.close(occurrenceTaskID("j", "a", 0, first), 1, api.OutcomeSucceeded)
 		open := map[int]bool{}
 		r.machine.Read(func(v View) {
 			for run := range v.OpenRuns("w1-1") {
@@ -226,17 +226,17 @@
 	}
 }
 
-func TestRepeatingJobSurvivesARestore(t *testing.T) {
-	r := newRig(t)
+func TestRepeat_RestoreKeepsLiveOccurrences(t *testing.T) {
+	r := newHarness(t)
 	r.register(testWorker("w1"))
-	r.submitSpec("j", repeating(50, 1000, step("a", 1), step("b", 1, "a")))
+	r.submitSpec("j", repeatingJob(50, 1000, stepSpec("a", 1), stepSpec("b", 1, "a")))
 	r.now = 2000
 	r.expand("j", 5)
 	for _, number := range []int{0, 3} {
-		r.runOnce(occurrenceID("j", "a", 0, number), api.OutcomeSucceeded)
-		r.runOnce(occurrenceID("j", "b", 0, number), api.OutcomeSucceeded)
+		r.placeAndClose(occurrenceTaskID("j", "a", 0, number), api.OutcomeSucceeded)
+		r.placeAndClose(occurrenceTaskID("j", "b", 0, number), api.OutcomeSucceeded)
 	}
-	r.mustPlace(onWorker(occurrenceID("j", "a", 0, 4), 1, "w1"))
+	r.mustPlace(placementOn(occurrenceTaskID("j", "a", 0, 4), 1, "w1"))
 	written := snapshotBytes(t, r.machine)
 	again := restored(t, written, r.archive)
 	if !bytes.Equal(written, snapshotBytes(t, again)) {
@@ -246,22 +246,22 @@
 		t.Fatalf("live %v", live)
 	}
 	r.machine = again
-	r.close(occurrenceID("j", "a", 0, 4), 1, api.OutcomeSucceeded)
-	r.runOnce(occurrenceID("j", "b", 0, 4), api.OutcomeSucceeded)
+	r.close(occurrenceTaskID("j", "a", 0, 4), 1, api.OutcomeSucceeded)
+	r.placeAndClose(occurrenceTaskID("j", "b", 0, 4), api.OutcomeSucceeded)
 	if got := r.status("j"); got.Occurrences.Succeeded != 3 || got.State != api.StateRunning {
 		t.Fatalf("%s, %+v", got.State, got.Occurrences)
 	}
 }
 
-// TestCancelBetweenOccurrences: a job none of whose occurrences is open at the
+// TestRepeat_CancelBetweenOccurrences: a job none of whose occurrences is open at the
 // moment still has some to come, which a cancel must end.
-func TestCancelBetweenOccurrences(t *testing.T) {
-	r := newRig(t)
+func TestRepeat_CancelBetweenOccurrences(t *testing.T) {
+	r := newHarness(t)
 	r.register(testWorker("w1"))
-	r.submitSpec("j", repeating(3, 2000, step("a", 1)))
+	r.submitSpec("j", repeatingJob(3, 2000, stepSpec("a", 1)))
 	r.now = 2000
-	r.runOnce(occurrenceID("j", "a", 0, 0), api.OutcomeSucceeded)
-	r.apply(Command{Cancel: &Cancel{Jobs: []string{"j"}}})
+	r.placeAndClose(occurrenceTaskID("j", "a", 0, 0), api.OutcomeSucceeded)
+	r.apply(Command{CancelJobs: &CancelJobs{Jobs: []string{"j"}}})
 	r.expand("j", 1)
 	got := r.status("j")
 	if got.State != api.StateCancelled || got.Occurrences == nil || got.Occurrences.Cancelled != 2 {
--- a/internal/record/replicas_test.go
+++ b/internal/record/replicas_test.go
@@ -6,23 +6,23 @@
 	"github.com/decklever/decklever/api"
 )
 
-func replicas(name string, count int, after ...string) api.StepSpec {
-	made := step(name, 1, after...)
+func replicatedStep(name string, count int, after ...string) api.StepSpec {
+	made := stepSpec(name, 1, after...)
 	made.Replicas = count
 	return made
 }
 
-func TestReplicasShareOneDescription(t *testing.T) {
-	r := newRig(t)
-	r.submit("j", replicas("a", 300), step("b", 1, "a"))
-	job := r.task(id("j", "a", 0)).Step.Job
+func TestReplicas_ShareOneSpec(t *testing.T) {
+	r := newHarness(t)
+	r.submit("j", replicatedStep("a", 300), stepSpec("b", 1, "a"))
+	job := r.task(taskID("j", "a", 0)).Step.Job
 	shared := &job.Spec.Steps[0].Tasks[0]
 	for i := range 300 {
-		if r.task(id("j", "a", i)).Spec != shared {
+		if r.task(taskID("j", "a", i)).Spec != shared {
 			t.Fatalf("task %d has a description of its own", i)
 		}
 	}
-	if counts := r.machine.state.queues[testQueue]; counts.PendingTasks != 301 {
+	if counts := r.machine.state.queueCounts[testQueue]; counts.PendingTasks != 301 {
 		t.Fatalf("counted %+v", counts)
 	}
 	if summary := job.Summary(); summary.TasksTotal != 301 || len(r.status("j").Steps[0].Tasks) != 300 {
@@ -34,10 +34,10 @@
 	}
 }
 
-func TestSnapshotHoldsTheTemplateOnce(t *testing.T) {
+func TestReplicas_SnapshotStoresSpecOnce(t *testing.T) {
 	size := func(count int) int {
-		r := newRig(t)
-		template := replicas("a", count)
+		r := newHarness(t)
+		template := replicatedStep("a", count)
 		template.Tasks[0].Payload = make([]byte, 10_000)
 		r.submit("j", template)
 		return len(snapshotBytes(t, r.machine))
@@ -47,35 +47,35 @@
 	}
 }
 
-func TestReplicasEndTheirStepTogether(t *testing.T) {
-	r := newRig(t)
+func TestReplicas_NextStepWaitsForAll(t *testing.T) {
+	r := newHarness(t)
 	r.register(testWorker("w1"))
-	r.submit("j", replicas("a", 2), step("b", 1, "a"))
+	r.submit("j", replicatedStep("a", 2), stepSpec("b", 1, "a"))
 	for i := range 2 {
-		if r.task(id("j", "b", 0)).State != TaskBlocked {
+		if r.task(taskID("j", "b", 0)).State != TaskBlocked {
 			t.Fatal("the next step started early")
 		}
-		r.mustPlace(onWorker(id("j", "a", i), 1, "w1"))
-		r.close(id("j", "a", i), 1, api.OutcomeSucceeded)
+		r.mustPlace(placementOn(taskID("j", "a", i), 1, "w1"))
+		r.close(taskID("j", "a", i), 1, api.OutcomeSucceeded)
 	}
-	if r.task(id("j", "b", 0)).State != TaskReady {
+	if r.task(taskID("j", "b", 0)).State != TaskReady {
 		t.Fatal("the next step did not start")
 	}
 }
 
-func TestServiceOfTheQueueIsFilledInOnce(t *testing.T) {
-	r := newRig(t)
+func TestSubmitJob_QueueServiceFilledInOnce(t *testing.T) {
+	r := newHarness(t)
 	config := testConfig()
 	config.Queues[0].Service = "first"
 	r.putConfig("order-2", 1, config)
-	bare := step("a", 2)
+	bare := stepSpec("a", 2)
 	bare.Tasks[1].Service = ""
 	if outcome := r.submit("j", bare); outcome != SubmitAccepted {
 		t.Fatalf("outcome %d", outcome)
 	}
 	config.Queues[0].Service = "second"
 	r.putConfig("order-3", 2, config)
-	if outcome := r.submit("j", bare); outcome != SubmitSame {
+	if outcome := r.submit("j", bare); outcome != SubmitDuplicate {
 		t.Fatalf("a resend after a change of the configuration: outcome %d", outcome)
 	}
 	again := restored(t, snapshotBytes(t, r.machine), r.archive)
@@ -87,9 +87,9 @@
 	}
 }
 
-func TestJobWithoutAnyServiceIsNotAccepted(t *testing.T) {
-	r := newRig(t)
-	bare := step("a", 1)
+func TestSubmitJob_WithoutServiceRejected(t *testing.T) {
+	r := newHarness(t)
+	bare := stepSpec("a", 1)
 	bare.Tasks[0].Service = ""
 	if outcome := r.submit("j", bare); outcome != SubmitNoService {
 		t.Fatalf("outcome %d", outcome)
--- a/internal/record/restore.go
+++ b/internal/record/restore.go
@@ -23,24 +23,24 @@
 	if err != nil {
 		return fmt.Errorf("record: read snapshot: %w", err)
 	}
-	parts, err := checkSnapshot(data)
+	parts, err := verifySnapshot(data)
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	restored, err := readState(parts, m.state.settings.orders.kept)
+	restored, err := readState(parts, m.state.settings.orders.limit)
 	if err != nil {
 		return err
 	}
 	m.state = restored
-	m.expiry = archiveExpiry{safeBefore: restored.expiredBefore}
+	m.expiry = archiveExpiry{durableBefore: restored.expiredBefore}
 	m.emit(StateReplaced{})
 	return nil
 }
 
-// checkSnapshot checks frame and checksum and returns what lies between.
-func checkSnapshot(data []byte) ([]byte, error) {
+// verifySnapshot checks frame and checksum and returns what lies between.
+func verifySnapshot(data []byte) ([]byte, error) {
 	if len(data) < len(snapshotMagic)+sha256.Size {
 		return nil, fmt.Errorf("%w: %d bytes are too few", ErrSnapshot, len(data))
 	}
@@ -62,11 +62,11 @@
 	state   *state
 }
 
-func readState(parts []byte, ordersKept int) (*state, error) {
+func readState(parts []byte, maxConfigOrders int) (*state, error) {
 	r := &snapshotReader{
 		decoder: decoding.NewDecoder(bytes.NewReader(parts)),
 		size:    len(parts),
-		state:   newState(ordersKept),
+		state:   newState(maxConfigOrders),
 	}
 	var header snapshotHeader
 	if err := r.next(&header, "header"); err != nil {
@@ -96,10 +96,10 @@
 	r.state.applied = header.Applied
 	r.state.clock = header.Clock
 	r.state.expiredBefore = header.ExpiredBefore
-	r.state.settings.use(header.ConfigVersion, &header.Config)
+	r.state.settings.activate(header.ConfigVersion, &header.Config)
 	r.state.drainedZones = header.DrainedZones
-	for _, window := range header.Released {
-		r.state.release(window)
+	for _, window := range header.ReleasedWindows {
+		r.state.addReleasedWindow(window)
 	}
 }
 
@@ -135,7 +135,7 @@
 }
 
 func (r *snapshotReader) readOrder() error {
-	var kept order
+	var kept configOrder
 	if err := r.next(&kept, "order"); err != nil {
 		return err
 	}
@@ -193,7 +193,7 @@
 		return fmt.Errorf("%w: job %q: no spec, or it does not match the repetition", ErrSnapshot, j.ID)
 	}
 	live := j.liveOccurrences()
-	if len(j.Steps) != len(live)*len(j.Spec.Steps) || !j.numbersHold(live) {
+	if len(j.Steps) != len(live)*len(j.Spec.Steps) || !j.occurrenceNumbersValid(live) {
 		return fmt.Errorf("%w: job %q: steps do not match the spec", ErrSnapshot, j.ID)
 	}
 	for i := range j.Steps {
@@ -212,8 +212,8 @@
 	return j.Occurrences
 }
 
-// numbersHold reports that live occurrences ascend and were added.
-func (j *snapshotJob) numbersHold(live []int) bool {
+// occurrenceNumbersValid reports that live occurrences ascend and were added.
+func (j *snapshotJob) occurrenceNumbersValid(live []int) bool {
 	before := -1
 	for _, number := range live {
 		if number <= before || j.Repetition != nil && number >= j.Repetition.Next {
@@ -225,8 +225,8 @@
 }
 
 func (r *snapshotReader) restoreStep(step *Step, read *snapshotStep) error {
-	step.WaitsOn = read.WaitsOn
-	step.failedRun = read.FailedRun
+	step.OpenDependencies = read.WaitsOn
+	step.lastFailedRun = read.FailedRun
 	for i, task := range step.Tasks {
 		if err := r.restoreTask(task, &read.Tasks[i]); err != nil {
 			return err
@@ -236,7 +236,7 @@
 }
 
 func (r *snapshotReader) restoreTask(task *Task, read *snapshotTask) error {
-	if !stateAndRunMatch(task, read) {
+	if !runMatchesState(task, read) {
 		return fmt.Errorf("%w: task %s: state and run do not match", ErrSnapshot, task.ID)
 	}
 	task.State = read.State
@@ -253,9 +253,9 @@
 	return r.restoreRun(task, read.Run)
 }
 
-// stateAndRunMatch checks that a run is open where the state says so, and else
+// runMatchesState checks that a run is open where the state says so, and else
 // only after the success of a group in lockstep.
-func stateAndRunMatch(task *Task, read *snapshotTask) bool {
+func runMatchesState(task *Task, read *snapshotTask) bool {
 	if read.State > TaskCancelled {
 		return false
 	}
--- a/internal/record/snapshot.go
+++ b/internal/record/snapshot.go
@@ -29,9 +29,9 @@
 	Orders        int        `cbor:"8,keyasint"`
 	Workers       int        `cbor:"9,keyasint"`
 	Jobs          int        `cbor:"10,keyasint"`
-	// Released is absent from snapshots of earlier programs, as is
+	// ReleasedWindows is absent from snapshots of earlier programs, as is
 	// snapshotTask.Preemptions.
-	Released []ReleaseWindow `cbor:"11,keyasint,omitempty"`
+	ReleasedWindows []ReleaseWindow `cbor:"11,keyasint,omitempty"`
 	// DrainedZones is absent from snapshots of earlier programs.
 	DrainedZones []string `cbor:"12,keyasint,omitempty"`
 }
@@ -88,7 +88,7 @@
 type capture struct {
 	header   snapshotHeader
 	versions []api.ConfigVersion
-	orders   []*order
+	orders   []*configOrder
 	workers  []*Worker
 	jobs     []capturedJob
 	steps    []capturedStep
@@ -104,7 +104,7 @@
 	firstStep int
 	// stepCount is the number of steps of all live occurrences.
 	stepCount int
-	// repetition, occurrences and started are set of a repeating job.
+	// checkRepetition, occurrences and started are set of a repeating job.
 	repetition  *Repetition
 	occurrences []int
 	started     bool
@@ -121,7 +121,7 @@
 // called at most once and without haste: entries may be applied meanwhile.
 // The archive is synced before Snapshot returns.
 func (m *Machine) Snapshot() (index uint64, write func(io.Writer) error, err error) {
-	captured, taken := m.capture()
+	captured, accepted := m.capture()
 	if err := m.archive.Sync(); err != nil {
 		return 0, nil, fmt.Errorf("record: sync archive: %w", err)
 	}
@@ -129,20 +129,20 @@
 		if err := captured.write(writer); err != nil {
 			return fmt.Errorf("record: write snapshot: %w", err)
 		}
-		taken.written.Store(true)
+		accepted.written.Store(true)
 		return nil
 	}
 	return captured.header.Applied, write, nil
 }
 
-func (m *Machine) capture() (*capture, *takenSnapshot) {
+func (m *Machine) capture() (*capture, *snapshotExpiry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if last := m.expiry.last; last != nil && last.written.Load() {
-		m.expiry.safeBefore = max(m.expiry.safeBefore, last.expiredBefore)
+	if last := m.expiry.latest; last != nil && last.written.Load() {
+		m.expiry.durableBefore = max(m.expiry.durableBefore, last.expiredBefore)
 	}
-	m.expiry.last = &takenSnapshot{expiredBefore: m.state.expiredBefore}
-	return captureState(m.state), m.expiry.last
+	m.expiry.latest = &snapshotExpiry{expiredBefore: m.state.expiredBefore}
+	return captureState(m.state), m.expiry.latest
 }
 
 func captureState(s *state) *capture {
@@ -151,26 +151,26 @@
 		versions: settings.versions[:len(settings.versions):len(settings.versions)],
 		orders:   settings.orders.oldestFirst(),
 		workers:  s.sortedWorkers(),
-		jobs:     make([]capturedJob, 0, len(s.jobList)),
+		jobs:     make([]capturedJob, 0, len(s.sortedJobs)),
 		tasks:    make([]snapshotTask, 0, s.taskTotal),
 		runs:     make([]snapshotRun, 0, s.runTotal),
 	}
-	for _, job := range s.jobList {
+	for _, job := range s.sortedJobs {
 		c.addJob(job)
 	}
 	c.header = snapshotHeader{
-		Format:        snapshotFormat,
-		Applied:       s.applied,
-		Clock:         s.clock,
-		ExpiredBefore: s.expiredBefore,
-		ConfigVersion: settings.version,
-		Config:        *settings.accepted,
-		Versions:      len(c.versions),
-		Orders:        len(c.orders),
-		Workers:       len(c.workers),
-		Jobs:          len(c.jobs),
-		Released:      s.released,
-		DrainedZones:  s.drainedZones,
+		Format:          snapshotFormat,
+		Applied:         s.applied,
+		Clock:           s.clock,
+		ExpiredBefore:   s.expiredBefore,
+		ConfigVersion:   settings.version,
+		Config:          *settings.accepted,
+		Versions:        len(c.versions),
+		Orders:          len(c.orders),
+		Workers:         len(c.workers),
+		Jobs:            len(c.jobs),
+		ReleasedWindows: s.releasedWindows,
+		DrainedZones:    s.drainedZones,
 	}
 	return c
 }
@@ -178,7 +178,7 @@
 func (c *capture) addJob(job *Job) {
 	c.jobs = append(c.jobs, c.captureJob(job))
 	for _, step := range job.Steps {
-		c.steps = append(c.steps, capturedStep{waitsOn: step.WaitsOn, failedRun: step.failedRun, firstTask: len(c.tasks), taskCount: len(step.Tasks)})
+		c.steps = append(c.steps, capturedStep{waitsOn: step.OpenDependencies, failedRun: step.lastFailedRun, firstTask: len(c.tasks), taskCount: len(step.Tasks)})
 		for _, task := range step.Tasks {
 			c.addTask(task)
 		}
--- a/internal/record/state.go
+++ b/internal/record/state.go
@@ -16,11 +16,11 @@
 	// expiredBefore hides archived jobs that ended earlier.
 	expiredBefore Millis
 
-	settings configuration
+	settings configState
 
 	jobs map[string]*Job
-	// jobList holds the live jobs in the order of their ids.
-	jobList []*Job
+	// sortedJobs holds the live jobs in the order of their ids.
+	sortedJobs []*Job
 	// taskTotal and runTotal count tasks and open runs of live jobs.
 	taskTotal int
 	runTotal  int
@@ -29,52 +29,52 @@
 	// changed, only replaced.
 	workers     map[string]*Worker
 	workersByID map[string]*Worker
-	// loads is by incarnation; those without an open run have none.
-	loads map[string]*load
-	// queues and teams hold counts that are not zero, by name.
-	queues map[string]*QueueCounts
-	teams  map[string]*QueueCounts
-	// callers hold the waiting tasks of each caller of a queue that has some.
-	callers map[callerKey]int
-	// released holds windows given back that have not ended, by end. What lies
+	// loadByWorkerID is by incarnation; those without an open run have none.
+	loadByWorkerID map[string]*workerLoad
+	// queueCounts and teams hold counts that are not zero, by name.
+	queueCounts map[string]*QueueCounts
+	teamCounts  map[string]*QueueCounts
+	// callerPending hold the waiting tasks of each caller of a queue that has some.
+	callerPending map[queueCaller]int
+	// releasedWindows holds windows given back that have not ended, by end. What lies
 	// in the slice is never changed, so that a capture may share it.
-	released []ReleaseWindow
+	releasedWindows []ReleaseWindow
 	// drainedZones are those drained by an order, sorted. What lies in the
 	// slice is never changed, so that a capture may share it.
 	drainedZones []string
 }
 
-// load is what the open runs on one worker incarnation take.
-type load struct {
+// workerLoad is what the open runs on one worker incarnation take.
+type workerLoad struct {
 	used api.Resources
 	// runs is in the order of their ids.
 	runs []*Run
 }
 
-func newState(ordersKept int) *state {
+func newState(maxConfigOrders int) *state {
 	return &state{
-		settings:    newConfiguration(ordersKept),
-		jobs:        make(map[string]*Job),
-		workers:     make(map[string]*Worker),
-		workersByID: make(map[string]*Worker),
-		loads:       make(map[string]*load),
-		queues:      make(map[string]*QueueCounts),
-		teams:       make(map[string]*QueueCounts),
-		callers:     make(map[callerKey]int),
+		settings:       newConfigState(maxConfigOrders),
+		jobs:           make(map[string]*Job),
+		workers:        make(map[string]*Worker),
+		workersByID:    make(map[string]*Worker),
+		loadByWorkerID: make(map[string]*workerLoad),
+		queueCounts:    make(map[string]*QueueCounts),
+		teamCounts:     make(map[string]*QueueCounts),
+		callerPending:  make(map[queueCaller]int),
 	}
 }
 
 // addJob enters a job whose tasks all have their states already.
 func (s *state) addJob(job *Job) {
 	s.jobs[job.ID] = job
-	place, _ := s.findJob(job.ID)
-	s.jobList = slices.Insert(s.jobList, place, job)
+	position, _ := s.findJob(job.ID)
+	s.sortedJobs = slices.Insert(s.sortedJobs, position, job)
 	s.indexJob(job)
 }
 
 // indexJob counts a job's tasks and runs.
 func (s *state) indexJob(job *Job) {
-	s.count(job, QueueCounts{Jobs: 1})
+	s.adjustCounts(job, QueueCounts{Jobs: 1})
 	s.indexSteps(job, job.Steps)
 }
 
@@ -83,7 +83,7 @@
 	for _, step := range steps {
 		s.taskTotal += len(step.Tasks)
 		for _, task := range step.Tasks {
-			s.count(job, countOf(task))
+			s.adjustCounts(job, countsOf(task))
 			if task.Run != nil {
 				s.addRun(task.Run)
 			}
@@ -91,11 +91,11 @@
 	}
 }
 
-// removeJob takes an ended job out; jobList follows in compactJobs.
+// removeJob takes an ended job out; sortedJobs follows in compactJobs.
 func (s *state) removeJob(job *Job) {
 	delete(s.jobs, job.ID)
 	s.removeSteps(job.Steps)
-	s.count(job, QueueCounts{Jobs: -1})
+	s.adjustCounts(job, QueueCounts{Jobs: -1})
 }
 
 // removeSteps takes out steps whose tasks are all final.
@@ -105,27 +105,27 @@
 	}
 }
 
-// fewRemovals is the number up to which removing one at a time is cheaper
+// maxSingleRemovals is the number up to which removing one at a time is cheaper
 // than passing over the whole list.
-const fewRemovals = 8
+const maxSingleRemovals = 8
 
-// compactJobs takes ended jobs out of jobList.
+// compactJobs takes ended jobs out of sortedJobs.
 func (s *state) compactJobs(ended []*Job) {
-	if len(ended) > fewRemovals {
-		s.jobList = slices.DeleteFunc(s.jobList, func(job *Job) bool {
+	if len(ended) > maxSingleRemovals {
+		s.sortedJobs = slices.DeleteFunc(s.sortedJobs, func(job *Job) bool {
 			return s.jobs[job.ID] != job
 		})
 		return
 	}
 	for _, job := range ended {
-		if place, found := s.findJob(job.ID); found {
-			s.jobList = slices.Delete(s.jobList, place, place+1)
+		if position, found := s.findJob(job.ID); found {
+			s.sortedJobs = slices.Delete(s.sortedJobs, position, position+1)
 		}
 	}
 }
 
 func (s *state) findJob(id string) (int, bool) {
-	return slices.BinarySearchFunc(s.jobList, id, func(job *Job, id string) int {
+	return slices.BinarySearchFunc(s.sortedJobs, id, func(job *Job, id string) int {
 		return strings.Compare(job.ID, id)
 	})
 }
@@ -158,61 +158,61 @@
 
 // setRun changes a task's state and open run, and the counts of its queue.
 func (s *state) setRun(task *Task, next TaskState, run *Run) {
-	before := countOf(task)
+	before := countsOf(task)
 	task.State = next
 	task.Run = run
-	s.count(task.Step.Job, countOf(task).minus(before))
+	s.adjustCounts(task.Step.Job, countsOf(task).minus(before))
 }
 
 func (s *state) addRun(run *Run) {
-	held := s.loads[run.WorkerID]
-	if held == nil {
-		held = &load{}
-		s.loads[run.WorkerID] = held
+	load := s.loadByWorkerID[run.WorkerID]
+	if load == nil {
+		load = &workerLoad{}
+		s.loadByWorkerID[run.WorkerID] = load
 	}
-	held.used = held.used.Add(run.Task.Spec.Resources)
-	place, _ := held.find(run)
-	held.runs = slices.Insert(held.runs, place, run)
+	load.used = load.used.Add(run.Task.Spec.Resources)
+	position, _ := load.search(run)
+	load.runs = slices.Insert(load.runs, position, run)
 	run.Task.Step.Job.openRuns++
 	run.Task.Step.occurrence.openRuns++
 	s.runTotal++
 }
 
 func (s *state) removeRun(run *Run) {
-	held := s.loads[run.WorkerID]
-	held.used = held.used.Sub(run.Task.Spec.Resources)
-	if place, found := held.find(run); found {
-		held.runs = slices.Delete(held.runs, place, place+1)
+	load := s.loadByWorkerID[run.WorkerID]
+	load.used = load.used.Sub(run.Task.Spec.Resources)
+	if position, found := load.search(run); found {
+		load.runs = slices.Delete(load.runs, position, position+1)
 	}
-	if len(held.runs) == 0 {
-		delete(s.loads, run.WorkerID)
+	if len(load.runs) == 0 {
+		delete(s.loadByWorkerID, run.WorkerID)
 	}
 	run.Task.Step.Job.openRuns--
 	run.Task.Step.occurrence.openRuns--
-	run.Task.Step.noteIfOver()
+	run.Task.Step.flagIfOccurrenceEnded()
 	s.runTotal--
 }
 
-func (l *load) find(run *Run) (int, bool) {
+func (l *workerLoad) search(run *Run) (int, bool) {
 	return slices.BinarySearchFunc(l.runs, run, compareRuns)
 }
 
-func (s *state) used(workerID string) api.Resources {
-	if held := s.loads[workerID]; held != nil {
-		return held.used
+func (s *state) usedResources(workerID string) api.Resources {
+	if load := s.loadByWorkerID[workerID]; load != nil {
+		return load.used
 	}
 	return api.Resources{}
 }
 
-func (s *state) hasRuns(workerID string) bool {
-	return s.loads[workerID] != nil
+func (s *state) hasOpenRuns(workerID string) bool {
+	return s.loadByWorkerID[workerID] != nil
 }
 
-// allRuns returns every open run in the order of their ids.
-func (s *state) allRuns() []*Run {
+// sortedOpenRuns returns every open run in the order of their ids.
+func (s *state) sortedOpenRuns() []*Run {
 	runs := make([]*Run, 0, s.runTotal)
-	for _, held := range s.loads {
-		runs = append(runs, held.runs...)
+	for _, load := range s.loadByWorkerID {
+		runs = append(runs, load.runs...)
 	}
 	slices.SortFunc(runs, compareRuns)
 	return runs
--- a/internal/record/status.go
+++ b/internal/record/status.go
@@ -29,9 +29,9 @@
 	switch {
 	case j.Cancelled:
 		return api.StateCancelled
-	case j.done() && j.failed():
+	case j.complete() && j.hasFailedTasks():
 		return api.StateFailed
-	case j.done():
+	case j.complete():
 		return api.StateSucceeded
 	case j.started:
 		return api.StateRunning
@@ -40,36 +40,36 @@
 }
 
 // done reports that every task is final and no occurrence is still to come.
-func (j *Job) done() bool {
+func (j *Job) complete() bool {
 	return j.OpenTasks == 0 && (j.Repetition == nil || j.Repetition.Next >= j.Occurrences())
 }
 
 // MayCancel reports whether a cancel would change the job: it was not cancelled
 // before, and some task is not final or some occurrence is still to come.
-func (j *Job) MayCancel() bool { return !j.Cancelled && !j.done() }
+func (j *Job) MayCancel() bool { return !j.Cancelled && !j.complete() }
 
-// failed reports that a task failed for good.
-func (j *Job) failed() bool {
+// hasFailedTasks reports that a task failed for good.
+func (j *Job) hasFailedTasks() bool {
 	return j.failedTasks > 0 || j.Repetition != nil && j.Repetition.Failed > 0
 }
 
 // State is the step's state: pending until a task was placed or has ended.
 func (s *Step) State() api.State {
 	switch {
-	case s.OpenTasks > 0 && s.touched():
+	case s.OpenTasks > 0 && s.hasStarted():
 		return api.StateRunning
 	case s.OpenTasks > 0:
 		return api.StatePending
 	case s.FailedTasks > 0:
 		return api.StateFailed
-	case s.done():
+	case s.succeeded():
 		return api.StateSucceeded
 	}
 	return api.StateCancelled
 }
 
-// touched reports that a task was placed or has ended.
-func (s *Step) touched() bool {
+// hasStarted reports that a task was placed or has ended.
+func (s *Step) hasStarted() bool {
 	if s.OpenTasks < len(s.Tasks) {
 		return true
 	}
@@ -99,8 +99,8 @@
 	}
 }
 
-// brief is the answer to a caller without the steps.
-func (j *Job) brief() api.JobStatus {
+// statusWithoutSteps is the answer to a caller without the steps.
+func (j *Job) statusWithoutSteps() api.JobStatus {
 	return api.JobStatus{
 		ID:          j.ID,
 		Queue:       j.Spec.Queue,
@@ -113,7 +113,7 @@
 
 // status builds the answer to a caller; reason may be nil.
 func (j *Job) status(clock Millis, reason func(*Task) string) api.JobStatus {
-	status := j.brief()
+	status := j.statusWithoutSteps()
 	status.Steps = make([]api.StepStatus, len(j.Steps))
 	for i, step := range j.Steps {
 		status.Steps[i] = step.status(clock, reason)
@@ -164,8 +164,8 @@
 // waitReason names the steps that the step waits for.
 func (s *Step) waitReason() string {
 	var names []string
-	for _, before := range s.before {
-		if !before.done() {
+	for _, before := range s.dependencies {
+		if !before.succeeded() {
 			names = append(names, fmt.Sprintf("%q", before.Spec.Name))
 		}
 	}
--- a/internal/record/submit.go
+++ b/internal/record/submit.go
@@ -6,10 +6,10 @@
 	"github.com/decklever/decklever/api"
 )
 
-// applySubmit adds a job unless its id is known, live or archived. The shape
+// applySubmitJob adds a job unless its id is known, live or archived. The shape
 // of the spec was checked before it was proposed; here a step named in After
 // that does not exist is passed over.
-func (m *Machine) applySubmit(submit *Submit, result *Result) error {
+func (m *Machine) applySubmitJob(submit *SubmitJob, result *Result) error {
 	digest, known, err := m.knownDigest(submit.ID)
 	if err != nil {
 		return err
@@ -18,7 +18,7 @@
 	queue, queueKnown := m.state.settings.queues[submit.Spec.Queue]
 	switch {
 	case known && digest == submit.Digest:
-		result.Submit.Outcome = SubmitSame
+		result.Submit.Outcome = SubmitDuplicate
 	case known:
 		result.Submit.Outcome = SubmitConflict
 	case !queueKnown:
@@ -31,7 +31,7 @@
 
 // acceptJob adds a job with the queue's service filled in, which stays whatever
 // the configuration becomes. The digest is that of the spec as handed in.
-func (m *Machine) acceptJob(submit *Submit, queue api.QueueConfig) SubmitOutcome {
+func (m *Machine) acceptJob(submit *SubmitJob, queue api.QueueConfig) SubmitOutcome {
 	spec := submit.Spec.WithService(queue.Service)
 	if len(spec.MissingServices()) > 0 {
 		return SubmitNoService
@@ -45,7 +45,7 @@
 	if job := m.state.jobs[id]; job != nil {
 		return job.Digest, true, nil
 	}
-	archived, known, err := m.archived(id)
+	archived, known, err := m.findArchived(id)
 	return archived.Digest, known, err
 }
 
@@ -55,11 +55,11 @@
 		job.Repetition = &Repetition{Next: 1, AllowedFailures: queue.DefaultAllowedFailures}
 	}
 	first := job.addOccurrence(0)
-	first.prepare(queue.DefaultAllowedFailures)
+	first.initializeTasks(queue.DefaultAllowedFailures)
 	m.state.addJob(job)
 	m.emit(JobAdded{Job: job})
-	m.start(first)
-	m.endJobIfDone(job)
+	m.startOccurrence(first)
+	m.archiveJobIfComplete(job)
 }
 
 func newStep(job *Job, of *occurrence, index int) *Step {
@@ -79,16 +79,16 @@
 	return step
 }
 
-func linkStep(step *Step, byName map[string]*Step) {
+func linkDependencies(step *Step, byName map[string]*Step) {
 	for _, name := range step.Spec.After {
 		before := byName[name]
-		if before == nil || slices.Contains(step.before, before) {
+		if before == nil || slices.Contains(step.dependencies, before) {
 			continue
 		}
-		step.before = append(step.before, before)
+		step.dependencies = append(step.dependencies, before)
 		before.dependents = append(before.dependents, step)
 	}
-	step.WaitsOn = len(step.before)
+	step.OpenDependencies = len(step.dependencies)
 }
 
 func allowedFailures(spec *api.TaskSpec, byDefault int) int {
--- a/internal/record/types.go
+++ b/internal/record/types.go
@@ -53,10 +53,10 @@
 	failedTasks int
 	// openRuns counts open runs, also of members of a group that has succeeded.
 	openRuns int
-	// occurrences are the live ones, by number; mayReduce is set once one of
+	// occurrences are the live ones, by number; mayHaveEndedOccurrence is set once one of
 	// them may have ended.
-	occurrences []*occurrence
-	mayReduce   bool
+	occurrences            []*occurrence
+	mayHaveEndedOccurrence bool
 	// started is set once a run of the job was placed.
 	started bool
 }
@@ -69,21 +69,21 @@
 	Occurrence int
 	Index      int
 	Spec       *api.StepSpec
-	// WaitsOn counts the steps before it that have not succeeded.
-	WaitsOn int
-	Tasks   []*Task
+	// OpenDependencies counts the steps before it that have not succeeded.
+	OpenDependencies int
+	Tasks            []*Task
 	// OpenTasks counts tasks that are not final; FailedTasks counts failed.
 	OpenTasks   int
 	FailedTasks int
-	// failedRun is the newest run number of a group in lockstep under which a
+	// lastFailedRun is the newest run number of a group in lockstep under which a
 	// failure was counted; 0 if none was.
-	failedRun uint32
+	lastFailedRun uint32
 	// succeededTasks counts tasks that succeeded.
 	succeededTasks int
 	occurrence     *occurrence
-	// before and dependents are the neighbours in the order of steps.
-	before     []*Step
-	dependents []*Step
+	// dependencies and dependents are the neighbours in the order of steps.
+	dependencies []*Step
+	dependents   []*Step
 }
 
 // Task is one task of a live job.
@@ -109,7 +109,7 @@
 	// Preemptions counts runs that were stopped to make room for others and
 	// did not succeed.
 	Preemptions int
-	// checkpoint is the newest that an earlier run left; see NewestCheckpoint.
+	// checkCheckpoint is the newest that an earlier run left; see NewestCheckpoint.
 	checkpoint checkpoint
 	// NotBefore is the earliest next start: the step's or the retry's.
 	NotBefore Millis
@@ -127,7 +127,7 @@
 	// Token is the term of the leader that placed the run.
 	Token    uint64
 	PlacedAt Millis
-	// Stop is why the run must be stopped; empty while it need not be.
+	// StopRuns is why the run must be stopped; empty while it need not be.
 	Stop StopReason
 }
 
@@ -137,15 +137,15 @@
 // StopReason is why a run is to be stopped.
 type StopReason string
 
-// Stop reasons. None counts as a failure.
+// StopRuns reasons. None counts as a failure.
 const (
 	StopNone      StopReason = ""
 	StopCancelled StopReason = "cancelled"
 	StopDrained   StopReason = "drained"
 	StopPreempted StopReason = "preempted"
-	// StopGroup: the run's group did not start whole or, in lockstep, goes back
+	// StopGang: the run's group did not start whole or, in lockstep, goes back
 	// whole or has succeeded.
-	StopGroup StopReason = "group"
+	StopGang StopReason = "group"
 	// StopStalled: the run made no progress for long.
 	StopStalled StopReason = "stalled"
 )
@@ -163,7 +163,7 @@
 	RegisteredAt Millis `cbor:"7,keyasint"`
 	// Place is shared with other incarnations only if they never live at once;
 	// empty if that is not known.
-	Place string `cbor:"8,keyasint,omitempty"`
+	Address string `cbor:"8,keyasint,omitempty"`
 }
 
 // Command is one entry of the log. Exactly one of the pointers is set.
@@ -174,29 +174,29 @@
 	// Token is the proposing leader's term.
 	Token uint64 `cbor:"2,keyasint"`
 
-	Submit    *Submit          `cbor:"3,keyasint,omitempty"`
-	Cancel    *Cancel          `cbor:"4,keyasint,omitempty"`
-	PutConfig *PutConfig       `cbor:"5,keyasint,omitempty"`
-	Place     *Place           `cbor:"6,keyasint,omitempty"`
-	Close     *Close           `cbor:"7,keyasint,omitempty"`
-	Stop      *Stop            `cbor:"8,keyasint,omitempty"`
-	Register  *RegisterWorkers `cbor:"9,keyasint,omitempty"`
-	Forget    *ForgetWorkers   `cbor:"10,keyasint,omitempty"`
-	Expire    *ExpireArchive   `cbor:"11,keyasint,omitempty"`
-	Release   *ReleaseWindow   `cbor:"12,keyasint,omitempty"`
-	Expand    *ExpandRepeats   `cbor:"13,keyasint,omitempty"`
-	DrainZone *DrainZone       `cbor:"14,keyasint,omitempty"`
+	SubmitJob       *SubmitJob       `cbor:"3,keyasint,omitempty"`
+	CancelJobs      *CancelJobs      `cbor:"4,keyasint,omitempty"`
+	PutConfig       *PutConfig       `cbor:"5,keyasint,omitempty"`
+	PlaceTasks      *PlaceTasks      `cbor:"6,keyasint,omitempty"`
+	CloseRuns       *CloseRuns       `cbor:"7,keyasint,omitempty"`
+	StopRuns        *StopRuns        `cbor:"8,keyasint,omitempty"`
+	RegisterWorkers *RegisterWorkers `cbor:"9,keyasint,omitempty"`
+	ForgetWorkers   *ForgetWorkers   `cbor:"10,keyasint,omitempty"`
+	ExpireArchive   *ExpireArchive   `cbor:"11,keyasint,omitempty"`
+	ReleaseWindow   *ReleaseWindow   `cbor:"12,keyasint,omitempty"`
+	ExpandRepeats   *ExpandRepeats   `cbor:"13,keyasint,omitempty"`
+	DrainZone       *DrainZone       `cbor:"14,keyasint,omitempty"`
 }
 
-// Submit adds a job.
-type Submit struct {
+// SubmitJob adds a job.
+type SubmitJob struct {
 	ID     string      `cbor:"1,keyasint"`
 	Spec   api.JobSpec `cbor:"2,keyasint"`
 	Digest string      `cbor:"3,keyasint"`
 }
 
-// Cancel cancels jobs; unknown and ended ones are passed over.
-type Cancel struct {
+// CancelJobs cancels jobs; unknown and ended ones are passed over.
+type CancelJobs struct {
 	Jobs []string `cbor:"1,keyasint"`
 }
 
@@ -215,7 +215,7 @@
 // (task ready, time come, worker incarnation current, room, service, labels,
 // spread, bounds of queue and team); one that does not is rejected alone,
 // except that a group is rejected whole.
-type Place struct {
+type PlaceTasks struct {
 	Placements []Placement `cbor:"1,keyasint"`
 }
 
@@ -226,11 +226,11 @@
 	Worker   string `cbor:"3,keyasint"`
 }
 
-// Close ends runs. A success of a closed run counts if no newer run was
+// CloseRuns ends runs. A success of a closed run counts if no newer run was
 // placed and the task is not final and does not run until cancelled; any other
 // report on a closed run changes nothing. Groups in lockstep have rules of their
 // own, see lockstep.go.
-type Close struct {
+type CloseRuns struct {
 	Runs []RunEnd `cbor:"1,keyasint"`
 }
 
@@ -245,9 +245,9 @@
 	Percent    int    `cbor:"5,keyasint,omitempty"`
 }
 
-// Stop marks open runs to be stopped; the first reason stands, except that
+// StopRuns marks open runs to be stopped; the first reason stands, except that
 // StopCancelled overrides.
-type Stop struct {
+type StopRuns struct {
 	Runs   []RunID    `cbor:"1,keyasint"`
 	Reason StopReason `cbor:"2,keyasint"`
 }
@@ -303,7 +303,7 @@
 type Result struct {
 	// Index is the entry's place in the log.
 	Index uint64
-	// Submit is set for Submit, Config for PutConfig.
+	// SubmitJob is set for Submit, Config for PutConfig.
 	Submit *SubmitResult
 	Config *ConfigResult
 	// Rejected lists placements that no longer held.
@@ -315,11 +315,11 @@
 // SubmitOutcome is how a submission ended.
 type SubmitOutcome uint8
 
-// Submit outcomes.
+// SubmitJob outcomes.
 const (
 	SubmitAccepted SubmitOutcome = iota
-	// SubmitSame: the same content was accepted before.
-	SubmitSame
+	// SubmitDuplicate: the same content was accepted before.
+	SubmitDuplicate
 	// SubmitConflict: other content is known under the id.
 	SubmitConflict
 	// SubmitUnknownQueue: the queue left the configuration meanwhile.
@@ -358,16 +358,16 @@
 	// every one, both in the order of their ids.
 	OpenRuns(workerID string) iter.Seq[*Run]
 	AllOpenRuns() iter.Seq[*Run]
-	// Used is the room that open runs take on a worker incarnation.
-	Used(workerID string) api.Resources
+	// UsedResources is the room that open runs take on a worker incarnation.
+	UsedResources(workerID string) api.Resources
 	// Config returns the configuration in force with defaults filled in.
 	Config() (version uint64, config *api.Config)
 	// AcceptedConfig returns the configuration in force as it was given.
 	AcceptedConfig() (version uint64, config *api.Config)
 	// ConfigVersions returns the accepted versions, newest first.
 	ConfigVersions() []api.ConfigVersion
-	// Order returns the outcome of a configuration order.
-	Order(id string) (result ConfigResult, digest string, known bool)
+	// ConfigOrder returns the outcome of a configuration order.
+	ConfigOrder(id string) (result ConfigResult, digest string, known bool)
 	// ReleasedWindows returns the windows given back whose end has not passed,
 	// by end, then by queue, booking and start.
 	ReleasedWindows() []ReleaseWindow
@@ -383,9 +383,9 @@
 	// Status builds the answer to a caller, live or archived. reason gives
 	// the text for a task that waits; it may be nil.
 	Status(id string, reason func(*Task) string) (api.JobStatus, bool, error)
-	// BriefStatus is Status without the steps, at a cost that does not grow with
+	// StatusWithoutSteps is Status without the steps, at a cost that does not grow with
 	// a live job's size.
-	BriefStatus(id string) (api.JobStatus, bool, error)
+	StatusWithoutSteps(id string) (api.JobStatus, bool, error)
 	// Clock is the greatest command time applied.
 	Clock() Millis
 	// Applied is the index of the last entry applied.
--- a/internal/record/view.go
+++ b/internal/record/view.go
@@ -22,11 +22,11 @@
 func (v view) Jobs(after string) iter.Seq[*Job] {
 	s := v.machine.state
 	return func(yield func(*Job) bool) {
-		place, found := s.findJob(after)
+		position, found := s.findJob(after)
 		if found {
-			place++
+			position++
 		}
-		for _, job := range s.jobList[place:] {
+		for _, job := range s.sortedJobs[position:] {
 			if !yield(job) {
 				return
 			}
@@ -53,21 +53,21 @@
 
 // OpenRuns implements View.
 func (v view) OpenRuns(workerID string) iter.Seq[*Run] {
-	held := v.machine.state.loads[workerID]
-	if held == nil {
+	load := v.machine.state.loadByWorkerID[workerID]
+	if load == nil {
 		return slices.Values[[]*Run](nil)
 	}
-	return slices.Values(held.runs)
+	return slices.Values(load.runs)
 }
 
 // AllOpenRuns implements View.
 func (v view) AllOpenRuns() iter.Seq[*Run] {
-	return slices.Values(v.machine.state.allRuns())
+	return slices.Values(v.machine.state.sortedOpenRuns())
 }
 
-// Used implements View.
-func (v view) Used(workerID string) api.Resources {
-	return v.machine.state.used(workerID)
+// UsedResources implements View.
+func (v view) UsedResources(workerID string) api.Resources {
+	return v.machine.state.usedResources(workerID)
 }
 
 // Config implements View.
@@ -89,8 +89,8 @@
 	return versions
 }
 
-// Order implements View.
-func (v view) Order(id string) (result ConfigResult, digest string, known bool) {
+// ConfigOrder implements View.
+func (v view) ConfigOrder(id string) (result ConfigResult, digest string, known bool) {
 	kept := v.machine.state.settings.orders.byID[id]
 	if kept == nil {
 		return ConfigResult{}, "", false
@@ -100,22 +100,22 @@
 
 // ReleasedWindows implements View.
 func (v view) ReleasedWindows() []ReleaseWindow {
-	return slices.Clone(v.machine.state.released)
+	return slices.Clone(v.machine.state.releasedWindows)
 }
 
 // QueueCounts implements View.
 func (v view) QueueCounts(queue string) QueueCounts {
-	return countsIn(v.machine.state.queues, queue)
+	return countsIn(v.machine.state.queueCounts, queue)
 }
 
 // TeamCounts implements View.
 func (v view) TeamCounts(team string) QueueCounts {
-	return countsIn(v.machine.state.teams, team)
+	return countsIn(v.machine.state.teamCounts, team)
 }
 
 // CallerPending implements View.
 func (v view) CallerPending(queue, caller string) int {
-	return v.machine.state.callers[callerKey{queue, caller}]
+	return v.machine.state.callerPending[queueCaller{queue, caller}]
 }
 
 func countsIn(all map[string]*QueueCounts, name string) QueueCounts {
@@ -130,23 +130,23 @@
 	if job := v.machine.state.jobs[id]; job != nil {
 		return job.status(v.machine.state.clock, reason), true, nil
 	}
-	archived, known, err := v.machine.archived(id)
+	archived, known, err := v.machine.findArchived(id)
 	if err != nil || !known {
 		return api.JobStatus{}, false, err
 	}
 	return archived.Status(), true, nil
 }
 
-// BriefStatus implements View.
-func (v view) BriefStatus(id string) (api.JobStatus, bool, error) {
+// StatusWithoutSteps implements View.
+func (v view) StatusWithoutSteps(id string) (api.JobStatus, bool, error) {
 	if job := v.machine.state.jobs[id]; job != nil {
-		return job.brief(), true, nil
+		return job.statusWithoutSteps(), true, nil
 	}
-	archived, known, err := v.machine.archived(id)
+	archived, known, err := v.machine.findArchived(id)
 	if err != nil || !known {
 		return api.JobStatus{}, false, err
 	}
-	return archived.brief(), true, nil
+	return archived.statusWithoutSteps(), true, nil
 }
 
 // Clock implements View.
--- a/internal/record/workers.go
+++ b/internal/record/workers.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// applyRegister adds workers or changes what is known of them.
-func (m *Machine) applyRegister(register *RegisterWorkers, result *Result) {
+// applyRegisterWorkers adds workers or changes what is known of them.
+func (m *Machine) applyRegisterWorkers(register *RegisterWorkers, result *Result) {
 	for i := range register.Workers {
 		worker := register.Workers[i]
 		if !m.registerWorker(&worker) {
@@ -25,12 +25,12 @@
 	worker.RegisteredAt = m.state.clock
 	if known != nil && known.ID == worker.ID {
 		worker.RegisteredAt = known.RegisteredAt
-		if known.Same(worker) {
+		if known.SameDescription(worker) {
 			return true
 		}
 	}
 	if known != nil && known.ID != worker.ID {
-		if m.state.hasRuns(known.ID) {
+		if m.state.hasOpenRuns(known.ID) {
 			return false
 		}
 		delete(m.state.workersByID, known.ID)
@@ -41,20 +41,20 @@
 	return true
 }
 
-// Same compares what a worker says of itself: all but name, id and the time of
+// SameDescription compares what a worker says of itself: all but name, id and the time of
 // registration.
-func (w *Worker) Same(other *Worker) bool {
-	return w.Zone == other.Zone && w.Place == other.Place &&
+func (w *Worker) SameDescription(other *Worker) bool {
+	return w.Zone == other.Zone && w.Address == other.Address &&
 		w.Capacity == other.Capacity &&
 		slices.Equal(w.Services, other.Services) &&
 		maps.Equal(w.Labels, other.Labels)
 }
 
-// applyForget removes workers that have no open run.
-func (m *Machine) applyForget(forget *ForgetWorkers) {
+// applyForgetWorkers removes workers that have no open run.
+func (m *Machine) applyForgetWorkers(forget *ForgetWorkers) {
 	for _, name := range forget.Names {
 		worker := m.state.workers[name]
-		if worker == nil || m.state.hasRuns(worker.ID) {
+		if worker == nil || m.state.hasOpenRuns(worker.ID) {
 			continue
 		}
 		delete(m.state.workers, name)
--- a/internal/replica/helper_test.go
+++ b/internal/replica/helper_test.go
@@ -253,7 +253,7 @@
 }
 
 func registration(name string) record.Command {
-	return record.Command{Register: &record.RegisterWorkers{Workers: []record.Worker{{Name: name, ID: name + "-1"}}}}
+	return record.Command{RegisterWorkers: &record.RegisterWorkers{Workers: []record.Worker{{Name: name, ID: name + "-1"}}}}
 }
 
 // workerNames returns the names in a replica's record after a read barrier.
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -278,7 +278,7 @@
 	data := make([]byte, 256<<10) // many of them fill the queue to the hanging peer
 	for i := range 60 {
 		command := registration(fmt.Sprintf("worker-%03d", i))
-		command.Register.Workers[0].Zone = string(data)
+		command.RegisterWorkers.Workers[0].Zone = string(data)
 		if _, err := leader.replica.Propose(t.Context(), token, command); err != nil {
 			t.Fatalf("command %d: %v", i, err)
 		}
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -70,7 +70,7 @@
 	if _, live := view.Job(id); live {
 		return true
 	}
-	_, known, err := view.BriefStatus(id)
+	_, known, err := view.StatusWithoutSteps(id)
 	return known && err == nil
 }
 
@@ -205,7 +205,7 @@
 	defer l.mu.Unlock()
 	known := l.intake.queue(queue.Name)
 	wait, measured := known.flow.ExpectedWait(l.now())
-	allowed := objective.Allowance(rule, objective.ChainsOf(spec.Steps).Whole, rule.RefuseBeyond)
+	allowed := objective.StartAllowance(rule, objective.CriticalPathsOf(spec.Steps).Job, rule.RefuseBeyond)
 	if !measured || !known.hopeless.Closed() || wait <= allowed || l.hasRoom(spec) {
 		return nil
 	}
--- a/internal/scheduler/bookings.go
+++ b/internal/scheduler/bookings.go
@@ -185,7 +185,7 @@
 			Message: "queue " + request.Release.Queue + " has no window of booking " + request.Release.Booking + " that starts then",
 		}
 	}
-	command := record.Command{Release: &record.ReleaseWindow{
+	command := record.Command{ReleaseWindow: &record.ReleaseWindow{
 		Queue: window.Queue, Booking: window.Booking.Name,
 		Start: record.Millis(window.Start.UnixMilli()), End: record.Millis(window.End.UnixMilli()),
 	}}
--- a/internal/scheduler/cancel.go
+++ b/internal/scheduler/cancel.go
@@ -22,7 +22,7 @@
 	if status.State.Final() {
 		return l.jobAnswer(l.status(request.ID, request.Brief))
 	}
-	if _, err := l.propose(ctx, record.Command{Cancel: &record.Cancel{Jobs: []string{request.ID}}}); err != nil {
+	if _, err := l.propose(ctx, record.Command{CancelJobs: &record.CancelJobs{Jobs: []string{request.ID}}}); err != nil {
 		return fleet.JobAnswer{}, l.proposalError(err)
 	}
 	return l.jobAnswer(l.status(request.ID, request.Brief))
@@ -33,7 +33,7 @@
 func (l *leader) cancelMany(ctx context.Context, request fleet.CancelManyRequest) (fleet.CancelManyAnswer, error) {
 	jobs := l.cancellable(request.Cancel)
 	for batch := range slices.Chunk(jobs, cancelBatch) {
-		if _, err := l.propose(ctx, record.Command{Cancel: &record.Cancel{Jobs: batch}}); err != nil {
+		if _, err := l.propose(ctx, record.Command{CancelJobs: &record.CancelJobs{Jobs: batch}}); err != nil {
 			return fleet.CancelManyAnswer{}, l.proposalError(err)
 		}
 	}
--- a/internal/scheduler/contradictions_test.go
+++ b/internal/scheduler/contradictions_test.go
@@ -90,7 +90,7 @@
 
 // TestStoppedRunKeepsItsRoomUntilItsEndIsListed: whatever the stop is for.
 func TestStoppedRunKeepsItsRoomUntilItsEndIsListed(t *testing.T) {
-	reasons := []record.StopReason{record.StopPreempted, record.StopDrained, record.StopGroup, record.StopStalled}
+	reasons := []record.StopReason{record.StopPreempted, record.StopDrained, record.StopGang, record.StopStalled}
 	for _, reason := range reasons {
 		h := newHarness(t)
 		worker := h.worker("w", "w-1")
--- a/internal/scheduler/expire.go
+++ b/internal/scheduler/expire.go
@@ -35,7 +35,7 @@
 		}
 		held := l.archive.Bytes()
 		expire := &record.ExpireArchive{Before: before, Limit: expireBatch}
-		if _, done := l.proposeUntilDone("expire", record.Command{Expire: expire}); !done {
+		if _, done := l.proposeUntilDone("expire", record.Command{ExpireArchive: expire}); !done {
 			return
 		}
 		if l.archive.Bytes() >= held {
