--- a/internal/scheduler/group.go
+++ b/internal/scheduler/group.go
@@ -50,12 +50,12 @@
 func (l *leader) joinGroup(entry *waitingTask, step *record.Step) {
 	group := l.group(entry.step)
 	group.ready[entry.task.ID] = true
-	group.size = step.GroupSize()
+	group.size = step.GangSize()
 }
 
 func (l *leader) leaveGroup(group *groupState, task *record.Task) {
 	delete(group.ready, task.ID)
-	group.size = task.Step.GroupSize()
+	group.size = task.Step.GangSize()
 	l.offerGroup(group)
 }
 
@@ -104,7 +104,7 @@
 	group := l.group(run.step)
 	delete(group.ready, run.id.Task)
 	group.open[run.id] = false
-	group.size = open.Task.Step.GroupSize()
+	group.size = open.Task.Step.GangSize()
 	if run.lockstep {
 		l.lockstepRunOpened(group, run, open)
 	}
@@ -112,7 +112,7 @@
 
 func (l *leader) groupRunStopping(run *runState, step *record.Step) {
 	group := l.group(run.step)
-	group.size = step.GroupSize()
+	group.size = step.GangSize()
 	l.offerGroup(group)
 }
 
@@ -128,7 +128,7 @@
 	group := l.group(run.step)
 	whole := group.allStarted()
 	delete(group.open, run.id)
-	group.size = step.GroupSize()
+	group.size = step.GangSize()
 	lost := outcome == api.OutcomeLost || outcome == api.OutcomeStopped
 	if lost && !whole && len(group.open) > 0 && !run.lockstep {
 		l.breakGroup(group)
@@ -152,7 +152,7 @@
 	for id := range group.open {
 		run := l.runs[id]
 		l.closeIfNeverOrdered(run)
-		l.stopLater(run, record.StopGroup)
+		l.stopLater(run, record.StopGang)
 	}
 }
 
@@ -164,14 +164,14 @@
 		return
 	}
 	group := l.group(step.Tasks[0].ID.StepID())
-	group.size = step.GroupSize()
+	group.size = step.GangSize()
 	if step.Spec.Lockstep {
 		// The record alone says whether it is broken.
 		l.offerGroup(group)
 		return
 	}
 	broken := slices.ContainsFunc(step.Tasks, func(task *record.Task) bool {
-		return task.Run != nil && task.Run.Stop == record.StopGroup
+		return task.Run != nil && task.Run.Stop == record.StopGang
 	})
 	lost := slices.ContainsFunc(step.Tasks, func(task *record.Task) bool {
 		return task.State == record.TaskReady && task.LastRun > 0 && task.Failures == 0
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -70,7 +70,7 @@
 	planned.Avoid = h.failedOn.of(task)
 	hasAttempts := task.Spec.UntilCancelled || task.Failures+1 < task.AllowedFailures
 	estimate := task.Spec.Estimate.Std()
-	planned.MayTry = hasAttempts && !task.Step.Grouped()
+	planned.MayTry = hasAttempts && !task.Step.IsGang()
 	planned.Tries = planned.MayTry && (task.Spec.UntilCancelled || estimate > 0 && estimate <= shortRun)
 }
 
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -103,7 +103,7 @@
 	return record.Worker{
 		Name: heartbeat.Name, ID: heartbeat.WorkerID, Zone: request.Zone, Capacity: heartbeat.Capacity,
 		Services: heartbeat.Services, Labels: heartbeat.Labels, RegisteredAt: now,
-		Place: placeOf(request),
+		Address: placeOf(request),
 	}
 }
 
@@ -111,7 +111,7 @@
 // new incarnation waits until the hold of the one before it has lapsed.
 func (l *leader) mustRegister(worker *workerEntry, info record.Worker, now time.Duration) bool {
 	if worker.registered {
-		return !worker.info.Same(&info)
+		return !worker.info.SameDescription(&info)
 	}
 	earlier, known := l.byName[info.Name]
 	if !known {
@@ -161,7 +161,7 @@
 		return nil
 	}
 	info := workerInfo(observed.request, l.log.Now())
-	result, err := l.proposeOwn(record.Command{Register: &record.RegisterWorkers{Workers: []record.Worker{info}}})
+	result, err := l.proposeOwn(record.Command{RegisterWorkers: &record.RegisterWorkers{Workers: []record.Worker{info}}})
 	if err != nil {
 		return l.proposalError(err)
 	}
--- a/internal/scheduler/intake.go
+++ b/internal/scheduler/intake.go
@@ -78,7 +78,7 @@
 // noteJob takes a job's chain into what is typical for its queue.
 func (l *leader) noteJob(job *record.Job) {
 	queue := l.intake.queue(job.Spec.Queue)
-	chain := l.chainsOf(job).Whole
+	chain := l.chainsOf(job).Job
 	if queue.chain == 0 {
 		queue.chain = chain
 	}
@@ -129,11 +129,11 @@
 			continue
 		}
 		wait, measured := queue.flow.ExpectedWait(now)
-		allowance := objective.Allowance(config.Objective, queue.chain, 1)
+		allowance := objective.StartAllowance(config.Objective, queue.chain, 1)
 		queue.overloaded.Look(now, wait, max(allowance, leastWait), measured)
 		queue.pressed.Look(now, wait, max(allowance/pressedPart, leastPressedWait), measured)
 		if beyond := config.Objective.RefuseBeyond; beyond > 0 {
-			queue.hopeless.Look(now, wait, max(objective.Allowance(config.Objective, queue.chain, beyond), leastWait), measured)
+			queue.hopeless.Look(now, wait, max(objective.StartAllowance(config.Objective, queue.chain, beyond), leastWait), measured)
 		}
 	}
 	if yields := l.yields(); !slices.EqualFunc(yields, l.intake.yields, sameYield) {
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -25,7 +25,7 @@
 		return fleet.SubmitAnswer{}, err
 	}
 	defer end()
-	command := record.Command{Submit: &record.Submit{ID: request.ID, Spec: request.Spec, Digest: digest}}
+	command := record.Command{SubmitJob: &record.SubmitJob{ID: request.ID, Spec: request.Spec, Digest: digest}}
 	result, err := l.propose(ctx, command)
 	if err != nil {
 		return fleet.SubmitAnswer{}, l.submitError(err)
@@ -33,7 +33,7 @@
 	switch result.Submit.Outcome {
 	case record.SubmitAccepted:
 		return fleet.SubmitAnswer{Created: true}, nil
-	case record.SubmitSame:
+	case record.SubmitDuplicate:
 		return fleet.SubmitAnswer{}, nil
 	case record.SubmitConflict:
 		return fleet.SubmitAnswer{}, jobConflict(request.ID)
@@ -134,7 +134,7 @@
 	var err error
 	l.log.Record().Read(func(view record.View) {
 		if brief {
-			status, known, err = view.BriefStatus(id)
+			status, known, err = view.StatusWithoutSteps(id)
 			return
 		}
 		status, known, err = view.Status(id, l.waitReason)
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -73,7 +73,7 @@
 	// ranks are the times at which waiting tasks change their place in the order.
 	ranks taskTimers
 	// chains are the estimates of live jobs.
-	chains map[string]objective.Chains
+	chains map[string]objective.CriticalPaths
 	groups map[record.StepID]*groupState
 	// starting are the groups in lockstep not all of whose members have started.
 	starting map[record.StepID]*groupState
@@ -148,7 +148,7 @@
 		intake:        newIntake(),
 		notBegun:      newNotBegun(),
 		submitting:    newSubmissions(),
-		chains:        make(map[string]objective.Chains),
+		chains:        make(map[string]objective.CriticalPaths),
 		groups:        make(map[record.StepID]*groupState),
 		starting:      make(map[record.StepID]*groupState),
 		repeats:       newRepeats(),
@@ -333,11 +333,11 @@
 	l.pendingStops = make(map[record.StopReason][]record.RunID)
 	l.mu.Unlock()
 	if len(closes) > 0 {
-		l.proposeUntilDone("close", record.Command{Close: &record.Close{Runs: closes}})
+		l.proposeUntilDone("close", record.Command{CloseRuns: &record.CloseRuns{Runs: closes}})
 	}
 	l.expand(expansions)
 	for reason, runs := range stops {
-		l.proposeUntilDone("stop", record.Command{Stop: &record.Stop{Runs: runs, Reason: reason}})
+		l.proposeUntilDone("stop", record.Command{StopRuns: &record.StopRuns{Runs: runs, Reason: reason}})
 	}
 }
 
--- a/internal/scheduler/localitywait.go
+++ b/internal/scheduler/localitywait.go
@@ -49,7 +49,7 @@
 		wait = min(wait, record.MillisOf(estimate))
 	}
 	if e.urgency.timely {
-		wait = min(wait, (e.urgency.times.Latest-now)/localityWaitOfSlack)
+		wait = min(wait, (e.urgency.times.LatestStart-now)/localityWaitOfSlack)
 	}
 	return wait
 }
--- a/internal/scheduler/mirror.go
+++ b/internal/scheduler/mirror.go
@@ -81,7 +81,7 @@
 			l.addWaiting(task)
 		}
 	}
-	if step.Grouped() {
+	if step.IsGang() {
 		l.loadGroup(step)
 	}
 }
@@ -96,7 +96,7 @@
 			Spec:        task.Spec,
 			Preemptions: task.Preemptions,
 
-			UntilCancelled: task.Endless(),
+			UntilCancelled: task.RunsUntilCancelled(),
 
 			Wishes: &placement.Wishes{StepSize: len(task.Step.Tasks), Colocate: task.Step.Spec.Colocate},
 		},
@@ -115,7 +115,7 @@
 	l.rank(entry, l.log.Now())
 	l.waiting[task.ID] = entry
 	l.countWaiting(entry)
-	if task.Step.Grouped() {
+	if task.Step.IsGang() {
 		l.joinGroup(entry, task.Step)
 	}
 	if !entry.due {
@@ -180,7 +180,7 @@
 		payload:   task.Step.Job.Spec.PayloadOf(task.Spec),
 		step:      task.ID.StepID(),
 		stepSize:  len(task.Step.Tasks),
-		together:  task.Step.Grouped(),
+		together:  task.Step.IsGang(),
 		lockstep:  task.Step.Spec.Lockstep,
 		workerID:  open.WorkerID,
 		openedAt:  l.now(),
@@ -195,7 +195,7 @@
 	job := task.Step.Job
 	l.planner.Hold(placement.Task{
 		ID: task.ID, Queue: job.Spec.Queue, Priority: job.Spec.Priority + l.queuePriority(job.Spec.Queue),
-		Spec: task.Spec, StartedAt: open.PlacedAt, Preemptions: task.Preemptions, UntilCancelled: task.Endless(),
+		Spec: task.Spec, StartedAt: open.PlacedAt, Preemptions: task.Preemptions, UntilCancelled: task.RunsUntilCancelled(),
 	}, open.WorkerID)
 	l.runs[run.id] = run
 	l.openByTask[task.ID] = run
--- a/internal/scheduler/places.go
+++ b/internal/scheduler/places.go
@@ -26,7 +26,7 @@
 
 // occupy notes a worker that may have proven that it lives.
 func (l *leader) occupy(worker *workerEntry) {
-	place := worker.info.Place
+	place := worker.info.Address
 	if place == "" || worker.provenAt == 0 {
 		return
 	}
@@ -37,18 +37,18 @@
 
 // vacate forgets a worker that is not known any more.
 func (l *leader) vacate(worker *workerEntry) {
-	if l.occupants[worker.info.Place] == worker {
-		delete(l.occupants, worker.info.Place)
+	if l.occupants[worker.info.Address] == worker {
+		delete(l.occupants, worker.info.Address)
 	}
 }
 
 // replaced tells that a worker has ended although its hold still stands, as a
 // later incarnation lives in its place, and that this must be acted on.
 func (l *leader) replaced(worker *workerEntry, now time.Duration) bool {
-	if worker.info.Place == "" || worker.lapsed && !worker.hasOpenRuns() {
+	if worker.info.Address == "" || worker.lapsed && !worker.hasOpenRuns() {
 		return false
 	}
-	occupant := l.occupants[worker.info.Place]
+	occupant := l.occupants[worker.info.Address]
 	if occupant == nil || occupant == worker || occupant.provenAt < worker.knownAt {
 		return false
 	}
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -27,7 +27,7 @@
 	if len(placements) == 0 {
 		return false
 	}
-	command := record.Command{Place: &record.Place{Placements: placements}}
+	command := record.Command{PlaceTasks: &record.PlaceTasks{Placements: placements}}
 	result, done := l.proposeUntilDone("place", command)
 	if !done {
 		return false
--- a/internal/scheduler/repeats.go
+++ b/internal/scheduler/repeats.go
@@ -151,7 +151,7 @@
 	if len(expansions) == 0 {
 		return
 	}
-	command := record.Command{Expand: &record.ExpandRepeats{Jobs: expansions}}
+	command := record.Command{ExpandRepeats: &record.ExpandRepeats{Jobs: expansions}}
 	if _, done := l.proposeUntilDone("expand", command); !done {
 		return
 	}
--- a/internal/scheduler/repeats_test.go
+++ b/internal/scheduler/repeats_test.go
@@ -123,7 +123,7 @@
 func TestCancelledJobIsExpandedNoMore(t *testing.T) {
 	h := newHarness(t)
 	h.submitSpec("j", h.repeating(10, time.Second, time.Second))
-	if _, err := h.leader.propose(t.Context(), record.Command{Cancel: &record.Cancel{Jobs: []string{"j"}}}); err != nil {
+	if _, err := h.leader.propose(t.Context(), record.Command{CancelJobs: &record.CancelJobs{Jobs: []string{"j"}}}); err != nil {
 		t.Fatal(err)
 	}
 	if got := h.status("j"); got.State != api.StateCancelled || got.Occurrences.Cancelled != 10 {
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -61,7 +61,7 @@
 	if len(closes) == 0 {
 		return reported.unreadable, nil
 	}
-	if _, err := l.proposeOwn(record.Command{Close: &record.Close{Runs: closes}}); err != nil {
+	if _, err := l.proposeOwn(record.Command{CloseRuns: &record.CloseRuns{Runs: closes}}); err != nil {
 		return nil, l.proposalError(err)
 	}
 	return l.acknowledge(reported), nil
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -29,10 +29,10 @@
 	// since is when the objective begins to count; chains and step give the
 	// estimates that lie ahead.
 	since  record.Millis
-	chains objective.Chains
+	chains objective.CriticalPaths
 	step   int
 	// times are set while the task has an objective.
-	times  objective.Times
+	times  objective.Deadlines
 	timely bool
 	// lost: the job can no longer end within three times its objective.
 	lost bool
@@ -42,21 +42,21 @@
 func (l *leader) urgencyOf(task *record.Task) urgency {
 	step := task.Step
 	place := step.Index%stepsPerJob*tasksPerStep + task.ID.Index%tasksPerStep
-	since := step.FellDue()
+	since := step.DueAt()
 	if step.Spec.NotBefore != nil {
 		since = max(since, record.Millis(step.Spec.NotBefore.UnixMilli()))
 	}
 	return urgency{
-		place: uint64(place), fellDue: step.FellDue(), since: since,
+		place: uint64(place), fellDue: step.DueAt(), since: since,
 		chains: l.chainsOf(step.Job), step: step.Index,
 	}
 }
 
 // chainsOf works a job's chains out once.
-func (l *leader) chainsOf(job *record.Job) objective.Chains {
+func (l *leader) chainsOf(job *record.Job) objective.CriticalPaths {
 	chains, known := l.chains[job.ID]
 	if !known {
-		chains = objective.ChainsOf(job.Spec.Steps)
+		chains = objective.CriticalPathsOf(job.Spec.Steps)
 		l.chains[job.ID] = chains
 	}
 	return chains
@@ -64,7 +64,7 @@
 
 // apply takes over the queue's objective.
 func (u *urgency) apply(rule *api.ObjectiveConfig) {
-	u.times, u.timely = objective.TimesOf(rule, u.since, u.chains.Whole, u.chains.From[u.step])
+	u.times, u.timely = objective.DeadlinesOf(rule, u.since, u.chains.Job, u.chains.FromStep[u.step])
 }
 
 // sequence is the task's place at a moment, and until when it holds; 0 for ever.
@@ -74,9 +74,9 @@
 		return uint64(u.fellDue)*placesPerJob + u.place, 0
 	}
 	rank := u.times.RankAt(now)
-	u.lost = rank.Tier == objective.Lost
+	u.lost = rank.Tier == objective.TierLost
 	moment := uint64(rank.Tier)<<momentBits + uint64(max(rank.Key, 0))
-	return moment*placesPerJob + u.place, rank.Until
+	return moment*placesPerJob + u.place, rank.ValidUntil
 }
 
 // rank gives an entry its place as of now. It reports whether that changed.
--- a/internal/scheduler/yields.go
+++ b/internal/scheduler/yields.go
@@ -42,13 +42,13 @@
 	if !overloaded && !q.pressed.Closed() {
 		return nil
 	}
-	longest := longestEqual * objective.Allowance(own.Objective, q.chain, 1)
+	longest := longestEqual * objective.StartAllowance(own.Objective, q.chain, 1)
 	var to []string
 	for _, other := range queues {
 		if other.Name == own.Name || other.Objective == nil {
 			continue
 		}
-		if overloaded || objective.Allowance(other.Objective, q.chain, 1) <= longest {
+		if overloaded || objective.StartAllowance(other.Objective, q.chain, 1) <= longest {
 			to = append(to, other.Name)
 		}
 	}
