--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -16,17 +16,17 @@
 const (
 	refusedQueue      = "queue_limit"
 	refusedTeam       = "team_limit"
-	refusedFleet      = "fleet_limit"
+	refusedTotal      = "fleet_limit"
 	refusedCaller     = "caller_share"
-	refusedHopeless   = "too_late"
+	refusedTooLate    = "too_late"
 	refusedCommitting = "committing"
 )
 
 const (
-	// leastRetry and mostRetry bound the time to come back that is told with a
+	// minRetryAfter and maxRetryAfter bound the time to come back that is told with a
 	// refusal.
-	leastRetry = overLimitRetryMillis * time.Millisecond
-	mostRetry  = 30 * time.Second
+	minRetryAfter = overLimitRetryMillis * time.Millisecond
+	maxRetryAfter = 30 * time.Second
 )
 
 // admit refuses what can be seen to be wrong, over a limit, impossible or hopeless.
@@ -46,24 +46,24 @@
 			refusal = invalid("job", fields)
 			return
 		}
-		queue := queueOf(config, spec.Queue)
+		queue := findQueue(config, spec.Queue)
 		spec = spec.WithService(queue.Service)
 		if !l.isSubmitting(request.ID) {
-			refusal = l.notNow(view, config, queue, &spec)
+			refusal = l.checkLimits(view, config, queue, &spec)
 		}
 	})
 	if known || refusal != nil {
 		return refusal
 	}
-	return l.impossible(&spec)
+	return l.checkFeasible(&spec)
 }
 
-// notNow refuses a job that may come back later.
-func (l *leader) notNow(view record.View, config *api.Config, queue *api.QueueConfig, spec *api.JobSpec) error {
-	if err := l.overLimit(view, config, queue, spec); err != nil {
+// checkLimits refuses a job that may come back later.
+func (l *leader) checkLimits(view record.View, config *api.Config, queue *api.QueueConfig, spec *api.JobSpec) error {
+	if err := l.checkPendingLimits(view, config, queue, spec); err != nil {
 		return err
 	}
-	return l.tooLate(queue, spec)
+	return l.checkObjective(queue, spec)
 }
 
 func isKnown(view record.View, id string) bool {
@@ -74,46 +74,46 @@
 	return known && err == nil
 }
 
-// bound is a bound on waiting tasks that queues share.
-type bound struct {
+// pendingLimit is a bound on waiting tasks that queues share.
+type pendingLimit struct {
 	reason string
-	// of says whose bound it is, in messages.
-	of   string
-	most int
-	// own is the place of the job's queue in queues; waiting is what they hold.
-	own     int
-	queues  []admission.Part
-	waiting int
+	// subject says whose bound it is, in messages.
+	subject string
+	limit   int
+	// ownIndex is the place of the job's queue in queues; waiting is what they hold.
+	ownIndex int
+	queues   []admission.Part
+	waiting  int
 }
 
-func (b *bound) add(queue *api.QueueConfig, own bool, waiting int) {
+func (b *pendingLimit) add(queue *api.QueueConfig, own bool, waiting int) {
 	if own {
-		b.own = len(b.queues)
+		b.ownIndex = len(b.queues)
 	}
-	b.queues = append(b.queues, partOf(queue, waiting))
+	b.queues = append(b.queues, quotaPart(queue, waiting))
 	b.waiting += waiting
 }
 
-func (b *bound) free() int { return admission.Free(b.most, b.own, b.queues) }
+func (b *pendingLimit) free() int { return admission.Free(b.limit, b.ownIndex, b.queues) }
 
 // refusal says why a number of tasks is too many.
-func (b *bound) refusal(tasks int) string {
-	if b.waiting+tasks > b.most {
-		return fmt.Sprintf("%s %d waiting tasks of at most %d", b.of, b.waiting, b.most)
+func (b *pendingLimit) refusal(tasks int) string {
+	if b.waiting+tasks > b.limit {
+		return fmt.Sprintf("%s %d waiting tasks of at most %d", b.subject, b.waiting, b.limit)
 	}
 	return fmt.Sprintf("%s %d waiting tasks of at most %d, and keeps places for other queues than this one, which has %d",
-		b.of, b.waiting, b.most, b.queues[b.own].Used)
+		b.subject, b.waiting, b.limit, b.queues[b.ownIndex].Used)
 }
 
-// boundsOn returns the bounds on a queue's waiting tasks: its own, its team's and
+// pendingLimitsOn returns the bounds on a queue's waiting tasks: its own, its team's and
 // that of all queues.
-func boundsOn(view record.View, config *api.Config, queue *api.QueueConfig) []*bound {
-	own := &bound{reason: refusedQueue, of: "queue " + queue.Name + " has", most: queue.MaxPendingTasks}
-	team := &bound{reason: refusedTeam, of: "team " + queue.Team + " has"}
-	all := &bound{reason: refusedFleet, of: "the fleet has", most: config.Limits.MaxPendingTasks}
+func pendingLimitsOn(view record.View, config *api.Config, queue *api.QueueConfig) []*pendingLimit {
+	own := &pendingLimit{reason: refusedQueue, subject: "queue " + queue.Name + " has", limit: queue.MaxPendingTasks}
+	team := &pendingLimit{reason: refusedTeam, subject: "team " + queue.Team + " has"}
+	all := &pendingLimit{reason: refusedTotal, subject: "the fleet has", limit: config.Limits.MaxPendingTasks}
 	for _, one := range config.Teams {
 		if one.Name == queue.Team {
-			team.most = one.MaxPendingTasks
+			team.limit = one.MaxPendingTasks
 		}
 	}
 	for index := range config.Queues {
@@ -128,31 +128,31 @@
 			own.add(other, same, pending)
 		}
 	}
-	return slices.DeleteFunc([]*bound{own, team, all}, func(one *bound) bool { return one.most == 0 })
+	return slices.DeleteFunc([]*pendingLimit{own, team, all}, func(one *pendingLimit) bool { return one.limit == 0 })
 }
 
-// overLimit checks the bounds on waiting tasks, and the caller's share of what they
+// checkPendingLimits checks the bounds on waiting tasks, and the caller's share of what they
 // leave.
-func (l *leader) overLimit(view record.View, config *api.Config, queue *api.QueueConfig, spec *api.JobSpec) error {
+func (l *leader) checkPendingLimits(view record.View, config *api.Config, queue *api.QueueConfig, spec *api.JobSpec) error {
 	tasks := spec.TaskCount()
-	bounds := boundsOn(view, config, queue)
-	for _, one := range bounds {
-		if tasks > one.most && one.reason != refusedFleet {
-			return tooManyTasks(tasks, one.most, one.reason, queue)
+	limits := pendingLimitsOn(view, config, queue)
+	for _, one := range limits {
+		if tasks > one.limit && one.reason != refusedTotal {
+			return tooManyTasks(tasks, one.limit, one.reason, queue)
 		}
 	}
-	free := bounds[0].free()
-	for _, one := range bounds {
-		if room := one.free(); tasks > room {
-			return l.refuse(queue, one.reason, one.refusal(tasks), tasks-room)
+	free := limits[0].free()
+	for _, one := range limits {
+		if capacity := one.free(); tasks > capacity {
+			return l.refuse(queue, one.reason, one.refusal(tasks), tasks-capacity)
 		}
 		free = min(free, one.free())
 	}
-	return l.overShare(view, queue, spec, free)
+	return l.checkCallerShare(view, queue, spec, free)
 }
 
-// overShare checks a caller's share. Where nobody names a caller there is none.
-func (l *leader) overShare(view record.View, queue *api.QueueConfig, spec *api.JobSpec, free int) error {
+// checkCallerShare checks a caller's share. Where nobody names a caller there is none.
+func (l *leader) checkCallerShare(view record.View, queue *api.QueueConfig, spec *api.JobSpec, free int) error {
 	held := view.CallerPending(queue.Name, spec.Caller)
 	if spec.Caller == "" && held == view.QueueCounts(queue.Name).PendingTasks {
 		return nil
@@ -167,12 +167,12 @@
 }
 
 // tooManyTasks refuses a job that would not be taken even if nothing waited.
-func tooManyTasks(tasks, most int, reason string, queue *api.QueueConfig) error {
+func tooManyTasks(tasks, limit int, reason string, queue *api.QueueConfig) error {
 	of := "queue " + queue.Name
 	if reason == refusedTeam {
 		of = "team " + queue.Team
 	}
-	field := api.FieldError{Field: "steps", Value: fmt.Sprintf("%d tasks", tasks), Expected: fmt.Sprintf("at most %d, the most that may wait in %s", most, of)}
+	field := api.FieldError{Field: "steps", Value: fmt.Sprintf("%d tasks", tasks), Expected: fmt.Sprintf("at most %d, the most that may wait in %s", limit, of)}
 	return invalid("job", []api.FieldError{field})
 }
 
@@ -181,38 +181,38 @@
 func (l *leader) refuse(queue *api.QueueConfig, reason, message string, tooMany int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.intake.queue(queue.Name)
+	known := l.slo.queue(queue.Name)
 	earliest, _ := known.flow.TimeFor(l.now(), tooMany)
-	return l.refuseFor(queue.Name, reason, message, known.comeBack(l.now(), earliest, tooMany))
+	return l.refuseFor(queue.Name, reason, message, known.retryAfter(l.now(), earliest, tooMany))
 }
 
 func (l *leader) refuseFor(queue, reason, message string, pause time.Duration) error {
 	l.metrics.refusals.WithLabelValues(queue, reason).Inc()
 	refusal := overLimitError(message)
-	refusal.RetryAfterMillis = max(pause, leastRetry).Milliseconds()
+	refusal.RetryAfterMillis = max(pause, minRetryAfter).Milliseconds()
 	return refusal
 }
 
-// tooLate refuses a job that by the measured rate will end beyond the multiple of
+// checkObjective refuses a job that by the measured rate will end beyond the multiple of
 // its objective that the queue allows, while no worker has room for its beginning.
 // What goes before others by its priority, or later by its own time, is let in.
-func (l *leader) tooLate(queue *api.QueueConfig, spec *api.JobSpec) error {
+func (l *leader) checkObjective(queue *api.QueueConfig, spec *api.JobSpec) error {
 	rule := queue.Objective
 	if rule == nil || rule.RefuseBeyond == 0 || spec.Priority > 0 || isTimed(spec) {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.intake.queue(queue.Name)
+	known := l.slo.queue(queue.Name)
 	wait, measured := known.flow.ExpectedWait(l.now())
 	allowed := objective.StartAllowance(rule, objective.CriticalPathsOf(spec.Steps).Job, rule.RefuseBeyond)
-	if !measured || !known.hopeless.Closed() || wait <= allowed || l.hasRoom(spec) {
+	if !measured || !known.refusing.Closed() || wait <= allowed || l.hasCapacity(spec) {
 		return nil
 	}
 	message := fmt.Sprintf("a job that comes now waits %v in queue %s, and ends later than %v times its objective",
 		wait.Round(time.Millisecond), queue.Name, rule.RefuseBeyond)
-	pause := known.comeBack(l.now(), wait-admission.Reopen(allowed), spec.TaskCount())
-	return l.refuseFor(queue.Name, refusedHopeless, message, pause)
+	pause := known.retryAfter(l.now(), wait-admission.Reopen(allowed), spec.TaskCount())
+	return l.refuseFor(queue.Name, refusedTooLate, message, pause)
 }
 
 // isTimed reports whether a job has work that waits for its time, or that has no
@@ -224,9 +224,9 @@
 	})
 }
 
-// hasRoom reports whether the first task of some first step has room on a worker
+// hasCapacity reports whether the first task of some first step has room on a worker
 // now.
-func (l *leader) hasRoom(spec *api.JobSpec) bool {
+func (l *leader) hasCapacity(spec *api.JobSpec) bool {
 	return slices.ContainsFunc(spec.Steps, func(step api.StepSpec) bool {
 		return len(step.After) == 0 && l.planner.HasRoom(&step.Tasks[0])
 	})
--- a/internal/scheduler/admit_test.go
+++ b/internal/scheduler/admit_test.go
@@ -20,8 +20,8 @@
 	return refusal
 }
 
-// handIn hands a job of some tasks in and returns the refusal, if there is one.
-func (h *harness) handIn(id, queue, caller string, count int) *api.Error {
+// trySubmit hands a job of some tasks in and returns the refusal, if there is one.
+func (h *harness) trySubmit(id, queue, caller string, count int) *api.Error {
 	h.t.Helper()
 	spec := api.JobSpec{Queue: queue, Caller: caller, Steps: []api.StepSpec{tasks(count)}}
 	_, err := h.leader.submit(h.t.Context(), fleet.SubmitRequest{ID: id, Spec: spec})
@@ -29,7 +29,7 @@
 		return nil
 	}
 	refusal := asRefusal(h.t, err)
-	if refusal.Status != 429 || refusal.RetryAfterMillis < leastRetry.Milliseconds() || refusal.RetryAfterMillis > mostRetry.Milliseconds() {
+	if refusal.Status != 429 || refusal.RetryAfterMillis < minRetryAfter.Milliseconds() || refusal.RetryAfterMillis > maxRetryAfter.Milliseconds() {
 		h.t.Fatalf("%s: %+v", id, refusal)
 	}
 	return refusal
@@ -40,7 +40,7 @@
 func (h *harness) flood(queue, caller string) int {
 	h.t.Helper()
 	for number := range 1000 {
-		if h.handIn(fmt.Sprintf("%s-%s-%d", queue, caller, number), queue, caller, 10) != nil {
+		if h.trySubmit(fmt.Sprintf("%s-%s-%d", queue, caller, number), queue, caller, 10) != nil {
 			return number * 10
 		}
 	}
@@ -48,9 +48,9 @@
 	return 0
 }
 
-// TestAFloodOfOneQueueLeavesPlacesToOthers: of 1200 waiting tasks of all queues,
+// TestAdmission_FloodOfOneQueueLeavesCapacityToOthers: of 1200 waiting tasks of all queues,
 // 600 are guaranteed by weight.
-func TestAFloodOfOneQueueLeavesPlacesToOthers(t *testing.T) {
+func TestAdmission_FloodOfOneQueueLeavesCapacityToOthers(t *testing.T) {
 	h := newHarness(t)
 	h.putConfig(api.Config{
 		Queues: []api.QueueConfig{{Name: "a"}, {Name: "b"}, {Name: "c", Weight: 4}},
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestAFloodOfOneQueueLeavesPlacesInItsTeam(t *testing.T) {
+func TestAdmission_FloodOfOneQueueLeavesCapacityInItsTeam(t *testing.T) {
 	h := newHarness(t)
 	h.putConfig(api.Config{
 		Queues: []api.QueueConfig{{Name: "a", Team: "t"}, {Name: "b", Team: "t"}, {Name: "c"}},
@@ -79,13 +79,13 @@
 	if got := h.flood("b", ""); got != 100 {
 		t.Errorf("b got %d", got)
 	}
-	if refusal := h.handIn("c-0", "c", "", 10); refusal != nil {
+	if refusal := h.trySubmit("c-0", "c", "", 10); refusal != nil {
 		t.Errorf("a queue of no team: %v", refusal)
 	}
 }
 
-// TestAFloodOfOneCallerLeavesPlacesToOthers: no worker is there, so all waits.
-func TestAFloodOfOneCallerLeavesPlacesToOthers(t *testing.T) {
+// TestAdmission_FloodOfOneCallerLeavesCapacityToOthers: no worker is there, so all waits.
+func TestAdmission_FloodOfOneCallerLeavesCapacityToOthers(t *testing.T) {
 	h := newHarness(t)
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q", MaxPendingTasks: 1200}}})
 	if got := h.flood("q", "loud"); got != 600 {
@@ -94,13 +94,13 @@
 	if got := h.flood("q", "second"); got != 300 {
 		t.Errorf("second got %d", got)
 	}
-	if refusal := h.handIn("quiet", "q", "quiet", 10); refusal != nil {
+	if refusal := h.trySubmit("quiet", "q", "quiet", 10); refusal != nil {
 		t.Errorf("quiet: %v", refusal)
 	}
-	if refusal := h.handIn("loud-again", "q", "loud", 1); refusal == nil {
+	if refusal := h.trySubmit("loud-again", "q", "loud", 1); refusal == nil {
 		t.Error("loud got more")
 	}
-	if refusal := h.handIn("q-loud-0", "q", "loud", 10); refusal != nil {
+	if refusal := h.trySubmit("q-loud-0", "q", "loud", 10); refusal != nil {
 		t.Errorf("a resend: %v", refusal)
 	}
 	// Once its tasks run, it gets in again.
@@ -108,20 +108,20 @@
 	worker.heartbeat.Capacity.CPUMillis = 700_000
 	worker.exchange()
 	worker.exchange()
-	if refusal := h.handIn("loud-again", "q", "loud", 1); refusal != nil {
+	if refusal := h.trySubmit("loud-again", "q", "loud", 1); refusal != nil {
 		t.Errorf("loud, later: %v", refusal)
 	}
 }
 
-// TestCallersThatAreNotNamed: where nobody names a caller, the queue's bound holds
+// TestAdmission_UnnamedCallersShareNoLimit: where nobody names a caller, the queue's bound holds
 // alone; beside one that does, those that do not are one caller.
-func TestCallersThatAreNotNamed(t *testing.T) {
+func TestAdmission_UnnamedCallersShareNoLimit(t *testing.T) {
 	h := newHarness(t)
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q", MaxPendingTasks: 100}, {Name: "other", MaxPendingTasks: 100, CallerShare: 3}}})
 	if got := h.flood("q", ""); got != 100 {
 		t.Errorf("nobody is named: %d", got)
 	}
-	if refusal := h.handIn("named", "other", "named", 10); refusal != nil {
+	if refusal := h.trySubmit("named", "other", "named", 10); refusal != nil {
 		t.Fatal(refusal)
 	}
 	// 60 <= 3 x (100 - 70)
@@ -130,14 +130,14 @@
 	}
 }
 
-// TestTimeToComeBack: what has to wait for 60 tasks to start, at 20 a second, is
+// TestAdmission_RefusalTellsRetryAfter: what has to wait for 60 tasks to start, at 20 a second, is
 // told so.
-func TestTimeToComeBack(t *testing.T) {
+func TestAdmission_RefusalTellsRetryAfter(t *testing.T) {
 	f := newBurstFleet(t, api.QueueConfig{Name: "a", MaxPendingTasks: 400}, api.QueueConfig{Name: "b"})
-	if refusal := f.handIn("a-first", "a", "", 400); refusal != nil {
+	if refusal := f.trySubmit("a-first", "a", "", 400); refusal != nil {
 		t.Fatal(refusal)
 	}
-	if refusal := f.handIn("a-soon", "a", "", 100); refusal == nil || refusal.RetryAfterMillis != leastRetry.Milliseconds() {
+	if refusal := f.trySubmit("a-soon", "a", "", 100); refusal == nil || refusal.RetryAfterMillis != minRetryAfter.Milliseconds() {
 		t.Errorf("before a rate is known: %+v", refusal)
 	}
 	for range 60 {
@@ -146,8 +146,8 @@
 			f.end(worker)
 		}
 	}
-	waiting := f.leader.intake.queue("a").flow.Waiting()
-	refusal := f.handIn("a-later", "a", "", 400-waiting+80)
+	waiting := f.leader.slo.queue("a").flow.Waiting()
+	refusal := f.trySubmit("a-later", "a", "", 400-waiting+80)
 	if refusal == nil || refusal.RetryAfterMillis < 1500 || refusal.RetryAfterMillis > 2600 {
 		t.Errorf("80 too many at 40 a second: %+v", refusal)
 	}
@@ -171,9 +171,9 @@
 	}
 }
 
-// TestSubmissionsBeingCommittedAreShared: "a" fills all places but those that are
+// TestSubmissions_InFlightLimitIsShared: "a" fills all places but those that are
 // guaranteed; a resend of what is being committed gets in all the same.
-func TestSubmissionsBeingCommittedAreShared(t *testing.T) {
+func TestSubmissions_InFlightLimitIsShared(t *testing.T) {
 	h := newHarness(t)
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "a"}, {Name: "b"}}})
 	var ends []func()
@@ -206,27 +206,27 @@
 	}
 }
 
-// TestAResendOfWhatIsBeingCommittedIsNoNewJob: while the first submission is on its
+// TestSubmissions_ResendInFlightIsNoNewJob: while the first submission is on its
 // way into the log, the queue becomes full; the resend is the same job.
-func TestAResendOfWhatIsBeingCommittedIsNoNewJob(t *testing.T) {
+func TestSubmissions_ResendInFlightIsNoNewJob(t *testing.T) {
 	h := newHarness(t)
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q", MaxPendingTasks: 10}}})
-	h.log.meanwhile = func() {
-		h.log.meanwhile = nil
-		if refusal := h.handIn("other", "q", "", 8); refusal != nil {
+	h.log.whileProposing = func() {
+		h.log.whileProposing = nil
+		if refusal := h.trySubmit("other", "q", "", 8); refusal != nil {
 			t.Errorf("another: %v", refusal)
 		}
-		if refusal := h.handIn("job", "q", "", 8); refusal != nil {
+		if refusal := h.trySubmit("job", "q", "", 8); refusal != nil {
 			t.Errorf("the resend: %v", refusal)
 		}
 	}
-	if refusal := h.handIn("job", "q", "", 8); refusal != nil {
+	if refusal := h.trySubmit("job", "q", "", 8); refusal != nil {
 		t.Fatal(refusal)
 	}
 }
 
-// TestAFullLogIsToldAtOnce: the front does not try such a call again.
-func TestAFullLogIsToldAtOnce(t *testing.T) {
+// TestSubmissions_OverloadedLogRefusesAtOnce: the front does not try such a call again.
+func TestSubmissions_OverloadedLogRefusesAtOnce(t *testing.T) {
 	h := newHarness(t)
 	h.log.overloaded = true
 	spec := api.JobSpec{Queue: "q", Steps: []api.StepSpec{tasks(1)}}
--- a/internal/scheduler/archivebytes_test.go
+++ b/internal/scheduler/archivebytes_test.go
@@ -8,9 +8,9 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// TestArchiveOverItsBytes: the oldest ended jobs are dropped until the archive
+// TestArchiveExpiry_OverSizeLimitDropsOldest: the oldest ended jobs are dropped until the archive
 // is within its bytes, and an archive within them proposes nothing.
-func TestArchiveOverItsBytes(t *testing.T) {
+func TestArchiveExpiry_OverSizeLimitDropsOldest(t *testing.T) {
 	h := newHarness(t)
 	h.leader.archiveBytes = 5000
 	put := func(first, last int) {
--- a/internal/scheduler/backup_test.go
+++ b/internal/scheduler/backup_test.go
@@ -8,19 +8,19 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// backed is a step of one task that allows backup runs.
-func backed(estimate time.Duration) api.StepSpec {
+// withBackupRuns is a step of one task that allows backup runs.
+func withBackupRuns(estimate time.Duration) api.StepSpec {
 	step := estimated(1, estimate)
 	step.Tasks[0].BackupRuns = true
 	return step
 }
 
-// TestBackupRunsHaveNoEffectYet: a run goes on for ten times its estimate
+// TestBackupRuns_HaveNoEffectYet: a run goes on for ten times its estimate
 // beside an idle worker, and none is started next to it.
-func TestBackupRunsHaveNoEffectYet(t *testing.T) {
+func TestBackupRuns_HaveNoEffectYet(t *testing.T) {
 	h := newHarness(t)
 	workers := h.fleetOf(2)
-	h.submit("j", backed(time.Second))
+	h.submit("j", withBackupRuns(time.Second))
 	starts := 0
 	for range 50 {
 		for _, worker := range workers {
@@ -33,12 +33,12 @@
 	}
 }
 
-// TestSilentRunWithBackupRunsHasNoOtherBeforeItsHoldLapses: the worker of the
+// TestBackupRuns_NoSecondRunBeforeLeaseExpiry: the worker of the
 // only run falls silent; the next run starts once that one is closed as lost.
-func TestSilentRunWithBackupRunsHasNoOtherBeforeItsHoldLapses(t *testing.T) {
+func TestBackupRuns_NoSecondRunBeforeLeaseExpiry(t *testing.T) {
 	h := newHarness(t)
 	workers := h.fleetOf(2)
-	h.submit("j", backed(time.Minute))
+	h.submit("j", withBackupRuns(time.Minute))
 	silent, other := workers[0], workers[1]
 	if len(silent.exchange().Start) == 0 {
 		silent, other = other, silent
@@ -46,7 +46,7 @@
 			t.Fatal("nothing was ordered")
 		}
 	}
-	lapses := h.leader.hold() + h.leader.driftMargin()
+	lapses := h.leader.leaseDuration() + h.leader.driftMargin()
 	for quiet := time.Duration(0); quiet < lapses; quiet += 100 * time.Millisecond {
 		if orders := other.exchange().Start; len(orders) != 0 {
 			t.Fatalf("ordered %+v after %v of silence", orders, quiet)
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -71,7 +71,7 @@
 		Now:        func() time.Duration { return f.now },
 		Leadership: replica.Leadership{Token: 1, Context: b.Context()},
 	})
-	b.Cleanup(log.machine.Observe(f.leader.load, f.leader.onEvent))
+	b.Cleanup(log.machine.Observe(f.leader.load, f.leader.handleEvent))
 	request := fleet.PutConfigRequest{OrderID: "first", Config: api.Config{Queues: []api.QueueConfig{{Name: "q"}}}}
 	if _, err := f.leader.putConfig(b.Context(), request); err != nil {
 		b.Fatal(err)
@@ -118,12 +118,12 @@
 func (f *benchFleet) round() {
 	f.now += 100 * time.Millisecond
 	for number := range f.workers {
-		f.beat(number)
+		f.heartbeat(number)
 	}
 }
 
 // beat exchanges one heartbeat: orders are then running.
-func (f *benchFleet) beat(number int) {
+func (f *benchFleet) heartbeat(number int) {
 	heartbeat := &f.workers[number]
 	heartbeat.Seq++
 	request := fleet.HeartbeatRequest{Agent: "a", Zone: heartbeat.Labels["zone"], Heartbeat: *heartbeat}
@@ -151,7 +151,7 @@
 	f := newBenchFleet(b)
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
-		f.beat(number % benchWorkers)
+		f.heartbeat(number % benchWorkers)
 	}
 }
 
@@ -170,9 +170,9 @@
 			worker = (worker + 1) % benchWorkers
 		}
 		f.end(worker)
-		f.beat(worker)
+		f.heartbeat(worker)
 		f.place()
-		f.beat(worker)
+		f.heartbeat(worker)
 	}
 }
 
@@ -205,7 +205,7 @@
 		f.now += 3*time.Second - 100*time.Millisecond
 		for number := range f.workers {
 			if number%8 != 0 {
-				f.beat(number)
+				f.heartbeat(number)
 			}
 		}
 		f.now += time.Second
@@ -227,6 +227,6 @@
 			Now:        func() time.Duration { return f.now },
 			Leadership: replica.Leadership{Token: 2, Context: b.Context()},
 		})
-		f.log.machine.Observe(next.load, next.onEvent)()
+		f.log.machine.Observe(next.load, next.handleEvent)()
 	}
 }
--- a/internal/scheduler/bookings.go
+++ b/internal/scheduler/bookings.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	// windowsAhead is how far ahead windows are worked out at a time; working
+	// calendarHorizon is how far ahead windows are worked out at a time; working
 	// them out anew costs a walk over every schedule.
-	windowsAhead = 10 * time.Minute
-	// defaultBookingHorizon is listed when a caller names no time.
-	defaultBookingHorizon = 24 * time.Hour
-	// maxBookingHorizon bounds what a caller may ask for.
-	maxBookingHorizon = 7 * 24 * time.Hour
+	calendarHorizon = 10 * time.Minute
+	// defaultReservationHorizon is listed when a caller names no time.
+	defaultReservationHorizon = 24 * time.Hour
+	// maxReservationHorizon bounds what a caller may ask for.
+	maxReservationHorizon = 7 * 24 * time.Hour
 )
 
 // calendar holds the windows of the configuration's bookings that concern the
 // coming minutes.
 type calendar struct {
-	// knownUntil is how far windows are worked out; zero forces it anew.
-	knownUntil time.Time
-	windows    []booking.Window
+	// computedUntil is how far windows are worked out; zero forces it anew.
+	computedUntil time.Time
+	windows       []booking.Window
 	// released has the ends of the windows that were given back.
 	released map[string]time.Time
-	// held are the ids of the windows that the planner keeps room for.
-	held []string
+	// reserved are the ids of the windows that the planner keeps room for.
+	reserved []string
 }
 
 // refreshReservations tells the planner which windows to keep room for now. It
@@ -43,8 +43,8 @@
 // begins or ends.
 func (l *leader) refreshReservations(clusterNow record.Millis) {
 	now := clusterNow.Time()
-	if !now.Before(l.calendar.knownUntil) {
-		l.planAhead(now)
+	if !now.Before(l.calendar.computedUntil) {
+		l.computeWindows(now)
 	}
 	var held []string
 	var reservations []placement.Reservation
@@ -53,21 +53,21 @@
 			continue
 		}
 		held = append(held, window.ID())
-		reservations = append(reservations, reservation(window))
+		reservations = append(reservations, plannerReservation(window))
 	}
-	if slices.Equal(held, l.calendar.held) {
+	if slices.Equal(held, l.calendar.reserved) {
 		return
 	}
 	l.logger.Info("booked windows changed", slog.Any("held", held))
-	l.calendar.held = held
+	l.calendar.reserved = held
 	l.planner.SetReservations(reservations)
 	l.wake()
 }
 
-// planAhead works out the windows of the coming minutes.
-func (l *leader) planAhead(now time.Time) {
-	l.calendar.knownUntil = now.Add(windowsAhead)
-	l.calendar.windows = l.windows(now, l.calendar.knownUntil)
+// computeWindows works out the windows of the coming minutes.
+func (l *leader) computeWindows(now time.Time) {
+	l.calendar.computedUntil = now.Add(calendarHorizon)
+	l.calendar.windows = l.windows(now, l.calendar.computedUntil)
 	maps.DeleteFunc(l.calendar.released, func(_ string, end time.Time) bool { return end.Before(now) })
 }
 
@@ -90,7 +90,7 @@
 	return windows
 }
 
-func reservation(window booking.Window) placement.Reservation {
+func plannerReservation(window booking.Window) placement.Reservation {
 	return placement.Reservation{
 		ID:      window.ID(),
 		Queue:   window.Queue,
@@ -103,8 +103,8 @@
 	}
 }
 
-// resetCalendar works everything out anew at the next refresh.
-func (l *leader) resetCalendar() { l.calendar.knownUntil = time.Time{} }
+// invalidateCalendar works everything out anew at the next refresh.
+func (l *leader) invalidateCalendar() { l.calendar.computedUntil = time.Time{} }
 
 func (l *leader) windowReleased(window record.ReleaseWindow) {
 	l.calendar.released[releasedID(window)] = window.End.Time()
@@ -120,15 +120,15 @@
 	return named.ID()
 }
 
-// listBookings describes the windows of the coming hours.
-func (l *leader) listBookings(_ context.Context, request fleet.BookingsRequest) (fleet.BookingsAnswer, error) {
+// listReservations describes the windows of the coming hours.
+func (l *leader) listReservations(_ context.Context, request fleet.BookingsRequest) (fleet.BookingsAnswer, error) {
 	horizon := time.Duration(request.HorizonMillis) * time.Millisecond
 	if horizon <= 0 {
-		horizon = defaultBookingHorizon
+		horizon = defaultReservationHorizon
 	}
 	now := l.log.Now().Time()
 	l.mu.Lock()
-	list := l.bookingStatuses(now, now.Add(min(horizon, maxBookingHorizon)))
+	list := l.reservationStatuses(now, now.Add(min(horizon, maxReservationHorizon)))
 	l.mu.Unlock()
 	if !l.log.HoldsLease(l.token) {
 		return fleet.BookingsAnswer{}, l.notLeader()
@@ -136,14 +136,14 @@
 	return fleet.BookingsAnswer{List: list}, nil
 }
 
-func (l *leader) bookingStatuses(from, to time.Time) api.BookingList {
+func (l *leader) reservationStatuses(from, to time.Time) api.BookingList {
 	list := api.BookingList{Bookings: []api.BookingStatus{}}
 	places := make(map[string][]placement.Slices)
 	for _, place := range l.planner.Slices() {
 		places[place.Reservation] = append(places[place.Reservation], place)
 	}
 	for _, window := range l.windows(from, to) {
-		status := l.bookingStatus(window, from)
+		status := l.reservationStatus(window, from)
 		for _, place := range places[window.ID()] {
 			status.Placed += place.Slots
 			status.Used += place.Used
@@ -157,7 +157,7 @@
 	return list
 }
 
-func (l *leader) bookingStatus(window booking.Window, now time.Time) api.BookingStatus {
+func (l *leader) reservationStatus(window booking.Window, now time.Time) api.BookingStatus {
 	status := api.BookingStatus{
 		Queue: window.Queue, Booking: window.Booking.Name,
 		Start: window.Start, End: window.End, HeldFrom: window.HeldFrom,
@@ -176,8 +176,8 @@
 	return status
 }
 
-// releaseBooking gives the room of a window back before its end.
-func (l *leader) releaseBooking(ctx context.Context, request fleet.ReleaseRequest) (fleet.Empty, error) {
+// releaseReservation gives the room of a window back before its end.
+func (l *leader) releaseReservation(ctx context.Context, request fleet.ReleaseRequest) (fleet.Empty, error) {
 	window, known := l.findWindow(request.Release)
 	if !known {
 		return fleet.Empty{}, &api.Error{
@@ -206,8 +206,8 @@
 	return booking.Window{}, false
 }
 
-// checkBookings tells which bookings the registered workers cannot hold.
-func (l *leader) checkBookings(config *api.Config) []api.FieldError {
+// checkReservations tells which bookings the registered workers cannot hold.
+func (l *leader) checkReservations(config *api.Config) []api.FieldError {
 	var workers []booking.Worker
 	l.log.Record().Read(func(view record.View) {
 		for worker := range view.Workers() {
--- a/internal/scheduler/bookings_test.go
+++ b/internal/scheduler/bookings_test.go
@@ -10,14 +10,14 @@
 	"github.com/decklever/decklever/internal/fleet"
 )
 
-// The harness begins at 22:13:20 UTC; the window of bookedConfig begins 100 s
+// The harness begins at 22:13:20 UTC; the window of reservedConfig begins 100 s
 // later and is held from 70 s on.
 const (
 	untilHeld   = 70 * time.Second
 	untilWindow = 100 * time.Second
 )
 
-func bookedConfig(slots int) api.Config {
+func reservedConfig(slots int) api.Config {
 	return api.Config{Queues: []api.QueueConfig{
 		{Name: "q"},
 		{Name: "booked", Bookings: []api.BookingConfig{{
@@ -36,8 +36,8 @@
 	h.settle()
 }
 
-// pass lets time go by while the worker keeps its hold.
-func (h *harness) pass(worker *fakeWorker, by time.Duration) {
+// exchangeAndAdvance lets time go by while the worker keeps its hold.
+func (h *harness) exchangeAndAdvance(worker *fakeWorker, by time.Duration) {
 	h.t.Helper()
 	const step = time.Second
 	for ; by >= step; by -= step {
@@ -46,35 +46,35 @@
 	}
 }
 
-func TestBookedRoomIsKeptAndUsed(t *testing.T) {
+func TestReservations_CapacityIsReservedAndUsed(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
-	h.putConfig(bookedConfig(3))
-	h.pass(worker, untilHeld)
+	h.putConfig(reservedConfig(3))
+	h.exchangeAndAdvance(worker, untilHeld)
 	h.submitTo("q", "endless", tasks(4)) // no declared duration: only outside of the slices
 	if answer := worker.exchange(); len(answer.Start) != 1 {
 		t.Fatalf("want one run beside the three slices, got %+v", answer.Start)
 	}
-	bookings := h.bookings()
+	bookings := h.reservations()
 	if len(bookings) == 0 || bookings[0].State != api.BookingHeld || bookings[0].Placed != 3 || bookings[0].Used != 0 {
 		t.Fatalf("want three slices held and unused, got %+v", bookings)
 	}
-	h.pass(worker, untilWindow-untilHeld)
+	h.exchangeAndAdvance(worker, untilWindow-untilHeld)
 	h.submitTo("booked", "burst", tasks(3))
 	if answer := worker.exchange(); len(answer.Start) != 3 {
 		t.Fatalf("want the burst at once, got %+v", answer.Start)
 	}
-	if booking := h.bookings()[0]; booking.State != api.BookingOpen || booking.Used != 3 {
+	if booking := h.reservations()[0]; booking.State != api.BookingOpen || booking.Used != 3 {
 		t.Errorf("want three slices in use, got %+v", booking)
 	}
 }
 
-func TestBookedWorkPreemptsWhatMayBe(t *testing.T) {
+func TestReservations_ReservedWorkPreemptsPreemptible(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
-	h.putConfig(bookedConfig(2))
+	h.putConfig(reservedConfig(2))
 	filler := tasks(4)
 	for i := range filler.Tasks {
 		filler.Tasks[i].Preemptible = true
@@ -83,7 +83,7 @@
 	if answer := worker.exchange(); len(answer.Start) != 4 {
 		t.Fatalf("want the worker full, got %+v", answer.Start)
 	}
-	h.pass(worker, untilWindow)
+	h.exchangeAndAdvance(worker, untilWindow)
 	h.submitTo("booked", "burst", tasks(2))
 	answer := worker.exchange()
 	if len(answer.Stop) != 2 || len(answer.Start) != 0 {
@@ -101,19 +101,19 @@
 	}
 }
 
-func TestReleasedWindowGivesItsRoomBack(t *testing.T) {
+func TestReservations_ReleasedWindowFreesCapacity(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
-	h.putConfig(bookedConfig(4))
-	h.pass(worker, untilWindow)
+	h.putConfig(reservedConfig(4))
+	h.exchangeAndAdvance(worker, untilWindow)
 	h.submitTo("q", "j", tasks(1))
 	if task := h.task("j", 0); task.Run != 0 {
 		t.Fatalf("placed in booked room: %+v", task)
 	}
-	window := h.bookings()[0]
+	window := h.reservations()[0]
 	release := fleet.ReleaseRequest{Release: api.ReleaseRequest{Queue: "booked", Booking: "evening", Start: window.Start}}
-	if _, err := h.leader.releaseBooking(t.Context(), release); err != nil {
+	if _, err := h.leader.releaseReservation(t.Context(), release); err != nil {
 		t.Fatal(err)
 	}
 	h.settle()
@@ -122,19 +122,19 @@
 	}
 	h.newTerm()
 	worker.exchange()
-	if state := h.bookings()[0].State; state != api.BookingReleased {
+	if state := h.reservations()[0].State; state != api.BookingReleased {
 		t.Errorf("a new term sees the window as %s", state)
 	}
 	release.Release.Start = window.Start.Add(time.Second)
-	if _, err := h.leader.releaseBooking(t.Context(), release); !errors.Is(err, &api.Error{Code: api.CodeNotFound}) {
+	if _, err := h.leader.releaseReservation(t.Context(), release); !errors.Is(err, &api.Error{Code: api.CodeNotFound}) {
 		t.Errorf("release of an unknown window: %v", err)
 	}
 }
 
-func TestBookingsBeyondTheRoomAreRefused(t *testing.T) {
+func TestReservations_BeyondCapacityAreRefused(t *testing.T) {
 	h := newHarness(t)
 	h.worker("w", "w-1").exchange()
-	config := bookedConfig(5) // 4 fit
+	config := reservedConfig(5) // 4 fit
 	request := fleet.PutConfigRequest{OrderID: "too-much", Base: h.leader.configVersion, Config: config}
 	for range 2 { // and the same order again gets the same answer
 		if _, err := h.leader.putConfig(t.Context(), request); !errors.Is(err, &api.Error{Code: api.CodeInvalid}) {
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestCancelManyByQueueInBatches(t *testing.T) {
+func TestCancelMany_ByQueueGoesInBatches(t *testing.T) {
 	const jobs = 2*cancelBatch + 1
 	h := newHarness(t)
 	for i := range jobs {
@@ -166,9 +166,9 @@
 	}
 }
 
-func (h *harness) bookings() []api.BookingStatus {
+func (h *harness) reservations() []api.BookingStatus {
 	h.t.Helper()
-	answer, err := h.leader.listBookings(h.t.Context(), fleet.BookingsRequest{})
+	answer, err := h.leader.listReservations(h.t.Context(), fleet.BookingsRequest{})
 	if err != nil {
 		h.t.Fatal(err)
 	}
--- a/internal/scheduler/brief_test.go
+++ b/internal/scheduler/brief_test.go
@@ -11,9 +11,9 @@
 	"github.com/decklever/decklever/internal/fleet"
 )
 
-// TestBriefReadsDifferInTheStepsAlone reads a job that waits, one that runs and
+// TestGetJob_BriefLeavesOutStepsOnly reads a job that waits, one that runs and
 // one that has ended, and cancels one.
-func TestBriefReadsDifferInTheStepsAlone(t *testing.T) {
+func TestGetJob_BriefLeavesOutStepsOnly(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestOneQueueIsReadByItself(t *testing.T) {
+func TestReadQueue_CountsOneQueue(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
--- a/internal/scheduler/burst_test.go
+++ b/internal/scheduler/burst_test.go
@@ -62,13 +62,13 @@
 	return f
 }
 
-// hand hands a job of one task in; refused, it comes again when it was told.
-func (f *burstFleet) hand(queue, id string) {
+// submit hands a job of one task in; refused, it comes again when it was told.
+func (f *burstFleet) submit(queue, id string) {
 	f.t.Helper()
-	f.handSpec(queue, id, estimated(1, burstWork))
+	f.submitStep(queue, id, estimated(1, burstWork))
 }
 
-func (f *burstFleet) handSpec(queue, id string, step api.StepSpec) {
+func (f *burstFleet) submitStep(queue, id string, step api.StepSpec) {
 	f.t.Helper()
 	spec := api.JobSpec{Queue: queue, Steps: []api.StepSpec{step}}
 	if _, again := f.submitted[id]; !again {
@@ -79,7 +79,7 @@
 		return
 	}
 	refusal := asRefusal(f.t, err)
-	if refusal.Code != api.CodeOverLimit || refusal.RetryAfterMillis < leastRetry.Milliseconds() {
+	if refusal.Code != api.CodeOverLimit || refusal.RetryAfterMillis < minRetryAfter.Milliseconds() {
 		f.t.Fatalf("%s: %+v", id, refusal)
 	}
 	f.refused[queue]++
@@ -88,23 +88,23 @@
 	f.again[back] = append(f.again[back], id)
 }
 
-// play hands jobs in for a while; perSecond says how many of each queue.
-func (f *burstFleet) play(length time.Duration, perSecond map[string]int) {
+// run hands jobs in for a while; perSecond says how many of each queue.
+func (f *burstFleet) run(length time.Duration, perSecond map[string]int) {
 	f.t.Helper()
 	for end := f.now + length; f.now < end; {
 		for _, id := range f.again[f.now] {
-			f.hand(id[:1], id)
+			f.submit(id[:1], id)
 		}
 		delete(f.again, f.now)
 		for _, queue := range []string{"a", "b"} {
 			for range f.dueNow(perSecond[queue]) {
 				f.count++
-				f.hand(queue, fmt.Sprintf("%s-%d", queue, f.count))
+				f.submit(queue, fmt.Sprintf("%s-%d", queue, f.count))
 			}
 		}
 		f.advance(burstStep)
 		for _, worker := range f.workers {
-			f.work(worker)
+			f.exchange(worker)
 		}
 	}
 }
@@ -115,8 +115,8 @@
 	return (steps+1)*perSecond/second - steps*perSecond/second
 }
 
-// work ends the runs that are over and takes new orders.
-func (f *burstFleet) work(worker *fakeWorker) {
+// exchange ends the runs that are over and takes new orders.
+func (f *burstFleet) exchange(worker *fakeWorker) {
 	f.t.Helper()
 	worker.heartbeat.Running = slices.DeleteFunc(worker.heartbeat.Running, func(run api.RunRef) bool {
 		if f.now < f.due[run] {
@@ -157,16 +157,16 @@
 	return api.QueueConfig{Name: name, Objective: &api.ObjectiveConfig{Target: api.Duration(2 * time.Second), RefuseBeyond: refuseBeyond}}
 }
 
-// TestABurstLeavesOtherQueuesAsTheyWere: queue "a" gets ten times its load, twice
+// TestAdmission_BurstDoesNotDelayOtherQueues: queue "a" gets ten times its load, twice
 // what the fleet can do. By slack alone its older jobs would go before those of
 // "b".
-func TestABurstLeavesOtherQueuesAsTheyWere(t *testing.T) {
+func TestAdmission_BurstDoesNotDelayOtherQueues(t *testing.T) {
 	for _, refuseBeyond := range []float64{0, 3} {
 		t.Run(fmt.Sprintf("refuse beyond %v", refuseBeyond), func(t *testing.T) {
 			f := newBurstFleet(t, objectiveQueue("a", refuseBeyond), objectiveQueue("b", refuseBeyond))
-			f.play(10*time.Second, map[string]int{"a": 8, "b": 8})
+			f.run(10*time.Second, map[string]int{"a": 8, "b": 8})
 			calm := f.p95("b")
-			f.play(30*time.Second, map[string]int{"a": 80, "b": 8})
+			f.run(30*time.Second, map[string]int{"a": 80, "b": 8})
 			burst := f.p95("b")
 			t.Logf("p95 of the wait in b: %v before, %v in the burst; refused: %v", calm, burst, f.refused)
 			if burst > calm+2*burstStep {
@@ -179,11 +179,11 @@
 	}
 }
 
-// TestRefusedWorkGetsInLater: what a burst cannot have done within three times its
+// TestAdmission_RefusedJobIsAcceptedLater: what a burst cannot have done within three times its
 // objective is refused; after it, all of it comes back and is done.
-func TestRefusedWorkGetsInLater(t *testing.T) {
+func TestAdmission_RefusedJobIsAcceptedLater(t *testing.T) {
 	f := newBurstFleet(t, objectiveQueue("a", 3), objectiveQueue("b", 0))
-	f.play(20*time.Second, map[string]int{"a": 80})
+	f.run(20*time.Second, map[string]int{"a": 80})
 	if f.refused["a"] == 0 {
 		t.Fatal("nothing was refused")
 	}
@@ -196,7 +196,7 @@
 	if answer, err := f.leader.submit(t.Context(), fleet.SubmitRequest{ID: "a-1", Spec: spec}); err != nil || answer.Created {
 		t.Errorf("a resend: %+v, %v", answer, err)
 	}
-	f.play(2*time.Minute, nil)
+	f.run(2*time.Minute, nil)
 	if started := len(f.waits["a"]); started != f.count || len(f.again) > 0 {
 		t.Errorf("%d of %d jobs started, %d are still to come back", started, f.count, len(f.again))
 	}
@@ -205,9 +205,9 @@
 	}
 }
 
-// TestNothingIsRefusedWhileRoomIsFree: tasks that ask for more room than a worker
+// TestAdmission_FreeCapacityRefusesNothing: tasks that ask for more room than a worker
 // has free wait for long, and small ones still get in.
-func TestNothingIsRefusedWhileRoomIsFree(t *testing.T) {
+func TestAdmission_FreeCapacityRefusesNothing(t *testing.T) {
 	f := newBurstFleet(t, objectiveQueue("a", 1), objectiveQueue("b", 0))
 	lasting := tasks(burstWorkers) // one on each worker
 	for index := range lasting.Tasks {
@@ -220,7 +220,7 @@
 	for number := range 200 {
 		f.submitSpec(fmt.Sprintf("a-big-%d", number), api.JobSpec{Queue: "a", Steps: []api.StepSpec{big}})
 	}
-	f.play(4*time.Second, map[string]int{"a": 8}) // later, the large ones are lost and count no more
+	f.run(4*time.Second, map[string]int{"a": 8}) // later, the large ones are lost and count no more
 	if status, err := f.leader.readQueue(t.Context(), fleet.QueueRequest{Name: "a"}); err != nil || !status.Status.Overloaded {
 		t.Errorf("the queue: %+v, %v", status.Status, err)
 	}
--- a/internal/scheduler/burstdays_test.go
+++ b/internal/scheduler/burstdays_test.go
@@ -14,9 +14,9 @@
 	dayCount = 60
 )
 
-// TestNoJobBesideABurstWaitsForLong: on any one day a few jobs only stand beside the
+// TestAdmission_BurstDayBoundsWaitOfOtherJobs: on any one day a few jobs only stand beside the
 // burst, and the longest wait of all is that of a task that needs a whole worker.
-func TestNoJobBesideABurstWaitsForLong(t *testing.T) {
+func TestAdmission_BurstDayBoundsWaitOfOtherJobs(t *testing.T) {
 	for seed := range uint64(dayCount) {
 		for queue, day := range sizedDayByQueue(t, seed) {
 			allowed := percentile95(day.calm) + dayHarm
--- a/internal/scheduler/burstsizes_test.go
+++ b/internal/scheduler/burstsizes_test.go
@@ -52,10 +52,10 @@
 		if at > time.Minute {
 			t.Fatalf("%d of %d jobs started", len(f.started), len(f.submitted))
 		}
-		f.handSized(random, at)
+		f.submitSized(random, at)
 		f.advance(burstStep)
 		for _, worker := range f.workers {
-			f.work(worker)
+			f.exchange(worker)
 		}
 	}
 	days := map[string]*dayWaits{"b": {}, "c": {}}
@@ -72,8 +72,8 @@
 	return days
 }
 
-// handSized hands in what comes at a moment of the day.
-func (f *burstFleet) handSized(random *rand.Rand, at time.Duration) {
+// submitSized hands in what comes at a moment of the day.
+func (f *burstFleet) submitSized(random *rand.Rand, at time.Duration) {
 	if at >= sizedDay {
 		return
 	}
@@ -94,7 +94,7 @@
 			id := fmt.Sprintf("%s-%d", queue, f.count)
 			step, work := sizedStep(random, width)
 			f.lengths[id] = work
-			f.handSpec(queue, id, step)
+			f.submitStep(queue, id, step)
 		}
 	}
 }
@@ -119,11 +119,11 @@
 	return waits[len(waits)*95/100]
 }
 
-// TestABurstLeavesLargeTasksOfOtherQueuesTheirRoom: the days together are as
+// TestAdmission_BurstLeavesCapacityToLargeTasks: the days together are as
 // burst-one-queue of platform/trial, without processes. The burst could be served within
 // its objective if all others waited for as long, and its small tasks would take each
 // piece of a worker before a large task finds a whole one.
-func TestABurstLeavesLargeTasksOfOtherQueuesTheirRoom(t *testing.T) {
+func TestAdmission_BurstLeavesCapacityToLargeTasks(t *testing.T) {
 	var calm, burst []time.Duration
 	for seed := range uint64(sizedSeeds) {
 		before, in := sizedDayOf(t, seed)
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -5,9 +5,9 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// noteCheckpoints keeps the newest that a worker says of runs open on it. What is
+// recordCheckpoints keeps the newest that a worker says of runs open on it. What is
 // said of others, or with a checkpoint beyond the bound, is passed over.
-func (w *workerEntry) noteCheckpoints(all []api.RunProgress) {
+func (w *workerEntry) recordCheckpoints(all []api.RunProgress) {
 	for _, progress := range all {
 		id, ok := parseRun(progress.RunRef)
 		if !ok || len(progress.Checkpoint) > api.MaxCheckpointBytes {
@@ -17,9 +17,9 @@
 		if !open {
 			continue
 		}
-		run.heardPercent = progress.Percent
+		run.reportedPercent = progress.Percent
 		if progress.Checkpoint != "" {
-			run.heardCheckpoint = progress.Checkpoint
+			run.reportedCheckpoint = progress.Checkpoint
 		}
 	}
 }
@@ -27,8 +27,8 @@
 // addCheckpoint puts what was last heard of the run beside how it ended. The
 // checkpoint that came with the end is newer.
 func (r *runState) addCheckpoint(end *record.RunEnd) {
-	end.Percent = r.heardPercent
+	end.Percent = r.reportedPercent
 	if end.Checkpoint == "" {
-		end.Checkpoint = r.heardCheckpoint
+		end.Checkpoint = r.reportedCheckpoint
 	}
 }
--- a/internal/scheduler/checkpoints_test.go
+++ b/internal/scheduler/checkpoints_test.go
@@ -8,8 +8,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// say sets what the worker's next heartbeat tells of a run's progress.
-func (w *fakeWorker) say(run api.RunRef, percent int, checkpoint string) {
+// reportProgress sets what the worker's next heartbeat tells of a run's progress.
+func (w *fakeWorker) reportProgress(run api.RunRef, percent int, checkpoint string) {
 	w.heartbeat.Progress = []api.RunProgress{{RunRef: run, Percent: percent, Checkpoint: checkpoint}}
 }
 
@@ -40,24 +40,24 @@
 	}
 }
 
-func TestLostRunGoesOnFromTheCheckpointHeardLast(t *testing.T) {
+func TestCheckpoints_LostRunResumesFromLastReported(t *testing.T) {
 	h, worker, run := resumableOne(t)
-	worker.say(run, 10, "ten")
+	worker.reportProgress(run, 10, "ten")
 	worker.exchange()
-	worker.say(run, 20, "twenty")
+	worker.reportProgress(run, 20, "twenty")
 	worker.exchange()
-	worker.say(run, 25, "")
+	worker.reportProgress(run, 25, "")
 	worker.exchange()
-	worker.say(run, 30, strings.Repeat("x", api.MaxCheckpointBytes+1))
+	worker.reportProgress(run, 30, strings.Repeat("x", api.MaxCheckpointBytes+1))
 	worker.exchange()
 	h.advance(testHold + testMargin + time.Millisecond)
 	h.wantOrderFrom("twenty")
 }
 
-func TestReportOfAStopBringsTheNewestCheckpoint(t *testing.T) {
+func TestCheckpoints_StopReportCarriesNewest(t *testing.T) {
 	for _, test := range []struct{ reported, want string }{{"at the stop", "at the stop"}, {"", "heard"}} {
 		h, worker, run := resumableOne(t)
-		worker.say(run, 10, "heard")
+		worker.reportProgress(run, 10, "heard")
 		worker.exchange()
 		worker.heartbeat.Progress = nil
 		worker.end(api.OutcomeStopped)
@@ -68,10 +68,10 @@
 	}
 }
 
-func TestNewLeaderLearnsTheCheckpointFromAHeartbeat(t *testing.T) {
+func TestCheckpoints_NewLeaderLearnsFromHeartbeat(t *testing.T) {
 	h, worker, run := resumableOne(t)
 	h.newTerm()
-	worker.say(run, 10, "ten")
+	worker.reportProgress(run, 10, "ten")
 	worker.exchange()
 	h.newTerm() // another one, which hears nothing of the worker
 	h.advance(testHold + testMargin + time.Millisecond)
@@ -79,40 +79,40 @@
 
 	h, worker, run = resumableOne(t)
 	h.newTerm()
-	worker.say(run, 10, "ten")
+	worker.reportProgress(run, 10, "ten")
 	worker.exchange()
 	h.advance(testHold + testMargin + time.Millisecond)
 	h.newTerm() // what was closed is in the record
 	h.wantOrderFrom("ten")
 }
 
-func TestProgressOfRunsElsewhereIsPassedOver(t *testing.T) {
+func TestCheckpoints_ProgressOfOtherWorkersRunIsIgnored(t *testing.T) {
 	h, worker, run := resumableOne(t)
 	stranger := h.worker("stranger", "s-1")
 	stranger.heartbeat.Services = nil
-	stranger.say(run, 99, "not its own")
+	stranger.reportProgress(run, 99, "not its own")
 	stranger.exchange()
-	worker.say(api.RunRef{Task: run.Task, Run: run.Run + 1}, 99, "of no run")
+	worker.reportProgress(api.RunRef{Task: run.Task, Run: run.Run + 1}, 99, "of no run")
 	worker.exchange()
 	h.advance(testHold + testMargin + time.Millisecond)
 	h.wantOrderFrom("")
 }
 
-func TestLockstepOrdersCarryOneCheckpoint(t *testing.T) {
+func TestCheckpoints_GangWithCommonOutcomeSharesOne(t *testing.T) {
 	h := newHarness(t)
 	first, second := h.worker("a", "a-1"), h.worker("b", "b-1")
 	first.exchange()
 	second.exchange()
-	group := tasks(8)
-	group.Lockstep = true
-	for i := range group.Tasks {
-		group.Tasks[i].Resumable = true
+	gang := tasks(8)
+	gang.Lockstep = true
+	for i := range gang.Tasks {
+		gang.Tasks[i].Resumable = true
 	}
-	h.submit("g", group)
+	h.submit("g", gang)
 	first.exchange()
 	second.exchange()
-	first.say(first.heartbeat.Running[0], 70, "at 70")
-	second.say(second.heartbeat.Running[1], 60, "at 60")
+	first.reportProgress(first.heartbeat.Running[0], 70, "at 70")
+	second.reportProgress(second.heartbeat.Running[1], 60, "at 60")
 	first.exchange()
 	second.exchange()
 	first.heartbeat.Progress, second.heartbeat.Progress = nil, nil
--- a/internal/scheduler/config.go
+++ b/internal/scheduler/config.go
@@ -35,7 +35,7 @@
 		return fields
 	}
 	full := config.WithDefaults()
-	return l.checkBookings(&full)
+	return l.checkReservations(&full)
 }
 
 // validateConfig checks a configuration without taking it.
--- a/internal/scheduler/config_test.go
+++ b/internal/scheduler/config_test.go
@@ -9,8 +9,8 @@
 	"github.com/decklever/decklever/internal/fleet"
 )
 
-// TestOneAnnotationIsReadWithoutTheRest as it may be large.
-func TestOneAnnotationIsReadWithoutTheRest(t *testing.T) {
+// TestGetConfig_AnnotationIsReadAlone as it may be large.
+func TestGetConfig_AnnotationIsReadAlone(t *testing.T) {
 	h := newHarness(t)
 	h.putConfig(api.Config{
 		Annotations: map[string]string{"number": "12", "document": "a large one"},
--- a/internal/scheduler/contradictions.go
+++ b/internal/scheduler/contradictions.go
@@ -7,46 +7,46 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// setAsideContradictions takes out of what a heartbeat showed the reports that
+// quarantineConflicts takes out of what a heartbeat showed the reports that
 // cannot be true by the record, so that nothing follows from a worker's word
 // against it. They are logged and acknowledged. A run that is open elsewhere
 // stays open there. A run that was never ordered is closed as lost, as its worker
 // would not start it any more; one that goes on all the same counts as ordered.
-func (l *leader) setAsideContradictions(worker *workerEntry, differences *reconciliation) {
+func (l *leader) quarantineConflicts(worker *workerEntry, differences *reconciliation) {
 	differences.ended = slices.DeleteFunc(differences.ended, func(end record.RunEnd) bool {
 		run := worker.runs[end.Run]
-		if !run.neverOrdered() {
+		if !run.neverAssigned() {
 			return false
 		}
-		differences.contradicting = append(differences.contradicting, runRef(end.Run))
-		l.logContradiction(worker, end.Run, "end of a run that was not ordered")
-		l.closeLater(run, "its end was reported before it was ordered")
+		differences.conflicting = append(differences.conflicting, runRef(end.Run))
+		l.logConflict(worker, end.Run, "end of a run that was not ordered")
+		l.enqueueClose(run, "its end was reported before it was ordered")
 		return true
 	})
 	differences.late = slices.DeleteFunc(differences.late, func(end record.RunEnd) bool {
 		if _, open := l.runs[end.Run]; !open {
 			return false
 		}
-		differences.contradicting = append(differences.contradicting, runRef(end.Run))
-		l.logContradiction(worker, end.Run, "end of a run that is open on another worker")
+		differences.conflicting = append(differences.conflicting, runRef(end.Run))
+		l.logConflict(worker, end.Run, "end of a run that is open on another worker")
 		return true
 	})
 	differences.started = slices.DeleteFunc(differences.started, func(run *runState) bool { return run.closing })
 	for _, run := range differences.started {
-		if run.neverOrdered() {
-			l.logContradiction(worker, run.id, "a run goes on that was not ordered")
-			run.orderedAt = worker.seq
+		if run.neverAssigned() {
+			l.logConflict(worker, run.id, "a run goes on that was not ordered")
+			run.assignedSeq = worker.seq
 		}
 	}
 	for _, reference := range differences.unwanted {
 		id, ok := parseRun(reference)
 		if open, elsewhere := l.runs[id]; ok && elsewhere && open.workerID != worker.info.ID {
-			l.logContradiction(worker, id, "a run goes on that is open on another worker")
+			l.logConflict(worker, id, "a run goes on that is open on another worker")
 		}
 	}
 }
 
-func (l *leader) logContradiction(worker *workerEntry, run record.RunID, what string) {
+func (l *leader) logConflict(worker *workerEntry, run record.RunID, what string) {
 	l.logger.Warn("report contradicts the record", slog.String("what", what), slog.String("task", run.Task.String()),
 		slog.Uint64("number", uint64(run.Number)), slog.String("worker", worker.info.Name),
 		slog.String("worker_id", worker.info.ID))
--- a/internal/scheduler/contradictions_test.go
+++ b/internal/scheduler/contradictions_test.go
@@ -9,7 +9,7 @@
 
 var everyOutcome = []api.Outcome{api.OutcomeSucceeded, api.OutcomeFailed, api.OutcomeStopped}
 
-func TestEndOfARunOpenElsewhereChangesNothing(t *testing.T) {
+func TestConflicts_EndOfRunOpenElsewhereIsIgnored(t *testing.T) {
 	for _, outcome := range everyOutcome {
 		h := newHarness(t)
 		worker := h.runningOne()
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestRunOpenElsewhereIsStopped(t *testing.T) {
+func TestConflicts_RunOpenElsewhereIsStopped(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
 	stranger := h.worker("stranger", "s-1")
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestEndOfARunNeverOrderedCountsForNothing(t *testing.T) {
+func TestConflicts_EndOfUnassignedRunIsIgnored(t *testing.T) {
 	for _, outcome := range everyOutcome {
 		h := newHarness(t)
 		worker := h.worker("w", "w-1")
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestRunThatGoesOnUnorderedIsNotOrderedBeside(t *testing.T) {
+func TestConflicts_UnassignedRunningRunIsNotAssignedAgain(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -76,7 +76,7 @@
 	h.wantState("j", api.StateSucceeded)
 }
 
-func TestEndOfAnUnknownTaskIsAcknowledged(t *testing.T) {
+func TestConflicts_EndOfUnknownTaskIsAcknowledged(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -88,20 +88,20 @@
 	}
 }
 
-// TestStoppedRunKeepsItsRoomUntilItsEndIsListed: whatever the stop is for.
-func TestStoppedRunKeepsItsRoomUntilItsEndIsListed(t *testing.T) {
+// TestConflicts_StoppedRunKeepsCapacityUntilEndIsReported: whatever the stop is for.
+func TestConflicts_StoppedRunKeepsCapacityUntilEndIsReported(t *testing.T) {
 	reasons := []record.StopReason{record.StopPreempted, record.StopDrained, record.StopGang, record.StopStalled}
 	for _, reason := range reasons {
 		h := newHarness(t)
 		worker := h.worker("w", "w-1")
 		worker.exchange()
-		group := tasks(4) // fills the worker
-		group.Lockstep = true
-		h.submit("j", group)
+		gang := tasks(4) // fills the worker
+		gang.Lockstep = true
+		h.submit("j", gang)
 		worker.exchange()
 		worker.exchange()
 		h.leader.mu.Lock()
-		h.leader.stopLater(h.leader.openByTask[testTask()], reason)
+		h.leader.enqueueStop(h.leader.openByTask[testTask()], reason)
 		h.leader.mu.Unlock()
 		h.settle()
 		h.submit("next", tasks(4))
--- a/internal/scheduler/departure.go
+++ b/internal/scheduler/departure.go
@@ -11,53 +11,53 @@
 )
 
 const (
-	// stopTime is the longest that a worker takes to stop a run and to note its
+	// maxStopTime is the longest that a worker takes to stop a run and to note its
 	// checkpoint.
-	stopTime = 200 * time.Millisecond
+	maxStopTime = 200 * time.Millisecond
 	// heartbeatsPerStop: one heartbeat carries the stop order to the worker, the
 	// next its report.
 	heartbeatsPerStop = 2
 	// departureMargin is for the way to the worker and back, and for the pause
 	// between two looks at the departures.
 	departureMargin = 100 * time.Millisecond
-	// estimateDoubt: a run may take this many times as long as was estimated, or
+	// estimateTolerance: a run may take this many times as long as was estimated, or
 	// only such a part of it.
-	estimateDoubt = 2
+	estimateTolerance = 2
 	// maxRemaining bounds what is believed of the time that a worker has left.
 	maxRemaining = 24 * time.Hour
 )
 
 // departure is what a worker has said of its leaving.
 type departure struct {
-	// left: the worker gave notice that it leaves. It stays set.
-	left bool
-	// known: at is the earliest end of the worker, on the leader's monotonic
+	// noticeGiven: the worker gave notice that it leaves. It stays set.
+	noticeGiven bool
+	// hasEnd: at is the earliest end of the worker, on the leader's monotonic
 	// clock.
-	known bool
-	at    time.Duration
+	hasEnd bool
+	endsAt time.Duration
 }
 
 // announced reports whether the worker surely ends.
-func (d *departure) announced() bool { return d.left || d.known }
+func (d *departure) announced() bool { return d.noticeGiven || d.hasEnd }
 
-// notice takes in the least time that the worker still has; 0 says nothing.
-func (d *departure) notice(remainingMillis int64, now time.Duration) {
+// observeRemaining takes in the least time that the worker still has; 0 says nothing.
+func (d *departure) observeRemaining(remainingMillis int64, now time.Duration) {
 	if remainingMillis <= 0 {
 		return
 	}
-	d.known = true
-	d.at = now + time.Duration(min(remainingMillis, maxRemaining.Milliseconds()))*time.Millisecond
+	d.hasEnd = true
+	d.endsAt = now + time.Duration(min(remainingMillis, maxRemaining.Milliseconds()))*time.Millisecond
 }
 
-// hear takes in a heartbeat. A worker that drains no more, and gave no notice,
+// observeHeartbeat takes in a heartbeat. A worker that drains no more, and gave no notice,
 // goes on.
-func (d *departure) hear(heartbeat api.Heartbeat, now time.Duration) {
-	if !heartbeat.Draining && !d.left {
+func (d *departure) observeHeartbeat(heartbeat api.Heartbeat, now time.Duration) {
+	if !heartbeat.Draining && !d.noticeGiven {
 		*d = departure{}
 		return
 	}
 	if heartbeat.Draining {
-		d.notice(heartbeat.RemainingMillis, now)
+		d.observeRemaining(heartbeat.RemainingMillis, now)
 	}
 }
 
@@ -71,20 +71,20 @@
 	elapsed time.Duration
 }
 
-// rest is the time that the run still needs by the estimate; 0 if that is not
+// remaining is the time that the run still needs by the estimate; 0 if that is not
 // known.
-func (r departingRun) rest() time.Duration { return max(0, r.estimate-r.elapsed) }
+func (r departingRun) remaining() time.Duration { return max(0, r.estimate-r.elapsed) }
 
 // surelyEnds reports whether the run ends within the time left, even if it
 // takes longer than was estimated.
 func (r departingRun) surelyEnds(left time.Duration) bool {
-	return r.rest() > 0 && r.rest()*estimateDoubt <= left
+	return r.remaining() > 0 && r.remaining()*estimateTolerance <= left
 }
 
-// surelyOutlasts reports whether the run does not end within the time left,
+// surelyExceeds reports whether the run does not end within the time left,
 // even if it takes less than was estimated.
-func (r departingRun) surelyOutlasts(left time.Duration) bool {
-	return r.rest() > left*estimateDoubt
+func (r departingRun) surelyExceeds(left time.Duration) bool {
+	return r.remaining() > left*estimateTolerance
 }
 
 // mustStopNow decides on a run while its worker has some time left; a stop is
@@ -101,7 +101,7 @@
 	case left <= lead:
 		return true
 	default:
-		return !run.resumable && run.surelyOutlasts(left)
+		return !run.resumable && run.surelyExceeds(left)
 	}
 }
 
@@ -118,14 +118,14 @@
 		return fleet.Empty{}, nil
 	}
 	now := l.now()
-	if !worker.departure.left {
+	if !worker.departure.noticeGiven {
 		l.logger.Info("worker leaves", slog.String("worker", worker.info.Name), slog.String("worker_id", worker.info.ID),
 			slog.Int("runs", len(worker.runs)), slog.Int64("remaining_ms", request.RemainingMillis))
 	}
-	worker.departure.left = true
-	worker.departure.notice(request.RemainingMillis, now)
-	l.tellPlanner(worker)
-	l.withdrawUnordered(worker)
+	worker.departure.noticeGiven = true
+	worker.departure.observeRemaining(request.RemainingMillis, now)
+	l.updatePlannerWorker(worker)
+	l.revokeUnassigned(worker)
 	l.stopDeparting(worker, now)
 	return fleet.Empty{}, nil
 }
@@ -143,18 +143,18 @@
 	if !worker.departure.announced() {
 		return
 	}
-	lead := stopTime + heartbeatsPerStop*l.interval(false) + departureMargin
+	lead := maxStopTime + heartbeatsPerStop*l.interval(false) + departureMargin
 	for _, run := range worker.runs {
 		if l.mustStopDeparting(run, worker.departure, now, lead) {
-			l.stopLater(run, record.StopDrained)
+			l.enqueueStop(run, record.StopDrained)
 		}
 	}
 }
 
 // mustStopDeparting decides on one run. Without a known end of the worker only
 // work without an end of its own is moved.
-func (l *leader) mustStopDeparting(run *runState, leaving departure, now, lead time.Duration) bool {
-	if !leaving.known {
+func (l *leader) mustStopDeparting(run *runState, announced departure, now, lead time.Duration) bool {
+	if !announced.hasEnd {
 		return run.spec.UntilCancelled
 	}
 	departing := departingRun{
@@ -163,5 +163,5 @@
 		estimate:       run.spec.Estimate.Std(),
 		elapsed:        now - run.openedAt,
 	}
-	return mustStopNow(departing, leaving.at-now, lead)
+	return mustStopNow(departing, announced.endsAt-now, lead)
 }
--- a/internal/scheduler/departure_test.go
+++ b/internal/scheduler/departure_test.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/internal/fleet"
 )
 
-func TestRunsOfADepartingWorkerStopInTime(t *testing.T) {
+func TestDeparture_RunsStopInTime(t *testing.T) {
 	const lead = 700 * time.Millisecond
 	cases := []struct {
 		name string
@@ -38,29 +38,29 @@
 	}
 }
 
-func TestDepartureIsHeardFromHeartbeatsAndNotices(t *testing.T) {
+func TestDeparture_IsLearnedFromHeartbeatsAndNotices(t *testing.T) {
 	var d departure
-	d.hear(api.Heartbeat{Draining: true}, time.Second)
+	d.observeHeartbeat(api.Heartbeat{Draining: true}, time.Second)
 	if d.announced() {
 		t.Error("announced without a time")
 	}
-	d.hear(api.Heartbeat{Draining: true, RemainingMillis: 5000}, 2*time.Second)
-	d.hear(api.Heartbeat{Draining: true}, 3*time.Second)
-	if !d.announced() || d.at != 7*time.Second {
-		t.Errorf("ends at %v, want 7s: a heartbeat without a time says nothing", d.at)
+	d.observeHeartbeat(api.Heartbeat{Draining: true, RemainingMillis: 5000}, 2*time.Second)
+	d.observeHeartbeat(api.Heartbeat{Draining: true}, 3*time.Second)
+	if !d.announced() || d.endsAt != 7*time.Second {
+		t.Errorf("ends at %v, want 7s: a heartbeat without a time says nothing", d.endsAt)
 	}
-	d.hear(api.Heartbeat{Draining: true, RemainingMillis: 9000}, 4*time.Second)
-	if d.at != 13*time.Second {
-		t.Errorf("ends at %v, want the newest, 13s", d.at)
+	d.observeHeartbeat(api.Heartbeat{Draining: true, RemainingMillis: 9000}, 4*time.Second)
+	if d.endsAt != 13*time.Second {
+		t.Errorf("ends at %v, want the newest, 13s", d.endsAt)
 	}
-	d.hear(api.Heartbeat{}, 5*time.Second)
+	d.observeHeartbeat(api.Heartbeat{}, 5*time.Second)
 	if d.announced() {
 		t.Error("announced although the worker goes on")
 	}
-	d.left = true
-	d.notice(1000, 6*time.Second)
-	d.hear(api.Heartbeat{}, 7*time.Second) // was under way at the notice
-	if !d.announced() || d.at != 7*time.Second {
+	d.noticeGiven = true
+	d.observeRemaining(1000, 6*time.Second)
+	d.observeHeartbeat(api.Heartbeat{}, 7*time.Second) // was under way at the notice
+	if !d.announced() || d.endsAt != 7*time.Second {
 		t.Errorf("a notice was forgotten: %+v", d)
 	}
 }
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestLeaveStopsPlacementsAtOnce(t *testing.T) {
+func TestDeparture_LeaveStopsPlacementsAtOnce(t *testing.T) {
 	h := newHarness(t)
 	worker, other := h.worker("a", "a-1"), h.worker("b", "b-1")
 	worker.exchange()
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestLeaveOfAnUnknownWorkerAndDoubledChangeNothing(t *testing.T) {
+func TestDeparture_UnknownOrRepeatedLeaveChangesNothing(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("a", "a-1")
 	worker.exchange()
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestDepartingWorkIsMovedBeforeItsWorkerEnds runs a resumable task, one that
+// TestDeparture_WorkMovesBeforeWorkerEnds runs a resumable task, one that
 // ends in time and one that cannot, on a worker that has five seconds left.
-func TestDepartingWorkIsMovedBeforeItsWorkerEnds(t *testing.T) {
+func TestDeparture_WorkMovesBeforeWorkerEnds(t *testing.T) {
 	h := newHarness(t)
 	worker, other := h.worker("a", "a-1"), h.worker("b", "b-1")
 	worker.exchange()
@@ -155,7 +155,7 @@
 	if after, told := stoppedAfter["hopeless/s/0"]; !told || after != 0 {
 		t.Errorf("hopeless work: stopped %v after %v, want at once", told, after)
 	}
-	lead := stopTime + heartbeatsPerStop*interval
+	lead := maxStopTime + heartbeatsPerStop*interval
 	after, told := stoppedAfter["resumable/s/0"]
 	if !told || after > remaining-lead || after < remaining-lead-departureMargin-interval {
 		t.Errorf("resumable work: stopped %v after %v, want just before %v", told, after, remaining-lead)
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestDepartureIsHeardByANewLeaderFromHeartbeats(t *testing.T) {
+func TestDeparture_NewLeaderLearnsFromHeartbeats(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("a", "a-1")
 	worker.exchange()
@@ -183,7 +183,7 @@
 	h.submit("j", quick)
 	worker.exchange()
 	h.leave("a-1", time.Minute)
-	h.beat(3*time.Second, worker)
+	h.heartbeatFor(3*time.Second, worker)
 	h.newTerm()
 	// The agent adds what it remembers of the notice.
 	worker.heartbeat.Draining, worker.heartbeat.RemainingMillis = true, 2500
@@ -196,12 +196,12 @@
 	}
 }
 
-func TestDepartedWorkerThatFallsSilentIsLost(t *testing.T) {
+func TestDeparture_MissedHeartbeatsExpireLease(t *testing.T) {
 	h := newHarness(t)
 	other := h.worker("b", "b-1")
 	h.running("a", 1)
 	h.leave("a-1", 0)
-	h.beat(h.leader.hold()+h.leader.driftMargin()+time.Second, other)
+	h.heartbeatFor(h.leader.leaseDuration()+h.leader.driftMargin()+time.Second, other)
 	task := h.task("j", 0)
 	if task.Worker != "b" || task.Run != 2 || task.Failures != 0 {
 		t.Errorf("want the second run elsewhere without a failure, got %+v", task)
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -20,9 +20,9 @@
 
 // Causes. Where several hold, the first in this order is told.
 const (
-	drainedByNothing drainCause = ""
-	drainedByConfig  drainCause = "drained by the configuration"
-	drainedByOrder   drainCause = "its zone is drained by an order"
+	notDrained      drainCause = ""
+	drainedByConfig drainCause = "drained by the configuration"
+	drainedByOrder  drainCause = "its zone is drained by an order"
 )
 
 // drainZone drains a zone by an order of its own, or takes that back. It
@@ -33,7 +33,7 @@
 	if fields := api.ValidateZoneDrain(&drain); len(fields) > 0 {
 		return fleet.Empty{}, invalid("drain", fields)
 	}
-	if drain.Drained && l.drainsBeside(drain.Zone) >= maxDrainedZones {
+	if drain.Drained && l.countOtherDrainedZones(drain.Zone) >= maxDrainedZones {
 		return fleet.Empty{}, overLimitError(fmt.Sprintf("%d zones are drained by orders already", maxDrainedZones))
 	}
 	command := record.Command{DrainZone: &record.DrainZone{Zone: drain.Zone, Drained: drain.Drained}}
@@ -43,8 +43,8 @@
 	return fleet.Empty{}, nil
 }
 
-// drainsBeside counts the zones drained by orders, without this one.
-func (l *leader) drainsBeside(zone string) int {
+// countOtherDrainedZones counts the zones drained by orders, without this one.
+func (l *leader) countOtherDrainedZones(zone string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	count := len(l.drainedZones)
@@ -87,7 +87,7 @@
 	case slices.Contains(l.drainedZones, worker.info.Zone):
 		return drainedByOrder
 	default:
-		return drainedByNothing
+		return notDrained
 	}
 }
 
@@ -95,7 +95,7 @@
 // The drain grace counts from the first of them.
 func (l *leader) setDrained(worker *workerEntry) {
 	cause := l.drainCauseOf(worker)
-	if cause != drainedByNothing && !worker.drained() {
+	if cause != notDrained && !worker.isDrained() {
 		worker.drainedSince = l.now()
 	}
 	worker.drainCause = cause
@@ -105,18 +105,18 @@
 func (l *leader) applyDrains() {
 	for _, worker := range l.workers {
 		l.setDrained(worker)
-		l.tellPlanner(worker)
-		if worker.leaving() {
-			l.withdrawUnordered(worker)
+		l.updatePlannerWorker(worker)
+		if worker.isLeaving() {
+			l.revokeUnassigned(worker)
 		}
 	}
 }
 
-// withdrawUnordered closes the runs of a worker that leaves and whose orders
+// revokeUnassigned closes the runs of a worker that leaves and whose orders
 // were not given yet.
-func (l *leader) withdrawUnordered(worker *workerEntry) {
+func (l *leader) revokeUnassigned(worker *workerEntry) {
 	for _, run := range worker.runs {
-		l.closeIfNeverOrdered(run)
+		l.closeIfNeverAssigned(run)
 	}
 }
 
@@ -125,13 +125,13 @@
 func (l *leader) stopDrained(now time.Duration) {
 	grace := l.config.Timings.DrainGrace.Std()
 	for _, worker := range l.workers {
-		if !worker.drained() {
+		if !worker.isDrained() {
 			continue
 		}
 		overdue := now-worker.drainedSince >= grace
 		for _, run := range worker.runs {
 			if overdue || run.spec.UntilCancelled {
-				l.stopLater(run, record.StopDrained)
+				l.enqueueStop(run, record.StopDrained)
 			}
 		}
 	}
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -37,7 +37,7 @@
 }
 
 // beat lets time pass while the workers send a heartbeat each second.
-func (h *harness) beat(length time.Duration, workers ...*fakeWorker) {
+func (h *harness) heartbeatFor(length time.Duration, workers ...*fakeWorker) {
 	h.t.Helper()
 	for range int(length / time.Second) {
 		h.advance(time.Second)
@@ -54,7 +54,7 @@
 	return worker
 }
 
-func TestZoneDrainByOrderWithdrawsAndStops(t *testing.T) {
+func TestZoneDrain_RevokesAndStops(t *testing.T) {
 	h := newHarness(t)
 	worker, other := h.workerIn("z1", "a", "a-1"), h.workerIn("z2", "b", "b-1")
 	worker.exchange()
@@ -77,11 +77,11 @@
 		t.Errorf("want the withdrawn task elsewhere, got %+v", answer.Start)
 	}
 	grace := h.leader.config.Timings.DrainGrace.Std()
-	h.beat(grace-time.Second, worker, other)
+	h.heartbeatFor(grace-time.Second, worker, other)
 	if answer := worker.exchange(); len(answer.Stop) != 1 {
 		t.Errorf("stopped within the grace: %+v", answer.Stop)
 	}
-	h.beat(time.Second, worker, other)
+	h.heartbeatFor(time.Second, worker, other)
 	if answer := worker.exchange(); len(answer.Stop) != 2 {
 		t.Errorf("want both stopped after the grace, got %+v", answer.Stop)
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestZoneDrainIsAnsweredAgainAndTakenBack(t *testing.T) {
+func TestZoneDrain_IsIdempotentAndReversible(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("a", "a-1")
 	worker.exchange()
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestZoneDrainOutlivesTheLeader(t *testing.T) {
+func TestZoneDrain_SurvivesLeaderChange(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("a", "a-1")
 	worker.exchange()
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestZoneDrainIsRefused(t *testing.T) {
+func TestZoneDrain_InvalidIsRefused(t *testing.T) {
 	h := newHarness(t)
 	for _, zone := range []string{"", "z 1", "z/1"} {
 		request := fleet.DrainZoneRequest{Drain: api.ZoneDrain{Zone: zone, Drained: true}}
@@ -150,9 +150,9 @@
 	}
 }
 
-// TestDrainsOfBothKindsStandBesideEachOther holds every worker, after any
+// TestDrains_ConfigAndZoneDrainAreIndependent holds every worker, after any
 // sequence of configurations, orders and new leaders, against what both say.
-func TestDrainsOfBothKindsStandBesideEachOther(t *testing.T) {
+func TestDrains_ConfigAndZoneDrainAreIndependent(t *testing.T) {
 	zones := []string{"z1", "z2", "z3"}
 	rapid.Check(t, func(r *rapid.T) {
 		h := newHarness(t)
@@ -176,8 +176,8 @@
 			}
 			for _, zone := range zones {
 				worker := h.leader.byName["w-"+zone]
-				if want := byConfig[zone] || byOrder[zone]; worker.drained() != want || worker.leaving() != want {
-					r.Fatalf("worker in %s: drained %v, want %v", zone, worker.drained(), want)
+				if want := byConfig[zone] || byOrder[zone]; worker.isDrained() != want || worker.isLeaving() != want {
+					r.Fatalf("worker in %s: drained %v, want %v", zone, worker.isDrained(), want)
 				}
 			}
 		}
@@ -195,13 +195,13 @@
 	return config
 }
 
-func TestDrainGraceCountsFromTheFirstDrain(t *testing.T) {
+func TestDrains_GraceCountsFromFirstDrain(t *testing.T) {
 	h := newHarness(t)
 	worker := h.running("a", 1)
 	grace := h.leader.config.Timings.DrainGrace.Std()
 	h.drainZone("z1", true)
 	for range int(grace / time.Second) {
-		h.beat(time.Second, worker)
+		h.heartbeatFor(time.Second, worker)
 		h.putConfig(configDraining([]string{"z1"}, map[string]bool{"z1": true}))
 	}
 	if answer := worker.exchange(); len(answer.Stop) != 1 {
--- a/internal/scheduler/endless_test.go
+++ b/internal/scheduler/endless_test.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-func TestTaskUntilCancelledIsOrderedAgainAfterASuccess(t *testing.T) {
+func TestEndlessTask_SuccessIsAssignedAgain(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
--- a/internal/scheduler/failed_on_test.go
+++ b/internal/scheduler/failed_on_test.go
@@ -8,8 +8,8 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// TestRetryRunsElsewhere: the fullest worker would be the same one again.
-func TestRetryRunsElsewhere(t *testing.T) {
+// TestFailedWorkers_RetryRunsElsewhere: the fullest worker would be the same one again.
+func TestFailedWorkers_RetryRunsElsewhere(t *testing.T) {
 	for _, newTerm := range []bool{false, true} {
 		h := newHarness(t)
 		failing, other := h.worker("a", "a-1"), h.worker("b", "b-1")
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestFailedOnKeepsTheNewestAndForgets(t *testing.T) {
+func TestFailedWorkers_KeepsNewestAndForgets(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("a", "a-1")
 	worker.exchange()
@@ -47,15 +47,15 @@
 	if state := h.status("j").State; state != api.StateFailed {
 		t.Fatalf("job is %s", state)
 	}
-	if len(h.leader.health.failedOn) != 0 {
-		t.Errorf("kept after the job's end: %v", h.leader.health.failedOn)
+	if len(h.leader.health.failedWorkers) != 0 {
+		t.Errorf("kept after the job's end: %v", h.leader.health.failedWorkers)
 	}
-	known := failedOn{}
+	known := failedWorkers{}
 	id := record.TaskID{Job: "j"}
 	for _, name := range []string{"a", "b", "b", "c", "d", "e"} {
-		known.note(id, name)
+		known.add(id, name)
 	}
-	if got := len(known[id]); got != avoidedKept || known[id][0] != "b" {
+	if got := len(known[id]); got != maxAvoidedWorkers || known[id][0] != "b" {
 		t.Errorf("kept %v", known[id])
 	}
 }
--- a/internal/scheduler/group.go
+++ b/internal/scheduler/group.go
@@ -8,8 +8,8 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// groupState follows a step whose tasks must start together.
-type groupState struct {
+// gangState follows a step whose tasks must start together.
+type gangState struct {
 	key record.StepID
 	// size is the number of members that must be placed together, 0 if one may
 	// be placed alone: the record's rule (record.Step.GroupSize).
@@ -21,15 +21,15 @@
 	// broken is true from the loss of a member before all had started until
 	// no member has an open run: none may be placed meanwhile.
 	broken bool
-	// lockstep is set for a group that is one for its whole life. startBy is when
+	// sharesOutcome is set for a group that is one for its whole life. startBy is when
 	// all its members must have started, and released is true once their orders
 	// are given out.
-	lockstep bool
-	startBy  time.Duration
-	released bool
+	sharesOutcome bool
+	startBy       time.Duration
+	released      bool
 }
 
-func (g *groupState) allStarted() bool {
+func (g *gangState) allStarted() bool {
 	for _, started := range g.open {
 		if !started {
 			return false
@@ -38,55 +38,55 @@
 	return true
 }
 
-func (l *leader) group(key record.StepID) *groupState {
-	group, known := l.groups[key]
+func (l *leader) gang(key record.StepID) *gangState {
+	gang, known := l.gangs[key]
 	if !known {
-		group = &groupState{key: key, ready: make(map[record.TaskID]bool), open: make(map[record.RunID]bool)}
-		l.groups[key] = group
+		gang = &gangState{key: key, ready: make(map[record.TaskID]bool), open: make(map[record.RunID]bool)}
+		l.gangs[key] = gang
 	}
-	return group
+	return gang
 }
 
-func (l *leader) joinGroup(entry *waitingTask, step *record.Step) {
-	group := l.group(entry.step)
-	group.ready[entry.task.ID] = true
-	group.size = step.GangSize()
+func (l *leader) joinGang(entry *waitingTask, step *record.Step) {
+	gang := l.gang(entry.step)
+	gang.ready[entry.task.ID] = true
+	gang.size = step.GangSize()
 }
 
-func (l *leader) leaveGroup(group *groupState, task *record.Task) {
-	delete(group.ready, task.ID)
-	group.size = task.Step.GangSize()
-	l.offerGroup(group)
+func (l *leader) leaveGang(gang *gangState, task *record.Task) {
+	delete(gang.ready, task.ID)
+	gang.size = task.Step.GangSize()
+	l.offerGang(gang)
 }
 
-// offerGroup lets the planner place the members that wait: all together, or
+// offerGang lets the planner place the members that wait: all together, or
 // each alone once the group has started whole.
-func (l *leader) offerGroup(group *groupState) {
-	if group.broken || !l.groupDue(group) {
-		l.withholdGroup(group)
+func (l *leader) offerGang(gang *gangState) {
+	if gang.broken || !l.gangDue(gang) {
+		l.withholdGang(gang)
 		return
 	}
-	for id := range group.ready {
+	for id := range gang.ready {
 		entry := l.waiting[id]
 		if entry.placing {
 			continue
 		}
 		task := entry.task
-		if group.size > 0 {
-			task.Group = group.key.String()
-			task.GroupSize = group.size
+		if gang.size > 0 {
+			task.Group = gang.key.String()
+			task.GroupSize = gang.size
 		}
 		l.planner.Remove(id)
 		l.planner.Add(task)
 	}
 }
 
-// groupDue tells whether the members that wait may be offered now.
-func (l *leader) groupDue(group *groupState) bool {
-	if group.size > 0 && len(group.ready) != group.size {
+// gangDue tells whether the members that wait may be offered now.
+func (l *leader) gangDue(gang *gangState) bool {
+	if gang.size > 0 && len(gang.ready) != gang.size {
 		return false
 	}
-	for id := range group.ready {
+	for id := range gang.ready {
 		if !l.waiting[id].due {
 			return false
 		}
@@ -94,80 +94,80 @@
 	return true
 }
 
-func (l *leader) withholdGroup(group *groupState) {
-	for id := range group.ready {
+func (l *leader) withholdGang(gang *gangState) {
+	for id := range gang.ready {
 		l.planner.Remove(id)
 	}
 }
 
-func (l *leader) groupRunOpened(run *runState, open *record.Run) {
-	group := l.group(run.step)
-	delete(group.ready, run.id.Task)
-	group.open[run.id] = false
-	group.size = open.Task.Step.GangSize()
-	if run.lockstep {
-		l.lockstepRunOpened(group, run, open)
+func (l *leader) gangRunOpened(run *runState, open *record.Run) {
+	gang := l.gang(run.step)
+	delete(gang.ready, run.id.Task)
+	gang.open[run.id] = false
+	gang.size = open.Task.Step.GangSize()
+	if run.sharesOutcome {
+		l.commonOutcomeRunOpened(gang, run, open)
 	}
 }
 
-func (l *leader) groupRunStopping(run *runState, step *record.Step) {
-	group := l.group(run.step)
-	group.size = step.GangSize()
-	l.offerGroup(group)
+func (l *leader) gangRunStopping(run *runState, step *record.Step) {
+	gang := l.gang(run.step)
+	gang.size = step.GangSize()
+	l.offerGang(gang)
 }
 
-func (l *leader) groupRunStarted(run *runState) {
-	if group, known := l.groups[run.step]; known {
-		group.open[run.id] = true
-		l.noteStarted(group)
+func (l *leader) gangRunStarted(run *runState) {
+	if gang, known := l.gangs[run.step]; known {
+		gang.open[run.id] = true
+		l.stopWatchingIfStarted(gang)
 	}
 }
 
-// groupRunClosed breaks the group if a member was lost before all had started.
-func (l *leader) groupRunClosed(run *runState, outcome api.Outcome, step *record.Step) {
-	group := l.group(run.step)
-	whole := group.allStarted()
-	delete(group.open, run.id)
-	group.size = step.GangSize()
+// gangRunClosed breaks the group if a member was lost before all had started.
+func (l *leader) gangRunClosed(run *runState, outcome api.Outcome, step *record.Step) {
+	gang := l.gang(run.step)
+	whole := gang.allStarted()
+	delete(gang.open, run.id)
+	gang.size = step.GangSize()
 	lost := outcome == api.OutcomeLost || outcome == api.OutcomeStopped
-	if lost && !whole && len(group.open) > 0 && !run.lockstep {
-		l.breakGroup(group)
+	if lost && !whole && len(gang.open) > 0 && !run.sharesOutcome {
+		l.breakGang(gang)
 	}
-	if len(group.open) == 0 {
-		group.broken = false
+	if len(gang.open) == 0 {
+		gang.broken = false
 	}
-	if run.lockstep {
+	if run.sharesOutcome {
 		// The record has marked the other members to stop.
-		delete(l.starting, run.step)
+		delete(l.startingGangs, run.step)
 	}
-	l.offerGroup(group)
+	l.offerGang(gang)
 }
 
-// breakGroup stops the other members, so that the group waits whole.
-func (l *leader) breakGroup(group *groupState) {
-	if group.broken {
+// breakGang stops the other members, so that the group waits whole.
+func (l *leader) breakGang(gang *gangState) {
+	if gang.broken {
 		return
 	}
-	group.broken = true
-	for id := range group.open {
+	gang.broken = true
+	for id := range gang.open {
 		run := l.runs[id]
-		l.closeIfNeverOrdered(run)
-		l.stopLater(run, record.StopGang)
+		l.closeIfNeverAssigned(run)
+		l.enqueueStop(run, record.StopGang)
 	}
 }
 
-// loadGroup takes over a group at the start of a term. It cannot be known
+// loadGang takes over a group at the start of a term. It cannot be known
 // whether all had started; members that wait without ever having failed show
 // that a run was lost, and then the group is taken as not whole.
-func (l *leader) loadGroup(step *record.Step) {
+func (l *leader) loadGang(step *record.Step) {
 	if len(step.Tasks) == 0 {
 		return
 	}
-	group := l.group(step.Tasks[0].ID.StepID())
-	group.size = step.GangSize()
+	gang := l.gang(step.Tasks[0].ID.StepID())
+	gang.size = step.GangSize()
 	if step.Spec.Lockstep {
 		// The record alone says whether it is broken.
-		l.offerGroup(group)
+		l.offerGang(gang)
 		return
 	}
 	broken := slices.ContainsFunc(step.Tasks, func(task *record.Task) bool {
@@ -176,8 +176,8 @@
 	lost := slices.ContainsFunc(step.Tasks, func(task *record.Task) bool {
 		return task.State == record.TaskReady && task.LastRun > 0 && task.Failures == 0
 	})
-	if (broken || lost) && len(group.open) > 0 {
-		l.breakGroup(group)
+	if (broken || lost) && len(gang.open) > 0 {
+		l.breakGang(gang)
 	}
-	l.offerGroup(group)
+	l.offerGang(gang)
 }
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -28,8 +28,8 @@
 	lease   bool
 	// overloaded refuses all proposals.
 	overloaded bool
-	// meanwhile is done while a proposal is being committed, if not nil.
-	meanwhile func()
+	// whileProposing is done while a proposal is being committed, if not nil.
+	whileProposing func()
 }
 
 // Propose gives up, as a replica does, for a caller that has gone away.
@@ -38,8 +38,8 @@
 	if ctx.Err() != nil || f.overloaded {
 		return record.Result{}, replica.ErrOverloaded
 	}
-	if f.meanwhile != nil {
-		f.meanwhile()
+	if f.whileProposing != nil {
+		f.whileProposing()
 	}
 	if !f.lease {
 		return record.Result{}, replica.ErrNotLeader
@@ -101,7 +101,7 @@
 		Now:        func() time.Duration { return h.now },
 		Leadership: replica.Leadership{Token: h.token, Context: h.t.Context()},
 	})
-	h.stop = h.log.machine.Observe(h.leader.load, h.leader.onEvent)
+	h.stop = h.log.machine.Observe(h.leader.load, h.leader.handleEvent)
 }
 
 // advance lets time pass on all clocks and then does what the loops would.
@@ -175,7 +175,7 @@
 	}}
 }
 
-// running registers a worker and has it run the tasks of job "j".
+// recordedRuns registers a worker and has it run the tasks of job "j".
 func (h *harness) running(name string, count int) *fakeWorker {
 	h.t.Helper()
 	worker := h.worker(name, name+"-1")
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -16,49 +16,49 @@
 const (
 	// reviewInterval is how often workers and runs are judged.
 	reviewInterval = 250 * time.Millisecond
-	// shortRun: tasks of at most this estimate try workers on probation first.
-	shortRun = 2 * time.Second
-	// freshStart is the greatest percent of a run's first report at which its
+	// maxProbationEstimate: tasks of at most this estimate try workers on probation first.
+	maxProbationEstimate = 2 * time.Second
+	// maxFreshStartPercent is the greatest percent of a run's first report at which its
 	// whole time says something: one that goes on from a checkpoint begins later.
-	freshStart = 5
+	maxFreshStartPercent = 5
 )
 
-// health is what a leader has learned of workers and of how work goes on. It
+// healthReview is what a leader has learned of workers and of how work goes on. It
 // lives in memory: a new leader starts afresh.
-type health struct {
+type healthReview struct {
 	tracker    *workerhealth.Tracker
 	reviewedAt time.Duration
-	// finely marks the queues whose runs report percents in small steps.
-	finely map[string]bool
+	// fineGrainedQueues marks the queues whose runs report percents in small steps.
+	fineGrainedQueues map[string]bool
 	// stalls counts how often a run of a task was stopped for standing still.
 	stalls map[record.TaskID]int
 	// withdrawn counts how often tasks that no order has named since were taken
 	// from silent workers.
-	withdrawn map[record.TaskID]int
-	// failedOn are the workers on which runs of tasks failed or stood still.
-	failedOn failedOn
+	revocations map[record.TaskID]int
+	// failedWorkers are the workers on which runs of tasks failed or stood still.
+	failedWorkers failedWorkers
 }
 
-func newHealth() health {
-	return health{
-		tracker:   workerhealth.New(),
-		finely:    make(map[string]bool),
-		stalls:    make(map[record.TaskID]int),
-		withdrawn: make(map[record.TaskID]int),
-		failedOn:  make(failedOn),
+func newHealthReview() healthReview {
+	return healthReview{
+		tracker:           workerhealth.New(),
+		fineGrainedQueues: make(map[string]bool),
+		stalls:            make(map[record.TaskID]int),
+		revocations:       make(map[record.TaskID]int),
+		failedWorkers:     make(failedWorkers),
 	}
 }
 
 // forgetSteps drops what is known of the tasks of steps that have ended.
-func (h *health) forgetSteps(steps []*record.Step) {
-	h.failedOn.forgetSteps(steps)
+func (h *healthReview) forgetSteps(steps []*record.Step) {
+	h.failedWorkers.forgetSteps(steps)
 	for _, step := range steps {
 		if len(step.Tasks) > 0 {
 			h.tracker.ForgetStep(step.Tasks[0].ID)
 		}
 		for _, task := range step.Tasks {
 			delete(h.stalls, task.ID)
-			delete(h.withdrawn, task.ID)
+			delete(h.revocations, task.ID)
 		}
 	}
 }
@@ -66,16 +66,16 @@
 // advise tells the planner what the leader has learned about a task: where not
 // to run it again, and whether it may try a worker on probation. Its last
 // attempt may not.
-func (h *health) advise(planned *placement.Task, task *record.Task) {
-	planned.Avoid = h.failedOn.of(task)
+func (h *healthReview) advise(planned *placement.Task, task *record.Task) {
+	planned.Avoid = h.failedWorkers.of(task)
 	hasAttempts := task.Spec.UntilCancelled || task.Failures+1 < task.AllowedFailures
 	estimate := task.Spec.Estimate.Std()
 	planned.MayTry = hasAttempts && !task.Step.IsGang()
-	planned.Tries = planned.MayTry && (task.Spec.UntilCancelled || estimate > 0 && estimate <= shortRun)
+	planned.Tries = planned.MayTry && (task.Spec.UntilCancelled || estimate > 0 && estimate <= maxProbationEstimate)
 }
 
-// noteProgress takes in how far the runs of a worker say that they are.
-func (l *leader) noteProgress(worker *workerEntry, reports []api.RunProgress, now time.Duration) {
+// observeProgress takes in how far the runs of a worker say that they are.
+func (l *leader) observeProgress(worker *workerEntry, reports []api.RunProgress, now time.Duration) {
 	for _, report := range reports {
 		id, ok := parseRun(report.RunRef)
 		run, open := worker.runs[id]
@@ -86,60 +86,60 @@
 			continue
 		}
 		if run.progress.ReportsFinely() {
-			l.health.finely[run.queue] = true
+			l.health.fineGrainedQueues[run.queue] = true
 		}
-		if !l.tellsPace(run, worker) {
+		if !l.isPaceComparable(run, worker) {
 			continue
 		}
 		ratio := run.progress.Ratio(run.spec.Estimate.Std())
-		l.health.tracker.Paced(run.workerID, workerhealth.Pace{Run: id, Work: run.queue, StepSize: l.comparedStep(run), Ratio: ratio}, now)
+		l.health.tracker.Paced(run.workerID, workerhealth.Pace{Run: id, Work: run.queue, StepSize: l.comparisonStepSize(run), Ratio: ratio}, now)
 	}
 }
 
-// noteEnd learns from the end of a run.
-func (l *leader) noteEnd(run *runState, open *record.Run, outcome api.Outcome) {
+// observeRunEnd learns from the end of a run.
+func (l *leader) observeRunEnd(run *runState, open *record.Run, outcome api.Outcome) {
 	now := l.now()
 	switch {
 	case outcome == api.OutcomeSucceeded:
 		l.health.tracker.Succeeded(run.workerID, run.id.Task, now)
-		l.notePace(run, now)
+		l.observePace(run, now)
 	case open.Stop == record.StopStalled:
-		l.health.failedOn.note(run.id.Task, open.Worker)
+		l.health.failedWorkers.add(run.id.Task, open.Worker)
 	case outcome == api.OutcomeFailed && open.Stop == record.StopNone:
-		l.health.failedOn.note(run.id.Task, open.Worker)
+		l.health.failedWorkers.add(run.id.Task, open.Worker)
 		if !l.off.Has(mechanism.Suspicion) {
 			l.health.tracker.Failed(run.workerID, run.id.Task, now)
 		}
 	}
 }
 
-// notePace takes in the whole time of a run that this leader ordered, from its
+// observePace takes in the whole time of a run that this leader ordered, from its
 // order until its end was heard. One that was not seen running before its end
 // tells nothing: most of that time may be the wait for a heartbeat.
-func (l *leader) notePace(run *runState, now time.Duration) {
+func (l *leader) observePace(run *runState, now time.Duration) {
 	estimate := run.spec.Estimate.Std()
-	seenRunning := run.listed && run.progress.StartedAt < run.endHeardAt
-	if worker, known := l.workers[run.workerID]; !known || !l.tellsPace(run, worker) {
+	seenRunning := run.listed && run.progress.StartedAt < run.endSeenAt
+	if worker, known := l.workers[run.workerID]; !known || !l.isPaceComparable(run, worker) {
 		return
 	}
-	if run.sentAt == 0 || !seenRunning || estimate <= 0 || run.progress.First > freshStart {
+	if run.assignedAt == 0 || !seenRunning || estimate <= 0 || run.progress.First > maxFreshStartPercent {
 		return
 	}
-	ratio := float64(run.endHeardAt-run.sentAt) / float64(estimate)
-	pace := workerhealth.Pace{Run: run.id, Work: run.queue, StepSize: l.comparedStep(run), Ratio: ratio, Ended: true}
+	ratio := float64(run.endSeenAt-run.assignedAt) / float64(estimate)
+	pace := workerhealth.Pace{Run: run.id, Work: run.queue, StepSize: l.comparisonStepSize(run), Ratio: ratio, Ended: true}
 	l.health.tracker.Paced(run.workerID, pace, now)
 }
 
-// tellsPace reports whether the run's time says something about its worker. One away
+// isPaceComparable reports whether the run's time says something about its worker. One away
 // from what its task prefers may take a multiple of its time on a sound worker, and one
 // of a group in lockstep waits for the others.
-func (l *leader) tellsPace(run *runState, worker *workerEntry) bool {
-	return !l.off.Has(mechanism.SlowTracking) && !run.lockstep && hasAll(worker.info.Labels, run.spec.Prefer)
+func (l *leader) isPaceComparable(run *runState, worker *workerEntry) bool {
+	return !l.off.Has(mechanism.SlowTracking) && !run.sharesOutcome && hasAll(worker.info.Labels, run.spec.Prefer)
 }
 
-// comparedStep is the size of the step whose runs the run is compared with; 0 if it is
+// comparisonStepSize is the size of the step whose runs the run is compared with; 0 if it is
 // compared with its queue's.
-func (l *leader) comparedStep(run *runState) int {
+func (l *leader) comparisonStepSize(run *runState) int {
 	if l.off.Has(mechanism.SiblingPace) {
 		return 0
 	}
@@ -166,15 +166,15 @@
 	for _, run := range l.runs {
 		l.stopIfStalled(run, now)
 	}
-	for _, change := range l.health.tracker.Review(now, l.subjects()) {
-		l.setVerdict(l.workers[change.WorkerID], change, now)
+	for _, change := range l.health.tracker.Review(now, l.reviewedWorkers()) {
+		l.applyHealthChange(l.workers[change.WorkerID], change, now)
 	}
 }
 
 // stopIfStalled stops a run that stands still, so that its task runs elsewhere.
 // That is no failure of the task.
 func (l *leader) stopIfStalled(run *runState, now time.Duration) {
-	if !run.listed || run.closing || run.stop != record.StopNone || run.spec.UntilCancelled || l.waitsForGroup(run) {
+	if !run.listed || run.closing || run.stop != record.StopNone || run.spec.UntilCancelled || l.waitsForGang(run) {
 		return
 	}
 	if l.off.Has(mechanism.StallTracking) {
@@ -182,34 +182,34 @@
 	}
 	worker := l.workers[run.workerID]
 	stops := l.health.stalls[run.id.Task]
-	bound := run.progress.QuietBound(run.spec.Estimate.Std(), l.health.finely[run.queue], stops)
-	if worker.lapsed || !run.progress.StandsStill(worker.heardAt, bound) {
+	bound := run.progress.QuietBound(run.spec.Estimate.Std(), l.health.fineGrainedQueues[run.queue], stops)
+	if worker.leaseExpired || !run.progress.StandsStill(worker.lastSeen, bound) {
 		return
 	}
 	l.logger.Warn("run stands still", slog.String("task", run.id.Task.String()),
 		slog.Uint64("number", uint64(run.id.Number)), slog.String("worker", worker.info.Name),
-		slog.Int("percent", run.progress.Percent), slog.Duration("quiet", worker.heardAt-run.progress.MovedAt))
+		slog.Int("percent", run.progress.Percent), slog.Duration("quiet", worker.lastSeen-run.progress.MovedAt))
 	l.health.stalls[run.id.Task]++
 	l.metrics.runsStalled.Inc()
-	if !run.together && !l.off.Has(mechanism.Suspicion) {
+	if !run.inGang && !l.off.Has(mechanism.Suspicion) {
 		// Members of a group may wait for one of them: none is to blame alone.
 		l.health.tracker.Stalled(run.workerID, run.id.Task, now)
 	}
-	l.stopLater(run, record.StopStalled)
+	l.enqueueStop(run, record.StopStalled)
 }
 
-// waitsForGroup reports whether the run's group has not started whole: its
+// waitsForGang reports whether the run's group has not started whole: its
 // members may then rightly stand.
-func (l *leader) waitsForGroup(run *runState) bool {
-	group, known := l.groups[run.step]
-	return run.together && known && !group.allStarted()
+func (l *leader) waitsForGang(run *runState) bool {
+	gang, known := l.gangs[run.step]
+	return run.inGang && known && !gang.allStarted()
 }
 
-// subjects are the workers that would take work, whatever their health.
-func (l *leader) subjects() []workerhealth.Subject {
+// reviewedWorkers are the workers that would take work, whatever their health.
+func (l *leader) reviewedWorkers() []workerhealth.Subject {
 	subjects := make([]workerhealth.Subject, 0, len(l.byName))
 	for _, worker := range l.byName {
-		if worker.answered() && !worker.lapsed && !worker.leaving() {
+		if worker.answered() && !worker.leaseExpired && !worker.isLeaving() {
 			subjects = append(subjects, workerhealth.Subject{ID: worker.info.ID, Services: worker.info.Services})
 		}
 	}
@@ -217,17 +217,17 @@
 	return subjects
 }
 
-// setVerdict takes over a worker's new standing. A suspect worker loses what was
+// applyHealthChange takes over a worker's new standing. A suspect worker loses what was
 // not ordered there yet.
-func (l *leader) setVerdict(worker *workerEntry, change workerhealth.Change, now time.Duration) {
-	worker.verdict = change.Verdict
+func (l *leader) applyHealthChange(worker *workerEntry, change workerhealth.Change, now time.Duration) {
+	worker.health = change.Verdict
 	l.logger.Info("worker's standing changed", slog.String("worker", worker.info.Name),
 		slog.String("worker_id", worker.info.ID), slog.String("standing", string(change.Standing)),
 		slog.String("reason", change.Reason), slog.Duration("for", max(change.Until-now, 0)))
 	if change.Standing == workerhealth.Suspect {
-		l.metrics.workersHeldBack.Inc()
-		l.withdrawUnordered(worker)
+		l.metrics.workersEjected.Inc()
+		l.revokeUnassigned(worker)
 	}
-	l.tellPlanner(worker)
+	l.updatePlannerWorker(worker)
 	l.wake()
 }
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -46,9 +46,9 @@
 	return workers
 }
 
-// TestFailingWorkerIsHeldBack: worker a fails whatever it starts; after three
+// TestHealthReview_FailingWorkerIsEjected: worker a fails whatever it starts; after three
 // jobs it gets nothing, and then one task at a time.
-func TestFailingWorkerIsHeldBack(t *testing.T) {
+func TestHealthReview_FailingWorkerIsEjected(t *testing.T) {
 	h := newHarness(t)
 	workers := h.fleetOf(4)
 	failing := workers[0]
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestRunThatStandsStillRunsElsewhere: run 1 reports 10% for 2 s.
-func TestRunThatStandsStillRunsElsewhere(t *testing.T) {
+// TestHealthReview_StalledRunRunsElsewhere: run 1 reports 10% for 2 s.
+func TestHealthReview_StalledRunRunsElsewhere(t *testing.T) {
 	h := newHarness(t)
 	workers := h.fleetOf(2)
 	h.submit("j", estimated(1, time.Second))
@@ -142,9 +142,9 @@
 	}
 }
 
-// TestRunsThatAreLeftAlone have no estimate, or run until cancelled, or belong
+// TestHealthReview_ProgressingRunsContinue have no estimate, or run until cancelled, or belong
 // to a worker that is not heard.
-func TestRunsThatAreLeftAlone(t *testing.T) {
+func TestHealthReview_ProgressingRunsContinue(t *testing.T) {
 	lasting := estimated(1, time.Second)
 	lasting.Tasks[0].UntilCancelled = true
 	cases := []struct {
@@ -179,8 +179,8 @@
 	})
 }
 
-// TestSlowWorkerGetsWorkLast: worker a takes three times as long as others.
-func TestSlowWorkerGetsWorkLast(t *testing.T) {
+// TestHealthReview_SlowWorkerGetsWorkLast: worker a takes three times as long as others.
+func TestHealthReview_SlowWorkerGetsWorkLast(t *testing.T) {
 	h := newHarness(t)
 	workers := h.fleetOf(4)
 	slow := workers[0]
@@ -205,13 +205,13 @@
 	}
 }
 
-// TestRunsSeenFirstAsEndedSayNothingOfPace: short tasks end before any heartbeat
+// TestHealthReview_RunsSeenOnlyEndedGiveNoPace: short tasks end before any heartbeat
 // lists them as running. How long they took is not known, so longer ones of the
 // same queue that go at their estimated pace do not look slow beside them.
-func TestRunsSeenFirstAsEndedSayNothingOfPace(t *testing.T) {
+func TestHealthReview_RunsSeenOnlyEndedGiveNoPace(t *testing.T) {
 	h := newHarness(t)
 	workers := h.fleetOf(4)
-	h.log.meanwhile = func() { h.now += 5 * time.Millisecond }
+	h.log.whileProposing = func() { h.now += 5 * time.Millisecond }
 	for i := range 8 {
 		h.submit(fmt.Sprint("short", i), estimated(4, 200*time.Millisecond))
 		for range 2 {
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -34,13 +34,13 @@
 // nobody takes. The ends that it lists are taken also when it is refused.
 func (l *leader) heartbeat(ctx context.Context, request fleet.HeartbeatRequest) (fleet.HeartbeatAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
-		l.takeEnds(request)
+		l.observeRefusedEnds(request)
 		return fleet.HeartbeatAnswer{}, l.notLeader()
 	}
-	observed := l.observe(request)
+	observed := l.observeHeartbeat(request)
 	acknowledged, err := l.commit(observed)
 	if err != nil {
-		l.endLater(observed.reports)
+		l.enqueueEnds(observed.reports)
 		return fleet.HeartbeatAnswer{}, err
 	}
 	if observed.late {
@@ -56,16 +56,16 @@
 	// late is true if a newer heartbeat was heard before: then it tells of
 	// ended runs and of nothing else.
 	late bool
-	// lapses is the worker's count when the heartbeat was heard.
-	lapses uint64
+	// leaseExpirations is the worker's count when the heartbeat was heard.
+	leaseExpirations uint64
 	// mustRegister is true if the record has to learn of the worker first.
 	mustRegister bool
 	differences  reconciliation
 	reports      reports
 }
 
-// observe notes the heartbeat and compares it with the record.
-func (l *leader) observe(request fleet.HeartbeatRequest) *observation {
+// observeHeartbeat notes the heartbeat and compares it with the record.
+func (l *leader) observeHeartbeat(request fleet.HeartbeatRequest) *observation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	heartbeat := request.Heartbeat
@@ -76,12 +76,12 @@
 		worker = newWorkerEntry(workerInfo(request, l.log.Now()), now)
 		l.workers[heartbeat.WorkerID] = worker
 	}
-	observed := &observation{request: request, worker: worker, lapses: worker.lapses}
-	l.notePause(worker, now)
-	if worker.hear(heartbeat, now) {
-		l.occupy(worker)
-		l.refresh(worker, now)
-		worker.noteCheckpoints(heartbeat.Progress)
+	observed := &observation{request: request, worker: worker, leaseExpirations: worker.leaseExpirations}
+	l.observeHeartbeatGap(worker, now)
+	if worker.observeHeartbeat(heartbeat, now) {
+		l.claimAddress(worker)
+		l.refreshPlannerWorker(worker, now)
+		worker.recordCheckpoints(heartbeat.Progress)
 		observed.mustRegister = l.mustRegister(worker, workerInfo(request, 0), now)
 		observed.differences = reconcile(worker.runs, heartbeat)
 	} else {
@@ -89,12 +89,12 @@
 		observed.late = true
 		observed.differences = reconcileLate(worker.runs, heartbeat)
 	}
-	l.setAsideContradictions(worker, &observed.differences)
-	l.noteDifferences(worker, &observed.differences)
+	l.quarantineConflicts(worker, &observed.differences)
+	l.applyDifferences(worker, &observed.differences)
 	if !observed.late {
-		l.noteProgress(worker, heartbeat.Progress, now)
+		l.observeProgress(worker, heartbeat.Progress, now)
 	}
-	observed.reports = l.sortReports(&observed.differences)
+	observed.reports = l.classifyReports(&observed.differences)
 	return observed
 }
 
@@ -103,7 +103,7 @@
 	return record.Worker{
 		Name: heartbeat.Name, ID: heartbeat.WorkerID, Zone: request.Zone, Capacity: heartbeat.Capacity,
 		Services: heartbeat.Services, Labels: heartbeat.Labels, RegisteredAt: now,
-		Address: placeOf(request),
+		Address: addressOf(request),
 	}
 }
 
@@ -117,31 +117,31 @@
 	if !known {
 		return true
 	}
-	return len(earlier.runs) == 0 && now > earlier.holdsUntil
+	return len(earlier.runs) == 0 && now > earlier.leaseExpiresAt
 }
 
-// noteDifferences updates the mirror with what the heartbeat showed.
-func (l *leader) noteDifferences(worker *workerEntry, differences *reconciliation) {
+// applyDifferences updates the mirror with what the heartbeat showed.
+func (l *leader) applyDifferences(worker *workerEntry, differences *reconciliation) {
 	now := l.now()
 	for _, run := range differences.started {
 		run.listed = true
 		run.progress = workerhealth.Began(now)
-		if run.together {
-			l.groupRunStarted(run)
+		if run.inGang {
+			l.gangRunStarted(run)
 		}
 	}
-	for _, task := range differences.begun {
-		l.notBegun.remove(task.Job)
+	for _, task := range differences.startedTasks {
+		l.pendingStarts.remove(task.Job)
 	}
 	for _, end := range differences.ended {
-		if run, open := worker.runs[end.Run]; open && run.endHeardAt == 0 {
-			run.endHeardAt = now
+		if run, open := worker.runs[end.Run]; open && run.endSeenAt == 0 {
+			run.endSeenAt = now
 		}
 	}
 	for _, run := range differences.lost {
 		l.logger.Info("order had no effect", slog.String("run", run.id.Task.String()),
 			slog.Uint64("number", uint64(run.id.Number)), slog.String("worker", worker.info.Name))
-		l.closeLater(run, "the order did not take effect")
+		l.enqueueClose(run, "the order did not take effect")
 	}
 }
 
@@ -178,21 +178,21 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	worker := observed.worker
-	if worker.seq != observed.request.Heartbeat.Seq || worker.lapses != observed.lapses {
+	if worker.seq != observed.request.Heartbeat.Seq || worker.leaseExpirations != observed.leaseExpirations {
 		l.metrics.heartbeats.WithLabelValues("overtaken").Inc()
 		return fleet.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable, Message: "heartbeat was overtaken"}
 	}
 	prompt := len(acknowledged) > 0 || !worker.answered()
-	worker.answer(l.now(), l.hold(), l.driftMargin())
-	worker.answeredPromptly, worker.lostAtAnswer = prompt, l.lateness.lost
-	l.refresh(worker, l.now())
+	worker.answer(l.now(), l.leaseDuration(), l.driftMargin())
+	worker.answeredPromptly, worker.leaderStallAtAnswer = prompt, l.leaderStalls.total
+	l.refreshPlannerWorker(worker, l.now())
 	answer := api.HeartbeatAnswer{
 		Seq:            worker.seq,
 		Token:          l.token,
-		HoldMillis:     l.hold().Milliseconds(),
+		HoldMillis:     l.leaseDuration().Milliseconds(),
 		IntervalMillis: l.interval(prompt).Milliseconds(),
-		Start:          l.startOrders(ctx, worker),
-		Stop:           l.stopOrders(worker, observed.differences),
+		Start:          l.startAssignments(ctx, worker),
+		Stop:           l.stopRequests(worker, observed.differences),
 		Acknowledged:   acknowledged,
 		ConfigVersion:  l.configVersion,
 	}
@@ -204,12 +204,12 @@
 	return fleet.HeartbeatAnswer{Answer: answer}, nil
 }
 
-// startOrders gives each run placed on the worker its one order, if the caller
+// startAssignments gives each run placed on the worker its one order, if the caller
 // still waits for it.
-func (l *leader) startOrders(ctx context.Context, worker *workerEntry) []api.StartOrder {
+func (l *leader) startAssignments(ctx context.Context, worker *workerEntry) []api.StartOrder {
 	orders := []api.StartOrder{}
-	if worker.leaving() {
-		l.withdrawUnordered(worker)
+	if worker.isLeaving() {
+		l.revokeUnassigned(worker)
 		l.stopDeparting(worker, l.now())
 		return orders
 	}
@@ -217,36 +217,36 @@
 		return orders
 	}
 	for _, run := range worker.runs {
-		if run.orderedAt != 0 || run.inherited || run.closing || run.stop != record.StopNone {
+		if run.assignedSeq != 0 || run.inherited || run.closing || run.stop != record.StopNone {
 			continue
 		}
-		if run.lockstep && !l.mayOrderMember(run) {
+		if run.sharesOutcome && !l.mayAssignMember(run) {
 			continue
 		}
-		run.orderedAt = worker.seq
-		run.sentAt = l.now()
-		delete(l.health.withdrawn, run.id.Task)
-		orders = append(orders, run.order())
+		run.assignedSeq = worker.seq
+		run.assignedAt = l.now()
+		delete(l.health.revocations, run.id.Task)
+		orders = append(orders, run.assignment())
 	}
 	return orders
 }
 
 // order is the run's start order, with the job's payload filled in for a task
 // that has none.
-func (r *runState) order() api.StartOrder {
+func (r *runState) assignment() api.StartOrder {
 	order := api.StartOrder{RunRef: runRef(r.id), Spec: *r.spec}
 	order.Spec.Payload = r.payload
 	order.Checkpoint = r.checkpoint
 	return order
 }
 
-// stopOrders names what the worker must stop. It is repeated in each answer
+// stopRequests names what the worker must stop. It is repeated in each answer
 // until the worker lists the run no more.
-func (l *leader) stopOrders(worker *workerEntry, differences reconciliation) []api.RunRef {
+func (l *leader) stopRequests(worker *workerEntry, differences reconciliation) []api.RunRef {
 	stops := append([]api.RunRef{}, differences.unwanted...)
 	for _, run := range differences.dropped {
-		if run.droppedAt == 0 {
-			run.droppedAt = worker.seq
+		if run.droppedSeq == 0 {
+			run.droppedSeq = worker.seq
 		}
 		stops = append(stops, runRef(run.id))
 	}
@@ -268,5 +268,5 @@
 		return base
 	}
 	scaled := base * time.Duration(len(l.byName)) / workersPerBaseInterval
-	return min(max(base, scaled), max(base, l.hold()/intervalsPerHold))
+	return min(max(base, scaled), max(base, l.leaseDuration()/intervalsPerHold))
 }
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -49,10 +49,10 @@
 	return &api.Error{Status: http.StatusConflict, Code: api.CodeConflict, Message: "job " + id + " is known with other content"}
 }
 
-// impossible refuses tasks that no known worker could hold even when empty.
+// checkFeasible refuses tasks that no known worker could hold even when empty.
 // While no worker is known nothing can be said, and all is let in. Tasks in a
 // row that ask for the same are looked at once.
-func (l *leader) impossible(spec *api.JobSpec) error {
+func (l *leader) checkFeasible(spec *api.JobSpec) error {
 	workers := l.registeredWorkers()
 	if len(workers) == 0 {
 		return nil
@@ -92,7 +92,7 @@
 	if l.registered == nil {
 		l.registered = make([]placement.Worker, 0, len(l.byName))
 		for _, worker := range l.byName {
-			l.registered = append(l.registered, worker.planned(true))
+			l.registered = append(l.registered, worker.plannerWorker(true))
 		}
 	}
 	return l.registered
@@ -107,7 +107,7 @@
 	timer := time.NewTimer(time.Duration(request.WaitMillis) * time.Millisecond)
 	defer timer.Stop()
 	select {
-	case <-l.jobEnded(request.ID):
+	case <-l.jobEndedChannel(request.ID):
 	case <-timer.C:
 	case <-ctx.Done():
 	case <-l.context.Done():
@@ -165,8 +165,8 @@
 	}
 }
 
-// jobEnded returns a channel that is closed when the job is final.
-func (l *leader) jobEnded(id string) <-chan struct{} {
+// jobEndedChannel returns a channel that is closed when the job is final.
+func (l *leader) jobEndedChannel(id string) <-chan struct{} {
 	var ended <-chan struct{}
 	l.log.Record().Read(func(view record.View) {
 		_, live := view.Job(id)
--- a/internal/scheduler/lastroom_test.go
+++ b/internal/scheduler/lastroom_test.go
@@ -19,8 +19,8 @@
 	return step
 }
 
-// obey sends a heartbeat and stops what its answer tells to stop.
-func (w *fakeWorker) obey() {
+// obeyStops sends a heartbeat and stops what its answer tells to stop.
+func (w *fakeWorker) obeyStops() {
 	w.harness.t.Helper()
 	for _, stop := range w.exchange().Stop {
 		if at := slices.Index(w.heartbeat.Running, stop); at >= 0 {
@@ -30,8 +30,8 @@
 	}
 }
 
-// suspect makes a worker suspect by runs that fail there, and returns the others.
-func (h *harness) suspect(count int) (suspect *fakeWorker, others []*fakeWorker) {
+// suspectWorker makes a worker suspect by runs that fail there, and returns the others.
+func (h *harness) suspectWorker(count int) (suspect *fakeWorker, others []*fakeWorker) {
 	h.t.Helper()
 	workers := h.fleetOf(count)
 	for i := range 3 {
@@ -51,11 +51,11 @@
 	return workers[0], workers[1:]
 }
 
-// TestEndlessTasksRunOnASuspectWorkerIfNoOtherHasRoom: its suspicion may last for a
+// TestEndlessTask_RunsOnSuspectWorkerWithoutOtherCapacity: its suspicion may last for a
 // minute.
-func TestEndlessTasksRunOnASuspectWorkerIfNoOtherHasRoom(t *testing.T) {
+func TestEndlessTask_RunsOnSuspectWorkerWithoutOtherCapacity(t *testing.T) {
 	h := newHarness(t)
-	suspect, others := h.suspect(2)
+	suspect, others := h.suspectWorker(2)
 	h.submit("full", tasks(1))
 	h.submit("endless", endlessTasks(3))
 	others[0].exchange()
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestEndlessTaskIsSoonBackOnASuspectWorker: it fails wherever it runs, and the one
+// TestEndlessTask_SoonRunsAgainOnSuspectWorker: it fails wherever it runs, and the one
 // worker with room is suspect for as long as can be.
-func TestEndlessTaskIsSoonBackOnASuspectWorker(t *testing.T) {
+func TestEndlessTask_SoonRunsAgainOnSuspectWorker(t *testing.T) {
 	h := newHarness(t)
 	workers := h.fleetOf(2)
 	workers[1].heartbeat.Capacity = api.Resources{CPUMillis: 2000, MemoryMB: 2000}
@@ -90,7 +90,7 @@
 			if i == 0 {
 				worker.end(api.OutcomeFailed)
 			}
-			worker.obey()
+			worker.obeyStops()
 		}
 		waits += 200 * time.Millisecond
 		if len(workers[0].heartbeat.Running) > 0 {
@@ -102,7 +102,7 @@
 	if longest > 3*time.Second {
 		t.Errorf("none of the tasks ran for %v", longest)
 	}
-	if standing := h.leader.workers["a-1"].verdict.Standing; standing == workerhealth.Trusted {
+	if standing := h.leader.workers["a-1"].health.Standing; standing == workerhealth.Trusted {
 		t.Errorf("worker a is %s", standing)
 	}
 }
--- a/internal/scheduler/lateness_test.go
+++ b/internal/scheduler/lateness_test.go
@@ -12,18 +12,18 @@
 // which a worker counts as silent, and far from a hold.
 const ownPause = longSilence * testBeat
 
-// standStill lets time pass in which neither the leader's loops nor any heartbeat are
+// stallLeader lets time pass in which neither the leader's loops nor any heartbeat are
 // served, and then has the loops run.
-func (h *harness) standStill(pause time.Duration) {
-	h.leader.noteTick()
+func (h *harness) stallLeader(pause time.Duration) {
+	h.leader.observeTick()
 	h.now += pause
-	h.leader.noteTick()
+	h.leader.observeTick()
 	h.advance(0)
 }
 
-// manyWithUnorderedRuns are workers that were answered, of which each has a run that
+// fleetWithUnassignedRuns are workers that were answered, of which each has a run that
 // was not ordered yet.
-func manyWithUnorderedRuns(t *testing.T, count int) (*harness, []*fakeWorker) {
+func fleetWithUnassignedRuns(t *testing.T, count int) (*harness, []*fakeWorker) {
 	t.Helper()
 	h := newHarness(t)
 	workers := make([]*fakeWorker, count)
@@ -36,18 +36,18 @@
 	return h, workers
 }
 
-// TestPauseOfTheLeaderIsNoSilence: after the leader itself stood still, heartbeats
+// TestLeaderStall_IsNoMissedHeartbeat: after the leader itself stood still, heartbeats
 // that came meanwhile are read one after the other. The workers that are not read yet
 // are not silent, although half of them were heard already.
-func TestPauseOfTheLeaderIsNoSilence(t *testing.T) {
+func TestLeaderStall_IsNoMissedHeartbeat(t *testing.T) {
 	for _, pause := range []time.Duration{ownPause, 2 * ownPause, 2500 * time.Millisecond} {
-		h, workers := manyWithUnorderedRuns(t, 10)
-		h.standStill(pause)
+		h, workers := fleetWithUnassignedRuns(t, 10)
+		h.stallLeader(pause)
 		for _, worker := range workers {
 			worker.exchange()
 		}
-		if withdrawn := testutil.ToFloat64(h.leader.metrics.runsWithdrawn); withdrawn != 0 {
-			t.Errorf("pause of %v: %v runs withdrawn from workers that were not read yet", pause, withdrawn)
+		if revoked := testutil.ToFloat64(h.leader.metrics.runsRevoked); revoked != 0 {
+			t.Errorf("pause of %v: %v runs withdrawn from workers that were not read yet", pause, revoked)
 		}
 		for index := range 40 {
 			if task := h.task("j", index); task.Run != 1 {
@@ -57,27 +57,27 @@
 	}
 }
 
-// TestWorkerThatFallsSilentInAPauseIsFound: a worker that is not heard once the leader
+// TestLeaderStall_MissingWorkerIsStillFound: a worker that is not heard once the leader
 // goes on is silent as soon as it would be without the pause.
-func TestWorkerThatFallsSilentInAPauseIsFound(t *testing.T) {
-	h, workers := manyWithUnorderedRuns(t, 10)
-	h.standStill(ownPause)
+func TestLeaderStall_MissingWorkerIsStillFound(t *testing.T) {
+	h, workers := fleetWithUnassignedRuns(t, 10)
+	h.stallLeader(ownPause)
 	for range longSilence + 1 {
 		for _, worker := range workers[1:] {
 			worker.exchange()
 		}
 		h.advance(testBeat)
 	}
-	if withdrawn := testutil.ToFloat64(h.leader.metrics.runsWithdrawn); withdrawn != 4 {
-		t.Errorf("%v runs withdrawn, want the 4 of the worker that is gone", withdrawn)
+	if revoked := testutil.ToFloat64(h.leader.metrics.runsRevoked); revoked != 4 {
+		t.Errorf("%v runs withdrawn, want the 4 of the worker that is gone", revoked)
 	}
 }
 
-// TestSlowReadingIsNoSilence: a leader that reads each heartbeat three intervals after
+// TestLeaderStall_SlowReadingIsNoMissedHeartbeat: a leader that reads each heartbeat three intervals after
 // the answer before it, as one does whose processor is too small, takes none of its
 // workers for silent once it has seen that pace.
-func TestSlowReadingIsNoSilence(t *testing.T) {
-	h, workers := manyWithUnorderedRuns(t, 40)
+func TestLeaderStall_SlowReadingIsNoMissedHeartbeat(t *testing.T) {
+	h, workers := fleetWithUnassignedRuns(t, 40)
 	const rounds = 8
 	for range rounds {
 		for _, worker := range workers {
@@ -86,24 +86,24 @@
 		}
 	}
 	h.submit("k", tasks(4))
-	before := testutil.ToFloat64(h.leader.metrics.runsWithdrawn)
+	before := testutil.ToFloat64(h.leader.metrics.runsRevoked)
 	for _, worker := range workers {
-		if h.leader.silent(h.leader.workers[worker.heartbeat.WorkerID], h.now) {
+		if h.leader.missesHeartbeats(h.leader.workers[worker.heartbeat.WorkerID], h.now) {
 			t.Errorf("%s counts as silent at the pace of all", worker.heartbeat.Name)
 		}
 	}
-	if after := testutil.ToFloat64(h.leader.metrics.runsWithdrawn); after != before {
+	if after := testutil.ToFloat64(h.leader.metrics.runsRevoked); after != before {
 		t.Errorf("%v runs withdrawn", after-before)
 	}
 }
 
-// TestLateTicksAreCounted: ticks that come a little late are as timers are.
-func TestLateTicksAreCounted(t *testing.T) {
+// TestLeaderStall_LateTicksAreCounted: ticks that come a little late are as timers are.
+func TestLeaderStall_LateTicksAreCounted(t *testing.T) {
 	h := newHarness(t)
 	tickAfter := func(pause time.Duration) float64 {
 		before := testutil.ToFloat64(h.leader.metrics.lateSeconds)
 		h.now += pause
-		h.leader.noteTick()
+		h.leader.observeTick()
 		return testutil.ToFloat64(h.leader.metrics.lateSeconds) - before
 	}
 	if late := tickAfter(time.Hour); late != 0 {
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -28,7 +28,7 @@
 // leader is one term as acting scheduler.
 //
 // Lock order: the record's lock comes before mu, since the record calls
-// onEvent under its lock. So nothing that holds mu may read the record.
+// handleEvent under its lock. So nothing that holds mu may read the record.
 type leader struct {
 	token   uint64
 	log     replica.Log
@@ -59,8 +59,8 @@
 	// workers are incarnations by worker id; byName the registered ones.
 	workers map[string]*workerEntry
 	byName  map[string]*workerEntry
-	// occupants are, by place, the incarnations that were last proven to live.
-	occupants map[string]*workerEntry
+	// currentByAddress are, by place, the incarnations that were last proven to live.
+	currentByAddress map[string]*workerEntry
 	// registered is the list of byName for admission; nil after a change.
 	registered []placement.Worker
 	runs       map[record.RunID]*runState
@@ -74,14 +74,14 @@
 	ranks taskTimers
 	// chains are the estimates of live jobs.
 	chains map[string]objective.CriticalPaths
-	groups map[record.StepID]*groupState
-	// starting are the groups in lockstep not all of whose members have started.
-	starting map[record.StepID]*groupState
-	health   health
-	intake   intake
-	lateness lateness
-	// notBegun are the jobs of which nothing was seen to have begun.
-	notBegun notBegun
+	gangs  map[record.StepID]*gangState
+	// startingGangs are the groups in lockstep not all of whose members have started.
+	startingGangs map[record.StepID]*gangState
+	health        healthReview
+	slo           sloTracker
+	leaderStalls  stallTracker
+	// pendingStarts are the jobs of which nothing was seen to have begun.
+	pendingStarts pendingStarts
 	// submitting are the submissions being committed.
 	submitting submissions
 	// pendingCloses and pendingStops are the leader's own commands that wait
@@ -123,50 +123,50 @@
 
 func newLeader(config leaderConfig) *leader {
 	return &leader{
-		token:         config.Leadership.Token,
-		log:           config.Log,
-		archive:       config.Archive,
-		archiveBytes:  config.ArchiveBytes,
-		logger:        config.Logger.With(slog.Uint64("token", config.Leadership.Token)),
-		metrics:       config.Metrics,
-		now:           config.Now,
-		context:       config.Leadership.Context,
-		off:           config.Off,
-		wakePlanner:   make(chan struct{}, 1),
-		wakeProposer:  make(chan struct{}, 1),
-		planner:       config.Planner,
-		configChanged: make(chan struct{}),
-		workers:       make(map[string]*workerEntry),
-		byName:        make(map[string]*workerEntry),
-		occupants:     make(map[string]*workerEntry),
-		runs:          make(map[record.RunID]*runState),
-		openByTask:    make(map[record.TaskID]*runState),
-		preemptOnOpen: make(map[record.TaskID]bool),
-		calendar:      calendar{released: make(map[string]time.Time)},
-		waiting:       make(map[record.TaskID]*waitingTask),
-		health:        newHealth(),
-		intake:        newIntake(),
-		notBegun:      newNotBegun(),
-		submitting:    newSubmissions(),
-		chains:        make(map[string]objective.CriticalPaths),
-		groups:        make(map[record.StepID]*groupState),
-		starting:      make(map[record.StepID]*groupState),
-		repeats:       newRepeats(),
-		jobWaiters:    make(map[string]chan struct{}),
-		processes:     make(map[string]*processEntry),
-		pendingEnds:   make(map[record.RunID]bool),
-		pendingStops:  make(map[record.StopReason][]record.RunID),
-		startedAt:     config.Now(),
+		token:            config.Leadership.Token,
+		log:              config.Log,
+		archive:          config.Archive,
+		archiveBytes:     config.ArchiveBytes,
+		logger:           config.Logger.With(slog.Uint64("token", config.Leadership.Token)),
+		metrics:          config.Metrics,
+		now:              config.Now,
+		context:          config.Leadership.Context,
+		off:              config.Off,
+		wakePlanner:      make(chan struct{}, 1),
+		wakeProposer:     make(chan struct{}, 1),
+		planner:          config.Planner,
+		configChanged:    make(chan struct{}),
+		workers:          make(map[string]*workerEntry),
+		byName:           make(map[string]*workerEntry),
+		currentByAddress: make(map[string]*workerEntry),
+		runs:             make(map[record.RunID]*runState),
+		openByTask:       make(map[record.TaskID]*runState),
+		preemptOnOpen:    make(map[record.TaskID]bool),
+		calendar:         calendar{released: make(map[string]time.Time)},
+		waiting:          make(map[record.TaskID]*waitingTask),
+		health:           newHealthReview(),
+		slo:              newSLOTracker(),
+		pendingStarts:    newPendingStarts(),
+		submitting:       newSubmissions(),
+		chains:           make(map[string]objective.CriticalPaths),
+		gangs:            make(map[record.StepID]*gangState),
+		startingGangs:    make(map[record.StepID]*gangState),
+		repeats:          newRepeats(),
+		jobWaiters:       make(map[string]chan struct{}),
+		processes:        make(map[string]*processEntry),
+		pendingEnds:      make(map[record.RunID]bool),
+		pendingStops:     make(map[record.StopReason][]record.RunID),
+		startedAt:        config.Now(),
 	}
 }
 
 // run works until the term ends. ready is called once calls can be served.
 func (l *leader) run(ready func()) {
-	stopObserving := l.log.Record().Observe(l.load, l.onEvent)
+	stopObserving := l.log.Record().Observe(l.load, l.handleEvent)
 	defer stopObserving()
 	ready()
 	var loops sync.WaitGroup
-	loops.Go(func() { l.every(tickInterval, l.noteTick, l.tick) })
+	loops.Go(func() { l.every(tickInterval, l.observeTick, l.tick) })
 	loops.Go(l.planLoop)
 	loops.Go(l.proposeLoop)
 	loops.Go(func() { l.every(expireInterval, l.expireArchive) })
@@ -180,27 +180,27 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	version, config := view.Config()
-	l.setConfig(version, config)
+	l.configChangedTo(version, config)
 	for _, window := range view.ReleasedWindows() {
 		l.windowReleased(window)
 	}
 	l.drainedZones = slices.Clone(view.DrainedZones())
 	for worker := range view.Workers() {
-		l.setWorkerInfo(worker)
+		l.workerRegistered(worker)
 	}
-	holdsUntil := l.startedAt + l.hold() + l.driftMargin()
+	holdsUntil := l.startedAt + l.leaseDuration() + l.driftMargin()
 	for open := range view.AllOpenRuns() {
-		run := l.openRun(open, true)
+		run := l.runOpened(open, true)
 		run.openedAt -= time.Duration(view.Clock()-open.PlacedAt) * time.Millisecond
 		if worker, known := l.workers[run.workerID]; known {
-			worker.holdUntil(holdsUntil)
+			worker.extendLease(holdsUntil)
 		}
 	}
 	for job := range view.Jobs("") {
 		l.repeats.add(job)
-		l.noteJob(job)
-		if !mayHaveBegun(job) {
-			l.notBegun.add(job)
+		l.observeChain(job)
+		if !mayHaveStarted(job) {
+			l.pendingStarts.add(job)
 		}
 		for _, step := range job.Steps {
 			l.loadStep(step)
@@ -209,8 +209,8 @@
 	l.wake()
 }
 
-// hold is how long an answer lets a worker run on.
-func (l *leader) hold() time.Duration { return l.config.Timings.Hold.Std() }
+// leaseDuration is how long an answer lets a worker run on.
+func (l *leader) leaseDuration() time.Duration { return l.config.Timings.Hold.Std() }
 
 func (l *leader) driftMargin() time.Duration { return l.config.Timings.DriftMargin.Std() }
 
@@ -271,25 +271,25 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	l.lapseHolds(now)
-	l.refreshUsable(now)
-	l.withdrawFromSilent(now)
+	l.expireLeases(now)
+	l.refreshPlannerWorkers(now)
+	l.revokeOnMissedHeartbeats(now)
 	l.stopDrained(now)
-	l.breakLateGroups(now)
+	l.breakLateGangs(now)
 	l.stopAllDeparting(now)
 	l.reviewHealth(now)
-	l.reviewIntake(now)
+	l.reviewSLO(now)
 	l.planner.SetTime(clusterNow)
 	l.refreshReservations(clusterNow)
 	l.refreshRanks(clusterNow)
 	l.releaseTimers(clusterNow)
-	l.expandLater(clusterNow)
+	l.enqueueExpansions(clusterNow)
 	// The planner makes room step by step, and goes on although nothing came.
 	l.wake()
 }
 
-// closeLater queues the closing of a run that no report asks for.
-func (l *leader) closeLater(run *runState, message string) {
+// enqueueClose queues the closing of a run that no report asks for.
+func (l *leader) enqueueClose(run *runState, message string) {
 	if run.closing {
 		return
 	}
@@ -300,8 +300,8 @@
 	signal(l.wakeProposer)
 }
 
-// stopLater queues the stopping of a run.
-func (l *leader) stopLater(run *runState, reason record.StopReason) {
+// enqueueStop queues the stopping of a run.
+func (l *leader) enqueueStop(run *runState, reason record.StopReason) {
 	if run.stop != record.StopNone || run.closing {
 		return
 	}
@@ -310,7 +310,7 @@
 	signal(l.wakeProposer)
 }
 
-// proposeLoop commits what closeLater, endLater and stopLater have queued.
+// proposeLoop commits what enqueueClose, enqueueEnds and enqueueStop have queued.
 func (l *leader) proposeLoop() {
 	for {
 		select {
@@ -335,7 +335,7 @@
 	if len(closes) > 0 {
 		l.proposeUntilDone("close", record.Command{CloseRuns: &record.CloseRuns{Runs: closes}})
 	}
-	l.expand(expansions)
+	l.proposeExpansions(expansions)
 	for reason, runs := range stops {
 		l.proposeUntilDone("stop", record.Command{StopRuns: &record.StopRuns{Runs: runs, Reason: reason}})
 	}
--- a/internal/scheduler/leader_test.go
+++ b/internal/scheduler/leader_test.go
@@ -19,7 +19,7 @@
 	testMargin = 300 * time.Millisecond
 )
 
-func TestRunIsOrderedOnceAndAcknowledgedAfterCommit(t *testing.T) {
+func TestAssignment_GivenOnceAndAcknowledgedAfterCommit(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestOrderInAnUnacceptedAnswerIsPlacedAnew(t *testing.T) {
+func TestAssignment_InUnacceptedAnswerIsPlacedAgain(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestRepeatedSeqGetsNothing(t *testing.T) {
+func TestHeartbeat_RepeatedSeqGetsNothing(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestSilentWorkerLosesRunsOnlyAfterHoldAndMargin(t *testing.T) {
+func TestLease_RunsAreLostOnlyAfterExpiryAndDriftMargin(t *testing.T) {
 	h := newHarness(t)
 	h.running("a", 1)
 	other := h.worker("b", "b-1")
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestNewTermTakesEveryWorkerAsHolding(t *testing.T) {
+func TestLease_NewTermAssumesEveryWorkerHoldsOne(t *testing.T) {
 	h := newHarness(t)
 	h.running("a", 1)
 	other := h.worker("b", "b-1")
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestNewTermReconcilesWhatWorkersList(t *testing.T) {
+func TestReconcile_NewTermUsesWhatWorkersList(t *testing.T) {
 	h := newHarness(t)
 	keeper, dropper := h.worker("a", "a-1"), h.worker("b", "b-1")
 	keeper.exchange()
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestReadyGateHoldsBackPlacement(t *testing.T) {
+func TestPlacement_WaitsForFirstAnswer(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestSecondHeartbeatFollowsTheFirstSoon: only the second one brings orders, since
+// TestHeartbeat_SecondFollowsFirstPromptly: only the second one brings orders, since
 // the first opens the ready gate.
-func TestSecondHeartbeatFollowsTheFirstSoon(t *testing.T) {
+func TestHeartbeat_SecondFollowsFirstPromptly(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("a", "a-1")
 	for term := range 2 {
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestNewIncarnationWaitsForTheOldHold(t *testing.T) {
+func TestLease_NewIncarnationWaitsForOldExpiry(t *testing.T) {
 	h := newHarness(t)
 	earlier := h.running("w", 1)
 	later := h.worker("w", "w-2")
@@ -176,7 +176,7 @@
 	}
 }
 
-func TestNoOrderWithoutLease(t *testing.T) {
+func TestAssignment_NotGivenWithoutLeaderLease(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestWorkerWhoseAnswersDoNotArriveGetsNoNewWork(t *testing.T) {
+func TestPlacement_UnacceptedAnswersStopNewWork(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestDrainWithdrawsAndStops(t *testing.T) {
+func TestDrains_RevokeAndStop(t *testing.T) {
 	h := newHarness(t)
 	worker, other := h.worker("a", "a-1"), h.worker("b", "b-1")
 	worker.exchange()
@@ -229,14 +229,14 @@
 	}
 }
 
-func TestGroupGoesBackWholeWhenOneOrderIsLost(t *testing.T) {
+func TestGang_LostAssignmentRequeuesWholeGang(t *testing.T) {
 	h := newHarness(t)
 	first, second := h.worker("a", "a-1"), h.worker("b", "b-1")
 	first.exchange()
 	second.exchange()
-	group := tasks(8) // fills both workers
-	group.Together = true
-	h.submit("g", group)
+	gang := tasks(8) // fills both workers
+	gang.Together = true
+	h.submit("g", gang)
 	if answer := first.exchange(); len(answer.Start) != 4 {
 		t.Fatalf("want 4 members here, got %+v", answer.Start)
 	}
@@ -258,7 +258,7 @@
 	}
 }
 
-func TestCancelStopsAndStartsNothing(t *testing.T) {
+func TestCancel_StopsRunsAndStartsNone(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -278,7 +278,7 @@
 	}
 }
 
-func TestTimedStepWaitsForTheClusterClock(t *testing.T) {
+func TestTimers_StepWaitsForClusterClock(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -296,7 +296,7 @@
 	}
 }
 
-func TestSubmitRefusals(t *testing.T) {
+func TestSubmit_InvalidJobIsRefused(t *testing.T) {
 	h := newHarness(t)
 	h.worker("w", "w-1").exchange()
 	h.submit("j", tasks(1))
@@ -327,7 +327,7 @@
 	}
 }
 
-func TestLimitsOnWaitingTasks(t *testing.T) {
+func TestAdmission_PendingTaskLimits(t *testing.T) {
 	h := newHarness(t)
 	h.putConfig(api.Config{
 		Queues: []api.QueueConfig{{Name: "q", MaxPendingTasks: 6, Team: "t"}},
@@ -352,9 +352,9 @@
 	}
 }
 
-// TestSilenceCountsFromTheTerm: a worker that a new leader never heard was silent
+// TestWorkerStatus_LastSeenCountsFromTerm: a worker that a new leader never heard was silent
 // since the term began, not since the process did.
-func TestSilenceCountsFromTheTerm(t *testing.T) {
+func TestWorkerStatus_LastSeenCountsFromTerm(t *testing.T) {
 	h := newHarness(t)
 	var lines bytes.Buffer
 	h.worker("w", "w-1").exchange()
--- a/internal/scheduler/localitywait.go
+++ b/internal/scheduler/localitywait.go
@@ -13,8 +13,8 @@
 // spare.
 
 const (
-	// longestLocalityWait is the longest wait for a preferred worker.
-	longestLocalityWait = 300 * time.Millisecond
+	// maxLocalityWait is the longest wait for a preferred worker.
+	maxLocalityWait = 300 * time.Millisecond
 	// localityWaitOfSlack: a task waits for one part in so many of the time that is left
 	// until its latest start.
 	localityWaitOfSlack = 4
@@ -44,7 +44,7 @@
 	if len(spec.Prefer) == 0 || e.task.UntilCancelled || len(e.task.Avoid) > 0 || e.nextRun > 1 {
 		return 0
 	}
-	wait := record.MillisOf(longestLocalityWait)
+	wait := record.MillisOf(maxLocalityWait)
 	if estimate := spec.Estimate.Std(); estimate > 0 {
 		wait = min(wait, record.MillisOf(estimate))
 	}
@@ -69,7 +69,7 @@
 	if entry.task.WaitsForPreferred == waits {
 		return
 	}
-	wishes := *entry.task.Wishes
-	wishes.WaitsForPreferred = waits
-	entry.task.Wishes = &wishes
+	preferences := *entry.task.Wishes
+	preferences.WaitsForPreferred = waits
+	entry.task.Wishes = &preferences
 }
--- a/internal/scheduler/localitywait_test.go
+++ b/internal/scheduler/localitywait_test.go
@@ -28,14 +28,14 @@
 	return step
 }
 
-func TestTaskWaitsForItsRackForABoundedTime(t *testing.T) {
+func TestLocalityWait_IsBounded(t *testing.T) {
 	cases := []struct {
 		name      string
 		estimate  time.Duration
 		objective time.Duration
 		waits     time.Duration
 	}{
-		{"the longest time", 10 * time.Second, time.Minute, longestLocalityWait},
+		{"the longest time", 10 * time.Second, time.Minute, maxLocalityWait},
 		{"for its estimate", 150 * time.Millisecond, time.Minute, 150 * time.Millisecond},
 		{"for a part of its slack", 400 * time.Millisecond, 800 * time.Millisecond, 100 * time.Millisecond},
 		{"not at all if it is late", 10 * time.Second, time.Second, 0},
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestTaskTakesItsRackOnceThereIsRoom(t *testing.T) {
+func TestLocalityWait_UsesPreferredRackOnceFree(t *testing.T) {
 	h := newHarness(t)
 	x, y := h.racks()
 	h.submit("first", nearRack("x", time.Second))
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestRetryDoesNotWaitForItsRack: it would go back to where it failed.
-func TestRetryDoesNotWaitForItsRack(t *testing.T) {
+// TestLocalityWait_RetryDoesNotWait: it would go back to where it failed.
+func TestLocalityWait_RetryDoesNotWait(t *testing.T) {
 	h := newHarness(t)
 	x, y := h.racks()
 	step := nearRack("x", time.Second)
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestChangedOrderEndsTheWaitForARack: the wait's timer goes with the order of queues.
-func TestChangedOrderEndsTheWaitForARack(t *testing.T) {
+// TestLocalityWait_ChangedQueueOrderEndsIt: the wait's timer goes with the order of queues.
+func TestLocalityWait_ChangedQueueOrderEndsIt(t *testing.T) {
 	h := newHarness(t)
 	x, y := h.racks()
 	h.submit("first", nearRack("x", time.Second))
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestRunsAwayFromTheirRackAreNoSignOfASlowWorker: they take three times as long as
+// TestHealthReview_RunsOutsidePreferredRackGiveNoPace: they take three times as long as
 // usual on worker y, which is sound.
-func TestRunsAwayFromTheirRackAreNoSignOfASlowWorker(t *testing.T) {
+func TestHealthReview_RunsOutsidePreferredRackGiveNoPace(t *testing.T) {
 	for prefers, slow := range map[string]bool{"x": false, "y": true} {
 		t.Run("near "+prefers, func(t *testing.T) {
 			h := newHarness(t)
--- a/internal/scheduler/lockstep.go
+++ b/internal/scheduler/lockstep.go
@@ -8,121 +8,121 @@
 )
 
 const (
-	// groupStartBound is how long a group in lockstep may take from when its
+	// gangStartTimeout is how long a group in lockstep may take from when its
 	// orders begin to go out, or from its placement if they do not, until all
 	// its members were seen started. Beyond it the group goes back whole, so
 	// that none waits for the others until its worker gives up: workers may do
 	// so 3 s after the first member began, and a stop takes up to a second.
-	groupStartBound = 2 * time.Second
-	// groupHeardIntervals: orders of a group go out only if each member's worker
+	gangStartTimeout = 2 * time.Second
+	// gangSeenIntervals: orders of a group go out only if each member's worker
 	// was heard within this many heartbeat intervals, so that all are out within
 	// about one.
-	groupHeardIntervals = 2
+	gangSeenIntervals = 2
 )
 
-// lockstepRunOpened begins to watch that the group starts whole. A group that
+// commonOutcomeRunOpened begins to watch that the group starts whole. A group that
 // an earlier leader placed longer ago than the bound counts as started: that
 // leader watched it, and the holds of its workers guard it now.
-func (l *leader) lockstepRunOpened(group *groupState, run *runState, open *record.Run) {
-	group.lockstep = true
-	if len(group.open) == 1 {
-		group.released = run.inherited
+func (l *leader) commonOutcomeRunOpened(gang *gangState, run *runState, open *record.Run) {
+	gang.sharesOutcome = true
+	if len(gang.open) == 1 {
+		gang.released = run.inherited
 	}
 	if !run.inherited {
-		l.watchStart(group)
+		l.watchStart(gang)
 		return
 	}
 	age := time.Duration(l.log.Now()-open.PlacedAt) * time.Millisecond
-	if age <= groupStartBound {
-		l.watchStart(group)
+	if age <= gangStartTimeout {
+		l.watchStart(gang)
 	}
 }
 
-func (l *leader) watchStart(group *groupState) {
-	if _, watched := l.starting[group.key]; watched {
+func (l *leader) watchStart(gang *gangState) {
+	if _, watched := l.startingGangs[gang.key]; watched {
 		return
 	}
-	group.startBy = l.now() + groupStartBound
-	l.starting[group.key] = group
+	gang.startBy = l.now() + gangStartTimeout
+	l.startingGangs[gang.key] = gang
 }
 
-// noteStarted ends the watch once every member was seen started.
-func (l *leader) noteStarted(group *groupState) {
-	if group.lockstep && group.allStarted() {
-		delete(l.starting, group.key)
+// stopWatchingIfStarted ends the watch once every member was seen started.
+func (l *leader) stopWatchingIfStarted(gang *gangState) {
+	if gang.sharesOutcome && gang.allStarted() {
+		delete(l.startingGangs, gang.key)
 	}
 }
 
-// mayOrderMember tells whether the order of a member may be given now: the
+// mayAssignMember tells whether the order of a member may be given now: the
 // orders of its group are going out, or the workers of all its members can be
 // given theirs within about a heartbeat interval.
-func (l *leader) mayOrderMember(run *runState) bool {
-	group := l.groups[run.step]
-	if group.released {
+func (l *leader) mayAssignMember(run *runState) bool {
+	gang := l.gangs[run.step]
+	if gang.released {
 		return true
 	}
-	if len(group.open) != group.size {
+	if len(gang.open) != gang.size {
 		return false // the mirror is still taking over the placement
 	}
 	now := l.now()
-	for id := range group.open {
-		if !l.takesOrderSoon(l.runs[id], now) {
+	for id := range gang.open {
+		if !l.canReceiveAssignmentSoon(l.runs[id], now) {
 			return false
 		}
 	}
-	group.released = true
-	group.startBy = now + groupStartBound
+	gang.released = true
+	gang.startBy = now + gangStartTimeout
 	return true
 }
 
-// takesOrderSoon tells whether the worker of a run can be expected to take an
+// canReceiveAssignmentSoon tells whether the worker of a run can be expected to take an
 // order with its next heartbeat.
-func (l *leader) takesOrderSoon(run *runState, now time.Duration) bool {
+func (l *leader) canReceiveAssignmentSoon(run *runState, now time.Duration) bool {
 	if run.closing || run.stop != record.StopNone {
 		return false
 	}
 	worker := l.workers[run.workerID]
-	within := groupHeardIntervals * l.interval(false)
-	return worker.canTakeWork(now, l.hold()) && worker.heardWithin(now, within)
+	within := gangSeenIntervals * l.interval(false)
+	return worker.canTakeWork(now, l.leaseDuration()) && worker.seenWithin(now, within)
 }
 
-// breakLateGroups sends groups back that did not start whole in time.
-func (l *leader) breakLateGroups(now time.Duration) {
-	for key, group := range l.starting {
-		if now < group.startBy {
+// breakLateGangs sends groups back that did not start whole in time.
+func (l *leader) breakLateGangs(now time.Duration) {
+	for key, gang := range l.startingGangs {
+		if now < gang.startBy {
 			continue
 		}
 		l.logger.Warn("group did not start whole in time", slog.String("group", key.String()),
-			slog.Int("members", len(group.open)), slog.Bool("ordered", group.released))
-		delete(l.starting, key)
-		l.avoidLateWorkers(group)
-		l.breakGroup(group)
+			slog.Int("members", len(gang.open)), slog.Bool("ordered", gang.released))
+		delete(l.startingGangs, key)
+		l.avoidLateWorkers(gang)
+		l.breakGang(gang)
 	}
 }
 
 // avoidLateWorkers has the group run elsewhere if it can than on the workers that kept it
 // from starting whole: those that were not heard in time to take their orders, or to
 // tell that they have started.
-func (l *leader) avoidLateWorkers(group *groupState) {
+func (l *leader) avoidLateWorkers(gang *gangState) {
 	now := l.now()
-	for id, started := range group.open {
+	for id, started := range gang.open {
 		run := l.runs[id]
 		isStopped := run.closing || run.stop != record.StopNone
-		if started || isStopped || !group.released && l.takesOrderSoon(run, now) {
+		if started || isStopped || !gang.released && l.canReceiveAssignmentSoon(run, now) {
 			continue
 		}
-		for member := range group.open {
-			l.health.failedOn.note(member.Task, l.workers[run.workerID].info.Name)
+		for member := range gang.open {
+			l.health.failedWorkers.add(member.Task, l.workers[run.workerID].info.Name)
 		}
 	}
 }
 
-// dropGroup forgets the group of a step whose job has ended.
-func (l *leader) dropGroup(step *record.Step) {
+// dropGang forgets the group of a step whose job has ended.
+func (l *leader) dropGang(step *record.Step) {
 	if len(step.Tasks) == 0 {
 		return
 	}
 	key := step.Tasks[0].ID.StepID()
-	delete(l.groups, key)
-	delete(l.starting, key)
+	delete(l.gangs, key)
+	delete(l.startingGangs, key)
 }
--- a/internal/scheduler/lockstep_test.go
+++ b/internal/scheduler/lockstep_test.go
@@ -8,15 +8,15 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// lockstepPair submits a group in lockstep that fills two workers, which have
+// commonOutcomePair submits a group in lockstep that fills two workers, which have
 // been answered.
-func lockstepPair(h *harness) (first, second *fakeWorker) {
+func commonOutcomePair(h *harness) (first, second *fakeWorker) {
 	first, second = h.worker("a", "a-1"), h.worker("b", "b-1")
 	first.exchange()
 	second.exchange()
-	group := tasks(8)
-	group.Lockstep = true
-	h.submit("g", group)
+	gang := tasks(8)
+	gang.Lockstep = true
+	h.submit("g", gang)
 	return first, second
 }
 
@@ -33,10 +33,10 @@
 	}
 }
 
-func TestLockstepFailureOfOneRunsTheGroupAgainWhole(t *testing.T) {
+func TestCommonOutcome_FailureOfOneRerunsWholeGang(t *testing.T) {
 	h := newHarness(t)
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q", DefaultAllowedFailures: 2}}})
-	first, second := lockstepPair(h)
+	first, second := commonOutcomePair(h)
 	wantRun(t, first.exchange(), 4, 1)
 	wantRun(t, second.exchange(), 4, 1)
 	first.exchange()
@@ -65,9 +65,9 @@
 	}
 }
 
-func TestLockstepSuccessEndsTheGroup(t *testing.T) {
+func TestCommonOutcome_SuccessEndsGang(t *testing.T) {
 	h := newHarness(t)
-	first, second := lockstepPair(h)
+	first, second := commonOutcomePair(h)
 	first.exchange()
 	second.exchange()
 	first.end(api.OutcomeSucceeded)
@@ -89,20 +89,20 @@
 	}
 }
 
-func TestLockstepOrdersWaitUntilEveryWorkerWasHeard(t *testing.T) {
+func TestCommonOutcome_AssignmentsWaitForEveryWorker(t *testing.T) {
 	h := newHarness(t)
-	first, second := lockstepPair(h)
-	h.advance(groupHeardIntervals*h.leader.interval(false) + time.Millisecond)
+	first, second := commonOutcomePair(h)
+	h.advance(gangSeenIntervals*h.leader.interval(false) + time.Millisecond)
 	wantRun(t, first.exchange(), 0, 0)
 	wantRun(t, second.exchange(), 4, 1) // both were heard now
 	wantRun(t, first.exchange(), 4, 1)
 }
 
-func TestLockstepGoesBackWholeIfOneDoesNotStartInTime(t *testing.T) {
+func TestCommonOutcome_LateStartRequeuesWholeGang(t *testing.T) {
 	h := newHarness(t)
-	first, second := lockstepPair(h)
+	first, second := commonOutcomePair(h)
 	wantRun(t, first.exchange(), 4, 1)
-	h.advance(groupStartBound - time.Millisecond) // the other worker is silent
+	h.advance(gangStartTimeout - time.Millisecond) // the other worker is silent
 	if answer := first.exchange(); len(answer.Stop) != 0 {
 		t.Fatalf("broken before the bound: %+v", answer.Stop)
 	}
@@ -117,12 +117,12 @@
 	wantRun(t, second.exchange(), 4, 2)
 }
 
-func TestLockstepOrdersThatNeverGoOutAreTakenBack(t *testing.T) {
+func TestCommonOutcome_UnreleasedAssignmentsAreRevoked(t *testing.T) {
 	h := newHarness(t)
-	first, _ := lockstepPair(h)
+	first, _ := commonOutcomePair(h)
 	h.advance(time.Second)
 	wantRun(t, first.exchange(), 0, 0)
-	h.advance(groupStartBound - time.Second)
+	h.advance(gangStartTimeout - time.Second)
 	if run := h.task("g", 0).Run; run != 2 {
 		t.Fatalf("want the group placed anew, got run %d", run)
 	}
@@ -131,23 +131,23 @@
 	}
 }
 
-func TestLockstepGroupThatStartedWholeIsNotWatched(t *testing.T) {
+func TestCommonOutcome_StartedGangIsNotWatched(t *testing.T) {
 	h := newHarness(t)
-	first, second := lockstepPair(h)
+	first, second := commonOutcomePair(h)
 	first.exchange()
 	second.exchange()
 	first.exchange()
 	second.exchange()
-	h.advance(groupStartBound)
-	if answer := first.exchange(); len(answer.Stop) != 0 || len(h.leader.starting) != 0 {
+	h.advance(gangStartTimeout)
+	if answer := first.exchange(); len(answer.Stop) != 0 || len(h.leader.startingGangs) != 0 {
 		t.Errorf("a whole group was broken: %+v", answer)
 	}
 }
 
-func TestNewTermGoesOnWithALockstepGroup(t *testing.T) {
+func TestCommonOutcome_NewTermContinuesGang(t *testing.T) {
 	t.Run("placed, one half ordered", func(t *testing.T) {
 		h := newHarness(t)
-		first, second := lockstepPair(h)
+		first, second := commonOutcomePair(h)
 		wantRun(t, first.exchange(), 4, 1)
 		h.newTerm()
 		first.exchange()
@@ -162,34 +162,34 @@
 	})
 	t.Run("young, one worker silent", func(t *testing.T) {
 		h := newHarness(t)
-		first, second := lockstepPair(h)
+		first, second := commonOutcomePair(h)
 		first.exchange()
 		second.exchange()
 		h.newTerm()
 		first.exchange()
-		h.advance(groupStartBound)
+		h.advance(gangStartTimeout)
 		if answer := first.exchange(); len(answer.Stop) != 4 {
 			t.Errorf("want the group broken, got %+v", answer)
 		}
 	})
 	t.Run("old, one worker silent", func(t *testing.T) {
 		h := newHarness(t)
-		first, second := lockstepPair(h)
+		first, second := commonOutcomePair(h)
 		for range 2 {
 			first.exchange()
 			second.exchange()
 		}
-		h.advance(groupStartBound + time.Millisecond)
+		h.advance(gangStartTimeout + time.Millisecond)
 		h.newTerm()
 		first.exchange()
-		h.advance(groupStartBound)
+		h.advance(gangStartTimeout)
 		if answer := first.exchange(); len(answer.Stop) != 0 {
 			t.Errorf("a group that goes on was broken: %+v", answer)
 		}
 	})
 	t.Run("broken before", func(t *testing.T) {
 		h := newHarness(t)
-		first, second := lockstepPair(h)
+		first, second := commonOutcomePair(h)
 		first.exchange()
 		second.exchange()
 		first.end(api.OutcomeStopped)
@@ -206,13 +206,13 @@
 	})
 }
 
-func TestLockstepPreemptionOfOneStopsAll(t *testing.T) {
+func TestCommonOutcome_PreemptionOfOneStopsAll(t *testing.T) {
 	h := newHarness(t)
-	first, second := lockstepPair(h)
+	first, second := commonOutcomePair(h)
 	first.exchange()
 	second.exchange()
 	h.leader.mu.Lock()
-	h.leader.stopLater(h.leader.openByTask[record.TaskID{Job: "g", Step: "s"}], record.StopPreempted)
+	h.leader.enqueueStop(h.leader.openByTask[record.TaskID{Job: "g", Step: "s"}], record.StopPreempted)
 	h.leader.mu.Unlock()
 	h.settle()
 	stops := len(first.exchange().Stop) + len(second.exchange().Stop)
@@ -221,19 +221,19 @@
 	}
 }
 
-// TestLockstepGroupSoonStartsBesideAWorkerThatIsHeardSeldom: too seldom for the
+// TestCommonOutcome_StartsDespiteRareHeartbeats: too seldom for the
 // orders of a group, and often enough for its hold.
-func TestLockstepGroupSoonStartsBesideAWorkerThatIsHeardSeldom(t *testing.T) {
+func TestCommonOutcome_StartsDespiteRareHeartbeats(t *testing.T) {
 	const beats = 13
 	var longest time.Duration
 	for phase := range beats {
 		h := newHarness(t)
 		workers := h.fleetOf(3)
-		group := endlessTasks(8)
-		group.Lockstep = true
-		h.submit("g", group)
+		gang := endlessTasks(8)
+		gang.Lockstep = true
+		h.submit("g", gang)
 		whole := func() bool {
-			state := h.leader.groups[record.StepID{Job: "g", Step: "s"}]
+			state := h.leader.gangs[record.StepID{Job: "g", Step: "s"}]
 			return len(state.open) == 8 && state.allStarted()
 		}
 		var took time.Duration
@@ -243,7 +243,7 @@
 			longest = max(longest, took)
 			for i, worker := range workers {
 				if i != 1 || beat%beats == phase {
-					worker.obey()
+					worker.obeyStops()
 				}
 			}
 			if took > 10*time.Second {
--- a/internal/scheduler/metrics.go
+++ b/internal/scheduler/metrics.go
@@ -11,7 +11,7 @@
 	runsClosed  *prometheus.CounterVec
 	planSeconds prometheus.Histogram
 
-	runsStalled, runsWithdrawn, workersHeldBack prometheus.Counter
+	runsStalled, runsRevoked, workersEjected prometheus.Counter
 	// lateSeconds is by how much the leader's own ticks came late.
 	lateSeconds prometheus.Counter
 	// refusals counts jobs not taken for now.
@@ -44,19 +44,19 @@
 	m.runsStalled = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: namespace, Name: "runs_stalled_total", Help: "Runs stopped since they stood still.",
 	})
-	m.runsWithdrawn = prometheus.NewCounter(prometheus.CounterOpts{
+	m.runsRevoked = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: namespace, Name: "runs_withdrawn_total", Help: "Runs taken back from silent workers before any order named them.",
 	})
 	m.lateSeconds = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: namespace, Name: "late_seconds_total", Help: "Time by which the leader's own ticks came late.",
 	})
-	m.workersHeldBack = prometheus.NewCounter(prometheus.CounterOpts{
+	m.workersEjected = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: namespace, Name: "workers_held_back_total", Help: "Times that a worker was held back since work failed or stood still there.",
 	})
 	m.refusals = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "refusals_total", Help: "Jobs not taken for now, by queue and reason.",
 	}, []string{"queue", "reason"})
-	registerer.MustRegister(m.runsStalled, m.runsWithdrawn, m.workersHeldBack, m.lateSeconds, m.refusals)
+	registerer.MustRegister(m.runsStalled, m.runsRevoked, m.workersEjected, m.lateSeconds, m.refusals)
 	registerer.MustRegister(m.proposals, m.placements, m.orders, m.heartbeats, m.runsClosed, m.planSeconds)
 	return m
 }
--- a/internal/scheduler/mirror.go
+++ b/internal/scheduler/mirror.go
@@ -31,9 +31,9 @@
 	counted bool
 }
 
-// onEvent keeps the mirror true to the record. The record calls it under its
+// handleEvent keeps the mirror true to the record. The record calls it under its
 // lock, in the order of the log.
-func (l *leader) onEvent(event record.Event) {
+func (l *leader) handleEvent(event record.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch change := event.(type) {
@@ -42,30 +42,30 @@
 	case record.TaskLeftReady:
 		l.removeWaiting(change.Task)
 	case record.RunOpened:
-		l.openRun(change.Run, false)
+		l.runOpened(change.Run, false)
 	case record.RunStopping:
-		l.markStopping(change.Run)
+		l.runStopping(change.Run)
 	case record.RunClosed:
-		l.closeRun(change.Run, change.Outcome)
+		l.runClosed(change.Run, change.Outcome)
 	case record.JobAdded:
 		l.repeats.add(change.Job)
-		l.noteJob(change.Job)
-		l.notBegun.add(change.Job)
+		l.observeChain(change.Job)
+		l.pendingStarts.add(change.Job)
 	case record.OccurrenceAdded:
 		l.repeats.added(change.Job)
 	case record.OccurrenceEnded:
-		l.endSteps(change.Steps)
+		l.stepsEnded(change.Steps)
 	case record.JobEnded:
-		l.endJob(change.Job)
+		l.jobEnded(change.Job)
 	case record.ConfigChanged:
-		l.setConfig(change.Version, change.Config)
+		l.configChangedTo(change.Version, change.Config)
 		l.applyDrains()
 	case record.ZoneDrainChanged:
 		l.zoneDrainChanged(change)
 	case record.WorkerChanged:
-		l.setWorkerInfo(change.Worker)
+		l.workerRegistered(change.Worker)
 	case record.WorkerForgotten:
-		l.forgetWorker(change.Worker)
+		l.workerForgotten(change.Worker)
 	case record.WindowReleased:
 		l.windowReleased(change.Window)
 	case record.StateReplaced:
@@ -82,7 +82,7 @@
 		}
 	}
 	if step.IsGang() {
-		l.loadGroup(step)
+		l.loadGang(step)
 	}
 }
 
@@ -112,11 +112,11 @@
 		entry.task.Avoid = nil
 	}
 	entry.urgency.apply(l.objectiveOf(job.Spec.Queue))
-	l.rank(entry, l.log.Now())
+	l.updateRank(entry, l.log.Now())
 	l.waiting[task.ID] = entry
 	l.countWaiting(entry)
 	if task.Step.IsGang() {
-		l.joinGroup(entry, task.Step)
+		l.joinGang(entry, task.Step)
 	}
 	if !entry.due {
 		l.timers.add(entry.notBefore, task.ID)
@@ -128,8 +128,8 @@
 // offer lets the planner place a task that is due. Members of a group go
 // through the group, which offers them together.
 func (l *leader) offer(entry *waitingTask) {
-	if group, grouped := l.groups[entry.step]; grouped {
-		l.offerGroup(group)
+	if gang, isGang := l.gangs[entry.step]; isGang {
+		l.offerGang(gang)
 		return
 	}
 	if !entry.placing {
@@ -160,37 +160,37 @@
 	if !waits {
 		return
 	}
-	l.countOut(entry)
+	l.uncountWaiting(entry)
 	delete(l.waiting, task.ID)
 	delete(l.preemptOnOpen, task.ID)
 	l.planner.Remove(task.ID)
 	l.planner.Release(task.ID)
-	if group, grouped := l.groups[entry.step]; grouped {
-		l.leaveGroup(group, task)
+	if gang, isGang := l.gangs[entry.step]; isGang {
+		l.leaveGang(gang, task)
 	}
 }
 
-// openRun mirrors an open run. inherited tells that it was placed under an
+// runOpened mirrors an open run. inherited tells that it was placed under an
 // earlier token.
-func (l *leader) openRun(open *record.Run, inherited bool) *runState {
+func (l *leader) runOpened(open *record.Run, inherited bool) *runState {
 	task := open.Task
 	run := &runState{
-		id:        open.ID(),
-		spec:      task.Spec,
-		payload:   task.Step.Job.Spec.PayloadOf(task.Spec),
-		step:      task.ID.StepID(),
-		stepSize:  len(task.Step.Tasks),
-		together:  task.Step.IsGang(),
-		lockstep:  task.Step.Spec.Lockstep,
-		workerID:  open.WorkerID,
-		openedAt:  l.now(),
-		queue:     task.Step.Job.Spec.Queue,
-		inherited: inherited,
-		stop:      open.Stop,
+		id:            open.ID(),
+		spec:          task.Spec,
+		payload:       task.Step.Job.Spec.PayloadOf(task.Spec),
+		step:          task.ID.StepID(),
+		stepSize:      len(task.Step.Tasks),
+		inGang:        task.Step.IsGang(),
+		sharesOutcome: task.Step.Spec.Lockstep,
+		workerID:      open.WorkerID,
+		openedAt:      l.now(),
+		queue:         task.Step.Job.Spec.Queue,
+		inherited:     inherited,
+		stop:          open.Stop,
 
 		checkpoint: task.NewestCheckpoint(),
 	}
-	l.startWaiting(task.ID)
+	l.taskPlaced(task.ID)
 	l.planner.Remove(task.ID)
 	job := task.Step.Job
 	l.planner.Hold(placement.Task{
@@ -204,15 +204,15 @@
 		// The record accepts placements on registered incarnations only, so
 		// this is an older one that the record has replaced since.
 		worker = newWorkerEntry(record.Worker{ID: open.WorkerID, Name: open.Worker}, l.now())
-		worker.holdUntil(l.startedAt + l.hold() + l.driftMargin())
+		worker.extendLease(l.startedAt + l.leaseDuration() + l.driftMargin())
 		l.workers[open.WorkerID] = worker
 	}
 	worker.runs[run.id] = run
-	if run.together {
-		l.groupRunOpened(run, open)
+	if run.inGang {
+		l.gangRunOpened(run, open)
 	}
-	if worker.leaving() {
-		l.closeIfNeverOrdered(run)
+	if worker.isLeaving() {
+		l.closeIfNeverAssigned(run)
 	}
 	if l.preemptOnOpen[task.ID] {
 		delete(l.preemptOnOpen, task.ID)
@@ -221,27 +221,27 @@
 	return run
 }
 
-func (l *leader) markStopping(open *record.Run) {
+func (l *leader) runStopping(open *record.Run) {
 	run, known := l.runs[open.ID()]
 	if !known {
 		return
 	}
 	run.stop = open.Stop
-	l.closeIfNeverOrdered(run)
-	if run.together {
-		l.groupRunStopping(run, open.Task.Step)
+	l.closeIfNeverAssigned(run)
+	if run.inGang {
+		l.gangRunStopping(run, open.Task.Step)
 	}
 }
 
-// closeIfNeverOrdered closes a run whose order was surely not given, so that
+// closeIfNeverAssigned closes a run whose order was surely not given, so that
 // it need not be stopped.
-func (l *leader) closeIfNeverOrdered(run *runState) {
-	if run.neverOrdered() {
-		l.closeLater(run, "withdrawn before it was ordered")
+func (l *leader) closeIfNeverAssigned(run *runState) {
+	if run.neverAssigned() {
+		l.enqueueClose(run, "withdrawn before it was ordered")
 	}
 }
 
-func (l *leader) closeRun(open *record.Run, outcome api.Outcome) {
+func (l *leader) runClosed(open *record.Run, outcome api.Outcome) {
 	run, known := l.runs[open.ID()]
 	if !known {
 		return
@@ -251,42 +251,42 @@
 	l.planner.Release(run.id.Task)
 	worker := l.workers[run.workerID]
 	delete(worker.runs, run.id)
-	if len(worker.runs) == 0 && (worker.lapsed || !worker.registered) {
-		l.dropFromPlanner(worker)
+	if len(worker.runs) == 0 && (worker.leaseExpired || !worker.registered) {
+		l.removePlannerWorker(worker)
 	}
-	l.noteEnd(run, open, outcome)
-	if run.together {
-		l.groupRunClosed(run, outcome, open.Task.Step)
+	l.observeRunEnd(run, open, outcome)
+	if run.inGang {
+		l.gangRunClosed(run, outcome, open.Task.Step)
 	}
 	l.metrics.runsClosed.WithLabelValues(string(outcome)).Inc()
 }
 
-func (l *leader) endJob(job *record.Job) {
+func (l *leader) jobEnded(job *record.Job) {
 	if waiter, waited := l.jobWaiters[job.ID]; waited {
 		close(waiter)
 		delete(l.jobWaiters, job.ID)
 	}
 	l.repeats.remove(job.ID)
 	delete(l.chains, job.ID)
-	l.notBegun.remove(job.ID)
-	l.endSteps(job.Steps)
+	l.pendingStarts.remove(job.ID)
+	l.stepsEnded(job.Steps)
 }
 
-// endSteps forgets steps whose tasks are all final.
-func (l *leader) endSteps(steps []*record.Step) {
+// stepsEnded forgets steps whose tasks are all final.
+func (l *leader) stepsEnded(steps []*record.Step) {
 	l.health.forgetSteps(steps)
 	for _, step := range steps {
-		l.dropGroup(step)
+		l.dropGang(step)
 	}
 }
 
-// setWorkerInfo takes over what the record knows of a worker. The record
+// workerRegistered takes over what the record knows of a worker. The record
 // replaces an incarnation only when it has no open run.
-func (l *leader) setWorkerInfo(info *record.Worker) {
+func (l *leader) workerRegistered(info *record.Worker) {
 	if earlier, known := l.byName[info.Name]; known && earlier.info.ID != info.ID {
 		earlier.registered = false
-		l.dropFromPlanner(earlier)
-		l.forgetEntry(earlier)
+		l.removePlannerWorker(earlier)
+		l.forgetIncarnation(earlier)
 	}
 	worker, known := l.workers[info.ID]
 	if !known {
@@ -298,49 +298,49 @@
 	l.byName[info.Name] = worker
 	l.registered = nil
 	l.setDrained(worker)
-	l.tellPlanner(worker)
+	l.updatePlannerWorker(worker)
 }
 
-func (l *leader) forgetWorker(info *record.Worker) {
+func (l *leader) workerForgotten(info *record.Worker) {
 	worker, known := l.byName[info.Name]
 	if !known || worker.info.ID != info.ID {
 		return
 	}
-	l.dropFromPlanner(worker)
+	l.removePlannerWorker(worker)
 	delete(l.byName, info.Name)
 	l.registered = nil
-	l.forgetEntry(worker)
+	l.forgetIncarnation(worker)
 }
 
-// forgetEntry drops what was observed of an incarnation.
-func (l *leader) forgetEntry(worker *workerEntry) {
+// forgetIncarnation drops what was observed of an incarnation.
+func (l *leader) forgetIncarnation(worker *workerEntry) {
 	delete(l.workers, worker.info.ID)
 	l.health.tracker.Forget(worker.info.ID)
-	l.vacate(worker)
+	l.releaseAddress(worker)
 }
 
-// tellPlanner brings the planner's picture of a worker up to date.
-func (l *leader) tellPlanner(worker *workerEntry) {
+// updatePlannerWorker brings the planner's picture of a worker up to date.
+func (l *leader) updatePlannerWorker(worker *workerEntry) {
 	if !worker.registered {
 		return
 	}
-	worker.usable = worker.canTakeWork(l.now(), l.hold())
-	worker.doubted = l.doubtful(worker, l.now())
+	worker.usable = worker.canTakeWork(l.now(), l.leaseDuration())
+	worker.unresponsive = l.isUnresponsive(worker, l.now())
 	worker.inPlanner = true
-	l.planner.SetWorker(worker.planned(worker.usable))
+	l.planner.SetWorker(worker.plannerWorker(worker.usable))
 }
 
-func (l *leader) dropFromPlanner(worker *workerEntry) {
+func (l *leader) removePlannerWorker(worker *workerEntry) {
 	if !worker.inPlanner {
 		return
 	}
 	worker.inPlanner = false
-	worker.usable, worker.doubted = false, false
+	worker.usable, worker.unresponsive = false, false
 	l.planner.RemoveWorker(worker.info.ID)
 }
 
-// setConfig takes over a configuration.
-func (l *leader) setConfig(version uint64, config *api.Config) {
+// configChangedTo takes over a configuration.
+func (l *leader) configChangedTo(version uint64, config *api.Config) {
 	orderChanged := l.config != nil && !sameOrder(l.config, config)
 	l.config = config
 	l.configVersion = version
@@ -350,7 +350,7 @@
 	for _, queue := range config.Queues {
 		rules = append(rules, placement.QueueRule{
 			Name: queue.Name, MaxRunning: queue.MaxRunningTasks, Weight: queue.Weight, Team: queue.Team,
-			BySlack: queue.Objective != nil, Headroom: l.headroomOf(&queue),
+			BySlack: queue.Objective != nil, Headroom: l.queueHeadroom(&queue),
 		})
 	}
 	teams := make([]placement.TeamRule, 0, len(config.Teams))
@@ -359,25 +359,25 @@
 	}
 	l.planner.SetTeams(teams)
 	l.planner.SetQueues(rules)
-	l.forgetIntake()
-	l.planner.SetMaxPreemptions(l.mostPreemptions(config))
-	l.resetCalendar()
+	l.forgetUnusedQueues()
+	l.planner.SetMaxPreemptions(l.maxPreemptions(config))
+	l.invalidateCalendar()
 	if orderChanged {
 		l.reorderWaiting()
 	}
 	l.logger.Info("configuration in force", slog.Uint64("version", version))
 }
 
-// headroomOf is the share of a worker that the queue leaves free, in hundredths.
-func (l *leader) headroomOf(queue *api.QueueConfig) int {
+// queueHeadroom is the share of a worker that the queue leaves free, in hundredths.
+func (l *leader) queueHeadroom(queue *api.QueueConfig) int {
 	if l.off.Has(mechanism.Headroom) {
 		return 0
 	}
 	return queue.HeadroomPercent
 }
 
-// mostPreemptions bounds the preemptions of one task.
-func (l *leader) mostPreemptions(config *api.Config) int {
+// maxPreemptions bounds the preemptions of one task.
+func (l *leader) maxPreemptions(config *api.Config) int {
 	if l.off.Has(mechanism.Preemption) {
 		return 0
 	}
@@ -385,7 +385,7 @@
 }
 
 func (l *leader) queuePriority(name string) int {
-	queue := queueOf(l.config, name)
+	queue := findQueue(l.config, name)
 	if queue == nil {
 		return 0
 	}
--- a/internal/scheduler/notbegun.go
+++ b/internal/scheduler/notbegun.go
@@ -2,20 +2,20 @@
 
 import "github.com/decklever/decklever/internal/record"
 
-// notBegun are the live jobs of which no task was seen to have begun on a worker,
+// pendingStarts are the live jobs of which no task was seen to have begun on a worker,
 // with their queues. A placement alone does not begin a task: its order may wait
 // for a heartbeat, or have no effect.
-type notBegun struct {
+type pendingStarts struct {
 	queueOf map[string]string
 	byQueue map[string]int
 }
 
-func newNotBegun() notBegun {
-	return notBegun{queueOf: make(map[string]string), byQueue: make(map[string]int)}
+func newPendingStarts() pendingStarts {
+	return pendingStarts{queueOf: make(map[string]string), byQueue: make(map[string]int)}
 }
 
 // add takes a job in that was just submitted, or found at the start of a term.
-func (n *notBegun) add(job *record.Job) {
+func (n *pendingStarts) add(job *record.Job) {
 	if _, known := n.queueOf[job.ID]; known {
 		return
 	}
@@ -24,7 +24,7 @@
 }
 
 // remove takes a job out that has begun or ended.
-func (n *notBegun) remove(id string) {
+func (n *pendingStarts) remove(id string) {
 	queue, known := n.queueOf[id]
 	if !known {
 		return
@@ -36,10 +36,10 @@
 	}
 }
 
-// mayHaveBegun tells by the record alone, at the start of a term, whether a task of
+// mayHaveStarted tells by the record alone, at the start of a term, whether a task of
 // the job has begun. A job that has open runs and nothing else counts as not begun
 // until a heartbeat lists one of them.
-func mayHaveBegun(job *record.Job) bool {
+func mayHaveStarted(job *record.Job) bool {
 	if job.Repetition != nil && job.Repetition.Succeeded+job.Repetition.Failed > 0 {
 		return true
 	}
@@ -53,9 +53,9 @@
 	return false
 }
 
-// waitingJobs counts the jobs of a queue of which no task has begun.
-func (l *leader) waitingJobs(queue string) int {
+// jobsPendingStart counts the jobs of a queue of which no task has begun.
+func (l *leader) jobsPendingStart(queue string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.notBegun.byQueue[queue]
+	return l.pendingStarts.byQueue[queue]
 }
--- a/internal/scheduler/notbegun_test.go
+++ b/internal/scheduler/notbegun_test.go
@@ -30,8 +30,8 @@
 	return worker
 }
 
-// TestJobsWaitUntilATaskBegins counts jobs, not tasks, and those placed only too.
-func TestJobsWaitUntilATaskBegins(t *testing.T) {
+// TestPendingStarts_JobWaitsUntilTaskStarts counts jobs, not tasks, and those placed only too.
+func TestPendingStarts_JobWaitsUntilTaskStarts(t *testing.T) {
 	h := newHarness(t)
 	h.submit("many", tasks(3))
 	h.submit("one", tasks(1))
@@ -46,9 +46,9 @@
 	h.wantWaitingJobs("after another came", 1)
 }
 
-// TestJobWaitsAfterAnOrderWithoutEffect: a run that was refused or never arrived
+// TestPendingStarts_LostAssignmentKeepsJobWaiting: a run that was refused or never arrived
 // has not begun.
-func TestJobWaitsAfterAnOrderWithoutEffect(t *testing.T) {
+func TestPendingStarts_LostAssignmentKeepsJobWaiting(t *testing.T) {
 	h := newHarness(t)
 	h.submit("j", tasks(1))
 	worker := h.worker("w", "w-1")
@@ -64,8 +64,8 @@
 	h.wantWaitingJobs("after the order was refused", 1)
 }
 
-// TestJobThatEndedBetweenHeartbeatsHasBegun: its runs were never listed as running.
-func TestJobThatEndedBetweenHeartbeatsHasBegun(t *testing.T) {
+// TestPendingStarts_EndBetweenHeartbeatsCountsAsStarted: its runs were never listed as running.
+func TestPendingStarts_EndBetweenHeartbeatsCountsAsStarted(t *testing.T) {
 	h := newHarness(t)
 	h.submit("j", tasks(2))
 	worker := h.workerWithOrders()
@@ -74,9 +74,9 @@
 	h.wantWaitingJobs("after its runs failed", 0)
 }
 
-// TestWaitingJobsOverTerms: a new leader counts what may not have begun until
+// TestPendingStarts_AcrossTerms: a new leader counts what may not have begun until
 // a heartbeat tells, and nothing that has.
-func TestWaitingJobsOverTerms(t *testing.T) {
+func TestPendingStarts_AcrossTerms(t *testing.T) {
 	h := newHarness(t)
 	h.submit("runs", tasks(1))
 	worker := h.workerWithOrders()
@@ -95,8 +95,8 @@
 	h.wantWaitingJobs("in the third term", 1)
 }
 
-// TestCancelledJobsDoNotWait: they have ended.
-func TestCancelledJobsDoNotWait(t *testing.T) {
+// TestPendingStarts_CancelledJobDoesNotWait: they have ended.
+func TestPendingStarts_CancelledJobDoesNotWait(t *testing.T) {
 	h := newHarness(t)
 	h.submit("j", tasks(2))
 	h.wantWaitingJobs("before", 1)
--- a/internal/scheduler/places.go
+++ b/internal/scheduler/places.go
@@ -12,48 +12,48 @@
 // that it has accepted; a heartbeat alone may have been on its way for long.
 // Clocks of other machines have no part in it.
 
-// beatsOfDoubt is for how many heartbeat intervals an incarnation must have been
+// replacedAfterIntervals is for how many heartbeat intervals an incarnation must have been
 // silent before it counts as replaced, whatever is proven of another one.
-const beatsOfDoubt = 2
+const replacedAfterIntervals = 2
 
-// placeOf names a worker's place in the whole fleet; empty if it has none.
-func placeOf(request fleet.HeartbeatRequest) string {
+// addressOf names a worker's place in the whole fleet; empty if it has none.
+func addressOf(request fleet.HeartbeatRequest) string {
 	if request.Heartbeat.Place == "" {
 		return ""
 	}
 	return request.Agent + "/" + request.Heartbeat.Place
 }
 
-// occupy notes a worker that may have proven that it lives.
-func (l *leader) occupy(worker *workerEntry) {
+// claimAddress notes a worker that may have proven that it lives.
+func (l *leader) claimAddress(worker *workerEntry) {
 	place := worker.info.Address
-	if place == "" || worker.provenAt == 0 {
+	if place == "" || worker.provenAliveAt == 0 {
 		return
 	}
-	if other := l.occupants[place]; other == nil || other.provenAt <= worker.provenAt {
-		l.occupants[place] = worker
+	if other := l.currentByAddress[place]; other == nil || other.provenAliveAt <= worker.provenAliveAt {
+		l.currentByAddress[place] = worker
 	}
 }
 
-// vacate forgets a worker that is not known any more.
-func (l *leader) vacate(worker *workerEntry) {
-	if l.occupants[worker.info.Address] == worker {
-		delete(l.occupants, worker.info.Address)
+// releaseAddress forgets a worker that is not known any more.
+func (l *leader) releaseAddress(worker *workerEntry) {
+	if l.currentByAddress[worker.info.Address] == worker {
+		delete(l.currentByAddress, worker.info.Address)
 	}
 }
 
 // replaced tells that a worker has ended although its hold still stands, as a
 // later incarnation lives in its place, and that this must be acted on.
 func (l *leader) replaced(worker *workerEntry, now time.Duration) bool {
-	if worker.info.Address == "" || worker.lapsed && !worker.hasOpenRuns() {
+	if worker.info.Address == "" || worker.leaseExpired && !worker.hasOpenRuns() {
 		return false
 	}
-	occupant := l.occupants[worker.info.Address]
-	if occupant == nil || occupant == worker || occupant.provenAt < worker.knownAt {
+	current := l.currentByAddress[worker.info.Address]
+	if current == nil || current == worker || current.provenAliveAt < worker.firstKnownAt {
 		return false
 	}
-	silentSince := max(worker.heardAt, worker.knownAt)
-	return occupant.provenAt > worker.provenAt && now-silentSince > beatsOfDoubt*l.interval(false)
+	silentSince := max(worker.lastSeen, worker.firstKnownAt)
+	return current.provenAliveAt > worker.provenAliveAt && now-silentSince > replacedAfterIntervals*l.interval(false)
 }
 
 // hasOpenRuns tells whether a run is open here that is not being closed.
--- a/internal/scheduler/places_test.go
+++ b/internal/scheduler/places_test.go
@@ -9,20 +9,20 @@
 	"github.com/decklever/decklever/internal/fleet"
 )
 
-const testSilence = beatsOfDoubt*200*time.Millisecond + time.Millisecond
+const testSilence = replacedAfterIntervals*200*time.Millisecond + time.Millisecond
 
-// inPlace is a worker that names its place.
-func (h *harness) inPlace(name, place string) *fakeWorker {
+// workerAt is a worker that names its place.
+func (h *harness) workerAt(name, place string) *fakeWorker {
 	worker := h.worker(name, name+"-1")
 	worker.heartbeat.Place = place
 	return worker
 }
 
-// TestRunsOfAReplacedWorkerDoNotWaitForItsHold: a later process in the same place
+// TestIncarnations_ReplacedWorkersRunsDoNotWaitForLease: a later process in the same place
 // shows that the earlier one has ended.
-func TestRunsOfAReplacedWorkerDoNotWaitForItsHold(t *testing.T) {
+func TestIncarnations_ReplacedWorkersRunsDoNotWaitForLease(t *testing.T) {
 	h := newHarness(t)
-	ended, next := h.inPlace("a", "10.0.0.1:80"), h.inPlace("b", "10.0.0.1:80")
+	ended, next := h.workerAt("a", "10.0.0.1:80"), h.workerAt("b", "10.0.0.1:80")
 	ended.exchange()
 	h.submit("j", tasks(1))
 	ended.exchange()
@@ -35,11 +35,11 @@
 	}
 }
 
-// TestReplacedWorkerOfAnEarlierTerm: a new leader, which never heard the ended
+// TestIncarnations_ReplacedWorkerOfEarlierTerm: a new leader, which never heard the ended
 // process, knows its place from the record.
-func TestReplacedWorkerOfAnEarlierTerm(t *testing.T) {
+func TestIncarnations_ReplacedWorkerOfEarlierTerm(t *testing.T) {
 	h := newHarness(t)
-	ended, next := h.inPlace("a", "10.0.0.1:80"), h.inPlace("b", "10.0.0.1:80")
+	ended, next := h.workerAt("a", "10.0.0.1:80"), h.workerAt("b", "10.0.0.1:80")
 	ended.exchange()
 	h.submit("j", tasks(1))
 	ended.exchange()
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestHoldStandsUnlessTheWorkerSurelyEnded has what looks like a replacement and
+// TestIncarnations_LeaseStandsUnlessWorkerSurelyEnded has what looks like a replacement and
 // proves none.
-func TestHoldStandsUnlessTheWorkerSurelyEnded(t *testing.T) {
+func TestIncarnations_LeaseStandsUnlessWorkerSurelyEnded(t *testing.T) {
 	cases := []struct {
 		name  string
 		place string
@@ -81,7 +81,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
-			first, second := h.inPlace("a", c.place), h.inPlace("b", c.place)
+			first, second := h.workerAt("a", c.place), h.workerAt("b", c.place)
 			if c.agent != "" {
 				second.agent = c.agent
 			}
@@ -99,12 +99,12 @@
 	}
 }
 
-// TestWordOfAnEndedWorkerReplacesNobody: what an ended process sent before comes
+// TestIncarnations_HeartbeatOfEndedWorkerReplacesNobody: what an ended process sent before comes
 // late. It shows that it lived when it was answered, which was before the process
 // in its place was known.
-func TestWordOfAnEndedWorkerReplacesNobody(t *testing.T) {
+func TestIncarnations_HeartbeatOfEndedWorkerReplacesNobody(t *testing.T) {
 	h := newHarness(t)
-	ended, living := h.inPlace("a", "p"), h.inPlace("b", "p")
+	ended, living := h.workerAt("a", "p"), h.workerAt("b", "p")
 	ended.heartbeat.Capacity.CPUMillis = 1 // it has no room for the job
 	ended.exchange()
 	ended.exchange()
@@ -121,9 +121,9 @@
 	}
 }
 
-// TestNewLifeOfAWorkerMayBeOfAnotherKind: what it says of itself holds, and nothing
+// TestIncarnations_NewIncarnationMayDiffer: what it says of itself holds, and nothing
 // of the life before.
-func TestNewLifeOfAWorkerMayBeOfAnotherKind(t *testing.T) {
+func TestIncarnations_NewIncarnationMayDiffer(t *testing.T) {
 	for _, c := range []struct{ what, name, incarnation string }{
 		{"under the same name", "w", "w-2"},
 		{"under another name", "x", "x-1"},
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -33,7 +33,7 @@
 		return false
 	}
 	l.metrics.placements.Add(float64(len(placements) - len(result.Rejected)))
-	l.takeBack(result.Rejected)
+	l.revokeRejected(result.Rejected)
 	// When nothing held, planning again at once would only spin: the next
 	// change of the record or the next tick wakes the planner.
 	return len(result.Rejected) < len(placements)
@@ -86,13 +86,13 @@
 // once.
 func (l *leader) preemptRun(run *runState) {
 	l.logger.Info("preempted", slog.String("task", run.id.Task.String()), slog.Uint64("number", uint64(run.id.Number)))
-	l.closeIfNeverOrdered(run)
-	l.stopLater(run, record.StopPreempted)
+	l.closeIfNeverAssigned(run)
+	l.enqueueStop(run, record.StopPreempted)
 }
 
-// takeBack offers tasks anew whose placement no longer held when it was
+// revokeRejected offers tasks anew whose placement no longer held when it was
 // applied.
-func (l *leader) takeBack(rejected []record.RunID) {
+func (l *leader) revokeRejected(rejected []record.RunID) {
 	if len(rejected) == 0 {
 		return
 	}
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -7,8 +7,8 @@
 	"github.com/decklever/decklever/internal/admission"
 )
 
-// queueOf finds a queue of the configuration; nil if it has none of that name.
-func queueOf(config *api.Config, name string) *api.QueueConfig {
+// findQueue finds a queue of the configuration; nil if it has none of that name.
+func findQueue(config *api.Config, name string) *api.QueueConfig {
 	index := slices.IndexFunc(config.Queues, func(queue api.QueueConfig) bool { return queue.Name == name })
 	if index < 0 {
 		return nil
@@ -16,7 +16,7 @@
 	return &config.Queues[index]
 }
 
-// partOf is what a queue that uses some of a shared bound counts for there.
-func partOf(queue *api.QueueConfig, used int) admission.Part {
+// quotaPart is what a queue that uses some of a shared bound counts for there.
+func quotaPart(queue *api.QueueConfig, used int) admission.Part {
 	return admission.Part{Weight: max(queue.Weight, api.DefaultQueueWeight), Used: used}
 }
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -10,10 +10,10 @@
 type reconciliation struct {
 	// started are runs seen for the first time.
 	started []*runState
-	// begun are tasks of which a run has surely begun, seen for the first time or
+	// startedTasks are tasks of which a run has surely begun, seen for the first time or
 	// told of again.
-	begun []record.TaskID
-	// lost are runs whose order can no longer take effect, or that the worker
+	startedTasks []record.TaskID
+	// total are runs whose order can no longer take effect, or that the worker
 	// surely does not run any more.
 	lost []*runState
 	// dropped are runs whose order was accepted and that the worker does not
@@ -26,9 +26,9 @@
 	late  []record.RunEnd
 	// unreadable are reports that name no task; they are acknowledged.
 	unreadable []api.RunRef
-	// contradicting are reports that cannot be true by the record; they are
+	// conflicting are reports that cannot be true by the record; they are
 	// acknowledged, and nothing else follows.
-	contradicting []api.RunRef
+	conflicting []api.RunRef
 }
 
 // listedRuns are the open runs that a heartbeat names.
@@ -81,7 +81,7 @@
 	}
 	if !run.listed {
 		r.started = append(r.started, run)
-		r.begun = append(r.begun, id.Task)
+		r.startedTasks = append(r.startedTasks, id.Task)
 	}
 }
 
@@ -92,8 +92,8 @@
 		return
 	}
 	end := record.RunEnd{Run: id, Outcome: report.Outcome, Message: report.Message, Checkpoint: report.Checkpoint}
-	if hasBegun(report.Outcome) {
-		r.begun = append(r.begun, id.Task)
+	if hasStarted(report.Outcome) {
+		r.startedTasks = append(r.startedTasks, id.Task)
 	}
 	run, open := runs[id]
 	if !open {
@@ -112,17 +112,17 @@
 // nor as ended.
 func (r *reconciliation) addUnlisted(run *runState, heartbeat api.Heartbeat) {
 	switch {
-	case run.orderedAt == 0 && !run.inherited:
+	case run.assignedSeq == 0 && !run.inherited:
 		// Not ordered yet: nothing to conclude.
-	case run.orderedAt == 0 && !run.listed:
+	case run.assignedSeq == 0 && !run.listed:
 		// Inherited. Any answer of an earlier leader went to an earlier seq,
 		// which the worker accepts no more now that it has sent this one.
 		r.lost = append(r.lost, run)
-	case run.orderedAt >= heartbeat.Seq:
+	case run.assignedSeq >= heartbeat.Seq:
 		// The order went out with a later answer than this heartbeat.
-	case !run.listed && heartbeat.AcceptedSeq < run.orderedAt:
+	case !run.listed && heartbeat.AcceptedSeq < run.assignedSeq:
 		r.lost = append(r.lost, run)
-	case run.droppedAt != 0 && heartbeat.AcceptedSeq >= run.droppedAt:
+	case run.droppedSeq != 0 && heartbeat.AcceptedSeq >= run.droppedSeq:
 		// The worker accepted a stop for it and still does not list it.
 		r.lost = append(r.lost, run)
 	default:
@@ -144,8 +144,8 @@
 	return api.RunRef{Task: id.Task.String(), Run: id.Number}
 }
 
-// hasBegun tells whether a run that ended so has surely begun: one that was stopped
+// hasStarted tells whether a run that ended so has surely begun: one that was stopped
 // may have been refused at once.
-func hasBegun(outcome api.Outcome) bool {
+func hasStarted(outcome api.Outcome) bool {
 	return outcome == api.OutcomeSucceeded || outcome == api.OutcomeFailed
 }
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -13,12 +13,12 @@
 	return record.RunID{Task: record.TaskID{Job: "j", Step: "s", Index: 0}, Number: 2}
 }
 
-// verdict is what reconcile decided about the one run of a test.
+// health is what reconcile decided about the one run of a test.
 type verdict struct {
 	Started, Lost, Dropped, Unwanted, Ended, Late int
 }
 
-func TestReconcileOneRun(t *testing.T) {
+func TestReconcile_OneRun(t *testing.T) {
 	reference := api.RunRef{Task: "j/s/0", Run: 2}
 	running := []api.RunRef{reference}
 	ended := []api.EndedRun{{RunRef: reference, Outcome: api.OutcomeSucceeded}}
@@ -31,18 +31,18 @@
 		{"placed and not ordered stays", &runState{}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, verdict{}},
 		{"inherited and unlisted is lost", &runState{inherited: true}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, verdict{Lost: 1}},
 		{"inherited and running has started", &runState{inherited: true}, api.Heartbeat{Seq: 5, Running: running}, verdict{Started: 1}},
-		{"answer not accepted is lost", &runState{orderedAt: 4}, api.Heartbeat{Seq: 5, AcceptedSeq: 3}, verdict{Lost: 1}},
-		{"accepted and unlisted must be stopped first", &runState{orderedAt: 4}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, verdict{Dropped: 1}},
-		{"stop not accepted yet keeps it dropped", &runState{orderedAt: 4, droppedAt: 5}, api.Heartbeat{Seq: 6, AcceptedSeq: 4}, verdict{Dropped: 1}},
-		{"stop accepted and still unlisted is lost", &runState{orderedAt: 4, droppedAt: 5}, api.Heartbeat{Seq: 6, AcceptedSeq: 5}, verdict{Lost: 1}},
+		{"answer not accepted is lost", &runState{assignedSeq: 4}, api.Heartbeat{Seq: 5, AcceptedSeq: 3}, verdict{Lost: 1}},
+		{"accepted and unlisted must be stopped first", &runState{assignedSeq: 4}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, verdict{Dropped: 1}},
+		{"stop not accepted yet keeps it dropped", &runState{assignedSeq: 4, droppedSeq: 5}, api.Heartbeat{Seq: 6, AcceptedSeq: 4}, verdict{Dropped: 1}},
+		{"stop accepted and still unlisted is lost", &runState{assignedSeq: 4, droppedSeq: 5}, api.Heartbeat{Seq: 6, AcceptedSeq: 5}, verdict{Lost: 1}},
 		{"listed before and vanished must be stopped first", &runState{inherited: true, listed: true}, api.Heartbeat{Seq: 9, AcceptedSeq: 8}, verdict{Dropped: 1}},
-		{"older heartbeat than the order concludes nothing", &runState{orderedAt: 7}, api.Heartbeat{Seq: 7, AcceptedSeq: 6}, verdict{}},
-		{"running and listed already changes nothing", &runState{orderedAt: 4, listed: true}, api.Heartbeat{Seq: 6, AcceptedSeq: 5, Running: running}, verdict{}},
-		{"ended is reported", &runState{orderedAt: 4}, api.Heartbeat{Seq: 6, AcceptedSeq: 5, Ended: ended}, verdict{Started: 1, Ended: 1}},
+		{"older heartbeat than the order concludes nothing", &runState{assignedSeq: 7}, api.Heartbeat{Seq: 7, AcceptedSeq: 6}, verdict{}},
+		{"running and listed already changes nothing", &runState{assignedSeq: 4, listed: true}, api.Heartbeat{Seq: 6, AcceptedSeq: 5, Running: running}, verdict{}},
+		{"ended is reported", &runState{assignedSeq: 4}, api.Heartbeat{Seq: 6, AcceptedSeq: 5, Ended: ended}, verdict{Started: 1, Ended: 1}},
 		{"not open but running is unwanted", nil, api.Heartbeat{Seq: 6, Running: running}, verdict{Unwanted: 1}},
 		{"not open but ended is still reported", nil, api.Heartbeat{Seq: 6, Ended: ended}, verdict{Late: 1}},
-		{"being closed and running is unwanted", &runState{orderedAt: 4, closing: true}, api.Heartbeat{Seq: 6, Running: running}, verdict{Unwanted: 1}},
-		{"being closed and unlisted changes nothing", &runState{orderedAt: 4, closing: true}, api.Heartbeat{Seq: 6, AcceptedSeq: 2}, verdict{}},
+		{"being closed and running is unwanted", &runState{assignedSeq: 4, closing: true}, api.Heartbeat{Seq: 6, Running: running}, verdict{Unwanted: 1}},
+		{"being closed and unlisted changes nothing", &runState{assignedSeq: 4, closing: true}, api.Heartbeat{Seq: 6, AcceptedSeq: 2}, verdict{}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestReconcileUnreadableNames(t *testing.T) {
+func TestReconcile_UnreadableNames(t *testing.T) {
 	bad := api.RunRef{Task: "not-a-task", Run: 1}
 	heartbeat := api.Heartbeat{Seq: 2, Running: []api.RunRef{bad}, Ended: []api.EndedRun{{RunRef: bad, Outcome: api.OutcomeFailed}}}
 	result := reconcile(nil, heartbeat)
--- a/internal/scheduler/refusedends_test.go
+++ b/internal/scheduler/refusedends_test.go
@@ -24,9 +24,9 @@
 	return err
 }
 
-// TestEndIsTakenAlthoughTheLeaseHasLapsed: the heartbeat gets no answer, but the
+// TestRefusedHeartbeat_EndIsRecordedWithoutLeaderLease: the heartbeat gets no answer, but the
 // end that it lists has reached the leader. Its worker is heard no more.
-func TestEndIsTakenAlthoughTheLeaseHasLapsed(t *testing.T) {
+func TestRefusedHeartbeat_EndIsRecordedWithoutLeaderLease(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
 	worker.end(api.OutcomeSucceeded)
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestEndIsTakenAlthoughItCouldNotBeCommitted: a proposal that is refused for
+// TestRefusedHeartbeat_EndIsRecordedAfterFailedCommit: a proposal that is refused for
 // want of room is made again, whether or not the worker repeats its report.
-func TestEndIsTakenAlthoughItCouldNotBeCommitted(t *testing.T) {
+func TestRefusedHeartbeat_EndIsRecordedAfterFailedCommit(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
 	worker.end(api.OutcomeSucceeded)
@@ -60,9 +60,9 @@
 	h.wantState("j", api.StateSucceeded)
 }
 
-// TestEndIsTakenAlthoughItsWorkerCouldNotBeRegistered: a worker that also says
+// TestRefusedHeartbeat_EndIsRecordedAfterFailedRegistration: a worker that also says
 // something new of itself has that committed first.
-func TestEndIsTakenAlthoughItsWorkerCouldNotBeRegistered(t *testing.T) {
+func TestRefusedHeartbeat_EndIsRecordedAfterFailedRegistration(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
 	worker.end(api.OutcomeSucceeded)
@@ -74,11 +74,11 @@
 	h.wantState("j", api.StateSucceeded)
 }
 
-// TestLateSuccessIsTakenFromARefusedHeartbeat: its run was closed as lost before,
+// TestRefusedHeartbeat_LateSuccessIsRecorded: its run was closed as lost before,
 // and the next one, which was not ordered, is withdrawn.
-func TestLateSuccessIsTakenFromARefusedHeartbeat(t *testing.T) {
+func TestRefusedHeartbeat_LateSuccessIsRecorded(t *testing.T) {
 	h := newHarness(t)
-	silent, other := h.lapsedOne()
+	silent, other := h.expiredWorker()
 	h.log.lease = false
 	_ = silent.refuse()
 	h.log.lease = true
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestRefusedHeartbeatBringsItsEndsAndNothingElse: it is as if not heard, and is
+// TestRefusedHeartbeat_RecordsEndsOnly: it is as if not heard, and is
 // not acknowledged, so that the worker repeats the report.
-func TestRefusedHeartbeatBringsItsEndsAndNothingElse(t *testing.T) {
+func TestRefusedHeartbeat_RecordsEndsOnly(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -119,7 +119,7 @@
 		t.Errorf("conclusions from a refused heartbeat: draining %t, seq %d", entry.draining, entry.seq)
 	}
 	run := record.RunID{Task: record.TaskID{Job: "goes-on", Step: "s"}, Number: 1}
-	if open := entry.runs[run]; open == nil || open.closing || open.droppedAt != 0 || len(entry.runs) != 1 {
+	if open := entry.runs[run]; open == nil || open.closing || open.droppedSeq != 0 || len(entry.runs) != 1 {
 		t.Errorf("runs %+v, want the other one untouched", entry.runs)
 	}
 	worker.heartbeat.Draining, worker.heartbeat.Running = false, listed.Running[1:]
--- a/internal/scheduler/repeats.go
+++ b/internal/scheduler/repeats.go
@@ -30,16 +30,16 @@
 	next int
 	// addAt is when it is to be added, on the cluster clock.
 	addAt record.Millis
-	// position is the job's place in the heap; indexheap.None while it has none
+	// heapIndex is the job's place in the heap; indexheap.None while it has none
 	// because an expansion of it is being committed.
-	position int
+	heapIndex int
 }
 
 // Before implements indexheap.Item: the earliest first.
 func (j *repeatingJob) Before(other *repeatingJob) bool { return j.addAt < other.addAt }
 
 // SetPosition implements indexheap.Item.
-func (j *repeatingJob) SetPosition(position int) { j.position = position }
+func (j *repeatingJob) SetPosition(position int) { j.heapIndex = position }
 
 // repeats are the repeating jobs, first the one to be expanded next.
 type repeats struct {
@@ -77,8 +77,8 @@
 		return
 	}
 	delete(r.byID, id)
-	if entry.position != indexheap.None {
-		heap.Remove(&r.heap, entry.position)
+	if entry.heapIndex != indexheap.None {
+		heap.Remove(&r.heap, entry.heapIndex)
 	}
 }
 
@@ -91,11 +91,11 @@
 // after proposed was called with it.
 func (r *repeats) takeDue(now record.Millis) []record.Expansion {
 	var due []record.Expansion
-	room := expansionTasks
-	for len(r.heap) > 0 && r.heap[0].addAt <= now && (room > 0 || len(due) == 0) {
+	capacity := expansionTasks
+	for len(r.heap) > 0 && r.heap[0].addAt <= now && (capacity > 0 || len(due) == 0) {
 		entry := heap.Pop(&r.heap).(*repeatingJob)
-		through := entry.lastDue(now, room)
-		room -= entry.tasks * (through - entry.next + 1)
+		through := entry.lastDue(now, capacity)
+		capacity -= entry.tasks * (through - entry.next + 1)
 		due = append(due, record.Expansion{Job: entry.id, Through: through})
 	}
 	return due
@@ -105,7 +105,7 @@
 func (r *repeats) proposed(expansions []record.Expansion, now record.Millis) {
 	for _, expansion := range expansions {
 		entry, known := r.byID[expansion.Job]
-		if !known || entry.position != indexheap.None {
+		if !known || entry.heapIndex != indexheap.None {
 			continue
 		}
 		at := entry.nextAddTime()
@@ -118,12 +118,12 @@
 
 // lastDue is the last occurrence to be added now, within the room for tasks;
 // the next one in any case.
-func (j *repeatingJob) lastDue(now record.Millis, room int) int {
+func (j *repeatingJob) lastDue(now record.Millis, capacity int) int {
 	last := j.next
-	room -= j.tasks
-	for last+1 < j.spec.Times && room >= j.tasks && j.addTime(last+1) <= now {
+	capacity -= j.tasks
+	for last+1 < j.spec.Times && capacity >= j.tasks && j.addTime(last+1) <= now {
 		last++
-		room -= j.tasks
+		capacity -= j.tasks
 	}
 	return last
 }
@@ -135,9 +135,9 @@
 	return record.Millis(j.spec.DueMillis(occurrence)) - expandAheadMillis
 }
 
-// expandLater queues the expansion of repeating jobs whose next occurrences
+// enqueueExpansions queues the expansion of repeating jobs whose next occurrences
 // fall due.
-func (l *leader) expandLater(now record.Millis) {
+func (l *leader) enqueueExpansions(now record.Millis) {
 	due := l.repeats.takeDue(now)
 	if len(due) == 0 {
 		return
@@ -146,8 +146,8 @@
 	signal(l.wakeProposer)
 }
 
-// expand commits what expandLater has queued.
-func (l *leader) expand(expansions []record.Expansion) {
+// proposeExpansions commits what enqueueExpansions has queued.
+func (l *leader) proposeExpansions(expansions []record.Expansion) {
 	if len(expansions) == 0 {
 		return
 	}
--- a/internal/scheduler/repeats_test.go
+++ b/internal/scheduler/repeats_test.go
@@ -25,7 +25,7 @@
 	return job
 }
 
-func TestOccurrencesStartWhenTheyFallDue(t *testing.T) {
+func TestRepeats_OccurrencesStartWhenDue(t *testing.T) {
 	const times = 5
 	for _, newTerms := range []bool{false, true} {
 		h := newHarness(t)
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestOnlyTheNextOccurrenceIsInTheRecord(t *testing.T) {
+func TestRepeats_OnlyNextOccurrenceIsRecorded(t *testing.T) {
 	h := newHarness(t)
 	h.submitSpec("j", h.repeating(api.MaxOccurrences, time.Second, time.Second))
 	for range 10 {
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestExpansionsOfManyJobsAreOneCommand(t *testing.T) {
+func TestRepeats_ManyExpansionsAreOneCommand(t *testing.T) {
 	h := newHarness(t)
 	for number := range 50 {
 		h.submitSpec(fmt.Sprintf("j-%d", number), h.repeating(3, time.Second, time.Second))
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestMissedOccurrencesComeInBatches(t *testing.T) {
+func TestRepeats_MissedOccurrencesComeInBatches(t *testing.T) {
 	h := newHarness(t)
 	spec := h.repeating(20_000, -time.Hour, time.Millisecond)
 	h.submitSpec("j", spec)
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestCancelledJobIsExpandedNoMore(t *testing.T) {
+func TestRepeats_CancelledJobIsNotExpanded(t *testing.T) {
 	h := newHarness(t)
 	h.submitSpec("j", h.repeating(10, time.Second, time.Second))
 	if _, err := h.leader.propose(t.Context(), record.Command{CancelJobs: &record.CancelJobs{Jobs: []string{"j"}}}); err != nil {
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestGroupsOfOccurrencesArePlacedForThemselves(t *testing.T) {
+func TestRepeats_GangsOfOccurrencesArePlacedSeparately(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -152,7 +152,7 @@
 	}
 	worker.end(api.OutcomeSucceeded)
 	worker.exchange()
-	if got := h.status("j"); got.State != api.StateSucceeded || len(h.leader.groups) != 0 {
-		t.Fatalf("%s, %d groups kept", got.State, len(h.leader.groups))
+	if got := h.status("j"); got.State != api.StateSucceeded || len(h.leader.gangs) != 0 {
+		t.Fatalf("%s, %d groups kept", got.State, len(h.leader.gangs))
 	}
 }
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -14,16 +14,16 @@
 	// unreadable name no task, or contradict the record; they are acknowledged.
 	unreadable []api.RunRef
 	// withdrawn are runs never ordered of tasks that turn out to be done.
-	withdrawn []record.RunEnd
+	revoked []record.RunEnd
 	// ended are of runs open on the worker, late of runs closed before.
 	ended, late []record.RunEnd
 }
 
-// sortReports decides which reports go to the record now. A late success whose
+// classifyReports decides which reports go to the record now. A late success whose
 // task is run anew is kept back, unless that run was never ordered: then it is
 // withdrawn. One of a group is not, since that would send the whole group back.
-func (l *leader) sortReports(differences *reconciliation) reports {
-	sorted := reports{unreadable: slices.Concat(differences.unreadable, differences.contradicting), ended: differences.ended}
+func (l *leader) classifyReports(differences *reconciliation) reports {
+	sorted := reports{unreadable: slices.Concat(differences.unreadable, differences.conflicting), ended: differences.ended}
 	ending := make(map[record.RunID]bool, len(differences.ended))
 	for _, end := range differences.ended {
 		ending[end.Run] = true
@@ -31,11 +31,11 @@
 	for _, end := range differences.late {
 		newer, open := l.openByTask[end.Run.Task]
 		switch {
-		case !l.mayCount(end) || !open || ending[newer.id]:
+		case !l.mayCountSuccess(end) || !open || ending[newer.id]:
 			sorted.late = append(sorted.late, end)
-		case newer.neverOrdered() && !newer.closing && !newer.together:
+		case newer.neverAssigned() && !newer.closing && !newer.inGang:
 			newer.closing = true
-			sorted.withdrawn = append(sorted.withdrawn, record.RunEnd{
+			sorted.revoked = append(sorted.revoked, record.RunEnd{
 				Run: newer.id, Outcome: api.OutcomeLost, Message: "an earlier run of the task has succeeded",
 			})
 			sorted.late = append(sorted.late, end)
@@ -48,7 +48,7 @@
 // late success counts only once no run of its task is open.
 func (r *reports) closes() []record.RunEnd {
 	var all []record.RunEnd
-	all = append(all, r.withdrawn...)
+	all = append(all, r.revoked...)
 	all = append(all, r.ended...)
 	return append(all, r.late...)
 }
@@ -67,12 +67,12 @@
 	return l.acknowledge(reported), nil
 }
 
-// takeEnds takes the ends from a heartbeat that is refused for want of the lease,
+// observeRefusedEnds takes the ends from a heartbeat that is refused for want of the lease,
 // and draws no other conclusion: its worker may be gone before it can report them
 // again. No lease is needed for it. What is proposed takes effect only if this
 // leads still, and else the worker tells the next leader.
-func (l *leader) takeEnds(request fleet.HeartbeatRequest) {
-	l.endLater(l.observeEnds(request))
+func (l *leader) observeRefusedEnds(request fleet.HeartbeatRequest) {
+	l.enqueueEnds(l.observeEnds(request))
 }
 
 func (l *leader) observeEnds(request fleet.HeartbeatRequest) reports {
@@ -83,14 +83,14 @@
 		worker = newWorkerEntry(workerInfo(request, 0), l.now())
 	}
 	differences := reconcileLate(worker.runs, request.Heartbeat)
-	l.setAsideContradictions(worker, &differences)
-	l.noteDifferences(worker, &differences)
-	return l.sortReports(&differences)
+	l.quarantineConflicts(worker, &differences)
+	l.applyDifferences(worker, &differences)
+	return l.classifyReports(&differences)
 }
 
-// endLater queues ends that are not in the record yet, though they were heard.
+// enqueueEnds queues ends that are not in the record yet, though they were heard.
 // The worker repeats them, so each is queued once.
-func (l *leader) endLater(reported reports) {
+func (l *leader) enqueueEnds(reported reports) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, end := range reported.closes() {
@@ -112,16 +112,16 @@
 		acknowledged = append(acknowledged, runRef(end.Run))
 	}
 	for _, end := range reported.late {
-		if !l.mayCount(end) {
+		if !l.mayCountSuccess(end) {
 			acknowledged = append(acknowledged, runRef(end.Run))
 		}
 	}
 	return acknowledged
 }
 
-// mayCount tells whether a late report is a success of a task that is not
+// mayCountSuccess tells whether a late report is a success of a task that is not
 // final. A task that runs until cancelled has no success.
-func (l *leader) mayCount(end record.RunEnd) bool {
+func (l *leader) mayCountSuccess(end record.RunEnd) bool {
 	if end.Outcome != api.OutcomeSucceeded {
 		return false
 	}
