--- a/internal/scheduler/reports_test.go
+++ b/internal/scheduler/reports_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestEndIsTakenAlthoughItsCallerWentAway(t *testing.T) {
+func TestReports_EndIsRecordedAfterCallerLeft(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
 	worker.end(api.OutcomeSucceeded)
@@ -43,7 +43,7 @@
 	h.wantState("j", api.StateSucceeded)
 }
 
-func TestWorkerIsRegisteredAlthoughItsCallerWentAway(t *testing.T) {
+func TestHeartbeat_RegistersWorkerAfterCallerLeft(t *testing.T) {
 	h := newHarness(t)
 	gone, leave := context.WithCancel(t.Context())
 	leave()
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestLateHeartbeatBringsItsEndsAndNothingElse(t *testing.T) {
+func TestReports_LateHeartbeatRecordsEndsOnly(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
 	worker.end(api.OutcomeSucceeded)
@@ -80,7 +80,7 @@
 }
 
 // A late heartbeat does not list what was started since.
-func TestLateHeartbeatGivesUpNoRun(t *testing.T) {
+func TestReports_LateHeartbeatClosesNoRun(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -98,9 +98,9 @@
 	}
 }
 
-// lapsedOne returns a worker that is lost although its run of "j/s/0" has
+// expiredWorker returns a worker that is lost although its run of "j/s/0" has
 // succeeded, and another that is free to take the task.
-func (h *harness) lapsedOne() (silent, other *fakeWorker) {
+func (h *harness) expiredWorker() (silent, other *fakeWorker) {
 	h.t.Helper()
 	silent = h.runningOne()
 	silent.end(api.OutcomeSucceeded)
@@ -115,10 +115,10 @@
 	return silent, other
 }
 
-func TestLateSuccessWithdrawsARunThatWasNotOrdered(t *testing.T) {
+func TestReports_LateSuccessRevokesUnassignedRun(t *testing.T) {
 	h := newHarness(t)
-	silent, other := h.lapsedOne()
-	if open := h.leader.openByTask[testTask()]; open == nil || open.workerID != "o-1" || open.orderedAt != 0 {
+	silent, other := h.expiredWorker()
+	if open := h.leader.openByTask[testTask()]; open == nil || open.workerID != "o-1" || open.assignedSeq != 0 {
 		t.Fatalf("want the task placed anew and not ordered, got %+v", open)
 	}
 	if answer := silent.exchange(); len(answer.Acknowledged) != 1 {
@@ -130,9 +130,9 @@
 	}
 }
 
-func TestWithdrawnRunIsClosedAlthoughTheReportFails(t *testing.T) {
+func TestReports_RevokedRunIsClosedAfterFailedReport(t *testing.T) {
 	h := newHarness(t)
-	silent, other := h.lapsedOne()
+	silent, other := h.expiredWorker()
 	h.log.overloaded = true
 	silent.heartbeat.Seq++
 	request := fleet.HeartbeatRequest{Agent: "a", Zone: "z1", Heartbeat: silent.heartbeat}
@@ -150,11 +150,11 @@
 	}
 }
 
-func TestLateSuccessIsAcknowledgedOnceItsTaskIsFinal(t *testing.T) {
+func TestReports_LateSuccessIsAcknowledgedOnceFinal(t *testing.T) {
 	for _, outcome := range []api.Outcome{api.OutcomeSucceeded, api.OutcomeFailed, api.OutcomeStopped} {
 		t.Run(string(outcome), func(t *testing.T) {
 			h := newHarness(t)
-			silent, other := h.lapsedOne()
+			silent, other := h.expiredWorker()
 			if answer := other.exchange(); len(answer.Start) != 1 || answer.Start[0].Run != 2 {
 				t.Fatalf("want run 2 on the other worker, got %+v", answer.Start)
 			}
@@ -174,7 +174,7 @@
 }
 
 // The worker refuses to run a task whose success it still reports.
-func TestLateSuccessCountsWithTheEndOfTheNewerRun(t *testing.T) {
+func TestReports_LateSuccessCountsWithEndOfNewerRun(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
 	worker.end(api.OutcomeSucceeded)
@@ -195,7 +195,7 @@
 }
 
 // It has no success, so a worker must not wait until it is taken.
-func TestLateSuccessOfATaskUntilCancelledIsAcknowledged(t *testing.T) {
+func TestReports_LateSuccessOfEndlessTaskIsAcknowledged(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -217,7 +217,7 @@
 func testTask() record.TaskID { return record.TaskID{Job: "j", Step: "s", Index: 0} }
 
 // An order in an answer that nobody takes would cost the task a run.
-func TestCallerThatWentAwayGetsNoOrders(t *testing.T) {
+func TestAssignment_CallerThatLeftGetsNone(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -235,19 +235,19 @@
 
 // Otherwise a worker with reports would never be answered while a commit takes
 // longer than a tick.
-func TestWorkerThatIsHeardAgainDoesNotLapseAgain(t *testing.T) {
+func TestLease_ExpiresOnceUntilAnswered(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
 	worker.end(api.OutcomeSucceeded)
 	h.advance(testHold + testMargin + time.Millisecond)
-	h.log.meanwhile = func() { h.leader.tick() }
+	h.log.whileProposing = func() { h.leader.tick() }
 	if answer := worker.exchange(); len(answer.Acknowledged) != 1 {
 		t.Errorf("acknowledged %+v", answer.Acknowledged)
 	}
 }
 
 // Its placement may have been under way while the hold lapsed.
-func TestRunOpenedAfterTheLapseIsGivenUp(t *testing.T) {
+func TestLease_RunOpenedAfterExpiryIsClosed(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -256,7 +256,7 @@
 	h.now += testHold + testMargin + time.Millisecond
 	entry := h.leader.workers["w-1"]
 	h.leader.mu.Lock()
-	entry.lapse()
+	entry.expireLease()
 	h.leader.mu.Unlock()
 	h.settle()
 	if len(h.leader.runs) != 0 || len(h.leader.waiting) != 1 {
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -88,8 +88,8 @@
 	handle(s, server, fleet.MethodConfigVersions, (*leader).configVersions)
 	handle(s, server, fleet.MethodRollout, (*leader).rollout)
 
-	handle(s, server, fleet.MethodBookings, (*leader).listBookings)
-	handle(s, server, fleet.MethodRelease, (*leader).releaseBooking)
+	handle(s, server, fleet.MethodBookings, (*leader).listReservations)
+	handle(s, server, fleet.MethodRelease, (*leader).releaseReservation)
 
 	handle(s, server, fleet.MethodDrainZone, (*leader).drainZone)
 	handle(s, server, fleet.MethodDrains, (*leader).listDrains)
--- a/internal/scheduler/silence_test.go
+++ b/internal/scheduler/silence_test.go
@@ -12,13 +12,13 @@
 	testBeat = 200 * time.Millisecond
 	// shortSilence and longSilence are numbers of heartbeat intervals: the longest
 	// pause that is none yet, and one that is longer, though far from a hold.
-	shortSilence = silentIntervals
-	longSilence  = silentIntervals + 1
+	shortSilence = missedHeartbeatsLimit
+	longSilence  = missedHeartbeatsLimit + 1
 )
 
-// beats lets time pass in heartbeat intervals, in each of which the workers
+// heartbeatIntervals lets time pass in heartbeat intervals, in each of which the workers
 // exchange a heartbeat.
-func (h *harness) beats(intervals int, workers ...*fakeWorker) {
+func (h *harness) heartbeatIntervals(intervals int, workers ...*fakeWorker) {
 	h.t.Helper()
 	for range intervals {
 		h.advance(testBeat)
@@ -28,9 +28,9 @@
 	}
 }
 
-// silentAndOther are two workers, of which the first has a run that was not
+// missingAndResponding are two workers, of which the first has a run that was not
 // ordered yet.
-func silentAndOther(t *testing.T, step api.StepSpec) (h *harness, silent, other *fakeWorker) {
+func missingAndResponding(t *testing.T, step api.StepSpec) (h *harness, silent, other *fakeWorker) {
 	t.Helper()
 	h = newHarness(t)
 	silent, other = h.worker("a", "a-1"), h.worker("b", "b-1")
@@ -43,13 +43,13 @@
 	return h, silent, other
 }
 
-func TestRunThatNoOrderNamedLeavesASilentWorker(t *testing.T) {
-	h, _, other := silentAndOther(t, tasks(1))
-	h.beats(shortSilence, other)
+func TestRevocation_UnassignedRunLeavesMissingWorker(t *testing.T) {
+	h, _, other := missingAndResponding(t, tasks(1))
+	h.heartbeatIntervals(shortSilence, other)
 	if task := h.task("j", 0); task.Run != 1 || task.Worker != "a" {
 		t.Fatalf("withdrawn after %d heartbeat intervals: %+v", shortSilence, task)
 	}
-	h.beats(2, other)
+	h.heartbeatIntervals(2, other)
 	if len(other.heartbeat.Running) != 1 || other.heartbeat.Running[0].Run != 2 {
 		t.Fatalf("want run 2 on the other worker long before the hold lapses, got %+v", other.heartbeat.Running)
 	}
@@ -58,31 +58,31 @@
 	}
 }
 
-func TestWithdrawnRunIsNeverOrdered(t *testing.T) {
-	h, silent, other := silentAndOther(t, tasks(1))
-	h.beats(longSilence, other)
+func TestRevocation_RevokedRunIsNeverAssigned(t *testing.T) {
+	h, silent, other := missingAndResponding(t, tasks(1))
+	h.heartbeatIntervals(longSilence, other)
 	if answer := silent.exchange(); len(answer.Start) != 0 {
 		t.Errorf("ordered where it was withdrawn: %+v", answer.Start)
 	}
 }
 
-func TestRunThatMayHaveBeenOrderedStaysOnASilentWorker(t *testing.T) {
-	h, silent, other := silentAndOther(t, tasks(1))
+func TestRevocation_PossiblyAssignedRunStays(t *testing.T) {
+	h, silent, other := missingAndResponding(t, tasks(1))
 	if answer, err := silent.send(); err != nil || len(answer.Start) != 1 {
 		t.Fatalf("want the order, got %+v, %v", answer, err)
 	}
-	h.beats(int(testHold/testBeat), other)
+	h.heartbeatIntervals(int(testHold/testBeat), other)
 	if task := h.task("j", 0); task.Run != 1 || task.Worker != "a" {
 		t.Errorf("given away while the hold stands: %+v", task)
 	}
 }
 
-func TestSilentWorkerGetsWorkLast(t *testing.T) {
+func TestUnresponsiveWorker_GetsWorkLast(t *testing.T) {
 	h := newHarness(t)
 	silent, other := h.worker("a", "a-1"), h.worker("b", "b-1")
 	silent.exchange()
 	other.exchange()
-	h.beats(longSilence, other)
+	h.heartbeatIntervals(longSilence, other)
 	h.submit("j", tasks(5)) // one more than there is room elsewhere
 	counts := map[string]int{}
 	for index := range 5 {
@@ -91,7 +91,7 @@
 	if counts["a"] != 1 || counts["b"] != 4 {
 		t.Fatalf("want 4 tasks on b and the last on a, got %v", counts)
 	}
-	h.beats(2, other)
+	h.heartbeatIntervals(2, other)
 	for index := range 5 {
 		if task := h.task("j", index); task.Run != 1 {
 			t.Errorf("withdrawn though there is no room elsewhere: %+v", task)
@@ -99,30 +99,30 @@
 	}
 }
 
-// TestWorkerHeardAgainIsDoubtedNoMore has work go to the worker that it would go
+// TestUnresponsiveWorker_RecoversOnHeartbeat has work go to the worker that it would go
 // to anyway.
-func TestWorkerHeardAgainIsDoubtedNoMore(t *testing.T) {
+func TestUnresponsiveWorker_RecoversOnHeartbeat(t *testing.T) {
 	h := newHarness(t)
 	silent, other := h.worker("a", "a-1"), h.worker("b", "b-1")
 	silent.exchange()
 	other.exchange()
-	h.beats(longSilence, other)
-	h.beats(2, silent, other)
+	h.heartbeatIntervals(longSilence, other)
+	h.heartbeatIntervals(2, silent, other)
 	h.submit("j", tasks(1))
 	if task := h.task("j", 0); task.Worker != "a" {
 		t.Errorf("want it placed on a, got %+v", task)
 	}
 }
 
-// TestHeartbeatInWorkIsNoSilence has the log take so long that a worker, which
+// TestRevocation_HeartbeatInProgressIsNotMissed has the log take so long that a worker, which
 // waits for its answer, cannot be heard meanwhile.
-func TestHeartbeatInWorkIsNoSilence(t *testing.T) {
-	h, silent, _ := silentAndOther(t, tasks(2))
+func TestRevocation_HeartbeatInProgressIsNotMissed(t *testing.T) {
+	h, silent, _ := missingAndResponding(t, tasks(2))
 	silent.exchange()
 	h.submit("k", tasks(1))
 	silent.end(api.OutcomeSucceeded)
-	h.log.meanwhile = func() {
-		h.log.meanwhile = nil
+	h.log.whileProposing = func() {
+		h.log.whileProposing = nil
 		h.advance(longSilence * testBeat)
 	}
 	if answer := silent.exchange(); len(answer.Start) != 1 || answer.Start[0].Run != 1 {
@@ -130,30 +130,30 @@
 	}
 }
 
-// TestNothingIsWithdrawnWhileNobodyIsHeard: it would have nowhere to go.
-func TestNothingIsWithdrawnWhileNobodyIsHeard(t *testing.T) {
-	h, _, other := silentAndOther(t, tasks(1))
-	h.beats(longSilence)
+// TestRevocation_NothingWhileNoWorkerResponds: it would have nowhere to go.
+func TestRevocation_NothingWhileNoWorkerResponds(t *testing.T) {
+	h, _, other := missingAndResponding(t, tasks(1))
+	h.heartbeatIntervals(longSilence)
 	if task := h.task("j", 0); task.Run != 1 {
 		t.Errorf("withdrawn: %+v", task)
 	}
-	h.beats(1)
+	h.heartbeatIntervals(1)
 	other.exchange()
-	h.beats(2, other)
+	h.heartbeatIntervals(2, other)
 	if task := h.task("j", 0); task.Run != 2 || task.Worker != "b" {
 		t.Errorf("want run 2 on b once that is heard, got %+v", task)
 	}
 }
 
-// TestTaskIsWithdrawnSomeTimesUntilItIsOrdered: work does not go round for ever
+// TestRevocation_IsBoundedPerTask: work does not go round for ever
 // between workers whose heartbeats are slow. Here each turns silent as soon as the
 // task is placed on it.
-func TestTaskIsWithdrawnSomeTimesUntilItIsOrdered(t *testing.T) {
-	h, first, second := silentAndOther(t, tasks(1))
+func TestRevocation_IsBoundedPerTask(t *testing.T) {
+	h, first, second := missingAndResponding(t, tasks(1))
 	third := h.worker("c", "c-1")
 	third.exchange()
 	workers := map[string]*fakeWorker{"a": first, "b": second, "c": third}
-	for range (maxWithdrawals + 3) * longSilence { // less than a hold after the last
+	for range (maxRevocations + 3) * longSilence { // less than a hold after the last
 		h.advance(testBeat)
 		holder := h.task("j", 0).Worker
 		for name, worker := range workers {
@@ -162,28 +162,28 @@
 			}
 		}
 	}
-	if task := h.task("j", 0); task.Run != 1+maxWithdrawals {
-		t.Fatalf("want it withdrawn %d times, got %+v", maxWithdrawals, task)
+	if task := h.task("j", 0); task.Run != 1+maxRevocations {
+		t.Fatalf("want it withdrawn %d times, got %+v", maxRevocations, task)
 	}
 }
 
-// TestNothingIsWithdrawnWhileMostAreSilent: the pause is then a common one.
-func TestNothingIsWithdrawnWhileMostAreSilent(t *testing.T) {
-	h, _, other := silentAndOther(t, tasks(1))
+// TestRevocation_NothingWhileMostWorkersAreMissing: the pause is then a common one.
+func TestRevocation_NothingWhileMostWorkersAreMissing(t *testing.T) {
+	h, _, other := missingAndResponding(t, tasks(1))
 	h.worker("c", "c-1").exchange()
-	h.beats(longSilence+1, other)
+	h.heartbeatIntervals(longSilence+1, other)
 	if task := h.task("j", 0); task.Run != 1 {
 		t.Errorf("withdrawn: %+v", task)
 	}
 }
 
-// TestGroupIsNotSentBackForASilentWorker: a run that is withdrawn sends its whole
+// TestRevocation_GangMemberStays: a run that is withdrawn sends its whole
 // group back, so a group waits for the hold.
-func TestGroupIsNotSentBackForASilentWorker(t *testing.T) {
+func TestRevocation_GangMemberStays(t *testing.T) {
 	step := tasks(2)
 	step.Together = true
-	h, _, other := silentAndOther(t, step)
-	h.beats(longSilence, other)
+	h, _, other := missingAndResponding(t, step)
+	h.heartbeatIntervals(longSilence, other)
 	for index := range 2 {
 		if task := h.task("j", index); task.Run != 1 || task.Worker != "a" {
 			t.Errorf("member %d: %+v", index, task)
@@ -191,8 +191,8 @@
 	}
 }
 
-func TestTaskWhoseOrderWasLostGoesToAnotherWorker(t *testing.T) {
-	h, missing, other := silentAndOther(t, tasks(1))
+func TestUnresponsiveWorker_LostAssignmentGoesElsewhere(t *testing.T) {
+	h, missing, other := missingAndResponding(t, tasks(1))
 	if answer, err := missing.send(); err != nil || len(answer.Start) != 1 {
 		t.Fatalf("want the order, got %+v, %v", answer, err)
 	}
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestWorkerThatMissedAnAnswerGetsWorkAgain(t *testing.T) {
+func TestUnresponsiveWorker_MissedAnswerIsForgiven(t *testing.T) {
 	h := newHarness(t)
 	worker, other := h.worker("a", "a-1"), h.worker("b", "b-1")
 	worker.exchange()
--- a/internal/scheduler/statemetrics.go
+++ b/internal/scheduler/statemetrics.go
@@ -11,8 +11,8 @@
 type stateCollector struct {
 	service *Service
 
-	jobs, pending, running    *prometheus.Desc
-	workers, mirror, watchers *prometheus.Desc
+	jobs, pending, recordedRuns *prometheus.Desc
+	workers, openRuns, watchers *prometheus.Desc
 }
 
 func newStateCollector(service *Service) *stateCollector {
@@ -20,19 +20,19 @@
 		return prometheus.NewDesc("decklever_state_"+name, help, nil, nil)
 	}
 	return &stateCollector{
-		service:  service,
-		jobs:     describe("jobs", "Jobs in the record's memory."),
-		pending:  describe("pending_tasks", "Tasks in the record that wait."),
-		running:  describe("open_runs", "Open runs in the record."),
-		workers:  describe("worker_incarnations", "Worker incarnations that the acting scheduler follows."),
-		mirror:   describe("mirrored_runs", "Open runs that the acting scheduler mirrors."),
-		watchers: describe("watching_processes", "Fronts and agents that the acting scheduler has heard."),
+		service:      service,
+		jobs:         describe("jobs", "Jobs in the record's memory."),
+		pending:      describe("pending_tasks", "Tasks in the record that wait."),
+		recordedRuns: describe("open_runs", "Open runs in the record."),
+		workers:      describe("worker_incarnations", "Worker incarnations that the acting scheduler follows."),
+		openRuns:     describe("mirrored_runs", "Open runs that the acting scheduler mirrors."),
+		watchers:     describe("watching_processes", "Fronts and agents that the acting scheduler has heard."),
 	}
 }
 
 // Describe implements prometheus.Collector.
 func (c *stateCollector) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, one := range []*prometheus.Desc{c.jobs, c.pending, c.running, c.workers, c.mirror, c.watchers} {
+	for _, one := range []*prometheus.Desc{c.jobs, c.pending, c.recordedRuns, c.workers, c.openRuns, c.watchers} {
 		descriptions <- one
 	}
 }
@@ -49,7 +49,7 @@
 	c.service.log.Record().Read(func(view record.View) { held = countQueues(view) })
 	gauge(c.jobs, held.Jobs)
 	gauge(c.pending, held.PendingTasks)
-	gauge(c.running, held.RunningTasks)
+	gauge(c.recordedRuns, held.RunningTasks)
 	current := c.service.leader.Load()
 	if current == nil {
 		return
@@ -57,7 +57,7 @@
 	current.mu.Lock()
 	defer current.mu.Unlock()
 	gauge(c.workers, len(current.workers))
-	gauge(c.mirror, len(current.runs))
+	gauge(c.openRuns, len(current.runs))
 	gauge(c.watchers, len(current.processes))
 }
 
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -31,12 +31,12 @@
 
 func (l *leader) workerStatus(worker *workerEntry) api.WorkerStatus {
 	now := l.now()
-	state, reason := worker.state(now, l.hold())
+	state, reason := worker.state(now, l.leaseDuration())
 	status := api.WorkerStatus{
 		Name: worker.info.Name, WorkerID: worker.info.ID, Zone: worker.info.Zone,
 		State: state, Reason: reason,
 		Capacity: worker.info.Capacity, Services: append([]string{}, worker.info.Services...), Labels: worker.info.Labels,
-		Runs: len(worker.runs), SilentMillis: l.silence(worker, now).Milliseconds(),
+		Runs: len(worker.runs), SilentMillis: l.sinceLastSeen(worker, now).Milliseconds(),
 	}
 	for _, run := range worker.runs {
 		status.Used = status.Used.Add(run.spec.Resources)
@@ -84,7 +84,7 @@
 	var known bool
 	l.log.Record().Read(func(view record.View) {
 		_, config := view.Config()
-		known = queueOf(config, request.Name) != nil
+		known = findQueue(config, request.Name) != nil
 		answer.Status = l.queueStatus(view, request.Name)
 	})
 	if !l.log.HoldsLease(l.token) {
@@ -100,7 +100,7 @@
 	counts := view.QueueCounts(name)
 	wait, overloaded := l.expectedWait(name)
 	return api.QueueStatus{
-		Name: name, Jobs: counts.Jobs, WaitingJobs: l.waitingJobs(name),
+		Name: name, Jobs: counts.Jobs, WaitingJobs: l.jobsPendingStart(name),
 		Pending: counts.PendingTasks, Running: counts.RunningTasks,
 		ExpectedWaitMillis: wait.Milliseconds(), Overloaded: overloaded,
 	}
--- a/internal/scheduler/submitting.go
+++ b/internal/scheduler/submitting.go
@@ -49,7 +49,7 @@
 		if queue.Name == name {
 			own = index
 		}
-		parts = append(parts, partOf(queue, s.byQueue[queue.Name]))
+		parts = append(parts, quotaPart(queue, s.byQueue[queue.Name]))
 	}
 	if len(parts) == 0 {
 		return 0
@@ -85,12 +85,12 @@
 // would only add to that. One that was withdrawn when its caller's time was over is
 // not: this leader may have been cut off, and another one may take the job.
 func (l *leader) submitError(err error) error {
-	withdrawn := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
-	if !errors.Is(err, replica.ErrOverloaded) || withdrawn {
+	revoked := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
+	if !errors.Is(err, replica.ErrOverloaded) || revoked {
 		return l.proposalError(err)
 	}
 	return &api.Error{
 		Status: http.StatusServiceUnavailable, Code: api.CodeUnavailable,
-		Message: "more changes wait to be committed than may; nothing was done", RetryAfterMillis: leastRetry.Milliseconds(),
+		Message: "more changes wait to be committed than may; nothing was done", RetryAfterMillis: minRetryAfter.Milliseconds(),
 	}
 }
--- a/internal/scheduler/templates_test.go
+++ b/internal/scheduler/templates_test.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/internal/fleet"
 )
 
-func TestOrdersCarryThePayloadOfTheJob(t *testing.T) {
+func TestAssignment_CarriesJobPayload(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestQueueServiceReachesTheWorker(t *testing.T) {
+func TestAssignment_CarriesQueueService(t *testing.T) {
 	h := newHarness(t)
 	bare := tasks(1)
 	bare.Tasks[0].Service = ""
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestReplicasCountAgainstBounds(t *testing.T) {
+func TestAdmission_ReplicasCountAgainstLimits(t *testing.T) {
 	h := newHarness(t)
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q", MaxPendingTasks: 5}}})
 	step := tasks(1)
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -13,19 +13,19 @@
 // A planner's sequence holds, from the highest bits down, a tier, a moment in
 // milliseconds and the task's place in its job.
 const (
-	tasksPerStep = 1 << 10
-	stepsPerJob  = 1 << 8
-	momentBits   = 43
-	placesPerJob = tasksPerStep * stepsPerJob
+	tasksPerStep    = 1 << 10
+	stepsPerJob     = 1 << 8
+	momentBits      = 43
+	positionsPerJob = tasksPerStep * stepsPerJob
 )
 
 // urgency is what decides on a waiting task's place among those of equal
 // priority.
 type urgency struct {
-	// place is the task's place in its job.
-	place uint64
-	// fellDue orders tasks of queues without an objective.
-	fellDue record.Millis
+	// position is the task's place in its job.
+	position uint64
+	// readyAt orders tasks of queues without an objective.
+	readyAt record.Millis
 	// since is when the objective begins to count; chains and step give the
 	// estimates that lie ahead.
 	since  record.Millis
@@ -34,7 +34,7 @@
 	// times are set while the task has an objective.
 	times  objective.Deadlines
 	timely bool
-	// lost: the job can no longer end within three times its objective.
+	// total: the job can no longer end within three times its objective.
 	lost bool
 }
 
@@ -47,7 +47,7 @@
 		since = max(since, record.Millis(step.Spec.NotBefore.UnixMilli()))
 	}
 	return urgency{
-		place: uint64(place), fellDue: step.DueAt(), since: since,
+		position: uint64(place), readyAt: step.DueAt(), since: since,
 		chains: l.chainsOf(step.Job), step: step.Index,
 	}
 }
@@ -71,16 +71,16 @@
 func (u *urgency) sequence(now record.Millis) (sequence uint64, until record.Millis) {
 	u.lost = false
 	if !u.timely {
-		return uint64(u.fellDue)*placesPerJob + u.place, 0
+		return uint64(u.readyAt)*positionsPerJob + u.position, 0
 	}
 	rank := u.times.RankAt(now)
 	u.lost = rank.Tier == objective.TierLost
 	moment := uint64(rank.Tier)<<momentBits + uint64(max(rank.Key, 0))
-	return moment*placesPerJob + u.place, rank.ValidUntil
+	return moment*positionsPerJob + u.position, rank.ValidUntil
 }
 
-// rank gives an entry its place as of now. It reports whether that changed.
-func (l *leader) rank(entry *waitingTask, now record.Millis) bool {
+// updateRank gives an entry its place as of now. It reports whether that changed.
+func (l *leader) updateRank(entry *waitingTask, now record.Millis) bool {
 	sequence, until := entry.urgency.sequence(now)
 	if until > 0 {
 		l.ranks.add(until, entry.task.ID)
@@ -98,20 +98,20 @@
 		if !waits {
 			continue
 		}
-		changed := l.rank(entry, now)
+		changed := l.updateRank(entry, now)
 		if (l.endLocalityWait(entry, now) || changed) && entry.due {
 			l.countWaiting(entry)
 			moved = append(moved, entry)
 		}
 	}
-	l.offerAgain(moved)
+	l.offerChanged(moved)
 }
 
-// offerAgain offers tasks that changed; members of one group once.
-func (l *leader) offerAgain(entries []*waitingTask) {
+// offerChanged offers tasks that changed; members of one group once.
+func (l *leader) offerChanged(entries []*waitingTask) {
 	offered := make(map[record.StepID]bool)
 	for _, entry := range entries {
-		if _, grouped := l.groups[entry.step]; grouped {
+		if _, isGang := l.gangs[entry.step]; isGang {
 			if offered[entry.step] {
 				continue
 			}
@@ -123,7 +123,7 @@
 
 // objectiveOf returns a queue's objective, or nil.
 func (l *leader) objectiveOf(name string) *api.ObjectiveConfig {
-	queue := queueOf(l.config, name)
+	queue := findQueue(l.config, name)
 	if queue == nil || l.off.Has(mechanism.ObjectiveTiers) {
 		return nil
 	}
@@ -155,12 +155,12 @@
 		l.planner.Remove(id)
 		entry.task.Priority = entry.jobPriority + l.queuePriority(entry.task.Queue)
 		entry.urgency.apply(l.objectiveOf(entry.task.Queue))
-		l.rank(entry, now)
+		l.updateRank(entry, now)
 		l.setLocalityWait(entry, false) // its timer is gone
 		l.countWaiting(entry)
 		if entry.due {
 			due = append(due, entry)
 		}
 	}
-	l.offerAgain(due)
+	l.offerChanged(due)
 }
--- a/internal/scheduler/urgency_test.go
+++ b/internal/scheduler/urgency_test.go
@@ -24,7 +24,7 @@
 
 // order ends one run after another, a millisecond each, and returns the jobs in
 // the order of their orders.
-func (h *harness) order(worker *fakeWorker, count int) string {
+func (h *harness) nextAssignment(worker *fakeWorker, count int) string {
 	h.t.Helper()
 	var jobs []string
 	for range count {
@@ -41,8 +41,8 @@
 	return strings.Join(jobs, " ")
 }
 
-// keep lets time pass and keeps the worker's hold.
-func (h *harness) keep(worker *fakeWorker, by time.Duration) {
+// exchangeFor lets time pass and keeps the worker's hold.
+func (h *harness) exchangeFor(worker *fakeWorker, by time.Duration) {
 	for ; by > 0; by -= time.Second {
 		h.advance(min(by, time.Second))
 		worker.exchange()
@@ -62,60 +62,60 @@
 	return steps
 }
 
-func TestLeastSlackGoesFirst(t *testing.T) {
+func TestUrgency_LeastSlackGoesFirst(t *testing.T) {
 	h, worker := urgencyHarness(t)
 	h.submit("short", estimated(1, time.Second))
 	h.submit("long", estimated(1, 8*time.Second))
 	h.submit("chain", chain(time.Second, 5*time.Second)...)
-	if got := h.order(worker, 4); got != "long chain chain short" {
+	if got := h.nextAssignment(worker, 4); got != "long chain chain short" {
 		t.Errorf("order: %s", got)
 	}
 }
 
-// TestLateWorkGoesBehind: at 4 s, "late" can no longer meet its objective and
+// TestUrgency_LateWorkGoesBehind: at 4 s, "late" can no longer meet its objective and
 // "new" can; at 33 s nothing can be met, and "lost" is beyond three times its own.
-func TestLateWorkGoesBehind(t *testing.T) {
+func TestUrgency_LateWorkGoesBehind(t *testing.T) {
 	h, worker := urgencyHarness(t)
 	h.submit("late", estimated(1, 8*time.Second))
-	h.keep(worker, 4*time.Second)
+	h.exchangeFor(worker, 4*time.Second)
 	h.submit("new", estimated(1, time.Second))
-	if got := h.order(worker, 2); got != "new late" {
+	if got := h.nextAssignment(worker, 2); got != "new late" {
 		t.Errorf("order: %s", got)
 	}
 	h.submit("lost", estimated(1, 8*time.Second))
-	h.keep(worker, 20*time.Second)
+	h.exchangeFor(worker, 20*time.Second)
 	h.submit("later", estimated(1, 8*time.Second))
-	h.keep(worker, 5*time.Second)
-	if got := h.order(worker, 2); got != "later lost" {
+	h.exchangeFor(worker, 5*time.Second)
+	if got := h.nextAssignment(worker, 2); got != "later lost" {
 		t.Errorf("order: %s", got)
 	}
 }
 
-// TestLostWorkIsNotStarved: beyond 30 s and ten objectives more, it goes first.
-func TestLostWorkIsNotStarved(t *testing.T) {
+// TestUrgency_LostWorkIsNotStarved: beyond 30 s and ten objectives more, it goes first.
+func TestUrgency_LostWorkIsNotStarved(t *testing.T) {
 	h, worker := urgencyHarness(t)
 	h.submit("lost", estimated(1, time.Second))
-	h.keep(worker, 128*time.Second)
+	h.exchangeFor(worker, 128*time.Second)
 	h.submit("new", estimated(1, 9*time.Second))
-	h.keep(worker, 500*time.Millisecond)
-	if got := h.order(worker, 1); got != "new" {
+	h.exchangeFor(worker, 500*time.Millisecond)
+	if got := h.nextAssignment(worker, 1); got != "new" {
 		t.Fatalf("first: %s", got)
 	}
-	h.keep(worker, time.Second)
+	h.exchangeFor(worker, time.Second)
 	h.submit("newer", estimated(1, 9*time.Second))
-	if got := h.order(worker, 2); got != "lost newer" {
+	if got := h.nextAssignment(worker, 2); got != "lost newer" {
 		t.Errorf("then: %s", got)
 	}
 }
 
-// TestObjectiveChanges: without one, jobs go in the order in which they came.
-func TestObjectiveChanges(t *testing.T) {
+// TestUrgency_ObjectiveChangeReorders: without one, jobs go in the order in which they came.
+func TestUrgency_ObjectiveChangeReorders(t *testing.T) {
 	h, worker := urgencyHarness(t)
 	h.submit("short", estimated(1, time.Second))
 	h.advance(time.Millisecond)
 	h.submit("long", estimated(1, 8*time.Second))
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q"}}})
-	if got := h.order(worker, 2); got != "short long" {
+	if got := h.nextAssignment(worker, 2); got != "short long" {
 		t.Errorf("order: %s", got)
 	}
 	if len(h.leader.ranks) != 0 {
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// watchHold is how long a process may serve after it asked, without a
+	// watchLease is how long a process may serve after it asked, without a
 	// newer answer. P8 allows 2 s from the acknowledgement of a configuration
 	// until no live process is without it.
-	watchHold = 1500 * time.Millisecond
+	watchLease = 1500 * time.Millisecond
 	// maxWatchWait bounds how long a watch is held. Processes ask for less than a
-	// third of watchHold, so that they renew it in time even if one call is lost;
+	// third of watchLease, so that they renew it in time even if one call is lost;
 	// agents for more while their workers' heartbeats renew it.
 	maxWatchWait = 5 * time.Second
 	// agentRole is the role of the processes that relay heartbeats.
@@ -27,16 +27,16 @@
 
 // processEntry is what a front or an agent last said.
 type processEntry struct {
-	role    string
-	zone    string
-	version uint64
-	heardAt time.Duration
+	role     string
+	zone     string
+	version  uint64
+	lastSeen time.Duration
 }
 
 // watch answers at once if the process does not know the newest configuration
 // or token, else when one changes or when the wait is over.
 func (l *leader) watch(ctx context.Context, request fleet.WatchRequest) (fleet.WatchAnswer, error) {
-	changed := l.noteProcess(request)
+	changed := l.recordProcess(request)
 	if changed != nil {
 		wait := min(time.Duration(request.MaxWaitMillis)*time.Millisecond, maxWatchWait)
 		timer := time.NewTimer(wait)
@@ -54,16 +54,16 @@
 	return l.watchAnswer(request), nil
 }
 
-// noteProcess records what the process has in force. It returns nil if the
+// recordProcess records what the process has in force. It returns nil if the
 // process must be told something now, else a channel that is closed when the
 // configuration changes. A process that has just started and knows no
 // configuration yet serves nobody, and is noted once it confirms its first.
-func (l *leader) noteProcess(request fleet.WatchRequest) <-chan struct{} {
+func (l *leader) recordProcess(request fleet.WatchRequest) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if request.ConfigVersion > 0 || l.configVersion == 0 {
-		l.confirm(request.Process, processEntry{
-			role: request.Role, zone: request.Zone, version: request.ConfigVersion, heardAt: l.now(),
+		l.setProcess(request.Process, processEntry{
+			role: request.Role, zone: request.Zone, version: request.ConfigVersion, lastSeen: l.now(),
 		})
 	} else {
 		delete(l.processes, request.Process)
@@ -74,27 +74,27 @@
 	return l.configChanged
 }
 
-// confirm notes what a process has in force.
-func (l *leader) confirm(process string, said processEntry) {
+// setProcess notes what a process has in force.
+func (l *leader) setProcess(process string, entry processEntry) {
 	known, exists := l.processes[process]
 	if !exists {
 		known = &processEntry{}
 		l.processes[process] = known
 	}
-	*known = said
+	*known = entry
 }
 
 // confirmAgent notes what the agent that relays a heartbeat has in force.
 func (l *leader) confirmAgent(request fleet.HeartbeatRequest, now time.Duration) {
 	if request.ConfigVersion > 0 {
-		l.confirm(request.Agent, processEntry{role: agentRole, zone: request.Zone, version: request.ConfigVersion, heardAt: now})
+		l.setProcess(request.Agent, processEntry{role: agentRole, zone: request.Zone, version: request.ConfigVersion, lastSeen: now})
 	}
 }
 
 func (l *leader) watchAnswer(request fleet.WatchRequest) fleet.WatchAnswer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	answer := fleet.WatchAnswer{Token: l.token, ConfigVersion: l.configVersion, HoldMillis: watchHold.Milliseconds()}
+	answer := fleet.WatchAnswer{Token: l.token, ConfigVersion: l.configVersion, HoldMillis: watchLease.Milliseconds()}
 	if leader, known := l.log.Leader(); known {
 		answer.LeaderAddress = leader.Address
 	}
@@ -115,12 +115,12 @@
 	now := l.now()
 	rollout := api.Rollout{Version: l.configVersion, Complete: true, Processes: []api.ProcessRollout{}}
 	for name, process := range l.processes {
-		age := now - process.heardAt
+		age := now - process.lastSeen
 		if age > forgetProcessAfter {
 			delete(l.processes, name)
 			continue
 		}
-		if age <= watchHold && process.version != l.configVersion {
+		if age <= watchLease && process.version != l.configVersion {
 			rollout.Complete = false
 		}
 		rollout.Processes = append(rollout.Processes, api.ProcessRollout{
--- a/internal/scheduler/watch_test.go
+++ b/internal/scheduler/watch_test.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/internal/fleet"
 )
 
-func TestWatchLeavesOutTheContentForThoseThatNeedNone(t *testing.T) {
+func TestWatch_VersionOnlyOmitsConfig(t *testing.T) {
 	h := newHarness(t)
 	for _, versionOnly := range []bool{false, true} {
 		answer, err := h.leader.watch(t.Context(), fleet.WatchRequest{Process: "p", VersionOnly: versionOnly})
@@ -19,16 +19,16 @@
 	}
 }
 
-// TestHeldWatchesAreAnsweredAtAChange has processes that know the newest
+// TestWatch_PendingCallsAnswerOnChange has processes that know the newest
 // configuration wait for the next one.
-func TestHeldWatchesAreAnsweredAtAChange(t *testing.T) {
+func TestWatch_PendingCallsAnswerOnChange(t *testing.T) {
 	h := newHarness(t)
 	const watchers = 20
 	versions := make(chan uint64, watchers)
 	held := make([]<-chan struct{}, watchers)
 	for i := range watchers {
 		request := fleet.WatchRequest{Process: string(rune('a' + i)), ConfigVersion: 1, Token: h.token}
-		held[i] = h.leader.noteProcess(request)
+		held[i] = h.leader.recordProcess(request)
 		if held[i] == nil {
 			t.Fatal("answered at once although nothing is new")
 		}
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestHeartbeatsConfirmTheConfiguration of the agent that relays them, so that
+// TestRollout_HeartbeatsConfirmConfig of the agent that relays them, so that
 // it need not watch as often for that.
-func TestHeartbeatsConfirmTheConfiguration(t *testing.T) {
+func TestRollout_HeartbeatsConfirmConfig(t *testing.T) {
 	h := newHarness(t)
 	rollout := func() api.Rollout {
 		t.Helper()
@@ -88,14 +88,14 @@
 			t.Errorf("roll-out %+v, want %+v, complete %v", got, want, step.complete)
 		}
 	}
-	h.advance(watchHold + time.Millisecond)
-	if age := rollout().Processes[0].AgeMillis; age != watchHold.Milliseconds()+1 {
+	h.advance(watchLease + time.Millisecond)
+	if age := rollout().Processes[0].AgeMillis; age != watchLease.Milliseconds()+1 {
 		t.Errorf("a silent agent was heard %d ms ago", age)
 	}
 }
 
-// TestWatchIsHeldAsLongAsAskedFor at most maxWatchWait.
-func TestWatchIsHeldAsLongAsAskedFor(t *testing.T) {
+// TestWatch_WaitsAsLongAsRequested at most maxWatchWait.
+func TestWatch_WaitsAsLongAsRequested(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		for _, c := range []struct{ asked, held time.Duration }{
--- a/internal/scheduler/yields.go
+++ b/internal/scheduler/yields.go
@@ -9,40 +9,40 @@
 	"github.com/decklever/decklever/internal/placement"
 )
 
-// longestEqual: a queue is about as urgent as another if its objective leaves at most
+// comparableAllowanceFactor: a queue is about as urgent as another if its objective leaves at most
 // so many times as long.
-const longestEqual = 2
+const comparableAllowanceFactor = 2
 
-// yields says which queues let which others go first, in the order of the
+// deferences says which queues let which others go first, in the order of the
 // configuration.
-func (l *leader) yields() []placement.Yield {
-	var yields []placement.Yield
+func (l *leader) deferences() []placement.Yield {
+	var deferences []placement.Yield
 	if l.off.Has(mechanism.Yields) {
-		return yields
+		return deferences
 	}
 	for index := range l.config.Queues {
 		config := &l.config.Queues[index]
-		queue, known := l.intake.queues[config.Name]
+		queue, known := l.slo.queues[config.Name]
 		if !known || config.Objective == nil {
 			continue
 		}
-		if to := queue.yieldsTo(config, l.config.Queues); len(to) > 0 {
-			yields = append(yields, placement.Yield{Queue: config.Name, To: to})
+		if to := queue.defersTo(config, l.config.Queues); len(to) > 0 {
+			deferences = append(deferences, placement.Yield{Queue: config.Name, To: to})
 		}
 	}
-	return yields
+	return deferences
 }
 
-// yieldsTo returns the queues that go first. What cannot meet its objective whatever
+// defersTo returns the queues that go first. What cannot meet its objective whatever
 // the order lets all go first that have one. What is pressed only lets those that are
 // about as urgent: its work is no more urgent than theirs, only older, while less
 // urgent work is not to go before it as long as its objective can be met.
-func (q *queueIntake) yieldsTo(own *api.QueueConfig, queues []api.QueueConfig) []string {
+func (q *queueSLO) defersTo(own *api.QueueConfig, queues []api.QueueConfig) []string {
 	overloaded := q.overloaded.Closed()
 	if !overloaded && !q.pressed.Closed() {
 		return nil
 	}
-	longest := longestEqual * objective.StartAllowance(own.Objective, q.chain, 1)
+	longest := comparableAllowanceFactor * objective.StartAllowance(own.Objective, q.chain, 1)
 	var to []string
 	for _, other := range queues {
 		if other.Name == own.Name || other.Objective == nil {
@@ -55,6 +55,6 @@
 	return to
 }
 
-func sameYield(a, b placement.Yield) bool {
+func sameDeference(a, b placement.Yield) bool {
 	return a.Queue == b.Queue && slices.Equal(a.To, b.To)
 }
--- a/internal/scheduler/yields_test.go
+++ b/internal/scheduler/yields_test.go
@@ -18,9 +18,9 @@
 	}
 }
 
-// TestToWhomAQueueYields: "a" has an objective of 2 s, those of the others are told by
+// TestDeference_QueuesDeferredTo: "a" has an objective of 2 s, those of the others are told by
 // their names.
-func TestToWhomAQueueYields(t *testing.T) {
+func TestDeference_QueuesDeferredTo(t *testing.T) {
 	h := newHarness(t)
 	queues := []api.QueueConfig{{Name: "none"}}
 	for name, target := range map[string]time.Duration{"a": 2, "shorter-1": 1, "equal-2": 2, "twice-4": 4, "longer-5": 5} {
@@ -29,21 +29,21 @@
 	h.putConfig(api.Config{Queues: queues})
 	cases := []struct {
 		name   string
-		closed func(*queueIntake)
+		closed func(*queueSLO)
 		want   map[string]bool
 	}{
-		{"served in time", func(*queueIntake) {}, nil},
-		{"pressed", func(q *queueIntake) { closeGate(&q.pressed) }, map[string]bool{"shorter-1": true, "equal-2": true, "twice-4": true}},
+		{"served in time", func(*queueSLO) {}, nil},
+		{"pressed", func(q *queueSLO) { closeGate(&q.pressed) }, map[string]bool{"shorter-1": true, "equal-2": true, "twice-4": true}},
 		{
-			"overloaded", func(q *queueIntake) { closeGate(&q.overloaded) },
+			"overloaded", func(q *queueSLO) { closeGate(&q.overloaded) },
 			map[string]bool{"shorter-1": true, "equal-2": true, "twice-4": true, "longer-5": true},
 		},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h.leader.intake = newIntake()
-			c.closed(h.leader.intake.queue("a"))
-			if diff := cmp.Diff(c.want, yieldsOf(t, h.leader.yields(), "a")); diff != "" {
+			h.leader.slo = newSLOTracker()
+			c.closed(h.leader.slo.queue("a"))
+			if diff := cmp.Diff(c.want, yieldsOf(t, h.leader.deferences(), "a")); diff != "" {
 				t.Errorf("a yields to (-want +got):\n%s", diff)
 			}
 		})
@@ -51,10 +51,10 @@
 }
 
 // yieldsOf returns to whom a queue yields; no other may.
-func yieldsOf(t *testing.T, yields []placement.Yield, name string) map[string]bool {
+func yieldsOf(t *testing.T, deferences []placement.Yield, name string) map[string]bool {
 	t.Helper()
 	var found map[string]bool
-	for _, yield := range yields {
+	for _, yield := range deferences {
 		if yield.Queue != name {
 			t.Errorf("%s yields", yield.Queue)
 			continue
