--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -40,7 +40,7 @@
 	}
 	for range running {
 		task := l.task()
-		l.engine.Hold(task, fmt.Sprint("id", l.next%workers))
+		l.engine.AddRun(task, fmt.Sprint("id", l.next%workers))
 		l.running = append(l.running, task)
 	}
 	return l
@@ -59,7 +59,7 @@
 	}
 }
 
-// measure times releases, adds and passes, and reports tasks placed a second.
+// updateFree times releases, adds and passes, and reports tasks placed a second.
 func (l *load) measure(b *testing.B) {
 	placed := 0
 	tasks := make(map[record.TaskID]Task, tasksPerPass)
@@ -72,7 +72,7 @@
 		for i := range coming {
 			coming[i] = l.task()
 			if l.change != nil {
-				coming[i].Wishes = &Wishes{}
+				coming[i].Preferences = &Preferences{}
 				l.change(&coming[i])
 			}
 			tasks[coming[i].ID] = coming[i]
@@ -106,19 +106,19 @@
 	}
 }
 
-// BenchmarkPlanWhileAQueueYields has tasks of 400 shapes wait for a whole worker, and a
+// BenchmarkPlanWithDeferringQueue has tasks of 400 shapes wait for a whole worker, and a
 // queue that yields to them.
-func BenchmarkPlanWhileAQueueYields(b *testing.B) {
+func BenchmarkPlanWithDeferringQueue(b *testing.B) {
 	l := newLoad(1200, 22000)
 	for number := range 1200 { // that no worker is ever empty
-		l.engine.Hold(l.task(), fmt.Sprint("id", number))
+		l.engine.AddRun(l.task(), fmt.Sprint("id", number))
 	}
 	for _, task := range l.running[:2000] { // room beside the kept workers
 		l.engine.Release(task.ID)
 	}
 	l.running = l.running[2000:]
 	l.engine.SetQueues([]QueueRule{{Name: "q0", Weight: 1, BySlack: true}, {Name: "q1", Weight: 2, BySlack: true}, {Name: "q2", Weight: 3, BySlack: true}})
-	l.engine.SetYields([]Yield{{Queue: "q0", To: []string{"q1", "q2"}}})
+	l.engine.SetDeferences([]Deference{{Queue: "q0", To: []string{"q1", "q2"}}})
 	for number := range 400 {
 		whole := l.engine.workers.byID["id500"].Capacity
 		whole.MemoryMB -= int64(number)
@@ -148,7 +148,7 @@
 			task.Spec.Labels = map[string]string{"none": fmt.Sprint(kind)}
 		case 3:
 			task.Spec.Resources.CPUMillis = 1_000_000 + kind
-			task.Group, task.GroupSize = task.ID.Job, 20
+			task.Gang, task.GangSize = task.ID.Job, 20
 		}
 		task.ID.Index = i % 20
 		l.engine.Add(task)
@@ -167,14 +167,14 @@
 		if spread == nil {
 			task.Spec.Resources = api.Resources{Accelerators: 1}
 		}
-		task.Group, task.GroupSize = task.ID.Job, 128
+		task.Gang, task.GangSize = task.ID.Job, 128
 		l.engine.Add(task)
 	}
 }
 
-// BenchmarkPlanWithGroups has groups that wait for room that every release
+// BenchmarkPlanWithGangs has groups that wait for room that every release
 // could add to.
-func BenchmarkPlanWithGroups(b *testing.B) {
+func BenchmarkPlanWithGangs(b *testing.B) {
 	spread := &api.Spread{By: api.SpreadByZone, MaxPerDomain: 40}
 	for _, c := range []struct {
 		name   string
@@ -211,7 +211,7 @@
 		windows = append(windows, Reservation{
 			ID: fmt.Sprint("window", i), Queue: fmt.Sprint("booked", i), Service: "s",
 			Start: record.Millis(1 + i*600_000), End: record.Millis(1 + i*600_000 + 3_600_000),
-			Slots: slices / 4, Slice: api.Resources{CPUMillis: 200, MemoryMB: 128},
+			Slots: slices / 4, SlotSize: api.Resources{CPUMillis: 200, MemoryMB: 128},
 		})
 	}
 	l.engine.SetTime(1)
@@ -238,7 +238,7 @@
 		b.Run(fmt.Sprintf("waiting=%d", count), func(b *testing.B) {
 			l := newLoadWithReservations()
 			placed := 0
-			for _, s := range l.engine.Slices() {
+			for _, s := range l.engine.ReservedSlots() {
 				placed += s.Slots
 			}
 			if placed != 2000 {
@@ -251,8 +251,8 @@
 	}
 }
 
-// BenchmarkAssignSlices finds workers for 2,000 slices at once.
-func BenchmarkAssignSlices(b *testing.B) {
+// BenchmarkAssignReservedSlots finds workers for 2,000 slices at once.
+func BenchmarkAssignReservedSlots(b *testing.B) {
 	l := newLoadWithReservations()
 	for b.Loop() {
 		l.engine.SetReservations(nil)
--- a/internal/placement/bench_wishes_test.go
+++ b/internal/placement/bench_wishes_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// BenchmarkPlanWithWishes has tasks that look past the fullest worker: for
+// BenchmarkPlanWithPreferences has tasks that look past the fullest worker: for
 // others once it holds half of their step, for a label that no worker has (the
 // worst case: all that fit are looked at), or for room in one zone.
-func BenchmarkPlanWithWishes(b *testing.B) {
+func BenchmarkPlanWithPreferences(b *testing.B) {
 	for _, c := range []struct {
 		name   string
 		change func(*Task)
--- a/internal/placement/booking_test.go
+++ b/internal/placement/booking_test.go
@@ -15,15 +15,15 @@
 	window = 5 * hour
 )
 
-// booking is a window of queue "b" from 5:00 to 6:00.
-func booking(slots int, slice int64) Reservation {
+// reservationOf is a window of queue "b" from 5:00 to 6:00.
+func reservationOf(slots int, slice int64) Reservation {
 	return Reservation{
 		ID: "b/daily/1", Queue: "b", Start: window, End: window + hour,
-		Slots: slots, Slice: cpu(slice), Service: "s",
+		Slots: slots, SlotSize: cpu(slice), Service: "s",
 	}
 }
 
-func bookedTask(sequence int, need int64) Task {
+func reservedTask(sequence int, need int64) Task {
 	task := testTask("booked", sequence, need)
 	task.Queue = "b"
 	return task
@@ -42,17 +42,17 @@
 	return task
 }
 
-// where returns "WORKER USED/SLOTS" of all slices.
-func where(e *Engine) string {
+// reservedSlots returns "WORKER USED/SLOTS" of all slices.
+func reservedSlots(e *Engine) string {
 	var texts []string
-	for _, s := range e.Slices() {
+	for _, s := range e.ReservedSlots() {
 		texts = append(texts, fmt.Sprintf("%s %d/%d", s.Worker, s.Used, s.Slots))
 	}
 	return strings.Join(texts, " ")
 }
 
-// stops returns "VICTIM>BENEFICIARY" of the preemptions asked for.
-func stops(e *Engine) string {
+// preemptions returns "VICTIM>BENEFICIARY" of the preemptions asked for.
+func preemptions(e *Engine) string {
 	var texts []string
 	for _, p := range e.Preemptions() {
 		texts = append(texts, p.Task.String()+">"+p.Beneficiary.String())
@@ -60,15 +60,15 @@
 	return strings.Join(texts, " ")
 }
 
-func TestReservationKeepsRoomFromFirmWork(t *testing.T) {
+func TestReservation_ExcludesWorkThatCannotBePreempted(t *testing.T) {
 	e := newEngine(testWorker("w", cpu(10)))
 	e.SetTime(window - hour)
-	e.SetReservations([]Reservation{booking(2, 4)})
-	addAll(e, testTask("firm", 1, 3), shortTask("exact", 3, hour), shortTask("long", 3, hour+1000), bookedTask(0, 4))
+	e.SetReservations([]Reservation{reservationOf(2, 4)})
+	addAll(e, testTask("firm", 1, 3), shortTask("exact", 3, hour), shortTask("long", 3, hour+1000), reservedTask(0, 4))
 	e.Add(preemptibleTask("harmless", 9, 0, 5))
 	expect(t, "in the lead", placed(e, 10), "exact/a/0@w harmless/a/9@w")
-	expect(t, "slices", where(e), "w 0/2")
-	expect(t, "nobody is preempted", stops(e), "")
+	expect(t, "slices", reservedSlots(e), "w 0/2")
+	expect(t, "nobody is preempted", preemptions(e), "")
 	e.Add(testTask("small", 10, 2))
 	expect(t, "outside of slices", placed(e, 10), "small/a/10@w")
 	expect(t, "no room at all", e.Reason(record.TaskID{Job: "firm", Step: "a", Index: 1}), "no room: needs 3 cpu_millis, most free 0")
@@ -81,87 +81,87 @@
 	expect(t, "given back", placed(e, 1), "booked/a/0@w")
 }
 
-func TestBookedWorkPreemptsWhateverIsPreemptible(t *testing.T) {
+func TestReservation_PreemptsRunsOfAnyPriority(t *testing.T) {
 	e := newEngine(testWorker("w", cpu(10)))
-	e.SetReservations([]Reservation{booking(2, 4)})
+	e.SetReservations([]Reservation{reservationOf(2, 4)})
 	addAll(e, preemptibleTask("small", 0, 5, 3), preemptibleTask("large", 1, 9, 7))
 	expect(t, "before", placed(e, 10), "large/a/1@w small/a/0@w")
-	addAll(e, bookedTask(0, 4), bookedTask(1, 4), bookedTask(2, 4))
+	addAll(e, reservedTask(0, 4), reservedTask(1, 4), reservedTask(2, 4))
 	e.SetTime(window)
 	expect(t, "room is taken", placed(e, 10), "")
-	expect(t, "fewest victims", stops(e), "large/a/1>booked/a/0 small/a/0>booked/a/1")
-	expect(t, "nominated", e.Reason(bookedTask(0, 4).ID), reasonPreempting)
-	expect(t, "slices", where(e), "w 2/2")
+	expect(t, "fewest victims", preemptions(e), "large/a/1>booked/a/0 small/a/0>booked/a/1")
+	expect(t, "nominated", e.Reason(reservedTask(0, 4).ID), reasonPreempting)
+	expect(t, "slices", reservedSlots(e), "w 2/2")
 	e.Plan(10)
-	expect(t, "not named twice", stops(e), "")
+	expect(t, "not named twice", preemptions(e), "")
 	e.Add(preemptibleTask("other", 0, 9, 1))
 	expect(t, "room is not there yet", placed(e, 10), "")
 	e.Release(record.TaskID{Job: "large", Step: "a", Index: 1})
 	expect(t, "the first has room, and what both leave", placed(e, 10), "other/a/0@w booked/a/0@w")
-	expect(t, "waiting beyond the slices", e.Reason(bookedTask(2, 4).ID) != reasonPreempting, true)
+	expect(t, "waiting beyond the slices", e.Reason(reservedTask(2, 4).ID) != reasonPreempting, true)
 }
 
-func TestBookedWorkIsPlacedOnceTheRoomIsThere(t *testing.T) {
+func TestReservation_PlacedOncePreemptedRunsStopped(t *testing.T) {
 	e := newEngine(testWorker("w", cpu(10)))
-	e.SetReservations([]Reservation{booking(1, 8)})
-	e.Hold(preemptibleTask("victim", 0, 9, 6), "w-1")
-	e.Add(bookedTask(0, 8))
+	e.SetReservations([]Reservation{reservationOf(1, 8)})
+	e.AddRun(preemptibleTask("victim", 0, 9, 6), "w-1")
+	e.Add(reservedTask(0, 8))
 	e.SetTime(window)
 	e.Plan(10)
-	expect(t, "asked", stops(e), "victim/a/0>booked/a/0")
+	expect(t, "asked", preemptions(e), "victim/a/0>booked/a/0")
 	e.Plan(10)
-	expect(t, "not named twice", stops(e), "")
+	expect(t, "not named twice", preemptions(e), "")
 	e.Release(record.TaskID{Job: "victim", Step: "a"})
 	expect(t, "placed", placed(e, 10), "booked/a/0@w")
 	e.SetTime(window + hour)
-	expect(t, "window over", where(e), "")
+	expect(t, "window over", reservedSlots(e), "")
 	e.Add(testTask("firm", 1, 3))
 	expect(t, "the booked run goes on", placed(e, 10), "")
 }
 
-func TestPendingSlicesComeFirstAndMove(t *testing.T) {
+func TestReservedSlots_PendingAreAssignedFirstAndMove(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(4)), testWorker("b", cpu(4)))
-	e.Hold(testTask("firm", 0, 4), "a-1")
-	e.SetReservations([]Reservation{booking(2, 4)})
+	e.AddRun(testTask("firm", 0, 4), "a-1")
+	e.SetReservations([]Reservation{reservationOf(2, 4)})
 	e.Plan(10)
-	expect(t, "one is pending", where(e), "b 0/1")
+	expect(t, "one is pending", reservedSlots(e), "b 0/1")
 	e.Add(testTask("waits", 1, 1))
 	e.Release(testTask("firm", 0, 4).ID)
 	expect(t, "freed room is for the slice", placed(e, 10), "")
-	expect(t, "both", where(e), "a 0/1 b 0/1")
+	expect(t, "both", reservedSlots(e), "a 0/1 b 0/1")
 	e.SetWorker(testWorker("c", cpu(5)))
 	e.RemoveWorker("a-1")
 	expect(t, "beside the slice", placed(e, 10), "waits/a/1@c")
-	expect(t, "moved", where(e), "b 0/1 c 0/1")
+	expect(t, "moved", reservedSlots(e), "b 0/1 c 0/1")
 	closed := testWorker("b", cpu(4))
 	closed.Usable = false
 	e.SetWorker(closed)
-	expect(t, "pending", where(e), "c 0/1")
+	expect(t, "pending", reservedSlots(e), "c 0/1")
 	e.SetWorker(testWorker("c", cpu(4)))
-	expect(t, "no room left", where(e), "")
+	expect(t, "no room left", reservedSlots(e), "")
 }
 
-func TestSlicesGoWhereLeastIsPreempted(t *testing.T) {
+func TestReservedSlots_AssignedWhereLeastIsPreempted(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(6)), testWorker("b", cpu(8)), testWorker("c", cpu(9)))
-	e.Hold(preemptibleTask("harmless", 0, 0, 4), "a-1")
-	e.SetReservations([]Reservation{booking(2, 4)})
+	e.AddRun(preemptibleTask("harmless", 0, 0, 4), "a-1")
+	e.SetReservations([]Reservation{reservationOf(2, 4)})
 	e.Plan(10)
-	expect(t, "the fullest of those", where(e), "b 0/2")
+	expect(t, "the fullest of those", reservedSlots(e), "b 0/2")
 }
 
-func TestRunsOfTheWindowFillSlicesAfterAChangeOfLeader(t *testing.T) {
+func TestReservedSlots_AdoptRunsAfterLeaderChange(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(4)), testWorker("b", cpu(4)))
 	e.SetTime(window + 2000)
-	held, early := bookedTask(0, 3), bookedTask(1, 3)
+	held, early := reservedTask(0, 3), reservedTask(1, 3)
 	held.StartedAt, early.StartedAt = window+1000, window-1000
-	e.Hold(held, "a-1")
-	e.Hold(early, "b-1")
-	e.SetReservations([]Reservation{booking(2, 4)})
+	e.AddRun(held, "a-1")
+	e.AddRun(early, "b-1")
+	e.SetReservations([]Reservation{reservationOf(2, 4)})
 	e.Plan(10)
-	expect(t, "slices", where(e), "a 1/1")
+	expect(t, "slices", reservedSlots(e), "a 1/1")
 }
 
-func TestPreemptionByPriority(t *testing.T) {
+func TestPreemption_ByPriority(t *testing.T) {
 	high := func(need int64) Task {
 		task := testTask("high", 0, need)
 		task.Priority = 5
@@ -191,15 +191,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			e := newEngine(testWorker("a", cpu(4)), testWorker("b", cpu(4)))
 			for _, task := range c.a {
-				e.Hold(task, "a-1")
+				e.AddRun(task, "a-1")
 			}
 			for _, task := range c.b {
-				e.Hold(task, "b-1")
+				e.AddRun(task, "b-1")
 			}
 			if c.name == "youngest" {
 				e.SetWorker(testWorker("a", cpu(8)))
 				e.RemoveWorker("b-1")
-				e.Hold(young, "a-1")
+				e.AddRun(young, "a-1")
 				c.stops = "young/a/0>high/a/0"
 			}
 			e.Add(high(c.need))
@@ -216,10 +216,10 @@
 	}
 }
 
-func TestPreemptionIsBoundedAndKeepsQuotas(t *testing.T) {
+func TestPreemption_IsBoundedAndKeepsQuotas(t *testing.T) {
 	e := newEngine(testWorker("w", cpu(100)))
 	for i := range 100 {
-		e.Hold(preemptibleTask("low", i, 0, 1), "w-1")
+		e.AddRun(preemptibleTask("low", i, 0, 1), "w-1")
 	}
 	e.SetQueues([]QueueRule{{Name: "q", Weight: 1}, {Name: "limited", Weight: 1, MaxRunning: 1}})
 	for i := range 100 {
@@ -241,14 +241,14 @@
 	e.Remove(asked[0].Beneficiary)
 	e.Plan(1000)
 	expect(t, "a stopping run's room goes on", e.Reason(record.TaskID{Job: "limited", Step: "a", Index: 1}), reasonPreempting)
-	expect(t, "no other victim", stops(e), "")
+	expect(t, "no other victim", preemptions(e), "")
 }
 
-func TestGroupPreemptsAllOrNothing(t *testing.T) {
+func TestPreemption_GangIsAllOrNothing(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(4)), testWorker("b", cpu(4)))
-	e.Hold(preemptibleTask("low", 0, 0, 3), "a-1")
-	e.Hold(preemptibleTask("low", 1, 7, 3), "b-1")
-	group := groupOf("g", 4, 4)
+	e.AddRun(preemptibleTask("low", 0, 0, 3), "a-1")
+	e.AddRun(preemptibleTask("low", 1, 7, 3), "b-1")
+	group := gangOf("g", 4, 4)
 	for i := range group {
 		group[i].Priority = 5
 	}
@@ -256,19 +256,19 @@
 	e.workers.refresh()
 	before := trace(e)
 	expect(t, "one cannot", placed(e, 10), "")
-	expect(t, "none", stops(e), "")
+	expect(t, "none", preemptions(e), "")
 	expect(t, "undone", trace(e), before)
 	e.Release(record.TaskID{Job: "low", Step: "a", Index: 1})
-	e.Hold(preemptibleTask("low", 1, 4, 3), "b-1")
+	e.AddRun(preemptibleTask("low", 1, 4, 3), "b-1")
 	expect(t, "all can", placed(e, 10), "")
-	expect(t, "both", stops(e), "low/a/0>g/a/0 low/a/1>g/a/1")
+	expect(t, "both", preemptions(e), "low/a/0>g/a/0 low/a/1>g/a/1")
 	e.Release(record.TaskID{Job: "low", Step: "a", Index: 0})
 	expect(t, "not half", placed(e, 10), "")
 	e.Release(record.TaskID{Job: "low", Step: "a", Index: 1})
 	expect(t, "whole", placed(e, 10), "g/a/0@a g/a/1@b")
 }
 
-func TestTeamLimit(t *testing.T) {
+func TestTeam_LimitBoundsItsQueues(t *testing.T) {
 	e := newEngine(testWorker("w", cpu(100)))
 	e.SetTeams([]TeamRule{{Name: "t", MaxRunning: 3}})
 	e.SetQueues([]QueueRule{{Name: "q", Weight: 1, Team: "t"}, {Name: "r", Weight: 1, Team: "t"}})
@@ -278,7 +278,7 @@
 		addAll(e, testTask("j", i, 1), other)
 	}
 	expect(t, "up to the limit", placed(e, 10), "j/a/0@w other/a/0@w j/a/1@w")
-	addAll(e, groupOf("g", 1, 1)...)
+	addAll(e, gangOf("g", 1, 1)...)
 	expect(t, "reason", e.Reason(record.TaskID{Job: "other", Step: "a", Index: 1}), `quota: team "t" has its 3 running tasks`)
 	expect(t, "group", e.Reason(record.TaskID{Job: "g", Step: "a"}), `quota: team "t" has its 3 running tasks, group needs 2`)
 	e.Release(testTask("j", 0, 1).ID)
@@ -287,12 +287,12 @@
 	expect(t, "left the team", placed(e, 10), "g/a/0@w g/a/1@w")
 }
 
-func TestGroupThatWaitsLongGathersRoom(t *testing.T) {
+func TestGangDrain_ReservesFreedCapacityForGang(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(2)), testWorker("b", cpu(2)))
-	e.Hold(testTask("long", 0, 2), "a-1")
-	e.Hold(testTask("long", 1, 2), "b-1")
-	addAll(e, groupOf("g", 2, 2)...)
-	for range gatherAfter + searchEvery + 1 {
+	e.AddRun(testTask("long", 0, 2), "a-1")
+	e.AddRun(testTask("long", 1, 2), "b-1")
+	addAll(e, gangOf("g", 2, 2)...)
+	for range gangDrainAfterPasses + gangDrainSearchInterval + 1 {
 		e.Plan(10)
 	}
 	addAll(e, testTask("small", 8, 1), testTask("small", 9, 1))
@@ -305,13 +305,13 @@
 	expect(t, "others go on", placed(e, 10), "small/a/8@a small/a/9@a")
 }
 
-func TestGatheringEnds(t *testing.T) {
+func TestGangDrain_EndsAfterMaxPasses(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(2)), testWorker("b", cpu(2)))
-	e.Hold(testTask("long", 0, 2), "a-1")
-	e.Hold(testTask("long", 1, 2), "b-1")
-	group := groupOf("g", 2, 2)
+	e.AddRun(testTask("long", 0, 2), "a-1")
+	e.AddRun(testTask("long", 1, 2), "b-1")
+	group := gangOf("g", 2, 2)
 	addAll(e, group...)
-	for range gatherAfter + searchEvery + 1 {
+	for range gangDrainAfterPasses + gangDrainSearchInterval + 1 {
 		e.Plan(10)
 	}
 	e.Release(testTask("long", 0, 2).ID)
--- a/internal/placement/classes.go
+++ b/internal/placement/classes.go
@@ -19,12 +19,12 @@
 	need        api.Resources
 	queue       string
 	preemptible bool
-	// mayTry allows workers on probation.
-	mayTry bool
+	// allowsProbation allows workers on probation.
+	allowsProbation bool
 	// waitsForPreferred: the selector's labels are those that the task requires and
 	// those that it prefers, and workers that are slow or guarded are none for it.
 	waitsForPreferred bool
-	// untilCancelled lets the class take whatever room there is.
+	// runsUntilCancelled lets the class take whatever room there is.
 	untilCancelled bool
 	// headroom is the share of a worker that is to stay free, in hundredths.
 	headroom int
@@ -35,42 +35,42 @@
 	step         record.StepID
 }
 
-// class stands for all waiting tasks of one shape.
-type class struct {
+// equivalenceClass stands for all waiting tasks of one shape.
+type equivalenceClass struct {
 	key  classKey
 	pool *pool
 	// spread is nil without a spread rule.
 	spread *spreadRule
 	// tasks counts waiting tasks, members of groups too.
 	tasks int
-	// lanes hold the class's tasks that are not members of a group.
-	lanes map[*lane]struct{}
-	// blocked is set when a pass found no room; it stays until a worker of the
+	// subQueues hold the class's tasks that are not members of a group.
+	subQueues map[*subQueue]struct{}
+	// unschedulable is set when a pass found no room; it stays until a worker of the
 	// pool changed and could hold the class, or a run of its step ended.
-	blocked bool
+	unschedulable bool
 	// heldBack is set if it may have found none only since its service is crowded.
-	heldBack bool
-	// anyRoom is set during a search that need not leave headroom.
-	anyRoom bool
-	// anyTrust is set during a search among guarded workers too.
-	anyTrust bool
+	blockedByUtilization bool
+	// ignoresHeadroom is set during a search that need not leave headroom.
+	ignoresHeadroom bool
+	// allowsRestricted is set during a search among guarded workers too.
+	allowsRestricted bool
 	// search is set during one that leaves workers alone that are kept.
-	search *search
+	backfill *backfillSearch
 	// groups are those parked until this class may find room, with the value
-	// of freed at which it may; wakeAt is the least of these.
-	groups map[*lane]uint64
-	wakeAt uint64
-	// freed counts places that came on workers that changed; it may count one
+	// of freed at which it may; activateAt is the least of these.
+	awaitingGangs map[*subQueue]uint64
+	activateAt    uint64
+	// freedFits counts places that came on workers that changed; it may count one
 	// place often.
-	freed uint64
-	// counted is the last count of places for groups.
-	counted placesCount
+	freedFits uint64
+	// lastFitCount is the last count of places for groups.
+	lastFitCount fitCount
 	// bookings are the reservations whose slices the class may use.
-	bookings []*reservation
+	reservations []*reservation
 	// now points to the engine's time.
 	now *record.Millis
-	// crowding points to the engine's.
-	crowding *crowding
+	// utilization points to the engine's.
+	utilization *utilization
 }
 
 // canonicalLabels is the same text for equal labels. Lengths keep apart what
@@ -88,26 +88,26 @@
 	return text.String()
 }
 
-func (e *Engine) classKeyOf(task *Task, wanted *requirement) classKey {
+func (e *Engine) classKeyOf(task *Task, wanted *requirements) classKey {
 	id, spec := task.ID, task.Spec
 	key := classKey{
 		selector:          selector{service: spec.Service, labels: canonicalLabels(wanted.labels)},
 		waitsForPreferred: wanted.preferred,
 		need:              spec.Resources,
 		preemptible:       e.isPreemptible(task),
-		mayTry:            task.MayTry,
+		allowsProbation:   task.AllowsProbation,
 
 		untilCancelled: task.UntilCancelled,
 	}
 	if !key.preemptible {
 		key.duration = durationOf(spec)
-		key.selector.firm = key.duration == 0
+		key.selector.byUnreserved = key.duration == 0
 	}
 	if q, known := e.queues[task.Queue]; known {
-		if q.booked {
+		if q.hasReservation {
 			key.queue = task.Queue
 		}
-		key.headroom = headroomOf(task, &q.rule)
+		key.headroom = headroomPercentOf(task, &q.rule)
 	}
 	if spec.Spread != nil {
 		key.spreadBy = spec.Spread.By
@@ -129,8 +129,8 @@
 }
 
 // joinClass returns the class of a task and counts the task in.
-func (e *Engine) joinClass(task *Task) *class {
-	wanted := e.requirementOf(task)
+func (e *Engine) joinClass(task *Task) *equivalenceClass {
+	wanted := e.requirementsOf(task)
 	key := e.classKeyOf(task, &wanted)
 	c, ok := e.classes[key]
 	if !ok {
@@ -140,18 +140,18 @@
 	return c
 }
 
-func (e *Engine) newClass(key classKey, spec *api.TaskSpec, labels map[string]string) *class {
-	c := &class{
-		key:    key,
-		pool:   e.workers.acquire(key.selector, labels),
-		lanes:  map[*lane]struct{}{},
-		groups: map[*lane]uint64{},
-		wakeAt: math.MaxUint64,
-		now:    &e.now,
+func (e *Engine) newClass(key classKey, spec *api.TaskSpec, labels map[string]string) *equivalenceClass {
+	c := &equivalenceClass{
+		key:           key,
+		pool:          e.workers.acquire(key.selector, labels),
+		subQueues:     map[*subQueue]struct{}{},
+		awaitingGangs: map[*subQueue]uint64{},
+		activateAt:    math.MaxUint64,
+		now:           &e.now,
 
-		crowding: e.crowding,
+		utilization: e.utilization,
 	}
-	c.bookings = e.bookingsOf(c)
+	c.reservations = e.reservationsOf(c)
 	if spec.Spread != nil {
 		step := e.step(key.step)
 		step.track(key.spreadBy)
@@ -163,13 +163,13 @@
 }
 
 // leaveClass counts a task out and drops a class without tasks.
-func (e *Engine) leaveClass(c *class) {
+func (e *Engine) leaveClass(c *equivalenceClass) {
 	c.tasks--
 	if c.tasks > 0 {
 		return
 	}
 	delete(e.classes, c.key)
-	delete(c.pool.blocked, c)
+	delete(c.pool.unschedulable, c)
 	e.workers.release(c.pool)
 	if c.spread != nil {
 		delete(c.spread.step.classes, c)
@@ -177,15 +177,15 @@
 	}
 }
 
-// roomOn is the room that the class may use on a worker outside of slices of
+// availableOn is the room that the class may use on a worker outside of slices of
 // its own: one that can be made to leave uses all that is free, others leave
 // what slices need before their run surely ends.
-func (c *class) roomOn(w *worker) api.Resources {
-	if len(w.points) == 0 || c.key.preemptible {
+func (c *equivalenceClass) availableOn(w *worker) api.Resources {
+	if len(w.profile) == 0 || c.key.preemptible {
 		return w.free
 	}
 	if c.key.duration == 0 {
-		return w.firm
+		return w.unreserved
 	}
 	slack, bound := w.slackUntil(*c.now + c.key.duration)
 	if !bound {
@@ -196,85 +196,85 @@
 
 // fitsOn reports whether the class fits on a worker of its pool now, outside
 // of slices.
-func (c *class) fitsOn(w *worker) bool {
-	if !c.key.untilCancelled && c.search.leaves(w) {
+func (c *equivalenceClass) fitsOn(w *worker) bool {
+	if !c.key.untilCancelled && c.backfill.excludes(w) {
 		return false
 	}
 	if c.key.waitsForPreferred && !isSound(w) {
 		return false
 	}
-	if !fits(c.key.need, w.free) || !c.leavesHeadroom(w) || len(w.points) > 0 && !fits(c.key.need, c.roomOn(w)) {
+	if !fits(c.key.need, w.free) || !c.leavesHeadroom(w) || len(w.profile) > 0 && !fits(c.key.need, c.availableOn(w)) {
 		return false
 	}
 	return withinSpread(c.spread, &w.Worker) && c.admits(w)
 }
 
-// mayUse reports whether the class may find room on a worker that changed: a
+// mightFitOn reports whether the class may find room on a worker that changed: a
 // slice counts even if a preemptible run has its room.
-func (c *class) mayUse(w *worker) bool {
-	if c.fitsSomehow(w) || c.openSlots(w.slices) > 0 {
+func (c *equivalenceClass) mightFitOn(w *worker) bool {
+	if c.fitsOnAnyTerms(w) || c.freeSlots(w.slots) > 0 {
 		return true
 	}
-	return w.nominated != (api.Resources{}) && fits(c.key.need, c.roomOnceTaken(w)) && c.key.untilCancelled
+	return w.nominated != (api.Resources{}) && fits(c.key.need, c.availableWithNominated(w)) && c.key.untilCancelled
 }
 
-// block marks that a pass found no room.
-func (c *class) block() {
-	c.blocked = true
-	c.heldBack = c.isCrowded() && (c.key.headroom != 0 || c.key.mayTry)
-	c.pool.blocked[c] = struct{}{}
+// setUnschedulable marks that a pass found no room.
+func (c *equivalenceClass) setUnschedulable() {
+	c.unschedulable = true
+	c.blockedByUtilization = c.isHighlyUtilized() && (c.key.headroom != 0 || c.key.allowsProbation)
+	c.pool.unschedulable[c] = struct{}{}
 }
 
 // wake makes everything that waits for the class ready to be looked at again.
-func (c *class) wake() {
-	c.wakeLanes()
-	for l := range c.groups {
-		l.makeReady()
+func (c *equivalenceClass) activate() {
+	c.activateSubQueues()
+	for l := range c.awaitingGangs {
+		l.activate()
 	}
 }
 
-func (c *class) wakeLanes() {
-	c.blocked, c.heldBack = false, false
-	c.leaveBlocked()
-	for l := range c.lanes {
-		l.makeReady()
+func (c *equivalenceClass) activateSubQueues() {
+	c.unschedulable, c.blockedByUtilization = false, false
+	c.leaveUnschedulable()
+	for l := range c.subQueues {
+		l.activate()
 	}
 }
 
-// leaveBlocked stops looking at changed workers once nothing waits for them.
-func (c *class) leaveBlocked() {
-	if c.blocked || len(c.groups) > 0 {
+// leaveUnschedulable stops looking at changed workers once nothing waits for them.
+func (c *equivalenceClass) leaveUnschedulable() {
+	if c.unschedulable || len(c.awaitingGangs) > 0 {
 		return
 	}
-	c.wakeAt = math.MaxUint64
-	delete(c.pool.blocked, c)
+	c.activateAt = math.MaxUint64
+	delete(c.pool.unschedulable, c)
 }
 
-// wakeClasses looks at blocked classes again, but only where a worker changed
+// activateClasses looks at blocked classes again, but only where a worker changed
 // and only if the class may have room on that worker.
-func (e *Engine) wakeClasses(changed []*worker) {
+func (e *Engine) activateClasses(changed []*worker) {
 	for _, w := range changed {
 		for _, p := range w.pools {
-			for c := range p.blocked {
+			for c := range p.unschedulable {
 				c.workerChanged(w)
 			}
 		}
 	}
 }
 
-func (c *class) workerChanged(w *worker) {
-	if c.blocked && c.mayUse(w) {
-		c.wakeLanes()
+func (c *equivalenceClass) workerChanged(w *worker) {
+	if c.unschedulable && c.mightFitOn(w) {
+		c.activateSubQueues()
 	}
-	if len(c.groups) > 0 {
-		c.freed += c.placesFreed(w)
-		c.wakeGroups()
+	if len(c.awaitingGangs) > 0 {
+		c.freedFits += c.freedFitsOn(w)
+		c.activateGangs()
 	}
 }
 
-// wakeStep looks again at classes whose spread rule counts runs of the step.
-func wakeStep(s *step) {
+// activateStep looks again at classes whose spread rule counts runs of the step.
+func activateStep(s *step) {
 	for c := range s.classes {
-		c.wake()
+		c.activate()
 	}
 }
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -34,7 +34,7 @@
 // after a task that found no room leaves alone the worker that is closest to having it
 // (kept.go).
 //
-// Groups. A group that found no room for gatherAfter passes gets its places one
+// Groups. A group that found no room for gangDrainAfterPasses passes gets its places one
 // by one as they come free; one group at a time, and not for long while most room is
 // free.
 //
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -28,13 +28,13 @@
 	// now is the cluster time as last told.
 	now     record.Millis
 	workers workerIndex
-	classes map[classKey]*class
+	classes map[classKey]*equivalenceClass
 	steps   map[record.StepID]*step
 	queues  map[string]*queue
 	// levels are ordered by priority, highest first.
-	levels []*level
+	levels []*priorityLevel
 	// groups are the lanes of groups by Task.Group.
-	groups  map[string]*lane
+	gangs   map[string]*subQueue
 	waiting map[record.TaskID]*waiting
 	runs    map[record.TaskID]*run
 	// passes counts calls of Plan.
@@ -42,40 +42,40 @@
 	teams  map[string]*team
 	// reservations are ordered by the start of their windows.
 	reservations []*reservation
-	// units are promised room, in the order in which they are placed.
-	units []*unit
+	// nominations are promised room, in the order in which they are placed.
+	nominations []*nomination
 	// preemptions are those asked for since Preemptions was called.
 	preemptions    []Preemption
 	maxPreemptions int
-	// noWishes is shared by the tasks that have none.
-	noWishes Wishes
+	// noPreferences is shared by the tasks that have none.
+	noPreferences Preferences
 	// victims counts by priority the runs that may be preempted.
 	victims map[int]int
-	// preemptLater are blocked lanes, in the order in which they get another
+	// preemptRetries are blocked lanes, in the order in which they get another
 	// trial to preempt; unfinished are those that the last pass had no time for.
-	preemptLater, unfinished []*lane
+	preemptRetries, overAllowance []*subQueue
 	// anyHeadroom is set while a queue leaves headroom.
 	anyHeadroom bool
-	// preferences are the labels that tasks have preferred lately.
-	preferences preferences
-	// crowding is as of the start of the pass, and what it has placed since.
-	crowding *crowding
-	// anyYields is set while a queue was told to yield.
-	anyYields bool
-	// kept are the workers with keptFor, between two passes.
-	kept []*worker
-	// setAside are lanes that the last pass held back for the kept workers.
-	setAside []*lane
-	// gathering is the group for which room is put aside, or nil.
-	gathering *gathering
-	// gatheredUntil is the pass in which a group last gave up: what waits goes first
+	// preferredLabels are the labels that tasks have preferred lately.
+	preferredLabels preferredLabels
+	// utilization is as of the start of the pass, and what it has placed since.
+	utilization *utilization
+	// anyDeferences is set while a queue was told to yield.
+	anyDeferences bool
+	// backfillReserved are the workers with backfillFor, between two passes.
+	backfillReserved []*worker
+	// backfillBlocked are lanes that the last pass held back for the kept workers.
+	backfillBlocked []*subQueue
+	// gangDrain is the group for which room is put aside, or nil.
+	gangDrain *gangDrain
+	// lastDrainPass is the pass in which a group last gave up: what waits goes first
 	// in the next one.
-	gatheredUntil uint64
+	lastDrainPass uint64
 }
 
 var (
-	_ Planner = (*Engine)(nil)
-	_ Booker  = (*Engine)(nil)
+	_ Planner            = (*Engine)(nil)
+	_ ReservationPlanner = (*Engine)(nil)
 )
 
 // run is an open run, or a nominated one: it holds room on its worker.
@@ -92,18 +92,18 @@
 	// expectedEnd is when its estimate says that it ends; end without one.
 	expectedEnd record.Millis
 	preemptions int
-	// mayStop is the spec's Preemptible; preemptible is false once the task was
+	// specPreemptible is the spec's Preemptible; preemptible is false once the task was
 	// preempted too often.
-	mayStop, preemptible bool
-	// untilCancelled is set if the run has no end of its own.
+	specPreemptible, preemptible bool
+	// runsUntilCancelled is set if the run has no end of its own.
 	untilCancelled bool
 	// stopping is set once it was named for preemption.
 	stopping bool
 	// nominated is set while the room is only promised.
 	nominated bool
-	// slice is where the run counts; booked tells whether it was placed in one.
-	slice  *sliceSet
-	booked bool
+	// slot is where the run counts; booked tells whether it was placed in one.
+	slot          *slotSet
+	inReservation bool
 }
 
 // startAt sets when the run starts, and so when it ends at the latest.
@@ -121,18 +121,18 @@
 	return &Engine{
 		off:     config.Off,
 		workers: newWorkerIndex(),
-		classes: map[classKey]*class{},
+		classes: map[classKey]*equivalenceClass{},
 		steps:   map[record.StepID]*step{},
 		queues:  map[string]*queue{},
-		groups:  map[string]*lane{},
+		gangs:   map[string]*subQueue{},
 		waiting: map[record.TaskID]*waiting{},
 		runs:    map[record.TaskID]*run{},
 		teams:   map[string]*team{},
 		victims: map[int]int{},
 
-		preferences:    newPreferences(),
-		crowding:       newCrowding(),
-		maxPreemptions: defaultMaxPreemptions,
+		preferredLabels: newPreferredLabels(),
+		utilization:     newUtilization(),
+		maxPreemptions:  defaultMaxPreemptions,
 	}
 }
 
@@ -149,10 +149,10 @@
 	}
 	for _, q := range e.queues {
 		e.joinTeam(q)
-		q.wake()
+		q.activateGangs()
 	}
 	for _, t := range e.teams {
-		t.wake()
+		t.activateGangs()
 	}
 	after := e.headrooms()
 	e.anyHeadroom = len(after) > 0
@@ -168,38 +168,38 @@
 		return
 	}
 	if w.known && w.Name != to.Name {
-		e.dropAllSlices(w)
+		e.dropAllSlots(w)
 	}
 	runs := w.runsByStep()
 	for s, count := range runs {
 		s.count(w, -count)
 	}
 	e.workers.set(w, to)
-	w.preferred = e.preferences.names(w)
+	w.preferred = e.preferredLabels.matches(w)
 	for s, count := range runs {
 		s.count(w, count)
-		wakeStep(s)
+		activateStep(s)
 	}
-	e.dropSlicesOf(w)
-	e.settle(w)
+	e.dropMismatchedSlots(w)
+	e.dropUnsupportedSlots(w)
 }
 
 func sameWorker(a, b *Worker) bool {
 	return a.ID == b.ID && a.Name == b.Name && a.Zone == b.Zone &&
-		a.Capacity == b.Capacity && a.Usable == b.Usable && a.Slow == b.Slow && a.Probation == b.Probation && a.HeldBack == b.HeldBack &&
+		a.Capacity == b.Capacity && a.Usable == b.Usable && a.Slow == b.Slow && a.Probation == b.Probation && a.Suspect == b.Suspect &&
 		slices.Equal(a.Services, b.Services) && maps.Equal(a.Labels, b.Labels)
 }
 
 func sameTask(a, b *Task) bool {
 	return a.ID == b.ID && a.Queue == b.Queue && a.Priority == b.Priority && a.Sequence == b.Sequence &&
-		a.Spec == b.Spec && a.Group == b.Group && a.GroupSize == b.GroupSize &&
+		a.Spec == b.Spec && a.Gang == b.Gang && a.GangSize == b.GangSize &&
 		a.StartedAt == b.StartedAt && a.Preemptions == b.Preemptions && a.UntilCancelled == b.UntilCancelled &&
-		sameWishes(a.Wishes, b.Wishes)
+		samePreferences(a.Preferences, b.Preferences)
 }
 
-func sameWishes(a, b *Wishes) bool {
+func samePreferences(a, b *Preferences) bool {
 	return a == b || a.StepSize == b.StepSize && a.Colocate == b.Colocate &&
-		a.WaitsForPreferred == b.WaitsForPreferred && a.MayTry == b.MayTry && a.Tries == b.Tries && slices.Equal(a.Avoid, b.Avoid)
+		a.WaitsForPreferred == b.WaitsForPreferred && a.AllowsProbation == b.AllowsProbation && a.PrefersProbation == b.PrefersProbation && slices.Equal(a.Avoid, b.Avoid)
 }
 
 func (w *worker) runsByStep() map[*step]int {
@@ -216,17 +216,17 @@
 	if !ok {
 		return
 	}
-	e.cancelOn(w)
-	e.dropAllSlices(w)
+	e.cancelNominationsOn(w)
+	e.dropAllSlots(w)
 	for _, r := range w.sortedRuns(func(*run) bool { return true }) {
 		e.end(r)
 	}
 	e.workers.remove(w)
 }
 
-// Hold implements Planner. A task held elsewhere moves; one that waits no
+// AddRun implements Planner. A task held elsewhere moves; one that waits no
 // longer does. A worker that is not known yet is accounted for by SetWorker.
-func (e *Engine) Hold(task Task, workerID string) {
+func (e *Engine) AddRun(task Task, workerID string) {
 	if held, ok := e.runs[task.ID]; ok {
 		if held.worker.ID == workerID {
 			return
@@ -234,17 +234,17 @@
 		e.Release(task.ID)
 	}
 	e.Remove(task.ID)
-	to := seat{worker: e.workers.get(workerID)}
+	to := placementTarget{worker: e.workers.get(workerID)}
 	started := task.StartedAt
 	if started == 0 {
 		started = e.now
 	}
 	e.newRun(&task, to, started, false)
-	if e.queue(task.Queue).booked {
+	if e.queue(task.Queue).hasReservation {
 		// It may fill a slice that is still looking for a worker.
-		e.workers.markChanged(to.worker)
+		e.workers.addChanged(to.worker)
 	}
-	e.settle(to.worker)
+	e.dropUnsupportedSlots(to.worker)
 }
 
 // Release implements Planner.
@@ -262,17 +262,17 @@
 // end closes a run and lets what may now have room be looked at again.
 func (e *Engine) end(r *run) {
 	e.close(r)
-	e.settle(r.worker)
-	e.workers.markChanged(r.worker)
-	r.queue.wake()
+	e.dropUnsupportedSlots(r.worker)
+	e.workers.addChanged(r.worker)
+	r.queue.activateGangs()
 	if r.queue.team != nil {
-		r.queue.team.wake()
+		r.queue.team.activateGangs()
 	}
-	wakeStep(r.step)
+	activateStep(r.step)
 }
 
 // open takes room for a run that starts now.
-func (e *Engine) open(task *Task, to seat) *run { return e.newRun(task, to, e.now, false) }
+func (e *Engine) open(task *Task, to placementTarget) *run { return e.newRun(task, to, e.now, false) }
 
 // close gives back the room of a run; it is the exact reverse of newRun.
 func (e *Engine) close(r *run) {
@@ -280,9 +280,9 @@
 		delete(e.runs, r.task)
 	}
 	e.countVictim(r, -1)
-	e.workers.giveBack(r)
+	e.workers.deallocate(r)
 	delete(r.worker.runs, r)
-	r.leaveSlice()
+	r.leaveSlot()
 	r.queue.countRun(-1)
 	r.step.count(r.worker, -1)
 	e.forgetIfUnused(r.step)
@@ -294,8 +294,8 @@
 	if _, held := e.runs[task.ID]; held {
 		return
 	}
-	if task.Wishes == nil {
-		task.Wishes = &e.noWishes
+	if task.Preferences == nil {
+		task.Preferences = &e.noPreferences
 	}
 	if present, ok := e.waiting[task.ID]; ok {
 		if sameTask(&present.Task, &task) {
@@ -306,33 +306,33 @@
 	w := &waiting{Task: task, class: e.joinClass(&task)}
 	e.waiting[task.ID] = w
 	if !e.off.Has(mechanism.PreferredShare) {
-		e.preferences.note(task.Spec, e.now)
+		e.preferredLabels.record(task.Spec, e.now)
 	}
-	e.enlane(w)
+	e.enqueue(w)
 }
 
-// enlane puts a task where tasks of its shape wait.
-func (e *Engine) enlane(w *waiting) {
-	if w.Group != "" && w.GroupSize > 1 {
-		e.addToGroup(w)
+// enqueue puts a task where tasks of its shape wait.
+func (e *Engine) enqueue(w *waiting) {
+	if w.Gang != "" && w.GangSize > 1 {
+		e.addToGang(w)
 		return
 	}
-	l := e.line(&w.Task).lane(w.class)
+	l := e.priorityQueue(&w.Task).subQueue(w.class)
 	l.push(w)
-	if w.class.blocked {
-		e.addPreemptLater(l)
+	if w.class.unschedulable {
+		e.addPreemptRetry(l)
 		return
 	}
-	l.makeReady()
+	l.activate()
 }
 
-func (e *Engine) addToGroup(w *waiting) {
-	l := e.joinGroup(&w.Task)
-	if e.isGathering(l) {
-		e.stopGathering()
+func (e *Engine) addToGang(w *waiting) {
+	l := e.joinGang(&w.Task)
+	if e.isDrainingFor(l) {
+		e.stopGangDrain()
 	}
 	// Out of the heap first: a group without tasks has no place in it.
-	l.makeUnready()
+	l.deactivate()
 	l.push(w)
 	l.reconsider()
 }
@@ -343,9 +343,9 @@
 	if !ok {
 		return
 	}
-	e.takeBackPromise(w)
+	e.revokeNomination(w)
 	e.forget(w)
-	if l := w.lane; l.class == nil && len(l.tasks) > 0 {
+	if l := w.subQueue; l.class == nil && len(l.tasks) > 0 {
 		l.reconsider()
 	}
 }
@@ -353,8 +353,8 @@
 // forget takes a task out of all that waits.
 func (e *Engine) forget(w *waiting) {
 	delete(e.waiting, w.ID)
-	if w.lane != nil {
-		e.takeFromLane(w)
+	if w.subQueue != nil {
+		e.dequeue(w)
 	}
 	e.leaveClass(w.class)
 }
--- a/internal/placement/engine_test.go
+++ b/internal/placement/engine_test.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-func TestFilters(t *testing.T) {
+func TestFilter_FeasibleWorkers(t *testing.T) {
 	w := testWorker("w", api.Resources{CPUMillis: 10, MemoryMB: 10})
 	w.Labels = map[string]string{"disk": "ssd", "rack": ""}
 	full := &queue{rule: QueueRule{MaxRunning: 2}, running: 1}
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestFillsTheFullest(t *testing.T) {
+func TestScore_FullestWorkerFirst(t *testing.T) {
 	cases := []struct {
 		name    string
 		workers []Worker
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestOrder(t *testing.T) {
+func TestQueues_PlacementOrder(t *testing.T) {
 	e := newEngine(testWorker("w", cpu(100)))
 	e.SetQueues([]QueueRule{{Name: "light", Weight: 1}, {Name: "heavy", Weight: 2}})
 	for i := range 6 {
@@ -86,10 +86,10 @@
 	expect(t, "waiting", e.Waiting(), 7)
 }
 
-func TestQueueLimit(t *testing.T) {
+func TestQueues_MaxRunning(t *testing.T) {
 	e := newEngine(testWorker("w", cpu(100)))
 	e.SetQueues([]QueueRule{{Name: "q", Weight: 1, MaxRunning: 2}})
-	addAll(e, groupOf("g", 1, 1, 1)...)
+	addAll(e, gangOf("g", 1, 1, 1)...)
 	addAll(e, testTask("j", 5, 1), testTask("j", 6, 1), testTask("j", 7, 1))
 	expect(t, "up to the limit", placed(e, 10), "j/a/5@w j/a/6@w")
 	expect(t, "reason", e.Reason(testTask("j", 7, 1).ID), `quota: queue "q" has its 2 running tasks`)
@@ -97,7 +97,7 @@
 	expect(t, "one released", placed(e, 10), "j/a/7@w")
 	e.SetQueues([]QueueRule{{Name: "q", Weight: 1, MaxRunning: 5}})
 	expect(t, "raised", placed(e, 10), "g/a/0@w g/a/1@w g/a/2@w")
-	addAll(e, groupOf("h", 1, 1)...)
+	addAll(e, gangOf("h", 1, 1)...)
 	expect(t, "group over the limit", placed(e, 10), "")
 	expect(t, "reason", e.Reason(record.TaskID{Job: "h", Step: "a"}), `quota: queue "q" has its 5 running tasks, group needs 2`)
 	e.Release(testTask("j", 6, 1).ID)
@@ -106,7 +106,7 @@
 	expect(t, "two released", placed(e, 10), "h/a/0@w h/a/1@w")
 }
 
-func TestSpread(t *testing.T) {
+func TestSpread_MaxPerDomain(t *testing.T) {
 	workers := make([]Worker, 3)
 	for i := range workers {
 		workers[i] = testWorker(fmt.Sprintf("w%d", i), cpu(10))
@@ -143,9 +143,9 @@
 	}
 }
 
-func TestSpreadCountsHeldRunsAndFollowsTheWorker(t *testing.T) {
+func TestSpread_CountsAddedRunsAndFollowsWorkerLabels(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(10)))
-	e.Hold(spreadTask(0, "zone", 1), "late-1")
+	e.AddRun(spreadTask(0, "zone", 1), "late-1")
 	e.Add(spreadTask(1, "zone", 1))
 	late := testWorker("late", cpu(10))
 	e.SetWorker(late)
@@ -155,10 +155,10 @@
 	expect(t, "held elsewhere", placed(e, 10), "spread/a/1@a")
 }
 
-func TestSpreadCountsRunsHeldBeforeTheRule(t *testing.T) {
+func TestSpread_CountsRunsAddedBeforeRule(t *testing.T) {
 	a := testWorker("a", cpu(10))
 	e := newEngine(a, testWorker("b", cpu(10)))
-	e.Hold(testTask("spread", 0, 1), "a-1")
+	e.AddRun(testTask("spread", 0, 1), "a-1")
 	e.Add(spreadTask(1, "zone", 1))
 	expect(t, "zone is taken", placed(e, 10), "")
 	a.Usable = false
@@ -168,7 +168,7 @@
 	expect(t, "room on another worker of the zone", placed(e, 10), "spread/a/1@b")
 }
 
-func TestIdempotence(t *testing.T) {
+func TestEngine_CallsAreIdempotent(t *testing.T) {
 	e := newEngine(testWorker("w", cpu(10)))
 	task := testTask("j", 0, 4)
 	addAll(e, task, task)
@@ -176,8 +176,8 @@
 	e.Remove(task.ID)
 	e.Remove(task.ID)
 	expect(t, "removed twice", e.Waiting(), 0)
-	e.Hold(task, "w-1")
-	e.Hold(task, "w-1")
+	e.AddRun(task, "w-1")
+	e.AddRun(task, "w-1")
 	expect(t, "held twice", e.workers.byID["w-1"].free, cpu(6))
 	e.Add(task)
 	expect(t, "held does not wait", e.Waiting(), 0)
@@ -185,7 +185,7 @@
 	e.Release(task.ID)
 	expect(t, "released twice", e.workers.byID["w-1"].free, cpu(10))
 	e.Add(task)
-	e.Hold(task, "w-1")
+	e.AddRun(task, "w-1")
 	expect(t, "hold takes it out", e.Waiting(), 0)
 	e.RemoveWorker("w-1")
 	e.RemoveWorker("w-1")
@@ -194,27 +194,27 @@
 	e.Release(record.TaskID{Job: "unknown"})
 }
 
-func TestNothingStaysBehind(t *testing.T) {
+func TestEngine_ReleasesAllStateOfEndedWork(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(3)), testWorker("b", cpu(3)))
-	addAll(e, groupOf("g", 3, 3)...)
+	addAll(e, gangOf("g", 3, 3)...)
 	addAll(e, spreadTask(0, "zone", 1), spreadTask(1, "zone", 1), testTask("j", 0, 1), testTask("j", 1, 99))
 	addAll(e, testTask("alike", 0, 2), testTask("alike", 1, 2), testTask("alike", 2, 2))
-	addAll(e, groupOf("parked", 2, 2)...)
+	addAll(e, gangOf("parked", 2, 2)...)
 	for _, d := range e.Plan(100) {
 		e.Release(d.Task)
 	}
 	for id := range e.waiting {
 		e.Remove(id)
 	}
-	expect(t, "state", len(e.classes)+len(e.steps)+len(e.groups)+len(e.levels)+len(e.runs)+len(e.waiting), 0)
+	expect(t, "state", len(e.classes)+len(e.steps)+len(e.gangs)+len(e.levels)+len(e.runs)+len(e.waiting), 0)
 	for _, p := range e.workers.pools {
-		expect(t, "pool", p.classes+len(p.blocked), 0)
+		expect(t, "pool", p.classes+len(p.unschedulable), 0)
 	}
 }
 
-func TestHoldBeforeTheWorkerIsKnownAndShrinking(t *testing.T) {
+func TestEngine_RunsOnUnknownAndShrunkWorkers(t *testing.T) {
 	e := newEngine()
-	e.Hold(testTask("held", 0, 6), "w-1")
+	e.AddRun(testTask("held", 0, 6), "w-1")
 	e.Add(testTask("j", 0, 5))
 	e.SetWorker(testWorker("w", cpu(10)))
 	expect(t, "held room counts", placed(e, 10), "")
@@ -228,7 +228,7 @@
 	expect(t, "released", placed(e, 10), "j/a/0@w")
 }
 
-func TestReasonsAndPossible(t *testing.T) {
+func TestReason_AndFeasible(t *testing.T) {
 	ready := testWorker("w", cpu(1200))
 	ready.Labels = map[string]string{"disk": "ssd"}
 	closed := ready
@@ -270,7 +270,7 @@
 			e.Add(task)
 			e.Plan(10)
 			expect(t, "reason", e.Reason(task.ID), c.reason)
-			possible, why := e.Possible(task.Spec, c.workers)
+			possible, why := e.Feasible(task.Spec, c.workers)
 			expect(t, "possible", possible, c.possible == "")
 			expect(t, "why", why, c.possible)
 		})
--- a/internal/placement/groups.go
+++ b/internal/placement/groups.go
@@ -9,34 +9,34 @@
 	"github.com/decklever/decklever/internal/indexheap"
 )
 
-// groupState is what a lane keeps if it holds the members of a group.
-type groupState struct {
+// gangState is what a lane keeps if it holds the members of a group.
+type gangState struct {
 	// size is the number of members that must wait together.
 	size int
 	// members counts the members by class, in the order that classes came.
 	members []memberCount
-	// parkedAt are the classes that must find room before another trial.
-	parkedAt []*class
-	// parkedAtTeam is the team whose limit holds the group back.
-	parkedAtTeam *team
-	// free is how many members had a place at the last trial; tried tells
+	// awaitedClasses are the classes that must find room before another trial.
+	awaitedClasses []*equivalenceClass
+	// awaitedTeam is the team whose limit holds the group back.
+	awaitedTeam *team
+	// freeMembers is how many members had a place at the last trial; tried tells
 	// whether there was one.
-	free  int
-	tried bool
-	// waitsSince is the pass in which it first found no room.
-	waitsSince uint64
+	freeMembers int
+	tried       bool
+	// unschedulableSince is the pass in which it first found no room.
+	unschedulableSince uint64
 }
 
 // memberCount is how many members of a group are of one class.
 type memberCount struct {
-	class *class
+	class *equivalenceClass
 	count int
 }
 
-// placesCount is how many tasks of a class had room, counted up to enough.
-type placesCount struct {
-	pass           uint64
-	enough, places int
+// fitCount is how many tasks of a class had room, counted up to enough.
+type fitCount struct {
+	pass         uint64
+	enough, fits int
 	// full are the domains that the spread rule closed, if it was counted to
 	// the end: room freed there makes no place. It holds for one version of
 	// workers.
@@ -44,23 +44,23 @@
 	version uint64
 }
 
-// joinGroup returns the lane of the task's group and makes it if there is none.
-func (e *Engine) joinGroup(task *Task) *lane {
-	l, ok := e.groups[task.Group]
+// joinGang returns the lane of the task's group and makes it if there is none.
+func (e *Engine) joinGang(task *Task) *subQueue {
+	l, ok := e.gangs[task.Gang]
 	if !ok {
-		l = &lane{line: e.line(task), group: task.Group, position: indexheap.None}
-		l.line.groups++
-		e.groups[task.Group] = l
+		l = &subQueue{parent: e.priorityQueue(task), gang: task.Gang, position: indexheap.None}
+		l.parent.gangCount++
+		e.gangs[task.Gang] = l
 	}
-	l.size = task.GroupSize
+	l.size = task.GangSize
 	return l
 }
 
 // complete reports whether all members wait; a class lane always is.
-func (l *lane) complete() bool { return l.class != nil || len(l.tasks) >= l.size }
+func (l *subQueue) complete() bool { return l.class != nil || len(l.tasks) >= l.size }
 
 // countMember adds to the number of members of a class, if this is a group.
-func (l *lane) countMember(c *class, change int) {
+func (l *subQueue) countMember(c *equivalenceClass, change int) {
 	if l.class != nil {
 		return
 	}
@@ -76,174 +76,174 @@
 }
 
 // reconsider lets the next pass look at a group whose members changed.
-func (l *lane) reconsider() {
-	l.makeUnready()
+func (l *subQueue) reconsider() {
+	l.deactivate()
 	l.tried = false
-	l.makeReady()
+	l.activate()
 }
 
-// parkAt keeps a group out of passes until a place more came for one of the
+// awaitClasses keeps a group out of passes until a place more came for one of the
 // classes.
-func (l *lane) parkAt(classes ...*class) {
-	l.makeUnready()
+func (l *subQueue) awaitClasses(classes ...*equivalenceClass) {
+	l.deactivate()
 	for _, c := range classes {
 		// Members of several classes compete for room, also where the spread
 		// rule alone leaves one of them nothing.
-		c.counted.full = nil
-		l.parkUntil(c, 1)
+		c.lastFitCount.full = nil
+		l.awaitFreedFits(c, 1)
 	}
-	l.parkedAt = classes
+	l.awaitedClasses = classes
 }
 
-// parkAtShortage keeps a group out of passes until as many places came as the
+// awaitShortage keeps a group out of passes until as many places came as the
 // class was short of.
-func (l *lane) parkAtShortage(c *class, missing int) {
-	l.makeUnready()
-	l.parkUntil(c, missing)
-	l.parkedAt = []*class{c}
+func (l *subQueue) awaitShortage(c *equivalenceClass, missing int) {
+	l.deactivate()
+	l.awaitFreedFits(c, missing)
+	l.awaitedClasses = []*equivalenceClass{c}
 }
 
-func (l *lane) parkUntil(c *class, places int) {
-	c.groups[l] = c.freed + uint64(places)
-	c.wakeAt = min(c.wakeAt, c.groups[l])
-	c.pool.blocked[c] = struct{}{}
+func (l *subQueue) awaitFreedFits(c *equivalenceClass, places int) {
+	c.awaitingGangs[l] = c.freedFits + uint64(places)
+	c.activateAt = min(c.activateAt, c.awaitingGangs[l])
+	c.pool.unschedulable[c] = struct{}{}
 }
 
-// wakeGroups makes the groups ready for which enough places may have come.
-func (c *class) wakeGroups() {
-	if c.freed < c.wakeAt {
+// activateGangs makes the groups ready for which enough places may have come.
+func (c *equivalenceClass) activateGangs() {
+	if c.freedFits < c.activateAt {
 		return
 	}
-	c.wakeAt = math.MaxUint64
-	for l, at := range c.groups {
-		if at <= c.freed {
-			l.makeReady()
+	c.activateAt = math.MaxUint64
+	for l, at := range c.awaitingGangs {
+		if at <= c.freedFits {
+			l.activate()
 			continue
 		}
-		c.wakeAt = min(c.wakeAt, at)
+		c.activateAt = min(c.activateAt, at)
 	}
 }
 
-// placesFreed is the most places that a changed worker can add to the last
+// freedFitsOn is the most places that a changed worker can add to the last
 // count.
-func (c *class) placesFreed(w *worker) uint64 {
-	if c.spread != nil && c.counted.full != nil && c.counted.version == c.pool.version {
-		if domain, ok := domainOf(&w.Worker, c.spread.by); !ok || c.counted.full[domain] {
+func (c *equivalenceClass) freedFitsOn(w *worker) uint64 {
+	if c.spread != nil && c.lastFitCount.full != nil && c.lastFitCount.version == c.pool.version {
+		if domain, ok := domainOf(&w.Worker, c.spread.by); !ok || c.lastFitCount.full[domain] {
 			return 0
 		}
 	}
-	return uint64(placesOn(c.key.need, c.roomOnceTaken(w), math.MaxInt32) + c.openSlots(w.slices))
+	return uint64(fitCountOn(c.key.need, c.availableWithNominated(w), math.MaxInt32) + c.freeSlots(w.slots))
 }
 
-// parkAtLimit keeps a group out of passes until the queue or its team may run
+// awaitLimit keeps a group out of passes until the queue or its team may run
 // more.
-func (l *lane) parkAtLimit(size int) {
-	l.makeUnready()
-	q := l.line.queue
+func (l *subQueue) awaitLimit(size int) {
+	l.deactivate()
+	q := l.parent.queue
 	if !withinQueueLimit(q, size) {
-		q.groups[l] = struct{}{}
+		q.awaitingGangs[l] = struct{}{}
 		return
 	}
-	q.team.groups[l] = struct{}{}
-	l.parkedAtTeam = q.team
+	q.team.awaitingGangs[l] = struct{}{}
+	l.awaitedTeam = q.team
 }
 
-// unpark forgets what the group was parked at. Class lanes are never parked.
-func (l *lane) unpark() {
-	for _, c := range l.parkedAt {
-		delete(c.groups, l)
-		c.leaveBlocked()
+// stopAwaiting forgets what the group was parked at. Class lanes are never parked.
+func (l *subQueue) stopAwaiting() {
+	for _, c := range l.awaitedClasses {
+		delete(c.awaitingGangs, l)
+		c.leaveUnschedulable()
 	}
-	l.parkedAt = nil
-	delete(l.line.queue.groups, l)
-	if l.parkedAtTeam != nil {
-		delete(l.parkedAtTeam.groups, l)
-		l.parkedAtTeam = nil
+	l.awaitedClasses = nil
+	delete(l.parent.queue.awaitingGangs, l)
+	if l.awaitedTeam != nil {
+		delete(l.awaitedTeam.awaitingGangs, l)
+		l.awaitedTeam = nil
 	}
 }
 
-// placeGroup places all members of the group or none. It returns false if the
+// placeGang places all members of the group or none. It returns false if the
 // group fits but not in what is left of the pass's limit: the pass then ends,
 // and the next one starts with this group.
-func (p *pass) placeGroup(l *lane) bool {
-	if !l.line.queue.mayRun(len(l.tasks)) {
-		l.parkAtLimit(len(l.tasks))
+func (p *pass) placeGang(l *subQueue) bool {
+	if !l.parent.queue.canRun(len(l.tasks)) {
+		l.awaitLimit(len(l.tasks))
 		return true
 	}
-	l.preemptNow = false
-	if p.engine.isGathering(l) {
-		l.makeUnready()
+	l.mayPreemptNow = false
+	if p.engine.isDrainingFor(l) {
+		l.deactivate()
 		return true
 	}
 	l.tried = true
-	members := p.engine.trialOrder(l.tasks)
+	members := p.engine.placementOrder(l.tasks)
 	found := p.openAll(l, members)
 	if found.opened == nil {
-		p.engine.overGathered(l, func() bool {
+		p.engine.retryWithDrainedCapacity(l, func() bool {
 			found = p.openAll(l, members)
 			return found.opened != nil
 		})
 	}
 	if found.opened == nil {
-		l.park(found)
-		l.waitFrom(p.engine.passes)
-		return p.preemptForGroup(l)
+		l.awaitFits(found)
+		l.recordUnschedulableSince(p.engine.passes)
+		return p.preemptForGang(l)
 	}
 	opened := found.opened
 	if len(p.decisions) > 0 && len(p.decisions)+len(members) > p.limit {
 		p.rollBack(opened)
 		return false
 	}
-	l.makeUnready()
+	l.deactivate()
 	for i, member := range members {
-		p.decide(member, opened[i])
+		p.recordDecision(member, opened[i])
 	}
 	return true
 }
 
-// groupSeats is what a trial to place a group found: a run for each member, or the
+// gangPlacement is what a trial to place a group found: a run for each member, or the
 // class that is short of places, if that alone tells.
-type groupSeats struct {
+type gangPlacement struct {
 	opened  []*run
-	short   *class
+	short   *equivalenceClass
 	missing int
 }
 
 // openAll opens runs for all members of the group or for none.
-func (p *pass) openAll(l *lane, members []*waiting) groupSeats {
+func (p *pass) openAll(l *subQueue, members []*waiting) gangPlacement {
 	if short, missing := p.engine.findShortage(l); short != nil {
-		return groupSeats{short: short, missing: missing}
+		return gangPlacement{short: short, missing: missing}
 	}
 	opened := p.tryAll(members)
 	if len(opened) < len(members) {
-		l.free = len(opened)
+		l.freeMembers = len(opened)
 		p.rollBack(opened)
-		return groupSeats{}
+		return gangPlacement{}
 	}
-	return groupSeats{opened: opened}
+	return gangPlacement{opened: opened}
 }
 
-// park keeps a group that found no room out of passes until it may find some.
-func (l *lane) park(found groupSeats) {
+// awaitFits keeps a group that found no room out of passes until it may find some.
+func (l *subQueue) awaitFits(found gangPlacement) {
 	if found.short != nil {
-		l.parkAtShortage(found.short, found.missing)
+		l.awaitShortage(found.short, found.missing)
 		return
 	}
-	l.parkAt(l.classes()...)
+	l.awaitClasses(l.classes()...)
 }
 
-func (l *lane) waitFrom(pass uint64) {
-	if l.waitsSince == 0 {
-		l.waitsSince = pass
+func (l *subQueue) recordUnschedulableSince(pass uint64) {
+	if l.unschedulableSince == 0 {
+		l.unschedulableSince = pass
 	}
 }
 
-// trialOrder puts members that need most room first: the small ones find room
+// placementOrder puts members that need most room first: the small ones find room
 // in what these leave.
-func (e *Engine) trialOrder(tasks []*waiting) []*waiting {
+func (e *Engine) placementOrder(tasks []*waiting) []*waiting {
 	members := slices.Clone(tasks)
 	slices.SortFunc(members, func(a, b *waiting) int {
-		if byNeed := cmp.Compare(e.roomOf(b.class), e.roomOf(a.class)); byNeed != 0 {
+		if byNeed := cmp.Compare(e.classSize(b.class), e.classSize(a.class)); byNeed != 0 {
 			return byNeed
 		}
 		return compareWaiting(a, b)
@@ -255,7 +255,7 @@
 func (p *pass) tryAll(members []*waiting) []*run {
 	opened := make([]*run, 0, len(members))
 	for _, member := range members {
-		to, found := p.engine.seatFor(member)
+		to, found := p.engine.findTarget(member)
 		if !found {
 			break
 		}
@@ -271,8 +271,8 @@
 }
 
 // classes returns the classes of the group's members.
-func (l *lane) classes() []*class {
-	classes := make([]*class, 0, len(l.members))
+func (l *subQueue) classes() []*equivalenceClass {
+	classes := make([]*equivalenceClass, 0, len(l.members))
 	for _, m := range l.members {
 		classes = append(classes, m.class)
 	}
@@ -282,11 +282,11 @@
 // findShortage returns a class that has fewer places than the group has
 // members of it, and how many are missing, or nil. Classes are counted one by
 // one, so nil does not promise that all fit together.
-func (e *Engine) findShortage(l *lane) (short *class, missing int) {
-	l.free = 0
+func (e *Engine) findShortage(l *subQueue) (short *equivalenceClass, missing int) {
+	l.freeMembers = 0
 	for _, m := range l.members {
-		places := e.places(m.class, m.count)
-		l.free += places
+		places := e.fitCount(m.class, m.count)
+		l.freeMembers += places
 		if places < m.count && short == nil {
 			short, missing = m.class, m.count-places
 		}
@@ -296,36 +296,36 @@
 
 // places is class.places, counted once a pass where it fell short: room only
 // shrinks during a pass, so that many groups of one class cost one count.
-func (e *Engine) places(c *class, enough int) int {
-	last := &c.counted
-	if last.pass == e.passes && last.places < last.enough {
-		return min(last.places, enough)
-	}
-	c.counted = placesCount{pass: e.passes, enough: enough, version: c.pool.version}
-	c.counted.places = c.places(enough)
-	return c.counted.places
+func (e *Engine) fitCount(c *equivalenceClass, enough int) int {
+	last := &c.lastFitCount
+	if last.pass == e.passes && last.fits < last.enough {
+		return min(last.fits, enough)
+	}
+	c.lastFitCount = fitCount{pass: e.passes, enough: enough, version: c.pool.version}
+	c.lastFitCount.fits = c.fitCount(enough)
+	return c.lastFitCount.fits
 }
 
 // places counts how many tasks of the class fit now, up to enough. Slices
 // count whole: with a spread rule there may be fewer.
-func (c *class) places(enough int) int {
+func (c *equivalenceClass) fitCount(enough int) int {
 	left := map[string]int{}
 	total := 0
-	for _, r := range c.bookings {
-		total += min(c.openSlots(r.sets), enough-total)
+	for _, r := range c.reservations {
+		total += min(c.freeSlots(r.slots), enough-total)
 	}
 	for _, w := range c.pool.workers {
 		if total >= enough {
 			return enough
 		}
-		here := min(placesOn(c.key.need, c.roomOn(w), enough-total), c.mostOn(w))
+		here := min(fitCountOn(c.key.need, c.availableOn(w), enough-total), c.maxRunsOn(w))
 		if c.spread != nil && here > 0 {
 			here = takeFromDomain(left, c.spread, &w.Worker, here)
 		}
 		total += here
 	}
 	if c.spread != nil {
-		c.counted.full = fullDomains(left)
+		c.lastFitCount.full = fullDomains(left)
 	}
 	return total
 }
@@ -356,20 +356,20 @@
 	return taken
 }
 
-// placesOn counts how often need fits in free, up to enough.
-func placesOn(need, free api.Resources, enough int) int {
+// fitCountOn counts how often need fits in free, up to enough.
+func fitCountOn(need, free api.Resources, enough int) int {
 	if !fits(need, free) {
 		return 0
 	}
 	times := min(
-		timesIn(need.CPUMillis, free.CPUMillis),
-		timesIn(need.MemoryMB, free.MemoryMB),
-		timesIn(need.Accelerators, free.Accelerators),
+		quotient(need.CPUMillis, free.CPUMillis),
+		quotient(need.MemoryMB, free.MemoryMB),
+		quotient(need.Accelerators, free.Accelerators),
 	)
 	return int(min(times, int64(enough)))
 }
 
-func timesIn(need, free int64) int64 {
+func quotient(need, free int64) int64 {
 	if need <= 0 {
 		return math.MaxInt64
 	}
--- a/internal/placement/groups_test.go
+++ b/internal/placement/groups_test.go
@@ -8,9 +8,9 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-func TestGroupWaitsForMembersAndIsPlacedWhole(t *testing.T) {
+func TestGang_PlacedOnceComplete(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(4)), testWorker("b", cpu(5)))
-	members := groupOf("g", 1, 4, 4, 1)
+	members := gangOf("g", 1, 4, 4, 1)
 	addAll(e, members[:3]...)
 	expect(t, "incomplete", placed(e, 10), "")
 	expect(t, "reason", e.Reason(members[0].ID), "group has 3 of 4 members")
@@ -26,10 +26,10 @@
 	expect(t, "whole, beyond the limit", placed(e, 1), "g/a/1@a g/a/2@b g/a/0@b g/a/3@c")
 }
 
-func TestGroupLimits(t *testing.T) {
+func TestGang_QueueAndPassLimits(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(9)))
 	e.Add(testTask("alone", 0, 1))
-	group := groupOf("g", 1, 1)
+	group := gangOf("g", 1, 1)
 	for i := range group {
 		group[i].Sequence = 1
 	}
@@ -37,19 +37,19 @@
 	e.Add(testTask("later", 2, 1))
 	expect(t, "stops before the group", placed(e, 2), "alone/a/0@a")
 	expect(t, "group is first", placed(e, 2), "g/a/0@a g/a/1@a")
-	one := groupOf("one", 1)[0]
+	one := gangOf("one", 1)[0]
 	e.Add(one)
-	expect(t, "member alone", e.Plan(1), []Decision{{Task: one.ID, WorkerID: "a-1", Worker: "a", Group: "one/a"}})
+	expect(t, "member alone", e.Plan(1), []Decision{{Task: one.ID, WorkerID: "a-1", Worker: "a", Gang: "one/a"}})
 }
 
-func TestGroupMemberLeavesAndComesBack(t *testing.T) {
+func TestGang_MemberRemovedAndAddedAgain(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(9)))
-	members := groupOf("g", 5, 5)
+	members := gangOf("g", 5, 5)
 	addAll(e, members...)
 	expect(t, "no room", placed(e, 10), "")
 	e.Remove(members[1].ID)
 	for _, p := range e.workers.pools {
-		expect(t, "parked", len(p.blocked), 0)
+		expect(t, "parked", len(p.unschedulable), 0)
 	}
 	e.SetWorker(testWorker("a", cpu(10)))
 	expect(t, "incomplete", placed(e, 10), "")
@@ -57,13 +57,13 @@
 	expect(t, "complete", placed(e, 10), "g/a/0@a g/a/1@a")
 }
 
-func TestLargeGroupShortage(t *testing.T) {
+func TestGang_ActivatedOnceShortageIsFreed(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(90)))
 	needs := make([]int64, 16)
 	for i := range needs {
 		needs[i] = 10
 	}
-	addAll(e, groupOf("g", needs...)...)
+	addAll(e, gangOf("g", needs...)...)
 	expect(t, "none", placed(e, 100), "")
 	expect(t, "reason", e.Reason(record.TaskID{Job: "g", Step: "a"}), "group needs 16 places, 9 free now")
 	e.SetWorker(testWorker("b", cpu(70)))
@@ -75,7 +75,7 @@
 	var text strings.Builder
 	for _, id := range []string{"a-1", "b-1"} {
 		w := e.workers.byID[id]
-		fmt.Fprintln(&text, id, w.used, w.free, w.room, len(w.runs))
+		fmt.Fprintln(&text, id, w.used, w.free, w.freeSize, len(w.runs))
 	}
 	for _, p := range e.workers.pools {
 		for _, w := range p.workers {
--- a/internal/placement/headroom.go
+++ b/internal/placement/headroom.go
@@ -7,27 +7,27 @@
 // service is crowded, and takes any room if not, as nothing urgent can be short of
 // room then.
 
-// crowdedFrom is the share of a service's room, in hundredths, from which it is
+// highUtilizationPercent is the share of a service's room, in hundredths, from which it is
 // crowded.
-const crowdedFrom = 60
+const highUtilizationPercent = 60
 
-// crowding tells which services are crowded.
-type crowding struct {
-	// rooms are by service; that of "" is the room of all workers.
-	rooms map[string]*serviceRoom
+// utilization tells which services are crowded.
+type utilization struct {
+	// services are by service; that of "" is the room of all workers.
+	services map[string]*serviceUsage
 }
 
-// serviceRoom is the room of all workers of a service, whether or not they take
+// serviceUsage is the room of all workers of a service, whether or not they take
 // work, and what open runs take of it.
-type serviceRoom struct {
+type serviceUsage struct {
 	capacity, used api.Resources
 }
 
-func newCrowding() *crowding { return &crowding{rooms: map[string]*serviceRoom{}} }
+func newUtilization() *utilization { return &utilization{services: map[string]*serviceUsage{}} }
 
 // recount works all rooms out anew.
-func (c *crowding) recount(workers map[string]*worker) {
-	clear(c.rooms)
+func (c *utilization) recount(workers map[string]*worker) {
+	clear(c.services)
 	for _, w := range workers {
 		if !w.known {
 			continue
@@ -37,40 +37,40 @@
 }
 
 // take counts a run that a pass has placed on the worker.
-func (c *crowding) take(w *worker, need api.Resources) { c.add(w, api.Resources{}, need) }
+func (c *utilization) addRun(w *worker, need api.Resources) { c.add(w, api.Resources{}, need) }
 
 // add counts in every room that the worker belongs to.
-func (c *crowding) add(w *worker, capacity, used api.Resources) {
+func (c *utilization) add(w *worker, capacity, used api.Resources) {
 	c.addTo("", capacity, used)
 	for _, service := range w.Services {
 		c.addTo(service, capacity, used)
 	}
 }
 
-func (c *crowding) addTo(service string, capacity, used api.Resources) {
-	room, ok := c.rooms[service]
+func (c *utilization) addTo(service string, capacity, used api.Resources) {
+	room, ok := c.services[service]
 	if !ok {
-		room = &serviceRoom{}
-		c.rooms[service] = room
+		room = &serviceUsage{}
+		c.services[service] = room
 	}
 	room.capacity = room.capacity.Add(capacity)
 	room.used = room.used.Add(used)
 }
 
 // crowded reports whether the service is short of processors and of memory.
-func (c *crowding) crowded(service string) bool {
-	room, ok := c.rooms[service]
+func (c *utilization) isHigh(service string) bool {
+	room, ok := c.services[service]
 	if !ok {
 		return false
 	}
-	least := shareOfRoom(room.capacity, crowdedFrom)
+	least := percentOf(room.capacity, highUtilizationPercent)
 	return exceeds(room.used.CPUMillis, least.CPUMillis) && exceeds(room.used.MemoryMB, least.MemoryMB)
 }
 
-// busy reports whether the service is short of processors, whatever its memory.
-func (c *crowding) busy(service string) bool {
-	room, ok := c.rooms[service]
-	return ok && exceeds(room.used.CPUMillis, shareOfRoom(room.capacity, crowdedFrom).CPUMillis)
+// isProcessorBound reports whether the service is short of processors, whatever its memory.
+func (c *utilization) isProcessorBound(service string) bool {
+	room, ok := c.services[service]
+	return ok && exceeds(room.used.CPUMillis, percentOf(room.capacity, highUtilizationPercent).CPUMillis)
 }
 
 // exceeds holds for a room that no worker has as well.
@@ -78,60 +78,60 @@
 
 // waitsForHeadroom reports whether tasks of the class wait if no room leaves
 // headroom. Those that run until cancelled never do.
-func (c *class) waitsForHeadroom() bool {
-	return c.key.headroom != 0 && !c.key.untilCancelled && c.isCrowded()
+func (c *equivalenceClass) waitsForHeadroom() bool {
+	return c.key.headroom != 0 && !c.key.untilCancelled && c.isHighlyUtilized()
 }
 
-// withoutHeadroom has find look for room that need not leave headroom, if the class
+// ignoringHeadroom has find look for room that need not leave headroom, if the class
 // need not wait for such room.
-func withoutHeadroom[T any](c *class, find func() T) T {
+func ignoringHeadroom[T any](c *equivalenceClass, find func() T) T {
 	if c.key.headroom == 0 || c.waitsForHeadroom() {
 		var none T
 		return none
 	}
-	c.anyRoom = true
-	defer func() { c.anyRoom = false }()
+	c.ignoresHeadroom = true
+	defer func() { c.ignoresHeadroom = false }()
 	return find()
 }
 
 // leavesHeadroom reports whether the class leaves on a worker what its queue is to
 // keep free for others. What could not leave it even on an empty worker is not held
 // back: it would never run.
-func (c *class) leavesHeadroom(w *worker) bool {
-	if c.key.headroom == 0 || c.anyRoom {
+func (c *equivalenceClass) leavesHeadroom(w *worker) bool {
+	if c.key.headroom == 0 || c.ignoresHeadroom {
 		return true
 	}
-	wanted := c.key.need.Add(shareOfRoom(w.Capacity, c.key.headroom))
+	wanted := c.key.need.Add(percentOf(w.Capacity, c.key.headroom))
 	return fits(wanted, w.free) || !fits(wanted, w.Capacity)
 }
 
-// headroomOf is what a task leaves free of a worker, in hundredths. Groups and
+// headroomPercentOf is what a task leaves free of a worker, in hundredths. Groups and
 // tasks with a rule of spread need many places, and could wait for the same few
 // workers for ever.
-func headroomOf(task *Task, rule *QueueRule) int {
-	if task.GroupSize > 1 || task.Spec.Spread != nil {
+func headroomPercentOf(task *Task, rule *QueueRule) int {
+	if task.GangSize > 1 || task.Spec.Spread != nil {
 		return 0
 	}
 	return rule.Headroom
 }
 
-// countsCrowding reports whether anything depends on which services are crowded.
-func (e *Engine) countsCrowding() bool {
-	return e.anyHeadroom || e.anyYields || len(e.workers.guarded) > 0 || e.gathering != nil
+// needsUtilization reports whether anything depends on which services are crowded.
+func (e *Engine) needsUtilization() bool {
+	return e.anyHeadroom || e.anyDeferences || len(e.workers.restricted) > 0 || e.gangDrain != nil
 }
 
-// wakeHeldBack looks again at classes whose service was crowded when they were
+// activateDeferredByUtilization looks again at classes whose service was crowded when they were
 // blocked, and no longer is.
-func (e *Engine) wakeHeldBack() {
+func (e *Engine) activateDeferredByUtilization() {
 	for _, c := range e.classes {
-		if c.heldBack && !c.isCrowded() {
-			c.wakeLanes()
+		if c.blockedByUtilization && !c.isHighlyUtilized() {
+			c.activateSubQueues()
 		}
 	}
 }
 
-// shareOfRoom is a share of a room, in hundredths.
-func shareOfRoom(room api.Resources, percent int) api.Resources {
+// percentOf is a share of a room, in hundredths.
+func percentOf(room api.Resources, percent int) api.Resources {
 	const whole = 100
 	part := func(amount int64) int64 { return amount * int64(percent) / whole }
 	return api.Resources{CPUMillis: part(room.CPUMillis), MemoryMB: part(room.MemoryMB), Accelerators: part(room.Accelerators)}
--- a/internal/placement/headroom_test.go
+++ b/internal/placement/headroom_test.go
@@ -11,9 +11,9 @@
 	return stepOf(job, count, need, func(task *Task) { task.Queue, task.StepSize = "low", 0 })
 }
 
-// TestHeadroomIsLeftToOthers: work of a queue with headroom leaves a share of each
+// TestHeadroom_IsLeftToOtherQueues: work of a queue with headroom leaves a share of each
 // worker to what comes later and is more urgent.
-func TestHeadroomIsLeftToOthers(t *testing.T) {
+func TestHeadroom_IsLeftToOtherQueues(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(100)), testWorker("b", cpu(100)))
 	e.SetQueues([]QueueRule{{Name: "low", Weight: 1, Headroom: 20}, {Name: "q", Weight: 1}})
 	addAll(e, lowTasks("low", 20, 10)...)
@@ -23,8 +23,8 @@
 	expect(t, "waiting", e.Waiting(), 4)
 }
 
-// TestHeadroomEndsWithItsRule: a configuration without it lets what waits in.
-func TestHeadroomEndsWithItsRule(t *testing.T) {
+// TestHeadroom_EndsWithItsRule: a configuration without it lets what waits in.
+func TestHeadroom_EndsWithItsRule(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(100)))
 	e.SetQueues([]QueueRule{{Name: "low", Weight: 1, Headroom: 30}})
 	addAll(e, lowTasks("low", 10, 10)...)
@@ -33,12 +33,12 @@
 	expect(t, "without", countBy(e, name), map[string]int{"a": 3})
 }
 
-// TestHeadroomHoldsBackNothingForEver: what cannot leave it on an empty worker runs
+// TestHeadroom_LargeTaskIsStillPlaced: what cannot leave it on an empty worker runs
 // all the same, and groups do.
-func TestHeadroomHoldsBackNothingForEver(t *testing.T) {
+func TestHeadroom_LargeTaskIsStillPlaced(t *testing.T) {
 	for what, tasks := range map[string][]Task{
 		"a large task": lowTasks("low", 1, 90),
-		"a group":      stepOf("low", 2, 50, func(task *Task) { task.Queue, task.Group, task.GroupSize = "low", "low/a", 2 }),
+		"a group":      stepOf("low", 2, 50, func(task *Task) { task.Queue, task.Gang, task.GangSize = "low", "low/a", 2 }),
 	} {
 		e := newEngine(testWorker("a", cpu(100)))
 		e.SetQueues([]QueueRule{{Name: "low", Weight: 1, Headroom: 50}})
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestRoomThatComesFreeWakesWorkWithHeadroom: it is placed once an end makes enough
+// TestHeadroom_FreedCapacityActivatesTasks: it is placed once an end makes enough
 // room, and not before.
-func TestRoomThatComesFreeWakesWorkWithHeadroom(t *testing.T) {
+func TestHeadroom_FreedCapacityActivatesTasks(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(100)))
 	e.SetQueues([]QueueRule{{Name: "low", Weight: 1, Headroom: 20}})
 	tasks := lowTasks("low", 9, 10)
@@ -83,9 +83,9 @@
 	return e
 }
 
-// TestHeadroomIsNoBarWhileMostRoomIsFree: the one worker that may take a task is
+// TestHeadroom_IgnoredAtLowUtilization: the one worker that may take a task is
 // full of runs that last, and all others are idle.
-func TestHeadroomIsNoBarWhileMostRoomIsFree(t *testing.T) {
+func TestHeadroom_IgnoredAtLowUtilization(t *testing.T) {
 	e := threeRacks()
 	addAll(e, labelled(lowTasks("lasting", 7, 10), "a")...)
 	expect(t, "lasting", countBy(e, name), map[string]int{"a": 7})
@@ -93,16 +93,16 @@
 	expect(t, "other", countBy(e, name), map[string]int{"a": 1})
 }
 
-// TestHeadroomIsKeptWhereverThereIsOtherRoom: it comes before filling the fullest.
-func TestHeadroomIsKeptWhereverThereIsOtherRoom(t *testing.T) {
+// TestHeadroom_RespectedWhereOtherWorkersFit: it comes before filling the fullest.
+func TestHeadroom_RespectedWhereOtherWorkersFit(t *testing.T) {
 	e := threeRacks()
 	addAll(e, lowTasks("low", 15, 10)...)
 	expect(t, "of low priority", countBy(e, name), map[string]int{"a": 7, "b": 7, "c": 1})
 }
 
-// TestWorkHeldBackGoesOnOnceItsServiceIsNotCrowded: room comes free only where the
+// TestHeadroom_BlockedTasksActivateAtLowUtilization: room comes free only where the
 // work that waits cannot run.
-func TestWorkHeldBackGoesOnOnceItsServiceIsNotCrowded(t *testing.T) {
+func TestHeadroom_BlockedTasksActivateAtLowUtilization(t *testing.T) {
 	e := threeRacks()
 	elsewhere := labelled(stepOf("urgent", 20, 10, nil), "b")
 	for i := range elsewhere[10:] {
@@ -119,8 +119,8 @@
 	expect(t, "no longer crowded", countBy(e, name), map[string]int{"a": 1})
 }
 
-// TestSpreadWorkIsNotHeldBack: its rule may leave it few workers for ever.
-func TestSpreadWorkIsNotHeldBack(t *testing.T) {
+// TestHeadroom_SpreadTasksAreExempt: its rule may leave it few workers for ever.
+func TestHeadroom_SpreadTasksAreExempt(t *testing.T) {
 	e := threeRacks()
 	addAll(e, stepOf("urgent", 24, 10, nil)...)
 	expect(t, "urgent", countBy(e, name), map[string]int{"a": 10, "b": 10, "c": 4})
--- a/internal/placement/helper_test.go
+++ b/internal/placement/helper_test.go
@@ -20,16 +20,16 @@
 // testTask is task JOB/a/SEQUENCE of queue "q".
 func testTask(job string, sequence int, need int64) Task {
 	return Task{
-		ID: record.TaskID{Job: job, Step: "a", Index: sequence}, Queue: "q", Sequence: uint64(sequence), Wishes: &Wishes{},
+		ID: record.TaskID{Job: job, Step: "a", Index: sequence}, Queue: "q", Sequence: uint64(sequence), Preferences: &Preferences{},
 		Spec: &api.TaskSpec{Service: "s", Resources: cpu(need)},
 	}
 }
 
-func groupOf(job string, needs ...int64) []Task {
+func gangOf(job string, needs ...int64) []Task {
 	var tasks []Task
 	for i, need := range needs {
 		task := testTask(job, i, need)
-		task.Group, task.GroupSize = job+"/a", len(needs)
+		task.Gang, task.GangSize = job+"/a", len(needs)
 		tasks = append(tasks, task)
 	}
 	return tasks
--- a/internal/placement/kept.go
+++ b/internal/placement/kept.go
@@ -18,142 +18,142 @@
 // until it is placed.
 
 const (
-	// keptShare: one worker in so many is kept at most.
-	keptShare = 2
-	// mostKept bounds the workers kept in one pass: each costs a look at all workers.
-	mostKept = 16
-	// mostCandidates bounds the workers whose runs are looked at for one lane.
-	mostCandidates = 32
+	// backfillWorkerDivisor: one worker in so many is kept at most.
+	backfillWorkerDivisor = 2
+	// maxBackfillReservations bounds the workers kept in one pass: each costs a look at all workers.
+	maxBackfillReservations = 16
+	// maxBackfillCandidates bounds the workers whose runs are looked at for one lane.
+	maxBackfillCandidates = 32
 )
 
 // keep works out, once a pass, for which lanes that found no room before workers are
 // kept.
-func (r *rivals) keep(e *Engine) {
-	if r.looked || e.off.Has(mechanism.KeptRoom) {
+func (r *competingQueues) reserveWorkers(e *Engine) {
+	if r.reservationsMade || e.off.Has(mechanism.KeptRoom) {
 		return
 	}
-	r.looked = true
-	r.findPreferred()
-	var without []*lane
-	for _, l := range r.lines {
-		if r.preferred[l.queue] {
-			without = l.appendWithoutRoom(without)
+	r.reservationsMade = true
+	r.findDeferredTo()
+	var without []*subQueue
+	for _, l := range r.queues {
+		if r.deferredTo[l.queue] {
+			without = l.appendUnschedulable(without)
 		}
 	}
-	slices.SortFunc(without, func(a, b *lane) int { return compareWaiting(a.tasks[0], b.tasks[0]) })
+	slices.SortFunc(without, func(a, b *subQueue) int { return compareWaiting(a.tasks[0], b.tasks[0]) })
 	for _, l := range without {
-		if !r.isKeptFor(l) {
-			r.keepFor(e, l)
+		if !r.hasReservedWorker(l) {
+			r.reserveFor(e, l)
 		}
 	}
 }
 
-// isKeptFor reports whether a worker is kept for a lane.
-func (r *rivals) isKeptFor(l *lane) bool {
-	return slices.ContainsFunc(r.kept, func(w *worker) bool { return w.keptFor == l })
+// hasReservedWorker reports whether a worker is kept for a lane.
+func (r *competingQueues) hasReservedWorker(l *subQueue) bool {
+	return slices.ContainsFunc(r.backfillReserved, func(w *worker) bool { return w.backfillFor == l })
 }
 
-// findPreferred notes the queues to which another yields now, of those that do not yield
+// findDeferredTo notes the queues to which another yields now, of those that do not yield
 // themselves.
-func (r *rivals) findPreferred() {
-	r.preferred = map[*queue]bool{}
-	for _, l := range r.lines {
-		if !r.yields(l.queue) {
+func (r *competingQueues) findDeferredTo() {
+	r.deferredTo = map[*queue]bool{}
+	for _, l := range r.queues {
+		if !r.defers(l.queue) {
 			continue
 		}
-		for q := range l.queue.yieldsTo {
-			r.preferred[q] = !r.yields(q) && q.mayRun(1)
+		for q := range l.queue.defersTo {
+			r.deferredTo[q] = !r.defers(q) && q.canRun(1)
 		}
 	}
 }
 
-// appendWithoutRoom adds the line's lanes that found no room.
-func (l *line) appendWithoutRoom(lanes []*lane) []*lane {
-	for c, waits := range l.lanes {
-		if c.blocked {
-			lanes = append(lanes, waits)
+// appendUnschedulable adds the line's lanes that found no room.
+func (l *priorityQueue) appendUnschedulable(subQueues []*subQueue) []*subQueue {
+	for c, waits := range l.subQueues {
+		if c.unschedulable {
+			subQueues = append(subQueues, waits)
 		}
 	}
-	return lanes
+	return subQueues
 }
 
-// keepFor keeps a worker for a lane, unless so many are kept already or most
+// reserveFor keeps a worker for a lane, unless so many are kept already or most
 // processors of its service are free: then nothing shall wait beside room.
-func (r *rivals) keepFor(e *Engine, l *lane) {
-	if len(r.kept) >= min(len(e.workers.byID)/keptShare, mostKept) || !l.class.isBusy() {
+func (r *competingQueues) reserveFor(e *Engine, l *subQueue) {
+	if len(r.backfillReserved) >= min(len(e.workers.byID)/backfillWorkerDivisor, maxBackfillReservations) || !l.class.isProcessorBound() {
 		return
 	}
-	if on := l.class.soonest(e); on != nil {
-		on.keptFor = l
-		r.kept = append(r.kept, on)
+	if on := l.class.earliestBackfillWorker(e); on != nil {
+		on.backfillFor = l
+		r.backfillReserved = append(r.backfillReserved, on)
 	}
 }
 
-// lookedAt takes over what became of a lane: one that was placed needs no worker any
+// updateReservation takes over what became of a lane: one that was placed needs no worker any
 // more, one that found no room gets one.
-func (r *rivals) lookedAt(e *Engine, l *lane) {
-	at := slices.IndexFunc(r.kept, func(w *worker) bool { return w.keptFor == l })
+func (r *competingQueues) updateReservation(e *Engine, l *subQueue) {
+	at := slices.IndexFunc(r.backfillReserved, func(w *worker) bool { return w.backfillFor == l })
 	placed := len(l.tasks) == 0
 	switch {
 	case at >= 0 && placed:
-		r.kept[at].keptFor = nil
-		r.kept = slices.Delete(r.kept, at, at+1)
-	case at < 0 && !placed && l.position == indexheap.None && l.class != nil && r.preferred[l.line.queue]:
-		r.keepFor(e, l)
+		r.backfillReserved[at].backfillFor = nil
+		r.backfillReserved = slices.Delete(r.backfillReserved, at, at+1)
+	case at < 0 && !placed && l.position == indexheap.None && l.class != nil && r.deferredTo[l.parent.queue]:
+		r.reserveFor(e, l)
 	}
 }
 
-// dropKept ends the keeping for lanes that no longer wait for room, and of workers
+// dropStaleBackfillReservations ends the keeping for lanes that no longer wait for room, and of workers
 // that will not have it.
-func (e *Engine) dropKept() {
-	e.kept = slices.DeleteFunc(e.kept, func(w *worker) bool {
-		l := w.keptFor
-		if l.class.blocked && len(l.tasks) > 0 && l.class.isBusy() && l.class.pool.matches(w) && l.class.mayHaveRoom(w) {
+func (e *Engine) dropStaleBackfillReservations() {
+	e.backfillReserved = slices.DeleteFunc(e.backfillReserved, func(w *worker) bool {
+		l := w.backfillFor
+		if l.class.unschedulable && len(l.tasks) > 0 && l.class.isProcessorBound() && l.class.pool.matches(w) && l.class.fitsOnceRunsEnd(w) {
 			return false
 		}
-		w.keptFor = nil
+		w.backfillFor = nil
 		return true
 	})
 }
 
-// keptIn takes over the workers that are kept for lanes of a level. Which of them is
+// takeBackfillReservations takes over the workers that are kept for lanes of a level. Which of them is
 // for which lane is settled anew, since what went before may have taken room there: the
 // lane that goes first gets the one that will have its room first.
-func (e *Engine) keptIn(lv *level) []*worker {
-	var kept []*worker
-	var lanes []*lane
-	for _, w := range e.kept {
-		if w.keptFor.line.level == lv {
-			lanes = append(lanes, w.keptFor)
-			w.keptFor = nil
+func (e *Engine) takeBackfillReservations(lv *priorityLevel) []*worker {
+	var reserved []*worker
+	var subQueues []*subQueue
+	for _, w := range e.backfillReserved {
+		if w.backfillFor.parent.level == lv {
+			subQueues = append(subQueues, w.backfillFor)
+			w.backfillFor = nil
 		}
 	}
-	slices.SortFunc(lanes, func(a, b *lane) int { return compareWaiting(a.tasks[0], b.tasks[0]) })
-	for _, l := range lanes {
-		if on := l.class.soonest(e); on != nil {
-			on.keptFor = l
-			kept = append(kept, on)
+	slices.SortFunc(subQueues, func(a, b *subQueue) int { return compareWaiting(a.tasks[0], b.tasks[0]) })
+	for _, l := range subQueues {
+		if on := l.class.earliestBackfillWorker(e); on != nil {
+			on.backfillFor = l
+			reserved = append(reserved, on)
 		}
 	}
-	return kept
+	return reserved
 }
 
 // release hands the workers that are still kept to the next pass: room that comes free
 // there piece by piece must not go to others before it is enough.
-func (r *rivals) release(e *Engine, lv *level) {
-	e.kept = slices.DeleteFunc(e.kept, func(w *worker) bool { return w.keptFor == nil || w.keptFor.line.level == lv })
-	e.kept = append(e.kept, r.kept...)
+func (r *competingQueues) release(e *Engine, lv *priorityLevel) {
+	e.backfillReserved = slices.DeleteFunc(e.backfillReserved, func(w *worker) bool { return w.backfillFor == nil || w.backfillFor.parent.level == lv })
+	e.backfillReserved = append(e.backfillReserved, r.backfillReserved...)
 }
 
-// soonest returns the worker that will have the room that the class needs first, by
+// earliestBackfillWorker returns the worker that will have the room that the class needs first, by
 // what its runs are expected to take, of the candidates that lack least of it now; nil
 // if none will.
-func (c *class) soonest(e *Engine) *worker {
+func (c *equivalenceClass) earliestBackfillWorker(e *Engine) *worker {
 	var best *worker
 	var least record.Millis
-	for _, candidate := range c.candidates(e) {
+	for _, candidate := range c.backfillCandidates(e) {
 		w := candidate.worker
-		at := w.expectRoom(c.key.need, e.now)
+		at := w.shadowTime(c.key.need, e.now)
 		if best == nil || cmp.Or(cmp.Compare(at, least), compareName(w, best)) < 0 {
 			best, least = w, at
 		}
@@ -161,37 +161,37 @@
 	return best
 }
 
-// candidate is a worker that may be kept for a class, and how much room it lacks.
-type candidate struct {
+// backfillCandidate is a worker that may be kept for a class, and how much room it lacks.
+type backfillCandidate struct {
 	worker *worker
 	lacks  float64
 }
 
-// candidates returns the workers of the class's pool that lack least of the room that
+// backfillCandidates returns the workers of the class's pool that lack least of the room that
 // it needs, of those that will have it once the runs that have an end are over and that
 // are not kept yet.
-func (c *class) candidates(e *Engine) []candidate {
-	least := make([]candidate, 0, mostCandidates+1)
+func (c *equivalenceClass) backfillCandidates(e *Engine) []backfillCandidate {
+	least := make([]backfillCandidate, 0, maxBackfillCandidates+1)
 	for _, w := range c.pool.workers {
-		if w.keptFor != nil || !c.mayHaveRoom(w) {
+		if w.backfillFor != nil || !c.fitsOnceRunsEnd(w) {
 			continue
 		}
-		one := candidate{worker: w, lacks: roomOf(lacking(c.key.need, c.roomOn(w)), e.workers.largest)}
-		if len(least) == mostCandidates && one.lacks >= least[mostCandidates-1].lacks {
+		one := backfillCandidate{worker: w, lacks: normalizedSize(lacking(c.key.need, c.availableOn(w)), e.workers.largest)}
+		if len(least) == maxBackfillCandidates && one.lacks >= least[maxBackfillCandidates-1].lacks {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(least, one, func(a, b candidate) int {
+		at, _ := slices.BinarySearchFunc(least, one, func(a, b backfillCandidate) int {
 			return cmp.Or(cmp.Compare(a.lacks, b.lacks), -1)
 		})
 		least = slices.Insert(least, at, one)
-		least = least[:min(len(least), mostCandidates)]
+		least = least[:min(len(least), maxBackfillCandidates)]
 	}
 	return least
 }
 
-// expectRoom is when the worker will have some room, if all its runs end as expected
+// shadowTime is when the worker will have some room, if all its runs end as expected
 // and nothing else comes. A run that is overdue ends at any moment.
-func (w *worker) expectRoom(need api.Resources, now record.Millis) record.Millis {
+func (w *worker) shadowTime(need api.Resources, now record.Millis) record.Millis {
 	free := w.free
 	if fits(need, free) {
 		return now
@@ -211,116 +211,118 @@
 	return forever
 }
 
-// mayHaveRoom reports whether the worker will have room for the class once the runs
+// fitsOnceRunsEnd reports whether the worker will have room for the class once the runs
 // that have an end are over.
-func (c *class) mayHaveRoom(w *worker) bool {
-	return !w.guarded && withinSpread(c.spread, &w.Worker) &&
-		fits(c.key.need, w.Capacity.Sub(w.endless)) && c.leavesSlices(w)
+func (c *equivalenceClass) fitsOnceRunsEnd(w *worker) bool {
+	return !w.restricted && withinSpread(c.spread, &w.Worker) &&
+		fits(c.key.need, w.Capacity.Sub(w.longRunning)) && c.fitsBesideReservedSlots(w)
 }
 
-// isBusy reports whether the class's service is short of processors.
-func (c *class) isBusy() bool { return c.crowding.busy(c.key.selector.service) }
+// isProcessorBound reports whether the class's service is short of processors.
+func (c *equivalenceClass) isProcessorBound() bool {
+	return c.utilization.isProcessorBound(c.key.selector.service)
+}
 
 // search is the one for a lane's first task, or for its group, while workers are
 // kept.
-type search struct {
-	lane *lane
-	// yields is set if the lane's queue yields now.
-	yields bool
+type backfillSearch struct {
+	subQueue *subQueue
+	// defers is set if the lane's queue yields now.
+	defers bool
 }
 
-// leaves reports whether the search leaves the worker alone: it is kept for a task
+// excludes reports whether the search leaves the worker alone: it is kept for a task
 // that goes first.
-func (s *search) leaves(w *worker) bool {
+func (s *backfillSearch) excludes(w *worker) bool {
 	switch {
-	case s == nil, w.keptFor == nil, w.keptFor == s.lane, w.keptFor.line.level != s.lane.line.level:
+	case s == nil, w.backfillFor == nil, w.backfillFor == s.subQueue, w.backfillFor.parent.level != s.subQueue.parent.level:
 		return false
-	case s.yields && s.lane.line.queue.yieldsTo[w.keptFor.line.queue]:
+	case s.defers && s.subQueue.parent.queue.defersTo[w.backfillFor.parent.queue]:
 		return true
 	default:
-		return compareWaiting(w.keptFor.tasks[0], s.lane.tasks[0]) < 0
+		return compareWaiting(w.backfillFor.tasks[0], s.subQueue.tasks[0]) < 0
 	}
 }
 
 // planNext looks at what is first in the line. It returns false once the pass is over.
-func (p *pass) planNext(l *line, r *rivals) bool {
-	first := l.ready[0]
-	if len(r.lines) == 0 {
-		return p.planLane(first)
+func (p *pass) planNext(l *priorityQueue, r *competingQueues) bool {
+	first := l.active[0]
+	if len(r.queues) == 0 {
+		return p.planSubQueue(first)
 	}
-	r.keep(p.engine)
-	defer r.lookedAt(p.engine, first)
-	if len(r.kept) == 0 {
-		return p.planLane(first)
+	r.reserveWorkers(p.engine)
+	defer r.updateReservation(p.engine, first)
+	if len(r.backfillReserved) == 0 {
+		return p.planSubQueue(first)
 	}
-	return p.planBeside(first, r.yields(l.queue))
+	return p.planAroundReservations(first, r.defers(l.queue))
 }
 
-// planBeside places the lane's first task, or its group, off the workers that are kept
+// planAroundReservations places the lane's first task, or its group, off the workers that are kept
 // for what goes before it. What finds room there only is looked at again in the next
 // pass. It returns false once the pass is over.
-func (p *pass) planBeside(l *lane, yields bool) bool {
-	classes := l.searched()
-	setSearch(classes, &search{lane: l, yields: yields})
-	defer setSearch(classes, nil)
+func (p *pass) planAroundReservations(l *subQueue, deferences bool) bool {
+	classes := l.searchedClasses()
+	setBackfillSearch(classes, &backfillSearch{subQueue: l, defers: deferences})
+	defer setBackfillSearch(classes, nil)
 	if l.class == nil {
-		return p.groupBeside(l)
+		return p.planGangAroundReservations(l)
 	}
-	if l.class.blocked || p.findsOrLacks(l) {
-		return p.planLane(l)
+	if l.class.unschedulable || p.hasFitOrNone(l) {
+		return p.planSubQueue(l)
 	}
-	l.makeUnready()
-	p.engine.setAside = append(p.engine.setAside, l)
+	l.deactivate()
+	p.engine.backfillBlocked = append(p.engine.backfillBlocked, l)
 	return true
 }
 
-// groupBeside is planBeside for a group. One that has places enough, by their number,
+// planGangAroundReservations is planAroundReservations for a group. One that has places enough, by their number,
 // may lack only those that are kept.
-func (p *pass) groupBeside(l *lane) bool {
-	goesOn := p.placeGroup(l)
-	if len(l.parkedAt) == 0 {
+func (p *pass) planGangAroundReservations(l *subQueue) bool {
+	goesOn := p.placeGang(l)
+	if len(l.awaitedClasses) == 0 {
 		return goesOn
 	}
 	if short, _ := p.engine.findShortage(l); short == nil {
-		p.engine.setAside = append(p.engine.setAside, l)
+		p.engine.backfillBlocked = append(p.engine.backfillBlocked, l)
 	}
 	return goesOn
 }
 
-// findsOrLacks reports whether the lane's first task has room off the kept workers,
+// hasFitOrNone reports whether the lane's first task has room off the kept workers,
 // or has none at all.
-func (p *pass) findsOrLacks(l *lane) bool {
-	if _, found := p.engine.seatFor(l.tasks[0]); found {
+func (p *pass) hasFitOrNone(l *subQueue) bool {
+	if _, found := p.engine.findTarget(l.tasks[0]); found {
 		return true
 	}
-	held := l.class.search
-	l.class.search = nil
-	defer func() { l.class.search = held }()
-	_, found := p.engine.seatFor(l.tasks[0])
+	held := l.class.backfill
+	l.class.backfill = nil
+	defer func() { l.class.backfill = held }()
+	_, found := p.engine.findTarget(l.tasks[0])
 	return !found
 }
 
-// searched returns the classes for which room is looked for.
-func (l *lane) searched() []*class {
+// searchedClasses returns the classes for which room is looked for.
+func (l *subQueue) searchedClasses() []*equivalenceClass {
 	if l.class == nil {
 		return l.classes()
 	}
-	return []*class{l.class}
+	return []*equivalenceClass{l.class}
 }
 
-// setSearch has searches for classes leave workers alone.
-func setSearch(classes []*class, s *search) {
+// setBackfillSearch has searches for classes leave workers alone.
+func setBackfillSearch(classes []*equivalenceClass, s *backfillSearch) {
 	for _, c := range classes {
-		c.search = s
+		c.backfill = s
 	}
 }
 
-// takeUpSetAside lets the pass look at the lanes that the last one set aside.
-func (e *Engine) takeUpSetAside() {
-	for _, l := range e.setAside {
+// activateBackfillBlocked lets the pass look at the lanes that the last one set aside.
+func (e *Engine) activateBackfillBlocked() {
+	for _, l := range e.backfillBlocked {
 		if len(l.tasks) > 0 {
-			l.makeReady()
+			l.activate()
 		}
 	}
-	e.setAside = nil
+	e.backfillBlocked = nil
 }
--- a/internal/placement/kept_test.go
+++ b/internal/placement/kept_test.go
@@ -8,19 +8,19 @@
 	"github.com/decklever/decklever/api"
 )
 
-// keptEngine has workers "w1", "w2", ... with 4 cpu each, and "burst" yield to "calm".
-func keptEngine(workers int, yields ...Yield) *Engine {
+// deferringEngine has workers "w1", "w2", ... with 4 cpu each, and "burst" yield to "calm".
+func deferringEngine(workers int, deferences ...Deference) *Engine {
 	var all []Worker
 	for number := range workers {
 		all = append(all, testWorker(fmt.Sprintf("w%d", number+1), cpu(4)))
 	}
 	e := newEngine(all...)
 	e.SetQueues([]QueueRule{{Name: "burst", Weight: 1, BySlack: true}, {Name: "calm", Weight: 1, BySlack: true}})
-	e.SetYields(yields)
+	e.SetDeferences(deferences)
 	return e
 }
 
-var burstYields = Yield{Queue: "burst", To: []string{"calm"}}
+var burstDefers = Deference{Queue: "burst", To: []string{"calm"}}
 
 func queueTask(queue, job string, sequence int, need int64) Task {
 	task := testTask(job, sequence, need)
@@ -33,28 +33,28 @@
 	var held []Task
 	for number := range count {
 		task := queueTask("burst", "held-"+worker, number, 1)
-		e.Hold(task, worker+"-1")
+		e.AddRun(task, worker+"-1")
 		held = append(held, task)
 	}
 	return held
 }
 
-// TestRoomIsKeptForALargeTask: two workers are full of small runs of "burst", which
+// TestBackfill_WorkerReservedForLargeTask: two workers are full of small runs of "burst", which
 // has more of them that came first. A task of "calm" needs a whole worker.
-func TestRoomIsKeptForALargeTask(t *testing.T) {
+func TestBackfill_WorkerReservedForLargeTask(t *testing.T) {
 	cases := []struct {
 		name   string
-		yields []Yield
+		yields []Deference
 		// want is what is placed as the runs of w1 end one by one, and then one of w2.
 		want string
 	}{
 		{"nothing yields", nil, "s0@w1, s1@w1, s2@w1, s3@w1, s4@w2"},
-		{"the burst yields", []Yield{burstYields}, ", , , large@w1, s0@w2"},
-		{"the burst yields to another", []Yield{{Queue: "burst", To: []string{"other"}}}, "s0@w1, s1@w1, s2@w1, s3@w1, s4@w2"},
+		{"the burst yields", []Deference{burstDefers}, ", , , large@w1, s0@w2"},
+		{"the burst yields to another", []Deference{{Queue: "burst", To: []string{"other"}}}, "s0@w1, s1@w1, s2@w1, s3@w1, s4@w2"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			e := keptEngine(2, c.yields...)
+			e := deferringEngine(2, c.yields...)
 			ending := append(holdBurst(e, "w1", 4), holdBurst(e, "w2", 4)[0])
 			e.Add(queueTask("calm", "large", 100, 4))
 			for number := range 10 {
@@ -80,11 +80,11 @@
 	return strings.Join(texts, " ")
 }
 
-// TestWhoLeavesKeptRoom: w1 has three free cpu of four and is kept for a task that
+// TestBackfill_TasksThatRespectReservation: w1 has three free cpu of four and is kept for a task that
 // needs all; w2 is full, so that w1 is the only room. A task of the queue that yields
 // waits as well.
-func TestWhoLeavesKeptRoom(t *testing.T) {
-	group := groupOf("group", 1, 1)
+func TestBackfill_TasksThatRespectReservation(t *testing.T) {
+	group := gangOf("group", 1, 1)
 	for at := range group {
 		group[at].Queue = "burst"
 	}
@@ -100,7 +100,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			e := keptEngine(2, burstYields)
+			e := deferringEngine(2, burstDefers)
 			held := holdBurst(e, "w1", 4)
 			holdBurst(e, "w2", 4)
 			e.Add(queueTask("calm", "large", 100, 4))
@@ -122,10 +122,10 @@
 	}
 }
 
-// TestNoRoomIsKeptFromTasksThatLast: a task that runs until cancelled takes whatever
+// TestBackfill_LongRunningTasksIgnoreReservation: a task that runs until cancelled takes whatever
 // room there is.
-func TestNoRoomIsKeptFromTasksThatLast(t *testing.T) {
-	e := keptEngine(2, burstYields)
+func TestBackfill_LongRunningTasksIgnoreReservation(t *testing.T) {
+	e := deferringEngine(2, burstDefers)
 	held := holdBurst(e, "w1", 4)
 	holdBurst(e, "w2", 4)
 	e.Add(queueTask("calm", "large", 100, 4))
@@ -137,10 +137,10 @@
 	expect(t, "placed", jobsPlaced(e), "lasting@w1")
 }
 
-// TestNoRoomIsKeptWhileMostIsFree: little of the service is used, and nothing shall
+// TestBackfill_NoReservationAtLowUtilization: little of the service is used, and nothing shall
 // wait beside so much room.
-func TestNoRoomIsKeptWhileMostIsFree(t *testing.T) {
-	e := keptEngine(2, burstYields)
+func TestBackfill_NoReservationAtLowUtilization(t *testing.T) {
+	e := deferringEngine(2, burstDefers)
 	holdBurst(e, "w1", 1)
 	holdBurst(e, "w2", 1)
 	e.Add(queueTask("calm", "large", 100, 4))
@@ -153,14 +153,14 @@
 	}
 }
 
-// TestNoRoomIsKeptInVain: a run without an end holds a part of w1, so that a task that
+// TestBackfill_ReservationDroppedWhenUseless: a run without an end holds a part of w1, so that a task that
 // needs a whole worker will not find it there, and w2 is too small.
-func TestNoRoomIsKeptInVain(t *testing.T) {
-	e := keptEngine(1, burstYields)
+func TestBackfill_ReservationDroppedWhenUseless(t *testing.T) {
+	e := deferringEngine(1, burstDefers)
 	e.SetWorker(testWorker("w2", cpu(2)))
 	lasting := queueTask("burst", "lasting", 0, 1)
 	lasting.UntilCancelled = true
-	e.Hold(lasting, "w1-1")
+	e.AddRun(lasting, "w1-1")
 	e.Add(queueTask("calm", "large", 100, 4))
 	e.Plan(99)
 	e.Add(queueTask("burst", "small", 1, 1))
@@ -172,10 +172,10 @@
 	expect(t, "placed once it has ended", jobsPlaced(e), "large@w1")
 }
 
-// TestAtMostHalfOfTheWorkersAreKept: each of four workers has one cpu free, and each
+// TestBackfill_ReservesAtMostHalfOfWorkers: each of four workers has one cpu free, and each
 // of four shapes of task needs more.
-func TestAtMostHalfOfTheWorkersAreKept(t *testing.T) {
-	e := keptEngine(4, burstYields)
+func TestBackfill_ReservesAtMostHalfOfWorkers(t *testing.T) {
+	e := deferringEngine(4, burstDefers)
 	for number := range 4 {
 		holdBurst(e, fmt.Sprintf("w%d", number+1), 3)
 		large := queueTask("calm", fmt.Sprintf("large%d", number), 100+number, 4)
@@ -189,10 +189,10 @@
 	expect(t, "placed", jobsPlaced(e), "s0@w3 s1@w4")
 }
 
-// TestNoRoomIsKeptForWhatIsPromisedSome: the large task gets the room of a run of lower
+// TestBackfill_NoReservationForNominatedTask: the large task gets the room of a run of lower
 // priority that came after it, so that w2 is free for others in the same pass.
-func TestNoRoomIsKeptForWhatIsPromisedSome(t *testing.T) {
-	e := keptEngine(2, burstYields)
+func TestBackfill_NoReservationForNominatedTask(t *testing.T) {
+	e := deferringEngine(2, burstDefers)
 	holdBurst(e, "w1", 4)
 	held := holdBurst(e, "w2", 4)
 	urgent := func(task Task) Task {
@@ -205,7 +205,7 @@
 	victim := queueTask("calm", "victim", 0, 4)
 	victim.Spec.Preemptible = true
 	e.SetWorker(testWorker("w3", cpu(4)))
-	e.Hold(victim, "w3-1")
+	e.AddRun(victim, "w3-1")
 	e.Add(urgent(queueTask("burst", "small", 0, 1)))
 	expect(t, "placed", jobsPlaced(e), "small@w2")
 	expect(t, "preempted", len(e.Preemptions()), 1)
--- a/internal/placement/lastroom.go
+++ b/internal/placement/lastroom.go
@@ -14,47 +14,49 @@
 // Of other tasks, one at a time may try a worker that is held back, if it has an
 // attempt to spare, no other worker has room and its service is not crowded.
 
-// lastRoom has find look on guarded workers too, if the class may use them where no
+// withRestricted has find look on guarded workers too, if the class may use them where no
 // other has room.
-func lastRoom[T any](c *class, find func() T) T {
-	if !c.key.untilCancelled && (!c.key.mayTry || c.isCrowded()) {
+func withRestricted[T any](c *equivalenceClass, find func() T) T {
+	if !c.key.untilCancelled && (!c.key.allowsProbation || c.isHighlyUtilized()) {
 		var none T
 		return none
 	}
-	c.anyTrust, c.anyRoom = true, true
-	defer func() { c.anyTrust, c.anyRoom = false, false }()
+	c.allowsRestricted, c.ignoresHeadroom = true, true
+	defer func() { c.allowsRestricted, c.ignoresHeadroom = false, false }()
 	return find()
 }
 
-// isCrowded reports whether the class's service is short of room.
-func (c *class) isCrowded() bool { return c.crowding.crowded(c.key.selector.service) }
+// isHighlyUtilized reports whether the class's service is short of room.
+func (c *equivalenceClass) isHighlyUtilized() bool {
+	return c.utilization.isHigh(c.key.selector.service)
+}
 
-// fitsSomehow reports whether the class fits on a worker of its pool now, if no
+// fitsOnAnyTerms reports whether the class fits on a worker of its pool now, if no
 // other that it would rather have has room.
-func (c *class) fitsSomehow(w *worker) bool {
+func (c *equivalenceClass) fitsOnAnyTerms(w *worker) bool {
 	fitsOn := func() bool { return c.fitsOn(w) }
-	return fitsOn() || withoutHeadroom(c, fitsOn) || w.guarded && lastRoom(c, fitsOn)
+	return fitsOn() || ignoringHeadroom(c, fitsOn) || w.restricted && withRestricted(c, fitsOn)
 }
 
-// maySit reports whether a seat that the class had is still one for it.
-func (c *class) maySit(to seat) bool {
+// canStillUse reports whether a seat that the class had is still one for it.
+func (c *equivalenceClass) canStillUse(to placementTarget) bool {
 	if to.slice != nil {
-		return c.mayEnter(to.slice) && fits(c.key.need, to.worker.free)
+		return c.canEnterSlot(to.slice) && fits(c.key.need, to.worker.free)
 	}
-	return c.pool.matches(to.worker) && c.fitsSomehow(to.worker)
+	return c.pool.matches(to.worker) && c.fitsOnAnyTerms(to.worker)
 }
 
-// roomOnceTaken is the room that came on a worker, for a class that takes also what
+// availableWithNominated is the room that came on a worker, for a class that takes also what
 // is promised there.
-func (c *class) roomOnceTaken(w *worker) api.Resources {
+func (c *equivalenceClass) availableWithNominated(w *worker) api.Resources {
 	if c.key.untilCancelled && w.nominated != (api.Resources{}) {
-		return w.physical()
+		return w.freeNow()
 	}
-	return c.roomOn(w)
+	return c.availableOn(w)
 }
 
-// untilCancelled reports whether the lane's tasks take whatever room there is.
-func (l *lane) untilCancelled() bool {
+// runsUntilCancelled reports whether the lane's tasks take whatever room there is.
+func (l *subQueue) runsUntilCancelled() bool {
 	if l.class != nil {
 		return l.class.key.untilCancelled
 	}
@@ -66,36 +68,36 @@
 	return false
 }
 
-// overGathered has open try once more with the room that a group gathers, if the
+// retryWithDrainedCapacity has open try once more with the room that a group gathers, if the
 // lane takes that. What it leaves of it stays put aside.
-func (e *Engine) overGathered(l *lane, open func() bool) {
-	g := e.gathering
-	if g == nil || len(g.runs) == 0 || !l.untilCancelled() || e.off.Has(mechanism.LastRoom) {
+func (e *Engine) retryWithDrainedCapacity(l *subQueue, open func() bool) {
+	g := e.gangDrain
+	if g == nil || len(g.runs) == 0 || !l.runsUntilCancelled() || e.off.Has(mechanism.LastRoom) {
 		return
 	}
-	members := e.trialOrder(g.members())
-	seats := make([]seat, len(members))
+	members := e.placementOrder(g.members())
+	targets := make([]placementTarget, len(members))
 	for i, member := range members {
 		r := g.runs[member]
-		seats[i] = seat{worker: r.worker, slice: r.slice}
+		targets[i] = placementTarget{worker: r.worker, slice: r.slot}
 		e.close(r)
 	}
-	l.forgetCounts()
+	l.resetFitCounts()
 	opened := open()
 	for i, member := range members {
-		if opened && !member.class.maySit(seats[i]) {
+		if opened && !member.class.canStillUse(targets[i]) {
 			delete(g.runs, member)
-			e.workers.markChanged(seats[i].worker)
+			e.workers.addChanged(targets[i].worker)
 			continue
 		}
-		g.runs[member] = e.newRun(&member.Task, seats[i], g.runs[member].started, true)
+		g.runs[member] = e.newRun(&member.Task, targets[i], g.runs[member].started, true)
 	}
-	l.forgetCounts()
+	l.resetFitCounts()
 }
 
-// forgetCounts has the places for a group counted anew.
-func (l *lane) forgetCounts() {
+// resetFitCounts has the places for a group counted anew.
+func (l *subQueue) resetFitCounts() {
 	for _, m := range l.members {
-		m.class.counted = placesCount{}
+		m.class.lastFitCount = fitCount{}
 	}
 }
--- a/internal/placement/localitywait.go
+++ b/internal/placement/localitywait.go
@@ -11,21 +11,21 @@
 // it is of a class of its own, so that no other task waits for it, and that class
 // preempts nobody. Where no sound worker has the labels, it takes any at once.
 
-// requirement is what a task requires of its worker now.
-type requirement struct {
+// requirements is what a task requires of its worker now.
+type requirements struct {
 	// labels are those that the worker must have.
 	labels map[string]string
-	// preferred is set while labels hold those that the task prefers, too.
+	// deferredTo is set while labels hold those that the task prefers, too.
 	preferred bool
 }
 
-// requirementOf is what the task requires now.
-func (e *Engine) requirementOf(task *Task) requirement {
-	required := requirement{labels: task.Spec.Labels}
+// requirementsOf is what the task requires now.
+func (e *Engine) requirementsOf(task *Task) requirements {
+	required := requirements{labels: task.Spec.Labels}
 	if !task.WaitsForPreferred || len(task.Spec.Prefer) == 0 {
 		return required
 	}
-	wanted := requirement{labels: maps.Clone(task.Spec.Prefer), preferred: true}
+	wanted := requirements{labels: maps.Clone(task.Spec.Prefer), preferred: true}
 	maps.Copy(wanted.labels, task.Spec.Labels)
 	if !e.hasSound(task.Spec, wanted.labels) {
 		return required
@@ -46,4 +46,4 @@
 }
 
 // isSound reports whether it is worth waiting for the worker.
-func isSound(w *worker) bool { return !w.Slow && !w.guarded }
+func isSound(w *worker) bool { return !w.Slow && !w.restricted }
--- a/internal/placement/overload_test.go
+++ b/internal/placement/overload_test.go
@@ -6,9 +6,9 @@
 	"github.com/decklever/decklever/api"
 )
 
-// TestAnOverloadedQueueYields: tasks of "burst" are the most urgent, those of
+// TestDeference_OverloadedQueueDefers: tasks of "burst" are the most urgent, those of
 // "calm" came last.
-func TestAnOverloadedQueueYields(t *testing.T) {
+func TestDeference_OverloadedQueueDefers(t *testing.T) {
 	rules := func(burst, calm int) []QueueRule {
 		return []QueueRule{{Name: "burst", Weight: burst, BySlack: true}, {Name: "calm", Weight: calm, BySlack: true}}
 	}
@@ -30,34 +30,34 @@
 		t.Run(c.name, func(t *testing.T) {
 			e := newEngine(testWorker("w", cpu(1000)))
 			e.SetQueues(c.rules)
-			e.SetYields(toAll(c.rules, c.overloaded))
+			e.SetDeferences(deferToAll(c.rules, c.overloaded))
 			expect(t, "order", queueOrder(e, c.queues), c.want)
 		})
 	}
 }
 
-// toAll has queues yield to all others.
-func toAll(rules []QueueRule, queues []string) []Yield {
-	var yields []Yield
+// deferToAll has queues yield to all others.
+func deferToAll(rules []QueueRule, queues []string) []Deference {
+	var deferences []Deference
 	for _, name := range queues {
-		yield := Yield{Queue: name}
+		deference := Deference{Queue: name}
 		for _, rule := range rules {
 			if rule.Name != name {
-				yield.To = append(yield.To, rule.Name)
+				deference.To = append(deference.To, rule.Name)
 			}
 		}
-		yields = append(yields, yield)
+		deferences = append(deferences, deference)
 	}
-	return yields
+	return deferences
 }
 
-func TestHasRoom(t *testing.T) {
+func TestEngine_HasFreeCapacity(t *testing.T) {
 	worker := testWorker("w", cpu(4))
 	worker.Services = []string{"s"}
 	worker.Labels = map[string]string{"kind": "a"}
 	e := newEngine(worker)
 	held := testTask("j", 0, 3)
-	e.Hold(held, "w-1")
+	e.AddRun(held, "w-1")
 	spec := func(need int64, service string, labels map[string]string) *api.TaskSpec {
 		return &api.TaskSpec{Service: service, Resources: cpu(need), Labels: labels}
 	}
@@ -73,19 +73,19 @@
 		{"of another service", spec(1, "other", nil), false},
 	}
 	for _, c := range cases {
-		if got := e.HasRoom(c.spec); got != c.want {
+		if got := e.HasFreeCapacity(c.spec); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
 	for name, change := range map[string]func(*Worker){
 		"not usable":   func(w *Worker) { w.Usable = false },
-		"held back":    func(w *Worker) { w.HeldBack = true },
+		"held back":    func(w *Worker) { w.Suspect = true },
 		"on probation": func(w *Worker) { w.Probation = true },
 	} {
 		changed := worker
 		change(&changed)
 		e.SetWorker(changed)
-		if e.HasRoom(cases[0].spec) {
+		if e.HasFreeCapacity(cases[0].spec) {
 			t.Errorf("a worker that is %s has room", name)
 		}
 	}
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -19,19 +19,19 @@
 func (e *Engine) Plan(limit int) []Decision {
 	e.passes++
 	e.workers.refresh()
-	e.markPreferred()
-	if e.countsCrowding() {
-		e.crowding.recount(e.workers.byID)
-		e.wakeHeldBack()
+	e.refreshPreferredWorkers()
+	if e.needsUtilization() {
+		e.utilization.recount(e.workers.byID)
+		e.activateDeferredByUtilization()
 	}
 	p := &pass{engine: e, limit: limit, allowance: newAllowance()}
-	e.assignSlices(e.workers.changed)
+	e.assignSlots(e.workers.changed)
 	p.placeNominated()
-	e.wakeClasses(e.workers.takeChanged())
-	p.gather()
-	p.takeUpAgain()
-	e.dropKept()
-	e.takeUpSetAside()
+	e.activateClasses(e.workers.takeChanged())
+	p.drainForGang()
+	p.activatePreemptRetries()
+	e.dropStaleBackfillReservations()
+	e.activateBackfillBlocked()
 	// Levels that run empty are dropped on the way, hence the copy.
 	for _, lv := range slices.Clone(e.levels) {
 		if !p.planLevel(lv) {
@@ -43,36 +43,36 @@
 
 // planLevel places what waits with one priority. It returns false once the
 // pass is over.
-func (p *pass) planLevel(lv *level) bool {
-	lines, rivals := lv.readyLines(), p.engine.rivalsIn(lv)
-	defer rivals.release(p.engine, lv)
+func (p *pass) planLevel(lv *priorityLevel) bool {
+	lines, competing := lv.activeQueues(), p.engine.competingQueuesIn(lv)
+	defer competing.release(p.engine, lv)
 	for len(p.decisions) < p.limit {
-		next := nextLine(lines, rivals)
+		next := nextQueue(lines, competing)
 		if next == nil {
 			return true
 		}
-		if !p.planNext(next, rivals) {
+		if !p.planNext(next, competing) {
 			return false
 		}
 	}
 	return false
 }
 
-// planLane places the first task of the lane, or its group, or takes the lane
+// planSubQueue places the first task of the lane, or its group, or takes the lane
 // out of this and later passes. It returns false once the pass is over.
-func (p *pass) planLane(l *lane) bool {
+func (p *pass) planSubQueue(l *subQueue) bool {
 	if l.class == nil {
-		return p.placeGroup(l)
+		return p.placeGang(l)
 	}
-	if l.class.blocked && !l.preemptNow {
-		p.engine.addPreemptLater(l)
-		l.makeUnready()
+	if l.class.unschedulable && !l.mayPreemptNow {
+		p.engine.addPreemptRetry(l)
+		l.deactivate()
 		return true
 	}
 	first := l.tasks[0]
-	if !l.class.blocked {
+	if !l.class.unschedulable {
 		if opened := p.openOne(first); opened != nil {
-			p.decide(first, opened)
+			p.recordDecision(first, opened)
 			return true
 		}
 	}
@@ -84,58 +84,58 @@
 func (p *pass) openOne(task *waiting) *run {
 	var opened *run
 	open := func() bool {
-		if to, found := p.engine.seatFor(task); found {
+		if to, found := p.engine.findTarget(task); found {
 			opened = p.engine.open(&task.Task, to)
 		}
 		return opened != nil
 	}
 	if !open() {
-		p.engine.overGathered(task.lane, open)
+		p.engine.retryWithDrainedCapacity(task.subQueue, open)
 	}
 	return opened
 }
 
-// decide notes the decision and takes the task out of what waits.
-func (p *pass) decide(placed *waiting, opened *run) {
+// recordDecision notes the decision and takes the task out of what waits.
+func (p *pass) recordDecision(placed *waiting, opened *run) {
 	on := opened.worker
-	if p.engine.countsCrowding() {
-		p.engine.crowding.take(on, opened.need)
+	if p.engine.needsUtilization() {
+		p.engine.utilization.addRun(on, opened.need)
 	}
 	p.decisions = append(p.decisions, Decision{
 		Task:     placed.ID,
 		WorkerID: on.ID,
 		Worker:   on.Name,
-		Group:    placed.Group,
+		Gang:     placed.Gang,
 	})
 	p.engine.forget(placed)
-	if opened.slice != nil {
+	if opened.slot != nil {
 		// The run may outlast its window and need what others have booked.
-		p.engine.settle(on)
+		p.engine.dropUnsupportedSlots(on)
 	}
 }
 
-func (lv *level) readyLines() []*line {
-	var lines []*line
-	for _, l := range lv.lines {
-		if l.mayPlace() {
+func (lv *priorityLevel) activeQueues() []*priorityQueue {
+	var lines []*priorityQueue
+	for _, l := range lv.queues {
+		if l.canPlace() {
 			lines = append(lines, l)
 		}
 	}
 	return lines
 }
 
-// mayPlace reports whether the line has something to look at and its queue is
+// canPlace reports whether the line has something to look at and its queue is
 // below its limit.
-func (l *line) mayPlace() bool { return len(l.ready) > 0 && l.queue.mayRun(1) }
+func (l *priorityQueue) canPlace() bool { return len(l.active) > 0 && l.queue.canRun(1) }
 
-// nextLine returns the line whose queue has the lowest share, then the one
+// nextQueue returns the line whose queue has the lowest share, then the one
 // with the lowest Sequence; nil if none may place. Queues with BySlack share
 // together; which of these goes first, mostUrgent says.
-func nextLine(lines []*line, r *rivals) *line {
-	var best *line
-	var sharing sharers
+func nextQueue(lines []*priorityQueue, r *competingQueues) *priorityQueue {
+	var best *priorityQueue
+	var sharing fairShare
 	for _, l := range lines {
-		if !l.mayPlace() {
+		if !l.canPlace() {
 			continue
 		}
 		if !l.queue.rule.BySlack {
@@ -154,23 +154,25 @@
 		return urgent
 	}
 	byShare := cmp.Compare(sharing.running*best.queue.rule.Weight, best.queue.running*sharing.weight)
-	if byShare < 0 || byShare == 0 && urgent.first(best) {
+	if byShare < 0 || byShare == 0 && urgent.hasEarlierTask(best) {
 		return urgent
 	}
 	return best
 }
 
-// first reports whether the line's first task has the lower Sequence.
-func (l *line) first(other *line) bool {
-	return compareWaiting(l.ready[0].tasks[0], other.ready[0].tasks[0]) < 0
+// hasEarlierTask reports whether the line's first task has the lower Sequence.
+func (l *priorityQueue) hasEarlierTask(other *priorityQueue) bool {
+	return compareWaiting(l.active[0].tasks[0], other.active[0].tasks[0]) < 0
 }
 
-func (l *line) before(other *line) bool {
-	if byShare := compareShare(l.queue, other.queue); byShare != 0 {
+func (l *priorityQueue) before(other *priorityQueue) bool {
+	if byShare := compareFairShare(l.queue, other.queue); byShare != 0 {
 		return byShare < 0
 	}
-	return l.first(other)
+	return l.hasEarlierTask(other)
 }
 
 // roomOf is the room that a task of the class takes.
-func (e *Engine) roomOf(c *class) float64 { return roomOf(c.key.need, e.workers.largest) }
+func (e *Engine) classSize(c *equivalenceClass) float64 {
+	return normalizedSize(c.key.need, e.workers.largest)
+}
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -15,23 +15,23 @@
 const (
 	maxPreemptionsPerPass = 64
 	// Booked work has its own bound: a window's tasks come all at once.
-	maxBookedPerPass = 256
+	maxReservedPreemptionsPerPass = 256
 	// A trial may look at all workers, that of a group many times; only trials
 	// of single tasks that find nothing count.
-	maxTrialsPerPass      = 16
-	maxGroupTrialsPerPass = 1
+	maxPreemptionAttemptsPerPass     = 16
+	maxGangPreemptionAttemptsPerPass = 1
 )
 
 // anyPriority lets booked work preempt whatever is preemptible.
 const anyPriority = math.MaxInt
 
 // allowance is what a pass may still spend.
-type allowance struct{ preemptions, booked, trials, groupTrials int }
+type allowance struct{ preemptions, reserved, attempts, gangAttempts int }
 
 func newAllowance() allowance {
 	return allowance{
-		preemptions: maxPreemptionsPerPass, booked: maxBookedPerPass,
-		trials: maxTrialsPerPass, groupTrials: maxGroupTrialsPerPass,
+		preemptions: maxPreemptionsPerPass, reserved: maxReservedPreemptionsPerPass,
+		attempts: maxPreemptionAttemptsPerPass, gangAttempts: maxGangPreemptionAttemptsPerPass,
 	}
 }
 
@@ -44,11 +44,11 @@
 	for _, w := range slices.SortedFunc(maps.Values(e.workers.byID), compareName) {
 		for r := range w.runs {
 			e.countVictim(r, -1)
-			e.workers.reaccount(r, func() { r.preemptible = r.mayStop && r.preemptions < most })
+			e.workers.updateRun(r, func() { r.preemptible = r.specPreemptible && r.preemptions < most })
 			e.countVictim(r, 1)
 		}
-		e.settle(w)
-		e.workers.markChanged(w)
+		e.dropUnsupportedSlots(w)
+		e.workers.addChanged(w)
 	}
 	e.reclassify(func(task *Task) bool { return task.Spec.Preemptible })
 }
@@ -93,25 +93,25 @@
 
 // preemptOrBlock promises the lane's first task room that preemption makes, or
 // takes the lane out of this and later passes.
-func (p *pass) preemptOrBlock(l *lane) {
+func (p *pass) preemptOrBlock(l *subQueue) {
 	if l.class.key.waitsForPreferred {
-		l.preemptNow = false
-		l.class.block()
-		l.makeUnready()
+		l.mayPreemptNow = false
+		l.class.setUnschedulable()
+		l.deactivate()
 		return
 	}
 	first := l.tasks[0]
-	found, later := p.findVictims(l.class, l.line.level.priority)
+	found, later := p.findVictims(l.class, l.parent.level.priority)
 	if later {
-		l.makeUnready()
-		p.engine.unfinished = append(p.engine.unfinished, l)
+		l.deactivate()
+		p.engine.overAllowance = append(p.engine.overAllowance, l)
 		return
 	}
 	if !found.possible() {
-		l.preemptNow = false
-		l.class.block()
-		l.makeUnready()
-		p.engine.addPreemptLater(l)
+		l.mayPreemptNow = false
+		l.class.setUnschedulable()
+		l.deactivate()
+		p.engine.addPreemptRetry(l)
 		return
 	}
 	p.allowance.spend(&found)
@@ -120,9 +120,9 @@
 	p.engine.nominate([]*waiting{first}, []*run{r}, victims)
 }
 
-func (a *allowance) spend(c *choice) {
+func (a *allowance) spend(c *preemptionChoice) {
 	if c.to.slice != nil {
-		a.booked -= len(c.victims)
+		a.reserved -= len(c.victims)
 		return
 	}
 	a.preemptions -= len(c.victims)
@@ -139,19 +139,19 @@
 }
 
 func (e *Engine) setStopping(r *run, stopping bool) {
-	e.workers.reaccount(r, func() { r.stopping = stopping })
+	e.workers.updateRun(r, func() { r.stopping = stopping })
 }
 
-// choice is a seat and the runs that must stop for it.
-type choice struct {
-	to      seat
+// preemptionChoice is a seat and the runs that must stop for it.
+type preemptionChoice struct {
+	to      placementTarget
 	victims []*run
 }
 
-func (c *choice) possible() bool { return c.to.worker != nil }
+func (c *preemptionChoice) possible() bool { return c.to.worker != nil }
 
 // highest is the highest priority of the victims.
-func (c *choice) highest() int {
+func (c *preemptionChoice) highest() int {
 	highest := math.MinInt
 	for _, r := range c.victims {
 		highest = max(highest, r.priority)
@@ -160,7 +160,7 @@
 }
 
 // before orders choices: fewest victims, lowest priority, fullest worker.
-func (c *choice) before(other *choice) bool {
+func (c *preemptionChoice) before(other *preemptionChoice) bool {
 	return cmp.Or(
 		cmp.Compare(len(c.victims), len(other.victims)),
 		cmp.Compare(c.highest(), other.highest()),
@@ -170,34 +170,34 @@
 
 // findVictims finds the best seat that preemption makes for a task; later tells
 // that the pass has no allowance left for it.
-func (p *pass) findVictims(c *class, priority int) (best choice, later bool) {
-	best = p.engine.bookedChoice(c)
+func (p *pass) findVictims(c *equivalenceClass, priority int) (best preemptionChoice, later bool) {
+	best = p.engine.chooseReservedSlot(c)
 	if best.possible() {
-		return best, len(best.victims) > p.allowance.booked
+		return best, len(best.victims) > p.allowance.reserved
 	}
-	if !p.engine.hasVictims(priority) || p.allowance.trials == 0 {
-		return choice{}, false
+	if !p.engine.hasVictims(priority) || p.allowance.attempts == 0 {
+		return preemptionChoice{}, false
 	}
-	best = p.engine.priorityChoice(c, priority)
+	best = p.engine.chooseByPriority(c, priority)
 	if !best.possible() {
-		p.allowance.trials--
+		p.allowance.attempts--
 	}
 	if len(best.victims) > p.allowance.preemptions {
-		return choice{}, true
+		return preemptionChoice{}, true
 	}
 	return best, false
 }
 
-// bookedChoice finds an open slice whose room preemptible runs have.
-func (e *Engine) bookedChoice(c *class) choice {
-	var best choice
-	for _, r := range c.bookings {
-		for _, s := range r.sets {
-			if !c.mayEnter(s) {
+// chooseReservedSlot finds an open slice whose room preemptible runs have.
+func (e *Engine) chooseReservedSlot(c *equivalenceClass) preemptionChoice {
+	var best preemptionChoice
+	for _, r := range c.reservations {
+		for _, s := range r.slots {
+			if !c.canEnterSlot(s) {
 				continue
 			}
 			if victims, ok := s.worker.victimsFor(c.key.need, anyPriority); ok {
-				best.improve(choice{to: seat{worker: s.worker, slice: s}, victims: victims})
+				best.improve(preemptionChoice{to: placementTarget{worker: s.worker, slice: s}, victims: victims})
 			}
 			if best.possible() && len(best.victims) <= 1 {
 				return best
@@ -207,15 +207,15 @@
 	return best
 }
 
-// priorityChoice finds a worker on which runs of lower priority can make room.
-func (e *Engine) priorityChoice(c *class, priority int) choice {
-	var best choice
+// chooseByPriority finds a worker on which runs of lower priority can make room.
+func (e *Engine) chooseByPriority(c *equivalenceClass, priority int) preemptionChoice {
+	var best preemptionChoice
 	for _, w := range c.pool.workers {
-		if w.guarded || !withinSpread(c.spread, &w.Worker) || !c.leavesSlices(w) {
+		if w.restricted || !withinSpread(c.spread, &w.Worker) || !c.fitsBesideReservedSlots(w) {
 			continue
 		}
 		if victims, ok := w.victimsFor(c.key.need, priority); ok {
-			best.improve(choice{to: seat{worker: w}, victims: victims})
+			best.improve(preemptionChoice{to: placementTarget{worker: w}, victims: victims})
 		}
 		if best.possible() && len(best.victims) <= 1 && !e.hasVictims(best.highest()) {
 			return best
@@ -224,15 +224,15 @@
 	return best
 }
 
-func (c *choice) improve(other choice) {
+func (c *preemptionChoice) improve(other preemptionChoice) {
 	if !c.possible() || other.before(c) {
 		*c = other
 	}
 }
 
-// leavesSlices reports whether the class fits beside slices and the runs that
+// fitsBesideReservedSlots reports whether the class fits beside slices and the runs that
 // cannot be made to leave.
-func (c *class) leavesSlices(w *worker) bool {
+func (c *equivalenceClass) fitsBesideReservedSlots(w *worker) bool {
 	if c.key.preemptible {
 		return true
 	}
@@ -244,8 +244,8 @@
 	return !bound || fits(c.key.need, slack)
 }
 
-// victimsAnswer is the answer to a call of victimsFor.
-type victimsAnswer struct {
+// victimsResult is the answer to a call of victimsFor.
+type victimsResult struct {
 	version uint64
 	need    api.Resources
 	below   int
@@ -256,10 +256,10 @@
 // victimsFor is chooseVictims, worked out once until the worker's room changes:
 // many tasks of one shape ask all workers in turn.
 func (w *worker) victimsFor(need api.Resources, below int) ([]*run, bool) {
-	last := &w.lastVictims
+	last := &w.cachedVictims
 	if last.version != w.version || last.need != need || last.below != below {
 		victims, found := w.chooseVictims(need, below)
-		*last = victimsAnswer{version: w.version, need: need, below: below, victims: victims, found: found}
+		*last = victimsResult{version: w.version, need: need, below: below, victims: victims, found: found}
 	}
 	return last.victims, last.found
 }
@@ -270,7 +270,7 @@
 // largest are taken first and those not needed left out, so that there may be a
 // smaller set.
 func (w *worker) chooseVictims(need api.Resources, below int) ([]*run, bool) {
-	room := w.coming()
+	room := w.freeOnceStopped()
 	if fits(need, room) {
 		return nil, true
 	}
@@ -315,7 +315,7 @@
 	}
 	bySize := slices.Clone(candidates)
 	slices.SortStableFunc(bySize, func(a, b *run) int {
-		return cmp.Compare(roomOf(smallestOf(b.need, lacks), lacks), roomOf(smallestOf(a.need, lacks), lacks))
+		return cmp.Compare(normalizedSize(smallestOf(b.need, lacks), lacks), normalizedSize(smallestOf(a.need, lacks), lacks))
 	})
 	count := 1
 	for !enough(bySize[:count]...) {
--- a/internal/placement/preempt_group.go
+++ b/internal/placement/preempt_group.go
@@ -1,8 +1,8 @@
 package placement
 
-// groupTrial is a group's seats, as nominated runs, and the runs that would
+// gangPreemption is a group's seats, as nominated runs, and the runs that would
 // have to stop. All of it can be undone.
-type groupTrial struct {
+type gangPreemption struct {
 	engine  *Engine
 	members []*waiting
 	runs    []*run
@@ -11,21 +11,21 @@
 	spent   allowance
 }
 
-// preemptForGroup promises room to all members of a group that finds none, or
+// preemptForGang promises room to all members of a group that finds none, or
 // leaves all as it was. It always lets the pass go on.
-func (p *pass) preemptForGroup(l *lane) bool {
+func (p *pass) preemptForGang(l *subQueue) bool {
 	e := p.engine
-	priority := l.line.level.priority
-	e.addPreemptLater(l)
-	if !e.hasVictims(priority) && !l.mayUseSlices() {
+	priority := l.parent.level.priority
+	e.addPreemptRetry(l)
+	if !e.hasVictims(priority) && !l.mayUseReservedSlots() {
 		return true
 	}
-	if p.allowance.groupTrials == 0 || !e.couldPreempt(l) {
+	if p.allowance.gangAttempts == 0 || !e.couldPreempt(l) {
 		return true
 	}
-	p.allowance.groupTrials--
-	t := &groupTrial{engine: e, members: e.trialOrder(l.tasks), spent: p.allowance}
-	if !t.seatAll(priority) {
+	p.allowance.gangAttempts--
+	t := &gangPreemption{engine: e, members: e.placementOrder(l.tasks), spent: p.allowance}
+	if !t.placeAll(priority) {
 		t.undo()
 		return true
 	}
@@ -34,9 +34,9 @@
 	return true
 }
 
-func (l *lane) mayUseSlices() bool {
+func (l *subQueue) mayUseReservedSlots() bool {
 	for _, m := range l.members {
-		if len(m.class.bookings) > 0 {
+		if len(m.class.reservations) > 0 {
 			return true
 		}
 	}
@@ -45,30 +45,30 @@
 
 // couldPreempt reports whether each class would have places enough if all
 // preemptible runs stopped; a cheap bound before a trial.
-func (e *Engine) couldPreempt(l *lane) bool {
+func (e *Engine) couldPreempt(l *subQueue) bool {
 	for _, m := range l.members {
-		if m.class.placesPreempting(m.count) < m.count {
+		if m.class.fitCountWithPreemption(m.count) < m.count {
 			return false
 		}
 	}
 	return true
 }
 
-// placesPreempting is class.places with the room of preemptible runs.
-func (c *class) placesPreempting(enough int) int {
+// fitCountWithPreemption is class.places with the room of preemptible runs.
+func (c *equivalenceClass) fitCountWithPreemption(enough int) int {
 	left := map[string]int{}
 	total := 0
-	for _, r := range c.bookings {
-		total += c.openSlots(r.sets)
+	for _, r := range c.reservations {
+		total += c.freeSlots(r.slots)
 	}
 	for _, w := range c.pool.workers {
 		if total >= enough {
 			break
 		}
-		if w.guarded && !c.key.untilCancelled {
+		if w.restricted && !c.key.untilCancelled {
 			continue
 		}
-		here := placesOn(c.key.need, w.coming().Add(w.preemptible), enough-total)
+		here := fitCountOn(c.key.need, w.freeOnceStopped().Add(w.preemptible), enough-total)
 		if c.spread != nil && here > 0 {
 			here = takeFromDomain(left, c.spread, &w.Worker, here)
 		}
@@ -77,25 +77,25 @@
 	return total
 }
 
-func (t *groupTrial) seatAll(priority int) bool {
+func (t *gangPreemption) placeAll(priority int) bool {
 	for _, member := range t.members {
-		if !t.seat(member, priority) {
+		if !t.placeMember(member, priority) {
 			return false
 		}
 	}
 	return true
 }
 
-func (t *groupTrial) seat(member *waiting, priority int) bool {
+func (t *gangPreemption) placeMember(member *waiting, priority int) bool {
 	e, c := t.engine, member.class
-	var chosen choice
-	if to, found := e.seatFor(member); found {
+	var chosen preemptionChoice
+	if to, found := e.findTarget(member); found {
 		chosen.to = to
 	} else {
-		chosen = e.bookedChoice(c)
+		chosen = e.chooseReservedSlot(c)
 	}
 	if !chosen.possible() {
-		chosen = e.priorityChoice(c, priority)
+		chosen = e.chooseByPriority(c, priority)
 	}
 	if !chosen.possible() {
 		return false
@@ -104,10 +104,10 @@
 	t.victims = append(t.victims, e.stop(chosen.victims, member.ID)...)
 	t.stopped = append(t.stopped, chosen.victims...)
 	t.runs = append(t.runs, e.newRun(&member.Task, chosen.to, e.now, true))
-	return t.spent.preemptions >= 0 && t.spent.booked >= 0
+	return t.spent.preemptions >= 0 && t.spent.reserved >= 0
 }
 
-func (t *groupTrial) undo() {
+func (t *gangPreemption) undo() {
 	for _, r := range t.runs {
 		t.engine.close(r)
 	}
--- a/internal/placement/preempt_later.go
+++ b/internal/placement/preempt_later.go
@@ -2,50 +2,50 @@
 
 import "slices"
 
-// preemptLaterKept is the least length at which Engine.preemptLater is cleared of
+// minPreemptRetryCompaction is the least length at which Engine.preemptRetries is cleared of
 // lanes without tasks.
-const preemptLaterKept = 256
+const minPreemptRetryCompaction = 256
 
-// addPreemptLater lists a blocked lane for another trial to preempt: runs that
+// addPreemptRetry lists a blocked lane for another trial to preempt: runs that
 // could make room for it may have come since.
-func (e *Engine) addPreemptLater(l *lane) {
-	if l.listedLater {
+func (e *Engine) addPreemptRetry(l *subQueue) {
+	if l.inPreemptRetries {
 		return
 	}
-	if len(e.preemptLater) >= preemptLaterKept && len(e.preemptLater) == cap(e.preemptLater) {
-		e.preemptLater = slices.DeleteFunc(e.preemptLater, func(l *lane) bool { return len(l.tasks) == 0 })
+	if len(e.preemptRetries) >= minPreemptRetryCompaction && len(e.preemptRetries) == cap(e.preemptRetries) {
+		e.preemptRetries = slices.DeleteFunc(e.preemptRetries, func(l *subQueue) bool { return len(l.tasks) == 0 })
 	}
-	l.listedLater = true
-	e.preemptLater = append(e.preemptLater, l)
+	l.inPreemptRetries = true
+	e.preemptRetries = append(e.preemptRetries, l)
 }
 
-// takeUpAgain lets the pass look at lanes that the last one had no allowance
+// activatePreemptRetries lets the pass look at lanes that the last one had no allowance
 // for, and at some of those that may preempt, in turn.
-func (p *pass) takeUpAgain() {
+func (p *pass) activatePreemptRetries() {
 	e := p.engine
-	unfinished := e.unfinished
-	e.unfinished = nil
+	unfinished := e.overAllowance
+	e.overAllowance = nil
 	for _, l := range unfinished {
 		if len(l.tasks) > 0 {
-			l.preemptNow = l.class == nil || l.class.blocked
-			l.makeReady()
+			l.mayPreemptNow = l.class == nil || l.class.unschedulable
+			l.activate()
 		}
 	}
 	if len(e.victims) == 0 {
 		return
 	}
-	count := min(maxTrialsPerPass, len(e.preemptLater))
-	turn := slices.Clone(e.preemptLater[:count])
-	e.preemptLater = slices.Delete(e.preemptLater, 0, count)
+	count := min(maxPreemptionAttemptsPerPass, len(e.preemptRetries))
+	turn := slices.Clone(e.preemptRetries[:count])
+	e.preemptRetries = slices.Delete(e.preemptRetries, 0, count)
 	for _, l := range turn {
-		l.listedLater = false
+		l.inPreemptRetries = false
 		switch {
 		case len(l.tasks) == 0:
-		case !e.hasVictims(l.line.level.priority):
-			e.addPreemptLater(l)
+		case !e.hasVictims(l.parent.level.priority):
+			e.addPreemptRetry(l)
 		default:
-			l.preemptNow = true
-			l.makeReady()
+			l.mayPreemptNow = true
+			l.activate()
 		}
 	}
 }
--- a/internal/placement/preferred.go
+++ b/internal/placement/preferred.go
@@ -14,21 +14,21 @@
 // not prefer it leave a share of that worker free as long as others have room.
 
 const (
-	// preferredFor is how long a label counts as preferred after the newest task that
+	// preferredLabelTTL is how long a label counts as preferred after the newest task that
 	// preferred it came.
-	preferredFor = record.Millis(60_000)
-	// preferredShare is the share of a preferred worker that others leave free, in
+	preferredLabelTTL = record.Millis(60_000)
+	// preferredReservePercent is the share of a preferred worker that others leave free, in
 	// hundredths.
-	preferredShare = 30
-	// mostPreferred bounds the labels that are remembered.
-	mostPreferred = 1024
+	preferredReservePercent = 30
+	// maxPreferredLabels bounds the labels that are remembered.
+	maxPreferredLabels = 1024
 )
 
 // label is one label of a worker with its value.
 type label struct{ key, value string }
 
-// preferences are the labels that tasks have preferred lately.
-type preferences struct {
+// preferredLabels are the labels that tasks have preferred lately.
+type preferredLabels struct {
 	until map[label]record.Millis
 	// oldest is the time before which no label is forgotten.
 	oldest record.Millis
@@ -36,35 +36,35 @@
 	stale bool
 }
 
-func newPreferences() preferences { return preferences{until: map[label]record.Millis{}} }
+func newPreferredLabels() preferredLabels { return preferredLabels{until: map[label]record.Millis{}} }
 
-// note takes in what a task prefers.
-func (p *preferences) note(spec *api.TaskSpec, now record.Millis) {
+// record takes in what a task prefers.
+func (p *preferredLabels) record(spec *api.TaskSpec, now record.Millis) {
 	for key, value := range spec.Prefer {
 		wanted := label{key, value}
 		if _, known := p.until[wanted]; !known {
-			if len(p.until) >= mostPreferred {
+			if len(p.until) >= maxPreferredLabels {
 				continue
 			}
 			p.stale = true
 		}
-		p.until[wanted] = now + preferredFor
+		p.until[wanted] = now + preferredLabelTTL
 	}
 }
 
 // expire forgets the labels that no task has preferred for long.
-func (p *preferences) expire(now record.Millis) {
+func (p *preferredLabels) expire(now record.Millis) {
 	if now < p.oldest {
 		return
 	}
 	known := len(p.until)
 	maps.DeleteFunc(p.until, func(_ label, until record.Millis) bool { return until <= now })
 	p.stale = p.stale || len(p.until) < known
-	p.oldest = now + preferredFor/2
+	p.oldest = now + preferredLabelTTL/2
 }
 
-// names reports whether one of the worker's labels is preferred.
-func (p *preferences) names(w *worker) bool {
+// matches reports whether one of the worker's labels is preferred.
+func (p *preferredLabels) matches(w *worker) bool {
 	for key, value := range w.Labels {
 		if _, preferred := p.until[label{key, value}]; preferred {
 			return true
@@ -73,23 +73,23 @@
 	return false
 }
 
-// markPreferred brings the marks of the workers up to date.
-func (e *Engine) markPreferred() {
-	e.preferences.expire(e.now)
-	if !e.preferences.stale {
+// refreshPreferredWorkers brings the marks of the workers up to date.
+func (e *Engine) refreshPreferredWorkers() {
+	e.preferredLabels.expire(e.now)
+	if !e.preferredLabels.stale {
 		return
 	}
-	e.preferences.stale = false
+	e.preferredLabels.stale = false
 	for _, w := range e.workers.byID {
-		w.preferred = e.preferences.names(w)
+		w.preferred = e.preferredLabels.matches(w)
 	}
 }
 
-// leavesPreferred reports whether a task leaves those that prefer the worker their
+// leavesPreferredReserve reports whether a task leaves those that prefer the worker their
 // share of it, or is one of them.
-func leavesPreferred(spec *api.TaskSpec, w *worker) bool {
+func leavesPreferredReserve(spec *api.TaskSpec, w *worker) bool {
 	if !w.preferred || len(spec.Prefer) > 0 && hasLabels(&w.Worker, spec.Prefer) {
 		return true
 	}
-	return fits(spec.Resources.Add(shareOfRoom(w.Capacity, preferredShare)), w.free)
+	return fits(spec.Resources.Add(percentOf(w.Capacity, preferredReservePercent)), w.free)
 }
--- a/internal/placement/preferred_test.go
+++ b/internal/placement/preferred_test.go
@@ -13,9 +13,9 @@
 	return task
 }
 
-// TestOthersLeaveRoomWhereItIsPreferred: without it the tasks of "others" fill rack x,
+// TestPreferredLabels_OthersLeaveReserve: without it the tasks of "others" fill rack x,
 // whose workers come first by name.
-func TestOthersLeaveRoomWhereItIsPreferred(t *testing.T) {
+func TestPreferredLabels_OthersLeaveReserve(t *testing.T) {
 	e := newEngine(rackWorker("a", "z1", 100, "rack=x"), rackWorker("b", "z1", 100, "rack=y"))
 	e.SetTime(1)
 	first := preferring("first", "x", 10)
@@ -30,7 +30,7 @@
 	expect(t, "what prefers rack x", placed(e, 10), "near/a/0@a")
 }
 
-func TestOthersTakeWhatIsPreferredWhereThereIsNoOtherRoom(t *testing.T) {
+func TestPreferredLabels_ReserveUsedWhenNothingElseFits(t *testing.T) {
 	e := newEngine(rackWorker("a", "z1", 100, "rack=x"))
 	e.Add(preferring("first", "x", 50))
 	for i := range 5 {
@@ -39,38 +39,38 @@
 	expect(t, "runs", countBy(e, name), map[string]int{"a": 6})
 }
 
-// TestPreferencesAreForgotten: a worker that no task has preferred for long fills up
+// TestPreferredLabels_Expire: a worker that no task has preferred for long fills up
 // first again.
-func TestPreferencesAreForgotten(t *testing.T) {
+func TestPreferredLabels_Expire(t *testing.T) {
 	e := newEngine(rackWorker("a", "z1", 100, "rack=x"), rackWorker("b", "z1", 100, "rack=y"))
 	e.SetTime(1)
 	first := preferring("first", "x", 10)
 	e.Add(first)
 	e.Plan(1)
 	e.Release(first.ID)
-	e.SetTime(1 + 2*preferredFor)
+	e.SetTime(1 + 2*preferredLabelTTL)
 	for i := range 10 {
 		e.Add(testTask("others", i, 10))
 	}
 	expect(t, "runs", countBy(e, name), map[string]int{"a": 10})
-	expect(t, "labels kept", len(e.preferences.until), 0)
+	expect(t, "labels kept", len(e.preferredLabels.until), 0)
 }
 
-func TestPreferencesAreBounded(t *testing.T) {
+func TestPreferredLabels_AreBounded(t *testing.T) {
 	e := newEngine()
-	for i := range 2 * mostPreferred {
+	for i := range 2 * maxPreferredLabels {
 		task := testTask("j", i, 10)
 		task.Spec.Prefer = map[string]string{"rack": record.TaskID{Job: "rack", Index: i}.String()}
 		e.Add(task)
 	}
-	expect(t, "labels kept", len(e.preferences.until), mostPreferred)
+	expect(t, "labels kept", len(e.preferredLabels.until), maxPreferredLabels)
 }
 
-// TestTaskWaitsForItsRack: and takes any other worker once it waits no more.
-func TestTaskWaitsForItsRack(t *testing.T) {
+// TestLocalityWait_WaitsForPreferredRack: and takes any other worker once it waits no more.
+func TestLocalityWait_WaitsForPreferredRack(t *testing.T) {
 	e := newEngine(rackWorker("a", "z1", 10, "rack=x"), rackWorker("b", "z1", 100, "rack=y"))
 	taken := testTask("taken", 0, 10)
-	e.Hold(taken, "a-1")
+	e.AddRun(taken, "a-1")
 	task := preferring("near", "x", 10)
 	task.WaitsForPreferred = true
 	e.Add(task)
@@ -85,16 +85,16 @@
 	expect(t, "without the wait", placed(e, 10), "last/a/0@b")
 }
 
-// TestLocalityWaitTakesNoUnsoundWorker: where all workers of the rack are gone,
+// TestLocalityWait_AvoidsUnhealthyWorkers: where all workers of the rack are gone,
 // slow, held back or full beside such, the task goes elsewhere or waits.
-func TestLocalityWaitTakesNoUnsoundWorker(t *testing.T) {
+func TestLocalityWait_AvoidsUnhealthyWorkers(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*Worker)
 	}{
 		{"gone", func(w *Worker) { w.Usable = false }},
 		{"slow", func(w *Worker) { w.Slow = true }},
-		{"held back", func(w *Worker) { w.HeldBack = true }},
+		{"held back", func(w *Worker) { w.Suspect = true }},
 		{"on probation", func(w *Worker) { w.Probation = true }},
 	}
 	for _, c := range cases {
@@ -103,26 +103,26 @@
 			c.change(&unsound)
 			e := newEngine(unsound, rackWorker("b", "z1", 100, "rack=y"))
 			task := preferring("near", "x", 10)
-			task.WaitsForPreferred, task.MayTry = true, true
+			task.WaitsForPreferred, task.AllowsProbation = true, true
 			e.Add(task)
 			expect(t, "decisions", placed(e, 10), "near/a/0@b")
 			sound := rackWorker("c", "z1", 10, "rack=x")
 			e.SetWorker(sound)
-			e.Hold(testTask("taken", 0, 10), "c-1")
+			e.AddRun(testTask("taken", 0, 10), "c-1")
 			next := preferring("next", "x", 10)
-			next.WaitsForPreferred, next.MayTry = true, true
+			next.WaitsForPreferred, next.AllowsProbation = true, true
 			e.Add(next)
 			expect(t, "beside a sound one that is full", placed(e, 10), "")
 		})
 	}
 }
 
-// TestLocalityWaitPreemptsNobody: a task that may take other room soon stops no run.
-func TestLocalityWaitPreemptsNobody(t *testing.T) {
+// TestLocalityWait_DoesNotPreempt: a task that may take other room soon stops no run.
+func TestLocalityWait_DoesNotPreempt(t *testing.T) {
 	e := newEngine(rackWorker("a", "z1", 10, "rack=x"), rackWorker("b", "z1", 100, "rack=y"))
 	taken := testTask("taken", 0, 10)
 	taken.Spec.Preemptible = true
-	e.Hold(taken, "a-1")
+	e.AddRun(taken, "a-1")
 	task := preferring("near", "x", 10)
 	task.WaitsForPreferred, task.Priority = true, 5
 	e.Add(task)
--- a/internal/placement/probation.go
+++ b/internal/placement/probation.go
@@ -8,24 +8,26 @@
 // admits reports whether the class may use the worker, as far as its probation
 // goes. A class that no other worker could hold may, so that it need not wait
 // for the end of it.
-func (c *class) admits(w *worker) bool { return c.admitsWith(w, 0) }
+func (c *equivalenceClass) admits(w *worker) bool { return c.admitsBesideOwn(w, 0) }
 
-// keeps reports whether room that was promised on the worker is still for the
+// stillAdmits reports whether room that was promised on the worker is still for the
 // class, the worker's probation considered: the class has a run there already.
-func (c *class) keeps(w *worker) bool { return c.key.untilCancelled || c.admitsWith(w, 1) }
+func (c *equivalenceClass) stillAdmits(w *worker) bool {
+	return c.key.untilCancelled || c.admitsBesideOwn(w, 1)
+}
 
-// admitsWith is admits for a class that has some runs there already.
-func (c *class) admitsWith(w *worker, own int) bool {
-	if !w.guarded || c.anyTrust && c.key.untilCancelled {
+// admitsBesideOwn is admits for a class that has some runs there already.
+func (c *equivalenceClass) admitsBesideOwn(w *worker, own int) bool {
+	if !w.restricted || c.allowsRestricted && c.key.untilCancelled {
 		return true
 	}
-	return len(w.runs) <= own && (c.anyTrust || c.key.mayTry && !w.HeldBack || c.hasNoOther())
+	return len(w.runs) <= own && (c.allowsRestricted || c.key.allowsProbation && !w.Suspect || c.hasOnlyRestricted())
 }
 
-// mostOn is the number of runs of the class that the worker may get at once.
-func (c *class) mostOn(w *worker) int {
+// maxRunsOn is the number of runs of the class that the worker may get at once.
+func (c *equivalenceClass) maxRunsOn(w *worker) int {
 	switch {
-	case !w.guarded || c.key.untilCancelled:
+	case !w.restricted || c.key.untilCancelled:
 		return math.MaxInt
 	case c.admits(w):
 		return 1
@@ -34,20 +36,20 @@
 	}
 }
 
-// hasNoOther reports whether only guarded workers could hold the class,
+// hasOnlyRestricted reports whether only guarded workers could hold the class,
 // taken as empty.
-func (c *class) hasNoOther() bool {
+func (c *equivalenceClass) hasOnlyRestricted() bool {
 	return !slices.ContainsFunc(c.pool.workers, func(w *worker) bool {
-		return !w.guarded && fits(c.key.need, w.Capacity)
+		return !w.restricted && fits(c.key.need, w.Capacity)
 	})
 }
 
-// toTry returns a worker on probation for a task that is to try one, or nil.
-func (e *Engine) toTry(task *waiting) *worker {
-	if !task.Tries {
+// probationTarget returns a worker on probation for a task that is to try one, or nil.
+func (e *Engine) probationTarget(task *waiting) *worker {
+	if !task.PrefersProbation {
 		return nil
 	}
-	for _, w := range e.workers.guarded {
+	for _, w := range e.workers.restricted {
 		if w.Probation && task.class.pool.matches(w) && task.class.fitsOn(w) && !slices.Contains(task.Avoid, w.Name) {
 			return w
 		}
@@ -55,32 +57,32 @@
 	return nil
 }
 
-// countIn notes what is particular about a worker, and countOut takes that back.
-func (x *workerIndex) countIn(w *worker) {
+// addHealthCounts notes what is particular about a worker, and removeHealthCounts takes that back.
+func (x *workerIndex) addHealthCounts(w *worker) {
 	if w.Slow {
 		x.slow++
 	}
-	if w.guarded {
-		at, _ := slices.BinarySearchFunc(x.guarded, w, compareName)
-		x.guarded = slices.Insert(x.guarded, at, w)
+	if w.restricted {
+		at, _ := slices.BinarySearchFunc(x.restricted, w, compareName)
+		x.restricted = slices.Insert(x.restricted, at, w)
 	}
-	x.lookAgainAtGuarded()
+	x.addRestrictedToChanged()
 }
 
-func (x *workerIndex) countOut(w *worker) {
+func (x *workerIndex) removeHealthCounts(w *worker) {
 	if w.known && w.Slow {
 		x.slow--
 	}
-	if w.known && w.guarded {
-		x.guarded = slices.DeleteFunc(x.guarded, func(other *worker) bool { return other == w })
+	if w.known && w.restricted {
+		x.restricted = slices.DeleteFunc(x.restricted, func(other *worker) bool { return other == w })
 	}
-	x.lookAgainAtGuarded()
+	x.addRestrictedToChanged()
 }
 
-// lookAgainAtGuarded marks the guarded workers as changed: whether a class
+// addRestrictedToChanged marks the guarded workers as changed: whether a class
 // may use them depends on the others.
-func (x *workerIndex) lookAgainAtGuarded() {
-	for _, w := range x.guarded {
-		x.markChanged(w)
+func (x *workerIndex) addRestrictedToChanged() {
+	for _, w := range x.restricted {
+		x.addChanged(w)
 	}
 }
--- a/internal/placement/probation_test.go
+++ b/internal/placement/probation_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-func TestWorkersOnProbation(t *testing.T) {
+func TestProbation_AdmitsOneRunAtATime(t *testing.T) {
 	guarded := func(name string, probation, heldBack bool) Worker {
 		w := testWorker(name, cpu(100))
-		w.Probation, w.HeldBack = probation, heldBack
+		w.Probation, w.Suspect = probation, heldBack
 		return w
 	}
 	trusted := func(capacity int64) Worker { return testWorker("t", cpu(capacity)) }
@@ -31,7 +31,7 @@
 			e := newEngine(c.workers...)
 			for i := range 3 {
 				task := testTask("j", i, 10)
-				task.MayTry, task.Tries = c.mayTry, c.tries
+				task.AllowsProbation, task.PrefersProbation = c.mayTry, c.tries
 				e.Add(task)
 			}
 			expect(t, "decisions", placed(e, 10), c.want)
@@ -39,16 +39,16 @@
 	}
 }
 
-// TestProbationGoesOn: the next task comes once the first has ended, and what
+// TestProbation_LastsUntilCleared: the next task comes once the first has ended, and what
 // waited is taken once the worker is trusted again.
-func TestProbationGoesOn(t *testing.T) {
+func TestProbation_LastsUntilCleared(t *testing.T) {
 	w := testWorker("p", cpu(100))
 	w.Probation = true
 	e := newEngine(w, testWorker("t", cpu(10)))
 	var ids []Task
 	for i := range 4 {
 		task := testTask("j", i, 10)
-		task.MayTry = true
+		task.AllowsProbation = true
 		ids = append(ids, task)
 	}
 	addAll(e, ids...)
@@ -59,14 +59,14 @@
 	w.Probation = false
 	e.SetWorker(w)
 	expect(t, "at last", placed(e, 10), "j/a/3@p")
-	expect(t, "guarded", len(e.workers.guarded), 0)
+	expect(t, "guarded", len(e.workers.restricted), 0)
 }
 
-// TestNoOtherIsLeft: a task that avoids a guarded worker takes it once the last
+// TestProbation_IgnoredWithoutOtherWorkers: a task that avoids a guarded worker takes it once the last
 // other one is gone.
-func TestNoOtherIsLeft(t *testing.T) {
+func TestProbation_IgnoredWithoutOtherWorkers(t *testing.T) {
 	w := testWorker("h", cpu(100))
-	w.HeldBack = true
+	w.Suspect = true
 	e := newEngine(w, testWorker("t", cpu(10)))
 	addAll(e, testTask("j", 0, 10), testTask("j", 1, 10))
 	expect(t, "while there is one", placed(e, 10), "j/a/0@t")
@@ -74,31 +74,31 @@
 	expect(t, "after", placed(e, 10), "j/a/1@h")
 }
 
-func TestGroupsKeepOffGuardedWorkers(t *testing.T) {
+func TestProbation_GangsAvoidRestrictedWorkers(t *testing.T) {
 	w := testWorker("p", cpu(100))
 	w.Probation = true
 	e := newEngine(w, testWorker("t", cpu(20)))
-	addAll(e, groupOf("g", 10, 10, 10)...)
+	addAll(e, gangOf("g", 10, 10, 10)...)
 	expect(t, "not whole elsewhere", placed(e, 10), "")
 	w.Probation = false
 	e.SetWorker(w)
 	expect(t, "runs", len(e.Plan(10)), 3)
 }
 
-// TestPromiseEndsWithTrust: room that preemption makes on a worker is given up
+// TestProbation_CancelsNomination: room that preemption makes on a worker is given up
 // once the worker is held back.
-func TestPromiseEndsWithTrust(t *testing.T) {
+func TestProbation_CancelsNomination(t *testing.T) {
 	w := testWorker("w", cpu(10))
 	e := newEngine(w)
 	low := testTask("low", 0, 10)
 	low.Spec.Preemptible = true
-	e.Hold(low, "w-1")
+	e.AddRun(low, "w-1")
 	urgent := testTask("urgent", 1, 10)
 	urgent.Priority = 1
 	e.Add(urgent)
 	expect(t, "waits for room", placed(e, 10), "")
 	expect(t, "asked to stop", len(e.Preemptions()), 1)
-	w.HeldBack = true
+	w.Suspect = true
 	e.SetWorker(w)
 	e.SetWorker(testWorker("other", cpu(10)))
 	e.Release(low.ID)
--- a/internal/placement/property_booking_test.go
+++ b/internal/placement/property_booking_test.go
@@ -12,7 +12,7 @@
 )
 
 // bookings is the part of the model about time, bookings, teams and preemption.
-type bookings struct {
+type reservationModel struct {
 	now            record.Millis
 	teams          map[string]int
 	reservations   []Reservation
@@ -21,18 +21,18 @@
 	named map[record.TaskID]bool
 }
 
-func newBookings() bookings {
-	return bookings{teams: map[string]int{}, maxPreemptions: defaultMaxPreemptions, named: map[record.TaskID]bool{}}
+func newReservationModel() reservationModel {
+	return reservationModel{teams: map[string]int{}, maxPreemptions: defaultMaxPreemptions, named: map[record.TaskID]bool{}}
 }
 
 func (m *model) preemptible(task Task) bool {
 	return task.Spec.Preemptible && task.Preemptions < m.maxPreemptions
 }
 
-// inSlice tells where the engine counts an open run; checkSlices checks it.
-func (m *model) inSlice(task record.TaskID) bool {
+// inReservedSlot tells where the engine counts an open run; checkReservedSlots checks it.
+func (m *model) inReservedSlot(task record.TaskID) bool {
 	r, open := m.engine.runs[task]
-	return open && r.slice != nil
+	return open && r.slot != nil
 }
 
 // slack is what worker w has left at a moment, from scratch: less the slices
@@ -41,18 +41,18 @@
 func (m *model) slack(w Worker, moment record.Millis, without record.TaskID) api.Resources {
 	slack := w.Capacity
 	openNow := map[string]bool{}
-	for _, s := range m.engine.Slices() {
+	for _, s := range m.engine.ReservedSlots() {
 		r := m.reservation(s.Reservation)
 		if r.Start > moment || r.End <= moment {
 			continue
 		}
 		openNow[r.ID] = true
 		if s.WorkerID == w.ID {
-			slack = slack.Sub(times(r.Slice, s.Slots))
+			slack = slack.Sub(times(r.SlotSize, s.Slots))
 		}
 	}
 	for id, p := range m.open {
-		inOpenSlice := m.inSlice(id) && openNow[m.engine.runs[id].slice.reservation.ID]
+		inOpenSlice := m.inReservedSlot(id) && openNow[m.engine.runs[id].slot.reservation.ID]
 		if id == without || p.worker != w.ID || m.preemptible(p.task) || inOpenSlice {
 			continue
 		}
@@ -71,7 +71,7 @@
 // starts are the moments at which slices on the worker begin to count.
 func (m *model) starts(worker string) []record.Millis {
 	var starts []record.Millis
-	for _, s := range m.engine.Slices() {
+	for _, s := range m.engine.ReservedSlots() {
 		if s.WorkerID == worker {
 			starts = append(starts, m.reservation(s.Reservation).Start)
 		}
@@ -79,8 +79,8 @@
 	return starts
 }
 
-// leavesSlices reports whether the task, started now, leaves what slices need.
-func (m *model) leavesSlices(task Task, w Worker) bool {
+// fitsBesideReservedSlots reports whether the task, started now, leaves what slices need.
+func (m *model) fitsBesideReservedSlots(task Task, w Worker) bool {
 	if m.preemptible(task) {
 		return true
 	}
@@ -92,10 +92,10 @@
 	return true
 }
 
-// promised counts the nominated runs of the queues that are asked for.
-func (m *model) promised(of func(queue string) bool) int {
+// nominatedRuns counts the nominated runs of the queues that are asked for.
+func (m *model) nominatedRuns(of func(queue string) bool) int {
 	count := 0
-	for _, u := range m.engine.units {
+	for _, u := range m.engine.nominations {
 		for _, member := range u.members {
 			if of(member.Queue) {
 				count++
@@ -120,14 +120,14 @@
 	return team == "" || limit == 0 || m.teamRunning(team) < limit
 }
 
-func (m *model) isNominated(task record.TaskID) bool { return m.engine.waiting[task].unit != nil }
+func (m *model) isNominated(task record.TaskID) bool { return m.engine.waiting[task].nomination != nil }
 
-// isPromised reports whether promises may keep a task off a worker or out of
+// isNominatedOn reports whether promises may keep a task off a worker or out of
 // its limits.
-func (m *model) isPromised(worker string, task Task) bool {
+func (m *model) isNominatedOn(worker string, task Task) bool {
 	w := m.engine.workers.byID[worker]
 	return w.nominated != (api.Resources{}) || w.stopping != (api.Resources{}) ||
-		m.promised(func(string) bool { return true }) > 0
+		m.nominatedRuns(func(string) bool { return true }) > 0
 }
 
 func (m *model) setTeams(t *rapid.T) {
@@ -153,7 +153,7 @@
 
 // reserve drops, resizes or adds windows.
 func (m *model) reserve(t *rapid.T) {
-	var kept []Reservation
+	var reserved []Reservation
 	for _, r := range m.reservations {
 		switch rapid.IntRange(0, 4).Draw(t, "fate") {
 		case 0:
@@ -161,22 +161,22 @@
 		case 1:
 			r.Slots = rapid.IntRange(0, 4).Draw(t, "slots")
 		}
-		kept = append(kept, r)
+		reserved = append(reserved, r)
 	}
-	if len(kept) < 3 {
+	if len(reserved) < 3 {
 		m.next++
 		start := m.now + record.Millis(rapid.IntRange(-3, 12).Draw(t, "start"))*1000
-		kept = append(kept, Reservation{
+		reserved = append(reserved, Reservation{
 			ID: fmt.Sprint("window", m.next), Queue: rapid.SampledFrom([]string{"q1", "q2"}).Draw(t, "queue"),
 			Start: start, End: max(start, m.now) + record.Millis(rapid.IntRange(1, 30).Draw(t, "length"))*1000,
-			Slots:   rapid.IntRange(1, 4).Draw(t, "slots"),
-			Slice:   api.Resources{CPUMillis: rapid.Int64Range(1, 6).Draw(t, "cpu"), MemoryMB: rapid.Int64Range(1, 6).Draw(t, "memory")},
-			Service: rapid.SampledFrom([]string{"s", "s", "x"}).Draw(t, "service"),
-			Labels:  rapid.SampledFrom([]map[string]string{nil, nil, {"k": "1"}}).Draw(t, "labels"),
+			Slots:    rapid.IntRange(1, 4).Draw(t, "slots"),
+			SlotSize: api.Resources{CPUMillis: rapid.Int64Range(1, 6).Draw(t, "cpu"), MemoryMB: rapid.Int64Range(1, 6).Draw(t, "memory")},
+			Service:  rapid.SampledFrom([]string{"s", "s", "x"}).Draw(t, "service"),
+			Labels:   rapid.SampledFrom([]map[string]string{nil, nil, {"k": "1"}}).Draw(t, "labels"),
 		})
 	}
-	m.reservations = kept
-	m.both(func(e *Engine) { e.SetReservations(kept) })
+	m.reservations = reserved
+	m.both(func(e *Engine) { e.SetReservations(reserved) })
 }
 
 // obey releases the runs that were asked to stop; they wait again.
@@ -184,7 +184,7 @@
 	for _, id := range slices.SortedFunc(maps.Keys(m.named), compareTask) {
 		task := m.open[id].task
 		task.Preemptions++
-		task.Group, task.GroupSize = "", 0
+		task.Gang, task.GangSize = "", 0
 		delete(m.open, id)
 		m.tasks[id], m.waiting[id] = task, task
 		m.both(func(e *Engine) {
@@ -211,9 +211,9 @@
 		if !waits || !m.isNominated(p.Beneficiary) {
 			t.Fatalf("%v: beneficiary waits %v", p, waits)
 		}
-		unit := m.engine.waiting[p.Beneficiary].unit
-		at := slices.IndexFunc(unit.members, func(w *waiting) bool { return w.ID == p.Beneficiary })
-		if !unit.runs[at].booked && victim.task.Priority >= beneficiary.Priority {
+		nomination := m.engine.waiting[p.Beneficiary].nomination
+		at := slices.IndexFunc(nomination.members, func(w *waiting) bool { return w.ID == p.Beneficiary })
+		if !nomination.runs[at].inReservation && victim.task.Priority >= beneficiary.Priority {
 			t.Fatalf("%v: priority %d for %d", p, victim.task.Priority, beneficiary.Priority)
 		}
 		m.checkQuota(t, beneficiary)
@@ -223,25 +223,25 @@
 // checkQuota checks that a task was not promised room beyond its limits.
 func (m *model) checkQuota(t *rapid.T, task Task) {
 	rule := m.queues[task.Queue]
-	promised := m.promised(func(queue string) bool { return queue == task.Queue })
+	promised := m.nominatedRuns(func(queue string) bool { return queue == task.Queue })
 	if rule.MaxRunning > 0 && m.running(task.Queue)+promised > rule.MaxRunning {
 		t.Fatalf("%v: preempted beyond the quota of its queue", task)
 	}
 	limit := m.teams[rule.Team]
-	promised = m.promised(func(queue string) bool { return m.queues[queue].Team == rule.Team })
+	promised = m.nominatedRuns(func(queue string) bool { return m.queues[queue].Team == rule.Team })
 	if rule.Team != "" && limit > 0 && m.teamRunning(rule.Team)+promised > limit {
 		t.Fatalf("%v: preempted beyond the quota of its team", task)
 	}
 }
 
-// checkSlices checks that slices are where they may be, that what runs in them
+// checkReservedSlots checks that slices are where they may be, that what runs in them
 // is booked, and that there is room for those not in use.
-func (m *model) checkSlices(t *rapid.T) {
+func (m *model) checkReservedSlots(t *rapid.T) {
 	placed, used := map[string]int{}, map[string]int{}
-	if got, want := fmt.Sprint(m.engine.Slices()), fmt.Sprint(m.twin.Slices()); got != want {
+	if got, want := fmt.Sprint(m.engine.ReservedSlots()), fmt.Sprint(m.twin.ReservedSlots()); got != want {
 		t.Fatalf("same calls, other slices:\n%v\n%v", got, want)
 	}
-	for _, s := range m.engine.Slices() {
+	for _, s := range m.engine.ReservedSlots() {
 		r, w := m.reservation(s.Reservation), m.workers[s.WorkerID]
 		placed[r.ID] += s.Slots
 		used[r.ID+s.WorkerID] = s.Used
@@ -250,19 +250,19 @@
 		}
 	}
 	for id, p := range m.open {
-		if !m.inSlice(id) {
+		if !m.inReservedSlot(id) {
 			continue
 		}
-		r := m.engine.runs[id].slice.reservation.Reservation
+		r := m.engine.runs[id].slot.reservation.Reservation
 		used[r.ID+p.worker]--
-		if p.task.Queue != r.Queue || r.Start > p.started || !p.task.Spec.Resources.Fits(r.Slice) {
+		if p.task.Queue != r.Queue || r.Start > p.started || !p.task.Spec.Resources.Fits(r.SlotSize) {
 			t.Fatalf("%v in a slice of %v", p, r)
 		}
 	}
-	for _, u := range m.engine.units {
+	for _, u := range m.engine.nominations {
 		for _, r := range u.runs {
-			if r.slice != nil {
-				used[r.slice.reservation.ID+r.worker.ID]--
+			if r.slot != nil {
+				used[r.slot.reservation.ID+r.worker.ID]--
 			}
 		}
 	}
@@ -271,7 +271,7 @@
 			t.Fatalf("%s: %d slices in use without a run", where, count)
 		}
 	}
-	for _, s := range m.engine.Slices() {
+	for _, s := range m.engine.ReservedSlots() {
 		r := m.reservation(s.Reservation)
 		for _, start := range m.starts(s.WorkerID) {
 			slack := m.slack(m.workers[s.WorkerID], start, record.TaskID{})
@@ -287,13 +287,13 @@
 	for id, w := range m.engine.workers.byID {
 		fresh := worker{Worker: w.Worker, known: true}
 		for r := range w.runs {
-			fresh.account(r, taken)
+			fresh.account(r, allocated)
 		}
-		got, want := fmt.Sprint(w.used, w.stopping, w.nominated, w.preemptible, w.endless), fmt.Sprint(fresh.used, fresh.stopping, fresh.nominated, fresh.preemptible, fresh.endless)
+		got, want := fmt.Sprint(w.used, w.stopping, w.nominated, w.preemptible, w.longRunning), fmt.Sprint(fresh.used, fresh.stopping, fresh.nominated, fresh.preemptible, fresh.longRunning)
 		if got != want {
 			t.Fatalf("%s has sums %s, expected %s", id, got, want)
 		}
-		for _, p := range w.points {
+		for _, p := range w.profile {
 			if slack := w.slackAt(p.at); slack != p.slack {
 				t.Fatalf("%s has slack %v at %d, expected %v", id, p.slack, p.at, slack)
 			}
--- a/internal/placement/property_lastroom_test.go
+++ b/internal/placement/property_lastroom_test.go
@@ -12,25 +12,25 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// lastRoomModel holds the engine against one rule: once passes place nothing more,
+// longRunningModel holds the engine against one rule: once passes place nothing more,
 // no task or group that runs until cancelled waits while workers that take work have
 // places for it. Quotas, bookings and preemption are left out: what these keep from
 // a task is the exception. Members of one group are alike.
-type lastRoomModel struct {
+type longRunningModel struct {
 	engine  *Engine
 	workers map[string]Worker
-	steps   []lastRoomStep
+	steps   []longRunningStep
 	open    map[record.TaskID]string
 	next    int
 }
 
-// lastRoomStep is a group, or tasks that stand alone.
-type lastRoomStep struct {
+// longRunningStep is a group, or tasks that stand alone.
+type longRunningStep struct {
 	tasks []Task
 	group bool
 }
 
-func (m *lastRoomModel) setWorker(t *rapid.T) {
+func (m *longRunningModel) setWorker(t *rapid.T) {
 	number := rapid.IntRange(0, 4).Draw(t, "worker")
 	w := Worker{
 		ID: fmt.Sprint("id", number), Name: fmt.Sprint("w", number),
@@ -38,14 +38,14 @@
 		Services:  []string{"s"},
 		Labels:    rapid.SampledFrom([]map[string]string{nil, {"k": "1"}}).Draw(t, "labels"),
 		Usable:    rapid.IntRange(0, 4).Draw(t, "usable") > 0,
-		HeldBack:  rapid.IntRange(0, 2).Draw(t, "held back") == 0,
+		Suspect:   rapid.IntRange(0, 2).Draw(t, "held back") == 0,
 		Probation: rapid.IntRange(0, 2).Draw(t, "probation") == 0,
 	}
 	m.workers[w.ID] = w
 	m.engine.SetWorker(w)
 }
 
-func (m *lastRoomModel) removeWorker(t *rapid.T) {
+func (m *longRunningModel) removeWorker(t *rapid.T) {
 	id := fmt.Sprint("id", rapid.IntRange(0, 4).Draw(t, "worker"))
 	delete(m.workers, id)
 	m.engine.RemoveWorker(id)
@@ -54,7 +54,7 @@
 }
 
 // addAgain lets tasks wait whose run has ended, those of a group once none of it runs.
-func (m *lastRoomModel) addAgain() {
+func (m *longRunningModel) addAgain() {
 	for _, step := range m.steps {
 		running := slices.ContainsFunc(step.tasks, func(task Task) bool { return m.open[task.ID] != "" })
 		for _, task := range step.tasks {
@@ -65,9 +65,9 @@
 	}
 }
 
-func (m *lastRoomModel) add(t *rapid.T) {
+func (m *longRunningModel) add(t *rapid.T) {
 	m.next++
-	step := lastRoomStep{group: rapid.Bool().Draw(t, "group")}
+	step := longRunningStep{group: rapid.Bool().Draw(t, "group")}
 	count, need := rapid.IntRange(1, 4).Draw(t, "count"), rapid.Int64Range(1, 8).Draw(t, "need")
 	untilCancelled := rapid.Bool().Draw(t, "until cancelled")
 	queue := rapid.SampledFrom([]string{"q", "low"}).Draw(t, "queue")
@@ -79,10 +79,10 @@
 	for i := range count {
 		task := testTask(fmt.Sprint("job", m.next), i, need)
 		task.Queue, task.Spec, task.UntilCancelled, task.Sequence = queue, spec, untilCancelled, uint64(m.next)
-		task.MayTry = !step.group && rapid.Bool().Draw(t, "may try")
+		task.AllowsProbation = !step.group && rapid.Bool().Draw(t, "may try")
 		task.Priority = rapid.IntRange(0, 1).Draw(t, "priority")
 		if step.group {
-			task.Group, task.GroupSize, task.Priority = task.ID.Job+"/a", count, 0
+			task.Gang, task.GangSize, task.Priority = task.ID.Job+"/a", count, 0
 		}
 		step.tasks = append(step.tasks, task)
 	}
@@ -91,7 +91,7 @@
 }
 
 // end closes a run, or those of a whole group.
-func (m *lastRoomModel) end(t *rapid.T) {
+func (m *longRunningModel) end(t *rapid.T) {
 	if len(m.steps) == 0 {
 		return
 	}
@@ -107,7 +107,7 @@
 }
 
 // remove takes a step out.
-func (m *lastRoomModel) remove(t *rapid.T) {
+func (m *longRunningModel) remove(t *rapid.T) {
 	if len(m.steps) == 0 {
 		return
 	}
@@ -120,11 +120,11 @@
 	m.steps = slices.Delete(m.steps, at, at+1)
 }
 
-func (m *lastRoomModel) setHeadroom(t *rapid.T) {
+func (m *longRunningModel) setHeadroom(t *rapid.T) {
 	m.engine.SetQueues([]QueueRule{{Name: "q", Weight: 1}, {Name: "low", Weight: 1, Headroom: rapid.IntRange(0, 60).Draw(t, "headroom")}})
 }
 
-func (m *lastRoomModel) plan(limit int) bool {
+func (m *longRunningModel) plan(limit int) bool {
 	decisions := m.engine.Plan(limit)
 	for _, d := range decisions {
 		m.open[d.Task] = d.WorkerID
@@ -133,13 +133,13 @@
 }
 
 // wait lets so many passes go by that groups gather room.
-func (m *lastRoomModel) wait(*rapid.T) {
-	for range gatherAfter + searchEvery {
+func (m *longRunningModel) wait(*rapid.T) {
+	for range gangDrainAfterPasses + gangDrainSearchInterval {
 		m.plan(100)
 	}
 }
 
-func (m *lastRoomModel) free(w Worker) int64 {
+func (m *longRunningModel) free(w Worker) int64 {
 	free := w.Capacity.CPUMillis
 	for _, step := range m.steps {
 		for _, task := range step.tasks {
@@ -152,7 +152,7 @@
 }
 
 // places counts the places of a step's tasks on workers that take work.
-func (m *lastRoomModel) places(step lastRoomStep) int {
+func (m *longRunningModel) fitCount(step longRunningStep) int {
 	spec, total := step.tasks[0].Spec, 0
 	for _, w := range m.workers {
 		if !w.Usable || !hasLabels(&w, spec.Labels) {
@@ -173,7 +173,7 @@
 	return total
 }
 
-func (m *lastRoomModel) check(t *rapid.T) {
+func (m *longRunningModel) check(t *rapid.T) {
 	// A group that has gathered all its room is placed in the pass after that.
 	for idle := 0; idle < 2; idle++ {
 		if m.plan(100) {
@@ -191,21 +191,21 @@
 		if step.group {
 			wanted = len(step.tasks)
 		}
-		if places := m.places(step); step.tasks[0].UntilCancelled && waiting >= wanted && places >= wanted {
+		if places := m.fitCount(step); step.tasks[0].UntilCancelled && waiting >= wanted && places >= wanted {
 			t.Fatalf("%d of %d tasks of %s wait, %d places: %s", waiting, len(step.tasks),
 				step.tasks[0].ID.Job, places, m.engine.Reason(step.tasks[0].ID))
 		}
 	}
 	for id, w := range m.workers {
-		if got, want := m.engine.workers.byID[id].physical().CPUMillis, m.free(w); got != want {
+		if got, want := m.engine.workers.byID[id].freeNow().CPUMillis, m.free(w); got != want {
 			t.Fatalf("%s has %d free, expected %d", id, got, want)
 		}
 	}
 }
 
-func TestNoEndlessTaskWaitsWhileThereAreWorkersWithRoom(t *testing.T) {
+func TestLongRunning_NeverWaitsWhileAWorkerFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &lastRoomModel{
+		m := &longRunningModel{
 			engine: New(Config{Seed: 1}), workers: map[string]Worker{}, open: map[record.TaskID]string{},
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -224,11 +224,11 @@
 	})
 }
 
-func guarded(w Worker) bool { return w.Probation || w.HeldBack }
+func restricted(w Worker) bool { return w.Probation || w.Suspect }
 
 // admits applies the rule of probation and that of last room.
 func (m *model) admits(task Task, w Worker) bool {
-	if !guarded(w) || task.UntilCancelled {
+	if !restricted(w) || task.UntilCancelled {
 		return true
 	}
 	for id, p := range m.open {
@@ -236,16 +236,16 @@
 			return false
 		}
 	}
-	if task.MayTry && (!w.HeldBack || !m.crowded(task.Spec.Service)) {
+	if task.AllowsProbation && (!w.Suspect || !m.isHighlyUtilized(task.Spec.Service)) {
 		return true
 	}
-	return m.hasNoOther(task)
+	return m.hasOnlyRestricted(task)
 }
 
-// hasNoOther reports whether only guarded workers could hold the task.
-func (m *model) hasNoOther(task Task) bool {
+// hasOnlyRestricted reports whether only guarded workers could hold the task.
+func (m *model) hasOnlyRestricted(task Task) bool {
 	for _, other := range m.workers {
-		if other.Usable && !guarded(other) && offersService(&other, task.Spec.Service) &&
+		if other.Usable && !restricted(other) && offersService(&other, task.Spec.Service) &&
 			hasLabels(&other, task.Spec.Labels) && task.Spec.Resources.Fits(other.Capacity) {
 			return false
 		}
@@ -254,7 +254,7 @@
 }
 
 // crowded applies the rule for services that are short of room, from scratch.
-func (m *model) crowded(service string) bool {
+func (m *model) isHighlyUtilized(service string) bool {
 	var capacity, used api.Resources
 	for id, w := range m.workers {
 		if offersService(&w, service) {
@@ -262,20 +262,20 @@
 		}
 	}
 	isShort := func(used, capacity int64) bool {
-		return used > capacity*crowdedFrom/100 || capacity*crowdedFrom/100 == 0
+		return used > capacity*highUtilizationPercent/100 || capacity*highUtilizationPercent/100 == 0
 	}
 	return isShort(used.CPUMillis, capacity.CPUMillis) && isShort(used.MemoryMB, capacity.MemoryMB)
 }
 
-// checkLastRoom checks that a guarded worker was not taken while a trusted one had
+// checkLongRunning checks that a guarded worker was not taken while a trusted one had
 // room, but by a task that may try it; and that one held back was taken by no such
 // task either. Promised room may explain it.
-func (m *model) checkLastRoom(t *rapid.T, task Task, on Worker) {
-	if !guarded(on) || task.MayTry && !on.HeldBack || m.hasNoOther(task) || task.Group != "" {
+func (m *model) checkLongRunning(t *rapid.T, task Task, on Worker) {
+	if !restricted(on) || task.AllowsProbation && !on.Suspect || m.hasOnlyRestricted(task) || task.Gang != "" {
 		return
 	}
 	for _, other := range m.workers {
-		if !guarded(other) && m.accepts(task, other) && !m.isPromised(other.ID, task) {
+		if !restricted(other) && m.accepts(task, other) && !m.isNominatedOn(other.ID, task) {
 			t.Fatalf("%v is placed on %s though %s has room", task.ID, on.ID, other.ID)
 		}
 	}
--- a/internal/placement/property_test.go
+++ b/internal/placement/property_test.go
@@ -23,7 +23,7 @@
 	open    map[record.TaskID]placement
 	tasks   map[record.TaskID]Task
 	next    int
-	bookings
+	reservationModel
 }
 
 type placement struct {
@@ -83,7 +83,7 @@
 	if !m.admits(task, w) {
 		return false
 	}
-	if !m.inSlice(task.ID) && !m.leavesSlices(task, w) {
+	if !m.inReservedSlot(task.ID) && !m.fitsBesideReservedSlots(task, w) {
 		return false
 	}
 	if task.Spec.Spread == nil {
@@ -107,7 +107,7 @@
 		Services:  rapid.SampledFrom([][]string{{"s"}, {"s", "x"}, {"x"}}).Draw(t, "services"),
 		Labels:    rapid.SampledFrom([]map[string]string{nil, {"k": "1"}, {"k": "2"}}).Draw(t, "labels"),
 		Usable:    rapid.IntRange(0, 3).Draw(t, "usable") > 0,
-		HeldBack:  rapid.IntRange(0, 5).Draw(t, "held back") == 0,
+		Suspect:   rapid.IntRange(0, 5).Draw(t, "held back") == 0,
 		Probation: rapid.IntRange(0, 3).Draw(t, "probation") == 0,
 		Slow:      rapid.IntRange(0, 3).Draw(t, "slow") == 0,
 	}
@@ -144,14 +144,14 @@
 		}
 		task := Task{
 			ID: record.TaskID{Job: name, Step: "a", Index: i}, Queue: queue, Priority: priority,
-			Sequence: uint64(m.next), Spec: spec, UntilCancelled: untilCancelled, Wishes: &Wishes{
+			Sequence: uint64(m.next), Spec: spec, UntilCancelled: untilCancelled, Preferences: &Preferences{
 				Colocate: colocate, StepSize: rapid.SampledFrom([]int{0, count}).Draw(t, "size"),
-				MayTry: rapid.Bool().Draw(t, "may try"), Tries: rapid.Bool().Draw(t, "tries"),
+				AllowsProbation: rapid.Bool().Draw(t, "may try"), PrefersProbation: rapid.Bool().Draw(t, "tries"),
 				Avoid: rapid.SampledFrom([][]string{nil, nil, {"w1"}, {"w1", "w2"}}).Draw(t, "avoid"),
 			},
 		}
 		if together {
-			task.Group, task.GroupSize = name+"/a", count
+			task.Gang, task.GangSize = name+"/a", count
 		}
 		m.tasks[task.ID], m.waiting[task.ID] = task, task
 		m.both(func(e *Engine) { e.Add(task) })
@@ -192,7 +192,7 @@
 		return
 	}
 	if rapid.Bool().Draw(t, "alone") {
-		task.GroupSize = min(task.GroupSize, 1)
+		task.GangSize = min(task.GangSize, 1)
 	}
 	if _, held := m.open[task.ID]; !held {
 		m.tasks[task.ID], m.waiting[task.ID] = task, task
@@ -211,7 +211,7 @@
 		m.open[task.ID] = placement{task, worker, started}
 		task.StartedAt = started
 		delete(m.named, task.ID)
-		m.both(func(e *Engine) { e.Hold(task, worker) })
+		m.both(func(e *Engine) { e.AddRun(task, worker) })
 	}
 }
 
@@ -256,20 +256,20 @@
 	members := map[string]int{}
 	for _, d := range decisions {
 		task, waits := m.waiting[d.Task]
-		if !waits || d.Worker != m.workers[d.WorkerID].Name || d.Group != task.Group {
+		if !waits || d.Worker != m.workers[d.WorkerID].Name || d.Gang != task.Gang {
 			t.Fatalf("%v: waits %v, task %v", d, waits, task)
 		}
 		if !m.accepts(task, m.workers[d.WorkerID]) || !m.mayRun(task.Queue) {
 			t.Fatalf("%v breaks a rule", d)
 		}
-		m.checkLastRoom(t, task, m.workers[d.WorkerID])
+		m.checkLongRunning(t, task, m.workers[d.WorkerID])
 		delete(m.waiting, d.Task)
 		m.open[d.Task] = placement{task, d.WorkerID, m.now}
-		if task.GroupSize > 1 {
-			members[task.Group]++
+		if task.GangSize > 1 {
+			members[task.Gang]++
 		}
-		if members[task.Group] == task.GroupSize {
-			delete(members, task.Group)
+		if members[task.Gang] == task.GangSize {
+			delete(members, task.Gang)
 		}
 	}
 	if len(members) > 0 {
@@ -278,15 +278,15 @@
 	return len(decisions)
 }
 
-// setYields has queues yield, or no longer.
-func (m *model) setYields(t *rapid.T) {
-	yields := rapid.SampledFrom([][]Yield{
+// setDeferences has queues yield, or no longer.
+func (m *model) setDeferences(t *rapid.T) {
+	deferences := rapid.SampledFrom([][]Deference{
 		nil,
 		{{Queue: "q1", To: []string{"q2"}}},
 		{{Queue: "q2", To: []string{"q1"}}},
 		{{Queue: "q1", To: []string{"q2"}}, {Queue: "q2", To: []string{"q1"}}},
 	}).Draw(t, "yields")
-	m.both(func(e *Engine) { e.SetYields(yields) })
+	m.both(func(e *Engine) { e.SetDeferences(deferences) })
 }
 
 // planAll checks that nothing that could be placed alone still waits, once no queue
@@ -296,17 +296,17 @@
 	for m.plan(t, 1_000_000) > 0 {
 		continue
 	}
-	m.both(func(e *Engine) { e.SetYields(nil) })
+	m.both(func(e *Engine) { e.SetDeferences(nil) })
 	for m.plan(t, 1_000_000) > 0 {
 		continue
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(m.waiting), compareTask) {
 		task := m.waiting[id]
-		if (task.Group != "" && task.GroupSize > 1) || !m.mayRun(task.Queue) || m.isNominated(task.ID) {
+		if (task.Gang != "" && task.GangSize > 1) || !m.mayRun(task.Queue) || m.isNominated(task.ID) {
 			continue
 		}
 		for _, w := range m.workers {
-			if m.accepts(task, w) && !m.isPromised(w.ID, task) {
+			if m.accepts(task, w) && !m.isNominatedOn(w.ID, task) {
 				t.Fatalf("%v still waits but fits on %s: %s", task.ID, w.ID, m.engine.Reason(task.ID))
 			}
 		}
@@ -325,12 +325,12 @@
 		t.Fatalf("%d wait, expected %d", m.engine.Waiting(), len(m.waiting))
 	}
 	for id, w := range m.workers {
-		if got, want := m.engine.workers.byID[id].physical(), w.Capacity.Sub(m.used(id)); got != want {
+		if got, want := m.engine.workers.byID[id].freeNow(), w.Capacity.Sub(m.used(id)); got != want {
 			t.Fatalf("%s has %v free, expected %v", id, got, want)
 		}
 	}
 	m.checkSums(t)
-	m.checkSlices(t)
+	m.checkReservedSlots(t)
 	for id := range m.waiting {
 		if m.engine.Reason(id) == "" {
 			t.Fatalf("%v has no reason", id)
@@ -338,13 +338,13 @@
 	}
 }
 
-func TestEngineAgainstModel(t *testing.T) {
+func TestEngine_MatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
 			engine: New(Config{Seed: 1}), twin: New(Config{Seed: 1}),
 			workers: map[string]Worker{}, queues: map[string]QueueRule{},
 			waiting: map[record.TaskID]Task{}, open: map[record.TaskID]placement{}, tasks: map[record.TaskID]Task{},
-			bookings: newBookings(),
+			reservationModel: newReservationModel(),
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"":             m.check,
@@ -359,7 +359,7 @@
 			"removeWorker": m.removeWorker,
 			"setQueues":    m.setQueues,
 			"setTeams":     m.setTeams,
-			"setYields":    m.setYields,
+			"setYields":    m.setDeferences,
 			"setTime":      m.setTime,
 			"reserve":      m.reserve,
 			"obey":         m.obey,
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -16,62 +16,64 @@
 	// team is nil if the queue is of no team.
 	team *team
 	// booked is set while a window of the queue is kept.
-	booked bool
-	// yieldsTo are the queues that go first while this one has more than its share.
-	yieldsTo map[*queue]bool
+	hasReservation bool
+	// defersTo are the queues that go first while this one has more than its share.
+	defersTo map[*queue]bool
 	// groups are those parked until a run of the queue ends or its rule changes.
-	groups map[*lane]struct{}
+	awaitingGangs map[*subQueue]struct{}
 }
 
-// level holds all that waits with one priority.
-type level struct {
+// priorityLevel holds all that waits with one priority.
+type priorityLevel struct {
 	priority int
-	lines    []*line
+	queues   []*priorityQueue
 }
 
 // line holds all that waits in one queue with one priority.
-type line struct {
-	level *level
-	queue *queue
-	lanes map[*class]*lane
+type priorityQueue struct {
+	level     *priorityLevel
+	queue     *queue
+	subQueues map[*equivalenceClass]*subQueue
 	// groups counts the lanes of groups.
-	groups int
-	// ready holds the lanes to look at, lowest Sequence first.
-	ready indexheap.Heap[*lane]
+	gangCount int
+	// active holds the lanes to look at, lowest Sequence first.
+	active indexheap.Heap[*subQueue]
 }
 
 // lane holds the tasks of one class, or the members of one group, in a line.
-type lane struct {
-	line *line
-	// class is nil for a group, group is empty for a class.
-	class *class
-	group string
+type subQueue struct {
+	parent *priorityQueue
+	// equivalenceClass is nil for a group, group is empty for a class.
+	class *equivalenceClass
+	gang  string
 	tasks indexheap.Heap[*waiting]
 	// position is the index in line.ready; indexheap.None when it is not there.
 	position int
-	// listedLater is set while the lane is listed in Engine.preemptLater;
-	// preemptNow lets it try to preempt in this pass though its class is blocked.
-	listedLater, preemptNow bool
-	// groupState is used for groups only.
-	groupState
+	// inPreemptRetries is set while the lane is listed in Engine.preemptRetries;
+	// mayPreemptNow lets it try to preempt in this pass though its class is blocked.
+	inPreemptRetries, mayPreemptNow bool
+	// gangState is used for groups only.
+	gangState
 }
 
 // waiting is a task that waits.
 type waiting struct {
 	Task
-	class *class
+	class *equivalenceClass
 	// lane is nil while the task is nominated, unit otherwise.
-	lane *lane
-	unit *unit
+	subQueue   *subQueue
+	nomination *nomination
 	// position is the index in lane.tasks.
 	position int
 }
 
 // Before implements indexheap.Item: the lane with the first task first.
-func (l *lane) Before(other *lane) bool { return compareWaiting(l.tasks[0], other.tasks[0]) < 0 }
+func (l *subQueue) Before(other *subQueue) bool {
+	return compareWaiting(l.tasks[0], other.tasks[0]) < 0
+}
 
 // SetPosition implements indexheap.Item.
-func (l *lane) SetPosition(position int) { l.position = position }
+func (l *subQueue) SetPosition(position int) { l.position = position }
 
 // Before implements indexheap.Item: the first task first.
 func (w *waiting) Before(other *waiting) bool { return compareWaiting(w, other) < 0 }
@@ -80,7 +82,7 @@
 func (w *waiting) SetPosition(position int) { w.position = position }
 
 func newQueue(name string) *queue {
-	return &queue{rule: QueueRule{Name: name, Weight: 1}, groups: map[*lane]struct{}{}}
+	return &queue{rule: QueueRule{Name: name, Weight: 1}, awaitingGangs: map[*subQueue]struct{}{}}
 }
 
 // queue returns the queue of that name; one without a rule has weight 1 and
@@ -95,53 +97,53 @@
 }
 
 // wake makes groups that the limit held back ready to be looked at again.
-func (q *queue) wake() {
-	for l := range q.groups {
-		l.makeReady()
+func (q *queue) activateGangs() {
+	for l := range q.awaitingGangs {
+		l.activate()
 	}
 }
 
-// compareShare orders queues by running/weight.
-func compareShare(a, b *queue) int {
+// compareFairShare orders queues by running/weight.
+func compareFairShare(a, b *queue) int {
 	return cmp.Compare(a.running*b.rule.Weight, b.running*a.rule.Weight)
 }
 
 // line returns the line of a task and makes it if there is none.
-func (e *Engine) line(task *Task) *line {
-	lv := e.level(task.Priority)
+func (e *Engine) priorityQueue(task *Task) *priorityQueue {
+	lv := e.priorityLevel(task.Priority)
 	q := e.queue(task.Queue)
-	for _, l := range lv.lines {
+	for _, l := range lv.queues {
 		if l.queue == q {
 			return l
 		}
 	}
-	made := &line{level: lv, queue: q, lanes: map[*class]*lane{}}
-	lv.lines = append(lv.lines, made)
+	made := &priorityQueue{level: lv, queue: q, subQueues: map[*equivalenceClass]*subQueue{}}
+	lv.queues = append(lv.queues, made)
 	return made
 }
 
-// level returns the level of a priority and makes it if there is none.
-func (e *Engine) level(priority int) *level {
+// priorityLevel returns the level of a priority and makes it if there is none.
+func (e *Engine) priorityLevel(priority int) *priorityLevel {
 	at, found := slices.BinarySearchFunc(e.levels, priority, compareLevel)
 	if found {
 		return e.levels[at]
 	}
-	made := &level{priority: priority}
+	made := &priorityLevel{priority: priority}
 	e.levels = slices.Insert(e.levels, at, made)
 	return made
 }
 
 // compareLevel puts high priorities first.
-func compareLevel(l *level, priority int) int { return cmp.Compare(priority, l.priority) }
+func compareLevel(l *priorityLevel, priority int) int { return cmp.Compare(priority, l.priority) }
 
-// dropLineIfEmpty removes a line without lanes, and its level with the last.
-func (e *Engine) dropLineIfEmpty(l *line) {
-	if len(l.lanes) > 0 || l.groups > 0 {
+// dropPriorityQueueIfEmpty removes a line without lanes, and its level with the last.
+func (e *Engine) dropPriorityQueueIfEmpty(l *priorityQueue) {
+	if len(l.subQueues) > 0 || l.gangCount > 0 {
 		return
 	}
 	lv := l.level
-	lv.lines = slices.DeleteFunc(lv.lines, func(other *line) bool { return other == l })
-	if len(lv.lines) > 0 {
+	lv.queues = slices.DeleteFunc(lv.queues, func(other *priorityQueue) bool { return other == l })
+	if len(lv.queues) > 0 {
 		return
 	}
 	at, found := slices.BinarySearchFunc(e.levels, lv.priority, compareLevel)
@@ -151,64 +153,64 @@
 }
 
 // lane returns the lane of a class and makes it if there is none.
-func (l *line) lane(c *class) *lane {
-	if found, ok := l.lanes[c]; ok {
+func (l *priorityQueue) subQueue(c *equivalenceClass) *subQueue {
+	if found, ok := l.subQueues[c]; ok {
 		return found
 	}
-	made := &lane{line: l, class: c, position: indexheap.None}
-	l.lanes[c] = made
-	c.lanes[made] = struct{}{}
+	made := &subQueue{parent: l, class: c, position: indexheap.None}
+	l.subQueues[c] = made
+	c.subQueues[made] = struct{}{}
 	return made
 }
 
 // push adds a task to the lane.
-func (l *lane) push(w *waiting) {
-	w.lane = l
+func (l *subQueue) push(w *waiting) {
+	w.subQueue = l
 	heap.Push(&l.tasks, w)
 	l.countMember(w.class, 1)
-	l.reorder()
+	l.fixOrder()
 }
 
-// takeFromLane removes a task from the lane and drops the lane with its last task.
-func (e *Engine) takeFromLane(w *waiting) {
-	l := w.lane
+// dequeue removes a task from the lane and drops the lane with its last task.
+func (e *Engine) dequeue(w *waiting) {
+	l := w.subQueue
 	heap.Remove(&l.tasks, w.position)
 	l.countMember(w.class, -1)
 	if len(l.tasks) > 0 {
-		l.reorder()
+		l.fixOrder()
 		return
 	}
-	l.makeUnready()
+	l.deactivate()
 	if l.class == nil {
-		l.line.groups--
-		delete(e.groups, l.group)
+		l.parent.gangCount--
+		delete(e.gangs, l.gang)
 	} else {
-		delete(l.line.lanes, l.class)
-		delete(l.class.lanes, l)
+		delete(l.parent.subQueues, l.class)
+		delete(l.class.subQueues, l)
 	}
-	e.dropLineIfEmpty(l.line)
+	e.dropPriorityQueueIfEmpty(l.parent)
 }
 
-// reorder moves the lane to its place after its first task changed.
-func (l *lane) reorder() {
+// fixOrder moves the lane to its place after its first task changed.
+func (l *subQueue) fixOrder() {
 	if l.position != indexheap.None {
-		heap.Fix(&l.line.ready, l.position)
+		heap.Fix(&l.parent.active, l.position)
 	}
 }
 
-// makeReady lets the next pass look at the lane. An incomplete group stays.
-func (l *lane) makeReady() {
-	l.unpark()
+// activate lets the next pass look at the lane. An incomplete group stays.
+func (l *subQueue) activate() {
+	l.stopAwaiting()
 	if l.position == indexheap.None && l.complete() {
-		heap.Push(&l.line.ready, l)
+		heap.Push(&l.parent.active, l)
 	}
 }
 
-// makeUnready takes the lane out of what passes look at.
-func (l *lane) makeUnready() {
-	l.unpark()
+// deactivate takes the lane out of what passes look at.
+func (l *subQueue) deactivate() {
+	l.stopAwaiting()
 	if l.position != indexheap.None {
-		heap.Remove(&l.line.ready, l.position)
+		heap.Remove(&l.parent.active, l.position)
 	}
 }
 
--- a/internal/placement/reasons.go
+++ b/internal/placement/reasons.go
@@ -15,7 +15,7 @@
 	reasonNoUsableWorker = "no usable worker"
 	reasonTurn           = "waits for its turn"
 	reasonPreempting     = "waits for preempted runs to stop"
-	reasonGuarded        = "waits for a worker on which work does not fail"
+	reasonRestricted     = "waits for a worker on which work does not fail"
 )
 
 // Reason implements Planner. It is worked out from the state at the time of
@@ -25,13 +25,13 @@
 	if !ok {
 		return ""
 	}
-	if w.unit != nil {
+	if w.nomination != nil {
 		return reasonPreempting
 	}
-	if w.lane.class == nil {
-		return e.groupReason(w)
+	if w.subQueue.class == nil {
+		return e.gangReason(w)
 	}
-	if q := w.lane.line.queue; !q.mayRun(1) {
+	if q := w.subQueue.parent.queue; !q.canRun(1) {
 		return limitReason(q, 1)
 	}
 	return e.classReason(w)
@@ -52,12 +52,12 @@
 	return fmt.Sprintf("quota: %s %q has %d of its %d running tasks", kind, name, running, most)
 }
 
-func (e *Engine) groupReason(w *waiting) string {
-	l := w.lane
+func (e *Engine) gangReason(w *waiting) string {
+	l := w.subQueue
 	if !l.complete() {
 		return fmt.Sprintf("group has %d of %d members", len(l.tasks), l.size)
 	}
-	if q := l.line.queue; !q.mayRun(len(l.tasks)) {
+	if q := l.parent.queue; !q.canRun(len(l.tasks)) {
 		return fmt.Sprintf("%s, group needs %d", limitReason(q, len(l.tasks)), len(l.tasks))
 	}
 	if reason := e.eligibilityReason(w); reason != "" {
@@ -66,7 +66,7 @@
 	if !l.tried {
 		return reasonTurn
 	}
-	return fmt.Sprintf("group needs %d places, %d free now", len(l.tasks), l.free)
+	return fmt.Sprintf("group needs %d places, %d free now", len(l.tasks), l.freeMembers)
 }
 
 // classReason explains a task that is placed alone.
@@ -75,14 +75,14 @@
 		return reason
 	}
 	c := w.class
-	if e.roomySlice(c) != nil {
+	if e.fullestFreeSlot(c) != nil {
 		return reasonTurn
 	}
 	var most api.Resources
-	var booked record.Millis
+	var reserved record.Millis
 	roomy, spreadable, guarded := false, false, true
 	for _, candidate := range c.pool.workers {
-		if c.fitsSomehow(candidate) {
+		if c.fitsOnAnyTerms(candidate) {
 			return reasonTurn
 		}
 		if !c.admits(candidate) {
@@ -91,16 +91,16 @@
 		guarded = false
 		most = largestOf(most, candidate.free)
 		roomy = roomy || fits(c.key.need, candidate.free)
-		if until := c.bookedUntil(candidate); until > 0 && (booked == 0 || until < booked) {
-			booked = until
+		if until := c.reservedUntil(candidate); until > 0 && (reserved == 0 || until < reserved) {
+			reserved = until
 		}
 		spreadable = spreadable || withinSpread(c.spread, &candidate.Worker)
 	}
 	if guarded {
-		return reasonGuarded
+		return reasonRestricted
 	}
-	if booked > 0 {
-		return fmt.Sprintf("no room until %s (booked)", booked.Time().Format("15:04"))
+	if reserved > 0 {
+		return fmt.Sprintf("no room until %s (booked)", reserved.Time().Format("15:04"))
 	}
 	if !spreadable || roomy {
 		return spreadReason(c.key.spreadBy, c.key.maxPerDomain, roomy && spreadable)
@@ -108,14 +108,14 @@
 	return "no room: " + shortage(c.key.need, most, "most free")
 }
 
-// bookedUntil is when the last window ends of the slices that alone keep the
+// reservedUntil is when the last window ends of the slices that alone keep the
 // class off a worker; 0 if something else does too.
-func (c *class) bookedUntil(w *worker) record.Millis {
+func (c *equivalenceClass) reservedUntil(w *worker) record.Millis {
 	if !fits(c.key.need, w.free) || !withinSpread(c.spread, &w.Worker) {
 		return 0
 	}
 	var until record.Millis
-	for _, s := range w.slices {
+	for _, s := range w.slots {
 		until = max(until, s.reservation.End)
 	}
 	return until
@@ -196,33 +196,33 @@
 	if len(workers) == 0 {
 		return "no worker"
 	}
-	left := keep(workers, func(w *Worker) bool { return offersService(w, spec.Service) })
+	left := filterWorkers(workers, func(w *Worker) bool { return offersService(w, spec.Service) })
 	if len(left) == 0 {
 		return fmt.Sprintf("no worker offers service %q", spec.Service)
 	}
-	left = keep(left, func(w *Worker) bool { return hasLabels(w, spec.Labels) })
+	left = filterWorkers(left, func(w *Worker) bool { return hasLabels(w, spec.Labels) })
 	if len(left) == 0 {
 		return "no worker with labels " + labelText(spec.Labels)
 	}
-	left = keepDomain(left, spec.Spread)
+	left = filterByDomain(left, spec.Spread)
 	if len(left) == 0 {
 		return noDomainReason(spec.Spread.By)
 	}
 	return ""
 }
 
-func keep(workers []Worker, wanted func(*Worker) bool) []Worker {
-	var kept []Worker
+func filterWorkers(workers []Worker, wanted func(*Worker) bool) []Worker {
+	var reserved []Worker
 	for i := range workers {
 		if wanted(&workers[i]) {
-			kept = append(kept, workers[i])
+			reserved = append(reserved, workers[i])
 		}
 	}
-	return kept
+	return reserved
 }
 
-func keepDomain(workers []Worker, spread *api.Spread) []Worker {
-	return keep(workers, func(w *Worker) bool { return hasDomain(w, spread) })
+func filterByDomain(workers []Worker, spread *api.Spread) []Worker {
+	return filterWorkers(workers, func(w *Worker) bool { return hasDomain(w, spread) })
 }
 
 // hasDomain tells whether the worker lies in a domain of the spread rule.
@@ -242,10 +242,10 @@
 	return strings.Join(parts, ", ")
 }
 
-// Possible implements Planner. It considers service, labels, the label of the
+// Feasible implements Planner. It considers service, labels, the label of the
 // spread domain and full capacity; Usable does not matter. It looks at the
 // arguments alone, and at no more workers than it takes to find one.
-func (e *Engine) Possible(spec *api.TaskSpec, workers []Worker) (bool, string) {
+func (e *Engine) Feasible(spec *api.TaskSpec, workers []Worker) (bool, string) {
 	for i := range workers {
 		if couldHold(spec, &workers[i]) {
 			return true, ""
@@ -267,7 +267,7 @@
 	if reason := mismatch(spec, workers); reason != "" {
 		return reason
 	}
-	matching := keepDomain(keep(workers, func(w *Worker) bool {
+	matching := filterByDomain(filterWorkers(workers, func(w *Worker) bool {
 		return offersService(w, spec.Service) && hasLabels(w, spec.Labels)
 	}), spec.Spread)
 	var most api.Resources
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -12,11 +12,11 @@
 type reservation struct {
 	Reservation
 	pool *pool
-	// sets are the slices by worker, in the order of workers' names.
-	sets []*sliceSet
+	// slots are the slices by worker, in the order of workers' names.
+	slots []*slotSet
 	// placed counts slices that have a worker.
 	placed int
-	// searched is set once all workers were looked at: from then on only those
+	// searchedClasses is set once all workers were looked at: from then on only those
 	// that changed can have room for a pending slice.
 	searched bool
 }
@@ -27,9 +27,9 @@
 // pending is the number of slices without a worker.
 func (r *reservation) pending() int { return r.Slots - r.placed }
 
-// sameSlices reports whether slices of one reservation serve the other.
-func (r *reservation) sameSlices(other *Reservation) bool {
-	return r.Queue == other.Queue && r.Start == other.Start && r.End == other.End && r.Slice == other.Slice &&
+// sameSlots reports whether slices of one reservation serve the other.
+func (r *reservation) sameSlots(other *Reservation) bool {
+	return r.Queue == other.Queue && r.Start == other.Start && r.End == other.End && r.SlotSize == other.SlotSize &&
 		r.Service == other.Service && maps.Equal(r.Labels, other.Labels)
 }
 
@@ -53,11 +53,11 @@
 			e.dropReservation(r)
 		case before < r.Start && r.Start <= now:
 			r.searched = false
-			r.wakeWorkers(&e.workers)
+			r.recordWorkersChanged(&e.workers)
 		}
 	}
 	if len(e.reservations) != known {
-		e.rebook()
+		e.refreshReservations()
 	}
 }
 
@@ -72,7 +72,7 @@
 	changed := false
 	for _, r := range slices.Clone(e.reservations) {
 		to, stays := wanted[r.ID]
-		if !stays || !r.sameSlices(to) {
+		if !stays || !r.sameSlots(to) {
 			e.dropReservation(r)
 			changed = true
 			continue
@@ -87,13 +87,13 @@
 		return
 	}
 	slices.SortFunc(e.reservations, compareReservation)
-	e.rebook()
+	e.refreshReservations()
 }
 
 func (e *Engine) addReservation(added *Reservation) {
 	r := &reservation{Reservation: *added}
 	r.Labels = maps.Clone(added.Labels)
-	r.pool = e.workers.acquire(selector{service: r.Service, labels: canonicalLabels(r.Labels), firm: true}, r.Labels)
+	r.pool = e.workers.acquire(selector{service: r.Service, labels: canonicalLabels(r.Labels), byUnreserved: true}, r.Labels)
 	e.reservations = append(e.reservations, r)
 }
 
@@ -101,8 +101,8 @@
 // as ordinary runs.
 func (e *Engine) dropReservation(r *reservation) {
 	e.reservations = slices.DeleteFunc(e.reservations, func(other *reservation) bool { return other == r })
-	for _, s := range slices.Clone(r.sets) {
-		e.dropSlices(s, s.slots)
+	for _, s := range slices.Clone(r.slots) {
+		e.dropSlots(s, s.slots)
 	}
 	e.workers.release(r.pool)
 }
@@ -111,7 +111,7 @@
 func (e *Engine) resize(r *reservation, slots int) {
 	r.Slots = slots
 	for _, inUse := range []bool{false, true} {
-		for _, s := range slices.Clone(r.sets) {
+		for _, s := range slices.Clone(r.slots) {
 			if r.pending() >= 0 {
 				return
 			}
@@ -119,44 +119,44 @@
 			if !inUse {
 				dropped = min(dropped, s.slots-s.used)
 			}
-			e.dropSlices(s, dropped)
+			e.dropSlots(s, dropped)
 		}
 	}
 }
 
-// wakeWorkers lets what waits look again at the workers with slices.
-func (r *reservation) wakeWorkers(index *workerIndex) {
-	for _, s := range r.sets {
-		index.markChanged(s.worker)
+// recordWorkersChanged lets what waits look again at the workers with slices.
+func (r *reservation) recordWorkersChanged(index *workerIndex) {
+	for _, s := range r.slots {
+		index.addChanged(s.worker)
 	}
 }
 
-// rebook sorts the waiting tasks of queues anew that got their first window or
+// refreshReservations sorts the waiting tasks of queues anew that got their first window or
 // lost their last, and tells classes the reservations that they may use.
-func (e *Engine) rebook() {
-	booked := map[string]bool{}
+func (e *Engine) refreshReservations() {
+	reserved := map[string]bool{}
 	for _, r := range e.reservations {
-		booked[r.Queue] = true
+		reserved[r.Queue] = true
 	}
 	moved := map[string]bool{}
 	for _, q := range e.queues {
-		if q.booked != booked[q.rule.Name] {
+		if q.hasReservation != reserved[q.rule.Name] {
 			moved[q.rule.Name] = true
 		}
 	}
-	for name := range booked {
-		if !e.queue(name).booked {
+	for name := range reserved {
+		if !e.queue(name).hasReservation {
 			moved[name] = true
 		}
 	}
 	for name := range moved {
-		e.queue(name).booked = booked[name]
+		e.queue(name).hasReservation = reserved[name]
 	}
 	if len(moved) > 0 {
 		e.reclassify(func(task *Task) bool { return moved[task.Queue] })
 	}
 	for _, c := range e.classes {
-		c.bookings = e.bookingsOf(c)
+		c.reservations = e.reservationsOf(c)
 	}
 }
 
@@ -177,15 +177,15 @@
 	}
 }
 
-// bookingsOf returns the reservations whose slices tasks of the class may use.
-func (e *Engine) bookingsOf(c *class) []*reservation {
+// reservationsOf returns the reservations whose slices tasks of the class may use.
+func (e *Engine) reservationsOf(c *equivalenceClass) []*reservation {
 	if c.key.queue == "" {
 		return nil
 	}
 	var bookings []*reservation
 	for _, r := range e.reservations {
 		sameService := r.Service == "" || r.Service == c.key.selector.service
-		if r.Queue == c.key.queue && sameService && c.key.need.Fits(r.Slice) {
+		if r.Queue == c.key.queue && sameService && c.key.need.Fits(r.SlotSize) {
 			bookings = append(bookings, r)
 		}
 	}
