--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -11,8 +11,8 @@
 // forever is the end of a run that has no bound.
 const forever = record.Millis(1<<63 - 1)
 
-// point is a moment at which the windows of slices on a worker start.
-type point struct {
+// profilePoint is a moment at which the windows of slices on a worker start.
+type profilePoint struct {
 	at record.Millis
 	// slack is the capacity less the slices whose windows are open at that
 	// moment, and less the runs that may still be there then and cannot be made
@@ -20,61 +20,61 @@
 	slack api.Resources
 }
 
-// sign tells whether room is taken or given back.
-type sign bool
+// allocationChange tells whether room is taken or given back.
+type allocationChange bool
 
 const (
-	taken     sign = true
-	givenBack sign = false
+	allocated   allocationChange = true
+	deallocated allocationChange = false
 )
 
-// plus adds the amount if it is taken, and subtracts it if given back.
-func (s sign) plus(sum, amount api.Resources) api.Resources {
-	if s == taken {
+// apply adds the amount if it is taken, and subtracts it if given back.
+func (s allocationChange) apply(sum, amount api.Resources) api.Resources {
+	if s == allocated {
 		return sum.Add(amount)
 	}
 	return sum.Sub(amount)
 }
 
-// physical is what open runs leave.
-func (w *worker) physical() api.Resources { return w.Capacity.Sub(w.used) }
+// freeNow is what open runs leave.
+func (w *worker) freeNow() api.Resources { return w.Capacity.Sub(w.used) }
 
-// coming is what will be left when the stopping runs have left and the
+// freeOnceStopped is what will be left when the stopping runs have left and the
 // nominated ones have come.
-func (w *worker) coming() api.Resources {
-	return w.physical().Add(w.stopping).Sub(w.nominated)
+func (w *worker) freeOnceStopped() api.Resources {
+	return w.freeNow().Add(w.stopping).Sub(w.nominated)
 }
 
 // account adds a run to the sums of its worker, or takes it off.
-func (w *worker) account(r *run, change sign) {
+func (w *worker) account(r *run, change allocationChange) {
 	if r.nominated {
-		w.nominated = change.plus(w.nominated, r.need)
+		w.nominated = change.apply(w.nominated, r.need)
 	} else {
-		w.used = change.plus(w.used, r.need)
+		w.used = change.apply(w.used, r.need)
 	}
 	if r.stopping {
-		w.stopping = change.plus(w.stopping, r.need)
+		w.stopping = change.apply(w.stopping, r.need)
 	}
 	if r.untilCancelled && !r.preemptible && !r.nominated && !r.stopping {
-		w.endless = change.plus(w.endless, r.need)
+		w.longRunning = change.apply(w.longRunning, r.need)
 	}
 	if r.mayBeVictim() {
-		w.preemptible = change.plus(w.preemptible, r.need)
+		w.preemptible = change.apply(w.preemptible, r.need)
 	}
-	for i := range w.points {
-		if p := &w.points[i]; r.staysAt(p.at) {
-			p.slack = (!change).plus(p.slack, r.need)
+	for i := range w.profile {
+		if p := &w.profile[i]; r.occupiesAt(p.at) {
+			p.slack = (!change).apply(p.slack, r.need)
 		}
 	}
 }
 
-// staysAt reports whether the run takes room outside of slices at that moment
+// occupiesAt reports whether the run takes room outside of slices at that moment
 // and cannot be made to leave.
-func (r *run) staysAt(moment record.Millis) bool {
+func (r *run) occupiesAt(moment record.Millis) bool {
 	if r.preemptible {
 		return false
 	}
-	if r.slice != nil && r.slice.reservation.openAt(moment) {
+	if r.slot != nil && r.slot.reservation.openAt(moment) {
 		return false
 	}
 	return r.end > moment
@@ -83,7 +83,7 @@
 // mayBeVictim reports whether the run may be preempted. Those in slices are
 // not: their room is not for others.
 func (r *run) mayBeVictim() bool {
-	return r.preemptible && !r.stopping && !r.nominated && r.slice == nil
+	return r.preemptible && !r.stopping && !r.nominated && r.slot == nil
 }
 
 // endOf is the latest end of a run that starts at that moment.
@@ -94,29 +94,29 @@
 	return start + record.MillisOf(spec.MaxDuration.Std())
 }
 
-// rebuildPoints works the points out from the worker's slices and runs.
-func (w *worker) rebuildPoints() {
-	w.points = w.points[:0]
-	for _, s := range w.slices {
-		w.points = append(w.points, point{at: s.reservation.Start})
+// rebuildProfile works the points out from the worker's slices and runs.
+func (w *worker) rebuildProfile() {
+	w.profile = w.profile[:0]
+	for _, s := range w.slots {
+		w.profile = append(w.profile, profilePoint{at: s.reservation.Start})
 	}
-	slices.SortFunc(w.points, func(a, b point) int { return cmp.Compare(a.at, b.at) })
-	w.points = slices.CompactFunc(w.points, func(a, b point) bool { return a.at == b.at })
-	for i := range w.points {
-		w.points[i].slack = w.slackAt(w.points[i].at)
+	slices.SortFunc(w.profile, func(a, b profilePoint) int { return cmp.Compare(a.at, b.at) })
+	w.profile = slices.CompactFunc(w.profile, func(a, b profilePoint) bool { return a.at == b.at })
+	for i := range w.profile {
+		w.profile[i].slack = w.slackAt(w.profile[i].at)
 	}
 }
 
 // slackAt is point.slack at any moment.
 func (w *worker) slackAt(moment record.Millis) api.Resources {
 	slack := w.Capacity
-	for _, s := range w.slices {
+	for _, s := range w.slots {
 		if s.reservation.openAt(moment) {
-			slack = slack.Sub(times(s.reservation.Slice, s.slots))
+			slack = slack.Sub(times(s.reservation.SlotSize, s.slots))
 		}
 	}
 	for r := range w.runs {
-		if r.staysAt(moment) {
+		if r.occupiesAt(moment) {
 			slack = slack.Sub(r.need)
 		}
 	}
@@ -126,18 +126,18 @@
 // slackDuring is the least slack while the reservation's window is open, with
 // what one run takes, if it is not nil.
 func (w *worker) slackDuring(r *reservation, without *run) api.Resources {
-	slack := without.addTo(w.slackAt(r.Start), r.Start)
-	for _, p := range w.points {
+	slack := without.addNeedAt(w.slackAt(r.Start), r.Start)
+	for _, p := range w.profile {
 		if r.openAt(p.at) {
-			slack = smallestOf(slack, without.addTo(p.slack, p.at))
+			slack = smallestOf(slack, without.addNeedAt(p.slack, p.at))
 		}
 	}
 	return slack
 }
 
-// addTo adds to the slack at a moment what the run takes then.
-func (r *run) addTo(slack api.Resources, moment record.Millis) api.Resources {
-	if r == nil || !r.staysAt(moment) {
+// addNeedAt adds to the slack at a moment what the run takes then.
+func (r *run) addNeedAt(slack api.Resources, moment record.Millis) api.Resources {
+	if r == nil || !r.occupiesAt(moment) {
 		return slack
 	}
 	return slack.Add(r.need)
@@ -145,15 +145,15 @@
 
 // slackUntil is the least slack before a moment.
 func (w *worker) slackUntil(end record.Millis) (slack api.Resources, bound bool) {
-	for i := range w.points {
-		if w.points[i].at >= end {
+	for i := range w.profile {
+		if w.profile[i].at >= end {
 			break
 		}
 		if !bound {
-			slack, bound = w.points[i].slack, true
+			slack, bound = w.profile[i].slack, true
 			continue
 		}
-		slack = smallestOf(slack, w.points[i].slack)
+		slack = smallestOf(slack, w.profile[i].slack)
 	}
 	return slack, bound
 }
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -11,13 +11,13 @@
 //
 // It never falls when a dimension grows, so a worker with less room than
 // roomOf(need) cannot hold need.
-func roomOf(free, largest api.Resources) float64 {
-	return part(free.CPUMillis, largest.CPUMillis) +
-		part(free.MemoryMB, largest.MemoryMB) +
-		part(free.Accelerators, largest.Accelerators)
+func normalizedSize(free, largest api.Resources) float64 {
+	return fraction(free.CPUMillis, largest.CPUMillis) +
+		fraction(free.MemoryMB, largest.MemoryMB) +
+		fraction(free.Accelerators, largest.Accelerators)
 }
 
-func part(amount, whole int64) float64 {
+func fraction(amount, whole int64) float64 {
 	if whole <= 0 {
 		return 0
 	}
@@ -28,15 +28,15 @@
 // by name. What a task takes is the same on every worker, so the order by room
 // before placing is the order by room left after it.
 func compareFullest(a, b *worker) int {
-	if byRoom := cmp.Compare(a.room, b.room); byRoom != 0 {
+	if byRoom := cmp.Compare(a.freeSize, b.freeSize); byRoom != 0 {
 		return byRoom
 	}
 	return compareName(a, b)
 }
 
-// compareFirmest is compareFullest by the room outside of slices.
-func compareFirmest(a, b *worker) int {
-	if byRoom := cmp.Compare(a.firmRoom, b.firmRoom); byRoom != 0 {
+// compareLeastUnreserved is compareFullest by the room outside of slices.
+func compareLeastUnreserved(a, b *worker) int {
+	if byRoom := cmp.Compare(a.unreservedSize, b.unreservedSize); byRoom != 0 {
 		return byRoom
 	}
 	return compareName(a, b)
--- a/internal/placement/slack_test.go
+++ b/internal/placement/slack_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestQueuesBySlackShareAsOne: queues "u1" and "u2" go by Sequence, whatever
+// TestQueues_BySlackShareAsOne: queues "u1" and "u2" go by Sequence, whatever
 // their weights; against "plain" their weights count together.
-func TestQueuesBySlackShareAsOne(t *testing.T) {
+func TestQueues_BySlackShareAsOne(t *testing.T) {
 	rules := func(u1, u2, plain int) []QueueRule {
 		return []QueueRule{
 			{Name: "u1", Weight: u1, BySlack: true}, {Name: "u2", Weight: u2, BySlack: true}, {Name: "plain", Weight: plain},
--- a/internal/placement/slices.go
+++ b/internal/placement/slices.go
@@ -8,8 +8,8 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// sliceSet is the slices of one reservation on one worker.
-type sliceSet struct {
+// slotSet is the slices of one reservation on one worker.
+type slotSet struct {
 	reservation *reservation
 	worker      *worker
 	slots       int
@@ -17,12 +17,12 @@
 	used int
 }
 
-// Slices implements Booker, in the order of reservations and workers' names.
-func (e *Engine) Slices() []Slices {
-	var all []Slices
+// ReservedSlots implements Booker, in the order of reservations and workers' names.
+func (e *Engine) ReservedSlots() []ReservedSlots {
+	var all []ReservedSlots
 	for _, r := range e.reservations {
-		for _, s := range r.sets {
-			all = append(all, Slices{
+		for _, s := range r.slots {
+			all = append(all, ReservedSlots{
 				Reservation: r.ID, WorkerID: s.worker.ID, Worker: s.worker.Name,
 				Slots: s.slots, Used: s.used,
 			})
@@ -31,33 +31,33 @@
 	return all
 }
 
-// addSlice puts one slice of the reservation on a worker.
-func (e *Engine) addSlice(r *reservation, on *worker) *sliceSet {
-	at, found := slices.BinarySearchFunc(r.sets, on, func(s *sliceSet, w *worker) int { return compareName(s.worker, w) })
+// addSlot puts one slice of the reservation on a worker.
+func (e *Engine) addSlot(r *reservation, on *worker) *slotSet {
+	at, found := slices.BinarySearchFunc(r.slots, on, func(s *slotSet, w *worker) int { return compareName(s.worker, w) })
 	if !found {
-		r.sets = slices.Insert(r.sets, at, &sliceSet{reservation: r, worker: on})
+		r.slots = slices.Insert(r.slots, at, &slotSet{reservation: r, worker: on})
 	}
-	s := r.sets[at]
-	e.workers.reshape(on, func() {
+	s := r.slots[at]
+	e.workers.updateSlots(on, func() {
 		if !found {
-			on.slices = append(on.slices, s)
+			on.slots = append(on.slots, s)
 		}
 		s.slots++
 		r.placed++
 	})
-	e.workers.markChanged(on)
+	e.workers.addChanged(on)
 	return s
 }
 
-// dropSlices takes slices off a worker; they are pending from then on. Runs in
+// dropSlots takes slices off a worker; they are pending from then on. Runs in
 // slices that are gone go on as ordinary ones, nominations end.
-func (e *Engine) dropSlices(s *sliceSet, count int) {
+func (e *Engine) dropSlots(s *slotSet, count int) {
 	if count <= 0 {
 		return
 	}
 	left := s.slots - count
 	e.evict(s, s.used-left)
-	e.workers.reshape(s.worker, func() {
+	e.workers.updateSlots(s.worker, func() {
 		// Evicting may have made settle take some already.
 		s.reservation.placed -= max(s.slots-left, 0)
 		s.slots = min(s.slots, left)
@@ -66,44 +66,44 @@
 		}
 	})
 	s.reservation.searched = false
-	e.workers.markChanged(s.worker)
+	e.workers.addChanged(s.worker)
 }
 
-func (s *sliceSet) remove() {
-	isThis := func(other *sliceSet) bool { return other == s }
-	s.worker.slices = slices.DeleteFunc(s.worker.slices, isThis)
-	s.reservation.sets = slices.DeleteFunc(s.reservation.sets, isThis)
+func (s *slotSet) remove() {
+	isThis := func(other *slotSet) bool { return other == s }
+	s.worker.slots = slices.DeleteFunc(s.worker.slots, isThis)
+	s.reservation.slots = slices.DeleteFunc(s.reservation.slots, isThis)
 }
 
 // evict makes runs in slices ordinary runs, and cancels nominations for slices.
-func (e *Engine) evict(s *sliceSet, count int) {
-	for _, r := range s.worker.sortedRuns(func(r *run) bool { return r.slice == s }) {
+func (e *Engine) evict(s *slotSet, count int) {
+	for _, r := range s.worker.sortedRuns(func(r *run) bool { return r.slot == s }) {
 		if count <= 0 {
 			return
 		}
 		// A canceled unit may have had more runs here.
-		if r.slice != s {
+		if r.slot != s {
 			continue
 		}
 		before := s.used
 		if r.nominated {
-			e.takeBackPromise(e.waiting[r.task])
+			e.revokeNomination(e.waiting[r.task])
 		} else {
-			e.workers.reaccount(r, func() { r.leaveSlice() })
+			e.workers.updateRun(r, func() { r.leaveSlot() })
 		}
 		count -= before - s.used
 	}
 }
 
-func (r *run) enterSlice(s *sliceSet) {
-	r.slice = s
+func (r *run) enterSlot(s *slotSet) {
+	r.slot = s
 	s.used++
 }
 
-func (r *run) leaveSlice() {
-	if r.slice != nil {
-		r.slice.used--
-		r.slice = nil
+func (r *run) leaveSlot() {
+	if r.slot != nil {
+		r.slot.used--
+		r.slot = nil
 	}
 }
 
@@ -119,29 +119,29 @@
 	return runs
 }
 
-// settle takes slices off a worker that no longer has the room for them: those
+// dropUnsupportedSlots takes slices off a worker that no longer has the room for them: those
 // that are not in use, and of these the window that starts last first.
-func (e *Engine) settle(w *worker) {
-	for at := 0; at < len(w.points); {
-		if !isNegative(w.points[at].slack) {
+func (e *Engine) dropUnsupportedSlots(w *worker) {
+	for at := 0; at < len(w.profile); {
+		if !isNegative(w.profile[at].slack) {
 			at++
 			continue
 		}
-		unused := w.lastUnused(w.points[at].at)
+		unused := w.lastUnused(w.profile[at].at)
 		if unused == nil {
 			at++
 			continue
 		}
-		e.dropSlices(unused, 1)
+		e.dropSlots(unused, 1)
 		at = 0
 	}
 }
 
 // lastUnused returns a set with an unused slice that counts at that moment, the
 // window that starts last; nil if there is none.
-func (w *worker) lastUnused(moment record.Millis) *sliceSet {
-	var last *sliceSet
-	for _, s := range w.slices {
+func (w *worker) lastUnused(moment record.Millis) *slotSet {
+	var last *slotSet
+	for _, s := range w.slots {
 		if s.used == s.slots || !s.reservation.openAt(moment) {
 			continue
 		}
@@ -152,24 +152,24 @@
 	return last
 }
 
-func (e *Engine) dropAllSlices(w *worker) {
-	for _, s := range slices.Clone(w.slices) {
-		e.dropSlices(s, s.slots)
+func (e *Engine) dropAllSlots(w *worker) {
+	for _, s := range slices.Clone(w.slots) {
+		e.dropSlots(s, s.slots)
 	}
 }
 
-// dropSlicesOf takes off the slices that a worker does not serve any more.
-func (e *Engine) dropSlicesOf(w *worker) {
-	for _, s := range slices.Clone(w.slices) {
-		if !s.reservation.pool.matches(w) || w.HeldBack {
-			e.dropSlices(s, s.slots)
+// dropMismatchedSlots takes off the slices that a worker does not serve any more.
+func (e *Engine) dropMismatchedSlots(w *worker) {
+	for _, s := range slices.Clone(w.slots) {
+		if !s.reservation.pool.matches(w) || w.Suspect {
+			e.dropSlots(s, s.slots)
 		}
 	}
 }
 
-// assignSlices finds workers for pending slices. Only workers that changed are
+// assignSlots finds workers for pending slices. Only workers that changed are
 // looked at again.
-func (e *Engine) assignSlices(changed []*worker) {
+func (e *Engine) assignSlots(changed []*worker) {
 	for _, r := range e.reservations {
 		if r.pending() <= 0 {
 			continue
@@ -185,21 +185,21 @@
 
 // assign fills the best worker first, and looks at it again after each slice.
 func (e *Engine) assign(r *reservation, candidates []*worker) {
-	var open siteHeap
+	var open slotCandidateHeap
 	for _, w := range slices.Clone(candidates) {
-		if !r.pool.matches(w) || !r.Slice.Fits(w.Capacity) {
+		if !r.pool.matches(w) || !r.SlotSize.Fits(w.Capacity) {
 			continue
 		}
 		e.adopt(r, w)
-		if s, ok := e.siteOn(r, w); ok {
+		if s, ok := e.slotCandidateOn(r, w); ok {
 			open = append(open, s)
 		}
 	}
 	heap.Init(&open)
 	for r.pending() > 0 && len(open) > 0 {
 		best := open[0].worker
-		e.addSlice(r, best)
-		if s, ok := e.siteOn(r, best); ok {
+		e.addSlot(r, best)
+		if s, ok := e.slotCandidateOn(r, best); ok {
 			open[0] = s
 			heap.Fix(&open, 0)
 			continue
@@ -216,60 +216,60 @@
 	}
 	mayFill := func(o *run) bool {
 		sameService := r.Service == "" || r.Service == o.service
-		return o.queue.rule.Name == r.Queue && o.slice == nil && !o.nominated && !o.stopping &&
-			o.started >= r.Start && sameService && o.need.Fits(r.Slice)
+		return o.queue.rule.Name == r.Queue && o.slot == nil && !o.nominated && !o.stopping &&
+			o.started >= r.Start && sameService && o.need.Fits(r.SlotSize)
 	}
 	for _, o := range w.sortedRuns(mayFill) {
 		if r.pending() <= 0 {
 			return
 		}
-		if !fits(r.Slice, w.slackDuring(r, o)) {
+		if !fits(r.SlotSize, w.slackDuring(r, o)) {
 			return
 		}
-		s := e.addSlice(r, w)
-		e.workers.reaccount(o, func() { o.enterSlice(s) })
+		s := e.addSlot(r, w)
+		e.workers.updateRun(o, func() { o.enterSlot(s) })
 	}
 }
 
-// site is a worker that has room for one more slice.
-type site struct {
+// slotCandidate is a worker that has room for one more slice.
+type slotCandidate struct {
 	worker *worker
 	// preempted is the room of preemptible runs that the slice needs.
 	preempted float64
-	// room is what the worker has at the window's start.
+	// freeSize is what the worker has at the window's start.
 	room float64
 }
 
-func (e *Engine) siteOn(r *reservation, w *worker) (site, bool) {
+func (e *Engine) slotCandidateOn(r *reservation, w *worker) (slotCandidate, bool) {
 	slack := w.slackDuring(r, nil)
-	if !fits(r.Slice, slack) || w.guarded {
-		return site{}, false
+	if !fits(r.SlotSize, slack) || w.restricted {
+		return slotCandidate{}, false
 	}
-	return site{
+	return slotCandidate{
 		worker:    w,
-		preempted: roomOf(lacking(r.Slice, slack.Sub(w.preemptible)), e.workers.largest),
-		room:      roomOf(slack, e.workers.largest),
+		preempted: normalizedSize(lacking(r.SlotSize, slack.Sub(w.preemptible)), e.workers.largest),
+		room:      normalizedSize(slack, e.workers.largest),
 	}, true
 }
 
-// siteHeap implements heap.Interface: least preempted first, then the fullest.
-type siteHeap []site
+// slotCandidateHeap implements heap.Interface: least preempted first, then the fullest.
+type slotCandidateHeap []slotCandidate
 
-func (h siteHeap) Len() int { return len(h) }
-func (h siteHeap) Less(i, j int) bool {
+func (h slotCandidateHeap) Len() int { return len(h) }
+func (h slotCandidateHeap) Less(i, j int) bool {
 	return cmp.Or(
 		cmp.Compare(h[i].preempted, h[j].preempted),
 		cmp.Compare(h[i].room, h[j].room),
 		compareName(h[i].worker, h[j].worker),
 	) < 0
 }
-func (h siteHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h slotCandidateHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *siteHeap) Push(item any) { *h = append(*h, item.(site)) }
+func (h *slotCandidateHeap) Push(item any) { *h = append(*h, item.(slotCandidate)) }
 
 // Pop implements heap.Interface.
-func (h *siteHeap) Pop() any {
+func (h *slotCandidateHeap) Pop() any {
 	last := len(*h) - 1
 	s := (*h)[last]
 	*h = (*h)[:last]
--- a/internal/placement/steps.go
+++ b/internal/placement/steps.go
@@ -11,10 +11,10 @@
 	workers map[*worker]int
 	// domains counts open runs by Spread.By, then by domain.
 	domains map[string]map[string]int
-	// home is the domain in which tasks are placed that want one in common.
-	home string
+	// preferredDomain is the domain in which tasks are placed that want one in common.
+	preferredDomain string
 	// classes are those with a spread rule on this step.
-	classes map[*class]struct{}
+	classes map[*equivalenceClass]struct{}
 }
 
 // spreadRule is api.Spread applied to one step.
@@ -48,7 +48,7 @@
 		key:     key,
 		workers: map[*worker]int{},
 		domains: map[string]map[string]int{},
-		classes: map[*class]struct{}{},
+		classes: map[*equivalenceClass]struct{}{},
 	}
 	e.steps[key] = made
 	return made
--- a/internal/placement/teams.go
+++ b/internal/placement/teams.go
@@ -5,7 +5,7 @@
 	rule    TeamRule
 	running int
 	// groups are those parked until a run of the team ends or its rule changes.
-	groups map[*lane]struct{}
+	awaitingGangs map[*subQueue]struct{}
 }
 
 // SetTeams implements Booker. A team that is not named has no bound.
@@ -17,7 +17,7 @@
 		e.team(rule.Name).rule = rule
 	}
 	for _, t := range e.teams {
-		t.wake()
+		t.activateGangs()
 	}
 }
 
@@ -26,7 +26,7 @@
 	if found, ok := e.teams[name]; ok {
 		return found
 	}
-	made := &team{rule: TeamRule{Name: name}, groups: map[*lane]struct{}{}}
+	made := &team{rule: TeamRule{Name: name}, awaitingGangs: map[*subQueue]struct{}{}}
 	e.teams[name] = made
 	return made
 }
@@ -44,9 +44,9 @@
 }
 
 // wake makes groups that the limit held back ready to be looked at again.
-func (t *team) wake() {
-	for l := range t.groups {
-		l.makeReady()
+func (t *team) activateGangs() {
+	for l := range t.awaitingGangs {
+		l.activate()
 	}
 }
 
@@ -64,8 +64,8 @@
 	return team == nil || team.rule.MaxRunning <= 0 || team.running+count <= team.rule.MaxRunning
 }
 
-// mayRun reports whether the limits of the queue and its team allow count more
+// canRun reports whether the limits of the queue and its team allow count more
 // runs.
-func (q *queue) mayRun(count int) bool {
+func (q *queue) canRun(count int) bool {
 	return withinQueueLimit(q, count) && withinTeamLimit(q.team, count)
 }
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -21,9 +21,9 @@
 	// Probation: the worker takes one run at a time, and only of tasks that may
 	// try it or that no other worker could hold.
 	Probation bool
-	// HeldBack: the worker takes one run at a time, and only of tasks that no
+	// Suspect: the worker takes one run at a time, and only of tasks that no
 	// other worker could hold, or has room for; see lastroom.go. Slices leave it.
-	HeldBack bool
+	Suspect bool
 }
 
 // Task is a task that waits for a place.
@@ -34,10 +34,10 @@
 	// Sequence orders tasks of equal priority: lower first.
 	Sequence uint64
 	Spec     *api.TaskSpec
-	// Group is "JOB/STEP" for members that must start together, else empty;
-	// GroupSize is the number of members that must wait here together.
-	Group     string
-	GroupSize int
+	// Gang is "JOB/STEP" for members that must start together, else empty;
+	// GangSize is the number of members that must wait here together.
+	Gang     string
+	GangSize int
 	// StartedAt is when the run was placed; for Hold only.
 	StartedAt record.Millis
 	// Preemptions is how often the task was preempted; from the bound on it
@@ -46,13 +46,13 @@
 	// UntilCancelled: the task has no end of its own, or a member of its group in
 	// lockstep has none. It takes whatever room there is; see lastroom.go.
 	UntilCancelled bool
-	// Wishes is what the task would rather have; nil for none. It is never
+	// Preferences is what the task would rather have; nil for none. It is never
 	// changed once the task was added.
-	*Wishes
+	*Preferences
 }
 
-// Wishes is what a task would rather have of its worker.
-type Wishes struct {
+// Preferences is what a task would rather have of its worker.
+type Preferences struct {
 	// StepSize is the number of tasks of the step; 0 if it is not known.
 	StepSize int
 	// Colocate is the step's soft domain, as in api.StepSpec.
@@ -63,8 +63,8 @@
 	WaitsForPreferred bool
 	// Avoid names workers on which runs of the task failed: others come first.
 	Avoid []string
-	// MayTry allows workers on probation; Tries prefers them.
-	MayTry, Tries bool
+	// AllowsProbation allows workers on probation; Tries prefers them.
+	AllowsProbation, PrefersProbation bool
 }
 
 // TeamRule is what the engine must know of a team.
@@ -77,18 +77,18 @@
 // lead until the window's end.
 type Reservation struct {
 	// ID is "QUEUE/BOOKING/START", START in Unix milliseconds.
-	ID      string
-	Queue   string
-	Start   record.Millis
-	End     record.Millis
-	Slots   int
-	Slice   api.Resources
-	Service string
-	Labels  map[string]string
+	ID       string
+	Queue    string
+	Start    record.Millis
+	End      record.Millis
+	Slots    int
+	SlotSize api.Resources
+	Service  string
+	Labels   map[string]string
 }
 
-// Yield says that a queue lets others go first.
-type Yield struct {
+// Deference says that a queue lets others go first.
+type Deference struct {
 	Queue string
 	To    []string
 }
@@ -100,8 +100,8 @@
 	Beneficiary record.TaskID
 }
 
-// Slices counts a reservation's slices on one worker.
-type Slices struct {
+// ReservedSlots counts a reservation's slices on one worker.
+type ReservedSlots struct {
 	Reservation string
 	WorkerID    string
 	Worker      string
@@ -109,9 +109,9 @@
 	Used        int
 }
 
-// Booker lists the calls of Engine that concern time, bookings, teams and
+// ReservationPlanner lists the calls of Engine that concern time, bookings, teams and
 // preemption.
-type Booker interface {
+type ReservationPlanner interface {
 	// SetTeams replaces the rules of all teams; QueueRule.Team joins a queue.
 	SetTeams(rules []TeamRule)
 	// SetMaxPreemptions sets the bound on preemptions of one task.
@@ -122,8 +122,8 @@
 	// SetReservations replaces the windows that are kept now. Slices of those
 	// known before stay where they are, if their worker still serves.
 	SetReservations(reservations []Reservation)
-	// Slices says where slices lie.
-	Slices() []Slices
+	// ReservedSlots says where slices lie.
+	ReservedSlots() []ReservedSlots
 	// Preemptions returns and forgets the runs that the last Plan wants
 	// stopped. Their room counts as taken until Release; the same run is not
 	// named twice.
@@ -135,7 +135,7 @@
 	Task     record.TaskID
 	WorkerID string
 	Worker   string
-	Group    string
+	Gang     string
 }
 
 // QueueRule is what the engine must know of a queue.
@@ -165,9 +165,9 @@
 	// of a removed worker are forgotten with it.
 	SetWorker(worker Worker)
 	RemoveWorker(id string)
-	// Hold takes room for a run that the record already has open, at start or
+	// AddRun takes room for a run that the record already has open, at start or
 	// when it was placed by another leader. Idempotent for the same task.
-	Hold(task Task, workerID string)
+	AddRun(task Task, workerID string)
 	// Release gives back the room of a task's run. Unknown: no effect.
 	Release(task record.TaskID)
 	// Add makes a task wait; Remove takes it out. Both are idempotent.
@@ -180,18 +180,18 @@
 	Plan(limit int) []Decision
 	// Reason says why a waiting task was passed over in the last pass.
 	Reason(task record.TaskID) string
-	// Possible tells whether any of the given workers, all empty, could hold
+	// Feasible tells whether any of the given workers, all empty, could hold
 	// the task; if not, why.
-	Possible(spec *api.TaskSpec, workers []Worker) (bool, string)
-	// SetYields says which queues with BySlack let which others go first. One does
+	Feasible(spec *api.TaskSpec, workers []Worker) (bool, string)
+	// SetDeferences says which queues with BySlack let which others go first. One does
 	// while it has more than its weight's share of the open runs, of itself and of
 	// those others that have something waiting, so that its burst does them no harm:
 	// it goes after them whatever its Sequence, and leaves room alone that is about
 	// to become enough for their tasks.
-	SetYields(yields []Yield)
-	// HasRoom tells whether some worker has room for the task now, outside of what
+	SetDeferences(deferences []Deference)
+	// HasFreeCapacity tells whether some worker has room for the task now, outside of what
 	// is kept for bookings. Spread is not looked at.
-	HasRoom(spec *api.TaskSpec) bool
+	HasFreeCapacity(spec *api.TaskSpec) bool
 	// Waiting is the number of tasks that wait.
 	Waiting() int
 }
--- a/internal/placement/wishes.go
+++ b/internal/placement/wishes.go
@@ -10,86 +10,86 @@
 // greater than the sum of those after it, so that they are weighed in this
 // order. None ever makes a task wait.
 const (
-	// costFailedHere: a run of the task failed on the worker.
-	costFailedHere = 1 << (6 - iota)
-	// costGuarded: the worker is on probation or held back.
-	costGuarded
+	// costFailedBefore: a run of the task failed on the worker.
+	costFailedBefore = 1 << (6 - iota)
+	// costRestricted: the worker is on probation or held back.
+	costRestricted
 	// costSlow: the worker is slower than others at the same work.
 	costSlow
 	// costNotPreferred: the worker lacks a label of TaskSpec.Prefer.
 	costNotPreferred
 	// costOtherDomain: the worker lies outside of the step's home domain.
 	costOtherDomain
-	// costOverShare: the worker holds its share of the step already.
-	costOverShare
-	// costOfOthers: the task would take room that is left for tasks which prefer the
+	// costOverSoftLimit: the worker holds its share of the step already.
+	costOverSoftLimit
+	// costPreferredReserve: the task would take room that is left for tasks which prefer the
 	// worker; see preferred.go.
-	costOfOthers
+	costPreferredReserve
 )
 
-// wishes is what a task would rather have of its worker.
-type wishes struct {
+// ranking is what a task would rather have of its worker.
+type ranking struct {
 	task *Task
 	// step holds the step's open runs; nil if there are none.
 	step *step
-	// share is the number of runs of the step on one worker from which on
+	// softLimit is the number of runs of the step on one worker from which on
 	// others come first; 0 is no bound.
-	share int
+	softLimit int
 	// domain is the home domain of the step; homeless is true if the task
 	// wants none.
-	domain   string
-	homeless bool
+	domain    string
+	anyDomain bool
 }
 
-// shareOf is the number of a step's tasks that one worker may hold before
+// softLimitPerWorker is the number of a step's tasks that one worker may hold before
 // others come first: half, rounded up. So no single worker takes a whole step
 // with it, and a step still lies on few workers.
-func shareOf(stepSize int) int { return (stepSize + 1) / 2 }
+func softLimitPerWorker(stepSize int) int { return (stepSize + 1) / 2 }
 
-// hasWishes reports whether the task may have to look past the first worker.
-func (e *Engine) hasWishes(task *Task) bool {
+// hasPreferences reports whether the task may have to look past the first worker.
+func (e *Engine) hasPreferences(task *Task) bool {
 	return len(task.Avoid) > 0 || task.Colocate != "" || task.StepSize > 1 ||
-		len(task.Spec.Prefer) > 0 || len(e.preferences.until) > 0 || e.workers.slow > 0 || len(e.workers.guarded) > 0
+		len(task.Spec.Prefer) > 0 || len(e.preferredLabels.until) > 0 || e.workers.slow > 0 || len(e.workers.restricted) > 0
 }
 
 // fullest returns the worker that a task which waits takes, or nil: of those
 // that can take it the one that costs least, and of these the fullest.
 func (e *Engine) fullest(w *waiting) *worker {
-	c, least := w.class, e.roomOf(w.class)
+	c, least := w.class, e.classSize(w.class)
 	first := c.pool.fullest(c, least)
-	if first == nil || !e.hasWishes(&w.Task) {
+	if first == nil || !e.hasPreferences(&w.Task) {
 		return first
 	}
-	if tried := e.toTry(w); tried != nil {
+	if tried := e.probationTarget(w); tried != nil {
 		return tried
 	}
-	wanted := e.wishesOf(w)
+	wanted := e.rankingFor(w)
 	if wanted.cost(first) == 0 {
 		return first
 	}
-	return c.pool.cheapest(c, least, &wanted)
+	return c.pool.lowestCost(c, least, &wanted)
 }
 
-func (e *Engine) wishesOf(w *waiting) wishes {
-	wanted := wishes{task: &w.Task, homeless: w.Colocate == "" || e.off.Has(mechanism.HomeDomain)}
+func (e *Engine) rankingFor(w *waiting) ranking {
+	wanted := ranking{task: &w.Task, anyDomain: w.Colocate == "" || e.off.Has(mechanism.HomeDomain)}
 	if w.StepSize > 1 && !e.off.Has(mechanism.StepShare) {
 		wanted.step = e.steps[w.ID.StepID()]
-		wanted.share = shareOf(w.StepSize)
+		wanted.softLimit = softLimitPerWorker(w.StepSize)
 	}
-	if !wanted.homeless {
-		wanted.domain = e.homeOf(w)
+	if !wanted.anyDomain {
+		wanted.domain = e.preferredDomainOf(w)
 	}
 	return wanted
 }
 
 // cost is 0 for a worker that meets all wishes.
-func (s *wishes) cost(w *worker) int {
+func (s *ranking) cost(w *worker) int {
 	cost := 0
 	if slices.Contains(s.task.Avoid, w.Name) {
-		cost += costFailedHere
+		cost += costFailedBefore
 	}
-	if w.guarded {
-		cost += costGuarded
+	if w.restricted {
+		cost += costRestricted
 	}
 	if w.Slow {
 		cost += costSlow
@@ -97,31 +97,31 @@
 	if !hasLabels(&w.Worker, s.task.Spec.Prefer) {
 		cost += costNotPreferred
 	}
-	if !s.atHome(w) {
+	if !s.inPreferredDomain(w) {
 		cost += costOtherDomain
 	}
-	if s.step != nil && s.step.workers[w] >= s.share {
-		cost += costOverShare
+	if s.step != nil && s.step.workers[w] >= s.softLimit {
+		cost += costOverSoftLimit
 	}
-	if !leavesPreferred(s.task.Spec, w) {
-		cost += costOfOthers
+	if !leavesPreferredReserve(s.task.Spec, w) {
+		cost += costPreferredReserve
 	}
 	return cost
 }
 
-func (s *wishes) atHome(w *worker) bool {
-	if s.homeless {
+func (s *ranking) inPreferredDomain(w *worker) bool {
+	if s.anyDomain {
 		return true
 	}
 	domain, ok := domainOf(&w.Worker, s.task.Colocate)
 	return ok && domain == s.domain
 }
 
-// cheapest returns the worker that costs least, the fullest of equals.
-func (p *pool) cheapest(c *class, least float64, wanted *wishes) *worker {
+// lowestCost returns the worker that costs least, the fullest of equals.
+func (p *pool) lowestCost(c *equivalenceClass, least float64, wanted *ranking) *worker {
 	var best *worker
 	lowest := 0
-	for _, w := range p.roomy(least) {
+	for _, w := range p.withFreeSize(least) {
 		if !c.fitsOn(w) {
 			continue
 		}
@@ -136,40 +136,40 @@
 	return best
 }
 
-// homeOf returns the domain in which the next task of a step is to lie. The
+// preferredDomainOf returns the domain in which the next task of a step is to lie. The
 // step keeps its home for as long as that has room for the task; then it gets
 // another one.
-func (e *Engine) homeOf(w *waiting) string {
+func (e *Engine) preferredDomainOf(w *waiting) string {
 	s := e.step(w.ID.StepID())
-	if s.home != "" && w.class.hasRoomIn(w.Colocate, s.home, e.roomOf(w.class)) {
-		return s.home
+	if s.preferredDomain != "" && w.class.fitsInDomain(w.Colocate, s.preferredDomain, e.classSize(w.class)) {
+		return s.preferredDomain
 	}
-	s.home = w.class.chooseHome(w.Colocate, e.roomOf(w.class), max(w.StepSize-s.runs, 1))
-	return s.home
+	s.preferredDomain = w.class.choosePreferredDomain(w.Colocate, e.classSize(w.class), max(w.StepSize-s.runs, 1))
+	return s.preferredDomain
 }
 
-// hasRoomIn reports whether a task of the class fits on a worker of the domain.
-func (c *class) hasRoomIn(by, domain string, least float64) bool {
-	return slices.ContainsFunc(c.pool.roomy(least), func(w *worker) bool {
+// fitsInDomain reports whether a task of the class fits on a worker of the domain.
+func (c *equivalenceClass) fitsInDomain(by, domain string, least float64) bool {
+	return slices.ContainsFunc(c.pool.withFreeSize(least), func(w *worker) bool {
 		here, ok := domainOf(&w.Worker, by)
 		return ok && here == domain && c.fitsOn(w)
 	})
 }
 
-// chooseHome returns the domain for the rest of a step: of those with room for
+// choosePreferredDomain returns the domain for the rest of a step: of those with room for
 // all that is wanted the one with the least, else the one with the most; ties
 // by name. It is empty if no worker has such a domain.
-func (c *class) chooseHome(by string, least float64, wanted int) string {
+func (c *equivalenceClass) choosePreferredDomain(by string, least float64, wanted int) string {
 	places := map[string]int{}
 	left := map[string]int{}
-	for _, w := range c.pool.roomy(least) {
+	for _, w := range c.pool.withFreeSize(least) {
 		domain, ok := domainOf(&w.Worker, by)
 		if !ok || !c.fitsOn(w) {
 			continue
 		}
 		// Counted up to twice what is wanted: enough to tell a tight domain
 		// from a roomy one.
-		here := placesOn(c.key.need, c.roomOn(w), 2*wanted)
+		here := fitCountOn(c.key.need, c.availableOn(w), 2*wanted)
 		if c.spread != nil {
 			here = takeFromDomain(left, c.spread, &w.Worker, here)
 		}
@@ -177,21 +177,21 @@
 	}
 	best := ""
 	for domain, count := range places {
-		if best == "" || betterHome(domain, count, best, places[best], wanted) {
+		if best == "" || isBetterDomain(domain, count, best, places[best], wanted) {
 			best = domain
 		}
 	}
 	return best
 }
 
-func betterHome(domain string, places int, other string, otherPlaces, wanted int) bool {
-	whole, otherWhole := places >= wanted, otherPlaces >= wanted
+func isBetterDomain(domain string, places int, other string, otherFits, wanted int) bool {
+	whole, otherWhole := places >= wanted, otherFits >= wanted
 	switch {
 	case whole != otherWhole:
 		return whole
-	case places == otherPlaces:
+	case places == otherFits:
 		return domain < other
 	default:
-		return (places < otherPlaces) == whole
+		return (places < otherFits) == whole
 	}
 }
--- a/internal/placement/wishes_test.go
+++ b/internal/placement/wishes_test.go
@@ -47,7 +47,7 @@
 
 func name(worker string) string { return worker }
 
-func TestPreferredWorkerIsTakenIfItHasRoom(t *testing.T) {
+func TestPreferences_PreferredWorkerIsTakenIfItFits(t *testing.T) {
 	cases := []struct {
 		name    string
 		workers []Worker
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestRetryAvoidsWorkersThatFailedIt(t *testing.T) {
+func TestPreferences_RetryAvoidsWorkersThatFailed(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(10)), testWorker("b", cpu(20)), testWorker("c", cpu(30)))
 	task := testTask("j", 0, 10)
 	task.Avoid = []string{"a", "b"}
@@ -80,7 +80,7 @@
 	expect(t, "there if no other has room", placed(e, 10), "j/a/0@a")
 }
 
-func TestSlowWorkerComesLast(t *testing.T) {
+func TestPreferences_SlowWorkerComesLast(t *testing.T) {
 	slow := testWorker("a", cpu(10))
 	slow.Slow = true
 	e := newEngine(slow, testWorker("b", cpu(20)))
@@ -91,7 +91,7 @@
 	expect(t, "slow workers", e.workers.slow, 0)
 }
 
-func TestHalfOfAStepAtMostOnOneWorker(t *testing.T) {
+func TestPreferences_AtMostHalfOfStepOnOneWorker(t *testing.T) {
 	cases := []struct {
 		name       string
 		tasks      int
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestColocate(t *testing.T) {
+func TestPreferences_Colocate(t *testing.T) {
 	// Two racks of three workers; rack y is the tighter one.
 	racks := func(x, y int64) []Worker {
 		var workers []Worker
@@ -147,7 +147,7 @@
 				addAll(e, stepOf("j", c.tasks, 10, func(task *Task) {
 					task.Colocate = by
 					if c.group {
-						task.Group, task.GroupSize = "j/a", c.tasks
+						task.Gang, task.GangSize = "j/a", c.tasks
 					}
 				})...)
 				expect(t, "runs by rack", countBy(e, rack), c.want)
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestWishesAreWeighedInOrder(t *testing.T) {
+func TestPreferences_CostsAreWeighedInOrder(t *testing.T) {
 	// Each worker fails one wish more than the next; the fullest fails most.
 	failed := rackWorker("a", "z1", 10, "disk=ssd")
 	slow := rackWorker("b", "z1", 20, "disk=ssd")
@@ -177,7 +177,7 @@
 	expect(t, "order", strings.Join(order, ""), "ddddcccbba")
 }
 
-func TestHomeIsForgottenWithTheStep(t *testing.T) {
+func TestPreferences_PreferredDomainForgottenWithStep(t *testing.T) {
 	e := newEngine(rackWorker("a", "z1", 10))
 	task := testTask("j", 0, 10)
 	task.Colocate = "zone"
--- a/internal/placement/workers.go
+++ b/internal/placement/workers.go
@@ -8,31 +8,31 @@
 	"github.com/decklever/decklever/api"
 )
 
-// idlePoolsKept bounds the pools kept though no waiting task uses them, so
+// maxIdlePools bounds the pools kept though no waiting task uses them, so
 // that a steady stream of like tasks does not build its pool again and again.
-const idlePoolsKept = 64
+const maxIdlePools = 64
 
 // worker is a worker incarnation and the open runs on it.
 type worker struct {
 	// What searches read comes first, so that it shares a cache line.
 
-	// room and firmRoom are roomOf(free) and roomOf(firm) as of the last change
+	// freeSize and unreservedSize are roomOf(free) and roomOf(firm) as of the last change
 	// or reorder.
-	room, firmRoom float64
-	// free is what is left for a task that can be made to leave: now, and once
+	freeSize, unreservedSize float64
+	// freeMembers is what is left for a task that can be made to leave: now, and once
 	// the stopping runs have left and the nominated ones have come. It is
 	// negative after the capacity shrank.
 	free api.Resources
-	// points are the starts of the windows of slices.
-	points []point
+	// profile are the starts of the windows of slices.
+	profile []profilePoint
 	// firm is the part of free that no slice needs at any time.
-	firm api.Resources
-	// keptFor is set while what goes after the lane leaves the worker alone.
-	keptFor *lane
-	// guarded is true on probation and while held back: the worker may take a
+	unreserved api.Resources
+	// backfillFor is set while what goes after the lane leaves the worker alone.
+	backfillFor *subQueue
+	// restricted is true on probation and while held back: the worker may take a
 	// part of what comes only.
-	guarded bool
-	// preferred is set while tasks have preferred a label of the worker lately.
+	restricted bool
+	// deferredTo is set while tasks have preferred a label of the worker lately.
 	preferred bool
 	// Worker is as last set; only ID is set while known is false.
 	Worker
@@ -44,16 +44,16 @@
 	used, stopping, nominated, preemptible api.Resources
 	// endless is the part of used that runs keep until they are cancelled, whatever
 	// else waits.
-	endless api.Resources
+	longRunning api.Resources
 	// runs are the open runs and the nominated ones.
 	runs map[*run]struct{}
-	// slices lie here for reservations.
-	slices []*sliceSet
-	pools  []*pool
-	// version grows with every change of room; lastVictims is the last answer
+	// slots lie here for reservations.
+	slots []*slotSet
+	pools []*pool
+	// version grows with every change of room; cachedVictims is the last answer
 	// of victimsFor.
-	version     uint64
-	lastVictims victimsAnswer
+	version       uint64
+	cachedVictims victimsResult
 	// changed marks that the worker is listed in workerIndex.changed.
 	changed bool
 }
@@ -62,8 +62,8 @@
 // by which room they are ordered.
 type selector struct {
 	service, labels string
-	// firm orders by worker.firmRoom, for tasks that cannot be made to leave.
-	firm bool
+	// firm orders by worker.unreservedSize, for tasks that cannot be made to leave.
+	byUnreserved bool
 }
 
 // pool holds the usable workers that match a selector, fullest first.
@@ -74,8 +74,8 @@
 	compare  func(a, b *worker) int
 	// classes counts the classes and reservations that use the pool.
 	classes int
-	// blocked holds the classes to look at when a worker here gains room.
-	blocked map[*class]struct{}
+	// unschedulable holds the classes to look at when a worker here gains room.
+	unschedulable map[*equivalenceClass]struct{}
 	// version grows when workers come, go or are described anew.
 	version uint64
 }
@@ -94,8 +94,8 @@
 	stale bool
 	// slow counts the workers that are slow, guarded lists those on probation
 	// or held back.
-	slow    int
-	guarded []*worker
+	slow       int
+	restricted []*worker
 	// changed lists the workers that may have gained room since the last pass.
 	changed []*worker
 }
@@ -117,16 +117,16 @@
 // set takes over what is known of the worker.
 func (x *workerIndex) set(w *worker, to Worker) {
 	x.leavePools(w)
-	x.countOut(w)
+	x.removeHealthCounts(w)
 	to.Services = slices.Clone(to.Services)
 	to.Labels = maps.Clone(to.Labels)
 	w.Worker, w.known = to, true
-	w.guarded = to.Probation || to.HeldBack
-	x.countIn(w)
+	w.restricted = to.Probation || to.Suspect
+	x.addHealthCounts(w)
 	w.pools = nil
 	x.stale = true
-	w.rebuildPoints()
-	x.measure(w)
+	w.rebuildProfile()
+	x.updateFree(w)
 	for _, p := range x.pools {
 		if p.matches(w) {
 			w.pools = append(w.pools, p)
@@ -134,12 +134,12 @@
 		}
 	}
 	x.enterPools(w)
-	x.markChanged(w)
+	x.addChanged(w)
 }
 
 func (x *workerIndex) remove(w *worker) {
 	x.leavePools(w)
-	x.countOut(w)
+	x.removeHealthCounts(w)
 	w.pools = nil
 	// It may still be listed as changed; no slice may go there.
 	w.known = false
@@ -148,57 +148,57 @@
 }
 
 // take accounts for a run on its worker.
-func (x *workerIndex) take(r *run) {
+func (x *workerIndex) allocate(r *run) {
 	w := r.worker
 	x.leavePools(w)
-	w.account(r, taken)
-	x.measure(w)
+	w.account(r, allocated)
+	x.updateFree(w)
 	x.enterPools(w)
 }
 
-// giveBack is the reverse of take.
-func (x *workerIndex) giveBack(r *run) {
+// deallocate is the reverse of take.
+func (x *workerIndex) deallocate(r *run) {
 	w := r.worker
 	x.leavePools(w)
-	w.account(r, givenBack)
-	x.measure(w)
+	w.account(r, deallocated)
+	x.updateFree(w)
 	x.enterPools(w)
 }
 
-// reaccount applies a change of a run's state to the room of its worker.
-func (x *workerIndex) reaccount(r *run, change func()) {
-	x.giveBack(r)
+// updateRun applies a change of a run's state to the room of its worker.
+func (x *workerIndex) updateRun(r *run, change func()) {
+	x.deallocate(r)
 	change()
-	x.take(r)
+	x.allocate(r)
 }
 
-// reshape applies a change of the worker's slices to its room.
-func (x *workerIndex) reshape(w *worker, change func()) {
+// updateSlots applies a change of the worker's slices to its room.
+func (x *workerIndex) updateSlots(w *worker, change func()) {
 	x.leavePools(w)
 	change()
-	w.rebuildPoints()
-	x.measure(w)
+	w.rebuildProfile()
+	x.updateFree(w)
 	x.enterPools(w)
 }
 
-func (x *workerIndex) measure(w *worker) {
+func (x *workerIndex) updateFree(w *worker) {
 	w.version++
-	w.free = w.physical()
+	w.free = w.freeNow()
 	if w.stopping != (api.Resources{}) || w.nominated != (api.Resources{}) {
-		w.free = smallestOf(w.free, w.coming())
+		w.free = smallestOf(w.free, w.freeOnceStopped())
 	}
-	w.room = roomOf(w.free, x.largest)
-	w.firm, w.firmRoom = w.free, w.room
-	if len(w.points) == 0 {
+	w.freeSize = normalizedSize(w.free, x.largest)
+	w.unreserved, w.unreservedSize = w.free, w.freeSize
+	if len(w.profile) == 0 {
 		return
 	}
-	for i := range w.points {
-		w.firm = smallestOf(w.firm, w.points[i].slack)
+	for i := range w.profile {
+		w.unreserved = smallestOf(w.unreserved, w.profile[i].slack)
 	}
-	w.firmRoom = roomOf(w.firm, x.largest)
+	w.unreservedSize = normalizedSize(w.unreserved, x.largest)
 }
 
-func (x *workerIndex) markChanged(w *worker) {
+func (x *workerIndex) addChanged(w *worker) {
 	if w.changed {
 		return
 	}
@@ -231,7 +231,7 @@
 	}
 	x.largest = largest
 	for _, w := range x.byID {
-		x.measure(w)
+		x.updateFree(w)
 	}
 	for _, p := range x.pools {
 		slices.SortFunc(p.workers, p.compare)
@@ -273,15 +273,15 @@
 		return
 	}
 	x.idle++
-	if x.idle > idlePoolsKept {
+	if x.idle > maxIdlePools {
 		x.dropIdle()
 	}
 }
 
 func (x *workerIndex) build(wanted selector, labels map[string]string) *pool {
-	p := &pool{selector: wanted, labels: labels, compare: compareFullest, blocked: map[*class]struct{}{}}
-	if wanted.firm {
-		p.compare = compareFirmest
+	p := &pool{selector: wanted, labels: labels, compare: compareFullest, unschedulable: map[*equivalenceClass]struct{}{}}
+	if wanted.byUnreserved {
+		p.compare = compareLeastUnreserved
 	}
 	x.pools[wanted] = p
 	for _, w := range x.byID {
@@ -310,21 +310,21 @@
 	return isUsable(w) && offersService(&w.Worker, p.selector.service) && hasLabels(&w.Worker, p.labels)
 }
 
-// roomy returns the workers that have at least that room, fullest first.
-func (p *pool) roomy(least float64) []*worker {
+// withFreeSize returns the workers that have at least that room, fullest first.
+func (p *pool) withFreeSize(least float64) []*worker {
 	start := sort.Search(len(p.workers), func(i int) bool {
-		if p.selector.firm {
-			return p.workers[i].firmRoom >= least
+		if p.selector.byUnreserved {
+			return p.workers[i].unreservedSize >= least
 		}
-		return p.workers[i].room >= least
+		return p.workers[i].freeSize >= least
 	})
 	return p.workers[start:]
 }
 
 // fullest returns the fullest worker that can take a task of the class, or
 // nil. least is the room of the class's need.
-func (p *pool) fullest(c *class, least float64) *worker {
-	for _, w := range p.roomy(least) {
+func (p *pool) fullest(c *equivalenceClass, least float64) *worker {
+	for _, w := range p.withFreeSize(least) {
 		if c.fitsOn(w) {
 			return w
 		}
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -228,6 +228,6 @@
 // now.
 func (l *leader) hasCapacity(spec *api.JobSpec) bool {
 	return slices.ContainsFunc(spec.Steps, func(step api.StepSpec) bool {
-		return len(step.After) == 0 && l.planner.HasRoom(&step.Tasks[0])
+		return len(step.After) == 0 && l.planner.HasFreeCapacity(&step.Tasks[0])
 	})
 }
--- a/internal/scheduler/bookings.go
+++ b/internal/scheduler/bookings.go
@@ -92,14 +92,14 @@
 
 func plannerReservation(window booking.Window) placement.Reservation {
 	return placement.Reservation{
-		ID:      window.ID(),
-		Queue:   window.Queue,
-		Start:   record.Millis(window.Start.UnixMilli()),
-		End:     record.Millis(window.End.UnixMilli()),
-		Slots:   window.Booking.Slots,
-		Slice:   window.Booking.Slice,
-		Service: window.Booking.Service,
-		Labels:  window.Booking.Labels,
+		ID:       window.ID(),
+		Queue:    window.Queue,
+		Start:    record.Millis(window.Start.UnixMilli()),
+		End:      record.Millis(window.End.UnixMilli()),
+		Slots:    window.Booking.Slots,
+		SlotSize: window.Booking.Slice,
+		Service:  window.Booking.Service,
+		Labels:   window.Booking.Labels,
 	}
 }
 
@@ -138,8 +138,8 @@
 
 func (l *leader) reservationStatuses(from, to time.Time) api.BookingList {
 	list := api.BookingList{Bookings: []api.BookingStatus{}}
-	places := make(map[string][]placement.Slices)
-	for _, place := range l.planner.Slices() {
+	places := make(map[string][]placement.ReservedSlots)
+	for _, place := range l.planner.ReservedSlots() {
 		places[place.Reservation] = append(places[place.Reservation], place)
 	}
 	for _, window := range l.windows(from, to) {
--- a/internal/scheduler/group.go
+++ b/internal/scheduler/group.go
@@ -73,8 +73,8 @@
 		}
 		task := entry.task
 		if gang.size > 0 {
-			task.Group = gang.key.String()
-			task.GroupSize = gang.size
+			task.Gang = gang.key.String()
+			task.GangSize = gang.size
 		}
 		l.planner.Remove(id)
 		l.planner.Add(task)
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -70,8 +70,8 @@
 	planned.Avoid = h.failedWorkers.of(task)
 	hasAttempts := task.Spec.UntilCancelled || task.Failures+1 < task.AllowedFailures
 	estimate := task.Spec.Estimate.Std()
-	planned.MayTry = hasAttempts && !task.Step.IsGang()
-	planned.Tries = planned.MayTry && (task.Spec.UntilCancelled || estimate > 0 && estimate <= maxProbationEstimate)
+	planned.AllowsProbation = hasAttempts && !task.Step.IsGang()
+	planned.PrefersProbation = planned.AllowsProbation && (task.Spec.UntilCancelled || estimate > 0 && estimate <= maxProbationEstimate)
 }
 
 // observeProgress takes in how far the runs of a worker say that they are.
--- a/internal/scheduler/intake.go
+++ b/internal/scheduler/intake.go
@@ -33,7 +33,7 @@
 type sloTracker struct {
 	queues map[string]*queueSLO
 	// deferences is what the planner was told.
-	deferences []placement.Yield
+	deferences []placement.Deference
 }
 
 // queueSLO is what is known of one queue.
@@ -138,7 +138,7 @@
 	}
 	if deferences := l.deferences(); !slices.EqualFunc(deferences, l.slo.deferences, sameDeference) {
 		l.slo.deferences = deferences
-		l.planner.SetYields(deferences)
+		l.planner.SetDeferences(deferences)
 	}
 }
 
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -66,7 +66,7 @@
 				continue
 			}
 			before = task
-			if possible, reason := l.planner.Possible(task, workers); !possible {
+			if possible, reason := l.planner.Feasible(task, workers); !possible {
 				path := fmt.Sprintf("steps[%d].tasks[%d]", s, t)
 				fields = append(fields, api.FieldError{Field: path, Value: task.Service, Expected: "a task that some worker could hold: " + reason})
 			}
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -103,7 +103,7 @@
 // Planner is what a leader needs of package placement.
 type Planner interface {
 	placement.Planner
-	placement.Booker
+	placement.ReservationPlanner
 }
 
 // leaderConfig makes a leader.
--- a/internal/scheduler/localitywait.go
+++ b/internal/scheduler/localitywait.go
@@ -69,7 +69,7 @@
 	if entry.task.WaitsForPreferred == waits {
 		return
 	}
-	preferences := *entry.task.Wishes
+	preferences := *entry.task.Preferences
 	preferences.WaitsForPreferred = waits
-	entry.task.Wishes = &preferences
+	entry.task.Preferences = &preferences
 }
--- a/internal/scheduler/mirror.go
+++ b/internal/scheduler/mirror.go
@@ -98,7 +98,7 @@
 
 			UntilCancelled: task.RunsUntilCancelled(),
 
-			Wishes: &placement.Wishes{StepSize: len(task.Step.Tasks), Colocate: task.Step.Spec.Colocate},
+			Preferences: &placement.Preferences{StepSize: len(task.Step.Tasks), Colocate: task.Step.Spec.Colocate},
 		},
 		step:        task.ID.StepID(),
 		jobPriority: job.Spec.Priority,
@@ -193,7 +193,7 @@
 	l.taskPlaced(task.ID)
 	l.planner.Remove(task.ID)
 	job := task.Step.Job
-	l.planner.Hold(placement.Task{
+	l.planner.AddRun(placement.Task{
 		ID: task.ID, Queue: job.Spec.Queue, Priority: job.Spec.Priority + l.queuePriority(job.Spec.Queue),
 		Spec: task.Spec, StartedAt: open.PlacedAt, Preemptions: task.Preemptions, UntilCancelled: task.RunsUntilCancelled(),
 	}, open.WorkerID)
--- a/internal/scheduler/worker_entry.go
+++ b/internal/scheduler/worker_entry.go
@@ -208,7 +208,7 @@
 
 		Slow:      w.health.Standing == workerhealth.Slow || w.unresponsive,
 		Probation: w.health.Standing == workerhealth.Probation,
-		HeldBack:  w.health.Standing == workerhealth.Suspect,
+		Suspect:   w.health.Standing == workerhealth.Suspect,
 	}
 }
 
--- a/internal/scheduler/yields.go
+++ b/internal/scheduler/yields.go
@@ -15,8 +15,8 @@
 
 // deferences says which queues let which others go first, in the order of the
 // configuration.
-func (l *leader) deferences() []placement.Yield {
-	var deferences []placement.Yield
+func (l *leader) deferences() []placement.Deference {
+	var deferences []placement.Deference
 	if l.off.Has(mechanism.Yields) {
 		return deferences
 	}
@@ -27,7 +27,7 @@
 			continue
 		}
 		if to := queue.defersTo(config, l.config.Queues); len(to) > 0 {
-			deferences = append(deferences, placement.Yield{Queue: config.Name, To: to})
+			deferences = append(deferences, placement.Deference{Queue: config.Name, To: to})
 		}
 	}
 	return deferences
@@ -55,6 +55,6 @@
 	return to
 }
 
-func sameDeference(a, b placement.Yield) bool {
+func sameDeference(a, b placement.Deference) bool {
 	return a.Queue == b.Queue && slices.Equal(a.To, b.To)
 }
--- a/internal/scheduler/yields_test.go
+++ b/internal/scheduler/yields_test.go
@@ -51,7 +51,7 @@
 }
 
 // yieldsOf returns to whom a queue yields; no other may.
-func yieldsOf(t *testing.T, deferences []placement.Yield, name string) map[string]bool {
+func yieldsOf(t *testing.T, deferences []placement.Deference, name string) map[string]bool {
 	t.Helper()
 	var found map[string]bool
 	for _, yield := range deferences {
