--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// reopenBelow is the part of the bound below which a closed gate opens.
-const reopenBelow = 0.8
+// clearFraction is the part of the bound below which a closed gate opens.
+const clearFraction = 0.8
 
-// Gate tells with hysteresis whether a wait is too long. The zero value is open,
+// WaitThreshold tells with hysteresis whether a wait is too long. The zero value is open,
 // and closes with the first wait that is.
-type Gate struct {
-	// After is how long a wait must be too long without a break before the gate
+type WaitThreshold struct {
+	// MinDuration is how long a wait must be too long without a break before the gate
 	// closes, so that one large job or a short pause of the fleet does not close it.
-	After  time.Duration
-	closed bool
-	// tooLong is set while the wait has been too long since tooLongSince.
-	tooLong      bool
-	tooLongSince time.Duration
+	MinDuration time.Duration
+	exceeded    bool
+	// above is set while the wait has been too long since aboveSince.
+	above      bool
+	aboveSince time.Duration
 }
 
-// Closed reports whether the gate is closed.
-func (g *Gate) Closed() bool { return g.closed }
+// Exceeded reports whether the gate is closed.
+func (g *WaitThreshold) Exceeded() bool { return g.exceeded }
 
-// Look takes an expected wait in; known is false while there is none.
-func (g *Gate) Look(now, wait, bound time.Duration, known bool) {
+// Observe takes an expected wait in; known is false while there is none.
+func (g *WaitThreshold) Observe(now, wait, limit time.Duration, known bool) {
 	switch {
-	case !known, wait < Reopen(bound):
-		*g = Gate{After: g.After}
-	case wait <= bound:
+	case !known, wait < ClearBelow(limit):
+		*g = WaitThreshold{MinDuration: g.MinDuration}
+	case wait <= limit:
 		// In between, an open gate stays open and a closed one closed.
-		g.tooLong = false
-	case !g.tooLong:
-		g.tooLong, g.tooLongSince = true, now
+		g.above = false
+	case !g.above:
+		g.above, g.aboveSince = true, now
 	}
-	if g.tooLong && now-g.tooLongSince >= g.After {
-		g.closed = true
+	if g.above && now-g.aboveSince >= g.MinDuration {
+		g.exceeded = true
 	}
 }
 
-// Reopen is the wait below which a closed gate opens.
-func Reopen(bound time.Duration) time.Duration { return time.Duration(reopenBelow * float64(bound)) }
+// ClearBelow is the wait below which a closed gate opens.
+func ClearBelow(limit time.Duration) time.Duration {
+	return time.Duration(clearFraction * float64(limit))
+}
--- a/internal/admission/share_test.go
+++ b/internal/admission/share_test.go
@@ -6,24 +6,24 @@
 	"pgregory.net/rapid"
 )
 
-func TestFree(t *testing.T) {
-	part := func(weight, used int) Part { return Part{Weight: weight, Used: used} }
+func TestFree_LeavesGuaranteesOfOthers(t *testing.T) {
+	part := func(weight, used int) Share { return Share{Weight: weight, Used: used} }
 	cases := []struct {
 		name  string
 		bound int
-		parts []Part // the first asks
+		parts []Share // the first asks
 		want  int
 	}{
-		{"alone", 100, []Part{part(1, 0)}, 100},
-		{"alone and nearly full", 100, []Part{part(1, 90)}, 10},
-		{"leaves what is guaranteed to another", 100, []Part{part(1, 10), part(1, 0)}, 65},
-		{"by weight", 100, []Part{part(1, 10), part(4, 0)}, 50},
-		{"what the other uses already is not kept", 100, []Part{part(1, 10), part(1, 25)}, 65},
-		{"a flood has the rest", 100, []Part{part(1, 5), part(1, 75)}, 20},
-		{"one that holds nothing is bounded by the whole alone", 100, []Part{part(1, 0), part(1, 0)}, 100},
-		{"full", 100, []Part{part(1, 50), part(1, 50)}, 0},
-		{"over full after a smaller bound", 100, []Part{part(1, 0), part(1, 120)}, 0},
-		{"too small to guarantee anything", 1, []Part{part(1, 0), part(1, 0), part(1, 0)}, 1},
+		{"alone", 100, []Share{part(1, 0)}, 100},
+		{"alone and nearly full", 100, []Share{part(1, 90)}, 10},
+		{"leaves what is guaranteed to another", 100, []Share{part(1, 10), part(1, 0)}, 65},
+		{"by weight", 100, []Share{part(1, 10), part(4, 0)}, 50},
+		{"what the other uses already is not kept", 100, []Share{part(1, 10), part(1, 25)}, 65},
+		{"a flood has the rest", 100, []Share{part(1, 5), part(1, 75)}, 20},
+		{"one that holds nothing is bounded by the whole alone", 100, []Share{part(1, 0), part(1, 0)}, 100},
+		{"full", 100, []Share{part(1, 50), part(1, 50)}, 0},
+		{"over full after a smaller bound", 100, []Share{part(1, 0), part(1, 120)}, 0},
+		{"too small to guarantee anything", 1, []Share{part(1, 0), part(1, 0), part(1, 0)}, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -34,38 +34,38 @@
 	}
 }
 
-// TestFloodsLeaveWhatIsGuaranteed: whatever some parts take one by one, what is
+// TestFree_FloodDoesNotTakeGuarantees: whatever some parts take one by one, what is
 // guaranteed to the others is free, and the bound holds.
-func TestFloodsLeaveWhatIsGuaranteed(t *testing.T) {
+func TestFree_FloodDoesNotTakeGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 5).Draw(t, "parts")
-		parts := make([]Part, count)
+		shares := make([]Share, count)
 		weights := 0
-		for index := range parts {
-			parts[index].Weight = rapid.IntRange(1, 9).Draw(t, "weight")
-			weights += parts[index].Weight
+		for index := range shares {
+			shares[index].Weight = rapid.IntRange(1, 9).Draw(t, "weight")
+			weights += shares[index].Weight
 		}
-		bound := rapid.IntRange(guaranteedShare*weights, 500).Draw(t, "bound")
-		for range 2 * bound {
+		limit := rapid.IntRange(guaranteeDivisor*weights, 500).Draw(t, "bound")
+		for range 2 * limit {
 			taker := rapid.IntRange(0, count-1).Draw(t, "taker")
-			if Free(bound, taker, parts) > 0 {
-				parts[taker].Used++
+			if Free(limit, taker, shares) > 0 {
+				shares[taker].Used++
 			}
 		}
 		used := 0
-		for index, part := range parts {
+		for index, part := range shares {
 			used += part.Used
-			if left, free := guaranteeOf(bound, part.Weight, weights)-part.Used, Free(bound, index, parts); free < left {
-				t.Fatalf("part %d of %+v may take %d of %d, and is guaranteed %d more", index, parts, free, bound, left)
+			if left, free := guaranteedTo(limit, part.Weight, weights)-part.Used, Free(limit, index, shares); free < left {
+				t.Fatalf("part %d of %+v may take %d of %d, and is guaranteed %d more", index, shares, free, limit, left)
 			}
 		}
-		if used > bound {
-			t.Fatalf("%d of %d are used", used, bound)
+		if used > limit {
+			t.Fatalf("%d of %d are used", used, limit)
 		}
 	})
 }
 
-func TestCallerFree(t *testing.T) {
+func TestCallerFree_BoundsCallerByItsShare(t *testing.T) {
 	cases := []struct {
 		name       string
 		free, held int
@@ -89,23 +89,23 @@
 	}
 }
 
-// TestFloodingCallersShareAlike: n callers that flood get a part in n+1 each, and
+// TestCallerFree_FloodingCallersShareEqually: n callers that flood get a part in n+1 each, and
 // the last is left free.
-func TestFloodingCallersShareAlike(t *testing.T) {
-	const bound = 1200
+func TestCallerFree_FloodingCallersShareEqually(t *testing.T) {
+	const limit = 1200
 	for callers := 1; callers <= 5; callers++ {
-		held := make([]int, callers)
-		free := bound
-		for range bound {
-			for index := range held {
-				if CallerFree(free, held[index], 1) > 0 {
-					held[index]++
+		used := make([]int, callers)
+		free := limit
+		for range limit {
+			for index := range used {
+				if CallerFree(free, used[index], 1) > 0 {
+					used[index]++
 					free--
 				}
 			}
 		}
-		for index, count := range held {
-			if want := bound / (callers + 1); count < want-1 || count > want+1 {
+		for index, count := range used {
+			if want := limit / (callers + 1); count < want-1 || count > want+1 {
 				t.Errorf("of %d callers, number %d holds %d, want %d", callers, index, count, want)
 			}
 		}
--- a/internal/admission/tokens_test.go
+++ b/internal/admission/tokens_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-func TestASolePartTakesASecondAtOnce(t *testing.T) {
-	var tokens Tokens
+func TestTokenBucket_SoleSharerTakesFullBucket(t *testing.T) {
+	var tokens TokenBucket
 	weights := map[string]int{"q": 3}
 	taken := 0
 	for range 20 {
@@ -28,10 +28,10 @@
 	}
 }
 
-// TestAFloodLeavesTheRateOfOthers: "flood" asks for ten times the rate and
+// TestTokenBucket_FloodDoesNotDelayOthers: "flood" asks for ten times the rate and
 // "steady" for a part below what is guaranteed to it.
-func TestAFloodLeavesTheRateOfOthers(t *testing.T) {
-	var tokens Tokens
+func TestTokenBucket_FloodDoesNotDelayOthers(t *testing.T) {
+	var tokens TokenBucket
 	weights := map[string]int{"flood": 1, "steady": 1, "silent": 2}
 	const rate, seconds = 80, 10
 	flood := 0
@@ -48,17 +48,17 @@
 		}
 	}
 	// What is guaranteed to the silent one is kept once, not each second.
-	least, most := rate*seconds-10*seconds, rate*(seconds+1)-10*seconds
-	if flood < least || flood > most {
-		t.Errorf("the flood got %d, want %d to %d", flood, least, most)
+	least, maxWait := rate*seconds-10*seconds, rate*(seconds+1)-10*seconds
+	if flood < least || flood > maxWait {
+		t.Errorf("the flood got %d, want %d to %d", flood, least, maxWait)
 	}
 }
 
-// TestRefusedTokensComeWhenTold: whoever is refused gets a token after the time
+// TestTokenBucket_TokenIsThereAfterStatedWait: whoever is refused gets a token after the time
 // told, if nobody draws meanwhile.
-func TestRefusedTokensComeWhenTold(t *testing.T) {
+func TestTokenBucket_TokenIsThereAfterStatedWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var tokens Tokens
+		var tokens TokenBucket
 		weights := map[string]int{"a": 1, "b": rapid.IntRange(1, 5).Draw(t, "weight"), "c": 2}
 		rate := float64(rapid.IntRange(1, 200).Draw(t, "rate"))
 		now := time.Duration(0)
@@ -80,12 +80,12 @@
 	})
 }
 
-func TestTokensGivenBack(t *testing.T) {
-	var tokens Tokens
+func TestTokenBucket_ReturnedTokenIsAvailable(t *testing.T) {
+	var tokens TokenBucket
 	for range 10 {
 		if _, ok := tokens.Take(0, 1, "q", map[string]int{"q": 1}); !ok {
 			t.Fatal("refused though each was given back")
 		}
-		tokens.GiveBack()
+		tokens.Return()
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -31,7 +31,7 @@
 	Zone func() string
 	// RelayTimeout bounds the relay of one heartbeat, on the monotonic clock.
 	RelayTimeout time.Duration
-	Link         *leaderlink.Link
+	Link         *leaderlink.Client
 	Client       *rpc.Client
 	// Status serves /healthz, /readyz and /metrics.
 	Status     http.Handler
@@ -69,7 +69,7 @@
 			a.routes.Handle(path, config.Status)
 		}
 	}
-	a.routes.HandleFunc("/", serveNothing)
+	a.routes.HandleFunc("/", serveNotFound)
 	return a, nil
 }
 
@@ -80,7 +80,7 @@
 
 func (a *Agent) serveHeartbeat(writer http.ResponseWriter, request *http.Request) {
 	if request.Method != http.MethodPost {
-		refuseMethod(writer, HeartbeatPath)
+		rejectMethod(writer, HeartbeatPath)
 		return
 	}
 	heartbeat, refusal := readHeartbeat(http.MaxBytesReader(writer, request.Body, maxHeartbeatBytes))
@@ -89,7 +89,7 @@
 		httpjson.WriteError(writer, refusal)
 		return
 	}
-	answer, refusal := a.relayTurn(request.Context(), heartbeat)
+	answer, refusal := a.relayNewest(request.Context(), heartbeat)
 	if refusal != nil {
 		httpjson.WriteError(writer, refusal)
 		return
@@ -103,20 +103,20 @@
 		a.metrics.count(resultInvalid)
 		return api.HeartbeatAnswer{}, httpjson.Invalid("heartbeat", fields)
 	}
-	return a.relayTurn(ctx, heartbeat)
+	return a.relayNewest(ctx, heartbeat)
 }
 
-// relayTurn relays a heartbeat unless a newer one has come or comes meanwhile.
-func (a *Agent) relayTurn(ctx context.Context, heartbeat api.Heartbeat) (api.HeartbeatAnswer, *api.Error) {
+// relayNewest relays a heartbeat unless a newer one has come or comes meanwhile.
+func (a *Agent) relayNewest(ctx context.Context, heartbeat api.Heartbeat) (api.HeartbeatAnswer, *api.Error) {
 	ctx, cancel := context.WithTimeout(ctx, a.config.RelayTimeout)
 	defer cancel()
-	turn, ok := a.workers.begin(heartbeat.WorkerID, heartbeat.Seq, cancel, time.Now())
+	turn, ok := a.workers.beginRelay(heartbeat.WorkerID, heartbeat.Seq, cancel, time.Now())
 	if !ok {
 		a.metrics.count(resultOldSeq)
 		return api.HeartbeatAnswer{}, oldSeq(heartbeat)
 	}
-	answer, refusal := a.relay(ctx, a.departures.mark(heartbeat, time.Now()))
-	newest := a.workers.end(turn)
+	answer, refusal := a.relay(ctx, a.departures.annotate(heartbeat, time.Now()))
+	newest := a.workers.endRelay(turn)
 	if refusal == nil && !newest {
 		a.metrics.count(resultSuperseded)
 		refusal = unavailable("a newer heartbeat of this worker came in")
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -83,7 +83,7 @@
 
 type testAgent struct {
 	*Agent
-	link *leaderlink.Link
+	link *leaderlink.Client
 }
 
 func startAgent(t *testing.T, leader string, timeout time.Duration) testAgent {
@@ -93,7 +93,7 @@
 	link := leaderlink.New(leaderlink.Config{
 		Process: "agent-1", Role: "agent", Zone: "z1", VersionOnly: true, Client: client, Seeds: func() []string { return nil },
 	})
-	link.Hint(leader)
+	link.ObserveHint(leader)
 	agent, err := New(Config{
 		Name: "agent-1", Zone: func() string { return "z1" }, RelayTimeout: timeout,
 		Link: link, Client: client, Registerer: prometheus.NewRegistry(),
@@ -122,7 +122,7 @@
 	return recorder
 }
 
-func wantStatus(t *testing.T, response *httptest.ResponseRecorder, status int) {
+func requireStatus(t *testing.T, response *httptest.ResponseRecorder, status int) {
 	t.Helper()
 	if response.Code != status {
 		t.Fatalf("status %d, want %d: %s", response.Code, status, response.Body)
@@ -132,11 +132,11 @@
 	}
 }
 
-func TestRelaysWithZone(t *testing.T) {
+func TestRelay_AddsZoneLabel(t *testing.T) {
 	scheduler := startScheduler(t)
 	agent := startAgent(t, scheduler.address, time.Second)
 	response := agent.post(heartbeatBody(t, "id", 1))
-	wantStatus(t, response, http.StatusOK)
+	requireStatus(t, response, http.StatusOK)
 	var answer api.HeartbeatAnswer
 	if err := json.Unmarshal(response.Body.Bytes(), &answer); err != nil || answer.Seq != 1 || answer.Token != 1 {
 		t.Fatalf("answer %+v, %v", answer, err)
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestEveryFailureIsOne503AndOneCall(t *testing.T) {
+func TestRelay_FailureIsAnswered503AfterOneCall(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*fakeScheduler)
@@ -165,11 +165,11 @@
 			scheduler := startScheduler(t)
 			c.change(scheduler)
 			agent := startAgent(t, scheduler.address, 200*time.Millisecond)
-			wantStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
+			requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
 			if got := scheduler.count(); got != 1 {
 				t.Fatalf("%d calls, want 1", got)
 			}
-			wantStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusConflict)
+			requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusConflict)
 			if got := scheduler.count(); got != 1 {
 				t.Fatalf("a failed heartbeat was relayed again: %d calls", got)
 			}
@@ -177,34 +177,34 @@
 	}
 }
 
-func TestNotLeaderHintIsForTheNextHeartbeatOnly(t *testing.T) {
+func TestRelay_NotLeaderHintAppliesToNextHeartbeat(t *testing.T) {
 	old, next := startScheduler(t), startScheduler(t)
 	old.err = &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: next.address}
 	agent := startAgent(t, old.address, time.Second)
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
 	if next.count() != 0 {
 		t.Fatal("one heartbeat reached two schedulers")
 	}
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 2)), http.StatusOK)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 2)), http.StatusOK)
 	if old.count() != 1 || next.count() != 1 {
 		t.Fatalf("%d and %d calls", old.count(), next.count())
 	}
 }
 
-func TestNoLeaderKnown(t *testing.T) {
+func TestRelay_UnknownLeaderIsUnavailable(t *testing.T) {
 	agent := startAgent(t, "", time.Second)
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
 }
 
-func TestDeadLeaderIsForgotten(t *testing.T) {
+func TestRelay_DeadLeaderIsForgotten(t *testing.T) {
 	agent := startAgent(t, "127.0.0.1:1", time.Second)
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
 	if leader, known := agent.link.Leader(); known {
 		t.Fatalf("still names %s", leader)
 	}
 }
 
-func TestLowerTokenIsRefused(t *testing.T) {
+func TestRelay_AnswerUnderStaleTokenIsDropped(t *testing.T) {
 	scheduler := startScheduler(t)
 	agent := startAgent(t, scheduler.address, time.Second)
 	for seq, step := range []struct {
@@ -212,14 +212,14 @@
 		status int
 	}{{5, 200}, {4, 503}, {5, 200}, {6, 200}, {5, 503}} {
 		scheduler.token = step.token
-		wantStatus(t, agent.post(heartbeatBody(t, "id", uint64(seq+1))), step.status)
+		requireStatus(t, agent.post(heartbeatBody(t, "id", uint64(seq+1))), step.status)
 	}
 	agent.link.ObserveToken(9) // seen by the watch
 	scheduler.token = 8
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 9)), http.StatusServiceUnavailable)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 9)), http.StatusServiceUnavailable)
 }
 
-func TestSeqOnlyGrowsForEachWorkerID(t *testing.T) {
+func TestSequences_SeqOnlyGrowsPerWorkerID(t *testing.T) {
 	scheduler := startScheduler(t)
 	agent := startAgent(t, scheduler.address, time.Second)
 	for _, step := range []struct {
@@ -227,14 +227,14 @@
 		seq    uint64
 		status int
 	}{{"a", 1, 200}, {"a", 1, 409}, {"a", 5, 200}, {"a", 4, 409}, {"b", 1, 200}, {"a", 6, 200}} {
-		wantStatus(t, agent.post(heartbeatBody(t, step.id, step.seq)), step.status)
+		requireStatus(t, agent.post(heartbeatBody(t, step.id, step.seq)), step.status)
 	}
 	if got := scheduler.count(); got != 4 {
 		t.Fatalf("%d calls, want 4", got)
 	}
 }
 
-func TestNewerHeartbeatSupersedesOlder(t *testing.T) {
+func TestRelay_NewerHeartbeatSupersedesOlder(t *testing.T) {
 	scheduler := startScheduler(t)
 	scheduler.hold, scheduler.begun = make(chan struct{}), make(chan uint64, 2)
 	agent := startAgent(t, scheduler.address, 10*time.Second)
@@ -245,9 +245,9 @@
 	<-scheduler.begun
 	go func() { newer <- agent.post(second) }()
 	<-scheduler.begun
-	wantStatus(t, <-older, http.StatusServiceUnavailable)
+	requireStatus(t, <-older, http.StatusServiceUnavailable)
 	close(scheduler.hold)
-	wantStatus(t, <-newer, http.StatusOK)
+	requireStatus(t, <-newer, http.StatusOK)
 	if scheduler.count() != 2 {
 		t.Fatalf("%d calls", scheduler.count())
 	}
@@ -256,7 +256,7 @@
 	}
 }
 
-func TestBadRequests(t *testing.T) {
+func TestAgent_RejectsInvalidHeartbeats(t *testing.T) {
 	good := string(heartbeatBody(t, "id", 1))
 	cases := []struct {
 		name, body string
@@ -281,7 +281,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			response := agent.post([]byte(c.body))
-			wantStatus(t, response, c.status)
+			requireStatus(t, response, c.status)
 			var refusal api.Error
 			if err := json.Unmarshal(response.Body.Bytes(), &refusal); err != nil || refusal.Code == "" {
 				t.Fatalf("body %s: %v", response.Body, err)
@@ -296,23 +296,23 @@
 	}
 }
 
-func TestOtherMethodsAndPaths(t *testing.T) {
+func TestAgent_RejectsOtherMethodsAndPaths(t *testing.T) {
 	agent := startAgent(t, "", time.Second)
 	for path, status := range map[string]int{HeartbeatPath: http.StatusMethodNotAllowed, "/nothing": http.StatusNotFound} {
 		recorder := httptest.NewRecorder()
 		agent.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, nil))
-		wantStatus(t, recorder, status)
+		requireStatus(t, recorder, status)
 	}
 }
 
-func TestSilentWorkerIDsAreForgotten(t *testing.T) {
+func TestSequences_IdleWorkerIDsAreRemoved(t *testing.T) {
 	workers := newSequences()
 	now := time.Now()
 	for i := range 100 {
-		turn, _ := workers.begin(fmt.Sprint(i), 1, func() {}, now)
-		workers.end(turn)
+		turn, _ := workers.beginRelay(fmt.Sprint(i), 1, func() {}, now)
+		workers.endRelay(turn)
 	}
-	workers.begin("new", 1, func() {}, now.Add(idleForget+time.Second))
+	workers.beginRelay("new", 1, func() {}, now.Add(idleTimeout+time.Second))
 	if len(workers.workers) != 1 {
 		t.Fatalf("%d worker ids are remembered", len(workers.workers))
 	}
--- a/internal/agent/answer.go
+++ b/internal/agent/answer.go
@@ -30,10 +30,10 @@
 	}
 }
 
-func refuseMethod(writer http.ResponseWriter, path string) {
+func rejectMethod(writer http.ResponseWriter, path string) {
 	httpjson.RefuseMethod(writer, http.MethodPost, path+" has POST only")
 }
 
-func serveNothing(writer http.ResponseWriter, request *http.Request) {
+func serveNotFound(writer http.ResponseWriter, request *http.Request) {
 	httpjson.WriteError(writer, httpjson.NothingAt(request.URL.Path))
 }
--- a/internal/agent/exchanges_test.go
+++ b/internal/agent/exchanges_test.go
@@ -60,7 +60,7 @@
 func TestHeartbeat_RelayedAsBefore(t *testing.T) {
 	scheduler := startScheduler(t)
 	agent := startAgent(t, scheduler.address, time.Second)
-	wantStatus(t, agent.post([]byte(fullHeartbeat)), http.StatusOK)
+	requireStatus(t, agent.post([]byte(fullHeartbeat)), http.StatusOK)
 	call := scheduler.calls[0]
 	heartbeat, err := json.Marshal(call.Heartbeat)
 	if err != nil {
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -20,9 +20,9 @@
 	LeavePath = "/v1/leave"
 	// maxLeaveBytes is the largest body of a notice.
 	maxLeaveBytes = 4 << 10
-	// leaveTries is how often a notice is sent, to follow a hint to another
+	// maxLeaveAttempts is how often a notice is sent, to follow a hint to another
 	// scheduler. Unlike a heartbeat, a doubled notice does no harm.
-	leaveTries = 2
+	maxLeaveAttempts = 2
 	// maxRemainingMillis is the most time that a notice may name.
 	maxRemainingMillis = int64(24 * time.Hour / time.Millisecond)
 )
@@ -30,7 +30,7 @@
 // serveLeave serves POST /v1/leave.
 func (a *Agent) serveLeave(writer http.ResponseWriter, request *http.Request) {
 	if request.Method != http.MethodPost {
-		refuseMethod(writer, LeavePath)
+		rejectMethod(writer, LeavePath)
 		return
 	}
 	var notice api.LeaveNotice
@@ -53,11 +53,11 @@
 	if fields := validateNotice(workerID, remainingMillis); len(fields) > 0 {
 		return httpjson.Invalid("notice", fields)
 	}
-	a.departures.note(workerID, remainingMillis, time.Now())
+	a.departures.record(workerID, remainingMillis, time.Now())
 	ctx, cancel := context.WithTimeout(ctx, a.config.RelayTimeout)
 	defer cancel()
 	var refusal *api.Error
-	for range leaveTries {
+	for range maxLeaveAttempts {
 		leader, known := a.config.Link.Leader()
 		if !known {
 			return unavailable("the leading scheduler is not known")
@@ -67,13 +67,13 @@
 		if err == nil {
 			return nil
 		}
-		refusal = a.leaveFailed(ctx, leader, workerID, err)
+		refusal = a.handleLeaveFailure(ctx, leader, workerID, err)
 	}
 	return refusal
 }
 
-// leaveFailed says what a failed call means for the worker and for the link.
-func (a *Agent) leaveFailed(ctx context.Context, leader, workerID string, err error) *api.Error {
+// handleLeaveFailure says what a failed call means for the worker and for the link.
+func (a *Agent) handleLeaveFailure(ctx context.Context, leader, workerID string, err error) *api.Error {
 	a.config.Logger.Debug("notice not relayed", slog.String("worker_id", workerID), slog.String("address", leader), slog.Any("error", err))
 	var failure *rpc.Error
 	if !errors.As(err, &failure) {
@@ -84,7 +84,7 @@
 		a.redirect(leader, failure.LeaderAddress)
 	case rpc.CodeTransport:
 		if !errors.Is(ctx.Err(), context.Canceled) {
-			a.config.Link.Failed(leader)
+			a.config.Link.ReportFailure(leader)
 		}
 	case rpc.CodeRefused:
 		if failure.API != nil {
@@ -110,46 +110,46 @@
 // use.
 type departures struct {
 	mutex   sync.Mutex
-	workers map[string]*departing
+	workers map[string]*departure
 }
 
-type departing struct {
+type departure struct {
 	// endsAt is the earliest end of the worker; zero if not known.
-	endsAt  time.Time
-	heardAt time.Time
+	endsAt   time.Time
+	lastSeen time.Time
 }
 
-func newDepartures() *departures { return &departures{workers: make(map[string]*departing)} }
+func newDepartures() *departures { return &departures{workers: make(map[string]*departure)} }
 
-// note remembers a notice, and forgets workers that were silent for long.
-func (d *departures) note(workerID string, remainingMillis int64, now time.Time) {
+// record remembers a notice, and forgets workers that were silent for long.
+func (d *departures) record(workerID string, remainingMillis int64, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for id, worker := range d.workers {
-		if now.Sub(worker.heardAt) > idleForget {
+		if now.Sub(worker.lastSeen) > idleTimeout {
 			delete(d.workers, id)
 		}
 	}
 	worker := d.workers[workerID]
 	if worker == nil {
-		worker = &departing{}
+		worker = &departure{}
 		d.workers[workerID] = worker
 	}
-	worker.heardAt = now
+	worker.lastSeen = now
 	if remainingMillis > 0 {
 		worker.endsAt = now.Add(time.Duration(remainingMillis) * time.Millisecond)
 	}
 }
 
-// mark adds to a heartbeat what its worker gave notice of.
-func (d *departures) mark(heartbeat api.Heartbeat, now time.Time) api.Heartbeat {
+// annotate adds to a heartbeat what its worker gave notice of.
+func (d *departures) annotate(heartbeat api.Heartbeat, now time.Time) api.Heartbeat {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	worker := d.workers[heartbeat.WorkerID]
 	if worker == nil {
 		return heartbeat
 	}
-	worker.heardAt = now
+	worker.lastSeen = now
 	heartbeat.Draining = true
 	if heartbeat.RemainingMillis == 0 && !worker.endsAt.IsZero() {
 		heartbeat.RemainingMillis = max(1, worker.endsAt.Sub(now).Milliseconds())
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -13,9 +13,9 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// takeNotices serves MethodLeave on a scheduler of its own and returns what
+// newLeaveScheduler serves MethodLeave on a scheduler of its own and returns what
 // came there.
-func takeNotices(t *testing.T, err error) (address string, notices *[]fleet.LeaveRequest) {
+func newLeaveScheduler(t *testing.T, err error) (address string, notices *[]fleet.LeaveRequest) {
 	t.Helper()
 	notices = &[]fleet.LeaveRequest{}
 	server := rpc.NewServer(rpc.ServerConfig{})
@@ -34,11 +34,11 @@
 	return recorder
 }
 
-func TestLeaveIsRelayed(t *testing.T) {
-	address, notices := takeNotices(t, nil)
+func TestLeave_IsRelayed(t *testing.T) {
+	address, notices := newLeaveScheduler(t, nil)
 	agent := startAgent(t, address, time.Second)
 	answer := agent.postLeave(http.MethodPost, `{"worker_id":"id","remaining_ms":2000}`)
-	wantStatus(t, answer, http.StatusOK)
+	requireStatus(t, answer, http.StatusOK)
 	if strings.TrimSpace(answer.Body.String()) != `{"leaving":true}` {
 		t.Errorf("answer %s", answer.Body)
 	}
@@ -48,36 +48,36 @@
 	}
 }
 
-func TestLeaveFollowsAHint(t *testing.T) {
-	address, notices := takeNotices(t, nil)
-	follower, asked := takeNotices(t, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: address})
+func TestLeave_FollowsLeaderHint(t *testing.T) {
+	address, notices := newLeaveScheduler(t, nil)
+	follower, queried := newLeaveScheduler(t, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: address})
 	agent := startAgent(t, follower, time.Second)
 	if refusal := agent.Leave(t.Context(), "id", 0); refusal != nil {
 		t.Fatalf("refused: %v", refusal)
 	}
-	if len(*asked) != 1 || len(*notices) != 1 {
-		t.Errorf("%d and %d calls, want one each", len(*asked), len(*notices))
+	if len(*queried) != 1 || len(*notices) != 1 {
+		t.Errorf("%d and %d calls, want one each", len(*queried), len(*notices))
 	}
 }
 
-func TestLeaveIsRefused(t *testing.T) {
+func TestLeave_InvalidNoticeIsRejected(t *testing.T) {
 	agent := startAgent(t, "", time.Second)
-	wantStatus(t, agent.postLeave(http.MethodPost, `{"worker_id":""}`), http.StatusUnprocessableEntity)
-	wantStatus(t, agent.postLeave(http.MethodPost, `{"worker_id":"id","remaining_ms":-1}`), http.StatusUnprocessableEntity)
-	wantStatus(t, agent.postLeave(http.MethodPost, `{"worker":"id"}`), http.StatusBadRequest)
-	wantStatus(t, agent.postLeave(http.MethodGet, ""), http.StatusMethodNotAllowed)
-	wantStatus(t, agent.postLeave(http.MethodPost, `{"worker_id":"id"}`), http.StatusServiceUnavailable)
+	requireStatus(t, agent.postLeave(http.MethodPost, `{"worker_id":""}`), http.StatusUnprocessableEntity)
+	requireStatus(t, agent.postLeave(http.MethodPost, `{"worker_id":"id","remaining_ms":-1}`), http.StatusUnprocessableEntity)
+	requireStatus(t, agent.postLeave(http.MethodPost, `{"worker":"id"}`), http.StatusBadRequest)
+	requireStatus(t, agent.postLeave(http.MethodGet, ""), http.StatusMethodNotAllowed)
+	requireStatus(t, agent.postLeave(http.MethodPost, `{"worker_id":"id"}`), http.StatusServiceUnavailable)
 }
 
 // Also a notice that no leader took marks the heartbeats of its worker, so that
 // the next leader learns of it.
-func TestHeartbeatsAfterALeaveSayThatTheWorkerDrains(t *testing.T) {
+func TestLeave_LaterHeartbeatsSayDraining(t *testing.T) {
 	scheduler := startScheduler(t) // does not serve notices
 	agent := startAgent(t, scheduler.address, time.Second)
-	wantStatus(t, agent.postLeave(http.MethodPost, `{"worker_id":"id","remaining_ms":60000}`), http.StatusServiceUnavailable)
-	agent.link.Hint(scheduler.address)
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
-	wantStatus(t, agent.post(heartbeatBody(t, "other", 1)), http.StatusOK)
+	requireStatus(t, agent.postLeave(http.MethodPost, `{"worker_id":"id","remaining_ms":60000}`), http.StatusServiceUnavailable)
+	agent.link.ObserveHint(scheduler.address)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
+	requireStatus(t, agent.post(heartbeatBody(t, "other", 1)), http.StatusOK)
 	if left := scheduler.calls[0].Heartbeat; !left.Draining || left.RemainingMillis <= 0 || left.RemainingMillis > 60000 {
 		t.Errorf("the heartbeat says draining %v, %d ms", left.Draining, left.RemainingMillis)
 	}
@@ -86,15 +86,15 @@
 	}
 }
 
-func TestDeparturesAreForgottenAfterASilence(t *testing.T) {
+func TestDepartures_IdleWorkersAreRemoved(t *testing.T) {
 	departures := newDepartures()
 	now := time.Now()
-	departures.note("a", 1000, now)
-	departures.note("b", 0, now.Add(idleForget))
-	if got := departures.mark(api.Heartbeat{WorkerID: "a"}, now.Add(idleForget)); !got.Draining || got.RemainingMillis != 1 {
+	departures.record("a", 1000, now)
+	departures.record("b", 0, now.Add(idleTimeout))
+	if got := departures.annotate(api.Heartbeat{WorkerID: "a"}, now.Add(idleTimeout)); !got.Draining || got.RemainingMillis != 1 {
 		t.Errorf("marked %+v", got)
 	}
-	departures.note("c", 0, now.Add(2*idleForget+1))
+	departures.record("c", 0, now.Add(2*idleTimeout+1))
 	if len(departures.workers) != 1 {
 		t.Errorf("%d workers remembered, want 1", len(departures.workers))
 	}
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -8,37 +8,37 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/leaderlink"
 	"github.com/decklever/decklever/internal/rpc"
-	"github.com/decklever/decklever/internal/wait"
 )
 
 // zoneLabel is the worker label that the agent sets.
 const zoneLabel = "zone"
 
-// doubtfulTimeout bounds a call to a scheduler that may lead no more, so that the
+// suspectTimeout bounds a call to a scheduler that may lead no more, so that the
 // next leader is asked soon enough for the worker's hold.
-const doubtfulTimeout = 300 * time.Millisecond
+const suspectTimeout = 300 * time.Millisecond
 
-// leaderPoll is how often a heartbeat that waits looks for a leader.
-const leaderPoll = 10 * time.Millisecond
+// leaderPollInterval is how often a heartbeat that waits looks for a leader.
+const leaderPollInterval = 10 * time.Millisecond
 
 // target is the scheduler that a heartbeat goes to.
-type target struct {
+type leaderTarget struct {
 	address string
-	// doubtful: it was the leader, and none is known now.
-	doubtful bool
+	// suspect: it was the leader, and none is known now.
+	suspect bool
 }
 
 // target picks the scheduler for a heartbeat. The worker's reports must not
 // wait until the leader's answers arrive again.
-func (a *Agent) target() (target, bool) {
+func (a *Agent) pickTarget() (leaderTarget, bool) {
 	if address, known := a.config.Link.Leader(); known {
-		return target{address: address}, true
+		return leaderTarget{address: address}, true
 	}
-	address, known := a.config.Link.LastLeader()
-	return target{address: address, doubtful: true}, known
+	address, known := a.config.Link.PreviousLeader()
+	return leaderTarget{address: address, suspect: true}, known
 }
 
 // relay carries a heartbeat to the leader. While none is known, and after a call
@@ -47,7 +47,7 @@
 // heartbeat that may have been heard is never sent again.
 func (a *Agent) relay(ctx context.Context, heartbeat api.Heartbeat) (api.HeartbeatAnswer, *api.Error) {
 	for {
-		leader, known := a.target()
+		leader, known := a.pickTarget()
 		if !known && !a.awaitLeader(ctx) {
 			a.metrics.count(resultNoLeader)
 			return api.HeartbeatAnswer{}, unavailable("the leading scheduler is not known")
@@ -55,8 +55,8 @@
 		if !known {
 			continue
 		}
-		answer, unsent, refusal := a.try(ctx, leader, heartbeat)
-		if !unsent || !wait.For(ctx, leaderPoll) || !a.awaitLeader(ctx) {
+		answer, unsent, refusal := a.attempt(ctx, leader, heartbeat)
+		if !unsent || !contexttime.Sleep(ctx, leaderPollInterval) || !a.awaitLeader(ctx) {
 			return answer, refusal
 		}
 	}
@@ -68,39 +68,39 @@
 		if _, known := a.config.Link.Leader(); known {
 			return true
 		}
-		wait.For(ctx, leaderPoll)
+		contexttime.Sleep(ctx, leaderPollInterval)
 	}
 	return false
 }
 
-// try makes one call. unsent tells that the heartbeat surely was not heard.
-func (a *Agent) try(ctx context.Context, leader target, heartbeat api.Heartbeat) (answer api.HeartbeatAnswer, unsent bool, refusal *api.Error) {
+// attempt makes one call. unsent tells that the heartbeat surely was not heard.
+func (a *Agent) attempt(ctx context.Context, leader leaderTarget, heartbeat api.Heartbeat) (answer api.HeartbeatAnswer, unsent bool, refusal *api.Error) {
 	timeout := a.config.RelayTimeout
-	if leader.doubtful {
-		timeout = min(timeout, doubtfulTimeout)
+	if leader.suspect {
+		timeout = min(timeout, suspectTimeout)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	sentAt := time.Now()
-	attended, end := a.config.Link.Attend(ctx, leader.address)
+	supervised, end := a.config.Link.Supervise(ctx, leader.address)
 	defer end()
 	reply, err := rpc.Call[fleet.HeartbeatRequest, fleet.HeartbeatAnswer](
-		attended, a.config.Client, leader.address, fleet.MethodHeartbeat, a.request(heartbeat))
+		supervised, a.config.Client, leader.address, fleet.MethodHeartbeat, a.newRequest(heartbeat))
 	took := time.Since(sentAt)
 	a.metrics.relaySeconds.Observe(took.Seconds())
 	if err != nil {
 		var failure *rpc.Error
 		unsent = errors.As(err, &failure) && failure.Unsent
-		return answer, unsent, a.relayFailed(ctx, leader, heartbeat, err)
+		return answer, unsent, a.handleRelayFailure(ctx, leader, heartbeat, err)
 	}
 	// An agent that was frozen finds answers that came long ago.
 	if took >= a.config.RelayTimeout {
 		a.metrics.count(resultLate)
 		return answer, false, unavailable("the leading scheduler answered too late")
 	}
-	answer, refusal = a.check(heartbeat, reply.Answer)
+	answer, refusal = a.checkAnswer(heartbeat, reply.Answer)
 	if refusal == nil {
-		a.config.Link.HeartbeatAnswered(leader.address, sentAt, leaderlink.HeartbeatNews{
+		a.config.Link.ObserveHeartbeatAnswer(leader.address, sentAt, leaderlink.HeartbeatUpdate{
 			Token: answer.Token, ConfigVersion: answer.ConfigVersion,
 			Interval: time.Duration(answer.IntervalMillis) * time.Millisecond,
 		})
@@ -108,8 +108,8 @@
 	return answer, false, refusal
 }
 
-// request adds what the agent knows about the worker's place.
-func (a *Agent) request(heartbeat api.Heartbeat) fleet.HeartbeatRequest {
+// newRequest adds what the agent knows about the worker's place.
+func (a *Agent) newRequest(heartbeat api.Heartbeat) fleet.HeartbeatRequest {
 	zone := a.config.Zone()
 	labels := make(map[string]string, len(heartbeat.Labels)+1)
 	maps.Copy(labels, heartbeat.Labels)
@@ -120,8 +120,8 @@
 	}
 }
 
-// check drops an answer that the worker must not get.
-func (a *Agent) check(heartbeat api.Heartbeat, answer api.HeartbeatAnswer) (api.HeartbeatAnswer, *api.Error) {
+// checkAnswer drops an answer that the worker must not get.
+func (a *Agent) checkAnswer(heartbeat api.Heartbeat, answer api.HeartbeatAnswer) (api.HeartbeatAnswer, *api.Error) {
 	if answer.Seq != heartbeat.Seq {
 		a.metrics.count(resultFailed)
 		return api.HeartbeatAnswer{}, unavailable("the answer was to another heartbeat")
@@ -136,8 +136,8 @@
 	return answer, nil
 }
 
-// relayFailed says what a failed call means for the worker and for the link.
-func (a *Agent) relayFailed(ctx context.Context, leader target, heartbeat api.Heartbeat, err error) *api.Error {
+// handleRelayFailure says what a failed call means for the worker and for the link.
+func (a *Agent) handleRelayFailure(ctx context.Context, leader leaderTarget, heartbeat api.Heartbeat, err error) *api.Error {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		a.metrics.count(resultSuperseded)
 		return unavailable("a newer heartbeat of this worker came in, or it went away")
@@ -159,8 +159,8 @@
 			return failure.API
 		}
 	case rpc.CodeTransport:
-		if !leader.doubtful {
-			a.config.Link.Failed(leader.address)
+		if !leader.suspect {
+			a.config.Link.ReportFailure(leader.address)
 		}
 	}
 	a.metrics.count(resultFailed)
@@ -169,13 +169,13 @@
 
 // redirect takes the hint for the next heartbeat, unless the link has learned
 // of another leader since.
-func (a *Agent) redirect(asked, hint string) {
+func (a *Agent) redirect(queried, hint string) {
 	current, known := a.config.Link.Leader()
-	if known && current != asked {
+	if known && current != queried {
 		return
 	}
-	if hint == asked {
+	if hint == queried {
 		hint = ""
 	}
-	a.config.Link.Hint(hint)
+	a.config.Link.ObserveHint(hint)
 }
--- a/internal/agent/relay_leader_test.go
+++ b/internal/agent/relay_leader_test.go
@@ -13,30 +13,30 @@
 )
 
 // One lost answer must not keep a worker's reports from a leader that lives.
-func TestHeartbeatsGoOnToALeaderWhoseAnswerWasLost(t *testing.T) {
+func TestRelay_LostAnswerKeepsLeader(t *testing.T) {
 	scheduler := startScheduler(t)
 	agent := startAgent(t, scheduler.address, time.Second)
 	agent.forgetLeader(t)
 	for seq := range uint64(2) {
-		wantStatus(t, agent.post(heartbeatBody(t, "id", 1+seq)), http.StatusOK)
+		requireStatus(t, agent.post(heartbeatBody(t, "id", 1+seq)), http.StatusOK)
 	}
 	if got := scheduler.count(); got != 2 {
 		t.Fatalf("%d calls, want 2", got)
 	}
 }
 
-func TestDoubtfulLeaderIsAskedForAShortTime(t *testing.T) {
+func TestRelay_SuspectLeaderHasShortTimeout(t *testing.T) {
 	scheduler := startScheduler(t)
-	agent := startAgent(t, scheduler.address, 2*doubtfulTimeout)
+	agent := startAgent(t, scheduler.address, 2*suspectTimeout)
 	agent.forgetLeader(t)
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
-	if scheduler.allowed <= 0 || scheduler.allowed > doubtfulTimeout {
-		t.Fatalf("the call had %v, want at most %v", scheduler.allowed, doubtfulTimeout)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
+	if scheduler.allowed <= 0 || scheduler.allowed > suspectTimeout {
+		t.Fatalf("the call had %v, want at most %v", scheduler.allowed, suspectTimeout)
 	}
 }
 
 // A leader whose lease lapsed for a moment names itself, or nobody.
-func TestHeartbeatsGoOnToALeaderThatCouldNotAct(t *testing.T) {
+func TestRelay_UnavailableLeaderIsKept(t *testing.T) {
 	for name, itself := range map[string]bool{"itself": true, "nobody": false} {
 		t.Run(name, func(t *testing.T) {
 			scheduler := startScheduler(t)
@@ -47,42 +47,42 @@
 			scheduler.err = refusal
 			agent := startAgent(t, scheduler.address, time.Second)
 			for seq := range uint64(2) {
-				wantStatus(t, agent.post(heartbeatBody(t, "id", 1+seq)), http.StatusServiceUnavailable)
+				requireStatus(t, agent.post(heartbeatBody(t, "id", 1+seq)), http.StatusServiceUnavailable)
 			}
 			scheduler.err = nil
-			wantStatus(t, agent.post(heartbeatBody(t, "id", 3)), http.StatusOK)
+			requireStatus(t, agent.post(heartbeatBody(t, "id", 3)), http.StatusOK)
 		})
 	}
 }
 
-func TestFormerLeaderNamesTheNext(t *testing.T) {
+func TestRelay_FormerLeaderNamesNext(t *testing.T) {
 	old, next := startScheduler(t), startScheduler(t)
 	old.err = &rpc.Error{Code: rpc.CodeNotLeader}
 	agent := startAgent(t, old.address, time.Second)
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
 	old.err = &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: next.address}
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 2)), http.StatusServiceUnavailable)
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 3)), http.StatusOK)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 2)), http.StatusServiceUnavailable)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 3)), http.StatusOK)
 	if old.count() != 2 || next.count() != 1 {
 		t.Fatalf("%d and %d calls", old.count(), next.count())
 	}
 }
 
 // Heartbeats confirm what is in force in the agent, as its watches do.
-func TestHeartbeatsNameTheConfigurationInForce(t *testing.T) {
+func TestRelay_HeartbeatsNameConfigInForce(t *testing.T) {
 	scheduler := startScheduler(t)
 	agent := startAgent(t, scheduler.address, time.Second)
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
 	if version := scheduler.calls[0].ConfigVersion; version != 0 {
 		t.Errorf("version %d named before any was learned", version)
 	}
 	scheduler.watched(t, agent.link)
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 2)), http.StatusOK)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 2)), http.StatusOK)
 	if version := scheduler.calls[1].ConfigVersion; version != watchedVersion {
 		t.Errorf("version %d named, want %d", version, watchedVersion)
 	}
 	scheduler.configVersion = watchedVersion + 1
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 3)), http.StatusOK)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 3)), http.StatusOK)
 	if version := agent.link.ConfigVersion(); version != watchedVersion+1 {
 		t.Errorf("version %d in force after a heartbeat that named %d", version, watchedVersion+1)
 	}
@@ -92,13 +92,13 @@
 const watchedVersion = 7
 
 // watched has the link make a watch call that the scheduler answers.
-func (f *fakeScheduler) watched(t *testing.T, link *leaderlink.Link) {
+func (f *fakeScheduler) watched(t *testing.T, link *leaderlink.Client) {
 	t.Helper()
 	rpc.Handle(f.server, fleet.MethodWatch, func(ctx context.Context, request fleet.WatchRequest) (fleet.WatchAnswer, error) {
 		if request.MaxWaitMillis > 0 {
 			<-ctx.Done()
 		}
-		return fleet.WatchAnswer{Token: f.token, LeaderAddress: f.address, ConfigVersion: watchedVersion, HoldMillis: time.Minute.Milliseconds()}, nil
+		return fleet.WatchAnswer{Token: f.token, LeaderAddress: f.address, ConfigVersion: watchedVersion, LeaseMillis: time.Minute.Milliseconds()}, nil
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -113,7 +113,7 @@
 func (a testAgent) forgetLeader(t *testing.T) {
 	t.Helper()
 	leader, _ := a.link.Leader()
-	a.link.Failed(leader)
+	a.link.ReportFailure(leader)
 	if leader, known := a.link.Leader(); known {
 		t.Fatalf("still names %s", leader)
 	}
--- a/internal/agent/relay_pause_test.go
+++ b/internal/agent/relay_pause_test.go
@@ -17,17 +17,17 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// TestRefusedRelayPausesBeforeTheNextTry: a leader that has just answered the
+// TestRelay_RefusedConnectionWaitsBeforeNextAttempt: a leader that has just answered the
 // watch stays the one known for a while, though calls to it are refused at once.
 // Without a pause a heartbeat would try as often as it can.
-func TestRefusedRelayPausesBeforeTheNextTry(t *testing.T) {
+func TestRelay_RefusedConnectionWaitsBeforeNextAttempt(t *testing.T) {
 	const relayTime = 300 * time.Millisecond
 	scheduler := startScheduler(t)
 	watched := make(chan struct{})
 	var once sync.Once
 	rpc.Handle(scheduler.server, fleet.MethodWatch, func(context.Context, fleet.WatchRequest) (fleet.WatchAnswer, error) {
 		once.Do(func() { close(watched) })
-		return fleet.WatchAnswer{Token: 1, HoldMillis: 1500}, nil
+		return fleet.WatchAnswer{Token: 1, LeaseMillis: 1500}, nil
 	})
 	watching := rpc.NewClient(rpc.ClientConfig{})
 	var dials atomic.Int64
@@ -55,8 +55,8 @@
 		t.Fatal(err)
 	}
 	<-watched
-	wantStatus(t, testAgent{Agent: agent, link: link}.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
-	if most := int64(relayTime/leaderPoll) + 1; dials.Load() > most {
+	requireStatus(t, testAgent{Agent: agent, link: link}.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
+	if most := int64(relayTime/leaderPollInterval) + 1; dials.Load() > most {
 		t.Errorf("dialled %d times in %v, want %d at most", dials.Load(), relayTime, most)
 	}
 }
--- a/internal/agent/relay_silent_test.go
+++ b/internal/agent/relay_silent_test.go
@@ -40,7 +40,7 @@
 		if !s.leads.Load() {
 			return fleet.WatchAnswer{}, &rpc.Error{Code: rpc.CodeNotLeader}
 		}
-		return fleet.WatchAnswer{Token: token, HoldMillis: 1500}, nil
+		return fleet.WatchAnswer{Token: token, LeaseMillis: 1500}, nil
 	})
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
@@ -48,21 +48,21 @@
 	return s
 }
 
-// TestHeartbeatToASilentLeaderEndsOnceAnotherLeads: a worker whose leader is gone
+// TestRelay_CallToSilentLeaderEndsOnceAnotherLeads: a worker whose leader is gone
 // without a word must not wait for the time of its call before it is heard by the
 // next one.
-func TestHeartbeatToASilentLeaderEndsOnceAnotherLeads(t *testing.T) {
+func TestRelay_CallToSilentLeaderEndsOnceAnotherLeads(t *testing.T) {
 	const patient = 5 * time.Second
 	old, next := startWatchedScheduler(t, 1), startWatchedScheduler(t, 2)
 	old.leads.Store(true)
 	agent := startAgent(t, old.address, patient)
 	agent.follow(t, old.address, next.address)
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
 	old.silent.Store(true)
 	next.leads.Store(true)
 	began := time.Now()
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 2)), http.StatusServiceUnavailable)
-	wantStatus(t, agent.post(heartbeatBody(t, "id", 3)), http.StatusOK)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 2)), http.StatusServiceUnavailable)
+	requireStatus(t, agent.post(heartbeatBody(t, "id", 3)), http.StatusOK)
 	if took := time.Since(began); took > patient/2 {
 		t.Errorf("the next leader heard of the worker after %v", took)
 	}
--- a/internal/agent/relay_wait_test.go
+++ b/internal/agent/relay_wait_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// TestHeartbeatWaitsForALeader: a worker that is refused at once comes again only
+// TestRelay_HeartbeatWaitsForLeader: a worker that is refused at once comes again only
 // after a pause, so a leader that is elected meanwhile would hear of it late.
-func TestHeartbeatWaitsForALeader(t *testing.T) {
+func TestRelay_HeartbeatWaitsForLeader(t *testing.T) {
 	cases := map[string]string{"none is known": "", "the one known cannot be reached": "127.0.0.1:1"}
 	for name, known := range cases {
 		t.Run(name, func(t *testing.T) {
 			scheduler := startScheduler(t)
 			agent := startAgent(t, known, 5*time.Second)
-			elected := time.AfterFunc(100*time.Millisecond, func() { agent.link.Hint(scheduler.address) })
+			elected := time.AfterFunc(100*time.Millisecond, func() { agent.link.ObserveHint(scheduler.address) })
 			defer elected.Stop()
-			wantStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
+			requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
 			if got := scheduler.count(); got != 1 {
 				t.Fatalf("heard %d times", got)
 			}
--- a/internal/agent/relay_worker_test.go
+++ b/internal/agent/relay_worker_test.go
@@ -87,9 +87,9 @@
 	return true
 }
 
-// TestLostAnswersNeverStartATaskTwice joins a real worker and agent with a
+// TestRelay_LostAnswersNeverStartTaskTwice joins a real worker and agent with a
 // leader that loses half of its answers.
-func TestLostAnswersNeverStartATaskTwice(t *testing.T) {
+func TestRelay_LostAnswersNeverStartTaskTwice(t *testing.T) {
 	leader := &lossyLeader{random: rand.New(rand.NewPCG(1, 2)), tasks: make(map[string]*placedTask)}
 	for i := range 40 {
 		leader.tasks[fmt.Sprintf("j/s/%d", i)] = &placedTask{run: 1}
--- a/internal/agent/sequences.go
+++ b/internal/agent/sequences.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// idleForget is how long a silent worker id is remembered.
-	idleForget = 10 * time.Minute
-	// sweepEvery is the pause between two looks for silent worker ids.
-	sweepEvery = time.Minute
+	// idleTimeout is how long a silent worker id is remembered.
+	idleTimeout = 10 * time.Minute
+	// sweepInterval is the pause between two looks for silent worker ids.
+	sweepInterval = time.Minute
 )
 
 // sequences knows the highest seq that was relayed for each worker id, and the
@@ -22,44 +22,44 @@
 }
 
 type sequence struct {
-	highest uint64
-	cancel  context.CancelFunc // of the relay of highest; nil once it ended
-	heardAt time.Time
+	highest  uint64
+	cancel   context.CancelFunc // of the relay of highest; nil once it ended
+	lastSeen time.Time
 }
 
-// turn is the right to relay one heartbeat.
-type turn struct {
+// relayTicket is the right to relay one heartbeat.
+type relayTicket struct {
 	workerID string
 	seq      uint64
 }
 
 func newSequences() *sequences { return &sequences{workers: make(map[string]*sequence)} }
 
-// begin gives a turn to a heartbeat that is newer than all before it, and
+// beginRelay gives a turn to a heartbeat that is newer than all before it, and
 // cancels the relay of an older one. It reports false for any other.
-func (s *sequences) begin(workerID string, seq uint64, cancel context.CancelFunc, now time.Time) (turn, bool) {
+func (s *sequences) beginRelay(workerID string, seq uint64, cancel context.CancelFunc, now time.Time) (relayTicket, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.sweep(now)
+	s.removeIdle(now)
 	worker := s.workers[workerID]
 	if worker == nil {
 		worker = &sequence{}
 		s.workers[workerID] = worker
 	}
-	worker.heardAt = now
+	worker.lastSeen = now
 	if seq <= worker.highest {
-		return turn{}, false
+		return relayTicket{}, false
 	}
 	if worker.cancel != nil {
 		worker.cancel()
 	}
 	worker.highest = seq
 	worker.cancel = cancel
-	return turn{workerID: workerID, seq: seq}, true
+	return relayTicket{workerID: workerID, seq: seq}, true
 }
 
-// end reports whether the turn's heartbeat is still the newest.
-func (s *sequences) end(t turn) bool {
+// endRelay reports whether the turn's heartbeat is still the newest.
+func (s *sequences) endRelay(t relayTicket) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	worker := s.workers[t.workerID]
@@ -70,14 +70,14 @@
 	return true
 }
 
-// sweep forgets worker ids that were silent for long.
-func (s *sequences) sweep(now time.Time) {
-	if now.Sub(s.sweptAt) < sweepEvery {
+// removeIdle forgets worker ids that were silent for long.
+func (s *sequences) removeIdle(now time.Time) {
+	if now.Sub(s.sweptAt) < sweepInterval {
 		return
 	}
 	s.sweptAt = now
 	for id, worker := range s.workers {
-		if worker.cancel == nil && now.Sub(worker.heardAt) > idleForget {
+		if worker.cancel == nil && now.Sub(worker.lastSeen) > idleTimeout {
 			delete(s.workers, id)
 		}
 	}
--- a/internal/agent/validate.go
+++ b/internal/agent/validate.go
@@ -12,7 +12,7 @@
 
 const (
 	maxWorkerIDBytes = 128
-	maxPlaceBytes    = 128
+	maxAddressBytes  = 128
 	maxMessageBytes  = 1024
 	maxPercent       = 100
 )
@@ -53,7 +53,7 @@
 	c.check(namePattern.MatchString(heartbeat.Name), "name", heartbeat.Name, "1 to 64 of a-z, A-Z, 0-9, '-', '_' or '.'")
 	c.check(heartbeat.Seq > 0, "seq", "0", "a number from 1")
 	c.check(heartbeat.AcceptedSeq < max(heartbeat.Seq, 1), "accepted_seq", strconv.FormatUint(heartbeat.AcceptedSeq, 10), "a number lower than seq")
-	c.check(len(heartbeat.Place) <= maxPlaceBytes, "place", heartbeat.Place, "up to 128 bytes that no other living process here can have")
+	c.check(len(heartbeat.Place) <= maxAddressBytes, "place", heartbeat.Place, "up to 128 bytes that no other living process here can have")
 	c.capacity(heartbeat.Capacity)
 	for i, service := range heartbeat.Services {
 		c.check(service != "", fmt.Sprintf("services[%d]", i), service, "a name")
@@ -87,7 +87,7 @@
 	for i, ended := range heartbeat.Ended {
 		path := fmt.Sprintf("ended[%d]", i)
 		c.run(path, ended.RunRef, seen)
-		c.check(reportable(ended.Outcome), path+".outcome", string(ended.Outcome), "succeeded, failed or stopped")
+		c.check(isReportable(ended.Outcome), path+".outcome", string(ended.Outcome), "succeeded, failed or stopped")
 		c.check(len(ended.Message) <= maxMessageBytes, path+".message", ended.Message, "at most 1024 bytes")
 		c.checkpoint(path, ended.Checkpoint)
 	}
@@ -99,15 +99,15 @@
 	if len(heartbeat.Progress) == 0 {
 		return
 	}
-	silent := make(map[api.RunRef]bool, len(heartbeat.Running))
+	unreported := make(map[api.RunRef]bool, len(heartbeat.Running))
 	for _, ref := range heartbeat.Running {
-		silent[ref] = true
+		unreported[ref] = true
 	}
 	for i, said := range heartbeat.Progress {
 		path := fmt.Sprintf("progress[%d]", i)
 		name := fmt.Sprintf("%s run %d", said.Task, said.Run)
-		c.check(silent[said.RunRef], path, name, "a run of running, named once")
-		silent[said.RunRef] = false
+		c.check(unreported[said.RunRef], path, name, "a run of running, named once")
+		unreported[said.RunRef] = false
 		c.check(said.Percent >= 0 && said.Percent <= maxPercent, path+".percent", strconv.Itoa(said.Percent), "0 to 100")
 		c.checkpoint(path, said.Checkpoint)
 	}
@@ -125,6 +125,6 @@
 	seen[ref] = true
 }
 
-func reportable(outcome api.Outcome) bool {
+func isReportable(outcome api.Outcome) bool {
 	return outcome == api.OutcomeSucceeded || outcome == api.OutcomeFailed || outcome == api.OutcomeStopped
 }
--- a/internal/agent/validate_test.go
+++ b/internal/agent/validate_test.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-func TestProgressAndCheckpoints(t *testing.T) {
+func TestValidate_ProgressAndCheckpoints(t *testing.T) {
 	run := api.RunRef{Task: "j/s/0/3", Run: 2}
 	other := api.RunRef{Task: "j/s/1", Run: 1}
 	largest := strings.Repeat("x", api.MaxCheckpointBytes)
--- a/internal/booking/booking_test.go
+++ b/internal/booking/booking_test.go
@@ -11,7 +11,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-func at(text string) time.Time {
+func mustParseTime(text string) time.Time {
 	parsed, err := time.Parse(time.RFC3339, text)
 	if err != nil {
 		panic(err)
@@ -19,10 +19,10 @@
 	return parsed
 }
 
-// starts lists the starts of the windows of a booking in their own zone.
-func starts(t *testing.T, booking api.BookingConfig, from, to string) []string {
+// startsOf lists the starts of the windows of a booking in their own zone.
+func startsOf(t *testing.T, booking api.BookingConfig, from, to string) []string {
 	t.Helper()
-	windows, err := Windows("q", &booking, at(from), at(to))
+	windows, err := Windows("q", &booking, mustParseTime(from), mustParseTime(to))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	return texts
 }
 
-func TestStartsWhereLocalTimeJumps(t *testing.T) {
+func TestWindows_StartsAcrossClockChanges(t *testing.T) {
 	const newYork, berlin, lordHowe = "America/New_York", "Europe/Berlin", "Australia/Lord_Howe"
 	cases := []struct {
 		name, dailyAt, cron, zone, from, to string
@@ -104,18 +104,18 @@
 				DailyAt: c.dailyAt, Cron: c.cron, TimeZone: c.zone,
 				Lead: api.Duration(time.Nanosecond), Duration: api.Duration(time.Nanosecond),
 			}
-			if diff := cmp.Diff(c.want, starts(t, booking, c.from, c.to)); diff != "" {
+			if diff := cmp.Diff(c.want, startsOf(t, booking, c.from, c.to)); diff != "" {
 				t.Fatalf("starts (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-func TestDailyStartsOnceEachLocalDay(t *testing.T) {
+func TestWindows_DailyStartsOncePerLocalDay(t *testing.T) {
 	for _, zone := range []string{"America/New_York", "Europe/Berlin", "Australia/Lord_Howe", "Africa/Cairo", "America/Bogota"} {
 		for _, dailyAt := range []string{"00:00", "01:30", "02:00", "02:59", "23:45"} {
 			booking := api.BookingConfig{DailyAt: dailyAt, TimeZone: zone, Duration: api.Duration(time.Hour)}
-			found := starts(t, booking, "2026-01-02T12:00:00Z", "2029-01-02T12:00:00Z")
+			found := startsOf(t, booking, "2026-01-02T12:00:00Z", "2029-01-02T12:00:00Z")
 			var days []string
 			for _, start := range found {
 				days = append(days, start[:len("2026-01-02")])
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestWindowsOverlapWithTheirHeldTime(t *testing.T) {
+func TestWindows_OverlapIncludesLead(t *testing.T) {
 	booking := api.BookingConfig{Name: "b", DailyAt: "23:30", Duration: api.Duration(time.Hour), Lead: api.Duration(10 * time.Minute)}
 	for _, c := range []struct {
 		from, to string
@@ -139,16 +139,16 @@
 		{"2026-02-01T00:29:59Z", "2026-02-01T01:00:00Z", 1},
 		{"2026-02-01T00:30:00Z", "2026-02-01T01:00:00Z", 0},
 	} {
-		if got := len(starts(t, booking, c.from, c.to)); got != c.want {
+		if got := len(startsOf(t, booking, c.from, c.to)); got != c.want {
 			t.Errorf("%s to %s: %d windows, want %d", c.from, c.to, got, c.want)
 		}
 	}
-	windows, err := Windows("q", &booking, at("2026-02-01T00:00:00Z"), at("2026-02-01T00:01:00Z"))
+	windows, err := Windows("q", &booking, mustParseTime("2026-02-01T00:00:00Z"), mustParseTime("2026-02-01T00:01:00Z"))
 	if err != nil || len(windows) != 1 {
 		t.Fatalf("%v, %v", windows, err)
 	}
 	one := windows[0]
-	if one.ID() != "q/b/1769902200000" || !one.End.Equal(at("2026-02-01T00:30:00Z")) || !one.HeldFrom.Equal(at("2026-01-31T23:20:00Z")) {
+	if one.ID() != "q/b/1769902200000" || !one.End.Equal(mustParseTime("2026-02-01T00:30:00Z")) || !one.ReservedFrom.Equal(mustParseTime("2026-01-31T23:20:00Z")) {
 		t.Fatalf("window %+v, id %s", one, one.ID())
 	}
 	booking.TimeZone = "No/Where"
@@ -158,16 +158,16 @@
 }
 
 // now is a Tuesday, 23:00 in Bogota.
-var now = at("2026-12-02T04:00:00Z")
+var now = mustParseTime("2026-12-02T04:00:00Z")
 
-func booked(name, dailyAt string, slots int) api.BookingConfig {
+func newBooking(name, dailyAt string, slots int) api.BookingConfig {
 	return api.BookingConfig{
 		Name: name, DailyAt: dailyAt, TimeZone: "America/Bogota", Duration: api.Duration(time.Hour),
 		Slots: slots, Slice: api.Resources{CPUMillis: 1000, MemoryMB: 512},
 	}
 }
 
-func fleet(workers int) []Worker {
+func newWorkers(workers int) []Worker {
 	var all []Worker
 	for i := range workers {
 		all = append(all, Worker{
@@ -179,7 +179,7 @@
 	return all
 }
 
-func TestCheckNamesWhatIsShort(t *testing.T) {
+func TestCheck_NamesShortBookings(t *testing.T) {
 	cases := []struct {
 		name    string
 		change  func(c *api.Config)
@@ -211,16 +211,16 @@
 			}},
 		},
 		{"one after the other", func(c *api.Config) {
-			c.Queues[0].Bookings = []api.BookingConfig{booked("before", "04:55", 12), booked("after", "07:05", 12)}
+			c.Queues[0].Bookings = []api.BookingConfig{newBooking("before", "04:55", 12), newBooking("after", "07:05", 12)}
 		}, 4, nil},
 		{"lead into another's window", func(c *api.Config) {
-			c.Queues[0].Bookings = []api.BookingConfig{booked("after", "07:04", 1)}
+			c.Queues[0].Bookings = []api.BookingConfig{newBooking("after", "07:04", 1)}
 		}, 4, []api.FieldError{{
 			Field: "queues[1].bookings[0].slots", Value: "12",
 			Expected: "room at 2026-12-02T07:04:00-05:00: 12 slots, 11 fit; short 1000 cpu_millis, 512 memory_mb",
 		}}},
 		{"rarer than the horizon", func(c *api.Config) {
-			rare := booked("rare", "", 1)
+			rare := newBooking("rare", "", 1)
 			rare.Cron, rare.TimeZone, rare.Slice.Accelerators = "30 12 24 12 *", "Europe/Berlin", 1
 			c.Queues[0].Bookings = []api.BookingConfig{rare}
 		}, 4, []api.FieldError{{
@@ -228,7 +228,7 @@
 			Expected: "room at 2026-12-24T12:30:00+01:00: 1 slots, 0 fit; short 1000 cpu_millis, 512 memory_mb, 1 accelerators",
 		}}},
 		{"rarer, together with a daily one", func(c *api.Config) {
-			rare := booked("rare", "", 1)
+			rare := newBooking("rare", "", 1)
 			rare.Cron, rare.Duration = "30 5 24 12 *", api.Duration(6*time.Hour)
 			rare.Slice = api.Resources{CPUMillis: 3500}
 			c.Queues[0].Bookings = []api.BookingConfig{rare}
@@ -237,13 +237,13 @@
 			Expected: "room at 2026-12-24T06:00:00-05:00: 12 slots, 9 fit; short 3000 cpu_millis, 1536 memory_mb",
 		}}},
 		{"labels are packed first", func(c *api.Config) {
-			small := booked("labelled", "06:00", 3)
+			small := newBooking("labelled", "06:00", 3)
 			small.Service, small.Labels = "s", map[string]string{"number": "1"}
 			c.Queues[1].Bookings[0].Slots = 9
 			c.Queues[0].Bookings = []api.BookingConfig{small}
 		}, 4, nil},
 		{"larger slices are packed first", func(c *api.Config) {
-			large := booked("large", "06:00", 1)
+			large := newBooking("large", "06:00", 1)
 			large.Slice.CPUMillis = 3000
 			c.Queues[1].Bookings[0].Slots = 3
 			c.Queues[0].Bookings = []api.BookingConfig{large}
@@ -253,26 +253,26 @@
 		t.Run(c.name, func(t *testing.T) {
 			config := &api.Config{Queues: []api.QueueConfig{
 				{Name: "p"},
-				{Name: "q", Bookings: []api.BookingConfig{booked("b", "06:00", 12)}},
+				{Name: "q", Bookings: []api.BookingConfig{newBooking("b", "06:00", 12)}},
 			}}
 			c.change(config)
 			if fields := api.ValidateConfigAt(config, now); len(fields) > 0 {
 				t.Fatalf("not valid: %v", fields)
 			}
-			if diff := cmp.Diff(c.want, Check(config, fleet(c.workers), now)); diff != "" {
+			if diff := cmp.Diff(c.want, Check(config, newWorkers(c.workers), now)); diff != "" {
 				t.Fatalf("wrong fields (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-func TestCheckCountsWindowsUnderWay(t *testing.T) {
+func TestCheck_CountsOpenWindows(t *testing.T) {
 	config := &api.Config{Queues: []api.QueueConfig{{Name: "q", Bookings: []api.BookingConfig{
-		booked("long", "22:30", 6), booked("next", "23:02", 4),
+		newBooking("long", "22:30", 6), newBooking("next", "23:02", 4),
 	}}}}
 	config.Queues[0].Bookings[0].Cron = "30 22 1 * *"
 	config.Queues[0].Bookings[0].DailyAt = ""
-	fields := Check(config, fleet(3), now)
+	fields := Check(config, newWorkers(3), now)
 	want := "room at 2026-12-01T23:02:00-05:00: 4 slots, 3 fit; short 1000 cpu_millis, 512 memory_mb"
 	if len(fields) != 1 || fields[0].Field != "queues[0].bookings[1].slots" || fields[0].Expected != want {
 		t.Fatalf("%+v", fields)
--- a/internal/booking/check.go
+++ b/internal/booking/check.go
@@ -32,63 +32,63 @@
 	if len(workers) == 0 {
 		return nil
 	}
-	c := &check{
-		now:     now,
-		demands: firmDemands(config),
-		workers: usableWorkers(workers, config.Drains),
-		packed:  make(map[string][]shortage),
+	c := &checker{
+		now:            now,
+		demands:        guaranteedDemands(config),
+		workers:        usableWorkers(workers, config.Drains),
+		shortagesBySet: make(map[string][]shortage),
 	}
-	for _, span := range c.spans() {
-		c.span(span)
+	for _, span := range c.intervals() {
+		c.checkInterval(span)
 	}
 	return c.fieldErrors()
 }
 
-// check is one run of Check.
-type check struct {
+// checker is one run of Check.
+type checker struct {
 	now     time.Time
 	demands []*demand
 	workers []Worker
-	// packed keeps the outcome for each set of demands, as most moments have
+	// shortagesBySet keeps the outcome for each set of demands, as most moments have
 	// one that was seen before.
-	packed map[string][]shortage
+	shortagesBySet map[string][]shortage
 }
 
 // demand is a firm booking.
 type demand struct {
 	// place is its index among the demands.
-	place    int
+	index    int
 	queue    string
 	field    string
 	booking  api.BookingConfig
 	location *time.Location
-	// short is the first shortage found, nil while there is none.
-	short *shortage
+	// shortage is the first shortage found, nil while there is none.
+	shortage *shortage
 	// shortAt is the start of the window at which it was found.
 	shortAt time.Time
 }
 
 // shortage says how many slices of a demand found room.
 type shortage struct {
-	demand *demand
-	placed int
+	demand      *demand
+	placedSlots int
 	// eligible is false if no worker that counts offers service and labels.
 	eligible bool
 }
 
 // span is a time in which moments are looked at.
-type span struct {
+type interval struct {
 	from, to time.Time
 }
 
 // moment is a time from which room is held for a window that starts at start;
 // of moments at the same time, the latest start is used.
-type moment struct {
+type packingTime struct {
 	at, start time.Time
 }
 
-// firmDemands lists the bookings that are not best effort and have slots.
-func firmDemands(config *api.Config) []*demand {
+// guaranteedDemands lists the bookings that are not best effort and have slots.
+func guaranteedDemands(config *api.Config) []*demand {
 	var demands []*demand
 	for number, queue := range config.Queues {
 		for index := range queue.Bookings {
@@ -98,7 +98,7 @@
 				continue
 			}
 			demands = append(demands, &demand{
-				place:    len(demands),
+				index:    len(demands),
 				queue:    queue.Name,
 				field:    fmt.Sprintf("queues[%d].bookings[%d].slots", number, index),
 				booking:  booking,
@@ -122,36 +122,36 @@
 	return usable
 }
 
-// spans lists the horizon and the next window of each rarer schedule, by time.
-func (c *check) spans() []span {
+// intervals lists the horizon and the next window of each rarer schedule, by time.
+func (c *checker) intervals() []interval {
 	end := c.now.Add(Horizon)
-	spans := []span{{c.now, end}}
+	spans := []interval{{c.now, end}}
 	for _, demand := range c.demands {
 		window, found := nextWindow(demand.queue, &demand.booking, c.now)
 		if found && !window.Start.Before(end) {
-			spans = append(spans, span{window.HeldFrom, window.End})
+			spans = append(spans, interval{window.ReservedFrom, window.End})
 		}
 	}
-	slices.SortFunc(spans, func(a, b span) int { return a.from.Compare(b.from) })
+	slices.SortFunc(spans, func(a, b interval) int { return a.from.Compare(b.from) })
 	return spans
 }
 
 // span looks at each moment of a span in which something changes for the worse.
-func (c *check) span(span span) {
+func (c *checker) checkInterval(span interval) {
 	windows := make([][]Window, len(c.demands))
-	var moments []moment
-	for place, demand := range c.demands {
+	var moments []packingTime
+	for index, demand := range c.demands {
 		found, err := Windows(demand.queue, &demand.booking, span.from, span.to)
 		if err != nil {
-			continue // firmDemands left such a booking out
+			continue // guaranteedDemands left such a booking out
 		}
-		windows[place] = found
+		windows[index] = found
 		for _, window := range found {
-			from := later(window.HeldFrom, span.from)
-			moments = append(moments, moment{at: from, start: later(window.Start, from)})
+			from := later(window.ReservedFrom, span.from)
+			moments = append(moments, packingTime{at: from, start: later(window.Start, from)})
 		}
 	}
-	slices.SortFunc(moments, func(a, b moment) int {
+	slices.SortFunc(moments, func(a, b packingTime) int {
 		if order := a.at.Compare(b.at); order != 0 {
 			return order
 		}
@@ -159,56 +159,56 @@
 	})
 	next := make([]int, len(windows))
 	for _, moment := range moments {
-		c.moment(moment, c.heldAt(moment.at, windows, next))
+		c.checkAt(moment, c.activeAt(moment.at, windows, next))
 	}
 }
 
-// heldAt lists the demands for which room is held at a moment. next holds, for
+// activeAt lists the demands for which room is held at a moment. next holds, for
 // each demand, its first window that has not ended; moments only go forward.
-func (c *check) heldAt(at time.Time, windows [][]Window, next []int) []*demand {
-	var held []*demand
-	for place, list := range windows {
-		for next[place] < len(list) && !list[next[place]].End.After(at) {
-			next[place]++
+func (c *checker) activeAt(at time.Time, windows [][]Window, next []int) []*demand {
+	var active []*demand
+	for index, list := range windows {
+		for next[index] < len(list) && !list[next[index]].End.After(at) {
+			next[index]++
 		}
-		if next[place] < len(list) && !list[next[place]].HeldFrom.After(at) {
-			held = append(held, c.demands[place])
+		if next[index] < len(list) && !list[next[index]].ReservedFrom.After(at) {
+			active = append(active, c.demands[index])
 		}
 	}
-	return held
+	return active
 }
 
 // moment packs the demands of a moment and notes those that are short.
-func (c *check) moment(moment moment, held []*demand) {
-	for _, found := range c.pack(held) {
-		if found.demand.short == nil {
-			found.demand.short = &found
+func (c *checker) checkAt(moment packingTime, active []*demand) {
+	for _, found := range c.shortagesOf(active) {
+		if found.demand.shortage == nil {
+			found.demand.shortage = &found
 			found.demand.shortAt = moment.start
 		}
 	}
 }
 
-// pack returns the shortages of a set of demands, packed once for each set.
-func (c *check) pack(held []*demand) []shortage {
-	places := make([]string, len(held))
-	for index, demand := range held {
-		places[index] = strconv.Itoa(demand.place)
+// shortagesOf returns the shortages of a set of demands, packed once for each set.
+func (c *checker) shortagesOf(active []*demand) []shortage {
+	indexes := make([]string, len(active))
+	for index, demand := range active {
+		indexes[index] = strconv.Itoa(demand.index)
 	}
-	key := strings.Join(places, ",")
-	known, found := c.packed[key]
+	key := strings.Join(indexes, ",")
+	known, found := c.shortagesBySet[key]
 	if !found {
-		known = pack(held, c.workers)
-		c.packed[key] = known
+		known = pack(active, c.workers)
+		c.shortagesBySet[key] = known
 	}
 	return known
 }
 
 // fieldErrors lists the demands that are short, in the order of the
 // configuration.
-func (c *check) fieldErrors() []api.FieldError {
+func (c *checker) fieldErrors() []api.FieldError {
 	var fields []api.FieldError
 	for _, demand := range c.demands {
-		if demand.short != nil {
+		if demand.shortage != nil {
 			fields = append(fields, api.FieldError{
 				Field:    demand.field,
 				Value:    strconv.Itoa(demand.booking.Slots),
@@ -222,16 +222,16 @@
 // describe says when and of what a demand is short.
 func (d *demand) describe() string {
 	hour := d.shortAt.In(d.location).Format(time.RFC3339)
-	text := fmt.Sprintf("room at %s: %d slots, %d fit", hour, d.booking.Slots, d.short.placed)
-	if !d.short.eligible {
+	text := fmt.Sprintf("room at %s: %d slots, %d fit", hour, d.booking.Slots, d.shortage.placedSlots)
+	if !d.shortage.eligible {
 		text += "; no registered worker that is not drained offers its service and labels"
 	}
-	return text + "; short " + describeRoom(d.booking.Slice, int64(d.booking.Slots-d.short.placed))
+	return text + "; short " + describeShortfall(d.booking.Slice, int64(d.booking.Slots-d.shortage.placedSlots))
 }
 
-// describeRoom names the room of a number of slices, without resources that
+// describeShortfall names the room of a number of slices, without resources that
 // they do not take.
-func describeRoom(slice api.Resources, slots int64) string {
+func describeShortfall(slice api.Resources, slots int64) string {
 	var parts []string
 	for _, resource := range []struct {
 		name   string
--- a/internal/booking/pack.go
+++ b/internal/booking/pack.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// pack puts the slices of demands onto empty workers and returns the demands
+// shortagesOf puts the slices of demands onto empty workers and returns the demands
 // that do not fit whole. It is first fit decreasing (Johnson, 1973) in several
 // dimensions: demands that fewer workers can serve go first, then those with
 // the larger slice, measured by its largest share of all room; ties keep the
@@ -27,16 +27,16 @@
 	}
 	var short []shortage
 	for _, item := range packingOrder(demands, workers, total) {
-		placed := item.place(free)
-		if placed < item.demand.booking.Slots {
-			short = append(short, shortage{demand: item.demand, placed: placed, eligible: len(item.eligible) > 0})
+		placedSlots := item.placeSlots(free)
+		if placedSlots < item.demand.booking.Slots {
+			short = append(short, shortage{demand: item.demand, placedSlots: placedSlots, eligible: len(item.eligible) > 0})
 		}
 	}
 	return short
 }
 
-// item is a demand with what decides its turn.
-type item struct {
+// packingItem is a demand with what decides its turn.
+type packingItem struct {
 	demand *demand
 	// eligible are indexes of workers that offer service and labels.
 	eligible []int
@@ -44,16 +44,16 @@
 	share float64
 }
 
-func packingOrder(demands []*demand, workers []Worker, total api.Resources) []item {
-	items := make([]item, len(demands))
+func packingOrder(demands []*demand, workers []Worker, total api.Resources) []packingItem {
+	items := make([]packingItem, len(demands))
 	for index, demand := range demands {
-		items[index] = item{
+		items[index] = packingItem{
 			demand:   demand,
 			eligible: eligibleWorkers(&demand.booking, workers),
-			share:    largestShare(demand.booking.Slice, total),
+			share:    dominantShare(demand.booking.Slice, total),
 		}
 	}
-	slices.SortStableFunc(items, func(a, b item) int {
+	slices.SortStableFunc(items, func(a, b packingItem) int {
 		return cmp.Or(cmp.Compare(len(a.eligible), len(b.eligible)), cmp.Compare(b.share, a.share))
 	})
 	return items
@@ -82,7 +82,7 @@
 	return true
 }
 
-func largestShare(slice, total api.Resources) float64 {
+func dominantShare(slice, total api.Resources) float64 {
 	return max(
 		share(slice.CPUMillis, total.CPUMillis),
 		share(slice.MemoryMB, total.MemoryMB),
@@ -101,32 +101,32 @@
 }
 
 // place puts as many slices as fit, worker by worker, and returns their number.
-func (i *item) place(free []api.Resources) int {
+func (i *packingItem) placeSlots(free []api.Resources) int {
 	booking := &i.demand.booking
-	placed := 0
+	placedSlots := 0
 	for _, index := range i.eligible {
-		count := min(slicesThatFit(booking.Slice, free[index]), booking.Slots-placed)
+		count := min(slotsThatFit(booking.Slice, free[index]), booking.Slots-placedSlots)
 		free[index] = free[index].Sub(times(booking.Slice, int64(count)))
-		placed += count
+		placedSlots += count
 	}
-	return placed
+	return placedSlots
 }
 
-// slicesThatFit counts how many slices fit into room, at most
+// slotsThatFit counts how many slices fit into room, at most
 // api.MaxBookingSlots.
-func slicesThatFit(slice, room api.Resources) int {
+func slotsThatFit(slice, free api.Resources) int {
 	return int(min(
-		countThatFits(slice.CPUMillis, room.CPUMillis),
-		countThatFits(slice.MemoryMB, room.MemoryMB),
-		countThatFits(slice.Accelerators, room.Accelerators),
+		countThatFits(slice.CPUMillis, free.CPUMillis),
+		countThatFits(slice.MemoryMB, free.MemoryMB),
+		countThatFits(slice.Accelerators, free.Accelerators),
 	))
 }
 
-func countThatFits(part, room int64) int64 {
+func countThatFits(part, free int64) int64 {
 	if part <= 0 {
 		return api.MaxBookingSlots
 	}
-	return max(0, min(room/part, api.MaxBookingSlots))
+	return max(0, min(free/part, api.MaxBookingSlots))
 }
 
 func times(slice api.Resources, count int64) api.Resources {
--- a/internal/booking/types.go
+++ b/internal/booking/types.go
@@ -10,10 +10,10 @@
 type Window struct {
 	Queue   string
 	Booking *api.BookingConfig
-	// Start and End frame the window; room is kept from HeldFrom on.
-	Start    time.Time
-	End      time.Time
-	HeldFrom time.Time
+	// Start and End frame the window; room is kept from ReservedFrom on.
+	Start        time.Time
+	End          time.Time
+	ReservedFrom time.Time
 }
 
 // ID names the window: "QUEUE/BOOKING/START", START in Unix milliseconds.
--- a/internal/booking/windows.go
+++ b/internal/booking/windows.go
@@ -32,11 +32,11 @@
 func newWindow(queue string, booking *api.BookingConfig, start time.Time) Window {
 	full := booking.WithDefaults()
 	return Window{
-		Queue:    queue,
-		Booking:  booking,
-		Start:    start,
-		End:      start.Add(full.Duration.Std()),
-		HeldFrom: start.Add(-full.Lead.Std()),
+		Queue:        queue,
+		Booking:      booking,
+		Start:        start,
+		End:          start.Add(full.Duration.Std()),
+		ReservedFrom: start.Add(-full.Lead.Std()),
 	}
 }
 
--- a/internal/builtin/builtin_test.go
+++ b/internal/builtin/builtin_test.go
@@ -12,7 +12,7 @@
 	"github.com/decklever/decklever/worker"
 )
 
-func run(ctx context.Context, t *testing.T, name, payload string, number uint32) (time.Duration, error) {
+func runHandler(ctx context.Context, t *testing.T, name, payload string, number uint32) (time.Duration, error) {
 	t.Helper()
 	task := worker.Task{
 		RunRef: api.RunRef{Task: "j/s/0", Run: number},
@@ -42,7 +42,7 @@
 	}
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			took, err := run(t.Context(), t, c.name, c.payload, c.run)
+			took, err := runHandler(t.Context(), t, c.name, c.payload, c.run)
 			if took != c.took || (err != nil) != c.fails {
 				t.Errorf("%s %s run %d: took %v, %v", c.name, c.payload, c.run, took, err)
 			}
@@ -50,15 +50,15 @@
 	}
 }
 
-func TestStoppedHandlerReturnsTheCause(t *testing.T) {
+func TestHandlers_StoppedHandlerReturnsCause(t *testing.T) {
 	ctx, cancel := context.WithCancelCause(t.Context())
 	cancel(worker.ErrStopped)
-	if _, err := run(ctx, t, Sleep, `{"millis":100000}`, 1); !errors.Is(err, worker.ErrStopped) {
+	if _, err := runHandler(ctx, t, Sleep, `{"millis":100000}`, 1); !errors.Is(err, worker.ErrStopped) {
 		t.Fatal(err)
 	}
 }
 
-func TestResumableHandlerGoesOnFromItsCheckpoint(t *testing.T) {
+func TestHandlers_ResumableHandlerContinuesFromCheckpoint(t *testing.T) {
 	cases := []struct {
 		checkpoint string
 		took       time.Duration
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestServices(t *testing.T) {
+func TestServices_MapsEntriesToHandlers(t *testing.T) {
 	services, err := Services([]string{"sleep", "swap=sleep", "charge=flaky"})
 	if err != nil || len(services) != 3 || services["swap"] == nil || services["charge"] == nil {
 		t.Fatalf("%v, %v", services, err)
--- a/internal/builtin/handlers.go
+++ b/internal/builtin/handlers.go
@@ -51,20 +51,20 @@
 
 // sleep works for the time asked.
 func sleep(ctx context.Context, task worker.Task) error {
-	asked, err := read(task)
+	parameters, err := decodePayload(task)
 	if err != nil {
 		return err
 	}
-	return work(ctx, task, asked.duration(1))
+	return work(ctx, task, parameters.duration(1))
 }
 
 // fail works for the time asked and always fails.
 func fail(ctx context.Context, task worker.Task) error {
-	asked, err := read(task)
+	parameters, err := decodePayload(task)
 	if err != nil {
 		return err
 	}
-	if err := work(ctx, task, asked.duration(1)); err != nil {
+	if err := work(ctx, task, parameters.duration(1)); err != nil {
 		return err
 	}
 	return ErrFailed
@@ -72,14 +72,14 @@
 
 // flaky works for the time asked and fails in its first runs, or by chance.
 func flaky(ctx context.Context, task worker.Task) error {
-	asked, err := read(task)
+	parameters, err := decodePayload(task)
 	if err != nil {
 		return err
 	}
-	if err := work(ctx, task, asked.duration(1)); err != nil {
+	if err := work(ctx, task, parameters.duration(1)); err != nil {
 		return err
 	}
-	if task.Run <= asked.Failures || chance(task.RunRef) < asked.Probability {
+	if task.Run <= parameters.Failures || pseudoRandom(task.RunRef) < parameters.Probability {
 		return fmt.Errorf("run %d: %w", task.Run, ErrFailed)
 	}
 	return nil
@@ -87,21 +87,21 @@
 
 // slow works longer than asked.
 func slow(ctx context.Context, task worker.Task) error {
-	asked, err := read(task)
+	parameters, err := decodePayload(task)
 	if err != nil {
 		return err
 	}
-	factor := asked.Factor
+	factor := parameters.Factor
 	if factor <= 0 {
 		factor = defaultSlowFactor
 	}
-	return work(ctx, task, asked.duration(factor))
+	return work(ctx, task, parameters.duration(factor))
 }
 
-func read(task worker.Task) (payload, error) {
-	var asked payload
-	err := task.Decode(&asked)
-	return asked, err
+func decodePayload(task worker.Task) (payload, error) {
+	var parameters payload
+	err := task.Decode(&parameters)
+	return parameters, err
 }
 
 func (p payload) duration(factor float64) time.Duration {
@@ -116,7 +116,7 @@
 // was frozen meanwhile finds its hold gone and must not call the work done.
 func work(ctx context.Context, task worker.Task, duration time.Duration) error {
 	if task.Spec.Resumable {
-		return workInParts(ctx, task, duration)
+		return workWithCheckpoints(ctx, task, duration)
 	}
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// chance returns a number from 0 to 1 that depends on the run alone.
-func chance(ref api.RunRef) float64 {
+// pseudoRandom returns a number from 0 to 1 that depends on the run alone.
+func pseudoRandom(ref api.RunRef) float64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%s/%d", ref.Task, ref.Run) // a hash takes any write
 	return rand.New(rand.NewPCG(hash.Sum64(), 0)).Float64()
--- a/internal/builtin/resume.go
+++ b/internal/builtin/resume.go
@@ -8,15 +8,15 @@
 	"github.com/decklever/decklever/worker"
 )
 
-// partDuration is how much work lies between two checkpoints.
-const partDuration = 100 * time.Millisecond
+// checkpointInterval is how much work lies between two checkpoints.
+const checkpointInterval = 100 * time.Millisecond
 
-// workInParts takes the time asked, less what earlier runs did by their
+// workWithCheckpoints takes the time asked, less what earlier runs did by their
 // checkpoint, which is the work done in milliseconds. It reports each part.
-func workInParts(ctx context.Context, task worker.Task, duration time.Duration) error {
-	done := resumedAt(task.Checkpoint)
+func workWithCheckpoints(ctx context.Context, task worker.Task, duration time.Duration) error {
+	done := parseCheckpoint(task.Checkpoint)
 	for done < duration || task.Spec.UntilCancelled {
-		part := partDuration
+		part := checkpointInterval
 		if !task.Spec.UntilCancelled {
 			part = min(part, duration-done)
 		}
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// resumedAt reads a checkpoint; one that cannot be read starts the work anew.
-func resumedAt(checkpoint string) time.Duration {
+// parseCheckpoint reads a checkpoint; one that cannot be read starts the work anew.
+func parseCheckpoint(checkpoint string) time.Duration {
 	millis, err := strconv.ParseInt(checkpoint, 10, 64)
 	if err != nil || millis < 0 || millis > maxSleep.Milliseconds() {
 		return 0
@@ -43,11 +43,11 @@
 	return time.Duration(millis) * time.Millisecond
 }
 
-func percentOf(done, whole time.Duration) int {
-	if whole <= 0 {
+func percentOf(done, total time.Duration) int {
+	if total <= 0 {
 		return 0
 	}
-	return int(100 * done / whole)
+	return int(100 * done / total)
 }
 
 // sleepFor waits, unless the run is stopped before.
--- a/internal/builtin/services.go
+++ b/internal/builtin/services.go
@@ -20,7 +20,7 @@
 		}
 		handler, known := handlers[name]
 		if !known || service == "" {
-			return nil, fmt.Errorf("services has %q, expected HANDLER or SERVICE=HANDLER with a handler of %s", entry, strings.Join(names(), ", "))
+			return nil, fmt.Errorf("services has %q, expected HANDLER or SERVICE=HANDLER with a handler of %s", entry, strings.Join(handlerNames(), ", "))
 		}
 		if _, taken := services[service]; taken {
 			return nil, fmt.Errorf("services has %q, expected each service once", entry)
@@ -30,7 +30,7 @@
 	return services, nil
 }
 
-func names() []string {
+func handlerNames() []string {
 	var names []string
 	for name := range Handlers() {
 		names = append(names, name)
--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 )
 
 // Config is what the command reads, writes and uses.
@@ -91,7 +91,7 @@
 		config.now = time.Now
 	}
 	if config.sleep == nil {
-		config.sleep = wait.For
+		config.sleep = contexttime.Sleep
 	}
 	if config.completionTimeout == 0 {
 		config.completionTimeout = defaultCompletionTimeout
--- a/internal/wait/wait.go
+++ b/internal/contexttime/wait.go
@@ -1,14 +1,14 @@
 // Package wait has the one wait that ends early with a context.
-package wait
+package contexttime
 
 import (
 	"context"
 	"time"
 )
 
-// For waits, and reports whether the whole length passed: false means that the
+// Sleep waits, and reports whether the whole length passed: false means that the
 // context ended before.
-func For(ctx context.Context, length time.Duration) bool {
+func Sleep(ctx context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -107,15 +107,15 @@
 	Empty bool `cbor:"2,keyasint"`
 	// LeaderAddress is the leader as known, or empty.
 	LeaderAddress string `cbor:"3,keyasint"`
-	// Founder is true while the replica is waiting to form a new cluster with
+	// Bootstrapping is true while the replica is waiting to form a new cluster with
 	// exactly the seeds that it was given.
-	Founder bool `cbor:"4,keyasint"`
+	Bootstrapping bool `cbor:"4,keyasint"`
 	// Membership is the newest that the replica knows, or the one that a
 	// waiting founder proposes.
 	Membership raft.Membership `cbor:"5,keyasint"`
-	// Founded is the membership that the cluster began with, while the replica
+	// InitialMembership is the membership that the cluster began with, while the replica
 	// still has it: a founder that comes late starts from it.
-	Founded *raft.Membership `cbor:"6,keyasint,omitempty"`
+	InitialMembership *raft.Membership `cbor:"6,keyasint,omitempty"`
 	// Relay is true for a scheduler without a data folder: it is no replica,
 	// only its LeaderAddress means something, and nobody waits for it.
 	Relay bool `cbor:"7,keyasint,omitempty"`
@@ -189,15 +189,15 @@
 }
 
 // WatchAnswer says what is in force. A process that got none for longer than
-// HoldMillis since it sent the request stops serving: it may be out of date.
+// LeaseMillis since it sent the request stops serving: it may be out of date.
 type WatchAnswer struct {
 	Token         uint64 `cbor:"1,keyasint"`
 	LeaderAddress string `cbor:"2,keyasint"`
 	ConfigVersion uint64 `cbor:"3,keyasint"`
 	// Config is nil if the process has this version already, or asked for the
 	// version only.
-	Config     *api.Config `cbor:"4,keyasint,omitempty"`
-	HoldMillis int64       `cbor:"5,keyasint"`
+	Config      *api.Config `cbor:"4,keyasint,omitempty"`
+	LeaseMillis int64       `cbor:"5,keyasint"`
 }
 
 // SubmitRequest hands in a job. Doubled: answered as the same.
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -32,8 +32,8 @@
 	return body, refusal
 }
 
-// malformed is the refusal of one wrong parameter or header.
-func malformed(field, value, expected string) *api.Error {
+// malformedField is the refusal of one wrong parameter or header.
+func malformedField(field, value, expected string) *api.Error {
 	return &api.Error{
 		Status:  http.StatusBadRequest,
 		Code:    api.CodeMalformed,
@@ -42,8 +42,8 @@
 	}
 }
 
-// listOf makes an empty list of none, so that JSON shows [] and not null.
-func listOf[T any](list []T) []T {
+// nonNilSlice makes an empty list of none, so that JSON shows [] and not null.
+func nonNilSlice[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
--- a/internal/front/booking_calls.go
+++ b/internal/front/booking_calls.go
@@ -33,7 +33,7 @@
 // Bookings lists the windows that overlap the time from now to the horizon.
 func (f *Front) Bookings(ctx context.Context, horizon time.Duration) (api.BookingList, *api.Error) {
 	answer, refusal := read[fleet.BookingsAnswer](ctx, f, fleet.MethodBookings, fleet.BookingsRequest{HorizonMillis: horizon.Milliseconds()})
-	answer.List.Bookings = listOf(answer.List.Bookings)
+	answer.List.Bookings = nonNilSlice(answer.List.Bookings)
 	return answer.List, refusal
 }
 
@@ -64,7 +64,7 @@
 	}
 	hours, err := strconv.Atoi(text)
 	if err != nil || hours < 1 || hours > api.MaxBookingHours {
-		return 0, malformed("hours", text, fmt.Sprintf("1 to %d", api.MaxBookingHours))
+		return 0, malformedField("hours", text, fmt.Sprintf("1 to %d", api.MaxBookingHours))
 	}
 	return time.Duration(hours) * time.Hour, nil
 }
--- a/internal/front/booking_calls_test.go
+++ b/internal/front/booking_calls_test.go
@@ -11,21 +11,21 @@
 	"github.com/decklever/decklever/internal/fleet"
 )
 
-func TestBookingsAskForTheHours(t *testing.T) {
+func TestBookings_HorizonIsRelayed(t *testing.T) {
 	leader := newLeader(t)
 	var asked []int64
-	on(leader, fleet.MethodBookings, func(_ context.Context, request fleet.BookingsRequest, _ int) (fleet.BookingsAnswer, error) {
+	handleMethod(leader, fleet.MethodBookings, func(_ context.Context, request fleet.BookingsRequest, _ int) (fleet.BookingsAnswer, error) {
 		asked = append(asked, request.HorizonMillis)
 		return fleet.BookingsAnswer{}, nil
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	for _, path := range []string{"/v1/bookings", "/v1/bookings?hours=1", "/v1/bookings?hours=168"} {
-		if answer := ask(t, front, "GET", path, ""); answer.Body.String() != "{\"bookings\":[]}\n" {
+		if answer := doRequest(t, front, "GET", path, ""); answer.Body.String() != "{\"bookings\":[]}\n" {
 			t.Errorf("%s: %s", path, answer.Body)
 		}
 	}
 	for _, hours := range []string{"0", "169", "-1", "1.5", "x"} {
-		wantError(t, ask(t, front, "GET", "/v1/bookings?hours="+hours, ""), 400, api.CodeMalformed)
+		requireError(t, doRequest(t, front, "GET", "/v1/bookings?hours="+hours, ""), 400, api.CodeMalformed)
 	}
 	hour := time.Hour.Milliseconds()
 	if got, want := fmt.Sprint(asked), fmt.Sprint([]int64{24 * hour, hour, 168 * hour}); got != want {
@@ -33,46 +33,46 @@
 	}
 }
 
-func TestReleaseIsRelayed(t *testing.T) {
+func TestReleaseBooking_IsRelayed(t *testing.T) {
 	leader := newLeader(t)
 	var got api.ReleaseRequest
-	on(leader, fleet.MethodRelease, func(_ context.Context, request fleet.ReleaseRequest, _ int) (fleet.Empty, error) {
+	handleMethod(leader, fleet.MethodRelease, func(_ context.Context, request fleet.ReleaseRequest, _ int) (fleet.Empty, error) {
 		got = request.Release
 		return fleet.Empty{}, nil
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
-	answer := wantOK[api.ReleaseAnswer](t, ask(t, front, "POST", "/v1/bookings/release", goodRelease), 200)
+	answer := requireOK[api.ReleaseAnswer](t, doRequest(t, front, "POST", "/v1/bookings/release", goodRelease), 200)
 	start := time.Date(2026, 1, 31, 14, 0, 0, 0, time.UTC)
 	if !answer.Released || got.Queue != "q" || got.Booking != "opening" || !got.Start.Equal(start) {
 		t.Fatalf("answer %+v to %+v", answer, got)
 	}
-	wrong := wantError(t, ask(t, front, "POST", "/v1/bookings/release", `{"queue":"Q","booking":""}`), 422, api.CodeInvalid)
+	wrong := requireError(t, doRequest(t, front, "POST", "/v1/bookings/release", `{"queue":"Q","booking":""}`), 422, api.CodeInvalid)
 	if len(wrong.Fields) != 3 {
 		t.Fatalf("fields %+v", wrong.Fields)
 	}
 }
 
-func TestCancellationsAreCheckedAndRelayed(t *testing.T) {
+func TestCancelMany_IsCheckedAndRelayed(t *testing.T) {
 	leader := newLeader(t)
-	on(leader, fleet.MethodCancelMany, func(_ context.Context, request fleet.CancelManyRequest, _ int) (fleet.CancelManyAnswer, error) {
+	handleMethod(leader, fleet.MethodCancelMany, func(_ context.Context, request fleet.CancelManyRequest, _ int) (fleet.CancelManyAnswer, error) {
 		return fleet.CancelManyAnswer{Answer: api.CancelAnswer{Cancelled: len(request.Cancel.Jobs) + 100*len(request.Cancel.Queue)}}, nil
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	longest := `"` + strings.Repeat("j", 128) + `"`
-	most := `{"jobs":[` + longest + strings.Repeat(","+longest, api.MaxCancelledJobs-1) + `]}`
-	for body, want := range map[string]int{`{"jobs":["a","b"]}`: 2, `{"queue":"q"}`: 100, most: api.MaxCancelledJobs} {
-		if got := wantOK[api.CancelAnswer](t, ask(t, front, "POST", "/v1/cancellations", body), 200); got.Cancelled != want {
+	limit := `{"jobs":[` + longest + strings.Repeat(","+longest, api.MaxCancelledJobs-1) + `]}`
+	for body, want := range map[string]int{`{"jobs":["a","b"]}`: 2, `{"queue":"q"}`: 100, limit: api.MaxCancelledJobs} {
+		if got := requireOK[api.CancelAnswer](t, doRequest(t, front, "POST", "/v1/cancellations", body), 200); got.Cancelled != want {
 			t.Errorf("%.40s: %+v", body, got)
 		}
 	}
 	calls := leader.count()
-	tooMany := strings.Replace(most, "[", `["a",`, 1)
+	tooMany := strings.Replace(limit, "[", `["a",`, 1)
 	cases := map[string]string{
 		`{}`: "jobs", `{"jobs":[]}`: "jobs", `{"jobs":["a"],"queue":"q"}`: "queue", `{"queue":"Q"}`: "queue",
 		`{"jobs":["a","b/c"]}`: "jobs[1]", tooMany: "jobs",
 	}
 	for body, field := range cases {
-		wrong := wantError(t, ask(t, front, "POST", "/v1/cancellations", body), 422, api.CodeInvalid)
+		wrong := requireError(t, doRequest(t, front, "POST", "/v1/cancellations", body), 422, api.CodeInvalid)
 		if len(wrong.Fields) != 1 || wrong.Fields[0].Field != field {
 			t.Errorf("%.40s: fields %+v", body, wrong.Fields)
 		}
--- a/internal/front/config_calls.go
+++ b/internal/front/config_calls.go
@@ -37,7 +37,7 @@
 // Config reads the configuration in force, as it was given.
 func (f *Front) Config(ctx context.Context) (api.ConfigStatus, *api.Error) {
 	answer, refusal := read[fleet.ConfigAnswer](ctx, f, fleet.MethodGetConfig, fleet.Empty{})
-	answer.Status.Config.Queues = listOf(answer.Status.Config.Queues)
+	answer.Status.Config.Queues = nonNilSlice(answer.Status.Config.Queues)
 	return answer.Status, refusal
 }
 
@@ -96,14 +96,14 @@
 // ConfigVersions lists the versions that were accepted.
 func (f *Front) ConfigVersions(ctx context.Context) (api.ConfigVersions, *api.Error) {
 	answer, refusal := read[fleet.ConfigVersionsAnswer](ctx, f, fleet.MethodConfigVersions, fleet.Empty{})
-	answer.Versions.Versions = listOf(answer.Versions.Versions)
+	answer.Versions.Versions = nonNilSlice(answer.Versions.Versions)
 	return answer.Versions, refusal
 }
 
 // Rollout says which process has which version.
 func (f *Front) Rollout(ctx context.Context) (api.Rollout, *api.Error) {
 	answer, refusal := read[fleet.RolloutAnswer](ctx, f, fleet.MethodRollout, fleet.Empty{})
-	answer.Rollout.Processes = listOf(answer.Rollout.Processes)
+	answer.Rollout.Processes = nonNilSlice(answer.Rollout.Processes)
 	return answer.Rollout, refusal
 }
 
@@ -124,20 +124,20 @@
 		missing = append(missing, api.FieldError{Field: orderHeader, Expected: "an id of this order, the same when it is sent again"})
 	}
 	if len(missing) > 0 {
-		return 0, "", noBase(missing)
+		return 0, "", missingBase(missing)
 	}
 	base, err := strconv.ParseUint(unquote(baseText), 10, 64)
 	if err != nil {
-		return 0, "", malformed(baseHeader, baseText, "a version number, plain or quoted")
+		return 0, "", malformedField(baseHeader, baseText, "a version number, plain or quoted")
 	}
 	if !orderPattern.MatchString(orderID) {
-		return 0, "", malformed(orderHeader, orderID, "1 to 128 printable characters without spaces")
+		return 0, "", malformedField(orderHeader, orderID, "1 to 128 printable characters without spaces")
 	}
 	return base, orderID, nil
 }
 
-// noBase is the refusal of a PUT that does not say what it replaces.
-func noBase(missing []api.FieldError) *api.Error {
+// missingBase is the refusal of a PUT that does not say what it replaces.
+func missingBase(missing []api.FieldError) *api.Error {
 	return &api.Error{
 		Status:  http.StatusPreconditionRequired,
 		Code:    api.CodeNoBase,
--- a/internal/front/drain_calls.go
+++ b/internal/front/drain_calls.go
@@ -23,7 +23,7 @@
 // Drains lists the zones that are drained by orders.
 func (f *Front) Drains(ctx context.Context) (api.DrainList, *api.Error) {
 	answer, refusal := read[fleet.DrainsAnswer](ctx, f, fleet.MethodDrains, fleet.Empty{})
-	answer.List.Zones = listOf(answer.List.Zones)
+	answer.List.Zones = nonNilSlice(answer.List.Zones)
 	return answer.List, refusal
 }
 
--- a/internal/front/drain_calls_test.go
+++ b/internal/front/drain_calls_test.go
@@ -10,19 +10,19 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-func TestZoneDrainsAreRelayed(t *testing.T) {
+func TestZoneDrain_IsRelayed(t *testing.T) {
 	leader := newLeader(t)
 	var got []api.ZoneDrain
-	on(leader, fleet.MethodDrainZone, func(_ context.Context, request fleet.DrainZoneRequest, _ int) (fleet.Empty, error) {
+	handleMethod(leader, fleet.MethodDrainZone, func(_ context.Context, request fleet.DrainZoneRequest, _ int) (fleet.Empty, error) {
 		got = append(got, request.Drain)
 		return fleet.Empty{}, nil
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	drained, restored := api.ZoneDrain{Zone: "z1", Drained: true}, api.ZoneDrain{Zone: "z1"}
-	if answer := wantOK[api.ZoneDrain](t, ask(t, front, "PUT", "/v1/drains/zones/z1", ""), 200); answer != drained {
+	if answer := requireOK[api.ZoneDrain](t, doRequest(t, front, "PUT", "/v1/drains/zones/z1", ""), 200); answer != drained {
 		t.Errorf("answer %+v", answer)
 	}
-	if answer := wantOK[api.ZoneDrain](t, ask(t, front, "DELETE", "/v1/drains/zones/z1", ""), 200); answer != restored {
+	if answer := requireOK[api.ZoneDrain](t, doRequest(t, front, "DELETE", "/v1/drains/zones/z1", ""), 200); answer != restored {
 		t.Errorf("answer %+v", answer)
 	}
 	if refusal := front.SetZoneDrain(t.Context(), "z1", true); refusal != nil {
@@ -32,25 +32,25 @@
 		t.Errorf("the leader got %+v", got)
 	}
 	for _, path := range []string{"/v1/drains/zones/z%201", "/v1/drains/zones/z%2F1"} {
-		wantError(t, ask(t, front, "PUT", path, ""), 422, api.CodeInvalid)
+		requireError(t, doRequest(t, front, "PUT", path, ""), 422, api.CodeInvalid)
 	}
-	if answer := ask(t, front, "POST", "/v1/drains/zones/z1", ""); answer.Code != 405 || answer.Header().Get("Allow") != "PUT, DELETE" {
+	if answer := doRequest(t, front, "POST", "/v1/drains/zones/z1", ""); answer.Code != 405 || answer.Header().Get("Allow") != "PUT, DELETE" {
 		t.Errorf("status %d, Allow %q", answer.Code, answer.Header().Get("Allow"))
 	}
 }
 
-func TestNoDrainsAreAnEmptyList(t *testing.T) {
+func TestDrains_NoneIsEmptyList(t *testing.T) {
 	leader := newLeader(t)
-	give[fleet.Empty](leader, fleet.MethodDrains, fleet.DrainsAnswer{})
+	serveAnswer[fleet.Empty](leader, fleet.MethodDrains, fleet.DrainsAnswer{})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
-	if answer := ask(t, front, "GET", "/v1/drains", ""); answer.Body.String() != "{\"zones\":[]}\n" {
+	if answer := doRequest(t, front, "GET", "/v1/drains", ""); answer.Body.String() != "{\"zones\":[]}\n" {
 		t.Errorf("answer %s", answer.Body)
 	}
 }
 
-func TestAnOrderWithoutAnAnswerIsOfUnknownOutcome(t *testing.T) {
+func TestZoneDrain_LostAnswerIsUnknownOutcome(t *testing.T) {
 	leader := newLeader(t)
-	refuse[fleet.DrainZoneRequest, fleet.Empty](leader, fleet.MethodDrainZone, &rpc.Error{Code: rpc.CodeUnknownOutcome, Message: "no quorum"})
+	failMethod[fleet.DrainZoneRequest, fleet.Empty](leader, fleet.MethodDrainZone, &rpc.Error{Code: rpc.CodeUnknownOutcome, Message: "no quorum"})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{Deadline: 100 * time.Millisecond})
-	wantError(t, ask(t, front, "PUT", "/v1/drains/zones/z1", ""), 503, api.CodeOutcomeUnknown)
+	requireError(t, doRequest(t, front, "PUT", "/v1/drains/zones/z1", ""), 503, api.CodeOutcomeUnknown)
 }
--- a/internal/front/exchanges_test.go
+++ b/internal/front/exchanges_test.go
@@ -50,7 +50,7 @@
 func (r sampleRequest) answerOf(t *testing.T, front *Front) string {
 	t.Helper()
 	headers := append([]string{requestIDHeader, sampleRequestID}, r.headers...)
-	return golden.Answer(ask(t, front, r.method, r.path, r.body, headers...))
+	return golden.Answer(doRequest(t, front, r.method, r.path, r.body, headers...))
 }
 
 // exchangeRequests covers each route, and each way in which it refuses.
--- a/internal/front/fakes_test.go
+++ b/internal/front/fakes_test.go
@@ -42,19 +42,19 @@
 	return l.leader, l.leader != ""
 }
 
-func (l *fakeLink) Hint(address string) {
+func (l *fakeLink) ObserveHint(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.leader = address
 }
 
-func (l *fakeLink) Failed(address string) {
+func (l *fakeLink) ReportFailure(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.failed = append(l.failed, address)
 }
 
-func (l *fakeLink) Attend(ctx context.Context, _ string) (context.Context, context.CancelFunc) {
+func (l *fakeLink) Supervise(ctx context.Context, _ string) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -106,8 +106,8 @@
 	return leader
 }
 
-// on serves a method; the handler gets the number of the call, from 1.
-func on[Request, Answer any](leader *fakeLeader, method fleet.Method, handler func(context.Context, Request, int) (Answer, error)) {
+// handleMethod serves a method; the handler gets the number of the call, from 1.
+func handleMethod[Request, Answer any](leader *fakeLeader, method fleet.Method, handler func(context.Context, Request, int) (Answer, error)) {
 	rpc.Handle(leader.server, method, func(ctx context.Context, request Request) (Answer, error) {
 		leader.mutex.Lock()
 		leader.calls = append(leader.calls, method)
@@ -123,9 +123,9 @@
 	return len(l.calls)
 }
 
-// refuse serves a method with one error.
-func refuse[Request, Answer any](leader *fakeLeader, method fleet.Method, err error) {
-	on(leader, method, func(context.Context, Request, int) (Answer, error) {
+// failMethod serves a method with one error.
+func failMethod[Request, Answer any](leader *fakeLeader, method fleet.Method, err error) {
+	handleMethod(leader, method, func(context.Context, Request, int) (Answer, error) {
 		var none Answer
 		return none, err
 	})
@@ -144,7 +144,7 @@
 
 func newFrontWith(t *testing.T, config rpc.ClientConfig, link *fakeLink, settings Settings) *Front {
 	t.Helper()
-	config.Timeout = MaxTry + time.Second
+	config.Timeout = MaxAttemptDuration + time.Second
 	client := rpc.NewClient(config)
 	t.Cleanup(client.Close)
 	front, err := New(Config{
@@ -157,8 +157,8 @@
 	return front
 }
 
-// ask sends a request and returns the answer; headers are name, value pairs.
-func ask(t *testing.T, front http.Handler, method, path, body string, headers ...string) *httptest.ResponseRecorder {
+// doRequest sends a request and returns the answer; headers are name, value pairs.
+func doRequest(t *testing.T, front http.Handler, method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	t.Helper()
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	for pair := range slices.Chunk(headers, 2) {
@@ -169,8 +169,8 @@
 	return recorder
 }
 
-// wantError checks status, code and the one shape of errors.
-func wantError(t *testing.T, answer *httptest.ResponseRecorder, status int, code api.ErrorCode) api.Error {
+// requireError checks status, code and the one shape of errors.
+func requireError(t *testing.T, answer *httptest.ResponseRecorder, status int, code api.ErrorCode) api.Error {
 	t.Helper()
 	var shape api.Error
 	if refusal := api.DecodeStrict(answer.Body, &shape); refusal != nil {
@@ -188,7 +188,7 @@
 	return shape
 }
 
-func wantOK[T any](t *testing.T, answer *httptest.ResponseRecorder, status int) T {
+func requireOK[T any](t *testing.T, answer *httptest.ResponseRecorder, status int) T {
 	t.Helper()
 	var body T
 	if err := json.Unmarshal(answer.Body.Bytes(), &body); err != nil || answer.Code != status {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -23,17 +23,17 @@
 )
 
 // Link says where the leader is and what configuration is in force here;
-// *leaderlink.Link is one.
+// *leaderlink.Client is one.
 type Link interface {
 	// Leader returns the address of the leader, if it is known.
 	Leader() (address string, ok bool)
-	// Hint takes the leader's address as another scheduler said it.
-	Hint(address string)
-	// Failed reports that a call to the address had no answer.
-	Failed(address string)
-	// Attend watches over a call to the leader at the address: the returned
+	// ObserveHint takes the leader's address as another scheduler said it.
+	ObserveHint(address string)
+	// ReportFailure reports that a call to the address had no answer.
+	ReportFailure(address string)
+	// Supervise watches over a call to the leader at the address: the returned
 	// context ends once another one leads. The function ends the watching.
-	Attend(ctx context.Context, address string) (context.Context, context.CancelFunc)
+	Supervise(ctx context.Context, address string) (context.Context, context.CancelFunc)
 	// Config is the configuration in force here, nil before the first.
 	Config() *api.Config
 	// Fresh reports whether Config can be relied on at present.
@@ -55,7 +55,7 @@
 // Config is what a Front needs.
 type Config struct {
 	Link Link
-	// Client carries the calls. Its Timeout must be longer than MaxTry.
+	// Client carries the calls. Its Timeout must be longer than MaxAttemptDuration.
 	Client *rpc.Client
 	// Settings may be changed later with Apply.
 	Settings Settings
@@ -73,7 +73,7 @@
 	client   *rpc.Client
 	logger   *slog.Logger
 	settings atomic.Pointer[Settings]
-	intake   *intake
+	limits   *localLimits
 	metrics  *metrics
 	handler  http.Handler
 }
@@ -83,11 +83,11 @@
 	if config.Link == nil || config.Client == nil {
 		return nil, errors.New("a front needs a link to the leader and an rpc client")
 	}
-	front := &Front{link: config.Link, client: config.Client, logger: config.Logger, intake: newIntake()}
+	front := &Front{link: config.Link, client: config.Client, logger: config.Logger, limits: newLocalLimits()}
 	if front.logger == nil {
 		front.logger = slog.New(slog.DiscardHandler)
 	}
-	measured, err := newMetrics(config.Registerer, front.intake)
+	measured, err := newMetrics(config.Registerer, front.limits)
 	if err != nil {
 		return nil, err
 	}
@@ -113,8 +113,8 @@
 	f.handler.ServeHTTP(writer, request)
 }
 
-// limits are those of the configuration in force here, or the defaults.
-func (f *Front) limits() api.LimitConfig {
+// limitConfig are those of the configuration in force here, or the defaults.
+func (f *Front) limitConfig() api.LimitConfig {
 	if config := f.link.Config(); config != nil {
 		return config.Limits.WithDefaults()
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -13,7 +13,7 @@
 	"github.com/decklever/decklever/internal/fleet"
 )
 
-func TestRefusalsOfTheFrontItself(t *testing.T) {
+func TestFront_RejectsMalformedRequests(t *testing.T) {
 	link := &fakeLink{config: &api.Config{Limits: api.LimitConfig{MaxJobBytes: 200}}}
 	front := newFront(t, link, Settings{})
 	order := []string{"If-Match", "0", "Idempotency-Key", "o"}
@@ -47,7 +47,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			shape := wantError(t, ask(t, front, c.method, c.path, c.body, c.headers...), c.status, c.code)
+			shape := requireError(t, doRequest(t, front, c.method, c.path, c.body, c.headers...), c.status, c.code)
 			var fields []string
 			for _, field := range shape.Fields {
 				fields = append(fields, field.Field)
@@ -57,12 +57,12 @@
 			}
 		})
 	}
-	if allow := ask(t, front, "POST", "/v1/jobs/a", "").Header().Get("Allow"); allow != "GET, PUT" {
+	if allow := doRequest(t, front, "POST", "/v1/jobs/a", "").Header().Get("Allow"); allow != "GET, PUT" {
 		t.Fatalf("Allow %q", allow)
 	}
 }
 
-func TestSubmitAnswers(t *testing.T) {
+func TestSubmit_AnswersOfLeader(t *testing.T) {
 	cases := []struct {
 		name       string
 		answer     fleet.SubmitAnswer
@@ -82,7 +82,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			leader := newLeader(t)
-			on(leader, fleet.MethodSubmit, func(_ context.Context, request fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
+			handleMethod(leader, fleet.MethodSubmit, func(_ context.Context, request fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
 				if request.ID != "a:b" || request.Spec.Queue != "default" {
 					t.Errorf("relayed %+v", request)
 				}
@@ -90,13 +90,13 @@
 			})
 			// The configuration known here lacks the queue; the leader decides.
 			front := newFront(t, &fakeLink{leader: leader.address, config: &api.Config{}}, Settings{})
-			answer := ask(t, front, "PUT", "/v1/jobs/a%3Ab", goodJob)
+			answer := doRequest(t, front, "PUT", "/v1/jobs/a%3Ab", goodJob)
 			if c.err == nil {
-				if body := wantOK[api.SubmitAnswer](t, answer, c.status); body != (api.SubmitAnswer{ID: "a:b", Created: c.answer.Created}) {
+				if body := requireOK[api.SubmitAnswer](t, answer, c.status); body != (api.SubmitAnswer{ID: "a:b", Created: c.answer.Created}) {
 					t.Fatalf("body %+v", body)
 				}
 			} else if c.code != "" {
-				wantError(t, answer, c.status, c.code)
+				requireError(t, answer, c.status, c.code)
 			}
 			if answer.Code != c.status || answer.Header().Get("Retry-After") != c.retryAfter || leader.count() != 1 {
 				t.Fatalf("status %d, Retry-After %q, %d calls", answer.Code, answer.Header().Get("Retry-After"), leader.count())
@@ -105,30 +105,30 @@
 	}
 }
 
-func TestTheLeaderRefusesInvalidConfigurations(t *testing.T) {
+func TestPutConfig_LeaderRejectsInvalidConfig(t *testing.T) {
 	leader := newLeader(t)
 	fields := []api.FieldError{{Field: "queues", Value: "[]", Expected: "at least one"}}
 	refusal := &api.Error{Status: 422, Code: api.CodeInvalid, Message: "invalid", Fields: fields}
-	on(leader, fleet.MethodPutConfig, func(_ context.Context, request fleet.PutConfigRequest, _ int) (fleet.PutConfigAnswer, error) {
+	handleMethod(leader, fleet.MethodPutConfig, func(_ context.Context, request fleet.PutConfigRequest, _ int) (fleet.PutConfigAnswer, error) {
 		if request.OrderID != "o" {
 			t.Errorf("relayed %+v", request)
 		}
 		return fleet.PutConfigAnswer{}, refusal
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
-	put := ask(t, front, "PUT", "/v1/config", `{"queues":[]}`, "If-Match", "0", "Idempotency-Key", "o")
-	if shape := wantError(t, put, 422, api.CodeInvalid); !slices.Equal(shape.Fields, fields) || leader.count() != 1 {
+	put := doRequest(t, front, "PUT", "/v1/config", `{"queues":[]}`, "If-Match", "0", "Idempotency-Key", "o")
+	if shape := requireError(t, put, 422, api.CodeInvalid); !slices.Equal(shape.Fields, fields) || leader.count() != 1 {
 		t.Errorf("fields %+v after %d calls", shape.Fields, leader.count())
 	}
 }
 
-func TestReadsAndConfiguration(t *testing.T) {
+func TestFront_ReadsAndConfiguration(t *testing.T) {
 	leader := newLeader(t)
-	on(leader, fleet.MethodGetConfig, func(_ context.Context, request fleet.ConfigRequest, _ int) (fleet.ConfigAnswer, error) {
+	handleMethod(leader, fleet.MethodGetConfig, func(_ context.Context, request fleet.ConfigRequest, _ int) (fleet.ConfigAnswer, error) {
 		config := api.Config{Annotations: map[string]string{request.Annotation: "said"}}
 		return fleet.ConfigAnswer{Status: api.ConfigStatus{Version: 7, Config: config}}, nil
 	})
-	on(leader, fleet.MethodPutConfig, func(_ context.Context, request fleet.PutConfigRequest, _ int) (fleet.PutConfigAnswer, error) {
+	handleMethod(leader, fleet.MethodPutConfig, func(_ context.Context, request fleet.PutConfigRequest, _ int) (fleet.PutConfigAnswer, error) {
 		if request.Base != 7 {
 			return fleet.PutConfigAnswer{}, apiError(412, api.CodeLostRace, 0)
 		}
@@ -137,11 +137,11 @@
 		}
 		return fleet.PutConfigAnswer{Version: 8}, nil
 	})
-	on(leader, fleet.MethodValidateConfig, func(context.Context, fleet.ValidateConfigRequest, int) (fleet.Empty, error) {
+	handleMethod(leader, fleet.MethodValidateConfig, func(context.Context, fleet.ValidateConfigRequest, int) (fleet.Empty, error) {
 		return fleet.Empty{}, nil
 	})
-	refuse[fleet.GetJobRequest, fleet.JobAnswer](leader, fleet.MethodGetJob, apiError(404, api.CodeNotFound, 0))
-	on(leader, fleet.MethodListJobs, func(_ context.Context, request fleet.ListJobsRequest, _ int) (fleet.ListJobsAnswer, error) {
+	failMethod[fleet.GetJobRequest, fleet.JobAnswer](leader, fleet.MethodGetJob, apiError(404, api.CodeNotFound, 0))
+	handleMethod(leader, fleet.MethodListJobs, func(_ context.Context, request fleet.ListJobsRequest, _ int) (fleet.ListJobsAnswer, error) {
 		if request != (fleet.ListJobsRequest{Queue: "q", State: api.StateFailed, Limit: 5, PageToken: "t"}) {
 			t.Errorf("relayed %+v", request)
 		}
@@ -149,65 +149,65 @@
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 
-	answer := ask(t, front, "GET", "/v1/config", "")
-	if body := wantOK[api.ConfigStatus](t, answer, 200); body.Version != 7 || answer.Header().Get("ETag") != `"7"` {
+	answer := doRequest(t, front, "GET", "/v1/config", "")
+	if body := requireOK[api.ConfigStatus](t, answer, 200); body.Version != 7 || answer.Header().Get("ETag") != `"7"` {
 		t.Fatalf("version %d, ETag %q", body.Version, answer.Header().Get("ETag"))
 	}
 	if version, said, refusal := front.ConfigAnnotation(t.Context(), "note"); version != 7 || said != "said" || refusal != nil {
 		t.Fatalf("annotation %q of version %d, %v", said, version, refusal)
 	}
 	for _, base := range []string{`"7"`, "7"} {
-		answer = ask(t, front, "PUT", "/v1/config", goodConfig, "If-Match", base, "Idempotency-Key", "order-1")
-		if body := wantOK[api.ConfigStatus](t, answer, 200); body.Version != 8 || answer.Header().Get("ETag") != `"8"` {
+		answer = doRequest(t, front, "PUT", "/v1/config", goodConfig, "If-Match", base, "Idempotency-Key", "order-1")
+		if body := requireOK[api.ConfigStatus](t, answer, 200); body.Version != 8 || answer.Header().Get("ETag") != `"8"` {
 			t.Fatalf("base %s: version %d, ETag %q", base, body.Version, answer.Header().Get("ETag"))
 		}
 	}
-	wantError(t, ask(t, front, "PUT", "/v1/config", goodConfig, "If-Match", `"6"`, "Idempotency-Key", "order-2"), 412, api.CodeLostRace)
-	wantOK[api.ValidateAnswer](t, ask(t, front, "POST", "/v1/config/validate", goodConfig), 200)
-	wantError(t, ask(t, front, "GET", "/v1/jobs/a", ""), 404, api.CodeNotFound)
-	list := ask(t, front, "GET", "/v1/jobs?queue=q&state=failed&limit=5&page_token=t", "")
+	requireError(t, doRequest(t, front, "PUT", "/v1/config", goodConfig, "If-Match", `"6"`, "Idempotency-Key", "order-2"), 412, api.CodeLostRace)
+	requireOK[api.ValidateAnswer](t, doRequest(t, front, "POST", "/v1/config/validate", goodConfig), 200)
+	requireError(t, doRequest(t, front, "GET", "/v1/jobs/a", ""), 404, api.CodeNotFound)
+	list := doRequest(t, front, "GET", "/v1/jobs?queue=q&state=failed&limit=5&page_token=t", "")
 	if list.Code != 200 || list.Body.String() != "{\"jobs\":[]}\n" {
 		t.Fatalf("list %d %s", list.Code, list.Body)
 	}
 }
 
-func TestInflightBoundsAreSeparate(t *testing.T) {
+func TestLimitInFlight_LongPollsAreSeparate(t *testing.T) {
 	leader := newLeader(t)
 	entered, done := make(chan struct{}, 1), make(chan struct{})
 	release := sync.OnceFunc(func() { close(done) })
 	t.Cleanup(release) // before the leader's server waits for its handlers
-	on(leader, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
+	handleMethod(leader, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
 		entered <- struct{}{}
 		<-done
 		return fleet.SubmitAnswer{Created: true}, nil
 	})
-	on(leader, fleet.MethodGetJob, func(context.Context, fleet.GetJobRequest, int) (fleet.JobAnswer, error) {
+	handleMethod(leader, fleet.MethodGetJob, func(context.Context, fleet.GetJobRequest, int) (fleet.JobAnswer, error) {
 		return fleet.JobAnswer{Status: api.JobStatus{State: api.StateSucceeded}}, nil
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{MaxInflight: 1})
 	first := make(chan *httptest.ResponseRecorder, 1)
-	go func() { first <- ask(t, front, "PUT", "/v1/jobs/a", goodJob) }()
+	go func() { first <- doRequest(t, front, "PUT", "/v1/jobs/a", goodJob) }()
 	<-entered
-	wantError(t, ask(t, front, "GET", "/v1/jobs/a", ""), http.StatusServiceUnavailable, api.CodeUnavailable)
-	wantOK[api.JobStatus](t, ask(t, front, "GET", "/v1/jobs/a?wait=1s", ""), 200)
+	requireError(t, doRequest(t, front, "GET", "/v1/jobs/a", ""), http.StatusServiceUnavailable, api.CodeUnavailable)
+	requireOK[api.JobStatus](t, doRequest(t, front, "GET", "/v1/jobs/a?wait=1s", ""), 200)
 	release()
-	wantOK[api.SubmitAnswer](t, <-first, 201)
-	wantOK[api.JobStatus](t, ask(t, front, "GET", "/v1/jobs/a", ""), 200)
+	requireOK[api.SubmitAnswer](t, <-first, 201)
+	requireOK[api.JobStatus](t, doRequest(t, front, "GET", "/v1/jobs/a", ""), 200)
 }
 
-func TestSubmitRate(t *testing.T) {
+func TestSubmit_RateIsLimited(t *testing.T) {
 	leader := newLeader(t)
-	on(leader, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
+	handleMethod(leader, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
 		return fleet.SubmitAnswer{Created: true}, nil
 	})
 	link := &fakeLink{leader: leader.address, config: &api.Config{Limits: api.LimitConfig{SubmitsPerSecond: 1}}}
 	front := newFront(t, link, Settings{})
 	statuses := map[int]int{}
 	for range 20 {
-		answer := ask(t, front, "PUT", "/v1/jobs/a", goodJob)
+		answer := doRequest(t, front, "PUT", "/v1/jobs/a", goodJob)
 		statuses[answer.Code]++
 		if answer.Code != 201 {
-			wantError(t, answer, 429, api.CodeOverLimit)
+			requireError(t, answer, 429, api.CodeOverLimit)
 		}
 	}
 	if statuses[201] != leader.count() || statuses[429] == 0 || statuses[201] == 0 {
@@ -216,9 +216,9 @@
 }
 
 // A flood of refused jobs must not use up the submissions of others.
-func TestRefusedJobsUseUpNoSubmissions(t *testing.T) {
+func TestSubmit_RejectedJobsReturnTokens(t *testing.T) {
 	leader := newLeader(t)
-	on(leader, fleet.MethodSubmit, func(_ context.Context, request fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
+	handleMethod(leader, fleet.MethodSubmit, func(_ context.Context, request fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
 		if strings.HasPrefix(request.ID, "bad") {
 			return fleet.SubmitAnswer{}, apiError(422, api.CodeImpossible, 0)
 		}
@@ -227,7 +227,7 @@
 	link := &fakeLink{leader: leader.address, config: &api.Config{Limits: api.LimitConfig{SubmitsPerSecond: 1}}}
 	front := newFront(t, link, Settings{})
 	for range 5 {
-		wantError(t, ask(t, front, "PUT", "/v1/jobs/bad", goodJob), 422, api.CodeImpossible)
+		requireError(t, doRequest(t, front, "PUT", "/v1/jobs/bad", goodJob), 422, api.CodeImpossible)
 	}
-	wantOK[api.SubmitAnswer](t, ask(t, front, "PUT", "/v1/jobs/good", goodJob), 201)
+	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/good", goodJob), 201)
 }
--- a/internal/front/intake.go
+++ b/internal/front/intake.go
@@ -13,27 +13,27 @@
 
 // intake holds the limits of this front alone. Submissions are shared by queue, so
 // that a flood of one takes neither the rate nor the places of the others.
-type intake struct {
-	heldReads inflight
+type localLimits struct {
+	longPolls inflight
 	others    inflight
 	started   time.Time
 
 	mutex  sync.Mutex
-	tokens admission.Tokens
-	// relaying counts the submissions at the leader, by queue. Those of queues that
+	tokens admission.TokenBucket
+	// inFlightByQueue counts the submissions at the leader, by queue. Those of queues that
 	// the configuration does not have stand under an empty name.
-	relaying map[string]int
+	inFlightByQueue map[string]int
 }
 
-func newIntake() *intake {
-	return &intake{started: time.Now(), relaying: make(map[string]int)}
+func newLocalLimits() *localLimits {
+	return &localLimits{started: time.Now(), inFlightByQueue: make(map[string]int)}
 }
 
 // takeToken takes a token for one submission, from a bucket that holds those of
 // one second. Without one it says when there will be one. The token is to be
 // given back if the leader refuses the job: the limit is on what is accepted,
 // and a flood of refused jobs must not use up the tokens of others.
-func (i *intake) takeToken(perSecond int, queue string, weights map[string]int) *api.Error {
+func (i *localLimits) takeToken(perSecond int, queue string, weights map[string]int) *api.Error {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	wait, taken := i.tokens.Take(time.Since(i.started), float64(perSecond), queue, weights)
@@ -48,52 +48,52 @@
 	}
 }
 
-// giveBack puts a token back.
-func (i *intake) giveBack() {
+// returnToken puts a token back.
+func (i *localLimits) returnToken() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.tokens.GiveBack()
+	i.tokens.Return()
 }
 
 // enterQueue takes a place for a submission that is relayed, unless the queue has
 // its share of most already.
-func (i *intake) enterQueue(most int, queue string, weights map[string]int) *api.Error {
+func (i *localLimits) enterQueue(limit int, queue string, weights map[string]int) *api.Error {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if admission.Free(most, 0, i.parts(queue, weights)) == 0 {
+	if admission.Free(limit, 0, i.sharers(queue, weights)) == 0 {
 		return &api.Error{
 			Status:           http.StatusServiceUnavailable,
 			Code:             api.CodeUnavailable,
-			Message:          fmt.Sprintf("the front already relays %d submissions of this queue", i.relaying[queue]),
+			Message:          fmt.Sprintf("the front already relays %d submissions of this queue", i.inFlightByQueue[queue]),
 			RetryAfterMillis: retryAfterUnavailable.Milliseconds(),
 		}
 	}
-	i.relaying[queue]++
+	i.inFlightByQueue[queue]++
 	return nil
 }
 
-// parts are those that share the places, the given queue first. Requests that are
+// sharers are those that share the places, the given queue first. Requests that are
 // no submissions have a share too, and those for queues that there are not are in
 // it.
-func (i *intake) parts(queue string, weights map[string]int) []admission.Part {
-	parts := make([]admission.Part, 1, len(weights)+1)
-	parts[0] = admission.Part{Weight: max(weights[queue], api.DefaultQueueWeight), Used: i.relaying[queue]}
+func (i *localLimits) sharers(queue string, weights map[string]int) []admission.Share {
+	parts := make([]admission.Share, 1, len(weights)+1)
+	parts[0] = admission.Share{Weight: max(weights[queue], api.DefaultQueueWeight), Used: i.inFlightByQueue[queue]}
 	if queue != "" {
-		parts = append(parts, admission.Part{Weight: api.DefaultQueueWeight, Used: i.relaying[""]})
+		parts = append(parts, admission.Share{Weight: api.DefaultQueueWeight, Used: i.inFlightByQueue[""]})
 	}
 	for name, weight := range weights {
 		if name != queue {
-			parts = append(parts, admission.Part{Weight: weight, Used: i.relaying[name]})
+			parts = append(parts, admission.Share{Weight: weight, Used: i.inFlightByQueue[name]})
 		}
 	}
 	return parts
 }
 
-func (i *intake) leaveQueue(queue string) {
+func (i *localLimits) leaveQueue(queue string) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.relaying[queue]--; i.relaying[queue] == 0 {
-		delete(i.relaying, queue)
+	if i.inFlightByQueue[queue]--; i.inFlightByQueue[queue] == 0 {
+		delete(i.inFlightByQueue, queue)
 	}
 }
 
@@ -112,8 +112,8 @@
 type inflight struct{ count atomic.Int64 }
 
 // enter counts a request in unless most are being served.
-func (i *inflight) enter(most int) bool {
-	if i.count.Add(1) > int64(most) {
+func (i *inflight) enter(limit int) bool {
+	if i.count.Add(1) > int64(limit) {
 		i.count.Add(-1)
 		return false
 	}
--- a/internal/front/intake_test.go
+++ b/internal/front/intake_test.go
@@ -17,21 +17,21 @@
 // jobOf is goodJob for another queue.
 func jobOf(queue string) string { return strings.Replace(goodJob, `"default"`, `"`+queue+`"`, 1) }
 
-// TestAFloodOfOneQueueLeavesPlacesAtTheFront: the leader does not answer for queue
+// TestLocalLimits_FloodLeavesInFlightSlots: the leader does not answer for queue
 // "a". Of 24 places it gets all but the 3 that are guaranteed to each of "b", "c"
 // and what is no submission.
-func TestAFloodOfOneQueueLeavesPlacesAtTheFront(t *testing.T) {
+func TestLocalLimits_FloodLeavesInFlightSlots(t *testing.T) {
 	leader := newLeader(t)
 	done := make(chan struct{})
 	release := sync.OnceFunc(func() { close(done) })
 	t.Cleanup(release) // before the leader's server waits for its handlers
-	on(leader, fleet.MethodSubmit, func(_ context.Context, request fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
+	handleMethod(leader, fleet.MethodSubmit, func(_ context.Context, request fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
 		if request.Spec.Queue == "a" {
 			<-done
 		}
 		return fleet.SubmitAnswer{Created: true}, nil
 	})
-	on(leader, fleet.MethodGetJob, func(context.Context, fleet.GetJobRequest, int) (fleet.JobAnswer, error) {
+	handleMethod(leader, fleet.MethodGetJob, func(context.Context, fleet.GetJobRequest, int) (fleet.JobAnswer, error) {
 		return fleet.JobAnswer{Status: api.JobStatus{State: api.StateSucceeded}}, nil
 	})
 	config := &api.Config{Queues: []api.QueueConfig{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
@@ -39,46 +39,46 @@
 	answers := make(chan *httptest.ResponseRecorder, 24)
 	var flood sync.WaitGroup
 	for number := range 24 {
-		flood.Go(func() { answers <- ask(t, front, "PUT", fmt.Sprintf("/v1/jobs/a-%d", number), jobOf("a")) })
+		flood.Go(func() { answers <- doRequest(t, front, "PUT", fmt.Sprintf("/v1/jobs/a-%d", number), jobOf("a")) })
 	}
 	for range 24 - 15 { // those refused are answered while the others are held
 		started := time.Now()
-		wantError(t, <-answers, http.StatusServiceUnavailable, api.CodeUnavailable)
+		requireError(t, <-answers, http.StatusServiceUnavailable, api.CodeUnavailable)
 		if waited := time.Since(started); waited > DefaultDeadline/2 {
 			t.Errorf("a refusal was held for %v", waited)
 		}
 	}
-	wantOK[api.SubmitAnswer](t, ask(t, front, "PUT", "/v1/jobs/b", jobOf("b")), 201)
-	wantOK[api.SubmitAnswer](t, ask(t, front, "PUT", "/v1/jobs/new", jobOf("not-known-here")), 201)
-	wantOK[api.JobStatus](t, ask(t, front, "GET", "/v1/jobs/b", ""), 200)
+	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/b", jobOf("b")), 201)
+	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/new", jobOf("not-known-here")), 201)
+	requireOK[api.JobStatus](t, doRequest(t, front, "GET", "/v1/jobs/b", ""), 200)
 	release()
 	flood.Wait()
 	for range 15 {
-		wantOK[api.SubmitAnswer](t, <-answers, 201)
+		requireOK[api.SubmitAnswer](t, <-answers, 201)
 	}
-	wantOK[api.SubmitAnswer](t, ask(t, front, "PUT", "/v1/jobs/a-again", jobOf("a")), 201)
-	if len(front.intake.relaying) != 0 {
-		t.Errorf("places are still taken: %v", front.intake.relaying)
+	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a-again", jobOf("a")), 201)
+	if len(front.limits.inFlightByQueue) != 0 {
+		t.Errorf("places are still taken: %v", front.limits.inFlightByQueue)
 	}
 }
 
-// TestAFloodOfOneQueueLeavesSubmissionsToOthers: of 40 a second, 10 are guaranteed
+// TestLocalLimits_FloodLeavesSubmitRate: of 40 a second, 10 are guaranteed
 // to "b".
-func TestAFloodOfOneQueueLeavesSubmissionsToOthers(t *testing.T) {
+func TestLocalLimits_FloodLeavesSubmitRate(t *testing.T) {
 	leader := newLeader(t)
-	on(leader, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
+	handleMethod(leader, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
 		return fleet.SubmitAnswer{Created: true}, nil
 	})
 	config := &api.Config{Queues: []api.QueueConfig{{Name: "a"}, {Name: "b"}}, Limits: api.LimitConfig{SubmitsPerSecond: 40}}
 	front := newFront(t, &fakeLink{leader: leader.address, config: config}, Settings{})
 	for number := 0; ; number++ {
-		answer := ask(t, front, "PUT", fmt.Sprintf("/v1/jobs/a-%d", number), jobOf("a"))
+		answer := doRequest(t, front, "PUT", fmt.Sprintf("/v1/jobs/a-%d", number), jobOf("a"))
 		if answer.Code != http.StatusCreated {
-			wantError(t, answer, http.StatusTooManyRequests, api.CodeOverLimit)
+			requireError(t, answer, http.StatusTooManyRequests, api.CodeOverLimit)
 			break
 		}
 	}
 	for number := range 10 {
-		wantOK[api.SubmitAnswer](t, ask(t, front, "PUT", fmt.Sprintf("/v1/jobs/b-%d", number), jobOf("b")), 201)
+		requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", fmt.Sprintf("/v1/jobs/b-%d", number), jobOf("b")), 201)
 	}
 }
--- a/internal/front/job_calls.go
+++ b/internal/front/job_calls.go
@@ -25,7 +25,7 @@
 // again.
 func (f *Front) submitJob(writer http.ResponseWriter, request *http.Request) (int, any, *api.Error) {
 	id := jobID(request)
-	spec, refusal := readBody[api.JobSpec](writer, request, f.limits().MaxJobBytes)
+	spec, refusal := readBody[api.JobSpec](writer, request, f.limitConfig().MaxJobBytes)
 	if refusal != nil {
 		return 0, nil, refusal
 	}
@@ -49,7 +49,7 @@
 	defer leave()
 	answer, refusal := change[fleet.SubmitAnswer](ctx, f, fleet.MethodSubmit, fleet.SubmitRequest{ID: id, Spec: spec})
 	if refusal != nil && refusal.Status < http.StatusInternalServerError {
-		f.intake.giveBack()
+		f.limits.returnToken()
 	}
 	return api.SubmitAnswer{ID: id, Created: answer.Created}, refusal
 }
@@ -61,16 +61,16 @@
 	if _, known := weights[queue]; !known {
 		queue = ""
 	}
-	if refusal := f.intake.enterQueue(f.settings.Load().MaxInflight, queue, weights); refusal != nil {
+	if refusal := f.limits.enterQueue(f.settings.Load().MaxInflight, queue, weights); refusal != nil {
 		f.metrics.refused(refusedQueueInflight)
 		return nil, refusal
 	}
-	if refusal := f.intake.takeToken(f.limits().SubmitsPerSecond, queue, weights); refusal != nil {
-		f.intake.leaveQueue(queue)
+	if refusal := f.limits.takeToken(f.limitConfig().SubmitsPerSecond, queue, weights); refusal != nil {
+		f.limits.leaveQueue(queue)
 		f.metrics.refused(refusedRate)
 		return nil, refusal
 	}
-	return func() { f.intake.leaveQueue(queue) }, nil
+	return func() { f.limits.leaveQueue(queue) }, nil
 }
 
 // wrongFields checks what is wrong under any configuration: a newer one than
@@ -99,7 +99,7 @@
 // Job reads a job; the answer is held until the job is final or wait is over.
 func (f *Front) Job(ctx context.Context, id string, wait time.Duration) (api.JobStatus, *api.Error) {
 	if !api.ValidJobID(id) {
-		return api.JobStatus{}, noJob(id)
+		return api.JobStatus{}, jobNotFound(id)
 	}
 	return f.waitForJob(ctx, id, wait)
 }
@@ -107,7 +107,7 @@
 // JobState reads the state of a job, without its steps.
 func (f *Front) JobState(ctx context.Context, id string) (api.State, *api.Error) {
 	if !api.ValidJobID(id) {
-		return "", noJob(id)
+		return "", jobNotFound(id)
 	}
 	answer, refusal := read[fleet.JobAnswer](ctx, f, fleet.MethodGetJob, fleet.GetJobRequest{ID: id, Brief: true})
 	return answer.Status.State, refusal
@@ -131,7 +131,7 @@
 
 func (f *Front) cancel(ctx context.Context, request fleet.CancelRequest) (api.JobStatus, *api.Error) {
 	if !api.ValidJobID(request.ID) {
-		return api.JobStatus{}, noJob(request.ID)
+		return api.JobStatus{}, jobNotFound(request.ID)
 	}
 	answer, refusal := change[fleet.JobAnswer](ctx, f, fleet.MethodCancel, request)
 	return answer.Status, refusal
@@ -150,7 +150,7 @@
 // Jobs lists a page of jobs.
 func (f *Front) Jobs(ctx context.Context, query fleet.ListJobsRequest) (api.JobList, *api.Error) {
 	answer, refusal := read[fleet.ListJobsAnswer](ctx, f, fleet.MethodListJobs, query)
-	answer.List.Jobs = listOf(answer.List.Jobs)
+	answer.List.Jobs = nonNilSlice(answer.List.Jobs)
 	return answer.List, refusal
 }
 
@@ -165,12 +165,12 @@
 	switch query.State {
 	case "", api.StatePending, api.StateRunning, api.StateSucceeded, api.StateFailed, api.StateCancelled:
 	default:
-		return query, malformed("state", string(query.State), "pending, running, succeeded, failed or cancelled")
+		return query, malformedField("state", string(query.State), "pending, running, succeeded, failed or cancelled")
 	}
 	if text := values.Get("limit"); text != "" {
 		limit, err := strconv.Atoi(text)
 		if err != nil || limit < 1 || limit > maxPageJobs {
-			return query, malformed("limit", text, fmt.Sprintf("1 to %d", maxPageJobs))
+			return query, malformedField("limit", text, fmt.Sprintf("1 to %d", maxPageJobs))
 		}
 		query.Limit = limit
 	}
@@ -185,7 +185,7 @@
 	}
 	wait, err := time.ParseDuration(text)
 	if err != nil || wait < 0 {
-		return 0, malformed("wait", text, fmt.Sprintf("a duration such as \"10s\", up to %v", api.MaxWait))
+		return 0, malformedField("wait", text, fmt.Sprintf("a duration such as \"10s\", up to %v", api.MaxWait))
 	}
 	return min(wait, api.MaxWait), nil
 }
@@ -202,5 +202,7 @@
 	return value
 }
 
-// noJob is the refusal for an id that no job has.
-func noJob(id string) *api.Error { return httpjson.NotFound(fmt.Sprintf("there is no job %q", id)) }
+// jobNotFound is the refusal for an id that no job has.
+func jobNotFound(id string) *api.Error {
+	return httpjson.NotFound(fmt.Sprintf("there is no job %q", id))
+}
--- a/internal/front/metrics.go
+++ b/internal/front/metrics.go
@@ -26,7 +26,7 @@
 }
 
 // newMetrics makes the metrics and registers them, if there is a registerer.
-func newMetrics(registerer prometheus.Registerer, limits *intake) (*metrics, error) {
+func newMetrics(registerer prometheus.Registerer, limits *localLimits) (*metrics, error) {
 	m := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "decklever_front_requests_total", Help: "Requests answered, by route and status.",
@@ -47,7 +47,7 @@
 	}
 	for _, collector := range []prometheus.Collector{
 		m.requests, m.latency, m.retries, m.refusals,
-		inflightGauge("held_reads", &limits.heldReads), inflightGauge("others", &limits.others),
+		inflightGauge("held_reads", &limits.longPolls), inflightGauge("others", &limits.others),
 	} {
 		if err := registerer.Register(collector); err != nil {
 			return nil, fmt.Errorf("register the front's metrics: %w", err)
--- a/internal/front/middleware.go
+++ b/internal/front/middleware.go
@@ -64,7 +64,7 @@
 	if pattern == "" || pattern == "/v1/*" {
 		return "none"
 	}
-	if isHeldRead(request) {
+	if isLongPoll(request) {
 		return "GET " + pattern + " held"
 	}
 	return request.Method + " " + pattern
@@ -100,20 +100,20 @@
 	})
 }
 
-// bound refuses at once what is beyond the number of requests in flight.
-func (f *Front) bound(next http.Handler) http.Handler {
+// limitInFlight refuses at once what is beyond the number of requests in flight.
+func (f *Front) limitInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		class := &f.intake.others
-		if isHeldRead(request) {
-			class = &f.intake.heldReads
+		class := &f.limits.others
+		if isLongPoll(request) {
+			class = &f.limits.longPolls
 		}
-		most := f.settings.Load().MaxInflight
-		if !class.enter(most) {
+		limit := f.settings.Load().MaxInflight
+		if !class.enter(limit) {
 			f.metrics.refused(refusedInflight)
 			writeError(writer, &api.Error{
 				Status:           http.StatusServiceUnavailable,
 				Code:             api.CodeUnavailable,
-				Message:          fmt.Sprintf("the front already serves %d requests of this kind", most),
+				Message:          fmt.Sprintf("the front already serves %d requests of this kind", limit),
 				RetryAfterMillis: retryAfterUnavailable.Milliseconds(),
 			})
 			return
@@ -123,7 +123,7 @@
 	})
 }
 
-// isHeldRead reports whether the caller asks for the answer to be held.
-func isHeldRead(request *http.Request) bool {
+// isLongPoll reports whether the caller asks for the answer to be held.
+func isLongPoll(request *http.Request) bool {
 	return request.Method == http.MethodGet && request.URL.Query().Has("wait")
 }
--- a/internal/front/openapi_fields_test.go
+++ b/internal/front/openapi_fields_test.go
@@ -15,10 +15,10 @@
 	"github.com/decklever/decklever/internal/telemetry"
 )
 
-// TestInterfaceFileHasTheFields compares schemas with Go types both ways: each
+// TestOpenAPI_HasAllFields compares schemas with Go types both ways: each
 // type that an answer or a request holds has a schema of its name, and each
 // schema of an object has a type.
-func TestInterfaceFileHasTheFields(t *testing.T) {
+func TestOpenAPI_HasAllFields(t *testing.T) {
 	types := map[string]reflect.Type{}
 	for _, root := range []any{
 		api.JobSpec{},
--- a/internal/front/openapi_test.go
+++ b/internal/front/openapi_test.go
@@ -38,7 +38,7 @@
 // newDescribedFront is a front with real health and metrics.
 func newDescribedFront(t *testing.T, link *fakeLink, health *telemetry.Health) *Front {
 	t.Helper()
-	client := rpc.NewClient(rpc.ClientConfig{Timeout: MaxTry + time.Second})
+	client := rpc.NewClient(rpc.ClientConfig{Timeout: MaxAttemptDuration + time.Second})
 	t.Cleanup(client.Close)
 	registry := prometheus.NewRegistry()
 	front, err := New(Config{Link: link, Client: client, Registerer: registry, Status: telemetry.Handler(registry, health)})
@@ -48,7 +48,7 @@
 	return front
 }
 
-func TestInterfaceFileHasTheRoutes(t *testing.T) {
+func TestOpenAPI_HasAllRoutes(t *testing.T) {
 	var described, routed []string
 	for path, item := range loadInterface(t).Paths.Map() {
 		for method := range item.Operations() {
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestAnswersMatchTheInterfaceFile sends requests through the real handlers
+// TestOpenAPI_AnswersMatch sends requests through the real handlers
 // and checks request and answer against the file.
-func TestAnswersMatchTheInterfaceFile(t *testing.T) {
+func TestOpenAPI_AnswersMatch(t *testing.T) {
 	router, err := gorillamux.NewRouter(loadInterface(t))
 	if err != nil {
 		t.Fatal(err)
@@ -157,7 +157,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.method+" "+c.path, func(t *testing.T) {
-			answer := ask(t, c.front, c.method, c.path, c.body, c.headers...)
+			answer := doRequest(t, c.front, c.method, c.path, c.body, c.headers...)
 			if answer.Code != c.status {
 				t.Fatalf("status %d, want %d: %s", answer.Code, c.status, answer.Body)
 			}
--- a/internal/front/read_calls.go
+++ b/internal/front/read_calls.go
@@ -11,21 +11,21 @@
 // Workers lists the registered workers.
 func (f *Front) Workers(ctx context.Context) (api.WorkerList, *api.Error) {
 	answer, refusal := read[fleet.WorkersAnswer](ctx, f, fleet.MethodWorkers, fleet.Empty{})
-	answer.List.Workers = listOf(answer.List.Workers)
+	answer.List.Workers = nonNilSlice(answer.List.Workers)
 	return answer.List, refusal
 }
 
 // Members lists the schedulers.
 func (f *Front) Members(ctx context.Context) (api.MemberList, *api.Error) {
 	answer, refusal := read[fleet.MembersAnswer](ctx, f, fleet.MethodMembers, fleet.Empty{})
-	answer.List.Members = listOf(answer.List.Members)
+	answer.List.Members = nonNilSlice(answer.List.Members)
 	return answer.List, refusal
 }
 
 // Queues lists the queues.
 func (f *Front) Queues(ctx context.Context) (api.QueueList, *api.Error) {
 	answer, refusal := read[fleet.QueuesAnswer](ctx, f, fleet.MethodQueues, fleet.Empty{})
-	answer.List.Queues = listOf(answer.List.Queues)
+	answer.List.Queues = nonNilSlice(answer.List.Queues)
 	return answer.List, refusal
 }
 
--- a/internal/front/relay.go
+++ b/internal/front/relay.go
@@ -10,46 +10,46 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/httpjson"
 	"github.com/decklever/decklever/internal/rpc"
-	"github.com/decklever/decklever/internal/wait"
 )
 
 const (
-	// tryTimeout bounds one try, besides the time that the answer is held.
-	tryTimeout = time.Second
-	// MaxTry is the longest that one try can take.
-	MaxTry = tryTimeout + maxHeld
-	// firstBackoff and lastBackoff bound the pause between tries; it is
+	// attemptTimeout bounds one try, besides the time that the answer is held.
+	attemptTimeout = time.Second
+	// MaxAttemptDuration is the longest that one try can take.
+	MaxAttemptDuration = attemptTimeout + maxLongPoll
+	// initialBackoff and maxBackoff bound the pause between tries; it is
 	// jittered by half.
-	firstBackoff = 20 * time.Millisecond
-	lastBackoff  = 200 * time.Millisecond
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = 200 * time.Millisecond
 	// staleDeadline bounds a call while the link to the leader is not fresh: this
 	// front may be cut off, and another one may not be, so that the caller is
 	// better told at once to go there.
 	staleDeadline = time.Second
 	// staleCheck is how often a held try looks whether the link is still fresh.
 	staleCheck = 100 * time.Millisecond
-	// promptRedirects is how many hints of one call are followed without a
+	// maxImmediateRedirects is how many hints of one call are followed without a
 	// pause; schedulers that name each other would otherwise be asked without
 	// end.
-	promptRedirects = 2
-	// finishTime is how long a call goes on after its request's context ended.
-	finishTime = 500 * time.Millisecond
-	// retryAfterRelay is what a caller is told after a call was given up.
-	retryAfterRelay = 500 * time.Millisecond
+	maxImmediateRedirects = 2
+	// shutdownGrace is how long a call goes on after its request's context ended.
+	shutdownGrace = 500 * time.Millisecond
+	// retryAfterGivingUp is what a caller is told after a call was given up.
+	retryAfterGivingUp = 500 * time.Millisecond
 )
 
 // relayCall is one call to the leader, however often it is tried.
 type relayCall[Request any] struct {
 	method  fleet.Method
 	request Request
-	// effect: the call changes something, so a lost answer leaves its outcome
+	// mutating: the call changes something, so a lost answer leaves its outcome
 	// unknown.
-	effect bool
-	// held is how long the leader may hold the answer.
-	held time.Duration
+	mutating bool
+	// maxWait is how long the leader may hold the answer.
+	maxWait time.Duration
 	// deadline bounds all tries, as the context's own does. Zero: the settings'
 	// Deadline from now on.
 	deadline time.Time
@@ -65,7 +65,7 @@
 
 // change relays a call that changes something.
 func change[Answer, Request any](ctx context.Context, f *Front, method fleet.Method, request Request) (Answer, *api.Error) {
-	return relay[Answer](ctx, f, relayCall[Request]{method: method, request: request, effect: true})
+	return relay[Answer](ctx, f, relayCall[Request]{method: method, request: request, mutating: true})
 }
 
 // relay calls the leader until there is an answer, a final refusal, or the
@@ -77,26 +77,26 @@
 	if given, ok := ctx.Deadline(); ok && given.Before(call.deadline) {
 		call.deadline = given
 	}
-	if call.held == 0 {
-		lingering, release := linger(ctx, finishTime)
+	if call.maxWait == 0 {
+		extended, release := withShutdownGrace(ctx, shutdownGrace)
 		defer release()
-		ctx = lingering
+		ctx = extended
 	}
 	ctx, cancel := context.WithDeadline(ctx, call.deadline)
 	defer cancel()
-	tries := relayTries{front: f, method: call.method, effect: call.effect, started: time.Now()}
+	tries := relayAttempts{front: f, method: call.method, mutating: call.mutating, started: time.Now()}
 	for {
 		address, known := f.link.Leader()
 		if known {
-			answer, err := tryOnce[Answer](ctx, f, address, call)
+			answer, err := attemptCall[Answer](ctx, f, address, call)
 			if err == nil {
 				return answer, nil
 			}
-			if final := tries.failed(ctx, address, err); final != nil {
+			if final := tries.recordFailure(ctx, address, err); final != nil {
 				return answer, final
 			}
 		}
-		if !tries.pause(ctx, address) {
+		if !tries.waitForRetry(ctx, address) {
 			var none Answer
 			return none, tries.giveUp()
 		}
@@ -106,16 +106,16 @@
 	}
 }
 
-// tryOnce makes one try.
-func tryOnce[Answer, Request any](ctx context.Context, f *Front, address string, call relayCall[Request]) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout+call.held)
+// attemptCall makes one try.
+func attemptCall[Answer, Request any](ctx context.Context, f *Front, address string, call relayCall[Request]) (Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+call.maxWait)
 	defer cancel()
-	if call.held > 0 {
+	if call.maxWait > 0 {
 		defer cancelWhenStale(ctx, f.link, cancel)()
 	} else {
-		attended, end := f.link.Attend(ctx, address)
+		supervised, end := f.link.Supervise(ctx, address)
 		defer end()
-		ctx = attended
+		ctx = supervised
 	}
 	return rpc.Call[Request, Answer](ctx, f.client, address, call.method, call.request)
 }
@@ -140,43 +140,43 @@
 	}
 }
 
-// relayTries remembers what the tries of one call came to.
-type relayTries struct {
-	front   *Front
-	method  fleet.Method
-	effect  bool
-	started time.Time
-	// maybeDone: a try may have had its effect.
-	maybeDone bool
-	// last is the newest failure; empty if no leader was known.
-	last      string
-	pauses    int
-	redirects int
+// relayAttempts remembers what the tries of one call came to.
+type relayAttempts struct {
+	front    *Front
+	method   fleet.Method
+	mutating bool
+	started  time.Time
+	// maybeApplied: a try may have had its effect.
+	maybeApplied bool
+	// lastFailure is the newest failure; empty if no leader was known.
+	lastFailure string
+	backoffs    int
+	redirects   int
 }
 
-// failed takes in a failed try. It returns the refusal to answer with if
+// recordFailure takes in a failed try. It returns the refusal to answer with if
 // trying again cannot help.
-func (t *relayTries) failed(ctx context.Context, address string, err error) *api.Error {
+func (t *relayAttempts) recordFailure(ctx context.Context, address string, err error) *api.Error {
 	var failure *rpc.Error
 	if !errors.As(err, &failure) {
 		return httpjson.Internal(err.Error())
 	}
-	t.last = failure.Error()
+	t.lastFailure = failure.Error()
 	if failure.Code == rpc.CodeRefused {
-		return t.refused(failure)
+		return t.handleRejection(failure)
 	}
 	t.front.metrics.retried(t.method, string(failure.Code))
 	switch failure.Code {
 	case rpc.CodeNotLeader:
-		t.front.link.Hint(failure.LeaderAddress)
+		t.front.link.ObserveHint(failure.LeaderAddress)
 	case rpc.CodeUnavailable:
 	case rpc.CodeUnknownOutcome:
-		t.maybeDone = true
+		t.maybeApplied = true
 	case rpc.CodeTransport:
-		t.maybeDone = t.maybeDone || !failure.Unsent
+		t.maybeApplied = t.maybeApplied || !failure.Unsent
 		// A try that was cut short from our side says nothing about the leader.
 		if ctx.Err() == nil {
-			t.front.link.Failed(address)
+			t.front.link.ReportFailure(address)
 		}
 	default:
 		return httpjson.Internal(failure.Error())
@@ -184,22 +184,22 @@
 	return nil
 }
 
-// refused takes in the leader's final word. That the leader does not take a
+// handleRejection takes in the leader's final word. That the leader does not take a
 // call now does not say that an earlier try of it was not taken.
-func (t *relayTries) refused(failure *rpc.Error) *api.Error {
+func (t *relayAttempts) handleRejection(failure *rpc.Error) *api.Error {
 	if failure.API == nil {
 		return httpjson.Internal(failure.Error())
 	}
 	notNow := retryable(failure.API.Status) || failure.API.Code == api.CodeImpossible
-	if t.effect && t.maybeDone && notNow {
+	if t.mutating && t.maybeApplied && notNow {
 		return t.giveUp()
 	}
 	return failure.API
 }
 
-// pause waits before the next try and reports whether there is time for one.
+// waitForRetry waits before the next try and reports whether there is time for one.
 // A hint to another address is followed at once.
-func (t *relayTries) pause(ctx context.Context, asked string) bool {
+func (t *relayAttempts) waitForRetry(ctx context.Context, asked string) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -207,36 +207,36 @@
 		return false
 	}
 	next, known := t.front.link.Leader()
-	if known && next != asked && t.redirects < promptRedirects {
+	if known && next != asked && t.redirects < maxImmediateRedirects {
 		t.redirects++
 		return true
 	}
-	longest := min(firstBackoff<<min(t.pauses, 8), lastBackoff)
-	t.pauses++
+	longest := min(initialBackoff<<min(t.backoffs, 8), maxBackoff)
+	t.backoffs++
 	return sleep(ctx, longest/2+rand.N(longest/2))
 }
 
 // giveUp is the refusal of a call that had no answer in time.
-func (t *relayTries) giveUp() *api.Error {
+func (t *relayAttempts) giveUp() *api.Error {
 	refusal := &api.Error{
 		Status:           http.StatusServiceUnavailable,
 		Code:             api.CodeUnavailable,
 		Message:          "no scheduler could answer; nothing was done",
-		RetryAfterMillis: retryAfterRelay.Milliseconds(),
+		RetryAfterMillis: retryAfterGivingUp.Milliseconds(),
 	}
-	if t.effect && t.maybeDone {
+	if t.mutating && t.maybeApplied {
 		refusal.Code = api.CodeOutcomeUnknown
 		refusal.Message = "no scheduler answered in time; it may have been done, send the same again"
 	}
-	if t.last != "" {
-		refusal.Message += fmt.Sprintf(" (%s)", t.last)
+	if t.lastFailure != "" {
+		refusal.Message += fmt.Sprintf(" (%s)", t.lastFailure)
 	}
 	return refusal
 }
 
-// linger returns a context that ends a while after its parent does, so that a
+// withShutdownGrace returns a context that ends a while after its parent does, so that a
 // call under way when the process is told to stop can still be answered.
-func linger(parent context.Context, length time.Duration) (context.Context, context.CancelFunc) {
+func withShutdownGrace(parent context.Context, length time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(parent))
 	release := context.AfterFunc(parent, func() {
 		sleep(ctx, length)
@@ -253,5 +253,5 @@
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= length {
 		return false
 	}
-	return wait.For(ctx, length)
+	return contexttime.Sleep(ctx, length)
 }
--- a/internal/front/relay_test.go
+++ b/internal/front/relay_test.go
@@ -22,32 +22,32 @@
 	return fleet.SubmitAnswer{Created: true}, nil
 }
 
-func TestHintIsFollowed(t *testing.T) {
+func TestRelay_HintIsFollowed(t *testing.T) {
 	old, leader := newLeader(t), newLeader(t)
-	refuse[fleet.SubmitRequest, fleet.SubmitAnswer](old, fleet.MethodSubmit, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: leader.address})
-	on(leader, fleet.MethodSubmit, created)
+	failMethod[fleet.SubmitRequest, fleet.SubmitAnswer](old, fleet.MethodSubmit, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: leader.address})
+	handleMethod(leader, fleet.MethodSubmit, created)
 	link := &fakeLink{leader: old.address}
 	front := newFront(t, link, Settings{})
-	wantOK[api.SubmitAnswer](t, ask(t, front, "PUT", "/v1/jobs/a", goodJob), 201)
+	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a", goodJob), 201)
 	if old.count() != 1 || leader.count() != 1 || len(link.failed) != 0 {
 		t.Fatalf("%d and %d calls, failed %v", old.count(), leader.count(), link.failed)
 	}
 }
 
-func TestSchedulersThatNameEachOtherAreNotAskedWithoutEnd(t *testing.T) {
+func TestRelay_MutualHintsAreBounded(t *testing.T) {
 	one, other := newLeader(t), newLeader(t)
-	refuse[fleet.Empty, fleet.QueuesAnswer](one, fleet.MethodQueues, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: other.address})
-	refuse[fleet.Empty, fleet.QueuesAnswer](other, fleet.MethodQueues, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: one.address})
+	failMethod[fleet.Empty, fleet.QueuesAnswer](one, fleet.MethodQueues, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: other.address})
+	failMethod[fleet.Empty, fleet.QueuesAnswer](other, fleet.MethodQueues, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: one.address})
 	front := newFront(t, &fakeLink{leader: one.address}, Settings{Deadline: shortDeadline})
-	wantError(t, ask(t, front, "GET", "/v1/queues", ""), 503, api.CodeUnavailable)
+	requireError(t, doRequest(t, front, "GET", "/v1/queues", ""), 503, api.CodeUnavailable)
 	if calls := one.count() + other.count(); calls < 3 || calls > 30 {
 		t.Fatalf("%d calls", calls)
 	}
 }
 
-// TestGivingUp checks which calls are answered with an unknown outcome, on a clock
+// TestRelay_GivesUpAtDeadline checks which calls are answered with an unknown outcome, on a clock
 // that load cannot move: a try that is cut short by the deadline is unknown as well.
-func TestGivingUp(t *testing.T) {
+func TestRelay_GivesUpAtDeadline(t *testing.T) {
 	const silent, refusing, nobody = "silent:1", "refusing:1", "nobody:1"
 	cases := []struct {
 		name, leader, method, path, body string
@@ -66,15 +66,15 @@
 			synctest.Test(t, func(t *testing.T) {
 				network := testnetwork.New()
 				hangAll(newLeaderOn(t, network, silent))
-				refuse[fleet.SubmitRequest, fleet.SubmitAnswer](newLeaderOn(t, network, refusing), fleet.MethodSubmit, &rpc.Error{Code: rpc.CodeUnavailable})
+				failMethod[fleet.SubmitRequest, fleet.SubmitAnswer](newLeaderOn(t, network, refusing), fleet.MethodSubmit, &rpc.Error{Code: rpc.CodeUnavailable})
 				front := newFrontOn(t, network, &fakeLink{leader: c.leader}, Settings{Deadline: shortDeadline})
-				wantError(t, ask(t, front, c.method, c.path, c.body, orderHeaders...), 503, c.code)
+				requireError(t, doRequest(t, front, c.method, c.path, c.body, orderHeaders...), 503, c.code)
 			})
 		})
 	}
 }
 
-// hangAll serves the methods of TestGivingUp without an answer.
+// hangAll serves the methods of TestRelay_GivesUpAtDeadline without an answer.
 func hangAll(leader *fakeLeader) {
 	hang(leader, fleet.MethodSubmit, fleet.SubmitRequest{}, fleet.SubmitAnswer{})
 	hang(leader, fleet.MethodCancel, fleet.CancelRequest{}, fleet.JobAnswer{})
@@ -84,44 +84,44 @@
 
 // hang serves a method that never answers within its deadline.
 func hang[Request, Answer any](leader *fakeLeader, method fleet.Method, _ Request, none Answer) {
-	on(leader, method, func(ctx context.Context, _ Request, _ int) (Answer, error) {
+	handleMethod(leader, method, func(ctx context.Context, _ Request, _ int) (Answer, error) {
 		<-ctx.Done()
 		return none, &rpc.Error{Code: rpc.CodeUnknownOutcome}
 	})
 }
 
-func TestUnknownOutcomeIsRetriedAtTheNextLeader(t *testing.T) {
+func TestRelay_UnknownOutcomeIsRetriedAtNextLeader(t *testing.T) {
 	old, leader := newLeader(t), newLeader(t)
 	link := &fakeLink{leader: old.address}
-	on(old, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
-		link.Hint(leader.address)
+	handleMethod(old, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
+		link.ObserveHint(leader.address)
 		return fleet.SubmitAnswer{}, &rpc.Error{Code: rpc.CodeUnknownOutcome}
 	})
-	on(leader, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
+	handleMethod(leader, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
 		return fleet.SubmitAnswer{Created: false}, nil
 	})
 	front := newFront(t, link, Settings{})
-	wantOK[api.SubmitAnswer](t, ask(t, front, "PUT", "/v1/jobs/a", goodJob), 200)
+	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a", goodJob), 200)
 	if old.count() != 1 || leader.count() != 1 {
 		t.Fatalf("%d and %d calls", old.count(), leader.count())
 	}
 }
 
-// TestCallToASilentLeaderGoesToTheNext: once another leader is known, the call is
+// TestRelay_CallToSilentLeaderMovesToNext: once another leader is known, the call is
 // not left to the old one until its time is over.
-func TestCallToASilentLeaderGoesToTheNext(t *testing.T) {
+func TestRelay_CallToSilentLeaderMovesToNext(t *testing.T) {
 	old, leader := newLeader(t), newLeader(t)
 	link := &fakeLink{leader: old.address}
-	on(old, fleet.MethodSubmit, func(ctx context.Context, _ fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
+	handleMethod(old, fleet.MethodSubmit, func(ctx context.Context, _ fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
 		link.moveTo(leader.address)
 		<-ctx.Done()
 		return fleet.SubmitAnswer{}, &rpc.Error{Code: rpc.CodeUnknownOutcome}
 	})
-	on(leader, fleet.MethodSubmit, created)
+	handleMethod(leader, fleet.MethodSubmit, created)
 	front := newFront(t, link, Settings{})
 	began := time.Now()
-	wantOK[api.SubmitAnswer](t, ask(t, front, "PUT", "/v1/jobs/a", goodJob), 201)
-	if took := time.Since(began); took >= tryTimeout {
+	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a", goodJob), 201)
+	if took := time.Since(began); took >= attemptTimeout {
 		t.Errorf("answered after %v", took)
 	}
 	if old.count() != 1 || leader.count() != 1 {
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestRefusalAfterUnknownOutcome: "not now" to a resend says nothing about
+// TestRelay_RejectionAfterUnknownOutcome: "not now" to a resend says nothing about
 // the first try; a conflict does.
-func TestRefusalAfterUnknownOutcome(t *testing.T) {
+func TestRelay_RejectionAfterUnknownOutcome(t *testing.T) {
 	for code, want := range map[api.ErrorCode]struct {
 		given, status int
 		code          api.ErrorCode
@@ -141,24 +141,24 @@
 		api.CodeConflict:   {409, 409, api.CodeConflict},
 	} {
 		leader := newLeader(t)
-		on(leader, fleet.MethodSubmit, func(_ context.Context, _ fleet.SubmitRequest, number int) (fleet.SubmitAnswer, error) {
+		handleMethod(leader, fleet.MethodSubmit, func(_ context.Context, _ fleet.SubmitRequest, number int) (fleet.SubmitAnswer, error) {
 			if number == 1 {
 				return fleet.SubmitAnswer{}, &rpc.Error{Code: rpc.CodeUnknownOutcome}
 			}
 			return fleet.SubmitAnswer{}, apiError(want.given, code, 0)
 		})
 		front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
-		wantError(t, ask(t, front, "PUT", "/v1/jobs/a", goodJob), want.status, want.code)
+		requireError(t, doRequest(t, front, "PUT", "/v1/jobs/a", goodJob), want.status, want.code)
 		if leader.count() != 2 {
 			t.Fatalf("%d calls", leader.count())
 		}
 	}
 }
 
-func TestWaitGoesOnAcrossLeaders(t *testing.T) {
+func TestLongPoll_ContinuesAcrossLeaders(t *testing.T) {
 	old, leader := newLeader(t), newLeader(t)
-	on(old, fleet.MethodGetJob, func(_ context.Context, request fleet.GetJobRequest, number int) (fleet.JobAnswer, error) {
-		if request.WaitMillis <= 0 || request.WaitMillis > maxHeld.Milliseconds() {
+	handleMethod(old, fleet.MethodGetJob, func(_ context.Context, request fleet.GetJobRequest, number int) (fleet.JobAnswer, error) {
+		if request.WaitMillis <= 0 || request.WaitMillis > maxLongPoll.Milliseconds() {
 			t.Errorf("held for %d ms", request.WaitMillis)
 		}
 		if number == 1 {
@@ -166,14 +166,14 @@
 		}
 		return fleet.JobAnswer{}, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: leader.address}
 	})
-	on(leader, fleet.MethodGetJob, func(_ context.Context, _ fleet.GetJobRequest, number int) (fleet.JobAnswer, error) {
+	handleMethod(leader, fleet.MethodGetJob, func(_ context.Context, _ fleet.GetJobRequest, number int) (fleet.JobAnswer, error) {
 		if number == 1 {
 			return fleet.JobAnswer{Status: api.JobStatus{State: api.StateRunning}}, nil
 		}
 		return fleet.JobAnswer{Status: api.JobStatus{State: api.StateSucceeded}}, nil
 	})
 	front := newFront(t, &fakeLink{leader: old.address}, Settings{})
-	if body := wantOK[api.JobStatus](t, ask(t, front, "GET", "/v1/jobs/a?wait=10s", ""), 200); body.State != api.StateSucceeded {
+	if body := requireOK[api.JobStatus](t, doRequest(t, front, "GET", "/v1/jobs/a?wait=10s", ""), 200); body.State != api.StateSucceeded {
 		t.Fatalf("state %s", body.State)
 	}
 	if old.count() != 2 || leader.count() != 2 {
@@ -181,16 +181,16 @@
 	}
 }
 
-func TestWaitEndsWithTheNewestState(t *testing.T) {
+func TestLongPoll_EndsWithNewestState(t *testing.T) {
 	leader := newLeader(t)
-	on(leader, fleet.MethodGetJob, func(_ context.Context, _ fleet.GetJobRequest, number int) (fleet.JobAnswer, error) {
+	handleMethod(leader, fleet.MethodGetJob, func(_ context.Context, _ fleet.GetJobRequest, number int) (fleet.JobAnswer, error) {
 		if number == 1 {
 			return fleet.JobAnswer{Status: api.JobStatus{State: api.StateRunning}}, nil
 		}
 		return fleet.JobAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable}
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
-	if body := wantOK[api.JobStatus](t, ask(t, front, "GET", "/v1/jobs/a?wait=2s", ""), 200); body.State != api.StateRunning {
+	if body := requireOK[api.JobStatus](t, doRequest(t, front, "GET", "/v1/jobs/a?wait=2s", ""), 200); body.State != api.StateRunning {
 		t.Fatalf("state %s", body.State)
 	}
 	if leader.count() < 2 {
@@ -198,11 +198,11 @@
 	}
 }
 
-func TestWaitOutlastsTheServersReadTimeout(t *testing.T) {
+func TestLongPoll_OutlastsServerReadTimeout(t *testing.T) {
 	leader := newLeader(t)
 	const wait = 300 * time.Millisecond
 	started := time.Now()
-	on(leader, fleet.MethodGetJob, func(context.Context, fleet.GetJobRequest, int) (fleet.JobAnswer, error) {
+	handleMethod(leader, fleet.MethodGetJob, func(context.Context, fleet.GetJobRequest, int) (fleet.JobAnswer, error) {
 		if time.Since(started) < wait {
 			return fleet.JobAnswer{Status: api.JobStatus{State: api.StateRunning}}, nil
 		}
@@ -223,25 +223,25 @@
 	}
 }
 
-func TestCallUnderWayIsFinishedWhenTheProcessStops(t *testing.T) {
+func TestRelay_CallInFlightFinishesAtShutdown(t *testing.T) {
 	leader := newLeader(t)
 	ctx, stop := context.WithCancel(t.Context())
-	on(leader, fleet.MethodSubmit, func(ctx context.Context, request fleet.SubmitRequest, number int) (fleet.SubmitAnswer, error) {
+	handleMethod(leader, fleet.MethodSubmit, func(ctx context.Context, request fleet.SubmitRequest, number int) (fleet.SubmitAnswer, error) {
 		stop()
 		return created(ctx, request, number)
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	recorder := httptest.NewRecorder()
 	front.ServeHTTP(recorder, httptest.NewRequestWithContext(ctx, "PUT", "/v1/jobs/a", strings.NewReader(goodJob)))
-	wantOK[api.SubmitAnswer](t, recorder, 201)
+	requireOK[api.SubmitAnswer](t, recorder, 201)
 }
 
 // A front that is cut off must not keep its callers until the deadline, which
 // here is an hour.
-func TestStaleFrontGivesUpEarly(t *testing.T) {
+func TestRelay_StaleFrontGivesUpEarly(t *testing.T) {
 	front := newFront(t, &fakeLink{stale: true}, Settings{Deadline: time.Hour})
-	answer := ask(t, front, "GET", "/v1/jobs/a", "")
-	wantError(t, answer, 503, api.CodeUnavailable)
+	answer := doRequest(t, front, "GET", "/v1/jobs/a", "")
+	requireError(t, answer, 503, api.CodeUnavailable)
 	if answer.Header().Get("Retry-After") == "" {
 		t.Error("no Retry-After")
 	}
--- a/internal/front/routes.go
+++ b/internal/front/routes.go
@@ -32,7 +32,7 @@
 		}
 	}
 	router.Route("/v1", func(v1 chi.Router) {
-		v1.Use(f.bound)
+		v1.Use(f.limitInFlight)
 		f.jobRoutes(v1)
 		f.configRoutes(v1)
 		v1.Get("/workers", serveRead(f.Workers))
--- a/internal/front/samples_test.go
+++ b/internal/front/samples_test.go
@@ -12,69 +12,69 @@
 
 // serveSamples makes the leader answer every method, with every field set.
 func serveSamples(leader *fakeLeader) {
-	on(leader, fleet.MethodSubmit, func(_ context.Context, request fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
+	handleMethod(leader, fleet.MethodSubmit, func(_ context.Context, request fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
 		return fleet.SubmitAnswer{Created: request.ID == "new"}, submitRefusals[request.ID]
 	})
-	on(leader, fleet.MethodGetJob, func(_ context.Context, request fleet.GetJobRequest, _ int) (fleet.JobAnswer, error) {
+	handleMethod(leader, fleet.MethodGetJob, func(_ context.Context, request fleet.GetJobRequest, _ int) (fleet.JobAnswer, error) {
 		return sampleStatus(request.ID)
 	})
-	on(leader, fleet.MethodCancel, func(_ context.Context, request fleet.CancelRequest, _ int) (fleet.JobAnswer, error) {
+	handleMethod(leader, fleet.MethodCancel, func(_ context.Context, request fleet.CancelRequest, _ int) (fleet.JobAnswer, error) {
 		return sampleStatus(request.ID)
 	})
-	on(leader, fleet.MethodPutConfig, func(_ context.Context, request fleet.PutConfigRequest, _ int) (fleet.PutConfigAnswer, error) {
+	handleMethod(leader, fleet.MethodPutConfig, func(_ context.Context, request fleet.PutConfigRequest, _ int) (fleet.PutConfigAnswer, error) {
 		if request.Base != 7 {
 			return fleet.PutConfigAnswer{}, apiError(412, api.CodeLostRace, 0)
 		}
 		return fleet.PutConfigAnswer{Version: 8}, nil
 	})
-	on(leader, fleet.MethodListJobs, func(context.Context, fleet.ListJobsRequest, int) (fleet.ListJobsAnswer, error) {
+	handleMethod(leader, fleet.MethodListJobs, func(context.Context, fleet.ListJobsRequest, int) (fleet.ListJobsAnswer, error) {
 		row := api.JobSummary{ID: "new", Queue: "q", State: api.StateRunning, SubmittedAt: sampleTime, TasksTotal: 2, TasksEnded: 1}
 		return fleet.ListJobsAnswer{List: api.JobList{Jobs: []api.JobSummary{row}, NextPageToken: "new"}}, nil
 	})
-	give[fleet.ValidateConfigRequest](leader, fleet.MethodValidateConfig, fleet.Empty{})
-	give[fleet.Empty](leader, fleet.MethodGetConfig, fleet.ConfigAnswer{Status: api.ConfigStatus{Version: 7, Config: sampleConfig()}})
-	give[fleet.Empty](leader, fleet.MethodConfigVersions, fleet.ConfigVersionsAnswer{Versions: api.ConfigVersions{
+	serveAnswer[fleet.ValidateConfigRequest](leader, fleet.MethodValidateConfig, fleet.Empty{})
+	serveAnswer[fleet.Empty](leader, fleet.MethodGetConfig, fleet.ConfigAnswer{Status: api.ConfigStatus{Version: 7, Config: sampleConfig()}})
+	serveAnswer[fleet.Empty](leader, fleet.MethodConfigVersions, fleet.ConfigVersionsAnswer{Versions: api.ConfigVersions{
 		Versions: []api.ConfigVersion{{Version: 7, OrderID: "o", AcceptedAt: sampleTime, Digest: "00ff"}},
 	}})
-	give[fleet.Empty](leader, fleet.MethodRollout, fleet.RolloutAnswer{Rollout: api.Rollout{
+	serveAnswer[fleet.Empty](leader, fleet.MethodRollout, fleet.RolloutAnswer{Rollout: api.Rollout{
 		Version: 7, Processes: []api.ProcessRollout{{Process: "f1", Role: "front", Zone: "z1", Version: 6, AgeMillis: 5}},
 	}})
 	room := api.Resources{CPUMillis: 8000, MemoryMB: 64, Accelerators: 1}
-	give[fleet.Empty](leader, fleet.MethodWorkers, fleet.WorkersAnswer{List: api.WorkerList{Workers: []api.WorkerStatus{
+	serveAnswer[fleet.Empty](leader, fleet.MethodWorkers, fleet.WorkersAnswer{List: api.WorkerList{Workers: []api.WorkerStatus{
 		{Name: "w1", WorkerID: "i", Zone: "z1", State: api.WorkerDraining, Reason: "r", Capacity: room, Used: room, Services: []string{"s"}, Labels: map[string]string{"zone": "z1"}, Runs: 1, SilentMillis: 3},
 		{Name: "w2", State: api.WorkerReady, Services: []string{}},
 	}}})
-	give[fleet.Empty](leader, fleet.MethodMembers, fleet.MembersAnswer{List: api.MemberList{Token: 2, CommitIndex: 9, Members: []api.MemberStatus{{ReplicaID: "r", Name: "s1"}}}})
-	give[fleet.BookingsRequest](leader, fleet.MethodBookings, fleet.BookingsAnswer{List: api.BookingList{Bookings: []api.BookingStatus{{
+	serveAnswer[fleet.Empty](leader, fleet.MethodMembers, fleet.MembersAnswer{List: api.MemberList{Token: 2, CommitIndex: 9, Members: []api.MemberStatus{{ReplicaID: "r", Name: "s1"}}}})
+	serveAnswer[fleet.BookingsRequest](leader, fleet.MethodBookings, fleet.BookingsAnswer{List: api.BookingList{Bookings: []api.BookingStatus{{
 		Queue: "q", Booking: "opening", Start: sampleTime, End: sampleTime, HeldFrom: sampleTime, State: api.BookingOpen, Slots: 3, Placed: 2, Used: 1,
 		Slice: room, Service: "s", BestEffort: true, Workers: []api.BookingSlices{{Worker: "w1", Slots: 2, Used: 1}},
 	}, {Queue: "q", Booking: "closing", State: api.BookingPlanned}}}})
-	on(leader, fleet.MethodRelease, func(_ context.Context, request fleet.ReleaseRequest, _ int) (fleet.Empty, error) {
+	handleMethod(leader, fleet.MethodRelease, func(_ context.Context, request fleet.ReleaseRequest, _ int) (fleet.Empty, error) {
 		if request.Release.Booking == "missing" {
 			return fleet.Empty{}, apiError(404, api.CodeNotFound, 0)
 		}
 		return fleet.Empty{}, nil
 	})
-	give[fleet.Empty](leader, fleet.MethodDrains, fleet.DrainsAnswer{List: api.DrainList{Zones: []api.ZoneDrain{{Zone: "z1", Drained: true}}}})
-	on(leader, fleet.MethodDrainZone, func(_ context.Context, request fleet.DrainZoneRequest, _ int) (fleet.Empty, error) {
+	serveAnswer[fleet.Empty](leader, fleet.MethodDrains, fleet.DrainsAnswer{List: api.DrainList{Zones: []api.ZoneDrain{{Zone: "z1", Drained: true}}}})
+	handleMethod(leader, fleet.MethodDrainZone, func(_ context.Context, request fleet.DrainZoneRequest, _ int) (fleet.Empty, error) {
 		if request.Drain.Zone == "full" {
 			return fleet.Empty{}, apiError(429, api.CodeOverLimit, 1000)
 		}
 		return fleet.Empty{}, nil
 	})
-	give[fleet.CancelManyRequest](leader, fleet.MethodCancelMany, fleet.CancelManyAnswer{Answer: api.CancelAnswer{Cancelled: 2}})
-	on(leader, fleet.MethodQueue, func(_ context.Context, request fleet.QueueRequest, _ int) (fleet.QueueAnswer, error) {
+	serveAnswer[fleet.CancelManyRequest](leader, fleet.MethodCancelMany, fleet.CancelManyAnswer{Answer: api.CancelAnswer{Cancelled: 2}})
+	handleMethod(leader, fleet.MethodQueue, func(_ context.Context, request fleet.QueueRequest, _ int) (fleet.QueueAnswer, error) {
 		if request.Name == "missing" {
 			return fleet.QueueAnswer{}, apiError(404, api.CodeNotFound, 0)
 		}
 		return fleet.QueueAnswer{Status: api.QueueStatus{Name: request.Name, Jobs: 1, Pending: 2, Running: 3}}, nil
 	})
-	give[fleet.Empty](leader, fleet.MethodQueues, fleet.QueuesAnswer{List: api.QueueList{Queues: []api.QueueStatus{{Name: "q", Jobs: 1}}}})
+	serveAnswer[fleet.Empty](leader, fleet.MethodQueues, fleet.QueuesAnswer{List: api.QueueList{Queues: []api.QueueStatus{{Name: "q", Jobs: 1}}}})
 }
 
-// give serves a method with one answer.
-func give[Request, Answer any](leader *fakeLeader, method fleet.Method, answer Answer) {
-	on(leader, method, func(context.Context, Request, int) (Answer, error) { return answer, nil })
+// serveAnswer serves a method with one answer.
+func serveAnswer[Request, Answer any](leader *fakeLeader, method fleet.Method, answer Answer) {
+	handleMethod(leader, method, func(context.Context, Request, int) (Answer, error) { return answer, nil })
 }
 
 // submitRefusals are the answers to jobs of these names.
--- a/internal/front/wait.go
+++ b/internal/front/wait.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// maxHeld is how long one call of a held read is held by the leader; a
+	// maxLongPoll is how long one call of a held read is held by the leader; a
 	// longer wait is made of several, so that a change of leader goes unnoticed.
-	maxHeld = 2 * time.Second
-	// afterWait is how long the answer to the last call of a wait may be late
+	maxLongPoll = 2 * time.Second
+	// lateAnswerGrace is how long the answer to the last call of a wait may be late
 	// before the state read earlier in the same wait is answered.
-	afterWait = 200 * time.Millisecond
-	// earlyPause keeps a leader that answers without holding from being asked
+	lateAnswerGrace = 200 * time.Millisecond
+	// minPollInterval keeps a leader that answers without holding from being asked
 	// without end.
-	earlyPause = 50 * time.Millisecond
+	minPollInterval = 50 * time.Millisecond
 )
 
 // waitForJob reads a job until it is final or the wait is over; then the
@@ -28,7 +28,7 @@
 	var newest *api.JobStatus
 	for {
 		started := time.Now()
-		call := f.heldRead(id, end, newest != nil)
+		call := f.longPoll(id, end, newest != nil)
 		answer, refusal := relay[fleet.JobAnswer](ctx, f, call)
 		switch {
 		case refusal == nil:
@@ -39,29 +39,29 @@
 		if newest.State.Final() || time.Until(end) <= 0 || ctx.Err() != nil {
 			return *newest, nil
 		}
-		if time.Since(started) < call.held/2 {
-			sleep(ctx, min(earlyPause, time.Until(end)))
+		if time.Since(started) < call.maxWait/2 {
+			sleep(ctx, min(minPollInterval, time.Until(end)))
 		}
 	}
 }
 
-// heldRead is one call of a wait that is over at end. Each try of it is held no
+// longPoll is one call of a wait that is over at end. Each try of it is held no
 // longer than what is left of the wait, so that a leader lost in the middle of
 // it delays the answer by the one try that it did not answer. While no state is
 // known the call goes on for Deadline beyond the wait; a known state is
 // answered once the wait is over.
-func (f *Front) heldRead(id string, end time.Time, known bool) relayCall[fleet.GetJobRequest] {
+func (f *Front) longPoll(id string, end time.Time, known bool) relayCall[fleet.GetJobRequest] {
 	call := relayCall[fleet.GetJobRequest]{
 		method: fleet.MethodGetJob,
 		renew: func(call *relayCall[fleet.GetJobRequest]) {
-			call.held = min(maxHeld, max(0, time.Until(end)))
-			call.request = fleet.GetJobRequest{ID: id, WaitMillis: call.held.Milliseconds()}
+			call.maxWait = min(maxLongPoll, max(0, time.Until(end)))
+			call.request = fleet.GetJobRequest{ID: id, WaitMillis: call.maxWait.Milliseconds()}
 		},
 	}
 	call.renew(&call)
 	call.deadline = end.Add(f.settings.Load().Deadline)
 	if known {
-		call.deadline = end.Add(afterWait)
+		call.deadline = end.Add(lateAnswerGrace)
 	}
 	return call
 }
--- a/internal/leaderlink/link.go
+++ b/internal/leaderlink/link.go
@@ -10,21 +10,21 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/rpc"
-	"github.com/decklever/decklever/internal/wait"
 )
 
 const (
 	// watchWait is how long the leader may hold a watch call.
 	watchWait = 500 * time.Millisecond
 	// watchTimeout bounds a held watch call.
-	watchTimeout = watchWait + answerPatience
-	// roundPause is the least time between two calls.
-	roundPause = 10 * time.Millisecond
-	// firstRetryPause and longestRetryPause bound the jittered pause after a failure.
-	firstRetryPause   = 30 * time.Millisecond
-	longestRetryPause = 100 * time.Millisecond
+	watchTimeout = watchWait + answerGrace
+	// minCallInterval is the least time between two calls.
+	minCallInterval = 10 * time.Millisecond
+	// initialRetryBackoff and maxRetryBackoff bound the jittered pause after a failure.
+	initialRetryBackoff = 30 * time.Millisecond
+	maxRetryBackoff     = 100 * time.Millisecond
 	// maxRedirects is how many hints in a row are followed without a pause.
 	maxRedirects = 2
 )
@@ -48,8 +48,8 @@
 
 type watchFunc func(ctx context.Context, address string, request fleet.WatchRequest) (fleet.WatchAnswer, error)
 
-// Link tracks the leader. Its methods are safe for concurrent use.
-type Link struct {
+// Client tracks the leader. Its methods are safe for concurrent use.
+type Client struct {
 	config  Config
 	watch   watchFunc
 	started time.Time
@@ -59,51 +59,51 @@
 	state     state
 	redirects int                // since the last accepted answer
 	interrupt context.CancelFunc // ends the round under way; nil between rounds
-	// doubted are calls to a leader that have been without an answer for long.
-	doubted map[*attendedCall]struct{}
+	// overdueCalls are calls to a leader that have been without an answer for long.
+	overdueCalls map[*supervisedCall]struct{}
 
-	// taking orders the outcomes of calls.
-	taking sync.Mutex
+	// resultMutex orders the outcomes of calls.
+	resultMutex sync.Mutex
 	// probes are the calls that ask who leads, one at a time for each address.
 	probes  sync.WaitGroup
 	probing map[string]bool
 }
 
 // New makes a link that knows nothing until Run has had an answer.
-func New(config Config) *Link {
-	link := &Link{
-		config:  config,
-		started: time.Now(),
-		zone:    config.Zone,
-		state:   state{failedAt: make(map[string]time.Duration), versionOnly: config.VersionOnly},
-		doubted: make(map[*attendedCall]struct{}),
-		probing: make(map[string]bool),
+func New(config Config) *Client {
+	client := &Client{
+		config:       config,
+		started:      time.Now(),
+		zone:         config.Zone,
+		state:        state{failedAt: make(map[string]time.Duration), versionOnly: config.VersionOnly},
+		overdueCalls: make(map[*supervisedCall]struct{}),
+		probing:      make(map[string]bool),
 	}
-	if link.config.Logger == nil {
-		link.config.Logger = slog.New(slog.DiscardHandler)
+	if client.config.Logger == nil {
+		client.config.Logger = slog.New(slog.DiscardHandler)
 	}
-	link.watch = func(ctx context.Context, address string, request fleet.WatchRequest) (fleet.WatchAnswer, error) {
+	client.watch = func(ctx context.Context, address string, request fleet.WatchRequest) (fleet.WatchAnswer, error) {
 		return rpc.Call[fleet.WatchRequest, fleet.WatchAnswer](ctx, config.Client, address, fleet.MethodWatch, request)
 	}
-	return link
+	return client
 }
 
 // Run watches until ctx ends; it returns nil.
-func (l *Link) Run(ctx context.Context) error {
+func (l *Client) Run(ctx context.Context) error {
 	defer l.probes.Wait()
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = firstRetryPause
-	pause.MaxInterval = longestRetryPause
+	pause.InitialInterval = initialRetryBackoff
+	pause.MaxInterval = maxRetryBackoff
 	for ctx.Err() == nil {
-		l.round(ctx, pause)
-		wait.For(ctx, roundPause)
+		l.iterate(ctx, pause)
+		contexttime.Sleep(ctx, minCallInterval)
 	}
 	return nil
 }
 
-// round makes one call and, if it failed, pauses. Hint, Failed, ObserveToken
+// iterate makes one call and, if it failed, pauses. Hint, Failed, ObserveToken
 // and a call in doubt cut both short.
-func (l *Link) round(running context.Context, pause *backoff.ExponentialBackOff) {
+func (l *Client) iterate(running context.Context, pause *backoff.ExponentialBackOff) {
 	ctx, cancel := context.WithCancel(running)
 	defer cancel()
 	l.mutex.Lock()
@@ -114,55 +114,55 @@
 		candidates = l.state.candidates(l.config.Seeds())
 	}
 	l.mutex.Unlock()
-	defer l.endRound()
+	defer l.endIteration()
 
-	if confirmed && l.askLeader(ctx, address) || !confirmed && l.askCandidates(running, ctx, candidates) {
+	if confirmed && l.watchLeader(ctx, address) || !confirmed && l.queryCandidates(running, ctx, candidates) {
 		pause.Reset()
 		return
 	}
-	wait.For(ctx, pause.NextBackOff())
+	contexttime.Sleep(ctx, pause.NextBackOff())
 }
 
-func (l *Link) endRound() {
+func (l *Client) endIteration() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.interrupt = nil
 }
 
-// outcome is what came of one watch call.
-type outcome struct {
+// watchResult is what came of one watch call.
+type watchResult struct {
 	address string
 	sentAt  time.Duration
 	answer  fleet.WatchAnswer
 	err     error
 }
 
-// askLeader makes one held watch call and reports whether the next may follow
+// watchLeader makes one held watch call and reports whether the next may follow
 // at once.
-func (l *Link) askLeader(ctx context.Context, address string) bool {
-	held := l.watchWait()
-	calling, cancel := context.WithTimeout(ctx, held+answerPatience)
+func (l *Client) watchLeader(ctx context.Context, address string) bool {
+	maxWait := l.watchWait()
+	calling, cancel := context.WithTimeout(ctx, maxWait+answerGrace)
 	defer cancel()
-	if held > watchWait {
-		return l.askWhileHeartbeatsStandIn(ctx, calling, cancel, address, held)
+	if maxWait > watchWait {
+		return l.watchBesideHeartbeats(ctx, calling, cancel, address, maxWait)
 	}
-	_, again := l.take(ctx, l.call(calling, address, held))
-	return again
+	_, retryNow := l.handleResult(ctx, l.watchOnce(calling, address, maxWait))
+	return retryNow
 }
 
-func (l *Link) call(ctx context.Context, address string, held time.Duration) outcome {
+func (l *Client) watchOnce(ctx context.Context, address string, maxWait time.Duration) watchResult {
 	sentAt := l.now()
-	answer, err := l.watch(ctx, address, l.request(held))
-	return outcome{address: address, sentAt: sentAt, answer: answer, err: err}
+	answer, err := l.watch(ctx, address, l.request(maxWait))
+	return watchResult{address: address, sentAt: sentAt, answer: answer, err: err}
 }
 
-// take takes the outcome of a call in. It reports whether the answer was
+// handleResult takes the outcome of a call in. It reports whether the answer was
 // accepted, and whether the next call may follow at once.
-func (l *Link) take(ctx context.Context, got outcome) (accepted, again bool) {
-	l.taking.Lock()
-	defer l.taking.Unlock()
+func (l *Client) handleResult(ctx context.Context, got watchResult) (accepted, retryNow bool) {
+	l.resultMutex.Lock()
+	defer l.resultMutex.Unlock()
 	if got.err != nil {
-		return false, l.refused(ctx, got)
+		return false, l.handleFailure(ctx, got)
 	}
 	if err := l.accept(got.sentAt, got.address, got.answer); err != nil {
 		l.config.Logger.Warn("watch answer refused", slog.String("address", got.address), slog.Any("error", err))
@@ -172,7 +172,7 @@
 	return true, true
 }
 
-func (l *Link) request(held time.Duration) fleet.WatchRequest {
+func (l *Client) request(maxWait time.Duration) fleet.WatchRequest {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return fleet.WatchRequest{
@@ -181,54 +181,54 @@
 		Zone:          l.zone,
 		ConfigVersion: l.state.configVersion,
 		Token:         l.state.token,
-		MaxWaitMillis: held.Milliseconds(),
+		MaxWaitMillis: maxWait.Milliseconds(),
 		VersionOnly:   l.config.VersionOnly,
 	}
 }
 
-// refused handles a call without an answer and reports whether a hint makes
+// handleFailure handles a call without an answer and reports whether a hint makes
 // it worth asking again at once.
-func (l *Link) refused(ctx context.Context, got outcome) bool {
-	if ctx.Err() != nil || l.isOldNews(got) {
+func (l *Client) handleFailure(ctx context.Context, got watchResult) bool {
+	if ctx.Err() != nil || l.predatesConfirmation(got) {
 		return false
 	}
 	address := got.address
 	var refusal *rpc.Error
 	if errors.As(got.err, &refusal) && refusal.Code == rpc.CodeNotLeader {
-		return l.redirected(address, refusal.LeaderAddress)
+		return l.followRedirect(address, refusal.LeaderAddress)
 	}
 	l.config.Logger.Debug("watch failed", slog.String("address", address), slog.Any("error", got.err))
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if refusal == nil || refusal.Code == rpc.CodeTransport {
-		l.state.failed(l.now(), address)
+		l.state.observeFailure(l.now(), address)
 		return false
 	}
 	if l.state.leader == address {
-		l.state.forget()
+		l.state.forgetLeader()
 	}
 	return false
 }
 
-// isOldNews reports whether a leader has answered since the call was sent.
-func (l *Link) isOldNews(got outcome) bool {
+// predatesConfirmation reports whether a leader has answered since the call was sent.
+func (l *Client) predatesConfirmation(got watchResult) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state.confirmed && got.sentAt < l.state.confirmedAt
 }
 
-// redirected takes the hint of a scheduler that does not lead. A hint that is no
+// followRedirect takes the hint of a scheduler that does not lead. A hint that is no
 // news is no reason to ask again at once.
-func (l *Link) redirected(address, hint string) bool {
+func (l *Client) followRedirect(address, hint string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.state.leader == address {
-		l.state.forget()
+		l.state.forgetLeader()
 	}
 	if hint == "" || hint == address {
 		return false
 	}
-	if !l.state.hint(l.now(), hint) {
+	if !l.state.observeHint(l.now(), hint) {
 		return false
 	}
 	// Schedulers may point at each other while they elect.
@@ -236,20 +236,20 @@
 	return l.state.leader != "" && l.redirects <= maxRedirects
 }
 
-func (l *Link) reject(address string) {
+func (l *Client) reject(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.state.reject(l.now(), address)
 }
 
-func (l *Link) accept(sentAt time.Duration, address string, answer fleet.WatchAnswer) error {
+func (l *Client) accept(sentAt time.Duration, address string, answer fleet.WatchAnswer) error {
 	l.mutex.Lock()
 	before := l.state.leader
 	newer, err := l.state.accept(l.now(), sentAt, address, answer)
 	leader := l.state.leader
 	if err == nil {
 		l.redirects = 0
-		l.giveUpDoubted(leader)
+		l.cancelOverdueCalls(leader)
 	}
 	l.mutex.Unlock()
 	if err != nil {
@@ -267,69 +267,69 @@
 	l.mutex.Lock()
 	l.state.adopt(answer.ConfigVersion, answer.Config)
 	l.mutex.Unlock()
-	l.logInForce(answer.ConfigVersion)
+	l.logConfigInForce(answer.ConfigVersion)
 	return nil
 }
 
 // Leader returns the address to send calls to, if one is known.
-func (l *Link) Leader() (address string, ok bool) {
+func (l *Client) Leader() (address string, ok bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state.leader, l.state.leader != ""
 }
 
-// LastLeader returns the leader that was last forgotten. It may lead, its
+// PreviousLeader returns the leader that was last forgotten. It may lead, its
 // answers lost or its lease not renewed in time; if not, it may know who does.
-func (l *Link) LastLeader() (address string, ok bool) {
+func (l *Client) PreviousLeader() (address string, ok bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.state.last, l.state.last != ""
+	return l.state.previousLeader, l.state.previousLeader != ""
 }
 
-func (l *Link) logInForce(version uint64) {
+func (l *Client) logConfigInForce(version uint64) {
 	l.config.Logger.Info("configuration in force", slog.Uint64("config_version", version))
 }
 
-// Hint takes the leader's address from a refusal with rpc.CodeNotLeader. An
+// ObserveHint takes the leader's address from a refusal with rpc.CodeNotLeader. An
 // empty address means that the leader is unknown.
-func (l *Link) Hint(address string) {
+func (l *Client) ObserveHint(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.state.hint(l.now(), address) {
-		l.wake()
+	if l.state.observeHint(l.now(), address) {
+		l.interruptIteration()
 	}
 }
 
-// Failed reports that a call to the address had no answer.
-func (l *Link) Failed(address string) {
+// ReportFailure reports that a call to the address had no answer.
+func (l *Client) ReportFailure(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.state.failed(l.now(), address) {
-		l.wake()
+	if l.state.observeFailure(l.now(), address) {
+		l.interruptIteration()
 	}
 }
 
 // ObserveToken reports whether the token is not lower than the highest seen,
 // and remembers it. An answer with a lower one must be dropped.
-func (l *Link) ObserveToken(token uint64) bool {
+func (l *Client) ObserveToken(token uint64) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	current, raised := l.state.observe(token)
+	current, raised := l.state.observeToken(token)
 	if raised {
-		l.wake()
+		l.interruptIteration()
 	}
 	return current
 }
 
 // Token returns the highest token seen.
-func (l *Link) Token() uint64 {
+func (l *Client) Token() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state.token
 }
 
 // ConfigVersion returns the version of the configuration in force here.
-func (l *Link) ConfigVersion() uint64 {
+func (l *Client) ConfigVersion() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state.configVersion
@@ -337,21 +337,21 @@
 
 // Config returns the configuration in force here, or nil before the first. It
 // must not be changed.
-func (l *Link) Config() *api.Config {
+func (l *Client) Config() *api.Config {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state.config
 }
 
 // Fresh reports whether the last watch answer's hold still stands.
-func (l *Link) Fresh() bool {
+func (l *Client) Fresh() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state.fresh(l.now())
 }
 
 // Age returns the time since the last watch answer, and false if none was had.
-func (l *Link) Age() (time.Duration, bool) {
+func (l *Client) Age() (time.Duration, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.state.freshUntil == 0 {
@@ -361,17 +361,17 @@
 }
 
 // SetZone changes the zone that later watch calls name.
-func (l *Link) SetZone(zone string) {
+func (l *Client) SetZone(zone string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.zone = zone
 }
 
-// wake cuts the round under way short. The caller holds the mutex.
-func (l *Link) wake() {
+// interruptIteration cuts the round under way short. The caller holds the mutex.
+func (l *Client) interruptIteration() {
 	if l.interrupt != nil {
 		l.interrupt()
 	}
 }
 
-func (l *Link) now() time.Duration { return time.Since(l.started) }
+func (l *Client) now() time.Duration { return time.Since(l.started) }
--- a/internal/leaderlink/probe.go
+++ b/internal/leaderlink/probe.go
@@ -8,56 +8,56 @@
 const (
 	// probeTimeout bounds a call that only asks who leads.
 	probeTimeout = 300 * time.Millisecond
-	// probePatience is how long a round of such calls goes on after its first
+	// probeGrace is how long a round of such calls goes on after its first
 	// answer.
-	probePatience = 50 * time.Millisecond
+	probeGrace = 50 * time.Millisecond
 )
 
-// probed is what a call that asks who leads came to.
-type probed struct{ accepted, again bool }
+// probeResult is what a call that asks who leads came to.
+type probeResult struct{ accepted, retryNow bool }
 
-// askCandidates asks all candidates at once until one answers as leader, since
+// queryCandidates asks all candidates at once until one answers as leader, since
 // any of them may be gone without a word: those are not waited for once another
 // has answered. Their calls go on beside later rounds, until running ends, and
 // count if they are answered after all. It reports whether it is worth asking
 // again at once.
-func (l *Link) askCandidates(running, round context.Context, candidates []string) (again bool) {
+func (l *Client) queryCandidates(running, round context.Context, candidates []string) (retryNow bool) {
 	candidates = l.beginProbes(candidates)
-	answers := make(chan probed, len(candidates))
+	answers := make(chan probeResult, len(candidates))
 	for _, address := range candidates {
 		l.probes.Go(func() { answers <- l.probe(running, address) })
 	}
-	var patience <-chan time.Time
+	var grace <-chan time.Time
 	for range candidates {
 		select {
 		case answer := <-answers:
 			if answer.accepted {
 				return true
 			}
-			again = again || answer.again
-		case <-patience:
-			return again
+			retryNow = retryNow || answer.retryNow
+		case <-grace:
+			return retryNow
 		case <-round.Done():
-			return again
+			return retryNow
 		}
-		if patience == nil {
-			patience = time.After(probePatience)
+		if grace == nil {
+			grace = time.After(probeGrace)
 		}
 	}
-	return again
+	return retryNow
 }
 
 // probe asks one candidate.
-func (l *Link) probe(running context.Context, address string) probed {
+func (l *Client) probe(running context.Context, address string) probeResult {
 	defer l.endProbe(address)
 	ctx, cancel := context.WithTimeout(running, probeTimeout)
 	defer cancel()
-	accepted, again := l.take(running, l.call(ctx, address, 0))
-	return probed{accepted, again}
+	accepted, retryNow := l.handleResult(running, l.watchOnce(ctx, address, 0))
+	return probeResult{accepted, retryNow}
 }
 
 // beginProbes leaves out the candidates that are being asked already.
-func (l *Link) beginProbes(candidates []string) []string {
+func (l *Client) beginProbes(candidates []string) []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var free []string
@@ -70,7 +70,7 @@
 	return free
 }
 
-func (l *Link) endProbe(address string) {
+func (l *Client) endProbe(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.probing, address)
--- a/internal/leaderlink/state.go
+++ b/internal/leaderlink/state.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// failedMemory is how long a hint to an address that failed is not
+	// failureMemory is how long a hint to an address that failed is not
 	// followed: followers name a dead leader until they elect the next.
-	failedMemory = 500 * time.Millisecond
+	failureMemory = 500 * time.Millisecond
 	// maxCandidates bounds the seeds that are asked at once.
 	maxCandidates = 3
 	// confirmedGrace is how long after an answer of the leader reports of its
@@ -25,8 +25,8 @@
 	errStaleToken    = errors.New("token is lower than one seen")
 	errStaleConfig   = errors.New("configuration is older than the one in force here")
 	errMissingConfig = errors.New("answer names a newer configuration without its content")
-	errNoHold        = errors.New("answer grants no hold")
-	errHoldLapsed    = errors.New("answer came after its own hold")
+	errNoLease       = errors.New("answer grants no hold")
+	errLeaseExpired  = errors.New("answer came after its own hold")
 )
 
 // state is what the link knows; it is pure: time is an argument, in
@@ -34,21 +34,21 @@
 type state struct {
 	leader string
 	// last is the leader that was last forgotten.
-	last          string
-	confirmedAt   time.Duration
-	confirmed     bool
-	failedAt      map[string]time.Duration
-	nextSeed      int
-	token         uint64
-	configVersion uint64
-	config        *api.Config
-	answeredAt    time.Duration
-	freshUntil    time.Duration
-	// granted is the hold of the last watch answer.
-	granted time.Duration
-	// standInUntil: until then the next answer to a heartbeat is not overdue.
-	// steadyFrom: from then on none was for long enough.
-	standInUntil, steadyFrom time.Duration
+	previousLeader string
+	confirmedAt    time.Duration
+	confirmed      bool
+	failedAt       map[string]time.Duration
+	nextSeed       int
+	token          uint64
+	configVersion  uint64
+	config         *api.Config
+	answeredAt     time.Duration
+	freshUntil     time.Duration
+	// grantedLease is the hold of the last watch answer.
+	grantedLease time.Duration
+	// substituteUntil: until then the next answer to a heartbeat is not overdue.
+	// stableFrom: from then on none was for long enough.
+	substituteUntil, stableFrom time.Duration
 	// versionOnly: answers come without the content of configurations.
 	versionOnly bool
 }
@@ -73,20 +73,20 @@
 	return addresses
 }
 
-// failed notes that the address gave no answer and reports whether the leader
+// observeFailure notes that the address gave no answer and reports whether the leader
 // was forgotten for it.
-func (s *state) failed(now time.Duration, address string) bool {
+func (s *state) observeFailure(now time.Duration, address string) bool {
 	if s.confirmed && address == s.leader && now-s.confirmedAt < confirmedGrace {
 		return false
 	}
 	return s.reject(now, address)
 }
 
-// doubt notes that the leader at the address may be gone without a word. It
+// suspectLeader notes that the leader at the address may be gone without a word. It
 // reports whether all candidates are to be asked who leads. The one in doubt
 // remains named until another answers as leader or it fails to answer itself.
-func (s *state) doubt(now time.Duration, address string) bool {
-	if !s.confirmed || address != s.leader || now-s.confirmedAt < doubtAfter {
+func (s *state) suspectLeader(now time.Duration, address string) bool {
+	if !s.confirmed || address != s.leader || now-s.confirmedAt < suspectAfter {
 		return false
 	}
 	s.confirmed = false
@@ -100,23 +100,23 @@
 	if s.leader == "" || address != s.leader {
 		return false
 	}
-	s.forget()
+	s.forgetLeader()
 	return true
 }
 
-// hint takes another process's word for who leads and reports whether that
+// observeHint takes another process's word for who leads and reports whether that
 // is news.
-func (s *state) hint(now time.Duration, address string) bool {
+func (s *state) observeHint(now time.Duration, address string) bool {
 	if address == s.leader {
 		return false
 	}
 	if address == "" {
-		s.forget()
+		s.forgetLeader()
 		return true
 	}
 	failedAt, known := s.failedAt[address]
-	if known && now-failedAt < failedMemory {
-		s.forget()
+	if known && now-failedAt < failureMemory {
+		s.forgetLeader()
 		return true
 	}
 	s.leader = address
@@ -124,18 +124,18 @@
 	return true
 }
 
-func (s *state) forget() {
+func (s *state) forgetLeader() {
 	if s.leader != "" {
-		s.last = s.leader
+		s.previousLeader = s.leader
 	}
 	s.leader = ""
 	s.confirmed = false
-	s.standInUntil = 0
+	s.substituteUntil = 0
 }
 
-// observe raises the highest token; it reports whether the token is not lower
+// observeToken raises the highest token; it reports whether the token is not lower
 // than the highest, and whether it is higher.
-func (s *state) observe(token uint64) (current, raised bool) {
+func (s *state) observeToken(token uint64) (current, raised bool) {
 	if token < s.token {
 		return false, false
 	}
@@ -157,13 +157,13 @@
 	if newer && answer.Config == nil && !s.versionOnly {
 		return false, fmt.Errorf("%w: %d", errMissingConfig, answer.ConfigVersion)
 	}
-	if answer.HoldMillis <= 0 {
-		return false, errNoHold
+	if answer.LeaseMillis <= 0 {
+		return false, errNoLease
 	}
-	until := sentAt + time.Duration(answer.HoldMillis)*time.Millisecond
+	until := sentAt + time.Duration(answer.LeaseMillis)*time.Millisecond
 	// A watch that was held while heartbeats stood in for it comes late by right.
 	if now >= until && !s.fresh(now) {
-		return false, errHoldLapsed
+		return false, errLeaseExpired
 	}
 	s.token = answer.Token
 	s.leader = address
@@ -174,7 +174,7 @@
 	s.confirmedAt = now
 	s.answeredAt = now
 	s.freshUntil = max(s.freshUntil, until)
-	s.granted = until - sentAt
+	s.grantedLease = until - sentAt
 	clear(s.failedAt)
 	return newer, nil
 }
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -15,7 +15,7 @@
 	// has no effect yet.
 	Seed int64
 	// Off are the mechanisms that an experiment switches off. Default: none.
-	Off mechanism.Off
+	Off mechanism.DisabledSet
 }
 
 // defaultMaxPreemptions holds until SetMaxPreemptions.
@@ -24,7 +24,7 @@
 // Engine implements Planner and Booker. It is not safe for concurrent use.
 type Engine struct {
 	// off are the mechanisms that are switched off.
-	off mechanism.Off
+	off mechanism.DisabledSet
 	// now is the cluster time as last told.
 	now     record.Millis
 	workers workerIndex
--- a/internal/placement/kept.go
+++ b/internal/placement/kept.go
@@ -29,7 +29,7 @@
 // keep works out, once a pass, for which lanes that found no room before workers are
 // kept.
 func (r *competingQueues) reserveWorkers(e *Engine) {
-	if r.reservationsMade || e.off.Has(mechanism.KeptRoom) {
+	if r.reservationsMade || e.off.Has(mechanism.BackfillReservation) {
 		return
 	}
 	r.reservationsMade = true
--- a/internal/placement/lastroom.go
+++ b/internal/placement/lastroom.go
@@ -72,7 +72,7 @@
 // lane takes that. What it leaves of it stays put aside.
 func (e *Engine) retryWithDrainedCapacity(l *subQueue, open func() bool) {
 	g := e.gangDrain
-	if g == nil || len(g.runs) == 0 || !l.runsUntilCancelled() || e.off.Has(mechanism.LastRoom) {
+	if g == nil || len(g.runs) == 0 || !l.runsUntilCancelled() || e.off.Has(mechanism.LastResortCapacity) {
 		return
 	}
 	members := e.placementOrder(g.members())
