--- a/internal/placement/seats.go
+++ b/internal/placement/seats.go
@@ -21,7 +21,7 @@
 	if on == nil {
 		on = ignoringHeadroom(w.class, func() *worker { return e.fullest(w) })
 	}
-	if on == nil && len(e.workers.restricted) > 0 && !e.off.Has(mechanism.LastRoom) {
+	if on == nil && len(e.workers.restricted) > 0 && !e.off.Has(mechanism.LastResortCapacity) {
 		on = withRestricted(w.class, func() *worker { return e.fullest(w) })
 	}
 	return placementTarget{worker: on}, on != nil
--- a/internal/placement/wishes.go
+++ b/internal/placement/wishes.go
@@ -71,7 +71,7 @@
 }
 
 func (e *Engine) rankingFor(w *waiting) ranking {
-	wanted := ranking{task: &w.Task, anyDomain: w.Colocate == "" || e.off.Has(mechanism.HomeDomain)}
+	wanted := ranking{task: &w.Task, anyDomain: w.Colocate == "" || e.off.Has(mechanism.PreferredDomain)}
 	if w.StepSize > 1 && !e.off.Has(mechanism.StepShare) {
 		wanted.step = e.steps[w.ID.StepID()]
 		wanted.softLimit = softLimitPerWorker(w.StepSize)
--- a/internal/process/agentprocess/process.go
+++ b/internal/process/agentprocess/process.go
@@ -40,7 +40,7 @@
 		Role:        "agent",
 		VersionOnly: true,
 		// Each call is bounded by its context.
-		CallTimeout: max(initial.RelayTimeout.Std(), leaderlink.LongestCall) + time.Second,
+		CallTimeout: max(initial.RelayTimeout.Std(), leaderlink.MaxCallDuration) + time.Second,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/process/frontprocess/process.go
+++ b/internal/process/frontprocess/process.go
@@ -34,7 +34,7 @@
 		},
 		Role: "front",
 		// The front bounds each try by its context.
-		CallTimeout: front.MaxTry + time.Second,
+		CallTimeout: front.MaxAttemptDuration + time.Second,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/process/integration/programs_test.go
+++ b/internal/process/integration/programs_test.go
@@ -82,7 +82,7 @@
 }
 
 // serve runs a daemon on an address of its own until the end of the test.
-func serve(t *testing.T, name, address string, handler http.Handler, link *leaderlink.Link, clean func()) {
+func serve(t *testing.T, name, address string, handler http.Handler, link *leaderlink.Client, clean func()) {
 	t.Helper()
 	process := &node{t: t, name: name}
 	config := tightBounds()
@@ -91,7 +91,7 @@
 	process.run(config, clean)
 }
 
-func newLink(name, role string, n *node, client *rpc.Client) *leaderlink.Link {
+func newLink(name, role string, n *node, client *rpc.Client) *leaderlink.Client {
 	return leaderlink.New(leaderlink.Config{
 		Process: name, Role: role, Zone: "zone", Client: client,
 		Seeds: func() []string { return n.seeds },
@@ -100,7 +100,7 @@
 
 func frontTarget(t *testing.T, n *node) target {
 	t.Helper()
-	client := rpc.NewClient(rpc.ClientConfig{Timeout: front.MaxTry + time.Second})
+	client := rpc.NewClient(rpc.ClientConfig{Timeout: front.MaxAttemptDuration + time.Second})
 	link := newLink("front-1", "front", n, client)
 	served, err := front.New(front.Config{Link: link, Client: client})
 	if err != nil {
--- a/internal/process/linked.go
+++ b/internal/process/linked.go
@@ -35,7 +35,7 @@
 type LeaderClientBase[T any] struct {
 	*Base[T]
 	Client *rpc.Client
-	Leader *leaderlink.Link
+	Leader *leaderlink.Client
 
 	config LeaderClientConfig[T]
 	seeds  atomic.Pointer[[]string]
--- a/internal/process/schedulerprocess/gateway.go
+++ b/internal/process/schedulerprocess/gateway.go
@@ -15,7 +15,7 @@
 // replica knows it, so that calls which come to any scheduler are carried to
 // the one that acts. It uses the process's connections, which Run closes.
 func (p *Process) NewGateway() (*front.Front, error) {
-	client := rpc.NewClient(rpc.ClientConfig{Timeout: front.MaxTry + time.Second, Dialer: rpc.DialFrom(p.initial.Source)})
+	client := rpc.NewClient(rpc.ClientConfig{Timeout: front.MaxAttemptDuration + time.Second, Dialer: rpc.DialFrom(p.initial.Source)})
 	gateway, err := front.New(front.Config{Link: replicaLeaderSource{p.replica}, Client: client, Logger: p.base.Logger})
 	if err != nil {
 		client.Close()
@@ -34,12 +34,12 @@
 	return leader.Address, known
 }
 
-// Hint and Failed implement front.Link; the replica learns for itself.
-func (replicaLeaderSource) Hint(string)   {}
-func (replicaLeaderSource) Failed(string) {}
+// ObserveHint and Failed implement front.Link; the replica learns for itself.
+func (replicaLeaderSource) ObserveHint(string)   {}
+func (replicaLeaderSource) ReportFailure(string) {}
 
-// Attend implements front.Link: a call goes on until its own time is over.
-func (replicaLeaderSource) Attend(ctx context.Context, _ string) (context.Context, context.CancelFunc) {
+// Supervise implements front.Link: a call goes on until its own time is over.
+func (replicaLeaderSource) Supervise(ctx context.Context, _ string) (context.Context, context.CancelFunc) {
 	return context.WithCancel(ctx)
 }
 
--- a/internal/process/schedulerprocess/process.go
+++ b/internal/process/schedulerprocess/process.go
@@ -152,8 +152,8 @@
 func (p *Process) Run(ctx context.Context, extra ...daemon.Listener) error {
 	defer setProcessors(p.initial.Processors)()
 	config := p.base.Daemon(p.readiness(), p.replica.Run)
-	config.Wrap = rpc.Probed
-	config.Handler = p.calls.Before(p.handler)
+	config.Wrap = rpc.WithKeepAlive
+	config.Handler = p.calls.WithFallback(p.handler)
 	config.Extra = extra
 	config.BeforeStop = p.replica.PrepareShutdown
 	err := daemon.Run(ctx, config)
--- a/internal/process/schedulerprocess/relay.go
+++ b/internal/process/schedulerprocess/relay.go
@@ -35,7 +35,7 @@
 		// As in every gateway, the limits are the defaults.
 		VersionOnly: true,
 		// The gateway bounds each try by its context.
-		CallTimeout: front.MaxTry + time.Second,
+		CallTimeout: front.MaxAttemptDuration + time.Second,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/replica/decisions_test.go
+++ b/internal/replica/decisions_test.go
@@ -23,14 +23,14 @@
 }
 
 func bootstrappingSeed(id string, proposal raft.Membership) seedResponse {
-	return seedResponse{address: id, identity: fleet.IdentityAnswer{Member: member(id), Empty: true, Founder: true, Membership: proposal}}
+	return seedResponse{address: id, identity: fleet.IdentityAnswer{Member: member(id), Empty: true, Bootstrapping: true, Membership: proposal}}
 }
 
 func TestDecideBootstrap_FollowsSeedResponses(t *testing.T) {
 	all := members("a", "b", "c")
 	silent := seedResponse{address: "c", err: errors.New("refused")}
 	full := func(founded raft.Membership) seedResponse {
-		return seedResponse{address: "c", identity: fleet.IdentityAnswer{Member: member("c"), Founded: &founded}}
+		return seedResponse{address: "c", identity: fleet.IdentityAnswer{Member: member("c"), InitialMembership: &founded}}
 	}
 	joiner := seedResponse{address: "c", identity: fleet.IdentityAnswer{Member: member("c"), Empty: true}}
 	sameName := bootstrappingSeed("c", raft.Membership{})
--- a/internal/replica/formation.go
+++ b/internal/replica/formation.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
-	"github.com/decklever/decklever/internal/wait"
 )
 
 const (
@@ -76,7 +76,7 @@
 				r.logger.Info("waits to form a cluster", "missing", decision.reason)
 			}
 		}
-		if !wait.For(ctx, bootstrapInterval) {
+		if !contexttime.Sleep(ctx, bootstrapInterval) {
 			return ctx.Err()
 		}
 	}
@@ -166,11 +166,11 @@
 	r.bootstrapState.mutex.Lock()
 	defer r.bootstrapState.mutex.Unlock()
 	answer := fleet.IdentityAnswer{
-		Member:     r.member(),
-		Empty:      r.config.Store.Empty(),
-		Founder:    r.bootstrapState.inProgress,
-		Membership: r.bootstrapState.proposal,
-		Founded:    r.bootstrapState.created,
+		Member:            r.member(),
+		Empty:             r.config.Store.Empty(),
+		Bootstrapping:     r.bootstrapState.inProgress,
+		Membership:        r.bootstrapState.proposal,
+		InitialMembership: r.bootstrapState.created,
 	}
 	if r.bootstrapState.inProgress && !answer.Empty {
 		// Founding is under way: as long as it is not surely done, others
--- a/internal/replica/formationdecision.go
+++ b/internal/replica/formationdecision.go
@@ -70,7 +70,7 @@
 		if seed.err != nil || seed.identity.Empty {
 			continue
 		}
-		founded := seed.identity.Founded
+		founded := seed.identity.InitialMembership
 		if founded != nil && indexOf(founded.Voters, self) >= 0 {
 			return bootstrapDecision{action: bootstrapCreate, membership: *founded}, true
 		}
@@ -85,7 +85,7 @@
 		switch {
 		case seed.err != nil:
 			missing = append(missing, fmt.Sprintf("seed %s does not answer: %v", seed.address, seed.err))
-		case !seed.identity.Founder:
+		case !seed.identity.Bootstrapping:
 			missing = append(missing, fmt.Sprintf("seed %s does not wait to form a cluster", seed.address))
 		}
 	}
--- a/internal/replica/handover.go
+++ b/internal/replica/handover.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
-	"github.com/decklever/decklever/internal/wait"
 )
 
 // transferPollInterval is how often a replica that stops looks whether another can
@@ -72,7 +72,7 @@
 			}
 			r.logger.Debug("seat not handed over yet", "error", err)
 		}
-		if !wait.For(ctx, transferPollInterval) {
+		if !contexttime.Sleep(ctx, transferPollInterval) {
 			return
 		}
 	}
--- a/internal/replica/join.go
+++ b/internal/replica/join.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
-	"github.com/decklever/decklever/internal/wait"
 )
 
 const (
@@ -52,7 +52,7 @@
 			lastLed = r.now()
 			replaced = r.wasReplaced(ctx)
 		}
-		if !wait.For(ctx, interval) {
+		if !contexttime.Sleep(ctx, interval) {
 			return
 		}
 	}
--- a/internal/replica/sendsnapshot.go
+++ b/internal/replica/sendsnapshot.go
@@ -7,10 +7,10 @@
 	"io"
 	"time"
 
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
-	"github.com/decklever/decklever/internal/wait"
 )
 
 const (
@@ -94,7 +94,7 @@
 // awaitInstalled repeats the last chunk until the receiver is done with it.
 func (r *Replica) awaitInstalled(ctx context.Context, address string, last fleet.SnapshotChunkRequest) error {
 	for {
-		if !wait.For(ctx, installPollInterval) {
+		if !contexttime.Sleep(ctx, installPollInterval) {
 			return ctx.Err()
 		}
 		installed, err := r.sendChunk(ctx, address, last)
--- a/internal/replica/standby_test.go
+++ b/internal/replica/standby_test.go
@@ -88,7 +88,7 @@
 	startAll(seeds)
 	fourth.start()
 	eventually(t, "the others wait for it", func() bool {
-		return seeds[1].replica.identity().Founder && !seeds[0].replica.identity().Founder
+		return seeds[1].replica.identity().Bootstrapping && !seeds[0].replica.identity().Bootstrapping
 	})
 	for _, m := range append(seeds, fourth) {
 		if m.replica.running.Load() {
--- a/internal/rpc/allocation_test.go
+++ b/internal/rpc/allocation_test.go
@@ -11,7 +11,7 @@
 // deadline was made only for who waits for it.
 const maxCarriageAllocations = 34
 
-func TestCarriageOfAHeartbeatAllocatesLittle(t *testing.T) {
+func TestCall_HeartbeatAllocationsAreBounded(t *testing.T) {
 	heartbeat := benchHeartbeat()
 	connection := serveHeartbeats(t, heartbeat)
 	served := testing.AllocsPerRun(200, func() { connection.exchange(t) })
--- a/internal/rpc/buffer.go
+++ b/internal/rpc/buffer.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// maxKeptBytes is the size up to which a buffer is kept for another call.
-const maxKeptBytes = 64 << 10
+// maxPooledBytes is the size up to which a buffer is kept for another call.
+const maxPooledBytes = 64 << 10
 
 // buffer takes a body that is used up before its call ends.
 type buffer struct {
@@ -23,23 +23,23 @@
 	return err
 }
 
-// buffers keeps buffers from one call to another. It is safe for use by many
+// bufferPool keeps buffers from one call to another. It is safe for use by many
 // goroutines.
-type buffers struct{ pool sync.Pool }
+type bufferPool struct{ pool sync.Pool }
 
-func newBuffers() *buffers {
-	return &buffers{pool: sync.Pool{New: func() any { return new(buffer) }}}
+func newBuffers() *bufferPool {
+	return &bufferPool{pool: sync.Pool{New: func() any { return new(buffer) }}}
 }
 
 // get returns an empty buffer.
-func (b *buffers) get() *buffer {
+func (b *bufferPool) get() *buffer {
 	taken, _ := b.pool.Get().(*buffer)
 	return taken
 }
 
 // put takes a buffer back; nothing may point into it any more.
-func (b *buffers) put(returned *buffer) {
-	if returned.Cap() > maxKeptBytes {
+func (b *bufferPool) put(returned *buffer) {
+	if returned.Cap() > maxPooledBytes {
 		return
 	}
 	returned.Reset()
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -44,7 +44,7 @@
 type Client struct {
 	config    ClientConfig
 	codec     codec
-	buffers   *buffers
+	buffers   *bufferPool
 	calls     *callCounters
 	transport *http.Transport
 }
@@ -72,7 +72,7 @@
 		config:    config,
 		codec:     newCodec(),
 		buffers:   newBuffers(),
-		calls:     config.Metrics.side(sideClient),
+		calls:     config.Metrics.forSide(sideClient),
 		transport: transport,
 	}
 }
@@ -111,7 +111,7 @@
 // send carries one body there and the answer's body back, into reply. It returns
 // *Error and not error, so that no failure of another type can slip through.
 func (c *Client) send(ctx context.Context, address string, method fleet.Method, body []byte, reply *buffer) *Error {
-	ctx, cancel := c.bound(ctx)
+	ctx, cancel := c.withDeadline(ctx)
 	defer cancel()
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -130,13 +130,13 @@
 		return transportError(method, address, err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return c.readRefusal(method, address, response.StatusCode, reply.Bytes())
+		return c.readError(method, address, response.StatusCode, reply.Bytes())
 	}
 	return nil
 }
 
-// bound gives a call its deadline, unless it has one that is as near.
-func (c *Client) bound(ctx context.Context) (context.Context, context.CancelFunc) {
+// withDeadline gives a call its deadline, unless it has one that is as near.
+func (c *Client) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= c.config.Timeout {
 		return ctx, func() {}
 	}
@@ -177,17 +177,17 @@
 	return nil
 }
 
-// readRefusal turns the body of a failed call into the server's error. A body
+// readError turns the body of a failed call into the server's error. A body
 // that is none came from something that is not our server.
-func (c *Client) readRefusal(method fleet.Method, address string, status int, body []byte) *Error {
-	refusal := &Error{}
-	if err := c.codec.decode(body, refusal); err != nil {
+func (c *Client) readError(method fleet.Method, address string, status int, body []byte) *Error {
+	failure := &Error{}
+	if err := c.codec.decode(body, failure); err != nil {
 		return transportError(method, address, fmt.Errorf("status %d without a readable error: %w", status, err))
 	}
-	if refusal.Code == "" || refusal.Code == CodeTransport {
+	if failure.Code == "" || failure.Code == CodeTransport {
 		return transportError(method, address, fmt.Errorf("status %d without an error code", status))
 	}
-	return refusal
+	return failure
 }
 
 func transportError(method fleet.Method, address string, err error) *Error {
--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/internal/fleet"
 )
 
-func TestUnknownFieldsAreIgnored(t *testing.T) {
+func TestCodec_UnknownFieldsAreIgnored(t *testing.T) {
 	type newer struct {
 		ID    string `cbor:"1,keyasint"`
 		Added []int  `cbor:"99,keyasint"`
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestEncodingIsDeterministic(t *testing.T) {
+func TestCodec_EncodingIsDeterministic(t *testing.T) {
 	labels := map[string]int{"b": 1, "a": 2, "ccc": 3, "dd": 4}
 	first, err := newCodec().encode(labels)
 	if err != nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestMalformedBodiesAreRefused(t *testing.T) {
+func TestCodec_MalformedBodiesAreRejected(t *testing.T) {
 	nested := append(bytes.Repeat([]byte{0x81}, maxNestedLevels+1), 0x00)
 	for name, body := range map[string][]byte{
 		"empty":             {},
--- a/internal/rpc/deadline.go
+++ b/internal/rpc/deadline.go
@@ -14,7 +14,7 @@
 	deadline time.Time
 
 	mutex  sync.Mutex
-	made   context.Context // nil until somebody waits
+	timed  context.Context // nil until somebody waits
 	cancel context.CancelFunc
 	ended  bool
 }
@@ -34,46 +34,46 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.ended = true
-	if c.made != nil {
+	if c.timed != nil {
 		c.cancel()
 	}
 }
 
-// make returns the context that can be waited for.
-func (c *deadlineContext) make() context.Context {
+// timedContext returns the context that can be waited for.
+func (c *deadlineContext) timedContext() context.Context {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.made == nil {
-		c.made, c.cancel = context.WithDeadline(c.parent, c.deadline)
+	if c.timed == nil {
+		c.timed, c.cancel = context.WithDeadline(c.parent, c.deadline)
 		if c.ended {
 			c.cancel()
 		}
 	}
-	return c.made
+	return c.timed
 }
 
 // Deadline implements context.Context.
 func (c *deadlineContext) Deadline() (time.Time, bool) { return c.deadline, true }
 
 // Done implements context.Context.
-func (c *deadlineContext) Done() <-chan struct{} { return c.make().Done() }
+func (c *deadlineContext) Done() <-chan struct{} { return c.timedContext().Done() }
 
 // Err implements context.Context.
 func (c *deadlineContext) Err() error {
 	c.mutex.Lock()
-	running := c.made == nil && !c.ended && c.parent.Err() == nil && time.Now().Before(c.deadline)
+	running := c.timed == nil && !c.ended && c.parent.Err() == nil && time.Now().Before(c.deadline)
 	c.mutex.Unlock()
 	if running {
 		return nil
 	}
-	return c.make().Err()
+	return c.timedContext().Err()
 }
 
 // Value implements context.Context. It asks the context that is waited for, so
 // that contexts made of this one find it.
 func (c *deadlineContext) Value(key any) any {
 	c.mutex.Lock()
-	made := c.made
+	made := c.timed
 	c.mutex.Unlock()
 	if made != nil {
 		return made.Value(key)
--- a/internal/rpc/deadline_test.go
+++ b/internal/rpc/deadline_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// inBubble runs a case with a context that ends after a second.
-func inBubble(t *testing.T, run func(t *testing.T, parent context.CancelFunc, ctx *deadlineContext)) {
+// runInBubble runs a case with a context that ends after a second.
+func runInBubble(t *testing.T, run func(t *testing.T, parent context.CancelFunc, ctx *deadlineContext)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		parent, cancel := context.WithCancel(t.Context())
@@ -23,7 +23,7 @@
 	})
 }
 
-func wantEnded(ctx context.Context, t *testing.T, want error) {
+func requireEnded(ctx context.Context, t *testing.T, want error) {
 	t.Helper()
 	if err := ctx.Err(); !errors.Is(err, want) {
 		t.Errorf("ended with %v, want %v", err, want)
@@ -35,48 +35,48 @@
 	}
 }
 
-func TestDeadlineContextEndsUnwatched(t *testing.T) {
-	inBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
+func TestDeadlineContext_EndsWithoutWaiter(t *testing.T) {
+	runInBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
 		time.Sleep(time.Second)
-		wantEnded(ctx, t, context.DeadlineExceeded)
+		requireEnded(ctx, t, context.DeadlineExceeded)
 	})
-	inBubble(t, func(t *testing.T, cancel context.CancelFunc, ctx *deadlineContext) {
+	runInBubble(t, func(t *testing.T, cancel context.CancelFunc, ctx *deadlineContext) {
 		cancel()
-		wantEnded(ctx, t, context.Canceled)
+		requireEnded(ctx, t, context.Canceled)
 	})
-	inBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
+	runInBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
 		ctx.end()
-		wantEnded(ctx, t, context.Canceled)
+		requireEnded(ctx, t, context.Canceled)
 	})
 }
 
-func TestDeadlineContextEndsWhileWatched(t *testing.T) {
-	inBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
+func TestDeadlineContext_EndsWithWaiter(t *testing.T) {
+	runInBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
 		began := time.Now()
 		<-ctx.Done()
 		if took := time.Since(began); took != time.Second {
 			t.Errorf("ended after %v", took)
 		}
-		wantEnded(ctx, t, context.DeadlineExceeded)
+		requireEnded(ctx, t, context.DeadlineExceeded)
 	})
-	inBubble(t, func(t *testing.T, cancel context.CancelFunc, ctx *deadlineContext) {
+	runInBubble(t, func(t *testing.T, cancel context.CancelFunc, ctx *deadlineContext) {
 		done := ctx.Done()
 		cancel()
 		<-done
-		wantEnded(ctx, t, context.Canceled)
+		requireEnded(ctx, t, context.Canceled)
 	})
-	inBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
+	runInBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
 		done := ctx.Done()
 		ctx.end()
 		<-done
-		wantEnded(ctx, t, context.Canceled)
+		requireEnded(ctx, t, context.Canceled)
 	})
 }
 
-// TestContextsMadeOfADeadlineContextEndWithIt: also those that look for their
+// TestDeadlineContext_EndsDerivedContexts: also those that look for their
 // parent's values.
-func TestContextsMadeOfADeadlineContextEndWithIt(t *testing.T) {
-	inBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
+func TestDeadlineContext_EndsDerivedContexts(t *testing.T) {
+	runInBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
 		type key struct{}
 		child, cancel := context.WithCancel(context.WithValue(ctx, key{}, "value"))
 		defer cancel()
@@ -85,11 +85,11 @@
 		}
 		ctx.end()
 		<-child.Done()
-		wantEnded(child, t, context.Canceled)
+		requireEnded(child, t, context.Canceled)
 	})
 }
 
-func TestDeadlineContextKeepsTheNearerDeadline(t *testing.T) {
+func TestDeadlineContext_KeepsNearerDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		parent, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -104,7 +104,7 @@
 	})
 }
 
-func TestDeadlineContextStaysUnmadeWhileNobodyWaits(t *testing.T) {
+func TestDeadlineContext_MakesNoTimerWithoutWaiter(t *testing.T) {
 	allocations := testing.AllocsPerRun(100, func() {
 		ctx := withTimeout(t.Context(), time.Hour)
 		if ctx.Err() != nil {
--- a/internal/rpc/dial_test.go
+++ b/internal/rpc/dial_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestDialFromLeavesFromTheAddressGiven(t *testing.T) {
+func TestDialFrom_UsesGivenSourceAddress(t *testing.T) {
 	if DialFrom("") != nil {
 		t.Error("no address gave a dialer")
 	}
--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -61,7 +61,7 @@
 	for _, seed := range []any{
 		fleet.RaftRequest{Messages: []raft.Message{{Kind: raft.MessageAppend, From: "a", Entries: []raft.Entry{{Index: 1, Data: []byte("x")}}}}},
 		fleet.SnapshotChunkRequest{From: "a", Data: []byte("x"), Last: true},
-		fleet.IdentityAnswer{Member: raft.Member{ID: "a"}, Founded: &raft.Membership{}},
+		fleet.IdentityAnswer{Member: raft.Member{ID: "a"}, InitialMembership: &raft.Membership{}},
 		fleet.HeartbeatRequest{Agent: "a", Heartbeat: api.Heartbeat{WorkerID: "w", Seq: 1, Running: []api.RunRef{reference}}},
 		fleet.HeartbeatAnswer{Answer: api.HeartbeatAnswer{Seq: 1, Start: []api.StartOrder{{RunRef: reference, Spec: task}}}},
 		fleet.SubmitRequest{ID: "j", Spec: spec},
--- a/internal/rpc/metrics.go
+++ b/internal/rpc/metrics.go
@@ -46,8 +46,8 @@
 	return m, nil
 }
 
-// side returns the counters of the calls of one side.
-func (m *Metrics) side(name string) *callCounters {
+// forSide returns the counters of the calls of one side.
+func (m *Metrics) forSide(name string) *callCounters {
 	if m == nil {
 		return nil
 	}
@@ -70,13 +70,13 @@
 	if c == nil {
 		return
 	}
-	counters := c.of(method)
+	counters := c.forMethod(method)
 	counters.calls.Inc()
 	counters.sent.Add(float64(sent))
 	counters.received.Add(float64(received))
 }
 
-func (c *callCounters) of(method fleet.Method) methodCounters {
+func (c *callCounters) forMethod(method fleet.Method) methodCounters {
 	c.mutex.RLock()
 	counters, known := c.methods[method]
 	c.mutex.RUnlock()
--- a/internal/rpc/metrics_test.go
+++ b/internal/rpc/metrics_test.go
@@ -12,7 +12,7 @@
 	"github.com/decklever/decklever/internal/fleet"
 )
 
-func TestMetricsCountCallsAndBytesOnBothSides(t *testing.T) {
+func TestMetrics_CountCallsAndBytesOnBothSides(t *testing.T) {
 	metrics, err := NewMetrics(prometheus.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rpc/probe.go
+++ b/internal/rpc/probe.go
@@ -9,54 +9,54 @@
 )
 
 const (
-	// unacknowledgedTimeout breaks a connection whose data was not acknowledged
+	// userTimeout breaks a connection whose data was not acknowledged
 	// for so long: the other machine has no power, or the way there is cut.
-	unacknowledgedTimeout = 1500 * time.Millisecond
-	// probeIdle is the silence after which a connection is probed, and
-	// probeInterval the pause between probes; after maxProbes without an answer
+	userTimeout = 1500 * time.Millisecond
+	// keepAliveIdle is the silence after which a connection is probed, and
+	// keepAliveInterval the pause between probes; after maxKeepAliveProbes without an answer
 	// it is broken.
-	probeIdle     = 2 * time.Second
-	probeInterval = time.Second
-	maxProbes     = 2
+	keepAliveIdle      = 2 * time.Second
+	keepAliveInterval  = time.Second
+	maxKeepAliveProbes = 2
 )
 
-// probes finds idle connections to machines that are gone.
-func probes() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: maxProbes}
+// keepAliveConfig finds idle connections to machines that are gone.
+func keepAliveConfig() net.KeepAliveConfig {
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: maxKeepAliveProbes}
 }
 
 // newDialer makes connections that notice soon when the other machine is gone.
 func newDialer() *net.Dialer {
-	return &net.Dialer{KeepAliveConfig: probes(), Control: boundUnacknowledged}
+	return &net.Dialer{KeepAliveConfig: keepAliveConfig(), Control: setUserTimeout}
 }
 
-// Probed returns a listener whose connections notice soon when the other
+// WithKeepAlive returns a listener whose connections notice soon when the other
 // machine is gone. It is for connections of this fleet's own processes.
-func Probed(listener net.Listener) net.Listener { return probedListener{listener} }
+func WithKeepAlive(listener net.Listener) net.Listener { return keepAliveListener{listener} }
 
-type probedListener struct{ net.Listener }
+type keepAliveListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (l probedListener) Accept() (net.Conn, error) {
+func (l keepAliveListener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
 	if accepted, ok := connection.(*net.TCPConn); ok && err == nil {
-		probeAccepted(accepted)
+		setKeepAlive(accepted)
 	}
 	return connection, err
 }
 
-// probeAccepted sets what it can: without it calls still have their deadlines.
-func probeAccepted(connection *net.TCPConn) {
-	_ = connection.SetKeepAliveConfig(probes())
+// setKeepAlive sets what it can: without it calls still have their deadlines.
+func setKeepAlive(connection *net.TCPConn) {
+	_ = connection.SetKeepAliveConfig(keepAliveConfig())
 	if raw, err := connection.SyscallConn(); err == nil {
-		_ = boundUnacknowledged("", "", raw)
+		_ = setUserTimeout("", "", raw)
 	}
 }
 
-// boundUnacknowledged sets TCP_USER_TIMEOUT. A system without it serves all
+// setUserTimeout sets TCP_USER_TIMEOUT. A system without it serves all
 // the same: calls have deadlines of their own.
-func boundUnacknowledged(_, _ string, connection syscall.RawConn) error {
+func setUserTimeout(_, _ string, connection syscall.RawConn) error {
 	return connection.Control(func(descriptor uintptr) {
-		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
+		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
--- a/internal/rpc/probe_test.go
+++ b/internal/rpc/probe_test.go
@@ -26,12 +26,12 @@
 	return value
 }
 
-func TestConnectionsOfBothSidesAreProbed(t *testing.T) {
+func TestKeepAlive_IsSetOnBothSides(t *testing.T) {
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := Probed(plain)
+	listener := WithKeepAlive(plain)
 	defer func() { _ = listener.Close() }()
 	address := listener.Addr().String()
 	client := NewClient(ClientConfig{})
@@ -49,7 +49,7 @@
 		for side, connection := range map[string]net.Conn{"dialed": dialed, "accepted": accepted} {
 			timeout := socketOption(t, connection, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 			idle := socketOption(t, connection, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE)
-			if timeout != int(unacknowledgedTimeout.Milliseconds()) || idle != int(probeIdle.Seconds()) {
+			if timeout != int(userTimeout.Milliseconds()) || idle != int(keepAliveIdle.Seconds()) {
 				t.Errorf("%s, %s: gives up after %d ms, probed after %d s", name, side, timeout, idle)
 			}
 			_ = connection.Close()
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -41,15 +41,15 @@
 	return server.Listener.Addr().String(), client
 }
 
-// answering returns a server whose method always ends with err.
-func answering(err error) *Server {
+// newFailingServer returns a server whose method always ends with err.
+func newFailingServer(err error) *Server {
 	server := NewServer(ServerConfig{})
 	Handle(server, methodTest, func(context.Context, fleet.Empty) (fleet.Empty, error) { return fleet.Empty{}, err })
 	return server
 }
 
-// wantFailure calls the method and returns its failure.
-func wantFailure(t *testing.T, address string, client *Client) *Error {
+// requireFailure calls the method and returns its failure.
+func requireFailure(t *testing.T, address string, client *Client) *Error {
 	t.Helper()
 	_, err := Call[fleet.Empty, fleet.Empty](t.Context(), client, address, methodTest, fleet.Empty{})
 	var failure *Error
@@ -59,7 +59,7 @@
 	return failure
 }
 
-func TestRoundTripKeepsAllThatMessagesHold(t *testing.T) {
+func TestCall_RoundTripKeepsAllFields(t *testing.T) {
 	notBefore := time.Date(2031, 2, 3, 4, 5, 6, 789, time.UTC)
 	failures := 0
 	request := fleet.SubmitRequest{ID: "j", Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{{
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestHeartbeatKeepsItsEmbeddedRuns(t *testing.T) {
+func TestCall_HeartbeatKeepsEmbeddedRuns(t *testing.T) {
 	request := fleet.HeartbeatRequest{Agent: "a", Heartbeat: api.Heartbeat{
 		Seq:   7,
 		Ended: []api.EndedRun{{RunRef: api.RunRef{Task: "j/s/0", Run: 3}, Outcome: api.OutcomeFailed, Message: "m"}},
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestErrorsOfHandlers(t *testing.T) {
+func TestServer_HandlerErrorsReachCaller(t *testing.T) {
 	refused := &api.Error{Status: 409, Code: api.CodeConflict, Message: "other content", Fields: []api.FieldError{{Field: "f", Value: "v", Expected: "e"}}, RetryAfterMillis: 5}
 	for name, test := range map[string]struct {
 		returned error
@@ -121,7 +121,7 @@
 		"own call failed": {&Error{Code: CodeTransport, Message: "m"}, Error{Code: CodeUnknownOutcome, Message: "m"}, 504},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := answering(test.returned)
+			server := newFailingServer(test.returned)
 			var status int
 			recording := http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 				recorder := httptest.NewRecorder()
@@ -131,7 +131,7 @@
 				_, _ = writer.Write(recorder.Body.Bytes())
 			})
 			address, client := serve(t, recording, ClientConfig{})
-			failure := wantFailure(t, address, client)
+			failure := requireFailure(t, address, client)
 			if diff := cmp.Diff(test.want, *failure); diff != "" {
 				t.Fatalf("error differs (-want +got):\n%s", diff)
 			}
@@ -142,13 +142,13 @@
 	}
 }
 
-func TestPanicIsLoggedAndAnswered(t *testing.T) {
+func TestServer_PanicIsLoggedAndAnswered(t *testing.T) {
 	var log bytes.Buffer
 	server := NewServer(ServerConfig{Logger: slog.New(slog.NewTextHandler(&log, nil))})
 	Handle(server, methodTest, func(context.Context, fleet.Empty) (fleet.Empty, error) { panic("broken invariant") })
 	address, client := serve(t, server, ClientConfig{})
 	for range 2 {
-		if failure := wantFailure(t, address, client); failure.Code != CodeUnknownOutcome {
+		if failure := requireFailure(t, address, client); failure.Code != CodeUnknownOutcome {
 			t.Fatalf("got %v", failure)
 		}
 	}
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestRequestsThatMakeNoSense(t *testing.T) {
+func TestServer_RejectsMalformedRequests(t *testing.T) {
 	server := NewServer(ServerConfig{MaxRequestBytes: 64})
 	Handle(server, methodTest, func(_ context.Context, r fleet.CancelRequest) (fleet.Empty, error) {
 		t.Errorf("handler got %+v", r)
@@ -191,21 +191,21 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// TestDeadlineReachesTheHandlerAndBoundsTheCall: the nearer of the client's and
+// TestCall_DeadlineReachesHandlerAndBoundsCall: the nearer of the client's and
 // the context's deadline does. In the bubble no time passes on the way.
-func TestDeadlineReachesTheHandlerAndBoundsTheCall(t *testing.T) {
+func TestCall_DeadlineReachesHandlerAndBoundsCall(t *testing.T) {
 	for name, test := range map[string]struct{ client, context, want time.Duration }{
 		"the client's":  {client: 50 * time.Millisecond, context: time.Hour, want: 50 * time.Millisecond},
 		"the context's": {client: 50 * time.Millisecond, context: 20 * time.Millisecond, want: 20 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { wantDeadline(t, test.client, test.context, test.want) })
+			synctest.Test(t, func(t *testing.T) { requireDeadline(t, test.client, test.context, test.want) })
 		})
 	}
 }
 
-// wantDeadline makes a call that only its deadline ends, in a bubble.
-func wantDeadline(t *testing.T, clients, contexts, want time.Duration) {
+// requireDeadline makes a call that only its deadline ends, in a bubble.
+func requireDeadline(t *testing.T, clients, contexts, want time.Duration) {
 	left, ended := make(chan time.Duration, 1), make(chan error, 1)
 	server := NewServer(ServerConfig{})
 	Handle(server, methodTest, func(ctx context.Context, _ fleet.Empty) (fleet.Empty, error) {
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestCallerGoneEndsTheHandler(t *testing.T) {
+func TestServer_CallerGoneEndsHandler(t *testing.T) {
 	entered, ended := make(chan struct{}), make(chan error, 1)
 	server := NewServer(ServerConfig{})
 	Handle(server, methodTest, func(ctx context.Context, _ fleet.Empty) (fleet.Empty, error) {
@@ -260,14 +260,14 @@
 	}
 }
 
-func TestTransportErrors(t *testing.T) {
+func TestCall_TransportErrors(t *testing.T) {
 	client := NewClient(ClientConfig{})
 	defer client.Close()
 	refusing := testaddress.New(t)
-	if failure := wantFailure(t, refusing, client); failure.Code != CodeTransport || !failure.Unsent {
+	if failure := requireFailure(t, refusing, client); failure.Code != CodeTransport || !failure.Unsent {
 		t.Errorf("refused connection: %+v", failure)
 	}
-	if failure := wantFailure(t, "not an address", client); failure.Code != CodeTransport || !failure.Unsent {
+	if failure := requireFailure(t, "not an address", client); failure.Code != CodeTransport || !failure.Unsent {
 		t.Errorf("wrong address: %+v", failure)
 	}
 	stuck := NewClient(ClientConfig{Timeout: time.Millisecond, Dialer: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -275,12 +275,12 @@
 		return nil, ctx.Err()
 	}})
 	defer stuck.Close()
-	if failure := wantFailure(t, refusing, stuck); failure.Code != CodeTransport || !failure.Unsent {
+	if failure := requireFailure(t, refusing, stuck); failure.Code != CodeTransport || !failure.Unsent {
 		t.Errorf("dial out of time: %+v", failure)
 	}
 }
 
-func TestNoAnswerIsSentOnceAndOfUnknownEffect(t *testing.T) {
+func TestCall_LostAnswerIsNotRetried(t *testing.T) {
 	for name, spoil := range map[string]func(http.ResponseWriter){
 		"connection cut":   func(http.ResponseWriter) { panic(http.ErrAbortHandler) },
 		"not our server":   func(w http.ResponseWriter) { w.WriteHeader(http.StatusBadGateway); _, _ = io.WriteString(w, "<html>") },
@@ -307,7 +307,7 @@
 			if _, err := Call[fleet.Empty, fleet.Empty](t.Context(), client, address, methodTest, fleet.Empty{}); err != nil {
 				t.Fatal(err)
 			}
-			if failure := wantFailure(t, address, client); failure.Code != CodeTransport || failure.Unsent {
+			if failure := requireFailure(t, address, client); failure.Code != CodeTransport || failure.Unsent {
 				t.Fatalf("got %+v", failure)
 			}
 			if calls.Load() != 2 {
@@ -317,22 +317,22 @@
 	}
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestClient_ReusesConnections(t *testing.T) {
 	var dials atomic.Int32
 	dialer := func(ctx context.Context, network, address string) (net.Conn, error) {
 		dials.Add(1)
 		return new(net.Dialer).DialContext(ctx, network, address)
 	}
-	address, client := serve(t, answering(errors.New("no")), ClientConfig{Dialer: dialer})
+	address, client := serve(t, newFailingServer(errors.New("no")), ClientConfig{Dialer: dialer})
 	for range 5 {
-		_ = wantFailure(t, address, client)
+		_ = requireFailure(t, address, client)
 	}
 	if dials.Load() != 1 {
 		t.Fatalf("%d connections for 5 calls", dials.Load())
 	}
 }
 
-func TestMethodServedTwiceIsAMistake(t *testing.T) {
+func TestHandle_MethodServedTwicePanics(t *testing.T) {
 	defer func() {
 		if recover() == nil {
 			t.Fatal("no panic")
@@ -346,10 +346,10 @@
 	register(server)
 }
 
-func TestCallsPassBeforeOtherRequests(t *testing.T) {
-	server := answering(nil)
+func TestWithFallback_ServesOwnMethodsFirst(t *testing.T) {
+	server := newFailingServer(nil)
 	elsewhere := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusTeapot) })
-	handler := server.Before(elsewhere)
+	handler := server.WithFallback(elsewhere)
 	for path, want := range map[string]int{
 		"/rpc/test": http.StatusBadRequest, "/rpc/none": http.StatusTeapot, "/rpc": http.StatusTeapot,
 		"/rpc/": http.StatusTeapot, "/rpc//test": http.StatusTeapot, "/metrics": http.StatusTeapot, "/test": http.StatusTeapot,
@@ -366,13 +366,13 @@
 	}
 }
 
-// TestAnswersOfAnySizeAreCounted: the length stands before the body, so that
+// TestServer_AnswersOfAnySizeHaveContentLength: the length stands before the body, so that
 // the connection can be kept; also where the server leaves it to net/http.
-func TestAnswersOfAnySizeAreCounted(t *testing.T) {
+func TestServer_AnswersOfAnySizeHaveContentLength(t *testing.T) {
 	server := NewServer(ServerConfig{})
 	Handle(server, methodTest, func(_ context.Context, request fleet.CancelRequest) (fleet.CancelRequest, error) { return request, nil })
 	address, client := serve(t, server, ClientConfig{})
-	for _, size := range []int{0, 1, maxCountedBytes - 8, maxCountedBytes, maxCountedBytes + 8, 2047, 2048, 5000, 2 * maxKeptBytes} {
+	for _, size := range []int{0, 1, maxImplicitLength - 8, maxImplicitLength, maxImplicitLength + 8, 2047, 2048, 5000, 2 * maxPooledBytes} {
 		request := fleet.CancelRequest{ID: strings.Repeat("x", size)}
 		body, err := newCodec().encode(request)
 		if err != nil {
@@ -394,9 +394,9 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// TestBodiesOfOneCallDoNotShowInAnother: buffers are used again, and whatever was
+// TestCall_PooledBuffersDoNotLeakBetweenCalls: buffers are used again, and whatever was
 // read must not point into them.
-func TestBodiesOfOneCallDoNotShowInAnother(t *testing.T) {
+func TestCall_PooledBuffersDoNotLeakBetweenCalls(t *testing.T) {
 	server := NewServer(ServerConfig{})
 	Handle(server, methodTest, func(_ context.Context, request fleet.SnapshotChunkRequest) (fleet.SnapshotChunkRequest, error) {
 		return request, nil
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -33,7 +33,7 @@
 type Server struct {
 	config  ServerConfig
 	codec   codec
-	buffers *buffers
+	buffers *bufferPool
 	calls   *callCounters
 	// contentType is the value of that header in all answers.
 	contentType []string
@@ -57,7 +57,7 @@
 		config:      config,
 		codec:       newCodec(),
 		buffers:     newBuffers(),
-		calls:       config.Metrics.side(sideServer),
+		calls:       config.Metrics.forSide(sideServer),
 		contentType: []string{contentType},
 		methods:     map[fleet.Method]methodHandler{},
 	}
@@ -96,7 +96,7 @@
 	s.methods[method] = handler
 }
 
-func (s *Server) find(method fleet.Method) (methodHandler, bool) {
+func (s *Server) handlerOf(method fleet.Method) (methodHandler, bool) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	handler, ok := s.methods[method]
@@ -108,20 +108,20 @@
 	answer := s.buffers.get()
 	defer s.buffers.put(answer)
 	if err := s.serve(writer, request, answer); err != nil {
-		s.refuse(writer, request, refusalOf(err))
+		s.writeError(writer, request, toError(err))
 		return
 	}
 	s.write(writer, request, http.StatusOK, answer.Bytes())
 }
 
-// Before serves the calls of methods that are served here, and leaves all other
+// WithFallback serves the calls of methods that are served here, and leaves all other
 // requests to next. It saves calls, which are most of the requests, the way
 // through a mux.
-func (s *Server) Before(next http.Handler) http.Handler {
+func (s *Server) WithFallback(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		name, found := strings.CutPrefix(request.URL.Path, pathPrefix)
 		if found {
-			_, found = s.find(fleet.Method(name))
+			_, found = s.handlerOf(fleet.Method(name))
 		}
 		if found {
 			s.ServeHTTP(writer, request)
@@ -137,7 +137,7 @@
 		return &Error{Code: CodeBadRequest, Message: "expected POST " + pathPrefix + "METHOD"}
 	}
 	method := fleet.Method(name)
-	handler, ok := s.find(method)
+	handler, ok := s.handlerOf(method)
 	if !ok {
 		return &Error{Code: CodeBadRequest, Message: fmt.Sprintf("no method %q here", name)}
 	}
@@ -162,11 +162,11 @@
 
 func (s *Server) readBody(writer http.ResponseWriter, request *http.Request, body *buffer) error {
 	limit := s.config.MaxRequestBytes
-	bounded := request.Body
+	limited := request.Body
 	if length := request.ContentLength; length < 0 || length > limit {
-		bounded = http.MaxBytesReader(writer, bounded, limit)
+		limited = http.MaxBytesReader(writer, limited, limit)
 	}
-	err := body.readAll(bounded, limit+1)
+	err := body.readAll(limited, limit+1)
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return &Error{Code: CodeBadRequest, Message: fmt.Sprintf("request is over the limit of %d bytes", tooLarge.Limit)}
@@ -194,11 +194,11 @@
 	return handler(ctx, body, &answer.Buffer)
 }
 
-// refusalOf gives the error the form in which it travels.
-func refusalOf(err error) *Error {
-	var refusal *Error
-	if errors.As(err, &refusal) {
-		return relayed(refusal)
+// toError gives the error the form in which it travels.
+func toError(err error) *Error {
+	var failure *Error
+	if errors.As(err, &failure) {
+		return asForwarded(failure)
 	}
 	var refused *api.Error
 	if errors.As(err, &refused) {
@@ -207,20 +207,20 @@
 	return &Error{Code: CodeUnavailable, Message: err.Error()}
 }
 
-// relayed changes a transport failure of a call that the handler made itself:
+// asForwarded changes a transport failure of a call that the handler made itself:
 // its caller did have an answer, and only the effect is in question.
-func relayed(refusal *Error) *Error {
-	if refusal.Code != CodeTransport {
-		return refusal
+func asForwarded(failure *Error) *Error {
+	if failure.Code != CodeTransport {
+		return failure
 	}
-	if refusal.Unsent {
-		return &Error{Code: CodeUnavailable, Message: refusal.Message}
+	if failure.Unsent {
+		return &Error{Code: CodeUnavailable, Message: failure.Message}
 	}
-	return &Error{Code: CodeUnknownOutcome, Message: refusal.Message}
+	return &Error{Code: CodeUnknownOutcome, Message: failure.Message}
 }
 
-func (s *Server) refuse(writer http.ResponseWriter, request *http.Request, refusal *Error) {
-	sent := *refusal
+func (s *Server) writeError(writer http.ResponseWriter, request *http.Request, failure *Error) {
+	sent := *failure
 	sent.Message = strings.ToValidUTF8(sent.Message, "?")
 	body, err := s.codec.encode(&sent)
 	if err != nil {
@@ -228,17 +228,17 @@
 		writer.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	s.write(writer, request, statusOf(&sent), body)
+	s.write(writer, request, httpStatus(&sent), body)
 }
 
-// maxCountedBytes is the size up to which net/http counts an answer by itself,
+// maxImplicitLength is the size up to which net/http counts an answer by itself,
 // which costs less than a header given to it; its own bound is 2048.
-const maxCountedBytes = 1 << 10
+const maxImplicitLength = 1 << 10
 
 func (s *Server) write(writer http.ResponseWriter, request *http.Request, status int, body []byte) {
 	header := writer.Header()
 	header["Content-Type"] = s.contentType
-	if len(body) > maxCountedBytes {
+	if len(body) > maxImplicitLength {
 		header["Content-Length"] = []string{strconv.Itoa(len(body))}
 	}
 	writer.WriteHeader(status)
--- a/internal/rpc/wire.go
+++ b/internal/rpc/wire.go
@@ -42,10 +42,10 @@
 	return time.Duration(min(millis, maxTimeoutMillis)) * time.Millisecond, true
 }
 
-// statusOf is the HTTP status that a refusal travels under. Clients of this
+// httpStatus is the HTTP status that a refusal travels under. Clients of this
 // package read the body; the status serves whoever watches the traffic.
-func statusOf(refusal *Error) int {
-	switch refusal.Code {
+func httpStatus(failure *Error) int {
+	switch failure.Code {
 	case CodeBadRequest:
 		return http.StatusBadRequest
 	case CodeNotLeader:
@@ -53,15 +53,15 @@
 	case CodeUnknownOutcome:
 		return http.StatusGatewayTimeout
 	case CodeRefused:
-		return refusedStatus(refusal)
+		return apiStatus(failure)
 	default:
 		return http.StatusServiceUnavailable
 	}
 }
 
-func refusedStatus(refusal *Error) int {
-	if refusal.API == nil || refusal.API.Status < 400 || refusal.API.Status > 599 {
+func apiStatus(failure *Error) int {
+	if failure.API == nil || failure.API.Status < 400 || failure.API.Status > 599 {
 		return http.StatusUnprocessableEntity
 	}
-	return refusal.API.Status
+	return failure.API.Status
 }
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -82,7 +82,7 @@
 	limit   int
 	// ownIndex is the place of the job's queue in queues; waiting is what they hold.
 	ownIndex int
-	queues   []admission.Part
+	queues   []admission.Share
 	waiting  int
 }
 
@@ -182,7 +182,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.slo.queue(queue.Name)
-	earliest, _ := known.flow.TimeFor(l.now(), tooMany)
+	earliest, _ := known.flow.TimeToStart(l.now(), tooMany)
 	return l.refuseFor(queue.Name, reason, message, known.retryAfter(l.now(), earliest, tooMany))
 }
 
@@ -206,12 +206,12 @@
 	known := l.slo.queue(queue.Name)
 	wait, measured := known.flow.ExpectedWait(l.now())
 	allowed := objective.StartAllowance(rule, objective.CriticalPathsOf(spec.Steps).Job, rule.RefuseBeyond)
-	if !measured || !known.refusing.Closed() || wait <= allowed || l.hasCapacity(spec) {
+	if !measured || !known.refusing.Exceeded() || wait <= allowed || l.hasCapacity(spec) {
 		return nil
 	}
 	message := fmt.Sprintf("a job that comes now waits %v in queue %s, and ends later than %v times its objective",
 		wait.Round(time.Millisecond), queue.Name, rule.RefuseBeyond)
-	pause := known.retryAfter(l.now(), wait-admission.Reopen(allowed), spec.TaskCount())
+	pause := known.retryAfter(l.now(), wait-admission.ClearBelow(allowed), spec.TaskCount())
 	return l.refuseFor(queue.Name, refusedTooLate, message, pause)
 }
 
--- a/internal/scheduler/bookings.go
+++ b/internal/scheduler/bookings.go
@@ -49,7 +49,7 @@
 	var held []string
 	var reservations []placement.Reservation
 	for _, window := range l.calendar.windows {
-		if now.Before(window.HeldFrom) || !now.Before(window.End) || l.isReleased(window) {
+		if now.Before(window.ReservedFrom) || !now.Before(window.End) || l.isReleased(window) {
 			continue
 		}
 		held = append(held, window.ID())
@@ -160,7 +160,7 @@
 func (l *leader) reservationStatus(window booking.Window, now time.Time) api.BookingStatus {
 	status := api.BookingStatus{
 		Queue: window.Queue, Booking: window.Booking.Name,
-		Start: window.Start, End: window.End, HeldFrom: window.HeldFrom,
+		Start: window.Start, End: window.End, HeldFrom: window.ReservedFrom,
 		State: api.BookingPlanned,
 		Slots: window.Booking.Slots, Slice: window.Booking.Slice, Service: window.Booking.Service,
 		BestEffort: window.Booking.BestEffort,
@@ -170,7 +170,7 @@
 		status.State = api.BookingReleased
 	case !now.Before(window.Start):
 		status.State = api.BookingOpen
-	case !now.Before(window.HeldFrom):
+	case !now.Before(window.ReservedFrom):
 		status.State = api.BookingHeld
 	}
 	return status
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -82,17 +82,17 @@
 		if !ok || !open || !run.listed {
 			continue
 		}
-		if !run.progress.Report(report.Percent, now) {
+		if !run.progress.Observe(report.Percent, now) {
 			continue
 		}
-		if run.progress.ReportsFinely() {
+		if run.progress.IsFineGrained() {
 			l.health.fineGrainedQueues[run.queue] = true
 		}
 		if !l.isPaceComparable(run, worker) {
 			continue
 		}
-		ratio := run.progress.Ratio(run.spec.Estimate.Std())
-		l.health.tracker.Paced(run.workerID, workerhealth.Pace{Run: id, Work: run.queue, StepSize: l.comparisonStepSize(run), Ratio: ratio}, now)
+		ratio := run.progress.DurationRatio(run.spec.Estimate.Std())
+		l.health.tracker.ObservePace(run.workerID, workerhealth.RunPace{Run: id, Queue: run.queue, StepSize: l.comparisonStepSize(run), Ratio: ratio}, now)
 	}
 }
 
@@ -101,14 +101,14 @@
 	now := l.now()
 	switch {
 	case outcome == api.OutcomeSucceeded:
-		l.health.tracker.Succeeded(run.workerID, run.id.Task, now)
+		l.health.tracker.ObserveSuccess(run.workerID, run.id.Task, now)
 		l.observePace(run, now)
 	case open.Stop == record.StopStalled:
 		l.health.failedWorkers.add(run.id.Task, open.Worker)
 	case outcome == api.OutcomeFailed && open.Stop == record.StopNone:
 		l.health.failedWorkers.add(run.id.Task, open.Worker)
-		if !l.off.Has(mechanism.Suspicion) {
-			l.health.tracker.Failed(run.workerID, run.id.Task, now)
+		if !l.off.Has(mechanism.OutlierEjection) {
+			l.health.tracker.ObserveFailure(run.workerID, run.id.Task, now)
 		}
 	}
 }
@@ -122,12 +122,12 @@
 	if worker, known := l.workers[run.workerID]; !known || !l.isPaceComparable(run, worker) {
 		return
 	}
-	if run.assignedAt == 0 || !seenRunning || estimate <= 0 || run.progress.First > maxFreshStartPercent {
+	if run.assignedAt == 0 || !seenRunning || estimate <= 0 || run.progress.FirstPercent > maxFreshStartPercent {
 		return
 	}
 	ratio := float64(run.endSeenAt-run.assignedAt) / float64(estimate)
-	pace := workerhealth.Pace{Run: run.id, Work: run.queue, StepSize: l.comparisonStepSize(run), Ratio: ratio, Ended: true}
-	l.health.tracker.Paced(run.workerID, pace, now)
+	pace := workerhealth.RunPace{Run: run.id, Queue: run.queue, StepSize: l.comparisonStepSize(run), Ratio: ratio, Ended: true}
+	l.health.tracker.ObservePace(run.workerID, pace, now)
 }
 
 // isPaceComparable reports whether the run's time says something about its worker. One away
@@ -182,18 +182,18 @@
 	}
 	worker := l.workers[run.workerID]
 	stops := l.health.stalls[run.id.Task]
-	bound := run.progress.QuietBound(run.spec.Estimate.Std(), l.health.fineGrainedQueues[run.queue], stops)
-	if worker.leaseExpired || !run.progress.StandsStill(worker.lastSeen, bound) {
+	bound := run.progress.StallTimeout(run.spec.Estimate.Std(), l.health.fineGrainedQueues[run.queue], stops)
+	if worker.leaseExpired || !run.progress.IsStalled(worker.lastSeen, bound) {
 		return
 	}
 	l.logger.Warn("run stands still", slog.String("task", run.id.Task.String()),
 		slog.Uint64("number", uint64(run.id.Number)), slog.String("worker", worker.info.Name),
-		slog.Int("percent", run.progress.Percent), slog.Duration("quiet", worker.lastSeen-run.progress.MovedAt))
+		slog.Int("percent", run.progress.Percent), slog.Duration("quiet", worker.lastSeen-run.progress.AdvancedAt))
 	l.health.stalls[run.id.Task]++
 	l.metrics.runsStalled.Inc()
-	if !run.inGang && !l.off.Has(mechanism.Suspicion) {
+	if !run.inGang && !l.off.Has(mechanism.OutlierEjection) {
 		// Members of a group may wait for one of them: none is to blame alone.
-		l.health.tracker.Stalled(run.workerID, run.id.Task, now)
+		l.health.tracker.ObserveStall(run.workerID, run.id.Task, now)
 	}
 	l.enqueueStop(run, record.StopStalled)
 }
@@ -206,25 +206,25 @@
 }
 
 // reviewedWorkers are the workers that would take work, whatever their health.
-func (l *leader) reviewedWorkers() []workerhealth.Subject {
-	subjects := make([]workerhealth.Subject, 0, len(l.byName))
+func (l *leader) reviewedWorkers() []workerhealth.ActiveWorker {
+	subjects := make([]workerhealth.ActiveWorker, 0, len(l.byName))
 	for _, worker := range l.byName {
 		if worker.answered() && !worker.leaseExpired && !worker.isLeaving() {
-			subjects = append(subjects, workerhealth.Subject{ID: worker.info.ID, Services: worker.info.Services})
+			subjects = append(subjects, workerhealth.ActiveWorker{ID: worker.info.ID, Services: worker.info.Services})
 		}
 	}
-	slices.SortFunc(subjects, func(a, b workerhealth.Subject) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(subjects, func(a, b workerhealth.ActiveWorker) int { return strings.Compare(a.ID, b.ID) })
 	return subjects
 }
 
 // applyHealthChange takes over a worker's new standing. A suspect worker loses what was
 // not ordered there yet.
-func (l *leader) applyHealthChange(worker *workerEntry, change workerhealth.Change, now time.Duration) {
-	worker.health = change.Verdict
+func (l *leader) applyHealthChange(worker *workerEntry, change workerhealth.StatusChange, now time.Duration) {
+	worker.health = change.Status
 	l.logger.Info("worker's standing changed", slog.String("worker", worker.info.Name),
-		slog.String("worker_id", worker.info.ID), slog.String("standing", string(change.Standing)),
+		slog.String("worker_id", worker.info.ID), slog.String("standing", string(change.State)),
 		slog.String("reason", change.Reason), slog.Duration("for", max(change.Until-now, 0)))
-	if change.Standing == workerhealth.Suspect {
+	if change.State == workerhealth.Suspect {
 		l.metrics.workersEjected.Inc()
 		l.revokeUnassigned(worker)
 	}
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -125,7 +125,7 @@
 	now := l.now()
 	for _, run := range differences.started {
 		run.listed = true
-		run.progress = workerhealth.Began(now)
+		run.progress = workerhealth.NewProgress(now)
 		if run.inGang {
 			l.gangRunStarted(run)
 		}
--- a/internal/scheduler/intake.go
+++ b/internal/scheduler/intake.go
@@ -38,25 +38,25 @@
 
 // queueSLO is what is known of one queue.
 type queueSLO struct {
-	flow admission.Flow
+	flow admission.StartRate
 	// chain is the longest chain of estimates of a typical job.
 	chain time.Duration
 	// pressed closes while newcomers wait for a good part of the objective,
 	// overloaded while it cannot be met, hopeless while a job would end beyond the
 	// multiple from which on it is refused.
-	pressed, overloaded, refusing admission.Gate
+	pressed, overloaded, refusing admission.WaitThreshold
 	// retries are the times at which refused jobs are to come back.
-	retries admission.Returns
+	retries admission.RetrySchedule
 }
 
 // retryAfter is after what time a refused job of some tasks is to come back that will
 // find a place after earliest; while no rate is known, all are told the least time.
 func (q *queueSLO) retryAfter(now, earliest time.Duration, tasks int) time.Duration {
-	length, known := q.flow.TimeFor(now, tasks)
+	length, known := q.flow.TimeToStart(now, tasks)
 	if !known {
 		return minRetryAfter
 	}
-	return q.retries.Book(now, max(earliest, minRetryAfter), length, maxRetryAfter)
+	return q.retries.Reserve(now, max(earliest, minRetryAfter), length, maxRetryAfter)
 }
 
 func newSLOTracker() sloTracker {
@@ -67,8 +67,8 @@
 	found, known := i.queues[name]
 	if !known {
 		found = &queueSLO{
-			pressed: admission.Gate{After: deferAfter}, overloaded: admission.Gate{After: deferAfter},
-			refusing: admission.Gate{After: refuseAfter},
+			pressed: admission.WaitThreshold{MinDuration: deferAfter}, overloaded: admission.WaitThreshold{MinDuration: deferAfter},
+			refusing: admission.WaitThreshold{MinDuration: refuseAfter},
 		}
 		i.queues[name] = found
 	}
@@ -103,7 +103,7 @@
 	if !counted {
 		change = -1
 	}
-	l.slo.queue(entry.task.Queue).flow.Wait(l.now(), change)
+	l.slo.queue(entry.task.Queue).flow.AddWaiting(l.now(), change)
 }
 
 // taskPlaced takes a waiting task out that was given a place, and into its
@@ -114,7 +114,7 @@
 		return
 	}
 	if entry.counted {
-		l.slo.queue(entry.task.Queue).flow.Start(l.now())
+		l.slo.queue(entry.task.Queue).flow.RecordStart(l.now())
 	}
 	l.uncountWaiting(entry)
 	delete(l.waiting, id)
@@ -130,10 +130,10 @@
 		}
 		wait, measured := queue.flow.ExpectedWait(now)
 		allowance := objective.StartAllowance(config.Objective, queue.chain, 1)
-		queue.overloaded.Look(now, wait, max(allowance, minOverloadWait), measured)
-		queue.pressed.Look(now, wait, max(allowance/pressedFraction, minPressedWait), measured)
+		queue.overloaded.Observe(now, wait, max(allowance, minOverloadWait), measured)
+		queue.pressed.Observe(now, wait, max(allowance/pressedFraction, minPressedWait), measured)
 		if beyond := config.Objective.RefuseBeyond; beyond > 0 {
-			queue.refusing.Look(now, wait, max(objective.StartAllowance(config.Objective, queue.chain, beyond), minOverloadWait), measured)
+			queue.refusing.Observe(now, wait, max(objective.StartAllowance(config.Objective, queue.chain, beyond), minOverloadWait), measured)
 		}
 	}
 	if deferences := l.deferences(); !slices.EqualFunc(deferences, l.slo.deferences, sameDeference) {
@@ -159,5 +159,5 @@
 		return 0, false
 	}
 	wait, _ := queue.flow.ExpectedWait(l.now())
-	return wait, queue.overloaded.Closed()
+	return wait, queue.overloaded.Exceeded()
 }
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -40,7 +40,7 @@
 	now          func() time.Duration
 	context      context.Context
 	// off are the mechanisms that are switched off.
-	off mechanism.Off
+	off mechanism.DisabledSet
 
 	// wakePlanner has room for one signal.
 	wakePlanner chan struct{}
@@ -118,7 +118,7 @@
 	Now          func() time.Duration
 	Leadership   replica.Leadership
 	// Off are the mechanisms that are switched off.
-	Off mechanism.Off
+	Off mechanism.DisabledSet
 }
 
 func newLeader(config leaderConfig) *leader {
--- a/internal/scheduler/localitywait_test.go
+++ b/internal/scheduler/localitywait_test.go
@@ -123,8 +123,8 @@
 			h.submit("taken", nearRack("x", time.Minute))
 			x.exchange()
 			for i := range 8 {
-				usual := workerhealth.Pace{Run: record.RunID{Task: record.TaskID{Job: fmt.Sprint("usual", i)}}, Work: "q", Ratio: 1, Ended: true}
-				h.leader.health.tracker.Paced("elsewhere", usual, h.now)
+				usual := workerhealth.RunPace{Run: record.RunID{Task: record.TaskID{Job: fmt.Sprint("usual", i)}}, Queue: "q", Ratio: 1, Ended: true}
+				h.leader.health.tracker.ObservePace("elsewhere", usual, h.now)
 			}
 			for i := range 6 {
 				h.submit(fmt.Sprint("j", i), nearRack(prefers, time.Second))
--- a/internal/scheduler/mirror.go
+++ b/internal/scheduler/mirror.go
@@ -108,7 +108,7 @@
 		due:         task.NotBefore == 0,
 	}
 	l.health.advise(&entry.task, task)
-	if l.off.Has(mechanism.Avoidance) {
+	if l.off.Has(mechanism.FailedWorkerAvoidance) {
 		entry.task.Avoid = nil
 	}
 	entry.urgency.apply(l.objectiveOf(job.Spec.Queue))
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -17,6 +17,6 @@
 }
 
 // quotaPart is what a queue that uses some of a shared bound counts for there.
-func quotaPart(queue *api.QueueConfig, used int) admission.Part {
-	return admission.Part{Weight: max(queue.Weight, api.DefaultQueueWeight), Used: used}
+func quotaPart(queue *api.QueueConfig, used int) admission.Share {
+	return admission.Share{Weight: max(queue.Weight, api.DefaultQueueWeight), Used: used}
 }
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -27,7 +27,7 @@
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
 	// Off are the mechanisms that an experiment switches off. Default: none.
-	Off mechanism.Off
+	Off mechanism.DisabledSet
 	// Now reads the monotonic clock. Default: time since the start.
 	Now func() time.Duration
 }
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -94,7 +94,7 @@
 func (l *leader) watchAnswer(request fleet.WatchRequest) fleet.WatchAnswer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	answer := fleet.WatchAnswer{Token: l.token, ConfigVersion: l.configVersion, HoldMillis: watchLease.Milliseconds()}
+	answer := fleet.WatchAnswer{Token: l.token, ConfigVersion: l.configVersion, LeaseMillis: watchLease.Milliseconds()}
 	if leader, known := l.log.Leader(); known {
 		answer.LeaderAddress = leader.Address
 	}
--- a/internal/scheduler/worker_entry.go
+++ b/internal/scheduler/worker_entry.go
@@ -59,7 +59,7 @@
 	// usable and doubted are what the planner was last told.
 	usable, unresponsive bool
 	// health is how far the worker is trusted; of no standing as yet, it is.
-	health workerhealth.Verdict
+	health workerhealth.Status
 	// inPlanner is true while the planner knows the worker.
 	inPlanner bool
 	runs      map[record.RunID]*runState
@@ -206,9 +206,9 @@
 		Labels:   w.info.Labels,
 		Usable:   usable,
 
-		Slow:      w.health.Standing == workerhealth.Slow || w.unresponsive,
-		Probation: w.health.Standing == workerhealth.Probation,
-		Suspect:   w.health.Standing == workerhealth.Suspect,
+		Slow:      w.health.State == workerhealth.Slow || w.unresponsive,
+		Probation: w.health.State == workerhealth.Probation,
+		Suspect:   w.health.State == workerhealth.Suspect,
 	}
 }
 
@@ -230,11 +230,11 @@
 		return api.WorkerWaiting, "another process under this name may still run tasks"
 	case !w.canTakeWork(now, hold):
 		return api.WorkerWaiting, "answers to it do not arrive"
-	case w.health.Standing == workerhealth.Suspect:
+	case w.health.State == workerhealth.Suspect:
 		return api.WorkerSuspect, w.health.Reason
-	case w.health.Standing == workerhealth.Probation:
+	case w.health.State == workerhealth.Probation:
 		return api.WorkerProbation, w.health.Reason
-	case w.health.Standing == workerhealth.Slow:
+	case w.health.State == workerhealth.Slow:
 		return api.WorkerReady, "gets work last: " + w.health.Reason
 	default:
 		return api.WorkerReady, ""
--- a/internal/scheduler/yields.go
+++ b/internal/scheduler/yields.go
@@ -17,7 +17,7 @@
 // configuration.
 func (l *leader) deferences() []placement.Deference {
 	var deferences []placement.Deference
-	if l.off.Has(mechanism.Yields) {
+	if l.off.Has(mechanism.LoadDeference) {
 		return deferences
 	}
 	for index := range l.config.Queues {
@@ -38,8 +38,8 @@
 // about as urgent: its work is no more urgent than theirs, only older, while less
 // urgent work is not to go before it as long as its objective can be met.
 func (q *queueSLO) defersTo(own *api.QueueConfig, queues []api.QueueConfig) []string {
-	overloaded := q.overloaded.Closed()
-	if !overloaded && !q.pressed.Closed() {
+	overloaded := q.overloaded.Exceeded()
+	if !overloaded && !q.pressed.Exceeded() {
 		return nil
 	}
 	longest := comparableAllowanceFactor * objective.StartAllowance(own.Objective, q.chain, 1)
--- a/internal/scheduler/yields_test.go
+++ b/internal/scheduler/yields_test.go
@@ -12,9 +12,9 @@
 )
 
 // closeGate has a gate take in a wait that is too long for long enough.
-func closeGate(gate *admission.Gate) {
+func closeGate(gate *admission.WaitThreshold) {
 	for _, now := range []time.Duration{0, time.Hour} {
-		gate.Look(now, 2*time.Second, time.Second, true)
+		gate.Observe(now, 2*time.Second, time.Second, true)
 	}
 }
 
--- a/internal/workerhealth/review.go
+++ b/internal/workerhealth/review.go
@@ -10,15 +10,15 @@
 // Review looks at every worker that takes work now, and returns the verdicts
 // that changed. The worst workers are held back first, and of each service at
 // most one worker in four, but one at least if there are two.
-func (t *Tracker) Review(now time.Duration, subjects []Subject) []Change {
-	r := review{tracker: t, now: now, serving: map[string]int{}, held: map[string]int{}, slow: map[string]int{}}
-	r.count(subjects)
+func (t *Tracker) Review(now time.Duration, subjects []ActiveWorker) []StatusChange {
+	r := review{tracker: t, now: now, serving: map[string]int{}, ejected: map[string]int{}, slow: map[string]int{}}
+	r.countServices(subjects)
 	for _, subject := range subjects {
-		r.endTerm(t.worker(subject.ID))
+		r.endExpiredStatus(t.historyOf(subject.ID))
 	}
-	r.countHeld(subjects)
-	r.condemnWorst(subjects)
-	r.judgeSlow(subjects)
+	r.countEjected(subjects)
+	r.ejectOutliers(subjects)
+	r.detectSlow(subjects)
 	return r.changes
 }
 
@@ -27,16 +27,16 @@
 	tracker *Tracker
 	now     time.Duration
 	// serving, held and slow count workers by service.
-	serving, held, slow map[string]int
-	// all is the tally of those not held back.
-	all     tally
-	changes []Change
+	serving, ejected, slow map[string]int
+	// pool is the tally of those not held back.
+	pool    outcomeCount
+	changes []StatusChange
 }
 
-func (r *review) count(subjects []Subject) {
-	for id, w := range r.tracker.blemished {
+func (r *review) countServices(subjects []ActiveWorker) {
+	for id, w := range r.tracker.withFaults {
 		if !w.expire(r.now) {
-			delete(r.tracker.blemished, id)
+			delete(r.tracker.withFaults, id)
 		}
 	}
 	for _, subject := range subjects {
@@ -46,122 +46,122 @@
 	}
 }
 
-func (r *review) countHeld(subjects []Subject) {
+func (r *review) countEjected(subjects []ActiveWorker) {
 	for _, subject := range subjects {
-		w := r.tracker.worker(subject.ID)
-		switch w.verdict.Standing {
+		w := r.tracker.historyOf(subject.ID)
+		switch w.status.State {
 		case Suspect, Probation:
-			subject.count(r.held)
+			subject.countIn(r.ejected)
 			continue
 		case Slow:
-			subject.count(r.slow)
+			subject.countIn(r.slow)
 		}
-		r.all = r.all.add(r.tracker.tallyOf(w))
+		r.pool = r.pool.add(r.tracker.outcomesOf(w))
 	}
 }
 
-func (s Subject) count(workers map[string]int) {
+func (s ActiveWorker) countIn(workers map[string]int) {
 	for _, service := range s.Services {
 		workers[service]++
 	}
 }
 
-// allows reports whether one more worker with these services may be among those
+// mayCountOneMore reports whether one more worker with these services may be among those
 // that are counted.
-func (r *review) allows(subject Subject, counted map[string]int) bool {
+func (r *review) mayCountOneMore(subject ActiveWorker, counted map[string]int) bool {
 	for _, service := range subject.Services {
 		serving := r.serving[service]
-		if serving < 2 || counted[service] >= max(serving/heldBackPart, 1) {
+		if serving < 2 || counted[service] >= max(serving/workersPerEjection, 1) {
 			return false
 		}
 	}
 	return true
 }
 
-// endTerm ends verdicts whose time is over, or that were shown to be wrong.
-func (r *review) endTerm(w *worker) {
-	switch w.verdict.Standing {
+// endExpiredStatus ends verdicts whose time is over, or that were shown to be wrong.
+func (r *review) endExpiredStatus(w *history) {
+	switch w.status.State {
 	case Suspect:
 		if r.now >= w.until {
-			w.startAfresh()
-			r.set(w, Verdict{Standing: Probation, Reason: w.verdict.Reason}, probationLife)
+			w.reset()
+			r.setStatus(w, Status{State: Probation, Reason: w.status.Reason}, maxProbation)
 		}
 	case Probation:
 		switch {
-		case w.tally().bad > 0:
-			r.condemn(w, "failed again on probation")
-		case w.good >= probationSuccesses || r.now >= w.until:
-			r.acquit(w)
+		case w.countOutcomes().faultWeight > 0:
+			r.eject(w, "failed again on probation")
+		case w.probationSuccesses >= requiredSuccesses || r.now >= w.until:
+			r.reinstate(w)
 		}
 	case Slow:
 		if r.now >= w.until {
-			r.endSlow(w)
+			r.reviewSlow(w)
 		}
 	default:
-		if w.strikes > 0 && r.now-w.trustedSince >= strikesForgotten {
-			w.strikes = 0
+		if w.ejections > 0 && r.now-w.healthySince >= ejectionsResetAfter {
+			w.ejections = 0
 		}
 	}
 }
 
-func (w *worker) startAfresh() {
-	w.events, w.paces, w.good = nil, nil, 0
+func (w *history) reset() {
+	w.ends, w.paces, w.probationSuccesses = nil, nil, 0
 }
 
-func (r *review) set(w *worker, to Verdict, lasts time.Duration) {
-	w.verdict, w.until = to, r.now+lasts
-	r.changes = append(r.changes, Change{WorkerID: w.id, Verdict: to, Until: w.until})
+func (r *review) setStatus(w *history, to Status, lasts time.Duration) {
+	w.status, w.until = to, r.now+lasts
+	r.changes = append(r.changes, StatusChange{WorkerID: w.id, Status: to, Until: w.until})
 }
 
-// condemn holds the worker back, each time for longer.
-func (r *review) condemn(w *worker, reason string) {
-	lasts := min(firstHold<<min(w.strikes, 10), maxHold)
-	w.strikes++
-	r.set(w, Verdict{Standing: Suspect, Reason: reason}, lasts)
+// eject holds the worker back, each time for longer.
+func (r *review) eject(w *history, reason string) {
+	lasts := min(baseEjectionTime<<min(w.ejections, 10), maxEjectionTime)
+	w.ejections++
+	r.setStatus(w, Status{State: Suspect, Reason: reason}, lasts)
 }
 
-func (r *review) acquit(w *worker) {
-	w.startAfresh()
-	w.trustedSince = r.now
-	r.set(w, Verdict{Standing: Trusted}, 0)
+func (r *review) reinstate(w *history) {
+	w.reset()
+	w.healthySince = r.now
+	r.setStatus(w, Status{State: Healthy}, 0)
 }
 
 // candidate is a worker that may have to be held back.
 type candidate struct {
-	subject Subject
-	worker  *worker
-	tally   tally
+	active   ActiveWorker
+	history  *history
+	outcomes outcomeCount
 }
 
-// condemnWorst holds workers back, the worst first. Each is compared with all
+// ejectOutliers holds workers back, the worst first. Each is compared with all
 // others that are not held back yet.
-func (r *review) condemnWorst(subjects []Subject) {
+func (r *review) ejectOutliers(subjects []ActiveWorker) {
 	var candidates []candidate
 	for _, subject := range subjects {
-		w, blemished := r.tracker.blemished[subject.ID]
-		if blemished && (w.verdict.Standing == Trusted || w.verdict.Standing == Slow) {
-			candidates = append(candidates, candidate{subject, w, w.tally()})
+		w, blemished := r.tracker.withFaults[subject.ID]
+		if blemished && (w.status.State == Healthy || w.status.State == Slow) {
+			candidates = append(candidates, candidate{subject, w, w.countOutcomes()})
 		}
 	}
 	slices.SortFunc(candidates, compareWorst)
 	for _, c := range candidates {
-		if !c.tally.condemns(r.all.sub(c.tally)) || !r.allows(c.subject, r.held) {
+		if !c.outcomes.isOutlier(r.pool.sub(c.outcomes)) || !r.mayCountOneMore(c.active, r.ejected) {
 			continue
 		}
-		r.all = r.all.sub(c.tally)
-		c.subject.count(r.held)
-		r.condemn(c.worker, c.tally.reason())
+		r.pool = r.pool.sub(c.outcomes)
+		c.active.countIn(r.ejected)
+		r.eject(c.history, c.outcomes.reason())
 	}
 }
 
 func compareWorst(a, b candidate) int {
 	return cmp.Or(
-		cmp.Compare(b.tally.share(), a.tally.share()),
-		cmp.Compare(b.tally.jobs, a.tally.jobs),
-		cmp.Compare(a.subject.ID, b.subject.ID),
+		cmp.Compare(b.outcomes.faultShare(), a.outcomes.faultShare()),
+		cmp.Compare(b.outcomes.faultyJobs, a.outcomes.faultyJobs),
+		cmp.Compare(a.active.ID, b.active.ID),
 	)
 }
 
-func (a tally) reason() string {
-	return fmt.Sprintf("work fails or stands still here and not elsewhere: weight %d against %d successes", a.bad, a.good)
+func (a outcomeCount) reason() string {
+	return fmt.Sprintf("work fails or stands still here and not elsewhere: weight %d against %d successes", a.faultWeight, a.successes)
 }
--- a/internal/workerhealth/tracker.go
+++ b/internal/workerhealth/tracker.go
@@ -8,121 +8,121 @@
 
 // Tracker follows the workers of one term. It is not safe for concurrent use.
 type Tracker struct {
-	workers map[string]*worker
-	// blemished are the workers with a bad event that still counts.
-	blemished map[string]*worker
-	usual     map[string]*usual
-	steps     map[record.StepID]*siblings
+	workers map[string]*history
+	// withFaults are the workers with a bad event that still counts.
+	withFaults     map[string]*history
+	queueBaselines map[string]*queueBaseline
+	stepBaselines  map[record.StepID]*stepBaseline
 }
 
 // worker is what is known of one incarnation.
-type worker struct {
-	id     string
-	events []event
-	paces  []paceSeen
-	// verdict stands until until; strikes counts how often it was suspect.
-	verdict Verdict
-	until   time.Duration
-	strikes int
+type history struct {
+	id    string
+	ends  []runEnd
+	paces []paceSample
+	// status stands until until; strikes counts how often it was suspect.
+	status    Status
+	until     time.Duration
+	ejections int
 	// good counts successes since the probation began.
-	good int
-	// trustedSince is when the last probation or slowness ended.
-	trustedSince time.Duration
+	probationSuccesses int
+	// healthySince is when the last probation or slowness ended.
+	healthySince time.Duration
 }
 
-type eventKind uint8
+type outcome uint8
 
 const (
-	succeeded eventKind = iota
+	succeeded outcome = iota
 	failed
 	stalled
 )
 
-// event is the end of one run.
-type event struct {
+// runEnd is the end of one run.
+type runEnd struct {
 	at   time.Duration
 	task record.TaskID
-	kind eventKind
-	// excused is true once the task failed elsewhere too.
-	excused bool
+	kind outcome
+	// discounted is true once the task failed elsewhere too.
+	discounted bool
 }
 
 // New returns a Tracker that trusts every worker.
 func New() *Tracker {
 	return &Tracker{
-		workers:   make(map[string]*worker),
-		blemished: make(map[string]*worker),
-		usual:     make(map[string]*usual),
-		steps:     make(map[record.StepID]*siblings),
+		workers:        make(map[string]*history),
+		withFaults:     make(map[string]*history),
+		queueBaselines: make(map[string]*queueBaseline),
+		stepBaselines:  make(map[record.StepID]*stepBaseline),
 	}
 }
 
-func (t *Tracker) worker(id string) *worker {
+func (t *Tracker) historyOf(id string) *history {
 	found, known := t.workers[id]
 	if !known {
-		found = &worker{id: id, verdict: Verdict{Standing: Trusted}}
+		found = &history{id: id, status: Status{State: Healthy}}
 		t.workers[id] = found
 	}
 	return found
 }
 
-// Verdict returns what holds for a worker.
-func (t *Tracker) Verdict(workerID string) Verdict {
+// Status returns what holds for a worker.
+func (t *Tracker) Status(workerID string) Status {
 	if found, known := t.workers[workerID]; known {
-		return found.verdict
+		return found.status
 	}
-	return Verdict{Standing: Trusted}
+	return Status{State: Healthy}
 }
 
-// Succeeded notes that a run ended well on a worker.
-func (t *Tracker) Succeeded(workerID string, task record.TaskID, now time.Duration) {
-	w := t.worker(workerID)
-	w.add(event{at: now, task: task, kind: succeeded})
-	w.good++
+// ObserveSuccess notes that a run ended well on a worker.
+func (t *Tracker) ObserveSuccess(workerID string, task record.TaskID, now time.Duration) {
+	w := t.historyOf(workerID)
+	w.add(runEnd{at: now, task: task, kind: succeeded})
+	w.probationSuccesses++
 }
 
-// Failed notes that a run failed on a worker. If the task failed on another
+// ObserveFailure notes that a run failed on a worker. If the task failed on another
 // worker before, neither is to blame.
-func (t *Tracker) Failed(workerID string, task record.TaskID, now time.Duration) {
-	t.bad(workerID, event{at: now, task: task, kind: failed})
+func (t *Tracker) ObserveFailure(workerID string, task record.TaskID, now time.Duration) {
+	t.observeFault(workerID, runEnd{at: now, task: task, kind: failed})
 }
 
-// Stalled notes that a run stood still on a worker.
-func (t *Tracker) Stalled(workerID string, task record.TaskID, now time.Duration) {
-	t.bad(workerID, event{at: now, task: task, kind: stalled})
+// ObserveStall notes that a run stood still on a worker.
+func (t *Tracker) ObserveStall(workerID string, task record.TaskID, now time.Duration) {
+	t.observeFault(workerID, runEnd{at: now, task: task, kind: stalled})
 }
 
-func (t *Tracker) bad(workerID string, bad event) {
-	for id, other := range t.blemished {
-		if id != workerID && other.excuse(bad.task) {
-			bad.excused = true
+func (t *Tracker) observeFault(workerID string, bad runEnd) {
+	for id, other := range t.withFaults {
+		if id != workerID && other.discount(bad.task) {
+			bad.discounted = true
 		}
 	}
-	w := t.worker(workerID)
+	w := t.historyOf(workerID)
 	w.add(bad)
-	t.blemished[workerID] = w
+	t.withFaults[workerID] = w
 }
 
 // Forget drops what is known of an incarnation that is gone.
 func (t *Tracker) Forget(workerID string) {
 	delete(t.workers, workerID)
-	delete(t.blemished, workerID)
+	delete(t.withFaults, workerID)
 }
 
-func (w *worker) add(added event) {
-	if len(w.events) == eventsKept {
-		w.events = append(w.events[:0], w.events[1:]...)
+func (w *history) add(added runEnd) {
+	if len(w.ends) == maxRunEnds {
+		w.ends = append(w.ends[:0], w.ends[1:]...)
 	}
-	w.events = append(w.events, added)
+	w.ends = append(w.ends, added)
 }
 
-// excuse takes back what counts against the worker for a task, and reports
+// discount takes back what counts against the worker for a task, and reports
 // whether there is any.
-func (w *worker) excuse(task record.TaskID) bool {
+func (w *history) discount(task record.TaskID) bool {
 	found := false
-	for i := range w.events {
-		if w.events[i].kind != succeeded && w.events[i].task == task {
-			w.events[i].excused = true
+	for i := range w.ends {
+		if w.ends[i].kind != succeeded && w.ends[i].task == task {
+			w.ends[i].discounted = true
 			found = true
 		}
 	}
@@ -131,83 +131,88 @@
 
 // expire drops events that are too old to count. It returns false if no bad one
 // is left.
-func (w *worker) expire(now time.Duration) bool {
-	kept := w.events[:0]
+func (w *history) expire(now time.Duration) bool {
+	kept := w.ends[:0]
 	blemished := false
-	for _, one := range w.events {
-		if now-one.at >= eventLife {
+	for _, one := range w.ends {
+		if now-one.at >= runEndWindow {
 			continue
 		}
 		kept = append(kept, one)
 		blemished = blemished || one.kind != succeeded
 	}
-	w.events = kept
+	w.ends = kept
 	return blemished
 }
 
 // tally is what a worker's events come to.
-type tally struct {
+type outcomeCount struct {
 	// bad is the weight of what counts against it, good the number of successes.
-	bad, good int
-	// jobs counts the different jobs with something bad, a run that stood still
+	faultWeight, successes int
+	// faultyJobs counts the different jobs with something bad, a run that stood still
 	// as much as stallWeight jobs.
-	jobs int
+	faultyJobs int
 }
 
-func (a tally) add(b tally) tally { return tally{a.bad + b.bad, a.good + b.good, a.jobs + b.jobs} }
-func (a tally) sub(b tally) tally { return tally{a.bad - b.bad, a.good - b.good, a.jobs - b.jobs} }
+func (a outcomeCount) add(b outcomeCount) outcomeCount {
+	return outcomeCount{a.faultWeight + b.faultWeight, a.successes + b.successes, a.faultyJobs + b.faultyJobs}
+}
+
+func (a outcomeCount) sub(b outcomeCount) outcomeCount {
+	return outcomeCount{a.faultWeight - b.faultWeight, a.successes - b.successes, a.faultyJobs - b.faultyJobs}
+}
 
-// shareWithPrior is the part of bad ends, taken with half of one among ten more,
+// smoothedFaultShare is the part of bad ends, taken with half of one among ten more,
 // so that a few ends do not say much.
-func (a tally) shareWithPrior() float64 {
+func (a outcomeCount) smoothedFaultShare() float64 {
 	const priorBad, priorAll = 0.5, 10
-	return (float64(a.bad) + priorBad) / (float64(a.bad+a.good) + priorAll)
+	return (float64(a.faultWeight) + priorBad) / (float64(a.faultWeight+a.successes) + priorAll)
 }
 
-// share is the part of bad ends.
-func (a tally) share() float64 {
-	if a.bad == 0 {
+// faultShare is the part of bad ends.
+func (a outcomeCount) faultShare() float64 {
+	if a.faultWeight == 0 {
 		return 0
 	}
-	return float64(a.bad) / float64(a.bad+a.good)
+	return float64(a.faultWeight) / float64(a.faultWeight+a.successes)
 }
 
-// tallyOf is worker.tally, without counting where nothing bad is known.
-func (t *Tracker) tallyOf(w *worker) tally {
-	if _, blemished := t.blemished[w.id]; !blemished {
-		return tally{good: len(w.events)}
+// outcomesOf is worker.tally, without counting where nothing bad is known.
+func (t *Tracker) outcomesOf(w *history) outcomeCount {
+	if _, blemished := t.withFaults[w.id]; !blemished {
+		return outcomeCount{successes: len(w.ends)}
 	}
-	return w.tally()
+	return w.countOutcomes()
 }
 
-func (w *worker) tally() tally {
-	var sum tally
-	jobs := make(map[string]bool, len(w.events))
-	for i := range w.events {
-		one := &w.events[i]
+func (w *history) countOutcomes() outcomeCount {
+	var sum outcomeCount
+	jobs := make(map[string]bool, len(w.ends))
+	for i := range w.ends {
+		one := &w.ends[i]
 		switch {
 		case one.kind == succeeded:
-			sum.good++
-		case one.excused:
+			sum.successes++
+		case one.discounted:
 		case one.kind == stalled:
-			sum.bad += stallWeight
-			sum.jobs += stallWeight
+			sum.faultWeight += stallWeight
+			sum.faultyJobs += stallWeight
 		default:
-			sum.bad++
+			sum.faultWeight++
 			if !jobs[one.task.Job] {
 				jobs[one.task.Job] = true
-				sum.jobs++
+				sum.faultyJobs++
 			}
 		}
 	}
 	return sum
 }
 
-// condemns reports whether the tally makes a worker suspect, given the others'.
-func (a tally) condemns(others tally) bool {
-	share := a.share()
-	if share < timesOthers*others.shareWithPrior() {
+// isOutlier reports whether the tally makes a worker suspect, given the others'.
+func (a outcomeCount) isOutlier(others outcomeCount) bool {
+	share := a.faultShare()
+	if share < outlierFactor*others.smoothedFaultShare() {
 		return false
 	}
-	return a.jobs >= fewBadJobs && share >= highBadShare || a.jobs >= manyBadJobs && share >= someBadShare
+	return a.faultyJobs >= fewFaultyJobs && share >= highFaultShare || a.faultyJobs >= manyFaultyJobs && share >= someFaultShare
 }
--- a/lab/hollow/hollow_test.go
+++ b/lab/hollow/hollow_test.go
@@ -26,7 +26,7 @@
 		if request.MaxWaitMillis > 0 {
 			<-ctx.Done()
 		}
-		return fleet.WatchAnswer{Token: 1, LeaderAddress: address, ConfigVersion: 1, Config: &api.Config{}, HoldMillis: 1500}, nil
+		return fleet.WatchAnswer{Token: 1, LeaderAddress: address, ConfigVersion: 1, Config: &api.Config{}, LeaseMillis: 1500}, nil
 	})
 	rpc.Handle(server, fleet.MethodHeartbeat, func(_ context.Context, request fleet.HeartbeatRequest) (fleet.HeartbeatAnswer, error) {
 		select {
--- a/lab/hollow/node.go
+++ b/lab/hollow/node.go
@@ -62,7 +62,7 @@
 		return fmt.Errorf("start agent %s: %w", n.spec.Agent, errRunning)
 	}
 	client := rpc.NewClient(rpc.ClientConfig{
-		Timeout: max(relayTimeout, leaderlink.LongestCall) + time.Second, Metrics: n.shared.metrics,
+		Timeout: max(relayTimeout, leaderlink.MaxCallDuration) + time.Second, Metrics: n.shared.metrics,
 	})
 	link := leaderlink.New(leaderlink.Config{
 		Process: n.spec.Agent, Role: "agent", Zone: n.spec.Zone, VersionOnly: true,
--- a/lab/load/caller.go
+++ b/lab/load/caller.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/lab/ledger"
 	"github.com/decklever/decklever/lab/monoclock"
 	"github.com/decklever/decklever/lab/operator"
@@ -77,7 +77,7 @@
 		if state.Final() {
 			return true
 		}
-		wait.For(ctx, pollPause)
+		contexttime.Sleep(ctx, pollPause)
 	}
 	return false
 }
@@ -124,6 +124,6 @@
 		if err == nil || entry.Code == api.CodeNotFound {
 			return
 		}
-		wait.For(ctx, pollPause)
+		contexttime.Sleep(ctx, pollPause)
 	}
 }
--- a/lab/load/extra.go
+++ b/lab/load/extra.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/lab/ledger"
 	"github.com/decklever/decklever/lab/monoclock"
 	"github.com/decklever/decklever/lab/operator"
@@ -54,7 +54,7 @@
 		case entry.Accepted():
 			return true
 		case entry.Code == api.CodeOverLimit:
-			wait.For(ctx, limitPause)
+			contexttime.Sleep(ctx, limitPause)
 		case entry.Code != api.CodeUnavailable && entry.Code != api.CodeOutcomeUnknown:
 			return false
 		}
--- a/lab/model/callers_test.go
+++ b/lab/model/callers_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/lab/ledger"
 	"github.com/decklever/decklever/lab/operator"
 )
@@ -137,7 +137,7 @@
 	var callers sync.WaitGroup
 	for _, one := range f.plan(todo) {
 		callers.Go(func() {
-			wait.For(ctx, one.at)
+			contexttime.Sleep(ctx, one.at)
 			(&caller{fleet: f, client: client, shown: map[string]bool{}}).follow(ctx, one)
 		})
 	}
@@ -170,12 +170,12 @@
 	}
 	if one.cancel > 0 {
 		beside.Go(func() {
-			wait.For(ctx, one.cancel)
+			contexttime.Sleep(ctx, one.cancel)
 			c.cancel(ctx, one.id)
 		})
 	}
 	for ctx.Err() == nil && !c.poll(ctx, one.id) {
-		wait.For(ctx, pollPause)
+		contexttime.Sleep(ctx, pollPause)
 	}
 }
 
@@ -229,6 +229,6 @@
 		if c.add(entry, err); err == nil {
 			return
 		}
-		wait.For(ctx, pollPause)
+		contexttime.Sleep(ctx, pollPause)
 	}
 }
--- a/lab/model/days_test.go
+++ b/lab/model/days_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 )
 
 // day is one bad day.
@@ -35,7 +35,7 @@
 // at has something happen at a time after the load's beginning.
 func (s *stage) at(ctx context.Context, when time.Duration, what func(context.Context)) {
 	s.events.Go(func() {
-		if wait.For(ctx, when) {
+		if contexttime.Sleep(ctx, when) {
 			what(ctx)
 		}
 	})
@@ -88,7 +88,7 @@
 		f.handIn(ctx, one.load)
 		to := from.Add(one.load.over)
 		s.events.Wait()
-		wait.For(ctx, settleTime)
+		contexttime.Sleep(ctx, settleTime)
 		s.office.read(ctx)
 		f.judge(from, to, one.allowed)
 	})
@@ -154,11 +154,11 @@
 		happen: func(ctx context.Context, s *stage) {
 			s.at(ctx, 2*time.Second, func(ctx context.Context) {
 				s.losePowerAfterAcknowledging(ctx, s.schedulers, time.Second)
-				wait.For(ctx, 3*time.Second)
+				contexttime.Sleep(ctx, 3*time.Second)
 				s.loseLeadersWhileWorkEnds(ctx, 3)
-				wait.For(ctx, 3*time.Second)
+				contexttime.Sleep(ctx, 3*time.Second)
 				s.loseDisksInTurn(ctx, 2)
-				wait.For(ctx, time.Second)
+				contexttime.Sleep(ctx, time.Second)
 				s.missManyChanges(ctx, 200)
 			})
 		},
--- a/lab/model/faults_test.go
+++ b/lab/model/faults_test.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/lab/ledger"
 )
 
@@ -39,7 +39,7 @@
 	for _, one := range places {
 		one.behave(behaves)
 	}
-	wait.For(ctx, length)
+	contexttime.Sleep(ctx, length)
 	for _, one := range places {
 		one.behave(behaviour{})
 	}
@@ -49,9 +49,9 @@
 	each(places, func(one *place) {
 		for range times {
 			one.crash()
-			wait.For(ctx, down)
+			contexttime.Sleep(ctx, down)
 			one.start()
-			wait.For(ctx, down)
+			contexttime.Sleep(ctx, down)
 		}
 	})
 }
@@ -59,7 +59,7 @@
 func (s *stage) leaveAndReturn(ctx context.Context, places []*place, down time.Duration) {
 	each(places, func(one *place) {
 		one.drain()
-		wait.For(ctx, down)
+		contexttime.Sleep(ctx, down)
 		one.start()
 	})
 }
@@ -89,14 +89,14 @@
 func (s *stage) killLeader(ctx context.Context, down time.Duration) {
 	leader := s.awaitLeader()
 	leader.kill()
-	wait.For(ctx, down)
+	contexttime.Sleep(ctx, down)
 	leader.start()
 }
 
 func (s *stage) restartInTurn(ctx context.Context) {
 	for _, one := range s.schedulers {
 		one.terminate()
-		wait.For(ctx, 200*time.Millisecond)
+		contexttime.Sleep(ctx, 200*time.Millisecond)
 		one.start()
 		s.awaitLeader()
 	}
@@ -109,7 +109,7 @@
 	other := slices.DeleteFunc(s.voters(), func(one *schedulerMachine) bool { return one == leader })[0]
 	leader.wallOffset.Store(int64(offset))
 	other.wallOffset.Store(int64(-offset))
-	wait.For(ctx, offset)
+	contexttime.Sleep(ctx, offset)
 	leader.wallOffset.Store(0)
 	other.wallOffset.Store(0)
 }
@@ -119,7 +119,7 @@
 	end := s.network.cross(share, by, func(way link) bool {
 		return strings.HasPrefix(way.from, "scheduler-") && strings.HasPrefix(way.to, "agent-")
 	})
-	wait.For(ctx, length)
+	contexttime.Sleep(ctx, length)
 	end()
 }
 
@@ -132,7 +132,7 @@
 		ending.Go(one.losePower)
 	}
 	ending.Wait()
-	wait.For(ctx, down)
+	contexttime.Sleep(ctx, down)
 	for _, one := range machines {
 		one.start()
 	}
@@ -148,10 +148,10 @@
 		leader := s.awaitLeader()
 		s.cut(ctx, 350*time.Millisecond, []string{leader.name}, names(s.others(leader)))
 		leader.losePower()
-		wait.For(ctx, time.Second)
+		contexttime.Sleep(ctx, time.Second)
 		leader.start()
 		s.awaitLeader()
-		wait.For(ctx, 2*time.Second)
+		contexttime.Sleep(ctx, 2*time.Second)
 	}
 }
 
@@ -201,7 +201,7 @@
 	away.losePower()
 	s.office.change(ctx, changes, time.Millisecond)
 	away.start()
-	wait.For(ctx, time.Second)
+	contexttime.Sleep(ctx, time.Second)
 	s.killLeader(ctx, time.Second)
 	s.office.read(ctx)
 }
--- a/lab/model/fleet_test.go
+++ b/lab/model/fleet_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/internal/mechanism"
 	"github.com/decklever/decklever/internal/raft"
-	"github.com/decklever/decklever/internal/wait"
 	"github.com/decklever/decklever/lab/journal"
 	"github.com/decklever/decklever/lab/ledger"
 	"github.com/decklever/decklever/lab/monoclock"
@@ -33,7 +33,7 @@
 	// rack is the number of workers in one.
 	rack int
 	// off are the mechanisms that are switched off.
-	off mechanism.Off
+	off mechanism.DisabledSet
 }
 
 // The shapes of the users' deployments once grown; of the fronts, which keep no
@@ -260,7 +260,7 @@
 	}
 	note(ledger.ActionCut)
 	heal := f.network.cut(links...)
-	wait.For(ctx, length)
+	contexttime.Sleep(ctx, length)
 	heal()
 	note(ledger.ActionHeal)
 }
--- a/lab/model/floods_test.go
+++ b/lab/model/floods_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/lab/operator"
 )
 
@@ -59,7 +59,7 @@
 	var all sync.WaitGroup
 	for number := range count {
 		all.Go(func() {
-			if wait.For(ctx, floodOver*time.Duration(number)/time.Duration(count)) {
+			if contexttime.Sleep(ctx, floodOver*time.Duration(number)/time.Duration(count)) {
 				what(number)
 			}
 		})
--- a/lab/model/linked_test.go
+++ b/lab/model/linked_test.go
@@ -27,7 +27,7 @@
 // linked is a process that follows the leader.
 type linked struct {
 	client *rpc.Client
-	link   *leaderlink.Link
+	link   *leaderlink.Client
 	stop   func()
 }
 
@@ -35,7 +35,7 @@
 	f.network.mutex.Lock()
 	f.network.zones[name] = zone
 	f.network.mutex.Unlock()
-	client := rpc.NewClient(rpc.ClientConfig{Timeout: front.MaxTry + time.Second, Dialer: f.network.dialer(name)})
+	client := rpc.NewClient(rpc.ClientConfig{Timeout: front.MaxAttemptDuration + time.Second, Dialer: f.network.dialer(name)})
 	made := leaderlink.New(leaderlink.Config{
 		Process: name, Role: role, Zone: zone, VersionOnly: versionOnly, Client: client,
 		Seeds: func() []string { return f.seeds }, Logger: slog.New(f.logs).With(role, name),
--- a/lab/model/mechanisms_test.go
+++ b/lab/model/mechanisms_test.go
@@ -14,9 +14,9 @@
 // jobs end in time is not asked.
 func TestPromisesHoldWithoutMechanisms(t *testing.T) {
 	t.Parallel()
-	sets := map[string][]mechanism.Name{"all": mechanism.All()}
+	sets := map[string][]mechanism.Feature{"all": mechanism.All()}
 	for _, name := range mechanism.All() {
-		sets[string(name)] = []mechanism.Name{name}
+		sets[string(name)] = []mechanism.Feature{name}
 	}
 	for name, off := range sets {
 		size := smallShape(t, off)
@@ -38,7 +38,7 @@
 }
 
 // smallShape is a fleet of a few machines without some mechanisms.
-func smallShape(t *testing.T, off []mechanism.Name) shape {
+func smallShape(t *testing.T, off []mechanism.Feature) shape {
 	t.Helper()
 	var names []string
 	for _, name := range off {
--- a/lab/model/operators_test.go
+++ b/lab/model/operators_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/lab/ledger"
 	"github.com/decklever/decklever/lab/operator"
 )
@@ -98,7 +98,7 @@
 		if errors.As(err, &refusal) && refusal.Status != http.StatusServiceUnavailable {
 			return false
 		}
-		wait.For(ctx, pollPause)
+		contexttime.Sleep(ctx, pollPause)
 	}
 	o.fleet.fail("%s had no plain answer", order.id)
 	return false
@@ -129,7 +129,7 @@
 func (o *office) change(ctx context.Context, times int, pause time.Duration) {
 	for range times {
 		o.put(ctx, o.changed(nil))
-		wait.For(ctx, pause)
+		contexttime.Sleep(ctx, pause)
 		o.read(ctx)
 	}
 }
@@ -176,6 +176,6 @@
 // drainZone empties a zone by the configuration, and takes that back.
 func (o *office) drainZone(ctx context.Context, zone string, length time.Duration) {
 	o.put(ctx, o.changed(func(config *api.Config) { config.Drains.Zones = []string{zone} }))
-	wait.For(ctx, length)
+	contexttime.Sleep(ctx, length)
 	o.put(ctx, o.changed(func(config *api.Config) { config.Drains.Zones = nil }))
 }
--- a/lab/model/worker_test.go
+++ b/lab/model/worker_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/lab/check"
 	"github.com/decklever/decklever/lab/journal"
 	"github.com/decklever/decklever/lab/ledger"
@@ -225,7 +225,7 @@
 	}
 	fate := p.draw()
 	if fate.fails {
-		wait.For(ctx, progressPause)
+		contexttime.Sleep(ctx, progressPause)
 		return errUnsound
 	}
 	if todo.Gang > 0 {
@@ -244,7 +244,7 @@
 
 func (p *place) workOff(ctx context.Context, task worker.Task, work time.Duration) error {
 	for done := time.Duration(0); done < work; done += progressPause {
-		if !wait.For(ctx, min(progressPause, work-done)) {
+		if !contexttime.Sleep(ctx, min(progressPause, work-done)) {
 			return ctx.Err()
 		}
 		_ = task.Report(int(wholePart*min(done+progressPause, work)/work), "")
--- a/lab/relay/link.go
+++ b/lab/relay/link.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 )
 
 // Link is one direction between two processes, by their names.
@@ -99,5 +99,5 @@
 	if length <= 0 {
 		return true
 	}
-	return wait.For(ctx, length)
+	return contexttime.Sleep(ctx, length)
 }
--- a/lab/scale/changes.go
+++ b/lab/scale/changes.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/lab/deployment"
 	"github.com/decklever/decklever/lab/fleet"
 	"github.com/decklever/decklever/lab/monoclock"
@@ -46,7 +46,7 @@
 	}
 	version := present.Version
 	for range singleChanges {
-		if !wait.For(ctx, changePause) {
+		if !contexttime.Sleep(ctx, changePause) {
 			return nil
 		}
 		delay, err := c.change(ctx, &version, 1)
@@ -82,7 +82,7 @@
 		if inForce {
 			return monoclock.Now().Sub(answered), nil
 		}
-		wait.For(ctx, rolloutPoll)
+		contexttime.Sleep(ctx, rolloutPoll)
 	}
 }
 
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/lab/hollow"
 	"github.com/decklever/decklever/lab/ledger"
 )
@@ -31,11 +31,11 @@
 
 // run causes all faults and undoes them; an error is one of the lab.
 func (f faults) run(ctx context.Context, ramp time.Duration) error {
-	if !wait.For(ctx, time.Duration(float64(ramp)*faultAt)) {
+	if !contexttime.Sleep(ctx, time.Duration(float64(ramp)*faultAt)) {
 		return nil
 	}
 	err := f.each(hollow.OrderKillWorker, hollow.OrderKillAgent, ledger.ActionExit)
-	if !wait.For(ctx, faultLength) {
+	if !contexttime.Sleep(ctx, faultLength) {
 		return err
 	}
 	return errors.Join(err, f.each(hollow.OrderStartWorker, hollow.OrderStartAgent, ledger.ActionStart))
--- a/lab/scale/measure.go
+++ b/lab/scale/measure.go
@@ -12,7 +12,7 @@
 
 	"github.com/prometheus/procfs"
 
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/lab/deployment"
 	"github.com/decklever/decklever/lab/fleet"
 	"github.com/decklever/decklever/lab/hollow"
@@ -108,7 +108,7 @@
 		if m.sampleMemory() > memoryLimitMB {
 			return errMemory
 		}
-		if !wait.For(ctx, memoryInterval) {
+		if !contexttime.Sleep(ctx, memoryInterval) {
 			return nil
 		}
 	}
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/lab/check"
 	"github.com/decklever/decklever/lab/fleet"
 	"github.com/decklever/decklever/lab/journal"
@@ -181,7 +181,7 @@
 			r.fail(fmt.Errorf("faults: %w", err))
 		}
 	})
-	if !wait.For(ctx, ramp) {
+	if !contexttime.Sleep(ctx, ramp) {
 		return Result{}, ctx.Err()
 	}
 	result, err := r.window(ctx)
@@ -211,7 +211,7 @@
 			r.fail(fmt.Errorf("changes: %w", err))
 		}
 	})
-	wait.For(ctx, r.config.Window)
+	contexttime.Sleep(ctx, r.config.Window)
 	r.meter.sampleMemory()
 	to, err := r.meter.take(ctx)
 	changing.Wait()
@@ -250,7 +250,7 @@
 			return
 		}
 		before = starts + ends
-		if !wait.For(ctx, 5*settleStep) {
+		if !contexttime.Sleep(ctx, 5*settleStep) {
 			return
 		}
 	}
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"github.com/decklever/decklever/internal/wait"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/lab/deployment"
 	"github.com/decklever/decklever/lab/fleet"
 	"github.com/decklever/decklever/lab/load"
@@ -68,7 +68,7 @@
 
 // pause waits; it reports an error if the context ends before.
 func pause(ctx context.Context, length time.Duration) error {
-	if !wait.For(ctx, length) {
+	if !contexttime.Sleep(ctx, length) {
 		return ctx.Err()
 	}
 	return nil
