--- a/cmd/decklever-worker/process.go
+++ b/cmd/decklever-worker/process.go
@@ -9,9 +9,9 @@
 	"sync"
 	"syscall"
 
-	"github.com/decklever/decklever/internal/builtin"
 	"github.com/decklever/decklever/internal/daemon"
 	"github.com/decklever/decklever/internal/settings"
+	"github.com/decklever/decklever/internal/taskhandlers"
 	"github.com/decklever/decklever/internal/telemetry"
 	"github.com/decklever/decklever/worker"
 )
@@ -27,7 +27,7 @@
 	logger := telemetry.NewLogger(telemetry.LoggerConfig{
 		Level: level, Format: initial.Log.Format, Program: program, Process: initial.Name,
 	})
-	services, err := builtin.Services(initial.Services)
+	services, err := taskhandlers.Services(initial.Services)
 	if err != nil {
 		return fmt.Errorf("%w: %w", daemon.ErrUsage, err)
 	}
--- a/docs/metrics_test.go
+++ b/docs/metrics_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/decklever/decklever/internal/agent"
 	"github.com/decklever/decklever/internal/front"
-	"github.com/decklever/decklever/internal/leaderlink"
+	"github.com/decklever/decklever/internal/leaderclient"
 	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/replica"
 	"github.com/decklever/decklever/internal/rpc"
@@ -48,7 +48,7 @@
 	names := descriptionNames{}
 	client := rpc.NewClient(rpc.ClientConfig{})
 	t.Cleanup(client.Close)
-	link := leaderlink.New(leaderlink.Config{Client: client})
+	link := leaderclient.New(leaderclient.Config{Client: client})
 	_, err := front.New(front.Config{Link: link, Client: client, Registerer: names})
 	must(t, err)
 	_, err = agent.New(agent.Config{
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -11,7 +11,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/httpjson"
-	"github.com/decklever/decklever/internal/leaderlink"
+	"github.com/decklever/decklever/internal/leaderclient"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -31,7 +31,7 @@
 	Zone func() string
 	// RelayTimeout bounds the relay of one heartbeat, on the monotonic clock.
 	RelayTimeout time.Duration
-	Link         *leaderlink.Client
+	Link         *leaderclient.Client
 	Client       *rpc.Client
 	// Status serves /healthz, /readyz and /metrics.
 	Status     http.Handler
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -15,8 +15,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
-	"github.com/decklever/decklever/internal/leaderlink"
+	"github.com/decklever/decklever/internal/leaderclient"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -26,7 +26,7 @@
 	server  *rpc.Server
 
 	mutex sync.Mutex
-	calls []fleet.HeartbeatRequest
+	calls []protocol.HeartbeatRequest
 	token uint64
 	err   error
 	// configVersion is answered.
@@ -42,14 +42,14 @@
 	t.Helper()
 	server := rpc.NewServer(rpc.ServerConfig{})
 	f := &fakeScheduler{server: server, token: 1}
-	rpc.Handle(server, fleet.MethodHeartbeat, f.heartbeat)
+	rpc.Handle(server, protocol.MethodHeartbeat, f.heartbeat)
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
 	f.address = strings.TrimPrefix(listener.URL, "http://")
 	return f
 }
 
-func (f *fakeScheduler) heartbeat(ctx context.Context, request fleet.HeartbeatRequest) (fleet.HeartbeatAnswer, error) {
+func (f *fakeScheduler) heartbeat(ctx context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
 	f.mutex.Lock()
 	f.calls = append(f.calls, request)
 	if deadline, bounded := ctx.Deadline(); bounded {
@@ -72,7 +72,7 @@
 		case <-ctx.Done():
 		}
 	}
-	return fleet.HeartbeatAnswer{Answer: answer}, err
+	return protocol.HeartbeatAnswer{Answer: answer}, err
 }
 
 func (f *fakeScheduler) count() int {
@@ -83,14 +83,14 @@
 
 type testAgent struct {
 	*Agent
-	link *leaderlink.Client
+	link *leaderclient.Client
 }
 
 func startAgent(t *testing.T, leader string, timeout time.Duration) testAgent {
 	t.Helper()
 	client := rpc.NewClient(rpc.ClientConfig{})
 	t.Cleanup(client.Close)
-	link := leaderlink.New(leaderlink.Config{
+	link := leaderclient.New(leaderclient.Config{
 		Process: "agent-1", Role: "agent", Zone: "z1", VersionOnly: true, Client: client, Seeds: func() []string { return nil },
 	})
 	link.ObserveHint(leader)
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/httpjson"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -62,8 +62,8 @@
 		if !known {
 			return unavailable("the leading scheduler is not known")
 		}
-		request := fleet.LeaveRequest{WorkerID: workerID, RemainingMillis: remainingMillis}
-		_, err := rpc.Call[fleet.LeaveRequest, fleet.Empty](ctx, a.config.Client, leader, fleet.MethodLeave, request)
+		request := protocol.LeaveRequest{WorkerID: workerID, RemainingMillis: remainingMillis}
+		_, err := rpc.Call[protocol.LeaveRequest, protocol.Empty](ctx, a.config.Client, leader, protocol.MethodLeave, request)
 		if err == nil {
 			return nil
 		}
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -9,19 +9,19 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
 // newLeaveScheduler serves MethodLeave on a scheduler of its own and returns what
 // came there.
-func newLeaveScheduler(t *testing.T, err error) (address string, notices *[]fleet.LeaveRequest) {
+func newLeaveScheduler(t *testing.T, err error) (address string, notices *[]protocol.LeaveRequest) {
 	t.Helper()
-	notices = &[]fleet.LeaveRequest{}
+	notices = &[]protocol.LeaveRequest{}
 	server := rpc.NewServer(rpc.ServerConfig{})
-	rpc.Handle(server, fleet.MethodLeave, func(_ context.Context, request fleet.LeaveRequest) (fleet.Empty, error) {
+	rpc.Handle(server, protocol.MethodLeave, func(_ context.Context, request protocol.LeaveRequest) (protocol.Empty, error) {
 		*notices = append(*notices, request)
-		return fleet.Empty{}, err
+		return protocol.Empty{}, err
 	})
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
@@ -42,7 +42,7 @@
 	if strings.TrimSpace(answer.Body.String()) != `{"leaving":true}` {
 		t.Errorf("answer %s", answer.Body)
 	}
-	want := fleet.LeaveRequest{WorkerID: "id", RemainingMillis: 2000}
+	want := protocol.LeaveRequest{WorkerID: "id", RemainingMillis: 2000}
 	if len(*notices) != 1 || (*notices)[0] != want {
 		t.Errorf("the leader got %+v", *notices)
 	}
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -5,7 +5,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/decklever/decklever/internal/leaderlink"
+	"github.com/decklever/decklever/internal/leaderclient"
 )
 
 // result is what became of a heartbeat, as a metrics label.
@@ -32,7 +32,7 @@
 }
 
 // newMetrics makes the metrics and registers them, if there is a registerer.
-func newMetrics(registerer prometheus.Registerer, link *leaderlink.Client) (*metrics, error) {
+func newMetrics(registerer prometheus.Registerer, link *leaderclient.Client) (*metrics, error) {
 	m := &metrics{
 		heartbeats: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "decklever_agent_heartbeats_total", Help: "Heartbeats of workers, by result.",
@@ -57,7 +57,7 @@
 }
 
 // watchAge is -1 until the first answer.
-func watchAge(link *leaderlink.Client) prometheus.Collector {
+func watchAge(link *leaderclient.Client) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "decklever_agent_watch_age_seconds", Help: "Time since the leader last answered the watch or a heartbeat; -1 if never.",
 	}, func() float64 {
@@ -69,7 +69,7 @@
 	})
 }
 
-func highestToken(link *leaderlink.Client) prometheus.Collector {
+func highestToken(link *leaderclient.Client) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "decklever_agent_token", Help: "Highest token seen.",
 	}, func() float64 { return float64(link.Token()) })
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -9,8 +9,8 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/internal/fleet"
-	"github.com/decklever/decklever/internal/leaderlink"
+	"github.com/decklever/decklever/internal/leaderclient"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -84,8 +84,8 @@
 	sentAt := time.Now()
 	supervised, end := a.config.Link.Supervise(ctx, leader.address)
 	defer end()
-	reply, err := rpc.Call[fleet.HeartbeatRequest, fleet.HeartbeatAnswer](
-		supervised, a.config.Client, leader.address, fleet.MethodHeartbeat, a.newRequest(heartbeat))
+	reply, err := rpc.Call[protocol.HeartbeatRequest, protocol.HeartbeatAnswer](
+		supervised, a.config.Client, leader.address, protocol.MethodHeartbeat, a.newRequest(heartbeat))
 	took := time.Since(sentAt)
 	a.metrics.relaySeconds.Observe(took.Seconds())
 	if err != nil {
@@ -100,7 +100,7 @@
 	}
 	answer, refusal = a.checkAnswer(heartbeat, reply.Answer)
 	if refusal == nil {
-		a.config.Link.ObserveHeartbeatAnswer(leader.address, sentAt, leaderlink.HeartbeatUpdate{
+		a.config.Link.ObserveHeartbeatAnswer(leader.address, sentAt, leaderclient.HeartbeatUpdate{
 			Token: answer.Token, ConfigVersion: answer.ConfigVersion,
 			Interval: time.Duration(answer.IntervalMillis) * time.Millisecond,
 		})
@@ -109,13 +109,13 @@
 }
 
 // newRequest adds what the agent knows about the worker's place.
-func (a *Agent) newRequest(heartbeat api.Heartbeat) fleet.HeartbeatRequest {
+func (a *Agent) newRequest(heartbeat api.Heartbeat) protocol.HeartbeatRequest {
 	zone := a.config.Zone()
 	labels := make(map[string]string, len(heartbeat.Labels)+1)
 	maps.Copy(labels, heartbeat.Labels)
 	labels[zoneLabel] = zone
 	heartbeat.Labels = labels
-	return fleet.HeartbeatRequest{
+	return protocol.HeartbeatRequest{
 		Agent: a.config.Name, Zone: zone, Heartbeat: heartbeat, ConfigVersion: a.config.Link.ConfigVersion(),
 	}
 }
--- a/internal/agent/relay_leader_test.go
+++ b/internal/agent/relay_leader_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"github.com/decklever/decklever/internal/fleet"
-	"github.com/decklever/decklever/internal/leaderlink"
+	"github.com/decklever/decklever/internal/leaderclient"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -92,13 +92,13 @@
 const watchedVersion = 7
 
 // watched has the link make a watch call that the scheduler answers.
-func (f *fakeScheduler) watched(t *testing.T, link *leaderlink.Client) {
+func (f *fakeScheduler) watched(t *testing.T, link *leaderclient.Client) {
 	t.Helper()
-	rpc.Handle(f.server, fleet.MethodWatch, func(ctx context.Context, request fleet.WatchRequest) (fleet.WatchAnswer, error) {
+	rpc.Handle(f.server, protocol.MethodWatch, func(ctx context.Context, request protocol.WatchRequest) (protocol.WatchAnswer, error) {
 		if request.MaxWaitMillis > 0 {
 			<-ctx.Done()
 		}
-		return fleet.WatchAnswer{Token: f.token, LeaderAddress: f.address, ConfigVersion: watchedVersion, LeaseMillis: time.Minute.Milliseconds()}, nil
+		return protocol.WatchAnswer{Token: f.token, LeaderAddress: f.address, ConfigVersion: watchedVersion, LeaseMillis: time.Minute.Milliseconds()}, nil
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
--- a/internal/agent/relay_pause_test.go
+++ b/internal/agent/relay_pause_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/decklever/decklever/internal/fleet"
-	"github.com/decklever/decklever/internal/leaderlink"
+	"github.com/decklever/decklever/internal/leaderclient"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -25,9 +25,9 @@
 	scheduler := startScheduler(t)
 	watched := make(chan struct{})
 	var once sync.Once
-	rpc.Handle(scheduler.server, fleet.MethodWatch, func(context.Context, fleet.WatchRequest) (fleet.WatchAnswer, error) {
+	rpc.Handle(scheduler.server, protocol.MethodWatch, func(context.Context, protocol.WatchRequest) (protocol.WatchAnswer, error) {
 		once.Do(func() { close(watched) })
-		return fleet.WatchAnswer{Token: 1, LeaseMillis: 1500}, nil
+		return protocol.WatchAnswer{Token: 1, LeaseMillis: 1500}, nil
 	})
 	watching := rpc.NewClient(rpc.ClientConfig{})
 	var dials atomic.Int64
@@ -35,7 +35,7 @@
 		dials.Add(1)
 		return nil, errors.New("refused")
 	}})
-	link := leaderlink.New(leaderlink.Config{
+	link := leaderclient.New(leaderclient.Config{
 		Process: "agent-1", Role: "agent", Zone: "z1", Client: watching, Seeds: func() []string { return []string{scheduler.address} },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/agent/relay_silent_test.go
+++ b/internal/agent/relay_silent_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"github.com/decklever/decklever/internal/fleet"
-	"github.com/decklever/decklever/internal/leaderlink"
+	"github.com/decklever/decklever/internal/leaderclient"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -27,20 +27,20 @@
 	s := &watchedScheduler{token: token}
 	heartbeats := &fakeScheduler{token: token}
 	server := rpc.NewServer(rpc.ServerConfig{})
-	rpc.Handle(server, fleet.MethodHeartbeat, func(ctx context.Context, request fleet.HeartbeatRequest) (fleet.HeartbeatAnswer, error) {
+	rpc.Handle(server, protocol.MethodHeartbeat, func(ctx context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
 		if s.silent.Load() {
 			<-ctx.Done()
 		}
 		return heartbeats.heartbeat(ctx, request)
 	})
-	rpc.Handle(server, fleet.MethodWatch, func(ctx context.Context, _ fleet.WatchRequest) (fleet.WatchAnswer, error) {
+	rpc.Handle(server, protocol.MethodWatch, func(ctx context.Context, _ protocol.WatchRequest) (protocol.WatchAnswer, error) {
 		if s.silent.Load() {
 			<-ctx.Done()
 		}
 		if !s.leads.Load() {
-			return fleet.WatchAnswer{}, &rpc.Error{Code: rpc.CodeNotLeader}
+			return protocol.WatchAnswer{}, &rpc.Error{Code: rpc.CodeNotLeader}
 		}
-		return fleet.WatchAnswer{Token: token, LeaseMillis: 1500}, nil
+		return protocol.WatchAnswer{Token: token, LeaseMillis: 1500}, nil
 	})
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
@@ -72,7 +72,7 @@
 func (a *testAgent) follow(t *testing.T, seeds ...string) {
 	t.Helper()
 	client := rpc.NewClient(rpc.ClientConfig{})
-	link := leaderlink.New(leaderlink.Config{Process: "agent-1", Role: "agent", Zone: "z1", VersionOnly: true, Client: client, Seeds: func() []string { return seeds }})
+	link := leaderclient.New(leaderclient.Config{Process: "agent-1", Role: "agent", Zone: "z1", VersionOnly: true, Client: client, Seeds: func() []string { return seeds }})
 	a.link, a.config.Link = link, link
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/internal/agent/relay_worker_test.go
+++ b/internal/agent/relay_worker_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 	"github.com/decklever/decklever/worker"
 )
@@ -35,12 +35,12 @@
 	closed int // runs closed as lost
 }
 
-func (l *lossyLeader) heartbeat(_ context.Context, request fleet.HeartbeatRequest) (fleet.HeartbeatAnswer, error) {
+func (l *lossyLeader) heartbeat(_ context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	heartbeat := request.Heartbeat
 	if heartbeat.Seq <= l.newest {
-		return fleet.HeartbeatAnswer{}, errors.New("seq came twice or late")
+		return protocol.HeartbeatAnswer{}, errors.New("seq came twice or late")
 	}
 	l.newest = heartbeat.Seq
 	answer := api.HeartbeatAnswer{Seq: heartbeat.Seq, Token: 1, HoldMillis: 3000, IntervalMillis: 10}
@@ -59,9 +59,9 @@
 		}
 	}
 	if l.random.IntN(2) == 0 { // the answer is lost: its orders can take no effect
-		return fleet.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable}
+		return protocol.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable}
 	}
-	return fleet.HeartbeatAnswer{Answer: answer}, nil
+	return protocol.HeartbeatAnswer{Answer: answer}, nil
 }
 
 func (l *lossyLeader) reconcile(heartbeat api.Heartbeat, name string, task *placedTask) {
@@ -95,7 +95,7 @@
 		leader.tasks[fmt.Sprintf("j/s/%d", i)] = &placedTask{run: 1}
 	}
 	server := rpc.NewServer(rpc.ServerConfig{})
-	rpc.Handle(server, fleet.MethodHeartbeat, leader.heartbeat)
+	rpc.Handle(server, protocol.MethodHeartbeat, leader.heartbeat)
 	scheduler := httptest.NewServer(server)
 	defer scheduler.Close()
 	agent := httptest.NewServer(startAgent(t, scheduler.Listener.Addr().String(), time.Second))
--- a/internal/compatibility/messages/calls_test.go
+++ b/internal/compatibility/messages/calls_test.go
@@ -14,7 +14,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"github.com/decklever/decklever/internal/compatibility/golden"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -74,7 +74,7 @@
 
 // record makes calls of a method with empty messages, skeletons and filled ones, checks
 // that both sides read what was sent, and keeps the bytes.
-func record[Request, Answer any](t *testing.T, f *fixture, method fleet.Method) {
+func record[Request, Answer any](t *testing.T, f *fixture, method protocol.Method) {
 	t.Helper()
 	var received Request
 	var reply Answer
@@ -108,7 +108,7 @@
 	}
 }
 
-func call[Request, Answer any](t *testing.T, f *fixture, method fleet.Method, request Request) Answer {
+func call[Request, Answer any](t *testing.T, f *fixture, method protocol.Method, request Request) Answer {
 	t.Helper()
 	answer, err := rpc.Call[Request, Answer](t.Context(), f.client, f.address, method, request)
 	if err != nil {
@@ -138,50 +138,50 @@
 
 func recordReplicaCalls(t *testing.T, f *fixture) {
 	t.Helper()
-	record[fleet.RaftRequest, fleet.Empty](t, f, fleet.MethodRaft)
-	record[fleet.SnapshotChunkRequest, fleet.SnapshotChunkAnswer](t, f, fleet.MethodSnapshotChunk)
-	record[fleet.ArchivePageRequest, fleet.ArchivePageAnswer](t, f, fleet.MethodArchivePage)
-	record[fleet.Empty, fleet.IdentityAnswer](t, f, fleet.MethodIdentity)
-	record[fleet.JoinRequest, fleet.JoinAnswer](t, f, fleet.MethodJoin)
-	record[fleet.RetireRequest, fleet.RetireAnswer](t, f, fleet.MethodRetire)
-	record[fleet.Empty, fleet.ReadIndexAnswer](t, f, fleet.MethodReadIndex)
+	record[protocol.RaftRequest, protocol.Empty](t, f, protocol.MethodRaft)
+	record[protocol.SnapshotChunkRequest, protocol.SnapshotChunkAnswer](t, f, protocol.MethodSnapshotChunk)
+	record[protocol.ArchivePageRequest, protocol.ArchivePageAnswer](t, f, protocol.MethodArchivePage)
+	record[protocol.Empty, protocol.IdentityAnswer](t, f, protocol.MethodIdentity)
+	record[protocol.JoinRequest, protocol.JoinAnswer](t, f, protocol.MethodJoin)
+	record[protocol.RetireRequest, protocol.RetireAnswer](t, f, protocol.MethodRetire)
+	record[protocol.Empty, protocol.ReadIndexAnswer](t, f, protocol.MethodReadIndex)
 }
 
 func recordWorkerCalls(t *testing.T, f *fixture) {
 	t.Helper()
-	record[fleet.HeartbeatRequest, fleet.HeartbeatAnswer](t, f, fleet.MethodHeartbeat)
-	record[fleet.LeaveRequest, fleet.Empty](t, f, fleet.MethodLeave)
-	record[fleet.WatchRequest, fleet.WatchAnswer](t, f, fleet.MethodWatch)
+	record[protocol.HeartbeatRequest, protocol.HeartbeatAnswer](t, f, protocol.MethodHeartbeat)
+	record[protocol.LeaveRequest, protocol.Empty](t, f, protocol.MethodLeave)
+	record[protocol.WatchRequest, protocol.WatchAnswer](t, f, protocol.MethodWatch)
 }
 
 func recordJobCalls(t *testing.T, f *fixture) {
 	t.Helper()
-	record[fleet.SubmitRequest, fleet.SubmitAnswer](t, f, fleet.MethodSubmit)
-	record[fleet.CancelRequest, fleet.JobAnswer](t, f, fleet.MethodCancel)
-	record[fleet.CancelManyRequest, fleet.CancelManyAnswer](t, f, fleet.MethodCancelMany)
-	record[fleet.GetJobRequest, fleet.JobAnswer](t, f, fleet.MethodGetJob)
-	record[fleet.ListJobsRequest, fleet.ListJobsAnswer](t, f, fleet.MethodListJobs)
+	record[protocol.SubmitRequest, protocol.SubmitAnswer](t, f, protocol.MethodSubmit)
+	record[protocol.CancelRequest, protocol.JobAnswer](t, f, protocol.MethodCancel)
+	record[protocol.CancelManyRequest, protocol.CancelManyAnswer](t, f, protocol.MethodCancelMany)
+	record[protocol.GetJobRequest, protocol.JobAnswer](t, f, protocol.MethodGetJob)
+	record[protocol.ListJobsRequest, protocol.ListJobsAnswer](t, f, protocol.MethodListJobs)
 }
 
 func recordConfigCalls(t *testing.T, f *fixture) {
 	t.Helper()
-	record[fleet.ConfigRequest, fleet.ConfigAnswer](t, f, fleet.MethodGetConfig)
-	record[fleet.PutConfigRequest, fleet.PutConfigAnswer](t, f, fleet.MethodPutConfig)
-	record[fleet.ValidateConfigRequest, fleet.Empty](t, f, fleet.MethodValidateConfig)
-	record[fleet.Empty, fleet.ConfigVersionsAnswer](t, f, fleet.MethodConfigVersions)
-	record[fleet.Empty, fleet.RolloutAnswer](t, f, fleet.MethodRollout)
+	record[protocol.ConfigRequest, protocol.ConfigAnswer](t, f, protocol.MethodGetConfig)
+	record[protocol.PutConfigRequest, protocol.PutConfigAnswer](t, f, protocol.MethodPutConfig)
+	record[protocol.ValidateConfigRequest, protocol.Empty](t, f, protocol.MethodValidateConfig)
+	record[protocol.Empty, protocol.ConfigVersionsAnswer](t, f, protocol.MethodConfigVersions)
+	record[protocol.Empty, protocol.RolloutAnswer](t, f, protocol.MethodRollout)
 }
 
 func recordOperatorCalls(t *testing.T, f *fixture) {
 	t.Helper()
-	record[fleet.BookingsRequest, fleet.BookingsAnswer](t, f, fleet.MethodBookings)
-	record[fleet.ReleaseRequest, fleet.Empty](t, f, fleet.MethodRelease)
-	record[fleet.DrainZoneRequest, fleet.Empty](t, f, fleet.MethodDrainZone)
-	record[fleet.Empty, fleet.DrainsAnswer](t, f, fleet.MethodDrains)
-	record[fleet.Empty, fleet.WorkersAnswer](t, f, fleet.MethodWorkers)
-	record[fleet.Empty, fleet.MembersAnswer](t, f, fleet.MethodMembers)
-	record[fleet.Empty, fleet.QueuesAnswer](t, f, fleet.MethodQueues)
-	record[fleet.QueueRequest, fleet.QueueAnswer](t, f, fleet.MethodQueue)
+	record[protocol.BookingsRequest, protocol.BookingsAnswer](t, f, protocol.MethodBookings)
+	record[protocol.ReleaseRequest, protocol.Empty](t, f, protocol.MethodRelease)
+	record[protocol.DrainZoneRequest, protocol.Empty](t, f, protocol.MethodDrainZone)
+	record[protocol.Empty, protocol.DrainsAnswer](t, f, protocol.MethodDrains)
+	record[protocol.Empty, protocol.WorkersAnswer](t, f, protocol.MethodWorkers)
+	record[protocol.Empty, protocol.MembersAnswer](t, f, protocol.MethodMembers)
+	record[protocol.Empty, protocol.QueuesAnswer](t, f, protocol.MethodQueues)
+	record[protocol.QueueRequest, protocol.QueueAnswer](t, f, protocol.MethodQueue)
 }
 
 // explainCBOR writes encoded bytes in the diagnostic notation of RFC 8949.
--- a/internal/compatibility/messages/refusals_test.go
+++ b/internal/compatibility/messages/refusals_test.go
@@ -10,13 +10,13 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/compatibility/golden"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
 // refusedMethod is served by the tests of refusals only.
-const refusedMethod fleet.Method = "refused"
+const refusedMethod protocol.Method = "refused"
 
 func TestRefusals_EncodedAsBefore(t *testing.T) {
 	apiError := filled[api.Error](t, "refusal")
@@ -50,10 +50,10 @@
 func refuse(t *testing.T, refusal *rpc.Error) (exchange, *rpc.Error) {
 	t.Helper()
 	f := newFixture(t)
-	rpc.Handle(f.server, refusedMethod, func(context.Context, fleet.Empty) (fleet.Empty, error) {
-		return fleet.Empty{}, refusal
+	rpc.Handle(f.server, refusedMethod, func(context.Context, protocol.Empty) (protocol.Empty, error) {
+		return protocol.Empty{}, refusal
 	})
-	_, err := rpc.Call[fleet.Empty, fleet.Empty](t.Context(), f.client, f.address, refusedMethod, fleet.Empty{})
+	_, err := rpc.Call[protocol.Empty, protocol.Empty](t.Context(), f.client, f.address, refusedMethod, protocol.Empty{})
 	var received *rpc.Error
 	if !errors.As(err, &received) {
 		t.Fatalf("the client returned %v, want a refusal", err)
--- a/internal/mechanism/doc.go
+++ b/internal/featuregate/doc.go
@@ -5,4 +5,4 @@
 // Nothing that a promise rests on is among them: holds, leases, fencing tokens, the
 // ready gate, syncs and the checks at commit cannot be switched off. What is off is
 // only what the scheduler prefers, so that every mix of mechanisms keeps all promises.
-package mechanism
+package featuregate
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/featuregate/mechanism_test.go
@@ -1,4 +1,4 @@
-package mechanism
+package featuregate
 
 import (
 	"strings"
--- a/internal/front/booking_calls.go
+++ b/internal/front/booking_calls.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/httpjson"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 const (
@@ -32,7 +32,7 @@
 
 // Bookings lists the windows that overlap the time from now to the horizon.
 func (f *Front) Bookings(ctx context.Context, horizon time.Duration) (api.BookingList, *api.Error) {
-	answer, refusal := read[fleet.BookingsAnswer](ctx, f, fleet.MethodBookings, fleet.BookingsRequest{HorizonMillis: horizon.Milliseconds()})
+	answer, refusal := read[protocol.BookingsAnswer](ctx, f, protocol.MethodBookings, protocol.BookingsRequest{HorizonMillis: horizon.Milliseconds()})
 	answer.List.Bookings = nonNilSlice(answer.List.Bookings)
 	return answer.List, refusal
 }
@@ -52,7 +52,7 @@
 	if fields := api.ValidateRelease(&release); len(fields) > 0 {
 		return api.ReleaseAnswer{}, httpjson.Invalid("release", fields)
 	}
-	_, refusal := change[fleet.Empty](ctx, f, fleet.MethodRelease, fleet.ReleaseRequest{Release: release})
+	_, refusal := change[protocol.Empty](ctx, f, protocol.MethodRelease, protocol.ReleaseRequest{Release: release})
 	return api.ReleaseAnswer{Released: true}, refusal
 }
 
--- a/internal/front/booking_calls_test.go
+++ b/internal/front/booking_calls_test.go
@@ -8,15 +8,15 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 func TestBookings_HorizonIsRelayed(t *testing.T) {
 	leader := newLeader(t)
 	var asked []int64
-	handleMethod(leader, fleet.MethodBookings, func(_ context.Context, request fleet.BookingsRequest, _ int) (fleet.BookingsAnswer, error) {
+	handleMethod(leader, protocol.MethodBookings, func(_ context.Context, request protocol.BookingsRequest, _ int) (protocol.BookingsAnswer, error) {
 		asked = append(asked, request.HorizonMillis)
-		return fleet.BookingsAnswer{}, nil
+		return protocol.BookingsAnswer{}, nil
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	for _, path := range []string{"/v1/bookings", "/v1/bookings?hours=1", "/v1/bookings?hours=168"} {
@@ -36,9 +36,9 @@
 func TestReleaseBooking_IsRelayed(t *testing.T) {
 	leader := newLeader(t)
 	var got api.ReleaseRequest
-	handleMethod(leader, fleet.MethodRelease, func(_ context.Context, request fleet.ReleaseRequest, _ int) (fleet.Empty, error) {
+	handleMethod(leader, protocol.MethodRelease, func(_ context.Context, request protocol.ReleaseRequest, _ int) (protocol.Empty, error) {
 		got = request.Release
-		return fleet.Empty{}, nil
+		return protocol.Empty{}, nil
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	answer := requireOK[api.ReleaseAnswer](t, doRequest(t, front, "POST", "/v1/bookings/release", goodRelease), 200)
@@ -54,8 +54,8 @@
 
 func TestCancelMany_IsCheckedAndRelayed(t *testing.T) {
 	leader := newLeader(t)
-	handleMethod(leader, fleet.MethodCancelMany, func(_ context.Context, request fleet.CancelManyRequest, _ int) (fleet.CancelManyAnswer, error) {
-		return fleet.CancelManyAnswer{Answer: api.CancelAnswer{Cancelled: len(request.Cancel.Jobs) + 100*len(request.Cancel.Queue)}}, nil
+	handleMethod(leader, protocol.MethodCancelMany, func(_ context.Context, request protocol.CancelManyRequest, _ int) (protocol.CancelManyAnswer, error) {
+		return protocol.CancelManyAnswer{Answer: api.CancelAnswer{Cancelled: len(request.Cancel.Jobs) + 100*len(request.Cancel.Queue)}}, nil
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	longest := `"` + strings.Repeat("j", 128) + `"`
--- a/internal/front/cancel_calls.go
+++ b/internal/front/cancel_calls.go
@@ -5,8 +5,8 @@
 	"net/http"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/httpjson"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // maxCancelBytes bounds the body of a cancellation; the most ids of the
@@ -28,6 +28,6 @@
 	if fields := api.ValidateCancel(&cancel); len(fields) > 0 {
 		return api.CancelAnswer{}, httpjson.Invalid("cancellation", fields)
 	}
-	answer, refusal := change[fleet.CancelManyAnswer](ctx, f, fleet.MethodCancelMany, fleet.CancelManyRequest{Cancel: cancel})
+	answer, refusal := change[protocol.CancelManyAnswer](ctx, f, protocol.MethodCancelMany, protocol.CancelManyRequest{Cancel: cancel})
 	return answer.Answer, refusal
 }
--- a/internal/front/config_calls.go
+++ b/internal/front/config_calls.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/httpjson"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // maxConfigBytes bounds the body of a configuration.
@@ -36,7 +36,7 @@
 
 // Config reads the configuration in force, as it was given.
 func (f *Front) Config(ctx context.Context) (api.ConfigStatus, *api.Error) {
-	answer, refusal := read[fleet.ConfigAnswer](ctx, f, fleet.MethodGetConfig, fleet.Empty{})
+	answer, refusal := read[protocol.ConfigAnswer](ctx, f, protocol.MethodGetConfig, protocol.Empty{})
 	answer.Status.Config.Queues = nonNilSlice(answer.Status.Config.Queues)
 	return answer.Status, refusal
 }
@@ -44,7 +44,7 @@
 // ConfigAnnotation reads one annotation of the configuration, and the version.
 // The rest stays with the leader: it may be large, and the way to it narrow.
 func (f *Front) ConfigAnnotation(ctx context.Context, name string) (version uint64, value string, refusal *api.Error) {
-	answer, refusal := read[fleet.ConfigAnswer](ctx, f, fleet.MethodGetConfig, fleet.ConfigRequest{Annotation: name})
+	answer, refusal := read[protocol.ConfigAnswer](ctx, f, protocol.MethodGetConfig, protocol.ConfigRequest{Annotation: name})
 	return answer.Status.Version, answer.Status.Config.Annotations[name], refusal
 }
 
@@ -69,8 +69,8 @@
 // PutConfig proposes a configuration in the place of the version base. The same
 // order id again gets the same answer.
 func (f *Front) PutConfig(ctx context.Context, orderID string, base uint64, config api.Config) (api.ConfigStatus, *api.Error) {
-	request := fleet.PutConfigRequest{OrderID: orderID, Base: base, Config: config}
-	answer, refusal := change[fleet.PutConfigAnswer](ctx, f, fleet.MethodPutConfig, request)
+	request := protocol.PutConfigRequest{OrderID: orderID, Base: base, Config: config}
+	answer, refusal := change[protocol.PutConfigAnswer](ctx, f, protocol.MethodPutConfig, request)
 	return api.ConfigStatus{Version: answer.Version, Config: config}, refusal
 }
 
@@ -89,20 +89,20 @@
 	if fields := api.ValidateConfig(&config); len(fields) > 0 {
 		return api.ValidateAnswer{}, httpjson.Invalid("configuration", fields)
 	}
-	_, refusal := read[fleet.Empty](ctx, f, fleet.MethodValidateConfig, fleet.ValidateConfigRequest{Config: config})
+	_, refusal := read[protocol.Empty](ctx, f, protocol.MethodValidateConfig, protocol.ValidateConfigRequest{Config: config})
 	return api.ValidateAnswer{Valid: true}, refusal
 }
 
 // ConfigVersions lists the versions that were accepted.
 func (f *Front) ConfigVersions(ctx context.Context) (api.ConfigVersions, *api.Error) {
-	answer, refusal := read[fleet.ConfigVersionsAnswer](ctx, f, fleet.MethodConfigVersions, fleet.Empty{})
+	answer, refusal := read[protocol.ConfigVersionsAnswer](ctx, f, protocol.MethodConfigVersions, protocol.Empty{})
 	answer.Versions.Versions = nonNilSlice(answer.Versions.Versions)
 	return answer.Versions, refusal
 }
 
 // Rollout says which process has which version.
 func (f *Front) Rollout(ctx context.Context) (api.Rollout, *api.Error) {
-	answer, refusal := read[fleet.RolloutAnswer](ctx, f, fleet.MethodRollout, fleet.Empty{})
+	answer, refusal := read[protocol.RolloutAnswer](ctx, f, protocol.MethodRollout, protocol.Empty{})
 	answer.Rollout.Processes = nonNilSlice(answer.Rollout.Processes)
 	return answer.Rollout, refusal
 }
--- a/internal/front/drain_calls.go
+++ b/internal/front/drain_calls.go
@@ -5,8 +5,8 @@
 	"net/http"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/httpjson"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // SetZoneDrain drains a zone by an order of its own, or takes that back. It
@@ -16,13 +16,13 @@
 	if fields := api.ValidateZoneDrain(&drain); len(fields) > 0 {
 		return httpjson.Invalid("drain", fields)
 	}
-	_, refusal := change[fleet.Empty](ctx, f, fleet.MethodDrainZone, fleet.DrainZoneRequest{Drain: drain})
+	_, refusal := change[protocol.Empty](ctx, f, protocol.MethodDrainZone, protocol.DrainZoneRequest{Drain: drain})
 	return refusal
 }
 
 // Drains lists the zones that are drained by orders.
 func (f *Front) Drains(ctx context.Context) (api.DrainList, *api.Error) {
-	answer, refusal := read[fleet.DrainsAnswer](ctx, f, fleet.MethodDrains, fleet.Empty{})
+	answer, refusal := read[protocol.DrainsAnswer](ctx, f, protocol.MethodDrains, protocol.Empty{})
 	answer.List.Zones = nonNilSlice(answer.List.Zones)
 	return answer.List, refusal
 }
--- a/internal/front/drain_calls_test.go
+++ b/internal/front/drain_calls_test.go
@@ -6,16 +6,16 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
 func TestZoneDrain_IsRelayed(t *testing.T) {
 	leader := newLeader(t)
 	var got []api.ZoneDrain
-	handleMethod(leader, fleet.MethodDrainZone, func(_ context.Context, request fleet.DrainZoneRequest, _ int) (fleet.Empty, error) {
+	handleMethod(leader, protocol.MethodDrainZone, func(_ context.Context, request protocol.DrainZoneRequest, _ int) (protocol.Empty, error) {
 		got = append(got, request.Drain)
-		return fleet.Empty{}, nil
+		return protocol.Empty{}, nil
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	drained, restored := api.ZoneDrain{Zone: "z1", Drained: true}, api.ZoneDrain{Zone: "z1"}
@@ -41,7 +41,7 @@
 
 func TestDrains_NoneIsEmptyList(t *testing.T) {
 	leader := newLeader(t)
-	serveAnswer[fleet.Empty](leader, fleet.MethodDrains, fleet.DrainsAnswer{})
+	serveAnswer[protocol.Empty](leader, protocol.MethodDrains, protocol.DrainsAnswer{})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	if answer := doRequest(t, front, "GET", "/v1/drains", ""); answer.Body.String() != "{\"zones\":[]}\n" {
 		t.Errorf("answer %s", answer.Body)
@@ -50,7 +50,7 @@
 
 func TestZoneDrain_LostAnswerIsUnknownOutcome(t *testing.T) {
 	leader := newLeader(t)
-	failMethod[fleet.DrainZoneRequest, fleet.Empty](leader, fleet.MethodDrainZone, &rpc.Error{Code: rpc.CodeUnknownOutcome, Message: "no quorum"})
+	failMethod[protocol.DrainZoneRequest, protocol.Empty](leader, protocol.MethodDrainZone, &rpc.Error{Code: rpc.CodeUnknownOutcome, Message: "no quorum"})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{Deadline: 100 * time.Millisecond})
 	requireError(t, doRequest(t, front, "PUT", "/v1/drains/zones/z1", ""), 503, api.CodeOutcomeUnknown)
 }
--- a/internal/front/fakes_test.go
+++ b/internal/front/fakes_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 	"github.com/decklever/decklever/internal/testnetwork"
 )
@@ -83,7 +83,7 @@
 	server  *rpc.Server
 	address string
 	mutex   sync.Mutex
-	calls   []fleet.Method
+	calls   []protocol.Method
 }
 
 func newLeader(t *testing.T) *fakeLeader {
@@ -107,7 +107,7 @@
 }
 
 // handleMethod serves a method; the handler gets the number of the call, from 1.
-func handleMethod[Request, Answer any](leader *fakeLeader, method fleet.Method, handler func(context.Context, Request, int) (Answer, error)) {
+func handleMethod[Request, Answer any](leader *fakeLeader, method protocol.Method, handler func(context.Context, Request, int) (Answer, error)) {
 	rpc.Handle(leader.server, method, func(ctx context.Context, request Request) (Answer, error) {
 		leader.mutex.Lock()
 		leader.calls = append(leader.calls, method)
@@ -124,7 +124,7 @@
 }
 
 // failMethod serves a method with one error.
-func failMethod[Request, Answer any](leader *fakeLeader, method fleet.Method, err error) {
+func failMethod[Request, Answer any](leader *fakeLeader, method protocol.Method, err error) {
 	handleMethod(leader, method, func(context.Context, Request, int) (Answer, error) {
 		var none Answer
 		return none, err
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -23,7 +23,7 @@
 )
 
 // Link says where the leader is and what configuration is in force here;
-// *leaderlink.Client is one.
+// *leaderclient.Client is one.
 type Link interface {
 	// Leader returns the address of the leader, if it is known.
 	Leader() (address string, ok bool)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 func TestFront_RejectsMalformedRequests(t *testing.T) {
@@ -65,24 +65,24 @@
 func TestSubmit_AnswersOfLeader(t *testing.T) {
 	cases := []struct {
 		name       string
-		answer     fleet.SubmitAnswer
+		answer     protocol.SubmitAnswer
 		err        error
 		status     int
 		code       api.ErrorCode
 		retryAfter string
 	}{
-		{"new", fleet.SubmitAnswer{Created: true}, nil, 201, "", ""},
-		{"same again", fleet.SubmitAnswer{}, nil, 200, "", ""},
-		{"other content", fleet.SubmitAnswer{}, apiError(409, api.CodeConflict, 0), 409, api.CodeConflict, ""},
-		{"impossible", fleet.SubmitAnswer{}, apiError(422, api.CodeImpossible, 0), 422, api.CodeImpossible, ""},
-		{"over a limit", fleet.SubmitAnswer{}, apiError(429, api.CodeOverLimit, 1500), 429, api.CodeOverLimit, "2"},
-		{"not now", fleet.SubmitAnswer{}, apiError(503, api.CodeUnavailable, 0), 503, api.CodeUnavailable, "1"},
-		{"no status", fleet.SubmitAnswer{}, apiError(0, api.CodeInternal, 0), 500, "", ""},
+		{"new", protocol.SubmitAnswer{Created: true}, nil, 201, "", ""},
+		{"same again", protocol.SubmitAnswer{}, nil, 200, "", ""},
+		{"other content", protocol.SubmitAnswer{}, apiError(409, api.CodeConflict, 0), 409, api.CodeConflict, ""},
+		{"impossible", protocol.SubmitAnswer{}, apiError(422, api.CodeImpossible, 0), 422, api.CodeImpossible, ""},
+		{"over a limit", protocol.SubmitAnswer{}, apiError(429, api.CodeOverLimit, 1500), 429, api.CodeOverLimit, "2"},
+		{"not now", protocol.SubmitAnswer{}, apiError(503, api.CodeUnavailable, 0), 503, api.CodeUnavailable, "1"},
+		{"no status", protocol.SubmitAnswer{}, apiError(0, api.CodeInternal, 0), 500, "", ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			leader := newLeader(t)
-			handleMethod(leader, fleet.MethodSubmit, func(_ context.Context, request fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
+			handleMethod(leader, protocol.MethodSubmit, func(_ context.Context, request protocol.SubmitRequest, _ int) (protocol.SubmitAnswer, error) {
 				if request.ID != "a:b" || request.Spec.Queue != "default" {
 					t.Errorf("relayed %+v", request)
 				}
@@ -109,11 +109,11 @@
 	leader := newLeader(t)
 	fields := []api.FieldError{{Field: "queues", Value: "[]", Expected: "at least one"}}
 	refusal := &api.Error{Status: 422, Code: api.CodeInvalid, Message: "invalid", Fields: fields}
-	handleMethod(leader, fleet.MethodPutConfig, func(_ context.Context, request fleet.PutConfigRequest, _ int) (fleet.PutConfigAnswer, error) {
+	handleMethod(leader, protocol.MethodPutConfig, func(_ context.Context, request protocol.PutConfigRequest, _ int) (protocol.PutConfigAnswer, error) {
 		if request.OrderID != "o" {
 			t.Errorf("relayed %+v", request)
 		}
-		return fleet.PutConfigAnswer{}, refusal
+		return protocol.PutConfigAnswer{}, refusal
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	put := doRequest(t, front, "PUT", "/v1/config", `{"queues":[]}`, "If-Match", "0", "Idempotency-Key", "o")
@@ -124,28 +124,28 @@
 
 func TestFront_ReadsAndConfiguration(t *testing.T) {
 	leader := newLeader(t)
-	handleMethod(leader, fleet.MethodGetConfig, func(_ context.Context, request fleet.ConfigRequest, _ int) (fleet.ConfigAnswer, error) {
+	handleMethod(leader, protocol.MethodGetConfig, func(_ context.Context, request protocol.ConfigRequest, _ int) (protocol.ConfigAnswer, error) {
 		config := api.Config{Annotations: map[string]string{request.Annotation: "said"}}
-		return fleet.ConfigAnswer{Status: api.ConfigStatus{Version: 7, Config: config}}, nil
+		return protocol.ConfigAnswer{Status: api.ConfigStatus{Version: 7, Config: config}}, nil
 	})
-	handleMethod(leader, fleet.MethodPutConfig, func(_ context.Context, request fleet.PutConfigRequest, _ int) (fleet.PutConfigAnswer, error) {
+	handleMethod(leader, protocol.MethodPutConfig, func(_ context.Context, request protocol.PutConfigRequest, _ int) (protocol.PutConfigAnswer, error) {
 		if request.Base != 7 {
-			return fleet.PutConfigAnswer{}, apiError(412, api.CodeLostRace, 0)
+			return protocol.PutConfigAnswer{}, apiError(412, api.CodeLostRace, 0)
 		}
 		if request.OrderID != "order-1" || len(request.Config.Queues) != 1 {
 			t.Errorf("relayed %+v", request)
 		}
-		return fleet.PutConfigAnswer{Version: 8}, nil
+		return protocol.PutConfigAnswer{Version: 8}, nil
 	})
-	handleMethod(leader, fleet.MethodValidateConfig, func(context.Context, fleet.ValidateConfigRequest, int) (fleet.Empty, error) {
-		return fleet.Empty{}, nil
+	handleMethod(leader, protocol.MethodValidateConfig, func(context.Context, protocol.ValidateConfigRequest, int) (protocol.Empty, error) {
+		return protocol.Empty{}, nil
 	})
-	failMethod[fleet.GetJobRequest, fleet.JobAnswer](leader, fleet.MethodGetJob, apiError(404, api.CodeNotFound, 0))
-	handleMethod(leader, fleet.MethodListJobs, func(_ context.Context, request fleet.ListJobsRequest, _ int) (fleet.ListJobsAnswer, error) {
-		if request != (fleet.ListJobsRequest{Queue: "q", State: api.StateFailed, Limit: 5, PageToken: "t"}) {
+	failMethod[protocol.GetJobRequest, protocol.JobAnswer](leader, protocol.MethodGetJob, apiError(404, api.CodeNotFound, 0))
+	handleMethod(leader, protocol.MethodListJobs, func(_ context.Context, request protocol.ListJobsRequest, _ int) (protocol.ListJobsAnswer, error) {
+		if request != (protocol.ListJobsRequest{Queue: "q", State: api.StateFailed, Limit: 5, PageToken: "t"}) {
 			t.Errorf("relayed %+v", request)
 		}
-		return fleet.ListJobsAnswer{}, nil
+		return protocol.ListJobsAnswer{}, nil
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 
@@ -176,13 +176,13 @@
 	entered, done := make(chan struct{}, 1), make(chan struct{})
 	release := sync.OnceFunc(func() { close(done) })
 	t.Cleanup(release) // before the leader's server waits for its handlers
-	handleMethod(leader, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
+	handleMethod(leader, protocol.MethodSubmit, func(context.Context, protocol.SubmitRequest, int) (protocol.SubmitAnswer, error) {
 		entered <- struct{}{}
 		<-done
-		return fleet.SubmitAnswer{Created: true}, nil
+		return protocol.SubmitAnswer{Created: true}, nil
 	})
-	handleMethod(leader, fleet.MethodGetJob, func(context.Context, fleet.GetJobRequest, int) (fleet.JobAnswer, error) {
-		return fleet.JobAnswer{Status: api.JobStatus{State: api.StateSucceeded}}, nil
+	handleMethod(leader, protocol.MethodGetJob, func(context.Context, protocol.GetJobRequest, int) (protocol.JobAnswer, error) {
+		return protocol.JobAnswer{Status: api.JobStatus{State: api.StateSucceeded}}, nil
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{MaxInflight: 1})
 	first := make(chan *httptest.ResponseRecorder, 1)
@@ -197,8 +197,8 @@
 
 func TestSubmit_RateIsLimited(t *testing.T) {
 	leader := newLeader(t)
-	handleMethod(leader, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
-		return fleet.SubmitAnswer{Created: true}, nil
+	handleMethod(leader, protocol.MethodSubmit, func(context.Context, protocol.SubmitRequest, int) (protocol.SubmitAnswer, error) {
+		return protocol.SubmitAnswer{Created: true}, nil
 	})
 	link := &fakeLink{leader: leader.address, config: &api.Config{Limits: api.LimitConfig{SubmitsPerSecond: 1}}}
 	front := newFront(t, link, Settings{})
@@ -218,11 +218,11 @@
 // A flood of refused jobs must not use up the submissions of others.
 func TestSubmit_RejectedJobsReturnTokens(t *testing.T) {
 	leader := newLeader(t)
-	handleMethod(leader, fleet.MethodSubmit, func(_ context.Context, request fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
+	handleMethod(leader, protocol.MethodSubmit, func(_ context.Context, request protocol.SubmitRequest, _ int) (protocol.SubmitAnswer, error) {
 		if strings.HasPrefix(request.ID, "bad") {
-			return fleet.SubmitAnswer{}, apiError(422, api.CodeImpossible, 0)
+			return protocol.SubmitAnswer{}, apiError(422, api.CodeImpossible, 0)
 		}
-		return fleet.SubmitAnswer{Created: true}, nil
+		return protocol.SubmitAnswer{Created: true}, nil
 	})
 	link := &fakeLink{leader: leader.address, config: &api.Config{Limits: api.LimitConfig{SubmitsPerSecond: 1}}}
 	front := newFront(t, link, Settings{})
--- a/internal/front/intake_test.go
+++ b/internal/front/intake_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // jobOf is goodJob for another queue.
@@ -25,14 +25,14 @@
 	done := make(chan struct{})
 	release := sync.OnceFunc(func() { close(done) })
 	t.Cleanup(release) // before the leader's server waits for its handlers
-	handleMethod(leader, fleet.MethodSubmit, func(_ context.Context, request fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
+	handleMethod(leader, protocol.MethodSubmit, func(_ context.Context, request protocol.SubmitRequest, _ int) (protocol.SubmitAnswer, error) {
 		if request.Spec.Queue == "a" {
 			<-done
 		}
-		return fleet.SubmitAnswer{Created: true}, nil
+		return protocol.SubmitAnswer{Created: true}, nil
 	})
-	handleMethod(leader, fleet.MethodGetJob, func(context.Context, fleet.GetJobRequest, int) (fleet.JobAnswer, error) {
-		return fleet.JobAnswer{Status: api.JobStatus{State: api.StateSucceeded}}, nil
+	handleMethod(leader, protocol.MethodGetJob, func(context.Context, protocol.GetJobRequest, int) (protocol.JobAnswer, error) {
+		return protocol.JobAnswer{Status: api.JobStatus{State: api.StateSucceeded}}, nil
 	})
 	config := &api.Config{Queues: []api.QueueConfig{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
 	front := newFront(t, &fakeLink{leader: leader.address, config: config}, Settings{MaxInflight: 24})
@@ -66,8 +66,8 @@
 // to "b".
 func TestLocalLimits_FloodLeavesSubmitRate(t *testing.T) {
 	leader := newLeader(t)
-	handleMethod(leader, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
-		return fleet.SubmitAnswer{Created: true}, nil
+	handleMethod(leader, protocol.MethodSubmit, func(context.Context, protocol.SubmitRequest, int) (protocol.SubmitAnswer, error) {
+		return protocol.SubmitAnswer{Created: true}, nil
 	})
 	config := &api.Config{Queues: []api.QueueConfig{{Name: "a"}, {Name: "b"}}, Limits: api.LimitConfig{SubmitsPerSecond: 40}}
 	front := newFront(t, &fakeLink{leader: leader.address, config: config}, Settings{})
--- a/internal/front/job_calls.go
+++ b/internal/front/job_calls.go
@@ -11,8 +11,8 @@
 	"github.com/go-chi/chi/v5"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/httpjson"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // Bounds of a page of GET /v1/jobs.
@@ -47,7 +47,7 @@
 		return api.SubmitAnswer{}, refusal
 	}
 	defer leave()
-	answer, refusal := change[fleet.SubmitAnswer](ctx, f, fleet.MethodSubmit, fleet.SubmitRequest{ID: id, Spec: spec})
+	answer, refusal := change[protocol.SubmitAnswer](ctx, f, protocol.MethodSubmit, protocol.SubmitRequest{ID: id, Spec: spec})
 	if refusal != nil && refusal.Status < http.StatusInternalServerError {
 		f.limits.returnToken()
 	}
@@ -109,7 +109,7 @@
 	if !api.ValidJobID(id) {
 		return "", jobNotFound(id)
 	}
-	answer, refusal := read[fleet.JobAnswer](ctx, f, fleet.MethodGetJob, fleet.GetJobRequest{ID: id, Brief: true})
+	answer, refusal := read[protocol.JobAnswer](ctx, f, protocol.MethodGetJob, protocol.GetJobRequest{ID: id, Brief: true})
 	return answer.Status.State, refusal
 }
 
@@ -121,19 +121,19 @@
 
 // Cancel cancels a job and returns its state; doubled, it has no effect.
 func (f *Front) Cancel(ctx context.Context, id string) (api.JobStatus, *api.Error) {
-	return f.cancel(ctx, fleet.CancelRequest{ID: id})
+	return f.cancel(ctx, protocol.CancelRequest{ID: id})
 }
 
 // CancelBrief is Cancel without the steps in the answer.
 func (f *Front) CancelBrief(ctx context.Context, id string) (api.JobStatus, *api.Error) {
-	return f.cancel(ctx, fleet.CancelRequest{ID: id, Brief: true})
+	return f.cancel(ctx, protocol.CancelRequest{ID: id, Brief: true})
 }
 
-func (f *Front) cancel(ctx context.Context, request fleet.CancelRequest) (api.JobStatus, *api.Error) {
+func (f *Front) cancel(ctx context.Context, request protocol.CancelRequest) (api.JobStatus, *api.Error) {
 	if !api.ValidJobID(request.ID) {
 		return api.JobStatus{}, jobNotFound(request.ID)
 	}
-	answer, refusal := change[fleet.JobAnswer](ctx, f, fleet.MethodCancel, request)
+	answer, refusal := change[protocol.JobAnswer](ctx, f, protocol.MethodCancel, request)
 	return answer.Status, refusal
 }
 
@@ -148,15 +148,15 @@
 }
 
 // Jobs lists a page of jobs.
-func (f *Front) Jobs(ctx context.Context, query fleet.ListJobsRequest) (api.JobList, *api.Error) {
-	answer, refusal := read[fleet.ListJobsAnswer](ctx, f, fleet.MethodListJobs, query)
+func (f *Front) Jobs(ctx context.Context, query protocol.ListJobsRequest) (api.JobList, *api.Error) {
+	answer, refusal := read[protocol.ListJobsAnswer](ctx, f, protocol.MethodListJobs, query)
 	answer.List.Jobs = nonNilSlice(answer.List.Jobs)
 	return answer.List, refusal
 }
 
 // listQuery reads the parameters of a list.
-func listQuery(values url.Values) (fleet.ListJobsRequest, *api.Error) {
-	query := fleet.ListJobsRequest{
+func listQuery(values url.Values) (protocol.ListJobsRequest, *api.Error) {
+	query := protocol.ListJobsRequest{
 		Queue:     values.Get("queue"),
 		State:     api.State(values.Get("state")),
 		Limit:     defaultPageJobs,
--- a/internal/front/metrics.go
+++ b/internal/front/metrics.go
@@ -7,7 +7,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // Reasons under which refusals by admission are counted.
@@ -69,7 +69,7 @@
 	m.latency.WithLabelValues(route).Observe(took.Seconds())
 }
 
-func (m *metrics) retried(method fleet.Method, reason string) {
+func (m *metrics) retried(method protocol.Method, reason string) {
 	m.retries.WithLabelValues(string(method), reason).Inc()
 }
 
--- a/internal/front/read_calls.go
+++ b/internal/front/read_calls.go
@@ -5,26 +5,26 @@
 	"net/http"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // Workers lists the registered workers.
 func (f *Front) Workers(ctx context.Context) (api.WorkerList, *api.Error) {
-	answer, refusal := read[fleet.WorkersAnswer](ctx, f, fleet.MethodWorkers, fleet.Empty{})
+	answer, refusal := read[protocol.WorkersAnswer](ctx, f, protocol.MethodWorkers, protocol.Empty{})
 	answer.List.Workers = nonNilSlice(answer.List.Workers)
 	return answer.List, refusal
 }
 
 // Members lists the schedulers.
 func (f *Front) Members(ctx context.Context) (api.MemberList, *api.Error) {
-	answer, refusal := read[fleet.MembersAnswer](ctx, f, fleet.MethodMembers, fleet.Empty{})
+	answer, refusal := read[protocol.MembersAnswer](ctx, f, protocol.MethodMembers, protocol.Empty{})
 	answer.List.Members = nonNilSlice(answer.List.Members)
 	return answer.List, refusal
 }
 
 // Queues lists the queues.
 func (f *Front) Queues(ctx context.Context) (api.QueueList, *api.Error) {
-	answer, refusal := read[fleet.QueuesAnswer](ctx, f, fleet.MethodQueues, fleet.Empty{})
+	answer, refusal := read[protocol.QueuesAnswer](ctx, f, protocol.MethodQueues, protocol.Empty{})
 	answer.List.Queues = nonNilSlice(answer.List.Queues)
 	return answer.List, refusal
 }
@@ -38,6 +38,6 @@
 // Queue reads what one queue holds; one that the configuration in force does
 // not have is not found.
 func (f *Front) Queue(ctx context.Context, name string) (api.QueueStatus, *api.Error) {
-	answer, refusal := read[fleet.QueueAnswer](ctx, f, fleet.MethodQueue, fleet.QueueRequest{Name: name})
+	answer, refusal := read[protocol.QueueAnswer](ctx, f, protocol.MethodQueue, protocol.QueueRequest{Name: name})
 	return answer.Status, refusal
 }
--- a/internal/front/relay.go
+++ b/internal/front/relay.go
@@ -11,8 +11,8 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/httpjson"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -43,7 +43,7 @@
 
 // relayCall is one call to the leader, however often it is tried.
 type relayCall[Request any] struct {
-	method  fleet.Method
+	method  protocol.Method
 	request Request
 	// mutating: the call changes something, so a lost answer leaves its outcome
 	// unknown.
@@ -59,12 +59,12 @@
 }
 
 // read relays a call that changes nothing.
-func read[Answer, Request any](ctx context.Context, f *Front, method fleet.Method, request Request) (Answer, *api.Error) {
+func read[Answer, Request any](ctx context.Context, f *Front, method protocol.Method, request Request) (Answer, *api.Error) {
 	return relay[Answer](ctx, f, relayCall[Request]{method: method, request: request})
 }
 
 // change relays a call that changes something.
-func change[Answer, Request any](ctx context.Context, f *Front, method fleet.Method, request Request) (Answer, *api.Error) {
+func change[Answer, Request any](ctx context.Context, f *Front, method protocol.Method, request Request) (Answer, *api.Error) {
 	return relay[Answer](ctx, f, relayCall[Request]{method: method, request: request, mutating: true})
 }
 
@@ -143,7 +143,7 @@
 // relayAttempts remembers what the tries of one call came to.
 type relayAttempts struct {
 	front    *Front
-	method   fleet.Method
+	method   protocol.Method
 	mutating bool
 	started  time.Time
 	// maybeApplied: a try may have had its effect.
--- a/internal/front/relay_test.go
+++ b/internal/front/relay_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 	"github.com/decklever/decklever/internal/testnetwork"
 )
@@ -18,14 +18,14 @@
 
 var orderHeaders = []string{"If-Match", "1", "Idempotency-Key", "o"}
 
-func created(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
-	return fleet.SubmitAnswer{Created: true}, nil
+func created(context.Context, protocol.SubmitRequest, int) (protocol.SubmitAnswer, error) {
+	return protocol.SubmitAnswer{Created: true}, nil
 }
 
 func TestRelay_HintIsFollowed(t *testing.T) {
 	old, leader := newLeader(t), newLeader(t)
-	failMethod[fleet.SubmitRequest, fleet.SubmitAnswer](old, fleet.MethodSubmit, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: leader.address})
-	handleMethod(leader, fleet.MethodSubmit, created)
+	failMethod[protocol.SubmitRequest, protocol.SubmitAnswer](old, protocol.MethodSubmit, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: leader.address})
+	handleMethod(leader, protocol.MethodSubmit, created)
 	link := &fakeLink{leader: old.address}
 	front := newFront(t, link, Settings{})
 	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a", goodJob), 201)
@@ -36,8 +36,8 @@
 
 func TestRelay_MutualHintsAreBounded(t *testing.T) {
 	one, other := newLeader(t), newLeader(t)
-	failMethod[fleet.Empty, fleet.QueuesAnswer](one, fleet.MethodQueues, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: other.address})
-	failMethod[fleet.Empty, fleet.QueuesAnswer](other, fleet.MethodQueues, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: one.address})
+	failMethod[protocol.Empty, protocol.QueuesAnswer](one, protocol.MethodQueues, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: other.address})
+	failMethod[protocol.Empty, protocol.QueuesAnswer](other, protocol.MethodQueues, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: one.address})
 	front := newFront(t, &fakeLink{leader: one.address}, Settings{Deadline: shortDeadline})
 	requireError(t, doRequest(t, front, "GET", "/v1/queues", ""), 503, api.CodeUnavailable)
 	if calls := one.count() + other.count(); calls < 3 || calls > 30 {
@@ -66,7 +66,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				network := testnetwork.New()
 				hangAll(newLeaderOn(t, network, silent))
-				failMethod[fleet.SubmitRequest, fleet.SubmitAnswer](newLeaderOn(t, network, refusing), fleet.MethodSubmit, &rpc.Error{Code: rpc.CodeUnavailable})
+				failMethod[protocol.SubmitRequest, protocol.SubmitAnswer](newLeaderOn(t, network, refusing), protocol.MethodSubmit, &rpc.Error{Code: rpc.CodeUnavailable})
 				front := newFrontOn(t, network, &fakeLink{leader: c.leader}, Settings{Deadline: shortDeadline})
 				requireError(t, doRequest(t, front, c.method, c.path, c.body, orderHeaders...), 503, c.code)
 			})
@@ -76,14 +76,14 @@
 
 // hangAll serves the methods of TestRelay_GivesUpAtDeadline without an answer.
 func hangAll(leader *fakeLeader) {
-	hang(leader, fleet.MethodSubmit, fleet.SubmitRequest{}, fleet.SubmitAnswer{})
-	hang(leader, fleet.MethodCancel, fleet.CancelRequest{}, fleet.JobAnswer{})
-	hang(leader, fleet.MethodPutConfig, fleet.PutConfigRequest{}, fleet.PutConfigAnswer{})
-	hang(leader, fleet.MethodGetJob, fleet.GetJobRequest{}, fleet.JobAnswer{})
+	hang(leader, protocol.MethodSubmit, protocol.SubmitRequest{}, protocol.SubmitAnswer{})
+	hang(leader, protocol.MethodCancel, protocol.CancelRequest{}, protocol.JobAnswer{})
+	hang(leader, protocol.MethodPutConfig, protocol.PutConfigRequest{}, protocol.PutConfigAnswer{})
+	hang(leader, protocol.MethodGetJob, protocol.GetJobRequest{}, protocol.JobAnswer{})
 }
 
 // hang serves a method that never answers within its deadline.
-func hang[Request, Answer any](leader *fakeLeader, method fleet.Method, _ Request, none Answer) {
+func hang[Request, Answer any](leader *fakeLeader, method protocol.Method, _ Request, none Answer) {
 	handleMethod(leader, method, func(ctx context.Context, _ Request, _ int) (Answer, error) {
 		<-ctx.Done()
 		return none, &rpc.Error{Code: rpc.CodeUnknownOutcome}
@@ -93,12 +93,12 @@
 func TestRelay_UnknownOutcomeIsRetriedAtNextLeader(t *testing.T) {
 	old, leader := newLeader(t), newLeader(t)
 	link := &fakeLink{leader: old.address}
-	handleMethod(old, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
+	handleMethod(old, protocol.MethodSubmit, func(context.Context, protocol.SubmitRequest, int) (protocol.SubmitAnswer, error) {
 		link.ObserveHint(leader.address)
-		return fleet.SubmitAnswer{}, &rpc.Error{Code: rpc.CodeUnknownOutcome}
+		return protocol.SubmitAnswer{}, &rpc.Error{Code: rpc.CodeUnknownOutcome}
 	})
-	handleMethod(leader, fleet.MethodSubmit, func(context.Context, fleet.SubmitRequest, int) (fleet.SubmitAnswer, error) {
-		return fleet.SubmitAnswer{Created: false}, nil
+	handleMethod(leader, protocol.MethodSubmit, func(context.Context, protocol.SubmitRequest, int) (protocol.SubmitAnswer, error) {
+		return protocol.SubmitAnswer{Created: false}, nil
 	})
 	front := newFront(t, link, Settings{})
 	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a", goodJob), 200)
@@ -112,12 +112,12 @@
 func TestRelay_CallToSilentLeaderMovesToNext(t *testing.T) {
 	old, leader := newLeader(t), newLeader(t)
 	link := &fakeLink{leader: old.address}
-	handleMethod(old, fleet.MethodSubmit, func(ctx context.Context, _ fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
+	handleMethod(old, protocol.MethodSubmit, func(ctx context.Context, _ protocol.SubmitRequest, _ int) (protocol.SubmitAnswer, error) {
 		link.moveTo(leader.address)
 		<-ctx.Done()
-		return fleet.SubmitAnswer{}, &rpc.Error{Code: rpc.CodeUnknownOutcome}
+		return protocol.SubmitAnswer{}, &rpc.Error{Code: rpc.CodeUnknownOutcome}
 	})
-	handleMethod(leader, fleet.MethodSubmit, created)
+	handleMethod(leader, protocol.MethodSubmit, created)
 	front := newFront(t, link, Settings{})
 	began := time.Now()
 	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a", goodJob), 201)
@@ -141,11 +141,11 @@
 		api.CodeConflict:   {409, 409, api.CodeConflict},
 	} {
 		leader := newLeader(t)
-		handleMethod(leader, fleet.MethodSubmit, func(_ context.Context, _ fleet.SubmitRequest, number int) (fleet.SubmitAnswer, error) {
+		handleMethod(leader, protocol.MethodSubmit, func(_ context.Context, _ protocol.SubmitRequest, number int) (protocol.SubmitAnswer, error) {
 			if number == 1 {
-				return fleet.SubmitAnswer{}, &rpc.Error{Code: rpc.CodeUnknownOutcome}
+				return protocol.SubmitAnswer{}, &rpc.Error{Code: rpc.CodeUnknownOutcome}
 			}
-			return fleet.SubmitAnswer{}, apiError(want.given, code, 0)
+			return protocol.SubmitAnswer{}, apiError(want.given, code, 0)
 		})
 		front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 		requireError(t, doRequest(t, front, "PUT", "/v1/jobs/a", goodJob), want.status, want.code)
@@ -157,20 +157,20 @@
 
 func TestLongPoll_ContinuesAcrossLeaders(t *testing.T) {
 	old, leader := newLeader(t), newLeader(t)
-	handleMethod(old, fleet.MethodGetJob, func(_ context.Context, request fleet.GetJobRequest, number int) (fleet.JobAnswer, error) {
+	handleMethod(old, protocol.MethodGetJob, func(_ context.Context, request protocol.GetJobRequest, number int) (protocol.JobAnswer, error) {
 		if request.WaitMillis <= 0 || request.WaitMillis > maxLongPoll.Milliseconds() {
 			t.Errorf("held for %d ms", request.WaitMillis)
 		}
 		if number == 1 {
-			return fleet.JobAnswer{Status: api.JobStatus{State: api.StateRunning}}, nil
+			return protocol.JobAnswer{Status: api.JobStatus{State: api.StateRunning}}, nil
 		}
-		return fleet.JobAnswer{}, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: leader.address}
+		return protocol.JobAnswer{}, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: leader.address}
 	})
-	handleMethod(leader, fleet.MethodGetJob, func(_ context.Context, _ fleet.GetJobRequest, number int) (fleet.JobAnswer, error) {
+	handleMethod(leader, protocol.MethodGetJob, func(_ context.Context, _ protocol.GetJobRequest, number int) (protocol.JobAnswer, error) {
 		if number == 1 {
-			return fleet.JobAnswer{Status: api.JobStatus{State: api.StateRunning}}, nil
+			return protocol.JobAnswer{Status: api.JobStatus{State: api.StateRunning}}, nil
 		}
-		return fleet.JobAnswer{Status: api.JobStatus{State: api.StateSucceeded}}, nil
+		return protocol.JobAnswer{Status: api.JobStatus{State: api.StateSucceeded}}, nil
 	})
 	front := newFront(t, &fakeLink{leader: old.address}, Settings{})
 	if body := requireOK[api.JobStatus](t, doRequest(t, front, "GET", "/v1/jobs/a?wait=10s", ""), 200); body.State != api.StateSucceeded {
@@ -183,11 +183,11 @@
 
 func TestLongPoll_EndsWithNewestState(t *testing.T) {
 	leader := newLeader(t)
-	handleMethod(leader, fleet.MethodGetJob, func(_ context.Context, _ fleet.GetJobRequest, number int) (fleet.JobAnswer, error) {
+	handleMethod(leader, protocol.MethodGetJob, func(_ context.Context, _ protocol.GetJobRequest, number int) (protocol.JobAnswer, error) {
 		if number == 1 {
-			return fleet.JobAnswer{Status: api.JobStatus{State: api.StateRunning}}, nil
+			return protocol.JobAnswer{Status: api.JobStatus{State: api.StateRunning}}, nil
 		}
-		return fleet.JobAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable}
+		return protocol.JobAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable}
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	if body := requireOK[api.JobStatus](t, doRequest(t, front, "GET", "/v1/jobs/a?wait=2s", ""), 200); body.State != api.StateRunning {
@@ -202,11 +202,11 @@
 	leader := newLeader(t)
 	const wait = 300 * time.Millisecond
 	started := time.Now()
-	handleMethod(leader, fleet.MethodGetJob, func(context.Context, fleet.GetJobRequest, int) (fleet.JobAnswer, error) {
+	handleMethod(leader, protocol.MethodGetJob, func(context.Context, protocol.GetJobRequest, int) (protocol.JobAnswer, error) {
 		if time.Since(started) < wait {
-			return fleet.JobAnswer{Status: api.JobStatus{State: api.StateRunning}}, nil
+			return protocol.JobAnswer{Status: api.JobStatus{State: api.StateRunning}}, nil
 		}
-		return fleet.JobAnswer{Status: api.JobStatus{State: api.StateSucceeded}}, nil
+		return protocol.JobAnswer{Status: api.JobStatus{State: api.StateSucceeded}}, nil
 	})
 	server := httptest.NewUnstartedServer(newFront(t, &fakeLink{leader: leader.address}, Settings{}))
 	server.Config.ReadTimeout = wait / 3
@@ -226,7 +226,7 @@
 func TestRelay_CallInFlightFinishesAtShutdown(t *testing.T) {
 	leader := newLeader(t)
 	ctx, stop := context.WithCancel(t.Context())
-	handleMethod(leader, fleet.MethodSubmit, func(ctx context.Context, request fleet.SubmitRequest, number int) (fleet.SubmitAnswer, error) {
+	handleMethod(leader, protocol.MethodSubmit, func(ctx context.Context, request protocol.SubmitRequest, number int) (protocol.SubmitAnswer, error) {
 		stop()
 		return created(ctx, request, number)
 	})
--- a/internal/front/samples_test.go
+++ b/internal/front/samples_test.go
@@ -7,73 +7,73 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // serveSamples makes the leader answer every method, with every field set.
 func serveSamples(leader *fakeLeader) {
-	handleMethod(leader, fleet.MethodSubmit, func(_ context.Context, request fleet.SubmitRequest, _ int) (fleet.SubmitAnswer, error) {
-		return fleet.SubmitAnswer{Created: request.ID == "new"}, submitRefusals[request.ID]
+	handleMethod(leader, protocol.MethodSubmit, func(_ context.Context, request protocol.SubmitRequest, _ int) (protocol.SubmitAnswer, error) {
+		return protocol.SubmitAnswer{Created: request.ID == "new"}, submitRefusals[request.ID]
 	})
-	handleMethod(leader, fleet.MethodGetJob, func(_ context.Context, request fleet.GetJobRequest, _ int) (fleet.JobAnswer, error) {
+	handleMethod(leader, protocol.MethodGetJob, func(_ context.Context, request protocol.GetJobRequest, _ int) (protocol.JobAnswer, error) {
 		return sampleStatus(request.ID)
 	})
-	handleMethod(leader, fleet.MethodCancel, func(_ context.Context, request fleet.CancelRequest, _ int) (fleet.JobAnswer, error) {
+	handleMethod(leader, protocol.MethodCancel, func(_ context.Context, request protocol.CancelRequest, _ int) (protocol.JobAnswer, error) {
 		return sampleStatus(request.ID)
 	})
-	handleMethod(leader, fleet.MethodPutConfig, func(_ context.Context, request fleet.PutConfigRequest, _ int) (fleet.PutConfigAnswer, error) {
+	handleMethod(leader, protocol.MethodPutConfig, func(_ context.Context, request protocol.PutConfigRequest, _ int) (protocol.PutConfigAnswer, error) {
 		if request.Base != 7 {
-			return fleet.PutConfigAnswer{}, apiError(412, api.CodeLostRace, 0)
+			return protocol.PutConfigAnswer{}, apiError(412, api.CodeLostRace, 0)
 		}
-		return fleet.PutConfigAnswer{Version: 8}, nil
+		return protocol.PutConfigAnswer{Version: 8}, nil
 	})
-	handleMethod(leader, fleet.MethodListJobs, func(context.Context, fleet.ListJobsRequest, int) (fleet.ListJobsAnswer, error) {
+	handleMethod(leader, protocol.MethodListJobs, func(context.Context, protocol.ListJobsRequest, int) (protocol.ListJobsAnswer, error) {
 		row := api.JobSummary{ID: "new", Queue: "q", State: api.StateRunning, SubmittedAt: sampleTime, TasksTotal: 2, TasksEnded: 1}
-		return fleet.ListJobsAnswer{List: api.JobList{Jobs: []api.JobSummary{row}, NextPageToken: "new"}}, nil
+		return protocol.ListJobsAnswer{List: api.JobList{Jobs: []api.JobSummary{row}, NextPageToken: "new"}}, nil
 	})
-	serveAnswer[fleet.ValidateConfigRequest](leader, fleet.MethodValidateConfig, fleet.Empty{})
-	serveAnswer[fleet.Empty](leader, fleet.MethodGetConfig, fleet.ConfigAnswer{Status: api.ConfigStatus{Version: 7, Config: sampleConfig()}})
-	serveAnswer[fleet.Empty](leader, fleet.MethodConfigVersions, fleet.ConfigVersionsAnswer{Versions: api.ConfigVersions{
+	serveAnswer[protocol.ValidateConfigRequest](leader, protocol.MethodValidateConfig, protocol.Empty{})
+	serveAnswer[protocol.Empty](leader, protocol.MethodGetConfig, protocol.ConfigAnswer{Status: api.ConfigStatus{Version: 7, Config: sampleConfig()}})
+	serveAnswer[protocol.Empty](leader, protocol.MethodConfigVersions, protocol.ConfigVersionsAnswer{Versions: api.ConfigVersions{
 		Versions: []api.ConfigVersion{{Version: 7, OrderID: "o", AcceptedAt: sampleTime, Digest: "00ff"}},
 	}})
-	serveAnswer[fleet.Empty](leader, fleet.MethodRollout, fleet.RolloutAnswer{Rollout: api.Rollout{
+	serveAnswer[protocol.Empty](leader, protocol.MethodRollout, protocol.RolloutAnswer{Rollout: api.Rollout{
 		Version: 7, Processes: []api.ProcessRollout{{Process: "f1", Role: "front", Zone: "z1", Version: 6, AgeMillis: 5}},
 	}})
 	room := api.Resources{CPUMillis: 8000, MemoryMB: 64, Accelerators: 1}
-	serveAnswer[fleet.Empty](leader, fleet.MethodWorkers, fleet.WorkersAnswer{List: api.WorkerList{Workers: []api.WorkerStatus{
+	serveAnswer[protocol.Empty](leader, protocol.MethodWorkers, protocol.WorkersAnswer{List: api.WorkerList{Workers: []api.WorkerStatus{
 		{Name: "w1", WorkerID: "i", Zone: "z1", State: api.WorkerDraining, Reason: "r", Capacity: room, Used: room, Services: []string{"s"}, Labels: map[string]string{"zone": "z1"}, Runs: 1, SilentMillis: 3},
 		{Name: "w2", State: api.WorkerReady, Services: []string{}},
 	}}})
-	serveAnswer[fleet.Empty](leader, fleet.MethodMembers, fleet.MembersAnswer{List: api.MemberList{Token: 2, CommitIndex: 9, Members: []api.MemberStatus{{ReplicaID: "r", Name: "s1"}}}})
-	serveAnswer[fleet.BookingsRequest](leader, fleet.MethodBookings, fleet.BookingsAnswer{List: api.BookingList{Bookings: []api.BookingStatus{{
+	serveAnswer[protocol.Empty](leader, protocol.MethodMembers, protocol.MembersAnswer{List: api.MemberList{Token: 2, CommitIndex: 9, Members: []api.MemberStatus{{ReplicaID: "r", Name: "s1"}}}})
+	serveAnswer[protocol.BookingsRequest](leader, protocol.MethodBookings, protocol.BookingsAnswer{List: api.BookingList{Bookings: []api.BookingStatus{{
 		Queue: "q", Booking: "opening", Start: sampleTime, End: sampleTime, HeldFrom: sampleTime, State: api.BookingOpen, Slots: 3, Placed: 2, Used: 1,
 		Slice: room, Service: "s", BestEffort: true, Workers: []api.BookingSlices{{Worker: "w1", Slots: 2, Used: 1}},
 	}, {Queue: "q", Booking: "closing", State: api.BookingPlanned}}}})
-	handleMethod(leader, fleet.MethodRelease, func(_ context.Context, request fleet.ReleaseRequest, _ int) (fleet.Empty, error) {
+	handleMethod(leader, protocol.MethodRelease, func(_ context.Context, request protocol.ReleaseRequest, _ int) (protocol.Empty, error) {
 		if request.Release.Booking == "missing" {
-			return fleet.Empty{}, apiError(404, api.CodeNotFound, 0)
+			return protocol.Empty{}, apiError(404, api.CodeNotFound, 0)
 		}
-		return fleet.Empty{}, nil
+		return protocol.Empty{}, nil
 	})
-	serveAnswer[fleet.Empty](leader, fleet.MethodDrains, fleet.DrainsAnswer{List: api.DrainList{Zones: []api.ZoneDrain{{Zone: "z1", Drained: true}}}})
-	handleMethod(leader, fleet.MethodDrainZone, func(_ context.Context, request fleet.DrainZoneRequest, _ int) (fleet.Empty, error) {
+	serveAnswer[protocol.Empty](leader, protocol.MethodDrains, protocol.DrainsAnswer{List: api.DrainList{Zones: []api.ZoneDrain{{Zone: "z1", Drained: true}}}})
+	handleMethod(leader, protocol.MethodDrainZone, func(_ context.Context, request protocol.DrainZoneRequest, _ int) (protocol.Empty, error) {
 		if request.Drain.Zone == "full" {
-			return fleet.Empty{}, apiError(429, api.CodeOverLimit, 1000)
+			return protocol.Empty{}, apiError(429, api.CodeOverLimit, 1000)
 		}
-		return fleet.Empty{}, nil
+		return protocol.Empty{}, nil
 	})
-	serveAnswer[fleet.CancelManyRequest](leader, fleet.MethodCancelMany, fleet.CancelManyAnswer{Answer: api.CancelAnswer{Cancelled: 2}})
-	handleMethod(leader, fleet.MethodQueue, func(_ context.Context, request fleet.QueueRequest, _ int) (fleet.QueueAnswer, error) {
+	serveAnswer[protocol.CancelManyRequest](leader, protocol.MethodCancelMany, protocol.CancelManyAnswer{Answer: api.CancelAnswer{Cancelled: 2}})
+	handleMethod(leader, protocol.MethodQueue, func(_ context.Context, request protocol.QueueRequest, _ int) (protocol.QueueAnswer, error) {
 		if request.Name == "missing" {
-			return fleet.QueueAnswer{}, apiError(404, api.CodeNotFound, 0)
+			return protocol.QueueAnswer{}, apiError(404, api.CodeNotFound, 0)
 		}
-		return fleet.QueueAnswer{Status: api.QueueStatus{Name: request.Name, Jobs: 1, Pending: 2, Running: 3}}, nil
+		return protocol.QueueAnswer{Status: api.QueueStatus{Name: request.Name, Jobs: 1, Pending: 2, Running: 3}}, nil
 	})
-	serveAnswer[fleet.Empty](leader, fleet.MethodQueues, fleet.QueuesAnswer{List: api.QueueList{Queues: []api.QueueStatus{{Name: "q", Jobs: 1}}}})
+	serveAnswer[protocol.Empty](leader, protocol.MethodQueues, protocol.QueuesAnswer{List: api.QueueList{Queues: []api.QueueStatus{{Name: "q", Jobs: 1}}}})
 }
 
 // serveAnswer serves a method with one answer.
-func serveAnswer[Request, Answer any](leader *fakeLeader, method fleet.Method, answer Answer) {
+func serveAnswer[Request, Answer any](leader *fakeLeader, method protocol.Method, answer Answer) {
 	handleMethod(leader, method, func(context.Context, Request, int) (Answer, error) { return answer, nil })
 }
 
@@ -110,12 +110,12 @@
 	return config.WithDefaults()
 }
 
-func sampleStatus(id string) (fleet.JobAnswer, error) {
+func sampleStatus(id string) (protocol.JobAnswer, error) {
 	if id == "missing" {
-		return fleet.JobAnswer{}, apiError(404, api.CodeNotFound, 0)
+		return protocol.JobAnswer{}, apiError(404, api.CodeNotFound, 0)
 	}
 	task := api.TaskStatus{Task: id + "/a/0", State: api.StateFailed, Reason: "r", Run: 2, Worker: "w1", Failures: 1}
-	return fleet.JobAnswer{Status: api.JobStatus{
+	return protocol.JobAnswer{Status: api.JobStatus{
 		ID: id, Queue: "q", Priority: 1, State: api.StateFailed, SubmittedAt: sampleTime, EndedAt: &sampleTime, Archived: true,
 		Steps: []api.StepStatus{{Name: "a", State: api.StateFailed, Tasks: []api.TaskStatus{task}}},
 	}}, nil
--- a/internal/front/wait.go
+++ b/internal/front/wait.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 const (
@@ -29,7 +29,7 @@
 	for {
 		started := time.Now()
 		call := f.longPoll(id, end, newest != nil)
-		answer, refusal := relay[fleet.JobAnswer](ctx, f, call)
+		answer, refusal := relay[protocol.JobAnswer](ctx, f, call)
 		switch {
 		case refusal == nil:
 			newest = &answer.Status
@@ -50,12 +50,12 @@
 // it delays the answer by the one try that it did not answer. While no state is
 // known the call goes on for Deadline beyond the wait; a known state is
 // answered once the wait is over.
-func (f *Front) longPoll(id string, end time.Time, known bool) relayCall[fleet.GetJobRequest] {
-	call := relayCall[fleet.GetJobRequest]{
-		method: fleet.MethodGetJob,
-		renew: func(call *relayCall[fleet.GetJobRequest]) {
+func (f *Front) longPoll(id string, end time.Time, known bool) relayCall[protocol.GetJobRequest] {
+	call := relayCall[protocol.GetJobRequest]{
+		method: protocol.MethodGetJob,
+		renew: func(call *relayCall[protocol.GetJobRequest]) {
 			call.maxWait = min(maxLongPoll, max(0, time.Until(end)))
-			call.request = fleet.GetJobRequest{ID: id, WaitMillis: call.maxWait.Milliseconds()}
+			call.request = protocol.GetJobRequest{ID: id, WaitMillis: call.maxWait.Milliseconds()}
 		},
 	}
 	call.renew(&call)
--- a/internal/leaderlink/doc.go
+++ b/internal/leaderclient/doc.go
@@ -6,4 +6,4 @@
 // Tokens and configuration versions only grow. A process without an answer
 // for longer than the hold that the last answer granted, counted from when
 // that watch was sent, is no longer fresh and should stop serving.
-package leaderlink
+package leaderclient
--- a/internal/leaderlink/doubt_test.go
+++ b/internal/leaderclient/doubt_test.go
@@ -1,4 +1,4 @@
-package leaderlink
+package leaderclient
 
 import (
 	"context"
--- a/internal/leaderlink/heartbeats_test.go
+++ b/internal/leaderclient/heartbeats_test.go
@@ -1,4 +1,4 @@
-package leaderlink
+package leaderclient
 
 import (
 	"sync"
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 const (
@@ -160,7 +160,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := state{versionOnly: true, failedAt: map[string]time.Duration{}}
-			watched := fleet.WatchAnswer{Token: 4, ConfigVersion: 7, LeaseMillis: lease.Milliseconds()}
+			watched := protocol.WatchAnswer{Token: 4, ConfigVersion: 7, LeaseMillis: lease.Milliseconds()}
 			if _, err := s.accept(0, 0, "a", watched); err != nil {
 				t.Fatal(err)
 			}
@@ -199,7 +199,7 @@
 		if fresh {
 			s.freshUntil = 3 * lease
 		}
-		_, err := s.accept(2*lease, 0, "a", fleet.WatchAnswer{Token: 4, ConfigVersion: 8, LeaseMillis: lease.Milliseconds()})
+		_, err := s.accept(2*lease, 0, "a", protocol.WatchAnswer{Token: 4, ConfigVersion: 8, LeaseMillis: lease.Milliseconds()})
 		if (err == nil) != fresh {
 			t.Errorf("fresh %v: %v", fresh, err)
 		}
--- a/internal/leaderlink/link.go
+++ b/internal/leaderclient/link.go
@@ -1,4 +1,4 @@
-package leaderlink
+package leaderclient
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -46,7 +46,7 @@
 	OnConfig func(version uint64, config *api.Config)
 }
 
-type watchFunc func(ctx context.Context, address string, request fleet.WatchRequest) (fleet.WatchAnswer, error)
+type watchFunc func(ctx context.Context, address string, request protocol.WatchRequest) (protocol.WatchAnswer, error)
 
 // Client tracks the leader. Its methods are safe for concurrent use.
 type Client struct {
@@ -82,8 +82,8 @@
 	if client.config.Logger == nil {
 		client.config.Logger = slog.New(slog.DiscardHandler)
 	}
-	client.watch = func(ctx context.Context, address string, request fleet.WatchRequest) (fleet.WatchAnswer, error) {
-		return rpc.Call[fleet.WatchRequest, fleet.WatchAnswer](ctx, config.Client, address, fleet.MethodWatch, request)
+	client.watch = func(ctx context.Context, address string, request protocol.WatchRequest) (protocol.WatchAnswer, error) {
+		return rpc.Call[protocol.WatchRequest, protocol.WatchAnswer](ctx, config.Client, address, protocol.MethodWatch, request)
 	}
 	return client
 }
@@ -133,7 +133,7 @@
 type watchResult struct {
 	address string
 	sentAt  time.Duration
-	answer  fleet.WatchAnswer
+	answer  protocol.WatchAnswer
 	err     error
 }
 
@@ -172,10 +172,10 @@
 	return true, true
 }
 
-func (l *Client) request(maxWait time.Duration) fleet.WatchRequest {
+func (l *Client) request(maxWait time.Duration) protocol.WatchRequest {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return fleet.WatchRequest{
+	return protocol.WatchRequest{
 		Process:       l.config.Process,
 		Role:          l.config.Role,
 		Zone:          l.zone,
@@ -242,7 +242,7 @@
 	l.state.reject(l.now(), address)
 }
 
-func (l *Client) accept(sentAt time.Duration, address string, answer fleet.WatchAnswer) error {
+func (l *Client) accept(sentAt time.Duration, address string, answer protocol.WatchAnswer) error {
 	l.mutex.Lock()
 	before := l.state.leader
 	newer, err := l.state.accept(l.now(), sentAt, address, answer)
--- a/internal/leaderlink/link_test.go
+++ b/internal/leaderclient/link_test.go
@@ -1,4 +1,4 @@
-package leaderlink
+package leaderclient
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -25,14 +25,14 @@
 	token       uint64
 	version     uint64
 	watched     []string
-	lastRequest fleet.WatchRequest
+	lastRequest protocol.WatchRequest
 }
 
-func (f *fakeSchedulers) watch(ctx context.Context, address string, request fleet.WatchRequest) (fleet.WatchAnswer, error) {
+func (f *fakeSchedulers) watch(ctx context.Context, address string, request protocol.WatchRequest) (protocol.WatchAnswer, error) {
 	f.mutex.Lock()
 	f.watched = append(f.watched, address)
 	dead, leader := f.dead[address], f.leader
-	answer := fleet.WatchAnswer{
+	answer := protocol.WatchAnswer{
 		Token: f.token, LeaderAddress: f.leader, ConfigVersion: f.version,
 		Config: &api.Config{}, LeaseMillis: lease.Milliseconds(),
 	}
@@ -40,14 +40,14 @@
 	f.mutex.Unlock()
 	if dead {
 		<-ctx.Done()
-		return fleet.WatchAnswer{}, &rpc.Error{Code: rpc.CodeTransport}
+		return protocol.WatchAnswer{}, &rpc.Error{Code: rpc.CodeTransport}
 	}
 	if address != leader {
-		return fleet.WatchAnswer{}, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: leader}
+		return protocol.WatchAnswer{}, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: leader}
 	}
 	contexttime.Sleep(ctx, time.Duration(request.MaxWaitMillis)*time.Millisecond)
 	if ctx.Err() != nil {
-		return fleet.WatchAnswer{}, &rpc.Error{Code: rpc.CodeTransport}
+		return protocol.WatchAnswer{}, &rpc.Error{Code: rpc.CodeTransport}
 	}
 	return answer, nil
 }
@@ -144,19 +144,19 @@
 
 func TestState_AcceptsAnswerCompletelyOrNotAtAll(t *testing.T) {
 	config := &api.Config{}
-	good := fleet.WatchAnswer{Token: 4, ConfigVersion: 8, Config: config, LeaseMillis: 1500}
+	good := protocol.WatchAnswer{Token: 4, ConfigVersion: 8, Config: config, LeaseMillis: 1500}
 	cases := []struct {
 		name   string
-		change func(*fleet.WatchAnswer)
+		change func(*protocol.WatchAnswer)
 		now    time.Duration
 		want   error
 	}{
-		{"newer", func(*fleet.WatchAnswer) {}, time.Second, nil},
-		{"lower token", func(a *fleet.WatchAnswer) { a.Token = 3 }, time.Second, errStaleToken},
-		{"older config", func(a *fleet.WatchAnswer) { a.ConfigVersion = 6 }, time.Second, errStaleConfig},
-		{"content missing", func(a *fleet.WatchAnswer) { a.Config = nil }, time.Second, errMissingConfig},
-		{"no hold", func(a *fleet.WatchAnswer) { a.LeaseMillis = 0 }, time.Second, errNoLease},
-		{"after its hold", func(*fleet.WatchAnswer) {}, 1500 * time.Millisecond, errLeaseExpired},
+		{"newer", func(*protocol.WatchAnswer) {}, time.Second, nil},
+		{"lower token", func(a *protocol.WatchAnswer) { a.Token = 3 }, time.Second, errStaleToken},
+		{"older config", func(a *protocol.WatchAnswer) { a.ConfigVersion = 6 }, time.Second, errStaleConfig},
+		{"content missing", func(a *protocol.WatchAnswer) { a.Config = nil }, time.Second, errMissingConfig},
+		{"no hold", func(a *protocol.WatchAnswer) { a.LeaseMillis = 0 }, time.Second, errNoLease},
+		{"after its hold", func(*protocol.WatchAnswer) {}, 1500 * time.Millisecond, errLeaseExpired},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -245,7 +245,7 @@
 
 func TestState_VersionOnlyAcceptsAnswerWithoutContent(t *testing.T) {
 	s := state{token: 4, configVersion: 7, versionOnly: true, failedAt: map[string]time.Duration{}}
-	newer, err := s.accept(0, 0, "a", fleet.WatchAnswer{Token: 4, ConfigVersion: 8, LeaseMillis: 1500})
+	newer, err := s.accept(0, 0, "a", protocol.WatchAnswer{Token: 4, ConfigVersion: 8, LeaseMillis: 1500})
 	if err != nil || !newer {
 		t.Fatalf("newer %v, %v", newer, err)
 	}
--- a/internal/leaderlink/state.go
+++ b/internal/leaderclient/state.go
@@ -1,4 +1,4 @@
-package leaderlink
+package leaderclient
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 const (
@@ -146,7 +146,7 @@
 
 // accept takes a watch answer in whole or not at all. It reports whether a
 // newer configuration came with it; that is in force only after adopt.
-func (s *state) accept(now, sentAt time.Duration, address string, answer fleet.WatchAnswer) (newer bool, err error) {
+func (s *state) accept(now, sentAt time.Duration, address string, answer protocol.WatchAnswer) (newer bool, err error) {
 	if answer.Token < s.token {
 		return false, fmt.Errorf("%w: %d after %d", errStaleToken, answer.Token, s.token)
 	}
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -15,7 +15,7 @@
 	// has no effect yet.
 	Seed int64
 	// Off are the mechanisms that an experiment switches off. Default: none.
-	Off mechanism.DisabledSet
+	Off featuregate.DisabledSet
 }
 
 // defaultMaxPreemptions holds until SetMaxPreemptions.
@@ -24,7 +24,7 @@
 // Engine implements Planner and Booker. It is not safe for concurrent use.
 type Engine struct {
 	// off are the mechanisms that are switched off.
-	off mechanism.DisabledSet
+	off featuregate.DisabledSet
 	// now is the cluster time as last told.
 	now     record.Millis
 	workers workerIndex
@@ -305,7 +305,7 @@
 	}
 	w := &waiting{Task: task, class: e.joinClass(&task)}
 	e.waiting[task.ID] = w
-	if !e.off.Has(mechanism.PreferredShare) {
+	if !e.off.Has(featuregate.PreferredShare) {
 		e.preferredLabels.record(task.Spec, e.now)
 	}
 	e.enqueue(w)
--- a/internal/placement/kept.go
+++ b/internal/placement/kept.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/indexheap"
-	"github.com/decklever/decklever/internal/mechanism"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -29,7 +29,7 @@
 // keep works out, once a pass, for which lanes that found no room before workers are
 // kept.
 func (r *competingQueues) reserveWorkers(e *Engine) {
-	if r.reservationsMade || e.off.Has(mechanism.BackfillReservation) {
+	if r.reservationsMade || e.off.Has(featuregate.BackfillReservation) {
 		return
 	}
 	r.reservationsMade = true
--- a/internal/placement/lastroom.go
+++ b/internal/placement/lastroom.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 )
 
 // Last room: a task that runs until cancelled takes whatever room there is. It
@@ -72,7 +72,7 @@
 // lane takes that. What it leaves of it stays put aside.
 func (e *Engine) retryWithDrainedCapacity(l *subQueue, open func() bool) {
 	g := e.gangDrain
-	if g == nil || len(g.runs) == 0 || !l.runsUntilCancelled() || e.off.Has(mechanism.LastResortCapacity) {
+	if g == nil || len(g.runs) == 0 || !l.runsUntilCancelled() || e.off.Has(featuregate.LastResortCapacity) {
 		return
 	}
 	members := e.placementOrder(g.members())
--- a/internal/placement/seats.go
+++ b/internal/placement/seats.go
@@ -1,7 +1,7 @@
 package placement
 
 import (
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -21,7 +21,7 @@
 	if on == nil {
 		on = ignoringHeadroom(w.class, func() *worker { return e.fullest(w) })
 	}
-	if on == nil && len(e.workers.restricted) > 0 && !e.off.Has(mechanism.LastResortCapacity) {
+	if on == nil && len(e.workers.restricted) > 0 && !e.off.Has(featuregate.LastResortCapacity) {
 		on = withRestricted(w.class, func() *worker { return e.fullest(w) })
 	}
 	return placementTarget{worker: on}, on != nil
--- a/internal/placement/wishes.go
+++ b/internal/placement/wishes.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 )
 
 // Costs of a worker for a task, by what the task would rather not have. Each is
@@ -71,8 +71,8 @@
 }
 
 func (e *Engine) rankingFor(w *waiting) ranking {
-	wanted := ranking{task: &w.Task, anyDomain: w.Colocate == "" || e.off.Has(mechanism.PreferredDomain)}
-	if w.StepSize > 1 && !e.off.Has(mechanism.StepShare) {
+	wanted := ranking{task: &w.Task, anyDomain: w.Colocate == "" || e.off.Has(featuregate.PreferredDomain)}
+	if w.StepSize > 1 && !e.off.Has(featuregate.StepShare) {
 		wanted.step = e.steps[w.ID.StepID()]
 		wanted.softLimit = softLimitPerWorker(w.StepSize)
 	}
--- a/internal/process/agentprocess/process.go
+++ b/internal/process/agentprocess/process.go
@@ -8,7 +8,7 @@
 
 	"github.com/decklever/decklever/internal/agent"
 	"github.com/decklever/decklever/internal/daemon"
-	"github.com/decklever/decklever/internal/leaderlink"
+	"github.com/decklever/decklever/internal/leaderclient"
 	"github.com/decklever/decklever/internal/process"
 	"github.com/decklever/decklever/internal/settings"
 )
@@ -40,7 +40,7 @@
 		Role:        "agent",
 		VersionOnly: true,
 		// Each call is bounded by its context.
-		CallTimeout: max(initial.RelayTimeout.Std(), leaderlink.MaxCallDuration) + time.Second,
+		CallTimeout: max(initial.RelayTimeout.Std(), leaderclient.MaxCallDuration) + time.Second,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/process/integration/callers_test.go
+++ b/internal/process/integration/callers_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -55,7 +55,7 @@
 
 func (c *caller) readConfig() (configOutput, bool) {
 	began := c.history.now()
-	answer, end := call[fleet.Empty, fleet.ConfigAnswer](c, fleet.MethodGetConfig, fleet.Empty{})
+	answer, end := call[protocol.Empty, protocol.ConfigAnswer](c, protocol.MethodGetConfig, protocol.Empty{})
 	if end.outcome != outcomeAnswered {
 		return configOutput{}, false // a read that had no answer says nothing
 	}
@@ -101,9 +101,9 @@
 }
 
 func (c *caller) putConfig(input configInput) {
-	request := fleet.PutConfigRequest{OrderID: input.order, Base: input.base, Config: taggedConfig(input.tag)}
+	request := protocol.PutConfigRequest{OrderID: input.order, Base: input.base, Config: taggedConfig(input.tag)}
 	began := c.history.now()
-	answer, end := call[fleet.PutConfigRequest, fleet.PutConfigAnswer](c, fleet.MethodPutConfig, request)
+	answer, end := call[protocol.PutConfigRequest, protocol.PutConfigAnswer](c, protocol.MethodPutConfig, request)
 	if end.outcome == outcomeNoEffect {
 		return
 	}
@@ -140,9 +140,9 @@
 	if c.random.IntN(4) == 0 {
 		input.tag = "second"
 	}
-	request := fleet.SubmitRequest{ID: input.job, Spec: taggedJob(input.tag)}
+	request := protocol.SubmitRequest{ID: input.job, Spec: taggedJob(input.tag)}
 	began := c.history.now()
-	answer, end := call[fleet.SubmitRequest, fleet.SubmitAnswer](c, fleet.MethodSubmit, request)
+	answer, end := call[protocol.SubmitRequest, protocol.SubmitAnswer](c, protocol.MethodSubmit, request)
 	if end.outcome == outcomeNoEffect {
 		return
 	}
@@ -169,21 +169,21 @@
 func (c *caller) cancel() {
 	input := jobInput{call: jobCancel, job: c.job()}
 	began := c.history.now()
-	answer, end := call[fleet.CancelRequest, fleet.JobAnswer](c, fleet.MethodCancel, fleet.CancelRequest{ID: input.job})
+	answer, end := call[protocol.CancelRequest, protocol.JobAnswer](c, protocol.MethodCancel, protocol.CancelRequest{ID: input.job})
 	c.recordStatus(input, answer, end, began)
 }
 
 func (c *caller) readJob() {
 	input := jobInput{call: jobRead, job: c.job()}
 	began := c.history.now()
-	answer, end := call[fleet.GetJobRequest, fleet.JobAnswer](c, fleet.MethodGetJob, fleet.GetJobRequest{ID: input.job})
+	answer, end := call[protocol.GetJobRequest, protocol.JobAnswer](c, protocol.MethodGetJob, protocol.GetJobRequest{ID: input.job})
 	if end.outcome == outcomeAnswered { // a read that had no answer says nothing
 		c.recordStatus(input, answer, end, began)
 	}
 }
 
 // recordStatus notes a call that answers with the state of the job.
-func (c *caller) recordStatus(input jobInput, answer fleet.JobAnswer, end callResult, began int64) {
+func (c *caller) recordStatus(input jobInput, answer protocol.JobAnswer, end callResult, began int64) {
 	if end.outcome == outcomeNoEffect {
 		return
 	}
--- a/internal/process/integration/calls_test.go
+++ b/internal/process/integration/calls_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -36,7 +36,7 @@
 }
 
 // call tries nodes until one answers.
-func call[Request, Answer any](c *caller, method fleet.Method, request Request) (answer Answer, end callResult) {
+func call[Request, Answer any](c *caller, method protocol.Method, request Request) (answer Answer, end callResult) {
 	unknown := 0
 	for deadline := time.Now().Add(callTimeout); time.Now().Before(deadline); {
 		failure := c.attemptOnce(func(ctx context.Context, address string) (err error) {
--- a/internal/process/integration/fulldisk_test.go
+++ b/internal/process/integration/fulldisk_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/daemon"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/rpc"
@@ -90,8 +90,8 @@
 		n.store, n.snapshotEvery = stores[n], 20
 	}
 	startAll(nodes)
-	request := fleet.PutConfigRequest{OrderID: "first", Config: taggedConfig("first")}
-	if _, err := callUntilAnswered[fleet.PutConfigRequest, fleet.PutConfigAnswer](t, newClient(t), nodes, fleet.MethodPutConfig, request); err != nil {
+	request := protocol.PutConfigRequest{OrderID: "first", Config: taggedConfig("first")}
+	if _, err := callUntilAnswered[protocol.PutConfigRequest, protocol.PutConfigAnswer](t, newClient(t), nodes, protocol.MethodPutConfig, request); err != nil {
 		t.Fatal(err)
 	}
 	return nodes, stores
@@ -104,8 +104,8 @@
 	ids := make([]string, count)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("%s-%d", prefix, i)
-		request := fleet.SubmitRequest{ID: ids[i], Spec: taggedJob("first")}
-		if _, err := callUntilAnswered[fleet.SubmitRequest, fleet.SubmitAnswer](t, client, nodes, fleet.MethodSubmit, request); err != nil {
+		request := protocol.SubmitRequest{ID: ids[i], Spec: taggedJob("first")}
+		if _, err := callUntilAnswered[protocol.SubmitRequest, protocol.SubmitAnswer](t, client, nodes, protocol.MethodSubmit, request); err != nil {
 			t.Fatalf("%s: %v", ids[i], err)
 		}
 	}
@@ -164,8 +164,8 @@
 	stopped.crash()
 	for deadline := time.Now().Add(fullDiskObservation); time.Now().Before(deadline); {
 		ctx, cancel := context.WithTimeout(t.Context(), attemptTimeout)
-		request := fleet.SubmitRequest{ID: fmt.Sprintf("lonely-%d", time.Now().UnixNano()), Spec: taggedJob("first")}
-		_, err := rpc.Call[fleet.SubmitRequest, fleet.SubmitAnswer](ctx, newClient(t), without(rest, stopped)[0].address, fleet.MethodSubmit, request)
+		request := protocol.SubmitRequest{ID: fmt.Sprintf("lonely-%d", time.Now().UnixNano()), Spec: taggedJob("first")}
+		_, err := rpc.Call[protocol.SubmitRequest, protocol.SubmitAnswer](ctx, newClient(t), without(rest, stopped)[0].address, protocol.MethodSubmit, request)
 		cancel()
 		if err == nil {
 			t.Fatalf("%s was acknowledged with a majority of which one has no room", request.ID)
@@ -242,8 +242,8 @@
 		callers.Go(func() {
 			for serial := 0; ctx.Err() == nil; serial++ {
 				id := fmt.Sprintf("job-%d-%d", number, serial)
-				request := fleet.SubmitRequest{ID: id, Spec: taggedJob("first")}
-				_, err := rpc.Call[fleet.SubmitRequest, fleet.SubmitAnswer](ctx, client, leader.address, fleet.MethodSubmit, request)
+				request := protocol.SubmitRequest{ID: id, Spec: taggedJob("first")}
+				_, err := rpc.Call[protocol.SubmitRequest, protocol.SubmitAnswer](ctx, client, leader.address, protocol.MethodSubmit, request)
 				if err == nil {
 					mutex.Lock()
 					acknowledged = append(acknowledged, id)
@@ -305,7 +305,7 @@
 	full := without(nodes, leader)[0]
 	stores[full].noArchive.Store(true)
 	rest := without(nodes, full)
-	answer, err := callUntilAnswered[fleet.CancelRequest, fleet.JobAnswer](t, newClient(t), rest, fleet.MethodCancel, fleet.CancelRequest{ID: ids[0]})
+	answer, err := callUntilAnswered[protocol.CancelRequest, protocol.JobAnswer](t, newClient(t), rest, protocol.MethodCancel, protocol.CancelRequest{ID: ids[0]})
 	if err != nil || answer.Status.State != api.StateCancelled {
 		t.Fatalf("cancelled: %+v, %v", answer.Status, err)
 	}
--- a/internal/process/integration/linear_test.go
+++ b/internal/process/integration/linear_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 	"github.com/decklever/decklever/internal/storage"
 )
@@ -64,8 +64,8 @@
 	}
 	startAll(nodes)
 	const first = "first-order"
-	request := fleet.PutConfigRequest{OrderID: first, Config: taggedConfig(first)}
-	answer, err := callUntilAnswered[fleet.PutConfigRequest, fleet.PutConfigAnswer](t, newClient(t), nodes, fleet.MethodPutConfig, request)
+	request := protocol.PutConfigRequest{OrderID: first, Config: taggedConfig(first)}
+	answer, err := callUntilAnswered[protocol.PutConfigRequest, protocol.PutConfigAnswer](t, newClient(t), nodes, protocol.MethodPutConfig, request)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/process/integration/node_test.go
+++ b/internal/process/integration/node_test.go
@@ -15,8 +15,8 @@
 	"go.uber.org/goleak"
 
 	"github.com/decklever/decklever/internal/daemon"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/placement"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/replica"
 	"github.com/decklever/decklever/internal/rpc"
@@ -227,7 +227,7 @@
 }
 
 // callUntilAnswered calls the nodes in turn until one gives a final answer.
-func callUntilAnswered[Request, Answer any](t *testing.T, client *rpc.Client, nodes []*node, method fleet.Method, request Request) (Answer, error) {
+func callUntilAnswered[Request, Answer any](t *testing.T, client *rpc.Client, nodes []*node, method protocol.Method, request Request) (Answer, error) {
 	t.Helper()
 	var answer Answer
 	var err error
--- a/internal/process/integration/programs_test.go
+++ b/internal/process/integration/programs_test.go
@@ -12,9 +12,9 @@
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/agent"
 	"github.com/decklever/decklever/internal/daemon"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/front"
-	"github.com/decklever/decklever/internal/leaderlink"
+	"github.com/decklever/decklever/internal/leaderclient"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 	"github.com/decklever/decklever/internal/testaddress"
 )
@@ -55,8 +55,8 @@
 	scheduler := newNodes(t, 1)[0]
 	scheduler.bounds, scheduler.maxRequest = tightBounds(), bodyLimit
 	scheduler.start()
-	request := fleet.PutConfigRequest{OrderID: "first", Config: taggedConfig("first")}
-	if _, err := callUntilAnswered[fleet.PutConfigRequest, fleet.PutConfigAnswer](t, newClient(t), []*node{scheduler}, fleet.MethodPutConfig, request); err != nil {
+	request := protocol.PutConfigRequest{OrderID: "first", Config: taggedConfig("first")}
+	if _, err := callUntilAnswered[protocol.PutConfigRequest, protocol.PutConfigAnswer](t, newClient(t), []*node{scheduler}, protocol.MethodPutConfig, request); err != nil {
 		t.Fatal(err)
 	}
 	targets := []target{schedulerTarget(t, scheduler), frontTarget(t, scheduler), agentTarget(t, scheduler)}
@@ -75,14 +75,14 @@
 		ordinary: func() error {
 			client := rpc.NewClient(rpc.ClientConfig{})
 			defer client.Close()
-			_, err := rpc.Call[fleet.Empty, fleet.ConfigAnswer](t.Context(), client, n.address, fleet.MethodGetConfig, fleet.Empty{})
+			_, err := rpc.Call[protocol.Empty, protocol.ConfigAnswer](t.Context(), client, n.address, protocol.MethodGetConfig, protocol.Empty{})
 			return err
 		},
 	}
 }
 
 // serve runs a daemon on an address of its own until the end of the test.
-func serve(t *testing.T, name, address string, handler http.Handler, link *leaderlink.Client, clean func()) {
+func serve(t *testing.T, name, address string, handler http.Handler, link *leaderclient.Client, clean func()) {
 	t.Helper()
 	process := &node{t: t, name: name}
 	config := tightBounds()
@@ -91,8 +91,8 @@
 	process.run(config, clean)
 }
 
-func newLink(name, role string, n *node, client *rpc.Client) *leaderlink.Client {
-	return leaderlink.New(leaderlink.Config{
+func newLink(name, role string, n *node, client *rpc.Client) *leaderclient.Client {
+	return leaderclient.New(leaderclient.Config{
 		Process: name, Role: role, Zone: "zone", Client: client,
 		Seeds: func() []string { return n.seeds },
 	})
--- a/internal/process/linked.go
+++ b/internal/process/linked.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/decklever/decklever/internal/daemon"
-	"github.com/decklever/decklever/internal/leaderlink"
+	"github.com/decklever/decklever/internal/leaderclient"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -35,7 +35,7 @@
 type LeaderClientBase[T any] struct {
 	*Base[T]
 	Client *rpc.Client
-	Leader *leaderlink.Client
+	Leader *leaderclient.Client
 
 	config LeaderClientConfig[T]
 	seeds  atomic.Pointer[[]string]
@@ -58,7 +58,7 @@
 		Dialer:  rpc.DialFrom(common.Source),
 		Metrics: base.Calls,
 	})
-	l.Leader = leaderlink.New(leaderlink.Config{
+	l.Leader = leaderclient.New(leaderclient.Config{
 		Process: common.Name,
 		Role:    config.Role,
 
--- a/internal/process/schedulerprocess/process.go
+++ b/internal/process/schedulerprocess/process.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/decklever/decklever/internal/daemon"
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/placement"
 	"github.com/decklever/decklever/internal/process"
 	"github.com/decklever/decklever/internal/record"
@@ -76,7 +76,7 @@
 // assemble connects the record, the replica and the acting scheduler.
 func (p *Process) assemble(store storage.Store) error {
 	p.store = store
-	off, err := mechanism.Parse(p.initial.Experiment.Off)
+	off, err := featuregate.Parse(p.initial.Experiment.Off)
 	if err != nil {
 		return err
 	}
--- a/internal/process/schedulerprocess/processors_test.go
+++ b/internal/process/schedulerprocess/processors_test.go
@@ -14,8 +14,8 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/process"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
 	"github.com/decklever/decklever/internal/settings"
@@ -103,8 +103,8 @@
 func (w *heartbeatingWorker) sendHeartbeat(ctx context.Context, address string) {
 	w.heartbeat.Seq++
 	began := time.Now()
-	request := fleet.HeartbeatRequest{Agent: w.heartbeat.Name, Zone: "z1", Heartbeat: w.heartbeat}
-	answer, err := rpc.Call[fleet.HeartbeatRequest, fleet.HeartbeatAnswer](ctx, w.client, address, fleet.MethodHeartbeat, request)
+	request := protocol.HeartbeatRequest{Agent: w.heartbeat.Name, Zone: "z1", Heartbeat: w.heartbeat}
+	answer, err := rpc.Call[protocol.HeartbeatRequest, protocol.HeartbeatAnswer](ctx, w.client, address, protocol.MethodHeartbeat, request)
 	if err != nil {
 		return
 	}
@@ -162,10 +162,10 @@
 func (l *load) submitJobs(ctx context.Context, address string) {
 	task := api.TaskSpec{Service: "s", Resources: api.Resources{CPUMillis: 100, MemoryMB: 10}}
 	for number := 0; ctx.Err() == nil; number++ {
-		request := fleet.SubmitRequest{ID: fmt.Sprintf("job-%d-%d", time.Now().UnixNano(), number), Spec: api.JobSpec{
+		request := protocol.SubmitRequest{ID: fmt.Sprintf("job-%d-%d", time.Now().UnixNano(), number), Spec: api.JobSpec{
 			Queue: "q", Steps: []api.StepSpec{{Name: "s", Tasks: []api.TaskSpec{task, task, task, task}}},
 		}}
-		_, _ = rpc.Call[fleet.SubmitRequest, fleet.SubmitAnswer](ctx, l.client, address, fleet.MethodSubmit, request)
+		_, _ = rpc.Call[protocol.SubmitRequest, protocol.SubmitAnswer](ctx, l.client, address, protocol.MethodSubmit, request)
 		time.Sleep(heartbeatInterval)
 	}
 }
@@ -173,9 +173,9 @@
 // configure puts a configuration in force; the leader may still have to be elected.
 func (l *load) configure(address string) {
 	l.t.Helper()
-	request := fleet.PutConfigRequest{OrderID: "order-1", Config: api.Config{Queues: []api.QueueConfig{{Name: "q"}}}}
+	request := protocol.PutConfigRequest{OrderID: "order-1", Config: api.Config{Queues: []api.QueueConfig{{Name: "q"}}}}
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(heartbeatInterval) {
-		_, err := rpc.Call[fleet.PutConfigRequest, fleet.PutConfigAnswer](l.t.Context(), l.client, address, fleet.MethodPutConfig, request)
+		_, err := rpc.Call[protocol.PutConfigRequest, protocol.PutConfigAnswer](l.t.Context(), l.client, address, protocol.MethodPutConfig, request)
 		if err == nil {
 			return
 		}
--- a/internal/process/schedulerprocess/relay.go
+++ b/internal/process/schedulerprocess/relay.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"github.com/decklever/decklever/internal/daemon"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/front"
 	"github.com/decklever/decklever/internal/process"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 	"github.com/decklever/decklever/internal/settings"
 )
@@ -46,9 +46,9 @@
 		return nil, fmt.Errorf("make the gateway: %w", err)
 	}
 	server := rpc.NewServer(rpc.ServerConfig{Logger: r.Logger})
-	rpc.Handle(server, fleet.MethodIdentity, func(context.Context, fleet.Empty) (fleet.IdentityAnswer, error) {
+	rpc.Handle(server, protocol.MethodIdentity, func(context.Context, protocol.Empty) (protocol.IdentityAnswer, error) {
 		address, _ := r.Leader.Leader()
-		return fleet.IdentityAnswer{Relay: true, LeaderAddress: address}, nil
+		return protocol.IdentityAnswer{Relay: true, LeaderAddress: address}, nil
 	})
 	r.handler = routes(server, r.Status())
 	return r, nil
--- a/internal/fleet/doc.go
+++ b/internal/protocol/doc.go
@@ -3,4 +3,4 @@
 // field numbers are never used again, so two versions can run side by side.
 //
 // What a lost, late, doubled or crossed message does is said at each type.
-package fleet
+package protocol
--- a/internal/fleet/messages.go
+++ b/internal/protocol/messages.go
@@ -1,4 +1,4 @@
-package fleet
+package protocol
 
 import (
 	"github.com/decklever/decklever/api"
--- a/internal/replica/archive.go
+++ b/internal/replica/archive.go
@@ -4,7 +4,7 @@
 	"context"
 	"fmt"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -75,12 +75,12 @@
 }
 
 func (r *Replica) copyArchivePage(ctx context.Context, address string) (int, error) {
-	request := fleet.ArchivePageRequest{
+	request := protocol.ArchivePageRequest{
 		AfterIndex: r.archive.position.index,
 		AfterID:    r.archive.position.id,
 		Limit:      maxArchivePage,
 	}
-	page, err := rpc.Call[fleet.ArchivePageRequest, fleet.ArchivePageAnswer](ctx, r.config.Client, address, fleet.MethodArchivePage, request)
+	page, err := rpc.Call[protocol.ArchivePageRequest, protocol.ArchivePageAnswer](ctx, r.config.Client, address, protocol.MethodArchivePage, request)
 	if err != nil {
 		return 0, fmt.Errorf("copy archive: %w", err)
 	}
--- a/internal/replica/decisions_test.go
+++ b/internal/replica/decisions_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
 )
@@ -23,16 +23,16 @@
 }
 
 func bootstrappingSeed(id string, proposal raft.Membership) seedResponse {
-	return seedResponse{address: id, identity: fleet.IdentityAnswer{Member: member(id), Empty: true, Bootstrapping: true, Membership: proposal}}
+	return seedResponse{address: id, identity: protocol.IdentityAnswer{Member: member(id), Empty: true, Bootstrapping: true, Membership: proposal}}
 }
 
 func TestDecideBootstrap_FollowsSeedResponses(t *testing.T) {
 	all := members("a", "b", "c")
 	silent := seedResponse{address: "c", err: errors.New("refused")}
 	full := func(founded raft.Membership) seedResponse {
-		return seedResponse{address: "c", identity: fleet.IdentityAnswer{Member: member("c"), InitialMembership: &founded}}
+		return seedResponse{address: "c", identity: protocol.IdentityAnswer{Member: member("c"), InitialMembership: &founded}}
 	}
-	joiner := seedResponse{address: "c", identity: fleet.IdentityAnswer{Member: member("c"), Empty: true}}
+	joiner := seedResponse{address: "c", identity: protocol.IdentityAnswer{Member: member("c"), Empty: true}}
 	sameName := bootstrappingSeed("c", raft.Membership{})
 	sameName.identity.Member.Name = "name-a"
 	cases := map[string]struct {
@@ -100,7 +100,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			step := nextMembershipStep(membershipQuery{
-				request: fleet.JoinRequest{Member: newcomer, ArchiveCopied: c.copied},
+				request: protocol.JoinRequest{Member: newcomer, ArchiveCopied: c.copied},
 				status: raft.Status{
 					ID: "a", LastIndex: 500, Membership: c.current,
 					Progress: []raft.Progress{{ID: "n", Match: c.match, Learner: true}, {ID: "c", LastSeen: c.heard}},
@@ -127,7 +127,7 @@
 	if got := decideJoin(empty); got.action != bootstrapWait || got.reason == "" {
 		t.Fatalf("empty seeds: %+v", got)
 	}
-	full := append(empty, seedResponse{address: "c", identity: fleet.IdentityAnswer{Member: member("c")}})
+	full := append(empty, seedResponse{address: "c", identity: protocol.IdentityAnswer{Member: member("c")}})
 	if got := decideJoin(full); got.action != bootstrapJoin {
 		t.Fatalf("a seed has a cluster: %+v", got)
 	}
@@ -164,7 +164,7 @@
 			current := members("a", "b", "c")
 			current.Learners = []raft.Member{c.newcomer}
 			step := nextMembershipStep(membershipQuery{
-				request: fleet.JoinRequest{Member: c.newcomer, ArchiveCopied: true},
+				request: protocol.JoinRequest{Member: c.newcomer, ArchiveCopied: true},
 				status: raft.Status{
 					ID: "a", LastIndex: 500, Membership: current,
 					Progress: []raft.Progress{{ID: "n", Match: 500, Learner: true}, {ID: "b", LastSeen: c.heardB}, {ID: "c", LastSeen: c.heardC}},
--- a/internal/replica/formation.go
+++ b/internal/replica/formation.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
 )
@@ -119,7 +119,7 @@
 // seedResponse is what one seed said; err is set if it did not answer.
 type seedResponse struct {
 	address  string
-	identity fleet.IdentityAnswer
+	identity protocol.IdentityAnswer
 	err      error
 }
 
@@ -144,7 +144,7 @@
 	if seed == r.config.Address {
 		return seedResponse{address: seed, identity: r.identity()}
 	}
-	answer, err := rpc.Call[fleet.Empty, fleet.IdentityAnswer](ctx, r.config.Client, seed, fleet.MethodIdentity, fleet.Empty{})
+	answer, err := rpc.Call[protocol.Empty, protocol.IdentityAnswer](ctx, r.config.Client, seed, protocol.MethodIdentity, protocol.Empty{})
 	return seedResponse{address: seed, identity: answer, err: err}
 }
 
@@ -158,14 +158,14 @@
 	return decideBootstrap(r.self.ID, proposal, answers)
 }
 
-func (r *Replica) serveIdentity(context.Context, fleet.Empty) (fleet.IdentityAnswer, error) {
+func (r *Replica) serveIdentity(context.Context, protocol.Empty) (protocol.IdentityAnswer, error) {
 	return r.identity(), nil
 }
 
-func (r *Replica) identity() fleet.IdentityAnswer {
+func (r *Replica) identity() protocol.IdentityAnswer {
 	r.bootstrapState.mutex.Lock()
 	defer r.bootstrapState.mutex.Unlock()
-	answer := fleet.IdentityAnswer{
+	answer := protocol.IdentityAnswer{
 		Member:            r.member(),
 		Empty:             r.config.Store.Empty(),
 		Bootstrapping:     r.bootstrapState.inProgress,
--- a/internal/replica/handover.go
+++ b/internal/replica/handover.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
 )
@@ -62,11 +62,11 @@
 	if len(r.status.Load().Membership.Learners) == 0 {
 		return
 	}
-	request := fleet.RetireRequest{ID: r.self.ID}
+	request := protocol.RetireRequest{ID: r.self.ID}
 	for r.successorReachable(ctx) {
 		leader, known := r.Leader()
 		if known && leader.ID != r.self.ID {
-			answer, err := rpc.Call[fleet.RetireRequest, fleet.RetireAnswer](ctx, r.config.Client, leader.Address, fleet.MethodRetire, request)
+			answer, err := rpc.Call[protocol.RetireRequest, protocol.RetireAnswer](ctx, r.config.Client, leader.Address, protocol.MethodRetire, request)
 			if err == nil && answer.Done {
 				return
 			}
--- a/internal/replica/join.go
+++ b/internal/replica/join.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
 )
@@ -80,12 +80,12 @@
 	}
 	// Whatever is applied here began with a snapshot, before which the archive
 	// was copied.
-	request := fleet.JoinRequest{Member: r.member(), ArchiveCopied: r.applied.load() > 0}
+	request := protocol.JoinRequest{Member: r.member(), ArchiveCopied: r.applied.load() > 0}
 	if leader == r.config.Address {
 		answer, _ := r.serveJoin(ctx, request)
 		return answer.Standby
 	}
-	answer, err := rpc.Call[fleet.JoinRequest, fleet.JoinAnswer](ctx, r.config.Client, leader, fleet.MethodJoin, request)
+	answer, err := rpc.Call[protocol.JoinRequest, protocol.JoinAnswer](ctx, r.config.Client, leader, protocol.MethodJoin, request)
 	if err != nil {
 		r.logger.Debug("join refused", "leader", leader, "error", err)
 	}
@@ -122,12 +122,12 @@
 }
 
 // serveJoin takes a newcomer in, step by step; leader only.
-func (r *Replica) serveJoin(ctx context.Context, request fleet.JoinRequest) (fleet.JoinAnswer, error) {
+func (r *Replica) serveJoin(ctx context.Context, request protocol.JoinRequest) (protocol.JoinAnswer, error) {
 	if request.Member.ID == "" || request.Member.Name == "" || request.Member.Address == "" {
-		return fleet.JoinAnswer{}, &rpc.Error{Code: rpc.CodeBadRequest, Message: "member data is incomplete"}
+		return protocol.JoinAnswer{}, &rpc.Error{Code: rpc.CodeBadRequest, Message: "member data is incomplete"}
 	}
 	if view := r.leadership.Load(); !view.leader || !r.HoldsLease(view.term) {
-		return fleet.JoinAnswer{}, r.notLeader()
+		return protocol.JoinAnswer{}, r.notLeader()
 	}
 	var step membershipStep
 	err := r.runOnLoop(ctx, func(l *loop) error {
@@ -135,16 +135,16 @@
 		return l.proposeMembershipStep(request.Member, step)
 	})
 	if err != nil {
-		return fleet.JoinAnswer{}, fmt.Errorf("join: %w", err)
+		return protocol.JoinAnswer{}, fmt.Errorf("join: %w", err)
 	}
-	return fleet.JoinAnswer{Voter: step.voter, Standby: step.standby}, nil
+	return protocol.JoinAnswer{Voter: step.voter, Standby: step.standby}, nil
 }
 
 // serveRetire gives the seat of a voter that is about to stop to a learner that
 // stands by; leader only.
-func (r *Replica) serveRetire(ctx context.Context, request fleet.RetireRequest) (fleet.RetireAnswer, error) {
+func (r *Replica) serveRetire(ctx context.Context, request protocol.RetireRequest) (protocol.RetireAnswer, error) {
 	if view := r.leadership.Load(); !view.leader || !r.HoldsLease(view.term) {
-		return fleet.RetireAnswer{}, r.notLeader()
+		return protocol.RetireAnswer{}, r.notLeader()
 	}
 	var done bool
 	err := r.runOnLoop(ctx, func(l *loop) error {
@@ -154,9 +154,9 @@
 		return l.proposeMembershipStep(step.learner, step)
 	})
 	if err != nil {
-		return fleet.RetireAnswer{}, fmt.Errorf("retire: %w", err)
+		return protocol.RetireAnswer{}, fmt.Errorf("retire: %w", err)
 	}
-	return fleet.RetireAnswer{Done: done}, nil
+	return protocol.RetireAnswer{Done: done}, nil
 }
 
 // proposeMembershipStep proposes the change of a step; a change that cannot be made now
--- a/internal/replica/joinstep.go
+++ b/internal/replica/joinstep.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 )
 
@@ -32,7 +32,7 @@
 	postponed string
 }
 
-func (l *loop) nextMembershipStep(request fleet.JoinRequest) membershipStep {
+func (l *loop) nextMembershipStep(request protocol.JoinRequest) membershipStep {
 	return nextMembershipStep(membershipQuery{
 		request:      request,
 		status:       l.node.Status(),
@@ -46,7 +46,7 @@
 // must not have been heard to be replaced; maxVoters is the number of voters up
 // to which a newcomer becomes one beside the others.
 type membershipQuery struct {
-	request      fleet.JoinRequest
+	request      protocol.JoinRequest
 	status       raft.Status
 	now          time.Duration
 	voterTimeout time.Duration
--- a/internal/replica/peerlink.go
+++ b/internal/replica/peerlink.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
 )
@@ -79,8 +79,8 @@
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, messageTimeout)
 	defer cancel()
-	request := fleet.RaftRequest{Messages: messages, Sender: p.replica.member()}
-	_, err := rpc.Call[fleet.RaftRequest, fleet.Empty](ctx, p.replica.config.Client, p.address, fleet.MethodRaft, request)
+	request := protocol.RaftRequest{Messages: messages, Sender: p.replica.member()}
+	_, err := rpc.Call[protocol.RaftRequest, protocol.Empty](ctx, p.replica.config.Client, p.address, protocol.MethodRaft, request)
 	p.recordReachability(err)
 	return err == nil
 }
--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -4,7 +4,7 @@
 	"context"
 	"errors"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
 )
@@ -66,7 +66,7 @@
 	if !known || leader.ID == r.self.ID {
 		return 0, ErrNotLeader
 	}
-	answer, err := rpc.Call[fleet.Empty, fleet.ReadIndexAnswer](ctx, r.config.Client, leader.Address, fleet.MethodReadIndex, fleet.Empty{})
+	answer, err := rpc.Call[protocol.Empty, protocol.ReadIndexAnswer](ctx, r.config.Client, leader.Address, protocol.MethodReadIndex, protocol.Empty{})
 	return answer.Index, err
 }
 
--- a/internal/replica/receivesnapshot.go
+++ b/internal/replica/receivesnapshot.go
@@ -8,7 +8,7 @@
 	"io"
 	"sync"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
 )
@@ -35,7 +35,7 @@
 }
 
 // take adds a chunk; complete is true once, with the last one.
-func (s *snapshotReceiver) addChunk(chunk fleet.SnapshotChunkRequest) (complete bool, err error) {
+func (s *snapshotReceiver) addChunk(chunk protocol.SnapshotChunkRequest) (complete bool, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
@@ -73,8 +73,8 @@
 
 // serveSnapshotChunk takes a chunk, and answers Installed once the log here
 // reaches the snapshot.
-func (r *Replica) serveSnapshotChunk(_ context.Context, chunk fleet.SnapshotChunkRequest) (fleet.SnapshotChunkAnswer, error) {
-	var answer fleet.SnapshotChunkAnswer
+func (r *Replica) serveSnapshotChunk(_ context.Context, chunk protocol.SnapshotChunkRequest) (protocol.SnapshotChunkAnswer, error) {
+	var answer protocol.SnapshotChunkAnswer
 	if !r.running.Load() {
 		return answer, errNotRunning
 	}
@@ -86,7 +86,7 @@
 		return answer, &rpc.Error{Code: rpc.CodeUnavailable, Message: fmt.Sprintf("term %d is over", chunk.Term)}
 	}
 	if r.applied.load() >= chunk.Meta.Index {
-		return fleet.SnapshotChunkAnswer{Installed: true}, nil
+		return protocol.SnapshotChunkAnswer{Installed: true}, nil
 	}
 	complete, err := r.snapshotReceiver.addChunk(chunk)
 	if err != nil {
--- a/internal/replica/seats_test.go
+++ b/internal/replica/seats_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 )
 
@@ -32,7 +32,7 @@
 		status.Progress = append(status.Progress, progress)
 	}
 	return nextMembershipStep(membershipQuery{
-		request: fleet.JoinRequest{Member: membership.Learners[0], ArchiveCopied: true},
+		request: protocol.JoinRequest{Member: membership.Learners[0], ArchiveCopied: true},
 		status:  status, now: now, voterTimeout: silence, maxVoters: maxVoters,
 	})
 }
--- a/internal/replica/sendsnapshot.go
+++ b/internal/replica/sendsnapshot.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/rpc"
 )
@@ -58,7 +58,7 @@
 		return 0, errors.New("there is no snapshot")
 	}
 	defer func() { _ = data.Close() }()
-	chunk := fleet.SnapshotChunkRequest{From: r.self.ID, To: to.ID, Term: term, Meta: meta, Address: r.config.Address}
+	chunk := protocol.SnapshotChunkRequest{From: r.self.ID, To: to.ID, Term: term, Meta: meta, Address: r.config.Address}
 	buffer := make([]byte, snapshotChunk)
 	for !chunk.Last {
 		count, err := io.ReadFull(data, buffer)
@@ -79,10 +79,10 @@
 }
 
 // sendChunk tries a few times; a doubled chunk is ignored there.
-func (r *Replica) sendChunk(ctx context.Context, address string, chunk fleet.SnapshotChunkRequest) (installed bool, err error) {
+func (r *Replica) sendChunk(ctx context.Context, address string, chunk protocol.SnapshotChunkRequest) (installed bool, err error) {
 	for range chunkAttempts {
-		var answer fleet.SnapshotChunkAnswer
-		answer, err = rpc.Call[fleet.SnapshotChunkRequest, fleet.SnapshotChunkAnswer](ctx, r.config.Client, address, fleet.MethodSnapshotChunk, chunk)
+		var answer protocol.SnapshotChunkAnswer
+		answer, err = rpc.Call[protocol.SnapshotChunkRequest, protocol.SnapshotChunkAnswer](ctx, r.config.Client, address, protocol.MethodSnapshotChunk, chunk)
 		var refusal *rpc.Error
 		if err == nil || !errors.As(err, &refusal) || refusal.Code != rpc.CodeTransport {
 			return answer.Installed, err
@@ -92,7 +92,7 @@
 }
 
 // awaitInstalled repeats the last chunk until the receiver is done with it.
-func (r *Replica) awaitInstalled(ctx context.Context, address string, last fleet.SnapshotChunkRequest) error {
+func (r *Replica) awaitInstalled(ctx context.Context, address string, last protocol.SnapshotChunkRequest) error {
 	for {
 		if !contexttime.Sleep(ctx, installPollInterval) {
 			return ctx.Err()
--- a/internal/booking/booking_test.go
+++ b/internal/reservation/booking_test.go
@@ -1,4 +1,4 @@
-package booking
+package reservation
 
 import (
 	"slices"
--- a/internal/rpc/allocation_test.go
+++ b/internal/rpc/allocation_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // maxCarriageAllocations bounds what a served heartbeat allocates beside what its
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	reading := testing.AllocsPerRun(200, func() {
-		var read fleet.HeartbeatRequest
+		var read protocol.HeartbeatRequest
 		if err := c.decode(body, &read); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rpc/bench_test.go
+++ b/internal/rpc/bench_test.go
@@ -8,15 +8,15 @@
 	"testing"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // BenchmarkHeartbeatCall is a whole call over a connection, both sides: a
 // heartbeat that lists 7 runs, and its answer.
 func BenchmarkHeartbeatCall(b *testing.B) {
 	server := NewServer(ServerConfig{})
-	Handle(server, fleet.MethodHeartbeat, func(_ context.Context, request fleet.HeartbeatRequest) (fleet.HeartbeatAnswer, error) {
-		return fleet.HeartbeatAnswer{Answer: api.HeartbeatAnswer{Seq: request.Heartbeat.Seq, Token: 1, HoldMillis: 3000, IntervalMillis: 200}}, nil
+	Handle(server, protocol.MethodHeartbeat, func(_ context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
+		return protocol.HeartbeatAnswer{Answer: api.HeartbeatAnswer{Seq: request.Heartbeat.Seq, Token: 1, HoldMillis: 3000, IntervalMillis: 200}}, nil
 	})
 	listener := httptest.NewServer(server)
 	b.Cleanup(listener.Close)
@@ -26,7 +26,7 @@
 	request := benchHeartbeat()
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := Call[fleet.HeartbeatRequest, fleet.HeartbeatAnswer](b.Context(), client, address, fleet.MethodHeartbeat, request); err != nil {
+		if _, err := Call[protocol.HeartbeatRequest, protocol.HeartbeatAnswer](b.Context(), client, address, protocol.MethodHeartbeat, request); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -41,14 +41,14 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		var read fleet.HeartbeatRequest
+		var read protocol.HeartbeatRequest
 		if err := c.decode(body, &read); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-func benchHeartbeat() fleet.HeartbeatRequest {
+func benchHeartbeat() protocol.HeartbeatRequest {
 	const runs = 7
 	heartbeat := api.Heartbeat{
 		WorkerID: "i-7f3a91c2", Name: "i-7f3a91c2", Seq: 900, AcceptedSeq: 899, Services: []string{"huvo11a"},
@@ -59,5 +59,5 @@
 		heartbeat.Running = append(heartbeat.Running, reference)
 		heartbeat.Progress = append(heartbeat.Progress, api.RunProgress{RunRef: reference, Percent: 40, Checkpoint: "00000bb87a21d94b"})
 	}
-	return fleet.HeartbeatRequest{Agent: "agent-side-taras-1", Zone: "taras", Heartbeat: heartbeat}
+	return protocol.HeartbeatRequest{Agent: "agent-side-taras-1", Zone: "taras", Heartbeat: heartbeat}
 }
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // Defaults and bounds of the client.
@@ -85,7 +85,7 @@
 // Call sends one request to address ("IP:port") and returns the answer. It is
 // sent at most once. Every failure is an *Error: the server's own, or one with
 // CodeTransport if no answer was had in time.
-func Call[Request, Answer any](ctx context.Context, c *Client, address string, method fleet.Method, request Request) (Answer, error) {
+func Call[Request, Answer any](ctx context.Context, c *Client, address string, method protocol.Method, request Request) (Answer, error) {
 	var answer Answer
 	body, err := c.codec.encode(request)
 	if err != nil {
@@ -110,7 +110,7 @@
 
 // send carries one body there and the answer's body back, into reply. It returns
 // *Error and not error, so that no failure of another type can slip through.
-func (c *Client) send(ctx context.Context, address string, method fleet.Method, body []byte, reply *buffer) *Error {
+func (c *Client) send(ctx context.Context, address string, method protocol.Method, body []byte, reply *buffer) *Error {
 	ctx, cancel := c.withDeadline(ctx)
 	defer cancel()
 	var connected atomic.Bool
@@ -146,7 +146,7 @@
 // newRequest makes the request of a call. Its body can be read anew, since the
 // transport sends it on another connection if one that was kept turns out to be
 // closed before a byte of it was written.
-func newRequest(ctx context.Context, address string, method fleet.Method, body []byte) *http.Request {
+func newRequest(ctx context.Context, address string, method protocol.Method, body []byte) *http.Request {
 	request := &http.Request{
 		Method: http.MethodPost,
 		URL:    &url.URL{Scheme: "http", Host: address, Path: pathPrefix + string(method)},
@@ -179,7 +179,7 @@
 
 // readError turns the body of a failed call into the server's error. A body
 // that is none came from something that is not our server.
-func (c *Client) readError(method fleet.Method, address string, status int, body []byte) *Error {
+func (c *Client) readError(method protocol.Method, address string, status int, body []byte) *Error {
 	failure := &Error{}
 	if err := c.codec.decode(body, failure); err != nil {
 		return transportError(method, address, fmt.Errorf("status %d without a readable error: %w", status, err))
@@ -190,11 +190,11 @@
 	return failure
 }
 
-func transportError(method fleet.Method, address string, err error) *Error {
+func transportError(method protocol.Method, address string, err error) *Error {
 	return &Error{Code: CodeTransport, Message: fmt.Sprintf("call %s at %s: %v", method, address, err)}
 }
 
-func unsentError(method fleet.Method, address string, err error) *Error {
+func unsentError(method protocol.Method, address string, err error) *Error {
 	failure := transportError(method, address, err)
 	failure.Unsent = true
 	return failure
--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"testing"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 func TestCodec_UnknownFieldsAreIgnored(t *testing.T) {
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var older fleet.CancelRequest
+	var older protocol.CancelRequest
 	if err := newCodec().decode(encoded, &older); err != nil || older.ID != "j" {
 		t.Fatalf("decoded %+v, error %v", older, err)
 	}
@@ -48,7 +48,7 @@
 		"indefinite length": {0xbf, 0xff},
 		"key twice":         {0xa2, 0x01, 0x61, 0x61, 0x01, 0x61, 0x62},
 	} {
-		var request fleet.CancelRequest
+		var request protocol.CancelRequest
 		if err := newCodec().decode(body, &request); err == nil {
 			t.Errorf("%s: decoded as %+v", name, request)
 		}
@@ -59,7 +59,7 @@
 // decoded can be encoded and decoded again to the same bytes.
 func FuzzDecode(f *testing.F) {
 	codec := newCodec()
-	for _, seed := range []any{fleet.HeartbeatRequest{Agent: "a"}, fleet.RaftRequest{}, &Error{Code: CodeNotLeader}} {
+	for _, seed := range []any{protocol.HeartbeatRequest{Agent: "a"}, protocol.RaftRequest{}, &Error{Code: CodeNotLeader}} {
 		encoded, err := codec.encode(seed)
 		if err != nil {
 			f.Fatal(err)
@@ -68,11 +68,11 @@
 	}
 	f.Add([]byte{0x9a, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		var raft fleet.RaftRequest
+		var raft protocol.RaftRequest
 		_ = codec.decode(body, &raft)
 		var failure Error
 		_ = codec.decode(body, &failure)
-		var heartbeat, again fleet.HeartbeatRequest
+		var heartbeat, again protocol.HeartbeatRequest
 		if codec.decode(body, &heartbeat) != nil {
 			return
 		}
--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 )
 
@@ -36,19 +36,19 @@
 // messages are all that passes between processes.
 func messages() []roundTrip {
 	return []roundTrip{
-		roundTripOf[fleet.RaftRequest](), roundTripOf[fleet.SnapshotChunkRequest](), roundTripOf[fleet.SnapshotChunkAnswer](),
-		roundTripOf[fleet.ArchivePageRequest](), roundTripOf[fleet.ArchivePageAnswer](), roundTripOf[fleet.IdentityAnswer](),
-		roundTripOf[fleet.ReadIndexAnswer](), roundTripOf[fleet.JoinRequest](), roundTripOf[fleet.JoinAnswer](),
-		roundTripOf[fleet.HeartbeatRequest](), roundTripOf[fleet.HeartbeatAnswer](),
-		roundTripOf[fleet.WatchRequest](), roundTripOf[fleet.WatchAnswer](),
-		roundTripOf[fleet.SubmitRequest](), roundTripOf[fleet.SubmitAnswer](), roundTripOf[fleet.CancelRequest](),
-		roundTripOf[fleet.GetJobRequest](), roundTripOf[fleet.JobAnswer](),
-		roundTripOf[fleet.ListJobsRequest](), roundTripOf[fleet.ListJobsAnswer](),
-		roundTripOf[fleet.ConfigAnswer](), roundTripOf[fleet.PutConfigRequest](), roundTripOf[fleet.PutConfigAnswer](),
-		roundTripOf[fleet.ValidateConfigRequest](), roundTripOf[fleet.ConfigVersionsAnswer](), roundTripOf[fleet.RolloutAnswer](),
-		roundTripOf[fleet.WorkersAnswer](), roundTripOf[fleet.MembersAnswer](), roundTripOf[fleet.QueuesAnswer](),
-		roundTripOf[fleet.BookingsRequest](), roundTripOf[fleet.BookingsAnswer](), roundTripOf[fleet.ReleaseRequest](),
-		roundTripOf[fleet.CancelManyRequest](), roundTripOf[fleet.CancelManyAnswer](), roundTripOf[Error](),
+		roundTripOf[protocol.RaftRequest](), roundTripOf[protocol.SnapshotChunkRequest](), roundTripOf[protocol.SnapshotChunkAnswer](),
+		roundTripOf[protocol.ArchivePageRequest](), roundTripOf[protocol.ArchivePageAnswer](), roundTripOf[protocol.IdentityAnswer](),
+		roundTripOf[protocol.ReadIndexAnswer](), roundTripOf[protocol.JoinRequest](), roundTripOf[protocol.JoinAnswer](),
+		roundTripOf[protocol.HeartbeatRequest](), roundTripOf[protocol.HeartbeatAnswer](),
+		roundTripOf[protocol.WatchRequest](), roundTripOf[protocol.WatchAnswer](),
+		roundTripOf[protocol.SubmitRequest](), roundTripOf[protocol.SubmitAnswer](), roundTripOf[protocol.CancelRequest](),
+		roundTripOf[protocol.GetJobRequest](), roundTripOf[protocol.JobAnswer](),
+		roundTripOf[protocol.ListJobsRequest](), roundTripOf[protocol.ListJobsAnswer](),
+		roundTripOf[protocol.ConfigAnswer](), roundTripOf[protocol.PutConfigRequest](), roundTripOf[protocol.PutConfigAnswer](),
+		roundTripOf[protocol.ValidateConfigRequest](), roundTripOf[protocol.ConfigVersionsAnswer](), roundTripOf[protocol.RolloutAnswer](),
+		roundTripOf[protocol.WorkersAnswer](), roundTripOf[protocol.MembersAnswer](), roundTripOf[protocol.QueuesAnswer](),
+		roundTripOf[protocol.BookingsRequest](), roundTripOf[protocol.BookingsAnswer](), roundTripOf[protocol.ReleaseRequest](),
+		roundTripOf[protocol.CancelManyRequest](), roundTripOf[protocol.CancelManyAnswer](), roundTripOf[Error](),
 	}
 }
 
@@ -59,14 +59,14 @@
 	spec := api.JobSpec{Queue: "q", Steps: []api.StepSpec{{Name: "a", Tasks: []api.TaskSpec{task}}}}
 	reference := api.RunRef{Task: "j/a/0", Run: 1}
 	for _, seed := range []any{
-		fleet.RaftRequest{Messages: []raft.Message{{Kind: raft.MessageAppend, From: "a", Entries: []raft.Entry{{Index: 1, Data: []byte("x")}}}}},
-		fleet.SnapshotChunkRequest{From: "a", Data: []byte("x"), Last: true},
-		fleet.IdentityAnswer{Member: raft.Member{ID: "a"}, InitialMembership: &raft.Membership{}},
-		fleet.HeartbeatRequest{Agent: "a", Heartbeat: api.Heartbeat{WorkerID: "w", Seq: 1, Running: []api.RunRef{reference}}},
-		fleet.HeartbeatAnswer{Answer: api.HeartbeatAnswer{Seq: 1, Start: []api.StartOrder{{RunRef: reference, Spec: task}}}},
-		fleet.SubmitRequest{ID: "j", Spec: spec},
-		fleet.PutConfigRequest{OrderID: "o", Config: api.Config{Queues: []api.QueueConfig{{Name: "q"}}}},
-		fleet.WatchAnswer{Token: 1, Config: &api.Config{}},
+		protocol.RaftRequest{Messages: []raft.Message{{Kind: raft.MessageAppend, From: "a", Entries: []raft.Entry{{Index: 1, Data: []byte("x")}}}}},
+		protocol.SnapshotChunkRequest{From: "a", Data: []byte("x"), Last: true},
+		protocol.IdentityAnswer{Member: raft.Member{ID: "a"}, InitialMembership: &raft.Membership{}},
+		protocol.HeartbeatRequest{Agent: "a", Heartbeat: api.Heartbeat{WorkerID: "w", Seq: 1, Running: []api.RunRef{reference}}},
+		protocol.HeartbeatAnswer{Answer: api.HeartbeatAnswer{Seq: 1, Start: []api.StartOrder{{RunRef: reference, Spec: task}}}},
+		protocol.SubmitRequest{ID: "j", Spec: spec},
+		protocol.PutConfigRequest{OrderID: "o", Config: api.Config{Queues: []api.QueueConfig{{Name: "q"}}}},
+		protocol.WatchAnswer{Token: 1, Config: &api.Config{}},
 		Error{Code: CodeRefused, API: &api.Error{Status: 400, Fields: []api.FieldError{{Field: "f"}}}},
 	} {
 		data, err := codec.encode(seed)
--- a/internal/rpc/metrics.go
+++ b/internal/rpc/metrics.go
@@ -8,7 +8,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // Label values of the metrics.
@@ -51,7 +51,7 @@
 	if m == nil {
 		return nil
 	}
-	return &callCounters{metrics: m, side: name, methods: map[fleet.Method]methodCounters{}}
+	return &callCounters{metrics: m, side: name, methods: map[protocol.Method]methodCounters{}}
 }
 
 // callCounters keeps the counters of each method that has been called, so that a
@@ -60,13 +60,13 @@
 	metrics *Metrics
 	side    string
 	mutex   sync.RWMutex
-	methods map[fleet.Method]methodCounters
+	methods map[protocol.Method]methodCounters
 }
 
 type methodCounters struct{ calls, sent, received prometheus.Counter }
 
 // count notes one call with the bodies that this side sent and received.
-func (c *callCounters) count(method fleet.Method, sent, received int) {
+func (c *callCounters) count(method protocol.Method, sent, received int) {
 	if c == nil {
 		return
 	}
@@ -76,7 +76,7 @@
 	counters.received.Add(float64(received))
 }
 
-func (c *callCounters) forMethod(method fleet.Method) methodCounters {
+func (c *callCounters) forMethod(method protocol.Method) methodCounters {
 	c.mutex.RLock()
 	counters, known := c.methods[method]
 	c.mutex.RUnlock()
--- a/internal/rpc/metrics_test.go
+++ b/internal/rpc/metrics_test.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/testutil"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 func TestMetrics_CountCallsAndBytesOnBothSides(t *testing.T) {
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	server := NewServer(ServerConfig{Metrics: metrics})
-	Handle(server, fleet.MethodCancel, func(_ context.Context, request fleet.CancelRequest) (fleet.CancelRequest, error) {
+	Handle(server, protocol.MethodCancel, func(_ context.Context, request protocol.CancelRequest) (protocol.CancelRequest, error) {
 		return request, nil
 	})
 	listener := httptest.NewServer(server)
@@ -28,17 +28,17 @@
 	address := strings.TrimPrefix(listener.URL, "http://")
 	const calls = 3
 	for range calls {
-		if _, err := Call[fleet.CancelRequest, fleet.CancelRequest](t.Context(), client, address, fleet.MethodCancel, fleet.CancelRequest{ID: "job"}); err != nil {
+		if _, err := Call[protocol.CancelRequest, protocol.CancelRequest](t.Context(), client, address, protocol.MethodCancel, protocol.CancelRequest{ID: "job"}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	body := testutil.ToFloat64(metrics.bodyBytes.WithLabelValues(sideClient, string(fleet.MethodCancel), directionSent))
+	body := testutil.ToFloat64(metrics.bodyBytes.WithLabelValues(sideClient, string(protocol.MethodCancel), directionSent))
 	for _, side := range []string{sideClient, sideServer} {
-		if got := testutil.ToFloat64(metrics.calls.WithLabelValues(side, string(fleet.MethodCancel))); got != calls {
+		if got := testutil.ToFloat64(metrics.calls.WithLabelValues(side, string(protocol.MethodCancel))); got != calls {
 			t.Errorf("%v calls on the %s side, want %d", got, side, calls)
 		}
 		for _, direction := range []string{directionSent, directionReceived} {
-			if got := testutil.ToFloat64(metrics.bodyBytes.WithLabelValues(side, string(fleet.MethodCancel), direction)); got != body || got == 0 {
+			if got := testutil.ToFloat64(metrics.bodyBytes.WithLabelValues(side, string(protocol.MethodCancel), direction)); got != body || got == 0 {
 				t.Errorf("%s %s %v body bytes, want %v, over 0", side, direction, got, body)
 			}
 		}
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -20,12 +20,12 @@
 	"go.uber.org/goleak"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/testaddress"
 	"github.com/decklever/decklever/internal/testnetwork"
 )
 
-const methodTest fleet.Method = "test"
+const methodTest protocol.Method = "test"
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
@@ -44,14 +44,14 @@
 // newFailingServer returns a server whose method always ends with err.
 func newFailingServer(err error) *Server {
 	server := NewServer(ServerConfig{})
-	Handle(server, methodTest, func(context.Context, fleet.Empty) (fleet.Empty, error) { return fleet.Empty{}, err })
+	Handle(server, methodTest, func(context.Context, protocol.Empty) (protocol.Empty, error) { return protocol.Empty{}, err })
 	return server
 }
 
 // requireFailure calls the method and returns its failure.
 func requireFailure(t *testing.T, address string, client *Client) *Error {
 	t.Helper()
-	_, err := Call[fleet.Empty, fleet.Empty](t.Context(), client, address, methodTest, fleet.Empty{})
+	_, err := Call[protocol.Empty, protocol.Empty](t.Context(), client, address, methodTest, protocol.Empty{})
 	var failure *Error
 	if !errors.As(err, &failure) {
 		t.Fatalf("got %v, expected an *Error", err)
@@ -62,21 +62,21 @@
 func TestCall_RoundTripKeepsAllFields(t *testing.T) {
 	notBefore := time.Date(2031, 2, 3, 4, 5, 6, 789, time.UTC)
 	failures := 0
-	request := fleet.SubmitRequest{ID: "j", Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{{
+	request := protocol.SubmitRequest{ID: "j", Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{{
 		Name: "s", NotBefore: &notBefore,
 		Tasks: []api.TaskSpec{{
 			Service: "sleep", Payload: []byte(`{"a": [1, 2]}`), Labels: map[string]string{"b": "1", "a": "2"},
 			AllowedFailures: &failures, MaxDuration: api.Duration(time.Minute + time.Nanosecond),
 		}},
 	}}}}
-	var received fleet.SubmitRequest
+	var received protocol.SubmitRequest
 	server := NewServer(ServerConfig{})
-	Handle(server, fleet.MethodSubmit, func(_ context.Context, r fleet.SubmitRequest) (fleet.SubmitAnswer, error) {
+	Handle(server, protocol.MethodSubmit, func(_ context.Context, r protocol.SubmitRequest) (protocol.SubmitAnswer, error) {
 		received = r
-		return fleet.SubmitAnswer{Created: true}, nil
+		return protocol.SubmitAnswer{Created: true}, nil
 	})
 	address, client := serve(t, server, ClientConfig{})
-	answer, err := Call[fleet.SubmitRequest, fleet.SubmitAnswer](t.Context(), client, address, fleet.MethodSubmit, request)
+	answer, err := Call[protocol.SubmitRequest, protocol.SubmitAnswer](t.Context(), client, address, protocol.MethodSubmit, request)
 	if err != nil || !answer.Created {
 		t.Fatalf("answer %+v, error %v", answer, err)
 	}
@@ -86,7 +86,7 @@
 }
 
 func TestCall_HeartbeatKeepsEmbeddedRuns(t *testing.T) {
-	request := fleet.HeartbeatRequest{Agent: "a", Heartbeat: api.Heartbeat{
+	request := protocol.HeartbeatRequest{Agent: "a", Heartbeat: api.Heartbeat{
 		Seq:   7,
 		Ended: []api.EndedRun{{RunRef: api.RunRef{Task: "j/s/0", Run: 3}, Outcome: api.OutcomeFailed, Message: "m"}},
 	}}
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var decoded fleet.HeartbeatRequest
+	var decoded protocol.HeartbeatRequest
 	if err := newCodec().decode(encoded, &decoded); err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 func TestServer_PanicIsLoggedAndAnswered(t *testing.T) {
 	var log bytes.Buffer
 	server := NewServer(ServerConfig{Logger: slog.New(slog.NewTextHandler(&log, nil))})
-	Handle(server, methodTest, func(context.Context, fleet.Empty) (fleet.Empty, error) { panic("broken invariant") })
+	Handle(server, methodTest, func(context.Context, protocol.Empty) (protocol.Empty, error) { panic("broken invariant") })
 	address, client := serve(t, server, ClientConfig{})
 	for range 2 {
 		if failure := requireFailure(t, address, client); failure.Code != CodeUnknownOutcome {
@@ -159,24 +159,24 @@
 
 func TestServer_RejectsMalformedRequests(t *testing.T) {
 	server := NewServer(ServerConfig{MaxRequestBytes: 64})
-	Handle(server, methodTest, func(_ context.Context, r fleet.CancelRequest) (fleet.Empty, error) {
+	Handle(server, methodTest, func(_ context.Context, r protocol.CancelRequest) (protocol.Empty, error) {
 		t.Errorf("handler got %+v", r)
-		return fleet.Empty{}, nil
+		return protocol.Empty{}, nil
 	})
 	address, client := serve(t, server, ClientConfig{})
-	_, err := Call[fleet.CancelRequest, fleet.Empty](t.Context(), client, address, methodTest, fleet.CancelRequest{ID: strings.Repeat("x", 65)})
+	_, err := Call[protocol.CancelRequest, protocol.Empty](t.Context(), client, address, methodTest, protocol.CancelRequest{ID: strings.Repeat("x", 65)})
 	if !errors.Is(err, &Error{Code: CodeBadRequest}) || !strings.Contains(err.Error(), "64 bytes") {
 		t.Errorf("body over the limit: %v", err)
 	}
-	_, err = Call[fleet.Empty, fleet.Empty](t.Context(), client, address, "none", fleet.Empty{})
+	_, err = Call[protocol.Empty, protocol.Empty](t.Context(), client, address, "none", protocol.Empty{})
 	if !errors.Is(err, &Error{Code: CodeBadRequest}) || !strings.Contains(err.Error(), `"none"`) {
 		t.Errorf("unknown method: %v", err)
 	}
-	_, err = Call[string, fleet.Empty](t.Context(), client, address, methodTest, "text")
+	_, err = Call[string, protocol.Empty](t.Context(), client, address, methodTest, "text")
 	if !errors.Is(err, &Error{Code: CodeBadRequest}) {
 		t.Errorf("other type: %v", err)
 	}
-	_, err = Call[chan int, fleet.Empty](t.Context(), client, address, methodTest, make(chan int))
+	_, err = Call[chan int, protocol.Empty](t.Context(), client, address, methodTest, make(chan int))
 	if !errors.Is(err, &Error{Code: CodeBadRequest}) {
 		t.Errorf("type that cannot be sent: %v", err)
 	}
@@ -208,12 +208,12 @@
 func requireDeadline(t *testing.T, clients, contexts, want time.Duration) {
 	left, ended := make(chan time.Duration, 1), make(chan error, 1)
 	server := NewServer(ServerConfig{})
-	Handle(server, methodTest, func(ctx context.Context, _ fleet.Empty) (fleet.Empty, error) {
+	Handle(server, methodTest, func(ctx context.Context, _ protocol.Empty) (protocol.Empty, error) {
 		deadline, _ := ctx.Deadline()
 		left <- time.Until(deadline)
 		<-ctx.Done()
 		ended <- ctx.Err()
-		return fleet.Empty{}, ctx.Err()
+		return protocol.Empty{}, ctx.Err()
 	})
 	network := testnetwork.New()
 	httpServer := &http.Server{Handler: server, ReadHeaderTimeout: time.Second}
@@ -225,7 +225,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), contexts)
 	defer cancel()
 	began := time.Now()
-	if _, err := Call[fleet.Empty, fleet.Empty](ctx, client, "127.0.0.1:1", methodTest, fleet.Empty{}); err == nil {
+	if _, err := Call[protocol.Empty, protocol.Empty](ctx, client, "127.0.0.1:1", methodTest, protocol.Empty{}); err == nil {
 		t.Fatal("the deadline did not end the call")
 	}
 	if took := time.Since(began); took != want {
@@ -242,16 +242,16 @@
 func TestServer_CallerGoneEndsHandler(t *testing.T) {
 	entered, ended := make(chan struct{}), make(chan error, 1)
 	server := NewServer(ServerConfig{})
-	Handle(server, methodTest, func(ctx context.Context, _ fleet.Empty) (fleet.Empty, error) {
+	Handle(server, methodTest, func(ctx context.Context, _ protocol.Empty) (protocol.Empty, error) {
 		close(entered)
 		<-ctx.Done()
 		ended <- ctx.Err()
-		return fleet.Empty{}, ctx.Err()
+		return protocol.Empty{}, ctx.Err()
 	})
 	address, client := serve(t, server, ClientConfig{Timeout: time.Hour})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { <-entered; cancel() }()
-	_, err := Call[fleet.Empty, fleet.Empty](ctx, client, address, methodTest, fleet.Empty{})
+	_, err := Call[protocol.Empty, protocol.Empty](ctx, client, address, methodTest, protocol.Empty{})
 	if failure := new(Error); !errors.As(err, &failure) || failure.Code != CodeTransport || failure.Unsent {
 		t.Fatalf("got %v, want a transport error of unknown effect", err)
 	}
@@ -304,7 +304,7 @@
 				_, _ = w.Write([]byte{0xa0})
 			})
 			address, client := serve(t, handler, ClientConfig{MaxAnswerBytes: 64})
-			if _, err := Call[fleet.Empty, fleet.Empty](t.Context(), client, address, methodTest, fleet.Empty{}); err != nil {
+			if _, err := Call[protocol.Empty, protocol.Empty](t.Context(), client, address, methodTest, protocol.Empty{}); err != nil {
 				t.Fatal(err)
 			}
 			if failure := requireFailure(t, address, client); failure.Code != CodeTransport || failure.Unsent {
@@ -339,7 +339,7 @@
 		}
 	}()
 	register := func(s *Server) {
-		Handle(s, methodTest, func(context.Context, fleet.Empty) (fleet.Empty, error) { return fleet.Empty{}, nil })
+		Handle(s, methodTest, func(context.Context, protocol.Empty) (protocol.Empty, error) { return protocol.Empty{}, nil })
 	}
 	server := NewServer(ServerConfig{})
 	register(server)
@@ -361,7 +361,7 @@
 		}
 	}
 	address, client := serve(t, handler, ClientConfig{})
-	if _, err := Call[fleet.Empty, fleet.Empty](t.Context(), client, address, methodTest, fleet.Empty{}); err != nil {
+	if _, err := Call[protocol.Empty, protocol.Empty](t.Context(), client, address, methodTest, protocol.Empty{}); err != nil {
 		t.Error(err)
 	}
 }
@@ -370,10 +370,12 @@
 // the connection can be kept; also where the server leaves it to net/http.
 func TestServer_AnswersOfAnySizeHaveContentLength(t *testing.T) {
 	server := NewServer(ServerConfig{})
-	Handle(server, methodTest, func(_ context.Context, request fleet.CancelRequest) (fleet.CancelRequest, error) { return request, nil })
+	Handle(server, methodTest, func(_ context.Context, request protocol.CancelRequest) (protocol.CancelRequest, error) {
+		return request, nil
+	})
 	address, client := serve(t, server, ClientConfig{})
 	for _, size := range []int{0, 1, maxImplicitLength - 8, maxImplicitLength, maxImplicitLength + 8, 2047, 2048, 5000, 2 * maxPooledBytes} {
-		request := fleet.CancelRequest{ID: strings.Repeat("x", size)}
+		request := protocol.CancelRequest{ID: strings.Repeat("x", size)}
 		body, err := newCodec().encode(request)
 		if err != nil {
 			t.Fatal(err)
@@ -386,7 +388,7 @@
 		if response.ContentLength != int64(len(body)) || response.Header.Get("Content-Type") != contentType {
 			t.Errorf("%d bytes: length %d, type %q", len(body), response.ContentLength, response.Header.Get("Content-Type"))
 		}
-		answer, err := Call[fleet.CancelRequest, fleet.CancelRequest](t.Context(), client, address, methodTest, request)
+		answer, err := Call[protocol.CancelRequest, protocol.CancelRequest](t.Context(), client, address, methodTest, request)
 		if err != nil || answer != request {
 			t.Errorf("%d bytes came back as %d, error %v", size, len(answer.ID), err)
 		}
@@ -398,14 +400,14 @@
 // read must not point into them.
 func TestCall_PooledBuffersDoNotLeakBetweenCalls(t *testing.T) {
 	server := NewServer(ServerConfig{})
-	Handle(server, methodTest, func(_ context.Context, request fleet.SnapshotChunkRequest) (fleet.SnapshotChunkRequest, error) {
+	Handle(server, methodTest, func(_ context.Context, request protocol.SnapshotChunkRequest) (protocol.SnapshotChunkRequest, error) {
 		return request, nil
 	})
 	address, client := serve(t, server, ClientConfig{})
-	var sent, got []fleet.SnapshotChunkRequest
+	var sent, got []protocol.SnapshotChunkRequest
 	for number := range 20 {
-		request := fleet.SnapshotChunkRequest{Data: bytes.Repeat([]byte{byte(number)}, 100*(20-number)), Address: strings.Repeat(string(rune('a'+number)), number)}
-		answer, err := Call[fleet.SnapshotChunkRequest, fleet.SnapshotChunkRequest](t.Context(), client, address, methodTest, request)
+		request := protocol.SnapshotChunkRequest{Data: bytes.Repeat([]byte{byte(number)}, 100*(20-number)), Address: strings.Repeat(string(rune('a'+number)), number)}
+		answer, err := Call[protocol.SnapshotChunkRequest, protocol.SnapshotChunkRequest](t.Context(), client, address, methodTest, request)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rpc/served_bench_test.go
+++ b/internal/rpc/served_bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // rawConnection sends the same heartbeat again and again, without a client's
@@ -28,15 +28,15 @@
 }
 
 // serveHeartbeats serves as a scheduler does and connects to it.
-func serveHeartbeats(t testing.TB, heartbeat fleet.HeartbeatRequest) *rawConnection {
+func serveHeartbeats(t testing.TB, heartbeat protocol.HeartbeatRequest) *rawConnection {
 	t.Helper()
 	metrics, err := NewMetrics(prometheus.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := NewServer(ServerConfig{Metrics: metrics})
-	Handle(server, fleet.MethodHeartbeat, func(ctx context.Context, request fleet.HeartbeatRequest) (fleet.HeartbeatAnswer, error) {
-		return fleet.HeartbeatAnswer{Answer: api.HeartbeatAnswer{Seq: request.Heartbeat.Seq, Token: 1, HoldMillis: 3000, IntervalMillis: 200}}, ctx.Err()
+	Handle(server, protocol.MethodHeartbeat, func(ctx context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
+		return protocol.HeartbeatAnswer{Answer: api.HeartbeatAnswer{Seq: request.Heartbeat.Seq, Token: 1, HoldMillis: 3000, IntervalMillis: 200}}, ctx.Err()
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -13,7 +13,7 @@
 	"sync"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 const defaultMaxRequestBytes = 64 << 20
@@ -39,7 +39,7 @@
 	contentType []string
 
 	mutex   sync.RWMutex
-	methods map[fleet.Method]methodHandler
+	methods map[protocol.Method]methodHandler
 }
 
 // methodHandler reads a request's body and writes the answer's.
@@ -59,7 +59,7 @@
 		buffers:     newBuffers(),
 		calls:       config.Metrics.forSide(sideServer),
 		contentType: []string{contentType},
-		methods:     map[fleet.Method]methodHandler{},
+		methods:     map[protocol.Method]methodHandler{},
 	}
 }
 
@@ -70,7 +70,7 @@
 // away, and when the process stops. It may return an *Error, which travels as
 // it is, or an *api.Error, which travels under CodeRefused. Any other error
 // becomes CodeUnavailable and so must mean that the call had no effect.
-func Handle[Request, Answer any](s *Server, method fleet.Method, handler func(context.Context, Request) (Answer, error)) {
+func Handle[Request, Answer any](s *Server, method protocol.Method, handler func(context.Context, Request) (Answer, error)) {
 	s.register(method, func(ctx context.Context, body []byte, encoded *bytes.Buffer) error {
 		var request Request
 		if err := s.codec.decode(body, &request); err != nil {
@@ -87,7 +87,7 @@
 	})
 }
 
-func (s *Server) register(method fleet.Method, handler methodHandler) {
+func (s *Server) register(method protocol.Method, handler methodHandler) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if _, exists := s.methods[method]; exists {
@@ -96,7 +96,7 @@
 	s.methods[method] = handler
 }
 
-func (s *Server) handlerOf(method fleet.Method) (methodHandler, bool) {
+func (s *Server) handlerOf(method protocol.Method) (methodHandler, bool) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	handler, ok := s.methods[method]
@@ -121,7 +121,7 @@
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		name, found := strings.CutPrefix(request.URL.Path, pathPrefix)
 		if found {
-			_, found = s.handlerOf(fleet.Method(name))
+			_, found = s.handlerOf(protocol.Method(name))
 		}
 		if found {
 			s.ServeHTTP(writer, request)
@@ -136,7 +136,7 @@
 	if !found || request.Method != http.MethodPost {
 		return &Error{Code: CodeBadRequest, Message: "expected POST " + pathPrefix + "METHOD"}
 	}
-	method := fleet.Method(name)
+	method := protocol.Method(name)
 	handler, ok := s.handlerOf(method)
 	if !ok {
 		return &Error{Code: CodeBadRequest, Message: fmt.Sprintf("no method %q here", name)}
@@ -178,7 +178,7 @@
 }
 
 // run calls the handler and keeps its panic from ending the process.
-func (s *Server) run(ctx context.Context, method fleet.Method, handler methodHandler, body []byte, answer *buffer) (err error) {
+func (s *Server) run(ctx context.Context, method protocol.Method, handler methodHandler, body []byte, answer *buffer) (err error) {
 	defer func() {
 		reason := recover()
 		if reason == nil {
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -7,8 +7,8 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/admission"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/objective"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -32,7 +32,7 @@
 // admit refuses what can be seen to be wrong, over a limit, impossible or hopeless.
 // A job that is known, or being committed, is let through whatever the limits say:
 // the record says that it is the same job.
-func (l *leader) admit(request fleet.SubmitRequest) error {
+func (l *leader) admit(request protocol.SubmitRequest) error {
 	var known bool
 	var refusal error
 	spec := request.Spec
--- a/internal/scheduler/admit_test.go
+++ b/internal/scheduler/admit_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/replica"
 )
 
@@ -24,7 +24,7 @@
 func (h *harness) trySubmit(id, queue, caller string, count int) *api.Error {
 	h.t.Helper()
 	spec := api.JobSpec{Queue: queue, Caller: caller, Steps: []api.StepSpec{tasks(count)}}
-	_, err := h.leader.submit(h.t.Context(), fleet.SubmitRequest{ID: id, Spec: spec})
+	_, err := h.leader.submit(h.t.Context(), protocol.SubmitRequest{ID: id, Spec: spec})
 	if err == nil {
 		return nil
 	}
@@ -178,7 +178,7 @@
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "a"}, {Name: "b"}}})
 	var ends []func()
 	begin := func(queue, id string) bool {
-		end, err := h.leader.beginSubmit(&fleet.SubmitRequest{ID: id, Spec: api.JobSpec{Queue: queue}})
+		end, err := h.leader.beginSubmit(&protocol.SubmitRequest{ID: id, Spec: api.JobSpec{Queue: queue}})
 		if err != nil {
 			if refusal := asRefusal(t, err); refusal.Status != 429 || refusal.RetryAfterMillis <= 0 {
 				t.Errorf("%s: %+v", id, refusal)
@@ -230,7 +230,7 @@
 	h := newHarness(t)
 	h.log.overloaded = true
 	spec := api.JobSpec{Queue: "q", Steps: []api.StepSpec{tasks(1)}}
-	_, err := h.leader.submit(t.Context(), fleet.SubmitRequest{ID: "j", Spec: spec})
+	_, err := h.leader.submit(t.Context(), protocol.SubmitRequest{ID: "j", Spec: spec})
 	if refusal := asRefusal(t, err); refusal.Status != 503 || refusal.Code != api.CodeUnavailable || refusal.RetryAfterMillis <= 0 {
 		t.Errorf("%+v", refusal)
 	}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/placement"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/replica"
@@ -72,7 +72,7 @@
 		Leadership: replica.Leadership{Token: 1, Context: b.Context()},
 	})
 	b.Cleanup(log.machine.Observe(f.leader.load, f.leader.handleEvent))
-	request := fleet.PutConfigRequest{OrderID: "first", Config: api.Config{Queues: []api.QueueConfig{{Name: "q"}}}}
+	request := protocol.PutConfigRequest{OrderID: "first", Config: api.Config{Queues: []api.QueueConfig{{Name: "q"}}}}
 	if _, err := f.leader.putConfig(b.Context(), request); err != nil {
 		b.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 		step.Tasks = append(step.Tasks, api.TaskSpec{Service: "s", Resources: api.Resources{CPUMillis: 1000, MemoryMB: 1}})
 	}
 	f.jobs++
-	request := fleet.SubmitRequest{ID: fmt.Sprintf("job-%06d", f.jobs), Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{step}}}
+	request := protocol.SubmitRequest{ID: fmt.Sprintf("job-%06d", f.jobs), Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{step}}}
 	if _, err := f.leader.submit(f.b.Context(), request); err != nil {
 		f.b.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 func (f *benchFleet) heartbeat(number int) {
 	heartbeat := &f.workers[number]
 	heartbeat.Seq++
-	request := fleet.HeartbeatRequest{Agent: "a", Zone: heartbeat.Labels["zone"], Heartbeat: *heartbeat}
+	request := protocol.HeartbeatRequest{Agent: "a", Zone: heartbeat.Labels["zone"], Heartbeat: *heartbeat}
 	answer, err := f.leader.heartbeat(f.b.Context(), request)
 	if err != nil {
 		f.b.Fatal(err)
--- a/internal/scheduler/bookings.go
+++ b/internal/scheduler/bookings.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/booking"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/placement"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
+	"github.com/decklever/decklever/internal/reservation"
 )
 
 const (
@@ -31,7 +31,7 @@
 type calendar struct {
 	// computedUntil is how far windows are worked out; zero forces it anew.
 	computedUntil time.Time
-	windows       []booking.Window
+	windows       []reservation.Window
 	// released has the ends of the windows that were given back.
 	released map[string]time.Time
 	// reserved are the ids of the windows that the planner keeps room for.
@@ -73,12 +73,12 @@
 
 // windows returns all windows for which room is kept at some time between the
 // two, by queue and booking.
-func (l *leader) windows(from, to time.Time) []booking.Window {
-	var windows []booking.Window
+func (l *leader) windows(from, to time.Time) []reservation.Window {
+	var windows []reservation.Window
 	for q := range l.config.Queues {
 		queue := &l.config.Queues[q]
 		for b := range queue.Bookings {
-			found, err := booking.Windows(queue.Name, &queue.Bookings[b], from, to)
+			found, err := reservation.Windows(queue.Name, &queue.Bookings[b], from, to)
 			if err != nil {
 				l.logger.Error("booking has no windows", slog.String("queue", queue.Name),
 					slog.String("booking", queue.Bookings[b].Name), slog.Any("error", err))
@@ -90,7 +90,7 @@
 	return windows
 }
 
-func plannerReservation(window booking.Window) placement.Reservation {
+func plannerReservation(window reservation.Window) placement.Reservation {
 	return placement.Reservation{
 		ID:       window.ID(),
 		Queue:    window.Queue,
@@ -110,18 +110,18 @@
 	l.calendar.released[releasedID(window)] = window.End.Time()
 }
 
-func (l *leader) isReleased(window booking.Window) bool {
+func (l *leader) isReleased(window reservation.Window) bool {
 	_, released := l.calendar.released[window.ID()]
 	return released
 }
 
 func releasedID(window record.ReleaseWindow) string {
-	named := booking.Window{Queue: window.Queue, Booking: &api.BookingConfig{Name: window.Booking}, Start: window.Start.Time()}
+	named := reservation.Window{Queue: window.Queue, Booking: &api.BookingConfig{Name: window.Booking}, Start: window.Start.Time()}
 	return named.ID()
 }
 
 // listReservations describes the windows of the coming hours.
-func (l *leader) listReservations(_ context.Context, request fleet.BookingsRequest) (fleet.BookingsAnswer, error) {
+func (l *leader) listReservations(_ context.Context, request protocol.BookingsRequest) (protocol.BookingsAnswer, error) {
 	horizon := time.Duration(request.HorizonMillis) * time.Millisecond
 	if horizon <= 0 {
 		horizon = defaultReservationHorizon
@@ -131,9 +131,9 @@
 	list := l.reservationStatuses(now, now.Add(min(horizon, maxReservationHorizon)))
 	l.mu.Unlock()
 	if !l.log.HoldsLease(l.token) {
-		return fleet.BookingsAnswer{}, l.notLeader()
+		return protocol.BookingsAnswer{}, l.notLeader()
 	}
-	return fleet.BookingsAnswer{List: list}, nil
+	return protocol.BookingsAnswer{List: list}, nil
 }
 
 func (l *leader) reservationStatuses(from, to time.Time) api.BookingList {
@@ -157,7 +157,7 @@
 	return list
 }
 
-func (l *leader) reservationStatus(window booking.Window, now time.Time) api.BookingStatus {
+func (l *leader) reservationStatus(window reservation.Window, now time.Time) api.BookingStatus {
 	status := api.BookingStatus{
 		Queue: window.Queue, Booking: window.Booking.Name,
 		Start: window.Start, End: window.End, HeldFrom: window.ReservedFrom,
@@ -177,10 +177,10 @@
 }
 
 // releaseReservation gives the room of a window back before its end.
-func (l *leader) releaseReservation(ctx context.Context, request fleet.ReleaseRequest) (fleet.Empty, error) {
+func (l *leader) releaseReservation(ctx context.Context, request protocol.ReleaseRequest) (protocol.Empty, error) {
 	window, known := l.findWindow(request.Release)
 	if !known {
-		return fleet.Empty{}, &api.Error{
+		return protocol.Empty{}, &api.Error{
 			Status: http.StatusNotFound, Code: api.CodeNotFound,
 			Message: "queue " + request.Release.Queue + " has no window of booking " + request.Release.Booking + " that starts then",
 		}
@@ -190,12 +190,12 @@
 		Start: record.Millis(window.Start.UnixMilli()), End: record.Millis(window.End.UnixMilli()),
 	}}
 	if _, err := l.propose(ctx, command); err != nil {
-		return fleet.Empty{}, l.proposalError(err)
+		return protocol.Empty{}, l.proposalError(err)
 	}
-	return fleet.Empty{}, nil
+	return protocol.Empty{}, nil
 }
 
-func (l *leader) findWindow(release api.ReleaseRequest) (booking.Window, bool) {
+func (l *leader) findWindow(release api.ReleaseRequest) (reservation.Window, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, window := range l.windows(release.Start, release.Start.Add(time.Millisecond)) {
@@ -203,19 +203,19 @@
 			return window, true
 		}
 	}
-	return booking.Window{}, false
+	return reservation.Window{}, false
 }
 
 // checkReservations tells which bookings the registered workers cannot hold.
 func (l *leader) checkReservations(config *api.Config) []api.FieldError {
-	var workers []booking.Worker
+	var workers []reservation.Worker
 	l.log.Record().Read(func(view record.View) {
 		for worker := range view.Workers() {
-			workers = append(workers, booking.Worker{
+			workers = append(workers, reservation.Worker{
 				Name: worker.Name, Zone: worker.Zone, Capacity: worker.Capacity,
 				Services: worker.Services, Labels: worker.Labels,
 			})
 		}
 	})
-	return booking.Check(config, workers, l.log.Now().Time())
+	return reservation.Check(config, workers, l.log.Now().Time())
 }
--- a/internal/scheduler/bookings_test.go
+++ b/internal/scheduler/bookings_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // The harness begins at 22:13:20 UTC; the window of reservedConfig begins 100 s
@@ -29,7 +29,7 @@
 
 func (h *harness) submitTo(queue, id string, step api.StepSpec) {
 	h.t.Helper()
-	request := fleet.SubmitRequest{ID: id, Spec: api.JobSpec{Queue: queue, Steps: []api.StepSpec{step}}}
+	request := protocol.SubmitRequest{ID: id, Spec: api.JobSpec{Queue: queue, Steps: []api.StepSpec{step}}}
 	if _, err := h.leader.submit(h.t.Context(), request); err != nil {
 		h.t.Fatalf("submit %s: %v", id, err)
 	}
@@ -112,7 +112,7 @@
 		t.Fatalf("placed in booked room: %+v", task)
 	}
 	window := h.reservations()[0]
-	release := fleet.ReleaseRequest{Release: api.ReleaseRequest{Queue: "booked", Booking: "evening", Start: window.Start}}
+	release := protocol.ReleaseRequest{Release: api.ReleaseRequest{Queue: "booked", Booking: "evening", Start: window.Start}}
 	if _, err := h.leader.releaseReservation(t.Context(), release); err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 	h := newHarness(t)
 	h.worker("w", "w-1").exchange()
 	config := reservedConfig(5) // 4 fit
-	request := fleet.PutConfigRequest{OrderID: "too-much", Base: h.leader.configVersion, Config: config}
+	request := protocol.PutConfigRequest{OrderID: "too-much", Base: h.leader.configVersion, Config: config}
 	for range 2 { // and the same order again gets the same answer
 		if _, err := h.leader.putConfig(t.Context(), request); !errors.Is(err, &api.Error{Code: api.CodeInvalid}) {
 			t.Fatalf("want invalid, got %v", err)
@@ -156,7 +156,7 @@
 	}
 	before := h.log.index
 	for _, want := range []int{jobs, 0} {
-		answer, err := h.leader.cancelMany(t.Context(), fleet.CancelManyRequest{Cancel: api.CancelRequest{Queue: "q"}})
+		answer, err := h.leader.cancelMany(t.Context(), protocol.CancelManyRequest{Cancel: api.CancelRequest{Queue: "q"}})
 		if err != nil || answer.Answer.Cancelled != want {
 			t.Fatalf("want %d cancelled, got %+v, %v", want, answer, err)
 		}
@@ -168,7 +168,7 @@
 
 func (h *harness) reservations() []api.BookingStatus {
 	h.t.Helper()
-	answer, err := h.leader.listReservations(h.t.Context(), fleet.BookingsRequest{})
+	answer, err := h.leader.listReservations(h.t.Context(), protocol.BookingsRequest{})
 	if err != nil {
 		h.t.Fatal(err)
 	}
--- a/internal/scheduler/brief_test.go
+++ b/internal/scheduler/brief_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // TestGetJob_BriefLeavesOutStepsOnly reads a job that waits, one that runs and
@@ -25,11 +25,11 @@
 	worker.exchange()
 	h.submit("waiting", tasks(1))
 	for _, id := range []string{"ended", "running", "waiting"} {
-		whole, err := h.leader.getJob(t.Context(), fleet.GetJobRequest{ID: id})
+		whole, err := h.leader.getJob(t.Context(), protocol.GetJobRequest{ID: id})
 		if err != nil {
 			t.Fatal(err)
 		}
-		brief, err := h.leader.getJob(t.Context(), fleet.GetJobRequest{ID: id, Brief: true})
+		brief, err := h.leader.getJob(t.Context(), protocol.GetJobRequest{ID: id, Brief: true})
 		if err != nil || brief.Status.Steps != nil {
 			t.Fatalf("%s: %+v, %v", id, brief, err)
 		}
@@ -39,7 +39,7 @@
 		}
 	}
 	for range 2 { // the second finds it cancelled
-		answer, err := h.leader.cancel(t.Context(), fleet.CancelRequest{ID: "waiting", Brief: true})
+		answer, err := h.leader.cancel(t.Context(), protocol.CancelRequest{ID: "waiting", Brief: true})
 		if err != nil || answer.Status.State != api.StateCancelled || answer.Status.Steps != nil {
 			t.Errorf("cancel: %+v, %v", answer, err)
 		}
@@ -51,16 +51,16 @@
 	worker := h.worker("w", "w-1")
 	worker.exchange()
 	h.submit("j", tasks(6)) // 4 fit
-	answer, err := h.leader.readQueue(t.Context(), fleet.QueueRequest{Name: "q"})
+	answer, err := h.leader.readQueue(t.Context(), protocol.QueueRequest{Name: "q"})
 	if want := (api.QueueStatus{Name: "q", Jobs: 1, WaitingJobs: 1, Pending: 2, Running: 4}); err != nil || answer.Status != want {
 		t.Errorf("queue %+v, %v, want %+v", answer.Status, err, want)
 	}
 	var refusal *api.Error
-	if _, err := h.leader.readQueue(t.Context(), fleet.QueueRequest{Name: "other"}); !errors.As(err, &refusal) || refusal.Status != 404 {
+	if _, err := h.leader.readQueue(t.Context(), protocol.QueueRequest{Name: "other"}); !errors.As(err, &refusal) || refusal.Status != 404 {
 		t.Errorf("want not found, got %v", err)
 	}
 	h.log.lease = false
-	if _, err := h.leader.readQueue(t.Context(), fleet.QueueRequest{Name: "q"}); err == nil {
+	if _, err := h.leader.readQueue(t.Context(), protocol.QueueRequest{Name: "q"}); err == nil {
 		t.Error("answered without a lease")
 	}
 }
@@ -71,12 +71,12 @@
 		b.Run(fmt.Sprintf("brief=%v", brief), func(b *testing.B) {
 			bench := newBenchFleet(b)
 			job := tasks(1000)
-			request := fleet.SubmitRequest{ID: "large", Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{job}}}
+			request := protocol.SubmitRequest{ID: "large", Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{job}}}
 			if _, err := bench.leader.submit(b.Context(), request); err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				if _, err := bench.leader.getJob(b.Context(), fleet.GetJobRequest{ID: "large", Brief: brief}); err != nil {
+				if _, err := bench.leader.getJob(b.Context(), protocol.GetJobRequest{ID: "large", Brief: brief}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/scheduler/burst_test.go
+++ b/internal/scheduler/burst_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 const (
@@ -74,7 +74,7 @@
 	if _, again := f.submitted[id]; !again {
 		f.submitted[id] = f.now
 	}
-	_, err := f.leader.submit(f.t.Context(), fleet.SubmitRequest{ID: id, Spec: spec})
+	_, err := f.leader.submit(f.t.Context(), protocol.SubmitRequest{ID: id, Spec: spec})
 	if err == nil {
 		return
 	}
@@ -187,20 +187,20 @@
 	if f.refused["a"] == 0 {
 		t.Fatal("nothing was refused")
 	}
-	status, err := f.leader.readQueue(t.Context(), fleet.QueueRequest{Name: "a"})
+	status, err := f.leader.readQueue(t.Context(), protocol.QueueRequest{Name: "a"})
 	if err != nil || !status.Status.Overloaded || status.Status.ExpectedWaitMillis < 4000 {
 		t.Errorf("the queue: %+v, %v", status.Status, err)
 	}
 	// A resend of what was accepted is answered as that, also now.
 	spec := api.JobSpec{Queue: "a", Steps: []api.StepSpec{estimated(1, burstWork)}}
-	if answer, err := f.leader.submit(t.Context(), fleet.SubmitRequest{ID: "a-1", Spec: spec}); err != nil || answer.Created {
+	if answer, err := f.leader.submit(t.Context(), protocol.SubmitRequest{ID: "a-1", Spec: spec}); err != nil || answer.Created {
 		t.Errorf("a resend: %+v, %v", answer, err)
 	}
 	f.run(2*time.Minute, nil)
 	if started := len(f.waits["a"]); started != f.count || len(f.again) > 0 {
 		t.Errorf("%d of %d jobs started, %d are still to come back", started, f.count, len(f.again))
 	}
-	if status, err := f.leader.readQueue(t.Context(), fleet.QueueRequest{Name: "a"}); err != nil || status.Status.Overloaded {
+	if status, err := f.leader.readQueue(t.Context(), protocol.QueueRequest{Name: "a"}); err != nil || status.Status.Overloaded {
 		t.Errorf("the queue after it: %+v, %v", status.Status, err)
 	}
 }
@@ -221,14 +221,14 @@
 		f.submitSpec(fmt.Sprintf("a-big-%d", number), api.JobSpec{Queue: "a", Steps: []api.StepSpec{big}})
 	}
 	f.run(4*time.Second, map[string]int{"a": 8}) // later, the large ones are lost and count no more
-	if status, err := f.leader.readQueue(t.Context(), fleet.QueueRequest{Name: "a"}); err != nil || !status.Status.Overloaded {
+	if status, err := f.leader.readQueue(t.Context(), protocol.QueueRequest{Name: "a"}); err != nil || !status.Status.Overloaded {
 		t.Errorf("the queue: %+v, %v", status.Status, err)
 	}
 	if f.refused["a"] > 0 {
 		t.Errorf("%d small ones were refused", f.refused["a"])
 	}
 	f.submitSpec("b-big", api.JobSpec{Queue: "b", Steps: []api.StepSpec{big}})
-	if _, err := f.leader.submit(t.Context(), fleet.SubmitRequest{ID: "a-big", Spec: api.JobSpec{Queue: "a", Steps: []api.StepSpec{big}}}); err == nil {
+	if _, err := f.leader.submit(t.Context(), protocol.SubmitRequest{ID: "a-big", Spec: api.JobSpec{Queue: "a", Steps: []api.StepSpec{big}}}); err == nil {
 		t.Error("one more that has no room was taken")
 	}
 }
--- a/internal/scheduler/cancel.go
+++ b/internal/scheduler/cancel.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -14,7 +14,7 @@
 const cancelBatch = 500
 
 // cancel cancels a job and returns its state.
-func (l *leader) cancel(ctx context.Context, request fleet.CancelRequest) (fleet.JobAnswer, error) {
+func (l *leader) cancel(ctx context.Context, request protocol.CancelRequest) (protocol.JobAnswer, error) {
 	status, err := l.status(request.ID, true)
 	if err != nil {
 		return l.jobAnswer(status, err)
@@ -23,24 +23,24 @@
 		return l.jobAnswer(l.status(request.ID, request.Brief))
 	}
 	if _, err := l.propose(ctx, record.Command{CancelJobs: &record.CancelJobs{Jobs: []string{request.ID}}}); err != nil {
-		return fleet.JobAnswer{}, l.proposalError(err)
+		return protocol.JobAnswer{}, l.proposalError(err)
 	}
 	return l.jobAnswer(l.status(request.ID, request.Brief))
 }
 
 // cancelMany cancels jobs in bounded batches. If a batch fails, those before it
 // are cancelled; the same call again goes on with the rest.
-func (l *leader) cancelMany(ctx context.Context, request fleet.CancelManyRequest) (fleet.CancelManyAnswer, error) {
+func (l *leader) cancelMany(ctx context.Context, request protocol.CancelManyRequest) (protocol.CancelManyAnswer, error) {
 	jobs := l.cancellable(request.Cancel)
 	for batch := range slices.Chunk(jobs, cancelBatch) {
 		if _, err := l.propose(ctx, record.Command{CancelJobs: &record.CancelJobs{Jobs: batch}}); err != nil {
-			return fleet.CancelManyAnswer{}, l.proposalError(err)
+			return protocol.CancelManyAnswer{}, l.proposalError(err)
 		}
 	}
 	if !l.log.HoldsLease(l.token) {
-		return fleet.CancelManyAnswer{}, l.notLeader()
+		return protocol.CancelManyAnswer{}, l.notLeader()
 	}
-	return fleet.CancelManyAnswer{Answer: api.CancelAnswer{Cancelled: len(jobs)}}, nil
+	return protocol.CancelManyAnswer{Answer: api.CancelAnswer{Cancelled: len(jobs)}}, nil
 }
 
 // cancellable returns the jobs that the request names and that have neither
--- a/internal/scheduler/config.go
+++ b/internal/scheduler/config.go
@@ -4,14 +4,14 @@
 	"context"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 )
 
 // putConfig proposes a configuration. The outcome is decided when the command
 // is applied and kept under its order id, a refusal as well: the same order
 // gets the same answer for as long as it is kept.
-func (l *leader) putConfig(ctx context.Context, request fleet.PutConfigRequest) (fleet.PutConfigAnswer, error) {
+func (l *leader) putConfig(ctx context.Context, request protocol.PutConfigRequest) (protocol.PutConfigAnswer, error) {
 	command := &record.PutConfig{
 		OrderID: request.OrderID, Base: request.Base, Config: request.Config, Digest: request.Config.Digest(),
 	}
@@ -20,12 +20,12 @@
 	}
 	result, err := l.propose(ctx, record.Command{PutConfig: command})
 	if err != nil {
-		return fleet.PutConfigAnswer{}, l.proposalError(err)
+		return protocol.PutConfigAnswer{}, l.proposalError(err)
 	}
 	if result.Config.Refusal != nil {
-		return fleet.PutConfigAnswer{}, result.Config.Refusal
+		return protocol.PutConfigAnswer{}, result.Config.Refusal
 	}
-	return fleet.PutConfigAnswer{Version: result.Config.Version}, nil
+	return protocol.PutConfigAnswer{Version: result.Config.Version}, nil
 }
 
 // wrongInConfig checks a configuration for itself, and if that is right against
@@ -39,18 +39,18 @@
 }
 
 // validateConfig checks a configuration without taking it.
-func (l *leader) validateConfig(_ context.Context, request fleet.ValidateConfigRequest) (fleet.Empty, error) {
+func (l *leader) validateConfig(_ context.Context, request protocol.ValidateConfigRequest) (protocol.Empty, error) {
 	if fields := l.wrongInConfig(&request.Config); len(fields) > 0 {
-		return fleet.Empty{}, invalid("configuration", fields)
+		return protocol.Empty{}, invalid("configuration", fields)
 	}
-	return fleet.Empty{}, nil
+	return protocol.Empty{}, nil
 }
 
 // getConfig answers with the configuration as it was given, so that reading it,
 // changing one thing and putting it back changes that one thing. A caller that
 // needs one annotation gets no more than that.
-func (l *leader) getConfig(_ context.Context, request fleet.ConfigRequest) (fleet.ConfigAnswer, error) {
-	var answer fleet.ConfigAnswer
+func (l *leader) getConfig(_ context.Context, request protocol.ConfigRequest) (protocol.ConfigAnswer, error) {
+	var answer protocol.ConfigAnswer
 	l.log.Record().Read(func(view record.View) {
 		version, config := view.AcceptedConfig()
 		answer.Status = api.ConfigStatus{Version: version, Config: *config}
@@ -59,18 +59,18 @@
 		}
 	})
 	if !l.log.HoldsLease(l.token) {
-		return fleet.ConfigAnswer{}, l.notLeader()
+		return protocol.ConfigAnswer{}, l.notLeader()
 	}
 	return answer, nil
 }
 
-func (l *leader) configVersions(context.Context, fleet.Empty) (fleet.ConfigVersionsAnswer, error) {
-	var answer fleet.ConfigVersionsAnswer
+func (l *leader) configVersions(context.Context, protocol.Empty) (protocol.ConfigVersionsAnswer, error) {
+	var answer protocol.ConfigVersionsAnswer
 	l.log.Record().Read(func(view record.View) {
 		answer.Versions.Versions = view.ConfigVersions()
 	})
 	if !l.log.HoldsLease(l.token) {
-		return fleet.ConfigVersionsAnswer{}, l.notLeader()
+		return protocol.ConfigVersionsAnswer{}, l.notLeader()
 	}
 	return answer, nil
 }
--- a/internal/scheduler/config_test.go
+++ b/internal/scheduler/config_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // TestGetConfig_AnnotationIsReadAlone as it may be large.
@@ -17,7 +17,7 @@
 		Queues:      []api.QueueConfig{{Name: "q"}},
 	})
 	for name, want := range map[string]string{"number": "12", "unknown": ""} {
-		answer, err := h.leader.getConfig(t.Context(), fleet.ConfigRequest{Annotation: name})
+		answer, err := h.leader.getConfig(t.Context(), protocol.ConfigRequest{Annotation: name})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -26,12 +26,12 @@
 			t.Errorf("annotation %q: %s", name, difference)
 		}
 	}
-	whole, err := h.leader.getConfig(t.Context(), fleet.ConfigRequest{})
+	whole, err := h.leader.getConfig(t.Context(), protocol.ConfigRequest{})
 	if err != nil || len(whole.Status.Config.Annotations) != 2 || len(whole.Status.Config.Queues) != 1 {
 		t.Errorf("whole configuration %+v, %v", whole.Status, err)
 	}
 	h.log.lease = false
-	if _, err := h.leader.getConfig(t.Context(), fleet.ConfigRequest{Annotation: "number"}); err == nil {
+	if _, err := h.leader.getConfig(t.Context(), protocol.ConfigRequest{Annotation: "number"}); err == nil {
 		t.Error("an annotation was read without the lease")
 	}
 }
--- a/internal/scheduler/departure.go
+++ b/internal/scheduler/departure.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -107,15 +107,15 @@
 
 // leave marks a worker that gave notice. Nothing is committed: what follows
 // from the mark is, and a new leader learns it from the worker's heartbeats.
-func (l *leader) leave(_ context.Context, request fleet.LeaveRequest) (fleet.Empty, error) {
+func (l *leader) leave(_ context.Context, request protocol.LeaveRequest) (protocol.Empty, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.log.HoldsLease(l.token) {
-		return fleet.Empty{}, l.notLeader()
+		return protocol.Empty{}, l.notLeader()
 	}
 	worker, known := l.workers[request.WorkerID]
 	if !known {
-		return fleet.Empty{}, nil
+		return protocol.Empty{}, nil
 	}
 	now := l.now()
 	if !worker.departure.noticeGiven {
@@ -127,7 +127,7 @@
 	l.updatePlannerWorker(worker)
 	l.revokeUnassigned(worker)
 	l.stopDeparting(worker, now)
-	return fleet.Empty{}, nil
+	return protocol.Empty{}, nil
 }
 
 // stopAllDeparting looks at every worker that surely ends.
--- a/internal/scheduler/departure_test.go
+++ b/internal/scheduler/departure_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 func TestDeparture_RunsStopInTime(t *testing.T) {
@@ -67,7 +67,7 @@
 
 func (h *harness) leave(workerID string, remaining time.Duration) {
 	h.t.Helper()
-	request := fleet.LeaveRequest{WorkerID: workerID, RemainingMillis: remaining.Milliseconds()}
+	request := protocol.LeaveRequest{WorkerID: workerID, RemainingMillis: remaining.Milliseconds()}
 	if _, err := h.leader.leave(h.t.Context(), request); err != nil {
 		h.t.Fatalf("leave: %v", err)
 	}
@@ -118,7 +118,7 @@
 		t.Errorf("stopped a run without a known end of the worker: %+v", answer.Stop)
 	}
 	h.log.lease = false
-	if _, err := h.leader.leave(t.Context(), fleet.LeaveRequest{WorkerID: "a-1"}); err == nil {
+	if _, err := h.leader.leave(t.Context(), protocol.LeaveRequest{WorkerID: "a-1"}); err == nil {
 		t.Error("acknowledged without a lease")
 	}
 }
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -28,19 +28,19 @@
 // drainZone drains a zone by an order of its own, or takes that back. It
 // answers once the order is committed, also if nothing changed by it: another
 // leader may have been asked before.
-func (l *leader) drainZone(ctx context.Context, request fleet.DrainZoneRequest) (fleet.Empty, error) {
+func (l *leader) drainZone(ctx context.Context, request protocol.DrainZoneRequest) (protocol.Empty, error) {
 	drain := request.Drain
 	if fields := api.ValidateZoneDrain(&drain); len(fields) > 0 {
-		return fleet.Empty{}, invalid("drain", fields)
+		return protocol.Empty{}, invalid("drain", fields)
 	}
 	if drain.Drained && l.countOtherDrainedZones(drain.Zone) >= maxDrainedZones {
-		return fleet.Empty{}, overLimitError(fmt.Sprintf("%d zones are drained by orders already", maxDrainedZones))
+		return protocol.Empty{}, overLimitError(fmt.Sprintf("%d zones are drained by orders already", maxDrainedZones))
 	}
 	command := record.Command{DrainZone: &record.DrainZone{Zone: drain.Zone, Drained: drain.Drained}}
 	if _, err := l.propose(ctx, command); err != nil {
-		return fleet.Empty{}, l.proposalError(err)
+		return protocol.Empty{}, l.proposalError(err)
 	}
-	return fleet.Empty{}, nil
+	return protocol.Empty{}, nil
 }
 
 // countOtherDrainedZones counts the zones drained by orders, without this one.
@@ -55,7 +55,7 @@
 }
 
 // listDrains lists the zones that are drained by orders.
-func (l *leader) listDrains(context.Context, fleet.Empty) (fleet.DrainsAnswer, error) {
+func (l *leader) listDrains(context.Context, protocol.Empty) (protocol.DrainsAnswer, error) {
 	list := api.DrainList{Zones: []api.ZoneDrain{}}
 	l.log.Record().Read(func(view record.View) {
 		for _, zone := range view.DrainedZones() {
@@ -63,9 +63,9 @@
 		}
 	})
 	if !l.log.HoldsLease(l.token) {
-		return fleet.DrainsAnswer{}, l.notLeader()
+		return protocol.DrainsAnswer{}, l.notLeader()
 	}
-	return fleet.DrainsAnswer{List: list}, nil
+	return protocol.DrainsAnswer{List: list}, nil
 }
 
 // zoneDrainChanged acts at once on an order that was committed.
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 func (h *harness) drainZone(zone string, drained bool) {
 	h.t.Helper()
-	request := fleet.DrainZoneRequest{Drain: api.ZoneDrain{Zone: zone, Drained: drained}}
+	request := protocol.DrainZoneRequest{Drain: api.ZoneDrain{Zone: zone, Drained: drained}}
 	if _, err := h.leader.drainZone(h.t.Context(), request); err != nil {
 		h.t.Fatalf("drain zone %s: %v", zone, err)
 	}
@@ -22,7 +22,7 @@
 
 func (h *harness) drains() []api.ZoneDrain {
 	h.t.Helper()
-	answer, err := h.leader.listDrains(h.t.Context(), fleet.Empty{})
+	answer, err := h.leader.listDrains(h.t.Context(), protocol.Empty{})
 	if err != nil {
 		h.t.Fatalf("list drains: %v", err)
 	}
@@ -131,7 +131,7 @@
 func TestZoneDrain_InvalidIsRefused(t *testing.T) {
 	h := newHarness(t)
 	for _, zone := range []string{"", "z 1", "z/1"} {
-		request := fleet.DrainZoneRequest{Drain: api.ZoneDrain{Zone: zone, Drained: true}}
+		request := protocol.DrainZoneRequest{Drain: api.ZoneDrain{Zone: zone, Drained: true}}
 		if _, err := h.leader.drainZone(t.Context(), request); err == nil {
 			t.Errorf("zone %q was taken", zone)
 		}
@@ -140,12 +140,12 @@
 		h.drainZone(fmt.Sprint("z", i), true)
 	}
 	h.drainZone("z0", true) // is drained already
-	request := fleet.DrainZoneRequest{Drain: api.ZoneDrain{Zone: "more", Drained: true}}
+	request := protocol.DrainZoneRequest{Drain: api.ZoneDrain{Zone: "more", Drained: true}}
 	if _, err := h.leader.drainZone(t.Context(), request); err == nil {
 		t.Error("a zone beyond the bound was taken")
 	}
 	h.log.lease = false
-	if _, err := h.leader.drainZone(t.Context(), fleet.DrainZoneRequest{Drain: api.ZoneDrain{Zone: "z0"}}); err == nil {
+	if _, err := h.leader.drainZone(t.Context(), protocol.DrainZoneRequest{Drain: api.ZoneDrain{Zone: "z0"}}); err == nil {
 		t.Error("an order was acknowledged without a commit")
 	}
 }
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -10,8 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/placement"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/replica"
@@ -123,7 +123,7 @@
 func (h *harness) putConfig(config api.Config) {
 	h.t.Helper()
 	version := h.leader.configVersion
-	request := fleet.PutConfigRequest{OrderID: fmt.Sprintf("order-%d", version), Base: version, Config: config}
+	request := protocol.PutConfigRequest{OrderID: fmt.Sprintf("order-%d", version), Base: version, Config: config}
 	if _, err := h.leader.putConfig(h.t.Context(), request); err != nil {
 		h.t.Fatalf("put config: %v", err)
 	}
@@ -137,7 +137,7 @@
 
 func (h *harness) submitSpec(id string, spec api.JobSpec) {
 	h.t.Helper()
-	request := fleet.SubmitRequest{ID: id, Spec: spec}
+	request := protocol.SubmitRequest{ID: id, Spec: spec}
 	answer, err := h.leader.submit(h.t.Context(), request)
 	if err != nil || !answer.Created {
 		h.t.Fatalf("submit %s: %+v, %v", id, answer, err)
@@ -188,7 +188,7 @@
 // send sends the next heartbeat and returns the answer without accepting it.
 func (w *fakeWorker) send() (api.HeartbeatAnswer, error) {
 	w.heartbeat.Seq++
-	request := fleet.HeartbeatRequest{Agent: w.agent, Zone: w.zone, Heartbeat: w.heartbeat}
+	request := protocol.HeartbeatRequest{Agent: w.agent, Zone: w.zone, Heartbeat: w.heartbeat}
 	answer, err := w.harness.leader.heartbeat(w.harness.t.Context(), request)
 	w.harness.settle()
 	return answer.Answer, err
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/placement"
 	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/workerhealth"
@@ -107,7 +107,7 @@
 		l.health.failedWorkers.add(run.id.Task, open.Worker)
 	case outcome == api.OutcomeFailed && open.Stop == record.StopNone:
 		l.health.failedWorkers.add(run.id.Task, open.Worker)
-		if !l.off.Has(mechanism.OutlierEjection) {
+		if !l.off.Has(featuregate.OutlierEjection) {
 			l.health.tracker.ObserveFailure(run.workerID, run.id.Task, now)
 		}
 	}
@@ -134,13 +134,13 @@
 // from what its task prefers may take a multiple of its time on a sound worker, and one
 // of a group in lockstep waits for the others.
 func (l *leader) isPaceComparable(run *runState, worker *workerEntry) bool {
-	return !l.off.Has(mechanism.SlowTracking) && !run.sharesOutcome && hasAll(worker.info.Labels, run.spec.Prefer)
+	return !l.off.Has(featuregate.SlowTracking) && !run.sharesOutcome && hasAll(worker.info.Labels, run.spec.Prefer)
 }
 
 // comparisonStepSize is the size of the step whose runs the run is compared with; 0 if it is
 // compared with its queue's.
 func (l *leader) comparisonStepSize(run *runState) int {
-	if l.off.Has(mechanism.SiblingPace) {
+	if l.off.Has(featuregate.SiblingPace) {
 		return 0
 	}
 	return run.stepSize
@@ -177,7 +177,7 @@
 	if !run.listed || run.closing || run.stop != record.StopNone || run.spec.UntilCancelled || l.waitsForGang(run) {
 		return
 	}
-	if l.off.Has(mechanism.StallTracking) {
+	if l.off.Has(featuregate.StallTracking) {
 		return
 	}
 	worker := l.workers[run.workerID]
@@ -191,7 +191,7 @@
 		slog.Int("percent", run.progress.Percent), slog.Duration("quiet", worker.lastSeen-run.progress.AdvancedAt))
 	l.health.stalls[run.id.Task]++
 	l.metrics.runsStalled.Inc()
-	if !run.inGang && !l.off.Has(mechanism.OutlierEjection) {
+	if !run.inGang && !l.off.Has(featuregate.OutlierEjection) {
 		// Members of a group may wait for one of them: none is to blame alone.
 		l.health.tracker.ObserveStall(run.workerID, run.id.Task, now)
 	}
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 )
 
 // stateOf is a worker's row of GET /v1/workers.
 func (h *harness) stateOf(name string) api.WorkerStatus {
 	h.t.Helper()
-	answer, err := h.leader.listWorkers(h.t.Context(), fleet.Empty{})
+	answer, err := h.leader.listWorkers(h.t.Context(), protocol.Empty{})
 	if err != nil {
 		h.t.Fatalf("list workers: %v", err)
 	}
