--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/rpc"
 	"github.com/decklever/decklever/internal/workerhealth"
@@ -32,26 +32,26 @@
 // What a heartbeat tells is true whether or not its caller still waits, so the
 // caller's context bounds nothing here. It only keeps orders from an answer that
 // nobody takes. The ends that it lists are taken also when it is refused.
-func (l *leader) heartbeat(ctx context.Context, request fleet.HeartbeatRequest) (fleet.HeartbeatAnswer, error) {
+func (l *leader) heartbeat(ctx context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
 		l.observeRefusedEnds(request)
-		return fleet.HeartbeatAnswer{}, l.notLeader()
+		return protocol.HeartbeatAnswer{}, l.notLeader()
 	}
 	observed := l.observeHeartbeat(request)
 	acknowledged, err := l.commit(observed)
 	if err != nil {
 		l.enqueueEnds(observed.reports)
-		return fleet.HeartbeatAnswer{}, err
+		return protocol.HeartbeatAnswer{}, err
 	}
 	if observed.late {
-		return fleet.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable, Message: "heartbeat is not newer than one already heard"}
+		return protocol.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable, Message: "heartbeat is not newer than one already heard"}
 	}
 	return l.answerHeartbeat(ctx, observed, acknowledged)
 }
 
 // observation is a heartbeat in work.
 type observation struct {
-	request fleet.HeartbeatRequest
+	request protocol.HeartbeatRequest
 	worker  *workerEntry
 	// late is true if a newer heartbeat was heard before: then it tells of
 	// ended runs and of nothing else.
@@ -65,7 +65,7 @@
 }
 
 // observeHeartbeat notes the heartbeat and compares it with the record.
-func (l *leader) observeHeartbeat(request fleet.HeartbeatRequest) *observation {
+func (l *leader) observeHeartbeat(request protocol.HeartbeatRequest) *observation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	heartbeat := request.Heartbeat
@@ -98,7 +98,7 @@
 	return observed
 }
 
-func workerInfo(request fleet.HeartbeatRequest, now record.Millis) record.Worker {
+func workerInfo(request protocol.HeartbeatRequest, now record.Millis) record.Worker {
 	heartbeat := request.Heartbeat
 	return record.Worker{
 		Name: heartbeat.Name, ID: heartbeat.WorkerID, Zone: request.Zone, Capacity: heartbeat.Capacity,
@@ -174,13 +174,13 @@
 
 // answerHeartbeat gives the hold and the orders, unless the heartbeat has been
 // overtaken meanwhile by a newer one or by the lapse of the hold.
-func (l *leader) answerHeartbeat(ctx context.Context, observed *observation, acknowledged []api.RunRef) (fleet.HeartbeatAnswer, error) {
+func (l *leader) answerHeartbeat(ctx context.Context, observed *observation, acknowledged []api.RunRef) (protocol.HeartbeatAnswer, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	worker := observed.worker
 	if worker.seq != observed.request.Heartbeat.Seq || worker.leaseExpirations != observed.leaseExpirations {
 		l.metrics.heartbeats.WithLabelValues("overtaken").Inc()
-		return fleet.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable, Message: "heartbeat was overtaken"}
+		return protocol.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable, Message: "heartbeat was overtaken"}
 	}
 	prompt := len(acknowledged) > 0 || !worker.answered()
 	worker.answer(l.now(), l.leaseDuration(), l.driftMargin())
@@ -197,11 +197,11 @@
 		ConfigVersion:  l.configVersion,
 	}
 	if !l.log.HoldsLease(l.token) {
-		return fleet.HeartbeatAnswer{}, l.notLeader()
+		return protocol.HeartbeatAnswer{}, l.notLeader()
 	}
 	l.metrics.heartbeats.WithLabelValues("answered").Inc()
 	l.metrics.orders.Add(float64(len(answer.Start)))
-	return fleet.HeartbeatAnswer{Answer: answer}, nil
+	return protocol.HeartbeatAnswer{Answer: answer}, nil
 }
 
 // startAssignments gives each run placed on the worker its one order, if the caller
@@ -264,7 +264,7 @@
 		return promptInterval
 	}
 	base := l.config.Timings.HeartbeatInterval.Std()
-	if l.off.Has(mechanism.HeartbeatWidening) {
+	if l.off.Has(featuregate.HeartbeatWidening) {
 		return base
 	}
 	scaled := base * time.Duration(len(l.byName)) / workersPerBaseInterval
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -8,40 +8,40 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
 	"github.com/decklever/decklever/internal/placement"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 )
 
 // submit takes a job in. A job that is known already is answered before any
 // check, so that a resend gets the same answer whatever changed meanwhile.
-func (l *leader) submit(ctx context.Context, request fleet.SubmitRequest) (fleet.SubmitAnswer, error) {
+func (l *leader) submit(ctx context.Context, request protocol.SubmitRequest) (protocol.SubmitAnswer, error) {
 	digest := request.Spec.Digest()
 	if err := l.admit(request); err != nil {
-		return fleet.SubmitAnswer{}, err
+		return protocol.SubmitAnswer{}, err
 	}
 	end, err := l.beginSubmit(&request)
 	if err != nil {
-		return fleet.SubmitAnswer{}, err
+		return protocol.SubmitAnswer{}, err
 	}
 	defer end()
 	command := record.Command{SubmitJob: &record.SubmitJob{ID: request.ID, Spec: request.Spec, Digest: digest}}
 	result, err := l.propose(ctx, command)
 	if err != nil {
-		return fleet.SubmitAnswer{}, l.submitError(err)
+		return protocol.SubmitAnswer{}, l.submitError(err)
 	}
 	switch result.Submit.Outcome {
 	case record.SubmitAccepted:
-		return fleet.SubmitAnswer{Created: true}, nil
+		return protocol.SubmitAnswer{Created: true}, nil
 	case record.SubmitDuplicate:
-		return fleet.SubmitAnswer{}, nil
+		return protocol.SubmitAnswer{}, nil
 	case record.SubmitConflict:
-		return fleet.SubmitAnswer{}, jobConflict(request.ID)
+		return protocol.SubmitAnswer{}, jobConflict(request.ID)
 	case record.SubmitNoService:
-		return fleet.SubmitAnswer{}, invalid("job", request.Spec.MissingServices())
+		return protocol.SubmitAnswer{}, invalid("job", request.Spec.MissingServices())
 	default:
 		unknown := api.FieldError{Field: "queue", Value: request.Spec.Queue, Expected: "a queue of the configuration in force"}
-		return fleet.SubmitAnswer{}, invalid("job", []api.FieldError{unknown})
+		return protocol.SubmitAnswer{}, invalid("job", []api.FieldError{unknown})
 	}
 }
 
@@ -99,7 +99,7 @@
 }
 
 // getJob reads a job, held until it is final or the wait is over.
-func (l *leader) getJob(ctx context.Context, request fleet.GetJobRequest) (fleet.JobAnswer, error) {
+func (l *leader) getJob(ctx context.Context, request protocol.GetJobRequest) (protocol.JobAnswer, error) {
 	status, err := l.status(request.ID, request.Brief)
 	if err != nil || status.State.Final() || request.WaitMillis <= 0 {
 		return l.jobAnswer(status, err)
@@ -117,14 +117,14 @@
 
 // jobAnswer gives out a state only while the lease shows that it is the
 // newest.
-func (l *leader) jobAnswer(status api.JobStatus, err error) (fleet.JobAnswer, error) {
+func (l *leader) jobAnswer(status api.JobStatus, err error) (protocol.JobAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
-		return fleet.JobAnswer{}, l.notLeader()
+		return protocol.JobAnswer{}, l.notLeader()
 	}
 	if err != nil {
-		return fleet.JobAnswer{}, err
+		return protocol.JobAnswer{}, err
 	}
-	return fleet.JobAnswer{Status: status}, nil
+	return protocol.JobAnswer{Status: status}, nil
 }
 
 // status reads a job; brief leaves its steps out.
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/objective"
 	"github.com/decklever/decklever/internal/placement"
 	"github.com/decklever/decklever/internal/record"
@@ -40,7 +40,7 @@
 	now          func() time.Duration
 	context      context.Context
 	// off are the mechanisms that are switched off.
-	off mechanism.DisabledSet
+	off featuregate.DisabledSet
 
 	// wakePlanner has room for one signal.
 	wakePlanner chan struct{}
@@ -118,7 +118,7 @@
 	Now          func() time.Duration
 	Leadership   replica.Leadership
 	// Off are the mechanisms that are switched off.
-	Off mechanism.DisabledSet
+	Off featuregate.DisabledSet
 }
 
 func newLeader(config leaderConfig) *leader {
--- a/internal/scheduler/leader_test.go
+++ b/internal/scheduler/leader_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -264,7 +264,7 @@
 	worker.exchange()
 	h.submit("j", tasks(6)) // 4 fit
 	worker.exchange()
-	answer, err := h.leader.cancel(t.Context(), fleet.CancelRequest{ID: "j"})
+	answer, err := h.leader.cancel(t.Context(), protocol.CancelRequest{ID: "j"})
 	if err != nil || answer.Status.State != api.StateCancelled {
 		t.Fatalf("cancel: %+v, %v", answer.Status.State, err)
 	}
@@ -313,7 +313,7 @@
 		{"bad/id", same, api.CodeInvalid},
 	}
 	for _, test := range tests {
-		request := fleet.SubmitRequest{ID: test.id, Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{test.step}}}
+		request := protocol.SubmitRequest{ID: test.id, Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{test.step}}}
 		answer, err := h.leader.submit(t.Context(), request)
 		if test.want == "" {
 			if err != nil || answer.Created {
@@ -335,7 +335,7 @@
 	})
 	submit := func(id string, count int) error {
 		spec := api.JobSpec{Queue: "q", Steps: []api.StepSpec{tasks(count)}}
-		_, err := h.leader.submit(t.Context(), fleet.SubmitRequest{ID: id, Spec: spec})
+		_, err := h.leader.submit(t.Context(), protocol.SubmitRequest{ID: id, Spec: spec})
 		return err
 	}
 	if err := submit("never", 7); !errors.Is(err, &api.Error{Code: api.CodeInvalid}) {
--- a/internal/scheduler/list.go
+++ b/internal/scheduler/list.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -18,7 +18,7 @@
 
 // listJobs returns a page of live and archived jobs in the order of their ids.
 // The page token is the last id of the page before.
-func (l *leader) listJobs(_ context.Context, request fleet.ListJobsRequest) (fleet.ListJobsAnswer, error) {
+func (l *leader) listJobs(_ context.Context, request protocol.ListJobsRequest) (protocol.ListJobsAnswer, error) {
 	limit := request.Limit
 	if limit <= 0 {
 		limit = defaultListLimit
@@ -27,10 +27,10 @@
 	live := l.listLive(request, limit+1)
 	archived, err := l.listArchived(request, limit+1)
 	if err != nil {
-		return fleet.ListJobsAnswer{}, err
+		return protocol.ListJobsAnswer{}, err
 	}
 	if !l.log.HoldsLease(l.token) {
-		return fleet.ListJobsAnswer{}, l.notLeader()
+		return protocol.ListJobsAnswer{}, l.notLeader()
 	}
 	rows := mergeByID(live, archived)
 	list := api.JobList{Jobs: rows}
@@ -38,10 +38,10 @@
 		list.Jobs = rows[:limit]
 		list.NextPageToken = rows[limit-1].ID
 	}
-	return fleet.ListJobsAnswer{List: list}, nil
+	return protocol.ListJobsAnswer{List: list}, nil
 }
 
-func (l *leader) listLive(request fleet.ListJobsRequest, limit int) []api.JobSummary {
+func (l *leader) listLive(request protocol.ListJobsRequest, limit int) []api.JobSummary {
 	rows := []api.JobSummary{}
 	l.log.Record().Read(func(view record.View) {
 		for job := range view.Jobs(request.PageToken) {
@@ -59,15 +59,15 @@
 	return rows
 }
 
-func matchesQueue(request fleet.ListJobsRequest, queue string) bool {
+func matchesQueue(request protocol.ListJobsRequest, queue string) bool {
 	return request.Queue == "" || request.Queue == queue
 }
 
-func matchesState(request fleet.ListJobsRequest, state api.State) bool {
+func matchesState(request protocol.ListJobsRequest, state api.State) bool {
 	return request.State == "" || request.State == state
 }
 
-func (l *leader) listArchived(request fleet.ListJobsRequest, limit int) ([]api.JobSummary, error) {
+func (l *leader) listArchived(request protocol.ListJobsRequest, limit int) ([]api.JobSummary, error) {
 	rows := []api.JobSummary{}
 	after := request.PageToken
 	for {
--- a/internal/scheduler/localitywait.go
+++ b/internal/scheduler/localitywait.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -29,7 +29,7 @@
 	now := l.log.Now()
 	entry.localityWaitEnds = now
 	wait := entry.localityWait(now)
-	if wait <= 0 || l.off.Has(mechanism.LocalityWait) {
+	if wait <= 0 || l.off.Has(featuregate.LocalityWait) {
 		return
 	}
 	entry.localityWaitEnds += wait
--- a/internal/scheduler/mirror.go
+++ b/internal/scheduler/mirror.go
@@ -4,7 +4,7 @@
 	"log/slog"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/placement"
 	"github.com/decklever/decklever/internal/record"
 )
@@ -108,7 +108,7 @@
 		due:         task.NotBefore == 0,
 	}
 	l.health.advise(&entry.task, task)
-	if l.off.Has(mechanism.FailedWorkerAvoidance) {
+	if l.off.Has(featuregate.FailedWorkerAvoidance) {
 		entry.task.Avoid = nil
 	}
 	entry.urgency.apply(l.objectiveOf(job.Spec.Queue))
@@ -370,7 +370,7 @@
 
 // queueHeadroom is the share of a worker that the queue leaves free, in hundredths.
 func (l *leader) queueHeadroom(queue *api.QueueConfig) int {
-	if l.off.Has(mechanism.Headroom) {
+	if l.off.Has(featuregate.Headroom) {
 		return 0
 	}
 	return queue.HeadroomPercent
@@ -378,7 +378,7 @@
 
 // maxPreemptions bounds the preemptions of one task.
 func (l *leader) maxPreemptions(config *api.Config) int {
-	if l.off.Has(mechanism.Preemption) {
+	if l.off.Has(featuregate.Preemption) {
 		return 0
 	}
 	return config.Timings.MaxPreemptions
--- a/internal/scheduler/notbegun_test.go
+++ b/internal/scheduler/notbegun_test.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // wantWaitingJobs checks the count of jobs of queue q of which nothing has begun.
 func (h *harness) wantWaitingJobs(when string, want int) {
 	h.t.Helper()
-	answer, err := h.leader.readQueue(context.Background(), fleet.QueueRequest{Name: "q"})
+	answer, err := h.leader.readQueue(context.Background(), protocol.QueueRequest{Name: "q"})
 	if err != nil {
 		h.t.Fatalf("%s: %v", when, err)
 	}
@@ -100,7 +100,7 @@
 	h := newHarness(t)
 	h.submit("j", tasks(2))
 	h.wantWaitingJobs("before", 1)
-	if _, err := h.leader.cancel(t.Context(), fleet.CancelRequest{ID: "j"}); err != nil {
+	if _, err := h.leader.cancel(t.Context(), protocol.CancelRequest{ID: "j"}); err != nil {
 		t.Fatal(err)
 	}
 	h.wantWaitingJobs("after", 0)
--- a/internal/scheduler/places.go
+++ b/internal/scheduler/places.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 // Places: of two incarnations that can never live at once, one that lived when
@@ -17,7 +17,7 @@
 const replacedAfterIntervals = 2
 
 // addressOf names a worker's place in the whole fleet; empty if it has none.
-func addressOf(request fleet.HeartbeatRequest) string {
+func addressOf(request protocol.HeartbeatRequest) string {
 	if request.Heartbeat.Place == "" {
 		return ""
 	}
--- a/internal/scheduler/places_test.go
+++ b/internal/scheduler/places_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 const testSilence = replacedAfterIntervals*200*time.Millisecond + time.Millisecond
@@ -153,7 +153,7 @@
 			for what, labels := range map[string]map[string]string{"rack": {"rack": "r1"}, "label": {"old": "yes"}} {
 				old := tasks(1)
 				old.Tasks[0].Service, old.Tasks[0].Labels = "other", labels
-				request := fleet.SubmitRequest{ID: "third", Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{old}}}
+				request := protocol.SubmitRequest{ID: "third", Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{old}}}
 				if answer, err := h.leader.submit(t.Context(), request); err == nil {
 					t.Errorf("its %s of before holds still: %+v", what, answer)
 				}
--- a/internal/scheduler/refusedends_test.go
+++ b/internal/scheduler/refusedends_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/rpc"
 )
@@ -16,7 +16,7 @@
 func (w *fakeWorker) refuse() error {
 	w.harness.t.Helper()
 	w.heartbeat.Seq++
-	request := fleet.HeartbeatRequest{Agent: "a", Zone: w.zone, Heartbeat: w.heartbeat}
+	request := protocol.HeartbeatRequest{Agent: "a", Zone: w.zone, Heartbeat: w.heartbeat}
 	answer, err := w.harness.leader.heartbeat(w.harness.t.Context(), request)
 	if err == nil {
 		w.harness.t.Fatalf("answered with %+v, want a refusal", answer)
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -71,11 +71,11 @@
 // and draws no other conclusion: its worker may be gone before it can report them
 // again. No lease is needed for it. What is proposed takes effect only if this
 // leads still, and else the worker tells the next leader.
-func (l *leader) observeRefusedEnds(request fleet.HeartbeatRequest) {
+func (l *leader) observeRefusedEnds(request protocol.HeartbeatRequest) {
 	l.enqueueEnds(l.observeEnds(request))
 }
 
-func (l *leader) observeEnds(request fleet.HeartbeatRequest) reports {
+func (l *leader) observeEnds(request protocol.HeartbeatRequest) reports {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	worker, known := l.workers[request.Heartbeat.WorkerID]
--- a/internal/scheduler/reports_test.go
+++ b/internal/scheduler/reports_test.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 )
 
 // deliver brings a heartbeat to the leader under a context of its own.
 func (h *harness) deliver(ctx context.Context, heartbeat api.Heartbeat) (api.HeartbeatAnswer, error) {
-	answer, err := h.leader.heartbeat(ctx, fleet.HeartbeatRequest{Agent: "a", Zone: "z1", Heartbeat: heartbeat})
+	answer, err := h.leader.heartbeat(ctx, protocol.HeartbeatRequest{Agent: "a", Zone: "z1", Heartbeat: heartbeat})
 	h.settle()
 	return answer.Answer, err
 }
@@ -135,7 +135,7 @@
 	silent, other := h.expiredWorker()
 	h.log.overloaded = true
 	silent.heartbeat.Seq++
-	request := fleet.HeartbeatRequest{Agent: "a", Zone: "z1", Heartbeat: silent.heartbeat}
+	request := protocol.HeartbeatRequest{Agent: "a", Zone: "z1", Heartbeat: silent.heartbeat}
 	if _, err := h.leader.heartbeat(t.Context(), request); err == nil {
 		t.Fatal("answered although nothing could be recorded")
 	}
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -8,8 +8,8 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/decklever/decklever/internal/fleet"
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/replica"
 	"github.com/decklever/decklever/internal/rpc"
@@ -27,7 +27,7 @@
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
 	// Off are the mechanisms that an experiment switches off. Default: none.
-	Off mechanism.DisabledSet
+	Off featuregate.DisabledSet
 	// Now reads the monotonic clock. Default: time since the start.
 	Now func() time.Duration
 }
@@ -72,37 +72,37 @@
 
 // Register offers the calls that only the acting scheduler answers.
 func (s *Service) Register(server *rpc.Server) {
-	handle(s, server, fleet.MethodHeartbeat, (*leader).heartbeat)
-	handle(s, server, fleet.MethodLeave, (*leader).leave)
-	handle(s, server, fleet.MethodWatch, (*leader).watch)
+	handle(s, server, protocol.MethodHeartbeat, (*leader).heartbeat)
+	handle(s, server, protocol.MethodLeave, (*leader).leave)
+	handle(s, server, protocol.MethodWatch, (*leader).watch)
 
-	handle(s, server, fleet.MethodSubmit, (*leader).submit)
-	handle(s, server, fleet.MethodCancel, (*leader).cancel)
-	handle(s, server, fleet.MethodCancelMany, (*leader).cancelMany)
-	handle(s, server, fleet.MethodGetJob, (*leader).getJob)
-	handle(s, server, fleet.MethodListJobs, (*leader).listJobs)
+	handle(s, server, protocol.MethodSubmit, (*leader).submit)
+	handle(s, server, protocol.MethodCancel, (*leader).cancel)
+	handle(s, server, protocol.MethodCancelMany, (*leader).cancelMany)
+	handle(s, server, protocol.MethodGetJob, (*leader).getJob)
+	handle(s, server, protocol.MethodListJobs, (*leader).listJobs)
 
-	handle(s, server, fleet.MethodGetConfig, (*leader).getConfig)
-	handle(s, server, fleet.MethodPutConfig, (*leader).putConfig)
-	handle(s, server, fleet.MethodValidateConfig, (*leader).validateConfig)
-	handle(s, server, fleet.MethodConfigVersions, (*leader).configVersions)
-	handle(s, server, fleet.MethodRollout, (*leader).rollout)
+	handle(s, server, protocol.MethodGetConfig, (*leader).getConfig)
+	handle(s, server, protocol.MethodPutConfig, (*leader).putConfig)
+	handle(s, server, protocol.MethodValidateConfig, (*leader).validateConfig)
+	handle(s, server, protocol.MethodConfigVersions, (*leader).configVersions)
+	handle(s, server, protocol.MethodRollout, (*leader).rollout)
 
-	handle(s, server, fleet.MethodBookings, (*leader).listReservations)
-	handle(s, server, fleet.MethodRelease, (*leader).releaseReservation)
+	handle(s, server, protocol.MethodBookings, (*leader).listReservations)
+	handle(s, server, protocol.MethodRelease, (*leader).releaseReservation)
 
-	handle(s, server, fleet.MethodDrainZone, (*leader).drainZone)
-	handle(s, server, fleet.MethodDrains, (*leader).listDrains)
+	handle(s, server, protocol.MethodDrainZone, (*leader).drainZone)
+	handle(s, server, protocol.MethodDrains, (*leader).listDrains)
 
-	handle(s, server, fleet.MethodWorkers, (*leader).listWorkers)
-	handle(s, server, fleet.MethodMembers, (*leader).listMembers)
-	handle(s, server, fleet.MethodQueues, (*leader).listQueues)
-	handle(s, server, fleet.MethodQueue, (*leader).readQueue)
+	handle(s, server, protocol.MethodWorkers, (*leader).listWorkers)
+	handle(s, server, protocol.MethodMembers, (*leader).listMembers)
+	handle(s, server, protocol.MethodQueues, (*leader).listQueues)
+	handle(s, server, protocol.MethodQueue, (*leader).readQueue)
 }
 
 // handle serves a call by the present leader, or names where to go.
 func handle[Request, Answer any](
-	s *Service, server *rpc.Server, method fleet.Method,
+	s *Service, server *rpc.Server, method protocol.Method,
 	serve func(*leader, context.Context, Request) (Answer, error),
 ) {
 	rpc.Handle(server, method, func(ctx context.Context, request Request) (Answer, error) {
--- a/internal/scheduler/silence.go
+++ b/internal/scheduler/silence.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 )
 
 // missedHeartbeatsLimit is for how many heartbeat intervals a worker may go unheard after an
@@ -19,7 +19,7 @@
 // silent, or the newest answer that it can tell of did not arrive. Such a worker
 // gets work last.
 func (l *leader) isUnresponsive(worker *workerEntry, now time.Duration) bool {
-	if l.off.Has(mechanism.UnresponsiveWorkersLast) {
+	if l.off.Has(featuregate.UnresponsiveWorkersLast) {
 		return false
 	}
 	return worker.registered && (worker.answerMissed || l.missesHeartbeats(worker, now))
@@ -31,7 +31,7 @@
 // done once for each silence: what is placed there afterwards found no room
 // elsewhere. A member of a group stays, since its loss would send the group back.
 func (l *leader) revokeOnMissedHeartbeats(now time.Duration) {
-	if l.off.Has(mechanism.RevokeOnMissedHeartbeats) || !l.mostWorkersRespond(now) {
+	if l.off.Has(featuregate.RevokeOnMissedHeartbeats) || !l.mostWorkersRespond(now) {
 		return
 	}
 	for _, worker := range l.workers {
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -7,15 +7,15 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/record"
 )
 
 // listWorkers describes every worker that the record or this term knows.
-func (l *leader) listWorkers(context.Context, fleet.Empty) (fleet.WorkersAnswer, error) {
+func (l *leader) listWorkers(context.Context, protocol.Empty) (protocol.WorkersAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
-		return fleet.WorkersAnswer{}, l.notLeader()
+		return protocol.WorkersAnswer{}, l.notLeader()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -26,7 +26,7 @@
 	slices.SortFunc(list.Workers, func(a, b api.WorkerStatus) int {
 		return strings.Compare(a.Name+" "+a.WorkerID, b.Name+" "+b.WorkerID)
 	})
-	return fleet.WorkersAnswer{List: list}, nil
+	return protocol.WorkersAnswer{List: list}, nil
 }
 
 func (l *leader) workerStatus(worker *workerEntry) api.WorkerStatus {
@@ -45,9 +45,9 @@
 }
 
 // listMembers describes the control plane.
-func (l *leader) listMembers(context.Context, fleet.Empty) (fleet.MembersAnswer, error) {
+func (l *leader) listMembers(context.Context, protocol.Empty) (protocol.MembersAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
-		return fleet.MembersAnswer{}, l.notLeader()
+		return protocol.MembersAnswer{}, l.notLeader()
 	}
 	status := l.log.Status()
 	now := l.now()
@@ -55,7 +55,7 @@
 	for _, member := range slices.Concat(status.Membership.Voters, status.Membership.Learners) {
 		list.Members = append(list.Members, memberStatus(&status, member, now))
 	}
-	return fleet.MembersAnswer{List: list}, nil
+	return protocol.MembersAnswer{List: list}, nil
 }
 
 // memberStatus describes a member. A newcomer is shown as a voter only once it
@@ -79,8 +79,8 @@
 }
 
 // readQueue counts what one queue holds.
-func (l *leader) readQueue(_ context.Context, request fleet.QueueRequest) (fleet.QueueAnswer, error) {
-	var answer fleet.QueueAnswer
+func (l *leader) readQueue(_ context.Context, request protocol.QueueRequest) (protocol.QueueAnswer, error) {
+	var answer protocol.QueueAnswer
 	var known bool
 	l.log.Record().Read(func(view record.View) {
 		_, config := view.Config()
@@ -88,10 +88,10 @@
 		answer.Status = l.queueStatus(view, request.Name)
 	})
 	if !l.log.HoldsLease(l.token) {
-		return fleet.QueueAnswer{}, l.notLeader()
+		return protocol.QueueAnswer{}, l.notLeader()
 	}
 	if !known {
-		return fleet.QueueAnswer{}, notFound("queue", request.Name)
+		return protocol.QueueAnswer{}, notFound("queue", request.Name)
 	}
 	return answer, nil
 }
@@ -107,7 +107,7 @@
 }
 
 // listQueues counts what each queue holds.
-func (l *leader) listQueues(context.Context, fleet.Empty) (fleet.QueuesAnswer, error) {
+func (l *leader) listQueues(context.Context, protocol.Empty) (protocol.QueuesAnswer, error) {
 	list := api.QueueList{Queues: []api.QueueStatus{}}
 	l.log.Record().Read(func(view record.View) {
 		_, config := view.Config()
@@ -116,7 +116,7 @@
 		}
 	})
 	if !l.log.HoldsLease(l.token) {
-		return fleet.QueuesAnswer{}, l.notLeader()
+		return protocol.QueuesAnswer{}, l.notLeader()
 	}
-	return fleet.QueuesAnswer{List: list}, nil
+	return protocol.QueuesAnswer{List: list}, nil
 }
--- a/internal/scheduler/submitting.go
+++ b/internal/scheduler/submitting.go
@@ -8,7 +8,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/admission"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/replica"
 )
 
@@ -58,7 +58,7 @@
 }
 
 // beginSubmit counts a submission in that is to be committed; end counts it out.
-func (l *leader) beginSubmit(request *fleet.SubmitRequest) (end func(), refusal error) {
+func (l *leader) beginSubmit(request *protocol.SubmitRequest) (end func(), refusal error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	queue := request.Spec.Queue
--- a/internal/scheduler/templates_test.go
+++ b/internal/scheduler/templates_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 func TestAssignment_CarriesJobPayload(t *testing.T) {
@@ -37,7 +37,7 @@
 	h := newHarness(t)
 	bare := tasks(1)
 	bare.Tasks[0].Service = ""
-	request := fleet.SubmitRequest{ID: "j", Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{bare}}}
+	request := protocol.SubmitRequest{ID: "j", Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{bare}}}
 	_, err := h.leader.submit(t.Context(), request)
 	refusal, ok := errors.AsType[*api.Error](err)
 	if !ok || refusal.Status != 422 || len(refusal.Fields) != 1 || refusal.Fields[0].Field != "steps[0].tasks[0].service" {
@@ -58,7 +58,7 @@
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q", MaxPendingTasks: 5}}})
 	step := tasks(1)
 	step.Replicas = 6
-	request := fleet.SubmitRequest{ID: "j", Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{step}}}
+	request := protocol.SubmitRequest{ID: "j", Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{step}}}
 	_, err := h.leader.submit(t.Context(), request)
 	refusal, ok := errors.AsType[*api.Error](err)
 	if !ok || refusal.Status != 422 {
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/objective"
 	"github.com/decklever/decklever/internal/record"
 )
@@ -124,7 +124,7 @@
 // objectiveOf returns a queue's objective, or nil.
 func (l *leader) objectiveOf(name string) *api.ObjectiveConfig {
 	queue := findQueue(l.config, name)
-	if queue == nil || l.off.Has(mechanism.ObjectiveTiers) {
+	if queue == nil || l.off.Has(featuregate.ObjectiveTiers) {
 		return nil
 	}
 	return queue.Objective
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 const (
@@ -35,7 +35,7 @@
 
 // watch answers at once if the process does not know the newest configuration
 // or token, else when one changes or when the wait is over.
-func (l *leader) watch(ctx context.Context, request fleet.WatchRequest) (fleet.WatchAnswer, error) {
+func (l *leader) watch(ctx context.Context, request protocol.WatchRequest) (protocol.WatchAnswer, error) {
 	changed := l.recordProcess(request)
 	if changed != nil {
 		wait := min(time.Duration(request.MaxWaitMillis)*time.Millisecond, maxWatchWait)
@@ -49,7 +49,7 @@
 		}
 	}
 	if !l.log.HoldsLease(l.token) {
-		return fleet.WatchAnswer{}, l.notLeader()
+		return protocol.WatchAnswer{}, l.notLeader()
 	}
 	return l.watchAnswer(request), nil
 }
@@ -58,7 +58,7 @@
 // process must be told something now, else a channel that is closed when the
 // configuration changes. A process that has just started and knows no
 // configuration yet serves nobody, and is noted once it confirms its first.
-func (l *leader) recordProcess(request fleet.WatchRequest) <-chan struct{} {
+func (l *leader) recordProcess(request protocol.WatchRequest) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if request.ConfigVersion > 0 || l.configVersion == 0 {
@@ -85,16 +85,16 @@
 }
 
 // confirmAgent notes what the agent that relays a heartbeat has in force.
-func (l *leader) confirmAgent(request fleet.HeartbeatRequest, now time.Duration) {
+func (l *leader) confirmAgent(request protocol.HeartbeatRequest, now time.Duration) {
 	if request.ConfigVersion > 0 {
 		l.setProcess(request.Agent, processEntry{role: agentRole, zone: request.Zone, version: request.ConfigVersion, lastSeen: now})
 	}
 }
 
-func (l *leader) watchAnswer(request fleet.WatchRequest) fleet.WatchAnswer {
+func (l *leader) watchAnswer(request protocol.WatchRequest) protocol.WatchAnswer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	answer := fleet.WatchAnswer{Token: l.token, ConfigVersion: l.configVersion, LeaseMillis: watchLease.Milliseconds()}
+	answer := protocol.WatchAnswer{Token: l.token, ConfigVersion: l.configVersion, LeaseMillis: watchLease.Milliseconds()}
 	if leader, known := l.log.Leader(); known {
 		answer.LeaderAddress = leader.Address
 	}
@@ -106,9 +106,9 @@
 
 // rollout says which process has which version. Complete counts only
 // processes that were heard within their hold: others have stopped serving.
-func (l *leader) rollout(context.Context, fleet.Empty) (fleet.RolloutAnswer, error) {
+func (l *leader) rollout(context.Context, protocol.Empty) (protocol.RolloutAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
-		return fleet.RolloutAnswer{}, l.notLeader()
+		return protocol.RolloutAnswer{}, l.notLeader()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,5 +128,5 @@
 		})
 	}
 	slices.SortFunc(rollout.Processes, func(a, b api.ProcessRollout) int { return strings.Compare(a.Process, b.Process) })
-	return fleet.RolloutAnswer{Rollout: rollout}, nil
+	return protocol.RolloutAnswer{Rollout: rollout}, nil
 }
--- a/internal/scheduler/watch_test.go
+++ b/internal/scheduler/watch_test.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 )
 
 func TestWatch_VersionOnlyOmitsConfig(t *testing.T) {
 	h := newHarness(t)
 	for _, versionOnly := range []bool{false, true} {
-		answer, err := h.leader.watch(t.Context(), fleet.WatchRequest{Process: "p", VersionOnly: versionOnly})
+		answer, err := h.leader.watch(t.Context(), protocol.WatchRequest{Process: "p", VersionOnly: versionOnly})
 		if err != nil || answer.ConfigVersion != 1 || (answer.Config == nil) != versionOnly {
 			t.Errorf("version only %v: %+v, %v", versionOnly, answer, err)
 		}
@@ -27,7 +27,7 @@
 	versions := make(chan uint64, watchers)
 	held := make([]<-chan struct{}, watchers)
 	for i := range watchers {
-		request := fleet.WatchRequest{Process: string(rune('a' + i)), ConfigVersion: 1, Token: h.token}
+		request := protocol.WatchRequest{Process: string(rune('a' + i)), ConfigVersion: 1, Token: h.token}
 		held[i] = h.leader.recordProcess(request)
 		if held[i] == nil {
 			t.Fatal("answered at once although nothing is new")
@@ -56,7 +56,7 @@
 	h := newHarness(t)
 	rollout := func() api.Rollout {
 		t.Helper()
-		answer, err := h.leader.rollout(t.Context(), fleet.Empty{})
+		answer, err := h.leader.rollout(t.Context(), protocol.Empty{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -65,7 +65,7 @@
 	relay := func(worker *fakeWorker, version uint64) {
 		t.Helper()
 		worker.heartbeat.Seq++
-		request := fleet.HeartbeatRequest{Agent: "agent-1", Zone: "z1", Heartbeat: worker.heartbeat, ConfigVersion: version}
+		request := protocol.HeartbeatRequest{Agent: "agent-1", Zone: "z1", Heartbeat: worker.heartbeat, ConfigVersion: version}
 		if _, err := h.leader.heartbeat(t.Context(), request); err != nil {
 			t.Fatal(err)
 		}
@@ -104,7 +104,7 @@
 			{maxWatchWait, maxWatchWait},
 			{time.Hour, maxWatchWait},
 		} {
-			request := fleet.WatchRequest{
+			request := protocol.WatchRequest{
 				Process: "p", ConfigVersion: 1, Token: h.token, VersionOnly: true, MaxWaitMillis: c.asked.Milliseconds(),
 			}
 			began := time.Now()
--- a/internal/scheduler/yields.go
+++ b/internal/scheduler/yields.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/objective"
 	"github.com/decklever/decklever/internal/placement"
 )
@@ -17,7 +17,7 @@
 // configuration.
 func (l *leader) deferences() []placement.Deference {
 	var deferences []placement.Deference
-	if l.off.Has(mechanism.LoadDeference) {
+	if l.off.Has(featuregate.LoadDeference) {
 		return deferences
 	}
 	for index := range l.config.Queues {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -9,7 +9,7 @@
 	"github.com/go-playground/validator/v10"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 )
 
 // withRules is implemented by pointers to settings whose keys must fit each
@@ -60,7 +60,7 @@
 		"reachable":    isReachable,
 		"source_ip":    isSource,
 		"agent_url":    isAgentURL,
-		"mechanism":    mechanism.IsKnown,
+		"mechanism":    featuregate.IsKnown,
 	} {
 		rule := func(field validator.FieldLevel) bool { return holds(field.Field().String()) }
 		if err := rules.RegisterValidation(name, rule); err != nil {
--- a/internal/builtin/services.go
+++ b/internal/taskhandlers/services.go
@@ -1,4 +1,4 @@
-package builtin
+package taskhandlers
 
 import (
 	"fmt"
--- a/lab/hollow/hollow_test.go
+++ b/lab/hollow/hollow_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/fleet"
+	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -22,19 +22,19 @@
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
 	address := strings.TrimPrefix(listener.URL, "http://")
-	rpc.Handle(server, fleet.MethodWatch, func(ctx context.Context, request fleet.WatchRequest) (fleet.WatchAnswer, error) {
+	rpc.Handle(server, protocol.MethodWatch, func(ctx context.Context, request protocol.WatchRequest) (protocol.WatchAnswer, error) {
 		if request.MaxWaitMillis > 0 {
 			<-ctx.Done()
 		}
-		return fleet.WatchAnswer{Token: 1, LeaderAddress: address, ConfigVersion: 1, Config: &api.Config{}, LeaseMillis: 1500}, nil
+		return protocol.WatchAnswer{Token: 1, LeaderAddress: address, ConfigVersion: 1, Config: &api.Config{}, LeaseMillis: 1500}, nil
 	})
-	rpc.Handle(server, fleet.MethodHeartbeat, func(_ context.Context, request fleet.HeartbeatRequest) (fleet.HeartbeatAnswer, error) {
+	rpc.Handle(server, protocol.MethodHeartbeat, func(_ context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
 		select {
 		case heard <- request.Heartbeat.Name + " " + request.Heartbeat.WorkerID:
 		default:
 		}
 		answer := api.HeartbeatAnswer{Seq: request.Heartbeat.Seq, Token: 1, HoldMillis: 3000, IntervalMillis: 20}
-		return fleet.HeartbeatAnswer{Answer: answer}, nil
+		return protocol.HeartbeatAnswer{Answer: answer}, nil
 	})
 	return address
 }
--- a/lab/hollow/node.go
+++ b/lab/hollow/node.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"github.com/decklever/decklever/internal/agent"
-	"github.com/decklever/decklever/internal/builtin"
-	"github.com/decklever/decklever/internal/leaderlink"
+	"github.com/decklever/decklever/internal/leaderclient"
 	"github.com/decklever/decklever/internal/rpc"
+	"github.com/decklever/decklever/internal/taskhandlers"
 	"github.com/decklever/decklever/worker"
 )
 
@@ -62,9 +62,9 @@
 		return fmt.Errorf("start agent %s: %w", n.spec.Agent, errRunning)
 	}
 	client := rpc.NewClient(rpc.ClientConfig{
-		Timeout: max(relayTimeout, leaderlink.MaxCallDuration) + time.Second, Metrics: n.shared.metrics,
+		Timeout: max(relayTimeout, leaderclient.MaxCallDuration) + time.Second, Metrics: n.shared.metrics,
 	})
-	link := leaderlink.New(leaderlink.Config{
+	link := leaderclient.New(leaderclient.Config{
 		Process: n.spec.Agent, Role: "agent", Zone: n.spec.Zone, VersionOnly: true,
 		Seeds: func() []string { return n.shared.spec.Seeds }, Client: client,
 	})
@@ -151,7 +151,7 @@
 	if err != nil {
 		return fmt.Errorf("start worker %s: %w", n.spec.Worker, err)
 	}
-	made.Handle(n.shared.spec.Service, builtin.Handlers()[builtin.Sleep])
+	made.Handle(n.shared.spec.Service, taskhandlers.Handlers()[taskhandlers.Sleep])
 	ctx, life.stop = context.WithCancel(ctx)
 	// A killed worker leaves handlers and reports behind, which Run says.
 	life.done.Go(func() { _ = made.Run(ctx) })
--- a/lab/model/fleet_test.go
+++ b/lab/model/fleet_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/lab/journal"
 	"github.com/decklever/decklever/lab/ledger"
@@ -33,7 +33,7 @@
 	// rack is the number of workers in one.
 	rack int
 	// off are the mechanisms that are switched off.
-	off mechanism.DisabledSet
+	off featuregate.DisabledSet
 }
 
 // The shapes of the users' deployments once grown; of the fronts, which keep no
--- a/lab/model/linked_test.go
+++ b/lab/model/linked_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/decklever/decklever/internal/agent"
 	"github.com/decklever/decklever/internal/front"
-	"github.com/decklever/decklever/internal/leaderlink"
+	"github.com/decklever/decklever/internal/leaderclient"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
@@ -27,7 +27,7 @@
 // linked is a process that follows the leader.
 type linked struct {
 	client *rpc.Client
-	link   *leaderlink.Client
+	link   *leaderclient.Client
 	stop   func()
 }
 
@@ -36,7 +36,7 @@
 	f.network.zones[name] = zone
 	f.network.mutex.Unlock()
 	client := rpc.NewClient(rpc.ClientConfig{Timeout: front.MaxAttemptDuration + time.Second, Dialer: f.network.dialer(name)})
-	made := leaderlink.New(leaderlink.Config{
+	made := leaderclient.New(leaderclient.Config{
 		Process: name, Role: role, Zone: zone, VersionOnly: versionOnly, Client: client,
 		Seeds: func() []string { return f.seeds }, Logger: slog.New(f.logs).With(role, name),
 	})
--- a/lab/model/mechanisms_test.go
+++ b/lab/model/mechanisms_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/decklever/decklever/internal/mechanism"
+	"github.com/decklever/decklever/internal/featuregate"
 )
 
 // TestPromisesHoldWithoutMechanisms: whatever an experiment switches off, alone or all
@@ -14,9 +14,9 @@
 // jobs end in time is not asked.
 func TestPromisesHoldWithoutMechanisms(t *testing.T) {
 	t.Parallel()
-	sets := map[string][]mechanism.Feature{"all": mechanism.All()}
-	for _, name := range mechanism.All() {
-		sets[string(name)] = []mechanism.Feature{name}
+	sets := map[string][]featuregate.Feature{"all": featuregate.All()}
+	for _, name := range featuregate.All() {
+		sets[string(name)] = []featuregate.Feature{name}
 	}
 	for name, off := range sets {
 		size := smallShape(t, off)
@@ -38,13 +38,13 @@
 }
 
 // smallShape is a fleet of a few machines without some mechanisms.
-func smallShape(t *testing.T, off []mechanism.Feature) shape {
+func smallShape(t *testing.T, off []featuregate.Feature) shape {
 	t.Helper()
 	var names []string
 	for _, name := range off {
 		names = append(names, string(name))
 	}
-	parsed, err := mechanism.Parse(names)
+	parsed, err := featuregate.Parse(names)
 	if err != nil {
 		t.Fatal(err)
 	}
