--- a/internal/contexttime/wait.go
+++ b/internal/contexttime/wait.go
@@ -1,4 +1,4 @@
-// Package wait has the one wait that ends early with a context.
+// Package contexttime has the one wait that ends early with a context.
 package contexttime
 
 import (
--- a/internal/featuregate/doc.go
+++ b/internal/featuregate/doc.go
@@ -1,4 +1,4 @@
-// Package mechanism names the policies of placement and scheduling that an experiment
+// Package featuregate names the policies of placement and scheduling that an experiment
 // may switch off, one by one, to measure what each is worth (an ablation). It is the
 // one place that lists them.
 //
--- a/internal/leaderclient/doc.go
+++ b/internal/leaderclient/doc.go
@@ -1,4 +1,4 @@
-// Package leaderlink keeps a process that is no scheduler (a front, an agent)
+// Package leaderclient keeps a process that is no scheduler (a front, an agent)
 // in touch with the leader: one held watch call at a time tells it the
 // leader's address, the highest token and the configuration in force, and
 // confirms to the leader which configuration is in force here.
