--- a/cmd/decklever-lab/run.go
+++ b/cmd/decklever-lab/run.go
@@ -8,6 +8,7 @@
 
 	"github.com/spf13/cobra"
 
+	"github.com/decklever/decklever/lab/fleet"
 	"github.com/decklever/decklever/lab/scenario"
 	"github.com/decklever/decklever/lab/trial"
 )
@@ -16,7 +17,7 @@
 
 func newRunCommand() *cobra.Command {
 	var chosen target
-	var name, out string
+	var name, previous, out string
 	var seed uint64
 	var duration time.Duration
 	command := &cobra.Command{
@@ -31,7 +32,10 @@
 			if duration < course.MinDuration {
 				return fmt.Errorf("duration is %v, expected at least %v for %s", duration, course.MinDuration, name)
 			}
-			return run(command, &chosen, trial.Config{Scenario: course, Seed: seed, Duration: duration, Out: out})
+			if previous != "" && course.FirstVersion != fleet.PreviousVersion {
+				return fmt.Errorf("previous-programs is %q, but %s runs the present programs alone", previous, name)
+			}
+			return run(command, &chosen, trial.Config{Scenario: course, Seed: seed, Duration: duration, Out: out, PreviousBinaries: previous})
 		},
 	}
 	chosen.bind(command)
@@ -39,6 +43,7 @@
 	flags.StringVar(&name, "scenario", "steady", "what happens during the load; see the command scenarios")
 	flags.Uint64Var(&seed, "seed", 1, "seed of the load")
 	flags.DurationVar(&duration, "duration", defaultDuration, "how long callers submit")
+	flags.StringVar(&previous, "previous-programs", "", "folder of the programs of an earlier version, for version-change (default: the present programs)")
 	flags.StringVar(&out, "out", "", "new or empty folder for all files (default: a temporary one)")
 	return command
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -32,6 +32,12 @@
 	Directory string
 	// Binaries is the folder of the programs.
 	Binaries string
+	// PreviousBinaries is the folder of the programs of another version. Default:
+	// Binaries.
+	PreviousBinaries string
+	// FirstVersion is what all processes are first started from. Default
+	// PresentVersion.
+	FirstVersion Version
 	// Ledger gets starts, faults and exits.
 	Ledger *ledger.Ledger
 	// LogLevel of all processes. Default "info".
@@ -57,6 +63,9 @@
 	if config.LogLevel == "" {
 		config.LogLevel = "info"
 	}
+	if config.PreviousBinaries == "" {
+		config.PreviousBinaries = config.Binaries
+	}
 	root, err := filepath.Abs(config.Directory)
 	if err != nil {
 		return nil, fmt.Errorf("fleet folder: %w", err)
@@ -81,7 +90,7 @@
 
 func (f *Fleet) addProcesses() error {
 	for _, spec := range f.config.Deployment.Processes {
-		program, err := findProgram(f.config.Binaries, spec.Role)
+		programs, err := f.findPrograms(spec.Role)
 		if err != nil {
 			return err
 		}
@@ -89,8 +98,8 @@
 			return err
 		}
 		process := &Process{
-			Spec: spec, program: program, settings: f.layout.settings(spec.Name),
-			logPath: f.layout.log(spec.Name), ledger: f.config.Ledger,
+			Spec: spec, programs: programs, settings: f.layout.settings(spec.Name),
+			logPath: f.layout.log(spec.Name), ledger: f.config.Ledger, version: f.config.FirstVersion,
 		}
 		f.processes = append(f.processes, process)
 		f.byName[spec.Name] = process
@@ -98,6 +107,17 @@
 	return nil
 }
 
+// findPrograms returns the paths of a role's program in both versions.
+func (f *Fleet) findPrograms(role deployment.Role) (programs [versionCount]string, err error) {
+	folders := [versionCount]string{PresentVersion: f.config.Binaries, PreviousVersion: f.config.PreviousBinaries}
+	for version, directory := range folders {
+		if programs[version], err = findProgram(directory, role); err != nil {
+			return programs, err
+		}
+	}
+	return programs, nil
+}
+
 // findProgram returns the path of a role's program.
 func findProgram(directory string, role deployment.Role) (string, error) {
 	path, err := filepath.Abs(filepath.Join(directory, programPrefix+string(role)))
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -23,14 +23,17 @@
 	// Spec is what the deployment says of it.
 	Spec deployment.Process
 
-	program  string
+	// programs are the paths of the program, by version.
+	programs [versionCount]string
 	settings string
 	logPath  string
 	launcher *launch.Launcher
 	ledger   *ledger.Ledger
 
 	mutex sync.Mutex
-	life  *life
+	// version is that of the next start.
+	version Version
+	life    *life
 }
 
 // life is one start of a process.
@@ -54,12 +57,12 @@
 		return fmt.Errorf("open log of %s: %w", p.Spec.Name, err)
 	}
 	defer func() { _ = log.Close() }()
-	command := exec.Command(p.program, "--settings", p.settings)
+	command := exec.Command(p.programs[p.version], "--settings", p.settings)
 	command.Stdout, command.Stderr = log, log
 	if err := p.launcher.Start(command); err != nil {
 		return fmt.Errorf("start %s: %w", p.Spec.Name, err)
 	}
-	p.note(ledger.ActionStart, true)
+	p.noteStart()
 	p.life = &life{command: command, ended: make(chan struct{})}
 	go p.reap(p.life)
 	return nil
@@ -87,6 +90,15 @@
 	}
 }
 
+// noteStart also notes the program. The mutex must be held.
+func (p *Process) noteStart() {
+	now := monoclock.Now()
+	p.ledger.Add(ledger.Entry{
+		Kind: ledger.KindFault, Sent: now, Answered: now, Process: p.Spec.Name,
+		Action: ledger.ActionStart, Program: p.programs[p.version], Expected: true,
+	})
+}
+
 func (p *Process) note(action ledger.Action, expected bool) {
 	now := monoclock.Now()
 	p.ledger.Add(ledger.Entry{Kind: ledger.KindFault, Sent: now, Answered: now, Process: p.Spec.Name, Action: action, Expected: expected})
--- a/lab/ledger/entry.go
+++ b/lab/ledger/entry.go
@@ -104,6 +104,8 @@
 	Action   Action        `json:"action,omitempty"`
 	Expected bool          `json:"expected,omitempty"`
 	Offset   time.Duration `json:"offset_ns,omitempty"`
+	// Program is the path of what was started.
+	Program string `json:"program,omitempty"`
 }
 
 // Accepted reports whether the call was answered without a refusal.
--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -98,8 +98,7 @@
 	if err := pause(ctx, bench.Duration/8); err != nil {
 		return err
 	}
-	roles := []deployment.Role{deployment.RoleScheduler, deployment.RoleFront, deployment.RoleAgent, deployment.RoleWorker}
-	for _, role := range roles {
+	for _, role := range restartOrder {
 		for _, target := range bench.Fleet.ByRole(role) {
 			if err := target.Restart(ctx); err != nil {
 				return err
@@ -115,5 +114,8 @@
 	return nil
 }
 
+// restartOrder is the order of roles in which processes are restarted.
+var restartOrder = []deployment.Role{deployment.RoleScheduler, deployment.RoleFront, deployment.RoleAgent, deployment.RoleWorker}
+
 // restartPause lies between the restarts of two processes.
 const restartPause = 500 * time.Millisecond
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -30,6 +30,9 @@
 	Summary string
 	// MinDuration is the shortest load under which it makes sense.
 	MinDuration time.Duration
+	// FirstVersion is what the fleet is started from. Default: the present
+	// programs.
+	FirstVersion fleet.Version
 	// Prepare changes the deployment before the fleet starts. Default: nothing.
 	Prepare func(*deployment.Deployment)
 	// Run starts with the load and may outlast it.
@@ -46,6 +49,7 @@
 		{Name: "kill-worker", Summary: "SIGKILL to a worker at half time, started again after 5s", MinDuration: 10 * time.Second, Run: killNamed("worker-01")},
 		{Name: "freeze-leader", Summary: "the leading scheduler is frozen for 25s", MinDuration: 40 * time.Second, Run: freezeLeader},
 		{Name: "rolling-restart", Summary: "every process is asked to end and started again, in turn", MinDuration: 60 * time.Second, Run: rollingRestart},
+		{Name: "version-change", Summary: "every process is changed from the previous programs to the present ones, in turn, and back, with changes of configuration between", MinDuration: 120 * time.Second, FirstVersion: fleet.PreviousVersion, Run: changeVersions},
 		{Name: "drain", Summary: "two workers are drained for half of the time", MinDuration: 20 * time.Second, Run: drainWorkers},
 		{Name: "evacuate", Summary: "a zone is evacuated for half of the time", MinDuration: 20 * time.Second, Run: evacuateZone},
 		{Name: "shift-change", Summary: "restrepo: a full fleet, and a burst for the booked queue swaps at its moment", MinDuration: 30 * time.Second, Prepare: swapsRun.prepare, Run: swapsRun.run},
--- /dev/null
+++ b/lab/scenario/versions.go
@@ -0,0 +1,139 @@
+package scenario
+
+import (
+	"context"
+	"fmt"
+
+	"github.com/decklever/decklever/lab/deployment"
+	"github.com/decklever/decklever/lab/fleet"
+)
+
+// versionChange takes a fleet from one version of the programs to the other.
+type versionChange struct {
+	bench Bench
+	to    fleet.Version
+	// tag is that of the newest configuration; each has one of its own.
+	tag int
+}
+
+// changeVersions changes every process from the previous programs to the present
+// ones and, once all run those, back.
+func changeVersions(ctx context.Context, bench Bench) error {
+	if err := pause(ctx, bench.Duration/16); err != nil {
+		return err
+	}
+	if err := bench.Fleet.CheckVersion(fleet.PreviousVersion); err != nil {
+		return err
+	}
+	change := &versionChange{bench: bench}
+	for _, version := range []fleet.Version{fleet.PresentVersion, fleet.PreviousVersion} {
+		change.to = version
+		if err := change.run(ctx); err != nil {
+			return fmt.Errorf("change to the %s version: %w", version, err)
+		}
+		if err := pause(ctx, bench.Duration/16); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// run changes all processes, one after the other, with a change of configuration
+// after each role.
+func (c *versionChange) run(ctx context.Context) error {
+	for _, role := range restartOrder {
+		if err := c.changeRole(ctx, role); err != nil {
+			return err
+		}
+		if err := c.configure(ctx); err != nil {
+			return err
+		}
+	}
+	return c.bench.Fleet.CheckVersion(c.to)
+}
+
+func (c *versionChange) changeRole(ctx context.Context, role deployment.Role) error {
+	if role == deployment.RoleScheduler {
+		return c.changeSchedulers(ctx)
+	}
+	for _, target := range c.bench.Fleet.ByRole(role) {
+		if err := c.restart(ctx, target); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// changeSchedulers changes the configuration while the schedulers are of two
+// versions. The first to change is a follower that loses its disk, so that it
+// gets snapshot and archive from a leader of the other version; the leader comes
+// second, so that the leadership passes while both versions are there.
+func (c *versionChange) changeSchedulers(ctx context.Context) error {
+	leading, err := leader(ctx, c.bench)
+	if err != nil {
+		return err
+	}
+	followers := othersOf(c.bench, leading)
+	first := followers[c.bench.Seed%uint64(len(followers))]
+	first.Use(c.to)
+	if err := replaceDisk(ctx, c.bench, first); err != nil {
+		return err
+	}
+	if err := c.configure(ctx); err != nil {
+		return err
+	}
+	if err := c.restartScheduler(ctx, leading); err != nil {
+		return err
+	}
+	if err := c.configure(ctx); err != nil {
+		return err
+	}
+	for _, follower := range followers {
+		if follower == first {
+			continue
+		}
+		if err := c.restartScheduler(ctx, follower); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// restartScheduler also waits until the scheduler has what the others have.
+func (c *versionChange) restartScheduler(ctx context.Context, scheduler *fleet.Process) error {
+	if err := c.restart(ctx, scheduler); err != nil {
+		return err
+	}
+	return waitCaughtUp(ctx, c.bench, scheduler)
+}
+
+// restart ends a process and starts it in the version to come.
+func (c *versionChange) restart(ctx context.Context, target *fleet.Process) error {
+	target.Use(c.to)
+	if err := target.Restart(ctx); err != nil {
+		return err
+	}
+	if err := waitBack(ctx, target); err != nil {
+		return err
+	}
+	return pause(ctx, restartPause)
+}
+
+// configure orders a configuration and sees it in force.
+func (c *versionChange) configure(ctx context.Context) error {
+	c.tag++
+	present, err := c.bench.Operator.Read(ctx)
+	if err != nil {
+		return fmt.Errorf("read the configuration in force: %w", err)
+	}
+	wanted := order{fmt.Sprintf("lab-version-%d", c.tag), present.Version, tagged(present.Config, c.tag)}
+	sendUntilAnswered(ctx, c.bench.Operator, wanted)
+	inForce, err := c.bench.Operator.Read(ctx)
+	if err != nil {
+		return fmt.Errorf("read the configuration in force: %w", err)
+	}
+	if found := inForce.Config.Queues[0].MaxPendingTasks; found != tagBase+c.tag {
+		return fmt.Errorf("order %s is not in force: version %d has the bound %d, expected %d", wanted.id, inForce.Version, found, tagBase+c.tag)
+	}
+	return nil
+}
--- a/lab/trial/trial.go
+++ b/lab/trial/trial.go
@@ -48,7 +48,10 @@
 	Out string
 	// Binaries is the folder of the programs.
 	Binaries string
-	LogLevel string
+	// PreviousBinaries is the folder of the programs of an earlier version, for
+	// scenarios that start from them. Default: Binaries.
+	PreviousBinaries string
+	LogLevel         string
 	// Progress gets a line every 5 s.
 	Progress io.Writer
 }
@@ -101,7 +104,8 @@
 	t := &trial{config: config, book: book}
 	t.fleet, err = fleet.New(fleet.Config{
 		Deployment: config.Deployment, Directory: filepath.Join(config.Out, "fleet"),
-		Binaries: config.Binaries, Ledger: book, LogLevel: config.LogLevel, Seed: config.Seed,
+		Binaries: config.Binaries, PreviousBinaries: config.PreviousBinaries, FirstVersion: config.Scenario.FirstVersion,
+		Ledger: book, LogLevel: config.LogLevel, Seed: config.Seed,
 	})
 	if err != nil {
 		return nil, errors.Join(err, book.Close())
