--- a/docs/metrics_test.go
+++ b/docs/metrics_test.go
@@ -8,6 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/decklever/decklever/internal/agent"
+	"github.com/decklever/decklever/internal/compatibility/golden"
 	"github.com/decklever/decklever/internal/front"
 	"github.com/decklever/decklever/internal/leaderclient"
 	"github.com/decklever/decklever/internal/record"
@@ -29,7 +30,7 @@
 			t.Errorf("METRICS.md lists %s twice", row[1])
 		}
 		written[row[1]] = true
-		if !registered[row[1]] {
+		if _, exists := registered[row[1]]; !exists {
 			t.Errorf("METRICS.md lists %s, which no daemon registers", row[1])
 		}
 	}
@@ -40,10 +41,16 @@
 	}
 }
 
-// registeredMetrics builds the parts of all daemons and returns the names that
-// they register. Descriptions are read rather than gathered, since a counter
+// TestMetrics_RegisteredAsBefore compares names, help texts and labels with those
+// of an earlier commit: dashboards and alerts of the users are built on them.
+func TestMetrics_RegisteredAsBefore(t *testing.T) {
+	golden.Compare(t, "testdata/metrics.txt", golden.Lines(registeredMetrics(t)))
+}
+
+// registeredMetrics builds the parts of all daemons and returns the descriptions
+// of the metrics that they register, by name. Descriptions are read rather than gathered, since a counter
 // with labels is not gathered before it has counted.
-func registeredMetrics(t *testing.T) map[string]bool {
+func registeredMetrics(t *testing.T) descriptionNames {
 	t.Helper()
 	names := descriptionNames{}
 	client := rpc.NewClient(rpc.ClientConfig{})
@@ -75,8 +82,9 @@
 	}
 }
 
-// descriptionNames is a registerer that notes the names of metrics only.
-type descriptionNames map[string]bool
+// descriptionNames is a registerer that keeps the descriptions of metrics only,
+// by name.
+type descriptionNames map[string]string
 
 var descriptionName = regexp.MustCompile(`fqName: "([^"]+)"`)
 
@@ -88,7 +96,8 @@
 		collector.Describe(descriptions)
 	}()
 	for description := range descriptions {
-		d[descriptionName.FindStringSubmatch(description.String())[1]] = true
+		text := description.String()
+		d[descriptionName.FindStringSubmatch(text)[1]] = text
 	}
 	return nil
 }
