--- a/internal/record/archive.go
+++ b/internal/record/archive.go
@@ -1,11 +1,6 @@
 package record
 
-import (
-	"fmt"
-	"sync/atomic"
-
-	"github.com/decklever/decklever/api"
-)
+import "fmt"
 
 // The archive on disk can be ahead of the state: after a restart the log is
 // applied again from the snapshot, while the archive already holds what later
@@ -14,56 +9,6 @@
 // dropped only when no later restart can apply entries that would have seen
 // them.
 
-// ArchivedJob is what is kept of an ended job.
-type ArchivedJob struct {
-	ID          string         `cbor:"1,keyasint"`
-	Digest      string         `cbor:"2,keyasint"`
-	Queue       string         `cbor:"3,keyasint"`
-	Priority    int            `cbor:"4,keyasint"`
-	State       api.State      `cbor:"5,keyasint"`
-	SubmittedAt Millis         `cbor:"6,keyasint"`
-	EndedAt     Millis         `cbor:"7,keyasint"`
-	Steps       []ArchivedStep `cbor:"8,keyasint"`
-	Index       uint64         `cbor:"9,keyasint"` // log index of the entry that ended it
-	// Occurrences is nil unless the job repeated; Steps is empty then.
-	Occurrences *ArchivedOccurrences `cbor:"10,keyasint,omitempty"`
-}
-
-// ArchivedOccurrences counts the occurrences of a repeating job by outcome.
-type ArchivedOccurrences struct {
-	Succeeded int `cbor:"1,keyasint,omitempty"`
-	Failed    int `cbor:"2,keyasint,omitempty"`
-	Cancelled int `cbor:"3,keyasint,omitempty"`
-	// Tasks is the number of tasks of one occurrence.
-	Tasks int `cbor:"4,keyasint"`
-}
-
-// total is the number of all occurrences.
-func (o *ArchivedOccurrences) total() int { return o.Succeeded + o.Failed + o.Cancelled }
-
-// status is the answer to a caller; nil if the job did not repeat.
-func (o *ArchivedOccurrences) status() *api.OccurrenceStatus {
-	if o == nil {
-		return nil
-	}
-	return &api.OccurrenceStatus{Times: o.total(), Succeeded: o.Succeeded, Failed: o.Failed, Cancelled: o.Cancelled}
-}
-
-// ArchivedStep keeps the outcomes of one step.
-type ArchivedStep struct {
-	Name  string         `cbor:"1,keyasint"`
-	Tasks []ArchivedTask `cbor:"2,keyasint"`
-}
-
-// ArchivedTask keeps the outcome of one task.
-type ArchivedTask struct {
-	State    api.State `cbor:"1,keyasint"`
-	Run      uint32    `cbor:"2,keyasint,omitempty"`
-	Failures int       `cbor:"3,keyasint,omitempty"`
-	Worker   string    `cbor:"4,keyasint,omitempty"`
-	Reason   string    `cbor:"5,keyasint,omitempty"`
-}
-
 // Archive stores ended jobs outside of memory. Writes are idempotent: after a
 // restart the log is applied again from the snapshot.
 type Archive interface {
@@ -89,20 +34,6 @@
 	Sync() error
 }
 
-// archiveExpiry holds back the dropping of expired jobs.
-type archiveExpiry struct {
-	// durableBefore is the expiry of a snapshot that is surely durable.
-	durableBefore Millis
-	// latest is the newest snapshot taken; it is durable once another is asked
-	// for after it was written.
-	latest *snapshotExpiry
-}
-
-type snapshotExpiry struct {
-	expiredBefore Millis
-	written       atomic.Bool
-}
-
 // findArchived returns an ended job that the present state knows of.
 func (m *Machine) findArchived(id string) (ArchivedJob, bool, error) {
 	job, found, err := m.archive.Get(id)
@@ -129,143 +60,3 @@
 	}
 	return nil
 }
-
-// applyExpireArchive hides archived jobs that ended before a time, and drops at most
-// Limit of those that are hidden in a durable snapshot too.
-func (m *Machine) applyExpireArchive(expire *ExpireArchive) error {
-	m.state.expiredBefore = max(m.state.expiredBefore, expire.Before)
-	before := min(m.state.expiredBefore, m.expiry.durableBefore)
-	if before <= 0 || expire.Limit <= 0 {
-		return nil
-	}
-	if _, err := m.archive.Expire(before, expire.Limit); err != nil {
-		return fmt.Errorf("record: expire archived jobs: %w", err)
-	}
-	return nil
-}
-
-// newArchivedJob reduces an ended job to its outcome.
-func newArchivedJob(job *Job, endedAt Millis, index uint64) ArchivedJob {
-	archived := ArchivedJob{
-		ID:          job.ID,
-		Digest:      job.Digest,
-		Queue:       job.Spec.Queue,
-		Priority:    job.Spec.Priority,
-		State:       job.State(),
-		SubmittedAt: job.SubmittedAt,
-		EndedAt:     endedAt,
-		Steps:       make([]ArchivedStep, len(job.Steps)),
-		Index:       index,
-		Occurrences: newArchivedOccurrences(job),
-	}
-	for i, step := range job.Steps {
-		archived.Steps[i] = newArchivedStep(step)
-	}
-	return archived
-}
-
-func newArchivedOccurrences(job *Job) *ArchivedOccurrences {
-	if job.Repetition == nil {
-		return nil
-	}
-	return &ArchivedOccurrences{
-		Succeeded: job.Repetition.Succeeded,
-		Failed:    job.Repetition.Failed,
-		Cancelled: job.Repetition.Cancelled,
-		Tasks:     job.Spec.TaskCount(),
-	}
-}
-
-func newArchivedStep(step *Step) ArchivedStep {
-	archived := ArchivedStep{
-		Name:  step.Spec.Name,
-		Tasks: make([]ArchivedTask, len(step.Tasks)),
-	}
-	for i, task := range step.Tasks {
-		archived.Tasks[i] = ArchivedTask{
-			State:    task.State.Public(),
-			Run:      task.LastRun,
-			Failures: task.Failures,
-			Worker:   task.LastWorker,
-			Reason:   task.Reason,
-		}
-	}
-	return archived
-}
-
-// Status is the answer to a caller.
-func (a *ArchivedJob) Status() api.JobStatus {
-	status := a.statusWithoutSteps()
-	status.Steps = make([]api.StepStatus, len(a.Steps))
-	for i := range a.Steps {
-		status.Steps[i] = a.Steps[i].status(a.ID)
-	}
-	return status
-}
-
-// statusWithoutSteps is the answer to a caller without the steps.
-func (a *ArchivedJob) statusWithoutSteps() api.JobStatus {
-	endedAt := a.EndedAt.Time()
-	return api.JobStatus{
-		ID:          a.ID,
-		Queue:       a.Queue,
-		Priority:    a.Priority,
-		State:       a.State,
-		SubmittedAt: a.SubmittedAt.Time(),
-		EndedAt:     &endedAt,
-		Occurrences: a.Occurrences.status(),
-		Archived:    true,
-	}
-}
-
-// Summary is the job's row in a list.
-func (a *ArchivedJob) Summary() api.JobSummary {
-	tasks := 0
-	for i := range a.Steps {
-		tasks += len(a.Steps[i].Tasks)
-	}
-	if a.Occurrences != nil {
-		tasks = a.Occurrences.Tasks * a.Occurrences.total()
-	}
-	return api.JobSummary{
-		ID:          a.ID,
-		Queue:       a.Queue,
-		State:       a.State,
-		SubmittedAt: a.SubmittedAt.Time(),
-		TasksTotal:  tasks,
-		TasksEnded:  tasks,
-	}
-}
-
-func (s *ArchivedStep) status(job string) api.StepStatus {
-	status := api.StepStatus{
-		Name:  s.Name,
-		State: s.state(),
-		Tasks: make([]api.TaskStatus, len(s.Tasks)),
-	}
-	for i, task := range s.Tasks {
-		status.Tasks[i] = api.TaskStatus{
-			Task:     TaskID{Job: job, Step: s.Name, Index: i}.String(),
-			State:    task.State,
-			Reason:   task.Reason,
-			Run:      task.Run,
-			Worker:   task.Worker,
-			Failures: task.Failures,
-		}
-	}
-	return status
-}
-
-// state is failed if any task failed, else cancelled if any was.
-func (s *ArchivedStep) state() api.State {
-	state := api.StateSucceeded
-	for _, task := range s.Tasks {
-		switch task.State {
-		case api.StateFailed:
-			return api.StateFailed
-		case api.StateCancelled:
-			state = api.StateCancelled
-		}
-	}
-	return state
-}
--- /dev/null
+++ b/internal/record/capture.go
@@ -0,0 +1,131 @@
+package record
+
+import "github.com/decklever/decklever/api"
+
+// capture is a copy of what can change; specs, workers and orders cannot and
+// are shared.
+type capture struct {
+	header   snapshotHeader
+	versions []api.ConfigVersion
+	orders   []*configOrder
+	workers  []*Worker
+	jobs     []capturedJob
+	steps    []capturedStep
+	tasks    []snapshotTask
+	runs     []snapshotRun
+}
+
+// capturedJob has its steps in capture.steps from firstStep on, and likewise
+// each step its tasks; few large slices are quicker to fill than many small.
+type capturedJob struct {
+	job       *Job
+	cancelled bool
+	firstStep int
+	// stepCount is the number of steps of all live occurrences.
+	stepCount int
+	// checkRepetition, occurrences and started are set of a repeating job.
+	repetition  *Repetition
+	occurrences []int
+	started     bool
+}
+
+type capturedStep struct {
+	waitsOn   int
+	failedRun uint32
+	firstTask int
+	taskCount int
+}
+
+func (m *Machine) capture() (*capture, *snapshotExpiry) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if last := m.expiry.latest; last != nil && last.written.Load() {
+		m.expiry.durableBefore = max(m.expiry.durableBefore, last.expiredBefore)
+	}
+	m.expiry.latest = &snapshotExpiry{expiredBefore: m.state.expiredBefore}
+	return captureState(m.state), m.expiry.latest
+}
+
+func captureState(s *state) *capture {
+	settings := &s.settings
+	c := &capture{
+		versions: settings.versions[:len(settings.versions):len(settings.versions)],
+		orders:   settings.orders.oldestFirst(),
+		workers:  s.sortedWorkers(),
+		jobs:     make([]capturedJob, 0, len(s.sortedJobs)),
+		tasks:    make([]snapshotTask, 0, s.taskTotal),
+		runs:     make([]snapshotRun, 0, s.runTotal),
+	}
+	for _, job := range s.sortedJobs {
+		c.addJob(job)
+	}
+	c.header = snapshotHeader{
+		Format:          snapshotFormat,
+		Applied:         s.applied,
+		Clock:           s.clock,
+		ExpiredBefore:   s.expiredBefore,
+		ConfigVersion:   settings.version,
+		Config:          *settings.accepted,
+		Versions:        len(c.versions),
+		Orders:          len(c.orders),
+		Workers:         len(c.workers),
+		Jobs:            len(c.jobs),
+		ReleasedWindows: s.releasedWindows,
+		DrainedZones:    s.drainedZones,
+	}
+	return c
+}
+
+func (c *capture) addJob(job *Job) {
+	c.jobs = append(c.jobs, c.captureJob(job))
+	for _, step := range job.Steps {
+		c.steps = append(c.steps, capturedStep{waitsOn: step.OpenDependencies, failedRun: step.lastFailedRun, firstTask: len(c.tasks), taskCount: len(step.Tasks)})
+		for _, task := range step.Tasks {
+			c.addTask(task)
+		}
+	}
+}
+
+func (c *capture) captureJob(job *Job) capturedJob {
+	captured := capturedJob{job: job, cancelled: job.Cancelled, firstStep: len(c.steps), stepCount: len(job.Steps)}
+	if job.Repetition != nil {
+		repetition := *job.Repetition
+		captured.repetition = &repetition
+		captured.occurrences = job.liveOccurrences()
+		captured.started = job.started
+	}
+	return captured
+}
+
+func (c *capture) addTask(task *Task) {
+	c.tasks = append(c.tasks, snapshotTask{
+		State:           task.State,
+		Failures:        task.Failures,
+		AllowedFailures: task.AllowedFailures,
+		LastRun:         task.LastRun,
+		LastWorker:      task.LastWorker,
+		NotBefore:       task.NotBefore,
+		Reason:          task.Reason,
+		Preemptions:     task.Preemptions,
+
+		Checkpoint:        task.checkpoint.text,
+		CheckpointRun:     task.checkpoint.run,
+		CheckpointPercent: task.checkpoint.percent,
+
+		Run: c.addRun(task.Run),
+	})
+}
+
+// addRun copies an open run; runs has room for all, so that it never moves.
+func (c *capture) addRun(run *Run) *snapshotRun {
+	if run == nil {
+		return nil
+	}
+	c.runs = append(c.runs, snapshotRun{
+		WorkerID: run.WorkerID,
+		Token:    run.Token,
+		PlacedAt: run.PlacedAt,
+		Stop:     run.Stop,
+	})
+	return &c.runs[len(c.runs)-1]
+}
--- a/internal/record/close.go
+++ b/internal/record/closeruns.go
@@ -1,25 +1,6 @@
 package record
 
-import (
-	"fmt"
-	"time"
-	"unicode/utf8"
-
-	"github.com/decklever/decklever/api"
-)
-
-const (
-	// maxReasonBytes bounds the text that is kept of a worker's message.
-	maxReasonBytes = 1024
-	// maxBackoffDoublings bounds the growth of the pause before a retry.
-	maxBackoffDoublings = 5
-	// maxUntilCancelledBackoff bounds the pause of a task that runs until cancelled,
-	// unless the first pause is longer.
-	maxUntilCancelledBackoff Millis = 2_000
-	// failureResetAfter is how long a run of such a task must have been open for its failure
-	// to be counted as the first: what broke it is not what broke the runs before.
-	failureResetAfter Millis = 10_000
-)
+import "github.com/decklever/decklever/api"
 
 // applyCloseRuns ends runs in the order given.
 func (m *Machine) applyCloseRuns(closeRuns *CloseRuns) {
@@ -105,30 +86,6 @@
 	return TaskReady
 }
 
-// countFailure counts a failure that ended a run, which may be another member's.
-func (t *Task) countFailure(run *Run, now Millis) {
-	if t.RunsUntilCancelled() && now-run.PlacedAt >= failureResetAfter {
-		t.Failures = 0
-	}
-	t.Failures++
-}
-
-// retryBackoff is the pause after a task's newest failure.
-func (m *Machine) retryBackoff(task *Task) Millis {
-	pause := m.backoffAfter(task.Failures)
-	if task.RunsUntilCancelled() {
-		pause = min(pause, max(m.backoffAfter(1), maxUntilCancelledBackoff))
-	}
-	return pause
-}
-
-// backoffAfter is the pause after the given number of failures.
-func (m *Machine) backoffAfter(failures int) Millis {
-	doublings := min(failures-1, maxBackoffDoublings)
-	delay := m.state.settings.effective.Timings.RetryDelay.Std() << doublings
-	return Millis(delay / time.Millisecond)
-}
-
 // applyLateReport takes the success of a closed run if the task still waits: what
 // the run did is done, whatever became of newer runs, and none of them is open.
 // One that runs until cancelled has no success. Any other late report changes
@@ -145,35 +102,3 @@
 	}
 	m.finishWithoutRun(task, TaskSucceeded, "")
 }
-
-// interruptionReason says why a run ended that neither failed nor ended its task.
-func interruptionReason(run *Run, outcome api.Outcome) string {
-	if outcome == api.OutcomeSucceeded {
-		return fmt.Sprintf("run %d succeeded; the task runs until cancelled", run.Number)
-	}
-	if run.Stop != StopNone {
-		return fmt.Sprintf("run %d stopped: %s", run.Number, run.Stop)
-	}
-	if outcome == api.OutcomeStopped {
-		return fmt.Sprintf("run %d stopped by worker %q", run.Number, run.Worker)
-	}
-	return fmt.Sprintf("run %d lost on worker %q", run.Number, run.Worker)
-}
-
-func failureReason(message string) string {
-	if message == "" {
-		return "failed"
-	}
-	return truncate(message, maxReasonBytes)
-}
-
-// truncate cuts text to a number of bytes, not within a character.
-func truncate(text string, limit int) string {
-	if len(text) <= limit {
-		return text
-	}
-	for limit > 0 && !utf8.RuneStart(text[limit]) {
-		limit--
-	}
-	return text[:limit]
-}
--- a/internal/record/counts.go
+++ b/internal/record/counts.go
@@ -72,3 +72,8 @@
 		RunningTasks: c.RunningTasks - other.RunningTasks,
 	}
 }
+
+// QueueCounts is the content of one queue, or of all queues of a team.
+type QueueCounts struct {
+	Jobs, PendingTasks, RunningTasks int
+}
--- a/internal/record/drain.go
+++ b/internal/record/drainzone.go
@@ -17,6 +17,3 @@
 	}
 	m.emit(ZoneDrainChanged{Zone: drain.Zone, Drained: drain.Drained})
 }
-
-// DrainedZones implements View.
-func (v view) DrainedZones() []string { return v.machine.state.drainedZones }
--- a/internal/record/encoding_test.go
+++ b/internal/record/encoding_test.go
@@ -1,9 +1,7 @@
 package record
 
 import (
-	"bytes"
 	"errors"
-	"slices"
 	"testing"
 	"time"
 
@@ -53,26 +51,3 @@
 		t.Fatal(diff)
 	}
 }
-
-func TestRestore_DamagedSnapshotChangesNothing(t *testing.T) {
-	r := newHarness(t)
-	r.submit("j", stepSpec("a", 1))
-	before := snapshotBytes(t, r.machine)
-	for _, damaged := range [][]byte{nil, before[:len(before)-1], withFlippedBit(before, 40), withFlippedBit(before, len(before)-1)} {
-		if err := r.machine.Restore(bytes.NewReader(damaged)); !errors.Is(err, ErrSnapshot) {
-			t.Fatalf("damaged snapshot: %v", err)
-		}
-	}
-	expect(t, "unchanged", bytes.Equal(before, snapshotBytes(t, r.machine)), true)
-	r.takeEvents()
-	if err := r.machine.Restore(bytes.NewReader(before)); err != nil {
-		t.Fatal(err)
-	}
-	expectEvents(t, r, "replaced")
-}
-
-func withFlippedBit(data []byte, at int) []byte {
-	changed := slices.Clone(data)
-	changed[at] ^= 1
-	return changed
-}
--- a/internal/record/repeat_test.go
+++ b/internal/record/expandrepeats_test.go
@@ -5,42 +5,12 @@
 	"reflect"
 	"slices"
 	"testing"
-	"time"
 
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/decklever/decklever/api"
 )
 
-const testInterval = 100 * time.Millisecond
-
-func repeatingJob(times int, first Millis, steps ...api.StepSpec) api.JobSpec {
-	repeat := &api.RepeatSpec{Times: times, First: first.Time(), Interval: api.Duration(testInterval)}
-	return api.JobSpec{Queue: testQueue, Repeat: repeat, Steps: steps}
-}
-
-func (r *harness) submitSpec(id string, spec api.JobSpec) SubmitOutcome {
-	r.t.Helper()
-	return r.apply(Command{SubmitJob: &SubmitJob{ID: id, Spec: spec, Digest: spec.Digest()}}).Submit.Outcome
-}
-
-func (r *harness) expand(id string, through int) {
-	r.t.Helper()
-	r.apply(Command{ExpandRepeats: &ExpandRepeats{Jobs: []Expansion{{Job: id, Through: through}}}})
-}
-
-func occurrenceTaskID(job, step string, index, occurrence int) TaskID {
-	return TaskID{Job: job, Step: step, Index: index, Occurrence: occurrence}
-}
-
-// placeAndClose takes a task through one run.
-func (r *harness) placeAndClose(task TaskID, outcome api.Outcome) {
-	r.t.Helper()
-	number := r.task(task).LastRun + 1
-	r.mustPlace(placementOn(task, number, "w1"))
-	r.close(task, number, outcome)
-}
-
 func TestRepeat_OccurrencesRunAsTheyFallDue(t *testing.T) {
 	r := newHarness(t)
 	r.register(testWorker("w1"))
--- a/internal/record/lockstep.go
+++ b/internal/record/gang.go
@@ -29,23 +29,33 @@
 // IsGang reports whether the tasks of the step start together.
 func (s *Step) IsGang() bool { return s.Spec.Together || s.Spec.Lockstep }
 
-// NextRun is the number that the next run of the task must have. It is the same
-// for all members of a group in lockstep.
-func (t *Task) NextRun() uint32 {
-	if !t.Step.Spec.Lockstep {
-		return t.LastRun + 1
+// GangSize is the number of members that must be placed in one Place, or 0
+// if a member of the step may be placed alone.
+//
+// The rule: a step that is Together must be placed whole, which means all its
+// members that are not final, unless some member has an open run that is not
+// being stopped; then a member that is retried joins it alone. An open run
+// marked StopGang holds the whole step back until it is closed. So members
+// wait together again after a group stop, and a member that fails once all
+// have started is retried by itself. A step in lockstep is always placed whole.
+func (s *Step) GangSize() int {
+	if !s.IsGang() {
+		return 0
+	}
+	members, going, stopping := 0, false, false
+	for _, task := range s.Tasks {
+		if !task.State.Final() {
+			members++
+		}
+		if task.Run != nil {
+			going = going || task.Run.Stop == StopNone
+			stopping = stopping || task.Run.Stop == StopGang
+		}
 	}
-	newest := uint32(0)
-	for _, member := range t.Step.Tasks {
-		newest = max(newest, member.LastRun)
+	if going && !stopping && !s.Spec.Lockstep {
+		return 0
 	}
-	return newest + 1
-}
-
-// RunsUntilCancelled reports whether the task has neither success nor limit of failures: it
-// runs until cancelled, or a member of its group in lockstep does.
-func (t *Task) RunsUntilCancelled() bool {
-	return t.Spec.UntilCancelled || t.Step.Spec.Lockstep && t.Step.runsUntilCancelled()
+	return members
 }
 
 // endless reports whether any task of the step runs until cancelled.
--- a/internal/record/helper_test.go
+++ b/internal/record/harness_test.go
@@ -4,6 +4,9 @@
 	"bytes"
 	"fmt"
 	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
 
 	"github.com/decklever/decklever/api"
 )
@@ -86,6 +89,13 @@
 	return events
 }
 
+func expectEvents(t *testing.T, r *harness, expected ...string) {
+	t.Helper()
+	if diff := cmp.Diff(expected, r.takeEvents()); diff != "" {
+		t.Fatalf("events (-expected +got):\n%s", diff)
+	}
+}
+
 func (r *harness) putConfig(order string, base uint64, config api.Config) *ConfigResult {
 	r.t.Helper()
 	put := &PutConfig{OrderID: order, Base: base, Config: config, Digest: config.Digest()}
@@ -104,6 +114,16 @@
 	return result.Submit.Outcome
 }
 
+func (r *harness) submitSpec(id string, spec api.JobSpec) SubmitOutcome {
+	r.t.Helper()
+	return r.apply(Command{SubmitJob: &SubmitJob{ID: id, Spec: spec, Digest: spec.Digest()}}).Submit.Outcome
+}
+
+func (r *harness) expand(id string, through int) {
+	r.t.Helper()
+	r.apply(Command{ExpandRepeats: &ExpandRepeats{Jobs: []Expansion{{Job: id, Through: through}}}})
+}
+
 func (r *harness) cancel(ids ...string) {
 	r.t.Helper()
 	r.apply(Command{CancelJobs: &CancelJobs{Jobs: ids}})
@@ -159,6 +179,14 @@
 	r.apply(Command{StopRuns: stop})
 }
 
+// placeAndClose takes a task through one run.
+func (r *harness) placeAndClose(task TaskID, outcome api.Outcome) {
+	r.t.Helper()
+	number := r.task(task).LastRun + 1
+	r.mustPlace(placementOn(task, number, "w1"))
+	r.close(task, number, outcome)
+}
+
 func (r *harness) task(id TaskID) (task *Task) {
 	r.t.Helper()
 	r.machine.Read(func(v View) { task, _ = v.Task(id) })
@@ -188,8 +216,32 @@
 	return made
 }
 
+func replicatedStep(name string, count int, after ...string) api.StepSpec {
+	made := stepSpec(name, 1, after...)
+	made.Replicas = count
+	return made
+}
+
+const testInterval = 100 * time.Millisecond
+
+func repeatingJob(times int, first Millis, steps ...api.StepSpec) api.JobSpec {
+	repeat := &api.RepeatSpec{Times: times, First: first.Time(), Interval: api.Duration(testInterval)}
+	return api.JobSpec{Queue: testQueue, Repeat: repeat, Steps: steps}
+}
+
 func taskID(job, step string, index int) TaskID { return TaskID{Job: job, Step: step, Index: index} }
 
+func occurrenceTaskID(job, step string, index, occurrence int) TaskID {
+	return TaskID{Job: job, Step: step, Index: index, Occurrence: occurrence}
+}
+
+func expect[T comparable](t *testing.T, what string, got, expected T) {
+	t.Helper()
+	if got != expected {
+		t.Fatalf("%s: got %v, expected %v", what, got, expected)
+	}
+}
+
 // failer is met by the tests of package testing and of rapid.
 type failer interface {
 	Helper()
--- a/internal/record/checker_test.go
+++ b/internal/record/invariants_test.go
@@ -1,6 +1,7 @@
 package record
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -301,3 +302,28 @@
 		}
 	})
 }
+
+// checkDrains holds the zones drained by orders against the orders alone, and those
+// of the configuration against accepted configurations alone.
+func (c *invariantChecker) checkDrains(command Command, result Result) {
+	if order := command.DrainZone; order != nil {
+		c.drained[order.Zone] = order.Drained
+	}
+	if put := command.PutConfig; put != nil && result.Config.Refusal == nil && result.Config.Version > c.configVersion {
+		c.drainedInConfig, c.configVersion = put.Config.Drains.Zones, result.Config.Version
+	}
+	var expected []string
+	for _, zone := range slices.Sorted(maps.Keys(c.drained)) {
+		if c.drained[zone] {
+			expected = append(expected, zone)
+		}
+	}
+	c.machine.Read(func(v View) {
+		if !slices.Equal(v.DrainedZones(), expected) {
+			c.t.Fatalf("zones drained by orders are %v, expected %v", v.DrainedZones(), expected)
+		}
+		if _, config := v.Config(); !slices.Equal(config.Drains.Zones, c.drainedInConfig) {
+			c.t.Fatalf("zones drained by the configuration are %v, expected %v", config.Drains.Zones, c.drainedInConfig)
+		}
+	})
+}
--- a/internal/record/lifecycle.go
+++ b/internal/record/lifecycle.go
@@ -2,9 +2,6 @@
 
 import "fmt"
 
-// reasonJobCancelled is the reason of tasks that a cancel ended.
-const reasonJobCancelled = "job cancelled"
-
 // startStep makes the blocked tasks of a step ready; one without tasks is
 // done at once.
 func (m *Machine) startStep(step *Step) {
@@ -57,11 +54,6 @@
 	}
 }
 
-// done reports that every task of the step succeeded.
-func (s *Step) succeeded() bool {
-	return s.succeededTasks == len(s.Tasks)
-}
-
 func (m *Machine) unblockDependents(step *Step) {
 	for _, dependent := range step.dependents {
 		dependent.OpenDependencies--
--- a/internal/record/machine.go
+++ b/internal/record/machine.go
@@ -38,10 +38,6 @@
 	expiry archiveExpiry
 }
 
-type observer struct {
-	notify func(Event)
-}
-
 // NewMachine returns an empty record.
 func NewMachine(config Config) *Machine {
 	if config.MaxConfigOrders <= 0 {
@@ -119,35 +115,3 @@
 	defer m.mu.RUnlock()
 	read(view{machine: m})
 }
-
-// Observe calls start with the present state, and observer with every event
-// after it, without a gap. Both run under the lock: they must neither block
-// nor call the Machine. An event's pointers show the state at that event. stop
-// ends the observation; it must not be called from within observer.
-func (m *Machine) Observe(start func(View), notify func(Event)) (stop func()) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if start != nil {
-		start(view{machine: m})
-	}
-	added := &observer{notify: notify}
-	m.observers = append(m.observers, added)
-	return func() { m.removeObserver(added) }
-}
-
-func (m *Machine) removeObserver(gone *observer) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for i, one := range m.observers {
-		if one == gone {
-			m.observers = append(m.observers[:i:i], m.observers[i+1:]...)
-			return
-		}
-	}
-}
-
-func (m *Machine) emit(event Event) {
-	for _, one := range m.observers {
-		one.notify(event)
-	}
-}
--- a/internal/record/place_test.go
+++ b/internal/record/placetasks_test.go
@@ -8,6 +8,63 @@
 	"github.com/decklever/decklever/api"
 )
 
+// TestPlace_TaskWithBackupRunsHasOneOpenRun: backup runs have no effect yet.
+func TestPlace_TaskWithBackupRunsHasOneOpenRun(t *testing.T) {
+	r := newHarness(t)
+	r.register(testWorker("w1"), testWorker("w2"))
+	backed := stepSpec("a", 1)
+	backed.Tasks[0].BackupRuns = true
+	r.submit("j", backed)
+	task := r.task(taskID("j", "a", 0))
+	r.mustPlace(placementOn(task.ID, 1, "w1"))
+	r.mustRejectAll(placementOn(task.ID, 2, "w2"))
+	if task.State != TaskPlaced || task.LastRun != 1 || task.Run.Worker != "w1" {
+		t.Fatalf("state %d, run %d on %s", task.State, task.LastRun, task.LastWorker)
+	}
+}
+
+func TestTeamLimit_BoundsSumOfItsQueues(t *testing.T) {
+	r := newHarness(t)
+	r.register(testWorker("w1"), testWorker("w2"))
+	shared := testConfig()
+	shared.Teams = []api.TeamConfig{{Name: "t", MaxRunningTasks: 2}}
+	shared.Queues[0].Team, shared.Queues[1].Team = "t", "t"
+	shared.Queues[1].MaxRunningTasks = 0
+	r.submit("j", stepSpec("a", 3))
+	r.mustPlace(placementOn(taskID("j", "a", 0), 1, "w1"))
+	r.putConfig("team", 1, shared)
+	group := stepSpec("g", 2)
+	group.Together = true
+	r.submitTo("narrow", "n", stepSpec("a", 2), group)
+	counts := func(pending, running int) {
+		t.Helper()
+		r.machine.Read(func(v View) {
+			expect(t, "counts", v.TeamCounts("t"), QueueCounts{Jobs: 2, PendingTasks: pending, RunningTasks: running})
+			expect(t, "other", v.TeamCounts("u"), QueueCounts{})
+		})
+	}
+	counts(6, 1)
+	r.mustRejectAll(placementOn(taskID("n", "g", 0), 1, "w2"), placementOn(taskID("n", "g", 1), 1, "w2"))
+	r.mustPlace(placementOn(taskID("n", "a", 0), 1, "w2"))
+	r.mustRejectAll(placementOn(taskID("n", "a", 1), 1, "w2"))
+	r.mustRejectAll(placementOn(taskID("j", "a", 1), 1, "w1"))
+	r.close(taskID("j", "a", 0), 1, api.OutcomeSucceeded)
+	counts(5, 1)
+	r.close(taskID("n", "a", 0), 1, api.OutcomeLost)
+	counts(6, 0)
+	r.mustPlace(placementOn(taskID("n", "g", 0), 1, "w2"), placementOn(taskID("n", "g", 1), 1, "w2"))
+	restored(t, snapshotBytes(t, r.machine), r.archive).Read(func(v View) {
+		expect(t, "restored", v.TeamCounts("t"), QueueCounts{Jobs: 2, PendingTasks: 4, RunningTasks: 2})
+	})
+
+	shared.Queues[1].Team = ""
+	r.putConfig("left", 2, shared)
+	r.machine.Read(func(v View) {
+		expect(t, "after a queue left", v.TeamCounts("t"), QueueCounts{Jobs: 1, PendingTasks: 2})
+	})
+	r.mustPlace(placementOn(taskID("j", "a", 1), 1, "w1"), placementOn(taskID("j", "a", 2), 1, "w1"))
+}
+
 func TestPlaceTasks_RejectsWhatNoLongerFits(t *testing.T) {
 	r := newHarness(t)
 	other := testWorker("other")
--- a/internal/record/workers.go
+++ b/internal/record/registerworkers.go
@@ -1,10 +1,5 @@
 package record
 
-import (
-	"maps"
-	"slices"
-)
-
 // applyRegisterWorkers adds workers or changes what is known of them.
 func (m *Machine) applyRegisterWorkers(register *RegisterWorkers, result *Result) {
 	for i := range register.Workers {
@@ -40,25 +35,3 @@
 	m.emit(WorkerChanged{Worker: worker})
 	return true
 }
-
-// SameDescription compares what a worker says of itself: all but name, id and the time of
-// registration.
-func (w *Worker) SameDescription(other *Worker) bool {
-	return w.Zone == other.Zone && w.Address == other.Address &&
-		w.Capacity == other.Capacity &&
-		slices.Equal(w.Services, other.Services) &&
-		maps.Equal(w.Labels, other.Labels)
-}
-
-// applyForgetWorkers removes workers that have no open run.
-func (m *Machine) applyForgetWorkers(forget *ForgetWorkers) {
-	for _, name := range forget.Names {
-		worker := m.state.workers[name]
-		if worker == nil || m.state.hasOpenRuns(worker.ID) {
-			continue
-		}
-		delete(m.state.workers, name)
-		delete(m.state.workersByID, worker.ID)
-		m.emit(WorkerForgotten{Worker: worker})
-	}
-}
--- a/internal/record/release.go
+++ b/internal/record/releasewindow.go
@@ -24,17 +24,6 @@
 	return true
 }
 
-// advanceClock moves the clock, which never goes back, and forgets releases of
-// windows that have ended.
-func (s *state) advanceClock(clock Millis) {
-	s.clock = max(s.clock, clock)
-	ended := 0
-	for ended < len(s.releasedWindows) && s.releasedWindows[ended].End <= s.clock {
-		ended++
-	}
-	s.releasedWindows = s.releasedWindows[ended:]
-}
-
 // sameWindow compares what names a window; its end follows from that.
 func (r ReleaseWindow) sameWindow(other ReleaseWindow) bool {
 	return r.Queue == other.Queue && r.Booking == other.Booking && r.Start == other.Start
--- a/internal/record/state.go
+++ b/internal/record/state.go
@@ -239,3 +239,14 @@
 	})
 	return workers
 }
+
+// advanceClock moves the clock, which never goes back, and forgets releases of
+// windows that have ended.
+func (s *state) advanceClock(clock Millis) {
+	s.clock = max(s.clock, clock)
+	ended := 0
+	for ended < len(s.releasedWindows) && s.releasedWindows[ended].End <= s.clock {
+		ended++
+	}
+	s.releasedWindows = s.releasedWindows[ended:]
+}
--- a/internal/record/status.go
+++ b/internal/record/status.go
@@ -39,20 +39,6 @@
 	return api.StatePending
 }
 
-// done reports that every task is final and no occurrence is still to come.
-func (j *Job) complete() bool {
-	return j.OpenTasks == 0 && (j.Repetition == nil || j.Repetition.Next >= j.Occurrences())
-}
-
-// MayCancel reports whether a cancel would change the job: it was not cancelled
-// before, and some task is not final or some occurrence is still to come.
-func (j *Job) MayCancel() bool { return !j.Cancelled && !j.complete() }
-
-// hasFailedTasks reports that a task failed for good.
-func (j *Job) hasFailedTasks() bool {
-	return j.failedTasks > 0 || j.Repetition != nil && j.Repetition.Failed > 0
-}
-
 // State is the step's state: pending until a task was placed or has ended.
 func (s *Step) State() api.State {
 	switch {
@@ -68,19 +54,6 @@
 	return api.StateCancelled
 }
 
-// hasStarted reports that a task was placed or has ended.
-func (s *Step) hasStarted() bool {
-	if s.OpenTasks < len(s.Tasks) {
-		return true
-	}
-	for _, task := range s.Tasks {
-		if task.LastRun > 0 {
-			return true
-		}
-	}
-	return false
-}
-
 // Summary is the job's row in a list.
 func (j *Job) Summary() api.JobSummary {
 	perOccurrence := j.Spec.TaskCount()
--- a/internal/record/cancel.go
+++ b/internal/record/stopruns.go
@@ -1,34 +1,5 @@
 package record
 
-// applyCancelJobs cancels live jobs; unknown, ended and cancelled ones are passed
-// over. A job has ended once all its tasks are final, although runs may be open.
-func (m *Machine) applyCancelJobs(cancel *CancelJobs) {
-	for _, id := range cancel.Jobs {
-		job := m.state.jobs[id]
-		if job == nil || !job.MayCancel() {
-			continue
-		}
-		job.Cancelled = true
-		job.cancelFutureOccurrences()
-		m.cancelTasks(job)
-		m.archiveJobIfComplete(job)
-	}
-}
-
-func (m *Machine) cancelTasks(job *Job) {
-	for _, step := range job.Steps {
-		for _, task := range step.Tasks {
-			switch {
-			case task.State.Final():
-			case task.Run != nil:
-				m.requestStop(task.Run, StopCancelled)
-			default:
-				m.finishWithoutRun(task, TaskCancelled, reasonJobCancelled)
-			}
-		}
-	}
-}
-
 // applyStopRuns marks open runs to be stopped.
 func (m *Machine) applyStopRuns(stop *StopRuns) {
 	if stop.Reason == StopNone {
--- a/internal/record/submit.go
+++ b/internal/record/submitjob.go
@@ -1,10 +1,6 @@
 package record
 
-import (
-	"slices"
-
-	"github.com/decklever/decklever/api"
-)
+import "github.com/decklever/decklever/api"
 
 // applySubmitJob adds a job unless its id is known, live or archived. The shape
 // of the spec was checked before it was proposed; here a step named in After
@@ -61,47 +57,3 @@
 	m.startOccurrence(first)
 	m.archiveJobIfComplete(job)
 }
-
-func newStep(job *Job, of *occurrence, index int) *Step {
-	spec := &job.Spec.Steps[index]
-	count := spec.TaskCount()
-	step := &Step{Job: job, Occurrence: of.number, Index: index, Spec: spec, OpenTasks: count, occurrence: of}
-	step.Tasks = make([]*Task, count)
-	tasks := make([]Task, count)
-	for i := range tasks {
-		tasks[i] = Task{
-			ID:   TaskID{Job: job.ID, Step: spec.Name, Index: i, Occurrence: of.number},
-			Step: step,
-			Spec: spec.TaskAt(i),
-		}
-		step.Tasks[i] = &tasks[i]
-	}
-	return step
-}
-
-func linkDependencies(step *Step, byName map[string]*Step) {
-	for _, name := range step.Spec.After {
-		before := byName[name]
-		if before == nil || slices.Contains(step.dependencies, before) {
-			continue
-		}
-		step.dependencies = append(step.dependencies, before)
-		before.dependents = append(before.dependents, step)
-	}
-	step.OpenDependencies = len(step.dependencies)
-}
-
-func allowedFailures(spec *api.TaskSpec, byDefault int) int {
-	allowed := byDefault
-	if spec.AllowedFailures != nil {
-		allowed = *spec.AllowedFailures
-	}
-	return max(allowed, 1)
-}
-
-func notBefore(spec *api.StepSpec) Millis {
-	if spec.NotBefore == nil {
-		return 0
-	}
-	return Millis(spec.NotBefore.UnixMilli())
-}
--- a/internal/record/view.go
+++ b/internal/record/view.go
@@ -154,3 +154,56 @@
 
 // Applied implements View.
 func (v view) Applied() uint64 { return v.machine.state.applied }
+
+// View reads the record. It is valid only inside the callback that it was
+// given to. What it returns must not be changed or kept.
+type View interface {
+	// Job returns a live job.
+	Job(id string) (*Job, bool)
+	// Jobs yields live jobs in the order of their ids, from after on.
+	Jobs(after string) iter.Seq[*Job]
+	// Task returns a task of a live job.
+	Task(id TaskID) (*Task, bool)
+	// Worker returns the newest incarnation under a name.
+	Worker(name string) (*Worker, bool)
+	Workers() iter.Seq[*Worker]
+	// OpenRuns yields the open runs on a worker incarnation, and AllOpenRuns
+	// every one, both in the order of their ids.
+	OpenRuns(workerID string) iter.Seq[*Run]
+	AllOpenRuns() iter.Seq[*Run]
+	// UsedResources is the room that open runs take on a worker incarnation.
+	UsedResources(workerID string) api.Resources
+	// Config returns the configuration in force with defaults filled in.
+	Config() (version uint64, config *api.Config)
+	// AcceptedConfig returns the configuration in force as it was given.
+	AcceptedConfig() (version uint64, config *api.Config)
+	// ConfigVersions returns the accepted versions, newest first.
+	ConfigVersions() []api.ConfigVersion
+	// ConfigOrder returns the outcome of a configuration order.
+	ConfigOrder(id string) (result ConfigResult, digest string, known bool)
+	// ReleasedWindows returns the windows given back whose end has not passed,
+	// by end, then by queue, booking and start.
+	ReleasedWindows() []ReleaseWindow
+	// DrainedZones returns the zones drained by an order, by name.
+	DrainedZones() []string
+	// QueueCounts returns what a queue holds.
+	QueueCounts(queue string) QueueCounts
+	// TeamCounts returns what the queues of a team hold together, by the
+	// configuration in force.
+	TeamCounts(team string) QueueCounts
+	// CallerPending counts the waiting tasks of a caller's jobs in a queue.
+	CallerPending(queue, caller string) int
+	// Status builds the answer to a caller, live or archived. reason gives
+	// the text for a task that waits; it may be nil.
+	Status(id string, reason func(*Task) string) (api.JobStatus, bool, error)
+	// StatusWithoutSteps is Status without the steps, at a cost that does not grow with
+	// a live job's size.
+	StatusWithoutSteps(id string) (api.JobStatus, bool, error)
+	// Clock is the greatest command time applied.
+	Clock() Millis
+	// Applied is the index of the last entry applied.
+	Applied() uint64
+}
+
+// DrainedZones implements View.
+func (v view) DrainedZones() []string { return v.machine.state.drainedZones }
