--- a/internal/replica/archive.go
+++ b/internal/replica/archive.go
@@ -3,28 +3,54 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 
 	"github.com/decklever/decklever/internal/protocol"
+	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// archiveCopier remembers up to where the archive was copied from others.
+// maxArchivePage bounds the jobs of one ArchivePageAnswer.
+const maxArchivePage = 256
+
+// archiveCopier copies the archive of ended jobs from other replicas, and serves the
+// own one to them.
 //
-// A snapshot leaves ended jobs out, so before one is installed the archive
-// pages after the last entry applied here are copied and synced. A crash in
-// between starts again from the old state and copies again. Jobs that ended
-// later than the snapshot may come along; the record does not see them until
-// it applies the entries that ended them.
+// A snapshot leaves ended jobs out, so before one is installed the archive pages after
+// the last entry applied here are copied and synced. A crash in between starts again
+// from the old state and copies again. Jobs that ended later than the snapshot may come
+// along; the record does not see them until it applies the entries that ended them.
 type archiveCopier struct {
-	// turn is held while a page is on its way: one copies at a time, and whoever
-	// waits for that can give up.
+	published *published
+	archive   record.Archive
+	client    *rpc.Client
+	logger    *slog.Logger
+
+	// semaphore, of capacity 1, is filled while a copy is in progress. A channel, so
+	// that a caller who waits for it can give up.
 	semaphore chan struct{}
-	position  archivePosition
+	// position is up to where the archive was copied. It belongs to the holder of
+	// the semaphore.
+	position archivePosition
+}
+
+// archivePosition is a position in the order of (index, id).
+type archivePosition struct {
+	index uint64
+	id    string
 }
 
-func newArchiveCopier() archiveCopier { return archiveCopier{semaphore: make(chan struct{}, 1)} }
+func newArchiveCopier(published *published, archive record.Archive, client *rpc.Client, logger *slog.Logger) *archiveCopier {
+	return &archiveCopier{
+		published: published,
+		archive:   archive,
+		client:    client,
+		logger:    logger,
+		semaphore: make(chan struct{}, 1),
+	}
+}
 
-// take waits until nobody else copies. Its error is the context's.
+// acquire waits until no other copy is in progress. Its error is the context's.
 func (c *archiveCopier) acquire(ctx context.Context) error {
 	select {
 	case c.semaphore <- struct{}{}:
@@ -36,26 +62,20 @@
 
 func (c *archiveCopier) release() { <-c.semaphore }
 
-// archivePosition is a place in the order of (Index, ID).
-type archivePosition struct {
-	index uint64
-	id    string
-}
-
-// copyArchive copies what the replica at address has and this one lacks.
-func (r *Replica) copyArchive(ctx context.Context, address string) error {
-	if err := r.archive.acquire(ctx); err != nil {
+// copyFrom copies what the replica at address has and this one lacks.
+func (c *archiveCopier) copyFrom(ctx context.Context, address string) error {
+	if err := c.acquire(ctx); err != nil {
 		return err
 	}
-	defer r.archive.release()
-	if applied := r.applied.load(); applied > r.archive.position.index {
+	defer c.release()
+	if applied := c.published.applied.load(); applied > c.position.index {
 		// All that ended up to here was archived when it was applied. The next
 		// index comes after every id of this one.
-		r.archive.position = archivePosition{index: applied + 1}
+		c.position = archivePosition{index: applied + 1}
 	}
 	copied := 0
 	for {
-		count, err := r.copyArchivePage(ctx, address)
+		count, err := c.copyPage(ctx, address)
 		if err != nil {
 			return err
 		}
@@ -67,20 +87,21 @@
 	if copied == 0 {
 		return nil
 	}
-	if err := r.config.Store.Archive().Sync(); err != nil {
+	if err := c.archive.Sync(); err != nil {
 		return fmt.Errorf("sync archive: %w", err)
 	}
-	r.logger.Info("archive copied", "jobs", copied, "from", address)
+	c.logger.Info("archive copied", "jobs", copied, "from", address)
 	return nil
 }
 
-func (r *Replica) copyArchivePage(ctx context.Context, address string) (int, error) {
+// copyPage copies the next page and returns the number of its jobs.
+func (c *archiveCopier) copyPage(ctx context.Context, address string) (int, error) {
 	request := protocol.ArchivePageRequest{
-		AfterIndex: r.archive.position.index,
-		AfterID:    r.archive.position.id,
+		AfterIndex: c.position.index,
+		AfterID:    c.position.id,
 		Limit:      maxArchivePage,
 	}
-	page, err := rpc.Call[protocol.ArchivePageRequest, protocol.ArchivePageAnswer](ctx, r.config.Client, address, protocol.MethodArchivePage, request)
+	page, err := rpc.Call[protocol.ArchivePageRequest, protocol.ArchivePageAnswer](ctx, c.client, address, protocol.MethodArchivePage, request)
 	if err != nil {
 		return 0, fmt.Errorf("copy archive: %w", err)
 	}
@@ -88,10 +109,22 @@
 	if count == 0 {
 		return 0, nil
 	}
-	if err := r.config.Store.Archive().Put(page.Jobs); err != nil {
+	if err := c.archive.Put(page.Jobs); err != nil {
 		return 0, fmt.Errorf("copy archive: %w", err)
 	}
 	last := page.Jobs[count-1]
-	r.archive.position = archivePosition{index: last.Index, id: last.ID}
+	c.position = archivePosition{index: last.Index, id: last.ID}
 	return count, nil
 }
+
+func (c *archiveCopier) servePage(_ context.Context, request protocol.ArchivePageRequest) (protocol.ArchivePageAnswer, error) {
+	limit := request.Limit
+	if limit <= 0 || limit > maxArchivePage {
+		limit = maxArchivePage
+	}
+	jobs, err := c.archive.Page(request.AfterIndex, request.AfterID, limit)
+	if err != nil {
+		return protocol.ArchivePageAnswer{}, fmt.Errorf("read archive: %w", err)
+	}
+	return protocol.ArchivePageAnswer{Jobs: jobs}, nil
+}
--- a/internal/replica/background.go
+++ b/internal/replica/background.go
@@ -5,35 +5,43 @@
 	"sync"
 )
 
-// backgroundTasks lets handlers start goroutines that end with Run.
+// backgroundTasks are the goroutines that end with Run, which waits for them.
 type backgroundTasks struct {
-	mutex sync.Mutex
-	ctx   context.Context // nil while Run does not run
+	running sync.WaitGroup
+
+	mutex sync.Mutex // guards ctx
+	// ctx is nil while Run does not run.
+	ctx context.Context
 }
 
-// startBackground runs work in a goroutine that Run waits for; false if Run
-// does not run (any more).
-func (r *Replica) startBackground(work func(context.Context)) bool {
-	r.tasks.mutex.Lock()
-	defer r.tasks.mutex.Unlock()
-	if r.tasks.ctx == nil {
+// run starts work in a goroutine of its own. Only Run, the loop and what they
+// started may call it, as Run waits only once these have ended.
+func (b *backgroundTasks) run(work func()) { b.running.Go(work) }
+
+// runIfOpen is run for handlers, which know nothing of Run: it starts work unless
+// Run does not run (any more), and reports whether it did.
+func (b *backgroundTasks) runIfOpen(work func(context.Context)) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if b.ctx == nil {
 		return false
 	}
-	ctx := r.tasks.ctx
-	r.background.Go(func() { work(ctx) })
+	ctx := b.ctx
+	b.running.Go(func() { work(ctx) })
 	return true
 }
 
-// allowBackground is called by Run at its start, forbidBackground before it
-// waits.
-func (r *Replica) allowBackground(ctx context.Context) {
-	r.tasks.mutex.Lock()
-	defer r.tasks.mutex.Unlock()
-	r.tasks.ctx = ctx
+// open is called by Run at its start, close before it waits.
+func (b *backgroundTasks) open(ctx context.Context) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.ctx = ctx
 }
 
-func (r *Replica) forbidBackground() {
-	r.tasks.mutex.Lock()
-	defer r.tasks.mutex.Unlock()
-	r.tasks.ctx = nil
+func (b *backgroundTasks) close() {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.ctx = nil
 }
+
+func (b *backgroundTasks) wait() { b.running.Wait() }
--- a/internal/replica/formationdecision.go
+++ b/internal/replica/bootstrapdecision.go
@@ -12,14 +12,18 @@
 type bootstrapAction uint8
 
 const (
+	// bootstrapWait waits for the reason given in the decision.
 	bootstrapWait bootstrapAction = iota
+	// bootstrapPropose proposes the membership.
 	bootstrapPropose
+	// bootstrapCreate starts from the membership, as all its members do.
 	bootstrapCreate
+	// bootstrapJoin joins the cluster of a seed.
 	bootstrapJoin
 )
 
-// bootstrapDecision carries the membership to propose or found, or what is
-// missing.
+// bootstrapDecision is an action with the membership that it takes, or the reason to
+// wait.
 type bootstrapDecision struct {
 	action     bootstrapAction
 	membership raft.Membership
@@ -30,23 +34,23 @@
 	return bootstrapDecision{action: bootstrapWait, reason: fmt.Sprintf(format, args...)}
 }
 
-// decideBootstrap follows the rules at Replica.form. proposal is this replica's
-// present one.
-func decideBootstrap(self raft.ReplicaID, proposal raft.Membership, answers []seedResponse) bootstrapDecision {
-	if decision, exists := decideExistingCluster(self, answers); exists {
+// decideBootstrap follows the rules at bootstrapper.run. proposal is the current one of
+// this replica.
+func decideBootstrap(self raft.ReplicaID, proposal raft.Membership, responses []seedResponse) bootstrapDecision {
+	if decision, exists := decideExistingCluster(self, responses); exists {
 		return decision
 	}
-	if missing := unreadySeeds(answers); len(missing) > 0 {
-		return waitBecause("%s", strings.Join(missing, "; "))
+	if unready := unreadySeeds(responses); len(unready) > 0 {
+		return waitBecause("%s", strings.Join(unready, "; "))
 	}
-	membership := bootstrapMembership(answers)
-	if problem := invalidMembershipReason(self, membership); problem != "" {
-		return waitBecause("%s", problem)
+	membership := bootstrapMembership(responses)
+	if reason := invalidMembershipReason(self, membership); reason != "" {
+		return waitBecause("%s", reason)
 	}
 	if !sameMembership(proposal, membership) {
 		return bootstrapDecision{action: bootstrapPropose, membership: membership}
 	}
-	for _, seed := range answers {
+	for _, seed := range responses {
 		if !sameMembership(seed.identity.Membership, membership) {
 			return waitBecause("seed %s does not propose the same members yet", seed.address)
 		}
@@ -55,8 +59,8 @@
 }
 
 // decideJoin waits for a seed that belongs to a cluster.
-func decideJoin(answers []seedResponse) bootstrapDecision {
-	for _, seed := range answers {
+func decideJoin(responses []seedResponse) bootstrapDecision {
+	for _, seed := range responses {
 		if seed.err == nil && !seed.identity.Empty {
 			return bootstrapDecision{action: bootstrapJoin}
 		}
@@ -64,38 +68,40 @@
 	return waitBecause("no seed belongs to a cluster yet, and this replica may not form one")
 }
 
-// decideExistingCluster looks for a seed that belongs to a cluster already.
-func decideExistingCluster(self raft.ReplicaID, answers []seedResponse) (decision bootstrapDecision, exists bool) {
-	for _, seed := range answers {
+// decideExistingCluster looks for a seed that belongs to a cluster already. One whose
+// first membership lists this replica goes before all others.
+func decideExistingCluster(self raft.ReplicaID, responses []seedResponse) (decision bootstrapDecision, exists bool) {
+	for _, seed := range responses {
 		if seed.err != nil || seed.identity.Empty {
 			continue
 		}
-		founded := seed.identity.InitialMembership
-		if founded != nil && indexOf(founded.Voters, self) >= 0 {
-			return bootstrapDecision{action: bootstrapCreate, membership: *founded}, true
+		created := seed.identity.InitialMembership
+		if created != nil && indexOf(created.Voters, self) >= 0 {
+			return bootstrapDecision{action: bootstrapCreate, membership: *created}, true
 		}
 		decision, exists = bootstrapDecision{action: bootstrapJoin}, true
 	}
 	return decision, exists
 }
 
-func unreadySeeds(answers []seedResponse) []string {
-	var missing []string
-	for _, seed := range answers {
+// unreadySeeds says of each seed that takes no part in the bootstrap why not.
+func unreadySeeds(responses []seedResponse) []string {
+	var unready []string
+	for _, seed := range responses {
 		switch {
 		case seed.err != nil:
-			missing = append(missing, fmt.Sprintf("seed %s does not answer: %v", seed.address, seed.err))
+			unready = append(unready, fmt.Sprintf("seed %s does not answer: %v", seed.address, seed.err))
 		case !seed.identity.Bootstrapping:
-			missing = append(missing, fmt.Sprintf("seed %s does not wait to form a cluster", seed.address))
+			unready = append(unready, fmt.Sprintf("seed %s does not wait to form a cluster", seed.address))
 		}
 	}
-	return missing
+	return unready
 }
 
-// bootstrapMembership is every seed once, in the order of the ids.
-func bootstrapMembership(answers []seedResponse) raft.Membership {
+// bootstrapMembership has every seed once, in the order of the ids.
+func bootstrapMembership(responses []seedResponse) raft.Membership {
 	var voters []raft.Member
-	for _, seed := range answers {
+	for _, seed := range responses {
 		if indexOf(voters, seed.identity.Member.ID) < 0 {
 			voters = append(voters, seed.identity.Member)
 		}
@@ -104,13 +110,15 @@
 	return raft.Membership{Voters: voters}
 }
 
+// invalidMembershipReason says why no cluster may be created of the membership; empty
+// if it may.
 func invalidMembershipReason(self raft.ReplicaID, membership raft.Membership) string {
-	names := make(map[string]raft.ReplicaID)
+	idByName := make(map[string]raft.ReplicaID)
 	for _, voter := range membership.Voters {
-		if other, taken := names[voter.Name]; taken {
+		if other, taken := idByName[voter.Name]; taken {
 			return fmt.Sprintf("replicas %s and %s have the same name %s", other, voter.ID, voter.Name)
 		}
-		names[voter.Name] = voter.ID
+		idByName[voter.Name] = voter.ID
 	}
 	if indexOf(membership.Voters, self) < 0 {
 		return "the own address is not among the seeds"
--- /dev/null
+++ b/internal/replica/membership_test.go
@@ -0,0 +1,170 @@
+package replica
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"github.com/decklever/decklever/internal/record"
+	"github.com/decklever/decklever/internal/replica/reconfig"
+	"github.com/decklever/decklever/internal/storage"
+)
+
+func TestSetZone_ReachesMembership(t *testing.T) {
+	machines := newMachines(t, 3)
+	startAll(machines)
+	leaderOf(t, machines...)
+	for _, m := range machines {
+		m.replica.SetZone("moved-" + m.name)
+	}
+	eventually(t, "every zone is known everywhere", func() bool {
+		for _, m := range machines {
+			for _, voter := range m.replica.Status().Membership.Voters {
+				if voter.Zone != "moved-"+voter.Name {
+					return false
+				}
+			}
+		}
+		return true
+	})
+}
+
+// replaceDisk gives a machine an empty disk and waits until its new replica votes.
+func replaceDisk(t *testing.T, m *machine, seed int64, rest []*machine) {
+	t.Helper()
+	old := m.replica.self.id
+	m.crash()
+	m.store = storage.NewMemory(seed)
+	m.start()
+	for _, other := range rest {
+		eventually(t, m.name+" replaced on "+other.name, func() bool {
+			ids := voterIDs(other)
+			status := other.replica.Status()
+			return ids[m.replica.self.id] && !ids[old] && len(ids) == 3 && len(status.Membership.Outgoing) == 0
+		})
+	}
+}
+
+func TestMembership_LostDiskReplaced(t *testing.T) {
+	for _, every := range []uint64{1_000_000, 20} { // without and with newer snapshots
+		t.Run(fmt.Sprintf("snapshot-every-%d", every), func(t *testing.T) {
+			machines := newMachines(t, 3)
+			for _, m := range machines {
+				m.snapshotEvery = every
+			}
+			startAll(machines)
+			names := workerNameRange(100)
+			for _, name := range names {
+				proposeRegistration(t, name, leaderOf(t, machines...))
+			}
+			leader := leaderOf(t, machines...)
+			archived := record.ArchivedJob{ID: "ended", Index: 2, EndedAt: 1}
+			for _, m := range machines {
+				if err := m.store.Archive().Put([]record.ArchivedJob{archived}); err != nil {
+					t.Fatal(err)
+				}
+			}
+			lost := without(machines, leader)[0]
+			replaceDisk(t, lost, 99, without(machines, lost))
+			if _, known, err := lost.store.Archive().Get("ended"); err != nil || !known {
+				t.Fatalf("the newcomer lacks the archived job: %v, %v", known, err)
+			}
+			// A second loss right after the repair: the newcomer must count.
+			second := without(machines, lost, leader)[0]
+			second.crash()
+			left := without(machines, second)
+			proposeRegistration(t, "zz-after", left...)
+			want := append(slices.Clone(names), "zz-after")
+			for _, m := range left {
+				if got := workerNames(t, m); !slices.Equal(got, want) {
+					t.Fatalf("%s holds %d workers, want %d", m.name, len(got), len(want))
+				}
+			}
+		})
+	}
+}
+
+// TestMembership_EveryDiskLostInTurn: the last newcomer gets a snapshot whose membership
+// lists none of the current replicas, not even its sender.
+func TestMembership_EveryDiskLostInTurn(t *testing.T) {
+	machines := newMachines(t, 3)
+	startAll(machines)
+	proposeRegistration(t, "before", machines...)
+	for i, lost := range machines {
+		replaceDisk(t, lost, int64(90+i), without(machines, lost))
+	}
+	for _, m := range machines {
+		if got := workerNames(t, m); !slices.Equal(got, []string{"before"}) {
+			t.Errorf("%s has the workers %v", m.name, got)
+		}
+	}
+}
+
+// TestMembership_StandbyReplacesLostVoter also covers the return of the lost voter: it was
+// replaced meanwhile and joins again with the data that it has.
+func TestMembership_StandbyReplacesLostVoter(t *testing.T) {
+	seeds, fourth := newClusterWithStandby(t)
+	startAll(seeds)
+	leader := leaderOf(t, seeds...)
+	fourth.start()
+	eventually(t, "the fourth is a learner", func() bool { return isLearner(leader, fourth) })
+	proposeRegistration(t, "before", leader)
+
+	lost := without(seeds, leader)[0]
+	lost.crash()
+	eventually(t, "the fourth votes, and the change is over", func() bool {
+		for _, m := range []*machine{leader, fourth} {
+			over := len(m.replica.Status().Membership.Outgoing) == 0
+			if !over || !isVoter(m, fourth) || isVoter(m, lost) || len(voterIDs(m)) != 3 {
+				return false
+			}
+		}
+		return true
+	})
+	// A second loss right after: the two that are left are a majority.
+	second := without(seeds, leader, lost)[0]
+	second.crash()
+	proposeRegistration(t, "after", leader, fourth)
+
+	lost.start()
+	eventually(t, "the lost one is back", func() bool {
+		now := leaderOf(t, leader, fourth, lost)
+		return isVoter(now, lost) && len(voterIDs(now)) == 3
+	})
+	eventually(t, "it holds all", func() bool { return len(workerNames(t, lost)) == 2 })
+}
+
+// TestMembership_SurvivesLossOfZone: of six machines in three zones five vote. The zone of
+// the leader is lost, with one or two of the voters.
+func TestMembership_SurvivesLossOfZone(t *testing.T) {
+	machines := newMachines(t, 6)
+	for i, m := range machines {
+		m.zone = string(rune('a' + i%3))
+		m.seeds = machines[0].seeds[:3]
+		m.maxVoters = 5
+		m.joinOnly = i >= 3
+	}
+	startAll(machines[:3])
+	leader := leaderOf(t, machines[:3]...)
+	for _, m := range machines[3:] {
+		m.start()
+	}
+	eventually(t, "five vote and one stands by", func() bool {
+		leader = leaderOf(t, machines...)
+		membership := leader.replica.Status().Membership
+		return len(membership.Voters) == 5 && len(membership.Outgoing) == 0 && len(membership.Learners) == 1
+	})
+	if spread := reconfig.MeasureZoneSpread(leader.replica.Status().Membership.Voters); spread.OneZoneIsCritical || spread.LargestZone != 2 {
+		t.Fatalf("voters are spread as %+v", spread)
+	}
+	proposeRegistration(t, "before", leader)
+	var left []*machine
+	for _, m := range machines {
+		if m.zone == leader.zone {
+			m.crash()
+		} else {
+			left = append(left, m)
+		}
+	}
+	proposeRegistration(t, "after", left...)
+}
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// metrics of a replica.
+// metrics of a replica; docs/METRICS.md describes them.
 type metrics struct {
 	term        prometheus.Gauge
 	isLeader    prometheus.Gauge
@@ -55,7 +55,7 @@
 	return m, nil
 }
 
-func (m *metrics) update(status raft.Status) {
+func (m *metrics) update(status *raft.Status) {
 	m.term.Set(float64(status.Term))
 	m.commit.Set(float64(status.Commit))
 	m.applied.Set(float64(status.Applied))
--- a/internal/replica/sendqueue.go
+++ b/internal/replica/sendqueue.go
@@ -10,7 +10,7 @@
 	// maxRequestBytes bounds the entries of one RaftRequest with more than one
 	// message.
 	maxRequestBytes = 1 << 20
-	// maxQueuedBytes and maxQueuedMessages bound what waits for a slow peer.
+	// maxQueuedBytes and maxQueuedMessages bound what is queued for a slow peer.
 	maxQueuedBytes    = 8 << 20
 	maxQueuedMessages = 1024
 	// messageOverhead is counted in bytes for each message on top of its
@@ -19,26 +19,27 @@
 	queuedEntryOverhead = 32
 )
 
-// sendQueue holds the messages that wait for one peer, in order, within bounds.
-// One goroutine, run, sends them.
+// sendQueue holds the messages that are queued for one peer, in order, within bounds.
+// The loop pushes, and one goroutine, run, sends them.
 type sendQueue struct {
-	mutex    sync.Mutex
+	mutex    sync.Mutex // guards messages, bytes and sending
 	messages []raft.Message
 	// bytes is the size of messages, as messageSize counts it.
 	bytes int
-	// sending is true while a call is under way.
+	// sending is true while a call is in flight.
 	sending bool
-	wake    chan struct{}
+	// wake, of capacity 1, is filled when messages were pushed.
+	wake chan struct{}
 }
 
 func newSendQueue() sendQueue { return sendQueue{wake: make(chan struct{}, 1)} }
 
 // push queues a message, or drops it if the queue is full. It returns true if
-// the message has to wait for others.
-func (q *sendQueue) push(message raft.Message) (waits bool) {
+// others are queued or sent before it.
+func (q *sendQueue) push(message raft.Message) (behindOthers bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	waits = q.sending || len(q.messages) > 0
+	behindOthers = q.sending || len(q.messages) > 0
 	size := messageSize(message)
 	if len(q.messages) >= maxQueuedMessages || (len(q.messages) > 0 && q.bytes+size > maxQueuedBytes) {
 		return true
@@ -49,7 +50,7 @@
 	case q.wake <- struct{}{}:
 	default:
 	}
-	return waits
+	return behindOthers
 }
 
 // messageSize is about how many bytes a message takes in memory and in a request.
@@ -61,7 +62,7 @@
 	return size
 }
 
-// take removes the messages of the next request, at least one if any waits.
+// take removes the messages of the next request, at least one if any are queued.
 func (q *sendQueue) take() []raft.Message {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -81,7 +82,7 @@
 	return taken
 }
 
-// clear drops what waits: after a loss, what follows would be refused.
+// clear drops what is queued: after a loss, the peer would reject what follows.
 func (q *sendQueue) clear() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -89,16 +90,16 @@
 	q.messages, q.bytes = q.messages[:0], 0
 }
 
-// run sends until the link is stopped.
-func (q *sendQueue) run(link *peer) {
+// run sends until the peer is stopped.
+func (q *sendQueue) run(receiver *peer) {
 	for {
 		select {
-		case <-link.ctx.Done():
+		case <-receiver.ctx.Done():
 			return
 		case <-q.wake:
 		}
 		for batch := q.take(); len(batch) > 0; batch = q.take() {
-			if !link.deliver(batch) {
+			if !receiver.deliver(batch) {
 				q.clear()
 			}
 		}
--- /dev/null
+++ b/internal/replica/sendqueue_test.go
@@ -0,0 +1,32 @@
+package replica
+
+import (
+	"testing"
+
+	"github.com/decklever/decklever/internal/raft"
+)
+
+func TestSendQueue_BoundsQueuedBytes(t *testing.T) {
+	q := newSendQueue()
+	entries := []raft.Entry{{Data: make([]byte, maxRequestBytes/2)}}
+	for range 100 {
+		q.push(raft.Message{Kind: raft.MessageAppend, Entries: entries})
+	}
+	if q.bytes > maxQueuedBytes {
+		t.Fatalf("%d bytes wait, allowed are %d", q.bytes, maxQueuedBytes)
+	}
+	queued := len(q.messages)
+	taken := 0
+	for batch := q.take(); len(batch) > 0; batch = q.take() {
+		if len(batch) > 2 {
+			t.Fatalf("%d messages in one request", len(batch))
+		}
+		taken += len(batch)
+	}
+	if taken != queued || q.bytes != 0 {
+		t.Fatalf("took %d of %d, %d bytes left", taken, queued, q.bytes)
+	}
+	if q.push(raft.Message{}) {
+		t.Fatal("an empty queue makes a message wait")
+	}
+}
--- /dev/null
+++ b/internal/replica/shutdown.go
@@ -0,0 +1,101 @@
+package replica
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"github.com/decklever/decklever/internal/contexttime"
+	"github.com/decklever/decklever/internal/protocol"
+	"github.com/decklever/decklever/internal/raft"
+	"github.com/decklever/decklever/internal/rpc"
+)
+
+// transferPollInterval is how often a replica that stops looks whether another can
+// lead, and offers its voter slot.
+const transferPollInterval = 50 * time.Millisecond
+
+// shutdown prepares the stop of this replica: it transfers leadership, and then the
+// slot of a voter.
+type shutdown struct {
+	published *published
+	mailbox   *mailbox
+	client    *rpc.Client
+	logger    *slog.Logger
+}
+
+// prepare returns once all is transferred, no replica is left to take over, or ctx
+// ends.
+func (s *shutdown) prepare(ctx context.Context) {
+	if !s.published.running.Load() {
+		return
+	}
+	s.transferLeadership(ctx)
+	s.retire(ctx)
+}
+
+// transferLeadership returns once another replica leads, or none of that can be
+// reached.
+func (s *shutdown) transferLeadership(ctx context.Context) {
+	err := s.mailbox.runOnLoop(ctx, func(l *loop) error { return l.node.TransferLeadership(l.now(), "") })
+	if err != nil {
+		return
+	}
+	poll := time.NewTicker(transferPollInterval)
+	defer poll.Stop()
+	for {
+		version, changed := s.published.roleChanges.watch()
+		status := s.published.status.Load()
+		if status.Role != raft.RoleLeader && status.Leader != "" {
+			s.logger.Info("leadership handed over", "to", string(status.Leader), "term", status.Term, "change", version)
+			return
+		}
+		select {
+		case <-changed:
+		case <-poll.C:
+			if !s.successorReachable(ctx) {
+				s.logger.Info("leadership not handed over: too few replicas can be reached", "term", status.Term)
+				return
+			}
+		case <-s.mailbox.stopped:
+			return
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// retire offers the voter slot of this replica to a standby, until one has taken it,
+// none is there or can be given it, or ctx ends. The process stops in any case.
+func (s *shutdown) retire(ctx context.Context) {
+	if len(s.published.status.Load().Membership.Learners) == 0 {
+		return
+	}
+	request := protocol.RetireRequest{ID: s.published.id}
+	for s.successorReachable(ctx) {
+		leader, known := s.published.leader()
+		if known && leader.ID != s.published.id {
+			answer, err := rpc.Call[protocol.RetireRequest, protocol.RetireAnswer](ctx, s.client, leader.Address, protocol.MethodRetire, request)
+			if err == nil && answer.Done {
+				return
+			}
+			s.logger.Debug("seat not handed over yet", "error", err)
+		}
+		if !contexttime.Sleep(ctx, transferPollInterval) {
+			return
+		}
+	}
+}
+
+// successorReachable reports whether another voter can be reached, and with this one a
+// majority of the voters; during a joint change, of both sets.
+func (s *shutdown) successorReachable(ctx context.Context) bool {
+	reachable := false
+	err := s.mailbox.runOnLoop(ctx, func(l *loop) error {
+		membership := l.node.Status().Membership
+		reachable = l.transport.reachesQuorum(membership.Voters) &&
+			(len(membership.Outgoing) == 0 || l.transport.reachesQuorum(membership.Outgoing))
+		return nil
+	})
+	return err == nil && reachable
+}
--- a/internal/replica/slowdisk.go
+++ b/internal/replica/slowdisk.go
@@ -1,42 +1,45 @@
 package replica
 
-import "time"
+import (
+	"log/slog"
+	"time"
+)
 
-// slowDiskTransferInterval is how long a leader keeps the lead after it tried to give it
-// up for a slow disk: if every disk is slow, going round does not help.
+// slowDiskTransferInterval is how long a leader stays after it tried to transfer its
+// leadership because of a slow disk: if every disk is slow, passing it around does not
+// help.
 const slowDiskTransferInterval = 10 * time.Second
 
-// slowDisk remembers saves that took too long.
+// slowDisk observes saves that take too long. It belongs to the loop.
 type slowDisk struct {
-	// slow: the newest save took as long as a lease.
+	// leaseDuration is the duration of a save from which on the disk is slow. While
+	// a save lasts, the loop renews no lease, so a leader has lost it by then.
+	leaseDuration time.Duration
+	logger        *slog.Logger
+
+	// slow is true if the newest save was slow and has had no consequence yet.
 	slow bool
-	// lastTransfer is when the lead was last given up for it; zero if never.
+	// lastTransfer is when leadership was last transferred for it, on the monotonic
+	// clock; 0 if never.
 	lastTransfer time.Duration
 }
 
-// observeSave is called after each synced save. While one lasts, the loop renews
-// no lease, so a leader whose disk stalls has lost it by then.
-func (l *loop) observeSave(took time.Duration) {
-	l.metrics.saveSeconds.Observe(took.Seconds())
-	l.pacer.observeSave(took)
-	if l.disk.slow = took >= l.config.Timing.Lease; l.disk.slow {
-		l.logger.Warn("disk is slow", "save_took", took)
+// observeSave takes the duration of a synced save.
+func (d *slowDisk) observeSave(took time.Duration) {
+	d.slow = took >= d.leaseDuration
+	if d.slow {
+		d.logger.Warn("disk is slow", "save_took", took)
 	}
 }
 
-// transferLeadershipOnSlowDisk passes the lead on if the disk is slow. It tells whether there
-// is something to send.
-func (l *loop) transferLeadershipOnSlowDisk() bool {
-	slow := l.disk.slow
-	l.disk.slow = false
-	now := l.now()
-	if !slow || !l.term.leading || l.disk.lastTransfer != 0 && now-l.disk.lastTransfer < slowDiskTransferInterval {
-		return false
-	}
-	l.disk.lastTransfer = now
-	if err := l.node.TransferLeadership(now, ""); err != nil {
-		l.logger.Warn("leadership kept on a slow disk", "error", err)
+// takeTransfer reports whether the leader should now transfer its leadership, and
+// records that it tries. It forgets the newest save.
+func (d *slowDisk) takeTransfer(now time.Duration, leading bool) bool {
+	slow := d.slow
+	d.slow = false
+	if !slow || !leading || d.lastTransfer != 0 && now-d.lastTransfer < slowDiskTransferInterval {
 		return false
 	}
+	d.lastTransfer = now
 	return true
 }
--- a/internal/replica/watermark.go
+++ b/internal/replica/watermark.go
@@ -5,11 +5,13 @@
 	"sync"
 )
 
-// watermark is an index that only grows, and can be waited for.
+// watermark is a number that only grows, and can be waited for. The zero value is
+// ready to use.
 type watermark struct {
-	mutex   sync.Mutex
-	value   uint64
-	changed chan struct{} // closed at the next change; nil if nobody waits
+	mutex sync.Mutex // guards all below
+	value uint64
+	// changed is closed at the next change; nil if nobody waits.
+	changed chan struct{}
 }
 
 func (w *watermark) load() uint64 {
@@ -18,6 +20,7 @@
 	return w.value
 }
 
+// advance sets the value, unless it is as high already.
 func (w *watermark) advance(value uint64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -31,7 +34,7 @@
 	}
 }
 
-// next returns the present value and a channel that closes when it changes.
+// watch returns the current value and a channel that closes when it changes.
 func (w *watermark) watch() (uint64, <-chan struct{}) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -41,7 +44,7 @@
 	return w.value, w.changed
 }
 
-// delay returns nil once the value has reached target, ErrStopped when stopped
+// wait returns nil once the value has reached target, ErrStopped when stopped
 // is closed, or the context's error.
 func (w *watermark) wait(ctx context.Context, stopped <-chan struct{}, target uint64) error {
 	for {
