--- a/api/validate_booking.go
+++ b/api/validate_booking.go
@@ -163,7 +163,7 @@
 		errors.add(path+".cron", booking.Cron, "a schedule that starts within five years")
 		return
 	}
-	for compared := 0; compared < maxStartsCompared; compared++ {
+	for compared := range maxStartsCompared {
 		next, found := schedule.Next(previous)
 		if !found || compared > 0 && next.Sub(now) > periodHorizon {
 			return
--- a/api/validate_test.go
+++ b/api/validate_test.go
@@ -174,7 +174,7 @@
 func TestPayloadOfTheJob(t *testing.T) {
 	spec := validJob()
 	spec.Payload = []byte(`{"a":1}`)
-	for own, want := range map[string]string{"": `{"a":1}`, "null": `{"a":1}`, " null\n": `{"a":1}`, `""`: `""`, "0": "0"} {
+	for own, want := range map[string]string{"": `{"a":1}`, "null": `{"a":1}`, " null\n": `{"a":1}`, `""`: `""`, "0": "0"} { //nolint:gocritic // the blanks in a key are what is tested
 		if got := spec.PayloadOf(&TaskSpec{Payload: []byte(own)}); string(got) != want {
 			t.Errorf("payload %q gives %q, want %q", own, got, want)
 		}
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -23,6 +23,7 @@
 }
 
 func tryParse[T any](t *testing.T, content []byte) {
+	t.Helper()
 	value, err := parse[T]("file.yaml", content, nil)
 	if err == nil {
 		if problems := check(&value, nil); len(problems) > 0 {
--- a/lab/model/days_test.go
+++ b/lab/model/days_test.go
@@ -50,6 +50,7 @@
 
 // playGrown plays a day with one seed, or with all up to the number asked for.
 func playGrown(t *testing.T, seed uint64, one day) {
+	t.Helper()
 	seeds := []uint64{seed}
 	if text := os.Getenv(seedsVariable); text != "" {
 		count, err := strconv.ParseUint(text, 10, 32)
@@ -75,6 +76,7 @@
 
 // play plays a day on the virtual clock and judges it.
 func play(t *testing.T, size shape, seed uint64, one day) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, size, seed)
 		defer f.close()
--- a/lab/model/fleet_test.go
+++ b/lab/model/fleet_test.go
@@ -90,6 +90,7 @@
 
 // newFleet starts a fleet and waits until all seats are taken.
 func newFleet(t *testing.T, size shape, seed uint64) *fleet {
+	t.Helper()
 	book, err := ledger.Open("")
 	if err != nil {
 		t.Fatal(err)
@@ -116,6 +117,7 @@
 }
 
 func logHandler(t *testing.T) slog.Handler {
+	t.Helper()
 	path := os.Getenv(logVariable)
 	if path == "" {
 		return slog.DiscardHandler
--- a/lab/relay/relay_test.go
+++ b/lab/relay/relay_test.go
@@ -192,7 +192,7 @@
 		t.Fatal(err)
 	}
 	one.want(t, "1")
-	if got, err := one.read(patience); err != io.EOF {
+	if got, err := one.read(patience); !errors.Is(err, io.EOF) {
 		t.Errorf("read %q, %v, want the end", got, err)
 	}
 }
