--- a/internal/workerhealth/review.go
+++ b/internal/workerhealth/review.go
@@ -1,75 +1,78 @@
 package workerhealth
 
-import (
-	"cmp"
-	"fmt"
-	"slices"
-	"time"
-)
-
-// Review looks at every worker that takes work now, and returns the verdicts
-// that changed. The worst workers are held back first, and of each service at
-// most one worker in four, but one at least if there are two.
-func (t *Tracker) Review(now time.Duration, subjects []ActiveWorker) []StatusChange {
+import "time"
+
+// workersPerEjection bounds the ejected workers of a service to one in so many, and
+// so the slow ones.
+const workersPerEjection = 4
+
+// Review updates the status of every active worker, and returns the statuses that
+// changed, in the order of the changes. The worst outliers are ejected first. Of each
+// service at most a quarter of the active workers is ejected, but one at least if
+// there are two. The result depends on the order of the active workers, which the
+// caller should keep stable.
+func (t *Tracker) Review(now time.Duration, active []ActiveWorker) []StatusChange {
 	r := review{tracker: t, now: now, serving: map[string]int{}, ejected: map[string]int{}, slow: map[string]int{}}
-	r.countServices(subjects)
-	for _, subject := range subjects {
-		r.endExpiredStatus(t.historyOf(subject.ID))
+	r.expireRunEnds()
+	r.countServing(active)
+	// Transitions by time come before the counts, so that a worker that is reinstated
+	// here makes room for another one.
+	for _, worker := range active {
+		r.endExpiredStatus(t.historyOf(worker.ID))
 	}
-	r.countEjected(subjects)
-	r.ejectOutliers(subjects)
-	r.detectSlow(subjects)
+	r.countByState(active)
+	r.ejectOutliers(active)
+	r.detectSlow(active)
 	return r.changes
 }
 
-// review is one call of Review.
+// review is the state of one call of Review.
 type review struct {
 	tracker *Tracker
 	now     time.Duration
-	// serving, held and slow count workers by service.
+	// serving, ejected and slow count active workers by service.
 	serving, ejected, slow map[string]int
-	// pool is the tally of those not held back.
+	// pool sums up the outcomes of the workers that are not ejected.
 	pool    outcomeCount
 	changes []StatusChange
 }
 
-func (r *review) countServices(subjects []ActiveWorker) {
-	for id, w := range r.tracker.withFaults {
-		if !w.expire(r.now) {
+// expireRunEnds drops old run ends of all workers with faults, active or not. Those
+// of workers without faults are not dropped; they count as successes only.
+func (r *review) expireRunEnds() {
+	for id, worker := range r.tracker.withFaults {
+		if hasFaults := worker.expire(r.now); !hasFaults {
 			delete(r.tracker.withFaults, id)
 		}
 	}
-	for _, subject := range subjects {
-		for _, service := range subject.Services {
-			r.serving[service]++
-		}
+}
+
+func (r *review) countServing(active []ActiveWorker) {
+	for _, worker := range active {
+		worker.countIn(r.serving)
 	}
 }
 
-func (r *review) countEjected(subjects []ActiveWorker) {
-	for _, subject := range subjects {
-		w := r.tracker.historyOf(subject.ID)
-		switch w.status.State {
+// countByState counts ejected and slow workers, and pools the outcomes of those that
+// are not ejected.
+func (r *review) countByState(active []ActiveWorker) {
+	for _, worker := range active {
+		known := r.tracker.historyOf(worker.ID)
+		switch known.status.State {
 		case Suspect, Probation:
-			subject.countIn(r.ejected)
+			worker.countIn(r.ejected)
 			continue
 		case Slow:
-			subject.countIn(r.slow)
+			worker.countIn(r.slow)
 		}
-		r.pool = r.pool.add(r.tracker.outcomesOf(w))
-	}
-}
-
-func (s ActiveWorker) countIn(workers map[string]int) {
-	for _, service := range s.Services {
-		workers[service]++
+		r.pool = r.pool.add(r.tracker.outcomesOf(known))
 	}
 }
 
-// mayCountOneMore reports whether one more worker with these services may be among those
-// that are counted.
-func (r *review) mayCountOneMore(subject ActiveWorker, counted map[string]int) bool {
-	for _, service := range subject.Services {
+// hasRoomFor reports whether the worker may join those that are counted by service
+// without exceeding the bound of one of its services.
+func (r *review) hasRoomFor(worker ActiveWorker, counted map[string]int) bool {
+	for _, service := range worker.Services {
 		serving := r.serving[service]
 		if serving < 2 || counted[service] >= max(serving/workersPerEjection, 1) {
 			return false
@@ -78,90 +81,29 @@
 	return true
 }
 
-// endExpiredStatus ends verdicts whose time is over, or that were shown to be wrong.
-func (r *review) endExpiredStatus(w *history) {
-	switch w.status.State {
+// endExpiredStatus ends a status whose time is over, or that the newest outcomes
+// contradict.
+func (r *review) endExpiredStatus(worker *history) {
+	switch worker.status.State {
 	case Suspect:
-		if r.now >= w.until {
-			w.reset()
-			r.setStatus(w, Status{State: Probation, Reason: w.status.Reason}, maxProbation)
+		if r.now >= worker.until {
+			r.startProbation(worker)
 		}
 	case Probation:
-		switch {
-		case w.countOutcomes().faultWeight > 0:
-			r.eject(w, "failed again on probation")
-		case w.probationSuccesses >= requiredSuccesses || r.now >= w.until:
-			r.reinstate(w)
-		}
+		r.reviewProbation(worker)
 	case Slow:
-		if r.now >= w.until {
-			r.reviewSlow(w)
+		if r.now >= worker.until {
+			r.reviewSlow(worker)
 		}
 	default:
-		if w.ejections > 0 && r.now-w.healthySince >= ejectionsResetAfter {
-			w.ejections = 0
+		if worker.ejections > 0 && r.now-worker.healthySince >= ejectionsResetAfter {
+			worker.ejections = 0
 		}
 	}
 }
 
-func (w *history) reset() {
-	w.ends, w.paces, w.probationSuccesses = nil, nil, 0
-}
-
-func (r *review) setStatus(w *history, to Status, lasts time.Duration) {
-	w.status, w.until = to, r.now+lasts
-	r.changes = append(r.changes, StatusChange{WorkerID: w.id, Status: to, Until: w.until})
-}
-
-// eject holds the worker back, each time for longer.
-func (r *review) eject(w *history, reason string) {
-	lasts := min(baseEjectionTime<<min(w.ejections, 10), maxEjectionTime)
-	w.ejections++
-	r.setStatus(w, Status{State: Suspect, Reason: reason}, lasts)
-}
-
-func (r *review) reinstate(w *history) {
-	w.reset()
-	w.healthySince = r.now
-	r.setStatus(w, Status{State: Healthy}, 0)
-}
-
-// candidate is a worker that may have to be held back.
-type candidate struct {
-	active   ActiveWorker
-	history  *history
-	outcomes outcomeCount
-}
-
-// ejectOutliers holds workers back, the worst first. Each is compared with all
-// others that are not held back yet.
-func (r *review) ejectOutliers(subjects []ActiveWorker) {
-	var candidates []candidate
-	for _, subject := range subjects {
-		w, blemished := r.tracker.withFaults[subject.ID]
-		if blemished && (w.status.State == Healthy || w.status.State == Slow) {
-			candidates = append(candidates, candidate{subject, w, w.countOutcomes()})
-		}
-	}
-	slices.SortFunc(candidates, compareWorst)
-	for _, c := range candidates {
-		if !c.outcomes.isOutlier(r.pool.sub(c.outcomes)) || !r.mayCountOneMore(c.active, r.ejected) {
-			continue
-		}
-		r.pool = r.pool.sub(c.outcomes)
-		c.active.countIn(r.ejected)
-		r.eject(c.history, c.outcomes.reason())
-	}
-}
-
-func compareWorst(a, b candidate) int {
-	return cmp.Or(
-		cmp.Compare(b.outcomes.faultShare(), a.outcomes.faultShare()),
-		cmp.Compare(b.outcomes.faultyJobs, a.outcomes.faultyJobs),
-		cmp.Compare(a.active.ID, b.active.ID),
-	)
-}
-
-func (a outcomeCount) reason() string {
-	return fmt.Sprintf("work fails or stands still here and not elsewhere: weight %d against %d successes", a.faultWeight, a.successes)
+// setStatus performs a transition; the status is reviewed again after length.
+func (r *review) setStatus(worker *history, status Status, length time.Duration) {
+	worker.status, worker.until = status, r.now+length
+	r.changes = append(r.changes, StatusChange{WorkerID: worker.id, Status: status, Until: worker.until})
 }
--- a/internal/workerhealth/stall.go
+++ b/internal/workerhealth/stall.go
@@ -3,53 +3,57 @@
 import "time"
 
 const (
-	// minStallTimeout is the least time without progress after which a run counts as
-	// standing still.
+	// minStallTimeout is the least stall timeout of a run with an estimate that reports
+	// its progress, or is known to.
 	minStallTimeout = 2 * time.Second
-	// fineGrainedAdvances is the number of moves of the percent from which on a run, or a
-	// queue's runs, are known to report in small steps.
+	// fineGrainedAdvances is the number of advances of the percent from which on a run,
+	// or the runs of its queue, are known to report in small steps.
 	fineGrainedAdvances = 3
-	// estimatePerStallTimeout is the part of its estimate for which a run that reports in
-	// small steps may stand: a worker 25 times slower still moves within it.
+	// estimatePerStallTimeout divides the estimate of a run that reports in small steps
+	// into its timeout: a worker 25 times slower still advances within it.
 	estimatePerStallTimeout = 4
-	// unreportedEstimateFactor is by how much a run without any report may exceed its estimate,
-	// and minUnreportedTimeout the least time for it.
+	// unreportedEstimateFactor multiplies the estimate of a run without any report into
+	// its timeout, which is minUnreportedTimeout at least.
 	unreportedEstimateFactor = 8
 	minUnreportedTimeout     = 10 * time.Second
-	// advanceIntervalFactor and minTimeoutWithoutEstimate are for runs without an estimate: so many
-	// times the mean time between moves.
+	// advanceIntervalFactor multiplies the mean time between the advances of a run
+	// without an estimate into its timeout, which is minTimeoutWithoutEstimate at least.
 	advanceIntervalFactor     = 20
 	minTimeoutWithoutEstimate = 30 * time.Second
-	// completePercent is the percent of a run that has only its end left, which may take
-	// its time.
+	// completePercent is the percent of a run that only has to end, which may take long.
 	completePercent = 100
-	// maxStallStops is how often one task is stopped for standing still. The bound
-	// doubles each time, so that slow honest work ends.
+	// maxStallStops is the number of times that one task is stopped for a stall. The
+	// timeout doubles each time, so that slow but sound work ends.
 	maxStallStops = 4
+	// minMeasuredPercent is the least progress from which a duration is extrapolated.
+	minMeasuredPercent = 5
 )
 
-// Progress is what was seen of one run.
+// Progress is the progress of one run as its worker reported it. It belongs to the
+// leader that follows the run.
 type Progress struct {
-	// StartedAt is when the run was first seen running.
+	// StartedAt is when the run was first reported as running.
 	StartedAt time.Duration
-	// AdvancedAt is when the percent last grew; StartedAt before that.
+	// AdvancedAt is when the percent last grew; StartedAt before the first report.
 	AdvancedAt time.Duration
-	// Percent and First are the newest and the first that were reported.
+	// Percent is the highest percent reported, FirstPercent the first. The first is over
+	// 0 for a run that resumes from a checkpoint.
 	Percent, FirstPercent int
-	// FirstReportedAt is when First was reported.
+	// FirstReportedAt is when FirstPercent was reported.
 	FirstReportedAt time.Duration
-	// Advances counts how often the percent grew.
+	// Advances is the number of times that the percent grew.
 	Advances int
 	// Reported is true once any percent was reported.
 	Reported bool
 }
 
-// NewProgress returns the progress of a run that is seen running for the first time.
+// NewProgress returns the progress of a run that is reported as running for the first
+// time.
 func NewProgress(now time.Duration) Progress { return Progress{StartedAt: now, AdvancedAt: now} }
 
-// Observe takes in a percent, and reports whether it moved. One that is lower than
-// before says nothing.
-func (p *Progress) Observe(percent int, now time.Duration) bool {
+// Observe records a reported percent, and reports whether the run advanced. It ignores
+// a percent that is not higher than before. The first report is no advance.
+func (p *Progress) Observe(percent int, now time.Duration) (advanced bool) {
 	if !p.Reported {
 		p.Reported = true
 		p.FirstPercent, p.FirstReportedAt = percent, now
@@ -67,30 +71,30 @@
 // IsFineGrained reports whether the run is known to report in small steps.
 func (p *Progress) IsFineGrained() bool { return p.Advances >= fineGrainedAdvances }
 
-// DurationRatio is the time that the run will take by its progress so far, over its
-// estimate; 0 if it cannot be told.
+// DurationRatio is the time that the run will take, extrapolated from its progress
+// since the first report, over its estimate. It is 0 if that cannot be told.
 func (p *Progress) DurationRatio(estimate time.Duration) float64 {
-	const leastPart = 5 // percent
-	done := p.Percent - p.FirstPercent
-	if estimate <= 0 || done < leastPart || p.AdvancedAt <= p.FirstReportedAt {
+	measured := p.Percent - p.FirstPercent
+	if estimate <= 0 || measured < minMeasuredPercent || p.AdvancedAt <= p.FirstReportedAt {
 		return 0
 	}
-	total := float64(p.AdvancedAt-p.FirstReportedAt) * 100 / float64(done)
+	total := float64(p.AdvancedAt-p.FirstReportedAt) * completePercent / float64(measured)
 	return total / float64(estimate)
 }
 
-// StallTimeout is how long a run may go without progress before it counts as
-// standing still; 0 if that cannot be told and it is left alone. finely tells
-// that runs of this kind report in small steps, stops how often the task was
-// stopped for standing still before.
+// StallTimeout is how long the run may go without progress before it counts as
+// stalled; 0 if that cannot be told, and the run is never stalled. fineGrained says
+// that runs of this kind report in small steps; earlierStops is how often the task
+// was stopped for a stall before.
 func (p *Progress) StallTimeout(estimate time.Duration, fineGrained bool, earlierStops int) time.Duration {
 	if earlierStops >= maxStallStops {
 		return 0
 	}
-	bound := p.baseStallTimeout(estimate, fineGrained || p.IsFineGrained())
-	return bound << earlierStops
+	timeout := p.baseStallTimeout(estimate, fineGrained || p.IsFineGrained())
+	return timeout << earlierStops
 }
 
+// baseStallTimeout is the timeout of a task that was not stopped before.
 func (p *Progress) baseStallTimeout(estimate time.Duration, fineGrained bool) time.Duration {
 	switch {
 	case estimate > 0 && !p.Reported && !fineGrained:
@@ -100,15 +104,16 @@
 	case estimate > 0:
 		return max(estimate*3/2, minStallTimeout)
 	case p.IsFineGrained():
-		mean := (p.AdvancedAt - p.FirstReportedAt) / time.Duration(p.Advances)
-		return max(advanceIntervalFactor*mean, minTimeoutWithoutEstimate)
+		meanInterval := (p.AdvancedAt - p.FirstReportedAt) / time.Duration(p.Advances)
+		return max(advanceIntervalFactor*meanInterval, minTimeoutWithoutEstimate)
 	default:
 		return 0
 	}
 }
 
-// IsStalled reports whether the run has made no progress for longer than its
-// bound. lastSeen is when its worker was last heard: silence is no standstill.
-func (p *Progress) IsStalled(lastSeen, bound time.Duration) bool {
-	return bound > 0 && lastSeen-p.AdvancedAt >= bound
+// IsStalled reports whether the run has made no progress for its timeout. lastSeen is
+// when its worker's last heartbeat came: time without heartbeats does not count, as
+// reports are then missing and not progress.
+func (p *Progress) IsStalled(lastSeen, timeout time.Duration) bool {
+	return timeout > 0 && lastSeen-p.AdvancedAt >= timeout
 }
--- a/internal/workerhealth/stall_test.go
+++ b/internal/workerhealth/stall_test.go
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 )
 
+// newMovingProgress returns the progress of a run that reports a percent each second.
 func newMovingProgress(percents ...int) Progress {
 	p := NewProgress(time.Hour)
 	for i, percent := range percents {
@@ -20,28 +21,29 @@
 		name     string
 		progress Progress
 		estimate time.Duration
-		finely   bool
-		stops    int
-		want     time.Duration
+		// fineGrained is what is known of the queue.
+		fineGrained  bool
+		earlierStops int
+		want         time.Duration
 	}{
 		{"nothing known", NewProgress(0), 0, false, 0, 0},
 		{"at 0 without an estimate", newMovingProgress(0), 0, true, 0, 0},
 		{"no report, short", NewProgress(0), time.Second, false, 0, minUnreportedTimeout},
 		{"no report, long", NewProgress(0), time.Minute, false, 0, 8 * time.Minute},
-		{"no report, of a queue that reports in small steps", NewProgress(0), time.Minute, true, 0, 90 * time.Second},
-		{"the same, short", NewProgress(0), time.Second, true, 0, minStallTimeout},
+		{"no report, fine-grained queue", NewProgress(0), time.Minute, true, 0, 90 * time.Second},
+		{"no report, fine-grained queue, short", NewProgress(0), time.Second, true, 0, minStallTimeout},
 		{"coarse", newMovingProgress(0), time.Minute, false, 0, 90 * time.Second},
-		{"fine by itself", newMovingProgress(0, 1, 2, 3), time.Minute, false, 0, 15 * time.Second},
-		{"fine by its queue", newMovingProgress(0), time.Minute, true, 0, 15 * time.Second},
+		{"fine-grained run", newMovingProgress(0, 1, 2, 3), time.Minute, false, 0, 15 * time.Second},
+		{"fine-grained queue", newMovingProgress(0), time.Minute, true, 0, 15 * time.Second},
 		{"short", newMovingProgress(0), time.Second, true, 0, minStallTimeout},
-		{"all done", newMovingProgress(97, 98, 99, 100), time.Minute, true, 0, 90 * time.Second},
-		{"fine without an estimate", newMovingProgress(0, 1, 2, 3), 0, false, 0, minTimeoutWithoutEstimate},
-		{"doubles", newMovingProgress(0), time.Minute, true, 2, time.Minute},
-		{"not for ever", newMovingProgress(0), time.Minute, true, maxStallStops, 0},
+		{"complete but not ended", newMovingProgress(97, 98, 99, 100), time.Minute, true, 0, 90 * time.Second},
+		{"fine-grained run without an estimate", newMovingProgress(0, 1, 2, 3), 0, false, 0, minTimeoutWithoutEstimate},
+		{"doubles with each stop", newMovingProgress(0), time.Minute, true, 2, time.Minute},
+		{"no timeout after the last stop", newMovingProgress(0), time.Minute, true, maxStallStops, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.progress.StallTimeout(c.estimate, c.finely, c.stops); got != c.want {
+			if got := c.progress.StallTimeout(c.estimate, c.fineGrained, c.earlierStops); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
@@ -51,13 +53,13 @@
 func TestProgress_IsStalledOnlyAtTimeout(t *testing.T) {
 	p := newMovingProgress(0)
 	if p.IsStalled(p.AdvancedAt+minStallTimeout-1, minStallTimeout) {
-		t.Error("stands still before its bound")
+		t.Error("stalled before its timeout")
 	}
 	if !p.IsStalled(p.AdvancedAt+minStallTimeout, minStallTimeout) {
-		t.Error("does not stand still at its bound")
+		t.Error("not stalled at its timeout")
 	}
 	if p.IsStalled(p.AdvancedAt+time.Hour, 0) {
-		t.Error("one without a bound was not left alone")
+		t.Error("stalled without a timeout")
 	}
 }
 
@@ -75,8 +77,8 @@
 	}
 }
 
-// TestProgress_SlowReportingRunIsNeverStalled: a run that reports each percent, up to ten times
-// slower than its estimate, is never taken as standing still.
+// TestProgress_SlowReportingRunIsNeverStalled: a run that reports each percent never
+// counts as stalled, up to ten times slower than its estimate.
 func TestProgress_SlowReportingRunIsNeverStalled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		estimate := time.Duration(rapid.IntRange(100, 3_600_000).Draw(t, "estimate ms")) * time.Millisecond
@@ -87,16 +89,16 @@
 		p := NewProgress(0)
 		for now := time.Duration(0); now < total; now += step {
 			p.Observe(int(now*100/total), now)
-			bound := p.StallTimeout(estimate, true, 0)
-			if p.IsStalled(now, bound) {
-				t.Fatalf("at %v of %v, %d%%, bound %v", now, total, p.Percent, bound)
+			timeout := p.StallTimeout(estimate, true, 0)
+			if p.IsStalled(now, timeout) {
+				t.Fatalf("at %v of %v, %d%%, timeout %v", now, total, p.Percent, timeout)
 			}
 		}
 	})
 }
 
-// TestProgress_StoppedRunIsStalledAtTimeout: a run that stops moving at any percent is found within
-// its bound, and the task is stopped a few times only.
+// TestProgress_StoppedRunIsStalledAtTimeout: a run that stops advancing at any percent
+// counts as stalled at its timeout, for the first maxStallStops runs of its task only.
 func TestProgress_StoppedRunIsStalledAtTimeout(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		estimate := time.Duration(rapid.IntRange(100, 600_000).Draw(t, "estimate ms")) * time.Millisecond
@@ -105,12 +107,12 @@
 		p.Observe(last, time.Second)
 		earlierStops := 0
 		for {
-			bound := p.StallTimeout(estimate, true, earlierStops)
-			if bound == 0 {
+			timeout := p.StallTimeout(estimate, true, earlierStops)
+			if timeout == 0 {
 				break
 			}
-			if p.IsStalled(p.AdvancedAt+bound-1, bound) || !p.IsStalled(p.AdvancedAt+bound, bound) {
-				t.Fatalf("stop %d: bound %v", earlierStops, bound)
+			if p.IsStalled(p.AdvancedAt+timeout-1, timeout) || !p.IsStalled(p.AdvancedAt+timeout, timeout) {
+				t.Fatalf("stop %d: timeout %v", earlierStops, timeout)
 			}
 			earlierStops++
 		}
