--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -153,16 +153,16 @@
 
 // checkCallerShare checks a caller's share. Where nobody names a caller there is none.
 func (l *leader) checkCallerShare(view record.View, queue *api.QueueConfig, spec *api.JobSpec, free int) error {
-	held := view.CallerPending(queue.Name, spec.Caller)
-	if spec.Caller == "" && held == view.QueueCounts(queue.Name).PendingTasks {
+	counts := view.CallerPending(queue.Name, spec.Caller)
+	if spec.Caller == "" && counts == view.QueueCounts(queue.Name).PendingTasks {
 		return nil
 	}
 	tasks := spec.TaskCount()
-	share := admission.CallerFree(free, held, queue.CallerShare)
+	share := admission.CallerFree(free, counts, queue.CallerShare)
 	if tasks <= share {
 		return nil
 	}
-	message := fmt.Sprintf("caller %q has %d waiting tasks in queue %s, where %d places are free and some are kept for other callers", spec.Caller, held, queue.Name, free)
+	message := fmt.Sprintf("caller %q has %d waiting tasks in queue %s, where %d places are free and some are kept for other callers", spec.Caller, counts, queue.Name, free)
 	return l.refuse(queue, refusedCaller, message, tasks-share)
 }
 
@@ -176,7 +176,7 @@
 	return invalid("job", []api.FieldError{field})
 }
 
-// refuse is the answer to a job over a limit that has to come back once a number of
+// refusedHeartbeat is the answer to a job over a limit that has to come back once a number of
 // waiting tasks more has begun to run.
 func (l *leader) refuse(queue *api.QueueConfig, reason, message string, tooMany int) error {
 	l.mu.Lock()
@@ -186,10 +186,10 @@
 	return l.refuseFor(queue.Name, reason, message, known.retryAfter(l.now(), earliest, tooMany))
 }
 
-func (l *leader) refuseFor(queue, reason, message string, pause time.Duration) error {
+func (l *leader) refuseFor(queue, reason, message string, gap time.Duration) error {
 	l.metrics.refusals.WithLabelValues(queue, reason).Inc()
 	refusal := overLimitError(message)
-	refusal.RetryAfterMillis = max(pause, minRetryAfter).Milliseconds()
+	refusal.RetryAfterMillis = max(gap, minRetryAfter).Milliseconds()
 	return refusal
 }
 
@@ -211,8 +211,8 @@
 	}
 	message := fmt.Sprintf("a job that comes now waits %v in queue %s, and ends later than %v times its objective",
 		wait.Round(time.Millisecond), queue.Name, rule.RefuseBeyond)
-	pause := known.retryAfter(l.now(), wait-admission.ClearBelow(allowed), spec.TaskCount())
-	return l.refuseFor(queue.Name, refusedTooLate, message, pause)
+	gap := known.retryAfter(l.now(), wait-admission.ClearBelow(allowed), spec.TaskCount())
+	return l.refuseFor(queue.Name, refusedTooLate, message, gap)
 }
 
 // isTimed reports whether a job has work that waits for its time, or that has no
--- a/internal/scheduler/bookings.go
+++ b/internal/scheduler/bookings.go
@@ -32,7 +32,7 @@
 	// computedUntil is how far windows are worked out; zero forces it anew.
 	computedUntil time.Time
 	windows       []reservation.Window
-	// released has the ends of the windows that were given back.
+	// assignmentsReleased has the ends of the windows that were given back.
 	released map[string]time.Time
 	// reserved are the ids of the windows that the planner keeps room for.
 	reserved []string
@@ -46,20 +46,20 @@
 	if !now.Before(l.calendar.computedUntil) {
 		l.computeWindows(now)
 	}
-	var held []string
+	var counts []string
 	var reservations []placement.Reservation
 	for _, window := range l.calendar.windows {
 		if now.Before(window.ReservedFrom) || !now.Before(window.End) || l.isReleased(window) {
 			continue
 		}
-		held = append(held, window.ID())
+		counts = append(counts, window.ID())
 		reservations = append(reservations, plannerReservation(window))
 	}
-	if slices.Equal(held, l.calendar.reserved) {
+	if slices.Equal(counts, l.calendar.reserved) {
 		return
 	}
-	l.logger.Info("booked windows changed", slog.Any("held", held))
-	l.calendar.reserved = held
+	l.logger.Info("booked windows changed", slog.Any("held", counts))
+	l.calendar.reserved = counts
 	l.planner.SetReservations(reservations)
 	l.wake()
 }
@@ -139,15 +139,15 @@
 func (l *leader) reservationStatuses(from, to time.Time) api.BookingList {
 	list := api.BookingList{Bookings: []api.BookingStatus{}}
 	places := make(map[string][]placement.ReservedSlots)
-	for _, place := range l.planner.ReservedSlots() {
-		places[place.Reservation] = append(places[place.Reservation], place)
+	for _, address := range l.planner.ReservedSlots() {
+		places[address.Reservation] = append(places[address.Reservation], address)
 	}
 	for _, window := range l.windows(from, to) {
 		status := l.reservationStatus(window, from)
-		for _, place := range places[window.ID()] {
-			status.Placed += place.Slots
-			status.Used += place.Used
-			status.Workers = append(status.Workers, api.BookingSlices{Worker: place.Worker, Slots: place.Slots, Used: place.Used})
+		for _, address := range places[window.ID()] {
+			status.Placed += address.Slots
+			status.Used += address.Used
+			status.Workers = append(status.Workers, api.BookingSlices{Worker: address.Worker, Slots: address.Slots, Used: address.Used})
 		}
 		list.Bookings = append(list.Bookings, status)
 	}
--- a/internal/scheduler/burst_test.go
+++ b/internal/scheduler/burst_test.go
@@ -83,8 +83,8 @@
 		f.t.Fatalf("%s: %+v", id, refusal)
 	}
 	f.refused[queue]++
-	pause := time.Duration(refusal.RetryAfterMillis) * time.Millisecond
-	back := f.now + pause - pause%burstStep + burstStep
+	gap := time.Duration(refusal.RetryAfterMillis) * time.Millisecond
+	back := f.now + gap - gap%burstStep + burstStep
 	f.again[back] = append(f.again[back], id)
 }
 
--- a/internal/scheduler/contradictions.go
+++ b/internal/scheduler/contradictions.go
@@ -20,7 +20,7 @@
 		}
 		differences.conflicting = append(differences.conflicting, runRef(end.Run))
 		l.logConflict(worker, end.Run, "end of a run that was not ordered")
-		l.enqueueClose(run, "its end was reported before it was ordered")
+		l.proposer.enqueueClose(run, "its end was reported before it was ordered")
 		return true
 	})
 	differences.late = slices.DeleteFunc(differences.late, func(end record.RunEnd) bool {
--- a/internal/scheduler/departure.go
+++ b/internal/scheduler/departure.go
@@ -146,7 +146,7 @@
 	lead := maxStopTime + heartbeatsPerStop*l.interval(false) + departureMargin
 	for _, run := range worker.runs {
 		if l.mustStopDeparting(run, worker.departure, now, lead) {
-			l.enqueueStop(run, record.StopDrained)
+			l.proposer.enqueueStop(run, record.StopDrained)
 		}
 	}
 }
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -116,7 +116,7 @@
 // were not given yet.
 func (l *leader) revokeUnassigned(worker *workerEntry) {
 	for _, run := range worker.runs {
-		l.closeIfNeverAssigned(run)
+		l.proposer.closeIfNeverAssigned(run)
 	}
 }
 
@@ -131,7 +131,7 @@
 		overdue := now-worker.drainedSince >= grace
 		for _, run := range worker.runs {
 			if overdue || run.spec.UntilCancelled {
-				l.enqueueStop(run, record.StopDrained)
+				l.proposer.enqueueStop(run, record.StopDrained)
 			}
 		}
 	}
--- a/internal/scheduler/errors.go
+++ b/internal/scheduler/errors.go
@@ -22,13 +22,13 @@
 	return refusal
 }
 
-func (l *leader) notLeader() *rpc.Error { return notLeaderError(l.log) }
+func (t *term) notLeader() *rpc.Error { return notLeaderError(t.log) }
 
 // proposalError tells the caller whether its command may have had an effect.
-func (l *leader) proposalError(err error) *rpc.Error {
+func (t *term) proposalError(err error) *rpc.Error {
 	switch {
 	case errors.Is(err, replica.ErrNotLeader):
-		return l.notLeader()
+		return t.notLeader()
 	case errors.Is(err, replica.ErrOverloaded):
 		return &rpc.Error{Code: rpc.CodeUnavailable, Message: err.Error()}
 	case errors.Is(err, replica.ErrOutcomeUnknown), errors.Is(err, replica.ErrStopped),
--- a/internal/scheduler/expire.go
+++ b/internal/scheduler/expire.go
@@ -33,12 +33,12 @@
 		if !found {
 			return
 		}
-		held := l.archive.Bytes()
+		counts := l.archive.Bytes()
 		expire := &record.ExpireArchive{Before: before, Limit: expireBatch}
 		if _, done := l.proposeUntilDone("expire", record.Command{ExpireArchive: expire}); !done {
 			return
 		}
-		if l.archive.Bytes() >= held {
+		if l.archive.Bytes() >= counts {
 			return // it waits for a snapshot that hides them
 		}
 	}
--- a/internal/scheduler/group.go
+++ b/internal/scheduler/group.go
@@ -24,9 +24,9 @@
 	// sharesOutcome is set for a group that is one for its whole life. startBy is when
 	// all its members must have started, and released is true once their orders
 	// are given out.
-	sharesOutcome bool
-	startBy       time.Duration
-	released      bool
+	sharesOutcome       bool
+	startBy             time.Duration
+	assignmentsReleased bool
 }
 
 func (g *gangState) allStarted() bool {
@@ -151,8 +151,8 @@
 	gang.broken = true
 	for id := range gang.open {
 		run := l.runs[id]
-		l.closeIfNeverAssigned(run)
-		l.enqueueStop(run, record.StopGang)
+		l.proposer.closeIfNeverAssigned(run)
+		l.proposer.enqueueStop(run, record.StopGang)
 	}
 }
 
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -195,7 +195,7 @@
 		// Members of a group may wait for one of them: none is to blame alone.
 		l.health.tracker.ObserveStall(run.workerID, run.id.Task, now)
 	}
-	l.enqueueStop(run, record.StopStalled)
+	l.proposer.enqueueStop(run, record.StopStalled)
 }
 
 // waitsForGang reports whether the run's group has not started whole: its
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -141,7 +141,7 @@
 	for _, run := range differences.lost {
 		l.logger.Info("order had no effect", slog.String("run", run.id.Task.String()),
 			slog.Uint64("number", uint64(run.id.Number)), slog.String("worker", worker.info.Name))
-		l.enqueueClose(run, "the order did not take effect")
+		l.proposer.enqueueClose(run, "the order did not take effect")
 	}
 }
 
--- a/internal/scheduler/holds.go
+++ b/internal/scheduler/holds.go
@@ -18,7 +18,7 @@
 			slog.String("worker", worker.info.Name), slog.String("worker_id", worker.info.ID),
 			slog.Int("runs", len(worker.runs)), slog.Duration("silent", l.sinceLastSeen(worker, now)))
 		for _, run := range worker.runs {
-			l.enqueueClose(run, "worker silent beyond its hold")
+			l.proposer.enqueueClose(run, "worker silent beyond its hold")
 		}
 		if worker.registered {
 			l.updatePlannerWorker(worker)
--- a/internal/scheduler/lateness.go
+++ b/internal/scheduler/lateness.go
@@ -43,12 +43,12 @@
 
 // observeHeartbeatGap takes in for how long a worker was not heard after an answer that
 // named an interval.
-func (d *stallTracker) observeHeartbeatGap(pause, interval time.Duration) {
-	pause = min(pause, maxHeartbeatGapIntervals*interval)
+func (d *stallTracker) observeHeartbeatGap(gap, interval time.Duration) {
+	gap = min(gap, maxHeartbeatGapIntervals*interval)
 	if d.heartbeatGap == 0 {
 		d.heartbeatGap = interval
 	}
-	d.heartbeatGap += time.Duration(heartbeatGapWeight * float64(pause-d.heartbeatGap))
+	d.heartbeatGap += time.Duration(heartbeatGapWeight * float64(gap-d.heartbeatGap))
 }
 
 // expectedHeartbeatGap is how soon after an answer a worker is heard again at present.
--- a/internal/scheduler/lateness_test.go
+++ b/internal/scheduler/lateness_test.go
@@ -14,9 +14,9 @@
 
 // stallLeader lets time pass in which neither the leader's loops nor any heartbeat are
 // served, and then has the loops run.
-func (h *harness) stallLeader(pause time.Duration) {
+func (h *harness) stallLeader(gap time.Duration) {
 	h.leader.observeTick()
-	h.now += pause
+	h.now += gap
 	h.leader.observeTick()
 	h.advance(0)
 }
@@ -40,18 +40,18 @@
 // that came meanwhile are read one after the other. The workers that are not read yet
 // are not silent, although half of them were heard already.
 func TestLeaderStall_IsNoMissedHeartbeat(t *testing.T) {
-	for _, pause := range []time.Duration{ownPause, 2 * ownPause, 2500 * time.Millisecond} {
+	for _, gap := range []time.Duration{ownPause, 2 * ownPause, 2500 * time.Millisecond} {
 		h, workers := fleetWithUnassignedRuns(t, 10)
-		h.stallLeader(pause)
+		h.stallLeader(gap)
 		for _, worker := range workers {
 			worker.exchange()
 		}
 		if revoked := testutil.ToFloat64(h.leader.metrics.runsRevoked); revoked != 0 {
-			t.Errorf("pause of %v: %v runs withdrawn from workers that were not read yet", pause, revoked)
+			t.Errorf("pause of %v: %v runs withdrawn from workers that were not read yet", gap, revoked)
 		}
 		for index := range 40 {
 			if task := h.task("j", index); task.Run != 1 {
-				t.Errorf("pause of %v: task %d is at run %d", pause, index, task.Run)
+				t.Errorf("pause of %v: task %d is at run %d", gap, index, task.Run)
 			}
 		}
 	}
@@ -100,9 +100,9 @@
 // TestLeaderStall_LateTicksAreCounted: ticks that come a little late are as timers are.
 func TestLeaderStall_LateTicksAreCounted(t *testing.T) {
 	h := newHarness(t)
-	tickAfter := func(pause time.Duration) float64 {
+	tickAfter := func(gap time.Duration) float64 {
 		before := testutil.ToFloat64(h.leader.metrics.lateSeconds)
-		h.now += pause
+		h.now += gap
 		h.leader.observeTick()
 		return testutil.ToFloat64(h.leader.metrics.lateSeconds) - before
 	}
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"context"
 	"log/slog"
 	"slices"
 	"sync"
@@ -30,25 +29,10 @@
 // Lock order: the record's lock comes before mu, since the record calls
 // handleEvent under its lock. So nothing that holds mu may read the record.
 type leader struct {
-	token   uint64
-	log     replica.Log
-	archive record.Archive
-	// archiveBytes bounds the archive, in bytes.
-	archiveBytes int64
-	logger       *slog.Logger
-	metrics      *metrics
-	now          func() time.Duration
-	context      context.Context
-	// off are the mechanisms that are switched off.
-	off featuregate.DisabledSet
-
-	// wakePlanner has room for one signal.
-	wakePlanner chan struct{}
-	// wakeProposer has room for one signal: pending is not empty.
-	wakeProposer chan struct{}
+	term
+	proposer proposer
 
 	mu       sync.Mutex
-	planner  Planner
 	calendar calendar
 	// config is in force here, with defaults filled in.
 	config        *api.Config
@@ -84,20 +68,11 @@
 	pendingStarts pendingStarts
 	// submitting are the submissions being committed.
 	submitting submissions
-	// pendingCloses and pendingStops are the leader's own commands that wait
-	// to be proposed.
-	pendingCloses []record.RunEnd
-	// pendingEnds are the ends among pendingCloses that a worker reported.
-	pendingEnds  map[record.RunID]bool
-	pendingStops map[record.StopReason][]record.RunID
-	// repeats are jobs with occurrences to come; pendingExpansions those that
-	// wait to be proposed.
-	repeats           repeats
-	pendingExpansions []record.Expansion
+	// repeats are jobs with occurrences to come.
+	repeats repeats
 	// jobWaiters are closed when the job ends.
 	jobWaiters map[string]chan struct{}
 	processes  map[string]*processEntry
-	startedAt  time.Duration
 }
 
 // Planner is what a leader needs of package placement.
@@ -123,18 +98,8 @@
 
 func newLeader(config leaderConfig) *leader {
 	return &leader{
-		token:            config.Leadership.Token,
-		log:              config.Log,
-		archive:          config.Archive,
-		archiveBytes:     config.ArchiveBytes,
-		logger:           config.Logger.With(slog.Uint64("token", config.Leadership.Token)),
-		metrics:          config.Metrics,
-		now:              config.Now,
-		context:          config.Leadership.Context,
-		off:              config.Off,
-		wakePlanner:      make(chan struct{}, 1),
-		wakeProposer:     make(chan struct{}, 1),
-		planner:          config.Planner,
+		term:             newTerm(config),
+		proposer:         newProposer(),
 		configChanged:    make(chan struct{}),
 		workers:          make(map[string]*workerEntry),
 		byName:           make(map[string]*workerEntry),
@@ -154,9 +119,6 @@
 		repeats:          newRepeats(),
 		jobWaiters:       make(map[string]chan struct{}),
 		processes:        make(map[string]*processEntry),
-		pendingEnds:      make(map[record.RunID]bool),
-		pendingStops:     make(map[record.StopReason][]record.RunID),
-		startedAt:        config.Now(),
 	}
 }
 
@@ -214,57 +176,6 @@
 
 func (l *leader) driftMargin() time.Duration { return l.config.Timings.DriftMargin.Std() }
 
-// wake makes the planner look again soon.
-func (l *leader) wake() { signal(l.wakePlanner) }
-
-// propose commits a command under this term's token.
-func (l *leader) propose(ctx context.Context, command record.Command) (record.Result, error) {
-	l.metrics.proposals.Inc()
-	return l.log.Propose(ctx, l.token, command)
-}
-
-// proposeOwn commits a command of the leader's own, whoever asked for it.
-func (l *leader) proposeOwn(command record.Command) (record.Result, error) {
-	ctx, cancel := context.WithTimeout(l.context, proposalTimeout)
-	defer cancel()
-	return l.propose(ctx, command)
-}
-
-// proposeUntilDone commits a command of the leader's own, again and again
-// until it is committed or the term ends. Every such command may be committed
-// twice without harm: the record decides on each run by its number. It returns
-// false if the term ended.
-func (l *leader) proposeUntilDone(what string, command record.Command) (record.Result, bool) {
-	for l.context.Err() == nil {
-		result, err := l.proposeOwn(command)
-		if err == nil {
-			return result, true
-		}
-		l.logger.Warn("proposal failed", slog.String("what", what), slog.Any("error", err))
-		select {
-		case <-l.context.Done():
-		case <-time.After(tickInterval):
-		}
-	}
-	return record.Result{}, false
-}
-
-// every does some work again and again, part after part, until the term ends.
-func (l *leader) every(interval time.Duration, work ...func()) {
-	ticker := time.NewTicker(interval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-l.context.Done():
-			return
-		case <-ticker.C:
-			for _, part := range work {
-				part()
-			}
-		}
-	}
-}
-
 // tick looks at holds, drains, bookings and timed starts.
 func (l *leader) tick() {
 	clusterNow := l.log.Now()
@@ -283,68 +194,7 @@
 	l.refreshReservations(clusterNow)
 	l.refreshRanks(clusterNow)
 	l.releaseTimers(clusterNow)
-	l.enqueueExpansions(clusterNow)
+	l.proposer.enqueueExpansions(l.repeats.takeDue(clusterNow))
 	// The planner makes room step by step, and goes on although nothing came.
 	l.wake()
 }
-
-// enqueueClose queues the closing of a run that no report asks for.
-func (l *leader) enqueueClose(run *runState, message string) {
-	if run.closing {
-		return
-	}
-	run.closing = true
-	end := record.RunEnd{Run: run.id, Outcome: api.OutcomeLost, Message: message}
-	run.addCheckpoint(&end)
-	l.pendingCloses = append(l.pendingCloses, end)
-	signal(l.wakeProposer)
-}
-
-// enqueueStop queues the stopping of a run.
-func (l *leader) enqueueStop(run *runState, reason record.StopReason) {
-	if run.stop != record.StopNone || run.closing {
-		return
-	}
-	run.stop = reason
-	l.pendingStops[reason] = append(l.pendingStops[reason], run.id)
-	signal(l.wakeProposer)
-}
-
-// proposeLoop commits what enqueueClose, enqueueEnds and enqueueStop have queued.
-func (l *leader) proposeLoop() {
-	for {
-		select {
-		case <-l.context.Done():
-			return
-		case <-l.wakeProposer:
-			l.proposePending()
-		}
-	}
-}
-
-func (l *leader) proposePending() {
-	l.mu.Lock()
-	closes := l.pendingCloses
-	stops := l.pendingStops
-	expansions := l.pendingExpansions
-	l.pendingExpansions = nil
-	l.pendingCloses = nil
-	l.pendingEnds = make(map[record.RunID]bool)
-	l.pendingStops = make(map[record.StopReason][]record.RunID)
-	l.mu.Unlock()
-	if len(closes) > 0 {
-		l.proposeUntilDone("close", record.Command{CloseRuns: &record.CloseRuns{Runs: closes}})
-	}
-	l.proposeExpansions(expansions)
-	for reason, runs := range stops {
-		l.proposeUntilDone("stop", record.Command{StopRuns: &record.StopRuns{Runs: runs, Reason: reason}})
-	}
-}
-
-// signal wakes a loop whose channel has room for one signal.
-func signal(wake chan<- struct{}) {
-	select {
-	case wake <- struct{}{}:
-	default:
-	}
-}
--- a/internal/scheduler/lockstep.go
+++ b/internal/scheduler/lockstep.go
@@ -26,7 +26,7 @@
 func (l *leader) commonOutcomeRunOpened(gang *gangState, run *runState, open *record.Run) {
 	gang.sharesOutcome = true
 	if len(gang.open) == 1 {
-		gang.released = run.inherited
+		gang.assignmentsReleased = run.inherited
 	}
 	if !run.inherited {
 		l.watchStart(gang)
@@ -58,7 +58,7 @@
 // given theirs within about a heartbeat interval.
 func (l *leader) mayAssignMember(run *runState) bool {
 	gang := l.gangs[run.step]
-	if gang.released {
+	if gang.assignmentsReleased {
 		return true
 	}
 	if len(gang.open) != gang.size {
@@ -70,7 +70,7 @@
 			return false
 		}
 	}
-	gang.released = true
+	gang.assignmentsReleased = true
 	gang.startBy = now + gangStartTimeout
 	return true
 }
@@ -93,7 +93,7 @@
 			continue
 		}
 		l.logger.Warn("group did not start whole in time", slog.String("group", key.String()),
-			slog.Int("members", len(gang.open)), slog.Bool("ordered", gang.released))
+			slog.Int("members", len(gang.open)), slog.Bool("ordered", gang.assignmentsReleased))
 		delete(l.startingGangs, key)
 		l.avoidLateWorkers(gang)
 		l.breakGang(gang)
@@ -108,7 +108,7 @@
 	for id, started := range gang.open {
 		run := l.runs[id]
 		isStopped := run.closing || run.stop != record.StopNone
-		if started || isStopped || !gang.released && l.canReceiveAssignmentSoon(run, now) {
+		if started || isStopped || !gang.assignmentsReleased && l.canReceiveAssignmentSoon(run, now) {
 			continue
 		}
 		for member := range gang.open {
--- a/internal/scheduler/mirror.go
+++ b/internal/scheduler/mirror.go
@@ -212,7 +212,7 @@
 		l.gangRunOpened(run, open)
 	}
 	if worker.isLeaving() {
-		l.closeIfNeverAssigned(run)
+		l.proposer.closeIfNeverAssigned(run)
 	}
 	if l.preemptOnOpen[task.ID] {
 		delete(l.preemptOnOpen, task.ID)
@@ -227,20 +227,12 @@
 		return
 	}
 	run.stop = open.Stop
-	l.closeIfNeverAssigned(run)
+	l.proposer.closeIfNeverAssigned(run)
 	if run.inGang {
 		l.gangRunStopping(run, open.Task.Step)
 	}
 }
 
-// closeIfNeverAssigned closes a run whose order was surely not given, so that
-// it need not be stopped.
-func (l *leader) closeIfNeverAssigned(run *runState) {
-	if run.neverAssigned() {
-		l.enqueueClose(run, "withdrawn before it was ordered")
-	}
-}
-
 func (l *leader) runClosed(open *record.Run, outcome api.Outcome) {
 	run, known := l.runs[open.ID()]
 	if !known {
--- a/internal/scheduler/places.go
+++ b/internal/scheduler/places.go
@@ -26,12 +26,12 @@
 
 // claimAddress notes a worker that may have proven that it lives.
 func (l *leader) claimAddress(worker *workerEntry) {
-	place := worker.info.Address
-	if place == "" || worker.provenAliveAt == 0 {
+	address := worker.info.Address
+	if address == "" || worker.provenAliveAt == 0 {
 		return
 	}
-	if other := l.currentByAddress[place]; other == nil || other.provenAliveAt <= worker.provenAliveAt {
-		l.currentByAddress[place] = worker
+	if other := l.currentByAddress[address]; other == nil || other.provenAliveAt <= worker.provenAliveAt {
+		l.currentByAddress[address] = worker
 	}
 }
 
--- a/internal/scheduler/places_test.go
+++ b/internal/scheduler/places_test.go
@@ -12,9 +12,9 @@
 const testSilence = replacedAfterIntervals*200*time.Millisecond + time.Millisecond
 
 // workerAt is a worker that names its place.
-func (h *harness) workerAt(name, place string) *fakeWorker {
+func (h *harness) workerAt(name, address string) *fakeWorker {
 	worker := h.worker(name, name+"-1")
-	worker.heartbeat.Place = place
+	worker.heartbeat.Place = address
 	return worker
 }
 
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -86,8 +86,8 @@
 // once.
 func (l *leader) preemptRun(run *runState) {
 	l.logger.Info("preempted", slog.String("task", run.id.Task.String()), slog.Uint64("number", uint64(run.id.Number)))
-	l.closeIfNeverAssigned(run)
-	l.enqueueStop(run, record.StopPreempted)
+	l.proposer.closeIfNeverAssigned(run)
+	l.proposer.enqueueStop(run, record.StopPreempted)
 }
 
 // revokeRejected offers tasks anew whose placement no longer held when it was
--- a/internal/scheduler/refusedends_test.go
+++ b/internal/scheduler/refusedends_test.go
@@ -11,9 +11,9 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// refuse sends the worker's next heartbeat while the leader cannot answer, and
+// refusedHeartbeat sends the worker's next heartbeat while the leader cannot answer, and
 // lets nothing else happen: what is queued waits until the harness settles.
-func (w *fakeWorker) refuse() error {
+func (w *fakeWorker) refusedHeartbeat() error {
 	w.harness.t.Helper()
 	w.heartbeat.Seq++
 	request := protocol.HeartbeatRequest{Agent: "a", Zone: w.zone, Heartbeat: w.heartbeat}
@@ -31,7 +31,7 @@
 	worker := h.runningOne()
 	worker.end(api.OutcomeSucceeded)
 	h.log.lease = false
-	if err := worker.refuse(); !errors.Is(err, &rpc.Error{Code: rpc.CodeNotLeader}) {
+	if err := worker.refusedHeartbeat(); !errors.Is(err, &rpc.Error{Code: rpc.CodeNotLeader}) {
 		t.Errorf("refused with %v, want not_leader", err)
 	}
 	h.log.lease = true
@@ -54,7 +54,7 @@
 	worker := h.runningOne()
 	worker.end(api.OutcomeSucceeded)
 	h.log.overloaded = true
-	_ = worker.refuse() // how it is refused is of no matter here
+	_ = worker.refusedHeartbeat() // how it is refused is of no matter here
 	h.log.overloaded = false
 	h.settle()
 	h.wantState("j", api.StateSucceeded)
@@ -68,7 +68,7 @@
 	worker.end(api.OutcomeSucceeded)
 	worker.heartbeat.Labels = map[string]string{"zone": "z1", "disk": "ssd"}
 	h.log.overloaded = true
-	_ = worker.refuse()
+	_ = worker.refusedHeartbeat()
 	h.log.overloaded = false
 	h.settle()
 	h.wantState("j", api.StateSucceeded)
@@ -80,7 +80,7 @@
 	h := newHarness(t)
 	silent, other := h.expiredWorker()
 	h.log.lease = false
-	_ = silent.refuse()
+	_ = silent.refusedHeartbeat()
 	h.log.lease = true
 	h.settle()
 	h.wantState("j", api.StateSucceeded)
@@ -107,10 +107,10 @@
 	worker.heartbeat.Draining = true
 	h.log.lease = false
 	for range 3 {
-		_ = worker.refuse()
+		_ = worker.refusedHeartbeat()
 	}
 	h.log.lease = true
-	if queued := len(h.leader.pendingCloses); queued != 1 {
+	if queued := len(h.leader.proposer.pending.closes); queued != 1 {
 		t.Errorf("%d ends wait to be committed, want the one", queued)
 	}
 	h.settle()
--- a/internal/scheduler/repeats.go
+++ b/internal/scheduler/repeats.go
@@ -135,17 +135,6 @@
 	return record.Millis(j.spec.DueMillis(occurrence)) - expandAheadMillis
 }
 
-// enqueueExpansions queues the expansion of repeating jobs whose next occurrences
-// fall due.
-func (l *leader) enqueueExpansions(now record.Millis) {
-	due := l.repeats.takeDue(now)
-	if len(due) == 0 {
-		return
-	}
-	l.pendingExpansions = append(l.pendingExpansions, due...)
-	signal(l.wakeProposer)
-}
-
 // proposeExpansions commits what enqueueExpansions has queued.
 func (l *leader) proposeExpansions(expansions []record.Expansion) {
 	if len(expansions) == 0 {
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -88,18 +88,11 @@
 	return l.classifyReports(&differences)
 }
 
-// enqueueEnds queues ends that are not in the record yet, though they were heard.
-// The worker repeats them, so each is queued once.
+// enqueueEnds queues ends that could not be committed.
 func (l *leader) enqueueEnds(reported reports) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, end := range reported.closes() {
-		if !l.pendingEnds[end.Run] {
-			l.pendingEnds[end.Run] = true
-			l.pendingCloses = append(l.pendingCloses, end)
-			signal(l.wakeProposer)
-		}
-	}
+	l.proposer.enqueueEnds(reported.closes())
 }
 
 // acknowledge lists the reports that the worker need not repeat. A success of
--- a/internal/scheduler/silence.go
+++ b/internal/scheduler/silence.go
@@ -65,7 +65,7 @@
 	for _, run := range worker.runs {
 		if run.neverAssigned() && !run.inGang && !run.closing && l.health.revocations[run.id.Task] < maxRevocations {
 			l.health.revocations[run.id.Task]++
-			l.closeIfNeverAssigned(run)
+			l.proposer.closeIfNeverAssigned(run)
 			l.metrics.runsRevoked.Inc()
 			revoked++
 		}
--- a/internal/scheduler/statemetrics.go
+++ b/internal/scheduler/statemetrics.go
@@ -45,11 +45,11 @@
 	if c.service.log == nil {
 		return
 	}
-	var held record.QueueCounts
-	c.service.log.Record().Read(func(view record.View) { held = countQueues(view) })
-	gauge(c.jobs, held.Jobs)
-	gauge(c.pending, held.PendingTasks)
-	gauge(c.recordedRuns, held.RunningTasks)
+	var counts record.QueueCounts
+	c.service.log.Record().Read(func(view record.View) { counts = countQueues(view) })
+	gauge(c.jobs, counts.Jobs)
+	gauge(c.pending, counts.PendingTasks)
+	gauge(c.recordedRuns, counts.RunningTasks)
 	current := c.service.leader.Load()
 	if current == nil {
 		return
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -41,13 +41,13 @@
 // urgencyOf gathers it for a task that begins to wait.
 func (l *leader) urgencyOf(task *record.Task) urgency {
 	step := task.Step
-	place := step.Index%stepsPerJob*tasksPerStep + task.ID.Index%tasksPerStep
+	address := step.Index%stepsPerJob*tasksPerStep + task.ID.Index%tasksPerStep
 	since := step.DueAt()
 	if step.Spec.NotBefore != nil {
 		since = max(since, record.Millis(step.Spec.NotBefore.UnixMilli()))
 	}
 	return urgency{
-		position: uint64(place), readyAt: step.DueAt(), since: since,
+		position: uint64(address), readyAt: step.DueAt(), since: since,
 		chains: l.chainsOf(step.Job), step: step.Index,
 	}
 }
--- a/internal/scheduler/watch_test.go
+++ b/internal/scheduler/watch_test.go
@@ -25,15 +25,15 @@
 	h := newHarness(t)
 	const watchers = 20
 	versions := make(chan uint64, watchers)
-	held := make([]<-chan struct{}, watchers)
+	counts := make([]<-chan struct{}, watchers)
 	for i := range watchers {
 		request := protocol.WatchRequest{Process: string(rune('a' + i)), ConfigVersion: 1, Token: h.token}
-		held[i] = h.leader.recordProcess(request)
-		if held[i] == nil {
+		counts[i] = h.leader.recordProcess(request)
+		if counts[i] == nil {
 			t.Fatal("answered at once although nothing is new")
 		}
 		go func() {
-			<-held[i]
+			<-counts[i]
 			versions <- h.leader.watchAnswer(request).ConfigVersion
 		}()
 	}
@@ -111,8 +111,8 @@
 			if _, err := h.leader.watch(t.Context(), request); err != nil {
 				t.Fatal(err)
 			}
-			if held := time.Since(began); held != c.held {
-				t.Errorf("asked for %v, held for %v, want %v", c.asked, held, c.held)
+			if counts := time.Since(began); counts != c.held {
+				t.Errorf("asked for %v, held for %v, want %v", c.asked, counts, c.held)
 			}
 		}
 	})
