--- a/internal/scheduler/backup_test.go
+++ b/internal/scheduler/backup_test.go
@@ -46,7 +46,7 @@
 			t.Fatal("nothing was ordered")
 		}
 	}
-	lapses := h.leader.leaseDuration() + h.leader.driftMargin()
+	lapses := h.leader.registry.leaseDuration() + h.leader.registry.driftMargin()
 	for quiet := time.Duration(0); quiet < lapses; quiet += 100 * time.Millisecond {
 		if orders := other.exchange().Start; len(orders) != 0 {
 			t.Fatalf("ordered %+v after %v of silence", orders, quiet)
--- a/internal/scheduler/departure.go
+++ b/internal/scheduler/departure.go
@@ -113,7 +113,7 @@
 	if !l.log.HoldsLease(l.token) {
 		return protocol.Empty{}, l.notLeader()
 	}
-	worker, known := l.workers[request.WorkerID]
+	worker, known := l.registry.byID[request.WorkerID]
 	if !known {
 		return protocol.Empty{}, nil
 	}
@@ -124,7 +124,7 @@
 	}
 	worker.departure.noticeGiven = true
 	worker.departure.observeRemaining(request.RemainingMillis, now)
-	l.updatePlannerWorker(worker)
+	l.registry.updatePlannerWorker(worker)
 	l.revokeUnassigned(worker)
 	l.stopDeparting(worker, now)
 	return protocol.Empty{}, nil
@@ -132,7 +132,7 @@
 
 // stopAllDeparting looks at every worker that surely ends.
 func (l *leader) stopAllDeparting(now time.Duration) {
-	for _, worker := range l.workers {
+	for _, worker := range l.registry.byID {
 		l.stopDeparting(worker, now)
 	}
 }
@@ -143,7 +143,7 @@
 	if !worker.departure.announced() {
 		return
 	}
-	lead := maxStopTime + heartbeatsPerStop*l.interval(false) + departureMargin
+	lead := maxStopTime + heartbeatsPerStop*l.registry.interval(false) + departureMargin
 	for _, run := range worker.runs {
 		if l.mustStopDeparting(run, worker.departure, now, lead) {
 			l.proposer.enqueueStop(run, record.StopDrained)
--- a/internal/scheduler/departure_test.go
+++ b/internal/scheduler/departure_test.go
@@ -201,7 +201,7 @@
 	other := h.worker("b", "b-1")
 	h.running("a", 1)
 	h.leave("a-1", 0)
-	h.heartbeatFor(h.leader.leaseDuration()+h.leader.driftMargin()+time.Second, other)
+	h.heartbeatFor(h.leader.registry.leaseDuration()+h.leader.registry.driftMargin()+time.Second, other)
 	task := h.task("j", 0)
 	if task.Worker != "b" || task.Run != 2 || task.Failures != 0 {
 		t.Errorf("want the second run elsewhere without a failure, got %+v", task)
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -103,9 +103,9 @@
 
 // applyDrains applies the drains of a new configuration or order at once.
 func (l *leader) applyDrains() {
-	for _, worker := range l.workers {
+	for _, worker := range l.registry.byID {
 		l.setDrained(worker)
-		l.updatePlannerWorker(worker)
+		l.registry.updatePlannerWorker(worker)
 		if worker.isLeaving() {
 			l.revokeUnassigned(worker)
 		}
@@ -124,7 +124,7 @@
 // their own at once, others after the drain grace.
 func (l *leader) stopDrained(now time.Duration) {
 	grace := l.config.Timings.DrainGrace.Std()
-	for _, worker := range l.workers {
+	for _, worker := range l.registry.byID {
 		if !worker.isDrained() {
 			continue
 		}
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -33,7 +33,7 @@
 	h.t.Helper()
 	h.leader.mu.Lock()
 	defer h.leader.mu.Unlock()
-	return h.leader.workerStatus(h.leader.byName[name])
+	return h.leader.workerStatus(h.leader.registry.byName[name])
 }
 
 // beat lets time pass while the workers send a heartbeat each second.
@@ -175,7 +175,7 @@
 				h.newTerm()
 			}
 			for _, zone := range zones {
-				worker := h.leader.byName["w-"+zone]
+				worker := h.leader.registry.byName["w-"+zone]
 				if want := byConfig[zone] || byOrder[zone]; worker.isDrained() != want || worker.isLeaving() != want {
 					r.Fatalf("worker in %s: drained %v, want %v", zone, worker.isDrained(), want)
 				}
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -2,8 +2,6 @@
 
 import (
 	"log/slog"
-	"slices"
-	"strings"
 	"time"
 
 	"github.com/decklever/decklever/api"
@@ -119,7 +117,7 @@
 func (l *leader) observePace(run *runState, now time.Duration) {
 	estimate := run.spec.Estimate.Std()
 	seenRunning := run.listed && run.progress.StartedAt < run.endSeenAt
-	if worker, known := l.workers[run.workerID]; !known || !l.isPaceComparable(run, worker) {
+	if worker, known := l.registry.byID[run.workerID]; !known || !l.isPaceComparable(run, worker) {
 		return
 	}
 	if run.assignedAt == 0 || !seenRunning || estimate <= 0 || run.progress.FirstPercent > maxFreshStartPercent {
@@ -166,8 +164,8 @@
 	for _, run := range l.runs {
 		l.stopIfStalled(run, now)
 	}
-	for _, change := range l.health.tracker.Review(now, l.reviewedWorkers()) {
-		l.applyHealthChange(l.workers[change.WorkerID], change, now)
+	for _, change := range l.health.tracker.Review(now, l.registry.reviewedWorkers()) {
+		l.applyHealthChange(l.registry.byID[change.WorkerID], change, now)
 	}
 }
 
@@ -180,7 +178,7 @@
 	if l.off.Has(featuregate.StallTracking) {
 		return
 	}
-	worker := l.workers[run.workerID]
+	worker := l.registry.byID[run.workerID]
 	stops := l.health.stalls[run.id.Task]
 	bound := run.progress.StallTimeout(run.spec.Estimate.Std(), l.health.fineGrainedQueues[run.queue], stops)
 	if worker.leaseExpired || !run.progress.IsStalled(worker.lastSeen, bound) {
@@ -205,18 +203,6 @@
 	return run.inGang && known && !gang.allStarted()
 }
 
-// reviewedWorkers are the workers that would take work, whatever their health.
-func (l *leader) reviewedWorkers() []workerhealth.ActiveWorker {
-	subjects := make([]workerhealth.ActiveWorker, 0, len(l.byName))
-	for _, worker := range l.byName {
-		if worker.answered() && !worker.leaseExpired && !worker.isLeaving() {
-			subjects = append(subjects, workerhealth.ActiveWorker{ID: worker.info.ID, Services: worker.info.Services})
-		}
-	}
-	slices.SortFunc(subjects, func(a, b workerhealth.ActiveWorker) int { return strings.Compare(a.ID, b.ID) })
-	return subjects
-}
-
 // applyHealthChange takes over a worker's new standing. A suspect worker loses what was
 // not ordered there yet.
 func (l *leader) applyHealthChange(worker *workerEntry, change workerhealth.StatusChange, now time.Duration) {
@@ -228,6 +214,6 @@
 		l.metrics.workersEjected.Inc()
 		l.revokeUnassigned(worker)
 	}
-	l.updatePlannerWorker(worker)
+	l.registry.updatePlannerWorker(worker)
 	l.wake()
 }
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/rpc"
@@ -71,18 +70,19 @@
 	heartbeat := request.Heartbeat
 	now := l.now()
 	l.confirmAgent(request, now)
-	worker, known := l.workers[heartbeat.WorkerID]
+	worker, known := l.registry.byID[heartbeat.WorkerID]
 	if !known {
-		worker = newWorkerEntry(workerInfo(request, l.log.Now()), now)
-		l.workers[heartbeat.WorkerID] = worker
+		worker = l.registry.add(workerInfo(request, l.log.Now()), now)
 	}
 	observed := &observation{request: request, worker: worker, leaseExpirations: worker.leaseExpirations}
-	l.observeHeartbeatGap(worker, now)
+	l.registry.observeHeartbeatGap(worker, now)
 	if worker.observeHeartbeat(heartbeat, now) {
-		l.claimAddress(worker)
-		l.refreshPlannerWorker(worker, now)
+		l.registry.claimAddress(worker)
+		if l.registry.refreshPlannerWorker(worker, now) {
+			l.wake()
+		}
 		worker.recordCheckpoints(heartbeat.Progress)
-		observed.mustRegister = l.mustRegister(worker, workerInfo(request, 0), now)
+		observed.mustRegister = l.registry.mustRegister(worker, workerInfo(request, 0), now)
 		observed.differences = reconcile(worker.runs, heartbeat)
 	} else {
 		l.metrics.heartbeats.WithLabelValues("not_newer").Inc()
@@ -107,19 +107,6 @@
 	}
 }
 
-// mustRegister tells whether the record has to be told of the worker now. A
-// new incarnation waits until the hold of the one before it has lapsed.
-func (l *leader) mustRegister(worker *workerEntry, info record.Worker, now time.Duration) bool {
-	if worker.registered {
-		return !worker.info.SameDescription(&info)
-	}
-	earlier, known := l.byName[info.Name]
-	if !known {
-		return true
-	}
-	return len(earlier.runs) == 0 && now > earlier.leaseExpiresAt
-}
-
 // applyDifferences updates the mirror with what the heartbeat showed.
 func (l *leader) applyDifferences(worker *workerEntry, differences *reconciliation) {
 	now := l.now()
@@ -183,14 +170,16 @@
 		return protocol.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable, Message: "heartbeat was overtaken"}
 	}
 	prompt := len(acknowledged) > 0 || !worker.answered()
-	worker.answer(l.now(), l.leaseDuration(), l.driftMargin())
-	worker.answeredPromptly, worker.leaderStallAtAnswer = prompt, l.leaderStalls.total
-	l.refreshPlannerWorker(worker, l.now())
+	worker.answer(l.now(), l.registry.leaseDuration(), l.registry.driftMargin())
+	worker.answeredPromptly, worker.leaderStallAtAnswer = prompt, l.registry.stalls.total
+	if l.registry.refreshPlannerWorker(worker, l.now()) {
+		l.wake()
+	}
 	answer := api.HeartbeatAnswer{
 		Seq:            worker.seq,
 		Token:          l.token,
-		HoldMillis:     l.leaseDuration().Milliseconds(),
-		IntervalMillis: l.interval(prompt).Milliseconds(),
+		HoldMillis:     l.registry.leaseDuration().Milliseconds(),
+		IntervalMillis: l.registry.interval(prompt).Milliseconds(),
 		Start:          l.startAssignments(ctx, worker),
 		Stop:           l.stopRequests(worker, observed.differences),
 		Acknowledged:   acknowledged,
@@ -257,16 +246,3 @@
 	}
 	return stops
 }
-
-// interval is the pause that workers are told to make between heartbeats.
-func (l *leader) interval(prompt bool) time.Duration {
-	if prompt {
-		return promptInterval
-	}
-	base := l.config.Timings.HeartbeatInterval.Std()
-	if l.off.Has(featuregate.HeartbeatWidening) {
-		return base
-	}
-	scaled := base * time.Duration(len(l.byName)) / workersPerBaseInterval
-	return min(max(base, scaled), max(base, l.leaseDuration()/intervalsPerHold))
-}
--- a/internal/scheduler/places.go
+++ b/internal/scheduler/incarnations.go
@@ -24,44 +24,44 @@
 	return request.Agent + "/" + request.Heartbeat.Place
 }
 
+// hasOpenRuns tells whether a run is open here that is not being closed.
+func (w *workerEntry) hasOpenRuns() bool {
+	for _, run := range w.runs {
+		if !run.closing {
+			return true
+		}
+	}
+	return false
+}
+
 // claimAddress notes a worker that may have proven that it lives.
-func (l *leader) claimAddress(worker *workerEntry) {
+func (r *workerRegistry) claimAddress(worker *workerEntry) {
 	address := worker.info.Address
 	if address == "" || worker.provenAliveAt == 0 {
 		return
 	}
-	if other := l.currentByAddress[address]; other == nil || other.provenAliveAt <= worker.provenAliveAt {
-		l.currentByAddress[address] = worker
+	if other := r.currentByAddress[address]; other == nil || other.provenAliveAt <= worker.provenAliveAt {
+		r.currentByAddress[address] = worker
 	}
 }
 
 // releaseAddress forgets a worker that is not known any more.
-func (l *leader) releaseAddress(worker *workerEntry) {
-	if l.currentByAddress[worker.info.Address] == worker {
-		delete(l.currentByAddress, worker.info.Address)
+func (r *workerRegistry) releaseAddress(worker *workerEntry) {
+	if r.currentByAddress[worker.info.Address] == worker {
+		delete(r.currentByAddress, worker.info.Address)
 	}
 }
 
 // replaced tells that a worker has ended although its hold still stands, as a
 // later incarnation lives in its place, and that this must be acted on.
-func (l *leader) replaced(worker *workerEntry, now time.Duration) bool {
+func (r *workerRegistry) replaced(worker *workerEntry, now time.Duration) bool {
 	if worker.info.Address == "" || worker.leaseExpired && !worker.hasOpenRuns() {
 		return false
 	}
-	current := l.currentByAddress[worker.info.Address]
+	current := r.currentByAddress[worker.info.Address]
 	if current == nil || current == worker || current.provenAliveAt < worker.firstKnownAt {
 		return false
 	}
 	silentSince := max(worker.lastSeen, worker.firstKnownAt)
-	return current.provenAliveAt > worker.provenAliveAt && now-silentSince > replacedAfterIntervals*l.interval(false)
-}
-
-// hasOpenRuns tells whether a run is open here that is not being closed.
-func (w *workerEntry) hasOpenRuns() bool {
-	for _, run := range w.runs {
-		if !run.closing {
-			return true
-		}
-	}
-	return false
+	return current.provenAliveAt > worker.provenAliveAt && now-silentSince > replacedAfterIntervals*r.interval(false)
 }
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/placement"
 	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 )
@@ -53,7 +52,9 @@
 // While no worker is known nothing can be said, and all is let in. Tasks in a
 // row that ask for the same are looked at once.
 func (l *leader) checkFeasible(spec *api.JobSpec) error {
-	workers := l.registeredWorkers()
+	l.mu.Lock()
+	workers := l.registry.registeredWorkers()
+	l.mu.Unlock()
 	if len(workers) == 0 {
 		return nil
 	}
@@ -84,20 +85,6 @@
 	return sameSpread && a.Service == b.Service && a.Resources == b.Resources && maps.Equal(a.Labels, b.Labels)
 }
 
-// registeredWorkers returns the workers that the record knows. The list is made
-// anew after a change of any of them, and never changed once it is made.
-func (l *leader) registeredWorkers() []placement.Worker {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.registered == nil {
-		l.registered = make([]placement.Worker, 0, len(l.byName))
-		for _, worker := range l.byName {
-			l.registered = append(l.registered, worker.plannerWorker(true))
-		}
-	}
-	return l.registered
-}
-
 // getJob reads a job, held until it is final or the wait is over.
 func (l *leader) getJob(ctx context.Context, request protocol.GetJobRequest) (protocol.JobAnswer, error) {
 	status, err := l.status(request.ID, request.Brief)
--- a/internal/scheduler/lastroom_test.go
+++ b/internal/scheduler/lastroom_test.go
@@ -102,7 +102,7 @@
 	if longest > 3*time.Second {
 		t.Errorf("none of the tasks ran for %v", longest)
 	}
-	if standing := h.leader.workers["a-1"].health.State; standing == workerhealth.Healthy {
+	if standing := h.leader.registry.byID["a-1"].health.State; standing == workerhealth.Healthy {
 		t.Errorf("worker a is %s", standing)
 	}
 }
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -40,14 +40,8 @@
 	configChanged chan struct{}
 	// drainedZones are those drained by orders, beside the configuration.
 	drainedZones []string
-	// workers are incarnations by worker id; byName the registered ones.
-	workers map[string]*workerEntry
-	byName  map[string]*workerEntry
-	// currentByAddress are, by place, the incarnations that were last proven to live.
-	currentByAddress map[string]*workerEntry
-	// registered is the list of byName for admission; nil after a change.
-	registered []placement.Worker
-	runs       map[record.RunID]*runState
+	registry     workerRegistry
+	runs         map[record.RunID]*runState
 	// openByTask finds the open run of a task.
 	openByTask map[record.TaskID]*runState
 	// preemptOnOpen are tasks to be stopped once their placement is applied.
@@ -63,7 +57,6 @@
 	startingGangs map[record.StepID]*gangState
 	health        healthReview
 	slo           sloTracker
-	leaderStalls  stallTracker
 	// pendingStarts are the jobs of which nothing was seen to have begun.
 	pendingStarts pendingStarts
 	// submitting are the submissions being committed.
@@ -97,28 +90,27 @@
 }
 
 func newLeader(config leaderConfig) *leader {
+	term := newTerm(config)
 	return &leader{
-		term:             newTerm(config),
-		proposer:         newProposer(),
-		configChanged:    make(chan struct{}),
-		workers:          make(map[string]*workerEntry),
-		byName:           make(map[string]*workerEntry),
-		currentByAddress: make(map[string]*workerEntry),
-		runs:             make(map[record.RunID]*runState),
-		openByTask:       make(map[record.TaskID]*runState),
-		preemptOnOpen:    make(map[record.TaskID]bool),
-		calendar:         calendar{released: make(map[string]time.Time)},
-		waiting:          make(map[record.TaskID]*waitingTask),
-		health:           newHealthReview(),
-		slo:              newSLOTracker(),
-		pendingStarts:    newPendingStarts(),
-		submitting:       newSubmissions(),
-		chains:           make(map[string]objective.CriticalPaths),
-		gangs:            make(map[record.StepID]*gangState),
-		startingGangs:    make(map[record.StepID]*gangState),
-		repeats:          newRepeats(),
-		jobWaiters:       make(map[string]chan struct{}),
-		processes:        make(map[string]*processEntry),
+		term:          term,
+		registry:      newWorkerRegistry(&term),
+		proposer:      newProposer(),
+		configChanged: make(chan struct{}),
+		runs:          make(map[record.RunID]*runState),
+		openByTask:    make(map[record.TaskID]*runState),
+		preemptOnOpen: make(map[record.TaskID]bool),
+		calendar:      calendar{released: make(map[string]time.Time)},
+		waiting:       make(map[record.TaskID]*waitingTask),
+		health:        newHealthReview(),
+		slo:           newSLOTracker(),
+		pendingStarts: newPendingStarts(),
+		submitting:    newSubmissions(),
+		chains:        make(map[string]objective.CriticalPaths),
+		gangs:         make(map[record.StepID]*gangState),
+		startingGangs: make(map[record.StepID]*gangState),
+		repeats:       newRepeats(),
+		jobWaiters:    make(map[string]chan struct{}),
+		processes:     make(map[string]*processEntry),
 	}
 }
 
@@ -150,12 +142,12 @@
 	for worker := range view.Workers() {
 		l.workerRegistered(worker)
 	}
-	holdsUntil := l.startedAt + l.leaseDuration() + l.driftMargin()
+	expiry := l.registry.expiryUnlessAnswered()
 	for open := range view.AllOpenRuns() {
 		run := l.runOpened(open, true)
 		run.openedAt -= time.Duration(view.Clock()-open.PlacedAt) * time.Millisecond
-		if worker, known := l.workers[run.workerID]; known {
-			worker.extendLease(holdsUntil)
+		if worker, known := l.registry.byID[run.workerID]; known {
+			worker.extendLease(expiry)
 		}
 	}
 	for job := range view.Jobs("") {
@@ -171,19 +163,14 @@
 	l.wake()
 }
 
-// leaseDuration is how long an answer lets a worker run on.
-func (l *leader) leaseDuration() time.Duration { return l.config.Timings.Hold.Std() }
-
-func (l *leader) driftMargin() time.Duration { return l.config.Timings.DriftMargin.Std() }
-
 // tick looks at holds, drains, bookings and timed starts.
 func (l *leader) tick() {
 	clusterNow := l.log.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	l.expireLeases(now)
-	l.refreshPlannerWorkers(now)
+	l.registry.expireLeases(now, &l.proposer)
+	l.registry.refreshPlannerWorkers(now)
 	l.revokeOnMissedHeartbeats(now)
 	l.stopDrained(now)
 	l.breakLateGangs(now)
--- a/internal/scheduler/lateness.go
+++ b/internal/scheduler/leaderstalls.go
@@ -60,42 +60,42 @@
 func (l *leader) observeTick() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	late := l.leaderStalls.observeTick(l.now())
+	late := l.registry.stalls.observeTick(l.now())
 	if late == 0 {
 		return
 	}
 	l.metrics.lateSeconds.Add(late.Seconds())
-	if late >= l.interval(false) {
+	if late >= l.registry.interval(false) {
 		l.logger.Warn("leader stood still", slog.Duration("late", late))
 	}
 }
 
-// observeHeartbeatGap takes in a heartbeat that is heard now, before the worker is answered
-// anew. After a prompt answer, and in the first answer of a term, the pause differs.
-func (l *leader) observeHeartbeatGap(worker *workerEntry, now time.Duration) {
-	if !worker.answered() || worker.answeredPromptly || worker.leaseExpired {
-		return
-	}
-	l.leaderStalls.observeHeartbeatGap(now-worker.answeredAt-l.leaderStallSince(worker), l.interval(false))
-}
-
 // leaderStallSince is for how long the leader stood still since it answered the worker.
-func (l *leader) leaderStallSince(worker *workerEntry) time.Duration {
-	return l.leaderStalls.total - worker.leaderStallAtAnswer
+func (r *workerRegistry) leaderStallSince(worker *workerEntry) time.Duration {
+	return r.stalls.total - worker.leaderStallAtAnswer
 }
 
 // heartbeatDelay is for how long the worker could have been heard since its newest
 // answer and was not. While a heartbeat is in work the worker waits for its answer,
 // and is not silent.
-func (l *leader) heartbeatDelay(worker *workerEntry, now time.Duration) time.Duration {
+func (r *workerRegistry) heartbeatDelay(worker *workerEntry, now time.Duration) time.Duration {
 	if !worker.answered() || worker.seq != worker.answeredSeq {
 		return 0
 	}
-	return now - worker.answeredAt - l.leaderStallSince(worker)
+	return now - worker.answeredAt - r.leaderStallSince(worker)
 }
 
 // missesHeartbeats tells whether the worker's next heartbeat is overdue, by the pace at which
 // the others are heard at present.
-func (l *leader) missesHeartbeats(worker *workerEntry, now time.Duration) bool {
-	return l.heartbeatDelay(worker, now) > missedHeartbeatsLimit*l.leaderStalls.expectedHeartbeatGap(l.interval(false))
+func (r *workerRegistry) missesHeartbeats(worker *workerEntry, now time.Duration) bool {
+	return r.heartbeatDelay(worker, now) > missedHeartbeatsLimit*r.stalls.expectedHeartbeatGap(r.interval(false))
+}
+
+// observeHeartbeatGap takes in a heartbeat that is heard now, before the worker is answered
+// anew. After a prompt answer, and in the first answer of a term, the pause differs.
+func (r *workerRegistry) observeHeartbeatGap(worker *workerEntry, now time.Duration) {
+	if !worker.answered() || worker.answeredPromptly || worker.leaseExpired {
+		return
+	}
+	r.stalls.observeHeartbeatGap(now-worker.answeredAt-r.leaderStallSince(worker), r.interval(false))
 }
--- a/internal/scheduler/lateness_test.go
+++ b/internal/scheduler/leaderstalls_test.go
@@ -88,7 +88,7 @@
 	h.submit("k", tasks(4))
 	before := testutil.ToFloat64(h.leader.metrics.runsRevoked)
 	for _, worker := range workers {
-		if h.leader.missesHeartbeats(h.leader.workers[worker.heartbeat.WorkerID], h.now) {
+		if h.leader.registry.missesHeartbeats(h.leader.registry.byID[worker.heartbeat.WorkerID], h.now) {
 			t.Errorf("%s counts as silent at the pace of all", worker.heartbeat.Name)
 		}
 	}
--- a/internal/scheduler/lockstep.go
+++ b/internal/scheduler/lockstep.go
@@ -81,9 +81,9 @@
 	if run.closing || run.stop != record.StopNone {
 		return false
 	}
-	worker := l.workers[run.workerID]
-	within := gangSeenIntervals * l.interval(false)
-	return worker.canTakeWork(now, l.leaseDuration()) && worker.seenWithin(now, within)
+	worker := l.registry.byID[run.workerID]
+	within := gangSeenIntervals * l.registry.interval(false)
+	return worker.canTakeWork(now, l.registry.leaseDuration()) && worker.seenWithin(now, within)
 }
 
 // breakLateGangs sends groups back that did not start whole in time.
@@ -112,7 +112,7 @@
 			continue
 		}
 		for member := range gang.open {
-			l.health.failedWorkers.add(member.Task, l.workers[run.workerID].info.Name)
+			l.health.failedWorkers.add(member.Task, l.registry.byID[run.workerID].info.Name)
 		}
 	}
 }
--- a/internal/scheduler/mirror.go
+++ b/internal/scheduler/mirror.go
@@ -199,13 +199,12 @@
 	}, open.WorkerID)
 	l.runs[run.id] = run
 	l.openByTask[task.ID] = run
-	worker := l.workers[open.WorkerID]
+	worker := l.registry.byID[open.WorkerID]
 	if worker == nil {
 		// The record accepts placements on registered incarnations only, so
 		// this is an older one that the record has replaced since.
-		worker = newWorkerEntry(record.Worker{ID: open.WorkerID, Name: open.Worker}, l.now())
-		worker.extendLease(l.startedAt + l.leaseDuration() + l.driftMargin())
-		l.workers[open.WorkerID] = worker
+		worker = l.registry.add(record.Worker{ID: open.WorkerID, Name: open.Worker}, l.now())
+		worker.extendLease(l.registry.expiryUnlessAnswered())
 	}
 	worker.runs[run.id] = run
 	if run.inGang {
@@ -241,10 +240,10 @@
 	delete(l.runs, run.id)
 	delete(l.openByTask, run.id.Task)
 	l.planner.Release(run.id.Task)
-	worker := l.workers[run.workerID]
+	worker := l.registry.byID[run.workerID]
 	delete(worker.runs, run.id)
 	if len(worker.runs) == 0 && (worker.leaseExpired || !worker.registered) {
-		l.removePlannerWorker(worker)
+		l.registry.removePlannerWorker(worker)
 	}
 	l.observeRunEnd(run, open, outcome)
 	if run.inGang {
@@ -272,69 +271,11 @@
 	}
 }
 
-// workerRegistered takes over what the record knows of a worker. The record
-// replaces an incarnation only when it has no open run.
-func (l *leader) workerRegistered(info *record.Worker) {
-	if earlier, known := l.byName[info.Name]; known && earlier.info.ID != info.ID {
-		earlier.registered = false
-		l.removePlannerWorker(earlier)
-		l.forgetIncarnation(earlier)
-	}
-	worker, known := l.workers[info.ID]
-	if !known {
-		worker = newWorkerEntry(*info, l.now())
-		l.workers[info.ID] = worker
-	}
-	worker.info = *info
-	worker.registered = true
-	l.byName[info.Name] = worker
-	l.registered = nil
-	l.setDrained(worker)
-	l.updatePlannerWorker(worker)
-}
-
-func (l *leader) workerForgotten(info *record.Worker) {
-	worker, known := l.byName[info.Name]
-	if !known || worker.info.ID != info.ID {
-		return
-	}
-	l.removePlannerWorker(worker)
-	delete(l.byName, info.Name)
-	l.registered = nil
-	l.forgetIncarnation(worker)
-}
-
-// forgetIncarnation drops what was observed of an incarnation.
-func (l *leader) forgetIncarnation(worker *workerEntry) {
-	delete(l.workers, worker.info.ID)
-	l.health.tracker.Forget(worker.info.ID)
-	l.releaseAddress(worker)
-}
-
-// updatePlannerWorker brings the planner's picture of a worker up to date.
-func (l *leader) updatePlannerWorker(worker *workerEntry) {
-	if !worker.registered {
-		return
-	}
-	worker.usable = worker.canTakeWork(l.now(), l.leaseDuration())
-	worker.unresponsive = l.isUnresponsive(worker, l.now())
-	worker.inPlanner = true
-	l.planner.SetWorker(worker.plannerWorker(worker.usable))
-}
-
-func (l *leader) removePlannerWorker(worker *workerEntry) {
-	if !worker.inPlanner {
-		return
-	}
-	worker.inPlanner = false
-	worker.usable, worker.unresponsive = false, false
-	l.planner.RemoveWorker(worker.info.ID)
-}
-
 // configChangedTo takes over a configuration.
 func (l *leader) configChangedTo(version uint64, config *api.Config) {
 	orderChanged := l.config != nil && !sameOrder(l.config, config)
 	l.config = config
+	l.registry.timings = &config.Timings
 	l.configVersion = version
 	close(l.configChanged)
 	l.configChanged = make(chan struct{})
@@ -383,3 +324,20 @@
 	}
 	return queue.Priority
 }
+
+// workerRegistered takes over what the record knows of a worker. The record
+// replaces an incarnation only when it has no open run.
+func (l *leader) workerRegistered(info *record.Worker) {
+	worker, earlier := l.registry.register(info)
+	if earlier != nil {
+		l.health.tracker.Forget(earlier.info.ID)
+	}
+	l.setDrained(worker)
+	l.registry.updatePlannerWorker(worker)
+}
+
+func (l *leader) workerForgotten(info *record.Worker) {
+	if l.registry.forget(info) {
+		l.health.tracker.Forget(info.ID)
+	}
+}
--- a/internal/scheduler/silence.go
+++ b/internal/scheduler/missedheartbeats.go
@@ -15,47 +15,25 @@
 // names it, so that work does not go round for long where heartbeats are slow.
 const maxRevocations = 3
 
-// isUnresponsive tells whether an order to the worker would probably come late: it is
-// silent, or the newest answer that it can tell of did not arrive. Such a worker
-// gets work last.
-func (l *leader) isUnresponsive(worker *workerEntry, now time.Duration) bool {
-	if l.off.Has(featuregate.UnresponsiveWorkersLast) {
-		return false
-	}
-	return worker.registered && (worker.answerMissed || l.missesHeartbeats(worker, now))
-}
-
 // revokeOnMissedHeartbeats closes the runs on silent workers that no order has named,
 // while most workers are heard. They surely never start there, so nothing need be
 // waited for, and their tasks can run elsewhere long before the hold lapses. It is
 // done once for each silence: what is placed there afterwards found no room
 // elsewhere. A member of a group stays, since its loss would send the group back.
 func (l *leader) revokeOnMissedHeartbeats(now time.Duration) {
-	if l.off.Has(featuregate.RevokeOnMissedHeartbeats) || !l.mostWorkersRespond(now) {
+	if l.off.Has(featuregate.RevokeOnMissedHeartbeats) || !l.registry.mostWorkersRespond(now) {
 		return
 	}
-	for _, worker := range l.workers {
-		if worker.missedHeartbeatsSince == worker.answeredAt || !l.missesHeartbeats(worker, now) {
+	for _, worker := range l.registry.byID {
+		if worker.missedHeartbeatsSince == worker.answeredAt || !l.registry.missesHeartbeats(worker, now) {
 			continue
 		}
 		worker.missedHeartbeatsSince = worker.answeredAt
 		if revoked := l.revokeUnassignedOutsideGangs(worker); revoked > 0 {
 			l.logger.Info("runs withdrawn from a silent worker", slog.String("worker", worker.info.Name),
-				slog.Int("runs", revoked), slog.Duration("silent", l.heartbeatDelay(worker, now)))
-		}
-	}
-}
-
-// mostWorkersRespond reports whether at least half of the workers would take an order
-// soon. They would not after a pause of this process itself.
-func (l *leader) mostWorkersRespond(now time.Duration) bool {
-	heard := 0
-	for _, worker := range l.byName {
-		if worker.canTakeWork(now, l.leaseDuration()) && !l.isUnresponsive(worker, now) {
-			heard++
+				slog.Int("runs", revoked), slog.Duration("silent", l.registry.heartbeatDelay(worker, now)))
 		}
 	}
-	return heard > 0 && 2*heard >= len(l.byName)
 }
 
 // revokeUnassignedOutsideGangs closes the runs of a worker that were never ordered, belong to no
@@ -72,3 +50,25 @@
 	}
 	return revoked
 }
+
+// isUnresponsive tells whether an order to the worker would probably come late: it is
+// silent, or the newest answer that it can tell of did not arrive. Such a worker
+// gets work last.
+func (r *workerRegistry) isUnresponsive(worker *workerEntry, now time.Duration) bool {
+	if r.off.Has(featuregate.UnresponsiveWorkersLast) {
+		return false
+	}
+	return worker.registered && (worker.answerMissed || r.missesHeartbeats(worker, now))
+}
+
+// mostWorkersRespond reports whether at least half of the workers would take an order
+// soon. They would not after a pause of this process itself.
+func (r *workerRegistry) mostWorkersRespond(now time.Duration) bool {
+	heard := 0
+	for _, worker := range r.byName {
+		if worker.canTakeWork(now, r.leaseDuration()) && !r.isUnresponsive(worker, now) {
+			heard++
+		}
+	}
+	return heard > 0 && 2*heard >= len(r.byName)
+}
--- a/internal/scheduler/refusedends_test.go
+++ b/internal/scheduler/refusedends_test.go
@@ -101,7 +101,7 @@
 	}
 	worker.exchange()
 	listed := worker.heartbeat
-	seq := h.leader.workers["w-1"].seq
+	seq := h.leader.registry.byID["w-1"].seq
 	worker.heartbeat.Running = nil // "goes-on" is in neither list
 	worker.heartbeat.Ended = []api.EndedRun{{RunRef: listed.Running[0], Outcome: api.OutcomeSucceeded}}
 	worker.heartbeat.Draining = true
@@ -114,7 +114,7 @@
 		t.Errorf("%d ends wait to be committed, want the one", queued)
 	}
 	h.settle()
-	entry := h.leader.workers["w-1"]
+	entry := h.leader.registry.byID["w-1"]
 	if entry.draining || entry.seq != seq {
 		t.Errorf("conclusions from a refused heartbeat: draining %t, seq %d", entry.draining, entry.seq)
 	}
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -78,7 +78,7 @@
 func (l *leader) observeEnds(request protocol.HeartbeatRequest) reports {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	worker, known := l.workers[request.Heartbeat.WorkerID]
+	worker, known := l.registry.byID[request.Heartbeat.WorkerID]
 	if !known {
 		worker = newWorkerEntry(workerInfo(request, 0), l.now())
 	}
--- a/internal/scheduler/reports_test.go
+++ b/internal/scheduler/reports_test.go
@@ -50,7 +50,7 @@
 	worker := h.worker("w", "w-1")
 	worker.heartbeat.Seq++
 	_, _ = h.deliver(gone, worker.heartbeat) // nobody reads the answer
-	if !h.leader.workers["w-1"].registered {
+	if !h.leader.registry.byID["w-1"].registered {
 		t.Error("not registered")
 	}
 }
@@ -70,7 +70,7 @@
 		t.Errorf("a late heartbeat was answered: %+v", answer)
 	}
 	h.wantState("j", api.StateSucceeded)
-	entry := h.leader.workers["w-1"]
+	entry := h.leader.registry.byID["w-1"]
 	if entry.draining || entry.seq != worker.heartbeat.Seq {
 		t.Errorf("conclusions from a late heartbeat: draining %t, seq %d", entry.draining, entry.seq)
 	}
@@ -254,7 +254,7 @@
 	worker.exchange()
 	h.submit("j", tasks(1))
 	h.now += testHold + testMargin + time.Millisecond
-	entry := h.leader.workers["w-1"]
+	entry := h.leader.registry.byID["w-1"]
 	h.leader.mu.Lock()
 	entry.expireLease()
 	h.leader.mu.Unlock()
--- a/internal/scheduler/statemetrics.go
+++ b/internal/scheduler/statemetrics.go
@@ -56,7 +56,7 @@
 	}
 	current.mu.Lock()
 	defer current.mu.Unlock()
-	gauge(c.workers, len(current.workers))
+	gauge(c.workers, len(current.registry.byID))
 	gauge(c.openRuns, len(current.runs))
 	gauge(c.watchers, len(current.processes))
 }
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -20,7 +20,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	list := api.WorkerList{Workers: []api.WorkerStatus{}}
-	for _, worker := range l.workers {
+	for _, worker := range l.registry.byID {
 		list.Workers = append(list.Workers, l.workerStatus(worker))
 	}
 	slices.SortFunc(list.Workers, func(a, b api.WorkerStatus) int {
@@ -31,12 +31,12 @@
 
 func (l *leader) workerStatus(worker *workerEntry) api.WorkerStatus {
 	now := l.now()
-	state, reason := worker.state(now, l.leaseDuration())
+	state, reason := worker.state(now, l.registry.leaseDuration())
 	status := api.WorkerStatus{
 		Name: worker.info.Name, WorkerID: worker.info.ID, Zone: worker.info.Zone,
 		State: state, Reason: reason,
 		Capacity: worker.info.Capacity, Services: append([]string{}, worker.info.Services...), Labels: worker.info.Labels,
-		Runs: len(worker.runs), SilentMillis: l.sinceLastSeen(worker, now).Milliseconds(),
+		Runs: len(worker.runs), SilentMillis: l.registry.sinceLastSeen(worker, now).Milliseconds(),
 	}
 	for _, run := range worker.runs {
 		status.Used = status.Used.Add(run.spec.Resources)
