--- a/internal/scheduler/lockstep.go
+++ b/internal/scheduler/commonoutcome.go
@@ -81,7 +81,7 @@
 	if run.closing || run.stop != record.StopNone {
 		return false
 	}
-	worker := l.registry.byID[run.workerID]
+	worker := run.worker
 	within := gangSeenIntervals * l.registry.interval(false)
 	return worker.canTakeWork(now, l.registry.leaseDuration()) && worker.seenWithin(now, within)
 }
@@ -112,7 +112,7 @@
 			continue
 		}
 		for member := range gang.open {
-			l.health.failedWorkers.add(member.Task, l.registry.byID[run.workerID].info.Name)
+			l.health.failedWorkers.add(member.Task, run.worker.info.Name)
 		}
 	}
 }
--- a/internal/scheduler/contradictions.go
+++ b/internal/scheduler/conflicts.go
@@ -40,7 +40,7 @@
 	}
 	for _, reference := range differences.unwanted {
 		id, ok := parseRun(reference)
-		if open, elsewhere := l.runs[id]; ok && elsewhere && open.workerID != worker.info.ID {
+		if open, elsewhere := l.runs[id]; ok && elsewhere && open.worker != worker {
 			l.logConflict(worker, id, "a run goes on that is open on another worker")
 		}
 	}
--- a/internal/scheduler/mirror.go
+++ b/internal/scheduler/eventhandlers.go
@@ -108,9 +108,6 @@
 		due:         task.NotBefore == 0,
 	}
 	l.health.advise(&entry.task, task)
-	if l.off.Has(featuregate.FailedWorkerAvoidance) {
-		entry.task.Avoid = nil
-	}
 	entry.urgency.apply(l.objectiveOf(job.Spec.Queue))
 	l.updateRank(entry, l.log.Now())
 	l.waiting[task.ID] = entry
@@ -182,7 +179,6 @@
 		stepSize:      len(task.Step.Tasks),
 		inGang:        task.Step.IsGang(),
 		sharesOutcome: task.Step.Spec.Lockstep,
-		workerID:      open.WorkerID,
 		openedAt:      l.now(),
 		queue:         task.Step.Job.Spec.Queue,
 		inherited:     inherited,
@@ -206,6 +202,7 @@
 		worker = l.registry.add(record.Worker{ID: open.WorkerID, Name: open.Worker}, l.now())
 		worker.extendLease(l.registry.expiryUnlessAnswered())
 	}
+	run.worker = worker
 	worker.runs[run.id] = run
 	if run.inGang {
 		l.gangRunOpened(run, open)
@@ -240,12 +237,12 @@
 	delete(l.runs, run.id)
 	delete(l.openByTask, run.id.Task)
 	l.planner.Release(run.id.Task)
-	worker := l.registry.byID[run.workerID]
+	worker := run.worker
 	delete(worker.runs, run.id)
 	if len(worker.runs) == 0 && (worker.leaseExpired || !worker.registered) {
 		l.registry.removePlannerWorker(worker)
 	}
-	l.observeRunEnd(run, open, outcome)
+	l.health.observeRunEnd(run, open, outcome)
 	if run.inGang {
 		l.gangRunClosed(run, outcome, open.Task.Step)
 	}
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/healthreview.go
@@ -24,6 +24,7 @@
 // healthReview is what a leader has learned of workers and of how work goes on. It
 // lives in memory: a new leader starts afresh.
 type healthReview struct {
+	*environment
 	tracker    *workerhealth.Tracker
 	reviewedAt time.Duration
 	// fineGrainedQueues marks the queues whose runs report percents in small steps.
@@ -37,8 +38,9 @@
 	failedWorkers failedWorkers
 }
 
-func newHealthReview() healthReview {
+func newHealthReview(environment *environment) healthReview {
 	return healthReview{
+		environment:       environment,
 		tracker:           workerhealth.New(),
 		fineGrainedQueues: make(map[string]bool),
 		stalls:            make(map[record.TaskID]int),
@@ -66,6 +68,9 @@
 // attempt may not.
 func (h *healthReview) advise(planned *placement.Task, task *record.Task) {
 	planned.Avoid = h.failedWorkers.of(task)
+	if h.off.Has(featuregate.FailedWorkerAvoidance) {
+		planned.Avoid = nil
+	}
 	hasAttempts := task.Spec.UntilCancelled || task.Failures+1 < task.AllowedFailures
 	estimate := task.Spec.Estimate.Std()
 	planned.AllowsProbation = hasAttempts && !task.Step.IsGang()
@@ -73,7 +78,7 @@
 }
 
 // observeProgress takes in how far the runs of a worker say that they are.
-func (l *leader) observeProgress(worker *workerEntry, reports []api.RunProgress, now time.Duration) {
+func (h *healthReview) observeProgress(worker *workerEntry, reports []api.RunProgress, now time.Duration) {
 	for _, report := range reports {
 		id, ok := parseRun(report.RunRef)
 		run, open := worker.runs[id]
@@ -84,29 +89,29 @@
 			continue
 		}
 		if run.progress.IsFineGrained() {
-			l.health.fineGrainedQueues[run.queue] = true
+			h.fineGrainedQueues[run.queue] = true
 		}
-		if !l.isPaceComparable(run, worker) {
+		if !h.isPaceComparable(run) {
 			continue
 		}
 		ratio := run.progress.DurationRatio(run.spec.Estimate.Std())
-		l.health.tracker.ObservePace(run.workerID, workerhealth.RunPace{Run: id, Queue: run.queue, StepSize: l.comparisonStepSize(run), Ratio: ratio}, now)
+		h.tracker.ObservePace(run.worker.info.ID, workerhealth.RunPace{Run: id, Queue: run.queue, StepSize: h.comparisonStepSize(run), Ratio: ratio}, now)
 	}
 }
 
 // observeRunEnd learns from the end of a run.
-func (l *leader) observeRunEnd(run *runState, open *record.Run, outcome api.Outcome) {
-	now := l.now()
+func (h *healthReview) observeRunEnd(run *runState, open *record.Run, outcome api.Outcome) {
+	now := h.now()
 	switch {
 	case outcome == api.OutcomeSucceeded:
-		l.health.tracker.ObserveSuccess(run.workerID, run.id.Task, now)
-		l.observePace(run, now)
+		h.tracker.ObserveSuccess(run.worker.info.ID, run.id.Task, now)
+		h.observePace(run, now)
 	case open.Stop == record.StopStalled:
-		l.health.failedWorkers.add(run.id.Task, open.Worker)
+		h.failedWorkers.add(run.id.Task, open.Worker)
 	case outcome == api.OutcomeFailed && open.Stop == record.StopNone:
-		l.health.failedWorkers.add(run.id.Task, open.Worker)
-		if !l.off.Has(featuregate.OutlierEjection) {
-			l.health.tracker.ObserveFailure(run.workerID, run.id.Task, now)
+		h.failedWorkers.add(run.id.Task, open.Worker)
+		if !h.off.Has(featuregate.OutlierEjection) {
+			h.tracker.ObserveFailure(run.worker.info.ID, run.id.Task, now)
 		}
 	}
 }
@@ -114,31 +119,31 @@
 // observePace takes in the whole time of a run that this leader ordered, from its
 // order until its end was heard. One that was not seen running before its end
 // tells nothing: most of that time may be the wait for a heartbeat.
-func (l *leader) observePace(run *runState, now time.Duration) {
+func (h *healthReview) observePace(run *runState, now time.Duration) {
 	estimate := run.spec.Estimate.Std()
 	seenRunning := run.listed && run.progress.StartedAt < run.endSeenAt
-	if worker, known := l.registry.byID[run.workerID]; !known || !l.isPaceComparable(run, worker) {
+	if !h.isPaceComparable(run) {
 		return
 	}
 	if run.assignedAt == 0 || !seenRunning || estimate <= 0 || run.progress.FirstPercent > maxFreshStartPercent {
 		return
 	}
 	ratio := float64(run.endSeenAt-run.assignedAt) / float64(estimate)
-	pace := workerhealth.RunPace{Run: run.id, Queue: run.queue, StepSize: l.comparisonStepSize(run), Ratio: ratio, Ended: true}
-	l.health.tracker.ObservePace(run.workerID, pace, now)
+	pace := workerhealth.RunPace{Run: run.id, Queue: run.queue, StepSize: h.comparisonStepSize(run), Ratio: ratio, Ended: true}
+	h.tracker.ObservePace(run.worker.info.ID, pace, now)
 }
 
 // isPaceComparable reports whether the run's time says something about its worker. One away
 // from what its task prefers may take a multiple of its time on a sound worker, and one
 // of a group in lockstep waits for the others.
-func (l *leader) isPaceComparable(run *runState, worker *workerEntry) bool {
-	return !l.off.Has(featuregate.SlowTracking) && !run.sharesOutcome && hasAll(worker.info.Labels, run.spec.Prefer)
+func (h *healthReview) isPaceComparable(run *runState) bool {
+	return !h.off.Has(featuregate.SlowTracking) && !run.sharesOutcome && hasAll(run.worker.info.Labels, run.spec.Prefer)
 }
 
 // comparisonStepSize is the size of the step whose runs the run is compared with; 0 if it is
 // compared with its queue's.
-func (l *leader) comparisonStepSize(run *runState) int {
-	if l.off.Has(featuregate.SiblingPace) {
+func (h *healthReview) comparisonStepSize(run *runState) int {
+	if h.off.Has(featuregate.SiblingPace) {
 		return 0
 	}
 	return run.stepSize
@@ -154,46 +159,56 @@
 	return true
 }
 
-// reviewHealth stops runs that stand still, and holds back workers on which work
-// fails, stands still or crawls.
-func (l *leader) reviewHealth(now time.Duration) {
-	if now-l.health.reviewedAt < reviewInterval {
-		return
-	}
-	l.health.reviewedAt = now
-	for _, run := range l.runs {
-		l.stopIfStalled(run, now)
-	}
-	for _, change := range l.health.tracker.Review(now, l.registry.reviewedWorkers()) {
-		l.applyHealthChange(l.registry.byID[change.WorkerID], change, now)
+// isDue reports whether a review is due, and if so counts it as done now.
+func (h *healthReview) isDue(now time.Duration) bool {
+	if now-h.reviewedAt < reviewInterval {
+		return false
 	}
+	h.reviewedAt = now
+	return true
 }
 
-// stopIfStalled stops a run that stands still, so that its task runs elsewhere.
-// That is no failure of the task.
-func (l *leader) stopIfStalled(run *runState, now time.Duration) {
-	if !run.listed || run.closing || run.stop != record.StopNone || run.spec.UntilCancelled || l.waitsForGang(run) {
-		return
+// mustStopStalled decides whether a run stands still, and counts it: it is to be
+// stopped, so that its task runs elsewhere. That is no failure of the task.
+func (h *healthReview) mustStopStalled(run *runState, now time.Duration) bool {
+	if !run.listed || run.closing || run.stop != record.StopNone || run.spec.UntilCancelled {
+		return false
 	}
-	if l.off.Has(featuregate.StallTracking) {
-		return
+	if h.off.Has(featuregate.StallTracking) {
+		return false
 	}
-	worker := l.registry.byID[run.workerID]
-	stops := l.health.stalls[run.id.Task]
-	bound := run.progress.StallTimeout(run.spec.Estimate.Std(), l.health.fineGrainedQueues[run.queue], stops)
+	worker := run.worker
+	stops := h.stalls[run.id.Task]
+	bound := run.progress.StallTimeout(run.spec.Estimate.Std(), h.fineGrainedQueues[run.queue], stops)
 	if worker.leaseExpired || !run.progress.IsStalled(worker.lastSeen, bound) {
-		return
+		return false
 	}
-	l.logger.Warn("run stands still", slog.String("task", run.id.Task.String()),
+	h.logger.Warn("run stands still", slog.String("task", run.id.Task.String()),
 		slog.Uint64("number", uint64(run.id.Number)), slog.String("worker", worker.info.Name),
 		slog.Int("percent", run.progress.Percent), slog.Duration("quiet", worker.lastSeen-run.progress.AdvancedAt))
-	l.health.stalls[run.id.Task]++
-	l.metrics.runsStalled.Inc()
-	if !run.inGang && !l.off.Has(featuregate.OutlierEjection) {
+	h.stalls[run.id.Task]++
+	h.metrics.runsStalled.Inc()
+	if !run.inGang && !h.off.Has(featuregate.OutlierEjection) {
 		// Members of a group may wait for one of them: none is to blame alone.
-		l.health.tracker.ObserveStall(run.workerID, run.id.Task, now)
+		h.tracker.ObserveStall(run.worker.info.ID, run.id.Task, now)
+	}
+	return true
+}
+
+// reviewHealth stops runs that stand still, and holds back workers on which work
+// fails, stands still or crawls.
+func (l *leader) reviewHealth(now time.Duration) {
+	if !l.health.isDue(now) {
+		return
+	}
+	for _, run := range l.runs {
+		if !l.waitsForGang(run) && l.health.mustStopStalled(run, now) {
+			l.proposer.enqueueStop(run, record.StopStalled)
+		}
+	}
+	for _, change := range l.health.tracker.Review(now, l.registry.reviewedWorkers()) {
+		l.applyHealthChange(l.registry.byID[change.WorkerID], change, now)
 	}
-	l.proposer.enqueueStop(run, record.StopStalled)
 }
 
 // waitsForGang reports whether the run's group has not started whole: its
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -92,7 +92,7 @@
 	l.quarantineConflicts(worker, &observed.differences)
 	l.applyDifferences(worker, &observed.differences)
 	if !observed.late {
-		l.observeProgress(worker, heartbeat.Progress, now)
+		l.health.observeProgress(worker, heartbeat.Progress, now)
 	}
 	observed.reports = l.classifyReports(&observed.differences)
 	return observed
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -101,7 +101,7 @@
 		preemptOnOpen: make(map[record.TaskID]bool),
 		calendar:      calendar{released: make(map[string]time.Time)},
 		waiting:       make(map[record.TaskID]*waitingTask),
-		health:        newHealthReview(),
+		health:        newHealthReview(term.environment),
 		slo:           newSLOTracker(),
 		pendingStarts: newPendingStarts(),
 		submitting:    newSubmissions(),
@@ -146,9 +146,7 @@
 	for open := range view.AllOpenRuns() {
 		run := l.runOpened(open, true)
 		run.openedAt -= time.Duration(view.Clock()-open.PlacedAt) * time.Millisecond
-		if worker, known := l.registry.byID[run.workerID]; known {
-			worker.extendLease(expiry)
-		}
+		run.worker.extendLease(expiry)
 	}
 	for job := range view.Jobs("") {
 		l.repeats.add(job)
--- a/internal/scheduler/reports_test.go
+++ b/internal/scheduler/reports_test.go
@@ -118,7 +118,7 @@
 func TestReports_LateSuccessRevokesUnassignedRun(t *testing.T) {
 	h := newHarness(t)
 	silent, other := h.expiredWorker()
-	if open := h.leader.openByTask[testTask()]; open == nil || open.workerID != "o-1" || open.assignedSeq != 0 {
+	if open := h.leader.openByTask[testTask()]; open == nil || open.worker.info.ID != "o-1" || open.assignedSeq != 0 {
 		t.Fatalf("want the task placed anew and not ordered, got %+v", open)
 	}
 	if answer := silent.exchange(); len(answer.Acknowledged) != 1 {
--- a/internal/scheduler/workerentry.go
+++ b/internal/scheduler/workerentry.go
@@ -75,7 +75,8 @@
 	stepSize      int
 	inGang        bool
 	sharesOutcome bool
-	workerID      string
+	// worker is where the run is open.
+	worker *workerEntry
 	// openedAt is when the run was placed.
 	openedAt time.Duration
 	queue    string
