--- a/internal/scheduler/commonoutcome_test.go
+++ b/internal/scheduler/commonoutcome_test.go
@@ -139,7 +139,7 @@
 	first.exchange()
 	second.exchange()
 	h.advance(gangStartTimeout)
-	if answer := first.exchange(); len(answer.Stop) != 0 || len(h.leader.startingGangs) != 0 {
+	if answer := first.exchange(); len(answer.Stop) != 0 || len(h.leader.gangs.starting) != 0 {
 		t.Errorf("a whole group was broken: %+v", answer)
 	}
 }
@@ -233,7 +233,7 @@
 		gang.Lockstep = true
 		h.submit("g", gang)
 		whole := func() bool {
-			state := h.leader.gangs[record.StepID{Job: "g", Step: "s"}]
+			state := h.leader.gangs.byStep[record.StepID{Job: "g", Step: "s"}]
 			return len(state.open) == 8 && state.allStarted()
 		}
 		var took time.Duration
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -82,7 +82,7 @@
 		}
 	}
 	if step.IsGang() {
-		l.loadGang(step)
+		l.gangs.load(step)
 	}
 }
 
@@ -113,7 +113,7 @@
 	l.waiting[task.ID] = entry
 	l.countWaiting(entry)
 	if task.Step.IsGang() {
-		l.joinGang(entry, task.Step)
+		l.gangs.join(entry, task.Step)
 	}
 	if !entry.due {
 		l.timers.add(entry.notBefore, task.ID)
@@ -125,8 +125,8 @@
 // offer lets the planner place a task that is due. Members of a group go
 // through the group, which offers them together.
 func (l *leader) offer(entry *waitingTask) {
-	if gang, isGang := l.gangs[entry.step]; isGang {
-		l.offerGang(gang)
+	if gang := l.gangs.find(entry.step); gang != nil {
+		l.gangs.offer(gang)
 		return
 	}
 	if !entry.placing {
@@ -162,9 +162,7 @@
 	delete(l.preemptOnOpen, task.ID)
 	l.planner.Remove(task.ID)
 	l.planner.Release(task.ID)
-	if gang, isGang := l.gangs[entry.step]; isGang {
-		l.leaveGang(gang, task)
-	}
+	l.gangs.leave(entry.step, task)
 }
 
 // runOpened mirrors an open run. inherited tells that it was placed under an
@@ -205,7 +203,7 @@
 	run.worker = worker
 	worker.runs[run.id] = run
 	if run.inGang {
-		l.gangRunOpened(run, open)
+		l.gangs.runOpened(run, open)
 	}
 	if worker.isLeaving() {
 		l.proposer.closeIfNeverAssigned(run)
@@ -225,7 +223,7 @@
 	run.stop = open.Stop
 	l.proposer.closeIfNeverAssigned(run)
 	if run.inGang {
-		l.gangRunStopping(run, open.Task.Step)
+		l.gangs.runStopping(run, open.Task.Step)
 	}
 }
 
@@ -244,7 +242,7 @@
 	}
 	l.health.observeRunEnd(run, open, outcome)
 	if run.inGang {
-		l.gangRunClosed(run, outcome, open.Task.Step)
+		l.gangs.runClosed(run, outcome, open.Task.Step)
 	}
 	l.metrics.runsClosed.WithLabelValues(string(outcome)).Inc()
 }
@@ -264,7 +262,7 @@
 func (l *leader) stepsEnded(steps []*record.Step) {
 	l.health.forgetSteps(steps)
 	for _, step := range steps {
-		l.dropGang(step)
+		l.gangs.drop(step)
 	}
 }
 
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -5,10 +5,42 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement"
 	"github.com/decklever/decklever/internal/record"
 )
 
-// gangState follows a step whose tasks must start together.
+// taskQueue is the planner's queue of tasks that wait.
+type taskQueue interface {
+	Add(task placement.Task)
+	Remove(task record.TaskID)
+}
+
+// workerResponsiveness tells whether a worker can be expected to take an assignment
+// within about a heartbeat interval.
+type workerResponsiveness interface {
+	respondsSoon(worker *workerEntry, now time.Duration) bool
+}
+
+// workerFailures takes in that a task had better run elsewhere than on a worker.
+type workerFailures interface {
+	add(task record.TaskID, worker string)
+}
+
+// gangs follows the steps whose tasks must start together. It offers their members
+// to the planner, and has those that started without the others stopped.
+type gangs struct {
+	*environment
+	byStep map[record.StepID]*gangState
+	// starting are the gangs with a common outcome not all of whose members have
+	// started.
+	starting map[record.StepID]*gangState
+	planner  taskQueue
+	ends     runEnder
+	workers  workerResponsiveness
+	failures workerFailures
+}
+
+// gangState is one gang.
 type gangState struct {
 	key record.StepID
 	// size is the number of members that must be placed together, 0 if one may
@@ -16,21 +48,33 @@
 	size int
 	// ready are the members that wait; open the open runs, with true for
 	// those that were seen started.
-	ready map[record.TaskID]bool
-	open  map[record.RunID]bool
+	ready map[record.TaskID]*waitingTask
+	open  map[*runState]bool
 	// broken is true from the loss of a member before all had started until
 	// no member has an open run: none may be placed meanwhile.
 	broken bool
-	// sharesOutcome is set for a group that is one for its whole life. startBy is when
-	// all its members must have started, and released is true once their orders
-	// are given out.
+	// sharesOutcome is set for a gang that is one for its whole life. startBy is when
+	// all its members must have started, and assignmentsReleased is true once their
+	// assignments are given out.
 	sharesOutcome       bool
 	startBy             time.Duration
 	assignmentsReleased bool
 }
 
-func (g *gangState) allStarted() bool {
-	for _, started := range g.open {
+func newGangs(term *term, ends runEnder, workers workerResponsiveness, failures workerFailures) gangs {
+	return gangs{
+		environment: term.environment,
+		byStep:      make(map[record.StepID]*gangState),
+		starting:    make(map[record.StepID]*gangState),
+		planner:     term.planner,
+		ends:        ends,
+		workers:     workers,
+		failures:    failures,
+	}
+}
+
+func (s *gangState) allStarted() bool {
+	for _, started := range s.open {
 		if !started {
 			return false
 		}
@@ -38,36 +82,58 @@
 	return true
 }
 
-func (l *leader) gang(key record.StepID) *gangState {
-	gang, known := l.gangs[key]
+// isDue tells whether the members that wait may be offered now.
+func (s *gangState) isDue() bool {
+	if s.size > 0 && len(s.ready) != s.size {
+		return false
+	}
+	for _, entry := range s.ready {
+		if !entry.due {
+			return false
+		}
+	}
+	return true
+}
+
+// find returns the gang of a step; nil if it is none.
+func (g *gangs) find(key record.StepID) *gangState { return g.byStep[key] }
+
+// gang returns the gang of a step, which is added if it is not known.
+func (g *gangs) gang(key record.StepID) *gangState {
+	gang, known := g.byStep[key]
 	if !known {
-		gang = &gangState{key: key, ready: make(map[record.TaskID]bool), open: make(map[record.RunID]bool)}
-		l.gangs[key] = gang
+		gang = &gangState{key: key, ready: make(map[record.TaskID]*waitingTask), open: make(map[*runState]bool)}
+		g.byStep[key] = gang
 	}
 	return gang
 }
 
-func (l *leader) joinGang(entry *waitingTask, step *record.Step) {
-	gang := l.gang(entry.step)
-	gang.ready[entry.task.ID] = true
+// join adds a member that begins to wait.
+func (g *gangs) join(entry *waitingTask, step *record.Step) {
+	gang := g.gang(entry.step)
+	gang.ready[entry.task.ID] = entry
 	gang.size = step.GangSize()
 }
 
-func (l *leader) leaveGang(gang *gangState, task *record.Task) {
+// leave removes a member that no longer waits and was not placed.
+func (g *gangs) leave(step record.StepID, task *record.Task) {
+	gang := g.find(step)
+	if gang == nil {
+		return
+	}
 	delete(gang.ready, task.ID)
 	gang.size = task.Step.GangSize()
-	l.offerGang(gang)
+	g.offer(gang)
 }
 
-// offerGang lets the planner place the members that wait: all together, or
-// each alone once the group has started whole.
-func (l *leader) offerGang(gang *gangState) {
-	if gang.broken || !l.gangDue(gang) {
-		l.withholdGang(gang)
+// offer lets the planner place the members that wait: all together, or each alone
+// once the gang has started whole.
+func (g *gangs) offer(gang *gangState) {
+	if gang.broken || !gang.isDue() {
+		g.withhold(gang)
 		return
 	}
-	for id := range gang.ready {
-		entry := l.waiting[id]
+	for id, entry := range gang.ready {
 		if entry.placing {
 			continue
 		}
@@ -76,98 +142,87 @@
 			task.Gang = gang.key.String()
 			task.GangSize = gang.size
 		}
-		l.planner.Remove(id)
-		l.planner.Add(task)
+		g.planner.Remove(id)
+		g.planner.Add(task)
 	}
 }
 
-// gangDue tells whether the members that wait may be offered now.
-func (l *leader) gangDue(gang *gangState) bool {
-	if gang.size > 0 && len(gang.ready) != gang.size {
-		return false
-	}
+func (g *gangs) withhold(gang *gangState) {
 	for id := range gang.ready {
-		if !l.waiting[id].due {
-			return false
-		}
+		g.planner.Remove(id)
 	}
-	return true
 }
 
-func (l *leader) withholdGang(gang *gangState) {
-	for id := range gang.ready {
-		l.planner.Remove(id)
-	}
-}
-
-func (l *leader) gangRunOpened(run *runState, open *record.Run) {
-	gang := l.gang(run.step)
+// runOpened takes in that a member was placed.
+func (g *gangs) runOpened(run *runState, open *record.Run) {
+	gang := g.gang(run.step)
 	delete(gang.ready, run.id.Task)
-	gang.open[run.id] = false
+	gang.open[run] = false
 	gang.size = open.Task.Step.GangSize()
 	if run.sharesOutcome {
-		l.commonOutcomeRunOpened(gang, run, open)
+		g.commonOutcomeRunOpened(gang, run, open)
 	}
 }
 
-func (l *leader) gangRunStopping(run *runState, step *record.Step) {
-	gang := l.gang(run.step)
+// runStopping takes in that a member is being stopped.
+func (g *gangs) runStopping(run *runState, step *record.Step) {
+	gang := g.gang(run.step)
 	gang.size = step.GangSize()
-	l.offerGang(gang)
+	g.offer(gang)
 }
 
-func (l *leader) gangRunStarted(run *runState) {
-	if gang, known := l.gangs[run.step]; known {
-		gang.open[run.id] = true
-		l.stopWatchingIfStarted(gang)
+// runStarted takes in that a member was seen started.
+func (g *gangs) runStarted(run *runState) {
+	if gang := g.find(run.step); gang != nil {
+		gang.open[run] = true
+		g.stopWatchingIfStarted(gang)
 	}
 }
 
-// gangRunClosed breaks the group if a member was lost before all had started.
-func (l *leader) gangRunClosed(run *runState, outcome api.Outcome, step *record.Step) {
-	gang := l.gang(run.step)
-	whole := gang.allStarted()
-	delete(gang.open, run.id)
+// runClosed breaks the gang if a member was lost before all had started.
+func (g *gangs) runClosed(run *runState, outcome api.Outcome, step *record.Step) {
+	gang := g.gang(run.step)
+	allStarted := gang.allStarted()
+	delete(gang.open, run)
 	gang.size = step.GangSize()
 	lost := outcome == api.OutcomeLost || outcome == api.OutcomeStopped
-	if lost && !whole && len(gang.open) > 0 && !run.sharesOutcome {
-		l.breakGang(gang)
+	if lost && !allStarted && len(gang.open) > 0 && !run.sharesOutcome {
+		g.breakGang(gang)
 	}
 	if len(gang.open) == 0 {
 		gang.broken = false
 	}
 	if run.sharesOutcome {
-		// The record has marked the other members to stop.
-		delete(l.startingGangs, run.step)
+		// The record has the other members stop.
+		delete(g.starting, run.step)
 	}
-	l.offerGang(gang)
+	g.offer(gang)
 }
 
-// breakGang stops the other members, so that the group waits whole.
-func (l *leader) breakGang(gang *gangState) {
+// breakGang stops the other members, so that the gang waits whole.
+func (g *gangs) breakGang(gang *gangState) {
 	if gang.broken {
 		return
 	}
 	gang.broken = true
-	for id := range gang.open {
-		run := l.runs[id]
-		l.proposer.closeIfNeverAssigned(run)
-		l.proposer.enqueueStop(run, record.StopGang)
+	for run := range gang.open {
+		g.ends.closeIfNeverAssigned(run)
+		g.ends.enqueueStop(run, record.StopGang)
 	}
 }
 
-// loadGang takes over a group at the start of a term. It cannot be known
-// whether all had started; members that wait without ever having failed show
-// that a run was lost, and then the group is taken as not whole.
-func (l *leader) loadGang(step *record.Step) {
+// load takes over a gang at the start of a term. It cannot be known whether all had
+// started; members that wait without ever having failed show that a run was lost,
+// and then the gang is taken as not whole.
+func (g *gangs) load(step *record.Step) {
 	if len(step.Tasks) == 0 {
 		return
 	}
-	gang := l.gang(step.Tasks[0].ID.StepID())
+	gang := g.gang(step.Tasks[0].ID.StepID())
 	gang.size = step.GangSize()
 	if step.Spec.Lockstep {
 		// The record alone says whether it is broken.
-		l.offerGang(gang)
+		g.offer(gang)
 		return
 	}
 	broken := slices.ContainsFunc(step.Tasks, func(task *record.Task) bool {
@@ -177,7 +232,24 @@
 		return task.State == record.TaskReady && task.LastRun > 0 && task.Failures == 0
 	})
 	if (broken || lost) && len(gang.open) > 0 {
-		l.breakGang(gang)
+		g.breakGang(gang)
+	}
+	g.offer(gang)
+}
+
+// waitsForMembers reports whether the run is of a gang that has not started whole: its
+// members may then rightly stand.
+func (g *gangs) waitsForMembers(run *runState) bool {
+	gang, known := g.byStep[run.step]
+	return run.inGang && known && !gang.allStarted()
+}
+
+// drop forgets the gang of a step whose job has ended.
+func (g *gangs) drop(step *record.Step) {
+	if len(step.Tasks) == 0 {
+		return
 	}
-	l.offerGang(gang)
+	key := step.Tasks[0].ID.StepID()
+	delete(g.byStep, key)
+	delete(g.starting, key)
 }
--- a/internal/scheduler/healthreview.go
+++ b/internal/scheduler/healthreview.go
@@ -202,7 +202,7 @@
 		return
 	}
 	for _, run := range l.runs {
-		if !l.waitsForGang(run) && l.health.mustStopStalled(run, now) {
+		if !l.gangs.waitsForMembers(run) && l.health.mustStopStalled(run, now) {
 			l.proposer.enqueueStop(run, record.StopStalled)
 		}
 	}
@@ -211,13 +211,6 @@
 	}
 }
 
-// waitsForGang reports whether the run's group has not started whole: its
-// members may then rightly stand.
-func (l *leader) waitsForGang(run *runState) bool {
-	gang, known := l.gangs[run.step]
-	return run.inGang && known && !gang.allStarted()
-}
-
 // applyHealthChange takes over a worker's new standing. A suspect worker loses what was
 // not ordered there yet.
 func (l *leader) applyHealthChange(worker *workerEntry, change workerhealth.StatusChange, now time.Duration) {
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -114,7 +114,7 @@
 		run.listed = true
 		run.progress = workerhealth.NewProgress(now)
 		if run.inGang {
-			l.gangRunStarted(run)
+			l.gangs.runStarted(run)
 		}
 	}
 	for _, task := range differences.startedTasks {
@@ -209,7 +209,7 @@
 		if run.assignedSeq != 0 || run.inherited || run.closing || run.stop != record.StopNone {
 			continue
 		}
-		if run.sharesOutcome && !l.mayAssignMember(run) {
+		if run.sharesOutcome && !l.gangs.mayAssign(run) {
 			continue
 		}
 		run.assignedSeq = worker.seq
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -52,11 +52,9 @@
 	ranks taskTimers
 	// chains are the estimates of live jobs.
 	chains map[string]objective.CriticalPaths
-	gangs  map[record.StepID]*gangState
-	// startingGangs are the groups in lockstep not all of whose members have started.
-	startingGangs map[record.StepID]*gangState
-	health        healthReview
-	slo           sloTracker
+	gangs  gangs
+	health healthReview
+	slo    sloTracker
 	// pendingStarts are the jobs of which nothing was seen to have begun.
 	pendingStarts pendingStarts
 	// submitting are the submissions being committed.
@@ -91,7 +89,7 @@
 
 func newLeader(config leaderConfig) *leader {
 	term := newTerm(config)
-	return &leader{
+	l := &leader{
 		term:          term,
 		registry:      newWorkerRegistry(&term),
 		proposer:      newProposer(),
@@ -106,12 +104,12 @@
 		pendingStarts: newPendingStarts(),
 		submitting:    newSubmissions(),
 		chains:        make(map[string]objective.CriticalPaths),
-		gangs:         make(map[record.StepID]*gangState),
-		startingGangs: make(map[record.StepID]*gangState),
 		repeats:       newRepeats(),
 		jobWaiters:    make(map[string]chan struct{}),
 		processes:     make(map[string]*processEntry),
 	}
+	l.gangs = newGangs(&l.term, &l.proposer, &l.registry, l.health.failedWorkers)
+	return l
 }
 
 // run works until the term ends. ready is called once calls can be served.
@@ -171,7 +169,7 @@
 	l.registry.refreshPlannerWorkers(now)
 	l.revokeOnMissedHeartbeats(now)
 	l.stopDrained(now)
-	l.breakLateGangs(now)
+	l.gangs.breakLate(now)
 	l.stopAllDeparting(now)
 	l.reviewHealth(now)
 	l.reviewSLO(now)
--- a/internal/scheduler/ranks.go
+++ b/internal/scheduler/ranks.go
@@ -111,7 +111,7 @@
 func (l *leader) offerChanged(entries []*waitingTask) {
 	offered := make(map[record.StepID]bool)
 	for _, entry := range entries {
-		if _, isGang := l.gangs[entry.step]; isGang {
+		if l.gangs.find(entry.step) != nil {
 			if offered[entry.step] {
 				continue
 			}
--- a/internal/scheduler/registry.go
+++ b/internal/scheduler/registry.go
@@ -184,3 +184,10 @@
 	slices.SortFunc(subjects, func(a, b workerhealth.ActiveWorker) int { return strings.Compare(a.ID, b.ID) })
 	return subjects
 }
+
+// respondsSoon tells whether the worker would take an assignment, and was seen so
+// lately that its next heartbeat is near.
+func (r *workerRegistry) respondsSoon(worker *workerEntry, now time.Duration) bool {
+	within := gangSeenIntervals * r.interval(false)
+	return worker.canTakeWork(now, r.leaseDuration()) && worker.seenWithin(now, within)
+}
--- a/internal/scheduler/repeats_test.go
+++ b/internal/scheduler/repeats_test.go
@@ -152,7 +152,7 @@
 	}
 	worker.end(api.OutcomeSucceeded)
 	worker.exchange()
-	if got := h.status("j"); got.State != api.StateSucceeded || len(h.leader.gangs) != 0 {
-		t.Fatalf("%s, %d groups kept", got.State, len(h.leader.gangs))
+	if got := h.status("j"); got.State != api.StateSucceeded || len(h.leader.gangs.byStep) != 0 {
+		t.Fatalf("%s, %d groups kept", got.State, len(h.leader.gangs.byStep))
 	}
 }
