--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -7,7 +7,6 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/admission"
-	"github.com/decklever/decklever/internal/objective"
 	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 )
@@ -63,7 +62,12 @@
 	if err := l.checkPendingLimits(view, config, queue, spec); err != nil {
 		return err
 	}
-	return l.checkObjective(queue, spec)
+	if !refusesLate(queue, spec) {
+		return nil
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.admission.checkObjective(queue, spec, l.hasCapacity)
 }
 
 func isKnown(view record.View, id string) bool {
@@ -144,7 +148,7 @@
 	free := limits[0].free()
 	for _, one := range limits {
 		if capacity := one.free(); tasks > capacity {
-			return l.refuse(queue, one.reason, one.refusal(tasks), tasks-capacity)
+			return l.refuse(queue.Name, one.reason, one.refusal(tasks), tasks-capacity)
 		}
 		free = min(free, one.free())
 	}
@@ -163,7 +167,7 @@
 		return nil
 	}
 	message := fmt.Sprintf("caller %q has %d waiting tasks in queue %s, where %d places are free and some are kept for other callers", spec.Caller, counts, queue.Name, free)
-	return l.refuse(queue, refusedCaller, message, tasks-share)
+	return l.refuse(queue.Name, refusedCaller, message, tasks-share)
 }
 
 // tooManyTasks refuses a job that would not be taken even if nothing waited.
@@ -176,54 +180,6 @@
 	return invalid("job", []api.FieldError{field})
 }
 
-// refusedHeartbeat is the answer to a job over a limit that has to come back once a number of
-// waiting tasks more has begun to run.
-func (l *leader) refuse(queue *api.QueueConfig, reason, message string, tooMany int) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	known := l.slo.queue(queue.Name)
-	earliest, _ := known.flow.TimeToStart(l.now(), tooMany)
-	return l.refuseFor(queue.Name, reason, message, known.retryAfter(l.now(), earliest, tooMany))
-}
-
-func (l *leader) refuseFor(queue, reason, message string, gap time.Duration) error {
-	l.metrics.refusals.WithLabelValues(queue, reason).Inc()
-	refusal := overLimitError(message)
-	refusal.RetryAfterMillis = max(gap, minRetryAfter).Milliseconds()
-	return refusal
-}
-
-// checkObjective refuses a job that by the measured rate will end beyond the multiple of
-// its objective that the queue allows, while no worker has room for its beginning.
-// What goes before others by its priority, or later by its own time, is let in.
-func (l *leader) checkObjective(queue *api.QueueConfig, spec *api.JobSpec) error {
-	rule := queue.Objective
-	if rule == nil || rule.RefuseBeyond == 0 || spec.Priority > 0 || isTimed(spec) {
-		return nil
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	known := l.slo.queue(queue.Name)
-	wait, measured := known.flow.ExpectedWait(l.now())
-	allowed := objective.StartAllowance(rule, objective.CriticalPathsOf(spec.Steps).Job, rule.RefuseBeyond)
-	if !measured || !known.refusing.Exceeded() || wait <= allowed || l.hasCapacity(spec) {
-		return nil
-	}
-	message := fmt.Sprintf("a job that comes now waits %v in queue %s, and ends later than %v times its objective",
-		wait.Round(time.Millisecond), queue.Name, rule.RefuseBeyond)
-	gap := known.retryAfter(l.now(), wait-admission.ClearBelow(allowed), spec.TaskCount())
-	return l.refuseFor(queue.Name, refusedTooLate, message, gap)
-}
-
-// isTimed reports whether a job has work that waits for its time, or that has no
-// end.
-func isTimed(spec *api.JobSpec) bool {
-	return spec.Repeat != nil || slices.ContainsFunc(spec.Steps, func(step api.StepSpec) bool {
-		return step.NotBefore != nil ||
-			slices.ContainsFunc(step.Tasks, func(task api.TaskSpec) bool { return task.UntilCancelled })
-	})
-}
-
 // hasCapacity reports whether the first task of some first step has room on a worker
 // now.
 func (l *leader) hasCapacity(spec *api.JobSpec) bool {
@@ -231,3 +187,10 @@
 		return len(step.After) == 0 && l.planner.HasFreeCapacity(&step.Tasks[0])
 	})
 }
+
+// refuse is the answer to a job over a limit, see admissionControl.refuse.
+func (l *leader) refuse(queue, reason, message string, tooMany int) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.admission.refuse(queue, reason, message, tooMany)
+}
--- a/internal/scheduler/admit_test.go
+++ b/internal/scheduler/admit_test.go
@@ -146,7 +146,7 @@
 			f.end(worker)
 		}
 	}
-	waiting := f.leader.slo.queue("a").flow.Waiting()
+	waiting := f.leader.admission.slo.queue("a").flow.Waiting()
 	refusal := f.trySubmit("a-later", "a", "", 400-waiting+80)
 	if refusal == nil || refusal.RetryAfterMillis < 1500 || refusal.RetryAfterMillis > 2600 {
 		t.Errorf("80 too many at 40 a second: %+v", refusal)
@@ -201,7 +201,7 @@
 	for _, end := range ends {
 		end()
 	}
-	if left := len(h.leader.submitting.byJob) + len(h.leader.submitting.byQueue); left > 0 {
+	if left := len(h.leader.admission.submitting.byJob) + len(h.leader.admission.submitting.byQueue); left > 0 {
 		t.Errorf("%d counts are left", left)
 	}
 }
--- a/internal/scheduler/deference.go
+++ b/internal/scheduler/deference.go
@@ -13,20 +13,20 @@
 // so many times as long.
 const comparableAllowanceFactor = 2
 
-// deferences says which queues let which others go first, in the order of the
+// deferencesOf says which queues let which others go first, in the order of the
 // configuration.
-func (l *leader) deferences() []placement.Deference {
+func (s *sloTracker) deferencesOf(queues []api.QueueConfig) []placement.Deference {
 	var deferences []placement.Deference
-	if l.off.Has(featuregate.LoadDeference) {
+	if s.off.Has(featuregate.LoadDeference) {
 		return deferences
 	}
-	for index := range l.config.Queues {
-		config := &l.config.Queues[index]
-		queue, known := l.slo.queues[config.Name]
+	for index := range queues {
+		config := &queues[index]
+		queue, known := s.queues[config.Name]
 		if !known || config.Objective == nil {
 			continue
 		}
-		if to := queue.defersTo(config, l.config.Queues); len(to) > 0 {
+		if to := queue.defersTo(config, queues); len(to) > 0 {
 			deferences = append(deferences, placement.Deference{Queue: config.Name, To: to})
 		}
 	}
--- a/internal/scheduler/deference_test.go
+++ b/internal/scheduler/deference_test.go
@@ -41,9 +41,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h.leader.slo = newSLOTracker()
-			c.closed(h.leader.slo.queue("a"))
-			if diff := cmp.Diff(c.want, yieldsOf(t, h.leader.deferences(), "a")); diff != "" {
+			h.leader.admission.slo = newSLOTracker(h.leader.environment)
+			c.closed(h.leader.admission.slo.queue("a"))
+			if diff := cmp.Diff(c.want, yieldsOf(t, h.leader.admission.slo.deferencesOf(h.leader.config.Queues), "a")); diff != "" {
 				t.Errorf("a yields to (-want +got):\n%s", diff)
 			}
 		})
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -49,7 +49,7 @@
 		l.runClosed(change.Run, change.Outcome)
 	case record.JobAdded:
 		l.repeats.add(change.Job)
-		l.observeChain(change.Job)
+		l.admission.slo.observeChain(change.Job.Spec.Queue, l.chainsOf(change.Job).Job)
 		l.pendingStarts.add(change.Job)
 	case record.OccurrenceAdded:
 		l.repeats.added(change.Job)
@@ -287,7 +287,7 @@
 	}
 	l.planner.SetTeams(teams)
 	l.planner.SetQueues(rules)
-	l.forgetUnusedQueues()
+	l.admission.slo.forgetUnused(config)
 	l.planner.SetMaxPreemptions(l.maxPreemptions(config))
 	l.invalidateCalendar()
 	if orderChanged {
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -51,14 +51,12 @@
 	// ranks are the times at which waiting tasks change their place in the order.
 	ranks taskTimers
 	// chains are the estimates of live jobs.
-	chains map[string]objective.CriticalPaths
-	gangs  gangs
-	health healthReview
-	slo    sloTracker
+	chains    map[string]objective.CriticalPaths
+	gangs     gangs
+	health    healthReview
+	admission admissionControl
 	// pendingStarts are the jobs of which nothing was seen to have begun.
 	pendingStarts pendingStarts
-	// submitting are the submissions being committed.
-	submitting submissions
 	// repeats are jobs with occurrences to come.
 	repeats repeats
 	// jobWaiters are closed when the job ends.
@@ -100,9 +98,8 @@
 		calendar:      calendar{released: make(map[string]time.Time)},
 		waiting:       make(map[record.TaskID]*waitingTask),
 		health:        newHealthReview(term.environment),
-		slo:           newSLOTracker(),
+		admission:     newAdmissionControl(term.environment),
 		pendingStarts: newPendingStarts(),
-		submitting:    newSubmissions(),
 		chains:        make(map[string]objective.CriticalPaths),
 		repeats:       newRepeats(),
 		jobWaiters:    make(map[string]chan struct{}),
@@ -148,7 +145,7 @@
 	}
 	for job := range view.Jobs("") {
 		l.repeats.add(job)
-		l.observeChain(job)
+		l.admission.slo.observeChain(job.Spec.Queue, l.chainsOf(job).Job)
 		if !mayHaveStarted(job) {
 			l.pendingStarts.add(job)
 		}
@@ -172,7 +169,9 @@
 	l.gangs.breakLate(now)
 	l.stopAllDeparting(now)
 	l.reviewHealth(now)
-	l.reviewSLO(now)
+	if l.admission.slo.review(now, l.config.Queues) {
+		l.planner.SetDeferences(l.admission.slo.deferences)
+	}
 	l.planner.SetTime(clusterNow)
 	l.refreshReservations(clusterNow)
 	l.refreshRanks(clusterNow)
--- a/internal/scheduler/slotracker.go
+++ b/internal/scheduler/slotracker.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
+	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/admission"
 	"github.com/decklever/decklever/internal/objective"
 	"github.com/decklever/decklever/internal/placement"
-	"github.com/decklever/decklever/internal/record"
 )
 
 const (
@@ -28,9 +28,10 @@
 	minPressedWait  = 350 * time.Millisecond
 )
 
-// intake follows how fast the tasks of queues begin to run. It lives in memory: a
+// sloTracker follows how fast the tasks of queues begin to run. It lives in memory: a
 // new leader learns it anew.
 type sloTracker struct {
+	*environment
 	queues map[string]*queueSLO
 	// deferences is what the planner was told.
 	deferences []placement.Deference
@@ -42,7 +43,7 @@
 	// chain is the longest chain of estimates of a typical job.
 	chain time.Duration
 	// pressed closes while newcomers wait for a good part of the objective,
-	// overloaded while it cannot be met, hopeless while a job would end beyond the
+	// overloaded while it cannot be met, refusing while a job would end beyond the
 	// multiple from which on it is refused.
 	pressed, overloaded, refusing admission.WaitThreshold
 	// retries are the times at which refused jobs are to come back.
@@ -59,105 +60,84 @@
 	return q.retries.Reserve(now, max(earliest, minRetryAfter), length, maxRetryAfter)
 }
 
-func newSLOTracker() sloTracker {
-	return sloTracker{queues: make(map[string]*queueSLO)}
+func newSLOTracker(environment *environment) sloTracker {
+	return sloTracker{environment: environment, queues: make(map[string]*queueSLO)}
 }
 
-func (i *sloTracker) queue(name string) *queueSLO {
-	found, known := i.queues[name]
+func (s *sloTracker) queue(name string) *queueSLO {
+	found, known := s.queues[name]
 	if !known {
 		found = &queueSLO{
 			pressed: admission.WaitThreshold{MinDuration: deferAfter}, overloaded: admission.WaitThreshold{MinDuration: deferAfter},
 			refusing: admission.WaitThreshold{MinDuration: refuseAfter},
 		}
-		i.queues[name] = found
+		s.queues[name] = found
 	}
 	return found
 }
 
 // observeChain takes a job's chain into what is typical for its queue.
-func (l *leader) observeChain(job *record.Job) {
-	queue := l.slo.queue(job.Spec.Queue)
-	chain := l.chainsOf(job).Job
+func (s *sloTracker) observeChain(name string, chain time.Duration) {
+	queue := s.queue(name)
 	if queue.chain == 0 {
 		queue.chain = chain
 	}
 	queue.chain += (chain - queue.chain) / chainAverageWindow
 }
 
-// countWaiting counts a waiting task that is due and can still end within three
-// times its objective: others go after whatever comes new.
-func (l *leader) countWaiting(entry *waitingTask) {
-	l.setCounted(entry, entry.due && !entry.urgency.lost)
+// countWaiting implements backlogObserver.
+func (s *sloTracker) countWaiting(queue string, change int) {
+	s.queue(queue).flow.AddWaiting(s.now(), change)
 }
 
-// uncountWaiting counts a task no longer that waits no longer.
-func (l *leader) uncountWaiting(entry *waitingTask) { l.setCounted(entry, false) }
-
-func (l *leader) setCounted(entry *waitingTask, counted bool) {
-	if counted == entry.counted {
-		return
-	}
-	entry.counted = counted
-	change := 1
-	if !counted {
-		change = -1
-	}
-	l.slo.queue(entry.task.Queue).flow.AddWaiting(l.now(), change)
+// countStarted implements backlogObserver.
+func (s *sloTracker) countStarted(queue string) {
+	s.queue(queue).flow.RecordStart(s.now())
 }
 
-// taskPlaced takes a waiting task out that was given a place, and into its
-// queue's rate.
-func (l *leader) taskPlaced(id record.TaskID) {
-	entry, waits := l.waiting[id]
-	if !waits {
-		return
+// review looks at how long newcomers of each queue would wait. It reports whether
+// the deferences have changed by that.
+func (s *sloTracker) review(now time.Duration, queues []api.QueueConfig) bool {
+	for index := range queues {
+		config := &queues[index]
+		queue, known := s.queues[config.Name]
+		if known && config.Objective != nil {
+			queue.review(now, config.Objective)
+		}
 	}
-	if entry.counted {
-		l.slo.queue(entry.task.Queue).flow.RecordStart(l.now())
+	deferences := s.deferencesOf(queues)
+	if slices.EqualFunc(deferences, s.deferences, sameDeference) {
+		return false
 	}
-	l.uncountWaiting(entry)
-	delete(l.waiting, id)
+	s.deferences = deferences
+	return true
 }
 
-// reviewSLO looks at how long newcomers of each queue would wait.
-func (l *leader) reviewSLO(now time.Duration) {
-	for index := range l.config.Queues {
-		config := &l.config.Queues[index]
-		queue, known := l.slo.queues[config.Name]
-		if !known || config.Objective == nil {
-			continue
-		}
-		wait, measured := queue.flow.ExpectedWait(now)
-		allowance := objective.StartAllowance(config.Objective, queue.chain, 1)
-		queue.overloaded.Observe(now, wait, max(allowance, minOverloadWait), measured)
-		queue.pressed.Observe(now, wait, max(allowance/pressedFraction, minPressedWait), measured)
-		if beyond := config.Objective.RefuseBeyond; beyond > 0 {
-			queue.refusing.Observe(now, wait, max(objective.StartAllowance(config.Objective, queue.chain, beyond), minOverloadWait), measured)
-		}
-	}
-	if deferences := l.deferences(); !slices.EqualFunc(deferences, l.slo.deferences, sameDeference) {
-		l.slo.deferences = deferences
-		l.planner.SetDeferences(deferences)
+// review sets the gates of a queue by how long a newcomer would wait.
+func (q *queueSLO) review(now time.Duration, rule *api.ObjectiveConfig) {
+	wait, measured := q.flow.ExpectedWait(now)
+	allowance := objective.StartAllowance(rule, q.chain, 1)
+	q.overloaded.Observe(now, wait, max(allowance, minOverloadWait), measured)
+	q.pressed.Observe(now, wait, max(allowance/pressedFraction, minPressedWait), measured)
+	if beyond := rule.RefuseBeyond; beyond > 0 {
+		q.refusing.Observe(now, wait, max(objective.StartAllowance(rule, q.chain, beyond), minOverloadWait), measured)
 	}
 }
 
-// forgetUnusedQueues drops what is known of queues that are gone and empty.
-func (l *leader) forgetUnusedQueues() {
-	maps.DeleteFunc(l.slo.queues, func(name string, queue *queueSLO) bool {
-		return findQueue(l.config, name) == nil && queue.flow.Waiting() == 0
+// forgetUnused drops what is known of queues that are gone and empty.
+func (s *sloTracker) forgetUnused(config *api.Config) {
+	maps.DeleteFunc(s.queues, func(name string, queue *queueSLO) bool {
+		return findQueue(config, name) == nil && queue.flow.Waiting() == 0
 	})
 }
 
 // expectedWait is how long a newcomer of a queue would wait, 0 while that is not
 // known, and whether the queue is overloaded.
-func (l *leader) expectedWait(name string) (time.Duration, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	queue, known := l.slo.queues[name]
+func (s *sloTracker) expectedWait(name string) (time.Duration, bool) {
+	queue, known := s.queues[name]
 	if !known {
 		return 0, false
 	}
-	wait, _ := queue.flow.ExpectedWait(l.now())
+	wait, _ := queue.flow.ExpectedWait(s.now())
 	return wait, queue.overloaded.Exceeded()
 }
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -98,7 +98,9 @@
 
 func (l *leader) queueStatus(view record.View, name string) api.QueueStatus {
 	counts := view.QueueCounts(name)
-	wait, overloaded := l.expectedWait(name)
+	l.mu.Lock()
+	wait, overloaded := l.admission.slo.expectedWait(name)
+	l.mu.Unlock()
 	return api.QueueStatus{
 		Name: name, Jobs: counts.Jobs, WaitingJobs: l.jobsPendingStart(name),
 		Pending: counts.PendingTasks, Running: counts.RunningTasks,
--- a/internal/scheduler/submitting.go
+++ b/internal/scheduler/submitting.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"net/http"
 
 	"github.com/decklever/decklever/api"
@@ -61,23 +60,21 @@
 func (l *leader) beginSubmit(request *protocol.SubmitRequest) (end func(), refusal error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	queue := request.Spec.Queue
-	if l.submitting.byJob[request.ID] == 0 && l.submitting.free(l.config, queue) == 0 {
-		message := fmt.Sprintf("%d submissions of queue %s are being committed", l.submitting.byQueue[queue], queue)
-		return nil, l.refuseFor(queue, refusedCommitting, message, 0)
+	id, queue := request.ID, request.Spec.Queue
+	if err := l.admission.beginSubmit(id, queue, l.config); err != nil {
+		return nil, err
 	}
-	l.submitting.add(request.ID, queue, 1)
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.submitting.add(request.ID, queue, -1)
+		l.admission.endSubmit(id, queue)
 	}, nil
 }
 
 func (l *leader) isSubmitting(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.submitting.byJob[id] > 0
+	return l.admission.isSubmitting(id)
 }
 
 // submitError is proposalError for a job. One that surely was not taken, since the
