--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -9,28 +9,6 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// waitingTask is a ready task of the record.
-type waitingTask struct {
-	task placement.Task
-	step record.StepID
-	// jobPriority is the job's own, without the queue's.
-	jobPriority int
-	urgency     urgency
-	// nextRun is the number of the run to place.
-	nextRun uint32
-	// notBefore is the earliest start on the cluster clock.
-	notBefore record.Millis
-	// due is true once that time has come.
-	due bool
-	// placing is true while a placement of the task is being committed.
-	placing bool
-	// localityWaitEnds is until when the task waits for a worker that it prefers; 0 before
-	// it was offered first.
-	localityWaitEnds record.Millis
-	// counted is true while the task counts for how long newcomers will wait.
-	counted bool
-}
-
 // handleEvent keeps the mirror true to the record. The record calls it under its
 // lock, in the order of the log.
 func (l *leader) handleEvent(event record.Event) {
@@ -38,9 +16,9 @@
 	defer l.mu.Unlock()
 	switch change := event.(type) {
 	case record.TaskBecameReady:
-		l.addWaiting(change.Task)
+		l.taskReady(change.Task)
 	case record.TaskLeftReady:
-		l.removeWaiting(change.Task)
+		l.taskLeftReady(change.Task)
 	case record.RunOpened:
 		l.runOpened(change.Run, false)
 	case record.RunStopping:
@@ -49,7 +27,7 @@
 		l.runClosed(change.Run, change.Outcome)
 	case record.JobAdded:
 		l.repeats.add(change.Job)
-		l.admission.slo.observeChain(change.Job.Spec.Queue, l.chainsOf(change.Job).Job)
+		l.admission.slo.observeChain(change.Job.Spec.Queue, l.pending.chainsOf(change.Job).Job)
 		l.pendingStarts.add(change.Job)
 	case record.OccurrenceAdded:
 		l.repeats.added(change.Job)
@@ -78,7 +56,7 @@
 func (l *leader) loadStep(step *record.Step) {
 	for _, task := range step.Tasks {
 		if task.State == record.TaskReady {
-			l.addWaiting(task)
+			l.taskReady(task)
 		}
 	}
 	if step.IsGang() {
@@ -86,85 +64,67 @@
 	}
 }
 
-func (l *leader) addWaiting(task *record.Task) {
-	job := task.Step.Job
-	entry := &waitingTask{
-		task: placement.Task{
-			ID:          task.ID,
-			Queue:       job.Spec.Queue,
-			Priority:    job.Spec.Priority + l.queuePriority(job.Spec.Queue),
-			Spec:        task.Spec,
-			Preemptions: task.Preemptions,
-
-			UntilCancelled: task.RunsUntilCancelled(),
-
-			Preferences: &placement.Preferences{StepSize: len(task.Step.Tasks), Colocate: task.Step.Spec.Colocate},
-		},
-		step:        task.ID.StepID(),
-		jobPriority: job.Spec.Priority,
-		urgency:     l.urgencyOf(task),
-		nextRun:     task.NextRun(),
-		notBefore:   task.NotBefore,
-		due:         task.NotBefore == 0,
-	}
+// taskReady has a task wait, and offers it once it is due.
+func (l *leader) taskReady(task *record.Task) {
+	entry := l.pending.newTask(task, l.config)
 	l.health.advise(&entry.task, task)
-	entry.urgency.apply(l.objectiveOf(job.Spec.Queue))
-	l.updateRank(entry, l.log.Now())
-	l.waiting[task.ID] = entry
-	l.countWaiting(entry)
+	l.pending.add(entry)
 	if task.Step.IsGang() {
 		l.gangs.join(entry, task.Step)
 	}
-	if !entry.due {
-		l.timers.add(entry.notBefore, task.ID)
+	if entry.due {
+		l.offer(entry)
+	}
+}
+
+// taskLeftReady takes back what was offered.
+func (l *leader) taskLeftReady(task *record.Task) {
+	entry := l.pending.remove(task.ID)
+	if entry == nil {
 		return
 	}
-	l.offer(entry)
+	l.planner.Remove(task.ID)
+	l.planner.Release(task.ID)
+	l.gangs.leave(entry.step, task)
 }
 
-// offer lets the planner place a task that is due. Members of a group go
-// through the group, which offers them together.
+// offer lets the planner place a task that is due. Members of a gang are offered
+// together.
 func (l *leader) offer(entry *waitingTask) {
 	if gang := l.gangs.find(entry.step); gang != nil {
 		l.gangs.offer(gang)
 		return
 	}
-	if !entry.placing {
-		l.startLocalityWait(entry)
-		l.planner.Add(entry.task)
+	l.pending.offer(entry)
+}
+
+// offerChanged offers tasks that changed; members of one gang once.
+func (l *leader) offerChanged(entries []*waitingTask) {
+	offered := make(map[record.StepID]bool)
+	for _, entry := range entries {
+		if l.gangs.find(entry.step) != nil {
+			if offered[entry.step] {
+				continue
+			}
+			offered[entry.step] = true
+		}
+		l.offer(entry)
 	}
 }
 
 // releaseTimers offers the tasks whose time has come.
 func (l *leader) releaseTimers(now record.Millis) {
-	due := l.timers.takeDue(now)
+	due := l.pending.timers.takeDue(now)
 	for _, id := range due {
-		entry, waits := l.waiting[id]
-		if !waits || entry.due || entry.notBefore > now {
-			continue
+		if entry := l.pending.becomeDue(id, now); entry != nil {
+			l.offer(entry)
 		}
-		entry.due = true
-		l.countWaiting(entry)
-		l.offer(entry)
 	}
 	if len(due) > 0 {
 		l.wake()
 	}
 }
 
-func (l *leader) removeWaiting(task *record.Task) {
-	entry, waits := l.waiting[task.ID]
-	if !waits {
-		return
-	}
-	l.uncountWaiting(entry)
-	delete(l.waiting, task.ID)
-	delete(l.preemptOnOpen, task.ID)
-	l.planner.Remove(task.ID)
-	l.planner.Release(task.ID)
-	l.gangs.leave(entry.step, task)
-}
-
 // runOpened mirrors an open run. inherited tells that it was placed under an
 // earlier token.
 func (l *leader) runOpened(open *record.Run, inherited bool) *runState {
@@ -184,11 +144,11 @@
 
 		checkpoint: task.NewestCheckpoint(),
 	}
-	l.taskPlaced(task.ID)
+	l.pending.placed(task.ID)
 	l.planner.Remove(task.ID)
 	job := task.Step.Job
 	l.planner.AddRun(placement.Task{
-		ID: task.ID, Queue: job.Spec.Queue, Priority: job.Spec.Priority + l.queuePriority(job.Spec.Queue),
+		ID: task.ID, Queue: job.Spec.Queue, Priority: job.Spec.Priority + queuePriority(l.config, job.Spec.Queue),
 		Spec: task.Spec, StartedAt: open.PlacedAt, Preemptions: task.Preemptions, UntilCancelled: task.RunsUntilCancelled(),
 	}, open.WorkerID)
 	l.runs[run.id] = run
@@ -208,8 +168,7 @@
 	if worker.isLeaving() {
 		l.proposer.closeIfNeverAssigned(run)
 	}
-	if l.preemptOnOpen[task.ID] {
-		delete(l.preemptOnOpen, task.ID)
+	if l.pending.takePreempted(task.ID) {
 		l.preemptRun(run)
 	}
 	return run
@@ -253,7 +212,7 @@
 		delete(l.jobWaiters, job.ID)
 	}
 	l.repeats.remove(job.ID)
-	delete(l.chains, job.ID)
+	delete(l.pending.chains, job.ID)
 	l.pendingStarts.remove(job.ID)
 	l.stepsEnded(job.Steps)
 }
@@ -291,7 +250,7 @@
 	l.planner.SetMaxPreemptions(l.maxPreemptions(config))
 	l.invalidateCalendar()
 	if orderChanged {
-		l.reorderWaiting()
+		l.offerChanged(l.pending.reorder(config))
 	}
 	l.logger.Info("configuration in force", slog.Uint64("version", version))
 }
@@ -312,14 +271,6 @@
 	return config.Timings.MaxPreemptions
 }
 
-func (l *leader) queuePriority(name string) int {
-	queue := findQueue(l.config, name)
-	if queue == nil {
-		return 0
-	}
-	return queue.Priority
-}
-
 // workerRegistered takes over what the record knows of a worker. The record
 // replaces an incarnation only when it has no open run.
 func (l *leader) workerRegistered(info *record.Worker) {
--- a/internal/scheduler/lastroom_test.go
+++ b/internal/scheduler/lastroom_test.go
@@ -67,8 +67,8 @@
 			t.Errorf("%s runs on a suspect worker", run.Task)
 		}
 	}
-	if state := h.status("endless").State; state != api.StateRunning || len(h.leader.waiting) != 0 {
-		t.Errorf("job is %s, %d tasks wait", state, len(h.leader.waiting))
+	if state := h.status("endless").State; state != api.StateRunning || len(h.leader.pending.waiting) != 0 {
+		t.Errorf("job is %s, %d tasks wait", state, len(h.leader.pending.waiting))
 	}
 }
 
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -8,7 +8,6 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/featuregate"
-	"github.com/decklever/decklever/internal/objective"
 	"github.com/decklever/decklever/internal/placement"
 	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/replica"
@@ -44,17 +43,10 @@
 	runs         map[record.RunID]*runState
 	// openByTask finds the open run of a task.
 	openByTask map[record.TaskID]*runState
-	// preemptOnOpen are tasks to be stopped once their placement is applied.
-	preemptOnOpen map[record.TaskID]bool
-	waiting       map[record.TaskID]*waitingTask
-	timers        taskTimers
-	// ranks are the times at which waiting tasks change their place in the order.
-	ranks taskTimers
-	// chains are the estimates of live jobs.
-	chains    map[string]objective.CriticalPaths
-	gangs     gangs
-	health    healthReview
-	admission admissionControl
+	pending    pendingWork
+	gangs      gangs
+	health     healthReview
+	admission  admissionControl
 	// pendingStarts are the jobs of which nothing was seen to have begun.
 	pendingStarts pendingStarts
 	// repeats are jobs with occurrences to come.
@@ -94,17 +86,15 @@
 		configChanged: make(chan struct{}),
 		runs:          make(map[record.RunID]*runState),
 		openByTask:    make(map[record.TaskID]*runState),
-		preemptOnOpen: make(map[record.TaskID]bool),
 		calendar:      calendar{released: make(map[string]time.Time)},
-		waiting:       make(map[record.TaskID]*waitingTask),
 		health:        newHealthReview(term.environment),
 		admission:     newAdmissionControl(term.environment),
 		pendingStarts: newPendingStarts(),
-		chains:        make(map[string]objective.CriticalPaths),
 		repeats:       newRepeats(),
 		jobWaiters:    make(map[string]chan struct{}),
 		processes:     make(map[string]*processEntry),
 	}
+	l.pending = newPendingWork(&l.term, &l.admission.slo)
 	l.gangs = newGangs(&l.term, &l.proposer, &l.registry, l.health.failedWorkers)
 	return l
 }
@@ -145,7 +135,7 @@
 	}
 	for job := range view.Jobs("") {
 		l.repeats.add(job)
-		l.admission.slo.observeChain(job.Spec.Queue, l.chainsOf(job).Job)
+		l.admission.slo.observeChain(job.Spec.Queue, l.pending.chainsOf(job).Job)
 		if !mayHaveStarted(job) {
 			l.pendingStarts.add(job)
 		}
@@ -174,7 +164,7 @@
 	}
 	l.planner.SetTime(clusterNow)
 	l.refreshReservations(clusterNow)
-	l.refreshRanks(clusterNow)
+	l.offerChanged(l.pending.refreshRanks(clusterNow))
 	l.releaseTimers(clusterNow)
 	l.proposer.enqueueExpansions(l.repeats.takeDue(clusterNow))
 	// The planner makes room step by step, and goes on although nothing came.
--- a/internal/scheduler/localitywait.go
+++ b/internal/scheduler/localitywait.go
@@ -22,19 +22,19 @@
 
 // startLocalityWait has a task wait for a worker that it prefers, once, from when it is offered
 // first.
-func (l *leader) startLocalityWait(entry *waitingTask) {
+func (p *pendingWork) startLocalityWait(entry *waitingTask) {
 	if entry.localityWaitEnds != 0 {
 		return
 	}
-	now := l.log.Now()
+	now := p.clusterNow()
 	entry.localityWaitEnds = now
 	wait := entry.localityWait(now)
-	if wait <= 0 || l.off.Has(featuregate.LocalityWait) {
+	if wait <= 0 || p.off.Has(featuregate.LocalityWait) {
 		return
 	}
 	entry.localityWaitEnds += wait
-	l.setLocalityWait(entry, true)
-	l.ranks.add(entry.localityWaitEnds, entry.task.ID)
+	entry.setLocalityWait(true)
+	p.ranks.add(entry.localityWaitEnds, entry.task.ID)
 }
 
 // localityWait is how long the task can wait for a worker that it prefers. One that failed
@@ -56,20 +56,20 @@
 
 // endLocalityWait lets a task take any worker once its time to wait is over. It reports
 // whether that is so now.
-func (l *leader) endLocalityWait(entry *waitingTask, now record.Millis) bool {
-	if !entry.task.WaitsForPreferred || now < entry.localityWaitEnds {
+func (e *waitingTask) endLocalityWait(now record.Millis) bool {
+	if !e.task.WaitsForPreferred || now < e.localityWaitEnds {
 		return false
 	}
-	l.setLocalityWait(entry, false)
+	e.setLocalityWait(false)
 	return true
 }
 
 // setLocalityWait changes the task's wishes, which the planner may hold.
-func (l *leader) setLocalityWait(entry *waitingTask, waits bool) {
-	if entry.task.WaitsForPreferred == waits {
+func (e *waitingTask) setLocalityWait(waits bool) {
+	if e.task.WaitsForPreferred == waits {
 		return
 	}
-	preferences := *entry.task.Preferences
+	preferences := *e.task.Preferences
 	preferences.WaitsForPreferred = waits
-	entry.task.Preferences = &preferences
+	e.task.Preferences = &preferences
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -51,7 +51,7 @@
 	l.metrics.planSeconds.Observe((l.now() - started).Seconds())
 	placements := make([]record.Placement, 0, len(decisions))
 	for _, decision := range decisions {
-		entry, waits := l.waiting[decision.Task]
+		entry, waits := l.pending.waiting[decision.Task]
 		if !waits {
 			l.planner.Release(decision.Task)
 			continue
@@ -72,12 +72,12 @@
 func (l *leader) preempt(preemptions []placement.Preemption) {
 	for _, preemption := range preemptions {
 		run, open := l.openByTask[preemption.Task]
-		entry, waits := l.waiting[preemption.Task]
+		entry, waits := l.pending.waiting[preemption.Task]
 		switch {
 		case open:
 			l.preemptRun(run)
 		case waits && entry.placing:
-			l.preemptOnOpen[preemption.Task] = true
+			l.pending.preemptOnOpen[preemption.Task] = true
 		}
 	}
 }
@@ -100,15 +100,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, run := range rejected {
-		// A task that waits no more was placed by a doubled command, or is
-		// final; its room is accounted for already.
-		entry, waits := l.waiting[run.Task]
-		if !waits || !entry.placing {
-			continue
+		if entry := l.pending.rejected(run.Task); entry != nil {
+			l.planner.Release(run.Task)
+			l.offer(entry)
 		}
-		entry.placing = false
-		delete(l.preemptOnOpen, run.Task)
-		l.planner.Release(run.Task)
-		l.offer(entry)
 	}
 }
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -16,6 +16,15 @@
 	return &config.Queues[index]
 }
 
+// queuePriority is the priority that a queue adds to that of its jobs.
+func queuePriority(config *api.Config, name string) int {
+	queue := findQueue(config, name)
+	if queue == nil {
+		return 0
+	}
+	return queue.Priority
+}
+
 // quotaPart is what a queue that uses some of a shared bound counts for there.
 func quotaPart(queue *api.QueueConfig, used int) admission.Share {
 	return admission.Share{Weight: max(queue.Weight, api.DefaultQueueWeight), Used: used}
--- a/internal/scheduler/ranks.go
+++ b/internal/scheduler/ranks.go
@@ -39,25 +39,25 @@
 }
 
 // urgencyOf gathers it for a task that begins to wait.
-func (l *leader) urgencyOf(task *record.Task) urgency {
+func (p *pendingWork) urgencyOf(task *record.Task) urgency {
 	step := task.Step
-	address := step.Index%stepsPerJob*tasksPerStep + task.ID.Index%tasksPerStep
+	position := step.Index%stepsPerJob*tasksPerStep + task.ID.Index%tasksPerStep
 	since := step.DueAt()
 	if step.Spec.NotBefore != nil {
 		since = max(since, record.Millis(step.Spec.NotBefore.UnixMilli()))
 	}
 	return urgency{
-		position: uint64(address), readyAt: step.DueAt(), since: since,
-		chains: l.chainsOf(step.Job), step: step.Index,
+		position: uint64(position), readyAt: step.DueAt(), since: since,
+		chains: p.chainsOf(step.Job), step: step.Index,
 	}
 }
 
 // chainsOf works a job's chains out once.
-func (l *leader) chainsOf(job *record.Job) objective.CriticalPaths {
-	chains, known := l.chains[job.ID]
+func (p *pendingWork) chainsOf(job *record.Job) objective.CriticalPaths {
+	chains, known := p.chains[job.ID]
 	if !known {
 		chains = objective.CriticalPathsOf(job.Spec.Steps)
-		l.chains[job.ID] = chains
+		p.chains[job.ID] = chains
 	}
 	return chains
 }
@@ -80,51 +80,38 @@
 }
 
 // updateRank gives an entry its place as of now. It reports whether that changed.
-func (l *leader) updateRank(entry *waitingTask, now record.Millis) bool {
+func (p *pendingWork) updateRank(entry *waitingTask, now record.Millis) bool {
 	sequence, until := entry.urgency.sequence(now)
 	if until > 0 {
-		l.ranks.add(until, entry.task.ID)
+		p.ranks.add(until, entry.task.ID)
 	}
 	changed := sequence != entry.task.Sequence
 	entry.task.Sequence = sequence
 	return changed
 }
 
-// refreshRanks moves the waiting tasks whose place among others has changed.
-func (l *leader) refreshRanks(now record.Millis) {
+// refreshRanks returns the waiting tasks whose place among others has changed; they
+// are to be offered again.
+func (p *pendingWork) refreshRanks(now record.Millis) []*waitingTask {
 	var moved []*waitingTask
-	for _, id := range l.ranks.takeDue(now) {
-		entry, waits := l.waiting[id]
+	for _, id := range p.ranks.takeDue(now) {
+		entry, waits := p.waiting[id]
 		if !waits {
 			continue
 		}
-		changed := l.updateRank(entry, now)
-		if (l.endLocalityWait(entry, now) || changed) && entry.due {
-			l.countWaiting(entry)
+		changed := p.updateRank(entry, now)
+		if (entry.endLocalityWait(now) || changed) && entry.due {
+			p.countWaiting(entry)
 			moved = append(moved, entry)
 		}
 	}
-	l.offerChanged(moved)
-}
-
-// offerChanged offers tasks that changed; members of one group once.
-func (l *leader) offerChanged(entries []*waitingTask) {
-	offered := make(map[record.StepID]bool)
-	for _, entry := range entries {
-		if l.gangs.find(entry.step) != nil {
-			if offered[entry.step] {
-				continue
-			}
-			offered[entry.step] = true
-		}
-		l.offer(entry)
-	}
+	return moved
 }
 
 // objectiveOf returns a queue's objective, or nil.
-func (l *leader) objectiveOf(name string) *api.ObjectiveConfig {
-	queue := findQueue(l.config, name)
-	if queue == nil || l.off.Has(featuregate.ObjectiveTiers) {
+func (p *pendingWork) objectiveOf(config *api.Config, name string) *api.ObjectiveConfig {
+	queue := findQueue(config, name)
+	if queue == nil || p.off.Has(featuregate.ObjectiveTiers) {
 		return nil
 	}
 	return queue.Objective
@@ -144,23 +131,23 @@
 	return *a == *b
 }
 
-// reorderWaiting offers every waiting task anew, since a change of a queue's
-// priority or objective changes where each stands.
-func (l *leader) reorderWaiting() {
-	now := l.log.Now()
-	l.logger.Info("order of queues changed", slog.Int("waiting", len(l.waiting)))
-	l.ranks = nil
+// reorder ranks every waiting task anew, since a change of a queue's priority or
+// objective changes where each stands. It returns those that are to be offered again.
+func (p *pendingWork) reorder(config *api.Config) []*waitingTask {
+	now := p.clusterNow()
+	p.logger.Info("order of queues changed", slog.Int("waiting", len(p.waiting)))
+	p.ranks = nil
 	var due []*waitingTask
-	for id, entry := range l.waiting {
-		l.planner.Remove(id)
-		entry.task.Priority = entry.jobPriority + l.queuePriority(entry.task.Queue)
-		entry.urgency.apply(l.objectiveOf(entry.task.Queue))
-		l.updateRank(entry, now)
-		l.setLocalityWait(entry, false) // its timer is gone
-		l.countWaiting(entry)
+	for id, entry := range p.waiting {
+		p.planner.Remove(id)
+		entry.task.Priority = entry.jobPriority + queuePriority(config, entry.task.Queue)
+		entry.urgency.apply(p.objectiveOf(config, entry.task.Queue))
+		p.updateRank(entry, now)
+		entry.setLocalityWait(false) // its timer is gone
+		p.countWaiting(entry)
 		if entry.due {
 			due = append(due, entry)
 		}
 	}
-	l.offerChanged(due)
+	return due
 }
--- a/internal/scheduler/ranks_test.go
+++ b/internal/scheduler/ranks_test.go
@@ -118,12 +118,12 @@
 	if got := h.nextAssignment(worker, 2); got != "short long" {
 		t.Errorf("order: %s", got)
 	}
-	if len(h.leader.ranks) != 0 {
-		t.Errorf("%d timers are left", len(h.leader.ranks))
+	if len(h.leader.pending.ranks) != 0 {
+		t.Errorf("%d timers are left", len(h.leader.pending.ranks))
 	}
 	worker.end(api.OutcomeSucceeded)
 	worker.exchange()
-	if len(h.leader.chains) != 0 {
-		t.Errorf("chains of %d jobs are kept", len(h.leader.chains))
+	if len(h.leader.pending.chains) != 0 {
+		t.Errorf("chains of %d jobs are kept", len(h.leader.pending.chains))
 	}
 }
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -121,6 +121,6 @@
 	if run, open := l.openByTask[end.Run.Task]; open {
 		return !run.spec.UntilCancelled
 	}
-	entry, waits := l.waiting[end.Run.Task]
+	entry, waits := l.pending.waiting[end.Run.Task]
 	return waits && !entry.task.Spec.UntilCancelled
 }
--- a/internal/scheduler/reports_test.go
+++ b/internal/scheduler/reports_test.go
@@ -259,7 +259,7 @@
 	entry.expireLease()
 	h.leader.mu.Unlock()
 	h.settle()
-	if len(h.leader.runs) != 0 || len(h.leader.waiting) != 1 {
-		t.Errorf("%d runs open, %d tasks wait", len(h.leader.runs), len(h.leader.waiting))
+	if len(h.leader.runs) != 0 || len(h.leader.pending.waiting) != 1 {
+		t.Errorf("%d runs open, %d tasks wait", len(h.leader.runs), len(h.leader.pending.waiting))
 	}
 }
