--- a/internal/scheduler/commonoutcome_test.go
+++ b/internal/scheduler/commonoutcome_test.go
@@ -212,7 +212,7 @@
 	first.exchange()
 	second.exchange()
 	h.leader.mu.Lock()
-	h.leader.proposer.enqueueStop(h.leader.openByTask[record.TaskID{Job: "g", Step: "s"}], record.StopPreempted)
+	h.leader.proposer.enqueueStop(h.leader.assignments.openByTask[record.TaskID{Job: "g", Step: "s"}], record.StopPreempted)
 	h.leader.mu.Unlock()
 	h.settle()
 	stops := len(first.exchange().Stop) + len(second.exchange().Stop)
--- a/internal/scheduler/conflicts.go
+++ b/internal/scheduler/conflicts.go
@@ -12,42 +12,42 @@
 // against it. They are logged and acknowledged. A run that is open elsewhere
 // stays open there. A run that was never ordered is closed as lost, as its worker
 // would not start it any more; one that goes on all the same counts as ordered.
-func (l *leader) quarantineConflicts(worker *workerEntry, differences *reconciliation) {
+func (a *assignments) quarantineConflicts(worker *workerEntry, differences *reconciliation) {
 	differences.ended = slices.DeleteFunc(differences.ended, func(end record.RunEnd) bool {
 		run := worker.runs[end.Run]
 		if !run.neverAssigned() {
 			return false
 		}
 		differences.conflicting = append(differences.conflicting, runRef(end.Run))
-		l.logConflict(worker, end.Run, "end of a run that was not ordered")
-		l.proposer.enqueueClose(run, "its end was reported before it was ordered")
+		a.logConflict(worker, end.Run, "end of a run that was not ordered")
+		a.ends.enqueueClose(run, "its end was reported before it was ordered")
 		return true
 	})
 	differences.late = slices.DeleteFunc(differences.late, func(end record.RunEnd) bool {
-		if _, open := l.runs[end.Run]; !open {
+		if _, open := a.runs[end.Run]; !open {
 			return false
 		}
 		differences.conflicting = append(differences.conflicting, runRef(end.Run))
-		l.logConflict(worker, end.Run, "end of a run that is open on another worker")
+		a.logConflict(worker, end.Run, "end of a run that is open on another worker")
 		return true
 	})
 	differences.started = slices.DeleteFunc(differences.started, func(run *runState) bool { return run.closing })
 	for _, run := range differences.started {
 		if run.neverAssigned() {
-			l.logConflict(worker, run.id, "a run goes on that was not ordered")
+			a.logConflict(worker, run.id, "a run goes on that was not ordered")
 			run.assignedSeq = worker.seq
 		}
 	}
 	for _, reference := range differences.unwanted {
 		id, ok := parseRun(reference)
-		if open, elsewhere := l.runs[id]; ok && elsewhere && open.worker != worker {
-			l.logConflict(worker, id, "a run goes on that is open on another worker")
+		if open, elsewhere := a.runs[id]; ok && elsewhere && open.worker != worker {
+			a.logConflict(worker, id, "a run goes on that is open on another worker")
 		}
 	}
 }
 
-func (l *leader) logConflict(worker *workerEntry, run record.RunID, what string) {
-	l.logger.Warn("report contradicts the record", slog.String("what", what), slog.String("task", run.Task.String()),
+func (a *assignments) logConflict(worker *workerEntry, run record.RunID, what string) {
+	a.logger.Warn("report contradicts the record", slog.String("what", what), slog.String("task", run.Task.String()),
 		slog.Uint64("number", uint64(run.Number)), slog.String("worker", worker.info.Name),
 		slog.String("worker_id", worker.info.ID))
 }
--- a/internal/scheduler/conflicts_test.go
+++ b/internal/scheduler/conflicts_test.go
@@ -101,7 +101,7 @@
 		worker.exchange()
 		worker.exchange()
 		h.leader.mu.Lock()
-		h.leader.proposer.enqueueStop(h.leader.openByTask[testTask()], reason)
+		h.leader.proposer.enqueueStop(h.leader.assignments.openByTask[testTask()], reason)
 		h.leader.mu.Unlock()
 		h.settle()
 		h.submit("next", tasks(4))
--- a/internal/scheduler/departure.go
+++ b/internal/scheduler/departure.go
@@ -125,7 +125,7 @@
 	worker.departure.noticeGiven = true
 	worker.departure.observeRemaining(request.RemainingMillis, now)
 	l.registry.updatePlannerWorker(worker)
-	l.revokeUnassigned(worker)
+	l.assignments.revokeUnassigned(worker)
 	l.stopDeparting(worker, now)
 	return protocol.Empty{}, nil
 }
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -107,19 +107,11 @@
 		l.setDrained(worker)
 		l.registry.updatePlannerWorker(worker)
 		if worker.isLeaving() {
-			l.revokeUnassigned(worker)
+			l.assignments.revokeUnassigned(worker)
 		}
 	}
 }
 
-// revokeUnassigned closes the runs of a worker that leaves and whose orders
-// were not given yet.
-func (l *leader) revokeUnassigned(worker *workerEntry) {
-	for _, run := range worker.runs {
-		l.proposer.closeIfNeverAssigned(run)
-	}
-}
-
 // stopDrained stops what a drained worker still runs: tasks without an end of
 // their own at once, others after the drain grace.
 func (l *leader) stopDrained(now time.Duration) {
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -28,7 +28,7 @@
 	case record.JobAdded:
 		l.repeats.add(change.Job)
 		l.admission.slo.observeChain(change.Job.Spec.Queue, l.pending.chainsOf(change.Job).Job)
-		l.pendingStarts.add(change.Job)
+		l.assignments.pendingStarts.add(change.Job)
 	case record.OccurrenceAdded:
 		l.repeats.added(change.Job)
 	case record.OccurrenceEnded:
@@ -151,8 +151,7 @@
 		ID: task.ID, Queue: job.Spec.Queue, Priority: job.Spec.Priority + queuePriority(l.config, job.Spec.Queue),
 		Spec: task.Spec, StartedAt: open.PlacedAt, Preemptions: task.Preemptions, UntilCancelled: task.RunsUntilCancelled(),
 	}, open.WorkerID)
-	l.runs[run.id] = run
-	l.openByTask[task.ID] = run
+	l.assignments.add(run)
 	worker := l.registry.byID[open.WorkerID]
 	if worker == nil {
 		// The record accepts placements on registered incarnations only, so
@@ -175,7 +174,7 @@
 }
 
 func (l *leader) runStopping(open *record.Run) {
-	run, known := l.runs[open.ID()]
+	run, known := l.assignments.runs[open.ID()]
 	if !known {
 		return
 	}
@@ -187,15 +186,12 @@
 }
 
 func (l *leader) runClosed(open *record.Run, outcome api.Outcome) {
-	run, known := l.runs[open.ID()]
-	if !known {
+	run := l.assignments.remove(open.ID())
+	if run == nil {
 		return
 	}
-	delete(l.runs, run.id)
-	delete(l.openByTask, run.id.Task)
 	l.planner.Release(run.id.Task)
 	worker := run.worker
-	delete(worker.runs, run.id)
 	if len(worker.runs) == 0 && (worker.leaseExpired || !worker.registered) {
 		l.registry.removePlannerWorker(worker)
 	}
@@ -213,13 +209,14 @@
 	}
 	l.repeats.remove(job.ID)
 	delete(l.pending.chains, job.ID)
-	l.pendingStarts.remove(job.ID)
+	l.assignments.pendingStarts.remove(job.ID)
 	l.stepsEnded(job.Steps)
 }
 
 // stepsEnded forgets steps whose tasks are all final.
 func (l *leader) stepsEnded(steps []*record.Step) {
 	l.health.forgetSteps(steps)
+	l.assignments.forgetSteps(steps)
 	for _, step := range steps {
 		l.gangs.drop(step)
 	}
--- a/internal/scheduler/healthreview.go
+++ b/internal/scheduler/healthreview.go
@@ -31,9 +31,6 @@
 	fineGrainedQueues map[string]bool
 	// stalls counts how often a run of a task was stopped for standing still.
 	stalls map[record.TaskID]int
-	// withdrawn counts how often tasks that no order has named since were taken
-	// from silent workers.
-	revocations map[record.TaskID]int
 	// failedWorkers are the workers on which runs of tasks failed or stood still.
 	failedWorkers failedWorkers
 }
@@ -44,7 +41,6 @@
 		tracker:           workerhealth.New(),
 		fineGrainedQueues: make(map[string]bool),
 		stalls:            make(map[record.TaskID]int),
-		revocations:       make(map[record.TaskID]int),
 		failedWorkers:     make(failedWorkers),
 	}
 }
@@ -58,7 +54,6 @@
 		}
 		for _, task := range step.Tasks {
 			delete(h.stalls, task.ID)
-			delete(h.revocations, task.ID)
 		}
 	}
 }
@@ -201,7 +196,7 @@
 	if !l.health.isDue(now) {
 		return
 	}
-	for _, run := range l.runs {
+	for _, run := range l.assignments.runs {
 		if !l.gangs.waitsForMembers(run) && l.health.mustStopStalled(run, now) {
 			l.proposer.enqueueStop(run, record.StopStalled)
 		}
@@ -220,7 +215,7 @@
 		slog.String("reason", change.Reason), slog.Duration("for", max(change.Until-now, 0)))
 	if change.State == workerhealth.Suspect {
 		l.metrics.workersEjected.Inc()
-		l.revokeUnassigned(worker)
+		l.assignments.revokeUnassigned(worker)
 	}
 	l.registry.updatePlannerWorker(worker)
 	l.wake()
--- a/internal/scheduler/healthreview_test.go
+++ b/internal/scheduler/healthreview_test.go
@@ -173,7 +173,7 @@
 		worker.heartbeat.Progress = []api.RunProgress{{RunRef: worker.heartbeat.Running[0], Percent: 10}}
 		worker.exchange()
 		h.advance(testHold - time.Millisecond)
-		if h.leader.runs[record.RunID{Task: record.TaskID{Job: "j", Step: "s"}, Number: 1}].stop != record.StopNone {
+		if h.leader.assignments.runs[record.RunID{Task: record.TaskID{Job: "j", Step: "s"}, Number: 1}].stop != record.StopNone {
 			t.Error("silence was taken for a standstill")
 		}
 	})
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -9,7 +9,6 @@
 	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/rpc"
-	"github.com/decklever/decklever/internal/workerhealth"
 )
 
 const (
@@ -89,12 +88,12 @@
 		observed.late = true
 		observed.differences = reconcileLate(worker.runs, heartbeat)
 	}
-	l.quarantineConflicts(worker, &observed.differences)
-	l.applyDifferences(worker, &observed.differences)
+	l.assignments.quarantineConflicts(worker, &observed.differences)
+	l.assignments.applyDifferences(worker, &observed.differences)
 	if !observed.late {
 		l.health.observeProgress(worker, heartbeat.Progress, now)
 	}
-	observed.reports = l.classifyReports(&observed.differences)
+	observed.reports = l.assignments.classifyReports(&observed.differences)
 	return observed
 }
 
@@ -107,31 +106,6 @@
 	}
 }
 
-// applyDifferences updates the mirror with what the heartbeat showed.
-func (l *leader) applyDifferences(worker *workerEntry, differences *reconciliation) {
-	now := l.now()
-	for _, run := range differences.started {
-		run.listed = true
-		run.progress = workerhealth.NewProgress(now)
-		if run.inGang {
-			l.gangs.runStarted(run)
-		}
-	}
-	for _, task := range differences.startedTasks {
-		l.pendingStarts.remove(task.Job)
-	}
-	for _, end := range differences.ended {
-		if run, open := worker.runs[end.Run]; open && run.endSeenAt == 0 {
-			run.endSeenAt = now
-		}
-	}
-	for _, run := range differences.lost {
-		l.logger.Info("order had no effect", slog.String("run", run.id.Task.String()),
-			slog.Uint64("number", uint64(run.id.Number)), slog.String("worker", worker.info.Name))
-		l.proposer.enqueueClose(run, "the order did not take effect")
-	}
-}
-
 // commit puts what the heartbeat tells into the record, and returns the reports
 // that may be acknowledged.
 func (l *leader) commit(observed *observation) ([]api.RunRef, error) {
@@ -181,7 +155,7 @@
 		HoldMillis:     l.registry.leaseDuration().Milliseconds(),
 		IntervalMillis: l.registry.interval(prompt).Milliseconds(),
 		Start:          l.startAssignments(ctx, worker),
-		Stop:           l.stopRequests(worker, observed.differences),
+		Stop:           l.assignments.stopRequests(worker, observed.differences),
 		Acknowledged:   acknowledged,
 		ConfigVersion:  l.configVersion,
 	}
@@ -193,56 +167,16 @@
 	return protocol.HeartbeatAnswer{Answer: answer}, nil
 }
 
-// startAssignments gives each run placed on the worker its one order, if the caller
-// still waits for it.
+// startAssignments gives each run placed on the worker its one assignment, if the
+// caller still waits for it.
 func (l *leader) startAssignments(ctx context.Context, worker *workerEntry) []api.StartOrder {
-	orders := []api.StartOrder{}
 	if worker.isLeaving() {
-		l.revokeUnassigned(worker)
+		l.assignments.revokeUnassigned(worker)
 		l.stopDeparting(worker, l.now())
-		return orders
+		return []api.StartOrder{}
 	}
 	if ctx.Err() != nil {
-		return orders
-	}
-	for _, run := range worker.runs {
-		if run.assignedSeq != 0 || run.inherited || run.closing || run.stop != record.StopNone {
-			continue
-		}
-		if run.sharesOutcome && !l.gangs.mayAssign(run) {
-			continue
-		}
-		run.assignedSeq = worker.seq
-		run.assignedAt = l.now()
-		delete(l.health.revocations, run.id.Task)
-		orders = append(orders, run.assignment())
-	}
-	return orders
-}
-
-// order is the run's start order, with the job's payload filled in for a task
-// that has none.
-func (r *runState) assignment() api.StartOrder {
-	order := api.StartOrder{RunRef: runRef(r.id), Spec: *r.spec}
-	order.Spec.Payload = r.payload
-	order.Checkpoint = r.checkpoint
-	return order
-}
-
-// stopRequests names what the worker must stop. It is repeated in each answer
-// until the worker lists the run no more.
-func (l *leader) stopRequests(worker *workerEntry, differences reconciliation) []api.RunRef {
-	stops := append([]api.RunRef{}, differences.unwanted...)
-	for _, run := range differences.dropped {
-		if run.droppedSeq == 0 {
-			run.droppedSeq = worker.seq
-		}
-		stops = append(stops, runRef(run.id))
-	}
-	for _, run := range worker.runs {
-		if run.stop != record.StopNone && run.listed {
-			stops = append(stops, runRef(run.id))
-		}
+		return []api.StartOrder{}
 	}
-	return stops
+	return l.assignments.start(worker)
 }
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -139,7 +139,7 @@
 func (l *leader) waitReason(task *record.Task) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	entry, waits := l.pending.waiting[task.ID]
+	entry, waits := l.pending.find(task.ID)
 	switch {
 	case !waits:
 		return ""
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -40,15 +40,11 @@
 	// drainedZones are those drained by orders, beside the configuration.
 	drainedZones []string
 	registry     workerRegistry
-	runs         map[record.RunID]*runState
-	// openByTask finds the open run of a task.
-	openByTask map[record.TaskID]*runState
-	pending    pendingWork
-	gangs      gangs
-	health     healthReview
-	admission  admissionControl
-	// pendingStarts are the jobs of which nothing was seen to have begun.
-	pendingStarts pendingStarts
+	assignments  assignments
+	pending      pendingWork
+	gangs        gangs
+	health       healthReview
+	admission    admissionControl
 	// repeats are jobs with occurrences to come.
 	repeats repeats
 	// jobWaiters are closed when the job ends.
@@ -84,18 +80,16 @@
 		registry:      newWorkerRegistry(&term),
 		proposer:      newProposer(),
 		configChanged: make(chan struct{}),
-		runs:          make(map[record.RunID]*runState),
-		openByTask:    make(map[record.TaskID]*runState),
 		calendar:      calendar{released: make(map[string]time.Time)},
 		health:        newHealthReview(term.environment),
 		admission:     newAdmissionControl(term.environment),
-		pendingStarts: newPendingStarts(),
 		repeats:       newRepeats(),
 		jobWaiters:    make(map[string]chan struct{}),
 		processes:     make(map[string]*processEntry),
 	}
 	l.pending = newPendingWork(&l.term, &l.admission.slo)
 	l.gangs = newGangs(&l.term, &l.proposer, &l.registry, l.health.failedWorkers)
+	l.assignments = newAssignments(l.environment, &l.proposer, &l.gangs, &l.pending)
 	return l
 }
 
@@ -137,7 +131,7 @@
 		l.repeats.add(job)
 		l.admission.slo.observeChain(job.Spec.Queue, l.pending.chainsOf(job).Job)
 		if !mayHaveStarted(job) {
-			l.pendingStarts.add(job)
+			l.assignments.pendingStarts.add(job)
 		}
 		for _, step := range job.Steps {
 			l.loadStep(step)
--- a/internal/scheduler/missedheartbeats.go
+++ b/internal/scheduler/missedheartbeats.go
@@ -11,10 +11,6 @@
 // answer until it counts as silent.
 const missedHeartbeatsLimit = 2
 
-// maxRevocations is how often a task is taken from silent workers until an order
-// names it, so that work does not go round for long where heartbeats are slow.
-const maxRevocations = 3
-
 // revokeOnMissedHeartbeats closes the runs on silent workers that no order has named,
 // while most workers are heard. They surely never start there, so nothing need be
 // waited for, and their tasks can run elsewhere long before the hold lapses. It is
@@ -29,28 +25,13 @@
 			continue
 		}
 		worker.missedHeartbeatsSince = worker.answeredAt
-		if revoked := l.revokeUnassignedOutsideGangs(worker); revoked > 0 {
+		if revoked := l.assignments.revokeUnassignedOutsideGangs(worker); revoked > 0 {
 			l.logger.Info("runs withdrawn from a silent worker", slog.String("worker", worker.info.Name),
 				slog.Int("runs", revoked), slog.Duration("silent", l.registry.heartbeatDelay(worker, now)))
 		}
 	}
 }
 
-// revokeUnassignedOutsideGangs closes the runs of a worker that were never ordered, belong to no
-// group, and whose tasks were not withdrawn too often. It returns their number.
-func (l *leader) revokeUnassignedOutsideGangs(worker *workerEntry) int {
-	revoked := 0
-	for _, run := range worker.runs {
-		if run.neverAssigned() && !run.inGang && !run.closing && l.health.revocations[run.id.Task] < maxRevocations {
-			l.health.revocations[run.id.Task]++
-			l.proposer.closeIfNeverAssigned(run)
-			l.metrics.runsRevoked.Inc()
-			revoked++
-		}
-	}
-	return revoked
-}
-
 // isUnresponsive tells whether an order to the worker would probably come late: it is
 // silent, or the newest answer that it can tell of did not arrive. Such a worker
 // gets work last.
--- a/internal/scheduler/pendingstarts.go
+++ b/internal/scheduler/pendingstarts.go
@@ -57,5 +57,5 @@
 func (l *leader) jobsPendingStart(queue string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.pendingStarts.byQueue[queue]
+	return l.assignments.pendingStarts.byQueue[queue]
 }
--- a/internal/scheduler/pendingwork.go
+++ b/internal/scheduler/pendingwork.go
@@ -65,6 +65,12 @@
 	}
 }
 
+// find finds a task that waits.
+func (p *pendingWork) find(id record.TaskID) (*waitingTask, bool) {
+	entry, waits := p.waiting[id]
+	return entry, waits
+}
+
 // newTask describes a task that became ready. It does not wait until it is added.
 func (p *pendingWork) newTask(task *record.Task, config *api.Config) *waitingTask {
 	job := task.Step.Job
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -51,7 +51,7 @@
 	l.metrics.planSeconds.Observe((l.now() - started).Seconds())
 	placements := make([]record.Placement, 0, len(decisions))
 	for _, decision := range decisions {
-		entry, waits := l.pending.waiting[decision.Task]
+		entry, waits := l.pending.find(decision.Task)
 		if !waits {
 			l.planner.Release(decision.Task)
 			continue
@@ -71,8 +71,8 @@
 // placement is still being committed is stopped as soon as it is open.
 func (l *leader) preempt(preemptions []placement.Preemption) {
 	for _, preemption := range preemptions {
-		run, open := l.openByTask[preemption.Task]
-		entry, waits := l.pending.waiting[preemption.Task]
+		run, open := l.assignments.openByTask[preemption.Task]
+		entry, waits := l.pending.find(preemption.Task)
 		switch {
 		case open:
 			l.preemptRun(run)
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -1,8 +1,11 @@
 package scheduler
 
 import (
+	"log/slog"
+
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/record"
+	"github.com/decklever/decklever/internal/workerhealth"
 )
 
 // reconciliation is what follows from one heartbeat: the differences between
@@ -149,3 +152,28 @@
 func hasStarted(outcome api.Outcome) bool {
 	return outcome == api.OutcomeSucceeded || outcome == api.OutcomeFailed
 }
+
+// applyDifferences updates the mirror with what the heartbeat showed.
+func (a *assignments) applyDifferences(worker *workerEntry, differences *reconciliation) {
+	now := a.now()
+	for _, run := range differences.started {
+		run.listed = true
+		run.progress = workerhealth.NewProgress(now)
+		if run.inGang {
+			a.gangs.runStarted(run)
+		}
+	}
+	for _, task := range differences.startedTasks {
+		a.pendingStarts.remove(task.Job)
+	}
+	for _, end := range differences.ended {
+		if run, open := worker.runs[end.Run]; open && run.endSeenAt == 0 {
+			run.endSeenAt = now
+		}
+	}
+	for _, run := range differences.lost {
+		a.logger.Info("order had no effect", slog.String("run", run.id.Task.String()),
+			slog.Uint64("number", uint64(run.id.Number)), slog.String("worker", worker.info.Name))
+		a.ends.enqueueClose(run, "the order did not take effect")
+	}
+}
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -19,31 +19,6 @@
 	ended, late []record.RunEnd
 }
 
-// classifyReports decides which reports go to the record now. A late success whose
-// task is run anew is kept back, unless that run was never ordered: then it is
-// withdrawn. One of a group is not, since that would send the whole group back.
-func (l *leader) classifyReports(differences *reconciliation) reports {
-	sorted := reports{unreadable: slices.Concat(differences.unreadable, differences.conflicting), ended: differences.ended}
-	ending := make(map[record.RunID]bool, len(differences.ended))
-	for _, end := range differences.ended {
-		ending[end.Run] = true
-	}
-	for _, end := range differences.late {
-		newer, open := l.openByTask[end.Run.Task]
-		switch {
-		case !l.mayCountSuccess(end) || !open || ending[newer.id]:
-			sorted.late = append(sorted.late, end)
-		case newer.neverAssigned() && !newer.closing && !newer.inGang:
-			newer.closing = true
-			sorted.revoked = append(sorted.revoked, record.RunEnd{
-				Run: newer.id, Outcome: api.OutcomeLost, Message: "an earlier run of the task has succeeded",
-			})
-			sorted.late = append(sorted.late, end)
-		}
-	}
-	return sorted
-}
-
 // closes lists the runs in the order in which the record has to end them: a
 // late success counts only once no run of its task is open.
 func (r *reports) closes() []record.RunEnd {
@@ -64,7 +39,9 @@
 	if _, err := l.proposeOwn(record.Command{CloseRuns: &record.CloseRuns{Runs: closes}}); err != nil {
 		return nil, l.proposalError(err)
 	}
-	return l.acknowledge(reported), nil
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.assignments.acknowledge(reported), nil
 }
 
 // observeRefusedEnds takes the ends from a heartbeat that is refused for want of the lease,
@@ -83,9 +60,9 @@
 		worker = newWorkerEntry(workerInfo(request, 0), l.now())
 	}
 	differences := reconcileLate(worker.runs, request.Heartbeat)
-	l.quarantineConflicts(worker, &differences)
-	l.applyDifferences(worker, &differences)
-	return l.classifyReports(&differences)
+	l.assignments.quarantineConflicts(worker, &differences)
+	l.assignments.applyDifferences(worker, &differences)
+	return l.assignments.classifyReports(&differences)
 }
 
 // enqueueEnds queues ends that could not be committed.
@@ -95,32 +72,55 @@
 	l.proposer.enqueueEnds(reported.closes())
 }
 
-// acknowledge lists the reports that the worker need not repeat. A success of
-// a task that is not final was not taken, and is not acknowledged.
-func (l *leader) acknowledge(reported *reports) []api.RunRef {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	acknowledged := reported.unreadable
-	for _, end := range reported.ended {
-		acknowledged = append(acknowledged, runRef(end.Run))
+// classifyReports decides which reports go to the record now. A late success whose
+// task is run anew is kept back, unless that run was never ordered: then it is
+// withdrawn. One of a group is not, since that would send the whole group back.
+func (a *assignments) classifyReports(differences *reconciliation) reports {
+	sorted := reports{unreadable: slices.Concat(differences.unreadable, differences.conflicting), ended: differences.ended}
+	ending := make(map[record.RunID]bool, len(differences.ended))
+	for _, end := range differences.ended {
+		ending[end.Run] = true
 	}
-	for _, end := range reported.late {
-		if !l.mayCountSuccess(end) {
-			acknowledged = append(acknowledged, runRef(end.Run))
+	for _, end := range differences.late {
+		newer, open := a.openByTask[end.Run.Task]
+		switch {
+		case !a.mayCountSuccess(end) || !open || ending[newer.id]:
+			sorted.late = append(sorted.late, end)
+		case newer.neverAssigned() && !newer.closing && !newer.inGang:
+			newer.closing = true
+			sorted.revoked = append(sorted.revoked, record.RunEnd{
+				Run: newer.id, Outcome: api.OutcomeLost, Message: "an earlier run of the task has succeeded",
+			})
+			sorted.late = append(sorted.late, end)
 		}
 	}
-	return acknowledged
+	return sorted
 }
 
 // mayCountSuccess tells whether a late report is a success of a task that is not
 // final. A task that runs until cancelled has no success.
-func (l *leader) mayCountSuccess(end record.RunEnd) bool {
+func (a *assignments) mayCountSuccess(end record.RunEnd) bool {
 	if end.Outcome != api.OutcomeSucceeded {
 		return false
 	}
-	if run, open := l.openByTask[end.Run.Task]; open {
+	if run, open := a.openByTask[end.Run.Task]; open {
 		return !run.spec.UntilCancelled
 	}
-	entry, waits := l.pending.waiting[end.Run.Task]
+	entry, waits := a.pending.find(end.Run.Task)
 	return waits && !entry.task.Spec.UntilCancelled
 }
+
+// acknowledge lists the reports that the worker need not repeat. A success of
+// a task that is not final was not taken, and is not acknowledged.
+func (a *assignments) acknowledge(reported *reports) []api.RunRef {
+	acknowledged := reported.unreadable
+	for _, end := range reported.ended {
+		acknowledged = append(acknowledged, runRef(end.Run))
+	}
+	for _, end := range reported.late {
+		if !a.mayCountSuccess(end) {
+			acknowledged = append(acknowledged, runRef(end.Run))
+		}
+	}
+	return acknowledged
+}
--- a/internal/scheduler/reports_test.go
+++ b/internal/scheduler/reports_test.go
@@ -118,7 +118,7 @@
 func TestReports_LateSuccessRevokesUnassignedRun(t *testing.T) {
 	h := newHarness(t)
 	silent, other := h.expiredWorker()
-	if open := h.leader.openByTask[testTask()]; open == nil || open.worker.info.ID != "o-1" || open.assignedSeq != 0 {
+	if open := h.leader.assignments.openByTask[testTask()]; open == nil || open.worker.info.ID != "o-1" || open.assignedSeq != 0 {
 		t.Fatalf("want the task placed anew and not ordered, got %+v", open)
 	}
 	if answer := silent.exchange(); len(answer.Acknowledged) != 1 {
@@ -259,7 +259,7 @@
 	entry.expireLease()
 	h.leader.mu.Unlock()
 	h.settle()
-	if len(h.leader.runs) != 0 || len(h.leader.pending.waiting) != 1 {
-		t.Errorf("%d runs open, %d tasks wait", len(h.leader.runs), len(h.leader.pending.waiting))
+	if len(h.leader.assignments.runs) != 0 || len(h.leader.pending.waiting) != 1 {
+		t.Errorf("%d runs open, %d tasks wait", len(h.leader.assignments.runs), len(h.leader.pending.waiting))
 	}
 }
--- a/internal/scheduler/statemetrics.go
+++ b/internal/scheduler/statemetrics.go
@@ -57,7 +57,7 @@
 	current.mu.Lock()
 	defer current.mu.Unlock()
 	gauge(c.workers, len(current.registry.byID))
-	gauge(c.openRuns, len(current.runs))
+	gauge(c.openRuns, len(current.assignments.runs))
 	gauge(c.watchers, len(current.processes))
 }
 
