--- a/internal/scheduler/departure.go
+++ b/internal/scheduler/departure.go
@@ -7,7 +7,6 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/protocol"
-	"github.com/decklever/decklever/internal/record"
 )
 
 const (
@@ -126,34 +125,13 @@
 	worker.departure.observeRemaining(request.RemainingMillis, now)
 	l.registry.updatePlannerWorker(worker)
 	l.assignments.revokeUnassigned(worker)
-	l.stopDeparting(worker, now)
+	l.drains.stopDeparting(worker, now, l.registry.interval(false))
 	return protocol.Empty{}, nil
 }
 
-// stopAllDeparting looks at every worker that surely ends.
-func (l *leader) stopAllDeparting(now time.Duration) {
-	for _, worker := range l.registry.byID {
-		l.stopDeparting(worker, now)
-	}
-}
-
-// stopDeparting stops the runs of a worker that surely ends and that must not
-// be left alone any longer.
-func (l *leader) stopDeparting(worker *workerEntry, now time.Duration) {
-	if !worker.departure.announced() {
-		return
-	}
-	lead := maxStopTime + heartbeatsPerStop*l.registry.interval(false) + departureMargin
-	for _, run := range worker.runs {
-		if l.mustStopDeparting(run, worker.departure, now, lead) {
-			l.proposer.enqueueStop(run, record.StopDrained)
-		}
-	}
-}
-
 // mustStopDeparting decides on one run. Without a known end of the worker only
 // work without an end of its own is moved.
-func (l *leader) mustStopDeparting(run *runState, announced departure, now, lead time.Duration) bool {
+func mustStopDeparting(run *runState, announced departure, now, lead time.Duration) bool {
 	if !announced.hasEnd {
 		return run.spec.UntilCancelled
 	}
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -1,20 +1,13 @@
 package scheduler
 
 import (
-	"context"
-	"fmt"
 	"slices"
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/record"
 )
 
-// maxDrainedZones bounds the zones that are drained by orders, which stay in
-// the record until they are taken back.
-const maxDrainedZones = 1024
-
 // drainCause is what drains a worker, as it is told to people.
 type drainCause string
 
@@ -25,106 +18,93 @@
 	drainedByOrder  drainCause = "its zone is drained by an order"
 )
 
-// drainZone drains a zone by an order of its own, or takes that back. It
-// answers once the order is committed, also if nothing changed by it: another
-// leader may have been asked before.
-func (l *leader) drainZone(ctx context.Context, request protocol.DrainZoneRequest) (protocol.Empty, error) {
-	drain := request.Drain
-	if fields := api.ValidateZoneDrain(&drain); len(fields) > 0 {
-		return protocol.Empty{}, invalid("drain", fields)
-	}
-	if drain.Drained && l.countOtherDrainedZones(drain.Zone) >= maxDrainedZones {
-		return protocol.Empty{}, overLimitError(fmt.Sprintf("%d zones are drained by orders already", maxDrainedZones))
-	}
-	command := record.Command{DrainZone: &record.DrainZone{Zone: drain.Zone, Drained: drain.Drained}}
-	if _, err := l.propose(ctx, command); err != nil {
-		return protocol.Empty{}, l.proposalError(err)
-	}
-	return protocol.Empty{}, nil
+// drains decides which workers are drained, by the configuration or by orders on
+// their zones, and which runs have to leave workers that drain or depart.
+type drains struct {
+	*environment
+	// configured are the drains of the configuration in force.
+	configured *api.DrainConfig
+	// grace is how long runs may go on after their worker was drained.
+	grace time.Duration
+	// zones are those drained by orders, beside the configuration.
+	zones []string
+	ends  runEnder
 }
 
-// countOtherDrainedZones counts the zones drained by orders, without this one.
-func (l *leader) countOtherDrainedZones(zone string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	count := len(l.drainedZones)
-	if slices.Contains(l.drainedZones, zone) {
-		count--
-	}
-	return count
+func newDrains(environment *environment, ends runEnder) drains {
+	return drains{environment: environment, ends: ends}
 }
 
-// listDrains lists the zones that are drained by orders.
-func (l *leader) listDrains(context.Context, protocol.Empty) (protocol.DrainsAnswer, error) {
-	list := api.DrainList{Zones: []api.ZoneDrain{}}
-	l.log.Record().Read(func(view record.View) {
-		for _, zone := range view.DrainedZones() {
-			list.Zones = append(list.Zones, api.ZoneDrain{Zone: zone, Drained: true})
-		}
-	})
-	if !l.log.HoldsLease(l.token) {
-		return protocol.DrainsAnswer{}, l.notLeader()
+// configure takes over a configuration.
+func (d *drains) configure(config *api.Config) {
+	d.configured = &config.Drains
+	d.grace = config.Timings.DrainGrace.Std()
+}
+
+// zoneChanged takes over an order on a zone.
+func (d *drains) zoneChanged(zone string, drained bool) {
+	d.zones = slices.DeleteFunc(d.zones, func(one string) bool { return one == zone })
+	if drained {
+		d.zones = append(d.zones, zone)
 	}
-	return protocol.DrainsAnswer{List: list}, nil
 }
 
-// zoneDrainChanged acts at once on an order that was committed.
-func (l *leader) zoneDrainChanged(change record.ZoneDrainChanged) {
-	l.drainedZones = slices.DeleteFunc(l.drainedZones, func(zone string) bool { return zone == change.Zone })
-	if change.Drained {
-		l.drainedZones = append(l.drainedZones, change.Zone)
+// countOthers counts the zones drained by orders, without this one.
+func (d *drains) countOthers(zone string) int {
+	count := len(d.zones)
+	if slices.Contains(d.zones, zone) {
+		count--
 	}
-	l.applyDrains()
+	return count
 }
 
-// drainCauseOf tells what drains a worker: the configuration, an order on its
+// causeOf tells what drains a worker: the configuration, an order on its
 // zone, or nothing.
-func (l *leader) drainCauseOf(worker *workerEntry) drainCause {
-	drains := l.config.Drains
+func (d *drains) causeOf(worker *workerEntry) drainCause {
 	switch {
-	case slices.Contains(drains.Workers, worker.info.Name), slices.Contains(drains.Zones, worker.info.Zone):
+	case slices.Contains(d.configured.Workers, worker.info.Name), slices.Contains(d.configured.Zones, worker.info.Zone):
 		return drainedByConfig
-	case slices.Contains(l.drainedZones, worker.info.Zone):
+	case slices.Contains(d.zones, worker.info.Zone):
 		return drainedByOrder
 	default:
 		return notDrained
 	}
 }
 
-// setDrained takes over what the configuration and the orders say of a worker.
+// apply takes over what the configuration and the orders say of a worker.
 // The drain grace counts from the first of them.
-func (l *leader) setDrained(worker *workerEntry) {
-	cause := l.drainCauseOf(worker)
+func (d *drains) apply(worker *workerEntry) {
+	cause := d.causeOf(worker)
 	if cause != notDrained && !worker.isDrained() {
-		worker.drainedSince = l.now()
+		worker.drainedSince = d.now()
 	}
 	worker.drainCause = cause
 }
 
-// applyDrains applies the drains of a new configuration or order at once.
-func (l *leader) applyDrains() {
-	for _, worker := range l.registry.byID {
-		l.setDrained(worker)
-		l.registry.updatePlannerWorker(worker)
-		if worker.isLeaving() {
-			l.assignments.revokeUnassigned(worker)
+// stopDrained stops what a drained worker still runs: tasks without an end of their
+// own at once, others after the drain grace.
+func (d *drains) stopDrained(worker *workerEntry, now time.Duration) {
+	if !worker.isDrained() {
+		return
+	}
+	overdue := now-worker.drainedSince >= d.grace
+	for _, run := range worker.runs {
+		if overdue || run.spec.UntilCancelled {
+			d.ends.enqueueStop(run, record.StopDrained)
 		}
 	}
 }
 
-// stopDrained stops what a drained worker still runs: tasks without an end of
-// their own at once, others after the drain grace.
-func (l *leader) stopDrained(now time.Duration) {
-	grace := l.config.Timings.DrainGrace.Std()
-	for _, worker := range l.registry.byID {
-		if !worker.isDrained() {
-			continue
-		}
-		overdue := now-worker.drainedSince >= grace
-		for _, run := range worker.runs {
-			if overdue || run.spec.UntilCancelled {
-				l.proposer.enqueueStop(run, record.StopDrained)
-			}
+// stopDeparting stops the runs of a worker that surely ends and that must not
+// be left alone any longer. interval is the pause between its heartbeats.
+func (d *drains) stopDeparting(worker *workerEntry, now, interval time.Duration) {
+	if !worker.departure.announced() {
+		return
+	}
+	lead := maxStopTime + heartbeatsPerStop*interval + departureMargin
+	for _, run := range worker.runs {
+		if mustStopDeparting(run, worker.departure, now, lead) {
+			d.ends.enqueueStop(run, record.StopDrained)
 		}
 	}
 }
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -39,13 +39,14 @@
 		l.configChangedTo(change.Version, change.Config)
 		l.applyDrains()
 	case record.ZoneDrainChanged:
-		l.zoneDrainChanged(change)
+		l.drains.zoneChanged(change.Zone, change.Drained)
+		l.applyDrains()
 	case record.WorkerChanged:
 		l.workerRegistered(change.Worker)
 	case record.WorkerForgotten:
 		l.workerForgotten(change.Worker)
 	case record.WindowReleased:
-		l.windowReleased(change.Window)
+		l.calendar.release(change.Window)
 	case record.StateReplaced:
 		// A leader never installs a snapshot; the term is about to end.
 	}
@@ -227,6 +228,7 @@
 	orderChanged := l.config != nil && !sameOrder(l.config, config)
 	l.config = config
 	l.registry.timings = &config.Timings
+	l.drains.configure(config)
 	l.configVersion = version
 	close(l.configChanged)
 	l.configChanged = make(chan struct{})
@@ -245,7 +247,7 @@
 	l.planner.SetQueues(rules)
 	l.admission.slo.forgetUnused(config)
 	l.planner.SetMaxPreemptions(l.maxPreemptions(config))
-	l.invalidateCalendar()
+	l.calendar.configure(config.Queues)
 	if orderChanged {
 		l.offerChanged(l.pending.reorder(config))
 	}
@@ -275,7 +277,7 @@
 	if earlier != nil {
 		l.health.tracker.Forget(earlier.info.ID)
 	}
-	l.setDrained(worker)
+	l.drains.apply(worker)
 	l.registry.updatePlannerWorker(worker)
 }
 
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -172,7 +172,7 @@
 func (l *leader) startAssignments(ctx context.Context, worker *workerEntry) []api.StartOrder {
 	if worker.isLeaving() {
 		l.assignments.revokeUnassigned(worker)
-		l.stopDeparting(worker, l.now())
+		l.drains.stopDeparting(worker, l.now(), l.registry.interval(false))
 		return []api.StartOrder{}
 	}
 	if ctx.Err() != nil {
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -37,14 +37,13 @@
 	config        *api.Config
 	configVersion uint64
 	configChanged chan struct{}
-	// drainedZones are those drained by orders, beside the configuration.
-	drainedZones []string
-	registry     workerRegistry
-	assignments  assignments
-	pending      pendingWork
-	gangs        gangs
-	health       healthReview
-	admission    admissionControl
+	drains        drains
+	registry      workerRegistry
+	assignments   assignments
+	pending       pendingWork
+	gangs         gangs
+	health        healthReview
+	admission     admissionControl
 	// repeats are jobs with occurrences to come.
 	repeats repeats
 	// jobWaiters are closed when the job ends.
@@ -80,13 +79,14 @@
 		registry:      newWorkerRegistry(&term),
 		proposer:      newProposer(),
 		configChanged: make(chan struct{}),
-		calendar:      calendar{released: make(map[string]time.Time)},
+		calendar:      newCalendar(term.environment),
 		health:        newHealthReview(term.environment),
 		admission:     newAdmissionControl(term.environment),
 		repeats:       newRepeats(),
 		jobWaiters:    make(map[string]chan struct{}),
 		processes:     make(map[string]*processEntry),
 	}
+	l.drains = newDrains(l.environment, &l.proposer)
 	l.pending = newPendingWork(&l.term, &l.admission.slo)
 	l.gangs = newGangs(&l.term, &l.proposer, &l.registry, l.health.failedWorkers)
 	l.assignments = newAssignments(l.environment, &l.proposer, &l.gangs, &l.pending)
@@ -115,9 +115,9 @@
 	version, config := view.Config()
 	l.configChangedTo(version, config)
 	for _, window := range view.ReleasedWindows() {
-		l.windowReleased(window)
+		l.calendar.release(window)
 	}
-	l.drainedZones = slices.Clone(view.DrainedZones())
+	l.drains.zones = slices.Clone(view.DrainedZones())
 	for worker := range view.Workers() {
 		l.workerRegistered(worker)
 	}
@@ -151,7 +151,7 @@
 	l.revokeOnMissedHeartbeats(now)
 	l.stopDrained(now)
 	l.gangs.breakLate(now)
-	l.stopAllDeparting(now)
+	l.stopDeparting(now)
 	l.reviewHealth(now)
 	if l.admission.slo.review(now, l.config.Queues) {
 		l.planner.SetDeferences(l.admission.slo.deferences)
