--- a/internal/scheduler/deference_test.go
+++ b/internal/scheduler/deference_test.go
@@ -43,7 +43,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h.leader.admission.slo = newSLOTracker(h.leader.environment)
 			c.closed(h.leader.admission.slo.queue("a"))
-			if diff := cmp.Diff(c.want, yieldsOf(t, h.leader.admission.slo.deferencesOf(h.leader.config.Queues), "a")); diff != "" {
+			if diff := cmp.Diff(c.want, yieldsOf(t, h.leader.admission.slo.deferencesOf(h.leader.settings.config.Queues), "a")); diff != "" {
 				t.Errorf("a yields to (-want +got):\n%s", diff)
 			}
 		})
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -76,7 +76,7 @@
 	if answer := other.exchange(); len(answer.Start) != 1 || answer.Start[0].Task != "unordered/s/0" {
 		t.Errorf("want the withdrawn task elsewhere, got %+v", answer.Start)
 	}
-	grace := h.leader.config.Timings.DrainGrace.Std()
+	grace := h.leader.settings.config.Timings.DrainGrace.Std()
 	h.heartbeatFor(grace-time.Second, worker, other)
 	if answer := worker.exchange(); len(answer.Stop) != 1 {
 		t.Errorf("stopped within the grace: %+v", answer.Stop)
@@ -198,7 +198,7 @@
 func TestDrains_GraceCountsFromFirstDrain(t *testing.T) {
 	h := newHarness(t)
 	worker := h.running("a", 1)
-	grace := h.leader.config.Timings.DrainGrace.Std()
+	grace := h.leader.settings.config.Timings.DrainGrace.Std()
 	h.drainZone("z1", true)
 	for range int(grace / time.Second) {
 		h.heartbeatFor(time.Second, worker)
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -67,7 +67,7 @@
 
 // taskReady has a task wait, and offers it once it is due.
 func (l *leader) taskReady(task *record.Task) {
-	entry := l.pending.newTask(task, l.config)
+	entry := l.pending.newTask(task, l.settings.config)
 	l.health.advise(&entry.task, task)
 	l.pending.add(entry)
 	if task.Step.IsGang() {
@@ -149,7 +149,7 @@
 	l.planner.Remove(task.ID)
 	job := task.Step.Job
 	l.planner.AddRun(placement.Task{
-		ID: task.ID, Queue: job.Spec.Queue, Priority: job.Spec.Priority + queuePriority(l.config, job.Spec.Queue),
+		ID: task.ID, Queue: job.Spec.Queue, Priority: job.Spec.Priority + queuePriority(l.settings.config, job.Spec.Queue),
 		Spec: task.Spec, StartedAt: open.PlacedAt, Preemptions: task.Preemptions, UntilCancelled: task.RunsUntilCancelled(),
 	}, open.WorkerID)
 	l.assignments.add(run)
@@ -204,10 +204,7 @@
 }
 
 func (l *leader) jobEnded(job *record.Job) {
-	if waiter, waited := l.jobWaiters[job.ID]; waited {
-		close(waiter)
-		delete(l.jobWaiters, job.ID)
-	}
+	l.jobWaiters.jobEnded(job.ID)
 	l.repeats.remove(job.ID)
 	delete(l.pending.chains, job.ID)
 	l.assignments.pendingStarts.remove(job.ID)
@@ -225,13 +222,10 @@
 
 // configChangedTo takes over a configuration.
 func (l *leader) configChangedTo(version uint64, config *api.Config) {
-	orderChanged := l.config != nil && !sameOrder(l.config, config)
-	l.config = config
+	orderChanged := l.settings.config != nil && !sameOrder(l.settings.config, config)
+	l.settings.set(version, config)
 	l.registry.timings = &config.Timings
 	l.drains.configure(config)
-	l.configVersion = version
-	close(l.configChanged)
-	l.configChanged = make(chan struct{})
 	rules := make([]placement.QueueRule, 0, len(config.Queues))
 	for _, queue := range config.Queues {
 		rules = append(rules, placement.QueueRule{
--- a/internal/scheduler/expire.go
+++ b/internal/scheduler/expire.go
@@ -47,7 +47,7 @@
 // expireBefore is the end before which jobs are to be dropped now.
 func (l *leader) expireBefore() (before record.Millis, found bool, err error) {
 	l.mu.Lock()
-	retention := l.config.Timings.Retention.Std()
+	retention := l.settings.config.Timings.Retention.Std()
 	l.mu.Unlock()
 	before = l.log.Now() - record.MillisOf(retention)
 	if over := l.archive.Bytes() - l.archiveBytes; over > 0 {
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -122,7 +122,7 @@
 
 func (h *harness) putConfig(config api.Config) {
 	h.t.Helper()
-	version := h.leader.configVersion
+	version := h.leader.settings.version
 	request := protocol.PutConfigRequest{OrderID: fmt.Sprintf("order-%d", version), Base: version, Config: config}
 	if _, err := h.leader.putConfig(h.t.Context(), request); err != nil {
 		h.t.Fatalf("put config: %v", err)
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -68,7 +68,7 @@
 	defer l.mu.Unlock()
 	heartbeat := request.Heartbeat
 	now := l.now()
-	l.confirmAgent(request, now)
+	l.settings.observeAgent(request, now)
 	worker, known := l.registry.byID[heartbeat.WorkerID]
 	if !known {
 		worker = l.registry.add(workerInfo(request, l.log.Now()), now)
@@ -157,7 +157,7 @@
 		Start:          l.startAssignments(ctx, worker),
 		Stop:           l.assignments.stopRequests(worker, observed.differences),
 		Acknowledged:   acknowledged,
-		ConfigVersion:  l.configVersion,
+		ConfigVersion:  l.settings.version,
 	}
 	if !l.log.HoldsLease(l.token) {
 		return protocol.HeartbeatAnswer{}, l.notLeader()
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -151,24 +151,3 @@
 		return l.planner.Reason(task.ID)
 	}
 }
-
-// jobEndedChannel returns a channel that is closed when the job is final.
-func (l *leader) jobEndedChannel(id string) <-chan struct{} {
-	var ended <-chan struct{}
-	l.log.Record().Read(func(view record.View) {
-		_, live := view.Job(id)
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if !live {
-			closed := make(chan struct{})
-			close(closed)
-			ended = closed
-			return
-		}
-		if l.jobWaiters[id] == nil {
-			l.jobWaiters[id] = make(chan struct{})
-		}
-		ended = l.jobWaiters[id]
-	})
-	return ended
-}
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -6,7 +6,6 @@
 	"sync"
 	"time"
 
-	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/placement"
 	"github.com/decklever/decklever/internal/record"
@@ -31,24 +30,20 @@
 	term
 	proposer proposer
 
-	mu       sync.Mutex
-	calendar calendar
-	// config is in force here, with defaults filled in.
-	config        *api.Config
-	configVersion uint64
-	configChanged chan struct{}
-	drains        drains
-	registry      workerRegistry
-	assignments   assignments
-	pending       pendingWork
-	gangs         gangs
-	health        healthReview
-	admission     admissionControl
+	mu          sync.Mutex
+	calendar    calendar
+	settings    settings
+	drains      drains
+	registry    workerRegistry
+	assignments assignments
+	pending     pendingWork
+	gangs       gangs
+	health      healthReview
+	admission   admissionControl
 	// repeats are jobs with occurrences to come.
 	repeats repeats
 	// jobWaiters are closed when the job ends.
-	jobWaiters map[string]chan struct{}
-	processes  map[string]*processEntry
+	jobWaiters jobWaiters
 }
 
 // Planner is what a leader needs of package placement.
@@ -75,16 +70,15 @@
 func newLeader(config leaderConfig) *leader {
 	term := newTerm(config)
 	l := &leader{
-		term:          term,
-		registry:      newWorkerRegistry(&term),
-		proposer:      newProposer(),
-		configChanged: make(chan struct{}),
-		calendar:      newCalendar(term.environment),
-		health:        newHealthReview(term.environment),
-		admission:     newAdmissionControl(term.environment),
-		repeats:       newRepeats(),
-		jobWaiters:    make(map[string]chan struct{}),
-		processes:     make(map[string]*processEntry),
+		term:       term,
+		registry:   newWorkerRegistry(&term),
+		proposer:   newProposer(),
+		settings:   newSettings(),
+		calendar:   newCalendar(term.environment),
+		health:     newHealthReview(term.environment),
+		admission:  newAdmissionControl(term.environment),
+		repeats:    newRepeats(),
+		jobWaiters: make(jobWaiters),
 	}
 	l.drains = newDrains(l.environment, &l.proposer)
 	l.pending = newPendingWork(&l.term, &l.admission.slo)
@@ -153,7 +147,7 @@
 	l.gangs.breakLate(now)
 	l.stopDeparting(now)
 	l.reviewHealth(now)
-	if l.admission.slo.review(now, l.config.Queues) {
+	if l.admission.slo.review(now, l.settings.config.Queues) {
 		l.planner.SetDeferences(l.admission.slo.deferences)
 	}
 	l.planner.SetTime(clusterNow)
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -135,7 +135,7 @@
 	h := newHarness(t)
 	h.worker("w", "w-1").exchange()
 	config := reservedConfig(5) // 4 fit
-	request := protocol.PutConfigRequest{OrderID: "too-much", Base: h.leader.configVersion, Config: config}
+	request := protocol.PutConfigRequest{OrderID: "too-much", Base: h.leader.settings.version, Config: config}
 	for range 2 { // and the same order again gets the same answer
 		if _, err := h.leader.putConfig(t.Context(), request); !errors.Is(err, &api.Error{Code: api.CodeInvalid}) {
 			t.Fatalf("want invalid, got %v", err)
--- a/internal/scheduler/statemetrics.go
+++ b/internal/scheduler/statemetrics.go
@@ -58,7 +58,7 @@
 	defer current.mu.Unlock()
 	gauge(c.workers, len(current.registry.byID))
 	gauge(c.openRuns, len(current.assignments.runs))
-	gauge(c.watchers, len(current.processes))
+	gauge(c.watchers, len(current.settings.processes))
 }
 
 // countQueues sums the counts of all queues in force.
--- a/internal/scheduler/submitting.go
+++ b/internal/scheduler/submitting.go
@@ -61,7 +61,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	id, queue := request.ID, request.Spec.Queue
-	if err := l.admission.beginSubmit(id, queue, l.config); err != nil {
+	if err := l.admission.beginSubmit(id, queue, l.settings.config); err != nil {
 		return nil, err
 	}
 	return func() {
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -2,11 +2,8 @@
 
 import (
 	"context"
-	"slices"
-	"strings"
 	"time"
 
-	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/protocol"
 )
 
@@ -19,20 +16,8 @@
 	// third of watchLease, so that they renew it in time even if one call is lost;
 	// agents for more while their workers' heartbeats renew it.
 	maxWatchWait = 5 * time.Second
-	// agentRole is the role of the processes that relay heartbeats.
-	agentRole = "agent"
-	// forgetProcessAfter drops a process that was not heard from the roll-out.
-	forgetProcessAfter = 30 * time.Second
 )
 
-// processEntry is what a front or an agent last said.
-type processEntry struct {
-	role     string
-	zone     string
-	version  uint64
-	lastSeen time.Duration
-}
-
 // watch answers at once if the process does not know the newest configuration
 // or token, else when one changes or when the wait is over.
 func (l *leader) watch(ctx context.Context, request protocol.WatchRequest) (protocol.WatchAnswer, error) {
@@ -54,79 +39,38 @@
 	return l.watchAnswer(request), nil
 }
 
-// recordProcess records what the process has in force. It returns nil if the
-// process must be told something now, else a channel that is closed when the
-// configuration changes. A process that has just started and knows no
-// configuration yet serves nobody, and is noted once it confirms its first.
-func (l *leader) recordProcess(request protocol.WatchRequest) <-chan struct{} {
+func (l *leader) watchAnswer(request protocol.WatchRequest) protocol.WatchAnswer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if request.ConfigVersion > 0 || l.configVersion == 0 {
-		l.setProcess(request.Process, processEntry{
-			role: request.Role, zone: request.Zone, version: request.ConfigVersion, lastSeen: l.now(),
-		})
-	} else {
-		delete(l.processes, request.Process)
-	}
-	if request.ConfigVersion != l.configVersion || request.Token != l.token {
-		return nil
-	}
-	return l.configChanged
-}
-
-// setProcess notes what a process has in force.
-func (l *leader) setProcess(process string, entry processEntry) {
-	known, exists := l.processes[process]
-	if !exists {
-		known = &processEntry{}
-		l.processes[process] = known
+	answer := protocol.WatchAnswer{Token: l.token, ConfigVersion: l.settings.version, LeaseMillis: watchLease.Milliseconds()}
+	if leader, known := l.log.Leader(); known {
+		answer.LeaderAddress = leader.Address
 	}
-	*known = entry
-}
-
-// confirmAgent notes what the agent that relays a heartbeat has in force.
-func (l *leader) confirmAgent(request protocol.HeartbeatRequest, now time.Duration) {
-	if request.ConfigVersion > 0 {
-		l.setProcess(request.Agent, processEntry{role: agentRole, zone: request.Zone, version: request.ConfigVersion, lastSeen: now})
+	if request.ConfigVersion != l.settings.version && !request.VersionOnly {
+		answer.Config = l.settings.config
 	}
+	return answer
 }
 
-func (l *leader) watchAnswer(request protocol.WatchRequest) protocol.WatchAnswer {
+// recordProcess records what the process has in force. It returns nil if the process
+// must be told something now, else a channel that is closed when the configuration
+// changes.
+func (l *leader) recordProcess(request protocol.WatchRequest) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	answer := protocol.WatchAnswer{Token: l.token, ConfigVersion: l.configVersion, LeaseMillis: watchLease.Milliseconds()}
-	if leader, known := l.log.Leader(); known {
-		answer.LeaderAddress = leader.Address
-	}
-	if request.ConfigVersion != l.configVersion && !request.VersionOnly {
-		answer.Config = l.config
+	l.settings.observeWatch(request, l.now())
+	if request.ConfigVersion != l.settings.version || request.Token != l.token {
+		return nil
 	}
-	return answer
+	return l.settings.changed
 }
 
-// rollout says which process has which version. Complete counts only
-// processes that were heard within their hold: others have stopped serving.
+// rollout says which process has which version.
 func (l *leader) rollout(context.Context, protocol.Empty) (protocol.RolloutAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
 		return protocol.RolloutAnswer{}, l.notLeader()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.now()
-	rollout := api.Rollout{Version: l.configVersion, Complete: true, Processes: []api.ProcessRollout{}}
-	for name, process := range l.processes {
-		age := now - process.lastSeen
-		if age > forgetProcessAfter {
-			delete(l.processes, name)
-			continue
-		}
-		if age <= watchLease && process.version != l.configVersion {
-			rollout.Complete = false
-		}
-		rollout.Processes = append(rollout.Processes, api.ProcessRollout{
-			Process: name, Role: process.role, Zone: process.zone, Version: process.version, AgeMillis: age.Milliseconds(),
-		})
-	}
-	slices.SortFunc(rollout.Processes, func(a, b api.ProcessRollout) int { return strings.Compare(a.Process, b.Process) })
-	return protocol.RolloutAnswer{Rollout: rollout}, nil
+	return protocol.RolloutAnswer{Rollout: l.settings.rollout(l.now())}, nil
 }
