--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -83,16 +83,16 @@
 func (a *assignments) start(worker *workerEntry) []api.StartOrder {
 	orders := []api.StartOrder{}
 	for _, run := range worker.runs {
-		if run.assignedSeq != 0 || run.inherited || run.closing || run.stop != record.StopNone {
+		if run.assignment.seq != 0 || run.assignment.inherited || run.closing || run.stop != record.StopNone {
 			continue
 		}
 		if run.sharesOutcome && !a.gangs.mayAssign(run) {
 			continue
 		}
-		run.assignedSeq = worker.seq
-		run.assignedAt = a.now()
+		run.assignment.seq = worker.seq
+		run.assignment.at = a.now()
 		delete(a.revocations, run.id.Task)
-		orders = append(orders, run.assignment())
+		orders = append(orders, run.startOrder())
 	}
 	return orders
 }
@@ -120,9 +120,9 @@
 	return revoked
 }
 
-// assignment is the run's start order, with the job's payload filled in for a task
+// startOrder is the run's start order, with the job's payload filled in for a task
 // that has none.
-func (r *runState) assignment() api.StartOrder {
+func (r *runState) startOrder() api.StartOrder {
 	order := api.StartOrder{RunRef: runRef(r.id), Spec: *r.spec}
 	order.Spec.Payload = r.payload
 	order.Checkpoint = r.checkpoint
@@ -134,13 +134,13 @@
 func (a *assignments) stopRequests(worker *workerEntry, differences reconciliation) []api.RunRef {
 	stops := append([]api.RunRef{}, differences.unwanted...)
 	for _, run := range differences.dropped {
-		if run.droppedSeq == 0 {
-			run.droppedSeq = worker.seq
+		if run.assignment.droppedSeq == 0 {
+			run.assignment.droppedSeq = worker.seq
 		}
 		stops = append(stops, runRef(run.id))
 	}
 	for _, run := range worker.runs {
-		if run.stop != record.StopNone && run.listed {
+		if run.stop != record.StopNone && run.observed.listed {
 			stops = append(stops, runRef(run.id))
 		}
 	}
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -17,9 +17,9 @@
 		if !open {
 			continue
 		}
-		run.reportedPercent = progress.Percent
+		run.observed.percent = progress.Percent
 		if progress.Checkpoint != "" {
-			run.reportedCheckpoint = progress.Checkpoint
+			run.observed.checkpoint = progress.Checkpoint
 		}
 	}
 }
@@ -27,8 +27,8 @@
 // addCheckpoint puts what was last heard of the run beside how it ended. The
 // checkpoint that came with the end is newer.
 func (r *runState) addCheckpoint(end *record.RunEnd) {
-	end.Percent = r.reportedPercent
+	end.Percent = r.observed.percent
 	if end.Checkpoint == "" {
-		end.Checkpoint = r.reportedCheckpoint
+		end.Checkpoint = r.observed.checkpoint
 	}
 }
--- a/internal/scheduler/conflicts.go
+++ b/internal/scheduler/conflicts.go
@@ -35,7 +35,7 @@
 	for _, run := range differences.started {
 		if run.neverAssigned() {
 			a.logConflict(worker, run.id, "a run goes on that was not ordered")
-			run.assignedSeq = worker.seq
+			run.assignment.seq = worker.seq
 		}
 	}
 	for _, reference := range differences.unwanted {
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -18,6 +18,15 @@
 	drainedByOrder  drainCause = "its zone is drained by an order"
 )
 
+// drain is what drains one worker.
+type drain struct {
+	// requested is the worker's own flag.
+	requested bool
+	// cause is what else drains it, since when.
+	cause drainCause
+	since time.Duration
+}
+
 // drains decides which workers are drained, by the configuration or by orders on
 // their zones, and which runs have to leave workers that drain or depart.
 type drains struct {
@@ -76,9 +85,9 @@
 func (d *drains) apply(worker *workerEntry) {
 	cause := d.causeOf(worker)
 	if cause != notDrained && !worker.isDrained() {
-		worker.drainedSince = d.now()
+		worker.drain.since = d.now()
 	}
-	worker.drainCause = cause
+	worker.drain.cause = cause
 }
 
 // stopDrained stops what a drained worker still runs: tasks without an end of their
@@ -87,7 +96,7 @@
 	if !worker.isDrained() {
 		return
 	}
-	overdue := now-worker.drainedSince >= d.grace
+	overdue := now-worker.drain.since >= d.grace
 	for _, run := range worker.runs {
 		if overdue || run.spec.UntilCancelled {
 			d.ends.enqueueStop(run, record.StopDrained)
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -130,21 +130,7 @@
 // earlier token.
 func (l *leader) runOpened(open *record.Run, inherited bool) *runState {
 	task := open.Task
-	run := &runState{
-		id:            open.ID(),
-		spec:          task.Spec,
-		payload:       task.Step.Job.Spec.PayloadOf(task.Spec),
-		step:          task.ID.StepID(),
-		stepSize:      len(task.Step.Tasks),
-		inGang:        task.Step.IsGang(),
-		sharesOutcome: task.Step.Spec.Lockstep,
-		openedAt:      l.now(),
-		queue:         task.Step.Job.Spec.Queue,
-		inherited:     inherited,
-		stop:          open.Stop,
-
-		checkpoint: task.NewestCheckpoint(),
-	}
+	run := newRunState(open, inherited, l.now())
 	l.pending.placed(task.ID)
 	l.planner.Remove(task.ID)
 	job := task.Step.Job
@@ -158,7 +144,7 @@
 		// The record accepts placements on registered incarnations only, so
 		// this is an older one that the record has replaced since.
 		worker = l.registry.add(record.Worker{ID: open.WorkerID, Name: open.Worker}, l.now())
-		worker.extendLease(l.registry.expiryUnlessAnswered())
+		worker.lease.extend(l.registry.expiryUnlessAnswered())
 	}
 	run.worker = worker
 	worker.runs[run.id] = run
@@ -193,7 +179,7 @@
 	}
 	l.planner.Release(run.id.Task)
 	worker := run.worker
-	if len(worker.runs) == 0 && (worker.leaseExpired || !worker.registered) {
+	if len(worker.runs) == 0 && (worker.lease.expired || !worker.registered) {
 		l.registry.removePlannerWorker(worker)
 	}
 	l.health.observeRunEnd(run, open, outcome)
--- a/internal/scheduler/healthreview.go
+++ b/internal/scheduler/healthreview.go
@@ -77,19 +77,19 @@
 	for _, report := range reports {
 		id, ok := parseRun(report.RunRef)
 		run, open := worker.runs[id]
-		if !ok || !open || !run.listed {
+		if !ok || !open || !run.observed.listed {
 			continue
 		}
-		if !run.progress.Observe(report.Percent, now) {
+		if !run.observed.progress.Observe(report.Percent, now) {
 			continue
 		}
-		if run.progress.IsFineGrained() {
+		if run.observed.progress.IsFineGrained() {
 			h.fineGrainedQueues[run.queue] = true
 		}
 		if !h.isPaceComparable(run) {
 			continue
 		}
-		ratio := run.progress.DurationRatio(run.spec.Estimate.Std())
+		ratio := run.observed.progress.DurationRatio(run.spec.Estimate.Std())
 		h.tracker.ObservePace(run.worker.info.ID, workerhealth.RunPace{Run: id, Queue: run.queue, StepSize: h.comparisonStepSize(run), Ratio: ratio}, now)
 	}
 }
@@ -116,14 +116,14 @@
 // tells nothing: most of that time may be the wait for a heartbeat.
 func (h *healthReview) observePace(run *runState, now time.Duration) {
 	estimate := run.spec.Estimate.Std()
-	seenRunning := run.listed && run.progress.StartedAt < run.endSeenAt
+	seenRunning := run.observed.listed && run.observed.progress.StartedAt < run.observed.endedAt
 	if !h.isPaceComparable(run) {
 		return
 	}
-	if run.assignedAt == 0 || !seenRunning || estimate <= 0 || run.progress.FirstPercent > maxFreshStartPercent {
+	if run.assignment.at == 0 || !seenRunning || estimate <= 0 || run.observed.progress.FirstPercent > maxFreshStartPercent {
 		return
 	}
-	ratio := float64(run.endSeenAt-run.assignedAt) / float64(estimate)
+	ratio := float64(run.observed.endedAt-run.assignment.at) / float64(estimate)
 	pace := workerhealth.RunPace{Run: run.id, Queue: run.queue, StepSize: h.comparisonStepSize(run), Ratio: ratio, Ended: true}
 	h.tracker.ObservePace(run.worker.info.ID, pace, now)
 }
@@ -166,7 +166,7 @@
 // mustStopStalled decides whether a run stands still, and counts it: it is to be
 // stopped, so that its task runs elsewhere. That is no failure of the task.
 func (h *healthReview) mustStopStalled(run *runState, now time.Duration) bool {
-	if !run.listed || run.closing || run.stop != record.StopNone || run.spec.UntilCancelled {
+	if !run.observed.listed || run.closing || run.stop != record.StopNone || run.spec.UntilCancelled {
 		return false
 	}
 	if h.off.Has(featuregate.StallTracking) {
@@ -174,13 +174,13 @@
 	}
 	worker := run.worker
 	stops := h.stalls[run.id.Task]
-	bound := run.progress.StallTimeout(run.spec.Estimate.Std(), h.fineGrainedQueues[run.queue], stops)
-	if worker.leaseExpired || !run.progress.IsStalled(worker.lastSeen, bound) {
+	bound := run.observed.progress.StallTimeout(run.spec.Estimate.Std(), h.fineGrainedQueues[run.queue], stops)
+	if worker.lease.expired || !run.observed.progress.IsStalled(worker.lastSeen, bound) {
 		return false
 	}
 	h.logger.Warn("run stands still", slog.String("task", run.id.Task.String()),
 		slog.Uint64("number", uint64(run.id.Number)), slog.String("worker", worker.info.Name),
-		slog.Int("percent", run.progress.Percent), slog.Duration("quiet", worker.lastSeen-run.progress.AdvancedAt))
+		slog.Int("percent", run.observed.progress.Percent), slog.Duration("quiet", worker.lastSeen-run.observed.progress.AdvancedAt))
 	h.stalls[run.id.Task]++
 	h.metrics.runsStalled.Inc()
 	if !run.inGang && !h.off.Has(featuregate.OutlierEjection) {
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -73,7 +73,7 @@
 	if !known {
 		worker = l.registry.add(workerInfo(request, l.log.Now()), now)
 	}
-	observed := &observation{request: request, worker: worker, leaseExpirations: worker.leaseExpirations}
+	observed := &observation{request: request, worker: worker, leaseExpirations: worker.lease.expirations}
 	l.registry.observeHeartbeatGap(worker, now)
 	if worker.observeHeartbeat(heartbeat, now) {
 		l.registry.claimAddress(worker)
@@ -139,7 +139,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	worker := observed.worker
-	if worker.seq != observed.request.Heartbeat.Seq || worker.leaseExpirations != observed.leaseExpirations {
+	if worker.seq != observed.request.Heartbeat.Seq || worker.lease.expirations != observed.leaseExpirations {
 		l.metrics.heartbeats.WithLabelValues("overtaken").Inc()
 		return protocol.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable, Message: "heartbeat was overtaken"}
 	}
--- a/internal/scheduler/incarnations.go
+++ b/internal/scheduler/incarnations.go
@@ -55,7 +55,7 @@
 // replaced tells that a worker has ended although its hold still stands, as a
 // later incarnation lives in its place, and that this must be acted on.
 func (r *workerRegistry) replaced(worker *workerEntry, now time.Duration) bool {
-	if worker.info.Address == "" || worker.leaseExpired && !worker.hasOpenRuns() {
+	if worker.info.Address == "" || worker.lease.expired && !worker.hasOpenRuns() {
 		return false
 	}
 	current := r.currentByAddress[worker.info.Address]
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -119,7 +119,7 @@
 	for open := range view.AllOpenRuns() {
 		run := l.runOpened(open, true)
 		run.openedAt -= time.Duration(view.Clock()-open.PlacedAt) * time.Millisecond
-		run.worker.extendLease(expiry)
+		run.worker.lease.extend(expiry)
 	}
 	for job := range view.Jobs("") {
 		l.repeats.add(job)
--- a/internal/scheduler/leaderstalls.go
+++ b/internal/scheduler/leaderstalls.go
@@ -94,7 +94,7 @@
 // observeHeartbeatGap takes in a heartbeat that is heard now, before the worker is answered
 // anew. After a prompt answer, and in the first answer of a term, the pause differs.
 func (r *workerRegistry) observeHeartbeatGap(worker *workerEntry, now time.Duration) {
-	if !worker.answered() || worker.answeredPromptly || worker.leaseExpired {
+	if !worker.answered() || worker.answeredPromptly || worker.lease.expired {
 		return
 	}
 	r.stalls.observeHeartbeatGap(now-worker.answeredAt-r.leaderStallSince(worker), r.interval(false))
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -13,7 +13,7 @@
 		if !worker.mustExpireLease(now) && !r.replaced(worker, now) {
 			continue
 		}
-		worker.expireLease()
+		worker.lease.expire()
 		r.logger.Warn("worker lost",
 			slog.String("worker", worker.info.Name), slog.String("worker_id", worker.info.ID),
 			slog.Int("runs", len(worker.runs)), slog.Duration("silent", r.sinceLastSeen(worker, now)))
@@ -45,3 +45,43 @@
 func (r *workerRegistry) sinceLastSeen(worker *workerEntry, now time.Duration) time.Duration {
 	return now - max(worker.lastSeen, r.startedAt)
 }
+
+// lease is until when a worker may be running what it was given.
+type lease struct {
+	expiresAt time.Duration
+	// expirations counts how often expiresAt has passed; a heartbeat that was in work
+	// meanwhile gets no answer.
+	expirations uint64
+	// lastExpired is the expiresAt that has passed last.
+	lastExpired time.Duration
+	// expired is true from the expiry to the next heartbeat.
+	expired bool
+}
+
+// extend extends the lease; it is never shortened.
+func (l *lease) extend(until time.Duration) {
+	l.expiresAt = max(l.expiresAt, until)
+}
+
+// expire takes in that the lease has passed without a newer answer.
+func (l *lease) expire() {
+	l.expirations++
+	l.lastExpired = l.expiresAt
+	l.expired = true
+}
+
+// hasPassed reports whether the lease has passed.
+func (l *lease) hasPassed(now time.Duration) bool {
+	return l.expiresAt != 0 && now > l.expiresAt
+}
+
+// mustExpireLease tells whether the lease has passed and that has not been acted on
+// yet, or a run was opened since. A lease expires once: a worker that is seen
+// again must not expire at each tick until its heartbeat is answered, since that
+// would keep a heartbeat whose reports take a while from ever being answered.
+func (w *workerEntry) mustExpireLease(now time.Duration) bool {
+	if !w.lease.hasPassed(now) {
+		return false
+	}
+	return w.lease.lastExpired != w.lease.expiresAt || w.hasOpenRuns()
+}
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -82,7 +82,7 @@
 		r.unwanted = append(r.unwanted, reference)
 		return
 	}
-	if !run.listed {
+	if !run.observed.listed {
 		r.started = append(r.started, run)
 		r.startedTasks = append(r.startedTasks, id.Task)
 	}
@@ -104,7 +104,7 @@
 		return
 	}
 	listed[run] = true
-	if !run.listed {
+	if !run.observed.listed {
 		r.started = append(r.started, run)
 	}
 	run.addCheckpoint(&end)
@@ -115,17 +115,17 @@
 // nor as ended.
 func (r *reconciliation) addUnlisted(run *runState, heartbeat api.Heartbeat) {
 	switch {
-	case run.assignedSeq == 0 && !run.inherited:
+	case run.assignment.seq == 0 && !run.assignment.inherited:
 		// Not ordered yet: nothing to conclude.
-	case run.assignedSeq == 0 && !run.listed:
+	case run.assignment.seq == 0 && !run.observed.listed:
 		// Inherited. Any answer of an earlier leader went to an earlier seq,
 		// which the worker accepts no more now that it has sent this one.
 		r.lost = append(r.lost, run)
-	case run.assignedSeq >= heartbeat.Seq:
+	case run.assignment.seq >= heartbeat.Seq:
 		// The order went out with a later answer than this heartbeat.
-	case !run.listed && heartbeat.AcceptedSeq < run.assignedSeq:
+	case !run.observed.listed && heartbeat.AcceptedSeq < run.assignment.seq:
 		r.lost = append(r.lost, run)
-	case run.droppedSeq != 0 && heartbeat.AcceptedSeq >= run.droppedSeq:
+	case run.assignment.droppedSeq != 0 && heartbeat.AcceptedSeq >= run.assignment.droppedSeq:
 		// The worker accepted a stop for it and still does not list it.
 		r.lost = append(r.lost, run)
 	default:
@@ -157,8 +157,8 @@
 func (a *assignments) applyDifferences(worker *workerEntry, differences *reconciliation) {
 	now := a.now()
 	for _, run := range differences.started {
-		run.listed = true
-		run.progress = workerhealth.NewProgress(now)
+		run.observed.listed = true
+		run.observed.progress = workerhealth.NewProgress(now)
 		if run.inGang {
 			a.gangs.runStarted(run)
 		}
@@ -167,8 +167,8 @@
 		a.pendingStarts.remove(task.Job)
 	}
 	for _, end := range differences.ended {
-		if run, open := worker.runs[end.Run]; open && run.endSeenAt == 0 {
-			run.endSeenAt = now
+		if run, open := worker.runs[end.Run]; open && run.observed.endedAt == 0 {
+			run.observed.endedAt = now
 		}
 	}
 	for _, run := range differences.lost {
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -29,20 +29,20 @@
 		want      verdict
 	}{
 		{"placed and not ordered stays", &runState{}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, verdict{}},
-		{"inherited and unlisted is lost", &runState{inherited: true}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, verdict{Lost: 1}},
-		{"inherited and running has started", &runState{inherited: true}, api.Heartbeat{Seq: 5, Running: running}, verdict{Started: 1}},
-		{"answer not accepted is lost", &runState{assignedSeq: 4}, api.Heartbeat{Seq: 5, AcceptedSeq: 3}, verdict{Lost: 1}},
-		{"accepted and unlisted must be stopped first", &runState{assignedSeq: 4}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, verdict{Dropped: 1}},
-		{"stop not accepted yet keeps it dropped", &runState{assignedSeq: 4, droppedSeq: 5}, api.Heartbeat{Seq: 6, AcceptedSeq: 4}, verdict{Dropped: 1}},
-		{"stop accepted and still unlisted is lost", &runState{assignedSeq: 4, droppedSeq: 5}, api.Heartbeat{Seq: 6, AcceptedSeq: 5}, verdict{Lost: 1}},
-		{"listed before and vanished must be stopped first", &runState{inherited: true, listed: true}, api.Heartbeat{Seq: 9, AcceptedSeq: 8}, verdict{Dropped: 1}},
-		{"older heartbeat than the order concludes nothing", &runState{assignedSeq: 7}, api.Heartbeat{Seq: 7, AcceptedSeq: 6}, verdict{}},
-		{"running and listed already changes nothing", &runState{assignedSeq: 4, listed: true}, api.Heartbeat{Seq: 6, AcceptedSeq: 5, Running: running}, verdict{}},
-		{"ended is reported", &runState{assignedSeq: 4}, api.Heartbeat{Seq: 6, AcceptedSeq: 5, Ended: ended}, verdict{Started: 1, Ended: 1}},
+		{"inherited and unlisted is lost", &runState{assignment: assignmentState{inherited: true}}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, verdict{Lost: 1}},
+		{"inherited and running has started", &runState{assignment: assignmentState{inherited: true}}, api.Heartbeat{Seq: 5, Running: running}, verdict{Started: 1}},
+		{"answer not accepted is lost", &runState{assignment: assignmentState{seq: 4}}, api.Heartbeat{Seq: 5, AcceptedSeq: 3}, verdict{Lost: 1}},
+		{"accepted and unlisted must be stopped first", &runState{assignment: assignmentState{seq: 4}}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, verdict{Dropped: 1}},
+		{"stop not accepted yet keeps it dropped", &runState{assignment: assignmentState{seq: 4, droppedSeq: 5}}, api.Heartbeat{Seq: 6, AcceptedSeq: 4}, verdict{Dropped: 1}},
+		{"stop accepted and still unlisted is lost", &runState{assignment: assignmentState{seq: 4, droppedSeq: 5}}, api.Heartbeat{Seq: 6, AcceptedSeq: 5}, verdict{Lost: 1}},
+		{"listed before and vanished must be stopped first", &runState{assignment: assignmentState{inherited: true}, observed: observedRun{listed: true}}, api.Heartbeat{Seq: 9, AcceptedSeq: 8}, verdict{Dropped: 1}},
+		{"older heartbeat than the order concludes nothing", &runState{assignment: assignmentState{seq: 7}}, api.Heartbeat{Seq: 7, AcceptedSeq: 6}, verdict{}},
+		{"running and listed already changes nothing", &runState{assignment: assignmentState{seq: 4}, observed: observedRun{listed: true}}, api.Heartbeat{Seq: 6, AcceptedSeq: 5, Running: running}, verdict{}},
+		{"ended is reported", &runState{assignment: assignmentState{seq: 4}}, api.Heartbeat{Seq: 6, AcceptedSeq: 5, Ended: ended}, verdict{Started: 1, Ended: 1}},
 		{"not open but running is unwanted", nil, api.Heartbeat{Seq: 6, Running: running}, verdict{Unwanted: 1}},
 		{"not open but ended is still reported", nil, api.Heartbeat{Seq: 6, Ended: ended}, verdict{Late: 1}},
-		{"being closed and running is unwanted", &runState{assignedSeq: 4, closing: true}, api.Heartbeat{Seq: 6, Running: running}, verdict{Unwanted: 1}},
-		{"being closed and unlisted changes nothing", &runState{assignedSeq: 4, closing: true}, api.Heartbeat{Seq: 6, AcceptedSeq: 2}, verdict{}},
+		{"being closed and running is unwanted", &runState{assignment: assignmentState{seq: 4}, closing: true}, api.Heartbeat{Seq: 6, Running: running}, verdict{Unwanted: 1}},
+		{"being closed and unlisted changes nothing", &runState{assignment: assignmentState{seq: 4}, closing: true}, api.Heartbeat{Seq: 6, AcceptedSeq: 2}, verdict{}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/scheduler/refusedends_test.go
+++ b/internal/scheduler/refusedends_test.go
@@ -115,11 +115,11 @@
 	}
 	h.settle()
 	entry := h.leader.registry.byID["w-1"]
-	if entry.draining || entry.seq != seq {
-		t.Errorf("conclusions from a refused heartbeat: draining %t, seq %d", entry.draining, entry.seq)
+	if entry.drain.requested || entry.seq != seq {
+		t.Errorf("conclusions from a refused heartbeat: draining %t, seq %d", entry.drain.requested, entry.seq)
 	}
 	run := record.RunID{Task: record.TaskID{Job: "goes-on", Step: "s"}, Number: 1}
-	if open := entry.runs[run]; open == nil || open.closing || open.droppedSeq != 0 || len(entry.runs) != 1 {
+	if open := entry.runs[run]; open == nil || open.closing || open.assignment.droppedSeq != 0 || len(entry.runs) != 1 {
 		t.Errorf("runs %+v, want the other one untouched", entry.runs)
 	}
 	worker.heartbeat.Draining, worker.heartbeat.Running = false, listed.Running[1:]
--- a/internal/scheduler/registry.go
+++ b/internal/scheduler/registry.go
@@ -110,25 +110,25 @@
 	if !worker.registered {
 		return
 	}
-	worker.usable = worker.canTakeWork(r.now(), r.leaseDuration())
-	worker.unresponsive = r.isUnresponsive(worker, r.now())
-	worker.inPlanner = true
-	r.planner.SetWorker(worker.plannerWorker(worker.usable))
+	worker.planned.usable = worker.canTakeWork(r.now(), r.leaseDuration())
+	worker.planned.unresponsive = r.isUnresponsive(worker, r.now())
+	worker.planned.known = true
+	r.planner.SetWorker(worker.plannerWorker(worker.planned.usable))
 }
 
 func (r *workerRegistry) removePlannerWorker(worker *workerEntry) {
-	if !worker.inPlanner {
+	if !worker.planned.known {
 		return
 	}
-	worker.inPlanner = false
-	worker.usable, worker.unresponsive = false, false
+	worker.planned.known = false
+	worker.planned.usable, worker.planned.unresponsive = false, false
 	r.planner.RemoveWorker(worker.info.ID)
 }
 
 // refreshPlannerWorker updates the planner if it was last told otherwise. It reports
 // whether that was so.
 func (r *workerRegistry) refreshPlannerWorker(worker *workerEntry, now time.Duration) bool {
-	if worker.usable == worker.canTakeWork(now, r.leaseDuration()) && worker.unresponsive == r.isUnresponsive(worker, now) {
+	if worker.planned.usable == worker.canTakeWork(now, r.leaseDuration()) && worker.planned.unresponsive == r.isUnresponsive(worker, now) {
 		return false
 	}
 	r.updatePlannerWorker(worker)
@@ -157,7 +157,7 @@
 	if !known {
 		return true
 	}
-	return len(earlier.runs) == 0 && now > earlier.leaseExpiresAt
+	return len(earlier.runs) == 0 && now > earlier.lease.expiresAt
 }
 
 // interval is the pause that workers are told to make between heartbeats.
@@ -177,7 +177,7 @@
 func (r *workerRegistry) reviewedWorkers() []workerhealth.ActiveWorker {
 	subjects := make([]workerhealth.ActiveWorker, 0, len(r.byName))
 	for _, worker := range r.byName {
-		if worker.answered() && !worker.leaseExpired && !worker.isLeaving() {
+		if worker.answered() && !worker.lease.expired && !worker.isLeaving() {
 			subjects = append(subjects, workerhealth.ActiveWorker{ID: worker.info.ID, Services: worker.info.Services})
 		}
 	}
--- a/internal/scheduler/reports_test.go
+++ b/internal/scheduler/reports_test.go
@@ -71,8 +71,8 @@
 	}
 	h.wantState("j", api.StateSucceeded)
 	entry := h.leader.registry.byID["w-1"]
-	if entry.draining || entry.seq != worker.heartbeat.Seq {
-		t.Errorf("conclusions from a late heartbeat: draining %t, seq %d", entry.draining, entry.seq)
+	if entry.drain.requested || entry.seq != worker.heartbeat.Seq {
+		t.Errorf("conclusions from a late heartbeat: draining %t, seq %d", entry.drain.requested, entry.seq)
 	}
 	if answer := worker.exchange(); len(answer.Start) != 1 || answer.Start[0].Task != "k/s/0" {
 		t.Errorf("orders of the next heartbeat: %+v", answer.Start)
@@ -118,7 +118,7 @@
 func TestReports_LateSuccessRevokesUnassignedRun(t *testing.T) {
 	h := newHarness(t)
 	silent, other := h.expiredWorker()
-	if open := h.leader.assignments.openByTask[testTask()]; open == nil || open.worker.info.ID != "o-1" || open.assignedSeq != 0 {
+	if open := h.leader.assignments.openByTask[testTask()]; open == nil || open.worker.info.ID != "o-1" || open.assignment.seq != 0 {
 		t.Fatalf("want the task placed anew and not ordered, got %+v", open)
 	}
 	if answer := silent.exchange(); len(answer.Acknowledged) != 1 {
@@ -256,7 +256,7 @@
 	h.now += testHold + testMargin + time.Millisecond
 	entry := h.leader.registry.byID["w-1"]
 	h.leader.mu.Lock()
-	entry.expireLease()
+	entry.lease.expire()
 	h.leader.mu.Unlock()
 	h.settle()
 	if len(h.leader.assignments.runs) != 0 || len(h.leader.pending.waiting) != 1 {
--- a/internal/scheduler/workerentry.go
+++ b/internal/scheduler/workerentry.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"encoding/json"
 	"time"
 
 	"github.com/decklever/decklever/api"
@@ -10,16 +9,34 @@
 	"github.com/decklever/decklever/internal/workerhealth"
 )
 
-// workerEntry is what was observed, in this term, of one worker incarnation,
-// beside a mirror of the runs that the record has open on it. All times are on
-// this process's monotonic clock.
+// workerEntry is what was observed, in this term, of one worker incarnation, beside
+// the runs that the record has open on it. All times are on this process's monotonic
+// clock. The registry owns it; drains write drain, the health review health.
 type workerEntry struct {
+	heartbeats
 	// info is what the worker last said of itself.
 	info record.Worker
 	// registered is true while the record has this incarnation as the newest
 	// under its name.
 	registered bool
-	// seq is the highest heartbeat heard; acceptedSeq what that one said.
+	// firstKnownAt is when this leader first knew of the incarnation, which was then
+	// alive or had ended. provenAliveAt is a moment at which it surely lived still:
+	// when the newest answer was given that it is known to have accepted; 0 if
+	// none is.
+	firstKnownAt, provenAliveAt time.Duration
+	lease                       lease
+	drain                       drain
+	// departure is what the worker has said of its leaving.
+	departure departure
+	planned   plannedWorker
+	// health is how far the worker is trusted; of no state as yet, it is.
+	health workerhealth.Status
+	runs   map[record.RunID]*runState
+}
+
+// heartbeats are those seen of a worker, and the answers to them.
+type heartbeats struct {
+	// seq is the highest heartbeat seen; acceptedSeq what that one said.
 	seq         uint64
 	acceptedSeq uint64
 	lastSeen    time.Duration
@@ -32,84 +49,20 @@
 	leaderStallAtAnswer time.Duration
 	// answerMissed: the newest heartbeat told that the answer before it was not accepted.
 	answerMissed bool
-	// missedHeartbeatsSince is the answeredAt after which the worker was last found silent.
+	// missedHeartbeatsSince is the answeredAt after which the worker was last found to
+	// miss heartbeats.
 	missedHeartbeatsSince time.Duration
 	// acceptedAt is when the newest answer known to be accepted was given.
 	acceptedAt time.Duration
-	// firstKnownAt is when this leader first knew of the incarnation, which was then
-	// alive or had ended. provenAliveAt is a moment at which it surely lived still:
-	// when the newest answer was given that it is known to have accepted; 0 if
-	// none is.
-	firstKnownAt, provenAliveAt time.Duration
-	// leaseExpiresAt: until then the worker may be running whatever it was given.
-	leaseExpiresAt time.Duration
-	// leaseExpirations counts how often leaseExpiresAt has passed; a heartbeat that was in
-	// work meanwhile gets no answer.
-	leaseExpirations uint64
-	// lastExpiredLease is the leaseExpiresAt that has lapsed last.
-	lastExpiredLease time.Duration
-	// leaseExpired is true from the lapse to the next heartbeat.
-	leaseExpired bool
-	// draining is the worker's own flag; drainCause is what else drains it.
-	draining     bool
-	drainCause   drainCause
-	drainedSince time.Duration
-	// departure is what the worker has said of its leaving.
-	departure departure
-	// usable and doubted are what the planner was last told.
-	usable, unresponsive bool
-	// health is how far the worker is trusted; of no standing as yet, it is.
-	health workerhealth.Status
-	// inPlanner is true while the planner knows the worker.
-	inPlanner bool
-	runs      map[record.RunID]*runState
 }
 
-// runState mirrors one open run of the record and adds what was observed.
-type runState struct {
-	id   record.RunID
-	spec *api.TaskSpec
-	// payload is the task's own or the job's; it is shared with the record.
-	payload       json.RawMessage
-	step          record.StepID
-	stepSize      int
-	inGang        bool
-	sharesOutcome bool
-	// worker is where the run is open.
-	worker *workerEntry
-	// openedAt is when the run was placed.
-	openedAt time.Duration
-	queue    string
-	// inherited: placed under an earlier token, so that it is not known
-	// whether its order was given.
-	inherited bool
-	// assignedSeq is the seq of the answer that carried the order; 0 if this
-	// leader has given none.
-	assignedSeq uint64
-	// assignedAt is when this leader gave the order, endSeenAt when the run's end was
-	// first heard; 0 if it did not.
-	assignedAt, endSeenAt time.Duration
-	// listed is true once a heartbeat listed the run as running or ended.
-	listed bool
-	// progress is how far the run said that it is, from when it was listed.
-	progress workerhealth.Progress
-	stop     record.StopReason
-	// checkpoint is what the order carries: the newest of earlier runs.
-	checkpoint string
-	// reportedCheckpoint is the newest that was heard of the run itself, and
-	// reportedPercent how far it was.
-	reportedCheckpoint string
-	reportedPercent    int
-	// droppedSeq is the seq of the first answer that told the worker to stop
-	// the run because it accepted the order and does not list it; 0 if none.
-	droppedSeq uint64
-	// closing is true once a Close was proposed that no report asked for.
-	closing bool
+// plannedWorker is what the planner was last told of a worker.
+type plannedWorker struct {
+	// known is true while the planner knows the worker.
+	known                bool
+	usable, unresponsive bool
 }
 
-// neverAssigned tells that the run's order was surely not given.
-func (r *runState) neverAssigned() bool { return r.assignedSeq == 0 && !r.inherited }
-
 func newWorkerEntry(info record.Worker, now time.Duration) *workerEntry {
 	return &workerEntry{info: info, firstKnownAt: now, runs: make(map[record.RunID]*runState)}
 }
@@ -120,17 +73,17 @@
 
 // isLeaving reports whether the worker gets no new work.
 func (w *workerEntry) isLeaving() bool {
-	return w.draining || w.departure.noticeGiven || w.isDrained()
+	return w.drain.requested || w.departure.noticeGiven || w.isDrained()
 }
 
 // isDrained reports whether the configuration or an order drains the worker.
-func (w *workerEntry) isDrained() bool { return w.drainCause != notDrained }
+func (w *workerEntry) isDrained() bool { return w.drain.cause != notDrained }
 
 // canTakeWork tells whether new runs may be placed on the worker: it is the
 // registered incarnation, the ready gate is open, it is not leaving, and the
 // answers to it do arrive.
 func (w *workerEntry) canTakeWork(now, hold time.Duration) bool {
-	if !w.registered || !w.answered() || w.leaseExpired || w.isLeaving() {
+	if !w.registered || !w.answered() || w.lease.expired || w.isLeaving() {
 		return false
 	}
 	return now-w.acceptedAt < hold
@@ -150,9 +103,9 @@
 	w.seq = heartbeat.Seq
 	w.acceptedSeq = heartbeat.AcceptedSeq
 	w.lastSeen = now
-	w.draining = heartbeat.Draining
+	w.drain.requested = heartbeat.Draining
 	w.departure.observeHeartbeat(heartbeat, now)
-	w.leaseExpired = false
+	w.lease.expired = false
 	w.answerMissed = w.answered() && heartbeat.AcceptedSeq < w.answeredSeq
 	if w.answered() && !w.answerMissed {
 		w.acceptedAt = w.answeredAt
@@ -168,32 +121,7 @@
 	}
 	w.answeredSeq = w.seq
 	w.answeredAt = now
-	w.extendLease(now + hold + driftMargin)
-}
-
-func (w *workerEntry) extendLease(until time.Duration) {
-	w.leaseExpiresAt = max(w.leaseExpiresAt, until)
-}
-
-// expireLease notes that the hold has passed without a newer answer.
-func (w *workerEntry) expireLease() {
-	w.leaseExpirations++
-	w.lastExpiredLease = w.leaseExpiresAt
-	w.leaseExpired = true
-}
-
-// mustExpireLease tells whether the hold has passed and that has not been acted on
-// yet, or a run was opened since. A hold lapses once: a worker that is heard
-// again must not lapse at each tick until its heartbeat is answered, since that
-// would keep a heartbeat whose reports take a while from ever being answered.
-func (w *workerEntry) mustExpireLease(now time.Duration) bool {
-	if w.leaseExpiresAt == 0 || now <= w.leaseExpiresAt {
-		return false
-	}
-	if w.lastExpiredLease != w.leaseExpiresAt {
-		return true
-	}
-	return w.hasOpenRuns()
+	w.lease.extend(now + hold + driftMargin)
 }
 
 // plannerWorker is the worker as the planner sees it.
@@ -207,7 +135,7 @@
 		Labels:   w.info.Labels,
 		Usable:   usable,
 
-		Slow:      w.health.State == workerhealth.Slow || w.unresponsive,
+		Slow:      w.health.State == workerhealth.Slow || w.planned.unresponsive,
 		Probation: w.health.State == workerhealth.Probation,
 		Suspect:   w.health.State == workerhealth.Suspect,
 	}
@@ -217,16 +145,16 @@
 // work.
 func (w *workerEntry) state(now, hold time.Duration) (api.WorkerState, string) {
 	switch {
-	case w.leaseExpired:
+	case w.lease.expired:
 		return api.WorkerLost, "no heartbeat within its hold"
 	case w.seq == 0:
 		return api.WorkerSilent, "not heard since this scheduler began to act"
 	case now-w.lastSeen > hold/2:
 		return api.WorkerSilent, "no heartbeat lately"
-	case w.draining, w.departure.noticeGiven:
+	case w.drain.requested, w.departure.noticeGiven:
 		return api.WorkerDraining, "the worker is leaving"
 	case w.isDrained():
-		return api.WorkerDraining, string(w.drainCause)
+		return api.WorkerDraining, string(w.drain.cause)
 	case !w.registered:
 		return api.WorkerWaiting, "another process under this name may still run tasks"
 	case !w.canTakeWork(now, hold):
