--- a/internal/scheduler/admissioncontrol.go
+++ b/internal/scheduler/admissioncontrol.go
@@ -25,15 +25,15 @@
 
 // refuse is the answer to a job over a limit that has to come back once a number of
 // waiting tasks more has begun to run.
-func (a *admissionControl) refuse(queue, reason, message string, tooMany int) error {
+func (a *admissionControl) refuse(queue string, reason refusalReason, message string, tooMany int) error {
 	known := a.slo.queue(queue)
 	earliest, _ := known.flow.TimeToStart(a.now(), tooMany)
 	return a.refuseFor(queue, reason, message, known.retryAfter(a.now(), earliest, tooMany))
 }
 
 // refuseFor is the answer to a job that may come back after some time.
-func (a *admissionControl) refuseFor(queue, reason, message string, retryAfter time.Duration) error {
-	a.metrics.refusals.WithLabelValues(queue, reason).Inc()
+func (a *admissionControl) refuseFor(queue string, reason refusalReason, message string, retryAfter time.Duration) error {
+	a.metrics.refusals.WithLabelValues(queue, string(reason)).Inc()
 	refusal := overLimitError(message)
 	refusal.RetryAfterMillis = max(retryAfter, minRetryAfter).Milliseconds()
 	return refusal
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -11,14 +11,17 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// Reasons under which refused jobs are counted.
+// refusalReason is a reason under which refused jobs are counted, as the metric's
+// label has it.
+type refusalReason string
+
 const (
-	refusedQueue      = "queue_limit"
-	refusedTeam       = "team_limit"
-	refusedTotal      = "fleet_limit"
-	refusedCaller     = "caller_share"
-	refusedTooLate    = "too_late"
-	refusedCommitting = "committing"
+	refusedQueue      refusalReason = "queue_limit"
+	refusedTeam       refusalReason = "team_limit"
+	refusedTotal      refusalReason = "fleet_limit"
+	refusedCaller     refusalReason = "caller_share"
+	refusedTooLate    refusalReason = "too_late"
+	refusedCommitting refusalReason = "committing"
 )
 
 const (
@@ -80,7 +83,7 @@
 
 // pendingLimit is a bound on waiting tasks that queues share.
 type pendingLimit struct {
-	reason string
+	reason refusalReason
 	// subject says whose bound it is, in messages.
 	subject string
 	limit   int
@@ -171,7 +174,7 @@
 }
 
 // tooManyTasks refuses a job that would not be taken even if nothing waited.
-func tooManyTasks(tasks, limit int, reason string, queue *api.QueueConfig) error {
+func tooManyTasks(tasks, limit int, reason refusalReason, queue *api.QueueConfig) error {
 	of := "queue " + queue.Name
 	if reason == refusedTeam {
 		of = "team " + queue.Team
@@ -189,7 +192,7 @@
 }
 
 // refuse is the answer to a job over a limit, see admissionControl.refuse.
-func (l *leader) refuse(queue, reason, message string, tooMany int) error {
+func (l *leader) refuse(queue string, reason refusalReason, message string, tooMany int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.admission.refuse(queue, reason, message, tooMany)
--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -83,7 +83,7 @@
 func (a *assignments) start(worker *workerEntry) []api.StartOrder {
 	orders := []api.StartOrder{}
 	for _, run := range worker.runs {
-		if run.assignment.seq != 0 || run.assignment.inherited || run.closing || run.stop != record.StopNone {
+		if run.assignment.seq != 0 || run.isInherited() || run.closing || run.stop != record.StopNone {
 			continue
 		}
 		if run.sharesOutcome && !a.gangs.mayAssign(run) {
--- a/internal/scheduler/commonoutcome.go
+++ b/internal/scheduler/commonoutcome.go
@@ -26,9 +26,9 @@
 func (g *gangs) commonOutcomeRunOpened(gang *gangState, run *runState, open *record.Run) {
 	gang.sharesOutcome = true
 	if len(gang.open) == 1 {
-		gang.assignmentsReleased = run.assignment.inherited
+		gang.assignmentsReleased = run.isInherited()
 	}
-	if !run.assignment.inherited {
+	if !run.isInherited() {
 		g.watchStart(gang)
 		return
 	}
--- a/internal/scheduler/commonoutcome_test.go
+++ b/internal/scheduler/commonoutcome_test.go
@@ -92,7 +92,7 @@
 func TestCommonOutcome_AssignmentsWaitForEveryWorker(t *testing.T) {
 	h := newHarness(t)
 	first, second := commonOutcomePair(h)
-	h.advance(gangSeenIntervals*h.leader.registry.interval(false) + time.Millisecond)
+	h.advance(gangSeenIntervals*h.leader.registry.heartbeatInterval() + time.Millisecond)
 	wantRun(t, first.exchange(), 0, 0)
 	wantRun(t, second.exchange(), 4, 1) // both were heard now
 	wantRun(t, first.exchange(), 4, 1)
--- a/internal/scheduler/departure.go
+++ b/internal/scheduler/departure.go
@@ -125,7 +125,7 @@
 	worker.departure.observeRemaining(request.RemainingMillis, now)
 	l.registry.updatePlannerWorker(worker)
 	l.assignments.revokeUnassigned(worker)
-	l.drains.stopDeparting(worker, now, l.registry.interval(false))
+	l.drains.stopDeparting(worker, now, l.registry.heartbeatInterval())
 	return protocol.Empty{}, nil
 }
 
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -20,7 +20,7 @@
 	case record.TaskLeftReady:
 		l.taskLeftReady(change.Task)
 	case record.RunOpened:
-		l.runOpened(change.Run, false)
+		l.runOpened(change.Run, placedByThisLeader)
 	case record.RunStopping:
 		l.runStopping(change.Run)
 	case record.RunClosed:
@@ -126,11 +126,10 @@
 	}
 }
 
-// runOpened mirrors an open run. inherited tells that it was placed under an
-// earlier token.
-func (l *leader) runOpened(open *record.Run, inherited bool) *runState {
+// runOpened takes over an open run.
+func (l *leader) runOpened(open *record.Run, by placedBy) *runState {
 	task := open.Task
-	run := newRunState(open, inherited, l.now())
+	run := newRunState(open, by, l.now())
 	l.pending.placed(task.ID)
 	l.planner.Remove(task.ID)
 	job := task.Step.Job
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -143,7 +143,11 @@
 		l.metrics.heartbeats.WithLabelValues("overtaken").Inc()
 		return protocol.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable, Message: "heartbeat was overtaken"}
 	}
+	interval := l.registry.heartbeatInterval()
 	prompt := len(acknowledged) > 0 || !worker.answered()
+	if prompt {
+		interval = promptInterval
+	}
 	worker.answer(l.now(), l.registry.leaseDuration(), l.registry.driftMargin())
 	worker.answeredPromptly, worker.leaderStallAtAnswer = prompt, l.registry.stalls.total
 	if l.registry.refreshPlannerWorker(worker, l.now()) {
@@ -153,7 +157,7 @@
 		Seq:            worker.seq,
 		Token:          l.token,
 		HoldMillis:     l.registry.leaseDuration().Milliseconds(),
-		IntervalMillis: l.registry.interval(prompt).Milliseconds(),
+		IntervalMillis: interval.Milliseconds(),
 		Start:          l.startAssignments(ctx, worker),
 		Stop:           l.assignments.stopRequests(worker, observed.differences),
 		Acknowledged:   acknowledged,
@@ -172,7 +176,7 @@
 func (l *leader) startAssignments(ctx context.Context, worker *workerEntry) []api.StartOrder {
 	if worker.isLeaving() {
 		l.assignments.revokeUnassigned(worker)
-		l.drains.stopDeparting(worker, l.now(), l.registry.interval(false))
+		l.drains.stopDeparting(worker, l.now(), l.registry.heartbeatInterval())
 		return []api.StartOrder{}
 	}
 	if ctx.Err() != nil {
--- a/internal/scheduler/incarnations.go
+++ b/internal/scheduler/incarnations.go
@@ -63,5 +63,5 @@
 		return false
 	}
 	silentSince := max(worker.lastSeen, worker.firstKnownAt)
-	return current.provenAliveAt > worker.provenAliveAt && now-silentSince > replacedAfterIntervals*r.interval(false)
+	return current.provenAliveAt > worker.provenAliveAt && now-silentSince > replacedAfterIntervals*r.heartbeatInterval()
 }
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -117,7 +117,7 @@
 	}
 	expiry := l.registry.expiryUnlessAnswered()
 	for open := range view.AllOpenRuns() {
-		run := l.runOpened(open, true)
+		run := l.runOpened(open, placedByEarlierLeader)
 		run.openedAt -= time.Duration(view.Clock()-open.PlacedAt) * time.Millisecond
 		run.worker.lease.extend(expiry)
 	}
--- a/internal/scheduler/leaderstalls.go
+++ b/internal/scheduler/leaderstalls.go
@@ -65,7 +65,7 @@
 		return
 	}
 	l.metrics.lateSeconds.Add(late.Seconds())
-	if late >= l.registry.interval(false) {
+	if late >= l.registry.heartbeatInterval() {
 		l.logger.Warn("leader stood still", slog.Duration("late", late))
 	}
 }
@@ -88,7 +88,7 @@
 // missesHeartbeats tells whether the worker's next heartbeat is overdue, by the pace at which
 // the others are heard at present.
 func (r *workerRegistry) missesHeartbeats(worker *workerEntry, now time.Duration) bool {
-	return r.heartbeatDelay(worker, now) > missedHeartbeatsLimit*r.stalls.expectedHeartbeatGap(r.interval(false))
+	return r.heartbeatDelay(worker, now) > missedHeartbeatsLimit*r.stalls.expectedHeartbeatGap(r.heartbeatInterval())
 }
 
 // observeHeartbeatGap takes in a heartbeat that is heard now, before the worker is answered
@@ -97,5 +97,5 @@
 	if !worker.answered() || worker.answeredPromptly || worker.lease.expired {
 		return
 	}
-	r.stalls.observeHeartbeatGap(now-worker.answeredAt-r.leaderStallSince(worker), r.interval(false))
+	r.stalls.observeHeartbeatGap(now-worker.answeredAt-r.leaderStallSince(worker), r.heartbeatInterval())
 }
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -115,7 +115,7 @@
 // nor as ended.
 func (r *reconciliation) addUnlisted(run *runState, heartbeat api.Heartbeat) {
 	switch {
-	case run.assignment.seq == 0 && !run.assignment.inherited:
+	case run.assignment.seq == 0 && !run.isInherited():
 		// Not ordered yet: nothing to conclude.
 	case run.assignment.seq == 0 && !run.observed.listed:
 		// Inherited. Any answer of an earlier leader went to an earlier seq,
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -29,13 +29,13 @@
 		want      verdict
 	}{
 		{"placed and not ordered stays", &runState{}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, verdict{}},
-		{"inherited and unlisted is lost", &runState{assignment: assignmentState{inherited: true}}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, verdict{Lost: 1}},
-		{"inherited and running has started", &runState{assignment: assignmentState{inherited: true}}, api.Heartbeat{Seq: 5, Running: running}, verdict{Started: 1}},
+		{"inherited and unlisted is lost", &runState{assignment: assignmentState{placedBy: placedByEarlierLeader}}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, verdict{Lost: 1}},
+		{"inherited and running has started", &runState{assignment: assignmentState{placedBy: placedByEarlierLeader}}, api.Heartbeat{Seq: 5, Running: running}, verdict{Started: 1}},
 		{"answer not accepted is lost", &runState{assignment: assignmentState{seq: 4}}, api.Heartbeat{Seq: 5, AcceptedSeq: 3}, verdict{Lost: 1}},
 		{"accepted and unlisted must be stopped first", &runState{assignment: assignmentState{seq: 4}}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, verdict{Dropped: 1}},
 		{"stop not accepted yet keeps it dropped", &runState{assignment: assignmentState{seq: 4, droppedSeq: 5}}, api.Heartbeat{Seq: 6, AcceptedSeq: 4}, verdict{Dropped: 1}},
 		{"stop accepted and still unlisted is lost", &runState{assignment: assignmentState{seq: 4, droppedSeq: 5}}, api.Heartbeat{Seq: 6, AcceptedSeq: 5}, verdict{Lost: 1}},
-		{"listed before and vanished must be stopped first", &runState{assignment: assignmentState{inherited: true}, observed: observedRun{listed: true}}, api.Heartbeat{Seq: 9, AcceptedSeq: 8}, verdict{Dropped: 1}},
+		{"listed before and vanished must be stopped first", &runState{assignment: assignmentState{placedBy: placedByEarlierLeader}, observed: observedRun{listed: true}}, api.Heartbeat{Seq: 9, AcceptedSeq: 8}, verdict{Dropped: 1}},
 		{"older heartbeat than the order concludes nothing", &runState{assignment: assignmentState{seq: 7}}, api.Heartbeat{Seq: 7, AcceptedSeq: 6}, verdict{}},
 		{"running and listed already changes nothing", &runState{assignment: assignmentState{seq: 4}, observed: observedRun{listed: true}}, api.Heartbeat{Seq: 6, AcceptedSeq: 5, Running: running}, verdict{}},
 		{"ended is reported", &runState{assignment: assignmentState{seq: 4}}, api.Heartbeat{Seq: 6, AcceptedSeq: 5, Ended: ended}, verdict{Started: 1, Ended: 1}},
--- a/internal/scheduler/registry.go
+++ b/internal/scheduler/registry.go
@@ -160,11 +160,9 @@
 	return len(earlier.runs) == 0 && now > earlier.lease.expiresAt
 }
 
-// interval is the pause that workers are told to make between heartbeats.
-func (r *workerRegistry) interval(prompt bool) time.Duration {
-	if prompt {
-		return promptInterval
-	}
+// heartbeatInterval is the pause that workers are told to make between heartbeats,
+// unless they are to send the next one promptly.
+func (r *workerRegistry) heartbeatInterval() time.Duration {
 	base := r.timings.HeartbeatInterval.Std()
 	if r.off.Has(featuregate.HeartbeatWidening) {
 		return base
@@ -188,6 +186,6 @@
 // respondsSoon tells whether the worker would take an assignment, and was seen so
 // lately that its next heartbeat is near.
 func (r *workerRegistry) respondsSoon(worker *workerEntry, now time.Duration) bool {
-	within := gangSeenIntervals * r.interval(false)
+	within := gangSeenIntervals * r.heartbeatInterval()
 	return worker.canTakeWork(now, r.leaseDuration()) && worker.seenWithin(now, within)
 }
--- a/internal/scheduler/runstate.go
+++ b/internal/scheduler/runstate.go
@@ -42,11 +42,20 @@
 	checkpoint string
 }
 
+// placedBy says which leader placed a run.
+type placedBy uint8
+
+const (
+	// placedByThisLeader: the leader knows whether it gave the assignment.
+	placedByThisLeader placedBy = iota
+	// placedByEarlierLeader: placed under an earlier token, so that it is not known
+	// whether its assignment was given.
+	placedByEarlierLeader
+)
+
 // assignmentState is how far the run's worker was told of it.
 type assignmentState struct {
-	// inherited: placed under an earlier token, so that it is not known whether its
-	// assignment was given.
-	inherited bool
+	placedBy placedBy
 	// seq is that of the answer that carried the assignment; 0 if this leader has
 	// given none. at is when it was given.
 	seq uint64
@@ -71,8 +80,8 @@
 }
 
 // newRunState returns an open run of which nothing was observed yet, and which is on
-// no worker. inherited tells that it was placed under an earlier token.
-func newRunState(open *record.Run, inherited bool, now time.Duration) *runState {
+// no worker.
+func newRunState(open *record.Run, by placedBy, now time.Duration) *runState {
 	task := open.Task
 	return &runState{
 		placedRun: placedRun{
@@ -87,10 +96,13 @@
 			openedAt:      now,
 			checkpoint:    task.NewestCheckpoint(),
 		},
-		assignment: assignmentState{inherited: inherited},
+		assignment: assignmentState{placedBy: by},
 		stop:       open.Stop,
 	}
 }
 
 // neverAssigned tells that the run's order was surely not given.
-func (r *runState) neverAssigned() bool { return r.assignment.seq == 0 && !r.assignment.inherited }
+func (r *runState) neverAssigned() bool { return r.assignment.seq == 0 && !r.isInherited() }
+
+// isInherited tells that an earlier leader placed the run.
+func (r *runState) isInherited() bool { return r.assignment.placedBy == placedByEarlierLeader }
--- a/internal/scheduler/zonedrains.go
+++ b/internal/scheduler/zonedrains.go
@@ -73,7 +73,7 @@
 
 // stopDeparting stops what must not go on any longer on workers that surely end.
 func (l *leader) stopDeparting(now time.Duration) {
-	interval := l.registry.interval(false)
+	interval := l.registry.heartbeatInterval()
 	for _, worker := range l.registry.byID {
 		l.drains.stopDeparting(worker, now, interval)
 	}
