--- a/internal/indexheap/doc.go
+++ b/internal/indexheap/doc.go
@@ -1,4 +1,5 @@
-// Package indexheap is a priority queue whose items know their own position,
-// so that one in the middle can be moved or taken out in logarithmic time. It
-// is used through package container/heap.
+// Package indexheap is a binary heap, used through package container/heap, whose
+// items know their own position, so that one in the middle can be moved or removed
+// in logarithmic time. It has no lock: the owner of a heap guards it together with
+// its items.
 package indexheap
--- a/internal/indexheap/heap.go
+++ b/internal/indexheap/heap.go
@@ -3,16 +3,17 @@
 // None is the position of an item that is in no heap.
 const None = -1
 
-// Item is what a heap holds: a pointer to something that keeps its position.
+// Item is an element of a heap: a pointer to something that stores its position.
 type Item[T any] interface {
-	// Before reports whether the item comes out of the heap before other.
+	// Before reports whether the item leaves the heap before other. While both are
+	// in the heap the answer must not change, except through heap.Fix.
 	Before(other T) bool
-	// SetPosition is told the item's index in the heap, or None once it is out.
+	// SetPosition sets the item's index in the heap, or None once it has left.
 	SetPosition(position int)
 }
 
-// Heap implements heap.Interface. The first item is the one to come out next;
-// the zero value is empty. An item must be in one heap at most.
+// Heap implements heap.Interface. The first item is the one to leave next; the
+// zero value is an empty heap. An item must be in one heap at most.
 type Heap[T Item[T]] []T
 
 // Len implements heap.Interface.
--- a/internal/indexheap/heap_test.go
+++ b/internal/indexheap/heap_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// entry is an item that comes out by its due time.
+// entry is an item that leaves the heap by its due time.
 type entry struct {
 	due      int
 	position int
@@ -19,7 +19,7 @@
 // SetPosition implements Item.
 func (e *entry) SetPosition(position int) { e.position = position }
 
-// checkPositions holds what each item knows against where it is.
+// checkPositions compares the position that each item stores with its index.
 func checkPositions(t *testing.T, h Heap[*entry]) {
 	t.Helper()
 	for position, item := range h {
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestPop_ReleasesTheItem: the room behind the heap does not hold on to items.
+// TestPop_ReleasesTheItem: the spare capacity of the slice keeps no item alive.
 func TestPop_ReleasesTheItem(t *testing.T) {
 	var h Heap[*entry]
 	heap.Push(&h, &entry{due: 1})
--- a/internal/objective/objective_test.go
+++ b/internal/objective/objective_test.go
@@ -1,6 +1,7 @@
 package objective
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -25,7 +26,7 @@
 	}{
 		{"no step", nil, CriticalPaths{FromStep: []time.Duration{}}},
 		{"one", []api.StepSpec{step("a", s)}, CriticalPaths{FromStep: []time.Duration{s}, Job: s}},
-		{"a line", []api.StepSpec{step("a", s), step("b", 2*s, "a"), step("c", 4*s, "b")}, CriticalPaths{FromStep: []time.Duration{7 * s, 6 * s, 4 * s}, Job: 7 * s}},
+		{"a chain", []api.StepSpec{step("a", s), step("b", 2*s, "a"), step("c", 4*s, "b")}, CriticalPaths{FromStep: []time.Duration{7 * s, 6 * s, 4 * s}, Job: 7 * s}},
 		{"listed backwards", []api.StepSpec{step("c", 4*s, "b"), step("b", 2*s, "a"), step("a", s)}, CriticalPaths{FromStep: []time.Duration{4 * s, 6 * s, 7 * s}, Job: 7 * s}},
 		{"a diamond", []api.StepSpec{step("a", s), step("b", 9*s, "a"), step("c", 2*s, "a"), step("d", s, "b", "c")}, CriticalPaths{FromStep: []time.Duration{11 * s, 10 * s, 3 * s, s}, Job: 11 * s}},
 		{"two apart", []api.StepSpec{step("a", s), step("b", 3*s)}, CriticalPaths{FromStep: []time.Duration{s, 3 * s}, Job: 3 * s}},
@@ -41,9 +42,9 @@
 
 func TestDeadlinesOf_RankChangesAtEachDeadline(t *testing.T) {
 	rule := &api.ObjectiveConfig{Target: api.Duration(4 * time.Second), Stretch: 2}
-	times, known := DeadlinesOf(rule, 1_000_000, 3*time.Second, time.Second)
+	deadlines, known := DeadlinesOf(rule, 1_000_000, 3*time.Second, time.Second)
 	want := Deadlines{Since: 1_000_000, LatestStart: 1_009_000, LostAt: 1_029_000, PromotedAt: 1_129_000}
-	if diff := cmp.Diff(want, times); diff != "" || !known {
+	if diff := cmp.Diff(want, deadlines); diff != "" || !known {
 		t.Fatalf("known %v, %s", known, diff)
 	}
 	cases := []struct {
@@ -56,14 +57,18 @@
 		{1_129_000, Rank{Tier: TierOnTime, Key: 1_000_000}},
 	}
 	for _, c := range cases {
-		if diff := cmp.Diff(c.want, times.RankAt(c.now)); diff != "" {
-			t.Errorf("at %d: %s", c.now, diff)
-		}
+		t.Run(fmt.Sprintf("at %d", c.now), func(t *testing.T) {
+			if diff := cmp.Diff(c.want, deadlines.RankAt(c.now)); diff != "" {
+				t.Error(diff)
+			}
+		})
 	}
 	for name, rule := range map[string]*api.ObjectiveConfig{"none": nil, "of no length": {}} {
-		if _, known := DeadlinesOf(rule, 1, time.Second, time.Second); known {
-			t.Errorf("%s: taken for an objective", name)
-		}
+		t.Run("objective "+name, func(t *testing.T) {
+			if _, known := DeadlinesOf(rule, 1, time.Second, time.Second); known {
+				t.Error("taken for an objective")
+			}
+		})
 	}
 	short, _ := DeadlinesOf(&api.ObjectiveConfig{Target: api.Duration(time.Second)}, 0, 0, 0)
 	hopeless, _ := DeadlinesOf(&api.ObjectiveConfig{Target: api.Duration(time.Second)}, 0, time.Hour, time.Hour)
@@ -71,23 +76,23 @@
 		t.Errorf("an objective shorter than the work: %+v, %+v", rank, hopeless)
 	}
 	if short.PromotedAt-short.LostAt != record.Millis(minStarvationDelay.Milliseconds()) {
-		t.Errorf("patience: %+v", short)
+		t.Errorf("starvation delay: %+v", short)
 	}
 }
 
-// TestRankAt_LeastSlackFirst: of two tasks that can be met, the one with less slack has
-// the lower key, at any moment.
+// TestRankAt_LeastSlackFirst: of two tasks that can meet their objectives, the one
+// with less slack has the lower key, at any moment.
 func TestRankAt_LeastSlackFirst(t *testing.T) {
 	type drawn struct {
-		times Deadlines
-		slack func(now record.Millis) record.Millis
+		deadlines Deadlines
+		slack     func(now record.Millis) record.Millis
 	}
 	draw := func(t *rapid.T, name string) drawn {
 		target := time.Duration(rapid.IntRange(1, 60_000).Draw(t, name+" target")) * time.Millisecond
 		since := record.Millis(rapid.IntRange(0, 60_000).Draw(t, name+" since"))
 		remainingPath := time.Duration(rapid.IntRange(0, 60_000).Draw(t, name+" remaining")) * time.Millisecond
-		times, _ := DeadlinesOf(&api.ObjectiveConfig{Target: api.Duration(target)}, since, remainingPath, remainingPath)
-		return drawn{times, func(now record.Millis) record.Millis {
+		deadlines, _ := DeadlinesOf(&api.ObjectiveConfig{Target: api.Duration(target)}, since, remainingPath, remainingPath)
+		return drawn{deadlines, func(now record.Millis) record.Millis {
 			return since + record.Millis(target.Milliseconds()) - now - record.Millis(remainingPath.Milliseconds())
 		}}
 	}
@@ -97,7 +102,7 @@
 		if a.slack(now) <= 0 || b.slack(now) <= 0 {
 			return
 		}
-		first, second := a.times.RankAt(now), b.times.RankAt(now)
+		first, second := a.deadlines.RankAt(now), b.deadlines.RankAt(now)
 		if first.Tier != TierOnTime || second.Tier != TierOnTime {
 			t.Fatalf("slack is left: %v, %v", first, second)
 		}
@@ -107,8 +112,8 @@
 	})
 }
 
-// TestRankAt_OverdueTaskIsPromoted: whatever the objective, from First on a task stands before all
-// that came later and still can be met.
+// TestRankAt_OverdueTaskIsPromoted: whatever the objective, from PromotedAt on a task
+// goes before all that came later and can still meet theirs.
 func TestRankAt_OverdueTaskIsPromoted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		target := time.Duration(rapid.IntRange(1, 600_000).Draw(t, "target")) * time.Millisecond
