--- a/internal/record/archivedjob.go
+++ b/internal/record/archivedjob.go
@@ -2,7 +2,9 @@
 
 import "github.com/decklever/decklever/api"
 
-// ArchivedJob is what is kept of an ended job.
+// ArchivedJob is what the archive stores of an ended job. Its encoding and that of
+// the types that it holds is stored data: keys and the order of fields must not
+// change.
 type ArchivedJob struct {
 	ID          string         `cbor:"1,keyasint"`
 	Digest      string         `cbor:"2,keyasint"`
@@ -12,7 +14,7 @@
 	SubmittedAt Millis         `cbor:"6,keyasint"`
 	EndedAt     Millis         `cbor:"7,keyasint"`
 	Steps       []ArchivedStep `cbor:"8,keyasint"`
-	Index       uint64         `cbor:"9,keyasint"` // log index of the entry that ended it
+	Index       uint64         `cbor:"9,keyasint"` // position in the log of the entry that ended it
 	// Occurrences is nil unless the job repeated; Steps is empty then.
 	Occurrences *ArchivedOccurrences `cbor:"10,keyasint,omitempty"`
 }
@@ -29,7 +31,7 @@
 // total is the number of all occurrences.
 func (o *ArchivedOccurrences) total() int { return o.Succeeded + o.Failed + o.Cancelled }
 
-// status is the answer to a caller; nil if the job did not repeat.
+// status converts the counts to the public API; nil if the job did not repeat.
 func (o *ArchivedOccurrences) status() *api.OccurrenceStatus {
 	if o == nil {
 		return nil
@@ -37,13 +39,13 @@
 	return &api.OccurrenceStatus{Times: o.total(), Succeeded: o.Succeeded, Failed: o.Failed, Cancelled: o.Cancelled}
 }
 
-// ArchivedStep keeps the outcomes of one step.
+// ArchivedStep is the outcome of one step.
 type ArchivedStep struct {
 	Name  string         `cbor:"1,keyasint"`
 	Tasks []ArchivedTask `cbor:"2,keyasint"`
 }
 
-// ArchivedTask keeps the outcome of one task.
+// ArchivedTask is the outcome of one task.
 type ArchivedTask struct {
 	State    api.State `cbor:"1,keyasint"`
 	Run      uint32    `cbor:"2,keyasint,omitempty"`
@@ -52,7 +54,7 @@
 	Reason   string    `cbor:"5,keyasint,omitempty"`
 }
 
-// newArchivedJob reduces an ended job to its outcome.
+// newArchivedJob reduces a job that an entry ended to its outcome.
 func newArchivedJob(job *Job, endedAt Millis, index uint64) ArchivedJob {
 	archived := ArchivedJob{
 		ID:          job.ID,
@@ -72,6 +74,7 @@
 	return archived
 }
 
+// newArchivedOccurrences returns nil unless the job repeats.
 func newArchivedOccurrences(job *Job) *ArchivedOccurrences {
 	if job.Repetition == nil {
 		return nil
@@ -101,7 +104,7 @@
 	return archived
 }
 
-// Status is the answer to a caller.
+// Status converts the job to the public API.
 func (a *ArchivedJob) Status() api.JobStatus {
 	status := a.statusWithoutSteps()
 	status.Steps = make([]api.StepStatus, len(a.Steps))
@@ -111,7 +114,7 @@
 	return status
 }
 
-// statusWithoutSteps is the answer to a caller without the steps.
+// statusWithoutSteps is Status without the steps.
 func (a *ArchivedJob) statusWithoutSteps() api.JobStatus {
 	endedAt := a.EndedAt.Time()
 	return api.JobStatus{
@@ -126,7 +129,7 @@
 	}
 }
 
-// Summary is the job's row in a list.
+// Summary is the job's entry in a list of jobs.
 func (a *ArchivedJob) Summary() api.JobSummary {
 	tasks := 0
 	for i := range a.Steps {
@@ -145,6 +148,7 @@
 	}
 }
 
+// status converts the step of a job to the public API.
 func (s *ArchivedStep) status(job string) api.StepStatus {
 	status := api.StepStatus{
 		Name:  s.Name,
@@ -164,7 +168,7 @@
 	return status
 }
 
-// state is failed if any task failed, else cancelled if any was.
+// state is failed if any task failed, else cancelled if any was, else succeeded.
 func (s *ArchivedStep) state() api.State {
 	state := api.StateSucceeded
 	for _, task := range s.Tasks {
--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -10,38 +10,38 @@
 // BenchmarkApplySubmitPlaceClose runs one job of ten tasks through its life
 // beside 20,000 live jobs.
 func BenchmarkApplySubmitPlaceClose(b *testing.B) {
-	r := newHarness(b)
-	r.machine.observers = nil
+	h := newHarness(b)
+	h.machine.observers = nil
 	worker := testWorker("w")
 	worker.Capacity = api.Resources{CPUMillis: 1e9}
-	r.register(worker)
+	h.register(worker)
 	for i := range 20000 {
-		r.submit(fmt.Sprintf("live-%05d", i), stepSpec("a", 10))
+		h.submit(fmt.Sprintf("live-%05d", i), stepSpec("a", 10))
 	}
 	b.ResetTimer()
 	for i := range b.N {
 		job := fmt.Sprintf("job-%d", i)
-		r.submit(job, stepSpec("a", 10))
-		position, closeRuns := &PlaceTasks{}, &CloseRuns{}
+		h.submit(job, stepSpec("a", 10))
+		place, closing := &PlaceTasks{}, &CloseRuns{}
 		for task := range 10 {
 			placement := placementOn(taskID(job, "a", task), 1, "w")
-			position.Placements = append(position.Placements, placement)
-			closeRuns.Runs = append(closeRuns.Runs, RunEnd{Run: placement.Run, Outcome: api.OutcomeSucceeded})
+			place.Placements = append(place.Placements, placement)
+			closing.Runs = append(closing.Runs, RunEnd{Run: placement.Run, Outcome: api.OutcomeSucceeded})
 		}
-		r.apply(Command{PlaceTasks: position})
-		r.apply(Command{CloseRuns: closeRuns})
+		h.apply(Command{PlaceTasks: place})
+		h.apply(Command{CloseRuns: closing})
 	}
 }
 
 // BenchmarkCapture is the time that a snapshot holds the lock, with 20,000
 // live jobs of ten tasks.
 func BenchmarkCapture(b *testing.B) {
-	r := newHarness(b)
-	r.machine.observers = nil
+	h := newHarness(b)
+	h.machine.observers = nil
 	for i := range 20000 {
-		r.submit(fmt.Sprintf("live-%05d", i), stepSpec("a", 10))
+		h.submit(fmt.Sprintf("live-%05d", i), stepSpec("a", 10))
 	}
 	for b.Loop() {
-		r.machine.capture()
+		h.machine.capture()
 	}
 }
--- a/internal/record/canceljobs.go
+++ b/internal/record/canceljobs.go
@@ -1,7 +1,7 @@
 package record
 
-// applyCancelJobs cancels live jobs; unknown, ended and cancelled ones are passed
-// over. A job has ended once all its tasks are final, although runs may be open.
+// applyCancelJobs cancels live jobs that MayCancel. A job that waits only for the
+// last runs of a gang that succeeded has ended already.
 func (m *Machine) applyCancelJobs(cancel *CancelJobs) {
 	for _, id := range cancel.Jobs {
 		job := m.state.jobs[id]
@@ -15,6 +15,8 @@
 	}
 }
 
+// cancelTasks makes tasks without an open run cancelled, and requests the stop
+// of all open runs; those tasks are cancelled once the runs are closed.
 func (m *Machine) cancelTasks(job *Job) {
 	for _, step := range job.Steps {
 		for _, task := range step.Tasks {
@@ -29,7 +31,8 @@
 	}
 }
 
-// cancelFutureOccurrences counts the occurrences that will not be added any more.
+// cancelFutureOccurrences counts the occurrences that will not be added any more
+// as cancelled.
 func (j *Job) cancelFutureOccurrences() {
 	if j.Repetition == nil {
 		return
--- a/internal/record/capture.go
+++ b/internal/record/capture.go
@@ -2,8 +2,10 @@
 
 import "github.com/decklever/decklever/api"
 
-// capture is a copy of what can change; specs, workers and orders cannot and
-// are shared.
+// capture is a copy of all of the state that can change, made under the lock, from
+// which a snapshot is written without it. Specs, workers, configuration orders and
+// released windows never change and are shared. Few large slices are quicker to
+// fill than many small ones.
 type capture struct {
 	header   snapshotHeader
 	versions []api.ConfigVersion
@@ -15,20 +17,21 @@
 	runs     []snapshotRun
 }
 
-// capturedJob has its steps in capture.steps from firstStep on, and likewise
-// each step its tasks; few large slices are quicker to fill than many small.
+// capturedJob is a job whose steps are stepCount elements of capture.steps, from
+// firstStep on.
 type capturedJob struct {
 	job       *Job
 	cancelled bool
 	firstStep int
-	// stepCount is the number of steps of all live occurrences.
 	stepCount int
-	// checkRepetition, occurrences and started are set of a repeating job.
+	// repetition, occurrences and started are set only of a repeating job.
 	repetition  *Repetition
 	occurrences []int
 	started     bool
 }
 
+// capturedStep is a step whose tasks are taskCount elements of capture.tasks, from
+// firstTask on.
 type capturedStep struct {
 	waitsOn   int
 	failedRun uint32
@@ -36,6 +39,8 @@
 	taskCount int
 }
 
+// capture copies the state under the lock, and returns with it the expiry that the
+// snapshot will hold.
 func (m *Machine) capture() (*capture, *snapshotExpiry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -46,6 +51,7 @@
 	return captureState(m.state), m.expiry.latest
 }
 
+// captureState copies a state.
 func captureState(s *state) *capture {
 	settings := &s.settings
 	c := &capture{
@@ -76,16 +82,23 @@
 	return c
 }
 
+// addJob copies a job with its steps and tasks.
 func (c *capture) addJob(job *Job) {
 	c.jobs = append(c.jobs, c.captureJob(job))
 	for _, step := range job.Steps {
-		c.steps = append(c.steps, capturedStep{waitsOn: step.OpenDependencies, failedRun: step.lastFailedRun, firstTask: len(c.tasks), taskCount: len(step.Tasks)})
+		c.steps = append(c.steps, capturedStep{
+			waitsOn:   step.OpenDependencies,
+			failedRun: step.lastFailedRun,
+			firstTask: len(c.tasks),
+			taskCount: len(step.Tasks),
+		})
 		for _, task := range step.Tasks {
 			c.addTask(task)
 		}
 	}
 }
 
+// captureJob copies what can change of a job itself.
 func (c *capture) captureJob(job *Job) capturedJob {
 	captured := capturedJob{job: job, cancelled: job.Cancelled, firstStep: len(c.steps), stepCount: len(job.Steps)}
 	if job.Repetition != nil {
@@ -97,6 +110,7 @@
 	return captured
 }
 
+// addTask copies a task and its open run.
 func (c *capture) addTask(task *Task) {
 	c.tasks = append(c.tasks, snapshotTask{
 		State:           task.State,
@@ -116,7 +130,8 @@
 	})
 }
 
-// addRun copies an open run; runs has room for all, so that it never moves.
+// addRun copies an open run. The capacity of runs is the number of all, so that
+// appending never moves the elements that pointers were taken of.
 func (c *capture) addRun(run *Run) *snapshotRun {
 	if run == nil {
 		return nil
--- a/internal/record/checkpoint.go
+++ b/internal/record/checkpoint.go
@@ -2,17 +2,17 @@
 
 import "github.com/decklever/decklever/api"
 
-// checkCheckpoint is the newest text that an earlier run of a task left, from which
-// the next run goes on.
+// checkpoint is the newest text that an earlier run of a task left, from which the
+// next run continues.
 type checkpoint struct {
 	text string
-	// run is the number of the run that left it, percent how far that was.
+	// run is the number of the run that left it, percent its progress then.
 	run     uint32
 	percent int
 }
 
-// NewestCheckpoint is the checkpoint with which the next run of the task starts,
-// or empty. It is the same for all members of a group in lockstep.
+// NewestCheckpoint is the checkpoint from which the next run of the task starts,
+// or empty. It is the same for all members of a gang with a common outcome.
 func (t *Task) NewestCheckpoint() string {
 	if !t.Spec.Resumable {
 		return ""
@@ -20,27 +20,28 @@
 	return t.checkpointOwner().checkpoint.text
 }
 
-// checkpointOwner is the task that keeps the checkpoint: a group in lockstep
-// has one, which its first member keeps.
+// checkpointOwner is the task whose checkpoint counts: a gang with a common
+// outcome has one, that of its first member.
 func (t *Task) checkpointOwner() *Task {
-	if t.Step.Spec.Lockstep {
+	if t.Step.SharesOutcome() {
 		return t.Step.Tasks[0]
 	}
 	return t
 }
 
-// updateCheckpoint keeps what a run left that is closed or was closed before. A
-// run that left none changes nothing. Of several ends of one run number, as
-// members of a group have, the one that got furthest counts.
+// updateCheckpoint takes the checkpoint of a run that is being closed, or was
+// closed before. It changes nothing if the run left none, succeeded, or is older
+// than the one that left the present checkpoint. Of several ends with one run
+// number, as the members of a gang have, the one with the most progress counts.
 func (t *Task) updateCheckpoint(end *RunEnd) {
 	if !t.Spec.Resumable || end.Checkpoint == "" || len(end.Checkpoint) > api.MaxCheckpointBytes {
 		return
 	}
-	kept := &t.checkpointOwner().checkpoint
-	older := end.Run.Number < kept.run
-	behind := end.Run.Number == kept.run && end.Percent < kept.percent
+	newest := &t.checkpointOwner().checkpoint
+	older := end.Run.Number < newest.run
+	behind := end.Run.Number == newest.run && end.Percent < newest.percent
 	if end.Outcome == api.OutcomeSucceeded || older || behind {
 		return
 	}
-	*kept = checkpoint{text: end.Checkpoint, run: end.Run.Number, percent: end.Percent}
+	*newest = checkpoint{text: end.Checkpoint, run: end.Run.Number, percent: end.Percent}
 }
--- a/internal/record/checkpoint_invariants_test.go
+++ b/internal/record/checkpoint_invariants_test.go
@@ -2,18 +2,19 @@
 
 import "fmt"
 
-// checkpointText tells by which run of which task it was left, and how far that
-// was.
+// checkpointText is the checkpoint of a run at a progress in percent, which names
+// both.
 func checkpointText(run RunID, percent int) string {
 	return fmt.Sprintf("%s %d %d", run.Task, run.Number, percent)
 }
 
-// checkCheckpoint checks that a task keeps only what its own runs left, or those of
-// its group in lockstep, and never goes back to an earlier run.
+// checkCheckpoint checks that the checkpoint of a task was left by one of its own
+// runs, or by one of its gang with a common outcome, and never by an earlier run
+// than before.
 func (c *invariantChecker) checkCheckpoint(task *Task) {
-	kept := task.checkpointOwner().checkpoint
-	if kept.text == "" {
-		if kept != (checkpoint{}) || c.checkpointRun[task] != 0 {
+	newest := task.checkpointOwner().checkpoint
+	if newest.text == "" {
+		if newest != (checkpoint{}) || c.checkpointRun[task] != 0 {
 			c.t.Fatalf("%s lost its checkpoint", task.ID)
 		}
 		return
@@ -24,16 +25,16 @@
 	}
 	own := false
 	for _, owner := range owners {
-		text := checkpointText(RunID{Task: owner.ID, Number: kept.run}, kept.percent)
-		own = own || owner.Spec.Resumable && text == kept.text
+		text := checkpointText(RunID{Task: owner.ID, Number: newest.run}, newest.percent)
+		own = own || owner.Spec.Resumable && text == newest.text
 	}
-	if !own || kept.run > task.LastRun || kept.run < c.checkpointRun[task] {
-		c.t.Fatalf("%s keeps %q of run %d, before of run %d", task.ID, kept.text, kept.run, c.checkpointRun[task])
+	if !own || newest.run > task.LastRun || newest.run < c.checkpointRun[task] {
+		c.t.Fatalf("%s has checkpoint %q of run %d, before of run %d", task.ID, newest.text, newest.run, c.checkpointRun[task])
 	}
-	c.checkpointRun[task] = kept.run
+	c.checkpointRun[task] = newest.run
 	want := ""
 	if task.Spec.Resumable {
-		want = kept.text
+		want = newest.text
 	}
 	if got := task.NewestCheckpoint(); got != want {
 		c.t.Fatalf("%s starts from %q, want %q", task.ID, got, want)
--- a/internal/record/checkpoint_test.go
+++ b/internal/record/checkpoint_test.go
@@ -16,19 +16,19 @@
 	return spec
 }
 
-func (r *harness) closeWithCheckpoint(task TaskID, number uint32, outcome api.Outcome, percent int, text string) {
-	r.t.Helper()
+func (h *harness) closeWithCheckpoint(task TaskID, number uint32, outcome api.Outcome, percent int, text string) {
+	h.t.Helper()
 	end := RunEnd{Run: RunID{Task: task, Number: number}, Outcome: outcome, Checkpoint: text, Percent: percent}
-	r.apply(Command{CloseRuns: &CloseRuns{Runs: []RunEnd{end}}})
+	h.apply(Command{CloseRuns: &CloseRuns{Runs: []RunEnd{end}}})
 }
 
 func TestCheckpoint_NewestRunWins(t *testing.T) {
-	r := newHarness(t)
-	r.register(testWorker("w1"))
+	h := newHarness(t)
+	h.register(testWorker("w1"))
 	spec := resumable(stepSpec("a", 2))
 	spec.Tasks[1].Resumable = false
 	spec.Tasks[0].UntilCancelled, spec.Tasks[1].UntilCancelled = true, true
-	r.submit("j", spec)
+	h.submit("j", spec)
 	task, other := taskID("j", "a", 0), taskID("j", "a", 1)
 	steps := []struct {
 		what    string
@@ -46,62 +46,62 @@
 	}
 	for i, step := range steps {
 		number := uint32(i + 1)
-		r.now += 100_000
-		r.mustPlace(placementOn(task, number, "w1"), placementOn(other, number, "w1"))
-		r.closeWithCheckpoint(task, number, step.outcome, step.percent, step.text)
-		r.closeWithCheckpoint(other, number, step.outcome, step.percent, step.text)
-		expect(t, step.what, r.task(task).NewestCheckpoint(), step.want)
-		expect(t, "a task that is not resumable", r.task(other).NewestCheckpoint(), "")
+		h.now += 100_000
+		h.mustPlace(placementOn(task, number, "w1"), placementOn(other, number, "w1"))
+		h.closeWithCheckpoint(task, number, step.outcome, step.percent, step.text)
+		h.closeWithCheckpoint(other, number, step.outcome, step.percent, step.text)
+		expect(t, step.what, h.task(task).NewestCheckpoint(), step.want)
+		expect(t, "a task that is not resumable", h.task(other).NewestCheckpoint(), "")
 	}
-	snapshot := snapshotBytes(t, r.machine)
-	again := restored(t, snapshot, r.archive)
-	expect(t, "restored", again.state.task(task).checkpoint, r.task(task).checkpoint)
+	snapshot := snapshotBytes(t, h.machine)
+	again := restored(t, snapshot, h.archive)
+	expect(t, "restored", again.state.task(task).checkpoint, h.task(task).checkpoint)
 	if !bytes.Equal(snapshot, snapshotBytes(t, again)) {
 		t.Fatal("a restored machine writes another snapshot")
 	}
 }
 
 func TestCheckpoint_LateReportOfNewestRunCounts(t *testing.T) {
-	r := newHarness(t)
-	r.register(testWorker("w1"))
-	r.submit("j", resumable(stepSpec("a", 1)))
+	h := newHarness(t)
+	h.register(testWorker("w1"))
+	h.submit("j", resumable(stepSpec("a", 1)))
 	task := taskID("j", "a", 0)
-	r.mustPlace(placementOn(task, 1, "w1"))
-	r.closeWithCheckpoint(task, 1, api.OutcomeLost, 40, "heard")
-	r.closeWithCheckpoint(task, 1, api.OutcomeStopped, 40, "at the stop")
-	expect(t, "newer of one run", r.task(task).NewestCheckpoint(), "at the stop")
-	r.mustPlace(placementOn(task, 2, "w1"))
-	r.closeWithCheckpoint(task, 1, api.OutcomeStopped, 90, "stale")
-	expect(t, "while a newer run is open", r.task(task).NewestCheckpoint(), "at the stop")
-	r.closeWithCheckpoint(task, 2, api.OutcomeLost, 0, "")
-	r.closeWithCheckpoint(task, 1, api.OutcomeStopped, 90, "stale")
-	expect(t, "of an older run", r.task(task).NewestCheckpoint(), "at the stop")
+	h.mustPlace(placementOn(task, 1, "w1"))
+	h.closeWithCheckpoint(task, 1, api.OutcomeLost, 40, "heard")
+	h.closeWithCheckpoint(task, 1, api.OutcomeStopped, 40, "at the stop")
+	expect(t, "newer of one run", h.task(task).NewestCheckpoint(), "at the stop")
+	h.mustPlace(placementOn(task, 2, "w1"))
+	h.closeWithCheckpoint(task, 1, api.OutcomeStopped, 90, "stale")
+	expect(t, "while a newer run is open", h.task(task).NewestCheckpoint(), "at the stop")
+	h.closeWithCheckpoint(task, 2, api.OutcomeLost, 0, "")
+	h.closeWithCheckpoint(task, 1, api.OutcomeStopped, 90, "stale")
+	expect(t, "of an older run", h.task(task).NewestCheckpoint(), "at the stop")
 }
 
 func TestGang_CommonOutcomeSharesOneCheckpoint(t *testing.T) {
-	r := newGangHarness(t, 3)
-	group := resumable(stepSpec("a", 3))
-	group.Lockstep = true
-	r.submit("k", group)
-	r.members = []TaskID{taskID("k", "a", 0), taskID("k", "a", 1), taskID("k", "a", 2)}
+	h := newGangHarness(t, 3)
+	gang := resumable(stepSpec("a", 3))
+	gang.Lockstep = true
+	h.submit("k", gang)
+	h.members = []TaskID{taskID("k", "a", 0), taskID("k", "a", 1), taskID("k", "a", 2)}
 	want := func(what, text string) {
 		t.Helper()
-		for _, member := range r.members {
-			expect(t, what, r.task(member).NewestCheckpoint(), text)
+		for _, member := range h.members {
+			expect(t, what, h.task(member).NewestCheckpoint(), text)
 		}
 	}
-	r.mustPlace(r.allMembers(1)...)
-	r.closeWithCheckpoint(r.members[2], 1, api.OutcomeLost, 30, "at 30")
-	r.closeWithCheckpoint(r.members[0], 1, api.OutcomeStopped, 40, "at 40")
-	r.closeWithCheckpoint(r.members[1], 1, api.OutcomeStopped, 35, "at 35")
+	h.mustPlace(h.allMembers(1)...)
+	h.closeWithCheckpoint(h.members[2], 1, api.OutcomeLost, 30, "at 30")
+	h.closeWithCheckpoint(h.members[0], 1, api.OutcomeStopped, 40, "at 40")
+	h.closeWithCheckpoint(h.members[1], 1, api.OutcomeStopped, 35, "at 35")
 	want("the one that got furthest", "at 40")
-	r.mustPlace(r.allMembers(2)...)
-	r.closeWithCheckpoint(r.members[1], 2, api.OutcomeFailed, 0, "")
-	r.closeWithCheckpoint(r.members[2], 2, api.OutcomeStopped, 5, "second at 5")
-	r.closeWithCheckpoint(r.members[0], 2, api.OutcomeStopped, 0, "")
+	h.mustPlace(h.allMembers(2)...)
+	h.closeWithCheckpoint(h.members[1], 2, api.OutcomeFailed, 0, "")
+	h.closeWithCheckpoint(h.members[2], 2, api.OutcomeStopped, 5, "second at 5")
+	h.closeWithCheckpoint(h.members[0], 2, api.OutcomeStopped, 0, "")
 	want("a newer run", "second at 5")
-	again := restored(t, snapshotBytes(t, r.machine), r.archive)
-	for _, member := range r.members {
+	again := restored(t, snapshotBytes(t, h.machine), h.archive)
+	for _, member := range h.members {
 		expect(t, "restored", again.state.task(member).NewestCheckpoint(), "second at 5")
 	}
 }
--- a/internal/record/closeruns.go
+++ b/internal/record/closeruns.go
@@ -3,10 +3,10 @@
 import "github.com/decklever/decklever/api"
 
 // applyCloseRuns ends runs in the order given.
-func (m *Machine) applyCloseRuns(closeRuns *CloseRuns) {
-	m.applyGangSuccesses(closeRuns.Runs)
-	for i := range closeRuns.Runs {
-		end := &closeRuns.Runs[i]
+func (m *Machine) applyCloseRuns(command *CloseRuns) {
+	m.applyGangSuccesses(command.Runs)
+	for i := range command.Runs {
+		end := &command.Runs[i]
 		task := m.state.task(end.Run.Task)
 		if task == nil {
 			continue
@@ -24,7 +24,7 @@
 func (m *Machine) closeRun(run *Run, end *RunEnd) {
 	task := run.Task
 	m.state.removeRun(run)
-	if task.State.Final() { // its group has succeeded
+	if task.State.Final() { // by the success of its gang
 		m.state.setRun(task, task.State, nil)
 		m.emit(RunClosed{Run: run, Outcome: end.Outcome})
 		return
@@ -42,11 +42,12 @@
 	m.failGangIfExhausted(task.Step)
 }
 
-// stateAfterRun decides what becomes of the task and notes failures and
-// preemptions; one that came too late for a success is none. A worker that
-// stops a run reports it as stopped, so that a failure which it reports of a run
-// that was to be stopped is the task's own and counts, unless the job was
-// cancelled. A task that runs until cancelled waits again however its run ended.
+// stateAfterRun returns the task's next state, and counts failures and
+// preemptions; a run that succeeded although it was to be preempted counts as
+// none. A worker reports a run that it stopped as stopped, so a failure that it
+// reports of a run that was to be stopped is the task's own and counts, unless
+// the job was cancelled. A task that runs until cancelled is ready again however
+// its run ended.
 func (m *Machine) stateAfterRun(run *Run, end *RunEnd) TaskState {
 	task := run.Task
 	succeeded := end.Outcome == api.OutcomeSucceeded
@@ -64,16 +65,19 @@
 	if end.Outcome == api.OutcomeFailed {
 		return m.stateAfterFailure(run, end)
 	}
-	if run.Stop == StopGang && task.Step.Spec.Lockstep {
-		return TaskReady // the reason is why the group was broken
+	if run.Stop == StopGang && task.Step.SharesOutcome() {
+		return TaskReady // the reason stays that of the member that ended first
 	}
 	task.Reason = interruptionReason(run, end.Outcome)
 	return TaskReady
 }
 
+// stateAfterFailure counts a failure and returns TaskReady, or TaskFailed if it
+// was the last one allowed. A gang with a common outcome fails later, in
+// failGangIfExhausted.
 func (m *Machine) stateAfterFailure(run *Run, end *RunEnd) TaskState {
 	task := run.Task
-	if task.Step.Spec.Lockstep {
+	if task.Step.SharesOutcome() {
 		m.countGangFailure(run, end)
 		return TaskReady
 	}
@@ -86,19 +90,20 @@
 	return TaskReady
 }
 
-// applyLateReport takes the success of a closed run if the task still waits: what
-// the run did is done, whatever became of newer runs, and none of them is open.
-// One that runs until cancelled has no success. Any other late report changes
-// nothing but the checkpoint, if it is of the newest run.
+// applyLateReport applies the end of a run that is closed already. A success
+// counts if the task is ready: the work of that run is done, whatever became of
+// newer runs, and none of them is open. Any other late report changes nothing
+// but the checkpoint, if it is of the newest run. Successes of gangs with a
+// common outcome were applied by applyGangSuccesses.
 func (m *Machine) applyLateReport(task *Task, end *RunEnd) {
 	if task.State == TaskReady && end.Run.Number == task.LastRun {
 		task.updateCheckpoint(end)
 	}
-	if end.Outcome != api.OutcomeSucceeded || task.State != TaskReady || task.RunsUntilCancelled() || task.Step.Spec.Lockstep {
+	if end.Outcome != api.OutcomeSucceeded || task.State != TaskReady || task.RunsUntilCancelled() || task.Step.SharesOutcome() {
 		return
 	}
 	if end.Run.Number == 0 || end.Run.Number > task.LastRun {
-		return
+		return // no such run was placed
 	}
 	m.finishWithoutRun(task, TaskSucceeded, "")
 }
--- a/internal/record/command.go
+++ b/internal/record/command.go
@@ -2,12 +2,20 @@
 
 import "github.com/decklever/decklever/api"
 
-// Command is one entry of the log. Exactly one of the pointers is set.
+// Command is one entry of the replicated log. Exactly one of the pointers is
+// set; Encode and Decode refuse any other number.
+//
+// The encoding of this type and of all that it holds is stored in write-ahead
+// logs: a field keeps its key, its type and its meaning for ever, and a key is
+// never used again. A field added later is marked omitempty, and its absence
+// means what earlier programs did.
 type Command struct {
-	// Time is the cluster clock when the leader proposed it; Apply treats it
-	// as the greatest of this and all before.
+	// Time is the cluster clock when the leader proposed the command, in Unix
+	// milliseconds. Apply takes the greatest of this and of all before, so that
+	// the clock of the record never goes back.
 	Time Millis `cbor:"1,keyasint"`
-	// Token is the proposing leader's term.
+	// Token is the fencing token of the leader that proposed the command: its
+	// term.
 	Token uint64 `cbor:"2,keyasint"`
 
 	SubmitJob       *SubmitJob       `cbor:"3,keyasint,omitempty"`
@@ -24,7 +32,8 @@
 	DrainZone       *DrainZone       `cbor:"14,keyasint,omitempty"`
 }
 
-// validate returns an error unless exactly one change is set.
+// validate returns ErrNoCommand or ErrSeveralCommands unless exactly one
+// pointer is set.
 func (c *Command) validate() error {
 	set := []bool{
 		c.SubmitJob != nil, c.CancelJobs != nil, c.PutConfig != nil,
@@ -47,112 +56,137 @@
 	return nil
 }
 
-// SubmitJob adds a job.
+// SubmitJob adds a job. The outcome is in Result.Submit; any but
+// SubmitAccepted leaves the state as it was. A resend with the same digest is
+// answered with SubmitDuplicate, also once the job has ended, for as long as the
+// archive has it.
 type SubmitJob struct {
-	ID     string      `cbor:"1,keyasint"`
-	Spec   api.JobSpec `cbor:"2,keyasint"`
-	Digest string      `cbor:"3,keyasint"`
+	ID   string      `cbor:"1,keyasint"`
+	Spec api.JobSpec `cbor:"2,keyasint"`
+	// Digest is the SHA-256 of the canonical spec as submitted, in hex. It
+	// tells a resend from another job with the same id.
+	Digest string `cbor:"3,keyasint"`
 }
 
-// CancelJobs cancels jobs; unknown and ended ones are passed over.
+// CancelJobs cancels live jobs. Unknown, ended and cancelled ones are skipped,
+// so applying it again changes nothing.
 type CancelJobs struct {
 	Jobs []string `cbor:"1,keyasint"`
 }
 
-// PutConfig proposes a whole configuration.
+// PutConfig proposes a complete configuration. The outcome is in Result.Config.
+// The first command with an OrderID decides; each later one with the same id and
+// digest gets the same answer, and one with another digest a conflict.
 type PutConfig struct {
-	OrderID string     `cbor:"1,keyasint"`
-	Base    uint64     `cbor:"2,keyasint"`
-	Config  api.Config `cbor:"3,keyasint"`
-	Digest  string     `cbor:"4,keyasint"`
-	// Refusal is set when validation failed: the order is then recorded as
-	// refused, so that the same order is never in force later.
+	OrderID string `cbor:"1,keyasint"`
+	// Base is the version that the operator edited: the order is refused with
+	// 412 unless that is still in force.
+	Base   uint64     `cbor:"2,keyasint"`
+	Config api.Config `cbor:"3,keyasint"`
+	// Digest is the SHA-256 of the canonical configuration, in hex.
+	Digest string `cbor:"4,keyasint"`
+	// Refusal is set when validation failed before the proposal. The order is
+	// recorded as refused, so that a resend of it cannot come into force later.
 	Refusal *api.Error `cbor:"5,keyasint,omitempty"`
 }
 
-// Place opens runs. It is checked again when applied: each one must still fit
-// (task ready, time come, worker incarnation current, room, service, labels,
-// spread, bounds of queue and team); one that does not is rejected alone,
-// except that a group is rejected whole.
+// PlaceTasks opens runs. The leader planned them on a state that may be older
+// than the one they are applied to, so each is checked again by
+// placementChecker; a placement that no longer holds is listed in
+// Result.Rejected and changes nothing. Placements are accepted or rejected one
+// by one, except that those of a gang are accepted or rejected together.
+// Applied a second time, all are rejected: the run numbers are used.
 type PlaceTasks struct {
 	Placements []Placement `cbor:"1,keyasint"`
 }
 
-// Placement opens run Number (the task's NextRun) on a worker.
+// Placement opens a run on a worker. Run.Number must be Task.NextRun, and
+// WorkerID the current incarnation of the worker.
 type Placement struct {
 	Run      RunID  `cbor:"1,keyasint"`
 	WorkerID string `cbor:"2,keyasint"`
 	Worker   string `cbor:"3,keyasint"`
 }
 
-// CloseRuns ends runs. A success of a closed run counts if no newer run was
-// placed and the task is not final and does not run until cancelled; any other
-// report on a closed run changes nothing. Groups in lockstep have rules of their
-// own, see lockstep.go.
+// CloseRuns ends runs, in the order given. An end of a run that is closed
+// already is a late report: its success still counts if the task waits, was not
+// placed anew and does not run until cancelled; any other late report changes
+// nothing. So reports may be repeated and may come in any order. Gangs with a
+// common outcome have rules of their own, see gang.go.
 type CloseRuns struct {
 	Runs []RunEnd `cbor:"1,keyasint"`
 }
 
-// RunEnd is how one run ended.
+// RunEnd says how one run ended.
 type RunEnd struct {
 	Run     RunID       `cbor:"1,keyasint"`
 	Outcome api.Outcome `cbor:"2,keyasint"`
-	Message string      `cbor:"3,keyasint,omitempty"`
-	// Checkpoint is the newest known of the run; empty if there is none. Percent
-	// is how far the run was, 0 to 100, as last heard.
+	// Message is the worker's text; a failure keeps at most maxReasonBytes of it.
+	Message string `cbor:"3,keyasint,omitempty"`
+	// Checkpoint is the newest known of the run, empty if there is none. One of
+	// more than api.MaxCheckpointBytes is ignored.
 	Checkpoint string `cbor:"4,keyasint,omitempty"`
-	Percent    int    `cbor:"5,keyasint,omitempty"`
+	// Percent is the last reported progress of the run, 0 to 100.
+	Percent int `cbor:"5,keyasint,omitempty"`
 }
 
-// StopRuns marks open runs to be stopped; the first reason stands, except that
-// StopCancelled overrides.
+// StopRuns requests the stop of open runs. Closed and unknown runs are skipped.
+// The first reason stands, except that StopCancelled replaces any other.
 type StopRuns struct {
 	Runs   []RunID    `cbor:"1,keyasint"`
 	Reason StopReason `cbor:"2,keyasint"`
 }
 
-// RegisterWorkers adds workers or changes what is known of them. One whose
-// name has an earlier incarnation with open runs is rejected.
+// RegisterWorkers adds workers or updates what is known of them. The names of
+// those that could not be registered are in Result.RejectedWorkers: an earlier
+// incarnation still has open runs, or another name has the incarnation's id.
+// The leader proposes them again later.
 type RegisterWorkers struct {
 	Workers []Worker `cbor:"1,keyasint"`
 }
 
-// ForgetWorkers removes workers that have no open run.
+// ForgetWorkers removes workers. Unknown ones and those with an open run are
+// skipped.
 type ForgetWorkers struct {
 	Names []string `cbor:"1,keyasint"`
 }
 
-// ExpireArchive drops archived jobs that ended before a time, at most Limit.
+// ExpireArchive hides the archived jobs that ended before a time, and drops at
+// most Limit of them from storage; see Machine.applyExpireArchive. An earlier
+// Before than one applied already hides nothing more.
 type ExpireArchive struct {
 	Before Millis `cbor:"1,keyasint"`
 	Limit  int    `cbor:"2,keyasint"`
 }
 
-// ReleaseWindow gives the room of one window of a booking back before its end.
-// A window that has ended or was released before is passed over.
+// ReleaseWindow gives the capacity of one reservation window back before the
+// window ends. A window that has ended or was released before is skipped.
 type ReleaseWindow struct {
 	Queue   string `cbor:"1,keyasint"`
 	Booking string `cbor:"2,keyasint"`
 	Start   Millis `cbor:"3,keyasint"`
-	// End is the window's end; the release is forgotten after it.
+	// End is the window's end; the release is forgotten once the clock of the
+	// record reaches it.
 	End Millis `cbor:"4,keyasint"`
 }
 
-// ExpandRepeats adds the tasks of occurrences of repeating jobs that fall due.
-// Unknown jobs and occurrences that were added before are passed over, as are
-// those that would take a job beyond api.MaxOpenTasksPerJob.
+// ExpandRepeats adds the occurrences of repeating jobs that fall due. Skipped
+// are unknown jobs, occurrences that were added before, and those that would
+// take the open tasks of a job beyond api.MaxOpenTasksPerJob, which the leader
+// proposes again later.
 type ExpandRepeats struct {
 	Jobs []Expansion `cbor:"1,keyasint"`
 }
 
-// Expansion adds a job's occurrences up to and with Through.
+// Expansion adds a job's occurrences up to and including Through, counted from
+// 0.
 type Expansion struct {
 	Job     string `cbor:"1,keyasint"`
 	Through int    `cbor:"2,keyasint"`
 }
 
-// DrainZone drains a zone, beside what the configuration says, or takes that
-// back. Doubled: no effect.
+// DrainZone sets or clears an operator's drain of a zone, which stands beside
+// the drains of the configuration. Applied a second time it changes nothing.
 type DrainZone struct {
 	Zone    string `cbor:"1,keyasint"`
 	Drained bool   `cbor:"2,keyasint"`
--- a/internal/record/confighistory.go
+++ b/internal/record/confighistory.go
@@ -6,7 +6,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// maxConfigVersions bounds the history of accepted configurations.
+// maxConfigVersions bounds the history of accepted configurations; the oldest are
+// dropped first.
 const maxConfigVersions = 1000
 
 // configState is the configuration in force, its history and its orders.
@@ -15,7 +16,7 @@
 	// accepted is as the operator gave it; effective has defaults filled in.
 	accepted  *api.Config
 	effective *api.Config
-	// queueCounts and teams are by name.
+	// queues and teams are those of effective, by name.
 	queues map[string]api.QueueConfig
 	teams  map[string]api.TeamConfig
 	// versions is the history, oldest first.
@@ -23,29 +24,34 @@
 	orders   orderHistory
 }
 
-// configOrder is one decided PutConfig; it is never changed.
+// configOrder is one decided PutConfig. It is stored in snapshots, and never
+// changed, so that a capture may share it.
 type configOrder struct {
 	ID     string       `cbor:"1,keyasint"`
 	Digest string       `cbor:"2,keyasint"`
 	Result ConfigResult `cbor:"3,keyasint"`
 }
 
-// orderHistory keeps the newest orders, first in, first out.
+// orderHistory keeps the newest decided orders, at most limit of them; the oldest
+// is dropped first.
 type orderHistory struct {
 	limit int
 	byID  map[string]*configOrder
-	// ring is a ring once it is full; next is then the oldest.
+	// ring is in the order of decision until it is full; after that, next is the
+	// index of the oldest, which the next order replaces.
 	ring []*configOrder
 	next int
 }
 
+// newConfigState returns version 0, an empty configuration.
 func newConfigState(maxConfigOrders int) configState {
 	c := configState{orders: orderHistory{limit: maxConfigOrders, byID: make(map[string]*configOrder)}}
 	c.activate(0, &api.Config{})
 	return c
 }
 
-// activate puts a configuration in force.
+// activate puts a configuration in force. The caller then calls
+// state.recountTeams, unless there are no counts yet.
 func (c *configState) activate(version uint64, config *api.Config) {
 	effective := config.WithDefaults()
 	c.version = version
@@ -61,6 +67,8 @@
 	}
 }
 
+// addVersion appends to the history. What lies in versions is never changed, so
+// that a capture may share it.
 func (c *configState) addVersion(version api.ConfigVersion) {
 	c.versions = append(c.versions, version)
 	if surplus := len(c.versions) - maxConfigVersions; surplus > 0 {
@@ -68,18 +76,19 @@
 	}
 }
 
-func (b *orderHistory) add(added *configOrder) {
-	b.byID[added.ID] = added
-	if len(b.ring) < b.limit {
-		b.ring = append(b.ring, added)
+// add records a decided order whose id is not known yet.
+func (h *orderHistory) add(added *configOrder) {
+	h.byID[added.ID] = added
+	if len(h.ring) < h.limit {
+		h.ring = append(h.ring, added)
 		return
 	}
-	delete(b.byID, b.ring[b.next].ID)
-	b.ring[b.next] = added
-	b.next = (b.next + 1) % len(b.ring)
+	delete(h.byID, h.ring[h.next].ID)
+	h.ring[h.next] = added
+	h.next = (h.next + 1) % len(h.ring)
 }
 
 // oldestFirst returns the orders in the order in which they were decided.
-func (b *orderHistory) oldestFirst() []*configOrder {
-	return slices.Concat(b.ring[b.next:], b.ring[:b.next])
+func (h *orderHistory) oldestFirst() []*configOrder {
+	return slices.Concat(h.ring[h.next:], h.ring[:h.next])
 }
--- a/internal/record/counts.go
+++ b/internal/record/counts.go
@@ -1,14 +1,22 @@
 package record
 
-// Counts of queues and teams are kept as tasks change. A team's counts are the
-// sum over the queues that name it in the configuration in force, so they are
-// added up anew when that changes.
+// The counts of queues, teams and callers are updated as tasks change, so that
+// admission need not look at all jobs. A team's counts are the sum over the queues
+// that name it in the configuration in force, and are summed anew when that
+// changes.
+
+// QueueCounts counts the live jobs and their tasks in one queue, or in all queues
+// of a team. Pending are tasks without an open run that are not final, also blocked
+// ones.
+type QueueCounts struct {
+	Jobs, PendingTasks, RunningTasks int
+}
 
 // queueCaller is one caller in one queue.
 type queueCaller struct{ queue, caller string }
 
-// adjustCounts adds a change of a job to its queue, to the queue's team and to the job's
-// caller; what is zero is dropped.
+// adjustCounts adds a change to the counts of a job's queue, of the queue's team
+// and of the job's caller.
 func (s *state) adjustCounts(job *Job, change QueueCounts) {
 	queue := job.Spec.Queue
 	adjustNamedCounts(s.queueCounts, queue, change)
@@ -18,6 +26,7 @@
 	}
 }
 
+// adjustCallerPending adds to a caller's pending tasks, and drops a count of zero.
 func (s *state) adjustCallerPending(key queueCaller, change int) {
 	if change == 0 {
 		return
@@ -28,6 +37,7 @@
 	}
 }
 
+// adjustNamedCounts adds to the counts under a name, and drops counts of zero.
 func adjustNamedCounts(all map[string]*QueueCounts, name string, change QueueCounts) {
 	counts := all[name]
 	if counts == nil {
@@ -42,7 +52,7 @@
 	}
 }
 
-// recountTeams adds up the teams under the configuration in force.
+// recountTeams sums the counts of the teams under the configuration in force.
 func (s *state) recountTeams() {
 	s.teamCounts = make(map[string]*QueueCounts)
 	for name, counts := range s.queueCounts {
@@ -52,8 +62,8 @@
 	}
 }
 
-// countsOf is what one task adds to its queue. It runs while a run is open, also
-// one that goes on after the success of its group.
+// countsOf is what one task adds to its queue. A task counts as running while its
+// run is open, also beyond the success of its gang.
 func countsOf(task *Task) QueueCounts {
 	switch {
 	case task.Run != nil:
@@ -64,7 +74,7 @@
 	return QueueCounts{}
 }
 
-// minus returns the counts less others.
+// minus subtracts other counts.
 func (c QueueCounts) minus(other QueueCounts) QueueCounts {
 	return QueueCounts{
 		Jobs:         c.Jobs - other.Jobs,
@@ -72,8 +82,3 @@
 		RunningTasks: c.RunningTasks - other.RunningTasks,
 	}
 }
-
-// QueueCounts is the content of one queue, or of all queues of a team.
-type QueueCounts struct {
-	Jobs, PendingTasks, RunningTasks int
-}
--- a/internal/record/drainzone.go
+++ b/internal/record/drainzone.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// applyDrainZone drains a zone by an order of its own, or takes that back. The
-// configuration's drains stand beside it.
+// applyDrainZone sets or clears an operator's drain of a zone. The drains of the
+// configuration are independent of it. The slice is copied, so that a capture may
+// share the old one.
 func (m *Machine) applyDrainZone(drain *DrainZone) {
 	position, drained := slices.BinarySearch(m.state.drainedZones, drain.Zone)
 	if drained == drain.Drained {
--- a/internal/record/drainzone_test.go
+++ b/internal/record/drainzone_test.go
@@ -7,9 +7,9 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-func (r *harness) drainZone(zone string, drained bool) {
-	r.t.Helper()
-	r.apply(Command{DrainZone: &DrainZone{Zone: zone, Drained: drained}})
+func (h *harness) drainZone(zone string, drained bool) {
+	h.t.Helper()
+	h.apply(Command{DrainZone: &DrainZone{Zone: zone, Drained: drained}})
 }
 
 func expectDrained(t *testing.T, machine *Machine, expected ...string) {
@@ -22,16 +22,16 @@
 }
 
 func TestDrainZone_IdempotentAndRestored(t *testing.T) {
-	r := newHarness(t)
-	r.drainZone("z2", true)
-	r.drainZone("z1", true)
-	r.drainZone("z1", true)
-	expectDrained(t, r.machine, "z1", "z2")
-	expectDrained(t, restored(t, snapshotBytes(t, r.machine), r.archive), "z1", "z2")
+	h := newHarness(t)
+	h.drainZone("z2", true)
+	h.drainZone("z1", true)
+	h.drainZone("z1", true)
+	expectDrained(t, h.machine, "z1", "z2")
+	expectDrained(t, restored(t, snapshotBytes(t, h.machine), h.archive), "z1", "z2")
 
-	r.submit("j", stepSpec("a", 1))
-	expectDrained(t, r.machine, "z1", "z2")
-	r.drainZone("z1", false)
-	r.drainZone("z1", false)
-	expectDrained(t, r.machine, "z2")
+	h.submit("j", stepSpec("a", 1))
+	expectDrained(t, h.machine, "z1", "z2")
+	h.drainZone("z1", false)
+	h.drainZone("z1", false)
+	expectDrained(t, h.machine, "z2")
 }
--- a/internal/record/encoding.go
+++ b/internal/record/encoding.go
@@ -14,23 +14,40 @@
 	ErrNoCommand = errors.New("record: command is empty or unknown")
 	// ErrSeveralCommands: more than one of the command's pointers is set.
 	ErrSeveralCommands = errors.New("record: command holds more than one change")
-	// ErrTimeRange: a time cannot be written in RFC 3339.
+	// ErrTimeRange: a time cannot be written in RFC 3339. See TimeRangeError.
 	ErrTimeRange = errors.New("record: time lies outside of the years 0 to 9999")
 )
 
-// maxCBORElements bounds arrays and maps of one CBOR item. Memory is bounded by
-// the length of the input, as items are checked for shape before decoding.
+// TimeRangeError reports a time that Encode cannot write so that Decode reads
+// it back. It matches ErrTimeRange.
+type TimeRangeError struct {
+	// Field is the field of the job's specification.
+	Field string
+	Value time.Time
+}
+
+// Error implements error.
+func (e *TimeRangeError) Error() string {
+	return fmt.Sprintf("%s: %v, got %d", e.Field, ErrTimeRange, e.Value.UTC().Year())
+}
+
+// Unwrap returns ErrTimeRange.
+func (e *TimeRangeError) Unwrap() error { return ErrTimeRange }
+
+// maxCBORElements bounds the elements of one array or map. The memory that
+// decoding takes is bounded by the length of the input, since the decoder checks
+// that an item is well formed before it allocates for it.
 const maxCBORElements = 1 << 24
 
 // maxYear is the last year that RFC 3339 can write.
 const maxYear = 9999
 
-// encoding is deterministic (RFC 8949, section 4.2), so that the same state
-// gives the same bytes.
+// encoding is deterministic (RFC 8949, section 4.2): equal values give equal
+// bytes on every replica.
 var encoding = mustEncoding()
 
-// decoding lets pass text that is not UTF-8: an entry that was committed must
-// be readable whatever text a worker put in it.
+// decoding accepts text that is not UTF-8: a committed entry must be readable
+// whatever text a worker put into it.
 var decoding = mustDecoding()
 
 func mustEncoding() cbor.EncMode {
@@ -56,7 +73,8 @@
 	return mode
 }
 
-// Encode writes a command as CBOR. It refuses what Decode could not read.
+// Encode writes a command as CBOR. It refuses what Decode could not read back:
+// ErrNoCommand, ErrSeveralCommands or a TimeRangeError.
 func Encode(command Command) ([]byte, error) {
 	if err := command.validate(); err != nil {
 		return nil, err
@@ -73,8 +91,9 @@
 	return data, nil
 }
 
-// Decode reads a command that Encode wrote. Unknown fields are ignored, but a
-// command without any known change is an error.
+// Decode reads a command that Encode wrote. Unknown fields are ignored, so that
+// a replica can follow a log with fields of newer programs; a command without
+// any known change is ErrNoCommand.
 func Decode(data []byte) (Command, error) {
 	var command Command
 	if err := decoding.Unmarshal(data, &command); err != nil {
@@ -86,19 +105,22 @@
 	return command, nil
 }
 
+// validateTimes returns a TimeRangeError for the first time of the job that
+// cannot be encoded.
 func validateTimes(submit *SubmitJob) error {
 	if repeat := submit.Spec.Repeat; repeat != nil && !representable(repeat.First) {
-		return fmt.Errorf("first occurrence: %w", ErrTimeRange)
+		return &TimeRangeError{Field: "repeat.first", Value: repeat.First}
 	}
 	for i := range submit.Spec.Steps {
 		step := &submit.Spec.Steps[i]
 		if step.NotBefore != nil && !representable(*step.NotBefore) {
-			return fmt.Errorf("step %q: %w", step.Name, ErrTimeRange)
+			return &TimeRangeError{Field: fmt.Sprintf("steps[%d].not_before", i), Value: *step.NotBefore}
 		}
 	}
 	return nil
 }
 
+// representable reports whether RFC 3339 can write a time.
 func representable(t time.Time) bool {
 	year := t.UTC().Year()
 	return year >= 0 && year <= maxYear
--- a/internal/record/encoding_test.go
+++ b/internal/record/encoding_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestEncodeAndApply_RejectInvalidEntries(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	if _, err := Encode(Command{}); !errors.Is(err, ErrNoCommand) {
 		t.Fatal(err)
 	}
@@ -22,14 +22,18 @@
 	timed := stepSpec("a", 1)
 	timed.NotBefore = &late
 	spec := api.JobSpec{Steps: []api.StepSpec{timed}}
-	if _, err := Encode(Command{SubmitJob: &SubmitJob{Spec: spec}}); !errors.Is(err, ErrTimeRange) {
+	_, err := Encode(Command{SubmitJob: &SubmitJob{Spec: spec}})
+	var timeRange *TimeRangeError
+	if !errors.Is(err, ErrTimeRange) || !errors.As(err, &timeRange) {
 		t.Fatal(err)
 	}
-	if _, err := r.machine.Apply(2, []byte{0xa0}); !errors.Is(err, ErrNoCommand) {
+	expect(t, "field", timeRange.Field, "steps[0].not_before")
+	expect(t, "value", timeRange.Value.Equal(late), true)
+	if _, err := h.machine.Apply(2, []byte{0xa0}); !errors.Is(err, ErrNoCommand) {
 		t.Fatal(err)
 	}
 	data, _ := Encode(Command{CancelJobs: &CancelJobs{}})
-	if _, err := r.machine.Apply(1, data); !errors.Is(err, ErrOutOfOrder) {
+	if _, err := h.machine.Apply(1, data); !errors.Is(err, ErrOutOfOrder) {
 		t.Fatal(err)
 	}
 }
--- a/internal/record/events.go
+++ b/internal/record/events.go
@@ -2,7 +2,8 @@
 
 import "github.com/decklever/decklever/api"
 
-// Event tells an observer of one change, in the order of the log.
+// Event is one change of the state. Observers get the events of an entry while it
+// is applied, in the order of the changes.
 type Event interface{ event() }
 
 // TaskBecameReady: the task can be placed from its NotBefore on.
@@ -11,40 +12,43 @@
 // TaskLeftReady: a ready task became final without a run.
 type TaskLeftReady struct{ Task *Task }
 
-// RunOpened follows a Place.
+// RunOpened: a placement was accepted.
 type RunOpened struct{ Run *Run }
 
-// RunStopping: the run was marked to stop.
+// RunStopping: the run is to be stopped, for the reason in Run.Stop; or that
+// reason became StopCancelled.
 type RunStopping struct{ Run *Run }
 
-// RunClosed: the run's room is free again. If the task is to run again,
+// RunClosed: the run's resources are free again. If the task is to run again,
 // TaskBecameReady follows.
 type RunClosed struct {
 	Run     *Run
 	Outcome api.Outcome
 }
 
-// JobAdded begins a live job.
+// JobAdded: a job is live.
 type JobAdded struct{ Job *Job }
 
-// OccurrenceAdded: a repeating job's next occurrence is live. Its first is part
-// of JobAdded.
+// OccurrenceAdded: a repeating job's next occurrence is live. The first comes with
+// JobAdded.
 type OccurrenceAdded struct {
 	Job        *Job
 	Occurrence int
 }
 
-// OccurrenceEnded: all tasks of an occurrence are final, and it leaves memory.
+// OccurrenceEnded: an occurrence of a repeating job has ended and was removed from
+// the state.
 type OccurrenceEnded struct {
 	Job        *Job
 	Occurrence int
 	Steps      []*Step
 }
 
-// JobEnded ends a live job; it is archived.
+// JobEnded: a job has ended and was moved to the archive.
 type JobEnded struct{ Job *Job }
 
-// ConfigChanged: a new version is in force.
+// ConfigChanged: a new version of the configuration is in force; Config has
+// defaults filled in.
 type ConfigChanged struct {
 	Version uint64
 	Config  *api.Config
@@ -56,16 +60,17 @@
 // WorkerForgotten: the name is no longer known.
 type WorkerForgotten struct{ Worker *Worker }
 
-// WindowReleased: a window's room was given back.
+// WindowReleased: the capacity of a reservation window was given back.
 type WindowReleased struct{ Window ReleaseWindow }
 
-// ZoneDrainChanged: a zone was drained by an order, or that was taken back.
+// ZoneDrainChanged: an operator's drain of a zone was set or cleared.
 type ZoneDrainChanged struct {
 	Zone    string
 	Drained bool
 }
 
-// StateReplaced: a snapshot was restored; all must be read anew.
+// StateReplaced: a snapshot was restored. Observers must read all anew; no event
+// tells of the differences.
 type StateReplaced struct{}
 
 func (TaskBecameReady) event()  {}
@@ -84,14 +89,16 @@
 func (ZoneDrainChanged) event() {}
 func (StateReplaced) event()    {}
 
+// observer is a struct so that its pointer identifies one call of Observe.
 type observer struct {
 	notify func(Event)
 }
 
-// Observe calls start with the present state, and observer with every event
-// after it, without a gap. Both run under the lock: they must neither block
-// nor call the Machine. An event's pointers show the state at that event. stop
-// ends the observation; it must not be called from within observer.
+// Observe calls start, which may be nil, with the present state, and notify with
+// every event after it, without a gap. Both run under the write lock: they must
+// neither block nor call the Machine. What an event points to has the state right
+// after that event. stop ends the observation; it must not be called from within
+// start or notify.
 func (m *Machine) Observe(start func(View), notify func(Event)) (stop func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -103,19 +110,20 @@
 	return func() { m.removeObserver(added) }
 }
 
-func (m *Machine) removeObserver(gone *observer) {
+func (m *Machine) removeObserver(removed *observer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for i, one := range m.observers {
-		if one == gone {
+	for i, candidate := range m.observers {
+		if candidate == removed {
 			m.observers = append(m.observers[:i:i], m.observers[i+1:]...)
 			return
 		}
 	}
 }
 
+// emit calls all observers, in the order in which they were added.
 func (m *Machine) emit(event Event) {
-	for _, one := range m.observers {
-		one.notify(event)
+	for _, observer := range m.observers {
+		observer.notify(event)
 	}
 }
--- a/internal/record/expandrepeats.go
+++ b/internal/record/expandrepeats.go
@@ -2,24 +2,24 @@
 
 import "github.com/decklever/decklever/api"
 
-// Repetition is where a repeating job stands. Occurrences that have ended are
-// only counted here; those that have not been added are nowhere.
+// Repetition is the progress of a repeating job. Occurrences that have ended are
+// only counted here; those that have not been added take no memory.
 type Repetition struct {
-	// Next is the number of the occurrence that is added next; the number of
-	// all once there is none.
+	// Next is the number of the occurrence that is added next, or Job.Occurrences
+	// if all were.
 	Next int `cbor:"1,keyasint"`
-	// Succeeded, Failed and Cancelled count ended occurrences, and those that a
-	// cancel kept from being added.
+	// Succeeded, Failed and Cancelled count ended occurrences by outcome.
+	// Cancelled also counts those that a cancel kept from being added.
 	Succeeded int `cbor:"2,keyasint,omitempty"`
 	Failed    int `cbor:"3,keyasint,omitempty"`
 	Cancelled int `cbor:"4,keyasint,omitempty"`
-	// AllowedFailures is that of tasks that name none: the queue's when the job
-	// was accepted.
+	// AllowedFailures applies to tasks that name none: the default of the queue
+	// when the job was accepted.
 	AllowedFailures int `cbor:"5,keyasint"`
 }
 
-// applyExpandRepeats adds the occurrences that fall due. One for which the job has too
-// many open tasks is left for a later command.
+// applyExpandRepeats adds the occurrences that fall due, one after the other. One
+// for which the job has too many open tasks is left for a later command.
 func (m *Machine) applyExpandRepeats(expand *ExpandRepeats) {
 	for _, expansion := range expand.Jobs {
 		job := m.state.jobs[expansion.Job]
@@ -33,8 +33,9 @@
 	}
 }
 
-// canAddOccurrence reports whether the next occurrence is one up to through, and may be
-// open beside those that are.
+// canAddOccurrence reports whether the next occurrence is at most through, and may
+// be open beside the live ones: a job's open tasks stay below
+// api.MaxOpenTasksPerJob, or are those of one occurrence.
 func (j *Job) canAddOccurrence(through int) bool {
 	if j.Repetition.Next > through || j.Repetition.Next >= j.Occurrences() {
 		return false
--- a/internal/record/expirearchive_test.go
+++ b/internal/record/expirearchive_test.go
@@ -3,21 +3,21 @@
 import "testing"
 
 func TestExpireArchive_DropsOnlyAfterDurableSnapshot(t *testing.T) {
-	r := newHarness(t)
-	r.submit("j", stepSpec("a", 1))
-	r.cancel("j")
-	r.now = 5000
+	h := newHarness(t)
+	h.submit("j", stepSpec("a", 1))
+	h.cancel("j")
+	h.now = 5000
 	expire := Command{ExpireArchive: &ExpireArchive{Before: 2000, Limit: 10}}
-	r.apply(expire)
-	r.machine.Read(func(v View) {
+	h.apply(expire)
+	h.machine.Read(func(v View) {
 		_, known, _ := v.Status("j", nil)
 		expect(t, "hidden at once", known, false)
 	})
-	snapshotBytes(t, r.machine)
-	r.apply(expire)
-	expect(t, "one snapshot may not be durable", len(r.archive.jobs), 1)
-	snapshotBytes(t, r.machine)
-	r.apply(expire)
-	expect(t, "dropped", len(r.archive.jobs), 0)
-	expect(t, "id is free again", r.submit("j", stepSpec("b", 1)), SubmitAccepted)
+	snapshotBytes(t, h.machine)
+	h.apply(expire)
+	expect(t, "one snapshot may not be durable", len(h.archive.jobs), 1)
+	snapshotBytes(t, h.machine)
+	h.apply(expire)
+	expect(t, "dropped", len(h.archive.jobs), 0)
+	expect(t, "id is free again", h.submit("j", stepSpec("b", 1)), SubmitAccepted)
 }
--- a/internal/record/fuzz_test.go
+++ b/internal/record/fuzz_test.go
@@ -33,25 +33,25 @@
 		if _, err := Decode(data); err != nil {
 			return
 		}
-		r := newHarness(t)
-		r.register(testWorker("w"))
-		r.submit("j", stepSpec("a", 2), stepSpec("b", 1, "a"))
-		r.submitSpec("r", repeatingJob(3, 2000, stepSpec("a", 1)))
-		if _, err := r.machine.Apply(r.index+1, data); err != nil {
+		h := newHarness(t)
+		h.register(testWorker("w"))
+		h.submit("j", stepSpec("a", 2), stepSpec("b", 1, "a"))
+		h.submitSpec("r", repeatingJob(3, 2000, stepSpec("a", 1)))
+		if _, err := h.machine.Apply(h.index+1, data); err != nil {
 			t.Fatalf("a readable entry could not be applied: %v", err)
 		}
 	})
 }
 
 func FuzzRestore(f *testing.F) {
-	r := newHarness(f)
-	r.register(testWorker("w"))
-	r.submit("j", stepSpec("a", 2), replicatedStep("b", 3, "a"))
-	r.mustPlace(placementOn(taskID("j", "a", 0), 1, "w"))
-	r.apply(Command{ReleaseWindow: &ReleaseWindow{Queue: testQueue, Booking: "b", Start: 2000, End: 3000}})
-	r.submitSpec("r", repeatingJob(9, 2000, stepSpec("a", 2), stepSpec("b", 1, "a")))
-	r.expand("r", 3)
-	data := snapshotBytes(f, r.machine)
+	h := newHarness(f)
+	h.register(testWorker("w"))
+	h.submit("j", stepSpec("a", 2), replicatedStep("b", 3, "a"))
+	h.mustPlace(placementOn(taskID("j", "a", 0), 1, "w"))
+	h.apply(Command{ReleaseWindow: &ReleaseWindow{Queue: testQueue, Booking: "b", Start: 2000, End: 3000}})
+	h.submitSpec("r", repeatingJob(9, 2000, stepSpec("a", 2), stepSpec("b", 1, "a")))
+	h.expand("r", 3)
+	data := snapshotBytes(f, h.machine)
 	f.Add(data[len(snapshotMagic) : len(data)-sha256.Size])
 	f.Add([]byte{0xa1, 0x01, 0x01})
 	f.Fuzz(func(t *testing.T, parts []byte) {
--- a/internal/record/harness_test.go
+++ b/internal/record/harness_test.go
@@ -11,7 +11,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// harness drives one machine and notes its events.
+// harness drives one machine and records its events as texts.
 type harness struct {
 	t       testing.TB
 	machine *Machine
@@ -24,11 +24,11 @@
 const testQueue = "q"
 
 func newHarness(t testing.TB) *harness {
-	r := &harness{t: t, archive: newTestArchive(), now: 1000}
-	r.machine = NewMachine(Config{Archive: r.archive, MaxConfigOrders: 3})
-	r.putConfig("order-1", 0, testConfig())
-	r.machine.Observe(nil, func(event Event) { r.events = append(r.events, describe(event)) })
-	return r
+	h := &harness{t: t, archive: newTestArchive(), now: 1000}
+	h.machine = NewMachine(Config{Archive: h.archive, MaxConfigOrders: 3})
+	h.putConfig("order-1", 0, testConfig())
+	h.machine.Observe(nil, func(event Event) { h.events = append(h.events, describe(event)) })
+	return h
 }
 
 func testConfig() api.Config {
@@ -66,72 +66,72 @@
 	return "replaced"
 }
 
-func (r *harness) apply(command Command) Result {
-	r.t.Helper()
-	command.Time = r.now
+func (h *harness) apply(command Command) Result {
+	h.t.Helper()
+	command.Time = h.now
 	command.Token = 7
 	data, err := Encode(command)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.index++
-	result, err := r.machine.Apply(r.index, data)
+	h.index++
+	result, err := h.machine.Apply(h.index, data)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return result
 }
 
 // takeEvents returns the events since it was last called.
-func (r *harness) takeEvents() []string {
-	events := r.events
-	r.events = nil
+func (h *harness) takeEvents() []string {
+	events := h.events
+	h.events = nil
 	return events
 }
 
-func expectEvents(t *testing.T, r *harness, expected ...string) {
+func expectEvents(t *testing.T, h *harness, expected ...string) {
 	t.Helper()
-	if diff := cmp.Diff(expected, r.takeEvents()); diff != "" {
+	if diff := cmp.Diff(expected, h.takeEvents()); diff != "" {
 		t.Fatalf("events (-expected +got):\n%s", diff)
 	}
 }
 
-func (r *harness) putConfig(order string, base uint64, config api.Config) *ConfigResult {
-	r.t.Helper()
+func (h *harness) putConfig(order string, base uint64, config api.Config) *ConfigResult {
+	h.t.Helper()
 	put := &PutConfig{OrderID: order, Base: base, Config: config, Digest: config.Digest()}
-	return r.apply(Command{PutConfig: put}).Config
+	return h.apply(Command{PutConfig: put}).Config
 }
 
-func (r *harness) submit(id string, steps ...api.StepSpec) SubmitOutcome {
-	r.t.Helper()
-	return r.submitTo(testQueue, id, steps...)
+func (h *harness) submit(id string, steps ...api.StepSpec) SubmitOutcome {
+	h.t.Helper()
+	return h.submitTo(testQueue, id, steps...)
 }
 
-func (r *harness) submitTo(queue, id string, steps ...api.StepSpec) SubmitOutcome {
-	r.t.Helper()
+func (h *harness) submitTo(queue, id string, steps ...api.StepSpec) SubmitOutcome {
+	h.t.Helper()
 	spec := api.JobSpec{Queue: queue, Steps: steps}
-	result := r.apply(Command{SubmitJob: &SubmitJob{ID: id, Spec: spec, Digest: spec.Digest()}})
+	result := h.apply(Command{SubmitJob: &SubmitJob{ID: id, Spec: spec, Digest: spec.Digest()}})
 	return result.Submit.Outcome
 }
 
-func (r *harness) submitSpec(id string, spec api.JobSpec) SubmitOutcome {
-	r.t.Helper()
-	return r.apply(Command{SubmitJob: &SubmitJob{ID: id, Spec: spec, Digest: spec.Digest()}}).Submit.Outcome
+func (h *harness) submitSpec(id string, spec api.JobSpec) SubmitOutcome {
+	h.t.Helper()
+	return h.apply(Command{SubmitJob: &SubmitJob{ID: id, Spec: spec, Digest: spec.Digest()}}).Submit.Outcome
 }
 
-func (r *harness) expand(id string, through int) {
-	r.t.Helper()
-	r.apply(Command{ExpandRepeats: &ExpandRepeats{Jobs: []Expansion{{Job: id, Through: through}}}})
+func (h *harness) expand(id string, through int) {
+	h.t.Helper()
+	h.apply(Command{ExpandRepeats: &ExpandRepeats{Jobs: []Expansion{{Job: id, Through: through}}}})
 }
 
-func (r *harness) cancel(ids ...string) {
-	r.t.Helper()
-	r.apply(Command{CancelJobs: &CancelJobs{Jobs: ids}})
+func (h *harness) cancel(ids ...string) {
+	h.t.Helper()
+	h.apply(Command{CancelJobs: &CancelJobs{Jobs: ids}})
 }
 
-func (r *harness) register(workers ...Worker) []string {
-	r.t.Helper()
-	return r.apply(Command{RegisterWorkers: &RegisterWorkers{Workers: workers}}).RejectedWorkers
+func (h *harness) register(workers ...Worker) []string {
+	h.t.Helper()
+	return h.apply(Command{RegisterWorkers: &RegisterWorkers{Workers: workers}}).RejectedWorkers
 }
 
 func testWorker(name string) Worker {
@@ -145,63 +145,63 @@
 	return Placement{Run: RunID{Task: task, Number: number}, Worker: worker, WorkerID: worker + "-1"}
 }
 
-func (r *harness) place(placements ...Placement) []RunID {
-	r.t.Helper()
-	return r.apply(Command{PlaceTasks: &PlaceTasks{Placements: placements}}).Rejected
+func (h *harness) place(placements ...Placement) []RunID {
+	h.t.Helper()
+	return h.apply(Command{PlaceTasks: &PlaceTasks{Placements: placements}}).Rejected
 }
 
-func (r *harness) mustPlace(placements ...Placement) {
-	r.t.Helper()
-	if rejected := r.place(placements...); len(rejected) > 0 {
-		r.t.Fatalf("rejected %v", rejected)
+func (h *harness) mustPlace(placements ...Placement) {
+	h.t.Helper()
+	if rejected := h.place(placements...); len(rejected) > 0 {
+		h.t.Fatalf("rejected %v", rejected)
 	}
 }
 
-func (r *harness) mustRejectAll(placements ...Placement) {
-	r.t.Helper()
-	if rejected := r.place(placements...); len(rejected) != len(placements) {
-		r.t.Fatalf("rejected %v, expected all of %v", rejected, placements)
+func (h *harness) mustRejectAll(placements ...Placement) {
+	h.t.Helper()
+	if rejected := h.place(placements...); len(rejected) != len(placements) {
+		h.t.Fatalf("rejected %v, expected all of %v", rejected, placements)
 	}
 }
 
-func (r *harness) close(task TaskID, number uint32, outcome api.Outcome) {
-	r.t.Helper()
+func (h *harness) close(task TaskID, number uint32, outcome api.Outcome) {
+	h.t.Helper()
 	end := RunEnd{Run: RunID{Task: task, Number: number}, Outcome: outcome, Message: "why"}
-	r.apply(Command{CloseRuns: &CloseRuns{Runs: []RunEnd{end}}})
+	h.apply(Command{CloseRuns: &CloseRuns{Runs: []RunEnd{end}}})
 }
 
-func (r *harness) stop(reason StopReason, tasks ...TaskID) {
-	r.t.Helper()
+func (h *harness) stop(reason StopReason, tasks ...TaskID) {
+	h.t.Helper()
 	stop := &StopRuns{Reason: reason}
 	for _, id := range tasks {
-		stop.Runs = append(stop.Runs, RunID{Task: id, Number: r.task(id).LastRun})
+		stop.Runs = append(stop.Runs, RunID{Task: id, Number: h.task(id).LastRun})
 	}
-	r.apply(Command{StopRuns: stop})
+	h.apply(Command{StopRuns: stop})
 }
 
 // placeAndClose takes a task through one run.
-func (r *harness) placeAndClose(task TaskID, outcome api.Outcome) {
-	r.t.Helper()
-	number := r.task(task).LastRun + 1
-	r.mustPlace(placementOn(task, number, "w1"))
-	r.close(task, number, outcome)
+func (h *harness) placeAndClose(task TaskID, outcome api.Outcome) {
+	h.t.Helper()
+	number := h.task(task).LastRun + 1
+	h.mustPlace(placementOn(task, number, "w1"))
+	h.close(task, number, outcome)
 }
 
-func (r *harness) task(id TaskID) (task *Task) {
-	r.t.Helper()
-	r.machine.Read(func(v View) { task, _ = v.Task(id) })
+func (h *harness) task(id TaskID) (task *Task) {
+	h.t.Helper()
+	h.machine.Read(func(v View) { task, _ = v.Task(id) })
 	if task == nil {
-		r.t.Fatalf("task %s is not live", id)
+		h.t.Fatalf("task %s is not live", id)
 	}
 	return task
 }
 
-func (r *harness) status(id string) (status api.JobStatus) {
-	r.t.Helper()
-	r.machine.Read(func(v View) {
+func (h *harness) status(id string) (status api.JobStatus) {
+	h.t.Helper()
+	h.machine.Read(func(v View) {
 		found, known, err := v.Status(id, nil)
 		if err != nil || !known {
-			r.t.Fatalf("status of %q: %v, %v", id, known, err)
+			h.t.Fatalf("status of %q: %v, %v", id, known, err)
 		}
 		status = found
 	})
--- a/internal/record/ids.go
+++ b/internal/record/ids.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// TaskID names a task.
+// TaskID identifies a task. It is stored in the log.
 type TaskID struct {
 	Job   string `cbor:"1,keyasint"`
 	Step  string `cbor:"2,keyasint"`
@@ -15,8 +15,8 @@
 	Occurrence int `cbor:"4,keyasint,omitempty"`
 }
 
-// String returns the form that workers see: "JOB/STEP/INDEX", followed by
-// "/OCCURRENCE" where that is not 0.
+// String returns the name that workers and callers see: "JOB/STEP/INDEX", followed
+// by "/OCCURRENCE" if that is not 0.
 func (t TaskID) String() string {
 	if t.Occurrence == 0 {
 		return fmt.Sprintf("%s/%s/%d", t.Job, t.Step, t.Index)
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("%s/%s/%d/%d", t.Job, t.Step, t.Index, t.Occurrence)
 }
 
-// StepID names a step of a job, in one of its occurrences.
+// StepID identifies a step of a job, in one of its occurrences.
 type StepID struct {
 	Job  string
 	Step string
@@ -32,10 +32,10 @@
 	Occurrence int
 }
 
-// StepID names the step of the task.
+// StepID returns the id of the task's step.
 func (t TaskID) StepID() StepID { return StepID{Job: t.Job, Step: t.Step, Occurrence: t.Occurrence} }
 
-// String names the step, or its occurrence, in one word.
+// String returns "JOB/STEP", followed by "/OCCURRENCE" if that is not 0.
 func (s StepID) String() string {
 	if s.Occurrence == 0 {
 		return s.Job + "/" + s.Step
@@ -43,7 +43,8 @@
 	return fmt.Sprintf("%s/%s/%d", s.Job, s.Step, s.Occurrence)
 }
 
-// ParseTaskID reads what TaskID.String wrote.
+// ParseTaskID reads what TaskID.String wrote, and returns false for any other text.
+// It does not allocate: the leader calls it for each run of each heartbeat.
 func ParseTaskID(text string) (TaskID, bool) {
 	job, rest, _ := strings.Cut(text, "/")
 	step, numbers, named := strings.Cut(rest, "/")
@@ -60,7 +61,7 @@
 	return id, err == nil && id.Occurrence > 0
 }
 
-// RunID names one run of a task.
+// RunID identifies one run of a task. Numbers count from 1.
 type RunID struct {
 	Task   TaskID `cbor:"1,keyasint"`
 	Number uint32 `cbor:"2,keyasint"`
--- a/internal/record/ids_test.go
+++ b/internal/record/ids_test.go
@@ -1,6 +1,9 @@
 package record
 
-import "testing"
+import (
+	"strconv"
+	"testing"
+)
 
 func TestParseTaskID_RoundTrip(t *testing.T) {
 	for _, id := range []TaskID{
@@ -8,21 +11,25 @@
 		{Job: "job-1", Step: "step", Index: 12},
 		{Job: "j", Step: "s", Index: 3, Occurrence: 7},
 	} {
-		if got, ok := ParseTaskID(id.String()); !ok || got != id {
-			t.Errorf("%s is read as %+v, %v", id, got, ok)
-		}
+		t.Run(id.String(), func(t *testing.T) {
+			if got, ok := ParseTaskID(id.String()); !ok || got != id {
+				t.Errorf("%s is read as %+v, %v", id, got, ok)
+			}
+		})
 	}
 }
 
 func TestParseTaskID_RejectsMalformedText(t *testing.T) {
 	for _, text := range []string{"", "j", "j/s", "j/s/", "j/s/x", "j/s/-1", "j/s/1/", "j/s/1/0", "j/s/1/-2", "j/s/1/x", "j/s/1/2/", "j/s/1/2/3"} {
-		if id, ok := ParseTaskID(text); ok {
-			t.Errorf("%q is read as %+v", text, id)
-		}
+		t.Run(strconv.Quote(text), func(t *testing.T) {
+			if id, ok := ParseTaskID(text); ok {
+				t.Errorf("%q is read as %+v", text, id)
+			}
+		})
 	}
 }
 
-// TestParseTaskID_DoesNotAllocate: a leader reads one for each run of each
+// TestParseTaskID_DoesNotAllocate: the leader parses one for each run of each
 // heartbeat.
 func TestParseTaskID_DoesNotAllocate(t *testing.T) {
 	const runs = 100
--- a/internal/record/invariants_test.go
+++ b/internal/record/invariants_test.go
@@ -10,7 +10,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// invariantChecker holds the machine against what it has shown before.
+// invariantChecker compares the machine after each command with what its events and
+// results have shown before.
 type invariantChecker struct {
 	t        *rapid.T
 	machine  *Machine
@@ -20,14 +21,14 @@
 	accepted map[string]bool
 	// preemptions counts as Task.Preemptions should.
 	preemptions map[*Task]int
-	// failedRuns are the numbers of the failed runs of groups in lockstep.
+	// failedRuns are the numbers of the failed runs of gangs with a common outcome.
 	failedRuns map[*Step]map[uint32]bool
 	// checkpointRun is the run that left the checkpoint seen last.
 	checkpointRun map[*Task]uint32
 	released      []ReleaseWindow
 	// releasedBefore is the length of released before the newest command.
 	releasedBefore int
-	// drained are the zones that orders drained.
+	// drained are the zones that commands drained.
 	drained map[string]bool
 	// drainedInConfig are the zones that configuration configVersion drains.
 	drainedInConfig []string
@@ -85,7 +86,7 @@
 	}
 }
 
-// checkBackoff checks that a task that runs until cancelled may soon run again.
+// checkBackoff checks the bound on the backoff of a task that runs until cancelled.
 func (c *invariantChecker) checkBackoff(task *Task) {
 	s := c.machine.state
 	longest := max(Millis(s.settings.effective.Timings.RetryDelay.Std()/time.Millisecond), 2000)
@@ -94,19 +95,19 @@
 	}
 }
 
-// ended checks steps that leave memory.
+// checkFinished checks steps that are removed from the state.
 func (c *invariantChecker) checkFinished(steps []*Step) {
 	for _, step := range steps {
 		for _, task := range step.Tasks {
 			c.checkTask(task)
 			if !task.State.Final() {
-				c.t.Fatalf("%s left memory in state %d", task.ID, task.State)
+				c.t.Fatalf("%s was removed in state %d", task.ID, task.State)
 			}
 		}
 	}
 }
 
-// checkRepetition holds the counts of a repeating job against its live occurrences.
+// checkRepetition compares the counts of a repeating job with its live occurrences.
 func (c *invariantChecker) checkRepetition(job *Job) {
 	if job.Repetition == nil {
 		return
@@ -125,7 +126,7 @@
 	}
 }
 
-// boundsHold checks queue and team right after a run was opened.
+// checkRunningLimits checks queue and team right after a run was opened.
 func (c *invariantChecker) checkRunningLimits(queue string) {
 	s := c.machine.state
 	limit := s.settings.queues[queue].MaxRunningTasks
@@ -139,15 +140,15 @@
 	}
 }
 
-// checkReleasedWindows holds the released windows against those that events told of.
+// checkReleasedWindows compares the released windows with those of the events.
 func (c *invariantChecker) checkReleasedWindows(command Command, before int) {
 	s := c.machine.state
 	if release := command.ReleaseWindow; release != nil {
 		known := slices.ContainsFunc(c.released[:before], func(other ReleaseWindow) bool {
 			return other.End > s.clock && release.sameWindow(other)
 		})
-		if told := len(c.released) > before; told == (known || release.End <= s.clock) {
-			c.t.Fatalf("release of %v told: %v", *release, told)
+		if notified := len(c.released) > before; notified == (known || release.End <= s.clock) {
+			c.t.Fatalf("release of %v notified: %v", *release, notified)
 		}
 	}
 	c.released = slices.DeleteFunc(c.released, func(window ReleaseWindow) bool { return window.End <= s.clock })
@@ -217,7 +218,7 @@
 		c.t.Fatalf("%s: state %d and run do not match", task.ID, task.State)
 	}
 	if outlasts && task.Run != nil && task.Run.Stop == StopNone {
-		c.t.Fatalf("%s: its group has succeeded and its run may go on", task.ID)
+		c.t.Fatalf("%s: its gang has succeeded and its run is not to be stopped", task.ID)
 	}
 	c.checkCheckpoint(task)
 	if task.Preemptions != c.preemptions[task] {
@@ -271,7 +272,7 @@
 	}
 }
 
-// teams holds a team's counts against the sum over its queues.
+// checkTeamCounts compares a team's counts with the sum over its queues.
 func (c *invariantChecker) checkTeamCounts(queues map[string]QueueCounts) {
 	s := c.machine.state
 	var sum QueueCounts
@@ -303,8 +304,8 @@
 	})
 }
 
-// checkDrains holds the zones drained by orders against the orders alone, and those
-// of the configuration against accepted configurations alone.
+// checkDrains compares the zones drained by commands with those commands alone, and
+// those of the configuration with the accepted configurations alone.
 func (c *invariantChecker) checkDrains(command Command, result Result) {
 	if order := command.DrainZone; order != nil {
 		c.drained[order.Zone] = order.Drained
--- a/internal/record/lifecycle.go
+++ b/internal/record/lifecycle.go
@@ -1,9 +1,11 @@
 package record
 
-import "fmt"
+// This file has the transitions of a task that are not caused by a run: blocked
+// to ready, and waiting to final, with what follows for the steps that depend on
+// it and for the job.
 
-// startStep makes the blocked tasks of a step ready; one without tasks is
-// done at once.
+// startStep makes the blocked tasks of a step ready. A step without tasks has
+// succeeded at once.
 func (m *Machine) startStep(step *Step) {
 	for _, task := range step.Tasks {
 		if task.State == TaskBlocked {
@@ -20,7 +22,7 @@
 	m.emit(TaskBecameReady{Task: task})
 }
 
-// finishWithoutRun makes a task without an open run final.
+// finishWithoutRun makes a task final that has no open run.
 func (m *Machine) finishWithoutRun(task *Task, final TaskState, reason string) {
 	wasReady := task.State == TaskReady
 	task.Reason = reason
@@ -32,28 +34,25 @@
 }
 
 // taskFinished follows a task that has just become final: the next steps start,
-// or those that can never start are cancelled. The caller ends the job.
+// or those that can never start are cancelled. The caller then calls
+// archiveJobIfComplete, once all tasks that it makes final are.
 func (m *Machine) taskFinished(task *Task) {
 	step := task.Step
-	step.OpenTasks--
-	step.Job.OpenTasks--
-	step.occurrence.openTasks--
+	task.countFinal()
 	step.flagIfOccurrenceEnded()
 	switch task.State {
 	case TaskSucceeded:
-		step.succeededTasks++
 		if step.succeeded() {
 			m.unblockDependents(step)
 		}
 	case TaskFailed:
-		step.FailedTasks++
-		step.Job.failedTasks++
 		if step.FailedTasks == 1 {
 			m.cancelDependents(step)
 		}
 	}
 }
 
+// unblockDependents follows a step that has just succeeded.
 func (m *Machine) unblockDependents(step *Step) {
 	for _, dependent := range step.dependents {
 		dependent.OpenDependencies--
@@ -64,9 +63,10 @@
 }
 
 // cancelDependents cancels the tasks of all steps that wait, directly or
-// through others, on a step that failed. None of them has started.
+// through others, on a step that failed, breadth first. None of them has
+// started.
 func (m *Machine) cancelDependents(failed *Step) {
-	reason := fmt.Sprintf("step %q failed", failed.Spec.Name)
+	reason := stepFailedReason(failed)
 	seen := map[*Step]bool{failed: true}
 	pending := []*Step{failed}
 	for len(pending) > 0 {
@@ -91,9 +91,10 @@
 	}
 }
 
-// archiveJobIfComplete takes what has ended out of memory: occurrences of a repeating
-// job, and the job once all its tasks are final, no run is open and no
-// occurrence is to come.
+// archiveJobIfComplete removes what has ended from the state: the ended
+// occurrences of a repeating job, and the job itself once it is complete and
+// none of its runs is open. It may be called any number of times for one entry,
+// also for a job that was removed before.
 func (m *Machine) archiveJobIfComplete(job *Job) {
 	if m.state.jobs[job.ID] != job {
 		return
--- a/internal/record/machine.go
+++ b/internal/record/machine.go
@@ -9,36 +9,42 @@
 // ErrOutOfOrder: an entry was applied that is not after all earlier ones.
 var ErrOutOfOrder = errors.New("record: entry is not newer than those applied")
 
-// DefaultMaxConfigOrders is how many outcomes of configuration orders are kept.
+// DefaultMaxConfigOrders is the default of Config.MaxConfigOrders.
 const DefaultMaxConfigOrders = 10000
 
 // Config sets up a Machine.
 type Config struct {
 	// Archive stores ended jobs. Required.
 	Archive Archive
-	// MaxConfigOrders bounds the outcomes of configuration orders that are kept,
-	// the oldest being dropped first. Default 10000; the same on every replica.
+	// MaxConfigOrders bounds the outcomes of configuration orders that are kept;
+	// the oldest are dropped first. It must be the same on every replica. Default
+	// DefaultMaxConfigOrders.
 	MaxConfigOrders int
 }
 
-// Machine is the state machine; see doc.go. Its methods are safe for
-// concurrent use, but entries must be applied by one caller in log order.
+// Machine is the state machine of one replica, which owns it for as long as it
+// runs. Its methods are safe for concurrent use, but Apply, Skip and Restore
+// must be called by one goroutine, in the order of the log.
 type Machine struct {
 	archive Archive
 
+	// mu is held for writing while an entry is applied or a snapshot is restored,
+	// and while observers are called; for reading while a View is in use. It
+	// guards all fields below, and all that they point to.
 	mu        sync.RWMutex
 	state     *state
 	observers []*observer
-	// ended and endedJobs collect what the entry being applied ended.
+	// archiveBatch and endedJobs collect the jobs that the entry being applied
+	// ended; both are empty between entries.
 	archiveBatch []ArchivedJob
 	endedJobs    []*Job
 
-	// expiry bounds what may be dropped from the archive; it is local to the
+	// expiry bounds what may be dropped from the archive. It is local to the
 	// replica and no part of the replicated state.
 	expiry archiveExpiry
 }
 
-// NewMachine returns an empty record.
+// NewMachine returns a machine with an empty state.
 func NewMachine(config Config) *Machine {
 	if config.MaxConfigOrders <= 0 {
 		config.MaxConfigOrders = DefaultMaxConfigOrders
@@ -46,8 +52,13 @@
 	return &Machine{archive: config.Archive, state: newState(config.MaxConfigOrders)}
 }
 
-// Apply applies one entry of the log. An error is fatal for the replica: the
-// entry cannot be read, comes out of order, or the archive failed.
+// Apply applies one entry of the log. The entry must have a higher index than all
+// before; indexes may be left out, since not every entry carries a command.
+//
+// What a command asks for that cannot be done any more is no error but part of the
+// Result. An error is fatal for the replica: the entry cannot be read, comes out
+// of order (ErrOutOfOrder), or the archive failed; the state may then hold a part
+// of the entry.
 func (m *Machine) Apply(index uint64, data []byte) (Result, error) {
 	command, err := Decode(data)
 	if err != nil {
@@ -56,7 +67,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if index <= m.state.applied {
-		return Result{}, fmt.Errorf("entry %d after %d: %w", index, m.state.applied, ErrOutOfOrder)
+		return Result{}, fmt.Errorf("entry %d, expected one after %d: %w", index, m.state.applied, ErrOutOfOrder)
 	}
 	m.state.applied = index
 	m.state.advanceClock(command.Time)
@@ -70,6 +81,7 @@
 	return result, nil
 }
 
+// dispatch applies the one change that the command holds.
 func (m *Machine) dispatch(command *Command, result *Result) error {
 	switch {
 	case command.SubmitJob != nil:
@@ -102,14 +114,15 @@
 	return nil
 }
 
-// Skip notes an entry that carries no command.
+// Skip records that an entry was applied that carries no command.
 func (m *Machine) Skip(index uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state.applied = max(m.state.applied, index)
 }
 
-// Read calls read under a read lock. The view must not be kept.
+// Read calls read under the read lock. The View must not be used after read
+// returns.
 func (m *Machine) Read(read func(View)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/internal/record/millis.go
+++ b/internal/record/millis.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Millis is cluster time in Unix milliseconds.
+// Millis is cluster time in Unix milliseconds, or a span of it.
 type Millis int64
 
-// MillisOf is a span in the unit of cluster time.
+// MillisOf converts a span to milliseconds, rounded towards zero.
 func MillisOf(span time.Duration) Millis { return Millis(span.Milliseconds()) }
 
 // Time returns the value as a time in UTC.
--- a/internal/record/occurrence.go
+++ b/internal/record/occurrence.go
@@ -7,8 +7,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// addOccurrence makes the steps and tasks of an occurrence, whose number is
-// higher than all before; every task is blocked.
+// addOccurrence makes the steps and tasks of an occurrence, every task blocked.
+// The number must be higher than all before.
 func (j *Job) addOccurrence(number int) *occurrence {
 	added := &occurrence{number: number, steps: make([]*Step, len(j.Spec.Steps))}
 	byName := make(map[string]*Step, len(added.steps))
@@ -28,20 +28,22 @@
 	return added
 }
 
-// occurrence is one round of a job's steps. A job that does not repeat has one.
+// occurrence is one execution of a job's steps. A job that does not repeat has
+// one, number 0.
 type occurrence struct {
 	number int
 	steps  []*Step
 	// openTasks counts tasks that are not final; openRuns counts open runs, also
-	// of members of a group that has succeeded.
+	// of members of a gang that has succeeded.
 	openTasks int
 	openRuns  int
 }
 
-// ended reports that nothing of the occurrence can change any more.
+// ended reports whether nothing of the occurrence can change any more.
 func (o *occurrence) ended() bool { return o.openTasks == 0 && o.openRuns == 0 }
 
-// flagIfOccurrenceEnded lets archiveJobIfComplete look for occurrences that have ended.
+// flagIfOccurrenceEnded makes the next removeEndedOccurrences look for the step's
+// occurrence if that has ended.
 func (s *Step) flagIfOccurrenceEnded() {
 	if s.occurrence.ended() {
 		s.Job.mayHaveEndedOccurrence = true
@@ -50,8 +52,8 @@
 
 // findOccurrence returns a live occurrence, or nil.
 func (j *Job) findOccurrence(number int) *occurrence {
-	position, found := slices.BinarySearchFunc(j.occurrences, number, func(one *occurrence, number int) int {
-		return cmp.Compare(one.number, number)
+	position, found := slices.BinarySearchFunc(j.occurrences, number, func(other *occurrence, number int) int {
+		return cmp.Compare(other.number, number)
 	})
 	if !found {
 		return nil
@@ -59,17 +61,17 @@
 	return j.occurrences[position]
 }
 
-// liveOccurrences returns the numbers of the live occurrences.
+// liveOccurrences returns the numbers of the live occurrences, ascending.
 func (j *Job) liveOccurrences() []int {
 	numbers := make([]int, len(j.occurrences))
-	for i, one := range j.occurrences {
-		numbers[i] = one.number
+	for i, live := range j.occurrences {
+		numbers[i] = live.number
 	}
 	return numbers
 }
 
-// initializeTasks fills in what the tasks of a new occurrence take from the queue and
-// from their start time.
+// initializeTasks sets what the tasks of a new occurrence take from the queue and
+// from the time at which it falls due.
 func (o *occurrence) initializeTasks(defaultAllowedFailures int) {
 	for _, step := range o.steps {
 		earliest := step.earliestTaskStart()
@@ -89,25 +91,27 @@
 	}
 }
 
-// removeEndedOccurrences takes ended occurrences of a repeating job out of memory and
-// counts them.
+// removeEndedOccurrences removes the ended occurrences of a repeating job from the
+// state and counts their outcomes, so that the memory of a job does not grow with
+// its number of occurrences.
 func (m *Machine) removeEndedOccurrences(job *Job) {
 	if job.Repetition == nil || !job.mayHaveEndedOccurrence {
 		return
 	}
 	job.mayHaveEndedOccurrence = false
-	for _, one := range job.occurrences {
-		if one.ended() {
-			job.countOutcome(one)
-			m.state.removeSteps(one.steps)
-			m.emit(OccurrenceEnded{Job: job, Occurrence: one.number, Steps: one.steps})
+	for _, candidate := range job.occurrences {
+		if candidate.ended() {
+			job.countOutcome(candidate)
+			m.state.removeSteps(candidate.steps)
+			m.emit(OccurrenceEnded{Job: job, Occurrence: candidate.number, Steps: candidate.steps})
 		}
 	}
 	job.Steps = nilIfEmpty(slices.DeleteFunc(job.Steps, func(step *Step) bool { return step.occurrence.ended() }))
-	job.occurrences = nilIfEmpty(slices.DeleteFunc(job.occurrences, func(one *occurrence) bool { return one.ended() }))
+	job.occurrences = nilIfEmpty(slices.DeleteFunc(job.occurrences, (*occurrence).ended))
 }
 
-// countOutcome counts an ended occurrence by its outcome.
+// countOutcome counts an ended occurrence by its outcome: failed if any step
+// failed, else cancelled if any step was, else succeeded.
 func (j *Job) countOutcome(ended *occurrence) {
 	outcome := api.StateSucceeded
 	for _, step := range ended.steps {
@@ -129,7 +133,8 @@
 	}
 }
 
-// nilIfEmpty makes a list that ran empty equal to one that never had anything.
+// nilIfEmpty makes a slice that ran empty equal to one that never had anything, so
+// that a live state and a restored one are deeply equal.
 func nilIfEmpty[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
--- a/internal/record/placementchecker.go
+++ b/internal/record/placementchecker.go
@@ -7,20 +7,32 @@
 	"github.com/decklever/decklever/api"
 )
 
-// placementChecker checks the placements of one unit, each against the record and
-// those taken before it.
+// placementChecker decides whether the placements of one unit still hold: each
+// is checked against the state and against those of the unit that were accepted
+// before it. It changes nothing. A placement holds if
+//
+//   - the task is ready, its NotBefore has come, and the run number is its next;
+//   - the worker's current incarnation is the one named;
+//   - the worker offers the task's service and labels and has the resources free;
+//   - the task's spread allows one more run in the worker's domain;
+//   - queue and team are below their limits of running tasks.
+//
+// What only the leader knows (heartbeats, drains, health, reservations) is not
+// checked here.
 type placementChecker struct {
 	state    *state
 	accepted []acceptedPlacement
 }
 
+// acceptedPlacement is a placement whose names were resolved.
 type acceptedPlacement struct {
 	task   *Task
 	worker *Worker
 	number uint32
 }
 
-// accept checks one placement and counts it in if it holds.
+// accept reports whether a placement holds, and adds it to those accepted if it
+// does.
 func (c *placementChecker) accept(placement *Placement) bool {
 	task := c.state.task(placement.Run.Task)
 	if task == nil || !c.taskIsPlaceable(task, placement.Run.Number) {
@@ -37,6 +49,8 @@
 	return true
 }
 
+// taskIsPlaceable reports whether the task may be started now, under that run
+// number, and is not in the unit already.
 func (c *placementChecker) taskIsPlaceable(task *Task, number uint32) bool {
 	if task.State != TaskReady || task.Step.Job.Cancelled {
 		return false
@@ -49,6 +63,7 @@
 	})
 }
 
+// workerIsFeasible reports whether the worker can run the task beside what it runs.
 func (c *placementChecker) workerIsFeasible(worker *Worker, task *Task) bool {
 	return slices.Contains(worker.Services, task.Spec.Service) &&
 		labelsMatch(task.Spec.Labels, worker.Labels) &&
@@ -56,6 +71,7 @@
 		c.spreadSatisfied(worker, task)
 }
 
+// labelsMatch reports whether a worker offers every label that a task asks for.
 func labelsMatch(wanted, offered map[string]string) bool {
 	for key, value := range wanted {
 		if found, ok := offered[key]; !ok || found != value {
@@ -65,6 +81,7 @@
 	return true
 }
 
+// fits reports whether the task's resources are free on the worker.
 func (c *placementChecker) fits(worker *Worker, task *Task) bool {
 	used := c.state.usedResources(worker.ID)
 	for _, accepted := range c.accepted {
@@ -75,7 +92,8 @@
 	return used.Add(task.Spec.Resources).Fits(worker.Capacity)
 }
 
-// spreadSatisfied counts the open runs of the task's step in the worker's domain.
+// spreadSatisfied reports whether the worker's domain has fewer open runs of the
+// task's step than its spread allows.
 func (c *placementChecker) spreadSatisfied(worker *Worker, task *Task) bool {
 	spread := task.Spec.Spread
 	if spread == nil {
@@ -96,7 +114,8 @@
 	return count < max(spread.MaxPerDomain, 1)
 }
 
-// spreadDomain is the worker's domain; workers without the label share one.
+// spreadDomain is the worker's failure domain: its name, its zone, or the value
+// of a label. Workers without that label share one domain.
 func spreadDomain(spread *api.Spread, worker *Worker) string {
 	switch spread.By {
 	case api.SpreadByWorker:
@@ -107,7 +126,8 @@
 	return worker.Labels[strings.TrimPrefix(spread.By, api.SpreadByLabelPrefix)]
 }
 
-// boundsHold checks the bounds of the task's queue and of its team.
+// withinRunningLimits reports whether the task's queue and its team may have one
+// more running task.
 func (c *placementChecker) withinRunningLimits(task *Task) bool {
 	queue := c.state.settings.queues[task.Step.Job.Spec.Queue]
 	if !c.withinLimit(queue.MaxRunningTasks, c.state.queueCounts[queue.Name]) {
@@ -117,8 +137,8 @@
 	return c.withinLimit(team.MaxRunningTasks, c.state.teamCounts[team.Name])
 }
 
-// withinLimit reports whether a bound on open runs, 0 for none, lets in one more
-// than what is counted and was taken. counts is nil if nothing is counted.
+// withinLimit reports whether a limit of running tasks, 0 for none, allows one
+// more than those counted and those accepted. counts is nil if none are counted.
 func (c *placementChecker) withinLimit(limit int, counts *QueueCounts) bool {
 	if limit <= 0 {
 		return true
--- a/internal/record/placetasks.go
+++ b/internal/record/placetasks.go
@@ -1,9 +1,9 @@
 package record
 
-// applyPlaceTasks opens the runs that still fit, in the order given. The members
-// of a group are tried where the first of them stands.
-func (m *Machine) applyPlaceTasks(position *PlaceTasks, token uint64, result *Result) {
-	for _, unit := range m.groupIntoUnits(position.Placements) {
+// applyPlaceTasks opens the runs that still fit, in the order given, and rejects
+// the others. The members of a gang are tried at the position of the first.
+func (m *Machine) applyPlaceTasks(command *PlaceTasks, token uint64, result *Result) {
+	for _, unit := range m.groupIntoUnits(command.Placements) {
 		if !m.applyUnit(unit, token) {
 			for _, placement := range unit.placements {
 				result.Rejected = append(result.Rejected, placement.Run)
@@ -12,56 +12,60 @@
 	}
 }
 
-// placeUnit is what is placed whole or not at all.
+// placementUnit is accepted or rejected as one: a single placement, or all of a
+// gang.
 type placementUnit struct {
 	placements []Placement
 	// size is the number of placements that the unit must have.
 	size int
 }
 
-// groupIntoUnits joins the placements of each group; all others stand alone.
+// groupIntoUnits joins the placements of each gang; all others are units of
+// their own. Units are in the order of their first placements. GangSize is read
+// before any run of the command is opened.
 func (m *Machine) groupIntoUnits(placements []Placement) []*placementUnit {
 	units := make([]*placementUnit, 0, len(placements))
-	groups := make(map[*Step]*placementUnit)
+	gangUnits := make(map[*Step]*placementUnit)
 	for _, placement := range placements {
 		size := 1
-		var group *Step
+		var gang *Step
 		if task := m.state.task(placement.Run.Task); task != nil {
-			if groupSize := task.Step.GangSize(); groupSize > 0 {
-				size, group = groupSize, task.Step
+			if gangSize := task.Step.GangSize(); gangSize > 0 {
+				size, gang = gangSize, task.Step
 			}
 		}
-		if unit := groups[group]; unit != nil {
+		if unit := gangUnits[gang]; unit != nil {
 			unit.placements = append(unit.placements, placement)
 			continue
 		}
 		unit := &placementUnit{placements: []Placement{placement}, size: size}
 		units = append(units, unit)
-		if group != nil {
-			groups[group] = unit
+		if gang != nil {
+			gangUnits[gang] = unit
 		}
 	}
 	return units
 }
 
-// placeUnit opens the unit's runs if every one holds.
+// applyUnit opens the unit's runs if all of them are accepted, and reports
+// whether it did.
 func (m *Machine) applyUnit(unit *placementUnit, token uint64) bool {
 	if len(unit.placements) != unit.size {
 		return false
 	}
-	check := placementChecker{state: m.state}
+	checker := placementChecker{state: m.state}
 	for i := range unit.placements {
-		if !check.accept(&unit.placements[i]) {
+		if !checker.accept(&unit.placements[i]) {
 			return false
 		}
 	}
-	for _, accepted := range check.accepted {
+	for _, accepted := range checker.accepted {
 		m.openRun(accepted, token)
 	}
 	return true
 }
 
-// openRun opens a run that was checked.
+// openRun opens the run of an accepted placement.
 func (m *Machine) openRun(accepted acceptedPlacement, token uint64) {
 	task := accepted.task
 	run := &Run{
--- a/internal/record/property_test.go
+++ b/internal/record/property_test.go
@@ -235,7 +235,7 @@
 
 // drawPlace mostly names placements that can hold.
 func drawPlace(t *rapid.T, machine *Machine) *PlaceTasks {
-	position := &PlaceTasks{}
+	command := &PlaceTasks{}
 	for _, job := range machine.state.sortedJobs {
 		for _, step := range job.Steps {
 			for _, task := range step.Tasks {
@@ -250,11 +250,11 @@
 				if worker := machine.state.workers[name]; worker != nil {
 					placement.WorkerID = worker.ID
 				}
-				position.Placements = append(position.Placements, placement)
+				command.Placements = append(command.Placements, placement)
 			}
 		}
 	}
-	return position
+	return command
 }
 
 func drawOpen(t *rapid.T, machine *Machine) []RunID {
@@ -269,7 +269,7 @@
 
 func drawClose(t *rapid.T, machine *Machine) *CloseRuns {
 	outcomes := []api.Outcome{api.OutcomeSucceeded, api.OutcomeFailed, api.OutcomeStopped, api.OutcomeLost}
-	closeRuns := &CloseRuns{}
+	command := &CloseRuns{}
 	runs := drawOpen(t, machine)
 	strayTask := occurrenceTaskID(drawJobID.Draw(t, "job"), "one", 0, rapid.IntRange(0, 3).Draw(t, "occurrence"))
 	stray := RunID{Task: strayTask, Number: uint32(rapid.IntRange(0, 2).Draw(t, "number"))}
@@ -280,7 +280,7 @@
 			end.Percent = rapid.IntRange(0, 3).Draw(t, "percent")
 			end.Checkpoint = checkpointText(run, end.Percent)
 		}
-		closeRuns.Runs = append(closeRuns.Runs, end)
+		command.Runs = append(command.Runs, end)
 	}
-	return closeRuns
+	return command
 }
--- a/internal/record/putconfig.go
+++ b/internal/record/putconfig.go
@@ -7,7 +7,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// applyPutConfig decides an order once; a resend gets the same answer.
+// applyPutConfig decides an order once and keeps the outcome, so that a resend
+// gets the same answer as long as the order is among the newest ones kept.
 func (m *Machine) applyPutConfig(put *PutConfig, result *Result) {
 	settings := &m.state.settings
 	if known := settings.orders.byID[put.OrderID]; known != nil {
@@ -22,6 +23,8 @@
 	}
 }
 
+// decideConfig refuses an order that failed validation or whose base version is
+// not in force, and else puts its configuration in force.
 func (m *Machine) decideConfig(put *PutConfig) ConfigResult {
 	settings := &m.state.settings
 	if put.Refusal != nil {
@@ -41,6 +44,8 @@
 	return ConfigResult{Version: settings.version}
 }
 
+// resendResult answers an order whose id is known: with the recorded outcome, or
+// with a conflict if the content is another.
 func resendResult(known *configOrder, put *PutConfig, inForce uint64) *ConfigResult {
 	if known.Digest == put.Digest {
 		result := known.Result
@@ -53,6 +58,8 @@
 	}}
 }
 
+// versionConflict refuses an order that was made on another version than the one
+// in force. Exactly one of several orders on one version is accepted.
 func versionConflict(base, inForce uint64) *api.Error {
 	return &api.Error{
 		Status:  http.StatusPreconditionFailed,
--- a/internal/record/registerworkers.go
+++ b/internal/record/registerworkers.go
@@ -1,6 +1,6 @@
 package record
 
-// applyRegisterWorkers adds workers or changes what is known of them.
+// applyRegisterWorkers adds workers or updates what is known of them.
 func (m *Machine) applyRegisterWorkers(register *RegisterWorkers, result *Result) {
 	for i := range register.Workers {
 		worker := register.Workers[i]
@@ -10,11 +10,13 @@
 	}
 }
 
-// registerWorker returns false if the name has an earlier incarnation with
-// open runs, or if another name holds the incarnation's id.
+// registerWorker adds or replaces one worker. It returns false, and changes
+// nothing, if the name has an earlier incarnation with open runs, or if another
+// name has the incarnation's id. Registering the same description again changes
+// nothing and emits no event.
 func (m *Machine) registerWorker(worker *Worker) bool {
 	known := m.state.workers[worker.Name]
-	if holder := m.state.workersByID[worker.ID]; holder != nil && holder != known {
+	if other := m.state.workersByID[worker.ID]; other != nil && other != known {
 		return false
 	}
 	worker.RegisteredAt = m.state.clock
--- a/internal/record/registerworkers_test.go
+++ b/internal/record/registerworkers_test.go
@@ -8,25 +8,25 @@
 )
 
 func TestRegisterWorkers_ReplacesIncarnationsWithoutRuns(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	w := testWorker("w")
-	r.register(w)
-	r.register(w)
-	expectEvents(t, r, "worker w-1")
-	r.submit("j", stepSpec("a", 1))
-	r.mustPlace(placementOn(taskID("j", "a", 0), 1, "w"))
+	h.register(w)
+	h.register(w)
+	expectEvents(t, h, "worker w-1")
+	h.submit("j", stepSpec("a", 1))
+	h.mustPlace(placementOn(taskID("j", "a", 0), 1, "w"))
 	next := w
 	next.ID = "w-2"
-	expect(t, "runs are open", fmt.Sprint(r.register(next)), "[w]")
+	expect(t, "runs are open", fmt.Sprint(h.register(next)), "[w]")
 	thief := w
 	thief.Name = "thief"
-	expect(t, "id is taken", fmt.Sprint(r.register(thief)), "[thief]")
-	r.takeEvents()
-	r.apply(Command{ForgetWorkers: &ForgetWorkers{Names: []string{"w"}}})
+	expect(t, "id is taken", fmt.Sprint(h.register(thief)), "[thief]")
+	h.takeEvents()
+	h.apply(Command{ForgetWorkers: &ForgetWorkers{Names: []string{"w"}}})
 	w.Zone = "z9"
-	r.register(w)
-	r.close(taskID("j", "a", 0), 1, api.OutcomeLost)
-	r.register(next)
-	r.apply(Command{ForgetWorkers: &ForgetWorkers{Names: []string{"w", "none"}}})
-	expectEvents(t, r, "worker w-1", "closed j/a/0 lost", "ready j/a/0", "worker w-2", "forgotten w-2")
+	h.register(w)
+	h.close(taskID("j", "a", 0), 1, api.OutcomeLost)
+	h.register(next)
+	h.apply(Command{ForgetWorkers: &ForgetWorkers{Names: []string{"w", "none"}}})
+	expectEvents(t, h, "worker w-1", "closed j/a/0 lost", "ready j/a/0", "worker w-2", "forgotten w-2")
 }
--- a/internal/record/releasewindow.go
+++ b/internal/record/releasewindow.go
@@ -6,15 +6,17 @@
 	"strings"
 )
 
-// applyReleaseWindow notes that the room of a window is given back. A window that
-// has ended by the command clock, or was released before, is passed over.
+// applyReleaseWindow records that the capacity of a reservation window is given
+// back. A window that has ended by the clock of the record, or was released
+// before, is skipped.
 func (m *Machine) applyReleaseWindow(release *ReleaseWindow) {
 	if m.state.addReleasedWindow(*release) {
 		m.emit(WindowReleased{Window: *release})
 	}
 }
 
-// addReleasedWindow keeps a released window until its end, and reports whether it is new.
+// addReleasedWindow records a released window until its end, and reports whether
+// it is new. The slice is copied, so that a capture may share the old one.
 func (s *state) addReleasedWindow(window ReleaseWindow) bool {
 	if window.End <= s.clock || slices.ContainsFunc(s.releasedWindows, window.sameWindow) {
 		return false
@@ -24,7 +26,7 @@
 	return true
 }
 
-// sameWindow compares what names a window; its end follows from that.
+// sameWindow compares what identifies a window; its end follows from that.
 func (r ReleaseWindow) sameWindow(other ReleaseWindow) bool {
 	return r.Queue == other.Queue && r.Booking == other.Booking && r.Start == other.Start
 }
--- a/internal/record/replicas_test.go
+++ b/internal/record/replicas_test.go
@@ -7,22 +7,22 @@
 )
 
 func TestReplicas_ShareOneSpec(t *testing.T) {
-	r := newHarness(t)
-	r.submit("j", replicatedStep("a", 300), stepSpec("b", 1, "a"))
-	job := r.task(taskID("j", "a", 0)).Step.Job
+	h := newHarness(t)
+	h.submit("j", replicatedStep("a", 300), stepSpec("b", 1, "a"))
+	job := h.task(taskID("j", "a", 0)).Step.Job
 	shared := &job.Spec.Steps[0].Tasks[0]
 	for i := range 300 {
-		if r.task(taskID("j", "a", i)).Spec != shared {
+		if h.task(taskID("j", "a", i)).Spec != shared {
 			t.Fatalf("task %d has a description of its own", i)
 		}
 	}
-	if counts := r.machine.state.queueCounts[testQueue]; counts.PendingTasks != 301 {
+	if counts := h.machine.state.queueCounts[testQueue]; counts.PendingTasks != 301 {
 		t.Fatalf("counted %+v", counts)
 	}
-	if summary := job.Summary(); summary.TasksTotal != 301 || len(r.status("j").Steps[0].Tasks) != 300 {
+	if summary := job.Summary(); summary.TasksTotal != 301 || len(h.status("j").Steps[0].Tasks) != 300 {
 		t.Fatalf("summary %+v", summary)
 	}
-	again := restored(t, snapshotBytes(t, r.machine), r.archive)
+	again := restored(t, snapshotBytes(t, h.machine), h.archive)
 	if tasks := again.state.jobs["j"].Steps[0].Tasks; len(tasks) != 300 || tasks[299].Spec != tasks[0].Spec {
 		t.Fatalf("%d tasks after a restore, or their description was copied", len(tasks))
 	}
@@ -30,11 +30,11 @@
 
 func TestReplicas_SnapshotStoresSpecOnce(t *testing.T) {
 	size := func(count int) int {
-		r := newHarness(t)
+		h := newHarness(t)
 		template := replicatedStep("a", count)
 		template.Tasks[0].Payload = make([]byte, 10_000)
-		r.submit("j", template)
-		return len(snapshotBytes(t, r.machine))
+		h.submit("j", template)
+		return len(snapshotBytes(t, h.machine))
 	}
 	if one, many := size(1), size(201); many-one > 200*100 {
 		t.Fatalf("200 more replicas take %d bytes more", many-one)
@@ -42,17 +42,17 @@
 }
 
 func TestReplicas_NextStepWaitsForAll(t *testing.T) {
-	r := newHarness(t)
-	r.register(testWorker("w1"))
-	r.submit("j", replicatedStep("a", 2), stepSpec("b", 1, "a"))
+	h := newHarness(t)
+	h.register(testWorker("w1"))
+	h.submit("j", replicatedStep("a", 2), stepSpec("b", 1, "a"))
 	for i := range 2 {
-		if r.task(taskID("j", "b", 0)).State != TaskBlocked {
+		if h.task(taskID("j", "b", 0)).State != TaskBlocked {
 			t.Fatal("the next step started early")
 		}
-		r.mustPlace(placementOn(taskID("j", "a", i), 1, "w1"))
-		r.close(taskID("j", "a", i), 1, api.OutcomeSucceeded)
+		h.mustPlace(placementOn(taskID("j", "a", i), 1, "w1"))
+		h.close(taskID("j", "a", i), 1, api.OutcomeSucceeded)
 	}
-	if r.task(taskID("j", "b", 0)).State != TaskReady {
+	if h.task(taskID("j", "b", 0)).State != TaskReady {
 		t.Fatal("the next step did not start")
 	}
 }
--- a/internal/record/restore.go
+++ b/internal/record/restore.go
@@ -12,12 +12,60 @@
 	"github.com/decklever/decklever/api"
 )
 
-// ErrSnapshot: a snapshot does not check or has a shape that is not known.
+// ErrSnapshot: the bytes of a snapshot are damaged or of an unknown format. See
+// SnapshotError.
 var ErrSnapshot = errors.New("record: snapshot cannot be read")
 
-// Restore replaces the state by a snapshot, which must lie in durable storage
-// already. On an error, which matches ErrSnapshot if the bytes are at fault,
-// nothing changed.
+// SnapshotError reports the part of a snapshot that cannot be restored. It matches
+// ErrSnapshot.
+type SnapshotError struct {
+	// Part is the kind of the part, followed by its name if that was read.
+	Part string
+	// Problem is what was found and what was expected.
+	Problem string
+	// Err is the cause, or nil.
+	Err error
+}
+
+// Error implements error.
+func (e *SnapshotError) Error() string {
+	text := fmt.Sprintf("%v: %s: %s", ErrSnapshot, e.Part, e.Problem)
+	if e.Err != nil {
+		text += ": " + e.Err.Error()
+	}
+	return text
+}
+
+// Unwrap returns ErrSnapshot and the cause.
+func (e *SnapshotError) Unwrap() []error {
+	if e.Err == nil {
+		return []error{ErrSnapshot}
+	}
+	return []error{ErrSnapshot, e.Err}
+}
+
+// Names of the parts of a snapshot in a SnapshotError.
+const (
+	partFrame   = "frame"
+	partHeader  = "header"
+	partVersion = "configuration version"
+	partOrder   = "configuration order"
+	partWorker  = "worker"
+	partJob     = "job"
+	partTask    = "task"
+)
+
+// snapshotErrorf returns a SnapshotError for a part, whose name may be empty.
+func snapshotErrorf(part, name, format string, args ...any) error {
+	if name != "" {
+		part = fmt.Sprintf("%s %q", part, name)
+	}
+	return &SnapshotError{Part: part, Problem: fmt.Sprintf(format, args...)}
+}
+
+// Restore replaces the state by a snapshot, which must be in durable storage
+// already, and emits StateReplaced. On an error, which is a SnapshotError if the
+// bytes are at fault, nothing was changed.
 func (m *Machine) Restore(reader io.Reader) error {
 	data, err := io.ReadAll(reader)
 	if err != nil {
@@ -39,29 +87,31 @@
 	return nil
 }
 
-// verifySnapshot checks frame and checksum and returns what lies between.
+// verifySnapshot checks the frame and the checksum, and returns the parts.
 func verifySnapshot(data []byte) ([]byte, error) {
 	if len(data) < len(snapshotMagic)+sha256.Size {
-		return nil, fmt.Errorf("%w: %d bytes are too few", ErrSnapshot, len(data))
+		return nil, snapshotErrorf(partFrame, "", "%d bytes, expected at least %d", len(data), len(snapshotMagic)+sha256.Size)
 	}
 	if !bytes.HasPrefix(data, []byte(snapshotMagic)) {
-		return nil, fmt.Errorf("%w: not a snapshot of the record", ErrSnapshot)
+		return nil, snapshotErrorf(partFrame, "", "starts with %q, expected %q", data[:len(snapshotMagic)], snapshotMagic)
 	}
 	end := len(data) - sha256.Size
 	sum := sha256.Sum256(data[:end])
 	if !bytes.Equal(sum[:], data[end:]) {
-		return nil, fmt.Errorf("%w: checksum is wrong", ErrSnapshot)
+		return nil, snapshotErrorf(partFrame, "", "checksum is %x, expected %x", sum, data[end:])
 	}
 	return data[len(snapshotMagic):end], nil
 }
 
-// snapshotReader reads the parts one after the other.
+// snapshotReader builds a state from the parts, read one after the other.
 type snapshotReader struct {
 	decoder *cbor.Decoder
-	size    int
-	state   *state
+	// size is the length of all parts, in bytes.
+	size  int
+	state *state
 }
 
+// readState builds a state from the parts of a snapshot.
 func readState(parts []byte, maxConfigOrders int) (*state, error) {
 	r := &snapshotReader{
 		decoder: decoding.NewDecoder(bytes.NewReader(parts)),
@@ -69,29 +119,31 @@
 		state:   newState(maxConfigOrders),
 	}
 	var header snapshotHeader
-	if err := r.next(&header, "header"); err != nil {
+	if err := r.next(&header, partHeader); err != nil {
 		return nil, err
 	}
 	if header.Format != snapshotFormat {
-		return nil, fmt.Errorf("%w: format %d, expected %d", ErrSnapshot, header.Format, snapshotFormat)
+		return nil, snapshotErrorf(partHeader, "", "format %d, expected %d", header.Format, snapshotFormat)
 	}
 	r.readHeader(&header)
 	if err := r.readParts(&header); err != nil {
 		return nil, err
 	}
 	if r.decoder.NumBytesRead() != r.size {
-		return nil, fmt.Errorf("%w: bytes after the last part", ErrSnapshot)
+		return nil, snapshotErrorf(partFrame, "", "last part ends at byte %d, expected %d", r.decoder.NumBytesRead(), r.size)
 	}
 	return r.state, nil
 }
 
+// next decodes the next part.
 func (r *snapshotReader) next(into any, part string) error {
 	if err := r.decoder.Decode(into); err != nil {
-		return fmt.Errorf("%w: %s: %w", ErrSnapshot, part, err)
+		return &SnapshotError{Part: part, Problem: "cannot be decoded", Err: err}
 	}
 	return nil
 }
 
+// readHeader takes what the header itself holds.
 func (r *snapshotReader) readHeader(header *snapshotHeader) {
 	r.state.applied = header.Applied
 	r.state.clock = header.Clock
@@ -103,8 +155,8 @@
 	}
 }
 
-// readParts reads what the header counts; a count beyond the data ends in an
-// error at the first part that is missing.
+// readParts reads the parts that the header counts. No memory is taken for a count:
+// one beyond the data ends in an error at the first part that is missing.
 func (r *snapshotReader) readParts(header *snapshotHeader) error {
 	readers := []struct {
 		count int
@@ -127,7 +179,7 @@
 
 func (r *snapshotReader) readVersion() error {
 	var version api.ConfigVersion
-	if err := r.next(&version, "configuration version"); err != nil {
+	if err := r.next(&version, partVersion); err != nil {
 		return err
 	}
 	r.state.settings.addVersion(version)
@@ -135,37 +187,38 @@
 }
 
 func (r *snapshotReader) readOrder() error {
-	var kept configOrder
-	if err := r.next(&kept, "order"); err != nil {
+	var order configOrder
+	if err := r.next(&order, partOrder); err != nil {
 		return err
 	}
-	if r.state.settings.orders.byID[kept.ID] != nil {
-		return fmt.Errorf("%w: order %q stands twice", ErrSnapshot, kept.ID)
+	if r.state.settings.orders.byID[order.ID] != nil {
+		return snapshotErrorf(partOrder, order.ID, "found twice, expected once")
 	}
-	r.state.settings.orders.add(&kept)
+	r.state.settings.orders.add(&order)
 	return nil
 }
 
 func (r *snapshotReader) readWorker() error {
 	var worker Worker
-	if err := r.next(&worker, "worker"); err != nil {
+	if err := r.next(&worker, partWorker); err != nil {
 		return err
 	}
 	if r.state.workers[worker.Name] != nil || r.state.workersByID[worker.ID] != nil {
-		return fmt.Errorf("%w: worker %q stands twice", ErrSnapshot, worker.Name)
+		return snapshotErrorf(partWorker, worker.Name, "name or id %q found twice, expected once", worker.ID)
 	}
 	r.state.workers[worker.Name] = &worker
 	r.state.workersByID[worker.ID] = &worker
 	return nil
 }
 
+// readJob reads a live job. The counts of the queues follow from the tasks.
 func (r *snapshotReader) readJob() error {
 	var read snapshotJob
-	if err := r.next(&read, "job"); err != nil {
+	if err := r.next(&read, partJob); err != nil {
 		return err
 	}
 	if r.state.jobs[read.ID] != nil {
-		return fmt.Errorf("%w: job %q stands twice", ErrSnapshot, read.ID)
+		return snapshotErrorf(partJob, read.ID, "found twice, expected once")
 	}
 	if err := read.matchesSpec(); err != nil {
 		return err
@@ -186,19 +239,26 @@
 	return nil
 }
 
-// matchesSpec holds what was read against the spec before memory is taken for
+// matchesSpec checks what was read against the spec, before memory is taken for
 // what the spec only counts.
 func (j *snapshotJob) matchesSpec() error {
-	if j.Spec == nil || (j.Spec.Repeat == nil) != (j.Repetition == nil) {
-		return fmt.Errorf("%w: job %q: no spec, or it does not match the repetition", ErrSnapshot, j.ID)
+	if j.Spec == nil {
+		return snapshotErrorf(partJob, j.ID, "has no spec")
+	}
+	if repeats := j.Spec.Repeat != nil; repeats != (j.Repetition != nil) {
+		return snapshotErrorf(partJob, j.ID, "has repetition: %t, expected by its spec: %t", !repeats, repeats)
 	}
 	live := j.liveOccurrences()
-	if len(j.Steps) != len(live)*len(j.Spec.Steps) || !j.occurrenceNumbersValid(live) {
-		return fmt.Errorf("%w: job %q: steps do not match the spec", ErrSnapshot, j.ID)
+	if !j.occurrenceNumbersValid(live) {
+		return snapshotErrorf(partJob, j.ID, "live occurrences %v, expected ascending numbers of added ones", live)
+	}
+	if expected := len(live) * len(j.Spec.Steps); len(j.Steps) != expected {
+		return snapshotErrorf(partJob, j.ID, "%d steps, expected %d", len(j.Steps), expected)
 	}
 	for i := range j.Steps {
-		if len(j.Steps[i].Tasks) != j.Spec.Steps[i%len(j.Spec.Steps)].TaskCount() {
-			return fmt.Errorf("%w: job %q: tasks do not match the spec", ErrSnapshot, j.ID)
+		tasks, expected := len(j.Steps[i].Tasks), j.Spec.Steps[i%len(j.Spec.Steps)].TaskCount()
+		if tasks != expected {
+			return snapshotErrorf(partJob, j.ID, "%d tasks in step %d, expected %d", tasks, i, expected)
 		}
 	}
 	return nil
@@ -212,18 +272,20 @@
 	return j.Occurrences
 }
 
-// occurrenceNumbersValid reports that live occurrences ascend and were added.
+// occurrenceNumbersValid reports whether the numbers of the live occurrences ascend
+// and were added.
 func (j *snapshotJob) occurrenceNumbersValid(live []int) bool {
-	before := -1
+	previous := -1
 	for _, number := range live {
-		if number <= before || j.Repetition != nil && number >= j.Repetition.Next {
+		if number <= previous || j.Repetition != nil && number >= j.Repetition.Next {
 			return false
 		}
-		before = number
+		previous = number
 	}
 	return true
 }
 
+// restoreStep restores a step of a live occurrence with its tasks.
 func (r *snapshotReader) restoreStep(step *Step, read *snapshotStep) error {
 	step.OpenDependencies = read.WaitsOn
 	step.lastFailedRun = read.FailedRun
@@ -235,9 +297,10 @@
 	return nil
 }
 
+// restoreTask restores a task with its open run.
 func (r *snapshotReader) restoreTask(task *Task, read *snapshotTask) error {
 	if !runMatchesState(task, read) {
-		return fmt.Errorf("%w: task %s: state and run do not match", ErrSnapshot, task.ID)
+		return snapshotErrorf(partTask, task.ID.String(), "state %d with open run: %t", read.State, read.Run != nil)
 	}
 	task.State = read.State
 	task.Failures = read.Failures
@@ -249,47 +312,34 @@
 	task.Preemptions = read.Preemptions
 	task.checkpoint = checkpoint{text: read.Checkpoint, run: read.CheckpointRun, percent: read.CheckpointPercent}
 	task.Step.Job.started = task.Step.Job.started || read.LastRun > 0
-	restoreCounts(task)
+	if task.State.Final() {
+		task.countFinal()
+	}
 	return r.restoreRun(task, read.Run)
 }
 
-// runMatchesState checks that a run is open where the state says so, and else
-// only after the success of a group in lockstep.
+// runMatchesState reports whether the state is known, and a run is open exactly if
+// the task is placed; the run of a member of a gang with a common outcome may also
+// be open after the success of the gang.
 func runMatchesState(task *Task, read *snapshotTask) bool {
 	if read.State > TaskCancelled {
 		return false
 	}
-	if read.State == TaskSucceeded && task.Step.Spec.Lockstep {
+	if read.State == TaskSucceeded && task.Step.SharesOutcome() {
 		return true
 	}
 	return (read.State == TaskPlaced) == (read.Run != nil)
 }
 
-// restoreCounts counts a final task in its step and job.
-func restoreCounts(task *Task) {
-	step, job := task.Step, task.Step.Job
-	if !task.State.Final() {
-		return
-	}
-	step.OpenTasks--
-	job.OpenTasks--
-	step.occurrence.openTasks--
-	switch task.State {
-	case TaskSucceeded:
-		step.succeededTasks++
-	case TaskFailed:
-		step.FailedTasks++
-		job.failedTasks++
-	}
-}
-
+// restoreRun restores the open run of a task, if it has one. Its worker must be
+// among those read before.
 func (r *snapshotReader) restoreRun(task *Task, read *snapshotRun) error {
 	if read == nil {
 		return nil
 	}
 	worker := r.state.workers[task.LastWorker]
 	if worker == nil || worker.ID != read.WorkerID {
-		return fmt.Errorf("%w: task %s: its worker is not known", ErrSnapshot, task.ID)
+		return snapshotErrorf(partTask, task.ID.String(), "its open run is on worker %q with id %q, which is not known", task.LastWorker, read.WorkerID)
 	}
 	task.Run = &Run{
 		Task:     task,
--- a/internal/record/retry.go
+++ b/internal/record/retry.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// maxReasonBytes bounds the text that is kept of a worker's message.
-	maxReasonBytes = 1024
-	// maxBackoffDoublings bounds the growth of the pause before a retry.
+	// maxBackoffDoublings bounds the growth of the backoff before a retry.
 	maxBackoffDoublings = 5
-	// maxUntilCancelledBackoff bounds the pause of a task that runs until cancelled,
-	// unless the first pause is longer.
+	// maxUntilCancelledBackoff bounds the backoff of a task that runs until
+	// cancelled, unless the configured first one is longer.
 	maxUntilCancelledBackoff Millis = 2_000
-	// failureResetAfter is how long a run of such a task must have been open for its failure
-	// to be counted as the first: what broke it is not what broke the runs before.
+	// failureResetAfter is how long a run of a task that runs until cancelled
+	// must have been open for its failure to count as the first: its cause is
+	// taken for another than that of the failures before.
 	failureResetAfter Millis = 10_000
 )
 
-// countFailure counts a failure that ended a run, which may be another member's.
+// countFailure counts a failure that ended a run: the task's own, or that of
+// another member of its gang with a common outcome.
 func (t *Task) countFailure(run *Run, now Millis) {
 	if t.RunsUntilCancelled() && now-run.PlacedAt >= failureResetAfter {
 		t.Failures = 0
@@ -23,16 +23,18 @@
 	t.Failures++
 }
 
-// retryBackoff is the pause after a task's newest failure.
+// retryBackoff is the backoff after a task's newest failure, in milliseconds.
 func (m *Machine) retryBackoff(task *Task) Millis {
-	pause := m.backoffAfter(task.Failures)
+	backoff := m.backoffAfter(task.Failures)
 	if task.RunsUntilCancelled() {
-		pause = min(pause, max(m.backoffAfter(1), maxUntilCancelledBackoff))
+		backoff = min(backoff, max(m.backoffAfter(1), maxUntilCancelledBackoff))
 	}
-	return pause
+	return backoff
 }
 
-// backoffAfter is the pause after the given number of failures.
+// backoffAfter is the backoff after a number of failures, of at least 1: the
+// configured retry delay, doubled with each further failure up to
+// maxBackoffDoublings times.
 func (m *Machine) backoffAfter(failures int) Millis {
 	doublings := min(failures-1, maxBackoffDoublings)
 	delay := m.state.settings.effective.Timings.RetryDelay.Std() << doublings
--- a/internal/record/run.go
+++ b/internal/record/run.go
@@ -1,34 +1,41 @@
 package record
 
-// Run is an open run: it holds room on its worker until it is closed.
+// Run is an open run: it takes resources on its worker until it is closed.
 type Run struct {
 	Task   *Task
 	Number uint32
-	// WorkerID is the worker incarnation, Worker its stable name.
+	// WorkerID is the worker's incarnation, Worker its stable name.
 	WorkerID string
 	Worker   string
-	// Token is the term of the leader that placed the run.
+	// Token is the fencing token under which the run was placed: the term of
+	// the leader.
 	Token    uint64
 	PlacedAt Millis
-	// StopRuns is why the run must be stopped; empty while it need not be.
+	// Stop is why the run is to be stopped, StopNone while it is not.
 	Stop StopReason
 }
 
 // ID returns the run's name.
 func (r *Run) ID() RunID { return RunID{Task: r.Task.ID, Number: r.Number} }
 
-// StopReason is why a run is to be stopped.
+// StopReason is why a run is to be stopped. The texts are stored in the log and
+// in snapshots.
 type StopReason string
 
-// StopRuns reasons. None counts as a failure.
+// Stop reasons. A run that ends as stopped counts as no failure, whatever the
+// reason.
 const (
-	StopNone      StopReason = ""
+	// StopNone: the run may go on.
+	StopNone StopReason = ""
+	// StopCancelled: its job was cancelled.
 	StopCancelled StopReason = "cancelled"
-	StopDrained   StopReason = "drained"
+	// StopDrained: its worker or zone is drained.
+	StopDrained StopReason = "drained"
+	// StopPreempted: it makes room for more urgent work.
 	StopPreempted StopReason = "preempted"
-	// StopGang: the run's group did not start whole or, in lockstep, goes back
-	// whole or has succeeded.
+	// StopGang: not all members of its gang started in time or, with a common
+	// outcome, another member ended first.
 	StopGang StopReason = "group"
-	// StopStalled: the run made no progress for long.
+	// StopStalled: it reported no progress for too long.
 	StopStalled StopReason = "stalled"
 )
--- a/internal/record/snapshot.go
+++ b/internal/record/snapshot.go
@@ -9,15 +9,20 @@
 	"github.com/decklever/decklever/api"
 )
 
-// A snapshot is snapshotMagic, a CBOR sequence (RFC 8742) of one
-// snapshotHeader and the parts that it counts, and the SHA-256 of all before.
+// A snapshot is snapshotMagic, a CBOR sequence (RFC 8742) of one snapshotHeader
+// and the parts that it counts, and the SHA-256 of all before. Equal states give
+// equal bytes on every replica.
+//
+// Snapshots are stored data: a field keeps its key and meaning, and one that was
+// added later is marked omitempty and says what its absence means.
 const (
 	snapshotMagic  = "decklever record\n"
 	snapshotFormat = 1
 )
 
-// snapshotHeader opens a snapshot; versions, orders, workers and jobs follow
-// in this order.
+// snapshotHeader is the first part of a snapshot. Configuration versions and
+// orders, both oldest first, then workers by name and jobs by id follow, in the
+// numbers given here.
 type snapshotHeader struct {
 	Format        int        `cbor:"1,keyasint"`
 	Applied       uint64     `cbor:"2,keyasint"`
@@ -29,14 +34,14 @@
 	Orders        int        `cbor:"8,keyasint"`
 	Workers       int        `cbor:"9,keyasint"`
 	Jobs          int        `cbor:"10,keyasint"`
-	// ReleasedWindows is absent from snapshots of earlier programs, as is
-	// snapshotTask.Preemptions.
+	// ReleasedWindows and DrainedZones are absent from snapshots of earlier
+	// programs: there were none.
 	ReleasedWindows []ReleaseWindow `cbor:"11,keyasint,omitempty"`
-	// DrainedZones is absent from snapshots of earlier programs.
-	DrainedZones []string `cbor:"12,keyasint,omitempty"`
+	DrainedZones    []string        `cbor:"12,keyasint,omitempty"`
 }
 
-// snapshotJob is a live job. Steps and Tasks are in the order of the spec.
+// snapshotJob is a live job. Steps and Tasks are in the order of the spec, and the
+// steps of the live occurrences of a repeating job follow each other.
 type snapshotJob struct {
 	ID          string         `cbor:"1,keyasint"`
 	Digest      string         `cbor:"2,keyasint"`
@@ -44,38 +49,42 @@
 	SubmittedAt Millis         `cbor:"4,keyasint"`
 	Cancelled   bool           `cbor:"5,keyasint,omitempty"`
 	Steps       []snapshotStep `cbor:"6,keyasint"`
-	// Repetition is absent unless the job repeats; Occurrences are then the
-	// numbers of the live ones, whose steps follow each other in Steps.
+	// Repetition is absent unless the job repeats; Occurrences are then the numbers
+	// of the live ones.
 	Repetition  *Repetition `cbor:"7,keyasint,omitempty"`
 	Occurrences []int       `cbor:"8,keyasint,omitempty"`
-	// Started of a repeating job does not follow from its live tasks.
+	// Started is set only of a repeating job, for which it cannot be derived from
+	// the live tasks.
 	Started bool `cbor:"9,keyasint,omitempty"`
 }
 
+// snapshotStep is one step of a live occurrence.
 type snapshotStep struct {
 	WaitsOn int            `cbor:"1,keyasint,omitempty"`
 	Tasks   []snapshotTask `cbor:"2,keyasint"`
-	// FailedRun is absent from snapshots of earlier programs.
+	// FailedRun is Step.lastFailedRun; absent from snapshots of earlier programs.
 	FailedRun uint32 `cbor:"3,keyasint,omitempty"`
 }
 
+// snapshotTask is one task of a live occurrence. Preemptions and the checkpoint are
+// absent from snapshots of earlier programs.
 type snapshotTask struct {
-	State           TaskState    `cbor:"1,keyasint,omitempty"`
-	Failures        int          `cbor:"2,keyasint,omitempty"`
-	AllowedFailures int          `cbor:"3,keyasint"`
-	LastRun         uint32       `cbor:"4,keyasint,omitempty"`
-	LastWorker      string       `cbor:"5,keyasint,omitempty"`
-	NotBefore       Millis       `cbor:"6,keyasint,omitempty"`
-	Reason          string       `cbor:"7,keyasint,omitempty"`
-	Run             *snapshotRun `cbor:"8,keyasint,omitempty"`
-	Preemptions     int          `cbor:"9,keyasint,omitempty"`
-	// The checkpoint is absent from snapshots of earlier programs.
-	Checkpoint        string `cbor:"10,keyasint,omitempty"`
-	CheckpointRun     uint32 `cbor:"11,keyasint,omitempty"`
-	CheckpointPercent int    `cbor:"12,keyasint,omitempty"`
+	State             TaskState    `cbor:"1,keyasint,omitempty"`
+	Failures          int          `cbor:"2,keyasint,omitempty"`
+	AllowedFailures   int          `cbor:"3,keyasint"`
+	LastRun           uint32       `cbor:"4,keyasint,omitempty"`
+	LastWorker        string       `cbor:"5,keyasint,omitempty"`
+	NotBefore         Millis       `cbor:"6,keyasint,omitempty"`
+	Reason            string       `cbor:"7,keyasint,omitempty"`
+	Run               *snapshotRun `cbor:"8,keyasint,omitempty"`
+	Preemptions       int          `cbor:"9,keyasint,omitempty"`
+	Checkpoint        string       `cbor:"10,keyasint,omitempty"`
+	CheckpointRun     uint32       `cbor:"11,keyasint,omitempty"`
+	CheckpointPercent int          `cbor:"12,keyasint,omitempty"`
 }
 
-// snapshotRun is the open run; its number and worker are the task's last.
+// snapshotRun is the open run of a task; its number and worker are LastRun and
+// LastWorker of the task.
 type snapshotRun struct {
 	WorkerID string     `cbor:"1,keyasint"`
 	Token    uint64     `cbor:"2,keyasint"`
@@ -83,9 +92,11 @@
 	Stop     StopReason `cbor:"4,keyasint,omitempty"`
 }
 
-// Snapshot captures the state and returns a function that writes it, to be
-// called at most once and without haste: entries may be applied meanwhile.
-// The archive is synced before Snapshot returns.
+// Snapshot captures the state and returns the index of the last entry in it and a
+// function that writes it. The capture holds the lock; write does not, may take its
+// time while entries are applied, and is called at most once, from any goroutine.
+// The archive is synced before Snapshot returns, since the snapshot leaves out the
+// jobs that are in it. The error is that of the archive or of the writer.
 func (m *Machine) Snapshot() (index uint64, write func(io.Writer) error, err error) {
 	captured, accepted := m.capture()
 	if err := m.archive.Sync(); err != nil {
@@ -101,7 +112,7 @@
 	return captured.header.Applied, write, nil
 }
 
-// write encodes the capture.
+// write writes the snapshot with its checksum.
 func (c *capture) write(writer io.Writer) error {
 	sum := sha256.New()
 	buffered := bufio.NewWriter(io.MultiWriter(writer, sum))
@@ -115,6 +126,7 @@
 	return err
 }
 
+// writeParts writes all but the checksum.
 func (c *capture) writeParts(writer io.Writer) error {
 	if _, err := io.WriteString(writer, snapshotMagic); err != nil {
 		return err
@@ -128,8 +140,8 @@
 			return err
 		}
 	}
-	for _, kept := range c.orders {
-		if err := encoder.Encode(kept); err != nil {
+	for _, order := range c.orders {
+		if err := encoder.Encode(order); err != nil {
 			return err
 		}
 	}
@@ -146,6 +158,7 @@
 	return nil
 }
 
+// snapshotJob puts the parts of a captured job together.
 func (c *capture) snapshotJob(captured *capturedJob) *snapshotJob {
 	job := captured.job
 	written := &snapshotJob{
--- a/internal/record/state.go
+++ b/internal/record/state.go
@@ -8,9 +8,12 @@
 	"github.com/decklever/decklever/api"
 )
 
-// state is all that is replicated, with the indexes derived from it. Its
-// methods keep counts and indexes right; the rules are methods of Machine.
+// state is all that is replicated, with the counts and indexes derived from it.
+// Its methods keep those right; what a command may do is decided by the methods of
+// Machine. Snapshots hold what cannot be derived.
 type state struct {
+	// applied is the index of the last entry applied, clock the greatest command
+	// time.
 	applied uint64
 	clock   Millis
 	// expiredBefore hides archived jobs that ended earlier.
@@ -21,7 +24,7 @@
 	jobs map[string]*Job
 	// sortedJobs holds the live jobs in the order of their ids.
 	sortedJobs []*Job
-	// taskTotal and runTotal count tasks and open runs of live jobs.
+	// taskTotal counts tasks of live occurrences, runTotal open runs.
 	taskTotal int
 	runTotal  int
 
@@ -29,25 +32,28 @@
 	// changed, only replaced.
 	workers     map[string]*Worker
 	workersByID map[string]*Worker
-	// loadByWorkerID is by incarnation; those without an open run have none.
+	// loadByWorkerID has the incarnations with open runs.
 	loadByWorkerID map[string]*workerLoad
-	// queueCounts and teams hold counts that are not zero, by name.
+	// queueCounts and teamCounts have the counts that are not zero, by name.
 	queueCounts map[string]*QueueCounts
 	teamCounts  map[string]*QueueCounts
-	// callerPending hold the waiting tasks of each caller of a queue that has some.
+	// callerPending has the number of pending tasks of each caller of a queue, if
+	// not zero.
 	callerPending map[queueCaller]int
-	// releasedWindows holds windows given back that have not ended, by end. What lies
-	// in the slice is never changed, so that a capture may share it.
+	// releasedWindows are the reservation windows given back that have not ended,
+	// ordered by compareReleases. The elements are never changed, so that a capture
+	// may share the slice.
 	releasedWindows []ReleaseWindow
-	// drainedZones are those drained by an order, sorted. What lies in the
-	// slice is never changed, so that a capture may share it.
+	// drainedZones are those drained by DrainZone, sorted. The elements are never
+	// changed, so that a capture may share the slice.
 	drainedZones []string
 }
 
-// workerLoad is what the open runs on one worker incarnation take.
+// workerLoad is the open runs on one worker incarnation.
 type workerLoad struct {
+	// used is the sum of their resources.
 	used api.Resources
-	// runs is in the order of their ids.
+	// runs is ordered by compareRuns.
 	runs []*Run
 }
 
@@ -64,7 +70,8 @@
 	}
 }
 
-// addJob enters a job whose tasks all have their states already.
+// addJob adds a job whose tasks have their states and runs already, and counts
+// them.
 func (s *state) addJob(job *Job) {
 	s.jobs[job.ID] = job
 	position, _ := s.findJob(job.ID)
@@ -72,13 +79,13 @@
 	s.indexJob(job)
 }
 
-// indexJob counts a job's tasks and runs.
+// indexJob counts a job with its tasks and runs.
 func (s *state) indexJob(job *Job) {
 	s.adjustCounts(job, QueueCounts{Jobs: 1})
 	s.indexSteps(job, job.Steps)
 }
 
-// indexSteps counts the tasks and runs of steps that a job has anew.
+// indexSteps counts the tasks and runs of steps that were added to a job.
 func (s *state) indexSteps(job *Job, steps []*Step) {
 	for _, step := range steps {
 		s.taskTotal += len(step.Tasks)
@@ -91,25 +98,27 @@
 	}
 }
 
-// removeJob takes an ended job out; sortedJobs follows in compactJobs.
+// removeJob removes an ended job. It stays in sortedJobs until compactJobs, at the
+// end of the entry.
 func (s *state) removeJob(job *Job) {
 	delete(s.jobs, job.ID)
 	s.removeSteps(job.Steps)
 	s.adjustCounts(job, QueueCounts{Jobs: -1})
 }
 
-// removeSteps takes out steps whose tasks are all final.
+// removeSteps discounts steps whose tasks are all final and without a run.
 func (s *state) removeSteps(steps []*Step) {
 	for _, step := range steps {
 		s.taskTotal -= len(step.Tasks)
 	}
 }
 
-// maxSingleRemovals is the number up to which removing one at a time is cheaper
-// than passing over the whole list.
+// maxSingleRemovals is the number of jobs up to which removing one at a time is
+// cheaper than one pass over the whole list.
 const maxSingleRemovals = 8
 
-// compactJobs takes ended jobs out of sortedJobs.
+// compactJobs removes ended jobs from sortedJobs. A job that ended and whose id was
+// submitted again cannot be in one entry, so an id stands once in the list.
 func (s *state) compactJobs(ended []*Job) {
 	if len(ended) > maxSingleRemovals {
 		s.sortedJobs = slices.DeleteFunc(s.sortedJobs, func(job *Job) bool {
@@ -124,22 +133,24 @@
 	}
 }
 
+// findJob returns the position of an id in sortedJobs, or that where it belongs.
 func (s *state) findJob(id string) (int, bool) {
 	return slices.BinarySearchFunc(s.sortedJobs, id, func(job *Job, id string) int {
 		return strings.Compare(job.ID, id)
 	})
 }
 
+// task returns a task of a live occurrence, or nil.
 func (s *state) task(id TaskID) *Task {
 	job := s.jobs[id.Job]
 	if job == nil {
 		return nil
 	}
-	in := job.findOccurrence(id.Occurrence)
-	if in == nil {
+	found := job.findOccurrence(id.Occurrence)
+	if found == nil {
 		return nil
 	}
-	for _, step := range in.steps {
+	for _, step := range found.steps {
 		if step.Spec.Name != id.Step {
 			continue
 		}
@@ -164,6 +175,7 @@
 	s.adjustCounts(task.Step.Job, countsOf(task).minus(before))
 }
 
+// addRun counts an open run on its worker, its occurrence and its job.
 func (s *state) addRun(run *Run) {
 	load := s.loadByWorkerID[run.WorkerID]
 	if load == nil {
@@ -178,6 +190,7 @@
 	s.runTotal++
 }
 
+// removeRun discounts an open run.
 func (s *state) removeRun(run *Run) {
 	load := s.loadByWorkerID[run.WorkerID]
 	load.used = load.used.Sub(run.Task.Spec.Resources)
@@ -193,10 +206,12 @@
 	s.runTotal--
 }
 
+// search returns the position of a run in runs, or that where it belongs.
 func (l *workerLoad) search(run *Run) (int, bool) {
 	return slices.BinarySearchFunc(l.runs, run, compareRuns)
 }
 
+// usedResources is the sum over the open runs on a worker incarnation.
 func (s *state) usedResources(workerID string) api.Resources {
 	if load := s.loadByWorkerID[workerID]; load != nil {
 		return load.used
@@ -204,11 +219,12 @@
 	return api.Resources{}
 }
 
+// hasOpenRuns reports whether a run is open on a worker incarnation.
 func (s *state) hasOpenRuns(workerID string) bool {
 	return s.loadByWorkerID[workerID] != nil
 }
 
-// sortedOpenRuns returns every open run in the order of their ids.
+// sortedOpenRuns returns every open run, ordered by compareRuns.
 func (s *state) sortedOpenRuns() []*Run {
 	runs := make([]*Run, 0, s.runTotal)
 	for _, load := range s.loadByWorkerID {
@@ -218,6 +234,7 @@
 	return runs
 }
 
+// compareRuns orders runs by job, occurrence, step, task and number.
 func compareRuns(a, b *Run) int {
 	return cmp.Or(
 		strings.Compare(a.Task.ID.Job, b.Task.ID.Job),
@@ -240,7 +257,7 @@
 	return workers
 }
 
-// advanceClock moves the clock, which never goes back, and forgets releases of
+// advanceClock moves the clock, which never goes back, and drops the released
 // windows that have ended.
 func (s *state) advanceClock(clock Millis) {
 	s.clock = max(s.clock, clock)
--- a/internal/record/status.go
+++ b/internal/record/status.go
@@ -8,7 +8,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// Public is the state as callers see it.
+// Public converts the state to that of the public API, where blocked and ready
+// tasks are both pending.
 func (s TaskState) Public() api.State {
 	switch s {
 	case TaskPlaced:
@@ -23,8 +24,8 @@
 	return api.StatePending
 }
 
-// State is the job's state: cancelled as soon as a cancel was accepted,
-// pending until the first run was placed.
+// State is the job's state in the public API: cancelled as soon as a cancel was
+// accepted, pending until the first run was placed.
 func (j *Job) State() api.State {
 	switch {
 	case j.Cancelled:
@@ -39,7 +40,8 @@
 	return api.StatePending
 }
 
-// State is the step's state: pending until a task was placed or has ended.
+// State is the step's state in the public API: pending until a task was placed or
+// has ended.
 func (s *Step) State() api.State {
 	switch {
 	case s.OpenTasks > 0 && s.hasStarted():
@@ -54,7 +56,7 @@
 	return api.StateCancelled
 }
 
-// Summary is the job's row in a list.
+// Summary is the job's entry in a list of jobs.
 func (j *Job) Summary() api.JobSummary {
 	perOccurrence := j.Spec.TaskCount()
 	total := perOccurrence * j.Occurrences()
@@ -72,7 +74,7 @@
 	}
 }
 
-// statusWithoutSteps is the answer to a caller without the steps.
+// statusWithoutSteps is the job's status without the steps.
 func (j *Job) statusWithoutSteps() api.JobStatus {
 	return api.JobStatus{
 		ID:          j.ID,
@@ -84,7 +86,8 @@
 	}
 }
 
-// status builds the answer to a caller; reason may be nil.
+// status converts the job to the public API at a time of the cluster clock. reason
+// is that of View.Status and may be nil.
 func (j *Job) status(clock Millis, reason func(*Task) string) api.JobStatus {
 	status := j.statusWithoutSteps()
 	status.Steps = make([]api.StepStatus, len(j.Steps))
@@ -94,7 +97,7 @@
 	return status
 }
 
-// occurrenceStatus counts the occurrences of a repeating job.
+// occurrenceStatus counts the occurrences of a repeating job; nil for others.
 func (j *Job) occurrenceStatus() *api.OccurrenceStatus {
 	if j.Repetition == nil {
 		return nil
@@ -113,6 +116,7 @@
 	return status
 }
 
+// status converts the step to the public API.
 func (s *Step) status(clock Millis, reason func(*Task) string) api.StepStatus {
 	status := api.StepStatus{
 		Name:       s.Spec.Name,
@@ -120,12 +124,12 @@
 		State:      s.State(),
 		Tasks:      make([]api.TaskStatus, len(s.Tasks)),
 	}
-	waits := s.waitReason()
+	blockedReason := s.waitReason()
 	for i, task := range s.Tasks {
 		status.Tasks[i] = api.TaskStatus{
 			Task:     task.ID.String(),
 			State:    task.State.Public(),
-			Reason:   task.reason(waits, clock, reason),
+			Reason:   task.reason(blockedReason, clock, reason),
 			Run:      task.LastRun,
 			Worker:   task.LastWorker,
 			Failures: task.Failures,
@@ -134,12 +138,12 @@
 	return status
 }
 
-// waitReason names the steps that the step waits for.
+// waitReason names the steps that the step waits for, or is empty.
 func (s *Step) waitReason() string {
 	var names []string
-	for _, before := range s.dependencies {
-		if !before.succeeded() {
-			names = append(names, fmt.Sprintf("%q", before.Spec.Name))
+	for _, dependency := range s.dependencies {
+		if !dependency.succeeded() {
+			names = append(names, fmt.Sprintf("%q", dependency.Spec.Name))
 		}
 	}
 	if len(names) == 0 {
@@ -148,13 +152,13 @@
 	return "waits for step " + strings.Join(names, ", ")
 }
 
-// reason says why the task waits, is being stopped, or how it ended.
-func (t *Task) reason(waits string, clock Millis, reason func(*Task) string) string {
+// reason says why the task waits or is being stopped, or how it ended.
+func (t *Task) reason(blockedReason string, clock Millis, readyReason func(*Task) string) string {
 	switch t.State {
 	case TaskBlocked:
-		return waits
+		return blockedReason
 	case TaskReady:
-		return t.readyReason(clock, reason)
+		return t.readyReason(clock, readyReason)
 	case TaskPlaced:
 		if t.Run.Stop != StopNone {
 			return fmt.Sprintf("stopping: %s", t.Run.Stop)
@@ -164,9 +168,11 @@
 	return t.Reason
 }
 
-func (t *Task) readyReason(clock Millis, reason func(*Task) string) string {
-	if reason != nil {
-		if text := reason(t); text != "" {
+// readyReason says why a ready task was not placed yet: what the leader knows of
+// it, or else why its last run ended and how long its backoff lasts.
+func (t *Task) readyReason(clock Millis, leaderReason func(*Task) string) string {
+	if leaderReason != nil {
+		if text := leaderReason(t); text != "" {
 			return text
 		}
 	}
--- a/internal/record/stopruns.go
+++ b/internal/record/stopruns.go
@@ -1,6 +1,7 @@
 package record
 
-// applyStopRuns marks open runs to be stopped.
+// applyStopRuns requests the stop of open runs, and of the peers of a member of a
+// gang with a common outcome.
 func (m *Machine) applyStopRuns(stop *StopRuns) {
 	if stop.Reason == StopNone {
 		return
@@ -8,15 +9,17 @@
 	for _, id := range stop.Runs {
 		if run := m.findOpenRun(id); run != nil {
 			m.requestStop(run, stop.Reason)
-			m.stopGangPeers(run.Task, "stopped: "+string(run.Stop))
+			m.stopGangPeers(run.Task, stopRequestedReason(run.Stop))
 		}
 	}
 }
 
-// requestStop keeps the first reason, except that StopCancelled overrides.
+// requestStop sets why an open run is to be stopped. The first reason stands,
+// except that StopCancelled replaces any other. The run stays open until its end
+// is applied.
 func (m *Machine) requestStop(run *Run, reason StopReason) {
-	overrides := reason == StopCancelled && run.Stop != StopCancelled
-	if run.Stop != StopNone && !overrides {
+	replaces := reason == StopCancelled && run.Stop != StopCancelled
+	if run.Stop != StopNone && !replaces {
 		return
 	}
 	run.Stop = reason
--- a/internal/record/submitjob.go
+++ b/internal/record/submitjob.go
@@ -2,9 +2,10 @@
 
 import "github.com/decklever/decklever/api"
 
-// applySubmitJob adds a job unless its id is known, live or archived. The shape
-// of the spec was checked before it was proposed; here a step named in After
-// that does not exist is passed over.
+// applySubmitJob adds a job unless its id is known, live or archived. The error
+// is that of the archive. The spec was validated before it was proposed; what
+// validation would refuse is ignored here rather than an error, since an entry
+// that is committed must be applied.
 func (m *Machine) applySubmitJob(submit *SubmitJob, result *Result) error {
 	digest, known, err := m.knownDigest(submit.ID)
 	if err != nil {
@@ -25,8 +26,9 @@
 	return nil
 }
 
-// acceptJob adds a job with the queue's service filled in, which stays whatever
-// the configuration becomes. The digest is that of the spec as handed in.
+// acceptJob adds a job with the queue's service filled in where a task names
+// none; later configurations do not change it. The digest stays that of the spec
+// as submitted.
 func (m *Machine) acceptJob(submit *SubmitJob, queue api.QueueConfig) SubmitOutcome {
 	spec := submit.Spec.WithService(queue.Service)
 	if len(spec.MissingServices()) > 0 {
@@ -36,7 +38,7 @@
 	return SubmitAccepted
 }
 
-// knownDigest returns the digest under which an id was accepted.
+// knownDigest returns the digest with which a job of that id was accepted.
 func (m *Machine) knownDigest(id string) (digest string, known bool, err error) {
 	if job := m.state.jobs[id]; job != nil {
 		return job.Digest, true, nil
@@ -45,6 +47,8 @@
 	return archived.Digest, known, err
 }
 
+// addJob adds a job with its first occurrence and starts its first steps. A job
+// without any task ends within the same entry.
 func (m *Machine) addJob(id, digest string, spec api.JobSpec, queue api.QueueConfig) {
 	job := &Job{ID: id, Spec: spec, Digest: digest, SubmittedAt: m.state.clock}
 	if spec.Repeat != nil {
--- a/internal/record/submitjob_test.go
+++ b/internal/record/submitjob_test.go
@@ -3,35 +3,35 @@
 import "testing"
 
 func TestSubmitJob_Outcomes(t *testing.T) {
-	r := newHarness(t)
-	expect(t, "first", r.submit("j", stepSpec("a", 1)), SubmitAccepted)
-	expect(t, "same", r.submit("j", stepSpec("a", 1)), SubmitDuplicate)
-	expect(t, "other", r.submit("j", stepSpec("a", 2)), SubmitConflict)
-	expect(t, "queue", r.submitTo("none", "k", stepSpec("a", 1)), SubmitUnknownQueue)
-	r.cancel("j")
-	expect(t, "archived same", r.submit("j", stepSpec("a", 1)), SubmitDuplicate)
-	expect(t, "archived other", r.submit("j", stepSpec("a", 2)), SubmitConflict)
-	r.cancel("j", "unknown")
-	expect(t, "puts", r.archive.puts, 1)
+	h := newHarness(t)
+	expect(t, "first", h.submit("j", stepSpec("a", 1)), SubmitAccepted)
+	expect(t, "same", h.submit("j", stepSpec("a", 1)), SubmitDuplicate)
+	expect(t, "other", h.submit("j", stepSpec("a", 2)), SubmitConflict)
+	expect(t, "queue", h.submitTo("none", "k", stepSpec("a", 1)), SubmitUnknownQueue)
+	h.cancel("j")
+	expect(t, "archived same", h.submit("j", stepSpec("a", 1)), SubmitDuplicate)
+	expect(t, "archived other", h.submit("j", stepSpec("a", 2)), SubmitConflict)
+	h.cancel("j", "unknown")
+	expect(t, "puts", h.archive.puts, 1)
 }
 
 func TestSubmitJob_QueueServiceFilledInOnce(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	config := testConfig()
 	config.Queues[0].Service = "first"
-	r.putConfig("order-2", 1, config)
+	h.putConfig("order-2", 1, config)
 	bare := stepSpec("a", 2)
 	bare.Tasks[1].Service = ""
-	if outcome := r.submit("j", bare); outcome != SubmitAccepted {
+	if outcome := h.submit("j", bare); outcome != SubmitAccepted {
 		t.Fatalf("outcome %d", outcome)
 	}
 	config.Queues[0].Service = "second"
-	r.putConfig("order-3", 2, config)
-	if outcome := r.submit("j", bare); outcome != SubmitDuplicate {
+	h.putConfig("order-3", 2, config)
+	if outcome := h.submit("j", bare); outcome != SubmitDuplicate {
 		t.Fatalf("a resend after a change of the configuration: outcome %d", outcome)
 	}
-	again := restored(t, snapshotBytes(t, r.machine), r.archive)
-	for _, machine := range []*Machine{r.machine, again} {
+	again := restored(t, snapshotBytes(t, h.machine), h.archive)
+	for _, machine := range []*Machine{h.machine, again} {
 		tasks := machine.state.jobs["j"].Steps[0].Tasks
 		if tasks[0].Spec.Service != "s" || tasks[1].Spec.Service != "first" {
 			t.Fatalf("services %q and %q", tasks[0].Spec.Service, tasks[1].Spec.Service)
@@ -40,13 +40,13 @@
 }
 
 func TestSubmitJob_WithoutServiceRejected(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	bare := stepSpec("a", 1)
 	bare.Tasks[0].Service = ""
-	if outcome := r.submit("j", bare); outcome != SubmitNoService {
+	if outcome := h.submit("j", bare); outcome != SubmitNoService {
 		t.Fatalf("outcome %d", outcome)
 	}
-	if len(r.machine.state.jobs) != 0 {
+	if len(h.machine.state.jobs) != 0 {
 		t.Fatal("the job was added")
 	}
 }
--- a/internal/record/task.go
+++ b/internal/record/task.go
@@ -2,19 +2,24 @@
 
 import "github.com/decklever/decklever/api"
 
-// TaskState is finer than api.State: it tells whether a task can be placed.
+// TaskState is finer than api.State: it tells whether a task can be placed. The
+// numbers are stored in snapshots.
 type TaskState uint8
 
 // Task states. The last three are final.
 const (
-	// TaskBlocked waits for steps before it.
+	// TaskBlocked waits for the step's dependencies.
 	TaskBlocked TaskState = iota
 	// TaskReady can be placed once its NotBefore has come.
 	TaskReady
 	// TaskPlaced has an open run.
 	TaskPlaced
+	// TaskSucceeded had a run that succeeded, or is a member of a gang with a
+	// common outcome one of whose runs did.
 	TaskSucceeded
+	// TaskFailed used up its failures.
 	TaskFailed
+	// TaskCancelled: its job was cancelled, or a step that it waited for failed.
 	TaskCancelled
 )
 
@@ -27,33 +32,37 @@
 	Step  *Step
 	Spec  *api.TaskSpec
 	State TaskState
-	// Failures counts failed runs, or those of the whole group in lockstep.
-	// AllowedFailures is at least 1: the task is failed for good once Failures
-	// reaches it, unless it runs until cancelled; a group in lockstep once all
-	// its runs are closed then. Those of a task that runs until cancelled are
-	// counted anew once a run was open for long.
-	Failures        int
+	// Failures counts failed runs, or those of the gang if that has a common
+	// outcome. Those of a task that runs until cancelled are counted anew after
+	// a run of failureResetAfter.
+	Failures int
+	// AllowedFailures is at least 1. A task whose Failures reach it is in
+	// TaskFailed, unless it runs until cancelled; a gang with a common outcome
+	// fails then once all of its runs are closed.
 	AllowedFailures int
 	// LastRun is the number of the newest run, 0 if none was placed.
 	LastRun uint32
-	// Run is the open run; nil unless State is TaskPlaced, or TaskSucceeded by
-	// the success of another member of a group in lockstep.
+	// Run is the open run. It is nil unless State is TaskPlaced, or
+	// TaskSucceeded by another member of the gang while this run is still open.
 	Run *Run
-	// LastWorker names the worker of the newest run.
+	// LastWorker is the name of the worker of the newest run.
 	LastWorker string
-	// Preemptions counts runs that were stopped to make room for others and
-	// did not succeed.
+	// Preemptions counts runs that were stopped with StopPreempted and did not
+	// succeed.
 	Preemptions int
-	// checkCheckpoint is the newest that an earlier run left; see NewestCheckpoint.
+	// checkpoint is the newest that an earlier run left; see NewestCheckpoint.
 	checkpoint checkpoint
-	// NotBefore is the earliest next start: the step's or the retry's.
+	// NotBefore is the earliest next start: that of the step, or the end of the
+	// backoff after a failure.
 	NotBefore Millis
-	// Reason says how a final task ended or why the last run did.
+	// Reason says how a final task ended, or else why the last run ended. It is
+	// stored in snapshots and in the archive.
 	Reason string
 }
 
-func allowedFailures(spec *api.TaskSpec, byDefault int) int {
-	allowed := byDefault
+// allowedFailures is the bound of a task, from its spec or else from its queue.
+func allowedFailures(spec *api.TaskSpec, queueDefault int) int {
+	allowed := queueDefault
 	if spec.AllowedFailures != nil {
 		allowed = *spec.AllowedFailures
 	}
@@ -61,9 +70,9 @@
 }
 
 // NextRun is the number that the next run of the task must have. It is the same
-// for all members of a group in lockstep.
+// for all members of a gang with a common outcome.
 func (t *Task) NextRun() uint32 {
-	if !t.Step.Spec.Lockstep {
+	if !t.Step.SharesOutcome() {
 		return t.LastRun + 1
 	}
 	newest := uint32(0)
@@ -73,8 +82,25 @@
 	return newest + 1
 }
 
-// RunsUntilCancelled reports whether the task has neither success nor limit of failures: it
-// runs until cancelled, or a member of its group in lockstep does.
+// RunsUntilCancelled reports whether only a cancel ends the task: its spec says
+// so, or that of a member of its gang with a common outcome does. Such a task
+// has neither a success nor a limit of failures.
 func (t *Task) RunsUntilCancelled() bool {
-	return t.Spec.UntilCancelled || t.Step.Spec.Lockstep && t.Step.runsUntilCancelled()
+	return t.Spec.UntilCancelled || t.Step.SharesOutcome() && t.Step.runsUntilCancelled()
+}
+
+// countFinal counts a task whose state is final in its step, its occurrence and
+// its job.
+func (t *Task) countFinal() {
+	step := t.Step
+	step.OpenTasks--
+	step.Job.OpenTasks--
+	step.occurrence.openTasks--
+	switch t.State {
+	case TaskSucceeded:
+		step.succeededTasks++
+	case TaskFailed:
+		step.FailedTasks++
+		step.Job.failedTasks++
+	}
 }
--- a/internal/record/testarchive_test.go
+++ b/internal/record/testarchive_test.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// testArchive keeps ended jobs in memory.
+// testArchive stores ended jobs in memory.
 type testArchive struct {
 	jobs map[string]ArchivedJob
 	puts int
--- a/internal/record/view.go
+++ b/internal/record/view.go
@@ -7,7 +7,63 @@
 	"github.com/decklever/decklever/api"
 )
 
-// view implements View; the machine's lock is held while it is in use.
+// View reads the state. It is valid only within the callback that it is passed to.
+// What it returns must not be changed, and pointers to jobs, steps, tasks and runs
+// must not be used after the callback; workers and configurations never change and
+// may be kept.
+type View interface {
+	// Job returns a live job.
+	Job(id string) (*Job, bool)
+	// Jobs yields the live jobs whose ids are greater than after, in the order of
+	// their ids.
+	Jobs(after string) iter.Seq[*Job]
+	// Task returns a task of a live occurrence.
+	Task(id TaskID) (*Task, bool)
+	// Workers yields the newest incarnation of each name, in the order of the names.
+	Workers() iter.Seq[*Worker]
+	// OpenRuns yields the open runs on a worker incarnation, and AllOpenRuns
+	// every one, both in the order of their ids.
+	OpenRuns(workerID string) iter.Seq[*Run]
+	AllOpenRuns() iter.Seq[*Run]
+	// UsedResources is the sum of the resources of the open runs on a worker
+	// incarnation.
+	UsedResources(workerID string) api.Resources
+	// Config returns the configuration in force with defaults filled in.
+	Config() (version uint64, config *api.Config)
+	// AcceptedConfig returns the configuration in force as it was given.
+	AcceptedConfig() (version uint64, config *api.Config)
+	// ConfigVersions returns the accepted versions, newest first.
+	ConfigVersions() []api.ConfigVersion
+	// ConfigOrder returns the outcome of a configuration order and the digest that
+	// came with it, as long as the order is among the newest ones kept.
+	ConfigOrder(id string) (result ConfigResult, digest string, known bool)
+	// ReleasedWindows returns the reservation windows given back whose end has not
+	// passed, by end, then by queue, booking and start.
+	ReleasedWindows() []ReleaseWindow
+	// DrainedZones returns the zones drained by DrainZone, by name.
+	DrainedZones() []string
+	// QueueCounts returns the counts of a queue.
+	QueueCounts(queue string) QueueCounts
+	// TeamCounts returns the counts of all queues of a team, by the configuration
+	// in force.
+	TeamCounts(team string) QueueCounts
+	// CallerPending returns the number of pending tasks of a caller's jobs in a
+	// queue.
+	CallerPending(queue, caller string) int
+	// Status returns the status of a live or archived job, and false if the id is
+	// not known. reason, which may be nil, returns why a ready task waits, or "".
+	// The error is that of the archive.
+	Status(id string, reason func(*Task) string) (api.JobStatus, bool, error)
+	// StatusWithoutSteps is Status without the steps, at a cost that does not grow
+	// with the size of a live job.
+	StatusWithoutSteps(id string) (api.JobStatus, bool, error)
+	// Clock is the clock of the record: the greatest command time applied.
+	Clock() Millis
+	// Applied is the index of the last entry applied.
+	Applied() uint64
+}
+
+// view implements View. The machine's lock is held while it is in use.
 type view struct {
 	machine *Machine
 }
@@ -40,12 +96,6 @@
 	return task, task != nil
 }
 
-// Worker implements View.
-func (v view) Worker(name string) (*Worker, bool) {
-	worker := v.machine.state.workers[name]
-	return worker, worker != nil
-}
-
 // Workers implements View, in the order of names.
 func (v view) Workers() iter.Seq[*Worker] {
 	return slices.Values(v.machine.state.sortedWorkers())
@@ -91,11 +141,11 @@
 
 // ConfigOrder implements View.
 func (v view) ConfigOrder(id string) (result ConfigResult, digest string, known bool) {
-	kept := v.machine.state.settings.orders.byID[id]
-	if kept == nil {
+	order := v.machine.state.settings.orders.byID[id]
+	if order == nil {
 		return ConfigResult{}, "", false
 	}
-	return kept.Result, kept.Digest, true
+	return order.Result, order.Digest, true
 }
 
 // ReleasedWindows implements View.
@@ -103,6 +153,9 @@
 	return slices.Clone(v.machine.state.releasedWindows)
 }
 
+// DrainedZones implements View.
+func (v view) DrainedZones() []string { return v.machine.state.drainedZones }
+
 // QueueCounts implements View.
 func (v view) QueueCounts(queue string) QueueCounts {
 	return countsIn(v.machine.state.queueCounts, queue)
@@ -154,56 +207,3 @@
 
 // Applied implements View.
 func (v view) Applied() uint64 { return v.machine.state.applied }
-
-// View reads the record. It is valid only inside the callback that it was
-// given to. What it returns must not be changed or kept.
-type View interface {
-	// Job returns a live job.
-	Job(id string) (*Job, bool)
-	// Jobs yields live jobs in the order of their ids, from after on.
-	Jobs(after string) iter.Seq[*Job]
-	// Task returns a task of a live job.
-	Task(id TaskID) (*Task, bool)
-	// Worker returns the newest incarnation under a name.
-	Worker(name string) (*Worker, bool)
-	Workers() iter.Seq[*Worker]
-	// OpenRuns yields the open runs on a worker incarnation, and AllOpenRuns
-	// every one, both in the order of their ids.
-	OpenRuns(workerID string) iter.Seq[*Run]
-	AllOpenRuns() iter.Seq[*Run]
-	// UsedResources is the room that open runs take on a worker incarnation.
-	UsedResources(workerID string) api.Resources
-	// Config returns the configuration in force with defaults filled in.
-	Config() (version uint64, config *api.Config)
-	// AcceptedConfig returns the configuration in force as it was given.
-	AcceptedConfig() (version uint64, config *api.Config)
-	// ConfigVersions returns the accepted versions, newest first.
-	ConfigVersions() []api.ConfigVersion
-	// ConfigOrder returns the outcome of a configuration order.
-	ConfigOrder(id string) (result ConfigResult, digest string, known bool)
-	// ReleasedWindows returns the windows given back whose end has not passed,
-	// by end, then by queue, booking and start.
-	ReleasedWindows() []ReleaseWindow
-	// DrainedZones returns the zones drained by an order, by name.
-	DrainedZones() []string
-	// QueueCounts returns what a queue holds.
-	QueueCounts(queue string) QueueCounts
-	// TeamCounts returns what the queues of a team hold together, by the
-	// configuration in force.
-	TeamCounts(team string) QueueCounts
-	// CallerPending counts the waiting tasks of a caller's jobs in a queue.
-	CallerPending(queue, caller string) int
-	// Status builds the answer to a caller, live or archived. reason gives
-	// the text for a task that waits; it may be nil.
-	Status(id string, reason func(*Task) string) (api.JobStatus, bool, error)
-	// StatusWithoutSteps is Status without the steps, at a cost that does not grow with
-	// a live job's size.
-	StatusWithoutSteps(id string) (api.JobStatus, bool, error)
-	// Clock is the greatest command time applied.
-	Clock() Millis
-	// Applied is the index of the last entry applied.
-	Applied() uint64
-}
-
-// DrainedZones implements View.
-func (v view) DrainedZones() []string { return v.machine.state.drainedZones }
