--- a/internal/process/agentprocess/doc.go
+++ b/internal/process/agentprocess/doc.go
@@ -1,4 +1,4 @@
-// Package agentprocess is an agent as a whole process: from its settings it
-// makes package agent, the link to the leader, and what all processes have in
-// common, and runs them until it is told to stop.
+// Package agentprocess runs an agent as a process: from its settings it makes a agent.Agent, a client of
+// the leader and what all processes have in common, and runs them until the process is to
+// stop. It holds no logic of the agent itself.
 package agentprocess
--- a/internal/process/agentprocess/process.go
+++ b/internal/process/agentprocess/process.go
@@ -19,17 +19,17 @@
 // Process is one agent with all its parts.
 type Process struct {
 	*process.LeaderClientBase[settings.Agent]
-	// Agent relays heartbeats.
+	// Agent forwards heartbeats.
 	Agent *agent.Agent
 
 	zone atomic.Pointer[string]
 }
 
-// New makes the parts; none is at work yet.
+// New makes the parts and starts nothing.
 func New(initial settings.Agent, options settings.LoadOptions) (*Process, error) {
 	p := &Process{}
 	p.zone.Store(&initial.Zone)
-	linked, err := process.NewLeaderClientBase(process.LeaderClientConfig[settings.Agent]{
+	base, err := process.NewLeaderClientBase(process.LeaderClientConfig[settings.Agent]{
 		BaseConfig: process.BaseConfig[settings.Agent]{
 			Program: Program,
 			Initial: initial,
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.LeaderClientBase = linked
+	p.LeaderClientBase = base
 	p.Agent, err = agent.New(agent.Config{
 		Name:         initial.Name,
 		Zone:         p.Zone,
@@ -62,7 +62,7 @@
 	return p, nil
 }
 
-// Zone is the zone now in the settings.
+// Zone is the zone in the current settings.
 func (p *Process) Zone() string { return *p.zone.Load() }
 
 // Run serves, on extra listeners too, until the context ends or a signal stops
--- a/internal/process/base.go
+++ b/internal/process/base.go
@@ -14,45 +14,48 @@
 	"github.com/decklever/decklever/internal/telemetry"
 )
 
-// shutdownComponent names in /readyz why a process that stops is not ready.
+// shutdownComponent is the component in /readyz that makes a stopping process not ready.
 const shutdownComponent = "shutdown"
 
-// BaseConfig describes a process; T is its settings. All but Options and Apply
-// is required.
+// BaseConfig describes a process; T is its settings. All fields but Options and Apply are
+// required.
 type BaseConfig[T any] struct {
-	// Program is the program's name.
+	// Program is the name of the program, for the log.
 	Program string
+	// Initial are the settings at the start.
 	Initial T
 	// Options are those that Initial was loaded with.
 	Options settings.LoadOptions
-	// Common returns what all settings have in common.
+	// Common returns the part of the settings that all processes have.
 	Common func(*T) *settings.Common
-	// Apply puts in force what can change while the process runs, besides what
-	// the base sees to itself.
+	// Apply applies changed settings, as far as they can change while the process
+	// runs. Base applies the log level itself.
 	Apply func(T)
 }
 
-// Readiness is the part of a process that /readyz follows.
+// Readiness is the component of a process that /readyz depends on.
 type Readiness struct {
-	// Component names it, Unready says why it is not ready when it is not.
-	Component, Unready string
-	Ready              func() bool
+	Component string
+	// Unready is the reason that /readyz gives while Ready returns false.
+	Unready string
+	Ready   func() bool
 }
 
-// Base is what all processes have in common: logging, health, metrics, and
-// settings that are watched.
+// Base is what all processes have in common: logging, health, metrics, and the watch of
+// their settings. It lives as long as the process; its methods may be called from any
+// goroutine.
 type Base[T any] struct {
 	Logger   *slog.Logger
 	Health   *telemetry.Health
 	Registry *prometheus.Registry
-	// Calls counts the calls that the process makes and serves.
+	// Calls are the metrics of the rpc calls that the process makes and serves.
 	Calls *rpc.Metrics
 
 	config BaseConfig[T]
 	level  *slog.LevelVar
 }
 
-// NewBase makes the parts; none is at work yet.
+// NewBase makes the parts and starts nothing.
 func NewBase[T any](config BaseConfig[T]) (*Base[T], error) {
 	b := &Base[T]{
 		Health:   telemetry.NewHealth(),
@@ -69,8 +72,7 @@
 	return b, nil
 }
 
-// newLogger returns the logger of a process, whose lines below level are left
-// out.
+// newLogger returns the logger of a process, which omits lines below level.
 func newLogger(program string, common *settings.Common, level *slog.LevelVar) *slog.Logger {
 	telemetry.SetLevel(level, common.Log.Level)
 	return telemetry.NewLogger(telemetry.LoggerConfig{
@@ -78,16 +80,16 @@
 	})
 }
 
-// common is what the initial settings have in common with those of others.
+// common is the part of the initial settings that all processes have.
 func (b *Base[T]) common() *settings.Common { return b.config.Common(&b.config.Initial) }
 
 // Status serves health and metrics.
 func (b *Base[T]) Status() http.Handler { return telemetry.Handler(b.Registry, b.Health) }
 
-// Daemon begins the configuration of the process's daemon: its addresses and
-// bounds, and as background the parts given, the watch of the settings, and
-// that of the readiness.
-func (b *Base[T]) Daemon(readiness Readiness, parts ...func(context.Context) error) daemon.Config {
+// Daemon returns the configuration of the process's daemon, but for its handler: address
+// and bounds, and as background tasks those given, the watch of the settings, and that of
+// the readiness.
+func (b *Base[T]) Daemon(readiness Readiness, background ...func(context.Context) error) daemon.Config {
 	common := b.common()
 	watchHealth := func(ctx context.Context) error {
 		return b.Health.Watch(ctx, func() { b.CheckHealth(readiness) })
@@ -95,7 +97,7 @@
 	return daemon.Config{
 		Listen:        common.Listen,
 		Logger:        b.Logger,
-		Background:    append(parts, b.watchSettings, watchHealth),
+		Background:    append(background, b.watchSettings, watchHealth),
 		Stopping:      func() { b.Health.SetReady(shutdownComponent, false, "the process is about to stop") },
 		ShutdownDelay: time.Duration(common.ShutdownDelay),
 		StopTimeout:   time.Duration(common.StopTimeout),
@@ -104,7 +106,7 @@
 	}
 }
 
-// CheckHealth brings /readyz in step with the readiness.
+// CheckHealth updates /readyz from the readiness.
 func (b *Base[T]) CheckHealth(readiness Readiness) {
 	if readiness.Ready() {
 		b.Health.SetReady(readiness.Component, true, "")
@@ -113,7 +115,7 @@
 	b.Health.SetReady(readiness.Component, false, readiness.Unready)
 }
 
-// watchSettings puts changes of the settings file in force.
+// watchSettings applies changes of the settings file.
 func (b *Base[T]) watchSettings(ctx context.Context) error {
 	return settings.Watch(ctx, settings.WatchConfig[T]{
 		Options: b.config.Options,
@@ -123,7 +125,7 @@
 	})
 }
 
-// apply puts in force what can change while the process runs.
+// apply applies what can change while the process runs.
 func (b *Base[T]) apply(changed T) {
 	telemetry.SetLevel(b.level, b.config.Common(&changed).Log.Level)
 	if b.config.Apply != nil {
--- a/internal/process/base_test.go
+++ b/internal/process/base_test.go
@@ -38,13 +38,13 @@
 	base := newTestBase(t, nil)
 	config := base.Daemon(Readiness{Component: "p", Ready: func() bool { return true }}, func(context.Context) error { return nil })
 	if config.Listen != "127.0.0.1:7200" || config.ShutdownDelay != time.Second || config.StopTimeout != 2*time.Second {
-		t.Errorf("listens on %s, stops after %v within %v", config.Listen, config.ShutdownDelay, config.StopTimeout)
+		t.Errorf("listen %s, shutdown delay %v, stop timeout %v", config.Listen, config.ShutdownDelay, config.StopTimeout)
 	}
 	if config.MaxConnections != 70 {
 		t.Errorf("bound to %d connections", config.MaxConnections)
 	}
 	if len(config.Background) != 3 {
-		t.Errorf("%d parts in the background, want the one given and two watches", len(config.Background))
+		t.Errorf("%d background tasks, want the one given and two watches", len(config.Background))
 	}
 }
 
--- a/internal/process/doc.go
+++ b/internal/process/doc.go
@@ -1,8 +1,8 @@
-// Package process makes a whole process of a daemon's parts. It takes the
-// settings that were loaded, and gives the logger, health, metrics and watch of
-// the settings (Base), the link to the leader of those that keep no record
-// (Linked), and the configuration to run it all with package daemon.
+// Package process has what all daemons have in common, from the settings that were loaded
+// to the configuration of package daemon: logger, health, metrics and the watch of the
+// settings (Base), and for daemons without a replica a client of the leader
+// (LeaderClientBase).
 //
-// The packages below it are the daemons of the product; other programs may
-// embed them and add listeners of their own.
+// It holds no state of the service itself. The packages below it are the daemons of the
+// product; other programs may embed them and add listeners of their own.
 package process
--- a/internal/process/frontprocess/process.go
+++ b/internal/process/frontprocess/process.go
@@ -21,10 +21,10 @@
 	Front *front.Front
 }
 
-// New makes the parts; none is at work yet.
+// New makes the parts and starts nothing.
 func New(initial settings.Front, options settings.LoadOptions) (*Process, error) {
 	p := &Process{}
-	linked, err := process.NewLeaderClientBase(process.LeaderClientConfig[settings.Front]{
+	base, err := process.NewLeaderClientBase(process.LeaderClientConfig[settings.Front]{
 		BaseConfig: process.BaseConfig[settings.Front]{
 			Program: Program,
 			Initial: initial,
@@ -33,13 +33,13 @@
 			Apply:   func(changed settings.Front) { p.Front.Apply(liveSettings(changed)) },
 		},
 		Role: "front",
-		// The front bounds each try by its context.
+		// The front bounds each attempt by its context.
 		CallTimeout: front.MaxAttemptDuration + time.Second,
 	})
 	if err != nil {
 		return nil, err
 	}
-	p.LeaderClientBase = linked
+	p.LeaderClientBase = base
 	p.Front, err = front.New(front.Config{
 		Link:       p.Leader,
 		Client:     p.Client,
--- a/internal/process/integration/calls_test.go
+++ b/internal/process/integration/calls_test.go
@@ -13,12 +13,12 @@
 const (
 	attemptTimeout = 400 * time.Millisecond
 	callTimeout    = 1500 * time.Millisecond
-	// retryProbability is how often a caller repeats a call of unknown outcome
-	// rather than leave it open.
+	// retryProbability is that of repeating a call of unknown outcome, rather than
+	// leaving it open.
 	retryProbability = 0.9
 )
 
-// callOutcome tells how a call ended: with an answer, without effect, or unknown.
+// callOutcome is how a call ended: with an answer, without effect, or unknown.
 type callOutcome uint8
 
 const (
@@ -27,15 +27,15 @@
 	outcomeUnknown
 )
 
-// callResult is how a call ended. refusal comes with an answer that refuses; tries
-// is how many of the tries may have had an effect.
+// callResult is the outcome of a call. rejection is set if the answer was one; attempts
+// is how many of the attempts may have had an effect.
 type callResult struct {
 	outcome   callOutcome
 	rejection *api.Error
 	attempts  int
 }
 
-// call tries nodes until one answers.
+// call sends a request to nodes until one answers.
 func call[Request, Answer any](c *caller, method protocol.Method, request Request) (answer Answer, end callResult) {
 	unknown := 0
 	for deadline := time.Now().Add(callTimeout); time.Now().Before(deadline); {
@@ -52,7 +52,7 @@
 		c.target = failure.LeaderAddress
 		if mayHaveEffect(failure) {
 			unknown++
-			c.counts.add("unknown tries")
+			c.counts.add("unknown attempts")
 			if c.random.Float64() > retryProbability {
 				break
 			}
@@ -66,7 +66,7 @@
 	return answer, callResult{outcome: outcomeNoEffect}
 }
 
-// attemptOnce makes one call to one node.
+// attemptOnce sends it to one node.
 func (c *caller) attemptOnce(attempt func(ctx context.Context, address string) error) *rpc.Error {
 	if c.target == "" {
 		c.target = c.nodes[c.random.IntN(len(c.nodes))].address
@@ -101,9 +101,8 @@
 	return failure.API
 }
 
-// resultOf is what a call that may have had an effect came to, in the terms of a
-// model: accepted for an answer without a refusal. A refusal that is not among
-// those expected fails the test.
+// resultOf is the result of a call in terms of a model: accepted for an answer that is no
+// rejection. A rejection that is not expected fails the test.
 func resultOf[Result any](c *caller, what string, end callResult, unknown, accepted Result, refused map[api.ErrorCode]Result) Result {
 	switch {
 	case end.outcome == outcomeUnknown:
--- a/internal/process/integration/linearfaults_test.go
+++ b/internal/process/integration/faults_test.go
@@ -16,8 +16,8 @@
 	hangTime = 1500 * time.Millisecond
 )
 
-// injectFault makes a fault, of each kind in turn, and returns what ends it and how
-// long it is to last.
+// injectFault starts a fault, of each kind in turn, and returns what ends it and how long
+// it is to last.
 func (r *faultRun) injectFault(number int, leader *node) (repair func(), lasts time.Duration) {
 	other := without(r.nodes, leader)[r.random.IntN(2)]
 	kinds := []func() (repair func(), lasts time.Duration){
@@ -33,7 +33,7 @@
 	return kinds[number%len(kinds)]()
 }
 
-// crash stops nodes, and starts them again at the end.
+// crash crashes nodes, and restarts them at the end.
 func (r *faultRun) crash(nodes ...*node) (repair func(), lasts time.Duration) {
 	for _, n := range nodes {
 		n.crash()
@@ -41,7 +41,7 @@
 	return func() { startAll(nodes) }, faultTime
 }
 
-// partition cuts all links between nodes and the others, and among them.
+// partition separates nodes from all others, and from each other.
 func (r *faultRun) partition(nodes ...*node) (repair func(), lasts time.Duration) {
 	for _, n := range nodes {
 		r.links.cutAll(r.linksOf(n)...)
@@ -49,7 +49,7 @@
 	return r.links.heal, faultTime
 }
 
-// partitionOneWay cuts one direction alone, and some callers too.
+// partitionOneWay cuts one direction only, and some callers too.
 func (r *faultRun) partitionOneWay(from, to *node) (repair func(), lasts time.Duration) {
 	cuts := []link{{from: from.name, to: to.name}}
 	for number := range callers / 2 {
@@ -59,13 +59,13 @@
 	return r.links.heal, faultTime
 }
 
-// hangingStore is a store on a disk that at times does not answer.
+// hangingStore is a store whose disk hangs at times.
 type hangingStore struct {
 	*storage.Memory
 	saving sync.Mutex
 }
 
-// hang makes writes wait until release is called.
+// hang blocks writes until release is called.
 func (s *hangingStore) hang() (release func()) {
 	s.saving.Lock()
 	return s.saving.Unlock
--- a/internal/process/integration/fulldisk_test.go
+++ b/internal/process/integration/fulldisk_test.go
@@ -28,7 +28,7 @@
 // boundedStore is a store on a disk that can be full.
 type boundedStore struct {
 	*storage.Memory
-	// full refuses all writes, the others only those of one kind.
+	// full makes all writes fail, the others only those of one kind.
 	full        atomic.Bool
 	noSnapshots atomic.Bool
 	noArchive   atomic.Bool
@@ -152,9 +152,9 @@
 	})
 }
 
-// wantNotParticipating waits until a node's disk has refused a write, and checks that the
-// node goes on running, and neither leads nor counts for the majority: beside it and one
-// other, nothing is acknowledged.
+// wantNotParticipating waits until a write of a node has failed, and checks that the node
+// keeps running, and neither leads nor counts for the quorum: with it and one other,
+// nothing is acknowledged.
 func wantNotParticipating(t *testing.T, full *node, store *boundedStore, nodes []*node) {
 	t.Helper()
 	eventually(t, full.name+" met its full disk", func() bool { return store.refused.Load() > 0 })
@@ -179,11 +179,11 @@
 	stopped.start()
 }
 
-// fullDiskObservation is for how long a full disk is watched.
+// fullDiskObservation is how long a node with a full disk is observed.
 const fullDiskObservation = 1500 * time.Millisecond
 
-// TestFullDisk_FollowerStopsParticipating: it takes no part while its disk is full, and goes on by
-// itself, without a restart, once there is room.
+// TestFullDisk_FollowerStopsParticipating: a follower does not participate while its disk
+// is full, and participates again, without a restart, once there is space.
 func TestFullDisk_FollowerStopsParticipating(t *testing.T) {
 	nodes, stores := boundedNodes(t)
 	ids := submitJobs(t, nodes, "before", 10)
@@ -202,7 +202,7 @@
 	wantJobs(t, full, ids)
 }
 
-// TestFullDisk_StartWaits: a node that is started while its disk is full waits for room.
+// TestFullDisk_StartWaits: a node that is started while its disk is full waits for space.
 func TestFullDisk_StartWaits(t *testing.T) {
 	nodes, stores := boundedNodes(t)
 	ids := submitJobs(t, nodes, "before", 10)
@@ -217,18 +217,18 @@
 	wantJobs(t, full, ids)
 }
 
-// TestFullDisk_StopSucceeds: a node that has no room still ends when it is told to.
+// TestFullDisk_StopSucceeds: a node whose disk is full can be stopped.
 func TestFullDisk_StopSucceeds(t *testing.T) {
 	nodes, stores := boundedNodes(t)
 	full := without(nodes, leaderOf(t, nodes))[0]
 	stores[full].full.Store(true)
 	submitJobs(t, without(nodes, full), "meanwhile", 3)
-	eventually(t, "it met its full disk", func() bool { return stores[full].refused.Load() > 0 })
+	eventually(t, "a write failed", func() bool { return stores[full].refused.Load() > 0 })
 	full.stop()
 }
 
-// TestFullDisk_LeaderLosesLeadership fills the leader's disk while callers submit, and
-// holds that what was acknowledged stays, whoever acknowledged it.
+// TestFullDisk_LeaderLosesLeadership fills the leader's disk while callers submit jobs, and
+// checks that whatever was acknowledged is kept.
 func TestFullDisk_LeaderLosesLeadership(t *testing.T) {
 	nodes, stores := boundedNodes(t)
 	leader := leaderOf(t, nodes)
@@ -272,8 +272,7 @@
 	wantJobs(t, leader, acknowledged)
 }
 
-// TestFullDisk_SnapshotsFail: a snapshot only saves room; without it a replica
-// goes on.
+// TestFullDisk_SnapshotsFail: a snapshot only saves space; without it a replica works on.
 func TestFullDisk_SnapshotsFail(t *testing.T) {
 	nodes, stores := boundedNodes(t)
 	for _, store := range stores {
@@ -296,8 +295,8 @@
 	}
 }
 
-// TestFullDisk_ArchiveFails: an ended job that cannot be kept stops the
-// replica; the others answer for it.
+// TestFullDisk_ArchiveFails: an ended job that cannot be archived stops the replica; the
+// others still have it.
 func TestFullDisk_ArchiveFails(t *testing.T) {
 	nodes, stores := boundedNodes(t)
 	ids := submitJobs(t, nodes, "job", 3)
--- a/internal/process/integration/linear_test.go
+++ b/internal/process/integration/linearizability_test.go
@@ -18,18 +18,18 @@
 
 const (
 	callers = 6
-	// faults is how many are made in one run.
+	// faults is the number of faults in one run.
 	faults = 14
 	// checkTimeout bounds the search for an order of one history.
 	checkTimeout = 20 * time.Second
-	// wrongTimeout bounds it in a history that has none; the calls left open
-	// make many orders to try.
+	// wrongTimeout bounds it in a history that has none; the calls left open allow many
+	// orders.
 	wrongTimeout = 2 * time.Second
 )
 
-// TestCluster_ResponsesLinearizable makes concurrent calls while links are cut,
-// answers lost and leaders stopped, and then looks for one order of all calls,
-// in keeping with their times, that explains every answer.
+// TestCluster_ResponsesLinearizable makes concurrent calls during network partitions, lost
+// answers and crashes of leaders, and then looks for one order of all calls, consistent
+// with their times, that explains every answer.
 func TestCluster_ResponsesLinearizable(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
@@ -102,20 +102,20 @@
 	for number := range faults {
 		leader := leaderOf(r.t, r.nodes)
 		repair, lasts := r.injectFault(number, leader)
-		time.Sleep(lasts) // nothing is concluded from it
+		time.Sleep(lasts) // no result depends on it
 		repair()
 	}
 	leaderOf(r.t, r.nodes)
 }
 
-// wantProgress holds that the run was one of many answers and some losses.
+// wantProgress checks that the run had many answers and some losses.
 func (r *faultRun) wantProgress() {
 	for what, least := range map[string]int{
 		"configuration read":     30,
 		"configuration accepted": 5,
 		"submitted":              20,
 		"job answered":           20,
-		"unknown tries":          3,
+		"unknown attempts":       3,
 	} {
 		if got := r.counts.of(what); got < least {
 			r.t.Errorf("%s: %d, want at least %d", what, got, least)
@@ -147,8 +147,8 @@
 	r.wantWrongHistoryDetected(config)
 }
 
-// wantWrongHistoryDetected checks the check: with the newest read of the configuration
-// answered by the first version, no order that explains the history is found.
+// wantWrongHistoryDetected checks the check: if the newest read of the configuration had
+// returned the first version, no order would explain the history.
 func (r *faultRun) wantWrongHistoryDetected(model porcupine.Model) {
 	wrong := slices.Clone(r.history.config)
 	slices.SortFunc(wrong, func(a, b porcupine.Operation) int { return int(a.Call - b.Call) })
@@ -159,6 +159,6 @@
 		}
 	}
 	if got := porcupine.CheckOperationsTimeout(model, wrong, wrongTimeout); got == porcupine.Ok {
-		r.t.Error("an old read at the end was not noted")
+		r.t.Error("a stale read at the end was not detected")
 	}
 }
--- a/internal/process/integration/node_test.go
+++ b/internal/process/integration/node_test.go
@@ -30,7 +30,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fastTiming makes failovers short; no verdict depends on it.
+// fastTiming makes failovers short; no result depends on it.
 func fastTiming() replica.Timing {
 	return replica.Timing{
 		Tick:               20 * time.Millisecond,
@@ -40,8 +40,8 @@
 	}
 }
 
-// node is a scheduler on a name, an address and a store that outlive its
-// restarts.
+// node is a scheduler whose name, address and store outlive its restarts. It is the
+// fixture of all tests here.
 type node struct {
 	t       *testing.T
 	name    string
@@ -52,11 +52,12 @@
 	snapshotEvery uint64
 	// dialer is nil for plain connections.
 	dialer func(ctx context.Context, network, address string) (net.Conn, error)
-	// bounds are the daemon's, for tests of them, and maxRequest is in bytes.
-	bounds     daemon.Config
+	// bounds are those of the daemon.
+	bounds daemon.Config
+	// maxRequest is in bytes; 0 is the default.
 	maxRequest int64
 
-	// replica is of the newest start.
+	// replica is that of the newest start.
 	replica *replica.Replica
 	cancel  context.CancelFunc
 	ended   chan error // of capacity 1
@@ -83,7 +84,7 @@
 	return nodes
 }
 
-// start runs the node's parts as the program does, until stop or a failure.
+// start runs the node as the program does, until stop or a failure.
 func (n *node) start() {
 	n.t.Helper()
 	client := rpc.NewClient(rpc.ClientConfig{Dialer: n.dialer})
@@ -94,7 +95,7 @@
 		Logger:     logger,
 		Registerer: prometheus.NewRegistry(),
 	})
-	made, err := replica.New(replica.Config{
+	created, err := replica.New(replica.Config{
 		Name:            n.name,
 		Zone:            "zone",
 		Address:         n.address,
@@ -111,14 +112,14 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	service.SetLog(made)
+	service.SetLog(created)
 	server := rpc.NewServer(rpc.ServerConfig{MaxRequestBytes: n.maxRequest})
-	made.Register(server)
+	created.Register(server)
 	service.Register(server)
-	n.replica = made
+	n.replica = created
 	config := n.bounds
 	config.Listen, config.Handler = n.address, server
-	config.Background = []func(context.Context) error{made.Run}
+	config.Background = []func(context.Context) error{created.Run}
 	n.run(config, client.Close)
 }
 
@@ -151,8 +152,8 @@
 	}
 }
 
-// errResultTaken replaces the result of a process once a test has looked at it.
-var errResultTaken = errors.New("already looked at")
+// errResultTaken replaces the result of a process once a test has taken it.
+var errResultTaken = errors.New("result already taken")
 
 // result waits for the end of the process.
 func (n *node) result() error {
@@ -162,12 +163,12 @@
 		n.ended <- errResultTaken
 		return err
 	case <-time.After(waitTimeout):
-		n.t.Fatalf("%s: still runs", n.name)
+		n.t.Fatalf("%s: still running", n.name)
 		return nil
 	}
 }
 
-// crash stops the node without a hand-over and loses what was not synced.
+// crash stops the node without a leadership transfer and loses what was not synced.
 func (n *node) crash() {
 	n.stop()
 	if store, ok := n.store.(interface{ Crash() }); ok {
@@ -181,7 +182,7 @@
 	}
 }
 
-// leads reports whether the node acts under its lease.
+// leads reports whether the node leads under its lease.
 func (n *node) leads() bool {
 	status := n.replica.Status()
 	return status.TermReady && n.replica.HoldsLease(status.Term)
@@ -226,7 +227,7 @@
 	}
 }
 
-// callUntilAnswered calls the nodes in turn until one gives a final answer.
+// callUntilAnswered calls the nodes in turn until one accepts or rejects the request.
 func callUntilAnswered[Request, Answer any](t *testing.T, client *rpc.Client, nodes []*node, method protocol.Method, request Request) (Answer, error) {
 	t.Helper()
 	var answer Answer
--- a/internal/process/linked.go
+++ b/internal/process/leaderclientbase.go
@@ -11,27 +11,27 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// leaderComponent names the link to the leader in /readyz.
+// leaderComponent is the client of the leader in /readyz.
 const leaderComponent = "leader"
 
-// descriptorsPerForwardedRequest is what a request under way takes: the connection that it
-// came by, and one to the leader.
+// descriptorsPerForwardedRequest is the number of file descriptors of a request in flight:
+// the connection that it arrived on, and one to the leader.
 const descriptorsPerForwardedRequest = 2
 
-// LeaderClientConfig describes a process that is linked to the leader; T is its
+// LeaderClientConfig describes a process that is a client of the leader; T is its
 // settings. Role and CallTimeout are required.
 type LeaderClientConfig[T any] struct {
 	BaseConfig[T]
 	// Role is the process's role as the leader knows it.
 	Role string
-	// VersionOnly: the process does not use the configuration's content.
+	// VersionOnly is set if the process needs the version of the configuration only.
 	VersionOnly bool
-	// CallTimeout backs up the bounds of single calls.
+	// CallTimeout bounds every call, beyond the shorter bounds of single calls.
 	CallTimeout time.Duration
 }
 
-// LeaderClientBase is what fronts, agents and relays have in common: a link to the
-// leader, and readiness that follows it.
+// LeaderClientBase is what fronts, agents and relays have in common: a client of the
+// leader, and readiness that depends on it.
 type LeaderClientBase[T any] struct {
 	*Base[T]
 	Client *rpc.Client
@@ -41,7 +41,7 @@
 	seeds  atomic.Pointer[[]string]
 }
 
-// NewLeaderClientBase makes the parts; none is at work yet.
+// NewLeaderClientBase makes the parts and starts nothing.
 func NewLeaderClientBase[T any](config LeaderClientConfig[T]) (*LeaderClientBase[T], error) {
 	l := &LeaderClientBase[T]{config: config}
 	baseConfig := config.BaseConfig
@@ -82,7 +82,7 @@
 	return daemon.Run(ctx, config)
 }
 
-// apply puts in force what can change while the process runs.
+// apply applies what can change while the process runs.
 func (l *LeaderClientBase[T]) apply(changed T) {
 	common := l.config.Common(&changed)
 	l.seeds.Store(&common.Seeds)
@@ -92,7 +92,7 @@
 	}
 }
 
-// readiness follows the link to the leader.
+// readiness is true while the leader answers.
 func (l *LeaderClientBase[T]) readiness() Readiness {
 	return Readiness{
 		Component: leaderComponent,
--- a/internal/process/schedulerprocess/doc.go
+++ b/internal/process/schedulerprocess/doc.go
@@ -1,5 +1,7 @@
-// Package schedulerprocess is a scheduler as a whole process: from its settings
-// it opens the data folder and connects the replica, the record and the acting
-// scheduler. A gateway makes operators' calls from within it. On a machine
-// without a data folder it is a Relay, which keeps no record.
+// Package schedulerprocess runs a scheduler as a process: from its settings it opens the
+// data folder and connects the replica, the record and the scheduler.Service, which acts
+// while the replica leads. A gateway lets operators call any scheduler. Without a data
+// folder the process is a Relay, which has no replica.
+//
+// It sets what holds for the process as a whole: GOMAXPROCS and the GC percentage.
 package schedulerprocess
--- a/internal/process/schedulerprocess/gateway.go
+++ b/internal/process/schedulerprocess/gateway.go
@@ -11,9 +11,9 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// NewGateway makes a front inside this process that reaches the leader as the
-// replica knows it, so that calls which come to any scheduler are carried to
-// the one that acts. It uses the process's connections, which Run closes.
+// NewGateway makes a front inside this process that gets the leader's address from the
+// replica, so that calls to any scheduler are forwarded to the one that leads. Run closes
+// its client.
 func (p *Process) NewGateway() (*front.Front, error) {
 	client := rpc.NewClient(rpc.ClientConfig{Timeout: front.MaxAttemptDuration + time.Second, Dialer: rpc.DialFrom(p.initial.Source)})
 	gateway, err := front.New(front.Config{Link: replicaLeaderSource{p.replica}, Client: client, Logger: p.base.Logger})
@@ -25,7 +25,7 @@
 	return gateway, nil
 }
 
-// replicaLeaderSource is a front's link to the leader that asks the replica beside it.
+// replicaLeaderSource lets a front get the leader's address from the replica.
 type replicaLeaderSource struct{ replica *replica.Replica }
 
 // Leader implements front.Link.
--- a/internal/process/schedulerprocess/gateway_test.go
+++ b/internal/process/schedulerprocess/gateway_test.go
@@ -12,8 +12,8 @@
 	"github.com/decklever/decklever/internal/settings"
 )
 
-// TestGateway_ForwardsCallsToLeader, and an extra listener serves beside it
-// until the process ends.
+// TestGateway_ForwardsCallsToLeader also checks that an extra listener serves beside the
+// gateway until the process ends.
 func TestGateway_ForwardsCallsToLeader(t *testing.T) {
 	p, err := New(schedulerSettings(t, t.TempDir()), settings.LoadOptions{})
 	if err != nil {
--- a/internal/process/schedulerprocess/garbage.go
+++ b/internal/process/schedulerprocess/gcpercent.go
@@ -6,9 +6,8 @@
 	"github.com/decklever/decklever/internal/replica"
 )
 
-// withGCPercent lets garbage be collected, while the process leads, when what was
-// allocated anew is so many percent of what is in use; 0 changes nothing. Serving
-// calls leaves much garbage and little in use, and a leader does most of it.
+// withGCPercent sets the GC percentage while lead runs; 0 changes nothing. Serving calls
+// leaves much garbage and little live memory, and a leader serves most of them.
 func withGCPercent(percent int, lead func(replica.Leadership)) func(replica.Leadership) {
 	if percent == 0 {
 		return lead
--- a/internal/process/schedulerprocess/garbage_test.go
+++ b/internal/process/schedulerprocess/gcpercent_test.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/internal/replica"
 )
 
-// currentGCPercent reads what is in force.
+// currentGCPercent reads the GC percentage.
 func currentGCPercent() int {
 	percent := debug.SetGCPercent(100)
 	debug.SetGCPercent(percent)
--- a/internal/process/schedulerprocess/process.go
+++ b/internal/process/schedulerprocess/process.go
@@ -23,26 +23,26 @@
 const (
 	// Program is the name of the product's program.
 	Program = "decklever-scheduler"
-	// logComponent names the replicated log in /readyz.
+	// logComponent is the replicated log in /readyz.
 	logComponent = "log"
 )
 
-// Process is one scheduler with all its parts.
+// Process is one scheduler with all its parts. It lives for one Run.
 type Process struct {
 	initial settings.Scheduler
 	base    *process.Base[settings.Scheduler]
-	// wallOffset is added to the wall clock, for trials.
+	// wallOffset, in nanoseconds, is added to the wall clock; it is for tests.
 	wallOffset atomic.Int64
 	store      storage.Store
 	client     *rpc.Client
 	replica    *replica.Replica
 	calls      *rpc.Server
 	handler    http.Handler
-	// gatewayClients are closed at the end.
+	// gatewayClients are closed at the end of Run.
 	gatewayClients []*rpc.Client
 }
 
-// New opens the data folder and makes the parts; none is at work yet.
+// New opens the data folder, makes the parts and starts nothing.
 func New(initial settings.Scheduler, options settings.LoadOptions) (*Process, error) {
 	p := &Process{initial: initial}
 	config := baseConfig(initial, options)
@@ -73,7 +73,7 @@
 	}
 }
 
-// assemble connects the record, the replica and the acting scheduler.
+// assemble connects the record, the replica and the service that acts while it leads.
 func (p *Process) assemble(store storage.Store) error {
 	p.store = store
 	off, err := featuregate.Parse(p.initial.Experiment.Off)
@@ -89,14 +89,14 @@
 		Logger:       p.base.Logger,
 		Registerer:   p.base.Registry,
 	})
-	made, err := replica.New(p.replicaConfig(withGCPercent(p.initial.LeaderGCPercent, service.Lead)))
+	created, err := replica.New(p.replicaConfig(withGCPercent(p.initial.LeaderGCPercent, service.Lead)))
 	if err != nil {
 		return fmt.Errorf("make the replica: %w", err)
 	}
-	p.replica = made
-	service.SetLog(made)
+	p.replica = created
+	service.SetLog(created)
 	server := rpc.NewServer(rpc.ServerConfig{Logger: p.base.Logger, Metrics: p.base.Calls})
-	made.Register(server)
+	created.Register(server)
 	service.Register(server)
 	p.calls = server
 	p.handler = routes(server, p.base.Status())
@@ -148,7 +148,7 @@
 func (p *Process) SetHandler(handler http.Handler) { p.handler = handler }
 
 // Run serves, on extra listeners too, until the context ends or a signal stops
-// the process. Leadership is handed over first.
+// the process. Before it stops serving, the replica transfers leadership and voter slot.
 func (p *Process) Run(ctx context.Context, extra ...daemon.Listener) error {
 	defer setProcessors(p.initial.Processors)()
 	config := p.base.Daemon(p.readiness(), p.replica.Run)
@@ -163,7 +163,7 @@
 	return errors.Join(err, p.store.Close())
 }
 
-// apply puts in force what can change while the process runs.
+// apply applies what can change while the process runs.
 func (p *Process) apply(changed settings.Scheduler) {
 	p.setWallOffset(changed)
 	p.replica.SetSeeds(changed.Seeds)
--- a/internal/process/schedulerprocess/process_test.go
+++ b/internal/process/schedulerprocess/process_test.go
@@ -21,9 +21,9 @@
 // waitTimeout bounds waits for a condition; none takes nearly as long.
 const waitTimeout = 60 * time.Second
 
-// schedulerSettings returns the settings of a cluster of one on a data folder. A stop
-// waits for the sync under way, which may take seconds on a busy disk, and no
-// test here is about how long it takes.
+// schedulerSettings returns the settings of a single scheduler on a data folder. A stop
+// waits for the sync in progress, which may take seconds on a busy disk; no test here is
+// about how long.
 func schedulerSettings(t *testing.T, directory string) settings.Scheduler {
 	t.Helper()
 	address := testaddress.New(t)
@@ -40,7 +40,7 @@
 	return loaded
 }
 
-// runScheduler runs the program's parts as main does, until ctx ends.
+// runScheduler runs the process as main does, until ctx ends.
 func runScheduler(ctx context.Context, t *testing.T, initial settings.Scheduler) (code int, stderr string, err error) {
 	t.Helper()
 	command := &cobra.Command{Use: Program, RunE: func(command *cobra.Command, _ []string) error {
@@ -92,8 +92,8 @@
 // logSegment is the only file of a short log.
 const logSegment = "log-0000000000000001.wal"
 
-// TestStart_DamagedFileFails: whichever file is damaged, the program ends with
-// exit code 1 and one line that names the file, and leaves the file alone.
+// TestStart_DamagedFileFails: whichever file is damaged, the program ends with exit code 1
+// and one line that names the file, and does not change the file.
 func TestStart_DamagedFileFails(t *testing.T) {
 	intact := t.TempDir()
 	createDataDirectory(t, intact)
@@ -103,10 +103,10 @@
 			return content
 		}
 	}
-	// The mark of closing is the last record, and has no payload.
+	// The record of an orderly close is the last one, and has no payload.
 	flipLastRecord := func(content []byte) []byte {
-		const markSize = 26
-		content[len(bytes.TrimRight(content, "\x00"))-markSize-2] ^= 0x10
+		const closeRecordSize = 26
+		content[len(bytes.TrimRight(content, "\x00"))-closeRecordSize-2] ^= 0x10
 		return content
 	}
 	half := func(content []byte) []byte { return content[:len(content)/2] }
@@ -169,6 +169,7 @@
 	}
 }
 
+// wantStartFails checks the exit code and that the error names the file at path.
 func wantStartFails(t *testing.T, directory, path string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
@@ -178,6 +179,6 @@
 		t.Fatalf("exit code %d with %v, want %d with %v", code, err, daemon.ExitFailure, storage.ErrCorrupt)
 	}
 	if strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, path) {
-		t.Errorf("said %q, want one line that names %s", stderr, path)
+		t.Errorf("stderr %q, want one line that names %s", stderr, path)
 	}
 }
--- a/internal/process/schedulerprocess/processors.go
+++ b/internal/process/schedulerprocess/processors.go
@@ -2,18 +2,17 @@
 
 import "runtime"
 
-// minProcessors is how many goroutines must be able to run at once in a process
-// that syncs files: a thread inside a sync may keep its processor until the sync
-// ends, and with only one all other work of the process stands still meanwhile.
+// minProcessors is the least GOMAXPROCS of a process that syncs files: a thread inside a
+// sync may keep its processor until the sync ends, and with only one processor no other
+// goroutine runs meanwhile.
 const minProcessors = 2
 
-// setProcessors sets how many goroutines run at once (GOMAXPROCS) and returns a
-// function that sets it back. With 0 it is what the runtime chose, minProcessors
-// at least.
-func setProcessors(wanted int) (restore func()) {
-	if wanted == 0 {
-		wanted = max(runtime.GOMAXPROCS(0), minProcessors)
+// setProcessors sets GOMAXPROCS and returns a function that restores it. With 0 it is what
+// the runtime chose, but at least minProcessors.
+func setProcessors(count int) (restore func()) {
+	if count == 0 {
+		count = max(runtime.GOMAXPROCS(0), minProcessors)
 	}
-	before := runtime.GOMAXPROCS(wanted)
+	before := runtime.GOMAXPROCS(count)
 	return func() { runtime.GOMAXPROCS(before) }
 }
--- a/internal/process/schedulerprocess/processors_test.go
+++ b/internal/process/schedulerprocess/processors_test.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	// heartbeatingWorkers send a heartbeat each heartbeatInterval, so that some are under way in
-	// each sync.
+	// heartbeatingWorkers send a heartbeat each heartbeatInterval, so that some are in
+	// flight during each sync.
 	heartbeatingWorkers = 20
 	heartbeatInterval   = 10 * time.Millisecond
 	// heartbeatDuration is how long heartbeats are sent.
 	heartbeatDuration = 2 * time.Second
-	// minServedSyncPercent is the least share of the syncs during which heartbeats are answered,
-	// in percent; with one processor there is none.
+	// minServedSyncPercent is the least percentage of syncs during which heartbeats are
+	// answered; with one processor it is 0.
 	minServedSyncPercent = 25
 	// maxMedianResponse is the bound on the median of heartbeats that wait for no commit.
 	maxMedianResponse = 25 * time.Millisecond
@@ -62,7 +62,7 @@
 	return s.Memory.Save(hardState, entries, sync)
 }
 
-// newTestProcess makes the process of a scheduler on a store.
+// newTestProcess makes the process of a scheduler with a given store.
 func newTestProcess(t *testing.T, initial settings.Scheduler, store storage.Store) *Process {
 	t.Helper()
 	base, err := process.NewBase(baseConfig(initial, settings.LoadOptions{}))
@@ -90,16 +90,16 @@
 	})
 }
 
-// heartbeatingWorker is a worker whose tasks end at once.
+// heartbeatingWorker is a worker whose tasks succeed at once.
 type heartbeatingWorker struct {
 	client    *rpc.Client
 	heartbeat api.Heartbeat
-	// took are the times of answers to heartbeats without a report.
+	// took are the durations of heartbeats without a report.
 	took     []time.Duration
 	answered *atomic.Int64
 }
 
-// sendHeartbeat exchanges one heartbeat and runs what it is told to start.
+// sendHeartbeat exchanges one heartbeat and ends the tasks that it is to start.
 func (w *heartbeatingWorker) sendHeartbeat(ctx context.Context, address string) {
 	w.heartbeat.Seq++
 	began := time.Now()
@@ -121,7 +121,7 @@
 	}
 }
 
-// load is what a test does to a leader while its disk syncs.
+// load is the load on a leader while its disk syncs.
 type load struct {
 	t        *testing.T
 	client   *rpc.Client
@@ -141,9 +141,9 @@
 	return l
 }
 
-// run sends heartbeats and hands in jobs, for a time.
-func (l *load) run(address string, lasting time.Duration) {
-	ctx, cancel := context.WithTimeout(l.t.Context(), lasting)
+// run sends heartbeats and submits jobs for a time.
+func (l *load) run(address string, duration time.Duration) {
+	ctx, cancel := context.WithTimeout(l.t.Context(), duration)
 	defer cancel()
 	var running sync.WaitGroup
 	for _, worker := range l.workers {
@@ -158,7 +158,7 @@
 	running.Wait()
 }
 
-// submitJobs hands in one small job after the other.
+// submitJobs submits one small job after the other.
 func (l *load) submitJobs(ctx context.Context, address string) {
 	task := api.TaskSpec{Service: "s", Resources: api.Resources{CPUMillis: 100, MemoryMB: 10}}
 	for number := 0; ctx.Err() == nil; number++ {
@@ -170,7 +170,7 @@
 	}
 }
 
-// configure puts a configuration in force; the leader may still have to be elected.
+// configure puts a configuration; it waits until a leader is elected.
 func (l *load) configure(address string) {
 	l.t.Helper()
 	request := protocol.PutConfigRequest{OrderID: "order-1", Config: api.Config{Queues: []api.QueueConfig{{Name: "q"}}}}
@@ -185,7 +185,7 @@
 	}
 }
 
-// median of the answers' times.
+// median is that of the durations of all workers.
 func (l *load) median() time.Duration {
 	var all []time.Duration
 	for _, worker := range l.workers {
@@ -198,15 +198,15 @@
 	return all[len(all)/2]
 }
 
-// useOneProcessor has the test begin as a process on a machine of one core does.
+// useOneProcessor runs the test as on a machine with one core.
 func useOneProcessor(t *testing.T) {
 	t.Helper()
 	before := runtime.GOMAXPROCS(1)
 	t.Cleanup(func() { runtime.GOMAXPROCS(before) })
 }
 
-// TestProcessors_HeartbeatsAnsweredDuringDiskSync: on one core, with a disk that is nearly
-// always in a sync, heartbeats go on during the syncs, and nobody is taken for silent.
+// TestProcessors_HeartbeatsAnsweredDuringDiskSync: on one core, with a disk that syncs
+// nearly all the time, heartbeats are answered during the syncs, and no lease expires.
 func TestProcessors_HeartbeatsAnsweredDuringDiskSync(t *testing.T) {
 	for _, syncTakes := range []time.Duration{4 * time.Millisecond, 9 * time.Millisecond} {
 		t.Run(syncTakes.String(), func(t *testing.T) {
@@ -223,7 +223,7 @@
 	}
 }
 
-// checkHeartbeatsDuringSyncs holds what was seen of heartbeats and syncs against the bounds.
+// checkHeartbeatsDuringSyncs compares what was observed with the bounds.
 func checkHeartbeatsDuringSyncs(t *testing.T, l *load, store *blockingStore) {
 	t.Helper()
 	syncs, served := store.syncs.Load(), store.served.Load()
@@ -236,7 +236,7 @@
 	}
 }
 
-// checkHeartbeatsOfAll: no run was taken back from a worker.
+// checkHeartbeatsOfAll checks that no run was revoked for missed heartbeats.
 func checkHeartbeatsOfAll(t *testing.T, p *Process) {
 	t.Helper()
 	const name = "decklever_scheduler_runs_withdrawn_total"
@@ -262,19 +262,19 @@
 	return made
 }
 
-// TestProcessors_NewLeaderServesDuringDiskSync: a follower on such a machine that takes over
-// serves as a leader does that began there.
+// TestProcessors_NewLeaderServesDuringDiskSync: a follower on such a machine that becomes
+// leader serves as well as one that started there.
 func TestProcessors_NewLeaderServesDuringDiskSync(t *testing.T) {
 	useOneProcessor(t)
 	l := newLoad(t)
 	store := &blockingStore{Memory: storage.NewMemory(1), syncTakes: 4 * time.Millisecond, answered: &l.answered}
 	var processes []*Process
 	for i, initial := range clusterSettings(t, 3) {
-		var chosen storage.Store = store
+		var ownStore storage.Store = store
 		if i > 0 {
-			chosen = storage.NewMemory(int64(i + 1))
+			ownStore = storage.NewMemory(int64(i + 1))
 		}
-		processes = append(processes, newTestProcess(t, initial, chosen))
+		processes = append(processes, newTestProcess(t, initial, ownStore))
 		runProcess(t, processes[i])
 	}
 	l.configure(leaderAmong(t, processes).initial.Listen)
@@ -302,6 +302,6 @@
 			}
 		}
 	}
-	t.Fatal("nobody leads")
+	t.Fatal("there is no leader")
 	return nil
 }
--- a/internal/process/schedulerprocess/relay.go
+++ b/internal/process/schedulerprocess/relay.go
@@ -14,33 +14,33 @@
 	"github.com/decklever/decklever/internal/settings"
 )
 
-// relayRole is the role under which a relay watches the leader.
+// relayRole is the role of a relay as the leader knows it.
 const relayRole = "relay"
 
-// Relay is a scheduler on a machine without a data folder: it keeps no record,
-// never votes, and passes operators' calls to the leader.
+// Relay is a scheduler without a data folder: it has no replica, so it never votes, and
+// forwards operators' calls to the leader.
 type Relay struct {
 	*process.LeaderClientBase[settings.Scheduler]
-	// Gateway makes the calls.
+	// Gateway forwards the calls.
 	Gateway *front.Front
 	handler http.Handler
 }
 
-// NewRelay makes the parts; none is at work yet.
+// NewRelay makes the parts and starts nothing.
 func NewRelay(initial settings.Scheduler, options settings.LoadOptions) (*Relay, error) {
 	r := &Relay{}
-	linked, err := process.NewLeaderClientBase(process.LeaderClientConfig[settings.Scheduler]{
+	base, err := process.NewLeaderClientBase(process.LeaderClientConfig[settings.Scheduler]{
 		BaseConfig: baseConfig(initial, options),
 		Role:       relayRole,
 		// As in every gateway, the limits are the defaults.
 		VersionOnly: true,
-		// The gateway bounds each try by its context.
+		// The gateway bounds each attempt by its context.
 		CallTimeout: front.MaxAttemptDuration + time.Second,
 	})
 	if err != nil {
 		return nil, err
 	}
-	r.LeaderClientBase = linked
+	r.LeaderClientBase = base
 	r.Gateway, err = front.New(front.Config{Link: r.Leader, Client: r.Client, Logger: r.Logger})
 	if err != nil {
 		return nil, fmt.Errorf("make the gateway: %w", err)
--- a/internal/process/schedulerprocess/relay_test.go
+++ b/internal/process/schedulerprocess/relay_test.go
@@ -10,8 +10,8 @@
 	"github.com/decklever/decklever/internal/settings"
 )
 
-// TestRelay_ForwardsCallsAndDoesNotDelayBootstrap: a cluster whose seeds name a relay
-// forms without it, and a configuration put through the relay is taken.
+// TestRelay_ForwardsCallsAndDoesNotDelayBootstrap: a cluster whose seeds name a relay is
+// created without it, and a configuration put through the relay is accepted.
 func TestRelay_ForwardsCallsAndDoesNotDelayBootstrap(t *testing.T) {
 	replica := schedulerSettings(t, t.TempDir())
 	relay := schedulerSettings(t, t.TempDir())
@@ -28,21 +28,21 @@
 		t.Fatal(err)
 	}
 	running.Go(func() { _ = scheduler.Run(ctx) })
-	relaying, err := NewRelay(relay, settings.LoadOptions{})
+	forwarder, err := NewRelay(relay, settings.LoadOptions{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	running.Go(func() { _ = relaying.Run(ctx) })
+	running.Go(func() { _ = forwarder.Run(ctx) })
 
 	config := api.Config{Queues: []api.QueueConfig{{Name: "q"}}}
 	deadline := time.Now().Add(waitTimeout)
 	for {
-		status, refusal := relaying.Gateway.PutConfig(ctx, "order-1", 0, config)
+		status, refusal := forwarder.Gateway.PutConfig(ctx, "order-1", 0, config)
 		if refusal == nil && status.Version == 1 {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the relay carries no call: %v", refusal)
+			t.Fatalf("the relay forwards no call: %v", refusal)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
