--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -7,6 +7,7 @@
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/indexheap"
+	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -176,7 +177,7 @@
 		if w.backfillFor != nil || !c.fitsOnceRunsEnd(w) {
 			continue
 		}
-		one := backfillCandidate{worker: w, lacks: normalizedSize(lacking(c.key.need, c.availableOn(w)), e.workers.largest)}
+		one := backfillCandidate{worker: w, lacks: resources.NormalizedSize(resources.Lacking(c.key.need, c.availableOn(w)), e.workers.largest)}
 		if len(least) == maxBackfillCandidates && one.lacks >= least[maxBackfillCandidates-1].lacks {
 			continue
 		}
--- a/internal/placement/classes.go
+++ b/internal/placement/classes.go
@@ -8,6 +8,7 @@
 	"strings"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -191,7 +192,7 @@
 	if !bound {
 		return w.free
 	}
-	return smallestOf(w.free, slack)
+	return resources.Min(w.free, slack)
 }
 
 // fitsOn reports whether the class fits on a worker of its pool now, outside
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -119,7 +120,7 @@
 		if total >= enough {
 			break
 		}
-		here := fitCountOn(c.key.need, w.Capacity.Sub(w.longRunning), enough-total)
+		here := resources.FitCount(c.key.need, w.Capacity.Sub(w.longRunning), enough-total)
 		if c.spread != nil && here > 0 {
 			here = takeFromDomain(left, c.spread, &w.Worker, here)
 		}
--- a/internal/placement/gangpreemption.go
+++ b/internal/placement/gangpreemption.go
@@ -1,5 +1,7 @@
 package placement
 
+import "github.com/decklever/decklever/internal/placement/resources"
+
 // gangPreemption is a group's seats, as nominated runs, and the runs that would
 // have to stop. All of it can be undone.
 type gangPreemption struct {
@@ -68,7 +70,7 @@
 		if w.restricted && !c.key.untilCancelled {
 			continue
 		}
-		here := fitCountOn(c.key.need, w.freeOnceStopped().Add(w.preemptible), enough-total)
+		here := resources.FitCount(c.key.need, w.freeOnceStopped().Add(w.preemptible), enough-total)
 		if c.spread != nil && here > 0 {
 			here = takeFromDomain(left, c.spread, &w.Worker, here)
 		}
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
-	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/indexheap"
+	"github.com/decklever/decklever/internal/placement/resources"
 )
 
 // gangState is what a lane keeps if it holds the members of a group.
@@ -132,7 +132,7 @@
 			return 0
 		}
 	}
-	return uint64(fitCountOn(c.key.need, c.availableWithNominated(w), math.MaxInt32) + c.freeSlots(w.slots))
+	return uint64(resources.FitCount(c.key.need, c.availableWithNominated(w), math.MaxInt32) + c.freeSlots(w.slots))
 }
 
 // awaitLimit keeps a group out of passes until the queue or its team may run
@@ -318,7 +318,7 @@
 		if total >= enough {
 			return enough
 		}
-		here := min(fitCountOn(c.key.need, c.availableOn(w), enough-total), c.maxRunsOn(w))
+		here := min(resources.FitCount(c.key.need, c.availableOn(w), enough-total), c.maxRunsOn(w))
 		if c.spread != nil && here > 0 {
 			here = takeFromDomain(left, c.spread, &w.Worker, here)
 		}
@@ -355,23 +355,3 @@
 	left[domain] -= taken
 	return taken
 }
-
-// fitCountOn counts how often need fits in free, up to enough.
-func fitCountOn(need, free api.Resources, enough int) int {
-	if !fits(need, free) {
-		return 0
-	}
-	times := min(
-		quotient(need.CPUMillis, free.CPUMillis),
-		quotient(need.MemoryMB, free.MemoryMB),
-		quotient(need.Accelerators, free.Accelerators),
-	)
-	return int(min(times, int64(enough)))
-}
-
-func quotient(need, free int64) int64 {
-	if need <= 0 {
-		return math.MaxInt64
-	}
-	return free / need
-}
--- a/internal/placement/headroom.go
+++ b/internal/placement/headroom.go
@@ -1,6 +1,9 @@
 package placement
 
-import "github.com/decklever/decklever/api"
+import (
+	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/resources"
+)
 
 // Headroom: work of a queue that has it takes room that leaves its share of a
 // worker free, wherever there is such room. Where there is none it waits if its
@@ -63,14 +66,14 @@
 	if !ok {
 		return false
 	}
-	least := percentOf(room.capacity, highUtilizationPercent)
+	least := resources.Percent(room.capacity, highUtilizationPercent)
 	return exceeds(room.used.CPUMillis, least.CPUMillis) && exceeds(room.used.MemoryMB, least.MemoryMB)
 }
 
 // isProcessorBound reports whether the service is short of processors, whatever its memory.
 func (c *utilization) isProcessorBound(service string) bool {
 	room, ok := c.services[service]
-	return ok && exceeds(room.used.CPUMillis, percentOf(room.capacity, highUtilizationPercent).CPUMillis)
+	return ok && exceeds(room.used.CPUMillis, resources.Percent(room.capacity, highUtilizationPercent).CPUMillis)
 }
 
 // exceeds holds for a room that no worker has as well.
@@ -101,7 +104,7 @@
 	if c.key.headroom == 0 || c.ignoresHeadroom {
 		return true
 	}
-	wanted := c.key.need.Add(percentOf(w.Capacity, c.key.headroom))
+	wanted := c.key.need.Add(resources.Percent(w.Capacity, c.key.headroom))
 	return fits(wanted, w.free) || !fits(wanted, w.Capacity)
 }
 
@@ -130,13 +133,6 @@
 	}
 }
 
-// percentOf is a share of a room, in hundredths.
-func percentOf(room api.Resources, percent int) api.Resources {
-	const whole = 100
-	part := func(amount int64) int64 { return amount * int64(percent) / whole }
-	return api.Resources{CPUMillis: part(room.CPUMillis), MemoryMB: part(room.MemoryMB), Accelerators: part(room.Accelerators)}
-}
-
 // headrooms are those of the queues that have one.
 func (e *Engine) headrooms() map[string]int {
 	headrooms := map[string]int{}
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"slices"
+
+	"github.com/decklever/decklever/internal/placement/resources"
 )
 
 // nomination is a task, or a group whole, that is promised room which preempted runs
@@ -114,7 +116,7 @@
 // worker and slice.
 func (e *Engine) breaksRule(r *run, member *waiting) bool {
 	c := member.class
-	if !c.pool.matches(r.worker) || isNegative(r.worker.freeOnceStopped()) || !c.stillAdmits(r.worker) {
+	if !c.pool.matches(r.worker) || resources.IsNegative(r.worker.freeOnceStopped()) || !c.stillAdmits(r.worker) {
 		return true
 	}
 	if c.spread != nil && !c.spread.holds(&r.worker.Worker) {
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"slices"
+
+	"github.com/decklever/decklever/internal/placement/resources"
 )
 
 // pass is one call of Plan.
@@ -174,5 +176,5 @@
 
 // roomOf is the room that a task of the class takes.
 func (e *Engine) classSize(c *equivalenceClass) float64 {
-	return normalizedSize(c.key.need, e.workers.largest)
+	return resources.NormalizedSize(c.key.need, e.workers.largest)
 }
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -304,7 +305,7 @@
 			}
 		}
 	}
-	return largestFirst(candidates, lacking(need, room), enough)
+	return largestFirst(candidates, resources.Lacking(need, room), enough)
 }
 
 // largestFirst takes the victims that give most of what is lacking, then
@@ -315,7 +316,7 @@
 	}
 	bySize := slices.Clone(candidates)
 	slices.SortStableFunc(bySize, func(a, b *run) int {
-		return cmp.Compare(normalizedSize(smallestOf(b.need, lacks), lacks), normalizedSize(smallestOf(a.need, lacks), lacks))
+		return cmp.Compare(resources.NormalizedSize(resources.Min(b.need, lacks), lacks), resources.NormalizedSize(resources.Min(a.need, lacks), lacks))
 	})
 	count := 1
 	for !enough(bySize[:count]...) {
--- a/internal/placement/preferredlabels.go
+++ b/internal/placement/preferredlabels.go
@@ -4,6 +4,7 @@
 	"maps"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -91,5 +92,5 @@
 	if !w.preferred || len(spec.Prefer) > 0 && hasLabels(&w.Worker, spec.Prefer) {
 		return true
 	}
-	return fits(spec.Resources.Add(percentOf(w.Capacity, preferredReservePercent)), w.free)
+	return fits(spec.Resources.Add(resources.Percent(w.Capacity, preferredReservePercent)), w.free)
 }
--- a/internal/placement/profile.go
+++ b/internal/placement/profile.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -112,7 +113,7 @@
 	slack := w.Capacity
 	for _, s := range w.slots {
 		if s.reservation.openAt(moment) {
-			slack = slack.Sub(times(s.reservation.SlotSize, s.slots))
+			slack = slack.Sub(resources.Times(s.reservation.SlotSize, s.slots))
 		}
 	}
 	for r := range w.runs {
@@ -129,7 +130,7 @@
 	slack := without.addNeedAt(w.slackAt(r.Start), r.Start)
 	for _, p := range w.profile {
 		if r.openAt(p.at) {
-			slack = smallestOf(slack, without.addNeedAt(p.slack, p.at))
+			slack = resources.Min(slack, without.addNeedAt(p.slack, p.at))
 		}
 	}
 	return slack
@@ -153,15 +154,7 @@
 			slack, bound = w.profile[i].slack, true
 			continue
 		}
-		slack = smallestOf(slack, w.profile[i].slack)
+		slack = resources.Min(slack, w.profile[i].slack)
 	}
 	return slack, bound
 }
-
-func times(amount api.Resources, count int) api.Resources {
-	return api.Resources{
-		CPUMillis:    amount.CPUMillis * int64(count),
-		MemoryMB:     amount.MemoryMB * int64(count),
-		Accelerators: amount.Accelerators * int64(count),
-	}
-}
--- a/internal/placement/property_reservation_test.go
+++ b/internal/placement/property_reservation_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -48,7 +49,7 @@
 		}
 		openNow[r.ID] = true
 		if s.WorkerID == w.ID {
-			slack = slack.Sub(times(r.SlotSize, s.Slots))
+			slack = slack.Sub(resources.Times(r.SlotSize, s.Slots))
 		}
 	}
 	for id, p := range m.open {
@@ -275,7 +276,7 @@
 		r := m.reservation(s.Reservation)
 		for _, start := range m.starts(s.WorkerID) {
 			slack := m.slack(m.workers[s.WorkerID], start, record.TaskID{})
-			if s.Used < s.Slots && r.Start <= start && start < r.End && isNegative(slack) {
+			if s.Used < s.Slots && r.Start <= start && start < r.End && resources.IsNegative(slack) {
 				t.Fatalf("%v has no room at %d: %v", s, start, slack)
 			}
 		}
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"github.com/decklever/decklever/internal/featuregate"
+	"github.com/decklever/decklever/internal/placement/resources"
 )
 
 // Costs of a worker for a task, by what the task would rather not have. Each is
@@ -169,7 +170,7 @@
 		}
 		// Counted up to twice what is wanted: enough to tell a tight domain
 		// from a roomy one.
-		here := fitCountOn(c.key.need, c.availableOn(w), 2*wanted)
+		here := resources.FitCount(c.key.need, c.availableOn(w), 2*wanted)
 		if c.spread != nil {
 			here = takeFromDomain(left, c.spread, &w.Worker, here)
 		}
--- a/internal/placement/reasons.go
+++ b/internal/placement/reasons.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -89,7 +90,7 @@
 			continue
 		}
 		guarded = false
-		most = largestOf(most, candidate.free)
+		most = resources.Max(most, candidate.free)
 		roomy = roomy || fits(c.key.need, candidate.free)
 		if until := c.reservedUntil(candidate); until > 0 && (reserved == 0 || until < reserved) {
 			reserved = until
@@ -272,7 +273,7 @@
 	}), spec.Spread)
 	var most api.Resources
 	for i := range matching {
-		most = largestOf(most, matching[i].Capacity)
+		most = resources.Max(most, matching[i].Capacity)
 	}
 	return "no worker is large enough: " + shortage(spec.Resources, most, "largest has")
 }
--- a/internal/placement/reservedslots.go
+++ b/internal/placement/reservedslots.go
@@ -5,6 +5,7 @@
 	"container/heap"
 	"slices"
 
+	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -123,7 +124,7 @@
 // that are not in use, and of these the window that starts last first.
 func (e *Engine) dropUnsupportedSlots(w *worker) {
 	for at := 0; at < len(w.profile); {
-		if !isNegative(w.profile[at].slack) {
+		if !resources.IsNegative(w.profile[at].slack) {
 			at++
 			continue
 		}
@@ -247,8 +248,8 @@
 	}
 	return slotCandidate{
 		worker:    w,
-		preempted: normalizedSize(lacking(r.SlotSize, slack.Sub(w.preemptible)), e.workers.largest),
-		room:      normalizedSize(slack, e.workers.largest),
+		preempted: resources.NormalizedSize(resources.Lacking(r.SlotSize, slack.Sub(w.preemptible)), e.workers.largest),
+		room:      resources.NormalizedSize(slack, e.workers.largest),
 	}, true
 }
 
--- a/internal/placement/workers.go
+++ b/internal/placement/workers.go
@@ -6,6 +6,7 @@
 	"sort"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/resources"
 )
 
 // maxIdlePools bounds the pools kept though no waiting task uses them, so
@@ -185,17 +186,17 @@
 	w.version++
 	w.free = w.freeNow()
 	if w.stopping != (api.Resources{}) || w.nominated != (api.Resources{}) {
-		w.free = smallestOf(w.free, w.freeOnceStopped())
+		w.free = resources.Min(w.free, w.freeOnceStopped())
 	}
-	w.freeSize = normalizedSize(w.free, x.largest)
+	w.freeSize = resources.NormalizedSize(w.free, x.largest)
 	w.unreserved, w.unreservedSize = w.free, w.freeSize
 	if len(w.profile) == 0 {
 		return
 	}
 	for i := range w.profile {
-		w.unreserved = smallestOf(w.unreserved, w.profile[i].slack)
+		w.unreserved = resources.Min(w.unreserved, w.profile[i].slack)
 	}
-	w.unreservedSize = normalizedSize(w.unreserved, x.largest)
+	w.unreservedSize = resources.NormalizedSize(w.unreserved, x.largest)
 }
 
 func (x *workerIndex) addChanged(w *worker) {
@@ -224,7 +225,7 @@
 	x.stale = false
 	var largest api.Resources
 	for _, w := range x.byID {
-		largest = largestOf(largest, w.Capacity)
+		largest = resources.Max(largest, w.Capacity)
 	}
 	if largest == x.largest {
 		return
