--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -221,7 +221,7 @@
 
 // isProcessorBound reports whether the class's service is short of processors.
 func (c *equivalenceClass) isProcessorBound() bool {
-	return c.utilization.isProcessorBound(c.key.selector.service)
+	return c.utilization.IsProcessorBound(c.key.selector.service)
 }
 
 // search is the one for a lane's first task, or for its group, while workers are
--- a/internal/placement/classes.go
+++ b/internal/placement/classes.go
@@ -9,6 +9,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/placement/resources"
+	"github.com/decklever/decklever/internal/placement/utilization"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -71,7 +72,7 @@
 	// now points to the engine's time.
 	now *record.Millis
 	// utilization points to the engine's.
-	utilization *utilization
+	utilization *utilization.Table
 }
 
 // canonicalLabels is the same text for equal labels. Lengths keep apart what
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -6,6 +6,8 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/featuregate"
+	"github.com/decklever/decklever/internal/placement/preferredlabels"
+	"github.com/decklever/decklever/internal/placement/utilization"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -57,9 +59,9 @@
 	// anyHeadroom is set while a queue leaves headroom.
 	anyHeadroom bool
 	// preferredLabels are the labels that tasks have preferred lately.
-	preferredLabels preferredLabels
+	preferredLabels *preferredlabels.Set
 	// utilization is as of the start of the pass, and what it has placed since.
-	utilization *utilization
+	utilization *utilization.Table
 	// anyDeferences is set while a queue was told to yield.
 	anyDeferences bool
 	// backfillReserved are the workers with backfillFor, between two passes.
@@ -130,8 +132,8 @@
 		teams:   map[string]*team{},
 		victims: map[int]int{},
 
-		preferredLabels: newPreferredLabels(),
-		utilization:     newUtilization(),
+		preferredLabels: preferredlabels.New(),
+		utilization:     utilization.New(),
 		maxPreemptions:  defaultMaxPreemptions,
 	}
 }
@@ -175,7 +177,7 @@
 		s.count(w, -count)
 	}
 	e.workers.set(w, to)
-	w.preferred = e.preferredLabels.matches(w)
+	w.preferred = e.preferredLabels.Matches(w.Labels)
 	for s, count := range runs {
 		s.count(w, count)
 		activateStep(s)
@@ -306,7 +308,7 @@
 	w := &waiting{Task: task, class: e.joinClass(&task)}
 	e.waiting[task.ID] = w
 	if !e.off.Has(featuregate.PreferredShare) {
-		e.preferredLabels.record(task.Spec, e.now)
+		e.preferredLabels.Record(task.Spec.Prefer, e.now)
 	}
 	e.enqueue(w)
 }
--- a/internal/placement/headroom.go
+++ b/internal/placement/headroom.go
@@ -1,83 +1,13 @@
 package placement
 
 import (
-	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
-// Headroom: work of a queue that has it takes room that leaves its share of a
-// worker free, wherever there is such room. Where there is none it waits if its
-// service is crowded, and takes any room if not, as nothing urgent can be short of
-// room then.
-
-// highUtilizationPercent is the share of a service's room, in hundredths, from which it is
-// crowded.
-const highUtilizationPercent = 60
-
-// utilization tells which services are crowded.
-type utilization struct {
-	// services are by service; that of "" is the room of all workers.
-	services map[string]*serviceUsage
-}
-
-// serviceUsage is the room of all workers of a service, whether or not they take
-// work, and what open runs take of it.
-type serviceUsage struct {
-	capacity, used api.Resources
-}
-
-func newUtilization() *utilization { return &utilization{services: map[string]*serviceUsage{}} }
-
-// recount works all rooms out anew.
-func (c *utilization) recount(workers map[string]*worker) {
-	clear(c.services)
-	for _, w := range workers {
-		if !w.known {
-			continue
-		}
-		c.add(w, w.Capacity, w.used)
-	}
-}
-
-// take counts a run that a pass has placed on the worker.
-func (c *utilization) addRun(w *worker, need api.Resources) { c.add(w, api.Resources{}, need) }
-
-// add counts in every room that the worker belongs to.
-func (c *utilization) add(w *worker, capacity, used api.Resources) {
-	c.addTo("", capacity, used)
-	for _, service := range w.Services {
-		c.addTo(service, capacity, used)
-	}
-}
-
-func (c *utilization) addTo(service string, capacity, used api.Resources) {
-	room, ok := c.services[service]
-	if !ok {
-		room = &serviceUsage{}
-		c.services[service] = room
-	}
-	room.capacity = room.capacity.Add(capacity)
-	room.used = room.used.Add(used)
-}
-
-// crowded reports whether the service is short of processors and of memory.
-func (c *utilization) isHigh(service string) bool {
-	room, ok := c.services[service]
-	if !ok {
-		return false
-	}
-	least := resources.Percent(room.capacity, highUtilizationPercent)
-	return exceeds(room.used.CPUMillis, least.CPUMillis) && exceeds(room.used.MemoryMB, least.MemoryMB)
-}
-
-// isProcessorBound reports whether the service is short of processors, whatever its memory.
-func (c *utilization) isProcessorBound(service string) bool {
-	room, ok := c.services[service]
-	return ok && exceeds(room.used.CPUMillis, resources.Percent(room.capacity, highUtilizationPercent).CPUMillis)
-}
-
-// exceeds holds for a room that no worker has as well.
-func exceeds(used, least int64) bool { return used > least || least == 0 }
+// Headroom: tasks of a queue that has it are placed where they leave its share of the
+// worker free, wherever there is such a worker. Where there is none, they wait if their
+// service is highly utilized, and take any free capacity if not: nothing urgent can be
+// short of capacity then.
 
 // waitsForHeadroom reports whether tasks of the class wait if no room leaves
 // headroom. Those that run until cancelled never do.
@@ -123,6 +53,16 @@
 	return e.anyHeadroom || e.anyDeferences || len(e.workers.restricted) > 0 || e.gangDrain != nil
 }
 
+// recountUtilization counts the capacity and the usage of all workers anew.
+func (e *Engine) recountUtilization() {
+	e.utilization.Reset()
+	for _, w := range e.workers.byID {
+		if w.known {
+			e.utilization.AddWorker(w.Services, w.Capacity, w.used)
+		}
+	}
+}
+
 // activateDeferredByUtilization looks again at classes whose service was crowded when they were
 // blocked, and no longer is.
 func (e *Engine) activateDeferredByUtilization() {
--- a/internal/placement/longrunning.go
+++ b/internal/placement/longrunning.go
@@ -28,7 +28,7 @@
 
 // isHighlyUtilized reports whether the class's service is short of room.
 func (c *equivalenceClass) isHighlyUtilized() bool {
-	return c.utilization.isHigh(c.key.selector.service)
+	return c.utilization.IsHigh(c.key.selector.service)
 }
 
 // fitsOnAnyTerms reports whether the class fits on a worker of its pool now, if no
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -23,7 +23,7 @@
 	e.workers.refresh()
 	e.refreshPreferredWorkers()
 	if e.needsUtilization() {
-		e.utilization.recount(e.workers.byID)
+		e.recountUtilization()
 		e.activateDeferredByUtilization()
 	}
 	p := &pass{engine: e, limit: limit, allowance: newAllowance()}
@@ -101,7 +101,7 @@
 func (p *pass) recordDecision(placed *waiting, opened *run) {
 	on := opened.worker
 	if p.engine.needsUtilization() {
-		p.engine.utilization.addRun(on, opened.need)
+		p.engine.utilization.AddRun(on.Services, opened.need)
 	}
 	p.decisions = append(p.decisions, Decision{
 		Task:     placed.ID,
--- a/internal/placement/preferredlabels_test.go
+++ b/internal/placement/preferredreserve_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"github.com/decklever/decklever/internal/placement/preferredlabels"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -48,22 +49,22 @@
 	e.Add(first)
 	e.Plan(1)
 	e.Release(first.ID)
-	e.SetTime(1 + 2*preferredLabelTTL)
+	e.SetTime(1 + 2*preferredlabels.TTL)
 	for i := range 10 {
 		e.Add(testTask("others", i, 10))
 	}
 	expect(t, "runs", countBy(e, name), map[string]int{"a": 10})
-	expect(t, "labels kept", len(e.preferredLabels.until), 0)
+	expect(t, "labels kept", e.preferredLabels.Len(), 0)
 }
 
 func TestPreferredLabels_AreBounded(t *testing.T) {
 	e := newEngine()
-	for i := range 2 * maxPreferredLabels {
+	for i := range 2 * preferredlabels.Max {
 		task := testTask("j", i, 10)
 		task.Spec.Prefer = map[string]string{"rack": record.TaskID{Job: "rack", Index: i}.String()}
 		e.Add(task)
 	}
-	expect(t, "labels kept", len(e.preferredLabels.until), maxPreferredLabels)
+	expect(t, "labels kept", e.preferredLabels.Len(), preferredlabels.Max)
 }
 
 // TestLocalityWait_WaitsForPreferredRack: and takes any other worker once it waits no more.
--- a/internal/placement/property_longrunning_test.go
+++ b/internal/placement/property_longrunning_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/utilization"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -262,7 +263,7 @@
 		}
 	}
 	isShort := func(used, capacity int64) bool {
-		return used > capacity*highUtilizationPercent/100 || capacity*highUtilizationPercent/100 == 0
+		return used > capacity*utilization.HighPercent/100 || capacity*utilization.HighPercent/100 == 0
 	}
 	return isShort(used.CPUMillis, capacity.CPUMillis) && isShort(used.MemoryMB, capacity.MemoryMB)
 }
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -50,7 +50,7 @@
 // hasPreferences reports whether the task may have to look past the first worker.
 func (e *Engine) hasPreferences(task *Task) bool {
 	return len(task.Avoid) > 0 || task.Colocate != "" || task.StepSize > 1 ||
-		len(task.Spec.Prefer) > 0 || len(e.preferredLabels.until) > 0 || e.workers.slow > 0 || len(e.workers.restricted) > 0
+		len(task.Spec.Prefer) > 0 || e.preferredLabels.Len() > 0 || e.workers.slow > 0 || len(e.workers.restricted) > 0
 }
 
 // fullest returns the worker that a task which waits takes, or nil: of those
