--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -154,7 +154,7 @@
 	var least record.Millis
 	for _, candidate := range c.backfillCandidates(e) {
 		w := candidate.worker
-		at := w.shadowTime(c.key.need, e.now)
+		at := w.shadowTime(c.key.need, e.clock.now)
 		if best == nil || cmp.Or(cmp.Compare(at, least), compareName(w, best)) < 0 {
 			best, least = w, at
 		}
--- a/internal/placement/classes.go
+++ b/internal/placement/classes.go
@@ -69,8 +69,7 @@
 	lastFitCount fitCount
 	// bookings are the reservations whose slices the class may use.
 	reservations []*reservation
-	// now points to the engine's time.
-	now *record.Millis
+	clock        *clock
 	// utilization points to the engine's.
 	utilization *utilization.Table
 }
@@ -105,7 +104,7 @@
 		key.duration = durationOf(spec)
 		key.selector.byUnreserved = key.duration == 0
 	}
-	if q, known := e.queues[task.Queue]; known {
+	if q, known := e.queues.byName[task.Queue]; known {
 		if q.hasReservation {
 			key.queue = task.Queue
 		}
@@ -149,7 +148,7 @@
 		subQueues:     map[*subQueue]struct{}{},
 		awaitingGangs: map[*subQueue]uint64{},
 		activateAt:    math.MaxUint64,
-		now:           &e.now,
+		clock:         e.clock,
 
 		utilization: e.utilization,
 	}
@@ -189,7 +188,7 @@
 	if c.key.duration == 0 {
 		return w.unreserved
 	}
-	slack, bound := w.slackUntil(*c.now + c.key.duration)
+	slack, bound := w.slackUntil(c.clock.now + c.key.duration)
 	if !bound {
 		return w.free
 	}
--- a/internal/placement/deference.go
+++ b/internal/placement/deference.go
@@ -4,21 +4,6 @@
 	"github.com/decklever/decklever/api"
 )
 
-// SetDeferences implements Planner.
-func (e *Engine) SetDeferences(deferences []Deference) {
-	e.anyDeferences = len(deferences) > 0
-	for _, q := range e.queues {
-		q.defersTo = nil
-	}
-	for _, deference := range deferences {
-		q := e.queue(deference.Queue)
-		q.defersTo = make(map[*queue]bool, len(deference.To))
-		for _, to := range deference.To {
-			q.defersTo[e.queue(to)] = true
-		}
-	}
-}
-
 // HasFreeCapacity implements Planner.
 func (e *Engine) HasFreeCapacity(spec *api.TaskSpec) bool {
 	for _, w := range e.workers.byID {
@@ -30,14 +15,6 @@
 	return false
 }
 
-// fairShare sums up queues with BySlack.
-type fairShare struct{ running, weight int }
-
-func (s *fairShare) add(q *queue) {
-	s.running += q.running
-	s.weight += q.rule.Weight
-}
-
 // competingQueues are the lines of one level that share by slack, for one pass; none while no
 // queue yields and no worker is kept.
 type competingQueues struct {
@@ -53,7 +30,7 @@
 // competingQueuesIn finds the rivals of a level.
 func (e *Engine) competingQueuesIn(lv *priorityLevel) *competingQueues {
 	found := &competingQueues{backfillReserved: e.takeBackfillReservations(lv)}
-	if !e.anyDeferences && len(found.backfillReserved) == 0 {
+	if !e.queues.anyDeferences && len(found.backfillReserved) == 0 {
 		return found
 	}
 	for _, l := range lv.queues {
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -26,22 +26,18 @@
 // Engine implements Planner and Booker. It is not safe for concurrent use.
 type Engine struct {
 	// off are the mechanisms that are switched off.
-	off featuregate.DisabledSet
-	// now is the cluster time as last told.
-	now     record.Millis
+	off     featuregate.DisabledSet
+	clock   *clock
 	workers workerIndex
 	classes map[classKey]*equivalenceClass
 	steps   map[record.StepID]*step
-	queues  map[string]*queue
+	queues  *queueTable
 	// levels are ordered by priority, highest first.
 	levels []*priorityLevel
 	// groups are the lanes of groups by Task.Group.
 	gangs   map[string]*subQueue
 	waiting map[record.TaskID]*waiting
 	runs    map[record.TaskID]*run
-	// passes counts calls of Plan.
-	passes uint64
-	teams  map[string]*team
 	// reservations are ordered by the start of their windows.
 	reservations []*reservation
 	// nominations are promised room, in the order in which they are placed.
@@ -56,14 +52,10 @@
 	// preemptRetries are blocked lanes, in the order in which they get another
 	// trial to preempt; unfinished are those that the last pass had no time for.
 	preemptRetries, overAllowance []*subQueue
-	// anyHeadroom is set while a queue leaves headroom.
-	anyHeadroom bool
 	// preferredLabels are the labels that tasks have preferred lately.
 	preferredLabels *preferredlabels.Set
 	// utilization is as of the start of the pass, and what it has placed since.
 	utilization *utilization.Table
-	// anyDeferences is set while a queue was told to yield.
-	anyDeferences bool
 	// backfillReserved are the workers with backfillFor, between two passes.
 	backfillReserved []*worker
 	// backfillBlocked are lanes that the last pass held back for the kept workers.
@@ -125,11 +117,11 @@
 		workers: newWorkerIndex(),
 		classes: map[classKey]*equivalenceClass{},
 		steps:   map[record.StepID]*step{},
-		queues:  map[string]*queue{},
+		clock:   &clock{},
+		queues:  newQueueTable(),
 		gangs:   map[string]*subQueue{},
 		waiting: map[record.TaskID]*waiting{},
 		runs:    map[record.TaskID]*run{},
-		teams:   map[string]*team{},
 		victims: map[int]int{},
 
 		preferredLabels: preferredlabels.New(),
@@ -138,31 +130,20 @@
 	}
 }
 
-// SetQueues implements Planner. A queue that is not named has weight 1 and no
-// bound.
+// SetQueues implements Planner. A queue that is not named has weight 1 and no bound.
 func (e *Engine) SetQueues(rules []QueueRule) {
-	before := e.headrooms()
-	for name, q := range e.queues {
-		q.rule = QueueRule{Name: name, Weight: 1}
-	}
-	for _, rule := range rules {
-		rule.Weight = max(rule.Weight, 1)
-		e.queue(rule.Name).rule = rule
-	}
-	for _, q := range e.queues {
-		e.joinTeam(q)
-		q.activateGangs()
-	}
-	for _, t := range e.teams {
-		t.activateGangs()
-	}
-	after := e.headrooms()
-	e.anyHeadroom = len(after) > 0
-	if !maps.Equal(before, after) {
-		e.reclassify(func(task *Task) bool { return before[task.Queue] != after[task.Queue] })
+	changed := e.queues.setRules(rules)
+	if len(changed) > 0 {
+		e.reclassify(func(task *Task) bool { return changed[task.Queue] })
 	}
 }
 
+// SetTeams implements ReservationPlanner. A team that is not named has no bound.
+func (e *Engine) SetTeams(rules []TeamRule) { e.queues.setTeamRules(rules) }
+
+// SetDeferences implements Planner.
+func (e *Engine) SetDeferences(deferences []Deference) { e.queues.setDeferences(deferences) }
+
 // SetWorker implements Planner.
 func (e *Engine) SetWorker(to Worker) {
 	w := e.workers.get(to.ID)
@@ -239,10 +220,10 @@
 	to := placementTarget{worker: e.workers.get(workerID)}
 	started := task.StartedAt
 	if started == 0 {
-		started = e.now
+		started = e.clock.now
 	}
 	e.newRun(&task, to, started, false)
-	if e.queue(task.Queue).hasReservation {
+	if e.queues.get(task.Queue).hasReservation {
 		// It may fill a slice that is still looking for a worker.
 		e.workers.addChanged(to.worker)
 	}
@@ -274,7 +255,9 @@
 }
 
 // open takes room for a run that starts now.
-func (e *Engine) open(task *Task, to placementTarget) *run { return e.newRun(task, to, e.now, false) }
+func (e *Engine) open(task *Task, to placementTarget) *run {
+	return e.newRun(task, to, e.clock.now, false)
+}
 
 // close gives back the room of a run; it is the exact reverse of newRun.
 func (e *Engine) close(r *run) {
@@ -308,7 +291,7 @@
 	w := &waiting{Task: task, class: e.joinClass(&task)}
 	e.waiting[task.ID] = w
 	if !e.off.Has(featuregate.PreferredShare) {
-		e.preferredLabels.Record(task.Spec.Prefer, e.now)
+		e.preferredLabels.Record(task.Spec.Prefer, e.clock.now)
 	}
 	e.enqueue(w)
 }
--- a/internal/placement/engine_test.go
+++ b/internal/placement/engine_test.go
@@ -189,7 +189,7 @@
 	expect(t, "hold takes it out", e.Waiting(), 0)
 	e.RemoveWorker("w-1")
 	e.RemoveWorker("w-1")
-	expect(t, "runs forgotten", len(e.runs)+e.queue("q").running+len(e.steps), 0)
+	expect(t, "runs forgotten", len(e.runs)+e.queues.get("q").running+len(e.steps), 0)
 	e.Remove(record.TaskID{Job: "unknown"})
 	e.Release(record.TaskID{Job: "unknown"})
 }
--- a/internal/placement/feasibility.go
+++ b/internal/placement/feasibility.go
@@ -51,8 +51,3 @@
 
 // isUsable reports whether the worker may get new runs.
 func isUsable(worker *worker) bool { return worker.known && worker.Usable }
-
-// withinQueueLimit reports whether the queue may open count more runs.
-func withinQueueLimit(queue *queue, count int) bool {
-	return queue.rule.MaxRunning <= 0 || queue.running+count <= queue.rule.MaxRunning
-}
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -38,8 +38,8 @@
 // is whole.
 func (p *pass) drainForGang() {
 	e := p.engine
-	isRested := e.passes > e.lastDrainPass+1
-	if e.gangDrain == nil && isRested && e.passes%gangDrainSearchInterval == 0 {
+	isRested := e.clock.pass > e.lastDrainPass+1
+	if e.gangDrain == nil && isRested && e.clock.pass%gangDrainSearchInterval == 0 {
 		e.startGangDrain()
 	}
 	g := e.gangDrain
@@ -55,7 +55,7 @@
 			continue
 		}
 		if to, found := e.findTarget(member); found {
-			g.runs[member] = e.newRun(&member.Task, to, e.now, true)
+			g.runs[member] = e.newRun(&member.Task, to, e.clock.now, true)
 		}
 	}
 	if len(g.runs) == len(g.gang.tasks) {
@@ -65,17 +65,17 @@
 
 // hasDrainExpired reports whether the group must give up, or gathers in vain.
 func (e *Engine) hasDrainExpired(g *gangDrain) bool {
-	if e.passes-g.since > gangDrainMaxPasses || e.passes%gangDrainSearchInterval == 0 && !g.gang.fitsOnIdleWorkers() {
+	if e.clock.pass-g.since > gangDrainMaxPasses || e.clock.pass%gangDrainSearchInterval == 0 && !g.gang.fitsOnIdleWorkers() {
 		return true
 	}
-	return e.now-g.startedAt > gangDrainLowUtilizationLimit && slices.ContainsFunc(g.gang.members, func(m memberCount) bool { return !m.class.isHighlyUtilized() })
+	return e.clock.now-g.startedAt > gangDrainLowUtilizationLimit && slices.ContainsFunc(g.gang.members, func(m memberCount) bool { return !m.class.isHighlyUtilized() })
 }
 
 // startGangDrain picks the group that waits longest, of the highest priority.
 func (e *Engine) startGangDrain() {
 	var longest *subQueue
 	for _, l := range e.gangs {
-		if l.unschedulableSince == 0 || e.passes-l.unschedulableSince < gangDrainAfterPasses || !l.complete() || !e.canDrainFor(l) {
+		if l.unschedulableSince == 0 || e.clock.pass-l.unschedulableSince < gangDrainAfterPasses || !l.complete() || !e.canDrainFor(l) {
 			continue
 		}
 		if longest == nil || l.drainsBefore(longest) {
@@ -84,7 +84,7 @@
 	}
 	if longest != nil {
 		longest.deactivate()
-		e.gangDrain = &gangDrain{gang: longest, since: e.passes, startedAt: e.now, runs: map[*waiting]*run{}}
+		e.gangDrain = &gangDrain{gang: longest, since: e.clock.pass, startedAt: e.clock.now, runs: map[*waiting]*run{}}
 	}
 }
 
@@ -146,8 +146,8 @@
 // stopGangDrain gives the room back.
 func (e *Engine) stopGangDrain() {
 	g := e.gangDrain
-	e.gangDrain, e.lastDrainPass = nil, e.passes
-	g.gang.unschedulableSince = e.passes
+	e.gangDrain, e.lastDrainPass = nil, e.clock.pass
+	g.gang.unschedulableSince = e.clock.pass
 	for _, member := range e.placementOrder(g.members()) {
 		e.end(g.runs[member])
 	}
--- a/internal/placement/gangpreemption.go
+++ b/internal/placement/gangpreemption.go
@@ -105,7 +105,7 @@
 	t.spent.spend(&chosen)
 	t.victims = append(t.victims, e.stop(chosen.victims, member.ID)...)
 	t.stopped = append(t.stopped, chosen.victims...)
-	t.runs = append(t.runs, e.newRun(&member.Task, chosen.to, e.now, true))
+	t.runs = append(t.runs, e.newRun(&member.Task, chosen.to, e.clock.now, true))
 	return t.spent.preemptions >= 0 && t.spent.reserved >= 0
 }
 
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -186,7 +186,7 @@
 	}
 	if found.opened == nil {
 		l.awaitFits(found)
-		l.recordUnschedulableSince(p.engine.passes)
+		l.recordUnschedulableSince(p.engine.clock.pass)
 		return p.preemptForGang(l)
 	}
 	opened := found.opened
@@ -298,10 +298,10 @@
 // shrinks during a pass, so that many groups of one class cost one count.
 func (e *Engine) fitCount(c *equivalenceClass, enough int) int {
 	last := &c.lastFitCount
-	if last.pass == e.passes && last.fits < last.enough {
+	if last.pass == e.clock.pass && last.fits < last.enough {
 		return min(last.fits, enough)
 	}
-	c.lastFitCount = fitCount{pass: e.passes, enough: enough, version: c.pool.version}
+	c.lastFitCount = fitCount{pass: e.clock.pass, enough: enough, version: c.pool.version}
 	c.lastFitCount.fits = c.fitCount(enough)
 	return c.lastFitCount.fits
 }
--- a/internal/placement/headroom.go
+++ b/internal/placement/headroom.go
@@ -50,7 +50,7 @@
 
 // needsUtilization reports whether anything depends on which services are crowded.
 func (e *Engine) needsUtilization() bool {
-	return e.anyHeadroom || e.anyDeferences || len(e.workers.restricted) > 0 || e.gangDrain != nil
+	return e.queues.anyHeadroom || e.queues.anyDeferences || len(e.workers.restricted) > 0 || e.gangDrain != nil
 }
 
 // recountUtilization counts the capacity and the usage of all workers anew.
@@ -72,14 +72,3 @@
 		}
 	}
 }
-
-// headrooms are those of the queues that have one.
-func (e *Engine) headrooms() map[string]int {
-	headrooms := map[string]int{}
-	for name, q := range e.queues {
-		if q.rule.Headroom != 0 {
-			headrooms[name] = q.rule.Headroom
-		}
-	}
-	return headrooms
-}
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -123,7 +123,7 @@
 		return true
 	}
 	if r.inReservation {
-		return r.slot == nil || !r.slot.reservation.openAt(e.now)
+		return r.slot == nil || !r.slot.reservation.openAt(e.clock.now)
 	}
 	return !e.respectsReservedSlots(r, member)
 }
@@ -134,7 +134,7 @@
 	if r.preemptible {
 		return true
 	}
-	end := endOf(e.now, member.Spec)
+	end := endOf(e.clock.now, member.Spec)
 	for _, p := range r.worker.profile {
 		if p.at < end && !fits(r.need, r.addNeedAt(p.slack, p.at)) {
 			return false
@@ -155,7 +155,7 @@
 		}
 		e.workers.updateRun(r, func() {
 			r.nominated = false
-			r.startAt(e.now, u.members[i].Spec)
+			r.startAt(e.clock.now, u.members[i].Spec)
 		})
 		e.countVictim(r, 1)
 	}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -19,7 +19,7 @@
 // Plan implements Planner. Pending slices come first, so that room goes to
 // them before other work takes it; then the tasks that were promised room.
 func (e *Engine) Plan(limit int) []Decision {
-	e.passes++
+	e.clock.pass++
 	e.workers.refresh()
 	e.refreshPreferredWorkers()
 	if e.needsUtilization() {
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -117,7 +117,7 @@
 	}
 	p.allowance.spend(&found)
 	victims := p.engine.stop(found.victims, first.ID)
-	r := p.engine.newRun(&first.Task, found.to, p.engine.now, true)
+	r := p.engine.newRun(&first.Task, found.to, p.engine.clock.now, true)
 	p.engine.nominate([]*waiting{first}, []*run{r}, victims)
 }
 
@@ -239,7 +239,7 @@
 	}
 	end := forever
 	if c.key.duration > 0 {
-		end = *c.now + c.key.duration
+		end = c.clock.now + c.key.duration
 	}
 	slack, bound := w.slackUntil(end)
 	return !bound || fits(c.key.need, slack)
--- a/internal/placement/preferredreserve.go
+++ b/internal/placement/preferredreserve.go
@@ -17,7 +17,7 @@
 
 // refreshPreferredWorkers records on each worker whether a label of it is preferred.
 func (e *Engine) refreshPreferredWorkers() {
-	if !e.preferredLabels.Refresh(e.now) {
+	if !e.preferredLabels.Refresh(e.clock.now) {
 		return
 	}
 	for _, w := range e.workers.byID {
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -1,227 +1,171 @@
 package placement
 
-import (
-	"cmp"
-	"container/heap"
-	"slices"
-
-	"github.com/decklever/decklever/internal/indexheap"
-	"github.com/decklever/decklever/internal/record"
-)
+import "cmp"
 
 // queue is a queue's rule and its open runs.
 type queue struct {
-	rule    QueueRule
+	rule QueueRule
+	// running counts open and nominated runs.
 	running int
 	// team is nil if the queue is of no team.
 	team *team
-	// booked is set while a window of the queue is kept.
+	// hasReservation is set while room is reserved for a window of the queue.
 	hasReservation bool
 	// defersTo are the queues that go first while this one has more than its share.
 	defersTo map[*queue]bool
-	// groups are those parked until a run of the queue ends or its rule changes.
+	// awaitingGangs are those that wait until a run of the queue ends or its rule
+	// changes.
 	awaitingGangs map[*subQueue]struct{}
 }
 
-// priorityLevel holds all that waits with one priority.
-type priorityLevel struct {
-	priority int
-	queues   []*priorityQueue
-}
-
-// line holds all that waits in one queue with one priority.
-type priorityQueue struct {
-	level     *priorityLevel
-	queue     *queue
-	subQueues map[*equivalenceClass]*subQueue
-	// groups counts the lanes of groups.
-	gangCount int
-	// active holds the lanes to look at, lowest Sequence first.
-	active indexheap.Heap[*subQueue]
+// queueTable owns the rules and the counts of queues and teams. Queues and teams are
+// made when they are first named, and never dropped: their number is that of names
+// in the configuration.
+type queueTable struct {
+	byName map[string]*queue
+	teams  map[string]*team
+	// anyHeadroom is set while a queue leaves headroom, anyDeferences while one was
+	// told to defer to others.
+	anyHeadroom, anyDeferences bool
 }
 
-// lane holds the tasks of one class, or the members of one group, in a line.
-type subQueue struct {
-	parent *priorityQueue
-	// equivalenceClass is nil for a group, group is empty for a class.
-	class *equivalenceClass
-	gang  string
-	tasks indexheap.Heap[*waiting]
-	// position is the index in line.ready; indexheap.None when it is not there.
-	position int
-	// inPreemptRetries is set while the lane is listed in Engine.preemptRetries;
-	// mayPreemptNow lets it try to preempt in this pass though its class is blocked.
-	inPreemptRetries, mayPreemptNow bool
-	// gangState is used for groups only.
-	gangState
+func newQueueTable() *queueTable {
+	return &queueTable{byName: map[string]*queue{}, teams: map[string]*team{}}
 }
 
-// waiting is a task that waits.
-type waiting struct {
-	Task
-	class *equivalenceClass
-	// lane is nil while the task is nominated, unit otherwise.
-	subQueue   *subQueue
-	nomination *nomination
-	// position is the index in lane.tasks.
-	position int
-}
-
-// Before implements indexheap.Item: the lane with the first task first.
-func (l *subQueue) Before(other *subQueue) bool {
-	return compareWaiting(l.tasks[0], other.tasks[0]) < 0
-}
-
-// SetPosition implements indexheap.Item.
-func (l *subQueue) SetPosition(position int) { l.position = position }
-
-// Before implements indexheap.Item: the first task first.
-func (w *waiting) Before(other *waiting) bool { return compareWaiting(w, other) < 0 }
-
-// SetPosition implements indexheap.Item.
-func (w *waiting) SetPosition(position int) { w.position = position }
-
 func newQueue(name string) *queue {
 	return &queue{rule: QueueRule{Name: name, Weight: 1}, awaitingGangs: map[*subQueue]struct{}{}}
 }
 
-// queue returns the queue of that name; one without a rule has weight 1 and
-// no bound.
-func (e *Engine) queue(name string) *queue {
-	if found, ok := e.queues[name]; ok {
+// get returns the queue of that name; one without a rule has weight 1 and no bound.
+func (t *queueTable) get(name string) *queue {
+	if found, ok := t.byName[name]; ok {
 		return found
 	}
 	made := newQueue(name)
-	e.queues[name] = made
+	t.byName[name] = made
 	return made
 }
 
-// wake makes groups that the limit held back ready to be looked at again.
-func (q *queue) activateGangs() {
-	for l := range q.awaitingGangs {
-		l.activate()
+// setRules replaces the rules of all queues. It returns the queues whose headroom
+// changed: their tasks are of other classes now.
+func (t *queueTable) setRules(rules []QueueRule) map[string]bool {
+	before := t.headrooms()
+	for name, q := range t.byName {
+		q.rule = QueueRule{Name: name, Weight: 1}
+	}
+	for _, rule := range rules {
+		rule.Weight = max(rule.Weight, 1)
+		t.get(rule.Name).rule = rule
 	}
+	for _, q := range t.byName {
+		t.joinTeam(q)
+		q.activateGangs()
+	}
+	for _, team := range t.teams {
+		team.activateGangs()
+	}
+	after := t.headrooms()
+	t.anyHeadroom = len(after) > 0
+	return changedHeadrooms(before, after)
 }
 
-// compareFairShare orders queues by running/weight.
-func compareFairShare(a, b *queue) int {
-	return cmp.Compare(a.running*b.rule.Weight, b.running*a.rule.Weight)
+// headrooms are those of the queues that have one.
+func (t *queueTable) headrooms() map[string]int {
+	headrooms := map[string]int{}
+	for name, q := range t.byName {
+		if q.rule.Headroom != 0 {
+			headrooms[name] = q.rule.Headroom
+		}
+	}
+	return headrooms
 }
 
-// line returns the line of a task and makes it if there is none.
-func (e *Engine) priorityQueue(task *Task) *priorityQueue {
-	lv := e.priorityLevel(task.Priority)
-	q := e.queue(task.Queue)
-	for _, l := range lv.queues {
-		if l.queue == q {
-			return l
+func changedHeadrooms(before, after map[string]int) map[string]bool {
+	changed := map[string]bool{}
+	for name, headroom := range before {
+		if after[name] != headroom {
+			changed[name] = true
 		}
 	}
-	made := &priorityQueue{level: lv, queue: q, subQueues: map[*equivalenceClass]*subQueue{}}
-	lv.queues = append(lv.queues, made)
-	return made
+	for name, headroom := range after {
+		if before[name] != headroom {
+			changed[name] = true
+		}
+	}
+	return changed
 }
 
-// priorityLevel returns the level of a priority and makes it if there is none.
-func (e *Engine) priorityLevel(priority int) *priorityLevel {
-	at, found := slices.BinarySearchFunc(e.levels, priority, compareLevel)
-	if found {
-		return e.levels[at]
+// setDeferences replaces what queues defer to.
+func (t *queueTable) setDeferences(deferences []Deference) {
+	t.anyDeferences = len(deferences) > 0
+	for _, q := range t.byName {
+		q.defersTo = nil
+	}
+	for _, deference := range deferences {
+		q := t.get(deference.Queue)
+		q.defersTo = make(map[*queue]bool, len(deference.To))
+		for _, to := range deference.To {
+			q.defersTo[t.get(to)] = true
+		}
 	}
-	made := &priorityLevel{priority: priority}
-	e.levels = slices.Insert(e.levels, at, made)
-	return made
 }
 
-// compareLevel puts high priorities first.
-func compareLevel(l *priorityLevel, priority int) int { return cmp.Compare(priority, l.priority) }
-
-// dropPriorityQueueIfEmpty removes a line without lanes, and its level with the last.
-func (e *Engine) dropPriorityQueueIfEmpty(l *priorityQueue) {
-	if len(l.subQueues) > 0 || l.gangCount > 0 {
-		return
+// setReserved records which queues have a reservation now, and returns those that got
+// their first or lost their last.
+func (t *queueTable) setReserved(reserved map[string]bool) map[string]bool {
+	changed := map[string]bool{}
+	for _, q := range t.byName {
+		if q.hasReservation != reserved[q.rule.Name] {
+			changed[q.rule.Name] = true
+		}
 	}
-	lv := l.level
-	lv.queues = slices.DeleteFunc(lv.queues, func(other *priorityQueue) bool { return other == l })
-	if len(lv.queues) > 0 {
-		return
+	for name := range reserved {
+		if !t.get(name).hasReservation {
+			changed[name] = true
+		}
 	}
-	at, found := slices.BinarySearchFunc(e.levels, lv.priority, compareLevel)
-	if found {
-		e.levels = slices.Delete(e.levels, at, at+1)
+	for name := range changed {
+		t.get(name).hasReservation = reserved[name]
 	}
+	return changed
 }
 
-// lane returns the lane of a class and makes it if there is none.
-func (l *priorityQueue) subQueue(c *equivalenceClass) *subQueue {
-	if found, ok := l.subQueues[c]; ok {
-		return found
+// activateGangs lets the next pass look at gangs that the queue's limit held back.
+func (q *queue) activateGangs() {
+	for l := range q.awaitingGangs {
+		l.activate()
 	}
-	made := &subQueue{parent: l, class: c, position: indexheap.None}
-	l.subQueues[c] = made
-	c.subQueues[made] = struct{}{}
-	return made
-}
-
-// push adds a task to the lane.
-func (l *subQueue) push(w *waiting) {
-	w.subQueue = l
-	heap.Push(&l.tasks, w)
-	l.countMember(w.class, 1)
-	l.fixOrder()
 }
 
-// dequeue removes a task from the lane and drops the lane with its last task.
-func (e *Engine) dequeue(w *waiting) {
-	l := w.subQueue
-	heap.Remove(&l.tasks, w.position)
-	l.countMember(w.class, -1)
-	if len(l.tasks) > 0 {
-		l.fixOrder()
-		return
+// countRun adds to the open runs of the queue and of its team.
+func (q *queue) countRun(change int) {
+	q.running += change
+	if q.team != nil {
+		q.team.running += change
 	}
-	l.deactivate()
-	if l.class == nil {
-		l.parent.gangCount--
-		delete(e.gangs, l.gang)
-	} else {
-		delete(l.parent.subQueues, l.class)
-		delete(l.class.subQueues, l)
-	}
-	e.dropPriorityQueueIfEmpty(l.parent)
 }
 
-// fixOrder moves the lane to its place after its first task changed.
-func (l *subQueue) fixOrder() {
-	if l.position != indexheap.None {
-		heap.Fix(&l.parent.active, l.position)
-	}
+// canRun reports whether the limits of the queue and its team allow count more runs.
+func (q *queue) canRun(count int) bool {
+	return withinQueueLimit(q, count) && withinTeamLimit(q.team, count)
 }
 
-// activate lets the next pass look at the lane. An incomplete group stays.
-func (l *subQueue) activate() {
-	l.stopAwaiting()
-	if l.position == indexheap.None && l.complete() {
-		heap.Push(&l.parent.active, l)
-	}
+// withinQueueLimit reports whether the queue may open count more runs.
+func withinQueueLimit(queue *queue, count int) bool {
+	return queue.rule.MaxRunning <= 0 || queue.running+count <= queue.rule.MaxRunning
 }
 
-// deactivate takes the lane out of what passes look at.
-func (l *subQueue) deactivate() {
-	l.stopAwaiting()
-	if l.position != indexheap.None {
-		heap.Remove(&l.parent.active, l.position)
-	}
+// compareFairShare orders queues by running/weight, as weighted fair queueing does.
+// It multiplies crosswise, so that no rounding decides.
+func compareFairShare(a, b *queue) int {
+	return cmp.Compare(a.running*b.rule.Weight, b.running*a.rule.Weight)
 }
 
-// compareWaiting orders by Sequence; the name makes the order total.
-func compareWaiting(a, b *waiting) int {
-	if bySequence := cmp.Compare(a.Sequence, b.Sequence); bySequence != 0 {
-		return bySequence
-	}
-	return compareTask(a.ID, b.ID)
-}
+// fairShare sums up queues with BySlack, which count as one against the others.
+type fairShare struct{ running, weight int }
 
-func compareTask(a, b record.TaskID) int {
-	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Step, b.Step), cmp.Compare(a.Index, b.Index), cmp.Compare(a.Occurrence, b.Occurrence))
+func (s *fairShare) add(q *queue) {
+	s.running += q.running
+	s.weight += q.rule.Weight
 }
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -41,11 +41,11 @@
 // SetTime implements Booker. Time that goes back has no effect. A window is
 // dropped when it ends.
 func (e *Engine) SetTime(now record.Millis) {
-	if now <= e.now {
+	if now <= e.clock.now {
 		return
 	}
-	before := e.now
-	e.now = now
+	before := e.clock.now
+	e.clock.now = now
 	known := len(e.reservations)
 	for _, r := range slices.Clone(e.reservations) {
 		switch {
@@ -65,7 +65,7 @@
 func (e *Engine) SetReservations(reservations []Reservation) {
 	wanted := map[string]*Reservation{}
 	for i := range reservations {
-		if reservations[i].End > e.now {
+		if reservations[i].End > e.clock.now {
 			wanted[reservations[i].ID] = &reservations[i]
 		}
 	}
@@ -131,29 +131,16 @@
 	}
 }
 
-// refreshReservations sorts the waiting tasks of queues anew that got their first window or
-// lost their last, and tells classes the reservations that they may use.
+// refreshReservations sorts the waiting tasks of queues anew that got their first window
+// or lost their last, and tells classes the reservations that they may use.
 func (e *Engine) refreshReservations() {
 	reserved := map[string]bool{}
 	for _, r := range e.reservations {
 		reserved[r.Queue] = true
 	}
-	moved := map[string]bool{}
-	for _, q := range e.queues {
-		if q.hasReservation != reserved[q.rule.Name] {
-			moved[q.rule.Name] = true
-		}
-	}
-	for name := range reserved {
-		if !e.queue(name).hasReservation {
-			moved[name] = true
-		}
-	}
-	for name := range moved {
-		e.queue(name).hasReservation = reserved[name]
-	}
-	if len(moved) > 0 {
-		e.reclassify(func(task *Task) bool { return moved[task.Queue] })
+	changed := e.queues.setReserved(reserved)
+	if len(changed) > 0 {
+		e.reclassify(func(task *Task) bool { return changed[task.Queue] })
 	}
 	for _, c := range e.classes {
 		c.reservations = e.reservationsOf(c)
--- a/internal/placement/reservedslots.go
+++ b/internal/placement/reservedslots.go
@@ -212,7 +212,7 @@
 // adopt lets runs that the queue started in the open window fill pending
 // slices where they are, as after a change of the leader.
 func (e *Engine) adopt(r *reservation, w *worker) {
-	if r.Start > e.now || len(w.runs) == 0 {
+	if r.Start > e.clock.now || len(w.runs) == 0 {
 		return
 	}
 	mayFill := func(o *run) bool {
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -54,7 +54,7 @@
 // window and on a worker that serves the class.
 func (c *equivalenceClass) isSlotReservedFor(s *slotSet) bool {
 	r := s.reservation
-	if c.key.queue == "" || r.Queue != c.key.queue || !r.openAt(*c.now) || !c.key.need.Fits(r.SlotSize) {
+	if c.key.queue == "" || r.Queue != c.key.queue || !r.openAt(c.clock.now) || !c.key.need.Fits(r.SlotSize) {
 		return false
 	}
 	served, wanted := r.pool.selector, c.pool.selector
@@ -82,7 +82,7 @@
 		service:         task.Spec.Service,
 		need:            task.Spec.Resources,
 		worker:          to.worker,
-		queue:           e.queue(task.Queue),
+		queue:           e.queues.get(task.Queue),
 		step:            e.step(task.ID.StepID()),
 		priority:        task.Priority,
 		preemptions:     task.Preemptions,
--- a/internal/placement/teams.go
+++ b/internal/placement/teams.go
@@ -4,68 +4,55 @@
 type team struct {
 	rule    TeamRule
 	running int
-	// groups are those parked until a run of the team ends or its rule changes.
+	// awaitingGangs are those that wait until a run of the team ends or its rule
+	// changes.
 	awaitingGangs map[*subQueue]struct{}
 }
 
-// SetTeams implements Booker. A team that is not named has no bound.
-func (e *Engine) SetTeams(rules []TeamRule) {
-	for name, t := range e.teams {
-		t.rule = TeamRule{Name: name}
+// setTeamRules replaces the rules of all teams. A team that is not named has no bound.
+func (t *queueTable) setTeamRules(rules []TeamRule) {
+	for name, team := range t.teams {
+		team.rule = TeamRule{Name: name}
 	}
 	for _, rule := range rules {
-		e.team(rule.Name).rule = rule
+		t.team(rule.Name).rule = rule
 	}
-	for _, t := range e.teams {
-		t.activateGangs()
+	for _, team := range t.teams {
+		team.activateGangs()
 	}
 }
 
 // team returns the team of that name and makes it if there is none.
-func (e *Engine) team(name string) *team {
-	if found, ok := e.teams[name]; ok {
+func (t *queueTable) team(name string) *team {
+	if found, ok := t.teams[name]; ok {
 		return found
 	}
 	made := &team{rule: TeamRule{Name: name}, awaitingGangs: map[*subQueue]struct{}{}}
-	e.teams[name] = made
+	t.teams[name] = made
 	return made
 }
 
 // joinTeam moves a queue and its open runs to the team that its rule names.
-func (e *Engine) joinTeam(q *queue) {
+func (t *queueTable) joinTeam(q *queue) {
 	if q.team != nil {
 		q.team.running -= q.running
 		q.team = nil
 	}
 	if q.rule.Team != "" {
-		q.team = e.team(q.rule.Team)
+		q.team = t.team(q.rule.Team)
 		q.team.running += q.running
 	}
 }
 
-// wake makes groups that the limit held back ready to be looked at again.
+// activateGangs lets the next pass look at gangs that the team's limit held back.
 func (t *team) activateGangs() {
 	for l := range t.awaitingGangs {
 		l.activate()
 	}
 }
 
-// countRun adds to the open runs of the queue and of its team.
-func (q *queue) countRun(change int) {
-	q.running += change
-	if q.team != nil {
-		q.team.running += change
-	}
-}
-
-// withinTeamLimit reports whether the team may open count more runs; no team
-// allows any.
+// withinTeamLimit reports whether the team may open count more runs; no team allows
+// any.
 func withinTeamLimit(team *team, count int) bool {
 	return team == nil || team.rule.MaxRunning <= 0 || team.running+count <= team.rule.MaxRunning
 }
-
-// canRun reports whether the limits of the queue and its team allow count more
-// runs.
-func (q *queue) canRun(count int) bool {
-	return withinQueueLimit(q, count) && withinTeamLimit(q.team, count)
-}
