--- a/internal/placement/classes.go
+++ b/internal/placement/classes.go
@@ -95,7 +95,7 @@
 		selector:          selector{service: spec.Service, labels: canonicalLabels(wanted.labels)},
 		waitsForPreferred: wanted.preferred,
 		need:              spec.Resources,
-		preemptible:       e.isPreemptible(task),
+		preemptible:       e.runs.isPreemptible(task),
 		allowsProbation:   task.AllowsProbation,
 
 		untilCancelled: task.UntilCancelled,
@@ -154,7 +154,7 @@
 	}
 	c.reservations = e.reservationsOf(c)
 	if spec.Spread != nil {
-		step := e.step(key.step)
+		step := e.steps.get(key.step)
 		step.track(key.spreadBy)
 		step.classes[c] = struct{}{}
 		c.spread = &spreadRule{by: key.spreadBy, maxPerDomain: key.maxPerDomain, step: step}
@@ -174,7 +174,7 @@
 	e.workers.release(c.pool)
 	if c.spread != nil {
 		delete(c.spread.step.classes, c)
-		e.forgetIfUnused(c.spread.step)
+		e.steps.forgetIfUnused(c.spread.step)
 	}
 }
 
@@ -272,10 +272,3 @@
 		c.activateGangs()
 	}
 }
-
-// activateStep looks again at classes whose spread rule counts runs of the step.
-func activateStep(s *step) {
-	for c := range s.classes {
-		c.activate()
-	}
-}
--- a/internal/placement/decisions_test.go
+++ b/internal/placement/decisions_test.go
@@ -289,7 +289,7 @@
 
 // reservedSlots is the worker on which the engine has the run.
 func (g *goldenRun) where(task record.TaskID) string {
-	if r, ok := g.engine.runs[task]; ok {
+	if r, ok := g.engine.runs.open[task]; ok {
 		return r.worker.ID
 	}
 	return ""
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -4,7 +4,6 @@
 	"maps"
 	"slices"
 
-	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/placement/preferredlabels"
 	"github.com/decklever/decklever/internal/placement/utilization"
@@ -20,35 +19,29 @@
 	Off featuregate.DisabledSet
 }
 
-// defaultMaxPreemptions holds until SetMaxPreemptions.
-const defaultMaxPreemptions = 3
-
 // Engine implements Planner and Booker. It is not safe for concurrent use.
 type Engine struct {
 	// off are the mechanisms that are switched off.
 	off     featuregate.DisabledSet
 	clock   *clock
-	workers workerIndex
+	workers *workerIndex
 	classes map[classKey]*equivalenceClass
-	steps   map[record.StepID]*step
+	steps   *stepTable
 	queues  *queueTable
 	// levels are ordered by priority, highest first.
 	levels []*priorityLevel
 	// groups are the lanes of groups by Task.Group.
 	gangs   map[string]*subQueue
 	waiting map[record.TaskID]*waiting
-	runs    map[record.TaskID]*run
+	runs    *runTable
 	// reservations are ordered by the start of their windows.
 	reservations []*reservation
 	// nominations are promised room, in the order in which they are placed.
 	nominations []*nomination
 	// preemptions are those asked for since Preemptions was called.
-	preemptions    []Preemption
-	maxPreemptions int
+	preemptions []Preemption
 	// noPreferences is shared by the tasks that have none.
 	noPreferences Preferences
-	// victims counts by priority the runs that may be preempted.
-	victims map[int]int
 	// preemptRetries are blocked lanes, in the order in which they get another
 	// trial to preempt; unfinished are those that the last pass had no time for.
 	preemptRetries, overAllowance []*subQueue
@@ -72,61 +65,23 @@
 	_ ReservationPlanner = (*Engine)(nil)
 )
 
-// run is an open run, or a nominated one: it holds room on its worker.
-type run struct {
-	task     record.TaskID
-	service  string
-	need     api.Resources
-	worker   *worker
-	queue    *queue
-	step     *step
-	priority int
-	// started is when it was placed, end when the worker stops it at last.
-	started, end record.Millis
-	// expectedEnd is when its estimate says that it ends; end without one.
-	expectedEnd record.Millis
-	preemptions int
-	// specPreemptible is the spec's Preemptible; preemptible is false once the task was
-	// preempted too often.
-	specPreemptible, preemptible bool
-	// runsUntilCancelled is set if the run has no end of its own.
-	untilCancelled bool
-	// stopping is set once it was named for preemption.
-	stopping bool
-	// nominated is set while the room is only promised.
-	nominated bool
-	// slot is where the run counts; booked tells whether it was placed in one.
-	slot          *slotSet
-	inReservation bool
-}
-
-// startAt sets when the run starts, and so when it ends at the latest.
-func (r *run) startAt(moment record.Millis, spec *api.TaskSpec) {
-	r.started = moment
-	r.end = endOf(moment, spec)
-	r.expectedEnd = r.end
-	if spec.Estimate > 0 {
-		r.expectedEnd = min(r.end, moment+record.MillisOf(spec.Estimate.Std()))
-	}
-}
-
 // New returns an Engine that knows no worker, queue or task.
 func New(config Config) *Engine {
+	clock := &clock{}
+	workers, queues, steps := newWorkerIndex(), newQueueTable(), newStepTable()
 	return &Engine{
 		off:     config.Off,
-		workers: newWorkerIndex(),
+		clock:   clock,
+		workers: workers,
+		queues:  queues,
+		steps:   steps,
+		runs:    newRunTable(clock, workers, queues, steps),
 		classes: map[classKey]*equivalenceClass{},
-		steps:   map[record.StepID]*step{},
-		clock:   &clock{},
-		queues:  newQueueTable(),
 		gangs:   map[string]*subQueue{},
 		waiting: map[record.TaskID]*waiting{},
-		runs:    map[record.TaskID]*run{},
-		victims: map[int]int{},
 
 		preferredLabels: preferredlabels.New(),
 		utilization:     utilization.New(),
-		maxPreemptions:  defaultMaxPreemptions,
 	}
 }
 
@@ -153,6 +108,8 @@
 	if w.known && w.Name != to.Name {
 		e.dropAllSlots(w)
 	}
+	// Runs count by the domains of their worker: those of the old description are
+	// taken back before it changes.
 	runs := w.runsByStep()
 	for s, count := range runs {
 		s.count(w, -count)
@@ -167,6 +124,20 @@
 	e.dropUnsupportedSlots(w)
 }
 
+// SetMaxPreemptions implements ReservationPlanner.
+func (e *Engine) SetMaxPreemptions(limit int) {
+	if limit == e.runs.maxPreemptions {
+		return
+	}
+	e.runs.maxPreemptions = limit
+	for _, w := range slices.SortedFunc(maps.Values(e.workers.byID), compareName) {
+		e.runs.reconsiderPreemptible(w)
+		e.dropUnsupportedSlots(w)
+		e.workers.addChanged(w)
+	}
+	e.reclassify(func(task *Task) bool { return task.Spec.Preemptible })
+}
+
 func sameWorker(a, b *Worker) bool {
 	return a.ID == b.ID && a.Name == b.Name && a.Zone == b.Zone &&
 		a.Capacity == b.Capacity && a.Usable == b.Usable && a.Slow == b.Slow && a.Probation == b.Probation && a.Suspect == b.Suspect &&
@@ -185,14 +156,6 @@
 		a.WaitsForPreferred == b.WaitsForPreferred && a.AllowsProbation == b.AllowsProbation && a.PrefersProbation == b.PrefersProbation && slices.Equal(a.Avoid, b.Avoid)
 }
 
-func (w *worker) runsByStep() map[*step]int {
-	counts := map[*step]int{}
-	for r := range w.runs {
-		counts[r.step]++
-	}
-	return counts
-}
-
 // RemoveWorker implements Planner.
 func (e *Engine) RemoveWorker(id string) {
 	w, ok := e.workers.byID[id]
@@ -210,7 +173,7 @@
 // AddRun implements Planner. A task held elsewhere moves; one that waits no
 // longer does. A worker that is not known yet is accounted for by SetWorker.
 func (e *Engine) AddRun(task Task, workerID string) {
-	if held, ok := e.runs[task.ID]; ok {
+	if held, ok := e.runs.open[task.ID]; ok {
 		if held.worker.ID == workerID {
 			return
 		}
@@ -222,7 +185,7 @@
 	if started == 0 {
 		started = e.clock.now
 	}
-	e.newRun(&task, to, started, false)
+	e.runs.restore(&task, to, started)
 	if e.queues.get(task.Queue).hasReservation {
 		// It may fill a slice that is still looking for a worker.
 		e.workers.addChanged(to.worker)
@@ -232,7 +195,7 @@
 
 // Release implements Planner.
 func (e *Engine) Release(task record.TaskID) {
-	r, ok := e.runs[task]
+	r, ok := e.runs.open[task]
 	if !ok {
 		return
 	}
@@ -244,7 +207,7 @@
 
 // end closes a run and lets what may now have room be looked at again.
 func (e *Engine) end(r *run) {
-	e.close(r)
+	e.runs.close(r)
 	e.dropUnsupportedSlots(r.worker)
 	e.workers.addChanged(r.worker)
 	r.queue.activateGangs()
@@ -254,29 +217,10 @@
 	activateStep(r.step)
 }
 
-// open takes room for a run that starts now.
-func (e *Engine) open(task *Task, to placementTarget) *run {
-	return e.newRun(task, to, e.clock.now, false)
-}
-
-// close gives back the room of a run; it is the exact reverse of newRun.
-func (e *Engine) close(r *run) {
-	if !r.nominated {
-		delete(e.runs, r.task)
-	}
-	e.countVictim(r, -1)
-	e.workers.deallocate(r)
-	delete(r.worker.runs, r)
-	r.leaveSlot()
-	r.queue.countRun(-1)
-	r.step.count(r.worker, -1)
-	e.forgetIfUnused(r.step)
-}
-
 // Add implements Planner. A task whose run is still held does not wait:
 // Release it first. A task that waits already is replaced if it differs.
 func (e *Engine) Add(task Task) {
-	if _, held := e.runs[task.ID]; held {
+	if _, held := e.runs.open[task.ID]; held {
 		return
 	}
 	if task.Preferences == nil {
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -55,7 +55,7 @@
 			continue
 		}
 		if to, found := e.findTarget(member); found {
-			g.runs[member] = e.newRun(&member.Task, to, e.clock.now, true)
+			g.runs[member] = e.runs.nominate(&member.Task, to)
 		}
 	}
 	if len(g.runs) == len(g.gang.tasks) {
--- a/internal/placement/gangpreemption.go
+++ b/internal/placement/gangpreemption.go
@@ -19,7 +19,7 @@
 	e := p.engine
 	priority := l.parent.level.priority
 	e.addPreemptRetry(l)
-	if !e.hasVictims(priority) && !l.mayUseReservedSlots() {
+	if !e.runs.anyPreemptible(priority) && !l.mayUseReservedSlots() {
 		return true
 	}
 	if p.allowance.gangAttempts == 0 || !e.couldPreempt(l) {
@@ -105,13 +105,13 @@
 	t.spent.spend(&chosen)
 	t.victims = append(t.victims, e.stop(chosen.victims, member.ID)...)
 	t.stopped = append(t.stopped, chosen.victims...)
-	t.runs = append(t.runs, e.newRun(&member.Task, chosen.to, e.clock.now, true))
+	t.runs = append(t.runs, e.runs.nominate(&member.Task, chosen.to))
 	return t.spent.preemptions >= 0 && t.spent.reserved >= 0
 }
 
 func (t *gangPreemption) undo() {
 	for _, r := range t.runs {
-		t.engine.close(r)
+		t.engine.runs.close(r)
 	}
 	for _, r := range t.stopped {
 		t.engine.setStopping(r, false)
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -259,14 +259,14 @@
 		if !found {
 			break
 		}
-		opened = append(opened, p.engine.open(&member.Task, to))
+		opened = append(opened, p.engine.runs.start(&member.Task, to))
 	}
 	return opened
 }
 
 func (p *pass) rollBack(opened []*run) {
 	for _, r := range opened {
-		p.engine.close(r)
+		p.engine.runs.close(r)
 	}
 }
 
--- a/internal/placement/longrunning.go
+++ b/internal/placement/longrunning.go
@@ -40,8 +40,8 @@
 
 // canStillUse reports whether a seat that the class had is still one for it.
 func (c *equivalenceClass) canStillUse(to placementTarget) bool {
-	if to.slice != nil {
-		return c.canEnterSlot(to.slice) && fits(c.key.need, to.worker.free)
+	if to.slot != nil {
+		return c.canEnterSlot(to.slot) && fits(c.key.need, to.worker.free)
 	}
 	return c.pool.matches(to.worker) && c.fitsOnAnyTerms(to.worker)
 }
@@ -79,8 +79,8 @@
 	targets := make([]placementTarget, len(members))
 	for i, member := range members {
 		r := g.runs[member]
-		targets[i] = placementTarget{worker: r.worker, slice: r.slot}
-		e.close(r)
+		targets[i] = placementTarget{worker: r.worker, slot: r.slot}
+		e.runs.close(r)
 	}
 	l.resetFitCounts()
 	opened := open()
@@ -90,7 +90,7 @@
 			e.workers.addChanged(targets[i].worker)
 			continue
 		}
-		g.runs[member] = e.newRun(&member.Task, targets[i], g.runs[member].started, true)
+		g.runs[member] = e.runs.renominate(&member.Task, targets[i], g.runs[member].started)
 	}
 	l.resetFitCounts()
 }
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -91,12 +91,11 @@
 			e.cancelNomination(u)
 			continue
 		}
-		if !e.claimCapacity(u) {
+		if !e.runs.claim(u) {
 			continue
 		}
 		e.dropNomination(u)
 		for i, member := range u.members {
-			e.runs[u.runs[i].task] = u.runs[i]
 			p.recordDecision(member, u.runs[i])
 		}
 	}
@@ -142,22 +141,3 @@
 	}
 	return true
 }
-
-// claimCapacity turns nominated runs into open ones if the room of all is there.
-func (e *Engine) claimCapacity(u *nomination) bool {
-	for i, r := range u.runs {
-		if !fits(r.need, r.worker.freeNow()) {
-			for _, moved := range u.runs[:i] {
-				e.countVictim(moved, -1)
-				e.workers.updateRun(moved, func() { moved.nominated = true })
-			}
-			return false
-		}
-		e.workers.updateRun(r, func() {
-			r.nominated = false
-			r.startAt(e.clock.now, u.members[i].Spec)
-		})
-		e.countVictim(r, 1)
-	}
-	return true
-}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -87,7 +87,7 @@
 	var opened *run
 	open := func() bool {
 		if to, found := p.engine.findTarget(task); found {
-			opened = p.engine.open(&task.Task, to)
+			opened = p.engine.runs.start(&task.Task, to)
 		}
 		return opened != nil
 	}
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"maps"
 	"math"
 	"slices"
 
@@ -36,56 +35,10 @@
 	}
 }
 
-// SetMaxPreemptions implements Booker.
-func (e *Engine) SetMaxPreemptions(most int) {
-	if most == e.maxPreemptions {
-		return
-	}
-	e.maxPreemptions = most
-	for _, w := range slices.SortedFunc(maps.Values(e.workers.byID), compareName) {
-		for r := range w.runs {
-			e.countVictim(r, -1)
-			e.workers.updateRun(r, func() { r.preemptible = r.specPreemptible && r.preemptions < most })
-			e.countVictim(r, 1)
-		}
-		e.dropUnsupportedSlots(w)
-		e.workers.addChanged(w)
-	}
-	e.reclassify(func(task *Task) bool { return task.Spec.Preemptible })
-}
-
-// isPreemptible reports whether the task may be preempted, and not yet too
-// often was.
-func (e *Engine) isPreemptible(task *Task) bool {
-	return task.Spec.Preemptible && task.Preemptions < e.maxPreemptions
-}
-
-// countVictim counts the runs by priority that may be preempted; those in
-// slices too.
-func (e *Engine) countVictim(r *run, change int) {
-	if !r.preemptible || r.nominated {
-		return
-	}
-	e.victims[r.priority] += change
-	if e.victims[r.priority] == 0 {
-		delete(e.victims, r.priority)
-	}
-}
-
-// hasVictims reports whether any run of a lower priority may be preempted.
-func (e *Engine) hasVictims(priority int) bool {
-	for lower := range e.victims {
-		if lower < priority {
-			return true
-		}
-	}
-	return false
-}
-
 // Preemptions implements Booker.
 func (e *Engine) Preemptions() []Preemption {
 	asked := slices.DeleteFunc(e.preemptions, func(p Preemption) bool {
-		r, open := e.runs[p.Task]
+		r, open := e.runs.open[p.Task]
 		return !open || !r.stopping
 	})
 	e.preemptions = nil
@@ -117,12 +70,12 @@
 	}
 	p.allowance.spend(&found)
 	victims := p.engine.stop(found.victims, first.ID)
-	r := p.engine.newRun(&first.Task, found.to, p.engine.clock.now, true)
+	r := p.engine.runs.nominate(&first.Task, found.to)
 	p.engine.nominate([]*waiting{first}, []*run{r}, victims)
 }
 
 func (a *allowance) spend(c *preemptionChoice) {
-	if c.to.slice != nil {
+	if c.to.slot != nil {
 		a.reserved -= len(c.victims)
 		return
 	}
@@ -176,7 +129,7 @@
 	if best.possible() {
 		return best, len(best.victims) > p.allowance.reserved
 	}
-	if !p.engine.hasVictims(priority) || p.allowance.attempts == 0 {
+	if !p.engine.runs.anyPreemptible(priority) || p.allowance.attempts == 0 {
 		return preemptionChoice{}, false
 	}
 	best = p.engine.chooseByPriority(c, priority)
@@ -198,7 +151,7 @@
 				continue
 			}
 			if victims, ok := s.worker.victimsFor(c.key.need, anyPriority); ok {
-				best.improve(preemptionChoice{to: placementTarget{worker: s.worker, slice: s}, victims: victims})
+				best.improve(preemptionChoice{to: placementTarget{worker: s.worker, slot: s}, victims: victims})
 			}
 			if best.possible() && len(best.victims) <= 1 {
 				return best
@@ -218,7 +171,7 @@
 		if victims, ok := w.victimsFor(c.key.need, priority); ok {
 			best.improve(preemptionChoice{to: placementTarget{worker: w}, victims: victims})
 		}
-		if best.possible() && len(best.victims) <= 1 && !e.hasVictims(best.highest()) {
+		if best.possible() && len(best.victims) <= 1 && !e.runs.anyPreemptible(best.highest()) {
 			return best
 		}
 	}
--- a/internal/placement/preemptionretry.go
+++ b/internal/placement/preemptionretry.go
@@ -31,7 +31,7 @@
 			l.activate()
 		}
 	}
-	if len(e.victims) == 0 {
+	if len(e.runs.preemptible) == 0 {
 		return
 	}
 	count := min(maxPreemptionAttemptsPerPass, len(e.preemptRetries))
@@ -41,7 +41,7 @@
 		l.inPreemptRetries = false
 		switch {
 		case len(l.tasks) == 0:
-		case !e.hasVictims(l.parent.level.priority):
+		case !e.runs.anyPreemptible(l.parent.level.priority):
 			e.addPreemptRetry(l)
 		default:
 			l.mayPreemptNow = true
--- a/internal/placement/profile.go
+++ b/internal/placement/profile.go
@@ -9,9 +9,6 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// forever is the end of a run that has no bound.
-const forever = record.Millis(1<<63 - 1)
-
 // profilePoint is a moment at which the windows of slices on a worker start.
 type profilePoint struct {
 	at record.Millis
@@ -69,32 +66,6 @@
 	}
 }
 
-// occupiesAt reports whether the run takes room outside of slices at that moment
-// and cannot be made to leave.
-func (r *run) occupiesAt(moment record.Millis) bool {
-	if r.preemptible {
-		return false
-	}
-	if r.slot != nil && r.slot.reservation.openAt(moment) {
-		return false
-	}
-	return r.end > moment
-}
-
-// mayBeVictim reports whether the run may be preempted. Those in slices are
-// not: their room is not for others.
-func (r *run) mayBeVictim() bool {
-	return r.preemptible && !r.stopping && !r.nominated && r.slot == nil
-}
-
-// endOf is the latest end of a run that starts at that moment.
-func endOf(start record.Millis, spec *api.TaskSpec) record.Millis {
-	if spec.MaxDuration <= 0 {
-		return forever
-	}
-	return start + record.MillisOf(spec.MaxDuration.Std())
-}
-
 // rebuildProfile works the points out from the worker's slices and runs.
 func (w *worker) rebuildProfile() {
 	w.profile = w.profile[:0]
@@ -136,14 +107,6 @@
 	return slack
 }
 
-// addNeedAt adds to the slack at a moment what the run takes then.
-func (r *run) addNeedAt(slack api.Resources, moment record.Millis) api.Resources {
-	if r == nil || !r.occupiesAt(moment) {
-		return slack
-	}
-	return slack.Add(r.need)
-}
-
 // slackUntil is the least slack before a moment.
 func (w *worker) slackUntil(end record.Millis) (slack api.Resources, bound bool) {
 	for i := range w.profile {
--- a/internal/placement/property_reservation_test.go
+++ b/internal/placement/property_reservation_test.go
@@ -32,7 +32,7 @@
 
 // inReservedSlot tells where the engine counts an open run; checkReservedSlots checks it.
 func (m *model) inReservedSlot(task record.TaskID) bool {
-	r, open := m.engine.runs[task]
+	r, open := m.engine.runs.open[task]
 	return open && r.slot != nil
 }
 
@@ -53,7 +53,7 @@
 		}
 	}
 	for id, p := range m.open {
-		inOpenSlice := m.inReservedSlot(id) && openNow[m.engine.runs[id].slot.reservation.ID]
+		inOpenSlice := m.inReservedSlot(id) && openNow[m.engine.runs.open[id].slot.reservation.ID]
 		if id == without || p.worker != w.ID || m.preemptible(p.task) || inOpenSlice {
 			continue
 		}
@@ -254,7 +254,7 @@
 		if !m.inReservedSlot(id) {
 			continue
 		}
-		r := m.engine.runs[id].slot.reservation.Reservation
+		r := m.engine.runs.open[id].slot.reservation.Reservation
 		used[r.ID+p.worker]--
 		if p.task.Queue != r.Queue || r.Start > p.started || !p.task.Spec.Resources.Fits(r.SlotSize) {
 			t.Fatalf("%v in a slice of %v", p, r)
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -74,7 +74,7 @@
 func (e *Engine) rankingFor(w *waiting) ranking {
 	wanted := ranking{task: &w.Task, anyDomain: w.Colocate == "" || e.off.Has(featuregate.PreferredDomain)}
 	if w.StepSize > 1 && !e.off.Has(featuregate.StepShare) {
-		wanted.step = e.steps[w.ID.StepID()]
+		wanted.step = e.steps.byID[w.ID.StepID()]
 		wanted.softLimit = softLimitPerWorker(w.StepSize)
 	}
 	if !wanted.anyDomain {
@@ -141,7 +141,7 @@
 // step keeps its home for as long as that has room for the task; then it gets
 // another one.
 func (e *Engine) preferredDomainOf(w *waiting) string {
-	s := e.step(w.ID.StepID())
+	s := e.steps.get(w.ID.StepID())
 	if s.preferredDomain != "" && w.class.fitsInDomain(w.Colocate, s.preferredDomain, e.classSize(w.class)) {
 		return s.preferredDomain
 	}
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -53,7 +53,7 @@
 			e.dropReservation(r)
 		case before < r.Start && r.Start <= now:
 			r.searched = false
-			r.recordWorkersChanged(&e.workers)
+			r.recordWorkersChanged(e.workers)
 		}
 	}
 	if len(e.reservations) != known {
--- a/internal/placement/reservedslots.go
+++ b/internal/placement/reservedslots.go
@@ -96,30 +96,6 @@
 	}
 }
 
-func (r *run) enterSlot(s *slotSet) {
-	r.slot = s
-	s.used++
-}
-
-func (r *run) leaveSlot() {
-	if r.slot != nil {
-		r.slot.used--
-		r.slot = nil
-	}
-}
-
-// sortedRuns returns runs of the worker in the order of their tasks.
-func (w *worker) sortedRuns(wanted func(*run) bool) []*run {
-	var runs []*run
-	for r := range w.runs {
-		if wanted(r) {
-			runs = append(runs, r)
-		}
-	}
-	slices.SortFunc(runs, func(a, b *run) int { return compareTask(a.task, b.task) })
-	return runs
-}
-
 // dropUnsupportedSlots takes slices off a worker that no longer has the room for them: those
 // that are not in use, and of these the window that starts last first.
 func (e *Engine) dropUnsupportedSlots(w *worker) {
--- /dev/null
+++ b/internal/placement/runtable.go
@@ -0,0 +1,159 @@
+package placement
+
+import "github.com/decklever/decklever/internal/record"
+
+// defaultMaxPreemptions holds until SetMaxPreemptions.
+const defaultMaxPreemptions = 3
+
+// runTable owns the runs and keeps the counts that follow from them: those of queues
+// and steps, and the sums of workers. Each run is counted in all of them or in none.
+type runTable struct {
+	// open are the runs that are not only nominated.
+	open map[record.TaskID]*run
+	// preemptible counts by priority the open runs that may be preempted, those in
+	// reserved slots too.
+	preemptible map[int]int
+	// maxPreemptions is the bound on preemptions of one task.
+	maxPreemptions int
+
+	clock   *clock
+	workers *workerIndex
+	queues  *queueTable
+	steps   *stepTable
+}
+
+func newRunTable(clock *clock, workers *workerIndex, queues *queueTable, steps *stepTable) *runTable {
+	return &runTable{
+		open:           map[record.TaskID]*run{},
+		preemptible:    map[int]int{},
+		maxPreemptions: defaultMaxPreemptions,
+
+		clock: clock, workers: workers, queues: queues, steps: steps,
+	}
+}
+
+// start opens a run that starts now.
+func (t *runTable) start(task *Task, to placementTarget) *run {
+	return t.add(task, to, t.clock.now, false)
+}
+
+// nominate promises the target to a run that does not start yet.
+func (t *runTable) nominate(task *Task, to placementTarget) *run {
+	return t.add(task, to, t.clock.now, true)
+}
+
+// restore opens a run that started earlier.
+func (t *runTable) restore(task *Task, to placementTarget, started record.Millis) *run {
+	return t.add(task, to, started, false)
+}
+
+// renominate is nominate for a run that was closed on trial: its start stays.
+func (t *runTable) renominate(task *Task, to placementTarget, started record.Millis) *run {
+	return t.add(task, to, started, true)
+}
+
+// add makes a run on a target: its resources are taken, or promised if nominated.
+func (t *runTable) add(task *Task, to placementTarget, started record.Millis, nominated bool) *run {
+	r := &run{
+		task:          task.ID,
+		service:       task.Spec.Service,
+		need:          task.Spec.Resources,
+		worker:        to.worker,
+		queue:         t.queues.get(task.Queue),
+		step:          t.steps.get(task.ID.StepID()),
+		priority:      task.Priority,
+		nominated:     nominated,
+		inReservation: to.slot != nil,
+		preemptibility: preemptibility{
+			preemptions:     task.Preemptions,
+			specPreemptible: task.Spec.Preemptible,
+			preemptible:     t.isPreemptible(task),
+		},
+		untilCancelled: task.UntilCancelled,
+	}
+	r.startAt(started, task.Spec)
+	if to.slot != nil {
+		r.enterSlot(to.slot)
+	}
+	if !nominated {
+		t.open[r.task] = r
+	}
+	to.worker.runs[r] = struct{}{}
+	t.workers.allocate(r)
+	r.queue.countRun(1)
+	r.step.count(to.worker, 1)
+	t.countPreemptible(r, 1)
+	return r
+}
+
+// close gives back what a run takes; it is the exact reverse of add.
+func (t *runTable) close(r *run) {
+	if !r.nominated {
+		delete(t.open, r.task)
+	}
+	t.countPreemptible(r, -1)
+	t.workers.deallocate(r)
+	delete(r.worker.runs, r)
+	r.leaveSlot()
+	r.queue.countRun(-1)
+	r.step.count(r.worker, -1)
+	t.steps.forgetIfUnused(r.step)
+}
+
+// claim turns the nominated runs of a unit into open ones, if what all of them need is
+// free by now: all or none.
+func (t *runTable) claim(n *nomination) bool {
+	for i, r := range n.runs {
+		if !fits(r.need, r.worker.freeNow()) {
+			for _, claimed := range n.runs[:i] {
+				t.countPreemptible(claimed, -1)
+				t.workers.updateRun(claimed, func() { claimed.nominated = true })
+			}
+			return false
+		}
+		t.workers.updateRun(r, func() {
+			r.nominated = false
+			r.startAt(t.clock.now, n.members[i].Spec)
+		})
+		t.countPreemptible(r, 1)
+	}
+	for _, r := range n.runs {
+		t.open[r.task] = r
+	}
+	return true
+}
+
+// isPreemptible reports whether the task may be preempted, and not yet too often was.
+func (t *runTable) isPreemptible(task *Task) bool {
+	return task.Spec.Preemptible && task.Preemptions < t.maxPreemptions
+}
+
+// reconsiderPreemptible applies a change of maxPreemptions to the runs on a worker.
+func (t *runTable) reconsiderPreemptible(w *worker) {
+	for r := range w.runs {
+		t.countPreemptible(r, -1)
+		t.workers.updateRun(r, func() { r.preemptible = r.specPreemptible && r.preemptions < t.maxPreemptions })
+		t.countPreemptible(r, 1)
+	}
+}
+
+// countPreemptible counts the runs by priority that may be preempted.
+func (t *runTable) countPreemptible(r *run, change int) {
+	if !r.preemptible || r.nominated {
+		return
+	}
+	t.preemptible[r.priority] += change
+	if t.preemptible[r.priority] == 0 {
+		delete(t.preemptible, r.priority)
+	}
+}
+
+// anyPreemptible reports whether any run of a lower priority may be preempted.
+func (t *runTable) anyPreemptible(priority int) bool {
+	for lower := range t.preemptible {
+		if lower < priority {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/placement/spread.go
+++ b/internal/placement/spread.go
@@ -39,9 +39,14 @@
 	return ok && r.remaining(worker) >= 0
 }
 
-// step returns the state of a step and makes it if there is none.
-func (e *Engine) step(key record.StepID) *step {
-	if found, ok := e.steps[key]; ok {
+// stepTable owns the counts of steps.
+type stepTable struct{ byID map[record.StepID]*step }
+
+func newStepTable() *stepTable { return &stepTable{byID: map[record.StepID]*step{}} }
+
+// get returns the state of a step and makes it if there is none.
+func (t *stepTable) get(key record.StepID) *step {
+	if found, ok := t.byID[key]; ok {
 		return found
 	}
 	made := &step{
@@ -50,14 +55,14 @@
 		domains: map[string]map[string]int{},
 		classes: map[*equivalenceClass]struct{}{},
 	}
-	e.steps[key] = made
+	t.byID[key] = made
 	return made
 }
 
-// forgetIfUnused drops a step that nothing refers to.
-func (e *Engine) forgetIfUnused(s *step) {
+// forgetIfUnused drops a step that has neither open runs nor classes.
+func (t *stepTable) forgetIfUnused(s *step) {
 	if s.runs == 0 && len(s.classes) == 0 {
-		delete(e.steps, s.key)
+		delete(t.byID, s.key)
 	}
 }
 
@@ -98,3 +103,11 @@
 		delete(counts, domain)
 	}
 }
+
+// activateStep lets the next pass look at classes whose spread rule counts runs of the
+// step.
+func activateStep(s *step) {
+	for c := range s.classes {
+		c.activate()
+	}
+}
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -2,20 +2,19 @@
 
 import (
 	"github.com/decklever/decklever/internal/featuregate"
-	"github.com/decklever/decklever/internal/record"
 )
 
 // seat is where a task may run: a slice if one is named, else a worker's room
 // outside of slices of the task's own queue.
 type placementTarget struct {
 	worker *worker
-	slice  *slotSet
+	slot   *slotSet
 }
 
 // findTarget finds a seat whose room is there now, slices first.
 func (e *Engine) findTarget(w *waiting) (placementTarget, bool) {
 	if s := e.fullestFreeSlot(w.class); s != nil {
-		return placementTarget{worker: s.worker, slice: s}, true
+		return placementTarget{worker: s.worker, slot: s}, true
 	}
 	on := e.fullest(w)
 	if on == nil {
@@ -74,36 +73,3 @@
 	}
 	return open
 }
-
-// newRun opens a run on a seat: its room is taken, or promised if nominated.
-func (e *Engine) newRun(task *Task, to placementTarget, started record.Millis, nominated bool) *run {
-	r := &run{
-		task:            task.ID,
-		service:         task.Spec.Service,
-		need:            task.Spec.Resources,
-		worker:          to.worker,
-		queue:           e.queues.get(task.Queue),
-		step:            e.step(task.ID.StepID()),
-		priority:        task.Priority,
-		preemptions:     task.Preemptions,
-		specPreemptible: task.Spec.Preemptible,
-		nominated:       nominated,
-		inReservation:   to.slice != nil,
-
-		untilCancelled: task.UntilCancelled,
-	}
-	r.preemptible = e.isPreemptible(task)
-	r.startAt(started, task.Spec)
-	if to.slice != nil {
-		r.enterSlot(to.slice)
-	}
-	if !nominated {
-		e.runs[r.task] = r
-	}
-	to.worker.runs[r] = struct{}{}
-	e.workers.allocate(r)
-	r.queue.countRun(1)
-	r.step.count(to.worker, 1)
-	e.countVictim(r, 1)
-	return r
-}
--- a/internal/placement/workers.go
+++ b/internal/placement/workers.go
@@ -101,8 +101,8 @@
 	changed []*worker
 }
 
-func newWorkerIndex() workerIndex {
-	return workerIndex{byID: map[string]*worker{}, pools: map[selector]*pool{}}
+func newWorkerIndex() *workerIndex {
+	return &workerIndex{byID: map[string]*worker{}, pools: map[selector]*pool{}}
 }
 
 // get returns the worker of that id; a new one is not known yet.
