--- a/internal/placement/backlog.go
+++ b/internal/placement/backlog.go
@@ -9,36 +9,57 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
+// backlog owns the tasks that wait, in the order in which passes look at them: by
+// priority, then by queue, then by class or gang. Of these a pass looks at the active
+// sub-queues only; one that found no worker is unschedulable and out of the heap until
+// something changed that could make room for it.
+//
+// A pass costs what it places and what was activated, however much waits.
+type backlog struct {
+	tasks map[record.TaskID]*waiting
+	// levels are ordered by priority, highest first.
+	levels []*priorityLevel
+	// gangs are the sub-queues of gangs by Task.Gang.
+	gangs map[string]*subQueue
+	// noPreferences is shared by the tasks that have none.
+	noPreferences Preferences
+
+	queues *queueTable
+}
+
 // priorityLevel holds all that waits with one priority.
 type priorityLevel struct {
 	priority int
 	queues   []*priorityQueue
 }
 
-// line holds all that waits in one queue with one priority.
+// priorityQueue holds all that waits in one queue with one priority.
 type priorityQueue struct {
 	level     *priorityLevel
 	queue     *queue
 	subQueues map[*equivalenceClass]*subQueue
-	// groups counts the lanes of groups.
+	// gangCount counts the sub-queues of gangs.
 	gangCount int
-	// active holds the lanes to look at, lowest Sequence first.
+	// active holds the sub-queues to look at, lowest Sequence first.
 	active indexheap.Heap[*subQueue]
 }
 
-// lane holds the tasks of one class, or the members of one group, in a line.
+// subQueue holds the tasks of one class, or the members of one gang, in a priority
+// queue.
 type subQueue struct {
 	parent *priorityQueue
-	// equivalenceClass is nil for a group, group is empty for a class.
+	// class is nil for a gang, gang is empty for a class.
 	class *equivalenceClass
 	gang  string
 	tasks indexheap.Heap[*waiting]
-	// position is the index in line.ready; indexheap.None when it is not there.
+	// position is the index in priorityQueue.active; indexheap.None while the
+	// sub-queue is not active.
 	position int
-	// inPreemptRetries is set while the lane is listed in Engine.preemptRetries;
-	// mayPreemptNow lets it try to preempt in this pass though its class is blocked.
+	// inPreemptRetries is set while the sub-queue is listed for another attempt to
+	// preempt; mayPreemptNow lets it make one in this pass though its class is
+	// unschedulable.
 	inPreemptRetries, mayPreemptNow bool
-	// gangState is used for groups only.
+	// gangState is used for gangs only.
 	gangState
 }
 
@@ -46,92 +67,80 @@
 type waiting struct {
 	Task
 	class *equivalenceClass
-	// lane is nil while the task is nominated, unit otherwise.
+	// subQueue is nil while the task is nominated, nomination otherwise.
 	subQueue   *subQueue
 	nomination *nomination
-	// position is the index in lane.tasks.
+	// position is the index in subQueue.tasks.
 	position int
 }
 
-// Before implements indexheap.Item: the lane with the first task first.
-func (l *subQueue) Before(other *subQueue) bool {
-	return compareWaiting(l.tasks[0], other.tasks[0]) < 0
+func newBacklog(queues *queueTable) *backlog {
+	return &backlog{tasks: map[record.TaskID]*waiting{}, gangs: map[string]*subQueue{}, queues: queues}
 }
 
-// SetPosition implements indexheap.Item.
-func (l *subQueue) SetPosition(position int) { l.position = position }
-
-// Before implements indexheap.Item: the first task first.
-func (w *waiting) Before(other *waiting) bool { return compareWaiting(w, other) < 0 }
-
-// SetPosition implements indexheap.Item.
-func (w *waiting) SetPosition(position int) { w.position = position }
-
-// line returns the line of a task and makes it if there is none.
-func (e *Engine) priorityQueue(task *Task) *priorityQueue {
-	lv := e.priorityLevel(task.Priority)
-	q := e.queues.get(task.Queue)
-	for _, l := range lv.queues {
-		if l.queue == q {
-			return l
+// priorityQueue returns the queue of a task at its priority and makes it if there is
+// none.
+func (b *backlog) priorityQueue(task *Task) *priorityQueue {
+	level := b.level(task.Priority)
+	q := b.queues.get(task.Queue)
+	for _, other := range level.queues {
+		if other.queue == q {
+			return other
 		}
 	}
-	made := &priorityQueue{level: lv, queue: q, subQueues: map[*equivalenceClass]*subQueue{}}
-	lv.queues = append(lv.queues, made)
+	made := &priorityQueue{level: level, queue: q, subQueues: map[*equivalenceClass]*subQueue{}}
+	level.queues = append(level.queues, made)
 	return made
 }
 
-// priorityLevel returns the level of a priority and makes it if there is none.
-func (e *Engine) priorityLevel(priority int) *priorityLevel {
-	at, found := slices.BinarySearchFunc(e.levels, priority, compareLevel)
+// level returns the level of a priority and makes it if there is none.
+func (b *backlog) level(priority int) *priorityLevel {
+	at, found := slices.BinarySearchFunc(b.levels, priority, compareLevel)
 	if found {
-		return e.levels[at]
+		return b.levels[at]
 	}
 	made := &priorityLevel{priority: priority}
-	e.levels = slices.Insert(e.levels, at, made)
+	b.levels = slices.Insert(b.levels, at, made)
 	return made
 }
 
-// compareLevel puts high priorities first.
-func compareLevel(l *priorityLevel, priority int) int { return cmp.Compare(priority, l.priority) }
-
-// dropPriorityQueueIfEmpty removes a line without lanes, and its level with the last.
-func (e *Engine) dropPriorityQueueIfEmpty(l *priorityQueue) {
-	if len(l.subQueues) > 0 || l.gangCount > 0 {
+// dropIfEmpty removes a priority queue in which nothing waits, and its level with the
+// last.
+func (b *backlog) dropIfEmpty(q *priorityQueue) {
+	if len(q.subQueues) > 0 || q.gangCount > 0 {
 		return
 	}
-	lv := l.level
-	lv.queues = slices.DeleteFunc(lv.queues, func(other *priorityQueue) bool { return other == l })
-	if len(lv.queues) > 0 {
+	level := q.level
+	level.queues = slices.DeleteFunc(level.queues, func(other *priorityQueue) bool { return other == q })
+	if len(level.queues) > 0 {
 		return
 	}
-	at, found := slices.BinarySearchFunc(e.levels, lv.priority, compareLevel)
+	at, found := slices.BinarySearchFunc(b.levels, level.priority, compareLevel)
 	if found {
-		e.levels = slices.Delete(e.levels, at, at+1)
+		b.levels = slices.Delete(b.levels, at, at+1)
 	}
 }
 
-// lane returns the lane of a class and makes it if there is none.
-func (l *priorityQueue) subQueue(c *equivalenceClass) *subQueue {
-	if found, ok := l.subQueues[c]; ok {
-		return found
-	}
-	made := &subQueue{parent: l, class: c, position: indexheap.None}
-	l.subQueues[c] = made
-	c.subQueues[made] = struct{}{}
-	return made
+// ofClass returns the sub-queue of a task that is placed alone and makes it if there
+// is none.
+func (b *backlog) ofClass(w *waiting) *subQueue {
+	return b.priorityQueue(&w.Task).subQueue(w.class)
 }
 
-// push adds a task to the lane.
-func (l *subQueue) push(w *waiting) {
-	w.subQueue = l
-	heap.Push(&l.tasks, w)
-	l.countMember(w.class, 1)
-	l.fixOrder()
+// ofGang returns the sub-queue of a member's gang and makes it if there is none.
+func (b *backlog) ofGang(member *Task) *subQueue {
+	l, ok := b.gangs[member.Gang]
+	if !ok {
+		l = &subQueue{parent: b.priorityQueue(member), gang: member.Gang, position: indexheap.None}
+		l.parent.gangCount++
+		b.gangs[member.Gang] = l
+	}
+	l.size = member.GangSize
+	return l
 }
 
-// dequeue removes a task from the lane and drops the lane with its last task.
-func (e *Engine) dequeue(w *waiting) {
+// dequeue removes a task from its sub-queue and drops the sub-queue with its last task.
+func (b *backlog) dequeue(w *waiting) {
 	l := w.subQueue
 	heap.Remove(&l.tasks, w.position)
 	l.countMember(w.class, -1)
@@ -142,12 +151,68 @@
 	l.deactivate()
 	if l.class == nil {
 		l.parent.gangCount--
-		delete(e.gangs, l.gang)
+		delete(b.gangs, l.gang)
 	} else {
 		delete(l.parent.subQueues, l.class)
 		delete(l.class.subQueues, l)
 	}
-	e.dropPriorityQueueIfEmpty(l.parent)
+	b.dropIfEmpty(l.parent)
+}
+
+// forget takes a task out of all that waits.
+func (b *backlog) forget(w *waiting) {
+	delete(b.tasks, w.ID)
+	if w.subQueue != nil {
+		b.dequeue(w)
+	}
+}
+
+// matching returns the waiting tasks for which concerned holds, in order of Sequence.
+func (b *backlog) matching(concerned func(*Task) bool) []*waiting {
+	var tasks []*waiting
+	for _, w := range b.tasks {
+		if concerned(&w.Task) {
+			tasks = append(tasks, w)
+		}
+	}
+	slices.SortFunc(tasks, compareWaiting)
+	return tasks
+}
+
+// Before implements indexheap.Item: the lane with the first task first.
+func (l *subQueue) Before(other *subQueue) bool {
+	return compareWaiting(l.tasks[0], other.tasks[0]) < 0
+}
+
+// SetPosition implements indexheap.Item.
+func (l *subQueue) SetPosition(position int) { l.position = position }
+
+// Before implements indexheap.Item: the first task first.
+func (w *waiting) Before(other *waiting) bool { return compareWaiting(w, other) < 0 }
+
+// SetPosition implements indexheap.Item.
+func (w *waiting) SetPosition(position int) { w.position = position }
+
+// compareLevel puts high priorities first.
+func compareLevel(l *priorityLevel, priority int) int { return cmp.Compare(priority, l.priority) }
+
+// lane returns the lane of a class and makes it if there is none.
+func (l *priorityQueue) subQueue(c *equivalenceClass) *subQueue {
+	if found, ok := l.subQueues[c]; ok {
+		return found
+	}
+	made := &subQueue{parent: l, class: c, position: indexheap.None}
+	l.subQueues[c] = made
+	c.subQueues[made] = struct{}{}
+	return made
+}
+
+// push adds a task to the lane.
+func (l *subQueue) push(w *waiting) {
+	w.subQueue = l
+	heap.Push(&l.tasks, w)
+	l.countMember(w.class, 1)
+	l.fixOrder()
 }
 
 // fixOrder moves the lane to its place after its first task changed.
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -28,11 +28,7 @@
 	classes map[classKey]*equivalenceClass
 	steps   *stepTable
 	queues  *queueTable
-	// levels are ordered by priority, highest first.
-	levels []*priorityLevel
-	// groups are the lanes of groups by Task.Group.
-	gangs   map[string]*subQueue
-	waiting map[record.TaskID]*waiting
+	backlog *backlog
 	runs    *runTable
 	// reservations are ordered by the start of their windows.
 	reservations []*reservation
@@ -40,8 +36,6 @@
 	nominations []*nomination
 	// preemptions are those asked for since Preemptions was called.
 	preemptions []Preemption
-	// noPreferences is shared by the tasks that have none.
-	noPreferences Preferences
 	// preemptRetries are blocked lanes, in the order in which they get another
 	// trial to preempt; unfinished are those that the last pass had no time for.
 	preemptRetries, overAllowance []*subQueue
@@ -77,8 +71,7 @@
 		steps:   steps,
 		runs:    newRunTable(clock, workers, queues, steps),
 		classes: map[classKey]*equivalenceClass{},
-		gangs:   map[string]*subQueue{},
-		waiting: map[record.TaskID]*waiting{},
+		backlog: newBacklog(queues),
 
 		preferredLabels: preferredlabels.New(),
 		utilization:     utilization.New(),
@@ -224,16 +217,16 @@
 		return
 	}
 	if task.Preferences == nil {
-		task.Preferences = &e.noPreferences
+		task.Preferences = &e.backlog.noPreferences
 	}
-	if present, ok := e.waiting[task.ID]; ok {
+	if present, ok := e.backlog.tasks[task.ID]; ok {
 		if sameTask(&present.Task, &task) {
 			return
 		}
 		e.Remove(task.ID)
 	}
 	w := &waiting{Task: task, class: e.joinClass(&task)}
-	e.waiting[task.ID] = w
+	e.backlog.tasks[task.ID] = w
 	if !e.off.Has(featuregate.PreferredShare) {
 		e.preferredLabels.Record(task.Spec.Prefer, e.clock.now)
 	}
@@ -246,7 +239,7 @@
 		e.addToGang(w)
 		return
 	}
-	l := e.priorityQueue(&w.Task).subQueue(w.class)
+	l := e.backlog.ofClass(w)
 	l.push(w)
 	if w.class.unschedulable {
 		e.addPreemptRetry(l)
@@ -256,7 +249,7 @@
 }
 
 func (e *Engine) addToGang(w *waiting) {
-	l := e.joinGang(&w.Task)
+	l := e.backlog.ofGang(&w.Task)
 	if e.isDrainingFor(l) {
 		e.stopGangDrain()
 	}
@@ -268,7 +261,7 @@
 
 // Remove implements Planner.
 func (e *Engine) Remove(task record.TaskID) {
-	w, ok := e.waiting[task]
+	w, ok := e.backlog.tasks[task]
 	if !ok {
 		return
 	}
@@ -281,12 +274,20 @@
 
 // forget takes a task out of all that waits.
 func (e *Engine) forget(w *waiting) {
-	delete(e.waiting, w.ID)
-	if w.subQueue != nil {
-		e.dequeue(w)
-	}
+	e.backlog.forget(w)
 	e.leaveClass(w.class)
 }
 
 // Waiting implements Planner.
-func (e *Engine) Waiting() int { return len(e.waiting) }
+func (e *Engine) Waiting() int { return len(e.backlog.tasks) }
+
+// reclassify adds waiting tasks anew whose class changed.
+func (e *Engine) reclassify(concerned func(*Task) bool) {
+	tasks := e.backlog.matching(concerned)
+	for _, w := range tasks {
+		e.Remove(w.ID)
+	}
+	for _, w := range tasks {
+		e.Add(w.Task)
+	}
+}
--- a/internal/placement/engine_test.go
+++ b/internal/placement/engine_test.go
@@ -203,10 +203,10 @@
 	for _, d := range e.Plan(100) {
 		e.Release(d.Task)
 	}
-	for id := range e.waiting {
+	for id := range e.backlog.tasks {
 		e.Remove(id)
 	}
-	expect(t, "state", len(e.classes)+len(e.steps.byID)+len(e.gangs)+len(e.levels)+len(e.runs.open)+len(e.waiting), 0)
+	expect(t, "state", len(e.classes)+len(e.steps.byID)+len(e.backlog.gangs)+len(e.backlog.levels)+len(e.runs.open)+len(e.backlog.tasks), 0)
 	for _, p := range e.workers.pools {
 		expect(t, "pool", p.classes+len(p.unschedulable), 0)
 	}
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -74,7 +74,7 @@
 // startGangDrain picks the group that waits longest, of the highest priority.
 func (e *Engine) startGangDrain() {
 	var longest *subQueue
-	for _, l := range e.gangs {
+	for _, l := range e.backlog.gangs {
 		if l.unschedulableSince == 0 || e.clock.pass-l.unschedulableSince < gangDrainAfterPasses || !l.complete() || !e.canDrainFor(l) {
 			continue
 		}
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -5,7 +5,6 @@
 	"math"
 	"slices"
 
-	"github.com/decklever/decklever/internal/indexheap"
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
@@ -44,18 +43,6 @@
 	version uint64
 }
 
-// joinGang returns the lane of the task's group and makes it if there is none.
-func (e *Engine) joinGang(task *Task) *subQueue {
-	l, ok := e.gangs[task.Gang]
-	if !ok {
-		l = &subQueue{parent: e.priorityQueue(task), gang: task.Gang, position: indexheap.None}
-		l.parent.gangCount++
-		e.gangs[task.Gang] = l
-	}
-	l.size = task.GangSize
-	return l
-}
-
 // complete reports whether all members wait; a class lane always is.
 func (l *subQueue) complete() bool { return l.class != nil || len(l.tasks) >= l.size }
 
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -29,7 +29,7 @@
 func (e *Engine) nominate(members []*waiting, runs []*run, victims []Preemption) {
 	u := &nomination{members: members, runs: runs}
 	for _, member := range members {
-		e.dequeue(member)
+		e.backlog.dequeue(member)
 		member.subQueue, member.nomination = nil, u
 	}
 	at, _ := slices.BinarySearchFunc(e.nominations, u, compareNomination)
@@ -74,7 +74,7 @@
 	for _, r := range w.sortedRuns(func(r *run) bool { return r.nominated }) {
 		// An earlier unit may have had several runs here.
 		if _, open := w.runs[r]; open {
-			e.revokeNomination(e.waiting[r.task])
+			e.revokeNomination(e.backlog.tasks[r.task])
 		}
 	}
 }
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -35,7 +35,7 @@
 	e.dropStaleBackfillReservations()
 	e.activateBackfillBlocked()
 	// Levels that run empty are dropped on the way, hence the copy.
-	for _, lv := range slices.Clone(e.levels) {
+	for _, lv := range slices.Clone(e.backlog.levels) {
 		if !p.planLevel(lv) {
 			break
 		}
--- a/internal/placement/property_reservation_test.go
+++ b/internal/placement/property_reservation_test.go
@@ -121,7 +121,9 @@
 	return team == "" || limit == 0 || m.teamRunning(team) < limit
 }
 
-func (m *model) isNominated(task record.TaskID) bool { return m.engine.waiting[task].nomination != nil }
+func (m *model) isNominated(task record.TaskID) bool {
+	return m.engine.backlog.tasks[task].nomination != nil
+}
 
 // isNominatedOn reports whether promises may keep a task off a worker or out of
 // its limits.
@@ -212,7 +214,7 @@
 		if !waits || !m.isNominated(p.Beneficiary) {
 			t.Fatalf("%v: beneficiary waits %v", p, waits)
 		}
-		nomination := m.engine.waiting[p.Beneficiary].nomination
+		nomination := m.engine.backlog.tasks[p.Beneficiary].nomination
 		at := slices.IndexFunc(nomination.members, func(w *waiting) bool { return w.ID == p.Beneficiary })
 		if !nomination.runs[at].inReservation && victim.task.Priority >= beneficiary.Priority {
 			t.Fatalf("%v: priority %d for %d", p, victim.task.Priority, beneficiary.Priority)
--- a/internal/placement/reasons.go
+++ b/internal/placement/reasons.go
@@ -22,7 +22,7 @@
 // Reason implements Planner. It is worked out from the state at the time of
 // the call; a task that would fit now waits for its turn.
 func (e *Engine) Reason(task record.TaskID) string {
-	w, ok := e.waiting[task]
+	w, ok := e.backlog.tasks[task]
 	if !ok {
 		return ""
 	}
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -147,23 +147,6 @@
 	}
 }
 
-// reclassify adds waiting tasks anew whose class changed.
-func (e *Engine) reclassify(concerned func(*Task) bool) {
-	var tasks []*waiting
-	for _, w := range e.waiting {
-		if concerned(&w.Task) {
-			tasks = append(tasks, w)
-		}
-	}
-	slices.SortFunc(tasks, compareWaiting)
-	for _, w := range tasks {
-		e.Remove(w.ID)
-	}
-	for _, w := range tasks {
-		e.Add(w.Task)
-	}
-}
-
 // reservationsOf returns the reservations whose slices tasks of the class may use.
 func (e *Engine) reservationsOf(c *equivalenceClass) []*reservation {
 	if c.key.queue == "" {
--- a/internal/placement/reservedslots.go
+++ b/internal/placement/reservedslots.go
@@ -88,7 +88,7 @@
 		}
 		before := s.used
 		if r.nominated {
-			e.revokeNomination(e.waiting[r.task])
+			e.revokeNomination(e.backlog.tasks[r.task])
 		} else {
 			e.workers.updateRun(r, func() { r.leaveSlot() })
 		}
