--- a/internal/placement/classes.go
+++ b/internal/placement/classes.go
@@ -152,7 +152,7 @@
 
 		utilization: e.utilization,
 	}
-	c.reservations = e.reservationsOf(c)
+	c.reservations = e.reservations.usableBy(c)
 	if spec.Spread != nil {
 		step := e.steps.get(key.step)
 		step.track(key.spreadBy)
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -22,16 +22,15 @@
 // Engine implements Planner and Booker. It is not safe for concurrent use.
 type Engine struct {
 	// off are the mechanisms that are switched off.
-	off     featuregate.DisabledSet
-	clock   *clock
-	workers *workerIndex
-	classes map[classKey]*equivalenceClass
-	steps   *stepTable
-	queues  *queueTable
-	backlog *backlog
-	runs    *runTable
-	// reservations are ordered by the start of their windows.
-	reservations []*reservation
+	off          featuregate.DisabledSet
+	clock        *clock
+	workers      *workerIndex
+	classes      map[classKey]*equivalenceClass
+	steps        *stepTable
+	queues       *queueTable
+	backlog      *backlog
+	runs         *runTable
+	reservations *reservationTable
 	// nominations are promised room, in the order in which they are placed.
 	nominations []*nomination
 	// preemptions are those asked for since Preemptions was called.
@@ -63,7 +62,7 @@
 func New(config Config) *Engine {
 	clock := &clock{}
 	workers, queues, steps := newWorkerIndex(), newQueueTable(), newStepTable()
-	return &Engine{
+	e := &Engine{
 		off:     config.Off,
 		clock:   clock,
 		workers: workers,
@@ -76,6 +75,10 @@
 		preferredLabels: preferredlabels.New(),
 		utilization:     utilization.New(),
 	}
+	e.reservations = newReservationTable(clock, workers, func(task record.TaskID) {
+		e.revokeNomination(e.backlog.tasks[task])
+	})
+	return e
 }
 
 // SetQueues implements Planner. A queue that is not named has weight 1 and no bound.
@@ -99,7 +102,7 @@
 		return
 	}
 	if w.known && w.Name != to.Name {
-		e.dropAllSlots(w)
+		e.reservations.dropAllSlots(w)
 	}
 	// Runs count by the domains of their worker: those of the old description are
 	// taken back before it changes.
@@ -113,8 +116,8 @@
 		s.count(w, count)
 		activateStep(s)
 	}
-	e.dropMismatchedSlots(w)
-	e.dropUnsupportedSlots(w)
+	e.reservations.dropMismatchedSlots(w)
+	e.reservations.dropUnsupportedSlots(w)
 }
 
 // SetMaxPreemptions implements ReservationPlanner.
@@ -125,7 +128,7 @@
 	e.runs.maxPreemptions = limit
 	for _, w := range slices.SortedFunc(maps.Values(e.workers.byID), compareName) {
 		e.runs.reconsiderPreemptible(w)
-		e.dropUnsupportedSlots(w)
+		e.reservations.dropUnsupportedSlots(w)
 		e.workers.addChanged(w)
 	}
 	e.reclassify(func(task *Task) bool { return task.Spec.Preemptible })
@@ -156,7 +159,7 @@
 		return
 	}
 	e.cancelNominationsOn(w)
-	e.dropAllSlots(w)
+	e.reservations.dropAllSlots(w)
 	for _, r := range w.sortedRuns(func(*run) bool { return true }) {
 		e.end(r)
 	}
@@ -183,7 +186,7 @@
 		// It may fill a slice that is still looking for a worker.
 		e.workers.addChanged(to.worker)
 	}
-	e.dropUnsupportedSlots(to.worker)
+	e.reservations.dropUnsupportedSlots(to.worker)
 }
 
 // Release implements Planner.
@@ -201,7 +204,7 @@
 // end closes a run and lets what may now have room be looked at again.
 func (e *Engine) end(r *run) {
 	e.runs.close(r)
-	e.dropUnsupportedSlots(r.worker)
+	e.reservations.dropUnsupportedSlots(r.worker)
 	e.workers.addChanged(r.worker)
 	r.queue.activateGangs()
 	if r.queue.team != nil {
@@ -291,3 +294,39 @@
 		e.Add(w.Task)
 	}
 }
+
+// SetTime implements ReservationPlanner. Time that goes back has no effect. A window is
+// dropped when it ends.
+func (e *Engine) SetTime(now record.Millis) {
+	if now <= e.clock.now {
+		return
+	}
+	before := e.clock.now
+	e.clock.now = now
+	if e.reservations.advance(before) {
+		e.refreshReservations()
+	}
+}
+
+// SetReservations implements ReservationPlanner.
+func (e *Engine) SetReservations(reservations []Reservation) {
+	if e.reservations.set(reservations) {
+		e.refreshReservations()
+	}
+}
+
+// ReservedSlots implements ReservationPlanner, in the order of reservations and workers'
+// names.
+func (e *Engine) ReservedSlots() []ReservedSlots { return e.reservations.list() }
+
+// refreshReservations sorts the waiting tasks of queues anew that got their first window
+// or lost their last, and tells classes the reservations whose slots they may use.
+func (e *Engine) refreshReservations() {
+	changed := e.queues.setReserved(e.reservations.queues())
+	if len(changed) > 0 {
+		e.reclassify(func(task *Task) bool { return changed[task.Queue] })
+	}
+	for _, c := range e.classes {
+		c.reservations = e.reservations.usableBy(c)
+	}
+}
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -37,7 +37,7 @@
 	e.preemptions = append(e.preemptions, victims...)
 	for _, r := range runs {
 		if r.slot != nil {
-			e.dropUnsupportedSlots(r.worker)
+			e.reservations.dropUnsupportedSlots(r.worker)
 		}
 	}
 }
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -27,7 +27,7 @@
 		e.activateDeferredByUtilization()
 	}
 	p := &pass{engine: e, limit: limit, allowance: newAllowance()}
-	e.assignSlots(e.workers.changed)
+	e.reservations.assignSlots(e.workers.changed)
 	p.placeNominated()
 	e.activateClasses(e.workers.takeChanged())
 	p.drainForGang()
@@ -112,7 +112,7 @@
 	p.engine.forget(placed)
 	if opened.slot != nil {
 		// The run may outlast its window and need what others have booked.
-		p.engine.dropUnsupportedSlots(on)
+		p.engine.reservations.dropUnsupportedSlots(on)
 	}
 }
 
--- a/internal/placement/reservedslots.go
+++ b/internal/placement/reservedslots.go
@@ -1,8 +1,6 @@
 package placement
 
 import (
-	"cmp"
-	"container/heap"
 	"slices"
 
 	"github.com/decklever/decklever/internal/placement/resources"
@@ -18,47 +16,33 @@
 	used int
 }
 
-// ReservedSlots implements Booker, in the order of reservations and workers' names.
-func (e *Engine) ReservedSlots() []ReservedSlots {
-	var all []ReservedSlots
-	for _, r := range e.reservations {
-		for _, s := range r.slots {
-			all = append(all, ReservedSlots{
-				Reservation: r.ID, WorkerID: s.worker.ID, Worker: s.worker.Name,
-				Slots: s.slots, Used: s.used,
-			})
-		}
-	}
-	return all
-}
-
 // addSlot puts one slice of the reservation on a worker.
-func (e *Engine) addSlot(r *reservation, on *worker) *slotSet {
+func (t *reservationTable) addSlot(r *reservation, on *worker) *slotSet {
 	at, found := slices.BinarySearchFunc(r.slots, on, func(s *slotSet, w *worker) int { return compareName(s.worker, w) })
 	if !found {
 		r.slots = slices.Insert(r.slots, at, &slotSet{reservation: r, worker: on})
 	}
 	s := r.slots[at]
-	e.workers.updateSlots(on, func() {
+	t.workers.updateSlots(on, func() {
 		if !found {
 			on.slots = append(on.slots, s)
 		}
 		s.slots++
 		r.placed++
 	})
-	e.workers.addChanged(on)
+	t.workers.addChanged(on)
 	return s
 }
 
 // dropSlots takes slices off a worker; they are pending from then on. Runs in
 // slices that are gone go on as ordinary ones, nominations end.
-func (e *Engine) dropSlots(s *slotSet, count int) {
+func (t *reservationTable) dropSlots(s *slotSet, count int) {
 	if count <= 0 {
 		return
 	}
 	left := s.slots - count
-	e.evict(s, s.used-left)
-	e.workers.updateSlots(s.worker, func() {
+	t.evict(s, s.used-left)
+	t.workers.updateSlots(s.worker, func() {
 		// Evicting may have made settle take some already.
 		s.reservation.placed -= max(s.slots-left, 0)
 		s.slots = min(s.slots, left)
@@ -67,7 +51,7 @@
 		}
 	})
 	s.reservation.searched = false
-	e.workers.addChanged(s.worker)
+	t.workers.addChanged(s.worker)
 }
 
 func (s *slotSet) remove() {
@@ -77,7 +61,7 @@
 }
 
 // evict makes runs in slices ordinary runs, and cancels nominations for slices.
-func (e *Engine) evict(s *slotSet, count int) {
+func (t *reservationTable) evict(s *slotSet, count int) {
 	for _, r := range s.worker.sortedRuns(func(r *run) bool { return r.slot == s }) {
 		if count <= 0 {
 			return
@@ -88,9 +72,9 @@
 		}
 		before := s.used
 		if r.nominated {
-			e.revokeNomination(e.backlog.tasks[r.task])
+			t.revokeNomination(r.task)
 		} else {
-			e.workers.updateRun(r, func() { r.leaveSlot() })
+			t.workers.updateRun(r, func() { r.leaveSlot() })
 		}
 		count -= before - s.used
 	}
@@ -98,7 +82,7 @@
 
 // dropUnsupportedSlots takes slices off a worker that no longer has the room for them: those
 // that are not in use, and of these the window that starts last first.
-func (e *Engine) dropUnsupportedSlots(w *worker) {
+func (t *reservationTable) dropUnsupportedSlots(w *worker) {
 	for at := 0; at < len(w.profile); {
 		if !resources.IsNegative(w.profile[at].slack) {
 			at++
@@ -109,7 +93,7 @@
 			at++
 			continue
 		}
-		e.dropSlots(unused, 1)
+		t.dropSlots(unused, 1)
 		at = 0
 	}
 }
@@ -129,126 +113,17 @@
 	return last
 }
 
-func (e *Engine) dropAllSlots(w *worker) {
+func (t *reservationTable) dropAllSlots(w *worker) {
 	for _, s := range slices.Clone(w.slots) {
-		e.dropSlots(s, s.slots)
+		t.dropSlots(s, s.slots)
 	}
 }
 
 // dropMismatchedSlots takes off the slices that a worker does not serve any more.
-func (e *Engine) dropMismatchedSlots(w *worker) {
+func (t *reservationTable) dropMismatchedSlots(w *worker) {
 	for _, s := range slices.Clone(w.slots) {
 		if !s.reservation.pool.matches(w) || w.Suspect {
-			e.dropSlots(s, s.slots)
+			t.dropSlots(s, s.slots)
 		}
 	}
 }
-
-// assignSlots finds workers for pending slices. Only workers that changed are
-// looked at again.
-func (e *Engine) assignSlots(changed []*worker) {
-	for _, r := range e.reservations {
-		if r.pending() <= 0 {
-			continue
-		}
-		candidates := changed
-		if !r.searched {
-			candidates = r.pool.workers
-			r.searched = true
-		}
-		e.assign(r, candidates)
-	}
-}
-
-// assign fills the best worker first, and looks at it again after each slice.
-func (e *Engine) assign(r *reservation, candidates []*worker) {
-	var open slotCandidateHeap
-	for _, w := range slices.Clone(candidates) {
-		if !r.pool.matches(w) || !r.SlotSize.Fits(w.Capacity) {
-			continue
-		}
-		e.adopt(r, w)
-		if s, ok := e.slotCandidateOn(r, w); ok {
-			open = append(open, s)
-		}
-	}
-	heap.Init(&open)
-	for r.pending() > 0 && len(open) > 0 {
-		best := open[0].worker
-		e.addSlot(r, best)
-		if s, ok := e.slotCandidateOn(r, best); ok {
-			open[0] = s
-			heap.Fix(&open, 0)
-			continue
-		}
-		heap.Pop(&open)
-	}
-}
-
-// adopt lets runs that the queue started in the open window fill pending
-// slices where they are, as after a change of the leader.
-func (e *Engine) adopt(r *reservation, w *worker) {
-	if r.Start > e.clock.now || len(w.runs) == 0 {
-		return
-	}
-	mayFill := func(o *run) bool {
-		sameService := r.Service == "" || r.Service == o.service
-		return o.queue.rule.Name == r.Queue && o.slot == nil && !o.nominated && !o.stopping &&
-			o.started >= r.Start && sameService && o.need.Fits(r.SlotSize)
-	}
-	for _, o := range w.sortedRuns(mayFill) {
-		if r.pending() <= 0 {
-			return
-		}
-		if !fits(r.SlotSize, w.slackDuring(r, o)) {
-			return
-		}
-		s := e.addSlot(r, w)
-		e.workers.updateRun(o, func() { o.enterSlot(s) })
-	}
-}
-
-// slotCandidate is a worker that has room for one more slice.
-type slotCandidate struct {
-	worker *worker
-	// preempted is the room of preemptible runs that the slice needs.
-	preempted float64
-	// freeSize is what the worker has at the window's start.
-	room float64
-}
-
-func (e *Engine) slotCandidateOn(r *reservation, w *worker) (slotCandidate, bool) {
-	slack := w.slackDuring(r, nil)
-	if !fits(r.SlotSize, slack) || w.restricted {
-		return slotCandidate{}, false
-	}
-	return slotCandidate{
-		worker:    w,
-		preempted: resources.NormalizedSize(resources.Lacking(r.SlotSize, slack.Sub(w.preemptible)), e.workers.largest),
-		room:      resources.NormalizedSize(slack, e.workers.largest),
-	}, true
-}
-
-// slotCandidateHeap implements heap.Interface: least preempted first, then the fullest.
-type slotCandidateHeap []slotCandidate
-
-func (h slotCandidateHeap) Len() int { return len(h) }
-func (h slotCandidateHeap) Less(i, j int) bool {
-	return cmp.Or(
-		cmp.Compare(h[i].preempted, h[j].preempted),
-		cmp.Compare(h[i].room, h[j].room),
-		compareName(h[i].worker, h[j].worker),
-	) < 0
-}
-func (h slotCandidateHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-
-// Push implements heap.Interface.
-func (h *slotCandidateHeap) Push(item any) { *h = append(*h, item.(slotCandidate)) }
-
-// Pop implements heap.Interface.
-func (h *slotCandidateHeap) Pop() any {
-	last := len(*h) - 1
-	s := (*h)[last]
-	*h = (*h)[:last]
-	return s
-}
