--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -25,7 +25,7 @@
 	off          featuregate.DisabledSet
 	clock        *clock
 	workers      *workerIndex
-	classes      map[classKey]*equivalenceClass
+	classes      *classIndex
 	steps        *stepTable
 	queues       *queueTable
 	backlog      *backlog
@@ -69,7 +69,6 @@
 		queues:  queues,
 		steps:   steps,
 		runs:    newRunTable(clock, workers, queues, steps),
-		classes: map[classKey]*equivalenceClass{},
 		backlog: newBacklog(queues),
 
 		preferredLabels: preferredlabels.New(),
@@ -78,6 +77,10 @@
 	e.reservations = newReservationTable(clock, workers, func(task record.TaskID) {
 		e.revokeNomination(e.backlog.tasks[task])
 	})
+	e.classes = &classIndex{
+		byKey: map[classKey]*equivalenceClass{},
+		clock: clock, workers: workers, steps: steps, reservations: e.reservations, utilization: e.utilization,
+	}
 	return e
 }
 
@@ -278,7 +281,7 @@
 // forget takes a task out of all that waits.
 func (e *Engine) forget(w *waiting) {
 	e.backlog.forget(w)
-	e.leaveClass(w.class)
+	e.classes.leave(w.class)
 }
 
 // Waiting implements Planner.
@@ -326,7 +329,11 @@
 	if len(changed) > 0 {
 		e.reclassify(func(task *Task) bool { return changed[task.Queue] })
 	}
-	for _, c := range e.classes {
-		c.reservations = e.reservations.usableBy(c)
-	}
+	e.classes.refreshReservations()
+}
+
+// joinClass counts a task in the class that it is of now.
+func (e *Engine) joinClass(task *Task) *equivalenceClass {
+	required := e.requirementsOf(task)
+	return e.classes.join(e.classKeyOf(task, &required), task.Spec.Spread, required.labels)
 }
--- a/internal/placement/engine_test.go
+++ b/internal/placement/engine_test.go
@@ -206,7 +206,7 @@
 	for id := range e.backlog.tasks {
 		e.Remove(id)
 	}
-	expect(t, "state", len(e.classes)+len(e.steps.byID)+len(e.backlog.gangs)+len(e.backlog.levels)+len(e.runs.open)+len(e.backlog.tasks), 0)
+	expect(t, "state", len(e.classes.byKey)+len(e.steps.byID)+len(e.backlog.gangs)+len(e.backlog.levels)+len(e.runs.open)+len(e.backlog.tasks), 0)
 	for _, p := range e.workers.pools {
 		expect(t, "pool", p.classes+len(p.unschedulable), 0)
 	}
--- a/internal/placement/headroom.go
+++ b/internal/placement/headroom.go
@@ -62,13 +62,3 @@
 		}
 	}
 }
-
-// activateDeferredByUtilization looks again at classes whose service was crowded when they were
-// blocked, and no longer is.
-func (e *Engine) activateDeferredByUtilization() {
-	for _, c := range e.classes {
-		if c.blockedByUtilization && !c.isHighlyUtilized() {
-			c.activateSubQueues()
-		}
-	}
-}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -24,12 +24,12 @@
 	e.refreshPreferredWorkers()
 	if e.needsUtilization() {
 		e.recountUtilization()
-		e.activateDeferredByUtilization()
+		e.classes.activateAtLowUtilization()
 	}
 	p := &pass{engine: e, limit: limit, allowance: newAllowance()}
 	e.reservations.assignSlots(e.workers.changed)
 	p.placeNominated()
-	e.activateClasses(e.workers.takeChanged())
+	activateOn(e.workers.takeChanged())
 	p.drainForGang()
 	p.activatePreemptRetries()
 	e.dropStaleBackfillReservations()
