--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -284,7 +284,7 @@
 	if len(l.awaitedClasses) == 0 {
 		return goesOn
 	}
-	if short, _ := p.engine.findShortage(l); short == nil {
+	if short, _ := l.findShortage(); short == nil {
 		p.engine.backfillBlocked = append(p.engine.backfillBlocked, l)
 	}
 	return goesOn
@@ -293,13 +293,13 @@
 // hasFitOrNone reports whether the lane's first task has room off the kept workers,
 // or has none at all.
 func (p *pass) hasFitOrNone(l *subQueue) bool {
-	if _, found := p.engine.findTarget(l.tasks[0]); found {
+	if _, found := p.engine.finder.findTarget(l.tasks[0]); found {
 		return true
 	}
 	held := l.class.backfill
 	l.class.backfill = nil
 	defer func() { l.class.backfill = held }()
-	_, found := p.engine.findTarget(l.tasks[0])
+	_, found := p.engine.finder.findTarget(l.tasks[0])
 	return !found
 }
 
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -5,7 +5,6 @@
 	"slices"
 
 	"github.com/decklever/decklever/internal/featuregate"
-	"github.com/decklever/decklever/internal/placement/preferredlabels"
 	"github.com/decklever/decklever/internal/placement/utilization"
 	"github.com/decklever/decklever/internal/record"
 )
@@ -38,8 +37,8 @@
 	// preemptRetries are blocked lanes, in the order in which they get another
 	// trial to preempt; unfinished are those that the last pass had no time for.
 	preemptRetries, overAllowance []*subQueue
-	// preferredLabels are the labels that tasks have preferred lately.
-	preferredLabels *preferredlabels.Set
+	finder                        *targetFinder
+	preferred                     *preferredReserve
 	// utilization is as of the start of the pass, and what it has placed since.
 	utilization *utilization.Table
 	// backfillReserved are the workers with backfillFor, between two passes.
@@ -71,8 +70,7 @@
 		runs:    newRunTable(clock, workers, queues, steps),
 		backlog: newBacklog(queues),
 
-		preferredLabels: preferredlabels.New(),
-		utilization:     utilization.New(),
+		utilization: utilization.New(),
 	}
 	e.reservations = newReservationTable(clock, workers, func(task record.TaskID) {
 		e.revokeNomination(e.backlog.tasks[task])
@@ -81,6 +79,8 @@
 		byKey: map[classKey]*equivalenceClass{},
 		clock: clock, workers: workers, steps: steps, reservations: e.reservations, utilization: e.utilization,
 	}
+	e.preferred = newPreferredReserve(config.Off.Has(featuregate.PreferredShare), clock, workers)
+	e.finder = &targetFinder{off: config.Off, workers: workers, steps: steps, preferred: e.preferred}
 	return e
 }
 
@@ -114,7 +114,7 @@
 		s.count(w, -count)
 	}
 	e.workers.set(w, to)
-	w.preferred = e.preferredLabels.Matches(w.Labels)
+	e.preferred.describe(w)
 	for s, count := range runs {
 		s.count(w, count)
 		activateStep(s)
@@ -233,9 +233,7 @@
 	}
 	w := &waiting{Task: task, class: e.joinClass(&task)}
 	e.backlog.tasks[task.ID] = w
-	if !e.off.Has(featuregate.PreferredShare) {
-		e.preferredLabels.Record(task.Spec.Prefer, e.clock.now)
-	}
+	e.preferred.record(task.Spec)
 	e.enqueue(w)
 }
 
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 
-	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -50,11 +49,11 @@
 		e.stopGangDrain()
 		return
 	}
-	for _, member := range e.placementOrder(g.gang.tasks) {
+	for _, member := range e.finder.placementOrder(g.gang.tasks) {
 		if g.runs[member] != nil {
 			continue
 		}
-		if to, found := e.findTarget(member); found {
+		if to, found := e.finder.findTarget(member); found {
 			g.runs[member] = e.runs.nominate(&member.Task, to)
 		}
 	}
@@ -112,23 +111,6 @@
 	return true
 }
 
-// fitCountOnIdleWorkers counts these places, up to enough.
-func (c *equivalenceClass) fitCountOnIdleWorkers(enough int) int {
-	left := map[string]int{}
-	total := 0
-	for _, w := range c.pool.workers {
-		if total >= enough {
-			break
-		}
-		here := resources.FitCount(c.key.need, w.Capacity.Sub(w.longRunning), enough-total)
-		if c.spread != nil && here > 0 {
-			here = takeFromDomain(left, c.spread, &w.Worker, here)
-		}
-		total += here
-	}
-	return total
-}
-
 // isDrainValid reports whether the limits still allow the group, and the room put
 // aside still keeps the rules.
 func (e *Engine) isDrainValid(g *gangDrain) bool {
@@ -148,7 +130,7 @@
 	g := e.gangDrain
 	e.gangDrain, e.lastDrainPass = nil, e.clock.pass
 	g.gang.unschedulableSince = e.clock.pass
-	for _, member := range e.placementOrder(g.members()) {
+	for _, member := range e.finder.placementOrder(g.members()) {
 		e.end(g.runs[member])
 	}
 	g.gang.reconsider()
@@ -168,7 +150,7 @@
 // finishGangDrain makes the group a unit, which is placed as others are.
 func (e *Engine) finishGangDrain(g *gangDrain) {
 	e.gangDrain = nil
-	members := e.placementOrder(g.gang.tasks)
+	members := e.finder.placementOrder(g.gang.tasks)
 	runs := make([]*run, 0, len(members))
 	for _, member := range members {
 		runs = append(runs, g.runs[member])
--- a/internal/placement/gangpreemption.go
+++ b/internal/placement/gangpreemption.go
@@ -1,7 +1,5 @@
 package placement
 
-import "github.com/decklever/decklever/internal/placement/resources"
-
 // gangPreemption is a group's seats, as nominated runs, and the runs that would
 // have to stop. All of it can be undone.
 type gangPreemption struct {
@@ -26,7 +24,7 @@
 		return true
 	}
 	p.allowance.gangAttempts--
-	t := &gangPreemption{engine: e, members: e.placementOrder(l.tasks), spent: p.allowance}
+	t := &gangPreemption{engine: e, members: e.finder.placementOrder(l.tasks), spent: p.allowance}
 	if !t.placeAll(priority) {
 		t.undo()
 		return true
@@ -56,29 +54,6 @@
 	return true
 }
 
-// fitCountWithPreemption is class.places with the room of preemptible runs.
-func (c *equivalenceClass) fitCountWithPreemption(enough int) int {
-	left := map[string]int{}
-	total := 0
-	for _, r := range c.reservations {
-		total += c.freeSlots(r.slots)
-	}
-	for _, w := range c.pool.workers {
-		if total >= enough {
-			break
-		}
-		if w.restricted && !c.key.untilCancelled {
-			continue
-		}
-		here := resources.FitCount(c.key.need, w.freeOnceStopped().Add(w.preemptible), enough-total)
-		if c.spread != nil && here > 0 {
-			here = takeFromDomain(left, c.spread, &w.Worker, here)
-		}
-		total += here
-	}
-	return total
-}
-
 func (t *gangPreemption) placeAll(priority int) bool {
 	for _, member := range t.members {
 		if !t.placeMember(member, priority) {
@@ -91,7 +66,7 @@
 func (t *gangPreemption) placeMember(member *waiting, priority int) bool {
 	e, c := t.engine, member.class
 	var chosen preemptionChoice
-	if to, found := e.findTarget(member); found {
+	if to, found := e.finder.findTarget(member); found {
 		chosen.to = to
 	} else {
 		chosen = e.chooseReservedSlot(c)
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -1,11 +1,8 @@
 package placement
 
 import (
-	"cmp"
 	"math"
 	"slices"
-
-	"github.com/decklever/decklever/internal/placement/resources"
 )
 
 // gangState is what a lane keeps if it holds the members of a group.
@@ -32,17 +29,6 @@
 	count int
 }
 
-// fitCount is how many tasks of a class had room, counted up to enough.
-type fitCount struct {
-	pass         uint64
-	enough, fits int
-	// full are the domains that the spread rule closed, if it was counted to
-	// the end: room freed there makes no place. It holds for one version of
-	// workers.
-	full    map[string]bool
-	version uint64
-}
-
 // complete reports whether all members wait; a class lane always is.
 func (l *subQueue) complete() bool { return l.class != nil || len(l.tasks) >= l.size }
 
@@ -111,17 +97,6 @@
 	}
 }
 
-// freedFitsOn is the most places that a changed worker can add to the last
-// count.
-func (c *equivalenceClass) freedFitsOn(w *worker) uint64 {
-	if c.spread != nil && c.lastFitCount.full != nil && c.lastFitCount.version == c.pool.version {
-		if domain, ok := domainOf(&w.Worker, c.spread.by); !ok || c.lastFitCount.full[domain] {
-			return 0
-		}
-	}
-	return uint64(resources.FitCount(c.key.need, c.availableWithNominated(w), math.MaxInt32) + c.freeSlots(w.slots))
-}
-
 // awaitLimit keeps a group out of passes until the queue or its team may run
 // more.
 func (l *subQueue) awaitLimit(size int) {
@@ -163,7 +138,7 @@
 		return true
 	}
 	l.tried = true
-	members := p.engine.placementOrder(l.tasks)
+	members := p.engine.finder.placementOrder(l.tasks)
 	found := p.openAll(l, members)
 	if found.opened == nil {
 		p.engine.retryWithDrainedCapacity(l, func() bool {
@@ -198,7 +173,7 @@
 
 // openAll opens runs for all members of the group or for none.
 func (p *pass) openAll(l *subQueue, members []*waiting) gangPlacement {
-	if short, missing := p.engine.findShortage(l); short != nil {
+	if short, missing := l.findShortage(); short != nil {
 		return gangPlacement{short: short, missing: missing}
 	}
 	opened := p.tryAll(members)
@@ -225,24 +200,11 @@
 	}
 }
 
-// placementOrder puts members that need most room first: the small ones find room
-// in what these leave.
-func (e *Engine) placementOrder(tasks []*waiting) []*waiting {
-	members := slices.Clone(tasks)
-	slices.SortFunc(members, func(a, b *waiting) int {
-		if byNeed := cmp.Compare(e.classSize(b.class), e.classSize(a.class)); byNeed != 0 {
-			return byNeed
-		}
-		return compareWaiting(a, b)
-	})
-	return members
-}
-
 // tryAll opens runs for members until one finds no worker.
 func (p *pass) tryAll(members []*waiting) []*run {
 	opened := make([]*run, 0, len(members))
 	for _, member := range members {
-		to, found := p.engine.findTarget(member)
+		to, found := p.engine.finder.findTarget(member)
 		if !found {
 			break
 		}
@@ -265,80 +227,3 @@
 	}
 	return classes
 }
-
-// findShortage returns a class that has fewer places than the group has
-// members of it, and how many are missing, or nil. Classes are counted one by
-// one, so nil does not promise that all fit together.
-func (e *Engine) findShortage(l *subQueue) (short *equivalenceClass, missing int) {
-	l.freeMembers = 0
-	for _, m := range l.members {
-		places := e.fitCount(m.class, m.count)
-		l.freeMembers += places
-		if places < m.count && short == nil {
-			short, missing = m.class, m.count-places
-		}
-	}
-	return short, missing
-}
-
-// places is class.places, counted once a pass where it fell short: room only
-// shrinks during a pass, so that many groups of one class cost one count.
-func (e *Engine) fitCount(c *equivalenceClass, enough int) int {
-	last := &c.lastFitCount
-	if last.pass == e.clock.pass && last.fits < last.enough {
-		return min(last.fits, enough)
-	}
-	c.lastFitCount = fitCount{pass: e.clock.pass, enough: enough, version: c.pool.version}
-	c.lastFitCount.fits = c.fitCount(enough)
-	return c.lastFitCount.fits
-}
-
-// places counts how many tasks of the class fit now, up to enough. Slices
-// count whole: with a spread rule there may be fewer.
-func (c *equivalenceClass) fitCount(enough int) int {
-	left := map[string]int{}
-	total := 0
-	for _, r := range c.reservations {
-		total += min(c.freeSlots(r.slots), enough-total)
-	}
-	for _, w := range c.pool.workers {
-		if total >= enough {
-			return enough
-		}
-		here := min(resources.FitCount(c.key.need, c.availableOn(w), enough-total), c.maxRunsOn(w))
-		if c.spread != nil && here > 0 {
-			here = takeFromDomain(left, c.spread, &w.Worker, here)
-		}
-		total += here
-	}
-	if c.spread != nil {
-		c.lastFitCount.full = fullDomains(left)
-	}
-	return total
-}
-
-// fullDomains returns the domains of which nothing is left.
-func fullDomains(left map[string]int) map[string]bool {
-	full := map[string]bool{}
-	for domain, runs := range left {
-		if runs == 0 {
-			full[domain] = true
-		}
-	}
-	return full
-}
-
-// takeFromDomain returns how many of the wanted runs the worker's domain still
-// takes, and counts them in left.
-func takeFromDomain(left map[string]int, rule *spreadRule, worker *Worker, wanted int) int {
-	domain, ok := domainOf(worker, rule.by)
-	if !ok {
-		return 0
-	}
-	if _, seen := left[domain]; !seen {
-		left[domain] = max(rule.remaining(worker), 0)
-	}
-	taken := min(wanted, left[domain])
-	left[domain] -= taken
-	return taken
-}
--- a/internal/placement/longrunning.go
+++ b/internal/placement/longrunning.go
@@ -75,7 +75,7 @@
 	if g == nil || len(g.runs) == 0 || !l.runsUntilCancelled() || e.off.Has(featuregate.LastResortCapacity) {
 		return
 	}
-	members := e.placementOrder(g.members())
+	members := e.finder.placementOrder(g.members())
 	targets := make([]placementTarget, len(members))
 	for i, member := range members {
 		r := g.runs[member]
@@ -94,10 +94,3 @@
 	}
 	l.resetFitCounts()
 }
-
-// resetFitCounts has the places for a group counted anew.
-func (l *subQueue) resetFitCounts() {
-	for _, m := range l.members {
-		m.class.lastFitCount = fitCount{}
-	}
-}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -3,8 +3,6 @@
 import (
 	"cmp"
 	"slices"
-
-	"github.com/decklever/decklever/internal/placement/resources"
 )
 
 // pass is one call of Plan.
@@ -21,7 +19,7 @@
 func (e *Engine) Plan(limit int) []Decision {
 	e.clock.pass++
 	e.workers.refresh()
-	e.refreshPreferredWorkers()
+	e.preferred.refresh()
 	if e.needsUtilization() {
 		e.recountUtilization()
 		e.classes.activateAtLowUtilization()
@@ -86,7 +84,7 @@
 func (p *pass) openOne(task *waiting) *run {
 	var opened *run
 	open := func() bool {
-		if to, found := p.engine.findTarget(task); found {
+		if to, found := p.engine.finder.findTarget(task); found {
 			opened = p.engine.runs.start(&task.Task, to)
 		}
 		return opened != nil
@@ -173,8 +171,3 @@
 	}
 	return l.hasEarlierTask(other)
 }
-
-// roomOf is the room that a task of the class takes.
-func (e *Engine) classSize(c *equivalenceClass) float64 {
-	return resources.NormalizedSize(c.key.need, e.workers.largest)
-}
--- a/internal/placement/preferredreserve.go
+++ b/internal/placement/preferredreserve.go
@@ -2,6 +2,7 @@
 
 import (
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/preferredlabels"
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
@@ -15,13 +16,41 @@
 // hundredths.
 const preferredReservePercent = 30
 
-// refreshPreferredWorkers records on each worker whether a label of it is preferred.
-func (e *Engine) refreshPreferredWorkers() {
-	if !e.preferredLabels.Refresh(e.clock.now) {
+// preferredReserve owns the labels that tasks have preferred lately, and worker.preferred.
+type preferredReserve struct {
+	// disabled has no label recorded.
+	disabled bool
+	labels   *preferredlabels.Set
+
+	clock   *clock
+	workers *workerIndex
+}
+
+func newPreferredReserve(disabled bool, clock *clock, workers *workerIndex) *preferredReserve {
+	return &preferredReserve{disabled: disabled, labels: preferredlabels.New(), clock: clock, workers: workers}
+}
+
+// any reports whether any label is preferred.
+func (p *preferredReserve) any() bool { return p.labels.Len() > 0 }
+
+// record takes in what a task that waits prefers.
+func (p *preferredReserve) record(spec *api.TaskSpec) {
+	if !p.disabled {
+		p.labels.Record(spec.Prefer, p.clock.now)
+	}
+}
+
+// describe records on a worker whose description changed whether a label of it is
+// preferred.
+func (p *preferredReserve) describe(w *worker) { w.preferred = p.labels.Matches(w.Labels) }
+
+// refresh records the same on all workers, if labels came or went.
+func (p *preferredReserve) refresh() {
+	if !p.labels.Refresh(p.clock.now) {
 		return
 	}
-	for _, w := range e.workers.byID {
-		w.preferred = e.preferredLabels.Matches(w.Labels)
+	for _, w := range p.workers.byID {
+		p.describe(w)
 	}
 }
 
--- a/internal/placement/preferredreserve_test.go
+++ b/internal/placement/preferredreserve_test.go
@@ -54,7 +54,7 @@
 		e.Add(testTask("others", i, 10))
 	}
 	expect(t, "runs", countBy(e, name), map[string]int{"a": 10})
-	expect(t, "labels kept", e.preferredLabels.Len(), 0)
+	expect(t, "labels kept", e.preferred.labels.Len(), 0)
 }
 
 func TestPreferredLabels_AreBounded(t *testing.T) {
@@ -64,7 +64,7 @@
 		task.Spec.Prefer = map[string]string{"rack": record.TaskID{Job: "rack", Index: i}.String()}
 		e.Add(task)
 	}
-	expect(t, "labels kept", e.preferredLabels.Len(), preferredlabels.Max)
+	expect(t, "labels kept", e.preferred.labels.Len(), preferredlabels.Max)
 }
 
 // TestLocalityWait_WaitsForPreferredRack: and takes any other worker once it waits no more.
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -4,7 +4,6 @@
 	"slices"
 
 	"github.com/decklever/decklever/internal/featuregate"
-	"github.com/decklever/decklever/internal/placement/resources"
 )
 
 // Costs of a worker for a task, by what the task would rather not have. Each is
@@ -48,37 +47,37 @@
 func softLimitPerWorker(stepSize int) int { return (stepSize + 1) / 2 }
 
 // hasPreferences reports whether the task may have to look past the first worker.
-func (e *Engine) hasPreferences(task *Task) bool {
+func (f *targetFinder) hasPreferences(task *Task) bool {
 	return len(task.Avoid) > 0 || task.Colocate != "" || task.StepSize > 1 ||
-		len(task.Spec.Prefer) > 0 || e.preferredLabels.Len() > 0 || e.workers.slow > 0 || len(e.workers.restricted) > 0
+		len(task.Spec.Prefer) > 0 || f.preferred.any() || f.workers.slow > 0 || len(f.workers.restricted) > 0
 }
 
 // fullest returns the worker that a task which waits takes, or nil: of those
 // that can take it the one that costs least, and of these the fullest.
-func (e *Engine) fullest(w *waiting) *worker {
-	c, least := w.class, e.classSize(w.class)
+func (f *targetFinder) fullest(w *waiting) *worker {
+	c, least := w.class, f.workers.sizeOf(w.class)
 	first := c.pool.fullest(c, least)
-	if first == nil || !e.hasPreferences(&w.Task) {
+	if first == nil || !f.hasPreferences(&w.Task) {
 		return first
 	}
-	if tried := e.probationTarget(w); tried != nil {
+	if tried := f.probationTarget(w); tried != nil {
 		return tried
 	}
-	wanted := e.rankingFor(w)
+	wanted := f.rankingFor(w)
 	if wanted.cost(first) == 0 {
 		return first
 	}
 	return c.pool.lowestCost(c, least, &wanted)
 }
 
-func (e *Engine) rankingFor(w *waiting) ranking {
-	wanted := ranking{task: &w.Task, anyDomain: w.Colocate == "" || e.off.Has(featuregate.PreferredDomain)}
-	if w.StepSize > 1 && !e.off.Has(featuregate.StepShare) {
-		wanted.step = e.steps.byID[w.ID.StepID()]
+func (f *targetFinder) rankingFor(w *waiting) ranking {
+	wanted := ranking{task: &w.Task, anyDomain: w.Colocate == "" || f.off.Has(featuregate.PreferredDomain)}
+	if w.StepSize > 1 && !f.off.Has(featuregate.StepShare) {
+		wanted.step = f.steps.byID[w.ID.StepID()]
 		wanted.softLimit = softLimitPerWorker(w.StepSize)
 	}
 	if !wanted.anyDomain {
-		wanted.domain = e.preferredDomainOf(w)
+		wanted.domain = f.preferredDomainOf(w)
 	}
 	return wanted
 }
@@ -136,63 +135,3 @@
 	}
 	return best
 }
-
-// preferredDomainOf returns the domain in which the next task of a step is to lie. The
-// step keeps its home for as long as that has room for the task; then it gets
-// another one.
-func (e *Engine) preferredDomainOf(w *waiting) string {
-	s := e.steps.get(w.ID.StepID())
-	if s.preferredDomain != "" && w.class.fitsInDomain(w.Colocate, s.preferredDomain, e.classSize(w.class)) {
-		return s.preferredDomain
-	}
-	s.preferredDomain = w.class.choosePreferredDomain(w.Colocate, e.classSize(w.class), max(w.StepSize-s.runs, 1))
-	return s.preferredDomain
-}
-
-// fitsInDomain reports whether a task of the class fits on a worker of the domain.
-func (c *equivalenceClass) fitsInDomain(by, domain string, least float64) bool {
-	return slices.ContainsFunc(c.pool.withFreeSize(least), func(w *worker) bool {
-		here, ok := domainOf(&w.Worker, by)
-		return ok && here == domain && c.fitsOn(w)
-	})
-}
-
-// choosePreferredDomain returns the domain for the rest of a step: of those with room for
-// all that is wanted the one with the least, else the one with the most; ties
-// by name. It is empty if no worker has such a domain.
-func (c *equivalenceClass) choosePreferredDomain(by string, least float64, wanted int) string {
-	places := map[string]int{}
-	left := map[string]int{}
-	for _, w := range c.pool.withFreeSize(least) {
-		domain, ok := domainOf(&w.Worker, by)
-		if !ok || !c.fitsOn(w) {
-			continue
-		}
-		// Counted up to twice what is wanted: enough to tell a tight domain
-		// from a roomy one.
-		here := resources.FitCount(c.key.need, c.availableOn(w), 2*wanted)
-		if c.spread != nil {
-			here = takeFromDomain(left, c.spread, &w.Worker, here)
-		}
-		places[domain] += here
-	}
-	best := ""
-	for domain, count := range places {
-		if best == "" || isBetterDomain(domain, count, best, places[best], wanted) {
-			best = domain
-		}
-	}
-	return best
-}
-
-func isBetterDomain(domain string, places int, other string, otherFits, wanted int) bool {
-	whole, otherWhole := places >= wanted, otherFits >= wanted
-	switch {
-	case whole != otherWhole:
-		return whole
-	case places == otherFits:
-		return domain < other
-	default:
-		return (places < otherFits) == whole
-	}
-}
--- a/internal/placement/reasons.go
+++ b/internal/placement/reasons.go
@@ -76,7 +76,7 @@
 		return reason
 	}
 	c := w.class
-	if e.fullestFreeSlot(c) != nil {
+	if c.fullestFreeSlot() != nil {
 		return reasonTurn
 	}
 	var most api.Resources
--- a/internal/placement/restricted.go
+++ b/internal/placement/restricted.go
@@ -45,11 +45,11 @@
 }
 
 // probationTarget returns a worker on probation for a task that is to try one, or nil.
-func (e *Engine) probationTarget(task *waiting) *worker {
+func (f *targetFinder) probationTarget(task *waiting) *worker {
 	if !task.PrefersProbation {
 		return nil
 	}
-	for _, w := range e.workers.restricted {
+	for _, w := range f.workers.restricted {
 		if w.Probation && task.class.pool.matches(w) && task.class.fitsOn(w) && !slices.Contains(task.Avoid, w.Name) {
 			return w
 		}
--- a/internal/placement/scoring.go
+++ b/internal/placement/scoring.go
@@ -2,6 +2,8 @@
 
 import (
 	"cmp"
+
+	"github.com/decklever/decklever/internal/placement/resources"
 )
 
 // compareFullest orders workers by "fill the fullest": least room first, ties
@@ -28,3 +30,8 @@
 	}
 	return cmp.Compare(a.ID, b.ID)
 }
+
+// sizeOf is the size of what a task of the class needs.
+func (x *workerIndex) sizeOf(c *equivalenceClass) float64 {
+	return resources.NormalizedSize(c.key.need, x.largest)
+}
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -1,34 +1,62 @@
 package placement
 
 import (
+	"cmp"
+	"slices"
+
 	"github.com/decklever/decklever/internal/featuregate"
 )
 
-// seat is where a task may run: a slice if one is named, else a worker's room
-// outside of slices of the task's own queue.
+// placementTarget is where a task may run: a reserved slot if one is named, else what a
+// worker has free outside of slots of the task's own queue.
 type placementTarget struct {
 	worker *worker
 	slot   *slotSet
 }
 
-// findTarget finds a seat whose room is there now, slices first.
-func (e *Engine) findTarget(w *waiting) (placementTarget, bool) {
-	if s := e.fullestFreeSlot(w.class); s != nil {
+// targetFinder searches the workers for a task that waits: which are feasible, and of
+// these the best. It changes nothing but the preferred domain of a step.
+type targetFinder struct {
+	// off are the mechanisms that are switched off.
+	off featuregate.DisabledSet
+
+	workers   *workerIndex
+	steps     *stepTable
+	preferred *preferredReserve
+}
+
+// findTarget finds a target that is free now: reserved slots first, then workers, at last
+// those that the class takes only if no other fits.
+func (f *targetFinder) findTarget(w *waiting) (placementTarget, bool) {
+	if s := w.class.fullestFreeSlot(); s != nil {
 		return placementTarget{worker: s.worker, slot: s}, true
 	}
-	on := e.fullest(w)
+	on := f.fullest(w)
 	if on == nil {
-		on = ignoringHeadroom(w.class, func() *worker { return e.fullest(w) })
+		on = ignoringHeadroom(w.class, func() *worker { return f.fullest(w) })
 	}
-	if on == nil && len(e.workers.restricted) > 0 && !e.off.Has(featuregate.LastResortCapacity) {
-		on = withRestricted(w.class, func() *worker { return e.fullest(w) })
+	if on == nil && len(f.workers.restricted) > 0 && !f.off.Has(featuregate.LastResortCapacity) {
+		on = withRestricted(w.class, func() *worker { return f.fullest(w) })
 	}
 	return placementTarget{worker: on}, on != nil
 }
 
+// placementOrder puts gang members that need most first: the small ones fit in what
+// these leave.
+func (f *targetFinder) placementOrder(tasks []*waiting) []*waiting {
+	members := slices.Clone(tasks)
+	slices.SortFunc(members, func(a, b *waiting) int {
+		if byNeed := cmp.Compare(f.workers.sizeOf(b.class), f.workers.sizeOf(a.class)); byNeed != 0 {
+			return byNeed
+		}
+		return compareWaiting(a, b)
+	})
+	return members
+}
+
 // fullestFreeSlot returns the open slice on the fullest worker that has its room
 // now, or nil.
-func (e *Engine) fullestFreeSlot(c *equivalenceClass) *slotSet {
+func (c *equivalenceClass) fullestFreeSlot() *slotSet {
 	var best *slotSet
 	for _, r := range c.reservations {
 		for _, s := range r.slots {
