--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -30,15 +30,10 @@
 	backlog      *backlog
 	runs         *runTable
 	reservations *reservationTable
-	// nominations are promised room, in the order in which they are placed.
-	nominations []*nomination
-	// preemptions are those asked for since Preemptions was called.
-	preemptions []Preemption
-	// preemptRetries are blocked lanes, in the order in which they get another
-	// trial to preempt; unfinished are those that the last pass had no time for.
-	preemptRetries, overAllowance []*subQueue
-	finder                        *targetFinder
-	preferred                     *preferredReserve
+	nominations  nominationList
+	preemptor    *preemptor
+	finder       *targetFinder
+	preferred    *preferredReserve
 	// utilization is as of the start of the pass, and what it has placed since.
 	utilization *utilization.Table
 	// backfillReserved are the workers with backfillFor, between two passes.
@@ -79,6 +74,7 @@
 		byKey: map[classKey]*equivalenceClass{},
 		clock: clock, workers: workers, steps: steps, reservations: e.reservations, utilization: e.utilization,
 	}
+	e.preemptor = &preemptor{runs: e.runs, workers: workers}
 	e.preferred = newPreferredReserve(config.Off.Has(featuregate.PreferredShare), clock, workers)
 	e.finder = &targetFinder{off: config.Off, workers: workers, steps: steps, preferred: e.preferred}
 	return e
@@ -246,7 +242,7 @@
 	l := e.backlog.ofClass(w)
 	l.push(w)
 	if w.class.unschedulable {
-		e.addPreemptRetry(l)
+		e.preemptor.retries.add(l)
 		return
 	}
 	l.activate()
@@ -335,3 +331,6 @@
 	required := e.requirementsOf(task)
 	return e.classes.join(e.classKeyOf(task, &required), task.Spec.Spread, required.labels)
 }
+
+// Preemptions implements ReservationPlanner.
+func (e *Engine) Preemptions() []Preemption { return e.preemptor.takeRequested() }
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -118,7 +118,7 @@
 		return false
 	}
 	for member, r := range g.runs {
-		if e.breaksRule(r, member) {
+		if breaksRule(r, member) {
 			return false
 		}
 	}
--- a/internal/placement/gangpreemption.go
+++ b/internal/placement/gangpreemption.go
@@ -3,7 +3,10 @@
 // gangPreemption is a group's seats, as nominated runs, and the runs that would
 // have to stop. All of it can be undone.
 type gangPreemption struct {
-	engine  *Engine
+	finder    *targetFinder
+	preemptor *preemptor
+	runTable  *runTable
+
 	members []*waiting
 	runs    []*run
 	victims []Preemption
@@ -16,15 +19,18 @@
 func (p *pass) preemptForGang(l *subQueue) bool {
 	e := p.engine
 	priority := l.parent.level.priority
-	e.addPreemptRetry(l)
+	e.preemptor.retries.add(l)
 	if !e.runs.anyPreemptible(priority) && !l.mayUseReservedSlots() {
 		return true
 	}
-	if p.allowance.gangAttempts == 0 || !e.couldPreempt(l) {
+	if p.allowance.gangAttempts == 0 || !l.couldPreempt() {
 		return true
 	}
 	p.allowance.gangAttempts--
-	t := &gangPreemption{engine: e, members: e.finder.placementOrder(l.tasks), spent: p.allowance}
+	t := &gangPreemption{
+		finder: e.finder, preemptor: e.preemptor, runTable: e.runs,
+		members: e.finder.placementOrder(l.tasks), spent: p.allowance,
+	}
 	if !t.placeAll(priority) {
 		t.undo()
 		return true
@@ -45,7 +51,7 @@
 
 // couldPreempt reports whether each class would have places enough if all
 // preemptible runs stopped; a cheap bound before a trial.
-func (e *Engine) couldPreempt(l *subQueue) bool {
+func (l *subQueue) couldPreempt() bool {
 	for _, m := range l.members {
 		if m.class.fitCountWithPreemption(m.count) < m.count {
 			return false
@@ -64,31 +70,31 @@
 }
 
 func (t *gangPreemption) placeMember(member *waiting, priority int) bool {
-	e, c := t.engine, member.class
+	c := member.class
 	var chosen preemptionChoice
-	if to, found := e.finder.findTarget(member); found {
+	if to, found := t.finder.findTarget(member); found {
 		chosen.to = to
 	} else {
-		chosen = e.chooseReservedSlot(c)
+		chosen = c.chooseReservedSlot()
 	}
 	if !chosen.possible() {
-		chosen = e.chooseByPriority(c, priority)
+		chosen = t.preemptor.chooseByPriority(c, priority)
 	}
 	if !chosen.possible() {
 		return false
 	}
 	t.spent.spend(&chosen)
-	t.victims = append(t.victims, e.stop(chosen.victims, member.ID)...)
+	t.victims = append(t.victims, t.preemptor.stop(chosen.victims, member.ID)...)
 	t.stopped = append(t.stopped, chosen.victims...)
-	t.runs = append(t.runs, e.runs.nominate(&member.Task, chosen.to))
+	t.runs = append(t.runs, t.runTable.nominate(&member.Task, chosen.to))
 	return t.spent.preemptions >= 0 && t.spent.reserved >= 0
 }
 
 func (t *gangPreemption) undo() {
 	for _, r := range t.runs {
-		t.engine.runs.close(r)
+		t.runTable.close(r)
 	}
 	for _, r := range t.stopped {
-		t.engine.setStopping(r, false)
+		t.preemptor.setStopping(r, false)
 	}
 }
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -24,17 +24,31 @@
 	)
 }
 
-// nominate promises seats to tasks and asks for the victims to be stopped.
+// nominationList owns the nominations.
+type nominationList struct {
+	// ordered are those that wait for their room, in the order in which they are placed.
+	ordered []*nomination
+}
+
+func (l *nominationList) add(n *nomination) {
+	at, _ := slices.BinarySearchFunc(l.ordered, n, compareNomination)
+	l.ordered = slices.Insert(l.ordered, at, n)
+}
+
+func (l *nominationList) drop(n *nomination) {
+	l.ordered = slices.DeleteFunc(l.ordered, func(other *nomination) bool { return other == n })
+}
+
+// nominate promises their targets to tasks and asks for the victims to be stopped.
 // runs are the nominated runs of the members.
 func (e *Engine) nominate(members []*waiting, runs []*run, victims []Preemption) {
-	u := &nomination{members: members, runs: runs}
+	n := &nomination{members: members, runs: runs}
 	for _, member := range members {
 		e.backlog.dequeue(member)
-		member.subQueue, member.nomination = nil, u
+		member.subQueue, member.nomination = nil, n
 	}
-	at, _ := slices.BinarySearchFunc(e.nominations, u, compareNomination)
-	e.nominations = slices.Insert(e.nominations, at, u)
-	e.preemptions = append(e.preemptions, victims...)
+	e.nominations.add(n)
+	e.preemptor.request(victims)
 	for _, r := range runs {
 		if r.slot != nil {
 			e.reservations.dropUnsupportedSlots(r.worker)
@@ -45,7 +59,7 @@
 // cancelNomination ends a nomination: its tasks wait as others do. Runs that were asked
 // to stop stay so.
 func (e *Engine) cancelNomination(u *nomination) {
-	e.dropNomination(u)
+	e.nominations.drop(u)
 	for _, r := range u.runs {
 		e.end(r)
 	}
@@ -65,10 +79,6 @@
 	}
 }
 
-func (e *Engine) dropNomination(u *nomination) {
-	e.nominations = slices.DeleteFunc(e.nominations, func(other *nomination) bool { return other == u })
-}
-
 // cancelNominationsOn ends the nominations that promise room on a worker.
 func (e *Engine) cancelNominationsOn(w *worker) {
 	for _, r := range w.sortedRuns(func(r *run) bool { return r.nominated }) {
@@ -82,19 +92,19 @@
 // placeNominated places units whose room has come.
 func (p *pass) placeNominated() {
 	e := p.engine
-	for _, u := range slices.Clone(e.nominations) {
+	for _, u := range slices.Clone(e.nominations.ordered) {
 		placed := len(p.decisions)
 		if placed >= p.limit || placed > 0 && placed+len(u.members) > p.limit {
 			return
 		}
-		if e.isObsolete(u) {
+		if u.isObsolete() {
 			e.cancelNomination(u)
 			continue
 		}
 		if !e.runs.claim(u) {
 			continue
 		}
-		e.dropNomination(u)
+		e.nominations.drop(u)
 		for i, member := range u.members {
 			p.recordDecision(member, u.runs[i])
 		}
@@ -102,9 +112,9 @@
 }
 
 // isObsolete reports whether a promised seat no longer keeps the rules.
-func (e *Engine) isObsolete(u *nomination) bool {
+func (u *nomination) isObsolete() bool {
 	for i, r := range u.runs {
-		if !r.queue.canRun(0) || e.breaksRule(r, u.members[i]) {
+		if !r.queue.canRun(0) || breaksRule(r, u.members[i]) {
 			return true
 		}
 	}
@@ -113,7 +123,7 @@
 
 // breaksRule reports whether a nominated run no longer keeps the rules for its
 // worker and slice.
-func (e *Engine) breaksRule(r *run, member *waiting) bool {
+func breaksRule(r *run, member *waiting) bool {
 	c := member.class
 	if !c.pool.matches(r.worker) || resources.IsNegative(r.worker.freeOnceStopped()) || !c.stillAdmits(r.worker) {
 		return true
@@ -122,18 +132,18 @@
 		return true
 	}
 	if r.inReservation {
-		return r.slot == nil || !r.slot.reservation.openAt(e.clock.now)
+		return r.slot == nil || !r.slot.reservation.openAt(c.clock.now)
 	}
-	return !e.respectsReservedSlots(r, member)
+	return !respectsReservedSlots(r, member)
 }
 
 // respectsReservedSlots reports whether a run outside of slices, if it starts now, takes
 // no room from them.
-func (e *Engine) respectsReservedSlots(r *run, member *waiting) bool {
+func respectsReservedSlots(r *run, member *waiting) bool {
 	if r.preemptible {
 		return true
 	}
-	end := endOf(e.clock.now, member.Spec)
+	end := endOf(member.class.clock.now, member.Spec)
 	for _, p := range r.worker.profile {
 		if p.at < end && !fits(r.need, r.addNeedAt(p.slack, p.at)) {
 			return false
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -29,7 +29,7 @@
 	p.placeNominated()
 	activateOn(e.workers.takeChanged())
 	p.drainForGang()
-	p.activatePreemptRetries()
+	e.preemptor.retries.activate(e.runs)
 	e.dropStaleBackfillReservations()
 	e.activateBackfillBlocked()
 	// Levels that run empty are dropped on the way, hence the copy.
@@ -65,7 +65,7 @@
 		return p.placeGang(l)
 	}
 	if l.class.unschedulable && !l.mayPreemptNow {
-		p.engine.addPreemptRetry(l)
+		p.engine.preemptor.retries.add(l)
 		l.deactivate()
 		return true
 	}
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -5,8 +5,6 @@
 	"math"
 	"slices"
 
-	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -25,6 +23,46 @@
 // anyPriority lets booked work preempt whatever is preemptible.
 const anyPriority = math.MaxInt
 
+// preemptor chooses runs that make room for others, and owns which were asked to stop.
+// What a run takes is counted until it was released: a preempted run stops at its own
+// pace.
+type preemptor struct {
+	// requested are the preemptions since takeRequested was last called.
+	requested []Preemption
+	// retries are the sub-queues that get another attempt later.
+	retries preemptionRetries
+
+	runs    *runTable
+	workers *workerIndex
+}
+
+// request records that the victims of a nomination are to be stopped.
+func (p *preemptor) request(victims []Preemption) { p.requested = append(p.requested, victims...) }
+
+// takeRequested returns and forgets the runs to stop, without those that ended since.
+func (p *preemptor) takeRequested() []Preemption {
+	requested := slices.DeleteFunc(p.requested, func(asked Preemption) bool {
+		r, open := p.runs.open[asked.Task]
+		return !open || !r.stopping
+	})
+	p.requested = nil
+	return requested
+}
+
+// stop marks runs as asked to stop for a task.
+func (p *preemptor) stop(victims []*run, beneficiary record.TaskID) []Preemption {
+	asked := make([]Preemption, 0, len(victims))
+	for _, r := range victims {
+		p.setStopping(r, true)
+		asked = append(asked, Preemption{Task: r.task, WorkerID: r.worker.ID, Beneficiary: beneficiary})
+	}
+	return asked
+}
+
+func (p *preemptor) setStopping(r *run, stopping bool) {
+	p.workers.updateRun(r, func() { r.stopping = stopping })
+}
+
 // allowance is what a pass may still spend.
 type allowance struct{ preemptions, reserved, attempts, gangAttempts int }
 
@@ -35,16 +73,6 @@
 	}
 }
 
-// Preemptions implements Booker.
-func (e *Engine) Preemptions() []Preemption {
-	asked := slices.DeleteFunc(e.preemptions, func(p Preemption) bool {
-		r, open := e.runs.open[p.Task]
-		return !open || !r.stopping
-	})
-	e.preemptions = nil
-	return asked
-}
-
 // preemptOrBlock promises the lane's first task room that preemption makes, or
 // takes the lane out of this and later passes.
 func (p *pass) preemptOrBlock(l *subQueue) {
@@ -58,18 +86,18 @@
 	found, later := p.findVictims(l.class, l.parent.level.priority)
 	if later {
 		l.deactivate()
-		p.engine.overAllowance = append(p.engine.overAllowance, l)
+		p.engine.preemptor.retries.addOverAllowance(l)
 		return
 	}
 	if !found.possible() {
 		l.mayPreemptNow = false
 		l.class.setUnschedulable()
 		l.deactivate()
-		p.engine.addPreemptRetry(l)
+		p.engine.preemptor.retries.add(l)
 		return
 	}
 	p.allowance.spend(&found)
-	victims := p.engine.stop(found.victims, first.ID)
+	victims := p.engine.preemptor.stop(found.victims, first.ID)
 	r := p.engine.runs.nominate(&first.Task, found.to)
 	p.engine.nominate([]*waiting{first}, []*run{r}, victims)
 }
@@ -82,20 +110,6 @@
 	a.preemptions -= len(c.victims)
 }
 
-// stop marks runs as asked to stop for a task.
-func (e *Engine) stop(victims []*run, beneficiary record.TaskID) []Preemption {
-	asked := make([]Preemption, 0, len(victims))
-	for _, r := range victims {
-		e.setStopping(r, true)
-		asked = append(asked, Preemption{Task: r.task, WorkerID: r.worker.ID, Beneficiary: beneficiary})
-	}
-	return asked
-}
-
-func (e *Engine) setStopping(r *run, stopping bool) {
-	e.workers.updateRun(r, func() { r.stopping = stopping })
-}
-
 // preemptionChoice is a seat and the runs that must stop for it.
 type preemptionChoice struct {
 	to      placementTarget
@@ -125,14 +139,14 @@
 // findVictims finds the best seat that preemption makes for a task; later tells
 // that the pass has no allowance left for it.
 func (p *pass) findVictims(c *equivalenceClass, priority int) (best preemptionChoice, later bool) {
-	best = p.engine.chooseReservedSlot(c)
+	best = c.chooseReservedSlot()
 	if best.possible() {
 		return best, len(best.victims) > p.allowance.reserved
 	}
 	if !p.engine.runs.anyPreemptible(priority) || p.allowance.attempts == 0 {
 		return preemptionChoice{}, false
 	}
-	best = p.engine.chooseByPriority(c, priority)
+	best = p.engine.preemptor.chooseByPriority(c, priority)
 	if !best.possible() {
 		p.allowance.attempts--
 	}
@@ -142,8 +156,14 @@
 	return best, false
 }
 
+func (c *preemptionChoice) improve(other preemptionChoice) {
+	if !c.possible() || other.before(c) {
+		*c = other
+	}
+}
+
 // chooseReservedSlot finds an open slice whose room preemptible runs have.
-func (e *Engine) chooseReservedSlot(c *equivalenceClass) preemptionChoice {
+func (c *equivalenceClass) chooseReservedSlot() preemptionChoice {
 	var best preemptionChoice
 	for _, r := range c.reservations {
 		for _, s := range r.slots {
@@ -162,7 +182,7 @@
 }
 
 // chooseByPriority finds a worker on which runs of lower priority can make room.
-func (e *Engine) chooseByPriority(c *equivalenceClass, priority int) preemptionChoice {
+func (p *preemptor) chooseByPriority(c *equivalenceClass, priority int) preemptionChoice {
 	var best preemptionChoice
 	for _, w := range c.pool.workers {
 		if w.restricted || !withinSpread(c.spread, &w.Worker) || !c.fitsBesideReservedSlots(w) {
@@ -171,126 +191,9 @@
 		if victims, ok := w.victimsFor(c.key.need, priority); ok {
 			best.improve(preemptionChoice{to: placementTarget{worker: w}, victims: victims})
 		}
-		if best.possible() && len(best.victims) <= 1 && !e.runs.anyPreemptible(best.highest()) {
+		if best.possible() && len(best.victims) <= 1 && !p.runs.anyPreemptible(best.highest()) {
 			return best
 		}
 	}
 	return best
 }
-
-func (c *preemptionChoice) improve(other preemptionChoice) {
-	if !c.possible() || other.before(c) {
-		*c = other
-	}
-}
-
-// fitsBesideReservedSlots reports whether the class fits beside slices and the runs that
-// cannot be made to leave.
-func (c *equivalenceClass) fitsBesideReservedSlots(w *worker) bool {
-	if c.key.preemptible {
-		return true
-	}
-	end := forever
-	if c.key.duration > 0 {
-		end = c.clock.now + c.key.duration
-	}
-	slack, bound := w.slackUntil(end)
-	return !bound || fits(c.key.need, slack)
-}
-
-// victimsResult is the answer to a call of victimsFor.
-type victimsResult struct {
-	version uint64
-	need    api.Resources
-	below   int
-	victims []*run
-	found   bool
-}
-
-// victimsFor is chooseVictims, worked out once until the worker's room changes:
-// many tasks of one shape ask all workers in turn.
-func (w *worker) victimsFor(need api.Resources, below int) ([]*run, bool) {
-	last := &w.cachedVictims
-	if last.version != w.version || last.need != need || last.below != below {
-		victims, found := w.chooseVictims(need, below)
-		*last = victimsResult{version: w.version, need: need, below: below, victims: victims, found: found}
-	}
-	return last.victims, last.found
-}
-
-// chooseVictims returns the runs below a priority that must stop so that need
-// fits once they and those asked before are gone; none if those asked before
-// are enough. One or two victims are the cheapest of that number; of more, the
-// largest are taken first and those not needed left out, so that there may be a
-// smaller set.
-func (w *worker) chooseVictims(need api.Resources, below int) ([]*run, bool) {
-	room := w.freeOnceStopped()
-	if fits(need, room) {
-		return nil, true
-	}
-	if !fits(need, room.Add(w.preemptible)) {
-		return nil, false
-	}
-	var candidates []*run
-	for r := range w.runs {
-		if r.mayBeVictim() && r.priority < below {
-			candidates = append(candidates, r)
-		}
-	}
-	slices.SortFunc(candidates, compareCheapest)
-	enough := func(victims ...*run) bool {
-		sum := room
-		for _, r := range victims {
-			sum = sum.Add(r.need)
-		}
-		return fits(need, sum)
-	}
-	for _, r := range candidates {
-		if enough(r) {
-			return []*run{r}, true
-		}
-	}
-	// The dearer one decides, so its loop is the outer one.
-	for i, dearer := range candidates {
-		for _, cheaper := range candidates[:i] {
-			if enough(cheaper, dearer) {
-				return []*run{cheaper, dearer}, true
-			}
-		}
-	}
-	return largestFirst(candidates, resources.Lacking(need, room), enough)
-}
-
-// largestFirst takes the victims that give most of what is lacking, then
-// leaves out the dearest that are not needed.
-func largestFirst(candidates []*run, lacks api.Resources, enough func(...*run) bool) ([]*run, bool) {
-	if !enough(candidates...) {
-		return nil, false
-	}
-	bySize := slices.Clone(candidates)
-	slices.SortStableFunc(bySize, func(a, b *run) int {
-		return cmp.Compare(resources.NormalizedSize(resources.Min(b.need, lacks), lacks), resources.NormalizedSize(resources.Min(a.need, lacks), lacks))
-	})
-	count := 1
-	for !enough(bySize[:count]...) {
-		count++
-	}
-	chosen := bySize[:count]
-	slices.SortFunc(chosen, compareCheapest)
-	for at := len(chosen) - 1; at >= 0; at-- {
-		without := slices.Delete(slices.Clone(chosen), at, at+1)
-		if enough(without...) {
-			chosen = without
-		}
-	}
-	return chosen, true
-}
-
-// compareCheapest orders victims: lowest priority first, then the youngest.
-func compareCheapest(a, b *run) int {
-	return cmp.Or(
-		cmp.Compare(a.priority, b.priority),
-		cmp.Compare(b.started, a.started),
-		compareTask(a.task, b.task),
-	)
-}
--- a/internal/placement/preemptionretry.go
+++ b/internal/placement/preemptionretry.go
@@ -2,50 +2,67 @@
 
 import "slices"
 
-// minPreemptRetryCompaction is the least length at which Engine.preemptRetries is cleared of
-// lanes without tasks.
-const minPreemptRetryCompaction = 256
+// minRetryCompaction is the least length at which preemptionRetries drops sub-queues
+// without tasks.
+const minRetryCompaction = 256
 
-// addPreemptRetry lists a blocked lane for another trial to preempt: runs that
-// could make room for it may have come since.
-func (e *Engine) addPreemptRetry(l *subQueue) {
+// preemptionRetries owns the unschedulable sub-queues that get another attempt to
+// preempt, since runs that could make room for them may have started meanwhile. Each
+// pass takes some of them in turn, so that its cost does not grow with their number.
+type preemptionRetries struct {
+	// waiting are in the order in which they get their attempt.
+	waiting []*subQueue
+	// overAllowance are those for which the last pass had no allowance left.
+	overAllowance []*subQueue
+}
+
+// add lists a sub-queue for another attempt.
+func (r *preemptionRetries) add(l *subQueue) {
 	if l.inPreemptRetries {
 		return
 	}
-	if len(e.preemptRetries) >= minPreemptRetryCompaction && len(e.preemptRetries) == cap(e.preemptRetries) {
-		e.preemptRetries = slices.DeleteFunc(e.preemptRetries, func(l *subQueue) bool { return len(l.tasks) == 0 })
+	if len(r.waiting) >= minRetryCompaction && len(r.waiting) == cap(r.waiting) {
+		r.waiting = slices.DeleteFunc(r.waiting, func(l *subQueue) bool { return len(l.tasks) == 0 })
 	}
 	l.inPreemptRetries = true
-	e.preemptRetries = append(e.preemptRetries, l)
+	r.waiting = append(r.waiting, l)
 }
 
-// activatePreemptRetries lets the pass look at lanes that the last one had no allowance
-// for, and at some of those that may preempt, in turn.
-func (p *pass) activatePreemptRetries() {
-	e := p.engine
-	unfinished := e.overAllowance
-	e.overAllowance = nil
-	for _, l := range unfinished {
-		if len(l.tasks) > 0 {
-			l.mayPreemptNow = l.class == nil || l.class.unschedulable
-			l.activate()
-		}
-	}
-	if len(e.runs.preemptible) == 0 {
+// addOverAllowance lists a sub-queue that is to be looked at in the next pass.
+func (r *preemptionRetries) addOverAllowance(l *subQueue) {
+	r.overAllowance = append(r.overAllowance, l)
+}
+
+// activate lets the pass look at what the last one had no allowance for, and at some of
+// those that may preempt by now, in turn.
+func (r *preemptionRetries) activate(runs *runTable) {
+	r.activateOverAllowance()
+	if len(runs.preemptible) == 0 {
 		return
 	}
-	count := min(maxPreemptionAttemptsPerPass, len(e.preemptRetries))
-	turn := slices.Clone(e.preemptRetries[:count])
-	e.preemptRetries = slices.Delete(e.preemptRetries, 0, count)
+	count := min(maxPreemptionAttemptsPerPass, len(r.waiting))
+	turn := slices.Clone(r.waiting[:count])
+	r.waiting = slices.Delete(r.waiting, 0, count)
 	for _, l := range turn {
 		l.inPreemptRetries = false
 		switch {
 		case len(l.tasks) == 0:
-		case !e.runs.anyPreemptible(l.parent.level.priority):
-			e.addPreemptRetry(l)
+		case !runs.anyPreemptible(l.parent.level.priority):
+			r.add(l)
 		default:
 			l.mayPreemptNow = true
 			l.activate()
 		}
 	}
 }
+
+func (r *preemptionRetries) activateOverAllowance() {
+	unfinished := r.overAllowance
+	r.overAllowance = nil
+	for _, l := range unfinished {
+		if len(l.tasks) > 0 {
+			l.mayPreemptNow = l.class == nil || l.class.unschedulable
+			l.activate()
+		}
+	}
+}
--- a/internal/placement/profile.go
+++ b/internal/placement/profile.go
@@ -121,3 +121,17 @@
 	}
 	return slack, bound
 }
+
+// fitsBesideReservedSlots reports whether the class fits beside slices and the runs that
+// cannot be made to leave.
+func (c *equivalenceClass) fitsBesideReservedSlots(w *worker) bool {
+	if c.key.preemptible {
+		return true
+	}
+	end := forever
+	if c.key.duration > 0 {
+		end = c.clock.now + c.key.duration
+	}
+	slack, bound := w.slackUntil(end)
+	return !bound || fits(c.key.need, slack)
+}
--- a/internal/placement/property_reservation_test.go
+++ b/internal/placement/property_reservation_test.go
@@ -96,7 +96,7 @@
 // nominatedRuns counts the nominated runs of the queues that are asked for.
 func (m *model) nominatedRuns(of func(queue string) bool) int {
 	count := 0
-	for _, u := range m.engine.nominations {
+	for _, u := range m.engine.nominations.ordered {
 		for _, member := range u.members {
 			if of(member.Queue) {
 				count++
@@ -262,7 +262,7 @@
 			t.Fatalf("%v in a slice of %v", p, r)
 		}
 	}
-	for _, u := range m.engine.nominations {
+	for _, u := range m.engine.nominations.ordered {
 		for _, r := range u.runs {
 			if r.slot != nil {
 				used[r.slot.reservation.ID+r.worker.ID]--
