--- a/internal/placement/decisions_test.go
+++ b/internal/placement/decisions_test.go
@@ -326,7 +326,7 @@
 		}
 	}
 	fmt.Fprintf(g.digest, "waiting %d\n", g.engine.Waiting())
-	if g.engine.gangDrain != nil {
+	if g.engine.gangDrains.current != nil {
 		g.counts.drains++
 	}
 	g.counts.backfills += len(g.engine.backfillReserved)
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -40,11 +40,7 @@
 	backfillReserved []*worker
 	// backfillBlocked are lanes that the last pass held back for the kept workers.
 	backfillBlocked []*subQueue
-	// gangDrain is the group for which room is put aside, or nil.
-	gangDrain *gangDrain
-	// lastDrainPass is the pass in which a group last gave up: what waits goes first
-	// in the next one.
-	lastDrainPass uint64
+	gangDrains      *gangDrainer
 }
 
 var (
@@ -77,6 +73,10 @@
 	e.preemptor = &preemptor{runs: e.runs, workers: workers}
 	e.preferred = newPreferredReserve(config.Off.Has(featuregate.PreferredShare), clock, workers)
 	e.finder = &targetFinder{off: config.Off, workers: workers, steps: steps, preferred: e.preferred}
+	e.gangDrains = &gangDrainer{
+		keepsFromLongRunning: config.Off.Has(featuregate.LastResortCapacity),
+		clock:                clock, finder: e.finder, runs: e.runs,
+	}
 	return e
 }
 
@@ -250,7 +250,7 @@
 
 func (e *Engine) addToGang(w *waiting) {
 	l := e.backlog.ofGang(&w.Task)
-	if e.isDrainingFor(l) {
+	if e.gangDrains.isFor(l) {
 		e.stopGangDrain()
 	}
 	// Out of the heap first: a group without tasks has no place in it.
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -6,114 +6,121 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// A group needs all its places at once, and small tasks could take each place
-// as it comes free. So the group that has waited longest at the highest
-// priority gets its places one by one: after gangDrainAfterPasses passes, room that fits
-// a member is put aside until all have some. One group gathers at a time, so
-// that two cannot wait for each other's room, and gives up after gangDrainMaxPasses
-// passes, so that one that never gets whole does not keep the room. While a service
-// of its members is not crowded it gives up sooner: nothing of that service shall
-// stand still for long with most of the room free.
+// A gang needs room for all members at once, and small tasks could take each piece of it
+// as it comes free. So the capacity is drained for the gang that has waited longest at
+// the highest priority: after gangDrainAfterPasses, members get their targets one by one
+// as nominated runs, until all have one. Capacity is drained for one gang at a time, so
+// that two cannot wait for each other, and for gangDrainMaxPasses at most, so that a gang
+// that never gets complete does not keep it. While a service of its members is not highly
+// utilized the drain ends sooner: nothing of that service is to wait for long with most
+// of the capacity free.
 const (
 	gangDrainAfterPasses = 256
 	gangDrainMaxPasses   = 4096
-	// gangDrainSearchInterval is how many passes are between searches for such a group.
+	// gangDrainSearchInterval is how many passes are between searches for such a gang.
 	gangDrainSearchInterval = 64
-	// gangDrainLowUtilizationLimit is how long room of a service that is not crowded is put aside.
+	// gangDrainLowUtilizationLimit bounds a drain for a service that is not highly
+	// utilized.
 	gangDrainLowUtilizationLimit record.Millis = 2_000
 )
 
-// gangDrain is a group for which room is put aside.
+// gangDrain is the gang for which capacity is drained now.
 type gangDrain struct {
-	gang  *subQueue
-	since uint64
-	// startedAt is the time of that pass.
+	gang *subQueue
+	// since is the pass in which the drain started, startedAt the time of that pass.
+	since     uint64
 	startedAt record.Millis
-	// runs are the nominated runs of the members that have room.
+	// runs are the nominated runs of the members that have a target.
 	runs map[*waiting]*run
 }
 
-// drainForGang puts room aside for the group whose turn it is, and places it once it
-// is whole.
+// gangDrainer owns the drain. It nominates runs for members; ending those runs and
+// making them a nomination are left to the engine, as others may gain by it.
+type gangDrainer struct {
+	// keepsFromLongRunning has tasks that run until cancelled leave the drained
+	// capacity alone as others do.
+	keepsFromLongRunning bool
+	// current is nil while capacity is drained for no gang.
+	current *gangDrain
+	// lastPass is the pass in which a drain was last given up: what waits goes first in
+	// the next one.
+	lastPass uint64
+
+	clock  *clock
+	finder *targetFinder
+	runs   *runTable
+}
+
+// drainForGang drains capacity for the gang whose turn it is, and nominates the gang once
+// all members have a target.
 func (p *pass) drainForGang() {
-	e := p.engine
-	isRested := e.clock.pass > e.lastDrainPass+1
-	if e.gangDrain == nil && isRested && e.clock.pass%gangDrainSearchInterval == 0 {
-		e.startGangDrain()
+	e, d := p.engine, p.engine.gangDrains
+	if d.isDue() {
+		d.start(e.backlog.gangs)
 	}
-	g := e.gangDrain
-	if g == nil {
+	if d.current == nil {
 		return
 	}
-	if e.hasDrainExpired(g) || !e.isDrainValid(g) {
+	if d.hasExpired() || !d.isValid() {
 		e.stopGangDrain()
 		return
 	}
-	for _, member := range e.finder.placementOrder(g.gang.tasks) {
-		if g.runs[member] != nil {
-			continue
-		}
-		if to, found := e.finder.findTarget(member); found {
-			g.runs[member] = e.runs.nominate(&member.Task, to)
-		}
-	}
-	if len(g.runs) == len(g.gang.tasks) {
-		e.finishGangDrain(g)
+	d.nominateMembers()
+	if d.current.isComplete() {
+		members, runs := d.finish()
+		e.nominate(members, runs, nil)
 	}
 }
 
-// hasDrainExpired reports whether the group must give up, or gathers in vain.
-func (e *Engine) hasDrainExpired(g *gangDrain) bool {
-	if e.clock.pass-g.since > gangDrainMaxPasses || e.clock.pass%gangDrainSearchInterval == 0 && !g.gang.fitsOnIdleWorkers() {
-		return true
+// stopGangDrain gives the drained capacity back.
+func (e *Engine) stopGangDrain() {
+	gang, runs := e.gangDrains.stop()
+	for _, r := range runs {
+		e.end(r)
 	}
-	return e.clock.now-g.startedAt > gangDrainLowUtilizationLimit && slices.ContainsFunc(g.gang.members, func(m memberCount) bool { return !m.class.isHighlyUtilized() })
+	gang.reconsider()
 }
 
-// startGangDrain picks the group that waits longest, of the highest priority.
-func (e *Engine) startGangDrain() {
-	var longest *subQueue
-	for _, l := range e.backlog.gangs {
-		if l.unschedulableSince == 0 || e.clock.pass-l.unschedulableSince < gangDrainAfterPasses || !l.complete() || !e.canDrainFor(l) {
-			continue
-		}
-		if longest == nil || l.drainsBefore(longest) {
-			longest = l
+// isDue reports whether the pass is one that looks for a gang.
+func (d *gangDrainer) isDue() bool {
+	isRested := d.clock.pass > d.lastPass+1
+	return d.current == nil && isRested && d.clock.pass%gangDrainSearchInterval == 0
+}
+
+// start picks the gang that waits longest, of the highest priority.
+func (d *gangDrainer) start(gangs map[string]*subQueue) {
+	var first *subQueue
+	for _, gang := range gangs {
+		if d.hasWaitedLong(gang) && gang.complete() && gang.couldDrain() && (first == nil || gang.drainsBefore(first)) {
+			first = gang
 		}
 	}
-	if longest != nil {
-		longest.deactivate()
-		e.gangDrain = &gangDrain{gang: longest, since: e.clock.pass, startedAt: e.clock.now, runs: map[*waiting]*run{}}
+	if first != nil {
+		first.deactivate()
+		d.current = &gangDrain{gang: first, since: d.clock.pass, startedAt: d.clock.now, runs: map[*waiting]*run{}}
 	}
 }
 
-func (l *subQueue) drainsBefore(other *subQueue) bool {
-	if l.parent.level.priority != other.parent.level.priority {
-		return l.parent.level.priority > other.parent.level.priority
-	}
-	return compareWaiting(l.tasks[0], other.tasks[0]) < 0
+func (d *gangDrainer) hasWaitedLong(gang *subQueue) bool {
+	return gang.unschedulableSince != 0 && d.clock.pass-gang.unschedulableSince >= gangDrainAfterPasses
 }
 
-// canDrainFor reports whether the limits allow the group now, and it has places
-// enough once what ends by itself has ended.
-func (e *Engine) canDrainFor(l *subQueue) bool {
-	return l.parent.queue.canRun(len(l.tasks)) && l.fitsOnIdleWorkers()
-}
+// isFor reports whether capacity is drained for the gang.
+func (d *gangDrainer) isFor(gang *subQueue) bool { return d.current != nil && d.current.gang == gang }
 
-// fitsOnIdleWorkers reports whether workers on which nothing ran but what runs
-// until cancelled would have places enough for each class.
-func (l *subQueue) fitsOnIdleWorkers() bool {
-	for _, m := range l.members {
-		if m.class.fitCountOnIdleWorkers(m.count) < m.count {
-			return false
-		}
+// hasExpired reports whether the drain must be given up, or is in vain.
+func (d *gangDrainer) hasExpired() bool {
+	g := d.current
+	if d.clock.pass-g.since > gangDrainMaxPasses || d.clock.pass%gangDrainSearchInterval == 0 && !g.gang.fitsOnIdleWorkers() {
+		return true
 	}
-	return true
+	return d.clock.now-g.startedAt > gangDrainLowUtilizationLimit && g.gang.hasServiceAtLowUtilization()
 }
 
-// isDrainValid reports whether the limits still allow the group, and the room put
-// aside still keeps the rules.
-func (e *Engine) isDrainValid(g *gangDrain) bool {
+// isValid reports whether the limits still allow the gang, and the nominated runs still
+// keep the rules.
+func (d *gangDrainer) isValid() bool {
+	g := d.current
 	if !g.gang.parent.queue.canRun(len(g.gang.tasks) - len(g.runs)) {
 		return false
 	}
@@ -125,20 +132,66 @@
 	return true
 }
 
-// stopGangDrain gives the room back.
-func (e *Engine) stopGangDrain() {
-	g := e.gangDrain
-	e.gangDrain, e.lastDrainPass = nil, e.clock.pass
-	g.gang.unschedulableSince = e.clock.pass
-	for _, member := range e.finder.placementOrder(g.members()) {
-		e.end(g.runs[member])
+// nominateMembers promises targets that are free now to members that have none.
+func (d *gangDrainer) nominateMembers() {
+	g := d.current
+	for _, member := range d.finder.placementOrder(g.gang.tasks) {
+		if g.runs[member] != nil {
+			continue
+		}
+		if to, found := d.finder.findTarget(member); found {
+			g.runs[member] = d.runs.nominate(&member.Task, to)
+		}
 	}
-	g.gang.reconsider()
 }
 
-// isDrainingFor reports whether room is put aside for the group.
-func (e *Engine) isDrainingFor(l *subQueue) bool { return e.gangDrain != nil && e.gangDrain.gang == l }
+// finish ends a drain that is complete. It returns the members with their runs.
+func (d *gangDrainer) finish() ([]*waiting, []*run) {
+	g := d.current
+	d.current = nil
+	members := d.finder.placementOrder(g.gang.tasks)
+	return members, g.runsOf(members)
+}
+
+// stop ends a drain that is given up. It returns the gang, and the runs to end.
+func (d *gangDrainer) stop() (*subQueue, []*run) {
+	g := d.current
+	d.current, d.lastPass = nil, d.clock.pass
+	g.gang.unschedulableSince = d.clock.pass
+	return g.gang, g.runsOf(d.finder.placementOrder(g.members()))
+}
 
+// retry has open try once more with the drained capacity, if the sub-queue may take that.
+// What open leaves of it stays drained.
+func (d *gangDrainer) retry(l *subQueue, open func() bool) {
+	g := d.current
+	if g == nil || len(g.runs) == 0 || d.keepsFromLongRunning || !l.runsUntilCancelled() {
+		return
+	}
+	members := d.finder.placementOrder(g.members())
+	targets := make([]placementTarget, len(members))
+	for i, member := range members {
+		r := g.runs[member]
+		targets[i] = placementTarget{worker: r.worker, slot: r.slot}
+		d.runs.close(r)
+	}
+	l.resetFitCounts()
+	opened := open()
+	for i, member := range members {
+		if opened && !member.class.canStillUse(targets[i]) {
+			delete(g.runs, member)
+			d.runs.workers.addChanged(targets[i].worker)
+			continue
+		}
+		g.runs[member] = d.runs.renominate(&member.Task, targets[i], g.runs[member].started)
+	}
+	l.resetFitCounts()
+}
+
+// isComplete reports whether all members have a target.
+func (g *gangDrain) isComplete() bool { return len(g.runs) == len(g.gang.tasks) }
+
+// members returns those that have a target, in no order.
 func (g *gangDrain) members() []*waiting {
 	members := make([]*waiting, 0, len(g.runs))
 	for member := range g.runs {
@@ -147,13 +200,41 @@
 	return members
 }
 
-// finishGangDrain makes the group a unit, which is placed as others are.
-func (e *Engine) finishGangDrain(g *gangDrain) {
-	e.gangDrain = nil
-	members := e.finder.placementOrder(g.gang.tasks)
+func (g *gangDrain) runsOf(members []*waiting) []*run {
 	runs := make([]*run, 0, len(members))
 	for _, member := range members {
 		runs = append(runs, g.runs[member])
 	}
-	e.nominate(members, runs, nil)
+	return runs
+}
+
+// drainsBefore orders gangs for which capacity may be drained.
+func (l *subQueue) drainsBefore(other *subQueue) bool {
+	if l.parent.level.priority != other.parent.level.priority {
+		return l.parent.level.priority > other.parent.level.priority
+	}
+	return compareWaiting(l.tasks[0], other.tasks[0]) < 0
+}
+
+// couldDrain reports whether the limits allow the gang now, and it fits once what ends by
+// itself has ended.
+func (l *subQueue) couldDrain() bool {
+	return l.parent.queue.canRun(len(l.tasks)) && l.fitsOnIdleWorkers()
+}
+
+// fitsOnIdleWorkers reports whether workers on which nothing ran but what runs until
+// cancelled would have room for the members of each class.
+func (l *subQueue) fitsOnIdleWorkers() bool {
+	for _, m := range l.members {
+		if m.class.fitCountOnIdleWorkers(m.count) < m.count {
+			return false
+		}
+	}
+	return true
+}
+
+// hasServiceAtLowUtilization reports whether the service of a member is not highly
+// utilized.
+func (l *subQueue) hasServiceAtLowUtilization() bool {
+	return slices.ContainsFunc(l.members, func(m memberCount) bool { return !m.class.isHighlyUtilized() })
 }
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -133,7 +133,7 @@
 		return true
 	}
 	l.mayPreemptNow = false
-	if p.engine.isDrainingFor(l) {
+	if p.engine.gangDrains.isFor(l) {
 		l.deactivate()
 		return true
 	}
@@ -141,7 +141,7 @@
 	members := p.engine.finder.placementOrder(l.tasks)
 	found := p.openAll(l, members)
 	if found.opened == nil {
-		p.engine.retryWithDrainedCapacity(l, func() bool {
+		p.engine.gangDrains.retry(l, func() bool {
 			found = p.openAll(l, members)
 			return found.opened != nil
 		})
--- a/internal/placement/headroom.go
+++ b/internal/placement/headroom.go
@@ -50,7 +50,7 @@
 
 // needsUtilization reports whether anything depends on which services are crowded.
 func (e *Engine) needsUtilization() bool {
-	return e.queues.anyHeadroom || e.queues.anyDeferences || len(e.workers.restricted) > 0 || e.gangDrain != nil
+	return e.queues.anyHeadroom || e.queues.anyDeferences || len(e.workers.restricted) > 0 || e.gangDrains.current != nil
 }
 
 // recountUtilization counts the capacity and the usage of all workers anew.
--- a/internal/placement/longrunning.go
+++ b/internal/placement/longrunning.go
@@ -2,7 +2,6 @@
 
 import (
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/internal/featuregate"
 )
 
 // Last room: a task that runs until cancelled takes whatever room there is. It
@@ -67,30 +66,3 @@
 	}
 	return false
 }
-
-// retryWithDrainedCapacity has open try once more with the room that a group gathers, if the
-// lane takes that. What it leaves of it stays put aside.
-func (e *Engine) retryWithDrainedCapacity(l *subQueue, open func() bool) {
-	g := e.gangDrain
-	if g == nil || len(g.runs) == 0 || !l.runsUntilCancelled() || e.off.Has(featuregate.LastResortCapacity) {
-		return
-	}
-	members := e.finder.placementOrder(g.members())
-	targets := make([]placementTarget, len(members))
-	for i, member := range members {
-		r := g.runs[member]
-		targets[i] = placementTarget{worker: r.worker, slot: r.slot}
-		e.runs.close(r)
-	}
-	l.resetFitCounts()
-	opened := open()
-	for i, member := range members {
-		if opened && !member.class.canStillUse(targets[i]) {
-			delete(g.runs, member)
-			e.workers.addChanged(targets[i].worker)
-			continue
-		}
-		g.runs[member] = e.runs.renominate(&member.Task, targets[i], g.runs[member].started)
-	}
-	l.resetFitCounts()
-}
--- a/internal/placement/longrunning_test.go
+++ b/internal/placement/longrunning_test.go
@@ -288,7 +288,7 @@
 	e.AddRun(testTask("long", 0, 1), "b-1")
 	addAll(e, gangOf("g", 6, 4)...)
 	addAll(e, gangOf("h", 6, 4)...)
-	for e.gangDrain == nil || e.clock.pass%gangDrainSearchInterval != gangDrainSearchInterval-3 {
+	for e.gangDrains.current == nil || e.clock.pass%gangDrainSearchInterval != gangDrainSearchInterval-3 {
 		e.Plan(10)
 	}
 	e.Add(testTask("small", 1, 6))
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -74,7 +74,7 @@
 	switch {
 	case w.nomination != nil:
 		e.cancelNomination(w.nomination)
-	case e.isDrainingFor(w.subQueue):
+	case e.gangDrains.isFor(w.subQueue):
 		e.stopGangDrain()
 	}
 }
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -90,7 +90,7 @@
 		return opened != nil
 	}
 	if !open() {
-		p.engine.retryWithDrainedCapacity(task.subQueue, open)
+		p.engine.gangDrains.retry(task.subQueue, open)
 	}
 	return opened
 }
