--- a/internal/placement/backlog.go
+++ b/internal/placement/backlog.go
@@ -246,6 +246,9 @@
 	return compareTask(a.ID, b.ID)
 }
 
+// compareFirstTask orders sub-queues by their first tasks.
+func compareFirstTask(a, b *subQueue) int { return compareWaiting(a.tasks[0], b.tasks[0]) }
+
 func compareTask(a, b record.TaskID) int {
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Step, b.Step), cmp.Compare(a.Index, b.Index), cmp.Compare(a.Occurrence, b.Occurrence))
 }
--- a/internal/placement/decisions_test.go
+++ b/internal/placement/decisions_test.go
@@ -329,7 +329,7 @@
 	if g.engine.gangDrains.current != nil {
 		g.counts.drains++
 	}
-	g.counts.backfills += len(g.engine.backfillReserved)
+	g.counts.backfills += len(g.engine.backfill.reserved)
 }
 
 // goldenLine is the seed, the digest of all answers, and what was reached.
--- a/internal/placement/deference.go
+++ b/internal/placement/deference.go
@@ -1,41 +1,14 @@
 package placement
 
-import (
-	"github.com/decklever/decklever/api"
-)
+// competingQueues are the queues of one priority level that share by slack. One that
+// defers goes after those to which it does, so that its burst does them no harm.
+type competingQueues []*priorityQueue
 
-// HasFreeCapacity implements Planner.
-func (e *Engine) HasFreeCapacity(spec *api.TaskSpec) bool {
-	for _, w := range e.workers.byID {
-		if isUsable(w) && !w.restricted && fits(spec.Resources, w.unreserved) &&
-			offersService(&w.Worker, spec.Service) && hasLabels(&w.Worker, spec.Labels) {
-			return true
-		}
-	}
-	return false
-}
-
-// competingQueues are the lines of one level that share by slack, for one pass; none while no
-// queue yields and no worker is kept.
-type competingQueues struct {
-	queues []*priorityQueue
-	// backfillReserved are the workers that are kept for lanes; looked is set once those that
-	// found no room before have one.
-	backfillReserved []*worker
-	reservationsMade bool
-	// deferredTo are the queues whose lanes get one.
-	deferredTo map[*queue]bool
-}
-
-// competingQueuesIn finds the rivals of a level.
-func (e *Engine) competingQueuesIn(lv *priorityLevel) *competingQueues {
-	found := &competingQueues{backfillReserved: e.takeBackfillReservations(lv)}
-	if !e.queues.anyDeferences && len(found.backfillReserved) == 0 {
-		return found
-	}
-	for _, l := range lv.queues {
-		if l.queue.rule.BySlack {
-			found.queues = append(found.queues, l)
+func competingQueuesOf(level *priorityLevel) competingQueues {
+	var found competingQueues
+	for _, q := range level.queues {
+		if q.queue.rule.BySlack {
+			found = append(found, q)
 		}
 	}
 	return found
@@ -44,47 +17,64 @@
 // defers reports whether the queue lets others go first: it was told to, and has more
 // than its weight's share of the open runs of itself and of those others that have
 // something waiting, also if that found no room.
-func (r *competingQueues) defers(q *queue) bool {
+func (c competingQueues) defers(q *queue) bool {
 	if len(q.defersTo) == 0 || !q.rule.BySlack {
 		return false
 	}
 	sum := fairShare{}
-	for _, l := range r.queues {
-		if l.queue == q || q.defersTo[l.queue] && l.hasWaitingTasks() {
-			sum.add(l.queue)
+	for _, other := range c {
+		if other.queue == q || q.defersTo[other.queue] && other.hasWaitingTasks() {
+			sum.add(other.queue)
 		}
 	}
 	return q.running*sum.weight > q.rule.Weight*sum.running
 }
 
-// hasWaitingTasks reports whether something waits in the line for room.
-func (l *priorityQueue) hasWaitingTasks() bool {
-	return l.queue.canRun(1) && (len(l.subQueues) > 0 || l.gangCount > 0)
+// deferredTo returns the queues to which another defers now, of those that do not defer
+// themselves and may run more.
+func (c competingQueues) deferredTo() map[*queue]bool {
+	deferredTo := map[*queue]bool{}
+	for _, other := range c {
+		if !c.defers(other.queue) {
+			continue
+		}
+		for q := range other.queue.defersTo {
+			deferredTo[q] = !c.defers(q) && q.canRun(1)
+		}
+	}
+	return deferredTo
 }
 
-// mostUrgent returns the line with BySlack that goes first: the first by Sequence
-// or, if its queue yields, the first of those to which it does and that do not yield
-// themselves; nil if none may place.
-func (r *competingQueues) mostUrgent(lines []*priorityQueue) *priorityQueue {
-	first := firstOf(lines, func(*priorityQueue) bool { return true })
-	if first == nil || !r.defers(first.queue) {
+// mostUrgent returns the queue with BySlack that goes first: the first by Sequence or, if
+// it defers, the first of those to which it does and that do not defer themselves; nil if
+// none may place.
+func (c competingQueues) mostUrgent(queues []*priorityQueue) *priorityQueue {
+	first := firstBySlack(queues, func(*priorityQueue) bool { return true })
+	if first == nil || !c.defers(first.queue) {
 		return first
 	}
-	other := firstOf(lines, func(l *priorityQueue) bool { return first.queue.defersTo[l.queue] && !r.defers(l.queue) })
+	other := firstBySlack(queues, func(q *priorityQueue) bool {
+		return first.queue.defersTo[q.queue] && !c.defers(q.queue)
+	})
 	if other != nil {
 		return other
 	}
 	return first
 }
 
-// firstOf returns the line with BySlack that is first by Sequence, of those that may
+// firstBySlack returns the queue with BySlack that is first by Sequence, of those that may
 // place and are wanted; nil if there is none.
-func firstOf(lines []*priorityQueue, wanted func(*priorityQueue) bool) *priorityQueue {
+func firstBySlack(queues []*priorityQueue, wanted func(*priorityQueue) bool) *priorityQueue {
 	var first *priorityQueue
-	for _, l := range lines {
-		if l.queue.rule.BySlack && l.canPlace() && (first == nil || l.hasEarlierTask(first)) && wanted(l) {
-			first = l
+	for _, q := range queues {
+		if q.queue.rule.BySlack && q.canPlace() && (first == nil || q.hasEarlierTask(first)) && wanted(q) {
+			first = q
 		}
 	}
 	return first
 }
+
+// hasWaitingTasks reports whether something waits in the queue for room.
+func (q *priorityQueue) hasWaitingTasks() bool {
+	return q.queue.canRun(1) && (len(q.subQueues) > 0 || q.gangCount > 0)
+}
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 
+	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/placement/utilization"
 	"github.com/decklever/decklever/internal/record"
@@ -36,11 +37,8 @@
 	preferred    *preferredReserve
 	// utilization is as of the start of the pass, and what it has placed since.
 	utilization *utilization.Table
-	// backfillReserved are the workers with backfillFor, between two passes.
-	backfillReserved []*worker
-	// backfillBlocked are lanes that the last pass held back for the kept workers.
-	backfillBlocked []*subQueue
-	gangDrains      *gangDrainer
+	backfill    *backfillReservations
+	gangDrains  *gangDrainer
 }
 
 var (
@@ -77,6 +75,7 @@
 		keepsFromLongRunning: config.Off.Has(featuregate.LastResortCapacity),
 		clock:                clock, finder: e.finder, runs: e.runs,
 	}
+	e.backfill = &backfillReservations{disabled: config.Off.Has(featuregate.BackfillReservation), clock: clock, workers: workers}
 	return e
 }
 
@@ -334,3 +333,14 @@
 
 // Preemptions implements ReservationPlanner.
 func (e *Engine) Preemptions() []Preemption { return e.preemptor.takeRequested() }
+
+// HasFreeCapacity implements Planner.
+func (e *Engine) HasFreeCapacity(spec *api.TaskSpec) bool {
+	for _, w := range e.workers.byID {
+		if isUsable(w) && !w.restricted && fits(spec.Resources, w.unreserved) &&
+			offersService(&w.Worker, spec.Service) && hasLabels(&w.Worker, spec.Labels) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -30,8 +30,8 @@
 	activateOn(e.workers.takeChanged())
 	p.drainForGang()
 	e.preemptor.retries.activate(e.runs)
-	e.dropStaleBackfillReservations()
-	e.activateBackfillBlocked()
+	e.backfill.dropStale()
+	e.backfill.activateBlocked()
 	// Levels that run empty are dropped on the way, hence the copy.
 	for _, lv := range slices.Clone(e.backlog.levels) {
 		if !p.planLevel(lv) {
@@ -44,14 +44,15 @@
 // planLevel places what waits with one priority. It returns false once the
 // pass is over.
 func (p *pass) planLevel(lv *priorityLevel) bool {
-	lines, competing := lv.activeQueues(), p.engine.competingQueuesIn(lv)
-	defer competing.release(p.engine, lv)
+	queues := lv.activeQueues()
+	reservations := p.engine.backfill.begin(lv, p.engine.queues.anyDeferences)
+	defer reservations.end(lv)
 	for len(p.decisions) < p.limit {
-		next := nextQueue(lines, competing)
+		next := nextQueue(queues, reservations.competing)
 		if next == nil {
 			return true
 		}
-		if !p.planNext(next, competing) {
+		if !p.planNext(next, reservations) {
 			return false
 		}
 	}
@@ -131,7 +132,7 @@
 // nextQueue returns the line whose queue has the lowest share, then the one
 // with the lowest Sequence; nil if none may place. Queues with BySlack share
 // together; which of these goes first, mostUrgent says.
-func nextQueue(lines []*priorityQueue, r *competingQueues) *priorityQueue {
+func nextQueue(lines []*priorityQueue, competing competingQueues) *priorityQueue {
 	var best *priorityQueue
 	var sharing fairShare
 	for _, l := range lines {
@@ -146,7 +147,7 @@
 		}
 		sharing.add(l.queue)
 	}
-	urgent := r.mostUrgent(lines)
+	urgent := competing.mostUrgent(lines)
 	switch {
 	case urgent == nil:
 		return best
