--- a/internal/placement/classes.go
+++ b/internal/placement/classes.go
@@ -73,6 +73,15 @@
 	utilization  *utilization.Table
 }
 
+func newClassIndex(
+	clock *clock, workers *workerIndex, steps *stepTable, reservations *reservationTable, usage *utilization.Table,
+) *classIndex {
+	return &classIndex{
+		byKey: map[classKey]*equivalenceClass{},
+		clock: clock, workers: workers, steps: steps, reservations: reservations, utilization: usage,
+	}
+}
+
 // join returns the class of that key for one more task, and makes it if there is none.
 func (x *classIndex) join(key classKey, spread *api.Spread, labels map[string]string) *equivalenceClass {
 	c, ok := x.byKey[key]
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -19,26 +19,30 @@
 	Off featuregate.DisabledSet
 }
 
-// Engine implements Planner and Booker. It is not safe for concurrent use.
+// Engine implements Planner and ReservationPlanner. It is not safe for concurrent use.
+//
+// It only composes the concerns: each owns its state and gets, when it is made, those
+// others that it may call. What spans several (a run that ends, a nomination, a change of
+// rules that moves tasks to other classes) is a method of the engine, each step of which
+// is one call of one owner.
 type Engine struct {
-	// off are the mechanisms that are switched off.
-	off          featuregate.DisabledSet
-	clock        *clock
-	workers      *workerIndex
-	classes      *classIndex
-	steps        *stepTable
-	queues       *queueTable
+	clock   *clock
+	workers *workerIndex
+	queues  *queueTable
+	// runs owns the open runs, and through them the counts of steps.
+	runs    *runTable
+	classes *classIndex
+	// backlog owns what waits; what is nominated waits in no sub-queue of it.
 	backlog      *backlog
-	runs         *runTable
 	reservations *reservationTable
 	nominations  nominationList
 	preemptor    *preemptor
+	gangDrains   *gangDrainer
+	backfill     *backfillReservations
 	finder       *targetFinder
 	preferred    *preferredReserve
 	// utilization is as of the start of the pass, and what it has placed since.
 	utilization *utilization.Table
-	backfill    *backfillReservations
-	gangDrains  *gangDrainer
 }
 
 var (
@@ -50,32 +54,24 @@
 func New(config Config) *Engine {
 	clock := &clock{}
 	workers, queues, steps := newWorkerIndex(), newQueueTable(), newStepTable()
+	runs := newRunTable(clock, workers, queues, steps)
+	preferred := newPreferredReserve(config.Off.Has(featuregate.PreferredShare), clock, workers)
+	finder := &targetFinder{off: config.Off, workers: workers, steps: steps, preferred: preferred}
 	e := &Engine{
-		off:     config.Off,
-		clock:   clock,
-		workers: workers,
-		queues:  queues,
-		steps:   steps,
-		runs:    newRunTable(clock, workers, queues, steps),
-		backlog: newBacklog(queues),
-
+		clock:       clock,
+		workers:     workers,
+		queues:      queues,
+		runs:        runs,
+		backlog:     newBacklog(queues),
+		preemptor:   &preemptor{runs: runs, workers: workers},
+		gangDrains:  newGangDrainer(config.Off.Has(featuregate.LastResortCapacity), clock, finder, runs),
+		backfill:    &backfillReservations{disabled: config.Off.Has(featuregate.BackfillReservation), clock: clock, workers: workers},
+		finder:      finder,
+		preferred:   preferred,
 		utilization: utilization.New(),
 	}
-	e.reservations = newReservationTable(clock, workers, func(task record.TaskID) {
-		e.revokeNomination(e.backlog.tasks[task])
-	})
-	e.classes = &classIndex{
-		byKey: map[classKey]*equivalenceClass{},
-		clock: clock, workers: workers, steps: steps, reservations: e.reservations, utilization: e.utilization,
-	}
-	e.preemptor = &preemptor{runs: e.runs, workers: workers}
-	e.preferred = newPreferredReserve(config.Off.Has(featuregate.PreferredShare), clock, workers)
-	e.finder = &targetFinder{off: config.Off, workers: workers, steps: steps, preferred: e.preferred}
-	e.gangDrains = &gangDrainer{
-		keepsFromLongRunning: config.Off.Has(featuregate.LastResortCapacity),
-		clock:                clock, finder: e.finder, runs: e.runs,
-	}
-	e.backfill = &backfillReservations{disabled: config.Off.Has(featuregate.BackfillReservation), clock: clock, workers: workers}
+	e.reservations = newReservationTable(clock, workers, e.revokeNominationOf)
+	e.classes = newClassIndex(clock, workers, steps, e.reservations, e.utilization)
 	return e
 }
 
--- a/internal/placement/engine_test.go
+++ b/internal/placement/engine_test.go
@@ -189,7 +189,7 @@
 	expect(t, "hold takes it out", e.Waiting(), 0)
 	e.RemoveWorker("w-1")
 	e.RemoveWorker("w-1")
-	expect(t, "runs forgotten", len(e.runs.open)+e.queues.get("q").running+len(e.steps.byID), 0)
+	expect(t, "runs forgotten", len(e.runs.open)+e.queues.get("q").running+len(e.runs.steps.byID), 0)
 	e.Remove(record.TaskID{Job: "unknown"})
 	e.Release(record.TaskID{Job: "unknown"})
 }
@@ -206,7 +206,7 @@
 	for id := range e.backlog.tasks {
 		e.Remove(id)
 	}
-	expect(t, "state", len(e.classes.byKey)+len(e.steps.byID)+len(e.backlog.gangs)+len(e.backlog.levels)+len(e.runs.open)+len(e.backlog.tasks), 0)
+	expect(t, "state", len(e.classes.byKey)+len(e.runs.steps.byID)+len(e.backlog.gangs)+len(e.backlog.levels)+len(e.runs.open)+len(e.backlog.tasks), 0)
 	for _, p := range e.workers.pools {
 		expect(t, "pool", p.classes+len(p.unschedulable), 0)
 	}
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -51,6 +51,10 @@
 	runs   *runTable
 }
 
+func newGangDrainer(keepsFromLongRunning bool, clock *clock, finder *targetFinder, runs *runTable) *gangDrainer {
+	return &gangDrainer{keepsFromLongRunning: keepsFromLongRunning, clock: clock, finder: finder, runs: runs}
+}
+
 // drainForGang drains capacity for the gang whose turn it is, and nominates the gang once
 // all members have a target.
 func (p *pass) drainForGang() {
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"github.com/decklever/decklever/internal/placement/resources"
+	"github.com/decklever/decklever/internal/record"
 )
 
 // nomination is a task, or a group whole, that is promised room which preempted runs
@@ -79,12 +80,15 @@
 	}
 }
 
+// revokeNominationOf is revokeNomination for the task of a nominated run.
+func (e *Engine) revokeNominationOf(task record.TaskID) { e.revokeNomination(e.backlog.tasks[task]) }
+
 // cancelNominationsOn ends the nominations that promise room on a worker.
 func (e *Engine) cancelNominationsOn(w *worker) {
 	for _, r := range w.sortedRuns(func(r *run) bool { return r.nominated }) {
 		// An earlier unit may have had several runs here.
 		if _, open := w.runs[r]; open {
-			e.revokeNomination(e.backlog.tasks[r.task])
+			e.revokeNominationOf(r.task)
 		}
 	}
 }
--- a/internal/placement/ranking_test.go
+++ b/internal/placement/ranking_test.go
@@ -184,6 +184,6 @@
 	e.Add(task)
 	e.Plan(1)
 	e.Release(task.ID)
-	expect(t, "steps", len(e.steps.byID), 0)
+	expect(t, "steps", len(e.runs.steps.byID), 0)
 	expect(t, "no run", e.runs.open[record.TaskID{}] == nil, true)
 }
--- a/internal/placement/workers.go
+++ b/internal/placement/workers.go
@@ -3,82 +3,66 @@
 import (
 	"maps"
 	"slices"
-	"sort"
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
-// maxIdlePools bounds the pools kept though no waiting task uses them, so
-// that a steady stream of like tasks does not build its pool again and again.
-const maxIdlePools = 64
-
-// worker is a worker incarnation and the open runs on it.
+// worker is a worker incarnation and the open runs on it. workerIndex keeps its sums and
+// its place in pools true; other fields name the one who writes them.
 type worker struct {
 	// What searches read comes first, so that it shares a cache line.
-
-	// freeSize and unreservedSize are roomOf(free) and roomOf(firm) as of the last change
-	// or reorder.
-	freeSize, unreservedSize float64
-	// freeMembers is what is left for a task that can be made to leave: now, and once
-	// the stopping runs have left and the nominated ones have come. It is
-	// negative after the capacity shrank.
-	free api.Resources
-	// profile are the starts of the windows of slices.
-	profile []profilePoint
-	// firm is the part of free that no slice needs at any time.
-	unreserved api.Resources
-	// backfillFor is set while what goes after the lane leaves the worker alone.
+	availability
+	// backfillFor is the sub-queue for which the worker is reserved, or nil: what goes
+	// after that leaves the worker alone. backfillReservations writes it.
 	backfillFor *subQueue
-	// restricted is true on probation and while held back: the worker may take a
-	// part of what comes only.
+	// restricted is true on probation and while suspect: the worker may take a part of
+	// what comes only.
 	restricted bool
-	// deferredTo is set while tasks have preferred a label of the worker lately.
+	// preferred is set while tasks have preferred a label of the worker lately.
+	// preferredReserve writes it.
 	preferred bool
 	// Worker is as last set; only ID is set while known is false.
 	Worker
 	// known is false while there are only runs held for it.
 	known bool
-	// used is what open runs take; stopping the part of it whose runs are asked
-	// to stop; nominated what the runs take that were promised this room;
-	// preemptible the part of used that preemption could free.
-	used, stopping, nominated, preemptible api.Resources
-	// endless is the part of used that runs keep until they are cancelled, whatever
-	// else waits.
-	longRunning api.Resources
-	// runs are the open runs and the nominated ones.
+	usage
+	// runs are the open runs and the nominated ones. runTable writes it.
 	runs map[*run]struct{}
-	// slots lie here for reservations.
+	// slots lie here for reservations. reservationTable writes it.
 	slots []*slotSet
 	pools []*pool
-	// version grows with every change of room; cachedVictims is the last answer
+	// version grows with every change of what is free; cachedVictims is the last answer
 	// of victimsFor.
 	version       uint64
 	cachedVictims victimsResult
-	// changed marks that the worker is listed in workerIndex.changed.
+	// changed is set while the worker is listed in workerIndex.changed.
 	changed bool
 }
 
-// selector names the workers that a class may use, room and spread aside, and
-// by which room they are ordered.
-type selector struct {
-	service, labels string
-	// firm orders by worker.unreservedSize, for tasks that cannot be made to leave.
-	byUnreserved bool
+// availability is what is left on a worker, as of the last change or refresh.
+type availability struct {
+	// freeSize and unreservedSize are the sizes of free and of unreserved.
+	freeSize, unreservedSize float64
+	// free is what is left for a task that can be preempted: now, and once the stopping
+	// runs have left and the nominated ones have come. It is negative after the capacity
+	// shrank.
+	free api.Resources
+	// profile is what will be left when windows of reserved slots start.
+	profile []profilePoint
+	// unreserved is the part of free that no reserved slot needs at any time.
+	unreserved api.Resources
 }
 
-// pool holds the usable workers that match a selector, fullest first.
-type pool struct {
-	selector selector
-	labels   map[string]string
-	workers  []*worker
-	compare  func(a, b *worker) int
-	// classes counts the classes and reservations that use the pool.
-	classes int
-	// unschedulable holds the classes to look at when a worker here gains room.
-	unschedulable map[*equivalenceClass]struct{}
-	// version grows when workers come, go or are described anew.
-	version uint64
+// usage is the sums of what runs take of a worker.
+type usage struct {
+	// used is what open runs take; stopping the part of it whose runs are asked to stop;
+	// nominated what the runs take that were promised targets here; preemptible the part
+	// of used that preemption could free.
+	used, stopping, nominated, preemptible api.Resources
+	// longRunning is the part of used that runs keep until they are cancelled, whatever
+	// else waits.
+	longRunning api.Resources
 }
 
 // workerIndex finds the fullest worker that fits. Each pool is a sorted slice:
@@ -238,97 +222,3 @@
 		slices.SortFunc(p.workers, p.compare)
 	}
 }
-
-func (x *workerIndex) enterPools(w *worker) {
-	for _, p := range w.pools {
-		at, _ := slices.BinarySearchFunc(p.workers, w, p.compare)
-		p.workers = slices.Insert(p.workers, at, w)
-	}
-}
-
-func (x *workerIndex) leavePools(w *worker) {
-	for _, p := range w.pools {
-		at, found := slices.BinarySearchFunc(p.workers, w, p.compare)
-		if found {
-			p.workers = slices.Delete(p.workers, at, at+1)
-		}
-	}
-}
-
-// acquire returns the pool of a selector for one more class or reservation.
-func (x *workerIndex) acquire(wanted selector, labels map[string]string) *pool {
-	p, ok := x.pools[wanted]
-	if !ok {
-		p = x.build(wanted, maps.Clone(labels))
-	} else if p.classes == 0 {
-		x.idle--
-	}
-	p.classes++
-	return p
-}
-
-// release takes one class off the pool.
-func (x *workerIndex) release(p *pool) {
-	p.classes--
-	if p.classes > 0 {
-		return
-	}
-	x.idle++
-	if x.idle > maxIdlePools {
-		x.dropIdle()
-	}
-}
-
-func (x *workerIndex) build(wanted selector, labels map[string]string) *pool {
-	p := &pool{selector: wanted, labels: labels, compare: compareFullest, unschedulable: map[*equivalenceClass]struct{}{}}
-	if wanted.byUnreserved {
-		p.compare = compareLeastUnreserved
-	}
-	x.pools[wanted] = p
-	for _, w := range x.byID {
-		if p.matches(w) {
-			w.pools = append(w.pools, p)
-			p.workers = append(p.workers, w)
-		}
-	}
-	slices.SortFunc(p.workers, p.compare)
-	return p
-}
-
-func (x *workerIndex) dropIdle() {
-	for wanted, p := range x.pools {
-		if p.classes == 0 {
-			delete(x.pools, wanted)
-		}
-	}
-	for _, w := range x.byID {
-		w.pools = slices.DeleteFunc(w.pools, func(p *pool) bool { return p.classes == 0 })
-	}
-	x.idle = 0
-}
-
-func (p *pool) matches(w *worker) bool {
-	return isUsable(w) && offersService(&w.Worker, p.selector.service) && hasLabels(&w.Worker, p.labels)
-}
-
-// withFreeSize returns the workers that have at least that room, fullest first.
-func (p *pool) withFreeSize(least float64) []*worker {
-	start := sort.Search(len(p.workers), func(i int) bool {
-		if p.selector.byUnreserved {
-			return p.workers[i].unreservedSize >= least
-		}
-		return p.workers[i].freeSize >= least
-	})
-	return p.workers[start:]
-}
-
-// fullest returns the fullest worker that can take a task of the class, or
-// nil. least is the room of the class's need.
-func (p *pool) fullest(c *equivalenceClass, least float64) *worker {
-	for _, w := range p.withFreeSize(least) {
-		if c.fitsOn(w) {
-			return w
-		}
-	}
-	return nil
-}
