--- a/internal/admission/share.go
+++ b/internal/admission/share.go
@@ -1,25 +1,26 @@
 package admission
 
-// guaranteeDivisor: one part in so many of a bound is guaranteed to its sharers by
-// their weights; the rest goes to whoever comes first.
+// guaranteeDivisor is the divisor of a limit that gives the part of it that is
+// guaranteed to its sharers, by their weights. The rest goes to whoever comes first.
 const guaranteeDivisor = 2
 
-// Share is one of those that share a bound.
+// Share is one of the sharers of a limit, such as a queue.
 type Share struct {
-	// Weight is its part of what is guaranteed, at least 1.
+	// Weight is its part of the guarantees in relation to the others, at least 1.
 	Weight int
-	// Used is what it holds of the bound.
+	// Used is how much of the limit it uses.
 	Used int
 }
 
-// Free is how much more one of the parts may take of a bound. What is guaranteed
-// to the others and not in use is left alone, unless the part holds nothing: so
-// whatever fits into the bound gets in at some time. A sole part may take all.
+// Free returns how much more the sharer at index own may take of a limit. The unused
+// guarantees of the others are left to them, unless the sharer uses nothing: then all
+// that is unused is free, so that whatever fits into the limit is admitted at some
+// time. A sole sharer may take all.
 func Free(limit, own int, shares []Share) int {
 	weights, used := 0, 0
-	for _, part := range shares {
-		weights += part.Weight
-		used += part.Used
+	for _, share := range shares {
+		weights += share.Weight
+		used += share.Used
 	}
 	free := limit - used
 	if shares[own].Used > 0 {
@@ -28,12 +29,12 @@
 	return max(free, 0)
 }
 
-// maxUse is what a part may hold at most while the others hold what they do.
+// maxUse is the most that a sharer may use while the others use what they do.
 func maxUse(limit, own, weights int, shares []Share) int {
 	reserved := 0
-	for index, part := range shares {
+	for index, share := range shares {
 		if index != own {
-			reserved += max(part.Used, guaranteedTo(limit, part.Weight, weights))
+			reserved += max(share.Used, guaranteedTo(limit, share.Weight, weights))
 		}
 	}
 	return max(limit-reserved, guaranteedTo(limit, shares[own].Weight, weights))
@@ -43,10 +44,10 @@
 	return int(int64(limit) * int64(weight) / (guaranteeDivisor * int64(weights)))
 }
 
-// CallerFree is how much a caller that holds held may take of what is free in its
-// queue: afterwards it must not hold more than share times what is still free. So
-// one caller that floods leaves room, several share alike, and the room left grows
-// smaller with each but is never gone. A caller that holds nothing may take all.
+// CallerFree returns how much a caller that uses used may take of what is free in its
+// queue. Afterwards it must not use more than share times what is then free. So one
+// caller that floods leaves room, several share it equally, and what is left shrinks
+// with each of them but is never gone. A caller that uses nothing may take all.
 //
 // This is the dynamic threshold by which Choudhury and Hahne share the buffers of
 // a switch (IEEE/ACM Transactions on Networking 6:2, 1998).
@@ -54,6 +55,6 @@
 	if used == 0 {
 		return max(free, 0)
 	}
-	// held + taken <= share x (free - taken)
+	// The most that satisfies used + taken <= share x (free - taken).
 	return max(int((share*float64(free)-float64(used))/(1+share)), 0)
 }
--- /dev/null
+++ b/internal/admission/tokenbucket_test.go
@@ -0,0 +1,91 @@
+package admission
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+func TestTokenBucket_SoleSharerTakesFullBucket(t *testing.T) {
+	var bucket TokenBucket
+	weights := map[string]int{"q": 3}
+	taken := 0
+	for range 20 {
+		if _, ok := bucket.Take(0, 5, "q", weights); ok {
+			taken++
+		}
+	}
+	if taken != 5 {
+		t.Errorf("%d at once, want 5", taken)
+	}
+	wait, ok := bucket.Take(0, 5, "q", weights)
+	if ok || wait != 200*time.Millisecond {
+		t.Errorf("the next: %v, %v", wait, ok)
+	}
+	if _, ok := bucket.Take(200*time.Millisecond, 5, "q", weights); !ok {
+		t.Error("no token after the stated wait")
+	}
+}
+
+// TestTokenBucket_FloodDoesNotDelayOthers: "flood" draws at over ten times the rate and
+// "steady" at less than its guarantee.
+func TestTokenBucket_FloodDoesNotDelayOthers(t *testing.T) {
+	var bucket TokenBucket
+	weights := map[string]int{"flood": 1, "steady": 1, "idle": 2}
+	const rate, seconds = 80, 10
+	flood := 0
+	for step := range seconds * 1000 {
+		now := time.Duration(step) * time.Millisecond
+		if _, ok := bucket.Take(now, rate, "flood", weights); ok {
+			flood++
+		}
+		if step%100 != 0 {
+			continue
+		}
+		if wait, ok := bucket.Take(now, rate, "steady", weights); !ok {
+			t.Fatalf("steady has no token at %v, for %v", now, wait)
+		}
+	}
+	// The guarantee of the idle sharer is reserved once, not each second.
+	least, most := rate*seconds-10*seconds, rate*(seconds+1)-10*seconds
+	if flood < least || flood > most {
+		t.Errorf("the flood got %d, want %d to %d", flood, least, most)
+	}
+}
+
+// TestTokenBucket_TokenIsThereAfterStatedWait: a sharer that gets no token gets one
+// after the stated wait, if nobody draws meanwhile.
+func TestTokenBucket_TokenIsThereAfterStatedWait(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var bucket TokenBucket
+		weights := map[string]int{"a": 1, "b": rapid.IntRange(1, 5).Draw(t, "weight"), "c": 2}
+		rate := float64(rapid.IntRange(1, 200).Draw(t, "rate"))
+		now := time.Duration(0)
+		for range 100 {
+			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "pause")) * time.Millisecond
+			sharer := rapid.SampledFrom([]string{"a", "b", "c", "unknown"}).Draw(t, "sharer")
+			wait, taken := bucket.Take(now, rate, sharer, weights)
+			if taken {
+				continue
+			}
+			if wait <= 0 || wait > 3*time.Second {
+				t.Fatalf("%s is to wait %v", sharer, wait)
+			}
+			now += wait + time.Millisecond
+			if again, taken := bucket.Take(now, rate, sharer, weights); !taken {
+				t.Fatalf("%s waited %v and is to wait %v again: %+v", sharer, wait, again, bucket)
+			}
+		}
+	})
+}
+
+func TestTokenBucket_ReturnedTokenIsAvailable(t *testing.T) {
+	var bucket TokenBucket
+	for range 10 {
+		if _, ok := bucket.Take(0, 1, "q", map[string]int{"q": 1}); !ok {
+			t.Fatal("no token although each was returned")
+		}
+		bucket.Return()
+	}
+}
