--- a/internal/reservation/pack.go
+++ b/internal/reservation/pack.go
@@ -8,16 +8,15 @@
 	"github.com/decklever/decklever/api"
 )
 
-// shortagesOf puts the slices of demands onto empty workers and returns the demands
-// that do not fit whole. It is first fit decreasing (Johnson, 1973) in several
-// dimensions: demands that fewer workers can serve go first, then those with
-// the larger slice, measured by its largest share of all room; ties keep the
-// order of the demands. Workers are tried in the order given.
+// pack places the slots of demands on empty workers and returns the demands that do
+// not fit completely. It is first fit decreasing (Johnson, 1973) in several dimensions:
+// demands that fewer workers can serve go first, then those with the larger slot,
+// measured by its dominant share of the total capacity; ties keep the order of the
+// demands. Workers are tried in the order given.
 //
-// Its limit: it is a heuristic, as the exact answer is not to be had in
-// reasonable time. What it places fits; a set that it cannot place may still
-// fit in another arrangement, most of all when slices of very unlike shapes
-// share nearly full workers.
+// It is a heuristic, since the exact answer takes too long to compute. What it places
+// fits; a set that it cannot place may still fit in another arrangement, most of all
+// when slots of very unlike shapes share nearly full workers.
 func pack(demands []*demand, workers []Worker) []shortage {
 	free := make([]api.Resources, len(workers))
 	var total api.Resources
@@ -25,22 +24,22 @@
 		free[index] = worker.Capacity
 		total = total.Add(worker.Capacity)
 	}
-	var short []shortage
+	var shortages []shortage
 	for _, item := range packingOrder(demands, workers, total) {
 		placedSlots := item.placeSlots(free)
 		if placedSlots < item.demand.booking.Slots {
-			short = append(short, shortage{demand: item.demand, placedSlots: placedSlots, eligible: len(item.eligible) > 0})
+			shortages = append(shortages, shortage{demand: item.demand, placedSlots: placedSlots, eligible: len(item.eligible) > 0})
 		}
 	}
-	return short
+	return shortages
 }
 
-// packingItem is a demand with what decides its turn.
+// packingItem is a demand with what decides its position in the order of packing.
 type packingItem struct {
 	demand *demand
-	// eligible are indexes of workers that offer service and labels.
+	// eligible are the indexes of the workers that serve the demand.
 	eligible []int
-	// share is the slice's largest share of all room.
+	// share is the dominant share of one slot.
 	share float64
 }
 
@@ -59,80 +58,61 @@
 	return items
 }
 
-func eligibleWorkers(booking *api.BookingConfig, workers []Worker) []int {
-	var eligible []int
-	for index := range workers {
-		if workers[index].serves(booking) {
-			eligible = append(eligible, index)
-		}
-	}
-	return eligible
-}
-
-// serves reports whether the worker offers the booking's service and labels.
-func (w *Worker) serves(booking *api.BookingConfig) bool {
-	if booking.Service != "" && !slices.Contains(w.Services, booking.Service) {
-		return false
-	}
-	for key, value := range booking.Labels {
-		if offered, found := w.Labels[key]; !found || offered != value {
-			return false
-		}
+// placeSlots places as many slots as fit, worker by worker, takes their resources from
+// free, and returns their number.
+func (i *packingItem) placeSlots(free []api.Resources) int {
+	booking := &i.demand.booking
+	placed := 0
+	for _, index := range i.eligible {
+		count := min(slotsThatFit(booking.Slice, free[index]), booking.Slots-placed)
+		free[index] = free[index].Sub(times(booking.Slice, int64(count)))
+		placed += count
 	}
-	return true
+	return placed
 }
 
-func dominantShare(slice, total api.Resources) float64 {
+// dominantShare is the largest share that a slot takes of any resource's total. It is
+// infinite if the slot takes a resource that no worker has.
+func dominantShare(slot, total api.Resources) float64 {
 	return max(
-		share(slice.CPUMillis, total.CPUMillis),
-		share(slice.MemoryMB, total.MemoryMB),
-		share(slice.Accelerators, total.Accelerators),
+		shareOf(slot.CPUMillis, total.CPUMillis),
+		shareOf(slot.MemoryMB, total.MemoryMB),
+		shareOf(slot.Accelerators, total.Accelerators),
 	)
 }
 
-func share(part, whole int64) float64 {
+func shareOf(amount, total int64) float64 {
 	switch {
-	case part <= 0:
+	case amount <= 0:
 		return 0
-	case whole <= 0:
+	case total <= 0:
 		return math.Inf(1)
 	}
-	return float64(part) / float64(whole)
-}
-
-// place puts as many slices as fit, worker by worker, and returns their number.
-func (i *packingItem) placeSlots(free []api.Resources) int {
-	booking := &i.demand.booking
-	placedSlots := 0
-	for _, index := range i.eligible {
-		count := min(slotsThatFit(booking.Slice, free[index]), booking.Slots-placedSlots)
-		free[index] = free[index].Sub(times(booking.Slice, int64(count)))
-		placedSlots += count
-	}
-	return placedSlots
+	return float64(amount) / float64(total)
 }
 
-// slotsThatFit counts how many slices fit into room, at most
+// slotsThatFit counts how many slots fit into free resources, at most
 // api.MaxBookingSlots.
-func slotsThatFit(slice, free api.Resources) int {
+func slotsThatFit(slot, free api.Resources) int {
 	return int(min(
-		countThatFits(slice.CPUMillis, free.CPUMillis),
-		countThatFits(slice.MemoryMB, free.MemoryMB),
-		countThatFits(slice.Accelerators, free.Accelerators),
+		timesThatFit(slot.CPUMillis, free.CPUMillis),
+		timesThatFit(slot.MemoryMB, free.MemoryMB),
+		timesThatFit(slot.Accelerators, free.Accelerators),
 	))
 }
 
-func countThatFits(part, free int64) int64 {
-	if part <= 0 {
+func timesThatFit(amount, free int64) int64 {
+	if amount <= 0 {
 		return api.MaxBookingSlots
 	}
-	return max(0, min(free/part, api.MaxBookingSlots))
+	return max(0, min(free/amount, api.MaxBookingSlots))
 }
 
-func times(slice api.Resources, count int64) api.Resources {
+// times is the resources of a number of slots.
+func times(slot api.Resources, count int64) api.Resources {
 	return api.Resources{
-		CPUMillis:    slice.CPUMillis * count,
-		MemoryMB:     slice.MemoryMB * count,
-		Accelerators: slice.Accelerators * count,
+		CPUMillis:    slot.CPUMillis * count,
+		MemoryMB:     slot.MemoryMB * count,
+		Accelerators: slot.Accelerators * count,
 	}
 }
--- a/internal/reservation/booking_test.go
+++ b/internal/reservation/window_test.go
@@ -11,6 +11,7 @@
 	"github.com/decklever/decklever/api"
 )
 
+// mustParseTime parses a time in RFC 3339.
 func mustParseTime(text string) time.Time {
 	parsed, err := time.Parse(time.RFC3339, text)
 	if err != nil {
@@ -19,7 +20,7 @@
 	return parsed
 }
 
-// startsOf lists the starts of the windows of a booking in their own zone.
+// startsOf lists the starts of the windows of a booking, in the booking's time zone.
 func startsOf(t *testing.T, booking api.BookingConfig, from, to string) []string {
 	t.Helper()
 	windows, err := Windows("q", &booking, mustParseTime(from), mustParseTime(to))
@@ -60,7 +61,7 @@
 			[]string{"2026-10-25T02:00:00+02:00", "2026-10-26T02:00:00+01:00"},
 		},
 		{
-			"asked between the two occurrences", "01:30", "", newYork, "2026-11-01T05:31:00Z", "2026-11-02T00:00:00Z", nil,
+			"from between the two occurrences of a time", "01:30", "", newYork, "2026-11-01T05:31:00Z", "2026-11-02T00:00:00Z", nil,
 		},
 		{
 			"cron of a fixed hour, gap", "", "*/20 2 * * *", newYork, "2026-03-08T00:00:00Z", "2026-03-09T06:21:00Z",
@@ -156,125 +157,3 @@
 		t.Fatalf("error %v", err)
 	}
 }
-
-// now is a Tuesday, 23:00 in Bogota.
-var now = mustParseTime("2026-12-02T04:00:00Z")
-
-func newBooking(name, dailyAt string, slots int) api.BookingConfig {
-	return api.BookingConfig{
-		Name: name, DailyAt: dailyAt, TimeZone: "America/Bogota", Duration: api.Duration(time.Hour),
-		Slots: slots, Slice: api.Resources{CPUMillis: 1000, MemoryMB: 512},
-	}
-}
-
-func newWorkers(workers int) []Worker {
-	var all []Worker
-	for i := range workers {
-		all = append(all, Worker{
-			Name: "w" + string(rune('1'+i)), Zone: "z" + string(rune('1'+i)),
-			Capacity: api.Resources{CPUMillis: 3500, MemoryMB: 8192}, Services: []string{"s"},
-			Labels: map[string]string{"number": string(rune('1' + i))},
-		})
-	}
-	return all
-}
-
-func TestCheck_NamesShortBookings(t *testing.T) {
-	cases := []struct {
-		name    string
-		change  func(c *api.Config)
-		workers int
-		want    []api.FieldError
-	}{
-		{"fits", func(*api.Config) {}, 4, nil},
-		{"nothing is known", func(*api.Config) {}, 0, nil},
-		{
-			"short", func(*api.Config) {}, 3,
-			[]api.FieldError{{
-				Field: "queues[1].bookings[0].slots", Value: "12",
-				Expected: "room at 2026-12-02T06:00:00-05:00: 12 slots, 9 fit; short 3000 cpu_millis, 1536 memory_mb",
-			}},
-		},
-		{"best effort", func(c *api.Config) { c.Queues[1].Bookings[0].BestEffort = true }, 1, nil},
-		{
-			"drained by name", func(c *api.Config) { c.Drains.Workers = []string{"w2"} }, 4,
-			[]api.FieldError{{
-				Field: "queues[1].bookings[0].slots", Value: "12",
-				Expected: "room at 2026-12-02T06:00:00-05:00: 12 slots, 9 fit; short 3000 cpu_millis, 1536 memory_mb",
-			}},
-		},
-		{
-			"all zones evacuated", func(c *api.Config) { c.Drains.Zones = []string{"z1"} }, 1,
-			[]api.FieldError{{
-				Field: "queues[1].bookings[0].slots", Value: "12",
-				Expected: "room at 2026-12-02T06:00:00-05:00: 12 slots, 0 fit; no registered worker that is not drained offers its service and labels; short 12000 cpu_millis, 6144 memory_mb",
-			}},
-		},
-		{"one after the other", func(c *api.Config) {
-			c.Queues[0].Bookings = []api.BookingConfig{newBooking("before", "04:55", 12), newBooking("after", "07:05", 12)}
-		}, 4, nil},
-		{"lead into another's window", func(c *api.Config) {
-			c.Queues[0].Bookings = []api.BookingConfig{newBooking("after", "07:04", 1)}
-		}, 4, []api.FieldError{{
-			Field: "queues[1].bookings[0].slots", Value: "12",
-			Expected: "room at 2026-12-02T07:04:00-05:00: 12 slots, 11 fit; short 1000 cpu_millis, 512 memory_mb",
-		}}},
-		{"rarer than the horizon", func(c *api.Config) {
-			rare := newBooking("rare", "", 1)
-			rare.Cron, rare.TimeZone, rare.Slice.Accelerators = "30 12 24 12 *", "Europe/Berlin", 1
-			c.Queues[0].Bookings = []api.BookingConfig{rare}
-		}, 4, []api.FieldError{{
-			Field: "queues[0].bookings[0].slots", Value: "1",
-			Expected: "room at 2026-12-24T12:30:00+01:00: 1 slots, 0 fit; short 1000 cpu_millis, 512 memory_mb, 1 accelerators",
-		}}},
-		{"rarer, together with a daily one", func(c *api.Config) {
-			rare := newBooking("rare", "", 1)
-			rare.Cron, rare.Duration = "30 5 24 12 *", api.Duration(6*time.Hour)
-			rare.Slice = api.Resources{CPUMillis: 3500}
-			c.Queues[0].Bookings = []api.BookingConfig{rare}
-		}, 4, []api.FieldError{{
-			Field: "queues[1].bookings[0].slots", Value: "12",
-			Expected: "room at 2026-12-24T06:00:00-05:00: 12 slots, 9 fit; short 3000 cpu_millis, 1536 memory_mb",
-		}}},
-		{"labels are packed first", func(c *api.Config) {
-			small := newBooking("labelled", "06:00", 3)
-			small.Service, small.Labels = "s", map[string]string{"number": "1"}
-			c.Queues[1].Bookings[0].Slots = 9
-			c.Queues[0].Bookings = []api.BookingConfig{small}
-		}, 4, nil},
-		{"larger slices are packed first", func(c *api.Config) {
-			large := newBooking("large", "06:00", 1)
-			large.Slice.CPUMillis = 3000
-			c.Queues[1].Bookings[0].Slots = 3
-			c.Queues[0].Bookings = []api.BookingConfig{large}
-		}, 2, nil},
-	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			config := &api.Config{Queues: []api.QueueConfig{
-				{Name: "p"},
-				{Name: "q", Bookings: []api.BookingConfig{newBooking("b", "06:00", 12)}},
-			}}
-			c.change(config)
-			if fields := api.ValidateConfigAt(config, now); len(fields) > 0 {
-				t.Fatalf("not valid: %v", fields)
-			}
-			if diff := cmp.Diff(c.want, Check(config, newWorkers(c.workers), now)); diff != "" {
-				t.Fatalf("wrong fields (-want +got):\n%s", diff)
-			}
-		})
-	}
-}
-
-func TestCheck_CountsOpenWindows(t *testing.T) {
-	config := &api.Config{Queues: []api.QueueConfig{{Name: "q", Bookings: []api.BookingConfig{
-		newBooking("long", "22:30", 6), newBooking("next", "23:02", 4),
-	}}}}
-	config.Queues[0].Bookings[0].Cron = "30 22 1 * *"
-	config.Queues[0].Bookings[0].DailyAt = ""
-	fields := Check(config, newWorkers(3), now)
-	want := "room at 2026-12-01T23:02:00-05:00: 4 slots, 3 fit; short 1000 cpu_millis, 512 memory_mb"
-	if len(fields) != 1 || fields[0].Field != "queues[0].bookings[1].slots" || fields[0].Expected != want {
-		t.Fatalf("%+v", fields)
-	}
-}
