--- /dev/null
+++ b/internal/featuregate/disabled.go
@@ -0,0 +1,42 @@
+package featuregate
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// DisabledSet is a set of features that are disabled. The zero value has none. It is
+// not changed after Parse, and so safe for concurrent use.
+type DisabledSet struct{ features []Feature }
+
+// Has reports whether a feature is disabled.
+func (d DisabledSet) Has(feature Feature) bool { return slices.Contains(d.features, feature) }
+
+// Features returns the disabled features, in the order in which they were named.
+func (d DisabledSet) Features() []Feature { return slices.Clone(d.features) }
+
+// Parse returns the set of the features of these names. It fails with an
+// *UnknownFeatureError for a name that no feature has.
+func Parse(names []string) (DisabledSet, error) {
+	var disabled DisabledSet
+	for _, name := range names {
+		if !IsKnown(name) {
+			return DisabledSet{}, &UnknownFeatureError{Name: name}
+		}
+		disabled.features = append(disabled.features, Feature(name))
+	}
+	return disabled, nil
+}
+
+// UnknownFeatureError says that no feature has a name.
+type UnknownFeatureError struct{ Name string }
+
+// Error implements error. It lists the names that there are.
+func (e *UnknownFeatureError) Error() string {
+	var known []string
+	for _, feature := range All() {
+		known = append(known, string(feature))
+	}
+	return fmt.Sprintf("unknown feature %q, expected one of %s", e.Name, strings.Join(known, ", "))
+}
