--- a/internal/raft/config.go
+++ b/internal/raft/config.go
@@ -16,42 +16,90 @@
 	DefaultMaxInflightAppends = 64
 )
 
-// withDefaults fills in what is zero.
+// Config holds the parameters of a Node. Points in time are on the owner's
+// monotonic clock. A zero field other than ID takes its default.
+type Config struct {
+	// ID is this replica. It is required.
+	ID ReplicaID
+	// TickInterval is how often the owner calls Tick. It must be less than
+	// ElectionTimeoutMin. Default 50 ms.
+	TickInterval time.Duration
+	// ElectionTimeoutMin and ElectionTimeoutMax bound the randomized election
+	// timeout. Defaults 500 ms and 1 s.
+	ElectionTimeoutMin time.Duration
+	ElectionTimeoutMax time.Duration
+	// LeaseDuration is how long a leader lease lasts, counted from when a round
+	// of heartbeats was sent that a quorum answered. It must be less than
+	// ElectionTimeoutMin. Default 400 ms.
+	LeaseDuration time.Duration
+	// MaxAppendBytes bounds the entries of one append, in bytes; a larger entry
+	// is sent alone. Default 1 MiB.
+	MaxAppendBytes int
+	// MaxInflightAppends bounds the unanswered appends to one follower. Default 64.
+	MaxInflightAppends int
+	// Seed determines the election timeouts, together with ID.
+	Seed int64
+	// NoVoteBefore delays the votes and campaigns of a restarted replica, which
+	// may have forgotten that it answered a leader's heartbeat. The owner sets
+	// it to one ElectionTimeoutMin after the start, as long as such an answer
+	// binds, unless the replica is brand new.
+	NoVoteBefore time.Duration
+}
+
+// ConfigError reports a field of a Config whose value is out of range.
+type ConfigError struct {
+	Field string
+	// Value is nil if the field is empty.
+	Value any
+	// Problem names the bound that Value violates: it completes the sentence
+	// "Field Value is ...".
+	Problem string
+}
+
+// Error implements error.
+func (e *ConfigError) Error() string {
+	if e.Value == nil {
+		return fmt.Sprintf("%s is %s", e.Field, e.Problem)
+	}
+	return fmt.Sprintf("%s %v is %s", e.Field, e.Value, e.Problem)
+}
+
+// withDefaults returns the config with its zero fields replaced.
 func (c Config) withDefaults() Config {
-	defaultTo(&c.TickInterval, DefaultTickInterval)
-	defaultTo(&c.ElectionTimeoutMin, DefaultElectionTimeoutMin)
-	defaultTo(&c.ElectionTimeoutMax, DefaultElectionTimeoutMax)
-	defaultTo(&c.LeaseDuration, DefaultLeaseDuration)
-	defaultTo(&c.MaxAppendBytes, DefaultMaxAppendBytes)
-	defaultTo(&c.MaxInflightAppends, DefaultMaxInflightAppends)
+	setDefault(&c.TickInterval, DefaultTickInterval)
+	setDefault(&c.ElectionTimeoutMin, DefaultElectionTimeoutMin)
+	setDefault(&c.ElectionTimeoutMax, DefaultElectionTimeoutMax)
+	setDefault(&c.LeaseDuration, DefaultLeaseDuration)
+	setDefault(&c.MaxAppendBytes, DefaultMaxAppendBytes)
+	setDefault(&c.MaxInflightAppends, DefaultMaxInflightAppends)
 	return c
 }
 
-func defaultTo[T comparable](value *T, fallback T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
-	if *value == zero {
-		*value = fallback
+	if *field == zero {
+		*field = value
 	}
 }
 
-// validate reports every wrong value of a Config whose defaults are filled in.
+// validate returns a ConfigError for each field out of range, joined. The
+// defaults must be set.
 func (c Config) validate() error {
 	var problems []error
-	check := func(ok bool, format string, arguments ...any) {
+	check := func(ok bool, field string, value any, problem string) {
 		if !ok {
-			problems = append(problems, fmt.Errorf(format, arguments...))
+			problems = append(problems, &ConfigError{Field: field, Value: value, Problem: problem})
 		}
 	}
-	check(c.ID != "", "ID is empty")
-	check(c.TickInterval > 0, "TickInterval %v is not positive", c.TickInterval)
-	check(c.TickInterval < c.ElectionTimeoutMin,
-		"TickInterval %v is not less than ElectionTimeoutMin %v", c.TickInterval, c.ElectionTimeoutMin)
-	check(c.ElectionTimeoutMin <= c.ElectionTimeoutMax,
-		"ElectionTimeoutMin %v is more than ElectionTimeoutMax %v", c.ElectionTimeoutMin, c.ElectionTimeoutMax)
-	check(c.LeaseDuration > 0, "LeaseDuration %v is not positive", c.LeaseDuration)
-	check(c.LeaseDuration < c.ElectionTimeoutMin,
-		"LeaseDuration %v is not less than ElectionTimeoutMin %v", c.LeaseDuration, c.ElectionTimeoutMin)
-	check(c.MaxAppendBytes > 0, "MaxAppendBytes %d is not positive", c.MaxAppendBytes)
-	check(c.MaxInflightAppends > 0, "MaxInflightAppends %d is not positive", c.MaxInflightAppends)
+	lessThanElectionTimeout := fmt.Sprintf("not less than ElectionTimeoutMin %v", c.ElectionTimeoutMin)
+	check(c.ID != "", "ID", nil, "empty")
+	check(c.TickInterval > 0, "TickInterval", c.TickInterval, "not positive")
+	check(c.TickInterval < c.ElectionTimeoutMin, "TickInterval", c.TickInterval, lessThanElectionTimeout)
+	check(c.ElectionTimeoutMin <= c.ElectionTimeoutMax, "ElectionTimeoutMin", c.ElectionTimeoutMin,
+		fmt.Sprintf("more than ElectionTimeoutMax %v", c.ElectionTimeoutMax))
+	check(c.LeaseDuration > 0, "LeaseDuration", c.LeaseDuration, "not positive")
+	check(c.LeaseDuration < c.ElectionTimeoutMin, "LeaseDuration", c.LeaseDuration, lessThanElectionTimeout)
+	check(c.MaxAppendBytes > 0, "MaxAppendBytes", c.MaxAppendBytes, "not positive")
+	check(c.MaxInflightAppends > 0, "MaxInflightAppends", c.MaxInflightAppends, "not positive")
 	return errors.Join(problems...)
 }
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -30,7 +30,7 @@
 		t.Error("second candidate of the term got the vote")
 	}
 	if answer := only(t, node.step(0, vote("b", 5)), MessageVoteResponse); answer.Reject {
-		t.Error("the repeated question was refused")
+		t.Error("the repeated request was rejected")
 	}
 	restarted := newTestNode(t, Config{ID: "a"}, RestoredState{
 		HardState: node.hardState(),
@@ -60,7 +60,7 @@
 			node := newTestNode(t, Config{ID: "a"}, restored)
 			request := Message{Kind: MessageVote, From: "b", Term: 5, Index: c.index, LogTerm: c.logTerm}
 			if answer := only(t, node.step(0, request), MessageVoteResponse); answer.Reject == c.granted {
-				t.Errorf("refused: %v", answer.Reject)
+				t.Errorf("rejected: %v", answer.Reject)
 			}
 		})
 	}
@@ -79,13 +79,13 @@
 	if answer := only(t, node.step(early, preVote), MessagePreVoteResponse); !answer.Reject || answer.Term != 2 {
 		t.Errorf("pre-vote answer %+v", answer)
 	}
-	// The term rises through another's answer; the promise still holds.
+	// The term rises through another's response; the stickiness still holds.
 	node.step(early, Message{Kind: MessageAppendResponse, From: "c", Term: 4, Reject: true})
 	if messages := node.step(early, vote("c", 9)); len(messages) != 0 {
-		t.Errorf("a new term ended the promise: %+v", messages)
+		t.Errorf("a new term ended the stickiness: %+v", messages)
 	}
 	if answer := only(t, node.step(early+1, vote("c", 9)), MessageVoteResponse); answer.Reject {
-		t.Error("vote refused after the promise")
+		t.Error("vote rejected after the stickiness")
 	}
 }
 
@@ -97,30 +97,30 @@
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	node.step(time.Second, heartbeat)
 	if answer := only(t, node.step(time.Second, transfer), MessageVoteResponse); answer.Reject {
-		t.Error("transfer vote refused")
+		t.Error("transfer vote rejected")
 	}
-	quiet := newTestNode(t, Config{ID: "a", NoVoteBefore: 2 * time.Second}, initialState("a", "b", "c"))
-	quiet.step(time.Second, heartbeat)
-	if messages := quiet.step(time.Second, transfer); len(messages) != 0 || quiet.Status().Term != 2 {
-		t.Errorf("a quiet voter answered %+v", messages)
+	restarted := newTestNode(t, Config{ID: "a", NoVoteBefore: 2 * time.Second}, initialState("a", "b", "c"))
+	restarted.step(time.Second, heartbeat)
+	if messages := restarted.step(time.Second, transfer); len(messages) != 0 || restarted.Status().Term != 2 {
+		t.Errorf("a restarted voter responded %+v", messages)
 	}
 }
 
 func TestVoteDelay_ReplicaNeitherVotesNorCampaigns(t *testing.T) {
-	quietUntil := 10 * time.Second
-	node := newTestNode(t, Config{ID: "a", NoVoteBefore: quietUntil}, initialState("a"))
-	for now := time.Duration(0); now < quietUntil; now += DefaultTickInterval {
+	noVoteBefore := 10 * time.Second
+	node := newTestNode(t, Config{ID: "a", NoVoteBefore: noVoteBefore}, initialState("a"))
+	for now := time.Duration(0); now < noVoteBefore; now += DefaultTickInterval {
 		node.Tick(now)
 		if node.Status().Term != 1 {
-			t.Fatalf("stood for election at %v", now)
+			t.Fatalf("campaigned at %v", now)
 		}
 	}
-	for now := quietUntil; now < quietUntil+2*DefaultElectionTimeoutMax; now += DefaultTickInterval {
+	for now := noVoteBefore; now < noVoteBefore+2*DefaultElectionTimeoutMax; now += DefaultTickInterval {
 		node.Tick(now)
 		node.processReady()
 	}
 	if node.Status().Role != RoleLeader {
-		t.Error("never stood for election")
+		t.Error("never campaigned")
 	}
 }
 
--- a/internal/raft/append.go
+++ b/internal/raft/follower.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// stepLeaderMessage takes what only a leader sends.
+// stepLeaderMessage handles what only a leader sends. It makes this node a
+// follower of the sender, unless the sender's term is over.
 func (n *Node) stepLeaderMessage(m Message) error {
 	if m.Term < n.term {
-		// The sender learns that its term is over.
+		// The response tells the sender that its term is over.
 		n.send(Message{Kind: MessageAppendResponse, To: m.From, Index: m.Index, Reject: true})
 		return nil
 	}
@@ -17,7 +18,7 @@
 	}
 	n.leader = m.From
 	n.leaderContact = leaderContact{known: true, at: n.now, term: m.Term}
-	n.resetElectionDeadline()
+	n.electionTimer.reset(n.now)
 	if m.Kind == MessageSnapshot {
 		n.handleSnapshot(m)
 		return nil
@@ -25,6 +26,8 @@
 	return n.handleAppendEntries(m)
 }
 
+// handleAppendEntries is the receiver's side of AppendEntries (Raft paper,
+// figure 2).
 func (n *Node) handleAppendEntries(m Message) error {
 	if err := checkContiguous(m); err != nil {
 		return err
@@ -47,6 +50,7 @@
 	return nil
 }
 
+// checkContiguous requires that the entries follow Index without a gap.
 func checkContiguous(m Message) error {
 	for i, entry := range m.Entries {
 		if expected := m.Index + 1 + uint64(i); entry.Index != expected {
@@ -56,7 +60,7 @@
 	return nil
 }
 
-// trimCommitted drops what is committed here already: it cannot differ, and
+// trimCommitted leaves out what is committed here already: it cannot differ, and
 // may be compacted.
 func (n *Node) trimCommitted(m Message) (previous, previousTerm uint64, entries []Entry) {
 	if m.Index >= n.log.committed {
@@ -67,11 +71,13 @@
 	return m.Index + skipped, previousTerm, m.Entries[skipped:]
 }
 
+// acceptAppend acknowledges the log up to an index. The response repeats the
+// round, which the leader's lease counts from.
 func (n *Node) acceptAppend(m Message, matched uint64) {
 	n.send(Message{Kind: MessageAppendResponse, To: m.From, Index: matched, Round: m.Round})
 }
 
-// rejectAppend says how far back the logs may agree: not above the last entry,
+// rejectAppend says how far back the logs may match: not above the last entry,
 // and not where the own terms are higher than the leader's (Raft paper, 5.3).
 func (n *Node) rejectAppend(m Message) {
 	var hint uint64
@@ -91,7 +97,9 @@
 	})
 }
 
-// appendNewEntries appends what is new and drops what contradicts the leader.
+// appendNewEntries appends what is new and truncates what contradicts the
+// leader. An entry that matches is never truncated: a late append must not undo
+// a newer one.
 func (n *Node) appendNewEntries(entries []Entry) error {
 	known := 0
 	for known < len(entries) && n.log.matchTerm(entries[known].Index, entries[known].Term) {
@@ -110,10 +118,18 @@
 		return err
 	}
 	if first <= n.log.lastIndex() {
-		n.log.truncateFrom(first)
-		n.truncateMembershipsFrom(first)
+		n.truncateFrom(first)
 	}
 	n.log.append(entries...)
-	n.appendMemberships(decoded)
+	n.adoptMemberships(decoded)
 	return nil
 }
+
+// truncateFrom drops the entry at index and all after it, and with them the
+// memberships that they brought.
+func (n *Node) truncateFrom(index uint64) {
+	n.log.truncateFrom(index)
+	if n.memberships.truncateFrom(index) {
+		n.switchToNewestMembership()
+	}
+}
--- a/internal/raft/fuzz_test.go
+++ b/internal/raft/fuzz_test.go
@@ -83,17 +83,17 @@
 	leader.Tick(0)
 	leader.Tick(elected)
 	for range 2 {
-		for _, asked := range leader.processReady() {
-			answer := Message{From: asked.To, To: "a", Term: asked.Term}
-			switch asked.Kind {
+		for _, request := range leader.processReady() {
+			response := Message{From: request.To, To: "a", Term: request.Term}
+			switch request.Kind {
 			case MessagePreVote:
-				answer.Kind = MessagePreVoteResponse
+				response.Kind = MessagePreVoteResponse
 			case MessageVote:
-				answer.Kind = MessageVoteResponse
+				response.Kind = MessageVoteResponse
 			default:
 				continue
 			}
-			if err := leader.Step(elected, answer); err != nil {
+			if err := leader.Step(elected, response); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -107,7 +107,7 @@
 
 func stepChecked(t *testing.T, node *testNode, now time.Duration, message Message) {
 	before := node.Status()
-	_ = node.Step(now, message) // a refusal is as good
+	_ = node.Step(now, message) // an error is as good
 	node.processReady()
 	node.Tick(now + time.Second)
 	node.processReady()
--- a/internal/raft/harness_test.go
+++ b/internal/raft/harness_test.go
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// deliverAll delivers until nothing is under way.
+// deliverAll delivers until no message is in flight.
 func (c *testCluster) deliverAll() {
 	c.t.Helper()
 	for range 1000 {
@@ -168,7 +168,7 @@
 	c.deliverAll()
 }
 
-// dropTo cuts a replica off.
+// dropTo partitions a replica from all others.
 func (c *testCluster) dropTo(id ReplicaID) {
 	c.drop = func(message Message) bool { return message.To == id || message.From == id }
 }
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -2,35 +2,75 @@
 
 import "time"
 
-// maxUnconfirmedRounds bounds the rounds whose send time is remembered.
+// maxUnconfirmedRounds bounds the rounds of heartbeats whose send time is
+// remembered.
 const maxUnconfirmedRounds = 256
 
-// lease is a leader's claim to be the only one, counted from when a heartbeat
-// round was sent that a quorum answered (Ongaro's thesis, 6.4.1).
+// lease is a leader's claim to be the only one, counted from when a round of
+// heartbeats was sent that a quorum answered (Ongaro's thesis, 6.4.1).
 //
 // Why leases of two terms never overlap: each voter that answered the round
-// got it after it was sent, and from then on grants no vote for
+// received it after it was sent, and from then on grants no vote for
 // ElectionTimeoutMin. A later leader needs a vote of at least one of them, so it
-// is elected more than LeaseDuration after the round was sent. The promise is
-// kept beyond changes of term (leaderContact) and restarts (NoVoteBefore).
+// is elected more than LeaseDuration after the round was sent. The voters stay
+// bound beyond changes of term (leaderContact) and restarts (NoVoteBefore).
 type lease struct {
-	// ackedRound is the number of the newest round; rounds start at 1 in each term.
-	round uint64
-	// confirmed is the newest round that a quorum has answered.
-	confirmed uint64
-	// sent are the rounds not yet confirmed, oldest first.
-	sent  []heartbeatRound
+	// duration is Config.LeaseDuration.
+	duration time.Duration
+	// newestRound is the number of the newest round; rounds start at 1 in each
+	// term.
+	newestRound uint64
+	// confirmedRound is the newest round that a quorum has answered.
+	confirmedRound uint64
+	// unconfirmed are the rounds after that, oldest first.
+	unconfirmed []heartbeatRound
+	// until is when the lease ends; zero before the first confirmed round.
 	until time.Duration
 	// relinquished is set by a leadership transfer, for the rest of the term.
 	relinquished bool
 }
 
+// heartbeatRound is a round of heartbeats and when it was sent.
 type heartbeatRound struct {
-	round uint64
-	at    time.Duration
+	number uint64
+	sentAt time.Duration
 }
 
-// leaseUntil is when the lease ends; zero if this node claims none.
+// startRound numbers a round that is sent now.
+func (l *lease) startRound(now time.Duration) {
+	l.newestRound++
+	if len(l.unconfirmed) == maxUnconfirmedRounds {
+		l.unconfirmed = append(l.unconfirmed[:0], l.unconfirmed[1:]...)
+	}
+	l.unconfirmed = append(l.unconfirmed, heartbeatRound{number: l.newestRound, sentAt: now})
+}
+
+// confirm extends the lease to a round that a quorum answered, and reports
+// whether that is a newer one than before.
+func (l *lease) confirm(round uint64) bool {
+	if round <= l.confirmedRound {
+		return false
+	}
+	l.confirmedRound = round
+	confirmed := 0
+	for confirmed < len(l.unconfirmed) && l.unconfirmed[confirmed].number <= round {
+		l.until = l.unconfirmed[confirmed].sentAt + l.duration
+		confirmed++
+	}
+	l.unconfirmed = append(l.unconfirmed[:0], l.unconfirmed[confirmed:]...)
+	return true
+}
+
+// lastHeartbeatAt is when the newest round was sent.
+func (l *lease) lastHeartbeatAt() time.Duration {
+	if len(l.unconfirmed) == 0 {
+		// The newest round is confirmed: the lease shows when it was sent.
+		return l.until - l.duration
+	}
+	return l.unconfirmed[len(l.unconfirmed)-1].sentAt
+}
+
+// leaseUntil is when the lease ends; zero if this node holds none.
 func (n *Node) leaseUntil() time.Duration {
 	if n.role != RoleLeader || n.leadership.lease.relinquished {
 		return 0
@@ -46,63 +86,43 @@
 	if n.tickTransfer() {
 		return
 	}
-	if n.now-n.lastHeartbeatAt() >= n.config.TickInterval/2 {
+	// A round that was sent since the last tick, such as that of a read, counts.
+	if n.now-n.leadership.lease.lastHeartbeatAt() >= n.config.TickInterval/2 {
 		n.broadcastHeartbeat()
 	}
 }
 
-// quorumActive is check-quorum: a leader that no quorum answers stops leading.
+// quorumActive is check-quorum (Ongaro's thesis, 6.2): a leader that no quorum
+// answers steps down.
 func (n *Node) quorumActive() bool {
-	return n.hasQuorum(func(p *progress) bool {
+	return n.tracker.hasQuorum(func(p *progress) bool {
 		return p.id == n.config.ID || n.now-p.lastSeen < n.config.ElectionTimeoutMax
 	})
 }
 
-func (n *Node) lastHeartbeatAt() time.Duration {
-	sent := n.leadership.lease.sent
-	if len(sent) == 0 {
-		// Confirmed already: the lease shows when it was sent.
-		return n.leadership.lease.until - n.config.LeaseDuration
-	}
-	return sent[len(sent)-1].at
-}
-
-// broadcastHeartbeat sends a heartbeat to everyone.
+// broadcastHeartbeat sends a new round to every peer, learners included.
 func (n *Node) broadcastHeartbeat() {
-	l := &n.leadership.lease
-	l.round++
-	if len(l.sent) == maxUnconfirmedRounds {
-		l.sent = append(l.sent[:0], l.sent[1:]...)
-	}
-	l.sent = append(l.sent, heartbeatRound{round: l.round, at: n.now})
-	n.broadcastPending = false
-	for _, p := range n.peers {
+	n.leadership.lease.startRound(n.now)
+	n.leadership.broadcastPending = false
+	for _, p := range n.tracker.all {
 		if p.id != n.config.ID {
 			n.sendHeartbeat(p)
 		}
 	}
-	n.confirmRounds()
+	n.confirmHeartbeats()
 }
 
-// confirmRounds extends the lease to the newest round that a quorum answered
-// and releases the reads that waited for it.
-func (n *Node) confirmRounds() {
-	l := &n.leadership.lease
-	confirmed := n.quorumValue(func(p *progress) uint64 {
+// confirmHeartbeats extends the lease to the newest round that a quorum
+// answered, and completes the reads that waited for it.
+func (n *Node) confirmHeartbeats() {
+	lease := &n.leadership.lease
+	answered := n.tracker.quorumValue(func(p *progress) uint64 {
 		if p.id == n.config.ID {
-			return l.round
+			return lease.newestRound
 		}
 		return p.ackedRound
 	})
-	if confirmed <= l.confirmed {
-		return
-	}
-	l.confirmed = confirmed
-	passed := 0
-	for passed < len(l.sent) && l.sent[passed].round <= confirmed {
-		l.until = l.sent[passed].at + n.config.LeaseDuration
-		passed++
+	if lease.confirm(answered) {
+		n.completeReads()
 	}
-	l.sent = append(l.sent[:0], l.sent[passed:]...)
-	n.completeReads()
 }
--- a/internal/raft/lease_test.go
+++ b/internal/raft/lease_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// leaderOfThree is a leader whose messages the test answers by hand.
+// leaderOfThree is a leader whose peers are played by the test.
 func leaderOfThree(t *testing.T, now time.Duration) *testNode {
 	t.Helper()
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
@@ -31,7 +31,7 @@
 	node.Tick(start + 50*time.Millisecond)
 	node.Tick(start + 100*time.Millisecond)
 	node.processReady()
-	// Round 2 was sent at 50ms; the answer comes late.
+	// Round 2 was sent at 50ms; the response comes late.
 	node.step(start+130*time.Millisecond, appendResponse("b", 1, 2))
 	if got, want := node.Status().LeaseUntil, start+50*time.Millisecond+DefaultLeaseDuration; got != want {
 		t.Errorf("lease until %v, want %v", got, want)
@@ -41,7 +41,7 @@
 	if got, want := node.Status().LeaseUntil, start+50*time.Millisecond+DefaultLeaseDuration; got != want {
 		t.Errorf("lease until %v, want %v", got, want)
 	}
-	// A round that was never sent is no promise.
+	// A round that was never sent does not count.
 	node.step(start+140*time.Millisecond, appendResponse("c", 1, 99))
 	if got, want := node.Status().LeaseUntil, start+50*time.Millisecond+DefaultLeaseDuration; got != want {
 		t.Errorf("lease until %v, want %v", got, want)
@@ -58,7 +58,7 @@
 		t.Errorf("answered %+v", messages)
 	}
 	if got := only(t, node.step(start+DefaultLeaseDuration, request), MessageVoteResponse); got.Reject {
-		t.Error("refused without a lease")
+		t.Error("rejected without a lease")
 	}
 }
 
@@ -108,7 +108,7 @@
 	for at := DefaultTickInterval; at < DefaultElectionTimeoutMax; at += DefaultTickInterval {
 		node.Tick(start + at)
 		node.processReady()
-		node.step(start+at, appendResponse("b", 2, node.leadership.lease.round))
+		node.step(start+at, appendResponse("b", 2, node.leadership.lease.newestRound))
 		if status := node.Status(); status.LeaseUntil != 0 || status.Role != RoleLeader {
 			t.Fatalf("at %v: %+v", at, status)
 		}
@@ -160,10 +160,10 @@
 	if err := node.ReadIndex(start, 1); err != nil {
 		t.Fatal(err)
 	}
-	// Round 1 gives a lease; the noop is not committed.
+	// Round 1 gives a lease; the no-op is not committed.
 	node.step(start, appendResponse("b", 1, 1))
 	if len(node.reads) != 0 {
-		t.Fatalf("read before the noop: %+v", node.reads)
+		t.Fatalf("read before the no-op: %+v", node.reads)
 	}
 	node.step(start, appendResponse("b", 2, 1))
 	if len(node.reads) != 1 || node.reads[0] != (ReadState{Request: 1, Index: 2}) {
@@ -188,3 +188,27 @@
 		t.Errorf("read on a follower: %v", err)
 	}
 }
+
+// TestReadIndex_EarlierHeartbeatDoesNotConfirm: a quorum's answer to a heartbeat
+// from before the request does not show that this node still leads after it.
+func TestReadIndex_EarlierHeartbeatDoesNotConfirm(t *testing.T) {
+	start := 10 * time.Second
+	node := leaderOfThree(t, start)
+	node.step(start, appendResponse("b", 2, 1))
+	expired := start + DefaultLeaseDuration
+	node.Tick(expired) // sends round 2
+	node.processReady()
+	if err := node.ReadIndex(expired+minReadHeartbeatInterval/2, 1); err != nil {
+		t.Fatal(err)
+	}
+	node.step(expired+minReadHeartbeatInterval, appendResponse("c", 2, 2))
+	if len(node.reads) != 0 {
+		t.Fatalf("round 2, sent before the request, confirmed %+v", node.reads)
+	}
+	node.Tick(expired + DefaultTickInterval) // sends round 3
+	node.processReady()
+	node.step(expired+DefaultTickInterval, appendResponse("c", 2, 3))
+	if len(node.reads) != 1 || node.reads[0] != (ReadState{Request: 1, Index: 2}) {
+		t.Errorf("reads %+v", node.reads)
+	}
+}
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -5,18 +5,23 @@
 // entryOverheadBytes is counted for each entry on top of its data.
 const entryOverheadBytes = 32
 
-// raftLog holds the entries after base. Slices handed out share its memory:
-// an entry is never overwritten in place (see truncateFrom), so that they stay
-// as they were.
+// raftLog holds the entries after the compacted ones, and how far they are
+// durable, committed and applied:
+//
+//	compactedIndex <= applied <= committed <= lastIndex, stable <= lastIndex
+//
+// Slices that it returns share its memory. An entry is never overwritten in
+// place (see truncateFrom), so they do not change.
 type raftLog struct {
-	// compactedIndex and compactedTerm name the entry before the first one held.
+	// compactedIndex and compactedTerm are those of the entry before the first
+	// one in entries.
 	compactedIndex uint64
 	compactedTerm  uint64
 	entries        []Entry
 	// stable is the last index that the owner has persisted.
 	stable    uint64
 	committed uint64
-	// applied is the last index whose entry was handed out and advanced over.
+	// applied is the last index that was in Ready.Committed and advanced over.
 	applied uint64
 }
 
@@ -29,8 +34,8 @@
 	return term
 }
 
-// term returns the term of the entry at index; ok is false when the log does
-// not know it.
+// term returns the term of the entry at index; ok is false if the entry is
+// compacted or not there.
 func (l *raftLog) term(index uint64) (term uint64, ok bool) {
 	switch {
 	case index == l.compactedIndex:
@@ -42,14 +47,15 @@
 	}
 }
 
-// matchTerm reports whether the log surely has that very entry.
+// matchTerm reports whether the log is known to have the entry of that term at
+// index. Then all entries before it match as well (Raft paper, 5.3).
 func (l *raftLog) matchTerm(index, term uint64) bool {
-	held, ok := l.term(index)
-	return ok && held == term
+	known, ok := l.term(index)
+	return ok && known == term
 }
 
-// slice returns the entries from first to last, at least one if there is
-// any, and no more than fit in maxBytes and maxCount.
+// slice returns the entries from first to last, at least one if there is any,
+// and otherwise no more than fit in maxBytes and maxCount.
 func (l *raftLog) slice(first, last uint64, maxBytes, maxCount int) []Entry {
 	if first > last {
 		return nil
@@ -80,25 +86,26 @@
 }
 
 // truncateFrom drops the entry at index and all after it. The slice loses its
-// spare capacity, so that the next append copies and what was handed out
-// before stays unchanged.
+// spare capacity, so that the next append copies and slices returned earlier
+// stay unchanged.
 func (l *raftLog) truncateFrom(index uint64) {
 	kept := index - l.firstIndex()
 	l.entries = l.entries[:kept:kept]
 	l.stable = min(l.stable, index-1)
 }
 
-// stableTo notes that written is on disk, unless it was replaced since.
-func (l *raftLog) stableTo(written []Entry) {
-	for i := len(written) - 1; i >= 0; i-- {
-		if l.matchTerm(written[i].Index, written[i].Term) {
-			l.stable = max(l.stable, written[i].Index)
+// stableTo records that entries are durable, as far as they were not replaced
+// since: the owner may have persisted what was truncated meanwhile.
+func (l *raftLog) stableTo(persisted []Entry) {
+	for i := len(persisted) - 1; i >= 0; i-- {
+		if l.matchTerm(persisted[i].Index, persisted[i].Term) {
+			l.stable = max(l.stable, persisted[i].Index)
 			return
 		}
 	}
 }
 
-// compactTo forgets the entries up to index, which the log must hold.
+// compactTo discards the entries up to index, which the log must have.
 func (l *raftLog) compactTo(index uint64) {
 	term, _ := l.term(index)
 	kept := l.entries[index-l.compactedIndex:]
@@ -107,13 +114,19 @@
 }
 
 // restore makes the log that of a snapshot alone.
-func (l *raftLog) restore(index, term uint64) {
-	*l = raftLog{compactedIndex: index, compactedTerm: term, stable: index, committed: index, applied: index}
+func (l *raftLog) restore(snapshot SnapshotMeta) {
+	*l = raftLog{
+		compactedIndex: snapshot.Index,
+		compactedTerm:  snapshot.Term,
+		stable:         snapshot.Index,
+		committed:      snapshot.Index,
+		applied:        snapshot.Index,
+	}
 }
 
-// findConflictByTerm returns the highest index not above index whose term is
-// at most term. Nothing between it and index can match a log with that term at
-// index, so backtracking skips it. It does not go below base.
+// findConflictByTerm returns the highest index not above index whose term is at
+// most term. No entry between it and index can match a log with that term at
+// index, so a probe skips them. It does not go below compactedIndex.
 func (l *raftLog) findConflictByTerm(index, term uint64) uint64 {
 	index = min(index, l.lastIndex())
 	if index <= l.compactedIndex {
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -1,240 +1,47 @@
 package raft
 
 import (
-	"errors"
 	"fmt"
 	"slices"
-	"time"
-)
-
-// maxPromotionLag is how many entries a learner may lack of the committed ones
-// when it is made a voter.
-const maxPromotionLag = 1000
-
-// ErrInvalidMembership: the wanted membership contradicts itself.
-var ErrInvalidMembership = errors.New("raft: wrong membership")
-
-// membershipEntry is a membership and the entry that brought it.
-type membershipEntry struct {
-	index      uint64
-	membership Membership
-}
-
-// membership is the newest of the log: it is in force from when it is
-// appended, committed or not (Raft paper, 6).
-func (n *Node) membership() Membership {
-	return n.memberships[len(n.memberships)-1].membership
-}
-
-func (n *Node) membershipIndex() uint64 {
-	return n.memberships[len(n.memberships)-1].index
-}
-
-// membershipAtIndex is the one in force when index was the last entry.
-func (n *Node) membershipAtIndex(index uint64) Membership {
-	found := n.memberships[0].membership
-	for _, entry := range n.memberships {
-		if entry.index <= index {
-			found = entry.membership
-		}
-	}
-	return found.clone()
-}
-
-// fallbackMemberships are those from the committed one on, without the newest;
-// nil once that is committed.
-func (n *Node) fallbackMemberships() []Membership {
-	var fallbacks []Membership
-	for i, next := range n.memberships[1:] {
-		if next.index > n.log.committed {
-			fallbacks = append(fallbacks, n.memberships[i].membership.clone())
-		}
-	}
-	return fallbacks
-}
-
-func (n *Node) appendMemberships(added []membershipEntry) {
-	if len(added) == 0 {
-		return
-	}
-	n.memberships = append(n.memberships, added...)
-	n.refreshProgress()
-}
-
-// truncateMembershipsFrom rolls back to the one before a truncation.
-func (n *Node) truncateMembershipsFrom(index uint64) {
-	kept := len(n.memberships)
-	for kept > 1 && n.memberships[kept-1].index >= index {
-		kept--
-	}
-	if kept == len(n.memberships) {
-		return
-	}
-	n.memberships = n.memberships[:kept]
-	n.refreshProgress()
-}
-
-// compactMembershipsTo keeps the one in force at index and all later ones.
-func (n *Node) compactMembershipsTo(index uint64) {
-	first := 0
-	for first+1 < len(n.memberships) && n.memberships[first+1].index <= index {
-		first++
-	}
-	n.memberships = slices.Delete(n.memberships, 0, first)
-}
 
-func decodeMemberships(entries []Entry) ([]membershipEntry, error) {
-	var decoded []membershipEntry
-	for _, entry := range entries {
-		if entry.Kind != EntryMembership {
-			continue
-		}
-		membership, err := DecodeMembership(entry.Data)
-		if err != nil {
-			return nil, fmt.Errorf("raft: entry %d: %w", entry.Index, err)
-		}
-		decoded = append(decoded, membershipEntry{index: entry.Index, membership: membership})
-	}
-	return decoded, nil
-}
-
-// peer returns what is known of a replica; nil outside of the membership.
-func (n *Node) progressOf(id ReplicaID) *progress {
-	for _, p := range n.peers {
-		if p.id == id {
-			return p
-		}
-	}
-	return nil
-}
-
-// refreshProgress follows the membership and keeps what is known of those who
-// stay.
-func (n *Node) refreshProgress() {
-	membership := n.membership()
-	known := n.peers
-	n.peers = nil
-	n.voters = n.collectProgress(known, membership.Voters, true)
-	n.outgoing = n.collectProgress(known, membership.Outgoing, true)
-	n.collectProgress(known, membership.Learners, false)
-}
-
-func (n *Node) collectProgress(known []*progress, members []Member, voter bool) []*progress {
-	collected := make([]*progress, 0, len(members))
-	for _, member := range members {
-		p := n.progressOf(member.ID)
-		if p == nil {
-			p = n.knownOrNew(known, member.ID)
-			p.voter = voter
-			n.peers = append(n.peers, p)
-		}
-		collected = append(collected, p)
-	}
-	return collected
-}
-
-func (n *Node) knownOrNew(known []*progress, id ReplicaID) *progress {
-	for _, p := range known {
-		if p.id == id {
-			return p
-		}
-	}
-	return &progress{id: id, next: n.log.lastIndex() + 1}
-}
-
-// ChangeMembership proposes target. Learners and member data change directly;
-// a change of voters is joint first. Fails with ErrNotLeader, ErrLeadershipTransferPending,
-// ErrMembershipChangePending (also before the term's first commit), ErrInvalidMembership,
-// or ErrNotCaughtUp.
-func (n *Node) ChangeMembership(now time.Duration, target Membership) error {
-	n.advanceTime(now)
-	if n.role != RoleLeader {
-		return ErrNotLeader
-	}
-	if n.transferring() {
-		return ErrLeadershipTransferPending
-	}
-	current := n.membership()
-	if !n.committedEntryInTerm() || current.joint() || n.membershipIndex() > n.log.committed {
-		return ErrMembershipChangePending
-	}
-	if err := target.validate(); err != nil {
-		return err
-	}
-	if sameIDs(current.Voters, target.Voters) {
-		return n.appendMembership(target)
-	}
-	if err := n.checkPromotions(current, target); err != nil {
-		return err
-	}
-	target.Outgoing = current.Voters
-	return n.appendMembership(target)
-}
+	"github.com/fxamacker/cbor/v2"
+)
 
-// checkPromotions: a new voter must have been followed as a learner, or the
-// quorum would wait for it.
-func (n *Node) checkPromotions(current, target Membership) error {
-	for _, voter := range target.Voters {
-		if containsID(current.Voters, voter.ID) {
-			continue
-		}
-		p := n.progressOf(voter.ID)
-		if p == nil || !n.isCaughtUp(p) {
-			return fmt.Errorf("raft: replica %s: %w", voter.ID, ErrNotCaughtUp)
-		}
-	}
-	return nil
+// Member is one replica of a membership and where it runs.
+type Member struct {
+	ID ReplicaID `cbor:"1,keyasint"`
+	// Name is the machine's stable name: a replacement has the same name and
+	// another ID.
+	Name    string `cbor:"2,keyasint"`
+	Zone    string `cbor:"3,keyasint"`
+	Address string `cbor:"4,keyasint"`
 }
 
-// isCaughtUp: the peer answers, its log agrees with the leader's, and little of
-// it is missing.
-func (n *Node) isCaughtUp(p *progress) bool {
-	return p.respondedThisTerm && !n.isInactive(p) && p.state == stateReplicate && p.match+maxPromotionLag >= n.log.committed
+// Membership says which replicas vote and which only learn the log. While
+// Outgoing is not empty the change is joint: every decision needs a majority of
+// Voters and one of Outgoing (Raft paper, 6).
+type Membership struct {
+	Voters   []Member `cbor:"1,keyasint"`
+	Outgoing []Member `cbor:"2,keyasint,omitempty"`
+	Learners []Member `cbor:"3,keyasint,omitempty"`
 }
 
-func (n *Node) appendMembership(membership Membership) error {
-	membership = membership.clone()
-	data, err := EncodeMembership(membership)
+// EncodeMembership returns the data of an EntryMembership: CBOR.
+func EncodeMembership(membership Membership) ([]byte, error) {
+	data, err := cbor.Marshal(membership)
 	if err != nil {
-		return err
+		return nil, fmt.Errorf("raft: cannot encode membership: %w", err)
 	}
-	n.appendEntry(EntryMembership, data)
-	n.appendMemberships([]membershipEntry{{index: n.log.lastIndex(), membership: membership}})
-	return nil
+	return data, nil
 }
 
-// advanceMembershipChange ends a joint membership once it is committed, and
-// the leadership of one who is no longer a voter.
-func (n *Node) advanceMembershipChange() {
-	if n.role != RoleLeader || n.membershipIndex() > n.log.committed || !n.committedEntryInTerm() {
-		return
-	}
-	current := n.membership()
-	if current.joint() {
-		if n.transferring() {
-			return // the next leader does it
-		}
-		current.Outgoing = nil
-		// It was decoded or encoded before, so that it cannot fail to encode.
-		_ = n.appendMembership(current)
-		return
-	}
-	if !containsID(current.Voters, n.config.ID) {
-		n.stepDownAsNonVoter()
+// DecodeMembership reads the data of an EntryMembership.
+func DecodeMembership(data []byte) (Membership, error) {
+	var membership Membership
+	if err := cbor.Unmarshal(data, &membership); err != nil {
+		return Membership{}, fmt.Errorf("raft: cannot decode membership: %w", err)
 	}
-}
-
-// stepDownAsNonVoter ends the term of a leader that is no longer a voter. Its last
-// round tells the others that the change is committed; the best of them may
-// stand at once, since the lease ends here (see transfer.go).
-func (n *Node) stepDownAsNonVoter() {
-	n.broadcastHeartbeat()
-	n.leadership.lease.relinquished = true
-	target := n.transferTarget("")
-	if target != nil && target.match == n.log.lastIndex() {
-		n.send(Message{Kind: MessageTimeoutNow, To: target.id})
-	}
-	n.becomeFollower(n.term, "")
+	return membership, nil
 }
 
 // isVoter reports whether a replica votes in each half of the membership.
@@ -256,11 +63,13 @@
 	}
 }
 
+// sameReplicas compares the ids, in any order; names and addresses may differ.
 func (m Membership) sameReplicas(other Membership) bool {
 	return sameIDs(m.Voters, other.Voters) && sameIDs(m.Outgoing, other.Outgoing) && sameIDs(m.Learners, other.Learners)
 }
 
-// validate checks a target of ChangeMembership.
+// validate checks a target of ChangeMembership. It fails with
+// ErrInvalidMembership.
 func (m Membership) validate() error {
 	if len(m.Voters) == 0 || m.joint() {
 		return fmt.Errorf("%w: it needs voters and no outgoing ones", ErrInvalidMembership)
@@ -290,3 +99,113 @@
 	}
 	return true
 }
+
+// membershipEntry is a membership and the index of the entry that brought it.
+type membershipEntry struct {
+	index      uint64
+	membership Membership
+}
+
+// membershipHistory holds the memberships that the log contains, oldest first:
+// the newest one at or before the log's compacted part, and every later one. It
+// is never empty. A membership is in force from when its entry is appended,
+// committed or not (Raft paper, 6), so a truncation brings an older one back.
+type membershipHistory struct {
+	entries []membershipEntry
+}
+
+// newest returns the membership in force.
+func (h *membershipHistory) newest() Membership {
+	return h.entries[len(h.entries)-1].membership
+}
+
+// newestIndex returns the index of the entry that brought it.
+func (h *membershipHistory) newestIndex() uint64 {
+	return h.entries[len(h.entries)-1].index
+}
+
+// at returns a copy of the membership in force when index was the last entry.
+func (h *membershipHistory) at(index uint64) Membership {
+	found := h.entries[0].membership
+	for _, entry := range h.entries {
+		if entry.index <= index {
+			found = entry.membership
+		}
+	}
+	return found.clone()
+}
+
+// fallbacks returns those from the committed one on, without the newest; nil
+// once the newest is committed.
+func (h *membershipHistory) fallbacks(committed uint64) []Membership {
+	var fallbacks []Membership
+	for i, next := range h.entries[1:] {
+		if next.index > committed {
+			fallbacks = append(fallbacks, h.entries[i].membership.clone())
+		}
+	}
+	return fallbacks
+}
+
+// mayVote reports whether a replica is a voter in the committed membership or a
+// newer one.
+func (h *membershipHistory) mayVote(id ReplicaID, committed uint64) bool {
+	for i := len(h.entries) - 1; i >= 0; i-- {
+		entry := h.entries[i]
+		if containsID(entry.membership.Voters, id) || containsID(entry.membership.Outgoing, id) {
+			return true
+		}
+		if entry.index <= committed {
+			return false
+		}
+	}
+	return false
+}
+
+// reset leaves the membership of a snapshot alone.
+func (h *membershipHistory) reset(snapshot SnapshotMeta) {
+	h.entries = []membershipEntry{{index: snapshot.Index, membership: snapshot.Membership}}
+}
+
+func (h *membershipHistory) append(added ...membershipEntry) {
+	h.entries = append(h.entries, added...)
+}
+
+// truncateFrom drops those whose entries are truncated from index on, and
+// reports whether there were any.
+func (h *membershipHistory) truncateFrom(index uint64) bool {
+	kept := len(h.entries)
+	for kept > 1 && h.entries[kept-1].index >= index {
+		kept--
+	}
+	if kept == len(h.entries) {
+		return false
+	}
+	h.entries = h.entries[:kept]
+	return true
+}
+
+// compactTo drops those before the one in force at index.
+func (h *membershipHistory) compactTo(index uint64) {
+	first := 0
+	for first+1 < len(h.entries) && h.entries[first+1].index <= index {
+		first++
+	}
+	h.entries = slices.Delete(h.entries, 0, first)
+}
+
+// decodeMemberships finds and decodes the memberships among entries.
+func decodeMemberships(entries []Entry) ([]membershipEntry, error) {
+	var decoded []membershipEntry
+	for _, entry := range entries {
+		if entry.Kind != EntryMembership {
+			continue
+		}
+		membership, err := DecodeMembership(entry.Data)
+		if err != nil {
+			return nil, fmt.Errorf("raft: entry %d: %w", entry.Index, err)
+		}
+		decoded = append(decoded, membershipEntry{index: entry.Index, membership: membership})
+	}
+	return decoded, nil
+}
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -90,7 +90,7 @@
 }
 
 // TestMembershipChange_NewVoterCountsOnceFinalCommitted: the entry that ends a joint
-// membership may be lost, and with it the newcomer's vote.
+// membership may be lost, and with it the new voter's vote.
 func TestMembershipChange_NewVoterCountsOnceFinalCommitted(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
@@ -142,7 +142,7 @@
 	node := leaderOfThree(t, 10*time.Second)
 	now := 10 * time.Second
 	if err := node.ChangeMembership(now, testMembership("a", "b")); !errors.Is(err, ErrMembershipChangePending) {
-		t.Errorf("before the noop: %v", err)
+		t.Errorf("before the no-op: %v", err)
 	}
 	node.step(now, appendResponse("b", 2, 1))
 	doubled := testMembership("a", "b", "c")
@@ -237,9 +237,9 @@
 		node := newTestNode(t, Config{ID: "a"}, restored)
 		node.Tick(0)
 		node.Tick(DefaultElectionTimeoutMax)
-		stands := len(ofKind(node.processReady(), MessagePreVote)) > 0
-		if stands == committed {
-			t.Errorf("committed %v: stands %v", committed, stands)
+		campaigns := len(ofKind(node.processReady(), MessagePreVote)) > 0
+		if campaigns == committed {
+			t.Errorf("committed %v: campaigns %v", committed, campaigns)
 		}
 	}
 }
--- a/internal/raft/read.go
+++ b/internal/raft/read.go
@@ -2,22 +2,27 @@
 
 import "time"
 
-// minReadHeartbeatInterval keeps a flood of reads from starting a round for each.
+// minReadHeartbeatInterval keeps a burst of reads from starting a round of
+// heartbeats for each.
 const minReadHeartbeatInterval = 5 * time.Millisecond
 
-// pendingRead waits for its round, and first for the term's noop.
+// pendingRead is a read request that waits for its round of heartbeats, and
+// before that for the term's no-op entry.
 type pendingRead struct {
 	request uint64
-	// index is the read point, round what must be confirmed; both are zero
-	// until the noop is committed, since the commit index may be behind before.
+	// index is the read point, round the round that a quorum must answer; both
+	// are zero until the no-op is committed, since the commit index may be behind
+	// before.
 	index uint64
 	round uint64
 }
 
-// ReadIndex asks for a read point (Ongaro's thesis, 6.4). It is given under
-// the lease if that holds at now, which therefore must have been read after the
-// request came in, and otherwise after a heartbeat round that began later was
-// answered by a quorum. Requests end unanswered when the term does.
+// ReadIndex asks for a read point (Ongaro's thesis, 6.4); it is returned in
+// Ready.ReadStates under the id of the request. It is given under the lease if
+// that holds at now, which therefore must have been read after the request
+// arrived, and otherwise once a quorum has answered a round of heartbeats that
+// began later. Requests are dropped without an answer when the term ends. It
+// fails with ErrNotLeader.
 func (n *Node) ReadIndex(now time.Duration, request uint64) error {
 	n.advanceTime(now)
 	if n.role != RoleLeader {
@@ -31,21 +36,22 @@
 	return nil
 }
 
-// startRead fixes the read point of a request; the noop is committed.
+// startRead fixes the read point of a request. The no-op must be committed.
 func (n *Node) startRead(read pendingRead) {
 	read.index = n.log.committed
 	if n.leaseUntil() > n.now {
 		n.readStates = append(n.readStates, ReadState{Request: read.request, Index: read.index})
 		return
 	}
-	read.round = n.leadership.lease.round + 1
+	// The newest round may have been sent before the request came.
+	read.round = n.leadership.lease.newestRound + 1
 	n.leadership.reads = append(n.leadership.reads, read)
-	if n.now-n.lastHeartbeatAt() >= minReadHeartbeatInterval {
+	if n.now-n.leadership.lease.lastHeartbeatAt() >= minReadHeartbeatInterval {
 		n.broadcastHeartbeat()
 	}
 }
 
-// startPendingReads is called once the term's noop is committed.
+// startPendingReads starts the requests that waited for the no-op.
 func (n *Node) startPendingReads() {
 	waiting := n.leadership.reads
 	n.leadership.reads = nil
@@ -58,14 +64,15 @@
 	}
 }
 
+// completeReads releases the requests whose round is confirmed.
 func (n *Node) completeReads() {
-	kept := n.leadership.reads[:0]
+	waiting := n.leadership.reads[:0]
 	for _, read := range n.leadership.reads {
-		if read.round == 0 || read.round > n.leadership.lease.confirmed {
-			kept = append(kept, read)
+		if read.round == 0 || read.round > n.leadership.lease.confirmedRound {
+			waiting = append(waiting, read)
 			continue
 		}
 		n.readStates = append(n.readStates, ReadState{Request: read.request, Index: read.index})
 	}
-	n.leadership.reads = kept
+	n.leadership.reads = waiting
 }
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -8,14 +8,17 @@
 // noCountLimit lets the size alone bound an append.
 const noCountLimit = math.MaxInt32
 
-// Propose appends commands. Fails with ErrNotLeader or ErrLeadershipTransferPending; no
-// commands is not an error and returns the place after the last entry.
+// Propose appends commands to the leader's log. The entry of the first gets the
+// index returned and the others follow it; they are committed unless another
+// term's entry appears at their index. Without commands it returns the index
+// after the last entry. It fails with ErrNotLeader or
+// ErrLeadershipTransferPending.
 func (n *Node) Propose(now time.Duration, commands [][]byte) (index, term uint64, err error) {
 	n.advanceTime(now)
 	if n.role != RoleLeader {
 		return 0, 0, ErrNotLeader
 	}
-	if n.transferring() {
+	if n.leadership.transfer.pending() {
 		return 0, 0, ErrLeadershipTransferPending
 	}
 	index = n.log.lastIndex() + 1
@@ -25,23 +28,26 @@
 	return index, n.term, nil
 }
 
-// appendEntry appends one entry as leader; it is sent with the next Ready.
+// appendEntry appends one entry as leader. It is sent with the next Ready, so
+// that the entries of one turn of the owner share an append.
 func (n *Node) appendEntry(kind EntryKind, data []byte) {
 	n.log.append(Entry{Index: n.log.lastIndex() + 1, Term: n.term, Kind: kind, Data: data})
-	n.broadcastPending = true
+	n.leadership.broadcastPending = true
 }
 
+// broadcastAppend sends new entries to every peer, learners included.
 func (n *Node) broadcastAppend() {
-	n.broadcastPending = false
-	for _, p := range n.peers {
+	n.leadership.broadcastPending = false
+	for _, p := range n.tracker.all {
 		if p.id != n.config.ID {
-			n.replicate(p)
+			n.replicateTo(p)
 		}
 	}
 }
 
-// replicate sends a peer what it lacks, as far as its window allows.
-func (n *Node) replicate(p *progress) {
+// replicateTo sends a replica the entries that it lacks, as far as its window
+// of unanswered appends allows.
+func (n *Node) replicateTo(p *progress) {
 	for p.state == stateReplicate && n.hasInflightCapacity(p) {
 		n.sendEntries(p)
 	}
@@ -50,13 +56,15 @@
 	}
 }
 
+// hasInflightCapacity reports whether there is an entry to send and room for
+// its append in the window.
 func (n *Node) hasInflightCapacity(p *progress) bool {
 	return p.next <= n.log.lastIndex() && len(p.inflight) < n.config.MaxInflightAppends
 }
 
-// sendHeartbeat carries the newest round to a peer, with entries if it may
-// have any. The entry before them is the last one sent, so that a lost append
-// shows as a refusal.
+// sendHeartbeat carries the newest round to a replica, with entries if there are
+// any to send. The entry that it names as the previous one is the last that was
+// sent, so that a lost append shows as a rejection.
 func (n *Node) sendHeartbeat(p *progress) {
 	if p.state == stateReplicate && n.isInactive(p) {
 		p.becomeProbe(p.match + 1)
@@ -68,39 +76,25 @@
 	case p.state == stateProbe:
 		n.sendProbe(p)
 	case n.hasInflightCapacity(p):
-		n.replicate(p)
+		n.replicateTo(p)
 	default:
 		n.sendAppend(p, nil)
 	}
 }
 
-// sendEmptyHeartbeat names no entry, so that any log accepts it.
+// sendEmptyHeartbeat names no previous entry, so that any log accepts it.
 func (n *Node) sendEmptyHeartbeat(p *progress) {
-	n.send(Message{Kind: MessageAppend, To: p.id, Round: n.leadership.lease.round})
+	n.send(Message{Kind: MessageAppend, To: p.id, Round: n.leadership.lease.newestRound})
 }
 
-// isInactive: nothing came from the peer for an election timeout; entries would
-// likely be sent in vain.
+// isInactive reports whether no response came for an election timeout. Entries
+// would likely be lost, so an inactive replica is sent heartbeats alone.
 func (n *Node) isInactive(p *progress) bool {
 	return n.now-p.lastSeen >= n.config.ElectionTimeoutMax
 }
 
-// becomeProbe looks for where the peer's log agrees, from next on.
-func (p *progress) becomeProbe(next uint64) {
-	p.state = stateProbe
-	p.next = max(next, p.match+1)
-	p.inflight = p.inflight[:0]
-	p.probeSent = false
-}
-
-// becomeReplicate sends without waiting from now on.
-func (p *progress) becomeReplicate() {
-	p.state = stateReplicate
-	p.probeSent = false
-	p.snapshotRetryAt = 0
-	p.inflight = p.inflight[:0]
-}
-
+// sendEntries sends one append in stateReplicate and does not wait for its
+// response.
 func (n *Node) sendEntries(p *progress) {
 	if p.next < n.log.firstIndex() {
 		n.sendSnapshot(p)
@@ -112,11 +106,12 @@
 	p.inflight = append(p.inflight, p.next-1)
 }
 
-// sendProbe tries the entries at next once; a silent peer gets none.
+// sendProbe sends one append in stateProbe, without entries to an inactive
+// replica. next stays until the response shows whether the logs match before it.
 func (n *Node) sendProbe(p *progress) {
-	silent := n.isInactive(p)
+	inactive := n.isInactive(p)
 	if p.next < n.log.firstIndex() {
-		if silent {
+		if inactive {
 			n.sendEmptyHeartbeat(p)
 			return
 		}
@@ -124,7 +119,7 @@
 		return
 	}
 	var entries []Entry
-	if !silent {
+	if !inactive {
 		entries = n.log.slice(p.next, n.log.lastIndex(), n.config.MaxAppendBytes, noCountLimit)
 	}
 	p.probeSent = true
@@ -141,13 +136,13 @@
 		LogTerm: term,
 		Entries: entries,
 		Commit:  n.log.committed,
-		Round:   n.leadership.lease.round,
+		Round:   n.leadership.lease.newestRound,
 	})
 }
 
 func (n *Node) handleAppendResponse(m Message) {
-	p := n.progressOf(m.From)
-	if p == nil || n.adoptHigherTerm(m, true) {
+	p := n.tracker.get(m.From)
+	if p == nil || n.adoptHigherTerm(m) {
 		return
 	}
 	if n.role != RoleLeader || m.Term != n.term {
@@ -160,37 +155,38 @@
 	} else {
 		n.handleAppendAccepted(p, m.Index)
 	}
-	if n.role == RoleLeader && m.Round > p.ackedRound && m.Round <= n.leadership.lease.round {
+	// An accepted append can end the leadership: see advanceMembershipChange.
+	if n.role == RoleLeader && m.Round > p.ackedRound && m.Round <= n.leadership.lease.newestRound {
 		p.ackedRound = m.Round
-		n.confirmRounds()
+		n.confirmHeartbeats()
 	}
 }
 
+// handleAppendRejected probes further back, from the last index at which the
+// logs may match by what both sides know of their terms.
 func (n *Node) handleAppendRejected(p *progress, m Message) {
 	if p.state == stateSnapshot || m.Index <= p.match || m.Index >= p.next {
-		return // late: it answers an append of before
+		return // late: it answers an append from before
 	}
 	if p.state == stateProbe && m.Index != p.next-1 {
 		return
 	}
-	agreeing := n.log.findConflictByTerm(m.RejectHint, m.LogTerm)
-	p.becomeProbe(min(m.Index, agreeing+1))
+	mayMatch := n.log.findConflictByTerm(m.RejectHint, m.LogTerm)
+	p.becomeProbe(min(m.Index, mayMatch+1))
 	n.sendProbe(p)
 }
 
-func (n *Node) handleAppendAccepted(p *progress, matched uint64) {
-	if matched > n.log.lastIndex() {
+// handleAppendAccepted records that a replica's durable log matches up to an
+// index, and goes on with what that allows: to commit, to send more, to let the
+// target of a leadership transfer campaign.
+func (n *Node) handleAppendAccepted(p *progress, match uint64) {
+	if match > n.log.lastIndex() {
 		return
 	}
-	advanced := matched > p.match
-	if advanced {
-		p.match = matched
-		p.next = max(p.next, matched+1)
-		p.freeInflight(matched)
-	}
+	advanced := p.acknowledge(match)
 	switch {
-	case p.state == stateProbe && matched+1 >= p.next:
-		p.next = matched + 1
+	case p.state == stateProbe && match+1 >= p.next:
+		p.next = match + 1
 		p.becomeReplicate()
 	case p.state == stateSnapshot && p.match+1 >= n.log.firstIndex():
 		p.next = p.match + 1
@@ -199,25 +195,19 @@
 	if advanced {
 		n.advanceCommit()
 	}
-	if n.role != RoleLeader || n.progressOf(p.id) != p {
+	// The commit may have ended the leadership, or removed the replica.
+	if n.role != RoleLeader || n.tracker.get(p.id) != p {
 		return
 	}
-	n.replicate(p)
+	n.replicateTo(p)
 	if advanced {
 		n.sendTimeoutNow(p)
 	}
 }
 
-func (p *progress) freeInflight(matched uint64) {
-	answered := 0
-	for answered < len(p.inflight) && p.inflight[answered] <= matched {
-		answered++
-	}
-	p.inflight = append(p.inflight[:0], p.inflight[answered:]...)
-}
-
-// matchIndex is how far a peer's persisted log is known to agree. A leader counts
-// itself for what its owner has persisted.
+// matchIndex is how far a replica's durable log is known to match. A leader
+// counts itself for what its owner has persisted, and no more: it may have sent
+// entries before they were durable here (Ready.EarlyMessages).
 func (n *Node) matchIndex(p *progress) uint64 {
 	if p.id == n.config.ID {
 		return n.log.stable
@@ -226,12 +216,12 @@
 }
 
 // advanceCommit commits what a quorum has persisted, if the last of it is of
-// this term.
+// this term (Raft paper, 5.4.2), and goes on with what waits for commits.
 func (n *Node) advanceCommit() {
 	wasReady := n.committedEntryInTerm()
-	matched := min(n.quorumValue(n.matchIndex), n.log.lastIndex())
-	if matched > n.log.committed && n.log.matchTerm(matched, n.term) {
-		n.commitTo(matched)
+	match := min(n.tracker.quorumValue(n.matchIndex), n.log.lastIndex())
+	if match > n.log.committed && n.log.matchTerm(match, n.term) {
+		n.commitTo(match)
 	}
 	if !wasReady && n.committedEntryInTerm() {
 		n.startPendingReads()
@@ -239,6 +229,7 @@
 	n.advanceMembershipChange()
 }
 
+// commitTo raises the commit index; it never falls.
 func (n *Node) commitTo(index uint64) {
 	n.log.committed = max(n.log.committed, index)
 }
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -157,7 +157,7 @@
 			t.Errorf("append %d: %d entries after %d", i, len(message.Entries), message.Index)
 		}
 	}
-	// One answer makes room for one more; the window moves on.
+	// One response frees one append; the window moves on.
 	if more := ofKind(node.step(start, appendResponse("b", 4, 1)), MessageAppend); len(more) != 1 || more[0].Index != 8 {
 		t.Errorf("after an answer: %+v", more)
 	}
@@ -230,7 +230,7 @@
 	}
 }
 
-// A snapshot that comes late must not drop entries that were answered for.
+// A snapshot that comes late must not drop acknowledged entries.
 func TestSnapshot_StaleNotInstalled(t *testing.T) {
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	node.step(0, Message{
--- a/internal/raft/restore.go
+++ b/internal/raft/restore.go
@@ -2,39 +2,62 @@
 
 import "fmt"
 
-// restore checks and takes what the owner found on disk. Entries may begin
-// before the snapshot's end, when the owner keeps some for followers that lag.
+// RestoredState is what the owner found on disk.
+type RestoredState struct {
+	HardState HardState
+	// Snapshot is the zero value if there is none.
+	Snapshot SnapshotMeta
+	// Entries have no gap among them or after the snapshot. They may begin
+	// before the snapshot's end, if some were kept for followers that lag.
+	Entries []Entry
+	// Membership is the newest one in Entries or the snapshot's; it is compared
+	// unless it is empty.
+	Membership Membership
+	// Applied is the last index that the owner has applied.
+	Applied uint64
+}
+
+// restore checks and adopts what the owner found on disk.
 func (n *Node) restore(restored RestoredState) error {
-	if err := checkRestored(restored); err != nil {
+	if err := restored.validate(); err != nil {
 		return err
 	}
-	snapshot := restored.Snapshot
-	n.snapshot = snapshot
-	n.log.restore(snapshot.Index, snapshot.Term)
-	entries := restored.Entries
-	if len(entries) > 0 && entries[0].Index <= snapshot.Index {
-		// The first entry stands in as base, since its term is known.
-		n.log.compactedIndex, n.log.compactedTerm = entries[0].Index, entries[0].Term
-		entries = entries[1:]
-	}
-	n.log.append(entries...)
-	n.log.stable = n.log.lastIndex()
-	n.log.committed = max(snapshot.Index, restored.HardState.Commit, restored.Applied)
-	n.log.applied = max(snapshot.Index, restored.Applied)
-	if n.log.committed > n.log.lastIndex() {
-		return fmt.Errorf("commit index %d is beyond the last entry %d", n.log.committed, n.log.lastIndex())
+	n.snapshot = restored.Snapshot
+	if err := n.log.restoreEntries(restored); err != nil {
+		return err
 	}
 	n.persistedHardState = restored.HardState
 	n.term, n.votedFor = restored.HardState.Term, restored.HardState.VotedFor
 	if lastTerm := n.log.lastTerm(); lastTerm > n.term {
-		// Only a founder, whose log begins with a snapshot that no leader made.
+		// Only at bootstrap, where the log begins with a snapshot that no leader
+		// made.
 		n.term, n.votedFor = lastTerm, ""
 	}
 	return n.restoreMemberships(restored)
 }
 
-func checkRestored(restored RestoredState) error {
-	snapshot, entries := restored.Snapshot, restored.Entries
+// restoreEntries makes the log that of a restart.
+func (l *raftLog) restoreEntries(restored RestoredState) error {
+	l.restore(restored.Snapshot)
+	entries := restored.Entries
+	if len(entries) > 0 && entries[0].Index <= restored.Snapshot.Index {
+		// The first entry takes the place of the compacted one: its term is known.
+		l.compactedIndex, l.compactedTerm = entries[0].Index, entries[0].Term
+		entries = entries[1:]
+	}
+	l.append(entries...)
+	l.stable = l.lastIndex()
+	l.committed = max(restored.Snapshot.Index, restored.HardState.Commit, restored.Applied)
+	l.applied = max(restored.Snapshot.Index, restored.Applied)
+	if l.committed > l.lastIndex() {
+		return fmt.Errorf("commit index %d is beyond the last entry %d", l.committed, l.lastIndex())
+	}
+	return nil
+}
+
+// validate reports a gap or a contradiction between snapshot and entries.
+func (r RestoredState) validate() error {
+	snapshot, entries := r.Snapshot, r.Entries
 	if len(entries) == 0 {
 		return nil
 	}
@@ -47,6 +70,8 @@
 	return checkSequence(snapshot, entries)
 }
 
+// checkSequence requires consecutive indexes, terms that never fall, and the
+// snapshot's term at its index.
 func checkSequence(snapshot SnapshotMeta, entries []Entry) error {
 	for i, entry := range entries {
 		if i > 0 && entry.Index != entries[i-1].Index+1 {
@@ -67,8 +92,7 @@
 
 // restoreMemberships finds every membership after the snapshot.
 func (n *Node) restoreMemberships(restored RestoredState) error {
-	base := restored.Snapshot.Membership
-	n.memberships = []membershipEntry{{index: restored.Snapshot.Index, membership: base}}
+	n.memberships.reset(restored.Snapshot)
 	for _, entry := range restored.Entries {
 		if entry.Kind != EntryMembership || entry.Index <= restored.Snapshot.Index {
 			continue
@@ -77,12 +101,12 @@
 		if err != nil {
 			return fmt.Errorf("entry %d: %w", entry.Index, err)
 		}
-		n.memberships = append(n.memberships, membershipEntry{index: entry.Index, membership: membership})
+		n.memberships.append(membershipEntry{index: entry.Index, membership: membership})
 	}
-	newest := n.membership()
+	newest := n.memberships.newest()
 	if given := restored.Membership; !given.empty() && !given.sameReplicas(newest) {
-		return fmt.Errorf("membership given differs from the newest of the log, at index %d", n.membershipIndex())
+		return fmt.Errorf("membership given differs from the newest of the log, at index %d", n.memberships.newestIndex())
 	}
-	n.refreshProgress()
+	n.switchToNewestMembership()
 	return nil
 }
--- a/internal/raft/restore_test.go
+++ b/internal/raft/restore_test.go
@@ -1,25 +1,35 @@
 package raft
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
 
 func TestNew_InvalidConfigRejected(t *testing.T) {
 	cases := []struct {
+		name   string
 		config Config
+		field  string
 		text   string
 	}{
-		{Config{}, "ID is empty"},
-		{Config{ID: "a", LeaseDuration: DefaultElectionTimeoutMin}, "not less than ElectionTimeoutMin"},
-		{Config{ID: "a", ElectionTimeoutMin: 2 * DefaultElectionTimeoutMax}, "more than ElectionTimeoutMax"},
-		{Config{ID: "a", TickInterval: DefaultElectionTimeoutMin}, "TickInterval"},
-		{Config{ID: "a", MaxAppendBytes: -1}, "MaxAppendBytes"},
+		{"no id", Config{}, "ID", "ID is empty"},
+		{"lease not below election timeout", Config{ID: "a", LeaseDuration: DefaultElectionTimeoutMin}, "LeaseDuration", "not less than ElectionTimeoutMin"},
+		{"timeout bounds reversed", Config{ID: "a", ElectionTimeoutMin: 2 * DefaultElectionTimeoutMax}, "ElectionTimeoutMin", "more than ElectionTimeoutMax"},
+		{"tick not below election timeout", Config{ID: "a", TickInterval: DefaultElectionTimeoutMin}, "TickInterval", "TickInterval"},
+		{"negative append size", Config{ID: "a", MaxAppendBytes: -1}, "MaxAppendBytes", "MaxAppendBytes"},
 	}
 	for _, c := range cases {
-		if _, err := New(c.config, initialState("a")); err == nil || !strings.Contains(err.Error(), c.text) {
-			t.Errorf("%+v: %v", c.config, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := New(c.config, initialState("a"))
+			if err == nil || !strings.Contains(err.Error(), c.text) {
+				t.Errorf("%+v: %v", c.config, err)
+			}
+			var invalid *ConfigError
+			if !errors.As(err, &invalid) || invalid.Field != c.field {
+				t.Errorf("got %v, want a ConfigError of %s", err, c.field)
+			}
+		})
 	}
 }
 
