--- a/internal/raft/raftsim/checker.go
+++ b/internal/raft/raftsim/checker.go
@@ -19,7 +19,8 @@
 // snapshot at 1.
 const firstAppliedIndex = 2
 
-// checker knows all that was ever applied or acknowledged.
+// checker records all that was ever applied or acknowledged, whichever machine
+// did it, and so knows more than any machine does.
 type checker struct {
 	applied []appliedEntry
 	// membership is the newest one applied anywhere.
@@ -106,7 +107,7 @@
 	}
 }
 
-// acknowledge notes that a client was told of its command.
+// acknowledge records that a client got a response to its command.
 func (s *simulation) acknowledge(m *machine, id, index uint64) {
 	c := &s.checker
 	s.recordEvent(m.index, "acknowledge", id, index, 0)
@@ -119,7 +120,7 @@
 	s.report.Acknowledged++
 }
 
-// checkRead: a read may not miss what was acknowledged before it was asked.
+// checkRead: a read may not miss what was acknowledged before its request.
 func (s *simulation) checkRead(m *machine, state raft.ReadState) {
 	floor, ok := m.reads[state.Request]
 	if !ok {
@@ -154,7 +155,7 @@
 // those that are frozen included.
 func (s *simulation) checkLease(m *machine) {
 	if s.options.mutation == mutationForgetVote || !m.claimsLease() {
-		return // without quiet time leases overlap; votes are the question there
+		return // without the vote delay leases overlap; that run is about votes
 	}
 	for _, other := range s.machines {
 		if other != m && other.claimsLease() {
@@ -164,7 +165,7 @@
 	}
 }
 
-// converged: the membership is whole and every voter has applied all that is
+// converged: every voter of the membership is up and has applied all that is
 // acknowledged.
 func (s *simulation) converged() bool { return s.notConvergedReason() == "" }
 
--- a/internal/raft/raftsim/clients.go
+++ b/internal/raft/raftsim/clients.go
@@ -8,7 +8,7 @@
 )
 
 // clientTurn proposes and reads at one machine that believes it leads. Proposals
-// pause at times: only then can a follower that was cut off be elected.
+// pause at times: only then can a follower that was partitioned be elected.
 func (s *simulation) clientTurn() {
 	s.after(s.between(10*time.Millisecond, 60*time.Millisecond), s.clientTurn)
 	if !s.healed && s.chance(0.02) {
--- a/internal/raft/raftsim/disk.go
+++ b/internal/raft/raftsim/disk.go
@@ -63,7 +63,7 @@
 	d.synced = d.unsynced
 }
 
-// loseLastWrite breaks the promise of a sync.
+// loseLastWrite loses a write though it was synced, as a faulty disk does.
 func (d *disk) loseLastWrite() {
 	kept := max(0, len(d.entries)-d.lastWrite)
 	d.entries = d.entries[:kept]
--- a/internal/raft/raftsim/faults.go
+++ b/internal/raft/raftsim/faults.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// mixedFault draws one of all faults.
+// mixedFault makes a random one of all faults.
 func (s *simulation) mixedFault() {
 	s.after(s.between(50*time.Millisecond, 1200*time.Millisecond), s.nextFault)
 	m := s.faultTarget()
@@ -71,7 +71,7 @@
 }
 
 // restartRepeatedly restarts a machine at once, a few times: a voter may forget
-// promises.
+// the heartbeats that it answered.
 func (s *simulation) restartRepeatedly(m *machine) {
 	m.crash(s.between(time.Millisecond, 50*time.Millisecond))
 	for i := range s.random.IntN(4) {
@@ -84,8 +84,8 @@
 }
 
 // restartVoterRepeatedly restarts a voter again and again while nothing is
-// proposed, so that any log may win. A follower that is cut off the leader is
-// elected too early should the voter forget its promise. If the leader restarts
+// proposed, so that any log may win. A follower that is partitioned from the
+// leader is elected too early should the voter forget a heartbeat that it answered. If the leader restarts
 // as well, and messages are slow, both are elected in one term should it forget
 // its vote.
 func (s *simulation) restartVoterRepeatedly() {
@@ -165,7 +165,7 @@
 	s.network.slowRate = s.random.Float64() * s.random.Float64() * 0.4
 }
 
-// delayTimeoutNow makes a transfer fail, with the requests to stand coming after
+// delayTimeoutNow makes a transfer fail, with its TimeoutNow arriving after
 // others were elected. Proposals pause, so that the late one still has a log
 // that may win.
 func (s *simulation) delayTimeoutNow() {
@@ -176,7 +176,7 @@
 func (s *simulation) transferLeadership() {
 	for _, m := range s.believedLeaders() {
 		if s.options.scenario == scenarioMixed && s.chance(0.4) {
-			// It does not hear that it was succeeded.
+			// It does not learn that there is a new leader.
 			s.partitionIncoming(m, s.between(300*time.Millisecond, 2*time.Second))
 		}
 		target := raft.ReplicaID("")
@@ -198,7 +198,7 @@
 	}
 }
 
-// secondLoss takes a disk right after a replacement was complete.
+// secondLoss loses a disk right after a replacement was complete.
 func (s *simulation) secondLoss() {
 	m := s.machines[s.random.IntN(len(s.machines))]
 	if s.healed || !s.canLoseDisk(m.id) {
@@ -210,7 +210,7 @@
 
 // canLoseDisk keeps a majority of every voter set that may decide: the newest one
 // applied, and those that its voters hold in their logs. Losing more is beyond
-// what a replicated log can promise.
+// what a replicated log can survive.
 func (s *simulation) canLoseDisk(id raft.ReplicaID) bool {
 	if !s.retainsMajority(s.checker.membership, id) {
 		return false
--- a/internal/raft/raftsim/machine.go
+++ b/internal/raft/raftsim/machine.go
@@ -18,7 +18,7 @@
 	retainedEntries    = 10
 )
 
-// Probabilities of an interruption at one point of handling a Ready.
+// Probabilities of an interruption between two steps of handling a Ready.
 const (
 	crashRate  = 0.0004
 	freezeRate = 0.0003
@@ -49,7 +49,7 @@
 	// inbox has what came while the process did not run.
 	inbox []func(now time.Duration)
 
-	// clockOffset and clockDrift make the monotonic clock of this life; drift
+	// clockOffset and clockDrift make the monotonic clock of this incarnation; drift
 	// is in parts per 10,000.
 	clockOffset time.Duration
 	clockDrift  int64
@@ -133,7 +133,7 @@
 	})
 }
 
-// do lets the process handle something, or queues it while it is frozen.
+// do runs work in the process, or queues it while the process is frozen.
 func (m *machine) do(work func(now time.Duration)) {
 	if !m.up {
 		return
@@ -172,36 +172,48 @@
 func (m *machine) processReadies() {
 	m.refreshStatus()
 	for m.up && !m.frozen && m.simulation.violation == nil && m.node.HasReady() {
-		m.handleReady(m.node.Ready(), 0)
+		m.handleReady(m.node.Ready(), readySendEarly)
 		m.refreshStatus()
 	}
 }
 
-// handleReady does the parts of a Ready from one on; a crash or a freeze may
+// readyStep is a step of handling a Ready, in the order that raft.Ready wants.
+type readyStep int
+
+const (
+	readySendEarly readyStep = iota
+	readyPersist
+	readySend
+	readyApply
+	readyAdvance
+	readyDone
+)
+
+// handleReady does the steps of a Ready from one on; a crash or a freeze may
 // come before each.
-func (m *machine) handleReady(ready raft.Ready, part int) {
-	for ; part < 5; part++ {
-		if m.interrupted(ready, part) {
+func (m *machine) handleReady(ready raft.Ready, step readyStep) {
+	for ; step < readyDone; step++ {
+		if m.interrupted(ready, step) {
 			return
 		}
-		switch part {
-		case 0:
+		switch step {
+		case readySendEarly:
 			m.sendAll(ready.EarlyMessages)
-		case 1:
+		case readyPersist:
 			m.persist(ready)
-		case 2:
+		case readySend:
 			m.sendAll(ready.Messages)
-		case 3:
+		case readyApply:
 			m.apply(ready)
-		case 4:
+		case readyAdvance:
 			m.node.Advance(ready)
 			m.saveSnapshot()
 		}
 	}
 }
 
-// interrupted draws whether the process stops before a part.
-func (m *machine) interrupted(ready raft.Ready, part int) bool {
+// interrupted decides at random whether the process stops before a step.
+func (m *machine) interrupted(ready raft.Ready, step readyStep) bool {
 	s := m.simulation
 	if s.healed || s.violation != nil {
 		return false
@@ -213,7 +225,7 @@
 		return true
 	case draw < crashRate+freezeRate:
 		m.freeze(s.freezeTime())
-		m.resume = func() { m.handleReady(ready, part) }
+		m.resume = func() { m.handleReady(ready, step) }
 		return true
 	default:
 		return false
@@ -286,9 +298,9 @@
 	s.recordEvent(m.index, "save", m.applied, keep, 0)
 }
 
-// install takes a snapshot from the leader, unless it came too late.
+// install installs a snapshot from the leader, unless it came too late.
 func (m *machine) install(now time.Duration, meta raft.SnapshotMeta) {
-	// The driver handles what is ready first; without interruption here, since
+	// The owner handles what is ready first; without interruption here, since
 	// this is one step of it.
 	for m.node.HasReady() {
 		ready := m.node.Ready()
--- a/internal/raft/raftsim/network.go
+++ b/internal/raft/raftsim/network.go
@@ -6,7 +6,7 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// Delays of late requests to stand: the handover has failed and another leader
+// Delays of a late TimeoutNow: the transfer has failed and another leader
 // is elected by then.
 const (
 	minTimeoutNowDelay = 2500 * time.Millisecond
@@ -15,13 +15,13 @@
 
 // network says which links work and how well.
 type network struct {
-	// partitions[from][to] counts the partitions that cut the link one way.
+	// partitions[from][to] counts the partitions that block the link one way.
 	partitions [][]int
 	// dropRate, doubleRate and slowRate are probabilities for one message.
 	dropRate   float64
 	doubleRate float64
 	slowRate   float64
-	// delayTimeoutNowUntil: requests to stand that are sent before come late.
+	// delayTimeoutNowUntil: a TimeoutNow that is sent before arrives late.
 	delayTimeoutNowUntil time.Duration
 }
 
@@ -86,7 +86,7 @@
 }
 
 // partitionFromLeaders cuts a machine's links to the leaders at times: the present
-// one does not hear that a late request was heeded.
+// one does not learn that a late TimeoutNow was followed.
 func (s *simulation) partitionFromLeaders(m *machine) {
 	if s.healed || s.chance(0.5) {
 		return
--- a/internal/raft/raftsim/options.go
+++ b/internal/raft/raftsim/options.go
@@ -13,7 +13,7 @@
 	// Machines is 3 or 5; zero lets the seed choose. One spare joins them in
 	// some runs.
 	Machines int
-	// Spares is how many machines join beside those and stand by; zero lets the
+	// Spares is how many machines join beside those as learners; zero lets the
 	// seed choose none or one.
 	Spares int
 	// FaultTime is how long faults go on, in virtual time. Default 15s.
@@ -22,7 +22,7 @@
 	Trace io.Writer
 
 	mutation mutation
-	// scenario is drawn from the seed if it is zero.
+	// scenario is chosen by the seed if it is zero.
 	scenario scenario
 }
 
@@ -44,19 +44,19 @@
 type mutation uint8
 
 const (
-	// The zero value weakens nothing.
+	// The zero value keeps every rule.
 	_ mutation = iota
 	// mutationNoVoteDelay: restarted voters vote at once.
 	mutationNoVoteDelay
-	// mutationForgetVote: a restart forgets the vote, and there is no quiet time.
+	// mutationForgetVote: a restart forgets the vote, and there is no vote delay.
 	mutationForgetVote
-	// mutationOverlongLease: a lease is believed for two seconds too long.
+	// mutationOverlongLease: a lease counts for two seconds too long.
 	mutationOverlongLease
-	// mutationLeaseDuringTransfer: a lease is still believed while leadership is handed over.
+	// mutationLeaseDuringTransfer: a lease counts during a leadership transfer.
 	mutationLeaseDuringTransfer
-	// mutationStaleTimeoutNow: permission to stand is heeded in any later term.
+	// mutationStaleTimeoutNow: TimeoutNow is followed in any later term.
 	mutationStaleTimeoutNow
-	// mutationNoStickiness: every vote passes over the promise to the leader.
+	// mutationNoStickiness: every vote request bypasses leader stickiness.
 	mutationNoStickiness
 	// mutationLoseSyncedWrite: a crash loses the last synced entries as well.
 	mutationLoseSyncedWrite
@@ -89,7 +89,7 @@
 	LateTimeoutNows int
 }
 
-// Violation is a broken promise, with what led to it.
+// Violation is a broken guarantee, with the events that led to it.
 type Violation struct {
 	Seed   int64
 	At     time.Duration
--- a/internal/raft/raftsim/outage.go
+++ b/internal/raft/raftsim/outage.go
@@ -44,8 +44,8 @@
 	})
 }
 
-// unfreeze lets the process go on. Before anything else it looks at its lease, as
-// a handler does that was in the middle of an answer.
+// unfreeze lets the process go on. Before anything else it checks its lease, as
+// a handler does that was in the middle of a response.
 func (m *machine) unfreeze() {
 	if !m.up || !m.frozen {
 		return
--- a/internal/raft/raftsim/queue.go
+++ b/internal/raft/raftsim/queue.go
@@ -12,7 +12,7 @@
 	run   func()
 }
 
-// eventQueue is a heap by time, then by when the event was planned.
+// eventQueue is a heap by time, then by when the event was scheduled.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -38,13 +38,13 @@
 	return last
 }
 
-// after plans an event.
+// after schedules an event.
 func (s *simulation) after(delay time.Duration, run func()) {
-	s.planned++
-	heap.Push(&s.queue, event{at: s.now + delay, order: s.planned, run: run})
+	s.scheduled++
+	heap.Push(&s.queue, event{at: s.now + delay, order: s.scheduled, run: run})
 }
 
-// runUntil works off the events up to a time, or until a promise is broken.
+// runUntil runs the events up to a time, or until a guarantee is violated.
 func (s *simulation) runUntil(end time.Duration) {
 	for s.violation == nil && len(s.queue) > 0 && s.queue[0].at <= end {
 		next := heap.Pop(&s.queue).(event)
--- a/internal/raft/raftsim/raftsim_test.go
+++ b/internal/raft/raftsim/raftsim_test.go
@@ -14,12 +14,12 @@
 const (
 	seedsLong  = 2000
 	seedsShort = 200
-	// seedsWeakened is how many seeds may be tried until a switched-off safety
+	// seedsForMutation is how many seeds may be tried until a switched-off safety
 	// rule shows.
-	seedsWeakened = 400
-	batchSize     = 50
-	// seedsGrown are of eight machines, of which five vote.
-	seedsGrown = 150
+	seedsForMutation = 400
+	batchSize        = 50
+	// seedsFiveVoters are of eight machines, of which five vote.
+	seedsFiveVoters = 150
 )
 
 // TestSimulation_SeedsKeepGuarantees plays many seeds; RAFTSIM_SEED=n plays one and prints its trace.
@@ -35,25 +35,25 @@
 	playSeeds(t, count, Options{})
 }
 
-// fiveVoters is a cluster of a grown deployment: five vote and three stand by.
+// fiveVoters is a cluster of a grown deployment: five voters and three learners.
 func fiveVoters() Options { return Options{Machines: 5, Spares: 3} }
 
-func fiveVotersWith(weakened mutation) Options {
+func fiveVotersWith(mutated mutation) Options {
 	options := fiveVoters()
-	options.mutation = weakened
+	options.mutation = mutated
 	return options
 }
 
 // TestSimulation_FiveVotersKeepGuarantees plays the same faults on eight machines.
 func TestSimulation_FiveVotersKeepGuarantees(t *testing.T) {
-	count := seedsGrown
+	count := seedsFiveVoters
 	if testing.Short() {
 		count = seedsShort
 	}
 	playSeeds(t, count, fiveVoters())
 }
 
-// playSeeds plays seeds from zero on and wants no promise broken.
+// playSeeds plays seeds from zero on and requires that no guarantee is violated.
 func playSeeds(t *testing.T, count int, options Options) {
 	var mutex sync.Mutex
 	var total Report
@@ -139,7 +139,7 @@
 		options Options
 		reason  string
 	}{
-		{"quiet time", Options{mutation: mutationNoVoteDelay, scenario: scenarioVoterRestarts}, twoLeases},
+		{"vote delay", Options{mutation: mutationNoVoteDelay, scenario: scenarioVoterRestarts}, twoLeases},
 		{"vote", Options{mutation: mutationForgetVote, scenario: scenarioVoterRestarts}, twoLeaders},
 		{"lease", Options{mutation: mutationOverlongLease}, twoLeases},
 		{"transfer", Options{mutation: mutationLeaseDuringTransfer}, twoLeases},
@@ -151,17 +151,17 @@
 		{"lease, grown", fiveVotersWith(mutationOverlongLease), twoLeases},
 		{"reads", Options{mutation: mutationUnconfirmedReads}, "was acknowledged before"},
 	}
-	for _, weakened := range cases {
-		t.Run(weakened.name, func(t *testing.T) {
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			requireViolation(t, weakened.options, weakened.reason)
+			requireViolation(t, c.options, c.reason)
 		})
 	}
 }
 
 func requireViolation(t *testing.T, options Options, reason string) {
 	t.Helper()
-	for options.Seed = 0; options.Seed < seedsWeakened; options.Seed++ {
+	for options.Seed = 0; options.Seed < seedsForMutation; options.Seed++ {
 		_, err := Run(options)
 		var violation *Violation
 		if errors.As(err, &violation) && strings.Contains(violation.Reason, reason) {
@@ -169,5 +169,5 @@
 			return
 		}
 	}
-	t.Errorf("no %q in %d seeds", reason, seedsWeakened)
+	t.Errorf("no %q in %d seeds", reason, seedsForMutation)
 }
--- a/internal/raft/raftsim/simulation.go
+++ b/internal/raft/raftsim/simulation.go
@@ -14,19 +14,19 @@
 	// recoveryTimeout is how long after the last fault the cluster may take until
 	// a new proposal is acknowledged.
 	recoveryTimeout = 12 * time.Second
-	// convergenceTimeout is how long until all replicas and the membership are whole.
+	// convergenceTimeout is how long until all voters are up and equal again.
 	convergenceTimeout      = 30 * time.Second
 	convergencePollInterval = 250 * time.Millisecond
 )
 
 // simulation is one run.
 type simulation struct {
-	options  Options
-	random   *rand.Rand
-	now      time.Duration
-	queue    eventQueue
-	planned  uint64
-	machines []*machine
+	options   Options
+	random    *rand.Rand
+	now       time.Duration
+	queue     eventQueue
+	scheduled uint64
+	machines  []*machine
 	// initialVoters of machines form the cluster; a spare may come after them.
 	initialVoters int
 	network       network
@@ -44,7 +44,7 @@
 	violation *Violation
 }
 
-// Run plays one seed. A broken promise is returned as *Violation.
+// Run plays one seed. A violated guarantee is returned as a *Violation.
 func Run(options Options) (Report, error) {
 	s := newSimulation(options)
 	s.runUntil(s.options.FaultTime)
@@ -136,7 +136,7 @@
 	return low + time.Duration(s.random.Int64N(int64(high-low)+1))
 }
 
-// fail records the first broken promise and ends the run.
+// fail records the first violated guarantee and ends the run.
 func (s *simulation) fail(format string, arguments ...any) {
 	if s.violation != nil {
 		return
@@ -172,8 +172,8 @@
 	}
 }
 
-// checkRecovery wants a new proposal acknowledged, then all replicas equal and
-// the membership whole.
+// checkRecovery requires that a new proposal is acknowledged, and then that the
+// cluster converges.
 func (s *simulation) checkRecovery() {
 	before := s.nextProposal
 	healedAt := s.now
@@ -187,7 +187,7 @@
 	}
 	for s.violation == nil && !s.converged() {
 		if s.now >= healedAt+convergenceTimeout {
-			s.fail("not whole again within %v: %s", convergenceTimeout, s.notConvergedReason())
+			s.fail("not converged within %v: %s", convergenceTimeout, s.notConvergedReason())
 			return
 		}
 		s.runUntil(s.now + convergencePollInterval)
