--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -230,7 +230,8 @@
 	}
 }
 
-// A snapshot that comes late must not drop acknowledged entries.
+// TestSnapshot_StaleNotInstalled: a snapshot that comes late must not drop
+// acknowledged entries.
 func TestSnapshot_StaleNotInstalled(t *testing.T) {
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	node.step(0, Message{
@@ -245,3 +246,18 @@
 		t.Errorf("status %+v", status)
 	}
 }
+
+// TestSnapshot_OlderThanCompactedNotInstalled: the log cannot compare the entry of
+// a snapshot that is older than what it compacted, but has committed past it.
+func TestSnapshot_OlderThanCompactedNotInstalled(t *testing.T) {
+	membership := testMembership("a", "b", "c")
+	node := newTestNode(t, Config{ID: "a"}, RestoredState{Snapshot: SnapshotMeta{Index: 9, Term: 3, Membership: membership}})
+	older := SnapshotMeta{Index: 5, Term: 2, Membership: membership}
+	if node.ShouldInstallSnapshot(older) {
+		t.Error("a snapshot is wanted that is older than the log")
+	}
+	node.SnapshotInstalled(0, older)
+	if status := node.Status(); status.Commit != 9 || status.FirstIndex != 10 {
+		t.Errorf("status %+v", status)
+	}
+}
