--- a/internal/clusterclock/clock.go
+++ b/internal/clusterclock/clock.go
@@ -20,18 +20,18 @@
 	slowDivisor = 2
 )
 
-// reading is one voter's wall clock, with the monotonic time it was heard at.
+// reading is one voter's wall clock and when it was observed.
 type reading struct {
 	wall       time.Duration // since the Unix epoch
 	observedAt time.Duration // monotonic
 }
 
-// extrapolate is the reading carried forward on the monotonic clock.
+// extrapolate carries the reading forward on the monotonic clock.
 func (r reading) extrapolate(at time.Duration) time.Duration { return r.wall + (at - r.observedAt) }
 
 // Clock computes cluster time. The zero value is ready for use. It is not safe
-// for concurrent use. Every monotonic time passed in is on the same clock; one
-// earlier than the greatest before counts as that greatest.
+// for concurrent use: the replica's driver loop owns it. Every monotonic time
+// passed in is on the same clock; one earlier than the latest counts as that.
 type Clock struct {
 	voters   []raft.ReplicaID
 	readings map[raft.ReplicaID]reading
@@ -42,7 +42,7 @@
 	synchronized bool
 }
 
-// SetVoters says whose readings count; those of others are forgotten.
+// SetVoters says whose readings count; those of others are dropped.
 func (c *Clock) SetVoters(voters []raft.ReplicaID) {
 	c.voters = slices.Clone(voters)
 	for id := range c.readings {
@@ -52,8 +52,9 @@
 	}
 }
 
-// Observe notes a voter's wall clock in Unix milliseconds, heard at the
-// monotonic time at. The newest reading replaces the one before.
+// Observe records a voter's wall clock, in Unix milliseconds, observed at the
+// monotonic time at. It replaces the voter's reading before. Other replicas are
+// ignored.
 func (c *Clock) Observe(voter raft.ReplicaID, wall int64, at time.Duration) {
 	if !slices.Contains(c.voters, voter) {
 		return
@@ -64,17 +65,17 @@
 	c.readings[voter] = reading{wall: time.Duration(wall) * time.Millisecond, observedAt: at}
 }
 
-// Restart begins a term: the clock goes on from floor, the greatest time in
-// the log. Readings stay, since they do not depend on who leads. A floor of 0
-// means that none is known.
+// Restart begins a term: the clock continues from floor, the latest time in the
+// log, in Unix milliseconds; 0 means that none is known. Readings stay, since they
+// do not depend on who leads.
 func (c *Clock) Restart(floor record.Millis, at time.Duration) {
 	c.base = time.Duration(floor) * time.Millisecond
 	c.baseAt = at
 	c.synchronized = false
 }
 
-// Now returns cluster time. It never goes back between two calls of Restart,
-// and never behind the floor.
+// Now returns cluster time in Unix milliseconds. It never goes back between two
+// calls of Restart, and never behind the floor.
 func (c *Clock) Now(at time.Duration) record.Millis {
 	at = max(at, c.baseAt)
 	elapsed := at - c.baseAt
@@ -88,7 +89,7 @@
 	return record.Millis(extrapolated / time.Millisecond)
 }
 
-// correct moves the carried time towards the median, never behind c.base.
+// correct moves the extrapolated time towards the median, never behind c.base.
 func (c *Clock) correct(extrapolated, median, elapsed time.Duration) time.Duration {
 	gap := median - extrapolated
 	switch {
@@ -102,9 +103,9 @@
 	}
 }
 
-// median is the median of the fresh readings; known is false without those of
-// a majority of voters. Of the two middle ones of an even number, the one
-// nearer to the carried time counts, the lower one if there is no such time.
+// median returns the median of the recent readings; known is false without those
+// of a majority of voters. Of the two middle ones of an even number, the one
+// nearer to the extrapolated time counts, the lower one if there is no such time.
 func (c *Clock) median(at, extrapolated time.Duration) (median time.Duration, known bool) {
 	walls := make([]time.Duration, 0, len(c.readings))
 	for _, r := range c.readings {
--- a/internal/clusterclock/clock_test.go
+++ b/internal/clusterclock/clock_test.go
@@ -123,3 +123,12 @@
 	c.Observe("a", epoch, 0)
 	requireClusterTime(t, &c, 11*time.Second, 12_000, 0)
 }
+
+func TestClock_EarlierTimeCountsAsLatest(t *testing.T) {
+	var c Clock
+	c.SetVoters(voters)
+	c.Restart(1000, 10*time.Second)
+	requireClusterTime(t, &c, 15*time.Second, 6000, 0)
+	requireClusterTime(t, &c, 12*time.Second, 6000, 0)
+	requireClusterTime(t, &c, 16*time.Second, 7000, 0)
+}
--- a/internal/storage/archivebytes_test.go
+++ b/internal/storage/archivebytes_test.go
@@ -40,7 +40,7 @@
 
 // TestArchive_FileSizeBounded: while the oldest jobs are dropped beyond a bound of
 // bytes, the file itself is bounded, however many jobs pass through: bbolt writes
-// changed pages anew before it frees the old ones, which are at most all.
+// copies of changed pages before it frees the old ones, which are at most all.
 func TestArchive_FileSizeBounded(t *testing.T) {
 	const bound, jobs, batch = 2 << 20, 12_000, 1000
 	directory := t.TempDir()
--- a/internal/storage/archivejobs.go
+++ b/internal/storage/archivejobs.go
@@ -6,10 +6,11 @@
 	"go.etcd.io/bbolt"
 
 	"github.com/decklever/decklever/internal/record"
+	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
-// putJob writes a job and its index keys; those of an earlier job under the same
-// id are removed.
+// putJob writes a job and its index keys, and removes those of an earlier job
+// under the same id.
 func putJob(file string, tx *bbolt.Tx, job record.ArchivedJob) error {
 	key := []byte(job.ID)
 	jobs := tx.Bucket(jobsBucket)
@@ -42,7 +43,7 @@
 	return tx.Bucket(endedBucket).Delete(endedKey(job.EndedAt, job.ID))
 }
 
-// readJob reads and checks one job.
+// readJob reads and verifies one job.
 func readJob(file string, tx *bbolt.Tx, id []byte) (job record.ArchivedJob, known bool, err error) {
 	stored := tx.Bucket(jobsBucket).Get(id)
 	if stored == nil {
@@ -54,11 +55,11 @@
 	return job, true, nil
 }
 
-// readListedJob reads a job that a bucket lists, so that it must be there.
+// readListedJob reads a job that a bucket lists: its absence is damage.
 func readListedJob(file string, tx *bbolt.Tx, listedIn, id []byte) (record.ArchivedJob, error) {
 	job, known, err := readJob(file, tx, id)
 	if err == nil && !known {
-		err = corrupt(file, "job %q is listed in %s but missing", id, listedIn)
+		err = datafile.Corrupt(file, "job %q is listed in %s but missing", id, listedIn)
 	}
 	return job, err
 }
@@ -75,7 +76,7 @@
 	return tx.Bucket(jobsBucket).Delete(id)
 }
 
-// expiredIDs returns the ids of at most limit jobs that ended before a time, the
+// expiredIDs returns the ids of at most limit jobs that ended before a time,
 // oldest first.
 func expiredIDs(tx *bbolt.Tx, before record.Millis, limit int) [][]byte {
 	var ids [][]byte
--- a/internal/storage/checksum.go
+++ b/internal/storage/archivevalue.go
@@ -2,44 +2,40 @@
 
 import (
 	"encoding/binary"
-	"hash/crc32"
 
 	"github.com/fxamacker/cbor/v2"
-)
-
-// checksumSize is the length of a CRC-32C in bytes.
-const checksumSize = crc32.Size
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+	"github.com/decklever/decklever/internal/storage/datafile"
+)
 
 // checksum covers a value and the key that it is stored under, so that a value
-// found under another key does not check.
+// found under another key is invalid.
 func checksum(key, payload []byte) uint32 {
-	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, payload)
+	return datafile.UpdateChecksum(datafile.Checksum(key), payload)
 }
 
 // addChecksum puts the checksum before a payload.
 func addChecksum(key, payload []byte) []byte {
-	stored := make([]byte, checksumSize, checksumSize+len(payload))
+	stored := make([]byte, datafile.ChecksumSize, datafile.ChecksumSize+len(payload))
 	binary.BigEndian.PutUint32(stored, checksum(key, payload))
 	return append(stored, payload...)
 }
 
-// verifyChecksum checks a sealed value and returns its payload, which shares memory
-// with it.
+// verifyChecksum checks a stored value and returns its payload, which shares
+// memory with it.
 func verifyChecksum(file string, key, stored []byte) ([]byte, error) {
-	if len(stored) < checksumSize {
-		return nil, corrupt(file, "value under key %x has only %d bytes", key, len(stored))
+	if len(stored) < datafile.ChecksumSize {
+		return nil, datafile.Corrupt(file, "value under key %x has only %d bytes", key, len(stored))
 	}
-	payload := stored[checksumSize:]
+	payload := stored[datafile.ChecksumSize:]
 	want := binary.BigEndian.Uint32(stored)
 	if got := checksum(key, payload); got != want {
-		return nil, corrupt(file, "value under key %x has checksum %08x, expected %08x", key, got, want)
+		return nil, datafile.Corrupt(file, "value under key %x has checksum %08x, expected %08x", key, got, want)
 	}
 	return payload, nil
 }
 
-// encodeValue encodes and seals a value.
+// encodeValue encodes a value and adds its checksum.
 func encodeValue(key []byte, value any) ([]byte, error) {
 	payload, err := cbor.Marshal(value)
 	if err != nil {
@@ -48,14 +44,14 @@
 	return addChecksum(key, payload), nil
 }
 
-// decodeValue checks and decodes a value.
+// decodeValue verifies and decodes a stored value.
 func decodeValue(file string, key, stored []byte, into any) error {
 	payload, err := verifyChecksum(file, key, stored)
 	if err != nil {
 		return err
 	}
 	if err := cbor.Unmarshal(payload, into); err != nil {
-		return corrupt(file, "value under key %x: %v", key, err)
+		return datafile.Corrupt(file, "value under key %x: %v", key, err)
 	}
 	return nil
 }
--- a/internal/storage/boltmeta.go
+++ b/internal/storage/boltmeta.go
@@ -8,6 +8,8 @@
 	"hash/fnv"
 	"io"
 	"os"
+
+	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
 // Layout of a bbolt file's two meta pages (bbolt, internal/common/meta.go and
@@ -28,17 +30,17 @@
 	boltMaxPageSize   = 1 << 16
 )
 
-// boltMeta is what is read of a meta page.
+// boltMeta is what is used of a meta page.
 type boltMeta struct {
 	pageSize    int64
 	transaction uint64
 }
 
-// checkBoltMetas refuses a file whose meta pages do not check, or that lacks
-// the transaction needed or a newer one. bbolt writes the meta pages in turn
+// checkBoltMetas rejects a file without a valid meta page, or whose newest
+// transaction is older than the one needed. bbolt writes the meta pages in turn
 // and each after the pages that it names are durable, so a loss of power may
-// tear the newest; bbolt goes back to the other one. Whether the one that was
-// lost may be lost, the log knows. torn says what is wrong with it.
+// tear the newest; bbolt then uses the other one. Whether the transaction of the
+// torn one may be lost is known to the log. torn says what is wrong with it.
 func checkBoltMetas(path string, file io.ReaderAt, needed uint64) (torn, err error) {
 	first, firstErr := readBoltMeta(path, file, 0, 0)
 	if errors.Is(firstErr, ErrCorrupt) {
@@ -57,16 +59,17 @@
 	}
 	newest := max(first.transaction, second.transaction)
 	if newest < needed {
-		return nil, errors.Join(corrupt(path, "newest transaction is %d, expected at least %d", newest, needed), torn)
+		return nil, errors.Join(datafile.Corrupt(path, "newest transaction is %d, expected at least %d", newest, needed), torn)
 	}
 	return torn, nil
 }
 
+// readBoltMeta reads one meta page; damage is ErrCorrupt.
 func readBoltMeta(path string, file io.ReaderAt, page, pageSize int64) (boltMeta, error) {
 	content := make([]byte, boltPageHeader+boltMetaSize)
 	_, err := file.ReadAt(content, page*pageSize)
 	if errors.Is(err, io.EOF) {
-		return boltMeta{}, corrupt(path, "meta page %d is cut off", page)
+		return boltMeta{}, datafile.Corrupt(path, "meta page %d is cut off", page)
 	}
 	if err != nil {
 		return boltMeta{}, fmt.Errorf("read %s: %w", path, err)
@@ -75,24 +78,24 @@
 	binary.NativeEndian.PutUint64(header, uint64(page))
 	binary.NativeEndian.PutUint16(header[8:], boltMetaFlag)
 	if !bytes.Equal(content[:boltPageHeader], header) {
-		return boltMeta{}, corrupt(path, "meta page %d has header %x", page, content[:boltPageHeader])
+		return boltMeta{}, datafile.Corrupt(path, "meta page %d has header %x", page, content[:boltPageHeader])
 	}
 	return decodeBoltMeta(path, page, content[boltPageHeader:])
 }
 
 func decodeBoltMeta(path string, page int64, meta []byte) (boltMeta, error) {
 	if magic := binary.NativeEndian.Uint32(meta); magic != boltMagic {
-		return boltMeta{}, corrupt(path, "meta page %d starts with %08x, expected %08x", page, magic, uint32(boltMagic))
+		return boltMeta{}, datafile.Corrupt(path, "meta page %d starts with %08x, expected %08x", page, magic, uint32(boltMagic))
 	}
 	sum := fnv.New64a()
 	_, _ = sum.Write(meta[:boltChecksumAt])
 	want := binary.NativeEndian.Uint64(meta[boltChecksumAt:])
 	if got := sum.Sum64(); got != want {
-		return boltMeta{}, corrupt(path, "meta page %d has checksum %016x, expected %016x", page, got, want)
+		return boltMeta{}, datafile.Corrupt(path, "meta page %d has checksum %016x, expected %016x", page, got, want)
 	}
 	pageSize := int64(binary.NativeEndian.Uint32(meta[boltPageSizeAt:]))
 	if pageSize < boltMinPageSize || pageSize > boltMaxPageSize {
-		return boltMeta{}, corrupt(path, "meta page %d names a page size of %d bytes", page, pageSize)
+		return boltMeta{}, datafile.Corrupt(path, "meta page %d names a page size of %d bytes", page, pageSize)
 	}
 	return boltMeta{pageSize: pageSize, transaction: binary.NativeEndian.Uint64(meta[boltTransactionAt:])}, nil
 }
--- a/internal/storage/boltmeta_test.go
+++ b/internal/storage/boltmeta_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/record"
+	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
 // damageMeta changes a byte in the meta page that holds a transaction, as a
@@ -21,7 +22,7 @@
 	requireNoError(t, err)
 	at := int(transaction%boltMetaPages)*os.Getpagesize() + boltPageHeader + boltChecksumAt
 	content[at] ^= 1
-	requireNoError(t, os.WriteFile(path, content, filePermission))
+	requireNoError(t, os.WriteFile(path, content, datafile.FilePermission))
 }
 
 // TestArchive_DamagedMetaPage: the newest transaction of the archive may be torn while
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -5,42 +5,35 @@
 	"encoding/hex"
 	"errors"
 	"fmt"
-	"io/fs"
 	"log/slog"
 	"os"
 	"path/filepath"
 	"slices"
-	"time"
-
-	"go.etcd.io/bbolt"
-	bbolterrors "go.etcd.io/bbolt/errors"
 
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/record"
+	"github.com/decklever/decklever/internal/storage/datafile"
+	"github.com/decklever/decklever/internal/storage/wal"
 )
 
 const (
-	archiveFile = "archive.db"
 	// earlierLogFile is the log of versions that kept it in bbolt.
 	earlierLogFile = "log.db"
-	// newSuffix marks a file of a folder whose creation was not finished.
-	newSuffix = ".new"
-	// lockTimeout is how long an open waits for another process to let go.
-	lockTimeout = 200 * time.Millisecond
 	// replicaIDBytes gives 16 hex digits.
 	replicaIDBytes = 8
-	filePermission = 0o600
-	pathPermission = 0o700
+	// directoryPermission is the mode of the data directory.
+	directoryPermission = 0o700
 )
 
-// DiskConfig says where the data folder is.
+// DiskConfig says where the data directory is.
 type DiskConfig struct {
+	// Directory is created if it does not exist.
 	Directory string
 	// Logger may be nil.
 	Logger *slog.Logger
 
 	// files and segmentSize are replaced by tests.
-	files       fileSystem
+	files       datafile.FileSystem
 	segmentSize int64
 }
 
@@ -49,16 +42,21 @@
 		c.Logger = slog.New(slog.DiscardHandler)
 	}
 	if c.files == nil {
-		c.files = systemFiles{}
+		c.files = datafile.OS{}
 	}
 	if c.segmentSize == 0 {
-		c.segmentSize = defaultSegmentSize
+		c.segmentSize = wal.DefaultSegmentSize
 	}
 	return c
 }
 
-// Disk is a Store in a folder: the segments of a write-ahead log, snapshot, and
-// archive.db. Its methods may be called from several goroutines.
+// logConfig returns the part of the config that the write-ahead log needs.
+func (c DiskConfig) logConfig() wal.Config {
+	return wal.Config{Files: c.files, Directory: c.Directory, Logger: c.Logger, SegmentSize: c.segmentSize}
+}
+
+// Disk is a Store in a directory: the segments of a write-ahead log, the
+// snapshot, and the archive. Its methods may be called concurrently.
 type Disk struct {
 	*diskLog
 	lock    *os.File
@@ -67,9 +65,9 @@
 
 var _ Store = (*Disk)(nil)
 
-// OpenDisk opens a data folder, or makes one where there is none. It returns
-// ErrLocked if another process uses it, ErrEarlierFormat if an earlier version
-// made it, and ErrCorrupt if it does not check.
+// OpenDisk opens a data directory, or creates one where there is none. It fails
+// with ErrLocked if another process uses it, ErrEarlierFormat if an earlier
+// version created it, and ErrCorrupt if it is damaged.
 func OpenDisk(config DiskConfig) (*Disk, error) {
 	config = config.withDefaults()
 	if err := makeDirectory(config.Directory); err != nil {
@@ -88,18 +86,20 @@
 	return d, nil
 }
 
-// makeDirectory makes the folder's name durable as well, if it is new.
+// makeDirectory creates the directory, and makes its name durable, if there is
+// none.
 func makeDirectory(directory string) error {
 	_, err := os.Stat(directory)
 	if err == nil {
 		return nil
 	}
-	if err := os.MkdirAll(directory, pathPermission); err != nil {
+	if err := os.MkdirAll(directory, directoryPermission); err != nil {
 		return fmt.Errorf("make data folder: %w", err)
 	}
-	return systemFiles{}.SyncDirectory(filepath.Dir(filepath.Clean(directory)))
+	return datafile.OS{}.SyncDirectory(filepath.Dir(filepath.Clean(directory)))
 }
 
+// openLocked opens the directory, whose lock is held.
 func openLocked(config DiskConfig) (*Disk, error) {
 	present, err := directoryInitialized(config.files, config.Directory)
 	if err != nil {
@@ -114,14 +114,15 @@
 	return openDirectory(config)
 }
 
-// directoryInitialized tells whether the folder was made; the log is the last file to
-// get its name, so all others without it are damage.
-func directoryInitialized(files fileSystem, directory string) (bool, error) {
+// directoryInitialized reports whether the creation of the data directory was
+// finished. The log is the last file to get its name, so any other file without
+// it is damage.
+func directoryInitialized(files datafile.FileSystem, directory string) (bool, error) {
 	names, err := files.Names(directory)
 	if err != nil {
 		return false, fmt.Errorf("list data folder: %w", err)
 	}
-	numbers, err := segmentNumbers(files, directory)
+	numbers, err := wal.SegmentNumbers(files, directory)
 	if err != nil || len(numbers) > 0 {
 		return len(numbers) > 0, err
 	}
@@ -130,127 +131,52 @@
 	}
 	for _, name := range []string{snapshotFile, archiveFile} {
 		if slices.Contains(names, name) {
-			return false, corrupt(filepath.Join(directory, segmentName(firstSegment)), "missing, though %s is there", name)
+			return false, datafile.Corrupt(filepath.Join(directory, wal.SegmentName(wal.FirstSegment)), "missing, though %s is there", name)
 		}
 	}
 	return false, nil
 }
 
-// createDirectory makes both files under other names first. archive.db.new gets
-// its name only after the log has, when the folder is opened.
+// createDirectory makes archive and log under other names first. The archive gets
+// its name only after the log has, when the directory is opened.
 func createDirectory(config DiskConfig) error {
 	if err := createArchive(config.files, config.Directory); err != nil {
 		return err
 	}
-	return createLog(config.files, config.Directory, newReplicaID(), config.segmentSize)
-}
-
-// createArchive makes archive.db.new, in place of one whose making was
-// interrupted.
-func createArchive(files fileSystem, directory string) error {
-	path := filepath.Join(directory, archiveFile+newSuffix)
-	if err := files.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("remove unfinished file: %w", err)
-	}
-	return createFile(path, createArchiveBuckets)
-}
-
-func createFile(path string, fill func(*bbolt.Tx) error) error {
-	db, err := bbolt.Open(path, filePermission, &bbolt.Options{Timeout: lockTimeout})
-	if err != nil {
-		return openError(path, err)
-	}
-	if err := db.Update(fill); err != nil {
-		_ = db.Close()
-		return fmt.Errorf("create %s: %w", path, err)
-	}
-	if err := db.Close(); err != nil {
-		return fmt.Errorf("create %s: %w", path, err)
-	}
-	return nil
+	return wal.Create(config.logConfig(), newReplicaID())
 }
 
+// newReplicaID draws a random id, so that an emptied directory is another
+// replica.
 func newReplicaID() raft.ReplicaID {
 	var random [replicaIDBytes]byte
 	_, _ = rand.Read(random[:]) // never fails; see crypto/rand
 	return raft.ReplicaID(hex.EncodeToString(random[:]))
 }
 
+// openDirectory opens log and archive of an initialized directory.
 func openDirectory(config DiskConfig) (*Disk, error) {
-	numbers, err := segmentNumbers(config.files, config.Directory)
-	if err != nil {
-		return nil, err
-	}
-	log, err := openDiskLog(config.files, config.Directory, config.Logger, config.segmentSize, numbers)
+	log, err := openDiskLog(config.logConfig())
 	if err != nil {
 		return nil, err
 	}
 	err = finishArchiveCreation(config.files, config.Directory, log.Empty())
 	var archive *DiskArchive
 	if err == nil {
-		archive, err = openDiskArchive(config, log.wal.state.ArchiveTransaction)
+		archive, err = openDiskArchive(config, log.wal.State().ArchiveTransaction)
 	}
 	if err != nil {
-		_ = log.wal.file.Close()
+		_ = log.wal.Abandon()
 		return nil, err
 	}
 	log.archiveTransaction = archive.transaction
 	return &Disk{diskLog: log, archive: archive}, nil
 }
 
-// finishArchiveCreation finishes a creation that stopped between the two renames. A power
-// loss may have taken either name; while the log is empty, so was the archive,
-// and one without its name may be half made.
-func finishArchiveCreation(files fileSystem, directory string, empty bool) error {
-	names, err := files.Names(directory)
-	if err != nil {
-		return fmt.Errorf("list data folder: %w", err)
-	}
-	if slices.Contains(names, archiveFile) {
-		return nil
-	}
-	path := filepath.Join(directory, archiveFile)
-	if empty {
-		if err := createArchive(files, directory); err != nil {
-			return err
-		}
-	} else if !slices.Contains(names, archiveFile+newSuffix) {
-		return corrupt(path, "missing")
-	}
-	if err := files.Rename(path+newSuffix, path); err != nil {
-		return fmt.Errorf("name archive: %w", err)
-	}
-	return files.SyncDirectory(directory)
-}
-
-func openBolt(path string, options *bbolt.Options) (db *bbolt.DB, err error) {
-	err = recoverPageFault(path, func() error {
-		db, err = bbolt.Open(path, filePermission, options)
-		return err
-	})
-	if err != nil {
-		return nil, openError(path, err)
-	}
-	return db, nil
-}
-
-// openError tells a lock, damage and a failing machine apart.
-func openError(path string, err error) error {
-	var pathError *fs.PathError
-	switch {
-	case errors.Is(err, bbolterrors.ErrTimeout):
-		return fmt.Errorf("%w: %s", ErrLocked, path)
-	case errors.Is(err, ErrCorrupt), errors.As(err, &pathError):
-		return fmt.Errorf("open %s: %w", path, err)
-	default:
-		return corrupt(path, "%v", err)
-	}
-}
-
 // Archive implements Store.
 func (d *Disk) Archive() record.Archive { return d.archive }
 
-// Close writes what waits, closes the files and unlocks the folder.
+// Close writes what is pending, closes the files and unlocks the directory.
 func (d *Disk) Close() error {
 	return errors.Join(d.close(), d.archive.close(), d.lock.Close())
 }
--- a/internal/storage/diskarchive.go
+++ b/internal/storage/diskarchive.go
@@ -9,33 +9,33 @@
 	"go.etcd.io/bbolt"
 
 	"github.com/decklever/decklever/internal/record"
+	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
 const (
-	// maxPendingJobs bounds the jobs that wait in memory for a transaction.
+	// maxPendingJobs is how many jobs are collected in memory for a transaction.
 	maxPendingJobs = 1024
-	// maxPendingJobsWithoutSpace bounds those that wait for room on a full disk.
+	// maxPendingJobsWithoutSpace bounds those in memory while the disk is full.
 	maxPendingJobsWithoutSpace = 16 * maxPendingJobs
 )
 
 // DiskArchive is a record.Archive in a bbolt file. Put collects jobs in memory;
-// Sync, a full memory, and every call that needs the order write them in one
-// synced transaction. bbolt's NoSync is not used: a power loss amid unsynced
-// pages can break the whole file, whereas jobs lost from memory are put again
-// when the log is applied again. Its methods may be called from several
-// goroutines.
+// Sync, maxPendingJobs, and every call that needs the order write them in one
+// synced transaction. bbolt's NoSync is not used: a loss of power between
+// unsynced pages can break the whole file, whereas jobs lost from memory are put
+// again when the log is applied again. Its methods may be called concurrently.
 type DiskArchive struct {
 	db *bbolt.DB
 
-	mutex sync.RWMutex
-	// pending holds jobs that are not in the file yet, by id.
+	mutex sync.RWMutex // guards the field below, and every write of the file
+	// pending has the jobs that are not in the file yet, by id.
 	pending map[string]record.ArchivedJob
 }
 
 var _ record.Archive = (*DiskArchive)(nil)
 
-// transaction is the newest one, which is durable: flush and Expire return only
-// once it is, and hold the lock until then.
+// transaction returns the newest one, which is durable: flush and Expire return
+// only once theirs is, and hold the lock until then.
 func (a *DiskArchive) transaction() (newest uint64) {
 	a.mutex.RLock()
 	defer a.mutex.RUnlock()
@@ -54,8 +54,8 @@
 	return recoverPageFault(a.db.Path(), func() error { return a.db.Update(change) })
 }
 
-// Bytes implements record.Archive: the pages in use. The file does not shrink,
-// but free pages are used again.
+// Bytes implements record.Archive: the bytes of the pages in use. The file does
+// not shrink, but free pages are reused.
 func (a *DiskArchive) Bytes() int64 {
 	var used int64
 	_ = a.db.View(func(tx *bbolt.Tx) error {
@@ -81,8 +81,8 @@
 	return end, count, err
 }
 
-// Put implements record.Archive. While the disk is full the jobs wait in memory: no
-// snapshot is durable before Sync has written them.
+// Put implements record.Archive. While the disk is full the jobs stay in memory:
+// no snapshot is recorded before Sync has written them.
 func (a *DiskArchive) Put(jobs []record.ArchivedJob) error {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -93,7 +93,7 @@
 		return nil
 	}
 	err := a.flush()
-	if errors.Is(classifyWriteError(err), ErrNoSpace) && len(a.pending) < maxPendingJobsWithoutSpace {
+	if errors.Is(datafile.ClassifyWriteError(err), ErrNoSpace) && len(a.pending) < maxPendingJobsWithoutSpace {
 		return nil
 	}
 	return err
@@ -106,7 +106,7 @@
 	return a.flush()
 }
 
-// flush writes the waiting jobs; the lock is held.
+// flush writes the pending jobs in one transaction; the lock is held.
 func (a *DiskArchive) flush() error {
 	if len(a.pending) == 0 {
 		return nil
--- a/internal/storage/disklog.go
+++ b/internal/storage/disklog.go
@@ -5,79 +5,81 @@
 	"fmt"
 	"io"
 	"io/fs"
-	"log/slog"
 	"path/filepath"
 	"sync"
 
 	"github.com/decklever/decklever/internal/raft"
+	"github.com/decklever/decklever/internal/storage/wal"
 )
 
-// maxRetainedSegments bounds what is kept behind a snapshot for followers that lag,
-// in segments of the usual length.
+// maxRetainedSegments bounds what is retained behind a snapshot for followers
+// that lag, in segments of the usual length.
 const maxRetainedSegments = 3
 
-// diskLog is the part of a data folder that raft needs: the write-ahead log
-// and the snapshot. Its methods may be called from several goroutines.
+// diskLog is the part of a data directory that raft needs: the write-ahead log
+// and the snapshot. Its methods may be called concurrently. snapshotMutex is
+// locked before mutex, and alone while a snapshot is written, which takes long:
+// entries are saved meanwhile.
 type diskLog struct {
-	files     fileSystem
-	directory string
-	logger    *slog.Logger
-	// archiveTransaction is the newest durable transaction of the archive.
+	config wal.Config
+	// archiveTransaction returns the newest durable transaction of the archive.
 	archiveTransaction func() uint64
 
-	// snapshotMutex is held while the snapshot file is replaced.
+	// snapshotMutex is locked while the snapshot file is replaced.
 	snapshotMutex sync.Mutex
 
 	mutex sync.Mutex // guards the fields below
-	wal   *writeAheadLog
+	wal   *wal.Log
 	empty bool
 	// hardState is the newest one; the files may lack its commit index.
 	hardState raft.HardState
-	// replayedEntries are the entries found at the start, until the first change.
+	// replayedEntries are those found at the start. They are valid until the
+	// first change, and for one Load.
 	replayedEntries []raft.Entry
 	replayValid     bool
 }
 
-// openDiskLog opens the log in a folder that holds one.
-func openDiskLog(files fileSystem, directory string, logger *slog.Logger, segmentSize int64, numbers []uint64) (*diskLog, error) {
-	wal, entries, err := openLog(files, directory, logger, segmentSize, numbers)
+// openDiskLog opens the log in a directory that holds one.
+func openDiskLog(config wal.Config) (*diskLog, error) {
+	log, entries, err := wal.Open(config)
 	if err != nil {
 		return nil, err
 	}
-	d := &diskLog{files: files, directory: directory, logger: logger, wal: wal, replayedEntries: entries, replayValid: true}
-	d.archiveTransaction = func() uint64 { return wal.state.ArchiveTransaction }
-	d.hardState = wal.state.HardState
-	found, err := d.removeUnfinishedSnapshot()
+	state := log.State()
+	d := &diskLog{config: config, wal: log, replayedEntries: entries, replayValid: true}
+	d.archiveTransaction = func() uint64 { return log.State().ArchiveTransaction }
+	d.hardState = state.HardState
+	hasSnapshot, err := d.removeUnfinishedSnapshot()
 	if err != nil {
-		_ = wal.file.Close()
+		_ = log.Abandon()
 		return nil, err
 	}
-	d.empty = wal.state == walState{FirstSegment: firstSegment} && !found
+	d.empty = state == wal.State{FirstSegment: wal.FirstSegment} && !hasSnapshot
 	return d, nil
 }
 
-// removeUnfinishedSnapshot removes one whose writing was interrupted, and tells whether
-// there is a whole one.
-func (d *diskLog) removeUnfinishedSnapshot() (found bool, err error) {
-	names, err := d.files.Names(d.directory)
+// removeUnfinishedSnapshot removes a snapshot whose writing was interrupted, and
+// reports whether there is a complete one.
+func (d *diskLog) removeUnfinishedSnapshot() (hasSnapshot bool, err error) {
+	names, err := d.config.Files.Names(d.config.Directory)
 	if err != nil {
 		return false, fmt.Errorf("list data folder: %w", err)
 	}
 	for _, name := range names {
 		switch name {
 		case snapshotFile:
-			found = true
+			hasSnapshot = true
 		case snapshotFile + temporarySuffix:
-			if err := d.files.Remove(filepath.Join(d.directory, name)); err != nil {
+			if err := d.config.Files.Remove(filepath.Join(d.config.Directory, name)); err != nil {
 				return false, fmt.Errorf("remove unfinished snapshot: %w", err)
 			}
 		}
 	}
-	return found, nil
+	return hasSnapshot, nil
 }
 
 // ReplicaID implements Store.
-func (d *diskLog) ReplicaID() raft.ReplicaID { return d.wal.id }
+func (d *diskLog) ReplicaID() raft.ReplicaID { return d.wal.ReplicaID() }
 
 // Empty implements Store.
 func (d *diskLog) Empty() bool {
@@ -86,9 +88,9 @@
 	return d.empty
 }
 
-// Save implements Store: one write and one sync, unless a segment is full.
-// Without sync, a change of the commit index alone, which a restart learns
-// again, is kept in memory for the next batch.
+// Save implements Store: one write and one sync, unless a segment is full. A
+// change of the commit index alone, without sync, is kept in memory for the next
+// batch: a restart learns it again. A new term or vote is always synced.
 func (d *diskLog) Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -98,24 +100,24 @@
 	if hardState != nil {
 		d.hardState = *hardState
 	}
-	batch := walBatch{entries: entries}
-	if held := d.wal.state.HardState; d.hardState != held {
-		voted := d.hardState.Term != held.Term || d.hardState.VotedFor != held.VotedFor
+	batch := wal.Batch{Entries: entries}
+	if written := d.wal.State().HardState; d.hardState != written {
+		voted := d.hardState.Term != written.Term || d.hardState.VotedFor != written.VotedFor
 		sync = sync || voted
 		if sync || len(entries) > 0 {
 			newest := d.hardState
-			batch.hardState = &newest
+			batch.HardState = &newest
 		}
 	}
 	return d.append(batch, sync, "save log")
 }
 
-// append is called with the lock held.
-func (d *diskLog) append(batch walBatch, sync bool, operation string) error {
-	if batch.records() > 0 {
+// append writes a batch; mutex is locked. operation names it in an error.
+func (d *diskLog) append(batch wal.Batch, sync bool, operation string) error {
+	if !batch.Empty() {
 		d.empty, d.replayValid, d.replayedEntries = false, false, nil
 	}
-	if err := d.wal.append(batch, sync); err != nil {
+	if err := d.wal.Append(batch, sync); err != nil {
 		return fmt.Errorf("%s: %w", operation, err)
 	}
 	return nil
@@ -132,52 +134,60 @@
 
 // SaveSnapshot implements Store. The snapshot file is durable before the log
 // says so, and that before a segment is removed. A snapshot that is not newer
-// than the present one is passed over.
+// than the present one is ignored.
 func (d *diskLog) SaveSnapshot(meta raft.SnapshotMeta, keepEntries uint64, write func(io.Writer) error) error {
 	d.snapshotMutex.Lock()
 	defer d.snapshotMutex.Unlock()
 	if stale, err := d.hasNewerSnapshot(meta); stale || err != nil {
 		return err
 	}
+	// Read before the snapshot is written: all jobs that it leaves out are in the
+	// archive by now.
 	archiveTransaction := d.archiveTransaction()
-	if err := writeSnapshotFile(d.files, d.directory, meta, write); err != nil {
+	if err := writeSnapshotFile(d.config.Files, d.config.Directory, meta, write); err != nil {
 		return err
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	compactIndex := meta.Index - min(meta.Index, keepEntries)
-	number, bytes := d.wal.oldestNeeded(compactIndex)
-	if bytes > maxRetainedSegments*d.wal.segmentSize {
+	oldestSegment, bytes := d.wal.OldestNeeded(compactIndex)
+	if bytes > maxRetainedSegments*d.wal.SegmentSize() {
 		compactIndex = meta.Index
-		number, _ = d.wal.oldestNeeded(compactIndex)
-	}
-	snapshot := snapshotRecord{Index: meta.Index, Term: meta.Term, FirstSegment: number, ArchiveTransaction: archiveTransaction}
-	snapshot.FirstIndex = max(compactIndex+1, d.wal.state.FirstIndex)
-	return d.appendSnapshotRecord(snapshot)
+		oldestSegment, _ = d.wal.OldestNeeded(compactIndex)
+	}
+	return d.appendSnapshotRecord(wal.SnapshotRecord{
+		Index:              meta.Index,
+		Term:               meta.Term,
+		FirstIndex:         max(compactIndex+1, d.wal.State().FirstIndex),
+		FirstSegment:       oldestSegment,
+		ArchiveTransaction: archiveTransaction,
+	})
 }
 
-// appendSnapshotRecord is called with the lock held.
-func (d *diskLog) appendSnapshotRecord(snapshot snapshotRecord) error {
-	batch, err := newSnapshotBatch(snapshot)
+// appendSnapshotRecord makes the record durable and then removes the segments
+// that it makes obsolete; mutex is locked.
+func (d *diskLog) appendSnapshotRecord(snapshot wal.SnapshotRecord) error {
+	batch, err := wal.NewSnapshotBatch(snapshot)
 	if err != nil {
 		return fmt.Errorf("note snapshot: %w", err)
 	}
 	if err := d.append(batch, true, "note snapshot"); err != nil {
 		return err
 	}
-	return d.wal.removeBefore(snapshot.FirstSegment)
+	return d.wal.RemoveBefore(snapshot.FirstSegment)
 }
 
-// hasNewerSnapshot: one from the leader was installed while this was prepared.
+// hasNewerSnapshot reports whether one from the leader was installed while this
+// one was prepared.
 func (d *diskLog) hasNewerSnapshot(meta raft.SnapshotMeta) (bool, error) {
-	file, held, _, err := openSnapshotFile(d.files, d.directory)
+	file, current, _, err := openSnapshotFile(d.config.Files, d.config.Directory)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	return held.Index >= meta.Index, file.Close()
+	return current.Index >= meta.Index, file.Close()
 }
 
 // InstallSnapshot implements Store. If it is interrupted after the file got
@@ -190,7 +200,7 @@
 		return err
 	}
 	archiveTransaction := d.archiveTransaction()
-	if err := writeSnapshotFile(d.files, d.directory, meta, copyData); err != nil {
+	if err := writeSnapshotFile(d.config.Files, d.config.Directory, meta, copyData); err != nil {
 		return err
 	}
 	d.mutex.Lock()
@@ -198,19 +208,23 @@
 	return d.appendSnapshotRecord(d.dropLogRecord(meta, archiveTransaction))
 }
 
-// dropLogRecord leaves the snapshot alone. The newest segment stays, since it holds
-// the note.
-func (d *diskLog) dropLogRecord(meta raft.SnapshotMeta, archiveTransaction uint64) snapshotRecord {
-	return snapshotRecord{
-		Index: meta.Index, Term: meta.Term, DropLog: true, ArchiveTransaction: archiveTransaction,
-		FirstIndex: meta.Index + 1, FirstSegment: d.wal.newest().number,
+// dropLogRecord returns the record after which the snapshot stands alone. The
+// newest segment stays, since it holds the record.
+func (d *diskLog) dropLogRecord(meta raft.SnapshotMeta, archiveTransaction uint64) wal.SnapshotRecord {
+	return wal.SnapshotRecord{
+		Index:              meta.Index,
+		Term:               meta.Term,
+		FirstIndex:         meta.Index + 1,
+		FirstSegment:       d.wal.NewestSegment(),
+		DropLog:            true,
+		ArchiveTransaction: archiveTransaction,
 	}
 }
 
 // OpenSnapshot implements Store. The data stay readable when a newer snapshot
 // takes the file's place.
 func (d *diskLog) OpenSnapshot() (raft.SnapshotMeta, io.ReadCloser, bool, error) {
-	file, meta, data, err := openSnapshotFile(d.files, d.directory)
+	file, meta, data, err := openSnapshotFile(d.config.Files, d.config.Directory)
 	if errors.Is(err, fs.ErrNotExist) {
 		return raft.SnapshotMeta{}, nil, false, nil
 	}
@@ -225,14 +239,14 @@
 	io.Closer
 }
 
-// close writes the commit index that waits, and closes the log.
+// close writes the commit index that is only in memory, and closes the log.
 func (d *diskLog) close() error {
 	d.mutex.Lock()
-	failed := d.wal.failed != nil
+	failed := d.wal.Failed()
 	d.mutex.Unlock()
 	var err error
 	if !failed {
 		err = d.Save(nil, nil, true)
 	}
-	return errors.Join(err, d.wal.close())
+	return errors.Join(err, d.wal.Close())
 }
--- a/internal/storage/wal_test.go
+++ b/internal/storage/disklog_test.go
@@ -13,20 +13,25 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/decklever/decklever/internal/raft"
+	"github.com/decklever/decklever/internal/storage/datafile"
+	"github.com/decklever/decklever/internal/storage/wal"
 )
 
+// logConfig is that of a log on files.
+func logConfig(files datafile.FileSystem, segmentSize int64) wal.Config {
+	return wal.Config{Files: files, Directory: powerDirectory, Logger: discard(), SegmentSize: segmentSize}
+}
+
 // newDiskLog makes a log on files.
-func newDiskLog(t testing.TB, files fileSystem, segmentSize int64) *diskLog {
+func newDiskLog(t testing.TB, files datafile.FileSystem, segmentSize int64) *diskLog {
 	t.Helper()
-	requireNoError(t, createLog(files, powerDirectory, "0123456789abcdef", segmentSize))
+	requireNoError(t, wal.Create(logConfig(files, segmentSize), "0123456789abcdef"))
 	return reopenDiskLog(t, files, segmentSize)
 }
 
-func reopenDiskLog(t testing.TB, files fileSystem, segmentSize int64) *diskLog {
+func reopenDiskLog(t testing.TB, files datafile.FileSystem, segmentSize int64) *diskLog {
 	t.Helper()
-	numbers, err := segmentNumbers(files, powerDirectory)
-	requireNoError(t, err)
-	d, err := openDiskLog(files, powerDirectory, discard(), segmentSize, numbers)
+	d, err := openDiskLog(logConfig(files, segmentSize))
 	requireNoError(t, err)
 	return d
 }
@@ -35,7 +40,7 @@
 // nothing if nothing changed.
 func TestSave_OneWriteAndOneSync(t *testing.T) {
 	files := newPowerFiles(1)
-	d := newDiskLog(t, files, defaultSegmentSize)
+	d := newDiskLog(t, files, wal.DefaultSegmentSize)
 	state := raft.HardState{Term: 1, VotedFor: "a"}
 	committed := raft.HardState{Term: 1, VotedFor: "a", Commit: 256}
 	for _, step := range []struct {
@@ -56,11 +61,11 @@
 		{"a sync", nil, nil, true, 0, 1},
 		{"a vote without sync asked for", &raft.HardState{Term: 2, VotedFor: "b", Commit: 300}, nil, false, 1, 1},
 	} {
-		writes, syncs, folderSyncs := files.writes, files.syncs, files.folderSyncs
+		writes, syncs, directorySyncs := files.writes, files.syncs, files.directorySyncs
 		requireNoError(t, d.Save(step.hardState, step.entries, step.sync))
-		if files.writes-writes != step.writes || files.syncs-syncs != step.syncs || files.folderSyncs != folderSyncs {
-			t.Errorf("%s: %d writes, %d syncs, %d of the folder, want %d, %d and 0", step.what,
-				files.writes-writes, files.syncs-syncs, files.folderSyncs-folderSyncs, step.writes, step.syncs)
+		if files.writes-writes != step.writes || files.syncs-syncs != step.syncs || files.directorySyncs != directorySyncs {
+			t.Errorf("%s: %d writes, %d syncs, %d of the directory, want %d, %d and 0", step.what,
+				files.writes-writes, files.syncs-syncs, files.directorySyncs-directorySyncs, step.writes, step.syncs)
 		}
 	}
 }
@@ -81,7 +86,7 @@
 		if index/batch%10 == 0 { // about three segments
 			requireNoError(t, d.SaveSnapshot(raft.SnapshotMeta{Index: index + 9, Term: 1}, keep, writeText("state")))
 			if bytes := files.bytes(); bytes > 3*size {
-				t.Fatalf("%d bytes are held after a snapshot at %d", bytes, index+9)
+				t.Fatalf("%d bytes are left after a snapshot at %d", bytes, index+9)
 			}
 		}
 	}
@@ -104,7 +109,7 @@
 	}
 	requireNoError(t, d.SaveSnapshot(raft.SnapshotMeta{Index: 40, Term: 1}, 2000, writeText("state")))
 	if bytes := files.bytes(); bytes > (maxRetainedSegments+1)*size {
-		t.Fatalf("%d bytes are held after the snapshot", bytes)
+		t.Fatalf("%d bytes are left after the snapshot", bytes)
 	}
 	if loaded := loadLog(t, reopenDiskLog(t, files, size)); loaded.Snapshot.Index != 40 || len(loaded.Entries) > 1 {
 		t.Fatalf("snapshot of %d and %d entries", loaded.Snapshot.Index, len(loaded.Entries))
@@ -119,46 +124,46 @@
 }
 
 // TestSave_RejectedAfterFailedWrite: what a file holds after a failed write or sync
-// is unknown, so that nothing more may be promised.
+// is unknown, so nothing more may be acknowledged.
 func TestSave_RejectedAfterFailedWrite(t *testing.T) {
 	for failAfter := range 2 { // the write, the sync
 		files := newPowerFiles(1)
-		d := newDiskLog(t, files, defaultSegmentSize)
+		d := newDiskLog(t, files, wal.DefaultSegmentSize)
 		requireNoError(t, d.Save(&raft.HardState{Term: 1}, entries(1, 3, 1), true))
 		files.failAfter = failAfter
 		if err := d.Save(nil, entries(4, 5, 1), true); !errors.Is(err, errPowerOff) {
 			t.Fatalf("got %v, want %v", err, errPowerOff)
 		}
 		files.failAfter = -1
-		if err := d.Save(nil, entries(4, 5, 1), true); !errors.Is(err, errFailed) {
-			t.Fatalf("a write after a failed one: %v, want %v", err, errFailed)
+		if err := d.Save(nil, entries(4, 5, 1), true); !errors.Is(err, wal.ErrFailed) {
+			t.Fatalf("a write after a failed one: %v, want %v", err, wal.ErrFailed)
 		}
 		if err := d.close(); err != nil {
 			t.Fatalf("close: %v", err)
 		}
 		files.loseAllUnsynced()
 		want := LoadedState{HardState: raft.HardState{Term: 1}, Entries: entries(1, 3, 1)}
-		if diff := cmp.Diff(want, loadLog(t, reopenDiskLog(t, files, defaultSegmentSize))); diff != "" {
+		if diff := cmp.Diff(want, loadLog(t, reopenDiskLog(t, files, wal.DefaultSegmentSize))); diff != "" {
 			t.Fatal(diff)
 		}
 	}
 }
 
-// TestOpen_CreationIsAtomic: a loss of power at any moment of a folder's
-// creation leaves none, or a whole one.
+// TestOpen_CreationIsAtomic: a loss of power at any moment of a directory's
+// creation leaves no log, or a complete one.
 func TestOpen_CreationIsAtomic(t *testing.T) {
 	for seed := range uint64(300) {
 		files := newPowerFiles(seed)
 		files.failAfter = int(seed % 8)
-		err := createLog(files, powerDirectory, "0123456789abcdef", powerSegmentSize)
+		err := wal.Create(logConfig(files, powerSegmentSize), "0123456789abcdef")
 		files.losePower()
-		numbers, listErr := segmentNumbers(files, powerDirectory)
+		numbers, listErr := wal.SegmentNumbers(files, powerDirectory)
 		requireNoError(t, listErr)
 		if len(numbers) == 0 {
 			if err == nil {
-				t.Fatalf("seed %d: the folder was made and is gone", seed)
+				t.Fatalf("seed %d: the log was created and is gone", seed)
 			}
-			requireNoError(t, createLog(files, powerDirectory, "0123456789abcdef", powerSegmentSize))
+			requireNoError(t, wal.Create(logConfig(files, powerSegmentSize), "0123456789abcdef"))
 		}
 		d := reopenDiskLog(t, files, powerSegmentSize)
 		if !d.Empty() || d.ReplicaID() != "0123456789abcdef" {
@@ -168,7 +173,7 @@
 }
 
 // TestOpen_DamagedSegmentNamed: a missing or damaged segment before the newest one
-// is refused with its name, wherever the damage is.
+// is rejected by its name, wherever the damage is.
 func TestOpen_DamagedSegmentNamed(t *testing.T) {
 	files := newPowerFiles(1)
 	d := newDiskLog(t, files, powerSegmentSize)
@@ -176,18 +181,16 @@
 		requireNoError(t, d.Save(nil, entries(index, index+3, 1), true))
 	}
 	requireNoError(t, d.close())
-	numbers, err := segmentNumbers(files, powerDirectory)
+	numbers, err := wal.SegmentNumbers(files, powerDirectory)
 	requireNoError(t, err)
 	if len(numbers) < 4 {
 		t.Fatalf("%d segments, want at least 4", len(numbers))
 	}
-	path := filepath.Join(powerDirectory, segmentName(2))
+	path := filepath.Join(powerDirectory, wal.SegmentName(2))
 	intact := files.content(path)
-	refused := func(what string) {
+	requireRejected := func(what string) {
 		t.Helper()
-		left, err := segmentNumbers(files, powerDirectory)
-		requireNoError(t, err)
-		_, _, err = openLog(files, powerDirectory, discard(), powerSegmentSize, left)
+		_, _, err := wal.Open(logConfig(files, powerSegmentSize))
 		if !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), path) {
 			t.Fatalf("%s: got %v, want ErrCorrupt that names %s", what, err, path)
 		}
@@ -196,28 +199,28 @@
 		damaged := append([]byte(nil), intact...)
 		damaged[at] ^= 4
 		files.put(path, damaged)
-		refused(fmt.Sprintf("flipped byte %d", at))
+		requireRejected(fmt.Sprintf("flipped byte %d", at))
 	}
 	files.put(path, intact[:len(intact)-1])
-	refused("cut")
+	requireRejected("truncated")
 	files.put(path, make([]byte, len(intact)))
-	refused("zeros")
+	requireRejected("zeros")
 	requireNoError(t, files.Remove(path))
-	refused("missing")
+	requireRejected("missing")
 }
 
-// TestOpen_EarlierFormatRejected: a folder of a version with a bbolt log is named
-// as that, and left alone.
+// TestOpen_EarlierFormatRejected: a directory of a version with a bbolt log is
+// named as that, and left alone.
 func TestOpen_EarlierFormatRejected(t *testing.T) {
 	directory := t.TempDir()
 	for _, name := range []string{earlierLogFile, archiveFile, snapshotFile} {
-		requireNoError(t, os.WriteFile(filepath.Join(directory, name), []byte("earlier"), filePermission))
+		requireNoError(t, os.WriteFile(filepath.Join(directory, name), []byte("earlier"), datafile.FilePermission))
 	}
 	_, err := OpenDisk(DiskConfig{Directory: directory})
 	if !errors.Is(err, ErrEarlierFormat) || !strings.Contains(err.Error(), earlierLogFile) {
 		t.Fatalf("got %v, want ErrEarlierFormat that names %s", err, earlierLogFile)
 	}
-	if _, err := os.Stat(filepath.Join(directory, segmentName(firstSegment))); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := os.Stat(filepath.Join(directory, wal.SegmentName(wal.FirstSegment))); !errors.Is(err, fs.ErrNotExist) {
 		t.Fatalf("a log was made beside the earlier one: %v", err)
 	}
 }
--- a/internal/storage/flip_test.go
+++ b/internal/storage/flip_test.go
@@ -1,6 +1,7 @@
 package storage
 
 import (
+	"bytes"
 	"errors"
 	"math/rand/v2"
 	"os"
@@ -10,17 +11,25 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/decklever/decklever/internal/raft"
+	"github.com/decklever/decklever/internal/storage/datafile"
+	"github.com/decklever/decklever/internal/storage/wal"
 )
 
-// TestOpen_AnyFlippedBitDetected: whatever bit of a log that was closed in order is wrong, a
-// start refuses, or finds all that was saved if the bit is behind that.
+// closeRecordBytes is the length of the record that says that a log was closed in
+// order: a header without a payload.
+const closeRecordBytes = 26
+
+// TestOpen_AnyFlippedBitDetected: whatever bit of a log that was closed in order
+// is wrong, opening fails, or finds all that was saved if the bit is behind that.
 func TestOpen_AnyFlippedBitDetected(t *testing.T) {
 	directory := t.TempDir()
-	path := filepath.Join(directory, segmentName(firstSegment))
+	path := filepath.Join(directory, wal.SegmentName(wal.FirstSegment))
 	d := openStore(t, directory)
 	requireNoError(t, d.Save(&raft.HardState{Term: 1, VotedFor: "b", Commit: 3}, entries(1, 200, 1), true))
 	requireNoError(t, d.Save(nil, entries(201, 300, 1), true))
-	used := int(d.wal.offset)
+	content, err := os.ReadFile(path)
+	requireNoError(t, err)
+	used := len(bytes.TrimRight(content, "\x00"))
 	requireNoError(t, d.Close())
 	id := d.ReplicaID()
 	intact, err := os.ReadFile(path)
@@ -34,13 +43,13 @@
 		damaged := append([]byte(nil), intact...)
 		at := random.IntN(used)
 		switch i % 3 {
-		case 1: // in the mark of closing, or soon behind it
-			at = used + random.IntN(2*recordHeaderSize)
+		case 1: // in the record of closing, or soon behind it
+			at = used + random.IntN(2*closeRecordBytes)
 		case 2: // in the second batch, which is the last one
 			at = used - 1 - random.IntN(1000)
 		}
 		damaged[at] ^= 1 << random.IntN(8)
-		requireNoError(t, os.WriteFile(path, damaged, filePermission))
+		requireNoError(t, os.WriteFile(path, damaged, datafile.FilePermission))
 		d, err := OpenDisk(DiskConfig{Directory: directory})
 		var loaded LoadedState
 		if err == nil {
--- a/internal/storage/lock.go
+++ b/internal/storage/lock.go
@@ -6,16 +6,19 @@
 	"os"
 	"path/filepath"
 	"syscall"
+
+	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
-// lockFile is held by the process that uses the folder, from before its
-// creation on; bbolt's own locks cover only files that are there.
+// lockFile is locked by the process that uses the directory, from before the
+// other files are created on; bbolt's own locks cover only files that exist.
 const lockFile = "lock"
 
-// lockDirectory returns ErrLocked at once if another process holds the lock.
+// lockDirectory locks a directory until the file is closed. It fails with
+// ErrLocked at once if another process holds the lock.
 func lockDirectory(directory string) (*os.File, error) {
 	path := filepath.Join(directory, lockFile)
-	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, filePermission)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, datafile.FilePermission)
 	if err != nil {
 		return nil, fmt.Errorf("open lock: %w", err)
 	}
--- a/internal/storage/memory.go
+++ b/internal/storage/memory.go
@@ -12,9 +12,9 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// Memory is a Store for tests. It keeps what was synced and what was not
-// apart; Crash loses the latter, as a power loss does. Closing it changes
-// nothing, so that a test can start another replica on it.
+// Memory is a Store for tests. It keeps what was synced apart from what was not;
+// Crash loses the latter, as a loss of power does. Close does nothing, so that a
+// test can start another replica on it.
 type Memory struct {
 	id      raft.ReplicaID
 	archive *MemoryArchive
@@ -41,7 +41,7 @@
 	entries   []raft.Entry
 }
 
-// NewMemory makes an empty store whose replica id is drawn from seed.
+// NewMemory returns an empty store whose replica id depends on seed.
 func NewMemory(seed int64) *Memory {
 	random := rand.New(rand.NewPCG(uint64(seed), 0))
 	return &Memory{
@@ -50,7 +50,7 @@
 	}
 }
 
-// Crash loses all that was not synced, in the archive as well.
+// Crash drops all that was not synced, in the archive as well.
 func (m *Memory) Crash() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/storage/memoryarchive.go
+++ b/internal/storage/memoryarchive.go
@@ -10,8 +10,8 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// MemoryArchive is a record.Archive for tests; Crash loses what came after the
-// last Sync.
+// MemoryArchive is a record.Archive for tests; Crash drops what came after the
+// last Sync. Its methods may be called concurrently.
 type MemoryArchive struct {
 	mutex  sync.Mutex
 	jobs   map[string]record.ArchivedJob
@@ -20,7 +20,7 @@
 
 var _ record.Archive = (*MemoryArchive)(nil)
 
-// NewMemoryArchive makes an empty archive.
+// NewMemoryArchive returns an empty archive.
 func NewMemoryArchive() *MemoryArchive {
 	return &MemoryArchive{
 		jobs:   make(map[string]record.ArchivedJob),
@@ -28,7 +28,7 @@
 	}
 }
 
-// Crash loses what came after the last Sync.
+// Crash drops what came after the last Sync.
 func (a *MemoryArchive) Crash() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -81,7 +81,7 @@
 	return len(jobs), nil
 }
 
-// memoryJobBytes stands for the room that a job takes.
+// memoryJobBytes stands for the bytes that a job takes.
 const memoryJobBytes = 100
 
 // Bytes implements record.Archive with memoryJobBytes for each job.
--- a/internal/storage/noroom_test.go
+++ b/internal/storage/nospace_test.go
@@ -8,18 +8,19 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/decklever/decklever/internal/raft"
+	"github.com/decklever/decklever/internal/storage/wal"
 )
 
-// noRoomSegment is so short that most batches need a new segment.
-const noRoomSegment = 4 << 10
+// noSpaceSegment is so short that most batches need a new segment.
+const noSpaceSegment = 4 << 10
 
 // TestSave_FullDiskRejectsThenAcceptsRetry: whatever a full disk leaves of a batch, the
-// log goes on with it once there is room, also where it needs a new segment, and holds
+// log accepts it once there is space, also where it needs a new segment, and has
 // just what was acknowledged.
 func TestSave_FullDiskRejectsThenAcceptsRetry(t *testing.T) {
 	for seed := range uint64(40) {
 		files := newPowerFiles(seed)
-		d := newDiskLog(t, files, noRoomSegment)
+		d := newDiskLog(t, files, noSpaceSegment)
 		var saved []raft.Entry
 		for index := uint64(1); index < 60; index += 3 {
 			batch := noSpaceBatch(index)
@@ -29,22 +30,22 @@
 				}
 			}
 			if err := d.Save(nil, batch, true); err != nil {
-				t.Fatalf("seed %d: entry %d was refused though there is room: %v", seed, index, err)
+				t.Fatalf("seed %d: entry %d was rejected though there is space: %v", seed, index, err)
 			}
 			saved = append(saved, batch...)
 		}
-		if difference := cmp.Diff(saved, loadLog(t, reopenDiskLog(t, files, noRoomSegment)).Entries); difference != "" {
+		if difference := cmp.Diff(saved, loadLog(t, reopenDiskLog(t, files, noSpaceSegment)).Entries); difference != "" {
 			t.Fatalf("seed %d: %s", seed, difference)
 		}
 	}
 }
 
 // TestPowerLoss_OnFullDisk: what was acknowledged before is there, and nothing of the
-// batch that was refused comes back as more than an unacknowledged one may.
+// batch that was rejected comes back as more than an unacknowledged one may.
 func TestPowerLoss_OnFullDisk(t *testing.T) {
 	for seed := range uint64(200) {
 		files := newPowerFiles(seed)
-		d := newDiskLog(t, files, noRoomSegment)
+		d := newDiskLog(t, files, noSpaceSegment)
 		last := uint64(1 + files.random.IntN(30)*3)
 		for index := uint64(1); index < last; index += 3 {
 			requireNoError(t, d.Save(nil, noSpaceBatch(index), true))
@@ -55,11 +56,11 @@
 		}
 		files.full = false
 		files.losePower()
-		held := loadLog(t, reopenDiskLog(t, files, noRoomSegment)).Entries
+		held := loadLog(t, reopenDiskLog(t, files, noSpaceSegment)).Entries
 		if uint64(len(held)) < last-1 {
 			t.Fatalf("seed %d: %d entries are there of %d", seed, len(held), last-1)
 		}
-		reopened := reopenDiskLog(t, files, noRoomSegment)
+		reopened := reopenDiskLog(t, files, noSpaceSegment)
 		requireNoError(t, reopened.Save(nil, noSpaceBatch(uint64(len(held))+1), true))
 	}
 }
@@ -77,13 +78,13 @@
 // TestSave_FailedSyncIsNotNoSpace: what the file holds after it is unknown.
 func TestSave_FailedSyncIsNotNoSpace(t *testing.T) {
 	files := newPowerFiles(1)
-	d := newDiskLog(t, files, defaultSegmentSize)
+	d := newDiskLog(t, files, wal.DefaultSegmentSize)
 	files.failAfter = 1 // the write succeeds, the sync does not
 	if err := d.Save(nil, noSpaceBatch(1), true); err == nil || errors.Is(err, ErrNoSpace) {
 		t.Fatalf("after a failed sync: %v", err)
 	}
 	files.failAfter = -1
-	if err := d.Save(nil, noSpaceBatch(1), true); !errors.Is(err, errFailed) {
+	if err := d.Save(nil, noSpaceBatch(1), true); !errors.Is(err, wal.ErrFailed) {
 		t.Errorf("saved on after a failed sync: %v", err)
 	}
 }
--- a/internal/storage/power_test.go
+++ b/internal/storage/powerloss_log_test.go
@@ -13,6 +13,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/decklever/decklever/internal/raft"
+	"github.com/decklever/decklever/internal/storage/wal"
 )
 
 const (
@@ -43,7 +44,7 @@
 
 func (r *powerLossRun) add(state LoadedState) { r.states = append(r.states, state) }
 
-// done marks that a step returned and all up to it is durable.
+// done records that a step returned and all up to it is durable.
 func (r *powerLossRun) done() { r.floor = len(r.states) - 1 }
 
 // TestPowerLoss_LogRecovers: whatever was saved before a sync returned is there after a
@@ -56,7 +57,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
-	for _, fault := range []string{"killed", "all lost", "torn", "while opening", "tail cut", "segment cut", "leftover"} {
+	for _, fault := range []string{"killed", "all lost", "torn", "while opening", "tail truncated", "segment removed", "obsolete segment"} {
 		if faults[fault] < 20 {
 			t.Errorf("%q came %d times, want at least 20", fault, faults[fault])
 		}
@@ -64,7 +65,7 @@
 }
 
 func (r *powerLossRun) run() error {
-	if err := createLog(r.files, powerDirectory, "0123456789abcdef", powerSegmentSize); err != nil {
+	if err := wal.Create(logConfig(r.files, powerSegmentSize), "0123456789abcdef"); err != nil {
 		return err
 	}
 	r.states = []LoadedState{{}}
@@ -98,7 +99,7 @@
 	}
 }
 
-// openStore starts anew, at times with a fault amid the start, and checks what is
+// open starts again, at times with a fault during the start, and checks what is
 // found.
 func (r *powerLossRun) open() error {
 	r.files.failAfter = -1
@@ -118,20 +119,21 @@
 }
 
 func (r *powerLossRun) reopen() (LoadedState, error) {
-	numbers, err := segmentNumbers(r.files, powerDirectory)
+	numbers, err := wal.SegmentNumbers(r.files, powerDirectory)
 	if err != nil {
 		return LoadedState{}, err
 	}
-	logger := slog.New(slog.NewTextHandler(faultCounter(r.faults), nil))
-	if r.log, err = openDiskLog(r.files, powerDirectory, logger, powerSegmentSize, numbers); err != nil {
+	config := logConfig(r.files, powerSegmentSize)
+	config.Logger = slog.New(slog.NewTextHandler(faultCounter(r.faults), nil))
+	if r.log, err = openDiskLog(config); err != nil {
 		return LoadedState{}, err
 	}
-	left, err := segmentNumbers(r.files, powerDirectory)
+	left, err := wal.SegmentNumbers(r.files, powerDirectory)
 	if err != nil {
 		return LoadedState{}, err
 	}
 	if len(left) < len(numbers) && left[0] > numbers[0] {
-		r.faults["leftover"]++
+		r.faults["obsolete segment"]++
 	}
 	return r.log.Load()
 }
@@ -140,7 +142,7 @@
 type faultCounter map[string]int
 
 func (c faultCounter) Write(line []byte) (int, error) {
-	for text, fault := range map[string]string{"torn end": "tail cut", "unfinished segment": "segment cut"} {
+	for text, fault := range map[string]string{"torn log tail": "tail truncated", "unfinished segment": "segment removed"} {
 		if strings.Contains(string(line), text) {
 			c[fault]++
 		}
@@ -148,13 +150,13 @@
 	return len(line), nil
 }
 
-// check finds the state that was loaded among the possible ones, and goes on
-// from there.
+// check finds the state that was loaded among the possible ones, and continues
+// from it.
 func (r *powerLossRun) check(loaded LoadedState) error {
 	r.files.failAfter = -1
 	found := slices.ContainsFunc(r.states[r.floor:], func(state LoadedState) bool { return matchesState(loaded, state) })
 	if !found {
-		return fmt.Errorf("found what was never there: %s", cmp.Diff(r.states[r.floor], loaded))
+		return fmt.Errorf("found a state that never was: %s", cmp.Diff(r.states[r.floor], loaded))
 	}
 	r.states, r.floor = []LoadedState{loaded}, 0
 	r.newest = loaded.HardState
@@ -190,7 +192,7 @@
 	}
 }
 
-// save is one Ready: entries that go on or replace uncommitted ones, a hard
+// save is one Ready: entries that extend the log or replace uncommitted ones, a hard
 // state, or both.
 func (r *powerLossRun) save() error {
 	state := r.state()
--- a/internal/storage/powerstore_test.go
+++ b/internal/storage/powerloss_store_test.go
@@ -19,7 +19,7 @@
 	powerStoreSteps  = 30
 )
 
-// storePowerLossRun drives a whole store as a replica does, one ended job an entry,
+// storePowerLossRun drives a complete store as a replica does, one ended job an entry,
 // and knows what may never be lost: an entry once it was synced, and, of all
 // that a snapshot leaves out, every job in the archive.
 type storePowerLossRun struct {
@@ -49,7 +49,7 @@
 		}
 	}
 	t.Logf("%d of %d seeds failed; faults: %v", failed, powerStoreSeeds, faults)
-	for _, fault := range []string{"killed", "all lost", "torn", "while opening", "tail cut", "archive torn", "expired", "snapshot", "installed"} {
+	for _, fault := range []string{"killed", "all lost", "torn", "while opening", "tail truncated", "archive torn", "expired", "snapshot", "installed"} {
 		if faults[fault] < 20 {
 			t.Errorf("%q came %d times, want at least 20", fault, faults[fault])
 		}
@@ -104,7 +104,7 @@
 	return r.files.restore()
 }
 
-// openStore starts anew, at times with faults amid the start, and checks what is
+// open starts again, at times with faults during the start, and checks what is
 // found.
 func (r *storePowerLossRun) open() error {
 	for r.random.IntN(3) == 0 {
@@ -138,7 +138,7 @@
 		return LoadedState{}, err
 	}
 	r.store = store
-	store.archive.db.NoSync = true // the folder counts the syncs, real ones only take time
+	store.archive.db.NoSync = true // powerLossDirectory counts the syncs, real ones only take time
 	loaded, err := store.Load()
 	if err != nil {
 		return loaded, err
@@ -150,7 +150,7 @@
 type storeFaultCounter map[string]int
 
 func (c storeFaultCounter) Write(line []byte) (int, error) {
-	if strings.Contains(string(line), "torn transaction of the archive") {
+	if strings.Contains(string(line), "torn archive transaction") {
 		c["archive torn"]++
 	}
 	return faultCounter(c).Write(line)
@@ -169,7 +169,7 @@
 }
 
 // checkArchive: each job that the snapshot leaves out is there, by id and by
-// place, and the file is sound.
+// index, and the file is consistent.
 func (r *storePowerLossRun) checkArchive(snapshot uint64) error {
 	archive := r.store.archive
 	err := archive.view(func(tx *bbolt.Tx) error {
@@ -185,15 +185,15 @@
 	if err != nil {
 		return err
 	}
-	placed := make(map[string]bool)
+	listed := make(map[string]bool)
 	for _, job := range paged {
-		placed[job.ID] = true
+		listed[job.ID] = true
 	}
 	for index := max(uint64(r.expired), 1); index <= snapshot; index++ {
 		id := powerJob(index).ID
 		job, known, err := archive.Get(id)
-		if err != nil || !known || job.Index != index || !placed[id] {
-			return fmt.Errorf("job %s, hidden by the snapshot at %d: known %v, placed %v, %w", id, snapshot, known, placed[id], err)
+		if err != nil || !known || job.Index != index || !listed[id] {
+			return fmt.Errorf("job %s, hidden by the snapshot at %d: known %v, listed %v, %w", id, snapshot, known, listed[id], err)
 		}
 	}
 	return nil
--- a/internal/storage/powerarchive_test.go
+++ b/internal/storage/powerlossarchive_test.go
@@ -11,10 +11,12 @@
 	"path/filepath"
 	"slices"
 	"strings"
+
+	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
-// powerLossDirectory is powerLossFiles for a whole data folder. bbolt needs a real file, so
-// archive.db is one, and is followed here: what a transaction changed counts as
+// powerLossDirectory is powerLossFiles for a whole data directory. bbolt needs a real file,
+// so archive.db is one, and is followed here: what a transaction changed counts as
 // the writes and syncs that bbolt made, in the order of its Tx.Commit: length,
 // sync, data pages in any order, sync, meta page, sync.
 type powerLossDirectory struct {
@@ -29,7 +31,7 @@
 
 func isArchive(path string) bool { return strings.HasPrefix(filepath.Base(path), archiveFile) }
 
-// Names first learns of a file that bbolt made.
+// Names first follows what bbolt did.
 func (p *powerLossDirectory) Names(directory string) ([]string, error) {
 	if err := p.follow(); err != nil {
 		return nil, err
@@ -69,7 +71,7 @@
 
 // follow takes over what bbolt did to real files since the last call.
 func (p *powerLossDirectory) follow() error {
-	for _, name := range []string{archiveFile, archiveFile + newSuffix} {
+	for _, name := range []string{archiveFile, archiveFile + datafile.UnfinishedSuffix} {
 		path := filepath.Join(p.directory, name)
 		content, err := os.ReadFile(path)
 		if errors.Is(err, fs.ErrNotExist) {
@@ -167,7 +169,7 @@
 		if !isArchive(path) {
 			continue
 		}
-		if err := os.WriteFile(path, node.content, filePermission); err != nil {
+		if err := os.WriteFile(path, node.content, datafile.FilePermission); err != nil {
 			return err
 		}
 	}
--- a/internal/storage/powerfiles_test.go
+++ b/internal/storage/powerlossfiles_test.go
@@ -10,25 +10,27 @@
 	"path/filepath"
 	"slices"
 	"syscall"
+
+	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
-// powerLossFiles is a fileSystem in memory. It keeps what was synced apart from
+// powerLossFiles is a datafile.FileSystem in memory. It keeps what was synced apart from
 // what was not; at a power loss each unsynced write is kept, lost or torn, and
 // each unsynced change of a name kept or lost, by itself.
 type powerLossFiles struct {
 	random *rand.Rand
 	names  map[string]*powerLossNode
-	// durable are the names as of the last sync of the folder, or of the file
+	// durable are the names as of the last sync of the directory, or of the file
 	// for one that was made since.
 	durable map[string]*powerLossNode
 	// failAfter is the number of writes and syncs that still succeed; negative
 	// for all.
 	failAfter int
-	// full refuses new files, growth and writes, of which a part may be there; syncs
+	// full rejects new files, growth and writes, of which a part may be there; syncs
 	// and removals go on.
 	full bool
-	// syncs, folderSyncs and writes are counted.
-	syncs, folderSyncs, writes int
+	// syncs, directorySyncs and writes are counted.
+	syncs, directorySyncs, writes int
 }
 
 // powerLossNode is a file.
@@ -46,8 +48,8 @@
 }
 
 var (
-	_           fileSystem = (*powerLossFiles)(nil)
-	errPowerOff            = errors.New("the power is off")
+	_           datafile.FileSystem = (*powerLossFiles)(nil)
+	errPowerOff                     = errors.New("the power is off")
 )
 
 func newPowerFiles(seed uint64) *powerLossFiles {
@@ -76,7 +78,7 @@
 	return total
 }
 
-// growth is step for what a full disk refuses.
+// growth is step for what a full disk rejects.
 func (p *powerLossFiles) growth() error {
 	if p.full {
 		return syscall.ENOSPC
@@ -191,7 +193,7 @@
 	return content
 }
 
-func (p *powerLossFiles) Create(path string) (dataFile, error) {
+func (p *powerLossFiles) Create(path string) (datafile.File, error) {
 	if err := p.growth(); err != nil {
 		return nil, err
 	}
@@ -205,7 +207,7 @@
 	return &powerLossFile{files: p, path: path, node: p.names[path]}, nil
 }
 
-func (p *powerLossFiles) Open(path string) (dataFile, error) {
+func (p *powerLossFiles) Open(path string) (datafile.File, error) {
 	node := p.names[path]
 	if node == nil {
 		return nil, fmt.Errorf("open %s: %w", path, fs.ErrNotExist)
@@ -248,7 +250,7 @@
 	if err := p.step(); err != nil {
 		return err
 	}
-	p.folderSyncs++
+	p.directorySyncs++
 	p.durable = maps.Clone(p.names)
 	return nil
 }
--- a/internal/storage/snapshotfile.go
+++ b/internal/storage/snapshotfile.go
@@ -5,7 +5,6 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io"
 	"io/fs"
 	"path/filepath"
@@ -13,6 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"github.com/decklever/decklever/internal/raft"
+	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
 // A snapshot file is: magic, length of the meta (4 bytes), CRC-32C of the meta,
@@ -21,13 +21,14 @@
 const (
 	snapshotFile       = "snapshot"
 	snapshotMagic      = "DLSNAP01"
-	snapshotHeaderSize = len(snapshotMagic) + 4 + checksumSize
-	snapshotTailSize   = 8 + checksumSize
+	snapshotHeaderSize = len(snapshotMagic) + 4 + datafile.ChecksumSize
+	snapshotTailSize   = 8 + datafile.ChecksumSize
 	temporarySuffix    = ".tmp"
 )
 
-// writeSnapshotFile puts a snapshot in place of the old one, all or nothing.
-func writeSnapshotFile(files fileSystem, directory string, meta raft.SnapshotMeta, write func(io.Writer) error) (err error) {
+// writeSnapshotFile replaces the snapshot file, all or nothing: the new one is
+// durable under another name before it takes the name.
+func writeSnapshotFile(files datafile.FileSystem, directory string, meta raft.SnapshotMeta, write func(io.Writer) error) (err error) {
 	target := filepath.Join(directory, snapshotFile)
 	file, err := files.Create(target + temporarySuffix)
 	if err != nil {
@@ -54,6 +55,7 @@
 	return files.SyncDirectory(directory)
 }
 
+// writeSnapshotTo writes the content of a snapshot file.
 func writeSnapshotTo(file io.Writer, meta raft.SnapshotMeta, write func(io.Writer) error) error {
 	encoded, err := cbor.Marshal(meta)
 	if err != nil {
@@ -63,7 +65,7 @@
 	header := make([]byte, 0, snapshotHeaderSize+len(encoded))
 	header = append(header, snapshotMagic...)
 	header = binary.BigEndian.AppendUint32(header, uint32(len(encoded)))
-	header = binary.BigEndian.AppendUint32(header, crc32.Checksum(encoded, castagnoli))
+	header = binary.BigEndian.AppendUint32(header, datafile.Checksum(encoded))
 	header = append(header, encoded...)
 	if _, err := buffered.Write(header); err != nil {
 		return err
@@ -80,7 +82,7 @@
 	return buffered.Flush()
 }
 
-// checksumWriter counts and sums what passes through it.
+// checksumWriter computes length and checksum of what passes through it.
 type checksumWriter struct {
 	target io.Writer
 	length uint64
@@ -91,13 +93,13 @@
 func (w *checksumWriter) Write(data []byte) (int, error) {
 	n, err := w.target.Write(data)
 	w.length += uint64(n)
-	w.sum = crc32.Update(w.sum, castagnoli, data[:n])
+	w.sum = datafile.UpdateChecksum(w.sum, data[:n])
 	return n, err
 }
 
 // openSnapshotFile returns the meta and the section that holds the data. A
 // missing file is reported as fs.ErrNotExist.
-func openSnapshotFile(files fileSystem, directory string) (file dataFile, meta raft.SnapshotMeta, data *io.SectionReader, err error) {
+func openSnapshotFile(files datafile.FileSystem, directory string) (file datafile.File, meta raft.SnapshotMeta, data *io.SectionReader, err error) {
 	path := filepath.Join(directory, snapshotFile)
 	file, err = files.Open(path)
 	if err != nil {
@@ -111,44 +113,45 @@
 	return file, meta, data, nil
 }
 
-func readSnapshotHeader(name string, file dataFile) (meta raft.SnapshotMeta, data *io.SectionReader, err error) {
+// readSnapshotHeader verifies all but the data.
+func readSnapshotHeader(name string, file datafile.File) (meta raft.SnapshotMeta, data *io.SectionReader, err error) {
 	size, err := file.Size()
 	if err != nil {
 		return meta, nil, err
 	}
 	if size < int64(snapshotHeaderSize+snapshotTailSize) {
-		return meta, nil, corrupt(name, "only %d bytes long", size)
+		return meta, nil, datafile.Corrupt(name, "only %d bytes long", size)
 	}
 	header := make([]byte, snapshotHeaderSize)
 	if _, err := file.ReadAt(header, 0); err != nil {
 		return meta, nil, err
 	}
 	if string(header[:len(snapshotMagic)]) != snapshotMagic {
-		return meta, nil, corrupt(name, "starts with %q, expected %q", header[:len(snapshotMagic)], snapshotMagic)
+		return meta, nil, datafile.Corrupt(name, "starts with %q, expected %q", header[:len(snapshotMagic)], snapshotMagic)
 	}
 	metaLength := int64(binary.BigEndian.Uint32(header[len(snapshotMagic):]))
 	dataStart := int64(snapshotHeaderSize) + metaLength
 	dataLength := size - dataStart - int64(snapshotTailSize)
 	if dataLength < 0 {
-		return meta, nil, corrupt(name, "meta of %d bytes does not fit in %d", metaLength, size)
+		return meta, nil, datafile.Corrupt(name, "meta of %d bytes does not fit in %d", metaLength, size)
 	}
 	encoded := make([]byte, metaLength)
 	if _, err := file.ReadAt(encoded, int64(snapshotHeaderSize)); err != nil {
 		return meta, nil, err
 	}
 	want := binary.BigEndian.Uint32(header[len(snapshotMagic)+4:])
-	if got := crc32.Checksum(encoded, castagnoli); got != want {
-		return meta, nil, corrupt(name, "meta has checksum %08x, expected %08x", got, want)
+	if got := datafile.Checksum(encoded); got != want {
+		return meta, nil, datafile.Corrupt(name, "meta has checksum %08x, expected %08x", got, want)
 	}
 	if err := cbor.Unmarshal(encoded, &meta); err != nil {
-		return meta, nil, corrupt(name, "meta: %v", err)
+		return meta, nil, datafile.Corrupt(name, "meta: %v", err)
 	}
 	return meta, io.NewSectionReader(file, dataStart, dataLength), nil
 }
 
-// readSnapshotFile reads and checks the whole snapshot; ok is false if there
+// readSnapshotFile reads and verifies the complete snapshot; ok is false if there
 // is none.
-func readSnapshotFile(files fileSystem, directory string) (meta raft.SnapshotMeta, content []byte, ok bool, err error) {
+func readSnapshotFile(files datafile.FileSystem, directory string) (meta raft.SnapshotMeta, content []byte, ok bool, err error) {
 	path := filepath.Join(directory, snapshotFile)
 	file, meta, data, err := openSnapshotFile(files, directory)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -168,11 +171,11 @@
 		return meta, nil, false, fmt.Errorf("read snapshot: %w", err)
 	}
 	if length := binary.BigEndian.Uint64(tail); length != uint64(dataLength) {
-		return meta, nil, false, corrupt(path, "data is %d bytes, expected %d", dataLength, length)
+		return meta, nil, false, datafile.Corrupt(path, "data is %d bytes, expected %d", dataLength, length)
 	}
 	want := binary.BigEndian.Uint32(tail[8:])
-	if got := crc32.Checksum(content, castagnoli); got != want {
-		return meta, nil, false, corrupt(path, "data has checksum %08x, expected %08x", got, want)
+	if got := datafile.Checksum(content); got != want {
+		return meta, nil, false, datafile.Corrupt(path, "data has checksum %08x, expected %08x", got, want)
 	}
 	return meta, content, true, nil
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -13,6 +13,8 @@
 
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/record"
+	"github.com/decklever/decklever/internal/storage/datafile"
+	"github.com/decklever/decklever/internal/storage/wal"
 )
 
 func entries(first, last, term uint64) []raft.Entry {
@@ -48,7 +50,7 @@
 	return func(w io.Writer) error { _, err := io.WriteString(w, text); return err }
 }
 
-// forEachStore runs a test on both stores; reopen starts anew on the same data.
+// forEachStore runs a test on both stores; reopen starts again on the same data.
 func forEachStore(t *testing.T, test func(t *testing.T, s Store, reopen func() Store)) {
 	t.Run("disk", func(t *testing.T) {
 		directory := t.TempDir()
@@ -66,7 +68,7 @@
 	})
 }
 
-func TestStore_RoundTripAndReplacedSuffix(t *testing.T) {
+func TestStore_RoundTripAndRelistedSuffix(t *testing.T) {
 	forEachStore(t, func(t *testing.T, s Store, reopen func() Store) {
 		id := s.ReplicaID()
 		if len(id) != 16 || strings.Trim(string(id), "0123456789abcdef") != "" {
@@ -121,7 +123,7 @@
 		if !ok || string(content) != "state at 50" || !cmp.Equal(gotMeta, newer) {
 			t.Fatalf("opened %v %q %+v", ok, content, gotMeta)
 		}
-		requireNoError(t, s.SaveSnapshot(raft.SnapshotMeta{Index: 9, Term: 1}, 0, writeText("late"))) // passed over
+		requireNoError(t, s.SaveSnapshot(raft.SnapshotMeta{Index: 9, Term: 1}, 0, writeText("late"))) // ignored
 		requireNoError(t, s.Save(nil, entries(51, 52, 3), true))
 		if got := len(loadState(t, reopen()).Entries); got != 2 {
 			t.Fatalf("%d entries follow the installed snapshot, want 2", got)
@@ -134,7 +136,7 @@
 	d := openStore(t, directory)
 	requireNoError(t, d.Save(&raft.HardState{Term: 1, Commit: 2}, entries(1, 3, 1), true))
 	meta := raft.SnapshotMeta{Index: 40, Term: 2}
-	requireNoError(t, writeSnapshotFile(systemFiles{}, directory, meta, writeText("state")))
+	requireNoError(t, writeSnapshotFile(datafile.OS{}, directory, meta, writeText("state")))
 	requireNoError(t, d.Close())
 	d = openStore(t, directory)
 	if loaded := loadState(t, d); len(loaded.Entries) != 0 || loaded.Snapshot.Index != 40 {
@@ -147,7 +149,22 @@
 	requireNoError(t, d.Close())
 }
 
-// flipByte inverts a bit of the one place in a file where text stands.
+// TestInstallSnapshot_BeforeEndOfLogDropsIt: the leader's snapshot replaces a log
+// that went on behind it with entries that the leader does not have.
+func TestInstallSnapshot_BeforeEndOfLogDropsIt(t *testing.T) {
+	forEachStore(t, func(t *testing.T, s Store, reopen func() Store) {
+		requireNoError(t, s.Save(&raft.HardState{Term: 1}, entries(1, 10, 1), true))
+		meta := raft.SnapshotMeta{Index: 5, Term: 2}
+		requireNoError(t, s.InstallSnapshot(meta, strings.NewReader("state at 5")))
+		s = reopen()
+		want := LoadedState{HardState: raft.HardState{Term: 1}, Snapshot: meta, SnapshotData: []byte("state at 5")}
+		if diff := cmp.Diff(want, loadState(t, s)); diff != "" {
+			t.Fatal(diff)
+		}
+	})
+}
+
+// flipByte inverts a bit of the text wherever it is in a file.
 func flipByte(t *testing.T, path, text string) {
 	t.Helper()
 	content, err := os.ReadFile(path)
@@ -165,7 +182,7 @@
 	if !found {
 		t.Fatalf("%q is not in %s", text, path)
 	}
-	requireNoError(t, os.WriteFile(path, content, filePermission))
+	requireNoError(t, os.WriteFile(path, content, datafile.FilePermission))
 }
 
 func TestOpen_DamageRejected(t *testing.T) {
@@ -180,7 +197,7 @@
 			requireNoError(t, os.Truncate(filepath.Join(directory, name), size))
 		}
 	}
-	logFile := segmentName(firstSegment)
+	logFile := wal.SegmentName(wal.FirstSegment)
 	cases := map[string]struct {
 		file   string
 		damage func(t *testing.T, directory, id string)
@@ -191,9 +208,9 @@
 		"snapshot meta":   {snapshotFile, flipIn(snapshotFile, "machine-one")},
 		"snapshot short":  {snapshotFile, truncate(snapshotFile, 90)},
 		"log cut short":   {logFile, truncate(logFile, 8192)},
-		"log cut a byte":  {logFile, truncate(logFile, defaultSegmentSize-1)},
+		"log cut a byte":  {logFile, truncate(logFile, wal.DefaultSegmentSize-1)},
 		"log cut amid":    {logFile, truncate(logFile, 300)},
-		"log too long":    {logFile, truncate(logFile, defaultSegmentSize+1)},
+		"log too long":    {logFile, truncate(logFile, wal.DefaultSegmentSize+1)},
 		"log empty":       {logFile, truncate(logFile, 0)},
 		"log missing":     {logFile, remove(logFile)},
 		"snapshot gone":   {snapshotFile, remove(snapshotFile)},
--- a/internal/storage/types.go
+++ b/internal/storage/types.go
@@ -6,46 +6,52 @@
 
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/record"
+	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
-// Errors of stores.
+// Errors of stores. Callers compare with errors.Is.
 var (
-	// ErrCorrupt: a checksum or a shape is wrong; the process must not start.
-	ErrCorrupt = errors.New("storage: data folder is corrupt")
-	// ErrEarlierFormat: the folder holds the log of an earlier version, which
-	// this one does not read; the replica has to join anew, with an empty one.
+	// ErrCorrupt is wrapped by every datafile.CorruptError: a file is damaged, and
+	// the process must not start.
+	ErrCorrupt = datafile.ErrCorrupt
+	// ErrEarlierFormat is returned for a directory with the log of an earlier
+	// version, which this one does not read: the replica has to join again, with an
+	// empty directory.
 	ErrEarlierFormat = errors.New("storage: data folder is of an earlier version; empty it to join again")
-	// ErrNoSpace: the disk is full, and nothing of what was to be saved was taken. The
-	// same may be saved again once there is room.
-	ErrNoSpace = errors.New("storage: no room on the disk")
-	// ErrLocked: another process has the folder open.
+	// ErrNoSpace is returned when the disk is full: nothing of what was to be
+	// saved counts, and the same may be saved again once there is space.
+	ErrNoSpace = datafile.ErrNoSpace
+	// ErrLocked is returned for a directory that another process has open.
 	ErrLocked = errors.New("storage: data folder is in use by another process")
 )
 
-// Store is a replica's durable state. Save returns once everything is synced;
-// a store whose Save failed with any error but ErrNoSpace must not be used again.
+// Store is a replica's durable state. Its methods may be called concurrently.
+// After an error of Save other than ErrNoSpace it must not be used again: what
+// the files hold is unknown.
 type Store interface {
-	// ReplicaID is drawn when the folder is made.
+	// ReplicaID is drawn at random when the directory is created.
 	ReplicaID() raft.ReplicaID
-	// Empty reports that nothing was ever saved.
+	// Empty reports whether nothing was ever saved.
 	Empty() bool
-	// Load reads all back and checks it.
+	// Load reads and verifies everything. It fails with ErrCorrupt.
 	Load() (LoadedState, error)
-	// Save writes hard state (nil: unchanged) and entries, which replace all
-	// held from their first index on, with one sync when sync is true.
+	// Save writes the hard state (nil: unchanged) and entries, which replace all
+	// stored ones from the index of the first on. With sync it returns once they
+	// are durable, with all that was saved before.
 	Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error
-	// SaveSnapshot replaces the snapshot by what write produces and forgets
-	// entries up to meta.Index; keepEntries of them stay, for followers that
+	// SaveSnapshot replaces the snapshot by what write produces and discards the
+	// entries up to meta.Index; up to keepEntries of them stay, for followers that
 	// lag a little. It is all or nothing.
 	SaveSnapshot(meta raft.SnapshotMeta, keepEntries uint64, write func(io.Writer) error) error
-	// InstallSnapshot is SaveSnapshot for a snapshot from the leader: the
-	// whole log is dropped.
+	// InstallSnapshot is SaveSnapshot for a snapshot from the leader: the whole
+	// log is dropped.
 	InstallSnapshot(meta raft.SnapshotMeta, data io.Reader) error
-	// OpenSnapshot returns the newest snapshot, for sending; ok is false if
-	// there is none.
+	// OpenSnapshot returns the newest snapshot, for sending; ok is false if there
+	// is none.
 	OpenSnapshot() (meta raft.SnapshotMeta, data io.ReadCloser, ok bool, err error)
-	// Archive is the store of ended jobs in the same folder.
+	// Archive returns the store of ended jobs in the same directory.
 	Archive() record.Archive
+	// Close writes what is pending and closes the files.
 	Close() error
 }
 
@@ -55,7 +61,7 @@
 	Snapshot  raft.SnapshotMeta
 	// SnapshotData is nil if there is no snapshot.
 	SnapshotData []byte
-	// Entries are every held entry, oldest first; some may lie before
+	// Entries are all stored ones, oldest first; some may be from before
 	// Snapshot.Index.
 	Entries []raft.Entry
 }
--- a/internal/storage/walpayload.go
+++ b/internal/storage/wal/batch.go
@@ -1,4 +1,4 @@
-package storage
+package wal
 
 import (
 	"encoding/binary"
@@ -20,19 +20,19 @@
 	ReplicaID raft.ReplicaID `cbor:"1,keyasint"`
 	Segment   uint64         `cbor:"2,keyasint"`
 	// Size is the length of the file, in bytes. It is durable before the
-	// header is written, so a shorter file was cut.
-	Size  int64    `cbor:"3,keyasint"`
-	State walState `cbor:"4,keyasint"`
+	// header is written, so a shorter file was truncated.
+	Size  int64 `cbor:"3,keyasint"`
+	State State `cbor:"4,keyasint"`
 }
 
-// walState is what the records up to a place amount to, the entries aside.
-type walState struct {
+// State is what the records up to some offset amount to, the entries aside.
+type State struct {
 	HardState raft.HardState `cbor:"1,keyasint"`
 	// SnapshotIndex and SnapshotTerm name the snapshot that must be there, or
 	// a newer one; zero if none was taken.
 	SnapshotIndex uint64 `cbor:"2,keyasint"`
 	SnapshotTerm  uint64 `cbor:"3,keyasint"`
-	// FirstIndex: entries before it are forgotten.
+	// FirstIndex: entries before it are discarded.
 	FirstIndex uint64 `cbor:"4,keyasint"`
 	// LastIndex is the last entry, or the snapshot's if there is none after.
 	LastIndex uint64 `cbor:"5,keyasint"`
@@ -43,18 +43,21 @@
 	ArchiveTransaction uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// snapshotRecord says that a snapshot is durable, and what it replaces.
-type snapshotRecord struct {
-	Index        uint64 `cbor:"1,keyasint"`
-	Term         uint64 `cbor:"2,keyasint"`
+// SnapshotRecord says that a snapshot is durable, and what it replaces.
+type SnapshotRecord struct {
+	// Index and Term are those of the snapshot's last entry.
+	Index uint64 `cbor:"1,keyasint"`
+	Term  uint64 `cbor:"2,keyasint"`
+	// FirstIndex and FirstSegment are the oldest that are needed from now on.
 	FirstIndex   uint64 `cbor:"3,keyasint"`
 	FirstSegment uint64 `cbor:"4,keyasint"`
 	// DropLog: no entry from before this record is left.
-	DropLog            bool   `cbor:"5,keyasint,omitempty"`
+	DropLog bool `cbor:"5,keyasint,omitempty"`
+	// ArchiveTransaction is as in State.
 	ArchiveTransaction uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-func (s *walState) applySnapshot(snapshot snapshotRecord) {
+func (s *State) applySnapshot(snapshot SnapshotRecord) {
 	s.SnapshotIndex, s.SnapshotTerm = snapshot.Index, snapshot.Term
 	s.FirstIndex, s.FirstSegment = snapshot.FirstIndex, snapshot.FirstSegment
 	s.ArchiveTransaction = snapshot.ArchiveTransaction
@@ -64,25 +67,33 @@
 	}
 }
 
-// walBatch is what one append writes, all or nothing.
-type walBatch struct {
-	snapshot  *snapshotRecord // encoded as snapshotPayload
-	hardState *raft.HardState
-	entries   []raft.Entry
-	closed    bool
+// Batch is what one Append writes, all or nothing.
+type Batch struct {
+	// HardState is nil if it is unchanged.
+	HardState *raft.HardState
+	// Entries replace all from the index of the first on.
+	Entries []raft.Entry
 
+	// snapshot is encoded as snapshotPayload.
+	snapshot        *SnapshotRecord
 	snapshotPayload []byte
+	// closed: the log is closed in order.
+	closed bool
 }
 
-func newSnapshotBatch(snapshot snapshotRecord) (walBatch, error) {
+// NewSnapshotBatch returns a batch of one snapshot record.
+func NewSnapshotBatch(snapshot SnapshotRecord) (Batch, error) {
 	payload, err := cbor.Marshal(snapshot)
-	return walBatch{snapshot: &snapshot, snapshotPayload: payload}, err
+	return Batch{snapshot: &snapshot, snapshotPayload: payload}, err
 }
 
+// Empty reports whether there is nothing to write.
+func (b Batch) Empty() bool { return b.records() == 0 }
+
 // records counts the records.
-func (b walBatch) records() int {
-	count := len(b.entries)
-	for _, present := range []bool{b.snapshot != nil, b.hardState != nil, b.closed} {
+func (b Batch) records() int {
+	count := len(b.Entries)
+	for _, present := range []bool{b.snapshot != nil, b.HardState != nil, b.closed} {
 		if present {
 			count++
 		}
@@ -90,36 +101,36 @@
 	return count
 }
 
-// size is the length of the batch in the log, in bytes.
-func (b walBatch) size() int64 {
+// size is the length of the encoded batch, in bytes.
+func (b Batch) size() int64 {
 	size := int64(b.records()*recordHeaderSize + len(b.snapshotPayload))
-	if b.hardState != nil {
-		size += int64(hardStateHeaderSize + len(b.hardState.VotedFor))
+	if b.HardState != nil {
+		size += int64(hardStateHeaderSize + len(b.HardState.VotedFor))
 	}
-	for _, entry := range b.entries {
+	for _, entry := range b.Entries {
 		size += int64(entryHeaderSize + len(entry.Data))
 	}
 	return size
 }
 
 // encode appends the batch, whose first record gets the sequence.
-func (b walBatch) encode(buffer []byte, sequence, synced uint64) []byte {
+func (b Batch) encode(buffer []byte, sequence, synced uint64) []byte {
 	last := sequence + uint64(b.records()) - 1
 	add := func(kind recordType, payload func([]byte) []byte) {
 		var start int
 		buffer, start = beginRecord(buffer)
 		buffer = payload(buffer)
-		endRecord(buffer, start, walRecord{Sequence: sequence, Synced: synced, Type: kind, End: sequence == last})
+		endRecord(buffer, start, logRecord{Sequence: sequence, Synced: synced, Type: kind, End: sequence == last})
 		sequence++
 	}
 	if b.snapshot != nil {
 		add(recordTypeSnapshot, func(to []byte) []byte { return append(to, b.snapshotPayload...) })
 	}
-	if b.hardState != nil {
-		add(recordTypeHardState, func(to []byte) []byte { return appendHardState(to, *b.hardState) })
+	if b.HardState != nil {
+		add(recordTypeHardState, func(to []byte) []byte { return appendHardState(to, *b.HardState) })
 	}
-	for i := range b.entries {
-		add(recordTypeEntry, func(to []byte) []byte { return appendEntry(to, &b.entries[i]) })
+	for i := range b.Entries {
+		add(recordTypeEntry, func(to []byte) []byte { return appendEntry(to, &b.Entries[i]) })
 	}
 	if b.closed {
 		add(recordTypeClosed, func(to []byte) []byte { return to })
@@ -128,15 +139,15 @@
 }
 
 // applyTo brings a state to what it is after the batch.
-func (b walBatch) applyTo(state *walState) {
+func (b Batch) applyTo(state *State) {
 	if b.snapshot != nil {
 		state.applySnapshot(*b.snapshot)
 	}
-	if b.hardState != nil {
-		state.HardState = *b.hardState
+	if b.HardState != nil {
+		state.HardState = *b.HardState
 	}
-	if n := len(b.entries); n > 0 {
-		state.LastIndex = b.entries[n-1].Index
+	if n := len(b.Entries); n > 0 {
+		state.LastIndex = b.Entries[n-1].Index
 	}
 }
 
@@ -164,7 +175,7 @@
 	return append(buffer, entry.Data...)
 }
 
-// decodeEntry copies the data.
+// decodeEntry copies the data, so that the content of a segment can be freed.
 func decodeEntry(payload []byte) (entry raft.Entry, ok bool) {
 	if len(payload) < entryHeaderSize {
 		return entry, false
--- a/internal/storage/walrecord.go
+++ b/internal/storage/wal/record.go
@@ -1,8 +1,9 @@
-package storage
+package wal
 
 import (
 	"encoding/binary"
-	"hash/crc32"
+
+	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
 // A record of the write-ahead log is: length of the payload (4 bytes), CRC-32C
@@ -10,10 +11,11 @@
 // end of batch (1), payload. Numbers are big-endian.
 const (
 	lengthSize       = 4
-	recordHeaderSize = lengthSize + checksumSize + 8 + 8 + 1 + 1
+	recordHeaderSize = lengthSize + datafile.ChecksumSize + 8 + 8 + 1 + 1
 )
 
-// recordType tells what a payload is. Numbers are never used again.
+// recordType says what a payload is. The numbers are part of the stored format
+// and are never reused.
 type recordType byte
 
 const (
@@ -21,17 +23,17 @@
 	recordTypeSegment recordType = 1
 	// recordTypeHardState is a raft.HardState.
 	recordTypeHardState recordType = 2
-	// recordTypeEntry is a raft.Entry, in place of all held from its index on.
+	// recordTypeEntry is a raft.Entry, in place of all from its index on.
 	recordTypeEntry recordType = 3
-	// recordTypeSnapshot is a snapshotRecord.
+	// recordTypeSnapshot is a SnapshotRecord.
 	recordTypeSnapshot recordType = 4
 	// recordTypeClosed ends a log that was closed in order, so that damage to the
-	// record before it is told apart from a torn write.
+	// record before it is distinguished from a torn write.
 	recordTypeClosed recordType = 5
 )
 
-// walRecord is one record.
-type walRecord struct {
+// logRecord is one record of the log. Its Payload is decoded by type (batch.go).
+type logRecord struct {
 	// Sequence numbers all records of a log, through all segments.
 	Sequence uint64
 	// Synced is the newest record that was known to be durable when this one
@@ -39,7 +41,7 @@
 	// torn write.
 	Synced uint64
 	Type   recordType
-	// End marks the last record of a batch. A batch counts whole or not at all.
+	// End marks the last record of a batch. A batch counts completely or not at all.
 	End     bool
 	Payload []byte
 }
@@ -53,7 +55,7 @@
 
 // endRecord fills in the header of the record that starts there and ends with
 // the buffer. Its Payload is not used.
-func endRecord(buffer []byte, start int, record walRecord) {
+func endRecord(buffer []byte, start int, record logRecord) {
 	header := buffer[start:]
 	binary.BigEndian.PutUint32(header, uint32(len(header)-recordHeaderSize))
 	binary.BigEndian.PutUint64(header[8:], record.Sequence)
@@ -67,22 +69,22 @@
 }
 
 func recordChecksum(encoded []byte) uint32 {
-	sum := crc32.Checksum(encoded[:lengthSize], castagnoli)
-	return crc32.Update(sum, castagnoli, encoded[lengthSize+checksumSize:])
+	sum := datafile.Checksum(encoded[:lengthSize])
+	return datafile.UpdateChecksum(sum, encoded[lengthSize+datafile.ChecksumSize:])
 }
 
 // decodeRecord reads the record that content starts with; its Payload shares
-// memory with content. ok is false if there is none that checks.
-func decodeRecord(content []byte) (record walRecord, size int, ok bool) {
+// memory with content. ok is false if there is no valid one.
+func decodeRecord(content []byte) (record logRecord, size int, ok bool) {
 	if len(content) < recordHeaderSize {
-		return walRecord{}, 0, false
+		return logRecord{}, 0, false
 	}
 	length := uint64(binary.BigEndian.Uint32(content))
 	if length > uint64(len(content)-recordHeaderSize) {
-		return walRecord{}, 0, false
+		return logRecord{}, 0, false
 	}
 	size = recordHeaderSize + int(length)
-	record = walRecord{
+	record = logRecord{
 		Sequence: binary.BigEndian.Uint64(content[8:]),
 		Synced:   binary.BigEndian.Uint64(content[16:]),
 		Type:     recordType(content[24]),
@@ -90,28 +92,28 @@
 		Payload:  content[recordHeaderSize:size],
 	}
 	if record.Type < recordTypeSegment || record.Type > recordTypeClosed || content[25] > 1 || record.Synced >= record.Sequence {
-		return walRecord{}, 0, false
+		return logRecord{}, 0, false
 	}
 	if binary.BigEndian.Uint32(content[lengthSize:]) != recordChecksum(content[:size]) {
-		return walRecord{}, 0, false
+		return logRecord{}, 0, false
 	}
 	return record, size, true
 }
 
 // nextRecord is decodeRecord for the record that must follow in sequence.
-func nextRecord(content []byte, sequence uint64) (record walRecord, size int, ok bool) {
+func nextRecord(content []byte, sequence uint64) (record logRecord, size int, ok bool) {
 	if len(content) < recordHeaderSize || binary.BigEndian.Uint64(content[8:]) != sequence {
-		return walRecord{}, 0, false
+		return logRecord{}, 0, false
 	}
 	return decodeRecord(content)
 }
 
-// provesSynced tells whether content holds, at any place, a later record that
+// provesSynced reports whether content has, at any offset, a later record that
 // names the one of that sequence as durable.
 func provesSynced(content []byte, sequence uint64) bool {
 	last := sequence + uint64(len(content))
 	for ; len(content) >= recordHeaderSize; content = content[1:] {
-		// The cheap checks go first: most places are no record.
+		// The cheap checks go first: at most offsets there is no record.
 		if synced := binary.BigEndian.Uint64(content[16:]); synced < sequence || synced > last {
 			continue
 		}
--- a/internal/storage/walreplay.go
+++ b/internal/storage/wal/replay.go
@@ -1,52 +1,60 @@
-package storage
+package wal
 
 import (
 	"fmt"
-	"log/slog"
 	"path/filepath"
 	"slices"
 
 	"github.com/fxamacker/cbor/v2"
 
 	"github.com/decklever/decklever/internal/raft"
+	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
-// replay reads a log from its files.
+// replay reads a log from its files. readAll changes nothing; repair then makes
+// the files be what was read.
 type replay struct {
-	files     fileSystem
-	directory string
-	logger    *slog.Logger
+	config Config
 
 	id       raft.ReplicaID
-	state    walState
+	state    State
 	entries  []raft.Entry
 	segments []segment
 	// next is the sequence of the record that follows.
 	next uint64
-	// closedCleanly: the newest record is a mark of closing.
+	// closedCleanly: the newest record says that the log was closed in order.
 	closedCleanly bool
-	// tail is what is wrong behind the end of the newest segment; nil if
-	// nothing is.
-	tail *tornTail
-	// end is where the newest segment is to be written on.
+	// end is the offset at which the newest segment is appended to.
 	end int64
-	// obsolete are segments that are not needed; torn is a newest one that
-	// was being made, 0 if there is none.
-	obsolete   []uint64
+	// tail is what a torn write left behind that; nil if it is all zeros.
+	tail *tornTail
+	// obsolete are the segments before the oldest needed one.
+	obsolete []uint64
+	// unfinished is the segment that was being created when the power failed; 0
+	// if there is none.
 	unfinished uint64
 }
 
-// tornTail is the place of unsynced bytes that do not check.
+// tornTail is a range of unsynced bytes that are no valid batch.
 type tornTail struct {
 	start, end int64
 }
 
 func (r *replay) path(number uint64) string {
-	return filepath.Join(r.directory, segmentName(number))
+	return filepath.Join(r.config.Directory, SegmentName(number))
 }
 
-// readAll reads everything and changes nothing. numbers are not empty.
-func (r *replay) readAll(numbers []uint64) error {
+func (r *replay) newest() *segment { return &r.segments[len(r.segments)-1] }
+
+// readAll reads all segments that are needed and changes nothing.
+func (r *replay) readAll() error {
+	numbers, err := SegmentNumbers(r.config.Files, r.config.Directory)
+	if err != nil {
+		return err
+	}
+	if len(numbers) == 0 {
+		return datafile.Corrupt(r.path(FirstSegment), "missing")
+	}
 	newest, err := r.findNewest(numbers)
 	if err != nil {
 		return err
@@ -55,7 +63,7 @@
 		return err
 	}
 	for number := newest.oldestNeeded; number < newest.number(); number++ {
-		older, err := readSegment(r.files, r.directory, number)
+		older, err := readSegment(r.config.Files, r.config.Directory, number)
 		if err != nil {
 			return err
 		}
@@ -67,31 +75,31 @@
 		return err
 	}
 	if provesSynced(newest.unfinished, r.next) {
-		return corrupt(r.path(r.unfinished), "does not start with a whole segment header, though it was synced")
+		return datafile.Corrupt(r.path(r.unfinished), "does not start with a whole segment header, though it was synced")
 	}
 	return nil
 }
 
-// newestSegment is the newest segment with a whole header.
+// newestSegment is the newest segment with a complete header.
 type newestSegment struct {
-	// numbers are its own, which is the last, and those of all older ones.
+	// numbers has its own, which is the last, and those of all older ones.
 	numbers []uint64
 	content []byte
-	// firstNeeded is the oldest segment that is still needed.
+	// oldestNeeded is the oldest segment that is still needed.
 	oldestNeeded uint64
-	// unfinished is what there is of the segment after it, if that one was being
-	// made when the power failed.
+	// unfinished is the content of the segment after it, if that one was being
+	// created when the power failed.
 	unfinished []byte
 }
 
 func (s newestSegment) number() uint64 { return s.numbers[len(s.numbers)-1] }
 
-// findNewest finds the newest segment with a whole header. A newer one was being
-// made when the power failed: this one is whole then, and shows later whether
-// that one was ever synced.
+// findNewest finds the newest segment with a complete header. A newer one was
+// being created when the power failed: this one is complete then, and its records
+// show whether the newer one was ever synced.
 func (r *replay) findNewest(numbers []uint64) (newestSegment, error) {
-	newest, whole, err := r.readHeader(numbers)
-	if err != nil || whole {
+	newest, complete, err := r.readHeader(numbers)
+	if err != nil || complete {
 		return newest, err
 	}
 	older := numbers[:len(numbers)-1]
@@ -100,33 +108,34 @@
 	}
 	r.unfinished = newest.number()
 	unfinished := newest.content
-	newest, whole, err = r.readHeader(older)
-	if err == nil && !whole {
+	newest, complete, err = r.readHeader(older)
+	if err == nil && !complete {
 		err = r.errMissingHeader(newest.number())
 	}
 	newest.unfinished = unfinished
 	return newest, err
 }
 
-// readHeader reads the last of the segments; whole tells whether its header is.
-func (r *replay) readHeader(numbers []uint64) (last newestSegment, whole bool, err error) {
+// readHeader reads the last of the segments; complete reports whether its header
+// is.
+func (r *replay) readHeader(numbers []uint64) (last newestSegment, complete bool, err error) {
 	last.numbers = numbers
-	if last.content, err = readSegment(r.files, r.directory, last.number()); err != nil {
+	if last.content, err = readSegment(r.config.Files, r.config.Directory, last.number()); err != nil {
 		return last, false, err
 	}
-	last.oldestNeeded, whole = oldestNeededSegment(last.content)
-	return last, whole, nil
+	last.oldestNeeded, complete = oldestNeededSegment(last.content)
+	return last, complete, nil
 }
 
 func (r *replay) errMissingHeader(number uint64) error {
-	return corrupt(r.path(number), "does not start with a whole segment header")
+	return datafile.Corrupt(r.path(number), "does not start with a whole segment header")
 }
 
-// checkNeeded returns the segments before first, and refuses a gap from there on.
+// checkNeeded returns the segments before first, and rejects a gap from there on.
 func (r *replay) checkNeeded(numbers []uint64, first, newest uint64) (obsolete []uint64, err error) {
 	for number := first; number <= newest; number++ {
 		if !slices.Contains(numbers, number) {
-			return nil, corrupt(r.path(number), "missing")
+			return nil, datafile.Corrupt(r.path(number), "missing")
 		}
 	}
 	for _, number := range numbers {
@@ -145,12 +154,13 @@
 		return err
 	}
 	if !allZero(content[result.end:]) {
-		return corrupt(r.path(number), "record %d at offset %d does not check", result.bad, result.end)
+		return datafile.Corrupt(r.path(number), "record %d at offset %d does not check", result.bad, result.end)
 	}
 	return nil
 }
 
-// readNewest cuts what was not synced, and refuses anything else that is bad.
+// readNewest finds the end of what was synced. Invalid bytes behind it are a torn
+// write, unless a later record proves that they were durable.
 func (r *replay) readNewest(number uint64, content []byte) error {
 	result, err := r.read(number, content)
 	if err != nil {
@@ -159,7 +169,7 @@
 	rest := content[result.end:]
 	if !allZero(rest) {
 		if provesSynced(rest, result.bad) {
-			return corrupt(r.path(number), "record %d, in the batch at offset %d, does not check, though it was synced", result.bad, result.end)
+			return datafile.Corrupt(r.path(number), "record %d, in the batch at offset %d, does not check, though it was synced", result.bad, result.end)
 		}
 		end := len(rest)
 		for rest[end-1] == 0 {
@@ -171,14 +181,15 @@
 	return nil
 }
 
+// read replays the batches of one segment.
 func (r *replay) read(number uint64, content []byte) (scanResult, error) {
 	r.segments = append(r.segments, segment{number: number, size: int64(len(content))})
 	opened := false
-	result, err := scanBatches(content, r.next, func(batch []walRecord) error {
+	result, err := scanBatches(content, r.next, func(batch []logRecord) error {
 		for i, record := range batch {
-			// The header stands first, and nowhere else.
+			// The header is the first record, and no other.
 			if (record.Type == recordTypeSegment) == (opened || i > 0) {
-				return corrupt(r.path(number), "record %d of type %d is out of place", record.Sequence, record.Type)
+				return datafile.Corrupt(r.path(number), "record %d of type %d is out of place", record.Sequence, record.Type)
 			}
 			opened = true
 			if err := r.apply(number, content, record); err != nil {
@@ -191,13 +202,14 @@
 		return result, err
 	}
 	if !opened {
-		return result, corrupt(r.path(number), "does not start with segment header %d", r.next)
+		return result, datafile.Corrupt(r.path(number), "does not start with segment header %d", r.next)
 	}
 	r.next = result.next
 	return result, nil
 }
 
-func (r *replay) apply(number uint64, content []byte, record walRecord) error {
+// apply adds one record to the state.
+func (r *replay) apply(number uint64, content []byte, record logRecord) error {
 	ok := true
 	r.closedCleanly = record.Type == recordTypeClosed
 	switch record.Type {
@@ -214,7 +226,7 @@
 			r.addEntry(entry)
 		}
 	case recordTypeSnapshot:
-		var snapshot snapshotRecord
+		var snapshot SnapshotRecord
 		if ok = decodeInto(record.Payload, &snapshot); ok {
 			r.state.applySnapshot(snapshot)
 			r.discardBefore(snapshot)
@@ -222,25 +234,25 @@
 	case recordTypeClosed:
 	}
 	if !ok {
-		return corrupt(r.path(number), "record %d of type %d cannot be decoded", record.Sequence, record.Type)
+		return datafile.Corrupt(r.path(number), "record %d of type %d cannot be decoded", record.Sequence, record.Type)
 	}
 	return nil
 }
 
-// openSegment checks the header against what the records before it say.
-func (r *replay) openSegment(number uint64, content []byte, record walRecord) error {
+// openSegment checks the header against the records before it.
+func (r *replay) openSegment(number uint64, content []byte, record logRecord) error {
 	var header segmentHeader
 	if !decodeInto(record.Payload, &header) {
-		return corrupt(r.path(number), "segment header cannot be decoded")
+		return datafile.Corrupt(r.path(number), "segment header cannot be decoded")
 	}
 	if header.Segment != number {
-		return corrupt(r.path(number), "is segment %d by its header", header.Segment)
+		return datafile.Corrupt(r.path(number), "is segment %d by its header", header.Segment)
 	}
 	if header.Size != int64(len(content)) {
-		return corrupt(r.path(number), "is %d bytes long, expected %d", len(content), header.Size)
+		return datafile.Corrupt(r.path(number), "is %d bytes long, expected %d", len(content), header.Size)
 	}
 	if len(r.segments) > 1 && (header.State != r.state || header.ReplicaID != r.id) {
-		return corrupt(r.path(number), "does not go on from segment %d", number-1)
+		return datafile.Corrupt(r.path(number), "does not go on from segment %d", number-1)
 	}
 	r.id, r.state = header.ReplicaID, header.State
 	return nil
@@ -248,8 +260,7 @@
 
 // addEntry puts an entry in place of all from its index on.
 func (r *replay) addEntry(entry raft.Entry) {
-	newest := &r.segments[len(r.segments)-1]
-	newest.last = max(newest.last, entry.Index)
+	r.newest().last = max(r.newest().last, entry.Index)
 	r.state.LastIndex = entry.Index
 	for n := len(r.entries); n > 0 && r.entries[n-1].Index >= entry.Index; n-- {
 		r.entries = r.entries[:n-1]
@@ -259,7 +270,8 @@
 	}
 }
 
-func (r *replay) discardBefore(snapshot snapshotRecord) {
+// discardBefore drops the entries that a snapshot replaces.
+func (r *replay) discardBefore(snapshot SnapshotRecord) {
 	if snapshot.DropLog {
 		r.entries = nil
 		return
@@ -273,12 +285,12 @@
 
 // repair makes the files be what was read, and what was read durable: a killed
 // process may have left bytes and names that only the machine's memory holds.
-func (r *replay) repair(newest dataFile) error {
+func (r *replay) repair(newest datafile.File) error {
 	if r.tail != nil {
-		r.logger.Warn("torn end of the log cut", "file", r.path(r.segments[len(r.segments)-1].number),
+		r.config.Logger.Warn("torn log tail truncated", "file", r.path(r.newest().number),
 			"offset", r.tail.start, "bytes", r.tail.end-r.tail.start)
 		if err := writeZeros(newest, r.tail.start, r.tail.end); err != nil {
-			return fmt.Errorf("cut torn end: %w", err)
+			return fmt.Errorf("truncate torn tail: %w", err)
 		}
 	}
 	if err := newest.Sync(); err != nil {
@@ -286,19 +298,19 @@
 	}
 	remove := r.obsolete
 	if r.unfinished != 0 {
-		r.logger.Warn("unfinished segment removed", "file", r.path(r.unfinished))
+		r.config.Logger.Warn("unfinished segment removed", "file", r.path(r.unfinished))
 		remove = append(remove, r.unfinished)
 	}
 	for _, number := range remove {
-		if err := r.files.Remove(r.path(number)); err != nil {
+		if err := r.config.Files.Remove(r.path(number)); err != nil {
 			return fmt.Errorf("remove segment: %w", err)
 		}
 	}
-	return r.files.SyncDirectory(r.directory)
+	return r.config.Files.SyncDirectory(r.config.Directory)
 }
 
-// writeZeros overwrites a range; its length stays.
-func writeZeros(file dataFile, start, end int64) error {
+// writeZeros overwrites a range; the length of the file stays.
+func writeZeros(file datafile.File, start, end int64) error {
 	zeros := make([]byte, min(end-start, 1<<20))
 	for at := start; at < end; {
 		n, err := file.WriteAt(zeros[:min(end-at, int64(len(zeros)))], at)
--- a/internal/storage/walsegment.go
+++ b/internal/storage/wal/segment.go
@@ -1,4 +1,4 @@
-package storage
+package wal
 
 import (
 	"encoding/binary"
@@ -7,6 +7,8 @@
 	"path/filepath"
 	"strconv"
 	"strings"
+
+	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
 const (
@@ -14,11 +16,8 @@
 	segmentPrefix = "log-"
 	segmentSuffix = ".wal"
 	segmentDigits = 16
-	// firstSegment is the number of a new folder's segment.
-	firstSegment = 1
-	// defaultSegmentSize is the length of a segment's file, in bytes. It is set
-	// when the file is made; a batch that is longer gets a file of its own.
-	defaultSegmentSize = 4 << 20
+	// FirstSegment is the number of a new log's segment.
+	FirstSegment = 1
 )
 
 // segment is one file of the log.
@@ -31,11 +30,12 @@
 	last uint64
 }
 
-func segmentName(number uint64) string {
+// SegmentName returns the file name of a segment.
+func SegmentName(number uint64) string {
 	return fmt.Sprintf("%s%0*x%s", segmentPrefix, segmentDigits, number, segmentSuffix)
 }
 
-// segmentNumber is the number in a file's name; ok is false for other files.
+// segmentNumber returns the number in a file's name; ok is false for other files.
 func segmentNumber(name string) (number uint64, ok bool) {
 	digits, found := strings.CutPrefix(name, segmentPrefix)
 	if !found {
@@ -45,11 +45,11 @@
 		return 0, false
 	}
 	number, err := strconv.ParseUint(digits, 16, 64)
-	return number, err == nil && segmentName(number) == name
+	return number, err == nil && SegmentName(number) == name
 }
 
-// segmentNumbers are the segments of a folder, oldest first.
-func segmentNumbers(files fileSystem, directory string) ([]uint64, error) {
+// SegmentNumbers lists the segments of a directory, oldest first.
+func SegmentNumbers(files datafile.FileSystem, directory string) ([]uint64, error) {
 	names, err := files.Names(directory)
 	if err != nil {
 		return nil, fmt.Errorf("list data folder: %w", err)
@@ -63,8 +63,9 @@
 	return numbers, nil
 }
 
-func readSegment(files fileSystem, directory string, number uint64) (content []byte, err error) {
-	path := filepath.Join(directory, segmentName(number))
+// readSegment reads a whole segment.
+func readSegment(files datafile.FileSystem, directory string, number uint64) (content []byte, err error) {
+	path := filepath.Join(directory, SegmentName(number))
 	file, err := files.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("open segment: %w", err)
@@ -81,24 +82,24 @@
 	return content, nil
 }
 
-// scanResult says how far a segment is good.
+// scanResult says how far a segment is valid.
 type scanResult struct {
-	// end is the offset behind the last whole batch, next the sequence that
+	// end is the offset behind the last complete batch, next the sequence that
 	// has to follow there.
 	end  int
 	next uint64
-	// bad is the sequence of the first record that does not check.
+	// bad is the sequence of the first invalid record.
 	bad uint64
 }
 
-// scanBatches visits the whole batches of a segment until a record does not check.
-// The first record must have the sequence, unless that is 0.
-func scanBatches(content []byte, sequence uint64, visit func(batch []walRecord) error) (scanResult, error) {
+// scanBatches visits the complete batches of a segment up to the first invalid
+// record. The first record must have the sequence, unless that is 0.
+func scanBatches(content []byte, sequence uint64, visit func(batch []logRecord) error) (scanResult, error) {
 	if sequence == 0 && len(content) >= recordHeaderSize {
 		sequence = binary.BigEndian.Uint64(content[8:])
 	}
 	result := scanResult{next: sequence, bad: sequence}
-	var batch []walRecord
+	var batch []logRecord
 	for at := 0; ; {
 		record, size, ok := nextRecord(content[at:], result.bad)
 		if !ok {
@@ -118,10 +119,10 @@
 	}
 }
 
-// firstNeeded is the oldest segment that a segment says must be there; ok is
-// false if it does not open with a whole header.
+// oldestNeededSegment returns the oldest segment that a segment says must be
+// there; ok is false if it does not open with a complete header.
 func oldestNeededSegment(content []byte) (number uint64, ok bool) {
-	_, _ = scanBatches(content, 0, func(batch []walRecord) error {
+	_, _ = scanBatches(content, 0, func(batch []logRecord) error {
 		for _, record := range batch {
 			switch record.Type {
 			case recordTypeSegment:
@@ -130,7 +131,7 @@
 					number, ok = header.State.FirstSegment, true
 				}
 			case recordTypeSnapshot:
-				var snapshot snapshotRecord
+				var snapshot SnapshotRecord
 				if decodeInto(record.Payload, &snapshot) {
 					number = snapshot.FirstSegment
 				}
@@ -142,7 +143,7 @@
 	return number, ok
 }
 
-// allZero tells whether nothing was written.
+// allZero reports whether nothing was written.
 func allZero(content []byte) bool {
 	for _, b := range content {
 		if b != 0 {
--- a/internal/storage/logbench_test.go
+++ b/internal/storage/wal_bench_test.go
@@ -1,6 +1,7 @@
 package storage
 
 import (
+	"bytes"
 	"encoding/binary"
 	"fmt"
 	"path/filepath"
@@ -10,23 +11,25 @@
 	"go.etcd.io/bbolt"
 
 	"github.com/decklever/decklever/internal/raft"
+	"github.com/decklever/decklever/internal/storage/datafile"
+	"github.com/decklever/decklever/internal/storage/wal"
 )
 
 // simulatedSync is what each sync takes in BenchmarkLog.
 const simulatedSync = 4 * time.Millisecond
 
 // slowFiles are real files whose syncs take simulatedSync.
-type slowFiles struct{ systemFiles }
+type slowFiles struct{ datafile.OS }
 
-type slowFile struct{ dataFile }
+type slowFile struct{ datafile.File }
 
-func (f slowFiles) Create(path string) (dataFile, error) {
-	file, err := f.systemFiles.Create(path)
+func (f slowFiles) Create(path string) (datafile.File, error) {
+	file, err := f.OS.Create(path)
 	return slowFile{file}, err
 }
 
-func (f slowFiles) Open(path string) (dataFile, error) {
-	file, err := f.systemFiles.Open(path)
+func (f slowFiles) Open(path string) (datafile.File, error) {
+	file, err := f.OS.Open(path)
 	return slowFile{file}, err
 }
 
@@ -40,17 +43,18 @@
 func BenchmarkLog(b *testing.B) {
 	for _, batch := range []uint64{1, 16, 256} {
 		b.Run(fmt.Sprintf("write-ahead/batch-%d", batch), func(b *testing.B) {
-			directory := b.TempDir()
-			requireNoError(b, createLog(slowFiles{}, directory, "0123456789abcdef", defaultSegmentSize))
-			wal, _, err := openLog(slowFiles{}, directory, discard(), defaultSegmentSize, []uint64{firstSegment})
+			config := logConfig(slowFiles{}, wal.DefaultSegmentSize)
+			config.Directory = b.TempDir()
+			requireNoError(b, wal.Create(config, "0123456789abcdef"))
+			log, _, err := wal.Open(config)
 			requireNoError(b, err)
-			defer func() { _ = wal.close() }()
+			defer func() { _ = log.Close() }()
 			benchmarkBatches(b, batch, func(made []raft.Entry) error {
-				return wal.append(walBatch{entries: made}, true)
+				return log.Append(wal.Batch{Entries: made}, true)
 			})
 		})
 		b.Run(fmt.Sprintf("bbolt/batch-%d", batch), func(b *testing.B) {
-			db, err := bbolt.Open(filepath.Join(b.TempDir(), earlierLogFile), filePermission,
+			db, err := bbolt.Open(filepath.Join(b.TempDir(), earlierLogFile), datafile.FilePermission,
 				&bbolt.Options{NoSync: true, FreelistType: bbolt.FreelistMapType, InitialMmapSize: 64 << 20})
 			requireNoError(b, err)
 			defer func() { _ = db.Close() }()
@@ -72,7 +76,9 @@
 	bucket.FillPercent = 0.95
 	for i := range made {
 		key := binary.BigEndian.AppendUint64(nil, made[i].Index)
-		if err := bucket.Put(key, addChecksum(key, appendEntry(nil, &made[i]))); err != nil {
+		value := binary.BigEndian.AppendUint64(bytes.Clone(key), made[i].Term)
+		value = append(append(value, byte(made[i].Kind)), made[i].Data...)
+		if err := bucket.Put(key, addChecksum(key, value)); err != nil {
 			return err
 		}
 	}
@@ -81,7 +87,7 @@
 		return err
 	}
 	key := []byte("state")
-	stored, err := encodeValue(key, walState{LastIndex: made[len(made)-1].Index})
+	stored, err := encodeValue(key, wal.State{LastIndex: made[len(made)-1].Index})
 	if err != nil {
 		return err
 	}
