--- a/internal/scheduler/calendar.go
+++ b/internal/scheduler/calendar/calendar.go
@@ -1,4 +1,7 @@
-package scheduler
+// Package calendar says for which windows of reservations capacity is reserved now. It
+// owns no clock, no lock and no goroutine: its caller tells the cluster time and
+// guards it.
+package calendar
 
 import (
 	"cmp"
@@ -13,14 +16,14 @@
 	"github.com/decklever/decklever/internal/reservation"
 )
 
-// calendarHorizon is how far ahead windows are worked out at a time; working them out
+// horizon is how far ahead windows are worked out at a time; working them out
 // anew costs a walk over every schedule.
-const calendarHorizon = 10 * time.Minute
+const horizon = 10 * time.Minute
 
-// calendar holds the windows of the configuration's bookings that concern the
+// Calendar holds the windows of the configuration's bookings that concern the
 // coming minutes, and says for which of them capacity is reserved.
-type calendar struct {
-	*environment
+type Calendar struct {
+	logger *slog.Logger
 	// queues are those of the configuration in force.
 	queues []api.QueueConfig
 	// computedUntil is how far windows are worked out; zero forces it anew.
@@ -32,21 +35,22 @@
 	reserved []string
 }
 
-func newCalendar(environment *environment) calendar {
-	return calendar{environment: environment, released: make(map[string]time.Time)}
+// New returns a calendar without queues.
+func New(logger *slog.Logger) Calendar {
+	return Calendar{logger: logger, released: make(map[string]time.Time)}
 }
 
-// configure takes over the queues of a configuration. Everything is worked out anew at
+// Configure takes over the queues of a configuration. Everything is worked out anew at
 // the next refresh.
-func (c *calendar) configure(queues []api.QueueConfig) {
+func (c *Calendar) Configure(queues []api.QueueConfig) {
 	c.queues = queues
 	c.computedUntil = time.Time{}
 }
 
-// refresh returns the windows for which capacity is to be reserved now, and whether
+// Refresh returns the windows for which capacity is to be reserved now, and whether
 // they have changed. It costs a look at the windows of the coming minutes, and more
 // only when one begins or ends.
-func (c *calendar) refresh(now time.Time) (reservations []placement.Reservation, changed bool) {
+func (c *Calendar) Refresh(now time.Time) (reservations []placement.Reservation, changed bool) {
 	if !now.Before(c.computedUntil) {
 		c.compute(now)
 	}
@@ -67,15 +71,15 @@
 }
 
 // compute works out the windows of the coming minutes.
-func (c *calendar) compute(now time.Time) {
-	c.computedUntil = now.Add(calendarHorizon)
+func (c *Calendar) compute(now time.Time) {
+	c.computedUntil = now.Add(horizon)
 	c.windows = c.between(now, c.computedUntil)
 	maps.DeleteFunc(c.released, func(_ string, end time.Time) bool { return end.Before(now) })
 }
 
 // between returns all windows for which capacity is reserved at some time between the
 // two, by queue and booking.
-func (c *calendar) between(from, to time.Time) []reservation.Window {
+func (c *Calendar) between(from, to time.Time) []reservation.Window {
 	var windows []reservation.Window
 	for q := range c.queues {
 		queue := &c.queues[q]
@@ -92,8 +96,8 @@
 	return windows
 }
 
-// find returns the window of a booking that starts at a time.
-func (c *calendar) find(release api.ReleaseRequest) (reservation.Window, bool) {
+// Find returns the window of a booking that starts at a time.
+func (c *Calendar) Find(release api.ReleaseRequest) (reservation.Window, bool) {
 	for _, window := range c.between(release.Start, release.Start.Add(time.Millisecond)) {
 		if window.Queue == release.Queue && window.Booking.Name == release.Booking && window.Start.Equal(release.Start) {
 			return window, true
@@ -102,12 +106,12 @@
 	return reservation.Window{}, false
 }
 
-// release takes in that the capacity of a window was given back.
-func (c *calendar) release(window record.ReleaseWindow) {
+// Release takes in that the capacity of a window was given back.
+func (c *Calendar) Release(window record.ReleaseWindow) {
 	c.released[releasedID(window)] = window.End.Time()
 }
 
-func (c *calendar) isReleased(window reservation.Window) bool {
+func (c *Calendar) isReleased(window reservation.Window) bool {
 	_, released := c.released[window.ID()]
 	return released
 }
@@ -130,8 +134,8 @@
 	return named.ID()
 }
 
-// statuses describes the windows between two times, with the slots that are reserved.
-func (c *calendar) statuses(from, to time.Time, reserved []placement.ReservedSlots) api.BookingList {
+// Statuses describes the windows between two times, with the slots that are reserved.
+func (c *Calendar) Statuses(from, to time.Time, reserved []placement.ReservedSlots) api.BookingList {
 	list := api.BookingList{Bookings: []api.BookingStatus{}}
 	byWindow := make(map[string][]placement.ReservedSlots)
 	for _, slots := range reserved {
@@ -152,7 +156,7 @@
 	return list
 }
 
-func (c *calendar) status(window reservation.Window, now time.Time) api.BookingStatus {
+func (c *Calendar) status(window reservation.Window, now time.Time) api.BookingStatus {
 	status := api.BookingStatus{
 		Queue: window.Queue, Booking: window.Booking.Name,
 		Start: window.Start, End: window.End, HeldFrom: window.ReservedFrom,
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -26,11 +26,11 @@
 	case record.RunClosed:
 		l.runClosed(change.Run, change.Outcome)
 	case record.JobAdded:
-		l.repeats.add(change.Job)
+		l.repeats.Add(change.Job)
 		l.admission.slo.observeChain(change.Job.Spec.Queue, l.pending.chainsOf(change.Job).Job)
 		l.assignments.pendingStarts.add(change.Job)
 	case record.OccurrenceAdded:
-		l.repeats.added(change.Job)
+		l.repeats.Added(change.Job)
 	case record.OccurrenceEnded:
 		l.stepsEnded(change.Steps)
 	case record.JobEnded:
@@ -46,7 +46,7 @@
 	case record.WorkerForgotten:
 		l.workerForgotten(change.Worker)
 	case record.WindowReleased:
-		l.calendar.release(change.Window)
+		l.calendar.Release(change.Window)
 	case record.StateReplaced:
 		// A leader never installs a snapshot; the term is about to end.
 	}
@@ -190,7 +190,7 @@
 
 func (l *leader) jobEnded(job *record.Job) {
 	l.jobWaiters.jobEnded(job.ID)
-	l.repeats.remove(job.ID)
+	l.repeats.Remove(job.ID)
 	delete(l.pending.chains, job.ID)
 	l.assignments.pendingStarts.remove(job.ID)
 	l.stepsEnded(job.Steps)
@@ -226,7 +226,7 @@
 	l.planner.SetQueues(rules)
 	l.admission.slo.forgetUnused(config)
 	l.planner.SetMaxPreemptions(l.maxPreemptions(config))
-	l.calendar.configure(config.Queues)
+	l.calendar.Configure(config.Queues)
 	if orderChanged {
 		l.offerChanged(l.pending.reorder(config))
 	}
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -10,6 +10,8 @@
 	"github.com/decklever/decklever/internal/placement"
 	"github.com/decklever/decklever/internal/record"
 	"github.com/decklever/decklever/internal/replica"
+	"github.com/decklever/decklever/internal/scheduler/calendar"
+	"github.com/decklever/decklever/internal/scheduler/repeats"
 )
 
 const (
@@ -31,7 +33,7 @@
 	proposer proposer
 
 	mu          sync.Mutex
-	calendar    calendar
+	calendar    calendar.Calendar
 	settings    settings
 	drains      drains
 	registry    workerRegistry
@@ -41,7 +43,7 @@
 	health      healthReview
 	admission   admissionControl
 	// repeats are jobs with occurrences to come.
-	repeats repeats
+	repeats repeats.Jobs
 	// jobWaiters are closed when the job ends.
 	jobWaiters jobWaiters
 }
@@ -74,10 +76,10 @@
 		registry:   newWorkerRegistry(&term),
 		proposer:   newProposer(),
 		settings:   newSettings(),
-		calendar:   newCalendar(term.environment),
+		calendar:   calendar.New(term.logger),
 		health:     newHealthReview(term.environment),
 		admission:  newAdmissionControl(term.environment),
-		repeats:    newRepeats(),
+		repeats:    repeats.New(),
 		jobWaiters: make(jobWaiters),
 	}
 	l.drains = newDrains(l.environment, &l.proposer)
@@ -109,7 +111,7 @@
 	version, config := view.Config()
 	l.configChangedTo(version, config)
 	for _, window := range view.ReleasedWindows() {
-		l.calendar.release(window)
+		l.calendar.Release(window)
 	}
 	l.drains.zones = slices.Clone(view.DrainedZones())
 	for worker := range view.Workers() {
@@ -122,7 +124,7 @@
 		run.worker.lease.extend(expiry)
 	}
 	for job := range view.Jobs("") {
-		l.repeats.add(job)
+		l.repeats.Add(job)
 		l.admission.slo.observeChain(job.Spec.Queue, l.pending.chainsOf(job).Job)
 		if !mayHaveStarted(job) {
 			l.assignments.pendingStarts.add(job)
@@ -154,7 +156,7 @@
 	l.refreshReservations(clusterNow)
 	l.offerChanged(l.pending.refreshRanks(clusterNow))
 	l.releaseTimers(clusterNow)
-	l.proposer.enqueueExpansions(l.repeats.takeDue(clusterNow))
+	l.proposer.enqueueExpansions(l.repeats.TakeDue(clusterNow))
 	// The planner makes room step by step, and goes on although nothing came.
 	l.wake()
 }
--- a/internal/scheduler/ownership_test.go
+++ b/internal/scheduler/ownership_test.go
@@ -3,6 +3,9 @@
 import (
 	"reflect"
 	"testing"
+
+	"github.com/decklever/decklever/internal/scheduler/calendar"
+	"github.com/decklever/decklever/internal/scheduler/repeats"
 )
 
 // maxLeaderFields bounds the fields of leader: it composes components, and has no
@@ -13,8 +16,8 @@
 func components() []reflect.Type {
 	return []reflect.Type{
 		reflect.TypeFor[workerRegistry](), reflect.TypeFor[assignments](), reflect.TypeFor[pendingWork](),
-		reflect.TypeFor[gangs](), reflect.TypeFor[calendar](), reflect.TypeFor[admissionControl](),
-		reflect.TypeFor[healthReview](), reflect.TypeFor[drains](), reflect.TypeFor[repeats](),
+		reflect.TypeFor[gangs](), reflect.TypeFor[calendar.Calendar](), reflect.TypeFor[admissionControl](),
+		reflect.TypeFor[healthReview](), reflect.TypeFor[drains](), reflect.TypeFor[repeats.Jobs](),
 		reflect.TypeFor[proposer](), reflect.TypeFor[settings](), reflect.TypeFor[jobWaiters](),
 	}
 }
--- a/internal/scheduler/proposer.go
+++ b/internal/scheduler/proposer.go
@@ -127,3 +127,18 @@
 		l.proposeUntilDone("stop", record.Command{StopRuns: &record.StopRuns{Runs: runs, Reason: reason}})
 	}
 }
+
+// proposeExpansions commits what enqueueExpansions has queued.
+func (l *leader) proposeExpansions(expansions []record.Expansion) {
+	if len(expansions) == 0 {
+		return
+	}
+	command := record.Command{ExpandRepeats: &record.ExpandRepeats{Jobs: expansions}}
+	if _, done := l.proposeUntilDone("expand", command); !done {
+		return
+	}
+	now := l.log.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.repeats.Proposed(expansions, now)
+}
--- a/internal/scheduler/repeats.go
+++ b/internal/scheduler/repeats/repeats.go
@@ -1,4 +1,7 @@
-package scheduler
+// Package repeats keeps the live jobs that have occurrences still to be added to the
+// record, and says which to add when. It owns no clock, no lock and no goroutine: its
+// caller tells the cluster time and guards it.
+package repeats
 
 import (
 	"container/heap"
@@ -15,9 +18,9 @@
 	// expandRetryMillis is the pause before an occurrence is added that the
 	// record did not take, since the job has too many open tasks.
 	expandRetryMillis = 500
-	// expansionTasks bounds the tasks that one command adds, beyond those of
+	// MaxExpansionTasks bounds the tasks that one command adds, beyond those of
 	// its first occurrence, and so the time for which the record is held.
-	expansionTasks = 4096
+	MaxExpansionTasks = 4096
 )
 
 // repeatingJob is a live job with occurrences that are still to be added.
@@ -41,16 +44,17 @@
 // SetPosition implements indexheap.Item.
 func (j *repeatingJob) SetPosition(position int) { j.heapIndex = position }
 
-// repeats are the repeating jobs, first the one to be expanded next.
-type repeats struct {
+// Jobs are the repeating jobs, first the one to be expanded next.
+type Jobs struct {
 	byID map[string]*repeatingJob
 	heap indexheap.Heap[*repeatingJob]
 }
 
-func newRepeats() repeats { return repeats{byID: make(map[string]*repeatingJob)} }
+// New returns no repeating jobs.
+func New() Jobs { return Jobs{byID: make(map[string]*repeatingJob)} }
 
-// add takes a job in that has occurrences to come.
-func (r *repeats) add(job *record.Job) {
+// Add takes in a job that may have occurrences to come.
+func (r *Jobs) Add(job *record.Job) {
 	if job.Repetition == nil || job.Repetition.Next >= job.Occurrences() {
 		return
 	}
@@ -59,19 +63,20 @@
 	r.arm(entry, entry.nextAddTime())
 }
 
-// added notes that the record holds a job's occurrences before next.
-func (r *repeats) added(job *record.Job) {
+// Added takes in that the record holds a job's occurrences before its next one.
+func (r *Jobs) Added(job *record.Job) {
 	entry, known := r.byID[job.ID]
 	if !known {
 		return
 	}
 	entry.next = job.Repetition.Next
 	if entry.next >= job.Occurrences() {
-		r.remove(job.ID)
+		r.Remove(job.ID)
 	}
 }
 
-func (r *repeats) remove(id string) {
+// Remove takes out a job that has ended. Unknown: no effect.
+func (r *Jobs) Remove(id string) {
 	entry, known := r.byID[id]
 	if !known {
 		return
@@ -82,16 +87,19 @@
 	}
 }
 
-func (r *repeats) arm(entry *repeatingJob, at record.Millis) {
+// Len is the number of jobs with occurrences to come.
+func (r *Jobs) Len() int { return len(r.byID) }
+
+func (r *Jobs) arm(entry *repeatingJob, at record.Millis) {
 	entry.addAt = at
 	heap.Push(&r.heap, entry)
 }
 
-// takeDue returns what is to be added now. The jobs in it are looked at again
-// after proposed was called with it.
-func (r *repeats) takeDue(now record.Millis) []record.Expansion {
+// TakeDue returns what is to be added now. The jobs in it come up again after Proposed
+// was called with it.
+func (r *Jobs) TakeDue(now record.Millis) []record.Expansion {
 	var due []record.Expansion
-	capacity := expansionTasks
+	capacity := MaxExpansionTasks
 	for len(r.heap) > 0 && r.heap[0].addAt <= now && (capacity > 0 || len(due) == 0) {
 		entry := heap.Pop(&r.heap).(*repeatingJob)
 		through := entry.lastDue(now, capacity)
@@ -101,8 +109,8 @@
 	return due
 }
 
-// proposed arms the jobs again of an expansion that was committed.
-func (r *repeats) proposed(expansions []record.Expansion, now record.Millis) {
+// Proposed arms the jobs again of an expansion that was committed.
+func (r *Jobs) Proposed(expansions []record.Expansion, now record.Millis) {
 	for _, expansion := range expansions {
 		entry, known := r.byID[expansion.Job]
 		if !known || entry.heapIndex != indexheap.None {
@@ -134,18 +142,3 @@
 func (j *repeatingJob) addTime(occurrence int) record.Millis {
 	return record.Millis(j.spec.DueMillis(occurrence)) - expandAheadMillis
 }
-
-// proposeExpansions commits what enqueueExpansions has queued.
-func (l *leader) proposeExpansions(expansions []record.Expansion) {
-	if len(expansions) == 0 {
-		return
-	}
-	command := record.Command{ExpandRepeats: &record.ExpandRepeats{Jobs: expansions}}
-	if _, done := l.proposeUntilDone("expand", command); !done {
-		return
-	}
-	now := l.log.Now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.repeats.proposed(expansions, now)
-}
--- a/internal/scheduler/repeats_test.go
+++ b/internal/scheduler/repeats_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/record"
+	"github.com/decklever/decklever/internal/scheduler/repeats"
 )
 
 // repeating runs a step of one task again and again, first after a delay.
@@ -102,7 +103,7 @@
 	for range 10 {
 		h.advance(50 * time.Millisecond)
 		now := h.job("j").Repetition.Next
-		if now-next > expansionTasks {
+		if now-next > repeats.MaxExpansionTasks {
 			t.Fatalf("%d occurrences in one command", now-next)
 		}
 		next = now
@@ -131,8 +132,8 @@
 	}
 	before := h.log.index
 	h.advance(5 * time.Second)
-	if h.log.index != before || len(h.leader.repeats.byID)+len(h.leader.repeats.heap) != 0 {
-		t.Errorf("%d commands after the cancel, %d jobs kept", h.log.index-before, len(h.leader.repeats.byID))
+	if h.log.index != before || h.leader.repeats.Len() != 0 {
+		t.Errorf("%d commands after the cancel, %d jobs kept", h.log.index-before, h.leader.repeats.Len())
 	}
 }
 
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -20,7 +20,7 @@
 
 // refreshReservations tells the planner which windows to reserve capacity for now.
 func (l *leader) refreshReservations(clusterNow record.Millis) {
-	if reservations, changed := l.calendar.refresh(clusterNow.Time()); changed {
+	if reservations, changed := l.calendar.Refresh(clusterNow.Time()); changed {
 		l.planner.SetReservations(reservations)
 		l.wake()
 	}
@@ -34,7 +34,7 @@
 	}
 	now := l.log.Now().Time()
 	l.mu.Lock()
-	list := l.calendar.statuses(now, now.Add(min(horizon, maxReservationHorizon)), l.planner.ReservedSlots())
+	list := l.calendar.Statuses(now, now.Add(min(horizon, maxReservationHorizon)), l.planner.ReservedSlots())
 	l.mu.Unlock()
 	if !l.log.HoldsLease(l.token) {
 		return protocol.BookingsAnswer{}, l.notLeader()
@@ -64,7 +64,7 @@
 func (l *leader) findWindow(release api.ReleaseRequest) (reservation.Window, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.calendar.find(release)
+	return l.calendar.Find(release)
 }
 
 // checkReservations tells which bookings the registered workers cannot hold.
