--- a/internal/scheduler/admissioncontrol.go
+++ b/internal/scheduler/admissioncontrol.go
@@ -8,34 +8,35 @@
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/admission"
 	"github.com/decklever/decklever/internal/objective"
+	"github.com/decklever/decklever/internal/scheduler/slo"
 )
 
 // admissionControl holds what decides on new jobs beside the record: how long their
 // tasks would wait, and how many submissions are being committed.
 type admissionControl struct {
 	*environment
-	slo sloTracker
+	slo slo.Tracker
 	// submitting are the submissions being committed.
 	submitting submissions
 }
 
 func newAdmissionControl(environment *environment) admissionControl {
-	return admissionControl{environment: environment, slo: newSLOTracker(environment), submitting: newSubmissions()}
+	return admissionControl{environment: environment, slo: slo.NewTracker(environment.now, environment.off), submitting: newSubmissions()}
 }
 
 // refuse is the answer to a job over a limit that has to come back once a number of
 // waiting tasks more has begun to run.
 func (a *admissionControl) refuse(queue string, reason refusalReason, message string, tooMany int) error {
-	known := a.slo.queue(queue)
-	earliest, _ := known.flow.TimeToStart(a.now(), tooMany)
-	return a.refuseFor(queue, reason, message, known.retryAfter(a.now(), earliest, tooMany))
+	known := a.slo.Queue(queue)
+	earliest, _ := known.TimeFor(a.now(), tooMany)
+	return a.refuseFor(queue, reason, message, known.RetryAfter(a.now(), earliest, tooMany))
 }
 
 // refuseFor is the answer to a job that may come back after some time.
 func (a *admissionControl) refuseFor(queue string, reason refusalReason, message string, retryAfter time.Duration) error {
 	a.metrics.refusals.WithLabelValues(queue, string(reason)).Inc()
 	refusal := overLimitError(message)
-	refusal.RetryAfterMillis = max(retryAfter, minRetryAfter).Milliseconds()
+	refusal.RetryAfterMillis = max(retryAfter, slo.MinRetryAfter).Milliseconds()
 	return refusal
 }
 
@@ -44,15 +45,15 @@
 // beginning. The queue must be one that refusesLate.
 func (a *admissionControl) checkObjective(queue *api.QueueConfig, spec *api.JobSpec, hasCapacity func(*api.JobSpec) bool) error {
 	rule := queue.Objective
-	known := a.slo.queue(queue.Name)
-	wait, measured := known.flow.ExpectedWait(a.now())
+	known := a.slo.Queue(queue.Name)
+	wait, measured := known.ExpectedWait(a.now())
 	allowed := objective.StartAllowance(rule, objective.CriticalPathsOf(spec.Steps).Job, rule.RefuseBeyond)
-	if !measured || !known.refusing.Exceeded() || wait <= allowed || hasCapacity(spec) {
+	if !measured || !known.IsRefusing() || wait <= allowed || hasCapacity(spec) {
 		return nil
 	}
 	message := fmt.Sprintf("a job that comes now waits %v in queue %s, and ends later than %v times its objective",
 		wait.Round(time.Millisecond), queue.Name, rule.RefuseBeyond)
-	retryAfter := known.retryAfter(a.now(), wait-admission.ClearBelow(allowed), spec.TaskCount())
+	retryAfter := known.RetryAfter(a.now(), wait-admission.ClearBelow(allowed), spec.TaskCount())
 	return a.refuseFor(queue.Name, refusedTooLate, message, retryAfter)
 }
 
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"slices"
-	"time"
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/admission"
@@ -24,13 +23,6 @@
 	refusedCommitting refusalReason = "committing"
 )
 
-const (
-	// minRetryAfter and maxRetryAfter bound the time to come back that is told with a
-	// refusal.
-	minRetryAfter = overLimitRetryMillis * time.Millisecond
-	maxRetryAfter = 30 * time.Second
-)
-
 // admit refuses what can be seen to be wrong, over a limit, impossible or hopeless.
 // A job that is known, or being committed, is let through whatever the limits say:
 // the record says that it is the same job.
--- a/internal/scheduler/admit_test.go
+++ b/internal/scheduler/admit_test.go
@@ -9,6 +9,7 @@
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/replica"
+	"github.com/decklever/decklever/internal/scheduler/slo"
 )
 
 func asRefusal(t *testing.T, err error) *api.Error {
@@ -29,7 +30,7 @@
 		return nil
 	}
 	refusal := asRefusal(h.t, err)
-	if refusal.Status != 429 || refusal.RetryAfterMillis < minRetryAfter.Milliseconds() || refusal.RetryAfterMillis > maxRetryAfter.Milliseconds() {
+	if refusal.Status != 429 || refusal.RetryAfterMillis < slo.MinRetryAfter.Milliseconds() || refusal.RetryAfterMillis > slo.MaxRetryAfter.Milliseconds() {
 		h.t.Fatalf("%s: %+v", id, refusal)
 	}
 	return refusal
@@ -137,7 +138,7 @@
 	if refusal := f.trySubmit("a-first", "a", "", 400); refusal != nil {
 		t.Fatal(refusal)
 	}
-	if refusal := f.trySubmit("a-soon", "a", "", 100); refusal == nil || refusal.RetryAfterMillis != minRetryAfter.Milliseconds() {
+	if refusal := f.trySubmit("a-soon", "a", "", 100); refusal == nil || refusal.RetryAfterMillis != slo.MinRetryAfter.Milliseconds() {
 		t.Errorf("before a rate is known: %+v", refusal)
 	}
 	for range 60 {
@@ -146,7 +147,7 @@
 			f.end(worker)
 		}
 	}
-	waiting := f.leader.admission.slo.queue("a").flow.Waiting()
+	waiting := f.leader.admission.slo.Queue("a").Waiting()
 	refusal := f.trySubmit("a-later", "a", "", 400-waiting+80)
 	if refusal == nil || refusal.RetryAfterMillis < 1500 || refusal.RetryAfterMillis > 2600 {
 		t.Errorf("80 too many at 40 a second: %+v", refusal)
--- a/internal/scheduler/burst_test.go
+++ b/internal/scheduler/burst_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/protocol"
+	"github.com/decklever/decklever/internal/scheduler/slo"
 )
 
 const (
@@ -79,7 +80,7 @@
 		return
 	}
 	refusal := asRefusal(f.t, err)
-	if refusal.Code != api.CodeOverLimit || refusal.RetryAfterMillis < minRetryAfter.Milliseconds() {
+	if refusal.Code != api.CodeOverLimit || refusal.RetryAfterMillis < slo.MinRetryAfter.Milliseconds() {
 		f.t.Fatalf("%s: %+v", id, refusal)
 	}
 	f.refused[queue]++
--- a/internal/scheduler/errors.go
+++ b/internal/scheduler/errors.go
@@ -8,11 +8,9 @@
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/replica"
 	"github.com/decklever/decklever/internal/rpc"
+	"github.com/decklever/decklever/internal/scheduler/slo"
 )
 
-// overLimitRetryMillis is told to callers that met a limit.
-const overLimitRetryMillis = 1000
-
 // notLeaderError names the leader as known, so that the caller can go there.
 func notLeaderError(log replica.Log) *rpc.Error {
 	refusal := &rpc.Error{Code: rpc.CodeNotLeader, Message: "this scheduler is not acting"}
@@ -48,5 +46,5 @@
 }
 
 func overLimitError(message string) *api.Error {
-	return &api.Error{Status: http.StatusTooManyRequests, Code: api.CodeOverLimit, Message: message, RetryAfterMillis: overLimitRetryMillis}
+	return &api.Error{Status: http.StatusTooManyRequests, Code: api.CodeOverLimit, Message: message, RetryAfterMillis: slo.MinRetryAfter.Milliseconds()}
 }
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -27,7 +27,7 @@
 		l.runClosed(change.Run, change.Outcome)
 	case record.JobAdded:
 		l.repeats.Add(change.Job)
-		l.admission.slo.observeChain(change.Job.Spec.Queue, l.pending.chainsOf(change.Job).Job)
+		l.admission.slo.ObserveChain(change.Job.Spec.Queue, l.pending.chainsOf(change.Job).Job)
 		l.assignments.pendingStarts.add(change.Job)
 	case record.OccurrenceAdded:
 		l.repeats.Added(change.Job)
@@ -224,7 +224,7 @@
 	}
 	l.planner.SetTeams(teams)
 	l.planner.SetQueues(rules)
-	l.admission.slo.forgetUnused(config)
+	l.admission.slo.ForgetUnused(config.Queues)
 	l.planner.SetMaxPreemptions(l.maxPreemptions(config))
 	l.calendar.Configure(config.Queues)
 	if orderChanged {
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -125,7 +125,7 @@
 	}
 	for job := range view.Jobs("") {
 		l.repeats.Add(job)
-		l.admission.slo.observeChain(job.Spec.Queue, l.pending.chainsOf(job).Job)
+		l.admission.slo.ObserveChain(job.Spec.Queue, l.pending.chainsOf(job).Job)
 		if !mayHaveStarted(job) {
 			l.assignments.pendingStarts.add(job)
 		}
@@ -149,8 +149,8 @@
 	l.gangs.breakLate(now)
 	l.stopDeparting(now)
 	l.reviewHealth(now)
-	if l.admission.slo.review(now, l.settings.config.Queues) {
-		l.planner.SetDeferences(l.admission.slo.deferences)
+	if l.admission.slo.Review(now, l.settings.config.Queues) {
+		l.planner.SetDeferences(l.admission.slo.Deferences())
 	}
 	l.planner.SetTime(clusterNow)
 	l.refreshReservations(clusterNow)
--- a/internal/scheduler/pendingwork.go
+++ b/internal/scheduler/pendingwork.go
@@ -31,10 +31,10 @@
 
 // backlogObserver follows how many tasks of each queue wait, and how fast they start.
 type backlogObserver interface {
-	// countWaiting takes in that some tasks more, or fewer, of a queue wait.
-	countWaiting(queue string, change int)
-	// countStarted takes in that a task of a queue was given a worker.
-	countStarted(queue string)
+	// CountWaiting takes in that some tasks more, or fewer, of a queue wait.
+	CountWaiting(queue string, change int)
+	// CountStarted takes in that a task of a queue was given a worker.
+	CountStarted(queue string)
 }
 
 // pendingWork holds the ready tasks of the record until they are placed, the order
@@ -150,7 +150,7 @@
 		return
 	}
 	if entry.counted {
-		p.backlog.countStarted(entry.task.Queue)
+		p.backlog.CountStarted(entry.task.Queue)
 	}
 	p.uncountWaiting(entry)
 	delete(p.waiting, id)
@@ -197,5 +197,5 @@
 	if !counted {
 		change = -1
 	}
-	p.backlog.countWaiting(entry.task.Queue, change)
+	p.backlog.CountWaiting(entry.task.Queue, change)
 }
--- a/internal/scheduler/deference.go
+++ b/internal/scheduler/slo/deference.go
@@ -1,4 +1,4 @@
-package scheduler
+package slo
 
 import (
 	"slices"
@@ -15,7 +15,7 @@
 
 // deferencesOf says which queues let which others go first, in the order of the
 // configuration.
-func (s *sloTracker) deferencesOf(queues []api.QueueConfig) []placement.Deference {
+func (s *Tracker) deferencesOf(queues []api.QueueConfig) []placement.Deference {
 	var deferences []placement.Deference
 	if s.off.Has(featuregate.LoadDeference) {
 		return deferences
@@ -37,7 +37,7 @@
 // the order lets all go first that have one. What is pressed only lets those that are
 // about as urgent: its work is no more urgent than theirs, only older, while less
 // urgent work is not to go before it as long as its objective can be met.
-func (q *queueSLO) defersTo(own *api.QueueConfig, queues []api.QueueConfig) []string {
+func (q *Queue) defersTo(own *api.QueueConfig, queues []api.QueueConfig) []string {
 	overloaded := q.overloaded.Exceeded()
 	if !overloaded && !q.pressed.Exceeded() {
 		return nil
--- a/internal/scheduler/deference_test.go
+++ b/internal/scheduler/slo/deference_test.go
@@ -1,4 +1,4 @@
-package scheduler
+package slo
 
 import (
 	"testing"
@@ -8,6 +8,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/admission"
+	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/placement"
 )
 
@@ -21,42 +22,40 @@
 // TestDeference_QueuesDeferredTo: "a" has an objective of 2 s, those of the others are told by
 // their names.
 func TestDeference_QueuesDeferredTo(t *testing.T) {
-	h := newHarness(t)
 	queues := []api.QueueConfig{{Name: "none"}}
 	for name, target := range map[string]time.Duration{"a": 2, "shorter-1": 1, "equal-2": 2, "twice-4": 4, "longer-5": 5} {
 		queues = append(queues, api.QueueConfig{Name: name, Objective: &api.ObjectiveConfig{Target: api.Duration(target * time.Second)}})
 	}
-	h.putConfig(api.Config{Queues: queues})
 	cases := []struct {
 		name   string
-		closed func(*queueSLO)
+		closed func(*Queue)
 		want   map[string]bool
 	}{
-		{"served in time", func(*queueSLO) {}, nil},
-		{"pressed", func(q *queueSLO) { closeGate(&q.pressed) }, map[string]bool{"shorter-1": true, "equal-2": true, "twice-4": true}},
+		{"served in time", func(*Queue) {}, nil},
+		{"pressed", func(q *Queue) { closeGate(&q.pressed) }, map[string]bool{"shorter-1": true, "equal-2": true, "twice-4": true}},
 		{
-			"overloaded", func(q *queueSLO) { closeGate(&q.overloaded) },
+			"overloaded", func(q *Queue) { closeGate(&q.overloaded) },
 			map[string]bool{"shorter-1": true, "equal-2": true, "twice-4": true, "longer-5": true},
 		},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h.leader.admission.slo = newSLOTracker(h.leader.environment)
-			c.closed(h.leader.admission.slo.queue("a"))
-			if diff := cmp.Diff(c.want, yieldsOf(t, h.leader.admission.slo.deferencesOf(h.leader.settings.config.Queues), "a")); diff != "" {
-				t.Errorf("a yields to (-want +got):\n%s", diff)
+			tracker := NewTracker(func() time.Duration { return 0 }, featuregate.DisabledSet{})
+			c.closed(tracker.Queue("a"))
+			if diff := cmp.Diff(c.want, deferencesOf(t, tracker.deferencesOf(queues), "a")); diff != "" {
+				t.Errorf("a defers to (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// yieldsOf returns to whom a queue yields; no other may.
-func yieldsOf(t *testing.T, deferences []placement.Deference, name string) map[string]bool {
+// deferencesOf returns to whom a queue defers; no other may.
+func deferencesOf(t *testing.T, deferences []placement.Deference, name string) map[string]bool {
 	t.Helper()
 	var found map[string]bool
 	for _, yield := range deferences {
 		if yield.Queue != name {
-			t.Errorf("%s yields", yield.Queue)
+			t.Errorf("%s defers", yield.Queue)
 			continue
 		}
 		found = map[string]bool{}
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -99,7 +99,7 @@
 func (l *leader) queueStatus(view record.View, name string) api.QueueStatus {
 	counts := view.QueueCounts(name)
 	l.mu.Lock()
-	wait, overloaded := l.admission.slo.expectedWait(name)
+	wait, overloaded := l.admission.slo.ExpectedWait(name)
 	l.mu.Unlock()
 	return api.QueueStatus{
 		Name: name, Jobs: counts.Jobs, WaitingJobs: l.jobsPendingStart(name),
--- a/internal/scheduler/submitting.go
+++ b/internal/scheduler/submitting.go
@@ -9,6 +9,7 @@
 	"github.com/decklever/decklever/internal/admission"
 	"github.com/decklever/decklever/internal/protocol"
 	"github.com/decklever/decklever/internal/replica"
+	"github.com/decklever/decklever/internal/scheduler/slo"
 )
 
 // maxSubmitting bounds the submissions that are being committed at once, shared by
@@ -88,6 +89,6 @@
 	}
 	return &api.Error{
 		Status: http.StatusServiceUnavailable, Code: api.CodeUnavailable,
-		Message: "more changes wait to be committed than may; nothing was done", RetryAfterMillis: minRetryAfter.Milliseconds(),
+		Message: "more changes wait to be committed than may; nothing was done", RetryAfterMillis: slo.MinRetryAfter.Milliseconds(),
 	}
 }
