--- a/internal/scheduler/admissioncontrol.go
+++ b/internal/scheduler/admissioncontrol.go
@@ -25,7 +25,7 @@
 }
 
 // refuse is the answer to a job over a limit that has to come back once a number of
-// waiting tasks more has begun to run.
+// waiting tasks more has started to run.
 func (a *admissionControl) refuse(queue string, reason refusalReason, message string, tooMany int) error {
 	known := a.slo.Queue(queue)
 	earliest, _ := known.TimeFor(a.now(), tooMany)
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -175,7 +175,7 @@
 	return invalid("job", []api.FieldError{field})
 }
 
-// hasCapacity reports whether the first task of some first step has room on a worker
+// hasCapacity reports whether the first task of some first step has capacity on a worker
 // now.
 func (l *leader) hasCapacity(spec *api.JobSpec) bool {
 	return slices.ContainsFunc(spec.Steps, func(step api.StepSpec) bool {
--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -5,15 +5,16 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// maxRevocations is how often a task is taken from silent workers until an order
-// names it, so that work does not go round for long where heartbeats are slow.
+// maxRevocations is how often a task is revoked from workers that miss heartbeats until
+// an assignment names it, so that work does not go round for long where heartbeats are
+// slow.
 const maxRevocations = 3
 
 // gangMembers is what assignments ask of the gangs.
 type gangMembers interface {
-	// mayAssign tells whether the assignment of a member may be given now.
+	// mayAssign reports whether the assignment of a member may be given now.
 	mayAssign(run *runState) bool
-	// runStarted takes in that a member was seen started.
+	// runStarted records that a member was seen started.
 	runStarted(run *runState)
 }
 
@@ -97,16 +98,15 @@
 	return orders
 }
 
-// revokeUnassigned closes the runs of a worker that leaves and whose orders
-// were not given yet.
+// revokeUnassigned closes the runs of a worker whose assignments were not given yet.
 func (a *assignments) revokeUnassigned(worker *workerEntry) {
 	for _, run := range worker.runs {
 		a.ends.closeIfNeverAssigned(run)
 	}
 }
 
-// revokeUnassignedOutsideGangs closes the runs of a worker that were never ordered, belong to no
-// group, and whose tasks were not withdrawn too often. It returns their number.
+// revokeUnassignedOutsideGangs closes the runs of a worker that were never assigned,
+// belong to no gang, and whose tasks were not revoked too often. It returns their number.
 func (a *assignments) revokeUnassignedOutsideGangs(worker *workerEntry) int {
 	revoked := 0
 	for _, run := range worker.runs {
--- a/internal/scheduler/burst_test.go
+++ b/internal/scheduler/burst_test.go
@@ -16,7 +16,7 @@
 	// burstStep is the step of a simulated clock, burstWork the length of each run.
 	burstStep = 50 * time.Millisecond
 	burstWork = 500 * time.Millisecond
-	// burstWorkers have room for 4 tasks each: 40 tasks a second in all.
+	// burstWorkers have capacity for 4 tasks each: 40 tasks a second in all.
 	burstWorkers = 5
 	// lastingJob is the job whose tasks do not end.
 	lastingJob = "b-lasting"
@@ -206,7 +206,7 @@
 	}
 }
 
-// TestAdmission_FreeCapacityRefusesNothing: tasks that ask for more room than a worker
+// TestAdmission_FreeCapacityRefusesNothing: tasks that ask for more capacity than a worker
 // has free wait for long, and small ones still get in.
 func TestAdmission_FreeCapacityRefusesNothing(t *testing.T) {
 	f := newBurstFleet(t, objectiveQueue("a", 1), objectiveQueue("b", 0))
--- a/internal/scheduler/calendar/calendar.go
+++ b/internal/scheduler/calendar/calendar.go
@@ -20,7 +20,7 @@
 // anew costs a walk over every schedule.
 const horizon = 10 * time.Minute
 
-// Calendar holds the windows of the configuration's bookings that concern the
+// Calendar holds the windows of the configuration's reservations that concern the
 // coming minutes, and says for which of them capacity is reserved.
 type Calendar struct {
 	logger *slog.Logger
@@ -78,7 +78,7 @@
 }
 
 // between returns all windows for which capacity is reserved at some time between the
-// two, by queue and booking.
+// two, by queue and reservation.
 func (c *Calendar) between(from, to time.Time) []reservation.Window {
 	var windows []reservation.Window
 	for q := range c.queues {
@@ -96,7 +96,7 @@
 	return windows
 }
 
-// Find returns the window of a booking that starts at a time.
+// Find returns the window of a reservation that starts at a time.
 func (c *Calendar) Find(release api.ReleaseRequest) (reservation.Window, bool) {
 	for _, window := range c.between(release.Start, release.Start.Add(time.Millisecond)) {
 		if window.Queue == release.Queue && window.Booking.Name == release.Booking && window.Start.Equal(release.Start) {
@@ -106,7 +106,7 @@
 	return reservation.Window{}, false
 }
 
-// Release takes in that the capacity of a window was given back.
+// Release records that the capacity of a window was given back.
 func (c *Calendar) Release(window record.ReleaseWindow) {
 	c.released[releasedID(window)] = window.End.Time()
 }
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// addCheckpoint puts what was last heard of the run beside how it ended. The
+// addCheckpoint puts what was last reported of the run into its end. The
 // checkpoint that came with the end is newer.
 func (r *runState) addCheckpoint(end *record.RunEnd) {
 	end.Percent = r.observed.percent
--- a/internal/scheduler/checkpoints_test.go
+++ b/internal/scheduler/checkpoints_test.go
@@ -29,7 +29,7 @@
 	return h, worker, answer.Start[0].RunRef
 }
 
-// wantOrderFrom checks that a new worker is told to go on from a checkpoint.
+// wantOrderFrom checks that a new worker is instructed to go on from a checkpoint.
 func (h *harness) wantOrderFrom(checkpoint string) {
 	h.t.Helper()
 	other := h.worker("other", "o-1")
--- a/internal/scheduler/commonoutcome.go
+++ b/internal/scheduler/commonoutcome.go
@@ -8,21 +8,20 @@
 )
 
 const (
-	// gangStartTimeout is how long a group in lockstep may take from when its
-	// orders begin to go out, or from its placement if they do not, until all
-	// its members were seen started. Beyond it the group goes back whole, so
-	// that none waits for the others until its worker gives up: workers may do
-	// so 3 s after the first member began, and a stop takes up to a second.
+	// gangStartTimeout is how long a gang with a common outcome may take from when its
+	// assignments begin to go out, or from its placement if they do not, until all its
+	// members were seen started. Beyond it all of the gang is requeued, so that none
+	// waits for the others until its worker gives up: workers may do so 3 s after the
+	// first member started, and a stop takes up to a second.
 	gangStartTimeout = 2 * time.Second
-	// gangSeenIntervals: orders of a group go out only if each member's worker
-	// was heard within this many heartbeat intervals, so that all are out within
-	// about one.
+	// gangSeenIntervals: assignments of a gang go out only if each member's worker was
+	// seen within this many heartbeat intervals, so that all are out within about one.
 	gangSeenIntervals = 2
 )
 
-// commonOutcomeRunOpened begins to watch that the group starts whole. A group that
-// an earlier leader placed longer ago than the bound counts as started: that
-// leader watched it, and the holds of its workers guard it now.
+// commonOutcomeRunOpened begins to watch that all of the gang starts. A gang that an
+// earlier leader placed longer ago than the timeout counts as started: that leader
+// watched it, and the leases of its workers guard it now.
 func (g *gangs) commonOutcomeRunOpened(gang *gangState, run *runState, open *record.Run) {
 	gang.sharesOutcome = true
 	if len(gang.open) == 1 {
@@ -53,16 +52,16 @@
 	}
 }
 
-// mayAssign tells whether the order of a member may be given now: the
-// orders of its group are going out, or the workers of all its members can be
-// given theirs within about a heartbeat interval.
+// mayAssign reports whether the assignment of a member may be given now: those of its
+// gang are going out, or the workers of all its members can be given theirs within
+// about a heartbeat interval.
 func (g *gangs) mayAssign(run *runState) bool {
 	gang := g.byStep[run.step]
 	if gang.assignmentsReleased {
 		return true
 	}
 	if len(gang.open) != gang.size {
-		return false // the mirror is still taking over the placement
+		return false // the events of the placement are still coming
 	}
 	now := g.now()
 	for member := range gang.open {
@@ -75,8 +74,8 @@
 	return true
 }
 
-// canReceiveAssignmentSoon tells whether the worker of a run can be expected to take an
-// order with its next heartbeat.
+// canReceiveAssignmentSoon reports whether the worker of a run can be expected to take an
+// assignment with its next heartbeat.
 func (g *gangs) canReceiveAssignmentSoon(run *runState, now time.Duration) bool {
 	if run.closing || run.stop != record.StopNone {
 		return false
@@ -84,7 +83,7 @@
 	return g.workers.respondsSoon(run.worker, now)
 }
 
-// breakLate sends groups back that did not start whole in time.
+// breakLate requeues gangs not all of whose members started in time.
 func (g *gangs) breakLate(now time.Duration) {
 	for key, gang := range g.starting {
 		if now < gang.startBy {
@@ -98,9 +97,9 @@
 	}
 }
 
-// avoidLateWorkers has the group run elsewhere if it can than on the workers that kept it
-// from starting whole: those that were not heard in time to take their orders, or to
-// tell that they have started.
+// avoidLateWorkers has the gang avoid the workers that kept all of it from starting: those
+// that were not seen in time to take their assignments, or to report that they have
+// started.
 func (g *gangs) avoidLateWorkers(gang *gangState) {
 	now := g.now()
 	for run, started := range gang.open {
--- a/internal/scheduler/commonoutcome_test.go
+++ b/internal/scheduler/commonoutcome_test.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// commonOutcomePair submits a group in lockstep that fills two workers, which have
+// commonOutcomePair submits a gang with a common outcome that fills two workers, which have
 // been answered.
 func commonOutcomePair(h *harness) (first, second *fakeWorker) {
 	first, second = h.worker("a", "a-1"), h.worker("b", "b-1")
@@ -222,7 +222,7 @@
 }
 
 // TestCommonOutcome_StartsDespiteRareHeartbeats: too seldom for the
-// orders of a group, and often enough for its hold.
+// orders of a gang, and often enough for its hold.
 func TestCommonOutcome_StartsDespiteRareHeartbeats(t *testing.T) {
 	const beats = 13
 	var longest time.Duration
--- a/internal/scheduler/config.go
+++ b/internal/scheduler/config.go
@@ -29,7 +29,7 @@
 }
 
 // wrongInConfig checks a configuration for itself, and if that is right against
-// the registered room.
+// the registered capacity.
 func (l *leader) wrongInConfig(config *api.Config) []api.FieldError {
 	if fields := api.ValidateConfig(config); len(fields) > 0 {
 		return fields
--- a/internal/scheduler/conflicts.go
+++ b/internal/scheduler/conflicts.go
@@ -18,10 +18,10 @@
 )
 
 // quarantineConflicts takes out of what a heartbeat showed the reports that
-// cannot be true by the record, so that nothing follows from a worker's word
+// cannot be true by the record, so that nothing follows from a worker's report
 // against it. They are logged and acknowledged. A run that is open elsewhere
-// stays open there. A run that was never ordered is closed as lost, as its worker
-// would not start it any more; one that goes on all the same counts as ordered.
+// stays open there. A run that was never assigned is closed as lost, as its worker
+// would not start it any more; one that goes on all the same counts as assigned.
 func (a *assignments) quarantineConflicts(worker *workerEntry, differences *reconciliation) {
 	differences.ended = slices.DeleteFunc(differences.ended, func(end record.RunEnd) bool {
 		run := worker.runs[end.Run]
--- a/internal/scheduler/departure.go
+++ b/internal/scheduler/departure.go
@@ -13,11 +13,11 @@
 	// maxStopTime is the longest that a worker takes to stop a run and to note its
 	// checkpoint.
 	maxStopTime = 200 * time.Millisecond
-	// heartbeatsPerStop: one heartbeat carries the stop order to the worker, the
+	// heartbeatsPerStop: one heartbeat carries the stop request to the worker, the
 	// next its report.
 	heartbeatsPerStop = 2
 	// departureMargin is for the way to the worker and back, and for the pause
-	// between two looks at the departures.
+	// between two reviews of the departures.
 	departureMargin = 100 * time.Millisecond
 	// estimateTolerance: a run may take this many times as long as was estimated, or
 	// only such a part of it.
@@ -39,7 +39,7 @@
 // announced reports whether the worker surely ends.
 func (d *departure) announced() bool { return d.noticeGiven || d.hasEnd }
 
-// observeRemaining takes in the least time that the worker still has; 0 says nothing.
+// observeRemaining records the least time that the worker still has; 0 says nothing.
 func (d *departure) observeRemaining(remainingMillis int64, now time.Duration) {
 	if remainingMillis <= 0 {
 		return
@@ -48,7 +48,7 @@
 	d.endsAt = now + time.Duration(min(remainingMillis, maxRemaining.Milliseconds()))*time.Millisecond
 }
 
-// observeHeartbeat takes in a heartbeat. A worker that drains no more, and gave no notice,
+// observeHeartbeat observes a heartbeat. A worker that no longer drains, and gave no notice,
 // goes on.
 func (d *departure) observeHeartbeat(heartbeat api.Heartbeat, now time.Duration) {
 	if !heartbeat.Draining && !d.noticeGiven {
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -8,10 +8,10 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// drainCause is what drains a worker, as it is told to people.
+// drainCause is what drains a worker, as it is shown to people.
 type drainCause string
 
-// Causes. Where several hold, the first in this order is told.
+// Causes. Where several hold, the first in this order is shown.
 const (
 	notDrained      drainCause = ""
 	drainedByConfig drainCause = "drained by the configuration"
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// handleEvent keeps the mirror true to the record. The record calls it under its
+// handleEvent keeps the leader's state true to the record. The record calls it under its
 // lock, in the order of the log.
 func (l *leader) handleEvent(event record.Event) {
 	l.mu.Lock()
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -15,13 +15,13 @@
 	Remove(task record.TaskID)
 }
 
-// workerResponsiveness tells whether a worker can be expected to take an assignment
+// workerResponsiveness reports whether a worker can be expected to take an assignment
 // within about a heartbeat interval.
 type workerResponsiveness interface {
 	respondsSoon(worker *workerEntry, now time.Duration) bool
 }
 
-// workerFailures takes in that a task had better run elsewhere than on a worker.
+// workerFailures records on which workers a task had better not run again.
 type workerFailures interface {
 	add(task record.TaskID, worker string)
 }
@@ -53,7 +53,7 @@
 	// broken is true from the loss of a member before all had started until
 	// no member has an open run: none may be placed meanwhile.
 	broken bool
-	// sharesOutcome is set for a gang that is one for its whole life. startBy is when
+	// sharesOutcome is set for a gang whose members also end together. startBy is when
 	// all its members must have started, and assignmentsReleased is true once their
 	// assignments are given out.
 	sharesOutcome       bool
@@ -82,7 +82,7 @@
 	return true
 }
 
-// isDue tells whether the members that wait may be offered now.
+// isDue reports whether the members that wait may be offered now.
 func (s *gangState) isDue() bool {
 	if s.size > 0 && len(s.ready) != s.size {
 		return false
@@ -127,7 +127,7 @@
 }
 
 // offer lets the planner place the members that wait: all together, or each alone
-// once the gang has started whole.
+// once all of the gang has started.
 func (g *gangs) offer(gang *gangState) {
 	if gang.broken || !gang.isDue() {
 		g.withhold(gang)
@@ -153,7 +153,7 @@
 	}
 }
 
-// runOpened takes in that a member was placed.
+// runOpened records that a member was placed.
 func (g *gangs) runOpened(run *runState, open *record.Run) {
 	gang := g.gang(run.step)
 	delete(gang.ready, run.id.Task)
@@ -164,14 +164,14 @@
 	}
 }
 
-// runStopping takes in that a member is being stopped.
+// runStopping records that a member is being stopped.
 func (g *gangs) runStopping(run *runState, step *record.Step) {
 	gang := g.gang(run.step)
 	gang.size = step.GangSize()
 	g.offer(gang)
 }
 
-// runStarted takes in that a member was seen started.
+// runStarted records that a member was seen started.
 func (g *gangs) runStarted(run *runState) {
 	if gang := g.find(run.step); gang != nil {
 		gang.open[run] = true
@@ -199,7 +199,7 @@
 	g.offer(gang)
 }
 
-// breakGang stops the other members, so that the gang waits whole.
+// breakGang stops the other members, so that all of the gang waits.
 func (g *gangs) breakGang(gang *gangState) {
 	if gang.broken {
 		return
@@ -213,7 +213,7 @@
 
 // load takes over a gang at the start of a term. It cannot be known whether all had
 // started; members that wait without ever having failed show that a run was lost,
-// and then the gang is taken as not whole.
+// and then the gang counts as broken.
 func (g *gangs) load(step *record.Step) {
 	if len(step.Tasks) == 0 {
 		return
@@ -237,8 +237,8 @@
 	g.offer(gang)
 }
 
-// waitsForMembers reports whether the run is of a gang that has not started whole: its
-// members may then rightly stand.
+// waitsForMembers reports whether the run is of a gang not all of whose members have started:
+// the others may then rightly wait.
 func (g *gangs) waitsForMembers(run *runState) bool {
 	gang, known := g.byStep[run.step]
 	return run.inGang && known && !gang.allStarted()
--- a/internal/scheduler/healthreview.go
+++ b/internal/scheduler/healthreview.go
@@ -17,7 +17,7 @@
 	// maxProbationEstimate: tasks of at most this estimate try workers on probation first.
 	maxProbationEstimate = 2 * time.Second
 	// maxFreshStartPercent is the greatest percent of a run's first report at which its
-	// whole time says something: one that goes on from a checkpoint begins later.
+	// total time says something: one that goes on from a checkpoint begins later.
 	maxFreshStartPercent = 5
 )
 
@@ -31,7 +31,7 @@
 	fineGrainedQueues map[string]bool
 	// stalls counts how often a run of a task was stopped for standing still.
 	stalls map[record.TaskID]int
-	// failedWorkers are the workers on which runs of tasks failed or stood still.
+	// failedWorkers are the workers on which runs of tasks failed or stalled.
 	failedWorkers failedWorkers
 }
 
@@ -72,7 +72,7 @@
 	planned.PrefersProbation = planned.AllowsProbation && (task.Spec.UntilCancelled || estimate > 0 && estimate <= maxProbationEstimate)
 }
 
-// observeProgress takes in how far the runs of a worker say that they are.
+// observeProgress records how far the runs of a worker say that they are.
 func (h *healthReview) observeProgress(worker *workerEntry, reports []api.RunProgress, now time.Duration) {
 	for _, report := range reports {
 		id, ok := parseRun(report.RunRef)
@@ -111,9 +111,9 @@
 	}
 }
 
-// observePace takes in the whole time of a run that this leader ordered, from its
-// order until its end was heard. One that was not seen running before its end
-// tells nothing: most of that time may be the wait for a heartbeat.
+// observePace records the total time of a run that this leader assigned, from its
+// assignment until its end was seen. One that was not seen running before its end says
+// nothing: most of that time may be the wait for a heartbeat.
 func (h *healthReview) observePace(run *runState, now time.Duration) {
 	estimate := run.spec.Estimate.Std()
 	seenRunning := run.observed.listed && run.observed.progress.StartedAt < run.observed.endedAt
@@ -130,7 +130,7 @@
 
 // isPaceComparable reports whether the run's time says something about its worker. One away
 // from what its task prefers may take a multiple of its time on a sound worker, and one
-// of a group in lockstep waits for the others.
+// of a gang with a common outcome waits for the others.
 func (h *healthReview) isPaceComparable(run *runState) bool {
 	return !h.off.Has(featuregate.SlowTracking) && !run.sharesOutcome && hasAll(run.worker.info.Labels, run.spec.Prefer)
 }
@@ -163,7 +163,7 @@
 	return true
 }
 
-// mustStopStalled decides whether a run stands still, and counts it: it is to be
+// mustStopStalled decides whether a run has stalled, and counts it: it is to be
 // stopped, so that its task runs elsewhere. That is no failure of the task.
 func (h *healthReview) mustStopStalled(run *runState, now time.Duration) bool {
 	if !run.observed.listed || run.closing || run.stop != record.StopNone || run.spec.UntilCancelled {
@@ -184,14 +184,14 @@
 	h.stalls[run.id.Task]++
 	h.metrics.runsStalled.Inc()
 	if !run.inGang && !h.off.Has(featuregate.OutlierEjection) {
-		// Members of a group may wait for one of them: none is to blame alone.
+		// Members of a gang may wait for one of them: none is to blame alone.
 		h.tracker.ObserveStall(run.worker.info.ID, run.id.Task, now)
 	}
 	return true
 }
 
-// reviewHealth stops runs that stand still, and holds back workers on which work
-// fails, stands still or crawls.
+// reviewHealth stops runs that stall, and ejects workers on which work
+// fails, stalls or crawls.
 func (l *leader) reviewHealth(now time.Duration) {
 	if !l.health.isDue(now) {
 		return
@@ -206,8 +206,8 @@
 	}
 }
 
-// applyHealthChange takes over a worker's new standing. A suspect worker loses what was
-// not ordered there yet.
+// applyHealthChange takes over a worker's new health state. A suspect worker loses what was
+// not assigned yet.
 func (l *leader) applyHealthChange(worker *workerEntry, change workerhealth.StatusChange, now time.Duration) {
 	worker.health = change.Status
 	l.logger.Info("worker's standing changed", slog.String("worker", worker.info.Name),
--- a/internal/scheduler/healthreview_test.go
+++ b/internal/scheduler/healthreview_test.go
@@ -143,7 +143,7 @@
 }
 
 // TestHealthReview_ProgressingRunsContinue have no estimate, or run until cancelled, or belong
-// to a worker that is not heard.
+// to a worker that is not seen.
 func TestHealthReview_ProgressingRunsContinue(t *testing.T) {
 	lasting := estimated(1, time.Second)
 	lasting.Tasks[0].UntilCancelled = true
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -12,24 +12,23 @@
 )
 
 const (
-	// promptInterval is told to a worker whose reports were just taken, or that
-	// was just heard for the first time: the room that it has is likely to be
-	// given out within it.
+	// promptInterval is given to a worker whose reports were just committed, or that was
+	// just seen for the first time: its free capacity is likely to be used within it.
 	promptInterval = 20 * time.Millisecond
 	// workersPerBaseInterval: beyond this many workers the heartbeat interval
 	// grows with their number, so that the leader's load does not.
 	workersPerBaseInterval = 200
-	// intervalsPerHold bounds the interval, so that a hold survives the loss
+	// intervalsPerHold bounds the interval, so that a lease survives the loss
 	// of two heartbeats in a row.
 	intervalsPerHold = 4
 )
 
-// heartbeat answers one heartbeat of one worker. It looks at the lease before
-// it draws conclusions and right before it answers.
+// heartbeat answers one heartbeat of one worker. It checks the leader's lease
+// before it draws conclusions and right before it answers.
 //
-// What a heartbeat tells is true whether or not its caller still waits, so the
-// caller's context bounds nothing here. It only keeps orders from an answer that
-// nobody takes. The ends that it lists are taken also when it is refused.
+// What a heartbeat reports is true whether or not its caller still waits, so the
+// caller's context bounds nothing here. It only keeps assignments from an answer
+// that nobody takes. The ends that it lists are taken also when it is refused.
 func (l *leader) heartbeat(ctx context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
 		l.observeRefusedEnds(request)
@@ -51,10 +50,10 @@
 type observation struct {
 	request protocol.HeartbeatRequest
 	worker  *workerEntry
-	// late is true if a newer heartbeat was heard before: then it tells of
-	// ended runs and of nothing else.
+	// late is true if a newer heartbeat was seen before: then it reports
+	// ended runs and nothing else.
 	late bool
-	// leaseExpirations is the worker's count when the heartbeat was heard.
+	// leaseExpirations is the worker's count when the heartbeat was seen.
 	leaseExpirations uint64
 	// mustRegister is true if the record has to learn of the worker first.
 	mustRegister bool
@@ -62,7 +61,8 @@
 	reports      reports
 }
 
-// observeHeartbeat notes the heartbeat and compares it with the record.
+// observeHeartbeat takes over what a heartbeat says of its worker, and compares the runs
+// that it lists with the record.
 func (l *leader) observeHeartbeat(request protocol.HeartbeatRequest) *observation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,7 +106,7 @@
 	}
 }
 
-// commit puts what the heartbeat tells into the record, and returns the reports
+// commit puts what the heartbeat reports into the record, and returns the reports
 // that may be acknowledged.
 func (l *leader) commit(observed *observation) ([]api.RunRef, error) {
 	if err := l.register(observed); err != nil {
@@ -116,7 +116,7 @@
 }
 
 // register commits what the record must know of the worker. A worker that
-// cannot be registered yet is answered all the same, without orders.
+// cannot be registered yet is answered all the same, without assignments.
 func (l *leader) register(observed *observation) error {
 	if !observed.mustRegister {
 		return nil
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// answerHeartbeat gives the hold and the orders, unless the heartbeat has been
-// overtaken meanwhile by a newer one or by the lapse of the hold.
+// answerHeartbeat extends the lease and gives the assignments, unless the heartbeat has
+// been overtaken meanwhile by a newer one or by the expiry of the lease.
 func (l *leader) answerHeartbeat(ctx context.Context, observed *observation, acknowledged []api.RunRef) (protocol.HeartbeatAnswer, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scheduler/incarnations.go
+++ b/internal/scheduler/incarnations.go
@@ -6,17 +6,17 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// Places: of two incarnations that can never live at once, one that lived when
-// the other was known already is the later one, so that the other has ended. That
+// Addresses: of two incarnations at one address, which can never live at once, one that
+// lived when the other was known already is the later one, so that the other has ended. That
 // a worker lived at some moment is proven by an answer that was given then and
 // that it has accepted; a heartbeat alone may have been on its way for long.
 // Clocks of other machines have no part in it.
 
 // replacedAfterIntervals is for how many heartbeat intervals an incarnation must have been
-// silent before it counts as replaced, whatever is proven of another one.
+// unseen before it counts as replaced, whatever is proven of another one.
 const replacedAfterIntervals = 2
 
-// addressOf names a worker's place in the whole fleet; empty if it has none.
+// addressOf names a worker's address in the whole fleet; empty if it has none.
 func addressOf(request protocol.HeartbeatRequest) string {
 	if request.Heartbeat.Place == "" {
 		return ""
@@ -24,7 +24,7 @@
 	return request.Agent + "/" + request.Heartbeat.Place
 }
 
-// hasOpenRuns tells whether a run is open here that is not being closed.
+// hasOpenRuns reports whether a run is open here that is not being closed.
 func (w *workerEntry) hasOpenRuns() bool {
 	for _, run := range w.runs {
 		if !run.closing {
@@ -34,7 +34,7 @@
 	return false
 }
 
-// claimAddress notes a worker that may have proven that it lives.
+// claimAddress records a worker that may have proven that it lives.
 func (r *workerRegistry) claimAddress(worker *workerEntry) {
 	address := worker.info.Address
 	if address == "" || worker.provenAliveAt == 0 {
@@ -52,8 +52,8 @@
 	}
 }
 
-// replaced tells that a worker has ended although its hold still stands, as a
-// later incarnation lives in its place, and that this must be acted on.
+// replaced reports that a worker has ended although its lease still stands, as a later
+// incarnation lives at its address, and that this must be acted on.
 func (r *workerRegistry) replaced(worker *workerEntry, now time.Duration) bool {
 	if worker.info.Address == "" || worker.lease.expired && !worker.hasOpenRuns() {
 		return false
--- a/internal/scheduler/incarnations_test.go
+++ b/internal/scheduler/incarnations_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestIncarnations_ReplacedWorkerOfEarlierTerm: a new leader, which never heard the ended
+// TestIncarnations_ReplacedWorkerOfEarlierTerm: a new leader, which never saw the ended
 // process, knows its place from the record.
 func TestIncarnations_ReplacedWorkerOfEarlierTerm(t *testing.T) {
 	h := newHarness(t)
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -50,7 +50,7 @@
 
 // checkFeasible refuses tasks that no known worker could hold even when empty.
 // While no worker is known nothing can be said, and all is let in. Tasks in a
-// row that ask for the same are looked at once.
+// row that ask for the same are examined once.
 func (l *leader) checkFeasible(spec *api.JobSpec) error {
 	l.mu.Lock()
 	workers := l.registry.registeredWorkers()
@@ -79,13 +79,13 @@
 	return &api.Error{Status: http.StatusUnprocessableEntity, Code: api.CodeImpossible, Message: "no known worker could ever run the job", Fields: fields}
 }
 
-// sameDemand tells whether two tasks can lie on the same workers.
+// sameDemand reports whether two tasks fit on the same workers.
 func sameDemand(a, b *api.TaskSpec) bool {
 	sameSpread := (a.Spread == nil) == (b.Spread == nil) && (a.Spread == nil || a.Spread.By == b.Spread.By)
 	return sameSpread && a.Service == b.Service && a.Resources == b.Resources && maps.Equal(a.Labels, b.Labels)
 }
 
-// getJob reads a job, held until it is final or the wait is over.
+// getJob reads a job; the answer is delayed until it is final or the wait is over.
 func (l *leader) getJob(ctx context.Context, request protocol.GetJobRequest) (protocol.JobAnswer, error) {
 	status, err := l.status(request.ID, request.Brief)
 	if err != nil || status.State.Final() || request.WaitMillis <= 0 {
--- a/internal/scheduler/lastroom_test.go
+++ b/internal/scheduler/lastroom_test.go
@@ -73,7 +73,7 @@
 }
 
 // TestEndlessTask_SoonRunsAgainOnSuspectWorker: it fails wherever it runs, and the one
-// worker with room is suspect for as long as can be.
+// worker with capacity is suspect for as long as can be.
 func TestEndlessTask_SoonRunsAgainOnSuspectWorker(t *testing.T) {
 	h := newHarness(t)
 	workers := h.fleetOf(2)
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// tickInterval is how often holds, timed starts and drains are looked at.
+	// tickInterval is how often leases, timed starts and drains are examined.
 	tickInterval = 50 * time.Millisecond
 	// planLimit bounds the placements of one pass, and so the size of one log
 	// entry and the time for which the leader's lock is held.
@@ -103,7 +103,7 @@
 	loops.Wait()
 }
 
-// load builds the mirror from the record. Every worker with an open run counts
+// load builds the components from the record. Every worker with an open run counts
 // as answered now: an earlier leader may have done so a moment ago.
 func (l *leader) load(view record.View) {
 	l.mu.Lock()
@@ -136,7 +136,7 @@
 	l.wake()
 }
 
-// tick looks at holds, drains, bookings and timed starts.
+// tick does what time alone brings about: leases, drains, reviews, reservations, timers.
 func (l *leader) tick() {
 	clusterNow := l.log.Now()
 	l.mu.Lock()
@@ -157,6 +157,6 @@
 	l.offerChanged(l.pending.refreshRanks(clusterNow))
 	l.releaseTimers(clusterNow)
 	l.proposer.enqueueExpansions(l.repeats.TakeDue(clusterNow))
-	// The planner makes room step by step, and goes on although nothing came.
+	// The planner frees capacity step by step, and goes on although nothing came.
 	l.wake()
 }
--- a/internal/scheduler/leader_test.go
+++ b/internal/scheduler/leader_test.go
@@ -352,7 +352,7 @@
 	}
 }
 
-// TestWorkerStatus_LastSeenCountsFromTerm: a worker that a new leader never heard was silent
+// TestWorkerStatus_LastSeenCountsFromTerm: a worker that a new leader never saw was silent
 // since the term began, not since the process did.
 func TestWorkerStatus_LastSeenCountsFromTerm(t *testing.T) {
 	h := newHarness(t)
--- a/internal/scheduler/leaderstalls.go
+++ b/internal/scheduler/leaderstalls.go
@@ -9,7 +9,7 @@
 	// heartbeatGapWeight is the weight of a new pause in the average of pauses.
 	heartbeatGapWeight = 1.0 / 64
 	// maxHeartbeatGapIntervals bounds one pause in the average, in heartbeat intervals: a worker
-	// that was cut off says nothing of how soon the others are heard.
+	// that was cut off says nothing of how soon the others are seen.
 	maxHeartbeatGapIntervals = 4
 	// lateTickThreshold is by how much a tick has to be late to count: timers are never
 	// exact.
@@ -17,8 +17,8 @@
 )
 
 // lateness is what a leader knows of its own delays. Time for which the process
-// itself stood still, and time that heartbeats wait before they are read, are no
-// silence of workers.
+// itself stalled, and time that heartbeats wait before they are read, are no
+// missed heartbeats of workers.
 type stallTracker struct {
 	// lastTick is when the newest tick came; 0 before the first.
 	lastTick time.Duration
@@ -29,7 +29,7 @@
 	heartbeatGap time.Duration
 }
 
-// observeTick takes in that a tick came now, and returns by how much it was late.
+// observeTick records that a tick came now, and returns by how much it was late.
 func (d *stallTracker) observeTick(now time.Duration) time.Duration {
 	late := now - d.lastTick - tickInterval
 	isFirst := d.lastTick == 0
@@ -41,7 +41,7 @@
 	return late
 }
 
-// observeHeartbeatGap takes in for how long a worker was not heard after an answer that
+// observeHeartbeatGap records for how long a worker was not seen after an answer that
 // named an interval.
 func (d *stallTracker) observeHeartbeatGap(gap, interval time.Duration) {
 	gap = min(gap, maxHeartbeatGapIntervals*interval)
@@ -51,12 +51,12 @@
 	d.heartbeatGap += time.Duration(heartbeatGapWeight * float64(gap-d.heartbeatGap))
 }
 
-// expectedHeartbeatGap is how soon after an answer a worker is heard again at present.
+// expectedHeartbeatGap is how soon after an answer a worker is seen again at present.
 func (d *stallTracker) expectedHeartbeatGap(interval time.Duration) time.Duration {
 	return max(interval, d.heartbeatGap)
 }
 
-// observeTick takes in that the leader's own tick came now.
+// observeTick records that the leader's own tick came now.
 func (l *leader) observeTick() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,14 +70,14 @@
 	}
 }
 
-// leaderStallSince is for how long the leader stood still since it answered the worker.
+// leaderStallSince is for how long the leader has stalled since it answered the worker.
 func (r *workerRegistry) leaderStallSince(worker *workerEntry) time.Duration {
 	return r.stalls.total - worker.leaderStallAtAnswer
 }
 
-// heartbeatDelay is for how long the worker could have been heard since its newest
+// heartbeatDelay is for how long the worker could have been seen since its newest
 // answer and was not. While a heartbeat is in work the worker waits for its answer,
-// and is not silent.
+// and misses none.
 func (r *workerRegistry) heartbeatDelay(worker *workerEntry, now time.Duration) time.Duration {
 	if !worker.answered() || worker.seq != worker.answeredSeq {
 		return 0
@@ -85,13 +85,13 @@
 	return now - worker.answeredAt - r.leaderStallSince(worker)
 }
 
-// missesHeartbeats tells whether the worker's next heartbeat is overdue, by the pace at which
-// the others are heard at present.
+// missesHeartbeats reports whether the worker's next heartbeat is overdue, by the pace at which
+// the others are seen at present.
 func (r *workerRegistry) missesHeartbeats(worker *workerEntry, now time.Duration) bool {
 	return r.heartbeatDelay(worker, now) > missedHeartbeatsLimit*r.stalls.expectedHeartbeatGap(r.heartbeatInterval())
 }
 
-// observeHeartbeatGap takes in a heartbeat that is heard now, before the worker is answered
+// observeHeartbeatGap observes a heartbeat that is seen now, before the worker is answered
 // anew. After a prompt answer, and in the first answer of a term, the pause differs.
 func (r *workerRegistry) observeHeartbeatGap(worker *workerEntry, now time.Duration) {
 	if !worker.answered() || worker.answeredPromptly || worker.lease.expired {
--- a/internal/scheduler/leaderstalls_test.go
+++ b/internal/scheduler/leaderstalls_test.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-// ownPause is how long a leader stands still in these tests: over the silence after
+// ownPause is how long a leader has stalled in these tests: over the silence after
 // which a worker counts as silent, and far from a hold.
 const ownPause = longSilence * testBeat
 
@@ -36,9 +36,9 @@
 	return h, workers
 }
 
-// TestLeaderStall_IsNoMissedHeartbeat: after the leader itself stood still, heartbeats
+// TestLeaderStall_IsNoMissedHeartbeat: after the leader itself stalled, heartbeats
 // that came meanwhile are read one after the other. The workers that are not read yet
-// are not silent, although half of them were heard already.
+// are not silent, although half of them were seen already.
 func TestLeaderStall_IsNoMissedHeartbeat(t *testing.T) {
 	for _, gap := range []time.Duration{ownPause, 2 * ownPause, 2500 * time.Millisecond} {
 		h, workers := fleetWithUnassignedRuns(t, 10)
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestLeaderStall_MissingWorkerIsStillFound: a worker that is not heard once the leader
+// TestLeaderStall_MissingWorkerIsStillFound: a worker that is not seen once the leader
 // goes on is silent as soon as it would be without the pause.
 func TestLeaderStall_MissingWorkerIsStillFound(t *testing.T) {
 	h, workers := fleetWithUnassignedRuns(t, 10)
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// expireLeases gives up the runs of workers whose hold has surely lapsed: the
-// worker has stopped them by itself before now (P11). The same goes for workers
-// whose place another one has taken: they have ended, and their runs with them.
+// expireLeases closes the runs of workers whose lease has surely expired: the worker has
+// stopped them by itself before now (P11). The same goes for workers that another
+// incarnation has replaced: they have ended, and their runs with them.
 func (r *workerRegistry) expireLeases(now time.Duration, ends runEnder) {
 	for _, worker := range r.byID {
 		if !worker.mustExpireLease(now) && !r.replaced(worker, now) {
@@ -29,8 +29,8 @@
 	}
 }
 
-// refreshPlannerWorkers tells the planner of workers whose answers stopped arriving,
-// or arrive again. It reports whether there were any.
+// refreshPlannerWorkers updates the planner on workers whose answers stopped arriving, or
+// arrive again. It reports whether there were any.
 func (r *workerRegistry) refreshPlannerWorkers(now time.Duration) bool {
 	changed := false
 	for _, worker := range r.byID {
@@ -41,7 +41,7 @@
 	return changed
 }
 
-// sinceLastSeen is for how long a worker was not heard in this term.
+// sinceLastSeen is for how long a worker was not seen in this term.
 func (r *workerRegistry) sinceLastSeen(worker *workerEntry, now time.Duration) time.Duration {
 	return now - max(worker.lastSeen, r.startedAt)
 }
@@ -63,7 +63,7 @@
 	l.expiresAt = max(l.expiresAt, until)
 }
 
-// expire takes in that the lease has passed without a newer answer.
+// expire records that the lease has passed without a newer answer.
 func (l *lease) expire() {
 	l.expirations++
 	l.lastExpired = l.expiresAt
@@ -75,7 +75,7 @@
 	return l.expiresAt != 0 && now > l.expiresAt
 }
 
-// mustExpireLease tells whether the lease has passed and that has not been acted on
+// mustExpireLease reports whether the lease has passed and that has not been acted on
 // yet, or a run was opened since. A lease expires once: a worker that is seen
 // again must not expire at each tick until its heartbeat is answered, since that
 // would keep a heartbeat whose reports take a while from ever being answered.
--- a/internal/scheduler/localitywait.go
+++ b/internal/scheduler/localitywait.go
@@ -8,7 +8,7 @@
 )
 
 // A task that runs for a multiple of its time away from what it prefers is better off
-// if it waits a moment for room there (delay scheduling, Zaharia et al. 2010). Room
+// if it waits a moment for capacity there (delay scheduling, Zaharia et al. 2010). Room
 // comes soon where many short tasks run, and the wait is bounded by what the task can
 // spare.
 
@@ -64,7 +64,8 @@
 	return true
 }
 
-// setLocalityWait changes the task's wishes, which the planner may hold.
+// setLocalityWait changes the task's preferences. The planner may have the old ones, so
+// that they are replaced, not changed.
 func (e *waitingTask) setLocalityWait(waits bool) {
 	if e.task.WaitsForPreferred == waits {
 		return
--- a/internal/scheduler/localitywait_test.go
+++ b/internal/scheduler/localitywait_test.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/internal/workerhealth"
 )
 
-// racks registers worker "x" of rack x with room for one task, and "y" of rack y.
+// racks registers worker "x" of rack x with capacity for one task, and "y" of rack y.
 func (h *harness) racks() (x, y *fakeWorker) {
 	x, y = h.worker("x", "x-1"), h.worker("y", "y-1")
 	x.heartbeat.Capacity.CPUMillis = 1000
--- a/internal/scheduler/missedheartbeats.go
+++ b/internal/scheduler/missedheartbeats.go
@@ -7,15 +7,16 @@
 	"github.com/decklever/decklever/internal/featuregate"
 )
 
-// missedHeartbeatsLimit is for how many heartbeat intervals a worker may go unheard after an
-// answer until it counts as silent.
+// missedHeartbeatsLimit is for how many heartbeat intervals a worker may go unseen after an
+// answer until it counts as missing heartbeats.
 const missedHeartbeatsLimit = 2
 
-// revokeOnMissedHeartbeats closes the runs on silent workers that no order has named,
-// while most workers are heard. They surely never start there, so nothing need be
-// waited for, and their tasks can run elsewhere long before the hold lapses. It is
-// done once for each silence: what is placed there afterwards found no room
-// elsewhere. A member of a group stays, since its loss would send the group back.
+// revokeOnMissedHeartbeats closes the runs on workers that miss heartbeats and that no
+// assignment has named, while most workers respond. They surely never start there, so
+// nothing need be waited for, and their tasks can run elsewhere long before the lease
+// expires. It is done once until the worker is answered again: what is placed there
+// afterwards found no capacity elsewhere. A member of a gang stays, since its loss would
+// requeue the gang.
 func (l *leader) revokeOnMissedHeartbeats(now time.Duration) {
 	if l.off.Has(featuregate.RevokeOnMissedHeartbeats) || !l.registry.mostWorkersRespond(now) {
 		return
@@ -32,9 +33,9 @@
 	}
 }
 
-// isUnresponsive tells whether an order to the worker would probably come late: it is
-// silent, or the newest answer that it can tell of did not arrive. Such a worker
-// gets work last.
+// isUnresponsive reports whether an assignment to the worker would probably come late: it
+// misses heartbeats, or the newest answer that it can report on did not arrive. Such a
+// worker gets work last.
 func (r *workerRegistry) isUnresponsive(worker *workerEntry, now time.Duration) bool {
 	if r.off.Has(featuregate.UnresponsiveWorkersLast) {
 		return false
@@ -42,8 +43,8 @@
 	return worker.registered && (worker.answerMissed || r.missesHeartbeats(worker, now))
 }
 
-// mostWorkersRespond reports whether at least half of the workers would take an order
-// soon. They would not after a pause of this process itself.
+// mostWorkersRespond reports whether at least half of the workers would take an
+// assignment soon. They would not after a stall of this process itself.
 func (r *workerRegistry) mostWorkersRespond(now time.Duration) bool {
 	heard := 0
 	for _, worker := range r.byName {
--- a/internal/scheduler/missedheartbeats_test.go
+++ b/internal/scheduler/missedheartbeats_test.go
@@ -115,7 +115,7 @@
 }
 
 // TestRevocation_HeartbeatInProgressIsNotMissed has the log take so long that a worker, which
-// waits for its answer, cannot be heard meanwhile.
+// waits for its answer, cannot be seen meanwhile.
 func TestRevocation_HeartbeatInProgressIsNotMissed(t *testing.T) {
 	h, silent, _ := missingAndResponding(t, tasks(2))
 	silent.exchange()
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestRevocation_GangMemberStays: a run that is withdrawn sends its whole
-// group back, so a group waits for the hold.
+// TestRevocation_GangMemberStays: a run that is revoked sends its whole
+// gang back, so a gang waits for the hold.
 func TestRevocation_GangMemberStays(t *testing.T) {
 	step := tasks(2)
 	step.Together = true
--- a/internal/scheduler/pendingstarts.go
+++ b/internal/scheduler/pendingstarts.go
@@ -2,9 +2,9 @@
 
 import "github.com/decklever/decklever/internal/record"
 
-// pendingStarts are the live jobs of which no task was seen to have begun on a worker,
-// with their queues. A placement alone does not begin a task: its order may wait
-// for a heartbeat, or have no effect.
+// pendingStarts are the live jobs of which no task was seen to have started on a worker,
+// with their queues. A placement alone does not start a task: its assignment may
+// wait for a heartbeat, or have no effect.
 type pendingStarts struct {
 	queueOf map[string]string
 	byQueue map[string]int
@@ -23,7 +23,7 @@
 	n.byQueue[job.Spec.Queue]++
 }
 
-// remove takes a job out that has begun or ended.
+// remove removes a job that has started or ended.
 func (n *pendingStarts) remove(id string) {
 	queue, known := n.queueOf[id]
 	if !known {
@@ -36,8 +36,8 @@
 	}
 }
 
-// mayHaveStarted tells by the record alone, at the start of a term, whether a task of
-// the job has begun. A job that has open runs and nothing else counts as not begun
+// mayHaveStarted reports by the record alone, at the start of a term, whether a task of
+// the job has started. A job that has open runs and nothing else counts as not started
 // until a heartbeat lists one of them.
 func mayHaveStarted(job *record.Job) bool {
 	if job.Repetition != nil && job.Repetition.Succeeded+job.Repetition.Failed > 0 {
@@ -53,7 +53,7 @@
 	return false
 }
 
-// jobsPendingStart counts the jobs of a queue of which no task has begun.
+// jobsPendingStart counts the jobs of a queue of which no task has started.
 func (l *leader) jobsPendingStart(queue string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scheduler/pendingstarts_test.go
+++ b/internal/scheduler/pendingstarts_test.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// wantWaitingJobs checks the count of jobs of queue q of which nothing has begun.
+// wantWaitingJobs checks the count of jobs of queue q of which nothing has started.
 func (h *harness) wantWaitingJobs(when string, want int) {
 	h.t.Helper()
 	answer, err := h.leader.readQueue(context.Background(), protocol.QueueRequest{Name: "q"})
@@ -47,7 +47,7 @@
 }
 
 // TestPendingStarts_LostAssignmentKeepsJobWaiting: a run that was refused or never arrived
-// has not begun.
+// has not started.
 func TestPendingStarts_LostAssignmentKeepsJobWaiting(t *testing.T) {
 	h := newHarness(t)
 	h.submit("j", tasks(1))
@@ -74,7 +74,7 @@
 	h.wantWaitingJobs("after its runs failed", 0)
 }
 
-// TestPendingStarts_AcrossTerms: a new leader counts what may not have begun until
+// TestPendingStarts_AcrossTerms: a new leader counts what may not have started until
 // a heartbeat tells, and nothing that has.
 func TestPendingStarts_AcrossTerms(t *testing.T) {
 	h := newHarness(t)
--- a/internal/scheduler/pendingwork.go
+++ b/internal/scheduler/pendingwork.go
@@ -31,9 +31,9 @@
 
 // backlogObserver follows how many tasks of each queue wait, and how fast they start.
 type backlogObserver interface {
-	// CountWaiting takes in that some tasks more, or fewer, of a queue wait.
+	// CountWaiting records that some tasks more, or fewer, of a queue wait.
 	CountWaiting(queue string, change int)
-	// CountStarted takes in that a task of a queue was given a worker.
+	// CountStarted records that a task of a queue was given a worker.
 	CountStarted(queue string)
 }
 
@@ -117,7 +117,7 @@
 	p.planner.Add(entry.task)
 }
 
-// becomeDue takes in that a timer of a task has come. It returns the task if it is due
+// becomeDue records that a timer of a task has come. It returns the task if it is due
 // by that, else nil.
 func (p *pendingWork) becomeDue(id record.TaskID, now record.Millis) *waitingTask {
 	entry, waits := p.waiting[id]
@@ -156,7 +156,7 @@
 	delete(p.waiting, id)
 }
 
-// rejected takes in that a placement of a task was not applied, and returns the task,
+// rejected records that a placement of a task was not applied, and returns the task,
 // which is to be offered again. It returns nil for one that waits no more: that was
 // placed by a doubled command, or is final.
 func (p *pendingWork) rejected(id record.TaskID) *waitingTask {
--- a/internal/scheduler/proposer.go
+++ b/internal/scheduler/proposer.go
@@ -12,7 +12,7 @@
 	pending ownCommands
 	// reportedEnds are the runs among pending.closes whose end a worker reported.
 	reportedEnds map[record.RunID]bool
-	// wake has room for one signal: pending is not empty.
+	// wake has a buffer of one signal: pending is not empty.
 	wake chan struct{}
 }
 
--- a/internal/scheduler/ranks_test.go
+++ b/internal/scheduler/ranks_test.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// urgencyHarness has one worker with room for one task, which job "first" takes,
+// urgencyHarness has one worker with capacity for one task, which job "first" takes,
 // and a queue with an objective of 10 s.
 func urgencyHarness(t *testing.T) (*harness, *fakeWorker) {
 	t.Helper()
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -13,14 +13,14 @@
 type reconciliation struct {
 	// started are runs seen for the first time.
 	started []*runState
-	// startedTasks are tasks of which a run has surely begun, seen for the first time or
-	// told of again.
+	// startedTasks are tasks of which a run has surely started, seen for the first time or
+	// reported again.
 	startedTasks []record.TaskID
-	// total are runs whose order can no longer take effect, or that the worker
+	// lost are runs whose assignment can no longer take effect, or that the worker
 	// surely does not run any more.
 	lost []*runState
-	// dropped are runs whose order was accepted and that the worker does not
-	// list: it is told to stop them before they count as lost.
+	// dropped are runs whose assignment was accepted and that the worker does not
+	// list: it is asked to stop them before they count as lost.
 	dropped []*runState
 	// unwanted are runs that the worker lists and must not run.
 	unwanted []api.RunRef
@@ -116,13 +116,13 @@
 func (r *reconciliation) addUnlisted(run *runState, heartbeat api.Heartbeat) {
 	switch {
 	case run.assignment.seq == 0 && !run.isInherited():
-		// Not ordered yet: nothing to conclude.
+		// Not assigned yet: nothing to conclude.
 	case run.assignment.seq == 0 && !run.observed.listed:
 		// Inherited. Any answer of an earlier leader went to an earlier seq,
 		// which the worker accepts no more now that it has sent this one.
 		r.lost = append(r.lost, run)
 	case run.assignment.seq >= heartbeat.Seq:
-		// The order went out with a later answer than this heartbeat.
+		// The assignment went out with a later answer than this heartbeat.
 	case !run.observed.listed && heartbeat.AcceptedSeq < run.assignment.seq:
 		r.lost = append(r.lost, run)
 	case run.assignment.droppedSeq != 0 && heartbeat.AcceptedSeq >= run.assignment.droppedSeq:
@@ -147,13 +147,13 @@
 	return api.RunRef{Task: id.Task.String(), Run: id.Number}
 }
 
-// hasStarted tells whether a run that ended so has surely begun: one that was stopped
+// hasStarted reports whether a run that ended so has surely started: one that was stopped
 // may have been refused at once.
 func hasStarted(outcome api.Outcome) bool {
 	return outcome == api.OutcomeSucceeded || outcome == api.OutcomeFailed
 }
 
-// applyDifferences updates the mirror with what the heartbeat showed.
+// applyDifferences takes over what the heartbeat showed.
 func (a *assignments) applyDifferences(worker *workerEntry, differences *reconciliation) {
 	now := a.now()
 	for _, run := range differences.started {
--- a/internal/scheduler/refusedends_test.go
+++ b/internal/scheduler/refusedends_test.go
@@ -25,7 +25,7 @@
 }
 
 // TestRefusedHeartbeat_EndIsRecordedWithoutLeaderLease: the heartbeat gets no answer, but the
-// end that it lists has reached the leader. Its worker is heard no more.
+// end that it lists has reached the leader. Its worker is seen no more.
 func TestRefusedHeartbeat_EndIsRecordedWithoutLeaderLease(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
@@ -48,7 +48,7 @@
 }
 
 // TestRefusedHeartbeat_EndIsRecordedAfterFailedCommit: a proposal that is refused for
-// want of room is made again, whether or not the worker repeats its report.
+// want of capacity is made again, whether or not the worker repeats its report.
 func TestRefusedHeartbeat_EndIsRecordedAfterFailedCommit(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
@@ -75,7 +75,7 @@
 }
 
 // TestRefusedHeartbeat_LateSuccessIsRecorded: its run was closed as lost before,
-// and the next one, which was not ordered, is withdrawn.
+// and the next one, which was not ordered, is revoked.
 func TestRefusedHeartbeat_LateSuccessIsRecorded(t *testing.T) {
 	h := newHarness(t)
 	silent, other := h.expiredWorker()
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestRefusedHeartbeat_RecordsEndsOnly: it is as if not heard, and is
+// TestRefusedHeartbeat_RecordsEndsOnly: it is as if not seen, and is
 // not acknowledged, so that the worker repeats the report.
 func TestRefusedHeartbeat_RecordsEndsOnly(t *testing.T) {
 	h := newHarness(t)
--- a/internal/scheduler/registry.go
+++ b/internal/scheduler/registry.go
@@ -12,7 +12,7 @@
 	"github.com/decklever/decklever/internal/workerhealth"
 )
 
-// plannerWorkers is what the registry tells the planner.
+// plannerWorkers is the planner's picture of the workers.
 type plannerWorkers interface {
 	SetWorker(worker placement.Worker)
 	RemoveWorker(id string)
@@ -125,8 +125,8 @@
 	r.planner.RemoveWorker(worker.info.ID)
 }
 
-// refreshPlannerWorker updates the planner if it was last told otherwise. It reports
-// whether that was so.
+// refreshPlannerWorker updates the planner's picture of a worker if that has changed. It
+// reports whether that was so.
 func (r *workerRegistry) refreshPlannerWorker(worker *workerEntry, now time.Duration) bool {
 	if worker.planned.usable == worker.canTakeWork(now, r.leaseDuration()) && worker.planned.unresponsive == r.isUnresponsive(worker, now) {
 		return false
@@ -147,8 +147,8 @@
 	return r.registered
 }
 
-// mustRegister tells whether the record has to be told of the worker now. A
-// new incarnation waits until the hold of the one before it has lapsed.
+// mustRegister reports whether the worker must be registered in the record now. A new
+// incarnation waits until the lease of the one before it has expired.
 func (r *workerRegistry) mustRegister(worker *workerEntry, info record.Worker, now time.Duration) bool {
 	if worker.registered {
 		return !worker.info.SameDescription(&info)
@@ -160,8 +160,8 @@
 	return len(earlier.runs) == 0 && now > earlier.lease.expiresAt
 }
 
-// heartbeatInterval is the pause that workers are told to make between heartbeats,
-// unless they are to send the next one promptly.
+// heartbeatInterval is the pause that workers make between heartbeats, unless they are
+// asked to send the next one promptly.
 func (r *workerRegistry) heartbeatInterval() time.Duration {
 	base := r.timings.HeartbeatInterval.Std()
 	if r.off.Has(featuregate.HeartbeatWidening) {
@@ -183,7 +183,7 @@
 	return subjects
 }
 
-// respondsSoon tells whether the worker would take an assignment, and was seen so
+// respondsSoon reports whether the worker would take an assignment, and was seen so
 // lately that its next heartbeat is near.
 func (r *workerRegistry) respondsSoon(worker *workerEntry, now time.Duration) bool {
 	within := gangSeenIntervals * r.heartbeatInterval()
--- a/internal/scheduler/repeats/repeats.go
+++ b/internal/scheduler/repeats/repeats.go
@@ -63,7 +63,7 @@
 	r.arm(entry, entry.nextAddTime())
 }
 
-// Added takes in that the record holds a job's occurrences before its next one.
+// Added records that the record holds a job's occurrences before its next one.
 func (r *Jobs) Added(job *record.Job) {
 	entry, known := r.byID[job.ID]
 	if !known {
@@ -124,7 +124,7 @@
 	}
 }
 
-// lastDue is the last occurrence to be added now, within the room for tasks;
+// lastDue is the last occurrence to be added now, within the capacity for tasks;
 // the next one in any case.
 func (j *repeatingJob) lastDue(now record.Millis, capacity int) int {
 	last := j.next
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -8,12 +8,12 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// reports is what a heartbeat tells of ended runs, and what follows from it.
+// reports is what a heartbeat says of ended runs, and what follows from it.
 // The rules are in docs/DESIGN.md, "What an acknowledgement means".
 type reports struct {
 	// unreadable name no task, or contradict the record; they are acknowledged.
 	unreadable []api.RunRef
-	// withdrawn are runs never ordered of tasks that turn out to be done.
+	// revoked are runs never assigned of tasks that turn out to be done.
 	revoked []record.RunEnd
 	// ended are of runs open on the worker, late of runs closed before.
 	ended, late []record.RunEnd
@@ -47,7 +47,7 @@
 // observeRefusedEnds takes the ends from a heartbeat that is refused for want of the lease,
 // and draws no other conclusion: its worker may be gone before it can report them
 // again. No lease is needed for it. What is proposed takes effect only if this
-// leads still, and else the worker tells the next leader.
+// leads still, and else the worker reports it to the next leader.
 func (l *leader) observeRefusedEnds(request protocol.HeartbeatRequest) {
 	l.enqueueEnds(l.observeEnds(request))
 }
@@ -73,8 +73,8 @@
 }
 
 // classifyReports decides which reports go to the record now. A late success whose
-// task is run anew is kept back, unless that run was never ordered: then it is
-// withdrawn. One of a group is not, since that would send the whole group back.
+// task is run again is not, unless that run was never assigned: then it is revoked. One
+// of a gang is not revoked, since that would requeue the whole gang.
 func (a *assignments) classifyReports(differences *reconciliation) reports {
 	sorted := reports{unreadable: slices.Concat(differences.unreadable, differences.conflicting), ended: differences.ended}
 	ending := make(map[record.RunID]bool, len(differences.ended))
@@ -97,7 +97,7 @@
 	return sorted
 }
 
-// mayCountSuccess tells whether a late report is a success of a task that is not
+// mayCountSuccess reports whether a late report is a success of a task that is not
 // final. A task that runs until cancelled has no success.
 func (a *assignments) mayCountSuccess(end record.RunEnd) bool {
 	if end.Outcome != api.OutcomeSucceeded {
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -18,7 +18,7 @@
 	maxReservationHorizon = 7 * 24 * time.Hour
 )
 
-// refreshReservations tells the planner which windows to reserve capacity for now.
+// refreshReservations updates the planner on the windows to reserve capacity for now.
 func (l *leader) refreshReservations(clusterNow record.Millis) {
 	if reservations, changed := l.calendar.Refresh(clusterNow.Time()); changed {
 		l.planner.SetReservations(reservations)
@@ -42,7 +42,7 @@
 	return protocol.BookingsAnswer{List: list}, nil
 }
 
-// releaseReservation gives the room of a window back before its end.
+// releaseReservation gives the capacity of a window back before its end.
 func (l *leader) releaseReservation(ctx context.Context, request protocol.ReleaseRequest) (protocol.Empty, error) {
 	window, known := l.findWindow(request.Release)
 	if !known {
@@ -67,7 +67,7 @@
 	return l.calendar.Find(release)
 }
 
-// checkReservations tells which bookings the registered workers cannot hold.
+// checkReservations returns which reservations the registered workers have no capacity for.
 func (l *leader) checkReservations(config *api.Config) []api.FieldError {
 	var workers []reservation.Worker
 	l.log.Record().Read(func(view record.View) {
--- a/internal/scheduler/runstate.go
+++ b/internal/scheduler/runstate.go
@@ -53,14 +53,14 @@
 	placedByEarlierLeader
 )
 
-// assignmentState is how far the run's worker was told of it.
+// assignmentState is how far the run's worker was notified of it.
 type assignmentState struct {
 	placedBy placedBy
 	// seq is that of the answer that carried the assignment; 0 if this leader has
 	// given none. at is when it was given.
 	seq uint64
 	at  time.Duration
-	// droppedSeq is the seq of the first answer that told the worker to stop the run
+	// droppedSeq is the seq of the first answer that asked the worker to stop the run
 	// because it accepted the assignment and does not list it; 0 if none.
 	droppedSeq uint64
 }
@@ -101,8 +101,8 @@
 	}
 }
 
-// neverAssigned tells that the run's order was surely not given.
+// neverAssigned reports that the run's assignment was surely not given.
 func (r *runState) neverAssigned() bool { return r.assignment.seq == 0 && !r.isInherited() }
 
-// isInherited tells that an earlier leader placed the run.
+// isInherited reports that an earlier leader placed the run.
 func (r *runState) isInherited() bool { return r.assignment.placedBy == placedByEarlierLeader }
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -12,7 +12,7 @@
 const (
 	// agentRole is the role of the processes that relay heartbeats.
 	agentRole = "agent"
-	// forgetProcessAfter drops a process that was not heard from the roll-out.
+	// forgetProcessAfter drops a process that was not seen from the roll-out.
 	forgetProcessAfter = 30 * time.Second
 )
 
@@ -46,7 +46,7 @@
 	s.changed = make(chan struct{})
 }
 
-// observeWatch takes in what a process has in force. A process that has just started
+// observeWatch records what a process has in force. A process that has just started
 // and knows no configuration yet serves nobody, and is recorded once it confirms its
 // first.
 func (s *settings) observeWatch(request protocol.WatchRequest, now time.Duration) {
@@ -59,7 +59,7 @@
 	})
 }
 
-// observeAgent takes in what the agent that relays a heartbeat has in force.
+// observeAgent records what the agent that relays a heartbeat has in force.
 func (s *settings) observeAgent(request protocol.HeartbeatRequest, now time.Duration) {
 	if request.ConfigVersion > 0 {
 		s.confirm(request.Agent, processEntry{role: agentRole, zone: request.Zone, version: request.ConfigVersion, lastSeen: now})
--- a/internal/scheduler/slo/tracker.go
+++ b/internal/scheduler/slo/tracker.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// MinRetryAfter and MaxRetryAfter bound the time after which a refused job is told
-	// to come back.
+	// MinRetryAfter and MaxRetryAfter bound the time after which a refused job is asked to
+	// come back.
 	MinRetryAfter = time.Second
 	MaxRetryAfter = 30 * time.Second
 	// chainAverageWindow is over how many jobs the typical chain of a queue is averaged.
@@ -36,7 +36,7 @@
 	minPressedWait  = 350 * time.Millisecond
 )
 
-// Tracker follows how fast the tasks of queues begin to run. It lives in memory: a
+// Tracker follows how fast the tasks of queues start. It lives in memory: a
 // new leader learns it anew.
 type Tracker struct {
 	// now reads the monotonic clock.
@@ -116,12 +116,12 @@
 	queue.chain += (chain - queue.chain) / chainAverageWindow
 }
 
-// CountWaiting takes in that some tasks more, or fewer, of a queue wait.
+// CountWaiting records that some tasks more, or fewer, of a queue wait.
 func (s *Tracker) CountWaiting(queue string, change int) {
 	s.Queue(queue).flow.AddWaiting(s.now(), change)
 }
 
-// CountStarted takes in that a task of a queue was given a worker.
+// CountStarted records that a task of a queue was given a worker.
 func (s *Tracker) CountStarted(queue string) {
 	s.Queue(queue).flow.RecordStart(s.now())
 }
--- a/internal/scheduler/statemetrics.go
+++ b/internal/scheduler/statemetrics.go
@@ -6,7 +6,7 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// stateCollector counts, when it is asked, what this process holds: the record
+// stateCollector counts, at each collection, what this process has in memory: the record
 // on every scheduler, and on the acting one what it observed beside it.
 type stateCollector struct {
 	service *Service
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -78,7 +78,7 @@
 	return row
 }
 
-// readQueue counts what one queue holds.
+// readQueue counts the jobs and tasks of one queue.
 func (l *leader) readQueue(_ context.Context, request protocol.QueueRequest) (protocol.QueueAnswer, error) {
 	var answer protocol.QueueAnswer
 	var known bool
@@ -108,7 +108,7 @@
 	}
 }
 
-// listQueues counts what each queue holds.
+// listQueues counts the jobs and tasks of each queue.
 func (l *leader) listQueues(context.Context, protocol.Empty) (protocol.QueuesAnswer, error) {
 	list := api.QueueList{Queues: []api.QueueStatus{}}
 	l.log.Record().Read(func(view record.View) {
--- a/internal/scheduler/term.go
+++ b/internal/scheduler/term.go
@@ -35,7 +35,7 @@
 	planner Planner
 	// startedAt is when the term began, on the monotonic clock.
 	startedAt time.Duration
-	// wakePlanner has room for one signal: a pass of the planner may find something.
+	// wakePlanner has a buffer of one signal: a pass of the planner may find something.
 	wakePlanner chan struct{}
 }
 
@@ -110,7 +110,7 @@
 	}
 }
 
-// signal wakes a loop whose channel has room for one signal.
+// signal wakes a loop whose channel has a buffer of one signal.
 func signal(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -12,7 +12,7 @@
 	// newer answer. P8 allows 2 s from the acknowledgement of a configuration
 	// until no live process is without it.
 	watchLease = 1500 * time.Millisecond
-	// maxWatchWait bounds how long a watch is held. Processes ask for less than a
+	// maxWatchWait bounds how long a watch is pending. Processes ask for less than a
 	// third of watchLease, so that they renew it in time even if one call is lost;
 	// agents for more while their workers' heartbeats renew it.
 	maxWatchWait = 5 * time.Second
@@ -53,7 +53,7 @@
 }
 
 // recordProcess records what the process has in force. It returns nil if the process
-// must be told something now, else a channel that is closed when the configuration
+// must be notified now, else a channel that is closed when the configuration
 // changes.
 func (l *leader) recordProcess(request protocol.WatchRequest) <-chan struct{} {
 	l.mu.Lock()
--- a/internal/scheduler/workerentry.go
+++ b/internal/scheduler/workerentry.go
@@ -45,9 +45,9 @@
 	answeredAt  time.Duration
 	// answeredPromptly: that answer asked for the next heartbeat sooner than usual.
 	answeredPromptly bool
-	// leaderStallAtAnswer is the time for which the leader had stood still by then.
+	// leaderStallAtAnswer is the time for which the leader had stalled by then.
 	leaderStallAtAnswer time.Duration
-	// answerMissed: the newest heartbeat told that the answer before it was not accepted.
+	// answerMissed: the newest heartbeat showed that the answer before it was not accepted.
 	answerMissed bool
 	// missedHeartbeatsSince is the answeredAt after which the worker was last found to
 	// miss heartbeats.
@@ -56,7 +56,7 @@
 	acceptedAt time.Duration
 }
 
-// plannedWorker is what the planner was last told of a worker.
+// plannedWorker is the planner's picture of a worker.
 type plannedWorker struct {
 	// known is true while the planner knows the worker.
 	known                bool
@@ -79,7 +79,7 @@
 // isDrained reports whether the configuration or an order drains the worker.
 func (w *workerEntry) isDrained() bool { return w.drain.cause != notDrained }
 
-// canTakeWork tells whether new runs may be placed on the worker: it is the
+// canTakeWork reports whether new runs may be placed on the worker: it is the
 // registered incarnation, the ready gate is open, it is not leaving, and the
 // answers to it do arrive.
 func (w *workerEntry) canTakeWork(now, hold time.Duration) bool {
@@ -94,8 +94,8 @@
 	return w.seq > 0 && now-w.lastSeen <= within
 }
 
-// observeHeartbeat notes a heartbeat. It returns false if the heartbeat is no newer than
-// one heard before, which then allows no conclusion but that runs have ended.
+// observeHeartbeat records a heartbeat. It returns false if the heartbeat is no newer than
+// one seen before, which then allows no conclusion but that runs have ended.
 func (w *workerEntry) observeHeartbeat(heartbeat api.Heartbeat, now time.Duration) bool {
 	if heartbeat.Seq <= w.seq {
 		return false
@@ -114,7 +114,7 @@
 	return true
 }
 
-// answer notes that the newest heartbeat is being answered now.
+// answer records that the newest heartbeat is being answered now.
 func (w *workerEntry) answer(now, hold, driftMargin time.Duration) {
 	if !w.answered() {
 		w.acceptedAt = now
--- a/internal/scheduler/zonedrains.go
+++ b/internal/scheduler/zonedrains.go
@@ -11,10 +11,10 @@
 )
 
 // maxDrainedZones bounds the zones that are drained by orders, which stay in
-// the record until they are taken back.
+// the record until they are revoked.
 const maxDrainedZones = 1024
 
-// drainZone drains a zone by an order of its own, or takes that back. It
+// drainZone drains a zone by an order of its own, or ends that. It
 // answers once the order is committed, also if nothing changed by it: another
 // leader may have been asked before.
 func (l *leader) drainZone(ctx context.Context, request protocol.DrainZoneRequest) (protocol.Empty, error) {
