--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -6,6 +6,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/featuregate"
+	"github.com/decklever/decklever/internal/placement/feasibility"
 	"github.com/decklever/decklever/internal/placement/utilization"
 	"github.com/decklever/decklever/internal/record"
 )
@@ -334,9 +335,15 @@
 func (e *Engine) HasFreeCapacity(spec *api.TaskSpec) bool {
 	for _, w := range e.workers.byID {
 		if isUsable(w) && !w.restricted && fits(spec.Resources, w.unreserved) &&
-			offersService(&w.Worker, spec.Service) && hasLabels(&w.Worker, spec.Labels) {
+			w.Offers(spec.Service) && w.HasLabels(spec.Labels) {
 			return true
 		}
 	}
 	return false
 }
+
+// Feasible implements Planner. It considers service, labels, the label of the spread
+// domain and full capacity; Usable does not matter. It looks at the arguments alone.
+func (e *Engine) Feasible(spec *api.TaskSpec, workers []Worker) (bool, string) {
+	return feasibility.Check(spec, workers)
+}
--- a/internal/placement/fitcount.go
+++ b/internal/placement/fitcount.go
@@ -21,7 +21,7 @@
 // count.
 func (c *equivalenceClass) freedFitsOn(w *worker) uint64 {
 	if c.spread != nil && c.lastFitCount.full != nil && c.lastFitCount.version == c.pool.version {
-		if domain, ok := domainOf(&w.Worker, c.spread.by); !ok || c.lastFitCount.full[domain] {
+		if domain, ok := w.Domain(c.spread.by); !ok || c.lastFitCount.full[domain] {
 			return 0
 		}
 	}
@@ -93,7 +93,7 @@
 // takeFromDomain returns how many of the wanted runs the worker's domain still
 // takes, and counts them in left.
 func takeFromDomain(left map[string]int, rule *spreadRule, worker *Worker, wanted int) int {
-	domain, ok := domainOf(worker, rule.by)
+	domain, ok := worker.Domain(rule.by)
 	if !ok {
 		return 0
 	}
--- a/internal/placement/localitywait.go
+++ b/internal/placement/localitywait.go
@@ -38,7 +38,7 @@
 func (e *Engine) hasSound(spec *api.TaskSpec, labels map[string]string) bool {
 	for _, w := range e.workers.byID {
 		if isUsable(w) && isSound(w) && fits(spec.Resources, w.Capacity) &&
-			offersService(&w.Worker, spec.Service) && hasLabels(&w.Worker, labels) {
+			w.Offers(spec.Service) && w.HasLabels(labels) {
 			return true
 		}
 	}
--- a/internal/placement/pools.go
+++ b/internal/placement/pools.go
@@ -101,7 +101,7 @@
 }
 
 func (p *pool) matches(w *worker) bool {
-	return isUsable(w) && offersService(&w.Worker, p.selector.service) && hasLabels(&w.Worker, p.labels)
+	return isUsable(w) && w.Offers(p.selector.service) && w.HasLabels(p.labels)
 }
 
 // withFreeSize returns the workers that have at least that room, fullest first.
--- a/internal/placement/preferreddomain.go
+++ b/internal/placement/preferreddomain.go
@@ -21,7 +21,7 @@
 // fitsInDomain reports whether a task of the class fits on a worker of the domain.
 func (c *equivalenceClass) fitsInDomain(by, domain string, least float64) bool {
 	return slices.ContainsFunc(c.pool.withFreeSize(least), func(w *worker) bool {
-		here, ok := domainOf(&w.Worker, by)
+		here, ok := w.Domain(by)
 		return ok && here == domain && c.fitsOn(w)
 	})
 }
@@ -33,7 +33,7 @@
 	places := map[string]int{}
 	left := map[string]int{}
 	for _, w := range c.pool.withFreeSize(least) {
-		domain, ok := domainOf(&w.Worker, by)
+		domain, ok := w.Domain(by)
 		if !ok || !c.fitsOn(w) {
 			continue
 		}
--- a/internal/placement/preferredreserve.go
+++ b/internal/placement/preferredreserve.go
@@ -57,7 +57,7 @@
 // leavesPreferredReserve reports whether a task leaves those that prefer the worker their
 // share of it, or is one of them.
 func leavesPreferredReserve(spec *api.TaskSpec, w *worker) bool {
-	if !w.preferred || len(spec.Prefer) > 0 && hasLabels(&w.Worker, spec.Prefer) {
+	if !w.preferred || len(spec.Prefer) > 0 && w.HasLabels(spec.Prefer) {
 		return true
 	}
 	return fits(spec.Resources.Add(resources.Percent(w.Capacity, preferredReservePercent)), w.free)
--- a/internal/placement/property_longrunning_test.go
+++ b/internal/placement/property_longrunning_test.go
@@ -156,7 +156,7 @@
 func (m *longRunningModel) fitCount(step longRunningStep) int {
 	spec, total := step.tasks[0].Spec, 0
 	for _, w := range m.workers {
-		if !w.Usable || !hasLabels(&w, spec.Labels) {
+		if !w.Usable || !w.HasLabels(spec.Labels) {
 			continue
 		}
 		here := int(max(m.free(w), 0) / spec.Resources.CPUMillis)
@@ -246,8 +246,8 @@
 // hasOnlyRestricted reports whether only guarded workers could hold the task.
 func (m *model) hasOnlyRestricted(task Task) bool {
 	for _, other := range m.workers {
-		if other.Usable && !restricted(other) && offersService(&other, task.Spec.Service) &&
-			hasLabels(&other, task.Spec.Labels) && task.Spec.Resources.Fits(other.Capacity) {
+		if other.Usable && !restricted(other) && other.Offers(task.Spec.Service) &&
+			other.HasLabels(task.Spec.Labels) && task.Spec.Resources.Fits(other.Capacity) {
 			return false
 		}
 	}
@@ -258,7 +258,7 @@
 func (m *model) isHighlyUtilized(service string) bool {
 	var capacity, used api.Resources
 	for id, w := range m.workers {
-		if offersService(&w, service) {
+		if w.Offers(service) {
 			capacity, used = capacity.Add(w.Capacity), used.Add(m.used(id))
 		}
 	}
--- a/internal/placement/property_reservation_test.go
+++ b/internal/placement/property_reservation_test.go
@@ -248,7 +248,7 @@
 		r, w := m.reservation(s.Reservation), m.workers[s.WorkerID]
 		placed[r.ID] += s.Slots
 		used[r.ID+s.WorkerID] = s.Used
-		if s.Used > s.Slots || placed[r.ID] > r.Slots || !w.Usable || !offersService(&w, r.Service) || !hasLabels(&w, r.Labels) {
+		if s.Used > s.Slots || placed[r.ID] > r.Slots || !w.Usable || !w.Offers(r.Service) || !w.HasLabels(r.Labels) {
 			t.Fatalf("%v of %v on %v", s, r, w)
 		}
 	}
--- a/internal/placement/property_test.go
+++ b/internal/placement/property_test.go
@@ -65,7 +65,7 @@
 		if !known || id == task.ID || id.StepID() != task.ID.StepID() {
 			continue
 		}
-		if other, ok := domainOf(&w, task.Spec.Spread.By); ok && other == domain {
+		if other, ok := w.Domain(task.Spec.Spread.By); ok && other == domain {
 			count++
 		}
 	}
@@ -74,7 +74,7 @@
 
 // accepts applies every rule but the queue's limit, from scratch.
 func (m *model) accepts(task Task, w Worker) bool {
-	if !w.Usable || !offersService(&w, task.Spec.Service) || !hasLabels(&w, task.Spec.Labels) {
+	if !w.Usable || !w.Offers(task.Spec.Service) || !w.HasLabels(task.Spec.Labels) {
 		return false
 	}
 	if !task.Spec.Resources.Fits(w.Capacity.Sub(m.used(w.ID))) {
@@ -89,7 +89,7 @@
 	if task.Spec.Spread == nil {
 		return true
 	}
-	domain, ok := domainOf(&w, task.Spec.Spread.By)
+	domain, ok := w.Domain(task.Spec.Spread.By)
 	return ok && m.inDomain(task, domain) < max(task.Spec.Spread.MaxPerDomain, 1)
 }
 
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -94,7 +94,7 @@
 	if w.Slow {
 		cost += costSlow
 	}
-	if !hasLabels(&w.Worker, s.task.Spec.Prefer) {
+	if !w.HasLabels(s.task.Spec.Prefer) {
 		cost += costNotPreferred
 	}
 	if !s.inPreferredDomain(w) {
@@ -113,7 +113,7 @@
 	if s.anyDomain {
 		return true
 	}
-	domain, ok := domainOf(&w.Worker, s.task.Colocate)
+	domain, ok := w.Domain(s.task.Colocate)
 	return ok && domain == s.domain
 }
 
--- a/internal/placement/reasons.go
+++ b/internal/placement/reasons.go
@@ -2,11 +2,9 @@
 
 import (
 	"fmt"
-	"maps"
-	"slices"
-	"strings"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/feasibility"
 	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
 )
@@ -106,7 +104,7 @@
 	if !spreadable || roomy {
 		return spreadReason(c.key.spreadBy, c.key.maxPerDomain, roomy && spreadable)
 	}
-	return "no room: " + shortage(c.key.need, most, "most free")
+	return "no room: " + feasibility.Shortage(c.key.need, most, "most free")
 }
 
 // reservedUntil is when the last window ends of the slices that alone keep the
@@ -141,7 +139,7 @@
 	if len(usable) == 0 {
 		return reasonNoUsableWorker
 	}
-	if reason := mismatch(w.Spec, known); reason != "" {
+	if reason := feasibility.Mismatch(w.Spec, known); reason != "" {
 		return reason
 	}
 	return reasonNoUsableWorker
@@ -152,15 +150,13 @@
 		return ""
 	}
 	for _, w := range workers {
-		if _, ok := domainOf(&w.Worker, spec.Spread.By); ok {
+		if _, ok := w.Domain(spec.Spread.By); ok {
 			return ""
 		}
 	}
-	return noDomainReason(spec.Spread.By)
+	return feasibility.NoDomain(spec.Spread.By)
 }
 
-func noDomainReason(by string) string { return "spread: no worker has a " + by }
-
 func spreadReason(by string, maxPerDomain int, noRoomElsewhere bool) string {
 	reason := fmt.Sprintf("spread: at most %d running per %s", maxPerDomain, by)
 	if noRoomElsewhere {
@@ -168,112 +164,3 @@
 	}
 	return reason
 }
-
-// shortage names the dimensions that fall short of need.
-func shortage(need, most api.Resources, found string) string {
-	dimensions := []struct {
-		name       string
-		need, most int64
-	}{
-		{"cpu_millis", need.CPUMillis, most.CPUMillis},
-		{"memory_mb", need.MemoryMB, most.MemoryMB},
-		{"accelerators", need.Accelerators, most.Accelerators},
-	}
-	var parts []string
-	for _, d := range dimensions {
-		if d.need > d.most {
-			parts = append(parts, fmt.Sprintf("needs %d %s, %s %d", d.need, d.name, found, d.most))
-		}
-	}
-	if len(parts) == 0 {
-		return "no worker has all that it needs at once"
-	}
-	return strings.Join(parts, "; ")
-}
-
-// mismatch says which of service, labels and spread domain no worker meets;
-// empty if one meets all.
-func mismatch(spec *api.TaskSpec, workers []Worker) string {
-	if len(workers) == 0 {
-		return "no worker"
-	}
-	left := filterWorkers(workers, func(w *Worker) bool { return offersService(w, spec.Service) })
-	if len(left) == 0 {
-		return fmt.Sprintf("no worker offers service %q", spec.Service)
-	}
-	left = filterWorkers(left, func(w *Worker) bool { return hasLabels(w, spec.Labels) })
-	if len(left) == 0 {
-		return "no worker with labels " + labelText(spec.Labels)
-	}
-	left = filterByDomain(left, spec.Spread)
-	if len(left) == 0 {
-		return noDomainReason(spec.Spread.By)
-	}
-	return ""
-}
-
-func filterWorkers(workers []Worker, wanted func(*Worker) bool) []Worker {
-	var reserved []Worker
-	for i := range workers {
-		if wanted(&workers[i]) {
-			reserved = append(reserved, workers[i])
-		}
-	}
-	return reserved
-}
-
-func filterByDomain(workers []Worker, spread *api.Spread) []Worker {
-	return filterWorkers(workers, func(w *Worker) bool { return hasDomain(w, spread) })
-}
-
-// hasDomain tells whether the worker lies in a domain of the spread rule.
-func hasDomain(worker *Worker, spread *api.Spread) bool {
-	if spread == nil {
-		return true
-	}
-	_, ok := domainOf(worker, spread.By)
-	return ok
-}
-
-func labelText(labels map[string]string) string {
-	var parts []string
-	for _, key := range slices.Sorted(maps.Keys(labels)) {
-		parts = append(parts, key+"="+labels[key])
-	}
-	return strings.Join(parts, ", ")
-}
-
-// Feasible implements Planner. It considers service, labels, the label of the
-// spread domain and full capacity; Usable does not matter. It looks at the
-// arguments alone, and at no more workers than it takes to find one.
-func (e *Engine) Feasible(spec *api.TaskSpec, workers []Worker) (bool, string) {
-	for i := range workers {
-		if couldHold(spec, &workers[i]) {
-			return true, ""
-		}
-	}
-	return false, impossibility(spec, workers)
-}
-
-// couldHold tells whether the worker could hold the task when empty.
-func couldHold(spec *api.TaskSpec, worker *Worker) bool {
-	return fits(spec.Resources, worker.Capacity) &&
-		offersService(worker, spec.Service) &&
-		hasLabels(worker, spec.Labels) &&
-		hasDomain(worker, spec.Spread)
-}
-
-// impossibility says why no worker could hold the task.
-func impossibility(spec *api.TaskSpec, workers []Worker) string {
-	if reason := mismatch(spec, workers); reason != "" {
-		return reason
-	}
-	matching := filterByDomain(filterWorkers(workers, func(w *Worker) bool {
-		return offersService(w, spec.Service) && hasLabels(w, spec.Labels)
-	}), spec.Spread)
-	var most api.Resources
-	for i := range matching {
-		most = resources.Max(most, matching[i].Capacity)
-	}
-	return "no worker is large enough: " + shortage(spec.Resources, most, "largest has")
-}
--- a/internal/placement/spread.go
+++ b/internal/placement/spread.go
@@ -26,7 +26,7 @@
 
 // remaining is how many more runs the worker's domain may take.
 func (r *spreadRule) remaining(worker *Worker) int {
-	domain, ok := domainOf(worker, r.by)
+	domain, ok := worker.Domain(r.by)
 	if !ok {
 		return 0
 	}
@@ -35,7 +35,7 @@
 
 // holds reports whether the worker's domain has no more runs than allowed.
 func (r *spreadRule) holds(worker *Worker) bool {
-	_, ok := domainOf(worker, r.by)
+	_, ok := worker.Domain(r.by)
 	return ok && r.remaining(worker) >= 0
 }
 
@@ -94,7 +94,7 @@
 	if !worker.known {
 		return
 	}
-	domain, ok := domainOf(&worker.Worker, by)
+	domain, ok := worker.Domain(by)
 	if !ok {
 		return
 	}
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -2,29 +2,12 @@
 
 import (
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/feasibility"
 	"github.com/decklever/decklever/internal/record"
 )
 
 // Worker is what the engine knows of a worker incarnation.
-type Worker struct {
-	ID       string
-	Name     string
-	Zone     string
-	Capacity api.Resources
-	Services []string
-	Labels   map[string]string
-	// Usable is false while the ready gate is closed, on draining workers and
-	// in evacuated zones: open runs keep their room, nothing new is placed.
-	Usable bool
-	// Slow workers are taken by tasks that find no room elsewhere.
-	Slow bool
-	// Probation: the worker takes one run at a time, and only of tasks that may
-	// try it or that no other worker could hold.
-	Probation bool
-	// Suspect: the worker takes one run at a time, and only of tasks that no
-	// other worker could hold, or has room for; see lastroom.go. Slices leave it.
-	Suspect bool
-}
+type Worker = feasibility.Worker
 
 // Task is a task that waits for a place.
 type Task struct {
