--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -64,8 +64,8 @@
 // that will not have it.
 func (b *backfillReservations) dropStale() {
 	b.reserved = slices.DeleteFunc(b.reserved, func(w *worker) bool {
-		l := w.backfillFor
-		if l.class.unschedulable && len(l.tasks) > 0 && l.class.isProcessorBound() && l.class.pool.matches(w) && l.class.fitsOnceRunsEnd(w) {
+		sub := w.backfillFor
+		if sub.class.unschedulable && len(sub.tasks) > 0 && sub.class.isProcessorBound() && sub.class.pool.matches(w) && sub.class.fitsOnceRunsEnd(w) {
 			return false
 		}
 		w.backfillFor = nil
@@ -75,16 +75,16 @@
 
 // activateBlocked lets the pass look at the sub-queues that the last one blocked.
 func (b *backfillReservations) activateBlocked() {
-	for _, l := range b.blocked {
-		if len(l.tasks) > 0 {
-			l.activate()
+	for _, sub := range b.blocked {
+		if len(sub.tasks) > 0 {
+			sub.activate()
 		}
 	}
 	b.blocked = nil
 }
 
 // block has the next pass look at a sub-queue again.
-func (b *backfillReservations) block(l *subQueue) { b.blocked = append(b.blocked, l) }
+func (b *backfillReservations) block(sub *subQueue) { b.blocked = append(b.blocked, sub) }
 
 // begin starts with a level, and takes over the workers that are reserved in it.
 func (b *backfillReservations) begin(level *priorityLevel, anyDeferences bool) *levelBackfill {
@@ -108,9 +108,9 @@
 		}
 	}
 	slices.SortFunc(subQueues, compareFirstTask)
-	for _, l := range subQueues {
-		if on := b.earliestWorker(l.class); on != nil {
-			on.backfillFor = l
+	for _, sub := range subQueues {
+		if on := b.earliestWorker(sub.class); on != nil {
+			on.backfillFor = sub
 			reserved = append(reserved, on)
 		}
 	}
@@ -140,50 +140,50 @@
 		}
 	}
 	slices.SortFunc(without, compareFirstTask)
-	for _, l := range without {
-		if r.indexFor(l) < 0 {
-			r.reserveFor(l)
+	for _, sub := range without {
+		if r.indexFor(sub) < 0 {
+			r.reserveFor(sub)
 		}
 	}
 }
 
 // indexFor is the index of the worker that is reserved for a sub-queue; negative without.
-func (r *levelBackfill) indexFor(l *subQueue) int {
-	return slices.IndexFunc(r.reserved, func(w *worker) bool { return w.backfillFor == l })
+func (r *levelBackfill) indexFor(sub *subQueue) int {
+	return slices.IndexFunc(r.reserved, func(w *worker) bool { return w.backfillFor == sub })
 }
 
 // reserveFor reserves a worker for a sub-queue, unless so many are reserved already or
 // most processors of its service are free: then nothing is to wait beside free capacity.
-func (r *levelBackfill) reserveFor(l *subQueue) {
+func (r *levelBackfill) reserveFor(sub *subQueue) {
 	bound := min(len(r.all.workers.byID)/backfillWorkerDivisor, maxBackfillReservations)
-	if len(r.reserved) >= bound || !l.class.isProcessorBound() {
+	if len(r.reserved) >= bound || !sub.class.isProcessorBound() {
 		return
 	}
-	if on := r.all.earliestWorker(l.class); on != nil {
-		on.backfillFor = l
+	if on := r.all.earliestWorker(sub.class); on != nil {
+		on.backfillFor = sub
 		r.reserved = append(r.reserved, on)
 	}
 }
 
 // update takes over what became of a sub-queue: one that was placed needs no worker any
 // more, one that found no room gets one.
-func (r *levelBackfill) update(l *subQueue) {
-	at := r.indexFor(l)
-	placed := len(l.tasks) == 0
+func (r *levelBackfill) update(sub *subQueue) {
+	at := r.indexFor(sub)
+	placed := len(sub.tasks) == 0
 	switch {
 	case at >= 0 && placed:
 		r.reserved[at].backfillFor = nil
 		r.reserved = slices.Delete(r.reserved, at, at+1)
-	case at < 0 && !placed && l.position == indexheap.None && l.class != nil && r.deferredTo[l.parent.queue]:
-		r.reserveFor(l)
+	case at < 0 && !placed && sub.position == indexheap.None && sub.class != nil && r.deferredTo[sub.parent.queue]:
+		r.reserveFor(sub)
 	}
 }
 
 // appendUnschedulable adds the sub-queues of classes that found no room.
 func (q *priorityQueue) appendUnschedulable(subQueues []*subQueue) []*subQueue {
-	for c, l := range q.subQueues {
+	for c, sub := range q.subQueues {
 		if c.unschedulable {
-			subQueues = append(subQueues, l)
+			subQueues = append(subQueues, sub)
 		}
 	}
 	return subQueues
--- a/internal/placement/backfillsearch.go
+++ b/internal/placement/backfillsearch.go
@@ -38,53 +38,53 @@
 // planAroundReservations places the first task of the sub-queue, or its gang, off the
 // workers that are reserved for what goes before it. What finds room there only is looked
 // at again in the next pass. It returns false once the pass is over.
-func (p *pass) planAroundReservations(l *subQueue, defers bool) bool {
-	classes := l.searchedClasses()
-	setBackfillSearch(classes, &backfillSearch{subQueue: l, defers: defers})
+func (p *pass) planAroundReservations(sub *subQueue, defers bool) bool {
+	classes := sub.searchedClasses()
+	setBackfillSearch(classes, &backfillSearch{subQueue: sub, defers: defers})
 	defer setBackfillSearch(classes, nil)
-	if l.class == nil {
-		return p.planGangAroundReservations(l)
+	if sub.class == nil {
+		return p.planGangAroundReservations(sub)
 	}
-	if l.class.unschedulable || p.hasFitOrNone(l) {
-		return p.planSubQueue(l)
+	if sub.class.unschedulable || p.hasFitOrNone(sub) {
+		return p.planSubQueue(sub)
 	}
-	l.deactivate()
-	p.engine.backfill.block(l)
+	sub.deactivate()
+	p.engine.backfill.block(sub)
 	return true
 }
 
 // planGangAroundReservations is planAroundReservations for a gang. One that fits, as far
 // as the number of fits tells, may lack only workers that are reserved.
-func (p *pass) planGangAroundReservations(l *subQueue) bool {
-	goesOn := p.placeGang(l)
-	if len(l.awaitedClasses) == 0 {
+func (p *pass) planGangAroundReservations(sub *subQueue) bool {
+	goesOn := p.placeGang(sub)
+	if len(sub.awaitedClasses) == 0 {
 		return goesOn
 	}
-	if short, _ := l.findShortage(); short == nil {
-		p.engine.backfill.block(l)
+	if short, _ := sub.findShortage(); short == nil {
+		p.engine.backfill.block(sub)
 	}
 	return goesOn
 }
 
 // hasFitOrNone reports whether the first task of the sub-queue fits off the reserved
 // workers, or on none at all.
-func (p *pass) hasFitOrNone(l *subQueue) bool {
-	if _, found := p.engine.finder.findTarget(l.tasks[0]); found {
+func (p *pass) hasFitOrNone(sub *subQueue) bool {
+	if _, found := p.engine.finder.findTarget(sub.tasks[0]); found {
 		return true
 	}
-	search := l.class.backfill
-	l.class.backfill = nil
-	defer func() { l.class.backfill = search }()
-	_, found := p.engine.finder.findTarget(l.tasks[0])
+	search := sub.class.backfill
+	sub.class.backfill = nil
+	defer func() { sub.class.backfill = search }()
+	_, found := p.engine.finder.findTarget(sub.tasks[0])
 	return !found
 }
 
 // searchedClasses returns the classes for which a target is searched.
-func (l *subQueue) searchedClasses() []*equivalenceClass {
-	if l.class == nil {
-		return l.classes()
+func (sub *subQueue) searchedClasses() []*equivalenceClass {
+	if sub.class == nil {
+		return sub.classes()
 	}
-	return []*equivalenceClass{l.class}
+	return []*equivalenceClass{sub.class}
 }
 
 // setBackfillSearch has searches for classes leave reserved workers alone.
--- a/internal/placement/backlog.go
+++ b/internal/placement/backlog.go
@@ -129,34 +129,34 @@
 
 // ofGang returns the sub-queue of a member's gang and makes it if there is none.
 func (b *backlog) ofGang(member *Task) *subQueue {
-	l, ok := b.gangs[member.Gang]
+	sub, ok := b.gangs[member.Gang]
 	if !ok {
-		l = &subQueue{parent: b.priorityQueue(member), gang: member.Gang, position: indexheap.None}
-		l.parent.gangCount++
-		b.gangs[member.Gang] = l
+		sub = &subQueue{parent: b.priorityQueue(member), gang: member.Gang, position: indexheap.None}
+		sub.parent.gangCount++
+		b.gangs[member.Gang] = sub
 	}
-	l.size = member.GangSize
-	return l
+	sub.size = member.GangSize
+	return sub
 }
 
 // dequeue removes a task from its sub-queue and drops the sub-queue with its last task.
 func (b *backlog) dequeue(w *waiting) {
-	l := w.subQueue
-	heap.Remove(&l.tasks, w.position)
-	l.countMember(w.class, -1)
-	if len(l.tasks) > 0 {
-		l.fixOrder()
+	sub := w.subQueue
+	heap.Remove(&sub.tasks, w.position)
+	sub.countMember(w.class, -1)
+	if len(sub.tasks) > 0 {
+		sub.fixOrder()
 		return
 	}
-	l.deactivate()
-	if l.class == nil {
-		l.parent.gangCount--
-		delete(b.gangs, l.gang)
+	sub.deactivate()
+	if sub.class == nil {
+		sub.parent.gangCount--
+		delete(b.gangs, sub.gang)
 	} else {
-		delete(l.parent.subQueues, l.class)
-		delete(l.class.subQueues, l)
+		delete(sub.parent.subQueues, sub.class)
+		delete(sub.class.subQueues, sub)
 	}
-	b.dropIfEmpty(l.parent)
+	b.dropIfEmpty(sub.parent)
 }
 
 // forget takes a task out of all that waits.
@@ -180,12 +180,12 @@
 }
 
 // Before implements indexheap.Item: the lane with the first task first.
-func (l *subQueue) Before(other *subQueue) bool {
-	return compareWaiting(l.tasks[0], other.tasks[0]) < 0
+func (sub *subQueue) Before(other *subQueue) bool {
+	return compareWaiting(sub.tasks[0], other.tasks[0]) < 0
 }
 
 // SetPosition implements indexheap.Item.
-func (l *subQueue) SetPosition(position int) { l.position = position }
+func (sub *subQueue) SetPosition(position int) { sub.position = position }
 
 // Before implements indexheap.Item: the first task first.
 func (w *waiting) Before(other *waiting) bool { return compareWaiting(w, other) < 0 }
@@ -197,44 +197,44 @@
 func compareLevel(l *priorityLevel, priority int) int { return cmp.Compare(priority, l.priority) }
 
 // lane returns the lane of a class and makes it if there is none.
-func (l *priorityQueue) subQueue(c *equivalenceClass) *subQueue {
-	if found, ok := l.subQueues[c]; ok {
+func (q *priorityQueue) subQueue(c *equivalenceClass) *subQueue {
+	if found, ok := q.subQueues[c]; ok {
 		return found
 	}
-	made := &subQueue{parent: l, class: c, position: indexheap.None}
-	l.subQueues[c] = made
-	c.subQueues[made] = struct{}{}
-	return made
+	added := &subQueue{parent: q, class: c, position: indexheap.None}
+	q.subQueues[c] = added
+	c.subQueues[added] = struct{}{}
+	return added
 }
 
 // push adds a task to the lane.
-func (l *subQueue) push(w *waiting) {
-	w.subQueue = l
-	heap.Push(&l.tasks, w)
-	l.countMember(w.class, 1)
-	l.fixOrder()
+func (sub *subQueue) push(w *waiting) {
+	w.subQueue = sub
+	heap.Push(&sub.tasks, w)
+	sub.countMember(w.class, 1)
+	sub.fixOrder()
 }
 
 // fixOrder moves the lane to its place after its first task changed.
-func (l *subQueue) fixOrder() {
-	if l.position != indexheap.None {
-		heap.Fix(&l.parent.active, l.position)
+func (sub *subQueue) fixOrder() {
+	if sub.position != indexheap.None {
+		heap.Fix(&sub.parent.active, sub.position)
 	}
 }
 
 // activate lets the next pass look at the lane. An incomplete group stays.
-func (l *subQueue) activate() {
-	l.stopAwaiting()
-	if l.position == indexheap.None && l.complete() {
-		heap.Push(&l.parent.active, l)
+func (sub *subQueue) activate() {
+	sub.stopAwaiting()
+	if sub.position == indexheap.None && sub.complete() {
+		heap.Push(&sub.parent.active, sub)
 	}
 }
 
 // deactivate takes the lane out of what passes look at.
-func (l *subQueue) deactivate() {
-	l.stopAwaiting()
-	if l.position != indexheap.None {
-		heap.Remove(&l.parent.active, l.position)
+func (sub *subQueue) deactivate() {
+	sub.stopAwaiting()
+	if sub.position != indexheap.None {
+		heap.Remove(&sub.parent.active, sub.position)
 	}
 }
 
--- a/internal/placement/classes.go
+++ b/internal/placement/classes.go
@@ -207,16 +207,16 @@
 // wake makes everything that waits for the class ready to be looked at again.
 func (c *equivalenceClass) activate() {
 	c.activateSubQueues()
-	for l := range c.awaitingGangs {
-		l.activate()
+	for sub := range c.awaitingGangs {
+		sub.activate()
 	}
 }
 
 func (c *equivalenceClass) activateSubQueues() {
 	c.unschedulable, c.blockedByUtilization = false, false
 	c.leaveUnschedulable()
-	for l := range c.subQueues {
-		l.activate()
+	for sub := range c.subQueues {
+		sub.activate()
 	}
 }
 
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -235,24 +235,24 @@
 		e.addToGang(w)
 		return
 	}
-	l := e.backlog.ofClass(w)
-	l.push(w)
+	sub := e.backlog.ofClass(w)
+	sub.push(w)
 	if w.class.unschedulable {
-		e.preemptor.retries.add(l)
+		e.preemptor.retries.add(sub)
 		return
 	}
-	l.activate()
+	sub.activate()
 }
 
 func (e *Engine) addToGang(w *waiting) {
-	l := e.backlog.ofGang(&w.Task)
-	if e.gangDrains.isFor(l) {
+	sub := e.backlog.ofGang(&w.Task)
+	if e.gangDrains.isFor(sub) {
 		e.stopGangDrain()
 	}
 	// Out of the heap first: a group without tasks has no place in it.
-	l.deactivate()
-	l.push(w)
-	l.reconsider()
+	sub.deactivate()
+	sub.push(w)
+	sub.reconsider()
 }
 
 // Remove implements Planner.
@@ -263,8 +263,8 @@
 	}
 	e.revokeNomination(w)
 	e.forget(w)
-	if l := w.subQueue; l.class == nil && len(l.tasks) > 0 {
-		l.reconsider()
+	if sub := w.subQueue; sub.class == nil && len(sub.tasks) > 0 {
+		sub.reconsider()
 	}
 }
 
--- a/internal/placement/fitcount.go
+++ b/internal/placement/fitcount.go
@@ -31,11 +31,11 @@
 // findShortage returns a class that has fewer places than the group has
 // members of it, and how many are missing, or nil. Classes are counted one by
 // one, so nil does not promise that all fit together.
-func (l *subQueue) findShortage() (short *equivalenceClass, missing int) {
-	l.freeMembers = 0
-	for _, m := range l.members {
+func (sub *subQueue) findShortage() (short *equivalenceClass, missing int) {
+	sub.freeMembers = 0
+	for _, m := range sub.members {
 		places := m.class.fitCountThisPass(m.count)
-		l.freeMembers += places
+		sub.freeMembers += places
 		if places < m.count && short == nil {
 			short, missing = m.class, m.count-places
 		}
@@ -146,8 +146,8 @@
 }
 
 // resetFitCounts has the places for a group counted anew.
-func (l *subQueue) resetFitCounts() {
-	for _, m := range l.members {
+func (sub *subQueue) resetFitCounts() {
+	for _, m := range sub.members {
 		m.class.lastFitCount = fitCount{}
 	}
 }
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -167,9 +167,9 @@
 
 // retry has open try once more with the drained capacity, if the sub-queue may take that.
 // What open leaves of it stays drained.
-func (d *gangDrainer) retry(l *subQueue, open func() bool) {
+func (d *gangDrainer) retry(sub *subQueue, open func() bool) {
 	g := d.current
-	if g == nil || len(g.runs) == 0 || d.keepsFromLongRunning || !l.runsUntilCancelled() {
+	if g == nil || len(g.runs) == 0 || d.keepsFromLongRunning || !sub.runsUntilCancelled() {
 		return
 	}
 	members := d.finder.placementOrder(g.members())
@@ -179,7 +179,7 @@
 		targets[i] = placementTarget{worker: r.worker, slot: r.slot}
 		d.runs.close(r)
 	}
-	l.resetFitCounts()
+	sub.resetFitCounts()
 	opened := open()
 	for i, member := range members {
 		if opened && !member.class.canStillUse(targets[i]) {
@@ -189,7 +189,7 @@
 		}
 		g.runs[member] = d.runs.renominate(&member.Task, targets[i], g.runs[member].started)
 	}
-	l.resetFitCounts()
+	sub.resetFitCounts()
 }
 
 // isComplete reports whether all members have a target.
@@ -213,23 +213,23 @@
 }
 
 // drainsBefore orders gangs for which capacity may be drained.
-func (l *subQueue) drainsBefore(other *subQueue) bool {
-	if l.parent.level.priority != other.parent.level.priority {
-		return l.parent.level.priority > other.parent.level.priority
+func (sub *subQueue) drainsBefore(other *subQueue) bool {
+	if sub.parent.level.priority != other.parent.level.priority {
+		return sub.parent.level.priority > other.parent.level.priority
 	}
-	return compareWaiting(l.tasks[0], other.tasks[0]) < 0
+	return compareWaiting(sub.tasks[0], other.tasks[0]) < 0
 }
 
 // couldDrain reports whether the limits allow the gang now, and it fits once what ends by
 // itself has ended.
-func (l *subQueue) couldDrain() bool {
-	return l.parent.queue.canRun(len(l.tasks)) && l.fitsOnIdleWorkers()
+func (sub *subQueue) couldDrain() bool {
+	return sub.parent.queue.canRun(len(sub.tasks)) && sub.fitsOnIdleWorkers()
 }
 
 // fitsOnIdleWorkers reports whether workers on which nothing ran but what runs until
 // cancelled would have room for the members of each class.
-func (l *subQueue) fitsOnIdleWorkers() bool {
-	for _, m := range l.members {
+func (sub *subQueue) fitsOnIdleWorkers() bool {
+	for _, m := range sub.members {
 		if m.class.fitCountOnIdleWorkers(m.count) < m.count {
 			return false
 		}
@@ -239,6 +239,6 @@
 
 // hasServiceAtLowUtilization reports whether the service of a member is not highly
 // utilized.
-func (l *subQueue) hasServiceAtLowUtilization() bool {
-	return slices.ContainsFunc(l.members, func(m memberCount) bool { return !m.class.isHighlyUtilized() })
+func (sub *subQueue) hasServiceAtLowUtilization() bool {
+	return slices.ContainsFunc(sub.members, func(m memberCount) bool { return !m.class.isHighlyUtilized() })
 }
--- a/internal/placement/gangpreemption.go
+++ b/internal/placement/gangpreemption.go
@@ -16,20 +16,20 @@
 
 // preemptForGang promises room to all members of a group that finds none, or
 // leaves all as it was. It always lets the pass go on.
-func (p *pass) preemptForGang(l *subQueue) bool {
+func (p *pass) preemptForGang(sub *subQueue) bool {
 	e := p.engine
-	priority := l.parent.level.priority
-	e.preemptor.retries.add(l)
-	if !e.runs.anyPreemptible(priority) && !l.mayUseReservedSlots() {
+	priority := sub.parent.level.priority
+	e.preemptor.retries.add(sub)
+	if !e.runs.anyPreemptible(priority) && !sub.mayUseReservedSlots() {
 		return true
 	}
-	if p.allowance.gangAttempts == 0 || !l.couldPreempt() {
+	if p.allowance.gangAttempts == 0 || !sub.couldPreempt() {
 		return true
 	}
 	p.allowance.gangAttempts--
 	t := &gangPreemption{
 		finder: e.finder, preemptor: e.preemptor, runTable: e.runs,
-		members: e.finder.placementOrder(l.tasks), spent: p.allowance,
+		members: e.finder.placementOrder(sub.tasks), spent: p.allowance,
 	}
 	if !t.placeAll(priority) {
 		t.undo()
@@ -40,8 +40,8 @@
 	return true
 }
 
-func (l *subQueue) mayUseReservedSlots() bool {
-	for _, m := range l.members {
+func (sub *subQueue) mayUseReservedSlots() bool {
+	for _, m := range sub.members {
 		if len(m.class.reservations) > 0 {
 			return true
 		}
@@ -51,8 +51,8 @@
 
 // couldPreempt reports whether each class would have places enough if all
 // preemptible runs stopped; a cheap bound before a trial.
-func (l *subQueue) couldPreempt() bool {
-	for _, m := range l.members {
+func (sub *subQueue) couldPreempt() bool {
+	for _, m := range sub.members {
 		if m.class.fitCountWithPreemption(m.count) < m.count {
 			return false
 		}
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -30,55 +30,55 @@
 }
 
 // complete reports whether all members wait; a class lane always is.
-func (l *subQueue) complete() bool { return l.class != nil || len(l.tasks) >= l.size }
+func (sub *subQueue) complete() bool { return sub.class != nil || len(sub.tasks) >= sub.size }
 
 // countMember adds to the number of members of a class, if this is a group.
-func (l *subQueue) countMember(c *equivalenceClass, change int) {
-	if l.class != nil {
+func (sub *subQueue) countMember(c *equivalenceClass, change int) {
+	if sub.class != nil {
 		return
 	}
-	at := slices.IndexFunc(l.members, func(m memberCount) bool { return m.class == c })
+	at := slices.IndexFunc(sub.members, func(m memberCount) bool { return m.class == c })
 	if at < 0 {
-		l.members = append(l.members, memberCount{class: c, count: change})
+		sub.members = append(sub.members, memberCount{class: c, count: change})
 		return
 	}
-	l.members[at].count += change
-	if l.members[at].count == 0 {
-		l.members = slices.Delete(l.members, at, at+1)
+	sub.members[at].count += change
+	if sub.members[at].count == 0 {
+		sub.members = slices.Delete(sub.members, at, at+1)
 	}
 }
 
 // reconsider lets the next pass look at a group whose members changed.
-func (l *subQueue) reconsider() {
-	l.deactivate()
-	l.tried = false
-	l.activate()
+func (sub *subQueue) reconsider() {
+	sub.deactivate()
+	sub.tried = false
+	sub.activate()
 }
 
 // awaitClasses keeps a group out of passes until a place more came for one of the
 // classes.
-func (l *subQueue) awaitClasses(classes ...*equivalenceClass) {
-	l.deactivate()
+func (sub *subQueue) awaitClasses(classes ...*equivalenceClass) {
+	sub.deactivate()
 	for _, c := range classes {
 		// Members of several classes compete for room, also where the spread
 		// rule alone leaves one of them nothing.
 		c.lastFitCount.full = nil
-		l.awaitFreedFits(c, 1)
+		sub.awaitFreedFits(c, 1)
 	}
-	l.awaitedClasses = classes
+	sub.awaitedClasses = classes
 }
 
 // awaitShortage keeps a group out of passes until as many places came as the
 // class was short of.
-func (l *subQueue) awaitShortage(c *equivalenceClass, missing int) {
-	l.deactivate()
-	l.awaitFreedFits(c, missing)
-	l.awaitedClasses = []*equivalenceClass{c}
+func (sub *subQueue) awaitShortage(c *equivalenceClass, missing int) {
+	sub.deactivate()
+	sub.awaitFreedFits(c, missing)
+	sub.awaitedClasses = []*equivalenceClass{c}
 }
 
-func (l *subQueue) awaitFreedFits(c *equivalenceClass, places int) {
-	c.awaitingGangs[l] = c.freedFits + uint64(places)
-	c.activateAt = min(c.activateAt, c.awaitingGangs[l])
+func (sub *subQueue) awaitFreedFits(c *equivalenceClass, places int) {
+	c.awaitingGangs[sub] = c.freedFits + uint64(places)
+	c.activateAt = min(c.activateAt, c.awaitingGangs[sub])
 	c.pool.unschedulable[c] = struct{}{}
 }
 
@@ -88,9 +88,9 @@
 		return
 	}
 	c.activateAt = math.MaxUint64
-	for l, at := range c.awaitingGangs {
+	for sub, at := range c.awaitingGangs {
 		if at <= c.freedFits {
-			l.activate()
+			sub.activate()
 			continue
 		}
 		c.activateAt = min(c.activateAt, at)
@@ -99,64 +99,64 @@
 
 // awaitLimit keeps a group out of passes until the queue or its team may run
 // more.
-func (l *subQueue) awaitLimit(size int) {
-	l.deactivate()
-	q := l.parent.queue
+func (sub *subQueue) awaitLimit(size int) {
+	sub.deactivate()
+	q := sub.parent.queue
 	if !withinQueueLimit(q, size) {
-		q.awaitingGangs[l] = struct{}{}
+		q.awaitingGangs[sub] = struct{}{}
 		return
 	}
-	q.team.awaitingGangs[l] = struct{}{}
-	l.awaitedTeam = q.team
+	q.team.awaitingGangs[sub] = struct{}{}
+	sub.awaitedTeam = q.team
 }
 
 // stopAwaiting forgets what the group was parked at. Class lanes are never parked.
-func (l *subQueue) stopAwaiting() {
-	for _, c := range l.awaitedClasses {
-		delete(c.awaitingGangs, l)
+func (sub *subQueue) stopAwaiting() {
+	for _, c := range sub.awaitedClasses {
+		delete(c.awaitingGangs, sub)
 		c.leaveUnschedulable()
 	}
-	l.awaitedClasses = nil
-	delete(l.parent.queue.awaitingGangs, l)
-	if l.awaitedTeam != nil {
-		delete(l.awaitedTeam.awaitingGangs, l)
-		l.awaitedTeam = nil
+	sub.awaitedClasses = nil
+	delete(sub.parent.queue.awaitingGangs, sub)
+	if sub.awaitedTeam != nil {
+		delete(sub.awaitedTeam.awaitingGangs, sub)
+		sub.awaitedTeam = nil
 	}
 }
 
 // placeGang places all members of the group or none. It returns false if the
 // group fits but not in what is left of the pass's limit: the pass then ends,
 // and the next one starts with this group.
-func (p *pass) placeGang(l *subQueue) bool {
-	if !l.parent.queue.canRun(len(l.tasks)) {
-		l.awaitLimit(len(l.tasks))
+func (p *pass) placeGang(sub *subQueue) bool {
+	if !sub.parent.queue.canRun(len(sub.tasks)) {
+		sub.awaitLimit(len(sub.tasks))
 		return true
 	}
-	l.mayPreemptNow = false
-	if p.engine.gangDrains.isFor(l) {
-		l.deactivate()
+	sub.mayPreemptNow = false
+	if p.engine.gangDrains.isFor(sub) {
+		sub.deactivate()
 		return true
 	}
-	l.tried = true
-	members := p.engine.finder.placementOrder(l.tasks)
-	found := p.openAll(l, members)
+	sub.tried = true
+	members := p.engine.finder.placementOrder(sub.tasks)
+	found := p.openAll(sub, members)
 	if found.opened == nil {
-		p.engine.gangDrains.retry(l, func() bool {
-			found = p.openAll(l, members)
+		p.engine.gangDrains.retry(sub, func() bool {
+			found = p.openAll(sub, members)
 			return found.opened != nil
 		})
 	}
 	if found.opened == nil {
-		l.awaitFits(found)
-		l.recordUnschedulableSince(p.engine.clock.pass)
-		return p.preemptForGang(l)
+		sub.awaitFits(found)
+		sub.recordUnschedulableSince(p.engine.clock.pass)
+		return p.preemptForGang(sub)
 	}
 	opened := found.opened
 	if len(p.decisions) > 0 && len(p.decisions)+len(members) > p.limit {
 		p.rollBack(opened)
 		return false
 	}
-	l.deactivate()
+	sub.deactivate()
 	for i, member := range members {
 		p.recordDecision(member, opened[i])
 	}
@@ -172,13 +172,13 @@
 }
 
 // openAll opens runs for all members of the group or for none.
-func (p *pass) openAll(l *subQueue, members []*waiting) gangPlacement {
-	if short, missing := l.findShortage(); short != nil {
+func (p *pass) openAll(sub *subQueue, members []*waiting) gangPlacement {
+	if short, missing := sub.findShortage(); short != nil {
 		return gangPlacement{short: short, missing: missing}
 	}
 	opened := p.tryAll(members)
 	if len(opened) < len(members) {
-		l.freeMembers = len(opened)
+		sub.freeMembers = len(opened)
 		p.rollBack(opened)
 		return gangPlacement{}
 	}
@@ -186,17 +186,17 @@
 }
 
 // awaitFits keeps a group that found no room out of passes until it may find some.
-func (l *subQueue) awaitFits(found gangPlacement) {
+func (sub *subQueue) awaitFits(found gangPlacement) {
 	if found.short != nil {
-		l.awaitShortage(found.short, found.missing)
+		sub.awaitShortage(found.short, found.missing)
 		return
 	}
-	l.awaitClasses(l.classes()...)
+	sub.awaitClasses(sub.classes()...)
 }
 
-func (l *subQueue) recordUnschedulableSince(pass uint64) {
-	if l.unschedulableSince == 0 {
-		l.unschedulableSince = pass
+func (sub *subQueue) recordUnschedulableSince(pass uint64) {
+	if sub.unschedulableSince == 0 {
+		sub.unschedulableSince = pass
 	}
 }
 
@@ -220,9 +220,9 @@
 }
 
 // classes returns the classes of the group's members.
-func (l *subQueue) classes() []*equivalenceClass {
-	classes := make([]*equivalenceClass, 0, len(l.members))
-	for _, m := range l.members {
+func (sub *subQueue) classes() []*equivalenceClass {
+	classes := make([]*equivalenceClass, 0, len(sub.members))
+	for _, m := range sub.members {
 		classes = append(classes, m.class)
 	}
 	return classes
--- a/internal/placement/longrunning.go
+++ b/internal/placement/longrunning.go
@@ -55,11 +55,11 @@
 }
 
 // runsUntilCancelled reports whether the lane's tasks take whatever room there is.
-func (l *subQueue) runsUntilCancelled() bool {
-	if l.class != nil {
-		return l.class.key.untilCancelled
+func (sub *subQueue) runsUntilCancelled() bool {
+	if sub.class != nil {
+		return sub.class.key.untilCancelled
 	}
-	for _, m := range l.members {
+	for _, m := range sub.members {
 		if m.class.key.untilCancelled {
 			return true
 		}
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -59,12 +59,12 @@
 
 // cancelNomination ends a nomination: its tasks wait as others do. Runs that were asked
 // to stop stay so.
-func (e *Engine) cancelNomination(u *nomination) {
-	e.nominations.drop(u)
-	for _, r := range u.runs {
+func (e *Engine) cancelNomination(n *nomination) {
+	e.nominations.drop(n)
+	for _, r := range n.runs {
 		e.end(r)
 	}
-	for _, member := range u.members {
+	for _, member := range n.members {
 		member.nomination = nil
 		e.enqueue(member)
 	}
@@ -96,29 +96,29 @@
 // placeNominated places units whose room has come.
 func (p *pass) placeNominated() {
 	e := p.engine
-	for _, u := range slices.Clone(e.nominations.ordered) {
+	for _, n := range slices.Clone(e.nominations.ordered) {
 		placed := len(p.decisions)
-		if placed >= p.limit || placed > 0 && placed+len(u.members) > p.limit {
+		if placed >= p.limit || placed > 0 && placed+len(n.members) > p.limit {
 			return
 		}
-		if u.isObsolete() {
-			e.cancelNomination(u)
+		if n.isObsolete() {
+			e.cancelNomination(n)
 			continue
 		}
-		if !e.runs.claim(u) {
+		if !e.runs.claim(n) {
 			continue
 		}
-		e.nominations.drop(u)
-		for i, member := range u.members {
-			p.recordDecision(member, u.runs[i])
+		e.nominations.drop(n)
+		for i, member := range n.members {
+			p.recordDecision(member, n.runs[i])
 		}
 	}
 }
 
 // isObsolete reports whether a promised seat no longer keeps the rules.
-func (u *nomination) isObsolete() bool {
-	for i, r := range u.runs {
-		if !r.queue.canRun(0) || breaksRule(r, u.members[i]) {
+func (n *nomination) isObsolete() bool {
+	for i, r := range n.runs {
+		if !r.queue.canRun(0) || breaksRule(r, n.members[i]) {
 			return true
 		}
 	}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -33,8 +33,8 @@
 	e.backfill.dropStale()
 	e.backfill.activateBlocked()
 	// Levels that run empty are dropped on the way, hence the copy.
-	for _, lv := range slices.Clone(e.backlog.levels) {
-		if !p.planLevel(lv) {
+	for _, level := range slices.Clone(e.backlog.levels) {
+		if !p.planLevel(level) {
 			break
 		}
 	}
@@ -43,10 +43,10 @@
 
 // planLevel places what waits with one priority. It returns false once the
 // pass is over.
-func (p *pass) planLevel(lv *priorityLevel) bool {
-	queues := lv.activeQueues()
-	reservations := p.engine.backfill.begin(lv, p.engine.queues.anyDeferences)
-	defer reservations.end(lv)
+func (p *pass) planLevel(level *priorityLevel) bool {
+	queues := level.activeQueues()
+	reservations := p.engine.backfill.begin(level, p.engine.queues.anyDeferences)
+	defer reservations.end(level)
 	for len(p.decisions) < p.limit {
 		next := nextQueue(queues, reservations.competing)
 		if next == nil {
@@ -61,23 +61,23 @@
 
 // planSubQueue places the first task of the lane, or its group, or takes the lane
 // out of this and later passes. It returns false once the pass is over.
-func (p *pass) planSubQueue(l *subQueue) bool {
-	if l.class == nil {
-		return p.placeGang(l)
+func (p *pass) planSubQueue(sub *subQueue) bool {
+	if sub.class == nil {
+		return p.placeGang(sub)
 	}
-	if l.class.unschedulable && !l.mayPreemptNow {
-		p.engine.preemptor.retries.add(l)
-		l.deactivate()
+	if sub.class.unschedulable && !sub.mayPreemptNow {
+		p.engine.preemptor.retries.add(sub)
+		sub.deactivate()
 		return true
 	}
-	first := l.tasks[0]
-	if !l.class.unschedulable {
+	first := sub.tasks[0]
+	if !sub.class.unschedulable {
 		if opened := p.openOne(first); opened != nil {
 			p.recordDecision(first, opened)
 			return true
 		}
 	}
-	p.preemptOrBlock(l)
+	p.preemptOrBlock(sub)
 	return true
 }
 
@@ -115,39 +115,39 @@
 	}
 }
 
-func (lv *priorityLevel) activeQueues() []*priorityQueue {
-	var lines []*priorityQueue
-	for _, l := range lv.queues {
-		if l.canPlace() {
-			lines = append(lines, l)
+func (level *priorityLevel) activeQueues() []*priorityQueue {
+	var queues []*priorityQueue
+	for _, q := range level.queues {
+		if q.canPlace() {
+			queues = append(queues, q)
 		}
 	}
-	return lines
+	return queues
 }
 
 // canPlace reports whether the line has something to look at and its queue is
 // below its limit.
-func (l *priorityQueue) canPlace() bool { return len(l.active) > 0 && l.queue.canRun(1) }
+func (q *priorityQueue) canPlace() bool { return len(q.active) > 0 && q.queue.canRun(1) }
 
 // nextQueue returns the line whose queue has the lowest share, then the one
 // with the lowest Sequence; nil if none may place. Queues with BySlack share
 // together; which of these goes first, mostUrgent says.
-func nextQueue(lines []*priorityQueue, competing competingQueues) *priorityQueue {
+func nextQueue(queues []*priorityQueue, competing competingQueues) *priorityQueue {
 	var best *priorityQueue
 	var sharing fairShare
-	for _, l := range lines {
-		if !l.canPlace() {
+	for _, q := range queues {
+		if !q.canPlace() {
 			continue
 		}
-		if !l.queue.rule.BySlack {
-			if best == nil || l.before(best) {
-				best = l
+		if !q.queue.rule.BySlack {
+			if best == nil || q.before(best) {
+				best = q
 			}
 			continue
 		}
-		sharing.add(l.queue)
+		sharing.add(q.queue)
 	}
-	urgent := competing.mostUrgent(lines)
+	urgent := competing.mostUrgent(queues)
 	switch {
 	case urgent == nil:
 		return best
@@ -162,13 +162,13 @@
 }
 
 // hasEarlierTask reports whether the line's first task has the lower Sequence.
-func (l *priorityQueue) hasEarlierTask(other *priorityQueue) bool {
-	return compareWaiting(l.active[0].tasks[0], other.active[0].tasks[0]) < 0
+func (q *priorityQueue) hasEarlierTask(other *priorityQueue) bool {
+	return compareWaiting(q.active[0].tasks[0], other.active[0].tasks[0]) < 0
 }
 
-func (l *priorityQueue) before(other *priorityQueue) bool {
-	if byShare := compareFairShare(l.queue, other.queue); byShare != 0 {
+func (q *priorityQueue) before(other *priorityQueue) bool {
+	if byShare := compareFairShare(q.queue, other.queue); byShare != 0 {
 		return byShare < 0
 	}
-	return l.hasEarlierTask(other)
+	return q.hasEarlierTask(other)
 }
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -75,25 +75,25 @@
 
 // preemptOrBlock promises the lane's first task room that preemption makes, or
 // takes the lane out of this and later passes.
-func (p *pass) preemptOrBlock(l *subQueue) {
-	if l.class.key.waitsForPreferred {
-		l.mayPreemptNow = false
-		l.class.setUnschedulable()
-		l.deactivate()
+func (p *pass) preemptOrBlock(sub *subQueue) {
+	if sub.class.key.waitsForPreferred {
+		sub.mayPreemptNow = false
+		sub.class.setUnschedulable()
+		sub.deactivate()
 		return
 	}
-	first := l.tasks[0]
-	found, later := p.findVictims(l.class, l.parent.level.priority)
+	first := sub.tasks[0]
+	found, later := p.findVictims(sub.class, sub.parent.level.priority)
 	if later {
-		l.deactivate()
-		p.engine.preemptor.retries.addOverAllowance(l)
+		sub.deactivate()
+		p.engine.preemptor.retries.addOverAllowance(sub)
 		return
 	}
 	if !found.possible() {
-		l.mayPreemptNow = false
-		l.class.setUnschedulable()
-		l.deactivate()
-		p.engine.preemptor.retries.add(l)
+		sub.mayPreemptNow = false
+		sub.class.setUnschedulable()
+		sub.deactivate()
+		p.engine.preemptor.retries.add(sub)
 		return
 	}
 	p.allowance.spend(&found)
--- a/internal/placement/preemptionretry.go
+++ b/internal/placement/preemptionretry.go
@@ -17,20 +17,20 @@
 }
 
 // add lists a sub-queue for another attempt.
-func (r *preemptionRetries) add(l *subQueue) {
-	if l.inPreemptRetries {
+func (r *preemptionRetries) add(sub *subQueue) {
+	if sub.inPreemptRetries {
 		return
 	}
 	if len(r.waiting) >= minRetryCompaction && len(r.waiting) == cap(r.waiting) {
-		r.waiting = slices.DeleteFunc(r.waiting, func(l *subQueue) bool { return len(l.tasks) == 0 })
+		r.waiting = slices.DeleteFunc(r.waiting, func(sub *subQueue) bool { return len(sub.tasks) == 0 })
 	}
-	l.inPreemptRetries = true
-	r.waiting = append(r.waiting, l)
+	sub.inPreemptRetries = true
+	r.waiting = append(r.waiting, sub)
 }
 
 // addOverAllowance lists a sub-queue that is to be looked at in the next pass.
-func (r *preemptionRetries) addOverAllowance(l *subQueue) {
-	r.overAllowance = append(r.overAllowance, l)
+func (r *preemptionRetries) addOverAllowance(sub *subQueue) {
+	r.overAllowance = append(r.overAllowance, sub)
 }
 
 // activate lets the pass look at what the last one had no allowance for, and at some of
@@ -43,15 +43,15 @@
 	count := min(maxPreemptionAttemptsPerPass, len(r.waiting))
 	turn := slices.Clone(r.waiting[:count])
 	r.waiting = slices.Delete(r.waiting, 0, count)
-	for _, l := range turn {
-		l.inPreemptRetries = false
+	for _, sub := range turn {
+		sub.inPreemptRetries = false
 		switch {
-		case len(l.tasks) == 0:
-		case !runs.anyPreemptible(l.parent.level.priority):
-			r.add(l)
+		case len(sub.tasks) == 0:
+		case !runs.anyPreemptible(sub.parent.level.priority):
+			r.add(sub)
 		default:
-			l.mayPreemptNow = true
-			l.activate()
+			sub.mayPreemptNow = true
+			sub.activate()
 		}
 	}
 }
@@ -59,10 +59,10 @@
 func (r *preemptionRetries) activateOverAllowance() {
 	unfinished := r.overAllowance
 	r.overAllowance = nil
-	for _, l := range unfinished {
-		if len(l.tasks) > 0 {
-			l.mayPreemptNow = l.class == nil || l.class.unschedulable
-			l.activate()
+	for _, sub := range unfinished {
+		if len(sub.tasks) > 0 {
+			sub.mayPreemptNow = sub.class == nil || sub.class.unschedulable
+			sub.activate()
 		}
 	}
 }
--- a/internal/placement/property_reservation_test.go
+++ b/internal/placement/property_reservation_test.go
@@ -96,8 +96,8 @@
 // nominatedRuns counts the nominated runs of the queues that are asked for.
 func (m *model) nominatedRuns(of func(queue string) bool) int {
 	count := 0
-	for _, u := range m.engine.nominations.ordered {
-		for _, member := range u.members {
+	for _, n := range m.engine.nominations.ordered {
+		for _, member := range n.members {
 			if of(member.Queue) {
 				count++
 			}
@@ -262,8 +262,8 @@
 			t.Fatalf("%v in a slice of %v", p, r)
 		}
 	}
-	for _, u := range m.engine.nominations.ordered {
-		for _, r := range u.runs {
+	for _, n := range m.engine.nominations.ordered {
+		for _, r := range n.runs {
 			if r.slot != nil {
 				used[r.slot.reservation.ID+r.worker.ID]--
 			}
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -133,8 +133,8 @@
 
 // activateGangs lets the next pass look at gangs that the queue's limit held back.
 func (q *queue) activateGangs() {
-	for l := range q.awaitingGangs {
-		l.activate()
+	for sub := range q.awaitingGangs {
+		sub.activate()
 	}
 }
 
--- a/internal/placement/reasons.go
+++ b/internal/placement/reasons.go
@@ -52,20 +52,20 @@
 }
 
 func (e *Engine) gangReason(w *waiting) string {
-	l := w.subQueue
-	if !l.complete() {
-		return fmt.Sprintf("group has %d of %d members", len(l.tasks), l.size)
+	sub := w.subQueue
+	if !sub.complete() {
+		return fmt.Sprintf("group has %d of %d members", len(sub.tasks), sub.size)
 	}
-	if q := l.parent.queue; !q.canRun(len(l.tasks)) {
-		return fmt.Sprintf("%s, group needs %d", limitReason(q, len(l.tasks)), len(l.tasks))
+	if q := sub.parent.queue; !q.canRun(len(sub.tasks)) {
+		return fmt.Sprintf("%s, group needs %d", limitReason(q, len(sub.tasks)), len(sub.tasks))
 	}
 	if reason := e.eligibilityReason(w); reason != "" {
 		return reason
 	}
-	if !l.tried {
+	if !sub.tried {
 		return reasonTurn
 	}
-	return fmt.Sprintf("group needs %d places, %d free now", len(l.tasks), l.freeMembers)
+	return fmt.Sprintf("group needs %d places, %d free now", len(sub.tasks), sub.freeMembers)
 }
 
 // classReason explains a task that is placed alone.
--- a/internal/placement/teams.go
+++ b/internal/placement/teams.go
@@ -46,8 +46,8 @@
 
 // activateGangs lets the next pass look at gangs that the team's limit held back.
 func (t *team) activateGangs() {
-	for l := range t.awaitingGangs {
-		l.activate()
+	for sub := range t.awaitingGangs {
+		sub.activate()
 	}
 }
 
