--- /dev/null
+++ b/internal/placement/filter_test.go
@@ -0,0 +1,41 @@
+package placement
+
+import (
+	"testing"
+
+	"github.com/decklever/decklever/api"
+)
+
+func TestFilter_FeasibleWorkers(t *testing.T) {
+	w := testWorker("w", api.Resources{CPUMillis: 10, MemoryMB: 10})
+	w.Labels = map[string]string{"disk": "ssd", "rack": ""}
+	full := &queue{rule: QueueRule{MaxRunning: 2}, running: 1}
+	usable, closed := w, w
+	closed.Usable = false
+	cases := []struct {
+		name      string
+		got, want bool
+	}{
+		{"fits exactly", fits(cpu(10), w.Capacity), true},
+		{"one dimension short", fits(api.Resources{CPUMillis: 1, Accelerators: 1}, w.Capacity), false},
+		{"nothing fits below zero", fits(cpu(0), api.Resources{MemoryMB: -1}), false},
+		{"service", w.Offers("s"), true},
+		{"other service", w.Offers("x"), false},
+		{"no labels", w.HasLabels(nil), true},
+		{"all labels", w.HasLabels(map[string]string{"disk": "ssd", "rack": ""}), true},
+		{"other value", w.HasLabels(map[string]string{"disk": "hdd"}), false},
+		{"missing label is not empty", w.HasLabels(map[string]string{"row": ""}), false},
+		{"usable", isUsable(&worker{Worker: usable, known: true}), true},
+		{"not usable", isUsable(&worker{Worker: closed, known: true}), false},
+		{"not known", isUsable(&worker{Worker: usable}), false},
+		{"queue has one left", withinQueueLimit(full, 1), true},
+		{"queue has no two left", withinQueueLimit(full, 2), false},
+		{"queue without bound", withinQueueLimit(newQueue("q"), 1000), true},
+		{"no spread rule", withinSpread(nil, &w), true},
+	}
+	for _, c := range cases {
+		if c.got != c.want {
+			t.Errorf("%s: got %v", c.name, c.got)
+		}
+	}
+}
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -197,3 +197,167 @@
 	}
 	return best
 }
+
+// minRetryCompaction is the least length at which preemptionRetries drops sub-queues
+// without tasks.
+const minRetryCompaction = 256
+
+// preemptionRetries owns the unschedulable sub-queues that get another attempt to
+// preempt, since runs that could make room for them may have started meanwhile. Each
+// pass takes some of them in turn, so that its cost does not grow with their number.
+type preemptionRetries struct {
+	// waiting are in the order in which they get their attempt.
+	waiting []*subQueue
+	// overAllowance are those for which the last pass had no allowance left.
+	overAllowance []*subQueue
+}
+
+// add lists a sub-queue for another attempt.
+func (r *preemptionRetries) add(sub *subQueue) {
+	if sub.inPreemptRetries {
+		return
+	}
+	if len(r.waiting) >= minRetryCompaction && len(r.waiting) == cap(r.waiting) {
+		r.waiting = slices.DeleteFunc(r.waiting, func(sub *subQueue) bool { return len(sub.tasks) == 0 })
+	}
+	sub.inPreemptRetries = true
+	r.waiting = append(r.waiting, sub)
+}
+
+// addOverAllowance lists a sub-queue that is to be looked at in the next pass.
+func (r *preemptionRetries) addOverAllowance(sub *subQueue) {
+	r.overAllowance = append(r.overAllowance, sub)
+}
+
+// activate lets the pass look at what the last one had no allowance for, and at some of
+// those that may preempt by now, in turn.
+func (r *preemptionRetries) activate(runs *runTable) {
+	r.activateOverAllowance()
+	if len(runs.preemptible) == 0 {
+		return
+	}
+	count := min(maxPreemptionAttemptsPerPass, len(r.waiting))
+	turn := slices.Clone(r.waiting[:count])
+	r.waiting = slices.Delete(r.waiting, 0, count)
+	for _, sub := range turn {
+		sub.inPreemptRetries = false
+		switch {
+		case len(sub.tasks) == 0:
+		case !runs.anyPreemptible(sub.parent.level.priority):
+			r.add(sub)
+		default:
+			sub.mayPreemptNow = true
+			sub.activate()
+		}
+	}
+}
+
+func (r *preemptionRetries) activateOverAllowance() {
+	unfinished := r.overAllowance
+	r.overAllowance = nil
+	for _, sub := range unfinished {
+		if len(sub.tasks) > 0 {
+			sub.mayPreemptNow = sub.class == nil || sub.class.unschedulable
+			sub.activate()
+		}
+	}
+}
+
+// gangPreemption is a group's seats, as nominated runs, and the runs that would
+// have to stop. All of it can be undone.
+type gangPreemption struct {
+	finder    *targetFinder
+	preemptor *preemptor
+	runTable  *runTable
+
+	members []*waiting
+	runs    []*run
+	victims []Preemption
+	stopped []*run
+	spent   allowance
+}
+
+// preemptForGang promises room to all members of a group that finds none, or
+// leaves all as it was. It always lets the pass go on.
+func (p *pass) preemptForGang(sub *subQueue) bool {
+	e := p.engine
+	priority := sub.parent.level.priority
+	e.preemptor.retries.add(sub)
+	if !e.runs.anyPreemptible(priority) && !sub.mayUseReservedSlots() {
+		return true
+	}
+	if p.allowance.gangAttempts == 0 || !sub.couldPreempt() {
+		return true
+	}
+	p.allowance.gangAttempts--
+	t := &gangPreemption{
+		finder: e.finder, preemptor: e.preemptor, runTable: e.runs,
+		members: e.finder.placementOrder(sub.tasks), spent: p.allowance,
+	}
+	if !t.placeAll(priority) {
+		t.undo()
+		return true
+	}
+	p.allowance = t.spent
+	e.nominate(t.members, t.runs, t.victims)
+	return true
+}
+
+func (sub *subQueue) mayUseReservedSlots() bool {
+	for _, m := range sub.members {
+		if len(m.class.reservations) > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// couldPreempt reports whether each class would have places enough if all
+// preemptible runs stopped; a cheap bound before a trial.
+func (sub *subQueue) couldPreempt() bool {
+	for _, m := range sub.members {
+		if m.class.fitCountWithPreemption(m.count) < m.count {
+			return false
+		}
+	}
+	return true
+}
+
+func (t *gangPreemption) placeAll(priority int) bool {
+	for _, member := range t.members {
+		if !t.placeMember(member, priority) {
+			return false
+		}
+	}
+	return true
+}
+
+func (t *gangPreemption) placeMember(member *waiting, priority int) bool {
+	c := member.class
+	var chosen preemptionChoice
+	if to, found := t.finder.findTarget(member); found {
+		chosen.to = to
+	} else {
+		chosen = c.chooseReservedSlot()
+	}
+	if !chosen.possible() {
+		chosen = t.preemptor.chooseByPriority(c, priority)
+	}
+	if !chosen.possible() {
+		return false
+	}
+	t.spent.spend(&chosen)
+	t.victims = append(t.victims, t.preemptor.stop(chosen.victims, member.ID)...)
+	t.stopped = append(t.stopped, chosen.victims...)
+	t.runs = append(t.runs, t.runTable.nominate(&member.Task, chosen.to))
+	return t.spent.preemptions >= 0 && t.spent.reserved >= 0
+}
+
+func (t *gangPreemption) undo() {
+	for _, r := range t.runs {
+		t.runTable.close(r)
+	}
+	for _, r := range t.stopped {
+		t.preemptor.setStopping(r, false)
+	}
+}
--- /dev/null
+++ b/internal/placement/preferences.go
@@ -0,0 +1,169 @@
+package placement
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/preferredlabels"
+	"github.com/decklever/decklever/internal/placement/resources"
+)
+
+// preferredDomainOf returns the domain in which the next task of a step is to lie. The
+// step keeps its home for as long as that has room for the task; then it gets
+// another one.
+func (f *targetFinder) preferredDomainOf(w *waiting) string {
+	s := f.steps.get(w.ID.StepID())
+	if s.preferredDomain != "" && w.class.fitsInDomain(w.Colocate, s.preferredDomain, f.workers.sizeOf(w.class)) {
+		return s.preferredDomain
+	}
+	s.preferredDomain = w.class.choosePreferredDomain(w.Colocate, f.workers.sizeOf(w.class), max(w.StepSize-s.runs, 1))
+	return s.preferredDomain
+}
+
+// fitsInDomain reports whether a task of the class fits on a worker of the domain.
+func (c *equivalenceClass) fitsInDomain(by, domain string, least float64) bool {
+	return slices.ContainsFunc(c.pool.withFreeSize(least), func(w *worker) bool {
+		here, ok := w.Domain(by)
+		return ok && here == domain && c.fitsOn(w)
+	})
+}
+
+// choosePreferredDomain returns the domain for the rest of a step: of those with room for
+// all that is wanted the one with the least, else the one with the most; ties
+// by name. It is empty if no worker has such a domain.
+func (c *equivalenceClass) choosePreferredDomain(by string, least float64, wanted int) string {
+	places := map[string]int{}
+	left := map[string]int{}
+	for _, w := range c.pool.withFreeSize(least) {
+		domain, ok := w.Domain(by)
+		if !ok || !c.fitsOn(w) {
+			continue
+		}
+		// Counted up to twice what is wanted: enough to tell a tight domain
+		// from a roomy one.
+		here := resources.FitCount(c.key.need, c.availableOn(w), 2*wanted)
+		if c.spread != nil {
+			here = takeFromDomain(left, c.spread, &w.Worker, here)
+		}
+		places[domain] += here
+	}
+	best := ""
+	for domain, count := range places {
+		if best == "" || isBetterDomain(domain, count, best, places[best], wanted) {
+			best = domain
+		}
+	}
+	return best
+}
+
+func isBetterDomain(domain string, places int, other string, otherFits, wanted int) bool {
+	whole, otherWhole := places >= wanted, otherFits >= wanted
+	switch {
+	case whole != otherWhole:
+		return whole
+	case places == otherFits:
+		return domain < other
+	default:
+		return (places < otherFits) == whole
+	}
+}
+
+// Reserve for preferred labels. A task that prefers a label takes any other worker where
+// those with the label are full, and may run for a multiple of its time there. "Fill the
+// fullest" fills some of them with tasks that would run as well anywhere. So, while some
+// task has preferred a label of a worker lately, tasks that do not prefer it leave a share
+// of that worker free for as long as others have free capacity.
+
+// preferredReservePercent is the share of a preferred worker that others leave free, in
+// hundredths.
+const preferredReservePercent = 30
+
+// preferredReserve owns the labels that tasks have preferred lately, and worker.preferred.
+type preferredReserve struct {
+	// disabled has no label recorded.
+	disabled bool
+	labels   *preferredlabels.Set
+
+	clock   *clock
+	workers *workerIndex
+}
+
+func newPreferredReserve(disabled bool, clock *clock, workers *workerIndex) *preferredReserve {
+	return &preferredReserve{disabled: disabled, labels: preferredlabels.New(), clock: clock, workers: workers}
+}
+
+// any reports whether any label is preferred.
+func (p *preferredReserve) any() bool { return p.labels.Len() > 0 }
+
+// record takes in what a task that waits prefers.
+func (p *preferredReserve) record(spec *api.TaskSpec) {
+	if !p.disabled {
+		p.labels.Record(spec.Prefer, p.clock.now)
+	}
+}
+
+// describe records on a worker whose description changed whether a label of it is
+// preferred.
+func (p *preferredReserve) describe(w *worker) { w.preferred = p.labels.Matches(w.Labels) }
+
+// refresh records the same on all workers, if labels came or went.
+func (p *preferredReserve) refresh() {
+	if !p.labels.Refresh(p.clock.now) {
+		return
+	}
+	for _, w := range p.workers.byID {
+		p.describe(w)
+	}
+}
+
+// leavesPreferredReserve reports whether a task leaves those that prefer the worker their
+// share of it, or is one of them.
+func leavesPreferredReserve(spec *api.TaskSpec, w *worker) bool {
+	if !w.preferred || len(spec.Prefer) > 0 && w.HasLabels(spec.Prefer) {
+		return true
+	}
+	return fits(spec.Resources.Add(resources.Percent(w.Capacity, preferredReservePercent)), w.free)
+}
+
+// Locality wait: a task may wait a bounded time for a worker with the labels that it
+// prefers. Whoever adds it sets WaitsForPreferred and takes that back later. Meanwhile
+// it is of a class of its own, so that no other task waits for it, and that class
+// preempts nobody. Where no sound worker has the labels, it takes any at once.
+
+// requirements is what a task requires of its worker now.
+type requirements struct {
+	// labels are those that the worker must have.
+	labels map[string]string
+	// deferredTo is set while labels hold those that the task prefers, too.
+	preferred bool
+}
+
+// requirementsOf is what the task requires now.
+func (e *Engine) requirementsOf(task *Task) requirements {
+	required := requirements{labels: task.Spec.Labels}
+	if !task.WaitsForPreferred || len(task.Spec.Prefer) == 0 {
+		return required
+	}
+	wanted := requirements{labels: maps.Clone(task.Spec.Prefer), preferred: true}
+	maps.Copy(wanted.labels, task.Spec.Labels)
+	if !e.hasSound(task.Spec, wanted.labels) {
+		return required
+	}
+	return wanted
+}
+
+// hasSound reports whether some sound worker that takes work has the labels, and the
+// room when it is empty.
+func (e *Engine) hasSound(spec *api.TaskSpec, labels map[string]string) bool {
+	for _, w := range e.workers.byID {
+		if isUsable(w) && isSound(w) && fits(spec.Resources, w.Capacity) &&
+			w.Offers(spec.Service) && w.HasLabels(labels) {
+			return true
+		}
+	}
+	return false
+}
+
+// isSound reports whether it is worth waiting for the worker.
+func isSound(w *worker) bool { return !w.Slow && !w.restricted }
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -169,3 +169,139 @@
 	s.running += q.running
 	s.weight += q.rule.Weight
 }
+
+// team is a team's rule and the open runs of its queues.
+type team struct {
+	rule    TeamRule
+	running int
+	// awaitingGangs are those that wait until a run of the team ends or its rule
+	// changes.
+	awaitingGangs map[*subQueue]struct{}
+}
+
+// setTeamRules replaces the rules of all teams. A team that is not named has no bound.
+func (t *queueTable) setTeamRules(rules []TeamRule) {
+	for name, team := range t.teams {
+		team.rule = TeamRule{Name: name}
+	}
+	for _, rule := range rules {
+		t.team(rule.Name).rule = rule
+	}
+	for _, team := range t.teams {
+		team.activateGangs()
+	}
+}
+
+// team returns the team of that name and makes it if there is none.
+func (t *queueTable) team(name string) *team {
+	if found, ok := t.teams[name]; ok {
+		return found
+	}
+	made := &team{rule: TeamRule{Name: name}, awaitingGangs: map[*subQueue]struct{}{}}
+	t.teams[name] = made
+	return made
+}
+
+// joinTeam moves a queue and its open runs to the team that its rule names.
+func (t *queueTable) joinTeam(q *queue) {
+	if q.team != nil {
+		q.team.running -= q.running
+		q.team = nil
+	}
+	if q.rule.Team != "" {
+		q.team = t.team(q.rule.Team)
+		q.team.running += q.running
+	}
+}
+
+// activateGangs lets the next pass look at gangs that the team's limit held back.
+func (t *team) activateGangs() {
+	for sub := range t.awaitingGangs {
+		sub.activate()
+	}
+}
+
+// withinTeamLimit reports whether the team may open count more runs; no team allows
+// any.
+func withinTeamLimit(team *team, count int) bool {
+	return team == nil || team.rule.MaxRunning <= 0 || team.running+count <= team.rule.MaxRunning
+}
+
+// competingQueues are the queues of one priority level that share by slack. One that
+// defers goes after those to which it does, so that its burst does them no harm.
+type competingQueues []*priorityQueue
+
+func competingQueuesOf(level *priorityLevel) competingQueues {
+	var found competingQueues
+	for _, q := range level.queues {
+		if q.queue.rule.BySlack {
+			found = append(found, q)
+		}
+	}
+	return found
+}
+
+// defers reports whether the queue lets others go first: it was told to, and has more
+// than its weight's share of the open runs of itself and of those others that have
+// something waiting, also if that found no room.
+func (c competingQueues) defers(q *queue) bool {
+	if len(q.defersTo) == 0 || !q.rule.BySlack {
+		return false
+	}
+	sum := fairShare{}
+	for _, other := range c {
+		if other.queue == q || q.defersTo[other.queue] && other.hasWaitingTasks() {
+			sum.add(other.queue)
+		}
+	}
+	return q.running*sum.weight > q.rule.Weight*sum.running
+}
+
+// deferredTo returns the queues to which another defers now, of those that do not defer
+// themselves and may run more.
+func (c competingQueues) deferredTo() map[*queue]bool {
+	deferredTo := map[*queue]bool{}
+	for _, other := range c {
+		if !c.defers(other.queue) {
+			continue
+		}
+		for q := range other.queue.defersTo {
+			deferredTo[q] = !c.defers(q) && q.canRun(1)
+		}
+	}
+	return deferredTo
+}
+
+// mostUrgent returns the queue with BySlack that goes first: the first by Sequence or, if
+// it defers, the first of those to which it does and that do not defer themselves; nil if
+// none may place.
+func (c competingQueues) mostUrgent(queues []*priorityQueue) *priorityQueue {
+	first := firstBySlack(queues, func(*priorityQueue) bool { return true })
+	if first == nil || !c.defers(first.queue) {
+		return first
+	}
+	other := firstBySlack(queues, func(q *priorityQueue) bool {
+		return first.queue.defersTo[q.queue] && !c.defers(q.queue)
+	})
+	if other != nil {
+		return other
+	}
+	return first
+}
+
+// firstBySlack returns the queue with BySlack that is first by Sequence, of those that may
+// place and are wanted; nil if there is none.
+func firstBySlack(queues []*priorityQueue, wanted func(*priorityQueue) bool) *priorityQueue {
+	var first *priorityQueue
+	for _, q := range queues {
+		if q.queue.rule.BySlack && q.canPlace() && (first == nil || q.hasEarlierTask(first)) && wanted(q) {
+			first = q
+		}
+	}
+	return first
+}
+
+// hasWaitingTasks reports whether something waits in the queue for room.
+func (q *priorityQueue) hasWaitingTasks() bool {
+	return q.queue.canRun(1) && (len(q.subQueues) > 0 || q.gangCount > 0)
+}
--- a/internal/placement/ranking_test.go
+++ b/internal/placement/score_test.go
@@ -9,6 +9,29 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
+func TestScore_FullestWorkerFirst(t *testing.T) {
+	cases := []struct {
+		name    string
+		workers []Worker
+		want    string
+	}{
+		{"least room", []Worker{testWorker("a", cpu(100)), testWorker("b", cpu(40)), testWorker("c", cpu(9))}, "j/a/0@b"},
+		{"ties by name", []Worker{testWorker("c", cpu(40)), testWorker("b", cpu(40))}, "j/a/0@b"},
+		{"measured against the largest", []Worker{
+			testWorker("a", api.Resources{CPUMillis: 100, MemoryMB: 1000}),
+			testWorker("b", api.Resources{CPUMillis: 20, MemoryMB: 900}),
+			testWorker("c", api.Resources{CPUMillis: 90, MemoryMB: 100}),
+		}, "j/a/0@c"},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			e := newEngine(c.workers...)
+			e.Add(testTask("j", 0, 10))
+			expect(t, "decisions", placed(e, 10), c.want)
+		})
+	}
+}
+
 // rackWorker is a testWorker in a zone, with labels "KEY=VALUE".
 func rackWorker(name, zone string, capacity int64, labels ...string) Worker {
 	w := testWorker(name, cpu(capacity))
