--- a/internal/raft/raftsim/checker.go
+++ b/internal/raft/raftsim/checker.go
@@ -8,15 +8,16 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// appliedEntry is an entry as the first machine that applied it saw it.
+// appliedEntry is what is compared of an entry: as the first machine that applied
+// it saw it.
 type appliedEntry struct {
 	term uint64
 	kind raft.EntryKind
 	hash uint64
 }
 
-// firstAppliedIndex is the index of the first record: the founders begin with a
-// snapshot at 1.
+// firstAppliedIndex is the index of the first entry that is applied: the initial
+// voters begin with a snapshot at 1.
 const firstAppliedIndex = 2
 
 // checker records all that was ever applied or acknowledged, whichever machine
@@ -28,7 +29,8 @@
 	// commandIndex has the index of each command; it may have only one.
 	commandIndex map[uint64]uint64
 	acknowledged map[uint64]uint64
-	// highestAcknowledged is the highest index acknowledged, newest the highest proposal.
+	// highestAcknowledged is the highest index acknowledged,
+	// newestAcknowledgedProposal the highest id of a proposal.
 	highestAcknowledged        uint64
 	newestAcknowledgedProposal uint64
 	leaders                    map[uint64]raft.ReplicaID
@@ -151,8 +153,8 @@
 	}
 }
 
-// checkLease: at one true time only one machine may believe in its lease,
-// those that are frozen included.
+// checkLease: at one true time only one machine may claim a lease, those that are
+// frozen included.
 func (s *simulation) checkLease(m *machine) {
 	if s.options.mutation == mutationForgetVote || !m.claimsLease() {
 		return // without the vote delay leases overlap; that run is about votes
@@ -186,8 +188,9 @@
 	return ""
 }
 
-// checkFinal looks for each acknowledged command where it was acknowledged.
-// All voters applied that far, and applying compared each entry.
+// checkFinal requires each acknowledged command at the index of its
+// acknowledgement. All voters applied that far, and checkApplied compared each
+// entry.
 func (s *simulation) checkFinal() {
 	c := &s.checker
 	lowest := uint64(math.MaxUint64)
--- a/internal/raft/raftsim/faults.go
+++ b/internal/raft/raftsim/faults.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// nextFault makes one fault and plans the next.
+// nextFault makes one fault and schedules the next.
 func (s *simulation) nextFault() {
 	if s.healed {
 		return
@@ -62,7 +62,7 @@
 	return s.machines[s.random.IntN(len(s.machines))]
 }
 
-// freezeTime is mostly short, and at times longer than the faults go on.
+// freezeTime is mostly short, and sometimes longer than the faults last.
 func (s *simulation) freezeTime() time.Duration {
 	if s.chance(0.2) {
 		return s.between(time.Second, 25*time.Second)
@@ -85,9 +85,9 @@
 
 // restartVoterRepeatedly restarts a voter again and again while nothing is
 // proposed, so that any log may win. A follower that is partitioned from the
-// leader is elected too early should the voter forget a heartbeat that it answered. If the leader restarts
-// as well, and messages are slow, both are elected in one term should it forget
-// its vote.
+// leader is elected too early should the voter forget a heartbeat that it
+// answered. If the leader restarts as well, and messages are slow, both are
+// elected in one term should it forget its vote.
 func (s *simulation) restartVoterRepeatedly() {
 	leaders := s.believedLeaders()
 	if len(leaders) == 0 {
@@ -115,7 +115,7 @@
 	}
 }
 
-// isolate cuts a machine from all, both ways or one.
+// isolate partitions a machine from all others, both ways or one.
 func (s *simulation) isolate(m *machine) {
 	incoming := s.chance(0.7)
 	outgoing := !incoming || s.chance(0.7)
@@ -130,13 +130,14 @@
 	}
 }
 
-// partitionIncoming cuts all links to a machine.
+// partitionIncoming blocks all links to a machine.
 func (s *simulation) partitionIncoming(m *machine, duration time.Duration) {
 	for _, other := range s.machines {
 		s.partitionLink(other.index, m.index, duration)
 	}
 }
 
+// partitionPair blocks the links between a machine and another, both ways or one.
 func (s *simulation) partitionPair(m *machine) {
 	other := s.machines[s.random.IntN(len(s.machines))]
 	duration := s.between(200*time.Millisecond, 5*time.Second)
@@ -146,11 +147,12 @@
 	}
 }
 
+// partitionLink blocks one direction between two machines.
 func (s *simulation) partitionLink(from, to int, duration time.Duration) {
 	if from == to {
 		return
 	}
-	s.recordEvent(from, "cut", uint64(to), uint64(duration), 0)
+	s.recordEvent(from, "partition", uint64(to), uint64(duration), 0)
 	s.network.partitions[from][to]++
 	s.after(duration, func() {
 		if !s.healed {
@@ -166,8 +168,8 @@
 }
 
 // delayTimeoutNow makes a transfer fail, with its TimeoutNow arriving after
-// others were elected. Proposals pause, so that the late one still has a log
-// that may win.
+// another election. Proposals pause, so that the target still has a log that may
+// win.
 func (s *simulation) delayTimeoutNow() {
 	s.network.delayTimeoutNowUntil = s.now + electionTimeoutMax + electionTimeoutMin
 	s.pauseProposals(maxTimeoutNowDelay)
--- a/internal/raft/raftsim/machine.go
+++ b/internal/raft/raftsim/machine.go
@@ -37,16 +37,16 @@
 	name       string
 	id         raft.ReplicaID
 	disk       *disk
-	// neverStarted: the disk was never used before.
+	// neverStarted: no process has used the disk yet.
 	neverStarted bool
 
-	// incarnation counts the process's starts.
+	// incarnation counts the starts of the process.
 	incarnation int
 	up          bool
 	frozen      bool
-	// resume finishes the work that a freeze interrupted.
+	// resume completes the work that a freeze interrupted.
 	resume func()
-	// inbox has what came while the process did not run.
+	// inbox has the work that arrived while the process was frozen.
 	inbox []func(now time.Duration)
 
 	// clockOffset and clockDrift make the monotonic clock of this incarnation; drift
@@ -68,13 +68,13 @@
 	return raft.Member{ID: m.id, Name: m.name, Zone: "z", Address: m.name}
 }
 
-// clock is the machine's monotonic time at this true time.
+// clock returns the machine's monotonic time at this true time.
 func (m *machine) clock() time.Duration {
 	now := m.simulation.now
 	return m.clockOffset + now + now/10000*time.Duration(m.clockDrift)
 }
 
-// start boots the process from the disk.
+// start starts the process from the disk.
 func (m *machine) start() {
 	if m.up {
 		return
@@ -146,7 +146,7 @@
 	}
 	now := m.clock()
 	if s := m.simulation; !s.healed && s.chance(freezeRate) {
-		// It stops after it read its clock and goes on with that time.
+		// It freezes after it read its clock, and continues with that time.
 		m.freeze(s.freezeTime())
 		m.resume = func() { work(now) }
 		return
@@ -168,7 +168,7 @@
 	}
 }
 
-// processReadies handles Readys until there is none.
+// processReadies handles every Ready until there is none.
 func (m *machine) processReadies() {
 	m.refreshStatus()
 	for m.up && !m.frozen && m.simulation.violation == nil && m.node.HasReady() {
@@ -265,7 +265,7 @@
 	}
 }
 
-// acknowledge answers the client whose proposal this is.
+// acknowledge responds to the client whose proposal this is.
 func (m *machine) acknowledge(entry raft.Entry) {
 	waiting, ok := m.proposals[entry.Index]
 	if !ok {
@@ -277,7 +277,7 @@
 	}
 }
 
-// saveSnapshot compacts now and then, and keeps some entries at times.
+// saveSnapshot compacts from time to time, and sometimes retains some entries.
 func (m *machine) saveSnapshot() {
 	if m.applied < m.nextSave {
 		return
@@ -337,7 +337,7 @@
 	m.simulation.checkLease(m)
 }
 
-// claimsLease is what a handler on this machine would believe now.
+// claimsLease is what a request handler on this machine would conclude now.
 func (m *machine) claimsLease() bool {
 	if !m.up || m.status.LeaseUntil == 0 {
 		return false
--- a/internal/raft/raftsim/operator.go
+++ b/internal/raft/raftsim/operator.go
@@ -7,11 +7,11 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// swapRate is how often a turn moves a vote to the spare machine.
+// swapRate is the probability that a turn replaces a voter by a learner.
 const swapRate = 0.08
 
-// operatorTurn is what the owner of a leader does about the membership: machines
-// unknown to it join as learners, and a learner replaces the lost voter of the
+// operatorTurn changes the membership as the owner of a leader does: machines
+// outside of it join as learners, and a learner replaces the lost voter of the
 // same machine.
 func (s *simulation) operatorTurn() {
 	s.after(s.between(100*time.Millisecond, 250*time.Millisecond), s.operatorTurn)
@@ -31,7 +31,7 @@
 	})
 }
 
-// wantedMembership takes the first step that is due.
+// wantedMembership returns the first change that is due; ok is false if none is.
 func (s *simulation) wantedMembership(current raft.Membership) (raft.Membership, bool) {
 	if len(current.Outgoing) > 0 {
 		return raft.Membership{}, false
@@ -59,8 +59,8 @@
 	return s.swap(target)
 }
 
-// swap gives a random voter's vote to a learner; the former voter is out, does
-// not know it, and is taken in again as a learner later.
+// swap replaces a random voter by a learner. The former voter is not notified, and
+// joins again as a learner later.
 func (s *simulation) swap(target raft.Membership) (raft.Membership, bool) {
 	if s.healed || len(target.Learners) == 0 || s.lostIn(target.Voters) > 0 || !s.chance(swapRate) {
 		return raft.Membership{}, false
--- a/internal/raft/raftsim/simulation.go
+++ b/internal/raft/raftsim/simulation.go
@@ -27,7 +27,8 @@
 	queue     eventQueue
 	scheduled uint64
 	machines  []*machine
-	// initialVoters of machines form the cluster; a spare may come after them.
+	// initialVoters is how many of the machines form the cluster; spares follow
+	// them in machines.
 	initialVoters int
 	network       network
 	checker       checker
@@ -36,7 +37,7 @@
 	nextReplica  uint64
 	nextProposal uint64
 	nextRead     uint64
-	// proposalsPausedUntil is when the clients' pause ends.
+	// proposalsPausedUntil is when the clients propose again.
 	proposalsPausedUntil time.Duration
 
 	report    Report
@@ -149,7 +150,7 @@
 	}
 }
 
-// machineOf finds the machine that has a replica's disk; nil if it is lost.
+// machineOf returns the machine that has a replica's disk; nil if it is lost.
 func (s *simulation) machineOf(id raft.ReplicaID) *machine {
 	for _, m := range s.machines {
 		if m.id == id {
--- a/internal/storage/archiveopen.go
+++ b/internal/storage/archiveopen.go
@@ -142,7 +142,7 @@
 		return false, err
 	}
 	if damage != nil {
-		config.Logger.Warn("torn archive transaction ignored; the log has its jobs", "damage", damage)
+		config.Logger.Warn("torn archive transaction ignored; the log has its jobs", "error", damage)
 	}
 	return damage != nil, file.Sync()
 }
