--- a/internal/record/archive.go
+++ b/internal/record/archive.go
@@ -57,7 +57,7 @@
 	if len(m.archiveBatch) == 0 {
 		return nil
 	}
-	m.state.compactJobs(m.endedJobs)
+	m.state.jobs.compact(m.endedJobs)
 	err := m.archive.Put(m.archiveBatch)
 	m.archiveBatch = nil
 	m.endedJobs = nil
--- a/internal/record/canceljobs.go
+++ b/internal/record/canceljobs.go
@@ -4,7 +4,7 @@
 // last runs of a gang that succeeded has ended already.
 func (m *Machine) applyCancelJobs(cancel *CancelJobs) {
 	for _, id := range cancel.Jobs {
-		job := m.state.jobs[id]
+		job := m.state.jobs.byID[id]
 		if job == nil || !job.MayCancel() {
 			continue
 		}
--- a/internal/record/capture.go
+++ b/internal/record/capture.go
@@ -53,16 +53,16 @@
 
 // captureState copies a state.
 func captureState(s *state) *capture {
-	settings := &s.settings
+	config := &s.config
 	c := &capture{
-		versions: settings.versions[:len(settings.versions):len(settings.versions)],
-		orders:   settings.orders.oldestFirst(),
-		workers:  s.sortedWorkers(),
-		jobs:     make([]capturedJob, 0, len(s.sortedJobs)),
-		tasks:    make([]snapshotTask, 0, s.taskTotal),
-		runs:     make([]snapshotRun, 0, s.runTotal),
+		versions: config.versions[:len(config.versions):len(config.versions)],
+		orders:   config.orders.oldestFirst(),
+		workers:  s.workers.sorted(),
+		jobs:     make([]capturedJob, 0, len(s.jobs.sorted)),
+		tasks:    make([]snapshotTask, 0, s.jobs.taskTotal),
+		runs:     make([]snapshotRun, 0, s.runs.total),
 	}
-	for _, job := range s.sortedJobs {
+	for _, job := range s.jobs.sorted {
 		c.addJob(job)
 	}
 	c.header = snapshotHeader{
@@ -70,8 +70,8 @@
 		Applied:         s.applied,
 		Clock:           s.clock,
 		ExpiredBefore:   s.expiredBefore,
-		ConfigVersion:   settings.version,
-		Config:          *settings.accepted,
+		ConfigVersion:   config.version,
+		Config:          *config.accepted,
 		Versions:        len(c.versions),
 		Orders:          len(c.orders),
 		Workers:         len(c.workers),
--- a/internal/record/checkpoint_test.go
+++ b/internal/record/checkpoint_test.go
@@ -55,7 +55,7 @@
 	}
 	snapshot := snapshotBytes(t, h.machine)
 	again := restored(t, snapshot, h.archive)
-	expect(t, "restored", again.state.task(task).checkpoint, h.task(task).checkpoint)
+	expect(t, "restored", again.state.jobs.task(task).checkpoint, h.task(task).checkpoint)
 	if !bytes.Equal(snapshot, snapshotBytes(t, again)) {
 		t.Fatal("a restored machine writes another snapshot")
 	}
@@ -102,6 +102,6 @@
 	want("a newer run", "second at 5")
 	again := restored(t, snapshotBytes(t, h.machine), h.archive)
 	for _, member := range h.members {
-		expect(t, "restored", again.state.task(member).NewestCheckpoint(), "second at 5")
+		expect(t, "restored", again.state.jobs.task(member).NewestCheckpoint(), "second at 5")
 	}
 }
--- a/internal/record/closeruns.go
+++ b/internal/record/closeruns.go
@@ -7,7 +7,7 @@
 	m.applyGangSuccesses(command.Runs)
 	for i := range command.Runs {
 		end := &command.Runs[i]
-		task := m.state.task(end.Run.Task)
+		task := m.state.jobs.task(end.Run.Task)
 		if task == nil {
 			continue
 		}
@@ -23,7 +23,7 @@
 // closeRun ends an open run.
 func (m *Machine) closeRun(run *Run, end *RunEnd) {
 	task := run.Task
-	m.state.removeRun(run)
+	m.state.runs.remove(run)
 	if task.State.Final() { // by the success of its gang
 		m.state.setRun(task, task.State, nil)
 		m.emit(RunClosed{Run: run, Outcome: end.Outcome})
--- a/internal/record/confighistory.go
+++ b/internal/record/confighistory.go
@@ -51,7 +51,7 @@
 }
 
 // activate puts a configuration in force. The caller then calls
-// state.recountTeams, unless there are no counts yet.
+// countTable.recountTeams, unless there are no counts yet.
 func (c *configState) activate(version uint64, config *api.Config) {
 	effective := config.WithDefaults()
 	c.version = version
--- a/internal/record/expandrepeats.go
+++ b/internal/record/expandrepeats.go
@@ -22,7 +22,7 @@
 // for which the job has too many open tasks is left for a later command.
 func (m *Machine) applyExpandRepeats(expand *ExpandRepeats) {
 	for _, expansion := range expand.Jobs {
-		job := m.state.jobs[expansion.Job]
+		job := m.state.jobs.byID[expansion.Job]
 		if job == nil || job.Repetition == nil {
 			continue
 		}
@@ -48,7 +48,7 @@
 	added := job.addOccurrence(job.Repetition.Next)
 	added.initializeTasks(job.Repetition.AllowedFailures)
 	job.Repetition.Next++
-	m.state.indexSteps(job, added.steps)
+	m.state.addSteps(job, added.steps)
 	m.emit(OccurrenceAdded{Job: job, Occurrence: added.number})
 	m.startOccurrence(added)
 }
--- a/internal/record/expandrepeats_test.go
+++ b/internal/record/expandrepeats_test.go
@@ -114,15 +114,15 @@
 		for index := range 3 {
 			h.placeAndClose(occurrenceTaskID("j", "a", index, number), api.OutcomeSucceeded)
 		}
-		job := h.machine.state.jobs["j"]
-		if len(job.Steps) != 0 || len(job.occurrences) != 0 || h.machine.state.taskTotal != 0 {
-			t.Fatalf("after occurrence %d: %d steps, %d tasks", number, len(job.Steps), h.machine.state.taskTotal)
+		job := h.machine.state.jobs.byID["j"]
+		if len(job.Steps) != 0 || len(job.occurrences) != 0 || h.machine.state.jobs.taskTotal != 0 {
+			t.Fatalf("after occurrence %d: %d steps, %d tasks", number, len(job.Steps), h.machine.state.jobs.taskTotal)
 		}
 	}
 	if grown := len(snapshotBytes(t, h.machine)); grown > size {
 		t.Fatalf("a snapshot of %d bytes grew to %d", size, grown)
 	}
-	job := h.machine.state.jobs["j"]
+	job := h.machine.state.jobs.byID["j"]
 	if row := job.Summary(); row.TasksTotal != 3*api.MaxOccurrences || row.TasksEnded != 600 {
 		t.Fatalf("row %+v", row)
 	}
@@ -133,7 +133,7 @@
 	h.submitSpec("j", repeatingJob(api.MaxOccurrences, 1000, replicatedStep("a", 1000)))
 	h.now = 1 << 40
 	h.expand("j", api.MaxOccurrences)
-	job := h.machine.state.jobs["j"]
+	job := h.machine.state.jobs.byID["j"]
 	if job.OpenTasks != api.MaxOpenTasksPerJob || job.Repetition.Next != api.MaxOpenTasksPerJob/1000 {
 		t.Fatalf("%d open tasks, next %d", job.OpenTasks, job.Repetition.Next)
 	}
@@ -164,7 +164,7 @@
 	h.submitSpec("j", repeatingJob(3, 1000, failing))
 	h.placeAndClose(occurrenceTaskID("j", "a", 0, 0), api.OutcomeFailed)
 	again := restored(t, snapshotBytes(t, h.machine), h.archive)
-	if before, after := h.machine.state.jobs["j"], again.state.jobs["j"]; !reflect.DeepEqual(before, after) {
+	if before, after := h.machine.state.jobs.byID["j"], again.state.jobs.byID["j"]; !reflect.DeepEqual(before, after) {
 		t.Fatalf("%+v became %+v", before, after)
 	}
 	h.machine = again
@@ -212,7 +212,7 @@
 	if !bytes.Equal(written, snapshotBytes(t, again)) {
 		t.Fatal("a restored machine writes another snapshot")
 	}
-	if live := again.state.jobs["j"].liveOccurrences(); !slices.Equal(live, []int{1, 2, 4, 5}) {
+	if live := again.state.jobs.byID["j"].liveOccurrences(); !slices.Equal(live, []int{1, 2, 4, 5}) {
 		t.Fatalf("live %v", live)
 	}
 	h.machine = again
--- a/internal/record/gang.go
+++ b/internal/record/gang.go
@@ -79,7 +79,7 @@
 		if end.Outcome != api.OutcomeSucceeded {
 			continue
 		}
-		task := m.state.task(end.Run.Task)
+		task := m.state.jobs.task(end.Run.Task)
 		if task != nil && task.Step.SharesOutcome() {
 			m.succeedGang(task, end.Run.Number)
 		}
--- a/internal/record/invariants_test.go
+++ b/internal/record/invariants_test.go
@@ -89,7 +89,7 @@
 // checkBackoff checks the bound on the backoff of a task that runs until cancelled.
 func (c *invariantChecker) checkBackoff(task *Task) {
 	s := c.machine.state
-	longest := max(Millis(s.settings.effective.Timings.RetryDelay.Std()/time.Millisecond), 2000)
+	longest := max(Millis(s.config.effective.Timings.RetryDelay.Std()/time.Millisecond), 2000)
 	if pause := task.NotBefore - max(s.clock, task.Step.earliestTaskStart()); task.RunsUntilCancelled() && pause > longest {
 		c.t.Fatalf("%s waits for %d ms after a run", task.ID, pause)
 	}
@@ -129,13 +129,13 @@
 // checkRunningLimits checks queue and team right after a run was opened.
 func (c *invariantChecker) checkRunningLimits(queue string) {
 	s := c.machine.state
-	limit := s.settings.queues[queue].MaxRunningTasks
-	if limit > 0 && s.queueCounts[queue].RunningTasks > limit {
+	limit := s.config.queues[queue].MaxRunningTasks
+	if limit > 0 && s.counts.queues[queue].RunningTasks > limit {
 		c.t.Fatalf("queue %s runs more than %d tasks", queue, limit)
 	}
-	team := s.settings.queues[queue].Team
-	limit = s.settings.teams[team].MaxRunningTasks
-	if limit > 0 && s.teamCounts[team].RunningTasks > limit {
+	team := s.config.queues[queue].Team
+	limit = s.config.teams[team].MaxRunningTasks
+	if limit > 0 && s.counts.teams[team].RunningTasks > limit {
 		c.t.Fatalf("team %s runs more than %d tasks", team, limit)
 	}
 }
@@ -167,7 +167,7 @@
 	c.checkReleasedWindows(command, c.releasedBefore)
 	c.releasedBefore = len(c.released)
 	tasks, runs, used, queues := 0, 0, make(map[string]api.Resources), make(map[string]QueueCounts)
-	for _, job := range s.sortedJobs {
+	for _, job := range s.jobs.sorted {
 		open, outlasting := 0, 0
 		counts := queues[job.Spec.Queue]
 		counts.Jobs++
@@ -194,12 +194,12 @@
 		queues[job.Spec.Queue] = counts
 		c.checkRepetition(job)
 		toCome := job.Repetition != nil && job.Repetition.Next < job.Occurrences()
-		if open+outlasting == 0 && !toCome || open != job.OpenTasks || s.jobs[job.ID] != job {
+		if open+outlasting == 0 && !toCome || open != job.OpenTasks || s.jobs.byID[job.ID] != job {
 			c.t.Fatalf("job %s: %d open tasks, %d counted", job.ID, open, job.OpenTasks)
 		}
 	}
-	if tasks != s.taskTotal {
-		c.t.Fatalf("%d tasks, %d counted", tasks, s.taskTotal)
+	if tasks != s.jobs.taskTotal {
+		c.t.Fatalf("%d tasks, %d counted", tasks, s.jobs.taskTotal)
 	}
 	c.checkTotals(runs, used, queues)
 	c.checkTeamCounts(queues)
@@ -241,11 +241,11 @@
 
 func (c *invariantChecker) checkTotals(runs int, used map[string]api.Resources, queues map[string]QueueCounts) {
 	s := c.machine.state
-	if runs != s.runTotal || runs != len(c.open) || len(s.jobs) != len(s.sortedJobs) {
-		c.t.Fatalf("%d runs, %d counted, %d by events", runs, s.runTotal, len(c.open))
+	if runs != s.runs.total || runs != len(c.open) || len(s.jobs.byID) != len(s.jobs.sorted) {
+		c.t.Fatalf("%d runs, %d counted, %d by events", runs, s.runs.total, len(c.open))
 	}
 	listed := 0
-	for workerID, load := range s.loadByWorkerID {
+	for workerID, load := range s.runs.byWorkerID {
 		for _, run := range load.runs {
 			listed++
 			if run.Task.Run != run || run.WorkerID != workerID {
@@ -257,17 +257,17 @@
 		c.t.Fatalf("%d runs are listed of %d", listed, runs)
 	}
 	for workerID, amount := range used {
-		worker := s.workersByID[workerID]
-		if s.usedResources(workerID) != amount || worker == nil || !amount.Fits(worker.Capacity) {
-			c.t.Fatalf("worker %s: used %v, counted %v", workerID, amount, s.usedResources(workerID))
+		worker := s.workers.byID[workerID]
+		if s.runs.used(workerID) != amount || worker == nil || !amount.Fits(worker.Capacity) {
+			c.t.Fatalf("worker %s: used %v, counted %v", workerID, amount, s.runs.used(workerID))
 		}
 	}
-	if len(used) != len(s.loadByWorkerID) || len(queues) != len(s.queueCounts) {
+	if len(used) != len(s.runs.byWorkerID) || len(queues) != len(s.counts.queues) {
 		c.t.Fatal("a load or a queue is left over")
 	}
 	for name, counts := range queues {
-		if *s.queueCounts[name] != counts {
-			c.t.Fatalf("queue %s: %v, counted %v", name, counts, *s.queueCounts[name])
+		if *s.counts.queues[name] != counts {
+			c.t.Fatalf("queue %s: %v, counted %v", name, counts, *s.counts.queues[name])
 		}
 	}
 }
@@ -277,7 +277,7 @@
 	s := c.machine.state
 	var sum QueueCounts
 	for name, counts := range queues {
-		if s.settings.queues[name].Team == "t" {
+		if s.config.queues[name].Team == "t" {
 			sum.Jobs += counts.Jobs
 			sum.PendingTasks += counts.PendingTasks
 			sum.RunningTasks += counts.RunningTasks
@@ -288,7 +288,7 @@
 			c.t.Fatalf("team counted %v, expected %v", got, sum)
 		}
 	})
-	if sum == (QueueCounts{}) && len(s.teamCounts) > 0 {
+	if sum == (QueueCounts{}) && len(s.counts.teams) > 0 {
 		c.t.Fatal("a team is left over")
 	}
 }
--- a/internal/record/lifecycle.go
+++ b/internal/record/lifecycle.go
@@ -96,7 +96,7 @@
 // none of its runs is open. It may be called any number of times for one entry,
 // also for a job that was removed before.
 func (m *Machine) archiveJobIfComplete(job *Job) {
-	if m.state.jobs[job.ID] != job {
+	if m.state.jobs.byID[job.ID] != job {
 		return
 	}
 	m.removeEndedOccurrences(job)
--- a/internal/record/occurrence.go
+++ b/internal/record/occurrence.go
@@ -102,7 +102,7 @@
 	for _, candidate := range job.occurrences {
 		if candidate.ended() {
 			job.countOutcome(candidate)
-			m.state.removeSteps(candidate.steps)
+			m.state.jobs.removeSteps(candidate.steps)
 			m.emit(OccurrenceEnded{Job: job, Occurrence: candidate.number, Steps: candidate.steps})
 		}
 	}
--- a/internal/record/placementchecker.go
+++ b/internal/record/placementchecker.go
@@ -34,11 +34,11 @@
 // accept reports whether a placement holds, and adds it to those accepted if it
 // does.
 func (c *placementChecker) accept(placement *Placement) bool {
-	task := c.state.task(placement.Run.Task)
+	task := c.state.jobs.task(placement.Run.Task)
 	if task == nil || !c.taskIsPlaceable(task, placement.Run.Number) {
 		return false
 	}
-	worker := c.state.workers[placement.Worker]
+	worker := c.state.workers.byName[placement.Worker]
 	if worker == nil || worker.ID != placement.WorkerID {
 		return false
 	}
@@ -83,7 +83,7 @@
 
 // fits reports whether the task's resources are free on the worker.
 func (c *placementChecker) fits(worker *Worker, task *Task) bool {
-	used := c.state.usedResources(worker.ID)
+	used := c.state.runs.used(worker.ID)
 	for _, accepted := range c.accepted {
 		if accepted.worker == worker {
 			used = used.Add(accepted.task.Spec.Resources)
@@ -102,7 +102,7 @@
 	domain := spreadDomain(spread, worker)
 	count := 0
 	for _, other := range task.Step.Tasks {
-		if other.Run != nil && spreadDomain(spread, c.state.workers[other.Run.Worker]) == domain {
+		if other.Run != nil && spreadDomain(spread, c.state.workers.byName[other.Run.Worker]) == domain {
 			count++
 		}
 	}
@@ -129,12 +129,12 @@
 // withinRunningLimits reports whether the task's queue and its team may have one
 // more running task.
 func (c *placementChecker) withinRunningLimits(task *Task) bool {
-	queue := c.state.settings.queues[task.Step.Job.Spec.Queue]
-	if !c.withinLimit(queue.MaxRunningTasks, c.state.queueCounts[queue.Name]) {
+	queue := c.state.config.queues[task.Step.Job.Spec.Queue]
+	if !c.withinLimit(queue.MaxRunningTasks, c.state.counts.queues[queue.Name]) {
 		return false
 	}
-	team := c.state.settings.teams[queue.Team]
-	return c.withinLimit(team.MaxRunningTasks, c.state.teamCounts[team.Name])
+	team := c.state.config.teams[queue.Team]
+	return c.withinLimit(team.MaxRunningTasks, c.state.counts.teams[team.Name])
 }
 
 // withinLimit reports whether a limit of running tasks, 0 for none, allows one
--- a/internal/record/placetasks.go
+++ b/internal/record/placetasks.go
@@ -29,7 +29,7 @@
 	for _, placement := range placements {
 		size := 1
 		var gang *Step
-		if task := m.state.task(placement.Run.Task); task != nil {
+		if task := m.state.jobs.task(placement.Run.Task); task != nil {
 			if gangSize := task.Step.GangSize(); gangSize > 0 {
 				size, gang = gangSize, task.Step
 			}
@@ -80,6 +80,6 @@
 	task.LastWorker = run.Worker
 	task.Step.Job.started = true
 	m.state.setRun(task, TaskPlaced, run)
-	m.state.addRun(run)
+	m.state.runs.add(run)
 	m.emit(RunOpened{Run: run})
 }
--- a/internal/record/property_test.go
+++ b/internal/record/property_test.go
@@ -98,15 +98,16 @@
 		what string
 		a, b any
 	}{
-		{"jobs", slices.Concat(a.sortedJobs), slices.Concat(b.sortedJobs)}, // nil if empty
+		{"jobs", slices.Concat(a.jobs.sorted), slices.Concat(b.jobs.sorted)}, // nil if empty
 		{"workers", a.workers, b.workers},
-		{"loads", a.loadByWorkerID, b.loadByWorkerID},
-		{"queues", a.queueCounts, b.queueCounts},
-		{"teams", a.teamCounts, b.teamCounts},
+		{"loads", a.runs.byWorkerID, b.runs.byWorkerID},
+		{"queues", a.counts.queues, b.counts.queues},
+		{"teams", a.counts.teams, b.counts.teams},
+		{"pending by caller", a.counts.pendingByCaller, b.counts.pendingByCaller},
 		{"drained zones", slices.Concat(a.drainedZones), slices.Concat(b.drainedZones)},
 		{"released", slices.Concat(a.releasedWindows), slices.Concat(b.releasedWindows)},
-		{"versions", slices.Concat(a.settings.versions), slices.Concat(b.settings.versions)},
-		{"orders", a.settings.orders.oldestFirst(), b.settings.orders.oldestFirst()},
+		{"versions", slices.Concat(a.config.versions), slices.Concat(b.config.versions)},
+		{"orders", a.config.orders.oldestFirst(), b.config.orders.oldestFirst()},
 	}
 	for _, pair := range pairs {
 		if !reflect.DeepEqual(pair.a, pair.b) {
@@ -236,7 +237,7 @@
 // drawPlace mostly names placements that can hold.
 func drawPlace(t *rapid.T, machine *Machine) *PlaceTasks {
 	command := &PlaceTasks{}
-	for _, job := range machine.state.sortedJobs {
+	for _, job := range machine.state.jobs.sorted {
 		for _, step := range job.Steps {
 			for _, task := range step.Tasks {
 				if task.State != TaskReady || rapid.IntRange(0, 3).Draw(t, "skip") == 0 {
@@ -247,7 +248,7 @@
 				if rapid.IntRange(0, 9).Draw(t, "wrong number") == 0 {
 					placement.Run.Number++
 				}
-				if worker := machine.state.workers[name]; worker != nil {
+				if worker := machine.state.workers.byName[name]; worker != nil {
 					placement.WorkerID = worker.ID
 				}
 				command.Placements = append(command.Placements, placement)
@@ -259,7 +260,7 @@
 
 func drawOpen(t *rapid.T, machine *Machine) []RunID {
 	var runs []RunID
-	for _, run := range machine.state.sortedOpenRuns() {
+	for _, run := range machine.state.runs.sorted() {
 		if rapid.Bool().Draw(t, "take") {
 			runs = append(runs, run.ID())
 		}
--- a/internal/record/putconfig.go
+++ b/internal/record/putconfig.go
@@ -10,38 +10,38 @@
 // applyPutConfig decides an order once and keeps the outcome, so that a resend
 // gets the same answer as long as the order is among the newest ones kept.
 func (m *Machine) applyPutConfig(put *PutConfig, result *Result) {
-	settings := &m.state.settings
-	if known := settings.orders.byID[put.OrderID]; known != nil {
-		result.Config = resendResult(known, put, settings.version)
+	config := &m.state.config
+	if known := config.orders.byID[put.OrderID]; known != nil {
+		result.Config = resendResult(known, put, config.version)
 		return
 	}
 	decided := m.decideConfig(put)
-	settings.orders.add(&configOrder{ID: put.OrderID, Digest: put.Digest, Result: decided})
+	config.orders.add(&configOrder{ID: put.OrderID, Digest: put.Digest, Result: decided})
 	result.Config = &decided
 	if decided.Refusal == nil {
-		m.emit(ConfigChanged{Version: settings.version, Config: settings.effective})
+		m.emit(ConfigChanged{Version: config.version, Config: config.effective})
 	}
 }
 
 // decideConfig refuses an order that failed validation or whose base version is
 // not in force, and else puts its configuration in force.
 func (m *Machine) decideConfig(put *PutConfig) ConfigResult {
-	settings := &m.state.settings
+	config := &m.state.config
 	if put.Refusal != nil {
-		return ConfigResult{Version: settings.version, Refusal: put.Refusal}
+		return ConfigResult{Version: config.version, Refusal: put.Refusal}
 	}
-	if put.Base != settings.version {
-		return ConfigResult{Version: settings.version, Refusal: versionConflict(put.Base, settings.version)}
+	if put.Base != config.version {
+		return ConfigResult{Version: config.version, Refusal: versionConflict(put.Base, config.version)}
 	}
-	settings.activate(settings.version+1, &put.Config)
-	m.state.recountTeams()
-	settings.addVersion(api.ConfigVersion{
-		Version:    settings.version,
+	config.activate(config.version+1, &put.Config)
+	m.state.counts.recountTeams(config)
+	config.addVersion(api.ConfigVersion{
+		Version:    config.version,
 		OrderID:    put.OrderID,
 		AcceptedAt: m.state.clock.Time(),
 		Digest:     put.Digest,
 	})
-	return ConfigResult{Version: settings.version}
+	return ConfigResult{Version: config.version}
 }
 
 // resendResult answers an order whose id is known: with the recorded outcome, or
--- a/internal/record/registerworkers.go
+++ b/internal/record/registerworkers.go
@@ -15,8 +15,8 @@
 // name has the incarnation's id. Registering the same description again changes
 // nothing and emits no event.
 func (m *Machine) registerWorker(worker *Worker) bool {
-	known := m.state.workers[worker.Name]
-	if other := m.state.workersByID[worker.ID]; other != nil && other != known {
+	known := m.state.workers.byName[worker.Name]
+	if other := m.state.workers.byID[worker.ID]; other != nil && other != known {
 		return false
 	}
 	worker.RegisteredAt = m.state.clock
@@ -26,14 +26,10 @@
 			return true
 		}
 	}
-	if known != nil && known.ID != worker.ID {
-		if m.state.hasOpenRuns(known.ID) {
-			return false
-		}
-		delete(m.state.workersByID, known.ID)
+	if known != nil && known.ID != worker.ID && m.state.runs.anyOn(known.ID) {
+		return false
 	}
-	m.state.workers[worker.Name] = worker
-	m.state.workersByID[worker.ID] = worker
+	m.state.workers.put(worker)
 	m.emit(WorkerChanged{Worker: worker})
 	return true
 }
--- a/internal/record/replicas_test.go
+++ b/internal/record/replicas_test.go
@@ -16,14 +16,14 @@
 			t.Fatalf("task %d has a description of its own", i)
 		}
 	}
-	if counts := h.machine.state.queueCounts[testQueue]; counts.PendingTasks != 301 {
+	if counts := h.machine.state.counts.queues[testQueue]; counts.PendingTasks != 301 {
 		t.Fatalf("counted %+v", counts)
 	}
 	if summary := job.Summary(); summary.TasksTotal != 301 || len(h.status("j").Steps[0].Tasks) != 300 {
 		t.Fatalf("summary %+v", summary)
 	}
 	again := restored(t, snapshotBytes(t, h.machine), h.archive)
-	if tasks := again.state.jobs["j"].Steps[0].Tasks; len(tasks) != 300 || tasks[299].Spec != tasks[0].Spec {
+	if tasks := again.state.jobs.byID["j"].Steps[0].Tasks; len(tasks) != 300 || tasks[299].Spec != tasks[0].Spec {
 		t.Fatalf("%d tasks after a restore, or their description was copied", len(tasks))
 	}
 }
--- a/internal/record/restore.go
+++ b/internal/record/restore.go
@@ -77,7 +77,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	restored, err := readState(parts, m.state.settings.orders.limit)
+	restored, err := readState(parts, m.state.config.orders.limit)
 	if err != nil {
 		return err
 	}
@@ -148,7 +148,7 @@
 	r.state.applied = header.Applied
 	r.state.clock = header.Clock
 	r.state.expiredBefore = header.ExpiredBefore
-	r.state.settings.activate(header.ConfigVersion, &header.Config)
+	r.state.config.activate(header.ConfigVersion, &header.Config)
 	r.state.drainedZones = header.DrainedZones
 	for _, window := range header.ReleasedWindows {
 		r.state.addReleasedWindow(window)
@@ -177,37 +177,39 @@
 	return nil
 }
 
+// readVersion reads one configuration version.
 func (r *snapshotReader) readVersion() error {
 	var version api.ConfigVersion
 	if err := r.next(&version, partVersion); err != nil {
 		return err
 	}
-	r.state.settings.addVersion(version)
+	r.state.config.addVersion(version)
 	return nil
 }
 
+// readOrder reads one decided configuration order; ids are unique.
 func (r *snapshotReader) readOrder() error {
 	var order configOrder
 	if err := r.next(&order, partOrder); err != nil {
 		return err
 	}
-	if r.state.settings.orders.byID[order.ID] != nil {
+	if r.state.config.orders.byID[order.ID] != nil {
 		return snapshotErrorf(partOrder, order.ID, "found twice, expected once")
 	}
-	r.state.settings.orders.add(&order)
+	r.state.config.orders.add(&order)
 	return nil
 }
 
+// readWorker reads one worker; names and incarnations are unique.
 func (r *snapshotReader) readWorker() error {
 	var worker Worker
 	if err := r.next(&worker, partWorker); err != nil {
 		return err
 	}
-	if r.state.workers[worker.Name] != nil || r.state.workersByID[worker.ID] != nil {
+	if r.state.workers.byName[worker.Name] != nil || r.state.workers.byID[worker.ID] != nil {
 		return snapshotErrorf(partWorker, worker.Name, "name or id %q found twice, expected once", worker.ID)
 	}
-	r.state.workers[worker.Name] = &worker
-	r.state.workersByID[worker.ID] = &worker
+	r.state.workers.put(&worker)
 	return nil
 }
 
@@ -217,7 +219,7 @@
 	if err := r.next(&read, partJob); err != nil {
 		return err
 	}
-	if r.state.jobs[read.ID] != nil {
+	if r.state.jobs.byID[read.ID] != nil {
 		return snapshotErrorf(partJob, read.ID, "found twice, expected once")
 	}
 	if err := read.matchesSpec(); err != nil {
@@ -337,7 +339,7 @@
 	if read == nil {
 		return nil
 	}
-	worker := r.state.workers[task.LastWorker]
+	worker := r.state.workers.byName[task.LastWorker]
 	if worker == nil || worker.ID != read.WorkerID {
 		return snapshotErrorf(partTask, task.ID.String(), "its open run is on worker %q with id %q, which is not known", task.LastWorker, read.WorkerID)
 	}
--- a/internal/record/retry.go
+++ b/internal/record/retry.go
@@ -37,6 +37,6 @@
 // maxBackoffDoublings times.
 func (m *Machine) backoffAfter(failures int) Millis {
 	doublings := min(failures-1, maxBackoffDoublings)
-	delay := m.state.settings.effective.Timings.RetryDelay.Std() << doublings
+	delay := m.state.config.effective.Timings.RetryDelay.Std() << doublings
 	return Millis(delay / time.Millisecond)
 }
--- a/internal/record/stopruns.go
+++ b/internal/record/stopruns.go
@@ -28,7 +28,7 @@
 
 // findOpenRun returns the run if it is open, else nil.
 func (m *Machine) findOpenRun(id RunID) *Run {
-	task := m.state.task(id.Task)
+	task := m.state.jobs.task(id.Task)
 	if task == nil || task.Run == nil || task.Run.Number != id.Number {
 		return nil
 	}
--- a/internal/record/submitjob.go
+++ b/internal/record/submitjob.go
@@ -12,7 +12,7 @@
 		return err
 	}
 	result.Submit = &SubmitResult{Outcome: SubmitAccepted}
-	queue, queueKnown := m.state.settings.queues[submit.Spec.Queue]
+	queue, queueKnown := m.state.config.queues[submit.Spec.Queue]
 	switch {
 	case known && digest == submit.Digest:
 		result.Submit.Outcome = SubmitDuplicate
@@ -40,7 +40,7 @@
 
 // knownDigest returns the digest with which a job of that id was accepted.
 func (m *Machine) knownDigest(id string) (digest string, known bool, err error) {
-	if job := m.state.jobs[id]; job != nil {
+	if job := m.state.jobs.byID[id]; job != nil {
 		return job.Digest, true, nil
 	}
 	archived, known, err := m.findArchived(id)
--- a/internal/record/submitjob_test.go
+++ b/internal/record/submitjob_test.go
@@ -32,7 +32,7 @@
 	}
 	again := restored(t, snapshotBytes(t, h.machine), h.archive)
 	for _, machine := range []*Machine{h.machine, again} {
-		tasks := machine.state.jobs["j"].Steps[0].Tasks
+		tasks := machine.state.jobs.byID["j"].Steps[0].Tasks
 		if tasks[0].Spec.Service != "s" || tasks[1].Spec.Service != "first" {
 			t.Fatalf("services %q and %q", tasks[0].Spec.Service, tasks[1].Spec.Service)
 		}
@@ -46,7 +46,7 @@
 	if outcome := h.submit("j", bare); outcome != SubmitNoService {
 		t.Fatalf("outcome %d", outcome)
 	}
-	if len(h.machine.state.jobs) != 0 {
+	if len(h.machine.state.jobs.byID) != 0 {
 		t.Fatal("the job was added")
 	}
 }
--- a/internal/record/view.go
+++ b/internal/record/view.go
@@ -70,7 +70,7 @@
 
 // Job implements View.
 func (v view) Job(id string) (*Job, bool) {
-	job := v.machine.state.jobs[id]
+	job := v.machine.state.jobs.byID[id]
 	return job, job != nil
 }
 
@@ -78,11 +78,11 @@
 func (v view) Jobs(after string) iter.Seq[*Job] {
 	s := v.machine.state
 	return func(yield func(*Job) bool) {
-		position, found := s.findJob(after)
+		position, found := s.jobs.search(after)
 		if found {
 			position++
 		}
-		for _, job := range s.sortedJobs[position:] {
+		for _, job := range s.jobs.sorted[position:] {
 			if !yield(job) {
 				return
 			}
@@ -92,18 +92,18 @@
 
 // Task implements View.
 func (v view) Task(id TaskID) (*Task, bool) {
-	task := v.machine.state.task(id)
+	task := v.machine.state.jobs.task(id)
 	return task, task != nil
 }
 
 // Workers implements View, in the order of names.
 func (v view) Workers() iter.Seq[*Worker] {
-	return slices.Values(v.machine.state.sortedWorkers())
+	return slices.Values(v.machine.state.workers.sorted())
 }
 
 // OpenRuns implements View.
 func (v view) OpenRuns(workerID string) iter.Seq[*Run] {
-	load := v.machine.state.loadByWorkerID[workerID]
+	load := v.machine.state.runs.byWorkerID[workerID]
 	if load == nil {
 		return slices.Values[[]*Run](nil)
 	}
@@ -112,36 +112,36 @@
 
 // AllOpenRuns implements View.
 func (v view) AllOpenRuns() iter.Seq[*Run] {
-	return slices.Values(v.machine.state.sortedOpenRuns())
+	return slices.Values(v.machine.state.runs.sorted())
 }
 
 // UsedResources implements View.
 func (v view) UsedResources(workerID string) api.Resources {
-	return v.machine.state.usedResources(workerID)
+	return v.machine.state.runs.used(workerID)
 }
 
 // Config implements View.
 func (v view) Config() (version uint64, config *api.Config) {
-	settings := &v.machine.state.settings
-	return settings.version, settings.effective
+	current := &v.machine.state.config
+	return current.version, current.effective
 }
 
 // AcceptedConfig implements View.
 func (v view) AcceptedConfig() (version uint64, config *api.Config) {
-	settings := &v.machine.state.settings
-	return settings.version, settings.accepted
+	current := &v.machine.state.config
+	return current.version, current.accepted
 }
 
 // ConfigVersions implements View.
 func (v view) ConfigVersions() []api.ConfigVersion {
-	versions := slices.Clone(v.machine.state.settings.versions)
+	versions := slices.Clone(v.machine.state.config.versions)
 	slices.Reverse(versions)
 	return versions
 }
 
 // ConfigOrder implements View.
 func (v view) ConfigOrder(id string) (result ConfigResult, digest string, known bool) {
-	order := v.machine.state.settings.orders.byID[id]
+	order := v.machine.state.config.orders.byID[id]
 	if order == nil {
 		return ConfigResult{}, "", false
 	}
@@ -158,29 +158,22 @@
 
 // QueueCounts implements View.
 func (v view) QueueCounts(queue string) QueueCounts {
-	return countsIn(v.machine.state.queueCounts, queue)
+	return countsIn(v.machine.state.counts.queues, queue)
 }
 
 // TeamCounts implements View.
 func (v view) TeamCounts(team string) QueueCounts {
-	return countsIn(v.machine.state.teamCounts, team)
+	return countsIn(v.machine.state.counts.teams, team)
 }
 
 // CallerPending implements View.
 func (v view) CallerPending(queue, caller string) int {
-	return v.machine.state.callerPending[queueCaller{queue, caller}]
-}
-
-func countsIn(all map[string]*QueueCounts, name string) QueueCounts {
-	if counts := all[name]; counts != nil {
-		return *counts
-	}
-	return QueueCounts{}
+	return v.machine.state.counts.pendingByCaller[queueCaller{queue, caller}]
 }
 
 // Status implements View.
 func (v view) Status(id string, reason func(*Task) string) (api.JobStatus, bool, error) {
-	if job := v.machine.state.jobs[id]; job != nil {
+	if job := v.machine.state.jobs.byID[id]; job != nil {
 		return job.status(v.machine.state.clock, reason), true, nil
 	}
 	archived, known, err := v.machine.findArchived(id)
@@ -192,7 +185,7 @@
 
 // StatusWithoutSteps implements View.
 func (v view) StatusWithoutSteps(id string) (api.JobStatus, bool, error) {
-	if job := v.machine.state.jobs[id]; job != nil {
+	if job := v.machine.state.jobs.byID[id]; job != nil {
 		return job.statusWithoutSteps(), true, nil
 	}
 	archived, known, err := v.machine.findArchived(id)
