--- a/cmd/decklever/main.go
+++ b/cmd/decklever/main.go
@@ -1,4 +1,5 @@
-// Command decklever is the command line of callers and operators.
+// Command decklever is the command line of callers and operators: it runs
+// package cli with the arguments, streams and environment of the process.
 package main
 
 import (
--- a/docs/metrics_test.go
+++ b/docs/metrics_test.go
@@ -44,7 +44,7 @@
 // TestMetrics_RegisteredAsBefore compares names, help texts and labels with those
 // of an earlier commit: dashboards and alerts of the users are built on them.
 func TestMetrics_RegisteredAsBefore(t *testing.T) {
-	golden.Compare(t, "testdata/metrics.txt", golden.Lines(registeredMetrics(t)))
+	golden.Compare(t, "testdata/metrics.txt", golden.Values(registeredMetrics(t)))
 }
 
 // registeredMetrics builds the parts of all daemons and returns the descriptions
--- a/internal/agent/exchanges_test.go
+++ b/internal/agent/exchanges_test.go
@@ -34,7 +34,7 @@
 // TestWorkerProtocol_AnsweredAsBefore compares status, headers and bodies of the
 // answers to workers with those of an earlier commit.
 func TestWorkerProtocol_AnsweredAsBefore(t *testing.T) {
-	found := golden.Lines{}
+	found := golden.Values{}
 	for name, body := range refusedHeartbeats {
 		found["heartbeat "+name] = exchange(t, nil, http.MethodPost, HeartbeatPath, body)
 	}
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	relayed := fmt.Sprintf("%s %s %d %s", call.Agent, call.Zone, call.ConfigVersion, heartbeat)
-	golden.Compare(t, "testdata/relayed.txt", golden.Lines{"heartbeat": relayed})
+	golden.Compare(t, "testdata/relayed.txt", golden.Values{"heartbeat": relayed})
 }
 
 // exchange sends a request to a new agent, whose scheduler answers with err, and
--- a/internal/compatibility/golden/golden.go
+++ b/internal/compatibility/golden/golden.go
@@ -24,20 +24,20 @@
 
 var update = flag.String("update", "", "write the golden files anew; the value names the commit of the sources")
 
-// Lines are what a golden file holds, by name. Neither names nor values may
+// Values are what a golden file holds, by name. Neither names nor values may
 // hold a tab or a line break.
-type Lines map[string]string
+type Values map[string]string
 
 // Compare compares lines with those of the file at path, both ways, and reports
 // each one that is missing, added or different.
-func Compare(t *testing.T, path string, found Lines) {
+func Compare(t *testing.T, path string, found Values) {
 	t.Helper()
 	CompareExplained(t, path, found, func(value string) string { return value })
 }
 
 // CompareExplained is Compare for values that are not readable as they are;
 // explain gives a value the form in which a difference is reported.
-func CompareExplained(t *testing.T, path string, found Lines, explain func(string) string) {
+func CompareExplained(t *testing.T, path string, found Values, explain func(string) string) {
 	t.Helper()
 	if *update != "" {
 		write(t, path, format(found))
@@ -68,36 +68,36 @@
 	}
 	want, got := strings.Split(read(t, path), "\n"), strings.Split(found, "\n")
 	for number := range max(len(want), len(got)) {
-		wantLine, gotLine := lineAt(want, number), lineAt(got, number)
-		if wantLine != gotLine {
-			t.Errorf("%s:%d: the text differs from here on\n got %q\nwant %q", path, number+1, gotLine, wantLine)
+		wantText, gotText := entryAt(want, number), entryAt(got, number)
+		if wantText != gotText {
+			t.Errorf("%s:%d: the text differs from here on\n got %q\nwant %q", path, number+1, gotText, wantText)
 			return
 		}
 	}
 }
 
-func lineAt(lines []string, number int) string {
-	if number >= len(lines) {
+func entryAt(entries []string, index int) string {
+	if index >= len(entries) {
 		return "(end of the text)"
 	}
-	return lines[number]
+	return entries[index]
 }
 
-func format(lines Lines) string {
+func format(values Values) string {
 	var text strings.Builder
-	for _, name := range slices.Sorted(maps.Keys(lines)) {
-		fmt.Fprintf(&text, "%s\t%s\n", name, lines[name])
+	for _, name := range slices.Sorted(maps.Keys(values)) {
+		fmt.Fprintf(&text, "%s\t%s\n", name, values[name])
 	}
 	return text.String()
 }
 
-func parse(text string) Lines {
-	lines := Lines{}
+func parse(text string) Values {
+	values := Values{}
 	for line := range strings.Lines(text) {
 		name, value, _ := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
-		lines[name] = value
+		values[name] = value
 	}
-	return lines
+	return values
 }
 
 func read(t *testing.T, path string) string {
--- a/internal/compatibility/messages/bodies_test.go
+++ b/internal/compatibility/messages/bodies_test.go
@@ -53,7 +53,7 @@
 // TestBodies_RefusedAsBefore covers the words of the refusals of bodies that
 // are malformed or make no sense.
 func TestBodies_RefusedAsBefore(t *testing.T) {
-	kept := golden.Lines{}
+	kept := golden.Values{}
 	for name, body := range badJobs {
 		kept["job "+name] = refusalOf(t, body, func(spec *api.JobSpec) []api.FieldError {
 			return api.ValidateJob("-", spec, &api.Config{Queues: []api.QueueConfig{{Name: "q"}}})
--- a/internal/compatibility/messages/calls_test.go
+++ b/internal/compatibility/messages/calls_test.go
@@ -58,12 +58,12 @@
 	client  *rpc.Client
 	seen    *recorder
 	address string
-	lines   golden.Lines
+	lines   golden.Values
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{server: rpc.NewServer(rpc.ServerConfig{}), client: rpc.NewClient(rpc.ClientConfig{}), lines: golden.Lines{}}
+	f := &fixture{server: rpc.NewServer(rpc.ServerConfig{}), client: rpc.NewClient(rpc.ClientConfig{}), lines: golden.Values{}}
 	f.seen = &recorder{next: f.server}
 	listener := httptest.NewServer(f.seen)
 	t.Cleanup(listener.Close)
--- a/internal/compatibility/messages/documents_test.go
+++ b/internal/compatibility/messages/documents_test.go
@@ -15,7 +15,7 @@
 
 // addRequest keeps a body that the programs read, as a client writes it: empty,
 // as a skeleton, and filled.
-func addRequest[Body any](t *testing.T, kept golden.Lines, name string) {
+func addRequest[Body any](t *testing.T, kept golden.Values, name string) {
 	t.Helper()
 	var empty Body
 	kept[name+" empty"] = string(encodeJSON(t, empty))
@@ -32,7 +32,7 @@
 }
 
 // addAnswer keeps a body that the programs write.
-func addAnswer[Body any](t *testing.T, kept golden.Lines, name string) {
+func addAnswer[Body any](t *testing.T, kept golden.Values, name string) {
 	t.Helper()
 	var empty, read Body
 	kept[name+" empty"] = writtenAnswer(t, name, empty)
@@ -79,7 +79,7 @@
 }
 
 func TestDocuments_EncodedAsBefore(t *testing.T) {
-	kept := golden.Lines{}
+	kept := golden.Values{}
 	addRequest[api.JobSpec](t, kept, "PUT /v1/jobs/{id} request")
 	addRequest[api.CancelRequest](t, kept, "POST /v1/cancellations request")
 	addRequest[api.Config](t, kept, "PUT /v1/config request")
--- a/internal/compatibility/messages/refusals_test.go
+++ b/internal/compatibility/messages/refusals_test.go
@@ -21,7 +21,7 @@
 func TestRefusals_EncodedAsBefore(t *testing.T) {
 	apiError := filled[api.Error](t, "refusal")
 	apiError.Status = 409
-	lines := golden.Lines{}
+	lines := golden.Values{}
 	for _, refusal := range []*rpc.Error{
 		{Code: rpc.CodeNotLeader, Message: "not the leader", LeaderAddress: "127.0.0.1:7001"},
 		{Code: rpc.CodeUnavailable, Message: "unavailable"},
@@ -71,14 +71,14 @@
 	if err != nil || !reflect.DeepEqual(decoded, membership) {
 		t.Errorf("read %+v and error %v, written was %+v", decoded, err, membership)
 	}
-	lines := golden.Lines{"log entry": hex.EncodeToString(encoded)}
+	lines := golden.Values{"log entry": hex.EncodeToString(encoded)}
 	golden.CompareExplained(t, "testdata/membership.txt", lines, explainCBOR)
 }
 
 // TestEnumerations_NumberedAsBefore covers the numbers that filled messages do
 // not choose by themselves.
 func TestEnumerations_NumberedAsBefore(t *testing.T) {
-	lines := golden.Lines{}
+	lines := golden.Values{}
 	for name, number := range map[string]int{
 		"entry command":          int(raft.EntryCommand),
 		"entry no-op":            int(raft.EntryNoop),
--- a/internal/compatibility/programs/output_test.go
+++ b/internal/compatibility/programs/output_test.go
@@ -91,7 +91,7 @@
 }
 
 func TestRefusedCommands_ExitAsBefore(t *testing.T) {
-	found := golden.Lines{}
+	found := golden.Values{}
 	for code, status := range refusedStatuses {
 		front := refuseAll(t, code, status)
 		for _, command := range []string{"job status j", "job cancel j", "queue list", "config history", "worker list"} {
--- a/internal/front/exchanges_test.go
+++ b/internal/front/exchanges_test.go
@@ -20,7 +20,7 @@
 	front := newDescribedFront(t, &fakeLink{leader: leader.address}, telemetry.NewHealth())
 	without := newDescribedFront(t, &fakeLink{}, telemetry.NewHealth())
 	stale := newDescribedFront(t, &fakeLink{leader: leader.address, stale: true}, telemetry.NewHealth())
-	found := golden.Lines{}
+	found := golden.Values{}
 	for _, request := range exchangeRequests(t) {
 		found[request.name()] = request.answerOf(t, front)
 	}
