--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func vote(from ReplicaID, term uint64) Message {
+func voteRequest(from ReplicaID, term uint64) Message {
 	return Message{Kind: MessageVote, From: from, Term: term, Index: 100, LogTerm: 100}
 }
 
@@ -15,8 +15,8 @@
 		t.Fatal(err)
 	}
 	ready := node.Ready()
-	if answer := only(t, ready.Messages, MessageVoteResponse); answer.Reject || answer.Term != 5 {
-		t.Errorf("answer %+v, want a grant in term 5", answer)
+	if response := requireOneMessage(t, ready.Messages, MessageVoteResponse); response.Reject || response.Term != 5 {
+		t.Errorf("response %+v, want a grant in term 5", response)
 	}
 	if !ready.MustSync || ready.HardState == nil || *ready.HardState != (HardState{Term: 5, VotedFor: "b", Commit: 1}) {
 		t.Errorf("hard state %+v, sync %v", ready.HardState, ready.MustSync)
@@ -25,18 +25,18 @@
 
 func TestVote_OneCandidatePerTerm(t *testing.T) {
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
-	node.step(0, vote("b", 5))
-	if answer := only(t, node.step(0, vote("c", 5)), MessageVoteResponse); !answer.Reject {
+	node.step(0, voteRequest("b", 5))
+	if response := requireOneMessage(t, node.step(0, voteRequest("c", 5)), MessageVoteResponse); !response.Reject {
 		t.Error("second candidate of the term got the vote")
 	}
-	if answer := only(t, node.step(0, vote("b", 5)), MessageVoteResponse); answer.Reject {
+	if response := requireOneMessage(t, node.step(0, voteRequest("b", 5)), MessageVoteResponse); response.Reject {
 		t.Error("the repeated request was rejected")
 	}
 	restarted := newTestNode(t, Config{ID: "a"}, RestoredState{
 		HardState: node.hardState(),
 		Snapshot:  initialState("a", "b", "c").Snapshot,
 	})
-	if answer := only(t, restarted.step(0, vote("c", 5)), MessageVoteResponse); !answer.Reject {
+	if response := requireOneMessage(t, restarted.step(0, voteRequest("c", 5)), MessageVoteResponse); !response.Reject {
 		t.Error("a restart forgot the vote")
 	}
 }
@@ -59,8 +59,8 @@
 			restored.Entries = []Entry{{Index: 2, Term: 2}, {Index: 3, Term: 3}}
 			node := newTestNode(t, Config{ID: "a"}, restored)
 			request := Message{Kind: MessageVote, From: "b", Term: 5, Index: c.index, LogTerm: c.logTerm}
-			if answer := only(t, node.step(0, request), MessageVoteResponse); answer.Reject == c.granted {
-				t.Errorf("rejected: %v", answer.Reject)
+			if response := requireOneMessage(t, node.step(0, request), MessageVoteResponse); response.Reject == c.granted {
+				t.Errorf("rejected: %v", response.Reject)
 			}
 		})
 	}
@@ -68,35 +68,35 @@
 
 func TestLeaderStickiness_KeepsTermAndOutlivesIt(t *testing.T) {
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
-	heard := time.Second
-	node.step(heard, Message{Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Round: 1})
-	early := heard + DefaultElectionTimeoutMin - 1
-	if messages := node.step(early, vote("c", 9)); len(messages) != 0 || node.Status().Term != 2 {
+	contact := time.Second
+	node.step(contact, Message{Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Round: 1})
+	early := contact + DefaultElectionTimeoutMin - 1
+	if messages := node.step(early, voteRequest("c", 9)); len(messages) != 0 || node.Status().Term != 2 {
 		t.Errorf("term %d, messages %+v", node.Status().Term, messages)
 	}
-	preVote := vote("c", 9)
+	preVote := voteRequest("c", 9)
 	preVote.Kind = MessagePreVote
-	if answer := only(t, node.step(early, preVote), MessagePreVoteResponse); !answer.Reject || answer.Term != 2 {
-		t.Errorf("pre-vote answer %+v", answer)
+	if response := requireOneMessage(t, node.step(early, preVote), MessagePreVoteResponse); !response.Reject || response.Term != 2 {
+		t.Errorf("pre-vote response %+v", response)
 	}
 	// The term rises through another's response; the stickiness still holds.
 	node.step(early, Message{Kind: MessageAppendResponse, From: "c", Term: 4, Reject: true})
-	if messages := node.step(early, vote("c", 9)); len(messages) != 0 {
+	if messages := node.step(early, voteRequest("c", 9)); len(messages) != 0 {
 		t.Errorf("a new term ended the stickiness: %+v", messages)
 	}
-	if answer := only(t, node.step(early+1, vote("c", 9)), MessageVoteResponse); answer.Reject {
+	if response := requireOneMessage(t, node.step(early+1, voteRequest("c", 9)), MessageVoteResponse); response.Reject {
 		t.Error("vote rejected after the stickiness")
 	}
 }
 
 func TestVote_TransferBypassesStickinessButNotVoteDelay(t *testing.T) {
 	heartbeat := Message{Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Round: 1}
-	transfer := vote("c", 3)
+	transfer := voteRequest("c", 3)
 	transfer.Transfer = true
 
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	node.step(time.Second, heartbeat)
-	if answer := only(t, node.step(time.Second, transfer), MessageVoteResponse); answer.Reject {
+	if response := requireOneMessage(t, node.step(time.Second, transfer), MessageVoteResponse); response.Reject {
 		t.Error("transfer vote rejected")
 	}
 	restarted := newTestNode(t, Config{ID: "a", NoVoteBefore: 2 * time.Second}, initialState("a", "b", "c"))
@@ -128,12 +128,12 @@
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
 	term := leader.Status().Term
-	cluster.dropTo("c")
+	cluster.isolate("c")
 	cluster.advance(10 * time.Second)
 	if got := cluster.node("c").Status().Term; got != term {
-		t.Errorf("term %d of the cut-off replica, want %d", got, term)
+		t.Errorf("term %d of the partitioned replica, want %d", got, term)
 	}
-	cluster.dropNothing()
+	cluster.heal()
 	cluster.advance(2 * time.Second)
 	if status := leader.Status(); status.Role != RoleLeader || status.Term != term {
 		t.Errorf("the return disturbed the leader: %+v", status)
@@ -153,7 +153,7 @@
 func TestCheckQuorum_LeaderWithoutQuorumStepsDown(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
-	cluster.dropTo("a")
+	cluster.isolate("a")
 	cluster.advance(DefaultElectionTimeoutMax - 2*DefaultTickInterval)
 	if leader.Status().Role != RoleLeader {
 		t.Error("stepped down early")
--- a/internal/raft/harness_test.go
+++ b/internal/raft/harness_test.go
@@ -60,17 +60,17 @@
 	return n.processReady()
 }
 
-// only returns the one message of a kind.
-func only(t *testing.T, messages []Message, kind MessageKind) Message {
+// requireOneMessage returns the one message of a kind.
+func requireOneMessage(t *testing.T, messages []Message, kind MessageKind) Message {
 	t.Helper()
-	found := ofKind(messages, kind)
+	found := messagesOfKind(messages, kind)
 	if len(found) != 1 {
 		t.Fatalf("got %d messages of kind %d in %+v, want 1", len(found), kind, messages)
 	}
 	return found[0]
 }
 
-func ofKind(messages []Message, kind MessageKind) []Message {
+func messagesOfKind(messages []Message, kind MessageKind) []Message {
 	var found []Message
 	for _, message := range messages {
 		if message.Kind == kind {
@@ -168,9 +168,9 @@
 	c.deliverAll()
 }
 
-// dropTo partitions a replica from all others.
-func (c *testCluster) dropTo(id ReplicaID) {
+// isolate partitions a replica from all others.
+func (c *testCluster) isolate(id ReplicaID) {
 	c.drop = func(message Message) bool { return message.To == id || message.From == id }
 }
 
-func (c *testCluster) dropNothing() { c.drop = func(Message) bool { return false } }
+func (c *testCluster) heal() { c.drop = func(Message) bool { return false } }
--- a/internal/raft/lease_test.go
+++ b/internal/raft/lease_test.go
@@ -52,12 +52,12 @@
 	start := 10 * time.Second
 	node := leaderOfThree(t, start)
 	node.step(start, appendResponse("b", 1, 1))
-	request := vote("c", 7)
+	request := voteRequest("c", 7)
 	request.Transfer = true
 	if messages := node.step(start+DefaultLeaseDuration-1, request); len(messages) != 0 {
 		t.Errorf("answered %+v", messages)
 	}
-	if got := only(t, node.step(start+DefaultLeaseDuration, request), MessageVoteResponse); got.Reject {
+	if got := requireOneMessage(t, node.step(start+DefaultLeaseDuration, request), MessageVoteResponse); got.Reject {
 		t.Error("rejected without a lease")
 	}
 }
@@ -97,14 +97,14 @@
 	if err := node.TransferLeadership(start, "b"); err != nil {
 		t.Fatal(err)
 	}
-	if messages := node.processReady(); len(ofKind(messages, MessageTimeoutNow)) != 0 {
+	if messages := node.processReady(); len(messagesOfKind(messages, MessageTimeoutNow)) != 0 {
 		t.Error("TimeoutNow to a target that lacks entries")
 	}
 	if _, _, err := node.Propose(start, [][]byte{nil}); !errors.Is(err, ErrLeadershipTransferPending) {
 		t.Errorf("propose: %v", err)
 	}
 	messages := node.step(start+time.Millisecond, appendResponse("b", 2, 1))
-	only(t, messages, MessageTimeoutNow)
+	requireOneMessage(t, messages, MessageTimeoutNow)
 	for at := DefaultTickInterval; at < DefaultElectionTimeoutMax; at += DefaultTickInterval {
 		node.Tick(start + at)
 		node.processReady()
@@ -126,14 +126,14 @@
 		t.Errorf("sent %+v", messages)
 	}
 	messages := node.step(time.Second, Message{Kind: MessageTimeoutNow, From: "b", Term: 3})
-	for _, message := range ofKind(messages, MessageVote) {
+	for _, message := range messagesOfKind(messages, MessageVote) {
 		if !message.Transfer || message.Term != 4 {
 			t.Errorf("vote %+v", message)
 		}
 	}
 	// The next attempt is an ordinary one.
 	node.Tick(time.Second + 3*DefaultElectionTimeoutMax)
-	if messages := node.processReady(); len(ofKind(messages, MessageVote)) != 0 || len(ofKind(messages, MessagePreVote)) != 2 {
+	if messages := node.processReady(); len(messagesOfKind(messages, MessageVote)) != 0 || len(messagesOfKind(messages, MessagePreVote)) != 2 {
 		t.Errorf("sent %+v", messages)
 	}
 }
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"testing"
 	"time"
 
@@ -44,18 +45,18 @@
 		t.Errorf("%v: %s", err, cmp.Diff(membership, decoded))
 	}
 	if _, err := DecodeMembership(data[:len(data)-1]); err == nil {
-		t.Error("cut data was read")
+		t.Error("truncated data was read")
 	}
 }
 
 func TestMembershipChange_ReplacementIsJoint(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
-	cluster.dropTo("c")
+	cluster.isolate("c")
 	withLearner(t, cluster, leader, "d")
 	target := testMembership("a", "b", "d")
 	if err := leader.ChangeMembership(cluster.now, target); !errors.Is(err, ErrNotCaughtUp) {
-		t.Fatalf("promotion of an unheard learner: %v", err)
+		t.Fatalf("promotion of a learner that never responded: %v", err)
 	}
 	cluster.advance(4 * DefaultTickInterval)
 	installSnapshots(cluster, leader, "d")
@@ -78,11 +79,11 @@
 			t.Errorf("replica %s: %s", id, cmp.Diff(target, got))
 		}
 	}
-	if settled := leader.Status(); !settled.IsVoter("d") || len(settled.FallbackMemberships) > 0 {
-		t.Errorf("once the change is committed d votes: %v, unsettled are %+v", settled.IsVoter("d"), settled.FallbackMemberships)
+	if committed := leader.Status(); !committed.IsVoter("d") || len(committed.FallbackMemberships) > 0 {
+		t.Errorf("once the change is committed d votes: %v, fallbacks are %+v", committed.IsVoter("d"), committed.FallbackMemberships)
 	}
-	// The new voter carries the quorum with one loss more.
-	cluster.dropTo("b")
+	// The new voter completes the quorum after the loss of another.
+	cluster.isolate("b")
 	cluster.propose(leader, 1)
 	if status := leader.Status(); status.Commit != status.LastIndex {
 		t.Errorf("status %+v", status)
@@ -145,17 +146,19 @@
 		t.Errorf("before the no-op: %v", err)
 	}
 	node.step(now, appendResponse("b", 2, 1))
-	doubled := testMembership("a", "b", "c")
-	doubled.Learners = doubled.Voters[:1]
+	repeated := testMembership("a", "b", "c")
+	repeated.Learners = repeated.Voters[:1]
 	joint := testMembership("a", "b")
 	joint.Outgoing = testMembership("a").Voters
-	for _, wrong := range []Membership{{}, doubled, joint} {
-		if err := node.ChangeMembership(now, wrong); !errors.Is(err, ErrInvalidMembership) {
-			t.Errorf("%+v: %v", wrong, err)
-		}
+	for name, invalid := range map[string]Membership{"no voters": {}, "repeated id": repeated, "joint": joint} {
+		t.Run(name, func(t *testing.T) {
+			if err := node.ChangeMembership(now, invalid); !errors.Is(err, ErrInvalidMembership) {
+				t.Errorf("%+v: %v", invalid, err)
+			}
+		})
 	}
 	if err := node.ChangeMembership(now, testMembership("a", "b", "x")); !errors.Is(err, ErrNotCaughtUp) {
-		t.Errorf("stranger as voter: %v", err)
+		t.Errorf("non-member as voter: %v", err)
 	}
 }
 
@@ -220,8 +223,9 @@
 	}
 }
 
-// The loss of a disk in the middle of a change may leave a replica that was
-// about to go as the only one that can be elected.
+// TestCampaign_ReplicaRemovedByUncommittedChangeCampaigns: the loss of a disk in
+// the middle of a change may leave a replica that was to be removed as the only
+// one that can be elected.
 func TestCampaign_ReplicaRemovedByUncommittedChangeCampaigns(t *testing.T) {
 	data, err := EncodeMembership(testMembership("b", "c"))
 	if err != nil {
@@ -231,15 +235,18 @@
 	restored.HardState.Term = 2
 	restored.Entries = []Entry{{Index: 2, Term: 2, Kind: EntryMembership, Data: data}}
 	for _, committed := range []bool{false, true} {
-		if committed {
-			restored.HardState.Commit = 2
-		}
-		node := newTestNode(t, Config{ID: "a"}, restored)
-		node.Tick(0)
-		node.Tick(DefaultElectionTimeoutMax)
-		campaigns := len(ofKind(node.processReady(), MessagePreVote)) > 0
-		if campaigns == committed {
-			t.Errorf("committed %v: campaigns %v", committed, campaigns)
-		}
+		t.Run(fmt.Sprintf("committed %v", committed), func(t *testing.T) {
+			restored := restored
+			if committed {
+				restored.HardState.Commit = 2
+			}
+			node := newTestNode(t, Config{ID: "a"}, restored)
+			node.Tick(0)
+			node.Tick(DefaultElectionTimeoutMax)
+			campaigns := len(messagesOfKind(node.processReady(), MessagePreVote)) > 0
+			if campaigns == committed {
+				t.Errorf("campaigns %v", campaigns)
+			}
+		})
 	}
 }
--- a/internal/raft/ready_test.go
+++ b/internal/raft/ready_test.go
@@ -21,7 +21,7 @@
 		t.Fatalf("status %+v", status)
 	}
 	ready := node.Ready()
-	if len(ready.EarlyMessages) != 0 || len(ofKind(ready.Messages, MessageAppend)) == 0 {
+	if len(ready.EarlyMessages) != 0 || len(messagesOfKind(ready.Messages, MessageAppend)) == 0 {
 		t.Errorf("early %+v, after the sync %+v", ready.EarlyMessages, ready.Messages)
 	}
 	node.Advance(ready)
@@ -32,7 +32,7 @@
 	if _, _, err := node.Propose(elected, [][]byte{[]byte("command")}); err != nil {
 		t.Fatal(err)
 	}
-	if ready := node.Ready(); len(ofKind(ready.EarlyMessages, MessageAppend)) == 0 {
+	if ready := node.Ready(); len(messagesOfKind(ready.EarlyMessages, MessageAppend)) == 0 {
 		t.Errorf("no early append once the vote is durable: %+v", ready)
 	}
 }
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// A write that was overtaken by a truncation persists nothing of the new log.
+// TestAdvance_AfterTruncationKeepsReplacedEntriesUnstable: a write that was
+// overtaken by a truncation persists nothing of the new log.
 func TestAdvance_AfterTruncationKeepsReplacedEntriesUnstable(t *testing.T) {
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	appendOf := func(from ReplicaID, term uint64, entries ...Entry) Message {
@@ -63,7 +64,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(ready.Entries[0].Data, []byte("old")) {
-		t.Error("entries under way were overwritten")
+		t.Error("entries in flight were overwritten")
 	}
 	node.Advance(ready)
 	next := node.Ready()
@@ -82,8 +83,8 @@
 		Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Commit: 3,
 		Entries: []Entry{{Index: 2, Term: 2}, {Index: 3, Term: 2}},
 	}
-	if got := only(t, node.step(0, late), MessageAppendResponse); got.Reject || got.Index != 3 {
-		t.Errorf("answer %+v", got)
+	if got := requireOneMessage(t, node.step(0, late), MessageAppendResponse); got.Reject || got.Index != 3 {
+		t.Errorf("response %+v", got)
 	}
 	if len(node.applied) != 2 || node.Status().Commit != 3 {
 		t.Errorf("applied %+v", node.applied)
@@ -102,16 +103,16 @@
 	leaderLog.HardState.Term, followerLog.HardState.Term = 5, 5
 	cluster.nodes[0] = newTestNode(t, Config{ID: "a"}, leaderLog)
 	cluster.nodes[1] = newTestNode(t, Config{ID: "b"}, followerLog)
-	refusals := 0
+	rejections := 0
 	cluster.drop = func(message Message) bool {
 		if message.Kind == MessageAppendResponse && message.Reject && message.From == "b" {
-			refusals++
+			rejections++
 		}
 		return false
 	}
 	leader := cluster.elect("a")
-	if refusals == 0 || refusals > 2 {
-		t.Errorf("%d refusals", refusals)
+	if rejections == 0 || rejections > 2 {
+		t.Errorf("%d rejections", rejections)
 	}
 	if match := progressOf(t, leader, "b").Match; match != leader.Status().LastIndex {
 		t.Errorf("match %d", match)
@@ -148,9 +149,9 @@
 	if _, _, err := node.Propose(start, commands); err != nil {
 		t.Fatal(err)
 	}
-	appends := ofKind(node.processReady(), MessageAppend)
+	appends := messagesOfKind(node.processReady(), MessageAppend)
 	if len(appends) != 3 {
-		t.Fatalf("%d appends under way, want 3", len(appends))
+		t.Fatalf("%d appends in flight, want 3", len(appends))
 	}
 	for i, message := range appends {
 		if len(message.Entries) != 2 || message.Index != uint64(2+2*i) {
@@ -158,8 +159,8 @@
 		}
 	}
 	// One response frees one append; the window moves on.
-	if more := ofKind(node.step(start, appendResponse("b", 4, 1)), MessageAppend); len(more) != 1 || more[0].Index != 8 {
-		t.Errorf("after an answer: %+v", more)
+	if more := messagesOfKind(node.step(start, appendResponse("b", 4, 1)), MessageAppend); len(more) != 1 || more[0].Index != 8 {
+		t.Errorf("after a response: %+v", more)
 	}
 }
 
@@ -168,7 +169,7 @@
 	leader := cluster.elect("a")
 	cluster.drop = func(message Message) bool { return len(message.Entries) > 0 }
 	cluster.propose(leader, 5)
-	cluster.dropNothing()
+	cluster.heal()
 	cluster.advance(2 * DefaultTickInterval)
 	if status := leader.Status(); status.Commit != status.LastIndex {
 		t.Errorf("status %+v", status)
@@ -195,7 +196,7 @@
 func TestSnapshot_SentToLaggingFollower(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader, follower := cluster.elect("a"), cluster.node("c")
-	cluster.dropTo("c")
+	cluster.isolate("c")
 	cluster.propose(leader, 20)
 	status := leader.Status()
 	term, _ := leader.log.term(status.Applied)
--- a/internal/storage/disklog.go
+++ b/internal/storage/disklog.go
@@ -135,7 +135,7 @@
 // SaveSnapshot implements Store. The snapshot file is durable before the log
 // says so, and that before a segment is removed. A snapshot that is not newer
 // than the present one is ignored.
-func (d *diskLog) SaveSnapshot(meta raft.SnapshotMeta, keepEntries uint64, write func(io.Writer) error) error {
+func (d *diskLog) SaveSnapshot(meta raft.SnapshotMeta, retainEntries uint64, write func(io.Writer) error) error {
 	d.snapshotMutex.Lock()
 	defer d.snapshotMutex.Unlock()
 	if stale, err := d.hasNewerSnapshot(meta); stale || err != nil {
@@ -149,7 +149,7 @@
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	compactIndex := meta.Index - min(meta.Index, keepEntries)
+	compactIndex := meta.Index - min(meta.Index, retainEntries)
 	oldestSegment, bytes := d.wal.OldestNeeded(compactIndex)
 	if bytes > maxRetainedSegments*d.wal.SegmentSize() {
 		compactIndex = meta.Index
--- a/internal/storage/disklog_test.go
+++ b/internal/storage/disklog_test.go
@@ -19,7 +19,7 @@
 
 // logConfig is that of a log on files.
 func logConfig(files datafile.FileSystem, segmentSize int64) wal.Config {
-	return wal.Config{Files: files, Directory: powerDirectory, Logger: discard(), SegmentSize: segmentSize}
+	return wal.Config{Files: files, Directory: powerLossDirectoryName, Logger: discardLogger(), SegmentSize: segmentSize}
 }
 
 // newDiskLog makes a log on files.
@@ -39,7 +39,7 @@
 // TestSave_OneWriteAndOneSync: a Ready costs one of each, whatever is in it, and
 // nothing if nothing changed.
 func TestSave_OneWriteAndOneSync(t *testing.T) {
-	files := newPowerFiles(1)
+	files := newPowerLossFiles(1)
 	d := newDiskLog(t, files, wal.DefaultSegmentSize)
 	state := raft.HardState{Term: 1, VotedFor: "a"}
 	committed := raft.HardState{Term: 1, VotedFor: "a", Commit: 256}
@@ -74,7 +74,7 @@
 // are taken, and that followers that lag a little still find their entries.
 func TestSaveSnapshot_RemovesSegments(t *testing.T) {
 	const size, batch, keep = 64 << 10, 20, 5
-	files := newPowerFiles(1)
+	files := newPowerLossFiles(1)
 	d := newDiskLog(t, files, size)
 	data := make([]byte, 1000)
 	for index := uint64(1); index < 20_000; index += batch {
@@ -102,7 +102,7 @@
 // many entries as short ones are.
 func TestSaveSnapshot_RetainedBytesBounded(t *testing.T) {
 	const size = 64 << 10
-	files := newPowerFiles(1)
+	files := newPowerLossFiles(1)
 	d := newDiskLog(t, files, size)
 	for index := uint64(1); index <= 40; index++ {
 		requireNoError(t, d.Save(nil, []raft.Entry{{Index: index, Term: 1, Data: make([]byte, size)}}, true))
@@ -127,7 +127,7 @@
 // is unknown, so nothing more may be acknowledged.
 func TestSave_RejectedAfterFailedWrite(t *testing.T) {
 	for failAfter := range 2 { // the write, the sync
-		files := newPowerFiles(1)
+		files := newPowerLossFiles(1)
 		d := newDiskLog(t, files, wal.DefaultSegmentSize)
 		requireNoError(t, d.Save(&raft.HardState{Term: 1}, entries(1, 3, 1), true))
 		files.failAfter = failAfter
@@ -153,19 +153,19 @@
 // creation leaves no log, or a complete one.
 func TestOpen_CreationIsAtomic(t *testing.T) {
 	for seed := range uint64(300) {
-		files := newPowerFiles(seed)
+		files := newPowerLossFiles(seed)
 		files.failAfter = int(seed % 8)
-		err := wal.Create(logConfig(files, powerSegmentSize), "0123456789abcdef")
+		err := wal.Create(logConfig(files, powerLossSegmentSize), "0123456789abcdef")
 		files.losePower()
-		numbers, listErr := wal.SegmentNumbers(files, powerDirectory)
+		numbers, listErr := wal.SegmentNumbers(files, powerLossDirectoryName)
 		requireNoError(t, listErr)
 		if len(numbers) == 0 {
 			if err == nil {
 				t.Fatalf("seed %d: the log was created and is gone", seed)
 			}
-			requireNoError(t, wal.Create(logConfig(files, powerSegmentSize), "0123456789abcdef"))
+			requireNoError(t, wal.Create(logConfig(files, powerLossSegmentSize), "0123456789abcdef"))
 		}
-		d := reopenDiskLog(t, files, powerSegmentSize)
+		d := reopenDiskLog(t, files, powerLossSegmentSize)
 		if !d.Empty() || d.ReplicaID() != "0123456789abcdef" {
 			t.Fatalf("seed %d: empty %v, id %s", seed, d.Empty(), d.ReplicaID())
 		}
@@ -175,27 +175,27 @@
 // TestOpen_DamagedSegmentNamed: a missing or damaged segment before the newest one
 // is rejected by its name, wherever the damage is.
 func TestOpen_DamagedSegmentNamed(t *testing.T) {
-	files := newPowerFiles(1)
-	d := newDiskLog(t, files, powerSegmentSize)
+	files := newPowerLossFiles(1)
+	d := newDiskLog(t, files, powerLossSegmentSize)
 	for index := uint64(1); index <= 200; index += 4 {
 		requireNoError(t, d.Save(nil, entries(index, index+3, 1), true))
 	}
 	requireNoError(t, d.close())
-	numbers, err := wal.SegmentNumbers(files, powerDirectory)
+	numbers, err := wal.SegmentNumbers(files, powerLossDirectoryName)
 	requireNoError(t, err)
 	if len(numbers) < 4 {
 		t.Fatalf("%d segments, want at least 4", len(numbers))
 	}
-	path := filepath.Join(powerDirectory, wal.SegmentName(2))
+	path := filepath.Join(powerLossDirectoryName, wal.SegmentName(2))
 	intact := files.content(path)
 	requireRejected := func(what string) {
 		t.Helper()
-		_, _, err := wal.Open(logConfig(files, powerSegmentSize))
+		_, _, err := wal.Open(logConfig(files, powerLossSegmentSize))
 		if !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), path) {
 			t.Fatalf("%s: got %v, want ErrCorrupt that names %s", what, err, path)
 		}
 	}
-	for at := 0; at < powerSegmentSize; at++ {
+	for at := 0; at < powerLossSegmentSize; at++ {
 		damaged := append([]byte(nil), intact...)
 		damaged[at] ^= 4
 		files.put(path, damaged)
@@ -236,4 +236,4 @@
 	requireNoError(t, d.Close())
 }
 
-func discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -44,9 +44,9 @@
 // its name, and that what a replay accepts it accepts again, the same.
 func FuzzSegment(f *testing.F) {
 	const size = 2048
-	files := newPowerFiles(1)
+	files := newPowerLossFiles(1)
 	requireNoError(f, wal.Create(logConfig(files, size), "0123456789abcdef"))
-	path := filepath.Join(powerDirectory, wal.SegmentName(wal.FirstSegment))
+	path := filepath.Join(powerLossDirectoryName, wal.SegmentName(wal.FirstSegment))
 	log, _, err := wal.Open(logConfig(files, size))
 	requireNoError(f, err)
 	requireNoError(f, log.Append(wal.Batch{HardState: &raft.HardState{Term: 1, VotedFor: "a"}, Entries: entries(1, 3, 1)}, true))
@@ -57,7 +57,7 @@
 	f.Add(files.content(path)[:300])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, content []byte) {
-		files := newPowerFiles(1)
+		files := newPowerLossFiles(1)
 		files.put(path, content)
 		log, held, err := wal.Open(logConfig(files, size))
 		checkRejection(t, path, err)
--- a/internal/storage/memory.go
+++ b/internal/storage/memory.go
@@ -125,7 +125,7 @@
 }
 
 // SaveSnapshot implements Store.
-func (m *Memory) SaveSnapshot(meta raft.SnapshotMeta, keepEntries uint64, write func(io.Writer) error) error {
+func (m *Memory) SaveSnapshot(meta raft.SnapshotMeta, retainEntries uint64, write func(io.Writer) error) error {
 	var data bytes.Buffer
 	if err := write(&data); err != nil {
 		return fmt.Errorf("write snapshot: %w", err)
@@ -137,9 +137,9 @@
 		return nil
 	}
 	m.synced.setSnapshot(meta, data.Bytes())
-	if meta.Index > keepEntries {
+	if meta.Index > retainEntries {
 		m.synced.entries = slices.DeleteFunc(slices.Clone(m.synced.entries), func(entry raft.Entry) bool {
-			return entry.Index <= meta.Index-keepEntries
+			return entry.Index <= meta.Index-retainEntries
 		})
 	}
 	return nil
--- a/internal/storage/nospace_test.go
+++ b/internal/storage/nospace_test.go
@@ -19,7 +19,7 @@
 // just what was acknowledged.
 func TestSave_FullDiskRejectsThenAcceptsRetry(t *testing.T) {
 	for seed := range uint64(40) {
-		files := newPowerFiles(seed)
+		files := newPowerLossFiles(seed)
 		d := newDiskLog(t, files, noSpaceSegment)
 		var saved []raft.Entry
 		for index := uint64(1); index < 60; index += 3 {
@@ -44,7 +44,7 @@
 // batch that was rejected comes back as more than an unacknowledged one may.
 func TestPowerLoss_OnFullDisk(t *testing.T) {
 	for seed := range uint64(200) {
-		files := newPowerFiles(seed)
+		files := newPowerLossFiles(seed)
 		d := newDiskLog(t, files, noSpaceSegment)
 		last := uint64(1 + files.random.IntN(30)*3)
 		for index := uint64(1); index < last; index += 3 {
@@ -77,7 +77,7 @@
 
 // TestSave_FailedSyncIsNotNoSpace: what the file holds after it is unknown.
 func TestSave_FailedSyncIsNotNoSpace(t *testing.T) {
-	files := newPowerFiles(1)
+	files := newPowerLossFiles(1)
 	d := newDiskLog(t, files, wal.DefaultSegmentSize)
 	files.failAfter = 1 // the write succeeds, the sync does not
 	if err := d.Save(nil, noSpaceBatch(1), true); err == nil || errors.Is(err, ErrNoSpace) {
--- a/internal/storage/powerloss_log_test.go
+++ b/internal/storage/powerloss_log_test.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	powerDirectory   = "d"
-	powerSegmentSize = 2048 // bytes
-	powerSeeds       = 300
-	powerRounds      = 8
-	powerSteps       = 40
+	powerLossDirectoryName = "d"
+	powerLossSegmentSize   = 2048 // bytes
+	powerLossSeeds         = 300
+	powerLossRounds        = 8
+	powerLossSteps         = 40
 )
 
 // powerLossRun drives a log as raft does, and knows every state that its files may
@@ -32,8 +32,8 @@
 	log    *diskLog
 	// states are what each step made of the log, oldest first; the files may
 	// hold any of them from floor on.
-	states []LoadedState
-	floor  int
+	states         []LoadedState
+	oldestPossible int
 	// newest is the newest hard state handed over, committed or not.
 	newest raft.HardState
 	term   uint64
@@ -44,15 +44,15 @@
 
 func (r *powerLossRun) add(state LoadedState) { r.states = append(r.states, state) }
 
-// done records that a step returned and all up to it is durable.
-func (r *powerLossRun) done() { r.floor = len(r.states) - 1 }
+// recordDurable records that a step returned and all up to it is durable.
+func (r *powerLossRun) recordDurable() { r.oldestPossible = len(r.states) - 1 }
 
 // TestPowerLoss_LogRecovers: whatever was saved before a sync returned is there after a
 // loss of power, and what is there is the log as it stood after some step.
 func TestPowerLoss_LogRecovers(t *testing.T) {
 	faults := make(map[string]int)
-	for seed := range uint64(powerSeeds) {
-		r := &powerLossRun{random: rand.New(rand.NewPCG(seed, 2)), files: newPowerFiles(seed), faults: faults}
+	for seed := range uint64(powerLossSeeds) {
+		r := &powerLossRun{random: rand.New(rand.NewPCG(seed, 2)), files: newPowerLossFiles(seed), faults: faults}
 		if err := r.run(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -65,16 +65,16 @@
 }
 
 func (r *powerLossRun) run() error {
-	if err := wal.Create(logConfig(r.files, powerSegmentSize), "0123456789abcdef"); err != nil {
+	if err := wal.Create(logConfig(r.files, powerLossSegmentSize), "0123456789abcdef"); err != nil {
 		return err
 	}
 	r.states = []LoadedState{{}}
-	for round := range powerRounds {
+	for round := range powerLossRounds {
 		if err := r.open(); err != nil {
 			return fmt.Errorf("round %d: %w", round, err)
 		}
-		r.files.failAfter = r.random.IntN(3 * powerSteps)
-		for range powerSteps {
+		r.files.failAfter = r.random.IntN(3 * powerLossSteps)
+		for range powerLossSteps {
 			if r.step() != nil {
 				break
 			}
@@ -119,16 +119,16 @@
 }
 
 func (r *powerLossRun) reopen() (LoadedState, error) {
-	numbers, err := wal.SegmentNumbers(r.files, powerDirectory)
+	numbers, err := wal.SegmentNumbers(r.files, powerLossDirectoryName)
 	if err != nil {
 		return LoadedState{}, err
 	}
-	config := logConfig(r.files, powerSegmentSize)
+	config := logConfig(r.files, powerLossSegmentSize)
 	config.Logger = slog.New(slog.NewTextHandler(faultCounter(r.faults), nil))
 	if r.log, err = openDiskLog(config); err != nil {
 		return LoadedState{}, err
 	}
-	left, err := wal.SegmentNumbers(r.files, powerDirectory)
+	left, err := wal.SegmentNumbers(r.files, powerLossDirectoryName)
 	if err != nil {
 		return LoadedState{}, err
 	}
@@ -154,11 +154,11 @@
 // from it.
 func (r *powerLossRun) check(loaded LoadedState) error {
 	r.files.failAfter = -1
-	found := slices.ContainsFunc(r.states[r.floor:], func(state LoadedState) bool { return matchesState(loaded, state) })
+	found := slices.ContainsFunc(r.states[r.oldestPossible:], func(state LoadedState) bool { return matchesState(loaded, state) })
 	if !found {
-		return fmt.Errorf("found a state that never was: %s", cmp.Diff(r.states[r.floor], loaded))
+		return fmt.Errorf("found a state that never was: %s", cmp.Diff(r.states[r.oldestPossible], loaded))
 	}
-	r.states, r.floor = []LoadedState{loaded}, 0
+	r.states, r.oldestPossible = []LoadedState{loaded}, 0
 	r.newest = loaded.HardState
 	r.newest.Commit = max(r.newest.Commit, loaded.Snapshot.Index)
 	r.term = max(r.term, loaded.HardState.Term)
@@ -234,7 +234,7 @@
 		return err
 	}
 	if sync || voted {
-		r.done()
+		r.recordDurable()
 	}
 	return nil
 }
@@ -243,7 +243,7 @@
 func (r *powerLossRun) data() []byte {
 	length := 1 + r.random.IntN(200)
 	if r.random.IntN(50) == 0 {
-		length = 2 * powerSegmentSize
+		length = 2 * powerLossSegmentSize
 	}
 	data := make([]byte, length)
 	for i := range data {
@@ -261,7 +261,7 @@
 	if err := r.log.Save(&r.newest, nil, true); err != nil {
 		return err
 	}
-	r.done()
+	r.recordDurable()
 	return nil
 }
 
@@ -286,7 +286,7 @@
 	if err := r.log.SaveSnapshot(state.Snapshot, keep, write); err != nil {
 		return err
 	}
-	r.done()
+	r.recordDurable()
 	return nil
 }
 
@@ -303,6 +303,6 @@
 	if err := r.log.InstallSnapshot(state.Snapshot, strings.NewReader(string(state.SnapshotData))); err != nil {
 		return err
 	}
-	r.done()
+	r.recordDurable()
 	return nil
 }
--- a/internal/storage/powerloss_store_test.go
+++ b/internal/storage/powerloss_store_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	powerStoreSeeds  = 100
-	powerStoreRounds = 8
-	powerStoreSteps  = 30
+	storePowerLossSeeds  = 100
+	storePowerLossRounds = 8
+	storePowerLossSteps  = 30
 )
 
 // storePowerLossRun drives a complete store as a replica does, one ended job an entry,
@@ -42,13 +42,13 @@
 func TestPowerLoss_StoreRecovers(t *testing.T) {
 	faults := make(map[string]int)
 	failed := 0
-	for seed := range uint64(powerStoreSeeds) {
-		if err := newPowerStoreRun(t.TempDir(), seed, faults).run(); err != nil {
+	for seed := range uint64(storePowerLossSeeds) {
+		if err := newStorePowerLossRun(t.TempDir(), seed, faults).run(); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 			failed++
 		}
 	}
-	t.Logf("%d of %d seeds failed; faults: %v", failed, powerStoreSeeds, faults)
+	t.Logf("%d of %d seeds failed; faults: %v", failed, storePowerLossSeeds, faults)
 	for _, fault := range []string{"killed", "all lost", "torn", "while opening", "tail truncated", "archive torn", "expired", "snapshot", "installed"} {
 		if faults[fault] < 20 {
 			t.Errorf("%q came %d times, want at least 20", fault, faults[fault])
@@ -56,19 +56,19 @@
 	}
 }
 
-func newPowerStoreRun(directory string, seed uint64, faults map[string]int) *storePowerLossRun {
-	files := &powerLossDirectory{powerLossFiles: newPowerFiles(seed), directory: directory}
+func newStorePowerLossRun(directory string, seed uint64, faults map[string]int) *storePowerLossRun {
+	files := &powerLossDirectory{powerLossFiles: newPowerLossFiles(seed), directory: directory}
 	return &storePowerLossRun{directory: directory, random: rand.New(rand.NewPCG(seed, 3)), files: files, faults: faults}
 }
 
 func (r *storePowerLossRun) run() error {
-	for round := range powerStoreRounds {
+	for round := range storePowerLossRounds {
 		if err := r.open(); err != nil {
 			return fmt.Errorf("round %d: %w", round, err)
 		}
-		r.files.failAfter = r.random.IntN(4 * powerStoreSteps)
+		r.files.failAfter = r.random.IntN(4 * storePowerLossSteps)
 		r.files.failAtMeta = r.random.IntN(3) == 0
-		for range powerStoreSteps {
+		for range storePowerLossSteps {
 			if r.step() != nil {
 				break
 			}
@@ -133,7 +133,7 @@
 
 func (r *storePowerLossRun) reopen() (LoadedState, error) {
 	logger := slog.New(slog.NewTextHandler(storeFaultCounter(r.faults), nil))
-	store, err := OpenDisk(DiskConfig{Directory: r.directory, Logger: logger, files: r.files, segmentSize: powerSegmentSize})
+	store, err := OpenDisk(DiskConfig{Directory: r.directory, Logger: logger, files: r.files, segmentSize: powerLossSegmentSize})
 	if err != nil {
 		return LoadedState{}, err
 	}
@@ -190,7 +190,7 @@
 		listed[job.ID] = true
 	}
 	for index := max(uint64(r.expired), 1); index <= snapshot; index++ {
-		id := powerJob(index).ID
+		id := powerLossJob(index).ID
 		job, known, err := archive.Get(id)
 		if err != nil || !known || job.Index != index || !listed[id] {
 			return fmt.Errorf("job %s, hidden by the snapshot at %d: known %v, listed %v, %w", id, snapshot, known, listed[id], err)
@@ -199,7 +199,7 @@
 	return nil
 }
 
-func powerJob(index uint64) record.ArchivedJob {
+func powerLossJob(index uint64) record.ArchivedJob {
 	tasks := make([]record.ArchivedTask, index%40)
 	return record.ArchivedJob{
 		ID: fmt.Sprintf("job-%d", index*7919%10007), Index: index, EndedAt: record.Millis(index),
@@ -253,7 +253,7 @@
 	var jobs []record.ArchivedJob
 	for r.applied < index {
 		r.applied++
-		jobs = append(jobs, powerJob(r.applied))
+		jobs = append(jobs, powerLossJob(r.applied))
 	}
 	return r.store.archive.Put(jobs)
 }
--- a/internal/storage/powerlossarchive_test.go
+++ b/internal/storage/powerlossarchive_test.go
@@ -26,10 +26,10 @@
 	failAtMeta bool
 }
 
-// powerPage is the size of a page of the archive, in bytes.
-var powerPage = os.Getpagesize()
+// powerLossPageSize is the size of a page of the archive, in bytes.
+var powerLossPageSize = os.Getpagesize()
 
-func isArchive(path string) bool { return strings.HasPrefix(filepath.Base(path), archiveFile) }
+func isArchiveFile(path string) bool { return strings.HasPrefix(filepath.Base(path), archiveFile) }
 
 // Names first follows what bbolt did.
 func (p *powerLossDirectory) Names(directory string) ([]string, error) {
@@ -44,7 +44,7 @@
 	if err := p.follow(); err != nil {
 		return err
 	}
-	if err := p.powerLossFiles.Rename(from, to); err != nil || !isArchive(from) {
+	if err := p.powerLossFiles.Rename(from, to); err != nil || !isArchiveFile(from) {
 		return err
 	}
 	return os.Rename(from, to)
@@ -52,7 +52,7 @@
 
 // Remove removes the real file as well.
 func (p *powerLossDirectory) Remove(path string) error {
-	if err := p.powerLossFiles.Remove(path); err != nil || !isArchive(path) {
+	if err := p.powerLossFiles.Remove(path); err != nil || !isArchiveFile(path) {
 		return err
 	}
 	if err := os.Remove(path); !errors.Is(err, fs.ErrNotExist) {
@@ -113,10 +113,10 @@
 // followCommit writes the changed pages, the meta pages last.
 func (p *powerLossDirectory) followCommit(file *powerLossFile, content []byte) error {
 	var data, metas []int
-	for at := 0; at < len(content); at += powerPage {
+	for at := 0; at < len(content); at += powerLossPageSize {
 		switch {
-		case bytes.Equal(page(content, at), page(file.node.content, at)):
-		case at < 2*powerPage:
+		case bytes.Equal(pageAt(content, at), pageAt(file.node.content, at)):
+		case at < 2*powerLossPageSize:
 			metas = append(metas, at)
 		default:
 			data = append(data, at)
@@ -143,14 +143,16 @@
 
 func (p *powerLossDirectory) followPages(file *powerLossFile, content []byte, pages []int) error {
 	for _, at := range pages {
-		if _, err := file.WriteAt(page(content, at), int64(at)); err != nil {
+		if _, err := file.WriteAt(pageAt(content, at), int64(at)); err != nil {
 			return err
 		}
 	}
 	return file.Sync()
 }
 
-func page(content []byte, at int) []byte { return content[at:min(at+powerPage, len(content))] }
+func pageAt(content []byte, at int) []byte {
+	return content[at:min(at+powerLossPageSize, len(content))]
+}
 
 // restore makes the real files be what a fault left.
 func (p *powerLossDirectory) restore() error {
@@ -159,14 +161,14 @@
 		return err
 	}
 	for _, entry := range entries {
-		if path := filepath.Join(p.directory, entry.Name()); isArchive(path) {
+		if path := filepath.Join(p.directory, entry.Name()); isArchiveFile(path) {
 			if err := os.Remove(path); err != nil {
 				return err
 			}
 		}
 	}
 	for path, node := range p.names {
-		if !isArchive(path) {
+		if !isArchiveFile(path) {
 			continue
 		}
 		if err := os.WriteFile(path, node.content, datafile.FilePermission); err != nil {
@@ -182,7 +184,7 @@
 	const sector, fine = 512, 16
 	var pieces []powerLossWrite
 	for _, write := range writes {
-		if len(write.data) != powerPage || random.IntN(2) == 0 {
+		if len(write.data) != powerLossPageSize || random.IntN(2) == 0 {
 			pieces = append(pieces, write)
 			continue
 		}
--- a/internal/storage/powerlossfiles_test.go
+++ b/internal/storage/powerlossfiles_test.go
@@ -52,7 +52,7 @@
 	errPowerOff                     = errors.New("the power is off")
 )
 
-func newPowerFiles(seed uint64) *powerLossFiles {
+func newPowerLossFiles(seed uint64) *powerLossFiles {
 	return &powerLossFiles{
 		random:    rand.New(rand.NewPCG(seed, 1)),
 		names:     make(map[string]*powerLossNode),
--- a/internal/storage/types.go
+++ b/internal/storage/types.go
@@ -40,9 +40,10 @@
 	// are durable, with all that was saved before.
 	Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error
 	// SaveSnapshot replaces the snapshot by what write produces and discards the
-	// entries up to meta.Index; up to keepEntries of them stay, for followers that
+	// entries up to meta.Index; up to retainEntries of them stay, for followers
+	// that
 	// lag a little. It is all or nothing.
-	SaveSnapshot(meta raft.SnapshotMeta, keepEntries uint64, write func(io.Writer) error) error
+	SaveSnapshot(meta raft.SnapshotMeta, retainEntries uint64, write func(io.Writer) error) error
 	// InstallSnapshot is SaveSnapshot for a snapshot from the leader: the whole
 	// log is dropped.
 	InstallSnapshot(meta raft.SnapshotMeta, data io.Reader) error
