--- /dev/null
+++ b/internal/protocol/operations.go
@@ -0,0 +1,54 @@
+package protocol
+
+import "github.com/decklever/decklever/api"
+
+// WorkersAnswer lists the registered workers.
+type WorkersAnswer struct {
+	List api.WorkerList `cbor:"1,keyasint"`
+}
+
+// MembersAnswer lists the schedulers.
+type MembersAnswer struct {
+	List api.MemberList `cbor:"1,keyasint"`
+}
+
+// QueuesAnswer lists the queues.
+type QueuesAnswer struct {
+	List api.QueueList `cbor:"1,keyasint"`
+}
+
+// QueueRequest reads one queue.
+type QueueRequest struct {
+	Name string `cbor:"1,keyasint"`
+}
+
+// QueueAnswer has the status of one queue.
+type QueueAnswer struct {
+	Status api.QueueStatus `cbor:"1,keyasint"`
+}
+
+// BookingsRequest lists the windows of bookings that overlap the time from now to the
+// horizon.
+type BookingsRequest struct {
+	HorizonMillis int64 `cbor:"1,keyasint"`
+}
+
+// BookingsAnswer lists windows of bookings.
+type BookingsAnswer struct {
+	List api.BookingList `cbor:"1,keyasint"`
+}
+
+// ReleaseRequest releases the reserved slots of a window. A duplicate has no effect.
+type ReleaseRequest struct {
+	Release api.ReleaseRequest `cbor:"1,keyasint"`
+}
+
+// DrainZoneRequest drains a zone, or ends that. A duplicate has no effect.
+type DrainZoneRequest struct {
+	Drain api.ZoneDrain `cbor:"1,keyasint"`
+}
+
+// DrainsAnswer lists the zones that are drained by such a request.
+type DrainsAnswer struct {
+	List api.DrainList `cbor:"1,keyasint"`
+}
