--- a/internal/leaderclient/heartbeats_test.go
+++ b/internal/leaderclient/heartbeats_test.go
@@ -14,7 +14,7 @@
 	observedTime      = 20 * time.Second
 )
 
-// startVersionOnlyClient is the link of an agent, which needs only versions.
+// startVersionOnlyClient runs a client as an agent has it, which needs only versions.
 func startVersionOnlyClient(t *testing.T, schedulers *fakeSchedulers) *Client {
 	t.Helper()
 	client := startClient(t, schedulers, nil)
@@ -24,7 +24,7 @@
 	return client
 }
 
-// answerHeartbeats answers a heartbeat of the link's process again and again.
+// answerHeartbeats has heartbeats of the client's process answered by "a" for a span.
 func answerHeartbeats(client *Client, span, interval time.Duration, update HeartbeatUpdate) {
 	update.Interval = interval
 	for began := time.Now(); time.Since(began) < span; time.Sleep(interval) {
@@ -32,26 +32,20 @@
 	}
 }
 
-func (f *fakeSchedulers) watchCount() int {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	return len(f.watched)
-}
-
 func TestHeartbeats_AnsweredInTimeLengthenWatch(t *testing.T) {
 	cases := []struct {
 		name     string
 		interval time.Duration
-		longest  int
+		maxCount int
 	}{
 		{"base interval", heartbeatInterval, int(observedTime/longWatchWait) + 1},
-		{"interval of a large fleet", 750 * time.Millisecond, int(observedTime/longWatchWait) + 1},
-		{"too slow to stand in", 2 * maxSubstituteInterval, int(observedTime/watchWait) + 1},
+		{"interval with many workers", 750 * time.Millisecond, int(observedTime/longWatchWait) + 1},
+		{"too slow to substitute", 2 * maxSubstituteInterval, int(observedTime/watchWait) + 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				schedulers := &fakeSchedulers{leader: "a", token: 4, version: 7}
+				schedulers := newFakeSchedulers("a")
 				client := startVersionOnlyClient(t, schedulers)
 				time.Sleep(2 * watchWait)
 				var answering sync.WaitGroup
@@ -67,20 +61,20 @@
 						t.Fatal("not fresh although heartbeats are answered")
 					}
 				}
-				if asked := schedulers.watchCount() - before; asked > c.longest || asked == 0 {
-					t.Errorf("%d watches in %v, want 1 to %d", asked, observedTime, c.longest)
+				if count := schedulers.watchCount() - before; count > c.maxCount || count == 0 {
+					t.Errorf("%d watches in %v, want 1 to %d", count, observedTime, c.maxCount)
 				}
 			})
 		})
 	}
 }
 
-// TestHeartbeats_StoppedKeepsClientFresh has the worker end while the leader goes on: the watch
-// takes over before the hold is over.
+// TestHeartbeats_StoppedKeepsClientFresh has the worker end while the leader is alive: the
+// watch takes over before the lease expires.
 func TestHeartbeats_StoppedKeepsClientFresh(t *testing.T) {
 	for _, interval := range []time.Duration{heartbeatInterval, maxSubstituteInterval} {
 		synctest.Test(t, func(t *testing.T) {
-			schedulers := &fakeSchedulers{leader: "a", token: 4, version: 7}
+			schedulers := newFakeSchedulers("a")
 			client := startVersionOnlyClient(t, schedulers)
 			time.Sleep(2 * watchWait)
 			answerHeartbeats(client, 2*minStableTime, interval, HeartbeatUpdate{Token: 4, ConfigVersion: 7})
@@ -91,18 +85,17 @@
 				}
 			}
 			if age, _ := client.Age(); age > 2*watchWait {
-				t.Errorf("last answer %v ago: the watch was not taken up again", age)
+				t.Errorf("last answer %v ago: the watch was not resumed", age)
 			}
 		})
 	}
 }
 
-// TestHeartbeats_StoppedByDeadLeaderFindsNext has the leader go without a word while a
-// watch is held for long: the next one is found about as soon as with short
-// watches.
+// TestHeartbeats_StoppedByDeadLeaderFindsNext has the leader die during a long watch: the
+// next one is found about as soon as with short watches.
 func TestHeartbeats_StoppedByDeadLeaderFindsNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		schedulers := &fakeSchedulers{leader: "a", token: 4, version: 7, dead: map[string]bool{}}
+		schedulers := newFakeSchedulers("a")
 		client := startVersionOnlyClient(t, schedulers)
 		time.Sleep(2 * watchWait)
 		answerHeartbeats(client, 2*minStableTime, heartbeatInterval, HeartbeatUpdate{Token: 4, ConfigVersion: 7})
@@ -110,21 +103,21 @@
 			schedulers.dead["a"] = true
 			schedulers.leader, schedulers.token = "b", 5
 		})
-		lost := time.Now()
+		died := time.Now()
 		for client.Token() != 5 {
 			time.Sleep(time.Millisecond)
 		}
-		if found := time.Since(lost); found > heartbeatInterval+answerGrace+probeTimeout {
+		if found := time.Since(died); found > heartbeatInterval+answerGrace+probeTimeout {
 			t.Fatalf("found the next leader after %v", found)
 		}
 	})
 }
 
-// TestHeartbeats_LateAnswersDoNotAddWatches has heartbeats answered so late that
-// each would be overdue: the leader gets no more watches than without them.
+// TestHeartbeats_LateAnswersDoNotAddWatches has each heartbeat answered when it is
+// overdue: the leader gets no more watches than without heartbeats.
 func TestHeartbeats_LateAnswersDoNotAddWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		schedulers := &fakeSchedulers{leader: "a", token: 4, version: 7}
+		schedulers := newFakeSchedulers("a")
 		client := startVersionOnlyClient(t, schedulers)
 		time.Sleep(2 * watchWait)
 		before := schedulers.watchCount()
@@ -132,8 +125,8 @@
 		for began := time.Now(); time.Since(began) < observedTime; time.Sleep(late) {
 			client.ObserveHeartbeatAnswer("a", time.Now(), HeartbeatUpdate{Token: 4, ConfigVersion: 7, Interval: heartbeatInterval})
 		}
-		if asked := schedulers.watchCount() - before; asked > int(observedTime/watchWait) {
-			t.Errorf("%d watches in %v, want at most %d", asked, observedTime, int(observedTime/watchWait))
+		if count := schedulers.watchCount() - before; count > int(observedTime/watchWait) {
+			t.Errorf("%d watches in %v, want at most %d", count, observedTime, int(observedTime/watchWait))
 		}
 	})
 }
@@ -141,21 +134,21 @@
 func TestHeartbeats_CountFromConfirmedLeaderOnly(t *testing.T) {
 	good := HeartbeatUpdate{Token: 4, ConfigVersion: 8, Interval: heartbeatInterval}
 	cases := []struct {
-		name    string
-		address string
-		change  func(*state, *HeartbeatUpdate)
-		now     time.Duration
-		taken   bool
+		name     string
+		address  string
+		change   func(*state, *HeartbeatUpdate)
+		now      time.Duration
+		accepted bool
 	}{
 		{"newer version", "a", func(*state, *HeartbeatUpdate) {}, time.Second, true},
-		{"same version", "a", func(_ *state, b *HeartbeatUpdate) { b.ConfigVersion = 7 }, time.Second, true},
-		{"older version", "a", func(_ *state, b *HeartbeatUpdate) { b.ConfigVersion = 6 }, time.Second, false},
-		{"lower token", "a", func(_ *state, b *HeartbeatUpdate) { b.Token = 3 }, time.Second, false},
-		{"higher token", "a", func(_ *state, b *HeartbeatUpdate) { b.Token = 5 }, time.Second, false},
+		{"same version", "a", func(_ *state, u *HeartbeatUpdate) { u.ConfigVersion = 7 }, time.Second, true},
+		{"older version", "a", func(_ *state, u *HeartbeatUpdate) { u.ConfigVersion = 6 }, time.Second, false},
+		{"lower token", "a", func(_ *state, u *HeartbeatUpdate) { u.Token = 3 }, time.Second, false},
+		{"higher token", "a", func(_ *state, u *HeartbeatUpdate) { u.Token = 5 }, time.Second, false},
 		{"another scheduler", "b", func(*state, *HeartbeatUpdate) {}, time.Second, false},
 		{"leader not confirmed", "a", func(s *state, _ *HeartbeatUpdate) { s.confirmed = false }, time.Second, false},
 		{"content is needed", "a", func(s *state, _ *HeartbeatUpdate) { s.versionOnly = false }, time.Second, false},
-		{"after its hold", "a", func(*state, *HeartbeatUpdate) {}, lease, false},
+		{"after its lease", "a", func(*state, *HeartbeatUpdate) {}, lease, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -169,11 +162,11 @@
 			update := good
 			c.change(&s, &update)
 			newer := s.observeHeartbeatAnswer(c.now, 0, c.address, update)
-			if newer != (c.taken && update.ConfigVersion > 7) {
+			if newer != (c.accepted && update.ConfigVersion > 7) {
 				t.Errorf("newer %v", newer)
 			}
-			if s.fresh(c.now) != c.taken || (s.substituteUntil > 0) != c.taken {
-				t.Errorf("fresh %v, stands in until %v; want %v", s.fresh(c.now), s.substituteUntil, c.taken)
+			if s.fresh(c.now) != c.accepted || (s.substituteUntil > 0) != c.accepted {
+				t.Errorf("fresh %v, substitutes until %v; want %v", s.fresh(c.now), s.substituteUntil, c.accepted)
 			}
 		})
 	}
@@ -181,7 +174,7 @@
 
 func TestHeartbeats_NewerVersionIsAdopted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		schedulers := &fakeSchedulers{leader: "a", token: 4, version: 7}
+		schedulers := newFakeSchedulers("a")
 		client := startVersionOnlyClient(t, schedulers)
 		time.Sleep(time.Second)
 		client.ObserveHeartbeatAnswer("a", time.Now(), HeartbeatUpdate{Token: 4, ConfigVersion: 9, Interval: heartbeatInterval})
@@ -190,31 +183,3 @@
 		}
 	})
 }
-
-// TestState_LateWatchCountsOnlyWhileFresh has an answer come after the hold of its own watch, which
-// is right only while something else kept the process fresh.
-func TestState_LateWatchCountsOnlyWhileFresh(t *testing.T) {
-	for _, fresh := range []bool{true, false} {
-		s := state{versionOnly: true, failedAt: map[string]time.Duration{}}
-		if fresh {
-			s.freshUntil = 3 * lease
-		}
-		_, err := s.accept(2*lease, 0, "a", protocol.WatchAnswer{Token: 4, ConfigVersion: 8, LeaseMillis: lease.Milliseconds()})
-		if (err == nil) != fresh {
-			t.Errorf("fresh %v: %v", fresh, err)
-		}
-	}
-}
-
-// TestSupervise_OverdueCallEndsLongWatch: a heartbeat without an answer finds the next
-// leader as soon as it does with short watches.
-func TestSupervise_OverdueCallEndsLongWatch(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		schedulers := &fakeSchedulers{leader: "a", token: 4, version: 7, dead: map[string]bool{}}
-		client := startVersionOnlyClient(t, schedulers)
-		time.Sleep(2 * watchWait)
-		answerHeartbeats(client, 2*minStableTime, heartbeatInterval, HeartbeatUpdate{Token: 4, ConfigVersion: 7})
-		schedulers.set(func() { schedulers.dead["a"], schedulers.leader, schedulers.token = true, "b", 5 })
-		requireCallCancelledSoon(t, client)
-	})
-}
--- a/internal/leaderclient/state.go
+++ b/internal/leaderclient/state.go
@@ -11,53 +11,65 @@
 )
 
 const (
-	// failureMemory is how long a hint to an address that failed is not
-	// followed: followers name a dead leader until they elect the next.
+	// failureMemory is how long a hint to an address that failed is not followed:
+	// followers name a dead leader until they elect the next one.
 	failureMemory = 500 * time.Millisecond
-	// maxCandidates bounds the seeds that are asked at once.
+	// maxCandidates bounds the seeds that are queried at once.
 	maxCandidates = 3
-	// confirmedGrace is how long after an answer of the leader reports of its
-	// failure are taken as late news from before.
+	// confirmedGrace is how long after an answer of the leader failures to reach it are
+	// taken as those of calls from before.
 	confirmedGrace = 100 * time.Millisecond
 )
 
+// Reasons for which an answer to a watch is rejected.
 var (
 	errStaleToken    = errors.New("token is lower than one seen")
 	errStaleConfig   = errors.New("configuration is older than the one in force here")
 	errMissingConfig = errors.New("answer names a newer configuration without its content")
-	errNoLease       = errors.New("answer grants no hold")
-	errLeaseExpired  = errors.New("answer came after its own hold")
+	errNoLease       = errors.New("answer grants no lease")
+	errLeaseExpired  = errors.New("answer came after its lease expired")
 )
 
-// state is what the link knows; it is pure: time is an argument, in
-// nanoseconds since the link was made.
+// state is what a Client knows. It is pure: times are arguments, as durations since the
+// client was made. Client.mutex protects it.
 type state struct {
+	// leader is the address that calls go to; empty if none is known.
 	leader string
-	// last is the leader that was last forgotten.
+	// confirmed is true while leader is known from its own answer, since confirmedAt,
+	// and not only from a hint.
+	confirmed   bool
+	confirmedAt time.Duration
+	// previousLeader is the last leader that was forgotten.
 	previousLeader string
-	confirmedAt    time.Duration
-	confirmed      bool
-	failedAt       map[string]time.Duration
-	nextSeed       int
-	token          uint64
-	configVersion  uint64
-	config         *api.Config
-	answeredAt     time.Duration
-	freshUntil     time.Duration
-	// grantedLease is the hold of the last watch answer.
+	// failedAt has the addresses that failed since the last accepted answer.
+	failedAt map[string]time.Duration
+	// nextSeed is the number of the seed that is queried next, so that all have a turn.
+	nextSeed int
+
+	// token is the highest fencing token seen.
+	token uint64
+	// configVersion and config are the configuration in force here.
+	configVersion uint64
+	config        *api.Config
+	// versionOnly is true if answers come without the content of configurations.
+	versionOnly bool
+
+	// answeredAt is when the leader last answered; freshUntil is the latest end of a
+	// granted lease.
+	answeredAt time.Duration
+	freshUntil time.Duration
+	// grantedLease is the lease of the last accepted answer to a watch.
 	grantedLease time.Duration
-	// substituteUntil: until then the next answer to a heartbeat is not overdue.
-	// stableFrom: from then on none was for long enough.
+	// substituteUntil is when the next answer to a heartbeat is overdue; stableFrom is
+	// when heartbeats have been answered in time for long enough.
 	substituteUntil, stableFrom time.Duration
-	// versionOnly: answers come without the content of configurations.
-	versionOnly bool
 }
 
-// target is the leader that has answered as such; none while it is not known.
+// target is the leader to watch, if it is confirmed.
 func (s *state) target() (leader string, confirmed bool) { return s.leader, s.confirmed }
 
-// candidates are addresses to be asked at once who leads: the one that was
-// named, and seeds, each in its turn.
+// candidates are the addresses to query at once who leads: the leader that was named,
+// and seeds in turn.
 func (s *state) candidates(seeds []string) []string {
 	var addresses []string
 	if s.leader != "" {
@@ -73,19 +85,19 @@
 	return addresses
 }
 
-// observeFailure notes that the address gave no answer and reports whether the leader
-// was forgotten for it.
-func (s *state) observeFailure(now time.Duration, address string) bool {
+// observeFailure records that a call to the address had no answer, and reports whether
+// the leader was forgotten for that.
+func (s *state) observeFailure(now time.Duration, address string) (forgotten bool) {
 	if s.confirmed && address == s.leader && now-s.confirmedAt < confirmedGrace {
 		return false
 	}
 	return s.reject(now, address)
 }
 
-// suspectLeader notes that the leader at the address may be gone without a word. It
-// reports whether all candidates are to be asked who leads. The one in doubt
-// remains named until another answers as leader or it fails to answer itself.
-func (s *state) suspectLeader(now time.Duration, address string) bool {
+// suspectLeader records that the leader at the address may be dead, and reports whether
+// candidates are to be queried. The suspect stays the leader until another one answers as
+// such, or it fails to answer itself.
+func (s *state) suspectLeader(now time.Duration, address string) (query bool) {
 	if !s.confirmed || address != s.leader || now-s.confirmedAt < suspectAfter {
 		return false
 	}
@@ -93,9 +105,9 @@
 	return true
 }
 
-// reject bars the address for a while and reports whether the leader was
-// forgotten for it.
-func (s *state) reject(now time.Duration, address string) bool {
+// reject keeps hints to the address from being followed for failureMemory, and reports
+// whether the leader was forgotten for that.
+func (s *state) reject(now time.Duration, address string) (forgotten bool) {
 	s.failedAt[address] = now
 	if s.leader == "" || address != s.leader {
 		return false
@@ -104,9 +116,9 @@
 	return true
 }
 
-// observeHint takes another process's word for who leads and reports whether that
-// is news.
-func (s *state) observeHint(now time.Duration, address string) bool {
+// observeHint takes in who leads according to another process, and reports whether that
+// changed anything. An empty address means that the other process knows no leader.
+func (s *state) observeHint(now time.Duration, address string) (changed bool) {
 	if address == s.leader {
 		return false
 	}
@@ -114,8 +126,8 @@
 		s.forgetLeader()
 		return true
 	}
-	failedAt, known := s.failedAt[address]
-	if known && now-failedAt < failureMemory {
+	failedAt, failed := s.failedAt[address]
+	if failed && now-failedAt < failureMemory {
 		s.forgetLeader()
 		return true
 	}
@@ -133,8 +145,8 @@
 	s.substituteUntil = 0
 }
 
-// observeToken raises the highest token; it reports whether the token is not lower
-// than the highest, and whether it is higher.
+// observeToken raises the highest token. It reports whether the token is not lower than
+// the highest, and whether it is higher.
 func (s *state) observeToken(token uint64) (current, raised bool) {
 	if token < s.token {
 		return false, false
@@ -144,26 +156,11 @@
 	return true, raised
 }
 
-// accept takes a watch answer in whole or not at all. It reports whether a
-// newer configuration came with it; that is in force only after adopt.
+// accept takes in an answer to a watch completely or not at all. It reports whether the
+// answer has a newer configuration, which is in force only after adopt.
 func (s *state) accept(now, sentAt time.Duration, address string, answer protocol.WatchAnswer) (newer bool, err error) {
-	if answer.Token < s.token {
-		return false, fmt.Errorf("%w: %d after %d", errStaleToken, answer.Token, s.token)
-	}
-	if answer.ConfigVersion < s.configVersion {
-		return false, fmt.Errorf("%w: %d after %d", errStaleConfig, answer.ConfigVersion, s.configVersion)
-	}
-	newer = answer.ConfigVersion > s.configVersion
-	if newer && answer.Config == nil && !s.versionOnly {
-		return false, fmt.Errorf("%w: %d", errMissingConfig, answer.ConfigVersion)
-	}
-	if answer.LeaseMillis <= 0 {
-		return false, errNoLease
-	}
-	until := sentAt + time.Duration(answer.LeaseMillis)*time.Millisecond
-	// A watch that was held while heartbeats stood in for it comes late by right.
-	if now >= until && !s.fresh(now) {
-		return false, errLeaseExpired
+	if err := s.checkAnswer(now, sentAt, answer); err != nil {
+		return false, err
 	}
 	s.token = answer.Token
 	s.leader = address
@@ -173,10 +170,36 @@
 	s.confirmed = true
 	s.confirmedAt = now
 	s.answeredAt = now
-	s.freshUntil = max(s.freshUntil, until)
-	s.grantedLease = until - sentAt
+	s.grantedLease = leaseOf(answer)
+	s.freshUntil = max(s.freshUntil, sentAt+s.grantedLease)
 	clear(s.failedAt)
-	return newer, nil
+	return answer.ConfigVersion > s.configVersion, nil
+}
+
+// checkAnswer returns the reason to reject an answer to a watch; nil if there is none.
+func (s *state) checkAnswer(now, sentAt time.Duration, answer protocol.WatchAnswer) error {
+	if answer.Token < s.token {
+		return fmt.Errorf("%w: %d after %d", errStaleToken, answer.Token, s.token)
+	}
+	if answer.ConfigVersion < s.configVersion {
+		return fmt.Errorf("%w: %d after %d", errStaleConfig, answer.ConfigVersion, s.configVersion)
+	}
+	newer := answer.ConfigVersion > s.configVersion
+	if newer && answer.Config == nil && !s.versionOnly {
+		return fmt.Errorf("%w: %d", errMissingConfig, answer.ConfigVersion)
+	}
+	if answer.LeaseMillis <= 0 {
+		return errNoLease
+	}
+	// A long watch may end after its lease, while heartbeats substituted for it.
+	if now >= sentAt+leaseOf(answer) && !s.fresh(now) {
+		return errLeaseExpired
+	}
+	return nil
+}
+
+func leaseOf(answer protocol.WatchAnswer) time.Duration {
+	return time.Duration(answer.LeaseMillis) * time.Millisecond
 }
 
 // adopt puts a configuration in force.
@@ -185,5 +208,5 @@
 	s.config = config
 }
 
-// fresh reports whether the last accepted answer's hold still stands.
+// fresh reports whether a granted lease has not expired.
 func (s *state) fresh(now time.Duration) bool { return now < s.freshUntil }
--- a/internal/leaderclient/doubt_test.go
+++ b/internal/leaderclient/supervise_test.go
@@ -9,12 +9,11 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// TestSupervise_DeadLeaderIsReplacedAndCallCancelled: the leader is gone without a
-// word and another leads. A call to the old one finds that out long before its
-// own deadline, and ends.
+// TestSupervise_DeadLeaderIsReplacedAndCallCancelled: the leader is dead and another one
+// leads. A call to the old one finds that long before its own deadline, and ends.
 func TestSupervise_DeadLeaderIsReplacedAndCallCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		schedulers := &fakeSchedulers{leader: "a", token: 4, version: 7, dead: map[string]bool{}}
+		schedulers := newFakeSchedulers("a")
 		client := startClient(t, schedulers, nil)
 		time.Sleep(time.Second)
 		schedulers.set(func() { schedulers.dead["a"], schedulers.leader, schedulers.token = true, "b", 5 })
@@ -22,17 +21,17 @@
 		if leader, _ := client.Leader(); leader != "b" || !client.Fresh() {
 			t.Errorf("leader %q, fresh %v", leader, client.Fresh())
 		}
-		retryNow, end := client.Supervise(t.Context(), "a")
+		laterCall, end := client.Supervise(t.Context(), "a")
 		defer end()
 		time.Sleep(suspectAfter)
 		synctest.Wait()
-		if retryNow.Err() == nil {
+		if laterCall.Err() == nil {
 			t.Error("a later call to the old leader goes on")
 		}
 	})
 }
 
-// requireCallCancelledSoon has a call to "a", which is gone, end since another one leads.
+// requireCallCancelledSoon has a call to "a", which is dead, end as another one leads.
 func requireCallCancelledSoon(t *testing.T, client *Client) {
 	t.Helper()
 	began := time.Now()
@@ -40,15 +39,15 @@
 	defer end()
 	<-ctx.Done()
 	if took := time.Since(began); took > suspectAfter+3*minCallInterval {
-		t.Errorf("given up after %v", took)
+		t.Errorf("cancelled after %v", took)
 	}
 }
 
-// TestSupervise_SlowLeaderIsKept: a leader that answers when it is asked is kept, however
-// long a call to it takes, also while others still name another one.
+// TestSupervise_SlowLeaderIsKept: a leader that answers queries is kept, however long a
+// call to it takes.
 func TestSupervise_SlowLeaderIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		schedulers := &fakeSchedulers{leader: "a", token: 4, version: 7}
+		schedulers := newFakeSchedulers("a")
 		client := startClient(t, schedulers, nil)
 		time.Sleep(time.Second)
 		for range 5 {
@@ -62,16 +61,17 @@
 			end()
 		}
 		if len(client.overdueCalls) != 0 {
-			t.Errorf("%d ended calls are remembered", len(client.overdueCalls))
+			t.Errorf("%d ended calls are still kept", len(client.overdueCalls))
 		}
 	})
 }
 
-// TestSupervise_SuspectLeaderStaysUntilReplaced: until the one in doubt has had time to say that it
-// leads, calls go on to it, and nobody is asked more often than a pause allows.
+// TestSupervise_SuspectLeaderStaysUntilReplaced: until the suspect has had time to answer
+// that it leads, calls still go to it, and no scheduler is queried more often than the
+// backoff allows.
 func TestSupervise_SuspectLeaderStaysUntilReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		schedulers := &fakeSchedulers{leader: "a", token: 4, version: 7, dead: map[string]bool{}}
+		schedulers := newFakeSchedulers("a")
 		client := startClient(t, schedulers, nil)
 		time.Sleep(time.Second)
 		schedulers.set(func() { schedulers.dead["a"] = true })
@@ -79,35 +79,48 @@
 		defer end()
 		time.Sleep(suspectAfter + 3*minCallInterval)
 		schedulers.set(func() { schedulers.watched = nil })
-		const looked = probeTimeout - 5*minCallInterval
-		time.Sleep(looked)
+		const observed = probeTimeout - 5*minCallInterval
+		time.Sleep(observed)
 		if leader, _ := client.Leader(); leader != "a" || ctx.Err() != nil {
 			t.Errorf("leader %q, call ended with %v", leader, ctx.Err())
 		}
-		asked := map[string]int{}
+		queried := map[string]int{}
 		schedulers.set(func() {
 			for _, address := range schedulers.watched {
-				asked[address]++
+				queried[address]++
 			}
 		})
-		if most := int(looked/initialRetryBackoff) + 1; asked["a"] > 1 || asked["b"] > most || asked["b"] < 2 {
-			t.Errorf("asked %v", asked)
+		if most := int(observed/initialRetryBackoff) + 1; queried["a"] > 1 || queried["b"] > most || queried["b"] < 2 {
+			t.Errorf("queried %v", queried)
 		}
 	})
 }
 
-// TestHandleResult_FailureBeforeConfirmationIsIgnored: a call that was sent before the leader
-// answered another one says nothing when it fails.
+// TestHandleResult_FailureBeforeConfirmationIsIgnored: the failure of a call that was sent
+// before the leader answered another one has no effect.
 func TestHandleResult_FailureBeforeConfirmationIsIgnored(t *testing.T) {
 	client := New(Config{Process: "agent-1"})
 	client.state.leader, client.state.confirmed = "a", true
 	client.state.confirmedAt = client.now()
-	early := watchResult{address: "a", sentAt: client.state.confirmedAt - 1, err: &rpc.Error{Code: rpc.CodeTransport}}
-	hinted := watchResult{address: "b", sentAt: client.state.confirmedAt - 1, err: &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: "c"}}
-	for _, got := range []watchResult{early, hinted} {
+	failed := watchResult{address: "a", sentAt: client.state.confirmedAt - 1, err: &rpc.Error{Code: rpc.CodeTransport}}
+	redirected := watchResult{address: "b", sentAt: client.state.confirmedAt - 1, err: &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: "c"}}
+	for _, got := range []watchResult{failed, redirected} {
 		client.handleResult(context.Background(), got)
 		if leader, confirmed := client.state.target(); leader != "a" || !confirmed {
 			t.Errorf("after %v: leader %q, confirmed %v", got.err, leader, confirmed)
 		}
 	}
 }
+
+// TestSupervise_OverdueCallEndsLongWatch: a heartbeat without an answer finds the next
+// leader as soon as with short watches.
+func TestSupervise_OverdueCallEndsLongWatch(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		schedulers := newFakeSchedulers("a")
+		client := startVersionOnlyClient(t, schedulers)
+		time.Sleep(2 * watchWait)
+		answerHeartbeats(client, 2*minStableTime, heartbeatInterval, HeartbeatUpdate{Token: 4, ConfigVersion: 7})
+		schedulers.set(func() { schedulers.dead["a"], schedulers.leader, schedulers.token = true, "b", 5 })
+		requireCallCancelledSoon(t, client)
+	})
+}
