--- a/internal/record/closeruns_test.go
+++ b/internal/record/closeruns_test.go
@@ -27,10 +27,8 @@
 	h.close(task, 3, api.OutcomeStopped)
 	expect(t, "failures", h.task(task).Failures, 1)
 	expect(t, "drained is none", h.task(task).Preemptions, 2)
-	restored(t, snapshotBytes(t, h.machine), h.archive).Read(func(v View) {
-		copied, _ := v.Task(task)
-		expect(t, "in the snapshot", copied.Preemptions, 2)
-	})
+	again := restored(t, snapshotBytes(t, h.machine), h.archive)
+	expect(t, "in the snapshot", again.state.jobs.task(task).Preemptions, 2)
 }
 
 // TestPreemptions_SuccessOfPreemptedRunIsNone: also of a task that runs until
--- a/internal/record/expandrepeats_test.go
+++ b/internal/record/expandrepeats_test.go
@@ -186,7 +186,7 @@
 		h.close(occurrenceTaskID("j", "a", 0, first), 1, api.OutcomeSucceeded)
 		open := map[int]bool{}
 		h.machine.Read(func(v View) {
-			for run := range v.OpenRuns("w1-1") {
+			for run := range v.AllOpenRuns() {
 				open[run.Task.ID.Occurrence] = true
 			}
 		})
--- a/internal/record/harness_test.go
+++ b/internal/record/harness_test.go
@@ -187,9 +187,9 @@
 	h.close(task, number, outcome)
 }
 
-func (h *harness) task(id TaskID) (task *Task) {
+func (h *harness) task(id TaskID) *Task {
 	h.t.Helper()
-	h.machine.Read(func(v View) { task, _ = v.Task(id) })
+	task := h.machine.state.jobs.task(id)
 	if task == nil {
 		h.t.Fatalf("task %s is not live", id)
 	}
--- a/internal/record/machine.go
+++ b/internal/record/machine.go
@@ -62,21 +62,21 @@
 func (m *Machine) Apply(index uint64, data []byte) (Result, error) {
 	command, err := Decode(data)
 	if err != nil {
-		return Result{}, fmt.Errorf("entry %d: %w", index, err)
+		return Result{}, fmt.Errorf("apply entry %d: %w", index, err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if index <= m.state.applied {
-		return Result{}, fmt.Errorf("entry %d, expected one after %d: %w", index, m.state.applied, ErrOutOfOrder)
+		return Result{}, fmt.Errorf("apply entry %d, expected one after %d: %w", index, m.state.applied, ErrOutOfOrder)
 	}
 	m.state.applied = index
 	m.state.advanceClock(command.Time)
 	result := Result{Index: index}
 	if err := m.dispatch(&command, &result); err != nil {
-		return Result{}, fmt.Errorf("entry %d: %w", index, err)
+		return Result{}, fmt.Errorf("apply entry %d: %w", index, err)
 	}
 	if err := m.archiveEndedJobs(); err != nil {
-		return Result{}, fmt.Errorf("entry %d: %w", index, err)
+		return Result{}, fmt.Errorf("apply entry %d: %w", index, err)
 	}
 	return result, nil
 }
--- a/internal/record/view.go
+++ b/internal/record/view.go
@@ -17,13 +17,9 @@
 	// Jobs yields the live jobs whose ids are greater than after, in the order of
 	// their ids.
 	Jobs(after string) iter.Seq[*Job]
-	// Task returns a task of a live occurrence.
-	Task(id TaskID) (*Task, bool)
 	// Workers yields the newest incarnation of each name, in the order of the names.
 	Workers() iter.Seq[*Worker]
-	// OpenRuns yields the open runs on a worker incarnation, and AllOpenRuns
-	// every one, both in the order of their ids.
-	OpenRuns(workerID string) iter.Seq[*Run]
+	// AllOpenRuns yields the open runs, ordered by job, occurrence, step and task.
 	AllOpenRuns() iter.Seq[*Run]
 	// UsedResources is the sum of the resources of the open runs on a worker
 	// incarnation.
@@ -90,26 +86,11 @@
 	}
 }
 
-// Task implements View.
-func (v view) Task(id TaskID) (*Task, bool) {
-	task := v.machine.state.jobs.task(id)
-	return task, task != nil
-}
-
 // Workers implements View, in the order of names.
 func (v view) Workers() iter.Seq[*Worker] {
 	return slices.Values(v.machine.state.workers.sorted())
 }
 
-// OpenRuns implements View.
-func (v view) OpenRuns(workerID string) iter.Seq[*Run] {
-	load := v.machine.state.runs.byWorkerID[workerID]
-	if load == nil {
-		return slices.Values[[]*Run](nil)
-	}
-	return slices.Values(load.runs)
-}
-
 // AllOpenRuns implements View.
 func (v view) AllOpenRuns() iter.Seq[*Run] {
 	return slices.Values(v.machine.state.runs.sorted())
