--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -53,7 +53,7 @@
 	// worker is reserved.
 	competing competingQueues
 	// reserved are the workers that are reserved now; made is set once those sub-queues
-	// that found no room before have one.
+	// that found no worker before have one.
 	reserved []*worker
 	made     bool
 	// deferredTo are the queues whose sub-queues get one.
@@ -126,7 +126,7 @@
 	b.reserved = append(b.reserved, r.reserved...)
 }
 
-// reserveWorkers reserves, once a pass, workers for sub-queues that found no room before.
+// reserveWorkers reserves, once a pass, workers for sub-queues that found no worker before.
 func (r *levelBackfill) reserveWorkers() {
 	if r.made || r.all.disabled {
 		return
@@ -166,7 +166,7 @@
 }
 
 // update takes over what became of a sub-queue: one that was placed needs no worker any
-// more, one that found no room gets one.
+// more, one that found no worker gets one.
 func (r *levelBackfill) update(sub *subQueue) {
 	at := r.indexFor(sub)
 	placed := len(sub.tasks) == 0
@@ -179,7 +179,7 @@
 	}
 }
 
-// appendUnschedulable adds the sub-queues of classes that found no room.
+// appendUnschedulable adds the sub-queues of classes that found no worker.
 func (q *priorityQueue) appendUnschedulable(subQueues []*subQueue) []*subQueue {
 	for c, sub := range q.subQueues {
 		if c.unschedulable {
--- a/internal/placement/backlog.go
+++ b/internal/placement/backlog.go
@@ -159,6 +159,22 @@
 	b.dropIfEmpty(sub.parent)
 }
 
+// find returns a task that waits, nominated or not; nil if it does not.
+func (b *backlog) find(task record.TaskID) *waiting { return b.tasks[task] }
+
+// add makes a task known that is to be enqueued.
+func (b *backlog) add(w *waiting) { b.tasks[w.ID] = w }
+
+// withoutPreferences is shared by the tasks that have none; none changes it.
+func (b *backlog) withoutPreferences() *Preferences { return &b.noPreferences }
+
+// size is the number of tasks that wait.
+func (b *backlog) size() int { return len(b.tasks) }
+
+// planOrder returns the levels, highest priority first. It is a copy: levels that run
+// empty during a pass are dropped.
+func (b *backlog) planOrder() []*priorityLevel { return slices.Clone(b.levels) }
+
 // forget takes a task out of all that waits.
 func (b *backlog) forget(w *waiting) {
 	delete(b.tasks, w.ID)
@@ -179,7 +195,7 @@
 	return tasks
 }
 
-// Before implements indexheap.Item: the lane with the first task first.
+// Before implements indexheap.Item: the sub-queue with the first task first.
 func (sub *subQueue) Before(other *subQueue) bool {
 	return compareWaiting(sub.tasks[0], other.tasks[0]) < 0
 }
@@ -196,7 +212,7 @@
 // compareLevel puts high priorities first.
 func compareLevel(l *priorityLevel, priority int) int { return cmp.Compare(priority, l.priority) }
 
-// lane returns the lane of a class and makes it if there is none.
+// sub-queue returns the sub-queue of a class and makes it if there is none.
 func (q *priorityQueue) subQueue(c *equivalenceClass) *subQueue {
 	if found, ok := q.subQueues[c]; ok {
 		return found
@@ -207,7 +223,7 @@
 	return added
 }
 
-// push adds a task to the lane.
+// push adds a task to the sub-queue.
 func (sub *subQueue) push(w *waiting) {
 	w.subQueue = sub
 	heap.Push(&sub.tasks, w)
@@ -215,14 +231,14 @@
 	sub.fixOrder()
 }
 
-// fixOrder moves the lane to its place after its first task changed.
+// fixOrder moves the sub-queue to its place after its first task changed.
 func (sub *subQueue) fixOrder() {
 	if sub.position != indexheap.None {
 		heap.Fix(&sub.parent.active, sub.position)
 	}
 }
 
-// activate lets the next pass look at the lane. An incomplete group stays.
+// activate lets the next pass look at the sub-queue. An incomplete gang stays.
 func (sub *subQueue) activate() {
 	sub.stopAwaiting()
 	if sub.position == indexheap.None && sub.complete() {
@@ -230,7 +246,7 @@
 	}
 }
 
-// deactivate takes the lane out of what passes look at.
+// deactivate takes the sub-queue out of what passes look at.
 func (sub *subQueue) deactivate() {
 	sub.stopAwaiting()
 	if sub.position != indexheap.None {
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -132,7 +132,7 @@
 }
 
 // addImpossible adds tasks that no worker can hold, in some 400 classes and
-// in groups of 20, ahead of all others.
+// in gangs of 20, ahead of all others.
 func (l *load) addImpossible(count int) {
 	for i := range count {
 		task := l.task()
@@ -155,7 +155,7 @@
 	}
 }
 
-// addLargeGroups adds groups of 128 whose members fit one by one, but which
+// addLargeGroups adds gangs of 128 whose members fit one by one, but which
 // never have as many places: the fleet has 100 accelerators, or a zone takes 40
 // of a step.
 func (l *load) addLargeGroups(groups int, spread *api.Spread) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// BenchmarkPlanWithGangs has groups that wait for room that every release
+// BenchmarkPlanWithGangs has gangs that wait for room that every release
 // could add to.
 func BenchmarkPlanWithGangs(b *testing.B) {
 	spread := &api.Spread{By: api.SpreadByZone, MaxPerDomain: 40}
@@ -203,7 +203,7 @@
 	}
 }
 
-// reserve books slices that are found room for, in windows of four queues: one
+// reserve books slots that are found room for, in windows of four queues: one
 // open, the others to come.
 func (l *load) reserve(slices int) {
 	var windows []Reservation
@@ -219,7 +219,7 @@
 	l.engine.Plan(0)
 }
 
-// newLoadWithReservations has room for its tasks beside the slices.
+// newLoadWithReservations has room for its tasks beside the slots.
 func newLoadWithReservations() *load {
 	l := newLoad(1200, 22000)
 	for i := range 1200 {
@@ -232,7 +232,7 @@
 	return l
 }
 
-// BenchmarkPlanWithReservations has 2,000 slices on 1,200 workers.
+// BenchmarkPlanWithReservations has 2,000 slots on 1,200 workers.
 func BenchmarkPlanWithReservations(b *testing.B) {
 	for _, count := range []int{0, 1000, 20000} {
 		b.Run(fmt.Sprintf("waiting=%d", count), func(b *testing.B) {
@@ -251,7 +251,7 @@
 	}
 }
 
-// BenchmarkAssignReservedSlots finds workers for 2,000 slices at once.
+// BenchmarkAssignReservedSlots finds workers for 2,000 slots at once.
 func BenchmarkAssignReservedSlots(b *testing.B) {
 	l := newLoadWithReservations()
 	for b.Loop() {
--- a/internal/placement/classes.go
+++ b/internal/placement/classes.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// setUnschedulable marks that a pass found no room.
+// setUnschedulable marks that a pass found no worker.
 func (c *equivalenceClass) setUnschedulable() {
 	c.unschedulable = true
 	c.blockedByUtilization = c.isHighlyUtilized() && (c.key.headroom != 0 || c.key.allowsProbation)
@@ -213,7 +213,7 @@
 	// allowsProbation allows workers on probation.
 	allowsProbation bool
 	// waitsForPreferred: the selector's labels are those that the task requires and
-	// those that it prefers, and workers that are slow or guarded are none for it.
+	// those that it prefers, and workers that are slow or restricted are none for it.
 	waitsForPreferred bool
 	// runsUntilCancelled lets the class take whatever room there is.
 	untilCancelled bool
@@ -242,7 +242,7 @@
 		key.duration = durationOf(spec)
 		key.selector.byUnreserved = key.duration == 0
 	}
-	if q, known := e.queues.byName[task.Queue]; known {
+	if q := e.queues.find(task.Queue); q != nil {
 		if q.hasReservation {
 			key.queue = task.Queue
 		}
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -5,7 +5,7 @@
 // The Engine keeps its own picture of workers' free room and of waiting
 // tasks, fed by small changes, so that the cost of a pass grows with what
 // changed. Waiting tasks of the same shape share one class: once a class
-// found no room it is skipped until a change could have made room for it.
+// found no worker it is skipped until a change could have made room for it.
 //
 // The rule of choice is "fill the fullest" (BigV, section 8): of the workers
 // where a task fits, the one with the least room left takes it, so that large
@@ -18,24 +18,24 @@
 //
 // Room and time. Slices of a reservation take room on their workers from the
 // window's start to its end, whether a run uses them or not. A run outside of
-// slices is counted against them at each such start (a point) unless it is
+// slots is counted against them at each such start (a point) unless it is
 // preemptible or surely ended by then (StartedAt + MaxDuration). So work that
-// cannot be made to leave stays off the slices, and other work may use their
-// room until it is needed. Pending slices are assigned before anything else is
+// cannot be made to leave stays off the slots, and other work may use their
+// room until it is needed. Pending slots are assigned before anything else is
 // placed; they move when their worker cannot keep them.
 //
-// Preemption. A booked task takes its slice from preemptible runs of any
-// priority; other tasks and whole groups take room from preemptible runs of a
+// Preemption. A reserved task takes its slot from preemptible runs of any
+// priority; other tasks and whole gangs take room from preemptible runs of a
 // lower priority. The task is then nominated: its room is promised, it counts
 // as running for limits and fairness, and it is placed once the runs asked to
-// stop were released. Runs in slices are never victims.
+// stop were released. Runs in slots are never victims.
 //
 // Yielding. A queue that yields goes after those to which it does. Meanwhile what goes
-// after a task that found no room leaves alone the worker that is closest to having it
+// after a task that found no worker leaves alone the worker that is closest to having it
 // (kept.go).
 //
-// Groups. A group that found no room for gangDrainAfterPasses passes gets its places one
-// by one as they come free; one group at a time, and not for long while most room is
+// Groups. A gang that found no worker for gangDrainAfterPasses passes gets its places one
+// by one as they come free; one gang at a time, and not for long while most room is
 // free.
 //
 // Last room. A task that runs until cancelled takes whatever room there is, also
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -117,11 +117,10 @@
 
 // SetMaxPreemptions implements ReservationPlanner.
 func (e *Engine) SetMaxPreemptions(limit int) {
-	if limit == e.runs.maxPreemptions {
+	if !e.runs.setMaxPreemptions(limit) {
 		return
 	}
-	e.runs.maxPreemptions = limit
-	for _, w := range slices.SortedFunc(maps.Values(e.workers.byID), compareName) {
+	for _, w := range e.workers.byName() {
 		e.runs.reconsiderPreemptible(w)
 		e.reservations.dropUnsupportedSlots(w)
 		e.workers.addChanged(w)
@@ -149,8 +148,8 @@
 
 // RemoveWorker implements Planner.
 func (e *Engine) RemoveWorker(id string) {
-	w, ok := e.workers.byID[id]
-	if !ok {
+	w := e.workers.find(id)
+	if w == nil {
 		return
 	}
 	e.cancelNominationsOn(w)
@@ -164,8 +163,8 @@
 // AddRun implements Planner. A task held elsewhere moves; one that waits no
 // longer does. A worker that is not known yet is accounted for by SetWorker.
 func (e *Engine) AddRun(task Task, workerID string) {
-	if held, ok := e.runs.open[task.ID]; ok {
-		if held.worker.ID == workerID {
+	if present := e.runs.find(task.ID); present != nil {
+		if present.worker.ID == workerID {
 			return
 		}
 		e.Release(task.ID)
@@ -178,7 +177,7 @@
 	}
 	e.runs.restore(&task, to, started)
 	if e.queues.get(task.Queue).hasReservation {
-		// It may fill a slice that is still looking for a worker.
+		// It may fill a slot that is still looking for a worker.
 		e.workers.addChanged(to.worker)
 	}
 	e.reservations.dropUnsupportedSlots(to.worker)
@@ -186,8 +185,8 @@
 
 // Release implements Planner.
 func (e *Engine) Release(task record.TaskID) {
-	r, ok := e.runs.open[task]
-	if !ok {
+	r := e.runs.find(task)
+	if r == nil {
 		return
 	}
 	e.end(r)
@@ -201,30 +200,27 @@
 	e.runs.close(r)
 	e.reservations.dropUnsupportedSlots(r.worker)
 	e.workers.addChanged(r.worker)
-	r.queue.activateGangs()
-	if r.queue.team != nil {
-		r.queue.team.activateGangs()
-	}
+	r.queue.runEnded()
 	activateStep(r.step)
 }
 
 // Add implements Planner. A task whose run is still held does not wait:
 // Release it first. A task that waits already is replaced if it differs.
 func (e *Engine) Add(task Task) {
-	if _, held := e.runs.open[task.ID]; held {
+	if e.runs.find(task.ID) != nil {
 		return
 	}
 	if task.Preferences == nil {
-		task.Preferences = &e.backlog.noPreferences
+		task.Preferences = e.backlog.withoutPreferences()
 	}
-	if present, ok := e.backlog.tasks[task.ID]; ok {
+	if present := e.backlog.find(task.ID); present != nil {
 		if sameTask(&present.Task, &task) {
 			return
 		}
 		e.Remove(task.ID)
 	}
 	w := &waiting{Task: task, class: e.joinClass(&task)}
-	e.backlog.tasks[task.ID] = w
+	e.backlog.add(w)
 	e.preferred.record(task.Spec)
 	e.enqueue(w)
 }
@@ -249,7 +245,7 @@
 	if e.gangDrains.isFor(sub) {
 		e.stopGangDrain()
 	}
-	// Out of the heap first: a group without tasks has no place in it.
+	// Out of the heap first: a gang without tasks has no place in it.
 	sub.deactivate()
 	sub.push(w)
 	sub.reconsider()
@@ -257,8 +253,8 @@
 
 // Remove implements Planner.
 func (e *Engine) Remove(task record.TaskID) {
-	w, ok := e.backlog.tasks[task]
-	if !ok {
+	w := e.backlog.find(task)
+	if w == nil {
 		return
 	}
 	e.revokeNomination(w)
@@ -275,7 +271,7 @@
 }
 
 // Waiting implements Planner.
-func (e *Engine) Waiting() int { return len(e.backlog.tasks) }
+func (e *Engine) Waiting() int { return e.backlog.size() }
 
 // reclassify adds waiting tasks anew whose class changed.
 func (e *Engine) reclassify(concerned func(*Task) bool) {
@@ -291,11 +287,10 @@
 // SetTime implements ReservationPlanner. Time that goes back has no effect. A window is
 // dropped when it ends.
 func (e *Engine) SetTime(now record.Millis) {
-	if now <= e.clock.now {
+	before := e.clock.now
+	if !e.clock.advance(now) {
 		return
 	}
-	before := e.clock.now
-	e.clock.now = now
 	if e.reservations.advance(before) {
 		e.refreshReservations()
 	}
@@ -324,7 +319,7 @@
 
 // joinClass counts a task in the class that it is of now.
 func (e *Engine) joinClass(task *Task) *equivalenceClass {
-	required := e.requirementsOf(task)
+	required := e.workers.requirementsOf(task)
 	return e.classes.join(e.classKeyOf(task, &required), task.Spec.Spread, required.labels)
 }
 
@@ -333,13 +328,7 @@
 
 // HasFreeCapacity implements Planner.
 func (e *Engine) HasFreeCapacity(spec *api.TaskSpec) bool {
-	for _, w := range e.workers.byID {
-		if isUsable(w) && !w.restricted && fits(spec.Resources, w.unreserved) &&
-			w.Offers(spec.Service) && w.HasLabels(spec.Labels) {
-			return true
-		}
-	}
-	return false
+	return e.workers.hasFreeCapacity(spec)
 }
 
 // Feasible implements Planner. It considers service, labels, the label of the spread
@@ -357,3 +346,15 @@
 	// pass counts calls of Plan.
 	pass uint64
 }
+
+// advance moves the time. Time that goes back has no effect: it reports false.
+func (c *clock) advance(now record.Millis) bool {
+	if now <= c.now {
+		return false
+	}
+	c.now = now
+	return true
+}
+
+// beginPass counts a call of Plan.
+func (c *clock) beginPass() { c.pass++ }
--- a/internal/placement/filter.go
+++ b/internal/placement/filter.go
@@ -21,9 +21,9 @@
 // isUsable reports whether the worker may get new runs.
 func isUsable(worker *worker) bool { return worker.known && worker.Usable }
 
-// availableOn is the room that the class may use on a worker outside of slices of
+// availableOn is the room that the class may use on a worker outside of slots of
 // its own: one that can be made to leave uses all that is free, others leave
-// what slices need before their run surely ends.
+// what slots need before their run surely ends.
 func (c *equivalenceClass) availableOn(w *worker) api.Resources {
 	if len(w.profile) == 0 || c.key.preemptible {
 		return w.free
@@ -39,7 +39,7 @@
 }
 
 // fitsOn reports whether the class fits on a worker of its pool now, outside
-// of slices.
+// of slots.
 func (c *equivalenceClass) fitsOn(w *worker) bool {
 	if !c.key.untilCancelled && c.backfill.excludes(w) {
 		return false
@@ -54,7 +54,7 @@
 }
 
 // mightFitOn reports whether the class may find room on a worker that changed: a
-// slice counts even if a preemptible run has its room.
+// slot counts even if a preemptible run has its room.
 func (c *equivalenceClass) mightFitOn(w *worker) bool {
 	if c.fitsOnAnyTerms(w) || c.freeSlots(w.slots) > 0 {
 		return true
@@ -106,21 +106,6 @@
 	return rule.Headroom
 }
 
-// needsUtilization reports whether anything depends on which services are crowded.
-func (e *Engine) needsUtilization() bool {
-	return e.queues.anyHeadroom || e.queues.anyDeferences || len(e.workers.restricted) > 0 || e.gangDrains.current != nil
-}
-
-// recountUtilization counts the capacity and the usage of all workers anew.
-func (e *Engine) recountUtilization() {
-	e.utilization.Reset()
-	for _, w := range e.workers.byID {
-		if w.known {
-			e.utilization.AddWorker(w.Services, w.Capacity, w.used)
-		}
-	}
-}
-
 // admits reports whether the class may use the worker, as far as its probation
 // goes. A class that no other worker could hold may, so that it need not wait
 // for the end of it.
@@ -152,7 +137,7 @@
 	}
 }
 
-// hasOnlyRestricted reports whether only guarded workers could hold the class,
+// hasOnlyRestricted reports whether only restricted workers could hold the class,
 // taken as empty.
 func (c *equivalenceClass) hasOnlyRestricted() bool {
 	return !slices.ContainsFunc(c.pool.workers, func(w *worker) bool {
@@ -195,7 +180,7 @@
 	x.addRestrictedToChanged()
 }
 
-// addRestrictedToChanged marks the guarded workers as changed: whether a class
+// addRestrictedToChanged marks the restricted workers as changed: whether a class
 // may use them depends on the others.
 func (x *workerIndex) addRestrictedToChanged() {
 	for _, w := range x.restricted {
@@ -205,14 +190,14 @@
 
 // Last room: a task that runs until cancelled takes whatever room there is. It
 // never waits for headroom; where no other worker has room for it, it takes those that
-// are guarded, several on one and beside what runs there already; and it takes room
-// that a group gathers. What holds for it as for others are limits, spread, slices,
+// are restricted, several on one and beside what runs there already; and it takes room
+// that a gang drains. What holds for it as for others are limits, spread, slots,
 // and room that preempted runs are about to leave to another task.
 //
 // Of other tasks, one at a time may try a worker that is held back, if it has an
-// attempt to spare, no other worker has room and its service is not crowded.
+// attempt to spare, no other worker has room and its service is not highly utilized.
 
-// withRestricted has find look on guarded workers too, if the class may use them where no
+// withRestricted has find look on restricted workers too, if the class may use them where no
 // other has room.
 func withRestricted[T any](c *equivalenceClass, find func() T) T {
 	if !c.key.untilCancelled && (!c.key.allowsProbation || c.isHighlyUtilized()) {
@@ -236,7 +221,7 @@
 	return fitsOn() || ignoringHeadroom(c, fitsOn) || w.restricted && withRestricted(c, fitsOn)
 }
 
-// canStillUse reports whether a seat that the class had is still one for it.
+// canStillUse reports whether a target that the class had is still one for it.
 func (c *equivalenceClass) canStillUse(to placementTarget) bool {
 	if to.slot != nil {
 		return c.canEnterSlot(to.slot) && fits(c.key.need, to.worker.free)
@@ -253,7 +238,7 @@
 	return c.availableOn(w)
 }
 
-// runsUntilCancelled reports whether the lane's tasks take whatever room there is.
+// runsUntilCancelled reports whether the sub-queue's tasks take whatever room there is.
 func (sub *subQueue) runsUntilCancelled() bool {
 	if sub.class != nil {
 		return sub.class.key.untilCancelled
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -37,9 +37,9 @@
 // gangDrainer owns the drain. It nominates runs for members; ending those runs and
 // making them a nomination are left to the engine, as others may gain by it.
 type gangDrainer struct {
-	// keepsFromLongRunning has tasks that run until cancelled leave the drained
+	// closedToLongRunning has tasks that run until cancelled leave the drained
 	// capacity alone as others do.
-	keepsFromLongRunning bool
+	closedToLongRunning bool
 	// current is nil while capacity is drained for no gang.
 	current *gangDrain
 	// lastPass is the pass in which a drain was last given up: what waits goes first in
@@ -51,8 +51,8 @@
 	runs   *runTable
 }
 
-func newGangDrainer(keepsFromLongRunning bool, clock *clock, finder *targetFinder, runs *runTable) *gangDrainer {
-	return &gangDrainer{keepsFromLongRunning: keepsFromLongRunning, clock: clock, finder: finder, runs: runs}
+func newGangDrainer(closedToLongRunning bool, clock *clock, finder *targetFinder, runs *runTable) *gangDrainer {
+	return &gangDrainer{closedToLongRunning: closedToLongRunning, clock: clock, finder: finder, runs: runs}
 }
 
 // drainForGang drains capacity for the gang whose turn it is, and nominates the gang once
@@ -62,7 +62,7 @@
 	if d.isDue() {
 		d.start(e.backlog.gangs)
 	}
-	if d.current == nil {
+	if !d.isDraining() {
 		return
 	}
 	if d.hasExpired() || !d.isValid() {
@@ -70,7 +70,7 @@
 		return
 	}
 	d.nominateMembers()
-	if d.current.isComplete() {
+	if d.isComplete() {
 		members, runs := d.finish()
 		e.nominate(members, runs, nil)
 	}
@@ -109,6 +109,9 @@
 	return gang.unschedulableSince != 0 && d.clock.pass-gang.unschedulableSince >= gangDrainAfterPasses
 }
 
+// isDraining reports whether capacity is drained for some gang.
+func (d *gangDrainer) isDraining() bool { return d.current != nil }
+
 // isFor reports whether capacity is drained for the gang.
 func (d *gangDrainer) isFor(gang *subQueue) bool { return d.current != nil && d.current.gang == gang }
 
@@ -149,6 +152,9 @@
 	}
 }
 
+// isComplete reports whether all members have a target.
+func (d *gangDrainer) isComplete() bool { return len(d.current.runs) == len(d.current.gang.tasks) }
+
 // finish ends a drain that is complete. It returns the members with their runs.
 func (d *gangDrainer) finish() ([]*waiting, []*run) {
 	g := d.current
@@ -169,7 +175,7 @@
 // What open leaves of it stays drained.
 func (d *gangDrainer) retry(sub *subQueue, open func() bool) {
 	g := d.current
-	if g == nil || len(g.runs) == 0 || d.keepsFromLongRunning || !sub.runsUntilCancelled() {
+	if g == nil || len(g.runs) == 0 || d.closedToLongRunning || !sub.runsUntilCancelled() {
 		return
 	}
 	members := d.finder.placementOrder(g.members())
@@ -192,9 +198,6 @@
 	sub.resetFitCounts()
 }
 
-// isComplete reports whether all members have a target.
-func (g *gangDrain) isComplete() bool { return len(g.runs) == len(g.gang.tasks) }
-
 // members returns those that have a target, in no order.
 func (g *gangDrain) members() []*waiting {
 	members := make([]*waiting, 0, len(g.runs))
--- a/internal/placement/gangdrain_test.go
+++ b/internal/placement/gangdrain_test.go
@@ -53,7 +53,7 @@
 	expect(t, "still put aside", e.workers.byID["a-1"].nominated, cpu(4))
 }
 
-// TestGangDrain_OthersUseWhatIsLeft: an endless task needs only a part of it.
+// TestGangDrain_OthersUseWhatIsLeft: an long-running task needs only a part of it.
 func TestGangDrain_OthersUseWhatIsLeft(t *testing.T) {
 	e := engineWithGangDrain(4, testTask("small", 8, 3))
 	expect(t, "put aside", placed(e, 10), "")
@@ -62,7 +62,7 @@
 	expect(t, "the rest", placed(e, 10), "small/a/8@a")
 }
 
-// TestGangDrain_EndsOnceGangCannotFit: an endless run has come where the group needs all.
+// TestGangDrain_EndsOnceGangCannotFit: an long-running run has come where the gang needs all.
 func TestGangDrain_EndsOnceGangCannotFit(t *testing.T) {
 	e := engineWithGangDrain(4, untilCancelled([]Task{testTask("x", 8, 1)})...)
 	expect(t, "endless", placed(e, 10), "x/a/8@a")
@@ -90,7 +90,7 @@
 	expect(t, "whole, at once or in the next pass", len(e.Plan(10))+len(e.Plan(10)), 3)
 }
 
-// TestGangDrain_NotStartedBehindLongRunningRuns: it never comes free, and what the group
+// TestGangDrain_NotStartedBehindLongRunningRuns: it never comes free, and what the gang
 // puts aside meanwhile nobody could use.
 func TestGangDrain_NotStartedBehindLongRunningRuns(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(4)), testWorker("b", cpu(4)))
@@ -136,7 +136,7 @@
 }
 
 // TestGangDrain_NextGangWaitsOnePass: what waited for the first goes before it, also
-// where the next pass looks for a group.
+// where the next pass looks for a gang.
 func TestGangDrain_NextGangWaitsOnePass(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(6)), testWorker("b", cpu(4)))
 	e.AddRun(testTask("long", 0, 1), "b-1")
@@ -152,7 +152,7 @@
 	expect(t, "first", placed(e, 10), "small/a/1@a")
 }
 
-// engineWithGangDrain is an engine in which a group of two has room put aside on a, and waits
+// engineWithGangDrain is an engine in which a gang of two has room drained on a, and waits
 // for room on b.
 func engineWithGangDrain(room int64, others ...Task) *Engine {
 	e := newEngine(rackedWorker("a", room), rackedWorker("b", room))
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -4,37 +4,38 @@
 	"math"
 	"slices"
 
+	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
-// gangState is what a lane keeps if it holds the members of a group.
+// gangState is what a sub-queue keeps if it holds the members of a gang.
 type gangState struct {
 	// size is the number of members that must wait together.
 	size int
 	// members counts the members by class, in the order that classes came.
 	members []memberCount
-	// awaitedClasses are the classes that must find room before another trial.
+	// awaitedClasses are the classes that must find room before another attempt.
 	awaitedClasses []*equivalenceClass
-	// awaitedTeam is the team whose limit holds the group back.
+	// awaitedTeam is the team whose limit holds the gang back.
 	awaitedTeam *team
-	// freeMembers is how many members had a place at the last trial; tried tells
+	// freeMembers is how many members had a place at the last attempt; tried tells
 	// whether there was one.
 	freeMembers int
 	tried       bool
-	// unschedulableSince is the pass in which it first found no room.
+	// unschedulableSince is the pass in which it first found no worker.
 	unschedulableSince uint64
 }
 
-// memberCount is how many members of a group are of one class.
+// memberCount is how many members of a gang are of one class.
 type memberCount struct {
 	class *equivalenceClass
 	count int
 }
 
-// complete reports whether all members wait; a class lane always is.
+// complete reports whether all members wait; a sub-queues of a class always is.
 func (sub *subQueue) complete() bool { return sub.class != nil || len(sub.tasks) >= sub.size }
 
-// countMember adds to the number of members of a class, if this is a group.
+// countMember adds to the number of members of a class, if this is a gang.
 func (sub *subQueue) countMember(c *equivalenceClass, change int) {
 	if sub.class != nil {
 		return
@@ -50,14 +51,14 @@
 	}
 }
 
-// reconsider lets the next pass look at a group whose members changed.
+// reconsider lets the next pass look at a gang whose members changed.
 func (sub *subQueue) reconsider() {
 	sub.deactivate()
 	sub.tried = false
 	sub.activate()
 }
 
-// awaitClasses keeps a group out of passes until a place more came for one of the
+// awaitClasses keeps a gang out of passes until a place more came for one of the
 // classes.
 func (sub *subQueue) awaitClasses(classes ...*equivalenceClass) {
 	sub.deactivate()
@@ -70,7 +71,7 @@
 	sub.awaitedClasses = classes
 }
 
-// awaitShortage keeps a group out of passes until as many places came as the
+// awaitShortage keeps a gang out of passes until as many places came as the
 // class was short of.
 func (sub *subQueue) awaitShortage(c *equivalenceClass, missing int) {
 	sub.deactivate()
@@ -78,13 +79,13 @@
 	sub.awaitedClasses = []*equivalenceClass{c}
 }
 
-func (sub *subQueue) awaitFreedFits(c *equivalenceClass, places int) {
-	c.awaitingGangs[sub] = c.freedFits + uint64(places)
+func (sub *subQueue) awaitFreedFits(c *equivalenceClass, count int) {
+	c.awaitingGangs[sub] = c.freedFits + uint64(count)
 	c.activateAt = min(c.activateAt, c.awaitingGangs[sub])
 	c.pool.unschedulable[c] = struct{}{}
 }
 
-// activateGangs makes the groups ready for which enough places may have come.
+// activateGangs makes the gangs ready for which enough places may have come.
 func (c *equivalenceClass) activateGangs() {
 	if c.freedFits < c.activateAt {
 		return
@@ -99,7 +100,7 @@
 	}
 }
 
-// awaitLimit keeps a group out of passes until the queue or its team may run
+// awaitLimit keeps a gang out of passes until the queue or its team may run
 // more.
 func (sub *subQueue) awaitLimit(size int) {
 	sub.deactivate()
@@ -112,7 +113,7 @@
 	sub.awaitedTeam = q.team
 }
 
-// stopAwaiting forgets what the group was parked at. Class lanes are never parked.
+// stopAwaiting forgets what the gang was parked at. Class sub-queues are never parked.
 func (sub *subQueue) stopAwaiting() {
 	for _, c := range sub.awaitedClasses {
 		delete(c.awaitingGangs, sub)
@@ -126,9 +127,9 @@
 	}
 }
 
-// placeGang places all members of the group or none. It returns false if the
-// group fits but not in what is left of the pass's limit: the pass then ends,
-// and the next one starts with this group.
+// placeGang places all members of the gang or none. It returns false if the
+// gang fits but not in what is left of the pass's limit: the pass then ends,
+// and the next one starts with this gang.
 func (p *pass) placeGang(sub *subQueue) bool {
 	if !sub.parent.queue.canRun(len(sub.tasks)) {
 		sub.awaitLimit(len(sub.tasks))
@@ -165,7 +166,7 @@
 	return true
 }
 
-// gangPlacement is what a trial to place a group found: a run for each member, or the
+// gangPlacement is what a attempt to place a gang found: a run for each member, or the
 // class that is short of places, if that alone tells.
 type gangPlacement struct {
 	opened  []*run
@@ -173,7 +174,7 @@
 	missing int
 }
 
-// openAll opens runs for all members of the group or for none.
+// openAll opens runs for all members of the gang or for none.
 func (p *pass) openAll(sub *subQueue, members []*waiting) gangPlacement {
 	if short, missing := sub.findShortage(); short != nil {
 		return gangPlacement{short: short, missing: missing}
@@ -187,7 +188,7 @@
 	return gangPlacement{opened: opened}
 }
 
-// awaitFits keeps a group that found no room out of passes until it may find some.
+// awaitFits keeps a gang that found no worker out of passes until it may find some.
 func (sub *subQueue) awaitFits(found gangPlacement) {
 	if found.short != nil {
 		sub.awaitShortage(found.short, found.missing)
@@ -221,7 +222,7 @@
 	}
 }
 
-// classes returns the classes of the group's members.
+// classes returns the classes of the gang's members.
 func (sub *subQueue) classes() []*equivalenceClass {
 	classes := make([]*equivalenceClass, 0, len(sub.members))
 	for _, m := range sub.members {
@@ -252,23 +253,23 @@
 	return uint64(resources.FitCount(c.key.need, c.availableWithNominated(w), math.MaxInt32) + c.freeSlots(w.slots))
 }
 
-// findShortage returns a class that has fewer places than the group has
+// findShortage returns a class that has fewer places than the gang has
 // members of it, and how many are missing, or nil. Classes are counted one by
 // one, so nil does not promise that all fit together.
 func (sub *subQueue) findShortage() (short *equivalenceClass, missing int) {
 	sub.freeMembers = 0
 	for _, m := range sub.members {
-		places := m.class.fitCountThisPass(m.count)
-		sub.freeMembers += places
-		if places < m.count && short == nil {
-			short, missing = m.class, m.count-places
+		count := m.class.fitCountThisPass(m.count)
+		sub.freeMembers += count
+		if count < m.count && short == nil {
+			short, missing = m.class, m.count-count
 		}
 	}
 	return short, missing
 }
 
 // places is class.places, counted once a pass where it fell short: room only
-// shrinks during a pass, so that many groups of one class cost one count.
+// shrinks during a pass, so that many gangs of one class cost one count.
 func (c *equivalenceClass) fitCountThisPass(enough int) int {
 	last := &c.lastFitCount
 	if last.pass == c.clock.pass && last.fits < last.enough {
@@ -329,38 +330,37 @@
 	return taken
 }
 
-// fitCountOnIdleWorkers counts these places, up to enough.
+// fitCountOnIdleWorkers counts how many tasks of the class would fit on workers on which
+// nothing ran but what runs until cancelled, up to enough.
 func (c *equivalenceClass) fitCountOnIdleWorkers(enough int) int {
-	left := map[string]int{}
-	total := 0
-	for _, w := range c.pool.workers {
-		if total >= enough {
-			break
-		}
-		here := resources.FitCount(c.key.need, w.Capacity.Sub(w.longRunning), enough-total)
-		if c.spread != nil && here > 0 {
-			here = takeFromDomain(left, c.spread, &w.Worker, here)
-		}
-		total += here
-	}
-	return total
+	return c.fitCountWith(enough, 0, func(w *worker) api.Resources { return w.Capacity.Sub(w.longRunning) })
 }
 
-// fitCountWithPreemption is class.places with the room of preemptible runs.
+// fitCountWithPreemption counts how many would fit if all preemptible runs stopped, up to
+// enough; slots count whole.
 func (c *equivalenceClass) fitCountWithPreemption(enough int) int {
-	left := map[string]int{}
-	total := 0
+	inSlots := 0
 	for _, r := range c.reservations {
-		total += c.freeSlots(r.slots)
+		inSlots += c.freeSlots(r.slots)
 	}
+	return c.fitCountWith(enough, inSlots, func(w *worker) api.Resources {
+		if w.restricted && !c.key.untilCancelled {
+			// No need fits where a dimension is negative.
+			return api.Resources{CPUMillis: -1}
+		}
+		return w.freeOnceStopped().Add(w.preemptible)
+	})
+}
+
+// fitCountWith counts on top of total what fits in free of each worker of the pool, and
+// in the domains of the spread rule, up to enough.
+func (c *equivalenceClass) fitCountWith(enough, total int, free func(*worker) api.Resources) int {
+	left := map[string]int{}
 	for _, w := range c.pool.workers {
 		if total >= enough {
 			break
 		}
-		if w.restricted && !c.key.untilCancelled {
-			continue
-		}
-		here := resources.FitCount(c.key.need, w.freeOnceStopped().Add(w.preemptible), enough-total)
+		here := resources.FitCount(c.key.need, free(w), enough-total)
 		if c.spread != nil && here > 0 {
 			here = takeFromDomain(left, c.spread, &w.Worker, here)
 		}
@@ -369,7 +369,7 @@
 	return total
 }
 
-// resetFitCounts has the places for a group counted anew.
+// resetFitCounts has the places for a gang counted anew.
 func (sub *subQueue) resetFitCounts() {
 	for _, m := range sub.members {
 		m.class.lastFitCount = fitCount{}
--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -70,7 +70,7 @@
 	expect(t, "all", len(e.Plan(100)), 16)
 }
 
-// trace is all that a trial may not leave behind.
+// trace is all that a attempt may not leave behind.
 func trace(e *Engine) string {
 	var text strings.Builder
 	for _, id := range []string{"a-1", "b-1"} {
--- a/internal/placement/headroom_test.go
+++ b/internal/placement/headroom_test.go
@@ -34,7 +34,7 @@
 }
 
 // TestHeadroom_LargeTaskIsStillPlaced: what cannot leave it on an empty worker runs
-// all the same, and groups do.
+// all the same, and gangs do.
 func TestHeadroom_LargeTaskIsStillPlaced(t *testing.T) {
 	for what, tasks := range map[string][]Task{
 		"a large task": lowTasks("low", 1, 90),
--- a/internal/placement/longrunning_test.go
+++ b/internal/placement/longrunning_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// endless are tasks that run until cancelled.
+// long-running are tasks that run until cancelled.
 func untilCancelled(tasks []Task) []Task {
 	for i := range tasks {
 		spec := *tasks[i].Spec
@@ -14,7 +14,7 @@
 	return tasks
 }
 
-// gangWithCommonOutcome are the members of one group.
+// gangWithCommonOutcome are the members of one gang.
 func gangWithCommonOutcome(job string, count int, need int64) []Task {
 	return stepOf(job, count, need, func(task *Task) { task.Gang, task.GangSize = job+"/a", count })
 }
@@ -26,7 +26,7 @@
 }
 
 // TestLongRunning_DoesNotWaitForHeadroom: it would wait for as long as its service is
-// crowded.
+// highly utilized.
 func TestLongRunning_DoesNotWaitForHeadroom(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(100)))
 	e.SetQueues([]QueueRule{{Name: "low", Weight: 1, Headroom: 30}, {Name: "q", Weight: 1}})
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestLongRunning_GangUsesRestrictedWorkersLast: a group needs all its places at once.
+// TestLongRunning_GangUsesRestrictedWorkersLast: a gang needs all its places at once.
 func TestLongRunning_GangUsesRestrictedWorkersLast(t *testing.T) {
 	e := newEngine(suspectWorker("h", 30), testWorker("t", cpu(20)))
 	addAll(e, untilCancelled(gangWithCommonOutcome("g", 4, 10))...)
@@ -104,7 +104,7 @@
 	}
 }
 
-// TestLongRunning_UsesCapacityDrainedForGang: it may be put aside for long.
+// TestLongRunning_UsesCapacityDrainedForGang: it may be drained for long.
 func TestLongRunning_UsesCapacityDrainedForGang(t *testing.T) {
 	for what, tasks := range map[string][]Task{
 		"one alone":          untilCancelled([]Task{testTask("x", 8, 1)}),
@@ -146,7 +146,7 @@
 }
 
 // TestGang_ActivatedByCapacityBesideGangDrain: what came is no place as long as the
-// rest is put aside.
+// rest is drained.
 func TestGang_ActivatedByCapacityBesideGangDrain(t *testing.T) {
 	e := engineWithGangDrain(4)
 	expect(t, "gathers", placed(e, 10), "")
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// nomination is a task, or a group whole, that is promised room which preempted runs
+// nomination is a task, or a gang whole, that is promised room which preempted runs
 // still have. Its tasks count as running for limits, fairness and spread rules,
 // but take part in no pass; they are placed once the room is there.
 type nomination struct {
@@ -40,6 +40,9 @@
 	l.ordered = slices.DeleteFunc(l.ordered, func(other *nomination) bool { return other == n })
 }
 
+// all returns a copy: nominations end while they are looked at.
+func (l *nominationList) all() []*nomination { return slices.Clone(l.ordered) }
+
 // nominate promises their targets to tasks and asks for the victims to be stopped.
 // runs are the nominated runs of the members.
 func (e *Engine) nominate(members []*waiting, runs []*run, victims []Preemption) {
@@ -81,7 +84,7 @@
 }
 
 // revokeNominationOf is revokeNomination for the task of a nominated run.
-func (e *Engine) revokeNominationOf(task record.TaskID) { e.revokeNomination(e.backlog.tasks[task]) }
+func (e *Engine) revokeNominationOf(task record.TaskID) { e.revokeNomination(e.backlog.find(task)) }
 
 // cancelNominationsOn ends the nominations that promise room on a worker.
 func (e *Engine) cancelNominationsOn(w *worker) {
@@ -96,7 +99,7 @@
 // placeNominated places units whose room has come.
 func (p *pass) placeNominated() {
 	e := p.engine
-	for _, n := range slices.Clone(e.nominations.ordered) {
+	for _, n := range e.nominations.all() {
 		placed := len(p.decisions)
 		if placed >= p.limit || placed > 0 && placed+len(n.members) > p.limit {
 			return
@@ -115,7 +118,7 @@
 	}
 }
 
-// isObsolete reports whether a promised seat no longer keeps the rules.
+// isObsolete reports whether a promised target no longer keeps the rules.
 func (n *nomination) isObsolete() bool {
 	for i, r := range n.runs {
 		if !r.queue.canRun(0) || breaksRule(r, n.members[i]) {
@@ -126,7 +129,7 @@
 }
 
 // breaksRule reports whether a nominated run no longer keeps the rules for its
-// worker and slice.
+// worker and slot.
 func breaksRule(r *run, member *waiting) bool {
 	c := member.class
 	if !c.pool.matches(r.worker) || resources.IsNegative(r.worker.freeOnceStopped()) || !c.stillAdmits(r.worker) {
@@ -141,7 +144,7 @@
 	return !respectsReservedSlots(r, member)
 }
 
-// respectsReservedSlots reports whether a run outside of slices, if it starts now, takes
+// respectsReservedSlots reports whether a run outside of slots, if it starts now, takes
 // no room from them.
 func respectsReservedSlots(r *run, member *waiting) bool {
 	if r.preemptible {
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"slices"
 )
 
 // pass is one call of Plan.
@@ -14,26 +13,25 @@
 	allowance allowance
 }
 
-// Plan implements Planner. Pending slices come first, so that room goes to
+// Plan implements Planner. Pending slots come first, so that room goes to
 // them before other work takes it; then the tasks that were promised room.
 func (e *Engine) Plan(limit int) []Decision {
-	e.clock.pass++
+	e.clock.beginPass()
 	e.workers.refresh()
 	e.preferred.refresh()
 	if e.needsUtilization() {
-		e.recountUtilization()
+		e.workers.countUtilization(e.utilization)
 		e.classes.activateAtLowUtilization()
 	}
 	p := &pass{engine: e, limit: limit, allowance: newAllowance()}
-	e.reservations.assignSlots(e.workers.changed)
+	e.reservations.assignSlots(e.workers.pendingChanges())
 	p.placeNominated()
 	activateOn(e.workers.takeChanged())
 	p.drainForGang()
 	e.preemptor.retries.activate(e.runs)
 	e.backfill.dropStale()
 	e.backfill.activateBlocked()
-	// Levels that run empty are dropped on the way, hence the copy.
-	for _, level := range slices.Clone(e.backlog.levels) {
+	for _, level := range e.backlog.planOrder() {
 		if !p.planLevel(level) {
 			break
 		}
@@ -41,11 +39,16 @@
 	return p.decisions
 }
 
+// needsUtilization reports whether anything depends on which services are highly utilized.
+func (e *Engine) needsUtilization() bool {
+	return e.queues.useUtilization() || e.workers.anyRestricted() || e.gangDrains.isDraining()
+}
+
 // planLevel places what waits with one priority. It returns false once the
 // pass is over.
 func (p *pass) planLevel(level *priorityLevel) bool {
 	queues := level.activeQueues()
-	reservations := p.engine.backfill.begin(level, p.engine.queues.anyDeferences)
+	reservations := p.engine.backfill.begin(level, p.engine.queues.mayDefer())
 	defer reservations.end(level)
 	for len(p.decisions) < p.limit {
 		next := nextQueue(queues, reservations.competing)
@@ -59,7 +62,7 @@
 	return false
 }
 
-// planSubQueue places the first task of the lane, or its group, or takes the lane
+// planSubQueue places the first task of the sub-queue, or its gang, or takes the sub-queue
 // out of this and later passes. It returns false once the pass is over.
 func (p *pass) planSubQueue(sub *subQueue) bool {
 	if sub.class == nil {
@@ -81,7 +84,7 @@
 	return true
 }
 
-// openOne opens a run of a task that is placed alone; nil if there is no seat.
+// openOne opens a run of a task that is placed alone; nil if there is no target.
 func (p *pass) openOne(task *waiting) *run {
 	var opened *run
 	open := func() bool {
@@ -110,7 +113,7 @@
 	})
 	p.engine.forget(placed)
 	if opened.slot != nil {
-		// The run may outlast its window and need what others have booked.
+		// The run may outlast its window and need what others have reserved.
 		p.engine.reservations.dropUnsupportedSlots(on)
 	}
 }
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -14,13 +14,13 @@
 	maxPreemptionsPerPass = 64
 	// Booked work has its own bound: a window's tasks come all at once.
 	maxReservedPreemptionsPerPass = 256
-	// A trial may look at all workers, that of a group many times; only trials
+	// A attempt may look at all workers, that of a gang many times; only attempts
 	// of single tasks that find nothing count.
 	maxPreemptionAttemptsPerPass     = 16
 	maxGangPreemptionAttemptsPerPass = 1
 )
 
-// anyPriority lets booked work preempt whatever is preemptible.
+// anyPriority lets reserved work preempt whatever is preemptible.
 const anyPriority = math.MaxInt
 
 // preemptor chooses runs that make room for others, and owns which were asked to stop.
@@ -73,8 +73,8 @@
 	}
 }
 
-// preemptOrBlock promises the lane's first task room that preemption makes, or
-// takes the lane out of this and later passes.
+// preemptOrBlock promises the sub-queue's first task room that preemption makes, or
+// takes the sub-queue out of this and later passes.
 func (p *pass) preemptOrBlock(sub *subQueue) {
 	if sub.class.key.waitsForPreferred {
 		sub.mayPreemptNow = false
@@ -110,7 +110,7 @@
 	a.preemptions -= len(c.victims)
 }
 
-// preemptionChoice is a seat and the runs that must stop for it.
+// preemptionChoice is a target and the runs that must stop for it.
 type preemptionChoice struct {
 	to      placementTarget
 	victims []*run
@@ -136,7 +136,7 @@
 	) < 0
 }
 
-// findVictims finds the best seat that preemption makes for a task; later tells
+// findVictims finds the best target that preemption makes for a task; later tells
 // that the pass has no allowance left for it.
 func (p *pass) findVictims(c *equivalenceClass, priority int) (best preemptionChoice, later bool) {
 	best = c.chooseReservedSlot()
@@ -162,7 +162,7 @@
 	}
 }
 
-// chooseReservedSlot finds an open slice whose room preemptible runs have.
+// chooseReservedSlot finds an open slot whose room preemptible runs have.
 func (c *equivalenceClass) chooseReservedSlot() preemptionChoice {
 	var best preemptionChoice
 	for _, r := range c.reservations {
@@ -263,7 +263,7 @@
 	}
 }
 
-// gangPreemption is a group's seats, as nominated runs, and the runs that would
+// gangPreemption is a gang's targets, as nominated runs, and the runs that would
 // have to stop. All of it can be undone.
 type gangPreemption struct {
 	finder    *targetFinder
@@ -277,7 +277,7 @@
 	spent   allowance
 }
 
-// preemptForGang promises room to all members of a group that finds none, or
+// preemptForGang promises room to all members of a gang that finds none, or
 // leaves all as it was. It always lets the pass go on.
 func (p *pass) preemptForGang(sub *subQueue) bool {
 	e := p.engine
@@ -313,7 +313,7 @@
 }
 
 // couldPreempt reports whether each class would have places enough if all
-// preemptible runs stopped; a cheap bound before a trial.
+// preemptible runs stopped; a cheap bound before a attempt.
 func (sub *subQueue) couldPreempt() bool {
 	for _, m := range sub.members {
 		if m.class.fitCountWithPreemption(m.count) < m.count {
--- a/internal/placement/preferences.go
+++ b/internal/placement/preferences.go
@@ -10,7 +10,7 @@
 )
 
 // preferredDomainOf returns the domain in which the next task of a step is to lie. The
-// step keeps its home for as long as that has room for the task; then it gets
+// step keeps its preferred domain for as long as that has room for the task; then it gets
 // another one.
 func (f *targetFinder) preferredDomainOf(w *waiting) string {
 	s := f.steps.get(w.ID.StepID())
@@ -33,7 +33,7 @@
 // all that is wanted the one with the least, else the one with the most; ties
 // by name. It is empty if no worker has such a domain.
 func (c *equivalenceClass) choosePreferredDomain(by string, least float64, wanted int) string {
-	places := map[string]int{}
+	fitsIn := map[string]int{}
 	left := map[string]int{}
 	for _, w := range c.pool.withFreeSize(least) {
 		domain, ok := w.Domain(by)
@@ -46,26 +46,26 @@
 		if c.spread != nil {
 			here = takeFromDomain(left, c.spread, &w.Worker, here)
 		}
-		places[domain] += here
+		fitsIn[domain] += here
 	}
 	best := ""
-	for domain, count := range places {
-		if best == "" || isBetterDomain(domain, count, best, places[best], wanted) {
+	for domain, count := range fitsIn {
+		if best == "" || isBetterDomain(domain, count, best, fitsIn[best], wanted) {
 			best = domain
 		}
 	}
 	return best
 }
 
-func isBetterDomain(domain string, places int, other string, otherFits, wanted int) bool {
-	whole, otherWhole := places >= wanted, otherFits >= wanted
+func isBetterDomain(domain string, count int, other string, otherCount, wanted int) bool {
+	complete, otherComplete := count >= wanted, otherCount >= wanted
 	switch {
-	case whole != otherWhole:
-		return whole
-	case places == otherFits:
+	case complete != otherComplete:
+		return complete
+	case count == otherCount:
 		return domain < other
 	default:
-		return (places < otherFits) == whole
+		return (count < otherCount) == complete
 	}
 }
 
@@ -140,14 +140,14 @@
 }
 
 // requirementsOf is what the task requires now.
-func (e *Engine) requirementsOf(task *Task) requirements {
+func (x *workerIndex) requirementsOf(task *Task) requirements {
 	required := requirements{labels: task.Spec.Labels}
 	if !task.WaitsForPreferred || len(task.Spec.Prefer) == 0 {
 		return required
 	}
 	wanted := requirements{labels: maps.Clone(task.Spec.Prefer), preferred: true}
 	maps.Copy(wanted.labels, task.Spec.Labels)
-	if !e.hasSound(task.Spec, wanted.labels) {
+	if !x.hasSound(task.Spec, wanted.labels) {
 		return required
 	}
 	return wanted
@@ -155,8 +155,8 @@
 
 // hasSound reports whether some sound worker that takes work has the labels, and the
 // room when it is empty.
-func (e *Engine) hasSound(spec *api.TaskSpec, labels map[string]string) bool {
-	for _, w := range e.workers.byID {
+func (x *workerIndex) hasSound(spec *api.TaskSpec, labels map[string]string) bool {
+	for _, w := range x.byID {
 		if isUsable(w) && isSound(w) && fits(spec.Resources, w.Capacity) &&
 			w.Offers(spec.Service) && w.HasLabels(labels) {
 			return true
--- a/internal/placement/profile.go
+++ b/internal/placement/profile.go
@@ -9,10 +9,10 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// profilePoint is a moment at which the windows of slices on a worker start.
+// profilePoint is a moment at which the windows of slots on a worker start.
 type profilePoint struct {
 	at record.Millis
-	// slack is the capacity less the slices whose windows are open at that
+	// slack is the capacity less the slots whose windows are open at that
 	// moment, and less the runs that may still be there then and cannot be made
 	// to leave. It is negative after the capacity shrank.
 	slack api.Resources
@@ -66,7 +66,7 @@
 	}
 }
 
-// rebuildProfile works the points out from the worker's slices and runs.
+// rebuildProfile works the points out from the worker's slots and runs.
 func (w *worker) rebuildProfile() {
 	w.profile = w.profile[:0]
 	for _, s := range w.slots {
@@ -122,7 +122,7 @@
 	return slack, bound
 }
 
-// fitsBesideReservedSlots reports whether the class fits beside slices and the runs that
+// fitsBesideReservedSlots reports whether the class fits beside slots and the runs that
 // cannot be made to leave.
 func (c *equivalenceClass) fitsBesideReservedSlots(w *worker) bool {
 	if c.key.preemptible {
--- a/internal/placement/property_longrunning_test.go
+++ b/internal/placement/property_longrunning_test.go
@@ -14,9 +14,9 @@
 )
 
 // longRunningModel holds the engine against one rule: once passes place nothing more,
-// no task or group that runs until cancelled waits while workers that take work have
-// places for it. Quotas, bookings and preemption are left out: what these keep from
-// a task is the exception. Members of one group are alike.
+// no task or gang that runs until cancelled waits while workers that take work have
+// places for it. Quotas, reservations and preemption are left out: what these keep from
+// a task is the exception. Members of one gang are alike.
 type longRunningModel struct {
 	engine  *Engine
 	workers map[string]Worker
@@ -25,7 +25,7 @@
 	next    int
 }
 
-// longRunningStep is a group, or tasks that stand alone.
+// longRunningStep is a gang, or tasks that stand alone.
 type longRunningStep struct {
 	tasks []Task
 	group bool
@@ -54,7 +54,7 @@
 	m.addAgain()
 }
 
-// addAgain lets tasks wait whose run has ended, those of a group once none of it runs.
+// addAgain lets tasks wait whose run has ended, those of a gang once none of it runs.
 func (m *longRunningModel) addAgain() {
 	for _, step := range m.steps {
 		running := slices.ContainsFunc(step.tasks, func(task Task) bool { return m.open[task.ID] != "" })
@@ -91,7 +91,7 @@
 	m.addAgain()
 }
 
-// end closes a run, or those of a whole group.
+// end closes a run, or those of a whole gang.
 func (m *longRunningModel) end(t *rapid.T) {
 	if len(m.steps) == 0 {
 		return
@@ -133,7 +133,7 @@
 	return len(decisions) > 0
 }
 
-// wait lets so many passes go by that groups gather room.
+// wait lets so many passes go by that gangs drain room.
 func (m *longRunningModel) wait(*rapid.T) {
 	for range gangDrainAfterPasses + gangDrainSearchInterval {
 		m.plan(100)
@@ -175,7 +175,7 @@
 }
 
 func (m *longRunningModel) check(t *rapid.T) {
-	// A group that has gathered all its room is placed in the pass after that.
+	// A gang that has drained all its room is placed in the pass after that.
 	for idle := 0; idle < 2; idle++ {
 		if m.plan(100) {
 			idle = 0
@@ -243,7 +243,7 @@
 	return m.hasOnlyRestricted(task)
 }
 
-// hasOnlyRestricted reports whether only guarded workers could hold the task.
+// hasOnlyRestricted reports whether only restricted workers could hold the task.
 func (m *model) hasOnlyRestricted(task Task) bool {
 	for _, other := range m.workers {
 		if other.Usable && !restricted(other) && other.Offers(task.Spec.Service) &&
@@ -254,7 +254,7 @@
 	return true
 }
 
-// crowded applies the rule for services that are short of room, from scratch.
+// highly utilized applies the rule for services that are short of room, from scratch.
 func (m *model) isHighlyUtilized(service string) bool {
 	var capacity, used api.Resources
 	for id, w := range m.workers {
@@ -268,7 +268,7 @@
 	return isShort(used.CPUMillis, capacity.CPUMillis) && isShort(used.MemoryMB, capacity.MemoryMB)
 }
 
-// checkLongRunning checks that a guarded worker was not taken while a trusted one had
+// checkLongRunning checks that a restricted worker was not taken while a trusted one had
 // room, but by a task that may try it; and that one held back was taken by no such
 // task either. Promised room may explain it.
 func (m *model) checkLongRunning(t *rapid.T, task Task, on Worker) {
--- a/internal/placement/property_reservation_test.go
+++ b/internal/placement/property_reservation_test.go
@@ -12,7 +12,7 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// bookings is the part of the model about time, bookings, teams and preemption.
+// reservations is the part of the model about time, reservations, teams and preemption.
 type reservationModel struct {
 	now            record.Millis
 	teams          map[string]int
@@ -36,7 +36,7 @@
 	return open && r.slot != nil
 }
 
-// slack is what worker w has left at a moment, from scratch: less the slices
+// slack is what worker w has left at a moment, from scratch: less the slots
 // open then, and less the runs that stay outside of them. One task may be left
 // out.
 func (m *model) slack(w Worker, moment record.Millis, without record.TaskID) api.Resources {
@@ -69,7 +69,7 @@
 	return m.reservations[at]
 }
 
-// starts are the moments at which slices on the worker begin to count.
+// starts are the moments at which slots on the worker begin to count.
 func (m *model) starts(worker string) []record.Millis {
 	var starts []record.Millis
 	for _, s := range m.engine.ReservedSlots() {
@@ -80,7 +80,7 @@
 	return starts
 }
 
-// fitsBesideReservedSlots reports whether the task, started now, leaves what slices need.
+// fitsBesideReservedSlots reports whether the task, started now, leaves what slots need.
 func (m *model) fitsBesideReservedSlots(task Task, w Worker) bool {
 	if m.preemptible(task) {
 		return true
@@ -237,8 +237,8 @@
 	}
 }
 
-// checkReservedSlots checks that slices are where they may be, that what runs in them
-// is booked, and that there is room for those not in use.
+// checkReservedSlots checks that slots are where they may be, that what runs in them
+// is reserved, and that there is room for those not in use.
 func (m *model) checkReservedSlots(t *rapid.T) {
 	placed, used := map[string]int{}, map[string]int{}
 	if got, want := fmt.Sprint(m.engine.ReservedSlots()), fmt.Sprint(m.twin.ReservedSlots()); got != want {
--- a/internal/placement/property_test.go
+++ b/internal/placement/property_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// add adds a step: some tasks, or a group.
+// add adds a step: some tasks, or a gang.
 func (m *model) add(t *rapid.T) {
 	m.next++
 	name := fmt.Sprint("job", m.next)
@@ -290,7 +290,7 @@
 }
 
 // planAll checks that nothing that could be placed alone still waits, once no queue
-// leaves room alone for others. A booked run may make slices move in the middle of a
+// leaves room alone for others. A reserved run may make slots move in the middle of a
 // pass, so that there is room for tasks that were passed over: they come in the next.
 func (m *model) planAll(t *rapid.T) {
 	for m.plan(t, 1_000_000) > 0 {
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -47,6 +47,9 @@
 	return made
 }
 
+// find returns the queue of that name, or nil.
+func (t *queueTable) find(name string) *queue { return t.byName[name] }
+
 // setRules replaces the rules of all queues. It returns the queues whose headroom
 // changed: their tasks are of other classes now.
 func (t *queueTable) setRules(rules []QueueRule) map[string]bool {
@@ -111,6 +114,12 @@
 	}
 }
 
+// mayDefer reports whether some queue was told to defer to others.
+func (t *queueTable) mayDefer() bool { return t.anyDeferences }
+
+// useUtilization reports whether the utilization of services decides for some queue.
+func (t *queueTable) useUtilization() bool { return t.anyHeadroom || t.anyDeferences }
+
 // setReserved records which queues have a reservation now, and returns those that got
 // their first or lost their last.
 func (t *queueTable) setReserved(reserved map[string]bool) map[string]bool {
@@ -138,6 +147,14 @@
 	}
 }
 
+// runEnded lets the next pass look at gangs that a limit held back.
+func (q *queue) runEnded() {
+	q.activateGangs()
+	if q.team != nil {
+		q.team.activateGangs()
+	}
+}
+
 // countRun adds to the open runs of the queue and of its team.
 func (q *queue) countRun(change int) {
 	q.running += change
@@ -243,7 +260,7 @@
 
 // defers reports whether the queue lets others go first: it was told to, and has more
 // than its weight's share of the open runs of itself and of those others that have
-// something waiting, also if that found no room.
+// something waiting, also if that found no worker.
 func (c competingQueues) defers(q *queue) bool {
 	if len(q.defersTo) == 0 || !q.rule.BySlack {
 		return false
--- a/internal/placement/reasons.go
+++ b/internal/placement/reasons.go
@@ -20,8 +20,8 @@
 // Reason implements Planner. It is worked out from the state at the time of
 // the call; a task that would fit now waits for its turn.
 func (e *Engine) Reason(task record.TaskID) string {
-	w, ok := e.backlog.tasks[task]
-	if !ok {
+	w := e.backlog.find(task)
+	if w == nil {
 		return ""
 	}
 	if w.nomination != nil {
@@ -59,7 +59,7 @@
 	if q := sub.parent.queue; !q.canRun(len(sub.tasks)) {
 		return fmt.Sprintf("%s, group needs %d", limitReason(q, len(sub.tasks)), len(sub.tasks))
 	}
-	if reason := e.eligibilityReason(w); reason != "" {
+	if reason := e.workers.eligibilityReason(w); reason != "" {
 		return reason
 	}
 	if !sub.tried {
@@ -70,7 +70,7 @@
 
 // classReason explains a task that is placed alone.
 func (e *Engine) classReason(w *waiting) string {
-	if reason := e.eligibilityReason(w); reason != "" {
+	if reason := e.workers.eligibilityReason(w); reason != "" {
 		return reason
 	}
 	c := w.class
@@ -79,7 +79,7 @@
 	}
 	var most api.Resources
 	var reserved record.Millis
-	roomy, spreadable, guarded := false, false, true
+	fitsFree, spreadable, onlyRestricted := false, false, true
 	for _, candidate := range c.pool.workers {
 		if c.fitsOnAnyTerms(candidate) {
 			return reasonTurn
@@ -87,27 +87,27 @@
 		if !c.admits(candidate) {
 			continue
 		}
-		guarded = false
+		onlyRestricted = false
 		most = resources.Max(most, candidate.free)
-		roomy = roomy || fits(c.key.need, candidate.free)
+		fitsFree = fitsFree || fits(c.key.need, candidate.free)
 		if until := c.reservedUntil(candidate); until > 0 && (reserved == 0 || until < reserved) {
 			reserved = until
 		}
 		spreadable = spreadable || withinSpread(c.spread, &candidate.Worker)
 	}
-	if guarded {
+	if onlyRestricted {
 		return reasonRestricted
 	}
 	if reserved > 0 {
 		return fmt.Sprintf("no room until %s (booked)", reserved.Time().Format("15:04"))
 	}
-	if !spreadable || roomy {
-		return spreadReason(c.key.spreadBy, c.key.maxPerDomain, roomy && spreadable)
+	if !spreadable || fitsFree {
+		return spreadReason(c.key.spreadBy, c.key.maxPerDomain, fitsFree && spreadable)
 	}
 	return "no room: " + feasibility.Shortage(c.key.need, most, "most free")
 }
 
-// reservedUntil is when the last window ends of the slices that alone keep the
+// reservedUntil is when the last window ends of the slots that alone keep the
 // class off a worker; 0 if something else does too.
 func (c *equivalenceClass) reservedUntil(w *worker) record.Millis {
 	if !fits(c.key.need, w.free) || !withinSpread(c.spread, &w.Worker) {
@@ -122,20 +122,11 @@
 
 // eligibilityReason says why no worker could ever take the task as the
 // workers are now; empty if one could, room and spread counts aside.
-func (e *Engine) eligibilityReason(w *waiting) string {
+func (x *workerIndex) eligibilityReason(w *waiting) string {
 	if len(w.class.pool.workers) > 0 {
 		return missingDomain(w.Spec, w.class.pool.workers)
 	}
-	var known, usable []Worker
-	for _, candidate := range e.workers.byID {
-		if !candidate.known {
-			continue
-		}
-		known = append(known, candidate.Worker)
-		if candidate.Usable {
-			usable = append(usable, candidate.Worker)
-		}
-	}
+	known, usable := x.descriptions()
 	if len(usable) == 0 {
 		return reasonNoUsableWorker
 	}
@@ -157,9 +148,9 @@
 	return feasibility.NoDomain(spec.Spread.By)
 }
 
-func spreadReason(by string, maxPerDomain int, noRoomElsewhere bool) string {
+func spreadReason(by string, maxPerDomain int, noneFitsElsewhere bool) string {
 	reason := fmt.Sprintf("spread: at most %d running per %s", maxPerDomain, by)
-	if noRoomElsewhere {
+	if noneFitsElsewhere {
 		reason += ", no room in others"
 	}
 	return reason
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -168,10 +168,10 @@
 // openAt reports whether the window is open at that moment.
 func (r *reservation) openAt(moment record.Millis) bool { return r.Start <= moment && moment < r.End }
 
-// pending is the number of slices without a worker.
+// pending is the number of slots without a worker.
 func (r *reservation) pending() int { return r.Slots - r.placed }
 
-// sameSlots reports whether slices of one reservation serve the other.
+// sameSlots reports whether slots of one reservation serve the other.
 func (r *reservation) sameSlots(other *Reservation) bool {
 	return r.Queue == other.Queue && r.Start == other.Start && r.End == other.End && r.SlotSize == other.SlotSize &&
 		r.Service == other.Service && maps.Equal(r.Labels, other.Labels)
--- a/internal/placement/reservations_test.go
+++ b/internal/placement/reservations_test.go
@@ -42,7 +42,7 @@
 	return task
 }
 
-// reservedSlots returns "WORKER USED/SLOTS" of all slices.
+// reservedSlots returns "WORKER USED/SLOTS" of all slots.
 func reservedSlots(e *Engine) string {
 	var texts []string
 	for _, s := range e.ReservedSlots() {
--- a/internal/placement/reservedslots.go
+++ b/internal/placement/reservedslots.go
@@ -9,16 +9,16 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// slotSet is the slices of one reservation on one worker.
+// slotSet is the slots of one reservation on one worker.
 type slotSet struct {
 	reservation *reservation
 	worker      *worker
 	slots       int
-	// used counts slices in which a run is open or nominated.
+	// used counts slots in which a run is open or nominated.
 	used int
 }
 
-// addSlot puts one slice of the reservation on a worker.
+// addSlot puts one slot of the reservation on a worker.
 func (t *reservationTable) addSlot(r *reservation, on *worker) *slotSet {
 	at, found := slices.BinarySearchFunc(r.slots, on, func(s *slotSet, w *worker) int { return compareName(s.worker, w) })
 	if !found {
@@ -36,8 +36,8 @@
 	return s
 }
 
-// dropSlots takes slices off a worker; they are pending from then on. Runs in
-// slices that are gone go on as ordinary ones, nominations end.
+// dropSlots takes slots off a worker; they are pending from then on. Runs in
+// slots that are gone go on as ordinary ones, nominations end.
 func (t *reservationTable) dropSlots(s *slotSet, count int) {
 	if count <= 0 {
 		return
@@ -62,7 +62,7 @@
 	s.reservation.slots = slices.DeleteFunc(s.reservation.slots, isThis)
 }
 
-// evict makes runs in slices ordinary runs, and cancels nominations for slices.
+// evict makes runs in slots ordinary runs, and cancels nominations for slots.
 func (t *reservationTable) evict(s *slotSet, count int) {
 	for _, r := range s.worker.sortedRuns(func(r *run) bool { return r.slot == s }) {
 		if count <= 0 {
@@ -82,7 +82,7 @@
 	}
 }
 
-// dropUnsupportedSlots takes slices off a worker that no longer has the room for them: those
+// dropUnsupportedSlots takes slots off a worker that no longer has the room for them: those
 // that are not in use, and of these the window that starts last first.
 func (t *reservationTable) dropUnsupportedSlots(w *worker) {
 	for at := 0; at < len(w.profile); {
@@ -100,7 +100,7 @@
 	}
 }
 
-// lastUnused returns a set with an unused slice that counts at that moment, the
+// lastUnused returns a set with an unused slot that counts at that moment, the
 // window that starts last; nil if there is none.
 func (w *worker) lastUnused(moment record.Millis) *slotSet {
 	var last *slotSet
@@ -121,7 +121,7 @@
 	}
 }
 
-// dropMismatchedSlots takes off the slices that a worker does not serve any more.
+// dropMismatchedSlots takes off the slots that a worker does not serve any more.
 func (t *reservationTable) dropMismatchedSlots(w *worker) {
 	for _, s := range slices.Clone(w.slots) {
 		if !s.reservation.pool.matches(w) || w.Suspect {
@@ -130,7 +130,7 @@
 	}
 }
 
-// assignSlots finds workers for pending slices. Only workers that changed are
+// assignSlots finds workers for pending slots. Only workers that changed are
 // looked at again.
 func (t *reservationTable) assignSlots(changed []*worker) {
 	for _, r := range t.windows {
@@ -146,7 +146,7 @@
 	}
 }
 
-// assign fills the best worker first, and looks at it again after each slice.
+// assign fills the best worker first, and looks at it again after each slot.
 func (t *reservationTable) assign(r *reservation, candidates []*worker) {
 	var open slotCandidateHeap
 	for _, w := range slices.Clone(candidates) {
@@ -172,7 +172,7 @@
 }
 
 // adopt lets runs that the queue started in the open window fill pending
-// slices where they are, as after a change of the leader.
+// slots where they are, as after a change of the leader.
 func (t *reservationTable) adopt(r *reservation, w *worker) {
 	if r.Start > t.clock.now || len(w.runs) == 0 {
 		return
@@ -194,13 +194,13 @@
 	}
 }
 
-// slotCandidate is a worker that has room for one more slice.
+// slotCandidate is a worker that has room for one more slot.
 type slotCandidate struct {
 	worker *worker
-	// preempted is the room of preemptible runs that the slice needs.
+	// preempted is the room of preemptible runs that the slot needs.
 	preempted float64
 	// freeSize is what the worker has at the window's start.
-	room float64
+	freeSize float64
 }
 
 func (t *reservationTable) slotCandidateOn(r *reservation, w *worker) (slotCandidate, bool) {
@@ -211,7 +211,7 @@
 	return slotCandidate{
 		worker:    w,
 		preempted: resources.NormalizedSize(resources.Lacking(r.SlotSize, slack.Sub(w.preemptible)), t.workers.largest),
-		room:      resources.NormalizedSize(slack, t.workers.largest),
+		freeSize:  resources.NormalizedSize(slack, t.workers.largest),
 	}, true
 }
 
@@ -222,7 +222,7 @@
 func (h slotCandidateHeap) Less(i, j int) bool {
 	return cmp.Or(
 		cmp.Compare(h[i].preempted, h[j].preempted),
-		cmp.Compare(h[i].room, h[j].room),
+		cmp.Compare(h[i].freeSize, h[j].freeSize),
 		compareName(h[i].worker, h[j].worker),
 	) < 0
 }
--- a/internal/placement/restricted_test.go
+++ b/internal/placement/restricted_test.go
@@ -62,7 +62,7 @@
 	expect(t, "guarded", len(e.workers.restricted), 0)
 }
 
-// TestProbation_IgnoredWithoutOtherWorkers: a task that avoids a guarded worker takes it once the last
+// TestProbation_IgnoredWithoutOtherWorkers: a task that avoids a restricted worker takes it once the last
 // other one is gone.
 func TestProbation_IgnoredWithoutOtherWorkers(t *testing.T) {
 	w := testWorker("h", cpu(100))
--- a/internal/placement/runs.go
+++ b/internal/placement/runs.go
@@ -89,7 +89,7 @@
 	return slack.Add(r.need)
 }
 
-// mayBeVictim reports whether the run may be preempted. Those in slices are
+// mayBeVictim reports whether the run may be preempted. Those in slots are
 // not: their room is not for others.
 func (r *run) mayBeVictim() bool {
 	return r.preemptible && !r.stopping && !r.nominated && r.slot == nil
@@ -157,6 +157,9 @@
 	}
 }
 
+// find returns the open run of a task; nil if there is none. A nominated one is not open.
+func (t *runTable) find(task record.TaskID) *run { return t.open[task] }
+
 // start opens a run that starts now.
 func (t *runTable) start(task *Task, to placementTarget) *run {
 	return t.add(task, to, t.clock.now, false)
@@ -172,7 +175,7 @@
 	return t.add(task, to, started, false)
 }
 
-// renominate is nominate for a run that was closed on trial: its start stays.
+// renominate is nominate for a run that was closed on attempt: its start stays.
 func (t *runTable) renominate(task *Task, to placementTarget, started record.Millis) *run {
 	return t.add(task, to, started, true)
 }
@@ -248,6 +251,14 @@
 	return true
 }
 
+// setMaxPreemptions changes the bound on preemptions of one task, and reports whether it
+// is another one. reconsiderPreemptible applies it to the runs on a worker.
+func (t *runTable) setMaxPreemptions(limit int) bool {
+	changed := limit != t.maxPreemptions
+	t.maxPreemptions = limit
+	return changed
+}
+
 // isPreemptible reports whether the task may be preempted, and not yet too often was.
 func (t *runTable) isPreemptible(task *Task) bool {
 	return task.Spec.Preemptible && task.Preemptions < t.maxPreemptions
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -36,7 +36,7 @@
 	if on == nil {
 		on = ignoringHeadroom(w.class, func() *worker { return f.fullest(w) })
 	}
-	if on == nil && len(f.workers.restricted) > 0 && !f.off.Has(featuregate.LastResortCapacity) {
+	if on == nil && f.workers.anyRestricted() && !f.off.Has(featuregate.LastResortCapacity) {
 		on = withRestricted(w.class, func() *worker { return f.fullest(w) })
 	}
 	return placementTarget{worker: on}, on != nil
@@ -55,7 +55,7 @@
 	return members
 }
 
-// fullestFreeSlot returns the open slice on the fullest worker that has its room
+// fullestFreeSlot returns the open slot on the fullest worker that has its room
 // now, or nil.
 func (c *equivalenceClass) fullestFreeSlot() *slotSet {
 	var best *slotSet
@@ -72,7 +72,7 @@
 	return best
 }
 
-// canEnterSlot reports whether a task of the class may run in a slice of the set,
+// canEnterSlot reports whether a task of the class may run in a slot of the set,
 // room aside.
 func (c *equivalenceClass) canEnterSlot(s *slotSet) bool {
 	return s.used < s.slots && c.isSlotReservedFor(s) && withinSpread(c.spread, &s.worker.Worker) && c.admits(s.worker)
@@ -107,16 +107,16 @@
 // by name. What a task takes is the same on every worker, so the order by room
 // before placing is the order by room left after it.
 func compareFullest(a, b *worker) int {
-	if byRoom := cmp.Compare(a.freeSize, b.freeSize); byRoom != 0 {
-		return byRoom
+	if bySize := cmp.Compare(a.freeSize, b.freeSize); bySize != 0 {
+		return bySize
 	}
 	return compareName(a, b)
 }
 
-// compareLeastUnreserved is compareFullest by the room outside of slices.
+// compareLeastUnreserved is compareFullest by the room outside of slots.
 func compareLeastUnreserved(a, b *worker) int {
-	if byRoom := cmp.Compare(a.unreservedSize, b.unreservedSize); byRoom != 0 {
-		return byRoom
+	if bySize := cmp.Compare(a.unreservedSize, b.unreservedSize); bySize != 0 {
+		return bySize
 	}
 	return compareName(a, b)
 }
@@ -145,7 +145,7 @@
 	costSlow
 	// costNotPreferred: the worker lacks a label of TaskSpec.Prefer.
 	costNotPreferred
-	// costOtherDomain: the worker lies outside of the step's home domain.
+	// costOtherDomain: the worker lies outside of the step's preferred domain.
 	costOtherDomain
 	// costOverSoftLimit: the worker holds its share of the step already.
 	costOverSoftLimit
@@ -162,7 +162,7 @@
 	// softLimit is the number of runs of the step on one worker from which on
 	// others come first; 0 is no bound.
 	softLimit int
-	// domain is the home domain of the step; homeless is true if the task
+	// domain is the preferred domain of the step; homeless is true if the task
 	// wants none.
 	domain    string
 	anyDomain bool
@@ -176,7 +176,7 @@
 // hasPreferences reports whether the task may have to look past the first worker.
 func (f *targetFinder) hasPreferences(task *Task) bool {
 	return len(task.Avoid) > 0 || task.Colocate != "" || task.StepSize > 1 ||
-		len(task.Spec.Prefer) > 0 || f.preferred.any() || f.workers.slow > 0 || len(f.workers.restricted) > 0
+		len(task.Spec.Prefer) > 0 || f.preferred.any() || f.workers.slow > 0 || f.workers.anyRestricted()
 }
 
 // fullest returns the worker that a task which waits takes, or nil: of those
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -26,7 +26,7 @@
 	// Preemptions is how often the task was preempted; from the bound on it
 	// counts as not preemptible.
 	Preemptions int
-	// UntilCancelled: the task has no end of its own, or a member of its group in
+	// UntilCancelled: the task has no end of its own, or a member of its gang in
 	// lockstep has none. It takes whatever room there is; see lastroom.go.
 	UntilCancelled bool
 	// Preferences is what the task would rather have; nil for none. It is never
@@ -56,7 +56,7 @@
 	MaxRunning int
 }
 
-// Reservation is one window of a booking whose room is to be kept now: from the
+// Reservation is one window of a reservation whose room is to be kept now: from the
 // lead until the window's end.
 type Reservation struct {
 	// ID is "QUEUE/BOOKING/START", START in Unix milliseconds.
@@ -83,7 +83,7 @@
 	Beneficiary record.TaskID
 }
 
-// ReservedSlots counts a reservation's slices on one worker.
+// ReservedSlots counts a reservation's slots on one worker.
 type ReservedSlots struct {
 	Reservation string
 	WorkerID    string
@@ -92,7 +92,7 @@
 	Used        int
 }
 
-// ReservationPlanner lists the calls of Engine that concern time, bookings, teams and
+// ReservationPlanner lists the calls of Engine that concern time, reservations, teams and
 // preemption.
 type ReservationPlanner interface {
 	// SetTeams replaces the rules of all teams; QueueRule.Team joins a queue.
@@ -105,7 +105,7 @@
 	// SetReservations replaces the windows that are kept now. Slices of those
 	// known before stay where they are, if their worker still serves.
 	SetReservations(reservations []Reservation)
-	// ReservedSlots says where slices lie.
+	// ReservedSlots says where slots lie.
 	ReservedSlots() []ReservedSlots
 	// Preemptions returns and forgets the runs that the last Plan wants
 	// stopped. Their room counts as taken until Release; the same run is not
@@ -133,7 +133,7 @@
 	// Team is the queue's team, or empty.
 	Team string
 	// Headroom is the share of each worker that tasks of the queue leave free, in
-	// hundredths; groups do not.
+	// hundredths; gangs do not.
 	Headroom int
 }
 
@@ -156,7 +156,7 @@
 	// Add makes a task wait; Remove takes it out. Both are idempotent.
 	Add(task Task)
 	Remove(task record.TaskID)
-	// Plan places at most limit tasks (a group counts whole and may exceed
+	// Plan places at most limit tasks (a gang counts whole and may exceed
 	// limit if it is the first), highest priority first, then fair by weight
 	// among queues, then by Sequence. Queues with BySlack count as one in that,
 	// with the sum of their weights, and take turns by Sequence alone.
@@ -173,7 +173,7 @@
 	// to become enough for their tasks.
 	SetDeferences(deferences []Deference)
 	// HasFreeCapacity tells whether some worker has room for the task now, outside of what
-	// is kept for bookings. Spread is not looked at.
+	// is kept for reservations. Spread is not looked at.
 	HasFreeCapacity(spec *api.TaskSpec) bool
 	// Waiting is the number of tasks that wait.
 	Waiting() int
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -34,11 +34,11 @@
 // largest are taken first and those not needed left out, so that there may be a
 // smaller set.
 func (w *worker) chooseVictims(need api.Resources, below int) ([]*run, bool) {
-	room := w.freeOnceStopped()
-	if fits(need, room) {
+	free := w.freeOnceStopped()
+	if fits(need, free) {
 		return nil, true
 	}
-	if !fits(need, room.Add(w.preemptible)) {
+	if !fits(need, free.Add(w.preemptible)) {
 		return nil, false
 	}
 	var candidates []*run
@@ -49,7 +49,7 @@
 	}
 	slices.SortFunc(candidates, compareCheapest)
 	enough := func(victims ...*run) bool {
-		sum := room
+		sum := free
 		for _, r := range victims {
 			sum = sum.Add(r.need)
 		}
@@ -68,7 +68,7 @@
 			}
 		}
 	}
-	return largestFirst(candidates, resources.Lacking(need, room), enough)
+	return largestFirst(candidates, resources.Lacking(need, free), enough)
 }
 
 // largestFirst takes the victims that give most of what is lacking, then
--- a/internal/placement/workers.go
+++ b/internal/placement/workers.go
@@ -7,6 +7,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/placement/resources"
+	"github.com/decklever/decklever/internal/placement/utilization"
 )
 
 // worker is a worker incarnation and the open runs on it. workerIndex keeps its sums and
@@ -78,7 +79,7 @@
 	largest api.Resources
 	// stale is set when largest must be worked out again.
 	stale bool
-	// slow counts the workers that are slow, guarded lists those on probation
+	// slow counts the workers that are slow, restricted lists those on probation
 	// or held back.
 	slow       int
 	restricted []*worker
@@ -100,6 +101,52 @@
 	return made
 }
 
+// find returns the worker of that id, known or not; nil if there is none.
+func (x *workerIndex) find(id string) *worker { return x.byID[id] }
+
+// byName returns all workers in the order of their names.
+func (x *workerIndex) byName() []*worker {
+	return slices.SortedFunc(maps.Values(x.byID), compareName)
+}
+
+// anyRestricted reports whether some worker is restricted.
+func (x *workerIndex) anyRestricted() bool { return len(x.restricted) > 0 }
+
+// hasFreeCapacity reports whether a task fits on some worker now, spread aside.
+func (x *workerIndex) hasFreeCapacity(spec *api.TaskSpec) bool {
+	for _, w := range x.byID {
+		if isUsable(w) && !w.restricted && fits(spec.Resources, w.unreserved) &&
+			w.Offers(spec.Service) && w.HasLabels(spec.Labels) {
+			return true
+		}
+	}
+	return false
+}
+
+// countUtilization counts the capacity and the usage of all workers anew.
+func (x *workerIndex) countUtilization(table *utilization.Table) {
+	table.Reset()
+	for _, w := range x.byID {
+		if w.known {
+			table.AddWorker(w.Services, w.Capacity, w.used)
+		}
+	}
+}
+
+// descriptions returns the workers that are known, and those of them that are usable.
+func (x *workerIndex) descriptions() (known, usable []Worker) {
+	for _, w := range x.byID {
+		if !w.known {
+			continue
+		}
+		known = append(known, w.Worker)
+		if w.Usable {
+			usable = append(usable, w.Worker)
+		}
+	}
+	return known, usable
+}
+
 // set takes over what is known of the worker.
 func (x *workerIndex) set(w *worker, to Worker) {
 	x.leavePools(w)
@@ -127,7 +174,7 @@
 	x.leavePools(w)
 	x.removeHealthCounts(w)
 	w.pools = nil
-	// It may still be listed as changed; no slice may go there.
+	// It may still be listed as changed; no slot may go there.
 	w.known = false
 	x.stale = true
 	delete(x.byID, w.ID)
@@ -158,7 +205,7 @@
 	x.allocate(r)
 }
 
-// updateSlots applies a change of the worker's slices to its room.
+// updateSlots applies a change of the worker's slots to its room.
 func (x *workerIndex) updateSlots(w *worker, change func()) {
 	x.leavePools(w)
 	change()
@@ -192,6 +239,9 @@
 	x.changed = append(x.changed, w)
 }
 
+// pendingChanges is what takeChanged will return, as it is now.
+func (x *workerIndex) pendingChanges() []*worker { return x.changed }
+
 // takeChanged empties the list of changed workers.
 func (x *workerIndex) takeChanged() []*worker {
 	changed := x.changed
