--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -15,7 +15,7 @@
 // without end, so that large tasks of the other queues would wait until it is over,
 // although they go first. So, as in EASY backfilling (Lifka, "The ANL/IBM SP scheduling
 // system", 1995), for each shape of task that found no worker one worker is reserved: that
-// which is expected to have the room first, its shadow time. What goes after the task
+// which is expected to have the capacity first, its shadow time. What goes after the task
 // leaves that worker alone until the task is placed. Other than in EASY, no task is
 // backfilled on a reserved worker because it would end before the shadow time: estimates
 // are too rare to rest on.
@@ -38,7 +38,7 @@
 	// reserved are the workers with backfillFor, between two passes. Room that comes free
 	// there piece by piece must not go to others before it is enough.
 	reserved []*worker
-	// blocked are sub-queues that found room in the last pass only on workers reserved for
+	// blocked are sub-queues that fitted in the last pass only on workers reserved for
 	// others; the next pass looks at them again.
 	blocked []*subQueue
 
@@ -60,7 +60,7 @@
 	deferredTo map[*queue]bool
 }
 
-// dropStale ends reservations for sub-queues that no longer wait for room, and of workers
+// dropStale ends reservations for sub-queues that wait no longer, and of workers
 // that will not have it.
 func (b *backfillReservations) dropStale() {
 	b.reserved = slices.DeleteFunc(b.reserved, func(w *worker) bool {
@@ -96,7 +96,7 @@
 }
 
 // take returns the workers that are reserved for sub-queues of a level. Which of them is
-// for which sub-queue is decided anew, since what went before may have taken room there:
+// for which sub-queue is decided anew, since what went before may have taken capacity there:
 // the sub-queue that goes first gets the worker with the earliest shadow time.
 func (b *backfillReservations) take(level *priorityLevel) []*worker {
 	var reserved []*worker
@@ -196,7 +196,7 @@
 }
 
 // earliestWorker returns the candidate with the earliest shadow time; nil if none will
-// ever have the room.
+// ever have the capacity.
 func (b *backfillReservations) earliestWorker(c *equivalenceClass) *worker {
 	var best *worker
 	var least record.Millis
@@ -304,7 +304,7 @@
 }
 
 // planAroundReservations places the first task of the sub-queue, or its gang, off the
-// workers that are reserved for what goes before it. What finds room there only is looked
+// workers that are reserved for what goes before it. What finds capacity there only is looked
 // at again in the next pass. It returns false once the pass is over.
 func (p *pass) planAroundReservations(sub *subQueue, defers bool) bool {
 	classes := sub.searchedClasses()
--- a/internal/placement/backfill_test.go
+++ b/internal/placement/backfill_test.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// deferringEngine has workers "w1", "w2", ... with 4 cpu each, and "burst" yield to "calm".
+// deferringEngine has workers "w1", "w2", ... with 4 cpu each, and "burst" deferring to "calm".
 func deferringEngine(workers int, deferences ...Deference) *Engine {
 	var all []Worker
 	for number := range workers {
@@ -48,9 +48,9 @@
 		// want is what is placed as the runs of w1 end one by one, and then one of w2.
 		want string
 	}{
-		{"nothing yields", nil, "s0@w1, s1@w1, s2@w1, s3@w1, s4@w2"},
-		{"the burst yields", []Deference{burstDefers}, ", , , large@w1, s0@w2"},
-		{"the burst yields to another", []Deference{{Queue: "burst", To: []string{"other"}}}, "s0@w1, s1@w1, s2@w1, s3@w1, s4@w2"},
+		{"no queue defers", nil, "s0@w1, s1@w1, s2@w1, s3@w1, s4@w2"},
+		{"the burst defers", []Deference{burstDefers}, ", , , large@w1, s0@w2"},
+		{"the burst defers to another", []Deference{{Queue: "burst", To: []string{"other"}}}, "s0@w1, s1@w1, s2@w1, s3@w1, s4@w2"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -80,8 +80,8 @@
 	return strings.Join(texts, " ")
 }
 
-// TestBackfill_TasksThatRespectReservation: w1 has three free cpu of four and is kept for a task that
-// needs all; w2 is full, so that w1 is the only room. A task of the queue that yields
+// TestBackfill_TasksThatRespectReservation: w1 has three free cpu of four and is reserved for a task that
+// needs all; w2 is full, so that w1 is the only free capacity. A task of the queue that defers
 // waits as well.
 func TestBackfill_TasksThatRespectReservation(t *testing.T) {
 	group := gangOf("group", 1, 1)
@@ -93,7 +93,7 @@
 		tasks []Task
 		want  string
 	}{
-		{"the queue that yields", nil, ""},
+		{"the queue that defers", nil, ""},
 		{"a group of it", group, ""},
 		{"what comes later in the same queue", []Task{queueTask("calm", "small", 101, 1)}, ""},
 		{"not what came first in the same queue", []Task{queueTask("calm", "small", 99, 1)}, "small@w1"},
@@ -123,7 +123,7 @@
 }
 
 // TestBackfill_LongRunningTasksIgnoreReservation: a task that runs until cancelled takes whatever
-// room there is.
+// capacity there is.
 func TestBackfill_LongRunningTasksIgnoreReservation(t *testing.T) {
 	e := deferringEngine(2, burstDefers)
 	held := holdBurst(e, "w1", 4)
@@ -138,7 +138,7 @@
 }
 
 // TestBackfill_NoReservationAtLowUtilization: little of the service is used, and nothing shall
-// wait beside so much room.
+// wait beside so much capacity.
 func TestBackfill_NoReservationAtLowUtilization(t *testing.T) {
 	e := deferringEngine(2, burstDefers)
 	holdBurst(e, "w1", 1)
@@ -189,8 +189,8 @@
 	expect(t, "placed", jobsPlaced(e), "s0@w3 s1@w4")
 }
 
-// TestBackfill_NoReservationForNominatedTask: the large task gets the room of a run of lower
-// priority that came after it, so that w2 is free for others in the same pass.
+// TestBackfill_NoReservationForNominatedTask: the large task is nominated for what a run of lower
+// priority has that came after it, so that w2 is free for others in the same pass.
 func TestBackfill_NoReservationForNominatedTask(t *testing.T) {
 	e := deferringEngine(2, burstDefers)
 	holdBurst(e, "w1", 4)
--- a/internal/placement/backlog.go
+++ b/internal/placement/backlog.go
@@ -12,7 +12,7 @@
 // backlog owns the tasks that wait, in the order in which passes look at them: by
 // priority, then by queue, then by class or gang. Of these a pass looks at the active
 // sub-queues only; one that found no worker is unschedulable and out of the heap until
-// something changed that could make room for it.
+// something changed that could make it fit.
 //
 // A pass costs what it places and what was activated, however much waits.
 type backlog struct {
@@ -212,7 +212,7 @@
 // compareLevel puts high priorities first.
 func compareLevel(l *priorityLevel, priority int) int { return cmp.Compare(priority, l.priority) }
 
-// sub-queue returns the sub-queue of a class and makes it if there is none.
+// subQueue returns the sub-queue of a class and makes it if there is none.
 func (q *priorityQueue) subQueue(c *equivalenceClass) *subQueue {
 	if found, ok := q.subQueues[c]; ok {
 		return found
@@ -231,14 +231,14 @@
 	sub.fixOrder()
 }
 
-// fixOrder moves the sub-queue to its place after its first task changed.
+// fixOrder moves the sub-queue to its position in the heap after its first task changed.
 func (sub *subQueue) fixOrder() {
 	if sub.position != indexheap.None {
 		heap.Fix(&sub.parent.active, sub.position)
 	}
 }
 
-// activate lets the next pass look at the sub-queue. An incomplete gang stays.
+// activate lets the next pass look at the sub-queue. An incomplete gang stays out.
 func (sub *subQueue) activate() {
 	sub.stopAwaiting()
 	if sub.position == indexheap.None && sub.complete() {
@@ -246,7 +246,9 @@
 	}
 }
 
-// deactivate takes the sub-queue out of what passes look at.
+// deactivate takes the sub-queue out of what passes look at: it is unschedulable, or
+// must not be looked at again in this pass. Whoever calls it sees to it that something
+// activates the sub-queue again.
 func (sub *subQueue) deactivate() {
 	sub.stopAwaiting()
 	if sub.position != indexheap.None {
@@ -265,6 +267,7 @@
 // compareFirstTask orders sub-queues by their first tasks.
 func compareFirstTask(a, b *subQueue) int { return compareWaiting(a.tasks[0], b.tasks[0]) }
 
+// compareTask orders task ids.
 func compareTask(a, b record.TaskID) int {
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Step, b.Step), cmp.Compare(a.Index, b.Index), cmp.Compare(a.Occurrence, b.Occurrence))
 }
--- a/internal/placement/bench_score_test.go
+++ b/internal/placement/bench_score_test.go
@@ -7,7 +7,7 @@
 
 // BenchmarkPlanWithPreferences has tasks that look past the fullest worker: for
 // others once it holds half of their step, for a label that no worker has (the
-// worst case: all that fit are looked at), or for room in one zone.
+// worst case: all that fit are ranked), or for capacity in one zone.
 func BenchmarkPlanWithPreferences(b *testing.B) {
 	for _, c := range []struct {
 		name   string
@@ -27,7 +27,7 @@
 }
 
 // BenchmarkPlanBesidePreferredWorkers has tasks without a preference on workers that
-// others prefer, all of them nearly full (the worst case: all that fit are looked at).
+// others prefer, all of them nearly full (the worst case: all that fit are ranked).
 func BenchmarkPlanBesidePreferredWorkers(b *testing.B) {
 	l := newLoad(1200, 22000)
 	for number := range 1200 {
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -14,7 +14,7 @@
 // accelerators is how many workers of a fleet have one.
 const accelerators = 100
 
-// load is a fleet near its full room on which tasks end and others come.
+// load is a fleet near its full capacity on which tasks end and others come.
 type load struct {
 	engine  *Engine
 	running []Task
@@ -107,13 +107,13 @@
 }
 
 // BenchmarkPlanWithDeferringQueue has tasks of 400 shapes wait for a whole worker, and a
-// queue that yields to them.
+// queue that defers to them.
 func BenchmarkPlanWithDeferringQueue(b *testing.B) {
 	l := newLoad(1200, 22000)
 	for number := range 1200 { // that no worker is ever empty
 		l.engine.AddRun(l.task(), fmt.Sprint("id", number))
 	}
-	for _, task := range l.running[:2000] { // room beside the kept workers
+	for _, task := range l.running[:2000] { // capacity beside the reserved workers
 		l.engine.Release(task.ID)
 	}
 	l.running = l.running[2000:]
@@ -172,7 +172,7 @@
 	}
 }
 
-// BenchmarkPlanWithGangs has gangs that wait for room that every release
+// BenchmarkPlanWithGangs has gangs that wait for capacity that every release
 // could add to.
 func BenchmarkPlanWithGangs(b *testing.B) {
 	spread := &api.Spread{By: api.SpreadByZone, MaxPerDomain: 40}
@@ -203,7 +203,7 @@
 	}
 }
 
-// reserve books slots that are found room for, in windows of four queues: one
+// reserve reserves slots that find capacity, in windows of four queues: one
 // open, the others to come.
 func (l *load) reserve(slices int) {
 	var windows []Reservation
@@ -219,7 +219,7 @@
 	l.engine.Plan(0)
 }
 
-// newLoadWithReservations has room for its tasks beside the slots.
+// newLoadWithReservations has capacity for its tasks beside the slots.
 func newLoadWithReservations() *load {
 	l := newLoad(1200, 22000)
 	for i := range 1200 {
--- a/internal/placement/classes.go
+++ b/internal/placement/classes.go
@@ -160,14 +160,15 @@
 	}
 }
 
-// setUnschedulable marks that a pass found no worker.
+// setUnschedulable records that a pass found no worker. From then on workers of the pool
+// that change are compared with the class.
 func (c *equivalenceClass) setUnschedulable() {
 	c.unschedulable = true
 	c.blockedByUtilization = c.isHighlyUtilized() && (c.key.headroom != 0 || c.key.allowsProbation)
 	c.pool.unschedulable[c] = struct{}{}
 }
 
-// wake makes everything that waits for the class ready to be looked at again.
+// activate lets the next pass look at everything that waits for the class.
 func (c *equivalenceClass) activate() {
 	c.activateSubQueues()
 	for sub := range c.awaitingGangs {
@@ -175,6 +176,7 @@
 	}
 }
 
+// activateSubQueues does that for tasks that are placed alone.
 func (c *equivalenceClass) activateSubQueues() {
 	c.unschedulable, c.blockedByUtilization = false, false
 	c.leaveUnschedulable()
@@ -183,7 +185,8 @@
 	}
 }
 
-// leaveUnschedulable stops looking at changed workers once nothing waits for them.
+// leaveUnschedulable stops comparing changed workers with the class once nothing waits
+// for them.
 func (c *equivalenceClass) leaveUnschedulable() {
 	if c.unschedulable || len(c.awaitingGangs) > 0 {
 		return
@@ -192,6 +195,7 @@
 	delete(c.pool.unschedulable, c)
 }
 
+// workerChanged lets the pass look at what may fit on a worker that changed.
 func (c *equivalenceClass) workerChanged(w *worker) {
 	if c.unschedulable && c.mightFitOn(w) {
 		c.activateSubQueues()
@@ -202,9 +206,9 @@
 	}
 }
 
-// classKey is the shape of a task: all that decides where it fits. The step
-// is part of it only where a spread rule applies, the queue only while a window
-// of it is kept.
+// classKey is the shape of a task: all that decides where it fits. The step is part of
+// it only where a spread rule applies, the queue only while it has a reservation, so
+// that as many tasks as possible are of one class. What a task prefers is no part of it.
 type classKey struct {
 	selector    selector
 	need        api.Resources
@@ -212,10 +216,10 @@
 	preemptible bool
 	// allowsProbation allows workers on probation.
 	allowsProbation bool
-	// waitsForPreferred: the selector's labels are those that the task requires and
+	// waitsForPreferred: the labels of the selector are those that the task requires and
 	// those that it prefers, and workers that are slow or restricted are none for it.
 	waitsForPreferred bool
-	// runsUntilCancelled lets the class take whatever room there is.
+	// untilCancelled lets the class take whatever capacity there is.
 	untilCancelled bool
 	// headroom is the share of a worker that is to stay free, in hundredths.
 	headroom int
@@ -256,8 +260,8 @@
 	return key
 }
 
-// durationOf is the spec's longest run in whole seconds, rounded up so that
-// there are not too many classes; 0 is no bound.
+// durationOf is the longest run of the spec in whole seconds, rounded up so that there
+// are not too many classes; 0 is no bound.
 func durationOf(spec *api.TaskSpec) record.Millis {
 	const second = 1000
 	longest := record.MillisOf(spec.MaxDuration.Std())
@@ -267,8 +271,8 @@
 	return (longest + second - 1) / second * second
 }
 
-// canonicalLabels is the same text for equal labels. Lengths keep apart what
-// separators could not.
+// canonicalLabels is the same text for equal labels. Quotes keep apart what separators
+// could not.
 func canonicalLabels(labels map[string]string) string {
 	if len(labels) == 0 {
 		return ""
--- a/internal/placement/decisions_test.go
+++ b/internal/placement/decisions_test.go
@@ -138,7 +138,7 @@
 	queue := []string{"a", "a", "b", "c", "d"}[g.random.IntN(5)]
 	together := g.chance(4)
 	if together && g.chance(6) {
-		// No room comes free for all members at once: capacity is drained for them.
+		// No capacity comes free for all members at once: capacity is drained for them.
 		count, spec.Resources = 4, api.Resources{CPUMillis: 8, MemoryMB: 8}
 		spec.Labels, spec.Prefer = nil, nil
 	}
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -128,12 +128,14 @@
 	e.reclassify(func(task *Task) bool { return task.Spec.Preemptible })
 }
 
+// sameWorker reports whether nothing about a worker changed.
 func sameWorker(a, b *Worker) bool {
 	return a.ID == b.ID && a.Name == b.Name && a.Zone == b.Zone &&
 		a.Capacity == b.Capacity && a.Usable == b.Usable && a.Slow == b.Slow && a.Probation == b.Probation && a.Suspect == b.Suspect &&
 		slices.Equal(a.Services, b.Services) && maps.Equal(a.Labels, b.Labels)
 }
 
+// sameTask reports whether nothing about a task changed.
 func sameTask(a, b *Task) bool {
 	return a.ID == b.ID && a.Queue == b.Queue && a.Priority == b.Priority && a.Sequence == b.Sequence &&
 		a.Spec == b.Spec && a.Gang == b.Gang && a.GangSize == b.GangSize &&
@@ -160,8 +162,8 @@
 	e.workers.remove(w)
 }
 
-// AddRun implements Planner. A task held elsewhere moves; one that waits no
-// longer does. A worker that is not known yet is accounted for by SetWorker.
+// AddRun implements Planner. A task with a run elsewhere moves; one that waits no longer
+// does. A worker that is not known yet is accounted for by SetWorker.
 func (e *Engine) AddRun(task Task, workerID string) {
 	if present := e.runs.find(task.ID); present != nil {
 		if present.worker.ID == workerID {
@@ -177,7 +179,7 @@
 	}
 	e.runs.restore(&task, to, started)
 	if e.queues.get(task.Queue).hasReservation {
-		// It may fill a slot that is still looking for a worker.
+		// It may fill a pending slot.
 		e.workers.addChanged(to.worker)
 	}
 	e.reservations.dropUnsupportedSlots(to.worker)
@@ -195,7 +197,7 @@
 	}
 }
 
-// end closes a run and lets what may now have room be looked at again.
+// end closes a run and has the next pass look at what may now fit.
 func (e *Engine) end(r *run) {
 	e.runs.close(r)
 	e.reservations.dropUnsupportedSlots(r.worker)
@@ -204,8 +206,8 @@
 	activateStep(r.step)
 }
 
-// Add implements Planner. A task whose run is still held does not wait:
-// Release it first. A task that waits already is replaced if it differs.
+// Add implements Planner. A task with an open run does not wait: Release it first. A
+// task that waits already is replaced if it differs.
 func (e *Engine) Add(task Task) {
 	if e.runs.find(task.ID) != nil {
 		return
@@ -225,7 +227,8 @@
 	e.enqueue(w)
 }
 
-// enqueue puts a task where tasks of its shape wait.
+// enqueue puts a task into its sub-queue. One whose class is unschedulable is not
+// active, but may preempt.
 func (e *Engine) enqueue(w *waiting) {
 	if w.Gang != "" && w.GangSize > 1 {
 		e.addToGang(w)
@@ -240,12 +243,14 @@
 	sub.activate()
 }
 
+// addToGang puts a member into the sub-queue of its gang. A drain for the gang ends: it
+// was for the members known so far.
 func (e *Engine) addToGang(w *waiting) {
 	sub := e.backlog.ofGang(&w.Task)
 	if e.gangDrains.isFor(sub) {
 		e.stopGangDrain()
 	}
-	// Out of the heap first: a gang without tasks has no place in it.
+	// Out of the heap first: a gang without tasks has no order in it.
 	sub.deactivate()
 	sub.push(w)
 	sub.reconsider()
@@ -273,7 +278,7 @@
 // Waiting implements Planner.
 func (e *Engine) Waiting() int { return e.backlog.size() }
 
-// reclassify adds waiting tasks anew whose class changed.
+// reclassify adds tasks anew whose class may have changed: a class lives by its key.
 func (e *Engine) reclassify(concerned func(*Task) bool) {
 	tasks := e.backlog.matching(concerned)
 	for _, w := range tasks {
--- a/internal/placement/filter.go
+++ b/internal/placement/filter.go
@@ -21,9 +21,9 @@
 // isUsable reports whether the worker may get new runs.
 func isUsable(worker *worker) bool { return worker.known && worker.Usable }
 
-// availableOn is the room that the class may use on a worker outside of slots of
-// its own: one that can be made to leave uses all that is free, others leave
-// what slots need before their run surely ends.
+// availableOn is what the class may use of a worker outside of slots for its own queue:
+// a task that can be preempted uses all that is free, others leave what reserved slots
+// need before their run surely ends.
 func (c *equivalenceClass) availableOn(w *worker) api.Resources {
 	if len(w.profile) == 0 || c.key.preemptible {
 		return w.free
@@ -38,8 +38,8 @@
 	return resources.Min(w.free, slack)
 }
 
-// fitsOn reports whether the class fits on a worker of its pool now, outside
-// of slots.
+// fitsOn reports whether the class fits on a worker of its pool now, outside of reserved
+// slots, within the scope of the search. Cheap conditions come first.
 func (c *equivalenceClass) fitsOn(w *worker) bool {
 	if !c.key.untilCancelled && c.backfill.excludes(w) {
 		return false
@@ -53,8 +53,8 @@
 	return withinSpread(c.spread, &w.Worker) && c.admits(w)
 }
 
-// mightFitOn reports whether the class may find room on a worker that changed: a
-// slot counts even if a preemptible run has its room.
+// mightFitOn reports whether the class may fit on a worker that changed. A slot counts
+// also if preemptible runs have its capacity: they can be made to stop.
 func (c *equivalenceClass) mightFitOn(w *worker) bool {
 	if c.fitsOnAnyTerms(w) || c.freeSlots(w.slots) > 0 {
 		return true
@@ -67,14 +67,14 @@
 // service is highly utilized, and take any free capacity if not: nothing urgent can be
 // short of capacity then.
 
-// waitsForHeadroom reports whether tasks of the class wait if no room leaves
-// headroom. Those that run until cancelled never do.
+// waitsForHeadroom reports whether tasks of the class wait where no worker has headroom
+// left. Those that run until cancelled never do.
 func (c *equivalenceClass) waitsForHeadroom() bool {
 	return c.key.headroom != 0 && !c.key.untilCancelled && c.isHighlyUtilized()
 }
 
-// ignoringHeadroom has find look for room that need not leave headroom, if the class
-// need not wait for such room.
+// ignoringHeadroom has find search workers that need not keep headroom, if the class
+// need not wait for those that do.
 func ignoringHeadroom[T any](c *equivalenceClass, find func() T) T {
 	if c.key.headroom == 0 || c.waitsForHeadroom() {
 		var none T
@@ -85,9 +85,9 @@
 	return find()
 }
 
-// leavesHeadroom reports whether the class leaves on a worker what its queue is to
-// keep free for others. What could not leave it even on an empty worker is not held
-// back: it would never run.
+// leavesHeadroom reports whether the class leaves on a worker what its queue is to leave
+// free for others. What could not leave it even on an empty worker may use it all: it
+// would never run.
 func (c *equivalenceClass) leavesHeadroom(w *worker) bool {
 	if c.key.headroom == 0 || c.ignoresHeadroom {
 		return true
@@ -96,9 +96,9 @@
 	return fits(wanted, w.free) || !fits(wanted, w.Capacity)
 }
 
-// headroomPercentOf is what a task leaves free of a worker, in hundredths. Groups and
-// tasks with a rule of spread need many places, and could wait for the same few
-// workers for ever.
+// headroomPercentOf is what a task leaves free of a worker, in hundredths. Gangs and
+// tasks with a spread rule leave nothing: they need many targets, and could wait for the
+// same few workers for ever.
 func headroomPercentOf(task *Task, rule *QueueRule) int {
 	if task.GangSize > 1 || task.Spec.Spread != nil {
 		return 0
@@ -106,13 +106,13 @@
 	return rule.Headroom
 }
 
-// admits reports whether the class may use the worker, as far as its probation
-// goes. A class that no other worker could hold may, so that it need not wait
-// for the end of it.
+// admits reports whether the class may use the worker, as far as its health goes. A
+// class that no other worker could hold may, so that it need not wait for the end of a
+// probation.
 func (c *equivalenceClass) admits(w *worker) bool { return c.admitsBesideOwn(w, 0) }
 
-// stillAdmits reports whether room that was promised on the worker is still for the
-// class, the worker's probation considered: the class has a run there already.
+// stillAdmits reports whether what is promised on the worker is still for the class, the
+// worker's health considered: the class has a run there already.
 func (c *equivalenceClass) stillAdmits(w *worker) bool {
 	return c.key.untilCancelled || c.admitsBesideOwn(w, 1)
 }
@@ -125,7 +125,8 @@
 	return len(w.runs) <= own && (c.allowsRestricted || c.key.allowsProbation && !w.Suspect || c.hasOnlyRestricted())
 }
 
-// maxRunsOn is the number of runs of the class that the worker may get at once.
+// maxRunsOn is how many runs of the class the worker may get at once, as far as its
+// health goes.
 func (c *equivalenceClass) maxRunsOn(w *worker) int {
 	switch {
 	case !w.restricted || c.key.untilCancelled:
@@ -137,8 +138,8 @@
 	}
 }
 
-// hasOnlyRestricted reports whether only restricted workers could hold the class,
-// taken as empty.
+// hasOnlyRestricted reports whether only restricted workers could hold the class, taken
+// as empty.
 func (c *equivalenceClass) hasOnlyRestricted() bool {
 	return !slices.ContainsFunc(c.pool.workers, func(w *worker) bool {
 		return !w.restricted && fits(c.key.need, w.Capacity)
@@ -158,7 +159,8 @@
 	return nil
 }
 
-// addHealthCounts notes what is particular about a worker, and removeHealthCounts takes that back.
+// addHealthCounts counts a worker that is slow or restricted, and removeHealthCounts
+// takes it out.
 func (x *workerIndex) addHealthCounts(w *worker) {
 	if w.Slow {
 		x.slow++
@@ -180,25 +182,25 @@
 	x.addRestrictedToChanged()
 }
 
-// addRestrictedToChanged marks the restricted workers as changed: whether a class
-// may use them depends on the others.
+// addRestrictedToChanged lists the restricted workers as changed: whether a class may
+// use them depends on the others.
 func (x *workerIndex) addRestrictedToChanged() {
 	for _, w := range x.restricted {
 		x.addChanged(w)
 	}
 }
 
-// Last room: a task that runs until cancelled takes whatever room there is. It
-// never waits for headroom; where no other worker has room for it, it takes those that
-// are restricted, several on one and beside what runs there already; and it takes room
-// that a gang drains. What holds for it as for others are limits, spread, slots,
-// and room that preempted runs are about to leave to another task.
+// Last resort. A task that runs until cancelled takes whatever capacity there is. It
+// never waits for headroom; where it fits on no other worker, it takes restricted ones,
+// several runs on one and beside what runs there already; and it takes capacity that is
+// drained for a gang. What holds for it as for others are limits, spread, reserved
+// slots, and what preempted runs are about to leave to another task.
 //
-// Of other tasks, one at a time may try a worker that is held back, if it has an
-// attempt to spare, no other worker has room and its service is not highly utilized.
+// Of other tasks, one at a time may try a suspect worker, if it has an attempt to spare,
+// fits on no other worker and its service is not highly utilized.
 
-// withRestricted has find look on restricted workers too, if the class may use them where no
-// other has room.
+// withRestricted has find search restricted workers too, if the class may use them where
+// it fits on no other.
 func withRestricted[T any](c *equivalenceClass, find func() T) T {
 	if !c.key.untilCancelled && (!c.key.allowsProbation || c.isHighlyUtilized()) {
 		var none T
@@ -209,13 +211,13 @@
 	return find()
 }
 
-// isHighlyUtilized reports whether the class's service is short of room.
+// isHighlyUtilized reports whether the service of the class is short of capacity.
 func (c *equivalenceClass) isHighlyUtilized() bool {
 	return c.utilization.IsHigh(c.key.selector.service)
 }
 
-// fitsOnAnyTerms reports whether the class fits on a worker of its pool now, if no
-// other that it would rather have has room.
+// fitsOnAnyTerms reports whether the class fits on a worker of its pool now, if it fits
+// on none that it would rather have.
 func (c *equivalenceClass) fitsOnAnyTerms(w *worker) bool {
 	fitsOn := func() bool { return c.fitsOn(w) }
 	return fitsOn() || ignoringHeadroom(c, fitsOn) || w.restricted && withRestricted(c, fitsOn)
@@ -229,7 +231,7 @@
 	return c.pool.matches(to.worker) && c.fitsOnAnyTerms(to.worker)
 }
 
-// availableWithNominated is the room that came on a worker, for a class that takes also what
+// availableWithNominated is what came free on a worker, for a class that takes also what
 // is promised there.
 func (c *equivalenceClass) availableWithNominated(w *worker) api.Resources {
 	if c.key.untilCancelled && w.nominated != (api.Resources{}) {
@@ -238,7 +240,8 @@
 	return c.availableOn(w)
 }
 
-// runsUntilCancelled reports whether the sub-queue's tasks take whatever room there is.
+// runsUntilCancelled reports whether the tasks of the sub-queue take whatever capacity
+// there is. One member decides for its gang.
 func (sub *subQueue) runsUntilCancelled() bool {
 	if sub.class != nil {
 		return sub.class.key.untilCancelled
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -6,7 +6,7 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// A gang needs room for all members at once, and small tasks could take each piece of it
+// A gang needs capacity for all members at once, and small tasks could take each piece of it
 // as it comes free. So the capacity is drained for the gang that has waited longest at
 // the highest priority: after gangDrainAfterPasses, members get their targets one by one
 // as nominated runs, until all have one. Capacity is drained for one gang at a time, so
@@ -230,7 +230,7 @@
 }
 
 // fitsOnIdleWorkers reports whether workers on which nothing ran but what runs until
-// cancelled would have room for the members of each class.
+// cancelled would have capacity for the members of each class.
 func (sub *subQueue) fitsOnIdleWorkers() bool {
 	for _, m := range sub.members {
 		if m.class.fitCountOnIdleWorkers(m.count) < m.count {
--- a/internal/placement/gangdrain_test.go
+++ b/internal/placement/gangdrain_test.go
@@ -152,8 +152,8 @@
 	expect(t, "first", placed(e, 10), "small/a/1@a")
 }
 
-// engineWithGangDrain is an engine in which a gang of two has room drained on a, and waits
-// for room on b.
+// engineWithGangDrain is an engine in which a gang of two has capacity drained on a, and waits
+// for capacity on b.
 func engineWithGangDrain(room int64, others ...Task) *Engine {
 	e := newEngine(rackedWorker("a", room), rackedWorker("b", room))
 	e.AddRun(testTask("long", 0, room), "a-1")
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -8,21 +8,25 @@
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
-// gangState is what a sub-queue keeps if it holds the members of a gang.
+// gangState is what a sub-queue keeps if it holds the members of a gang. A gang that is
+// not placed waits for one thing at a time: a class to fit more often, or a limit.
 type gangState struct {
 	// size is the number of members that must wait together.
 	size int
 	// members counts the members by class, in the order that classes came.
 	members []memberCount
-	// awaitedClasses are the classes that must find room before another attempt.
+	// awaitedClasses are the classes of which one must fit more often before another
+	// attempt.
 	awaitedClasses []*equivalenceClass
-	// awaitedTeam is the team whose limit holds the gang back.
+	// awaitedTeam is the team whose limit holds the gang back; nil if it is that of the
+	// queue.
 	awaitedTeam *team
-	// freeMembers is how many members had a place at the last attempt; tried tells
-	// whether there was one.
+	// freeMembers is how many members fit at the last attempt; tried tells whether there
+	// was one.
 	freeMembers int
 	tried       bool
-	// unschedulableSince is the pass in which it first found no worker.
+	// unschedulableSince is the pass in which an attempt first found too little; 0 if
+	// none did.
 	unschedulableSince uint64
 }
 
@@ -32,7 +36,7 @@
 	count int
 }
 
-// complete reports whether all members wait; a sub-queues of a class always is.
+// complete reports whether all members wait. The sub-queue of a class always is.
 func (sub *subQueue) complete() bool { return sub.class != nil || len(sub.tasks) >= sub.size }
 
 // countMember adds to the number of members of a class, if this is a gang.
@@ -58,34 +62,36 @@
 	sub.activate()
 }
 
-// awaitClasses keeps a gang out of passes until a place more came for one of the
-// classes.
+// awaitClasses keeps a gang out of passes until one of the classes fits once more.
 func (sub *subQueue) awaitClasses(classes ...*equivalenceClass) {
 	sub.deactivate()
 	for _, c := range classes {
-		// Members of several classes compete for room, also where the spread
-		// rule alone leaves one of them nothing.
+		// Members of several classes compete for the same capacity, also where the
+		// spread rule alone leaves one of them nothing.
 		c.lastFitCount.full = nil
 		sub.awaitFreedFits(c, 1)
 	}
 	sub.awaitedClasses = classes
 }
 
-// awaitShortage keeps a gang out of passes until as many places came as the
-// class was short of.
+// awaitShortage keeps a gang out of passes until the class fits as many times more as it
+// was short of.
 func (sub *subQueue) awaitShortage(c *equivalenceClass, missing int) {
 	sub.deactivate()
 	sub.awaitFreedFits(c, missing)
 	sub.awaitedClasses = []*equivalenceClass{c}
 }
 
+// awaitFreedFits has the class activate the gang once it was freed so many more fits.
 func (sub *subQueue) awaitFreedFits(c *equivalenceClass, count int) {
 	c.awaitingGangs[sub] = c.freedFits + uint64(count)
 	c.activateAt = min(c.activateAt, c.awaitingGangs[sub])
 	c.pool.unschedulable[c] = struct{}{}
 }
 
-// activateGangs makes the gangs ready for which enough places may have come.
+// activateGangs lets the next pass look at gangs for which enough fits may have been
+// freed. Freed fits are counted too high rather than too low, so that no gang waits
+// beside capacity; an attempt in vain costs one count.
 func (c *equivalenceClass) activateGangs() {
 	if c.freedFits < c.activateAt {
 		return
@@ -100,8 +106,7 @@
 	}
 }
 
-// awaitLimit keeps a gang out of passes until the queue or its team may run
-// more.
+// awaitLimit keeps a gang out of passes until the queue or its team may run more.
 func (sub *subQueue) awaitLimit(size int) {
 	sub.deactivate()
 	q := sub.parent.queue
@@ -113,7 +118,8 @@
 	sub.awaitedTeam = q.team
 }
 
-// stopAwaiting forgets what the gang was parked at. Class sub-queues are never parked.
+// stopAwaiting forgets what the gang waits for. The sub-queue of a class waits for
+// nothing here: its class tells whether it is unschedulable.
 func (sub *subQueue) stopAwaiting() {
 	for _, c := range sub.awaitedClasses {
 		delete(c.awaitingGangs, sub)
@@ -127,9 +133,9 @@
 	}
 }
 
-// placeGang places all members of the gang or none. It returns false if the
-// gang fits but not in what is left of the pass's limit: the pass then ends,
-// and the next one starts with this gang.
+// placeGang places all members of the gang or none. It returns false if the gang fits
+// but not in what is left of the limit of the pass: the pass then ends, and the next one
+// starts with this gang.
 func (p *pass) placeGang(sub *subQueue) bool {
 	if !sub.parent.queue.canRun(len(sub.tasks)) {
 		sub.awaitLimit(len(sub.tasks))
@@ -166,15 +172,17 @@
 	return true
 }
 
-// gangPlacement is what a attempt to place a gang found: a run for each member, or the
-// class that is short of places, if that alone tells.
+// gangPlacement is what an attempt to place a gang found: a run for each member, or the
+// class that does not fit often enough, if that alone tells.
 type gangPlacement struct {
 	opened  []*run
 	short   *equivalenceClass
 	missing int
 }
 
-// openAll opens runs for all members of the gang or for none.
+// openAll opens runs for all members of the gang or for none. It counts first, which is
+// cheap: only a gang whose classes fit often enough, each for itself, is tried member by
+// member.
 func (p *pass) openAll(sub *subQueue, members []*waiting) gangPlacement {
 	if short, missing := sub.findShortage(); short != nil {
 		return gangPlacement{short: short, missing: missing}
@@ -188,7 +196,7 @@
 	return gangPlacement{opened: opened}
 }
 
-// awaitFits keeps a gang that found no worker out of passes until it may find some.
+// awaitFits keeps a gang that found too little out of passes until it may find enough.
 func (sub *subQueue) awaitFits(found gangPlacement) {
 	if found.short != nil {
 		sub.awaitShortage(found.short, found.missing)
@@ -197,13 +205,14 @@
 	sub.awaitClasses(sub.classes()...)
 }
 
+// recordUnschedulableSince keeps the first pass in which the gang found too little.
 func (sub *subQueue) recordUnschedulableSince(pass uint64) {
 	if sub.unschedulableSince == 0 {
 		sub.unschedulableSince = pass
 	}
 }
 
-// tryAll opens runs for members until one finds no worker.
+// tryAll opens runs for members until one finds no target.
 func (p *pass) tryAll(members []*waiting) []*run {
 	opened := make([]*run, 0, len(members))
 	for _, member := range members {
@@ -216,6 +225,7 @@
 	return opened
 }
 
+// rollBack closes the runs of an attempt that failed.
 func (p *pass) rollBack(opened []*run) {
 	for _, r := range opened {
 		p.engine.runs.close(r)
@@ -231,19 +241,17 @@
 	return classes
 }
 
-// fitCount is how many tasks of a class had room, counted up to enough.
+// fitCount is how often a class fitted when it was last counted, up to enough.
 type fitCount struct {
 	pass         uint64
 	enough, fits int
-	// full are the domains that the spread rule closed, if it was counted to
-	// the end: room freed there makes no place. It holds for one version of
-	// workers.
+	// full are the domains that the spread rule closed, if it was counted to the end:
+	// what is freed there makes no fit. It holds for one version of the pool.
 	full    map[string]bool
 	version uint64
 }
 
-// freedFitsOn is the most places that a changed worker can add to the last
-// count.
+// freedFitsOn is by how much at most a changed worker can raise the last count.
 func (c *equivalenceClass) freedFitsOn(w *worker) uint64 {
 	if c.spread != nil && c.lastFitCount.full != nil && c.lastFitCount.version == c.pool.version {
 		if domain, ok := w.Domain(c.spread.by); !ok || c.lastFitCount.full[domain] {
@@ -253,9 +261,9 @@
 	return uint64(resources.FitCount(c.key.need, c.availableWithNominated(w), math.MaxInt32) + c.freeSlots(w.slots))
 }
 
-// findShortage returns a class that has fewer places than the gang has
-// members of it, and how many are missing, or nil. Classes are counted one by
-// one, so nil does not promise that all fit together.
+// findShortage returns a class that fits less often than the gang has members of it, and
+// how many are missing, or nil. Classes are counted one by one, so nil does not say that
+// all fit together.
 func (sub *subQueue) findShortage() (short *equivalenceClass, missing int) {
 	sub.freeMembers = 0
 	for _, m := range sub.members {
@@ -268,8 +276,8 @@
 	return short, missing
 }
 
-// places is class.places, counted once a pass where it fell short: room only
-// shrinks during a pass, so that many gangs of one class cost one count.
+// fitCountThisPass is fitCount, counted once a pass where it fell short: free capacity
+// only shrinks during a pass, so that many gangs of one class cost one count.
 func (c *equivalenceClass) fitCountThisPass(enough int) int {
 	last := &c.lastFitCount
 	if last.pass == c.clock.pass && last.fits < last.enough {
@@ -280,8 +288,8 @@
 	return c.lastFitCount.fits
 }
 
-// places counts how many tasks of the class fit now, up to enough. Slices
-// count whole: with a spread rule there may be fewer.
+// fitCount counts how many tasks of the class fit now, up to enough. Slots count whole:
+// with a spread rule fewer may fit. It costs one look at each worker of the pool.
 func (c *equivalenceClass) fitCount(enough int) int {
 	left := map[string]int{}
 	total := 0
@@ -315,8 +323,8 @@
 	return full
 }
 
-// takeFromDomain returns how many of the wanted runs the worker's domain still
-// takes, and counts them in left.
+// takeFromDomain returns how many of the wanted runs the worker's domain still takes,
+// and counts them in left.
 func takeFromDomain(left map[string]int, rule *spreadRule, worker *Worker, wanted int) int {
 	domain, ok := worker.Domain(rule.by)
 	if !ok {
@@ -369,7 +377,7 @@
 	return total
 }
 
-// resetFitCounts has the places for a gang counted anew.
+// resetFitCounts has the classes of a gang counted anew in this pass.
 func (sub *subQueue) resetFitCounts() {
 	for _, m := range sub.members {
 		m.class.lastFitCount = fitCount{}
--- a/internal/placement/headroom_test.go
+++ b/internal/placement/headroom_test.go
@@ -48,7 +48,7 @@
 }
 
 // TestHeadroom_FreedCapacityActivatesTasks: it is placed once an end makes enough
-// room, and not before.
+// capacity, and not before.
 func TestHeadroom_FreedCapacityActivatesTasks(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(100)))
 	e.SetQueues([]QueueRule{{Name: "low", Weight: 1, Headroom: 20}})
@@ -100,7 +100,7 @@
 	expect(t, "of low priority", countBy(e, name), map[string]int{"a": 7, "b": 7, "c": 1})
 }
 
-// TestHeadroom_BlockedTasksActivateAtLowUtilization: room comes free only where the
+// TestHeadroom_BlockedTasksActivateAtLowUtilization: capacity comes free only where the
 // work that waits cannot run.
 func TestHeadroom_BlockedTasksActivateAtLowUtilization(t *testing.T) {
 	e := threeRacks()
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -8,9 +8,10 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// nomination is a task, or a gang whole, that is promised room which preempted runs
-// still have. Its tasks count as running for limits, fairness and spread rules,
-// but take part in no pass; they are placed once the room is there.
+// nomination is a task, or a whole gang, that is promised what preempted runs still
+// have, as a pod is nominated to a node in Kubernetes. Its tasks count as running for
+// limits, fair share and spread rules, but take part in no pass; they are placed once
+// all that they need is free.
 type nomination struct {
 	members []*waiting
 	// runs are the members' nominated runs, in the order of members.
@@ -27,7 +28,7 @@
 
 // nominationList owns the nominations.
 type nominationList struct {
-	// ordered are those that wait for their room, in the order in which they are placed.
+	// ordered are in the order in which they are placed.
 	ordered []*nomination
 }
 
@@ -43,8 +44,8 @@
 // all returns a copy: nominations end while they are looked at.
 func (l *nominationList) all() []*nomination { return slices.Clone(l.ordered) }
 
-// nominate promises their targets to tasks and asks for the victims to be stopped.
-// runs are the nominated runs of the members.
+// nominate promises targets to tasks and asks for the victims to be stopped. runs are
+// the nominated runs of the members.
 func (e *Engine) nominate(members []*waiting, runs []*run, victims []Preemption) {
 	n := &nomination{members: members, runs: runs}
 	for _, member := range members {
@@ -55,6 +56,7 @@
 	e.preemptor.request(victims)
 	for _, r := range runs {
 		if r.slot != nil {
+			// The run may outlast its window.
 			e.reservations.dropUnsupportedSlots(r.worker)
 		}
 	}
@@ -73,7 +75,8 @@
 	}
 }
 
-// revokeNomination ends the nomination that a task is part of, if any.
+// revokeNomination ends what a task that waits is promised, by its nomination or by the
+// drain for its gang; nothing if it is promised none.
 func (e *Engine) revokeNomination(w *waiting) {
 	switch {
 	case w.nomination != nil:
@@ -86,17 +89,18 @@
 // revokeNominationOf is revokeNomination for the task of a nominated run.
 func (e *Engine) revokeNominationOf(task record.TaskID) { e.revokeNomination(e.backlog.find(task)) }
 
-// cancelNominationsOn ends the nominations that promise room on a worker.
+// cancelNominationsOn ends the nominations that promise something on a worker.
 func (e *Engine) cancelNominationsOn(w *worker) {
 	for _, r := range w.sortedRuns(func(r *run) bool { return r.nominated }) {
-		// An earlier unit may have had several runs here.
+		// A nomination that ended may have had several runs here.
 		if _, open := w.runs[r]; open {
 			e.revokeNominationOf(r.task)
 		}
 	}
 }
 
-// placeNominated places units whose room has come.
+// placeNominated places the nominations for which all that is promised is free. Those
+// that no longer keep the rules end.
 func (p *pass) placeNominated() {
 	e := p.engine
 	for _, n := range e.nominations.all() {
@@ -128,8 +132,8 @@
 	return false
 }
 
-// breaksRule reports whether a nominated run no longer keeps the rules for its
-// worker and slot.
+// breaksRule reports whether a nominated run no longer keeps the rules for its worker
+// and slot.
 func breaksRule(r *run, member *waiting) bool {
 	c := member.class
 	if !c.pool.matches(r.worker) || resources.IsNegative(r.worker.freeOnceStopped()) || !c.stillAdmits(r.worker) {
@@ -144,8 +148,8 @@
 	return !respectsReservedSlots(r, member)
 }
 
-// respectsReservedSlots reports whether a run outside of slots, if it starts now, takes
-// no room from them.
+// respectsReservedSlots reports whether a run outside of reserved slots, if it starts
+// now, takes nothing that they need.
 func respectsReservedSlots(r *run, member *waiting) bool {
 	if r.preemptible {
 		return true
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -4,7 +4,8 @@
 	"cmp"
 )
 
-// pass is one call of Plan.
+// pass is one call of Plan: a round over the backlog, highest priority first, that ends
+// with the limit or when nothing active is left.
 type pass struct {
 	engine    *Engine
 	limit     int
@@ -13,8 +14,15 @@
 	allowance allowance
 }
 
-// Plan implements Planner. Pending slots come first, so that room goes to
-// them before other work takes it; then the tasks that were promised room.
+// Plan implements Planner. The order of its steps matters. Measures that all searches
+// use are renewed first. Pending slots are assigned before other work could take their
+// capacity, and nominated tasks are placed before what they were promised could go to
+// others. Only then are unschedulable classes compared with the workers that changed,
+// since both steps take from these. The drain for a gang comes before the backlog, or
+// the small tasks in it would take each piece that came free.
+//
+// A pass costs what it places, what changed since the last one and what is active, not
+// what waits.
 func (e *Engine) Plan(limit int) []Decision {
 	e.clock.beginPass()
 	e.workers.refresh()
@@ -39,13 +47,13 @@
 	return p.decisions
 }
 
-// needsUtilization reports whether anything depends on which services are highly utilized.
+// needsUtilization reports whether anything depends on the utilization of services. It
+// is not counted while nothing does.
 func (e *Engine) needsUtilization() bool {
 	return e.queues.useUtilization() || e.workers.anyRestricted() || e.gangDrains.isDraining()
 }
 
-// planLevel places what waits with one priority. It returns false once the
-// pass is over.
+// planLevel places what waits with one priority. It returns false once the pass is over.
 func (p *pass) planLevel(level *priorityLevel) bool {
 	queues := level.activeQueues()
 	reservations := p.engine.backfill.begin(level, p.engine.queues.mayDefer())
@@ -62,8 +70,8 @@
 	return false
 }
 
-// planSubQueue places the first task of the sub-queue, or its gang, or takes the sub-queue
-// out of this and later passes. It returns false once the pass is over.
+// planSubQueue places the first task of the sub-queue, or its gang, or takes the
+// sub-queue out of this and later passes. It returns false once the pass is over.
 func (p *pass) planSubQueue(sub *subQueue) bool {
 	if sub.class == nil {
 		return p.placeGang(sub)
@@ -99,7 +107,7 @@
 	return opened
 }
 
-// recordDecision notes the decision and takes the task out of what waits.
+// recordDecision adds the decision and takes the task out of what waits.
 func (p *pass) recordDecision(placed *waiting, opened *run) {
 	on := opened.worker
 	if p.engine.needsUtilization() {
@@ -118,6 +126,7 @@
 	}
 }
 
+// activeQueues returns the queues of the level that may place something.
 func (level *priorityLevel) activeQueues() []*priorityQueue {
 	var queues []*priorityQueue
 	for _, q := range level.queues {
@@ -128,13 +137,13 @@
 	return queues
 }
 
-// canPlace reports whether the line has something to look at and its queue is
-// below its limit.
+// canPlace reports whether the queue has something active and is below its limits.
 func (q *priorityQueue) canPlace() bool { return len(q.active) > 0 && q.queue.canRun(1) }
 
-// nextQueue returns the line whose queue has the lowest share, then the one
-// with the lowest Sequence; nil if none may place. Queues with BySlack share
-// together; which of these goes first, mostUrgent says.
+// nextQueue returns the queue with the lowest share, then the one with the lowest
+// Sequence; nil if none may place. This is weighted max-min fairness over one resource,
+// the number of runs: each time the queue furthest below its share goes next. Queues
+// with BySlack count as one in that; mostUrgent says which of them goes first.
 func nextQueue(queues []*priorityQueue, competing competingQueues) *priorityQueue {
 	var best *priorityQueue
 	var sharing fairShare
@@ -164,11 +173,12 @@
 	return best
 }
 
-// hasEarlierTask reports whether the line's first task has the lower Sequence.
+// hasEarlierTask reports whether the first task of the queue has the lower Sequence.
 func (q *priorityQueue) hasEarlierTask(other *priorityQueue) bool {
 	return compareWaiting(q.active[0].tasks[0], other.active[0].tasks[0]) < 0
 }
 
+// before orders queues without BySlack.
 func (q *priorityQueue) before(other *priorityQueue) bool {
 	if byShare := compareFairShare(q.queue, other.queue); byShare != 0 {
 		return byShare < 0
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -8,22 +8,22 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// Bounds of what one pass spends on preemption; what does not fit in is tried
-// in later passes.
+// Bounds of what one pass spends on preemption; what does not fit in is tried in later
+// passes.
 const (
 	maxPreemptionsPerPass = 64
-	// Booked work has its own bound: a window's tasks come all at once.
+	// Work in reserved slots has its own bound: the tasks of a window come all at once.
 	maxReservedPreemptionsPerPass = 256
-	// A attempt may look at all workers, that of a gang many times; only attempts
-	// of single tasks that find nothing count.
+	// An attempt may look at all workers, that of a gang many times; of single tasks
+	// only attempts that find nothing count.
 	maxPreemptionAttemptsPerPass     = 16
 	maxGangPreemptionAttemptsPerPass = 1
 )
 
-// anyPriority lets reserved work preempt whatever is preemptible.
+// anyPriority lets work in reserved slots preempt whatever is preemptible.
 const anyPriority = math.MaxInt
 
-// preemptor chooses runs that make room for others, and owns which were asked to stop.
+// preemptor chooses runs that make way for others, and owns which were asked to stop.
 // What a run takes is counted until it was released: a preempted run stops at its own
 // pace.
 type preemptor struct {
@@ -49,7 +49,7 @@
 	return requested
 }
 
-// stop marks runs as asked to stop for a task.
+// stop records that runs are asked to stop for a task.
 func (p *preemptor) stop(victims []*run, beneficiary record.TaskID) []Preemption {
 	asked := make([]Preemption, 0, len(victims))
 	for _, r := range victims {
@@ -59,11 +59,13 @@
 	return asked
 }
 
+// setStopping records it of one run, or takes it back.
 func (p *preemptor) setStopping(r *run, stopping bool) {
 	p.workers.updateRun(r, func() { r.stopping = stopping })
 }
 
-// allowance is what a pass may still spend.
+// allowance is what a pass may still spend on preemption: victims, those for reserved
+// slots, attempts, and attempts of gangs.
 type allowance struct{ preemptions, reserved, attempts, gangAttempts int }
 
 func newAllowance() allowance {
@@ -73,8 +75,8 @@
 	}
 }
 
-// preemptOrBlock promises the sub-queue's first task room that preemption makes, or
-// takes the sub-queue out of this and later passes.
+// preemptOrBlock nominates the first task of the sub-queue for what preemption makes
+// free, or takes the sub-queue out of this and later passes.
 func (p *pass) preemptOrBlock(sub *subQueue) {
 	if sub.class.key.waitsForPreferred {
 		sub.mayPreemptNow = false
@@ -102,6 +104,7 @@
 	p.engine.nominate([]*waiting{first}, []*run{r}, victims)
 }
 
+// spend takes the victims of a choice off.
 func (a *allowance) spend(c *preemptionChoice) {
 	if c.to.slot != nil {
 		a.reserved -= len(c.victims)
@@ -110,7 +113,8 @@
 	a.preemptions -= len(c.victims)
 }
 
-// preemptionChoice is a target and the runs that must stop for it.
+// preemptionChoice is a target and the runs that must stop for it; without a target it
+// is not possible.
 type preemptionChoice struct {
 	to      placementTarget
 	victims []*run
@@ -136,8 +140,8 @@
 	) < 0
 }
 
-// findVictims finds the best target that preemption makes for a task; later tells
-// that the pass has no allowance left for it.
+// findVictims finds the best target that preemption makes for a task; later tells that
+// the pass has no allowance left for it.
 func (p *pass) findVictims(c *equivalenceClass, priority int) (best preemptionChoice, later bool) {
 	best = c.chooseReservedSlot()
 	if best.possible() {
@@ -156,13 +160,15 @@
 	return best, false
 }
 
+// improve takes over the other choice if that is better.
 func (c *preemptionChoice) improve(other preemptionChoice) {
 	if !c.possible() || other.before(c) {
 		*c = other
 	}
 }
 
-// chooseReservedSlot finds an open slot whose room preemptible runs have.
+// chooseReservedSlot finds a free slot on a worker whose capacity preemptible runs have.
+// The search ends with the first that needs one victim at most.
 func (c *equivalenceClass) chooseReservedSlot() preemptionChoice {
 	var best preemptionChoice
 	for _, r := range c.reservations {
@@ -181,7 +187,9 @@
 	return best
 }
 
-// chooseByPriority finds a worker on which runs of lower priority can make room.
+// chooseByPriority finds a worker on which runs of a lower priority can make way. The
+// search ends early once no choice could be better: one victim at most, and of the
+// lowest priority there is.
 func (p *preemptor) chooseByPriority(c *equivalenceClass, priority int) preemptionChoice {
 	var best preemptionChoice
 	for _, w := range c.pool.workers {
@@ -203,7 +211,7 @@
 const minRetryCompaction = 256
 
 // preemptionRetries owns the unschedulable sub-queues that get another attempt to
-// preempt, since runs that could make room for them may have started meanwhile. Each
+// preempt, since runs that could make way for them may have started meanwhile. Each
 // pass takes some of them in turn, so that its cost does not grow with their number.
 type preemptionRetries struct {
 	// waiting are in the order in which they get their attempt.
@@ -263,8 +271,8 @@
 	}
 }
 
-// gangPreemption is a gang's targets, as nominated runs, and the runs that would
-// have to stop. All of it can be undone.
+// gangPreemption is an attempt to preempt for a gang: the targets of its members, as
+// nominated runs, and the runs that would have to stop. All of it can be undone.
 type gangPreemption struct {
 	finder    *targetFinder
 	preemptor *preemptor
@@ -277,8 +285,8 @@
 	spent   allowance
 }
 
-// preemptForGang promises room to all members of a gang that finds none, or
-// leaves all as it was. It always lets the pass go on.
+// preemptForGang nominates all members of a gang that finds too little, or leaves all as
+// it was. It always lets the pass go on.
 func (p *pass) preemptForGang(sub *subQueue) bool {
 	e := p.engine
 	priority := sub.parent.level.priority
@@ -303,6 +311,7 @@
 	return true
 }
 
+// mayUseReservedSlots reports whether slots are reserved for some member.
 func (sub *subQueue) mayUseReservedSlots() bool {
 	for _, m := range sub.members {
 		if len(m.class.reservations) > 0 {
@@ -312,8 +321,8 @@
 	return false
 }
 
-// couldPreempt reports whether each class would have places enough if all
-// preemptible runs stopped; a cheap bound before a attempt.
+// couldPreempt reports whether each class would fit often enough if all preemptible runs
+// stopped; a cheap bound before an attempt.
 func (sub *subQueue) couldPreempt() bool {
 	for _, m := range sub.members {
 		if m.class.fitCountWithPreemption(m.count) < m.count {
@@ -323,6 +332,7 @@
 	return true
 }
 
+// placeAll finds a target for each member, or stops at the first without.
 func (t *gangPreemption) placeAll(priority int) bool {
 	for _, member := range t.members {
 		if !t.placeMember(member, priority) {
@@ -332,6 +342,8 @@
 	return true
 }
 
+// placeMember finds a target that is free, else the best that preemption makes. It
+// returns false also once the allowance is used up.
 func (t *gangPreemption) placeMember(member *waiting, priority int) bool {
 	c := member.class
 	var chosen preemptionChoice
@@ -353,6 +365,7 @@
 	return t.spent.preemptions >= 0 && t.spent.reserved >= 0
 }
 
+// undo leaves all as it was before the attempt.
 func (t *gangPreemption) undo() {
 	for _, r := range t.runs {
 		t.runTable.close(r)
--- a/internal/placement/preferences.go
+++ b/internal/placement/preferences.go
@@ -10,8 +10,7 @@
 )
 
 // preferredDomainOf returns the domain in which the next task of a step is to lie. The
-// step keeps its preferred domain for as long as that has room for the task; then it gets
-// another one.
+// step keeps its domain for as long as the task fits there; then it gets another one.
 func (f *targetFinder) preferredDomainOf(w *waiting) string {
 	s := f.steps.get(w.ID.StepID())
 	if s.preferredDomain != "" && w.class.fitsInDomain(w.Colocate, s.preferredDomain, f.workers.sizeOf(w.class)) {
@@ -29,9 +28,9 @@
 	})
 }
 
-// choosePreferredDomain returns the domain for the rest of a step: of those with room for
-// all that is wanted the one with the least, else the one with the most; ties
-// by name. It is empty if no worker has such a domain.
+// choosePreferredDomain returns the domain for the rest of a step: of those in which all
+// that is wanted fits the tightest, else the one in which most of it does; ties by name.
+// It is empty if no worker has such a domain.
 func (c *equivalenceClass) choosePreferredDomain(by string, least float64, wanted int) string {
 	fitsIn := map[string]int{}
 	left := map[string]int{}
@@ -40,8 +39,8 @@
 		if !ok || !c.fitsOn(w) {
 			continue
 		}
-		// Counted up to twice what is wanted: enough to tell a tight domain
-		// from a roomy one.
+		// Counted up to twice what is wanted: enough to tell a tight domain from a wide
+		// one.
 		here := resources.FitCount(c.key.need, c.availableOn(w), 2*wanted)
 		if c.spread != nil {
 			here = takeFromDomain(left, c.spread, &w.Worker, here)
@@ -57,6 +56,7 @@
 	return best
 }
 
+// isBetterDomain orders domains for choosePreferredDomain.
 func isBetterDomain(domain string, count int, other string, otherCount, wanted int) bool {
 	complete, otherComplete := count >= wanted, otherCount >= wanted
 	switch {
@@ -135,7 +135,7 @@
 type requirements struct {
 	// labels are those that the worker must have.
 	labels map[string]string
-	// deferredTo is set while labels hold those that the task prefers, too.
+	// preferred is set while labels hold those that the task prefers, too.
 	preferred bool
 }
 
@@ -154,7 +154,7 @@
 }
 
 // hasSound reports whether some sound worker that takes work has the labels, and the
-// room when it is empty.
+// capacity when it is empty.
 func (x *workerIndex) hasSound(spec *api.TaskSpec, labels map[string]string) bool {
 	for _, w := range x.byID {
 		if isUsable(w) && isSound(w) && fits(spec.Resources, w.Capacity) &&
--- a/internal/placement/preferences_test.go
+++ b/internal/placement/preferences_test.go
@@ -87,7 +87,7 @@
 }
 
 // TestLocalityWait_AvoidsUnhealthyWorkers: where all workers of the rack are gone,
-// slow, held back or full beside such, the task goes elsewhere or waits.
+// slow, suspect or full beside such, the task goes elsewhere or waits.
 func TestLocalityWait_AvoidsUnhealthyWorkers(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestLocalityWait_DoesNotPreempt: a task that may take other room soon stops no run.
+// TestLocalityWait_DoesNotPreempt: a task that may take other capacity soon stops no run.
 func TestLocalityWait_DoesNotPreempt(t *testing.T) {
 	e := newEngine(rackWorker("a", "z1", 10, "rack=x"), rackWorker("b", "z1", 100, "rack=y"))
 	taken := testTask("taken", 0, 10)
--- a/internal/placement/profile.go
+++ b/internal/placement/profile.go
@@ -9,16 +9,23 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// profilePoint is a moment at which the windows of slots on a worker start.
+// profilePoint is a moment at which windows of slots on a worker start.
+//
+// The points of a worker are its availability profile, as schedulers with advance
+// reservations keep one: slots take capacity from the start of their window to its end,
+// whether a run uses them or not. A run outside of slots is counted against them at each
+// such start, unless it is preemptible or surely ended by then. So work that cannot be
+// made to leave stays off the slots, and other work may use their capacity until it is
+// needed. Between two starts nothing new begins, so that the points suffice.
 type profilePoint struct {
 	at record.Millis
-	// slack is the capacity less the slots whose windows are open at that
-	// moment, and less the runs that may still be there then and cannot be made
-	// to leave. It is negative after the capacity shrank.
+	// slack is the capacity less the slots whose windows are open at that moment, and
+	// less the runs that may still be there then and cannot be made to leave. It is
+	// negative after the capacity shrank.
 	slack api.Resources
 }
 
-// allocationChange tells whether room is taken or given back.
+// allocationChange tells whether a run takes resources or gives them back.
 type allocationChange bool
 
 const (
@@ -26,7 +33,7 @@
 	deallocated allocationChange = false
 )
 
-// apply adds the amount if it is taken, and subtracts it if given back.
+// apply adds the amount to the sum, or subtracts it.
 func (s allocationChange) apply(sum, amount api.Resources) api.Resources {
 	if s == allocated {
 		return sum.Add(amount)
@@ -43,7 +50,8 @@
 	return w.freeNow().Add(w.stopping).Sub(w.nominated)
 }
 
-// account adds a run to the sums of its worker, or takes it off.
+// account adds a run to the sums and the profile of its worker, or takes it off. The
+// state of the run must not change between the two: workerIndex.updateRun sees to it.
 func (w *worker) account(r *run, change allocationChange) {
 	if r.nominated {
 		w.nominated = change.apply(w.nominated, r.need)
@@ -66,7 +74,7 @@
 	}
 }
 
-// rebuildProfile works the points out from the worker's slots and runs.
+// rebuildProfile works the profile out from the slots and runs of the worker.
 func (w *worker) rebuildProfile() {
 	w.profile = w.profile[:0]
 	for _, s := range w.slots {
@@ -79,7 +87,7 @@
 	}
 }
 
-// slackAt is point.slack at any moment.
+// slackAt is profilePoint.slack at any moment.
 func (w *worker) slackAt(moment record.Millis) api.Resources {
 	slack := w.Capacity
 	for _, s := range w.slots {
@@ -95,8 +103,8 @@
 	return slack
 }
 
-// slackDuring is the least slack while the reservation's window is open, with
-// what one run takes, if it is not nil.
+// slackDuring is the least slack while the window of the reservation is open, with what
+// one run takes, if it is not nil.
 func (w *worker) slackDuring(r *reservation, without *run) api.Resources {
 	slack := without.addNeedAt(w.slackAt(r.Start), r.Start)
 	for _, p := range w.profile {
@@ -107,7 +115,8 @@
 	return slack
 }
 
-// slackUntil is the least slack before a moment.
+// slackUntil is the least slack before a moment; bound is false if no window starts
+// before it.
 func (w *worker) slackUntil(end record.Millis) (slack api.Resources, bound bool) {
 	for i := range w.profile {
 		if w.profile[i].at >= end {
--- a/internal/placement/property_longrunning_test.go
+++ b/internal/placement/property_longrunning_test.go
@@ -133,7 +133,7 @@
 	return len(decisions) > 0
 }
 
-// wait lets so many passes go by that gangs drain room.
+// wait lets so many passes go by that gangs drain capacity.
 func (m *longRunningModel) wait(*rapid.T) {
 	for range gangDrainAfterPasses + gangDrainSearchInterval {
 		m.plan(100)
@@ -175,7 +175,7 @@
 }
 
 func (m *longRunningModel) check(t *rapid.T) {
-	// A gang that has drained all its room is placed in the pass after that.
+	// A gang that has drained all its capacity is placed in the pass after that.
 	for idle := 0; idle < 2; idle++ {
 		if m.plan(100) {
 			idle = 0
@@ -227,7 +227,7 @@
 
 func restricted(w Worker) bool { return w.Probation || w.Suspect }
 
-// admits applies the rule of probation and that of last room.
+// admits applies the rule of probation and that of last resort.
 func (m *model) admits(task Task, w Worker) bool {
 	if !restricted(w) || task.UntilCancelled {
 		return true
@@ -254,7 +254,7 @@
 	return true
 }
 
-// highly utilized applies the rule for services that are short of room, from scratch.
+// isHighlyUtilized applies the rule for services that are short of capacity, from scratch.
 func (m *model) isHighlyUtilized(service string) bool {
 	var capacity, used api.Resources
 	for id, w := range m.workers {
@@ -269,8 +269,8 @@
 }
 
 // checkLongRunning checks that a restricted worker was not taken while a trusted one had
-// room, but by a task that may try it; and that one held back was taken by no such
-// task either. Promised room may explain it.
+// capacity, but by a task that may try it; and that a suspect one was taken by no such
+// task either. Promised capacity may explain it.
 func (m *model) checkLongRunning(t *rapid.T, task Task, on Worker) {
 	if !restricted(on) || task.AllowsProbation && !on.Suspect || m.hasOnlyRestricted(task) || task.Gang != "" {
 		return
--- a/internal/placement/property_reservation_test.go
+++ b/internal/placement/property_reservation_test.go
@@ -223,7 +223,7 @@
 	}
 }
 
-// checkQuota checks that a task was not promised room beyond its limits.
+// checkQuota checks that a task was not promised capacity beyond its limits.
 func (m *model) checkQuota(t *rapid.T, task Task) {
 	rule := m.queues[task.Queue]
 	promised := m.nominatedRuns(func(queue string) bool { return queue == task.Queue })
@@ -238,7 +238,7 @@
 }
 
 // checkReservedSlots checks that slots are where they may be, that what runs in them
-// is reserved, and that there is room for those not in use.
+// is reserved, and that there is capacity for those not in use.
 func (m *model) checkReservedSlots(t *rapid.T) {
 	placed, used := map[string]int{}, map[string]int{}
 	if got, want := fmt.Sprint(m.engine.ReservedSlots()), fmt.Sprint(m.twin.ReservedSlots()); got != want {
--- a/internal/placement/property_test.go
+++ b/internal/placement/property_test.go
@@ -278,7 +278,7 @@
 	return len(decisions)
 }
 
-// setDeferences has queues yield, or no longer.
+// setDeferences has queues defer, or no longer.
 func (m *model) setDeferences(t *rapid.T) {
 	deferences := rapid.SampledFrom([][]Deference{
 		nil,
@@ -290,8 +290,8 @@
 }
 
 // planAll checks that nothing that could be placed alone still waits, once no queue
-// leaves room alone for others. A reserved run may make slots move in the middle of a
-// pass, so that there is room for tasks that were passed over: they come in the next.
+// leaves capacity alone for others. A reserved run may make slots move in the middle of a
+// pass, so that there is capacity for tasks that were passed over: they come in the next.
 func (m *model) planAll(t *rapid.T) {
 	for m.plan(t, 1_000_000) > 0 {
 		continue
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -9,7 +9,7 @@
 	running int
 	// team is nil if the queue is of no team.
 	team *team
-	// hasReservation is set while room is reserved for a window of the queue.
+	// hasReservation is set while capacity is reserved for a window of the queue.
 	hasReservation bool
 	// defersTo are the queues that go first while this one has more than its share.
 	defersTo map[*queue]bool
@@ -140,14 +140,14 @@
 	return changed
 }
 
-// activateGangs lets the next pass look at gangs that the queue's limit held back.
+// activateGangs lets the next pass look at gangs that the queue's limit suspect.
 func (q *queue) activateGangs() {
 	for sub := range q.awaitingGangs {
 		sub.activate()
 	}
 }
 
-// runEnded lets the next pass look at gangs that a limit held back.
+// runEnded lets the next pass look at gangs that a limit suspect.
 func (q *queue) runEnded() {
 	q.activateGangs()
 	if q.team != nil {
@@ -231,7 +231,7 @@
 	}
 }
 
-// activateGangs lets the next pass look at gangs that the team's limit held back.
+// activateGangs lets the next pass look at gangs that the team's limit suspect.
 func (t *team) activateGangs() {
 	for sub := range t.awaitingGangs {
 		sub.activate()
@@ -318,7 +318,7 @@
 	return first
 }
 
-// hasWaitingTasks reports whether something waits in the queue for room.
+// hasWaitingTasks reports whether something waits in the queue for capacity.
 func (q *priorityQueue) hasWaitingTasks() bool {
 	return q.queue.canRun(1) && (len(q.subQueues) > 0 || q.gangCount > 0)
 }
--- a/internal/placement/queues_test.go
+++ b/internal/placement/queues_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// deferToAll has queues yield to all others.
+// deferToAll has queues defer to all others.
 func deferToAll(rules []QueueRule, queues []string) []Deference {
 	var deferences []Deference
 	for _, name := range queues {
--- a/internal/placement/reasons.go
+++ b/internal/placement/reasons.go
@@ -17,8 +17,8 @@
 	reasonRestricted     = "waits for a worker on which work does not fail"
 )
 
-// Reason implements Planner. It is worked out from the state at the time of
-// the call; a task that would fit now waits for its turn.
+// Reason implements Planner. It is worked out from the state at the time of the call; a
+// task that would fit now waits for its turn. Users see the texts.
 func (e *Engine) Reason(task record.TaskID) string {
 	w := e.backlog.find(task)
 	if w == nil {
@@ -51,6 +51,7 @@
 	return fmt.Sprintf("quota: %s %q has %d of its %d running tasks", kind, name, running, most)
 }
 
+// gangReason explains a member of a gang.
 func (e *Engine) gangReason(w *waiting) string {
 	sub := w.subQueue
 	if !sub.complete() {
@@ -107,8 +108,8 @@
 	return "no room: " + feasibility.Shortage(c.key.need, most, "most free")
 }
 
-// reservedUntil is when the last window ends of the slots that alone keep the
-// class off a worker; 0 if something else does too.
+// reservedUntil is when the last window ends of the slots that alone keep the class off
+// a worker; 0 if something else does too.
 func (c *equivalenceClass) reservedUntil(w *worker) record.Millis {
 	if !fits(c.key.need, w.free) || !withinSpread(c.spread, &w.Worker) {
 		return 0
@@ -120,8 +121,8 @@
 	return until
 }
 
-// eligibilityReason says why no worker could ever take the task as the
-// workers are now; empty if one could, room and spread counts aside.
+// eligibilityReason says why no worker could ever take the task as the workers are now;
+// empty if one could, free capacity and spread counts aside.
 func (x *workerIndex) eligibilityReason(w *waiting) string {
 	if len(w.class.pool.workers) > 0 {
 		return missingDomain(w.Spec, w.class.pool.workers)
@@ -136,6 +137,8 @@
 	return reasonNoUsableWorker
 }
 
+// missingDomain says that none of the workers lies in a domain of the spread rule; empty
+// if one does.
 func missingDomain(spec *api.TaskSpec, workers []*worker) string {
 	if spec.Spread == nil {
 		return ""
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -18,15 +18,15 @@
 	// placed counts the slots that have a worker.
 	placed int
 	// searched is set once all workers were searched: from then on only those that
-	// changed can have room for a pending slot.
+	// changed can have capacity for a pending slot.
 	searched bool
 }
 
-// reservationTable owns the windows for which room is reserved now, and their slots.
+// reservationTable owns the windows for which capacity is reserved now, and their slots.
 //
-// The room of a slot is taken from the profile of its worker (see profile.go) for the
+// The capacity of a slot is taken from the profile of its worker (see profile.go) for the
 // whole window, used or not. A slot stays on its worker for as long as that serves it
-// and has the room; otherwise the slot is pending until another worker has.
+// and has the capacity; otherwise the slot is pending until another worker has.
 type reservationTable struct {
 	// windows are ordered by their start.
 	windows []*reservation
@@ -94,7 +94,7 @@
 	t.windows = append(t.windows, r)
 }
 
-// drop gives back the room of its slots. What runs in them goes on as ordinary runs.
+// drop gives back the capacity of its slots. What runs in them goes on as ordinary runs.
 func (t *reservationTable) drop(r *reservation) {
 	t.windows = slices.DeleteFunc(t.windows, func(other *reservation) bool { return other == r })
 	for _, s := range slices.Clone(r.slots) {
--- a/internal/placement/reservedslots.go
+++ b/internal/placement/reservedslots.go
@@ -14,7 +14,7 @@
 	reservation *reservation
 	worker      *worker
 	slots       int
-	// used counts slots in which a run is open or nominated.
+	// used counts the slots in which a run is open or nominated.
 	used int
 }
 
@@ -36,8 +36,8 @@
 	return s
 }
 
-// dropSlots takes slots off a worker; they are pending from then on. Runs in
-// slots that are gone go on as ordinary ones, nominations end.
+// dropSlots takes slots off a worker; they are pending from then on. Runs in slots that
+// are gone go on as ordinary ones, nominations for them end.
 func (t *reservationTable) dropSlots(s *slotSet, count int) {
 	if count <= 0 {
 		return
@@ -45,7 +45,7 @@
 	left := s.slots - count
 	t.evict(s, s.used-left)
 	t.workers.updateSlots(s.worker, func() {
-		// Evicting may have made settle take some already.
+		// Evicting ends runs, and so may have dropped some already.
 		s.reservation.placed -= max(s.slots-left, 0)
 		s.slots = min(s.slots, left)
 		if s.slots == 0 {
@@ -56,19 +56,20 @@
 	t.workers.addChanged(s.worker)
 }
 
+// remove takes a set without slots off its worker and its reservation.
 func (s *slotSet) remove() {
 	isThis := func(other *slotSet) bool { return other == s }
 	s.worker.slots = slices.DeleteFunc(s.worker.slots, isThis)
 	s.reservation.slots = slices.DeleteFunc(s.reservation.slots, isThis)
 }
 
-// evict makes runs in slots ordinary runs, and cancels nominations for slots.
+// evict makes so many runs in slots ordinary runs, and ends nominations for slots.
 func (t *reservationTable) evict(s *slotSet, count int) {
 	for _, r := range s.worker.sortedRuns(func(r *run) bool { return r.slot == s }) {
 		if count <= 0 {
 			return
 		}
-		// A canceled unit may have had more runs here.
+		// A nomination that ended may have had more runs here.
 		if r.slot != s {
 			continue
 		}
@@ -82,8 +83,9 @@
 	}
 }
 
-// dropUnsupportedSlots takes slots off a worker that no longer has the room for them: those
-// that are not in use, and of these the window that starts last first.
+// dropUnsupportedSlots takes slots off a worker that no longer has the capacity for
+// them: those that are not in use, and of these the window that starts last first. Each
+// drop changes the profile, so that the look at it starts anew.
 func (t *reservationTable) dropUnsupportedSlots(w *worker) {
 	for at := 0; at < len(w.profile); {
 		if !resources.IsNegative(w.profile[at].slack) {
@@ -100,8 +102,8 @@
 	}
 }
 
-// lastUnused returns a set with an unused slot that counts at that moment, the
-// window that starts last; nil if there is none.
+// lastUnused returns a set with an unused slot that counts at that moment, the window
+// that starts last; nil if there is none.
 func (w *worker) lastUnused(moment record.Millis) *slotSet {
 	var last *slotSet
 	for _, s := range w.slots {
@@ -115,6 +117,7 @@
 	return last
 }
 
+// dropAllSlots takes all slots off a worker.
 func (t *reservationTable) dropAllSlots(w *worker) {
 	for _, s := range slices.Clone(w.slots) {
 		t.dropSlots(s, s.slots)
@@ -130,8 +133,8 @@
 	}
 }
 
-// assignSlots finds workers for pending slots. Only workers that changed are
-// looked at again.
+// assignSlots finds workers for pending slots. Once all workers were searched, only
+// those that changed are searched again.
 func (t *reservationTable) assignSlots(changed []*worker) {
 	for _, r := range t.windows {
 		if r.pending() <= 0 {
@@ -146,7 +149,8 @@
 	}
 }
 
-// assign fills the best worker first, and looks at it again after each slot.
+// assign fills the best worker first, and looks at it again after each slot: a heap
+// keeps the candidates, so that each slot costs the logarithm of their number.
 func (t *reservationTable) assign(r *reservation, candidates []*worker) {
 	var open slotCandidateHeap
 	for _, w := range slices.Clone(candidates) {
@@ -171,8 +175,8 @@
 	}
 }
 
-// adopt lets runs that the queue started in the open window fill pending
-// slots where they are, as after a change of the leader.
+// adopt lets runs that the queue started in the open window fill pending slots where
+// they are, as after a change of the leader.
 func (t *reservationTable) adopt(r *reservation, w *worker) {
 	if r.Start > t.clock.now || len(w.runs) == 0 {
 		return
@@ -194,15 +198,16 @@
 	}
 }
 
-// slotCandidate is a worker that has room for one more slot.
+// slotCandidate is a worker that has capacity for one more slot.
 type slotCandidate struct {
 	worker *worker
-	// preempted is the room of preemptible runs that the slot needs.
+	// preempted is the size of what preemptible runs take that the slot needs.
 	preempted float64
-	// freeSize is what the worker has at the window's start.
+	// freeSize is the size of the least slack during the window.
 	freeSize float64
 }
 
+// slotCandidateOn returns the candidate that a worker is, if it is one.
 func (t *reservationTable) slotCandidateOn(r *reservation, w *worker) (slotCandidate, bool) {
 	slack := w.slackDuring(r, nil)
 	if !fits(r.SlotSize, slack) || w.restricted {
--- a/internal/placement/restricted_test.go
+++ b/internal/placement/restricted_test.go
@@ -85,8 +85,8 @@
 	expect(t, "runs", len(e.Plan(10)), 3)
 }
 
-// TestProbation_CancelsNomination: room that preemption makes on a worker is given up
-// once the worker is held back.
+// TestProbation_CancelsNomination: capacity that preemption makes on a worker is given up
+// once the worker is suspect.
 func TestProbation_CancelsNomination(t *testing.T) {
 	w := testWorker("w", cpu(10))
 	e := newEngine(w)
--- a/internal/placement/runs.go
+++ b/internal/placement/runs.go
@@ -69,8 +69,8 @@
 	return start + record.MillisOf(spec.MaxDuration.Std())
 }
 
-// occupiesAt reports whether the run takes resources outside of reserved slots at that moment
-// and cannot be made to leave.
+// occupiesAt reports whether the run takes resources outside of reserved slots at that
+// moment and cannot be made to leave.
 func (r *run) occupiesAt(moment record.Millis) bool {
 	if r.preemptible {
 		return false
@@ -89,8 +89,8 @@
 	return slack.Add(r.need)
 }
 
-// mayBeVictim reports whether the run may be preempted. Those in slots are
-// not: their room is not for others.
+// mayBeVictim reports whether the run may be preempted. Those in slots are not: what
+// they take is not for others.
 func (r *run) mayBeVictim() bool {
 	return r.preemptible && !r.stopping && !r.nominated && r.slot == nil
 }
@@ -107,7 +107,8 @@
 	}
 }
 
-// sortedRuns returns runs of the worker in the order of their tasks.
+// sortedRuns returns runs of the worker in the order of their tasks: iteration over the
+// map would not be repeatable.
 func (w *worker) sortedRuns(wanted func(*run) bool) []*run {
 	var runs []*run
 	for r := range w.runs {
@@ -119,6 +120,7 @@
 	return runs
 }
 
+// runsByStep counts the runs of the worker by step.
 func (w *worker) runsByStep() map[*step]int {
 	counts := map[*step]int{}
 	for r := range w.runs {
@@ -175,7 +177,7 @@
 	return t.add(task, to, started, false)
 }
 
-// renominate is nominate for a run that was closed on attempt: its start stays.
+// renominate is nominate for a run that was closed for an attempt: its start stays.
 func (t *runTable) renominate(task *Task, to placementTarget, started record.Millis) *run {
 	return t.add(task, to, started, true)
 }
@@ -228,8 +230,8 @@
 	t.steps.forgetIfUnused(r.step)
 }
 
-// claim turns the nominated runs of a unit into open ones, if what all of them need is
-// free by now: all or none.
+// claim turns the runs of a nomination into open ones, if what all of them need is free
+// by now: all or none.
 func (t *runTable) claim(n *nomination) bool {
 	for i, r := range n.runs {
 		if !fits(r.need, r.worker.freeNow()) {
@@ -259,7 +261,8 @@
 	return changed
 }
 
-// isPreemptible reports whether the task may be preempted, and not yet too often was.
+// isPreemptible reports whether the task may be preempted, and was not preempted too
+// often yet.
 func (t *runTable) isPreemptible(task *Task) bool {
 	return task.Spec.Preemptible && task.Preemptions < t.maxPreemptions
 }
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -15,10 +15,10 @@
 	slot   *slotSet
 }
 
-// targetFinder searches the workers for a task that waits: which are feasible, and of
-// these the best. It changes nothing but the preferred domain of a step.
+// targetFinder searches the workers for a task that waits: which are feasible (Filter),
+// and of these the best (Score). It changes nothing but the preferred domain of a step.
 type targetFinder struct {
-	// off are the mechanisms that are switched off.
+	// off are the policies that an experiment switches off.
 	off featuregate.DisabledSet
 
 	workers   *workerIndex
@@ -26,8 +26,8 @@
 	preferred *preferredReserve
 }
 
-// findTarget finds a target that is free now: reserved slots first, then workers, at last
-// those that the class takes only if no other fits.
+// findTarget finds a target that is free now: reserved slots first, then workers that
+// leave headroom, then any, at last restricted ones.
 func (f *targetFinder) findTarget(w *waiting) (placementTarget, bool) {
 	if s := w.class.fullestFreeSlot(); s != nil {
 		return placementTarget{worker: s.worker, slot: s}, true
@@ -42,8 +42,8 @@
 	return placementTarget{worker: on}, on != nil
 }
 
-// placementOrder puts gang members that need most first: the small ones fit in what
-// these leave.
+// placementOrder puts gang members that need most first, as in first fit decreasing: the
+// small ones fit in what these leave.
 func (f *targetFinder) placementOrder(tasks []*waiting) []*waiting {
 	members := slices.Clone(tasks)
 	slices.SortFunc(members, func(a, b *waiting) int {
@@ -55,8 +55,8 @@
 	return members
 }
 
-// fullestFreeSlot returns the open slot on the fullest worker that has its room
-// now, or nil.
+// fullestFreeSlot returns the free slot on the fullest worker that has its capacity now,
+// or nil.
 func (c *equivalenceClass) fullestFreeSlot() *slotSet {
 	var best *slotSet
 	for _, r := range c.reservations {
@@ -72,8 +72,8 @@
 	return best
 }
 
-// canEnterSlot reports whether a task of the class may run in a slot of the set,
-// room aside.
+// canEnterSlot reports whether a task of the class may run in a slot of the set, if the
+// worker has the capacity.
 func (c *equivalenceClass) canEnterSlot(s *slotSet) bool {
 	return s.used < s.slots && c.isSlotReservedFor(s) && withinSpread(c.spread, &s.worker.Worker) && c.admits(s.worker)
 }
@@ -103,9 +103,9 @@
 	return open
 }
 
-// compareFullest orders workers by "fill the fullest": least room first, ties
-// by name. What a task takes is the same on every worker, so the order by room
-// before placing is the order by room left after it.
+// compareFullest orders workers by "fill the fullest" (best fit): the least free first,
+// ties by name. What a task takes is the same on every worker, so the order before
+// placing is the order after it.
 func compareFullest(a, b *worker) int {
 	if bySize := cmp.Compare(a.freeSize, b.freeSize); bySize != 0 {
 		return bySize
@@ -113,7 +113,7 @@
 	return compareName(a, b)
 }
 
-// compareLeastUnreserved is compareFullest by the room outside of slots.
+// compareLeastUnreserved is compareFullest by what no reserved slot needs.
 func compareLeastUnreserved(a, b *worker) int {
 	if bySize := cmp.Compare(a.unreservedSize, b.unreservedSize); bySize != 0 {
 		return bySize
@@ -121,6 +121,7 @@
 	return compareName(a, b)
 }
 
+// compareName makes the order of workers total.
 func compareName(a, b *worker) int {
 	if byName := cmp.Compare(a.Name, b.Name); byName != 0 {
 		return byName
@@ -133,13 +134,13 @@
 	return resources.NormalizedSize(c.key.need, x.largest)
 }
 
-// Costs of a worker for a task, by what the task would rather not have. Each is
-// greater than the sum of those after it, so that they are weighed in this
-// order. None ever makes a task wait.
+// Costs of a worker for a task, by what the task would rather not have. Each is greater
+// than the sum of those after it, so that they are weighed in this order. None ever
+// makes a task wait.
 const (
 	// costFailedBefore: a run of the task failed on the worker.
 	costFailedBefore = 1 << (6 - iota)
-	// costRestricted: the worker is on probation or held back.
+	// costRestricted: the worker is on probation or suspect.
 	costRestricted
 	// costSlow: the worker is slower than others at the same work.
 	costSlow
@@ -147,40 +148,41 @@
 	costNotPreferred
 	// costOtherDomain: the worker lies outside of the step's preferred domain.
 	costOtherDomain
-	// costOverSoftLimit: the worker holds its share of the step already.
+	// costOverSoftLimit: the worker holds as many tasks of the step as it should.
 	costOverSoftLimit
-	// costPreferredReserve: the task would take room that is left for tasks which prefer the
-	// worker; see preferred.go.
+	// costPreferredReserve: the task would take what is left for tasks which prefer the
+	// worker; see preferredReserve.
 	costPreferredReserve
 )
 
-// ranking is what a task would rather have of its worker.
+// ranking is what workers are ranked by for one task.
 type ranking struct {
 	task *Task
 	// step holds the step's open runs; nil if there are none.
 	step *step
-	// softLimit is the number of runs of the step on one worker from which on
-	// others come first; 0 is no bound.
+	// softLimit is the number of runs of the step on one worker from which on others come
+	// first; used with step only.
 	softLimit int
-	// domain is the preferred domain of the step; homeless is true if the task
-	// wants none.
+	// domain is the preferred domain of the step; anyDomain is set if the task prefers
+	// none.
 	domain    string
 	anyDomain bool
 }
 
-// softLimitPerWorker is the number of a step's tasks that one worker may hold before
-// others come first: half, rounded up. So no single worker takes a whole step
-// with it, and a step still lies on few workers.
+// softLimitPerWorker is how many tasks of a step one worker may hold before others come
+// first: half, rounded up. So no single worker takes a whole step with it, and a step
+// still lies on few workers.
 func softLimitPerWorker(stepSize int) int { return (stepSize + 1) / 2 }
 
-// hasPreferences reports whether the task may have to look past the first worker.
+// hasPreferences reports whether the task may have to look past the fullest worker.
 func (f *targetFinder) hasPreferences(task *Task) bool {
 	return len(task.Avoid) > 0 || task.Colocate != "" || task.StepSize > 1 ||
 		len(task.Spec.Prefer) > 0 || f.preferred.any() || f.workers.slow > 0 || f.workers.anyRestricted()
 }
 
-// fullest returns the worker that a task which waits takes, or nil: of those
-// that can take it the one that costs least, and of these the fullest.
+// fullest returns the worker that a task which waits takes, or nil: of those on which it
+// fits the one that costs least, and of these the fullest. A task without preferences
+// costs one look at each worker until the first on which it fits.
 func (f *targetFinder) fullest(w *waiting) *worker {
 	c, least := w.class, f.workers.sizeOf(w.class)
 	first := c.pool.fullest(c, least)
@@ -197,6 +199,7 @@
 	return c.pool.lowestCost(c, least, &wanted)
 }
 
+// rankingFor works out what a task ranks workers by.
 func (f *targetFinder) rankingFor(w *waiting) ranking {
 	wanted := ranking{task: &w.Task, anyDomain: w.Colocate == "" || f.off.Has(featuregate.PreferredDomain)}
 	if w.StepSize > 1 && !f.off.Has(featuregate.StepShare) {
@@ -209,7 +212,7 @@
 	return wanted
 }
 
-// cost is 0 for a worker that meets all wishes.
+// cost is 0 for a worker that has all that is preferred.
 func (s *ranking) cost(w *worker) int {
 	cost := 0
 	if slices.Contains(s.task.Avoid, w.Name) {
@@ -236,6 +239,8 @@
 	return cost
 }
 
+// inPreferredDomain reports whether the worker lies in the preferred domain, if there is
+// one.
 func (s *ranking) inPreferredDomain(w *worker) bool {
 	if s.anyDomain {
 		return true
--- a/internal/placement/score_test.go
+++ b/internal/placement/score_test.go
@@ -180,7 +180,7 @@
 }
 
 func TestPreferences_CostsAreWeighedInOrder(t *testing.T) {
-	// Each worker fails one wish more than the next; the fullest fails most.
+	// Each worker fails one preference more than the next; the fullest fails most.
 	failed := rackWorker("a", "z1", 10, "disk=ssd")
 	slow := rackWorker("b", "z1", 20, "disk=ssd")
 	slow.Slow = true
--- a/internal/placement/spread.go
+++ b/internal/placement/spread.go
@@ -2,18 +2,20 @@
 
 import "github.com/decklever/decklever/internal/record"
 
-// step counts the open runs of one step, as spread rules need it. It lives
-// while it has open runs or classes with a spread rule.
+// step counts the open runs of one step, as spread rules need it. It lives while it has
+// open runs or classes with a spread rule.
 type step struct {
 	key  record.StepID
 	runs int
 	// workers counts open runs by worker.
 	workers map[*worker]int
-	// domains counts open runs by Spread.By, then by domain.
+	// domains counts open runs by Spread.By, then by domain. Only kinds of domains that a
+	// rule names are counted.
 	domains map[string]map[string]int
 	// preferredDomain is the domain in which tasks are placed that want one in common.
+	// targetFinder writes it.
 	preferredDomain string
-	// classes are those with a spread rule on this step.
+	// classes are those with a spread rule on this step. classIndex writes it.
 	classes map[*equivalenceClass]struct{}
 }
 
@@ -78,7 +80,7 @@
 	}
 }
 
-// count adds runs, which may be negative, on a worker.
+// count adds runs on a worker; a negative number takes them off.
 func (s *step) count(worker *worker, runs int) {
 	s.runs += runs
 	s.workers[worker] += runs
@@ -90,6 +92,8 @@
 	}
 }
 
+// addToDomain counts in the domain of a worker. One that is not known yet has none;
+// SetWorker counts its runs.
 func addToDomain(counts map[string]int, worker *worker, by string, runs int) {
 	if !worker.known {
 		return
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -17,7 +17,7 @@
 	found   bool
 }
 
-// victimsFor is chooseVictims, worked out once until the worker's room changes:
+// victimsFor is chooseVictims, worked out once until what is free on the worker changes:
 // many tasks of one shape ask all workers in turn.
 func (w *worker) victimsFor(need api.Resources, below int) ([]*run, bool) {
 	last := &w.cachedVictims
@@ -28,11 +28,12 @@
 	return last.victims, last.found
 }
 
-// chooseVictims returns the runs below a priority that must stop so that need
-// fits once they and those asked before are gone; none if those asked before
-// are enough. One or two victims are the cheapest of that number; of more, the
-// largest are taken first and those not needed left out, so that there may be a
-// smaller set.
+// chooseVictims returns the runs below a priority that must stop so that need fits once
+// they and those asked before are gone; none if those asked before are enough. One or
+// two victims are the cheapest of that number, found by trying all pairs.
+//
+// Of more, the largest are taken first and those not needed left out, so that there may
+// be a smaller set: the exact one would be a knapsack problem.
 func (w *worker) chooseVictims(need api.Resources, below int) ([]*run, bool) {
 	free := w.freeOnceStopped()
 	if fits(need, free) {
@@ -60,19 +61,19 @@
 			return []*run{r}, true
 		}
 	}
-	// The dearer one decides, so its loop is the outer one.
-	for i, dearer := range candidates {
+	// The costlier one decides, so its loop is the outer one.
+	for i, costlier := range candidates {
 		for _, cheaper := range candidates[:i] {
-			if enough(cheaper, dearer) {
-				return []*run{cheaper, dearer}, true
+			if enough(cheaper, costlier) {
+				return []*run{cheaper, costlier}, true
 			}
 		}
 	}
 	return largestFirst(candidates, resources.Lacking(need, free), enough)
 }
 
-// largestFirst takes the victims that give most of what is lacking, then
-// leaves out the dearest that are not needed.
+// largestFirst takes the victims that give most of what is lacking, then leaves out the
+// most expensive that are not needed.
 func largestFirst(candidates []*run, lacks api.Resources, enough func(...*run) bool) ([]*run, bool) {
 	if !enough(candidates...) {
 		return nil, false
--- a/internal/placement/workers.go
+++ b/internal/placement/workers.go
@@ -67,23 +67,28 @@
 	longRunning api.Resources
 }
 
-// workerIndex finds the fullest worker that fits. Each pool is a sorted slice:
-// a search starts where enough room begins, and moving a worker is one binary
-// search and one copy.
+// workerIndex owns the workers, what is free on them, and their order in pools. Each
+// pool is a sorted slice: a search starts where enough is free, and moving a worker is
+// one binary search and one copy in each of its pools.
+//
+// Every change of what is free goes through allocate, deallocate, updateRun or
+// updateSlots, which take the worker out of its pools first: they find it by the size
+// that it had.
 type workerIndex struct {
 	byID  map[string]*worker
 	pools map[selector]*pool
 	// idle counts pools without classes.
 	idle int
-	// largest is the measure of room; it is renewed by refresh.
+	// largest is the greatest amount of each dimension that a worker has, by which sizes
+	// are normalized; refresh renews it.
 	largest api.Resources
 	// stale is set when largest must be worked out again.
 	stale bool
-	// slow counts the workers that are slow, restricted lists those on probation
-	// or held back.
+	// slow counts the workers that are slow, restricted lists those on probation or
+	// suspect.
 	slow       int
 	restricted []*worker
-	// changed lists the workers that may have gained room since the last pass.
+	// changed lists the workers on which more may fit than in the last pass.
 	changed []*worker
 }
 
@@ -147,7 +152,7 @@
 	return known, usable
 }
 
-// set takes over what is known of the worker.
+// set takes over the description of a worker.
 func (x *workerIndex) set(w *worker, to Worker) {
 	x.leavePools(w)
 	x.removeHealthCounts(w)
@@ -170,6 +175,7 @@
 	x.addChanged(w)
 }
 
+// remove forgets a worker that has no runs.
 func (x *workerIndex) remove(w *worker) {
 	x.leavePools(w)
 	x.removeHealthCounts(w)
@@ -180,7 +186,7 @@
 	delete(x.byID, w.ID)
 }
 
-// take accounts for a run on its worker.
+// allocate counts a run on its worker.
 func (x *workerIndex) allocate(r *run) {
 	w := r.worker
 	x.leavePools(w)
@@ -189,7 +195,7 @@
 	x.enterPools(w)
 }
 
-// deallocate is the reverse of take.
+// deallocate is the reverse of allocate.
 func (x *workerIndex) deallocate(r *run) {
 	w := r.worker
 	x.leavePools(w)
@@ -198,14 +204,14 @@
 	x.enterPools(w)
 }
 
-// updateRun applies a change of a run's state to the room of its worker.
+// updateRun applies a change of the state of a run to the sums of its worker.
 func (x *workerIndex) updateRun(r *run, change func()) {
 	x.deallocate(r)
 	change()
 	x.allocate(r)
 }
 
-// updateSlots applies a change of the worker's slots to its room.
+// updateSlots applies a change of the slots on a worker to what is free there.
 func (x *workerIndex) updateSlots(w *worker, change func()) {
 	x.leavePools(w)
 	change()
@@ -214,6 +220,7 @@
 	x.enterPools(w)
 }
 
+// updateFree works out what is free on a worker.
 func (x *workerIndex) updateFree(w *worker) {
 	w.version++
 	w.free = w.freeNow()
@@ -231,6 +238,7 @@
 	w.unreservedSize = resources.NormalizedSize(w.unreserved, x.largest)
 }
 
+// addChanged lists a worker for the next pass.
 func (x *workerIndex) addChanged(w *worker) {
 	if w.changed {
 		return
@@ -252,7 +260,7 @@
 	return changed
 }
 
-// refresh renews the measure of room after workers came, went or changed.
+// refresh renews the sizes of all workers after the largest changed.
 func (x *workerIndex) refresh() {
 	if !x.stale {
 		return
@@ -274,15 +282,16 @@
 	}
 }
 
-// maxIdlePools bounds the pools kept though no waiting task uses them, so
+// maxIdlePools bounds the pools that are retained though no waiting task uses them, so
 // that a steady stream of like tasks does not build its pool again and again.
 const maxIdlePools = 64
 
-// selector names the workers that a class may use, room and spread aside, and
-// by which room they are ordered.
+// selector names the workers that a class may use, whatever is free on them, and how
+// they are ordered.
 type selector struct {
 	service, labels string
-	// firm orders by worker.unreservedSize, for tasks that cannot be made to leave.
+	// byUnreserved orders by worker.unreservedSize, for tasks that cannot be made to
+	// leave.
 	byUnreserved bool
 }
 
@@ -294,7 +303,7 @@
 	compare  func(a, b *worker) int
 	// classes counts the classes and reservations that use the pool.
 	classes int
-	// unschedulable holds the classes to look at when a worker here gains room.
+	// unschedulable holds the classes to look at when a worker here changed.
 	unschedulable map[*equivalenceClass]struct{}
 	// version grows when workers come, go or are described anew.
 	version uint64
@@ -324,6 +333,7 @@
 	}
 }
 
+// build makes a pool of the workers there are.
 func (x *workerIndex) build(wanted selector, labels map[string]string) *pool {
 	p := &pool{selector: wanted, labels: labels, compare: compareFullest, unschedulable: map[*equivalenceClass]struct{}{}}
 	if wanted.byUnreserved {
@@ -340,6 +350,7 @@
 	return p
 }
 
+// dropIdle drops the pools that nothing uses.
 func (x *workerIndex) dropIdle() {
 	for wanted, p := range x.pools {
 		if p.classes == 0 {
@@ -372,7 +383,7 @@
 	return isUsable(w) && w.Offers(p.selector.service) && w.HasLabels(p.labels)
 }
 
-// withFreeSize returns the workers that have at least that room, fullest first.
+// withFreeSize returns the workers of which at least that size is free, fullest first.
 func (p *pool) withFreeSize(least float64) []*worker {
 	start := sort.Search(len(p.workers), func(i int) bool {
 		if p.selector.byUnreserved {
@@ -383,8 +394,8 @@
 	return p.workers[start:]
 }
 
-// fullest returns the fullest worker that can take a task of the class, or
-// nil. least is the room of the class's need.
+// fullest returns the fullest worker on which the class fits, or nil. least is the size
+// of what the class needs.
 func (p *pool) fullest(c *equivalenceClass, least float64) *worker {
 	for _, w := range p.withFreeSize(least) {
 		if c.fitsOn(w) {
