--- a/internal/scheduler/calendar/calendar.go
+++ b/internal/scheduler/calendar/calendar.go
@@ -65,7 +65,7 @@
 	if slices.Equal(reserved, c.reserved) {
 		return nil, false
 	}
-	c.logger.Info("booked windows changed", slog.Any("held", reserved))
+	c.logger.Info("reserved windows changed", slog.Any("reserved", reserved))
 	c.reserved = reserved
 	return reservations, true
 }
--- a/internal/scheduler/commonoutcome.go
+++ b/internal/scheduler/commonoutcome.go
@@ -89,8 +89,8 @@
 		if now < gang.startBy {
 			continue
 		}
-		g.logger.Warn("group did not start whole in time", slog.String("group", key.String()),
-			slog.Int("members", len(gang.open)), slog.Bool("ordered", gang.assignmentsReleased))
+		g.logger.Warn("gang did not start in time", slog.String("gang", key.String()),
+			slog.Int("members", len(gang.open)), slog.Bool("assigned", gang.assignmentsReleased))
 		delete(g.starting, key)
 		g.avoidLateWorkers(gang)
 		g.breakGang(gang)
--- a/internal/scheduler/conflicts.go
+++ b/internal/scheduler/conflicts.go
@@ -57,7 +57,7 @@
 }
 
 func (a *assignments) logConflict(worker *workerEntry, run record.RunID, what conflict) {
-	a.logger.Warn("report contradicts the record", slog.String("what", string(what)), slog.String("task", run.Task.String()),
-		slog.Uint64("number", uint64(run.Number)), slog.String("worker", worker.info.Name),
+	a.logger.Warn("report conflicts with the record", slog.String("conflict", string(what)), slog.String("task", run.Task.String()),
+		slog.Uint64("run", uint64(run.Number)), slog.String("worker", worker.info.Name),
 		slog.String("worker_id", worker.info.ID))
 }
--- a/internal/scheduler/departure.go
+++ b/internal/scheduler/departure.go
@@ -118,7 +118,7 @@
 	}
 	now := l.now()
 	if !worker.departure.noticeGiven {
-		l.logger.Info("worker leaves", slog.String("worker", worker.info.Name), slog.String("worker_id", worker.info.ID),
+		l.logger.Info("worker is leaving", slog.String("worker", worker.info.Name), slog.String("worker_id", worker.info.ID),
 			slog.Int("runs", len(worker.runs)), slog.Int64("remaining_ms", request.RemainingMillis))
 	}
 	worker.departure.noticeGiven = true
--- a/internal/scheduler/healthreview.go
+++ b/internal/scheduler/healthreview.go
@@ -178,9 +178,9 @@
 	if worker.lease.expired || !run.observed.progress.IsStalled(worker.lastSeen, bound) {
 		return false
 	}
-	h.logger.Warn("run stands still", slog.String("task", run.id.Task.String()),
-		slog.Uint64("number", uint64(run.id.Number)), slog.String("worker", worker.info.Name),
-		slog.Int("percent", run.observed.progress.Percent), slog.Duration("quiet", worker.lastSeen-run.observed.progress.AdvancedAt))
+	h.logger.Warn("run stalled", slog.String("task", run.id.Task.String()),
+		slog.Uint64("run", uint64(run.id.Number)), slog.String("worker", worker.info.Name),
+		slog.Int("percent", run.observed.progress.Percent), slog.Duration("without_progress", worker.lastSeen-run.observed.progress.AdvancedAt))
 	h.stalls[run.id.Task]++
 	h.metrics.runsStalled.Inc()
 	if !run.inGang && !h.off.Has(featuregate.OutlierEjection) {
@@ -210,8 +210,8 @@
 // not assigned yet.
 func (l *leader) applyHealthChange(worker *workerEntry, change workerhealth.StatusChange, now time.Duration) {
 	worker.health = change.Status
-	l.logger.Info("worker's standing changed", slog.String("worker", worker.info.Name),
-		slog.String("worker_id", worker.info.ID), slog.String("standing", string(change.State)),
+	l.logger.Info("worker health changed", slog.String("worker", worker.info.Name),
+		slog.String("worker_id", worker.info.ID), slog.String("state", string(change.State)),
 		slog.String("reason", change.Reason), slog.Duration("for", max(change.Until-now, 0)))
 	if change.State == workerhealth.Suspect {
 		l.metrics.workersEjected.Inc()
--- a/internal/scheduler/leader_test.go
+++ b/internal/scheduler/leader_test.go
@@ -362,7 +362,7 @@
 	h.newTerm()
 	h.leader.logger = slog.New(slog.NewTextHandler(&lines, nil))
 	h.advance(testHold + time.Second)
-	if want := fmt.Sprintf("silent=%v\n", testHold+time.Second); !strings.Contains(lines.String(), want) {
+	if want := fmt.Sprintf("since_last_seen=%v\n", testHold+time.Second); !strings.Contains(lines.String(), want) {
 		t.Errorf("logged %q, want %q", lines.String(), want)
 	}
 }
--- a/internal/scheduler/leaderstalls.go
+++ b/internal/scheduler/leaderstalls.go
@@ -66,7 +66,7 @@
 	}
 	l.metrics.lateSeconds.Add(late.Seconds())
 	if late >= l.registry.heartbeatInterval() {
-		l.logger.Warn("leader stood still", slog.Duration("late", late))
+		l.logger.Warn("leader stalled", slog.Duration("late", late))
 	}
 }
 
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -16,7 +16,7 @@
 		worker.lease.expire()
 		r.logger.Warn("worker lost",
 			slog.String("worker", worker.info.Name), slog.String("worker_id", worker.info.ID),
-			slog.Int("runs", len(worker.runs)), slog.Duration("silent", r.sinceLastSeen(worker, now)))
+			slog.Int("runs", len(worker.runs)), slog.Duration("since_last_seen", r.sinceLastSeen(worker, now)))
 		for _, run := range worker.runs {
 			ends.enqueueClose(run, "worker silent beyond its hold")
 		}
--- a/internal/scheduler/missedheartbeats.go
+++ b/internal/scheduler/missedheartbeats.go
@@ -27,8 +27,8 @@
 		}
 		worker.missedHeartbeatsSince = worker.answeredAt
 		if revoked := l.assignments.revokeUnassignedOutsideGangs(worker); revoked > 0 {
-			l.logger.Info("runs withdrawn from a silent worker", slog.String("worker", worker.info.Name),
-				slog.Int("runs", revoked), slog.Duration("silent", l.registry.heartbeatDelay(worker, now)))
+			l.logger.Info("unassigned runs revoked", slog.String("worker", worker.info.Name),
+				slog.Int("runs", revoked), slog.Duration("heartbeat_delay", l.registry.heartbeatDelay(worker, now)))
 		}
 	}
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -85,7 +85,7 @@
 // preemptRun stops a run to free capacity. One that was never assigned is closed at
 // once.
 func (l *leader) preemptRun(run *runState) {
-	l.logger.Info("preempted", slog.String("task", run.id.Task.String()), slog.Uint64("number", uint64(run.id.Number)))
+	l.logger.Info("run preempted", slog.String("task", run.id.Task.String()), slog.Uint64("run", uint64(run.id.Number)))
 	l.proposer.closeIfNeverAssigned(run)
 	l.proposer.enqueueStop(run, record.StopPreempted)
 }
--- a/internal/scheduler/ranks.go
+++ b/internal/scheduler/ranks.go
@@ -135,7 +135,7 @@
 // objective changes where each stands. It returns those that are to be offered again.
 func (p *pendingWork) reorder(config *api.Config) []*waitingTask {
 	now := p.clusterNow()
-	p.logger.Info("order of queues changed", slog.Int("waiting", len(p.waiting)))
+	p.logger.Info("queue order changed", slog.Int("waiting", len(p.waiting)))
 	p.ranks = nil
 	var due []*waitingTask
 	for id, entry := range p.waiting {
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -172,8 +172,8 @@
 		}
 	}
 	for _, run := range differences.lost {
-		a.logger.Info("order had no effect", slog.String("run", run.id.Task.String()),
-			slog.Uint64("number", uint64(run.id.Number)), slog.String("worker", worker.info.Name))
+		a.logger.Info("assignment had no effect", slog.String("task", run.id.Task.String()),
+			slog.Uint64("run", uint64(run.id.Number)), slog.String("worker", worker.info.Name))
 		a.ends.enqueueClose(run, "the order did not take effect")
 	}
 }
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -64,10 +64,10 @@
 		Log: s.log, Archive: s.config.Archive, ArchiveBytes: s.config.ArchiveBytes, Planner: s.config.NewPlanner(), Logger: s.config.Logger,
 		Metrics: s.metrics, Now: s.config.Now, Leadership: leadership, Off: s.config.Off,
 	})
-	s.config.Logger.Info("acting", slog.Uint64("token", leadership.Token))
+	s.config.Logger.Info("started leading", slog.Uint64("token", leadership.Token))
 	current.run(func() { s.leader.Store(current) })
 	s.leader.CompareAndSwap(current, nil)
-	s.config.Logger.Info("no longer acting", slog.Uint64("token", leadership.Token))
+	s.config.Logger.Info("stopped leading", slog.Uint64("token", leadership.Token))
 }
 
 // Register offers the calls that only the acting scheduler answers.
--- a/internal/scheduler/slo/tracker.go
+++ b/internal/scheduler/slo/tracker.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// MinRetryAfter and MaxRetryAfter bound the time after which a refused job is asked to
-	// come back.
+	// MinRetryAfter is the least time after which a refused job is asked to come back.
 	MinRetryAfter = time.Second
+	// MaxRetryAfter is the greatest time after which a refused job is asked to come back.
 	MaxRetryAfter = 30 * time.Second
 	// chainAverageWindow is over how many jobs the typical chain of a queue is averaged.
 	chainAverageWindow = 8
--- a/internal/scheduler/term.go
+++ b/internal/scheduler/term.go
@@ -79,13 +79,13 @@
 // until it is committed or the term ends. Every such command may be committed
 // twice without harm: the record decides on each run by its number. It returns
 // false if the term ended.
-func (t *term) proposeUntilDone(what string, command record.Command) (record.Result, bool) {
+func (t *term) proposeUntilDone(command string, proposal record.Command) (record.Result, bool) {
 	for t.context.Err() == nil {
-		result, err := t.proposeOwn(command)
+		result, err := t.proposeOwn(proposal)
 		if err == nil {
 			return result, true
 		}
-		t.logger.Warn("proposal failed", slog.String("what", what), slog.Any("error", err))
+		t.logger.Warn("proposal failed", slog.String("command", command), slog.Any("error", err))
 		select {
 		case <-t.context.Done():
 		case <-time.After(tickInterval):
