--- a/docs/testnames_test.go
+++ b/docs/testnames_test.go
@@ -10,7 +10,7 @@
 
 var (
 	// namedTest matches a test, fuzz target or benchmark that a page names.
-	namedTest = regexp.MustCompile("\\b(?:Test|Fuzz|Benchmark)[A-Z][A-Za-z0-9_]*")
+	namedTest = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z][A-Za-z0-9_]*`)
 	// declaredTest matches the declaration of one.
 	declaredTest = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)[A-Z][A-Za-z0-9_]*)\(`)
 )
--- a/internal/compatibility/messages/calls_test.go
+++ b/internal/compatibility/messages/calls_test.go
@@ -58,12 +58,12 @@
 	client  *rpc.Client
 	seen    *recorder
 	address string
-	lines   golden.Values
+	values  golden.Values
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{server: rpc.NewServer(rpc.ServerConfig{}), client: rpc.NewClient(rpc.ClientConfig{}), lines: golden.Values{}}
+	f := &fixture{server: rpc.NewServer(rpc.ServerConfig{}), client: rpc.NewClient(rpc.ClientConfig{}), values: golden.Values{}}
 	f.seen = &recorder{next: f.server}
 	listener := httptest.NewServer(f.seen)
 	t.Cleanup(listener.Close)
@@ -122,8 +122,8 @@
 
 func (f *fixture) keep(form string) {
 	name := f.seen.last.path + " " + form
-	f.lines[name+" request"] = hex.EncodeToString(f.seen.last.request)
-	f.lines[name+" answer"] = hex.EncodeToString(f.seen.last.answer)
+	f.values[name+" request"] = hex.EncodeToString(f.seen.last.request)
+	f.values[name+" answer"] = hex.EncodeToString(f.seen.last.answer)
 }
 
 func TestCalls_EncodedAsBefore(t *testing.T) {
@@ -133,7 +133,8 @@
 	recordJobCalls(t, f)
 	recordConfigCalls(t, f)
 	recordOperatorCalls(t, f)
-	golden.CompareExplained(t, "testdata/calls.txt", f.lines, explainCBOR)
+	checkAllMethods(t, f.values)
+	golden.CompareExplained(t, "testdata/calls.txt", f.values, explainCBOR)
 }
 
 func recordReplicaCalls(t *testing.T, f *fixture) {
