--- a/internal/rpc/allocation_test.go
+++ b/internal/rpc/allocation_test.go
@@ -6,10 +6,10 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// maxCarriageAllocations bounds what a served heartbeat allocates beside what its
-// reading does: 28 were counted, 42 before buffers and counters were kept and a
-// deadline was made only for who waits for it.
-const maxCarriageAllocations = 34
+// maxCallAllocations bounds the allocations of a served heartbeat beside those of
+// decoding it. 28 were counted, and 42 before buffers were pooled, counters cached and
+// deadline timers made only when something waits for them.
+const maxCallAllocations = 34
 
 func TestCall_HeartbeatAllocationsAreBounded(t *testing.T) {
 	heartbeat := benchHeartbeat()
@@ -20,15 +20,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reading := testing.AllocsPerRun(200, func() {
-		var read protocol.HeartbeatRequest
-		if err := c.decode(body, &read); err != nil {
+	decoding := testing.AllocsPerRun(200, func() {
+		var decoded protocol.HeartbeatRequest
+		if err := c.decode(body, &decoded); err != nil {
 			t.Fatal(err)
 		}
 	})
-	if carriage := served - reading; carriage > maxCarriageAllocations {
-		t.Errorf("%v allocations, %v of them to read the body: %v remain, want %d at most", served, reading, carriage, maxCarriageAllocations)
+	if beside := served - decoding; beside > maxCallAllocations {
+		t.Errorf("%v allocations, %v of them to decode the body: %v remain, want %d at most", served, decoding, beside, maxCallAllocations)
 	} else {
-		t.Logf("%v allocations, %v of them to read the body", served, reading)
+		t.Logf("%v allocations, %v of them to decode the body", served, decoding)
 	}
 }
--- a/internal/rpc/bench_test.go
+++ b/internal/rpc/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// BenchmarkHeartbeatCall is a whole call over a connection, both sides: a
-// heartbeat that lists 7 runs, and its answer.
+// BenchmarkHeartbeatCall is both sides of a complete call: a heartbeat that lists 7
+// runs, and its answer.
 func BenchmarkHeartbeatCall(b *testing.B) {
 	server := NewServer(ServerConfig{})
 	Handle(server, protocol.MethodHeartbeat, func(_ context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
@@ -41,13 +41,14 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		var read protocol.HeartbeatRequest
-		if err := c.decode(body, &read); err != nil {
+		var decoded protocol.HeartbeatRequest
+		if err := c.decode(body, &decoded); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
+// benchHeartbeat returns a heartbeat that lists 7 runs.
 func benchHeartbeat() protocol.HeartbeatRequest {
 	const runs = 7
 	heartbeat := api.Heartbeat{
--- a/internal/rpc/buffer.go
+++ b/internal/rpc/buffer.go
@@ -6,16 +6,16 @@
 	"sync"
 )
 
-// maxPooledBytes is the size up to which a buffer is kept for another call.
+// maxPooledBytes is the size up to which a buffer goes back to the pool.
 const maxPooledBytes = 64 << 10
 
-// buffer takes a body that is used up before its call ends.
+// buffer holds a body until its call ends.
 type buffer struct {
 	bytes.Buffer
 	limited io.LimitedReader
 }
 
-// readAll reads until the end of the body, but limit bytes at most.
+// readAll reads up to the end of the body, but limit bytes at most.
 func (b *buffer) readAll(body io.Reader, limit int64) error {
 	b.limited = io.LimitedReader{R: body, N: limit}
 	_, err := b.ReadFrom(&b.limited)
@@ -23,21 +23,20 @@
 	return err
 }
 
-// bufferPool keeps buffers from one call to another. It is safe for use by many
-// goroutines.
+// bufferPool recycles buffers. It is safe for concurrent use.
 type bufferPool struct{ pool sync.Pool }
 
-func newBuffers() *bufferPool {
+func newBufferPool() *bufferPool {
 	return &bufferPool{pool: sync.Pool{New: func() any { return new(buffer) }}}
 }
 
 // get returns an empty buffer.
 func (b *bufferPool) get() *buffer {
-	taken, _ := b.pool.Get().(*buffer)
-	return taken
+	pooled, _ := b.pool.Get().(*buffer)
+	return pooled
 }
 
-// put takes a buffer back; nothing may point into it any more.
+// put takes a buffer back. Nothing may point into it any more.
 func (b *bufferPool) put(returned *buffer) {
 	if returned.Cap() > maxPooledBytes {
 		return
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -16,31 +16,33 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// Defaults and bounds of the client.
 const (
 	defaultTimeout        = time.Second
 	defaultMaxAnswerBytes = 64 << 20
-	maxIdleConnections    = 4096
-	maxIdlePerHost        = 512
-	idleTimeout           = 60 * time.Second
-	maxHeaderBytes        = 16 << 10
+	// maxIdleConnections and maxIdlePerHost bound the connections that are kept for
+	// further calls, and idleTimeout the time for which they are.
+	maxIdleConnections = 4096
+	maxIdlePerHost     = 512
+	idleTimeout        = 60 * time.Second
+	// maxHeaderBytes bounds the header of an answer.
+	maxHeaderBytes = 16 << 10
 )
 
-// ClientConfig says how a Client calls. A zero field means its default.
+// ClientConfig configures a Client. A zero field means its default.
 type ClientConfig struct {
-	// Timeout bounds each call whose context has no nearer deadline. Default
-	// 1s.
+	// Timeout bounds each call whose context has no nearer deadline. Default 1s.
 	Timeout time.Duration
 	// MaxAnswerBytes bounds the body of an answer. Default 64 MiB.
 	MaxAnswerBytes int64
-	// Dialer makes connections. Default: a net.Dialer.
+	// Dialer makes connections. Default: a net.Dialer whose connections notice soon that
+	// the other machine is dead.
 	Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 	// Metrics counts calls and bytes. Optional.
 	Metrics *Metrics
 }
 
-// Client calls other processes over a pool of kept-alive connections. It is
-// safe for use by many goroutines.
+// Client calls other processes over a pool of kept-alive connections. It is safe for
+// concurrent use.
 type Client struct {
 	config    ClientConfig
 	codec     codec
@@ -71,20 +73,20 @@
 	return &Client{
 		config:    config,
 		codec:     newCodec(),
-		buffers:   newBuffers(),
+		buffers:   newBufferPool(),
 		calls:     config.Metrics.forSide(sideClient),
 		transport: transport,
 	}
 }
 
-// Close closes the idle connections; those in use end with their calls.
+// Close closes the idle connections. Those in use end with their calls.
 func (c *Client) Close() {
 	c.transport.CloseIdleConnections()
 }
 
-// Call sends one request to address ("IP:port") and returns the answer. It is
+// Call sends one request to an address ("IP:port") and returns the answer. The request is
 // sent at most once. Every failure is an *Error: the server's own, or one with
-// CodeTransport if no answer was had in time.
+// CodeTransport if no answer came in time.
 func Call[Request, Answer any](ctx context.Context, c *Client, address string, method protocol.Method, request Request) (Answer, error) {
 	var answer Answer
 	body, err := c.codec.encode(request)
@@ -108,16 +110,15 @@
 	return answer, nil
 }
 
-// send carries one body there and the answer's body back, into reply. It returns
-// *Error and not error, so that no failure of another type can slip through.
+// send carries one body to the address and the body of the answer back, into reply. It
+// returns *Error and not error, so that there is no failure of another type.
 func (c *Client) send(ctx context.Context, address string, method protocol.Method, body []byte, reply *buffer) *Error {
 	ctx, cancel := c.withDeadline(ctx)
 	defer cancel()
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	request := newRequest(httptrace.WithClientTrace(ctx, trace), address, method, body)
-	// The transport itself, and no http.Client: that would follow redirects and
-	// so send a call a second time.
+	// An http.Client would follow redirects and so send a call a second time.
 	response, err := c.transport.RoundTrip(request)
 	if err != nil && !connected.Load() {
 		return unsentError(method, address, err)
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// withDeadline gives a call its deadline, unless it has one that is as near.
+// withDeadline bounds a call by the client's timeout, unless its deadline is as near.
 func (c *Client) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= c.config.Timeout {
 		return ctx, func() {}
@@ -143,9 +144,8 @@
 	return context.WithTimeout(ctx, c.config.Timeout)
 }
 
-// newRequest makes the request of a call. Its body can be read anew, since the
-// transport sends it on another connection if one that was kept turns out to be
-// closed before a byte of it was written.
+// newRequest makes the request of a call. GetBody lets the transport use another
+// connection if a kept one turns out to be closed before any byte was written.
 func newRequest(ctx context.Context, address string, method protocol.Method, body []byte) *http.Request {
 	request := &http.Request{
 		Method: http.MethodPost,
@@ -177,8 +177,8 @@
 	return nil
 }
 
-// readError turns the body of a failed call into the server's error. A body
-// that is none came from something that is not our server.
+// readError decodes the error of a failed call. A body without one came from something
+// that is not a Server.
 func (c *Client) readError(method protocol.Method, address string, status int, body []byte) *Error {
 	failure := &Error{}
 	if err := c.codec.decode(body, failure); err != nil {
--- a/internal/rpc/codec.go
+++ b/internal/rpc/codec.go
@@ -15,15 +15,13 @@
 	maxMapPairs      = 1 << 20
 )
 
-// codec encodes and decodes bodies. It is made once and safe for use by many
-// goroutines.
+// codec encodes and decodes bodies. It is safe for concurrent use.
 type codec struct {
 	encoding cbor.UserBufferEncMode
 	decoding cbor.DecMode
 }
 
-// newCodec makes the codec. Its options are constants, so that the error can
-// only be a mistake in this file.
+// newCodec makes a codec. It panics if the options are wrong, which are constants.
 func newCodec() codec {
 	encoding, err := encodingOptions().UserBufferEncMode()
 	if err != nil {
@@ -37,16 +35,16 @@
 }
 
 // encodingOptions follows the core deterministic encoding of RFC 8949,
-// section 4.2.1. Times travel as text because the default, whole seconds,
-// would cut them.
+// section 4.2.1. Times are encoded as text, since the default would cut them to whole
+// seconds.
 func encodingOptions() cbor.EncOptions {
 	options := cbor.CoreDetEncOptions()
 	options.Time = cbor.TimeRFC3339Nano
 	return options
 }
 
-// decodingOptions ignores unknown fields, so that two versions can run side by
-// side, and refuses what the encoder never makes.
+// decodingOptions ignores unknown fields, so that two versions can run side by side, and
+// rejects what the encoder never produces.
 func decodingOptions() cbor.DecOptions {
 	return cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
@@ -61,13 +59,13 @@
 	return c.encoding.Marshal(value)
 }
 
-// encodeTo appends to a buffer.
+// encodeTo appends the encoding of a value to a buffer.
 func (c codec) encodeTo(value any, into *bytes.Buffer) error {
 	return c.encoding.MarshalToBuffer(value, into)
 }
 
-// decode reads exactly one item; anything behind it is an error. What is read
-// points nowhere into data.
+// decode decodes exactly one item; anything after it is an error. The result does not
+// point into data.
 func (c codec) decode(data []byte, into any) error {
 	return c.decoding.Unmarshal(data, into)
 }
--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -40,7 +40,7 @@
 	nested := append(bytes.Repeat([]byte{0x81}, maxNestedLevels+1), 0x00)
 	for name, body := range map[string][]byte{
 		"empty":             {},
-		"cut":               {0xa1, 0x01},
+		"truncated":         {0xa1, 0x01},
 		"trailing":          {0xa0, 0xa0},
 		"nested too deep":   nested,
 		"array too long":    {0x9a, 0xff, 0xff, 0xff, 0xff},
@@ -55,8 +55,8 @@
 	}
 }
 
-// FuzzDecode holds that no body makes the decoder panic, and that what is
-// decoded can be encoded and decoded again to the same bytes.
+// FuzzDecode checks that no body makes the decoder panic, and that what is decoded can be
+// encoded and decoded again with the same bytes.
 func FuzzDecode(f *testing.F) {
 	codec := newCodec()
 	for _, seed := range []any{protocol.HeartbeatRequest{Agent: "a"}, protocol.RaftRequest{}, &Error{Code: CodeNotLeader}} {
--- a/internal/rpc/deadline.go
+++ b/internal/rpc/deadline.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// deadlineContext ends at a deadline, with its parent, or when end is called. It
-// is a context.WithDeadline that is made only once somebody waits for its end:
-// most calls are answered without, and so need no timer.
+// deadlineContext is a context.Context that ends at a deadline, with its parent, or when
+// end is called. It makes a context with a timer only once something waits for its end,
+// as most calls are answered without that. It is safe for concurrent use.
 type deadlineContext struct {
 	parent   context.Context
 	deadline time.Time
 
-	mutex  sync.Mutex
-	timed  context.Context // nil until somebody waits
+	mutex sync.Mutex
+	// timed ends like this context; nil until something waits for that. cancel ends it.
+	timed  context.Context
 	cancel context.CancelFunc
 	ended  bool
 }
 
-// withTimeout returns a context that ends after the timeout. The caller must
-// call its end.
+// withTimeout returns a context that ends after the timeout. The caller must call end.
 func withTimeout(parent context.Context, timeout time.Duration) *deadlineContext {
 	deadline := time.Now().Add(timeout)
 	if earlier, ok := parent.Deadline(); ok && earlier.Before(deadline) {
@@ -29,7 +29,7 @@
 	return &deadlineContext{parent: parent, deadline: deadline}
 }
 
-// end ends the context, if nothing else has.
+// end ends the context if it has not ended.
 func (c *deadlineContext) end() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -39,7 +39,7 @@
 	}
 }
 
-// timedContext returns the context that can be waited for.
+// timedContext returns the context with a timer, which can be waited for.
 func (c *deadlineContext) timedContext() context.Context {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -69,14 +69,14 @@
 	return c.timedContext().Err()
 }
 
-// Value implements context.Context. It asks the context that is waited for, so
-// that contexts made of this one find it.
+// Value implements context.Context. It asks the context with a timer if there is one, so
+// that contexts derived from this one find it as their parent.
 func (c *deadlineContext) Value(key any) any {
 	c.mutex.Lock()
-	made := c.timed
+	timed := c.timed
 	c.mutex.Unlock()
-	if made != nil {
-		return made.Value(key)
+	if timed != nil {
+		return timed.Value(key)
 	}
 	return c.parent.Value(key)
 }
--- a/internal/rpc/deadline_test.go
+++ b/internal/rpc/deadline_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// runInBubble runs a case with a context that ends after a second.
+// runInBubble runs a test with a context that ends after a second, in a bubble.
 func runInBubble(t *testing.T, run func(t *testing.T, parent context.CancelFunc, ctx *deadlineContext)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -23,6 +23,7 @@
 	})
 }
 
+// requireEnded checks that a context has ended with an error.
 func requireEnded(ctx context.Context, t *testing.T, want error) {
 	t.Helper()
 	if err := ctx.Err(); !errors.Is(err, want) {
@@ -31,7 +32,7 @@
 	select {
 	case <-ctx.Done():
 	default:
-		t.Error("an ended context can be waited for")
+		t.Error("Done of an ended context blocks")
 	}
 }
 
@@ -73,8 +74,7 @@
 	})
 }
 
-// TestDeadlineContext_EndsDerivedContexts: also those that look for their
-// parent's values.
+// TestDeadlineContext_EndsDerivedContexts: also those that ask it for values.
 func TestDeadlineContext_EndsDerivedContexts(t *testing.T) {
 	runInBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
 		type key struct{}
@@ -113,6 +113,18 @@
 		ctx.end()
 	})
 	if allocations > 1 {
-		t.Errorf("%v allocations, want the context's own at most", allocations)
+		t.Errorf("%v allocations, want 1 at most", allocations)
+	}
+}
+
+// TestFormatTimeout_RoundsUp: a call with any time left must not say 0, which means that
+// it has no deadline.
+func TestFormatTimeout_RoundsUp(t *testing.T) {
+	for left, want := range map[time.Duration]string{
+		-time.Second: "1", 0: "1", 1: "1", time.Millisecond: "1", time.Millisecond + 1: "2", time.Second: "1000",
+	} {
+		if got := formatTimeout(left); got != want {
+			t.Errorf("%v left: %s, want %s", left, got, want)
+		}
 	}
 }
--- a/internal/rpc/dial_test.go
+++ b/internal/rpc/dial_test.go
@@ -7,7 +7,7 @@
 
 func TestDialFrom_UsesGivenSourceAddress(t *testing.T) {
 	if DialFrom("") != nil {
-		t.Error("no address gave a dialer")
+		t.Error("an empty address gave a dialer")
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// roundTrip decodes a body as a message, and checks that what was taken can be
-// written and read again as the same.
+// roundTrip decodes a body as a message, and checks that the message can be encoded and
+// decoded again with the same bytes.
 type roundTrip func(t *testing.T, codec codec, body []byte)
 
 func roundTripOf[Message any]() roundTrip {
@@ -33,7 +33,7 @@
 	}
 }
 
-// messages are all that passes between processes.
+// messages returns a round trip for each message.
 func messages() []roundTrip {
 	return []roundTrip{
 		roundTripOf[protocol.RaftRequest](), roundTripOf[protocol.SnapshotChunkRequest](), roundTripOf[protocol.SnapshotChunkAnswer](),
@@ -52,7 +52,7 @@
 	}
 }
 
-// FuzzMessages tries a body as each of the messages between processes.
+// FuzzMessages decodes a body as each of the messages.
 func FuzzMessages(f *testing.F) {
 	codec := newCodec()
 	task := api.TaskSpec{Service: "s", Payload: []byte(`{"a":1}`), Labels: map[string]string{"k": "v"}}
@@ -77,8 +77,8 @@
 	}
 	all := messages()
 	f.Fuzz(func(t *testing.T, body []byte) {
-		for _, try := range all {
-			try(t, codec, body)
+		for _, check := range all {
+			check(t, codec, body)
 		}
 	})
 }
--- a/internal/rpc/probe.go
+++ b/internal/rpc/keepalive.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// userTimeout breaks a connection whose data was not acknowledged
-	// for so long: the other machine has no power, or the way there is cut.
+	// userTimeout closes a connection whose data was not acknowledged for so long: the
+	// other machine is dead, or cut off by a partition.
 	userTimeout = 1500 * time.Millisecond
-	// keepAliveIdle is the silence after which a connection is probed, and
-	// keepAliveInterval the pause between probes; after maxKeepAliveProbes without an answer
-	// it is broken.
+	// keepAliveIdle is the idle time after which a connection is probed, and
+	// keepAliveInterval the time between probes. After maxKeepAliveProbes without an
+	// answer the connection is closed.
 	keepAliveIdle      = 2 * time.Second
 	keepAliveInterval  = time.Second
 	maxKeepAliveProbes = 2
 )
 
-// keepAliveConfig finds idle connections to machines that are gone.
+// keepAliveConfig finds idle connections to machines that are dead.
 func keepAliveConfig() net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: maxKeepAliveProbes}
 }
 
-// newDialer makes connections that notice soon when the other machine is gone.
+// newDialer returns a dialer whose connections notice soon that the other machine is dead.
 func newDialer() *net.Dialer {
 	return &net.Dialer{KeepAliveConfig: keepAliveConfig(), Control: setUserTimeout}
 }
 
-// WithKeepAlive returns a listener whose connections notice soon when the other
-// machine is gone. It is for connections of this fleet's own processes.
+// WithKeepAlive returns a listener whose connections notice soon that the other machine
+// is dead. It is for connections between decklever's own processes.
 func WithKeepAlive(listener net.Listener) net.Listener { return keepAliveListener{listener} }
 
 type keepAliveListener struct{ net.Listener }
@@ -45,7 +45,8 @@
 	return connection, err
 }
 
-// setKeepAlive sets what it can: without it calls still have their deadlines.
+// setKeepAlive sets up an accepted connection. Failures are ignored, as calls have
+// deadlines of their own.
 func setKeepAlive(connection *net.TCPConn) {
 	_ = connection.SetKeepAliveConfig(keepAliveConfig())
 	if raw, err := connection.SyscallConn(); err == nil {
@@ -53,8 +54,8 @@
 	}
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT. A system without it serves all
-// the same: calls have deadlines of their own.
+// setUserTimeout sets TCP_USER_TIMEOUT. Failures are ignored, as calls have deadlines of
+// their own.
 func setUserTimeout(_, _ string, connection syscall.RawConn) error {
 	return connection.Control(func(descriptor uintptr) {
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
--- a/internal/rpc/probe_test.go
+++ b/internal/rpc/keepalive_test.go
@@ -50,7 +50,7 @@
 			timeout := socketOption(t, connection, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 			idle := socketOption(t, connection, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE)
 			if timeout != int(userTimeout.Milliseconds()) || idle != int(keepAliveIdle.Seconds()) {
-				t.Errorf("%s, %s: gives up after %d ms, probed after %d s", name, side, timeout, idle)
+				t.Errorf("%s, %s: closed after %d ms, probed after %d s", name, side, timeout, idle)
 			}
 			_ = connection.Close()
 		}
--- a/internal/rpc/metrics.go
+++ b/internal/rpc/metrics.go
@@ -19,15 +19,15 @@
 	directionReceived = "received"
 )
 
-// Metrics counts the messages and bytes of any number of clients and servers.
-// A nil Metrics counts nothing.
+// Metrics counts the calls and bytes of any number of clients and servers. A nil Metrics
+// counts nothing. It is safe for concurrent use.
 type Metrics struct {
 	calls     *prometheus.CounterVec
 	bodyBytes *prometheus.CounterVec
 	wireBytes *prometheus.CounterVec
 }
 
-// NewMetrics registers the counters with registerer.
+// NewMetrics makes the counters and registers them. It fails if they are registered already.
 func NewMetrics(registerer prometheus.Registerer) (*Metrics, error) {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		options := prometheus.CounterOpts{Namespace: "decklever", Subsystem: "rpc", Name: name, Help: help}
@@ -46,7 +46,7 @@
 	return m, nil
 }
 
-// forSide returns the counters of the calls of one side.
+// forSide returns the counters of the calls on one side, sideClient or sideServer.
 func (m *Metrics) forSide(name string) *callCounters {
 	if m == nil {
 		return nil
@@ -54,8 +54,8 @@
 	return &callCounters{metrics: m, side: name, methods: map[protocol.Method]methodCounters{}}
 }
 
-// callCounters keeps the counters of each method that has been called, so that a
-// call need not look them up by their labels. A nil one counts nothing.
+// callCounters caches the counters of each method that was called, which saves a look-up
+// by labels on each call. A nil one counts nothing. It is safe for concurrent use.
 type callCounters struct {
 	metrics *Metrics
 	side    string
@@ -65,7 +65,7 @@
 
 type methodCounters struct{ calls, sent, received prometheus.Counter }
 
-// count notes one call with the bodies that this side sent and received.
+// count counts one call with the sizes of the bodies that this side sent and received.
 func (c *callCounters) count(method protocol.Method, sent, received int) {
 	if c == nil {
 		return
@@ -94,10 +94,10 @@
 	return counters
 }
 
-// dialFunc makes a connection.
+// dialFunc opens a connection.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialer returns dial with its connections counted.
+// dialer returns a dialer like dial that counts the bytes on its connections.
 func (m *Metrics) dialer(dial dialFunc) dialFunc {
 	if m == nil {
 		return dial
@@ -112,7 +112,7 @@
 	}
 }
 
-// countedConnection counts what passes over it.
+// countedConnection counts the bytes that it carries.
 type countedConnection struct {
 	net.Conn
 	sent, received prometheus.Counter
--- a/internal/rpc/served_bench_test.go
+++ b/internal/rpc/served_bench_test.go
@@ -18,8 +18,7 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// rawConnection sends the same heartbeat again and again, without a client's
-// costs.
+// rawConnection sends the same heartbeat over and over, without the cost of a Client.
 type rawConnection struct {
 	connection net.Conn
 	reader     *bufio.Reader
@@ -27,7 +26,7 @@
 	answer     []byte
 }
 
-// serveHeartbeats serves as a scheduler does and connects to it.
+// serveHeartbeats starts a server that is set up like a scheduler's, and connects to it.
 func serveHeartbeats(t testing.TB, heartbeat protocol.HeartbeatRequest) *rawConnection {
 	t.Helper()
 	metrics, err := NewMetrics(prometheus.NewRegistry())
@@ -89,7 +88,7 @@
 	}
 }
 
-// processorTime is what the process has used so far.
+// processorTime is the processor time that the process has used so far.
 func processorTime(t testing.TB) time.Duration {
 	t.Helper()
 	var usage syscall.Rusage
@@ -99,8 +98,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkHeartbeatServed is the server's side of a heartbeat that lists 7 runs,
-// on a connection that is kept. The processor time is of the whole process.
+// BenchmarkHeartbeatServed is the server's side of a heartbeat that lists 7 runs, on a
+// kept-alive connection. The processor time is that of the whole process.
 func BenchmarkHeartbeatServed(b *testing.B) {
 	connection := serveHeartbeats(b, benchHeartbeat())
 	b.ReportAllocs()
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -18,31 +18,31 @@
 
 const defaultMaxRequestBytes = 64 << 20
 
-// ServerConfig says how a Server reads. A zero field means its default.
+// ServerConfig configures a Server. A zero field means its default.
 type ServerConfig struct {
 	// MaxRequestBytes bounds the body of a request. Default 64 MiB.
 	MaxRequestBytes int64
-	// Logger takes panics and answers that could not be sent. Default: none.
+	// Logger gets panics and answers that could not be sent. Default: none.
 	Logger *slog.Logger
 	// Metrics counts calls and bytes. Optional.
 	Metrics *Metrics
 }
 
-// Server is the http.Handler of POST /rpc/METHOD. Methods may be added while
-// it serves.
+// Server is the http.Handler of POST /rpc/METHOD. It is safe for concurrent use; methods
+// may be added while it serves.
 type Server struct {
 	config  ServerConfig
 	codec   codec
 	buffers *bufferPool
 	calls   *callCounters
-	// contentType is the value of that header in all answers.
+	// contentType is the value of Content-Type in all answers.
 	contentType []string
 
 	mutex   sync.RWMutex
 	methods map[protocol.Method]methodHandler
 }
 
-// methodHandler reads a request's body and writes the answer's.
+// methodHandler decodes the body of a request, handles it, and encodes the answer.
 type methodHandler func(ctx context.Context, body []byte, answer *bytes.Buffer) error
 
 // NewServer returns a server without methods.
@@ -56,20 +56,20 @@
 	return &Server{
 		config:      config,
 		codec:       newCodec(),
-		buffers:     newBuffers(),
+		buffers:     newBufferPool(),
 		calls:       config.Metrics.forSide(sideServer),
 		contentType: []string{contentType},
 		methods:     map[protocol.Method]methodHandler{},
 	}
 }
 
-// Handle serves method with handler; it panics if the method is served
-// already, which is a mistake in the program.
+// Handle serves a method with a handler. It panics if the method is served already, which
+// is a programming error.
 //
-// The handler's context ends at the caller's deadline, when the caller goes
-// away, and when the process stops. It may return an *Error, which travels as
-// it is, or an *api.Error, which travels under CodeRefused. Any other error
-// becomes CodeUnavailable and so must mean that the call had no effect.
+// The handler's context ends at the caller's deadline, when the caller closes the
+// connection, and when the process stops. The handler may return an *Error, which is sent
+// as it is, or an *api.Error, which is sent with CodeRefused. Any other error is sent with
+// CodeUnavailable, and so must mean that the call had no effect.
 func Handle[Request, Answer any](s *Server, method protocol.Method, handler func(context.Context, Request) (Answer, error)) {
 	s.register(method, func(ctx context.Context, body []byte, encoded *bytes.Buffer) error {
 		var request Request
@@ -114,9 +114,8 @@
 	s.write(writer, request, http.StatusOK, answer.Bytes())
 }
 
-// WithFallback serves the calls of methods that are served here, and leaves all other
-// requests to next. It saves calls, which are most of the requests, the way
-// through a mux.
+// WithFallback returns a handler that serves the methods of the server, and leaves all
+// other requests to next. It spares calls, which are most of the requests, a mux.
 func (s *Server) WithFallback(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		name, found := strings.CutPrefix(request.URL.Path, pathPrefix)
@@ -177,7 +176,7 @@
 	return nil
 }
 
-// run calls the handler and keeps its panic from ending the process.
+// run calls the handler and recovers from its panic.
 func (s *Server) run(ctx context.Context, method protocol.Method, handler methodHandler, body []byte, answer *buffer) (err error) {
 	defer func() {
 		reason := recover()
@@ -188,13 +187,13 @@
 			slog.String("method", string(method)),
 			slog.Any("reason", reason),
 			slog.String("stack", string(debug.Stack())))
-		// How far the handler came is not known.
+		// How much of its work the handler did is not known.
 		err = &Error{Code: CodeUnknownOutcome, Message: fmt.Sprintf("internal failure in %s", method)}
 	}()
 	return handler(ctx, body, &answer.Buffer)
 }
 
-// toError gives the error the form in which it travels.
+// toError converts the error of a handler to the form in which it is sent.
 func toError(err error) *Error {
 	var failure *Error
 	if errors.As(err, &failure) {
@@ -207,8 +206,8 @@
 	return &Error{Code: CodeUnavailable, Message: err.Error()}
 }
 
-// asForwarded changes a transport failure of a call that the handler made itself:
-// its caller did have an answer, and only the effect is in question.
+// asForwarded converts a transport failure of a call that the handler made itself: its
+// caller does get an answer, and only the effect is unknown.
 func asForwarded(failure *Error) *Error {
 	if failure.Code != CodeTransport {
 		return failure
@@ -224,15 +223,15 @@
 	sent.Message = strings.ToValidUTF8(sent.Message, "?")
 	body, err := s.codec.encode(&sent)
 	if err != nil {
-		s.config.Logger.Error("cannot encode a refusal", slog.Any("error", err))
+		s.config.Logger.Error("cannot encode an error answer", slog.Any("error", err))
 		writer.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	s.write(writer, request, httpStatus(&sent), body)
 }
 
-// maxImplicitLength is the size up to which net/http counts an answer by itself,
-// which costs less than a header given to it; its own bound is 2048.
+// maxImplicitLength is the size up to which net/http sets Content-Length by itself, which
+// costs less than to set the header here. The limit of net/http is 2048.
 const maxImplicitLength = 1 << 10
 
 func (s *Server) write(writer http.ResponseWriter, request *http.Request, status int, body []byte) {
--- a/internal/rpc/wire.go
+++ b/internal/rpc/wire.go
@@ -10,15 +10,14 @@
 const (
 	pathPrefix  = "/rpc/"
 	contentType = "application/cbor"
-	// deadlineHeader carries the time that is left for the call, in whole
-	// milliseconds. It is a span and no moment, since clocks differ.
+	// deadlineHeader has the time that is left for the call, in whole milliseconds. It is
+	// a length and not a time of day, since clocks differ.
 	deadlineHeader = "Decklever-Timeout-Millis"
-	// maxTimeoutMillis keeps a wild header from overflowing a duration.
+	// maxTimeoutMillis keeps a malformed header from overflowing a duration.
 	maxTimeoutMillis = int64(24 * time.Hour / time.Millisecond)
 )
 
-// requestHeader is the header of a call. It names no program, as whoever answers
-// has no use for it.
+// requestHeader is the header of a call. It has no User-Agent, which no server reads.
 func requestHeader(ctx context.Context) http.Header {
 	header := http.Header{"Content-Type": {contentType}, "User-Agent": nil}
 	if deadline, ok := ctx.Deadline(); ok {
@@ -27,13 +26,14 @@
 	return header
 }
 
-// formatTimeout rounds up, so that a call with time left never says none.
+// formatTimeout formats the value of deadlineHeader. It rounds up, as the header never
+// says 0.
 func formatTimeout(left time.Duration) string {
 	millis := int64((left + time.Millisecond - 1) / time.Millisecond)
 	return strconv.FormatInt(max(millis, 1), 10)
 }
 
-// parseTimeout reads the header; false if it is absent or makes no sense.
+// parseTimeout parses the value of deadlineHeader; false if it is absent or malformed.
 func parseTimeout(text string) (time.Duration, bool) {
 	millis, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || millis <= 0 {
@@ -42,8 +42,8 @@
 	return time.Duration(min(millis, maxTimeoutMillis)) * time.Millisecond, true
 }
 
-// httpStatus is the HTTP status that a refusal travels under. Clients of this
-// package read the body; the status serves whoever watches the traffic.
+// httpStatus is the HTTP status of an error. A Client reads the body only; the status is
+// for tools that inspect the traffic.
 func httpStatus(failure *Error) int {
 	switch failure.Code {
 	case CodeBadRequest:
