--- a/internal/taskhandlers/resume.go
+++ b/internal/taskhandlers/checkpoints.go
@@ -5,14 +5,15 @@
 	"strconv"
 	"time"
 
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/worker"
 )
 
-// checkpointInterval is how much work lies between two checkpoints.
+// checkpointInterval is the time of work between two checkpoints.
 const checkpointInterval = 100 * time.Millisecond
 
-// workWithCheckpoints takes the time asked, less what earlier runs did by their
-// checkpoint, which is the work done in milliseconds. It reports each part.
+// workWithCheckpoints takes the time asked, less the work of earlier runs. A checkpoint is
+// the time of work done, in milliseconds; one is reported after each checkpointInterval.
 func workWithCheckpoints(ctx context.Context, task worker.Task, duration time.Duration) error {
 	done := parseCheckpoint(task.Checkpoint)
 	for done < duration || task.Spec.UntilCancelled {
@@ -20,8 +21,8 @@
 		if !task.Spec.UntilCancelled {
 			part = min(part, duration-done)
 		}
-		if err := sleepFor(ctx, part); err != nil {
-			return err
+		if !contexttime.Sleep(ctx, part) {
+			return context.Cause(ctx)
 		}
 		done += part
 		if err := task.Report(percentOf(done, duration), strconv.FormatInt(done.Milliseconds(), 10)); err != nil {
@@ -34,7 +35,8 @@
 	return nil
 }
 
-// parseCheckpoint reads a checkpoint; one that cannot be read starts the work anew.
+// parseCheckpoint returns the time of work done. It is 0 for a malformed checkpoint, so
+// that the work starts anew.
 func parseCheckpoint(checkpoint string) time.Duration {
 	millis, err := strconv.ParseInt(checkpoint, 10, 64)
 	if err != nil || millis < 0 || millis > maxSleep.Milliseconds() {
@@ -49,15 +51,3 @@
 	}
 	return int(100 * done / total)
 }
-
-// sleepFor waits, unless the run is stopped before.
-func sleepFor(ctx context.Context, duration time.Duration) error {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return context.Cause(ctx)
-	case <-timer.C:
-		return nil
-	}
-}
--- a/internal/taskhandlers/handlers.go
+++ b/internal/taskhandlers/handlers.go
@@ -9,47 +9,51 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/worker"
 )
 
-// Handler names.
+// Names of handlers, as the settings and jobs give them.
 const (
+	// Sleep works for the time asked.
 	Sleep = "sleep"
-	Fail  = "fail"
+	// Fail works for the time asked and fails.
+	Fail = "fail"
+	// Flaky works for the time asked, and fails in the first runs or by chance.
 	Flaky = "flaky"
-	Slow  = "slow"
+	// Slow works for a multiple of the time asked.
+	Slow = "slow"
 )
 
 const (
-	// defaultSlowFactor is how much longer slow takes than sleep.
+	// defaultSlowFactor is the multiple of the time asked that Slow takes.
 	defaultSlowFactor = 5
-	// maxSleep bounds a sleep whose payload asks for more.
+	// maxSleep bounds the time of work, whatever is asked.
 	maxSleep = 24 * time.Hour
 )
 
-// ErrFailed is what fail and flaky return.
+// ErrFailed is the error of runs that fail on purpose.
 var ErrFailed = errors.New("failed as asked")
 
-// payload is what the handlers read; each uses its own part.
+// payload has the parameters of all handlers; each uses its own.
 type payload struct {
-	// Millis is how long to work. A task until cancelled works on until its
-	// context ends.
+	// Millis is how long to work. A task that runs until cancelled works until its context
+	// ends instead.
 	Millis int64 `json:"millis"`
-	// Failures is the number of first runs that flaky lets fail.
+	// Failures is the number of first runs that Flaky has fail.
 	Failures uint32 `json:"failures"`
-	// Probability, from 0 to 1, is the share of the later runs that flaky lets
-	// fail. The same run of a task always comes out the same.
+	// Probability, from 0 to 1, is the share of the later runs that Flaky has fail. The
+	// same run of a task always has the same outcome.
 	Probability float64 `json:"probability"`
-	// Factor is how much longer slow takes. Default 5.
+	// Factor is the multiple of the time asked that Slow takes. Default 5.
 	Factor float64 `json:"factor"`
 }
 
-// Handlers returns all handlers by name.
+// Handlers returns a map of all handlers by name.
 func Handlers() map[string]worker.Handler {
 	return map[string]worker.Handler{Sleep: sleep, Fail: fail, Flaky: flaky, Slow: slow}
 }
 
-// sleep works for the time asked.
 func sleep(ctx context.Context, task worker.Task) error {
 	parameters, err := decodePayload(task)
 	if err != nil {
@@ -58,7 +62,6 @@
 	return work(ctx, task, parameters.duration(1))
 }
 
-// fail works for the time asked and always fails.
 func fail(ctx context.Context, task worker.Task) error {
 	parameters, err := decodePayload(task)
 	if err != nil {
@@ -70,7 +73,6 @@
 	return ErrFailed
 }
 
-// flaky works for the time asked and fails in its first runs, or by chance.
 func flaky(ctx context.Context, task worker.Task) error {
 	parameters, err := decodePayload(task)
 	if err != nil {
@@ -85,7 +87,6 @@
 	return nil
 }
 
-// slow works longer than asked.
 func slow(ctx context.Context, task worker.Task) error {
 	parameters, err := decodePayload(task)
 	if err != nil {
@@ -104,6 +105,7 @@
 	return parameters, err
 }
 
+// duration is the time to work, as a multiple of the time asked.
 func (p payload) duration(factor float64) time.Duration {
 	millis := float64(max(p.Millis, 0)) * factor
 	if millis >= float64(maxSleep.Milliseconds()) {
@@ -112,22 +114,19 @@
 	return time.Duration(millis * float64(time.Millisecond))
 }
 
-// work takes the time asked, unless the run is stopped before. A process that
-// was frozen meanwhile finds its hold gone and must not call the work done.
+// work takes the time asked, unless the run is stopped earlier. It fails with
+// worker.ErrHoldLapsed if the worker's lease has expired, as it does in a process that was
+// frozen meanwhile: the work then does not count as done.
 func work(ctx context.Context, task worker.Task, duration time.Duration) error {
 	if task.Spec.Resumable {
 		return workWithCheckpoints(ctx, task, duration)
 	}
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	finished := timer.C
 	if task.Spec.UntilCancelled {
-		finished = nil
+		<-ctx.Done()
+		return context.Cause(ctx)
 	}
-	select {
-	case <-ctx.Done():
+	if !contexttime.Sleep(ctx, duration) {
 		return context.Cause(ctx)
-	case <-finished:
 	}
 	if !task.Held() {
 		return worker.ErrHoldLapsed
@@ -135,7 +134,7 @@
 	return nil
 }
 
-// pseudoRandom returns a number from 0 to 1 that depends on the run alone.
+// pseudoRandom returns a number from 0 to 1 that depends on the run only.
 func pseudoRandom(ref api.RunRef) float64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%s/%d", ref.Task, ref.Run) // a hash takes any write
--- a/internal/taskhandlers/builtin_test.go
+++ b/internal/taskhandlers/handlers_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -12,6 +13,7 @@
 	"github.com/decklever/decklever/worker"
 )
 
+// runHandler runs a handler as a run of a task, and returns how long that took.
 func runHandler(ctx context.Context, t *testing.T, name, payload string, number uint32) (time.Duration, error) {
 	t.Helper()
 	task := worker.Task{
@@ -41,11 +43,13 @@
 		{Slow, `{"millis":50,"factor":2}`, 1, 100 * time.Millisecond, false},
 	}
 	for _, c := range cases {
-		synctest.Test(t, func(t *testing.T) {
-			took, err := runHandler(t.Context(), t, c.name, c.payload, c.run)
-			if took != c.took || (err != nil) != c.fails {
-				t.Errorf("%s %s run %d: took %v, %v", c.name, c.payload, c.run, took, err)
-			}
+		t.Run(fmt.Sprintf("%s %s run %d", c.name, c.payload, c.run), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				took, err := runHandler(t.Context(), t, c.name, c.payload, c.run)
+				if took != c.took || (err != nil) != c.fails {
+					t.Errorf("took %v, error %v, want %v, failure %v", took, err, c.took, c.fails)
+				}
+			})
 		})
 	}
 }
@@ -66,15 +70,17 @@
 		{"", 1050 * time.Millisecond},
 		{"700", 350 * time.Millisecond},
 		{"1050", 0},
-		{"not mine", 1050 * time.Millisecond},
+		{"malformed", 1050 * time.Millisecond},
 	}
 	for _, c := range cases {
-		synctest.Test(t, func(t *testing.T) {
-			task := worker.Task{Spec: api.TaskSpec{Payload: json.RawMessage(`{"millis":1050}`), Resumable: true}, Checkpoint: c.checkpoint}
-			began := time.Now()
-			if err := Handlers()[Sleep](t.Context(), task); err != nil || time.Since(began) != c.took {
-				t.Errorf("from %q: took %v, %v", c.checkpoint, time.Since(began), err)
-			}
+		t.Run("checkpoint "+c.checkpoint, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				task := worker.Task{Spec: api.TaskSpec{Payload: json.RawMessage(`{"millis":1050}`), Resumable: true}, Checkpoint: c.checkpoint}
+				began := time.Now()
+				if err := Handlers()[Sleep](t.Context(), task); err != nil || time.Since(began) != c.took {
+					t.Errorf("took %v, error %v, want %v", time.Since(began), err, c.took)
+				}
+			})
 		})
 	}
 }
--- a/internal/taskhandlers/services.go
+++ b/internal/taskhandlers/services.go
@@ -2,14 +2,16 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 
 	"github.com/decklever/decklever/worker"
 )
 
-// Services maps service names to handlers as the settings list them: "sleep"
-// offers a handler under its own name, "swap=sleep" under another.
+// Services returns a map of handlers by service name, from entries as the settings list
+// them: "sleep" offers a handler under its own name, "swap=sleep" under another one. It
+// fails for an unknown handler and for a service that is listed twice.
 func Services(entries []string) (map[string]worker.Handler, error) {
 	handlers := Handlers()
 	services := make(map[string]worker.Handler, len(entries))
@@ -30,11 +32,7 @@
 	return services, nil
 }
 
+// handlerNames lists the names of all handlers, sorted.
 func handlerNames() []string {
-	var names []string
-	for name := range Handlers() {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
+	return slices.Sorted(maps.Keys(Handlers()))
 }
