--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -72,12 +72,13 @@
 // ErrInvalidMembership.
 func (m Membership) validate() error {
 	if len(m.Voters) == 0 || m.joint() {
-		return fmt.Errorf("%w: it needs voters and no outgoing ones", ErrInvalidMembership)
+		return fmt.Errorf("%w: it has %d voters and %d outgoing ones, expected at least 1 and 0",
+			ErrInvalidMembership, len(m.Voters), len(m.Outgoing))
 	}
 	seen := make(map[ReplicaID]bool, len(m.Voters)+len(m.Learners))
 	for _, member := range slices.Concat(m.Voters, m.Learners) {
 		if member.ID == "" || seen[member.ID] {
-			return fmt.Errorf("%w: replica id %q is empty or doubled", ErrInvalidMembership, member.ID)
+			return fmt.Errorf("%w: replica id %q is empty or repeated", ErrInvalidMembership, member.ID)
 		}
 		seen[member.ID] = true
 	}
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -60,7 +60,7 @@
 func New(config Config, restored RestoredState) (*Node, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
-		return nil, fmt.Errorf("raft: wrong config: %w", err)
+		return nil, fmt.Errorf("raft: invalid config: %w", err)
 	}
 	n := &Node{config: config, electionTimer: newElectionTimer(config)}
 	if err := n.restore(restored); err != nil {
@@ -95,7 +95,7 @@
 func (n *Node) Step(now time.Duration, message Message) error {
 	n.advanceTime(now)
 	if message.To != n.config.ID {
-		return fmt.Errorf("raft: message for replica %s came to %s: %w", message.To, n.config.ID, ErrUnknownReplica)
+		return fmt.Errorf("raft: message for replica %s arrived at %s: %w", message.To, n.config.ID, ErrUnknownReplica)
 	}
 	switch message.Kind {
 	case MessagePreVote:
--- a/internal/raft/raftsim/machine.go
+++ b/internal/raft/raftsim/machine.go
@@ -39,8 +39,12 @@
 	disk       *disk
 	// neverStarted: no process has used the disk yet.
 	neverStarted bool
+	process
+}
 
-	// incarnation counts the starts of the process.
+// process is one control process. Only incarnation outlives a crash.
+type process struct {
+	// incarnation counts the starts of the machine's process.
 	incarnation int
 	up          bool
 	frozen      bool
@@ -48,11 +52,7 @@
 	resume func()
 	// inbox has the work that arrived while the process was frozen.
 	inbox []func(now time.Duration)
-
-	// clockOffset and clockDrift make the monotonic clock of this incarnation; drift
-	// is in parts per 10,000.
-	clockOffset time.Duration
-	clockDrift  int64
+	clock monotonicClock
 
 	node       *raft.Node
 	status     raft.Status
@@ -64,15 +64,24 @@
 	reads map[uint64]uint64
 }
 
+// monotonicClock is the clock of one incarnation: it starts anywhere and drifts.
+type monotonicClock struct {
+	offset time.Duration
+	// drift is in parts per 10,000.
+	drift int64
+}
+
+// at returns the clock's reading at a true time.
+func (c monotonicClock) at(now time.Duration) time.Duration {
+	return c.offset + now + now/10000*time.Duration(c.drift)
+}
+
 func (m *machine) member() raft.Member {
 	return raft.Member{ID: m.id, Name: m.name, Zone: "z", Address: m.name}
 }
 
-// clock returns the machine's monotonic time at this true time.
-func (m *machine) clock() time.Duration {
-	now := m.simulation.now
-	return m.clockOffset + now + now/10000*time.Duration(m.clockDrift)
-}
+// monotonicNow returns the machine's monotonic time at this true time.
+func (m *machine) monotonicNow() time.Duration { return m.clock.at(m.simulation.now) }
 
 // start starts the process from the disk.
 func (m *machine) start() {
@@ -81,8 +90,7 @@
 	}
 	s := m.simulation
 	m.incarnation++
-	m.clockOffset = s.between(0, 1000*time.Second)
-	m.clockDrift = s.random.Int64N(201) - 100
+	m.clock = monotonicClock{offset: s.between(0, 1000*time.Second), drift: s.random.Int64N(201) - 100}
 	config := m.config()
 	node, err := raft.New(config, m.disk.restored())
 	if err != nil {
@@ -99,7 +107,7 @@
 	m.proposals = make(map[uint64]proposal)
 	m.reads = make(map[uint64]uint64)
 	m.refreshStatus()
-	m.planTick(m.incarnation)
+	m.scheduleTick(m.incarnation)
 }
 
 func (m *machine) config() raft.Config {
@@ -112,16 +120,16 @@
 		MaxAppendBytes:     maxAppendBytes,
 		MaxInflightAppends: maxInflightAppends,
 		Seed:               m.simulation.random.Int64(),
-		NoVoteBefore:       m.clock() + electionTimeoutMin,
+		NoVoteBefore:       m.monotonicNow() + electionTimeoutMin,
 	}
-	weakened := m.simulation.options.mutation == mutationNoVoteDelay || m.simulation.options.mutation == mutationForgetVote
-	if m.neverStarted || weakened {
+	noVoteDelay := m.simulation.options.mutation == mutationNoVoteDelay || m.simulation.options.mutation == mutationForgetVote
+	if m.neverStarted || noVoteDelay {
 		config.NoVoteBefore = 0
 	}
 	return config
 }
 
-func (m *machine) planTick(incarnation int) {
+func (m *machine) scheduleTick(incarnation int) {
 	m.simulation.after(m.simulation.between(tickInterval-2*time.Millisecond, tickInterval+5*time.Millisecond), func() {
 		if !m.up || m.incarnation != incarnation {
 			return
@@ -129,7 +137,7 @@
 		if !m.frozen {
 			m.do(m.node.Tick)
 		}
-		m.planTick(incarnation)
+		m.scheduleTick(incarnation)
 	})
 }
 
@@ -144,7 +152,7 @@
 		}
 		return
 	}
-	now := m.clock()
+	now := m.monotonicNow()
 	if s := m.simulation; !s.healed && s.chance(freezeRate) {
 		// It freezes after it read its clock, and continues with that time.
 		m.freeze(s.freezeTime())
@@ -346,5 +354,5 @@
 	if m.simulation.options.mutation == mutationOverlongLease {
 		until += 2 * time.Second
 	}
-	return until > m.clock()
+	return until > m.monotonicNow()
 }
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -68,7 +68,7 @@
 	ErrMembershipChangePending = errors.New("raft: a membership change is pending")
 	// ErrInvalidMembership is returned for a target membership without voters,
 	// with outgoing voters, or with an empty or repeated replica id.
-	ErrInvalidMembership = errors.New("raft: wrong membership")
+	ErrInvalidMembership = errors.New("raft: invalid membership")
 	// ErrUnknownReplica is returned for a replica outside the membership, and
 	// for a message that is addressed to another replica.
 	ErrUnknownReplica = errors.New("raft: unknown replica")
--- a/internal/storage/archiveopen.go
+++ b/internal/storage/archiveopen.go
@@ -69,7 +69,7 @@
 		return datafile.Corrupt(path, "missing")
 	}
 	if err := files.Rename(path+datafile.UnfinishedSuffix, path); err != nil {
-		return fmt.Errorf("name archive: %w", err)
+		return fmt.Errorf("rename archive: %w", err)
 	}
 	return files.SyncDirectory(directory)
 }
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -94,7 +94,7 @@
 		return nil
 	}
 	if err := os.MkdirAll(directory, directoryPermission); err != nil {
-		return fmt.Errorf("make data folder: %w", err)
+		return fmt.Errorf("create data folder: %w", err)
 	}
 	return datafile.OS{}.SyncDirectory(filepath.Dir(filepath.Clean(directory)))
 }
--- a/internal/storage/disklog.go
+++ b/internal/storage/disklog.go
@@ -169,9 +169,9 @@
 func (d *diskLog) appendSnapshotRecord(snapshot wal.SnapshotRecord) error {
 	batch, err := wal.NewSnapshotBatch(snapshot)
 	if err != nil {
-		return fmt.Errorf("note snapshot: %w", err)
+		return fmt.Errorf("record snapshot: %w", err)
 	}
-	if err := d.append(batch, true, "note snapshot"); err != nil {
+	if err := d.append(batch, true, "record snapshot"); err != nil {
 		return err
 	}
 	return d.wal.RemoveBefore(snapshot.FirstSegment)
--- a/internal/storage/types.go
+++ b/internal/storage/types.go
@@ -41,8 +41,7 @@
 	Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error
 	// SaveSnapshot replaces the snapshot by what write produces and discards the
 	// entries up to meta.Index; up to retainEntries of them stay, for followers
-	// that
-	// lag a little. It is all or nothing.
+	// that lag a little. It is all or nothing.
 	SaveSnapshot(meta raft.SnapshotMeta, retainEntries uint64, write func(io.Writer) error) error
 	// InstallSnapshot is SaveSnapshot for a snapshot from the leader: the whole
 	// log is dropped.
--- a/internal/storage/wal/log.go
+++ b/internal/storage/wal/log.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	if err := config.Files.Rename(path+datafile.UnfinishedSuffix, path); err != nil {
-		return fmt.Errorf("name log: %w", err)
+		return fmt.Errorf("rename log: %w", err)
 	}
 	return config.Files.SyncDirectory(config.Directory)
 }
