--- a/internal/record/command.go
+++ b/internal/record/command.go
@@ -6,8 +6,8 @@
 // set; Encode and Decode refuse any other number.
 //
 // The encoding of this type and of all that it holds is stored in write-ahead
-// logs: a field keeps its key, its type and its meaning for ever, and a key is
-// never used again. A field added later is marked omitempty, and its absence
+// logs: the key, type and meaning of a field never change, and a key is never used
+// again. A field added later is marked omitempty, and its absence
 // means what earlier programs did.
 type Command struct {
 	// Time is the cluster clock when the leader proposed the command, in Unix
@@ -64,7 +64,7 @@
 	ID   string      `cbor:"1,keyasint"`
 	Spec api.JobSpec `cbor:"2,keyasint"`
 	// Digest is the SHA-256 of the canonical spec as submitted, in hex. It
-	// tells a resend from another job with the same id.
+	// distinguishes a resend from another job with the same id.
 	Digest string `cbor:"3,keyasint"`
 }
 
@@ -131,7 +131,7 @@
 }
 
 // StopRuns requests the stop of open runs. Closed and unknown runs are skipped.
-// The first reason stands, except that StopCancelled replaces any other.
+// The first reason is final, except that StopCancelled replaces any other.
 type StopRuns struct {
 	Runs   []RunID    `cbor:"1,keyasint"`
 	Reason StopReason `cbor:"2,keyasint"`
@@ -185,8 +185,8 @@
 	Through int    `cbor:"2,keyasint"`
 }
 
-// DrainZone sets or clears an operator's drain of a zone, which stands beside
-// the drains of the configuration. Applied a second time it changes nothing.
+// DrainZone sets or clears an operator's drain of a zone, independently of the
+// drains of the configuration. Applied a second time it changes nothing.
 type DrainZone struct {
 	Zone    string `cbor:"1,keyasint"`
 	Drained bool   `cbor:"2,keyasint"`
--- a/internal/record/events.go
+++ b/internal/record/events.go
@@ -69,8 +69,8 @@
 	Drained bool
 }
 
-// StateReplaced: a snapshot was restored. Observers must read all anew; no event
-// tells of the differences.
+// StateReplaced: a snapshot was restored. Observers must read the complete state
+// again; there are no events for the differences.
 type StateReplaced struct{}
 
 func (TaskBecameReady) event()  {}
--- a/internal/record/gang.go
+++ b/internal/record/gang.go
@@ -8,24 +8,26 @@
 
 // A gang is a step whose tasks, its members, start together. There are two kinds:
 //
-// A gang with Together starts together and then goes on as single tasks: a member
+// A gang with Together starts together and then continues as single tasks: a member
 // that fails is retried by itself. See GangSize.
 //
-// A gang with a common outcome (Lockstep in the API) stays one unit for its whole
-// life. All members are placed by one PlaceTasks with one run number. What ends
+// A gang with a common outcome (Lockstep in the API) stays one unit until it
+// ends. All members are placed by one PlaceTasks with one run number. What ends
 // the gang's newest run is the first end of a member that is applied:
 //
 //   - A success makes every member that is not final succeeded.
-//   - Anything else interrupts the gang: the other members get StopGang, and
-//     their ends, other than a success, count for nothing. A failure of a member
-//     that was not to be stopped counts as one failure of the gang, so that there
-//     is at most one for each run number.
+//   - Anything else interrupts the gang: the other members get StopGang, and the
+//     gang waits until all of its runs are closed.
+//
+// The first failure that a member reports under a run number counts as one failure
+// of the gang, whatever interrupted it; all others under that number count for
+// nothing. Once its failures are used up, the gang fails when its last run is
+// closed.
 //
 // Within one CloseRuns a success is applied before all other ends. A success that
 // comes after the gang was interrupted still counts, unless the gang was placed
-// anew or has failed for good meanwhile; the latter is decided when the last of
-// its runs is closed. Runs that are open beyond a success take their resources
-// until they are closed, and change nothing then.
+// again or has failed meanwhile. Runs that are open beyond a success take their
+// resources until they are closed, and change nothing then.
 //
 // A gang with a common outcome one of whose members runs until cancelled has no
 // success and no limit of failures: whatever ends a member interrupts the gang,
--- a/internal/record/jobtable.go
+++ b/internal/record/jobtable.go
@@ -49,7 +49,7 @@
 const maxSingleRemovals = 8
 
 // compact removes ended jobs from sorted. One entry cannot both end a job and
-// submit another with its id, so an id stands once in the list.
+// submit another with its id, so an id is in the list once.
 func (t *jobTable) compact(ended []*Job) {
 	if len(ended) > maxSingleRemovals {
 		t.sorted = slices.DeleteFunc(t.sorted, func(job *Job) bool {
--- a/internal/record/putconfig.go
+++ b/internal/record/putconfig.go
@@ -7,8 +7,9 @@
 	"github.com/decklever/decklever/api"
 )
 
-// applyPutConfig decides an order once and keeps the outcome, so that a resend
-// gets the same answer as long as the order is among the newest ones kept.
+// applyPutConfig decides an order once and records the outcome, so that a resend
+// gets the same answer as long as the order is among the newest
+// Config.MaxConfigOrders.
 func (m *Machine) applyPutConfig(put *PutConfig, result *Result) {
 	config := &m.state.config
 	if known := config.orders.byID[put.OrderID]; known != nil {
--- a/internal/record/run.go
+++ b/internal/record/run.go
@@ -25,13 +25,13 @@
 // Stop reasons. A run that ends as stopped counts as no failure, whatever the
 // reason.
 const (
-	// StopNone: the run may go on.
+	// StopNone: the run is not to be stopped.
 	StopNone StopReason = ""
 	// StopCancelled: its job was cancelled.
 	StopCancelled StopReason = "cancelled"
 	// StopDrained: its worker or zone is drained.
 	StopDrained StopReason = "drained"
-	// StopPreempted: it makes room for more urgent work.
+	// StopPreempted: its resources are needed for more urgent work.
 	StopPreempted StopReason = "preempted"
 	// StopGang: not all members of its gang started in time or, with a common
 	// outcome, another member ended first.
--- a/internal/record/step.go
+++ b/internal/record/step.go
@@ -54,7 +54,7 @@
 }
 
 // linkDependencies links a step with those that its spec names in After. A name
-// without a step, or one that stands twice, is ignored: specs are validated
+// without a step, or a repeated one, is ignored: specs are validated
 // before they are proposed, and an entry of the log must never fail for its
 // content.
 func linkDependencies(step *Step, byName map[string]*Step) {
--- a/internal/record/stopruns.go
+++ b/internal/record/stopruns.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// requestStop sets why an open run is to be stopped. The first reason stands,
+// requestStop sets why an open run is to be stopped. The first reason is final,
 // except that StopCancelled replaces any other. The run stays open until its end
 // is applied.
 func (m *Machine) requestStop(run *Run, reason StopReason) {
--- a/internal/record/task.go
+++ b/internal/record/task.go
@@ -33,8 +33,8 @@
 	Spec  *api.TaskSpec
 	State TaskState
 	// Failures counts failed runs, or those of the gang if that has a common
-	// outcome. Those of a task that runs until cancelled are counted anew after
-	// a run of failureResetAfter.
+	// outcome. Those of a task that runs until cancelled start again at 0
+	// after a run of failureResetAfter.
 	Failures int
 	// AllowedFailures is at least 1. A task whose Failures reach it is in
 	// TaskFailed, unless it runs until cancelled; a gang with a common outcome
--- a/internal/record/view.go
+++ b/internal/record/view.go
@@ -31,7 +31,7 @@
 	// ConfigVersions returns the accepted versions, newest first.
 	ConfigVersions() []api.ConfigVersion
 	// ConfigOrder returns the outcome of a configuration order and the digest that
-	// came with it, as long as the order is among the newest ones kept.
+	// came with it, as long as the order is among the newest MaxConfigOrders.
 	ConfigOrder(id string) (result ConfigResult, digest string, known bool)
 	// ReleasedWindows returns the reservation windows given back whose end has not
 	// passed, by end, then by queue, booking and start.
