--- a/docs/logs_test.go
+++ b/docs/logs_test.go
@@ -23,13 +23,7 @@
 var heartbeatMessages = []string{"heartbeat failed", "heartbeat answer refused"}
 
 func TestLogsPageListsWhatIsLogged(t *testing.T) {
-	logged := map[string]string{}
-	for _, message := range heartbeatMessages {
-		logged[message] = "worker/loop.go"
-	}
-	for _, folder := range []string{"cmd", "internal", "worker"} {
-		collectMessages(t, filepath.Join(repository, folder), logged)
-	}
+	logged := loggedMessages(t)
 	written := map[string]bool{}
 	for _, row := range logRow.FindAllStringSubmatch(read(t, "LOGS.md"), -1) {
 		written[row[2]] = true
@@ -44,7 +38,20 @@
 	}
 }
 
-// collectMessages notes the messages that the daemons' code below the folder
+// loggedMessages returns the messages that the daemons log, with a file of each.
+func loggedMessages(t *testing.T) map[string]string {
+	t.Helper()
+	logged := map[string]string{}
+	for _, message := range heartbeatMessages {
+		logged[message] = "worker/loop.go"
+	}
+	for _, folder := range []string{"cmd", "internal", "worker"} {
+		collectMessages(t, filepath.Join(repository, folder), logged)
+	}
+	return logged
+}
+
+// collectMessages records the messages that the daemons' code below the folder
 // logs, with the file of each.
 func collectMessages(t *testing.T, folder string, logged map[string]string) {
 	t.Helper()
