--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -6,6 +6,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/indexheap"
+	"github.com/decklever/decklever/internal/placement/fairshare"
 	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
 )
@@ -57,7 +58,7 @@
 	reserved []*worker
 	made     bool
 	// deferredTo are the queues whose sub-queues get one.
-	deferredTo map[*queue]bool
+	deferredTo map[*fairshare.Queue]bool
 }
 
 // dropStale ends reservations for sub-queues that wait no longer, and of workers
@@ -77,7 +78,7 @@
 func (b *backfillReservations) activateBlocked() {
 	for _, sub := range b.blocked {
 		if len(sub.tasks) > 0 {
-			sub.activate()
+			sub.Activate()
 		}
 	}
 	b.blocked = nil
@@ -282,7 +283,7 @@
 	switch {
 	case s == nil, w.backfillFor == nil, w.backfillFor == s.subQueue, w.backfillFor.parent.level != s.subQueue.parent.level:
 		return false
-	case s.defers && s.subQueue.parent.queue.defersTo[w.backfillFor.parent.queue]:
+	case s.defers && s.subQueue.parent.queue.DefersTo(w.backfillFor.parent.queue):
 		return true
 	default:
 		return compareFirstTask(w.backfillFor, s.subQueue) < 0
--- a/internal/placement/backlog.go
+++ b/internal/placement/backlog.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"github.com/decklever/decklever/internal/indexheap"
+	"github.com/decklever/decklever/internal/placement/fairshare"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -24,7 +25,7 @@
 	// noPreferences is shared by the tasks that have none.
 	noPreferences Preferences
 
-	queues *queueTable
+	queues *fairshare.Table
 }
 
 // priorityLevel holds all that waits with one priority.
@@ -36,7 +37,7 @@
 // priorityQueue holds all that waits in one queue with one priority.
 type priorityQueue struct {
 	level     *priorityLevel
-	queue     *queue
+	queue     *fairshare.Queue
 	subQueues map[*equivalenceClass]*subQueue
 	// gangCount counts the sub-queues of gangs.
 	gangCount int
@@ -74,7 +75,7 @@
 	position int
 }
 
-func newBacklog(queues *queueTable) *backlog {
+func newBacklog(queues *fairshare.Table) *backlog {
 	return &backlog{tasks: map[record.TaskID]*waiting{}, gangs: map[string]*subQueue{}, queues: queues}
 }
 
@@ -82,7 +83,7 @@
 // none.
 func (b *backlog) priorityQueue(task *Task) *priorityQueue {
 	level := b.level(task.Priority)
-	q := b.queues.get(task.Queue)
+	q := b.queues.Get(task.Queue)
 	for _, other := range level.queues {
 		if other.queue == q {
 			return other
@@ -238,8 +239,8 @@
 	}
 }
 
-// activate lets the next pass look at the sub-queue. An incomplete gang stays out.
-func (sub *subQueue) activate() {
+// Activate implements fairshare.Waiter: the next pass looks at the sub-queue. An incomplete gang stays out.
+func (sub *subQueue) Activate() {
 	sub.stopAwaiting()
 	if sub.position == indexheap.None && sub.complete() {
 		heap.Push(&sub.parent.active, sub)
--- a/internal/placement/classes.go
+++ b/internal/placement/classes.go
@@ -172,7 +172,7 @@
 func (c *equivalenceClass) activate() {
 	c.activateSubQueues()
 	for sub := range c.awaitingGangs {
-		sub.activate()
+		sub.Activate()
 	}
 }
 
@@ -181,7 +181,7 @@
 	c.unschedulable, c.blockedByUtilization = false, false
 	c.leaveUnschedulable()
 	for sub := range c.subQueues {
-		sub.activate()
+		sub.Activate()
 	}
 }
 
@@ -246,11 +246,11 @@
 		key.duration = durationOf(spec)
 		key.selector.byUnreserved = key.duration == 0
 	}
-	if q := e.queues.find(task.Queue); q != nil {
-		if q.hasReservation {
+	if q := e.queues.Find(task.Queue); q != nil {
+		if q.IsReserved() {
 			key.queue = task.Queue
 		}
-		key.headroom = headroomPercentOf(task, &q.rule)
+		key.headroom = headroomPercentOf(task, q.Rule())
 	}
 	if spec.Spread != nil {
 		key.spreadBy = spec.Spread.By
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -10,7 +10,6 @@
 // type owns its state: others change it through its methods alone, and it is given only
 // those others that it calls.
 //
-//   - queueTable: rules and running counts of queues and teams, fair share, deference
 //   - backlog: what waits, by priority, queue and class; active or unschedulable
 //   - classIndex: equivalence classes of waiting tasks
 //   - runTable, stepTable: open and nominated runs, and counts of steps for spread
@@ -22,8 +21,9 @@
 //   - gangDrainer: capacity drained for a gang that found too little for long
 //   - backfillReservations: workers reserved for tasks that others must not delay
 //
-// Packages below hold what needs none of these: arithmetic on resources, what could
-// ever hold a task, utilization by service, and labels preferred lately.
+// Packages below hold what needs none of these: queues, teams and fair share,
+// arithmetic on resources, what could ever hold a task, utilization by service, and
+// labels preferred lately.
 //
 // Equivalence classes. Waiting tasks of the same shape share a class (as in Borg). Once
 // a pass found no worker for a class, the class is unschedulable: it is skipped until a
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -6,6 +6,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/featuregate"
+	"github.com/decklever/decklever/internal/placement/fairshare"
 	"github.com/decklever/decklever/internal/placement/feasibility"
 	"github.com/decklever/decklever/internal/placement/utilization"
 	"github.com/decklever/decklever/internal/record"
@@ -29,7 +30,7 @@
 type Engine struct {
 	clock   *clock
 	workers *workerIndex
-	queues  *queueTable
+	queues  *fairshare.Table
 	// runs owns the open runs, and through them the counts of steps.
 	runs    *runTable
 	classes *classIndex
@@ -54,7 +55,7 @@
 // New returns an Engine that knows no worker, queue or task.
 func New(config Config) *Engine {
 	clock := &clock{}
-	workers, queues, steps := newWorkerIndex(), newQueueTable(), newStepTable()
+	workers, queues, steps := newWorkerIndex(), fairshare.NewTable(), newStepTable()
 	runs := newRunTable(clock, workers, queues, steps)
 	preferred := newPreferredReserve(config.Off.Has(featuregate.PreferredShare), clock, workers)
 	finder := &targetFinder{off: config.Off, workers: workers, steps: steps, preferred: preferred}
@@ -78,17 +79,17 @@
 
 // SetQueues implements Planner. A queue that is not named has weight 1 and no bound.
 func (e *Engine) SetQueues(rules []QueueRule) {
-	changed := e.queues.setRules(rules)
+	changed := e.queues.SetQueues(rules)
 	if len(changed) > 0 {
 		e.reclassify(func(task *Task) bool { return changed[task.Queue] })
 	}
 }
 
 // SetTeams implements ReservationPlanner. A team that is not named has no bound.
-func (e *Engine) SetTeams(rules []TeamRule) { e.queues.setTeamRules(rules) }
+func (e *Engine) SetTeams(rules []TeamRule) { e.queues.SetTeams(rules) }
 
 // SetDeferences implements Planner.
-func (e *Engine) SetDeferences(deferences []Deference) { e.queues.setDeferences(deferences) }
+func (e *Engine) SetDeferences(deferences []Deference) { e.queues.SetDeferences(deferences) }
 
 // SetWorker implements Planner.
 func (e *Engine) SetWorker(to Worker) {
@@ -178,7 +179,7 @@
 		started = e.clock.now
 	}
 	e.runs.restore(&task, to, started)
-	if e.queues.get(task.Queue).hasReservation {
+	if e.queues.Get(task.Queue).IsReserved() {
 		// It may fill a pending slot.
 		e.workers.addChanged(to.worker)
 	}
@@ -202,7 +203,7 @@
 	e.runs.close(r)
 	e.reservations.dropUnsupportedSlots(r.worker)
 	e.workers.addChanged(r.worker)
-	r.queue.runEnded()
+	r.queue.RunEnded()
 	activateStep(r.step)
 }
 
@@ -240,7 +241,7 @@
 		e.preemptor.retries.add(sub)
 		return
 	}
-	sub.activate()
+	sub.Activate()
 }
 
 // addToGang puts a member into the sub-queue of its gang. A drain for the gang ends: it
@@ -315,7 +316,7 @@
 // refreshReservations sorts the waiting tasks of queues anew that got their first window
 // or lost their last, and tells classes the reservations whose slots they may use.
 func (e *Engine) refreshReservations() {
-	changed := e.queues.setReserved(e.reservations.queues())
+	changed := e.queues.SetReserved(e.reservations.queues())
 	if len(changed) > 0 {
 		e.reclassify(func(task *Task) bool { return changed[task.Queue] })
 	}
--- a/internal/placement/engine_test.go
+++ b/internal/placement/engine_test.go
@@ -28,7 +28,7 @@
 	expect(t, "hold takes it out", e.Waiting(), 0)
 	e.RemoveWorker("w-1")
 	e.RemoveWorker("w-1")
-	expect(t, "runs forgotten", len(e.runs.open)+e.queues.get("q").running+len(e.runs.steps.byID), 0)
+	expect(t, "runs forgotten", len(e.runs.open)+e.queues.Get("q").Running()+len(e.runs.steps.byID), 0)
 	e.Remove(record.TaskID{Job: "unknown"})
 	e.Release(record.TaskID{Job: "unknown"})
 }
--- a/internal/placement/filter_test.go
+++ b/internal/placement/filter_test.go
@@ -4,12 +4,16 @@
 	"testing"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/fairshare"
 )
 
 func TestFilter_FeasibleWorkers(t *testing.T) {
 	w := testWorker("w", api.Resources{CPUMillis: 10, MemoryMB: 10})
 	w.Labels = map[string]string{"disk": "ssd", "rack": ""}
-	full := &queue{rule: QueueRule{MaxRunning: 2}, running: 1}
+	queues := fairshare.NewTable()
+	queues.SetQueues([]QueueRule{{Name: "full", MaxRunning: 2}})
+	full := queues.Get("full")
+	full.CountRun(1)
 	usable, closed := w, w
 	closed.Usable = false
 	cases := []struct {
@@ -28,9 +32,9 @@
 		{"usable", isUsable(&worker{Worker: usable, known: true}), true},
 		{"not usable", isUsable(&worker{Worker: closed, known: true}), false},
 		{"not known", isUsable(&worker{Worker: usable}), false},
-		{"queue has one left", withinQueueLimit(full, 1), true},
-		{"queue has no two left", withinQueueLimit(full, 2), false},
-		{"queue without bound", withinQueueLimit(newQueue("q"), 1000), true},
+		{"queue has one left", full.CanRun(1), true},
+		{"queue has no two left", full.CanRun(2), false},
+		{"queue without bound", queues.Get("q").CanRun(1000), true},
 		{"no spread rule", withinSpread(nil, &w), true},
 	}
 	for _, c := range cases {
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -128,7 +128,7 @@
 // keep the rules.
 func (d *gangDrainer) isValid() bool {
 	g := d.current
-	if !g.gang.parent.queue.canRun(len(g.gang.tasks) - len(g.runs)) {
+	if !g.gang.parent.queue.CanRun(len(g.gang.tasks) - len(g.runs)) {
 		return false
 	}
 	for member, r := range g.runs {
@@ -226,7 +226,7 @@
 // couldDrain reports whether the limits allow the gang now, and it fits once what ends by
 // itself has ended.
 func (sub *subQueue) couldDrain() bool {
-	return sub.parent.queue.canRun(len(sub.tasks)) && sub.fitsOnIdleWorkers()
+	return sub.parent.queue.CanRun(len(sub.tasks)) && sub.fitsOnIdleWorkers()
 }
 
 // fitsOnIdleWorkers reports whether workers on which nothing ran but what runs until
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/fairshare"
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
@@ -18,9 +19,8 @@
 	// awaitedClasses are the classes of which one must fit more often before another
 	// attempt.
 	awaitedClasses []*equivalenceClass
-	// awaitedTeam is the team whose limit holds the gang back; nil if it is that of the
-	// queue.
-	awaitedTeam *team
+	// awaitedLimit is the list on which the gang waits for a limit; nil if it does not.
+	awaitedLimit fairshare.Waitlist
 	// freeMembers is how many members fit at the last attempt; tried tells whether there
 	// was one.
 	freeMembers int
@@ -59,7 +59,7 @@
 func (sub *subQueue) reconsider() {
 	sub.deactivate()
 	sub.tried = false
-	sub.activate()
+	sub.Activate()
 }
 
 // awaitClasses keeps a gang out of passes until one of the classes fits once more.
@@ -99,7 +99,7 @@
 	c.activateAt = math.MaxUint64
 	for sub, at := range c.awaitingGangs {
 		if at <= c.freedFits {
-			sub.activate()
+			sub.Activate()
 			continue
 		}
 		c.activateAt = min(c.activateAt, at)
@@ -109,13 +109,7 @@
 // awaitLimit keeps a gang out of passes until the queue or its team may run more.
 func (sub *subQueue) awaitLimit(size int) {
 	sub.deactivate()
-	q := sub.parent.queue
-	if !withinQueueLimit(q, size) {
-		q.awaitingGangs[sub] = struct{}{}
-		return
-	}
-	q.team.awaitingGangs[sub] = struct{}{}
-	sub.awaitedTeam = q.team
+	sub.awaitedLimit = sub.parent.queue.Await(sub, size)
 }
 
 // stopAwaiting forgets what the gang waits for. The sub-queue of a class waits for
@@ -126,18 +120,15 @@
 		c.leaveUnschedulable()
 	}
 	sub.awaitedClasses = nil
-	delete(sub.parent.queue.awaitingGangs, sub)
-	if sub.awaitedTeam != nil {
-		delete(sub.awaitedTeam.awaitingGangs, sub)
-		sub.awaitedTeam = nil
-	}
+	sub.awaitedLimit.Leave(sub)
+	sub.awaitedLimit = nil
 }
 
 // placeGang places all members of the gang or none. It returns false if the gang fits
 // but not in what is left of the limit of the pass: the pass then ends, and the next one
 // starts with this gang.
 func (p *pass) placeGang(sub *subQueue) bool {
-	if !sub.parent.queue.canRun(len(sub.tasks)) {
+	if !sub.parent.queue.CanRun(len(sub.tasks)) {
 		sub.awaitLimit(len(sub.tasks))
 		return true
 	}
--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -82,6 +82,6 @@
 			fmt.Fprintln(&text, w.ID)
 		}
 	}
-	fmt.Fprintln(&text, e.queues.get("q").running, len(e.runs.steps.byID), len(e.runs.open), e.Waiting())
+	fmt.Fprintln(&text, e.queues.Get("q").Running(), len(e.runs.steps.byID), len(e.runs.open), e.Waiting())
 	return text.String()
 }
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -125,7 +125,7 @@
 // isObsolete reports whether a promised target no longer keeps the rules.
 func (n *nomination) isObsolete() bool {
 	for i, r := range n.runs {
-		if !r.queue.canRun(0) || breaksRule(r, n.members[i]) {
+		if !r.queue.CanRun(0) || breaksRule(r, n.members[i]) {
 			return true
 		}
 	}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -1,8 +1,6 @@
 package placement
 
-import (
-	"cmp"
-)
+import "github.com/decklever/decklever/internal/placement/fairshare"
 
 // pass is one call of Plan: a round over the backlog, highest priority first, that ends
 // with the limit or when nothing active is left.
@@ -50,13 +48,13 @@
 // needsUtilization reports whether anything depends on the utilization of services. It
 // is not counted while nothing does.
 func (e *Engine) needsUtilization() bool {
-	return e.queues.useUtilization() || e.workers.anyRestricted() || e.gangDrains.isDraining()
+	return e.queues.NeedsUtilization() || e.workers.anyRestricted() || e.gangDrains.isDraining()
 }
 
 // planLevel places what waits with one priority. It returns false once the pass is over.
 func (p *pass) planLevel(level *priorityLevel) bool {
 	queues := level.activeQueues()
-	reservations := p.engine.backfill.begin(level, p.engine.queues.mayDefer())
+	reservations := p.engine.backfill.begin(level, p.engine.queues.MayDefer())
 	defer reservations.end(level)
 	for len(p.decisions) < p.limit {
 		next := nextQueue(queues, reservations.competing)
@@ -138,7 +136,7 @@
 }
 
 // canPlace reports whether the queue has something active and is below its limits.
-func (q *priorityQueue) canPlace() bool { return len(q.active) > 0 && q.queue.canRun(1) }
+func (q *priorityQueue) canPlace() bool { return len(q.active) > 0 && q.queue.CanRun(1) }
 
 // nextQueue returns the queue with the lowest share, then the one with the lowest
 // Sequence; nil if none may place. This is weighted max-min fairness over one resource,
@@ -146,18 +144,18 @@
 // with BySlack count as one in that; mostUrgent says which of them goes first.
 func nextQueue(queues []*priorityQueue, competing competingQueues) *priorityQueue {
 	var best *priorityQueue
-	var sharing fairShare
+	var sharing fairshare.Sum
 	for _, q := range queues {
 		if !q.canPlace() {
 			continue
 		}
-		if !q.queue.rule.BySlack {
+		if !q.queue.Rule().BySlack {
 			if best == nil || q.before(best) {
 				best = q
 			}
 			continue
 		}
-		sharing.add(q.queue)
+		sharing.Add(q.queue)
 	}
 	urgent := competing.mostUrgent(queues)
 	switch {
@@ -166,7 +164,7 @@
 	case best == nil:
 		return urgent
 	}
-	byShare := cmp.Compare(sharing.running*best.queue.rule.Weight, best.queue.running*sharing.weight)
+	byShare := sharing.Compare(best.queue)
 	if byShare < 0 || byShare == 0 && urgent.hasEarlierTask(best) {
 		return urgent
 	}
@@ -180,7 +178,7 @@
 
 // before orders queues without BySlack.
 func (q *priorityQueue) before(other *priorityQueue) bool {
-	if byShare := compareFairShare(q.queue, other.queue); byShare != 0 {
+	if byShare := fairshare.Compare(q.queue, other.queue); byShare != 0 {
 		return byShare < 0
 	}
 	return q.hasEarlierTask(other)
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -255,7 +255,7 @@
 			r.add(sub)
 		default:
 			sub.mayPreemptNow = true
-			sub.activate()
+			sub.Activate()
 		}
 	}
 }
@@ -266,7 +266,7 @@
 	for _, sub := range unfinished {
 		if len(sub.tasks) > 0 {
 			sub.mayPreemptNow = sub.class == nil || sub.class.unschedulable
-			sub.activate()
+			sub.Activate()
 		}
 	}
 }
--- a/internal/placement/reasons.go
+++ b/internal/placement/reasons.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/fairshare"
 	"github.com/decklever/decklever/internal/placement/feasibility"
 	"github.com/decklever/decklever/internal/placement/resources"
 	"github.com/decklever/decklever/internal/record"
@@ -30,25 +31,19 @@
 	if w.subQueue.class == nil {
 		return e.gangReason(w)
 	}
-	if q := w.subQueue.parent.queue; !q.canRun(1) {
+	if q := w.subQueue.parent.queue; !q.CanRun(1) {
 		return limitReason(q, 1)
 	}
 	return e.classReason(w)
 }
 
 // limitReason names the limit that does not allow count more runs.
-func limitReason(q *queue, count int) string {
-	if !withinQueueLimit(q, count) {
-		return quotaText("queue", q.rule.Name, q.running, q.rule.MaxRunning)
+func limitReason(q *fairshare.Queue, count int) string {
+	limit := q.Exceeded(count)
+	if limit.Running >= limit.MaxRunning {
+		return fmt.Sprintf("quota: %s %q has its %d running tasks", limit.Kind, limit.Name, limit.MaxRunning)
 	}
-	return quotaText("team", q.team.rule.Name, q.team.running, q.team.rule.MaxRunning)
-}
-
-func quotaText(kind, name string, running, most int) string {
-	if running >= most {
-		return fmt.Sprintf("quota: %s %q has its %d running tasks", kind, name, most)
-	}
-	return fmt.Sprintf("quota: %s %q has %d of its %d running tasks", kind, name, running, most)
+	return fmt.Sprintf("quota: %s %q has %d of its %d running tasks", limit.Kind, limit.Name, limit.Running, limit.MaxRunning)
 }
 
 // gangReason explains a member of a gang.
@@ -57,7 +52,7 @@
 	if !sub.complete() {
 		return fmt.Sprintf("group has %d of %d members", len(sub.tasks), sub.size)
 	}
-	if q := sub.parent.queue; !q.canRun(len(sub.tasks)) {
+	if q := sub.parent.queue; !q.CanRun(len(sub.tasks)) {
 		return fmt.Sprintf("%s, group needs %d", limitReason(q, len(sub.tasks)), len(sub.tasks))
 	}
 	if reason := e.workers.eligibilityReason(w); reason != "" {
--- a/internal/placement/reservedslots.go
+++ b/internal/placement/reservedslots.go
@@ -183,7 +183,7 @@
 	}
 	mayFill := func(o *run) bool {
 		sameService := r.Service == "" || r.Service == o.service
-		return o.queue.rule.Name == r.Queue && o.slot == nil && !o.nominated && !o.stopping &&
+		return o.queue.Name() == r.Queue && o.slot == nil && !o.nominated && !o.stopping &&
 			o.started >= r.Start && sameService && o.need.Fits(r.SlotSize)
 	}
 	for _, o := range w.sortedRuns(mayFill) {
--- a/internal/placement/runs.go
+++ b/internal/placement/runs.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/fairshare"
 	"github.com/decklever/decklever/internal/record"
 )
 
@@ -18,7 +19,7 @@
 	service  string
 	need     api.Resources
 	worker   *worker
-	queue    *queue
+	queue    *fairshare.Queue
 	step     *step
 	priority int
 	runTimes
@@ -145,11 +146,11 @@
 
 	clock   *clock
 	workers *workerIndex
-	queues  *queueTable
+	queues  *fairshare.Table
 	steps   *stepTable
 }
 
-func newRunTable(clock *clock, workers *workerIndex, queues *queueTable, steps *stepTable) *runTable {
+func newRunTable(clock *clock, workers *workerIndex, queues *fairshare.Table, steps *stepTable) *runTable {
 	return &runTable{
 		open:           map[record.TaskID]*run{},
 		preemptible:    map[int]int{},
@@ -189,7 +190,7 @@
 		service:       task.Spec.Service,
 		need:          task.Spec.Resources,
 		worker:        to.worker,
-		queue:         t.queues.get(task.Queue),
+		queue:         t.queues.Get(task.Queue),
 		step:          t.steps.get(task.ID.StepID()),
 		priority:      task.Priority,
 		nominated:     nominated,
@@ -210,7 +211,7 @@
 	}
 	to.worker.runs[r] = struct{}{}
 	t.workers.allocate(r)
-	r.queue.countRun(1)
+	r.queue.CountRun(1)
 	r.step.count(to.worker, 1)
 	t.countPreemptible(r, 1)
 	return r
@@ -225,7 +226,7 @@
 	t.workers.deallocate(r)
 	delete(r.worker.runs, r)
 	r.leaveSlot()
-	r.queue.countRun(-1)
+	r.queue.CountRun(-1)
 	r.step.count(r.worker, -1)
 	t.steps.forgetIfUnused(r.step)
 }
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -2,6 +2,7 @@
 
 import (
 	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/internal/placement/fairshare"
 	"github.com/decklever/decklever/internal/placement/feasibility"
 	"github.com/decklever/decklever/internal/record"
 )
@@ -54,13 +55,6 @@
 	AllowsProbation, PrefersProbation bool
 }
 
-// TeamRule is what the engine must know of a team. MaxRunning bounds the open runs of
-// its queues together; 0 is no bound.
-type TeamRule struct {
-	Name       string
-	MaxRunning int
-}
-
 // Reservation is one window for which slots are reserved now: from its lead time until
 // its end.
 type Reservation struct {
@@ -75,12 +69,6 @@
 	Labels   map[string]string
 }
 
-// Deference says that a queue lets others go first under load.
-type Deference struct {
-	Queue string
-	To    []string
-}
-
 // Preemption asks for a run to be stopped so that Beneficiary can be placed.
 type Preemption struct {
 	Task        record.TaskID
@@ -126,22 +114,6 @@
 	Gang     string
 }
 
-// QueueRule is what the engine must know of a queue.
-type QueueRule struct {
-	Name string
-	// MaxRunning bounds open runs; 0 is no bound.
-	MaxRunning int
-	Weight     int
-	// BySlack: Sequence tells how urgent a task is against those of other queues
-	// with it, whatever their weights.
-	BySlack bool
-	// Team is the queue's team, or empty.
-	Team string
-	// Headroom is the share of each worker that tasks of the queue leave free, in
-	// hundredths; gangs do not.
-	Headroom int
-}
-
 // Planner lists the calls of Engine.
 //
 // A decision returned by Plan is taken as an open run at once: its resources are taken
@@ -183,3 +155,13 @@
 	// Waiting is the number of tasks that wait.
 	Waiting() int
 }
+
+// Rules of queues and teams, as package fairshare describes them.
+type (
+	// QueueRule is what the engine must know of a queue.
+	QueueRule = fairshare.QueueRule
+	// TeamRule is what the engine must know of a team.
+	TeamRule = fairshare.TeamRule
+	// Deference says that a queue lets others go first under load.
+	Deference = fairshare.Deference
+)
