--- a/internal/placement/decisions_test.go
+++ b/internal/placement/decisions_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"crypto/sha256"
-	"encoding/hex"
 	"flag"
 	"fmt"
-	"hash"
 	"math/rand/v2"
 	"os"
 	"slices"
@@ -24,8 +22,8 @@
 	goldenFile   = "testdata/decisions.golden"
 	goldenSeeds  = 16
 	goldenRounds = 700
-	// mostGoldenWaiting bounds the backlog, so that a sequence does not slow down.
-	mostGoldenWaiting = 140
+	// maxGoldenWaiting bounds the backlog, so that a sequence does not slow down.
+	maxGoldenWaiting = 140
 )
 
 // goldenRun drives one engine by a seeded sequence of calls through its public
@@ -33,9 +31,10 @@
 type goldenRun struct {
 	random *rand.Rand
 	engine *Engine
-	digest hash.Hash
-	now    record.Millis
-	next   int
+	// answers are all that the engine said, as text.
+	answers []byte
+	now     record.Millis
+	next    int
 	// open are the tasks with a run, in the order in which they were placed.
 	open map[record.TaskID]Task
 	// order and queued list the open and the waiting tasks: iteration over a map would
@@ -53,7 +52,7 @@
 
 func newGoldenRun(seed uint64) *goldenRun {
 	g := &goldenRun{
-		random: rand.New(rand.NewPCG(seed, 22)), engine: New(Config{Seed: int64(seed)}), digest: sha256.New(),
+		random: rand.New(rand.NewPCG(seed, 22)), engine: New(Config{Seed: int64(seed)}),
 		now: 1, open: map[record.TaskID]Task{}, waiting: map[record.TaskID]Task{},
 	}
 	g.engine.SetTime(g.now)
@@ -78,7 +77,7 @@
 	g.engine.SetQueues(rules)
 }
 
-func (g *goldenRun) setYields() {
+func (g *goldenRun) setDeferences() {
 	all := []Deference{{Queue: "a", To: []string{"b"}}, {Queue: "b", To: []string{"a"}}}
 	from := g.random.IntN(3)
 	g.engine.SetDeferences(all[min(from, 1):max(from, 1)])
@@ -130,7 +129,7 @@
 	return spec
 }
 
-// addStep adds the tasks of one step, as a group or each alone.
+// addStep adds the tasks of one step, as a gang or each alone.
 func (g *goldenRun) addStep() {
 	g.next++
 	job, count := fmt.Sprintf("j%04d", g.next), 1+g.random.IntN(6)
@@ -234,7 +233,7 @@
 	g.now += record.Millis(g.random.IntN(1500))
 	g.engine.SetTime(g.now)
 	for range g.random.IntN(4) {
-		if len(g.waiting) < mostGoldenWaiting {
+		if len(g.waiting) < maxGoldenWaiting {
 			g.addStep()
 		}
 	}
@@ -253,7 +252,7 @@
 	case 0:
 		g.setQueues()
 	case 1, 2:
-		g.setYields()
+		g.setDeferences()
 	case 3, 4, 5:
 		g.setWorker(g.random.IntN(12))
 	case 6:
@@ -297,7 +296,7 @@
 
 func (g *goldenRun) plan(limit int) {
 	for _, d := range g.engine.Plan(limit) {
-		fmt.Fprintf(g.digest, "place %v %s %s %s\n", d.Task, d.WorkerID, d.Worker, d.Gang)
+		g.answers = fmt.Appendf(g.answers, "place %v %s %s %s\n", d.Task, d.WorkerID, d.Worker, d.Gang)
 		g.counts.decisions++
 		if d.Gang != "" {
 			g.counts.gangMembers++
@@ -309,23 +308,23 @@
 		g.order = append(g.order, d.Task)
 	}
 	for _, p := range g.engine.Preemptions() {
-		fmt.Fprintf(g.digest, "preempt %v %s %v\n", p.Task, p.WorkerID, p.Beneficiary)
+		g.answers = fmt.Appendf(g.answers, "preempt %v %s %v\n", p.Task, p.WorkerID, p.Beneficiary)
 		g.counts.preemptions++
 		if !g.chance(3) {
 			g.release(p.Task, true)
 		}
 	}
 	for _, s := range g.engine.ReservedSlots() {
-		fmt.Fprintf(g.digest, "slots %s %s %s %d %d\n", s.Reservation, s.WorkerID, s.Worker, s.Slots, s.Used)
+		g.answers = fmt.Appendf(g.answers, "slots %s %s %s %d %d\n", s.Reservation, s.WorkerID, s.Worker, s.Slots, s.Used)
 		g.counts.slotsUsed += s.Used
 	}
 	for range 3 {
 		if task, ok := g.draw(&g.queued, g.waiting); ok {
-			fmt.Fprintf(g.digest, "reason %v %s\n", task.ID, g.engine.Reason(task.ID))
-			fmt.Fprintf(g.digest, "free %v\n", g.engine.HasFreeCapacity(task.Spec))
+			g.answers = fmt.Appendf(g.answers, "reason %v %s\n", task.ID, g.engine.Reason(task.ID))
+			g.answers = fmt.Appendf(g.answers, "free %v\n", g.engine.HasFreeCapacity(task.Spec))
 		}
 	}
-	fmt.Fprintf(g.digest, "waiting %d\n", g.engine.Waiting())
+	g.answers = fmt.Appendf(g.answers, "waiting %d\n", g.engine.Waiting())
 	if g.engine.gangDrains.current != nil {
 		g.counts.drains++
 	}
@@ -339,8 +338,8 @@
 		g.round()
 	}
 	c := g.counts
-	return fmt.Sprintf("%d %s decisions=%d gang_members=%d preemptions=%d slots_used=%d drains=%d backfills=%d",
-		seed, hex.EncodeToString(g.digest.Sum(nil)), c.decisions, c.gangMembers, c.preemptions, c.slotsUsed, c.drains, c.backfills)
+	return fmt.Sprintf("%d %x decisions=%d gang_members=%d preemptions=%d slots_used=%d drains=%d backfills=%d",
+		seed, sha256.Sum256(g.answers), c.decisions, c.gangMembers, c.preemptions, c.slotsUsed, c.drains, c.backfills)
 }
 
 // TestEngine_DecisionsMatchGolden compares whole sequences of decisions, preemptions,
