--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -106,14 +106,14 @@
 			return b.create(decision.membership)
 		case bootstrapJoin:
 			b.state.end(nil)
-			b.logger.Info("joins a cluster")
+			b.logger.Info("joining a cluster")
 			return nil
 		case bootstrapPropose:
 			b.state.propose(decision.membership)
 		case bootstrapWait:
 			if time.Since(lastLog) >= bootstrapLogInterval {
 				lastLog = time.Now()
-				b.logger.Info("waits to form a cluster", "missing", decision.reason)
+				b.logger.Info("waiting to create a cluster", "reason", decision.reason)
 			}
 		}
 		if !contexttime.Sleep(ctx, bootstrapInterval) {
@@ -140,6 +140,6 @@
 		return fmt.Errorf("create cluster: %w", err)
 	}
 	b.state.end(&membership)
-	b.logger.Info("cluster formed", "voters", memberNames(membership.Voters))
+	b.logger.Info("cluster created", "voters", memberNames(membership.Voters))
 	return nil
 }
--- a/internal/replica/bootstrapdecision.go
+++ b/internal/replica/bootstrapdecision.go
@@ -65,7 +65,7 @@
 			return bootstrapDecision{action: bootstrapJoin}
 		}
 	}
-	return waitBecause("no seed belongs to a cluster yet, and this replica may not form one")
+	return waitBecause("no seed belongs to a cluster yet, and this replica may not create one")
 }
 
 // decideExistingCluster looks for a seed that belongs to a cluster already. One whose
@@ -92,7 +92,7 @@
 		case seed.err != nil:
 			unready = append(unready, fmt.Sprintf("seed %s does not answer: %v", seed.address, seed.err))
 		case !seed.identity.Bootstrapping:
-			unready = append(unready, fmt.Sprintf("seed %s does not wait to form a cluster", seed.address))
+			unready = append(unready, fmt.Sprintf("seed %s takes no part in the bootstrap", seed.address))
 		}
 	}
 	return unready
@@ -121,7 +121,7 @@
 		idByName[voter.Name] = voter.ID
 	}
 	if indexOf(membership.Voters, self) < 0 {
-		return "the own address is not among the seeds"
+		return "the address of this replica is not among the seeds"
 	}
 	return ""
 }
--- a/internal/replica/joining.go
+++ b/internal/replica/joining.go
@@ -95,7 +95,7 @@
 	}
 	answer, err := rpc.Call[protocol.JoinRequest, protocol.JoinAnswer](ctx, j.client, leader, protocol.MethodJoin, request)
 	if err != nil {
-		j.logger.Debug("join refused", "leader", leader, "error", err)
+		j.logger.Debug("join rejected", "leader", leader, "error", err)
 	}
 	return answer.Standby
 }
@@ -122,7 +122,7 @@
 			continue
 		}
 		if _, listed := findMember(seed.identity.Membership, j.self.id); !listed {
-			j.logger.Warn("this replica was replaced and joins again", "leader", seed.identity.LeaderAddress)
+			j.logger.Warn("replica was replaced, joining again", "leader", seed.identity.LeaderAddress)
 			return true
 		}
 	}
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -89,7 +89,7 @@
 	}
 	if t.cancel == nil && !t.warned && now-t.endedAt > leadReturnGrace {
 		t.warned = true
-		t.logger.Warn("the former term's work has not ended", "after", now-t.endedAt)
+		t.logger.Warn("leader of an earlier term has not returned", "after", now-t.endedAt)
 	}
 	return false
 }
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -201,7 +201,7 @@
 	for _, message := range received.messages {
 		now := l.now()
 		if err := l.node.Step(now, message); err != nil {
-			l.logger.Warn("raft message refused", "from", string(message.From), "error", err)
+			l.logger.Warn("raft message rejected", "from", string(message.From), "error", err)
 			continue
 		}
 		if message.Kind == raft.MessageAppendResponse && message.WallClock != 0 && l.term.leading {
--- a/internal/replica/membershipserver.go
+++ b/internal/replica/membershipserver.go
@@ -121,5 +121,5 @@
 		return
 	}
 	c.postponedLoggedAt = now
-	c.logger.Warn("newcomer has to wait", "newcomer", string(member.ID), "name", member.Name, "reason", reason)
+	c.logger.Warn("join postponed", "newcomer", string(member.ID), "name", member.Name, "reason", reason)
 }
--- a/internal/replica/peer.go
+++ b/internal/replica/peer.go
@@ -102,8 +102,8 @@
 		return
 	}
 	if err != nil {
-		p.logger.Warn("replica cannot be reached", "error", err)
+		p.logger.Warn("replica unreachable", "error", err)
 		return
 	}
-	p.logger.Info("replica can be reached again")
+	p.logger.Info("replica reachable again")
 }
--- a/internal/replica/ready.go
+++ b/internal/replica/ready.go
@@ -92,7 +92,7 @@
 		return false
 	}
 	if err := l.node.TransferLeadership(now, ""); err != nil {
-		l.logger.Warn("leadership kept on a slow disk", "error", err)
+		l.logger.Warn("leadership not transferred from a slow disk", "error", err)
 		return false
 	}
 	return true
@@ -125,7 +125,7 @@
 		l.clock.observeOwn(l.now())
 	}
 	if !leads && after.Leader != "" && after.Leader != before.Leader {
-		l.logger.Info("follows leader", "term", after.Term, "leader", string(after.Leader))
+		l.logger.Info("following leader", "term", after.Term, "leader", string(after.Leader))
 	}
 	if after.TermReady && l.term.readyIndex == 0 {
 		l.term.readyIndex = after.Commit
--- a/internal/replica/reconfig/step.go
+++ b/internal/replica/reconfig/step.go
@@ -130,7 +130,7 @@
 func replaceSameMachineStep(q Query, earlier raft.Member) Step {
 	member := q.Member
 	if earlier.Address != member.Address && !unresponsive(q, earlier.ID) {
-		return Step{Postponed: fmt.Sprintf("replica %s of the same name at %s was heard less than %v ago", earlier.ID, earlier.Address, q.VoterTimeout)}
+		return Step{Postponed: fmt.Sprintf("replica %s of the same name at %s was last seen less than %v ago", earlier.ID, earlier.Address, q.VoterTimeout)}
 	}
 	return replaceStep(q.Status.Membership, member, earlier.ID)
 }
--- a/internal/replica/saver.go
+++ b/internal/replica/saver.go
@@ -37,7 +37,7 @@
 	if !errors.Is(err, storage.ErrNoSpace) {
 		return err
 	}
-	s.logger.Error("no room on the disk, this replica takes no part until there is", "error", err)
+	s.logger.Error("disk full, replica does not participate", "error", err)
 	s.metrics.diskFull.Set(1)
 	defer s.metrics.diskFull.Set(0)
 	for errors.Is(err, storage.ErrNoSpace) {
@@ -47,7 +47,7 @@
 		err = s.trySave(ready, began)
 	}
 	if err == nil {
-		s.logger.Info("room on the disk again", "after", time.Since(began))
+		s.logger.Info("disk has space again, replica participates", "after", time.Since(began))
 	}
 	return err
 }
--- a/internal/replica/shutdown.go
+++ b/internal/replica/shutdown.go
@@ -47,14 +47,14 @@
 		version, changed := s.published.roleChanges.watch()
 		status := s.published.status.Load()
 		if status.Role != raft.RoleLeader && status.Leader != "" {
-			s.logger.Info("leadership handed over", "to", string(status.Leader), "term", status.Term, "change", version)
+			s.logger.Info("leadership transferred", "to", string(status.Leader), "term", status.Term, "change", version)
 			return
 		}
 		select {
 		case <-changed:
 		case <-poll.C:
 			if !s.successorReachable(ctx) {
-				s.logger.Info("leadership not handed over: too few replicas can be reached", "term", status.Term)
+				s.logger.Info("leadership not transferred: too few replicas reachable", "term", status.Term)
 				return
 			}
 		case <-s.mailbox.stopped:
@@ -79,7 +79,7 @@
 			if err == nil && answer.Done {
 				return
 			}
-			s.logger.Debug("seat not handed over yet", "error", err)
+			s.logger.Debug("voter slot not transferred yet", "error", err)
 		}
 		if !contexttime.Sleep(ctx, transferPollInterval) {
 			return
