--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -208,3 +208,28 @@
 		t.Errorf("want the run stopped after the grace of the first drain, got %+v", answer.Stop)
 	}
 }
+
+func TestDrains_RevokeAndStop(t *testing.T) {
+	h := newHarness(t)
+	worker, other := h.worker("a", "a-1"), h.worker("b", "b-1")
+	worker.exchange()
+	endless := tasks(1)
+	endless.Tasks[0].UntilCancelled = true
+	h.submit("endless", endless)
+	worker.exchange()
+	h.submit("unordered", tasks(1))
+	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q"}}, Drains: api.DrainConfig{Workers: []string{"a"}}})
+	answer := worker.exchange()
+	if len(answer.Start) != 0 || len(answer.Stop) != 1 || answer.Stop[0].Task != "endless/s/0" {
+		t.Fatalf("want the endless run stopped and nothing started, got %+v", answer)
+	}
+	worker.end(api.OutcomeStopped)
+	worker.exchange()
+	other.exchange()
+	if answer := other.exchange(); len(answer.Start) != 2 {
+		t.Errorf("want both tasks on the other worker, got %+v", answer.Start)
+	}
+	if failures := h.task("endless", 0).Failures; failures != 0 {
+		t.Errorf("a drain counted as %d failures", failures)
+	}
+}
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -18,6 +18,11 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
+const (
+	testHold   = 3 * time.Second
+	testMargin = 300 * time.Millisecond
+)
+
 // fakeLog applies each command at once. It is the log of one replica that
 // leads for as long as lease is true.
 type fakeLog struct {
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -71,3 +71,22 @@
 		t.Errorf("unwanted %v, unreadable %v, ended %v", result.unwanted, result.unreadable, result.ended)
 	}
 }
+
+func TestReconcile_NewTermUsesWhatWorkersList(t *testing.T) {
+	h := newHarness(t)
+	keeper, dropper := h.worker("a", "a-1"), h.worker("b", "b-1")
+	keeper.exchange()
+	h.submit("kept", tasks(4))
+	keeper.exchange()
+	dropper.exchange()
+	h.submit("unordered", tasks(1)) // placed on b, whose order the old leader has not given
+	h.newTerm()
+	if answer := keeper.exchange(); len(answer.Stop) != 0 || len(answer.Start) != 0 {
+		t.Errorf("runs that go on were touched: %+v", answer)
+	}
+	dropper.exchange() // in neither list: lost at once, without waiting for the hold
+	answer := dropper.exchange()
+	if len(answer.Start) != 1 || answer.Start[0].Task != "unordered/s/0" || answer.Start[0].Run != 2 {
+		t.Errorf("want run 2 of the unordered task, got %+v", answer.Start)
+	}
+}
