--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -76,7 +76,8 @@
 //
 //	replica.go, config.go, restore.go      construction, Run, what the store held
 //	log.go, errors.go                      what package scheduler sees
-//	loop.go, ready.go, mailbox.go          the loop and the way into it
+//	loop.go, loopticker.go, ready.go       the loop
+//	mailbox.go                             the way into it
 //	published.go, watermark.go             the way out of it
 //	propose.go, appender.go, batchpacer.go proposals: callers' side, loop's side, batches
 //	read.go                                linearizable reads
@@ -84,7 +85,9 @@
 //	shutdown.go                            leadership transfer, retirement of a voter
 //	saver.go, slowdisk.go                  persistence, full and slow disks
 //	transport.go, peer.go, sendqueue.go    messages to other replicas
-//	snapshotwriter.go, snapshotsender.go, snapshotreceiver.go, loopsnapshots.go, archive.go
+//	snapshots.go, snapshotwriter.go, snapshotsender.go, snapshotreceiver.go
+//	                                       snapshots: the loop's side, writing, sending, receiving
+//	archive.go                             copies of the archive of ended jobs
 //	seeds.go, identity.go                  queries of the seeds, and their answer
 //	bootstrap.go, bootstrapdecision.go     creation of a cluster
 //	joining.go                             joining, standing by, joining again
--- /dev/null
+++ b/internal/replica/membershipserver_test.go
@@ -0,0 +1,32 @@
+package replica
+
+import (
+	"errors"
+	"testing"
+
+	"github.com/decklever/decklever/internal/protocol"
+	"github.com/decklever/decklever/internal/raft"
+	"github.com/decklever/decklever/internal/rpc"
+)
+
+func TestMembershipServer_RejectsWithoutTheLoop(t *testing.T) {
+	s := &membershipServer{published: newTestPublished(t), mailbox: newMailbox()}
+	s.published.update(raft.Status{Role: raft.RoleLeader, Term: 3, TermReady: true}) // its lease has expired
+	for name, c := range map[string]struct {
+		member raft.Member
+		want   rpc.Code
+	}{
+		"without name":           {raft.Member{ID: "n", Address: "address-n"}, rpc.CodeBadRequest},
+		"without address":        {raft.Member{ID: "n", Name: "name-n"}, rpc.CodeBadRequest},
+		"leader without a lease": {member("n"), rpc.CodeNotLeader},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := s.serveJoin(t.Context(), protocol.JoinRequest{Member: c.member}); !errors.Is(err, &rpc.Error{Code: c.want}) {
+				t.Errorf("got %v, want %s", err, c.want)
+			}
+		})
+	}
+	if _, err := s.serveRetire(t.Context(), protocol.RetireRequest{ID: "b"}); !errors.Is(err, &rpc.Error{Code: rpc.CodeNotLeader}) {
+		t.Errorf("retire: %v, want %s", err, rpc.CodeNotLeader)
+	}
+}
--- /dev/null
+++ b/internal/replica/read_test.go
@@ -0,0 +1,37 @@
+package replica
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"github.com/decklever/decklever/internal/raft"
+)
+
+// TestReadIndex_UnderLeaseCoversCommittedAndApplied: what was acknowledged lies below the
+// one or the other.
+func TestReadIndex_UnderLeaseCoversCommittedAndApplied(t *testing.T) {
+	for name, c := range map[string]struct{ commit, applied, want uint64 }{
+		"applied lags":  {50, 40, 50},
+		"applied leads": {40, 50, 50},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := &reader{published: newTestPublished(t), mailbox: newMailbox()}
+			r.published.update(raft.Status{Role: raft.RoleLeader, Term: 3, TermReady: true, LeaseUntil: time.Hour, Commit: c.commit})
+			r.published.applied.advance(c.applied)
+			if got, err := r.readIndex(t.Context()); err != nil || got != c.want {
+				t.Errorf("read index %d, %v; want %d", got, err, c.want)
+			}
+		})
+	}
+}
+
+func TestReadIndex_FollowerIsNotLeader(t *testing.T) {
+	r := &reader{published: newTestPublished(t), mailbox: newMailbox()}
+	if _, err := r.readIndex(t.Context()); !errors.Is(err, ErrNotLeader) {
+		t.Errorf("got %v, want ErrNotLeader", err)
+	}
+	if err := r.barrier(t.Context()); !errors.Is(err, ErrNotLeader) {
+		t.Errorf("barrier without a known leader: %v, want ErrNotLeader", err)
+	}
+}
