--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -34,9 +34,9 @@
 	t.started = true
 }
 
-// leaderContact is the last message that a leader's term was confirmed by, and
-// so the start of the time in which this replica supports no other leader. It
-// outlives the term and the role.
+// leaderContact is when this replica last had an append or snapshot of a leader,
+// and in which term. From then on it supports no other leader for
+// ElectionTimeoutMin, also when its term or role changes meanwhile.
 type leaderContact struct {
 	known bool
 	at    time.Duration
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -163,3 +163,29 @@
 		t.Error("still leads without a quorum")
 	}
 }
+
+func TestElectionTimer_TimeoutsAreBoundedAndDifferByReplica(t *testing.T) {
+	config := Config{ID: "a", Seed: 1}.withDefaults()
+	other := config
+	other.ID = "b"
+	timer, otherTimer, same := newElectionTimer(config), newElectionTimer(other), newElectionTimer(config)
+	differ := 0
+	for now := time.Duration(0); now < 100*time.Second; now += time.Second {
+		timer.reset(now)
+		otherTimer.reset(now)
+		same.reset(now)
+		timeout := timer.deadline - now
+		if timeout < config.ElectionTimeoutMin || timeout > config.ElectionTimeoutMax {
+			t.Fatalf("timeout %v", timeout)
+		}
+		if same.deadline != timer.deadline {
+			t.Fatalf("one seed gave %v and %v", timer.deadline, same.deadline)
+		}
+		if otherTimer.deadline != timer.deadline {
+			differ++
+		}
+	}
+	if differ < 90 {
+		t.Errorf("only %d of 100 timeouts of two replicas differ", differ)
+	}
+}
--- a/internal/raft/lease_test.go
+++ b/internal/raft/lease_test.go
@@ -212,3 +212,23 @@
 		t.Errorf("reads %+v", node.reads)
 	}
 }
+
+func TestLease_UnconfirmedRoundsAreBounded(t *testing.T) {
+	l := lease{duration: DefaultLeaseDuration}
+	for i := range 2 * maxUnconfirmedRounds {
+		l.startRound(time.Duration(i) * DefaultTickInterval)
+	}
+	if len(l.unconfirmed) != maxUnconfirmedRounds || l.newestRound != 2*maxUnconfirmedRounds {
+		t.Fatalf("%d rounds are remembered of %d", len(l.unconfirmed), l.newestRound)
+	}
+	// A round that is no longer remembered confirms, but extends nothing.
+	if !l.confirm(1) || l.until != 0 {
+		t.Errorf("until %v after a forgotten round", l.until)
+	}
+	if !l.confirm(l.newestRound) || l.until != (2*maxUnconfirmedRounds-1)*DefaultTickInterval+DefaultLeaseDuration {
+		t.Errorf("until %v after the newest round", l.until)
+	}
+	if l.confirm(l.newestRound) || l.lastHeartbeatAt() != l.until-l.duration {
+		t.Errorf("last heartbeat at %v, lease until %v", l.lastHeartbeatAt(), l.until)
+	}
+}
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -90,8 +90,8 @@
 
 // Step handles a message from another replica. now must have been read after
 // the message was received: the voter's side of a lease counts from it. An
-// error means that the message contradicts the state of this node and changed
-// nothing but, at most, its term and role.
+// error means that the message contradicts what this node has; its entries were
+// not appended then.
 func (n *Node) Step(now time.Duration, message Message) error {
 	n.advanceTime(now)
 	if message.To != n.config.ID {
