--- a/internal/compatibility/golden/golden.go
+++ b/internal/compatibility/golden/golden.go
@@ -16,7 +16,6 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"testing"
 )
 
 // permissions are those of the files written; the repository keeps its own.
@@ -24,20 +23,27 @@
 
 var update = flag.String("update", "", "write the golden files anew; the value names the commit of the sources")
 
+// Reporter is what is needed of a *testing.T.
+type Reporter interface {
+	Helper()
+	Errorf(format string, values ...any)
+	Fatal(values ...any)
+}
+
 // Values are what a golden file holds, by name. Neither names nor values may
 // hold a tab or a line break.
 type Values map[string]string
 
 // Compare compares lines with those of the file at path, both ways, and reports
 // each one that is missing, added or different.
-func Compare(t *testing.T, path string, found Values) {
+func Compare(t Reporter, path string, found Values) {
 	t.Helper()
 	CompareExplained(t, path, found, func(value string) string { return value })
 }
 
 // CompareExplained is Compare for values that are not readable as they are;
 // explain gives a value the form in which a difference is reported.
-func CompareExplained(t *testing.T, path string, found Values, explain func(string) string) {
+func CompareExplained(t Reporter, path string, found Values, explain func(string) string) {
 	t.Helper()
 	if *update != "" {
 		write(t, path, format(found))
@@ -60,7 +66,7 @@
 }
 
 // CompareText compares a whole text with the file at path, line by line.
-func CompareText(t *testing.T, path, found string) {
+func CompareText(t Reporter, path, found string) {
 	t.Helper()
 	if *update != "" {
 		write(t, path, found)
@@ -100,7 +106,7 @@
 	return values
 }
 
-func read(t *testing.T, path string) string {
+func read(t Reporter, path string) string {
 	t.Helper()
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -109,7 +115,7 @@
 	return string(content)
 }
 
-func write(t *testing.T, path, text string) {
+func write(t Reporter, path, text string) {
 	t.Helper()
 	folder := filepath.Dir(path)
 	if err := os.MkdirAll(folder, 0o700); err != nil {
