--- a/internal/process/integration/badinput_test.go
+++ b/internal/process/integration/badinput_test.go
@@ -19,7 +19,7 @@
 // fleet makes for itself.
 const goroutineSlack = 20
 
-// TestDaemons_RejectBadInput gives each daemon what no user of it sends. Each refuses or cuts
+// TestDaemons_RejectBadInput sends each daemon what no client sends. Each rejects or cuts
 // it off, goes on with ordinary requests, and keeps nothing of it.
 func TestDaemons_RejectBadInput(t *testing.T) {
 	targets := startDaemons(t)
--- a/internal/process/integration/callers_test.go
+++ b/internal/process/integration/callers_test.go
@@ -19,7 +19,7 @@
 	queueName = "q"
 )
 
-// caller makes calls one after another, and is at work until its context ends.
+// caller makes calls one after another until its context ends.
 type caller struct {
 	t       *testing.T
 	number  int
@@ -66,7 +66,7 @@
 	return output, true
 }
 
-// taggedConfig is a configuration that can be told from others.
+// taggedConfig is a configuration that its tag tells from others.
 func taggedConfig(tag string) api.Config {
 	return api.Config{Queues: []api.QueueConfig{{Name: queueName}, {Name: tag}}}
 }
@@ -129,7 +129,7 @@
 	return fmt.Sprintf("job-%d", max(0, newest-c.random.IntN(3)))
 }
 
-// taggedJob is a job that can be told from others by the name of its step.
+// taggedJob is a job that the name of its step tells from others.
 func taggedJob(tag string) api.JobSpec {
 	task := api.TaskSpec{Service: "s", Resources: api.Resources{CPUMillis: 1}}
 	return api.JobSpec{Queue: queueName, Steps: []api.StepSpec{{Name: tag, Tasks: []api.TaskSpec{task}}}}
@@ -154,12 +154,12 @@
 	c.history.addJob(c.number, input, jobOutput{result: result}, began)
 }
 
-// submitResult: what an earlier try created is the same to a later one.
-func submitResult(created bool, tries int) jobResult {
+// submitResult tells a new job from one that an earlier attempt may have created.
+func submitResult(created bool, attempts int) jobResult {
 	switch {
 	case created:
 		return jobCreated
-	case tries > 1:
+	case attempts > 1:
 		return jobTaken
 	default:
 		return jobSame
--- a/internal/process/integration/calls_test.go
+++ b/internal/process/integration/calls_test.go
@@ -103,14 +103,14 @@
 
 // resultOf is the result of a call in terms of a model: accepted for an answer that is no
 // rejection. A rejection that is not expected fails the test.
-func resultOf[Result any](c *caller, what string, end callResult, unknown, accepted Result, refused map[api.ErrorCode]Result) Result {
+func resultOf[Result any](c *caller, what string, end callResult, unknown, accepted Result, rejected map[api.ErrorCode]Result) Result {
 	switch {
 	case end.outcome == outcomeUnknown:
 		return unknown
 	case end.rejection == nil:
 		return accepted
 	}
-	result, expected := refused[end.rejection.Code]
+	result, expected := rejected[end.rejection.Code]
 	if !expected {
 		c.unexpected(what, end.rejection)
 		return unknown
@@ -118,8 +118,8 @@
 	return result
 }
 
-func (c *caller) unexpected(what string, refusal *api.Error) {
-	if refusal != nil {
-		c.t.Errorf("caller %d: %s: %v", c.number, what, refusal)
+func (c *caller) unexpected(what string, rejection *api.Error) {
+	if rejection != nil {
+		c.t.Errorf("caller %d: %s: %v", c.number, what, rejection)
 	}
 }
--- a/internal/process/integration/fulldisk_test.go
+++ b/internal/process/integration/fulldisk_test.go
@@ -29,16 +29,16 @@
 type boundedStore struct {
 	*storage.Memory
 	// full makes all writes fail, the others only those of one kind.
-	full        atomic.Bool
-	noSnapshots atomic.Bool
-	noArchive   atomic.Bool
-	refused     atomic.Int64
+	full         atomic.Bool
+	noSnapshots  atomic.Bool
+	noArchive    atomic.Bool
+	failedWrites atomic.Int64
 }
 
 // write fails if the disk is full, or for this kind of write.
 func (s *boundedStore) write(kind *atomic.Bool) error {
 	if s.full.Load() || kind.Load() {
-		s.refused.Add(1)
+		s.failedWrites.Add(1)
 		return &os.PathError{Op: "write", Path: "data/log-0000000000000001.wal", Err: syscall.ENOSPC}
 	}
 	return nil
@@ -157,7 +157,7 @@
 // nothing is acknowledged.
 func wantNotParticipating(t *testing.T, full *node, store *boundedStore, nodes []*node) {
 	t.Helper()
-	eventually(t, full.name+" met its full disk", func() bool { return store.refused.Load() > 0 })
+	eventually(t, full.name+" failed to write", func() bool { return store.failedWrites.Load() > 0 })
 	rest := without(nodes, full)
 	eventually(t, full.name+" leads no more", func() bool { return !full.leads() && leaderOf(t, rest) != nil })
 	stopped := without(rest, leaderOf(t, rest))[0]
@@ -168,7 +168,7 @@
 		_, err := rpc.Call[protocol.SubmitRequest, protocol.SubmitAnswer](ctx, newClient(t), without(rest, stopped)[0].address, protocol.MethodSubmit, request)
 		cancel()
 		if err == nil {
-			t.Fatalf("%s was acknowledged with a majority of which one has no room", request.ID)
+			t.Fatalf("%s was acknowledged by a majority of which one has a full disk", request.ID)
 		}
 	}
 	select {
@@ -191,7 +191,7 @@
 	full := without(nodes, leader)[0]
 	stores[full].full.Store(true)
 	rest := without(nodes, full)
-	ids = append(ids, submitJobs(t, rest, "meanwhile", 50)...) // more than the log keeps
+	ids = append(ids, submitJobs(t, rest, "meanwhile", 50)...) // more than the log retains
 	wantNotParticipating(t, full, stores[full], nodes)
 	ids = append(ids, submitJobs(t, rest, "still", 10)...)
 	stores[full].full.Store(false)
@@ -223,7 +223,7 @@
 	full := without(nodes, leaderOf(t, nodes))[0]
 	stores[full].full.Store(true)
 	submitJobs(t, without(nodes, full), "meanwhile", 3)
-	eventually(t, "a write failed", func() bool { return stores[full].refused.Load() > 0 })
+	eventually(t, "a write failed", func() bool { return stores[full].failedWrites.Load() > 0 })
 	full.stop()
 }
 
@@ -280,7 +280,7 @@
 	}
 	ids := submitJobs(t, nodes, "job", 60)
 	for n, store := range stores {
-		eventually(t, n.name+" tried to write a snapshot", func() bool { return store.refused.Load() > 0 })
+		eventually(t, n.name+" tried to write a snapshot", func() bool { return store.failedWrites.Load() > 0 })
 	}
 	for _, store := range stores {
 		store.noSnapshots.Store(false)
--- a/internal/process/integration/modelscheck_test.go
+++ b/internal/process/integration/modelscheck_test.go
@@ -7,8 +7,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// TestConfigModel_DetectsWrongHistories holds that the models take what a right system
-// may answer, and refuse what it may not.
+// TestConfigModel_DetectsWrongHistories checks that the model accepts what a correct system
+// may answer, and rejects what it may not.
 func TestConfigModel_DetectsWrongHistories(t *testing.T) {
 	put := func(order string, base uint64, tag string) configInput {
 		return configInput{put: true, order: order, base: base, tag: tag, resent: true}
@@ -59,8 +59,8 @@
 		"a whole life":             {sequence(read, missing, submit, created, submit, same, read, live, cancel, ended, read, ended, submit, same), true},
 		"forgotten":                {sequence(submit, created, read, missing), false},
 		"created twice":            {sequence(submit, created, submit, created), false},
-		"other content taken":      {sequence(submit, created, other, same), false},
-		"other content refused":    {sequence(submit, created, other, jobOutput{result: jobConflict}), true},
+		"other content accepted":   {sequence(submit, created, other, same), false},
+		"other content rejected":   {sequence(submit, created, other, jobOutput{result: jobConflict}), true},
 		"cancelled and live again": {sequence(submit, created, cancel, ended, read, live), false},
 		"unknown cancel later":     {pending(cancel, unknown, sequence(submit, created, read, live, read, ended)), true},
 		"never cancelled":          {sequence(submit, created, read, ended), false},
--- a/internal/process/schedulerprocess/gateway_test.go
+++ b/internal/process/schedulerprocess/gateway_test.go
@@ -25,8 +25,8 @@
 	}
 	early, cancelEarly := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancelEarly()
-	if _, refusal := gateway.Config(early); refusal == nil || refusal.Status != http.StatusServiceUnavailable {
-		t.Errorf("before there is a leader: %v, want a 503", refusal)
+	if _, rejection := gateway.Config(early); rejection == nil || rejection.Status != http.StatusServiceUnavailable {
+		t.Errorf("before there is a leader: %v, want a 503", rejection)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -39,16 +39,16 @@
 	}()
 	put := api.Config{Queues: []api.QueueConfig{{Name: "default"}}}
 	for deadline := time.Now().Add(waitTimeout); ; {
-		status, refusal := gateway.PutConfig(t.Context(), "order-1", 0, put)
-		if refusal == nil && status.Version == 1 {
+		status, rejection := gateway.PutConfig(t.Context(), "order-1", 0, put)
+		if rejection == nil && status.Version == 1 {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("version %d, %v", status.Version, refusal)
+			t.Fatalf("version %d, %v", status.Version, rejection)
 		}
 	}
-	if status, refusal := gateway.Config(t.Context()); refusal != nil || len(status.Config.Queues) != 1 {
-		t.Errorf("read back %+v, %v", status, refusal)
+	if status, rejection := gateway.Config(t.Context()); rejection != nil || len(status.Config.Queues) != 1 {
+		t.Errorf("read back %+v, %v", status, rejection)
 	}
 	response, err := http.Get("http://" + (<-listening).String() + "/healthz")
 	if err != nil {
--- a/internal/process/schedulerprocess/relay_test.go
+++ b/internal/process/schedulerprocess/relay_test.go
@@ -37,12 +37,12 @@
 	config := api.Config{Queues: []api.QueueConfig{{Name: "q"}}}
 	deadline := time.Now().Add(waitTimeout)
 	for {
-		status, refusal := forwarder.Gateway.PutConfig(ctx, "order-1", 0, config)
-		if refusal == nil && status.Version == 1 {
+		status, rejection := forwarder.Gateway.PutConfig(ctx, "order-1", 0, config)
+		if rejection == nil && status.Version == 1 {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the relay forwards no call: %v", refusal)
+			t.Fatalf("the relay forwards no call: %v", rejection)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -4,7 +4,7 @@
 // reads, the leader lease and the cluster clock to package scheduler.
 //
 // It decides nothing about jobs, and nothing about agreement: package raft does that,
-// and this package does the input and output that raft asks for.
+// and this package does the input and output that raft requests.
 //
 // # Goroutines
 //
@@ -37,8 +37,8 @@
 //	backgroundTasks.ctx         its mutex               Run            rpc handlers
 //	proposal.state              compare-and-swap        the caller, the loop
 //
-// No lock is held while another is taken, but that identityServer asks the store whether
-// it is empty under the lock of bootstrapState.
+// No lock is held while another is taken, except that identityServer calls the store under
+// the lock of bootstrapState.
 //
 // # Order of steps
 //
--- a/internal/replica/leadership_test.go
+++ b/internal/replica/leadership_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// newTestLeaderTerm calls a Lead that reports each token and returns when told.
+// newTestLeaderTerm has a Lead that reports each token and returns after release.
 func newTestLeaderTerm(t *testing.T) (term *leaderTerm, tokens <-chan uint64, release func()) {
 	t.Helper()
 	started, returns := make(chan uint64, 1), make(chan struct{}, 1)
--- a/internal/replica/ready.go
+++ b/internal/replica/ready.go
@@ -8,8 +8,9 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// processReady does all that the node asks for, until nothing is left. When the replica
-// stops it leaves the rest, as a crash would: each save may take long.
+// processReady processes what the node has ready, and what follows from it, until nothing
+// is left. When the replica stops it leaves the rest, as a crash would: each save may take
+// long.
 func (l *loop) processReady() error {
 	if err := l.drainReady(); err != nil {
 		return err
--- a/internal/replica/reconfig/voterslots.go
+++ b/internal/replica/reconfig/voterslots.go
@@ -36,7 +36,7 @@
 // that requested it. In this order it takes
 //
 //  1. the slot of an unresponsive voter;
-//  2. a new slot, if there are fewer than maxVoters and no zone becomes critical;
+//  2. a new slot, if there are fewer than MaxVoters and no zone becomes critical;
 //  3. the slot of a voter, if a zone is critical now and none is after;
 //  4. a new slot, if a zone is critical now.
 //
--- a/internal/replica/shutdown.go
+++ b/internal/replica/shutdown.go
@@ -66,7 +66,7 @@
 }
 
 // retire offers the voter slot of this replica to a standby, until one has taken it,
-// none is there or can be given it, or ctx ends. The process stops in any case.
+// there is none or no leader to give it the slot, or ctx ends. The process stops in any case.
 func (s *shutdown) retire(ctx context.Context) {
 	if len(s.published.status.Load().Membership.Learners) == 0 {
 		return
--- a/internal/replica/snapshotsender.go
+++ b/internal/replica/snapshotsender.go
@@ -19,7 +19,7 @@
 	snapshotChunk = 256 << 10
 	// chunkAttempts is how often a chunk is sent before the transfer fails.
 	chunkAttempts = 3
-	// installPollInterval is how often the sender asks whether the receiver is done.
+	// installPollInterval is how often the sender polls whether the receiver is done.
 	installPollInterval = 100 * time.Millisecond
 )
 
--- a/internal/replica/snapshotwriter.go
+++ b/internal/replica/snapshotwriter.go
@@ -37,7 +37,7 @@
 
 // appliedHistory is what a snapshot must know of the entries applied so far.
 type appliedHistory struct {
-	// last is the index of the newest snapshot that was begun or installed.
+	// last is the index of the newest snapshot that was started or installed.
 	last uint64
 	// bytes were applied since then.
 	bytes int64
@@ -92,7 +92,7 @@
 	}
 }
 
-// due reports whether a snapshot is to be begun.
+// due reports whether a snapshot is to be started.
 func (w *snapshotWriter) due(applied uint64) bool {
 	return !w.writing && (applied >= w.history.last+w.bounds.every || w.history.bytes >= w.bounds.bytes)
 }
@@ -103,8 +103,8 @@
 	write func(io.Writer) error
 }
 
-// begin captures the record; false if that fails, and the next attempt is due after as
-// many entries again.
+// begin captures the record. It returns false if that fails; the next attempt is due
+// after as many entries again.
 func (w *snapshotWriter) begin(applied uint64) (capturedSnapshot, bool) {
 	w.history.bytes = 0
 	index, write, err := w.record.Snapshot()
