--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -84,7 +84,6 @@
 //	leadership.go, sharedclock.go          Lead of a term, cluster clock
 //	shutdown.go                            leadership transfer, retirement of a voter
 //	saver.go, slowdisk.go                  persistence, full and slow disks
-//	transport.go, peer.go, sendqueue.go    messages to other replicas
 //	snapshots.go, snapshotwriter.go, snapshotsender.go, snapshotreceiver.go
 //	                                       snapshots: the loop's side, writing, sending, receiving
 //	archive.go                             copies of the archive of ended jobs
@@ -94,6 +93,7 @@
 //	membershipserver.go                    changes of the membership by the leader
 //	handlers.go, background.go, metrics.go, member.go
 //
-// Which membership changes to make is decided by package reconfig, and what an empty
-// replica does by bootstrapdecision.go; both are pure functions.
+// Package transport sends messages to the other replicas. Package reconfig decides which
+// membership changes to make, and bootstrapdecision.go what an empty replica does; both
+// are pure functions.
 package replica
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -7,6 +7,7 @@
 
 	"github.com/decklever/decklever/internal/raft"
 	"github.com/decklever/decklever/internal/record"
+	"github.com/decklever/decklever/internal/replica/transport"
 )
 
 // maxInboxBatch bounds the requests with messages that are taken in one iteration, so
@@ -32,7 +33,7 @@
 	reads      pendingReads
 	saver      saver
 	term       leaderTerm
-	transport  *transport
+	transport  *transport.Transport
 	membership membershipChanger
 	snapshots  loopSnapshots
 }
@@ -60,7 +61,7 @@
 		ticks:     loopTicker{interval: config.Timing.Tick, wakeups: r.metrics.tickWakeups},
 		reads:     newPendingReads(),
 		term:      leaderTerm{lead: config.Lead, background: r.background, logger: config.Logger},
-		transport: newTransport(ctx, r.transportConfig()),
+		transport: transport.New(ctx, r.transportConfig()),
 		membership: membershipChanger{
 			node:               node,
 			maxVoters:          config.MaxVoters,
@@ -92,13 +93,14 @@
 	}
 }
 
-func (r *Replica) transportConfig() transportConfig {
-	return transportConfig{
-		self:       r.self,
-		client:     r.config.Client,
-		wallClock:  r.config.WallClock,
-		logger:     r.config.Logger,
-		background: r.background,
+func (r *Replica) transportConfig() transport.Config {
+	return transport.Config{
+		ID:        r.self.id,
+		Self:      r.self.member,
+		Client:    r.config.Client,
+		WallClock: r.config.WallClock,
+		Logger:    r.config.Logger,
+		Go:        r.background.run,
 	}
 }
 
@@ -195,7 +197,7 @@
 }
 
 func (l *loop) step(received inbound) {
-	l.transport.observeSender(received.sender)
+	l.transport.ObserveSender(received.sender)
 	for _, message := range received.messages {
 		now := l.now()
 		if err := l.node.Step(now, message); err != nil {
--- a/internal/replica/ready.go
+++ b/internal/replica/ready.go
@@ -66,7 +66,7 @@
 		if message.Kind == raft.MessageSnapshot {
 			l.startSnapshotTransfer(message.To)
 		}
-		l.transport.send(message)
+		l.transport.Send(message)
 	}
 }
 
@@ -158,7 +158,7 @@
 
 // handleMembershipChange lets transport and cluster clock follow the membership.
 func (l *loop) handleMembershipChange(membership raft.Membership) {
-	l.transport.setMembers(membership)
+	l.transport.SetMembers(membership)
 	var voters []raft.ReplicaID
 	for _, member := range slices.Concat(membership.Voters, membership.Outgoing) {
 		if !slices.Contains(voters, member.ID) {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"slices"
 	"sync"
 	"testing"
@@ -101,3 +102,26 @@
 		t.Fatalf("term %d is not above %d", got, token)
 	}
 }
+
+func TestTransport_HangingPeerDelaysNoCommit(t *testing.T) {
+	machines := newMachines(t, 3)
+	startAll(machines)
+	leader := leaderOf(t, machines...)
+	token := leader.replica.Status().Term
+	without(machines, leader)[0].hangs.Store(true)
+	data := make([]byte, 256<<10) // many of them fill the queue to the hanging peer
+	for i := range 60 {
+		command := registration(fmt.Sprintf("worker-%03d", i))
+		command.RegisterWorkers.Workers[0].Zone = string(data)
+		if _, err := leader.replica.Propose(t.Context(), token, command); err != nil {
+			t.Fatalf("command %d: %v", i, err)
+		}
+	}
+	if !leader.replica.HoldsLease(token) {
+		t.Fatal("the lease was lost")
+	}
+	without(machines, leader)[0].hangs.Store(false)
+	if got := len(workerNames(t, without(machines, leader)[0])); got != 60 {
+		t.Fatalf("the peer caught up to %d workers, want 60", got)
+	}
+}
--- a/internal/replica/shutdown.go
+++ b/internal/replica/shutdown.go
@@ -93,8 +93,8 @@
 	reachable := false
 	err := s.mailbox.runOnLoop(ctx, func(l *loop) error {
 		membership := l.node.Status().Membership
-		reachable = l.transport.reachesQuorum(membership.Voters) &&
-			(len(membership.Outgoing) == 0 || l.transport.reachesQuorum(membership.Outgoing))
+		reachable = l.transport.ReachesQuorum(membership.Voters) &&
+			(len(membership.Outgoing) == 0 || l.transport.ReachesQuorum(membership.Outgoing))
 		return nil
 	})
 	return err == nil && reachable
--- a/internal/replica/peer.go
+++ b/internal/replica/transport/peer.go
@@ -1,7 +1,8 @@
-package replica
+package transport
 
 import (
 	"context"
+	"log/slog"
 	"sync/atomic"
 	"time"
 
@@ -20,41 +21,39 @@
 // the log. Such a message holds whatever the peer's log is, so it extends the lease and
 // is never rejected.
 //
-// The loop calls send and stop; the goroutines of the queues call deliver.
+// The owner of the transport calls send and stop; the goroutines of the queues call deliver.
 type peer struct {
-	transportConfig
-
-	id      raft.ReplicaID
+	config  Config
+	logger  *slog.Logger
 	address string
 	ctx     context.Context
 	cancel  context.CancelFunc
 	urgent  sendQueue
 	appends sendQueue
 	// lastRound and lastTerm name the newest round of heartbeats that was queued.
-	// They belong to the loop.
+	// They belong to the owner of the transport.
 	lastRound, lastTerm uint64
 	// unreachable is true while the newest call has failed.
 	unreachable atomic.Bool
 }
 
-func newPeer(ctx context.Context, config transportConfig, member raft.Member) *peer {
-	config.logger = config.logger.With("peer", string(member.ID), "peer_name", member.Name, "address", member.Address)
+func newPeer(ctx context.Context, config Config, member raft.Member) *peer {
 	ctx, cancel := context.WithCancel(ctx)
 	return &peer{
-		transportConfig: config,
-		id:              member.ID,
-		address:         member.Address,
-		ctx:             ctx,
-		cancel:          cancel,
-		urgent:          newSendQueue(),
-		appends:         newSendQueue(),
+		config:  config,
+		logger:  config.Logger.With("peer", string(member.ID), "peer_name", member.Name, "address", member.Address),
+		address: member.Address,
+		ctx:     ctx,
+		cancel:  cancel,
+		urgent:  newSendQueue(),
+		appends: newSendQueue(),
 	}
 }
 
 // start runs the goroutines of the queues, which end with stop.
 func (p *peer) start() {
-	p.background.run(func() { p.urgent.run(p) })
-	p.background.run(func() { p.appends.run(p) })
+	p.config.Go(func() { p.urgent.run(p) })
+	p.config.Go(func() { p.appends.run(p) })
 }
 
 func (p *peer) stop() { p.cancel() }
@@ -85,13 +84,13 @@
 func (p *peer) deliver(messages []raft.Message) bool {
 	for i := range messages {
 		if messages[i].Kind == raft.MessageAppendResponse {
-			messages[i].WallClock = p.wallClock().UnixMilli()
+			messages[i].WallClock = p.config.WallClock().UnixMilli()
 		}
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, messageTimeout)
 	defer cancel()
-	request := protocol.RaftRequest{Messages: messages, Sender: p.self.member()}
-	_, err := rpc.Call[protocol.RaftRequest, protocol.Empty](ctx, p.client, p.address, protocol.MethodRaft, request)
+	request := protocol.RaftRequest{Messages: messages, Sender: p.config.Self()}
+	_, err := rpc.Call[protocol.RaftRequest, protocol.Empty](ctx, p.config.Client, p.address, protocol.MethodRaft, request)
 	p.recordReachability(err)
 	return err == nil
 }
--- a/internal/replica/sendqueue.go
+++ b/internal/replica/transport/sendqueue.go
@@ -1,4 +1,4 @@
-package replica
+package transport
 
 import (
 	"sync"
@@ -20,7 +20,7 @@
 )
 
 // sendQueue holds the messages that are queued for one peer, in order, within bounds.
-// The loop pushes, and one goroutine, run, sends them.
+// The owner of the transport pushes, and one goroutine, run, sends them.
 type sendQueue struct {
 	mutex    sync.Mutex // guards messages, bytes and sending
 	messages []raft.Message
--- a/internal/replica/sendqueue_test.go
+++ b/internal/replica/transport/sendqueue_test.go
@@ -1,4 +1,4 @@
-package replica
+package transport
 
 import (
 	"testing"
--- a/internal/replica/transport.go
+++ b/internal/replica/transport/transport.go
@@ -1,4 +1,4 @@
-package replica
+package transport
 
 import (
 	"context"
@@ -14,20 +14,26 @@
 // newest ones are.
 const maxNonMembers = 8
 
-// transportConfig is what a transport and its peers are made of.
-type transportConfig struct {
-	self       *localMember
-	client     *rpc.Client
-	wallClock  func() time.Time
-	logger     *slog.Logger
-	background *backgroundTasks
+// Config makes a Transport. All fields are required.
+type Config struct {
+	// ID is that of this replica.
+	ID raft.ReplicaID
+	// Self returns this replica as it describes itself to receivers.
+	Self func() raft.Member
+	// Client makes the calls.
+	Client *rpc.Client
+	// WallClock is that of this machine; append responses carry it.
+	WallClock func() time.Time
+	Logger    *slog.Logger
+	// Go starts a goroutine, which ends with its peer or the transport's context. The
+	// caller waits for it.
+	Go func(func())
 }
 
-// transport sends messages to the other replicas. It belongs to the loop; only the
-// goroutines of the peers' queues run beside it.
-type transport struct {
-	transportConfig
-
+// Transport sends messages to the other replicas. One goroutine, which drives the raft
+// node, calls its methods; only the goroutines of the peers' queues run beside it.
+type Transport struct {
+	config  Config
 	ctx     context.Context
 	members map[raft.ReplicaID]*peer
 	// nonMembers are senders that the membership does not list (yet): a replica that
@@ -37,21 +43,22 @@
 	nonMemberOrder []raft.ReplicaID
 }
 
-func newTransport(ctx context.Context, config transportConfig) *transport {
-	return &transport{
-		transportConfig: config,
-		ctx:             ctx,
-		members:         make(map[raft.ReplicaID]*peer),
-		nonMembers:      make(map[raft.ReplicaID]*peer),
+// New makes a transport without peers. They end with ctx.
+func New(ctx context.Context, config Config) *Transport {
+	return &Transport{
+		config:     config,
+		ctx:        ctx,
+		members:    make(map[raft.ReplicaID]*peer),
+		nonMembers: make(map[raft.ReplicaID]*peer),
 	}
 }
 
-// setMembers starts and stops peers to follow the membership. A member whose address
+// SetMembers starts and stops peers to follow the membership. A member whose address
 // changed gets a new peer.
-func (t *transport) setMembers(membership raft.Membership) {
+func (t *Transport) SetMembers(membership raft.Membership) {
 	members := make(map[raft.ReplicaID]*peer)
 	for _, member := range slices.Concat(membership.Voters, membership.Outgoing, membership.Learners) {
-		if member.ID == t.self.id || members[member.ID] != nil {
+		if member.ID == t.config.ID || members[member.ID] != nil {
 			continue
 		}
 		existing := t.members[member.ID]
@@ -69,9 +76,9 @@
 	t.members = members
 }
 
-// observeSender remembers where to answer a sender outside of the membership.
-func (t *transport) observeSender(sender raft.Member) {
-	if sender.ID == "" || sender.ID == t.self.id || t.members[sender.ID] != nil {
+// ObserveSender remembers where to answer a sender outside of the membership.
+func (t *Transport) ObserveSender(sender raft.Member) {
+	if sender.ID == "" || sender.ID == t.config.ID || t.members[sender.ID] != nil {
 		return
 	}
 	if existing := t.nonMembers[sender.ID]; existing != nil {
@@ -87,7 +94,7 @@
 	t.nonMemberOrder = append(t.nonMemberOrder, sender.ID)
 }
 
-func (t *transport) dropNonMember(id raft.ReplicaID) {
+func (t *Transport) dropNonMember(id raft.ReplicaID) {
 	existing := t.nonMembers[id]
 	if existing == nil {
 		return
@@ -97,15 +104,15 @@
 	t.nonMemberOrder = slices.DeleteFunc(t.nonMemberOrder, func(other raft.ReplicaID) bool { return other == id })
 }
 
-func (t *transport) startPeer(member raft.Member) *peer {
-	started := newPeer(t.ctx, t.transportConfig, member)
+func (t *Transport) startPeer(member raft.Member) *peer {
+	started := newPeer(t.ctx, t.config, member)
 	started.start()
 	return started
 }
 
-// send hands a message to its peer and never blocks. A message to an unknown replica
+// Send hands a message to its peer and never blocks. A message to an unknown replica
 // is dropped; raft sends it again.
-func (t *transport) send(message raft.Message) {
+func (t *Transport) Send(message raft.Message) {
 	receiver := t.members[message.To]
 	if receiver == nil {
 		receiver = t.nonMembers[message.To]
@@ -115,22 +122,22 @@
 	}
 }
 
-// reachable reports whether the newest call to a member succeeded, or none has failed
+// Reachable reports whether the newest call to a member succeeded, or none has failed
 // yet.
-func (t *transport) reachable(id raft.ReplicaID) bool {
+func (t *Transport) Reachable(id raft.ReplicaID) bool {
 	member := t.members[id]
 	return member != nil && !member.unreachable.Load()
 }
 
-// reachesQuorum reports whether a majority of the voters is reachable, this replica
+// ReachesQuorum reports whether a majority of the voters is reachable, this replica
 // included, and at least one other.
-func (t *transport) reachesQuorum(voters []raft.Member) bool {
+func (t *Transport) ReachesQuorum(voters []raft.Member) bool {
 	others, reached := 0, 0
 	for _, voter := range voters {
 		switch {
-		case voter.ID == t.self.id:
+		case voter.ID == t.config.ID:
 			reached++
-		case t.reachable(voter.ID):
+		case t.Reachable(voter.ID):
 			others++
 			reached++
 		}
