--- a/internal/scheduler/burstsizes_test.go
+++ b/internal/scheduler/burstsizes_test.go
@@ -120,7 +120,7 @@
 }
 
 // TestAdmission_BurstLeavesCapacityToLargeTasks: the days together are as
-// burst-one-queue of platform/trial, without processes. The burst could be served within
+// burst-one-queue of platform/emulator, without processes. The burst could be served within
 // its objective if all others waited for as long, and its small tasks would take each
 // piece of a worker before a large task finds a whole one.
 func TestAdmission_BurstLeavesCapacityToLargeTasks(t *testing.T) {
--- a/internal/testaddress/testaddress.go
+++ b/internal/testaddress/testaddress.go
@@ -15,7 +15,7 @@
 
 const (
 	// network is the second byte of the loopback addresses. Fleets of the lab and
-	// of platform/trial have lower ones, and outgoing connections, unless bound
+	// of platform/emulator have lower ones, and outgoing connections, unless bound
 	// to another address, leave from 127.0.0.1.
 	network = 254
 	// claimPort is listened on for as long as an address is given out.
