--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"log/slog"
 	"time"
 
@@ -107,11 +106,12 @@
 	return c
 }
 
+// validate joins a ConfigError for each required field that is missing.
 func (c Config) validate() error {
 	var errs []error
-	require := func(given bool, field string) {
-		if !given {
-			errs = append(errs, fmt.Errorf("replica: Config.%s is required", field))
+	require := func(present bool, field string) {
+		if !present {
+			errs = append(errs, &ConfigError{Field: field})
 		}
 	}
 	require(c.Name != "", "Name")
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -18,6 +18,17 @@
 	ErrStopped = errors.New("replica: stopped")
 )
 
+// ConfigError reports a required field of Config that is missing.
+type ConfigError struct {
+	// Field is its name in Go.
+	Field string
+}
+
+// Error implements error.
+func (e *ConfigError) Error() string {
+	return "replica: Config." + e.Field + " is required"
+}
+
 // errSnapshotStale reports that the log has passed a received snapshot meanwhile.
 var errSnapshotStale = errors.New("replica: snapshot is not needed any more")
 
