--- /dev/null
+++ b/lab/check/history_test.go
@@ -0,0 +1,72 @@
+package check
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/lab/journal"
+	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/lab/monoclock"
+)
+
+// history is an Input as the corpus stores it.
+type history struct {
+	Entries    []ledger.Entry   `json:"entries"`
+	Lines      []journal.Line   `json:"lines"`
+	Workers    []Worker         `json:"workers"`
+	Schedulers []string         `json:"schedulers"`
+	Config     api.Config       `json:"config"`
+	Anchor     monoclock.Anchor `json:"anchor"`
+	LoadFrom   monoclock.Nanos  `json:"load_from_ns"`
+	LoadTo     monoclock.Nanos  `json:"load_to_ns"`
+	EndedAt    monoclock.Nanos  `json:"ended_at_ns"`
+}
+
+// recordedHistory is one line of the corpus: a history and the verdict on it
+// that an earlier version of the checker gave.
+type recordedHistory struct {
+	Name    string  `json:"name"`
+	History history `json:"history"`
+	Verdict Result  `json:"verdict"`
+}
+
+// readHistories reads the corpus. Each line was written by the checker as it
+// was before the package was renamed.
+func readHistories(t *testing.T) []recordedHistory {
+	t.Helper()
+	file, err := os.Open(filepath.Join("testdata", "histories.jsonl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = file.Close() }()
+	var recorded []recordedHistory
+	decoder := json.NewDecoder(file)
+	decoder.DisallowUnknownFields()
+	for decoder.More() {
+		var one recordedHistory
+		if err := decoder.Decode(&one); err != nil {
+			t.Fatalf("history %d: %v", len(recorded)+1, err)
+		}
+		recorded = append(recorded, one)
+	}
+	return recorded
+}
+
+func TestAll_RecordedHistoryHasSameVerdict(t *testing.T) {
+	recorded := readHistories(t)
+	if len(recorded) == 0 {
+		t.Fatal("the corpus is empty")
+	}
+	for _, one := range recorded {
+		t.Run(one.Name, func(t *testing.T) {
+			if difference := cmp.Diff(one.Verdict, All(Input(one.History))); difference != "" {
+				t.Errorf("the verdict differs (-recorded +now):\n%s", difference)
+			}
+		})
+	}
+}
