--- a/Makefile
+++ b/Makefile
@@ -22,7 +22,7 @@
 .PHONY: run
 run: build ## run a whole fleet for a minute and check the promises
 	rm -rf out/steady
-	$(BIN)/decklever-lab run --deployment restrepo --scenario steady --duration 60s --seed 1 --out out/steady
+	$(BIN)/decklever-testbed run --deployment restrepo --scenario steady --duration 60s --seed 1 --out out/steady
 
 .PHONY: test
 test: ## run all tests
--- a/cmd/decklever-lab/fleet.go
+++ b/cmd/decklever-testbed/fleet.go
@@ -11,10 +11,10 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/fleet"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/operator"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/fleet"
+	"github.com/decklever/decklever/testbed/operator"
 )
 
 const fleetReadyTimeout = 60 * time.Second
@@ -49,7 +49,7 @@
 	if directory, err = folder(directory); err != nil {
 		return err
 	}
-	book, err := ledger.Open("")
+	book, err := calllog.Open("")
 	if err != nil {
 		return err
 	}
--- a/cmd/decklever-lab/hollow.go
+++ b/cmd/decklever-testbed/hollow.go
@@ -4,7 +4,7 @@
 	"github.com/spf13/cobra"
 
 	"github.com/decklever/decklever/internal/telemetry"
-	"github.com/decklever/decklever/lab/hollow"
+	"github.com/decklever/decklever/testbed/hollow"
 )
 
 // newHollowCommand makes the command by which a scale run starts its hollow
@@ -22,7 +22,7 @@
 				return err
 			}
 			logger := telemetry.NewLogger(telemetry.LoggerConfig{
-				Output: command.ErrOrStderr(), Format: "text", Program: "decklever-lab", Process: "hollow",
+				Output: command.ErrOrStderr(), Format: "text", Program: "decklever-testbed", Process: "hollow",
 			})
 			process, err := hollow.NewProcess(spec, logger)
 			if err != nil {
--- a/cmd/decklever-lab/main.go
+++ b/cmd/decklever-testbed/main.go
@@ -1,4 +1,4 @@
-// Command decklever-lab starts whole fleets on this machine, drives load,
+// Command decklever-testbed starts whole fleets on this machine, drives load,
 // causes faults and checks the promises from outside. It is for developers.
 package main
 
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/decklever/decklever/lab/deployment"
+	"github.com/decklever/decklever/testbed/deployment"
 )
 
 // errBroken makes the program exit with 1 after a run that did not pass.
@@ -25,14 +25,14 @@
 	err := newCommand().ExecuteContext(ctx)
 	stop()
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "decklever-lab:", err)
+		fmt.Fprintln(os.Stderr, "decklever-testbed:", err)
 		os.Exit(1)
 	}
 }
 
 func newCommand() *cobra.Command {
 	command := &cobra.Command{
-		Use:           "decklever-lab",
+		Use:           "decklever-testbed",
 		Short:         "Run fleets of decklever on this machine and check its promises",
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -78,7 +78,7 @@
 	if given != "" {
 		return given, nil
 	}
-	made, err := os.MkdirTemp("", "decklever-lab-")
+	made, err := os.MkdirTemp("", "decklever-testbed-")
 	if err != nil {
 		return "", fmt.Errorf("make a folder: %w", err)
 	}
--- a/cmd/decklever-lab/matrix.go
+++ b/cmd/decklever-testbed/matrix.go
@@ -10,11 +10,11 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/matrix"
-	"github.com/decklever/decklever/lab/report"
-	"github.com/decklever/decklever/lab/scenario"
-	"github.com/decklever/decklever/lab/trial"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/matrix"
+	"github.com/decklever/decklever/testbed/report"
+	"github.com/decklever/decklever/testbed/run"
+	"github.com/decklever/decklever/testbed/scenario"
 )
 
 // matrixChoice is the flags of the command matrix beside those of target.
@@ -114,7 +114,7 @@
 	if err != nil {
 		return report.Summary{}, err
 	}
-	return trial.Run(ctx, trial.Config{
+	return run.Run(ctx, run.Config{
 		Deployment: described, Scenario: cell.Scenario, Seed: cell.Seed, Duration: cell.Duration,
 		Out: cell.Out, Binaries: binaries, LogLevel: chosen.logLevel,
 	})
--- a/cmd/decklever-lab/run.go
+++ b/cmd/decklever-testbed/run.go
@@ -8,9 +8,9 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/decklever/decklever/lab/fleet"
-	"github.com/decklever/decklever/lab/scenario"
-	"github.com/decklever/decklever/lab/trial"
+	"github.com/decklever/decklever/testbed/fleet"
+	"github.com/decklever/decklever/testbed/run"
+	"github.com/decklever/decklever/testbed/scenario"
 )
 
 const defaultDuration = 60 * time.Second
@@ -35,7 +35,7 @@
 			if previous != "" && course.FirstVersion != fleet.PreviousVersion {
 				return fmt.Errorf("previous-programs is %q, but %s runs the present programs alone", previous, name)
 			}
-			return run(command, &chosen, trial.Config{Scenario: course, Seed: seed, Duration: duration, Out: out, PreviousBinaries: previous})
+			return runScenario(command, &chosen, run.Config{Scenario: course, Seed: seed, Duration: duration, Out: out, PreviousBinaries: previous})
 		},
 	}
 	chosen.bind(command)
@@ -48,7 +48,7 @@
 	return command
 }
 
-func run(command *cobra.Command, chosen *target, config trial.Config) error {
+func runScenario(command *cobra.Command, chosen *target, config run.Config) error {
 	var err error
 	if config.Deployment, config.Binaries, err = chosen.resolve(); err != nil {
 		return err
@@ -58,7 +58,7 @@
 	}
 	config.LogLevel = chosen.logLevel
 	config.Progress = command.ErrOrStderr()
-	summary, err := trial.Run(command.Context(), config)
+	summary, err := run.Run(command.Context(), config)
 	if err != nil {
 		return err
 	}
--- a/cmd/decklever-lab/scale.go
+++ b/cmd/decklever-testbed/scale.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/decklever/decklever/lab/scale"
+	"github.com/decklever/decklever/testbed/scale"
 )
 
 const defaultScaleWindow = 20 * time.Second
--- a/internal/testaddress/testaddress.go
+++ b/internal/testaddress/testaddress.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// network is the second byte of the loopback addresses. Fleets of the lab and
+	// network is the second byte of the loopback addresses. Fleets of the test bed and
 	// of platform/emulator have lower ones, and outgoing connections, unless bound
 	// to another address, leave from 127.0.0.1.
 	network = 254
--- a/lab/launch/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package launch starts child processes that end with the process that started
-// them.
-package launch
--- a/lab/ledger/class.go
+++ b/testbed/calllog/class.go
@@ -1,4 +1,4 @@
-package ledger
+package calllog
 
 // Class tells what a scenario hands in from the ordinary load.
 type Class string
--- a/lab/ledger/entry.go
+++ b/testbed/calllog/entry.go
@@ -1,10 +1,10 @@
-package ledger
+package calllog
 
 import (
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // Kind is what an entry tells.
@@ -98,7 +98,7 @@
 	Rollout *api.Rollout `json:"rollout,omitempty"`
 
 	// Process, Action and Expected stand on faults. Expected is true for an
-	// exit that the lab caused. Peer is the other end of a link.
+	// exit that the test bed caused. Peer is the other end of a link.
 	Process  string        `json:"process,omitempty"`
 	Peer     string        `json:"peer,omitempty"`
 	Action   Action        `json:"action,omitempty"`
--- a/lab/ledger/ledger.go
+++ b/testbed/calllog/ledger.go
@@ -1,4 +1,4 @@
-package ledger
+package calllog
 
 import (
 	"bufio"
--- a/lab/check/bookings.go
+++ b/testbed/checker/bookings.go
@@ -1,13 +1,13 @@
-package check
+package checker
 
 import (
 	"fmt"
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // P13 is the promise that booked work finds its room.
@@ -27,16 +27,16 @@
 // BurstDelays returns how long each task of a burst waited from the booked
 // moment, or from when its job left the caller if that was later. A task that
 // never started counts up to the end of observing.
-func BurstDelays(input Input, class ledger.Class) []time.Duration {
+func BurstDelays(input Input, class calllog.Class) []time.Duration {
 	return newFacts(input).burstDelays(class)
 }
 
-func (f *facts) burstDelays(class ledger.Class) []time.Duration {
-	moment := f.mark(ledger.MarkBooked)
+func (f *facts) burstDelays(class calllog.Class) []time.Duration {
+	moment := f.mark(calllog.MarkBooked)
 	var delays []time.Duration
 	for _, job := range f.burst(class) {
 		due := max(moment, job.submits[0].Sent)
-		f.eachTask(job, func(name journal.TaskName) {
+		f.eachTask(job, func(name eventlog.TaskName) {
 			started := f.input.EndedAt
 			if runs := f.byTask[name.String()]; len(runs) > 0 {
 				started = runs[0].Mono
@@ -48,7 +48,7 @@
 }
 
 // burst returns the accepted jobs of a class.
-func (f *facts) burst(class ledger.Class) []*jobFacts {
+func (f *facts) burst(class calllog.Class) []*jobFacts {
 	var jobs []*jobFacts
 	for _, id := range f.jobIDs {
 		if job := f.jobs[id]; job.accepted != 0 && job.class() == class {
@@ -62,16 +62,16 @@
 // moment and in a tenth of the time of an equal burst without a booking, and
 // no firm work of others stands in its room.
 func (f *facts) checkBookings() []Violation {
-	moment := f.mark(ledger.MarkBooked)
+	moment := f.mark(calllog.MarkBooked)
 	if moment == 0 {
 		return nil
 	}
-	booked := f.burstDelays(ledger.ClassBooked)
+	booked := f.burstDelays(calllog.ClassBooked)
 	if len(booked) == 0 {
 		return []Violation{{P13, "booked", "no booked task was accepted", []monoclock.Nanos{moment}}}
 	}
 	found := lateStarts(moment, booked)
-	found = append(found, compareBursts(moment, booked, f.burstDelays(ledger.ClassUnbooked))...)
+	found = append(found, compareBursts(moment, booked, f.burstDelays(calllog.ClassUnbooked))...)
 	return append(found, f.checkBookedRoom(moment)...)
 }
 
--- a/lab/check/bookings_test.go
+++ b/testbed/checker/bookings_test.go
@@ -1,33 +1,33 @@
-package check
+package checker
 
 import (
 	"testing"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
 )
 
 // submitAs hands in a job of a class for the queue of that name.
-func (f *fixture) submitAs(class ledger.Class, id string, millis int64, tasks ...api.TaskSpec) {
+func (f *fixture) submitAs(class calllog.Class, id string, millis int64, tasks ...api.TaskSpec) {
 	f.submit(id, millis, tasks...).Queue = id
 	f.Entries[len(f.Entries)-1].Class = class
 }
 
-func (f *fixture) mark(mark ledger.Mark, millis int64) {
-	f.Entries = append(f.Entries, ledger.Entry{Kind: ledger.KindMark, Sent: at(millis), Answered: at(millis), Mark: mark})
+func (f *fixture) mark(mark calllog.Mark, millis int64) {
+	f.Entries = append(f.Entries, calllog.Entry{Kind: calllog.KindMark, Sent: at(millis), Answered: at(millis), Mark: mark})
 }
 
 // book puts a booking of three slices in force; a worker holds two.
 func (f *fixture) book() {
 	booking := api.BookingConfig{Name: "b", Slots: 3, Slice: task().Resources}
 	queues := []api.QueueConfig{{Name: "other"}, {Name: "booked", Bookings: []api.BookingConfig{booking}}}
-	f.entry(ledger.KindConfigPut, 100, ledger.Entry{OrderID: "o", Version: 1, Config: &api.Config{Queues: queues}})
-	f.mark(ledger.MarkBooked, 10_000)
+	f.entry(calllog.KindConfigPut, 100, calllog.Entry{OrderID: "o", Version: 1, Config: &api.Config{Queues: queues}})
+	f.mark(calllog.MarkBooked, 10_000)
 }
 
 // burst hands in a job of one task at the moment, which starts that much
 // later.
-func (f *fixture) burst(class ledger.Class, id string, delay int64) {
+func (f *fixture) burst(class calllog.Class, id string, delay int64) {
 	f.submitAs(class, id, 10_010, task())
 	f.succeed(id+"/s/0", "two", 1, 10_000+delay, 10_100+delay)
 	f.poll(id, 40_000, api.StateSucceeded)
@@ -36,8 +36,8 @@
 // bursts hands in two of them.
 func (f *fixture) bursts(booked, unbooked int64) {
 	f.book()
-	f.burst(ledger.ClassBooked, "booked", booked)
-	f.burst(ledger.ClassUnbooked, "unbooked", unbooked)
+	f.burst(calllog.ClassBooked, "booked", booked)
+	f.burst(calllog.ClassUnbooked, "unbooked", unbooked)
 }
 
 // background runs a task of another queue on the first worker that leaves no
@@ -46,7 +46,7 @@
 	large := task()
 	large.Resources.CPUMillis = 1500
 	large.Preemptible = preemptible
-	f.submitAs(ledger.ClassBackground, "other", 9000, large)
+	f.submitAs(calllog.ClassBackground, "other", 9000, large)
 	f.succeed("other/s/0", "one", 1, 9100, to)
 	f.poll("other", 40_000, api.StateSucceeded)
 }
@@ -64,8 +64,8 @@
 		{"firm work in the way", func(f *fixture) { f.bursts(500, 5000); f.background(11_001, false) }, 1},
 		{"firm work that is over in time", func(f *fixture) { f.bursts(500, 5000); f.background(11_000, false) }, 0},
 		{"preemptible work beside it", func(f *fixture) { f.bursts(500, 5000); f.background(12_000, true) }, 0},
-		{"nothing booked", func(f *fixture) { f.book(); f.burst(ledger.ClassUnbooked, "unbooked", 5000) }, 1},
-		{"nothing to compare with", func(f *fixture) { f.book(); f.burst(ledger.ClassBooked, "booked", 500) }, 1},
+		{"nothing booked", func(f *fixture) { f.book(); f.burst(calllog.ClassUnbooked, "unbooked", 5000) }, 1},
+		{"nothing to compare with", func(f *fixture) { f.book(); f.burst(calllog.ClassBooked, "booked", 500) }, 1},
 		{"no booking in force", func(f *fixture) { f.bursts(500, 5000); f.Entries[0].Answered = at(10_001) }, 1},
 	}
 	for _, test := range cases {
@@ -80,10 +80,10 @@
 func TestBookedTaskThatNeverStartsIsLate(t *testing.T) {
 	f := newFixture()
 	f.bursts(500, 30_000)
-	f.submitAs(ledger.ClassBooked, "second", 10_010, task())
-	f.entry(ledger.KindCancel, 41_000, ledger.Entry{JobID: "second"})
+	f.submitAs(calllog.ClassBooked, "second", 10_010, task())
+	f.entry(calllog.KindCancel, 41_000, calllog.Entry{JobID: "second"})
 	f.poll("second", 42_000, api.StateCancelled)
-	delays := BurstDelays(f.Input, ledger.ClassBooked)
+	delays := BurstDelays(f.Input, calllog.ClassBooked)
 	if len(delays) != 2 || delays[1] != f.EndedAt.Sub(at(10_000)) {
 		t.Fatalf("delays are %v", delays)
 	}
--- a/lab/check/broken_config_test.go
+++ b/testbed/checker/broken_config_test.go
@@ -1,6 +1,6 @@
-package check
+package checker
 
-import "github.com/decklever/decklever/lab/ledger"
+import "github.com/decklever/decklever/testbed/calllog"
 
 // brokenConfig are the breaches of configurations: versions, races and roll-out.
 func brokenConfig() []breach {
@@ -48,15 +48,15 @@
 			"a started process that does not learn of the configuration in time", P8,
 			func(f *fixture) {
 				f.put("a", 2, 100, "")
-				f.fault("front-1", 3000, ledger.ActionExit)
-				f.fault("front-1", 4000, ledger.ActionStart)
+				f.fault("front-1", 3000, calllog.ActionExit)
+				f.fault("front-1", 4000, calllog.ActionStart)
 				f.rollout("front-1", 0, 6100, 0)
 			},
 			func(f *fixture) {
 				f.put("a", 2, 100, "")
 				f.rollout("front-1", 2, 2900, 0)
-				f.fault("front-1", 3000, ledger.ActionExit)
-				f.fault("front-1", 4000, ledger.ActionStart)
+				f.fault("front-1", 3000, calllog.ActionExit)
+				f.fault("front-1", 4000, calllog.ActionStart)
 				f.rollout("front-1", 0, 5900, 0)
 				f.rollout("front-1", 2, 6100, 0)
 			},
@@ -64,15 +64,15 @@
 		{
 			"a woken process that does not learn of the configuration in time", P8,
 			func(f *fixture) {
-				f.fault("front-1", 50, ledger.ActionFreeze)
+				f.fault("front-1", 50, calllog.ActionFreeze)
 				f.put("a", 2, 100, "")
-				f.fault("front-1", 4000, ledger.ActionResume)
+				f.fault("front-1", 4000, calllog.ActionResume)
 				f.rollout("front-1", 1, 6100, 0)
 			},
 			func(f *fixture) {
-				f.fault("front-1", 50, ledger.ActionFreeze)
+				f.fault("front-1", 50, calllog.ActionFreeze)
 				f.put("a", 2, 100, "")
-				f.fault("front-1", 4000, ledger.ActionResume)
+				f.fault("front-1", 4000, calllog.ActionResume)
 				f.rollout("front-1", 1, 5900, 0)
 			},
 		},
--- a/lab/check/broken_faults_test.go
+++ b/testbed/checker/broken_faults_test.go
@@ -1,8 +1,8 @@
-package check
+package checker
 
 import (
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
 )
 
 // brokenFaults are the breaches of faults: service, groups, silence, freezes and stale tokens.
@@ -115,8 +115,8 @@
 func cutWorker(f *fixture, stopped, again int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, stopped, api.OutcomeStopped)
-	f.link("agent-1", "one", 200, ledger.ActionCut)
-	f.link("agent-1", "one", 12_000, ledger.ActionHeal)
+	f.link("agent-1", "one", 200, calllog.ActionCut)
+	f.link("agent-1", "one", 12_000, calllog.ActionHeal)
 	f.succeed("j/s/0", "two", 2, again, again+100)
 	f.poll("j", 9000, api.StateSucceeded)
 }
@@ -126,8 +126,8 @@
 func heardAgain(f *fixture, healed int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, 2300, api.OutcomeStopped)
-	f.link("agent-1", "one", 200, ledger.ActionCut)
-	f.link("agent-1", "one", healed, ledger.ActionHeal)
+	f.link("agent-1", "one", 200, calllog.ActionCut)
+	f.link("agent-1", "one", healed, calllog.ActionHeal)
 	f.succeed("j/s/0", "two", 2, 2600, 2700)
 	f.poll("j", 9000, api.StateSucceeded)
 }
@@ -137,8 +137,8 @@
 func unheardEnd(f *fixture, outcome api.Outcome, again int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, 1000, outcome)
-	f.link("one", "agent-1", 200, ledger.ActionCut)
-	f.link("one", "agent-1", 12_000, ledger.ActionHeal)
+	f.link("one", "agent-1", 200, calllog.ActionCut)
+	f.link("one", "agent-1", 12_000, calllog.ActionHeal)
 	f.succeed("j/s/0", "two", 2, again, again+100)
 	f.poll("j", 9000, api.StateSucceeded)
 }
@@ -147,8 +147,8 @@
 func frozenWorker(f *fixture, outcome api.Outcome, ended int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, ended, outcome)
-	f.fault("one", 200, ledger.ActionFreeze)
-	f.fault("one", 10_200, ledger.ActionResume)
+	f.fault("one", 200, calllog.ActionFreeze)
+	f.fault("one", 10_200, calllog.ActionResume)
 	f.succeed("j/s/0", "two", 2, 4000, 11_800)
 	f.poll("j", 12_000, api.StateSucceeded)
 }
@@ -156,7 +156,7 @@
 func exitAndRestart(f *fixture, again int64) {
 	f.submit("j", 10, task())
 	f.start("j/s/0", "one", 1, 100)
-	f.fault("one", 300, ledger.ActionExit)
+	f.fault("one", 300, calllog.ActionExit)
 	f.succeed("j/s/0", "two", 2, again, again+100)
 	f.poll("j", again+500, api.StateSucceeded)
 }
@@ -171,8 +171,8 @@
 func woken(f *fixture, firstUse, start int64) {
 	f.Schedulers = []string{"s1", "s2", "s3"}
 	f.submit("j", 10, task(), task())
-	f.fault("s1", 100, ledger.ActionFreeze)
-	f.fault("s1", 20_100, ledger.ActionResume)
+	f.fault("s1", 100, calllog.ActionFreeze)
+	f.fault("s1", 20_100, calllog.ActionResume)
 	f.succeed("j/s/0", "one", 1, firstUse, firstUse+100)
 	f.Lines[0].Token, f.Lines[1].Token = 2, 2
 	f.succeed("j/s/1", "two", 1, start, start+100)
@@ -189,7 +189,7 @@
 func lostRun(f *fixture, again int64) {
 	f.submit("j", 10, task())
 	f.start("j/s/0", "one", 1, 100)
-	f.fault("one", 200, ledger.ActionExit)
+	f.fault("one", 200, calllog.ActionExit)
 	f.succeed("j/s/0", "two", 2, again, again+100)
 	f.poll("j", 8000, api.StateSucceeded)
 }
@@ -197,7 +197,7 @@
 func silentAgent(f *fixture, again int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, 3200, api.OutcomeStopped)
-	f.fault("agent-1", 200, ledger.ActionExit)
+	f.fault("agent-1", 200, calllog.ActionExit)
 	f.succeed("j/s/0", "two", 2, again, again+100)
 	f.poll("j", 8000, api.StateSucceeded)
 }
--- a/lab/check/broken_jobs_test.go
+++ b/testbed/checker/broken_jobs_test.go
@@ -1,10 +1,10 @@
-package check
+package checker
 
 import (
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
 )
 
 // brokenJobs are the breaches of jobs: what ran and what callers were shown.
@@ -35,14 +35,14 @@
 			func(f *fixture) {
 				f.submit("j", 10, task())
 				f.start("j/s/0", "one", 1, 100)
-				f.fault("one", 300, ledger.ActionExit)
+				f.fault("one", 300, calllog.ActionExit)
 				f.succeed("j/s/0", "two", 2, 200, 400)
 				f.poll("j", 500, api.StateSucceeded)
 			},
 			func(f *fixture) {
 				f.submit("j", 10, task())
 				f.start("j/s/0", "one", 1, 100)
-				f.fault("one", 300, ledger.ActionExit)
+				f.fault("one", 300, calllog.ActionExit)
 				f.succeed("j/s/0", "two", 2, 4000, 4100)
 				f.poll("j", 5000, api.StateSucceeded)
 			},
@@ -52,14 +52,14 @@
 			func(f *fixture) {
 				f.submit("j", 10, task())
 				f.succeed("j/s/0", "one", 1, 100, 200)
-				f.fault("one", 250, ledger.ActionExit)
+				f.fault("one", 250, calllog.ActionExit)
 				f.poll("j", 300, api.StateSucceeded)
 				f.succeed("j/s/0", "two", 2, 4000, 4100)
 			},
 			func(f *fixture) {
 				f.submit("j", 10, task())
 				f.succeed("j/s/0", "one", 1, 100, 200)
-				f.fault("one", 250, ledger.ActionExit)
+				f.fault("one", 250, calllog.ActionExit)
 				f.succeed("j/s/0", "two", 2, 4000, 4100)
 				f.poll("j", 5000, api.StateSucceeded)
 			},
@@ -94,7 +94,7 @@
 					f.run("j/s/0", "one", 2+run, from, from+50, api.OutcomeFailed)
 				}
 				f.succeed("j/s/0", "one", 7, 900, 950)
-				f.entry(ledger.KindCancel, 1000, ledger.Entry{JobID: "j"})
+				f.entry(calllog.KindCancel, 1000, calllog.Entry{JobID: "j"})
 				f.poll("j", 1100, api.StateCancelled)
 			},
 		},
@@ -105,7 +105,7 @@
 				f.poll("j", 500, api.StateRunning)
 			},
 			func(f *fixture) {
-				f.entry(ledger.KindSubmit, 10, ledger.Entry{JobID: "j", Spec: &api.JobSpec{}, Code: api.CodeOverLimit})
+				f.entry(calllog.KindSubmit, 10, calllog.Entry{JobID: "j", Spec: &api.JobSpec{}, Code: api.CodeOverLimit})
 			},
 		},
 		{
@@ -154,7 +154,7 @@
 			},
 			func(f *fixture) {
 				f.submit("j", 10, task())
-				f.entry(ledger.KindCancel, 400, ledger.Entry{JobID: "j"})
+				f.entry(calllog.KindCancel, 400, calllog.Entry{JobID: "j"})
 				f.poll("j", 500, api.StateCancelled)
 			},
 		},
@@ -187,12 +187,12 @@
 			"a forgotten job", P2,
 			func(f *fixture) {
 				f.submit("j", 10, task())
-				f.entry(ledger.KindPoll, 100, ledger.Entry{JobID: "j", Code: api.CodeNotFound, Error: "not found"})
+				f.entry(calllog.KindPoll, 100, calllog.Entry{JobID: "j", Code: api.CodeNotFound, Error: "not found"})
 				f.succeed("j/s/0", "one", 1, 150, 200)
 				f.poll("j", 300, api.StateSucceeded)
 			},
 			func(f *fixture) {
-				f.entry(ledger.KindPoll, 5, ledger.Entry{JobID: "j", Code: api.CodeNotFound, Error: "not found"})
+				f.entry(calllog.KindPoll, 5, calllog.Entry{JobID: "j", Code: api.CodeNotFound, Error: "not found"})
 				f.submit("j", 10, task())
 				f.succeed("j/s/0", "one", 1, 150, 200)
 				f.poll("j", 300, api.StateSucceeded)
@@ -223,7 +223,7 @@
 			},
 			func(f *fixture) {
 				f.submit("j", 10, task())
-				f.entry(ledger.KindSubmit, 100, ledger.Entry{JobID: "j", Resend: true})
+				f.entry(calllog.KindSubmit, 100, calllog.Entry{JobID: "j", Resend: true})
 				f.succeed("j/s/0", "one", 1, 150, 200)
 				f.poll("j", 300, api.StateSucceeded)
 			},
@@ -235,6 +235,6 @@
 	f.twoDown(500, 2990)
 	f.submit("j", 10, task())
 	f.succeed("j/s/0", "one", 1, 150, 200)
-	f.entry(ledger.KindPoll, answered, ledger.Entry{JobID: "j", State: api.StateSucceeded})
+	f.entry(calllog.KindPoll, answered, calllog.Entry{JobID: "j", State: api.StateSucceeded})
 	f.Entries[len(f.Entries)-1].Sent = at(490)
 }
--- a/lab/check/broken_tasks_test.go
+++ b/testbed/checker/broken_tasks_test.go
@@ -1,10 +1,10 @@
-package check
+package checker
 
 import (
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
 )
 
 // brokenTasks are the breaches of tasks: failures, order, places, cancels and drains.
@@ -125,14 +125,14 @@
 
 func cancelled(f *fixture, from, to int64) {
 	f.submit("j", 10, task())
-	f.entry(ledger.KindCancel, 500, ledger.Entry{JobID: "j"})
+	f.entry(calllog.KindCancel, 500, calllog.Entry{JobID: "j"})
 	f.run("j/s/0", "one", 1, from, to, api.OutcomeStopped)
 	f.poll("j", 7000, api.StateCancelled)
 }
 
 func drained(f *fixture, drains api.DrainConfig, start int64) {
 	f.submit("j", 10, task())
-	f.entry(ledger.KindConfigPut, 100, ledger.Entry{OrderID: "o", Version: 2, Config: &api.Config{Drains: drains}})
+	f.entry(calllog.KindConfigPut, 100, calllog.Entry{OrderID: "o", Version: 2, Config: &api.Config{Drains: drains}})
 	f.succeed("j/s/0", "one", 1, start, start+100)
 	f.poll("j", 7000, api.StateSucceeded)
 }
--- a/lab/check/check.go
+++ b/testbed/checker/check.go
@@ -1,4 +1,4 @@
-package check
+package checker
 
 import (
 	"cmp"
@@ -7,9 +7,9 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // Promise is a number of the list in docs/DESIGN.md, such as "P1".
@@ -63,8 +63,8 @@
 
 // Input is all that the checker goes by.
 type Input struct {
-	Entries []ledger.Entry
-	Lines   []journal.Line
+	Entries []calllog.Entry
+	Lines   []eventlog.Line
 	Workers []Worker
 	// Schedulers are the process names of the schedulers. Without any, a
 	// majority is taken to be there all the time.
--- a/lab/check/check_test.go
+++ b/testbed/checker/check_test.go
@@ -1,4 +1,4 @@
-package check
+package checker
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
 )
 
 // breach is what one check must report, and a near case that it must not.
@@ -56,7 +56,7 @@
 	f := newFixture()
 	f.submit("j", 10, task())
 	f.succeed("j/s/0", "one", 1, 100, 200)
-	f.fault("one", 250, ledger.ActionExit)
+	f.fault("one", 250, calllog.ActionExit)
 	f.succeed("j/s/0", "two", 2, 4000, 4100)
 	f.poll("j", 5000, api.StateSucceeded)
 	result := All(f.Input)
--- a/lab/check/config.go
+++ b/testbed/checker/config.go
@@ -1,4 +1,4 @@
-package check
+package checker
 
 import (
 	"cmp"
@@ -8,21 +8,21 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // acceptedPuts returns acknowledged configurations, one for each version, in
 // the order of their versions.
-func (f *facts) acceptedPuts() []ledger.Entry {
-	var puts []ledger.Entry
+func (f *facts) acceptedPuts() []calllog.Entry {
+	var puts []calllog.Entry
 	for _, entry := range f.input.Entries {
-		if entry.Kind == ledger.KindConfigPut && entry.Accepted() {
+		if entry.Kind == calllog.KindConfigPut && entry.Accepted() {
 			puts = append(puts, entry)
 		}
 	}
-	slices.SortStableFunc(puts, func(a, b ledger.Entry) int { return cmp.Compare(a.Version, b.Version) })
-	return slices.CompactFunc(puts, func(a, b ledger.Entry) bool { return a.Version == b.Version })
+	slices.SortStableFunc(puts, func(a, b calllog.Entry) int { return cmp.Compare(a.Version, b.Version) })
+	return slices.CompactFunc(puts, func(a, b calllog.Entry) bool { return a.Version == b.Version })
 }
 
 // checkDrains (P7): a drained worker gets no start after 2 s, one in an
@@ -68,7 +68,7 @@
 	var highestAt monoclock.Nanos
 	var found []Violation
 	for _, entry := range f.input.Entries {
-		if entry.Kind != ledger.KindConfigPut || !entry.Accepted() {
+		if entry.Kind != calllog.KindConfigPut || !entry.Accepted() {
 			continue
 		}
 		at := []monoclock.Nanos{entry.Answered}
@@ -102,10 +102,10 @@
 	var highestAt monoclock.Nanos
 	var found []Violation
 	for _, entry := range f.input.Entries {
-		if !entry.Accepted() || (entry.Kind != ledger.KindConfigRead && entry.Kind != ledger.KindConfigPut) {
+		if !entry.Accepted() || (entry.Kind != calllog.KindConfigRead && entry.Kind != calllog.KindConfigPut) {
 			continue
 		}
-		if entry.Kind == ledger.KindConfigRead {
+		if entry.Kind == calllog.KindConfigRead {
 			found = append(found, checkRead(entry, won, highest, highestAt)...)
 		}
 		if entry.Version > highest {
@@ -115,7 +115,7 @@
 	return found
 }
 
-func checkRead(entry ledger.Entry, won map[uint64]string, highest uint64, highestAt monoclock.Nanos) []Violation {
+func checkRead(entry calllog.Entry, won map[uint64]string, highest uint64, highestAt monoclock.Nanos) []Violation {
 	var found []Violation
 	subject := fmt.Sprintf("version %d", entry.Version)
 	if entry.Version < highest && entry.Sent > highestAt {
--- a/lab/check/delays.go
+++ b/testbed/checker/delays.go
@@ -1,4 +1,4 @@
-package check
+package checker
 
 import (
 	"math"
@@ -6,15 +6,15 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // StartDelay is how long a task waited from being ready to its first start.
 type StartDelay struct {
 	Task  string
-	Class ledger.Class
+	Class calllog.Class
 	// Ready is the latest of: the job's acceptance, the last success of the
 	// steps before that came ahead of the start, and the step's earliest start.
 	Ready   monoclock.Nanos
@@ -55,7 +55,7 @@
 		if earlier == nil {
 			continue
 		}
-		for task := range journal.TaskNames(job.id, earlier) {
+		for task := range eventlog.TaskNames(job.id, earlier) {
 			ready = max(ready, f.lastSuccess(task.String(), one.Mono))
 		}
 	}
@@ -76,17 +76,17 @@
 }
 
 // class returns the class under which the job was handed in.
-func (j *jobFacts) class() ledger.Class {
+func (j *jobFacts) class() calllog.Class {
 	if len(j.submits) == 0 {
-		return ledger.ClassOrdinary
+		return calllog.ClassOrdinary
 	}
 	return j.submits[0].Class
 }
 
 // mark returns when a mark was set; 0 if it was not.
-func (f *facts) mark(mark ledger.Mark) monoclock.Nanos {
+func (f *facts) mark(mark calllog.Mark) monoclock.Nanos {
 	for _, entry := range f.input.Entries {
-		if entry.Kind == ledger.KindMark && entry.Mark == mark {
+		if entry.Kind == calllog.KindMark && entry.Mark == mark {
 			return entry.Sent
 		}
 	}
--- a/lab/check/facts.go
+++ b/testbed/checker/facts.go
@@ -1,4 +1,4 @@
-package check
+package checker
 
 import (
 	"cmp"
@@ -7,15 +7,15 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // run is a journalled run with the time at which it surely was over.
 type run struct {
-	journal.Run
-	name journal.TaskName
+	eventlog.Run
+	name eventlog.TaskName
 	// over is the time of the end line, else when its worker exited, else
 	// the end of observation.
 	over monoclock.Nanos
@@ -31,7 +31,7 @@
 	id   string
 	spec *api.JobSpec
 	// submits, polls and cancels are in the order of their answers.
-	submits, polls, cancels []ledger.Entry
+	submits, polls, cancels []calllog.Entry
 	// accepted is when the first accepting answer came; 0 if none did.
 	accepted monoclock.Nanos
 	// cancelled is when the first accepting answer to a cancel came; 0 if none
@@ -61,7 +61,7 @@
 }
 
 // task returns the description of a task, or nil.
-func (j *jobFacts) task(name journal.TaskName) *api.TaskSpec {
+func (j *jobFacts) task(name eventlog.TaskName) *api.TaskSpec {
 	step := j.step(name.Step)
 	if step == nil || name.Index < 0 || name.Index >= step.TaskCount() {
 		return nil
@@ -75,13 +75,13 @@
 	workers map[string]Worker
 	// exits and faults are by process name, in the order of time.
 	exits, faults map[string][]monoclock.Nanos
-	faultEntries  []ledger.Entry
+	faultEntries  []calllog.Entry
 	jobs          map[string]*jobFacts
 	jobIDs        []string
 	// runs are in the order of their starts; byTask is the same by task.
 	runs    []run
 	byTask  map[string][]run
-	unknown []journal.Line
+	unknown []eventlog.Line
 	// noMajority and silent are what withoutMajority and silences found.
 	noMajority []span
 	silent     map[string][]span
@@ -104,9 +104,9 @@
 		unheard:  map[string][]span{},
 	}
 	f.input.Entries = slices.Clone(input.Entries)
-	slices.SortStableFunc(f.input.Entries, func(a, b ledger.Entry) int { return cmp.Compare(a.Answered, b.Answered) })
+	slices.SortStableFunc(f.input.Entries, func(a, b calllog.Entry) int { return cmp.Compare(a.Answered, b.Answered) })
 	f.input.Lines = slices.Clone(input.Lines)
-	journal.Sort(f.input.Lines)
+	eventlog.Sort(f.input.Lines)
 	for _, worker := range input.Workers {
 		f.workers[worker.Name] = worker
 	}
@@ -118,15 +118,15 @@
 	return f
 }
 
-func (f *facts) addEntry(entry ledger.Entry) {
+func (f *facts) addEntry(entry calllog.Entry) {
 	switch entry.Kind {
-	case ledger.KindFault:
+	case calllog.KindFault:
 		f.faultEntries = append(f.faultEntries, entry)
-		if entry.Action == ledger.ActionExit {
+		if entry.Action == calllog.ActionExit {
 			f.exits[entry.Process] = append(f.exits[entry.Process], entry.Answered)
 		}
 		f.faults[entry.Process] = append(f.faults[entry.Process], entry.Answered)
-	case ledger.KindSubmit:
+	case calllog.KindSubmit:
 		job := f.job(entry.JobID)
 		if job.spec == nil {
 			job.spec = entry.Spec
@@ -135,10 +135,10 @@
 		if entry.Accepted() && job.accepted == 0 {
 			job.accepted = entry.Answered
 		}
-	case ledger.KindPoll:
+	case calllog.KindPoll:
 		job := f.job(entry.JobID)
 		job.polls = append(job.polls, entry)
-	case ledger.KindCancel:
+	case calllog.KindCancel:
 		job := f.job(entry.JobID)
 		job.cancels = append(job.cancels, entry)
 		if job.cancelSent == 0 || entry.Sent < job.cancelSent {
@@ -160,8 +160,8 @@
 }
 
 func (f *facts) addRuns() {
-	for _, journalled := range journal.Runs(f.input.Lines) {
-		name, err := journal.ParseTask(journalled.Task)
+	for _, journalled := range eventlog.Runs(f.input.Lines) {
+		name, err := eventlog.ParseTask(journalled.Task)
 		if err != nil || f.spec(name) == nil {
 			f.unknown = append(f.unknown, journalled.Line)
 			continue
@@ -176,7 +176,7 @@
 	}
 }
 
-func (f *facts) overAt(journalled journal.Run) (over monoclock.Nanos, cut bool) {
+func (f *facts) overAt(journalled eventlog.Run) (over monoclock.Nanos, cut bool) {
 	if journalled.End != 0 {
 		return journalled.End, false
 	}
@@ -187,7 +187,7 @@
 }
 
 // spec returns the description of a task that a caller handed in, or nil.
-func (f *facts) spec(name journal.TaskName) *api.TaskSpec {
+func (f *facts) spec(name eventlog.TaskName) *api.TaskSpec {
 	job, found := f.jobs[name.Job]
 	if !found || job.spec == nil {
 		return nil
--- a/lab/check/failures.go
+++ b/testbed/checker/failures.go
@@ -1,12 +1,12 @@
-package check
+package checker
 
 import (
 	"fmt"
 	"math"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // checkFailures (P3): a task out of allowed failures is not started again.
@@ -31,7 +31,7 @@
 	return found
 }
 
-func (f *facts) allowedFailures(name journal.TaskName) int {
+func (f *facts) allowedFailures(name eventlog.TaskName) int {
 	if f.untilCancelled(name) {
 		return math.MaxInt
 	}
--- a/lab/check/fixture_test.go
+++ b/testbed/checker/fixture_test.go
@@ -1,12 +1,12 @@
-package check
+package checker
 
 import (
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // at is a time of the fixture, in milliseconds after its start.
@@ -44,7 +44,7 @@
 	return spec
 }
 
-func (f *fixture) entry(kind ledger.Kind, millis int64, entry ledger.Entry) {
+func (f *fixture) entry(kind calllog.Kind, millis int64, entry calllog.Entry) {
 	entry.Kind, entry.Sent, entry.Answered = kind, at(millis-10), at(millis)
 	f.Entries = append(f.Entries, entry)
 }
@@ -52,26 +52,26 @@
 // submit hands in a job with one step named "s".
 func (f *fixture) submit(id string, millis int64, tasks ...api.TaskSpec) *api.JobSpec {
 	spec := &api.JobSpec{Queue: "swaps", Steps: []api.StepSpec{{Name: "s", Tasks: tasks}}}
-	f.entry(ledger.KindSubmit, millis, ledger.Entry{JobID: id, Spec: spec, Created: true})
+	f.entry(calllog.KindSubmit, millis, calllog.Entry{JobID: id, Spec: spec, Created: true})
 	return spec
 }
 
 func (f *fixture) poll(id string, millis int64, state api.State) {
-	f.entry(ledger.KindPoll, millis, ledger.Entry{JobID: id, State: state})
+	f.entry(calllog.KindPoll, millis, calllog.Entry{JobID: id, State: state})
 }
 
-func (f *fixture) fault(process string, millis int64, action ledger.Action) {
-	f.entry(ledger.KindFault, millis, ledger.Entry{Process: process, Action: action})
+func (f *fixture) fault(process string, millis int64, action calllog.Action) {
+	f.entry(calllog.KindFault, millis, calllog.Entry{Process: process, Action: action})
 }
 
-func (f *fixture) start(name, worker string, run uint32, millis int64) *journal.Line {
-	f.Lines = append(f.Lines, journal.Line{Mono: at(millis), Event: journal.EventStart, Task: name, Run: run, WorkerID: worker + "-id", Worker: worker, Token: 1})
+func (f *fixture) start(name, worker string, run uint32, millis int64) *eventlog.Line {
+	f.Lines = append(f.Lines, eventlog.Line{Mono: at(millis), Event: eventlog.EventStart, Task: name, Run: run, WorkerID: worker + "-id", Worker: worker, Token: 1})
 	return &f.Lines[len(f.Lines)-1]
 }
 
 func (f *fixture) run(name, worker string, run uint32, from, to int64, outcome api.Outcome) {
 	line := *f.start(name, worker, run, from)
-	line.Mono, line.Event, line.Outcome = at(to), journal.EventEnd, outcome
+	line.Mono, line.Event, line.Outcome = at(to), eventlog.EventEnd, outcome
 	f.Lines = append(f.Lines, line)
 }
 
@@ -81,12 +81,12 @@
 
 func (f *fixture) put(order string, version uint64, millis int64, queue string) {
 	config := &api.Config{Queues: []api.QueueConfig{{Name: "swaps" + queue}}}
-	f.entry(ledger.KindConfigPut, millis, ledger.Entry{OrderID: order, Base: version - 1, Version: version, Config: config})
+	f.entry(calllog.KindConfigPut, millis, calllog.Entry{OrderID: order, Base: version - 1, Version: version, Config: config})
 }
 
 func (f *fixture) read(version uint64, millis int64, queue string) {
 	config := &api.Config{Queues: []api.QueueConfig{{Name: "swaps" + queue}}}
-	f.entry(ledger.KindConfigRead, millis, ledger.Entry{Version: version, Config: config})
+	f.entry(calllog.KindConfigRead, millis, calllog.Entry{Version: version, Config: config})
 }
 
 // refuse is an order that lost its race, on the base that version stands on.
@@ -98,17 +98,17 @@
 
 func (f *fixture) rollout(process string, version uint64, millis, age int64) {
 	row := api.ProcessRollout{Process: process, Version: version, AgeMillis: age}
-	f.entry(ledger.KindRollout, millis, ledger.Entry{Rollout: &api.Rollout{Processes: []api.ProcessRollout{row}}})
+	f.entry(calllog.KindRollout, millis, calllog.Entry{Rollout: &api.Rollout{Processes: []api.ProcessRollout{row}}})
 }
 
-func (f *fixture) link(from, to string, millis int64, action ledger.Action) {
-	f.entry(ledger.KindFault, millis, ledger.Entry{Process: from, Peer: to, Action: action})
+func (f *fixture) link(from, to string, millis int64, action calllog.Action) {
+	f.entry(calllog.KindFault, millis, calllog.Entry{Process: from, Peer: to, Action: action})
 }
 
 // twoDown has two of three schedulers away for a time.
 func (f *fixture) twoDown(from, to int64) {
 	f.Schedulers = []string{"s1", "s2", "s3"}
-	f.fault("s1", from, ledger.ActionExit)
-	f.fault("s2", from, ledger.ActionExit)
-	f.fault("s2", to, ledger.ActionStart)
+	f.fault("s1", from, calllog.ActionExit)
+	f.fault("s2", from, calllog.ActionExit)
+	f.fault("s2", to, calllog.ActionStart)
 }
--- a/lab/check/floods.go
+++ b/testbed/checker/floods.go
@@ -1,12 +1,12 @@
-package check
+package checker
 
 import (
 	"fmt"
 	"net/http"
 	"time"
 
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // P14 is the promise that floods do not slow others.
@@ -23,7 +23,7 @@
 // known is false if there was none.
 func FloodPhases(input Input) (start, end monoclock.Nanos, known bool) {
 	f := newFacts(input)
-	start, end = f.mark(ledger.MarkFloodStart), f.mark(ledger.MarkFloodEnd)
+	start, end = f.mark(calllog.MarkFloodStart), f.mark(calllog.MarkFloodEnd)
 	return start, end, start != 0
 }
 
@@ -32,7 +32,7 @@
 // All that is alike is reported once, with its number.
 func (f *facts) checkFloodAnswers() []Violation {
 	type fault struct {
-		class ledger.Class
+		class calllog.Class
 		text  string
 	}
 	first := map[fault]monoclock.Nanos{}
@@ -60,8 +60,8 @@
 
 // floodFault says what is wrong with an answer to work that must be refused;
 // empty for a right answer and for other work.
-func floodFault(entry ledger.Entry) string {
-	if entry.Kind != ledger.KindSubmit || (entry.Class != ledger.ClassImpossible && entry.Class != ledger.ClassOverQuota) {
+func floodFault(entry calllog.Entry) string {
+	if entry.Kind != calllog.KindSubmit || (entry.Class != calllog.ClassImpossible && entry.Class != calllog.ClassOverQuota) {
 		return ""
 	}
 	switch entry.Status {
@@ -85,7 +85,7 @@
 // checkFloodSlowdown (P14): in a flood, ordinary tasks wait at most twice as
 // long as before it.
 func (f *facts) checkFloodSlowdown() []Violation {
-	start, end := f.mark(ledger.MarkFloodStart), f.mark(ledger.MarkFloodEnd)
+	start, end := f.mark(calllog.MarkFloodStart), f.mark(calllog.MarkFloodEnd)
 	if start == 0 {
 		return nil
 	}
@@ -111,7 +111,7 @@
 func (f *facts) ordinaryDelays(from, until monoclock.Nanos) []time.Duration {
 	var delays []time.Duration
 	for _, delay := range f.startDelays() {
-		if delay.Class == ledger.ClassOrdinary && delay.Ready >= from && delay.Ready < until {
+		if delay.Class == calllog.ClassOrdinary && delay.Ready >= from && delay.Ready < until {
 			delays = append(delays, delay.Length())
 		}
 	}
--- a/lab/check/floods_test.go
+++ b/testbed/checker/floods_test.go
@@ -1,4 +1,4 @@
-package check
+package checker
 
 import (
 	"fmt"
@@ -6,13 +6,13 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
 )
 
 // turnAway notes an answer to a job that must be refused.
-func (f *fixture) turnAway(class ledger.Class, status int, code api.ErrorCode, retryAfter bool) {
+func (f *fixture) turnAway(class calllog.Class, status int, code api.ErrorCode, retryAfter bool) {
 	id := fmt.Sprintf("refused-%d", len(f.Entries))
-	f.entry(ledger.KindSubmit, 500, ledger.Entry{
+	f.entry(calllog.KindSubmit, 500, calllog.Entry{
 		JobID: id, Spec: &api.JobSpec{}, Class: class, Status: status, Code: code, Error: "refused", RetryAfter: retryAfter,
 	})
 }
@@ -24,22 +24,22 @@
 		breaches int
 	}{
 		{"refused with a reason", func(f *fixture) {
-			f.turnAway(ledger.ClassImpossible, 422, api.CodeImpossible, false)
-			f.turnAway(ledger.ClassOverQuota, 429, api.CodeOverLimit, true)
+			f.turnAway(calllog.ClassImpossible, 422, api.CodeImpossible, false)
+			f.turnAway(calllog.ClassOverQuota, 429, api.CodeOverLimit, true)
 		}, 0},
-		{"a 503 that says when to ask again", func(f *fixture) { f.turnAway(ledger.ClassOverQuota, 503, api.CodeUnavailable, true) }, 0},
-		{"a 503 that does not", func(f *fixture) { f.turnAway(ledger.ClassOverQuota, 503, api.CodeUnavailable, false) }, 1},
-		{"a refusal without a reason", func(f *fixture) { f.turnAway(ledger.ClassImpossible, 422, "", false) }, 1},
-		{"another status", func(f *fixture) { f.turnAway(ledger.ClassImpossible, 500, api.CodeInternal, false) }, 1},
-		{"no answer", func(f *fixture) { f.turnAway(ledger.ClassImpossible, 0, "", false) }, 1},
+		{"a 503 that says when to ask again", func(f *fixture) { f.turnAway(calllog.ClassOverQuota, 503, api.CodeUnavailable, true) }, 0},
+		{"a 503 that does not", func(f *fixture) { f.turnAway(calllog.ClassOverQuota, 503, api.CodeUnavailable, false) }, 1},
+		{"a refusal without a reason", func(f *fixture) { f.turnAway(calllog.ClassImpossible, 422, "", false) }, 1},
+		{"another status", func(f *fixture) { f.turnAway(calllog.ClassImpossible, 500, api.CodeInternal, false) }, 1},
+		{"no answer", func(f *fixture) { f.turnAway(calllog.ClassImpossible, 0, "", false) }, 1},
 		{"alike faults count once", func(f *fixture) {
-			f.turnAway(ledger.ClassImpossible, 500, api.CodeInternal, false)
-			f.turnAway(ledger.ClassImpossible, 500, api.CodeInternal, false)
+			f.turnAway(calllog.ClassImpossible, 500, api.CodeInternal, false)
+			f.turnAway(calllog.ClassImpossible, 500, api.CodeInternal, false)
 		}, 1},
 		{"accepted", func(f *fixture) {
-			f.submitAs(ledger.ClassOverQuota, "j", 500, task())
+			f.submitAs(calllog.ClassOverQuota, "j", 500, task())
 			f.Entries[0].Status = 201
-			f.entry(ledger.KindCancel, 600, ledger.Entry{JobID: "j"})
+			f.entry(calllog.KindCancel, 600, calllog.Entry{JobID: "j"})
 			f.poll("j", 700, api.StateCancelled)
 		}, 1},
 	}
@@ -79,7 +79,7 @@
 		{"slow work of the flood itself", func(f *fixture) {
 			f.ordinary("a", 50, 100)
 			f.ordinary("b", 100, 600)
-			f.submitAs(ledger.ClassDiscarded, "j", 700, task())
+			f.submitAs(calllog.ClassDiscarded, "j", 700, task())
 			f.succeed("j/s/0", "two", 1, 1700, 1800)
 			f.poll("j", 1900, api.StateSucceeded)
 		}, 0},
@@ -89,8 +89,8 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
-			f.mark(ledger.MarkFloodStart, 500)
-			f.mark(ledger.MarkFloodEnd, 1000)
+			f.mark(calllog.MarkFloodStart, 500)
+			f.mark(calllog.MarkFloodEnd, 1000)
 			test.arrange(f)
 			f.expect(t, P14, test.breaches)
 		})
--- a/lab/check/gaps.go
+++ b/testbed/checker/gaps.go
@@ -1,11 +1,11 @@
-package check
+package checker
 
 import (
 	"fmt"
 	"time"
 
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // checkServiceGap (P10): while callers submit and a majority of the schedulers
@@ -52,7 +52,7 @@
 func (f *facts) acceptedSubmits() []monoclock.Nanos {
 	var times []monoclock.Nanos
 	for _, entry := range f.input.Entries {
-		if entry.Kind == ledger.KindSubmit && entry.Accepted() {
+		if entry.Kind == calllog.KindSubmit && entry.Accepted() {
 			times = append(times, entry.Answered)
 		}
 	}
--- a/lab/check/history_test.go
+++ b/testbed/checker/history_test.go
@@ -1,4 +1,4 @@
-package check
+package checker
 
 import (
 	"encoding/json"
@@ -9,15 +9,15 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // history is an Input as the corpus stores it.
 type history struct {
-	Entries    []ledger.Entry   `json:"entries"`
-	Lines      []journal.Line   `json:"lines"`
+	Entries    []calllog.Entry  `json:"entries"`
+	Lines      []eventlog.Line  `json:"lines"`
 	Workers    []Worker         `json:"workers"`
 	Schedulers []string         `json:"schedulers"`
 	Config     api.Config       `json:"config"`
--- a/lab/check/jobs.go
+++ b/testbed/checker/jobs.go
@@ -1,13 +1,13 @@
-package check
+package checker
 
 import (
 	"fmt"
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // checkJobsEnd (P2): each accepted job is found in a final state at the end,
@@ -38,7 +38,7 @@
 // mayFail reports whether any task of the job failed as often as it may.
 func (f *facts) mayFail(job *jobFacts) bool {
 	mayFail := false
-	f.eachTask(job, func(name journal.TaskName) {
+	f.eachTask(job, func(name eventlog.TaskName) {
 		failures := 0
 		for _, one := range f.byTask[name.String()] {
 			if one.Outcome == api.OutcomeFailed {
@@ -122,7 +122,7 @@
 
 // readBound is longer for a read that began without a majority of the
 // schedulers, or met such a time: then service must be back first.
-func (f *facts) readBound(poll ledger.Entry) time.Duration {
+func (f *facts) readBound(poll calllog.Entry) time.Duration {
 	for _, none := range f.withoutMajority() {
 		if none.overlaps(poll.Sent, poll.Answered) {
 			return none.to.Sub(none.from) + serviceGapBound
--- a/lab/check/lockstep.go
+++ b/testbed/checker/lockstep.go
@@ -1,16 +1,16 @@
-package check
+package checker
 
 import (
 	"fmt"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // lockstep returns the step of a task if its tasks are one group for their
 // whole life, or nil.
-func (f *facts) lockstep(name journal.TaskName) *api.StepSpec {
+func (f *facts) lockstep(name eventlog.TaskName) *api.StepSpec {
 	step := f.jobs[name.Job].step(name.Step)
 	if step == nil || !step.Lockstep {
 		return nil
@@ -20,7 +20,7 @@
 
 // eachMember visits the runs of all members of a step.
 func (f *facts) eachMember(job string, step *api.StepSpec, visit func(run)) {
-	for member := range journal.TaskNames(job, step) {
+	for member := range eventlog.TaskNames(job, step) {
 		for _, one := range f.byTask[member.String()] {
 			visit(one)
 		}
@@ -42,7 +42,7 @@
 // groupSucceededWith reports whether a task's group has succeeded in a run in
 // which the task took part.
 func (f *facts) groupSucceededWith(task string) bool {
-	name, err := journal.ParseTask(task)
+	name, err := eventlog.ParseTask(task)
 	if err != nil || f.lockstep(name) == nil {
 		return false
 	}
@@ -59,7 +59,7 @@
 
 // groupFailures counts the runs of a task's group in lockstep in which any member
 // failed; 0 for other tasks.
-func (f *facts) groupFailures(name journal.TaskName) int {
+func (f *facts) groupFailures(name eventlog.TaskName) int {
 	step := f.lockstep(name)
 	if step == nil {
 		return 0
--- a/lab/check/lockstep_test.go
+++ b/testbed/checker/lockstep_test.go
@@ -1,10 +1,10 @@
-package check
+package checker
 
 import (
 	"testing"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
 )
 
 // pair hands in a group in lockstep of two.
@@ -63,14 +63,14 @@
 		"a silent member of a group that succeeded": {"", func(f *fixture) {
 			f.pair()
 			f.start("j/s/0", "one", 1, 100)
-			f.fault("one", 150, ledger.ActionExit)
+			f.fault("one", 150, calllog.ActionExit)
 			f.succeed("j/s/1", "two", 1, 100, 2000)
 			f.poll("j", 2100, api.StateSucceeded)
 		}},
 		"a silent member of a group that did not": {P11, func(f *fixture) {
 			f.pair()
 			f.start("j/s/0", "one", 1, 100)
-			f.fault("one", 150, ledger.ActionExit)
+			f.fault("one", 150, calllog.ActionExit)
 			f.succeed("j/s/1", "two", 1, 100, 8000)
 			f.poll("j", 8100, api.StateSucceeded)
 		}},
--- a/lab/check/place.go
+++ b/testbed/checker/place.go
@@ -1,4 +1,4 @@
-package check
+package checker
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"strings"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // change is a start or an end of a run.
--- a/lab/check/rollout.go
+++ b/testbed/checker/rollout.go
@@ -1,4 +1,4 @@
-package check
+package checker
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // rolloutBound is the time after its acknowledgement in which a configuration
@@ -27,7 +27,7 @@
 	puts := f.acceptedPuts()
 	var found []Violation
 	for _, entry := range f.input.Entries {
-		if entry.Kind != ledger.KindRollout || !entry.Accepted() || entry.Rollout == nil {
+		if entry.Kind != calllog.KindRollout || !entry.Accepted() || entry.Rollout == nil {
 			continue
 		}
 		for _, row := range entry.Rollout.Processes {
@@ -51,7 +51,7 @@
 
 // checkInForce compares one row with what had been acknowledged when the
 // process said what it has in force.
-func (f *facts) checkInForce(entry ledger.Entry, row api.ProcessRollout, puts []ledger.Entry) []Violation {
+func (f *facts) checkInForce(entry calllog.Entry, row api.ProcessRollout, puts []calllog.Entry) []Violation {
 	saidAt := entry.Sent.Add(-time.Duration(row.AgeMillis) * time.Millisecond)
 	for _, put := range puts {
 		if put.Version > row.Version && saidAt > max(put.Answered, f.heardSince(row.Process, saidAt)).Add(rolloutBound) {
@@ -64,8 +64,8 @@
 
 // startedIn reports whether a process was started in a time.
 func (f *facts) startedIn(process string, from, to monoclock.Nanos) bool {
-	return slices.ContainsFunc(f.faultEntries, func(entry ledger.Entry) bool {
-		return entry.Process == process && entry.Action == ledger.ActionStart && entry.Answered >= from && entry.Answered <= to
+	return slices.ContainsFunc(f.faultEntries, func(entry calllog.Entry) bool {
+		return entry.Process == process && entry.Action == calllog.ActionStart && entry.Answered >= from && entry.Answered <= to
 	})
 }
 
@@ -92,7 +92,7 @@
 
 // plainRefusal reports whether an order was refused for good: asked again it is
 // refused again.
-func plainRefusal(entry ledger.Entry) bool {
+func plainRefusal(entry calllog.Entry) bool {
 	return entry.Code == api.CodeLostRace || entry.Code == api.CodeInvalid || entry.Code == api.CodeConflict
 }
 
@@ -104,7 +104,7 @@
 	accepted := map[string]monoclock.Nanos{}
 	var found []Violation
 	for _, entry := range f.input.Entries {
-		if entry.Kind != ledger.KindConfigPut {
+		if entry.Kind != calllog.KindConfigPut {
 			continue
 		}
 		at := []monoclock.Nanos{entry.Answered}
@@ -131,7 +131,7 @@
 func (f *facts) checkLosers(refused map[string]monoclock.Nanos) []Violation {
 	mayWin, lost := map[string]bool{}, map[string]string{}
 	for _, entry := range f.input.Entries {
-		if entry.Kind != ledger.KindConfigPut {
+		if entry.Kind != calllog.KindConfigPut {
 			continue
 		}
 		if _, loser := refused[entry.OrderID]; loser && !entry.Accepted() {
@@ -142,7 +142,7 @@
 	}
 	var found []Violation
 	for _, entry := range f.input.Entries {
-		if entry.Kind != ledger.KindConfigRead || !entry.Accepted() {
+		if entry.Kind != calllog.KindConfigRead || !entry.Accepted() {
 			continue
 		}
 		content := canonical(entry.Config)
--- a/lab/check/runs.go
+++ b/testbed/checker/runs.go
@@ -1,11 +1,11 @@
-package check
+package checker
 
 import (
 	"fmt"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // checkUnknownTasks (P1): nothing runs that no caller handed in.
@@ -66,7 +66,7 @@
 	var found []Violation
 	shown := f.shownSuccesses()
 	for _, id := range f.jobIDs {
-		f.eachTask(f.jobs[id], func(name journal.TaskName) {
+		f.eachTask(f.jobs[id], func(name eventlog.TaskName) {
 			if seen := shown[name.String()]; seen != 0 && f.untilCancelled(name) {
 				found = append(found, Violation{P2, name.String(), "runs until cancelled, but was shown as succeeded", []monoclock.Nanos{seen}})
 			}
@@ -75,7 +75,7 @@
 	return found
 }
 
-func (f *facts) untilCancelled(name journal.TaskName) bool {
+func (f *facts) untilCancelled(name eventlog.TaskName) bool {
 	spec := f.spec(name)
 	return spec != nil && spec.UntilCancelled
 }
@@ -106,19 +106,19 @@
 				note(task, poll.Answered)
 			}
 			if poll.State == api.StateSucceeded {
-				f.eachTask(job, func(name journal.TaskName) { note(name.String(), poll.Answered) })
+				f.eachTask(job, func(name eventlog.TaskName) { note(name.String(), poll.Answered) })
 			}
 		}
 	}
 	return shown
 }
 
-func (f *facts) eachTask(job *jobFacts, visit func(journal.TaskName)) {
+func (f *facts) eachTask(job *jobFacts, visit func(eventlog.TaskName)) {
 	if job.spec == nil {
 		return
 	}
 	for index := range job.spec.Steps {
-		for name := range journal.TaskNames(job.id, &job.spec.Steps[index]) {
+		for name := range eventlog.TaskNames(job.id, &job.spec.Steps[index]) {
 			visit(name)
 		}
 	}
--- a/lab/check/silence.go
+++ b/testbed/checker/silence.go
@@ -1,4 +1,4 @@
-package check
+package checker
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 const (
--- a/lab/check/spans.go
+++ b/testbed/checker/spans.go
@@ -1,10 +1,10 @@
-package check
+package checker
 
 import (
 	"slices"
 
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // span is a time from one reading to another.
@@ -17,7 +17,7 @@
 // link is one direction between two processes.
 type link struct{ from, to string }
 
-func linkOf(entry ledger.Entry) link { return link{entry.Process, entry.Peer} }
+func linkOf(entry calllog.Entry) link { return link{entry.Process, entry.Peer} }
 
 // network is which processes run and which links are open at a moment, as the
 // lab itself caused it.
@@ -31,23 +31,23 @@
 }
 
 // apply takes one fault into account.
-func (n *network) apply(entry ledger.Entry) {
+func (n *network) apply(entry calllog.Entry) {
 	switch entry.Action {
-	case ledger.ActionStart:
+	case calllog.ActionStart:
 		n.down[entry.Process], n.frozen[entry.Process] = false, false
-	case ledger.ActionKill, ledger.ActionTerminate, ledger.ActionExit:
+	case calllog.ActionKill, calllog.ActionTerminate, calllog.ActionExit:
 		n.down[entry.Process] = true
-	case ledger.ActionFreeze:
+	case calllog.ActionFreeze:
 		n.frozen[entry.Process] = true
-	case ledger.ActionResume:
+	case calllog.ActionResume:
 		n.frozen[entry.Process] = false
-	case ledger.ActionWipe:
+	case calllog.ActionWipe:
 		n.wiped[entry.Process] = true
-	case ledger.ActionJoined:
+	case calllog.ActionJoined:
 		n.wiped[entry.Process] = false
-	case ledger.ActionCut, ledger.ActionHold:
+	case calllog.ActionCut, calllog.ActionHold:
 		n.cuts[linkOf(entry)]++
-	case ledger.ActionHeal, ledger.ActionRelease:
+	case calllog.ActionHeal, calllog.ActionRelease:
 		n.cuts[linkOf(entry)]--
 	}
 }
--- a/lab/check/steps.go
+++ b/testbed/checker/steps.go
@@ -1,11 +1,11 @@
-package check
+package checker
 
 import (
 	"fmt"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // checkStepOrder (P4): no task starts before all tasks of the steps that its
@@ -29,7 +29,7 @@
 	if step == nil {
 		return nil
 	}
-	for name := range journal.TaskNames(job.id, step) {
+	for name := range eventlog.TaskNames(job.id, step) {
 		earlier := name.String()
 		success := firstSuccess[earlier]
 		if step.Lockstep {
@@ -82,7 +82,7 @@
 		if !step.Together || one.over <= deadline {
 			continue
 		}
-		for name := range journal.TaskNames(job.id, step) {
+		for name := range eventlog.TaskNames(job.id, step) {
 			other := name.String()
 			runs := f.byTask[other]
 			if len(runs) == 0 || runs[0].Mono > deadline {
--- a/lab/check/tokens.go
+++ b/testbed/checker/tokens.go
@@ -1,11 +1,11 @@
-package check
+package checker
 
 import (
 	"fmt"
 	"time"
 
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // checkTokens (P12): nothing starts under a token when a higher one was in use
@@ -19,7 +19,7 @@
 	var found []Violation
 	for _, line := range f.input.Lines {
 		for _, earlier := range raised {
-			if line.Event == journal.EventStart && earlier.token > line.Token && line.Mono > earlier.since.Add(f.hold()) {
+			if line.Event == eventlog.EventStart && earlier.token > line.Token && line.Mono > earlier.since.Add(f.hold()) {
 				text := fmt.Sprintf("started under token %d although %d was in use", line.Token, earlier.token)
 				found = append(found, Violation{P12, line.Task, text, []monoclock.Nanos{line.Mono, earlier.since}})
 				break
@@ -57,7 +57,7 @@
 		switch {
 		case line.Mono <= frozen.to.Add(-staleOrderSlack):
 			inUse = max(inUse, line.Token)
-		case line.Event == journal.EventStart && line.Mono > frozen.to && line.Token < inUse:
+		case line.Event == eventlog.EventStart && line.Mono > frozen.to && line.Token < inUse:
 			text := fmt.Sprintf("started under token %d after %s woke, although %d was in use", line.Token, scheduler, inUse)
 			found = append(found, Violation{P12, line.Task, text, []monoclock.Nanos{line.Mono, frozen.to}})
 		}
--- a/lab/launch/launcher.go
+++ b/testbed/childprocess/launcher.go
@@ -1,4 +1,4 @@
-package launch
+package childprocess
 
 import (
 	"errors"
--- a/lab/deployment/deployment.go
+++ b/testbed/deployment/deployment.go
@@ -62,7 +62,7 @@
 	Zone string
 	// Address is "IP:PORT"; empty for workers, which do not listen.
 	Address string
-	// Reach is the "IP:PORT" that others are given; a relay of the lab listens
+	// Reach is the "IP:PORT" that others are given; a relay of the test bed listens
 	// there. If it is empty others use Address, without a relay, as callers do
 	// with a front.
 	Reach string
--- a/lab/deployment/doc.go
+++ b/testbed/deployment/doc.go
@@ -1,4 +1,4 @@
-// Package deployment describes the fleets that the lab starts: which process
+// Package deployment describes the fleets that the test bed starts: which process
 // runs in which zone, on which address, with what room, and the first
 // configuration.
 package deployment
--- a/lab/deployment/profiles.go
+++ b/testbed/deployment/profiles.go
@@ -11,7 +11,7 @@
 	cartagoName  = "cartago"
 
 	// sleepHandler is the built-in handler of the reference worker that all
-	// services of the lab are bound to.
+	// services of the test bed are bound to.
 	sleepHandler = "sleep"
 )
 
--- a/lab/journal/journal_test.go
+++ b/testbed/eventlog/journal_test.go
@@ -1,4 +1,4 @@
-package journal
+package eventlog
 
 import (
 	"errors"
--- a/lab/journal/line.go
+++ b/testbed/eventlog/line.go
@@ -1,4 +1,4 @@
-package journal
+package eventlog
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"strings"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // Event is what a line tells.
@@ -58,7 +58,7 @@
 }
 
 // ErrOccurrence means that a task belongs to a later occurrence of a repeating
-// job. The lab hands in no such job, and its checks would mix up occurrences.
+// job. The test bed hands in no such job, and its checks would mix up occurrences.
 var ErrOccurrence = errors.New("tasks of repeating jobs are not judged")
 
 // ParseTask splits a task's full name. A name JOB/STEP/INDEX/OCCURRENCE is an
--- a/lab/journal/reader.go
+++ b/testbed/eventlog/reader.go
@@ -1,4 +1,4 @@
-package journal
+package eventlog
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // Suffix ends the name of each journal file in a folder.
--- a/lab/fleet/disk.go
+++ b/testbed/fleet/disk.go
@@ -6,9 +6,9 @@
 	"os"
 	"time"
 
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // Wipe deletes the data folder of a scheduler that does not run.
@@ -19,7 +19,7 @@
 	if err := os.RemoveAll(f.layout.data(scheduler.Spec.Name)); err != nil {
 		return fmt.Errorf("wipe %s: %w", scheduler.Spec.Name, err)
 	}
-	scheduler.note(ledger.ActionWipe, true)
+	scheduler.note(calllog.ActionWipe, true)
 	return nil
 }
 
@@ -50,7 +50,7 @@
 	if err != nil {
 		return fmt.Errorf("%s is no voter again, replica %q is shown, %q was lost: %w", scheduler.Spec.Name, shown, old, err)
 	}
-	scheduler.note(ledger.ActionJoined, true)
+	scheduler.note(calllog.ActionJoined, true)
 	return nil
 }
 
@@ -63,9 +63,9 @@
 		return err
 	}
 	now := monoclock.Now()
-	f.config.Ledger.Add(ledger.Entry{
-		Kind: ledger.KindFault, Sent: now, Answered: now, Process: scheduler.Spec.Name,
-		Action: ledger.ActionClock, Offset: offset, Expected: true,
+	f.config.Ledger.Add(calllog.Entry{
+		Kind: calllog.KindFault, Sent: now, Answered: now, Process: scheduler.Spec.Name,
+		Action: calllog.ActionClock, Offset: offset, Expected: true,
 	})
 	return nil
 }
--- a/lab/fleet/doc.go
+++ b/testbed/fleet/doc.go
@@ -3,5 +3,5 @@
 // nothing else.
 //
 // Each process has its own process group, its own log file, and dies with the
-// lab, however the lab ends.
+// lab, however the test bed ends.
 package fleet
--- a/lab/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/launch"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/relay"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/childprocess"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/netem"
 )
 
 const (
@@ -39,7 +39,7 @@
 	// PresentVersion.
 	FirstVersion Version
 	// Ledger gets starts, faults and exits.
-	Ledger *ledger.Ledger
+	Ledger *calllog.Ledger
 	// LogLevel of all processes. Default "info".
 	LogLevel string
 	// Seed draws what the relays hold up.
@@ -50,8 +50,8 @@
 type Fleet struct {
 	config    Config
 	layout    layout
-	launcher  *launch.Launcher
-	links     *relay.Network
+	launcher  *childprocess.Launcher
+	links     *netem.Network
 	client    *api.Client
 	processes []*Process
 	byName    map[string]*Process
@@ -81,7 +81,7 @@
 	if err := f.addProcesses(); err != nil {
 		return nil, err
 	}
-	f.launcher = launch.New()
+	f.launcher = childprocess.New()
 	for _, process := range f.processes {
 		process.launcher = f.launcher
 	}
--- a/lab/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -9,14 +9,14 @@
 
 	"github.com/decklever/decklever/internal/settings"
 	"github.com/decklever/decklever/internal/testaddress"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/deployment"
 )
 
 // TestSettingsFilesAreWhatTheDaemonsTake loads each written file the way the
 // daemons do, which refuses unknown and wrong keys.
 func TestSettingsFilesAreWhatTheDaemonsTake(t *testing.T) {
-	f := testFleet(t, &ledger.Ledger{})
+	f := testFleet(t, &calllog.Ledger{})
 	for _, process := range f.processes {
 		if err := load(process); err != nil {
 			t.Errorf("%s: %v", process.Spec.Name, err)
--- a/lab/fleet/links.go
+++ b/testbed/fleet/links.go
@@ -4,10 +4,10 @@
 	"net"
 	"time"
 
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
-	"github.com/decklever/decklever/lab/relay"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/monoclock"
+	"github.com/decklever/decklever/testbed/netem"
 )
 
 // zoneDelay is how long data takes from one zone to another, one way.
@@ -16,20 +16,20 @@
 // openLinks starts the relays between the processes. Callers reach the fronts
 // without any.
 func (f *Fleet) openLinks() error {
-	config := relay.Config{Sources: map[string]string{}, Delay: f.linkDelay, Seed: f.config.Seed}
+	config := netem.Config{Sources: map[string]string{}, Delay: f.linkDelay, Seed: f.config.Seed}
 	for _, process := range f.processes {
 		spec := process.Spec
 		if spec.Address != "" {
 			config.Sources[hostOf(spec.Address)] = spec.Name
 		}
 		if spec.Reach != "" {
-			config.Routes = append(config.Routes, relay.Route{
+			config.Routes = append(config.Routes, netem.Route{
 				Name: spec.Name, Listen: spec.Reach, Target: spec.Address, Source: f.workerOf(spec),
 			})
 		}
 	}
 	var err error
-	f.links, err = relay.New(config)
+	f.links, err = netem.New(config)
 	return err
 }
 
@@ -57,7 +57,7 @@
 }
 
 // linkDelay is the delay between two processes in their usual state.
-func (f *Fleet) linkDelay(link relay.Link) time.Duration {
+func (f *Fleet) linkDelay(link netem.Link) time.Duration {
 	from, to := f.byName[link.From], f.byName[link.To]
 	if from == nil || to == nil || from.Spec.Zone == to.Spec.Zone {
 		return 0
@@ -78,48 +78,48 @@
 
 // Cut lets nothing pass on the links and no connection come about over them,
 // until the returned function is called.
-func (f *Fleet) Cut(links ...relay.Link) (heal func()) {
-	f.noteLinks(ledger.ActionCut, links)
+func (f *Fleet) Cut(links ...netem.Link) (heal func()) {
+	f.noteLinks(calllog.ActionCut, links)
 	end := f.links.Cut(links...)
 	return func() {
 		end()
-		f.noteLinks(ledger.ActionHeal, links)
+		f.noteLinks(calllog.ActionHeal, links)
 	}
 }
 
 // Hold keeps back what is sent on the links, until the returned function is
 // called: then it is passed on in order.
-func (f *Fleet) Hold(links ...relay.Link) (release func()) {
-	f.noteLinks(ledger.ActionHold, links)
+func (f *Fleet) Hold(links ...netem.Link) (release func()) {
+	f.noteLinks(calllog.ActionHold, links)
 	end := f.links.Hold(links...)
 	return func() {
 		end()
-		f.noteLinks(ledger.ActionRelease, links)
+		f.noteLinks(calllog.ActionRelease, links)
 	}
 }
 
 // Cross holds up a share of what is sent on the links, each piece for a time
 // drawn up to atMost, until the returned function is called.
-func (f *Fleet) Cross(share float64, atMost time.Duration, links ...relay.Link) (end func()) {
-	f.noteLinks(ledger.ActionCross, links)
+func (f *Fleet) Cross(share float64, atMost time.Duration, links ...netem.Link) (end func()) {
+	f.noteLinks(calllog.ActionCross, links)
 	stop := f.links.Cross(share, atMost, links...)
 	return func() {
 		stop()
-		f.noteLinks(ledger.ActionUncross, links)
+		f.noteLinks(calllog.ActionUncross, links)
 	}
 }
 
 // Drop resets the connections that use the links now.
-func (f *Fleet) Drop(links ...relay.Link) {
+func (f *Fleet) Drop(links ...netem.Link) {
 	f.links.Drop(links...)
-	f.noteLinks(ledger.ActionDrop, links)
+	f.noteLinks(calllog.ActionDrop, links)
 }
 
-func (f *Fleet) noteLinks(action ledger.Action, links []relay.Link) {
+func (f *Fleet) noteLinks(action calllog.Action, links []netem.Link) {
 	now := monoclock.Now()
 	for _, link := range links {
-		f.config.Ledger.Add(ledger.Entry{
-			Kind: ledger.KindFault, Sent: now, Answered: now,
+		f.config.Ledger.Add(calllog.Entry{
+			Kind: calllog.KindFault, Sent: now, Answered: now,
 			Process: link.From, Peer: link.To, Action: action, Expected: true,
 		})
 	}
@@ -127,12 +127,12 @@
 
 // LinksBetween returns both directions between each process of one list and
 // each of another; those of a process to itself are left out.
-func LinksBetween(some, others []*Process) []relay.Link {
-	var links []relay.Link
+func LinksBetween(some, others []*Process) []netem.Link {
+	var links []netem.Link
 	for _, one := range some {
 		for _, other := range others {
 			if one != other {
-				links = append(links, relay.Both(one.Spec.Name, other.Spec.Name)...)
+				links = append(links, netem.Both(one.Spec.Name, other.Spec.Name)...)
 			}
 		}
 	}
@@ -141,9 +141,9 @@
 
 // LinksOfZone returns both directions of each link that leaves a zone. Only
 // schedulers are reached from other zones, so one end is a scheduler.
-func (f *Fleet) LinksOfZone(zone string) []relay.Link {
+func (f *Fleet) LinksOfZone(zone string) []netem.Link {
 	inside, outside := f.InZone(zone, true), f.InZone(zone, false)
-	var links []relay.Link
+	var links []netem.Link
 	for _, link := range LinksBetween(inside, outside) {
 		if f.byName[link.From].Spec.Role == deployment.RoleScheduler || f.byName[link.To].Spec.Role == deployment.RoleScheduler {
 			links = append(links, link)
--- a/lab/fleet/links_test.go
+++ b/testbed/fleet/links_test.go
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/relay"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/netem"
 )
 
 // listeningInstance has the addresses on which these tests listen: the last one,
@@ -17,7 +17,7 @@
 const listeningInstance = 24
 
 // testFleet is a fleet of programs that are never started.
-func testFleet(t *testing.T, book *ledger.Ledger) *Fleet {
+func testFleet(t *testing.T, book *calllog.Ledger) *Fleet {
 	t.Helper()
 	d, err := deployment.New("cartago", listeningInstance)
 	if err != nil {
@@ -42,7 +42,7 @@
 }
 
 func TestProcessesAreGivenRelaysOnly(t *testing.T) {
-	f := testFleet(t, &ledger.Ledger{})
+	f := testFleet(t, &calllog.Ledger{})
 	for _, process := range f.processes {
 		data, err := os.ReadFile(process.settings)
 		if err != nil {
@@ -61,7 +61,7 @@
 }
 
 func TestLinksOfAZoneAreThoseToSchedulersInOthers(t *testing.T) {
-	f := testFleet(t, &ledger.Ledger{})
+	f := testFleet(t, &calllog.Ledger{})
 	inside, outside := len(f.InZone("zone-1", true)), len(f.InZone("zone-1", false))
 	// One scheduler inside and two outside; the link between two counts once.
 	want := 2 * (2*inside + outside - 2)
@@ -75,20 +75,20 @@
 }
 
 func TestLinkFaultsAreNotedWithBothEnds(t *testing.T) {
-	book := &ledger.Ledger{}
+	book := &calllog.Ledger{}
 	f := testFleet(t, book)
 	if err := f.openLinks(); err != nil {
 		t.Fatal(err)
 	}
-	f.Cut(relay.Link{From: "scheduler-01", To: "agent-02"})()
-	var actions []ledger.Action
+	f.Cut(netem.Link{From: "scheduler-01", To: "agent-02"})()
+	var actions []calllog.Action
 	for _, entry := range book.Entries() {
 		if entry.Process != "scheduler-01" || entry.Peer != "agent-02" {
 			t.Errorf("noted %+v", entry)
 		}
 		actions = append(actions, entry.Action)
 	}
-	if !slices.Equal(actions, []ledger.Action{ledger.ActionCut, ledger.ActionHeal}) {
+	if !slices.Equal(actions, []calllog.Action{calllog.ActionCut, calllog.ActionHeal}) {
 		t.Errorf("noted %v", actions)
 	}
 }
--- a/lab/fleet/process.go
+++ b/testbed/fleet/process.go
@@ -9,10 +9,10 @@
 	"sync"
 	"syscall"
 
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/launch"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/childprocess"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // errNotRunning is returned for an action on a process that does not run.
@@ -27,8 +27,8 @@
 	programs [versionCount]string
 	settings string
 	logPath  string
-	launcher *launch.Launcher
-	ledger   *ledger.Ledger
+	launcher *childprocess.Launcher
+	ledger   *calllog.Ledger
 
 	mutex sync.Mutex
 	// version is that of the next start.
@@ -41,7 +41,7 @@
 	command *exec.Cmd
 	// ended is closed once the process was reaped.
 	ended chan struct{}
-	// expected is true once the lab told the process to end.
+	// expected is true once the test bed told the process to end.
 	expected bool
 }
 
@@ -73,7 +73,7 @@
 	_ = one.command.Wait()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.note(ledger.ActionExit, one.expected)
+	p.note(calllog.ActionExit, one.expected)
 	close(one.ended)
 }
 
@@ -93,15 +93,15 @@
 // noteStart also notes the program. The mutex must be held.
 func (p *Process) noteStart() {
 	now := monoclock.Now()
-	p.ledger.Add(ledger.Entry{
-		Kind: ledger.KindFault, Sent: now, Answered: now, Process: p.Spec.Name,
-		Action: ledger.ActionStart, Program: p.programs[p.version], Expected: true,
+	p.ledger.Add(calllog.Entry{
+		Kind: calllog.KindFault, Sent: now, Answered: now, Process: p.Spec.Name,
+		Action: calllog.ActionStart, Program: p.programs[p.version], Expected: true,
 	})
 }
 
-func (p *Process) note(action ledger.Action, expected bool) {
+func (p *Process) note(action calllog.Action, expected bool) {
 	now := monoclock.Now()
-	p.ledger.Add(ledger.Entry{Kind: ledger.KindFault, Sent: now, Answered: now, Process: p.Spec.Name, Action: action, Expected: expected})
+	p.ledger.Add(calllog.Entry{Kind: calllog.KindFault, Sent: now, Answered: now, Process: p.Spec.Name, Action: action, Expected: expected})
 }
 
 // PID returns the process id; 0 if the process does not run.
@@ -115,25 +115,25 @@
 }
 
 // Kill ends the process at once, with SIGKILL.
-func (p *Process) Kill() error { return p.signal(ledger.ActionKill, syscall.SIGKILL) }
+func (p *Process) Kill() error { return p.signal(calllog.ActionKill, syscall.SIGKILL) }
 
 // Terminate asks the process to end, with SIGTERM.
-func (p *Process) Terminate() error { return p.signal(ledger.ActionTerminate, syscall.SIGTERM) }
+func (p *Process) Terminate() error { return p.signal(calllog.ActionTerminate, syscall.SIGTERM) }
 
 // Freeze stops the process from running, with SIGSTOP.
-func (p *Process) Freeze() error { return p.signal(ledger.ActionFreeze, syscall.SIGSTOP) }
+func (p *Process) Freeze() error { return p.signal(calllog.ActionFreeze, syscall.SIGSTOP) }
 
 // Resume lets a frozen process run on.
-func (p *Process) Resume() error { return p.signal(ledger.ActionResume, syscall.SIGCONT) }
+func (p *Process) Resume() error { return p.signal(calllog.ActionResume, syscall.SIGCONT) }
 
-func (p *Process) signal(action ledger.Action, signal syscall.Signal) error {
+func (p *Process) signal(action calllog.Action, signal syscall.Signal) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	one := p.running()
 	if one == nil {
 		return fmt.Errorf("%s %s: %w", action, p.Spec.Name, errNotRunning)
 	}
-	if action == ledger.ActionKill || action == ledger.ActionTerminate {
+	if action == calllog.ActionKill || action == calllog.ActionTerminate {
 		one.expected = true
 	}
 	p.note(action, true)
--- a/lab/fleet/ready.go
+++ b/testbed/fleet/ready.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/operator"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/operator"
 )
 
 const (
--- a/lab/fleet/settings_file.go
+++ b/testbed/fleet/settings_file.go
@@ -9,8 +9,8 @@
 	"go.yaml.in/yaml/v3"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/journal"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/eventlog"
 )
 
 // logSettings is the log section of every settings file.
@@ -63,7 +63,7 @@
 func (l layout) data(name string) string     { return filepath.Join(l.root, "data", name) }
 func (l layout) journals() string            { return filepath.Join(l.root, "journals") }
 func (l layout) journal(name string) string {
-	return filepath.Join(l.journals(), name+journal.Suffix)
+	return filepath.Join(l.journals(), name+eventlog.Suffix)
 }
 
 // prepare makes the folders.
--- a/lab/fleet/usage.go
+++ b/testbed/fleet/usage.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 const (
--- a/lab/hollow/node.go
+++ b/testbed/hollow/node.go
@@ -145,7 +145,7 @@
 		HTTPClient: &http.Client{Transport: gate{life, n.link}},
 		OnStart:    func(event worker.Event) { life.note(n.shared.journal.Start, event) },
 		OnEnd:      func(event worker.Event) { life.note(n.shared.journal.End, event) },
-		// The lab ends a worker only by killing it.
+		// The test bed ends a worker only by killing it.
 		DrainTimeout: -1, ReportTimeout: -1,
 	})
 	if err != nil {
--- a/lab/hollow/process.go
+++ b/testbed/hollow/process.go
@@ -14,7 +14,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/decklever/decklever/internal/rpc"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/monoclock"
 	"github.com/decklever/decklever/worker"
 )
 
--- a/lab/hollow/spec.go
+++ b/testbed/hollow/spec.go
@@ -6,7 +6,7 @@
 	"os"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // NodeSpec describes one hollow side machine.
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// Order is what the lab tells a hollow process, one JSON line each.
+// Order is what the test bed tells a hollow process, one JSON line each.
 type Order string
 
 // Orders.
--- a/lab/load/caller.go
+++ b/testbed/load/caller.go
@@ -7,9 +7,9 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
-	"github.com/decklever/decklever/lab/operator"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/monoclock"
+	"github.com/decklever/decklever/testbed/operator"
 )
 
 const (
@@ -33,7 +33,7 @@
 // caller is one caller of the fleet.
 type caller struct {
 	client *api.Client
-	ledger *ledger.Ledger
+	ledger *calllog.Ledger
 	// shown are the tasks that a poll showed as succeeded already.
 	shown map[string]bool
 }
@@ -57,10 +57,10 @@
 // resend hands in an accepted job once more.
 func (c *caller) resend(ctx context.Context, one plan) { c.submitOnce(ctx, one, true) }
 
-func (c *caller) submitOnce(ctx context.Context, one plan, resend bool) ledger.Entry {
+func (c *caller) submitOnce(ctx context.Context, one plan, resend bool) calllog.Entry {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	entry := ledger.Entry{Kind: ledger.KindSubmit, Sent: monoclock.Now(), JobID: one.id, Spec: &one.spec, Class: one.class, Resend: resend}
+	entry := calllog.Entry{Kind: calllog.KindSubmit, Sent: monoclock.Now(), JobID: one.id, Spec: &one.spec, Class: one.class, Resend: resend}
 	created, err := c.client.SubmitJob(ctx, one.id, one.spec)
 	entry.Answered, entry.Created = monoclock.Now(), created
 	entry.Code, entry.Error = operator.Refusal(err)
@@ -85,7 +85,7 @@
 func (c *caller) poll(ctx context.Context, id string) api.State {
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	entry := ledger.Entry{Kind: ledger.KindPoll, Sent: monoclock.Now(), JobID: id, Wait: pollWait}
+	entry := calllog.Entry{Kind: calllog.KindPoll, Sent: monoclock.Now(), JobID: id, Wait: pollWait}
 	status, err := c.client.Job(limited, id, pollWait)
 	if ctx.Err() != nil {
 		return ""
@@ -115,7 +115,7 @@
 func (c *caller) cancel(ctx context.Context, id string) {
 	for ctx.Err() == nil {
 		limited, stop := context.WithTimeout(ctx, callTimeout)
-		entry := ledger.Entry{Kind: ledger.KindCancel, Sent: monoclock.Now(), JobID: id}
+		entry := calllog.Entry{Kind: calllog.KindCancel, Sent: monoclock.Now(), JobID: id}
 		status, err := c.client.CancelJob(limited, id)
 		stop()
 		entry.Answered, entry.State = monoclock.Now(), status.State
--- a/lab/load/doc.go
+++ b/testbed/load/doc.go
@@ -1,4 +1,4 @@
-// Package load is the lab's callers: from a seed it hands in the jobs of a
+// Package load is the callers of the test bed: from a seed it submits the jobs of a
 // deployment at their rates, whatever the answers (an open loop), sends some
 // again on purpose, and follows each job until it is final. All that it sees
 // goes into the ledger.
--- a/lab/load/extra.go
+++ b/testbed/load/extra.go
@@ -8,16 +8,16 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
-	"github.com/decklever/decklever/lab/operator"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/monoclock"
+	"github.com/decklever/decklever/testbed/operator"
 )
 
 // Job is one that a scenario hands in beside the ordinary load.
 type Job struct {
 	ID    string
 	Spec  api.JobSpec
-	Class ledger.Class
+	Class calllog.Class
 }
 
 func (j Job) plan() plan { return plan{id: j.ID, spec: j.Spec, class: j.Class} }
@@ -86,7 +86,7 @@
 func (g *Generator) CancelQueue(ctx context.Context, queue string, ids []string) (int, error) {
 	sent := monoclock.Now()
 	cancelled, err := g.clients[0].CancelJobs(ctx, api.CancelRequest{Queue: queue})
-	entry := ledger.Entry{Kind: ledger.KindCancel, Sent: sent, Answered: monoclock.Now()}
+	entry := calllog.Entry{Kind: calllog.KindCancel, Sent: sent, Answered: monoclock.Now()}
 	entry.Code, entry.Error = operator.Refusal(err)
 	for _, id := range ids {
 		entry.JobID = id
@@ -96,8 +96,8 @@
 }
 
 // Mark notes a time that the scenario set.
-func (g *Generator) Mark(mark ledger.Mark, at monoclock.Nanos) {
-	g.config.Ledger.Add(ledger.Entry{Kind: ledger.KindMark, Sent: at, Answered: at, Mark: mark})
+func (g *Generator) Mark(mark calllog.Mark, at monoclock.Nanos) {
+	g.config.Ledger.Add(calllog.Entry{Kind: calllog.KindMark, Sent: at, Answered: at, Mark: mark})
 }
 
 // caller returns a caller for the job of that number.
--- a/lab/load/extra_test.go
+++ b/testbed/load/extra_test.go
@@ -12,15 +12,15 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
 )
 
 // generatorFor returns a generator of one front and its ledger.
-func generatorFor(t *testing.T, front http.HandlerFunc) (*Generator, *ledger.Ledger) {
+func generatorFor(t *testing.T, front http.HandlerFunc) (*Generator, *calllog.Ledger) {
 	t.Helper()
 	server := httptest.NewServer(front)
 	t.Cleanup(server.Close)
-	book, err := ledger.Open("")
+	book, err := calllog.Open("")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	})
 	const jobs = 50
 	generator.Flood(t.Context(), 4, jobs, func(number int) Job {
-		return Job{ID: fmt.Sprintf("j%d", number), Class: ledger.ClassImpossible}
+		return Job{ID: fmt.Sprintf("j%d", number), Class: calllog.ClassImpossible}
 	})
 	counts := map[int]int{}
 	ids := map[string]bool{}
@@ -62,7 +62,7 @@
 		counts[entry.Status]++
 		ids[entry.JobID] = true
 		refused := entry.Status != http.StatusCreated
-		if entry.Class != ledger.ClassImpossible || entry.RetryAfter != (entry.Status == 503) ||
+		if entry.Class != calllog.ClassImpossible || entry.RetryAfter != (entry.Status == 503) ||
 			entry.Accepted() == refused || (entry.Code == "because") != refused {
 			t.Errorf("entry is %+v", entry)
 		}
@@ -85,12 +85,12 @@
 			answer(writer, 201, api.SubmitAnswer{Created: true})
 		}
 	})
-	jobs := []Job{{ID: "a", Class: ledger.ClassBooked}, {ID: "wrong"}, {ID: "b", Class: ledger.ClassBooked}}
+	jobs := []Job{{ID: "a", Class: calllog.ClassBooked}, {ID: "wrong"}, {ID: "b", Class: calllog.ClassBooked}}
 	accepted := generator.HandInAll(t.Context(), 1, jobs)
 	if difference := cmp.Diff([]string{"a", "b"}, accepted); difference != "" {
 		t.Error(difference)
 	}
-	if entries := book.Entries(); len(entries) != 4 || entries[0].Code != api.CodeOverLimit || entries[1].Class != ledger.ClassBooked {
+	if entries := book.Entries(); len(entries) != 4 || entries[0].Code != api.CodeOverLimit || entries[1].Class != calllog.ClassBooked {
 		t.Errorf("entries are %+v", entries)
 	}
 }
@@ -109,7 +109,7 @@
 	if err != nil || cancelled != 2 || len(entries) != 2 {
 		t.Fatalf("%d cancelled, %v, entries %+v", cancelled, err, entries)
 	}
-	if entries[0].JobID != "a" || entries[1].JobID != "b" || entries[1].Kind != ledger.KindCancel || !entries[1].Accepted() {
+	if entries[0].JobID != "a" || entries[1].JobID != "b" || entries[1].Kind != calllog.KindCancel || !entries[1].Accepted() {
 		t.Errorf("entries are %+v", entries)
 	}
 }
--- a/lab/load/flood.go
+++ b/testbed/load/flood.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 const (
@@ -37,8 +37,8 @@
 }
 
 // try hands in a job at one front and returns what was answered.
-func try(ctx context.Context, transport *http.Client, endpoint string, job Job) ledger.Entry {
-	entry := ledger.Entry{Kind: ledger.KindSubmit, Sent: monoclock.Now(), JobID: job.ID, Spec: &job.Spec, Class: job.Class}
+func try(ctx context.Context, transport *http.Client, endpoint string, job Job) calllog.Entry {
+	entry := calllog.Entry{Kind: calllog.KindSubmit, Sent: monoclock.Now(), JobID: job.ID, Spec: &job.Spec, Class: job.Class}
 	answer, err := put(ctx, transport, endpoint+"/v1/jobs/"+job.ID, job.Spec)
 	entry.Answered = monoclock.Now()
 	if err != nil {
--- a/lab/load/generator.go
+++ b/testbed/load/generator.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/deployment"
 )
 
 // callers is the number of clients that share the load, each of which stays
@@ -22,7 +22,7 @@
 	Endpoints []string
 	Shapes    deployment.Shapes
 	Seed      uint64
-	Ledger    *ledger.Ledger
+	Ledger    *calllog.Ledger
 }
 
 // Counts is how many jobs there are so far.
--- a/lab/load/load_test.go
+++ b/testbed/load/load_test.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/deployment"
 )
 
 func TestPlansComeFromTheSeedAndAreValid(t *testing.T) {
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	book, err := ledger.Open("")
+	book, err := calllog.Open("")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,12 +96,12 @@
 	if !caller.watch(t.Context(), one) {
 		t.Fatal("the job did not end")
 	}
-	var kinds []ledger.Kind
+	var kinds []calllog.Kind
 	entries := book.Entries()
 	for _, entry := range entries {
 		kinds = append(kinds, entry.Kind)
 	}
-	want := []ledger.Kind{ledger.KindSubmit, ledger.KindSubmit, ledger.KindPoll, ledger.KindPoll}
+	want := []calllog.Kind{calllog.KindSubmit, calllog.KindSubmit, calllog.KindPoll, calllog.KindPoll}
 	if difference := cmp.Diff(want, kinds); difference != "" {
 		t.Fatal(difference)
 	}
@@ -118,7 +118,7 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer server.Close()
-	book, err := ledger.Open("")
+	book, err := calllog.Open("")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/load/plan.go
+++ b/testbed/load/plan.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/deployment"
 )
 
 // Shares of jobs that use one of the rules which few callers need.
@@ -30,7 +30,7 @@
 type plan struct {
 	id    string
 	spec  api.JobSpec
-	class ledger.Class
+	class calllog.Class
 	// after is the pause since the job before it.
 	after time.Duration
 	// resend: it is handed in again once it was accepted.
--- a/lab/matrix/matrix.go
+++ b/testbed/matrix/matrix.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"github.com/decklever/decklever/lab/report"
-	"github.com/decklever/decklever/lab/scenario"
+	"github.com/decklever/decklever/testbed/report"
+	"github.com/decklever/decklever/testbed/scenario"
 )
 
 // Files in the out folder.
--- a/lab/matrix/matrix_test.go
+++ b/testbed/matrix/matrix_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"github.com/decklever/decklever/lab/check"
-	"github.com/decklever/decklever/lab/report"
-	"github.com/decklever/decklever/lab/scenario"
+	"github.com/decklever/decklever/testbed/checker"
+	"github.com/decklever/decklever/testbed/report"
+	"github.com/decklever/decklever/testbed/scenario"
 )
 
 func TestEveryCellIsRunOnceAndReported(t *testing.T) {
@@ -63,7 +63,7 @@
 	}
 	return report.Summary{
 		TasksStarted: 7, FaultsCaused: 3, LongestReplacementMillis: 4000,
-		Broken: []check.Violation{{Promise: check.P1}, {Promise: check.P11}, {Promise: check.P1}},
+		Broken: []checker.Violation{{Promise: checker.P1}, {Promise: checker.P11}, {Promise: checker.P1}},
 	}, nil
 }
 
--- a/lab/matrix/table.go
+++ b/testbed/matrix/table.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"github.com/decklever/decklever/lab/check"
+	"github.com/decklever/decklever/testbed/checker"
 )
 
 // row is all seeds of one scenario on one deployment.
@@ -14,7 +14,7 @@
 	deployment, scenario string
 	seeds                []string
 	starts, faults       int
-	broken               map[check.Promise]int
+	broken               map[checker.Promise]int
 	// others are failures that are no broken promise, by what they are.
 	others         map[string]int
 	gap, replacing float64
@@ -43,7 +43,7 @@
 			index = len(all)
 			all = append(all, &row{
 				deployment: outcome.Deployment, scenario: outcome.Scenario,
-				broken: map[check.Promise]int{}, others: map[string]int{},
+				broken: map[checker.Promise]int{}, others: map[string]int{},
 			})
 		}
 		all[index].add(outcome)
--- a/lab/model/callers_test.go
+++ b/testbed/model/callers_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/operator"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/operator"
 )
 
 const (
@@ -179,17 +179,17 @@
 	}
 }
 
-func (c *caller) submit(ctx context.Context, one plannedJob, resend bool) ledger.Entry {
+func (c *caller) submit(ctx context.Context, one plannedJob, resend bool) calllog.Entry {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	entry := ledger.Entry{Kind: ledger.KindSubmit, Sent: c.fleet.now(), JobID: one.id, Spec: &one.spec, Resend: resend}
+	entry := calllog.Entry{Kind: calllog.KindSubmit, Sent: c.fleet.now(), JobID: one.id, Spec: &one.spec, Resend: resend}
 	created, err := c.client.SubmitJob(ctx, one.id, one.spec)
 	entry.Created = created
 	return c.add(entry, err)
 }
 
 // add notes the answer to a call.
-func (c *caller) add(entry ledger.Entry, err error) ledger.Entry {
+func (c *caller) add(entry calllog.Entry, err error) calllog.Entry {
 	entry.Answered = c.fleet.now()
 	entry.Code, entry.Error = operator.Refusal(err)
 	c.fleet.ledger.Add(entry)
@@ -201,7 +201,7 @@
 func (c *caller) poll(ctx context.Context, id string) (over bool) {
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	entry := ledger.Entry{Kind: ledger.KindPoll, Sent: c.fleet.now(), JobID: id, Wait: pollWait}
+	entry := calllog.Entry{Kind: calllog.KindPoll, Sent: c.fleet.now(), JobID: id, Wait: pollWait}
 	status, err := c.client.Job(limited, id, pollWait)
 	if ctx.Err() != nil {
 		return false
@@ -222,7 +222,7 @@
 func (c *caller) cancel(ctx context.Context, id string) {
 	for ctx.Err() == nil {
 		limited, stop := context.WithTimeout(ctx, callTimeout)
-		entry := ledger.Entry{Kind: ledger.KindCancel, Sent: c.fleet.now(), JobID: id}
+		entry := calllog.Entry{Kind: calllog.KindCancel, Sent: c.fleet.now(), JobID: id}
 		status, err := c.client.CancelJob(limited, id)
 		stop()
 		entry.State = status.State
--- a/lab/model/doc.go
+++ b/testbed/model/doc.go
@@ -5,5 +5,5 @@
 // about this machine's speed, and a slow machine changes no verdict.
 //
 // Everything is in test files. What workers ran and callers were told is judged
-// by package check.
+// by package checker.
 package model
--- a/lab/model/faults_test.go
+++ b/testbed/model/faults_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
 )
 
 // some draws places that no fault has yet, by the day's seed.
@@ -163,10 +163,10 @@
 		s.office.put(ctx, s.office.changed(nil))
 		lost.kill()
 		lost.newDisk()
-		s.fault(ledger.Entry{Process: lost.name, Action: ledger.ActionWipe})
+		s.fault(calllog.Entry{Process: lost.name, Action: calllog.ActionWipe})
 		lost.start()
 		s.awaitVoterInPlaceOf(lost)
-		s.fault(ledger.Entry{Process: lost.name, Action: ledger.ActionJoined})
+		s.fault(calllog.Entry{Process: lost.name, Action: calllog.ActionJoined})
 		s.office.read(ctx)
 		lost = s.awaitLeader()
 	}
--- a/lab/model/fleet_test.go
+++ b/testbed/model/fleet_test.go
@@ -16,9 +16,9 @@
 	"github.com/decklever/decklever/internal/contexttime"
 	"github.com/decklever/decklever/internal/featuregate"
 	"github.com/decklever/decklever/internal/raft"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // shape is the size of a fleet.
@@ -83,15 +83,15 @@
 	// abandon ends the day, once it cannot go on; nil before it begins.
 	abandon context.CancelFunc
 
-	ledger *ledger.Ledger
+	ledger *calllog.Ledger
 	mutex  sync.Mutex
-	lines  []journal.Line
+	lines  []eventlog.Line
 }
 
 // newFleet starts a fleet and waits until all seats are taken.
 func newFleet(t *testing.T, size shape, seed uint64) *fleet {
 	t.Helper()
-	book, err := ledger.Open("")
+	book, err := calllog.Open("")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,8 +179,8 @@
 func (f *fleet) now() monoclock.Nanos { return startReading.Add(time.Since(f.started)) }
 
 // fault notes what was done to a process.
-func (f *fleet) fault(entry ledger.Entry) {
-	entry.Kind = ledger.KindFault
+func (f *fleet) fault(entry calllog.Entry) {
+	entry.Kind = calllog.KindFault
 	entry.Sent = f.now()
 	entry.Answered = entry.Sent
 	f.ledger.Add(entry)
@@ -255,16 +255,16 @@
 			}
 		}
 	}
-	note := func(action ledger.Action) {
+	note := func(action calllog.Action) {
 		for _, one := range links {
-			f.fault(ledger.Entry{Process: one.from, Peer: one.to, Action: action})
+			f.fault(calllog.Entry{Process: one.from, Peer: one.to, Action: action})
 		}
 	}
-	note(ledger.ActionCut)
+	note(calllog.ActionCut)
 	heal := f.network.cut(links...)
 	contexttime.Sleep(ctx, length)
 	heal()
-	note(ledger.ActionHeal)
+	note(calllog.ActionHeal)
 }
 
 // names are those of machines.
--- a/lab/model/floods_test.go
+++ b/testbed/model/floods_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/lab/operator"
+	"github.com/decklever/decklever/testbed/operator"
 )
 
 // floodOver is the time over which a flood comes.
--- a/lab/model/judge_test.go
+++ b/testbed/model/judge_test.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/check"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/checker"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // allowance is what a day excuses.
@@ -28,8 +28,8 @@
 }
 
 // observed is what was seen from outside.
-func (f *fleet) observed(loadFrom, loadTo monoclock.Nanos) check.Input {
-	input := check.Input{
+func (f *fleet) observed(loadFrom, loadTo monoclock.Nanos) checker.Input {
+	input := checker.Input{
 		Entries: f.ledger.Entries(), Lines: f.lines, Config: firstConfig().WithDefaults(), Schedulers: names(f.schedulers),
 		Anchor: monoclock.Anchor{Mono: startReading, Wall: f.started}, LoadFrom: loadFrom, LoadTo: loadTo, EndedAt: f.now(),
 	}
@@ -42,7 +42,7 @@
 // judge reports every broken promise.
 func (f *fleet) judge(loadFrom, loadTo monoclock.Nanos, allowed allowance) {
 	input := f.observed(loadFrom, loadTo)
-	result := check.All(input)
+	result := checker.All(input)
 	for _, violation := range result.Violations {
 		f.t.Errorf("broken: %v", violation)
 	}
@@ -84,7 +84,7 @@
 // failedWhereKnown counts the failed runs that started on a worker later than a time
 // after it could be told that the worker is unsound. What fails before is no fault of
 // the scheduler: a worker that had no work yet shows nothing.
-func failedWhereKnown(lines []journal.Line, after time.Duration) int {
+func failedWhereKnown(lines []eventlog.Line, after time.Duration) int {
 	type run struct {
 		task   string
 		number uint32
@@ -93,9 +93,9 @@
 	jobs := map[string]map[string]bool{}
 	known := map[string]monoclock.Nanos{}
 	failed := 0
-	for _, line := range slices.SortedStableFunc(slices.Values(lines), func(a, b journal.Line) int { return cmp.Compare(a.Mono, b.Mono) }) {
+	for _, line := range slices.SortedStableFunc(slices.Values(lines), func(a, b eventlog.Line) int { return cmp.Compare(a.Mono, b.Mono) }) {
 		this := run{line.Task, line.Run}
-		if line.Event == journal.EventStart {
+		if line.Event == eventlog.EventStart {
 			started[this] = line.Mono
 			continue
 		}
@@ -119,13 +119,13 @@
 }
 
 // lastStates returns the state that each accepted job was last shown in.
-func lastStates(entries []ledger.Entry) map[string]api.State {
+func lastStates(entries []calllog.Entry) map[string]api.State {
 	states := map[string]api.State{}
 	for _, entry := range entries {
 		switch {
-		case entry.Kind == ledger.KindSubmit && entry.Accepted() && states[entry.JobID] == "":
+		case entry.Kind == calllog.KindSubmit && entry.Accepted() && states[entry.JobID] == "":
 			states[entry.JobID] = api.StatePending
-		case entry.Kind == ledger.KindPoll && entry.State != "":
+		case entry.Kind == calllog.KindPoll && entry.State != "":
 			states[entry.JobID] = entry.State
 		}
 	}
--- a/lab/model/operators_test.go
+++ b/testbed/model/operators_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/operator"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/operator"
 )
 
 // office is the operators, who state configurations.
@@ -83,7 +83,7 @@
 	ctx, cancel := context.WithTimeout(ctx, formTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		entry := ledger.Entry{Kind: ledger.KindConfigPut, Sent: o.fleet.now(), OrderID: order.id, Base: order.base, Config: &order.config}
+		entry := calllog.Entry{Kind: calllog.KindConfigPut, Sent: o.fleet.now(), OrderID: order.id, Base: order.base, Config: &order.config}
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		version, err := o.client.PutConfig(limited, order.base, order.id, order.config)
 		cancel()
@@ -118,7 +118,7 @@
 func (o *office) read(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	entry := ledger.Entry{Kind: ledger.KindConfigRead, Sent: o.fleet.now()}
+	entry := calllog.Entry{Kind: calllog.KindConfigRead, Sent: o.fleet.now()}
 	status, err := o.client.Config(ctx)
 	entry.Answered, entry.Version, entry.Config = o.fleet.now(), status.Version, &status.Config
 	entry.Code, entry.Error = operator.Refusal(err)
--- a/lab/model/scheduler_test.go
+++ b/testbed/model/scheduler_test.go
@@ -18,7 +18,7 @@
 	"github.com/decklever/decklever/internal/rpc"
 	"github.com/decklever/decklever/internal/scheduler"
 	"github.com/decklever/decklever/internal/storage"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
 )
 
 const (
@@ -101,7 +101,7 @@
 		running.Wait()
 		client.Close()
 	}
-	f.fault(ledger.Entry{Process: m.name, Action: ledger.ActionStart})
+	f.fault(calllog.Entry{Process: m.name, Action: calllog.ActionStart})
 }
 
 // kill ends the process at once.
@@ -113,7 +113,7 @@
 	if stop == nil {
 		return
 	}
-	m.fleet.fault(ledger.Entry{Process: m.name, Action: ledger.ActionExit, Expected: true})
+	m.fleet.fault(calllog.Entry{Process: m.name, Action: calllog.ActionExit, Expected: true})
 	stop()
 }
 
--- a/lab/model/spread_test.go
+++ b/testbed/model/spread_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/check"
+	"github.com/decklever/decklever/testbed/checker"
 )
 
 // placeBound is how soon a task starts where there is room for many times more.
@@ -43,7 +43,7 @@
 			})
 		}
 		callers.Wait()
-		for _, delay := range check.StartDelays(f.observed(from, f.now())) {
+		for _, delay := range checker.StartDelays(f.observed(from, f.now())) {
 			if delay.Length() > placeBound {
 				t.Errorf("%s started %v after it was ready, want %v at most", delay.Task, delay.Length(), placeBound)
 			}
--- a/lab/model/worker_test.go
+++ b/testbed/model/worker_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/lab/check"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/checker"
+	"github.com/decklever/decklever/testbed/eventlog"
 	"github.com/decklever/decklever/worker"
 )
 
@@ -89,8 +89,8 @@
 }
 
 // described is what the judge knows of the worker.
-func (p *place) described() check.Worker {
-	return check.Worker{
+func (p *place) described() checker.Worker {
+	return checker.Worker{
 		Name: p.name, Zone: p.zone, Capacity: room(), Services: []string{serviceName}, Labels: p.labels(),
 		Agent: fmt.Sprintf("agent-%d", p.number+1),
 	}
@@ -119,8 +119,8 @@
 			}
 			return p.agent.agent.Load()
 		}}},
-		OnStart: func(event worker.Event) { p.note(life, event, journal.EventStart) },
-		OnEnd:   func(event worker.Event) { p.note(life, event, journal.EventEnd) },
+		OnStart: func(event worker.Event) { p.note(life, event, eventlog.EventStart) },
+		OnEnd:   func(event worker.Event) { p.note(life, event, eventlog.EventEnd) },
 	})
 	if err != nil {
 		p.fleet.t.Error(err)
@@ -134,7 +134,7 @@
 	p.present = life
 	p.lives = append(p.lives, life)
 	p.mutex.Unlock()
-	p.fleet.fault(ledger.Entry{Process: p.name, Action: ledger.ActionStart})
+	p.fleet.fault(calllog.Entry{Process: p.name, Action: calllog.ActionStart})
 	go func() {
 		defer close(life.over)
 		_ = made.Run(ctx) // reports handlers that go on, as those of the dead do
@@ -142,13 +142,13 @@
 }
 
 // note journals what an incarnation that lives does.
-func (p *place) note(life *incarnation, event worker.Event, kind journal.Event) {
+func (p *place) note(life *incarnation, event worker.Event, kind eventlog.Event) {
 	if life.isDead() {
 		return
 	}
 	p.fleet.mutex.Lock()
 	defer p.fleet.mutex.Unlock()
-	p.fleet.lines = append(p.fleet.lines, journal.Line{
+	p.fleet.lines = append(p.fleet.lines, eventlog.Line{
 		Mono: p.fleet.now(), Event: kind, Task: event.Task, Run: event.Run, WorkerID: event.WorkerID,
 		Worker: event.Worker, Token: event.Token, Outcome: event.Outcome,
 	})
@@ -162,7 +162,7 @@
 	if life == nil || life.isDead() {
 		return
 	}
-	p.fleet.fault(ledger.Entry{Process: p.name, Action: ledger.ActionExit, Expected: true})
+	p.fleet.fault(calllog.Entry{Process: p.name, Action: calllog.ActionExit, Expected: true})
 	close(life.dead)
 	life.leave()
 }
@@ -174,7 +174,7 @@
 	p.mutex.Unlock()
 	life.leave()
 	<-life.over
-	p.fleet.fault(ledger.Entry{Process: p.name, Action: ledger.ActionExit, Expected: true})
+	p.fleet.fault(calllog.Entry{Process: p.name, Action: calllog.ActionExit, Expected: true})
 }
 
 // behave changes how the worker treats what it starts from now on.
--- a/lab/relay/link.go
+++ b/testbed/netem/link.go
@@ -1,4 +1,4 @@
-package relay
+package netem
 
 import (
 	"context"
--- a/lab/relay/network.go
+++ b/testbed/netem/network.go
@@ -1,4 +1,4 @@
-package relay
+package netem
 
 import (
 	"context"
@@ -86,7 +86,7 @@
 }
 
 // source names the process that opened a connection; empty if it is unknown,
-// such as the lab itself.
+// such as the test bed itself.
 func (n *Network) source(near net.Conn, route Route) string {
 	if route.Source != "" {
 		return route.Source
--- a/lab/operator/operator.go
+++ b/testbed/operator/operator.go
@@ -7,24 +7,24 @@
 	"errors"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // Operator makes the calls of an operator and notes each in the ledger.
 type Operator struct {
 	client *api.Client
-	ledger *ledger.Ledger
+	ledger *calllog.Ledger
 }
 
 // New returns an operator who uses that client.
-func New(client *api.Client, book *ledger.Ledger) *Operator {
+func New(client *api.Client, book *calllog.Ledger) *Operator {
 	return &Operator{client: client, ledger: book}
 }
 
 // Put proposes a configuration on a base version.
 func (o *Operator) Put(ctx context.Context, base uint64, orderID string, config api.Config) (uint64, error) {
-	entry := ledger.Entry{Kind: ledger.KindConfigPut, Sent: monoclock.Now(), OrderID: orderID, Base: base, Config: &config}
+	entry := calllog.Entry{Kind: calllog.KindConfigPut, Sent: monoclock.Now(), OrderID: orderID, Base: base, Config: &config}
 	version, err := o.client.PutConfig(ctx, base, orderID, config)
 	entry.Answered, entry.Version = monoclock.Now(), version
 	entry.Code, entry.Error = Refusal(err)
@@ -34,7 +34,7 @@
 
 // Read returns the configuration in force.
 func (o *Operator) Read(ctx context.Context) (api.ConfigStatus, error) {
-	entry := ledger.Entry{Kind: ledger.KindConfigRead, Sent: monoclock.Now()}
+	entry := calllog.Entry{Kind: calllog.KindConfigRead, Sent: monoclock.Now()}
 	status, err := o.client.Config(ctx)
 	entry.Answered, entry.Version, entry.Config = monoclock.Now(), status.Version, &status.Config
 	entry.Code, entry.Error = Refusal(err)
@@ -44,7 +44,7 @@
 
 // Rollout reads which process has which configuration in force.
 func (o *Operator) Rollout(ctx context.Context) (api.Rollout, error) {
-	entry := ledger.Entry{Kind: ledger.KindRollout, Sent: monoclock.Now()}
+	entry := calllog.Entry{Kind: calllog.KindRollout, Sent: monoclock.Now()}
 	rollout, err := o.client.Rollout(ctx)
 	entry.Answered, entry.Version, entry.Rollout = monoclock.Now(), rollout.Version, &rollout
 	entry.Code, entry.Error = Refusal(err)
--- a/lab/report/observations.go
+++ b/testbed/report/observations.go
@@ -4,46 +4,46 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/check"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/checker"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // observations are ledger and journals, sorted out by job.
 type observations struct {
 	specs    map[string]*api.JobSpec
-	classes  map[string]ledger.Class
+	classes  map[string]calllog.Class
 	accepted map[string]monoclock.Nanos
 	states   map[string]api.State
 	// finals are when a caller first saw a job in a final state.
 	finals        map[string]monoclock.Nanos
 	refusals      map[api.ErrorCode]int
 	submitAnswers []submitAnswer
-	runs          []journal.Run
+	runs          []eventlog.Run
 }
 
 // submitAnswer is the first accepted submit of an ordinary job.
 type submitAnswer struct{ sent, answered monoclock.Nanos }
 
-func newObservations(input check.Input) *observations {
+func newObservations(input checker.Input) *observations {
 	o := &observations{
-		specs: map[string]*api.JobSpec{}, classes: map[string]ledger.Class{}, accepted: map[string]monoclock.Nanos{},
+		specs: map[string]*api.JobSpec{}, classes: map[string]calllog.Class{}, accepted: map[string]monoclock.Nanos{},
 		states: map[string]api.State{}, finals: map[string]monoclock.Nanos{}, refusals: map[api.ErrorCode]int{},
-		runs: journal.Runs(input.Lines),
+		runs: eventlog.Runs(input.Lines),
 	}
 	for _, entry := range input.Entries {
 		switch entry.Kind {
-		case ledger.KindSubmit:
+		case calllog.KindSubmit:
 			o.addSubmit(entry)
-		case ledger.KindPoll:
+		case calllog.KindPoll:
 			o.addPoll(entry)
 		}
 	}
 	return o
 }
 
-func (o *observations) addSubmit(entry ledger.Entry) {
+func (o *observations) addSubmit(entry calllog.Entry) {
 	o.specs[entry.JobID], o.classes[entry.JobID] = entry.Spec, entry.Class
 	if !entry.Accepted() {
 		o.refusals[entry.Code]++
@@ -53,12 +53,12 @@
 		return
 	}
 	o.accepted[entry.JobID] = entry.Answered
-	if entry.Class == ledger.ClassOrdinary {
+	if entry.Class == calllog.ClassOrdinary {
 		o.submitAnswers = append(o.submitAnswers, submitAnswer{entry.Sent, entry.Answered})
 	}
 }
 
-func (o *observations) addPoll(entry ledger.Entry) {
+func (o *observations) addPoll(entry calllog.Entry) {
 	if entry.State == "" {
 		return
 	}
@@ -82,7 +82,7 @@
 func (o *observations) endToVisible() []time.Duration {
 	lastEnd := map[string]monoclock.Nanos{}
 	for _, run := range o.runs {
-		name, err := journal.ParseTask(run.Task)
+		name, err := eventlog.ParseTask(run.Task)
 		if err == nil && run.End != 0 {
 			lastEnd[name.Job] = max(lastEnd[name.Job], run.End)
 		}
--- a/lab/report/phases.go
+++ b/testbed/report/phases.go
@@ -5,17 +5,17 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/check"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/checker"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // Flood is what was seen of a flood and of the time before it.
 type Flood struct {
 	// Answers counts the submits that had to be refused by HTTP status; 0 is
 	// no answer.
-	Answers          map[ledger.Class]map[int]int `json:"answers"`
-	AnswersPerSecond float64                      `json:"answers_per_second"`
+	Answers          map[calllog.Class]map[int]int `json:"answers"`
+	AnswersPerSecond float64                       `json:"answers_per_second"`
 	// Unavailable counts those of Answers that are 503.
 	Unavailable int `json:"unavailable"`
 	// Discarded counts the jobs that were accepted in the flood to be cancelled
@@ -44,17 +44,17 @@
 func (s span) seconds() float64              { return s.until.Sub(s.from).Seconds() }
 
 // newFlood returns nil if there was no flood.
-func newFlood(input check.Input, o *observations, delays []check.StartDelay) *Flood {
-	start, end, known := check.FloodPhases(input)
+func newFlood(input checker.Input, o *observations, delays []checker.StartDelay) *Flood {
+	start, end, known := checker.FloodPhases(input)
 	if !known {
 		return nil
 	}
-	flood := &Flood{Answers: map[ledger.Class]map[int]int{}}
+	flood := &Flood{Answers: map[calllog.Class]map[int]int{}}
 	flood.countAnswers(input.Entries)
 	flood.Quiet = newPhase(span{input.LoadFrom, start}, input.Entries, o, delays)
 	flood.Flooded = newPhase(span{start, end}, input.Entries, o, delays)
 	for id := range o.accepted {
-		if o.classes[id] != ledger.ClassDiscarded {
+		if o.classes[id] != calllog.ClassDiscarded {
 			continue
 		}
 		flood.Discarded++
@@ -67,11 +67,11 @@
 
 // countAnswers counts the answers to what had to be refused, and their rate
 // between the first and the last of them.
-func (f *Flood) countAnswers(entries []ledger.Entry) {
+func (f *Flood) countAnswers(entries []calllog.Entry) {
 	count := 0
 	var whole span
 	for _, entry := range entries {
-		if entry.Kind != ledger.KindSubmit || (entry.Class != ledger.ClassImpossible && entry.Class != ledger.ClassOverQuota) {
+		if entry.Kind != calllog.KindSubmit || (entry.Class != calllog.ClassImpossible && entry.Class != calllog.ClassOverQuota) {
 			continue
 		}
 		if f.Answers[entry.Class] == nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-func newPhase(during span, entries []ledger.Entry, o *observations, delays []check.StartDelay) Phase {
+func newPhase(during span, entries []calllog.Entry, o *observations, delays []checker.StartDelay) Phase {
 	phase := Phase{Seconds: during.seconds()}
 	var answers, starts []time.Duration
 	for _, answer := range o.submitAnswers {
@@ -102,12 +102,12 @@
 		}
 	}
 	for _, entry := range entries {
-		if entry.Kind == ledger.KindSubmit && entry.Class == ledger.ClassOrdinary && !entry.Accepted() && during.holds(entry.Sent) {
+		if entry.Kind == calllog.KindSubmit && entry.Class == calllog.ClassOrdinary && !entry.Accepted() && during.holds(entry.Sent) {
 			phase.JobsRefused++
 		}
 	}
 	for _, delay := range delays {
-		if delay.Class == ledger.ClassOrdinary && during.holds(delay.Ready) {
+		if delay.Class == calllog.ClassOrdinary && during.holds(delay.Ready) {
 			starts = append(starts, delay.Length())
 		}
 	}
@@ -116,8 +116,8 @@
 }
 
 // burstPercentiles returns nil if the run had no such burst.
-func burstPercentiles(input check.Input, class ledger.Class) *Percentiles {
-	delays := check.BurstDelays(input, class)
+func burstPercentiles(input checker.Input, class calllog.Class) *Percentiles {
+	delays := checker.BurstDelays(input, class)
 	if len(delays) == 0 {
 		return nil
 	}
@@ -126,10 +126,10 @@
 }
 
 // ordinaryLengths returns the delays of ordinary tasks.
-func ordinaryLengths(delays []check.StartDelay) []time.Duration {
+func ordinaryLengths(delays []checker.StartDelay) []time.Duration {
 	var lengths []time.Duration
 	for _, delay := range delays {
-		if delay.Class == ledger.ClassOrdinary {
+		if delay.Class == calllog.ClassOrdinary {
 			lengths = append(lengths, delay.Length())
 		}
 	}
--- a/lab/report/report_test.go
+++ b/testbed/report/report_test.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/check"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/checker"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 func at(millis int64) monoclock.Nanos {
@@ -20,24 +20,24 @@
 
 // observed is a job of two steps of one task: ready at 100 and 400, started
 // at 150 and 430, over at 600, seen as over at 620.
-func observed() check.Input {
+func observed() checker.Input {
 	step := func(name string, after ...string) api.StepSpec {
 		return api.StepSpec{Name: name, After: after, Tasks: []api.TaskSpec{{Service: "swap"}}}
 	}
 	spec := &api.JobSpec{Queue: "swaps", Steps: []api.StepSpec{step("a"), step("b", "a")}}
-	line := func(millis int64, event journal.Event, task string, outcome api.Outcome) journal.Line {
-		return journal.Line{Mono: at(millis), Event: event, Task: task, Run: 1, WorkerID: "w", Worker: "worker-01", Outcome: outcome}
+	line := func(millis int64, event eventlog.Event, task string, outcome api.Outcome) eventlog.Line {
+		return eventlog.Line{Mono: at(millis), Event: event, Task: task, Run: 1, WorkerID: "w", Worker: "worker-01", Outcome: outcome}
 	}
-	return check.Input{
+	return checker.Input{
 		LoadFrom: at(0), LoadTo: at(1000), EndedAt: at(2000),
-		Entries: []ledger.Entry{
-			{Kind: ledger.KindSubmit, Sent: at(90), Answered: at(100), JobID: "j", Spec: spec, Created: true},
-			{Kind: ledger.KindSubmit, Sent: at(110), Answered: at(120), JobID: "k", Spec: spec, Code: api.CodeOverLimit},
-			{Kind: ledger.KindPoll, Sent: at(200), Answered: at(620), JobID: "j", State: api.StateSucceeded},
+		Entries: []calllog.Entry{
+			{Kind: calllog.KindSubmit, Sent: at(90), Answered: at(100), JobID: "j", Spec: spec, Created: true},
+			{Kind: calllog.KindSubmit, Sent: at(110), Answered: at(120), JobID: "k", Spec: spec, Code: api.CodeOverLimit},
+			{Kind: calllog.KindPoll, Sent: at(200), Answered: at(620), JobID: "j", State: api.StateSucceeded},
 		},
-		Lines: []journal.Line{
-			line(150, journal.EventStart, "j/a/0", ""), line(400, journal.EventEnd, "j/a/0", api.OutcomeSucceeded),
-			line(430, journal.EventStart, "j/b/0", ""), line(600, journal.EventEnd, "j/b/0", api.OutcomeSucceeded),
+		Lines: []eventlog.Line{
+			line(150, eventlog.EventStart, "j/a/0", ""), line(400, eventlog.EventEnd, "j/a/0", api.OutcomeSucceeded),
+			line(430, eventlog.EventStart, "j/b/0", ""), line(600, eventlog.EventEnd, "j/b/0", api.OutcomeSucceeded),
 		},
 	}
 }
@@ -71,8 +71,8 @@
 	end := input.Lines[1]
 	end.Run, end.Mono = 2, at(420)
 	input.Lines = append(input.Lines, repeat, end)
-	journal.Sort(input.Lines)
-	delays := ordinaryLengths(check.StartDelays(input))
+	eventlog.Sort(input.Lines)
+	delays := ordinaryLengths(checker.StartDelays(input))
 	want := []time.Duration{50 * time.Millisecond, 10 * time.Millisecond}
 	if !slices.Equal(delays, want) {
 		t.Errorf("delays are %v, want %v", delays, want)
@@ -81,10 +81,10 @@
 
 func TestSummaryDoesNotPassWhatIsBroken(t *testing.T) {
 	cases := map[string]func(*Input){
-		"a broken promise": func(input *Input) { input.Result.Violations = []check.Violation{{Promise: check.P1}} },
+		"a broken promise": func(input *Input) { input.Result.Violations = []checker.Violation{{Promise: checker.P1}} },
 		"an error":         func(input *Input) { input.Errors = []error{errors.New("journal")} },
 		"a process that ended by itself": func(input *Input) {
-			input.Observed.Entries = append(input.Observed.Entries, ledger.Entry{Kind: ledger.KindFault, Action: ledger.ActionExit, Process: "front-01"})
+			input.Observed.Entries = append(input.Observed.Entries, calllog.Entry{Kind: calllog.KindFault, Action: calllog.ActionExit, Process: "front-01"})
 		},
 		"a job that did not end": func(input *Input) { input.Observed.Entries[2].State = api.StateRunning },
 		"no accepted job":        func(input *Input) { input.Observed.Entries = nil },
--- a/lab/report/summary.go
+++ b/testbed/report/summary.go
@@ -4,10 +4,10 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/check"
-	"github.com/decklever/decklever/lab/fleet"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/checker"
+	"github.com/decklever/decklever/testbed/fleet"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // Summary is the outcome of one run.
@@ -54,13 +54,13 @@
 	// LongestReplacementMillis is from the beginning of a worker's silence to
 	// the start elsewhere of a task that it cut off; 0 if there was none.
 	LongestReplacementMillis float64 `json:"longest_replacement_ms"`
-	// FaultsCaused counts what the lab did, a fault of many links as one.
+	// FaultsCaused counts what the test bed did, a fault of many links as one.
 	FaultsCaused int `json:"faults_caused"`
 
-	Usage           []fleet.Usage     `json:"usage"`
-	Broken          []check.Violation `json:"broken"`
-	UnexpectedExits []string          `json:"unexpected_exits"`
-	// Errors are failures of the lab itself, such as an unreadable journal.
+	Usage           []fleet.Usage       `json:"usage"`
+	Broken          []checker.Violation `json:"broken"`
+	UnexpectedExits []string            `json:"unexpected_exits"`
+	// Errors are failures of the test bed itself, such as an unreadable journal.
 	Errors []string `json:"errors"`
 }
 
@@ -70,8 +70,8 @@
 	Scenario   string
 	Seed       uint64
 	Duration   time.Duration
-	Observed   check.Input
-	Result     check.Result
+	Observed   checker.Input
+	Result     checker.Result
 	Usage      []fleet.Usage
 	Errors     []error
 }
@@ -79,7 +79,7 @@
 // Build makes the summary.
 func Build(input Input) Summary {
 	o := newObservations(input.Observed)
-	delays := check.StartDelays(input.Observed)
+	delays := checker.StartDelays(input.Observed)
 	summary := Summary{
 		Deployment: input.Deployment, Scenario: input.Scenario, Seed: input.Seed, Duration: api.Duration(input.Duration),
 		JobsSubmitted: len(o.specs), JobsAccepted: len(o.accepted),
@@ -89,8 +89,8 @@
 		SubmitAnswer:           percentilesOf(o.submitLengths()),
 		ReadyToStart:           percentilesOf(ordinaryLengths(delays)),
 		EndToVisible:           percentilesOf(o.endToVisible()),
-		BookedStartDelay:       burstPercentiles(input.Observed, ledger.ClassBooked),
-		UnbookedStartDelay:     burstPercentiles(input.Observed, ledger.ClassUnbooked),
+		BookedStartDelay:       burstPercentiles(input.Observed, calllog.ClassBooked),
+		UnbookedStartDelay:     burstPercentiles(input.Observed, calllog.ClassUnbooked),
 		Flood:                  newFlood(input.Observed, o, delays),
 		LongestSubmitGapMillis: millis(input.Result.LongestSubmitGap),
 		LongestStartGapMillis:  millis(input.Result.LongestStartGap),
@@ -100,7 +100,7 @@
 		FaultsCaused:             faultsCaused(input.Observed),
 
 		Usage:           input.Usage,
-		Broken:          append([]check.Violation{}, input.Result.Violations...),
+		Broken:          append([]checker.Violation{}, input.Result.Violations...),
 		UnexpectedExits: append([]string{}, unexpectedExits(input.Observed.Entries)...),
 		Errors:          []string{},
 	}
@@ -123,11 +123,11 @@
 
 // faultsCaused counts kills, freezes, wipes, jumps and faults of links during
 // the load. Links with a fault at the same moment count as one.
-func faultsCaused(observed check.Input) int {
+func faultsCaused(observed checker.Input) int {
 	count := 0
 	var last monoclock.Nanos
 	for _, entry := range observed.Entries {
-		if entry.Kind != ledger.KindFault || entry.Sent < observed.LoadFrom || !isFault(entry.Action) {
+		if entry.Kind != calllog.KindFault || entry.Sent < observed.LoadFrom || !isFault(entry.Action) {
 			continue
 		}
 		if entry.Peer == "" || entry.Sent != last {
@@ -138,20 +138,20 @@
 	return count
 }
 
-func isFault(action ledger.Action) bool {
+func isFault(action calllog.Action) bool {
 	switch action {
-	case ledger.ActionKill, ledger.ActionTerminate, ledger.ActionFreeze, ledger.ActionWipe, ledger.ActionClock,
-		ledger.ActionCut, ledger.ActionHold, ledger.ActionCross, ledger.ActionDrop:
+	case calllog.ActionKill, calllog.ActionTerminate, calllog.ActionFreeze, calllog.ActionWipe, calllog.ActionClock,
+		calllog.ActionCut, calllog.ActionHold, calllog.ActionCross, calllog.ActionDrop:
 		return true
 	}
 	return false
 }
 
 // unexpectedExits names processes that ended without being told to.
-func unexpectedExits(entries []ledger.Entry) []string {
+func unexpectedExits(entries []calllog.Entry) []string {
 	var names []string
 	for _, entry := range entries {
-		if entry.Kind == ledger.KindFault && entry.Action == ledger.ActionExit && !entry.Expected {
+		if entry.Kind == calllog.KindFault && entry.Action == calllog.ActionExit && !entry.Expected {
 			names = append(names, entry.Process)
 		}
 	}
--- a/lab/trial/rollout.go
+++ b/testbed/run/rollout.go
@@ -1,4 +1,4 @@
-package trial
+package run
 
 import (
 	"context"
--- a/lab/trial/trial.go
+++ b/testbed/run/trial.go
@@ -1,4 +1,4 @@
-package trial
+package run
 
 import (
 	"context"
@@ -11,16 +11,16 @@
 	"sync"
 	"time"
 
-	"github.com/decklever/decklever/lab/check"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/fleet"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/load"
-	"github.com/decklever/decklever/lab/monoclock"
-	"github.com/decklever/decklever/lab/operator"
-	"github.com/decklever/decklever/lab/report"
-	"github.com/decklever/decklever/lab/scenario"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/checker"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/fleet"
+	"github.com/decklever/decklever/testbed/load"
+	"github.com/decklever/decklever/testbed/monoclock"
+	"github.com/decklever/decklever/testbed/operator"
+	"github.com/decklever/decklever/testbed/report"
+	"github.com/decklever/decklever/testbed/scenario"
 )
 
 const (
@@ -59,11 +59,11 @@
 // trial is a run under way.
 type trial struct {
 	config   Config
-	book     *ledger.Ledger
+	book     *calllog.Ledger
 	fleet    *fleet.Fleet
 	desk     *operator.Operator
 	callers  *load.Generator
-	journals *journal.Reader
+	journals *eventlog.Reader
 	sampler  *fleet.Sampler
 	failures []error
 }
@@ -97,7 +97,7 @@
 	if config.Scenario.Prepare != nil {
 		config.Scenario.Prepare(&config.Deployment)
 	}
-	book, err := ledger.Open(filepath.Join(config.Out, ledgerFile))
+	book, err := calllog.Open(filepath.Join(config.Out, ledgerFile))
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 		return nil, errors.Join(err, book.Close())
 	}
 	t.desk = operator.New(t.fleet.Client(), book)
-	t.journals = journal.NewReader(t.fleet.JournalDirectory())
+	t.journals = eventlog.NewReader(t.fleet.JournalDirectory())
 	t.sampler = fleet.NewSampler(t.fleet)
 	return t, nil
 }
@@ -131,9 +131,9 @@
 }
 
 // observe runs the fleet and returns what was seen.
-func (t *trial) observe(ctx context.Context) (check.Input, error) {
+func (t *trial) observe(ctx context.Context) (checker.Input, error) {
 	if err := t.start(ctx); err != nil {
-		return check.Input{}, err
+		return checker.Input{}, err
 	}
 	watching, stopWatching := context.WithCancel(ctx)
 	var watchers sync.WaitGroup
@@ -148,10 +148,10 @@
 	to := t.loadAndDisturb(ctx)
 	t.finish(ctx)
 	if err := ctx.Err(); err != nil {
-		return check.Input{}, fmt.Errorf("run: %w", err)
+		return checker.Input{}, fmt.Errorf("run: %w", err)
 	}
 	t.journals.Poll()
-	return check.Input{
+	return checker.Input{
 		Entries: t.book.Entries(), Lines: t.journals.Lines(), Workers: workers(t.config.Deployment), Schedulers: schedulers(t.config.Deployment),
 		Config: t.config.Deployment.Config, LoadFrom: from, LoadTo: to, EndedAt: monoclock.Now(),
 	}, nil
@@ -226,10 +226,10 @@
 }
 
 // summarize has what was observed checked.
-func (t *trial) summarize(observed check.Input) report.Summary {
+func (t *trial) summarize(observed checker.Input) report.Summary {
 	return report.Build(report.Input{
 		Deployment: t.config.Deployment.Name, Scenario: t.config.Scenario.Name, Seed: t.config.Seed,
-		Duration: t.config.Duration, Observed: observed, Result: check.All(observed),
+		Duration: t.config.Duration, Observed: observed, Result: checker.All(observed),
 		Usage: t.sampler.Usages(), Errors: append(t.failures, t.journals.Errors()...),
 	})
 }
--- a/lab/trial/workers.go
+++ b/testbed/run/workers.go
@@ -1,10 +1,10 @@
-package trial
+package run
 
 import (
 	"strings"
 
-	"github.com/decklever/decklever/lab/check"
-	"github.com/decklever/decklever/lab/deployment"
+	"github.com/decklever/decklever/testbed/checker"
+	"github.com/decklever/decklever/testbed/deployment"
 )
 
 // schedulers names the schedulers of a deployment.
@@ -17,14 +17,14 @@
 }
 
 // workers is what the checker must know of a deployment's workers.
-func workers(d deployment.Deployment) []check.Worker {
+func workers(d deployment.Deployment) []checker.Worker {
 	agents := map[string]string{}
 	for _, agent := range d.ByRole(deployment.RoleAgent) {
 		agents[agent.URL()] = agent.Name
 	}
-	var all []check.Worker
+	var all []checker.Worker
 	for _, worker := range d.ByRole(deployment.RoleWorker) {
-		one := check.Worker{
+		one := checker.Worker{
 			Name: worker.Name, Zone: worker.Zone, Capacity: worker.Capacity,
 			Labels: worker.Labels, Agent: agents[worker.Agent],
 		}
--- a/lab/trial/workers_test.go
+++ b/testbed/run/workers_test.go
@@ -1,10 +1,10 @@
-package trial
+package run
 
 import (
 	"slices"
 	"testing"
 
-	"github.com/decklever/decklever/lab/deployment"
+	"github.com/decklever/decklever/testbed/deployment"
 )
 
 func TestCheckerKnowsEachWorkersServicesAndAgent(t *testing.T) {
--- a/lab/scale/changes.go
+++ b/testbed/scale/changes.go
@@ -7,10 +7,10 @@
 
 	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/fleet"
-	"github.com/decklever/decklever/lab/monoclock"
-	"github.com/decklever/decklever/lab/operator"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/fleet"
+	"github.com/decklever/decklever/testbed/monoclock"
+	"github.com/decklever/decklever/testbed/operator"
 )
 
 const (
--- a/lab/scale/config.go
+++ b/testbed/scale/config.go
@@ -6,7 +6,7 @@
 	"io"
 	"time"
 
-	"github.com/decklever/decklever/lab/deployment"
+	"github.com/decklever/decklever/testbed/deployment"
 )
 
 const (
--- a/lab/scale/faults.go
+++ b/testbed/scale/faults.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/lab/hollow"
-	"github.com/decklever/decklever/lab/ledger"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/hollow"
 )
 
 const (
@@ -26,24 +26,24 @@
 // again.
 type faults struct {
 	hollows *hollows
-	book    *ledger.Ledger
+	book    *calllog.Ledger
 }
 
-// run causes all faults and undoes them; an error is one of the lab.
+// run causes all faults and undoes them; an error is one of the test bed.
 func (f faults) run(ctx context.Context, ramp time.Duration) error {
 	if !contexttime.Sleep(ctx, time.Duration(float64(ramp)*faultAt)) {
 		return nil
 	}
-	err := f.each(hollow.OrderKillWorker, hollow.OrderKillAgent, ledger.ActionExit)
+	err := f.each(hollow.OrderKillWorker, hollow.OrderKillAgent, calllog.ActionExit)
 	if !contexttime.Sleep(ctx, faultLength) {
 		return err
 	}
-	return errors.Join(err, f.each(hollow.OrderStartWorker, hollow.OrderStartAgent, ledger.ActionStart))
+	return errors.Join(err, f.each(hollow.OrderStartWorker, hollow.OrderStartAgent, calllog.ActionStart))
 }
 
 // each gives the first order to the nodes at even places and the second to
 // those at odd ones.
-func (f faults) each(forWorkers, forAgents hollow.Order, action ledger.Action) error {
+func (f faults) each(forWorkers, forAgents hollow.Order, action calllog.Action) error {
 	nodes := f.hollows.nodes()
 	count := 2 * max(1, nodes/faultShare)
 	for number := range min(count, nodes) {
@@ -56,8 +56,8 @@
 		if err != nil {
 			return err
 		}
-		f.book.Add(ledger.Entry{
-			Kind: ledger.KindFault, Sent: reply.At, Answered: reply.At, Process: name, Action: action, Expected: true,
+		f.book.Add(calllog.Entry{
+			Kind: calllog.KindFault, Sent: reply.At, Answered: reply.At, Process: name, Action: action, Expected: true,
 		})
 	}
 	return nil
--- a/lab/scale/hollows.go
+++ b/testbed/scale/hollows.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"github.com/decklever/decklever/lab/hollow"
+	"github.com/decklever/decklever/testbed/hollow"
 )
 
 // hollowStop is how long a hollow process may take to end.
@@ -24,7 +24,7 @@
 }
 
 // hollowProcess is one of them. It ends when its input does, and so with the
-// lab, however the lab ends.
+// lab, however the test bed ends.
 type hollowProcess struct {
 	spec    hollow.Spec
 	command *exec.Cmd
--- a/lab/scale/layout.go
+++ b/testbed/scale/layout.go
@@ -6,10 +6,10 @@
 	"path/filepath"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/check"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/hollow"
-	"github.com/decklever/decklever/lab/journal"
+	"github.com/decklever/decklever/testbed/checker"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/hollow"
 )
 
 const (
@@ -33,7 +33,7 @@
 	// hollow has one Spec for each hollow process.
 	hollow []hollow.Spec
 	// workers are real and hollow ones.
-	workers []check.Worker
+	workers []checker.Worker
 }
 
 func newLayout(config Config, journals string) layout {
@@ -80,10 +80,10 @@
 
 // addWorker notes the worker of the node with that index, counted over real
 // and hollow ones.
-func (l *layout) addWorker(size Size, index int, agent string) check.Worker {
+func (l *layout) addWorker(size Size, index int, agent string) checker.Worker {
 	slots := int64(math.Ceil(float64(size.Tasks) * spareRoom / float64(size.Workers)))
 	devices := (index+1)*size.accelerators()/size.Workers - index*size.accelerators()/size.Workers
-	worker := check.Worker{
+	worker := checker.Worker{
 		Name: nodeName(deployment.RoleWorker, index), Zone: zoneName(index), Agent: agent,
 		Capacity: api.Resources{CPUMillis: slots * taskCPU, MemoryMB: slots * taskMemory, Accelerators: int64(devices)},
 		Services: []string{service},
@@ -96,7 +96,7 @@
 func (l *layout) addHollow(size Size, journals string) {
 	for index := realNodes; index < size.Workers; index++ {
 		if (index-realNodes)%nodesPerProcess == 0 {
-			name := fmt.Sprintf("hollow-%02d%s", len(l.hollow)+1, journal.Suffix)
+			name := fmt.Sprintf("hollow-%02d%s", len(l.hollow)+1, eventlog.Suffix)
 			l.hollow = append(l.hollow, hollow.Spec{
 				Seeds: l.deployment.Seeds(), Journal: filepath.Join(journals, name), Service: service,
 			})
--- a/lab/scale/load.go
+++ b/testbed/scale/load.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
-	"github.com/decklever/decklever/lab/operator"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/monoclock"
+	"github.com/decklever/decklever/testbed/operator"
 )
 
 const (
@@ -87,14 +87,14 @@
 type callers struct {
 	size   Size
 	seed   uint64
-	book   *ledger.Ledger
+	book   *calllog.Ledger
 	client *api.Client
 	// closing is closed when open jobs are to be cancelled.
 	closing chan struct{}
 	jobs    sync.WaitGroup
 }
 
-func newCallers(config Config, endpoints []string, book *ledger.Ledger) (*callers, error) {
+func newCallers(config Config, endpoints []string, book *calllog.Ledger) (*callers, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: idlePerHost}
 	client, err := api.NewClient(api.ClientConfig{Endpoints: endpoints, HTTPClient: &http.Client{Transport: transport}})
 	if err != nil {
@@ -165,7 +165,7 @@
 func (c *callers) submit(ctx context.Context, id string, spec api.JobSpec) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	entry := ledger.Entry{Kind: ledger.KindSubmit, Sent: monoclock.Now(), JobID: id, Spec: &spec}
+	entry := calllog.Entry{Kind: calllog.KindSubmit, Sent: monoclock.Now(), JobID: id, Spec: &spec}
 	created, err := c.client.SubmitJob(ctx, id, spec)
 	entry.Created = created
 	c.note(entry, err)
@@ -175,7 +175,7 @@
 func (c *callers) poll(ctx context.Context, id string) api.State {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	entry := ledger.Entry{Kind: ledger.KindPoll, Sent: monoclock.Now(), JobID: id, Wait: pollWait}
+	entry := calllog.Entry{Kind: calllog.KindPoll, Sent: monoclock.Now(), JobID: id, Wait: pollWait}
 	status, err := c.client.Job(ctx, id, pollWait)
 	entry.State = status.State
 	c.note(entry, err)
@@ -185,13 +185,13 @@
 func (c *callers) cancel(ctx context.Context, id string) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	entry := ledger.Entry{Kind: ledger.KindCancel, Sent: monoclock.Now(), JobID: id}
+	entry := calllog.Entry{Kind: calllog.KindCancel, Sent: monoclock.Now(), JobID: id}
 	status, err := c.client.CancelJob(ctx, id)
 	entry.State = status.State
 	c.note(entry, err)
 }
 
-func (c *callers) note(entry ledger.Entry, err error) {
+func (c *callers) note(entry calllog.Entry, err error) {
 	entry.Answered = monoclock.Now()
 	entry.Code, entry.Error = operator.Refusal(err)
 	c.book.Add(entry)
--- a/lab/scale/measure.go
+++ b/testbed/scale/measure.go
@@ -13,10 +13,10 @@
 	"github.com/prometheus/procfs"
 
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/fleet"
-	"github.com/decklever/decklever/lab/hollow"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/fleet"
+	"github.com/decklever/decklever/testbed/hollow"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 const memoryInterval = time.Second
--- a/lab/scale/observe.go
+++ b/testbed/scale/observe.go
@@ -3,31 +3,31 @@
 import (
 	"time"
 
-	"github.com/decklever/decklever/lab/check"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/checker"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 const maxExamples = 10
 
 // addObserved adds what journals, ledger and checker say.
-func (r *run) addObserved(result *Result, observed check.Input) {
+func (r *run) addObserved(result *Result, observed checker.Input) {
 	from, to := result.Window[0], result.Window[1]
 	first := firstStarts(observed.Lines)
 	started := 0
 	for _, line := range observed.Lines {
-		if line.Event == journal.EventStart && line.Mono >= from && line.Mono < to {
+		if line.Event == eventlog.EventStart && line.Mono >= from && line.Mono < to {
 			started++
 		}
-		if line.Event == journal.EventStart && line.Run > 1 {
+		if line.Event == eventlog.EventStart && line.Run > 1 {
 			result.Restarted++
 		}
 	}
 	result.StartsPerSecond = float64(started) / result.WindowSeconds
 	addDelays(result, observed.Entries, first)
-	checked := check.All(observed)
-	result.Violations = map[check.Promise]int{}
+	checked := checker.All(observed)
+	result.Violations = map[checker.Promise]int{}
 	for _, violation := range checked.Violations {
 		result.Violations[violation.Promise]++
 	}
@@ -38,10 +38,10 @@
 }
 
 // firstStarts returns the first start of each task.
-func firstStarts(lines []journal.Line) map[string]monoclock.Nanos {
+func firstStarts(lines []eventlog.Line) map[string]monoclock.Nanos {
 	first := map[string]monoclock.Nanos{}
 	for _, line := range lines {
-		if _, known := first[line.Task]; !known && line.Event == journal.EventStart {
+		if _, known := first[line.Task]; !known && line.Event == eventlog.EventStart {
 			first[line.Task] = line.Mono
 		}
 	}
@@ -50,12 +50,12 @@
 
 // addDelays measures the jobs handed in during the window, but for its last
 // seconds, whose tasks may be cancelled before they start.
-func addDelays(result *Result, entries []ledger.Entry, first map[string]monoclock.Nanos) {
+func addDelays(result *Result, entries []calllog.Entry, first map[string]monoclock.Nanos) {
 	const tail = 3 * time.Second
 	from, to := result.Window[0], result.Window[1].Add(-tail)
 	var plain, urgent, gangs, submits []time.Duration
 	for _, entry := range entries {
-		if entry.Kind != ledger.KindSubmit || !entry.Accepted() || entry.Sent < from || entry.Sent > to {
+		if entry.Kind != calllog.KindSubmit || !entry.Accepted() || entry.Sent < from || entry.Sent > to {
 			continue
 		}
 		submits = append(submits, entry.Answered.Sub(entry.Sent))
@@ -78,10 +78,10 @@
 
 // startDelays returns the delay of each task of a job that started, and the
 // number of those that did not.
-func startDelays(entry ledger.Entry, first map[string]monoclock.Nanos) (delays []time.Duration, unstarted int) {
+func startDelays(entry calllog.Entry, first map[string]monoclock.Nanos) (delays []time.Duration, unstarted int) {
 	for _, step := range entry.Spec.Steps {
 		for index := range step.Tasks {
-			name := journal.TaskName{Job: entry.JobID, Step: step.Name, Index: index}
+			name := eventlog.TaskName{Job: entry.JobID, Step: step.Name, Index: index}
 			if at, known := first[name.String()]; known {
 				delays = append(delays, at.Sub(entry.Sent))
 			} else {
--- a/lab/scale/probe.go
+++ b/testbed/scale/probe.go
@@ -10,9 +10,9 @@
 	"github.com/prometheus/common/model"
 	"github.com/prometheus/procfs"
 
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/fleet"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/fleet"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 const bytesPerMB = 1 << 20
--- a/lab/scale/result.go
+++ b/testbed/scale/result.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"github.com/decklever/decklever/lab/check"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/checker"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // Role is a role of a real process, with schedulers parted.
@@ -135,12 +135,12 @@
 	MachineCPU float64 `json:"machine_cpu"`
 	// LeaderChanges is over 0 if the leader of the window's end is not that of
 	// its beginning.
-	LeaderChanges int                   `json:"leader_changes"`
-	Restarted     int                   `json:"restarts"`
-	Violations    map[check.Promise]int `json:"violations"`
-	Examples      []check.Violation     `json:"violation_examples,omitempty"`
-	Errors        []string              `json:"errors,omitempty"`
-	Window        [2]monoclock.Nanos    `json:"window_ns"`
+	LeaderChanges int                     `json:"leader_changes"`
+	Restarted     int                     `json:"restarts"`
+	Violations    map[checker.Promise]int `json:"violations"`
+	Examples      []checker.Violation     `json:"violation_examples,omitempty"`
+	Errors        []string                `json:"errors,omitempty"`
+	Window        [2]monoclock.Nanos      `json:"window_ns"`
 }
 
 // Role returns the usage of a role; its zero if it was not measured.
--- a/lab/scale/run.go
+++ b/testbed/scale/run.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/lab/check"
-	"github.com/decklever/decklever/lab/fleet"
-	"github.com/decklever/decklever/lab/journal"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/monoclock"
-	"github.com/decklever/decklever/lab/operator"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/checker"
+	"github.com/decklever/decklever/testbed/eventlog"
+	"github.com/decklever/decklever/testbed/fleet"
+	"github.com/decklever/decklever/testbed/monoclock"
+	"github.com/decklever/decklever/testbed/operator"
 )
 
 const (
@@ -39,12 +39,12 @@
 type run struct {
 	config   Config
 	layout   layout
-	book     *ledger.Ledger
+	book     *calllog.Ledger
 	fleet    *fleet.Fleet
 	hollows  *hollows
 	desk     *operator.Operator
 	callers  *callers
-	journals *journal.Reader
+	journals *eventlog.Reader
 	meter    *meter
 	changes  *changes
 
@@ -83,7 +83,7 @@
 	config.Out = out
 	root := filepath.Join(out, "fleet")
 	r := &run{config: config, layout: newLayout(config, filepath.Join(root, "journals"))}
-	if r.book, err = ledger.Open(filepath.Join(out, ledgerFile)); err != nil {
+	if r.book, err = calllog.Open(filepath.Join(out, ledgerFile)); err != nil {
 		return nil, err
 	}
 	r.fleet, err = fleet.New(fleet.Config{
@@ -93,7 +93,7 @@
 		return nil, errors.Join(err, r.book.Close())
 	}
 	r.desk = operator.New(r.fleet.Client(), r.book)
-	r.journals = journal.NewReader(r.fleet.JournalDirectory())
+	r.journals = eventlog.NewReader(r.fleet.JournalDirectory())
 	r.hollows = &hollows{}
 	return r, nil
 }
@@ -151,7 +151,7 @@
 	}
 	r.settle(ctx)
 	r.journals.Poll()
-	observed := check.Input{
+	observed := checker.Input{
 		Entries: r.book.Entries(), Lines: r.journals.Lines(), Workers: r.layout.workers,
 		Config: r.layout.deployment.Config, Anchor: anchor, LoadFrom: from, LoadTo: result.Window[1], EndedAt: monoclock.Now(),
 	}
@@ -256,7 +256,7 @@
 	}
 }
 
-// fail notes what went wrong in the lab without ending the run.
+// fail notes what went wrong in the test bed without ending the run.
 func (r *run) fail(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/lab/scale/scale_test.go
+++ b/testbed/scale/scale_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/decklever/decklever/lab/deployment"
+	"github.com/decklever/decklever/testbed/deployment"
 )
 
 func TestFitFindsTheSlopesThatMadeTheValues(t *testing.T) {
--- a/lab/scenario/booked.go
+++ b/testbed/scenario/booked.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/load"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/load"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // Queues beside those of the deployment.
@@ -101,7 +101,7 @@
 	if err := pause(ctx, time.Until(moment)); err != nil {
 		return err
 	}
-	bench.Callers.Mark(ledger.MarkBooked, anchor.At(moment))
+	bench.Callers.Mark(calllog.MarkBooked, anchor.At(moment))
 	err := b.burst(ctx, bench)
 	bench.Callers.Cancel(ctx, cancelWidth, idsOf(background))
 	return err
@@ -151,12 +151,12 @@
 func (b bookedRun) background(d deployment.Deployment, seed uint64, ahead time.Duration) []load.Job {
 	task := api.TaskSpec{Service: b.service, Resources: part(capacity(d), backgroundPerWorker)}
 	firm := kind{
-		name: "firm", class: ledger.ClassBackground, queue: queueFirm, tasks: backgroundTasks, task: task,
+		name: "firm", class: calllog.ClassBackground, queue: queueFirm, tasks: backgroundTasks, task: task,
 		shortest: firmShortest, longest: firmLongest,
 	}
 	firm.task.MaxDuration = api.Duration(firmMaxDuration)
 	preemptible := kind{
-		name: "preemptible", class: ledger.ClassBackground, queue: queuePreemptible, tasks: backgroundTasks, task: task,
+		name: "preemptible", class: calllog.ClassBackground, queue: queuePreemptible, tasks: backgroundTasks, task: task,
 		shortest: preemptibleRun, longest: preemptibleRun,
 	}
 	preemptible.task.Preemptible = true
@@ -177,12 +177,12 @@
 // bursts returns the jobs of both bursts, one of each in turn.
 func (b bookedRun) bursts(d deployment.Deployment, seed uint64) []load.Job {
 	booked := kind{
-		name: "booked", class: ledger.ClassBooked, queue: b.queue, tasks: slicesBooked,
+		name: "booked", class: calllog.ClassBooked, queue: b.queue, tasks: slicesBooked,
 		task:     api.TaskSpec{Service: b.service, Resources: part(capacity(d), slicesPerWorker)},
 		shortest: burstRun, longest: burstRun,
 	}
 	unbooked := booked
-	unbooked.name, unbooked.class, unbooked.queue = "unbooked", ledger.ClassUnbooked, queueUnbooked
+	unbooked.name, unbooked.class, unbooked.queue = "unbooked", calllog.ClassUnbooked, queueUnbooked
 	var jobs []load.Job
 	for number := range burstJobs {
 		jobs = append(jobs, booked.job(seed, number), unbooked.job(seed, number))
--- a/lab/scenario/drains.go
+++ b/testbed/scenario/drains.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/deployment"
+	"github.com/decklever/decklever/testbed/deployment"
 )
 
 func drainWorkers(ctx context.Context, bench Bench) error {
--- a/lab/scenario/faults.go
+++ b/testbed/scenario/faults.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/fleet"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/fleet"
 )
 
 const (
--- a/lab/scenario/flood.go
+++ b/testbed/scenario/flood.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/load"
-	"github.com/decklever/decklever/lab/monoclock"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/load"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 // Queues of a flood.
@@ -59,7 +59,7 @@
 	if err := pause(ctx, bench.Duration/quietParts); err != nil {
 		return err
 	}
-	bench.Callers.Mark(ledger.MarkFloodStart, monoclock.Now())
+	bench.Callers.Mark(calllog.MarkFloodStart, monoclock.Now())
 	flooding, cancel := context.WithTimeout(ctx, floodTimeout)
 	defer cancel()
 	var parts sync.WaitGroup
@@ -67,7 +67,7 @@
 	var err error
 	parts.Go(func() { err = discard(flooding, bench, kinds.discarded.jobs(bench.Seed, discardedJobs)) })
 	parts.Wait()
-	bench.Callers.Mark(ledger.MarkFloodEnd, monoclock.Now())
+	bench.Callers.Mark(calllog.MarkFloodEnd, monoclock.Now())
 	bench.Callers.Cancel(ctx, 1, []string{filler.ID})
 	return err
 }
@@ -90,13 +90,13 @@
 	large.Resources.CPUMillis = oversize * capacity(d).CPUMillis
 	endless.UntilCancelled = true
 	return kinds{
-		filler: kind{name: "filler", class: ledger.ClassBackground, queue: queueQuota, tasks: quotaTasks, task: endless},
+		filler: kind{name: "filler", class: calllog.ClassBackground, queue: queueQuota, tasks: quotaTasks, task: endless},
 		refused: []kind{
-			{name: "unknown", class: ledger.ClassImpossible, queue: shape.Queue, tasks: 1, task: unknown},
-			{name: "large", class: ledger.ClassImpossible, queue: shape.Queue, tasks: 1, task: large},
-			{name: "quota", class: ledger.ClassOverQuota, queue: queueQuota, tasks: overQuotaTasks, task: small},
+			{name: "unknown", class: calllog.ClassImpossible, queue: shape.Queue, tasks: 1, task: unknown},
+			{name: "large", class: calllog.ClassImpossible, queue: shape.Queue, tasks: 1, task: large},
+			{name: "quota", class: calllog.ClassOverQuota, queue: queueQuota, tasks: overQuotaTasks, task: small},
 		},
-		discarded: kind{name: "discarded", class: ledger.ClassDiscarded, queue: queueDiscards, tasks: 1, task: endless},
+		discarded: kind{name: "discarded", class: calllog.ClassDiscarded, queue: queueDiscards, tasks: 1, task: endless},
 	}
 }
 
--- a/lab/scenario/jobs.go
+++ b/testbed/scenario/jobs.go
@@ -6,15 +6,15 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/load"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/load"
 )
 
 // kind is jobs that differ only in their ids and in how long their tasks run.
 type kind struct {
 	// name is a part of the ids.
 	name  string
-	class ledger.Class
+	class calllog.Class
 	queue string
 	// tasks is the number of tasks of a job.
 	tasks int
--- a/lab/scenario/jobs_test.go
+++ b/testbed/scenario/jobs_test.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/ledger"
-	"github.com/decklever/decklever/lab/load"
+	"github.com/decklever/decklever/testbed/calllog"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/load"
 )
 
 // prepared returns a deployment as a scenario changes it.
@@ -26,10 +26,10 @@
 
 // valid asserts that all jobs are taken and that no id comes twice. It returns
 // the number of tasks and their room by class.
-func valid(t *testing.T, d deployment.Deployment, jobs []load.Job) (map[ledger.Class]int, map[ledger.Class]api.Resources) {
+func valid(t *testing.T, d deployment.Deployment, jobs []load.Job) (map[calllog.Class]int, map[calllog.Class]api.Resources) {
 	t.Helper()
 	ids := map[string]bool{}
-	tasks, room := map[ledger.Class]int{}, map[ledger.Class]api.Resources{}
+	tasks, room := map[calllog.Class]int{}, map[calllog.Class]api.Resources{}
 	for _, job := range jobs {
 		if wrong := api.ValidateJob(job.ID, &job.Spec, &d.Config); len(wrong) != 0 || ids[job.ID] {
 			t.Fatalf("%s is doubled or wrong: %v", job.ID, wrong)
@@ -48,10 +48,10 @@
 		d := prepared(t, name, run.prepare)
 		booking := run.booking(capacity(d), time.Unix(60, 0).UTC())
 		tasks, room := valid(t, d, run.bursts(d, 1))
-		if tasks[ledger.ClassBooked] != booking.Slots || tasks[ledger.ClassUnbooked] != booking.Slots {
+		if tasks[calllog.ClassBooked] != booking.Slots || tasks[calllog.ClassUnbooked] != booking.Slots {
 			t.Errorf("%s: bursts of %v tasks, want %d", name, tasks, booking.Slots)
 		}
-		if room[ledger.ClassBooked] != room[ledger.ClassUnbooked] || booking.DailyAt != "00:01" {
+		if room[calllog.ClassBooked] != room[calllog.ClassUnbooked] || booking.DailyAt != "00:01" {
 			t.Errorf("%s: bursts take %v, the booking is at %s", name, room, booking.DailyAt)
 		}
 		for _, queue := range d.Config.Queues {
@@ -69,7 +69,7 @@
 	d := prepared(t, "cartago", billingRun.prepare)
 	jobs := billingRun.background(d, 1, 90*time.Second)
 	_, room := valid(t, d, jobs)
-	turns := room[ledger.ClassBackground].CPUMillis / (capacity(d).CPUMillis * deployment.Workers)
+	turns := room[calllog.ClassBackground].CPUMillis / (capacity(d).CPUMillis * deployment.Workers)
 	least := int64((90*time.Second+burstTimeout)/firmShortest) + int64((90*time.Second+burstTimeout)/preemptibleRun)
 	if turns < least {
 		t.Errorf("the background fills the fleet %d times, want %d", turns, least)
@@ -95,16 +95,16 @@
 	kinds := floodKinds(d)
 	next := kinds.nextRefused(1)
 	ids := map[string]bool{}
-	classes := map[ledger.Class]int{}
+	classes := map[calllog.Class]int{}
 	for number := range 300 {
 		job := next(number)
 		ids[job.ID] = true
 		classes[job.Class]++
 	}
-	if len(ids) != 300 || classes[ledger.ClassImpossible] != 200 || classes[ledger.ClassOverQuota] != 100 {
+	if len(ids) != 300 || classes[calllog.ClassImpossible] != 200 || classes[calllog.ClassOverQuota] != 100 {
 		t.Errorf("%d ids, classes %v", len(ids), classes)
 	}
-	if tasks, _ := valid(t, d, kinds.discarded.jobs(1, 5)); tasks[ledger.ClassDiscarded] != 5 {
+	if tasks, _ := valid(t, d, kinds.discarded.jobs(1, 5)); tasks[calllog.ClassDiscarded] != 5 {
 		t.Errorf("tasks to be cancelled are %v", tasks)
 	}
 	if kinds.filler.tasks != quotaTasks || kinds.filler.tasks-1+overQuotaTasks <= quotaTasks {
--- a/lab/scenario/links.go
+++ b/testbed/scenario/links.go
@@ -5,9 +5,9 @@
 	"errors"
 	"time"
 
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/fleet"
-	"github.com/decklever/decklever/lab/relay"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/fleet"
+	"github.com/decklever/decklever/testbed/netem"
 )
 
 const (
@@ -46,9 +46,9 @@
 // cannot hear, one neither.
 func workerCut(ctx context.Context, bench Bench) error {
 	workers := bench.Fleet.ByRole(deployment.RoleWorker)
-	both := func(index int) []relay.Link {
+	both := func(index int) []netem.Link {
 		worker := workers[index]
-		return relay.Both(worker.Spec.Name, bench.Fleet.AgentOf(worker).Spec.Name)
+		return netem.Both(worker.Spec.Name, bench.Fleet.AgentOf(worker).Spec.Name)
 	}
 	links := append(both(2), both(0)[0], both(1)[1])
 	defer bench.Fleet.Cut(links...)()
@@ -88,9 +88,9 @@
 
 // holdAnswers keeps back all answers to an agent and lets them go at once.
 func holdAnswers(ctx context.Context, bench Bench, agent *fleet.Process) error {
-	var answers []relay.Link
+	var answers []netem.Link
 	for _, scheduler := range bench.Fleet.ByRole(deployment.RoleScheduler) {
-		answers = append(answers, relay.Link{From: scheduler.Spec.Name, To: agent.Spec.Name})
+		answers = append(answers, netem.Link{From: scheduler.Spec.Name, To: agent.Spec.Name})
 	}
 	defer bench.Fleet.Hold(answers...)()
 	return pause(ctx, heldTime)
--- a/lab/scenario/losses.go
+++ b/testbed/scenario/losses.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/fleet"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/fleet"
 )
 
 const (
--- a/lab/scenario/operators.go
+++ b/testbed/scenario/operators.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/fleet"
-	"github.com/decklever/decklever/lab/operator"
-	"github.com/decklever/decklever/lab/relay"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/fleet"
+	"github.com/decklever/decklever/testbed/netem"
+	"github.com/decklever/decklever/testbed/operator"
 )
 
 const (
@@ -131,10 +131,10 @@
 
 // loseAnswers cuts the links of answers to the fronts now and then.
 func loseAnswers(ctx context.Context, bench Bench) {
-	var answers []relay.Link
+	var answers []netem.Link
 	for _, scheduler := range bench.Fleet.ByRole(deployment.RoleScheduler) {
 		for _, front := range bench.Fleet.ByRole(deployment.RoleFront) {
-			answers = append(answers, relay.Link{From: scheduler.Spec.Name, To: front.Spec.Name})
+			answers = append(answers, netem.Link{From: scheduler.Spec.Name, To: front.Spec.Name})
 		}
 	}
 	for pause(ctx, lostAnswersPause) == nil {
--- a/lab/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"github.com/decklever/decklever/internal/contexttime"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/fleet"
-	"github.com/decklever/decklever/lab/load"
-	"github.com/decklever/decklever/lab/operator"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/fleet"
+	"github.com/decklever/decklever/testbed/load"
+	"github.com/decklever/decklever/testbed/operator"
 )
 
 // Bench is what a scenario works on.
--- a/lab/scenario/storm_test.go
+++ b/testbed/scenario/storm_test.go
@@ -4,9 +4,9 @@
 	"context"
 	"testing"
 
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/fleet"
-	"github.com/decklever/decklever/lab/relay"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/fleet"
+	"github.com/decklever/decklever/testbed/netem"
 )
 
 func TestNoTwoFaultsHaveTheSameProcessInHand(t *testing.T) {
@@ -46,7 +46,7 @@
 }
 
 func TestOneWayKeepsEachLinkInOneDirection(t *testing.T) {
-	links := append(relay.Both("a", "b"), relay.Both("a", "c")...)
+	links := append(netem.Both("a", "b"), netem.Both("a", "c")...)
 	for parity := range 2 {
 		kept := oneWay(links, parity)
 		if len(kept) != 2 || (kept[0].From == "a") != (parity == 0) || (kept[1].From == "a") != (parity == 0) {
--- a/lab/scenario/stormfaults.go
+++ b/testbed/scenario/stormfaults.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"github.com/decklever/decklever/api"
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/fleet"
-	"github.com/decklever/decklever/lab/relay"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/fleet"
+	"github.com/decklever/decklever/testbed/netem"
 )
 
 // killFor kills processes and starts them again.
@@ -55,8 +55,8 @@
 }
 
 // oneWay keeps one of the two directions of each link.
-func oneWay(links []relay.Link, parity int) []relay.Link {
-	var kept []relay.Link
+func oneWay(links []netem.Link, parity int) []netem.Link {
+	var kept []netem.Link
 	for index, link := range links {
 		if index%2 == parity {
 			kept = append(kept, link)
@@ -65,7 +65,7 @@
 	return kept
 }
 
-func (s *storm) cut(links []relay.Link, length time.Duration) action {
+func (s *storm) cut(links []netem.Link, length time.Duration) action {
 	return func(ctx context.Context) error {
 		defer s.bench.Fleet.Cut(links...)()
 		return pause(ctx, length)
@@ -116,7 +116,7 @@
 
 func (s *storm) cutWorker(_ context.Context, length time.Duration) fault {
 	worker := s.any(deployment.RoleWorker)
-	links := relay.Both(worker.Spec.Name, s.bench.Fleet.AgentOf(worker).Spec.Name)
+	links := netem.Both(worker.Spec.Name, s.bench.Fleet.AgentOf(worker).Spec.Name)
 	if direction := s.number(3); direction < 2 {
 		links = links[direction : direction+1]
 	}
--- a/lab/scenario/versions.go
+++ b/testbed/scenario/versions.go
@@ -4,8 +4,8 @@
 	"context"
 	"fmt"
 
-	"github.com/decklever/decklever/lab/deployment"
-	"github.com/decklever/decklever/lab/fleet"
+	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/fleet"
 )
 
 // versionChange takes a fleet from one version of the programs to the other.
--- a/lab/scenario/workers.go
+++ b/testbed/scenario/workers.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"github.com/decklever/decklever/lab/deployment"
+	"github.com/decklever/decklever/testbed/deployment"
 )
 
 const (
