--- a/testbed/fleet/links_test.go
+++ b/testbed/fleet/links_test.go
@@ -7,19 +7,20 @@
 	"strings"
 	"testing"
 
+	"github.com/decklever/decklever/internal/testaddress"
 	"github.com/decklever/decklever/testbed/calllog"
 	"github.com/decklever/decklever/testbed/deployment"
 	"github.com/decklever/decklever/testbed/netem"
 )
 
-// listeningInstance has the addresses on which these tests listen: the last one,
-// which a fleet started beside them hardly uses.
-const listeningInstance = 24
+// testInstance is that of the fleets of these tests, which listen on none of its
+// addresses: a fleet that runs beside them may.
+const testInstance = 24
 
 // testFleet is a fleet of programs that are never started.
 func testFleet(t *testing.T, book *calllog.Ledger) *Fleet {
 	t.Helper()
-	d, err := deployment.New("cartago", listeningInstance)
+	d, err := deployment.New("cartago", testInstance)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,6 +78,11 @@
 func TestLinkFaultsAreNotedWithBothEnds(t *testing.T) {
 	book := &calllog.Ledger{}
 	f := testFleet(t, book)
+	for _, process := range f.processes {
+		if process.Spec.Reach != "" {
+			process.Spec.Reach = testaddress.New(t)
+		}
+	}
 	if err := f.openLinks(); err != nil {
 		t.Fatal(err)
 	}
