--- a/internal/front/wait.go
+++ b/internal/front/wait.go
@@ -37,7 +37,7 @@
 			return api.JobStatus{}, refusal
 		}
 		if newest.State.Final() || time.Until(end) <= 0 || ctx.Err() != nil {
-			return *newest, nil
+			return *newest, nil //nolint:nilerr // the newest state is the answer, whatever a later read met
 		}
 		if time.Since(started) < call.maxWait/2 {
 			sleep(ctx, min(minPollInterval, time.Until(end)))
--- a/internal/process/integration/badinput_test.go
+++ b/internal/process/integration/badinput_test.go
@@ -104,6 +104,7 @@
 }
 
 func malformed(t *testing.T, target target) {
+	t.Helper()
 	chunked := target.post + " HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
 	for name, request := range map[string]string{
 		"no http":           "\x00\x01\x02\xff\xfe\r\n\r\n",
@@ -140,6 +141,7 @@
 
 // oversized sends a body of more than the limit, with and without its length.
 func oversized(t *testing.T, target target) {
+	t.Helper()
 	for name, body := range map[string]io.Reader{
 		"with its length": bytes.NewReader(make([]byte, bodyLimit+1)),
 		"without":         io.LimitReader(zeros{}, bodyLimit+1),
@@ -178,6 +180,7 @@
 }
 
 func slowHeader(t *testing.T, target target) {
+	t.Helper()
 	connection := dial(t, target)
 	if _, err := io.WriteString(connection, target.post+" HTTP/1.1\r\nHost: h\r\nX-Slow: "); err != nil {
 		t.Fatal(err)
@@ -186,6 +189,7 @@
 }
 
 func slowBody(t *testing.T, target target) {
+	t.Helper()
 	connection := dial(t, target)
 	if _, err := io.WriteString(connection, target.withBody(bodyLimit-1, "")); err != nil {
 		t.Fatal(err)
@@ -196,6 +200,7 @@
 // halfClosed sends the end of the stream in the middle of a request and behind
 // a whole one.
 func halfClosed(t *testing.T, target target) {
+	t.Helper()
 	for name, request := range map[string]string{
 		"nothing":          "",
 		"half a header":    target.post + " HTTP/1.1\r\nHos",
@@ -222,6 +227,7 @@
 // flood opens three times as many connections as are allowed. Silent ones make
 // way for ordinary requests, and of all the rest no more than allowed stay.
 func flood(t *testing.T, target target) {
+	t.Helper()
 	const opened = 3 * connectionLimit
 	closed := make(chan struct{}, opened)
 	for range opened {
--- a/internal/process/integration/daemons_test.go
+++ b/internal/process/integration/daemons_test.go
@@ -67,6 +67,7 @@
 }
 
 func schedulerTarget(t *testing.T, n *node) target {
+	t.Helper()
 	return target{
 		name:     "scheduler",
 		address:  n.address,
@@ -150,6 +151,7 @@
 
 // send sends a body as JSON on a connection of its own.
 func send(t *testing.T, method, url string, body any, want int) error {
+	t.Helper()
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
--- a/internal/process/integration/fulldisk_test.go
+++ b/internal/process/integration/fulldisk_test.go
@@ -83,6 +83,7 @@
 
 // boundedNodes starts three nodes on such stores.
 func boundedNodes(t *testing.T) ([]*node, map[*node]*boundedStore) {
+	t.Helper()
 	nodes := newNodes(t, 3)
 	stores := map[*node]*boundedStore{}
 	for i, n := range nodes {
--- a/internal/process/integration/linearizability_test.go
+++ b/internal/process/integration/linearizability_test.go
@@ -56,6 +56,7 @@
 }
 
 func newFaultRun(t *testing.T, seed uint64) *faultRun {
+	t.Helper()
 	nodes := newNodes(t, 3)
 	r := &faultRun{t: t, random: rand.New(rand.NewPCG(seed, 1)), nodes: nodes, links: newLinks(seed, nodes), stores: map[*node]*hangingStore{}}
 	for i, n := range nodes {
--- a/internal/process/integration/node_test.go
+++ b/internal/process/integration/node_test.go
@@ -246,6 +246,7 @@
 
 // newClient makes an rpc client that is closed with the test.
 func newClient(t *testing.T) *rpc.Client {
+	t.Helper()
 	client := rpc.NewClient(rpc.ClientConfig{})
 	t.Cleanup(client.Close)
 	return client
@@ -253,6 +254,7 @@
 
 // clientOf makes an HTTP client that keeps no connection.
 func clientOf(t *testing.T) *http.Client {
+	t.Helper()
 	transport := &http.Transport{DisableKeepAlives: true}
 	t.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport, Timeout: 10 * time.Second}
--- a/internal/process/schedulerprocess/processors_test.go
+++ b/internal/process/schedulerprocess/processors_test.go
@@ -130,6 +130,7 @@
 }
 
 func newLoad(t *testing.T) *load {
+	t.Helper()
 	l := &load{t: t, client: rpc.NewClient(rpc.ClientConfig{})}
 	t.Cleanup(l.client.Close)
 	for i := range heartbeatingWorkers {
--- a/internal/raft/fuzz_test.go
+++ b/internal/raft/fuzz_test.go
@@ -71,6 +71,7 @@
 }
 
 func stepFollower(t *testing.T, message Message) {
+	t.Helper()
 	follower := newTestNode(t, Config{ID: "a", Seed: 1}, initialState("a", "b", "c"))
 	follower.Tick(0)
 	stepChecked(t, follower, time.Millisecond, message)
@@ -78,6 +79,7 @@
 
 // stepLeader elects the node and then gives it the message.
 func stepLeader(t *testing.T, message Message) {
+	t.Helper()
 	const elected = 2 * time.Second
 	leader := newTestNode(t, Config{ID: "a", Seed: 1}, initialState("a", "b", "c"))
 	leader.Tick(0)
@@ -106,6 +108,7 @@
 }
 
 func stepChecked(t *testing.T, node *testNode, now time.Duration, message Message) {
+	t.Helper()
 	before := node.Status()
 	_ = node.Step(now, message) // an error is as good
 	node.processReady()
--- a/internal/raft/raftsim/options.go
+++ b/internal/raft/raftsim/options.go
@@ -89,8 +89,8 @@
 	LateTimeoutNows int
 }
 
-// Violation is a broken guarantee, with the events that led to it.
-type Violation struct {
+// ViolationError is a broken guarantee, with the events that led to it.
+type ViolationError struct {
 	Seed   int64
 	At     time.Duration
 	Reason string
@@ -99,6 +99,6 @@
 }
 
 // Error names the seed, which reproduces the run.
-func (v *Violation) Error() string {
+func (v *ViolationError) Error() string {
 	return fmt.Sprintf("raftsim: seed %d at %v: %s\n%s", v.Seed, v.At, v.Reason, strings.Join(v.Last, "\n"))
 }
--- a/internal/raft/raftsim/raftsim_test.go
+++ b/internal/raft/raftsim/raftsim_test.go
@@ -55,6 +55,7 @@
 
 // playSeeds plays seeds from zero on and requires that no guarantee is violated.
 func playSeeds(t *testing.T, count int, options Options) {
+	t.Helper()
 	var mutex sync.Mutex
 	var total Report
 	t.Run("batches", func(t *testing.T) {
@@ -80,6 +81,7 @@
 }
 
 func playOne(t *testing.T, text string) {
+	t.Helper()
 	seed, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		t.Fatalf("RAFTSIM_SEED: %v", err)
@@ -121,7 +123,7 @@
 }
 
 func TestSimulation_SeedIsReproducible(t *testing.T) {
-	for seed := int64(0); seed < 5; seed++ {
+	for seed := range int64(5) {
 		first, firstErr := Run(Options{Seed: seed})
 		second, secondErr := Run(Options{Seed: seed})
 		if first != second || (firstErr == nil) != (secondErr == nil) {
@@ -163,7 +165,7 @@
 	t.Helper()
 	for options.Seed = 0; options.Seed < seedsForMutation; options.Seed++ {
 		_, err := Run(options)
-		var violation *Violation
+		var violation *ViolationError
 		if errors.As(err, &violation) && strings.Contains(violation.Reason, reason) {
 			t.Logf("seed %d: %s", options.Seed, violation.Reason)
 			return
--- a/internal/raft/raftsim/simulation.go
+++ b/internal/raft/raftsim/simulation.go
@@ -42,7 +42,7 @@
 
 	report    Report
 	trace     [maxTraceEvents]traceEvent
-	violation *Violation
+	violation *ViolationError
 }
 
 // Run plays one seed. A violated guarantee is returned as a *Violation.
@@ -142,7 +142,7 @@
 	if s.violation != nil {
 		return
 	}
-	s.violation = &Violation{
+	s.violation = &ViolationError{
 		Seed:   s.options.Seed,
 		At:     s.now,
 		Reason: fmt.Sprintf(format, arguments...),
--- a/internal/record/fuzz_test.go
+++ b/internal/record/fuzz_test.go
@@ -69,6 +69,7 @@
 }
 
 func restoredDefault(t *testing.T, data []byte) *Machine {
+	t.Helper()
 	machine := NewMachine(Config{Archive: newTestArchive()})
 	if err := machine.Restore(bytes.NewReader(data)); err != nil {
 		t.Fatal(err)
--- a/internal/record/gang_test.go
+++ b/internal/record/gang_test.go
@@ -15,6 +15,7 @@
 }
 
 func newGangHarness(t *testing.T, members int) *gangHarness {
+	t.Helper()
 	h := &gangHarness{harness: newHarness(t)}
 	h.register(testWorker("w1"), testWorker("w2"))
 	gang := stepSpec("a", members)
--- a/internal/replica/bootstrapdecision_test.go
+++ b/internal/replica/bootstrapdecision_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"slices"
 	"testing"
 
 	"github.com/decklever/decklever/internal/protocol"
@@ -60,7 +61,7 @@
 	if got := decideJoin(empty); got.action != bootstrapWait || got.reason == "" {
 		t.Fatalf("empty seeds: %+v", got)
 	}
-	mixed := append(empty, seedResponse{address: "c", identity: protocol.IdentityAnswer{Member: member("c")}})
+	mixed := append(slices.Clone(empty), seedResponse{address: "c", identity: protocol.IdentityAnswer{Member: member("c")}})
 	if got := decideJoin(mixed); got.action != bootstrapJoin {
 		t.Fatalf("a seed has a cluster: %+v", got)
 	}
--- a/internal/replica/propose_test.go
+++ b/internal/replica/propose_test.go
@@ -39,6 +39,7 @@
 	leader := leaderOf(b, machines...)
 	token := leader.replica.Status().Term
 	propose := func(b *testing.B) {
+		b.Helper()
 		if _, err := leader.replica.Propose(b.Context(), token, registration("worker")); err != nil {
 			b.Error(err)
 		}
--- a/internal/replica/slowdisk_test.go
+++ b/internal/replica/slowdisk_test.go
@@ -30,6 +30,7 @@
 }
 
 func slowMachines(t *testing.T) ([]*machine, map[*machine]*slowStore) {
+	t.Helper()
 	machines := newMachines(t, 3)
 	stores := make(map[*machine]*slowStore)
 	for i, m := range machines {
--- a/internal/replica/snapshotsender.go
+++ b/internal/replica/snapshotsender.go
@@ -59,7 +59,8 @@
 	buffer := make([]byte, snapshotChunk)
 	for !chunk.Last {
 		count, err := io.ReadFull(data, buffer)
-		if err != nil && err != io.EOF && err != io.ErrUnexpectedEOF {
+		// io.ReadFull returns these two as they are; a wrapped one is a fault of the reader.
+		if err != nil && err != io.EOF && err != io.ErrUnexpectedEOF { //nolint:errorlint // see above
 			return 0, fmt.Errorf("read snapshot: %w", err)
 		}
 		chunk.Offset += uint64(len(chunk.Data))
--- a/internal/storage/archivebytes_test.go
+++ b/internal/storage/archivebytes_test.go
@@ -13,6 +13,7 @@
 // bytes, and take less once they are dropped.
 func TestArchive_OldestEndCoversBytes(t *testing.T) {
 	forEachStore(t, func(t *testing.T, s Store, reopen func() Store) {
+		t.Helper()
 		archive := s.Archive()
 		if end, count, err := archive.OldestEnd(1, 9); err != nil || end != 0 || count != 0 {
 			t.Fatalf("empty archive: %d, %d, %v", end, count, err)
--- a/internal/storage/disklog_test.go
+++ b/internal/storage/disklog_test.go
@@ -195,7 +195,7 @@
 			t.Fatalf("%s: got %v, want ErrCorrupt that names %s", what, err, path)
 		}
 	}
-	for at := 0; at < powerLossSegmentSize; at++ {
+	for at := range powerLossSegmentSize {
 		damaged := append([]byte(nil), intact...)
 		damaged[at] ^= 4
 		files.put(path, damaged)
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -52,6 +52,7 @@
 
 // forEachStore runs a test on both stores; reopen starts again on the same data.
 func forEachStore(t *testing.T, test func(t *testing.T, s Store, reopen func() Store)) {
+	t.Helper()
 	t.Run("disk", func(t *testing.T) {
 		directory := t.TempDir()
 		d := openStore(t, directory)
@@ -70,6 +71,7 @@
 
 func TestStore_RoundTripAndRelistedSuffix(t *testing.T) {
 	forEachStore(t, func(t *testing.T, s Store, reopen func() Store) {
+		t.Helper()
 		id := s.ReplicaID()
 		if len(id) != 16 || strings.Trim(string(id), "0123456789abcdef") != "" {
 			t.Fatalf("replica id %q is not 16 hex digits", id)
@@ -93,6 +95,7 @@
 
 func TestStore_SnapshotsReplaceLog(t *testing.T) {
 	forEachStore(t, func(t *testing.T, s Store, reopen func() Store) {
+		t.Helper()
 		members := raft.Membership{Voters: []raft.Member{{ID: "a", Name: "one", Address: "127.0.0.1:1"}}}
 		meta := raft.SnapshotMeta{Index: 8, Term: 1, Membership: members}
 		requireNoError(t, s.Save(&raft.HardState{Term: 1}, entries(1, 10, 1), true))
@@ -153,6 +156,7 @@
 // that went on behind it with entries that the leader does not have.
 func TestInstallSnapshot_BeforeEndOfLogDropsIt(t *testing.T) {
 	forEachStore(t, func(t *testing.T, s Store, reopen func() Store) {
+		t.Helper()
 		requireNoError(t, s.Save(&raft.HardState{Term: 1}, entries(1, 10, 1), true))
 		meta := raft.SnapshotMeta{Index: 5, Term: 2}
 		requireNoError(t, s.InstallSnapshot(meta, strings.NewReader("state at 5")))
@@ -190,10 +194,13 @@
 		return func(t *testing.T, directory, _ string) { requireNoError(t, os.Remove(filepath.Join(directory, name))) }
 	}
 	flipIn := func(name, text string) func(t *testing.T, directory, _ string) {
+		t.Helper()
 		return func(t *testing.T, directory, _ string) { flipByte(t, filepath.Join(directory, name), text) }
 	}
 	truncate := func(name string, size int64) func(t *testing.T, directory, _ string) {
+		t.Helper()
 		return func(t *testing.T, directory, _ string) {
+			t.Helper()
 			requireNoError(t, os.Truncate(filepath.Join(directory, name), size))
 		}
 	}
@@ -217,6 +224,7 @@
 		"archive missing": {archiveFile, remove(archiveFile)},
 	}
 	for name, c := range cases {
+		t.Helper()
 		t.Run(name, func(t *testing.T) {
 			directory := t.TempDir()
 			d := openStore(t, directory)
@@ -285,6 +293,7 @@
 }
 
 func jobIDs(t *testing.T) func(jobs []record.ArchivedJob, err error) string {
+	t.Helper()
 	return func(jobs []record.ArchivedJob, err error) string {
 		t.Helper()
 		requireNoError(t, err)
@@ -298,6 +307,7 @@
 
 func TestArchive_PutPageListExpire(t *testing.T) {
 	forEachStore(t, func(t *testing.T, s Store, reopen func() Store) {
+		t.Helper()
 		archive := s.Archive()
 		jobs := []record.ArchivedJob{
 			{ID: "d", Index: 1, EndedAt: 40},
--- a/internal/storage/wal_bench_test.go
+++ b/internal/storage/wal_bench_test.go
@@ -95,6 +95,7 @@
 }
 
 func benchmarkBatches(b *testing.B, batch uint64, save func([]raft.Entry) error) {
+	b.Helper()
 	data := make([]byte, 400)
 	next := uint64(1)
 	b.ReportAllocs()
