--- a/internal/cli/booking.go
+++ b/internal/cli/booking.go
@@ -36,7 +36,7 @@
 
 // readBookings reads the windows of the coming hours.
 func (a *app) readBookings(ctx context.Context, client *api.Client, hours int) (api.BookingList, error) {
-	return read(ctx, a, "list bookings", func(ctx context.Context) (api.BookingList, error) {
+	return doRequest(ctx, a, "list bookings", func(ctx context.Context) (api.BookingList, error) {
 		return client.Bookings(ctx, time.Duration(hours)*time.Hour)
 	})
 }
@@ -47,8 +47,8 @@
 // String is the name as it is typed.
 func (n bookingName) String() string { return n.queue + "/" + n.name }
 
-// nameOfBooking is the name of a window's booking.
-func nameOfBooking(booking api.BookingStatus) bookingName {
+// bookingNameOf is the name of a window's booking.
+func bookingNameOf(booking api.BookingStatus) bookingName {
 	return bookingName{queue: booking.Queue, name: booking.Booking}
 }
 
@@ -61,8 +61,8 @@
 	return bookingName{queue: queue, name: name}, nil
 }
 
-// windowsOf keeps the windows that match, in their order.
-func windowsOf(list api.BookingList, matches func(api.BookingStatus) bool) []api.BookingStatus {
+// filterWindows keeps the windows that match, in their order.
+func filterWindows(list api.BookingList, matches func(api.BookingStatus) bool) []api.BookingStatus {
 	windows := []api.BookingStatus{}
 	for _, booking := range list.Bookings {
 		if matches(booking) {
@@ -72,27 +72,12 @@
 	return windows
 }
 
-// bookingGrid is the table of windows.
-func (a *app) bookingGrid(windows []api.BookingStatus) *grid {
-	bookings := newGrid("booking", "start", "end", "held from", "state", "slots", "placed", "used", "slice", "service", "best effort")
+// bookingTable is the table of windows.
+func (a *app) bookingTable(windows []api.BookingStatus) *textTable {
+	bookings := newTextTable("booking", "start", "end", "held from", "state", "slots", "placed", "used", "slice", "service", "best effort")
 	for _, window := range windows {
-		bookings.add(nameOfBooking(window), a.clock(window.Start), a.clock(window.End), a.clock(window.HeldFrom), window.State,
-			window.Slots, window.Placed, window.Used, roomText(window.Slice), window.Service, yesNo(window.BestEffort))
+		bookings.add(bookingNameOf(window), a.formatTime(window.Start), a.formatTime(window.End), a.formatTime(window.HeldFrom), window.State,
+			window.Slots, window.Placed, window.Used, formatResources(window.Slice), window.Service, formatBool(window.BestEffort))
 	}
 	return bookings
 }
-
-// roomText is an amount of room in one cell; what there is none of is left
-// out.
-func roomText(room api.Resources) string {
-	var parts []string
-	for _, one := range []struct {
-		amount int64
-		unit   string
-	}{{room.CPUMillis, "m cpu"}, {room.MemoryMB, " MB"}, {room.Accelerators, " accelerators"}} {
-		if one.amount != 0 {
-			parts = append(parts, fmt.Sprintf("%d%s", one.amount, one.unit))
-		}
-	}
-	return strings.Join(parts, ", ")
-}
--- a/internal/cli/booking_list.go
+++ b/internal/cli/booking_list.go
@@ -30,7 +30,7 @@
 		if err != nil {
 			return err
 		}
-		return a.print(list, func(writer io.Writer) { a.bookingGrid(list.Bookings).render(writer) })
+		return a.print(list, func(writer io.Writer) { a.bookingTable(list.Bookings).render(writer) })
 	})
 	return command
 }
--- a/internal/cli/booking_release.go
+++ b/internal/cli/booking_release.go
@@ -35,19 +35,19 @@
 			return usageError("--start is %q, expected a time such as 2026-01-31T14:00:00Z", startText)
 		}
 		request := api.ReleaseRequest{Queue: name.queue, Booking: name.name, Start: start}
-		if err := a.release(ctx, client, request); err != nil {
-			return callFailed(fmt.Sprintf("release %s at %s", name, a.clock(start)), err)
+		if err := a.releaseWindow(ctx, client, request); err != nil {
+			return requestError(fmt.Sprintf("release %s at %s", name, a.formatTime(start)), err)
 		}
 		return a.print(api.ReleaseAnswer{Released: true}, func(writer io.Writer) {
-			_, _ = fmt.Fprintf(writer, "booking %s: the window at %s is released\n", name, a.clock(start))
+			_, _ = fmt.Fprintf(writer, "booking %s: the window at %s is released\n", name, a.formatTime(start))
 		})
 	})
 	return command
 }
 
-// release makes the call.
-func (a *app) release(ctx context.Context, client *api.Client, request api.ReleaseRequest) error {
-	ctx, cancel := a.call(ctx)
+// releaseWindow makes the call.
+func (a *app) releaseWindow(ctx context.Context, client *api.Client, request api.ReleaseRequest) error {
+	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
 	return client.ReleaseBooking(ctx, request)
 }
--- a/internal/cli/booking_show.go
+++ b/internal/cli/booking_show.go
@@ -34,12 +34,12 @@
 		if err != nil {
 			return err
 		}
-		list.Bookings = windowsOf(list, func(window api.BookingStatus) bool { return nameOfBooking(window) == name })
+		list.Bookings = filterWindows(list, func(window api.BookingStatus) bool { return bookingNameOf(window) == name })
 		if len(list.Bookings) == 0 {
 			if err := a.checkConfigured(ctx, client, name); err != nil {
 				return err
 			}
-			a.note(fmt.Sprintf("booking %s has no window in the coming %d hours", name, hours))
+			a.printNotice(fmt.Sprintf("booking %s has no window in the coming %d hours", name, hours))
 		}
 		return a.print(list, func(writer io.Writer) { a.renderWindows(writer, list.Bookings) })
 	})
@@ -59,22 +59,17 @@
 			return nil
 		}
 	}
-	return notThere("booking", name)
-}
-
-// notThere is the failure of a look for what the fleet does not have.
-func notThere(kind string, name any) error {
-	return &failure{code: ExitRefused, text: fmt.Sprintf("there is no %s %s", kind, name)}
+	return notFoundError("booking", name)
 }
 
 // renderWindows writes windows and, if any slices lie on workers, where.
 func (a *app) renderWindows(writer io.Writer, windows []api.BookingStatus) {
-	a.bookingGrid(windows).render(writer)
-	places := newGrid("start", "worker", "slots", "used")
+	a.bookingTable(windows).render(writer)
+	places := newTextTable("start", "worker", "slots", "used")
 	count := 0
 	for _, window := range windows {
 		for _, worker := range window.Workers {
-			places.add(a.clock(window.Start), worker.Worker, worker.Slots, worker.Used)
+			places.add(a.formatTime(window.Start), worker.Worker, worker.Slots, worker.Used)
 			count++
 		}
 	}
--- a/internal/cli/app.go
+++ b/internal/cli/cli.go
@@ -8,9 +8,6 @@
 	"strings"
 	"time"
 
-	"github.com/spf13/cobra"
-
-	"github.com/decklever/decklever/api"
 	"github.com/decklever/decklever/internal/contexttime"
 )
 
@@ -45,10 +42,10 @@
 	if err == nil {
 		return ExitOK
 	}
-	report(a.Err, err)
-	var failed *failure
-	if errors.As(err, &failed) {
-		return failed.code
+	reportError(a.Err, err)
+	var exitErr *exitError
+	if errors.As(err, &exitErr) {
+		return exitErr.code
 	}
 	if !a.started {
 		return ExitUsage
@@ -98,58 +95,3 @@
 	}
 	return &app{Config: config}
 }
-
-// action is the work of one command, with the client to do it with.
-type action func(ctx context.Context, client *api.Client, arguments []string) error
-
-// run makes the RunE of a command that calls the fleet.
-func (a *app) run(work action) func(*cobra.Command, []string) error {
-	return func(command *cobra.Command, arguments []string) error {
-		a.started = true
-		if err := a.checkGlobal(); err != nil {
-			return err
-		}
-		client, err := a.client()
-		if err != nil {
-			return err
-		}
-		defer client.Close()
-		return work(command.Context(), client, arguments)
-	}
-}
-
-// checkGlobal checks the flags of every command.
-func (a *app) checkGlobal() error {
-	if a.flags.timeout <= 0 {
-		return usageError("--timeout is %v, expected a duration above 0", a.flags.timeout)
-	}
-	return checkOutput(a.flags.output)
-}
-
-// client makes the client of the fronts that the flags name.
-func (a *app) client() (*api.Client, error) {
-	client, err := api.NewClient(api.ClientConfig{Endpoints: a.flags.fronts, HTTPClient: a.HTTPClient})
-	if err != nil {
-		return nil, usageError("--front: %v", err)
-	}
-	return client, nil
-}
-
-// call bounds one call to the fleet, with all its tries, by --timeout.
-func (a *app) call(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, a.flags.timeout)
-}
-
-// read makes one call that has no arguments.
-func read[Answer any](ctx context.Context, a *app, action string, call func(context.Context) (Answer, error)) (Answer, error) {
-	ctx, cancel := a.call(ctx)
-	defer cancel()
-	answer, err := call(ctx)
-	if err != nil {
-		return answer, callFailed(action, err)
-	}
-	return answer, nil
-}
-
-// note writes a line for people beside the result.
-func (a *app) note(text string) { printLine(a.Err, text) }
--- a/internal/cli/complete_names.go
+++ b/internal/cli/completion_names.go
@@ -34,42 +34,42 @@
 		if most > 0 && len(arguments) >= most {
 			return nil, cobra.ShellCompDirectiveNoFileComp
 		}
-		return a.offer(command, arguments, func(ctx context.Context, client *api.Client) ([]string, error) {
+		return a.suggest(command, arguments, func(ctx context.Context, client *api.Client) ([]string, error) {
 			list, err := client.Jobs(ctx, api.JobsQuery{Limit: completedJobs})
-			return namesIn(list.Jobs, func(job api.JobSummary) string { return job.ID }), err
+			return sortedNames(list.Jobs, func(job api.JobSummary) string { return job.ID }), err
 		})
 	}
 }
 
 // completeWorkers offers names of workers.
 func (a *app) completeWorkers(command *cobra.Command, arguments []string, _ string) ([]string, cobra.ShellCompDirective) {
-	return a.offer(command, arguments, func(ctx context.Context, client *api.Client) ([]string, error) {
+	return a.suggest(command, arguments, func(ctx context.Context, client *api.Client) ([]string, error) {
 		list, err := client.Workers(ctx)
-		return namesIn(list.Workers, func(worker api.WorkerStatus) string { return worker.Name }), err
+		return sortedNames(list.Workers, func(worker api.WorkerStatus) string { return worker.Name }), err
 	})
 }
 
 // completeZones offers the zones of workers.
 func (a *app) completeZones(command *cobra.Command, arguments []string, _ string) ([]string, cobra.ShellCompDirective) {
-	return a.offer(command, arguments, func(ctx context.Context, client *api.Client) ([]string, error) {
+	return a.suggest(command, arguments, func(ctx context.Context, client *api.Client) ([]string, error) {
 		list, err := client.Workers(ctx)
-		return namesIn(list.Workers, func(worker api.WorkerStatus) string { return worker.Zone }), err
+		return sortedNames(list.Workers, func(worker api.WorkerStatus) string { return worker.Zone }), err
 	})
 }
 
 // completeDrains offers the zones that are drained by orders.
 func (a *app) completeDrains(command *cobra.Command, arguments []string, _ string) ([]string, cobra.ShellCompDirective) {
-	return a.offer(command, arguments, func(ctx context.Context, client *api.Client) ([]string, error) {
+	return a.suggest(command, arguments, func(ctx context.Context, client *api.Client) ([]string, error) {
 		list, err := client.Drains(ctx)
-		return namesIn(list.Zones, func(drain api.ZoneDrain) string { return drain.Zone }), err
+		return sortedNames(list.Zones, func(drain api.ZoneDrain) string { return drain.Zone }), err
 	})
 }
 
 // completeQueues offers names of queues.
 func (a *app) completeQueues(command *cobra.Command, _ []string, _ string) ([]string, cobra.ShellCompDirective) {
-	return a.offer(command, nil, func(ctx context.Context, client *api.Client) ([]string, error) {
+	return a.suggest(command, nil, func(ctx context.Context, client *api.Client) ([]string, error) {
 		list, err := client.Queues(ctx)
-		return namesIn(list.Queues, func(queue api.QueueStatus) string { return queue.Name }), err
+		return sortedNames(list.Queues, func(queue api.QueueStatus) string { return queue.Name }), err
 	})
 }
 
@@ -86,9 +86,9 @@
 	if len(arguments) > 0 {
 		return nil, cobra.ShellCompDirectiveNoFileComp
 	}
-	return a.offer(command, nil, func(ctx context.Context, client *api.Client) ([]string, error) {
+	return a.suggest(command, nil, func(ctx context.Context, client *api.Client) ([]string, error) {
 		list, err := client.Bookings(ctx, completedHours*time.Hour)
-		return namesIn(list.Bookings, func(window api.BookingStatus) string { return nameOfBooking(window).String() }), err
+		return sortedNames(list.Bookings, func(window api.BookingStatus) string { return bookingNameOf(window).String() }), err
 	})
 }
 
@@ -98,16 +98,16 @@
 	if len(arguments) != 1 {
 		return nil, cobra.ShellCompDirectiveNoFileComp
 	}
-	return a.offer(command, nil, func(ctx context.Context, client *api.Client) ([]string, error) {
+	return a.suggest(command, nil, func(ctx context.Context, client *api.Client) ([]string, error) {
 		list, err := client.Bookings(ctx, completedHours*time.Hour)
-		windows := windowsOf(list, func(window api.BookingStatus) bool { return nameOfBooking(window).String() == arguments[0] })
-		return namesIn(windows, func(window api.BookingStatus) string { return window.Start.UTC().Format(time.RFC3339) }), err
+		windows := filterWindows(list, func(window api.BookingStatus) bool { return bookingNameOf(window).String() == arguments[0] })
+		return sortedNames(windows, func(window api.BookingStatus) string { return window.Start.UTC().Format(time.RFC3339) }), err
 	})
 }
 
-// offer asks the fleet for names and leaves out those already given. Without
+// suggest asks the fleet for names and leaves out those already given. Without
 // an answer it offers nothing: there is no place for an error in a completion.
-func (a *app) offer(command *cobra.Command, given []string, ask func(context.Context, *api.Client) ([]string, error)) ([]string, cobra.ShellCompDirective) {
+func (a *app) suggest(command *cobra.Command, given []string, listNames func(context.Context, *api.Client) ([]string, error)) ([]string, cobra.ShellCompDirective) {
 	client, err := a.client()
 	if err != nil {
 		return nil, cobra.ShellCompDirectiveNoFileComp
@@ -115,7 +115,7 @@
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(command.Context(), a.completionTimeout)
 	defer cancel()
-	names, err := ask(ctx, client)
+	names, err := listNames(ctx, client)
 	if err != nil {
 		return nil, cobra.ShellCompDirectiveNoFileComp
 	}
@@ -123,8 +123,8 @@
 	return names, cobra.ShellCompDirectiveNoFileComp
 }
 
-// namesIn collects names, sorted, each once.
-func namesIn[T any](list []T, nameOf func(T) string) []string {
+// sortedNames collects names, sorted, each once.
+func sortedNames[T any](list []T, nameOf func(T) string) []string {
 	names := make([]string, 0, len(list))
 	for _, one := range list {
 		names = append(names, nameOf(one))
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -18,5 +18,5 @@
 
 // readConfig reads the configuration in force.
 func (a *app) readConfig(ctx context.Context, client *api.Client) (api.ConfigStatus, error) {
-	return read(ctx, a, "read the configuration", client.Config)
+	return doRequest(ctx, a, "read the configuration", client.Config)
 }
--- a/internal/cli/field_names.go
+++ b/internal/cli/config_field_names.go
@@ -13,20 +13,20 @@
 // bookings.
 var queueField = regexp.MustCompile(`^queues\[(\d+)\](?:\.bookings\[(\d+)\])?`)
 
-// configRefused is the failure of a call with a configuration. Behind the
+// configRejectedError is the failure of a call with a configuration. Behind the
 // number of a queue or booking in a path it puts the name, which is what the
 // file shows.
-func configRefused(action string, cause error, config *api.Config) *failure {
-	failed := callFailed(action, cause)
-	named := make([]api.FieldError, len(failed.fields))
-	for index, field := range failed.fields {
+func configRejectedError(action string, cause error, config *api.Config) *exitError {
+	exitErr := requestError(action, cause)
+	named := make([]api.FieldError, len(exitErr.fields))
+	for index, field := range exitErr.fields {
 		if name := fieldOwner(field.Field, config); name != "" {
 			field.Field = fmt.Sprintf("%s (%s)", field.Field, name)
 		}
 		named[index] = field
 	}
-	failed.fields = named
-	return failed
+	exitErr.fields = named
+	return exitErr
 }
 
 // fieldOwner names the queue or booking that a field is of; empty if it is of
--- a/internal/cli/config_history.go
+++ b/internal/cli/config_history.go
@@ -9,8 +9,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// digestShown is how much of a digest stands in a table, in characters.
-const digestShown = 12
+// shownDigestLength is how much of a digest stands in a table, in characters.
+const shownDigestLength = 12
 
 // configHistoryCommand lists the versions that were accepted.
 func (a *app) configHistoryCommand() *cobra.Command {
@@ -21,15 +21,15 @@
 		Args:              cobra.NoArgs,
 		ValidArgsFunction: cobra.NoFileCompletions,
 		RunE: a.run(func(ctx context.Context, client *api.Client, _ []string) error {
-			history, err := read(ctx, a, "read the versions", client.ConfigVersions)
+			history, err := doRequest(ctx, a, "read the versions", client.ConfigVersions)
 			if err != nil {
 				return err
 			}
 			return a.print(history, func(writer io.Writer) {
-				versions := newGrid("version", "accepted", "order", "digest")
+				versions := newTextTable("version", "accepted", "order", "digest")
 				for _, version := range history.Versions {
-					digest := version.Digest[:min(digestShown, len(version.Digest))]
-					versions.add(version.Version, a.clock(version.AcceptedAt), version.OrderID, digest)
+					digest := version.Digest[:min(shownDigestLength, len(version.Digest))]
+					versions.add(version.Version, a.formatTime(version.AcceptedAt), version.OrderID, digest)
 				}
 				versions.render(writer)
 			})
--- a/internal/cli/config_rollout.go
+++ b/internal/cli/config_rollout.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -13,8 +12,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// rolloutPoll is the pause between two looks at a roll-out.
-const rolloutPoll = 100 * time.Millisecond
+// rolloutPollInterval is the pause between two looks at a roll-out.
+const rolloutPollInterval = 100 * time.Millisecond
 
 // configRolloutCommand shows which process has which version.
 func (a *app) configRolloutCommand() *cobra.Command {
@@ -31,9 +30,9 @@
 			}
 			return a.print(rollout, func(writer io.Writer) {
 				_, _ = fmt.Fprintf(writer, "version %d, %s\n\n", rollout.Version, completeness(rollout))
-				processes := newGrid("process", "role", "zone", "version", "age")
+				processes := newTextTable("process", "role", "zone", "version", "age")
 				for _, process := range rollout.Processes {
-					processes.add(process.Process, process.Role, process.Zone, process.Version, millis(process.AgeMillis))
+					processes.add(process.Process, process.Role, process.Zone, process.Version, formatMillis(process.AgeMillis))
 				}
 				processes.render(writer)
 			})
@@ -42,7 +41,7 @@
 }
 
 func (a *app) readRollout(ctx context.Context, client *api.Client) (api.Rollout, error) {
-	return read(ctx, a, "read the roll-out", client.Rollout)
+	return doRequest(ctx, a, "read the roll-out", client.Rollout)
 }
 
 // completeness says whether every process has the version, or how many lack it.
@@ -69,7 +68,7 @@
 // waitForRollout looks until every process has the version or a newer one,
 // for --timeout at most.
 func (a *app) waitForRollout(ctx context.Context, client *api.Client, version uint64) error {
-	ctx, cancel := a.call(ctx)
+	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
 	var last api.Rollout
 	for {
@@ -77,22 +76,13 @@
 		if err == nil {
 			last = rollout
 		} else if ctx.Err() == nil {
-			return callFailed("wait for the roll-out", err)
+			return requestError("wait for the roll-out", err)
 		}
 		if last.Complete && last.Version >= version {
 			return nil
 		}
-		if !a.sleep(ctx, rolloutPoll) {
-			return notRolledOut(version, last)
+		if !a.sleep(ctx, rolloutPollInterval) {
+			return rolloutIncompleteError(version, last)
 		}
 	}
 }
-
-// notRolledOut is the failure of a wait that was over before the roll-out.
-func notRolledOut(version uint64, last api.Rollout) error {
-	text := fmt.Sprintf("version %d is accepted, but its roll-out is not complete", version)
-	if behind := behindVersion(last); len(behind) > 0 {
-		text += "; behind are " + strings.Join(behind, ", ")
-	}
-	return &failure{code: ExitUnavailable, text: text}
-}
--- a/internal/cli/config_validate.go
+++ b/internal/cli/config_validate.go
@@ -24,10 +24,10 @@
 			if err := a.readFile(arguments[0], &config); err != nil {
 				return err
 			}
-			ctx, cancel := a.call(ctx)
+			ctx, cancel := a.requestContext(ctx)
 			defer cancel()
 			if err := client.ValidateConfig(ctx, config); err != nil {
-				return configRefused("validate "+arguments[0], err, &config)
+				return configRejectedError("validate "+arguments[0], err, &config)
 			}
 			return a.print(api.ValidateAnswer{Valid: true}, func(writer io.Writer) {
 				_, _ = fmt.Fprintf(writer, "%s is valid\n", arguments[0])
--- a/internal/cli/drains.go
+++ b/internal/cli/drains.go
@@ -4,116 +4,61 @@
 	"context"
 	"fmt"
 	"io"
-	"slices"
 
-	"github.com/google/uuid"
+	"github.com/spf13/cobra"
 
 	"github.com/decklever/decklever/api"
 )
 
-// Bounds of one change of the drains.
-const (
-	// maxRaces is how often a change is made anew after a lost race.
-	maxRaces = 8
-	// maxSends is how often one order is sent while its outcome is unknown.
-	maxSends = 4
-)
-
-// drainChange edits a list of drained workers or zones.
-type drainChange func(drains *api.DrainConfig)
-
-// changeDrains reads the configuration, changes its drains and proposes it. A
-// lost race is read and changed anew under a new order id; an unknown outcome
-// is asked for with the same one, so that the change is made at most once.
-func (a *app) changeDrains(ctx context.Context, client *api.Client, change drainChange) error {
-	for race := 1; ; race++ {
-		status, err := a.readConfig(ctx, client)
-		if err != nil {
-			return err
-		}
-		config := status.Config
-		config.Drains = cloneDrains(config.Drains)
-		change(&config.Drains)
-		if equalDrains(config.Drains, status.Config.Drains) {
-			return a.printUnchanged(status)
-		}
-		proposal := order{Base: status.Version, ID: uuid.NewString()}
-		err = a.proposeSurely(ctx, client, &proposal, config)
-		if err == nil {
-			return a.finishChange(ctx, client, proposal, false)
-		}
-		if !isCode(err, api.CodeLostRace) || race == maxRaces {
-			return err
-		}
-		a.note(fmt.Sprintf("version %d was replaced meanwhile; reading again", proposal.Base))
-	}
+// drainsCommand holds the commands about zones drained by orders.
+func (a *app) drainsCommand() *cobra.Command {
+	return groupCommand("drains", "Drain zones by orders that no configuration undoes",
+		"  decklever drains add zone-2\n  decklever drains list\n  decklever drains remove zone-2",
+		a.drainsListCommand(), a.drainsAddCommand(), a.drainsRemoveCommand())
 }
 
-// proposeSurely sends a proposal, and the same again while its outcome is
-// unknown.
-func (a *app) proposeSurely(ctx context.Context, client *api.Client, proposal *order, config api.Config) error {
-	for send := 1; ; send++ {
-		err := a.propose(ctx, client, proposal, config)
-		if !isCode(err, api.CodeOutcomeUnknown) || send == maxSends || ctx.Err() != nil {
+// sendDrainOrders makes one call for each zone. If one fails, those before it are
+// done; the same command again goes on with the rest.
+func (a *app) sendDrainOrders(ctx context.Context, zones []string, drained bool, order func(context.Context, string) error) error {
+	if err := checkZones(zones); err != nil {
+		return err
+	}
+	result := api.DrainList{Zones: []api.ZoneDrain{}}
+	for _, zone := range zones {
+		if err := a.sendDrainOrder(ctx, zone, order); err != nil {
 			return err
 		}
-		a.note(fmt.Sprintf("outcome unknown; sending order %s again", proposal.ID))
+		result.Zones = append(result.Zones, api.ZoneDrain{Zone: zone, Drained: drained})
 	}
-}
-
-// printUnchanged says that the configuration in force is as wanted already.
-func (a *app) printUnchanged(status api.ConfigStatus) error {
-	result := order{Base: status.Version, Version: status.Version}
 	return a.print(result, func(writer io.Writer) {
-		_, _ = fmt.Fprintf(writer, "nothing to change in version %d\n", status.Version)
+		for _, drain := range result.Zones {
+			_, _ = fmt.Fprintf(writer, "zone %s is %s\n", drain.Zone, describeDrainOrder(drained))
+		}
 	})
 }
 
-func cloneDrains(drains api.DrainConfig) api.DrainConfig {
-	return api.DrainConfig{Workers: slices.Clone(drains.Workers), Zones: slices.Clone(drains.Zones)}
-}
-
-func equalDrains(a, b api.DrainConfig) bool {
-	return slices.Equal(a.Workers, b.Workers) && slices.Equal(a.Zones, b.Zones)
-}
-
-// withNames is the list with the names added that it lacks.
-func withNames(list, names []string) []string {
-	for _, name := range names {
-		if !slices.Contains(list, name) {
-			list = append(list, name)
-		}
+func (a *app) sendDrainOrder(ctx context.Context, zone string, order func(context.Context, string) error) error {
+	ctx, cancel := a.requestContext(ctx)
+	defer cancel()
+	if err := order(ctx, zone); err != nil {
+		return requestError("order on zone "+zone, err)
 	}
-	return list
-}
-
-// withoutNames is the list without the names.
-func withoutNames(list, names []string) []string {
-	return slices.DeleteFunc(list, func(name string) bool { return slices.Contains(names, name) })
+	return nil
 }
 
-// checkNames refuses empty names before anything is read.
-func checkNames(names []string) error {
-	if slices.Contains(names, "") {
-		return usageError("an empty name was given")
+func describeDrainOrder(drained bool) string {
+	if drained {
+		return "drained by an order"
 	}
-	return nil
+	return "no longer drained by an order"
 }
 
-// warnUnknown names what was drained but is not registered at present: it may
-// be a slip, or something that will come back. A failed look is not worth an
-// error after the change was made.
-func (a *app) warnUnknown(ctx context.Context, client *api.Client, kind string, names []string, nameOf func(api.WorkerStatus) string) {
-	ctx, cancel := a.call(ctx)
-	defer cancel()
-	list, err := client.Workers(ctx)
-	if err != nil {
-		return
-	}
-	for _, name := range names {
-		known := func(worker api.WorkerStatus) bool { return nameOf(worker) == name }
-		if !slices.ContainsFunc(list.Workers, known) {
-			a.note(fmt.Sprintf("note: no worker of %s %q is registered at present", kind, name))
+// checkZones refuses what is no zone before any order is given.
+func checkZones(zones []string) error {
+	for _, zone := range zones {
+		if !api.ValidZone(zone) {
+			return usageError("%q is no zone, expected 1 to 64 of a-z, A-Z, 0-9, '-', '_' or '.'", zone)
 		}
 	}
+	return nil
 }
--- a/internal/cli/input.go
+++ b/internal/cli/input_file.go
@@ -24,15 +24,15 @@
 func (a *app) readFile(path string, into any) error {
 	data, err := a.readAll(path)
 	if err != nil {
-		return badFile(path, err)
+		return fileError(path, err)
 	}
 	if !isJSON(path, data) {
 		if data, err = jsonFromYAML(data); err != nil {
-			return badFile(path, err)
+			return fileError(path, err)
 		}
 	}
 	if refusal := api.DecodeStrict(bytes.NewReader(data), into); refusal != nil {
-		return badFile(path, refusal)
+		return fileError(path, refusal)
 	}
 	return nil
 }
@@ -43,9 +43,9 @@
 	}
 	file, err := os.Open(path)
 	if err != nil {
-		var failed *os.PathError
-		if errors.As(err, &failed) {
-			err = failed.Err // the path is named in any case
+		var exitErr *os.PathError
+		if errors.As(err, &exitErr) {
+			err = exitErr.Err // the path is named in any case
 		}
 		return nil, err
 	}
--- a/internal/cli/job_cancel.go
+++ b/internal/cli/job_cancel.go
@@ -26,7 +26,7 @@
 // jobCancelCommand cancels jobs.
 func (a *app) jobCancelCommand() *cobra.Command {
 	var queue string
-	var sure bool
+	var confirmed bool
 	command := &cobra.Command{
 		Use:               "cancel ID... | --queue NAME --yes",
 		Short:             "Cancel jobs that have not ended",
@@ -35,11 +35,11 @@
 		ValidArgsFunction: a.completeJobs(0),
 	}
 	command.Flags().StringVar(&queue, "queue", "", "cancel all jobs of this queue")
-	command.Flags().BoolVar(&sure, "yes", false, "all jobs of the queue are meant")
+	command.Flags().BoolVar(&confirmed, "yes", false, "all jobs of the queue are meant")
 	mustComplete(command, "queue", a.completeQueues)
 	command.RunE = a.run(func(ctx context.Context, client *api.Client, ids []string) error {
 		if command.Flags().Changed("queue") {
-			return a.cancelQueue(ctx, client, queue, ids, sure)
+			return a.cancelQueue(ctx, client, queue, ids, confirmed)
 		}
 		if len(ids) == 0 {
 			return usageError("expected ids of jobs, or --queue NAME --yes")
@@ -59,15 +59,15 @@
 
 // cancelOne cancels one job and prints its state.
 func (a *app) cancelOne(ctx context.Context, client *api.Client, id string) error {
-	status, err := read(ctx, a, "cancel job "+id, func(ctx context.Context) (api.JobStatus, error) {
+	status, err := doRequest(ctx, a, "cancel job "+id, func(ctx context.Context) (api.JobStatus, error) {
 		return client.CancelJob(ctx, id)
 	})
 	if err != nil {
 		return err
 	}
 	return a.print(cancelledJobs{Jobs: []api.JobStatus{status}}, func(writer io.Writer) {
-		jobs := newGrid("id", "queue", "state", "ended")
-		jobs.add(status.ID, status.Queue, status.State, a.clockOf(status.EndedAt))
+		jobs := newTextTable("id", "queue", "state", "ended")
+		jobs.add(status.ID, status.Queue, status.State, a.formatOptionalTime(status.EndedAt))
 		jobs.render(writer)
 	})
 }
@@ -76,7 +76,7 @@
 func (a *app) cancelMany(ctx context.Context, client *api.Client, ids []string) error {
 	answer := api.CancelAnswer{}
 	for part := range slices.Chunk(ids, api.MaxCancelledJobs) {
-		cancelled, err := a.cancelCall(ctx, client, fmt.Sprintf("cancel %d jobs", len(part)), api.CancelRequest{Jobs: part})
+		cancelled, err := a.requestCancellation(ctx, client, fmt.Sprintf("cancel %d jobs", len(part)), api.CancelRequest{Jobs: part})
 		if err != nil {
 			return err
 		}
@@ -91,14 +91,14 @@
 }
 
 // cancelQueue cancels all jobs of a queue.
-func (a *app) cancelQueue(ctx context.Context, client *api.Client, queue string, ids []string, sure bool) error {
+func (a *app) cancelQueue(ctx context.Context, client *api.Client, queue string, ids []string, confirmed bool) error {
 	if queue == "" || len(ids) > 0 {
 		return usageError("expected either ids of jobs or --queue NAME --yes")
 	}
-	if !sure {
+	if !confirmed {
 		return usageError("--queue %s cancels all its jobs; say --yes as well if that is meant", queue)
 	}
-	cancelled, err := a.cancelCall(ctx, client, "cancel the jobs of queue "+queue, api.CancelRequest{Queue: queue})
+	cancelled, err := a.requestCancellation(ctx, client, "cancel the jobs of queue "+queue, api.CancelRequest{Queue: queue})
 	if err != nil {
 		return err
 	}
@@ -107,9 +107,9 @@
 	})
 }
 
-// cancelCall makes one call.
-func (a *app) cancelCall(ctx context.Context, client *api.Client, action string, request api.CancelRequest) (int, error) {
-	return read(ctx, a, action, func(ctx context.Context) (int, error) {
+// requestCancellation makes one call.
+func (a *app) requestCancellation(ctx context.Context, client *api.Client, action string, request api.CancelRequest) (int, error) {
+	return doRequest(ctx, a, action, func(ctx context.Context) (int, error) {
 		return client.CancelJobs(ctx, request)
 	})
 }
--- /dev/null
+++ b/internal/cli/job_cancel_test.go
@@ -0,0 +1,40 @@
+package cli
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/decklever/decklever/api"
+)
+
+func TestJobCancel_SendsManyJobsInOneRequest(t *testing.T) {
+	const route = "POST /v1/cancellations"
+	cases := []struct{ arguments, body, out string }{
+		{"job cancel i j k", `{"jobs":["i","j","k"]}`, "2 of 3 jobs cancelled\nthe others are not known, had ended or were cancelled before\n"},
+		{"job cancel i j", `{"jobs":["i","j"]}`, "2 of 2 jobs cancelled\n"},
+		{"job cancel --queue q --yes", `{"queue":"q"}`, "2 jobs of queue q cancelled\n"},
+		{"job cancel --queue q --yes -o json", `{"queue":"q"}`, jsonOf(api.CancelAnswer{Cancelled: 2})},
+	}
+	for _, c := range cases {
+		front := newFakeFront(t, map[string][]reply{route: {ok(api.CancelAnswer{Cancelled: 2})}})
+		got := runCommand(t, front, "", strings.Fields(c.arguments)...)
+		assertText(t, c.arguments, got.out+got.err, c.out)
+		if sent := front.requestsTo(route); got.code != ExitOK || len(sent) != 1 || sent[0].body != c.body {
+			t.Errorf("%s: exit code %d, sent %+v", c.arguments, got.code, sent)
+		}
+	}
+	ids := make([]string, api.MaxCancelledJobs+1)
+	for number := range ids {
+		ids[number] = fmt.Sprintf("j%d", number)
+	}
+	front := newFakeFront(t, map[string][]reply{route: {ok(api.CancelAnswer{Cancelled: api.MaxCancelledJobs}), ok(api.CancelAnswer{Cancelled: 1})}})
+	got := runCommand(t, front, "", slices.Concat([]string{"job", "cancel"}, ids)...)
+	assertText(t, "more than one call takes", got.out, "10001 of 10001 jobs cancelled\n")
+	if sent := front.requestsTo(route); len(sent) != 2 || sent[1].body != `{"jobs":["j10000"]}` {
+		t.Errorf("%d calls", len(sent))
+	}
+	one := newFakeFront(t, map[string][]reply{"POST /v1/jobs/j/cancel": {ok(sampleStatus("cancelled"))}})
+	assertText(t, "one", runCommand(t, one, "", "job", "cancel", "j").out, "ID  QUEUE  STATE      ENDED\nj   q      cancelled  -\n")
+}
--- a/internal/cli/job_list.go
+++ b/internal/cli/job_list.go
@@ -54,7 +54,7 @@
 func (a *app) listJobs(ctx context.Context, client *api.Client, query api.JobsQuery, all bool) (api.JobList, error) {
 	list := api.JobList{Jobs: []api.JobSummary{}}
 	for {
-		page, err := read(ctx, a, "list jobs", func(ctx context.Context) (api.JobList, error) {
+		page, err := doRequest(ctx, a, "list jobs", func(ctx context.Context) (api.JobList, error) {
 			return client.Jobs(ctx, query)
 		})
 		if err != nil {
@@ -70,13 +70,13 @@
 }
 
 func (a *app) printJobs(list api.JobList) error {
-	if list.NextPageToken != "" && a.flags.output == outputTable {
-		defer a.note(fmt.Sprintf("there are more; go on with --page-token %s, or use --all", list.NextPageToken))
+	if list.NextPageToken != "" && a.flags.output == outputFormatTable {
+		defer a.printNotice(fmt.Sprintf("there are more; go on with --page-token %s, or use --all", list.NextPageToken))
 	}
 	return a.print(list, func(writer io.Writer) {
-		jobs := newGrid("id", "queue", "state", "tasks ended", "submitted")
+		jobs := newTextTable("id", "queue", "state", "tasks ended", "submitted")
 		for _, job := range list.Jobs {
-			jobs.add(job.ID, job.Queue, job.State, fmt.Sprintf("%d/%d", job.TasksEnded, job.TasksTotal), a.clock(job.SubmittedAt))
+			jobs.add(job.ID, job.Queue, job.State, fmt.Sprintf("%d/%d", job.TasksEnded, job.TasksTotal), a.formatTime(job.SubmittedAt))
 		}
 		jobs.render(writer)
 	})
--- a/internal/cli/job_status.go
+++ b/internal/cli/job_status.go
@@ -29,9 +29,9 @@
 		if wait < 0 || wait > api.MaxWait {
 			return usageError("--wait is %v, expected 0s to %v", wait, api.MaxWait)
 		}
-		status, err := a.heldRead(ctx, client, id, wait)
+		status, err := a.readJob(ctx, client, id, wait)
 		if err != nil {
-			return callFailed("read job "+id, err)
+			return requestError("read job "+id, err)
 		}
 		return a.printJob(status)
 	})
--- a/internal/cli/repeat_test.go
+++ b/internal/cli/job_status_test.go
@@ -9,8 +9,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// TestStatusOfARepeatingJob holds the page to the table, too.
-func TestStatusOfARepeatingJob(t *testing.T) {
+// TestJobStatus_RepeatingJobMatchesPage holds the page to the table, too.
+func TestJobStatus_RepeatingJobMatchesPage(t *testing.T) {
 	submitted := time.Date(2026, 12, 2, 4, 47, 43, 0, time.UTC)
 	next := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	task := api.TaskStatus{Task: "hourly/swap/0/2", State: api.StateRunning, Run: 1, Worker: "w1"}
@@ -21,7 +21,7 @@
 	}
 	replies := fleetReplies()
 	replies["GET /v1/jobs/hourly"] = []reply{ok(status)}
-	got := decklever(t, newFakeFront(t, replies), "", "job", "status", "hourly")
+	got := runCommand(t, newFakeFront(t, replies), "", "job", "status", "hourly")
 	if got.code != ExitOK || !strings.Contains(got.out, "OCCURRENCES") {
 		t.Fatalf("exit code %d: %s%s", got.code, got.out, got.err)
 	}
--- a/internal/cli/job_submit.go
+++ b/internal/cli/job_submit.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"io"
-	"time"
 
 	"github.com/spf13/cobra"
 
@@ -53,11 +52,11 @@
 }
 
 func (a *app) submit(ctx context.Context, client *api.Client, id string, spec api.JobSpec) (created bool, err error) {
-	ctx, cancel := a.call(ctx)
+	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
 	created, err = client.SubmitJob(ctx, id, spec)
 	if err != nil {
-		return false, callFailed("submit job "+id, err)
+		return false, requestError("submit job "+id, err)
 	}
 	return created, nil
 }
@@ -71,16 +70,3 @@
 		_, _ = fmt.Fprintf(writer, "job %s %s\n", id, word)
 	})
 }
-
-// followJob waits for a job's end, prints it, and fails unless it succeeded.
-// A timeout of 0 is no bound.
-func (a *app) followJob(ctx context.Context, client *api.Client, id string, timeout time.Duration) error {
-	status, waitErr := a.waitForJob(ctx, client, id, timeout)
-	if waitErr != nil {
-		return waitErr
-	}
-	if err := a.printJob(status); err != nil {
-		return err
-	}
-	return jobEnded(status)
-}
--- a/internal/cli/job_wait.go
+++ b/internal/cli/job_wait.go
@@ -9,6 +9,13 @@
 	"github.com/decklever/decklever/api"
 )
 
+const (
+	// maxWaitPerRequest is how long one call of a longer wait is held.
+	maxWaitPerRequest = 10 * time.Second
+	// waitRequestSpacing stands between two calls of a wait.
+	waitRequestSpacing = 50 * time.Millisecond
+)
+
 const jobWaitHelp = `Wait until a job has ended and show its final state.
 
 The exit code is 0 if the job succeeded, 5 if it failed or was cancelled, and 4
@@ -40,3 +47,47 @@
 	})
 	return command
 }
+
+// waitForJob reads the job until it is final or, with a timeout above 0, that
+// time is over.
+func (a *app) waitForJob(ctx context.Context, client *api.Client, id string, timeout time.Duration) (api.JobStatus, error) {
+	end := time.Now().Add(timeout)
+	for {
+		slice := maxWaitPerRequest
+		if timeout > 0 {
+			slice = max(0, min(slice, time.Until(end)))
+		}
+		status, err := a.readJob(ctx, client, id, slice)
+		if err != nil {
+			return status, requestError("wait for job "+id, err)
+		}
+		if status.State.Final() {
+			return status, nil
+		}
+		if timeout > 0 && time.Until(end) <= 0 {
+			return status, jobNotEndedError(id, status.State)
+		}
+		// A front in trouble answers early.
+		a.sleep(ctx, waitRequestSpacing)
+	}
+}
+
+// readJob reads a job once, held until the job is final or the wait is over.
+func (a *app) readJob(ctx context.Context, client *api.Client, id string, wait time.Duration) (api.JobStatus, error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+a.flags.timeout)
+	defer cancel()
+	return client.Job(ctx, id, wait)
+}
+
+// followJob waits for a job's end, prints it, and fails unless it succeeded.
+// A timeout of 0 is no bound.
+func (a *app) followJob(ctx context.Context, client *api.Client, id string, timeout time.Duration) error {
+	status, waitErr := a.waitForJob(ctx, client, id, timeout)
+	if waitErr != nil {
+		return waitErr
+	}
+	if err := a.printJob(status); err != nil {
+		return err
+	}
+	return jobResultError(status)
+}
--- a/internal/cli/member.go
+++ b/internal/cli/member.go
@@ -1,46 +1,8 @@
 package cli
 
-import (
-	"context"
-	"fmt"
-	"io"
-
-	"github.com/spf13/cobra"
-
-	"github.com/decklever/decklever/api"
-)
+import "github.com/spf13/cobra"
 
 // memberCommand holds the command about schedulers.
 func (a *app) memberCommand() *cobra.Command {
 	return groupCommand("member", "List schedulers", "  decklever member list", a.memberListCommand())
 }
-
-// memberListCommand lists the schedulers and how far each has the log.
-func (a *app) memberListCommand() *cobra.Command {
-	return &cobra.Command{
-		Use:               "list",
-		Short:             "List schedulers and how far each has the log",
-		Example:           "  decklever member list\n  decklever member list -o json",
-		Args:              cobra.NoArgs,
-		ValidArgsFunction: cobra.NoFileCompletions,
-		RunE: a.run(func(ctx context.Context, client *api.Client, _ []string) error {
-			list, err := read(ctx, a, "list members", client.Members)
-			if err != nil {
-				return err
-			}
-			return a.print(list, func(writer io.Writer) {
-				_, _ = fmt.Fprintf(writer, "token %d, committed up to %d\n\n", list.Token, list.CommitIndex)
-				memberGrid(list).render(writer)
-			})
-		}),
-	}
-}
-
-func memberGrid(list api.MemberList) *grid {
-	members := newGrid("name", "zone", "address", "replica", "leader", "voter", "matched", "silent")
-	for _, member := range list.Members {
-		members.add(member.Name, member.Zone, member.Address, member.ReplicaID,
-			yesNo(member.Leader), yesNo(member.Voter), member.Matched, millis(member.SilentMillis))
-	}
-	return members
-}
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -7,21 +7,22 @@
 	"io"
 	"slices"
 	"strings"
+	"unicode"
 )
 
 // Forms of a result.
 const (
-	outputTable = "table"
-	outputJSON  = "json"
-	outputYAML  = "yaml"
+	outputFormatTable = "table"
+	outputFormatJSON  = "json"
+	outputFormatYAML  = "yaml"
 )
 
-var outputs = []string{outputTable, outputJSON, outputYAML}
+var outputFormats = []string{outputFormatTable, outputFormatJSON, outputFormatYAML}
 
-// checkOutput checks the value of --output.
-func checkOutput(output string) error {
-	if !slices.Contains(outputs, output) {
-		return usageError("--output is %q, expected %s", output, strings.Join(outputs, ", "))
+// checkOutputFormat checks the value of --output.
+func checkOutputFormat(output string) error {
+	if !slices.Contains(outputFormats, output) {
+		return usageError("--output is %q, expected %s", output, strings.Join(outputFormats, ", "))
 	}
 	return nil
 }
@@ -29,11 +30,11 @@
 // print writes a result in the form that was asked for: a table, or the
 // object of the API itself as one document.
 func (a *app) print(result any, table func(io.Writer)) error {
-	if a.flags.output == outputTable {
+	if a.flags.output == outputFormatTable {
 		return a.write(table)
 	}
 	data, err := marshal(result)
-	if err == nil && a.flags.output == outputYAML {
+	if err == nil && a.flags.output == outputFormatYAML {
 		data, err = yamlFromJSON(data)
 	}
 	if err != nil {
@@ -64,3 +65,22 @@
 	}
 	return buffer.Bytes(), nil
 }
+
+// printNotice writes a line for people beside the result.
+func (a *app) printNotice(text string) { writeSanitizedLine(a.Err, text) }
+
+// writeSanitizedLine writes one line; there is nowhere to report that it failed.
+func writeSanitizedLine(writer io.Writer, text string) {
+	_, _ = fmt.Fprintln(writer, sanitizeLine(text))
+}
+
+// sanitizeLine replaces line ends and other control characters, so that text from
+// the fleet can neither break a line nor steer a terminal.
+func sanitizeLine(text string) string {
+	return strings.Map(func(character rune) rune {
+		if unicode.IsControl(character) {
+			return ' '
+		}
+		return character
+	}, text)
+}
--- a/internal/cli/queue.go
+++ b/internal/cli/queue.go
@@ -1,13 +1,6 @@
 package cli
 
-import (
-	"context"
-	"io"
-
-	"github.com/spf13/cobra"
-
-	"github.com/decklever/decklever/api"
-)
+import "github.com/spf13/cobra"
 
 // queueCommand holds the commands about queues.
 func (a *app) queueCommand() *cobra.Command {
@@ -15,29 +8,3 @@
 		"  decklever queue list\n  decklever queue show swaps",
 		a.queueListCommand(), a.queueShowCommand())
 }
-
-// queueListCommand lists queues and what waits in them.
-func (a *app) queueListCommand() *cobra.Command {
-	return &cobra.Command{
-		Use:               "list",
-		Short:             "List queues and what waits and runs in them",
-		Example:           "  decklever queue list\n  decklever queue list -o json",
-		Args:              cobra.NoArgs,
-		ValidArgsFunction: cobra.NoFileCompletions,
-		RunE: a.run(func(ctx context.Context, client *api.Client, _ []string) error {
-			list, err := read(ctx, a, "list queues", client.Queues)
-			if err != nil {
-				return err
-			}
-			return a.print(list, func(writer io.Writer) { queueGrid(list).render(writer) })
-		}),
-	}
-}
-
-func queueGrid(list api.QueueList) *grid {
-	queues := newGrid("queue", "jobs", "waiting jobs", "pending tasks", "running tasks")
-	for _, queue := range list.Queues {
-		queues.add(queue.Name, queue.Jobs, queue.WaitingJobs, queue.Pending, queue.Running)
-	}
-	return queues
-}
--- a/internal/cli/queue_show.go
+++ b/internal/cli/queue_show.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -14,13 +13,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-const (
-	// maxWaitingPages bounds the pages that are read to find the oldest
-	// waiting jobs, as lists are in the order of ids.
-	maxWaitingPages = 10
-	// maxShownJobs bounds --jobs: each job is read by itself.
-	maxShownJobs = 100
-)
+// maxShownJobs bounds --jobs: each job is read by itself.
+const maxShownJobs = 100
 
 // queueDetails is the result of "queue show": the answers of several calls,
 // made at nearly the same time but not at one instant.
@@ -32,19 +26,6 @@
 	Waiting  []waitingJob        `json:"waiting"`
 }
 
-// waitingJob is a pending job with the reasons of its tasks.
-type waitingJob struct {
-	ID          string          `json:"id"`
-	SubmittedAt time.Time       `json:"submitted_at"`
-	Reasons     []waitingReason `json:"reasons"`
-}
-
-// waitingReason is why a number of a job's tasks wait.
-type waitingReason struct {
-	Reason string `json:"reason"`
-	Tasks  int    `json:"tasks"`
-}
-
 // queueShowCommand shows one queue.
 func (a *app) queueShowCommand() *cobra.Command {
 	var jobs, hours int
@@ -90,7 +71,7 @@
 		return err
 	})
 	group.Go(func() (err error) {
-		queues, err = read(ctx, a, "list queues", client.Queues)
+		queues, err = doRequest(ctx, a, "list queues", client.Queues)
 		return err
 	})
 	group.Go(func() (err error) {
@@ -108,11 +89,11 @@
 // configuration nor the leader has it.
 func selectQueue(name string, config api.Config, queues api.QueueList, bookings api.BookingList) (queueDetails, error) {
 	details := queueDetails{Status: api.QueueStatus{Name: name}}
-	details.Bookings = windowsOf(bookings, func(window api.BookingStatus) bool { return window.Queue == name })
+	details.Bookings = filterWindows(bookings, func(window api.BookingStatus) bool { return window.Queue == name })
 	configAt := slices.IndexFunc(config.Queues, func(queue api.QueueConfig) bool { return queue.Name == name })
 	statusAt := slices.IndexFunc(queues.Queues, func(queue api.QueueStatus) bool { return queue.Name == name })
 	if configAt < 0 && statusAt < 0 {
-		return details, notThere("queue", name)
+		return details, notFoundError("queue", name)
 	}
 	if configAt >= 0 {
 		details.Config = &config.Queues[configAt]
@@ -123,78 +104,15 @@
 	return details, nil
 }
 
-// oldestWaiting finds the pending jobs that were handed in first and reads
-// why their tasks wait.
-func (a *app) oldestWaiting(ctx context.Context, client *api.Client, queue string, most int) ([]waitingJob, error) {
-	waiting := []waitingJob{}
-	if most == 0 {
-		return waiting, nil
-	}
-	jobs, err := a.pendingJobs(ctx, client, queue)
-	if err != nil {
-		return nil, err
-	}
-	slices.SortStableFunc(jobs, func(a, b api.JobSummary) int { return a.SubmittedAt.Compare(b.SubmittedAt) })
-	for _, job := range jobs[:min(most, len(jobs))] {
-		status, err := a.heldRead(ctx, client, job.ID, 0)
-		if isCode(err, api.CodeNotFound) {
-			continue // gone since it was listed
-		}
-		if err != nil {
-			return nil, callFailed("read job "+job.ID, err)
-		}
-		waiting = append(waiting, waitingJob{ID: job.ID, SubmittedAt: job.SubmittedAt, Reasons: waitingReasons(status)})
-	}
-	return waiting, nil
-}
-
-// pendingJobs reads the pending jobs of a queue, as far as it is bounded.
-func (a *app) pendingJobs(ctx context.Context, client *api.Client, queue string) ([]api.JobSummary, error) {
-	query := api.JobsQuery{Queue: queue, State: api.StatePending, Limit: maxPageJobs}
-	var jobs []api.JobSummary
-	for range maxWaitingPages {
-		page, err := a.listJobs(ctx, client, query, false)
-		if err != nil {
-			return nil, err
-		}
-		jobs = append(jobs, page.Jobs...)
-		if page.NextPageToken == "" {
-			return jobs, nil
-		}
-		query.PageToken = page.NextPageToken
-	}
-	a.note(fmt.Sprintf("more than %d jobs wait; the oldest of the first %d by id are shown", len(jobs), len(jobs)))
-	return jobs, nil
-}
-
-// waitingReasons counts the reasons of pending tasks, in the order of tasks.
-func waitingReasons(status api.JobStatus) []waitingReason {
-	reasons := []waitingReason{}
-	for _, step := range status.Steps {
-		for _, task := range step.Tasks {
-			if task.State != api.StatePending {
-				continue
-			}
-			at := slices.IndexFunc(reasons, func(one waitingReason) bool { return one.Reason == task.Reason })
-			if at < 0 {
-				at = len(reasons)
-				reasons = append(reasons, waitingReason{Reason: task.Reason})
-			}
-			reasons[at].Tasks++
-		}
-	}
-	return reasons
-}
-
 // renderQueue writes the tables of one queue.
 func (a *app) renderQueue(writer io.Writer, details queueDetails) {
 	config := api.QueueConfig{}
 	if details.Config != nil {
 		config = *details.Config
 	}
-	queue := newGrid("queue", "team", "priority", "weight", "default allowed failures", "jobs", "pending tasks", "running tasks")
+	queue := newTextTable("queue", "team", "priority", "weight", "default allowed failures", "jobs", "pending tasks", "running tasks")
 	queue.add(details.Status.Name, config.Team, config.Priority, config.Weight, config.DefaultAllowedFailures, details.Status.Jobs,
-		bounded(details.Status.Pending, config.MaxPendingTasks), bounded(details.Status.Running, config.MaxRunningTasks))
+		formatCount(details.Status.Pending, config.MaxPendingTasks), formatCount(details.Status.Running, config.MaxRunningTasks))
 	queue.render(writer)
 	renderExpectedWait(writer, details.Status)
 	if details.Config == nil {
@@ -202,11 +120,11 @@
 	}
 	if len(details.Bookings) > 0 {
 		_, _ = fmt.Fprintln(writer)
-		a.bookingGrid(details.Bookings).render(writer)
+		a.bookingTable(details.Bookings).render(writer)
 	}
 	if len(details.Waiting) > 0 {
 		_, _ = fmt.Fprintln(writer)
-		a.waitingGrid(details.Waiting).render(writer)
+		a.waitingTable(details.Waiting).render(writer)
 	}
 }
 
@@ -221,24 +139,3 @@
 		_, _ = fmt.Fprintln(writer, "the queue is overloaded: that is longer than its objective leaves")
 	}
 }
-
-// waitingGrid is the table of waiting jobs.
-func (a *app) waitingGrid(jobs []waitingJob) *grid {
-	waiting := newGrid("waiting job", "submitted", "reasons (tasks)")
-	for _, job := range jobs {
-		reasons := make([]string, len(job.Reasons))
-		for index, one := range job.Reasons {
-			reasons[index] = fmt.Sprintf("%s (%d)", cell(one.Reason), one.Tasks)
-		}
-		waiting.add(job.ID, a.clock(job.SubmittedAt), strings.Join(reasons, "; "))
-	}
-	return waiting
-}
-
-// bounded is a count with its bound, if it has one.
-func bounded(count, bound int) string {
-	if bound == 0 {
-		return fmt.Sprint(count)
-	}
-	return fmt.Sprintf("%d/%d", count, bound)
-}
--- /dev/null
+++ b/internal/cli/request.go
@@ -0,0 +1,67 @@
+package cli
+
+import (
+	"context"
+	"errors"
+
+	"github.com/spf13/cobra"
+
+	"github.com/decklever/decklever/api"
+)
+
+// action is the work of one command, with the client to do it with.
+type action func(ctx context.Context, client *api.Client, arguments []string) error
+
+// run makes the RunE of a command that calls the fleet.
+func (a *app) run(work action) func(*cobra.Command, []string) error {
+	return func(command *cobra.Command, arguments []string) error {
+		a.started = true
+		if err := a.checkGlobal(); err != nil {
+			return err
+		}
+		client, err := a.client()
+		if err != nil {
+			return err
+		}
+		defer client.Close()
+		return work(command.Context(), client, arguments)
+	}
+}
+
+// checkGlobal checks the flags of every command.
+func (a *app) checkGlobal() error {
+	if a.flags.timeout <= 0 {
+		return usageError("--timeout is %v, expected a duration above 0", a.flags.timeout)
+	}
+	return checkOutputFormat(a.flags.output)
+}
+
+// client makes the client of the fronts that the flags name.
+func (a *app) client() (*api.Client, error) {
+	client, err := api.NewClient(api.ClientConfig{Endpoints: a.flags.fronts, HTTPClient: a.HTTPClient})
+	if err != nil {
+		return nil, usageError("--front: %v", err)
+	}
+	return client, nil
+}
+
+// requestContext bounds one call to the fleet, with all its tries, by --timeout.
+func (a *app) requestContext(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, a.flags.timeout)
+}
+
+// doRequest makes one call that has no arguments.
+func doRequest[Answer any](ctx context.Context, a *app, action string, call func(context.Context) (Answer, error)) (Answer, error) {
+	ctx, cancel := a.requestContext(ctx)
+	defer cancel()
+	answer, err := call(ctx)
+	if err != nil {
+		return answer, requestError(action, err)
+	}
+	return answer, nil
+}
+
+// isCode reports whether the error is an answer of the fleet with this code.
+func isCode(err error, code api.ErrorCode) bool {
+	return errors.Is(err, &api.Error{Code: code})
+}
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -60,8 +60,8 @@
 	flags := root.PersistentFlags()
 	flags.StringSliceVar(&a.flags.fronts, "front", fronts, "base URLs of fronts, comma separated; environment: "+frontsVariable)
 	flags.DurationVar(&a.flags.timeout, "timeout", defaultTimeout, "bound on each call to the fleet, with all its tries")
-	flags.StringVarP(&a.flags.output, "output", "o", outputTable, "form of the result: "+strings.Join(outputs, ", "))
-	mustComplete(root, "output", cobra.FixedCompletions(outputs, cobra.ShellCompDirectiveNoFileComp))
+	flags.StringVarP(&a.flags.output, "output", "o", outputFormatTable, "form of the result: "+strings.Join(outputFormats, ", "))
+	mustComplete(root, "output", cobra.FixedCompletions(outputFormats, cobra.ShellCompDirectiveNoFileComp))
 }
 
 // groupCommand is a command that only holds others. Cobra would answer a
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -48,15 +48,15 @@
 	var status fleetStatus
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() (err error) {
-		status.Members, err = read(ctx, a, "list members", client.Members)
+		status.Members, err = doRequest(ctx, a, "list members", client.Members)
 		return err
 	})
 	group.Go(func() (err error) {
-		status.Workers, err = read(ctx, a, "list workers", client.Workers)
+		status.Workers, err = doRequest(ctx, a, "list workers", client.Workers)
 		return err
 	})
 	group.Go(func() (err error) {
-		status.Queues, err = read(ctx, a, "list queues", client.Queues)
+		status.Queues, err = doRequest(ctx, a, "list queues", client.Queues)
 		return err
 	})
 	group.Go(func() (err error) {
@@ -71,19 +71,19 @@
 	_, _ = fmt.Fprintf(writer, "leader         %s\n", leaderOf(status.Members))
 	_, _ = fmt.Fprintf(writer, "workers        %s\n", countWorkers(status.Workers))
 	_, _ = fmt.Fprintf(writer, "configuration  version %d, %s\n\n", status.Rollout.Version, completeness(status.Rollout))
-	memberGrid(status.Members).render(writer)
+	memberTable(status.Members).render(writer)
 	_, _ = fmt.Fprintln(writer)
-	queueGrid(status.Queues).render(writer)
+	queueTable(status.Queues).render(writer)
 }
 
 // leaderOf names the leader with its zone and token.
 func leaderOf(list api.MemberList) string {
 	for _, member := range list.Members {
 		if member.Leader {
-			return cell(fmt.Sprintf("%s in %s (token %d)", member.Name, member.Zone, list.Token))
+			return formatCell(fmt.Sprintf("%s in %s (token %d)", member.Name, member.Zone, list.Token))
 		}
 	}
-	return none
+	return emptyCell
 }
 
 // countWorkers counts workers by state, in a fixed order of states.
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -82,14 +82,14 @@
 // readTimeline reads the parts, at nearly the same time but not at one
 // instant.
 func (a *app) readTimeline(ctx context.Context, client *api.Client, flags timelineFlags) (timeline, error) {
-	var source timelineSource
+	var source timelineInput
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() (err error) {
-		source.workers, err = read(ctx, a, "list workers", client.Workers)
+		source.workers, err = doRequest(ctx, a, "list workers", client.Workers)
 		return err
 	})
 	group.Go(func() (err error) {
-		source.queues, err = read(ctx, a, "list queues", client.Queues)
+		source.queues, err = doRequest(ctx, a, "list queues", client.Queues)
 		return err
 	})
 	group.Go(func() (err error) {
@@ -114,7 +114,7 @@
 		return a.print(line, func(writer io.Writer) { renderTimeline(writer, line, a.Location, flags.width) })
 	}
 	if err := drawTimeline(path, format, line, a.Location); err != nil {
-		return badFile(path, err)
+		return fileError(path, err)
 	}
 	return a.print(line, func(writer io.Writer) { _, _ = fmt.Fprintf(writer, "%s is written\n", path) })
 }
--- a/internal/cli/timeline_text.go
+++ b/internal/cli/timeline_chart.go
@@ -15,8 +15,8 @@
 	// minTimelineBar is the least width of a bar.
 	minTimelineBar = 16
 	// Marks of a column of a bar.
-	noRoom     = '.'
-	beyondRoom = '!'
+	barEmpty        = '.'
+	barOverCapacity = '!'
 )
 
 // barLevels are the marks of shares of up to an eighth, two eighths and so on.
@@ -30,11 +30,11 @@
 		line.From.In(location).Format(time.RFC3339), line.To.In(location).Format(time.RFC3339))
 	_, _ = fmt.Fprintln(writer, strings.TrimRight(prefixes[0]+hourHeader(line, location, bar), " "))
 	for index, row := range line.Rows {
-		_, _ = fmt.Fprintln(writer, prefixes[index+1]+barOf(row, line, bar))
+		_, _ = fmt.Fprintln(writer, prefixes[index+1]+renderBar(row, line, bar))
 	}
 	column := line.To.Sub(line.From) / time.Duration(bar)
 	_, _ = fmt.Fprintf(writer, "\neach column is %v; %c none, %c to %c up to all of the room, %c beyond it\n",
-		column.Round(time.Second), noRoom, barLevels[0], barLevels[len(barLevels)-1], beyondRoom)
+		column.Round(time.Second), barEmpty, barLevels[0], barLevels[len(barLevels)-1], barOverCapacity)
 }
 
 // timelinePrefixes are the texts before the bars, of one width: that of the
@@ -43,8 +43,8 @@
 	rows := [][]string{{strings.ToUpper(line.By), "RUNNING", "USED", "BOOKED"}}
 	for _, row := range line.Rows {
 		rows = append(rows, []string{
-			cutName(cell(row.Name)), fmt.Sprint(row.Running),
-			percent(shareIn(row.Used, row.Capacity)), percent(row.peak(line.From, line.To)),
+			truncateName(formatCell(row.Name)), fmt.Sprint(row.Running),
+			formatPercent(dominantShare(row.Used, row.Capacity)), formatPercent(row.peak(line.From, line.To)),
 		})
 	}
 	widths := make([]int, len(rows[0]))
@@ -62,8 +62,8 @@
 	return prefixes
 }
 
-// cutName shortens a long name.
-func cutName(name string) string {
+// truncateName shortens a long name.
+func truncateName(name string) string {
 	runes := []rune(name)
 	if len(runes) <= maxTimelineName {
 		return name
@@ -71,8 +71,8 @@
 	return string(runes[:maxTimelineName-1]) + "…"
 }
 
-// percent is a share for people, rounded up so that no use shows as none.
-func percent(share float64) string {
+// formatPercent is a share for people, rounded up so that no use shows as none.
+func formatPercent(share float64) string {
 	const most, rounding = 9.99, 1e-9
 	if share > most {
 		return ">999%"
@@ -80,11 +80,11 @@
 	return fmt.Sprintf("%.0f%%", math.Ceil(max(0, share*100-rounding)))
 }
 
-// barOf is the peak of the booked room in each column.
-func barOf(row timelineRow, line timeline, width int) string {
+// renderBar is the peak of the booked room in each column.
+func renderBar(row timelineRow, line timeline, width int) string {
 	bar := make([]rune, width)
 	for column := range bar {
-		bar[column] = mark(row.peak(columnTime(line, column, width), columnTime(line, column+1, width)))
+		bar[column] = barCharacter(row.peak(columnTime(line, column, width), columnTime(line, column+1, width)))
 	}
 	return string(bar)
 }
@@ -96,12 +96,12 @@
 }
 
 // mark is the character of a share.
-func mark(share float64) rune {
+func barCharacter(share float64) rune {
 	switch {
 	case share <= 0:
-		return noRoom
+		return barEmpty
 	case share > 1:
-		return beyondRoom
+		return barOverCapacity
 	default:
 		return barLevels[int(math.Ceil(share*float64(len(barLevels))))-1]
 	}
--- a/internal/cli/timeline_plot.go
+++ b/internal/cli/timeline_drawing.go
@@ -18,14 +18,14 @@
 	// Size of a drawing, in points.
 	plotWidth      = vg.Length(800)
 	plotMargin     = vg.Length(100)
-	plotLane       = vg.Length(28)
+	plotRowHeight  = vg.Length(28)
 	maxPlotHeight  = vg.Length(6000)
 	plotCharacters = 100
-	// laneFilled is the part of a lane that all the room fills.
-	laneFilled = 0.8
-	// usedPart is the part of the time axis that the room in use takes, left
+	// rowFillRatio is the part of a lane that all the room fills.
+	rowFillRatio = 0.8
+	// usedAxisShare is the part of the time axis that the room in use takes, left
 	// of now.
-	usedPart = 0.02
+	usedAxisShare = 0.02
 )
 
 var (
@@ -40,7 +40,7 @@
 	if err != nil {
 		return fmt.Errorf("draw the timeline: %w", err)
 	}
-	height := min(plotMargin+plotLane*vg.Length(len(line.Rows)), maxPlotHeight)
+	height := min(plotMargin+plotRowHeight*vg.Length(len(line.Rows)), maxPlotHeight)
 	drawing, err := chart.WriterTo(plotWidth, height, format)
 	if err != nil {
 		return fmt.Errorf("draw the timeline: %w", err)
@@ -57,7 +57,7 @@
 	chart := plot.New()
 	chart.Title.Text = fmt.Sprintf("Room booked from %s to %s, and in use now",
 		line.From.In(location).Format(time.RFC3339), line.To.In(location).Format(time.RFC3339))
-	chart.X.Min, chart.X.Max = -usedPart, 1
+	chart.X.Min, chart.X.Max = -usedAxisShare, 1
 	chart.Y.Min, chart.Y.Max = 0, float64(len(line.Rows)+1)
 	var ticks, names plot.ConstantTicks
 	for _, one := range hourTicks(line, location, plotCharacters) {
@@ -67,7 +67,7 @@
 	var booked, used *plotter.Polygon
 	for index, row := range line.Rows {
 		base := float64(len(line.Rows) - 1 - index)
-		names = append(names, plot.Tick{Value: base + laneFilled/2, Label: cutName(cell(row.Name))})
+		names = append(names, plot.Tick{Value: base + rowFillRatio/2, Label: truncateName(formatCell(row.Name))})
 		var err error
 		if booked, err = addArea(chart, bookedArea(row, line, base), bookedColor); err != nil {
 			return nil, err
@@ -104,7 +104,7 @@
 	corners := plotter.XYs{{X: 0, Y: base}}
 	edges := row.edges(line.From, line.To)
 	for index := range edges[1:] {
-		height := laneHeight(sumAt(row.Booked, edges[index]), row.Capacity)
+		height := filledHeight(bookedAt(row.Booked, edges[index]), row.Capacity)
 		corners = append(corners,
 			plotter.XY{X: place(edges[index]), Y: base + height},
 			plotter.XY{X: place(edges[index+1]), Y: base + height})
@@ -114,11 +114,11 @@
 
 // usedArea is the outline of the room in use.
 func usedArea(row timelineRow, base float64) plotter.XYs {
-	top := base + laneHeight(row.Used, row.Capacity)
-	return plotter.XYs{{X: -usedPart, Y: base}, {X: -usedPart, Y: top}, {X: 0, Y: top}, {X: 0, Y: base}}
+	top := base + filledHeight(row.Used, row.Capacity)
+	return plotter.XYs{{X: -usedAxisShare, Y: base}, {X: -usedAxisShare, Y: top}, {X: 0, Y: top}, {X: 0, Y: base}}
 }
 
-// laneHeight is how far a lane is filled; what is beyond the room ends at it.
-func laneHeight(room, capacity api.Resources) float64 {
-	return laneFilled * min(1, shareIn(room, capacity))
+// filledHeight is how far a lane is filled; what is beyond the room ends at it.
+func filledHeight(room, capacity api.Resources) float64 {
+	return rowFillRatio * min(1, dominantShare(room, capacity))
 }
--- a/internal/cli/timeline_data.go
+++ b/internal/cli/timeline_rows.go
@@ -15,8 +15,8 @@
 	byQueue  = "queue"
 )
 
-// unplaced is the line of slices that lie on no worker yet.
-const unplaced = "(not placed)"
+// unplacedRow is the line of slices that lie on no worker yet.
+const unplacedRow = "(not placed)"
 
 // timeline is the result of "timeline".
 type timeline struct {
@@ -32,20 +32,20 @@
 	// Capacity is what shares are taken of.
 	Capacity api.Resources `json:"capacity"`
 	// Running counts open runs and Used is room in use, both now.
-	Running int           `json:"running"`
-	Used    api.Resources `json:"used"`
-	Booked  []bookedRoom  `json:"booked"`
+	Running int              `json:"running"`
+	Used    api.Resources    `json:"used"`
+	Booked  []bookedInterval `json:"booked"`
 }
 
-// bookedRoom is room that is booked from one time to another.
-type bookedRoom struct {
-	From time.Time     `json:"from"`
-	To   time.Time     `json:"to"`
-	Room api.Resources `json:"room"`
+// bookedInterval is room that is booked from one time to another.
+type bookedInterval struct {
+	From      time.Time     `json:"from"`
+	To        time.Time     `json:"to"`
+	Resources api.Resources `json:"room"`
 }
 
-// timelineSource is what a timeline is made from.
-type timelineSource struct {
+// timelineInput is what a timeline is made from.
+type timelineInput struct {
 	from, to time.Time
 	workers  api.WorkerList
 	queues   api.QueueList
@@ -53,7 +53,7 @@
 }
 
 // timeline makes the lines, by name, and the one of what is not placed last.
-func (s timelineSource) timeline(by string) timeline {
+func (s timelineInput) timeline(by string) timeline {
 	rows := s.queueRows()
 	if by == byWorker {
 		rows = s.workerRows()
@@ -62,45 +62,45 @@
 }
 
 // workerRows makes a row for each worker and one of slices that lie on none.
-func (s timelineSource) workerRows() timelineRows {
+func (s timelineInput) workerRows() timelineRows {
 	rows := timelineRows{}
 	for _, worker := range s.workers.Workers {
-		row := rows.of(worker.Name)
+		row := rows.rowOf(worker.Name)
 		row.Capacity, row.Running, row.Used = worker.Capacity, worker.Runs, worker.Used
 	}
 	for _, window := range s.bookings.Bookings {
 		left := window.Slots
 		for _, place := range window.Workers {
-			s.book(rows.of(place.Worker), window, place.Slots)
+			s.addInterval(rows.rowOf(place.Worker), window, place.Slots)
 			left -= place.Slots
 		}
 		if left > 0 && s.overlaps(window) {
-			rows.of(unplaced).Capacity = s.fleet()
-			s.book(rows.of(unplaced), window, left)
+			rows.rowOf(unplacedRow).Capacity = s.fleetCapacity()
+			s.addInterval(rows.rowOf(unplacedRow), window, left)
 		}
 	}
 	return rows
 }
 
 // queueRows makes a row for each queue.
-func (s timelineSource) queueRows() timelineRows {
+func (s timelineInput) queueRows() timelineRows {
 	rows := timelineRows{}
 	for _, queue := range s.queues.Queues {
-		rows.of(queue.Name).Running = queue.Running
+		rows.rowOf(queue.Name).Running = queue.Running
 	}
 	for _, window := range s.bookings.Bookings {
-		row := rows.of(window.Queue)
+		row := rows.rowOf(window.Queue)
 		row.Used = row.Used.Add(multiply(window.Slice, window.Used))
-		s.book(row, window, window.Slots)
+		s.addInterval(row, window, window.Slots)
 	}
 	for _, row := range rows {
-		row.Capacity = s.fleet()
+		row.Capacity = s.fleetCapacity()
 	}
 	return rows
 }
 
-// book adds the room of slices of a window, as far as it is in view.
-func (s timelineSource) book(row *timelineRow, window api.BookingStatus, slots int) {
+// addInterval adds the room of slices of a window, as far as it is in view.
+func (s timelineInput) addInterval(row *timelineRow, window api.BookingStatus, slots int) {
 	if slots <= 0 || !s.overlaps(window) {
 		return
 	}
@@ -111,16 +111,16 @@
 	if to.After(s.to) {
 		to = s.to
 	}
-	row.Booked = append(row.Booked, bookedRoom{From: from, To: to, Room: multiply(window.Slice, slots)})
+	row.Booked = append(row.Booked, bookedInterval{From: from, To: to, Resources: multiply(window.Slice, slots)})
 }
 
 // overlaps reports whether a window takes room within the view.
-func (s timelineSource) overlaps(window api.BookingStatus) bool {
+func (s timelineInput) overlaps(window api.BookingStatus) bool {
 	return window.State != api.BookingReleased && window.HeldFrom.Before(s.to) && window.End.After(s.from)
 }
 
-// fleet is the room of all workers that are not lost.
-func (s timelineSource) fleet() api.Resources {
+// fleetCapacity is the room of all workers that are not lost.
+func (s timelineInput) fleetCapacity() api.Resources {
 	var room api.Resources
 	for _, worker := range s.workers.Workers {
 		if worker.State != api.WorkerLost {
@@ -133,10 +133,10 @@
 // timelineRows are rows by name.
 type timelineRows map[string]*timelineRow
 
-// of is the row of a name, a new one if there was none.
-func (r timelineRows) of(name string) *timelineRow {
+// rowOf is the row of a name, a new one if there was none.
+func (r timelineRows) rowOf(name string) *timelineRow {
 	if r[name] == nil {
-		r[name] = &timelineRow{Name: name, Booked: []bookedRoom{}}
+		r[name] = &timelineRow{Name: name, Booked: []bookedInterval{}}
 	}
 	return r[name]
 }
@@ -148,7 +148,7 @@
 		rows = append(rows, *row)
 	}
 	rank := func(row timelineRow) int {
-		if row.Name == unplaced {
+		if row.Name == unplacedRow {
 			return 1
 		}
 		return 0
@@ -161,7 +161,7 @@
 
 // peak is the largest share that is booked at any time from one to another.
 func (r timelineRow) peak(from, to time.Time) float64 {
-	var within []bookedRoom
+	var within []bookedInterval
 	for _, one := range r.Booked {
 		if one.From.Before(to) && one.To.After(from) {
 			within = append(within, one)
@@ -173,7 +173,7 @@
 		if moment.Before(from) {
 			moment = from
 		}
-		highest = max(highest, shareIn(sumAt(within, moment), r.Capacity))
+		highest = max(highest, dominantShare(bookedAt(within, moment), r.Capacity))
 	}
 	return highest
 }
@@ -189,20 +189,20 @@
 	return slices.CompactFunc(edges, time.Time.Equal)
 }
 
-// sumAt is the room that is booked at a moment.
-func sumAt(booked []bookedRoom, moment time.Time) api.Resources {
+// bookedAt is the room that is booked at a moment.
+func bookedAt(booked []bookedInterval, moment time.Time) api.Resources {
 	var sum api.Resources
 	for _, one := range booked {
 		if !one.From.After(moment) && one.To.After(moment) {
-			sum = sum.Add(one.Room)
+			sum = sum.Add(one.Resources)
 		}
 	}
 	return sum
 }
 
-// shareIn is the largest share that room takes of a capacity, over the kinds
+// dominantShare is the largest share that room takes of a capacity, over the kinds
 // of room; infinite if there is nothing of a kind that it takes.
-func shareIn(room, capacity api.Resources) float64 {
+func dominantShare(room, capacity api.Resources) float64 {
 	share := func(room, capacity int64) float64 {
 		switch {
 		case room <= 0:
--- a/internal/cli/timeline_test.go
+++ b/internal/cli/timeline_test.go
@@ -25,39 +25,39 @@
 	return replies
 }
 
-func TestTimelineText(t *testing.T) {
+func TestTimeline_PrintsChart(t *testing.T) {
 	for _, c := range []struct{ arguments, golden string }{
 		{"timeline", "timeline_worker.txt"},
 		{"timeline --by queue --width 60", "timeline_queue.txt"},
 	} {
 		front := newFakeFront(t, timelineReplies())
-		got := decklever(t, front, "", strings.Fields(c.arguments)...)
+		got := runCommand(t, front, "", strings.Fields(c.arguments)...)
 		want, err := os.ReadFile(filepath.Join("testdata", c.golden))
 		if err != nil {
 			t.Error(err)
 		}
-		wantText(t, c.arguments, got.out+got.err, string(want))
-		wantText(t, "query", front.got("GET /v1/bookings")[0].query, "hours=12")
+		assertText(t, c.arguments, got.out+got.err, string(want))
+		assertText(t, "query", front.requestsTo("GET /v1/bookings")[0].query, "hours=12")
 	}
 }
 
-func TestTimelineOfAnEmptyFleet(t *testing.T) {
+func TestTimeline_EmptyFleetHasNoRows(t *testing.T) {
 	replies := map[string][]reply{"GET /v1/workers": {ok(api.WorkerList{})}, "GET /v1/queues": {ok(api.QueueList{})}, "GET /v1/bookings": {ok(api.BookingList{})}}
 	path := filepath.Join(t.TempDir(), "rooms.svg")
 	for _, arguments := range []string{"timeline", "timeline --svg " + path} {
-		if got := decklever(t, newFakeFront(t, replies), "", strings.Fields(arguments)...); got.code != ExitOK {
+		if got := runCommand(t, newFakeFront(t, replies), "", strings.Fields(arguments)...); got.code != ExitOK {
 			t.Errorf("%s: exit code %d: %s", arguments, got.code, got.err)
 		}
 	}
-	got := decklever(t, newFakeFront(t, replies), "", "timeline", "-o", "json")
-	wantText(t, "JSON", got.out, jsonOf(timeline{From: sampleNow, To: sampleNow.Add(12 * time.Hour), By: byWorker, Rows: []timelineRow{}}))
+	got := runCommand(t, newFakeFront(t, replies), "", "timeline", "-o", "json")
+	assertText(t, "JSON", got.out, jsonOf(timeline{From: testNow, To: testNow.Add(12 * time.Hour), By: byWorker, Rows: []timelineRow{}}))
 }
 
-func TestTimelinePeak(t *testing.T) {
-	at := func(hours int) time.Time { return sampleNow.Add(time.Duration(hours) * time.Hour) }
+func TestTimelineRow_PeakIsLargestShare(t *testing.T) {
+	at := func(hours int) time.Time { return testNow.Add(time.Duration(hours) * time.Hour) }
 	cpu := func(amount int64) api.Resources { return api.Resources{CPUMillis: amount} }
-	row := timelineRow{Capacity: cpu(10), Booked: []bookedRoom{
-		{From: at(0), To: at(2), Room: cpu(4)}, {From: at(1), To: at(3), Room: cpu(5)}, {From: at(3), To: at(4), Room: cpu(12)},
+	row := timelineRow{Capacity: cpu(10), Booked: []bookedInterval{
+		{From: at(0), To: at(2), Resources: cpu(4)}, {From: at(1), To: at(3), Resources: cpu(5)}, {From: at(3), To: at(4), Resources: cpu(12)},
 	}}
 	cases := []struct {
 		from, to int
@@ -68,29 +68,29 @@
 			t.Errorf("from %d to %d: %v, want %v", c.from, c.to, got, c.share)
 		}
 	}
-	for share, want := range map[float64]string{0: ".0%", 0.001: "▁1%", 0.07: "▁7%", 0.125: "▁13%", 0.126: "▂13%", 1: "█100%", 1.01: "!101%", shareIn(cpu(1), cpu(0)): "!>999%"} {
-		wantText(t, "mark", string(mark(share))+percent(share), want)
+	for share, want := range map[float64]string{0: ".0%", 0.001: "▁1%", 0.07: "▁7%", 0.125: "▁13%", 0.126: "▂13%", 1: "█100%", 1.01: "!101%", dominantShare(cpu(1), cpu(0)): "!>999%"} {
+		assertText(t, "mark", string(barCharacter(share))+formatPercent(share), want)
 	}
 }
 
-func TestHourLabelsFitAndFollowTheLocalClock(t *testing.T) {
+func TestHourTicks_FitAndFollowLocalTime(t *testing.T) {
 	zone := time.FixedZone("", 5*3600+1800)
 	for hours, want := range map[int]string{1: "19:00", 12: "20:00 22:00 00:00 02:00 04:00 06:00", 168: "Feb 01 Feb 02 Feb 03 Feb 04 Feb 05 Feb 06 Feb 07"} {
-		line := timeline{From: sampleNow, To: sampleNow.Add(time.Duration(hours) * time.Hour)}
+		line := timeline{From: testNow, To: testNow.Add(time.Duration(hours) * time.Hour)}
 		var labels []string
 		for _, one := range hourTicks(line, zone, 60) {
 			labels = append(labels, one.label)
 		}
-		wantText(t, "labels", strings.Join(labels, " "), want)
+		assertText(t, "labels", strings.Join(labels, " "), want)
 	}
 }
 
-func TestTimelineDrawings(t *testing.T) {
+func TestTimeline_WritesDrawings(t *testing.T) {
 	directory := t.TempDir()
 	drawn := func(flag, name string) *os.File {
 		path := filepath.Join(directory, name)
-		got := decklever(t, newFakeFront(t, timelineReplies()), "", "timeline", flag, path)
-		wantText(t, name, got.out+got.err, path+" is written\n")
+		got := runCommand(t, newFakeFront(t, timelineReplies()), "", "timeline", flag, path)
+		assertText(t, name, got.out+got.err, path+" is written\n")
 		file, err := os.Open(path)
 		if err != nil {
 			t.Fatal(err)
@@ -99,7 +99,7 @@
 		return file
 	}
 	texts, shapes := svgContent(t, drawn("--svg", "rooms.svg"))
-	for _, want := range []string{"w1", "w2", "w3", unplaced, "16:00", "booked", "in use"} {
+	for _, want := range []string{"w1", "w2", "w3", unplacedRow, "16:00", "booked", "in use"} {
 		if !strings.Contains(texts, want) {
 			t.Errorf("the drawing lacks %q: %s", want, texts)
 		}
@@ -111,7 +111,7 @@
 	if err != nil || picture.Bounds().Dx() < 800 || picture.Bounds().Dy() < 200 {
 		t.Errorf("picture %v, %v", picture, err)
 	}
-	got := decklever(t, newFakeFront(t, timelineReplies()), "", "timeline", "--svg", directory)
+	got := runCommand(t, newFakeFront(t, timelineReplies()), "", "timeline", "--svg", directory)
 	if got.code != ExitUsage || !strings.HasPrefix(got.err, "decklever: "+directory+": ") {
 		t.Errorf("into a directory: exit code %d, %s", got.code, got.err)
 	}
--- a/internal/cli/timeline_ticks.go
+++ b/internal/cli/timeline_ticks.go
@@ -19,7 +19,7 @@
 	step := hourStep(characters / span.Hours())
 	var ticks []tick
 	for moment := fullHour(line.From.In(location)); moment.Before(line.To); moment = moment.Add(time.Hour) {
-		if !onStep(moment, step) {
+		if !hasLabel(moment, step) {
 			continue
 		}
 		layout := "15:04"
@@ -43,8 +43,8 @@
 	return steps[len(steps)-1]
 }
 
-// onStep reports whether a full hour gets a label.
-func onStep(moment time.Time, step int) bool {
+// hasLabel reports whether a full hour gets a label.
+func hasLabel(moment time.Time, step int) bool {
 	if step < 24 {
 		return moment.Hour()%step == 0
 	}
--- a/internal/cli/diff.go
+++ b/internal/cli/unified_diff.go
@@ -11,24 +11,24 @@
 // edit is one line of a comparison.
 type edit struct {
 	// mark is ' ' for a line of both, '-' for one of the old, '+' of the new.
-	mark byte
-	line string
+	kind byte
+	text string
 }
 
 // unifiedDiff compares two texts by lines, in the unified format of diff -u.
 // It is empty if they are equal.
 func unifiedDiff(oldName, newName string, oldText, newText []byte) string {
-	edits := compareLines(linesOf(oldText), linesOf(newText))
+	edits := diffLines(splitLines(oldText), splitLines(newText))
 	var text strings.Builder
-	oldLine, newLine := 1, 1
+	oldNumber, newNumber := 1, 1
 	for start := 0; start < len(edits); {
 		end, changed := hunkEnd(edits, start)
 		if !changed {
 			break
 		}
 		first := max(start, firstChange(edits, start)-diffContext)
-		oldLine, newLine = oldLine+first-start, newLine+first-start
-		writeHunk(&text, edits[first:end], &oldLine, &newLine)
+		oldNumber, newNumber = oldNumber+first-start, newNumber+first-start
+		writeHunk(&text, edits[first:end], &oldNumber, &newNumber)
 		start = end
 	}
 	if text.Len() == 0 {
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("--- %s\n+++ %s\n%s", oldName, newName, text.String())
 }
 
-// linesOf splits a text that ends with a line end.
-func linesOf(text []byte) []string {
+// splitLines splits a text that ends with a line end.
+func splitLines(text []byte) []string {
 	trimmed := strings.TrimSuffix(string(text), "\n")
 	if trimmed == "" {
 		return nil
@@ -46,9 +46,9 @@
 	return strings.Split(trimmed, "\n")
 }
 
-// compareLines finds the fewest removed and added lines by the longest common
+// diffLines finds the fewest removed and added lines by the longest common
 // subsequence (dynamic programming over all pairs; configurations are small).
-func compareLines(before, after []string) []edit {
+func diffLines(before, after []string) []edit {
 	// common[i][j] is the length for before[i:] and after[j:].
 	common := make([][]int, len(before)+1)
 	for i := range common {
@@ -63,11 +63,11 @@
 			}
 		}
 	}
-	return walk(before, after, common)
+	return editScript(before, after, common)
 }
 
-// walk reads the edits off the table, removed lines before added ones.
-func walk(before, after []string, common [][]int) []edit {
+// editScript reads the edits off the table, removed lines before added ones.
+func editScript(before, after []string, common [][]int) []edit {
 	var edits []edit
 	i, j := 0, 0
 	for i < len(before) || j < len(after) {
@@ -90,7 +90,7 @@
 // number of edits.
 func firstChange(edits []edit, start int) int {
 	for index := start; index < len(edits); index++ {
-		if edits[index].mark != ' ' {
+		if edits[index].kind != ' ' {
 			return index
 		}
 	}
@@ -105,7 +105,7 @@
 		return index, false
 	}
 	for {
-		for index < len(edits) && edits[index].mark != ' ' {
+		for index < len(edits) && edits[index].kind != ' ' {
 			index++
 		}
 		next := firstChange(edits, index)
@@ -117,26 +117,26 @@
 }
 
 // writeHunk writes one hunk and moves both line numbers behind it.
-func writeHunk(text *strings.Builder, hunk []edit, oldLine, newLine *int) {
+func writeHunk(text *strings.Builder, hunk []edit, oldNumber, newNumber *int) {
 	oldCount, newCount := 0, 0
 	for _, one := range hunk {
-		if one.mark != '+' {
+		if one.kind != '+' {
 			oldCount++
 		}
-		if one.mark != '-' {
+		if one.kind != '-' {
 			newCount++
 		}
 	}
-	fmt.Fprintf(text, "@@ -%s +%s @@\n", lineRange(*oldLine, oldCount), lineRange(*newLine, newCount))
+	fmt.Fprintf(text, "@@ -%s +%s @@\n", formatHunkRange(*oldNumber, oldCount), formatHunkRange(*newNumber, newCount))
 	for _, one := range hunk {
-		fmt.Fprintf(text, "%c%s\n", one.mark, one.line)
+		fmt.Fprintf(text, "%c%s\n", one.kind, one.text)
 	}
-	*oldLine += oldCount
-	*newLine += newCount
+	*oldNumber += oldCount
+	*newNumber += newCount
 }
 
-// lineRange is a range of a hunk's head; an empty one names the line before.
-func lineRange(first, count int) string {
+// formatHunkRange is a range of a hunk's head; an empty one names the line before.
+func formatHunkRange(first, count int) string {
 	if count == 0 {
 		first--
 	}
--- /dev/null
+++ b/internal/cli/unified_diff_test.go
@@ -0,0 +1,37 @@
+package cli
+
+import (
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// TestDiffLines_EditsRebuildBothTexts applies the edits of random texts.
+func TestDiffLines_EditsRebuildBothTexts(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		lines := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 0, 12)
+		before, after := lines.Draw(t, "before"), lines.Draw(t, "after")
+		var removed, added []string
+		for _, one := range diffLines(before, after) {
+			if one.kind != '+' {
+				removed = append(removed, one.text)
+			}
+			if one.kind != '-' {
+				added = append(added, one.text)
+			}
+		}
+		if strings.Join(removed, "") != strings.Join(before, "") || strings.Join(added, "") != strings.Join(after, "") {
+			t.Fatalf("%v to %v gives %v and %v", before, after, removed, added)
+		}
+	})
+}
+
+func TestUnifiedDiff_GroupsChangesIntoHunks(t *testing.T) {
+	text := func(lines string) []byte { return []byte(strings.ReplaceAll(lines, " ", "\n") + "\n") }
+	got := unifiedDiff("x", "y", text("1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16"), text("1 2 3 4 5 A 7 8 9 10 11 12 13 14 15"))
+	want := "--- x\n+++ y\n@@ -3,7 +3,7 @@\n 3\n 4\n 5\n-6\n+A\n 7\n 8\n 9\n@@ -13,4 +13,3 @@\n 13\n 14\n 15\n-16\n"
+	assertText(t, "two hunks", got, want)
+	assertText(t, "from nothing", unifiedDiff("x", "y", nil, text("1 2")), "--- x\n+++ y\n@@ -0,0 +1,2 @@\n+1\n+2\n")
+	assertText(t, "equal", unifiedDiff("x", "y", text("1"), text("1")), "")
+}
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -29,7 +29,7 @@
 		ValidArgsFunction: cobra.NoFileCompletions,
 		RunE: func(*cobra.Command, []string) error {
 			a.started = true
-			if err := checkOutput(a.flags.output); err != nil {
+			if err := checkOutputFormat(a.flags.output); err != nil {
 				return err
 			}
 			version := readBuild()
--- a/internal/cli/worker_list.go
+++ b/internal/cli/worker_list.go
@@ -19,23 +19,23 @@
 		Args:              cobra.NoArgs,
 		ValidArgsFunction: cobra.NoFileCompletions,
 		RunE: a.run(func(ctx context.Context, client *api.Client, _ []string) error {
-			list, err := read(ctx, a, "list workers", client.Workers)
+			list, err := doRequest(ctx, a, "list workers", client.Workers)
 			if err != nil {
 				return err
 			}
-			return a.print(list, func(writer io.Writer) { workerGrid(list).render(writer) })
+			return a.print(list, func(writer io.Writer) { workerTable(list).render(writer) })
 		}),
 	}
 }
 
-func workerGrid(list api.WorkerList) *grid {
-	workers := newGrid("name", "zone", "state", "runs", "cpu millis", "memory mb", "accelerators", "silent", "services", "reason")
+func workerTable(list api.WorkerList) *textTable {
+	workers := newTextTable("name", "zone", "state", "runs", "cpu millis", "memory mb", "accelerators", "silent", "services", "reason")
 	for _, worker := range list.Workers {
 		workers.add(worker.Name, worker.Zone, worker.State, worker.Runs,
-			shareOf(worker.Used.CPUMillis, worker.Capacity.CPUMillis),
-			shareOf(worker.Used.MemoryMB, worker.Capacity.MemoryMB),
-			shareOf(worker.Used.Accelerators, worker.Capacity.Accelerators),
-			millis(worker.SilentMillis), namesOf(worker.Services), worker.Reason)
+			formatUsage(worker.Used.CPUMillis, worker.Capacity.CPUMillis),
+			formatUsage(worker.Used.MemoryMB, worker.Capacity.MemoryMB),
+			formatUsage(worker.Used.Accelerators, worker.Capacity.Accelerators),
+			formatMillis(worker.SilentMillis), formatNames(worker.Services), worker.Reason)
 	}
 	return workers
 }
--- a/internal/cli/yaml.go
+++ b/internal/cli/yaml.go
@@ -102,7 +102,7 @@
 
 func (w *jsonWriter) node(node *yaml.Node, depth int) error {
 	if depth > maxYAMLDepth || w.buffer.Len() > maxFileBytes {
-		return lineError(node, "too deep or, with its aliases, too large")
+		return yamlError(node, "too deep or, with its aliases, too large")
 	}
 	switch node.Kind {
 	case yaml.AliasNode:
@@ -122,10 +122,10 @@
 	for index := 0; index < len(node.Content); index += 2 {
 		key, value := node.Content[index], node.Content[index+1]
 		if key.Kind != yaml.ScalarNode || key.ShortTag() == "!!merge" {
-			return lineError(key, "keys must be plain text; merge keys are not supported")
+			return yamlError(key, "keys must be plain text; merge keys are not supported")
 		}
 		if seen[key.Value] {
-			return lineError(key, fmt.Sprintf("the key %q stands twice", key.Value))
+			return yamlError(key, fmt.Sprintf("the key %q stands twice", key.Value))
 		}
 		seen[key.Value] = true
 		if index > 0 {
@@ -168,7 +168,7 @@
 	case tagFloat:
 		return w.float(node)
 	default:
-		return lineError(node, fmt.Sprintf("values of type %s have no JSON form", node.Tag))
+		return yamlError(node, fmt.Sprintf("values of type %s have no JSON form", node.Tag))
 	}
 	return nil
 }
@@ -176,7 +176,7 @@
 func (w *jsonWriter) boolean(node *yaml.Node) error {
 	var value bool
 	if err := node.Decode(&value); err != nil {
-		return lineError(node, err.Error())
+		return yamlError(node, err.Error())
 	}
 	fmt.Fprint(&w.buffer, value)
 	return nil
@@ -190,7 +190,7 @@
 	}
 	value, ok := new(big.Int).SetString(node.Value, 0)
 	if !ok {
-		return lineError(node, fmt.Sprintf("%q is not a whole number", node.Value))
+		return yamlError(node, fmt.Sprintf("%q is not a whole number", node.Value))
 	}
 	w.buffer.WriteString(value.String())
 	return nil
@@ -204,11 +204,11 @@
 	}
 	var value float64
 	if err := node.Decode(&value); err != nil {
-		return lineError(node, err.Error())
+		return yamlError(node, err.Error())
 	}
 	data, err := json.Marshal(value)
 	if err != nil {
-		return lineError(node, fmt.Sprintf("%s has no JSON form", node.Value))
+		return yamlError(node, fmt.Sprintf("%s has no JSON form", node.Value))
 	}
 	w.buffer.Write(data)
 	return nil
@@ -220,7 +220,7 @@
 	w.buffer.Write(data)
 }
 
-// lineError names the line of a wrong node.
-func lineError(node *yaml.Node, reason string) error {
+// yamlError names the line of a wrong node.
+func yamlError(node *yaml.Node, reason string) error {
 	return fmt.Errorf("line %d: %s", node.Line, reason)
 }
