--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -22,20 +22,24 @@
 	maxHeartbeatBytes = 1 << 20
 )
 
-// Config is what an Agent needs. All but Logger is required.
+// Config is what an Agent needs. All but Status, Logger and Registerer is required.
 type Config struct {
 	// Name is the agent's process name.
 	Name string
-	// Zone returns the zone now in the settings; it becomes the "zone" label
-	// of the workers.
+	// Zone returns the zone that is in the settings now; it becomes the "zone" label of
+	// the workers.
 	Zone func() string
 	// RelayTimeout bounds the relay of one heartbeat, on the monotonic clock.
 	RelayTimeout time.Duration
-	Link         *leaderclient.Client
-	Client       *rpc.Client
-	// Status serves /healthz, /readyz and /metrics.
-	Status     http.Handler
-	Logger     *slog.Logger
+	// Link tracks the leader; it needs only the version of the configuration.
+	Link *leaderclient.Client
+	// Client carries the calls to schedulers.
+	Client *rpc.Client
+	// Status serves /healthz, /readyz and /metrics. Optional.
+	Status http.Handler
+	// Logger defaults to none.
+	Logger *slog.Logger
+	// Registerer takes the agent's metrics. Optional.
 	Registerer prometheus.Registerer
 }
 
@@ -44,12 +48,12 @@
 	config  Config
 	routes  *http.ServeMux
 	workers *sequences
-	// departures are the workers that gave notice.
+	// departures are the workers that gave notice that they leave.
 	departures *departures
 	metrics    *metrics
 }
 
-// New makes an agent that is ready to serve.
+// New returns an agent that is ready to serve; it starts no goroutine.
 func New(config Config) (*Agent, error) {
 	if config.Name == "" || config.Zone == nil || config.Link == nil || config.Client == nil || config.RelayTimeout <= 0 {
 		return nil, errors.New("agent: Name, Zone, RelayTimeout, Link and Client are required")
@@ -97,7 +101,7 @@
 	httpjson.Write(writer, http.StatusOK, answer)
 }
 
-// Heartbeat relays one heartbeat of one worker, as HeartbeatPath does.
+// Heartbeat relays one heartbeat of a worker, as a POST to HeartbeatPath does.
 func (a *Agent) Heartbeat(ctx context.Context, heartbeat api.Heartbeat) (api.HeartbeatAnswer, *api.Error) {
 	if fields := validateHeartbeat(heartbeat); len(fields) > 0 {
 		a.metrics.count(resultInvalid)
@@ -106,18 +110,19 @@
 	return a.relayNewest(ctx, heartbeat)
 }
 
-// relayNewest relays a heartbeat unless a newer one has come or comes meanwhile.
+// relayNewest relays a heartbeat, unless a newer one of the worker has come before or
+// comes meanwhile.
 func (a *Agent) relayNewest(ctx context.Context, heartbeat api.Heartbeat) (api.HeartbeatAnswer, *api.Error) {
 	ctx, cancel := context.WithTimeout(ctx, a.config.RelayTimeout)
 	defer cancel()
-	turn, ok := a.workers.beginRelay(heartbeat.WorkerID, heartbeat.Seq, cancel, time.Now())
+	ticket, ok := a.workers.beginRelay(heartbeat.WorkerID, heartbeat.Seq, cancel, time.Now())
 	if !ok {
 		a.metrics.count(resultOldSeq)
 		return api.HeartbeatAnswer{}, oldSeq(heartbeat)
 	}
 	answer, refusal := a.relay(ctx, a.departures.annotate(heartbeat, time.Now()))
-	newest := a.workers.endRelay(turn)
-	if refusal == nil && !newest {
+	isNewest := a.workers.endRelay(ticket)
+	if refusal == nil && !isNewest {
 		a.metrics.count(resultSuperseded)
 		refusal = unavailable("a newer heartbeat of this worker came in")
 	}
--- a/internal/agent/answer.go
+++ b/internal/agent/errors.go
@@ -9,10 +9,10 @@
 	"github.com/decklever/decklever/internal/httpjson"
 )
 
-// retryAfter is what a 503 names. Workers go on with their own interval.
+// retryAfter is the Retry-After of a 503. Workers keep to their own interval.
 const retryAfter = time.Second
 
-// unavailable is the 503 that makes a worker go on with its next seq.
+// unavailable is the 503 with which a worker goes on with its next seq.
 func unavailable(message string) *api.Error {
 	return &api.Error{
 		Status:           http.StatusServiceUnavailable,
@@ -22,6 +22,7 @@
 	}
 }
 
+// oldSeq rejects a heartbeat that is not newer than all of its worker before.
 func oldSeq(heartbeat api.Heartbeat) *api.Error {
 	return &api.Error{
 		Status:  http.StatusConflict,
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// LeavePath is where workers post that they leave.
+	// LeavePath is where workers post the notice that they leave.
 	LeavePath = "/v1/leave"
 	// maxLeaveBytes is the largest body of a notice.
 	maxLeaveBytes = 4 << 10
 	// maxLeaveAttempts is how often a notice is sent, to follow a hint to another
-	// scheduler. Unlike a heartbeat, a doubled notice does no harm.
+	// scheduler. Unlike a heartbeat, a notice is idempotent.
 	maxLeaveAttempts = 2
-	// maxRemainingMillis is the most time that a notice may name.
+	// maxRemainingMillis is the longest time that a notice may have left.
 	maxRemainingMillis = int64(24 * time.Hour / time.Millisecond)
 )
 
@@ -45,10 +45,10 @@
 	httpjson.Write(writer, http.StatusOK, api.LeaveAnswer{Leaving: true})
 }
 
-// Leave relays the notice of a worker that it is about to end; remainingMillis
-// is the least time that it still has, 0 if not known. Whatever comes of the
-// call, all later heartbeats of the worker say that it drains, so that a leader
-// to come learns of it too.
+// Leave relays the notice of a worker that it is about to end. remainingMillis is the
+// least time that the worker still has; 0 if that is not known. Whatever the outcome of
+// the call, all later heartbeats of the worker say that it is draining, so that later
+// leaders learn of it as well.
 func (a *Agent) Leave(ctx context.Context, workerID string, remainingMillis int64) *api.Error {
 	if fields := validateNotice(workerID, remainingMillis); len(fields) > 0 {
 		return httpjson.Invalid("notice", fields)
@@ -72,7 +72,7 @@
 	return refusal
 }
 
-// handleLeaveFailure says what a failed call means for the worker and for the link.
+// handleLeaveFailure passes a failed call on to the link, and returns the worker's answer.
 func (a *Agent) handleLeaveFailure(ctx context.Context, leader, workerID string, err error) *api.Error {
 	a.config.Logger.Debug("notice not relayed", slog.String("worker_id", workerID), slog.String("address", leader), slog.Any("error", err))
 	var failure *rpc.Error
@@ -94,7 +94,7 @@
 	return unavailable("the leading scheduler did not answer")
 }
 
-// validateNotice returns every wrong field.
+// validateNotice returns an error for each field that is not valid.
 func validateNotice(workerID string, remainingMillis int64) []api.FieldError {
 	var c checker
 	c.check(workerID != "" && len(workerID) <= maxWorkerIDBytes, "worker_id", workerID, "1 to 128 bytes, as in the heartbeats")
@@ -106,7 +106,7 @@
 	c.check(millis >= 0 && millis <= maxRemainingMillis, "remaining_ms", strconv.FormatInt(millis, 10), "0 to 86400000")
 }
 
-// departures remembers the workers that gave notice. It is safe for concurrent
+// departures has the workers that gave notice that they leave. It is safe for concurrent
 // use.
 type departures struct {
 	mutex   sync.Mutex
@@ -114,14 +114,14 @@
 }
 
 type departure struct {
-	// endsAt is the earliest end of the worker; zero if not known.
+	// endsAt is the earliest end of the worker; zero if that is not known.
 	endsAt   time.Time
 	lastSeen time.Time
 }
 
 func newDepartures() *departures { return &departures{workers: make(map[string]*departure)} }
 
-// record remembers a notice, and forgets workers that were silent for long.
+// record stores a notice, and drops workers that were idle for long.
 func (d *departures) record(workerID string, remainingMillis int64, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -141,7 +141,7 @@
 	}
 }
 
-// annotate adds to a heartbeat what its worker gave notice of.
+// annotate returns a heartbeat with the notice that its worker gave.
 func (d *departures) annotate(heartbeat api.Heartbeat, now time.Time) api.Heartbeat {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -13,8 +13,8 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// newLeaveScheduler serves MethodLeave on a scheduler of its own and returns what
-// came there.
+// newLeaveScheduler starts a scheduler that answers notices with err, and returns its
+// address and the notices that it gets.
 func newLeaveScheduler(t *testing.T, err error) (address string, notices *[]protocol.LeaveRequest) {
 	t.Helper()
 	notices = &[]protocol.LeaveRequest{}
@@ -28,6 +28,7 @@
 	return strings.TrimPrefix(listener.URL, "http://"), notices
 }
 
+// postLeave sends a request to LeavePath.
 func (a testAgent) postLeave(method, body string) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	a.ServeHTTP(recorder, httptest.NewRequest(method, LeavePath, strings.NewReader(body)))
@@ -50,13 +51,13 @@
 
 func TestLeave_FollowsLeaderHint(t *testing.T) {
 	address, notices := newLeaveScheduler(t, nil)
-	follower, queried := newLeaveScheduler(t, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: address})
+	follower, rejected := newLeaveScheduler(t, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: address})
 	agent := startAgent(t, follower, time.Second)
 	if refusal := agent.Leave(t.Context(), "id", 0); refusal != nil {
-		t.Fatalf("refused: %v", refusal)
+		t.Fatalf("rejected: %v", refusal)
 	}
-	if len(*queried) != 1 || len(*notices) != 1 {
-		t.Errorf("%d and %d calls, want one each", len(*queried), len(*notices))
+	if len(*rejected) != 1 || len(*notices) != 1 {
+		t.Errorf("%d and %d calls, want one each", len(*rejected), len(*notices))
 	}
 }
 
@@ -69,7 +70,7 @@
 	requireStatus(t, agent.postLeave(http.MethodPost, `{"worker_id":"id"}`), http.StatusServiceUnavailable)
 }
 
-// Also a notice that no leader took marks the heartbeats of its worker, so that
+// TestLeave_LaterHeartbeatsSayDraining: also after a notice that no leader accepted, so that
 // the next leader learns of it.
 func TestLeave_LaterHeartbeatsSayDraining(t *testing.T) {
 	scheduler := startScheduler(t) // does not serve notices
@@ -78,8 +79,8 @@
 	agent.link.ObserveHint(scheduler.address)
 	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
 	requireStatus(t, agent.post(heartbeatBody(t, "other", 1)), http.StatusOK)
-	if left := scheduler.calls[0].Heartbeat; !left.Draining || left.RemainingMillis <= 0 || left.RemainingMillis > 60000 {
-		t.Errorf("the heartbeat says draining %v, %d ms", left.Draining, left.RemainingMillis)
+	if leaving := scheduler.calls[0].Heartbeat; !leaving.Draining || leaving.RemainingMillis <= 0 || leaving.RemainingMillis > 60000 {
+		t.Errorf("the heartbeat says draining %v, %d ms", leaving.Draining, leaving.RemainingMillis)
 	}
 	if other := scheduler.calls[1].Heartbeat; other.Draining || other.RemainingMillis != 0 {
 		t.Errorf("another worker's heartbeat says draining %v, %d ms", other.Draining, other.RemainingMillis)
@@ -92,10 +93,10 @@
 	departures.record("a", 1000, now)
 	departures.record("b", 0, now.Add(idleTimeout))
 	if got := departures.annotate(api.Heartbeat{WorkerID: "a"}, now.Add(idleTimeout)); !got.Draining || got.RemainingMillis != 1 {
-		t.Errorf("marked %+v", got)
+		t.Errorf("annotated %+v", got)
 	}
 	departures.record("c", 0, now.Add(2*idleTimeout+1))
 	if len(departures.workers) != 1 {
-		t.Errorf("%d workers remembered, want 1", len(departures.workers))
+		t.Errorf("%d workers, want 1", len(departures.workers))
 	}
 }
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/internal/leaderclient"
 )
 
-// result is what became of a heartbeat, as a metrics label.
+// result is the outcome of a heartbeat, as a metrics label.
 type result string
 
 const (
@@ -24,14 +24,14 @@
 	resultStaleToken result = "stale_token"
 )
 
-// metrics are the agent's own figures.
+// metrics are the agent's own metrics.
 type metrics struct {
 	heartbeats   *prometheus.CounterVec
 	relaySeconds prometheus.Histogram
 	staleTokens  prometheus.Counter
 }
 
-// newMetrics makes the metrics and registers them, if there is a registerer.
+// newMetrics makes the metrics, and registers them if there is a registerer.
 func newMetrics(registerer prometheus.Registerer, link *leaderclient.Client) (*metrics, error) {
 	m := &metrics{
 		heartbeats: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -56,7 +56,7 @@
 	return m, nil
 }
 
-// watchAge is -1 until the first answer.
+// watchAge is the time since the last answer of the leader; -1 before the first.
 func watchAge(link *leaderclient.Client) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "decklever_agent_watch_age_seconds", Help: "Time since the leader last answered the watch or a heartbeat; -1 if never.",
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -17,22 +17,22 @@
 // zoneLabel is the worker label that the agent sets.
 const zoneLabel = "zone"
 
-// suspectTimeout bounds a call to a scheduler that may lead no more, so that the
-// next leader is asked soon enough for the worker's hold.
+// suspectTimeout bounds a call to a scheduler that may no longer lead, so that the next
+// leader is called before the worker's lease expires.
 const suspectTimeout = 300 * time.Millisecond
 
-// leaderPollInterval is how often a heartbeat that waits looks for a leader.
+// leaderPollInterval is how often a heartbeat without a leader checks for one.
 const leaderPollInterval = 10 * time.Millisecond
 
-// target is the scheduler that a heartbeat goes to.
+// leaderTarget is the scheduler that a heartbeat is relayed to.
 type leaderTarget struct {
 	address string
-	// suspect: it was the leader, and none is known now.
+	// suspect is true for the previous leader, while none is known.
 	suspect bool
 }
 
-// target picks the scheduler for a heartbeat. The worker's reports must not
-// wait until the leader's answers arrive again.
+// pickTarget picks the scheduler for a heartbeat. While no leader is known that is the
+// previous one, since the worker's reports must not wait for a leader to be confirmed.
 func (a *Agent) pickTarget() (leaderTarget, bool) {
 	if address, known := a.config.Link.Leader(); known {
 		return leaderTarget{address: address}, true
@@ -41,10 +41,10 @@
 	return leaderTarget{address: address, suspect: true}, known
 }
 
-// relay carries a heartbeat to the leader. While none is known, and after a call
-// that surely was not heard, it waits for one, within the relay's time; in the
-// second case for a pause at least, as that leader may still be the known one. A
-// heartbeat that may have been heard is never sent again.
+// relay relays a heartbeat to the leader. While none is known, and after a call that
+// certainly did not arrive, it waits for one until ctx ends. In the second case it waits
+// for leaderPollInterval at least, as the known leader may still be the one that failed. A
+// heartbeat that may have arrived is never sent again.
 func (a *Agent) relay(ctx context.Context, heartbeat api.Heartbeat) (api.HeartbeatAnswer, *api.Error) {
 	for {
 		leader, known := a.pickTarget()
@@ -62,7 +62,7 @@
 	}
 }
 
-// awaitLeader waits until a leader is known, and reports whether one is.
+// awaitLeader waits until a leader is known or ctx ends, and reports whether one is known.
 func (a *Agent) awaitLeader(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		if _, known := a.config.Link.Leader(); known {
@@ -73,7 +73,7 @@
 	return false
 }
 
-// attempt makes one call. unsent tells that the heartbeat surely was not heard.
+// attempt makes one call. unsent is true if the heartbeat certainly did not arrive.
 func (a *Agent) attempt(ctx context.Context, leader leaderTarget, heartbeat api.Heartbeat) (answer api.HeartbeatAnswer, unsent bool, refusal *api.Error) {
 	timeout := a.config.RelayTimeout
 	if leader.suspect {
@@ -93,7 +93,7 @@
 		unsent = errors.As(err, &failure) && failure.Unsent
 		return answer, unsent, a.handleRelayFailure(ctx, leader, heartbeat, err)
 	}
-	// An agent that was frozen finds answers that came long ago.
+	// A process that was frozen finds answers that came long ago.
 	if took >= a.config.RelayTimeout {
 		a.metrics.count(resultLate)
 		return answer, false, unavailable("the leading scheduler answered too late")
@@ -108,7 +108,8 @@
 	return answer, false, refusal
 }
 
-// newRequest adds what the agent knows about the worker's place.
+// newRequest returns the request for a heartbeat, with the agent's zone as a label of the
+// worker.
 func (a *Agent) newRequest(heartbeat api.Heartbeat) protocol.HeartbeatRequest {
 	zone := a.config.Zone()
 	labels := make(map[string]string, len(heartbeat.Labels)+1)
@@ -120,7 +121,7 @@
 	}
 }
 
-// checkAnswer drops an answer that the worker must not get.
+// checkAnswer returns an answer, or an error for one that the worker must not get.
 func (a *Agent) checkAnswer(heartbeat api.Heartbeat, answer api.HeartbeatAnswer) (api.HeartbeatAnswer, *api.Error) {
 	if answer.Seq != heartbeat.Seq {
 		a.metrics.count(resultFailed)
@@ -136,7 +137,7 @@
 	return answer, nil
 }
 
-// handleRelayFailure says what a failed call means for the worker and for the link.
+// handleRelayFailure passes a failed call on to the link, and returns the worker's answer.
 func (a *Agent) handleRelayFailure(ctx context.Context, leader leaderTarget, heartbeat api.Heartbeat, err error) *api.Error {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		a.metrics.count(resultSuperseded)
@@ -167,14 +168,14 @@
 	return unavailable("the leading scheduler did not answer")
 }
 
-// redirect takes the hint for the next heartbeat, unless the link has learned
-// of another leader since.
-func (a *Agent) redirect(queried, hint string) {
+// redirect passes a hint of the scheduler that was called on to the link, unless that
+// knows another leader by now.
+func (a *Agent) redirect(called, hint string) {
 	current, known := a.config.Link.Leader()
-	if known && current != queried {
+	if known && current != called {
 		return
 	}
-	if hint == queried {
+	if hint == called {
 		hint = ""
 	}
 	a.config.Link.ObserveHint(hint)
--- a/internal/agent/relay_leader_test.go
+++ b/internal/agent/relay_leader_test.go
@@ -12,7 +12,8 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// One lost answer must not keep a worker's reports from a leader that lives.
+// TestRelay_LostAnswerKeepsLeader: one lost answer must not keep a worker's reports from a
+// leader that is alive.
 func TestRelay_LostAnswerKeepsLeader(t *testing.T) {
 	scheduler := startScheduler(t)
 	agent := startAgent(t, scheduler.address, time.Second)
@@ -35,7 +36,8 @@
 	}
 }
 
-// A leader whose lease lapsed for a moment names itself, or nobody.
+// TestRelay_UnavailableLeaderIsKept: a leader whose lease has expired for a moment names
+// itself, or no leader.
 func TestRelay_UnavailableLeaderIsKept(t *testing.T) {
 	for name, itself := range map[string]bool{"itself": true, "nobody": false} {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +70,8 @@
 	}
 }
 
-// Heartbeats confirm what is in force in the agent, as its watches do.
+// TestRelay_HeartbeatsNameConfigInForce: heartbeats confirm the configuration in force in
+// the agent, as its watches do.
 func TestRelay_HeartbeatsNameConfigInForce(t *testing.T) {
 	scheduler := startScheduler(t)
 	agent := startAgent(t, scheduler.address, time.Second)
@@ -88,10 +91,10 @@
 	}
 }
 
-// watchedVersion is the version that a watch of the agent has learned.
+// watchedVersion is the version of the configuration in answers to watches.
 const watchedVersion = 7
 
-// watched has the link make a watch call that the scheduler answers.
+// watched runs the link until the scheduler has answered its watch.
 func (f *fakeScheduler) watched(t *testing.T, link *leaderclient.Client) {
 	t.Helper()
 	rpc.Handle(f.server, protocol.MethodWatch, func(ctx context.Context, request protocol.WatchRequest) (protocol.WatchAnswer, error) {
@@ -109,12 +112,12 @@
 	}
 }
 
-// forgetLeader has the agent's link lose its leader for want of an answer.
+// forgetLeader has the agent's link forget its leader, as after a call without an answer.
 func (a testAgent) forgetLeader(t *testing.T) {
 	t.Helper()
 	leader, _ := a.link.Leader()
 	a.link.ReportFailure(leader)
 	if leader, known := a.link.Leader(); known {
-		t.Fatalf("still names %s", leader)
+		t.Fatalf("still known as %s", leader)
 	}
 }
--- a/internal/agent/relay_pause_test.go
+++ b/internal/agent/relay_pause_test.go
@@ -18,8 +18,8 @@
 )
 
 // TestRelay_RefusedConnectionWaitsBeforeNextAttempt: a leader that has just answered the
-// watch stays the one known for a while, though calls to it are refused at once.
-// Without a pause a heartbeat would try as often as it can.
+// watch stays known for confirmedGrace, although connections to it are refused. Without a
+// wait, the relay would make as many attempts as it can.
 func TestRelay_RefusedConnectionWaitsBeforeNextAttempt(t *testing.T) {
 	const relayTime = 300 * time.Millisecond
 	scheduler := startScheduler(t)
--- a/internal/agent/relay_silent_test.go
+++ b/internal/agent/relay_silent_test.go
@@ -14,7 +14,7 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// watchedScheduler answers heartbeats and says whether it leads.
+// watchedScheduler answers heartbeats, and watches while it leads.
 type watchedScheduler struct {
 	address string
 	token   uint64
@@ -22,6 +22,7 @@
 	silent  atomic.Bool
 }
 
+// startWatchedScheduler starts a scheduler that does not lead yet.
 func startWatchedScheduler(t *testing.T, token uint64) *watchedScheduler {
 	t.Helper()
 	s := &watchedScheduler{token: token}
@@ -48,14 +49,13 @@
 	return s
 }
 
-// TestRelay_CallToSilentLeaderEndsOnceAnotherLeads: a worker whose leader is gone
-// without a word must not wait for the time of its call before it is heard by the
-// next one.
+// TestRelay_CallToSilentLeaderEndsOnceAnotherLeads: a worker whose leader does not answer
+// must not wait for the timeout of its call until the next leader gets its heartbeats.
 func TestRelay_CallToSilentLeaderEndsOnceAnotherLeads(t *testing.T) {
-	const patient = 5 * time.Second
+	const timeout = 5 * time.Second
 	old, next := startWatchedScheduler(t, 1), startWatchedScheduler(t, 2)
 	old.leads.Store(true)
-	agent := startAgent(t, old.address, patient)
+	agent := startAgent(t, old.address, timeout)
 	agent.follow(t, old.address, next.address)
 	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
 	old.silent.Store(true)
@@ -63,8 +63,8 @@
 	began := time.Now()
 	requireStatus(t, agent.post(heartbeatBody(t, "id", 2)), http.StatusServiceUnavailable)
 	requireStatus(t, agent.post(heartbeatBody(t, "id", 3)), http.StatusOK)
-	if took := time.Since(began); took > patient/2 {
-		t.Errorf("the next leader heard of the worker after %v", took)
+	if took := time.Since(began); took > timeout/2 {
+		t.Errorf("the next leader got a heartbeat after %v", took)
 	}
 }
 
--- a/internal/agent/relay_wait_test.go
+++ b/internal/agent/relay_wait_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// TestRelay_HeartbeatWaitsForLeader: a worker that is refused at once comes again only
-// after a pause, so a leader that is elected meanwhile would hear of it late.
+// TestRelay_HeartbeatWaitsForLeader: a worker that is rejected at once sends its next
+// heartbeat only after an interval, so that a leader that is elected meanwhile would get
+// that late.
 func TestRelay_HeartbeatWaitsForLeader(t *testing.T) {
-	cases := map[string]string{"none is known": "", "the one known cannot be reached": "127.0.0.1:1"}
+	cases := map[string]string{"no leader is known": "", "the known leader cannot be reached": "127.0.0.1:1"}
 	for name, known := range cases {
 		t.Run(name, func(t *testing.T) {
 			scheduler := startScheduler(t)
@@ -18,7 +19,7 @@
 			defer elected.Stop()
 			requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
 			if got := scheduler.count(); got != 1 {
-				t.Fatalf("heard %d times", got)
+				t.Fatalf("%d calls, want 1", got)
 			}
 		})
 	}
--- a/internal/agent/relay_worker_test.go
+++ b/internal/agent/relay_worker_test.go
@@ -19,20 +19,23 @@
 
 // placedTask is what lossyLeader knows of one task and its newest run.
 type placedTask struct {
-	run       uint32
-	orderedAt uint64 // seq whose answer carries the order; 0 if none yet
-	listed    bool
-	done      bool
+	run uint32
+	// orderedAt is the seq whose answer has the start order; 0 if none yet.
+	orderedAt uint64
+	// listed is true once a heartbeat listed the run.
+	listed bool
+	done   bool
 }
 
-// lossyLeader orders each run in one answer, loses many answers, and closes a
-// run as lost by the rules of docs/DESIGN.md alone.
+// lossyLeader orders the start of each run in one answer, loses many answers, and closes
+// runs as lost only by the rules of docs/DESIGN.md.
 type lossyLeader struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 	tasks  map[string]*placedTask
 	newest uint64
-	closed int // runs closed as lost
+	// closed is the number of runs closed as lost.
+	closed int
 }
 
 func (l *lossyLeader) heartbeat(_ context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
@@ -87,8 +90,8 @@
 	return true
 }
 
-// TestRelay_LostAnswersNeverStartTaskTwice joins a real worker and agent with a
-// leader that loses half of its answers.
+// TestRelay_LostAnswersNeverStartTaskTwice connects a real worker and agent with a leader
+// that loses half of its answers.
 func TestRelay_LostAnswersNeverStartTaskTwice(t *testing.T) {
 	leader := &lossyLeader{random: rand.New(rand.NewPCG(1, 2)), tasks: make(map[string]*placedTask)}
 	for i := range 40 {
--- a/internal/agent/sequences.go
+++ b/internal/agent/sequences.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// idleTimeout is how long a silent worker id is remembered.
+	// idleTimeout is how long the state of a worker id is kept without heartbeats.
 	idleTimeout = 10 * time.Minute
-	// sweepInterval is the pause between two looks for silent worker ids.
+	// sweepInterval is the time between two removals of idle worker ids.
 	sweepInterval = time.Minute
 )
 
-// sequences knows the highest seq that was relayed for each worker id, and the
-// relay under way. It is safe for concurrent use.
+// sequences has the highest seq that was relayed for each worker id, and the relay in
+// flight. It is safe for concurrent use.
 type sequences struct {
 	mutex   sync.Mutex
 	workers map[string]*sequence
@@ -22,12 +22,13 @@
 }
 
 type sequence struct {
-	highest  uint64
-	cancel   context.CancelFunc // of the relay of highest; nil once it ended
+	highest uint64
+	// cancel ends the relay of highest; nil once that has ended.
+	cancel   context.CancelFunc
 	lastSeen time.Time
 }
 
-// relayTicket is the right to relay one heartbeat.
+// relayTicket is the permission to relay one heartbeat.
 type relayTicket struct {
 	workerID string
 	seq      uint64
@@ -35,8 +36,8 @@
 
 func newSequences() *sequences { return &sequences{workers: make(map[string]*sequence)} }
 
-// beginRelay gives a turn to a heartbeat that is newer than all before it, and
-// cancels the relay of an older one. It reports false for any other.
+// beginRelay permits the relay of a heartbeat that is newer than all of its worker
+// before, and cancels the relay of an older one. It returns false for any other.
 func (s *sequences) beginRelay(workerID string, seq uint64, cancel context.CancelFunc, now time.Time) (relayTicket, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -58,19 +59,19 @@
 	return relayTicket{workerID: workerID, seq: seq}, true
 }
 
-// endRelay reports whether the turn's heartbeat is still the newest.
-func (s *sequences) endRelay(t relayTicket) bool {
+// endRelay ends a relay, and reports whether its heartbeat is still the newest.
+func (s *sequences) endRelay(ticket relayTicket) (isNewest bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	worker := s.workers[t.workerID]
-	if worker == nil || worker.highest != t.seq {
+	worker := s.workers[ticket.workerID]
+	if worker == nil || worker.highest != ticket.seq {
 		return false
 	}
 	worker.cancel = nil
 	return true
 }
 
-// removeIdle forgets worker ids that were silent for long.
+// removeIdle drops worker ids that were idle for long. The caller holds the mutex.
 func (s *sequences) removeIdle(now time.Time) {
 	if now.Sub(s.sweptAt) < sweepInterval {
 		return
--- a/internal/agent/validate.go
+++ b/internal/agent/validate.go
@@ -15,11 +15,13 @@
 	maxAddressBytes  = 128
 	maxMessageBytes  = 1024
 	maxPercent       = 100
+	// maxShownBytes bounds the value that an error shows.
+	maxShownBytes = 80
 )
 
 var namePattern = regexp.MustCompile(`^[a-zA-Z0-9._-]{1,64}$`)
 
-// readHeartbeat decodes and checks the body of a heartbeat.
+// readHeartbeat decodes and validates the body of a heartbeat.
 func readHeartbeat(body io.Reader) (api.Heartbeat, *api.Error) {
 	var heartbeat api.Heartbeat
 	if refusal := api.DecodeStrict(body, &heartbeat); refusal != nil {
@@ -31,21 +33,21 @@
 	return heartbeat, nil
 }
 
-// checker collects wrong fields.
+// checker collects the errors of fields that are not valid.
 type checker struct{ fields []api.FieldError }
 
+// check adds an error for a field unless ok.
 func (c *checker) check(ok bool, field, value, expected string) {
-	const shown = 80
 	if ok {
 		return
 	}
-	if len(value) > shown {
-		value = value[:shown]
+	if len(value) > maxShownBytes {
+		value = value[:maxShownBytes]
 	}
 	c.fields = append(c.fields, api.FieldError{Field: field, Value: value, Expected: expected})
 }
 
-// validateHeartbeat returns every wrong field.
+// validateHeartbeat returns an error for each field that is not valid.
 func validateHeartbeat(heartbeat api.Heartbeat) []api.FieldError {
 	var c checker
 	idOK := heartbeat.WorkerID != "" && len(heartbeat.WorkerID) <= maxWorkerIDBytes
@@ -78,7 +80,7 @@
 	}
 }
 
-// runs checks both lists; no run may be named twice.
+// runs checks both lists of runs; no run may be in them twice.
 func (c *checker) runs(heartbeat api.Heartbeat) {
 	seen := make(map[api.RunRef]bool, len(heartbeat.Running)+len(heartbeat.Ended))
 	for i, ref := range heartbeat.Running {
@@ -94,7 +96,8 @@
 	c.progress(heartbeat)
 }
 
-// progress checks what is said of runs, each of which must be listed as running.
+// progress checks the progress of runs. Each must be listed as running, and have one
+// progress at most.
 func (c *checker) progress(heartbeat api.Heartbeat) {
 	if len(heartbeat.Progress) == 0 {
 		return
@@ -103,13 +106,13 @@
 	for _, ref := range heartbeat.Running {
 		unreported[ref] = true
 	}
-	for i, said := range heartbeat.Progress {
+	for i, report := range heartbeat.Progress {
 		path := fmt.Sprintf("progress[%d]", i)
-		name := fmt.Sprintf("%s run %d", said.Task, said.Run)
-		c.check(unreported[said.RunRef], path, name, "a run of running, named once")
-		unreported[said.RunRef] = false
-		c.check(said.Percent >= 0 && said.Percent <= maxPercent, path+".percent", strconv.Itoa(said.Percent), "0 to 100")
-		c.checkpoint(path, said.Checkpoint)
+		name := fmt.Sprintf("%s run %d", report.Task, report.Run)
+		c.check(unreported[report.RunRef], path, name, "a run of running, named once")
+		unreported[report.RunRef] = false
+		c.check(report.Percent >= 0 && report.Percent <= maxPercent, path+".percent", strconv.Itoa(report.Percent), "0 to 100")
+		c.checkpoint(path, report.Checkpoint)
 	}
 }
 
@@ -125,6 +128,7 @@
 	seen[ref] = true
 }
 
+// isReportable reports whether a worker may report the outcome of a run.
 func isReportable(outcome api.Outcome) bool {
 	return outcome == api.OutcomeSucceeded || outcome == api.OutcomeFailed || outcome == api.OutcomeStopped
 }
