--- a/internal/front/booking_calls.go
+++ b/internal/front/booking_calls.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// defaultBookingHours is how far ahead bookings are read.
+	// defaultBookingHours is how far ahead bookings are listed.
 	defaultBookingHours = 24
 	// maxReleaseBytes bounds the body of a release.
 	maxReleaseBytes = 16 << 10
@@ -47,7 +47,7 @@
 	return http.StatusOK, answer, refusal
 }
 
-// ReleaseBooking gives the room of a window back.
+// ReleaseBooking releases the reserved slots of a window.
 func (f *Front) ReleaseBooking(ctx context.Context, release api.ReleaseRequest) (api.ReleaseAnswer, *api.Error) {
 	if fields := api.ValidateRelease(&release); len(fields) > 0 {
 		return api.ReleaseAnswer{}, httpjson.Invalid("release", fields)
@@ -56,7 +56,7 @@
 	return api.ReleaseAnswer{Released: true}, refusal
 }
 
-// horizonOf reads ?hours=.
+// horizonOf parses the parameter "hours".
 func horizonOf(values url.Values) (time.Duration, *api.Error) {
 	text := values.Get("hours")
 	if text == "" {
--- a/internal/front/booking_calls_test.go
+++ b/internal/front/booking_calls_test.go
@@ -29,7 +29,7 @@
 	}
 	hour := time.Hour.Milliseconds()
 	if got, want := fmt.Sprint(asked), fmt.Sprint([]int64{24 * hour, hour, 168 * hour}); got != want {
-		t.Fatalf("asked for %s, want %s", got, want)
+		t.Fatalf("relayed %s, want %s", got, want)
 	}
 }
 
@@ -78,6 +78,6 @@
 		}
 	}
 	if leader.count() != calls {
-		t.Fatalf("%d wrong ones were relayed", leader.count()-calls)
+		t.Fatalf("%d invalid cancellations were relayed", leader.count()-calls)
 	}
 }
--- a/internal/front/config_calls.go
+++ b/internal/front/config_calls.go
@@ -34,15 +34,15 @@
 	return http.StatusOK, status, nil
 }
 
-// Config reads the configuration in force, as it was given.
+// Config returns the configuration in force, as it was put.
 func (f *Front) Config(ctx context.Context) (api.ConfigStatus, *api.Error) {
 	answer, refusal := read[protocol.ConfigAnswer](ctx, f, protocol.MethodGetConfig, protocol.Empty{})
 	answer.Status.Config.Queues = nonNilSlice(answer.Status.Config.Queues)
 	return answer.Status, refusal
 }
 
-// ConfigAnnotation reads one annotation of the configuration, and the version.
-// The rest stays with the leader: it may be large, and the way to it narrow.
+// ConfigAnnotation returns one annotation of the configuration, and the version. The
+// leader sends no other content, which may be large.
 func (f *Front) ConfigAnnotation(ctx context.Context, name string) (version uint64, value string, refusal *api.Error) {
 	answer, refusal := read[protocol.ConfigAnswer](ctx, f, protocol.MethodGetConfig, protocol.ConfigRequest{Annotation: name})
 	return answer.Status.Version, answer.Status.Config.Annotations[name], refusal
@@ -66,8 +66,8 @@
 	return http.StatusOK, status, nil
 }
 
-// PutConfig proposes a configuration in the place of the version base. The same
-// order id again gets the same answer.
+// PutConfig proposes a configuration in the place of the version base. The order id is the
+// idempotency key.
 func (f *Front) PutConfig(ctx context.Context, orderID string, base uint64, config api.Config) (api.ConfigStatus, *api.Error) {
 	request := protocol.PutConfigRequest{OrderID: orderID, Base: base, Config: config}
 	answer, refusal := change[protocol.PutConfigAnswer](ctx, f, protocol.MethodPutConfig, request)
@@ -84,7 +84,7 @@
 	return http.StatusOK, answer, refusal
 }
 
-// ValidateConfig checks a configuration without taking it.
+// ValidateConfig checks a configuration without putting it in force.
 func (f *Front) ValidateConfig(ctx context.Context, config api.Config) (api.ValidateAnswer, *api.Error) {
 	if fields := api.ValidateConfig(&config); len(fields) > 0 {
 		return api.ValidateAnswer{}, httpjson.Invalid("configuration", fields)
@@ -93,27 +93,27 @@
 	return api.ValidateAnswer{Valid: true}, refusal
 }
 
-// ConfigVersions lists the versions that were accepted.
+// ConfigVersions lists the accepted versions of the configuration.
 func (f *Front) ConfigVersions(ctx context.Context) (api.ConfigVersions, *api.Error) {
 	answer, refusal := read[protocol.ConfigVersionsAnswer](ctx, f, protocol.MethodConfigVersions, protocol.Empty{})
 	answer.Versions.Versions = nonNilSlice(answer.Versions.Versions)
 	return answer.Versions, refusal
 }
 
-// Rollout says which process has which version.
+// Rollout lists which process has which version of the configuration.
 func (f *Front) Rollout(ctx context.Context) (api.Rollout, *api.Error) {
 	answer, refusal := read[protocol.RolloutAnswer](ctx, f, protocol.MethodRollout, protocol.Empty{})
 	answer.Rollout.Processes = nonNilSlice(answer.Rollout.Processes)
 	return answer.Rollout, refusal
 }
 
-// readConfig reads a configuration. Whether it is valid is for the leader to
-// say: a refusal is kept under the order id, like every other outcome.
+// readConfig decodes a configuration. The leader validates it, and stores a rejection
+// under the order id like every other outcome.
 func readConfig(writer http.ResponseWriter, request *http.Request) (api.Config, *api.Error) {
 	return readBody[api.Config](writer, request, maxConfigBytes)
 }
 
-// orderOf reads the base version and the order id of a PUT.
+// orderOf parses the base version and the order id of a PUT.
 func orderOf(header http.Header) (base uint64, orderID string, refusal *api.Error) {
 	baseText, orderID := header.Get(baseHeader), header.Get(orderHeader)
 	var missing []api.FieldError
@@ -136,7 +136,7 @@
 	return base, orderID, nil
 }
 
-// missingBase is the refusal of a PUT that does not say what it replaces.
+// missingBase is the error of a PUT that does not say what it replaces.
 func missingBase(missing []api.FieldError) *api.Error {
 	return &api.Error{
 		Status:  http.StatusPreconditionRequired,
@@ -146,7 +146,7 @@
 	}
 }
 
-// unquote takes the quotes from an entity tag.
+// unquote removes the quotes of an entity tag.
 func unquote(tag string) string {
 	if len(tag) >= 2 && strings.HasPrefix(tag, `"`) && strings.HasSuffix(tag, `"`) {
 		return tag[1 : len(tag)-1]
@@ -154,7 +154,7 @@
 	return tag
 }
 
-// setVersion answers with the version as the entity tag.
+// setVersion sets the version as the entity tag of the answer.
 func setVersion(writer http.ResponseWriter, version uint64) {
 	writer.Header().Set("ETag", strconv.Quote(strconv.FormatUint(version, 10)))
 }
--- a/internal/front/doc.go
+++ b/internal/front/doc.go
@@ -1,9 +1,20 @@
 // Package front is the HTTP interface of decklever for callers and operators.
-// A front holds no state of its own: it checks the shape of a request and its
-// own admission limits, relays the call to the leading scheduler, and retries
-// until the deadline, since every call may safely be sent again. Whether a job
-// or a configuration is taken, the leader alone decides.
 //
-// A call that a front gives up on is answered 503: CodeUnavailable if no try
-// can have had an effect, otherwise CodeOutcomeUnknown.
+// A front is stateless: it checks the form of a request and its own limits, forwards the
+// call to the leading scheduler, and retries until the deadline. The leader alone decides
+// whether a job or a configuration is accepted.
+//
+// # Invariants
+//
+// Every forwarded call is idempotent, so that it may be retried. A call that a front gives
+// up is answered 503: with CodeUnavailable if no attempt can have had an effect, otherwise
+// with CodeOutcomeUnknown.
+//
+// A flood of submissions to one queue, of long polls, or of requests that the leader
+// rejects leaves capacity to the others (localLimits).
+//
+// # Concurrency
+//
+// A Front is safe for concurrent use and starts goroutines only within a request, which
+// waits for them. Settings are replaced as a whole; requests in flight keep the old ones.
 package front
--- a/internal/front/drain_calls.go
+++ b/internal/front/drain_calls.go
@@ -9,8 +9,8 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// SetZoneDrain drains a zone by an order of its own, or takes that back. It
-// returns nil once the order is committed; again, it changes nothing.
+// SetZoneDrain drains a zone, or ends that, apart from the configuration. It returns nil
+// once that is committed. It is idempotent.
 func (f *Front) SetZoneDrain(ctx context.Context, zone string, drained bool) *api.Error {
 	drain := api.ZoneDrain{Zone: zone, Drained: drained}
 	if fields := api.ValidateZoneDrain(&drain); len(fields) > 0 {
@@ -20,7 +20,7 @@
 	return refusal
 }
 
-// Drains lists the zones that are drained by orders.
+// Drains lists the zones that SetZoneDrain has drained.
 func (f *Front) Drains(ctx context.Context) (api.DrainList, *api.Error) {
 	answer, refusal := read[protocol.DrainsAnswer](ctx, f, protocol.MethodDrains, protocol.Empty{})
 	answer.List.Zones = nonNilSlice(answer.List.Zones)
--- a/internal/front/drain_calls_test.go
+++ b/internal/front/drain_calls_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("answer %+v", answer)
 	}
 	if refusal := front.SetZoneDrain(t.Context(), "z1", true); refusal != nil {
-		t.Errorf("refused: %v", refusal)
+		t.Errorf("rejected: %v", refusal)
 	}
 	if len(got) != 3 || got[0] != drained || got[1] != restored || got[2] != drained {
 		t.Errorf("the leader got %+v", got)
--- a/internal/front/fakes_test.go
+++ b/internal/front/fakes_test.go
@@ -25,15 +25,15 @@
 
 const goodConfig = `{"queues":[{"name":"default"}]}`
 
-// fakeLink is a Link that the test steers.
+// fakeLink is a Link that the test controls.
 type fakeLink struct {
 	mutex  sync.Mutex
 	leader string
 	config *api.Config
 	stale  bool
 	failed []string
-	// attended ends the newest attended call, as if another leader were known.
-	attended context.CancelFunc
+	// cancelCall cancels the newest supervised call, as if another leader were known.
+	cancelCall context.CancelFunc
 }
 
 func (l *fakeLink) Leader() (string, bool) {
@@ -58,16 +58,16 @@
 	ctx, cancel := context.WithCancel(ctx)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.attended = cancel
+	l.cancelCall = cancel
 	return ctx, cancel
 }
 
-// moveTo has another leader be known.
+// moveTo makes another leader known.
 func (l *fakeLink) moveTo(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.leader = address
-	l.attended()
+	l.cancelCall()
 }
 
 func (l *fakeLink) Config() *api.Config {
@@ -78,7 +78,7 @@
 
 func (l *fakeLink) Fresh() bool { return !l.stale }
 
-// fakeLeader is a scheduler with the handlers that the test gives it.
+// fakeLeader is a scheduler with handlers of the test.
 type fakeLeader struct {
 	server  *rpc.Server
 	address string
@@ -86,6 +86,7 @@
 	calls   []protocol.Method
 }
 
+// newLeader starts a leader without handlers.
 func newLeader(t *testing.T) *fakeLeader {
 	t.Helper()
 	leader := &fakeLeader{server: rpc.NewServer(rpc.ServerConfig{})}
@@ -95,7 +96,7 @@
 	return leader
 }
 
-// newLeaderOn is newLeader in a bubble of testing/synctest, on a network of its own.
+// newLeaderOn is newLeader on a network of the test, for a bubble of testing/synctest.
 func newLeaderOn(t *testing.T, network *testnetwork.Network, address string) *fakeLeader {
 	t.Helper()
 	leader := &fakeLeader{server: rpc.NewServer(rpc.ServerConfig{}), address: address}
@@ -131,12 +132,13 @@
 	})
 }
 
+// newFront returns a front whose health check panics.
 func newFront(t *testing.T, link *fakeLink, settings Settings) *Front {
 	t.Helper()
 	return newFrontWith(t, rpc.ClientConfig{}, link, settings)
 }
 
-// newFrontOn is newFront on a network of the test's own.
+// newFrontOn is newFront on a network of the test.
 func newFrontOn(t *testing.T, network *testnetwork.Network, link *fakeLink, settings Settings) *Front {
 	t.Helper()
 	return newFrontWith(t, rpc.ClientConfig{Dialer: network.DialContext}, link, settings)
@@ -169,12 +171,12 @@
 	return recorder
 }
 
-// requireError checks status, code and the one shape of errors.
+// requireError checks status, code, and the form that all errors have.
 func requireError(t *testing.T, answer *httptest.ResponseRecorder, status int, code api.ErrorCode) api.Error {
 	t.Helper()
 	var shape api.Error
 	if refusal := api.DecodeStrict(answer.Body, &shape); refusal != nil {
-		t.Fatalf("status %d without the error shape: %v", answer.Code, refusal)
+		t.Fatalf("status %d without the form of an error: %v", answer.Code, refusal)
 	}
 	if answer.Code != status || shape.Status != status || shape.Code != code || shape.Message == "" {
 		t.Fatalf("status %d with %+v, want %d %s", answer.Code, shape, status, code)
@@ -183,11 +185,12 @@
 		t.Fatalf("headers %v", answer.Header())
 	}
 	if retryable(status) && (answer.Header().Get("Retry-After") == "" || shape.RetryAfterMillis <= 0) {
-		t.Fatalf("%d does not say when to ask again: %+v", status, shape)
+		t.Fatalf("%d without Retry-After: %+v", status, shape)
 	}
 	return shape
 }
 
+// requireOK checks the status and decodes the body.
 func requireOK[T any](t *testing.T, answer *httptest.ResponseRecorder, status int) T {
 	t.Helper()
 	var body T
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -16,46 +16,47 @@
 
 // Defaults of Settings.
 const (
-	// DefaultDeadline bounds a call to the leader with all its tries.
+	// DefaultDeadline bounds a call to the leader with all its attempts.
 	DefaultDeadline = 3 * time.Second
-	// DefaultMaxInflight bounds requests served at once.
+	// DefaultMaxInflight bounds the requests that are served at once.
 	DefaultMaxInflight = 1024
 )
 
-// Link says where the leader is and what configuration is in force here;
-// *leaderclient.Client is one.
+// Link tracks the leader and the configuration in force here. *leaderclient.Client
+// implements it.
 type Link interface {
 	// Leader returns the address of the leader, if it is known.
 	Leader() (address string, ok bool)
-	// ObserveHint takes the leader's address as another scheduler said it.
+	// ObserveHint takes in the leader's address according to a scheduler that does not
+	// lead.
 	ObserveHint(address string)
-	// ReportFailure reports that a call to the address had no answer.
+	// ReportFailure records that a call to the address had no answer.
 	ReportFailure(address string)
-	// Supervise watches over a call to the leader at the address: the returned
-	// context ends once another one leads. The function ends the watching.
+	// Supervise watches over a call to the leader at the address: the returned context ends
+	// once another one leads. The function must be called when the call has ended.
 	Supervise(ctx context.Context, address string) (context.Context, context.CancelFunc)
-	// Config is the configuration in force here, nil before the first.
+	// Config returns the configuration in force here; nil before the first.
 	Config() *api.Config
-	// Fresh reports whether Config can be relied on at present.
+	// Fresh reports whether the lease of the last answer of the leader has not expired.
 	Fresh() bool
 }
 
-// Settings can change while the front serves. A zero means the default.
+// Settings may change while the front serves. A zero means the default.
 type Settings struct {
-	// Deadline bounds a call to the leader with all its tries, besides the
-	// time that a read is held. Default 3s.
+	// Deadline bounds a call to the leader with all its attempts, beside the time of a
+	// long poll. Default 3s.
 	Deadline time.Duration
-	// MaxInflight bounds the held reads served at once and, separately, all
-	// other requests, so that held reads never keep a submission out. Half of it is
-	// guaranteed to the submissions of each queue, by weight, and to what is no
-	// submission. Default 1024.
+	// MaxInflight bounds the long polls that are served at once and, separately, all other
+	// requests, so that long polls never exclude a submission. Half of it is guaranteed to
+	// the submissions of each queue, by weight, and to requests that are no submissions.
+	// Default 1024.
 	MaxInflight int
 }
 
-// Config is what a Front needs.
+// Config is what a Front needs. Link and Client are required.
 type Config struct {
 	Link Link
-	// Client carries the calls. Its Timeout must be longer than MaxAttemptDuration.
+	// Client carries the calls. Its timeout must be longer than MaxAttemptDuration.
 	Client *rpc.Client
 	// Settings may be changed later with Apply.
 	Settings Settings
@@ -67,7 +68,7 @@
 	Registerer prometheus.Registerer
 }
 
-// Front serves the HTTP interface.
+// Front serves the HTTP interface. It is an http.Handler.
 type Front struct {
 	link     Link
 	client   *rpc.Client
@@ -78,7 +79,7 @@
 	handler  http.Handler
 }
 
-// New makes a front; it starts no goroutine.
+// New returns a front that is ready to serve; it starts no goroutine.
 func New(config Config) (*Front, error) {
 	if config.Link == nil || config.Client == nil {
 		return nil, errors.New("a front needs a link to the leader and an rpc client")
@@ -97,7 +98,7 @@
 	return front, nil
 }
 
-// Apply puts changed settings in force; requests under way keep the old.
+// Apply puts changed settings in force. Requests in flight keep the old ones.
 func (f *Front) Apply(settings Settings) {
 	if settings.Deadline <= 0 {
 		settings.Deadline = DefaultDeadline
@@ -113,7 +114,7 @@
 	f.handler.ServeHTTP(writer, request)
 }
 
-// limitConfig are those of the configuration in force here, or the defaults.
+// limitConfig returns the limits of the configuration in force here, or the defaults.
 func (f *Front) limitConfig() api.LimitConfig {
 	if config := f.link.Config(); config != nil {
 		return config.Limits.WithDefaults()
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -72,11 +72,11 @@
 		retryAfter string
 	}{
 		{"new", protocol.SubmitAnswer{Created: true}, nil, 201, "", ""},
-		{"same again", protocol.SubmitAnswer{}, nil, 200, "", ""},
+		{"duplicate", protocol.SubmitAnswer{}, nil, 200, "", ""},
 		{"other content", protocol.SubmitAnswer{}, apiError(409, api.CodeConflict, 0), 409, api.CodeConflict, ""},
 		{"impossible", protocol.SubmitAnswer{}, apiError(422, api.CodeImpossible, 0), 422, api.CodeImpossible, ""},
 		{"over a limit", protocol.SubmitAnswer{}, apiError(429, api.CodeOverLimit, 1500), 429, api.CodeOverLimit, "2"},
-		{"not now", protocol.SubmitAnswer{}, apiError(503, api.CodeUnavailable, 0), 503, api.CodeUnavailable, "1"},
+		{"rejected for now", protocol.SubmitAnswer{}, apiError(503, api.CodeUnavailable, 0), 503, api.CodeUnavailable, "1"},
 		{"no status", protocol.SubmitAnswer{}, apiError(0, api.CodeInternal, 0), 500, "", ""},
 	}
 	for _, c := range cases {
@@ -215,7 +215,8 @@
 	}
 }
 
-// A flood of refused jobs must not use up the submissions of others.
+// TestSubmit_RejectedJobsReturnTokens: a flood of rejected jobs must not use up the tokens of
+// others.
 func TestSubmit_RejectedJobsReturnTokens(t *testing.T) {
 	leader := newLeader(t)
 	handleMethod(leader, protocol.MethodSubmit, func(_ context.Context, request protocol.SubmitRequest, _ int) (protocol.SubmitAnswer, error) {
--- a/internal/front/job_calls.go
+++ b/internal/front/job_calls.go
@@ -37,7 +37,7 @@
 	return status, answer, refusal
 }
 
-// Submit hands in a job and says whether it is new.
+// Submit submits a job and says whether it is new. It is idempotent.
 func (f *Front) Submit(ctx context.Context, id string, spec api.JobSpec) (api.SubmitAnswer, *api.Error) {
 	if fields := f.wrongFields(id, &spec); len(fields) > 0 {
 		return api.SubmitAnswer{}, httpjson.Invalid("job", fields)
@@ -54,8 +54,8 @@
 	return api.SubmitAnswer{ID: id, Created: answer.Created}, refusal
 }
 
-// admit lets a submission in if this front's limits have a place for its queue;
-// leave gives the place back.
+// admit admits a submission if this front's limits have a slot and a token for its queue.
+// leave gives the slot back and must be called.
 func (f *Front) admit(queue string) (leave func(), refusal *api.Error) {
 	weights := queueWeights(f.link.Config())
 	if _, known := weights[queue]; !known {
@@ -73,9 +73,9 @@
 	return func() { f.limits.leaveQueue(queue) }, nil
 }
 
-// wrongFields checks what is wrong under any configuration: a newer one than
-// this front knows may have the queue. Only if something is wrong anyway does
-// the list tell what the configuration known here adds.
+// wrongFields returns the errors that a job has under any configuration: one that is newer
+// than the one known here may have its queue. Only if there are any does it add the errors
+// under the configuration known here.
 func (f *Front) wrongFields(id string, spec *api.JobSpec) []api.FieldError {
 	fields := api.ValidateJob(id, spec, nil)
 	config := f.link.Config()
@@ -85,7 +85,7 @@
 	return api.ValidateJob(id, spec, config)
 }
 
-// getJob serves GET /v1/jobs/{id}, held if the caller says ?wait=.
+// getJob serves GET /v1/jobs/{id}, as a long poll with the parameter "wait".
 func (f *Front) getJob(_ http.ResponseWriter, request *http.Request) (int, any, *api.Error) {
 	id := jobID(request)
 	wait, refusal := waitOf(request.URL.Query())
@@ -96,7 +96,7 @@
 	return http.StatusOK, status, refusal
 }
 
-// Job reads a job; the answer is held until the job is final or wait is over.
+// Job returns the status of a job, once the job is final or wait is over.
 func (f *Front) Job(ctx context.Context, id string, wait time.Duration) (api.JobStatus, *api.Error) {
 	if !api.ValidJobID(id) {
 		return api.JobStatus{}, jobNotFound(id)
@@ -104,7 +104,7 @@
 	return f.waitForJob(ctx, id, wait)
 }
 
-// JobState reads the state of a job, without its steps.
+// JobState returns the state of a job.
 func (f *Front) JobState(ctx context.Context, id string) (api.State, *api.Error) {
 	if !api.ValidJobID(id) {
 		return "", jobNotFound(id)
@@ -119,7 +119,7 @@
 	return http.StatusOK, status, refusal
 }
 
-// Cancel cancels a job and returns its state; doubled, it has no effect.
+// Cancel cancels a job and returns its status. It is idempotent.
 func (f *Front) Cancel(ctx context.Context, id string) (api.JobStatus, *api.Error) {
 	return f.cancel(ctx, protocol.CancelRequest{ID: id})
 }
@@ -147,14 +147,14 @@
 	return http.StatusOK, list, refusal
 }
 
-// Jobs lists a page of jobs.
+// Jobs returns a page of jobs.
 func (f *Front) Jobs(ctx context.Context, query protocol.ListJobsRequest) (api.JobList, *api.Error) {
 	answer, refusal := read[protocol.ListJobsAnswer](ctx, f, protocol.MethodListJobs, query)
 	answer.List.Jobs = nonNilSlice(answer.List.Jobs)
 	return answer.List, refusal
 }
 
-// listQuery reads the parameters of a list.
+// listQuery parses the parameters of a list.
 func listQuery(values url.Values) (protocol.ListJobsRequest, *api.Error) {
 	query := protocol.ListJobsRequest{
 		Queue:     values.Get("queue"),
@@ -177,7 +177,7 @@
 	return query, nil
 }
 
-// waitOf reads ?wait=; what is over api.MaxWait counts as that.
+// waitOf parses the parameter "wait", and bounds it by api.MaxWait.
 func waitOf(values url.Values) (time.Duration, *api.Error) {
 	text := values.Get("wait")
 	if text == "" {
@@ -190,10 +190,10 @@
 	return min(wait, api.MaxWait), nil
 }
 
-// jobID reads the id of a job from the path.
+// jobID is the id of a job in the path.
 func jobID(request *http.Request) string { return pathValue(request, "id") }
 
-// pathValue reads a parameter from the path, where it may be escaped.
+// pathValue is a parameter in the path, where it may be escaped.
 func pathValue(request *http.Request, name string) string {
 	value := chi.URLParam(request, name)
 	if plain, err := url.PathUnescape(value); err == nil && request.URL.RawPath != "" {
@@ -202,7 +202,7 @@
 	return value
 }
 
-// jobNotFound is the refusal for an id that no job has.
+// jobNotFound is the error for an id that no job has.
 func jobNotFound(id string) *api.Error {
 	return httpjson.NotFound(fmt.Sprintf("there is no job %q", id))
 }
--- a/internal/front/intake_test.go
+++ b/internal/front/locallimits_test.go
@@ -17,9 +17,9 @@
 // jobOf is goodJob for another queue.
 func jobOf(queue string) string { return strings.Replace(goodJob, `"default"`, `"`+queue+`"`, 1) }
 
-// TestLocalLimits_FloodLeavesInFlightSlots: the leader does not answer for queue
-// "a". Of 24 places it gets all but the 3 that are guaranteed to each of "b", "c"
-// and what is no submission.
+// TestLocalLimits_FloodLeavesInFlightSlots: the leader does not answer for queue "a", which
+// gets all of 24 slots but the 3 that are guaranteed to each of "b", "c" and requests that
+// are no submissions.
 func TestLocalLimits_FloodLeavesInFlightSlots(t *testing.T) {
 	leader := newLeader(t)
 	done := make(chan struct{})
@@ -45,7 +45,7 @@
 		started := time.Now()
 		requireError(t, <-answers, http.StatusServiceUnavailable, api.CodeUnavailable)
 		if waited := time.Since(started); waited > DefaultDeadline/2 {
-			t.Errorf("a refusal was held for %v", waited)
+			t.Errorf("a rejection took %v", waited)
 		}
 	}
 	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/b", jobOf("b")), 201)
@@ -58,12 +58,12 @@
 	}
 	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a-again", jobOf("a")), 201)
 	if len(front.limits.inFlightByQueue) != 0 {
-		t.Errorf("places are still taken: %v", front.limits.inFlightByQueue)
+		t.Errorf("slots are still taken: %v", front.limits.inFlightByQueue)
 	}
 }
 
-// TestLocalLimits_FloodLeavesSubmitRate: of 40 a second, 10 are guaranteed
-// to "b".
+// TestLocalLimits_FloodLeavesSubmitRate: of 40 submissions a second, 10 are guaranteed to
+// "b".
 func TestLocalLimits_FloodLeavesSubmitRate(t *testing.T) {
 	leader := newLeader(t)
 	handleMethod(leader, protocol.MethodSubmit, func(context.Context, protocol.SubmitRequest, int) (protocol.SubmitAnswer, error) {
--- a/internal/front/wait.go
+++ b/internal/front/longpoll.go
@@ -10,19 +10,18 @@
 )
 
 const (
-	// maxLongPoll is how long one call of a held read is held by the leader; a
-	// longer wait is made of several, so that a change of leader goes unnoticed.
+	// maxLongPoll is how long the leader holds one call of a long poll. A longer wait is
+	// made of several, so that it survives a change of leader.
 	maxLongPoll = 2 * time.Second
-	// lateAnswerGrace is how long the answer to the last call of a wait may be late
-	// before the state read earlier in the same wait is answered.
+	// lateAnswerGrace is how late the answer to the last call of a wait may be before the
+	// state that was read earlier in the wait is the answer.
 	lateAnswerGrace = 200 * time.Millisecond
-	// minPollInterval keeps a leader that answers without holding from being asked
-	// without end.
+	// minPollInterval keeps a leader that does not hold calls from being called in a loop.
 	minPollInterval = 50 * time.Millisecond
 )
 
-// waitForJob reads a job until it is final or the wait is over; then the
-// answer is the newest state that was read during the wait.
+// waitForJob reads a job until it is final or the wait is over. The answer is then the
+// newest state that was read.
 func (f *Front) waitForJob(ctx context.Context, id string, wait time.Duration) (api.JobStatus, *api.Error) {
 	end := time.Now().Add(wait)
 	var newest *api.JobStatus
@@ -45,11 +44,10 @@
 	}
 }
 
-// longPoll is one call of a wait that is over at end. Each try of it is held no
-// longer than what is left of the wait, so that a leader lost in the middle of
-// it delays the answer by the one try that it did not answer. While no state is
-// known the call goes on for Deadline beyond the wait; a known state is
-// answered once the wait is over.
+// longPoll is one call of a wait that ends at end. The leader holds each attempt no longer
+// than what is left of the wait, so that a leader that dies delays the answer by one
+// attempt only. While no state is known, the call goes on for Settings.Deadline after the
+// wait; a known state is the answer once the wait is over.
 func (f *Front) longPoll(id string, end time.Time, known bool) relayCall[protocol.GetJobRequest] {
 	call := relayCall[protocol.GetJobRequest]{
 		method: protocol.MethodGetJob,
--- a/internal/front/metrics.go
+++ b/internal/front/metrics.go
@@ -10,14 +10,14 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// Reasons under which refusals by admission are counted.
+// Reasons of rejections by localLimits, as a metrics label.
 const (
 	refusedInflight      = "inflight"
 	refusedQueueInflight = "queue_inflight"
 	refusedRate          = "submit_rate"
 )
 
-// metrics are the front's own figures.
+// metrics are the front's own metrics.
 type metrics struct {
 	requests *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
@@ -25,7 +25,7 @@
 	refusals *prometheus.CounterVec
 }
 
-// newMetrics makes the metrics and registers them, if there is a registerer.
+// newMetrics makes the metrics, and registers them if there is a registerer.
 func newMetrics(registerer prometheus.Registerer, limits *localLimits) (*metrics, error) {
 	m := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -56,8 +56,8 @@
 	return m, nil
 }
 
-// inflightGauge shows how many requests of a class are being served.
-func inflightGauge(class string, requests *inflight) prometheus.Collector {
+// inflightGauge has the number of requests of a class that are being served.
+func inflightGauge(class string, requests *inFlight) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "decklever_front_inflight_requests", Help: "Requests being served, by class.",
 		ConstLabels: prometheus.Labels{"class": class},
--- a/internal/front/middleware.go
+++ b/internal/front/middleware.go
@@ -20,11 +20,11 @@
 // requestIDHeader names a request in logs; the caller may choose it.
 const requestIDHeader = "X-Request-Id"
 
-// requestIDPattern keeps callers' ids from doing harm in logs.
+// requestIDPattern restricts the ids of callers to what is harmless in logs.
 var requestIDPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,64}$`)
 
-// identify gives each request an id, the caller's if it named a sound one,
-// and answers with it.
+// identify gives each request an id, the caller's own if that is valid, and answers with
+// it.
 func identify(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		id := request.Header.Get(requestIDHeader)
@@ -58,7 +58,8 @@
 	})
 }
 
-// routeOf names the route for metrics: few values, whatever callers send.
+// routeOf is the route of a request as a metrics label, which has few values whatever
+// callers send.
 func routeOf(request *http.Request) string {
 	pattern := chi.RouteContext(request.Context()).RoutePattern()
 	if pattern == "" || pattern == "/v1/*" {
@@ -70,8 +71,7 @@
 	return request.Method + " " + pattern
 }
 
-// logLevel keeps floods of refused requests out of the log; the metrics count
-// them.
+// logLevel keeps floods of rejected requests out of the log; the metrics count them.
 func logLevel(status int) slog.Level {
 	if status >= http.StatusInternalServerError && status != http.StatusServiceUnavailable {
 		return slog.LevelWarn
@@ -100,7 +100,7 @@
 	})
 }
 
-// limitInFlight refuses at once what is beyond the number of requests in flight.
+// limitInFlight rejects requests over the limit of requests in flight.
 func (f *Front) limitInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		class := &f.limits.others
@@ -123,7 +123,7 @@
 	})
 }
 
-// isLongPoll reports whether the caller asks for the answer to be held.
+// isLongPoll reports whether the caller asks for a long poll.
 func isLongPoll(request *http.Request) bool {
 	return request.Method == http.MethodGet && request.URL.Query().Has("wait")
 }
--- a/internal/front/openapi_test.go
+++ b/internal/front/openapi_test.go
@@ -21,7 +21,7 @@
 	"github.com/decklever/decklever/internal/telemetry"
 )
 
-// loadInterface reads the interface file and checks it for itself.
+// loadInterface reads and validates the interface file.
 func loadInterface(t *testing.T) *openapi3.T {
 	t.Helper()
 	document, err := openapi3.NewLoader().LoadFromFile("../../api/openapi.yaml")
@@ -35,7 +35,7 @@
 	return document
 }
 
-// newDescribedFront is a front with real health and metrics.
+// newDescribedFront returns a front with real health checks and metrics.
 func newDescribedFront(t *testing.T, link *fakeLink, health *telemetry.Health) *Front {
 	t.Helper()
 	client := rpc.NewClient(rpc.ClientConfig{Timeout: MaxAttemptDuration + time.Second})
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestOpenAPI_AnswersMatch sends requests through the real handlers
-// and checks request and answer against the file.
+// TestOpenAPI_AnswersMatch sends requests through the real handlers, and validates requests
+// and answers against the interface file.
 func TestOpenAPI_AnswersMatch(t *testing.T) {
 	router, err := gorillamux.NewRouter(loadInterface(t))
 	if err != nil {
@@ -170,7 +170,7 @@
 	}
 }
 
-// requestInput finds the operation of a request.
+// requestInput returns a request with its operation in the interface file.
 func requestInput(t *testing.T, router routers.Router, method, path, body string, headers []string) *openapi3filter.RequestValidationInput {
 	t.Helper()
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
@@ -190,8 +190,8 @@
 	}
 }
 
-// checkAnswer holds an answer against the operation, and each refusal against
-// the strict shape.
+// checkAnswer validates an answer against the operation, and errors against the form that
+// all errors have.
 func checkAnswer(t *testing.T, input *openapi3filter.RequestValidationInput, answer *httptest.ResponseRecorder) {
 	t.Helper()
 	body := answer.Body.Bytes()
--- a/internal/front/read_calls.go
+++ b/internal/front/read_calls.go
@@ -35,8 +35,8 @@
 	return http.StatusOK, status, refusal
 }
 
-// Queue reads what one queue holds; one that the configuration in force does
-// not have is not found.
+// Queue returns the status of one queue. It fails with a 404 for one that the
+// configuration in force does not have.
 func (f *Front) Queue(ctx context.Context, name string) (api.QueueStatus, *api.Error) {
 	answer, refusal := read[protocol.QueueAnswer](ctx, f, protocol.MethodQueue, protocol.QueueRequest{Name: name})
 	return answer.Status, refusal
--- a/internal/front/relay_test.go
+++ b/internal/front/relay_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestRelay_GivesUpAtDeadline checks which calls are answered with an unknown outcome, on a clock
-// that load cannot move: a try that is cut short by the deadline is unknown as well.
+// TestRelay_GivesUpAtDeadline checks which calls end with an unknown outcome. The outcome
+// of an attempt that the deadline cuts short is unknown as well.
 func TestRelay_GivesUpAtDeadline(t *testing.T) {
 	const silent, refusing, nobody = "silent:1", "refusing:1", "nobody:1"
 	cases := []struct {
@@ -57,7 +57,7 @@
 		{"cancel unanswered", silent, "POST", "/v1/jobs/a/cancel", "", api.CodeOutcomeUnknown},
 		{"config unanswered", silent, "PUT", "/v1/config", goodConfig, api.CodeOutcomeUnknown},
 		{"read unanswered", silent, "GET", "/v1/jobs/a", "", api.CodeUnavailable},
-		{"submit not taken", refusing, "PUT", "/v1/jobs/a", goodJob, api.CodeUnavailable},
+		{"submit rejected for now", refusing, "PUT", "/v1/jobs/a", goodJob, api.CodeUnavailable},
 		{"no connection", nobody, "PUT", "/v1/jobs/a", goodJob, api.CodeUnavailable},
 		{"no leader known", "", "PUT", "/v1/jobs/a", goodJob, api.CodeUnavailable},
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-// hangAll serves the methods of TestRelay_GivesUpAtDeadline without an answer.
+// hangAll serves the methods of TestRelay_GivesUpAtDeadline, and never answers.
 func hangAll(leader *fakeLeader) {
 	hang(leader, protocol.MethodSubmit, protocol.SubmitRequest{}, protocol.SubmitAnswer{})
 	hang(leader, protocol.MethodCancel, protocol.CancelRequest{}, protocol.JobAnswer{})
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestRelay_CallToSilentLeaderMovesToNext: once another leader is known, the call is
-// not left to the old one until its time is over.
+// TestRelay_CallToSilentLeaderMovesToNext: once another leader is known, the call to the old
+// one is cancelled.
 func TestRelay_CallToSilentLeaderMovesToNext(t *testing.T) {
 	old, leader := newLeader(t), newLeader(t)
 	link := &fakeLink{leader: old.address}
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestRelay_RejectionAfterUnknownOutcome: "not now" to a resend says nothing about
-// the first try; a conflict does.
+// TestRelay_RejectionAfterUnknownOutcome: a retry that is rejected for now says nothing
+// about the first attempt; a conflict does.
 func TestRelay_RejectionAfterUnknownOutcome(t *testing.T) {
 	for code, want := range map[api.ErrorCode]struct {
 		given, status int
@@ -236,8 +236,8 @@
 	requireOK[api.SubmitAnswer](t, recorder, 201)
 }
 
-// A front that is cut off must not keep its callers until the deadline, which
-// here is an hour.
+// TestRelay_StaleFrontGivesUpEarly: a front that is cut off by a partition must not keep its
+// callers until the deadline, which is an hour here.
 func TestRelay_StaleFrontGivesUpEarly(t *testing.T) {
 	front := newFront(t, &fakeLink{stale: true}, Settings{Deadline: time.Hour})
 	answer := doRequest(t, front, "GET", "/v1/jobs/a", "")
--- a/internal/front/answer.go
+++ b/internal/front/response.go
@@ -8,11 +8,10 @@
 	"github.com/decklever/decklever/internal/httpjson"
 )
 
-// retryAfterUnavailable is what a 503 names that brought no time of its own.
+// retryAfterUnavailable is the Retry-After of a 429 or 503 that has none of its own.
 const retryAfterUnavailable = time.Second
 
-// writeError answers with a refusal. A 429 or 503 always says when to ask
-// again.
+// writeError answers with an error. A 429 or 503 always has a Retry-After.
 func writeError(writer http.ResponseWriter, refusal *api.Error) {
 	answer := *refusal
 	if answer.RetryAfterMillis <= 0 && retryable(answer.Status) {
@@ -21,18 +20,18 @@
 	httpjson.WriteError(writer, &answer)
 }
 
-// retryable reports whether the status invites the same request again.
+// retryable reports whether the status invites a retry of the request.
 func retryable(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// readBody reads a JSON body of at most limit bytes; it refuses unknown fields.
+// readBody decodes a JSON body of at most limit bytes. It rejects unknown fields.
 func readBody[Body any](writer http.ResponseWriter, request *http.Request, limit int64) (body Body, refusal *api.Error) {
 	refusal = api.DecodeStrict(http.MaxBytesReader(writer, request.Body, limit), &body)
 	return body, refusal
 }
 
-// malformedField is the refusal of one wrong parameter or header.
+// malformedField is the error of a parameter or header that is not valid.
 func malformedField(field, value, expected string) *api.Error {
 	return &api.Error{
 		Status:  http.StatusBadRequest,
@@ -42,7 +41,7 @@
 	}
 }
 
-// nonNilSlice makes an empty list of none, so that JSON shows [] and not null.
+// nonNilSlice returns an empty slice for nil, so that JSON has [] and not null.
 func nonNilSlice[T any](list []T) []T {
 	if list == nil {
 		return []T{}
--- a/internal/front/routes.go
+++ b/internal/front/routes.go
@@ -12,11 +12,11 @@
 	"github.com/decklever/decklever/internal/httpjson"
 )
 
-// endpoint serves one call: it returns the status and the body, or a refusal.
+// endpoint serves one call. It returns the status and the body, or an error.
 type endpoint func(writer http.ResponseWriter, request *http.Request) (status int, body any, refusal *api.Error)
 
 // routes builds the router. Every request passes identify, measure and
-// recoverPanic; those of the interface pass bound as well.
+// recoverPanic; those of the interface pass limitInFlight as well.
 func (f *Front) routes(status http.Handler) http.Handler {
 	router := chi.NewRouter()
 	router.Use(identify, f.measure, f.recoverPanic)
@@ -84,8 +84,8 @@
 	})
 }
 
-// refuseMethod answers a method that the path does not have, and says in
-// Allow which it has.
+// refuseMethod answers a method that the path does not have. The header Allow has those
+// that it has.
 func refuseMethod(writer http.ResponseWriter, request *http.Request, router chi.Router) {
 	var allowed []string
 	for _, method := range []string{http.MethodGet, http.MethodPut, http.MethodPost, http.MethodDelete} {
--- a/internal/front/samples_test.go
+++ b/internal/front/samples_test.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// serveSamples makes the leader answer every method, with every field set.
+// serveSamples has the leader answer every method, with every field set.
 func serveSamples(leader *fakeLeader) {
 	handleMethod(leader, protocol.MethodSubmit, func(_ context.Context, request protocol.SubmitRequest, _ int) (protocol.SubmitAnswer, error) {
 		return protocol.SubmitAnswer{Created: request.ID == "new"}, submitRefusals[request.ID]
