--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -191,26 +191,34 @@
 
 func TestOpen_DamageRejected(t *testing.T) {
 	remove := func(name string) func(t *testing.T, directory, _ string) {
-		return func(t *testing.T, directory, _ string) { requireNoError(t, os.Remove(filepath.Join(directory, name))) }
+		return func(t *testing.T, directory, _ string) {
+			t.Helper()
+			requireNoError(t, os.Remove(filepath.Join(directory, name)))
+		}
 	}
 	flipIn := func(name, text string) func(t *testing.T, directory, _ string) {
-		t.Helper()
-		return func(t *testing.T, directory, _ string) { flipByte(t, filepath.Join(directory, name), text) }
+		return func(t *testing.T, directory, _ string) {
+			t.Helper()
+			flipByte(t, filepath.Join(directory, name), text)
+		}
 	}
 	truncate := func(name string, size int64) func(t *testing.T, directory, _ string) {
-		t.Helper()
 		return func(t *testing.T, directory, _ string) {
 			t.Helper()
 			requireNoError(t, os.Truncate(filepath.Join(directory, name), size))
 		}
 	}
 	logFile := wal.SegmentName(wal.FirstSegment)
+	flipReplicaID := func(t *testing.T, directory, id string) {
+		t.Helper()
+		flipByte(t, filepath.Join(directory, logFile), id)
+	}
 	cases := map[string]struct {
 		file   string
 		damage func(t *testing.T, directory, id string)
 	}{
 		"entry":           {logFile, flipIn(logFile, "entry-9-of-term-1")},
-		"replica id":      {logFile, func(t *testing.T, directory, id string) { flipByte(t, filepath.Join(directory, logFile), id) }},
+		"replica id":      {logFile, flipReplicaID},
 		"snapshot data":   {snapshotFile, flipIn(snapshotFile, "state at 8")},
 		"snapshot meta":   {snapshotFile, flipIn(snapshotFile, "machine-one")},
 		"snapshot short":  {snapshotFile, truncate(snapshotFile, 90)},
@@ -224,7 +232,6 @@
 		"archive missing": {archiveFile, remove(archiveFile)},
 	}
 	for name, c := range cases {
-		t.Helper()
 		t.Run(name, func(t *testing.T) {
 			directory := t.TempDir()
 			d := openStore(t, directory)
