--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -240,8 +240,11 @@
 // waitsForMembers reports whether the run is of a gang not all of whose members have started:
 // the others may then rightly wait.
 func (g *gangs) waitsForMembers(run *runState) bool {
-	gang, known := g.byStep[run.step]
-	return run.inGang && known && !gang.allStarted()
+	if !run.inGang {
+		return false
+	}
+	gang := g.find(run.step)
+	return gang != nil && !gang.allStarted()
 }
 
 // drop forgets the gang of a step whose job has ended.
