--- a/docs/doc.go
+++ b/docs/doc.go
@@ -1,3 +1,3 @@
-// Package docs holds the pages of the project and nothing else; its tests hold
-// the pages against the repository.
+// Package docs holds the pages of the project and the list of withdrawn names.
+// Its tests hold pages, names, metrics and log messages against the code.
 package docs
