--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -41,8 +41,8 @@
 
 // takeRequested returns and forgets the runs to stop, without those that ended since.
 func (p *preemptor) takeRequested() []Preemption {
-	requested := slices.DeleteFunc(p.requested, func(asked Preemption) bool {
-		r, open := p.runs.open[asked.Task]
+	requested := slices.DeleteFunc(p.requested, func(request Preemption) bool {
+		r, open := p.runs.open[request.Task]
 		return !open || !r.stopping
 	})
 	p.requested = nil
@@ -51,12 +51,12 @@
 
 // stop records that runs are asked to stop for a task.
 func (p *preemptor) stop(victims []*run, beneficiary record.TaskID) []Preemption {
-	asked := make([]Preemption, 0, len(victims))
+	requests := make([]Preemption, 0, len(victims))
 	for _, r := range victims {
 		p.setStopping(r, true)
-		asked = append(asked, Preemption{Task: r.task, WorkerID: r.worker.ID, Beneficiary: beneficiary})
+		requests = append(requests, Preemption{Task: r.task, WorkerID: r.worker.ID, Beneficiary: beneficiary})
 	}
-	return asked
+	return requests
 }
 
 // setStopping records it of one run, or takes it back.
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -50,9 +50,9 @@
 			}
 			e.Add(high(c.need))
 			expect(t, "not placed yet", placed(e, 10), "")
-			asked := e.Preemptions()
+			requests := e.Preemptions()
 			var texts []string
-			for _, p := range asked {
+			for _, p := range requests {
 				texts = append(texts, p.Task.String()+">"+p.Beneficiary.String())
 				e.Release(p.Task)
 			}
@@ -79,12 +79,12 @@
 		e.Add(task)
 	}
 	e.Plan(1000)
-	asked := e.Preemptions()
-	expect(t, "first pass", len(asked), maxPreemptionsPerPass)
-	expect(t, "one for the quota", asked[0].Beneficiary.String()+" "+asked[1].Beneficiary.Job, "limited/a/0 high")
+	requests := e.Preemptions()
+	expect(t, "first pass", len(requests), maxPreemptionsPerPass)
+	expect(t, "one for the quota", requests[0].Beneficiary.String()+" "+requests[1].Beneficiary.Job, "limited/a/0 high")
 	e.Plan(1000)
 	expect(t, "second pass", len(e.Preemptions()), 100-maxPreemptionsPerPass)
-	e.Remove(asked[0].Beneficiary)
+	e.Remove(requests[0].Beneficiary)
 	e.Plan(1000)
 	expect(t, "a stopping run's room goes on", e.Reason(record.TaskID{Job: "limited", Step: "a", Index: 1}), reasonPreempting)
 	expect(t, "no other victim", preemptions(e), "")
--- a/internal/placement/property_reservation_test.go
+++ b/internal/placement/property_reservation_test.go
@@ -200,11 +200,11 @@
 
 // checkPreemptions checks the rules for victims.
 func (m *model) checkPreemptions(t *rapid.T) {
-	asked := m.engine.Preemptions()
-	if twin := m.twin.Preemptions(); fmt.Sprint(asked) != fmt.Sprint(twin) {
-		t.Fatalf("same calls, other preemptions:\n%v\n%v", asked, twin)
+	requests := m.engine.Preemptions()
+	if twin := m.twin.Preemptions(); fmt.Sprint(requests) != fmt.Sprint(twin) {
+		t.Fatalf("same calls, other preemptions:\n%v\n%v", requests, twin)
 	}
-	for _, p := range asked {
+	for _, p := range requests {
 		victim, open := m.open[p.Task]
 		if !open || victim.worker != p.WorkerID || !m.preemptible(victim.task) || m.named[p.Task] {
 			t.Fatalf("%v: open %v, victim %v, named before %v", p, open, victim, m.named[p.Task])
--- a/internal/scheduler/expire_test.go
+++ b/internal/scheduler/expire_test.go
@@ -27,9 +27,9 @@
 		t.Fatalf("%d entries for an archive within its bytes", h.log.index-before)
 	}
 	put(51, 80)
-	hold := h.archive.Bytes()
+	sizeBefore := h.archive.Bytes()
 	h.leader.expireArchive()
-	if h.archive.Bytes() != hold || h.log.index != before+1 {
+	if h.archive.Bytes() != sizeBefore || h.log.index != before+1 {
 		t.Fatalf("%d bytes and %d entries, want them hidden by one entry and held until a snapshot hides them", h.archive.Bytes(), h.log.index-before)
 	}
 	h.log.machine.Read(func(view record.View) {
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -18,9 +18,9 @@
 	// workersPerBaseInterval: beyond this many workers the heartbeat interval
 	// grows with their number, so that the leader's load does not.
 	workersPerBaseInterval = 200
-	// intervalsPerHold bounds the interval, so that a lease survives the loss
+	// intervalsPerLease bounds the interval, so that a lease survives the loss
 	// of two heartbeats in a row.
-	intervalsPerHold = 4
+	intervalsPerLease = 4
 )
 
 // heartbeat answers one heartbeat of one worker. It checks the leader's lease
--- a/internal/scheduler/incarnations.go
+++ b/internal/scheduler/incarnations.go
@@ -62,6 +62,6 @@
 	if current == nil || current == worker || current.provenAliveAt < worker.firstKnownAt {
 		return false
 	}
-	silentSince := max(worker.lastSeen, worker.firstKnownAt)
-	return current.provenAliveAt > worker.provenAliveAt && now-silentSince > replacedAfterIntervals*r.heartbeatInterval()
+	lastSeen := max(worker.lastSeen, worker.firstKnownAt)
+	return current.provenAliveAt > worker.provenAliveAt && now-lastSeen > replacedAfterIntervals*r.heartbeatInterval()
 }
--- a/internal/scheduler/missedheartbeats.go
+++ b/internal/scheduler/missedheartbeats.go
@@ -46,11 +46,11 @@
 // mostWorkersRespond reports whether at least half of the workers would take an
 // assignment soon. They would not after a stall of this process itself.
 func (r *workerRegistry) mostWorkersRespond(now time.Duration) bool {
-	heard := 0
+	responsive := 0
 	for _, worker := range r.byName {
 		if worker.canTakeWork(now, r.leaseDuration()) && !r.isUnresponsive(worker, now) {
-			heard++
+			responsive++
 		}
 	}
-	return heard > 0 && 2*heard >= len(r.byName)
+	return responsive > 0 && 2*responsive >= len(r.byName)
 }
--- a/internal/scheduler/registry.go
+++ b/internal/scheduler/registry.go
@@ -168,7 +168,7 @@
 		return base
 	}
 	scaled := base * time.Duration(len(r.byName)) / workersPerBaseInterval
-	return min(max(base, scaled), max(base, r.leaseDuration()/intervalsPerHold))
+	return min(max(base, scaled), max(base, r.leaseDuration()/intervalsPerLease))
 }
 
 // reviewedWorkers are the workers that would take work, whatever their health.
--- a/internal/scheduler/workerentry.go
+++ b/internal/scheduler/workerentry.go
@@ -82,11 +82,11 @@
 // canTakeWork reports whether new runs may be placed on the worker: it is the
 // registered incarnation, the ready gate is open, it is not leaving, and the
 // answers to it do arrive.
-func (w *workerEntry) canTakeWork(now, hold time.Duration) bool {
+func (w *workerEntry) canTakeWork(now, leaseDuration time.Duration) bool {
 	if !w.registered || !w.answered() || w.lease.expired || w.isLeaving() {
 		return false
 	}
-	return now-w.acceptedAt < hold
+	return now-w.acceptedAt < leaseDuration
 }
 
 // seenWithin reports whether a heartbeat came within some time.
@@ -115,13 +115,13 @@
 }
 
 // answer records that the newest heartbeat is being answered now.
-func (w *workerEntry) answer(now, hold, driftMargin time.Duration) {
+func (w *workerEntry) answer(now, leaseDuration, driftMargin time.Duration) {
 	if !w.answered() {
 		w.acceptedAt = now
 	}
 	w.answeredSeq = w.seq
 	w.answeredAt = now
-	w.lease.extend(now + hold + driftMargin)
+	w.lease.extend(now + leaseDuration + driftMargin)
 }
 
 // plannerWorker is the worker as the planner sees it.
@@ -143,13 +143,13 @@
 
 // state is the worker's state for people, with a reason where it takes no
 // work.
-func (w *workerEntry) state(now, hold time.Duration) (api.WorkerState, string) {
+func (w *workerEntry) state(now, leaseDuration time.Duration) (api.WorkerState, string) {
 	switch {
 	case w.lease.expired:
 		return api.WorkerLost, "no heartbeat within its hold"
 	case w.seq == 0:
 		return api.WorkerSilent, "not heard since this scheduler began to act"
-	case now-w.lastSeen > hold/2:
+	case now-w.lastSeen > leaseDuration/2:
 		return api.WorkerSilent, "no heartbeat lately"
 	case w.drain.requested, w.departure.noticeGiven:
 		return api.WorkerDraining, "the worker is leaving"
@@ -157,7 +157,7 @@
 		return api.WorkerDraining, string(w.drain.cause)
 	case !w.registered:
 		return api.WorkerWaiting, "another process under this name may still run tasks"
-	case !w.canTakeWork(now, hold):
+	case !w.canTakeWork(now, leaseDuration):
 		return api.WorkerWaiting, "answers to it do not arrive"
 	case w.health.State == workerhealth.Suspect:
 		return api.WorkerSuspect, w.health.Reason
--- a/internal/workerhealth/ejection.go
+++ b/internal/workerhealth/ejection.go
@@ -32,7 +32,7 @@
 // that are not ejected yet, so that the worst ones do not hide behind each other.
 func (r *review) ejectOutliers(active []ActiveWorker) {
 	for _, c := range r.ejectionCandidates(active) {
-		if !c.outcomes.isOutlier(r.pool.sub(c.outcomes)) || !r.hasRoomFor(c.worker, r.ejected) {
+		if !c.outcomes.isOutlier(r.pool.sub(c.outcomes)) || !r.mayCount(c.worker, r.ejected) {
 			continue
 		}
 		r.pool = r.pool.sub(c.outcomes)
--- a/internal/workerhealth/review.go
+++ b/internal/workerhealth/review.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// hasRoomFor reports whether the worker may join those that are counted by service
+// mayCount reports whether the worker may join those that are counted by service
 // without exceeding the bound of one of its services.
-func (r *review) hasRoomFor(worker ActiveWorker, counted map[string]int) bool {
+func (r *review) mayCount(worker ActiveWorker, counted map[string]int) bool {
 	for _, service := range worker.Services {
 		serving := r.serving[service]
 		if serving < 2 || counted[service] >= max(serving/workersPerEjection, 1) {
--- a/internal/workerhealth/slow.go
+++ b/internal/workerhealth/slow.go
@@ -70,7 +70,7 @@
 			continue
 		}
 		pace, measured := known.medianPace(r.now)
-		if !measured || pace < slowThreshold || !r.hasRoomFor(worker, r.slow) {
+		if !measured || pace < slowThreshold || !r.mayCount(worker, r.slow) {
 			continue
 		}
 		worker.countIn(r.slow)
