--- a/cmd/decklever-testbed/fleet.go
+++ b/cmd/decklever-testbed/fleet.go
@@ -49,28 +49,28 @@
 	if directory, err = folder(directory); err != nil {
 		return err
 	}
-	book, err := calllog.Open("")
+	calls, err := calllog.Open("")
 	if err != nil {
 		return err
 	}
 	processes, err := fleet.New(fleet.Config{
-		Deployment: described, Directory: directory, Binaries: binaries, Ledger: book, LogLevel: chosen.logLevel,
+		Deployment: described, Directory: directory, Binaries: binaries, CallLog: calls, LogLevel: chosen.logLevel,
 	})
 	if err != nil {
 		return err
 	}
-	err = serveFleet(ctx, output, processes, operator.New(processes.Client(), book))
+	err = serveFleet(ctx, output, processes, operator.New(processes.Client(), calls))
 	return errors.Join(err, processes.Stop())
 }
 
 // serveFleet starts the fleet and waits for the end of the context.
-func serveFleet(ctx context.Context, output io.Writer, processes *fleet.Fleet, desk *operator.Operator) error {
+func serveFleet(ctx context.Context, output io.Writer, processes *fleet.Fleet, operatorClient *operator.Operator) error {
 	if err := processes.Start(); err != nil {
 		return err
 	}
 	starting, cancel := context.WithTimeout(ctx, fleetReadyTimeout)
 	defer cancel()
-	if err := processes.WaitReady(starting, desk); err != nil {
+	if err := processes.WaitReady(starting, operatorClient); err != nil {
 		return fmt.Errorf("the fleet did not start, see %s: %w", processes.LogDirectory(), err)
 	}
 	if _, err := io.WriteString(output, welcome(processes)); err != nil {
--- a/testbed/calllog/class.go
+++ b/testbed/calllog/class.go
@@ -18,14 +18,14 @@
 	ClassDiscarded Class = "discarded"
 )
 
-// Mark names a time that a scenario sets, by which its phases are judged.
-type Mark string
+// Milestone names a time that a scenario sets, by which its phases are judged.
+type Milestone string
 
 // Marks.
 const (
-	// MarkBooked is the start of a booked window.
-	MarkBooked Mark = "booked"
-	// MarkFloodStart and MarkFloodEnd frame a flood.
-	MarkFloodStart Mark = "flood_start"
-	MarkFloodEnd   Mark = "flood_end"
+	// MilestoneBooked is the start of a booked window.
+	MilestoneBooked Milestone = "booked"
+	// MilestoneFloodStart and MilestoneFloodEnd frame a flood.
+	MilestoneFloodStart Milestone = "flood_start"
+	MilestoneFloodEnd   Milestone = "flood_end"
 )
--- a/testbed/calllog/entry.go
+++ b/testbed/calllog/entry.go
@@ -19,7 +19,7 @@
 	KindConfigRead Kind = "config_read"
 	KindRollout    Kind = "rollout"
 	KindFault      Kind = "fault"
-	KindMark       Kind = "mark"
+	KindMilestone  Kind = "mark"
 )
 
 // Action is what was done to a process, or happened to it.
@@ -44,13 +44,13 @@
 	// pass and no connection come about, until it is healed; what is held is
 	// released in order; what is crossed is passed on late, piece by piece;
 	// dropped connections are reset.
-	ActionCut     Action = "cut"
-	ActionHeal    Action = "heal"
-	ActionHold    Action = "hold"
-	ActionRelease Action = "release"
-	ActionCross   Action = "cross"
-	ActionUncross Action = "uncross"
-	ActionDrop    Action = "drop"
+	ActionPartition  Action = "cut"
+	ActionHeal       Action = "heal"
+	ActionStall      Action = "hold"
+	ActionEndStall   Action = "release"
+	ActionReorder    Action = "cross"
+	ActionEndReorder Action = "uncross"
+	ActionReset      Action = "drop"
 )
 
 // Entry is one request with its answer, or one fault.
@@ -85,8 +85,8 @@
 	// before it did.
 	Succeeded []string `json:"succeeded,omitempty"`
 
-	// Mark stands on marks; Sent and Answered are the time marked.
-	Mark Mark `json:"mark,omitempty"`
+	// Milestone stands on marks; Sent and Answered are the time marked.
+	Milestone Milestone `json:"mark,omitempty"`
 
 	OrderID string `json:"order_id,omitempty"`
 	Base    uint64 `json:"base,omitempty"`
--- a/testbed/calllog/ledger.go
+++ b/testbed/calllog/ledger.go
@@ -10,9 +10,9 @@
 	"sync"
 )
 
-// Ledger is an append-only list of entries. It is safe for use by many
+// Log is an append-only list of entries. It is safe for use by many
 // goroutines.
-type Ledger struct {
+type Log struct {
 	mutex   sync.Mutex
 	entries []Entry
 	file    *os.File
@@ -22,19 +22,19 @@
 
 // Open returns a ledger that also writes to a new file at path. With an empty
 // path it stands in memory only.
-func Open(path string) (*Ledger, error) {
+func Open(path string) (*Log, error) {
 	if path == "" {
-		return &Ledger{}, nil
+		return &Log{}, nil
 	}
 	file, err := os.Create(path)
 	if err != nil {
 		return nil, fmt.Errorf("create ledger: %w", err)
 	}
-	return &Ledger{file: file, writer: bufio.NewWriter(file)}, nil
+	return &Log{file: file, writer: bufio.NewWriter(file)}, nil
 }
 
 // Add appends an entry. A failure to write is kept for Close.
-func (l *Ledger) Add(entry Entry) {
+func (l *Log) Add(entry Entry) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.entries = append(l.entries, entry)
@@ -47,14 +47,14 @@
 }
 
 // Entries returns all entries in the order in which they were added.
-func (l *Ledger) Entries() []Entry {
+func (l *Log) Entries() []Entry {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return slices.Clone(l.entries)
 }
 
 // Close writes out what is buffered.
-func (l *Ledger) Close() error {
+func (l *Log) Close() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.writer == nil {
--- a/testbed/calllog/ledger_test.go
+++ b/testbed/calllog/ledger_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-func TestLedgerKeepsOrderInMemoryAndOnDisk(t *testing.T) {
+func TestLog_KeepsOrderInMemoryAndOnDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger.jsonl")
-	ledger, err := Open(path)
+	log, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ledger.Add(Entry{Kind: KindSubmit, JobID: "a"})
-	ledger.Add(Entry{Kind: KindPoll, JobID: "b"})
-	if err := ledger.Close(); err != nil {
+	log.Add(Entry{Kind: KindSubmit, JobID: "a"})
+	log.Add(Entry{Kind: KindPoll, JobID: "b"})
+	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
-	entries := ledger.Entries()
+	entries := log.Entries()
 	if len(entries) != 2 || entries[0].JobID != "a" || entries[1].JobID != "b" {
 		t.Fatalf("entries are %+v", entries)
 	}
--- a/testbed/checker/bookings.go
+++ b/testbed/checker/bookings.go
@@ -32,11 +32,11 @@
 }
 
 func (f *facts) burstDelays(class calllog.Class) []time.Duration {
-	moment := f.mark(calllog.MarkBooked)
+	bookedAt := f.milestone(calllog.MilestoneBooked)
 	var delays []time.Duration
 	for _, job := range f.burst(class) {
-		due := max(moment, job.submits[0].Sent)
-		f.eachTask(job, func(name eventlog.TaskName) {
+		due := max(bookedAt, job.submits[0].Sent)
+		f.forEachTask(job, func(name eventlog.TaskName) {
 			started := f.input.EndedAt
 			if runs := f.byTask[name.String()]; len(runs) > 0 {
 				started = runs[0].Mono
@@ -62,20 +62,20 @@
 // moment and in a tenth of the time of an equal burst without a booking, and
 // no firm work of others stands in its room.
 func (f *facts) checkBookings() []Violation {
-	moment := f.mark(calllog.MarkBooked)
-	if moment == 0 {
+	bookedAt := f.milestone(calllog.MilestoneBooked)
+	if bookedAt == 0 {
 		return nil
 	}
 	booked := f.burstDelays(calllog.ClassBooked)
 	if len(booked) == 0 {
-		return []Violation{{P13, "booked", "no booked task was accepted", []monoclock.Nanos{moment}}}
+		return []Violation{{P13, "booked", "no booked task was accepted", []monoclock.Nanos{bookedAt}}}
 	}
-	found := lateStarts(moment, booked)
-	found = append(found, compareBursts(moment, booked, f.burstDelays(calllog.ClassUnbooked))...)
-	return append(found, f.checkBookedRoom(moment)...)
+	found := lateStarts(bookedAt, booked)
+	found = append(found, compareBursts(bookedAt, booked, f.burstDelays(calllog.ClassUnbooked))...)
+	return append(found, f.checkReservedCapacity(bookedAt)...)
 }
 
-func lateStarts(moment monoclock.Nanos, booked []time.Duration) []Violation {
+func lateStarts(bookedAt monoclock.Nanos, booked []time.Duration) []Violation {
 	late, worst := 0, time.Duration(0)
 	for _, delay := range booked {
 		if delay > bookedStartBound {
@@ -87,33 +87,33 @@
 		return nil
 	}
 	text := fmt.Sprintf("%d of %d booked tasks started over %v after their moment, the last after %v", late, len(booked), bookedStartBound, worst)
-	return []Violation{{P13, "booked", text, []monoclock.Nanos{moment}}}
+	return []Violation{{P13, "booked", text, []monoclock.Nanos{bookedAt}}}
 }
 
-func compareBursts(moment monoclock.Nanos, booked, unbooked []time.Duration) []Violation {
+func compareBursts(bookedAt monoclock.Nanos, booked, unbooked []time.Duration) []Violation {
 	if len(unbooked) == 0 {
-		return []Violation{{P13, "unbooked", "no task without a booking was accepted to compare with", []monoclock.Nanos{moment}}}
+		return []Violation{{P13, "unbooked", "no task without a booking was accepted to compare with", []monoclock.Nanos{bookedAt}}}
 	}
 	own, other := nearestRank(booked, burstPercent), nearestRank(unbooked, burstPercent)
 	if own*bookedShare <= other {
 		return nil
 	}
 	text := fmt.Sprintf("99 of 100 booked tasks started within %v, without a booking within %v: not a tenth", own, other)
-	return []Violation{{P13, "booked", text, []monoclock.Nanos{moment}}}
+	return []Violation{{P13, "booked", text, []monoclock.Nanos{bookedAt}}}
 }
 
-// checkBookedRoom (P13): when booked work must have started, the work of other
+// checkReservedCapacity (P13): when booked work must have started, the work of other
 // queues that may not be preempted leaves room for all slices.
-func (f *facts) checkBookedRoom(moment monoclock.Nanos) []Violation {
-	queue, booking := f.bookingAt(moment)
+func (f *facts) checkReservedCapacity(bookedAt monoclock.Nanos) []Violation {
+	queue, booking := f.bookingAt(bookedAt)
 	if booking == nil {
-		return []Violation{{P13, "booked", "no configuration with a booking was acknowledged before the moment", []monoclock.Nanos{moment}}}
+		return []Violation{{P13, "booked", "no configuration with a booking was acknowledged before the moment", []monoclock.Nanos{bookedAt}}}
 	}
-	at := moment.Add(bookedStartBound)
-	taken := f.firmRoom(queue, at)
+	at := bookedAt.Add(bookedStartBound)
+	taken := f.committedCapacity(queue, at)
 	slots := 0
 	for _, worker := range f.input.Workers {
-		slots += slicesIn(worker.Capacity.Sub(taken[worker.Name]), booking.Slice)
+		slots += slicesThatFit(worker.Capacity.Sub(taken[worker.Name]), booking.Slice)
 	}
 	if slots >= booking.Slots {
 		return nil
@@ -145,13 +145,13 @@
 	return "", nil
 }
 
-// firmRoom returns what the runs of other queues that may not be preempted
+// committedCapacity returns what the runs of other queues that may not be preempted
 // take of each worker at a time.
-func (f *facts) firmRoom(queue string, at monoclock.Nanos) map[string]api.Resources {
+func (f *facts) committedCapacity(queue string, at monoclock.Nanos) map[string]api.Resources {
 	taken := map[string]api.Resources{}
 	for _, one := range f.runs {
 		spec := f.spec(one.name)
-		if one.Mono > at || one.over <= at || spec.Preemptible || f.jobs[one.name.Job].spec.Queue == queue {
+		if one.Mono > at || one.endedBy <= at || spec.Preemptible || f.jobs[one.name.Job].spec.Queue == queue {
 			continue
 		}
 		taken[one.Worker] = taken[one.Worker].Add(spec.Resources)
@@ -159,10 +159,10 @@
 	return taken
 }
 
-// slicesIn returns how many slices fit into a room.
-func slicesIn(room, slice api.Resources) int {
+// slicesThatFit returns how many slices fit into a room.
+func slicesThatFit(capacity, slice api.Resources) int {
 	slots := 0
-	for used := slice; used.Fits(room); used = used.Add(slice) {
+	for used := slice; used.Fits(capacity); used = used.Add(slice) {
 		slots++
 	}
 	return slots
--- a/testbed/checker/bookings_test.go
+++ b/testbed/checker/bookings_test.go
@@ -13,16 +13,16 @@
 	f.Entries[len(f.Entries)-1].Class = class
 }
 
-func (f *fixture) mark(mark calllog.Mark, millis int64) {
-	f.Entries = append(f.Entries, calllog.Entry{Kind: calllog.KindMark, Sent: at(millis), Answered: at(millis), Mark: mark})
+func (f *fixture) milestone(milestone calllog.Milestone, millis int64) {
+	f.Entries = append(f.Entries, calllog.Entry{Kind: calllog.KindMilestone, Sent: at(millis), Answered: at(millis), Milestone: milestone})
 }
 
-// book puts a booking of three slices in force; a worker holds two.
-func (f *fixture) book() {
+// putBooking puts a booking of three slices in force; a worker holds two.
+func (f *fixture) putBooking() {
 	booking := api.BookingConfig{Name: "b", Slots: 3, Slice: task().Resources}
 	queues := []api.QueueConfig{{Name: "other"}, {Name: "booked", Bookings: []api.BookingConfig{booking}}}
 	f.entry(calllog.KindConfigPut, 100, calllog.Entry{OrderID: "o", Version: 1, Config: &api.Config{Queues: queues}})
-	f.mark(calllog.MarkBooked, 10_000)
+	f.milestone(calllog.MilestoneBooked, 10_000)
 }
 
 // burst hands in a job of one task at the moment, which starts that much
@@ -35,7 +35,7 @@
 
 // bursts hands in two of them.
 func (f *fixture) bursts(booked, unbooked int64) {
-	f.book()
+	f.putBooking()
 	f.burst(calllog.ClassBooked, "booked", booked)
 	f.burst(calllog.ClassUnbooked, "unbooked", unbooked)
 }
@@ -51,7 +51,7 @@
 	f.poll("other", 40_000, api.StateSucceeded)
 }
 
-func TestBookedBurstsAreJudged(t *testing.T) {
+func TestCheckBookings_ReportsLateOrSlowBursts(t *testing.T) {
 	cases := []struct {
 		name     string
 		arrange  func(*fixture)
@@ -64,8 +64,8 @@
 		{"firm work in the way", func(f *fixture) { f.bursts(500, 5000); f.background(11_001, false) }, 1},
 		{"firm work that is over in time", func(f *fixture) { f.bursts(500, 5000); f.background(11_000, false) }, 0},
 		{"preemptible work beside it", func(f *fixture) { f.bursts(500, 5000); f.background(12_000, true) }, 0},
-		{"nothing booked", func(f *fixture) { f.book(); f.burst(calllog.ClassUnbooked, "unbooked", 5000) }, 1},
-		{"nothing to compare with", func(f *fixture) { f.book(); f.burst(calllog.ClassBooked, "booked", 500) }, 1},
+		{"nothing booked", func(f *fixture) { f.putBooking(); f.burst(calllog.ClassUnbooked, "unbooked", 5000) }, 1},
+		{"nothing to compare with", func(f *fixture) { f.putBooking(); f.burst(calllog.ClassBooked, "booked", 500) }, 1},
 		{"no booking in force", func(f *fixture) { f.bursts(500, 5000); f.Entries[0].Answered = at(10_001) }, 1},
 	}
 	for _, test := range cases {
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestBookedTaskThatNeverStartsIsLate(t *testing.T) {
+func TestBurstDelays_UnstartedTaskCountsToEnd(t *testing.T) {
 	f := newFixture()
 	f.bursts(500, 30_000)
 	f.submitAs(calllog.ClassBooked, "second", 10_010, task())
--- a/testbed/checker/broken_config_test.go
+++ b/testbed/checker/broken_config_test.go
@@ -2,9 +2,9 @@
 
 import "github.com/decklever/decklever/testbed/calllog"
 
-// brokenConfig are the breaches of configurations: versions, races and roll-out.
-func brokenConfig() []breach {
-	return []breach{
+// configCases are the breaches of configurations: versions, races and roll-out.
+func configCases() []violationCase {
+	return []violationCase{
 		{
 			"versions that do not grow", P8,
 			func(f *fixture) { f.put("a", 2, 100, ""); f.put("b", 1, 200, "") },
--- a/testbed/checker/broken_faults_test.go
+++ b/testbed/checker/broken_faults_test.go
@@ -5,9 +5,9 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// brokenFaults are the breaches of faults: service, groups, silence, freezes and stale tokens.
-func brokenFaults() []breach {
-	return []breach{
+// faultCases are the breaches of faults: service, groups, silence, freezes and stale tokens.
+func faultCases() []violationCase {
+	return []violationCase{
 		{
 			"no service after a majority was back", P10,
 			func(f *fixture) { gap(f, 7900) },
@@ -15,38 +15,38 @@
 		},
 		{
 			"a run of a cut-off worker that starts elsewhere too late", P11,
-			func(f *fixture) { cutWorker(f, 3200, 6500) },
-			func(f *fixture) { cutWorker(f, 3200, 6100) },
+			func(f *fixture) { partitionWorker(f, 3200, 6500) },
+			func(f *fixture) { partitionWorker(f, 3200, 6100) },
 		},
 		{
 			"a run of a cut-off worker that starts elsewhere too early", P11,
-			func(f *fixture) { cutWorker(f, 2300, 2600) },
-			func(f *fixture) { cutWorker(f, 2300, 2800) },
+			func(f *fixture) { partitionWorker(f, 2300, 2600) },
+			func(f *fixture) { partitionWorker(f, 2300, 2800) },
 		},
 		{
 			"a run of a worker heard again only after its start elsewhere", P11,
-			func(f *fixture) { heardAgain(f, 2700) },
-			func(f *fixture) { heardAgain(f, 1400) },
+			func(f *fixture) { reachableAgain(f, 2700) },
+			func(f *fixture) { reachableAgain(f, 1400) },
 		},
 		{
 			"a run stopped as the worker was heard again that starts elsewhere at once", P11,
-			func(f *fixture) { heardAgain(f, 2601) },
-			func(f *fixture) { heardAgain(f, 2550) },
+			func(f *fixture) { reachableAgain(f, 2601) },
+			func(f *fixture) { reachableAgain(f, 2550) },
 		},
 		{
 			"a failure that nobody can have heard of, tried again too early", P11,
-			func(f *fixture) { unheardEnd(f, api.OutcomeFailed, 1500) },
-			func(f *fixture) { unheardEnd(f, api.OutcomeFailed, 2800) },
+			func(f *fixture) { unreportedEnd(f, api.OutcomeFailed, 1500) },
+			func(f *fixture) { unreportedEnd(f, api.OutcomeFailed, 2800) },
 		},
 		{
 			"a stop that nobody can have heard of, and a start elsewhere too early", P11,
-			func(f *fixture) { unheardEnd(f, api.OutcomeStopped, 1500) },
-			func(f *fixture) { unheardEnd(f, api.OutcomeStopped, 2800) },
+			func(f *fixture) { unreportedEnd(f, api.OutcomeStopped, 1500) },
+			func(f *fixture) { unreportedEnd(f, api.OutcomeStopped, 2800) },
 		},
 		{
 			"a run of a cut-off worker that does not stop", P1,
-			func(f *fixture) { cutWorker(f, 3600, 3500) },
-			func(f *fixture) { cutWorker(f, 3400, 3500) },
+			func(f *fixture) { partitionWorker(f, 3600, 3500) },
+			func(f *fixture) { partitionWorker(f, 3400, 3500) },
 		},
 		{
 			"a run of a killed worker that starts elsewhere too early", P11,
@@ -55,8 +55,8 @@
 		},
 		{
 			"a run that is not started elsewhere once a majority is back", P11,
-			func(f *fixture) { lostWithLeader(f, 21_100) },
-			func(f *fixture) { lostWithLeader(f, 20_900) },
+			func(f *fixture) { loseWorkerAndLeader(f, 21_100) },
+			func(f *fixture) { loseWorkerAndLeader(f, 20_900) },
 		},
 		{
 			"a frozen worker that goes on when it wakes", P1,
@@ -70,8 +70,8 @@
 		},
 		{
 			"a woken scheduler's order", P12,
-			func(f *fixture) { woken(f, 19_000, 20_200) },
-			func(f *fixture) { woken(f, 19_000, 20_050) },
+			func(f *fixture) { resumedScheduler(f, 19_000, 20_200) },
+			func(f *fixture) { resumedScheduler(f, 19_000, 20_050) },
 		},
 		{
 			"a group member alone", P9,
@@ -110,34 +110,34 @@
 	f.poll("j", 300, api.StateSucceeded)
 }
 
-// cutWorker has a worker cut off its agent, and its run stopped at the end of
+// partitionWorker has a worker cut off its agent, and its run stopped at the end of
 // its hold or cut off with it.
-func cutWorker(f *fixture, stopped, again int64) {
+func partitionWorker(f *fixture, stopped, again int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, stopped, api.OutcomeStopped)
-	f.link("agent-1", "one", 200, calllog.ActionCut)
+	f.link("agent-1", "one", 200, calllog.ActionPartition)
 	f.link("agent-1", "one", 12_000, calllog.ActionHeal)
 	f.succeed("j/s/0", "two", 2, again, again+100)
 	f.poll("j", 9000, api.StateSucceeded)
 }
 
-// heardAgain has a worker cut off its agent until some time, and its run stopped
+// reachableAgain has a worker cut off its agent until some time, and its run stopped
 // before the end of the hold and started elsewhere.
-func heardAgain(f *fixture, healed int64) {
+func reachableAgain(f *fixture, healed int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, 2300, api.OutcomeStopped)
-	f.link("agent-1", "one", 200, calllog.ActionCut)
+	f.link("agent-1", "one", 200, calllog.ActionPartition)
 	f.link("agent-1", "one", healed, calllog.ActionHeal)
 	f.succeed("j/s/0", "two", 2, 2600, 2700)
 	f.poll("j", 9000, api.StateSucceeded)
 }
 
-// unheardEnd has a run end while its worker cannot be heard, and the task start
+// unreportedEnd has a run end while its worker cannot be heard, and the task start
 // elsewhere.
-func unheardEnd(f *fixture, outcome api.Outcome, again int64) {
+func unreportedEnd(f *fixture, outcome api.Outcome, again int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, 1000, outcome)
-	f.link("one", "agent-1", 200, calllog.ActionCut)
+	f.link("one", "agent-1", 200, calllog.ActionPartition)
 	f.link("one", "agent-1", 12_000, calllog.ActionHeal)
 	f.succeed("j/s/0", "two", 2, again, again+100)
 	f.poll("j", 9000, api.StateSucceeded)
@@ -161,20 +161,20 @@
 	f.poll("j", again+500, api.StateSucceeded)
 }
 
-// lostWithLeader has a worker and two schedulers fall silent.
-func lostWithLeader(f *fixture, again int64) {
+// loseWorkerAndLeader has a worker and two schedulers fall silent.
+func loseWorkerAndLeader(f *fixture, again int64) {
 	f.twoDown(300, 9000)
 	exitAndRestart(f, again)
 }
 
-// woken has a scheduler frozen for 20 s while token 2 comes into use.
-func woken(f *fixture, firstUse, start int64) {
+// resumedScheduler has a scheduler frozen for 20 s while token 2 comes into use.
+func resumedScheduler(f *fixture, firstUse, start int64) {
 	f.Schedulers = []string{"s1", "s2", "s3"}
 	f.submit("j", 10, task(), task())
 	f.fault("s1", 100, calllog.ActionFreeze)
 	f.fault("s1", 20_100, calllog.ActionResume)
 	f.succeed("j/s/0", "one", 1, firstUse, firstUse+100)
-	f.Lines[0].Token, f.Lines[1].Token = 2, 2
+	f.Events[0].Token, f.Events[1].Token = 2, 2
 	f.succeed("j/s/1", "two", 1, start, start+100)
 	f.poll("j", 22_000, api.StateSucceeded)
 }
@@ -205,7 +205,7 @@
 func staleToken(f *fixture, start int64) {
 	f.submit("j", 10, task(), task())
 	f.succeed("j/s/0", "one", 1, 100, 200)
-	f.Lines[0].Token, f.Lines[1].Token = 2, 2
+	f.Events[0].Token, f.Events[1].Token = 2, 2
 	f.succeed("j/s/1", "two", 1, start, start+100)
 	f.poll("j", 8000, api.StateSucceeded)
 }
--- a/testbed/checker/broken_jobs_test.go
+++ b/testbed/checker/broken_jobs_test.go
@@ -7,9 +7,9 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// brokenJobs are the breaches of jobs: what ran and what callers were shown.
-func brokenJobs() []breach {
-	return []breach{
+// jobCases are the breaches of jobs: what ran and what callers were shown.
+func jobCases() []violationCase {
+	return []violationCase{
 		{
 			"a task that no one handed in", P1,
 			func(f *fixture) { f.succeed("ghost/s/0", "one", 1, 100, 200) },
@@ -82,12 +82,12 @@
 		{
 			"a task until cancelled that is shown as succeeded", P2,
 			func(f *fixture) {
-				f.submit("j", 10, endless())
+				f.submit("j", 10, untilCancelled())
 				f.succeed("j/s/0", "one", 1, 100, 200)
 				f.poll("j", 300, api.StateSucceeded)
 			},
 			func(f *fixture) {
-				f.submit("j", 10, endless())
+				f.submit("j", 10, untilCancelled())
 				f.succeed("j/s/0", "one", 1, 100, 200)
 				for run := range uint32(5) {
 					from := int64(300 + 100*run)
--- a/testbed/checker/broken_tasks_test.go
+++ b/testbed/checker/broken_tasks_test.go
@@ -7,9 +7,9 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// brokenTasks are the breaches of tasks: failures, order, places, cancels and drains.
-func brokenTasks() []breach {
-	return []breach{
+// taskCases are the breaches of tasks: failures, order, places, cancels and drains.
+func taskCases() []violationCase {
+	return []violationCase{
 		{
 			"a start beyond the allowed failures", P3,
 			func(f *fixture) { failTwice(f, 2, api.OutcomeFailed) },
--- a/testbed/checker/check.go
+++ b/testbed/checker/check.go
@@ -33,20 +33,20 @@
 
 // Bounds that the promises name.
 const (
-	readBound         = 3 * time.Second
-	earlyStartBound   = 250 * time.Millisecond
-	cancelStartBound  = 3 * time.Second
-	cancelEndBound    = 5 * time.Second
-	workerDrainBound  = 2 * time.Second
-	zoneDrainBound    = 5 * time.Second
-	groupWaitBound    = 5 * time.Second
-	serviceGapBound   = 12 * time.Second
-	restartBound      = 6 * time.Second
-	silentBound       = 20 * time.Second
-	defaultHold       = 3 * time.Second
-	defaultDrift      = 300 * time.Millisecond
-	defaultFailures   = 3
-	defaultSpreadRoom = 1
+	readBound           = 3 * time.Second
+	earlyStartBound     = 250 * time.Millisecond
+	cancelStartBound    = 3 * time.Second
+	cancelEndBound      = 5 * time.Second
+	workerDrainBound    = 2 * time.Second
+	zoneDrainBound      = 5 * time.Second
+	gangStartBound      = 5 * time.Second
+	serviceGapBound     = 12 * time.Second
+	restartBound        = 6 * time.Second
+	longFreezeBound     = 20 * time.Second
+	defaultLease        = 3 * time.Second
+	defaultDrift        = 300 * time.Millisecond
+	defaultFailures     = 3
+	defaultMaxPerDomain = 1
 )
 
 // Worker is what the deployment says of a worker.
@@ -64,7 +64,7 @@
 // Input is all that the checker goes by.
 type Input struct {
 	Entries []calllog.Entry
-	Lines   []eventlog.Line
+	Events  []eventlog.Event
 	Workers []Worker
 	// Schedulers are the process names of the schedulers. Without any, a
 	// majority is taken to be there all the time.
@@ -125,18 +125,18 @@
 		LongestReplacement: f.longestReplacement(),
 	}
 	checks := []func() []Violation{
-		f.checkUnknownTasks, f.checkOverlap, f.checkRestartAfterSuccess, f.checkEndless,
+		f.checkUnknownTasks, f.checkOverlap, f.checkRestartAfterSuccess, f.checkUntilCancelled,
 		f.checkJobsEnd, f.checkStates, f.checkReads, f.checkResends,
 		f.checkFailures,
 		f.checkStepOrder, f.checkNotBefore,
-		f.checkCapacity, f.checkPlace, f.checkSpread,
+		f.checkCapacity, f.checkPlacement, f.checkSpread,
 		f.checkCancels,
 		f.checkDrains,
 		f.checkConfigOrders, f.checkConfigReads, f.checkRollout, f.checkRaces,
-		f.checkGroups, f.checkGroupRestarts, f.checkGroupRuns,
+		f.checkGangStarts, f.checkGangRestarts, f.checkGangRuns,
 		f.checkServiceGap,
-		f.checkRestartDelay, f.checkEarlyRestart, f.checkUnheardEnds,
-		f.checkTokens, f.checkWaking,
+		f.checkRestartDelay, f.checkEarlyRestart, f.checkUnreportedEnds,
+		f.checkTokens, f.checkResumedSchedulers,
 		f.checkBookings,
 		f.checkFloodAnswers, f.checkFloodSlowdown,
 	}
--- a/testbed/checker/check_test.go
+++ b/testbed/checker/check_test.go
@@ -9,24 +9,24 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// breach is what one check must report, and a near case that it must not.
-type breach struct {
-	name     string
-	promise  Promise
-	breaking func(*fixture)
-	clean    func(*fixture)
+// violationCase is what one check must report, and a near case that it must not.
+type violationCase struct {
+	name    string
+	promise Promise
+	violate func(*fixture)
+	comply  func(*fixture)
 }
 
-// breaches lists those of every check.
-func breaches() []breach {
-	return slices.Concat(brokenJobs(), brokenTasks(), brokenConfig(), brokenFaults())
+// violationCases lists those of every check.
+func violationCases() []violationCase {
+	return slices.Concat(jobCases(), taskCases(), configCases(), faultCases())
 }
 
-func TestEachCheckReportsItsBrokenPromise(t *testing.T) {
-	for _, test := range breaches() {
+func TestAll_ViolationIsReportedUnderItsPromise(t *testing.T) {
+	for _, test := range violationCases() {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
-			test.breaking(f)
+			test.violate(f)
 			violations := All(f.Input).Violations
 			if len(violations) == 0 {
 				t.Fatalf("nothing was reported, want %s", test.promise)
@@ -40,11 +40,11 @@
 	}
 }
 
-func TestNoCheckReportsWhatIsRight(t *testing.T) {
-	for _, test := range breaches() {
+func TestAll_CompliantHistoryHasNoViolation(t *testing.T) {
+	for _, test := range violationCases() {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
-			test.clean(f)
+			test.comply(f)
 			for _, violation := range All(f.Input).Violations {
 				t.Errorf("reported %v", violation)
 			}
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestDuplicateSuccessBehindAKillIsCountedApart(t *testing.T) {
+func TestAll_DuplicateSuccessAfterKillIsCountedApart(t *testing.T) {
 	f := newFixture()
 	f.submit("j", 10, task())
 	f.succeed("j/s/0", "one", 1, 100, 200)
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestGapsAreMeasuredWithinTheLoad(t *testing.T) {
+func TestAll_GapsAreMeasuredWithinLoad(t *testing.T) {
 	f := newFixture()
 	f.submit("a", 100, task())
 	f.submit("b", 700, task())
--- a/testbed/checker/delays.go
+++ b/testbed/checker/delays.go
@@ -83,10 +83,10 @@
 	return j.submits[0].Class
 }
 
-// mark returns when a mark was set; 0 if it was not.
-func (f *facts) mark(mark calllog.Mark) monoclock.Nanos {
+// milestone returns when a mark was set; 0 if it was not.
+func (f *facts) milestone(milestone calllog.Milestone) monoclock.Nanos {
 	for _, entry := range f.input.Entries {
-		if entry.Kind == calllog.KindMark && entry.Mark == mark {
+		if entry.Kind == calllog.KindMilestone && entry.Milestone == milestone {
 			return entry.Sent
 		}
 	}
--- a/testbed/checker/facts.go
+++ b/testbed/checker/facts.go
@@ -16,11 +16,11 @@
 type run struct {
 	eventlog.Run
 	name eventlog.TaskName
-	// over is the time of the end line, else when its worker exited, else
+	// endedBy is the time of the end line, else when its worker exited, else
 	// the end of observation.
-	over monoclock.Nanos
-	// cut is true if the run has no end line and its worker exited.
-	cut bool
+	endedBy monoclock.Nanos
+	// lost is true if the run has no end line and its worker exited.
+	lost bool
 	// frozen is true if the worker was frozen at the end and stopped the run
 	// when it woke; then over is when it was frozen.
 	frozen bool
@@ -79,34 +79,34 @@
 	jobs          map[string]*jobFacts
 	jobIDs        []string
 	// runs are in the order of their starts; byTask is the same by task.
-	runs    []run
-	byTask  map[string][]run
-	unknown []eventlog.Line
+	runs         []run
+	byTask       map[string][]run
+	unknownTasks []eventlog.Event
 	// noMajority and silent are what withoutMajority and silences found.
-	noMajority []span
-	silent     map[string][]span
+	noMajority  []span
+	unreachable map[string][]span
 	// isolated is what isolatedSpans found, by worker.
 	isolated map[string][]span
-	// unheard is what heardSince found, by process.
-	unheard map[string][]span
+	// uninformed is what informedSince found, by process.
+	uninformed map[string][]span
 }
 
 func newFacts(input Input) *facts {
 	f := &facts{
-		input:    input,
-		workers:  map[string]Worker{},
-		exits:    map[string][]monoclock.Nanos{},
-		faults:   map[string][]monoclock.Nanos{},
-		jobs:     map[string]*jobFacts{},
-		byTask:   map[string][]run{},
-		silent:   map[string][]span{},
-		isolated: map[string][]span{},
-		unheard:  map[string][]span{},
+		input:       input,
+		workers:     map[string]Worker{},
+		exits:       map[string][]monoclock.Nanos{},
+		faults:      map[string][]monoclock.Nanos{},
+		jobs:        map[string]*jobFacts{},
+		byTask:      map[string][]run{},
+		unreachable: map[string][]span{},
+		isolated:    map[string][]span{},
+		uninformed:  map[string][]span{},
 	}
 	f.input.Entries = slices.Clone(input.Entries)
 	slices.SortStableFunc(f.input.Entries, func(a, b calllog.Entry) int { return cmp.Compare(a.Answered, b.Answered) })
-	f.input.Lines = slices.Clone(input.Lines)
-	eventlog.Sort(f.input.Lines)
+	f.input.Events = slices.Clone(input.Events)
+	eventlog.Sort(f.input.Events)
 	for _, worker := range input.Workers {
 		f.workers[worker.Name] = worker
 	}
@@ -160,27 +160,27 @@
 }
 
 func (f *facts) addRuns() {
-	for _, journalled := range eventlog.Runs(f.input.Lines) {
-		name, err := eventlog.ParseTask(journalled.Task)
+	for _, logged := range eventlog.Runs(f.input.Events) {
+		name, err := eventlog.ParseTask(logged.Task)
 		if err != nil || f.spec(name) == nil {
-			f.unknown = append(f.unknown, journalled.Line)
+			f.unknownTasks = append(f.unknownTasks, logged.Event)
 			continue
 		}
-		one := run{Run: journalled, name: name}
-		one.over, one.cut = f.overAt(journalled)
-		if since := f.endedFrozen(one.Worker, one.Mono, one.End, one.Outcome); since != 0 {
-			one.over, one.frozen = since, true
+		one := run{Run: logged, name: name}
+		one.endedBy, one.lost = f.endedBy(logged)
+		if since := f.frozenSince(one.Worker, one.Mono, one.End, one.Outcome); since != 0 {
+			one.endedBy, one.frozen = since, true
 		}
 		f.runs = append(f.runs, one)
 		f.byTask[one.Task] = append(f.byTask[one.Task], one)
 	}
 }
 
-func (f *facts) overAt(journalled eventlog.Run) (over monoclock.Nanos, cut bool) {
-	if journalled.End != 0 {
-		return journalled.End, false
+func (f *facts) endedBy(logged eventlog.Run) (over monoclock.Nanos, cut bool) {
+	if logged.End != 0 {
+		return logged.End, false
 	}
-	if exit := firstAfter(f.exits[journalled.Worker], journalled.Mono); exit != 0 {
+	if exit := firstAfter(f.exits[logged.Worker], logged.Mono); exit != 0 {
 		return exit, true
 	}
 	return f.input.EndedAt, false
@@ -195,17 +195,17 @@
 	return job.task(name)
 }
 
-// hold is how long a worker may run on after its last accepted heartbeat, as
+// schedulerLease is how long a worker may run on after its last accepted heartbeat, as
 // the scheduler reckons.
-func (f *facts) hold() time.Duration {
-	hold := cmp.Or(f.input.Config.Timings.Hold.Std(), defaultHold)
+func (f *facts) schedulerLease() time.Duration {
+	hold := cmp.Or(f.input.Config.Timings.Hold.Std(), defaultLease)
 	return hold + cmp.Or(f.input.Config.Timings.DriftMargin.Std(), defaultDrift)
 }
 
 // disturbed reports whether a fault hit the run's worker or its agent so near
 // to a time that a report of that time may never have been acknowledged.
 func (f *facts) disturbed(one run, at monoclock.Nanos) bool {
-	from, to := at.Add(-f.hold()), at.Add(f.hold())
+	from, to := at.Add(-f.schedulerLease()), at.Add(f.schedulerLease())
 	for _, process := range []string{one.Worker, f.workers[one.Worker].Agent} {
 		for _, fault := range f.faults[process] {
 			if fault >= from && fault <= to {
@@ -213,8 +213,8 @@
 			}
 		}
 	}
-	for _, silence := range f.silences(one.Worker) {
-		if silence.overlaps(from, to) {
+	for _, unreachable := range f.unreachableSpans(one.Worker) {
+		if unreachable.overlaps(from, to) {
 			return true
 		}
 	}
--- a/testbed/checker/fixture_test.go
+++ b/testbed/checker/fixture_test.go
@@ -20,11 +20,11 @@
 }
 
 func newFixture() *fixture {
-	room := api.Resources{CPUMillis: 2000, MemoryMB: 1000}
+	capacity := api.Resources{CPUMillis: 2000, MemoryMB: 1000}
 	return &fixture{Input{
 		Workers: []Worker{
-			{Name: "one", Zone: "zone-1", Capacity: room, Services: []string{"swap"}, Labels: map[string]string{"rack": "a"}, Agent: "agent-1"},
-			{Name: "two", Zone: "zone-2", Capacity: room, Services: []string{"swap"}, Agent: "agent-2"},
+			{Name: "one", Zone: "zone-1", Capacity: capacity, Services: []string{"swap"}, Labels: map[string]string{"rack": "a"}, Agent: "agent-1"},
+			{Name: "two", Zone: "zone-2", Capacity: capacity, Services: []string{"swap"}, Agent: "agent-2"},
 		},
 		Config:   api.Config{Queues: []api.QueueConfig{{Name: "swaps"}}},
 		Anchor:   monoclock.Anchor{Mono: at(0), Wall: time.Unix(1000, 0)},
@@ -38,7 +38,7 @@
 	return api.TaskSpec{Service: "swap", Resources: api.Resources{CPUMillis: 1000, MemoryMB: 100}}
 }
 
-func endless() api.TaskSpec {
+func untilCancelled() api.TaskSpec {
 	spec := task()
 	spec.UntilCancelled = true
 	return spec
@@ -64,15 +64,15 @@
 	f.entry(calllog.KindFault, millis, calllog.Entry{Process: process, Action: action})
 }
 
-func (f *fixture) start(name, worker string, run uint32, millis int64) *eventlog.Line {
-	f.Lines = append(f.Lines, eventlog.Line{Mono: at(millis), Event: eventlog.EventStart, Task: name, Run: run, WorkerID: worker + "-id", Worker: worker, Token: 1})
-	return &f.Lines[len(f.Lines)-1]
+func (f *fixture) start(name, worker string, run uint32, millis int64) *eventlog.Event {
+	f.Events = append(f.Events, eventlog.Event{Mono: at(millis), Kind: eventlog.KindStart, Task: name, Run: run, WorkerID: worker + "-id", Worker: worker, Token: 1})
+	return &f.Events[len(f.Events)-1]
 }
 
 func (f *fixture) run(name, worker string, run uint32, from, to int64, outcome api.Outcome) {
 	line := *f.start(name, worker, run, from)
-	line.Mono, line.Event, line.Outcome = at(to), eventlog.EventEnd, outcome
-	f.Lines = append(f.Lines, line)
+	line.Mono, line.Kind, line.Outcome = at(to), eventlog.KindEnd, outcome
+	f.Events = append(f.Events, line)
 }
 
 func (f *fixture) succeed(name, worker string, run uint32, from, to int64) {
--- a/testbed/checker/floods.go
+++ b/testbed/checker/floods.go
@@ -23,7 +23,7 @@
 // known is false if there was none.
 func FloodPhases(input Input) (start, end monoclock.Nanos, known bool) {
 	f := newFacts(input)
-	start, end = f.mark(calllog.MarkFloodStart), f.mark(calllog.MarkFloodEnd)
+	start, end = f.milestone(calllog.MilestoneFloodStart), f.milestone(calllog.MilestoneFloodEnd)
 	return start, end, start != 0
 }
 
@@ -39,7 +39,7 @@
 	count := map[fault]int{}
 	var faults []fault
 	for _, entry := range f.input.Entries {
-		text := floodFault(entry)
+		text := floodAnswerFault(entry)
 		if text == "" {
 			continue
 		}
@@ -58,9 +58,9 @@
 	return found
 }
 
-// floodFault says what is wrong with an answer to work that must be refused;
+// floodAnswerFault says what is wrong with an answer to work that must be refused;
 // empty for a right answer and for other work.
-func floodFault(entry calllog.Entry) string {
+func floodAnswerFault(entry calllog.Entry) string {
 	if entry.Kind != calllog.KindSubmit || (entry.Class != calllog.ClassImpossible && entry.Class != calllog.ClassOverQuota) {
 		return ""
 	}
@@ -85,7 +85,7 @@
 // checkFloodSlowdown (P14): in a flood, ordinary tasks wait at most twice as
 // long as before it.
 func (f *facts) checkFloodSlowdown() []Violation {
-	start, end := f.mark(calllog.MarkFloodStart), f.mark(calllog.MarkFloodEnd)
+	start, end := f.milestone(calllog.MilestoneFloodStart), f.milestone(calllog.MilestoneFloodEnd)
 	if start == 0 {
 		return nil
 	}
@@ -93,12 +93,12 @@
 	if end == 0 {
 		return []Violation{{P14, "ordinary", "the flood did not end", at}}
 	}
-	quiet, flooded := f.ordinaryDelays(f.input.LoadFrom, start), f.ordinaryDelays(start, end)
-	if len(quiet) == 0 || len(flooded) == 0 {
-		text := fmt.Sprintf("%d tasks before the flood and %d in it: nothing to compare", len(quiet), len(flooded))
+	baseline, flooded := f.ordinaryDelays(f.input.LoadFrom, start), f.ordinaryDelays(start, end)
+	if len(baseline) == 0 || len(flooded) == 0 {
+		text := fmt.Sprintf("%d tasks before the flood and %d in it: nothing to compare", len(baseline), len(flooded))
 		return []Violation{{P14, "ordinary", text, at}}
 	}
-	before, during := nearestRank(quiet, floodPercent), nearestRank(flooded, floodPercent)
+	before, during := nearestRank(baseline, floodPercent), nearestRank(flooded, floodPercent)
 	if during <= floodSlowdown*before {
 		return nil
 	}
--- a/testbed/checker/floods_test.go
+++ b/testbed/checker/floods_test.go
@@ -9,32 +9,32 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// turnAway notes an answer to a job that must be refused.
-func (f *fixture) turnAway(class calllog.Class, status int, code api.ErrorCode, retryAfter bool) {
+// reject notes an answer to a job that must be refused.
+func (f *fixture) reject(class calllog.Class, status int, code api.ErrorCode, retryAfter bool) {
 	id := fmt.Sprintf("refused-%d", len(f.Entries))
 	f.entry(calllog.KindSubmit, 500, calllog.Entry{
 		JobID: id, Spec: &api.JobSpec{}, Class: class, Status: status, Code: code, Error: "refused", RetryAfter: retryAfter,
 	})
 }
 
-func TestFloodAnswersAreJudged(t *testing.T) {
+func TestCheckFloodAnswers_ReportsWrongRejections(t *testing.T) {
 	cases := []struct {
 		name     string
 		arrange  func(*fixture)
 		breaches int
 	}{
 		{"refused with a reason", func(f *fixture) {
-			f.turnAway(calllog.ClassImpossible, 422, api.CodeImpossible, false)
-			f.turnAway(calllog.ClassOverQuota, 429, api.CodeOverLimit, true)
+			f.reject(calllog.ClassImpossible, 422, api.CodeImpossible, false)
+			f.reject(calllog.ClassOverQuota, 429, api.CodeOverLimit, true)
 		}, 0},
-		{"a 503 that says when to ask again", func(f *fixture) { f.turnAway(calllog.ClassOverQuota, 503, api.CodeUnavailable, true) }, 0},
-		{"a 503 that does not", func(f *fixture) { f.turnAway(calllog.ClassOverQuota, 503, api.CodeUnavailable, false) }, 1},
-		{"a refusal without a reason", func(f *fixture) { f.turnAway(calllog.ClassImpossible, 422, "", false) }, 1},
-		{"another status", func(f *fixture) { f.turnAway(calllog.ClassImpossible, 500, api.CodeInternal, false) }, 1},
-		{"no answer", func(f *fixture) { f.turnAway(calllog.ClassImpossible, 0, "", false) }, 1},
+		{"a 503 that says when to ask again", func(f *fixture) { f.reject(calllog.ClassOverQuota, 503, api.CodeUnavailable, true) }, 0},
+		{"a 503 that does not", func(f *fixture) { f.reject(calllog.ClassOverQuota, 503, api.CodeUnavailable, false) }, 1},
+		{"a refusal without a reason", func(f *fixture) { f.reject(calllog.ClassImpossible, 422, "", false) }, 1},
+		{"another status", func(f *fixture) { f.reject(calllog.ClassImpossible, 500, api.CodeInternal, false) }, 1},
+		{"no answer", func(f *fixture) { f.reject(calllog.ClassImpossible, 0, "", false) }, 1},
 		{"alike faults count once", func(f *fixture) {
-			f.turnAway(calllog.ClassImpossible, 500, api.CodeInternal, false)
-			f.turnAway(calllog.ClassImpossible, 500, api.CodeInternal, false)
+			f.reject(calllog.ClassImpossible, 500, api.CodeInternal, false)
+			f.reject(calllog.ClassImpossible, 500, api.CodeInternal, false)
 		}, 1},
 		{"accepted", func(f *fixture) {
 			f.submitAs(calllog.ClassOverQuota, "j", 500, task())
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestFloodIsComparedWithTheTimeBefore(t *testing.T) {
+func TestCheckFloodSlowdown_ComparesWithBaseline(t *testing.T) {
 	cases := []struct {
 		name     string
 		arrange  func(*fixture)
@@ -89,15 +89,15 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
-			f.mark(calllog.MarkFloodStart, 500)
-			f.mark(calllog.MarkFloodEnd, 1000)
+			f.milestone(calllog.MilestoneFloodStart, 500)
+			f.milestone(calllog.MilestoneFloodEnd, 1000)
 			test.arrange(f)
 			f.expect(t, P14, test.breaches)
 		})
 	}
 }
 
-func TestNearestRank(t *testing.T) {
+func TestNearestRank_ReturnsSmallestCoveringDelay(t *testing.T) {
 	delays := []time.Duration{4, 1, 3, 2}
 	for percent, want := range map[float64]time.Duration{0: 1, 25: 1, 50: 2, 75: 3, 76: 4, 100: 4} {
 		if got := nearestRank(delays, percent); got != want {
--- a/testbed/checker/gaps.go
+++ b/testbed/checker/gaps.go
@@ -30,15 +30,15 @@
 		if at < f.input.LoadFrom || at > f.input.LoadTo {
 			continue
 		}
-		longest = max(longest, f.longestPiece(last, at))
+		longest = max(longest, f.longestWithMajority(last, at))
 		last = at
 	}
 	return longest
 }
 
-// longestPiece returns the longest part of a time in which there was a
+// longestWithMajority returns the longest part of a time in which there was a
 // majority.
-func (f *facts) longestPiece(from, to monoclock.Nanos) time.Duration {
+func (f *facts) longestWithMajority(from, to monoclock.Nanos) time.Duration {
 	var longest time.Duration
 	for _, none := range f.withoutMajority() {
 		if none.overlaps(from, to) {
--- a/testbed/checker/history_test.go
+++ b/testbed/checker/history_test.go
@@ -17,7 +17,7 @@
 // history is an Input as the corpus stores it.
 type history struct {
 	Entries    []calllog.Entry  `json:"entries"`
-	Lines      []eventlog.Line  `json:"lines"`
+	Events     []eventlog.Event `json:"lines"`
 	Workers    []Worker         `json:"workers"`
 	Schedulers []string         `json:"schedulers"`
 	Config     api.Config       `json:"config"`
--- a/testbed/checker/jobs.go
+++ b/testbed/checker/jobs.go
@@ -38,14 +38,14 @@
 // mayFail reports whether any task of the job failed as often as it may.
 func (f *facts) mayFail(job *jobFacts) bool {
 	mayFail := false
-	f.eachTask(job, func(name eventlog.TaskName) {
+	f.forEachTask(job, func(name eventlog.TaskName) {
 		failures := 0
 		for _, one := range f.byTask[name.String()] {
 			if one.Outcome == api.OutcomeFailed {
 				failures++
 			}
 		}
-		failures = max(failures, f.groupFailures(name))
+		failures = max(failures, f.gangFailures(name))
 		mayFail = mayFail || (failures > 0 && failures >= f.allowedFailures(name))
 	})
 	return mayFail
@@ -57,7 +57,7 @@
 	for _, step := range job.spec.Steps {
 		for index := range step.TaskCount() {
 			task := fmt.Sprintf("%s/%s/%d", job.id, step.Name, index)
-			if !f.succeeded(task) && !f.groupSucceededWith(task) {
+			if !f.succeeded(task) && !f.gangSucceededWith(task) {
 				found = append(found, Violation{P2, task, "its job is shown as succeeded, but no run of it succeeded", []monoclock.Nanos{job.accepted}})
 			}
 		}
--- a/testbed/checker/lockstep_test.go
+++ b/testbed/checker/lockstep_test.go
@@ -7,53 +7,53 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// pair hands in a group in lockstep of two.
-func (f *fixture) pair() {
+// submitGang hands in a group in lockstep of two.
+func (f *fixture) submitGang() {
 	f.submit("j", 10, task(), task()).Steps[0].Lockstep = true
 }
 
-// TestGroupsInLockstep: each case must be reported as the promise, or not at all
+// TestCommonOutcomeGang_IsJudgedAsOne: each case must be reported as the promise, or not at all
 // if that is empty.
-func TestGroupsInLockstep(t *testing.T) {
+func TestCommonOutcomeGang_IsJudgedAsOne(t *testing.T) {
 	cases := map[string]struct {
 		promise Promise
 		observe func(*fixture)
 	}{
 		"the success of one is that of all": {"", func(f *fixture) {
-			f.pair()
+			f.submitGang()
 			f.run("j/s/0", "one", 1, 100, 210, api.OutcomeStopped)
 			f.succeed("j/s/1", "two", 1, 100, 200)
 			f.poll("j", 300, api.StateSucceeded)
 		}},
 		"no member succeeded": {P2, func(f *fixture) {
-			f.pair()
+			f.submitGang()
 			f.run("j/s/0", "one", 1, 100, 210, api.OutcomeStopped)
 			f.run("j/s/1", "two", 1, 100, 200, api.OutcomeStopped)
 			f.poll("j", 300, api.StateSucceeded)
 		}},
 		"a member took no part in the run that succeeded": {P2, func(f *fixture) {
-			f.pair()
+			f.submitGang()
 			f.run("j/s/0", "one", 1, 100, 150, api.OutcomeStopped)
 			f.run("j/s/1", "two", 1, 100, 150, api.OutcomeStopped)
 			f.succeed("j/s/1", "two", 2, 200, 300)
 			f.poll("j", 400, api.StateSucceeded)
 		}},
 		"a member starts after another's success": {P1, func(f *fixture) {
-			f.pair()
+			f.submitGang()
 			f.run("j/s/0", "one", 1, 100, 210, api.OutcomeStopped)
 			f.succeed("j/s/1", "two", 1, 100, 200)
 			f.run("j/s/0", "one", 2, 5000, 5100, api.OutcomeStopped)
 			f.poll("j", 6000, api.StateSucceeded)
 		}},
 		"two run numbers at once": {P9, func(f *fixture) {
-			f.pair()
+			f.submitGang()
 			f.run("j/s/0", "one", 1, 100, 200, api.OutcomeStopped)
 			f.succeed("j/s/1", "two", 1, 100, 400)
 			f.succeed("j/s/0", "one", 2, 300, 390)
 			f.poll("j", 500, api.StateSucceeded)
 		}},
 		"one run number after the other": {"", func(f *fixture) {
-			f.pair()
+			f.submitGang()
 			f.run("j/s/0", "one", 1, 100, 200, api.OutcomeFailed)
 			f.run("j/s/1", "two", 1, 100, 210, api.OutcomeStopped)
 			f.succeed("j/s/0", "one", 2, 300, 400)
@@ -61,21 +61,21 @@
 			f.poll("j", 500, api.StateSucceeded)
 		}},
 		"a silent member of a group that succeeded": {"", func(f *fixture) {
-			f.pair()
+			f.submitGang()
 			f.start("j/s/0", "one", 1, 100)
 			f.fault("one", 150, calllog.ActionExit)
 			f.succeed("j/s/1", "two", 1, 100, 2000)
 			f.poll("j", 2100, api.StateSucceeded)
 		}},
 		"a silent member of a group that did not": {P11, func(f *fixture) {
-			f.pair()
+			f.submitGang()
 			f.start("j/s/0", "one", 1, 100)
 			f.fault("one", 150, calllog.ActionExit)
 			f.succeed("j/s/1", "two", 1, 100, 8000)
 			f.poll("j", 8100, api.StateSucceeded)
 		}},
 		"members fail in turn, each less often than the group may": {"", func(f *fixture) {
-			f.pair()
+			f.submitGang()
 			for number, members := range [][]string{{"j/s/0", "j/s/1"}, {"j/s/1", "j/s/0"}, {"j/s/0", "j/s/1"}} {
 				from := int64(100 + 100*number)
 				f.run(members[0], "one", uint32(number+1), from, from+50, api.OutcomeFailed)
--- a/testbed/checker/place.go
+++ b/testbed/checker/place.go
@@ -22,15 +22,15 @@
 func changes(runs []run) []change {
 	var all []change
 	for _, one := range runs {
-		all = append(all, change{one.Mono, true, one}, change{one.over, false, one})
+		all = append(all, change{one.Mono, true, one}, change{one.endedBy, false, one})
 	}
 	slices.SortStableFunc(all, func(a, b change) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(order(a.start), order(b.start)))
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(changeOrder(a.start), changeOrder(b.start)))
 	})
 	return all
 }
 
-func order(start bool) int {
+func changeOrder(start bool) int {
 	if start {
 		return 1
 	}
@@ -49,16 +49,16 @@
 			continue
 		}
 		used[worker] = used[worker].Add(need)
-		if room := f.workers[worker].Capacity; !used[worker].Fits(room) {
-			text := fmt.Sprintf("overfilled %s: %+v of %+v", worker, used[worker], room)
+		if capacity := f.workers[worker].Capacity; !used[worker].Fits(capacity) {
+			text := fmt.Sprintf("overfilled %s: %+v of %+v", worker, used[worker], capacity)
 			found = append(found, Violation{P5, change.one.Task, text, []monoclock.Nanos{change.at}})
 		}
 	}
 	return found
 }
 
-// checkPlace (P5): the worker offers the service and has the labels.
-func (f *facts) checkPlace() []Violation {
+// checkPlacement (P5): the worker offers the service and has the labels.
+func (f *facts) checkPlacement() []Violation {
 	var found []Violation
 	for _, one := range f.runs {
 		spec := f.spec(one.name)
@@ -120,8 +120,8 @@
 			continue
 		}
 		open[at]++
-		if room := cmp.Or(spread.MaxPerDomain, defaultSpreadRoom); open[at] > room {
-			text := fmt.Sprintf("%d runs of its step in %s %q, %d allowed", open[at], spread.By, at.domain, room)
+		if capacity := cmp.Or(spread.MaxPerDomain, defaultMaxPerDomain); open[at] > capacity {
+			text := fmt.Sprintf("%d runs of its step in %s %q, %d allowed", open[at], spread.By, at.domain, capacity)
 			found = append(found, Violation{P5, change.one.Task, text, []monoclock.Nanos{change.at}})
 		}
 	}
--- a/testbed/checker/rollout.go
+++ b/testbed/checker/rollout.go
@@ -54,7 +54,7 @@
 func (f *facts) checkInForce(entry calllog.Entry, row api.ProcessRollout, puts []calllog.Entry) []Violation {
 	saidAt := entry.Sent.Add(-time.Duration(row.AgeMillis) * time.Millisecond)
 	for _, put := range puts {
-		if put.Version > row.Version && saidAt > max(put.Answered, f.heardSince(row.Process, saidAt)).Add(rolloutBound) {
+		if put.Version > row.Version && saidAt > max(put.Answered, f.informedSince(row.Process, saidAt)).Add(rolloutBound) {
 			text := fmt.Sprintf("has version %d in force although version %d was acknowledged", row.Version, put.Version)
 			return []Violation{{P8, row.Process, text, []monoclock.Nanos{saidAt, put.Answered}}}
 		}
@@ -69,30 +69,30 @@
 	})
 }
 
-// heardSince returns the end of the last time before a moment, or the
+// informedSince returns the end of the last time before a moment, or the
 // beginning of one around it, at which a process did not run or could not talk
 // with a majority of the schedulers, or there was none; 0 if there was no such
 // time.
-func (f *facts) heardSince(process string, at monoclock.Nanos) monoclock.Nanos {
-	spans, known := f.unheard[process]
+func (f *facts) informedSince(process string, at monoclock.Nanos) monoclock.Nanos {
+	spans, known := f.uninformed[process]
 	if !known {
 		spans = f.spansWhere(func(n *network) bool {
-			return !n.works(process) || !n.reaches(process, f.input.Schedulers) || !n.majority(f.input.Schedulers)
+			return !n.running(process) || !n.reachesMajority(process, f.input.Schedulers) || !n.majority(f.input.Schedulers)
 		})
-		f.unheard[process] = spans
+		f.uninformed[process] = spans
 	}
 	var since monoclock.Nanos
-	for _, unheard := range spans {
-		if unheard.from <= at {
-			since = min(unheard.to, at)
+	for _, uninformed := range spans {
+		if uninformed.from <= at {
+			since = min(uninformed.to, at)
 		}
 	}
 	return since
 }
 
-// plainRefusal reports whether an order was refused for good: asked again it is
+// finalRejection reports whether an order was refused for good: asked again it is
 // refused again.
-func plainRefusal(entry calllog.Entry) bool {
+func finalRejection(entry calllog.Entry) bool {
 	return entry.Code == api.CodeLostRace || entry.Code == api.CodeInvalid || entry.Code == api.CodeConflict
 }
 
@@ -117,18 +117,18 @@
 				found = append(found, Violation{P8, entry.OrderID, "acknowledged after it was refused", append(at, before)})
 			}
 			winners[entry.Base], accepted[entry.OrderID] = entry.OrderID, entry.Answered
-		case plainRefusal(entry):
+		case finalRejection(entry):
 			if before := accepted[entry.OrderID]; before != 0 {
 				found = append(found, Violation{P8, entry.OrderID, fmt.Sprintf("refused as %s after it was acknowledged", entry.Code), append(at, before)})
 			}
 			refused[entry.OrderID] = entry.Answered
 		}
 	}
-	return append(found, f.checkLosers(refused)...)
+	return append(found, f.checkRejectedContents(refused)...)
 }
 
-// checkLosers (P8): what was read is never the content of refused orders alone.
-func (f *facts) checkLosers(refused map[string]monoclock.Nanos) []Violation {
+// checkRejectedContents (P8): what was read is never the content of refused orders alone.
+func (f *facts) checkRejectedContents(refused map[string]monoclock.Nanos) []Violation {
 	mayWin, lost := map[string]bool{}, map[string]string{}
 	for _, entry := range f.input.Entries {
 		if entry.Kind != calllog.KindConfigPut {
--- a/testbed/checker/runs.go
+++ b/testbed/checker/runs.go
@@ -11,7 +11,7 @@
 // checkUnknownTasks (P1): nothing runs that no caller handed in.
 func (f *facts) checkUnknownTasks() []Violation {
 	var found []Violation
-	for _, line := range f.unknown {
+	for _, line := range f.unknownTasks {
 		found = append(found, Violation{P1, line.Task, "a task ran that no caller handed in", []monoclock.Nanos{line.Mono}})
 	}
 	return found
@@ -23,14 +23,14 @@
 	for task, runs := range f.byTask {
 		open := runs[0]
 		for _, next := range runs[1:] {
-			if next.Mono < open.over {
+			if next.Mono < open.endedBy {
 				found = append(found, Violation{
 					P1, task,
 					fmt.Sprintf("run %d on %s started while run %d on %s was open", next.Run.Run, next.Worker, open.Run.Run, open.Worker),
-					[]monoclock.Nanos{next.Mono, open.Mono, open.over},
+					[]monoclock.Nanos{next.Mono, open.Mono, open.endedBy},
 				})
 			}
-			if next.over > open.over {
+			if next.endedBy > open.endedBy {
 				open = next
 			}
 		}
@@ -41,11 +41,11 @@
 // checkRestartAfterSuccess (P1): no task starts after a caller saw it as
 // succeeded, nor after a success that must have been acknowledged.
 func (f *facts) checkRestartAfterSuccess() []Violation {
-	shown := f.shownSuccesses()
+	shown := f.reportedSuccesses()
 	var found []Violation
 	for task, runs := range f.byTask {
 		if f.untilCancelled(runs[0].name) {
-			continue // has no success; checkEndless holds it to that
+			continue // has no success; checkUntilCancelled holds it to that
 		}
 		success := f.surelyRecordedSuccess(runs)
 		seen := shown[task]
@@ -60,13 +60,13 @@
 	return found
 }
 
-// checkEndless (P2): no task that runs until cancelled is shown as succeeded,
+// checkUntilCancelled (P2): no task that runs until cancelled is shown as succeeded,
 // nor is its job.
-func (f *facts) checkEndless() []Violation {
+func (f *facts) checkUntilCancelled() []Violation {
 	var found []Violation
-	shown := f.shownSuccesses()
+	shown := f.reportedSuccesses()
 	for _, id := range f.jobIDs {
-		f.eachTask(f.jobs[id], func(name eventlog.TaskName) {
+		f.forEachTask(f.jobs[id], func(name eventlog.TaskName) {
 			if seen := shown[name.String()]; seen != 0 && f.untilCancelled(name) {
 				found = append(found, Violation{P2, name.String(), "runs until cancelled, but was shown as succeeded", []monoclock.Nanos{seen}})
 			}
@@ -91,11 +91,11 @@
 	return 0
 }
 
-// shownSuccesses returns when a caller first saw each task as succeeded. A
+// reportedSuccesses returns when a caller first saw each task as succeeded. A
 // job that is shown as succeeded shows so for all of its tasks.
-func (f *facts) shownSuccesses() map[string]monoclock.Nanos {
+func (f *facts) reportedSuccesses() map[string]monoclock.Nanos {
 	shown := map[string]monoclock.Nanos{}
-	note := func(task string, at monoclock.Nanos) {
+	record := func(task string, at monoclock.Nanos) {
 		if _, found := shown[task]; !found {
 			shown[task] = at
 		}
@@ -103,17 +103,17 @@
 	for _, job := range f.jobs {
 		for _, poll := range job.polls {
 			for _, task := range poll.Succeeded {
-				note(task, poll.Answered)
+				record(task, poll.Answered)
 			}
 			if poll.State == api.StateSucceeded {
-				f.eachTask(job, func(name eventlog.TaskName) { note(name.String(), poll.Answered) })
+				f.forEachTask(job, func(name eventlog.TaskName) { record(name.String(), poll.Answered) })
 			}
 		}
 	}
 	return shown
 }
 
-func (f *facts) eachTask(job *jobFacts, visit func(eventlog.TaskName)) {
+func (f *facts) forEachTask(job *jobFacts, visit func(eventlog.TaskName)) {
 	if job.spec == nil {
 		return
 	}
@@ -153,8 +153,8 @@
 		}
 		if one.Mono > cancelled.Add(cancelStartBound) {
 			found = append(found, Violation{P6, one.Task, "started after its job was cancelled", []monoclock.Nanos{one.Mono, cancelled}})
-		} else if one.over > cancelled.Add(cancelEndBound) {
-			found = append(found, Violation{P6, one.Task, "still ran after its job was cancelled", []monoclock.Nanos{one.over, cancelled}})
+		} else if one.endedBy > cancelled.Add(cancelEndBound) {
+			found = append(found, Violation{P6, one.Task, "still ran after its job was cancelled", []monoclock.Nanos{one.endedBy, cancelled}})
 		}
 	}
 	return found
--- a/testbed/checker/silence.go
+++ b/testbed/checker/silence.go
@@ -10,69 +10,69 @@
 )
 
 const (
-	// lapseSlack is how far from the end of its hold, reckoned from the
+	// leaseExpirySlack is how far from the end of its hold, reckoned from the
 	// beginning of a silence, a worker may stop its runs: the last heartbeat
 	// that it had accepted by then was sent up to an interval and a call
 	// earlier, and stopping takes a moment.
-	lapseSlack = time.Second
-	// earlySlack is how much sooner than a hold after the beginning of a
+	leaseExpirySlack = time.Second
+	// earlyRestartSlack is how much sooner than a hold after the beginning of a
 	// silence a run may start elsewhere: the last heartbeat that was answered
 	// by then may be two intervals old.
-	earlySlack = 500 * time.Millisecond
+	earlyRestartSlack = 500 * time.Millisecond
 	// faultSlack is how much sooner or later than noted a fault may have begun or
 	// ended.
 	faultSlack = 100 * time.Millisecond
-	// wakeBound is how soon after its worker woke a run must have ended for
+	// resumeBound is how soon after its worker woke a run must have ended for
 	// its end to be taken as the end of what it did before it was frozen.
-	wakeBound = time.Second
+	resumeBound = time.Second
 )
 
-// workerHold is how long a worker runs on without an answer.
-func (f *facts) workerHold() time.Duration {
-	return cmp.Or(f.input.Config.Timings.Hold.Std(), defaultHold)
+// workerLease is how long a worker runs on without an answer.
+func (f *facts) workerLease() time.Duration {
+	return cmp.Or(f.input.Config.Timings.Hold.Std(), defaultLease)
 }
 
-// endedFrozen returns when a run's worker was frozen for good: a frozen process
+// frozenSince returns when a run's worker was frozen for good: a frozen process
 // does nothing, and if the run ended as stopped as soon as its worker woke, it
 // did nothing after that either. It is 0 for other runs.
-func (f *facts) endedFrozen(worker string, start, end monoclock.Nanos, outcome api.Outcome) monoclock.Nanos {
+func (f *facts) frozenSince(worker string, start, end monoclock.Nanos, outcome api.Outcome) monoclock.Nanos {
 	if outcome != api.OutcomeStopped {
 		return 0
 	}
 	for _, frozen := range f.spansWhere(func(n *network) bool { return n.frozen[worker] }) {
-		if frozen.from > start && end >= frozen.to && end <= frozen.to.Add(wakeBound) && frozen.to.Sub(frozen.from) >= f.workerHold() {
+		if frozen.from > start && end >= frozen.to && end <= frozen.to.Add(resumeBound) && frozen.to.Sub(frozen.from) >= f.workerLease() {
 			return frozen.from
 		}
 	}
 	return 0
 }
 
-// silentSince returns when the run's worker could no longer be heard, if that
+// unreachableSince returns when the run's worker could no longer be heard, if that
 // is what cut the run off: its own exit, or a fault during the run after which
 // it was stopped. It is 0 for other runs.
-func (f *facts) silentSince(one run) monoclock.Nanos {
-	if one.cut {
-		return one.over
+func (f *facts) unreachableSince(one run) monoclock.Nanos {
+	if one.lost {
+		return one.endedBy
 	}
 	if one.Outcome != api.OutcomeStopped {
 		return 0
 	}
-	if exit := firstAfter(f.exits[f.workers[one.Worker].Agent], one.Mono); exit != 0 && exit < one.over {
+	if exit := firstAfter(f.exits[f.workers[one.Worker].Agent], one.Mono); exit != 0 && exit < one.endedBy {
 		return exit
 	}
-	return f.lapsedSince(one)
+	return f.leaseExpiredSince(one)
 }
 
-// lapsedSince returns the beginning of a silence at the end of whose hold the
+// leaseExpiredSince returns the beginning of a silence at the end of whose hold the
 // run was stopped; 0 if there is none.
-func (f *facts) lapsedSince(one run) monoclock.Nanos {
+func (f *facts) leaseExpiredSince(one run) monoclock.Nanos {
 	if one.frozen {
-		return one.over
+		return one.endedBy
 	}
-	for _, silence := range f.silences(one.Worker) {
-		lapse := silence.from.Add(f.workerHold())
-		if silence.from > one.Mono && one.over >= lapse.Add(-lapseSlack) && one.over <= lapse.Add(lapseSlack) {
-			return silence.from
+	for _, unreachable := range f.unreachableSpans(one.Worker) {
+		expiry := unreachable.from.Add(f.workerLease())
+		if unreachable.from > one.Mono && one.endedBy >= expiry.Add(-leaseExpirySlack) && one.endedBy <= expiry.Add(leaseExpirySlack) {
+			return unreachable.from
 		}
 	}
 	return 0
@@ -80,8 +80,8 @@
 
 // replacement is a run that a silence cut off, and the start that followed.
 type replacement struct {
-	one    run
-	silent monoclock.Nanos
+	lost             run
+	unreachableSince monoclock.Nanos
 	// next is the start elsewhere; 0 if there was none.
 	next monoclock.Nanos
 }
@@ -90,11 +90,11 @@
 	var all []replacement
 	for _, runs := range f.byTask {
 		for index, one := range runs {
-			silent := f.silentSince(one)
-			if silent == 0 || f.jobs[one.name.Job].cancelSent != 0 {
+			unreachableSince := f.unreachableSince(one)
+			if unreachableSince == 0 || f.jobs[one.name.Job].cancelSent != 0 {
 				continue
 			}
-			found := replacement{one: one, silent: silent}
+			found := replacement{lost: one, unreachableSince: unreachableSince}
 			if index+1 < len(runs) {
 				found.next = runs[index+1].Mono
 			}
@@ -110,8 +110,8 @@
 func (f *facts) longestReplacement() time.Duration {
 	var longest time.Duration
 	for _, one := range f.replacements() {
-		if one.next != 0 && !f.metNoMajority(one.silent, one.next) {
-			longest = max(longest, one.next.Sub(one.silent))
+		if one.next != 0 && !f.metNoMajority(one.unreachableSince, one.next) {
+			longest = max(longest, one.next.Sub(one.unreachableSince))
 		}
 	}
 	return longest
@@ -127,12 +127,12 @@
 func (f *facts) checkRestartDelay() []Violation {
 	var found []Violation
 	for _, one := range f.replacements() {
-		deadline := f.restartDeadline(one.silent)
-		if f.input.EndedAt < deadline || (one.next != 0 && one.next <= deadline) || f.groupSucceededBy(one.one, deadline) {
+		deadline := f.restartDeadline(one.unreachableSince)
+		if f.input.EndedAt < deadline || (one.next != 0 && one.next <= deadline) || f.gangSucceededBy(one.lost, deadline) {
 			continue
 		}
-		text := "was not started elsewhere in time after its worker " + one.one.Worker + " fell silent"
-		found = append(found, Violation{P11, one.one.Task, text, []monoclock.Nanos{one.silent, deadline, one.next}})
+		text := "was not started elsewhere in time after its worker " + one.lost.Worker + " fell silent"
+		found = append(found, Violation{P11, one.lost.Task, text, []monoclock.Nanos{one.unreachableSince, deadline, one.next}})
 	}
 	return found
 }
@@ -140,15 +140,15 @@
 // restartDeadline is 6 s after the silence began. Each fault of the schedulers
 // before that may bring a leader who waits for a whole hold anew; without a
 // majority nothing can start until service is back.
-func (f *facts) restartDeadline(silent monoclock.Nanos) monoclock.Nanos {
-	deadline := silent.Add(restartBound)
-	for _, fault := range f.controlFaults() {
-		if fault >= silent && fault < deadline {
+func (f *facts) restartDeadline(unreachableSince monoclock.Nanos) monoclock.Nanos {
+	deadline := unreachableSince.Add(restartBound)
+	for _, fault := range f.schedulerFaults() {
+		if fault >= unreachableSince && fault < deadline {
 			deadline = max(deadline, fault.Add(restartBound))
 		}
 	}
 	for _, none := range f.withoutMajority() {
-		if none.overlaps(silent, deadline) {
+		if none.overlaps(unreachableSince, deadline) {
 			deadline = max(deadline, none.to.Add(serviceGapBound))
 		}
 	}
@@ -161,48 +161,48 @@
 func (f *facts) checkEarlyRestart() []Violation {
 	var found []Violation
 	for _, one := range f.replacements() {
-		if !one.one.cut && f.lapsedSince(one.one) == 0 {
+		if !one.lost.lost && f.leaseExpiredSince(one.lost) == 0 {
 			continue
 		}
-		if one.next < one.one.over {
+		if one.next < one.lost.endedBy {
 			continue // none, or two runs at once, which checkOverlap reports
 		}
-		if !one.one.cut && f.heardBetween(one.one.Worker, one.one.over, one.next) {
+		if !one.lost.lost && f.reachableBetween(one.lost.Worker, one.lost.endedBy, one.next) {
 			continue
 		}
-		found = append(found, f.earlyRestart(one.one, one.silent, one.next)...)
+		found = append(found, f.earlyRestart(one.lost, one.unreachableSince, one.next)...)
 	}
 	return found
 }
 
 // earlyRestart reports a start elsewhere before the hold of a worker that is
 // silent since some time can have lapsed.
-func (f *facts) earlyRestart(one run, silent, next monoclock.Nanos) []Violation {
-	earliest := silent.Add(f.workerHold() - earlySlack)
+func (f *facts) earlyRestart(one run, unreachableSince, next monoclock.Nanos) []Violation {
+	earliest := unreachableSince.Add(f.workerLease() - earlyRestartSlack)
 	if next >= earliest {
 		return nil
 	}
 	text := "was started elsewhere before the hold of its silent worker " + one.Worker + " had lapsed"
-	return []Violation{{P11, one.Task, text, []monoclock.Nanos{next, silent, earliest}}}
+	return []Violation{{P11, one.Task, text, []monoclock.Nanos{next, unreachableSince, earliest}}}
 }
 
-// heardBetween reports whether a worker was not silent at some moment of a time.
-func (f *facts) heardBetween(worker string, from, to monoclock.Nanos) bool {
-	return !slices.ContainsFunc(f.silences(worker), func(silence span) bool {
-		return silence.from <= from && silence.to >= to
+// reachableBetween reports whether a worker was not silent at some moment of a time.
+func (f *facts) reachableBetween(worker string, from, to monoclock.Nanos) bool {
+	return !slices.ContainsFunc(f.unreachableSpans(worker), func(unreachable span) bool {
+		return unreachable.from <= from && unreachable.to >= to
 	})
 }
 
-// checkUnheardEnds (P11): while a worker cannot be heard nobody learns of the end
+// checkUnreportedEnds (P11): while a worker cannot be heard nobody learns of the end
 // of a run there, however it ended, so that its task starts again only once the
 // hold has lapsed.
-func (f *facts) checkUnheardEnds() []Violation {
+func (f *facts) checkUnreportedEnds() []Violation {
 	var found []Violation
 	for _, runs := range f.byTask {
 		for index := range len(runs) - 1 {
 			one, next := runs[index], runs[index+1].Mono
-			lapsed := one.Outcome == api.OutcomeStopped && f.lapsedSince(one) != 0
-			if one.End == 0 || lapsed || next < one.over {
+			leaseExpired := one.Outcome == api.OutcomeStopped && f.leaseExpiredSince(one) != 0
+			if one.End == 0 || leaseExpired || next < one.endedBy {
 				continue // checkEarlyRestart and checkOverlap look at these
 			}
 			if isolated := f.isolatedDuring(one.Worker, one.End, next); isolated != 0 {
--- a/testbed/checker/spans.go
+++ b/testbed/checker/spans.go
@@ -23,11 +23,11 @@
 // lab itself caused it.
 type network struct {
 	down, frozen, wiped map[string]bool
-	cuts                map[link]int
+	partitions          map[link]int
 }
 
 func newNetwork() *network {
-	return &network{down: map[string]bool{}, frozen: map[string]bool{}, wiped: map[string]bool{}, cuts: map[link]int{}}
+	return &network{down: map[string]bool{}, frozen: map[string]bool{}, wiped: map[string]bool{}, partitions: map[link]int{}}
 }
 
 // apply takes one fault into account.
@@ -45,22 +45,22 @@
 		n.wiped[entry.Process] = true
 	case calllog.ActionJoined:
 		n.wiped[entry.Process] = false
-	case calllog.ActionCut, calllog.ActionHold:
-		n.cuts[linkOf(entry)]++
-	case calllog.ActionHeal, calllog.ActionRelease:
-		n.cuts[linkOf(entry)]--
+	case calllog.ActionPartition, calllog.ActionStall:
+		n.partitions[linkOf(entry)]++
+	case calllog.ActionHeal, calllog.ActionEndStall:
+		n.partitions[linkOf(entry)]--
 	}
 }
 
-// works reports whether a process runs.
-func (n *network) works(process string) bool { return !n.down[process] && !n.frozen[process] }
+// running reports whether a process runs.
+func (n *network) running(process string) bool { return !n.down[process] && !n.frozen[process] }
 
-// votes reports whether a scheduler runs and has what it once acknowledged.
-func (n *network) votes(scheduler string) bool { return n.works(scheduler) && !n.wiped[scheduler] }
+// canVote reports whether a scheduler runs and has what it once acknowledged.
+func (n *network) canVote(scheduler string) bool { return n.running(scheduler) && !n.wiped[scheduler] }
 
-// talk reports whether data passes both ways between two processes.
-func (n *network) talk(a, b string) bool {
-	return a == b || (n.cuts[link{a, b}] == 0 && n.cuts[link{b, a}] == 0)
+// connected reports whether data passes both ways between two processes.
+func (n *network) connected(a, b string) bool {
+	return a == b || (n.partitions[link{a, b}] == 0 && n.partitions[link{b, a}] == 0)
 }
 
 // majority reports whether some scheduler talks with enough others to lead.
@@ -68,7 +68,7 @@
 	for _, one := range schedulers {
 		count := 0
 		for _, other := range schedulers {
-			if n.votes(one) && n.votes(other) && n.talk(one, other) {
+			if n.canVote(one) && n.canVote(other) && n.connected(one, other) {
 				count++
 			}
 		}
@@ -79,23 +79,23 @@
 	return len(schedulers) == 0
 }
 
-// reaches reports whether a process can talk with a majority of the
+// reachesMajority reports whether a process can talk with a majority of the
 // schedulers' places, whoever runs there.
-func (n *network) reaches(process string, schedulers []string) bool {
+func (n *network) reachesMajority(process string, schedulers []string) bool {
 	count := 0
 	for _, scheduler := range schedulers {
-		if n.talk(process, scheduler) {
+		if n.connected(process, scheduler) {
 			count++
 		}
 	}
 	return 2*count > len(schedulers) || len(schedulers) == 0
 }
 
-// sends reports whether what a process sends can reach one of the schedulers'
+// canSend reports whether what a process sends can reach one of the schedulers'
 // places.
-func (n *network) sends(process string, schedulers []string) bool {
+func (n *network) canSend(process string, schedulers []string) bool {
 	return len(schedulers) == 0 || slices.ContainsFunc(schedulers, func(scheduler string) bool {
-		return n.cuts[link{process, scheduler}] == 0
+		return n.partitions[link{process, scheduler}] == 0
 	})
 }
 
@@ -131,16 +131,16 @@
 	return f.noMajority
 }
 
-// silences returns the times at which a worker could not be heard, or could
+// unreachableSpans returns the times at which a worker could not be heard, or could
 // not hear, because of a fault of its own, its agent, or a link of theirs.
-func (f *facts) silences(worker string) []span {
-	known, found := f.silent[worker]
+func (f *facts) unreachableSpans(worker string) []span {
+	known, found := f.unreachable[worker]
 	if !found {
 		agent := f.workers[worker].Agent
 		known = f.spansWhere(func(n *network) bool {
-			return !n.works(worker) || !n.works(agent) || !n.talk(worker, agent) || !n.reaches(agent, f.input.Schedulers)
+			return !n.running(worker) || !n.running(agent) || !n.connected(worker, agent) || !n.reachesMajority(agent, f.input.Schedulers)
 		})
-		f.silent[worker] = known
+		f.unreachable[worker] = known
 	}
 	return known
 }
@@ -152,16 +152,16 @@
 	if !found {
 		agent := f.workers[worker].Agent
 		known = f.spansWhere(func(n *network) bool {
-			return !n.works(worker) || !n.works(agent) || n.cuts[link{worker, agent}] > 0 || !n.sends(agent, f.input.Schedulers)
+			return !n.running(worker) || !n.running(agent) || n.partitions[link{worker, agent}] > 0 || !n.canSend(agent, f.input.Schedulers)
 		})
 		f.isolated[worker] = known
 	}
 	return known
 }
 
-// controlFaults returns when schedulers or links between them failed or came
+// schedulerFaults returns when schedulers or links between them failed or came
 // back, each of which may bring a new leader.
-func (f *facts) controlFaults() []monoclock.Nanos {
+func (f *facts) schedulerFaults() []monoclock.Nanos {
 	var times []monoclock.Nanos
 	for _, entry := range f.faultEntries {
 		isControl := slices.Contains(f.input.Schedulers, entry.Process)
--- a/testbed/checker/steps.go
+++ b/testbed/checker/steps.go
@@ -33,7 +33,7 @@
 		earlier := name.String()
 		success := firstSuccess[earlier]
 		if step.Lockstep {
-			success = f.groupSuccess(job.id, step)
+			success = f.gangSuccess(job.id, step)
 		}
 		if success == 0 || success > one.Mono {
 			return &Violation{P4, one.Task, "started before " + earlier + " had succeeded", []monoclock.Nanos{one.Mono, success}}
@@ -71,22 +71,22 @@
 	return found
 }
 
-// checkGroups (P9): once a member of a group runs, the others start within 5 s
+// checkGangStarts (P9): once a member of a group runs, the others start within 5 s
 // or the member is stopped.
-func (f *facts) checkGroups() []Violation {
+func (f *facts) checkGangStarts() []Violation {
 	var found []Violation
 	for _, one := range f.runs {
 		job := f.jobs[one.name.Job]
 		step := job.step(one.name.Step)
-		deadline := one.Mono.Add(groupWaitBound)
-		if !step.Together || one.over <= deadline {
+		deadline := one.Mono.Add(gangStartBound)
+		if !step.Together || one.endedBy <= deadline {
 			continue
 		}
 		for name := range eventlog.TaskNames(job.id, step) {
 			other := name.String()
 			runs := f.byTask[other]
 			if len(runs) == 0 || runs[0].Mono > deadline {
-				found = append(found, Violation{P9, one.Task, "ran alone: " + other + " did not start", []monoclock.Nanos{one.Mono, one.over}})
+				found = append(found, Violation{P9, one.Task, "ran alone: " + other + " did not start", []monoclock.Nanos{one.Mono, one.endedBy}})
 				break
 			}
 		}
--- a/testbed/checker/tokens.go
+++ b/testbed/checker/tokens.go
@@ -17,9 +17,9 @@
 	}
 	var raised []step
 	var found []Violation
-	for _, line := range f.input.Lines {
+	for _, line := range f.input.Events {
 		for _, earlier := range raised {
-			if line.Event == eventlog.EventStart && earlier.token > line.Token && line.Mono > earlier.since.Add(f.hold()) {
+			if line.Kind == eventlog.KindStart && earlier.token > line.Token && line.Mono > earlier.since.Add(f.schedulerLease()) {
 				text := fmt.Sprintf("started under token %d although %d was in use", line.Token, earlier.token)
 				found = append(found, Violation{P12, line.Task, text, []monoclock.Nanos{line.Mono, earlier.since}})
 				break
@@ -36,28 +36,28 @@
 // its way when a new one is first used.
 const staleOrderSlack = time.Second
 
-// checkWaking (P12): after a scheduler was frozen for 20 s and more, nothing
+// checkResumedSchedulers (P12): after a scheduler was frozen for 20 s and more, nothing
 // starts under a token other than the highest one in use when it woke.
-func (f *facts) checkWaking() []Violation {
+func (f *facts) checkResumedSchedulers() []Violation {
 	var found []Violation
 	for _, scheduler := range f.input.Schedulers {
 		for _, frozen := range f.spansWhere(func(n *network) bool { return n.frozen[scheduler] }) {
-			if frozen.to.Sub(frozen.from) >= silentBound {
-				found = append(found, f.checkWoken(scheduler, frozen)...)
+			if frozen.to.Sub(frozen.from) >= longFreezeBound {
+				found = append(found, f.checkResumed(scheduler, frozen)...)
 			}
 		}
 	}
 	return found
 }
 
-func (f *facts) checkWoken(scheduler string, frozen span) []Violation {
+func (f *facts) checkResumed(scheduler string, frozen span) []Violation {
 	var inUse uint64
 	var found []Violation
-	for _, line := range f.input.Lines {
+	for _, line := range f.input.Events {
 		switch {
 		case line.Mono <= frozen.to.Add(-staleOrderSlack):
 			inUse = max(inUse, line.Token)
-		case line.Event == eventlog.EventStart && line.Mono > frozen.to && line.Token < inUse:
+		case line.Kind == eventlog.KindStart && line.Mono > frozen.to && line.Token < inUse:
 			text := fmt.Sprintf("started under token %d after %s woke, although %d was in use", line.Token, scheduler, inUse)
 			found = append(found, Violation{P12, line.Task, text, []monoclock.Nanos{line.Mono, frozen.to}})
 		}
--- a/testbed/childprocess/launcher.go
+++ b/testbed/childprocess/launcher.go
@@ -15,20 +15,20 @@
 // A process is told to die when the thread that started it ends, so this must
 // not be a thread that the Go runtime may retire.
 type Launcher struct {
-	requests chan launch
+	requests chan startRequest
 	closing  chan struct{}
 	once     sync.Once
 	done     sync.WaitGroup
 }
 
-type launch struct {
+type startRequest struct {
 	command *exec.Cmd
 	result  chan error
 }
 
 // New returns a launcher. Close must be called in the end.
 func New() *Launcher {
-	l := &Launcher{requests: make(chan launch), closing: make(chan struct{})}
+	l := &Launcher{requests: make(chan startRequest), closing: make(chan struct{})}
 	l.done.Go(l.serve)
 	return l
 }
@@ -49,7 +49,7 @@
 // Start starts a command in its own process group.
 func (l *Launcher) Start(command *exec.Cmd) error {
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	request := launch{command: command, result: make(chan error, 1)}
+	request := startRequest{command: command, result: make(chan error, 1)}
 	select {
 	case l.requests <- request:
 		return <-request.result
--- a/testbed/deployment/deployment.go
+++ b/testbed/deployment/deployment.go
@@ -62,10 +62,10 @@
 	Zone string
 	// Address is "IP:PORT"; empty for workers, which do not listen.
 	Address string
-	// Reach is the "IP:PORT" that others are given; a relay of the test bed listens
+	// AdvertiseAddress is the "IP:PORT" that others are given; a relay of the test bed listens
 	// there. If it is empty others use Address, without a relay, as callers do
 	// with a front.
-	Reach string
+	AdvertiseAddress string
 	// Agent is the base URL of a worker's agent; empty for other roles.
 	Agent string
 	// Capacity, Services and Labels describe a worker.
@@ -77,10 +77,10 @@
 // URL is the base URL of a process that listens.
 func (p Process) URL() string { return "http://" + p.Address }
 
-// Reached is the "IP:PORT" at which others reach the process.
-func (p Process) Reached() string {
-	if p.Reach != "" {
-		return p.Reach
+// Advertised is the "IP:PORT" at which others reach the process.
+func (p Process) Advertised() string {
+	if p.AdvertiseAddress != "" {
+		return p.AdvertiseAddress
 	}
 	return p.Address
 }
@@ -118,7 +118,7 @@
 func (d Deployment) Seeds() []string {
 	var addresses []string
 	for _, scheduler := range d.ByRole(RoleScheduler) {
-		addresses = append(addresses, scheduler.Reached())
+		addresses = append(addresses, scheduler.Advertised())
 	}
 	return addresses
 }
@@ -182,7 +182,7 @@
 			Address: address(instance, zone, role.third(), i/Zones+1, port),
 		}
 		if role != RoleFront {
-			process.Reach = address(instance, zone, role.third()+relayOctets, i/Zones+1, port)
+			process.AdvertiseAddress = address(instance, zone, role.third()+relayOctets, i/Zones+1, port)
 		}
 		processes = append(processes, process)
 	}
--- a/testbed/deployment/deployment_test.go
+++ b/testbed/deployment/deployment_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestDeploymentsHaveTheStatedSizesAndDistinctAddresses(t *testing.T) {
+func TestNew_FleetHasStatedSizeAndDistinctAddresses(t *testing.T) {
 	seen := map[string]string{}
 	for instance, name := range []string{"restrepo", "cartago", "restrepo"} {
 		d, err := New(name, instance)
@@ -22,7 +22,7 @@
 			if process.Role == RoleWorker {
 				continue
 			}
-			for _, address := range []string{process.Address, process.Reach} {
+			for _, address := range []string{process.Address, process.AdvertiseAddress} {
 				if other, taken := seen[address]; taken && address != "" {
 					t.Errorf("%s has the address %s of %s", process.Name, address, other)
 				}
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestEachWorkerHasTheAgentOfItsZone(t *testing.T) {
+func TestNew_WorkerHasAgentOfItsZone(t *testing.T) {
 	d, err := New("restrepo", 0)
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestNewRefusesWhatItDoesNotKnow(t *testing.T) {
+func TestNew_UnknownNameOrInstanceIsRejected(t *testing.T) {
 	if _, err := New("nowhere", 0); err == nil {
 		t.Error("an unknown name was taken")
 	}
--- a/testbed/eventlog/journal_test.go
+++ b/testbed/eventlog/journal_test.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	startLine = `{"mono_ns":100,"event":"start","task":"j/s/0","run":1,"worker_id":"w1","worker":"worker-01","token":3}` + "\n"
-	endLine   = `{"mono_ns":200,"event":"end","task":"j/s/0","run":1,"worker_id":"w1","worker":"worker-01","token":3,"outcome":"succeeded"}` + "\n"
+	startText = `{"mono_ns":100,"event":"start","task":"j/s/0","run":1,"worker_id":"w1","worker":"worker-01","token":3}` + "\n"
+	endText   = `{"mono_ns":200,"event":"end","task":"j/s/0","run":1,"worker_id":"w1","worker":"worker-01","token":3,"outcome":"succeeded"}` + "\n"
 )
 
 func appendFile(t *testing.T, path, text string) {
@@ -28,19 +28,19 @@
 	}
 }
 
-func TestReaderTakesALineOnceItIsWhole(t *testing.T) {
+func TestReader_PartialLineIsReadOnceComplete(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "worker-01"+Suffix)
 	reader := NewReader(directory)
-	appendFile(t, path, startLine+endLine[:20])
+	appendFile(t, path, startText+endText[:20])
 	reader.Poll()
-	if got := len(reader.Lines()); got != 1 {
+	if got := len(reader.Events()); got != 1 {
 		t.Fatalf("%d lines after a torn write, want 1", got)
 	}
-	appendFile(t, path, endLine[20:])
+	appendFile(t, path, endText[20:])
 	reader.Poll()
 	reader.Poll()
-	runs := Runs(reader.Lines())
+	runs := Runs(reader.Events())
 	if len(runs) != 1 || runs[0].End != 200 || runs[0].Outcome != api.OutcomeSucceeded {
 		t.Fatalf("runs are %+v, want one that succeeded at 200", runs)
 	}
@@ -49,28 +49,28 @@
 	}
 }
 
-func TestReaderGoesOnBehindALineTornByAKill(t *testing.T) {
+func TestReader_LineTornByKillDoesNotHideNextEvent(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "worker-01"+Suffix)
-	appendFile(t, path, endLine[:30]+startLine+endLine)
+	appendFile(t, path, endText[:30]+startText+endText)
 	reader := NewReader(directory)
 	reader.Poll()
-	if got := len(reader.Lines()); got != 2 {
+	if got := len(reader.Events()); got != 2 {
 		t.Fatalf("%d lines, want 2: %v", got, reader.Errors())
 	}
 }
 
-func TestReaderReportsWhatItCannotRead(t *testing.T) {
+func TestReader_InvalidLineIsReportedAndSkipped(t *testing.T) {
 	directory := t.TempDir()
-	appendFile(t, filepath.Join(directory, "worker-01"+Suffix), "nonsense\n"+startLine)
+	appendFile(t, filepath.Join(directory, "worker-01"+Suffix), "nonsense\n"+startText)
 	reader := NewReader(directory)
 	reader.Poll()
-	if len(reader.Errors()) != 1 || len(reader.Lines()) != 1 {
-		t.Fatalf("%d errors and %d lines, want 1 and 1", len(reader.Errors()), len(reader.Lines()))
+	if len(reader.Errors()) != 1 || len(reader.Events()) != 1 {
+		t.Fatalf("%d errors and %d lines, want 1 and 1", len(reader.Errors()), len(reader.Events()))
 	}
 }
 
-func TestParseTask(t *testing.T) {
+func TestParseTask_InvalidNameSaysWhatIsExpected(t *testing.T) {
 	name, err := ParseTask("job-1/step/12")
 	if err != nil || name != (TaskName{Job: "job-1", Step: "step", Index: 12}) || name.String() != "job-1/step/12" {
 		t.Fatalf("got %+v, %v", name, err)
@@ -92,10 +92,10 @@
 			t.Errorf("%q: %v, want %s", wrong, err, reason)
 		}
 	}
-	if _, err := ParseTask("a/b/1/2"); !errors.Is(err, ErrOccurrence) {
+	if _, err := ParseTask("a/b/1/2"); !errors.Is(err, ErrLaterOccurrence) {
 		t.Errorf("a later occurrence: %v", err)
 	}
-	if _, err := ParseTask("a/b/1/0"); errors.Is(err, ErrOccurrence) {
+	if _, err := ParseTask("a/b/1/0"); errors.Is(err, ErrLaterOccurrence) {
 		t.Errorf("a wrong occurrence: %v", err)
 	}
 }
--- a/testbed/eventlog/line.go
+++ b/testbed/eventlog/line.go
@@ -13,19 +13,19 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Event is what a line tells.
-type Event string
+// Kind is what a line tells.
+type Kind string
 
 // Events. Lines with other events are skipped.
 const (
-	EventStart Event = "start"
-	EventEnd   Event = "end"
+	KindStart Kind = "start"
+	KindEnd   Kind = "end"
 )
 
-// Line is one line of a worker's journal.
-type Line struct {
-	Mono  monoclock.Nanos `json:"mono_ns"`
-	Event Event           `json:"event"`
+// Event is one line of a worker's journal.
+type Event struct {
+	Mono monoclock.Nanos `json:"mono_ns"`
+	Kind Kind            `json:"event"`
 	// Task is "JOB/STEP/INDEX".
 	Task     string `json:"task"`
 	Run      uint32 `json:"run"`
@@ -57,12 +57,12 @@
 	}
 }
 
-// ErrOccurrence means that a task belongs to a later occurrence of a repeating
+// ErrLaterOccurrence means that a task belongs to a later occurrence of a repeating
 // job. The test bed hands in no such job, and its checks would mix up occurrences.
-var ErrOccurrence = errors.New("tasks of repeating jobs are not judged")
+var ErrLaterOccurrence = errors.New("tasks of repeating jobs are not judged")
 
 // ParseTask splits a task's full name. A name JOB/STEP/INDEX/OCCURRENCE is an
-// ErrOccurrence.
+// ErrLaterOccurrence.
 func ParseTask(task string) (TaskName, error) {
 	parts := strings.Split(task, "/")
 	if len(parts) != 3 && len(parts) != 4 {
@@ -88,7 +88,7 @@
 	if err != nil || occurrence < 1 {
 		return fmt.Errorf("task is %q, expected an occurrence from 1 as its fourth part", task)
 	}
-	return fmt.Errorf("task is %q of occurrence %d: %w", task, occurrence, ErrOccurrence)
+	return fmt.Errorf("task is %q of occurrence %d: %w", task, occurrence, ErrLaterOccurrence)
 }
 
 // String returns the full name.
@@ -96,20 +96,20 @@
 
 // parse reads whole lines. It returns the lines and the number of bytes that
 // it read; a last line without its newline is left for the next call.
-func parse(data []byte) (lines []Line, read int, err error) {
+func parse(data []byte) (events []Event, read int, err error) {
 	for {
 		end := bytes.IndexByte(data[read:], '\n')
 		if end < 0 {
-			return lines, read, nil
+			return events, read, nil
 		}
 		text := data[read : read+end]
 		read += end + 1
 		line, ok, err := parseLine(text)
 		if err != nil {
-			return lines, read, err
+			return events, read, err
 		}
 		if ok {
-			lines = append(lines, line)
+			events = append(events, line)
 		}
 	}
 }
@@ -117,18 +117,18 @@
 // parseLine reads one line. A worker that was killed while it wrote leaves
 // half a line, to which its next life appends: then only what follows the last
 // opening of an object is a line.
-func parseLine(text []byte) (Line, bool, error) {
+func parseLine(text []byte) (Event, bool, error) {
 	text = bytes.TrimSpace(text)
 	if len(text) == 0 {
-		return Line{}, false, nil
+		return Event{}, false, nil
 	}
-	var line Line
+	var line Event
 	err := json.Unmarshal(text, &line)
 	if err != nil {
-		whole := bytes.LastIndex(text, []byte(`{"`))
-		if whole <= 0 || json.Unmarshal(text[whole:], &line) != nil {
-			return Line{}, false, fmt.Errorf("journal line %q: %w", text, err)
+		complete := bytes.LastIndex(text, []byte(`{"`))
+		if complete <= 0 || json.Unmarshal(text[complete:], &line) != nil {
+			return Event{}, false, fmt.Errorf("journal line %q: %w", text, err)
 		}
 	}
-	return line, line.Event == EventStart || line.Event == EventEnd, nil
+	return line, line.Kind == KindStart || line.Kind == KindEnd, nil
 }
--- a/testbed/eventlog/reader.go
+++ b/testbed/eventlog/reader.go
@@ -27,7 +27,7 @@
 
 	mutex   sync.Mutex
 	offsets map[string]int64
-	lines   []Line
+	events  []Event
 	errors  []error
 }
 
@@ -82,16 +82,16 @@
 	if err != nil {
 		return fmt.Errorf("read journal %s: %w", path, err)
 	}
-	return r.take(path, data)
+	return r.consume(path, data)
 }
 
-// take reads all whole lines of data. A line that cannot be read is reported
+// consume reads all whole lines of data. A line that cannot be read is reported
 // and skipped; those behind it are still read.
-func (r *Reader) take(path string, data []byte) error {
+func (r *Reader) consume(path string, data []byte) error {
 	var failures []error
 	for {
-		lines, read, err := parse(data)
-		r.lines = append(r.lines, lines...)
+		events, read, err := parse(data)
+		r.events = append(r.events, events...)
 		r.offsets[path] += int64(read)
 		data = data[read:]
 		if err == nil {
@@ -101,13 +101,13 @@
 	}
 }
 
-// Lines returns all lines read so far, in the order of their times.
-func (r *Reader) Lines() []Line {
+// Events returns all lines read so far, in the order of their times.
+func (r *Reader) Events() []Event {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	lines := slices.Clone(r.lines)
-	Sort(lines)
-	return lines
+	events := slices.Clone(r.events)
+	Sort(events)
+	return events
 }
 
 // Errors returns what could not be read.
@@ -121,8 +121,8 @@
 func (r *Reader) Counts() (starts, ends int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, line := range r.lines {
-		if line.Event == EventStart {
+	for _, line := range r.events {
+		if line.Kind == KindStart {
 			starts++
 		} else {
 			ends++
@@ -133,14 +133,14 @@
 
 // Sort orders lines by time; of equal times, ends go first, because they free
 // what a start may take.
-func Sort(lines []Line) {
-	slices.SortStableFunc(lines, func(a, b Line) int {
-		return cmp.Or(cmp.Compare(a.Mono, b.Mono), cmp.Compare(eventOrder(a.Event), eventOrder(b.Event)))
+func Sort(events []Event) {
+	slices.SortStableFunc(events, func(a, b Event) int {
+		return cmp.Or(cmp.Compare(a.Mono, b.Mono), cmp.Compare(kindOrder(a.Kind), kindOrder(b.Kind)))
 	})
 }
 
-func eventOrder(event Event) int {
-	if event == EventEnd {
+func kindOrder(event Kind) int {
+	if event == KindEnd {
 		return 0
 	}
 	return 1
@@ -148,13 +148,13 @@
 
 // Run is one run of a task as its worker journalled it.
 type Run struct {
-	Line
+	Event
 	// End is the time of the end line; 0 if there is none.
 	End monoclock.Nanos
 }
 
 // Runs pairs starts with their ends, in the order of the starts.
-func Runs(lines []Line) []Run {
+func Runs(events []Event) []Run {
 	type key struct {
 		task     string
 		run      uint32
@@ -162,11 +162,11 @@
 	}
 	var runs []Run
 	open := map[key]int{}
-	for _, line := range lines {
+	for _, line := range events {
 		id := key{line.Task, line.Run, line.WorkerID}
-		if line.Event == EventStart {
+		if line.Kind == KindStart {
 			open[id] = len(runs)
-			runs = append(runs, Run{Line: line})
+			runs = append(runs, Run{Event: line})
 			continue
 		}
 		index, found := open[id]
--- a/testbed/fleet/disk.go
+++ b/testbed/fleet/disk.go
@@ -19,7 +19,7 @@
 	if err := os.RemoveAll(f.layout.data(scheduler.Spec.Name)); err != nil {
 		return fmt.Errorf("wipe %s: %w", scheduler.Spec.Name, err)
 	}
-	scheduler.note(calllog.ActionWipe, true)
+	scheduler.recordFault(calllog.ActionWipe, true)
 	return nil
 }
 
@@ -42,7 +42,7 @@
 // replica id other than the one given.
 func (f *Fleet) WaitJoined(ctx context.Context, scheduler *Process, old string) error {
 	shown := ""
-	err := until(ctx, func() bool {
+	err := waitUntil(ctx, func() bool {
 		id, err := f.ReplicaID(ctx, scheduler)
 		shown = id
 		return err == nil && id != "" && id != old
@@ -50,31 +50,31 @@
 	if err != nil {
 		return fmt.Errorf("%s is no voter again, replica %q is shown, %q was lost: %w", scheduler.Spec.Name, shown, old, err)
 	}
-	scheduler.note(calllog.ActionJoined, true)
+	scheduler.recordFault(calllog.ActionJoined, true)
 	return nil
 }
 
 // SetClock has a scheduler add an offset to the wall clock that it reads, while
 // it runs.
 func (f *Fleet) SetClock(scheduler *Process, offset time.Duration) error {
-	choices := f.choices(scheduler.Spec)
+	choices := f.settingsChoices(scheduler.Spec)
 	choices.clockOffset = offset
 	if err := f.layout.writeSettings(scheduler.Spec, choices); err != nil {
 		return err
 	}
 	now := monoclock.Now()
-	f.config.Ledger.Add(calllog.Entry{
+	f.config.CallLog.Add(calllog.Entry{
 		Kind: calllog.KindFault, Sent: now, Answered: now, Process: scheduler.Spec.Name,
 		Action: calllog.ActionClock, Offset: offset, Expected: true,
 	})
 	return nil
 }
 
-// WaitMatched waits until a scheduler has all that was committed when the wait
+// WaitCaughtUp waits until a scheduler has all that was committed when the wait
 // began.
-func (f *Fleet) WaitMatched(ctx context.Context, scheduler *Process) error {
+func (f *Fleet) WaitCaughtUp(ctx context.Context, scheduler *Process) error {
 	var committed, matched uint64
-	err := until(ctx, func() bool {
+	err := waitUntil(ctx, func() bool {
 		members, err := f.client.Members(ctx)
 		if err != nil {
 			return false
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -38,8 +38,8 @@
 	// FirstVersion is what all processes are first started from. Default
 	// PresentVersion.
 	FirstVersion Version
-	// Ledger gets starts, faults and exits.
-	Ledger *calllog.Ledger
+	// CallLog gets starts, faults and exits.
+	CallLog *calllog.Log
 	// LogLevel of all processes. Default "info".
 	LogLevel string
 	// Seed draws what the relays hold up.
@@ -51,7 +51,7 @@
 	config    Config
 	layout    layout
 	launcher  *childprocess.Launcher
-	links     *netem.Network
+	network   *netem.Network
 	client    *api.Client
 	processes []*Process
 	byName    map[string]*Process
@@ -94,12 +94,12 @@
 		if err != nil {
 			return err
 		}
-		if err := f.layout.writeSettings(spec, f.choices(spec)); err != nil {
+		if err := f.layout.writeSettings(spec, f.settingsChoices(spec)); err != nil {
 			return err
 		}
 		process := &Process{
 			Spec: spec, programs: programs, settings: f.layout.settings(spec.Name),
-			logPath: f.layout.log(spec.Name), ledger: f.config.Ledger, version: f.config.FirstVersion,
+			logPath: f.layout.log(spec.Name), callLog: f.config.CallLog, version: f.config.FirstVersion,
 		}
 		f.processes = append(f.processes, process)
 		f.byName[spec.Name] = process
@@ -138,11 +138,11 @@
 // addresses already, such as another fleet of the same instance.
 func (f *Fleet) Start() error {
 	for _, process := range f.processes {
-		if err := addressFree(process.Spec); err != nil {
+		if err := checkAddressFree(process.Spec); err != nil {
 			return err
 		}
 	}
-	if err := f.openLinks(); err != nil {
+	if err := f.openNetwork(); err != nil {
 		return err
 	}
 	for _, process := range f.processes {
@@ -153,7 +153,7 @@
 	return nil
 }
 
-func addressFree(process deployment.Process) error {
+func checkAddressFree(process deployment.Process) error {
 	if process.Role == deployment.RoleWorker {
 		return nil
 	}
@@ -177,8 +177,8 @@
 		failures = append(failures, f.stopRole(role))
 	}
 	f.launcher.Close()
-	if f.links != nil {
-		failures = append(failures, f.links.Close())
+	if f.network != nil {
+		failures = append(failures, f.network.Close())
 	}
 	return errors.Join(failures...)
 }
@@ -204,7 +204,7 @@
 	if err := p.Resume(); err != nil && !errors.Is(err, errNotRunning) {
 		return err
 	}
-	return p.end(ctx)
+	return p.waitOrKill(ctx)
 }
 
 // Client returns a client of all fronts.
@@ -213,8 +213,8 @@
 // Deployment returns what the fleet was made from.
 func (f *Fleet) Deployment() deployment.Deployment { return f.config.Deployment }
 
-// JournalDirectory returns the folder of the workers' journals.
-func (f *Fleet) JournalDirectory() string { return f.layout.journals() }
+// EventLogDirectory returns the folder of the workers' journals.
+func (f *Fleet) EventLogDirectory() string { return f.layout.eventLogs() }
 
 // LogDirectory returns the folder of the processes' logs.
 func (f *Fleet) LogDirectory() string { return filepath.Dir(f.layout.log("")) }
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -13,10 +13,10 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
-// TestSettingsFilesAreWhatTheDaemonsTake loads each written file the way the
+// TestSettingsFile_IsAcceptedByItsDaemon loads each written file the way the
 // daemons do, which refuses unknown and wrong keys.
-func TestSettingsFilesAreWhatTheDaemonsTake(t *testing.T) {
-	f := testFleet(t, &calllog.Ledger{})
+func TestSettingsFile_IsAcceptedByItsDaemon(t *testing.T) {
+	f := testFleet(t, &calllog.Log{})
 	for _, process := range f.processes {
 		if err := load(process); err != nil {
 			t.Errorf("%s: %v", process.Spec.Name, err)
@@ -40,7 +40,7 @@
 	return err
 }
 
-func TestNewNamesTheProgramThatIsMissing(t *testing.T) {
+func TestNew_MissingProgramIsRejected(t *testing.T) {
 	d, err := deployment.New("restrepo", 0)
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestStartRefusesAnAddressInUse(t *testing.T) {
+func TestStart_AddressInUseIsRejected(t *testing.T) {
 	listener, err := net.Listen("tcp", testaddress.New(t))
 	if err != nil {
 		t.Fatal(err)
@@ -63,12 +63,12 @@
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := addressFree(taken); err != nil {
+	if err := checkAddressFree(taken); err != nil {
 		t.Errorf("the address is free again, but: %v", err)
 	}
 }
 
-func TestProcessFilesAreRead(t *testing.T) {
+func TestUsage_ProcessFilesAreParsed(t *testing.T) {
 	stat := "12 (a (b) c) S 1 12 12 0 -1 4194304 900 0 0 0 250 50 0 0 20 0 9 0 77 1 2"
 	cpu, err := parseProcessorTime([]byte(stat))
 	if err != nil || cpu != 3*time.Second {
--- a/testbed/fleet/links.go
+++ b/testbed/fleet/links.go
@@ -13,23 +13,23 @@
 // zoneDelay is how long data takes from one zone to another, one way.
 const zoneDelay = 500 * time.Microsecond
 
-// openLinks starts the relays between the processes. Callers reach the fronts
+// openNetwork starts the relays between the processes. Callers reach the fronts
 // without any.
-func (f *Fleet) openLinks() error {
+func (f *Fleet) openNetwork() error {
 	config := netem.Config{Sources: map[string]string{}, Delay: f.linkDelay, Seed: f.config.Seed}
 	for _, process := range f.processes {
 		spec := process.Spec
 		if spec.Address != "" {
 			config.Sources[hostOf(spec.Address)] = spec.Name
 		}
-		if spec.Reach != "" {
+		if spec.AdvertiseAddress != "" {
 			config.Routes = append(config.Routes, netem.Route{
-				Name: spec.Name, Listen: spec.Reach, Target: spec.Address, Source: f.workerOf(spec),
+				Name: spec.Name, Listen: spec.AdvertiseAddress, Target: spec.Address, Source: f.workerOf(spec),
 			})
 		}
 	}
 	var err error
-	f.links, err = netem.New(config)
+	f.network, err = netem.New(config)
 	return err
 }
 
@@ -65,60 +65,60 @@
 	return zoneDelay
 }
 
-// choices is what the settings file of a process says beyond the deployment.
-func (f *Fleet) choices(spec deployment.Process) settingsChoices {
+// settingsChoices is what the settings file of a process says beyond the deployment.
+func (f *Fleet) settingsChoices(spec deployment.Process) settingsChoices {
 	choices := settingsChoices{seeds: f.config.Deployment.Seeds(), logLevel: f.config.LogLevel}
 	for _, agent := range f.config.Deployment.ByRole(deployment.RoleAgent) {
 		if spec.Agent == agent.URL() {
-			choices.agentURL = "http://" + agent.Reached()
+			choices.agentURL = "http://" + agent.Advertised()
 		}
 	}
 	return choices
 }
 
-// Cut lets nothing pass on the links and no connection come about over them,
+// Partition lets nothing pass on the links and no connection come about over them,
 // until the returned function is called.
-func (f *Fleet) Cut(links ...netem.Link) (heal func()) {
-	f.noteLinks(calllog.ActionCut, links)
-	end := f.links.Cut(links...)
+func (f *Fleet) Partition(links ...netem.Link) (heal func()) {
+	f.recordLinkFaults(calllog.ActionPartition, links)
+	end := f.network.Partition(links...)
 	return func() {
 		end()
-		f.noteLinks(calllog.ActionHeal, links)
+		f.recordLinkFaults(calllog.ActionHeal, links)
 	}
 }
 
-// Hold keeps back what is sent on the links, until the returned function is
+// Stall keeps back what is sent on the links, until the returned function is
 // called: then it is passed on in order.
-func (f *Fleet) Hold(links ...netem.Link) (release func()) {
-	f.noteLinks(calllog.ActionHold, links)
-	end := f.links.Hold(links...)
+func (f *Fleet) Stall(links ...netem.Link) (release func()) {
+	f.recordLinkFaults(calllog.ActionStall, links)
+	end := f.network.Stall(links...)
 	return func() {
 		end()
-		f.noteLinks(calllog.ActionRelease, links)
+		f.recordLinkFaults(calllog.ActionEndStall, links)
 	}
 }
 
-// Cross holds up a share of what is sent on the links, each piece for a time
-// drawn up to atMost, until the returned function is called.
-func (f *Fleet) Cross(share float64, atMost time.Duration, links ...netem.Link) (end func()) {
-	f.noteLinks(calllog.ActionCross, links)
-	stop := f.links.Cross(share, atMost, links...)
+// Reorder holds up a share of what is sent on the links, each piece for a time
+// drawn up to maxDelay, until the returned function is called.
+func (f *Fleet) Reorder(probability float64, maxDelay time.Duration, links ...netem.Link) (end func()) {
+	f.recordLinkFaults(calllog.ActionReorder, links)
+	stop := f.network.Reorder(probability, maxDelay, links...)
 	return func() {
 		stop()
-		f.noteLinks(calllog.ActionUncross, links)
+		f.recordLinkFaults(calllog.ActionEndReorder, links)
 	}
 }
 
-// Drop resets the connections that use the links now.
-func (f *Fleet) Drop(links ...netem.Link) {
-	f.links.Drop(links...)
-	f.noteLinks(calllog.ActionDrop, links)
+// ResetConnections resets the connections that use the links now.
+func (f *Fleet) ResetConnections(links ...netem.Link) {
+	f.network.Reset(links...)
+	f.recordLinkFaults(calllog.ActionReset, links)
 }
 
-func (f *Fleet) noteLinks(action calllog.Action, links []netem.Link) {
+func (f *Fleet) recordLinkFaults(action calllog.Action, links []netem.Link) {
 	now := monoclock.Now()
 	for _, link := range links {
-		f.config.Ledger.Add(calllog.Entry{
+		f.config.CallLog.Add(calllog.Entry{
 			Kind: calllog.KindFault, Sent: now, Answered: now,
 			Process: link.From, Peer: link.To, Action: action, Expected: true,
 		})
@@ -132,16 +132,16 @@
 	for _, one := range some {
 		for _, other := range others {
 			if one != other {
-				links = append(links, netem.Both(one.Spec.Name, other.Spec.Name)...)
+				links = append(links, netem.BothDirections(one.Spec.Name, other.Spec.Name)...)
 			}
 		}
 	}
 	return links
 }
 
-// LinksOfZone returns both directions of each link that leaves a zone. Only
+// ZoneLinks returns both directions of each link that leaves a zone. Only
 // schedulers are reached from other zones, so one end is a scheduler.
-func (f *Fleet) LinksOfZone(zone string) []netem.Link {
+func (f *Fleet) ZoneLinks(zone string) []netem.Link {
 	inside, outside := f.InZone(zone, true), f.InZone(zone, false)
 	var links []netem.Link
 	for _, link := range LinksBetween(inside, outside) {
--- a/testbed/fleet/links_test.go
+++ b/testbed/fleet/links_test.go
@@ -18,7 +18,7 @@
 const testInstance = 24
 
 // testFleet is a fleet of programs that are never started.
-func testFleet(t *testing.T, book *calllog.Ledger) *Fleet {
+func testFleet(t *testing.T, calls *calllog.Log) *Fleet {
 	t.Helper()
 	d, err := deployment.New("cartago", testInstance)
 	if err != nil {
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 	}
-	f, err := New(Config{Deployment: d, Directory: t.TempDir(), Binaries: binaries, Ledger: book})
+	f, err := New(Config{Deployment: d, Directory: t.TempDir(), Binaries: binaries, CallLog: calls})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,8 +42,8 @@
 	return f
 }
 
-func TestProcessesAreGivenRelaysOnly(t *testing.T) {
-	f := testFleet(t, &calllog.Ledger{})
+func TestSettingsFile_NamesForwardedAddressesOnly(t *testing.T) {
+	f := testFleet(t, &calllog.Log{})
 	for _, process := range f.processes {
 		data, err := os.ReadFile(process.settings)
 		if err != nil {
@@ -61,12 +61,12 @@
 	}
 }
 
-func TestLinksOfAZoneAreThoseToSchedulersInOthers(t *testing.T) {
-	f := testFleet(t, &calllog.Ledger{})
+func TestZoneLinks_LeadToSchedulersInOtherZones(t *testing.T) {
+	f := testFleet(t, &calllog.Log{})
 	inside, outside := len(f.InZone("zone-1", true)), len(f.InZone("zone-1", false))
 	// One scheduler inside and two outside; the link between two counts once.
 	want := 2 * (2*inside + outside - 2)
-	if links := f.LinksOfZone("zone-1"); len(links) != want || inside+outside != len(f.processes) {
+	if links := f.ZoneLinks("zone-1"); len(links) != want || inside+outside != len(f.processes) {
 		t.Errorf("%d links between %d and %d processes, want %d", len(links), inside, outside, want)
 	}
 	schedulers := f.ByRole(deployment.RoleScheduler)
@@ -75,26 +75,26 @@
 	}
 }
 
-func TestLinkFaultsAreNotedWithBothEnds(t *testing.T) {
-	book := &calllog.Ledger{}
-	f := testFleet(t, book)
+func TestPartition_IsRecordedWithBothEnds(t *testing.T) {
+	calls := &calllog.Log{}
+	f := testFleet(t, calls)
 	for _, process := range f.processes {
-		if process.Spec.Reach != "" {
-			process.Spec.Reach = testaddress.New(t)
+		if process.Spec.AdvertiseAddress != "" {
+			process.Spec.AdvertiseAddress = testaddress.New(t)
 		}
 	}
-	if err := f.openLinks(); err != nil {
+	if err := f.openNetwork(); err != nil {
 		t.Fatal(err)
 	}
-	f.Cut(netem.Link{From: "scheduler-01", To: "agent-02"})()
+	f.Partition(netem.Link{From: "scheduler-01", To: "agent-02"})()
 	var actions []calllog.Action
-	for _, entry := range book.Entries() {
+	for _, entry := range calls.Entries() {
 		if entry.Process != "scheduler-01" || entry.Peer != "agent-02" {
 			t.Errorf("noted %+v", entry)
 		}
 		actions = append(actions, entry.Action)
 	}
-	if !slices.Equal(actions, []calllog.Action{calllog.ActionCut, calllog.ActionHeal}) {
+	if !slices.Equal(actions, []calllog.Action{calllog.ActionPartition, calllog.ActionHeal}) {
 		t.Errorf("noted %v", actions)
 	}
 }
--- a/testbed/fleet/process.go
+++ b/testbed/fleet/process.go
@@ -28,16 +28,16 @@
 	settings string
 	logPath  string
 	launcher *childprocess.Launcher
-	ledger   *calllog.Ledger
+	callLog  *calllog.Log
 
 	mutex sync.Mutex
 	// version is that of the next start.
-	version Version
-	life    *life
+	version     Version
+	incarnation *incarnation
 }
 
-// life is one start of a process.
-type life struct {
+// incarnation is one start of a process.
+type incarnation struct {
 	command *exec.Cmd
 	// ended is closed once the process was reaped.
 	ended chan struct{}
@@ -62,46 +62,46 @@
 	if err := p.launcher.Start(command); err != nil {
 		return fmt.Errorf("start %s: %w", p.Spec.Name, err)
 	}
-	p.noteStart()
-	p.life = &life{command: command, ended: make(chan struct{})}
-	go p.reap(p.life)
+	p.recordStart()
+	p.incarnation = &incarnation{command: command, ended: make(chan struct{})}
+	go p.reap(p.incarnation)
 	return nil
 }
 
 // reap waits for the end of a life and notes it.
-func (p *Process) reap(one *life) {
+func (p *Process) reap(one *incarnation) {
 	_ = one.command.Wait()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.note(calllog.ActionExit, one.expected)
+	p.recordFault(calllog.ActionExit, one.expected)
 	close(one.ended)
 }
 
 // running returns the present life, or nil. The mutex must be held.
-func (p *Process) running() *life {
-	if p.life == nil {
+func (p *Process) running() *incarnation {
+	if p.incarnation == nil {
 		return nil
 	}
 	select {
-	case <-p.life.ended:
+	case <-p.incarnation.ended:
 		return nil
 	default:
-		return p.life
+		return p.incarnation
 	}
 }
 
-// noteStart also notes the program. The mutex must be held.
-func (p *Process) noteStart() {
+// recordStart also notes the program. The mutex must be held.
+func (p *Process) recordStart() {
 	now := monoclock.Now()
-	p.ledger.Add(calllog.Entry{
+	p.callLog.Add(calllog.Entry{
 		Kind: calllog.KindFault, Sent: now, Answered: now, Process: p.Spec.Name,
 		Action: calllog.ActionStart, Program: p.programs[p.version], Expected: true,
 	})
 }
 
-func (p *Process) note(action calllog.Action, expected bool) {
+func (p *Process) recordFault(action calllog.Action, expected bool) {
 	now := monoclock.Now()
-	p.ledger.Add(calllog.Entry{Kind: calllog.KindFault, Sent: now, Answered: now, Process: p.Spec.Name, Action: action, Expected: expected})
+	p.callLog.Add(calllog.Entry{Kind: calllog.KindFault, Sent: now, Answered: now, Process: p.Spec.Name, Action: action, Expected: expected})
 }
 
 // PID returns the process id; 0 if the process does not run.
@@ -136,7 +136,7 @@
 	if action == calllog.ActionKill || action == calllog.ActionTerminate {
 		one.expected = true
 	}
-	p.note(action, true)
+	p.recordFault(action, true)
 	err := one.command.Process.Signal(signal)
 	if errors.Is(err, os.ErrProcessDone) {
 		err = errNotRunning
@@ -169,17 +169,17 @@
 	if err := p.Terminate(); err != nil && !errors.Is(err, errNotRunning) {
 		return err
 	}
-	if err := p.end(ctx); err != nil {
+	if err := p.waitOrKill(ctx); err != nil {
 		return err
 	}
 	return p.Start()
 }
 
-// end waits for stopTimeout and kills the process if it still runs then.
-func (p *Process) end(ctx context.Context) error {
-	patient, cancel := context.WithTimeout(ctx, stopTimeout)
+// waitOrKill waits for stopTimeout and kills the process if it still runs then.
+func (p *Process) waitOrKill(ctx context.Context) error {
+	grace, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
-	if p.Wait(patient) == nil {
+	if p.Wait(grace) == nil {
 		return nil
 	}
 	if err := p.Kill(); err != nil && !errors.Is(err, errNotRunning) {
--- a/testbed/fleet/ready.go
+++ b/testbed/fleet/ready.go
@@ -20,11 +20,11 @@
 
 // WaitReady waits until every process that listens is ready, sees that the
 // first configuration is in force, and waits until all workers are ready.
-func (f *Fleet) WaitReady(ctx context.Context, desk *operator.Operator) error {
+func (f *Fleet) WaitReady(ctx context.Context, operatorClient *operator.Operator) error {
 	if err := f.waitListening(ctx); err != nil {
 		return err
 	}
-	if err := f.pushFirstConfig(ctx, desk); err != nil {
+	if err := f.pushFirstConfig(ctx, operatorClient); err != nil {
 		return err
 	}
 	return f.WaitWorkers(ctx, len(f.ByRole(deployment.RoleWorker)))
@@ -45,7 +45,7 @@
 // WaitReady waits until the process answers that it is ready.
 func (p *Process) WaitReady(ctx context.Context) error {
 	var last string
-	err := until(ctx, func() bool {
+	err := waitUntil(ctx, func() bool {
 		if p.PID() == 0 {
 			last = "it does not run"
 			return true
@@ -81,15 +81,15 @@
 	return ""
 }
 
-func (f *Fleet) pushFirstConfig(ctx context.Context, desk *operator.Operator) error {
-	present, err := desk.Read(ctx)
+func (f *Fleet) pushFirstConfig(ctx context.Context, operatorClient *operator.Operator) error {
+	present, err := operatorClient.Read(ctx)
 	if err != nil {
 		return fmt.Errorf("read the configuration in force: %w", err)
 	}
 	if present.Version != 0 {
 		return nil
 	}
-	if _, err := desk.Put(ctx, present.Version, firstOrderID, f.config.Deployment.Config); err != nil {
+	if _, err := operatorClient.Put(ctx, present.Version, firstOrderID, f.config.Deployment.Config); err != nil {
 		return fmt.Errorf("put the first configuration: %w", err)
 	}
 	return nil
@@ -98,7 +98,7 @@
 // WaitWorkers waits until that many workers are ready.
 func (f *Fleet) WaitWorkers(ctx context.Context, count int) error {
 	ready := 0
-	err := until(ctx, func() bool {
+	err := waitUntil(ctx, func() bool {
 		list, err := f.client.Workers(ctx)
 		ready = 0
 		for _, worker := range list.Workers {
@@ -114,12 +114,12 @@
 	return nil
 }
 
-// until repeats a question until it is answered true or the context ends.
-func until(ctx context.Context, question func() bool) error {
+// waitUntil repeats a question until it is answered true or the context ends.
+func waitUntil(ctx context.Context, condition func() bool) error {
 	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for {
-		if question() {
+		if condition() {
 			return nil
 		}
 		select {
--- a/testbed/fleet/settings_file.go
+++ b/testbed/fleet/settings_file.go
@@ -61,9 +61,9 @@
 func (l layout) settings(name string) string { return filepath.Join(l.root, "settings", name+".yaml") }
 func (l layout) log(name string) string      { return filepath.Join(l.root, "logs", name+".log") }
 func (l layout) data(name string) string     { return filepath.Join(l.root, "data", name) }
-func (l layout) journals() string            { return filepath.Join(l.root, "journals") }
-func (l layout) journal(name string) string {
-	return filepath.Join(l.journals(), name+eventlog.Suffix)
+func (l layout) eventLogs() string           { return filepath.Join(l.root, "journals") }
+func (l layout) eventLog(name string) string {
+	return filepath.Join(l.eventLogs(), name+eventlog.Suffix)
 }
 
 // prepare makes the folders.
@@ -108,11 +108,11 @@
 	if process.Role == deployment.RoleWorker {
 		return workerSettings{
 			Name: process.Name, Agent: choices.agentURL, Capacity: capacityOf(process.Capacity),
-			Services: process.Services, Labels: process.Labels, Journal: l.journal(process.Name), Log: log,
+			Services: process.Services, Labels: process.Labels, Journal: l.eventLog(process.Name), Log: log,
 		}
 	}
 	settings := daemonSettings{
-		Name: process.Name, Zone: process.Zone, Listen: process.Address, Advertise: process.Reach,
+		Name: process.Name, Zone: process.Zone, Listen: process.Address, Advertise: process.AdvertiseAddress,
 		Source: hostOf(process.Address), Seeds: choices.seeds, Log: log,
 		Test: testSettings{WallClockOffset: choices.clockOffset.String()},
 	}
@@ -122,6 +122,6 @@
 	return settings
 }
 
-func capacityOf(room api.Resources) capacity {
-	return capacity{CPUMillis: room.CPUMillis, MemoryMB: room.MemoryMB, Accelerators: room.Accelerators}
+func capacityOf(resources api.Resources) capacity {
+	return capacity{CPUMillis: resources.CPUMillis, MemoryMB: resources.MemoryMB, Accelerators: resources.Accelerators}
 }
--- a/testbed/fleet/version.go
+++ b/testbed/fleet/version.go
@@ -27,16 +27,16 @@
 	return "present"
 }
 
-// Use has the process run the program of a version from its next start on.
-func (p *Process) Use(version Version) {
+// UseVersion has the process run the program of a version from its next start on.
+func (p *Process) UseVersion(version Version) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.version = version
 }
 
-// Runs returns an error unless the process runs the program of a version, as the
+// CheckVersion returns an error unless the process runs the program of a version, as the
 // operating system shows it.
-func (p *Process) Runs(version Version) error {
+func (p *Process) CheckVersion(version Version) error {
 	pid := p.PID()
 	if pid == 0 {
 		return fmt.Errorf("program of %s: %w", p.Spec.Name, errNotRunning)
@@ -59,7 +59,7 @@
 // version.
 func (f *Fleet) CheckVersion(version Version) error {
 	for _, process := range f.processes {
-		if err := process.Runs(version); err != nil {
+		if err := process.CheckVersion(version); err != nil {
 			return err
 		}
 	}
--- a/testbed/hollow/hollow_test.go
+++ b/testbed/hollow/hollow_test.go
@@ -39,7 +39,7 @@
 	return address
 }
 
-func TestNodesBeatUntilKilledAndComeBackAsNewWorkers(t *testing.T) {
+func TestNode_KilledWorkerReturnsAsNewIncarnation(t *testing.T) {
 	heard := make(chan string)
 	spec := Spec{
 		Seeds: []string{scheduler(t, heard)}, Journal: filepath.Join(t.TempDir(), "journal"), Service: "work",
@@ -66,13 +66,13 @@
 		return reply
 	}
 	first := <-heard
-	if reply := ask(Request{Order: OrderKillWorker}); reply.Error != "" || reply.At == 0 {
+	if reply := ask(Request{Command: CommandKillWorker}); reply.Error != "" || reply.At == 0 {
 		t.Fatalf("kill was answered %+v", reply)
 	}
-	if reply := ask(Request{Order: OrderKillWorker}); reply.Error == "" {
+	if reply := ask(Request{Command: CommandKillWorker}); reply.Error == "" {
 		t.Error("a worker was killed twice")
 	}
-	if reply := ask(Request{Order: OrderStartWorker}); reply.Error != "" {
+	if reply := ask(Request{Command: CommandStartWorker}); reply.Error != "" {
 		t.Fatalf("start was answered %+v", reply)
 	}
 	// The killed worker's last heartbeat may be heard late; then the new one's is.
@@ -83,10 +83,10 @@
 	if !strings.HasPrefix(second, "worker-1 ") {
 		t.Errorf("heard %q after %q, want the same worker with another id", second, first)
 	}
-	if reply := ask(Request{Order: OrderCount}); reply.Counters == nil || reply.Counters.Heartbeats < 2 || reply.Counters.SentBytes == 0 {
+	if reply := ask(Request{Command: CommandCount}); reply.Counters == nil || reply.Counters.Heartbeats < 2 || reply.Counters.SentBytes == 0 {
 		t.Errorf("counters are %+v", reply.Counters)
 	}
-	if reply := ask(Request{Order: OrderKillAgent, Node: 1}); reply.Error == "" {
+	if reply := ask(Request{Command: CommandKillAgent, Node: 1}); reply.Error == "" {
 		t.Error("an order for a node that is not there was taken")
 	}
 	if err := input.Close(); err != nil {
--- a/testbed/hollow/node.go
+++ b/testbed/hollow/node.go
@@ -39,19 +39,19 @@
 // node is one side machine: an agent and a worker, each with lives that end
 // and begin anew.
 type node struct {
-	shared *shared
-	spec   NodeSpec
-	link   *loopback
-	agent  *agentLife
-	worker *workerLife
+	shared    *shared
+	spec      NodeSpec
+	agentLink *loopback
+	agent     *agentIncarnation
+	worker    *workerIncarnation
 }
 
 func newNode(shared *shared, spec NodeSpec) *node {
-	return &node{shared: shared, spec: spec, link: &loopback{requests: &shared.requests}}
+	return &node{shared: shared, spec: spec, agentLink: &loopback{requests: &shared.requests}}
 }
 
-// agentLife is one start of an agent.
-type agentLife struct {
+// agentIncarnation is one start of an agent.
+type agentIncarnation struct {
 	client *rpc.Client
 	stop   context.CancelFunc
 	done   sync.WaitGroup
@@ -76,9 +76,9 @@
 		return fmt.Errorf("start agent %s: %w", n.spec.Agent, err)
 	}
 	ctx, stop := context.WithCancel(ctx)
-	n.agent = &agentLife{client: client, stop: stop}
+	n.agent = &agentIncarnation{client: client, stop: stop}
 	n.agent.done.Go(func() { _ = link.Run(ctx) }) // it returns nil
-	n.link.connect(served)
+	n.agentLink.connect(served)
 	return nil
 }
 
@@ -86,7 +86,7 @@
 	if n.agent == nil {
 		return fmt.Errorf("kill agent %s: %w", n.spec.Agent, errNotRunning)
 	}
-	n.link.connect(nil)
+	n.agentLink.connect(nil)
 	n.agent.stop()
 	n.agent.done.Wait()
 	n.agent.client.Close()
@@ -94,41 +94,41 @@
 	return nil
 }
 
-// workerLife is one start of a worker.
-type workerLife struct {
+// workerIncarnation is one start of a worker.
+type workerIncarnation struct {
 	stop context.CancelFunc
 	done sync.WaitGroup
 
-	mutex sync.Mutex
-	dead  bool
+	mutex  sync.Mutex
+	killed bool
 }
 
-// note writes to the journal unless the worker has been killed.
-func (l *workerLife) note(write func(worker.Event), event worker.Event) {
+// write writes to the journal unless the worker has been killed.
+func (l *workerIncarnation) write(write func(worker.Event), event worker.Event) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !l.dead {
+	if !l.killed {
 		write(event)
 	}
 }
 
-func (l *workerLife) die() {
+func (l *workerIncarnation) kill() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.dead = true
+	l.killed = true
 }
 
-// gate cuts a killed worker off from its agent, which may well run on.
-type gate struct {
-	life *workerLife
-	next http.RoundTripper
+// killSwitch cuts a killed worker off from its agent, which may well run on.
+type killSwitch struct {
+	incarnation *workerIncarnation
+	next        http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
-func (g gate) RoundTrip(request *http.Request) (*http.Response, error) {
-	g.life.mutex.Lock()
-	dead := g.life.dead
-	g.life.mutex.Unlock()
+func (g killSwitch) RoundTrip(request *http.Request) (*http.Response, error) {
+	g.incarnation.mutex.Lock()
+	dead := g.incarnation.killed
+	g.incarnation.mutex.Unlock()
 	if dead {
 		return nil, errNotRunning
 	}
@@ -139,12 +139,12 @@
 	if n.worker != nil {
 		return fmt.Errorf("start worker %s: %w", n.spec.Worker, errRunning)
 	}
-	life := &workerLife{}
+	incarnation := &workerIncarnation{}
 	made, err := worker.New(worker.Config{
 		Name: n.spec.Worker, AgentURL: agentURL, Capacity: n.spec.Capacity, Labels: n.spec.Labels,
-		HTTPClient: &http.Client{Transport: gate{life, n.link}},
-		OnStart:    func(event worker.Event) { life.note(n.shared.journal.Start, event) },
-		OnEnd:      func(event worker.Event) { life.note(n.shared.journal.End, event) },
+		HTTPClient: &http.Client{Transport: killSwitch{incarnation, n.agentLink}},
+		OnStart:    func(event worker.Event) { incarnation.write(n.shared.journal.Start, event) },
+		OnEnd:      func(event worker.Event) { incarnation.write(n.shared.journal.End, event) },
 		// The test bed ends a worker only by killing it.
 		DrainTimeout: -1, ReportTimeout: -1,
 	})
@@ -152,10 +152,10 @@
 		return fmt.Errorf("start worker %s: %w", n.spec.Worker, err)
 	}
 	made.Handle(n.shared.spec.Service, taskhandlers.Handlers()[taskhandlers.Sleep])
-	ctx, life.stop = context.WithCancel(ctx)
+	ctx, incarnation.stop = context.WithCancel(ctx)
 	// A killed worker leaves handlers and reports behind, which Run says.
-	life.done.Go(func() { _ = made.Run(ctx) })
-	n.worker = life
+	incarnation.done.Go(func() { _ = made.Run(ctx) })
+	n.worker = incarnation
 	return nil
 }
 
@@ -163,7 +163,7 @@
 	if n.worker == nil {
 		return fmt.Errorf("kill worker %s: %w", n.spec.Worker, errNotRunning)
 	}
-	n.worker.die()
+	n.worker.kill()
 	n.worker.stop()
 	n.worker.done.Wait()
 	n.worker = nil
--- a/testbed/hollow/process.go
+++ b/testbed/hollow/process.go
@@ -83,12 +83,12 @@
 
 func (p *Process) reply(ctx context.Context, request Request) Reply {
 	reply := Reply{}
-	if request.Order == OrderCount {
+	if request.Command == CommandCount {
 		counters, err := p.counters()
 		reply.Counters = &counters
 		reply.setError(err)
 	} else {
-		reply.setError(p.carryOut(ctx, request))
+		reply.setError(p.execute(ctx, request))
 	}
 	reply.At = monoclock.Now()
 	return reply
@@ -100,22 +100,22 @@
 	}
 }
 
-func (p *Process) carryOut(ctx context.Context, request Request) error {
+func (p *Process) execute(ctx context.Context, request Request) error {
 	if request.Node < 0 || request.Node >= len(p.nodes) {
 		return fmt.Errorf("node is %d, expected 0 to %d", request.Node, len(p.nodes)-1)
 	}
 	one := p.nodes[request.Node]
-	switch request.Order {
-	case OrderKillWorker:
+	switch request.Command {
+	case CommandKillWorker:
 		return one.killWorker()
-	case OrderStartWorker:
+	case CommandStartWorker:
 		return one.startWorker(ctx)
-	case OrderKillAgent:
+	case CommandKillAgent:
 		return one.killAgent()
-	case OrderStartAgent:
+	case CommandStartAgent:
 		return one.startAgent(ctx)
 	}
-	return fmt.Errorf("order is %q, which is not known", request.Order)
+	return fmt.Errorf("order is %q, which is not known", request.Command)
 }
 
 // counters sums what the nodes have sent and received.
@@ -147,5 +147,5 @@
 
 var (
 	_ http.RoundTripper = (*loopback)(nil)
-	_ http.RoundTripper = gate{}
+	_ http.RoundTripper = killSwitch{}
 )
--- a/testbed/hollow/spec.go
+++ b/testbed/hollow/spec.go
@@ -55,28 +55,28 @@
 	return nil
 }
 
-// Order is what the test bed tells a hollow process, one JSON line each.
-type Order string
+// Command is what the test bed tells a hollow process, one JSON line each.
+type Command string
 
 // Orders.
 const (
-	// OrderKillWorker ends a worker as SIGKILL would: nothing is journalled or
+	// CommandKillWorker ends a worker as SIGKILL would: nothing is journalled or
 	// reported any more.
-	OrderKillWorker Order = "kill-worker"
-	// OrderStartWorker starts a killed worker again, with a new worker id.
-	OrderStartWorker Order = "start-worker"
-	// OrderKillAgent ends an agent: its worker is cut off and its hold lapses.
-	OrderKillAgent Order = "kill-agent"
-	// OrderStartAgent starts a killed agent again.
-	OrderStartAgent Order = "start-agent"
-	// OrderCount asks for the process's counters.
-	OrderCount Order = "count"
+	CommandKillWorker Command = "kill-worker"
+	// CommandStartWorker starts a killed worker again, with a new worker id.
+	CommandStartWorker Command = "start-worker"
+	// CommandKillAgent ends an agent: its worker is cut off and its hold lapses.
+	CommandKillAgent Command = "kill-agent"
+	// CommandStartAgent starts a killed agent again.
+	CommandStartAgent Command = "start-agent"
+	// CommandCount asks for the process's counters.
+	CommandCount Command = "count"
 )
 
 // Request is one line to a hollow process. Node counts from 0.
 type Request struct {
-	Order Order `json:"order"`
-	Node  int   `json:"node"`
+	Command Command `json:"order"`
+	Node    int     `json:"node"`
 }
 
 // Reply answers one Request.
--- a/testbed/load/caller.go
+++ b/testbed/load/caller.go
@@ -20,8 +20,8 @@
 	// callTimeout is how long a caller tries one call at all fronts before
 	// the ledger notes that there was no answer.
 	callTimeout = 15 * time.Second
-	// pollPause follows a poll that failed or was answered early.
-	pollPause = 50 * time.Millisecond
+	// pollInterval follows a poll that failed or was answered early.
+	pollInterval = 50 * time.Millisecond
 
 	idleConnections = 256
 )
@@ -32,15 +32,15 @@
 
 // caller is one caller of the fleet.
 type caller struct {
-	client *api.Client
-	ledger *calllog.Ledger
-	// shown are the tasks that a poll showed as succeeded already.
-	shown map[string]bool
+	client  *api.Client
+	callLog *calllog.Log
+	// seenSucceeded are the tasks that a poll showed as succeeded already.
+	seenSucceeded map[string]bool
 }
 
 // submit hands in a job until there is a plain answer. It reports whether the
 // job was accepted.
-func (c *caller) submit(ctx context.Context, one plan) bool {
+func (c *caller) submit(ctx context.Context, one jobPlan) bool {
 	for {
 		entry := c.submitOnce(ctx, one, false)
 		switch {
@@ -55,29 +55,29 @@
 }
 
 // resend hands in an accepted job once more.
-func (c *caller) resend(ctx context.Context, one plan) { c.submitOnce(ctx, one, true) }
+func (c *caller) resend(ctx context.Context, one jobPlan) { c.submitOnce(ctx, one, true) }
 
-func (c *caller) submitOnce(ctx context.Context, one plan, resend bool) calllog.Entry {
+func (c *caller) submitOnce(ctx context.Context, one jobPlan, resend bool) calllog.Entry {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	entry := calllog.Entry{Kind: calllog.KindSubmit, Sent: monoclock.Now(), JobID: one.id, Spec: &one.spec, Class: one.class, Resend: resend}
 	created, err := c.client.SubmitJob(ctx, one.id, one.spec)
 	entry.Answered, entry.Created = monoclock.Now(), created
 	entry.Code, entry.Error = operator.Refusal(err)
-	c.ledger.Add(entry)
+	c.callLog.Add(entry)
 	return entry
 }
 
 // watch polls a job until it is final. It reports false if the context ended
 // before that.
-func (c *caller) watch(ctx context.Context, one plan) bool {
-	c.shown = map[string]bool{}
+func (c *caller) watch(ctx context.Context, one jobPlan) bool {
+	c.seenSucceeded = map[string]bool{}
 	for ctx.Err() == nil {
 		state := c.poll(ctx, one.id)
 		if state.Final() {
 			return true
 		}
-		contexttime.Sleep(ctx, pollPause)
+		contexttime.Sleep(ctx, pollInterval)
 	}
 	return false
 }
@@ -93,7 +93,7 @@
 	entry.Answered, entry.State = monoclock.Now(), status.State
 	entry.Code, entry.Error = operator.Refusal(err)
 	entry.Succeeded = c.newlySucceeded(status)
-	c.ledger.Add(entry)
+	c.callLog.Add(entry)
 	return status.State
 }
 
@@ -102,8 +102,8 @@
 	var tasks []string
 	for _, step := range status.Steps {
 		for _, task := range step.Tasks {
-			if task.State == api.StateSucceeded && !c.shown[task.Task] {
-				c.shown[task.Task] = true
+			if task.State == api.StateSucceeded && !c.seenSucceeded[task.Task] {
+				c.seenSucceeded[task.Task] = true
 				tasks = append(tasks, task.Task)
 			}
 		}
@@ -120,10 +120,10 @@
 		stop()
 		entry.Answered, entry.State = monoclock.Now(), status.State
 		entry.Code, entry.Error = operator.Refusal(err)
-		c.ledger.Add(entry)
+		c.callLog.Add(entry)
 		if err == nil || entry.Code == api.CodeNotFound {
 			return
 		}
-		contexttime.Sleep(ctx, pollPause)
+		contexttime.Sleep(ctx, pollInterval)
 	}
 }
--- a/testbed/load/extra.go
+++ b/testbed/load/extra.go
@@ -20,20 +20,20 @@
 	Class calllog.Class
 }
 
-func (j Job) plan() plan { return plan{id: j.ID, spec: j.Spec, class: j.Class} }
+func (j Job) jobPlan() jobPlan { return jobPlan{id: j.ID, spec: j.Spec, class: j.Class} }
 
-// HandIn hands in a job and watches it until it is final, in its own
+// Submit hands in a job and watches it until it is final, in its own
 // goroutine.
-func (g *Generator) HandIn(job Job) { g.follow(job.plan()) }
+func (g *Generator) Submit(job Job) { g.follow(job.jobPlan()) }
 
-// HandInAll hands in jobs from that many callers at once and returns the ids
+// SubmitAll hands in jobs from that many callers at once and returns the ids
 // of those accepted. It asks again while a limit is in the way, and it does
 // not watch the jobs.
-func (g *Generator) HandInAll(ctx context.Context, width int, jobs []Job) []string {
+func (g *Generator) SubmitAll(ctx context.Context, concurrency int, jobs []Job) []string {
 	accepted := make([]bool, len(jobs))
-	g.each(width, len(jobs), func(index int) {
+	g.forEach(concurrency, len(jobs), func(index int) {
 		g.submitted.Add(1)
-		accepted[index] = g.caller(index).submitPatiently(ctx, jobs[index].plan())
+		accepted[index] = g.caller(index).submitWhileLimited(ctx, jobs[index].jobPlan())
 	})
 	var ids []string
 	for index, job := range jobs {
@@ -45,16 +45,16 @@
 	return ids
 }
 
-// submitPatiently hands in a job until it is accepted, refused for another
+// submitWhileLimited hands in a job until it is accepted, refused for another
 // reason than a limit, or the context ends.
-func (c *caller) submitPatiently(ctx context.Context, one plan) bool {
+func (c *caller) submitWhileLimited(ctx context.Context, one jobPlan) bool {
 	for ctx.Err() == nil {
 		entry := c.submitOnce(ctx, one, false)
 		switch {
 		case entry.Accepted():
 			return true
 		case entry.Code == api.CodeOverLimit:
-			contexttime.Sleep(ctx, limitPause)
+			contexttime.Sleep(ctx, limitBackoff)
 		case entry.Code != api.CodeUnavailable && entry.Code != api.CodeOutcomeUnknown:
 			return false
 		}
@@ -64,10 +64,10 @@
 
 // Watch reads each job, that many at once, until it is final. It returns how
 // many are; fewer than all if the context ended before.
-func (g *Generator) Watch(ctx context.Context, width int, ids []string) int {
+func (g *Generator) Watch(ctx context.Context, concurrency int, ids []string) int {
 	var final atomic.Int64
-	g.each(width, len(ids), func(index int) {
-		if g.caller(index).watch(ctx, plan{id: ids[index]}) {
+	g.forEach(concurrency, len(ids), func(index int) {
+		if g.caller(index).watch(ctx, jobPlan{id: ids[index]}) {
 			final.Add(1)
 		}
 	})
@@ -76,8 +76,8 @@
 }
 
 // Cancel cancels jobs one by one, that many at once.
-func (g *Generator) Cancel(ctx context.Context, width int, ids []string) {
-	g.each(width, len(ids), func(index int) { g.caller(index).cancel(ctx, ids[index]) })
+func (g *Generator) Cancel(ctx context.Context, concurrency int, ids []string) {
+	g.forEach(concurrency, len(ids), func(index int) { g.caller(index).cancel(ctx, ids[index]) })
 }
 
 // CancelQueue cancels all jobs of a queue in one call, and asks again until
@@ -90,25 +90,25 @@
 	entry.Code, entry.Error = operator.Refusal(err)
 	for _, id := range ids {
 		entry.JobID = id
-		g.config.Ledger.Add(entry)
+		g.config.CallLog.Add(entry)
 	}
 	return cancelled, err
 }
 
-// Mark notes a time that the scenario set.
-func (g *Generator) Mark(mark calllog.Mark, at monoclock.Nanos) {
-	g.config.Ledger.Add(calllog.Entry{Kind: calllog.KindMark, Sent: at, Answered: at, Mark: mark})
+// RecordMilestone notes a time that the scenario set.
+func (g *Generator) RecordMilestone(milestone calllog.Milestone, at monoclock.Nanos) {
+	g.config.CallLog.Add(calllog.Entry{Kind: calllog.KindMilestone, Sent: at, Answered: at, Milestone: milestone})
 }
 
 // caller returns a caller for the job of that number.
 func (g *Generator) caller(number int) *caller {
-	return &caller{client: g.clients[number%callers], ledger: g.config.Ledger}
+	return &caller{client: g.clients[number%callers], callLog: g.config.CallLog}
 }
 
-// each calls visit for every index below count, width at once.
-func (g *Generator) each(width, count int, visit func(index int)) {
+// forEach calls visit for every index below count, width at once.
+func (g *Generator) forEach(concurrency, count int, visit func(index int)) {
 	var group errgroup.Group
-	group.SetLimit(width)
+	group.SetLimit(concurrency)
 	for index := range count {
 		group.Go(func() error {
 			visit(index)
--- a/testbed/load/extra_test.go
+++ b/testbed/load/extra_test.go
@@ -16,20 +16,20 @@
 )
 
 // generatorFor returns a generator of one front and its ledger.
-func generatorFor(t *testing.T, front http.HandlerFunc) (*Generator, *calllog.Ledger) {
+func generatorFor(t *testing.T, front http.HandlerFunc) (*Generator, *calllog.Log) {
 	t.Helper()
 	server := httptest.NewServer(front)
 	t.Cleanup(server.Close)
-	book, err := calllog.Open("")
+	callLog, err := calllog.Open("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	generator, err := New(Config{Endpoints: []string{server.URL}, Ledger: book})
+	generator, err := New(Config{Endpoints: []string{server.URL}, CallLog: callLog})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { generator.Finish(t.Context()) })
-	return generator, book
+	return generator, callLog
 }
 
 func answer(writer http.ResponseWriter, status int, body any) {
@@ -40,9 +40,9 @@
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
-func TestFloodTriesEachJobOnceAndKeepsTheAnswer(t *testing.T) {
+func TestFlood_AttemptsEachJobOnceAndRecordsAnswer(t *testing.T) {
 	statuses := []int{422, 429, 503, 500, 201}
-	generator, book := generatorFor(t, func(writer http.ResponseWriter, request *http.Request) {
+	generator, callLog := generatorFor(t, func(writer http.ResponseWriter, request *http.Request) {
 		var number int
 		_, _ = fmt.Sscanf(request.URL.Path, "/v1/jobs/j%d", &number)
 		status := statuses[number%len(statuses)]
@@ -58,7 +58,7 @@
 	})
 	counts := map[int]int{}
 	ids := map[string]bool{}
-	for _, entry := range book.Entries() {
+	for _, entry := range callLog.Entries() {
 		counts[entry.Status]++
 		ids[entry.JobID] = true
 		refused := entry.Status != http.StatusCreated
@@ -73,9 +73,9 @@
 	}
 }
 
-func TestHandInAllAsksAgainWhileALimitIsInTheWay(t *testing.T) {
+func TestSubmitAll_RetriesWhileLimited(t *testing.T) {
 	var calls atomic.Int64
-	generator, book := generatorFor(t, func(writer http.ResponseWriter, request *http.Request) {
+	generator, callLog := generatorFor(t, func(writer http.ResponseWriter, request *http.Request) {
 		switch {
 		case strings.HasSuffix(request.URL.Path, "wrong"):
 			answer(writer, 422, api.Error{Status: 422, Code: api.CodeInvalid, Message: "m"})
@@ -86,17 +86,17 @@
 		}
 	})
 	jobs := []Job{{ID: "a", Class: calllog.ClassBooked}, {ID: "wrong"}, {ID: "b", Class: calllog.ClassBooked}}
-	accepted := generator.HandInAll(t.Context(), 1, jobs)
+	accepted := generator.SubmitAll(t.Context(), 1, jobs)
 	if difference := cmp.Diff([]string{"a", "b"}, accepted); difference != "" {
 		t.Error(difference)
 	}
-	if entries := book.Entries(); len(entries) != 4 || entries[0].Code != api.CodeOverLimit || entries[1].Class != calllog.ClassBooked {
+	if entries := callLog.Entries(); len(entries) != 4 || entries[0].Code != api.CodeOverLimit || entries[1].Class != calllog.ClassBooked {
 		t.Errorf("entries are %+v", entries)
 	}
 }
 
-func TestCancelQueueNotesEachJob(t *testing.T) {
-	generator, book := generatorFor(t, func(writer http.ResponseWriter, request *http.Request) {
+func TestCancelQueue_RecordsEachJob(t *testing.T) {
+	generator, callLog := generatorFor(t, func(writer http.ResponseWriter, request *http.Request) {
 		var asked api.CancelRequest
 		_ = json.NewDecoder(request.Body).Decode(&asked)
 		if request.URL.Path != "/v1/cancellations" || asked.Queue != "q" {
@@ -105,7 +105,7 @@
 		answer(writer, 200, api.CancelAnswer{Cancelled: 2})
 	})
 	cancelled, err := generator.CancelQueue(t.Context(), "q", []string{"a", "b"})
-	entries := book.Entries()
+	entries := callLog.Entries()
 	if err != nil || cancelled != 2 || len(entries) != 2 {
 		t.Fatalf("%d cancelled, %v, entries %+v", cancelled, err, entries)
 	}
--- a/testbed/load/flood.go
+++ b/testbed/load/flood.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// tryTimeout bounds one try of a flood. A front answers within 3 s.
-	tryTimeout = 4 * time.Second
-	// limitPause is the pause of a caller that a limit turned away.
-	limitPause = 100 * time.Millisecond
+	// attemptTimeout bounds one try of a flood. A front answers within 3 s.
+	attemptTimeout = 4 * time.Second
+	// limitBackoff is the pause of a caller that a limit turned away.
+	limitBackoff = 100 * time.Millisecond
 )
 
 // Flood hands in each job once, from that many callers, each as fast as it
 // gets answers. It goes round the api client, which would hide a 503 by asking
 // again.
-func (g *Generator) Flood(ctx context.Context, width, jobs int, job func(number int) Job) {
+func (g *Generator) Flood(ctx context.Context, concurrency, jobs int, job func(number int) Job) {
 	transport := newTransport()
 	defer transport.CloseIdleConnections()
-	g.each(width, jobs, func(number int) {
+	g.forEach(concurrency, jobs, func(number int) {
 		if ctx.Err() != nil {
 			return
 		}
 		g.submitted.Add(1)
 		endpoint := g.config.Endpoints[number%len(g.config.Endpoints)]
-		g.config.Ledger.Add(try(ctx, transport, endpoint, job(number)))
+		g.config.CallLog.Add(attempt(ctx, transport, endpoint, job(number)))
 	})
 }
 
-// try hands in a job at one front and returns what was answered.
-func try(ctx context.Context, transport *http.Client, endpoint string, job Job) calllog.Entry {
+// attempt hands in a job at one front and returns what was answered.
+func attempt(ctx context.Context, transport *http.Client, endpoint string, job Job) calllog.Entry {
 	entry := calllog.Entry{Kind: calllog.KindSubmit, Sent: monoclock.Now(), JobID: job.ID, Spec: &job.Spec, Class: job.Class}
 	answer, err := put(ctx, transport, endpoint+"/v1/jobs/"+job.ID, job.Spec)
 	entry.Answered = monoclock.Now()
@@ -47,41 +47,41 @@
 	}
 	entry.Status, entry.RetryAfter, entry.Created = answer.status, answer.retryAfter, answer.status == http.StatusCreated
 	if answer.status >= http.StatusBadRequest {
-		entry.Error = answer.refusal.Error()
+		entry.Error = answer.rejection.Error()
 	}
-	if answer.refusal.Message != "" {
-		entry.Code = answer.refusal.Code
+	if answer.rejection.Message != "" {
+		entry.Code = answer.rejection.Code
 	}
 	return entry
 }
 
-// rawAnswer is what stood in one HTTP answer.
-type rawAnswer struct {
+// rawResponse is what stood in one HTTP answer.
+type rawResponse struct {
 	status     int
 	retryAfter bool
-	refusal    api.Error
+	rejection  api.Error
 }
 
-func put(ctx context.Context, transport *http.Client, url string, spec api.JobSpec) (rawAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+func put(ctx context.Context, transport *http.Client, url string, spec api.JobSpec) (rawResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	body, err := json.Marshal(spec)
 	if err != nil {
-		return rawAnswer{}, fmt.Errorf("encode job: %w", err)
+		return rawResponse{}, fmt.Errorf("encode job: %w", err)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
-		return rawAnswer{}, fmt.Errorf("make request: %w", err)
+		return rawResponse{}, fmt.Errorf("make request: %w", err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := transport.Do(request)
 	if err != nil {
-		return rawAnswer{}, fmt.Errorf("hand in: %w", err)
+		return rawResponse{}, fmt.Errorf("hand in: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer := rawAnswer{status: response.StatusCode, retryAfter: response.Header.Get("Retry-After") != ""}
-	if err := json.NewDecoder(response.Body).Decode(&answer.refusal); err != nil {
-		return rawAnswer{}, fmt.Errorf("read answer of status %d: %w", response.StatusCode, err)
+	answer := rawResponse{status: response.StatusCode, retryAfter: response.Header.Get("Retry-After") != ""}
+	if err := json.NewDecoder(response.Body).Decode(&answer.rejection); err != nil {
+		return rawResponse{}, fmt.Errorf("read answer of status %d: %w", response.StatusCode, err)
 	}
 	return answer, nil
 }
--- a/testbed/load/generator.go
+++ b/testbed/load/generator.go
@@ -22,7 +22,7 @@
 	Endpoints []string
 	Shapes    deployment.Shapes
 	Seed      uint64
-	Ledger    *calllog.Ledger
+	CallLog   *calllog.Log
 }
 
 // Counts is how many jobs there are so far.
@@ -88,7 +88,7 @@
 	due := time.Now()
 	for {
 		one := planner.next()
-		due = due.Add(one.after)
+		due = due.Add(one.interval)
 		timer := time.NewTimer(time.Until(due))
 		select {
 		case <-ctx.Done():
@@ -102,9 +102,9 @@
 
 // follow hands in a job and watches it until it is final, in its own
 // goroutine.
-func (g *Generator) follow(one plan) {
+func (g *Generator) follow(one jobPlan) {
 	number := g.submitted.Add(1)
-	caller := &caller{client: g.clients[number%callers], ledger: g.config.Ledger}
+	caller := &caller{client: g.clients[number%callers], callLog: g.config.CallLog}
 	one.setTime(time.Now())
 	g.followers.Go(func() {
 		if !caller.submit(g.following, one) {
@@ -125,7 +125,7 @@
 func (g *Generator) Finish(ctx context.Context) {
 	defer g.stop()
 	for index, id := range g.endless {
-		caller := &caller{client: g.clients[index%callers], ledger: g.config.Ledger}
+		caller := &caller{client: g.clients[index%callers], callLog: g.config.CallLog}
 		caller.cancel(ctx, id)
 	}
 	done := make(chan struct{})
--- a/testbed/load/load_test.go
+++ b/testbed/load/load_test.go
@@ -17,7 +17,7 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
-func TestPlansComeFromTheSeedAndAreValid(t *testing.T) {
+func TestPlanner_SameSeedGivesSameValidJobs(t *testing.T) {
 	d, err := deployment.New("restrepo", 0)
 	if err != nil {
 		t.Fatal(err)
@@ -28,14 +28,14 @@
 	const count = 500
 	for range count {
 		one := same.next()
-		if difference := cmp.Diff(one, again.next(), cmp.AllowUnexported(plan{})); difference != "" {
+		if difference := cmp.Diff(one, again.next(), cmp.AllowUnexported(jobPlan{})); difference != "" {
 			t.Fatalf("the same seed gave another job: %s", difference)
 		}
-		differs = differs || one.after != other.next().after
+		differs = differs || one.interval != other.next().interval
 		if wrong := api.ValidateJob(one.id, &one.spec, &d.Config); len(wrong) != 0 {
 			t.Fatalf("%s is not valid: %v", one.id, wrong)
 		}
-		length += one.after
+		length += one.interval
 	}
 	if !differs {
 		t.Error("another seed gave the same jobs")
@@ -76,19 +76,19 @@
 	_ = json.NewEncoder(writer).Encode(status)
 }
 
-func TestLedgerHoldsWhatTheCallerSaw(t *testing.T) {
+func TestCaller_RecordsEachCall(t *testing.T) {
 	server := httptest.NewServer(&standIn{polls: map[string]int{}})
 	defer server.Close()
 	client, err := api.NewClient(api.ClientConfig{Endpoints: []string{server.URL}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	book, err := calllog.Open("")
+	callLog, err := calllog.Open("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := plan{id: "j", resend: true}
-	caller := &caller{client: client, ledger: book}
+	one := jobPlan{id: "j", resend: true}
+	caller := &caller{client: client, callLog: callLog}
 	if !caller.submit(t.Context(), one) {
 		t.Fatal("the job was not accepted")
 	}
@@ -97,7 +97,7 @@
 		t.Fatal("the job did not end")
 	}
 	var kinds []calllog.Kind
-	entries := book.Entries()
+	entries := callLog.Entries()
 	for _, entry := range entries {
 		kinds = append(kinds, entry.Kind)
 	}
@@ -113,12 +113,12 @@
 	}
 }
 
-func TestFinishStopsFollowersWhenItsTimeIsOver(t *testing.T) {
+func TestFinish_StopsFollowersWhenContextEnds(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer server.Close()
-	book, err := calllog.Open("")
+	callLog, err := calllog.Open("")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	generator, err := New(Config{Endpoints: []string{server.URL}, Shapes: d.Shapes, Seed: 1, Ledger: book})
+	generator, err := New(Config{Endpoints: []string{server.URL}, Shapes: d.Shapes, Seed: 1, CallLog: callLog})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/testbed/load/plan.go
+++ b/testbed/load/plan.go
@@ -13,11 +13,11 @@
 
 // Shares of jobs that use one of the rules which few callers need.
 const (
-	resendShare   = 0.02
-	timedShare    = 0.05
-	togetherShare = 0.05
-	spreadShare   = 0.05
-	labelShare    = 0.05
+	resendShare = 0.02
+	timedShare  = 0.05
+	gangShare   = 0.05
+	spreadShare = 0.05
+	labelShare  = 0.05
 
 	// timedDelay is how far in the future a timed step lies when handed in.
 	timedDelay = time.Second
@@ -26,13 +26,13 @@
 	spreadZones = deployment.Zones - 1
 )
 
-// plan is one job that will be handed in.
-type plan struct {
+// jobPlan is one job that will be handed in.
+type jobPlan struct {
 	id    string
 	spec  api.JobSpec
 	class calllog.Class
-	// after is the pause since the job before it.
-	after time.Duration
+	// interval is the pause since the job before it.
+	interval time.Duration
 	// resend: it is handed in again once it was accepted.
 	resend bool
 	// timed: its last step gets a not_before when it is handed in.
@@ -61,11 +61,11 @@
 }
 
 // next draws the next job.
-func (p *planner) next() plan {
+func (p *planner) next() jobPlan {
 	p.count++
-	one := plan{id: fmt.Sprintf("%s-%06d", p.prefix, p.count), spec: p.spec()}
+	one := jobPlan{id: fmt.Sprintf("%s-%06d", p.prefix, p.count), spec: p.spec()}
 	if p.shape.PerSecond > 0 {
-		one.after = time.Duration(p.random.ExpFloat64() / p.shape.PerSecond * float64(time.Second))
+		one.interval = time.Duration(p.random.ExpFloat64() / p.shape.PerSecond * float64(time.Second))
 	}
 	one.resend = p.random.Float64() < resendShare
 	one.timed = p.drawSpecial(timedShare)
@@ -116,13 +116,13 @@
 
 // addRules draws which rules the first step has.
 func (p *planner) addRules(step *api.StepSpec) {
-	step.Together = p.drawSpecial(togetherShare)
+	step.Together = p.drawSpecial(gangShare)
 	spread := p.drawSpecial(spreadShare)
 	labelled := p.drawSpecial(labelShare)
-	room := (len(step.Tasks) + spreadZones - 1) / spreadZones
+	maxPerDomain := (len(step.Tasks) + spreadZones - 1) / spreadZones
 	for index := range step.Tasks {
 		if spread {
-			step.Tasks[index].Spread = &api.Spread{By: api.SpreadByZone, MaxPerDomain: room}
+			step.Tasks[index].Spread = &api.Spread{By: api.SpreadByZone, MaxPerDomain: maxPerDomain}
 		}
 		if labelled {
 			step.Tasks[index].Labels = map[string]string{deployment.RackLabel: deployment.RackName(1)}
@@ -136,7 +136,7 @@
 }
 
 // setTime gives a timed job its earliest start.
-func (one *plan) setTime(now time.Time) {
+func (one *jobPlan) setTime(now time.Time) {
 	if !one.timed {
 		return
 	}
--- a/testbed/matrix/matrix.go
+++ b/testbed/matrix/matrix.go
@@ -94,7 +94,7 @@
 	}
 	close(waiting)
 	workers.Wait()
-	return r.done(), errors.Join(r.failure, ctx.Err())
+	return r.finished(), errors.Join(r.failure, ctx.Err())
 }
 
 // cells lists all runs: seed by seed, so that each scenario is seen early.
@@ -102,10 +102,10 @@
 	var cells []Cell
 	for _, seed := range c.Seeds {
 		for _, deployment := range c.Deployments {
-			for _, one := range c.Scenarios {
+			for _, found := range c.Scenarios {
 				cells = append(cells, Cell{
-					Deployment: deployment, Scenario: one, Seed: seed, Duration: max(c.Duration, one.MinDuration),
-					Out: filepath.Join(c.Out, fmt.Sprintf("%s-%s-%d", deployment, one.Name, seed)),
+					Deployment: deployment, Scenario: found, Seed: seed, Duration: max(c.Duration, found.MinDuration),
+					Out: filepath.Join(c.Out, fmt.Sprintf("%s-%s-%d", deployment, found.Name, seed)),
 				})
 			}
 		}
@@ -132,7 +132,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.outcomes[index] = &outcome
-	if err := write(r.config.Out, r.listed()); err != nil {
+	if err := write(r.config.Out, r.finishedLocked()); err != nil {
 		r.failure = err
 	}
 	if r.config.Done != nil {
@@ -140,13 +140,13 @@
 	}
 }
 
-func (r *runner) done() []Outcome {
+func (r *runner) finished() []Outcome {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.listed()
+	return r.finishedLocked()
 }
 
-func (r *runner) listed() []Outcome {
+func (r *runner) finishedLocked() []Outcome {
 	var listed []Outcome
 	for _, outcome := range r.outcomes {
 		if outcome != nil {
--- a/testbed/matrix/matrix_test.go
+++ b/testbed/matrix/matrix_test.go
@@ -15,7 +15,7 @@
 	"github.com/decklever/decklever/testbed/scenario"
 )
 
-func TestEveryCellIsRunOnceAndReported(t *testing.T) {
+func TestRun_EachCellRunsOnceAndIsReported(t *testing.T) {
 	var mutex sync.Mutex
 	instances, folders := map[int]bool{}, map[string]bool{}
 	config := Config{
@@ -62,12 +62,12 @@
 		return report.Summary{}, errors.New("the fleet did not start")
 	}
 	return report.Summary{
-		TasksStarted: 7, FaultsCaused: 3, LongestReplacementMillis: 4000,
-		Broken: []checker.Violation{{Promise: checker.P1}, {Promise: checker.P11}, {Promise: checker.P1}},
+		TasksStarted: 7, FaultsInjected: 3, LongestReplacementMillis: 4000,
+		Violations: []checker.Violation{{Promise: checker.P1}, {Promise: checker.P11}, {Promise: checker.P1}},
 	}, nil
 }
 
-func TestWhatWasDoneStandsWhenTheRestIsGivenUp(t *testing.T) {
+func TestRun_FinishedCellsAreReportedAfterCancel(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	config := Config{
 		Deployments: []string{"here"}, Scenarios: []scenario.Scenario{{Name: "calm"}}, Seeds: []uint64{1, 2, 3}, Out: t.TempDir(),
--- a/testbed/matrix/table.go
+++ b/testbed/matrix/table.go
@@ -26,9 +26,9 @@
 	var text strings.Builder
 	text.WriteString("| scenario | deployment | seeds tried | starts seen | faults caused | promises broken | longest gap in service, ms | longest re-placement, ms |\n")
 	text.WriteString("|---|---|---|---|---|---|---|---|\n")
-	for _, one := range rows(outcomes) {
-		fmt.Fprintf(&text, "| %s | %s | %s | %d | %d | %s | %.0f | %s |\n", one.scenario, one.deployment,
-			strings.Join(one.seeds, ", "), one.starts, one.faults, one.verdict(), one.gap, one.replacement())
+	for _, found := range rows(outcomes) {
+		fmt.Fprintf(&text, "| %s | %s | %s | %d | %d | %s | %.0f | %s |\n", found.scenario, found.deployment,
+			strings.Join(found.seeds, ", "), found.starts, found.faults, found.verdict(), found.gap, found.replacement())
 	}
 	return text.String()
 }
@@ -36,8 +36,8 @@
 func rows(outcomes []Outcome) []*row {
 	var all []*row
 	for _, outcome := range outcomes {
-		index := slices.IndexFunc(all, func(one *row) bool {
-			return one.scenario == outcome.Scenario && one.deployment == outcome.Deployment
+		index := slices.IndexFunc(all, func(found *row) bool {
+			return found.scenario == outcome.Scenario && found.deployment == outcome.Deployment
 		})
 		if index < 0 {
 			index = len(all)
@@ -59,15 +59,15 @@
 		return
 	}
 	r.starts += summary.TasksStarted
-	r.faults += summary.FaultsCaused
+	r.faults += summary.FaultsInjected
 	r.gap = max(r.gap, summary.LongestServiceGapMillis)
 	r.replacing = max(r.replacing, summary.LongestReplacementMillis)
-	for _, violation := range summary.Broken {
+	for _, violation := range summary.Violations {
 		r.broken[violation.Promise]++
 	}
 	r.others["ended by itself"] += len(summary.UnexpectedExits)
 	r.others["error"] += len(summary.Errors)
-	if !summary.Passed && len(summary.Broken)+len(summary.UnexpectedExits)+len(summary.Errors) == 0 {
+	if !summary.Passed && len(summary.Violations)+len(summary.UnexpectedExits)+len(summary.Errors) == 0 {
 		r.others["not passed"]++
 	}
 }
--- a/testbed/model/fleet_test.go
+++ b/testbed/model/fleet_test.go
@@ -83,9 +83,9 @@
 	// abandon ends the day, once it cannot go on; nil before it begins.
 	abandon context.CancelFunc
 
-	ledger *calllog.Ledger
+	ledger *calllog.Log
 	mutex  sync.Mutex
-	lines  []eventlog.Line
+	lines  []eventlog.Event
 }
 
 // newFleet starts a fleet and waits until all seats are taken.
@@ -260,7 +260,7 @@
 			f.fault(calllog.Entry{Process: one.from, Peer: one.to, Action: action})
 		}
 	}
-	note(calllog.ActionCut)
+	note(calllog.ActionPartition)
 	heal := f.network.cut(links...)
 	contexttime.Sleep(ctx, length)
 	heal()
--- a/testbed/model/judge_test.go
+++ b/testbed/model/judge_test.go
@@ -30,7 +30,7 @@
 // observed is what was seen from outside.
 func (f *fleet) observed(loadFrom, loadTo monoclock.Nanos) checker.Input {
 	input := checker.Input{
-		Entries: f.ledger.Entries(), Lines: f.lines, Config: firstConfig().WithDefaults(), Schedulers: names(f.schedulers),
+		Entries: f.ledger.Entries(), Events: f.lines, Config: firstConfig().WithDefaults(), Schedulers: names(f.schedulers),
 		Anchor: monoclock.Anchor{Mono: startReading, Wall: f.started}, LoadFrom: loadFrom, LoadTo: loadTo, EndedAt: f.now(),
 	}
 	for _, one := range f.places {
@@ -84,7 +84,7 @@
 // failedWhereKnown counts the failed runs that started on a worker later than a time
 // after it could be told that the worker is unsound. What fails before is no fault of
 // the scheduler: a worker that had no work yet shows nothing.
-func failedWhereKnown(lines []eventlog.Line, after time.Duration) int {
+func failedWhereKnown(lines []eventlog.Event, after time.Duration) int {
 	type run struct {
 		task   string
 		number uint32
@@ -93,9 +93,9 @@
 	jobs := map[string]map[string]bool{}
 	known := map[string]monoclock.Nanos{}
 	failed := 0
-	for _, line := range slices.SortedStableFunc(slices.Values(lines), func(a, b eventlog.Line) int { return cmp.Compare(a.Mono, b.Mono) }) {
+	for _, line := range slices.SortedStableFunc(slices.Values(lines), func(a, b eventlog.Event) int { return cmp.Compare(a.Mono, b.Mono) }) {
 		this := run{line.Task, line.Run}
-		if line.Event == eventlog.EventStart {
+		if line.Kind == eventlog.KindStart {
 			started[this] = line.Mono
 			continue
 		}
--- a/testbed/model/worker_test.go
+++ b/testbed/model/worker_test.go
@@ -119,8 +119,8 @@
 			}
 			return p.agent.agent.Load()
 		}}},
-		OnStart: func(event worker.Event) { p.note(life, event, eventlog.EventStart) },
-		OnEnd:   func(event worker.Event) { p.note(life, event, eventlog.EventEnd) },
+		OnStart: func(event worker.Event) { p.note(life, event, eventlog.KindStart) },
+		OnEnd:   func(event worker.Event) { p.note(life, event, eventlog.KindEnd) },
 	})
 	if err != nil {
 		p.fleet.t.Error(err)
@@ -142,14 +142,14 @@
 }
 
 // note journals what an incarnation that lives does.
-func (p *place) note(life *incarnation, event worker.Event, kind eventlog.Event) {
+func (p *place) note(life *incarnation, event worker.Event, kind eventlog.Kind) {
 	if life.isDead() {
 		return
 	}
 	p.fleet.mutex.Lock()
 	defer p.fleet.mutex.Unlock()
-	p.fleet.lines = append(p.fleet.lines, eventlog.Line{
-		Mono: p.fleet.now(), Event: kind, Task: event.Task, Run: event.Run, WorkerID: event.WorkerID,
+	p.fleet.lines = append(p.fleet.lines, eventlog.Event{
+		Mono: p.fleet.now(), Kind: kind, Task: event.Task, Run: event.Run, WorkerID: event.WorkerID,
 		Worker: event.Worker, Token: event.Token, Outcome: event.Outcome,
 	})
 }
--- a/testbed/netem/link.go
+++ b/testbed/netem/link.go
@@ -12,13 +12,13 @@
 // Link is one direction between two processes, by their names.
 type Link struct{ From, To string }
 
-// Both returns the two directions between two processes.
-func Both(a, b string) []Link { return []Link{{From: a, To: b}, {From: b, To: a}} }
+// BothDirections returns the two directions between two processes.
+func BothDirections(a, b string) []Link { return []Link{{From: a, To: b}, {From: b, To: a}} }
 
-// crossing holds up some of the data, each piece for a drawn time.
-type crossing struct {
-	share  float64
-	atMost time.Duration
+// reordering holds up some of the data, each piece for a drawn time.
+type reordering struct {
+	probability float64
+	maxDelay    time.Duration
 }
 
 // direction is the state of one link. Its faults are counted, so that those
@@ -26,11 +26,11 @@
 type direction struct {
 	delay time.Duration
 
-	mutex  sync.Mutex
-	cut    int
-	held   int
-	cross  []crossing
-	random *rand.Rand
+	mutex       sync.Mutex
+	partitions  int
+	stalls      int
+	reorderings []reordering
+	random      *rand.Rand
 	// changed is closed and made anew whenever a fault begins or ends.
 	changed chan struct{}
 }
@@ -48,29 +48,29 @@
 	d.changed = make(chan struct{})
 }
 
-// isCut reports whether the direction is cut now.
-func (d *direction) isCut() bool {
+// partitioned reports whether the direction is cut now.
+func (d *direction) partitioned() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.cut > 0
+	return d.partitions > 0
 }
 
-// state returns whether nothing may pass now, and a channel that is closed at
+// blocked returns whether nothing may pass now, and a channel that is closed at
 // the next change.
-func (d *direction) state() (blocked bool, changed <-chan struct{}) {
+func (d *direction) blocked() (blocked bool, changed <-chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.cut > 0 || d.held > 0, d.changed
+	return d.partitions > 0 || d.stalls > 0, d.changed
 }
 
-// pass waits until one piece of data may go on. It reports false if the
+// waitToForward waits until one piece of data may go on. It reports false if the
 // context ended before.
-func (d *direction) pass(ctx context.Context) bool {
-	if !waitFor(ctx, d.delay+d.drawHold()) {
+func (d *direction) waitToForward(ctx context.Context) bool {
+	if !waitFor(ctx, d.delay+d.drawDelay()) {
 		return false
 	}
 	for {
-		blocked, changed := d.state()
+		blocked, changed := d.blocked()
 		if !blocked {
 			return ctx.Err() == nil
 		}
@@ -82,14 +82,14 @@
 	}
 }
 
-// drawHold returns how long this piece is held up.
-func (d *direction) drawHold() time.Duration {
+// drawDelay returns how long this piece is held up.
+func (d *direction) drawDelay() time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var longest time.Duration
-	for _, one := range d.cross {
-		if d.random.Float64() < one.share {
-			longest = max(longest, time.Duration(d.random.Int64N(int64(one.atMost)+1)))
+	for _, one := range d.reorderings {
+		if d.random.Float64() < one.probability {
+			longest = max(longest, time.Duration(d.random.Int64N(int64(one.maxDelay)+1)))
 		}
 	}
 	return longest
--- a/testbed/netem/network.go
+++ b/testbed/netem/network.go
@@ -80,18 +80,18 @@
 		if err != nil {
 			continue
 		}
-		near := accepted.(*net.TCPConn)
-		n.running.Go(func() { n.serve(ctx, near, route, n.source(near, route)) })
+		client := accepted.(*net.TCPConn)
+		n.running.Go(func() { n.serve(ctx, client, route, n.source(client, route)) })
 	}
 }
 
 // source names the process that opened a connection; empty if it is unknown,
 // such as the test bed itself.
-func (n *Network) source(near net.Conn, route Route) string {
+func (n *Network) source(client net.Conn, route Route) string {
 	if route.Source != "" {
 		return route.Source
 	}
-	host, _, err := net.SplitHostPort(near.RemoteAddr().String())
+	host, _, err := net.SplitHostPort(client.RemoteAddr().String())
 	if err != nil {
 		return ""
 	}
@@ -113,8 +113,8 @@
 	return found
 }
 
-// keep lists a connection until the returned function is called.
-func (n *Network) keep(one *connection) (release func()) {
+// track lists a connection until the returned function is called.
+func (n *Network) track(one *connection) (release func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.connections[one] = struct{}{}
@@ -125,53 +125,53 @@
 	}
 }
 
-// Cut lets nothing pass on the links and no new connection come about over
+// Partition lets nothing pass on the links and no new connection come about over
 // them, in either direction. It returns what ends the cut.
-func (n *Network) Cut(links ...Link) (heal func()) {
-	return n.during(links, func(d *direction) { d.cut++ }, func(d *direction) { d.cut-- })
+func (n *Network) Partition(links ...Link) (heal func()) {
+	return n.inject(links, func(d *direction) { d.partitions++ }, func(d *direction) { d.partitions-- })
 }
 
-// Hold keeps back what is sent on the links. It returns what releases it, in
+// Stall keeps back what is sent on the links. It returns what releases it, in
 // order.
-func (n *Network) Hold(links ...Link) (release func()) {
-	return n.during(links, func(d *direction) { d.held++ }, func(d *direction) { d.held-- })
+func (n *Network) Stall(links ...Link) (release func()) {
+	return n.inject(links, func(d *direction) { d.stalls++ }, func(d *direction) { d.stalls-- })
 }
 
-// Cross holds up a share of the pieces of data on the links, each for a time
-// drawn up to atMost, while other connections pass: answers come late and cross
+// Reorder holds up a share of the pieces of data on the links, each for a time
+// drawn up to maxDelay, while other connections pass: answers come late and cross
 // each other. It returns what ends it.
-func (n *Network) Cross(share float64, atMost time.Duration, links ...Link) (end func()) {
-	added := crossing{share, atMost}
+func (n *Network) Reorder(probability float64, maxDelay time.Duration, links ...Link) (end func()) {
+	added := reordering{probability, maxDelay}
 	remove := func(d *direction) {
-		for index, one := range d.cross {
+		for index, one := range d.reorderings {
 			if one == added {
-				d.cross = append(d.cross[:index:index], d.cross[index+1:]...)
+				d.reorderings = append(d.reorderings[:index:index], d.reorderings[index+1:]...)
 				return
 			}
 		}
 	}
-	return n.during(links, func(d *direction) { d.cross = append(d.cross, added) }, remove)
+	return n.inject(links, func(d *direction) { d.reorderings = append(d.reorderings, added) }, remove)
 }
 
-// Drop resets the connections that use the links now; it returns their number.
-func (n *Network) Drop(links ...Link) int {
+// Reset resets the connections that use the links now; it returns their number.
+func (n *Network) Reset(links ...Link) int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	dropped := 0
+	count := 0
 	for one := range n.connections {
 		for _, link := range links {
 			if one.link == link || one.link == (Link{From: link.To, To: link.From}) {
 				one.stop()
-				dropped++
+				count++
 				break
 			}
 		}
 	}
-	return dropped
+	return count
 }
 
-// during applies a fault and returns what takes it back, once.
-func (n *Network) during(links []Link, begin, end func(*direction)) func() {
+// inject applies a fault and returns what takes it back, once.
+func (n *Network) inject(links []Link, begin, end func(*direction)) func() {
 	for _, link := range links {
 		n.direction(link).change(begin)
 	}
@@ -182,5 +182,5 @@
 	})
 }
 
-// isEnd reports whether a read ended in order.
-func isEnd(err error) bool { return errors.Is(err, io.EOF) }
+// isOrderlyEnd reports whether a read ended in order.
+func isOrderlyEnd(err error) bool { return errors.Is(err, io.EOF) }
--- a/testbed/netem/relay_test.go
+++ b/testbed/netem/relay_test.go
@@ -15,8 +15,8 @@
 	"github.com/decklever/decklever/internal/testaddress"
 )
 
-// patience bounds waits that end much sooner if all is well.
-const patience = 10 * time.Second
+// testTimeout bounds waits that end much sooner if all is well.
+const testTimeout = 10 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -97,22 +97,22 @@
 
 func (c *client) want(t *testing.T, text string) {
 	t.Helper()
-	if got, err := c.read(patience); err != nil || got != text {
+	if got, err := c.read(testTimeout); err != nil || got != text {
 		t.Fatalf("read %q, %v, want %q", got, err, text)
 	}
 }
 
-// silent fails if anything comes within a short time.
-func (c *client) silent(t *testing.T) {
+// wantNothing fails if anything comes within a short time.
+func (c *client) wantNothing(t *testing.T) {
 	t.Helper()
 	if got, err := c.read(50 * time.Millisecond); err == nil {
 		t.Fatalf("%q came through", got)
 	}
 }
 
-func TestFaultsStrikeOneLinkAndEndInOrder(t *testing.T) {
-	for name, fault := range map[string]func(*Network, ...Link) func(){"cut": (*Network).Cut, "hold": (*Network).Hold} {
-		for _, link := range Both("a", "b") {
+func TestNetwork_FaultHitsOneLinkAndEndsInOrder(t *testing.T) {
+	for name, fault := range map[string]func(*Network, ...Link) func(){"cut": (*Network).Partition, "hold": (*Network).Stall} {
+		for _, link := range BothDirections("a", "b") {
 			t.Run(name+" from "+link.From, func(t *testing.T) {
 				n, address := network(t)
 				struck, other := dial(t, "127.5.0.1", address), dial(t, "127.5.0.2", address)
@@ -125,7 +125,7 @@
 				other.want(t, "x")
 				first()
 				first()
-				struck.silent(t)
+				struck.wantNothing(t)
 				second()
 				struck.want(t, "1")
 				struck.want(t, "2")
@@ -134,15 +134,15 @@
 	}
 }
 
-func TestNoConnectionComesAboutDuringACut(t *testing.T) {
-	for _, link := range Both("a", "b") {
+func TestPartition_NewConnectionIsNeverEstablished(t *testing.T) {
+	for _, link := range BothDirections("a", "b") {
 		n, address := network(t)
-		heal := n.Cut(link)
+		heal := n.Partition(link)
 		late := dial(t, "127.5.0.1", address)
 		late.send(t, "1")
-		late.silent(t)
+		late.wantNothing(t)
 		heal()
-		if got, err := late.read(patience); err == nil {
+		if got, err := late.read(testTimeout); err == nil {
 			t.Fatalf("%q was answered to a connection begun during a cut", got)
 		}
 		again := dial(t, "127.5.0.1", address)
@@ -151,9 +151,9 @@
 	}
 }
 
-func TestCrossedDataStaysInOrderOnItsConnection(t *testing.T) {
+func TestReorder_DataStaysInOrderOnItsConnection(t *testing.T) {
 	n, address := network(t)
-	end := n.Cross(1, 20*time.Millisecond, Both("a", "b")...)
+	end := n.Reorder(1, 20*time.Millisecond, BothDirections("a", "b")...)
 	one := dial(t, "127.5.0.1", address)
 	for _, line := range []string{"1", "2", "3"} {
 		one.send(t, line)
@@ -162,29 +162,29 @@
 		one.want(t, line)
 	}
 	end()
-	if d := n.direction(Link{From: "a", To: "b"}); len(d.cross) != 0 {
+	if d := n.direction(Link{From: "a", To: "b"}); len(d.reorderings) != 0 {
 		t.Error("the crossing goes on")
 	}
 }
 
-func TestDropResetsTheConnectionsOfALink(t *testing.T) {
+func TestReset_OnlyConnectionsOfLinkAreReset(t *testing.T) {
 	n, address := network(t)
 	struck, other := dial(t, "127.5.0.1", address), dial(t, "127.5.0.2", address)
 	for _, one := range []*client{struck, other} {
 		one.send(t, "1")
 		one.want(t, "1")
 	}
-	if dropped := n.Drop(Link{From: "b", To: "a"}); dropped != 1 {
-		t.Errorf("%d dropped, want 1", dropped)
+	if count := n.Reset(Link{From: "b", To: "a"}); count != 1 {
+		t.Errorf("%d dropped, want 1", count)
 	}
-	if got, err := struck.read(patience); err == nil {
+	if got, err := struck.read(testTimeout); err == nil {
 		t.Errorf("%q came over a dropped connection", got)
 	}
 	other.send(t, "2")
 	other.want(t, "2")
 }
 
-func TestEndsPassInBothDirections(t *testing.T) {
+func TestConnection_EndIsForwardedInBothDirections(t *testing.T) {
 	_, address := network(t)
 	one := dial(t, "127.5.0.1", address)
 	one.send(t, "1")
@@ -192,12 +192,12 @@
 		t.Fatal(err)
 	}
 	one.want(t, "1")
-	if got, err := one.read(patience); !errors.Is(err, io.EOF) {
+	if got, err := one.read(testTimeout); !errors.Is(err, io.EOF) {
 		t.Errorf("read %q, %v, want the end", got, err)
 	}
 }
 
-func TestATargetThatIsAwayIsAReset(t *testing.T) {
+func TestConnection_UnreachableTargetIsReset(t *testing.T) {
 	address := testaddress.New(t)
 	n, err := New(Config{Routes: []Route{{Name: "b", Listen: address, Target: testaddress.New(t)}}})
 	if err != nil {
@@ -210,7 +210,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	one := &client{conn, bufio.NewReader(conn)}
-	if got, err := one.read(patience); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+	if got, err := one.read(testTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("read %q, %v from a target that is away", got, err)
 	}
 }
--- a/testbed/operator/operator.go
+++ b/testbed/operator/operator.go
@@ -13,13 +13,13 @@
 
 // Operator makes the calls of an operator and notes each in the ledger.
 type Operator struct {
-	client *api.Client
-	ledger *calllog.Ledger
+	client  *api.Client
+	callLog *calllog.Log
 }
 
 // New returns an operator who uses that client.
-func New(client *api.Client, book *calllog.Ledger) *Operator {
-	return &Operator{client: client, ledger: book}
+func New(client *api.Client, calls *calllog.Log) *Operator {
+	return &Operator{client: client, callLog: calls}
 }
 
 // Put proposes a configuration on a base version.
@@ -28,7 +28,7 @@
 	version, err := o.client.PutConfig(ctx, base, orderID, config)
 	entry.Answered, entry.Version = monoclock.Now(), version
 	entry.Code, entry.Error = Refusal(err)
-	o.ledger.Add(entry)
+	o.callLog.Add(entry)
 	return version, err
 }
 
@@ -38,7 +38,7 @@
 	status, err := o.client.Config(ctx)
 	entry.Answered, entry.Version, entry.Config = monoclock.Now(), status.Version, &status.Config
 	entry.Code, entry.Error = Refusal(err)
-	o.ledger.Add(entry)
+	o.callLog.Add(entry)
 	return status, err
 }
 
@@ -48,7 +48,7 @@
 	rollout, err := o.client.Rollout(ctx)
 	entry.Answered, entry.Version, entry.Rollout = monoclock.Now(), rollout.Version, &rollout
 	entry.Code, entry.Error = Refusal(err)
-	o.ledger.Add(entry)
+	o.callLog.Add(entry)
 	return rollout, err
 }
 
--- a/testbed/report/observations.go
+++ b/testbed/report/observations.go
@@ -30,7 +30,7 @@
 	o := &observations{
 		specs: map[string]*api.JobSpec{}, classes: map[string]calllog.Class{}, accepted: map[string]monoclock.Nanos{},
 		states: map[string]api.State{}, finals: map[string]monoclock.Nanos{}, refusals: map[api.ErrorCode]int{},
-		runs: eventlog.Runs(input.Lines),
+		runs: eventlog.Runs(input.Events),
 	}
 	for _, entry := range input.Entries {
 		switch entry.Kind {
--- a/testbed/report/phases.go
+++ b/testbed/report/phases.go
@@ -22,9 +22,9 @@
 	// in mass, Cancelled those of them that were last seen as cancelled.
 	Discarded int `json:"discarded"`
 	Cancelled int `json:"cancelled"`
-	// Quiet is the time before the flood, Flooded that of the flood.
-	Quiet   Phase `json:"quiet"`
-	Flooded Phase `json:"flooded"`
+	// Baseline is the time before the flood, Flooded that of the flood.
+	Baseline Phase `json:"quiet"`
+	Flooded  Phase `json:"flooded"`
 }
 
 // Phase is what ordinary callers saw in a part of the run.
@@ -40,8 +40,8 @@
 // span is a part of a run, without its end.
 type span struct{ from, until monoclock.Nanos }
 
-func (s span) holds(at monoclock.Nanos) bool { return at >= s.from && at < s.until }
-func (s span) seconds() float64              { return s.until.Sub(s.from).Seconds() }
+func (s span) contains(at monoclock.Nanos) bool { return at >= s.from && at < s.until }
+func (s span) seconds() float64                 { return s.until.Sub(s.from).Seconds() }
 
 // newFlood returns nil if there was no flood.
 func newFlood(input checker.Input, o *observations, delays []checker.StartDelay) *Flood {
@@ -51,7 +51,7 @@
 	}
 	flood := &Flood{Answers: map[calllog.Class]map[int]int{}}
 	flood.countAnswers(input.Entries)
-	flood.Quiet = newPhase(span{input.LoadFrom, start}, input.Entries, o, delays)
+	flood.Baseline = newPhase(span{input.LoadFrom, start}, input.Entries, o, delays)
 	flood.Flooded = newPhase(span{start, end}, input.Entries, o, delays)
 	for id := range o.accepted {
 		if o.classes[id] != calllog.ClassDiscarded {
@@ -69,7 +69,7 @@
 // between the first and the last of them.
 func (f *Flood) countAnswers(entries []calllog.Entry) {
 	count := 0
-	var whole span
+	var total span
 	for _, entry := range entries {
 		if entry.Kind != calllog.KindSubmit || (entry.Class != calllog.ClassImpossible && entry.Class != calllog.ClassOverQuota) {
 			continue
@@ -81,13 +81,13 @@
 		if entry.Status == http.StatusServiceUnavailable {
 			f.Unavailable++
 		}
-		if count == 0 || entry.Sent < whole.from {
-			whole.from = entry.Sent
+		if count == 0 || entry.Sent < total.from {
+			total.from = entry.Sent
 		}
-		whole.until = max(whole.until, entry.Answered)
+		total.until = max(total.until, entry.Answered)
 		count++
 	}
-	if seconds := whole.seconds(); seconds > 0 {
+	if seconds := total.seconds(); seconds > 0 {
 		f.AnswersPerSecond = float64(count) / seconds
 	}
 }
@@ -96,18 +96,18 @@
 	phase := Phase{Seconds: during.seconds()}
 	var answers, starts []time.Duration
 	for _, answer := range o.submitAnswers {
-		if during.holds(answer.sent) {
+		if during.contains(answer.sent) {
 			phase.JobsAccepted++
 			answers = append(answers, answer.answered.Sub(answer.sent))
 		}
 	}
 	for _, entry := range entries {
-		if entry.Kind == calllog.KindSubmit && entry.Class == calllog.ClassOrdinary && !entry.Accepted() && during.holds(entry.Sent) {
+		if entry.Kind == calllog.KindSubmit && entry.Class == calllog.ClassOrdinary && !entry.Accepted() && during.contains(entry.Sent) {
 			phase.JobsRefused++
 		}
 	}
 	for _, delay := range delays {
-		if delay.Class == calllog.ClassOrdinary && during.holds(delay.Ready) {
+		if delay.Class == calllog.ClassOrdinary && during.contains(delay.Ready) {
 			starts = append(starts, delay.Length())
 		}
 	}
--- a/testbed/report/phases_test.go
+++ b/testbed/report/phases_test.go
@@ -16,11 +16,11 @@
 	input.Entries = append(input.Entries, calllog.Entry{
 		Kind: calllog.KindSubmit, Sent: at(millis - 10), Answered: at(millis), JobID: id, Spec: spec, Class: class, Created: true,
 	})
-	input.Lines = append(input.Lines, eventlog.Line{Mono: at(start), Event: eventlog.EventStart, Task: id + "/s/0", Run: 1, Worker: "worker-01"})
+	input.Events = append(input.Events, eventlog.Event{Mono: at(start), Kind: eventlog.KindStart, Task: id + "/s/0", Run: 1, Worker: "worker-01"})
 }
 
-func mark(input *checker.Input, mark calllog.Mark, millis int64) {
-	input.Entries = append(input.Entries, calllog.Entry{Kind: calllog.KindMark, Sent: at(millis), Answered: at(millis), Mark: mark})
+func mark(input *checker.Input, milestone calllog.Milestone, millis int64) {
+	input.Entries = append(input.Entries, calllog.Entry{Kind: calllog.KindMilestone, Sent: at(millis), Answered: at(millis), Milestone: milestone})
 }
 
 func near(t *testing.T, name string, got, want float64) {
@@ -30,9 +30,9 @@
 	}
 }
 
-func TestSummaryComparesBursts(t *testing.T) {
+func TestBuild_ComparesBursts(t *testing.T) {
 	input := checker.Input{LoadTo: at(1000), EndedAt: at(9000)}
-	mark(&input, calllog.MarkBooked, 1000)
+	mark(&input, calllog.MilestoneBooked, 1000)
 	add(&input, calllog.ClassBooked, "b", 1005, 1250)
 	add(&input, calllog.ClassUnbooked, "u", 1020, 4010)
 	summary := Build(Input{Observed: input})
@@ -46,9 +46,9 @@
 	}
 }
 
-func TestSummaryTellsTheFloodFromTheTimeBefore(t *testing.T) {
+func TestBuild_SeparatesFloodFromBaseline(t *testing.T) {
 	input := checker.Input{LoadFrom: at(0), LoadTo: at(5000), EndedAt: at(9000)}
-	mark(&input, calllog.MarkFloodStart, 2000)
+	mark(&input, calllog.MilestoneFloodStart, 2000)
 	add(&input, calllog.ClassOrdinary, "before", 100, 200)
 	add(&input, calllog.ClassOrdinary, "within", 2100, 2300)
 	add(&input, calllog.ClassOrdinary, "after", 4100, 4900)
@@ -60,7 +60,7 @@
 		calllog.Entry{Kind: calllog.KindSubmit, Sent: at(2000), Answered: at(2010), JobID: "x", Spec: &api.JobSpec{}, Class: calllog.ClassImpossible, Status: 422, Error: "m"},
 		calllog.Entry{Kind: calllog.KindSubmit, Sent: at(2000), Answered: at(2500), JobID: "y", Spec: &api.JobSpec{}, Class: calllog.ClassOverQuota, Status: 503, Error: "m"},
 	)
-	mark(&input, calllog.MarkFloodEnd, 4000)
+	mark(&input, calllog.MilestoneFloodEnd, 4000)
 	summary := Build(Input{Observed: input})
 	flood := summary.Flood
 	if flood == nil {
@@ -73,10 +73,10 @@
 		t.Errorf("%d of %d cancelled, want 1 of 2", flood.Cancelled, flood.Discarded)
 	}
 	near(t, "rate", flood.AnswersPerSecond, 4)
-	near(t, "quiet", flood.Quiet.ReadyToStart.Max, 100)
+	near(t, "quiet", flood.Baseline.ReadyToStart.Max, 100)
 	near(t, "flooded", flood.Flooded.ReadyToStart.Max, 200)
-	if flood.Quiet.JobsAccepted != 1 || flood.Flooded.JobsAccepted != 1 || flood.Flooded.JobsRefused != 1 || flood.Quiet.JobsRefused != 0 {
-		t.Errorf("phases are %+v and %+v", flood.Quiet, flood.Flooded)
+	if flood.Baseline.JobsAccepted != 1 || flood.Flooded.JobsAccepted != 1 || flood.Flooded.JobsRefused != 1 || flood.Baseline.JobsRefused != 0 {
+		t.Errorf("phases are %+v and %+v", flood.Baseline, flood.Flooded)
 	}
 	var text strings.Builder
 	if err := summary.WriteText(&text); err != nil || !strings.Contains(text.String(), "flooded for 2.0 s: 1 ordinary jobs accepted, 1 submits refused") {
--- a/testbed/report/report_test.go
+++ b/testbed/report/report_test.go
@@ -25,8 +25,8 @@
 		return api.StepSpec{Name: name, After: after, Tasks: []api.TaskSpec{{Service: "swap"}}}
 	}
 	spec := &api.JobSpec{Queue: "swaps", Steps: []api.StepSpec{step("a"), step("b", "a")}}
-	line := func(millis int64, event eventlog.Event, task string, outcome api.Outcome) eventlog.Line {
-		return eventlog.Line{Mono: at(millis), Event: event, Task: task, Run: 1, WorkerID: "w", Worker: "worker-01", Outcome: outcome}
+	line := func(millis int64, event eventlog.Kind, task string, outcome api.Outcome) eventlog.Event {
+		return eventlog.Event{Mono: at(millis), Kind: event, Task: task, Run: 1, WorkerID: "w", Worker: "worker-01", Outcome: outcome}
 	}
 	return checker.Input{
 		LoadFrom: at(0), LoadTo: at(1000), EndedAt: at(2000),
@@ -35,14 +35,14 @@
 			{Kind: calllog.KindSubmit, Sent: at(110), Answered: at(120), JobID: "k", Spec: spec, Code: api.CodeOverLimit},
 			{Kind: calllog.KindPoll, Sent: at(200), Answered: at(620), JobID: "j", State: api.StateSucceeded},
 		},
-		Lines: []eventlog.Line{
-			line(150, eventlog.EventStart, "j/a/0", ""), line(400, eventlog.EventEnd, "j/a/0", api.OutcomeSucceeded),
-			line(430, eventlog.EventStart, "j/b/0", ""), line(600, eventlog.EventEnd, "j/b/0", api.OutcomeSucceeded),
+		Events: []eventlog.Event{
+			line(150, eventlog.KindStart, "j/a/0", ""), line(400, eventlog.KindEnd, "j/a/0", api.OutcomeSucceeded),
+			line(430, eventlog.KindStart, "j/b/0", ""), line(600, eventlog.KindEnd, "j/b/0", api.OutcomeSucceeded),
 		},
 	}
 }
 
-func TestSummaryCountsAndMeasures(t *testing.T) {
+func TestBuild_CountsAndMeasuresRun(t *testing.T) {
 	summary := Build(Input{Deployment: "restrepo", Scenario: "steady", Observed: observed()})
 	if summary.JobsSubmitted != 2 || summary.JobsAccepted != 1 || summary.JobsEnded != 1 || summary.Refusals[api.CodeOverLimit] != 1 {
 		t.Errorf("jobs are counted wrong: %+v", summary)
@@ -64,14 +64,14 @@
 	}
 }
 
-func TestReadyCountsFromTheSuccessThatWasRecorded(t *testing.T) {
+func TestStartDelay_CountsFromRecordedSuccess(t *testing.T) {
 	input := observed()
-	repeat := input.Lines[0]
+	repeat := input.Events[0]
 	repeat.Run, repeat.Mono = 2, at(405)
-	end := input.Lines[1]
+	end := input.Events[1]
 	end.Run, end.Mono = 2, at(420)
-	input.Lines = append(input.Lines, repeat, end)
-	eventlog.Sort(input.Lines)
+	input.Events = append(input.Events, repeat, end)
+	eventlog.Sort(input.Events)
 	delays := ordinaryLengths(checker.StartDelays(input))
 	want := []time.Duration{50 * time.Millisecond, 10 * time.Millisecond}
 	if !slices.Equal(delays, want) {
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestSummaryDoesNotPassWhatIsBroken(t *testing.T) {
+func TestBuild_ViolationDoesNotPass(t *testing.T) {
 	cases := map[string]func(*Input){
 		"a broken promise": func(input *Input) { input.Result.Violations = []checker.Violation{{Promise: checker.P1}} },
 		"an error":         func(input *Input) { input.Errors = []error{errors.New("journal")} },
--- a/testbed/report/summary.go
+++ b/testbed/report/summary.go
@@ -54,11 +54,11 @@
 	// LongestReplacementMillis is from the beginning of a worker's silence to
 	// the start elsewhere of a task that it cut off; 0 if there was none.
 	LongestReplacementMillis float64 `json:"longest_replacement_ms"`
-	// FaultsCaused counts what the test bed did, a fault of many links as one.
-	FaultsCaused int `json:"faults_caused"`
+	// FaultsInjected counts what the test bed did, a fault of many links as one.
+	FaultsInjected int `json:"faults_caused"`
 
 	Usage           []fleet.Usage       `json:"usage"`
-	Broken          []checker.Violation `json:"broken"`
+	Violations      []checker.Violation `json:"broken"`
 	UnexpectedExits []string            `json:"unexpected_exits"`
 	// Errors are failures of the test bed itself, such as an unreadable journal.
 	Errors []string `json:"errors"`
@@ -97,10 +97,10 @@
 
 		LongestServiceGapMillis:  millis(input.Result.LongestServiceGap),
 		LongestReplacementMillis: millis(input.Result.LongestReplacement),
-		FaultsCaused:             faultsCaused(input.Observed),
+		FaultsInjected:           faultsInjected(input.Observed),
 
 		Usage:           input.Usage,
-		Broken:          append([]checker.Violation{}, input.Result.Violations...),
+		Violations:      append([]checker.Violation{}, input.Result.Violations...),
 		UnexpectedExits: append([]string{}, unexpectedExits(input.Observed.Entries)...),
 		Errors:          []string{},
 	}
@@ -116,14 +116,14 @@
 	for _, err := range input.Errors {
 		summary.Errors = append(summary.Errors, err.Error())
 	}
-	summary.Passed = len(summary.Broken)+len(summary.UnexpectedExits)+len(summary.Errors) == 0 &&
+	summary.Passed = len(summary.Violations)+len(summary.UnexpectedExits)+len(summary.Errors) == 0 &&
 		summary.JobsEnded == summary.JobsAccepted && summary.JobsAccepted > 0
 	return summary
 }
 
-// faultsCaused counts kills, freezes, wipes, jumps and faults of links during
+// faultsInjected counts kills, freezes, wipes, jumps and faults of links during
 // the load. Links with a fault at the same moment count as one.
-func faultsCaused(observed checker.Input) int {
+func faultsInjected(observed checker.Input) int {
 	count := 0
 	var last monoclock.Nanos
 	for _, entry := range observed.Entries {
@@ -141,7 +141,7 @@
 func isFault(action calllog.Action) bool {
 	switch action {
 	case calllog.ActionKill, calllog.ActionTerminate, calllog.ActionFreeze, calllog.ActionWipe, calllog.ActionClock,
-		calllog.ActionCut, calllog.ActionHold, calllog.ActionCross, calllog.ActionDrop:
+		calllog.ActionPartition, calllog.ActionStall, calllog.ActionReorder, calllog.ActionReset:
 		return true
 	}
 	return false
--- a/testbed/report/text.go
+++ b/testbed/report/text.go
@@ -25,12 +25,12 @@
 	s.writePhases(&text)
 	fmt.Fprintf(&text, "longest gap: %.0f ms between accepted submits, %.0f ms between starts\n", s.LongestSubmitGapMillis, s.LongestStartGapMillis)
 	fmt.Fprintf(&text, "faults: %d caused; longest gap in service with a majority %.0f ms; longest re-placement %.0f ms\n",
-		s.FaultsCaused, s.LongestServiceGapMillis, s.LongestReplacementMillis)
+		s.FaultsInjected, s.LongestServiceGapMillis, s.LongestReplacementMillis)
 	for _, usage := range s.Usage {
 		fmt.Fprintf(&text, "%-9s of a core: median %.1f%%, max %.1f%%; resident: median %.1f MB, max %.1f MB\n",
 			usage.Role, 100*usage.CPUMedian, 100*usage.CPUMax, usage.MemoryMedianMB, usage.MemoryMaxMB)
 	}
-	s.writeFaults(&text)
+	s.writeFailures(&text)
 	if _, err := io.WriteString(writer, text.String()); err != nil {
 		return fmt.Errorf("write summary: %w", err)
 	}
@@ -54,7 +54,7 @@
 	}
 	fmt.Fprintf(text, "flood: answers %v, %.0f/s, unavailable %d; cancelled %d of %d\n",
 		s.Flood.Answers, s.Flood.AnswersPerSecond, s.Flood.Unavailable, s.Flood.Cancelled, s.Flood.Discarded)
-	writePhase(text, "quiet", s.Flood.Quiet)
+	writePhase(text, "quiet", s.Flood.Baseline)
 	writePhase(text, "flooded", s.Flood.Flooded)
 }
 
@@ -64,10 +64,10 @@
 	writePercentiles(text, "ready to start", phase.ReadyToStart)
 }
 
-func (s Summary) writeFaults(text *strings.Builder) {
-	for index, violation := range s.Broken {
+func (s Summary) writeFailures(text *strings.Builder) {
+	for index, violation := range s.Violations {
 		if index == shownViolations {
-			fmt.Fprintf(text, "... and %d more\n", len(s.Broken)-shownViolations)
+			fmt.Fprintf(text, "... and %d more\n", len(s.Violations)-shownViolations)
 			break
 		}
 		fmt.Fprintf(text, "broken: %s\n", violation)
--- a/testbed/run/progress.go
+++ b/testbed/run/progress.go
@@ -9,7 +9,7 @@
 const progressInterval = 5 * time.Second
 
 // reportProgress writes a line every 5 s until the context ends.
-func (t *trial) reportProgress(ctx context.Context) {
+func (t *activeRun) reportProgress(ctx context.Context) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	began := time.Now()
@@ -19,7 +19,7 @@
 			return
 		case <-ticker.C:
 			counts := t.callers.Counts()
-			starts, ends := t.journals.Counts()
+			starts, ends := t.events.Counts()
 			t.progress("%3.0fs: jobs %d submitted, %d accepted, %d ended; runs %d started, %d ended",
 				time.Since(began).Seconds(), counts.Submitted, counts.Accepted, counts.Ended, starts, ends)
 		}
@@ -27,7 +27,7 @@
 }
 
 // progress writes one line; a failure to write is of no concern to the trial.
-func (t *trial) progress(format string, values ...any) {
+func (t *activeRun) progress(format string, values ...any) {
 	if t.config.Progress != nil {
 		_, _ = fmt.Fprintf(t.config.Progress, format+"\n", values...)
 	}
--- a/testbed/run/rollout.go
+++ b/testbed/run/rollout.go
@@ -13,7 +13,7 @@
 
 // watchRollout has the ledger note which process has which configuration in
 // force, until the context ends.
-func (t *trial) watchRollout(ctx context.Context) {
+func (t *activeRun) watchRollout(ctx context.Context) {
 	ticker := time.NewTicker(rolloutInterval)
 	defer ticker.Stop()
 	for {
@@ -22,7 +22,7 @@
 			return
 		case <-ticker.C:
 			limited, cancel := context.WithTimeout(ctx, rolloutTimeout)
-			_, _ = t.desk.Rollout(limited) // the ledger has the failure
+			_, _ = t.operatorClient.Rollout(limited) // the ledger has the failure
 			cancel()
 		}
 	}
--- a/testbed/run/trial.go
+++ b/testbed/run/trial.go
@@ -28,13 +28,13 @@
 	readyTimeout = 60 * time.Second
 	// finishTimeout bounds the wait for all jobs to end after the load.
 	finishTimeout = 30 * time.Second
-	// settleTimeout bounds the wait for runs of cancelled jobs to stop. It is
+	// runsEndTimeout bounds the wait for runs of cancelled jobs to stop. It is
 	// longer than the 5 s that the checker allows for that.
-	settleTimeout = 6 * time.Second
-	settleStep    = 100 * time.Millisecond
+	runsEndTimeout  = 6 * time.Second
+	runsEndInterval = 100 * time.Millisecond
 	// SummaryFile is the name of the JSON summary in the out folder.
 	SummaryFile = "summary.json"
-	ledgerFile  = "ledger.jsonl"
+	callLogFile = "ledger.jsonl"
 )
 
 // Config says what to run.
@@ -56,16 +56,16 @@
 	Progress io.Writer
 }
 
-// trial is a run under way.
-type trial struct {
-	config   Config
-	book     *calllog.Ledger
-	fleet    *fleet.Fleet
-	desk     *operator.Operator
-	callers  *load.Generator
-	journals *eventlog.Reader
-	sampler  *fleet.Sampler
-	failures []error
+// activeRun is a run under way.
+type activeRun struct {
+	config         Config
+	calls          *calllog.Log
+	fleet          *fleet.Fleet
+	operatorClient *operator.Operator
+	callers        *load.Generator
+	events         *eventlog.Reader
+	sampler        *fleet.Sampler
+	failures       []error
 }
 
 // Run runs one trial. An error means that there is no summary: the fleet did
@@ -77,7 +77,7 @@
 	}
 	anchor := monoclock.NewAnchor()
 	observed, err := t.observe(ctx)
-	stopErr := errors.Join(t.fleet.Stop(), t.book.Close())
+	stopErr := errors.Join(t.fleet.Stop(), t.calls.Close())
 	if err != nil {
 		return report.Summary{}, errors.Join(err, stopErr)
 	}
@@ -90,28 +90,28 @@
 }
 
 // open makes everything and starts nothing.
-func open(config Config) (*trial, error) {
+func open(config Config) (*activeRun, error) {
 	if err := emptyFolder(config.Out); err != nil {
 		return nil, err
 	}
 	if config.Scenario.Prepare != nil {
 		config.Scenario.Prepare(&config.Deployment)
 	}
-	book, err := calllog.Open(filepath.Join(config.Out, ledgerFile))
+	calls, err := calllog.Open(filepath.Join(config.Out, callLogFile))
 	if err != nil {
 		return nil, err
 	}
-	t := &trial{config: config, book: book}
+	t := &activeRun{config: config, calls: calls}
 	t.fleet, err = fleet.New(fleet.Config{
 		Deployment: config.Deployment, Directory: filepath.Join(config.Out, "fleet"),
 		Binaries: config.Binaries, PreviousBinaries: config.PreviousBinaries, FirstVersion: config.Scenario.FirstVersion,
-		Ledger: book, LogLevel: config.LogLevel, Seed: config.Seed,
+		CallLog: calls, LogLevel: config.LogLevel, Seed: config.Seed,
 	})
 	if err != nil {
-		return nil, errors.Join(err, book.Close())
+		return nil, errors.Join(err, calls.Close())
 	}
-	t.desk = operator.New(t.fleet.Client(), book)
-	t.journals = eventlog.NewReader(t.fleet.JournalDirectory())
+	t.operatorClient = operator.New(t.fleet.Client(), calls)
+	t.events = eventlog.NewReader(t.fleet.EventLogDirectory())
 	t.sampler = fleet.NewSampler(t.fleet)
 	return t, nil
 }
@@ -131,7 +131,7 @@
 }
 
 // observe runs the fleet and returns what was seen.
-func (t *trial) observe(ctx context.Context) (checker.Input, error) {
+func (t *activeRun) observe(ctx context.Context) (checker.Input, error) {
 	if err := t.start(ctx); err != nil {
 		return checker.Input{}, err
 	}
@@ -139,57 +139,57 @@
 	var watchers sync.WaitGroup
 	defer watchers.Wait()
 	defer stopWatching()
-	watchers.Go(func() { t.journals.Follow(watching) })
+	watchers.Go(func() { t.events.Follow(watching) })
 	watchers.Go(func() { t.sampler.Run(watching) })
 	watchers.Go(func() { t.reportProgress(watching) })
 	watchers.Go(func() { t.watchRollout(watching) })
 
 	from := monoclock.Now()
-	to := t.loadAndDisturb(ctx)
+	to := t.loadDuringScenario(ctx)
 	t.finish(ctx)
 	if err := ctx.Err(); err != nil {
 		return checker.Input{}, fmt.Errorf("run: %w", err)
 	}
-	t.journals.Poll()
+	t.events.Poll()
 	return checker.Input{
-		Entries: t.book.Entries(), Lines: t.journals.Lines(), Workers: workers(t.config.Deployment), Schedulers: schedulers(t.config.Deployment),
+		Entries: t.calls.Entries(), Events: t.events.Events(), Workers: workers(t.config.Deployment), Schedulers: schedulers(t.config.Deployment),
 		Config: t.config.Deployment.Config, LoadFrom: from, LoadTo: to, EndedAt: monoclock.Now(),
 	}, nil
 }
 
-func (t *trial) start(ctx context.Context) error {
+func (t *activeRun) start(ctx context.Context) error {
 	if err := t.fleet.Start(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	began := time.Now()
-	if err := t.fleet.WaitReady(ctx, t.desk); err != nil {
+	if err := t.fleet.WaitReady(ctx, t.operatorClient); err != nil {
 		return fmt.Errorf("the fleet did not start, see %s: %w", t.fleet.LogDirectory(), err)
 	}
 	t.progress("fleet ready after %v", time.Since(began).Round(time.Millisecond))
 	var err error
 	t.callers, err = load.New(load.Config{
-		Endpoints: t.config.Deployment.FrontURLs(), Shapes: t.config.Deployment.Shapes, Seed: t.config.Seed, Ledger: t.book,
+		Endpoints: t.config.Deployment.FrontURLs(), Shapes: t.config.Deployment.Shapes, Seed: t.config.Seed, CallLog: t.calls,
 	})
 	return err
 }
 
-// loadAndDisturb runs load and scenario side by side until both are over. It
+// loadDuringScenario runs load and scenario side by side until both are over. It
 // returns the end of the load.
-func (t *trial) loadAndDisturb(ctx context.Context) monoclock.Nanos {
+func (t *activeRun) loadDuringScenario(ctx context.Context) monoclock.Nanos {
 	loading, cancel := context.WithTimeout(ctx, t.config.Duration)
 	defer cancel()
-	var course sync.WaitGroup
+	var running sync.WaitGroup
 	var failure error
-	course.Go(func() {
-		failure = t.config.Scenario.Run(ctx, scenario.Bench{
-			Fleet: t.fleet, Operator: t.desk, Callers: t.callers, Seed: t.config.Seed, Duration: t.config.Duration,
+	running.Go(func() {
+		failure = t.config.Scenario.Run(ctx, scenario.Env{
+			Fleet: t.fleet, Operator: t.operatorClient, Callers: t.callers, Seed: t.config.Seed, Duration: t.config.Duration,
 		})
 	})
 	t.callers.Run(loading)
 	to := monoclock.Now()
-	course.Wait()
+	running.Wait()
 	if failure != nil {
 		t.failures = append(t.failures, fmt.Errorf("scenario %s: %w", t.config.Scenario.Name, failure))
 	}
@@ -197,24 +197,24 @@
 }
 
 // finish waits until all jobs and their runs have ended.
-func (t *trial) finish(ctx context.Context) {
+func (t *activeRun) finish(ctx context.Context) {
 	finishing, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
 	t.callers.Finish(finishing)
-	if _, err := t.desk.Read(finishing); err != nil {
+	if _, err := t.operatorClient.Read(finishing); err != nil {
 		t.failures = append(t.failures, fmt.Errorf("last read of the configuration: %w", err))
 	}
-	settling, cancelSettling := context.WithTimeout(ctx, settleTimeout)
+	ending, cancelSettling := context.WithTimeout(ctx, runsEndTimeout)
 	defer cancelSettling()
-	t.settle(settling)
+	t.waitRunsEnded(ending)
 }
 
-// settle waits until the journals show no open run or the context ends.
-func (t *trial) settle(ctx context.Context) {
-	ticker := time.NewTicker(settleStep)
+// waitRunsEnded waits until the journals show no open run or the context ends.
+func (t *activeRun) waitRunsEnded(ctx context.Context) {
+	ticker := time.NewTicker(runsEndInterval)
 	defer ticker.Stop()
 	for {
-		if starts, ends := t.journals.Counts(); starts == ends {
+		if starts, ends := t.events.Counts(); starts == ends {
 			return
 		}
 		select {
@@ -226,11 +226,11 @@
 }
 
 // summarize has what was observed checked.
-func (t *trial) summarize(observed checker.Input) report.Summary {
+func (t *activeRun) summarize(observed checker.Input) report.Summary {
 	return report.Build(report.Input{
 		Deployment: t.config.Deployment.Name, Scenario: t.config.Scenario.Name, Seed: t.config.Seed,
 		Duration: t.config.Duration, Observed: observed, Result: checker.All(observed),
-		Usage: t.sampler.Usages(), Errors: append(t.failures, t.journals.Errors()...),
+		Usage: t.sampler.Usages(), Errors: append(t.failures, t.events.Errors()...),
 	})
 }
 
--- a/testbed/run/workers_test.go
+++ b/testbed/run/workers_test.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
-func TestCheckerKnowsEachWorkersServicesAndAgent(t *testing.T) {
+func TestWorkers_HaveServicesAndAgent(t *testing.T) {
 	d, err := deployment.New("restrepo", 2)
 	if err != nil {
 		t.Fatal(err)
--- a/testbed/scale/changes.go
+++ b/testbed/scale/changes.go
@@ -16,10 +16,10 @@
 const (
 	// changePauses part the single changes of a run from each other; at 1,100
 	// a day there is one in 78 s, so a run makes them faster than users do.
-	singleChanges = 3
-	changePause   = 3 * time.Second
-	burstChanges  = 10
-	rolloutPoll   = 50 * time.Millisecond
+	singleChanges       = 3
+	changeInterval      = 3 * time.Second
+	burstChanges        = 10
+	rolloutPollInterval = 50 * time.Millisecond
 	// rolloutTimeout ends the wait for a roll-out that does not come about.
 	rolloutTimeout = 20 * time.Second
 )
@@ -27,9 +27,9 @@
 // changes puts configurations and measures how long each takes to be in force
 // in every process.
 type changes struct {
-	client *api.Client
-	desk   *operator.Operator
-	config api.Config
+	client         *api.Client
+	operatorClient *operator.Operator
+	config         api.Config
 	// processes is the number of fronts and agents.
 	processes int
 
@@ -40,13 +40,13 @@
 // run makes single changes, then a burst in which each follows the one before
 // it at once.
 func (c *changes) run(ctx context.Context) error {
-	present, err := c.desk.Read(ctx)
+	present, err := c.operatorClient.Read(ctx)
 	if err != nil {
 		return fmt.Errorf("read the configuration: %w", err)
 	}
 	version := present.Version
 	for range singleChanges {
-		if !contexttime.Sleep(ctx, changePause) {
+		if !contexttime.Sleep(ctx, changeInterval) {
 			return nil
 		}
 		delay, err := c.change(ctx, &version, 1)
@@ -65,7 +65,7 @@
 	for range count {
 		config := c.config
 		config.Limits.SubmitsPerSecond = api.DefaultSubmitsPerSecond + int(*version)
-		accepted, err := c.desk.Put(ctx, *version, fmt.Sprintf("change-%d", *version), config)
+		accepted, err := c.operatorClient.Put(ctx, *version, fmt.Sprintf("change-%d", *version), config)
 		if err != nil {
 			return 0, fmt.Errorf("put configuration: %w", err)
 		}
@@ -82,7 +82,7 @@
 		if inForce {
 			return monoclock.Now().Sub(answered), nil
 		}
-		contexttime.Sleep(ctx, rolloutPoll)
+		contexttime.Sleep(ctx, rolloutPollInterval)
 	}
 }
 
@@ -101,9 +101,9 @@
 	return confirmed >= c.processes, nil
 }
 
-func newChanges(size Size, running *fleet.Fleet, desk *operator.Operator) *changes {
+func newChanges(size Size, running *fleet.Fleet, operatorClient *operator.Operator) *changes {
 	return &changes{
-		client: running.Client(), desk: desk, config: running.Deployment().Config,
+		client: running.Client(), operatorClient: operatorClient, config: running.Deployment().Config,
 		processes: deployment.Fronts + size.Workers,
 	}
 }
