--- a/testbed/scale/faults.go
+++ b/testbed/scale/faults.go
@@ -26,7 +26,7 @@
 // again.
 type faults struct {
 	hollows *hollows
-	book    *calllog.Ledger
+	calls   *calllog.Log
 }
 
 // run causes all faults and undoes them; an error is one of the test bed.
@@ -34,29 +34,29 @@
 	if !contexttime.Sleep(ctx, time.Duration(float64(ramp)*faultAt)) {
 		return nil
 	}
-	err := f.each(hollow.OrderKillWorker, hollow.OrderKillAgent, calllog.ActionExit)
+	err := f.inject(hollow.CommandKillWorker, hollow.CommandKillAgent, calllog.ActionExit)
 	if !contexttime.Sleep(ctx, faultLength) {
 		return err
 	}
-	return errors.Join(err, f.each(hollow.OrderStartWorker, hollow.OrderStartAgent, calllog.ActionStart))
+	return errors.Join(err, f.inject(hollow.CommandStartWorker, hollow.CommandStartAgent, calllog.ActionStart))
 }
 
-// each gives the first order to the nodes at even places and the second to
+// inject gives the first order to the nodes at even places and the second to
 // those at odd ones.
-func (f faults) each(forWorkers, forAgents hollow.Order, action calllog.Action) error {
+func (f faults) inject(forWorkers, forAgents hollow.Command, action calllog.Action) error {
 	nodes := f.hollows.nodes()
 	count := 2 * max(1, nodes/faultShare)
 	for number := range min(count, nodes) {
-		process, place := f.hollows.find(number * nodes / count)
-		order, name := forWorkers, process.spec.Nodes[place].Worker
+		process, index := f.hollows.find(number * nodes / count)
+		order, name := forWorkers, process.spec.Nodes[index].Worker
 		if number%2 == 1 {
-			order, name = forAgents, process.spec.Nodes[place].Agent
+			order, name = forAgents, process.spec.Nodes[index].Agent
 		}
-		reply, err := process.ask(hollow.Request{Order: order, Node: place})
+		reply, err := process.call(hollow.Request{Command: order, Node: index})
 		if err != nil {
 			return err
 		}
-		f.book.Add(calllog.Entry{
+		f.calls.Add(calllog.Entry{
 			Kind: calllog.KindFault, Sent: reply.At, Answered: reply.At, Process: name, Action: action, Expected: true,
 		})
 	}
--- a/testbed/scale/hollows.go
+++ b/testbed/scale/hollows.go
@@ -15,8 +15,8 @@
 	"github.com/decklever/decklever/testbed/hollow"
 )
 
-// hollowStop is how long a hollow process may take to end.
-const hollowStop = 10 * time.Second
+// hollowStopTimeout is how long a hollow process may take to end.
+const hollowStopTimeout = 10 * time.Second
 
 // hollows are the hollow processes of a run.
 type hollows struct {
@@ -72,8 +72,8 @@
 	return &hollowProcess{spec: spec, command: command, input: input, replies: bufio.NewScanner(output)}, nil
 }
 
-// ask sends one request and waits for its reply.
-func (p *hollowProcess) ask(request hollow.Request) (hollow.Reply, error) {
+// call sends one request and waits for its reply.
+func (p *hollowProcess) call(request hollow.Request) (hollow.Reply, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var reply hollow.Reply
@@ -96,7 +96,7 @@
 // enough.
 func (p *hollowProcess) stop() error {
 	_ = p.input.Close() // an error means that it has ended already
-	killer := time.AfterFunc(hollowStop, func() { _ = p.command.Process.Kill() })
+	killer := time.AfterFunc(hollowStopTimeout, func() { _ = p.command.Process.Kill() })
 	defer killer.Stop()
 	if err := p.command.Wait(); err != nil {
 		return fmt.Errorf("hollow process: %w", err)
@@ -124,7 +124,7 @@
 }
 
 // find returns the process and place of a hollow node, counted over all.
-func (h *hollows) find(node int) (process *hollowProcess, place int) {
+func (h *hollows) find(node int) (process *hollowProcess, index int) {
 	return h.processes[node/nodesPerProcess], node % nodesPerProcess
 }
 
@@ -132,7 +132,7 @@
 func (h *hollows) counters() (hollow.Counters, error) {
 	sum := hollow.Counters{Calls: map[string]float64{}}
 	for _, process := range h.processes {
-		reply, err := process.ask(hollow.Request{Order: hollow.OrderCount})
+		reply, err := process.call(hollow.Request{Command: hollow.CommandCount})
 		if err != nil {
 			return sum, err
 		}
--- a/testbed/scale/layout.go
+++ b/testbed/scale/layout.go
@@ -16,8 +16,8 @@
 	regions        = 2
 	zonesPerRegion = 4
 	zones          = regions * zonesPerRegion
-	// spareRoom is how much more room there is than the tasks take.
-	spareRoom = 1.25
+	// capacityMargin is how much more room there is than the tasks take.
+	capacityMargin = 1.25
 
 	service     = "work"
 	queueBulk   = "bulk"
@@ -81,7 +81,7 @@
 // addWorker notes the worker of the node with that index, counted over real
 // and hollow ones.
 func (l *layout) addWorker(size Size, index int, agent string) checker.Worker {
-	slots := int64(math.Ceil(float64(size.Tasks) * spareRoom / float64(size.Workers)))
+	slots := int64(math.Ceil(float64(size.Tasks) * capacityMargin / float64(size.Workers)))
 	devices := (index+1)*size.accelerators()/size.Workers - index*size.accelerators()/size.Workers
 	worker := checker.Worker{
 		Name: nodeName(deployment.RoleWorker, index), Zone: zoneName(index), Agent: agent,
--- a/testbed/scale/load.go
+++ b/testbed/scale/load.go
@@ -36,10 +36,10 @@
 	queue    string
 	priority int
 	tasks    int
-	together bool
+	gang     bool
 	length   time.Duration
 	devices  int64
-	pause    time.Duration
+	interval time.Duration
 }
 
 // streams splits the load of a size into its kinds.
@@ -49,24 +49,24 @@
 	plainTasks := s.StartsPerSecond - gangTasks
 	tasks := int(min(maxJobTasks, max(1, math.Round(plainTasks/jobsPerSecond))))
 	all := []stream{
-		{name: queueBulk, queue: queueBulk, tasks: tasks, length: length, pause: every(plainTasks / float64(tasks))},
-		{name: queueUrgent, queue: queueUrgent, priority: urgentPriority, tasks: 1, length: urgentLength, pause: urgentInterval},
+		{name: queueBulk, queue: queueBulk, tasks: tasks, length: length, interval: intervalOf(plainTasks / float64(tasks))},
+		{name: queueUrgent, queue: queueUrgent, priority: urgentPriority, tasks: 1, length: urgentLength, interval: urgentInterval},
 	}
 	if s.Gangs > 0 {
 		all = append(all, stream{
-			name: queueGangs, queue: queueGangs, tasks: s.GangSize, together: true, length: length, devices: 1,
-			pause: every(gangTasks / float64(s.GangSize)),
+			name: queueGangs, queue: queueGangs, tasks: s.GangSize, gang: true, length: length, devices: 1,
+			interval: intervalOf(gangTasks / float64(s.GangSize)),
 		})
 	}
 	return all
 }
 
-// every returns the pause between events of that rate a second.
-func every(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
+// intervalOf returns the pause between events of that rate a second.
+func intervalOf(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
 
 // job draws one job of the stream.
 func (s stream) job(random *rand.Rand) api.JobSpec {
-	step := api.StepSpec{Name: "s", Together: s.together}
+	step := api.StepSpec{Name: "s", Together: s.gang}
 	for range s.tasks {
 		factor := 1 + lengthSpread*(2*random.Float64()-1)
 		payload, err := json.Marshal(struct {
@@ -87,20 +87,20 @@
 type callers struct {
 	size   Size
 	seed   uint64
-	book   *calllog.Ledger
+	calls  *calllog.Log
 	client *api.Client
 	// closing is closed when open jobs are to be cancelled.
 	closing chan struct{}
 	jobs    sync.WaitGroup
 }
 
-func newCallers(config Config, endpoints []string, book *calllog.Ledger) (*callers, error) {
+func newCallers(config Config, endpoints []string, calls *calllog.Log) (*callers, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: idlePerHost}
 	client, err := api.NewClient(api.ClientConfig{Endpoints: endpoints, HTTPClient: &http.Client{Transport: transport}})
 	if err != nil {
 		return nil, fmt.Errorf("client of the callers: %w", err)
 	}
-	return &callers{size: config.Size, seed: config.Seed, book: book, client: client, closing: make(chan struct{})}, nil
+	return &callers{size: config.Size, seed: config.Seed, calls: calls, client: client, closing: make(chan struct{})}, nil
 }
 
 // run hands in jobs until loading ends; following bounds their watching.
@@ -114,7 +114,7 @@
 
 func (c *callers) runStream(loading, following context.Context, one stream, number uint64) {
 	random := rand.New(rand.NewPCG(c.seed, number))
-	ticker := time.NewTicker(one.pause)
+	ticker := time.NewTicker(one.interval)
 	defer ticker.Stop()
 	for count := 0; ; count++ {
 		select {
@@ -168,7 +168,7 @@
 	entry := calllog.Entry{Kind: calllog.KindSubmit, Sent: monoclock.Now(), JobID: id, Spec: &spec}
 	created, err := c.client.SubmitJob(ctx, id, spec)
 	entry.Created = created
-	c.note(entry, err)
+	c.record(entry, err)
 	return err == nil
 }
 
@@ -178,7 +178,7 @@
 	entry := calllog.Entry{Kind: calllog.KindPoll, Sent: monoclock.Now(), JobID: id, Wait: pollWait}
 	status, err := c.client.Job(ctx, id, pollWait)
 	entry.State = status.State
-	c.note(entry, err)
+	c.record(entry, err)
 	return status.State
 }
 
@@ -188,11 +188,11 @@
 	entry := calllog.Entry{Kind: calllog.KindCancel, Sent: monoclock.Now(), JobID: id}
 	status, err := c.client.CancelJob(ctx, id)
 	entry.State = status.State
-	c.note(entry, err)
+	c.record(entry, err)
 }
 
-func (c *callers) note(entry calllog.Entry, err error) {
+func (c *callers) record(entry calllog.Entry, err error) {
 	entry.Answered = monoclock.Now()
 	entry.Code, entry.Error = operator.Refusal(err)
-	c.book.Add(entry)
+	c.calls.Add(entry)
 }
--- a/testbed/scale/measure.go
+++ b/testbed/scale/measure.go
@@ -55,8 +55,8 @@
 	deployment.RoleScheduler, deployment.RoleFront, deployment.RoleAgent, deployment.RoleWorker,
 }
 
-// take reads everything once.
-func (m *meter) take(ctx context.Context) (snapshot, error) {
+// snapshot reads everything once.
+func (m *meter) snapshot(ctx context.Context) (snapshot, error) {
 	taken := snapshot{at: monoclock.Now(), real: map[string]reading{}}
 	leader, err := m.fleet.Leader(ctx)
 	if err != nil {
@@ -137,8 +137,8 @@
 
 func hollowName(index int) string { return fmt.Sprintf("hollow-%02d", index+1) }
 
-// forgetMemory begins the sampling anew.
-func (m *meter) forgetMemory() {
+// resetMemory begins the sampling anew.
+func (m *meter) resetMemory() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	clear(m.memory)
--- a/testbed/scale/observe.go
+++ b/testbed/scale/observe.go
@@ -14,13 +14,13 @@
 // addObserved adds what journals, ledger and checker say.
 func (r *run) addObserved(result *Result, observed checker.Input) {
 	from, to := result.Window[0], result.Window[1]
-	first := firstStarts(observed.Lines)
+	first := firstStarts(observed.Events)
 	started := 0
-	for _, line := range observed.Lines {
-		if line.Event == eventlog.EventStart && line.Mono >= from && line.Mono < to {
+	for _, line := range observed.Events {
+		if line.Kind == eventlog.KindStart && line.Mono >= from && line.Mono < to {
 			started++
 		}
-		if line.Event == eventlog.EventStart && line.Run > 1 {
+		if line.Kind == eventlog.KindStart && line.Run > 1 {
 			result.Restarted++
 		}
 	}
@@ -32,16 +32,16 @@
 		result.Violations[violation.Promise]++
 	}
 	result.Examples = checked.Violations[:min(maxExamples, len(checked.Violations))]
-	for _, failure := range append(r.errors, r.journals.Errors()...) {
+	for _, failure := range append(r.errors, r.events.Errors()...) {
 		result.Errors = append(result.Errors, failure.Error())
 	}
 }
 
 // firstStarts returns the first start of each task.
-func firstStarts(lines []eventlog.Line) map[string]monoclock.Nanos {
+func firstStarts(lines []eventlog.Event) map[string]monoclock.Nanos {
 	first := map[string]monoclock.Nanos{}
 	for _, line := range lines {
-		if _, known := first[line.Task]; !known && line.Event == eventlog.EventStart {
+		if _, known := first[line.Task]; !known && line.Kind == eventlog.KindStart {
 			first[line.Task] = line.Mono
 		}
 	}
--- a/testbed/scale/run.go
+++ b/testbed/scale/run.go
@@ -37,16 +37,16 @@
 
 // run is a scale run under way.
 type run struct {
-	config   Config
-	layout   layout
-	book     *calllog.Ledger
-	fleet    *fleet.Fleet
-	hollows  *hollows
-	desk     *operator.Operator
-	callers  *callers
-	journals *eventlog.Reader
-	meter    *meter
-	changes  *changes
+	config         Config
+	layout         layout
+	calls          *calllog.Log
+	fleet          *fleet.Fleet
+	hollows        *hollows
+	operatorClient *operator.Operator
+	callers        *callers
+	events         *eventlog.Reader
+	meter          *meter
+	changes        *changes
 
 	mutex  sync.Mutex
 	errors []error
@@ -83,23 +83,23 @@
 	config.Out = out
 	root := filepath.Join(out, "fleet")
 	r := &run{config: config, layout: newLayout(config, filepath.Join(root, "journals"))}
-	if r.book, err = calllog.Open(filepath.Join(out, ledgerFile)); err != nil {
+	if r.calls, err = calllog.Open(filepath.Join(out, ledgerFile)); err != nil {
 		return nil, err
 	}
 	r.fleet, err = fleet.New(fleet.Config{
-		Deployment: r.layout.deployment, Directory: root, Binaries: config.Binaries, Ledger: r.book, LogLevel: "info",
+		Deployment: r.layout.deployment, Directory: root, Binaries: config.Binaries, CallLog: r.calls, LogLevel: "info",
 	})
 	if err != nil {
-		return nil, errors.Join(err, r.book.Close())
+		return nil, errors.Join(err, r.calls.Close())
 	}
-	r.desk = operator.New(r.fleet.Client(), r.book)
-	r.journals = eventlog.NewReader(r.fleet.JournalDirectory())
+	r.operatorClient = operator.New(r.fleet.Client(), r.calls)
+	r.events = eventlog.NewReader(r.fleet.EventLogDirectory())
 	r.hollows = &hollows{}
 	return r, nil
 }
 
 func (r *run) close() error {
-	return errors.Join(r.hollows.stop(), r.fleet.Stop(), r.book.Close())
+	return errors.Join(r.hollows.stop(), r.fleet.Stop(), r.calls.Close())
 }
 
 // start starts everything and waits until all workers are ready.
@@ -109,7 +109,7 @@
 	if err := r.fleet.Start(); err != nil {
 		return err
 	}
-	if err := r.fleet.WaitReady(ctx, r.desk); err != nil {
+	if err := r.fleet.WaitReady(ctx, r.operatorClient); err != nil {
 		return fmt.Errorf("the fleet did not start, see %s: %w", r.fleet.LogDirectory(), err)
 	}
 	var err error
@@ -120,8 +120,8 @@
 		return err
 	}
 	r.meter = newMeter(r.fleet, r.hollows)
-	r.changes = newChanges(r.config.Size, r.fleet, r.desk)
-	r.callers, err = newCallers(r.config, r.layout.deployment.FrontURLs(), r.book)
+	r.changes = newChanges(r.config.Size, r.fleet, r.operatorClient)
+	r.callers, err = newCallers(r.config, r.layout.deployment.FrontURLs(), r.calls)
 	return err
 }
 
@@ -138,7 +138,7 @@
 	defer watchers.Wait()
 	watching, stopWatching := context.WithCancel(ctx)
 	defer stopWatching()
-	watchers.Go(func() { r.journals.Follow(watching) })
+	watchers.Go(func() { r.events.Follow(watching) })
 	watchers.Go(func() {
 		if err := r.meter.watchMemory(watching); err != nil {
 			cancel(err)
@@ -149,13 +149,13 @@
 	if err != nil {
 		return result, errors.Join(err, context.Cause(ctx))
 	}
-	r.settle(ctx)
-	r.journals.Poll()
+	r.waitRunsEnded(ctx)
+	r.events.Poll()
 	observed := checker.Input{
-		Entries: r.book.Entries(), Lines: r.journals.Lines(), Workers: r.layout.workers,
+		Entries: r.calls.Entries(), Events: r.events.Events(), Workers: r.layout.workers,
 		Config: r.layout.deployment.Config, Anchor: anchor, LoadFrom: from, LoadTo: result.Window[1], EndedAt: monoclock.Now(),
 	}
-	r.progress("checking %d journal lines", len(observed.Lines))
+	r.progress("checking %d journal lines", len(observed.Events))
 	r.addObserved(&result, observed)
 	return result, context.Cause(ctx)
 }
@@ -177,8 +177,8 @@
 		if !r.config.Faults {
 			return
 		}
-		if err := (faults{r.hollows, r.book}).run(loading, ramp); err != nil {
-			r.fail(fmt.Errorf("faults: %w", err))
+		if err := (faults{r.hollows, r.calls}).run(loading, ramp); err != nil {
+			r.recordError(fmt.Errorf("faults: %w", err))
 		}
 	})
 	if !contexttime.Sleep(ctx, ramp) {
@@ -199,8 +199,8 @@
 
 // window measures while configurations change.
 func (r *run) window(ctx context.Context) (Result, error) {
-	r.meter.forgetMemory()
-	from, err := r.meter.take(ctx)
+	r.meter.resetMemory()
+	from, err := r.meter.snapshot(ctx)
 	if err != nil {
 		return Result{}, err
 	}
@@ -208,12 +208,12 @@
 	var changing sync.WaitGroup
 	changing.Go(func() {
 		if err := r.changes.run(ctx); err != nil {
-			r.fail(fmt.Errorf("changes: %w", err))
+			r.recordError(fmt.Errorf("changes: %w", err))
 		}
 	})
 	contexttime.Sleep(ctx, r.config.Window)
 	r.meter.sampleMemory()
-	to, err := r.meter.take(ctx)
+	to, err := r.meter.snapshot(ctx)
 	changing.Wait()
 	if err != nil {
 		return Result{}, err
@@ -238,14 +238,14 @@
 	return result
 }
 
-// settle waits until the journals show no open run but those of killed
+// waitRunsEnded waits until the journals show no open run but those of killed
 // workers.
-func (r *run) settle(ctx context.Context) {
+func (r *run) waitRunsEnded(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	before := -1
 	for {
-		starts, ends := r.journals.Counts()
+		starts, ends := r.events.Counts()
 		if starts == ends || starts+ends == before {
 			return
 		}
@@ -256,8 +256,8 @@
 	}
 }
 
-// fail notes what went wrong in the test bed without ending the run.
-func (r *run) fail(err error) {
+// recordError notes what went wrong in the test bed without ending the run.
+func (r *run) recordError(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.errors = append(r.errors, err)
--- a/testbed/scale/scale_test.go
+++ b/testbed/scale/scale_test.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
-func TestFitFindsTheSlopesThatMadeTheValues(t *testing.T) {
+func TestFit_FindsSlopesOfExactValues(t *testing.T) {
 	want := Fit{Base: 7, PerWorker: 0.05, PerTask: 0.002, PerStart: 0.3}
 	var values []float64
 	for _, size := range SweepSizes() {
@@ -29,14 +29,14 @@
 	}
 }
 
-func TestFitRefusesSizesThatDoNotTellTheFactorsApart(t *testing.T) {
+func TestFit_DependentFactorsAreRejected(t *testing.T) {
 	same := []Size{TargetSize, TargetSize, TargetSize, TargetSize}
 	if _, err := fit(same, make([]float64, len(same))); !errors.Is(err, errSingular) {
 		t.Errorf("error is %v, want %v", err, errSingular)
 	}
 }
 
-func TestLayoutHasEachWorkerOnceAndRoomForAll(t *testing.T) {
+func TestLayout_HasEachWorkerOnceAndCapacityForAllTasks(t *testing.T) {
 	for _, size := range SweepSizes() {
 		l := newLayout(Config{Size: size, Instance: 1}, "journals")
 		names, addresses, zonesSeen := map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -68,12 +68,12 @@
 	}
 }
 
-func TestStreamsMakeTheRate(t *testing.T) {
+func TestStreams_AddUpToRate(t *testing.T) {
 	for _, size := range SweepSizes() {
 		rate := 0.0
 		for _, one := range size.streams() {
 			if one.name != queueUrgent {
-				rate += float64(one.tasks) / one.pause.Seconds()
+				rate += float64(one.tasks) / one.interval.Seconds()
 			}
 		}
 		if math.Abs(rate-size.StartsPerSecond) > size.StartsPerSecond/1000 {
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestReadingSumsTheSeriesWithTheLabels(t *testing.T) {
+func TestReading_SumsSeriesWithLabels(t *testing.T) {
 	one := reading{metrics: map[string]float64{
 		"calls{method=watch,side=server}": 2, "calls{method=heartbeat,side=server}": 3, "calls{method=watch,side=client}": 5, "calls_other{side=server}": 7,
 	}}
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestDelays(t *testing.T) {
+func TestStartDelays_CountUnstartedTasks(t *testing.T) {
 	var delays []time.Duration
 	for number := range 100 {
 		delays = append(delays, time.Duration(100-number)*time.Millisecond)
--- a/testbed/scenario/booked.go
+++ b/testbed/scenario/booked.go
@@ -42,7 +42,7 @@
 // The background: more than all the room, in tasks of twice a slice.
 const (
 	backgroundPerWorker = slicesPerWorker / 2
-	backgroundRoom      = backgroundPerWorker * deployment.Workers
+	backgroundCapacity  = backgroundPerWorker * deployment.Workers
 	backgroundTasks     = 16
 	// Firm tasks that were placed just before the lead end before the window.
 	firmMaxDuration = 20 * time.Second
@@ -56,21 +56,21 @@
 	cancelWidth = 16
 )
 
-// bookedRun is a full fleet at a booked moment.
-type bookedRun struct {
+// bookedBurst is a full fleet at a booked moment.
+type bookedBurst struct {
 	// queue has the booking, service is that of its tasks.
 	queue   string
 	service string
 }
 
 var (
-	swapsRun   = bookedRun{queue: "swaps", service: "swap"}
-	billingRun = bookedRun{queue: "billing", service: "bill"}
+	swapsRun   = bookedBurst{queue: "swaps", service: "swap"}
+	billingRun = bookedBurst{queue: "billing", service: "bill"}
 )
 
 // prepare gives all queues the same priority, so that nothing but the booking
 // tells them apart, and keeps ordinary work out of the booked queue.
-func (b bookedRun) prepare(d *deployment.Deployment) {
+func (b bookedBurst) prepare(d *deployment.Deployment) {
 	for _, name := range []string{queueOthers, queueFirm, queuePreemptible, queueUnbooked} {
 		d.Config.Queues = append(d.Config.Queues, api.QueueConfig{Name: name})
 	}
@@ -88,22 +88,22 @@
 
 // run fills the fleet, books the next minute, and hands in two equal bursts
 // when it begins.
-func (b bookedRun) run(ctx context.Context, bench Bench) error {
+func (b bookedBurst) run(ctx context.Context, env Env) error {
 	moment := nextMinute(time.Now())
-	if err := b.book(ctx, bench, moment); err != nil {
+	if err := b.putBooking(ctx, env, moment); err != nil {
 		return err
 	}
 	anchor := monoclock.NewAnchor()
-	background := b.background(bench.Fleet.Deployment(), bench.Seed, time.Until(moment))
+	background := b.background(env.Fleet.Deployment(), env.Seed, time.Until(moment))
 	for _, job := range background {
-		bench.Callers.HandIn(job)
+		env.Callers.Submit(job)
 	}
-	if err := pause(ctx, time.Until(moment)); err != nil {
+	if err := sleep(ctx, time.Until(moment)); err != nil {
 		return err
 	}
-	bench.Callers.Mark(calllog.MarkBooked, anchor.At(moment))
-	err := b.burst(ctx, bench)
-	bench.Callers.Cancel(ctx, cancelWidth, idsOf(background))
+	env.Callers.RecordMilestone(calllog.MilestoneBooked, anchor.At(moment))
+	err := b.burst(ctx, env)
+	env.Callers.Cancel(ctx, cancelWidth, idsOf(background))
 	return err
 }
 
@@ -113,54 +113,54 @@
 	return earliest.Add(time.Minute - time.Nanosecond).Truncate(time.Minute).UTC()
 }
 
-// book puts the configuration in force with the booking.
-func (b bookedRun) book(ctx context.Context, bench Bench, moment time.Time) error {
-	present, err := bench.Operator.Read(ctx)
+// putBooking puts the configuration in force with the booking.
+func (b bookedBurst) putBooking(ctx context.Context, env Env, moment time.Time) error {
+	present, err := env.Operator.Read(ctx)
 	if err != nil {
 		return fmt.Errorf("read the configuration in force: %w", err)
 	}
 	index := slices.IndexFunc(present.Config.Queues, func(queue api.QueueConfig) bool { return queue.Name == b.queue })
 	if index < 0 {
-		return fmt.Errorf("the deployment %s has no queue %s", bench.Fleet.Deployment().Name, b.queue)
+		return fmt.Errorf("the deployment %s has no queue %s", env.Fleet.Deployment().Name, b.queue)
 	}
 	// The ledger keeps what was read.
 	present.Config.Queues = slices.Clone(present.Config.Queues)
-	present.Config.Queues[index].Bookings = []api.BookingConfig{b.booking(capacity(bench.Fleet.Deployment()), moment)}
-	if _, err := bench.Operator.Put(ctx, present.Version, "lab-booking", present.Config); err != nil {
+	present.Config.Queues[index].Bookings = []api.BookingConfig{b.booking(workerCapacity(env.Fleet.Deployment()), moment)}
+	if _, err := env.Operator.Put(ctx, present.Version, "lab-booking", present.Config); err != nil {
 		return fmt.Errorf("put the booking: %w", err)
 	}
 	return nil
 }
 
-func (b bookedRun) booking(room api.Resources, moment time.Time) api.BookingConfig {
+func (b bookedBurst) booking(capacity api.Resources, moment time.Time) api.BookingConfig {
 	return api.BookingConfig{
 		Name: "lab", DailyAt: moment.Format("15:04"), TimeZone: "UTC",
 		Duration: api.Duration(windowDuration), Lead: api.Duration(bookingLead),
-		Slots: slicesBooked * deployment.Workers, Slice: part(room, slicesPerWorker), Service: b.service,
+		Slots: slicesBooked * deployment.Workers, Slice: fractionOf(capacity, slicesPerWorker), Service: b.service,
 	}
 }
 
-// capacity returns the room of one worker.
-func capacity(d deployment.Deployment) api.Resources {
+// workerCapacity returns the room of one worker.
+func workerCapacity(d deployment.Deployment) api.Resources {
 	return d.ByRole(deployment.RoleWorker)[0].Capacity
 }
 
 // background returns jobs that take all room until the bursts are over: half
 // of it firm, in turns, the other half preemptible, in one turn after the
 // other. Both queues wait for more than their half.
-func (b bookedRun) background(d deployment.Deployment, seed uint64, ahead time.Duration) []load.Job {
-	task := api.TaskSpec{Service: b.service, Resources: part(capacity(d), backgroundPerWorker)}
-	firm := kind{
+func (b bookedBurst) background(d deployment.Deployment, seed uint64, lead time.Duration) []load.Job {
+	task := api.TaskSpec{Service: b.service, Resources: fractionOf(workerCapacity(d), backgroundPerWorker)}
+	firm := jobTemplate{
 		name: "firm", class: calllog.ClassBackground, queue: queueFirm, tasks: backgroundTasks, task: task,
 		shortest: firmShortest, longest: firmLongest,
 	}
 	firm.task.MaxDuration = api.Duration(firmMaxDuration)
-	preemptible := kind{
+	preemptible := jobTemplate{
 		name: "preemptible", class: calllog.ClassBackground, queue: queuePreemptible, tasks: backgroundTasks, task: task,
 		shortest: preemptibleRun, longest: preemptibleRun,
 	}
 	preemptible.task.Preemptible = true
-	needed := ahead + burstTimeout
+	needed := lead + burstTimeout
 	return slices.Concat(
 		firm.jobs(seed, backgroundJobs(needed, firmShortest)),
 		preemptible.jobs(seed, backgroundJobs(needed, preemptibleRun)),
@@ -171,14 +171,14 @@
 // all room for a time.
 func backgroundJobs(needed, length time.Duration) int {
 	turns := int(needed/length) + 1
-	return (turns*backgroundRoom + backgroundTasks - 1) / backgroundTasks
+	return (turns*backgroundCapacity + backgroundTasks - 1) / backgroundTasks
 }
 
 // bursts returns the jobs of both bursts, one of each in turn.
-func (b bookedRun) bursts(d deployment.Deployment, seed uint64) []load.Job {
-	booked := kind{
+func (b bookedBurst) bursts(d deployment.Deployment, seed uint64) []load.Job {
+	booked := jobTemplate{
 		name: "booked", class: calllog.ClassBooked, queue: b.queue, tasks: slicesBooked,
-		task:     api.TaskSpec{Service: b.service, Resources: part(capacity(d), slicesPerWorker)},
+		task:     api.TaskSpec{Service: b.service, Resources: fractionOf(workerCapacity(d), slicesPerWorker)},
 		shortest: burstRun, longest: burstRun,
 	}
 	unbooked := booked
@@ -191,15 +191,15 @@
 }
 
 // burst hands in both bursts at once and waits for their ends.
-func (b bookedRun) burst(ctx context.Context, bench Bench) error {
-	jobs := b.bursts(bench.Fleet.Deployment(), bench.Seed)
+func (b bookedBurst) burst(ctx context.Context, env Env) error {
+	jobs := b.bursts(env.Fleet.Deployment(), env.Seed)
 	ctx, cancel := context.WithTimeout(ctx, burstTimeout)
 	defer cancel()
-	accepted := bench.Callers.HandInAll(ctx, len(jobs), jobs)
+	accepted := env.Callers.SubmitAll(ctx, len(jobs), jobs)
 	if len(accepted) < len(jobs) {
 		return fmt.Errorf("%d of %d jobs of the bursts were accepted", len(accepted), len(jobs))
 	}
-	if ended := bench.Callers.Watch(ctx, len(jobs), accepted); ended < len(jobs) {
+	if ended := env.Callers.Watch(ctx, len(jobs), accepted); ended < len(jobs) {
 		return fmt.Errorf("%d of %d jobs of the bursts ended within %v", ended, len(jobs), burstTimeout)
 	}
 	return nil
--- a/testbed/scenario/drains.go
+++ b/testbed/scenario/drains.go
@@ -8,36 +8,36 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
-func drainWorkers(ctx context.Context, bench Bench) error {
-	return drainForHalf(ctx, bench, api.DrainConfig{Workers: []string{"worker-01", "worker-02"}})
+func drainWorkers(ctx context.Context, env Env) error {
+	return drainForHalf(ctx, env, api.DrainConfig{Workers: []string{"worker-01", "worker-02"}})
 }
 
-func evacuateZone(ctx context.Context, bench Bench) error {
-	return drainForHalf(ctx, bench, api.DrainConfig{Zones: []string{deployment.ZoneName(1)}})
+func evacuateZone(ctx context.Context, env Env) error {
+	return drainForHalf(ctx, env, api.DrainConfig{Zones: []string{deployment.ZoneName(1)}})
 }
 
 // drainForHalf drains from the first to the third quarter of the load.
-func drainForHalf(ctx context.Context, bench Bench, drains api.DrainConfig) error {
-	if err := pause(ctx, bench.Duration/4); err != nil {
+func drainForHalf(ctx context.Context, env Env, drains api.DrainConfig) error {
+	if err := sleep(ctx, env.Duration/4); err != nil {
 		return err
 	}
-	if err := setDrains(ctx, bench, "lab-drain", drains); err != nil {
+	if err := setDrains(ctx, env, "lab-drain", drains); err != nil {
 		return err
 	}
-	if err := pause(ctx, bench.Duration/2); err != nil {
+	if err := sleep(ctx, env.Duration/2); err != nil {
 		return err
 	}
-	return setDrains(ctx, bench, "lab-take-back", api.DrainConfig{})
+	return setDrains(ctx, env, "lab-take-back", api.DrainConfig{})
 }
 
 // setDrains puts the configuration in force with other drains.
-func setDrains(ctx context.Context, bench Bench, orderID string, drains api.DrainConfig) error {
-	present, err := bench.Operator.Read(ctx)
+func setDrains(ctx context.Context, env Env, orderID string, drains api.DrainConfig) error {
+	present, err := env.Operator.Read(ctx)
 	if err != nil {
 		return fmt.Errorf("read the configuration in force: %w", err)
 	}
 	present.Config.Drains = drains
-	if _, err := bench.Operator.Put(ctx, present.Version, orderID, present.Config); err != nil {
+	if _, err := env.Operator.Put(ctx, present.Version, orderID, present.Config); err != nil {
 		return fmt.Errorf("put drains: %w", err)
 	}
 	return nil
--- a/testbed/scenario/flood.go
+++ b/testbed/scenario/flood.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// quietParts: the flood begins after that part of the load.
-	quietParts   = 3
-	floodJobs    = 20_000
-	floodWidth   = 32
-	floodTimeout = 2 * time.Minute
+	// baselineParts: the flood begins after that part of the load.
+	baselineParts = 3
+	floodJobs     = 20_000
+	floodWidth    = 32
+	floodTimeout  = 2 * time.Minute
 
 	discardedJobs  = 5000
 	discardedWidth = 16
@@ -52,72 +52,72 @@
 // flood leaves the ordinary load alone for a third of the time. Then it hands
 // in jobs that must be refused as fast as they are, and beside them jobs that
 // are accepted and cancelled in mass.
-func flood(ctx context.Context, bench Bench) error {
-	kinds := floodKinds(bench.Fleet.Deployment())
-	filler := kinds.filler.job(bench.Seed, 0)
-	bench.Callers.HandIn(filler)
-	if err := pause(ctx, bench.Duration/quietParts); err != nil {
+func flood(ctx context.Context, env Env) error {
+	kinds := newFloodTemplates(env.Fleet.Deployment())
+	filler := kinds.filler.job(env.Seed, 0)
+	env.Callers.Submit(filler)
+	if err := sleep(ctx, env.Duration/baselineParts); err != nil {
 		return err
 	}
-	bench.Callers.Mark(calllog.MarkFloodStart, monoclock.Now())
+	env.Callers.RecordMilestone(calllog.MilestoneFloodStart, monoclock.Now())
 	flooding, cancel := context.WithTimeout(ctx, floodTimeout)
 	defer cancel()
 	var parts sync.WaitGroup
-	parts.Go(func() { bench.Callers.Flood(flooding, floodWidth, floodJobs, kinds.nextRefused(bench.Seed)) })
+	parts.Go(func() { env.Callers.Flood(flooding, floodWidth, floodJobs, kinds.nextRejected(env.Seed)) })
 	var err error
-	parts.Go(func() { err = discard(flooding, bench, kinds.discarded.jobs(bench.Seed, discardedJobs)) })
+	parts.Go(func() { err = discard(flooding, env, kinds.discarded.jobs(env.Seed, discardedJobs)) })
 	parts.Wait()
-	bench.Callers.Mark(calllog.MarkFloodEnd, monoclock.Now())
-	bench.Callers.Cancel(ctx, 1, []string{filler.ID})
+	env.Callers.RecordMilestone(calllog.MilestoneFloodEnd, monoclock.Now())
+	env.Callers.Cancel(ctx, 1, []string{filler.ID})
 	return err
 }
 
-// kinds are the jobs of a flood.
-type kinds struct {
+// floodTemplates are the jobs of a flood.
+type floodTemplates struct {
 	// filler keeps the queue with a quota full.
-	filler kind
-	// refused are those that cannot be taken.
-	refused []kind
+	filler jobTemplate
+	// rejected are those that cannot be taken.
+	rejected []jobTemplate
 	// discarded are accepted and then cancelled.
-	discarded kind
+	discarded jobTemplate
 }
 
-func floodKinds(d deployment.Deployment) kinds {
+func newFloodTemplates(d deployment.Deployment) floodTemplates {
 	shape := d.Shapes.Short
 	small := api.TaskSpec{Service: shape.Service, Resources: api.Resources{CPUMillis: 100, MemoryMB: 64}}
 	unknown, large, endless := small, small, small
 	unknown.Service = "no-such-service"
-	large.Resources.CPUMillis = oversize * capacity(d).CPUMillis
+	large.Resources.CPUMillis = oversize * workerCapacity(d).CPUMillis
 	endless.UntilCancelled = true
-	return kinds{
-		filler: kind{name: "filler", class: calllog.ClassBackground, queue: queueQuota, tasks: quotaTasks, task: endless},
-		refused: []kind{
+	return floodTemplates{
+		filler: jobTemplate{name: "filler", class: calllog.ClassBackground, queue: queueQuota, tasks: quotaTasks, task: endless},
+		rejected: []jobTemplate{
 			{name: "unknown", class: calllog.ClassImpossible, queue: shape.Queue, tasks: 1, task: unknown},
 			{name: "large", class: calllog.ClassImpossible, queue: shape.Queue, tasks: 1, task: large},
 			{name: "quota", class: calllog.ClassOverQuota, queue: queueQuota, tasks: overQuotaTasks, task: small},
 		},
-		discarded: kind{name: "discarded", class: calllog.ClassDiscarded, queue: queueDiscards, tasks: 1, task: endless},
+		discarded: jobTemplate{name: "discarded", class: calllog.ClassDiscarded, queue: queueDiscards, tasks: 1, task: endless},
 	}
 }
 
-// nextRefused returns each kind of refused job in turn.
-func (k kinds) nextRefused(seed uint64) func(number int) load.Job {
+// nextRejected returns each kind of refused job in turn.
+func (k floodTemplates) nextRejected(seed uint64) func(number int) load.Job {
 	return func(number int) load.Job {
-		return k.refused[number%len(k.refused)].job(seed, number/len(k.refused))
+		return k.rejected[number%len(k.rejected)].job(seed, number/len(k.rejected))
 	}
 }
 
 // discard hands in jobs, cancels all of their queue in one call, and reads
 // each until it is cancelled.
-func discard(ctx context.Context, bench Bench, jobs []load.Job) error {
-	accepted := bench.Callers.HandInAll(ctx, discardedWidth, jobs)
+func discard(ctx context.Context, env Env, jobs []load.Job) error {
+	accepted := env.Callers.SubmitAll(ctx, discardedWidth, jobs)
 	if len(accepted) < len(jobs) {
 		return fmt.Errorf("%d of %d jobs to be cancelled were accepted", len(accepted), len(jobs))
 	}
-	if _, err := bench.Callers.CancelQueue(ctx, queueDiscards, accepted); err != nil {
+	if _, err := env.Callers.CancelQueue(ctx, queueDiscards, accepted); err != nil {
 		return fmt.Errorf("cancel all of the queue %s: %w", queueDiscards, err)
 	}
-	if final := bench.Callers.Watch(ctx, discardedWidth, accepted); final < len(accepted) {
+	if final := env.Callers.Watch(ctx, discardedWidth, accepted); final < len(accepted) {
 		return fmt.Errorf("%d of %d cancelled jobs were seen as final", final, len(accepted))
 	}
 	return nil
--- a/testbed/scenario/jobs.go
+++ b/testbed/scenario/jobs.go
@@ -10,8 +10,8 @@
 	"github.com/decklever/decklever/testbed/load"
 )
 
-// kind is jobs that differ only in their ids and in how long their tasks run.
-type kind struct {
+// jobTemplate is jobs that differ only in their ids and in how long their tasks run.
+type jobTemplate struct {
 	// name is a part of the ids.
 	name  string
 	class calllog.Class
@@ -26,7 +26,7 @@
 }
 
 // job returns the job of that number.
-func (k kind) job(seed uint64, number int) load.Job {
+func (k jobTemplate) job(seed uint64, number int) load.Job {
 	step := api.StepSpec{Name: "only"}
 	for index := range k.tasks {
 		task := k.task
@@ -41,7 +41,7 @@
 }
 
 // jobs returns the first jobs of a kind.
-func (k kind) jobs(seed uint64, count int) []load.Job {
+func (k jobTemplate) jobs(seed uint64, count int) []load.Job {
 	var all []load.Job
 	for number := range count {
 		all = append(all, k.job(seed, number))
@@ -62,7 +62,7 @@
 	return ids
 }
 
-// part returns an equal part of a worker's room.
-func part(room api.Resources, parts int64) api.Resources {
-	return api.Resources{CPUMillis: room.CPUMillis / parts, MemoryMB: room.MemoryMB / parts}
+// fractionOf returns an equal part of a worker's room.
+func fractionOf(capacity api.Resources, parts int64) api.Resources {
+	return api.Resources{CPUMillis: capacity.CPUMillis / parts, MemoryMB: capacity.MemoryMB / parts}
 }
--- a/testbed/scenario/jobs_test.go
+++ b/testbed/scenario/jobs_test.go
@@ -29,7 +29,7 @@
 func valid(t *testing.T, d deployment.Deployment, jobs []load.Job) (map[calllog.Class]int, map[calllog.Class]api.Resources) {
 	t.Helper()
 	ids := map[string]bool{}
-	tasks, room := map[calllog.Class]int{}, map[calllog.Class]api.Resources{}
+	tasks, capacity := map[calllog.Class]int{}, map[calllog.Class]api.Resources{}
 	for _, job := range jobs {
 		if wrong := api.ValidateJob(job.ID, &job.Spec, &d.Config); len(wrong) != 0 || ids[job.ID] {
 			t.Fatalf("%s is doubled or wrong: %v", job.ID, wrong)
@@ -37,22 +37,22 @@
 		ids[job.ID] = true
 		for _, task := range job.Spec.Steps[0].Tasks {
 			tasks[job.Class]++
-			room[job.Class] = room[job.Class].Add(task.Resources)
+			capacity[job.Class] = capacity[job.Class].Add(task.Resources)
 		}
 	}
-	return tasks, room
+	return tasks, capacity
 }
 
-func TestBurstsAreEqualAndAsLargeAsTheBooking(t *testing.T) {
-	for name, run := range map[string]bookedRun{"restrepo": swapsRun, "cartago": billingRun} {
+func TestBookedBurst_BurstsEqualBookingSize(t *testing.T) {
+	for name, run := range map[string]bookedBurst{"restrepo": swapsRun, "cartago": billingRun} {
 		d := prepared(t, name, run.prepare)
-		booking := run.booking(capacity(d), time.Unix(60, 0).UTC())
-		tasks, room := valid(t, d, run.bursts(d, 1))
+		booking := run.booking(workerCapacity(d), time.Unix(60, 0).UTC())
+		tasks, capacity := valid(t, d, run.bursts(d, 1))
 		if tasks[calllog.ClassBooked] != booking.Slots || tasks[calllog.ClassUnbooked] != booking.Slots {
 			t.Errorf("%s: bursts of %v tasks, want %d", name, tasks, booking.Slots)
 		}
-		if room[calllog.ClassBooked] != room[calllog.ClassUnbooked] || booking.DailyAt != "00:01" {
-			t.Errorf("%s: bursts take %v, the booking is at %s", name, room, booking.DailyAt)
+		if capacity[calllog.ClassBooked] != capacity[calllog.ClassUnbooked] || booking.DailyAt != "00:01" {
+			t.Errorf("%s: bursts take %v, the booking is at %s", name, capacity, booking.DailyAt)
 		}
 		for _, queue := range d.Config.Queues {
 			if queue.Priority != 0 {
@@ -65,11 +65,11 @@
 	}
 }
 
-func TestBackgroundTakesAllRoomUntilTheBurstsAreOver(t *testing.T) {
+func TestBookedBurst_BackgroundFillsCapacityUntilBurstsEnd(t *testing.T) {
 	d := prepared(t, "cartago", billingRun.prepare)
 	jobs := billingRun.background(d, 1, 90*time.Second)
-	_, room := valid(t, d, jobs)
-	turns := room[calllog.ClassBackground].CPUMillis / (capacity(d).CPUMillis * deployment.Workers)
+	_, capacity := valid(t, d, jobs)
+	turns := capacity[calllog.ClassBackground].CPUMillis / (workerCapacity(d).CPUMillis * deployment.Workers)
 	least := int64((90*time.Second+burstTimeout)/firmShortest) + int64((90*time.Second+burstTimeout)/preemptibleRun)
 	if turns < least {
 		t.Errorf("the background fills the fleet %d times, want %d", turns, least)
@@ -80,20 +80,20 @@
 	}
 }
 
-func TestBookedMinuteLiesFarEnoughAhead(t *testing.T) {
-	for ahead, want := range map[time.Duration]time.Duration{
+func TestNextMinute_IsFarEnoughAhead(t *testing.T) {
+	for lead, want := range map[time.Duration]time.Duration{
 		0: time.Minute, 30 * time.Second: time.Minute, 30*time.Second + 1: 2 * time.Minute, 59 * time.Second: 2 * time.Minute,
 	} {
-		if got := nextMinute(time.Unix(0, 0).Add(ahead)); !got.Equal(time.Unix(0, 0).Add(want)) {
-			t.Errorf("%v after the minute: %v, want %v", ahead, got, want)
+		if got := nextMinute(time.Unix(0, 0).Add(lead)); !got.Equal(time.Unix(0, 0).Add(want)) {
+			t.Errorf("%v after the minute: %v, want %v", lead, got, want)
 		}
 	}
 }
 
-func TestFloodRefusesAllButWhatItCancels(t *testing.T) {
+func TestFlood_OnlyDiscardedJobsAreAcceptable(t *testing.T) {
 	d := prepared(t, "restrepo", prepareFlood)
-	kinds := floodKinds(d)
-	next := kinds.nextRefused(1)
+	kinds := newFloodTemplates(d)
+	next := kinds.nextRejected(1)
 	ids := map[string]bool{}
 	classes := map[calllog.Class]int{}
 	for number := range 300 {
@@ -110,7 +110,7 @@
 	if kinds.filler.tasks != quotaTasks || kinds.filler.tasks-1+overQuotaTasks <= quotaTasks {
 		t.Error("a job fits beside the one that fills the quota")
 	}
-	if large := kinds.refused[1].task.Resources; large.Fits(capacity(d)) {
+	if large := kinds.rejected[1].task.Resources; large.Fits(workerCapacity(d)) {
 		t.Errorf("%+v fits on a worker", large)
 	}
 }
--- a/testbed/scenario/losses.go
+++ b/testbed/scenario/losses.go
@@ -20,26 +20,26 @@
 
 // loseDisk deletes the data folder of one scheduler. As soon as it is a voter
 // again another is killed: the service then hangs on the repaired one.
-func loseDisk(ctx context.Context, bench Bench) error {
-	first, err := leader(ctx, bench)
+func loseDisk(ctx context.Context, env Env) error {
+	first, err := leader(ctx, env)
 	if err != nil {
 		return err
 	}
 	target := first
-	if bench.Seed%2 == 0 {
-		target = othersOf(bench, first)[0]
+	if env.Seed%2 == 0 {
+		target = peersOf(env, first)[0]
 	}
-	if err := replaceDisk(ctx, bench, target); err != nil {
+	if err := replaceDisk(ctx, env, target); err != nil {
 		return err
 	}
-	second := othersOf(bench, target)[int(bench.Seed/2)%2]
+	second := peersOf(env, target)[int(env.Seed/2)%2]
 	return killAndStart(ctx, second)
 }
 
 // replaceDisk kills a scheduler, deletes its data, starts it and waits until
 // it is a voter again.
-func replaceDisk(ctx context.Context, bench Bench, target *fleet.Process) error {
-	old, err := bench.Fleet.ReplicaID(ctx, target)
+func replaceDisk(ctx context.Context, env Env, target *fleet.Process) error {
+	old, err := env.Fleet.ReplicaID(ctx, target)
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 	if err := target.Wait(ctx); err != nil {
 		return err
 	}
-	if err := bench.Fleet.Wipe(target); err != nil {
+	if err := env.Fleet.Wipe(target); err != nil {
 		return err
 	}
 	if err := target.Start(); err != nil {
@@ -57,35 +57,35 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	return bench.Fleet.WaitJoined(ctx, target, old)
+	return env.Fleet.WaitJoined(ctx, target, old)
 }
 
 // losePower kills two schedulers at once, the leading one among them, right
 // after a configuration was acknowledged, and later all three.
-func losePower(ctx context.Context, bench Bench) error {
-	target, err := leader(ctx, bench)
+func losePower(ctx context.Context, env Env) error {
+	target, err := leader(ctx, env)
 	if err != nil {
 		return err
 	}
-	if err := cutPower(ctx, bench, "first", []*fleet.Process{target, othersOf(bench, target)[bench.Seed%2]}); err != nil {
+	if err := powerCycle(ctx, env, "first", []*fleet.Process{target, peersOf(env, target)[env.Seed%2]}); err != nil {
 		return err
 	}
-	if err := pause(ctx, downTime); err != nil {
+	if err := sleep(ctx, downTime); err != nil {
 		return err
 	}
-	return cutPower(ctx, bench, "second", bench.Fleet.ByRole(deployment.RoleScheduler))
+	return powerCycle(ctx, env, "second", env.Fleet.ByRole(deployment.RoleScheduler))
 }
 
-// cutPower puts a configuration, kills processes the moment it is
+// powerCycle puts a configuration, kills processes the moment it is
 // acknowledged, and starts them again.
-func cutPower(ctx context.Context, bench Bench, name string, targets []*fleet.Process) error {
-	if err := putTagged(ctx, bench, "lab-power-"+name, len(name)); err != nil {
+func powerCycle(ctx context.Context, env Env, name string, targets []*fleet.Process) error {
+	if err := putTagged(ctx, env, "lab-power-"+name, len(name)); err != nil {
 		return err
 	}
 	if err := killAll(targets); err != nil {
 		return err
 	}
-	if err := pause(ctx, powerOffTime); err != nil {
+	if err := sleep(ctx, powerOffTime); err != nil {
 		return err
 	}
 	return startAll(ctx, targets)
@@ -103,16 +103,16 @@
 }
 
 // killTogether kills the leading scheduler and a worker at the same moment.
-func killTogether(ctx context.Context, bench Bench) error {
-	target, err := leader(ctx, bench)
+func killTogether(ctx context.Context, env Env) error {
+	target, err := leader(ctx, env)
 	if err != nil {
 		return err
 	}
-	worker := bench.Fleet.ByRole(deployment.RoleWorker)[bench.Seed%deployment.Workers]
+	worker := env.Fleet.ByRole(deployment.RoleWorker)[env.Seed%deployment.Workers]
 	if err := killAll([]*fleet.Process{target, worker}); err != nil {
 		return err
 	}
-	if err := pause(ctx, downTime); err != nil {
+	if err := sleep(ctx, downTime); err != nil {
 		return err
 	}
 	return startAll(ctx, []*fleet.Process{target, worker})
@@ -120,9 +120,9 @@
 
 // freezeWorker freezes one worker for longer than its hold and one agent for
 // less.
-func freezeWorker(ctx context.Context, bench Bench) error {
-	worker := bench.Fleet.ByRole(deployment.RoleWorker)[bench.Seed%deployment.Workers]
-	agent := bench.Fleet.ByRole(deployment.RoleAgent)[(bench.Seed+1)%deployment.Workers]
+func freezeWorker(ctx context.Context, env Env) error {
+	worker := env.Fleet.ByRole(deployment.RoleWorker)[env.Seed%deployment.Workers]
+	agent := env.Fleet.ByRole(deployment.RoleAgent)[(env.Seed+1)%deployment.Workers]
 	if err := freezeFor(ctx, agent, shortFreeze); err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 	if err := target.Freeze(); err != nil {
 		return err
 	}
-	pauseErr := pause(ctx, length)
+	pauseErr := sleep(ctx, length)
 	return errors.Join(pauseErr, target.Resume())
 }
 
@@ -150,17 +150,17 @@
 
 // jumpClock sets the wall clock of one scheduler an hour ahead, then an hour
 // back, then right. The scheduler is the leading one.
-func jumpClock(ctx context.Context, bench Bench) error {
-	target, err := leader(ctx, bench)
+func jumpClock(ctx context.Context, env Env) error {
+	target, err := leader(ctx, env)
 	if err != nil {
 		return err
 	}
 	for _, offset := range []time.Duration{clockJump, -clockJump, 0} {
-		if err := bench.Fleet.SetClock(target, offset); err != nil {
+		if err := env.Fleet.SetClock(target, offset); err != nil {
 			return fmt.Errorf("jump: %w", err)
 		}
-		if err := pause(ctx, clockTime); err != nil {
-			return errors.Join(err, bench.Fleet.SetClock(target, 0))
+		if err := sleep(ctx, clockTime); err != nil {
+			return errors.Join(err, env.Fleet.SetClock(target, 0))
 		}
 	}
 	return nil
--- a/testbed/scenario/operators.go
+++ b/testbed/scenario/operators.go
@@ -19,12 +19,12 @@
 	// orderTimeout bounds one try of an operator; afterwards the same order is
 	// sent again.
 	orderTimeout = 5 * time.Second
-	// racePause lies between two races.
-	racePause = 200 * time.Millisecond
-	// lostAnswersTime and lostAnswersPause are how long answers to the fronts
+	// raceInterval lies between two races.
+	raceInterval = 200 * time.Millisecond
+	// lostAnswersTime and lostAnswersInterval are how long answers to the fronts
 	// are lost, and the time between.
-	lostAnswersTime  = 1500 * time.Millisecond
-	lostAnswersPause = 2500 * time.Millisecond
+	lostAnswersTime     = 1500 * time.Millisecond
+	lostAnswersInterval = 2500 * time.Millisecond
 	// manyConfigs is how many configurations a scheduler misses.
 	manyConfigs = 300
 	// tagBase is added to a number for a bound that no load reaches, by which
@@ -34,13 +34,13 @@
 	catchUpTimeout = 20 * time.Second
 )
 
-// random returns a source that depends on the seed and a name.
-func random(bench Bench, name string) *rand.Rand {
+// newRandom returns a source that depends on the seed and a name.
+func newRandom(env Env, name string) *rand.Rand {
 	var stream uint64
 	for _, letter := range name {
 		stream = stream*31 + uint64(letter)
 	}
-	return rand.New(rand.NewPCG(bench.Seed, stream))
+	return rand.New(rand.NewPCG(env.Seed, stream))
 }
 
 // tagged returns the configuration with a content that no other has.
@@ -51,18 +51,18 @@
 }
 
 // putTagged puts the configuration in force with another tag.
-func putTagged(ctx context.Context, bench Bench, orderID string, tag int) error {
-	present, err := bench.Operator.Read(ctx)
+func putTagged(ctx context.Context, env Env, orderID string, tag int) error {
+	present, err := env.Operator.Read(ctx)
 	if err != nil {
 		return fmt.Errorf("read the configuration in force: %w", err)
 	}
-	if _, err := bench.Operator.Put(ctx, present.Version, orderID, tagged(present.Config, tag)); err != nil {
+	if _, err := env.Operator.Put(ctx, present.Version, orderID, tagged(present.Config, tag)); err != nil {
 		return fmt.Errorf("put order %s: %w", orderID, err)
 	}
 	return nil
 }
 
-// order is one operator's order, as it was first sent.
+// changeConfig is one operator's order, as it was first sent.
 type order struct {
 	id     string
 	base   uint64
@@ -85,20 +85,20 @@
 
 // raceOperators has two operators order on the same base again and again, and
 // send old orders once more, while answers to the fronts get lost.
-func raceOperators(ctx context.Context, bench Bench) error {
-	racing, cancel := context.WithTimeout(ctx, bench.Duration*3/4)
+func raceOperators(ctx context.Context, env Env) error {
+	racing, cancel := context.WithTimeout(ctx, env.Duration*3/4)
 	defer cancel()
 	var losing sync.WaitGroup
 	defer losing.Wait()
-	losing.Go(func() { loseAnswers(racing, bench) })
-	configRace{bench, random(bench, "race"), 0}.run(ctx, racing)
+	losing.Go(func() { loseAnswers(racing, env) })
+	configRace{env, newRandom(env, "race"), 0}.run(ctx, racing)
 	return ctx.Err()
 }
 
 // configRace is two operators who order on the same bases.
 type configRace struct {
-	bench Bench
-	draw  *rand.Rand
+	env    Env
+	random *rand.Rand
 	// firstTag is that of the first order; each order has one of its own.
 	firstTag int
 }
@@ -107,8 +107,8 @@
 // answered.
 func (r configRace) run(ctx, racing context.Context) {
 	var sent []order
-	for round := 0; pause(racing, racePause) == nil; round++ {
-		present, err := r.bench.Operator.Read(racing)
+	for round := 0; sleep(racing, raceInterval) == nil; round++ {
+		present, err := r.env.Operator.Read(racing)
 		if err != nil {
 			continue
 		}
@@ -118,11 +118,11 @@
 			orders = append(orders, order{fmt.Sprintf("lab-race-%d", tag), present.Version, tagged(present.Config, tag)})
 		}
 		if len(sent) > 0 {
-			orders = append(orders, sent[r.draw.IntN(len(sent))])
+			orders = append(orders, sent[r.random.IntN(len(sent))])
 		}
 		var sending sync.WaitGroup
 		for _, one := range orders {
-			sending.Go(func() { sendUntilAnswered(ctx, r.bench.Operator, one) })
+			sending.Go(func() { sendUntilAnswered(ctx, r.env.Operator, one) })
 		}
 		sending.Wait()
 		sent = append(sent, orders[:2]...)
@@ -130,16 +130,16 @@
 }
 
 // loseAnswers cuts the links of answers to the fronts now and then.
-func loseAnswers(ctx context.Context, bench Bench) {
+func loseAnswers(ctx context.Context, env Env) {
 	var answers []netem.Link
-	for _, scheduler := range bench.Fleet.ByRole(deployment.RoleScheduler) {
-		for _, front := range bench.Fleet.ByRole(deployment.RoleFront) {
+	for _, scheduler := range env.Fleet.ByRole(deployment.RoleScheduler) {
+		for _, front := range env.Fleet.ByRole(deployment.RoleFront) {
 			answers = append(answers, netem.Link{From: scheduler.Spec.Name, To: front.Spec.Name})
 		}
 	}
-	for pause(ctx, lostAnswersPause) == nil {
-		heal := bench.Fleet.Cut(answers...)
-		_ = pause(ctx, lostAnswersTime) // a cut that is over early is healed all the same
+	for sleep(ctx, lostAnswersInterval) == nil {
+		heal := env.Fleet.Partition(answers...)
+		_ = sleep(ctx, lostAnswersTime) // a cut that is over early is healed all the same
 		heal()
 	}
 }
@@ -147,45 +147,45 @@
 // manyConfigurations has a scheduler miss 300 configurations. Once it has
 // caught up the leading one is killed, so that the service hangs on it, and the
 // first of the orders is sent again.
-func manyConfigurations(ctx context.Context, bench Bench) error {
-	leading, err := leader(ctx, bench)
+func manyConfigurations(ctx context.Context, env Env) error {
+	leading, err := leader(ctx, env)
 	if err != nil {
 		return err
 	}
-	away := othersOf(bench, leading)[bench.Seed%2]
+	away := peersOf(env, leading)[env.Seed%2]
 	if err := away.Kill(); err != nil {
 		return err
 	}
-	first, err := putMany(ctx, bench)
+	first, err := putMany(ctx, env)
 	if err != nil {
 		return err
 	}
 	if err := startAll(ctx, []*fleet.Process{away}); err != nil {
 		return err
 	}
-	if err := waitCaughtUp(ctx, bench, away); err != nil {
+	if err := waitCaughtUp(ctx, env, away); err != nil {
 		return err
 	}
 	if err := leading.Kill(); err != nil {
 		return err
 	}
-	sendUntilAnswered(ctx, bench.Operator, first)
-	if _, err := bench.Operator.Read(ctx); err != nil {
+	sendUntilAnswered(ctx, env.Operator, first)
+	if _, err := env.Operator.Read(ctx); err != nil {
 		return fmt.Errorf("read after the restart: %w", err)
 	}
 	return startAll(ctx, []*fleet.Process{leading})
 }
 
 // putMany puts configurations one after the other; it returns the first order.
-func putMany(ctx context.Context, bench Bench) (order, error) {
-	present, err := bench.Operator.Read(ctx)
+func putMany(ctx context.Context, env Env) (order, error) {
+	present, err := env.Operator.Read(ctx)
 	if err != nil {
 		return order{}, fmt.Errorf("read the configuration in force: %w", err)
 	}
 	first := order{"lab-many-0", present.Version, tagged(present.Config, 0)}
 	base := present.Version
 	for number := range manyConfigs {
-		version, err := bench.Operator.Put(ctx, base, fmt.Sprintf("lab-many-%d", number), tagged(present.Config, number))
+		version, err := env.Operator.Put(ctx, base, fmt.Sprintf("lab-many-%d", number), tagged(present.Config, number))
 		if err != nil {
 			return order{}, fmt.Errorf("put configuration %d of %d: %w", number+1, manyConfigs, err)
 		}
@@ -196,8 +196,8 @@
 
 // waitCaughtUp waits until a scheduler has what was committed when the wait
 // began.
-func waitCaughtUp(ctx context.Context, bench Bench, scheduler *fleet.Process) error {
+func waitCaughtUp(ctx context.Context, env Env, scheduler *fleet.Process) error {
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
-	return bench.Fleet.WaitMatched(ctx, scheduler)
+	return env.Fleet.WaitCaughtUp(ctx, scheduler)
 }
--- a/testbed/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -12,8 +12,8 @@
 	"github.com/decklever/decklever/testbed/operator"
 )
 
-// Bench is what a scenario works on.
-type Bench struct {
+// Env is what a scenario works on.
+type Env struct {
 	Fleet    *fleet.Fleet
 	Operator *operator.Operator
 	// Callers hand in work beside the ordinary load.
@@ -36,7 +36,7 @@
 	// Prepare changes the deployment before the fleet starts. Default: nothing.
 	Prepare func(*deployment.Deployment)
 	// Run starts with the load and may outlast it.
-	Run func(context.Context, Bench) error
+	Run func(context.Context, Env) error
 }
 
 // All lists every scenario.
@@ -55,7 +55,7 @@
 		{Name: "shift-change", Summary: "restrepo: a full fleet, and a burst for the booked queue swaps at its moment", MinDuration: 30 * time.Second, Prepare: swapsRun.prepare, Run: swapsRun.run},
 		{Name: "billing-run", Summary: "cartago: a full fleet, and a burst for the booked queue billing at its moment", MinDuration: 30 * time.Second, Prepare: billingRun.prepare, Run: billingRun.run},
 		{Name: "flood", Summary: "20,000 jobs that must be refused and 5,000 that are cancelled in mass, after a quiet third", MinDuration: 60 * time.Second, Prepare: prepareFlood, Run: flood},
-	}, lossesAndLinks()...)
+	}, faultScenarios()...)
 }
 
 // Find returns the scenario of that name.
@@ -70,12 +70,12 @@
 	return Scenario{}, fmt.Errorf("scenario is %q, expected one of %v", name, names)
 }
 
-// pause waits; it reports an error if the context ends before.
-func pause(ctx context.Context, length time.Duration) error {
+// sleep waits; it reports an error if the context ends before.
+func sleep(ctx context.Context, length time.Duration) error {
 	if !contexttime.Sleep(ctx, length) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-func steady(context.Context, Bench) error { return nil }
+func steady(context.Context, Env) error { return nil }
--- a/testbed/scenario/scenario_test.go
+++ b/testbed/scenario/scenario_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestEachScenarioIsFoundByItsName(t *testing.T) {
+func TestFind_EachScenarioByName(t *testing.T) {
 	seen := map[string]bool{}
 	for _, one := range All() {
 		if seen[one.Name] || one.Summary == "" || one.Run == nil {
@@ -23,10 +23,10 @@
 	}
 }
 
-func TestPauseEndsWithItsContext(t *testing.T) {
+func TestSleep_EndsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := pause(ctx, time.Hour); !errors.Is(err, context.Canceled) {
+	if err := sleep(ctx, time.Hour); !errors.Is(err, context.Canceled) {
 		t.Errorf("pause returned %v", err)
 	}
 }
--- a/testbed/scenario/storm.go
+++ b/testbed/scenario/storm.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// stormAtOnce is how many faults there are at the same time at most.
-	stormAtOnce = 3
-	// stormPauseMin and stormPauseMax bound the time between two beginnings.
-	stormPauseMin = 500 * time.Millisecond
-	stormPauseMax = 2500 * time.Millisecond
+	// stormMaxFaults is how many faults there are at the same time at most.
+	stormMaxFaults = 3
+	// stormIntervalMin and stormIntervalMax bound the time between two beginnings.
+	stormIntervalMin = 500 * time.Millisecond
+	stormIntervalMax = 2500 * time.Millisecond
 	// stormFaultMin and stormFaultMax bound the length of a fault.
 	stormFaultMin = time.Second
 	stormFaultMax = 12 * time.Second
@@ -31,8 +31,8 @@
 // replaced no other fault hits the schedulers, and no two zones are without
 // their workers at once.
 type storm struct {
-	bench Bench
-	draw  *rand.Rand
+	env    Env
+	random *rand.Rand
 
 	// schedulers is held for reading during a fault of schedulers, for writing
 	// while a disk is replaced. zones and config allow one fault at a time.
@@ -41,8 +41,8 @@
 	config     sync.Mutex
 
 	mutex sync.Mutex
-	// taken are the processes that a fault has in hand.
-	taken    map[string]bool
+	// claimed are the processes that a fault has in hand.
+	claimed  map[string]bool
 	failures []error
 }
 
@@ -62,16 +62,16 @@
 // action causes a fault, lets it last, and undoes it.
 type action func(context.Context) error
 
-func runStorm(ctx context.Context, bench Bench) error {
-	s := &storm{bench: bench, draw: random(bench, "storm"), taken: map[string]bool{}}
-	slots := make(chan struct{}, stormAtOnce)
+func runStorm(ctx context.Context, env Env) error {
+	s := &storm{env: env, random: newRandom(env, "storm"), claimed: map[string]bool{}}
+	slots := make(chan struct{}, stormMaxFaults)
 	var faults sync.WaitGroup
-	for until := time.Now().Add(bench.Duration); time.Now().Before(until) && ctx.Err() == nil; {
-		if err := pause(ctx, s.between(stormPauseMin, stormPauseMax)); err != nil {
+	for until := time.Now().Add(env.Duration); time.Now().Before(until) && ctx.Err() == nil; {
+		if err := sleep(ctx, s.drawDuration(stormIntervalMin, stormIntervalMax)); err != nil {
 			break
 		}
 		slots <- struct{}{}
-		one := s.next(ctx)
+		one := s.drawFault(ctx)
 		faults.Go(func() { s.run(ctx, one); <-slots })
 	}
 	faults.Wait()
@@ -80,7 +80,7 @@
 
 // run carries out a fault unless another one rules it out.
 func (s *storm) run(ctx context.Context, one fault) {
-	if !s.take(one.targets) {
+	if !s.claim(one.targets) {
 		return
 	}
 	defer s.release(one.targets)
@@ -95,16 +95,16 @@
 	}
 }
 
-func (s *storm) take(targets []*fleet.Process) bool {
+func (s *storm) claim(targets []*fleet.Process) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, target := range targets {
-		if s.taken[target.Spec.Name] {
+		if s.claimed[target.Spec.Name] {
 			return false
 		}
 	}
 	for _, target := range targets {
-		s.taken[target.Spec.Name] = true
+		s.claimed[target.Spec.Name] = true
 	}
 	return true
 }
@@ -113,47 +113,47 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, target := range targets {
-		delete(s.taken, target.Spec.Name)
+		delete(s.claimed, target.Spec.Name)
 	}
 }
 
-func (s *storm) between(least, most time.Duration) time.Duration {
+func (s *storm) drawDuration(least, most time.Duration) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return least + time.Duration(s.draw.Int64N(int64(most-least)))
+	return least + time.Duration(s.random.Int64N(int64(most-least)))
 }
 
-func (s *storm) number(below int) int {
+func (s *storm) drawInt(below int) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.draw.IntN(below)
+	return s.random.IntN(below)
 }
 
-// any draws a process of a role.
-func (s *storm) any(role deployment.Role) *fleet.Process {
-	processes := s.bench.Fleet.ByRole(role)
-	return processes[s.number(len(processes))]
+// drawProcess draws a process of a role.
+func (s *storm) drawProcess(role deployment.Role) *fleet.Process {
+	processes := s.env.Fleet.ByRole(role)
+	return processes[s.drawInt(len(processes))]
 }
 
-// leaderOrAny returns the leading scheduler, or any if none is known.
-func (s *storm) leaderOrAny(ctx context.Context) *fleet.Process {
+// leaderOrDrawn returns the leading scheduler, or any if none is known.
+func (s *storm) leaderOrDrawn(ctx context.Context) *fleet.Process {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	if found, err := s.bench.Fleet.Leader(ctx); err == nil {
+	if found, err := s.env.Fleet.Leader(ctx); err == nil {
 		return found
 	}
-	return s.any(deployment.RoleScheduler)
+	return s.drawProcess(deployment.RoleScheduler)
 }
 
-// next draws a fault.
-func (s *storm) next(ctx context.Context) fault {
-	length := s.between(stormFaultMin, stormFaultMax)
+// drawFault draws a fault.
+func (s *storm) drawFault(ctx context.Context) fault {
+	length := s.drawDuration(stormFaultMin, stormFaultMax)
 	kinds := []func(context.Context, time.Duration) fault{
-		s.killLeader, s.killTwo, s.freezeLeader, s.cutLeader, s.cutZone, s.jumpClock, s.loseDisk,
-		s.killAny, s.killAny, s.freezeAny, s.cutWorker, s.cutWorker, s.crossAll, s.dropAll, s.holdAny,
+		s.killLeader, s.killTwo, s.freezeLeader, s.partitionLeader, s.partitionZone, s.jumpClock, s.loseDisk,
+		s.killAny, s.killAny, s.freezeAny, s.partitionWorker, s.partitionWorker, s.reorderAll, s.resetAll, s.stallAny,
 		s.drain, s.raceConfigs,
 	}
-	return kinds[s.number(len(kinds))](ctx, length)
+	return kinds[s.drawInt(len(kinds))](ctx, length)
 }
 
 // onSchedulers is a fault of schedulers; several may overlap.
--- a/testbed/scenario/storm_test.go
+++ b/testbed/scenario/storm_test.go
@@ -9,21 +9,21 @@
 	"github.com/decklever/decklever/testbed/netem"
 )
 
-func TestNoTwoFaultsHaveTheSameProcessInHand(t *testing.T) {
-	s := &storm{taken: map[string]bool{}}
+func TestStorm_ProcessHasOneFaultAtATime(t *testing.T) {
+	s := &storm{claimed: map[string]bool{}}
 	one := &fleet.Process{Spec: deployment.Process{Name: "one"}}
 	two := &fleet.Process{Spec: deployment.Process{Name: "two"}}
-	if !s.take([]*fleet.Process{one}) || s.take([]*fleet.Process{two, one}) || !s.take([]*fleet.Process{two}) {
+	if !s.claim([]*fleet.Process{one}) || s.claim([]*fleet.Process{two, one}) || !s.claim([]*fleet.Process{two}) {
 		t.Error("a process in hand was taken, or a free one was not")
 	}
 	s.release([]*fleet.Process{one})
-	if !s.take([]*fleet.Process{one}) {
+	if !s.claim([]*fleet.Process{one}) {
 		t.Error("a released process was not taken")
 	}
 }
 
-func TestNothingElseHitsTheSchedulersWhileADiskIsReplaced(t *testing.T) {
-	s := &storm{taken: map[string]bool{}}
+func TestStorm_DiskReplacementExcludesSchedulerFaults(t *testing.T) {
+	s := &storm{claimed: map[string]bool{}}
 	nothing := func(context.Context) error { return nil }
 	replace := locked(s.schedulers.TryLock, s.schedulers.Unlock, nothing)
 	kill := s.onSchedulers(nothing)
@@ -45,12 +45,12 @@
 	}
 }
 
-func TestOneWayKeepsEachLinkInOneDirection(t *testing.T) {
-	links := append(netem.Both("a", "b"), netem.Both("a", "c")...)
+func TestOneWay_KeepsOneDirectionOfEachLink(t *testing.T) {
+	links := append(netem.BothDirections("a", "b"), netem.BothDirections("a", "c")...)
 	for parity := range 2 {
-		kept := oneWay(links, parity)
-		if len(kept) != 2 || (kept[0].From == "a") != (parity == 0) || (kept[1].From == "a") != (parity == 0) {
-			t.Errorf("parity %d keeps %v", parity, kept)
+		oneDirection := oneWay(links, parity)
+		if len(oneDirection) != 2 || (oneDirection[0].From == "a") != (parity == 0) || (oneDirection[1].From == "a") != (parity == 0) {
+			t.Errorf("parity %d keeps %v", parity, oneDirection)
 		}
 	}
 }
--- a/testbed/scenario/stormfaults.go
+++ b/testbed/scenario/stormfaults.go
@@ -16,7 +16,7 @@
 // killFor kills processes and starts them again.
 func killFor(targets []*fleet.Process, length time.Duration) action {
 	return func(ctx context.Context) error {
-		failures := []error{killAll(targets), pause(ctx, length)}
+		failures := []error{killAll(targets), sleep(ctx, length)}
 		for _, target := range targets {
 			failures = append(failures, target.Start())
 		}
@@ -25,19 +25,19 @@
 }
 
 func (s *storm) killLeader(ctx context.Context, length time.Duration) fault {
-	targets := []*fleet.Process{s.leaderOrAny(ctx), s.any(deployment.RoleWorker)}
+	targets := []*fleet.Process{s.leaderOrDrawn(ctx), s.drawProcess(deployment.RoleWorker)}
 	return fault{targets, s.onSchedulers(killFor(targets, length))}
 }
 
 func (s *storm) killTwo(ctx context.Context, length time.Duration) fault {
-	first := s.leaderOrAny(ctx)
-	targets := []*fleet.Process{first, othersOf(s.bench, first)[s.number(deployment.Schedulers-1)]}
+	first := s.leaderOrDrawn(ctx)
+	targets := []*fleet.Process{first, peersOf(s.env, first)[s.drawInt(deployment.Schedulers-1)]}
 	return fault{targets, s.onSchedulers(killFor(targets, min(length, downTime)))}
 }
 
 func (s *storm) freezeLeader(ctx context.Context, length time.Duration) fault {
-	target := s.leaderOrAny(ctx)
-	if s.number(2) == 0 {
+	target := s.leaderOrDrawn(ctx)
+	if s.drawInt(2) == 0 {
 		length = frozenTime
 	}
 	return fault{[]*fleet.Process{target}, s.onSchedulers(func(ctx context.Context) error {
@@ -45,38 +45,38 @@
 	})}
 }
 
-func (s *storm) cutLeader(ctx context.Context, length time.Duration) fault {
-	target := s.leaderOrAny(ctx)
-	links := fleet.LinksBetween([]*fleet.Process{target}, othersOf(s.bench, target))
-	if s.number(2) == 0 {
-		links = oneWay(links, s.number(2))
+func (s *storm) partitionLeader(ctx context.Context, length time.Duration) fault {
+	target := s.leaderOrDrawn(ctx)
+	links := fleet.LinksBetween([]*fleet.Process{target}, peersOf(s.env, target))
+	if s.drawInt(2) == 0 {
+		links = oneWay(links, s.drawInt(2))
 	}
-	return fault{nil, s.onSchedulers(s.cut(links, length))}
+	return fault{nil, s.onSchedulers(s.partition(links, length))}
 }
 
 // oneWay keeps one of the two directions of each link.
 func oneWay(links []netem.Link, parity int) []netem.Link {
-	var kept []netem.Link
+	var oneDirection []netem.Link
 	for index, link := range links {
 		if index%2 == parity {
-			kept = append(kept, link)
+			oneDirection = append(oneDirection, link)
 		}
 	}
-	return kept
+	return oneDirection
 }
 
-func (s *storm) cut(links []netem.Link, length time.Duration) action {
+func (s *storm) partition(links []netem.Link, length time.Duration) action {
 	return func(ctx context.Context) error {
-		defer s.bench.Fleet.Cut(links...)()
-		return pause(ctx, length)
+		defer s.env.Fleet.Partition(links...)()
+		return sleep(ctx, length)
 	}
 }
 
-func (s *storm) cutZone(_ context.Context, length time.Duration) fault {
-	zone := deployment.ZoneName(1 + s.number(deployment.Zones))
-	links := s.bench.Fleet.LinksOfZone(zone)
+func (s *storm) partitionZone(_ context.Context, length time.Duration) fault {
+	zone := deployment.ZoneName(1 + s.drawInt(deployment.Zones))
+	links := s.env.Fleet.ZoneLinks(zone)
 	return fault{nil, locked(s.zones.TryLock, s.zones.Unlock, func(ctx context.Context) error {
-		if do := s.onSchedulers(s.cut(links, length))(); do != nil {
+		if do := s.onSchedulers(s.partition(links, length))(); do != nil {
 			return do(ctx)
 		}
 		return nil
@@ -84,98 +84,98 @@
 }
 
 func (s *storm) jumpClock(_ context.Context, length time.Duration) fault {
-	target := s.any(deployment.RoleScheduler)
+	target := s.drawProcess(deployment.RoleScheduler)
 	offset := clockJump
-	if s.number(2) == 0 {
+	if s.drawInt(2) == 0 {
 		offset = -clockJump
 	}
 	return fault{[]*fleet.Process{target}, always(func(ctx context.Context) error {
-		failures := []error{s.bench.Fleet.SetClock(target, offset), pause(ctx, length)}
-		return errors.Join(append(failures, s.bench.Fleet.SetClock(target, 0))...)
+		failures := []error{s.env.Fleet.SetClock(target, offset), sleep(ctx, length)}
+		return errors.Join(append(failures, s.env.Fleet.SetClock(target, 0))...)
 	})}
 }
 
 func (s *storm) loseDisk(context.Context, time.Duration) fault {
-	target := s.any(deployment.RoleScheduler)
+	target := s.drawProcess(deployment.RoleScheduler)
 	return fault{[]*fleet.Process{target}, locked(s.schedulers.TryLock, s.schedulers.Unlock, func(ctx context.Context) error {
-		return replaceDisk(ctx, s.bench, target)
+		return replaceDisk(ctx, s.env, target)
 	})}
 }
 
 func (s *storm) killAny(_ context.Context, length time.Duration) fault {
 	roles := []deployment.Role{deployment.RoleWorker, deployment.RoleAgent, deployment.RoleFront}
-	targets := []*fleet.Process{s.any(roles[s.number(len(roles))])}
+	targets := []*fleet.Process{s.drawProcess(roles[s.drawInt(len(roles))])}
 	return fault{targets, always(killFor(targets, length))}
 }
 
 func (s *storm) freezeAny(_ context.Context, length time.Duration) fault {
 	roles := []deployment.Role{deployment.RoleWorker, deployment.RoleAgent}
-	target := s.any(roles[s.number(len(roles))])
+	target := s.drawProcess(roles[s.drawInt(len(roles))])
 	return fault{[]*fleet.Process{target}, always(func(ctx context.Context) error { return freezeFor(ctx, target, length) })}
 }
 
-func (s *storm) cutWorker(_ context.Context, length time.Duration) fault {
-	worker := s.any(deployment.RoleWorker)
-	links := netem.Both(worker.Spec.Name, s.bench.Fleet.AgentOf(worker).Spec.Name)
-	if direction := s.number(3); direction < 2 {
+func (s *storm) partitionWorker(_ context.Context, length time.Duration) fault {
+	worker := s.drawProcess(deployment.RoleWorker)
+	links := netem.BothDirections(worker.Spec.Name, s.env.Fleet.AgentOf(worker).Spec.Name)
+	if direction := s.drawInt(3); direction < 2 {
 		links = links[direction : direction+1]
 	}
-	return fault{nil, always(s.cut(links, length))}
+	return fault{nil, always(s.partition(links, length))}
 }
 
-func (s *storm) crossAll(_ context.Context, length time.Duration) fault {
+func (s *storm) reorderAll(_ context.Context, length time.Duration) fault {
 	return fault{nil, always(func(ctx context.Context) error {
-		agents, schedulers := s.bench.Fleet.ByRole(deployment.RoleAgent), s.bench.Fleet.ByRole(deployment.RoleScheduler)
-		defer s.bench.Fleet.Cross(crossShare, crossTime, fleet.LinksBetween(agents, schedulers)...)()
-		return pause(ctx, length)
+		agents, schedulers := s.env.Fleet.ByRole(deployment.RoleAgent), s.env.Fleet.ByRole(deployment.RoleScheduler)
+		defer s.env.Fleet.Reorder(reorderProbability, reorderMaxDelay, fleet.LinksBetween(agents, schedulers)...)()
+		return sleep(ctx, length)
 	})}
 }
 
-func (s *storm) dropAll(context.Context, time.Duration) fault {
+func (s *storm) resetAll(context.Context, time.Duration) fault {
 	return fault{nil, always(func(context.Context) error {
-		schedulers := s.bench.Fleet.ByRole(deployment.RoleScheduler)
-		s.bench.Fleet.Drop(fleet.LinksBetween(schedulers, schedulers)...)
+		schedulers := s.env.Fleet.ByRole(deployment.RoleScheduler)
+		s.env.Fleet.ResetConnections(fleet.LinksBetween(schedulers, schedulers)...)
 		return nil
 	})}
 }
 
-func (s *storm) holdAny(context.Context, time.Duration) fault {
-	agent := s.any(deployment.RoleAgent)
-	return fault{nil, always(func(ctx context.Context) error { return holdAnswers(ctx, s.bench, agent) })}
+func (s *storm) stallAny(context.Context, time.Duration) fault {
+	agent := s.drawProcess(deployment.RoleAgent)
+	return fault{nil, always(func(ctx context.Context) error { return stallAnswers(ctx, s.env, agent) })}
 }
 
 func (s *storm) drain(_ context.Context, length time.Duration) fault {
-	drains := api.DrainConfig{Workers: []string{s.any(deployment.RoleWorker).Spec.Name}}
+	drains := api.DrainConfig{Workers: []string{s.drawProcess(deployment.RoleWorker).Spec.Name}}
 	return fault{nil, s.onConfig(func(ctx context.Context) error {
-		s.order(ctx, func(config *api.Config) { config.Drains = drains })
-		err := pause(ctx, length)
-		s.order(ctx, func(config *api.Config) { config.Drains = api.DrainConfig{} })
+		s.changeConfig(ctx, func(config *api.Config) { config.Drains = drains })
+		err := sleep(ctx, length)
+		s.changeConfig(ctx, func(config *api.Config) { config.Drains = api.DrainConfig{} })
 		return err
 	})}
 }
 
 func (s *storm) raceConfigs(_ context.Context, length time.Duration) fault {
-	draw := rand.New(rand.NewPCG(s.bench.Seed, uint64(s.number(stormIDs))))
-	firstTag := stormTags * (1 + s.number(stormTags))
+	draw := rand.New(rand.NewPCG(s.env.Seed, uint64(s.drawInt(stormIDs))))
+	firstTag := stormTags * (1 + s.drawInt(stormTags))
 	return fault{nil, s.onConfig(func(ctx context.Context) error {
 		racing, cancel := context.WithTimeout(ctx, length)
 		defer cancel()
-		configRace{s.bench, draw, firstTag}.run(ctx, racing)
+		configRace{s.env, draw, firstTag}.run(ctx, racing)
 		return nil
 	})}
 }
 
-// order changes the configuration, however long it takes to reach the fleet.
-func (s *storm) order(ctx context.Context, change func(*api.Config)) {
+// changeConfig changes the configuration, however long it takes to reach the fleet.
+func (s *storm) changeConfig(ctx context.Context, change func(*api.Config)) {
 	for ctx.Err() == nil {
 		limited, cancel := context.WithTimeout(ctx, orderTimeout)
-		present, err := s.bench.Operator.Read(limited)
+		present, err := s.env.Operator.Read(limited)
 		cancel()
 		if err != nil {
 			continue
 		}
 		change(&present.Config)
-		sendUntilAnswered(ctx, s.bench.Operator, order{fmt.Sprintf("lab-storm-%d", s.number(stormIDs)), present.Version, present.Config})
+		sendUntilAnswered(ctx, s.env.Operator, order{fmt.Sprintf("lab-storm-%d", s.drawInt(stormIDs)), present.Version, present.Config})
 		return
 	}
 }
--- a/testbed/scenario/versions.go
+++ b/testbed/scenario/versions.go
@@ -10,28 +10,28 @@
 
 // versionChange takes a fleet from one version of the programs to the other.
 type versionChange struct {
-	bench Bench
-	to    fleet.Version
+	env Env
+	to  fleet.Version
 	// tag is that of the newest configuration; each has one of its own.
 	tag int
 }
 
 // changeVersions changes every process from the previous programs to the present
 // ones and, once all run those, back.
-func changeVersions(ctx context.Context, bench Bench) error {
-	if err := pause(ctx, bench.Duration/16); err != nil {
+func changeVersions(ctx context.Context, env Env) error {
+	if err := sleep(ctx, env.Duration/16); err != nil {
 		return err
 	}
-	if err := bench.Fleet.CheckVersion(fleet.PreviousVersion); err != nil {
+	if err := env.Fleet.CheckVersion(fleet.PreviousVersion); err != nil {
 		return err
 	}
-	change := &versionChange{bench: bench}
+	change := &versionChange{env: env}
 	for _, version := range []fleet.Version{fleet.PresentVersion, fleet.PreviousVersion} {
 		change.to = version
 		if err := change.run(ctx); err != nil {
 			return fmt.Errorf("change to the %s version: %w", version, err)
 		}
-		if err := pause(ctx, bench.Duration/16); err != nil {
+		if err := sleep(ctx, env.Duration/16); err != nil {
 			return err
 		}
 	}
@@ -49,14 +49,14 @@
 			return err
 		}
 	}
-	return c.bench.Fleet.CheckVersion(c.to)
+	return c.env.Fleet.CheckVersion(c.to)
 }
 
 func (c *versionChange) changeRole(ctx context.Context, role deployment.Role) error {
 	if role == deployment.RoleScheduler {
 		return c.changeSchedulers(ctx)
 	}
-	for _, target := range c.bench.Fleet.ByRole(role) {
+	for _, target := range c.env.Fleet.ByRole(role) {
 		if err := c.restart(ctx, target); err != nil {
 			return err
 		}
@@ -69,14 +69,14 @@
 // gets snapshot and archive from a leader of the other version; the leader comes
 // second, so that the leadership passes while both versions are there.
 func (c *versionChange) changeSchedulers(ctx context.Context) error {
-	leading, err := leader(ctx, c.bench)
+	leading, err := leader(ctx, c.env)
 	if err != nil {
 		return err
 	}
-	followers := othersOf(c.bench, leading)
-	first := followers[c.bench.Seed%uint64(len(followers))]
-	first.Use(c.to)
-	if err := replaceDisk(ctx, c.bench, first); err != nil {
+	followers := peersOf(c.env, leading)
+	first := followers[c.env.Seed%uint64(len(followers))]
+	first.UseVersion(c.to)
+	if err := replaceDisk(ctx, c.env, first); err != nil {
 		return err
 	}
 	if err := c.configure(ctx); err != nil {
@@ -104,31 +104,31 @@
 	if err := c.restart(ctx, scheduler); err != nil {
 		return err
 	}
-	return waitCaughtUp(ctx, c.bench, scheduler)
+	return waitCaughtUp(ctx, c.env, scheduler)
 }
 
 // restart ends a process and starts it in the version to come.
 func (c *versionChange) restart(ctx context.Context, target *fleet.Process) error {
-	target.Use(c.to)
+	target.UseVersion(c.to)
 	if err := target.Restart(ctx); err != nil {
 		return err
 	}
-	if err := waitBack(ctx, target); err != nil {
+	if err := waitReady(ctx, target); err != nil {
 		return err
 	}
-	return pause(ctx, restartPause)
+	return sleep(ctx, restartInterval)
 }
 
 // configure orders a configuration and sees it in force.
 func (c *versionChange) configure(ctx context.Context) error {
 	c.tag++
-	present, err := c.bench.Operator.Read(ctx)
+	present, err := c.env.Operator.Read(ctx)
 	if err != nil {
 		return fmt.Errorf("read the configuration in force: %w", err)
 	}
 	wanted := order{fmt.Sprintf("lab-version-%d", c.tag), present.Version, tagged(present.Config, c.tag)}
-	sendUntilAnswered(ctx, c.bench.Operator, wanted)
-	inForce, err := c.bench.Operator.Read(ctx)
+	sendUntilAnswered(ctx, c.env.Operator, wanted)
+	inForce, err := c.env.Operator.Read(ctx)
 	if err != nil {
 		return fmt.Errorf("read the configuration in force: %w", err)
 	}
--- a/testbed/scenario/workers.go
+++ b/testbed/scenario/workers.go
@@ -17,12 +17,12 @@
 	allowedFailures = 2
 )
 
-// slowSome binds the services of some workers to the slow handler.
-func slowSome(d *deployment.Deployment) {
+// slowSomeWorkers binds the services of some workers to the slow handler.
+func slowSomeWorkers(d *deployment.Deployment) {
 	bound := 0
 	for index := range d.Processes {
 		if d.Processes[index].Role == deployment.RoleWorker && bound < slowWorkers {
-			bind(&d.Processes[index], "slow")
+			bindServices(&d.Processes[index], "slow")
 			bound++
 		}
 	}
@@ -31,11 +31,11 @@
 	}
 }
 
-// flakeAll binds the services of all workers to the flaky handler.
-func flakeAll(d *deployment.Deployment) {
+// makeWorkersFlaky binds the services of all workers to the flaky handler.
+func makeWorkersFlaky(d *deployment.Deployment) {
 	for index := range d.Processes {
 		if d.Processes[index].Role == deployment.RoleWorker {
-			bind(&d.Processes[index], "flaky")
+			bindServices(&d.Processes[index], "flaky")
 		}
 	}
 	for _, shape := range []*deployment.Shape{&d.Shapes.Short, &d.Shapes.Batch} {
@@ -43,8 +43,8 @@
 	}
 }
 
-// bind binds all services of a worker to another handler.
-func bind(worker *deployment.Process, handler string) {
+// bindServices binds all services of a worker to another handler.
+func bindServices(worker *deployment.Process, handler string) {
 	for index, entry := range worker.Services {
 		service, _, _ := strings.Cut(entry, "=")
 		worker.Services[index] = service + "=" + handler
