--- a/api/client.go
+++ b/api/client.go
@@ -20,17 +20,17 @@
 const (
 	// MaxWait is the longest that a front holds a read of a job.
 	MaxWait = 60 * time.Second
-	// defaultTryTimeout is a little longer than the 3 s in which a front
+	// defaultAttemptTimeout is a little longer than the 3 s in which a front
 	// answers, so that its own answer is what the client gets.
-	defaultTryTimeout = 4 * time.Second
+	defaultAttemptTimeout = 4 * time.Second
 	// maxAnswerBytes bounds the answer that the client reads.
 	maxAnswerBytes = 64 << 20
 	// Connections that are kept for the next call.
 	maxIdleConnections = 256
 	idleTimeout        = 60 * time.Second
 	// Pauses between tries that the front names no time for.
-	firstBackoff = 20 * time.Millisecond
-	maxBackoff   = time.Second
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
 	// maxRetryAfter bounds a pause that a front asks for.
 	maxRetryAfter = 10 * time.Second
 )
@@ -77,7 +77,7 @@
 		client.http = newHTTPClient()
 	}
 	if client.timeout <= 0 {
-		client.timeout = defaultTryTimeout
+		client.timeout = defaultAttemptTimeout
 	}
 	client.current.Store(rand.Int64N(int64(len(client.endpoints))))
 	return client, nil
@@ -98,52 +98,52 @@
 // Close closes idle connections; calls under way are not touched.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// clientCall is one call, however often it is tried.
-type clientCall struct {
+// clientRequest is one call, however often it is tried.
+type clientRequest struct {
 	method string
 	path   string
 	header http.Header
 	body   []byte
-	// held is how long the front may hold its answer.
-	held time.Duration
-	// renew changes the call before each try, as time passes. Optional.
-	renew func(*clientCall)
-	// effect: the call changes something, so a lost answer leaves its outcome
+	// answerWait is how long the front may hold its answer.
+	answerWait time.Duration
+	// prepare changes the call before each try, as time passes. Optional.
+	prepare func(*clientRequest)
+	// mutates: the call changes something, so a lost answer leaves its outcome
 	// unknown.
-	effect bool
+	mutates bool
 }
 
 // do tries the call at one endpoint after the other until it has an answer
 // that is not 503, or the context ends.
-func (c *Client) do(ctx context.Context, call clientCall, into any) error {
+func (c *Client) do(ctx context.Context, call clientRequest, into any) error {
 	endpoint := c.current.Load()
-	maybeDone := false
+	mayHaveTakenEffect := false
 	for attempt := 0; ; attempt++ {
-		if call.renew != nil {
-			call.renew(&call)
+		if call.prepare != nil {
+			call.prepare(&call)
 		}
-		failure := c.try(ctx, c.endpoints[endpoint], call, into)
+		failure := c.attempt(ctx, c.endpoints[endpoint], call, into)
 		if failure == nil || failure.Status != http.StatusServiceUnavailable {
 			c.current.Store(endpoint)
 		}
 		if failure == nil {
 			return nil
 		}
-		maybeDone = maybeDone || failure.Code == CodeOutcomeUnknown
-		if failure.Status == http.StatusServiceUnavailable && pause(ctx, c.retryPause(attempt, failure)) {
+		mayHaveTakenEffect = mayHaveTakenEffect || failure.Code == CodeOutcomeUnknown
+		if failure.Status == http.StatusServiceUnavailable && sleepBefore(ctx, c.retryDelay(attempt, failure)) {
 			endpoint = (endpoint + 1) % int64(len(c.endpoints))
 			continue
 		}
-		if maybeDone && failure.Code == CodeUnavailable {
+		if mayHaveTakenEffect && failure.Code == CodeUnavailable {
 			failure.Code = CodeOutcomeUnknown
 		}
 		return failure
 	}
 }
 
-// try makes one try at one endpoint.
-func (c *Client) try(ctx context.Context, endpoint string, call clientCall, into any) *Error {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout+call.held)
+// attempt makes one try at one endpoint.
+func (c *Client) attempt(ctx context.Context, endpoint string, call clientRequest, into any) *Error {
+	ctx, cancel := context.WithTimeout(ctx, c.timeout+call.answerWait)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, call.method, endpoint+call.path, bytes.NewReader(call.body))
 	if err != nil {
@@ -157,12 +157,12 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return noAnswer(call, err)
+		return connectionError(call, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return noAnswer(call, err)
+		return connectionError(call, err)
 	}
 	return readAnswer(response, body, into)
 }
@@ -199,23 +199,23 @@
 	return seconds.Milliseconds()
 }
 
-// noAnswer is the error of a call that got no answer. Only one that could not
+// connectionError is the error of a call that got no answer. Only one that could not
 // even connect had surely no effect.
-func noAnswer(call clientCall, err error) *Error {
+func connectionError(call clientRequest, err error) *Error {
 	failure := &Error{Status: http.StatusServiceUnavailable, Code: CodeUnavailable, Message: err.Error()}
 	var network *net.OpError
 	unsent := errors.As(err, &network) && network.Op == "dial"
-	if call.effect && !unsent {
+	if call.mutates && !unsent {
 		failure.Code = CodeOutcomeUnknown
 	}
 	return failure
 }
 
-// retryPause is the pause before the next try: what the front asked for, or
+// retryDelay is the pause before the next try: what the front asked for, or
 // an exponential backoff; between a half and the whole of it, so that
 // clients spread. What a front asked for is for that front: until each one was
 // tried, the next is tried after the first backoff.
-func (c *Client) retryPause(attempt int, failure *Error) time.Duration {
+func (c *Client) retryDelay(attempt int, failure *Error) time.Duration {
 	triedAll := (attempt+1)%len(c.endpoints) == 0
 	if !triedAll {
 		attempt = 0
@@ -224,13 +224,13 @@
 		asked := min(time.Duration(failure.RetryAfterMillis)*time.Millisecond, maxRetryAfter)
 		return asked + rand.N(asked/4+1)
 	}
-	longest := min(firstBackoff<<min(attempt, 10), maxBackoff)
+	longest := min(initialBackoff<<min(attempt, 10), maxBackoff)
 	return longest/2 + rand.N(longest/2)
 }
 
-// pause waits, and reports whether the context still goes on afterwards. It
+// sleepBefore waits, and reports whether the context still goes on afterwards. It
 // does not wait at all if the context would end before the pause does.
-func pause(ctx context.Context, length time.Duration) bool {
+func sleepBefore(ctx context.Context, length time.Duration) bool {
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= length {
 		return false
 	}
@@ -243,3 +243,19 @@
 		return true
 	}
 }
+
+// post makes a POST call that changes something.
+func (c *Client) post(ctx context.Context, path string, request, into any) error {
+	body, err := json.Marshal(request)
+	if err != nil {
+		return malformed(fmt.Sprintf("the request has no JSON form: %v", err))
+	}
+	err = c.do(ctx, clientRequest{method: http.MethodPost, path: path, body: body, mutates: true}, into)
+	return err
+}
+
+// get makes a plain GET call.
+func (c *Client) get(ctx context.Context, path string, into any) error {
+	err := c.do(ctx, clientRequest{method: http.MethodGet, path: path}, into)
+	return err
+}
--- a/api/booking_calls_test.go
+++ b/api/client_bookings_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestBookingCallsNameWhatTheyAskFor(t *testing.T) {
+func TestClient_BookingRequestsAndCancellation(t *testing.T) {
 	var calls atomic.Int64
 	var seen []string
 	recording := func(body any) http.HandlerFunc {
--- a/api/drain_calls.go
+++ b/api/client_drains.go
@@ -14,20 +14,20 @@
 // workers are given no new work until RestoreZone. Again, it changes nothing.
 func (c *Client) DrainZone(ctx context.Context, zone string) error {
 	var answer ZoneDrain
-	return c.do(ctx, clientCall{method: http.MethodPut, path: zoneDrainPath(zone), effect: true}, &answer)
+	return c.do(ctx, clientRequest{method: http.MethodPut, path: zoneDrainPath(zone), mutates: true}, &answer)
 }
 
 // RestoreZone takes the order of DrainZone back. What the configuration drains
 // stays drained. Again, or on a zone without an order, it changes nothing.
 func (c *Client) RestoreZone(ctx context.Context, zone string) error {
 	var answer ZoneDrain
-	return c.do(ctx, clientCall{method: http.MethodDelete, path: zoneDrainPath(zone), effect: true}, &answer)
+	return c.do(ctx, clientRequest{method: http.MethodDelete, path: zoneDrainPath(zone), mutates: true}, &answer)
 }
 
 // Drains reads the zones that are drained by orders.
 func (c *Client) Drains(ctx context.Context) (DrainList, error) {
 	var answer DrainList
-	err := c.read(ctx, DrainsPath, &answer)
+	err := c.get(ctx, DrainsPath, &answer)
 	return answer, err
 }
 
--- a/api/client_test.go
+++ b/api/client_test.go
@@ -43,7 +43,7 @@
 	return client
 }
 
-func TestClientGoesOnToTheNextEndpointAndStays(t *testing.T) {
+func TestClient_UnavailableEndpointFailsOver(t *testing.T) {
 	var firstCalls, secondCalls, thirdCalls atomic.Int64
 	unavailable := &Error{Status: 503, Code: CodeUnavailable, Message: "m", RetryAfterMillis: 1}
 	client := clientOf(t,
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestClientReturnsOtherRefusalsAtOnce(t *testing.T) {
+func TestClient_OtherErrorsAreNotRetried(t *testing.T) {
 	for status, code := range map[int]ErrorCode{429: CodeOverLimit, 409: CodeConflict, 422: CodeInvalid, 500: CodeInternal} {
 		var calls atomic.Int64
 		client := clientOf(t, endpointOf(t, &calls, answering(status, &Error{Status: status, Code: code, Message: "m", RetryAfterMillis: 700})))
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestClientSaysWhetherTheOutcomeIsKnown(t *testing.T) {
+func TestClient_LostAnswerIsOutcomeUnknown(t *testing.T) {
 	var calls atomic.Int64
 	client := clientOf(t, endpointOf(t, &calls, dropping))
 	// Nothing listens there, and no test beside this one is ever given the port.
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestClientHonoursRetryAfter(t *testing.T) {
+func TestClient_RetryAfterDelaysRetry(t *testing.T) {
 	var calls atomic.Int64
 	answer := func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Retry-After", "5")
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestClientPutConfigNamesBaseAndOrder(t *testing.T) {
+func TestClient_PutConfigSendsBaseAndOrderID(t *testing.T) {
 	var calls atomic.Int64
 	client := clientOf(t, endpointOf(t, &calls, func(writer http.ResponseWriter, request *http.Request) {
 		if request.Header.Get("If-Match") != `"7"` || request.Header.Get("Idempotency-Key") != "order" {
--- /dev/null
+++ b/api/config_status.go
@@ -0,0 +1,45 @@
+package api
+
+import "time"
+
+// ConfigStatus is the answer of GET and PUT /v1/config.
+type ConfigStatus struct {
+	// Version grows by one with each accepted configuration. Version 0 is the
+	// built-in empty one.
+	Version uint64 `json:"version"`
+	Config  Config `json:"config"`
+}
+
+// ConfigVersion is a row of GET /v1/config/versions.
+type ConfigVersion struct {
+	Version    uint64    `json:"version"`
+	OrderID    string    `json:"order_id"`
+	AcceptedAt time.Time `json:"accepted_at"`
+	Digest     string    `json:"digest"`
+}
+
+// ConfigVersions is the answer of GET /v1/config/versions, newest first.
+type ConfigVersions struct {
+	Versions []ConfigVersion `json:"versions"`
+}
+
+// ProcessRollout is a row of GET /v1/config/rollout: one live process.
+type ProcessRollout struct {
+	// Process is the settings' name of the process.
+	Process string `json:"process"`
+	// Role is "front" or "agent". Schedulers are not listed: the leader acts on
+	// the record itself, and a new one leads only once it has all of it.
+	Role string `json:"role"`
+	Zone string `json:"zone"`
+	// Version is the configuration that the process last said is in force.
+	Version uint64 `json:"version"`
+	// AgeMillis is the time since it said so.
+	AgeMillis int64 `json:"age_ms"`
+}
+
+// Rollout is the answer of GET /v1/config/rollout.
+type Rollout struct {
+	Version   uint64           `json:"version"`
+	Complete  bool             `json:"complete"`
+	Processes []ProcessRollout `json:"processes"`
+}
--- /dev/null
+++ b/api/decode_errors.go
@@ -0,0 +1,194 @@
+package api
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"strings"
+)
+
+// decodeError finds every field that made the decoder fail; the decoder itself
+// names only the first, and not always where it is.
+func decodeError(data []byte, into any, cause error) *Error {
+	var found fieldErrors
+	collectFieldErrors(&found, data, reflect.TypeOf(into).Elem(), "")
+	refusal := malformed("the body has unknown fields or wrong types")
+	refusal.Fields = found.result()
+	if len(refusal.Fields) == 0 {
+		refusal.Message = cause.Error()
+	}
+	return refusal
+}
+
+// collectFieldErrors compares a JSON value with the Go type that is to hold it.
+func collectFieldErrors(found *fieldErrors, data json.RawMessage, goType reflect.Type, path string) {
+	target := reflect.New(goType)
+	if decodesItself(target) || !isComposite(goType) {
+		if err := json.Unmarshal(data, target.Interface()); err != nil {
+			found.add(path, string(data), expectation(goType, err))
+		}
+		return
+	}
+	switch goType.Kind() {
+	case reflect.Pointer:
+		collectFieldErrors(found, data, goType.Elem(), path)
+	case reflect.Slice:
+		collectElementErrors(found, data, goType, path)
+	case reflect.Map:
+		collectMapErrors(found, data, goType, path)
+	default:
+		collectStructErrors(found, data, goType, path)
+	}
+}
+
+// collectElementErrors looks into a list.
+func collectElementErrors(found *fieldErrors, data json.RawMessage, goType reflect.Type, path string) {
+	var elements []json.RawMessage
+	if json.Unmarshal(data, &elements) != nil {
+		found.add(path, string(data), "a list")
+		return
+	}
+	for index, element := range elements {
+		collectFieldErrors(found, element, goType.Elem(), fmt.Sprintf("%s[%d]", path, index))
+	}
+}
+
+// collectMapErrors looks into a map.
+func collectMapErrors(found *fieldErrors, data json.RawMessage, goType reflect.Type, path string) {
+	members, ok := membersOf(data)
+	if !ok {
+		found.add(path, string(data), "an object")
+		return
+	}
+	for _, member := range members {
+		collectFieldErrors(found, member.value, goType.Elem(), joinPath(path, member.name))
+	}
+}
+
+// collectStructErrors looks into an object with known fields. Names match without
+// regard to case, as they do in encoding/json.
+func collectStructErrors(found *fieldErrors, data json.RawMessage, goType reflect.Type, path string) {
+	members, ok := membersOf(data)
+	if !ok {
+		found.add(path, string(data), "an object")
+		return
+	}
+	for _, member := range members {
+		field, known := fieldNamed(goType, member.name)
+		if !known {
+			found.add(joinPath(path, member.name), string(member.value), "no such field; known are "+knownFields(goType))
+			continue
+		}
+		collectFieldErrors(found, member.value, field, joinPath(path, member.name))
+	}
+}
+
+// jsonMember is one name and value of a JSON object.
+type jsonMember struct {
+	name  string
+	value json.RawMessage
+}
+
+// membersOf reads an object in its own order; null is an empty one.
+func membersOf(data json.RawMessage) ([]jsonMember, bool) {
+	if string(data) == "null" {
+		return nil, true
+	}
+	if len(data) == 0 || data[0] != '{' {
+		return nil, false
+	}
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	if _, err := decoder.Token(); err != nil {
+		return nil, false
+	}
+	var members []jsonMember
+	for decoder.More() {
+		name, err := decoder.Token()
+		if err != nil {
+			return nil, false
+		}
+		member := jsonMember{name: fmt.Sprint(name)}
+		if err := decoder.Decode(&member.value); err != nil {
+			return nil, false
+		}
+		members = append(members, member)
+	}
+	return members, true
+}
+
+// fieldNamed finds the type of a field by its JSON name.
+func fieldNamed(goType reflect.Type, name string) (reflect.Type, bool) {
+	for _, field := range reflect.VisibleFields(goType) {
+		if !field.Anonymous && strings.EqualFold(jsonName(field), name) {
+			return field.Type, true
+		}
+	}
+	return nil, false
+}
+
+// knownFields lists the JSON names of a struct's fields.
+func knownFields(goType reflect.Type) string {
+	var names []string
+	for _, field := range reflect.VisibleFields(goType) {
+		if !field.Anonymous {
+			names = append(names, jsonName(field))
+		}
+	}
+	return strings.Join(names, ", ")
+}
+
+// jsonName is the name of a struct's field in JSON.
+func jsonName(field reflect.StructField) string {
+	name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+	if name == "" {
+		return field.Name
+	}
+	return name
+}
+
+// isComposite reports whether values of the type have parts to look into.
+func isComposite(goType reflect.Type) bool {
+	switch goType.Kind() {
+	case reflect.Struct, reflect.Slice, reflect.Map, reflect.Pointer:
+		return true
+	default:
+		return false
+	}
+}
+
+// decodesItself reports whether the type has its own JSON form, such as a
+// time, a duration or a raw message.
+func decodesItself(target reflect.Value) bool {
+	_, ok := target.Interface().(json.Unmarshaler)
+	return ok
+}
+
+// expectation says what a value of the type must look like.
+func expectation(goType reflect.Type, cause error) string {
+	if goType == reflect.TypeFor[Duration]() {
+		return "a duration as text, such as \"250ms\" or \"1h30m\""
+	}
+	switch goType.Kind() {
+	case reflect.String:
+		return "text"
+	case reflect.Bool:
+		return "true or false"
+	case reflect.Int, reflect.Int32, reflect.Int64:
+		return "a whole number"
+	case reflect.Uint32, reflect.Uint64:
+		return "a whole number, not negative"
+	case reflect.Struct:
+		return "a time as text, such as \"2026-01-31T14:00:00Z\""
+	default:
+		return cause.Error()
+	}
+}
+
+// joinPath appends a field to a path.
+func joinPath(path, name string) string {
+	if path == "" {
+		return name
+	}
+	return path + "." + name
+}
--- a/api/fuzz_test.go
+++ b/api/decode_fuzz_test.go
@@ -44,3 +44,32 @@
 		}
 	})
 }
+
+// FuzzDecodeJob checks that no body panics, that every refusal says something,
+// and that what is taken survives being written and read again.
+func FuzzDecodeJob(f *testing.F) {
+	f.Add(`{"queue":"q","steps":[{"name":"a","tasks":[{"service":"s","payload":{"b":1,"a":null},"resources":{"cpu_millis":1}}]}]}`)
+	f.Add(`{"steps":[{"after":["a"],"not_before":"9999-12-31T23:59:59Z","tasks":[{"spread":{"by":"zone"},"max_duration":"1h"}]}]}`)
+	f.Add(`{"queue":{"x":[null]},"Steps":null,"unknown":{}}`)
+	f.Fuzz(func(t *testing.T, body string) {
+		var spec JobSpec
+		if err := DecodeStrict(strings.NewReader(body), &spec); err != nil {
+			if err.Code != CodeMalformed || err.Message == "" {
+				t.Fatalf("refusal %+v", err)
+			}
+			return
+		}
+		_ = ValidateJob("job", &spec, nil)
+		data, err := json.Marshal(spec)
+		if err != nil {
+			t.Fatalf("what was taken cannot be written: %v", err)
+		}
+		var again JobSpec
+		if err := DecodeStrict(strings.NewReader(string(data)), &again); err != nil {
+			t.Fatalf("what was written cannot be read: %v", err)
+		}
+		if spec.Digest() != again.Digest() {
+			t.Fatalf("digest changed for %s", data)
+		}
+	})
+}
--- a/api/decode_test.go
+++ b/api/decode_test.go
@@ -1,7 +1,6 @@
 package api
 
 import (
-	"encoding/json"
 	"errors"
 	"net/http"
 	"net/http/httptest"
@@ -10,7 +9,7 @@
 	"testing"
 )
 
-func TestDecodeStrictRefuses(t *testing.T) {
+func TestDecodeStrict_InvalidBodyIsRejected(t *testing.T) {
 	cases := []struct {
 		name, body string
 		fields     []string
@@ -50,7 +49,7 @@
 	}
 }
 
-func TestDecodeStrictTooLarge(t *testing.T) {
+func TestDecodeStrict_TooLargeBodyIsRejected(t *testing.T) {
 	body := http.MaxBytesReader(httptest.NewRecorder(), http.NoBody, 4)
 	if err := DecodeStrict(body, &JobSpec{}); err == nil || err.Code != CodeMalformed {
 		t.Fatalf("empty body: %v", err)
@@ -61,32 +60,3 @@
 		t.Fatalf("large body: %v", err)
 	}
 }
-
-// FuzzDecodeJob checks that no body panics, that every refusal says something,
-// and that what is taken survives being written and read again.
-func FuzzDecodeJob(f *testing.F) {
-	f.Add(`{"queue":"q","steps":[{"name":"a","tasks":[{"service":"s","payload":{"b":1,"a":null},"resources":{"cpu_millis":1}}]}]}`)
-	f.Add(`{"steps":[{"after":["a"],"not_before":"9999-12-31T23:59:59Z","tasks":[{"spread":{"by":"zone"},"max_duration":"1h"}]}]}`)
-	f.Add(`{"queue":{"x":[null]},"Steps":null,"unknown":{}}`)
-	f.Fuzz(func(t *testing.T, body string) {
-		var spec JobSpec
-		if err := DecodeStrict(strings.NewReader(body), &spec); err != nil {
-			if err.Code != CodeMalformed || err.Message == "" {
-				t.Fatalf("refusal %+v", err)
-			}
-			return
-		}
-		_ = ValidateJob("job", &spec, nil)
-		data, err := json.Marshal(spec)
-		if err != nil {
-			t.Fatalf("what was taken cannot be written: %v", err)
-		}
-		var again JobSpec
-		if err := DecodeStrict(strings.NewReader(string(data)), &again); err != nil {
-			t.Fatalf("what was written cannot be read: %v", err)
-		}
-		if spec.Digest() != again.Digest() {
-			t.Fatalf("digest changed for %s", data)
-		}
-	})
-}
--- a/api/defaults.go
+++ b/api/defaults.go
@@ -73,9 +73,9 @@
 }
 
 // setDefault replaces a zero by the default.
-func setDefault[T comparable](value *T, standard T) {
+func setDefault[T comparable](value *T, fallback T) {
 	var zero T
 	if *value == zero {
-		*value = standard
+		*value = fallback
 	}
 }
--- /dev/null
+++ b/api/job_status.go
@@ -0,0 +1,100 @@
+package api
+
+import "time"
+
+// State is the state of a job, a step or a task.
+type State string
+
+// States. Succeeded, Failed and Cancelled are final.
+const (
+	StatePending   State = "pending"
+	StateRunning   State = "running"
+	StateSucceeded State = "succeeded"
+	StateFailed    State = "failed"
+	StateCancelled State = "cancelled"
+)
+
+// Final reports whether the state can no longer change.
+func (s State) Final() bool {
+	return s == StateSucceeded || s == StateFailed || s == StateCancelled
+}
+
+// JobStatus is the answer of GET /v1/jobs/{id}.
+type JobStatus struct {
+	ID       string `json:"id"`
+	Queue    string `json:"queue"`
+	Priority int    `json:"priority"`
+	State    State  `json:"state"`
+	// SubmittedAt and EndedAt are cluster time. EndedAt is absent until no task
+	// can run any more: a job that was cancelled, or whose group in lockstep has
+	// succeeded, has its state at once, and its EndedAt when the last of its runs
+	// has stopped.
+	SubmittedAt time.Time  `json:"submitted_at"`
+	EndedAt     *time.Time `json:"ended_at,omitempty"`
+	// Occurrences is absent unless the job repeats.
+	Occurrences *OccurrenceStatus `json:"occurrences,omitempty"`
+	// Steps of a repeating job are those of its open occurrences in turn.
+	Steps []StepStatus `json:"steps,omitempty"`
+	// Archived is true once the job was reduced to its outcome.
+	Archived bool `json:"archived,omitempty"`
+}
+
+// OccurrenceStatus counts the occurrences of a repeating job.
+type OccurrenceStatus struct {
+	// Times is the number of all.
+	Times int `json:"times"`
+	// Open counts those whose tasks can run now or wait to: they have fallen
+	// due, or do so within a moment, and have not ended.
+	Open int `json:"open"`
+	// Succeeded, Failed and Cancelled count those that have ended; those that a
+	// cancel kept from falling due are cancelled.
+	Succeeded int `json:"succeeded"`
+	Failed    int `json:"failed"`
+	Cancelled int `json:"cancelled"`
+	// NextDue is when the first of those falls due that are neither open nor
+	// ended; absent if there is none.
+	NextDue *time.Time `json:"next_due,omitempty"`
+}
+
+// StepStatus is the state of one step.
+type StepStatus struct {
+	Name string `json:"name"`
+	// Occurrence is that of a repeating job, from 0.
+	Occurrence int          `json:"occurrence,omitempty"`
+	State      State        `json:"state"`
+	Tasks      []TaskStatus `json:"tasks"`
+}
+
+// TaskStatus is the state of one task.
+type TaskStatus struct {
+	// Task is the task's full name, "JOB/STEP/INDEX", followed by "/OCCURRENCE"
+	// where that is not 0.
+	Task  string `json:"task"`
+	State State  `json:"state"`
+	// Reason says why a pending task waits or how a final one ended.
+	Reason string `json:"reason,omitempty"`
+	// Run is the number of the newest run; 0 if none was placed.
+	Run uint32 `json:"run"`
+	// Worker is the name of the worker of the newest run.
+	Worker string `json:"worker,omitempty"`
+	// Failures counts failed runs; those of a task that runs until cancelled are
+	// counted anew with the failure of a run that was open for 10 s.
+	Failures int `json:"failures"`
+}
+
+// JobSummary is a row of GET /v1/jobs.
+type JobSummary struct {
+	ID          string    `json:"id"`
+	Queue       string    `json:"queue"`
+	State       State     `json:"state"`
+	SubmittedAt time.Time `json:"submitted_at"`
+	TasksTotal  int       `json:"tasks_total"`
+	TasksEnded  int       `json:"tasks_ended"`
+}
+
+// JobList is the answer of GET /v1/jobs.
+type JobList struct {
+	Jobs []JobSummary `json:"jobs"`
+	// NextPageToken is empty on the last page.
+	NextPageToken string `json:"next_page_token,omitempty"`
+}
--- a/api/job_tasks.go
+++ b/api/job_tasks.go
@@ -7,10 +7,6 @@
 	"slices"
 )
 
-// MaxReplicas bounds the equal tasks of one step, whatever the configuration
-// says, so that sums over steps stay within an int.
-const MaxReplicas = 1_000_000
-
 // TaskCount is the number of the step's tasks, each replica counted.
 func (s *StepSpec) TaskCount() int {
 	if s.replicated() {
@@ -73,7 +69,7 @@
 			}
 		}
 	}
-	return errors.all()
+	return errors.result()
 }
 
 // expectedService says what a task of a queue without a service must have.
@@ -84,13 +80,13 @@
 // PayloadOf is what is handed to a task: its own payload, else the job's. A
 // payload of null is none.
 func (s *JobSpec) PayloadOf(task *TaskSpec) json.RawMessage {
-	if noPayload(task.Payload) {
+	if isNullPayload(task.Payload) {
 		return s.Payload
 	}
 	return task.Payload
 }
 
-func noPayload(payload json.RawMessage) bool {
+func isNullPayload(payload json.RawMessage) bool {
 	trimmed := bytes.TrimSpace(payload)
 	return len(trimmed) == 0 || string(trimmed) == "null"
 }
--- /dev/null
+++ b/api/resources.go
@@ -0,0 +1,26 @@
+package api
+
+// Resources is an amount of room, of a worker or of a task.
+type Resources struct {
+	// CPUMillis is processor share in thousandths of a core.
+	CPUMillis int64 `json:"cpu_millis,omitempty" yaml:"cpu_millis"`
+	// MemoryMB is memory in mebibytes.
+	MemoryMB int64 `json:"memory_mb,omitempty" yaml:"memory_mb"`
+	// Accelerators is a count of whole devices.
+	Accelerators int64 `json:"accelerators,omitempty" yaml:"accelerators"`
+}
+
+// Add returns the sum of both amounts.
+func (r Resources) Add(other Resources) Resources {
+	return Resources{r.CPUMillis + other.CPUMillis, r.MemoryMB + other.MemoryMB, r.Accelerators + other.Accelerators}
+}
+
+// Sub returns r less other; it may be negative.
+func (r Resources) Sub(other Resources) Resources {
+	return Resources{r.CPUMillis - other.CPUMillis, r.MemoryMB - other.MemoryMB, r.Accelerators - other.Accelerators}
+}
+
+// Fits reports whether r is no larger than room in every dimension.
+func (r Resources) Fits(room Resources) bool {
+	return r.CPUMillis <= room.CPUMillis && r.MemoryMB <= room.MemoryMB && r.Accelerators <= room.Accelerators
+}
--- a/api/schedule_test.go
+++ b/api/schedule_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestNextAgreesWithEveryMinute walks real minutes around changes of the clock
+// TestSchedule_NextAgreesWithEveryMinute walks real minutes around changes of the clock
 // and holds Next against what its documentation says of each of them.
-func TestNextAgreesWithEveryMinute(t *testing.T) {
+func TestSchedule_NextAgreesWithEveryMinute(t *testing.T) {
 	changes := map[string][]string{
 		"America/New_York":    {"2026-03-08T07:00:00Z", "2026-11-01T06:00:00Z"},
 		"Europe/Berlin":       {"2026-03-29T01:00:00Z", "2026-10-25T01:00:00Z"},
--- a/api/validate_fields_test.go
+++ b/api/validate_annotations_test.go
@@ -6,7 +6,6 @@
 	"slices"
 	"strings"
 	"testing"
-	"time"
 )
 
 // annotations returns count entries, the first with a value of so many bytes.
@@ -19,54 +18,7 @@
 	return made
 }
 
-func TestValidatePlacementFields(t *testing.T) {
-	cases := []struct {
-		name   string
-		change func(step *StepSpec, task *TaskSpec)
-		want   []string
-	}{
-		{"colocate by zone", func(step *StepSpec, _ *TaskSpec) { step.Colocate = "zone" }, nil},
-		{"colocate by label", func(step *StepSpec, _ *TaskSpec) { step.Colocate = "label:rack" }, nil},
-		{"colocate by worker", func(step *StepSpec, _ *TaskSpec) { step.Colocate = "worker" }, []string{"steps[0].colocate"}},
-		{"colocate by no label", func(step *StepSpec, _ *TaskSpec) { step.Colocate = "label:" }, []string{"steps[0].colocate"}},
-		{"prefer", func(_ *StepSpec, task *TaskSpec) { task.Prefer = map[string]string{"disk": ""} }, nil},
-		{"prefer no label", func(_ *StepSpec, task *TaskSpec) { task.Prefer = map[string]string{"": "x"} }, []string{"steps[0].tasks[0].prefer"}},
-		{"estimate", func(_ *StepSpec, task *TaskSpec) { task.Estimate = Duration(time.Hour) }, nil},
-		{"negative estimate", func(_ *StepSpec, task *TaskSpec) { task.Estimate = -1 }, []string{"steps[0].tasks[0].estimate"}},
-		{"resumable", func(_ *StepSpec, task *TaskSpec) { task.Resumable = true }, nil},
-		{"lockstep", func(step *StepSpec, _ *TaskSpec) { step.Lockstep, step.Replicas = true, MaxGroupMembers }, nil},
-		{"large lockstep", func(step *StepSpec, _ *TaskSpec) { step.Lockstep, step.Replicas = true, MaxGroupMembers+1 }, []string{"steps[0].replicas"}},
-		{"lockstep of listed tasks", func(step *StepSpec, task *TaskSpec) {
-			step.Lockstep, step.Tasks = true, slices.Repeat([]TaskSpec{*task}, MaxGroupMembers+1)
-		}, []string{"steps[0].tasks"}},
-		{"backup runs", func(_ *StepSpec, task *TaskSpec) { task.BackupRuns = true }, nil},
-		{"backup runs in lockstep", func(step *StepSpec, task *TaskSpec) { task.BackupRuns, step.Lockstep = true, true }, []string{"steps[0].tasks[0].backup_runs"}},
-		{"backup runs in a group", func(step *StepSpec, task *TaskSpec) { task.BackupRuns, step.Together = true, true }, []string{"steps[0].tasks[0].backup_runs"}},
-		{"backup runs until cancelled", func(_ *StepSpec, task *TaskSpec) { task.BackupRuns, task.UntilCancelled = true, true }, []string{"steps[0].tasks[0].backup_runs"}},
-	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			spec := validJob()
-			c.change(&spec.Steps[0], &spec.Steps[0].Tasks[0])
-			if got := fieldNames(ValidateJob("job-1", spec, validConfig())); !slices.Equal(got, c.want) {
-				t.Fatalf("wrong fields %v, want %v", got, c.want)
-			}
-		})
-	}
-}
-
-func TestLockstepIsHeldToTheBoundsOfItsQueue(t *testing.T) {
-	config := validConfig()
-	config.Queues[0].MaxRunningTasks = 3
-	spec := validJob()
-	spec.Steps[0].Lockstep, spec.Steps[0].Replicas = true, 4
-	fields := ValidateJob("job-1", spec, config)
-	if len(fields) != 1 || fields[0].Field != "steps[0].replicas" || !strings.Contains(fields[0].Expected, "max_running_tasks") {
-		t.Fatalf("a group of 4 where 3 can run: %+v", fields)
-	}
-}
-
-func TestValidateAnnotationsAndObjective(t *testing.T) {
+func TestValidateConfig_AnnotationsAndObjective(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(c *Config)
--- a/api/validate_booking_test.go
+++ b/api/validate_booking_test.go
@@ -1,7 +1,6 @@
 package api
 
 import (
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -26,7 +25,7 @@
 	}
 }
 
-func TestValidateBookingsNamesEveryWrongField(t *testing.T) {
+func TestValidateConfig_BookingNamesEveryInvalidField(t *testing.T) {
 	const at = "queues[0].bookings[0]"
 	cases := []struct {
 		name   string
@@ -150,7 +149,7 @@
 	}
 }
 
-func TestFrequentSchedulesAreCheckedInBoundedWork(t *testing.T) {
+func TestValidateConfig_FrequentSchedulesTakeBoundedTime(t *testing.T) {
 	config := bookedConfig()
 	booking := &config.Queues[0].Bookings[0]
 	booking.DailyAt, booking.Cron = "", "* * * * *"
@@ -159,36 +158,3 @@
 		t.Fatalf("refused: %v", fields)
 	}
 }
-
-func TestGroupLargerThanItsQuotaIsRefused(t *testing.T) {
-	config := bookedConfig()
-	config.Queues[0].MaxRunningTasks = 3
-	config.Teams[0].MaxRunningTasks = 2
-	spec := validJob()
-	spec.Steps[1].Tasks = slices.Repeat(spec.Steps[1].Tasks, 2)
-	spec.Steps[2].Tasks = slices.Repeat(spec.Steps[2].Tasks, 4)
-	want := []FieldError{
-		{"steps[2].tasks", "4 tasks", `at most 3 tasks in a step that starts together, max_running_tasks of queue "default"`},
-		{"steps[2].tasks", "4 tasks", `at most 2 tasks in a step that starts together, max_running_tasks of team "team"`},
-	}
-	if diff := cmp.Diff(want, ValidateJob("job", spec, config)); diff != "" {
-		t.Fatalf("wrong fields (-want +got):\n%s", diff)
-	}
-	spec.Steps[2].Tasks = spec.Steps[2].Tasks[:2]
-	if fields := ValidateJob("job", spec, config); len(fields) > 0 {
-		t.Fatalf("refused: %v", fields)
-	}
-}
-
-func TestBookingDefaults(t *testing.T) {
-	config := bookedConfig()
-	config.Queues[0].Bookings[0].TimeZone = ""
-	full := config.WithDefaults()
-	booking := full.Queues[0].Bookings[0]
-	if booking.Lead != Duration(5*time.Minute) || booking.TimeZone != "UTC" || full.Timings.MaxPreemptions != 3 {
-		t.Fatalf("defaults %+v, %d preemptions", booking, full.Timings.MaxPreemptions)
-	}
-	if original := config.Queues[0].Bookings[0]; original.Lead != 0 || original.TimeZone != "" {
-		t.Fatalf("the original became %+v", original)
-	}
-}
--- /dev/null
+++ b/api/validate_objective.go
@@ -0,0 +1,16 @@
+package api
+
+import "fmt"
+
+// checkObjective checks the time within which jobs should end.
+func checkObjective(errors *fieldErrors, path string, objective *ObjectiveConfig) {
+	if objective == nil {
+		return
+	}
+	checkAtLeast(errors, path+".target", objective.Target, 0)
+	// Written so that what is not a number is wrong too.
+	if !(objective.Stretch >= 0 && objective.Stretch <= MaxStretch) {
+		errors.add(path+".stretch", objective.Stretch, fmt.Sprintf("0 to %v", MaxStretch))
+	}
+	checkFactor(errors, path+".refuse_beyond", objective.RefuseBeyond, 1, MaxRefuseBeyond)
+}
--- a/api/validate_repeat.go
+++ b/api/validate_repeat.go
@@ -5,18 +5,8 @@
 	"time"
 )
 
-// maxYear is the last year that RFC 3339 can write.
-const maxYear = 9999
-
-// checkTime notes a time whose year cannot be written in RFC 3339.
-func checkTime(errors *fieldErrors, field string, moment time.Time) {
-	if year := moment.UTC().Year(); year < 1 || year > maxYear {
-		errors.add(field, moment, "a time in the years 1 to 9999")
-	}
-}
-
-// repeat checks when the job runs again.
-func (c *jobCheck) repeat() {
+// checkRepeat checks when the job runs again.
+func (c *jobValidator) checkRepeat() {
 	repeat := c.spec.Repeat
 	if repeat == nil {
 		return
@@ -27,7 +17,7 @@
 	} else {
 		checkTime(&c.errors, "repeat.first", repeat.First)
 	}
-	c.interval(repeat)
+	c.checkInterval(repeat)
 	for index := range c.spec.Steps {
 		if before := c.spec.Steps[index].NotBefore; before != nil {
 			c.errors.add(fmt.Sprintf("steps[%d].not_before", index), before.Format(time.RFC3339Nano), "no start time of a step beside repeat, which says when each occurrence falls due")
@@ -35,9 +25,9 @@
 	}
 }
 
-// interval checks the time between occurrences, and that the last of them falls
+// checkInterval checks the time between occurrences, and that the last of them falls
 // due within the years that can be written.
-func (c *jobCheck) interval(repeat *RepeatSpec) {
+func (c *jobValidator) checkInterval(repeat *RepeatSpec) {
 	switch {
 	case repeat.Interval < 0, repeat.Interval == 0 && repeat.Times > 1:
 		c.errors.add("repeat.interval", repeat.Interval, "over 0s, as repeat.times is more than 1")
--- /dev/null
+++ b/api/validate_step_cycles.go
@@ -0,0 +1,67 @@
+package api
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// visitState is where the depth-first search is with a step.
+type visitState uint8
+
+const (
+	unvisited visitState = iota
+	onPath
+	visited
+)
+
+// cycleSearch looks for cycles between steps by depth-first search: an edge
+// back to a step on the current path closes a cycle.
+type cycleSearch struct {
+	validator *jobValidator
+	states    []visitState
+	path      []int
+}
+
+// checkCycles notes each cycle found at the step that closes it. Steps that wait
+// for themselves or for unknown ones are noted elsewhere.
+func (c *jobValidator) checkCycles() {
+	search := cycleSearch{validator: c, states: make([]visitState, len(c.spec.Steps))}
+	for index := range c.spec.Steps {
+		if search.states[index] == unvisited {
+			search.visit(index)
+		}
+	}
+}
+
+// visit follows the After lists from one step.
+func (s *cycleSearch) visit(index int) {
+	s.states[index] = onPath
+	s.path = append(s.path, index)
+	for number, name := range s.validator.spec.Steps[index].After {
+		next, known := s.validator.stepIndex[name]
+		if !known || next == index {
+			continue
+		}
+		switch s.states[next] {
+		case unvisited:
+			s.visit(next)
+		case onPath:
+			s.addCycle(index, number, next)
+		}
+	}
+	s.path = s.path[:len(s.path)-1]
+	s.states[index] = visited
+}
+
+// addCycle names the cycle that step index closes by waiting for step first.
+func (s *cycleSearch) addCycle(index, number, first int) {
+	start := slices.Index(s.path, first)
+	names := make([]string, 0, len(s.path)-start+1)
+	for _, step := range s.path[start:] {
+		names = append(names, s.validator.spec.Steps[step].Name)
+	}
+	names = append(names, s.validator.spec.Steps[first].Name)
+	s.validator.errors.add(fmt.Sprintf("steps[%d].after[%d]", index, number),
+		strings.Join(names, " after "), "no cycle between steps")
+}
--- a/worker/client.go
+++ b/worker/client.go
@@ -63,11 +63,11 @@
 }
 
 func readError(response *http.Response) error {
-	refusal := &api.Error{}
+	rejection := &api.Error{}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-	if err != nil || json.Unmarshal(body, refusal) != nil || refusal.Code == "" {
-		refusal = &api.Error{Code: api.CodeInternal, Message: "agent answered " + response.Status}
+	if err != nil || json.Unmarshal(body, rejection) != nil || rejection.Code == "" {
+		rejection = &api.Error{Code: api.CodeInternal, Message: "agent answered " + response.Status}
 	}
-	refusal.Status = response.StatusCode
-	return refusal
+	rejection.Status = response.StatusCode
+	return rejection
 }
--- a/worker/execute.go
+++ b/worker/execute.go
@@ -24,9 +24,9 @@
 	if w.config.OnStart != nil {
 		w.config.OnStart(event)
 	}
-	result := w.guard(ctx, handler, task)
-	ended := report(task.RunRef, result, context.Cause(ctx))
-	ended.Checkpoint = task.left(ended.Outcome)
+	result := w.callHandler(ctx, handler, task)
+	ended := endedRunOf(task.RunRef, result, context.Cause(ctx))
+	ended.Checkpoint = task.finalCheckpoint(ended.Outcome)
 	if w.config.OnEnd != nil {
 		event.Outcome = ended.Outcome
 		w.config.OnEnd(event)
@@ -43,8 +43,8 @@
 	return api.EndedRun{RunRef: task.RunRef, Outcome: api.OutcomeStopped, Message: "not started: " + cause.Error()}
 }
 
-// guard calls the handler and turns a panic into an error.
-func (w *Worker) guard(ctx context.Context, handler Handler, task Task) (err error) {
+// callHandler calls the handler and turns a panic into an error.
+func (w *Worker) callHandler(ctx context.Context, handler Handler, task Task) (err error) {
 	defer func() {
 		if value := recover(); value != nil {
 			w.config.Logger.Error("handler panicked", slog.String("task", task.Task), slog.Uint64("run", uint64(task.Run)),
--- a/worker/loop.go
+++ b/worker/loop.go
@@ -25,8 +25,8 @@
 	blockedLogInterval = 10 * time.Second
 )
 
-// exchange is what came of one heartbeat.
-type exchange struct {
+// heartbeatResult is what came of one heartbeat.
+type heartbeatResult struct {
 	answer api.HeartbeatAnswer
 	err    error
 }
@@ -38,31 +38,31 @@
 	session *session
 	logger  *slog.Logger
 
-	answers chan exchange
-	ends    chan api.EndedRun
-	done    chan struct{} // closed once nobody reads ends
-	cancels map[api.RunRef]context.CancelCauseFunc
-	// holdUntil is the session's, for handlers that ask Task.Held.
-	holdUntil atomic.Int64
+	answers   chan heartbeatResult
+	endedRuns chan api.EndedRun
+	done      chan struct{} // closed once nobody reads ends
+	cancels   map[api.RunRef]context.CancelCauseFunc
+	// leaseExpiry is the session's, for handlers that ask Task.Held.
+	leaseExpiry atomic.Int64
 
-	dueAt        time.Duration // of the next heartbeat
-	urgent       bool          // something ended while a heartbeat was outstanding
-	failing      bool          // the last heartbeat had no usable answer
-	cancelAt     time.Duration // when a draining worker cancels its runs
-	leaveAt      time.Duration // when it leaves in any case
-	cancelled    bool
-	blockedLogAt time.Duration // of the next log about handlers that go on
+	nextHeartbeatAt  time.Duration // of the next heartbeat
+	heartbeatPending bool          // something ended while a heartbeat was outstanding
+	failing          bool          // the last heartbeat had no usable answer
+	cancelAt         time.Duration // when a draining worker cancels its runs
+	leaveAt          time.Duration // when it leaves in any case
+	cancelled        bool
+	blockedLogAt     time.Duration // of the next log about handlers that go on
 }
 
 func newLoop(w *Worker) *loop {
 	return &loop{
-		worker:  w,
-		session: newSession(w.identity()),
-		logger:  w.config.Logger.With(slog.String("worker", w.config.Name), slog.String("worker_id", w.workerID)),
-		answers: make(chan exchange, 1),
-		ends:    make(chan api.EndedRun),
-		done:    make(chan struct{}),
-		cancels: make(map[api.RunRef]context.CancelCauseFunc),
+		worker:    w,
+		session:   newSession(w.identity()),
+		logger:    w.config.Logger.With(slog.String("worker", w.config.Name), slog.String("worker_id", w.workerID)),
+		answers:   make(chan heartbeatResult, 1),
+		endedRuns: make(chan api.EndedRun),
+		done:      make(chan struct{}),
+		cancels:   make(map[api.RunRef]context.CancelCauseFunc),
 	}
 }
 
@@ -78,11 +78,11 @@
 	defer timer.Stop()
 	for {
 		now := l.now()
-		l.checkTimes(now)
-		if l.over(now) {
+		l.handleDeadlines(now)
+		if l.shouldLeave(now) {
 			return l.leave()
 		}
-		if !l.session.outstanding && now >= l.dueAt {
+		if !l.session.outstanding && now >= l.nextHeartbeatAt {
 			l.send(requestContext, &requests, now)
 		}
 		timer.Reset(l.wakeAt() - now)
@@ -91,9 +91,9 @@
 			leave = nil
 			l.drain(l.now())
 		case result := <-l.answers:
-			l.received(handlerContext, result)
-		case ended := <-l.ends:
-			l.finished(ended)
+			l.handleResult(handlerContext, result)
+		case ended := <-l.endedRuns:
+			l.handleEndedRun(ended)
 		case <-timer.C:
 		}
 	}
@@ -101,9 +101,9 @@
 
 func (l *loop) now() time.Duration { return l.worker.config.Clock() }
 
-// checkTimes does what is due by the clock alone.
-func (l *loop) checkTimes(now time.Duration) {
-	l.expire(now)
+// handleDeadlines does what is due by the clock alone.
+func (l *loop) handleDeadlines(now time.Duration) {
+	l.expireLease(now)
 	if l.session.draining && !l.cancelled && now >= l.cancelAt {
 		l.cancelled = true
 		l.cancelRuns(l.session.stopAll(), ErrDraining)
@@ -114,9 +114,9 @@
 	}
 }
 
-// expire stops everything if the hold has lapsed.
-func (l *loop) expire(now time.Duration) {
-	stop := l.session.expire(now)
+// expireLease stops everything if the hold has lapsed.
+func (l *loop) expireLease(now time.Duration) {
+	stop := l.session.expireLease(now)
 	if len(stop) == 0 {
 		return
 	}
@@ -136,21 +136,21 @@
 func (l *loop) send(ctx context.Context, requests *sync.WaitGroup, now time.Duration) {
 	heartbeat := l.session.nextHeartbeat(now)
 	timeout := requestTimeout
-	if l.session.hold > 0 {
-		timeout = min(timeout, l.session.hold/2)
+	if l.session.lease > 0 {
+		timeout = min(timeout, l.session.lease/2)
 	}
 	requests.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		answer, err := l.worker.client.post(ctx, heartbeat)
-		l.answers <- exchange{answer: answer, err: err}
+		l.answers <- heartbeatResult{answer: answer, err: err}
 	})
 }
 
-// received handles the end of a heartbeat's request.
-func (l *loop) received(ctx context.Context, result exchange) {
+// handleResult handles the end of a heartbeat's request.
+func (l *loop) handleResult(ctx context.Context, result heartbeatResult) {
 	now := l.now()
-	l.expire(now)
+	l.expireLease(now)
 	if result.err != nil {
 		l.heartbeatFailed(now, "heartbeat failed", result.err)
 		return
@@ -164,16 +164,16 @@
 		l.logger.Info("heartbeats are answered again", slog.Uint64("seq", l.session.seq))
 	}
 	l.failing = false
-	l.holdUntil.Store(int64(l.session.holdUntil))
-	l.dueAt = l.session.sentAt + jitter(l.session.interval)
+	l.leaseExpiry.Store(int64(l.session.leaseExpiry))
+	l.nextHeartbeatAt = l.session.sentAt + jitter(l.session.interval)
 	l.cancelRuns(todo.stop, ErrStopped)
 	for _, order := range todo.start {
 		l.start(ctx, order)
 	}
 	l.logOrders(todo)
-	if l.urgent || len(todo.refused) > 0 || l.session.heldBack {
-		l.urgent = false
-		l.sendSoon(now)
+	if l.heartbeatPending || len(todo.rejected) > 0 || l.session.reportsDeferred {
+		l.heartbeatPending = false
+		l.scheduleHeartbeat(now)
 	}
 }
 
@@ -183,17 +183,17 @@
 		level = slog.LevelWarn
 	}
 	l.logger.Log(context.Background(), level, message, slog.Uint64("seq", l.session.seq), slog.Any("error", err))
-	l.session.abandon()
+	l.session.abandonHeartbeat()
 	l.failing = true
-	l.urgent = false
-	l.dueAt = now + jitter(l.session.interval)
+	l.heartbeatPending = false
+	l.nextHeartbeatAt = now + jitter(l.session.interval)
 }
 
 func (l *loop) logOrders(todo actions) {
-	for _, ref := range todo.doubled {
+	for _, ref := range todo.duplicates {
 		l.logger.Error("order for a known run ignored", slog.String("task", ref.Task), slog.Uint64("run", uint64(ref.Run)))
 	}
-	for _, run := range todo.refused {
+	for _, run := range todo.rejected {
 		l.logger.Warn("order refused", slog.String("task", run.Task), slog.Uint64("run", uint64(run.Run)), slog.String("reason", run.Message))
 	}
 }
@@ -204,39 +204,39 @@
 	l.cancels[order.RunRef] = cancel
 	task := Task{RunRef: order.RunRef, Token: l.session.token, Spec: order.Spec, Checkpoint: order.Checkpoint}
 	task.progress = &l.session.running[order.RunRef].progress
-	task.held = func() bool { return ctx.Err() == nil && int64(l.now()) < l.holdUntil.Load() }
+	task.leaseHeld = func() bool { return ctx.Err() == nil && int64(l.now()) < l.leaseExpiry.Load() }
 	handler := l.worker.handlers[order.Spec.Service]
 	l.logger.Debug("run starts", slog.String("task", order.Task), slog.Uint64("run", uint64(order.Run)))
 	go func() {
 		ended := l.worker.execute(ctx, handler, task)
 		select {
-		case l.ends <- ended:
+		case l.endedRuns <- ended:
 		case <-l.done:
 		}
 	}()
 }
 
-// finished handles the return of a handler.
-func (l *loop) finished(ended api.EndedRun) {
+// handleEndedRun handles the return of a handler.
+func (l *loop) handleEndedRun(ended api.EndedRun) {
 	l.cancels[ended.RunRef](nil)
 	delete(l.cancels, ended.RunRef)
-	l.session.finish(ended)
+	l.session.endRun(ended)
 	l.logger.Debug("run ended", slog.String("task", ended.Task), slog.Uint64("run", uint64(ended.Run)),
 		slog.String("outcome", string(ended.Outcome)), slog.String("reason", ended.Message))
-	l.sendSoon(l.now())
+	l.scheduleHeartbeat(l.now())
 }
 
-// sendSoon makes the next heartbeat go at once, or right after the outstanding
+// scheduleHeartbeat makes the next heartbeat go at once, or right after the outstanding
 // one. While heartbeats fail the usual pause stays.
-func (l *loop) sendSoon(now time.Duration) {
+func (l *loop) scheduleHeartbeat(now time.Duration) {
 	if l.failing {
 		return
 	}
 	if l.session.outstanding {
-		l.urgent = true
+		l.heartbeatPending = true
 		return
 	}
-	l.dueAt = min(l.dueAt, max(now, l.session.sentAt+heartbeatSpacing))
+	l.nextHeartbeatAt = min(l.nextHeartbeatAt, max(now, l.session.sentAt+heartbeatSpacing))
 }
 
 func (l *loop) drain(now time.Duration) {
@@ -244,17 +244,17 @@
 	l.session.drain()
 	l.cancelAt = now + l.worker.config.DrainTimeout
 	l.leaveAt = l.cancelAt + l.worker.config.ReportTimeout
-	l.sendSoon(now)
+	l.scheduleHeartbeat(now)
 }
 
-// over reports whether a draining worker may or must leave.
-func (l *loop) over(now time.Duration) bool {
+// shouldLeave reports whether a draining worker may or must leave.
+func (l *loop) shouldLeave(now time.Duration) bool {
 	if !l.session.draining {
 		return false
 	}
 	nothingOpen := len(l.session.running) == 0 && len(l.session.ended) == 0
 	unheard := l.failing && !l.session.outstanding && nothingOpen
-	return l.session.settled() || unheard || now >= l.leaveAt
+	return l.session.drained() || unheard || now >= l.leaveAt
 }
 
 // leave ends whatever is left.
@@ -274,10 +274,10 @@
 func (l *loop) wakeAt() time.Duration {
 	wakeAt := l.now() + time.Hour
 	if !l.session.outstanding {
-		wakeAt = min(wakeAt, l.dueAt)
+		wakeAt = min(wakeAt, l.nextHeartbeatAt)
 	}
 	if len(l.session.running) > 0 && !l.session.blocked() {
-		wakeAt = min(wakeAt, l.session.holdUntil)
+		wakeAt = min(wakeAt, l.session.leaseExpiry)
 	}
 	if l.session.blocked() {
 		wakeAt = min(wakeAt, l.blockedLogAt)
--- a/worker/progress_test.go
+++ b/worker/progress_test.go
@@ -21,17 +21,17 @@
 	for i := range count {
 		orders = append(orders, order(fmt.Sprintf("j/s/%d", i), 1))
 	}
-	give(t, s, 0, 1, orders...)
+	deliver(t, s, 0, 1, orders...)
 	return s
 }
 
-func TestProgressIsSentUntilItIsConfirmed(t *testing.T) {
+func TestProgress_SentUntilConfirmed(t *testing.T) {
 	s := runningSession(t, 2)
 	run := s.running[ref("j/s/0", 1)]
 	sent := func(accept bool, token uint64) []api.RunProgress {
 		heartbeat := s.nextHeartbeat(0)
 		if !accept {
-			s.abandon()
+			s.abandonHeartbeat()
 		} else if _, err := s.accept(0, answerTo(heartbeat, token)); err != nil {
 			t.Fatal(err)
 		}
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestProgressOfManyRunsIsBoundedAndComesInTurn(t *testing.T) {
+func TestProgress_ManyRunsAreBoundedAndTakeTurns(t *testing.T) {
 	const runs = 40
 	s := runningSession(t, runs)
 	heard := map[api.RunRef]bool{}
@@ -91,14 +91,14 @@
 	}
 }
 
-func TestReportsWithoutRoomAreNamedAsRunning(t *testing.T) {
+func TestSession_DeferredReportsStayListedAsRunning(t *testing.T) {
 	const runs = 60
 	s := runningSession(t, runs)
 	for _, open := range s.runningRefs() {
-		s.finish(api.EndedRun{RunRef: open, Outcome: api.OutcomeStopped, Checkpoint: strings.Repeat("x", api.MaxCheckpointBytes)})
+		s.endRun(api.EndedRun{RunRef: open, Outcome: api.OutcomeStopped, Checkpoint: strings.Repeat("x", api.MaxCheckpointBytes)})
 	}
 	reported := 0
-	for s.heldBack = true; s.heldBack; {
+	for s.reportsDeferred = true; s.reportsDeferred; {
 		heartbeat := s.nextHeartbeat(0)
 		if len(heartbeat.Ended)*api.MaxCheckpointBytes > maxReportBytes || len(heartbeat.Ended) == 0 {
 			t.Fatalf("%d reports in one heartbeat", len(heartbeat.Ended))
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestTaskReportRefuses(t *testing.T) {
+func TestTaskReport_InvalidCheckpointIsRejected(t *testing.T) {
 	resumable := Task{Spec: api.TaskSpec{Resumable: true}, progress: &progress{}}
 	cases := []struct {
 		name       string
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestRunGoesOnFromItsCheckpointAndLeavesTheNewest(t *testing.T) {
+func TestTask_RunResumesFromCheckpointAndReportsNewest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agent := &fakeAgent{}
 		given := make(chan string, 1)
--- a/worker/protocol.go
+++ b/worker/session.go
@@ -15,18 +15,18 @@
 	defaultInterval = 200 * time.Millisecond
 	// minInterval is the shortest pause that an answer can ask for.
 	minInterval = 10 * time.Millisecond
-	// holdShare: the interval is never longer than this part of the hold.
-	holdShare = 3
-	// maxHold bounds what an answer may grant.
-	maxHold = time.Hour
+	// leaseShare: the interval is never longer than this part of the hold.
+	leaseShare = 3
+	// maxLease bounds what an answer may grant.
+	maxLease = time.Hour
 )
 
 // Why an answer is refused. Nothing in a refused answer is used.
 var (
-	errStaleSeq   = errors.New("answer is not to the newest heartbeat")
-	errStaleToken = errors.New("token is lower than the highest accepted")
-	errLateAnswer = errors.New("answer came after its own hold")
-	errBadHold    = errors.New("answer grants no sensible hold")
+	errStaleSeq     = errors.New("answer is not to the newest heartbeat")
+	errStaleToken   = errors.New("token is lower than the highest accepted")
+	errLateAnswer   = errors.New("answer came after its own hold")
+	errInvalidLease = errors.New("answer grants no sensible hold")
 )
 
 // identity is what every heartbeat says about the worker.
@@ -40,14 +40,14 @@
 
 // openRun is a run that was accepted and whose handler has not returned.
 type openRun struct {
-	stopping bool
-	lapsed   bool
-	progress progress
-	// sent counts the changes that the outstanding heartbeat covers, confirmed
+	stopping     bool
+	leaseExpired bool
+	progress     progress
+	// sentChanges counts the changes that the outstanding heartbeat covers, confirmed
 	// those that an accepted answer does.
-	sent, confirmed uint64
-	// sentIn is the newest heartbeat that spoke of the run's progress.
-	sentIn uint64
+	sentChanges, confirmedChanges uint64
+	// lastSentSeq is the newest heartbeat that spoke of the run's progress.
+	lastSentSeq uint64
 }
 
 // session is the worker's side of the protocol for one life of the process.
@@ -58,23 +58,23 @@
 type session struct {
 	identity identity
 
-	seq         uint64
-	outstanding bool
-	sentAt      time.Duration
-	sentDrain   bool
+	seq          uint64
+	outstanding  bool
+	sentAt       time.Duration
+	sentDraining bool
 
-	acceptedSeq   uint64
-	acceptedDrain bool // an answer to a heartbeat that said draining was accepted
-	token         uint64
-	hold          time.Duration
-	holdUntil     time.Duration
-	interval      time.Duration
-	draining      bool
+	acceptedSeq      uint64
+	drainingAccepted bool // an answer to a heartbeat that said draining was accepted
+	token            uint64
+	lease            time.Duration
+	leaseExpiry      time.Duration
+	interval         time.Duration
+	draining         bool
 
 	running map[api.RunRef]*openRun
 	ended   map[api.RunRef]api.EndedRun
 	// heldBack is true if the newest heartbeat had no room for some reports.
-	heldBack bool
+	reportsDeferred bool
 }
 
 func newSession(who identity) *session {
@@ -92,9 +92,9 @@
 	s.seq++
 	s.outstanding = true
 	s.sentAt = now
-	s.sentDrain = s.draining
-	ended, heldBack := s.splitEnded()
-	s.heldBack = len(heldBack) > 0
+	s.sentDraining = s.draining
+	ended, deferred := s.splitEnded()
+	s.reportsDeferred = len(deferred) > 0
 	return api.Heartbeat{
 		WorkerID:    s.identity.WorkerID,
 		Name:        s.identity.Name,
@@ -103,34 +103,34 @@
 		Capacity:    s.identity.Capacity,
 		Services:    s.identity.Services,
 		Labels:      s.identity.Labels,
-		Running:     append(s.runningRefs(), heldBack...),
+		Running:     append(s.runningRefs(), deferred...),
 		Ended:       ended,
 		Progress:    s.progressToSend(),
 		Draining:    s.draining || s.blocked(),
 	}
 }
 
-// abandon gives up the outstanding heartbeat: its request has failed.
-func (s *session) abandon() {
+// abandonHeartbeat gives up the outstanding heartbeat: its request has failed.
+func (s *session) abandonHeartbeat() {
 	s.outstanding = false
 	s.forgetConfirmed()
 }
 
-// lapsed reports whether the hold is over (or there never was one).
-func (s *session) lapsed(now time.Duration) bool { return now >= s.holdUntil }
+// leaseExpired reports whether the hold is over (or there never was one).
+func (s *session) leaseExpired(now time.Duration) bool { return now >= s.leaseExpiry }
 
-// expire stops everything if the hold is over. It must be called before
+// expireLease stops everything if the hold is over. It must be called before
 // anything else is done with a new time.
-func (s *session) expire(now time.Duration) []api.RunRef {
-	if !s.lapsed(now) {
+func (s *session) expireLease(now time.Duration) []api.RunRef {
+	if !s.leaseExpired(now) {
 		return nil
 	}
 	var stop []api.RunRef
 	for ref, run := range s.running {
-		if run.lapsed {
+		if run.leaseExpired {
 			continue
 		}
-		run.lapsed = true
+		run.leaseExpired = true
 		run.stopping = true
 		stop = append(stop, ref)
 	}
@@ -142,7 +142,7 @@
 // it. Until it returns the worker takes no new work.
 func (s *session) blocked() bool {
 	for _, run := range s.running {
-		if run.lapsed {
+		if run.leaseExpired {
 			return true
 		}
 	}
@@ -152,17 +152,17 @@
 // accept takes an answer, in whole or not at all. expire must have been
 // called with the same now.
 func (s *session) accept(now time.Duration, answer api.HeartbeatAnswer) (actions, error) {
-	hold, err := s.check(now, answer)
+	hold, err := s.checkAnswer(now, answer)
 	if err != nil {
 		return actions{}, err
 	}
 	s.outstanding = false
 	s.acceptedSeq = answer.Seq
-	s.acceptedDrain = s.acceptedDrain || s.sentDrain
+	s.drainingAccepted = s.drainingAccepted || s.sentDraining
 	s.confirmProgress(answer.Token != s.token)
 	s.token = answer.Token
-	s.hold = hold
-	s.holdUntil = s.sentAt + hold
+	s.lease = hold
+	s.leaseExpiry = s.sentAt + hold
 	s.interval = s.boundInterval(answer.IntervalMillis)
 
 	for _, ref := range answer.Acknowledged {
@@ -170,24 +170,24 @@
 	}
 	var todo actions
 	for _, ref := range answer.Stop {
-		s.stop(ref, &todo)
+		s.stopRun(ref, &todo)
 	}
 	for _, order := range answer.Start {
-		s.order(order, answer.Stop, &todo)
+		s.handleOrder(order, answer.Stop, &todo)
 	}
 	return todo, nil
 }
 
-// check reports whether the answer may be used, and its hold.
-func (s *session) check(now time.Duration, answer api.HeartbeatAnswer) (time.Duration, error) {
+// checkAnswer reports whether the answer may be used, and its hold.
+func (s *session) checkAnswer(now time.Duration, answer api.HeartbeatAnswer) (time.Duration, error) {
 	if !s.outstanding || answer.Seq != s.seq {
 		return 0, fmt.Errorf("%w: %d, newest is %d", errStaleSeq, answer.Seq, s.seq)
 	}
 	if answer.Token < s.token {
 		return 0, fmt.Errorf("%w: %d after %d", errStaleToken, answer.Token, s.token)
 	}
-	if answer.HoldMillis <= 0 || answer.HoldMillis > maxHold.Milliseconds() {
-		return 0, fmt.Errorf("%w: %d ms", errBadHold, answer.HoldMillis)
+	if answer.HoldMillis <= 0 || answer.HoldMillis > maxLease.Milliseconds() {
+		return 0, fmt.Errorf("%w: %d ms", errInvalidLease, answer.HoldMillis)
 	}
 	hold := time.Duration(answer.HoldMillis) * time.Millisecond
 	if now >= s.sentAt+hold {
@@ -198,14 +198,14 @@
 
 func (s *session) boundInterval(millis int64) time.Duration {
 	interval := defaultInterval
-	if millis > 0 && millis <= maxHold.Milliseconds() {
+	if millis > 0 && millis <= maxLease.Milliseconds() {
 		interval = time.Duration(millis) * time.Millisecond
 	}
-	return max(minInterval, min(interval, s.hold/holdShare))
+	return max(minInterval, min(interval, s.lease/leaseShare))
 }
 
-// finish notes that the handler of a run has returned.
-func (s *session) finish(ended api.EndedRun) {
+// endRun notes that the handler of a run has returned.
+func (s *session) endRun(ended api.EndedRun) {
 	if _, open := s.running[ended.RunRef]; !open {
 		return
 	}
@@ -220,15 +220,15 @@
 func (s *session) stopAll() []api.RunRef {
 	var todo actions
 	for _, ref := range s.runningRefs() {
-		s.stop(ref, &todo)
+		s.stopRun(ref, &todo)
 	}
 	return todo.stop
 }
 
-// settled reports whether a draining worker may leave: nothing is open or
+// drained reports whether a draining worker may leave: nothing is open or
 // unacknowledged, and the leader knows that it drains.
-func (s *session) settled() bool {
-	return s.draining && s.acceptedDrain && !s.outstanding && len(s.running) == 0 && len(s.ended) == 0
+func (s *session) drained() bool {
+	return s.draining && s.drainingAccepted && !s.outstanding && len(s.running) == 0 && len(s.ended) == 0
 }
 
 func (s *session) runningRefs() []api.RunRef {
--- a/worker/orders.go
+++ b/worker/session_orders.go
@@ -11,14 +11,14 @@
 type actions struct {
 	start []api.StartOrder
 	stop  []api.RunRef
-	// refused lists orders that were reported as ended without a start.
-	refused []api.EndedRun
-	// doubled lists orders for runs that are known already.
-	doubled []api.RunRef
+	// rejected lists orders that were reported as ended without a start.
+	rejected []api.EndedRun
+	// duplicates lists orders for runs that are known already.
+	duplicates []api.RunRef
 }
 
-// stop marks an open run as told to stop, once.
-func (s *session) stop(ref api.RunRef, todo *actions) {
+// stopRun marks an open run as told to stop, once.
+func (s *session) stopRun(ref api.RunRef, todo *actions) {
 	run, known := s.running[ref]
 	if !known || run.stopping {
 		return
@@ -27,33 +27,33 @@
 	todo.stop = append(todo.stop, ref)
 }
 
-// order takes one order to start. An order that is not followed is reported as
+// handleOrder takes one order to start. An order that is not followed is reported as
 // ended, so that its run is closed; one for a known run changes nothing.
-func (s *session) order(order api.StartOrder, stops []api.RunRef, todo *actions) {
+func (s *session) handleOrder(order api.StartOrder, stops []api.RunRef, todo *actions) {
 	ref := order.RunRef
-	if s.knows(ref) {
-		todo.doubled = append(todo.doubled, ref)
+	if s.isKnown(ref) {
+		todo.duplicates = append(todo.duplicates, ref)
 		return
 	}
-	refusal := s.refusal(order, stops, todo)
-	if refusal != nil {
-		s.ended[ref] = *refusal
-		todo.refused = append(todo.refused, *refusal)
+	rejection := s.rejection(order, stops, todo)
+	if rejection != nil {
+		s.ended[ref] = *rejection
+		todo.rejected = append(todo.rejected, *rejection)
 		return
 	}
 	s.running[ref] = &openRun{}
 	todo.start = append(todo.start, order)
 }
 
-// knows reports whether the run is open here, or its end not acknowledged.
-func (s *session) knows(ref api.RunRef) bool {
+// isKnown reports whether the run is open here, or its end not acknowledged.
+func (s *session) isKnown(ref api.RunRef) bool {
 	_, running := s.running[ref]
 	_, ended := s.ended[ref]
 	return running || ended
 }
 
-// refusal says why an order must not be followed, or nil.
-func (s *session) refusal(order api.StartOrder, stops []api.RunRef, todo *actions) *api.EndedRun {
+// rejection says why an order must not be followed, or nil.
+func (s *session) rejection(order api.StartOrder, stops []api.RunRef, todo *actions) *api.EndedRun {
 	stopped := func(message string) *api.EndedRun {
 		return &api.EndedRun{RunRef: order.RunRef, Outcome: api.OutcomeStopped, Message: message}
 	}
@@ -64,9 +64,9 @@
 		return stopped("not started: a handler goes on although the hold lapsed")
 	case slices.Contains(stops, order.RunRef):
 		return stopped("not started: the same answer stops it")
-	case s.succeeded(order.Task):
+	case s.hasSucceeded(order.Task):
 		return stopped("not started: an earlier run of the task has succeeded")
-	case s.stopOthers(order.RunRef, todo):
+	case s.stopOtherRuns(order.RunRef, todo):
 		return stopped("not started: another run of the task is still open")
 	case !slices.Contains(s.identity.Services, order.Spec.Service):
 		return &api.EndedRun{
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// succeeded reports whether a success of the task waits to be acknowledged.
-func (s *session) succeeded(task string) bool {
+// hasSucceeded reports whether a success of the task waits to be acknowledged.
+func (s *session) hasSucceeded(task string) bool {
 	for ref, ended := range s.ended {
 		if ref.Task == task && ended.Outcome == api.OutcomeSucceeded {
 			return true
@@ -87,9 +87,9 @@
 	return false
 }
 
-// stopOthers reports whether another run of the same task is open here. Runs
+// stopOtherRuns reports whether another run of the same task is open here. Runs
 // older than the one ordered are stopped: the record has given them up.
-func (s *session) stopOthers(ordered api.RunRef, todo *actions) bool {
+func (s *session) stopOtherRuns(ordered api.RunRef, todo *actions) bool {
 	found := false
 	for ref := range s.running {
 		if ref.Task != ordered.Task {
@@ -97,7 +97,7 @@
 		}
 		found = true
 		if ref.Run < ordered.Run {
-			s.stop(ref, todo)
+			s.stopRun(ref, todo)
 		}
 	}
 	return found
--- a/worker/protocol_test.go
+++ b/worker/session_test.go
@@ -13,7 +13,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-const testHold = 3 * time.Second
+const testLease = 3 * time.Second
 
 func ref(task string, run uint32) api.RunRef { return api.RunRef{Task: task, Run: run} }
 
@@ -26,11 +26,11 @@
 }
 
 func answerTo(heartbeat api.Heartbeat, token uint64, start ...api.StartOrder) api.HeartbeatAnswer {
-	return api.HeartbeatAnswer{Seq: heartbeat.Seq, Token: token, HoldMillis: testHold.Milliseconds(), IntervalMillis: 200, Start: start}
+	return api.HeartbeatAnswer{Seq: heartbeat.Seq, Token: token, HoldMillis: testLease.Milliseconds(), IntervalMillis: 200, Start: start}
 }
 
-// give sends a heartbeat at a time and accepts its answer at once.
-func give(t *testing.T, s *session, now time.Duration, token uint64, start ...api.StartOrder) actions {
+// deliver sends a heartbeat at a time and accepts its answer at once.
+func deliver(t *testing.T, s *session, now time.Duration, token uint64, start ...api.StartOrder) actions {
 	t.Helper()
 	todo, err := s.accept(now, answerTo(s.nextHeartbeat(now), token, start...))
 	if err != nil {
@@ -39,7 +39,7 @@
 	return todo
 }
 
-func TestRefusedAnswerIsNotUsedAtAll(t *testing.T) {
+func TestSession_RejectedAnswerChangesNothing(t *testing.T) {
 	cases := []struct {
 		name   string
 		now    time.Duration // the answered heartbeat was sent at 1s
@@ -48,20 +48,20 @@
 	}{
 		{"on time", 2 * time.Second, func(*session, *api.HeartbeatAnswer) {}, nil},
 		{"crossed: to the heartbeat before", 2 * time.Second, func(s *session, _ *api.HeartbeatAnswer) { s.nextHeartbeat(1500 * time.Millisecond) }, errStaleSeq},
-		{"to a heartbeat given up", 2 * time.Second, func(s *session, _ *api.HeartbeatAnswer) { s.abandon() }, errStaleSeq},
+		{"to a heartbeat given up", 2 * time.Second, func(s *session, _ *api.HeartbeatAnswer) { s.abandonHeartbeat() }, errStaleSeq},
 		{"to a heartbeat never sent", 2 * time.Second, func(_ *session, a *api.HeartbeatAnswer) { a.Seq++ }, errStaleSeq},
 		{"lower token", 2 * time.Second, func(_ *session, a *api.HeartbeatAnswer) { a.Token = 4 }, errStaleToken},
-		{"just before its hold lapses", time.Second + testHold - 1, func(*session, *api.HeartbeatAnswer) {}, nil},
-		{"when its hold lapses", time.Second + testHold, func(*session, *api.HeartbeatAnswer) {}, errLateAnswer},
+		{"just before its hold lapses", time.Second + testLease - 1, func(*session, *api.HeartbeatAnswer) {}, nil},
+		{"when its hold lapses", time.Second + testLease, func(*session, *api.HeartbeatAnswer) {}, errLateAnswer},
 		{"frozen for 25 s and woken", 26 * time.Second, func(*session, *api.HeartbeatAnswer) {}, errLateAnswer},
-		{"no hold", 2 * time.Second, func(_ *session, a *api.HeartbeatAnswer) { a.HoldMillis = 0 }, errBadHold},
-		{"absurd hold", 2 * time.Second, func(_ *session, a *api.HeartbeatAnswer) { a.HoldMillis = 1 << 60 }, errBadHold},
+		{"no hold", 2 * time.Second, func(_ *session, a *api.HeartbeatAnswer) { a.HoldMillis = 0 }, errInvalidLease},
+		{"absurd hold", 2 * time.Second, func(_ *session, a *api.HeartbeatAnswer) { a.HoldMillis = 1 << 60 }, errInvalidLease},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := testSession()
-			give(t, s, 500*time.Millisecond, 5, order("j/s/0", 1), order("j/s/1", 1))
-			s.finish(api.EndedRun{RunRef: ref("j/s/1", 1), Outcome: api.OutcomeSucceeded})
+			deliver(t, s, 500*time.Millisecond, 5, order("j/s/0", 1), order("j/s/1", 1))
+			s.endRun(api.EndedRun{RunRef: ref("j/s/1", 1), Outcome: api.OutcomeSucceeded})
 			answer := answerTo(s.nextHeartbeat(time.Second), 6, order("j/s/2", 1))
 			answer.Stop = []api.RunRef{ref("j/s/0", 1)}
 			answer.Acknowledged = []api.RunRef{ref("j/s/1", 1)}
@@ -71,22 +71,22 @@
 				t.Fatalf("error %v, want %v", err, c.want)
 			}
 			if c.want == nil {
-				if len(todo.start) != 1 || len(todo.stop) != 1 || len(s.ended) != 0 || s.token != 6 || s.acceptedSeq != 2 || s.holdUntil != time.Second+testHold {
+				if len(todo.start) != 1 || len(todo.stop) != 1 || len(s.ended) != 0 || s.token != 6 || s.acceptedSeq != 2 || s.leaseExpiry != time.Second+testLease {
 					t.Fatalf("accepted answer not used whole: %+v, %+v", todo, s)
 				}
 				return
 			}
-			if len(todo.start)+len(todo.stop)+len(todo.refused) != 0 || len(s.running) != 1 || len(s.ended) != 1 {
+			if len(todo.start)+len(todo.stop)+len(todo.rejected) != 0 || len(s.running) != 1 || len(s.ended) != 1 {
 				t.Fatalf("refused answer was used: %+v", todo)
 			}
-			if s.token != 5 || s.acceptedSeq != 1 || s.holdUntil != 500*time.Millisecond+testHold {
+			if s.token != 5 || s.acceptedSeq != 1 || s.leaseExpiry != 500*time.Millisecond+testLease {
 				t.Fatalf("refused answer moved token, seq or hold: %+v", s)
 			}
 		})
 	}
 }
 
-func TestSameAnswerTwiceStartsOnce(t *testing.T) {
+func TestSession_RepeatedAnswerStartsOnce(t *testing.T) {
 	s := testSession()
 	answer := answerTo(s.nextHeartbeat(0), 1, order("j/s/0", 1))
 	if todo, err := s.accept(1, answer); err != nil || len(todo.start) != 1 {
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestOrders(t *testing.T) {
+func TestSession_OrderIsStartedOrRejected(t *testing.T) {
 	const task = "j/s/0"
 	stopped := api.OutcomeStopped
 	cases := []struct {
@@ -125,21 +125,21 @@
 			s.ended[ref(task, 1)] = api.EndedRun{RunRef: ref(task, 1), Outcome: api.OutcomeFailed}
 		}, order(task, 2), true, nil, false, ""},
 		{"draining", func(s *session) { s.drain() }, order(task, 1), false, nil, false, stopped},
-		{"a handler outlives its hold", func(s *session) { s.running[ref("j/s/1", 1)] = &openRun{lapsed: true} }, order(task, 1), false, nil, false, stopped},
+		{"a handler outlives its hold", func(s *session) { s.running[ref("j/s/1", 1)] = &openRun{leaseExpired: true} }, order(task, 1), false, nil, false, stopped},
 		{"unknown service", func(*session) {}, api.StartOrder{RunRef: ref(task, 1), Spec: api.TaskSpec{Service: "nope"}}, false, nil, false, api.OutcomeFailed},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := testSession()
 			c.prepare(s)
-			todo := give(t, s, 0, 1, c.order)
+			todo := deliver(t, s, 0, 1, c.order)
 			if got := len(todo.start) == 1; got != c.started {
 				t.Errorf("started %v, want %v", got, c.started)
 			}
 			if diff := cmp.Diff(c.stops, todo.stop); diff != "" {
 				t.Errorf("stops: %s", diff)
 			}
-			if got := len(todo.doubled) == 1; got != c.doubled {
+			if got := len(todo.duplicates) == 1; got != c.doubled {
 				t.Errorf("doubled %v, want %v", got, c.doubled)
 			}
 			if got := s.ended[c.order.RunRef].Outcome; got != c.ended {
@@ -152,15 +152,15 @@
 	}
 }
 
-func TestDoubledOrderWithinOneAnswer(t *testing.T) {
+func TestSession_DuplicateOrderInOneAnswerStartsOnce(t *testing.T) {
 	s := testSession()
-	todo := give(t, s, 0, 1, order("j/s/0", 1), order("j/s/0", 1), order("j/s/0", 2))
-	if len(todo.start) != 1 || len(todo.doubled) != 1 || len(todo.refused) != 1 {
+	todo := deliver(t, s, 0, 1, order("j/s/0", 1), order("j/s/0", 1), order("j/s/0", 2))
+	if len(todo.start) != 1 || len(todo.duplicates) != 1 || len(todo.rejected) != 1 {
 		t.Fatalf("%+v, want one start, one doubled, one refused", todo)
 	}
 }
 
-func TestStopAndStartInOneAnswerStartsNothing(t *testing.T) {
+func TestSession_StopAndStartInOneAnswerStartsNothing(t *testing.T) {
 	s := testSession()
 	answer := answerTo(s.nextHeartbeat(0), 1, order("j/s/0", 1))
 	answer.Stop = []api.RunRef{ref("j/s/0", 1)}
@@ -170,18 +170,18 @@
 	}
 }
 
-func TestEndedIsRepeatedUntilAcknowledged(t *testing.T) {
+func TestSession_EndedRunIsRepeatedUntilAcknowledged(t *testing.T) {
 	s := testSession()
-	give(t, s, 0, 1, order("j/s/0", 1))
+	deliver(t, s, 0, 1, order("j/s/0", 1))
 	run := api.EndedRun{RunRef: ref("j/s/0", 1), Outcome: api.OutcomeSucceeded}
-	s.finish(run)
-	s.finish(api.EndedRun{RunRef: run.RunRef, Outcome: api.OutcomeFailed}) // cannot change it
+	s.endRun(run)
+	s.endRun(api.EndedRun{RunRef: run.RunRef, Outcome: api.OutcomeFailed}) // cannot change it
 	for i := range 3 {
 		heartbeat := s.nextHeartbeat(time.Duration(i))
 		if diff := cmp.Diff([]api.EndedRun{run}, heartbeat.Ended); diff != "" || len(heartbeat.Running) != 0 {
 			t.Fatalf("heartbeat %d: %s", i, diff)
 		}
-		s.abandon()
+		s.abandonHeartbeat()
 	}
 	answer := answerTo(s.nextHeartbeat(10), 1)
 	answer.Acknowledged = []api.RunRef{run.RunRef}
@@ -193,9 +193,9 @@
 	}
 }
 
-func TestStopIsGivenOnceAndRunStaysListed(t *testing.T) {
+func TestSession_StopIsGivenOnceAndRunStaysListed(t *testing.T) {
 	s := testSession()
-	give(t, s, 0, 1, order("j/s/0", 1))
+	deliver(t, s, 0, 1, order("j/s/0", 1))
 	for i, want := range []int{1, 0, 0} {
 		heartbeat := s.nextHeartbeat(time.Duration(i))
 		answer := answerTo(heartbeat, 1)
@@ -207,30 +207,30 @@
 	}
 }
 
-func TestHoldLapse(t *testing.T) {
+func TestSession_LeaseExpiryStopsAllRuns(t *testing.T) {
 	s := testSession()
-	give(t, s, time.Second, 1, order("j/s/0", 1), order("j/s/1", 1))
-	if stop := s.expire(time.Second + testHold - 1); stop != nil {
+	deliver(t, s, time.Second, 1, order("j/s/0", 1), order("j/s/1", 1))
+	if stop := s.expireLease(time.Second + testLease - 1); stop != nil {
 		t.Fatalf("stopped early: %v", stop)
 	}
-	if stop := s.expire(25 * time.Second); len(stop) != 2 {
+	if stop := s.expireLease(25 * time.Second); len(stop) != 2 {
 		t.Fatalf("stopped %v, want both", stop)
 	}
-	if stop := s.expire(26 * time.Second); stop != nil {
+	if stop := s.expireLease(26 * time.Second); stop != nil {
 		t.Fatalf("stopped twice: %v", stop)
 	}
 	heartbeat := s.nextHeartbeat(26 * time.Second)
 	if !heartbeat.Draining || len(heartbeat.Running) != 2 {
 		t.Fatalf("%+v must list handlers that go on, and take no work", heartbeat)
 	}
-	s.finish(api.EndedRun{RunRef: ref("j/s/0", 1), Outcome: api.OutcomeStopped})
-	s.finish(api.EndedRun{RunRef: ref("j/s/1", 1), Outcome: api.OutcomeStopped})
-	if todo := give(t, s, 27*time.Second, 1, order("j/s/0", 2)); len(todo.start) != 1 || s.nextHeartbeat(28*time.Second).Draining {
+	s.endRun(api.EndedRun{RunRef: ref("j/s/0", 1), Outcome: api.OutcomeStopped})
+	s.endRun(api.EndedRun{RunRef: ref("j/s/1", 1), Outcome: api.OutcomeStopped})
+	if todo := deliver(t, s, 27*time.Second, 1, order("j/s/0", 2)); len(todo.start) != 1 || s.nextHeartbeat(28*time.Second).Draining {
 		t.Fatalf("not ready again: %+v", todo)
 	}
 }
 
-func TestReport(t *testing.T) {
+func TestEndedRunOf_OutcomeFollowsErrorAndCause(t *testing.T) {
 	failure := errors.New("broken")
 	cases := []struct {
 		name          string
@@ -248,13 +248,13 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := report(ref("j/s/0", 1), c.result, c.cause)
+			got := endedRunOf(ref("j/s/0", 1), c.result, c.cause)
 			if got.Outcome != c.want || got.Message != c.message {
 				t.Fatalf("%+v, want %s %q", got, c.want, c.message)
 			}
 		})
 	}
-	long := report(ref("j/s/0", 1), errors.New(strings.Repeat("é", 2000)+"\xff"), nil).Message
+	long := endedRunOf(ref("j/s/0", 1), errors.New(strings.Repeat("é", 2000)+"\xff"), nil).Message
 	if len(long) > maxMessageBytes || !utf8.ValidString(long) {
 		t.Fatalf("message of %d bytes", len(long))
 	}
--- a/worker/task.go
+++ b/worker/task.go
@@ -42,8 +42,8 @@
 	// this one goes on; empty if there is none. See Report.
 	Checkpoint string
 
-	held     func() bool
-	progress *progress
+	leaseHeld func() bool
+	progress  *progress
 }
 
 // Decode reads the payload, as JSON, into a value.
@@ -59,11 +59,11 @@
 
 // Held reports whether the worker's hold stands at this moment. Unlike the
 // context, it is right even if the whole process was just frozen and woken.
-func (t Task) Held() bool { return t.held == nil || t.held() }
+func (t Task) Held() bool { return t.leaseHeld == nil || t.leaseHeld() }
 
-// report turns what a handler returned into the outcome of the run. The cause
+// endedRunOf turns what a handler returned into the outcome of the run. The cause
 // is why its context was cancelled, or nil.
-func report(ref api.RunRef, result, cause error) api.EndedRun {
+func endedRunOf(ref api.RunRef, result, cause error) api.EndedRun {
 	ended := api.EndedRun{RunRef: ref, Outcome: api.OutcomeSucceeded}
 	if result == nil {
 		return ended
