--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -11,8 +11,8 @@
 //
 // # Invariants
 //
-// Whatever some sharers take, the guaranteed part of each other one stays free for it.
-// A sharer that holds nothing may take all that is free, so that work which fits into
+// Whatever some participants take, the guaranteed part of each other one stays free for it.
+// A participant that holds nothing may take all that is free, so that work which fits into
 // a limit is admitted at some time.
 //
 // The package is pure: it does no I/O, reads no clock and starts no goroutine. Time is
--- a/internal/admission/share.go
+++ b/internal/admission/share.go
@@ -1,10 +1,10 @@
 package admission
 
 // guaranteeDivisor is the divisor of a limit that gives the part of it that is
-// guaranteed to its sharers, by their weights. The rest goes to whoever comes first.
+// guaranteed to its participants, by their weights. The rest goes to whoever comes first.
 const guaranteeDivisor = 2
 
-// Share is one of the sharers of a limit, such as a queue.
+// Share is one of the participants of a limit, such as a queue.
 type Share struct {
 	// Weight is its part of the guarantees in relation to the others, at least 1.
 	Weight int
@@ -12,10 +12,10 @@
 	Used int
 }
 
-// Free returns how much more the sharer at index own may take of a limit. The unused
-// guarantees of the others are left to them, unless the sharer uses nothing: then all
+// Free returns how much more the participant at index own may take of a limit. The unused
+// guarantees of the others are left to them, unless the participant uses nothing: then all
 // that is unused is free, so that whatever fits into the limit is admitted at some
-// time. A sole sharer may take all.
+// time. A sole participant may take all.
 func Free(limit, own int, shares []Share) int {
 	weights, used := 0, 0
 	for _, share := range shares {
@@ -29,7 +29,7 @@
 	return max(free, 0)
 }
 
-// maxUse is the most that a sharer may use while the others use what they do.
+// maxUse is the most that a participant may use while the others use what they do.
 func maxUse(limit, own, weights int, shares []Share) int {
 	reserved := 0
 	for index, share := range shares {
--- a/internal/admission/share_test.go
+++ b/internal/admission/share_test.go
@@ -20,7 +20,7 @@
 		{"by weight", 100, []Share{share(1, 10), share(4, 0)}, 50},
 		{"a guarantee in use is not reserved again", 100, []Share{share(1, 10), share(1, 25)}, 65},
 		{"a flood leaves the guarantee", 100, []Share{share(1, 5), share(1, 75)}, 20},
-		{"a sharer without use may take all that is unused", 100, []Share{share(1, 0), share(1, 0)}, 100},
+		{"a participant without use may take all that is unused", 100, []Share{share(1, 0), share(1, 0)}, 100},
 		{"full", 100, []Share{share(1, 50), share(1, 50)}, 0},
 		{"over the limit after it was lowered", 100, []Share{share(1, 0), share(1, 120)}, 0},
 		{"too small to guarantee anything", 1, []Share{share(1, 0), share(1, 0), share(1, 0)}, 1},
@@ -34,11 +34,11 @@
 	}
 }
 
-// TestFree_FloodDoesNotTakeGuarantees: whatever some sharers take one by one, the
+// TestFree_FloodDoesNotTakeGuarantees: whatever some participants take one by one, the
 // guarantees of the others are free, and the limit holds.
 func TestFree_FloodDoesNotTakeGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		count := rapid.IntRange(1, 5).Draw(t, "sharers")
+		count := rapid.IntRange(1, 5).Draw(t, "participants")
 		shares := make([]Share, count)
 		weights := 0
 		for index := range shares {
@@ -56,7 +56,7 @@
 		for index, share := range shares {
 			used += share.Used
 			if unused, free := guaranteedTo(limit, share.Weight, weights)-share.Used, Free(limit, index, shares); free < unused {
-				t.Fatalf("sharer %d of %+v may take %d of %d, and is guaranteed %d more", index, shares, free, limit, unused)
+				t.Fatalf("participant %d of %+v may take %d of %d, and is guaranteed %d more", index, shares, free, limit, unused)
 			}
 		}
 		if used > limit {
--- a/internal/admission/tokenbucket_test.go
+++ b/internal/admission/tokenbucket_test.go
@@ -47,14 +47,14 @@
 			t.Fatalf("steady has no token at %v, for %v", now, wait)
 		}
 	}
-	// The guarantee of the idle sharer is reserved once, not each second.
+	// The guarantee of the idle participant is reserved once, not each second.
 	least, most := rate*seconds-10*seconds, rate*(seconds+1)-10*seconds
 	if flood < least || flood > most {
 		t.Errorf("the flood got %d, want %d to %d", flood, least, most)
 	}
 }
 
-// TestTokenBucket_TokenIsThereAfterStatedWait: a sharer that gets no token gets one
+// TestTokenBucket_TokenIsThereAfterStatedWait: a participant that gets no token gets one
 // after the stated wait, if nobody draws meanwhile.
 func TestTokenBucket_TokenIsThereAfterStatedWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -64,17 +64,17 @@
 		now := time.Duration(0)
 		for range 100 {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "pause")) * time.Millisecond
-			sharer := rapid.SampledFrom([]string{"a", "b", "c", "unknown"}).Draw(t, "sharer")
-			wait, taken := bucket.Take(now, rate, sharer, weights)
+			participant := rapid.SampledFrom([]string{"a", "b", "c", "unknown"}).Draw(t, "participant")
+			wait, taken := bucket.Take(now, rate, participant, weights)
 			if taken {
 				continue
 			}
 			if wait <= 0 || wait > 3*time.Second {
-				t.Fatalf("%s is to wait %v", sharer, wait)
+				t.Fatalf("%s is to wait %v", participant, wait)
 			}
 			now += wait + time.Millisecond
-			if again, taken := bucket.Take(now, rate, sharer, weights); !taken {
-				t.Fatalf("%s waited %v and is to wait %v again: %+v", sharer, wait, again, bucket)
+			if again, taken := bucket.Take(now, rate, participant, weights); !taken {
+				t.Fatalf("%s waited %v and is to wait %v again: %+v", participant, wait, again, bucket)
 			}
 		}
 	})
--- a/internal/front/locallimits.go
+++ b/internal/front/locallimits.go
@@ -64,7 +64,7 @@
 func (l *localLimits) enterQueue(limit int, queue string, weights map[string]int) *api.Error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if admission.Free(limit, 0, l.sharers(queue, weights)) == 0 {
+	if admission.Free(limit, 0, l.shares(queue, weights)) == 0 {
 		return &api.Error{
 			Status:           http.StatusServiceUnavailable,
 			Code:             api.CodeUnavailable,
@@ -85,10 +85,10 @@
 	}
 }
 
-// sharers are those that share the slots, the given queue first. Requests that are no
-// submissions are one sharer, together with submissions to unknown queues, whose name is
+// shares are the shares of the slots, that of the given queue first. Requests that are no
+// submissions have one share, together with submissions to unknown queues, whose name is
 // empty.
-func (l *localLimits) sharers(queue string, weights map[string]int) []admission.Share {
+func (l *localLimits) shares(queue string, weights map[string]int) []admission.Share {
 	shares := make([]admission.Share, 1, len(weights)+1)
 	shares[0] = admission.Share{Weight: max(weights[queue], api.DefaultQueueWeight), Used: l.inFlightByQueue[queue]}
 	if queue != "" {
