--- a/testbed/checker/broken_faults_test.go
+++ b/testbed/checker/broken_faults_test.go
@@ -43,6 +43,21 @@
 			func(f *fixture) { unreportedEnd(f, api.OutcomeStopped, 1500) },
 			func(f *fixture) { unreportedEnd(f, api.OutcomeStopped, 2800) },
 		},
+		{
+			"a failure after the agent had ended, tried again too early", P11,
+			func(f *fixture) { endedBehind(f, "agent-1", 700, 1500) },
+			func(f *fixture) { endedBehind(f, "agent-1", 700, 3300) },
+		},
+		{
+			"a failure while the agent ends, tried again at once", P11,
+			func(f *fixture) { endedBehind(f, "agent-1", 890, 1500) },
+			func(f *fixture) { endedBehind(f, "agent-1", 1100, 1500) },
+		},
+		{
+			"a failure behind an agent that was killed, tried again too early", P11,
+			func(f *fixture) { killedBehind(f, 1500) },
+			func(f *fixture) { killedBehind(f, 2800) },
+		},
 		{
 			"a run of a cut-off worker that does not stop", P1,
 			func(f *fixture) { partitionWorker(f, 3600, 3500) },
@@ -143,6 +158,29 @@
 	f.poll("j", 9000, api.StateSucceeded)
 }
 
+// endedBehind has a process told to end, which it does later, and a run fail on
+// the worker one and start again elsewhere.
+func endedBehind(f *fixture, process string, exit, again int64) {
+	f.submit("j", 10, task())
+	f.run("j/s/0", "one", 1, 100, 1000, api.OutcomeFailed)
+	f.fault(process, 200, calllog.ActionTerminate)
+	f.fault(process, exit, calllog.ActionExit)
+	f.fault(process, 12_000, calllog.ActionStart)
+	f.succeed("j/s/0", "two", 2, again, again+100)
+	f.poll("j", 9000, api.StateSucceeded)
+}
+
+// killedBehind has the agent killed, and seen to be gone later.
+func killedBehind(f *fixture, again int64) {
+	f.submit("j", 10, task())
+	f.run("j/s/0", "one", 1, 100, 1000, api.OutcomeFailed)
+	f.fault("agent-1", 200, calllog.ActionKill)
+	f.fault("agent-1", 1400, calllog.ActionExit)
+	f.fault("agent-1", 12_000, calllog.ActionStart)
+	f.succeed("j/s/0", "two", 2, again, again+100)
+	f.poll("j", 9000, api.StateSucceeded)
+}
+
 // frozenWorker has a run's worker frozen for 10 s while the task runs elsewhere.
 func frozenWorker(f *fixture, outcome api.Outcome, ended int64) {
 	f.submit("j", 10, task())
--- a/testbed/checker/check_test.go
+++ b/testbed/checker/check_test.go
@@ -65,6 +65,14 @@
 	}
 }
 
+func TestAll_EndingWorkerMayReportItsRuns(t *testing.T) {
+	f := newFixture()
+	endedBehind(f, "one", 1700, 1500)
+	for _, violation := range All(f.Input).Violations {
+		t.Errorf("reported %v", violation)
+	}
+}
+
 func TestAll_GapsAreMeasuredWithinLoad(t *testing.T) {
 	f := newFixture()
 	f.submit("a", 100, task())
