--- a/testbed/run/version_change_test.go
+++ b/testbed/run/version_change_test.go
@@ -55,8 +55,8 @@
 	}
 	// Each process is ended once in each direction.
 	changed := 2 * (deployment.Schedulers + testFronts + 2*testWorkers)
-	if summary.FaultsCaused < changed {
-		t.Errorf("%d faults were caused, expected one for each of %d changes", summary.FaultsCaused, changed)
+	if summary.FaultsInjected < changed {
+		t.Errorf("%d faults were caused, expected one for each of %d changes", summary.FaultsInjected, changed)
 	}
 }
 
