--- a/internal/cli/booking.go
+++ b/internal/cli/booking.go
@@ -11,10 +11,10 @@
 	"github.com/decklever/decklever/api"
 )
 
-// defaultBookingHours is how far ahead windows are shown.
+// defaultBookingHours is the default of --hours of the booking commands.
 const defaultBookingHours = 24
 
-// bookingCommand holds the commands about bookings.
+// bookingCommand groups the commands about bookings.
 func (a *app) bookingCommand() *cobra.Command {
 	return groupCommand("booking", "Show windows of booked room and give them back",
 		"  decklever booking list --hours 48\n  decklever booking show swaps/opening",
@@ -26,7 +26,7 @@
 	command.Flags().IntVar(hours, "hours", value, fmt.Sprintf("how far ahead to look, up to %d", api.MaxBookingHours))
 }
 
-// checkHours checks the value of --hours.
+// checkHours validates --hours.
 func checkHours(hours int) error {
 	if hours < 1 || hours > api.MaxBookingHours {
 		return usageError("--hours is %d, expected 1 to %d", hours, api.MaxBookingHours)
@@ -34,25 +34,25 @@
 	return nil
 }
 
-// readBookings reads the windows of the coming hours.
+// readBookings requests the windows of the coming hours.
 func (a *app) readBookings(ctx context.Context, client *api.Client, hours int) (api.BookingList, error) {
 	return doRequest(ctx, a, "list bookings", func(ctx context.Context) (api.BookingList, error) {
 		return client.Bookings(ctx, time.Duration(hours)*time.Hour)
 	})
 }
 
-// bookingName is a booking as it is typed, QUEUE/NAME.
+// bookingName identifies a booking; its text form is QUEUE/NAME.
 type bookingName struct{ queue, name string }
 
-// String is the name as it is typed.
+// String returns QUEUE/NAME.
 func (n bookingName) String() string { return n.queue + "/" + n.name }
 
-// bookingNameOf is the name of a window's booking.
+// bookingNameOf returns the name of the booking that a window belongs to.
 func bookingNameOf(booking api.BookingStatus) bookingName {
 	return bookingName{queue: booking.Queue, name: booking.Booking}
 }
 
-// parseBookingName reads QUEUE/NAME.
+// parseBookingName parses QUEUE/NAME.
 func parseBookingName(text string) (bookingName, error) {
 	queue, name, found := strings.Cut(text, "/")
 	if !found || queue == "" || name == "" {
@@ -61,7 +61,7 @@
 	return bookingName{queue: queue, name: name}, nil
 }
 
-// filterWindows keeps the windows that match, in their order.
+// filterWindows returns the matching windows in their order, never nil.
 func filterWindows(list api.BookingList, matches func(api.BookingStatus) bool) []api.BookingStatus {
 	windows := []api.BookingStatus{}
 	for _, booking := range list.Bookings {
@@ -72,7 +72,7 @@
 	return windows
 }
 
-// bookingTable is the table of windows.
+// bookingTable builds the table of windows.
 func (a *app) bookingTable(windows []api.BookingStatus) *textTable {
 	bookings := newTextTable("booking", "start", "end", "held from", "state", "slots", "placed", "used", "slice", "service", "best effort")
 	for _, window := range windows {
--- a/internal/cli/booking_list.go
+++ b/internal/cli/booking_list.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// bookingListCommand lists windows.
+// bookingListCommand lists the windows of all bookings.
 func (a *app) bookingListCommand() *cobra.Command {
 	var hours int
 	command := &cobra.Command{
--- a/internal/cli/booking_release.go
+++ b/internal/cli/booking_release.go
@@ -11,7 +11,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// bookingReleaseCommand gives the room of a window back.
+// bookingReleaseCommand releases the capacity of a window early.
 func (a *app) bookingReleaseCommand() *cobra.Command {
 	var startText string
 	command := &cobra.Command{
@@ -45,7 +45,7 @@
 	return command
 }
 
-// releaseWindow makes the call.
+// releaseWindow sends the request.
 func (a *app) releaseWindow(ctx context.Context, client *api.Client, request api.ReleaseRequest) error {
 	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
--- a/internal/cli/booking_show.go
+++ b/internal/cli/booking_show.go
@@ -46,8 +46,9 @@
 	return command
 }
 
-// checkConfigured tells a booking without a window apart from one that there
-// is not.
+// checkConfigured returns an error if the configuration in force has no
+// booking of this name, so that a booking without a window is told apart from
+// an unknown one.
 func (a *app) checkConfigured(ctx context.Context, client *api.Client, name bookingName) error {
 	status, err := a.readConfig(ctx, client)
 	if err != nil {
@@ -62,7 +63,8 @@
 	return notFoundError("booking", name)
 }
 
-// renderWindows writes windows and, if any slices lie on workers, where.
+// renderWindows writes the table of windows and, if any slices are placed, a
+// table of the workers that hold them.
 func (a *app) renderWindows(writer io.Writer, windows []api.BookingStatus) {
 	a.bookingTable(windows).render(writer)
 	places := newTextTable("start", "worker", "slots", "used")
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -11,29 +11,30 @@
 	"github.com/decklever/decklever/internal/contexttime"
 )
 
-// Config is what the command reads, writes and uses.
+// Config holds the command's input, output and environment.
 type Config struct {
 	// In is read for a file named "-". Default: empty.
 	In io.Reader
-	// Out takes results, Err takes errors and notes. Default: dropped.
+	// Out takes results; Err takes errors and notices. Default: discarded.
 	Out, Err io.Writer
 	// Getenv reads the environment. Default: empty.
 	Getenv func(name string) string
 	// Location is the time zone of tables. Default: the local one.
 	Location *time.Location
-	// HTTPClient carries the calls. Default: the client's own.
+	// HTTPClient sends the requests. Default: the one of api.Client.
 	HTTPClient *http.Client
 
-	// now is the time; tests set it.
+	// now returns the current time; set by tests.
 	now func() time.Time
-	// sleep waits and reports whether the context still goes on afterwards;
-	// completionTimeout bounds the call behind a completion. Tests set them.
+	// sleep waits and reports whether the context is still active afterwards;
+	// completionTimeout bounds the request of a shell completion. Both are
+	// set by tests.
 	sleep             func(ctx context.Context, length time.Duration) bool
 	completionTimeout time.Duration
 }
 
-// Run runs the command with the arguments behind the program's name and
-// returns its exit code. The end of the context interrupts it.
+// Run executes the command with the arguments after the program's name and
+// returns its exit code. Cancelling the context interrupts it.
 func Run(ctx context.Context, arguments []string, config Config) int {
 	a := newApp(config)
 	root := a.rootCommand()
@@ -53,21 +54,25 @@
 	return ExitFailed
 }
 
-// app is one run of the command.
+// app is the state of one execution of the command. Commands are its methods;
+// it is used by one goroutine, except for requests that a command sends
+// concurrently.
 type app struct {
 	Config
 	flags globalFlags
-	// started: flags and arguments were right and the command began its work.
+	// started is set once flags and arguments were accepted. An error before
+	// that is a usage error.
 	started bool
 }
 
-// globalFlags are the flags of every command.
+// globalFlags are the flags that every command has.
 type globalFlags struct {
 	fronts  []string
 	timeout time.Duration
 	output  string
 }
 
+// newApp fills in the defaults of a Config.
 func newApp(config Config) *app {
 	if config.In == nil {
 		config.In = strings.NewReader("")
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -32,6 +32,7 @@
 	}
 }
 
+// writeCompletion writes the script for one of the supported shells.
 func writeCompletion(writer io.Writer, root *cobra.Command, shell string) error {
 	switch shell {
 	case "bash":
--- a/internal/cli/completion_names.go
+++ b/internal/cli/completion_names.go
@@ -11,15 +11,17 @@
 )
 
 const (
-	// defaultCompletionTimeout bounds the call behind a press of the tab key.
+	// defaultCompletionTimeout bounds the request that a press of the tab key
+	// sends.
 	defaultCompletionTimeout = 500 * time.Millisecond
-	// completedJobs bounds the ids that are offered.
+	// completedJobs bounds the number of suggested job ids.
 	completedJobs = 200
-	// completedHours is how far ahead bookings are offered.
+	// completedHours is how far ahead the windows of suggested bookings may
+	// start.
 	completedHours = api.MaxBookingHours
 )
 
-// completeFiles offers YAML and JSON files.
+// completeFiles suggests YAML and JSON files.
 func completeFiles(_ *cobra.Command, arguments []string, _ string) ([]string, cobra.ShellCompDirective) {
 	if len(arguments) > 0 {
 		return nil, cobra.ShellCompDirectiveNoFileComp
@@ -27,7 +29,7 @@
 	return []string{"yaml", "yml", "json"}, cobra.ShellCompDirectiveFilterFileExt
 }
 
-// completeJobs offers ids of jobs, for this many arguments at most; 0 for any
+// completeJobs suggests job ids for up to this many arguments; 0 means any
 // number.
 func (a *app) completeJobs(most int) cobra.CompletionFunc {
 	return func(command *cobra.Command, arguments []string, _ string) ([]string, cobra.ShellCompDirective) {
@@ -41,7 +43,7 @@
 	}
 }
 
-// completeWorkers offers names of workers.
+// completeWorkers suggests names of workers.
 func (a *app) completeWorkers(command *cobra.Command, arguments []string, _ string) ([]string, cobra.ShellCompDirective) {
 	return a.suggest(command, arguments, func(ctx context.Context, client *api.Client) ([]string, error) {
 		list, err := client.Workers(ctx)
@@ -49,7 +51,7 @@
 	})
 }
 
-// completeZones offers the zones of workers.
+// completeZones suggests zones of workers.
 func (a *app) completeZones(command *cobra.Command, arguments []string, _ string) ([]string, cobra.ShellCompDirective) {
 	return a.suggest(command, arguments, func(ctx context.Context, client *api.Client) ([]string, error) {
 		list, err := client.Workers(ctx)
@@ -57,7 +59,7 @@
 	})
 }
 
-// completeDrains offers the zones that are drained by orders.
+// completeDrains suggests zones with a drain order.
 func (a *app) completeDrains(command *cobra.Command, arguments []string, _ string) ([]string, cobra.ShellCompDirective) {
 	return a.suggest(command, arguments, func(ctx context.Context, client *api.Client) ([]string, error) {
 		list, err := client.Drains(ctx)
@@ -65,7 +67,7 @@
 	})
 }
 
-// completeQueues offers names of queues.
+// completeQueues suggests names of queues.
 func (a *app) completeQueues(command *cobra.Command, _ []string, _ string) ([]string, cobra.ShellCompDirective) {
 	return a.suggest(command, nil, func(ctx context.Context, client *api.Client) ([]string, error) {
 		list, err := client.Queues(ctx)
@@ -73,7 +75,7 @@
 	})
 }
 
-// completeQueueArgument offers names of queues for the one argument.
+// completeQueueArgument suggests names of queues for a single argument.
 func (a *app) completeQueueArgument(command *cobra.Command, arguments []string, typed string) ([]string, cobra.ShellCompDirective) {
 	if len(arguments) > 0 {
 		return nil, cobra.ShellCompDirectiveNoFileComp
@@ -81,7 +83,7 @@
 	return a.completeQueues(command, arguments, typed)
 }
 
-// completeBookings offers bookings that have a window, as QUEUE/NAME.
+// completeBookings suggests bookings with a window, as QUEUE/NAME.
 func (a *app) completeBookings(command *cobra.Command, arguments []string, _ string) ([]string, cobra.ShellCompDirective) {
 	if len(arguments) > 0 {
 		return nil, cobra.ShellCompDirectiveNoFileComp
@@ -92,8 +94,8 @@
 	})
 }
 
-// completeStarts offers the starts of the windows of the booking that was
-// typed, in UTC.
+// completeStarts suggests the start times, in UTC, of the windows of the
+// booking that was given as the argument.
 func (a *app) completeStarts(command *cobra.Command, arguments []string, _ string) ([]string, cobra.ShellCompDirective) {
 	if len(arguments) != 1 {
 		return nil, cobra.ShellCompDirectiveNoFileComp
@@ -105,8 +107,9 @@
 	})
 }
 
-// suggest asks the fleet for names and leaves out those already given. Without
-// an answer it offers nothing: there is no place for an error in a completion.
+// suggest requests names from the fleet and leaves out those already given.
+// On an error it suggests nothing, since a completion has no place to show
+// one.
 func (a *app) suggest(command *cobra.Command, given []string, listNames func(context.Context, *api.Client) ([]string, error)) ([]string, cobra.ShellCompDirective) {
 	client, err := a.client()
 	if err != nil {
@@ -123,7 +126,7 @@
 	return names, cobra.ShellCompDirectiveNoFileComp
 }
 
-// sortedNames collects names, sorted, each once.
+// sortedNames returns the distinct names of the elements, sorted.
 func sortedNames[T any](list []T, nameOf func(T) string) []string {
 	names := make([]string, 0, len(list))
 	for _, one := range list {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// configCommand holds the commands about the configuration.
+// configCommand groups the commands about the configuration.
 func (a *app) configCommand() *cobra.Command {
 	return groupCommand("config", "Read and change the configuration of the fleet",
 		"  decklever config get > config.yaml\n  decklever config apply config.yaml --wait-rollout",
@@ -16,7 +16,7 @@
 		a.configHistoryCommand(), a.configRolloutCommand())
 }
 
-// readConfig reads the configuration in force.
+// readConfig requests the configuration in force.
 func (a *app) readConfig(ctx context.Context, client *api.Client) (api.ConfigStatus, error) {
 	return doRequest(ctx, a, "read the configuration", client.Config)
 }
--- a/internal/cli/config_apply.go
+++ b/internal/cli/config_apply.go
@@ -53,7 +53,8 @@
 	return command
 }
 
-// printResendCommand says how to ask for an unknown outcome.
+// printResendCommand prints the command that repeats a proposal whose outcome
+// is unknown.
 func (a *app) printResendCommand(path string, proposal configProposal, err error) {
 	if isCode(err, api.CodeOutcomeUnknown) {
 		a.printNotice(fmt.Sprintf("to learn the outcome: decklever config apply %s --base %d --order-id %s", path, proposal.Base, proposal.ID))
--- a/internal/cli/config_diff.go
+++ b/internal/cli/config_diff.go
@@ -12,7 +12,8 @@
 
 // configDifference is the result of "config diff".
 type configDifference struct {
-	// Version is the configuration in force that the file was compared with.
+	// Version is that of the configuration in force, with which the file was
+	// compared.
 	Version uint64 `json:"version"`
 	Equal   bool   `json:"equal"`
 	// Diff is in the unified format, empty if both are equal.
@@ -47,7 +48,7 @@
 	}
 }
 
-// compareConfigs compares both in their normal form.
+// compareConfigs compares both configurations with their defaults filled in.
 func compareConfigs(status api.ConfigStatus, path string, config api.Config) (configDifference, error) {
 	before, err := configYAML(status.Config.WithDefaults())
 	if err != nil {
--- a/internal/cli/config_drains.go
+++ b/internal/cli/config_drains.go
@@ -13,18 +13,21 @@
 
 // Bounds of one change of the drains.
 const (
-	// maxChangeAttempts is how often a change is made anew after a lost race.
+	// maxChangeAttempts bounds how often a change is attempted when other
+	// proposals win the race.
 	maxChangeAttempts = 8
-	// maxProposalAttempts is how often one order is sent while its outcome is unknown.
+	// maxProposalAttempts bounds how often one proposal is sent while its
+	// outcome is unknown.
 	maxProposalAttempts = 4
 )
 
-// drainEdit edits a list of drained workers or zones.
+// drainEdit changes the lists of drained workers and zones in place.
 type drainEdit func(drains *api.DrainConfig)
 
-// changeDrains reads the configuration, changes its drains and proposes it. A
-// lost race is read and changed anew under a new order id; an unknown outcome
-// is asked for with the same one, so that the change is made at most once.
+// changeDrains reads the configuration, edits its drains and proposes the
+// result. After a lost race it starts again from the new configuration with a
+// new order id. While the outcome is unknown it repeats the proposal with the
+// same order id, so that the change takes effect at most once.
 func (a *app) changeDrains(ctx context.Context, client *api.Client, change drainEdit) error {
 	for race := 1; ; race++ {
 		status, err := a.readConfig(ctx, client)
@@ -49,7 +52,7 @@
 	}
 }
 
-// proposeWithRetries sends a proposal, and the same again while its outcome is
+// proposeWithRetries sends a proposal, and repeats it while its outcome is
 // unknown.
 func (a *app) proposeWithRetries(ctx context.Context, client *api.Client, proposal *configProposal, config api.Config) error {
 	for send := 1; ; send++ {
@@ -61,7 +64,7 @@
 	}
 }
 
-// printUnchanged says that the configuration in force is as wanted already.
+// printUnchanged reports that the configuration in force needs no change.
 func (a *app) printUnchanged(status api.ConfigStatus) error {
 	result := configProposal{Base: status.Version, Version: status.Version}
 	return a.print(result, func(writer io.Writer) {
@@ -69,15 +72,17 @@
 	})
 }
 
+// cloneDrains returns a copy that shares no list with the original.
 func cloneDrains(drains api.DrainConfig) api.DrainConfig {
 	return api.DrainConfig{Workers: slices.Clone(drains.Workers), Zones: slices.Clone(drains.Zones)}
 }
 
+// equalDrains reports whether both drain the same names in the same order.
 func equalDrains(a, b api.DrainConfig) bool {
 	return slices.Equal(a.Workers, b.Workers) && slices.Equal(a.Zones, b.Zones)
 }
 
-// withNames is the list with the names added that it lacks.
+// withNames appends the names that the list does not contain.
 func withNames(list, names []string) []string {
 	for _, name := range names {
 		if !slices.Contains(list, name) {
@@ -87,12 +92,12 @@
 	return list
 }
 
-// withoutNames is the list without the names.
+// withoutNames removes the names from the list in place.
 func withoutNames(list, names []string) []string {
 	return slices.DeleteFunc(list, func(name string) bool { return slices.Contains(names, name) })
 }
 
-// checkNames refuses empty names before anything is read.
+// checkNames rejects empty names.
 func checkNames(names []string) error {
 	if slices.Contains(names, "") {
 		return usageError("an empty name was given")
@@ -100,9 +105,9 @@
 	return nil
 }
 
-// warnUnknown names what was drained but is not registered at present: it may
-// be a slip, or something that will come back. A failed look is not worth an
-// error after the change was made.
+// warnUnknown prints a notice for each drained name that no registered worker
+// has: it may be a typing error, or a worker that will return. A failed
+// request is ignored, as the change itself was made.
 func (a *app) warnUnknown(ctx context.Context, client *api.Client, kind string, names []string, nameOf func(api.WorkerStatus) string) {
 	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
--- a/internal/cli/config_field_names.go
+++ b/internal/cli/config_field_names.go
@@ -13,9 +13,9 @@
 // bookings.
 var queueField = regexp.MustCompile(`^queues\[(\d+)\](?:\.bookings\[(\d+)\])?`)
 
-// configRejectedError is the failure of a call with a configuration. Behind the
-// number of a queue or booking in a path it puts the name, which is what the
-// file shows.
+// configRejectedError is the error of a request that carries a configuration.
+// To the index of a queue or booking in a field's path it adds the name,
+// which is what the file shows.
 func configRejectedError(action string, cause error, config *api.Config) *exitError {
 	exitErr := requestError(action, cause)
 	named := make([]api.FieldError, len(exitErr.fields))
@@ -29,8 +29,8 @@
 	return exitErr
 }
 
-// fieldOwner names the queue or booking that a field is of; empty if it is of
-// neither, or if the name itself is the field.
+// fieldOwner names the queue or booking that a field belongs to. It is empty
+// if there is none or if the field is the name itself.
 func fieldOwner(path string, config *api.Config) string {
 	match := queueField.FindStringSubmatch(path)
 	if match == nil || strings.HasSuffix(path, ".name") {
--- a/internal/cli/config_get.go
+++ b/internal/cli/config_get.go
@@ -10,8 +10,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// configGetCommand shows the configuration in force. It has no table: its
-// plain form is YAML that "config apply" takes again.
+// configGetCommand shows the configuration in force. In place of a table it
+// prints YAML that "config apply" accepts.
 func (a *app) configGetCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "get",
@@ -37,7 +37,8 @@
 	}
 }
 
-// configYAML is a configuration as YAML, fields in their order in the API.
+// configYAML encodes a configuration as YAML, with the fields in the order of
+// the API.
 func configYAML(config api.Config) ([]byte, error) {
 	data, err := marshal(config)
 	if err != nil {
--- a/internal/cli/config_history.go
+++ b/internal/cli/config_history.go
@@ -9,10 +9,10 @@
 	"github.com/decklever/decklever/api"
 )
 
-// shownDigestLength is how much of a digest stands in a table, in characters.
+// shownDigestLength is the number of characters of a digest shown in a table.
 const shownDigestLength = 12
 
-// configHistoryCommand lists the versions that were accepted.
+// configHistoryCommand lists the accepted versions.
 func (a *app) configHistoryCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "history",
--- a/internal/cli/config_proposal.go
+++ b/internal/cli/config_proposal.go
@@ -11,15 +11,15 @@
 	"github.com/decklever/decklever/api"
 )
 
-// configProposal is one proposal of a configuration.
+// configProposal is a proposed configuration and, once accepted, its version.
 type configProposal struct {
 	Base    uint64 `json:"base"`
 	ID      string `json:"order_id"`
 	Version uint64 `json:"version"`
 }
 
-// completeProposal reads the base unless it was given and draws an order id
-// unless one was given.
+// completeProposal generates an order id unless one was given, and reads the
+// base version unless it was given.
 func (a *app) completeProposal(ctx context.Context, client *api.Client, proposal *configProposal, hasBase bool) error {
 	if proposal.ID == "" {
 		proposal.ID = uuid.NewString()
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// propose sends a proposal and notes the version that it became.
+// propose sends a proposal and records the version that it was accepted as.
 func (a *app) propose(ctx context.Context, client *api.Client, proposal *configProposal, config api.Config) error {
 	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// finishChange prints an accepted proposal, once it is rolled out if that was
-// asked for.
+// finishChange prints an accepted proposal, after waiting for its roll-out if
+// requested.
 func (a *app) finishChange(ctx context.Context, client *api.Client, proposal configProposal, waitRollout bool) error {
 	var waitErr error
 	if waitRollout {
--- a/internal/cli/config_rollout.go
+++ b/internal/cli/config_rollout.go
@@ -12,10 +12,10 @@
 	"github.com/decklever/decklever/api"
 )
 
-// rolloutPollInterval is the pause between two looks at a roll-out.
+// rolloutPollInterval is the time between two reads of the roll-out.
 const rolloutPollInterval = 100 * time.Millisecond
 
-// configRolloutCommand shows which process has which version.
+// configRolloutCommand shows the version that each process has in force.
 func (a *app) configRolloutCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "rollout",
@@ -40,11 +40,13 @@
 	}
 }
 
+// readRollout requests the state of the roll-out.
 func (a *app) readRollout(ctx context.Context, client *api.Client) (api.Rollout, error) {
 	return doRequest(ctx, a, "read the roll-out", client.Rollout)
 }
 
-// completeness says whether every process has the version, or how many lack it.
+// completeness describes whether the roll-out is complete, or how many
+// processes are behind.
 func completeness(rollout api.Rollout) string {
 	if rollout.Complete {
 		return "roll-out complete"
@@ -53,7 +55,8 @@
 	return fmt.Sprintf("roll-out incomplete, %d of %d processes behind", len(behind), len(rollout.Processes))
 }
 
-// behindVersion names the processes that have an older version in force.
+// behindVersion returns the names of processes with an older version in
+// force, sorted.
 func behindVersion(rollout api.Rollout) []string {
 	var names []string
 	for _, process := range rollout.Processes {
@@ -65,8 +68,8 @@
 	return names
 }
 
-// waitForRollout looks until every process has the version or a newer one,
-// for --timeout at most.
+// waitForRollout polls, for at most --timeout, until every process has the
+// version or a newer one.
 func (a *app) waitForRollout(ctx context.Context, client *api.Client, version uint64) error {
 	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
--- a/internal/cli/config_validate.go
+++ b/internal/cli/config_validate.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// configValidateCommand has the fleet check a file without taking it.
+// configValidateCommand has the fleet check a file without proposing it.
 func (a *app) configValidateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "validate FILE|-",
--- a/internal/cli/drains.go
+++ b/internal/cli/drains.go
@@ -10,15 +10,16 @@
 	"github.com/decklever/decklever/api"
 )
 
-// drainsCommand holds the commands about zones drained by orders.
+// drainsCommand groups the commands about drain orders, which drain zones
+// independently of the configuration.
 func (a *app) drainsCommand() *cobra.Command {
 	return groupCommand("drains", "Drain zones by orders that no configuration undoes",
 		"  decklever drains add zone-2\n  decklever drains list\n  decklever drains remove zone-2",
 		a.drainsListCommand(), a.drainsAddCommand(), a.drainsRemoveCommand())
 }
 
-// sendDrainOrders makes one call for each zone. If one fails, those before it are
-// done; the same command again goes on with the rest.
+// sendDrainOrders sends one request for each zone and stops at the first
+// error. Orders are idempotent, so the same command can be run again.
 func (a *app) sendDrainOrders(ctx context.Context, zones []string, drained bool, order func(context.Context, string) error) error {
 	if err := checkZones(zones); err != nil {
 		return err
@@ -37,6 +38,7 @@
 	})
 }
 
+// sendDrainOrder sends the order for one zone.
 func (a *app) sendDrainOrder(ctx context.Context, zone string, order func(context.Context, string) error) error {
 	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
@@ -46,6 +48,7 @@
 	return nil
 }
 
+// describeDrainOrder returns the state of a zone after its order.
 func describeDrainOrder(drained bool) string {
 	if drained {
 		return "drained by an order"
@@ -53,7 +56,7 @@
 	return "no longer drained by an order"
 }
 
-// checkZones refuses what is no zone before any order is given.
+// checkZones rejects invalid zone names before any order is sent.
 func checkZones(zones []string) error {
 	for _, zone := range zones {
 		if !api.ValidZone(zone) {
--- a/internal/cli/drains_list.go
+++ b/internal/cli/drains_list.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// drainsListCommand lists the zones drained by orders.
+// drainsListCommand lists the zones with a drain order.
 func (a *app) drainsListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "list",
@@ -28,6 +28,7 @@
 	}
 }
 
+// drainTable builds the table of drained zones.
 func drainTable(list api.DrainList) *textTable {
 	drains := newTextTable("zone")
 	for _, drain := range list.Zones {
--- a/internal/cli/drains_remove.go
+++ b/internal/cli/drains_remove.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// drainsRemoveCommand takes the orders on zones back.
+// drainsRemoveCommand removes the drain orders of zones.
 func (a *app) drainsRemoveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "remove ZONE...",
--- a/internal/cli/errors.go
+++ b/internal/cli/errors.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// exitError is an error with its exit code.
+// exitError is an error that determines the exit code.
 type exitError struct {
 	code   int
 	text   string
@@ -18,18 +18,18 @@
 	cause  error
 }
 
-// Error implements error: one line, without the fields.
-func (f *exitError) Error() string { return f.text }
+// Error implements error. It returns one line, without the fields.
+func (e *exitError) Error() string { return e.text }
 
-// Unwrap returns the cause.
-func (f *exitError) Unwrap() error { return f.cause }
+// Unwrap returns the cause, if any.
+func (e *exitError) Unwrap() error { return e.cause }
 
-// usageError is a failure of what was typed.
+// usageError reports wrong flags or arguments.
 func usageError(format string, values ...any) *exitError {
 	return &exitError{code: ExitUsage, text: fmt.Sprintf(format, values...)}
 }
 
-// fileError is a failure of the content of a file.
+// fileError reports a file that cannot be read, written or decoded.
 func fileError(path string, cause error) *exitError {
 	result := &exitError{code: ExitUsage, text: fmt.Sprintf("%s: %v", path, cause), cause: cause}
 	var refusal *api.Error
@@ -40,8 +40,8 @@
 	return result
 }
 
-// requestError is the failure of a call to the fleet; action says what was
-// tried, such as "submit job swap-1".
+// requestError reports a failed request to the fleet; action says what was
+// attempted, such as "submit job swap-1".
 func requestError(action string, cause error) *exitError {
 	var refusal *api.Error
 	if !errors.As(cause, &refusal) {
@@ -55,8 +55,8 @@
 	return &exitError{code: exitCodeOf(refusal), text: text, fields: refusal.Fields, cause: cause}
 }
 
-// jobResultError is nil for a job that succeeded and a failure for one that ended
-// otherwise.
+// jobResultError returns nil for a job that succeeded and an error for one
+// that ended otherwise.
 func jobResultError(status api.JobStatus) error {
 	if status.State == api.StateSucceeded {
 		return nil
@@ -64,7 +64,7 @@
 	return &exitError{code: ExitJobFailed, text: fmt.Sprintf("job %s ended %s", status.ID, status.State)}
 }
 
-// reportError writes each error as one line, and each wrong field as another.
+// reportError writes one line for each error and one for each invalid field.
 func reportError(writer io.Writer, err error) {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		for _, part := range joined.Unwrap() {
@@ -82,8 +82,8 @@
 	}
 }
 
-// formatFieldError says what is wrong with one field. The entry that says how
-// many more there are has no field.
+// formatFieldError describes one invalid field. An entry without a field says
+// how many more there are.
 func formatFieldError(field api.FieldError) string {
 	if field.Field == "" {
 		return strings.TrimSpace(field.Value + " " + field.Expected)
@@ -91,12 +91,13 @@
 	return fmt.Sprintf("%s is %q, expected %s", field.Field, field.Value, field.Expected)
 }
 
-// notFoundError is the failure of a look for what the fleet does not have.
+// notFoundError reports a name that the fleet does not know.
 func notFoundError(kind string, name any) error {
 	return &exitError{code: ExitRefused, text: fmt.Sprintf("there is no %s %s", kind, name)}
 }
 
-// rolloutIncompleteError is the failure of a wait that was over before the roll-out.
+// rolloutIncompleteError reports a roll-out that was not complete within
+// --timeout.
 func rolloutIncompleteError(version uint64, last api.Rollout) error {
 	text := fmt.Sprintf("version %d is accepted, but its roll-out is not complete", version)
 	if behind := behindVersion(last); len(behind) > 0 {
@@ -105,7 +106,7 @@
 	return &exitError{code: ExitUnavailable, text: text}
 }
 
-// jobNotEndedError is the failure of a wait that was over before the job was.
+// jobNotEndedError reports a job that had not ended within --timeout.
 func jobNotEndedError(id string, state api.State) error {
 	return &exitError{code: ExitUnavailable, text: fmt.Sprintf("job %s has not ended; it is %s", id, state)}
 }
--- a/internal/cli/exit_codes.go
+++ b/internal/cli/exit_codes.go
@@ -25,7 +25,7 @@
 	ExitJobFailed = 5
 )
 
-// exitCodesHelp is the part of the help that names the codes.
+// exitCodesHelp is the section of the help that lists the exit codes.
 const exitCodesHelp = `Exit codes:
   0  done
   1  something unexpected failed
@@ -35,7 +35,7 @@
   4  the fleet could not be asked, or the outcome is not known yet
   5  the job that was waited for ended failed or cancelled`
 
-// exitCodeOf is the exit code for an answer of the fleet.
+// exitCodeOf returns the exit code for an error answer of the fleet.
 func exitCodeOf(refusal *api.Error) int {
 	switch {
 	case refusal.Code == api.CodeInternal:
--- a/internal/cli/format.go
+++ b/internal/cli/format.go
@@ -8,10 +8,10 @@
 	"github.com/decklever/decklever/api"
 )
 
-// emptyCell stands in a cell that has no value.
+// emptyCell is shown in a cell without a value.
 const emptyCell = "-"
 
-// formatCell is a value as text of one line.
+// formatCell formats a value as one line of text.
 func formatCell(value any) string {
 	line := sanitizeLine(fmt.Sprint(value))
 	if line == "" {
@@ -20,7 +20,7 @@
 	return line
 }
 
-// formatTime is a time in the zone of tables, to the second.
+// formatTime formats a time in the configured time zone, to the second.
 func (a *app) formatTime(moment time.Time) string {
 	if moment.IsZero() {
 		return emptyCell
@@ -28,7 +28,7 @@
 	return moment.In(a.Location).Format(time.RFC3339)
 }
 
-// formatOptionalTime is clock for a time that may be absent.
+// formatOptionalTime is formatTime for a time that may be absent.
 func (a *app) formatOptionalTime(moment *time.Time) string {
 	if moment == nil {
 		return emptyCell
@@ -36,15 +36,15 @@
 	return a.formatTime(*moment)
 }
 
-// formatMillis is a span of milliseconds with its unit.
+// formatMillis formats milliseconds as a duration.
 func formatMillis(count int64) string {
 	return (time.Duration(count) * time.Millisecond).String()
 }
 
-// formatUsage is an amount of room in use and in all.
+// formatUsage formats the amount in use and the capacity of a resource.
 func formatUsage(used, capacity int64) string { return fmt.Sprintf("%d/%d", used, capacity) }
 
-// formatBool is a truth value for people.
+// formatBool formats a boolean as yes or no.
 func formatBool(value bool) string {
 	if value {
 		return "yes"
@@ -52,10 +52,10 @@
 	return "no"
 }
 
-// formatNames is a list in one cell.
+// formatNames formats a list for one cell.
 func formatNames(list []string) string { return strings.Join(list, ",") }
 
-// formatCount is a count with its bound, if it has one.
+// formatCount formats a count with its limit; 0 means no limit.
 func formatCount(count, bound int) string {
 	if bound == 0 {
 		return fmt.Sprint(count)
@@ -63,8 +63,7 @@
 	return fmt.Sprintf("%d/%d", count, bound)
 }
 
-// formatResources is an amount of room in one cell; what there is none of is left
-// out.
+// formatResources formats the resources that are not 0 for one cell.
 func formatResources(room api.Resources) string {
 	var parts []string
 	for _, one := range []struct {
--- a/internal/cli/input_file.go
+++ b/internal/cli/input_file.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// standardInput is the file name that means Config.In.
+	// standardInput is the file name that stands for Config.In.
 	standardInput = "-"
-	// maxFileBytes bounds a file: more than the fleet takes in any case.
+	// maxFileBytes bounds the size of a file, above what the fleet accepts.
 	maxFileBytes = 32 << 20
 )
 
-// readFile reads a YAML or JSON file into the struct that into points to. An
-// unknown field is an error.
+// readFile decodes a YAML or JSON file into the struct that into points to.
+// Unknown fields are an error.
 func (a *app) readFile(path string, into any) error {
 	data, err := a.readAll(path)
 	if err != nil {
@@ -37,15 +37,16 @@
 	return nil
 }
 
+// readAll reads a file, or standard input.
 func (a *app) readAll(path string) ([]byte, error) {
 	if path == standardInput {
 		return readBounded(a.In)
 	}
 	file, err := os.Open(path)
 	if err != nil {
-		var exitErr *os.PathError
-		if errors.As(err, &exitErr) {
-			err = exitErr.Err // the path is named in any case
+		var pathErr *os.PathError
+		if errors.As(err, &pathErr) {
+			err = pathErr.Err // fileError adds the path
 		}
 		return nil, err
 	}
@@ -53,6 +54,7 @@
 	return readBounded(file)
 }
 
+// readBounded reads at most maxFileBytes; more is an error.
 func readBounded(reader io.Reader) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(reader, maxFileBytes+1))
 	if err != nil {
@@ -64,8 +66,8 @@
 	return data, nil
 }
 
-// isJSON goes by the name of the file and then by its content; most JSON is
-// YAML as well, but its errors are named better as JSON.
+// isJSON decides by the extension of the file and then by its content. Most
+// JSON is also valid YAML, but decoding it as JSON gives better errors.
 func isJSON(path string, data []byte) bool {
 	switch filepath.Ext(path) {
 	case ".json":
--- a/internal/cli/job.go
+++ b/internal/cli/job.go
@@ -6,14 +6,14 @@
 	"github.com/decklever/decklever/api"
 )
 
-// jobCommand holds the commands about jobs.
+// jobCommand groups the commands about jobs.
 func (a *app) jobCommand() *cobra.Command {
 	return groupCommand("job", "Hand in jobs and follow them",
 		"  decklever job submit swap.yaml --id swap-17\n  decklever job list --state running",
 		a.jobSubmitCommand(), a.jobStatusCommand(), a.jobListCommand(), a.jobCancelCommand(), a.jobWaitCommand())
 }
 
-// checkJobID checks the form of an id before anything is sent.
+// checkJobID validates the form of a job id before anything is sent.
 func checkJobID(id string) error {
 	if id == "" {
 		return usageError("the id of a job is missing; for submit it is given with --id")
--- a/internal/cli/job_cancel.go
+++ b/internal/cli/job_cancel.go
@@ -18,7 +18,7 @@
 known, ended or cancelled before do not count and are no error. With --queue
 all jobs of the queue are cancelled, and --yes says that this is meant.`
 
-// cancelledJobs is the result of the cancel of one job: its state afterwards.
+// cancelledJobs is the result of cancelling one job: its state afterwards.
 type cancelledJobs struct {
 	Jobs []api.JobStatus `json:"jobs"`
 }
@@ -72,7 +72,7 @@
 	})
 }
 
-// cancelMany cancels jobs in as few calls as they fit in.
+// cancelMany cancels jobs in as few requests as possible.
 func (a *app) cancelMany(ctx context.Context, client *api.Client, ids []string) error {
 	answer := api.CancelAnswer{}
 	for part := range slices.Chunk(ids, api.MaxCancelledJobs) {
@@ -107,7 +107,7 @@
 	})
 }
 
-// requestCancellation makes one call.
+// requestCancellation sends one request.
 func (a *app) requestCancellation(ctx context.Context, client *api.Client, action string, request api.CancelRequest) (int, error) {
 	return doRequest(ctx, a, action, func(ctx context.Context) (int, error) {
 		return client.CancelJobs(ctx, request)
--- a/internal/cli/job_list.go
+++ b/internal/cli/job_list.go
@@ -10,9 +10,10 @@
 	"github.com/decklever/decklever/api"
 )
 
-// maxPageJobs is the most that a front lists on one page.
+// maxPageJobs is the largest page that a front returns.
 const maxPageJobs = 1000
 
+// jobStates are the values that --state accepts.
 var jobStates = []string{
 	string(api.StatePending), string(api.StateRunning), string(api.StateSucceeded),
 	string(api.StateFailed), string(api.StateCancelled),
@@ -50,7 +51,7 @@
 	return command
 }
 
-// listJobs reads one page, or all from it on as one list.
+// listJobs reads one page, or that page and all that follow as one list.
 func (a *app) listJobs(ctx context.Context, client *api.Client, query api.JobsQuery, all bool) (api.JobList, error) {
 	list := api.JobList{Jobs: []api.JobSummary{}}
 	for {
@@ -69,6 +70,7 @@
 	}
 }
 
+// printJobs prints a page of jobs, with a notice if there are more.
 func (a *app) printJobs(list api.JobList) error {
 	if list.NextPageToken != "" && a.flags.output == outputFormatTable {
 		defer a.printNotice(fmt.Sprintf("there are more; go on with --page-token %s, or use --all", list.NextPageToken))
--- a/internal/cli/job_output.go
+++ b/internal/cli/job_output.go
@@ -7,14 +7,14 @@
 	"github.com/decklever/decklever/api"
 )
 
-// occurrenceTable is the table of a repeating job's occurrences.
+// occurrenceTable builds the table of a repeating job's occurrences.
 func (a *app) occurrenceTable(counts *api.OccurrenceStatus) *textTable {
 	occurrences := newTextTable("occurrences", "open", "succeeded", "failed", "cancelled", "next due")
 	occurrences.add(counts.Times, counts.Open, counts.Succeeded, counts.Failed, counts.Cancelled, a.formatOptionalTime(counts.NextDue))
 	return occurrences
 }
 
-// taskTable is the table of a job's tasks.
+// taskTable builds the table of a job's tasks.
 func taskTable(status api.JobStatus) *textTable {
 	tasks := newTextTable("task", "state", "run", "failures", "worker", "reason")
 	for _, step := range status.Steps {
@@ -25,8 +25,7 @@
 	return tasks
 }
 
-// printJob writes the state of a job with its occurrences, if it repeats, and
-// its tasks.
+// printJob prints a job with its occurrences, if it repeats, and its tasks.
 func (a *app) printJob(status api.JobStatus) error {
 	return a.print(status, func(writer io.Writer) {
 		job := newTextTable("id", "queue", "priority", "state", "submitted", "ended")
--- a/internal/cli/job_status.go
+++ b/internal/cli/job_status.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// jobStatusCommand reads the state of a job.
+// jobStatusCommand shows the state of a job.
 func (a *app) jobStatusCommand() *cobra.Command {
 	var wait time.Duration
 	command := &cobra.Command{
--- a/internal/cli/job_submit.go
+++ b/internal/cli/job_submit.go
@@ -17,7 +17,7 @@
 --wait the command ends when the job does, without a bound, and its exit code
 is 5 if the job did not succeed.`
 
-// jobSubmitCommand hands in a job.
+// jobSubmitCommand submits a job.
 func (a *app) jobSubmitCommand() *cobra.Command {
 	var id string
 	var wait bool
@@ -51,6 +51,7 @@
 	return command
 }
 
+// submit sends the job and reports whether it is new.
 func (a *app) submit(ctx context.Context, client *api.Client, id string, spec api.JobSpec) (created bool, err error) {
 	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
@@ -61,6 +62,7 @@
 	return created, nil
 }
 
+// printSubmitted prints that a job was accepted.
 func (a *app) printSubmitted(id string, created bool) error {
 	return a.print(api.SubmitAnswer{ID: id, Created: created}, func(writer io.Writer) {
 		word := "accepted"
--- a/internal/cli/job_wait.go
+++ b/internal/cli/job_wait.go
@@ -10,9 +10,11 @@
 )
 
 const (
-	// maxWaitPerRequest is how long one call of a longer wait is held.
+	// maxWaitPerRequest bounds how long a front holds one request of a longer
+	// wait.
 	maxWaitPerRequest = 10 * time.Second
-	// waitRequestSpacing stands between two calls of a wait.
+	// waitRequestSpacing is the pause between two requests of a wait, as a
+	// front in trouble answers early.
 	waitRequestSpacing = 50 * time.Millisecond
 )
 
@@ -22,8 +24,8 @@
 if it had not ended within --timeout or the fleet did not answer. An outage
 shorter than 10s does not end the wait.`
 
-// jobWaitCommand waits for the end of a job. Its --timeout takes the place of
-// the one of all commands, which bounds single calls.
+// jobWaitCommand waits for a job to end. Its --timeout bounds the whole wait
+// and replaces the global flag, which bounds single requests.
 func (a *app) jobWaitCommand() *cobra.Command {
 	var timeout time.Duration
 	command := &cobra.Command{
@@ -48,16 +50,16 @@
 	return command
 }
 
-// waitForJob reads the job until it is final or, with a timeout above 0, that
-// time is over.
+// waitForJob reads the job until it has ended or the timeout is over; 0 means
+// no timeout.
 func (a *app) waitForJob(ctx context.Context, client *api.Client, id string, timeout time.Duration) (api.JobStatus, error) {
 	end := time.Now().Add(timeout)
 	for {
-		slice := maxWaitPerRequest
+		wait := maxWaitPerRequest
 		if timeout > 0 {
-			slice = max(0, min(slice, time.Until(end)))
+			wait = max(0, min(wait, time.Until(end)))
 		}
-		status, err := a.readJob(ctx, client, id, slice)
+		status, err := a.readJob(ctx, client, id, wait)
 		if err != nil {
 			return status, requestError("wait for job "+id, err)
 		}
@@ -67,20 +69,20 @@
 		if timeout > 0 && time.Until(end) <= 0 {
 			return status, jobNotEndedError(id, status.State)
 		}
-		// A front in trouble answers early.
 		a.sleep(ctx, waitRequestSpacing)
 	}
 }
 
-// readJob reads a job once, held until the job is final or the wait is over.
+// readJob requests a job once. With a wait, the front holds the answer until
+// the job has ended or the wait is over.
 func (a *app) readJob(ctx context.Context, client *api.Client, id string, wait time.Duration) (api.JobStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+a.flags.timeout)
 	defer cancel()
 	return client.Job(ctx, id, wait)
 }
 
-// followJob waits for a job's end, prints it, and fails unless it succeeded.
-// A timeout of 0 is no bound.
+// followJob waits for a job to end, prints it, and returns an error unless it
+// succeeded. A timeout of 0 means none.
 func (a *app) followJob(ctx context.Context, client *api.Client, id string, timeout time.Duration) error {
 	status, waitErr := a.waitForJob(ctx, client, id, timeout)
 	if waitErr != nil {
--- a/internal/cli/member_list.go
+++ b/internal/cli/member_list.go
@@ -10,7 +10,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// memberListCommand lists the schedulers and how far each has the log.
+// memberListCommand lists the schedulers and the replication progress of
+// each.
 func (a *app) memberListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "list",
@@ -31,6 +32,7 @@
 	}
 }
 
+// memberTable builds the table of schedulers.
 func memberTable(list api.MemberList) *textTable {
 	members := newTextTable("name", "zone", "address", "replica", "leader", "voter", "matched", "silent")
 	for _, member := range list.Members {
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -10,16 +10,17 @@
 	"unicode"
 )
 
-// Forms of a result.
+// Values of --output.
 const (
 	outputFormatTable = "table"
 	outputFormatJSON  = "json"
 	outputFormatYAML  = "yaml"
 )
 
+// outputFormats are the values that --output accepts.
 var outputFormats = []string{outputFormatTable, outputFormatJSON, outputFormatYAML}
 
-// checkOutputFormat checks the value of --output.
+// checkOutputFormat validates --output.
 func checkOutputFormat(output string) error {
 	if !slices.Contains(outputFormats, output) {
 		return usageError("--output is %q, expected %s", output, strings.Join(outputFormats, ", "))
@@ -27,8 +28,8 @@
 	return nil
 }
 
-// print writes a result in the form that was asked for: a table, or the
-// object of the API itself as one document.
+// print writes a result in the format of --output: as a table, or as the
+// object of the API in one JSON or YAML document.
 func (a *app) print(result any, table func(io.Writer)) error {
 	if a.flags.output == outputFormatTable {
 		return a.write(table)
@@ -43,8 +44,8 @@
 	return a.write(func(writer io.Writer) { _, _ = writer.Write(data) })
 }
 
-// write hands out what render makes in one piece, so that a closed pipe is
-// noticed once.
+// write renders into a buffer and writes it at once, so that an error such as
+// a closed pipe is reported once.
 func (a *app) write(render func(io.Writer)) error {
 	var buffer bytes.Buffer
 	render(&buffer)
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// marshal makes indented JSON with a line end.
+// marshal encodes a value as indented JSON with a trailing newline.
 func marshal(value any) ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
@@ -66,16 +67,17 @@
 	return buffer.Bytes(), nil
 }
 
-// printNotice writes a line for people beside the result.
+// printNotice writes a line for people to standard error.
 func (a *app) printNotice(text string) { writeSanitizedLine(a.Err, text) }
 
-// writeSanitizedLine writes one line; there is nowhere to report that it failed.
+// writeSanitizedLine writes one line. A write error is ignored, as there is
+// nowhere to report it.
 func writeSanitizedLine(writer io.Writer, text string) {
 	_, _ = fmt.Fprintln(writer, sanitizeLine(text))
 }
 
-// sanitizeLine replaces line ends and other control characters, so that text from
-// the fleet can neither break a line nor steer a terminal.
+// sanitizeLine replaces newlines and other control characters by spaces, so
+// that text from the fleet can neither break a line nor control the terminal.
 func sanitizeLine(text string) string {
 	return strings.Map(func(character rune) rune {
 		if unicode.IsControl(character) {
--- a/internal/cli/queue.go
+++ b/internal/cli/queue.go
@@ -2,7 +2,7 @@
 
 import "github.com/spf13/cobra"
 
-// queueCommand holds the commands about queues.
+// queueCommand groups the commands about queues.
 func (a *app) queueCommand() *cobra.Command {
 	return groupCommand("queue", "List queues and show one",
 		"  decklever queue list\n  decklever queue show swaps",
--- a/internal/cli/queue_list.go
+++ b/internal/cli/queue_list.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// queueListCommand lists queues and what waits in them.
+// queueListCommand lists queues with their pending and running tasks.
 func (a *app) queueListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "list",
@@ -27,6 +27,7 @@
 	}
 }
 
+// queueTable builds the table of queues.
 func queueTable(list api.QueueList) *textTable {
 	queues := newTextTable("queue", "jobs", "waiting jobs", "pending tasks", "running tasks")
 	for _, queue := range list.Queues {
--- a/internal/cli/queue_show.go
+++ b/internal/cli/queue_show.go
@@ -13,13 +13,14 @@
 	"github.com/decklever/decklever/api"
 )
 
-// maxShownJobs bounds --jobs: each job is read by itself.
+// maxShownJobs bounds --jobs, since each job takes a request of its own.
 const maxShownJobs = 100
 
-// queueDetails is the result of "queue show": the answers of several calls,
-// made at nearly the same time but not at one instant.
+// queueDetails is the result of "queue show". It is combined from several
+// requests that are sent concurrently, so it is not a snapshot of one
+// instant.
 type queueDetails struct {
-	// Config is absent for a queue that the configuration no longer has.
+	// Config is absent if the configuration in force no longer has the queue.
 	Config   *api.QueueConfig    `json:"config,omitempty"`
 	Status   api.QueueStatus     `json:"status"`
 	Bookings []api.BookingStatus `json:"bookings"`
@@ -60,7 +61,7 @@
 	return command
 }
 
-// readQueue reads what is known of a queue, besides its jobs.
+// readQueue requests everything about a queue except its jobs.
 func (a *app) readQueue(ctx context.Context, client *api.Client, name string, hours int) (queueDetails, error) {
 	var config api.ConfigStatus
 	var queues api.QueueList
@@ -81,12 +82,12 @@
 	if err := group.Wait(); err != nil {
 		return queueDetails{}, err
 	}
-	// What counts is what is in force, defaults included.
+	// The values in force include defaults.
 	return selectQueue(name, config.Config.WithDefaults(), queues, bookings)
 }
 
-// selectQueue takes what concerns one queue; none is known if neither the
-// configuration nor the leader has it.
+// selectQueue selects what belongs to one queue. It returns an error if
+// neither the configuration nor the leader knows the queue.
 func selectQueue(name string, config api.Config, queues api.QueueList, bookings api.BookingList) (queueDetails, error) {
 	details := queueDetails{Status: api.QueueStatus{Name: name}}
 	details.Bookings = filterWindows(bookings, func(window api.BookingStatus) bool { return window.Queue == name })
@@ -128,7 +129,7 @@
 	}
 }
 
-// renderExpectedWait says how long newcomers wait, if that is known.
+// renderExpectedWait writes how long a new task would wait, if that is known.
 func renderExpectedWait(writer io.Writer, status api.QueueStatus) {
 	if status.ExpectedWaitMillis <= 0 {
 		return
--- a/internal/cli/queue_waiting.go
+++ b/internal/cli/queue_waiting.go
@@ -10,25 +10,25 @@
 	"github.com/decklever/decklever/api"
 )
 
-// maxWaitingPages bounds the pages that are read to find the oldest waiting
-// jobs, as lists are in the order of ids.
+// maxWaitingPages bounds the pages read to find the oldest pending jobs,
+// since pages are sorted by id.
 const maxWaitingPages = 10
 
-// waitingJob is a pending job with the reasons of its tasks.
+// waitingJob is a pending job with the reasons why its tasks wait.
 type waitingJob struct {
 	ID          string          `json:"id"`
 	SubmittedAt time.Time       `json:"submitted_at"`
 	Reasons     []waitingReason `json:"reasons"`
 }
 
-// waitingReason is why a number of a job's tasks wait.
+// waitingReason is a reason and the number of tasks that wait for it.
 type waitingReason struct {
 	Reason string `json:"reason"`
 	Tasks  int    `json:"tasks"`
 }
 
-// oldestWaiting finds the pending jobs that were handed in first and reads
-// why their tasks wait.
+// oldestWaiting returns the pending jobs that were submitted first, with the
+// reasons why their tasks wait.
 func (a *app) oldestWaiting(ctx context.Context, client *api.Client, queue string, most int) ([]waitingJob, error) {
 	waiting := []waitingJob{}
 	if most == 0 {
@@ -52,7 +52,8 @@
 	return waiting, nil
 }
 
-// pendingJobs reads the pending jobs of a queue, as far as it is bounded.
+// pendingJobs returns the pending jobs of a queue, from at most
+// maxWaitingPages pages.
 func (a *app) pendingJobs(ctx context.Context, client *api.Client, queue string) ([]api.JobSummary, error) {
 	query := api.JobsQuery{Queue: queue, State: api.StatePending, Limit: maxPageJobs}
 	var jobs []api.JobSummary
@@ -71,7 +72,8 @@
 	return jobs, nil
 }
 
-// waitingReasons counts the reasons of pending tasks, in the order of tasks.
+// waitingReasons counts the reasons of pending tasks, in the order of the
+// tasks.
 func waitingReasons(status api.JobStatus) []waitingReason {
 	reasons := []waitingReason{}
 	for _, step := range status.Steps {
@@ -90,7 +92,7 @@
 	return reasons
 }
 
-// waitingTable is the table of waiting jobs.
+// waitingTable builds the table of waiting jobs.
 func (a *app) waitingTable(jobs []waitingJob) *textTable {
 	waiting := newTextTable("waiting job", "submitted", "reasons (tasks)")
 	for _, job := range jobs {
--- a/internal/cli/request.go
+++ b/internal/cli/request.go
@@ -9,10 +9,11 @@
 	"github.com/decklever/decklever/api"
 )
 
-// action is the work of one command, with the client to do it with.
+// action is the body of a command that sends requests.
 type action func(ctx context.Context, client *api.Client, arguments []string) error
 
-// run makes the RunE of a command that calls the fleet.
+// run adapts an action to cobra's RunE: it checks the global flags and
+// provides a client, which it closes afterwards.
 func (a *app) run(work action) func(*cobra.Command, []string) error {
 	return func(command *cobra.Command, arguments []string) error {
 		a.started = true
@@ -28,7 +29,7 @@
 	}
 }
 
-// checkGlobal checks the flags of every command.
+// checkGlobal validates the global flags.
 func (a *app) checkGlobal() error {
 	if a.flags.timeout <= 0 {
 		return usageError("--timeout is %v, expected a duration above 0", a.flags.timeout)
@@ -36,7 +37,7 @@
 	return checkOutputFormat(a.flags.output)
 }
 
-// client makes the client of the fronts that the flags name.
+// client returns a client of the fronts given by --front.
 func (a *app) client() (*api.Client, error) {
 	client, err := api.NewClient(api.ClientConfig{Endpoints: a.flags.fronts, HTTPClient: a.HTTPClient})
 	if err != nil {
@@ -45,12 +46,13 @@
 	return client, nil
 }
 
-// requestContext bounds one call to the fleet, with all its tries, by --timeout.
+// requestContext bounds one request, with all its attempts, by --timeout.
 func (a *app) requestContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, a.flags.timeout)
 }
 
-// doRequest makes one call that has no arguments.
+// doRequest sends one request, bounded by --timeout, and returns a
+// requestError if it fails.
 func doRequest[Answer any](ctx context.Context, a *app, action string, call func(context.Context) (Answer, error)) (Answer, error) {
 	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// frontsVariable names fronts in the environment.
+	// frontsVariable is the environment variable that names the fronts.
 	frontsVariable = "DECKLEVER_FRONTS"
-	// defaultFront is used if neither flag nor environment names one.
+	// defaultFront is used if neither flag nor environment names a front.
 	defaultFront = "http://127.0.0.1:7200"
-	// defaultTimeout bounds one call: longer than a fleet without a leader
-	// needs to have one again.
+	// defaultTimeout bounds one request. It is longer than the election of a
+	// new leader takes.
 	defaultTimeout = 10 * time.Second
 )
 
@@ -26,7 +26,7 @@
 
 ` + exitCodesHelp
 
-// rootCommand builds the whole command.
+// rootCommand builds the tree of commands.
 func (a *app) rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "decklever",
@@ -51,7 +51,7 @@
 	return root
 }
 
-// bindGlobal adds the flags of every command.
+// bindGlobal adds the global flags.
 func (a *app) bindGlobal(root *cobra.Command) {
 	fronts := []string{defaultFront}
 	if value := a.Getenv(frontsVariable); value != "" {
@@ -64,8 +64,9 @@
 	mustComplete(root, "output", cobra.FixedCompletions(outputFormats, cobra.ShellCompDirectiveNoFileComp))
 }
 
-// groupCommand is a command that only holds others. Cobra would answer a
-// wrong name below it with the help and success.
+// groupCommand returns a command that only has subcommands. Without its RunE,
+// cobra would answer an unknown subcommand with the help text and exit code
+// 0.
 func groupCommand(name, short, example string, children ...*cobra.Command) *cobra.Command {
 	group := &cobra.Command{
 		Use:     name,
@@ -77,7 +78,7 @@
 	return group
 }
 
-// helpOrUnknown is the work of a command that only holds others.
+// helpOrUnknown is the RunE of a command that only has subcommands.
 func helpOrUnknown(command *cobra.Command, arguments []string) error {
 	if len(arguments) == 0 {
 		return command.Help()
@@ -85,7 +86,7 @@
 	return unknownCommand(command, arguments[0])
 }
 
-// unknownCommand names the commands that may have been meant.
+// unknownCommand returns a usage error that suggests similar commands.
 func unknownCommand(command *cobra.Command, name string) error {
 	command.SuggestionsMinimumDistance = 2
 	text := fmt.Sprintf("unknown command %q for %q", name, command.CommandPath())
@@ -95,8 +96,8 @@
 	return usageError("%s", text)
 }
 
-// mustComplete registers the completion of a flag; the flag exists, so it
-// cannot fail.
+// mustComplete registers the completion of a flag. It panics if the flag does
+// not exist, which is a mistake in the program.
 func mustComplete(command *cobra.Command, flag string, complete cobra.CompletionFunc) {
 	if err := command.RegisterFlagCompletionFunc(flag, complete); err != nil {
 		panic(err)
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -12,8 +12,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// fleetStatus is the result of "status": the answers of four calls, made at
-// nearly the same time but not at one instant.
+// fleetStatus is the result of "status". It is combined from four requests
+// that are sent concurrently, so it is not a snapshot of one instant.
 type fleetStatus struct {
 	Members api.MemberList `json:"members"`
 	Workers api.WorkerList `json:"workers"`
@@ -21,6 +21,7 @@
 	Rollout api.Rollout    `json:"rollout"`
 }
 
+// workerStates is the order in which states are counted.
 var workerStates = []api.WorkerState{
 	api.WorkerReady, api.WorkerWaiting, api.WorkerSuspect, api.WorkerProbation, api.WorkerDraining, api.WorkerSilent, api.WorkerLost,
 }
@@ -44,6 +45,7 @@
 	}
 }
 
+// readStatus sends the four requests.
 func (a *app) readStatus(ctx context.Context, client *api.Client) (fleetStatus, error) {
 	var status fleetStatus
 	group, ctx := errgroup.WithContext(ctx)
@@ -67,6 +69,7 @@
 	return status, err
 }
 
+// renderStatus writes the summary and the tables.
 func renderStatus(writer io.Writer, status fleetStatus) {
 	_, _ = fmt.Fprintf(writer, "leader         %s\n", leaderOf(status.Members))
 	_, _ = fmt.Fprintf(writer, "workers        %s\n", countWorkers(status.Workers))
@@ -76,7 +79,7 @@
 	queueTable(status.Queues).render(writer)
 }
 
-// leaderOf names the leader with its zone and token.
+// leaderOf describes the leader by name, zone and token.
 func leaderOf(list api.MemberList) string {
 	for _, member := range list.Members {
 		if member.Leader {
@@ -86,7 +89,7 @@
 	return emptyCell
 }
 
-// countWorkers counts workers by state, in a fixed order of states.
+// countWorkers counts workers by state, in the order of workerStates.
 func countWorkers(list api.WorkerList) string {
 	counts := make(map[api.WorkerState]int, len(workerStates))
 	for _, worker := range list.Workers {
--- a/internal/cli/text_table.go
+++ b/internal/cli/text_table.go
@@ -8,10 +8,10 @@
 	"github.com/jedib0t/go-pretty/v6/text"
 )
 
-// textTable is a table of one result: columns in a fixed order, no borders.
+// textTable is a table with a fixed order of columns and without borders.
 type textTable struct{ writer table.Writer }
 
-// newTextTable makes a table with these columns.
+// newTextTable returns an empty table with these columns.
 func newTextTable(columns ...string) *textTable {
 	style := table.StyleLight
 	style.Options = table.OptionsNoBordersAndSeparators
@@ -41,6 +41,7 @@
 	_, _ = fmt.Fprintln(writer, g.writer.Render())
 }
 
+// tableRow converts text cells to a row of the table writer.
 func tableRow(values []string) table.Row {
 	row := make(table.Row, len(values))
 	for index, value := range values {
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -29,7 +29,7 @@
 share of the whole fleet. The room in use is that of now, as nobody can know when
 tasks end: by worker that of its open runs, by queue that of its slices in use.`
 
-// timelineFlags are the flags of the timeline.
+// timelineFlags are the flags of "timeline".
 type timelineFlags struct {
 	hours    int
 	by       string
@@ -37,7 +37,7 @@
 	svg, png string
 }
 
-// timelineCommand shows booked and used room over the coming hours.
+// timelineCommand shows booked and used capacity over the coming hours.
 func (a *app) timelineCommand() *cobra.Command {
 	var flags timelineFlags
 	command := &cobra.Command{
@@ -59,16 +59,16 @@
 		if err := flags.check(); err != nil {
 			return err
 		}
-		line, err := a.readTimeline(ctx, client, flags)
+		view, err := a.readTimeline(ctx, client, flags)
 		if err != nil {
 			return err
 		}
-		return a.printTimeline(line, flags)
+		return a.printTimeline(view, flags)
 	})
 	return command
 }
 
-// check checks the flags before anything is read.
+// check validates the flags.
 func (f timelineFlags) check() error {
 	if f.by != byWorker && f.by != byQueue {
 		return usageError("--by is %q, expected %s or %s", f.by, byWorker, byQueue)
@@ -79,8 +79,8 @@
 	return checkHours(f.hours)
 }
 
-// readTimeline reads the parts, at nearly the same time but not at one
-// instant.
+// readTimeline sends the requests concurrently, so the result is not a
+// snapshot of one instant.
 func (a *app) readTimeline(ctx context.Context, client *api.Client, flags timelineFlags) (timeline, error) {
 	var source timelineInput
 	group, ctx := errgroup.WithContext(ctx)
@@ -104,17 +104,18 @@
 	return source.timeline(flags.by), nil
 }
 
-// printTimeline writes the timeline to where it was asked for.
-func (a *app) printTimeline(line timeline, flags timelineFlags) error {
+// printTimeline prints the timeline, or writes it to the file of --svg or
+// --png.
+func (a *app) printTimeline(view timeline, flags timelineFlags) error {
 	path, format := flags.svg, "svg"
 	if flags.png != "" {
 		path, format = flags.png, "png"
 	}
 	if path == "" {
-		return a.print(line, func(writer io.Writer) { renderTimeline(writer, line, a.Location, flags.width) })
+		return a.print(view, func(writer io.Writer) { renderTimeline(writer, view, a.Location, flags.width) })
 	}
-	if err := drawTimeline(path, format, line, a.Location); err != nil {
+	if err := drawTimeline(path, format, view, a.Location); err != nil {
 		return fileError(path, err)
 	}
-	return a.print(line, func(writer io.Writer) { _, _ = fmt.Fprintf(writer, "%s is written\n", path) })
+	return a.print(view, func(writer io.Writer) { _, _ = fmt.Fprintf(writer, "%s is written\n", path) })
 }
--- a/internal/cli/timeline_chart.go
+++ b/internal/cli/timeline_chart.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	// maxTimelineName bounds the name at the start of a line, in characters.
+	// maxTimelineName bounds the name at the start of a row, in characters.
 	maxTimelineName = 24
-	// minTimelineBar is the least width of a bar.
+	// minTimelineBar is the minimum width of a bar, in characters.
 	minTimelineBar = 16
-	// Marks of a column of a bar.
+	// Characters of a column without bookings, and of one beyond the capacity.
 	barEmpty        = '.'
 	barOverCapacity = '!'
 )
 
-// barLevels are the marks of shares of up to an eighth, two eighths and so on.
+// barLevels are the characters for shares of up to 1/8, 2/8 and so on.
 var barLevels = []rune("▁▂▃▄▅▆▇█")
 
-// renderTimeline writes a timeline as a chart in characters.
-func renderTimeline(writer io.Writer, line timeline, location *time.Location, width int) {
-	prefixes := timelinePrefixes(line)
+// renderTimeline writes a timeline as a chart of characters.
+func renderTimeline(writer io.Writer, view timeline, location *time.Location, width int) {
+	prefixes := timelinePrefixes(view)
 	bar := max(minTimelineBar, width-utf8.RuneCountInString(prefixes[0]))
-	_, _ = fmt.Fprintf(writer, "booked room by %s from %s to %s\n\n", line.By,
-		line.From.In(location).Format(time.RFC3339), line.To.In(location).Format(time.RFC3339))
-	_, _ = fmt.Fprintln(writer, strings.TrimRight(prefixes[0]+hourHeader(line, location, bar), " "))
-	for index, row := range line.Rows {
-		_, _ = fmt.Fprintln(writer, prefixes[index+1]+renderBar(row, line, bar))
+	_, _ = fmt.Fprintf(writer, "booked room by %s from %s to %s\n\n", view.By,
+		view.From.In(location).Format(time.RFC3339), view.To.In(location).Format(time.RFC3339))
+	_, _ = fmt.Fprintln(writer, strings.TrimRight(prefixes[0]+hourHeader(view, location, bar), " "))
+	for index, row := range view.Rows {
+		_, _ = fmt.Fprintln(writer, prefixes[index+1]+renderBar(row, view, bar))
 	}
-	column := line.To.Sub(line.From) / time.Duration(bar)
+	column := view.To.Sub(view.From) / time.Duration(bar)
 	_, _ = fmt.Fprintf(writer, "\neach column is %v; %c none, %c to %c up to all of the room, %c beyond it\n",
 		column.Round(time.Second), barEmpty, barLevels[0], barLevels[len(barLevels)-1], barOverCapacity)
 }
 
-// timelinePrefixes are the texts before the bars, of one width: that of the
-// header and one of each row.
-func timelinePrefixes(line timeline) []string {
-	rows := [][]string{{strings.ToUpper(line.By), "RUNNING", "USED", "BOOKED"}}
-	for _, row := range line.Rows {
+// timelinePrefixes returns the text before the bars, padded to equal width:
+// that of the header, then one for each row.
+func timelinePrefixes(view timeline) []string {
+	rows := [][]string{{strings.ToUpper(view.By), "RUNNING", "USED", "BOOKED"}}
+	for _, row := range view.Rows {
 		rows = append(rows, []string{
 			truncateName(formatCell(row.Name)), fmt.Sprint(row.Running),
-			formatPercent(dominantShare(row.Used, row.Capacity)), formatPercent(row.peak(line.From, line.To)),
+			formatPercent(dominantShare(row.Used, row.Capacity)), formatPercent(row.peak(view.From, view.To)),
 		})
 	}
 	widths := make([]int, len(rows[0]))
@@ -62,7 +62,7 @@
 	return prefixes
 }
 
-// truncateName shortens a long name.
+// truncateName shortens a long name to maxTimelineName characters.
 func truncateName(name string) string {
 	runes := []rune(name)
 	if len(runes) <= maxTimelineName {
@@ -71,7 +71,8 @@
 	return string(runes[:maxTimelineName-1]) + "…"
 }
 
-// formatPercent is a share for people, rounded up so that no use shows as none.
+// formatPercent formats a share, rounded up so that any use shows as more
+// than 0.
 func formatPercent(share float64) string {
 	const most, rounding = 9.99, 1e-9
 	if share > most {
@@ -80,22 +81,22 @@
 	return fmt.Sprintf("%.0f%%", math.Ceil(max(0, share*100-rounding)))
 }
 
-// renderBar is the peak of the booked room in each column.
-func renderBar(row timelineRow, line timeline, width int) string {
+// renderBar draws the peak of the booked share in each column.
+func renderBar(row timelineRow, view timeline, width int) string {
 	bar := make([]rune, width)
 	for column := range bar {
-		bar[column] = barCharacter(row.peak(columnTime(line, column, width), columnTime(line, column+1, width)))
+		bar[column] = barCharacter(row.peak(columnTime(view, column, width), columnTime(view, column+1, width)))
 	}
 	return string(bar)
 }
 
-// columnTime is when a column begins.
-func columnTime(line timeline, column, width int) time.Time {
+// columnTime returns the start time of a column.
+func columnTime(view timeline, column, width int) time.Time {
 	share := float64(column) / float64(width)
-	return line.From.Add(time.Duration(share * float64(line.To.Sub(line.From))))
+	return view.From.Add(time.Duration(share * float64(view.To.Sub(view.From))))
 }
 
-// mark is the character of a share.
+// barCharacter returns the character for a share.
 func barCharacter(share float64) rune {
 	switch {
 	case share <= 0:
@@ -107,11 +108,11 @@
 	}
 }
 
-// hourHeader marks hours above the bars, as many as fit; a mark stands on the
-// column that the hour is in.
-func hourHeader(line timeline, location *time.Location, width int) string {
+// hourHeader writes labels of hours above the bars, as many as fit. A label
+// starts at the column that contains its hour.
+func hourHeader(view timeline, location *time.Location, width int) string {
 	header := []rune(strings.Repeat(" ", width))
-	for _, tick := range hourTicks(line, location, float64(width)) {
+	for _, tick := range hourTicks(view, location, float64(width)) {
 		text := []rune("|" + tick.label)
 		if column := int(tick.share * float64(width)); column+len(text) <= width {
 			copy(header[column:], text)
--- a/internal/cli/timeline_drawing.go
+++ b/internal/cli/timeline_drawing.go
@@ -21,10 +21,11 @@
 	plotRowHeight  = vg.Length(28)
 	maxPlotHeight  = vg.Length(6000)
 	plotCharacters = 100
-	// rowFillRatio is the part of a lane that all the room fills.
+	// rowFillRatio is the part of a row's height that stands for its whole
+	// capacity.
 	rowFillRatio = 0.8
-	// usedAxisShare is the part of the time axis that the room in use takes, left
-	// of now.
+	// usedAxisShare is the part of the time axis, left of now, that shows the
+	// capacity in use.
 	usedAxisShare = 0.02
 )
 
@@ -33,14 +34,14 @@
 	usedColor   = color.RGBA{R: 0xdd, G: 0x84, B: 0x52, A: 0xff}
 )
 
-// drawTimeline writes a timeline as a drawing, "svg" or "png": a lane per
-// row, filled up to the share of its room that is booked.
-func drawTimeline(path, format string, line timeline, location *time.Location) error {
-	chart, err := timelinePlot(line, location)
+// drawTimeline writes a timeline as a drawing in the format "svg" or "png".
+// Each row is filled up to the share of its capacity that is booked.
+func drawTimeline(path, format string, view timeline, location *time.Location) error {
+	chart, err := timelinePlot(view, location)
 	if err != nil {
 		return fmt.Errorf("draw the timeline: %w", err)
 	}
-	height := min(plotMargin+plotRowHeight*vg.Length(len(line.Rows)), maxPlotHeight)
+	height := min(plotMargin+plotRowHeight*vg.Length(len(view.Rows)), maxPlotHeight)
 	drawing, err := chart.WriterTo(plotWidth, height, format)
 	if err != nil {
 		return fmt.Errorf("draw the timeline: %w", err)
@@ -52,24 +53,24 @@
 	return os.WriteFile(path, data.Bytes(), 0o644)
 }
 
-// timelinePlot sets the lanes out; the time axis goes from 0, now, to 1.
-func timelinePlot(line timeline, location *time.Location) (*plot.Plot, error) {
+// timelinePlot lays out the rows; the time axis goes from 0, now, to 1.
+func timelinePlot(view timeline, location *time.Location) (*plot.Plot, error) {
 	chart := plot.New()
 	chart.Title.Text = fmt.Sprintf("Room booked from %s to %s, and in use now",
-		line.From.In(location).Format(time.RFC3339), line.To.In(location).Format(time.RFC3339))
+		view.From.In(location).Format(time.RFC3339), view.To.In(location).Format(time.RFC3339))
 	chart.X.Min, chart.X.Max = -usedAxisShare, 1
-	chart.Y.Min, chart.Y.Max = 0, float64(len(line.Rows)+1)
+	chart.Y.Min, chart.Y.Max = 0, float64(len(view.Rows)+1)
 	var ticks, names plot.ConstantTicks
-	for _, one := range hourTicks(line, location, plotCharacters) {
+	for _, one := range hourTicks(view, location, plotCharacters) {
 		ticks = append(ticks, plot.Tick{Value: one.share, Label: one.label})
 	}
 	chart.X.Tick.Marker = ticks
 	var booked, used *plotter.Polygon
-	for index, row := range line.Rows {
-		base := float64(len(line.Rows) - 1 - index)
+	for index, row := range view.Rows {
+		base := float64(len(view.Rows) - 1 - index)
 		names = append(names, plot.Tick{Value: base + rowFillRatio/2, Label: truncateName(formatCell(row.Name))})
 		var err error
-		if booked, err = addArea(chart, bookedArea(row, line, base), bookedColor); err != nil {
+		if booked, err = addArea(chart, bookedArea(row, view, base), bookedColor); err != nil {
 			return nil, err
 		}
 		if used, err = addArea(chart, usedArea(row, base), usedColor); err != nil {
@@ -77,7 +78,7 @@
 		}
 	}
 	chart.Y.Tick.Marker = names
-	if len(line.Rows) > 0 {
+	if len(view.Rows) > 0 {
 		chart.Legend.Add("booked", booked)
 		chart.Legend.Add("in use", used)
 		chart.Legend.Top = true
@@ -85,7 +86,7 @@
 	return chart, nil
 }
 
-// addArea fills an area.
+// addArea adds a filled polygon to the chart.
 func addArea(chart *plot.Plot, corners plotter.XYs, fill color.Color) (*plotter.Polygon, error) {
 	area, err := plotter.NewPolygon(corners)
 	if err != nil {
@@ -97,12 +98,13 @@
 	return area, nil
 }
 
-// bookedArea is the outline of the booked room of a row above its base.
-func bookedArea(row timelineRow, line timeline, base float64) plotter.XYs {
-	span := float64(line.To.Sub(line.From))
-	place := func(moment time.Time) float64 { return float64(moment.Sub(line.From)) / span }
+// bookedArea returns the outline of a row's booked capacity above its base
+// line.
+func bookedArea(row timelineRow, view timeline, base float64) plotter.XYs {
+	span := float64(view.To.Sub(view.From))
+	place := func(moment time.Time) float64 { return float64(moment.Sub(view.From)) / span }
 	corners := plotter.XYs{{X: 0, Y: base}}
-	edges := row.edges(line.From, line.To)
+	edges := row.edges(view.From, view.To)
 	for index := range edges[1:] {
 		height := filledHeight(bookedAt(row.Booked, edges[index]), row.Capacity)
 		corners = append(corners,
@@ -112,13 +114,13 @@
 	return append(corners, plotter.XY{X: 1, Y: base})
 }
 
-// usedArea is the outline of the room in use.
+// usedArea returns the outline of a row's used capacity above its base line.
 func usedArea(row timelineRow, base float64) plotter.XYs {
 	top := base + filledHeight(row.Used, row.Capacity)
 	return plotter.XYs{{X: -usedAxisShare, Y: base}, {X: -usedAxisShare, Y: top}, {X: 0, Y: top}, {X: 0, Y: base}}
 }
 
-// filledHeight is how far a lane is filled; what is beyond the room ends at it.
+// filledHeight returns how far a row is filled, at most up to rowFillRatio.
 func filledHeight(room, capacity api.Resources) float64 {
 	return rowFillRatio * min(1, dominantShare(room, capacity))
 }
--- a/internal/cli/timeline_rows.go
+++ b/internal/cli/timeline_rows.go
@@ -9,13 +9,14 @@
 	"github.com/decklever/decklever/api"
 )
 
-// What a line of the timeline stands for.
+// What a row of the timeline stands for.
 const (
 	byWorker = "worker"
 	byQueue  = "queue"
 )
 
-// unplacedRow is the line of slices that lie on no worker yet.
+// unplacedRow is the name of the row of slices that are not placed on a
+// worker yet.
 const unplacedRow = "(not placed)"
 
 // timeline is the result of "timeline".
@@ -26,25 +27,26 @@
 	Rows []timelineRow `json:"rows"`
 }
 
-// timelineRow is the room of one worker or queue.
+// timelineRow is the capacity of one worker or queue over time.
 type timelineRow struct {
 	Name string `json:"name"`
-	// Capacity is what shares are taken of.
+	// Capacity is what shares are relative to.
 	Capacity api.Resources `json:"capacity"`
-	// Running counts open runs and Used is room in use, both now.
+	// Running is the number of open runs and Used the resources in use, both
+	// now.
 	Running int              `json:"running"`
 	Used    api.Resources    `json:"used"`
 	Booked  []bookedInterval `json:"booked"`
 }
 
-// bookedInterval is room that is booked from one time to another.
+// bookedInterval is an amount of resources that is booked during an interval.
 type bookedInterval struct {
 	From      time.Time     `json:"from"`
 	To        time.Time     `json:"to"`
 	Resources api.Resources `json:"room"`
 }
 
-// timelineInput is what a timeline is made from.
+// timelineInput holds the answers that a timeline is built from.
 type timelineInput struct {
 	from, to time.Time
 	workers  api.WorkerList
@@ -52,7 +54,7 @@
 	bookings api.BookingList
 }
 
-// timeline makes the lines, by name, and the one of what is not placed last.
+// timeline builds the rows, sorted by name, with unplacedRow last.
 func (s timelineInput) timeline(by string) timeline {
 	rows := s.queueRows()
 	if by == byWorker {
@@ -61,7 +63,8 @@
 	return timeline{From: s.from, To: s.to, By: by, Rows: rows.sorted()}
 }
 
-// workerRows makes a row for each worker and one of slices that lie on none.
+// workerRows builds a row for each worker, and one for slices that are not
+// placed.
 func (s timelineInput) workerRows() timelineRows {
 	rows := timelineRows{}
 	for _, worker := range s.workers.Workers {
@@ -82,7 +85,7 @@
 	return rows
 }
 
-// queueRows makes a row for each queue.
+// queueRows builds a row for each queue.
 func (s timelineInput) queueRows() timelineRows {
 	rows := timelineRows{}
 	for _, queue := range s.queues.Queues {
@@ -99,7 +102,7 @@
 	return rows
 }
 
-// addInterval adds the room of slices of a window, as far as it is in view.
+// addInterval adds the resources of a window's slices, cut to the view.
 func (s timelineInput) addInterval(row *timelineRow, window api.BookingStatus, slots int) {
 	if slots <= 0 || !s.overlaps(window) {
 		return
@@ -114,12 +117,12 @@
 	row.Booked = append(row.Booked, bookedInterval{From: from, To: to, Resources: multiply(window.Slice, slots)})
 }
 
-// overlaps reports whether a window takes room within the view.
+// overlaps reports whether a window takes capacity within the view.
 func (s timelineInput) overlaps(window api.BookingStatus) bool {
 	return window.State != api.BookingReleased && window.HeldFrom.Before(s.to) && window.End.After(s.from)
 }
 
-// fleetCapacity is the room of all workers that are not lost.
+// fleetCapacity is the capacity of all workers that are not lost.
 func (s timelineInput) fleetCapacity() api.Resources {
 	var room api.Resources
 	for _, worker := range s.workers.Workers {
@@ -130,10 +133,10 @@
 	return room
 }
 
-// timelineRows are rows by name.
+// timelineRows holds rows by name.
 type timelineRows map[string]*timelineRow
 
-// rowOf is the row of a name, a new one if there was none.
+// rowOf returns the row of a name and creates it if necessary.
 func (r timelineRows) rowOf(name string) *timelineRow {
 	if r[name] == nil {
 		r[name] = &timelineRow{Name: name, Booked: []bookedInterval{}}
@@ -141,7 +144,7 @@
 	return r[name]
 }
 
-// sorted is the rows by name, what is not placed last.
+// sorted returns the rows by name, with unplacedRow last.
 func (r timelineRows) sorted() []timelineRow {
 	rows := make([]timelineRow, 0, len(r))
 	for _, row := range r {
@@ -159,7 +162,7 @@
 	return rows
 }
 
-// peak is the largest share that is booked at any time from one to another.
+// peak returns the largest share that is booked at any time of an interval.
 func (r timelineRow) peak(from, to time.Time) float64 {
 	var within []bookedInterval
 	for _, one := range r.Booked {
@@ -178,8 +181,8 @@
 	return highest
 }
 
-// edges are the times at which the booked room may change, sorted, each once,
-// with both ends of the view.
+// edges returns the distinct times, sorted, at which the booked resources may
+// change, with both ends of the view.
 func (r timelineRow) edges(from, to time.Time) []time.Time {
 	edges := []time.Time{from, to}
 	for _, one := range r.Booked {
@@ -189,7 +192,7 @@
 	return slices.CompactFunc(edges, time.Time.Equal)
 }
 
-// bookedAt is the room that is booked at a moment.
+// bookedAt returns the resources that are booked at a moment.
 func bookedAt(booked []bookedInterval, moment time.Time) api.Resources {
 	var sum api.Resources
 	for _, one := range booked {
@@ -200,8 +203,9 @@
 	return sum
 }
 
-// dominantShare is the largest share that room takes of a capacity, over the kinds
-// of room; infinite if there is nothing of a kind that it takes.
+// dominantShare returns the largest share, over the kinds of resources, that
+// an amount takes of a capacity. It is infinite if the capacity has none of a
+// kind that is taken.
 func dominantShare(room, capacity api.Resources) float64 {
 	share := func(room, capacity int64) float64 {
 		switch {
@@ -216,7 +220,7 @@
 	return max(share(room.CPUMillis, capacity.CPUMillis), share(room.MemoryMB, capacity.MemoryMB), share(room.Accelerators, capacity.Accelerators))
 }
 
-// multiply is the room of a number of equal slices.
+// multiply returns the resources of a number of equal slices.
 func multiply(slice api.Resources, slots int) api.Resources {
 	count := int64(slots)
 	return api.Resources{CPUMillis: slice.CPUMillis * count, MemoryMB: slice.MemoryMB * count, Accelerators: slice.Accelerators * count}
--- a/internal/cli/timeline_test.go
+++ b/internal/cli/timeline_test.go
@@ -76,9 +76,9 @@
 func TestHourTicks_FitAndFollowLocalTime(t *testing.T) {
 	zone := time.FixedZone("", 5*3600+1800)
 	for hours, want := range map[int]string{1: "19:00", 12: "20:00 22:00 00:00 02:00 04:00 06:00", 168: "Feb 01 Feb 02 Feb 03 Feb 04 Feb 05 Feb 06 Feb 07"} {
-		line := timeline{From: testNow, To: testNow.Add(time.Duration(hours) * time.Hour)}
+		view := timeline{From: testNow, To: testNow.Add(time.Duration(hours) * time.Hour)}
 		var labels []string
-		for _, one := range hourTicks(line, zone, 60) {
+		for _, one := range hourTicks(view, zone, 60) {
 			labels = append(labels, one.label)
 		}
 		assertText(t, "labels", strings.Join(labels, " "), want)
--- a/internal/cli/unified_diff.go
+++ b/internal/cli/unified_diff.go
@@ -5,13 +5,22 @@
 	"strings"
 )
 
-// diffContext is the number of equal lines around a change.
+// diffContext is the number of unchanged lines around a change.
 const diffContext = 3
 
+// editKind says in which of two texts a line stands. Its value is the character
+// before the line in a unified diff.
+type editKind byte
+
+const (
+	lineKept    editKind = ' '
+	lineRemoved editKind = '-'
+	lineAdded   editKind = '+'
+)
+
 // edit is one line of a comparison.
 type edit struct {
-	// mark is ' ' for a line of both, '-' for one of the old, '+' of the new.
-	kind byte
+	kind editKind
 	text string
 }
 
@@ -37,7 +46,7 @@
 	return fmt.Sprintf("--- %s\n+++ %s\n%s", oldName, newName, text.String())
 }
 
-// splitLines splits a text that ends with a line end.
+// splitLines splits a text that ends with a newline.
 func splitLines(text []byte) []string {
 	trimmed := strings.TrimSuffix(string(text), "\n")
 	if trimmed == "" {
@@ -46,8 +55,9 @@
 	return strings.Split(trimmed, "\n")
 }
 
-// diffLines finds the fewest removed and added lines by the longest common
-// subsequence (dynamic programming over all pairs; configurations are small).
+// diffLines returns the shortest list of edits by the longest common
+// subsequence (dynamic programming over all pairs of lines, as configurations
+// are small).
 func diffLines(before, after []string) []edit {
 	// common[i][j] is the length for before[i:] and after[j:].
 	common := make([][]int, len(before)+1)
@@ -66,46 +76,47 @@
 	return editScript(before, after, common)
 }
 
-// editScript reads the edits off the table, removed lines before added ones.
+// editScript reads the edits from the table of lengths, removed lines before
+// added ones.
 func editScript(before, after []string, common [][]int) []edit {
 	var edits []edit
 	i, j := 0, 0
 	for i < len(before) || j < len(after) {
 		switch {
 		case i < len(before) && j < len(after) && before[i] == after[j]:
-			edits = append(edits, edit{' ', before[i]})
+			edits = append(edits, edit{lineKept, before[i]})
 			i, j = i+1, j+1
 		case j == len(after) || i < len(before) && common[i+1][j] >= common[i][j+1]:
-			edits = append(edits, edit{'-', before[i]})
+			edits = append(edits, edit{lineRemoved, before[i]})
 			i++
 		default:
-			edits = append(edits, edit{'+', after[j]})
+			edits = append(edits, edit{lineAdded, after[j]})
 			j++
 		}
 	}
 	return edits
 }
 
-// firstChange is the index of the first changed line from start on, or the
-// number of edits.
+// firstChange returns the index of the first changed line from start on, or
+// the number of edits.
 func firstChange(edits []edit, start int) int {
 	for index := start; index < len(edits); index++ {
-		if edits[index].kind != ' ' {
+		if edits[index].kind != lineKept {
 			return index
 		}
 	}
 	return len(edits)
 }
 
-// hunkEnd finds where the next hunk ends: changes with no more than two
-// contexts of equal lines between them stand in one.
+// hunkEnd returns where the next hunk ends: changes separated by at most two
+// contexts of unchanged lines belong to one hunk.
 func hunkEnd(edits []edit, start int) (end int, changed bool) {
 	index := firstChange(edits, start)
 	if index == len(edits) {
 		return index, false
 	}
 	for {
-		for index < len(edits) && edits[index].kind != ' ' {
+		for index < len(edits) && edits[index].kind != lineKept {
 			index++
 		}
 		next := firstChange(edits, index)
@@ -116,14 +127,14 @@
 	}
 }
 
-// writeHunk writes one hunk and moves both line numbers behind it.
+// writeHunk writes one hunk and advances both line numbers.
 func writeHunk(text *strings.Builder, hunk []edit, oldNumber, newNumber *int) {
 	oldCount, newCount := 0, 0
 	for _, one := range hunk {
-		if one.kind != '+' {
+		if one.kind != lineAdded {
 			oldCount++
 		}
-		if one.kind != '-' {
+		if one.kind != lineRemoved {
 			newCount++
 		}
 	}
@@ -135,7 +146,8 @@
 	*newNumber += newCount
 }
 
-// formatHunkRange is a range of a hunk's head; an empty one names the line before.
+// formatHunkRange formats a range of a hunk's header; an empty range names
+// the line before it.
 func formatHunkRange(first, count int) string {
 	if count == 0 {
 		first--
--- a/internal/cli/unified_diff_test.go
+++ b/internal/cli/unified_diff_test.go
@@ -14,10 +14,10 @@
 		before, after := lines.Draw(t, "before"), lines.Draw(t, "after")
 		var removed, added []string
 		for _, one := range diffLines(before, after) {
-			if one.kind != '+' {
+			if one.kind != lineAdded {
 				removed = append(removed, one.text)
 			}
-			if one.kind != '-' {
+			if one.kind != lineRemoved {
 				added = append(added, one.text)
 			}
 		}
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -10,11 +10,12 @@
 
 // buildVersion is the result of "version".
 type buildVersion struct {
-	// Version is that of the module, "(devel)" if it was not built from one.
+	// Version is that of the module, "(devel)" for a build outside of a
+	// module version.
 	Version string `json:"version"`
-	// Revision is the commit that it was built from, if that is known.
+	// Revision is the commit that it was built from, if known.
 	Revision string `json:"revision,omitempty"`
-	// Modified is true if the tree had changes beyond the commit.
+	// Modified is set if the working tree had uncommitted changes.
 	Modified bool   `json:"modified,omitempty"`
 	Go       string `json:"go"`
 }
@@ -40,6 +41,7 @@
 	}
 }
 
+// readBuild returns the build information of this program.
 func readBuild() buildVersion {
 	build, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/cli/worker_list.go
+++ b/internal/cli/worker_list.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// workerListCommand lists the registry.
+// workerListCommand lists the registered workers.
 func (a *app) workerListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "list",
@@ -28,6 +28,7 @@
 	}
 }
 
+// workerTable builds the table of workers.
 func workerTable(list api.WorkerList) *textTable {
 	workers := newTextTable("name", "zone", "state", "runs", "cpu millis", "memory mb", "accelerators", "silent", "services", "reason")
 	for _, worker := range list.Workers {
--- a/internal/cli/worker_undrain.go
+++ b/internal/cli/worker_undrain.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// workerUndrainCommand takes workers from the drains of the configuration.
+// workerUndrainCommand removes workers from the drains of the configuration.
 func (a *app) workerUndrainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "undrain NAME...",
--- a/internal/cli/yaml.go
+++ b/internal/cli/yaml.go
@@ -13,8 +13,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// maxYAMLDepth bounds nesting, which aliases can make endless; maxFileBytes
-// bounds what they repeat.
+// maxYAMLDepth bounds nesting, which aliases can make infinite; maxFileBytes
+// bounds the size of expanded aliases.
 const maxYAMLDepth = 100
 
 // YAML tags of JSON's values.
@@ -27,8 +27,8 @@
 	tagTimestamp = "!!timestamp"
 )
 
-// yamlFromJSON turns one JSON document into YAML with the same order of
-// fields: JSON is YAML in another style.
+// yamlFromJSON converts one JSON document to YAML and keeps the order of
+// fields.
 func yamlFromJSON(data []byte) ([]byte, error) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(escapeNonASCII(data), &document); err != nil {
@@ -47,8 +47,9 @@
 	return buffer.Bytes(), nil
 }
 
-// escapeNonASCII writes characters beyond ASCII, which stand only within
-// strings, as YAML escapes: JSON allows some that YAML has only in that form.
+// escapeNonASCII writes non-ASCII characters, which occur only within
+// strings, as YAML escapes, because YAML does not allow all of them
+// unescaped.
 func escapeNonASCII(data []byte) []byte {
 	escaped := make([]byte, 0, len(data))
 	for _, character := range string(data) {
@@ -61,10 +62,10 @@
 	return escaped
 }
 
-// plainStyle makes the encoder choose the style of each node. Empty lists and
-// objects stay as they are, since they have no other form, and so does text
-// with control characters: the encoder would write some of it, such as
-// "\t\n", as a block that cannot be read again.
+// plainStyle lets the encoder choose the style of each node. Empty lists and
+// objects keep theirs, since they have no other form, and so does text with
+// control characters: the encoder would write some of it, such as "\t\n", as
+// a block that cannot be read back.
 func plainStyle(node *yaml.Node) {
 	quoted := node.Kind == yaml.ScalarNode && strings.ContainsFunc(node.Value, unicode.IsControl)
 	if (node.Kind == yaml.ScalarNode || len(node.Content) > 0) && !quoted {
@@ -75,7 +76,7 @@
 	}
 }
 
-// jsonFromYAML turns one YAML document into JSON. Unlike decoding into Go
+// jsonFromYAML converts one YAML document to JSON. Unlike decoding into Go
 // values, it keeps the digits of numbers and the text of dates as written.
 func jsonFromYAML(data []byte) ([]byte, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
@@ -182,7 +183,7 @@
 	return nil
 }
 
-// integer keeps decimal digits as they are and turns other bases into them.
+// integer keeps decimal digits as written and converts other bases.
 func (w *jsonWriter) integer(node *yaml.Node) error {
 	if json.Valid([]byte(node.Value)) {
 		w.buffer.WriteString(node.Value)
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// float keeps the digits, unless JSON would not have them in this form.
+// float keeps the digits as written if they are valid JSON.
 func (w *jsonWriter) float(node *yaml.Node) error {
 	if json.Valid([]byte(node.Value)) {
 		w.buffer.WriteString(node.Value)
@@ -214,13 +215,13 @@
 	return nil
 }
 
-// text writes a JSON string. Marshalling text cannot fail.
+// text writes a JSON string. Marshalling a string cannot fail.
 func (w *jsonWriter) text(value string) {
 	data, _ := json.Marshal(value)
 	w.buffer.Write(data)
 }
 
-// yamlError names the line of a wrong node.
+// yamlError reports an invalid node with its line.
 func yamlError(node *yaml.Node, reason string) error {
 	return fmt.Errorf("line %d: %s", node.Line, reason)
 }
--- a/internal/cli/zone_restore.go
+++ b/internal/cli/zone_restore.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// zoneRestoreCommand takes zones from the drains of the configuration.
+// zoneRestoreCommand removes zones from the drains of the configuration.
 func (a *app) zoneRestoreCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "restore ZONE...",
