--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -93,19 +93,26 @@
 		unsent = errors.As(err, &failure) && failure.Unsent
 		return answer, unsent, a.handleRelayFailure(ctx, leader, heartbeat, err)
 	}
+	answer, refusal = a.acceptAnswer(leader, heartbeat, reply.Answer, sentAt, took)
+	return answer, false, refusal
+}
+
+// acceptAnswer takes in the answer to a heartbeat that was sent at sentAt and took took, and
+// returns it for the worker.
+func (a *Agent) acceptAnswer(leader leaderTarget, heartbeat api.Heartbeat, answer api.HeartbeatAnswer, sentAt time.Time, took time.Duration) (api.HeartbeatAnswer, *api.Error) {
 	// A process that was frozen finds answers that came long ago.
 	if took >= a.config.RelayTimeout {
 		a.metrics.count(resultLate)
-		return answer, false, unavailable("the leading scheduler answered too late")
+		return api.HeartbeatAnswer{}, unavailable("the leading scheduler answered too late")
 	}
-	answer, refusal = a.checkAnswer(heartbeat, reply.Answer)
+	checked, refusal := a.checkAnswer(heartbeat, answer)
 	if refusal == nil {
 		a.config.Link.ObserveHeartbeatAnswer(leader.address, sentAt, leaderclient.HeartbeatUpdate{
-			Token: answer.Token, ConfigVersion: answer.ConfigVersion,
-			Interval: time.Duration(answer.IntervalMillis) * time.Millisecond,
+			Token: checked.Token, ConfigVersion: checked.ConfigVersion,
+			Interval: time.Duration(checked.IntervalMillis) * time.Millisecond,
 		})
 	}
-	return answer, false, refusal
+	return checked, refusal
 }
 
 // newRequest returns the request for a heartbeat, with the agent's zone as a label of the
