--- a/testbed/checker/bookings.go
+++ b/testbed/checker/bookings.go
@@ -10,9 +10,6 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// P13 is the promise that booked work finds its room.
-const P13 Promise = "P13"
-
 const (
 	// bookedStartBound is the time after the booked moment in which booked
 	// tasks have started.
--- a/testbed/checker/check.go
+++ b/testbed/checker/checker.go
@@ -29,6 +29,8 @@
 	P10 Promise = "P10"
 	P11 Promise = "P11"
 	P12 Promise = "P12"
+	P13 Promise = "P13"
+	P14 Promise = "P14"
 )
 
 // Bounds that the promises name.
--- a/testbed/checker/floods.go
+++ b/testbed/checker/floods.go
@@ -9,9 +9,6 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// P14 is the promise that floods do not slow others.
-const P14 Promise = "P14"
-
 const (
 	// floodSlowdown is how much longer ordinary work may wait in a flood.
 	floodSlowdown = 2
--- a/testbed/checker/lockstep.go
+++ b/testbed/checker/gangs.go
@@ -124,3 +124,26 @@
 	}
 	return found
 }
+
+// checkGangStarts (P9): once a member of a group runs, the others start within 5 s
+// or the member is stopped.
+func (f *facts) checkGangStarts() []Violation {
+	var found []Violation
+	for _, one := range f.runs {
+		job := f.jobs[one.name.Job]
+		step := job.step(one.name.Step)
+		deadline := one.Mono.Add(gangStartBound)
+		if !step.Together || one.endedBy <= deadline {
+			continue
+		}
+		for name := range eventlog.TaskNames(job.id, step) {
+			other := name.String()
+			runs := f.byTask[other]
+			if len(runs) == 0 || runs[0].Mono > deadline {
+				found = append(found, Violation{P9, one.Task, "ran alone: " + other + " did not start", []monoclock.Nanos{one.Mono, one.endedBy}})
+				break
+			}
+		}
+	}
+	return found
+}
