--- a/testbed/checker/bookings.go
+++ b/testbed/checker/bookings.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// bookedStartBound is the time after the booked moment in which booked
-	// tasks have started.
+	// bookedStartBound is the time after the booked moment within which booked tasks
+	// have started.
 	bookedStartBound = time.Second
-	// bookedShare is how many times faster booked work starts than equal work
-	// without a booking.
+	// bookedShare is how many times faster booked work starts than equal work without a
+	// booking.
 	bookedShare = 10
 	// burstPercent is the percentile by which bursts are compared.
 	burstPercent = 99
 )
 
-// BurstDelays returns how long each task of a burst waited from the booked
-// moment, or from when its job left the caller if that was later. A task that
-// never started counts up to the end of observing.
+// BurstDelays returns how long each task of a burst waited from the booked moment, or
+// from the submission of its job if that was later. A task that never started counts up
+// to the end of the observation.
 func BurstDelays(input Input, class calllog.Class) []time.Duration {
 	return newFacts(input).burstDelays(class)
 }
@@ -55,9 +55,9 @@
 	return jobs
 }
 
-// checkBookings (P13): a burst of booked work starts within a second of its
-// moment and in a tenth of the time of an equal burst without a booking, and
-// no firm work of others stands in its room.
+// checkBookings (P13): a burst of booked work starts within a second of its moment and
+// in a tenth of the time of an equal burst without a booking, and no work of other
+// queues that may not be preempted uses its capacity.
 func (f *facts) checkBookings() []Violation {
 	bookedAt := f.milestone(calllog.MilestoneBooked)
 	if bookedAt == 0 {
@@ -100,7 +100,7 @@
 }
 
 // checkReservedCapacity (P13): when booked work must have started, the work of other
-// queues that may not be preempted leaves room for all slices.
+// queues that may not be preempted leaves capacity for all slices.
 func (f *facts) checkReservedCapacity(bookedAt monoclock.Nanos) []Violation {
 	queue, booking := f.bookingAt(bookedAt)
 	if booking == nil {
@@ -115,11 +115,11 @@
 	if slots >= booking.Slots {
 		return nil
 	}
-	text := fmt.Sprintf("firm work of other queues left room for %d of %d slices", slots, booking.Slots)
+	text := fmt.Sprintf("committed work of other queues left capacity for %d of %d slices", slots, booking.Slots)
 	return []Violation{{P13, queue + "/" + booking.Name, text, []monoclock.Nanos{at}}}
 }
 
-// bookingAt returns the first booking, with its queue, of the configuration
+// bookingAt returns the first booking, with its queue, of the configuration that was
 // acknowledged last before a time; nil if it has none.
 func (f *facts) bookingAt(at monoclock.Nanos) (string, *api.BookingConfig) {
 	var queue string
@@ -142,8 +142,8 @@
 	return "", nil
 }
 
-// committedCapacity returns what the runs of other queues that may not be preempted
-// take of each worker at a time.
+// committedCapacity returns, by worker, what the runs of other queues that may not be
+// preempted use at a time.
 func (f *facts) committedCapacity(queue string, at monoclock.Nanos) map[string]api.Resources {
 	taken := map[string]api.Resources{}
 	for _, one := range f.runs {
@@ -156,7 +156,7 @@
 	return taken
 }
 
-// slicesThatFit returns how many slices fit into a room.
+// slicesThatFit returns how many slices fit into a capacity.
 func slicesThatFit(capacity, slice api.Resources) int {
 	slots := 0
 	for used := slice; used.Fits(capacity); used = used.Add(slice) {
--- a/testbed/checker/bookings_test.go
+++ b/testbed/checker/bookings_test.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// submitAs hands in a job of a class for the queue of that name.
+// submitAs submits a job of a class to the queue of that name.
 func (f *fixture) submitAs(class calllog.Class, id string, millis int64, tasks ...api.TaskSpec) {
 	f.submit(id, millis, tasks...).Queue = id
 	f.Entries[len(f.Entries)-1].Class = class
@@ -25,7 +25,7 @@
 	f.milestone(calllog.MilestoneBooked, 10_000)
 }
 
-// burst hands in a job of one task at the moment, which starts that much
+// burst submits a job of one task at the booked moment, which starts that much
 // later.
 func (f *fixture) burst(class calllog.Class, id string, delay int64) {
 	f.submitAs(class, id, 10_010, task())
@@ -33,7 +33,7 @@
 	f.poll(id, 40_000, api.StateSucceeded)
 }
 
-// bursts hands in two of them.
+// bursts submits two of them.
 func (f *fixture) bursts(booked, unbooked int64) {
 	f.putBooking()
 	f.burst(calllog.ClassBooked, "booked", booked)
@@ -41,7 +41,7 @@
 }
 
 // background runs a task of another queue on the first worker that leaves no
-// room for a slice.
+// capacity for a slice.
 func (f *fixture) background(to int64, preemptible bool) {
 	large := task()
 	large.Resources.CPUMillis = 1500
@@ -61,8 +61,8 @@
 		{"not a tenth of the other", func(f *fixture) { f.bursts(500, 4990) }, 1},
 		{"late", func(f *fixture) { f.bursts(1010, 20_000) }, 1},
 		{"late and not a tenth of the other", func(f *fixture) { f.bursts(1010, 1000) }, 2},
-		{"firm work in the way", func(f *fixture) { f.bursts(500, 5000); f.background(11_001, false) }, 1},
-		{"firm work that is over in time", func(f *fixture) { f.bursts(500, 5000); f.background(11_000, false) }, 0},
+		{"committed work in the way", func(f *fixture) { f.bursts(500, 5000); f.background(11_001, false) }, 1},
+		{"committed work that ends in time", func(f *fixture) { f.bursts(500, 5000); f.background(11_000, false) }, 0},
 		{"preemptible work beside it", func(f *fixture) { f.bursts(500, 5000); f.background(12_000, true) }, 0},
 		{"nothing booked", func(f *fixture) { f.putBooking(); f.burst(calllog.ClassUnbooked, "unbooked", 5000) }, 1},
 		{"nothing to compare with", func(f *fixture) { f.putBooking(); f.burst(calllog.ClassBooked, "booked", 500) }, 1},
--- a/testbed/checker/cancels.go
+++ b/testbed/checker/cancels.go
@@ -4,8 +4,8 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// checkCancels (P6): a cancelled job starts nothing after 3 s, and what it
-// runs is over after 5 s.
+// checkCancels (P6): no task of a cancelled job starts after 3 s, and its runs have
+// ended after 5 s.
 func (f *facts) checkCancels() []Violation {
 	var found []Violation
 	for _, one := range f.runs {
--- a/testbed/checker/cases_config_test.go
+++ b/testbed/checker/cases_config_test.go
@@ -2,7 +2,7 @@
 
 import "github.com/decklever/decklever/testbed/calllog"
 
-// configCases are the breaches of configurations: versions, races and roll-out.
+// configCases are the cases of configurations: versions, races and roll-out.
 func configCases() []violationCase {
 	return []violationCase{
 		{
@@ -21,7 +21,7 @@
 			func(f *fixture) { f.put("a", 1, 100, ""); f.put("b", 2, 105, "") },
 		},
 		{
-			"a version that slides back", P8,
+			"a version that goes back", P8,
 			func(f *fixture) { f.put("a", 2, 100, ""); f.read(1, 200, "") },
 			func(f *fixture) { f.put("a", 2, 100, ""); f.read(2, 200, "") },
 		},
@@ -62,7 +62,7 @@
 			},
 		},
 		{
-			"a woken process that does not learn of the configuration in time", P8,
+			"a resumed process that does not learn of the configuration in time", P8,
 			func(f *fixture) {
 				f.fault("front-1", 50, calllog.ActionFreeze)
 				f.put("a", 2, 100, "")
--- a/testbed/checker/cases_faults_test.go
+++ b/testbed/checker/cases_faults_test.go
@@ -5,7 +5,7 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// faultCases are the breaches of faults: service, groups, silence, freezes and stale tokens.
+// faultCases are the cases of faults: service, gangs, unreachable workers, freezes and stale tokens.
 func faultCases() []violationCase {
 	return []violationCase{
 		{
@@ -14,32 +14,32 @@
 			func(f *fixture) { gap(f, 8100) },
 		},
 		{
-			"a run of a cut-off worker that starts elsewhere too late", P11,
+			"a run of a partitioned worker that starts elsewhere too late", P11,
 			func(f *fixture) { partitionWorker(f, 3200, 6500) },
 			func(f *fixture) { partitionWorker(f, 3200, 6100) },
 		},
 		{
-			"a run of a cut-off worker that starts elsewhere too early", P11,
+			"a run of a partitioned worker that starts elsewhere too early", P11,
 			func(f *fixture) { partitionWorker(f, 2300, 2600) },
 			func(f *fixture) { partitionWorker(f, 2300, 2800) },
 		},
 		{
-			"a run of a worker heard again only after its start elsewhere", P11,
+			"a run of a worker reachable again only after its start elsewhere", P11,
 			func(f *fixture) { reachableAgain(f, 2700) },
 			func(f *fixture) { reachableAgain(f, 1400) },
 		},
 		{
-			"a run stopped as the worker was heard again that starts elsewhere at once", P11,
+			"a run stopped as the worker was reachable again that starts elsewhere at once", P11,
 			func(f *fixture) { reachableAgain(f, 2601) },
 			func(f *fixture) { reachableAgain(f, 2550) },
 		},
 		{
-			"a failure that nobody can have heard of, tried again too early", P11,
+			"a failure that cannot have been reported, retried too early", P11,
 			func(f *fixture) { unreportedEnd(f, api.OutcomeFailed, 1500) },
 			func(f *fixture) { unreportedEnd(f, api.OutcomeFailed, 2800) },
 		},
 		{
-			"a stop that nobody can have heard of, and a start elsewhere too early", P11,
+			"a stop that cannot have been reported, and a start elsewhere too early", P11,
 			func(f *fixture) { unreportedEnd(f, api.OutcomeStopped, 1500) },
 			func(f *fixture) { unreportedEnd(f, api.OutcomeStopped, 2800) },
 		},
@@ -59,7 +59,7 @@
 			func(f *fixture) { killedBehind(f, 2800) },
 		},
 		{
-			"a run of a cut-off worker that does not stop", P1,
+			"a run of a partitioned worker that does not stop", P1,
 			func(f *fixture) { partitionWorker(f, 3600, 3500) },
 			func(f *fixture) { partitionWorker(f, 3400, 3500) },
 		},
@@ -74,22 +74,22 @@
 			func(f *fixture) { loseWorkerAndLeader(f, 20_900) },
 		},
 		{
-			"a frozen worker that goes on when it wakes", P1,
+			"a frozen worker that goes on when it resumes", P1,
 			func(f *fixture) { frozenWorker(f, api.OutcomeStopped, 11_500) },
 			func(f *fixture) { frozenWorker(f, api.OutcomeStopped, 10_900) },
 		},
 		{
-			"a frozen worker that ends its task when it wakes", P1,
+			"a frozen worker that ends its task when it resumes", P1,
 			func(f *fixture) { frozenWorker(f, api.OutcomeSucceeded, 10_300) },
 			func(f *fixture) { frozenWorker(f, api.OutcomeStopped, 10_300) },
 		},
 		{
-			"a woken scheduler's order", P12,
+			"a resumed scheduler's assignment", P12,
 			func(f *fixture) { resumedScheduler(f, 19_000, 20_200) },
 			func(f *fixture) { resumedScheduler(f, 19_000, 20_050) },
 		},
 		{
-			"a group member alone", P9,
+			"a gang member alone", P9,
 			func(f *fixture) { group(f, 6000) },
 			func(f *fixture) { group(f, 4000) },
 		},
@@ -104,12 +104,12 @@
 			func(f *fixture) { lostRun(f, 6100) },
 		},
 		{
-			"a run stopped behind a silent agent that is not started elsewhere", P11,
+			"a run stopped behind an unreachable agent that is not started elsewhere", P11,
 			func(f *fixture) { silentAgent(f, 6500) },
 			func(f *fixture) { silentAgent(f, 6100) },
 		},
 		{
-			"an order under a stale token", P12,
+			"an assignment under a stale token", P12,
 			func(f *fixture) { staleToken(f, 3700) },
 			func(f *fixture) { staleToken(f, 3000) },
 		},
@@ -125,8 +125,8 @@
 	f.poll("j", 300, api.StateSucceeded)
 }
 
-// partitionWorker has a worker cut off its agent, and its run stopped at the end of
-// its hold or cut off with it.
+// partitionWorker partitions a worker from its agent. Its run is stopped when the
+// lease expires, or lost.
 func partitionWorker(f *fixture, stopped, again int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, stopped, api.OutcomeStopped)
@@ -136,8 +136,8 @@
 	f.poll("j", 9000, api.StateSucceeded)
 }
 
-// reachableAgain has a worker cut off its agent until some time, and its run stopped
-// before the end of the hold and started elsewhere.
+// reachableAgain partitions a worker from its agent until some time. Its run is
+// stopped before its lease expires and started elsewhere.
 func reachableAgain(f *fixture, healed int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, 2300, api.OutcomeStopped)
@@ -147,7 +147,7 @@
 	f.poll("j", 9000, api.StateSucceeded)
 }
 
-// unreportedEnd has a run end while its worker cannot be heard, and the task start
+// unreportedEnd has a run end while its worker is isolated, and the task start
 // elsewhere.
 func unreportedEnd(f *fixture, outcome api.Outcome, again int64) {
 	f.submit("j", 10, task())
--- a/testbed/checker/cases_jobs_test.go
+++ b/testbed/checker/cases_jobs_test.go
@@ -7,11 +7,11 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// jobCases are the breaches of jobs: what ran and what callers were shown.
+// jobCases are the cases of jobs: what ran and what callers were shown.
 func jobCases() []violationCase {
 	return []violationCase{
 		{
-			"a task that no one handed in", P1,
+			"a task that no one submitted", P1,
 			func(f *fixture) { f.succeed("ghost/s/0", "one", 1, 100, 200) },
 			func(*fixture) {},
 		},
--- a/testbed/checker/cases_tasks_test.go
+++ b/testbed/checker/cases_tasks_test.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// taskCases are the breaches of tasks: failures, order, places, cancels and drains.
+// taskCases are the cases of tasks: failures, order, placement, cancellations and drains.
 func taskCases() []violationCase {
 	return []violationCase{
 		{
@@ -53,12 +53,12 @@
 			func(f *fixture) { spreadOver(f, "two") },
 		},
 		{
-			"a start after a cancel", P6,
+			"a start after a cancellation", P6,
 			func(f *fixture) { cancelled(f, 3600, 3700) },
 			func(f *fixture) { cancelled(f, 3400, 3500) },
 		},
 		{
-			"a run long after a cancel", P6,
+			"a run long after a cancellation", P6,
 			func(f *fixture) { cancelled(f, 450, 6000) },
 			func(f *fixture) { cancelled(f, 450, 5000) },
 		},
--- a/testbed/checker/checker.go
+++ b/testbed/checker/checker.go
@@ -12,25 +12,25 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Promise is a number of the list in docs/DESIGN.md, such as "P1".
+// Promise is the number of a promise of docs/DESIGN.md, such as "P1".
 type Promise string
 
 // Promises that the checker can see from outside.
 const (
-	P1  Promise = "P1"
-	P2  Promise = "P2"
-	P3  Promise = "P3"
-	P4  Promise = "P4"
-	P5  Promise = "P5"
-	P6  Promise = "P6"
-	P7  Promise = "P7"
-	P8  Promise = "P8"
-	P9  Promise = "P9"
-	P10 Promise = "P10"
-	P11 Promise = "P11"
-	P12 Promise = "P12"
-	P13 Promise = "P13"
-	P14 Promise = "P14"
+	P1  Promise = "P1"  // no task runs twice at once, nor again after a recorded success
+	P2  Promise = "P2"  // an accepted job is never lost, and its state is readable and right
+	P3  Promise = "P3"  // a task out of allowed failures is not started again
+	P4  Promise = "P4"  // steps start in their order, timed tasks not early
+	P5  Promise = "P5"  // a start respects capacity, services, labels and spread rules
+	P6  Promise = "P6"  // a cancelled job starts nothing, and its runs end
+	P7  Promise = "P7"  // a drained worker or zone gets no new task
+	P8  Promise = "P8"  // an acknowledged configuration is in force in time, a rejected one never
+	P9  Promise = "P9"  // members of a gang run together
+	P10 Promise = "P10" // service is back soon after a majority is
+	P11 Promise = "P11" // a task of an unreachable worker starts elsewhere, after its lease
+	P12 Promise = "P12" // a resumed scheduler assigns nothing
+	P13 Promise = "P13" // booked work finds its capacity
+	P14 Promise = "P14" // floods do not slow others
 )
 
 // Bounds that the promises name.
@@ -51,33 +51,33 @@
 	defaultMaxPerDomain = 1
 )
 
-// Worker is what the deployment says of a worker.
+// Worker is what the checker must know of a worker of the deployment.
 type Worker struct {
 	Name     string
 	Zone     string
 	Capacity api.Resources
-	// Services are the names offered, without their handlers.
+	// Services are the names of the services offered, without their handlers.
 	Services []string
 	Labels   map[string]string
 	// Agent is the process name of the worker's agent.
 	Agent string
 }
 
-// Input is all that the checker goes by.
+// Input is the history of a run: all that the checker goes by.
 type Input struct {
 	Entries []calllog.Entry
 	Events  []eventlog.Event
 	Workers []Worker
-	// Schedulers are the process names of the schedulers. Without any, a
-	// majority is taken to be there all the time.
+	// Schedulers are the process names of the schedulers. Without any, a majority
+	// counts as present all the time.
 	Schedulers []string
 	// Config is the first configuration.
 	Config api.Config
-	// Anchor maps wall times, such as not_before, to journal times.
+	// Anchor maps wall times, such as not_before, to times of the event logs.
 	Anchor monoclock.Anchor
 	// LoadFrom and LoadTo bound the time in which callers submitted.
 	LoadFrom, LoadTo monoclock.Nanos
-	// EndedAt is when observing ended.
+	// EndedAt is the end of the observation.
 	EndedAt monoclock.Nanos
 }
 
@@ -96,27 +96,27 @@
 	return fmt.Sprintf("%s %s: %s %v", v.Promise, v.Subject, v.Text, v.At)
 }
 
-// Result is what the checker found.
+// Result is the verdict on a history.
 type Result struct {
 	Violations []Violation
-	// DuplicateSuccesses counts second successes of a task whose first one
-	// may never have been acknowledged, because a fault hit its worker or
-	// agent around its end. They break no promise.
+	// DuplicateSuccesses counts second successes of a task whose first one may never
+	// have been acknowledged, because a fault hit its worker or agent around its end.
+	// They break no promise.
 	DuplicateSuccesses int
-	// LongestSubmitGap is the longest time between accepted submits.
+	// LongestSubmitGap is the longest time between accepted submissions.
 	LongestSubmitGap time.Duration
-	// LongestServiceGap is the longest time between accepted submits in which a
-	// majority of the schedulers could talk.
+	// LongestServiceGap is the longest time between accepted submissions in which a
+	// majority of the schedulers was connected.
 	LongestServiceGap time.Duration
-	// LongestReplacement is the longest time from the beginning of a silence to
-	// the start elsewhere of a task that it cut off, without those that met a
-	// time without a majority.
+	// LongestReplacement is the longest time from when a worker became unreachable to
+	// the start elsewhere of a task that it ran, without tasks that met a time without
+	// a majority.
 	LongestReplacement time.Duration
-	// LongestStartGap is the longest time between starts.
+	// LongestStartGap is the longest time between task starts.
 	LongestStartGap time.Duration
 }
 
-// All runs every check.
+// All runs every check. The violations are in the order of their promises and subjects.
 func All(input Input) Result {
 	f := newFacts(input)
 	result := Result{
--- a/testbed/checker/checker_test.go
+++ b/testbed/checker/checker_test.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// violationCase is what one check must report, and a near case that it must not.
+// violationCase is a history that one check must report, and a near one that it must not.
 type violationCase struct {
 	name    string
 	promise Promise
@@ -17,7 +17,7 @@
 	comply  func(*fixture)
 }
 
-// violationCases lists those of every check.
+// violationCases lists the cases of every check.
 func violationCases() []violationCase {
 	return slices.Concat(jobCases(), taskCases(), configCases(), faultCases())
 }
--- a/testbed/checker/config.go
+++ b/testbed/checker/config.go
@@ -24,9 +24,8 @@
 	return slices.CompactFunc(puts, func(a, b calllog.Entry) bool { return a.Version == b.Version })
 }
 
-// checkConfigOrders (P8): each order id has one version, each version one
-// order id, and an order sent after another's acknowledgement has a higher
-// version.
+// checkConfigOrders (P8): each order id has one version, each version one order id, and
+// an order sent after another's acknowledgement has a higher version.
 func (f *facts) checkConfigOrders() []Violation {
 	versionOf := map[string]uint64{}
 	orderOf := map[uint64]string{}
@@ -57,8 +56,8 @@
 	return found
 }
 
-// checkConfigReads (P8): the version read never slides back, and what is in
-// force is what won that version, not what was refused.
+// checkConfigReads (P8): the version read never goes back, and the content in force is
+// the one that was acknowledged with that version.
 func (f *facts) checkConfigReads() []Violation {
 	won := map[uint64]string{}
 	for _, put := range f.acceptedPuts() {
@@ -93,8 +92,7 @@
 	return found
 }
 
-// canonical is the text by which configurations are compared, with defaults
-// filled in.
+// canonical is the text by which configurations are compared, with defaults filled in.
 func canonical(config *api.Config) string {
 	if config == nil {
 		return ""
--- a/testbed/checker/delays.go
+++ b/testbed/checker/delays.go
@@ -11,22 +11,20 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// StartDelay is how long a task waited from being ready to its first start.
+// StartDelay is how long a task waited from when it was ready to its first start.
 type StartDelay struct {
 	Task  string
 	Class calllog.Class
-	// Ready is the latest of: the job's acceptance, the last success of the
-	// steps before that came ahead of the start, and the step's earliest start.
+	// Ready is the latest of: the job's acceptance, the last success of the steps
+	// before it that precedes the start, and the step's earliest start.
 	Ready   monoclock.Nanos
 	Started monoclock.Nanos
 }
 
-// Length is the delay. A start ahead of the answer to the submit counts as no
-// time.
+// Length is the delay. A start before the answer to the submission counts as no delay.
 func (d StartDelay) Length() time.Duration { return max(0, d.Started.Sub(d.Ready)) }
 
-// StartDelays returns the delay of each task that started, in the order of the
-// starts.
+// StartDelays returns the delay of each task that started, in the order of the starts.
 func StartDelays(input Input) []StartDelay { return newFacts(input).startDelays() }
 
 func (f *facts) startDelays() []StartDelay {
@@ -62,9 +60,9 @@
 	return ready
 }
 
-// lastSuccess returns the latest success of a task that is no later than a
-// start; 0 if there is none. A success may be repeated when its report was
-// lost, and only a repeated one made the next step ready.
+// lastSuccess returns the latest success of a task that is no later than a start; 0 if
+// there is none. A success may be repeated when its report was lost, and only the last
+// one made the next step ready.
 func (f *facts) lastSuccess(task string, start monoclock.Nanos) monoclock.Nanos {
 	var last monoclock.Nanos
 	for _, one := range f.byTask[task] {
@@ -75,7 +73,7 @@
 	return last
 }
 
-// class returns the class under which the job was handed in.
+// class returns the class under which the job was submitted.
 func (j *jobFacts) class() calllog.Class {
 	if len(j.submits) == 0 {
 		return calllog.ClassOrdinary
@@ -83,7 +81,7 @@
 	return j.submits[0].Class
 }
 
-// milestone returns when a mark was set; 0 if it was not.
+// milestone returns when a milestone was recorded; 0 if it was not.
 func (f *facts) milestone(milestone calllog.Milestone) monoclock.Nanos {
 	for _, entry := range f.input.Entries {
 		if entry.Kind == calllog.KindMilestone && entry.Milestone == milestone {
@@ -93,8 +91,8 @@
 	return 0
 }
 
-// nearestRank returns the smallest of the delays that percent of them do not
-// exceed; 0 of none.
+// nearestRank returns the smallest of the delays that percent of them do not exceed; 0
+// without any.
 func nearestRank(delays []time.Duration, percent float64) time.Duration {
 	if len(delays) == 0 {
 		return 0
--- a/testbed/checker/drains.go
+++ b/testbed/checker/drains.go
@@ -8,9 +8,8 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// checkDrains (P7): a drained worker gets no start after 2 s, one in an
-// evacuated zone none after 5 s, until a configuration that takes the drain
-// back was sent.
+// checkDrains (P7): no task starts on a drained worker after 2 s, or in an evacuated
+// zone after 5 s, until a configuration that ends the drain was sent.
 func (f *facts) checkDrains() []Violation {
 	var found []Violation
 	puts := f.acceptedPuts()
--- a/testbed/checker/facts.go
+++ b/testbed/checker/facts.go
@@ -12,17 +12,17 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// run is a journalled run with the time at which it surely was over.
+// run is a logged run with the time by which it had surely ended.
 type run struct {
 	eventlog.Run
 	name eventlog.TaskName
-	// endedBy is the time of the end line, else when its worker exited, else
-	// the end of observation.
+	// endedBy is the time of the end event, else when its worker exited, else the end
+	// of the observation.
 	endedBy monoclock.Nanos
-	// lost is true if the run has no end line and its worker exited.
+	// lost is true if the run has no end event and its worker exited.
 	lost bool
-	// frozen is true if the worker was frozen at the end and stopped the run
-	// when it woke; then over is when it was frozen.
+	// frozen is true if the worker was frozen during the run and stopped it when it
+	// resumed; then endedBy is when it was frozen.
 	frozen bool
 }
 
@@ -32,14 +32,14 @@
 	spec *api.JobSpec
 	// submits, polls and cancels are in the order of their answers.
 	submits, polls, cancels []calllog.Entry
-	// accepted is when the first accepting answer came; 0 if none did.
+	// accepted is the time of the first accepting answer; 0 if there was none.
 	accepted monoclock.Nanos
-	// cancelled is when the first accepting answer to a cancel came; 0 if none
-	// did. cancelSent is when the first cancel left; 0 if none did.
+	// cancelled is the time of the first accepting answer to a cancellation, cancelSent
+	// when the first cancellation was sent; each is 0 if there was none.
 	cancelled, cancelSent monoclock.Nanos
 }
 
-// lastState returns the last observed state; empty if none was seen.
+// lastState returns the last observed state; empty if none was observed.
 func (j *jobFacts) lastState() api.State {
 	state := api.State("")
 	for _, poll := range j.polls {
@@ -69,7 +69,8 @@
 	return step.TaskAt(name.Index)
 }
 
-// facts is an Input, sorted out.
+// facts indexes an Input by process, job and task. It is built once for each verdict;
+// the fields that end the struct are caches of methods.
 type facts struct {
 	input   Input
 	workers map[string]Worker
@@ -82,12 +83,12 @@
 	runs         []run
 	byTask       map[string][]run
 	unknownTasks []eventlog.Event
-	// noMajority and silent are what withoutMajority and silences found.
+	// noMajority caches withoutMajority, unreachable caches unreachableSpans by worker.
 	noMajority  []span
 	unreachable map[string][]span
-	// isolated is what isolatedSpans found, by worker.
+	// isolated caches isolatedSpans, by worker.
 	isolated map[string][]span
-	// uninformed is what informedSince found, by process.
+	// uninformed caches what informedSince looks up, by process.
 	uninformed map[string][]span
 }
 
@@ -186,7 +187,7 @@
 	return f.input.EndedAt, false
 }
 
-// spec returns the description of a task that a caller handed in, or nil.
+// spec returns the description of a task that a caller submitted, or nil.
 func (f *facts) spec(name eventlog.TaskName) *api.TaskSpec {
 	job, found := f.jobs[name.Job]
 	if !found || job.spec == nil {
@@ -195,15 +196,15 @@
 	return job.task(name)
 }
 
-// schedulerLease is how long a worker may run on after its last accepted heartbeat, as
-// the scheduler reckons.
+// schedulerLease is how long a worker may run on after its last accepted heartbeat, by
+// the scheduler's reckoning: its lease and the margin for clock drift.
 func (f *facts) schedulerLease() time.Duration {
 	hold := cmp.Or(f.input.Config.Timings.Hold.Std(), defaultLease)
 	return hold + cmp.Or(f.input.Config.Timings.DriftMargin.Std(), defaultDrift)
 }
 
-// disturbed reports whether a fault hit the run's worker or its agent so near
-// to a time that a report of that time may never have been acknowledged.
+// disturbed reports whether a fault hit the run's worker or its agent so near to a time
+// that a report of that time may never have been acknowledged.
 func (f *facts) disturbed(one run, at monoclock.Nanos) bool {
 	from, to := at.Add(-f.schedulerLease()), at.Add(f.schedulerLease())
 	for _, process := range []string{one.Worker, f.workers[one.Worker].Agent} {
@@ -221,8 +222,8 @@
 	return false
 }
 
-// firstAfter returns the first of sorted times that lies after a time; 0 if
-// none does.
+// firstAfter returns the first of the sorted times that is later than a time; 0 if
+// there is none.
 func firstAfter(times []monoclock.Nanos, after monoclock.Nanos) monoclock.Nanos {
 	for _, at := range times {
 		if at > after {
--- a/testbed/checker/failures.go
+++ b/testbed/checker/failures.go
@@ -9,8 +9,8 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// checkFailures (P3): a task out of allowed failures is not started again.
-// Failures whose report may have been lost are not counted.
+// checkFailures (P3): a task that has used up its allowed failures does not start
+// again. Failures whose report may have been lost do not count.
 func (f *facts) checkFailures() []Violation {
 	var found []Violation
 	for task, runs := range f.byTask {
--- a/testbed/checker/fixture_test.go
+++ b/testbed/checker/fixture_test.go
@@ -49,7 +49,7 @@
 	f.Entries = append(f.Entries, entry)
 }
 
-// submit hands in a job with one step named "s".
+// submit submits a job with one step named "s".
 func (f *fixture) submit(id string, millis int64, tasks ...api.TaskSpec) *api.JobSpec {
 	spec := &api.JobSpec{Queue: "swaps", Steps: []api.StepSpec{{Name: "s", Tasks: tasks}}}
 	f.entry(calllog.KindSubmit, millis, calllog.Entry{JobID: id, Spec: spec, Created: true})
--- a/testbed/checker/floods.go
+++ b/testbed/checker/floods.go
@@ -16,17 +16,17 @@
 	floodPercent = 95
 )
 
-// FloodPhases returns the ends of the time before a flood and of the flood;
-// known is false if there was none.
+// FloodPhases returns the beginning and the end of a flood; known is false if there was
+// none.
 func FloodPhases(input Input) (start, end monoclock.Nanos, known bool) {
 	f := newFacts(input)
 	start, end = f.milestone(calllog.MilestoneFloodStart), f.milestone(calllog.MilestoneFloodEnd)
 	return start, end, start != 0
 }
 
-// checkFloodAnswers (P14): work that must be refused gets 422 or 429 with a
-// reason. A 503 that says when to ask again is no refusal and breaks nothing.
-// All that is alike is reported once, with its number.
+// checkFloodAnswers (P14): work that must be rejected gets 422 or 429 with a reason. A
+// 503 with Retry-After is no rejection and breaks nothing. Equal faults are reported
+// once, with their number.
 func (f *facts) checkFloodAnswers() []Violation {
 	type fault struct {
 		class calllog.Class
@@ -55,7 +55,7 @@
 	return found
 }
 
-// floodAnswerFault says what is wrong with an answer to work that must be refused;
+// floodAnswerFault says what is wrong with an answer to work that must be rejected;
 // empty for a right answer and for other work.
 func floodAnswerFault(entry calllog.Entry) string {
 	if entry.Kind != calllog.KindSubmit || (entry.Class != calllog.ClassImpossible && entry.Class != calllog.ClassOverQuota) {
@@ -69,7 +69,7 @@
 		return ""
 	case http.StatusServiceUnavailable:
 		if !entry.RetryAfter {
-			return "status 503 that does not say when to ask again"
+			return "status 503 that does not say when to retry"
 		}
 		return ""
 	case 0:
@@ -79,8 +79,8 @@
 	}
 }
 
-// checkFloodSlowdown (P14): in a flood, ordinary tasks wait at most twice as
-// long as before it.
+// checkFloodSlowdown (P14): in a flood, ordinary tasks wait at most twice as long as
+// before it.
 func (f *facts) checkFloodSlowdown() []Violation {
 	start, end := f.milestone(calllog.MilestoneFloodStart), f.milestone(calllog.MilestoneFloodEnd)
 	if start == 0 {
@@ -103,8 +103,8 @@
 	return []Violation{{P14, "ordinary", text, at}}
 }
 
-// ordinaryDelays returns the delays of ordinary tasks that were ready from a
-// time on and before another.
+// ordinaryDelays returns the delays of ordinary tasks that became ready from a time on
+// and before another.
 func (f *facts) ordinaryDelays(from, until monoclock.Nanos) []time.Duration {
 	var delays []time.Duration
 	for _, delay := range f.startDelays() {
--- a/testbed/checker/floods_test.go
+++ b/testbed/checker/floods_test.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// reject notes an answer to a job that must be refused.
+// reject records an answer to a job that must be rejected.
 func (f *fixture) reject(class calllog.Class, status int, code api.ErrorCode, retryAfter bool) {
 	id := fmt.Sprintf("refused-%d", len(f.Entries))
 	f.entry(calllog.KindSubmit, 500, calllog.Entry{
@@ -27,7 +27,7 @@
 			f.reject(calllog.ClassImpossible, 422, api.CodeImpossible, false)
 			f.reject(calllog.ClassOverQuota, 429, api.CodeOverLimit, true)
 		}, 0},
-		{"a 503 that says when to ask again", func(f *fixture) { f.reject(calllog.ClassOverQuota, 503, api.CodeUnavailable, true) }, 0},
+		{"a 503 that says when to retry", func(f *fixture) { f.reject(calllog.ClassOverQuota, 503, api.CodeUnavailable, true) }, 0},
 		{"a 503 that does not", func(f *fixture) { f.reject(calllog.ClassOverQuota, 503, api.CodeUnavailable, false) }, 1},
 		{"a refusal without a reason", func(f *fixture) { f.reject(calllog.ClassImpossible, 422, "", false) }, 1},
 		{"another status", func(f *fixture) { f.reject(calllog.ClassImpossible, 500, api.CodeInternal, false) }, 1},
@@ -52,7 +52,7 @@
 	}
 }
 
-// ordinary hands in a job at each of the times; its task starts that much
+// ordinary submits a job at each of the times; its task starts that much
 // later.
 func (f *fixture) ordinary(name string, delay int64, times ...int64) {
 	for _, millis := range times {
--- a/testbed/checker/gangs.go
+++ b/testbed/checker/gangs.go
@@ -8,8 +8,8 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// commonOutcomeStep returns the step of a task if its tasks are one group for their
-// whole life, or nil.
+// commonOutcomeStep returns the step of a task if its tasks are a gang with a common
+// outcome, or nil.
 func (f *facts) commonOutcomeStep(name eventlog.TaskName) *api.StepSpec {
 	step := f.jobs[name.Job].step(name.Step)
 	if step == nil || !step.Lockstep {
@@ -27,7 +27,7 @@
 	}
 }
 
-// gangSuccess returns the first success of any member of a group in lockstep,
+// gangSuccess returns the first success of any member of a gang with a common outcome,
 // which is the success of all; 0 if there is none.
 func (f *facts) gangSuccess(job string, step *api.StepSpec) monoclock.Nanos {
 	var first monoclock.Nanos
@@ -39,8 +39,8 @@
 	return first
 }
 
-// gangSucceededWith reports whether a task's group has succeeded in a run in
-// which the task took part.
+// gangSucceededWith reports whether a task's gang succeeded in a run in which the task
+// took part.
 func (f *facts) gangSucceededWith(task string) bool {
 	name, err := eventlog.ParseTask(task)
 	if err != nil || f.commonOutcomeStep(name) == nil {
@@ -57,8 +57,8 @@
 	return succeeded
 }
 
-// gangFailures counts the runs of a task's group in lockstep in which any member
-// failed; 0 for other tasks.
+// gangFailures counts the runs of a task's gang in which any member failed; 0 for tasks
+// without a common outcome.
 func (f *facts) gangFailures(name eventlog.TaskName) int {
 	step := f.commonOutcomeStep(name)
 	if step == nil {
@@ -73,7 +73,7 @@
 	return len(failed)
 }
 
-// gangSucceededBy reports whether the run's group had succeeded at a time.
+// gangSucceededBy reports whether the run's gang had succeeded by a time.
 func (f *facts) gangSucceededBy(one run, at monoclock.Nanos) bool {
 	step := f.commonOutcomeStep(one.name)
 	if step == nil {
@@ -83,8 +83,8 @@
 	return success != 0 && success <= at
 }
 
-// checkGangRestarts (P1): no member of a group in lockstep starts after another
-// one's success that must have been acknowledged.
+// checkGangRestarts (P1): no member of a gang with a common outcome starts after a
+// success of another member that must have been acknowledged.
 func (f *facts) checkGangRestarts() []Violation {
 	var found []Violation
 	for _, one := range f.runs {
@@ -106,7 +106,7 @@
 	return found
 }
 
-// checkGangRuns (P9): members of a group in lockstep never run under two
+// checkGangRuns (P9): members of a gang with a common outcome never run under two run
 // numbers at once.
 func (f *facts) checkGangRuns() []Violation {
 	var found []Violation
@@ -125,8 +125,8 @@
 	return found
 }
 
-// checkGangStarts (P9): once a member of a group runs, the others start within 5 s
-// or the member is stopped.
+// checkGangStarts (P9): once a member of a gang runs, the others start within 5 s or
+// the member is stopped.
 func (f *facts) checkGangStarts() []Violation {
 	var found []Violation
 	for _, one := range f.runs {
--- a/testbed/checker/gangs_test.go
+++ b/testbed/checker/gangs_test.go
@@ -7,13 +7,13 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// submitGang hands in a group in lockstep of two.
+// submitGang submits a gang of two with a common outcome.
 func (f *fixture) submitGang() {
 	f.submit("j", 10, task(), task()).Steps[0].Lockstep = true
 }
 
-// TestCommonOutcomeGang_IsJudgedAsOne: each case must be reported as the promise, or not at all
-// if that is empty.
+// TestCommonOutcomeGang_IsJudgedAsOne: each case is reported under the promise, or not at
+// all if that is empty.
 func TestCommonOutcomeGang_IsJudgedAsOne(t *testing.T) {
 	cases := map[string]struct {
 		promise Promise
@@ -60,21 +60,21 @@
 			f.succeed("j/s/1", "two", 2, 300, 400)
 			f.poll("j", 500, api.StateSucceeded)
 		}},
-		"a silent member of a group that succeeded": {"", func(f *fixture) {
+		"an unreachable member of a gang that succeeded": {"", func(f *fixture) {
 			f.submitGang()
 			f.start("j/s/0", "one", 1, 100)
 			f.fault("one", 150, calllog.ActionExit)
 			f.succeed("j/s/1", "two", 1, 100, 2000)
 			f.poll("j", 2100, api.StateSucceeded)
 		}},
-		"a silent member of a group that did not": {P11, func(f *fixture) {
+		"an unreachable member of a gang that did not": {P11, func(f *fixture) {
 			f.submitGang()
 			f.start("j/s/0", "one", 1, 100)
 			f.fault("one", 150, calllog.ActionExit)
 			f.succeed("j/s/1", "two", 1, 100, 8000)
 			f.poll("j", 8100, api.StateSucceeded)
 		}},
-		"members fail in turn, each less often than the group may": {"", func(f *fixture) {
+		"members fail in turn, each less often than the gang may": {"", func(f *fixture) {
 			f.submitGang()
 			for number, members := range [][]string{{"j/s/0", "j/s/1"}, {"j/s/1", "j/s/0"}, {"j/s/0", "j/s/1"}} {
 				from := int64(100 + 100*number)
--- a/testbed/checker/gaps.go
+++ b/testbed/checker/gaps.go
@@ -8,8 +8,8 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// checkServiceGap (P10): while callers submit and a majority of the schedulers
-// can talk, no 12 s pass without an accepted submit.
+// checkServiceGap (P10): while callers submit and a majority of the schedulers is
+// connected, no 12 s pass without an accepted submission.
 func (f *facts) checkServiceGap() []Violation {
 	gap := f.longestServiceGap()
 	if gap <= serviceGapBound {
@@ -21,8 +21,8 @@
 
 func (f *facts) longestSubmitGap() time.Duration { return f.longestGap(f.acceptedSubmits()) }
 
-// longestServiceGap leaves out the times without a majority: what lies before
-// and what lies behind one counts by itself.
+// longestServiceGap leaves out the times without a majority: the time before such a
+// time and the time after it count separately.
 func (f *facts) longestServiceGap() time.Duration {
 	last := f.input.LoadFrom
 	var longest time.Duration
@@ -36,8 +36,7 @@
 	return longest
 }
 
-// longestWithMajority returns the longest part of a time in which there was a
-// majority.
+// longestWithMajority returns the longest part of a time in which there was a majority.
 func (f *facts) longestWithMajority(from, to monoclock.Nanos) time.Duration {
 	var longest time.Duration
 	for _, none := range f.withoutMajority() {
@@ -67,8 +66,8 @@
 	return f.longestGap(times)
 }
 
-// longestGap returns the longest time without any of the sorted times, within
-// the time of the load.
+// longestGap returns the longest time without any of the sorted times, within the time
+// of the load.
 func (f *facts) longestGap(times []monoclock.Nanos) time.Duration {
 	var longest time.Duration
 	last := f.input.LoadFrom
--- a/testbed/checker/jobs.go
+++ b/testbed/checker/jobs.go
@@ -10,8 +10,8 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// checkJobsEnd (P2): each accepted job is found in a final state at the end,
-// and not wrongly failed or cancelled.
+// checkJobsEnd (P2): each accepted job is in a final state at the end, and not wrongly
+// failed or cancelled.
 func (f *facts) checkJobsEnd() []Violation {
 	var found []Violation
 	for _, id := range f.jobIDs {
@@ -51,7 +51,7 @@
 	return mayFail
 }
 
-// checkSucceeded (P2): a job that is shown as succeeded ran all of its tasks.
+// checkSucceeded (P2): a job that was reported as succeeded ran all of its tasks.
 func (f *facts) checkSucceeded(job *jobFacts) []Violation {
 	var found []Violation
 	for _, step := range job.spec.Steps {
@@ -74,8 +74,9 @@
 	return false
 }
 
-// checkStates (P2): a final state never changes, and an accepted job is never
-// unknown. Only polls sent after the earlier answer came are compared.
+// checkStates (P2): a final state never changes, and an accepted job is never unknown.
+// Only polls sent after the earlier answer came are compared, since the order of
+// concurrent ones is not known.
 func (f *facts) checkStates() []Violation {
 	var found []Violation
 	for _, id := range f.jobIDs {
@@ -101,8 +102,8 @@
 	return found
 }
 
-// checkReads (P2): a job's state is readable within 3 s, beyond the time that
-// the caller allowed the fleet to hold the request.
+// checkReads (P2): a job's state is readable within 3 s, beyond the time for which the
+// caller allowed a long poll to wait.
 func (f *facts) checkReads() []Violation {
 	var found []Violation
 	for _, id := range f.jobIDs {
@@ -120,8 +121,8 @@
 	return found
 }
 
-// readBound is longer for a read that began without a majority of the
-// schedulers, or met such a time: then service must be back first.
+// readBound is longer for a read that overlaps a time without a majority of the
+// schedulers: service must come back first.
 func (f *facts) readBound(poll calllog.Entry) time.Duration {
 	for _, none := range f.withoutMajority() {
 		if none.overlaps(poll.Sent, poll.Answered) {
@@ -131,7 +132,7 @@
 	return readBound
 }
 
-// checkResends (P2): a job that is handed in again is answered as the same.
+// checkResends (P2): a job that is submitted again is answered as the same job.
 func (f *facts) checkResends() []Violation {
 	var found []Violation
 	for _, id := range f.jobIDs {
@@ -142,10 +143,10 @@
 			}
 			at := []monoclock.Nanos{submit.Answered, job.accepted}
 			if submit.Created {
-				found = append(found, Violation{P2, id, "handed in again and answered as new", at})
+				found = append(found, Violation{P2, id, "submitted again and answered as new", at})
 			}
 			if submit.Code == api.CodeConflict {
-				found = append(found, Violation{P2, id, "handed in again unchanged and answered as other content", at})
+				found = append(found, Violation{P2, id, "submitted again unchanged and answered as other content", at})
 			}
 		}
 	}
--- a/testbed/checker/network.go
+++ b/testbed/checker/network.go
@@ -7,11 +7,11 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// span is a time from one reading to another.
+// span is the time from one reading of the clock to another, both included.
 type span struct{ from, to monoclock.Nanos }
 
-// overlaps reports whether the span and the time from one reading to another
-// have a moment in common.
+// overlaps reports whether the span has a moment in common with the time from one
+// reading to another.
 func (s span) overlaps(from, to monoclock.Nanos) bool { return s.from <= to && s.to >= from }
 
 // link is one direction between two processes.
@@ -19,8 +19,8 @@
 
 func linkOf(entry calllog.Entry) link { return link{entry.Process, entry.Peer} }
 
-// network is which processes run and which links are open at a moment, as the
-// lab itself caused it.
+// network is which processes run and which links are open at a moment, by the faults
+// that the test bed injected. Faults of a link are counted, as they may overlap.
 type network struct {
 	// down are the processes that ended or were told to; exited are those of them
 	// that surely do nothing any more.
@@ -66,15 +66,15 @@
 // end reports what it stops, until it has ended.
 func (n *network) canReport(process string) bool { return !n.exited[process] && !n.frozen[process] }
 
-// canVote reports whether a scheduler runs and has what it once acknowledged.
+// canVote reports whether a scheduler runs and has kept what it acknowledged.
 func (n *network) canVote(scheduler string) bool { return n.running(scheduler) && !n.wiped[scheduler] }
 
-// connected reports whether data passes both ways between two processes.
+// connected reports whether data passes in both directions between two processes.
 func (n *network) connected(a, b string) bool {
 	return a == b || (n.partitions[link{a, b}] == 0 && n.partitions[link{b, a}] == 0)
 }
 
-// majority reports whether some scheduler talks with enough others to lead.
+// majority reports whether some scheduler is connected with enough others to lead.
 func (n *network) majority(schedulers []string) bool {
 	for _, one := range schedulers {
 		count := 0
@@ -90,8 +90,8 @@
 	return len(schedulers) == 0
 }
 
-// reachesMajority reports whether a process can talk with a majority of the
-// schedulers' places, whoever runs there.
+// reachesMajority reports whether a process is connected with a majority of the
+// schedulers, whether they run or not.
 func (n *network) reachesMajority(process string, schedulers []string) bool {
 	count := 0
 	for _, scheduler := range schedulers {
@@ -102,15 +102,15 @@
 	return 2*count > len(schedulers) || len(schedulers) == 0
 }
 
-// canSend reports whether what a process sends can reach one of the schedulers'
-// places.
+// canSend reports whether what a process sends can reach one of the schedulers, whether
+// it runs or not.
 func (n *network) canSend(process string, schedulers []string) bool {
 	return len(schedulers) == 0 || slices.ContainsFunc(schedulers, func(scheduler string) bool {
 		return n.partitions[link{process, scheduler}] == 0
 	})
 }
 
-// spansWhere returns the times at which something was true of the network.
+// spansWhere returns the times during which something was true of the network.
 func (f *facts) spansWhere(holds func(*network) bool) []span {
 	state := newNetwork()
 	var spans []span
@@ -133,8 +133,8 @@
 	return spans
 }
 
-// withoutMajority returns the times at which no majority of the schedulers
-// could talk.
+// withoutMajority returns the times during which no majority of the schedulers was
+// connected.
 func (f *facts) withoutMajority() []span {
 	if f.noMajority == nil {
 		f.noMajority = append([]span{}, f.spansWhere(func(n *network) bool { return !n.majority(f.input.Schedulers) })...)
@@ -142,8 +142,9 @@
 	return f.noMajority
 }
 
-// unreachableSpans returns the times at which a worker could not be heard, or could
-// not hear, because of a fault of its own, its agent, or a link of theirs.
+// unreachableSpans returns the times during which a worker could not send heartbeats or
+// not receive their answers, because of a fault of its own, its agent, or a link of
+// theirs.
 func (f *facts) unreachableSpans(worker string) []span {
 	known, found := f.unreachable[worker]
 	if !found {
@@ -156,8 +157,8 @@
 	return known
 }
 
-// isolatedSpans returns the times at which nothing that a worker sends can reach any
-// scheduler.
+// isolatedSpans returns the times during which nothing that a worker sent could reach
+// any scheduler.
 func (f *facts) isolatedSpans(worker string) []span {
 	known, found := f.isolated[worker]
 	if !found {
@@ -170,8 +171,8 @@
 	return known
 }
 
-// schedulerFaults returns when schedulers or links between them failed or came
-// back, each of which may bring a new leader.
+// schedulerFaults returns when schedulers or links between them failed or recovered,
+// each of which may bring a new leader.
 func (f *facts) schedulerFaults() []monoclock.Nanos {
 	var times []monoclock.Nanos
 	for _, entry := range f.faultEntries {
--- a/testbed/checker/placement.go
+++ b/testbed/checker/placement.go
@@ -17,8 +17,8 @@
 	one   run
 }
 
-// changes lists starts and ends in the order of time; of equal times, ends go
-// first.
+// changes lists starts and ends in the order of time; of equal times, ends go first,
+// because they free what a start may use.
 func changes(runs []run) []change {
 	var all []change
 	for _, one := range runs {
@@ -37,7 +37,7 @@
 	return 0
 }
 
-// checkCapacity (P5): the open runs on a worker never take more than its room.
+// checkCapacity (P5): the open runs on a worker never use more than its capacity.
 func (f *facts) checkCapacity() []Violation {
 	used := map[string]api.Resources{}
 	var found []Violation
@@ -90,7 +90,7 @@
 	return w.Labels[key]
 }
 
-// domain returns the spread domain that the worker lies in.
+// domain returns the spread domain of the worker.
 func (w Worker) domain(by string) string {
 	switch {
 	case by == api.SpreadByWorker:
@@ -102,8 +102,8 @@
 	}
 }
 
-// checkSpread (P5): no start puts more runs of a step into a domain than its
-// spread rule allows.
+// checkSpread (P5): no start puts more runs of a step into a domain than its spread
+// rule allows.
 func (f *facts) checkSpread() []Violation {
 	type place struct{ job, step, by, domain string }
 	open := map[place]int{}
--- a/testbed/checker/replacements.go
+++ b/testbed/checker/replacements.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// leaseExpirySlack is how far from the end of its hold, reckoned from the
-	// beginning of a silence, a worker may stop its runs: the last heartbeat
-	// that it had accepted by then was sent up to an interval and a call
-	// earlier, and stopping takes a moment.
+	// leaseExpirySlack is how far from the end of its lease, reckoned from when it
+	// became unreachable, a worker may stop its runs: the last heartbeat that was
+	// accepted by then was sent up to an interval and a call earlier, and stopping
+	// takes a moment.
 	leaseExpirySlack = time.Second
-	// earlyRestartSlack is how much sooner than a hold after the beginning of a
-	// silence a run may start elsewhere: the last heartbeat that was answered
-	// by then may be two intervals old.
+	// earlyRestartSlack is how much sooner than a lease after its worker became
+	// unreachable a task may start elsewhere: the last heartbeat that was answered by
+	// then may be two intervals old.
 	earlyRestartSlack = 500 * time.Millisecond
-	// faultSlack is how much sooner or later than noted a fault may have begun or
+	// faultSlack is how much sooner or later than recorded a fault may have begun or
 	// ended.
 	faultSlack = 100 * time.Millisecond
-	// resumeBound is how soon after its worker woke a run must have ended for
-	// its end to be taken as the end of what it did before it was frozen.
+	// resumeBound is how soon after its worker resumed a run must have ended for its
+	// end to be taken as the end of what it did before it was frozen.
 	resumeBound = time.Second
 )
 
-// workerLease is how long a worker runs on without an answer.
+// workerLease is how long a worker runs on without an answer to its heartbeats.
 func (f *facts) workerLease() time.Duration {
 	return cmp.Or(f.input.Config.Timings.Hold.Std(), defaultLease)
 }
 
-// frozenSince returns when a run's worker was frozen for good: a frozen process
-// does nothing, and if the run ended as stopped as soon as its worker woke, it
-// did nothing after that either. It is 0 for other runs.
+// frozenSince returns when a run's worker was frozen without the run going on
+// afterwards: a frozen process does nothing, and if the run ended as stopped as soon as
+// its worker resumed, it did nothing after that either. It is 0 for other runs.
 func (f *facts) frozenSince(worker string, start, end monoclock.Nanos, outcome api.Outcome) monoclock.Nanos {
 	if outcome != api.OutcomeStopped {
 		return 0
@@ -47,9 +47,9 @@
 	return 0
 }
 
-// unreachableSince returns when the run's worker could no longer be heard, if that
-// is what cut the run off: its own exit, or a fault during the run after which
-// it was stopped. It is 0 for other runs.
+// unreachableSince returns when the run's worker became unreachable, if that is what
+// ended the run: its own exit, or a fault during the run after which it was stopped. It
+// is 0 for other runs.
 func (f *facts) unreachableSince(one run) monoclock.Nanos {
 	if one.lost {
 		return one.endedBy
@@ -63,8 +63,8 @@
 	return f.leaseExpiredSince(one)
 }
 
-// leaseExpiredSince returns the beginning of a silence at the end of whose hold the
-// run was stopped; 0 if there is none.
+// leaseExpiredSince returns when the run's worker became unreachable, if the run was
+// stopped as the lease that began then expired; 0 if it was not.
 func (f *facts) leaseExpiredSince(one run) monoclock.Nanos {
 	if one.frozen {
 		return one.endedBy
@@ -78,7 +78,8 @@
 	return 0
 }
 
-// replacement is a run that a silence cut off, and the start that followed.
+// replacement is a run that ended as its worker became unreachable, and the start that
+// followed.
 type replacement struct {
 	lost             run
 	unreachableSince monoclock.Nanos
@@ -104,9 +105,9 @@
 	return all
 }
 
-// longestReplacement returns the longest time from the beginning of a silence
-// to the start elsewhere of a task that it cut off. Those that met a time
-// without a majority are left out: nothing can start then.
+// longestReplacement returns the longest time from when a worker became unreachable to
+// the start elsewhere of a task that it ran. Those that met a time without a majority
+// are left out: nothing can start then.
 func (f *facts) longestReplacement() time.Duration {
 	var longest time.Duration
 	for _, one := range f.replacements() {
@@ -121,9 +122,9 @@
 	return slices.ContainsFunc(f.withoutMajority(), func(none span) bool { return none.overlaps(from, to) })
 }
 
-// checkRestartDelay (P11): a run whose worker fell silent starts elsewhere
-// within 6 s, unless its job was cancelled or its group in lockstep has succeeded
-// by then.
+// checkRestartDelay (P11): a task whose worker became unreachable starts elsewhere
+// within 6 s, unless its job was cancelled or its gang with a common outcome has
+// succeeded by then.
 func (f *facts) checkRestartDelay() []Violation {
 	var found []Violation
 	for _, one := range f.replacements() {
@@ -131,15 +132,15 @@
 		if f.input.EndedAt < deadline || (one.next != 0 && one.next <= deadline) || f.gangSucceededBy(one.lost, deadline) {
 			continue
 		}
-		text := "was not started elsewhere in time after its worker " + one.lost.Worker + " fell silent"
+		text := "was not started elsewhere in time after its worker " + one.lost.Worker + " became unreachable"
 		found = append(found, Violation{P11, one.lost.Task, text, []monoclock.Nanos{one.unreachableSince, deadline, one.next}})
 	}
 	return found
 }
 
-// restartDeadline is 6 s after the silence began. Each fault of the schedulers
-// before that may bring a leader who waits for a whole hold anew; without a
-// majority nothing can start until service is back.
+// restartDeadline is 6 s after the worker became unreachable. Each fault of the
+// schedulers before that may bring a new leader, who waits for a complete lease;
+// without a majority nothing can start until service is back.
 func (f *facts) restartDeadline(unreachableSince monoclock.Nanos) monoclock.Nanos {
 	deadline := unreachableSince.Add(restartBound)
 	for _, fault := range f.schedulerFaults() {
@@ -155,9 +156,9 @@
 	return deadline
 }
 
-// checkEarlyRestart (P11): a run starts elsewhere only once the hold of the
-// worker that fell silent has lapsed. A worker that was heard again since its
-// journal shows the end of the run can have told of it.
+// checkEarlyRestart (P11): a task starts elsewhere only once the lease of its
+// unreachable worker has expired. A worker that was reachable again after the end of
+// the run in its event log may have reported that end.
 func (f *facts) checkEarlyRestart() []Violation {
 	var found []Violation
 	for _, one := range f.replacements() {
@@ -175,27 +176,27 @@
 	return found
 }
 
-// earlyRestart reports a start elsewhere before the hold of a worker that is
-// silent since some time can have lapsed.
+// earlyRestart reports a start elsewhere before the lease of a worker that became
+// unreachable at some time can have expired.
 func (f *facts) earlyRestart(one run, unreachableSince, next monoclock.Nanos) []Violation {
 	earliest := unreachableSince.Add(f.workerLease() - earlyRestartSlack)
 	if next >= earliest {
 		return nil
 	}
-	text := "was started elsewhere before the hold of its silent worker " + one.Worker + " had lapsed"
+	text := "was started elsewhere before the lease of its unreachable worker " + one.Worker + " had expired"
 	return []Violation{{P11, one.Task, text, []monoclock.Nanos{next, unreachableSince, earliest}}}
 }
 
-// reachableBetween reports whether a worker was not silent at some moment of a time.
+// reachableBetween reports whether a worker was reachable at some moment of a time.
 func (f *facts) reachableBetween(worker string, from, to monoclock.Nanos) bool {
 	return !slices.ContainsFunc(f.unreachableSpans(worker), func(unreachable span) bool {
 		return unreachable.from <= from && unreachable.to >= to
 	})
 }
 
-// checkUnreportedEnds (P11): while a worker cannot be heard nobody learns of the end
-// of a run there, however it ended, so that its task starts again only once the
-// hold has lapsed.
+// checkUnreportedEnds (P11): while a worker is isolated nobody learns of the end of a
+// run there, however it ended, so that its task starts again only once the lease has
+// expired.
 func (f *facts) checkUnreportedEnds() []Violation {
 	var found []Violation
 	for _, runs := range f.byTask {
@@ -213,8 +214,8 @@
 	return found
 }
 
-// isolatedDuring returns since when a worker could not be heard by anybody, if that
-// was so for the whole of a time; 0 if it was not.
+// isolatedDuring returns since when a worker was isolated, if it was so for all of a
+// time; 0 if it was not.
 func (f *facts) isolatedDuring(worker string, from, to monoclock.Nanos) monoclock.Nanos {
 	for _, isolated := range f.isolatedSpans(worker) {
 		if isolated.from.Add(faultSlack) <= from && isolated.to.Add(-faultSlack) >= to {
--- a/testbed/checker/rollout.go
+++ b/testbed/checker/rollout.go
@@ -10,14 +10,14 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// rolloutBound is the time after its acknowledgement in which a configuration
-// is in force in every process that is counted on.
+// rolloutBound is the time after its acknowledgement within which a configuration is in
+// force in every process that is connected.
 const rolloutBound = 2 * time.Second
 
-// checkRollout (P8): the version that a process has in force never goes back,
-// and is no older than what was acknowledged 2 s before it said so. A process
-// that was started has nothing in force at first, and one that was frozen or
-// cut off has to hear of it: both have 2 s from the end of that.
+// checkRollout (P8): the version that a process has in force never goes back, and is no
+// older than what was acknowledged 2 s before the process reported it. A process that
+// was started has nothing in force at first, and one that was frozen or partitioned has
+// yet to receive it: both have 2 s from the end of that.
 func (f *facts) checkRollout() []Violation {
 	type seen struct {
 		version  uint64
@@ -49,8 +49,8 @@
 	return found
 }
 
-// checkInForce compares one row with what had been acknowledged when the
-// process said what it has in force.
+// checkInForce compares one row with what had been acknowledged when the process
+// reported what it has in force.
 func (f *facts) checkInForce(entry calllog.Entry, row api.ProcessRollout, puts []calllog.Entry) []Violation {
 	saidAt := entry.Sent.Add(-time.Duration(row.AgeMillis) * time.Millisecond)
 	for _, put := range puts {
@@ -62,17 +62,16 @@
 	return nil
 }
 
-// startedIn reports whether a process was started in a time.
+// startedIn reports whether a process was started within a time.
 func (f *facts) startedIn(process string, from, to monoclock.Nanos) bool {
 	return slices.ContainsFunc(f.faultEntries, func(entry calllog.Entry) bool {
 		return entry.Process == process && entry.Action == calllog.ActionStart && entry.Answered >= from && entry.Answered <= to
 	})
 }
 
-// informedSince returns the end of the last time before a moment, or the
-// beginning of one around it, at which a process did not run or could not talk
-// with a majority of the schedulers, or there was none; 0 if there was no such
-// time.
+// informedSince returns the end of the last time before a moment, or the moment itself
+// within such a time, during which a process did not run or was not connected with a
+// majority of the schedulers, or there was none; 0 if there was no such time.
 func (f *facts) informedSince(process string, at monoclock.Nanos) monoclock.Nanos {
 	spans, known := f.uninformed[process]
 	if !known {
@@ -90,14 +89,14 @@
 	return since
 }
 
-// finalRejection reports whether an order was refused for good: asked again it is
-// refused again.
+// finalRejection reports whether an order was rejected for good: sent again it is
+// rejected again.
 func finalRejection(entry calllog.Entry) bool {
 	return entry.Code == api.CodeLostRace || entry.Code == api.CodeInvalid || entry.Code == api.CodeConflict
 }
 
-// checkRaces (P8): of the orders on one base one wins, an order is answered the
-// same whenever it is sent again, and a losing content is never in force.
+// checkRaces (P8): of the orders on one base version one wins, an order is answered the
+// same whenever it is sent again, and the content of one that lost is never in force.
 func (f *facts) checkRaces() []Violation {
 	winners := map[uint64]string{}
 	refused := map[string]monoclock.Nanos{}
@@ -127,7 +126,8 @@
 	return append(found, f.checkRejectedContents(refused)...)
 }
 
-// checkRejectedContents (P8): what was read is never the content of refused orders alone.
+// checkRejectedContents (P8): what was read is never the content of rejected orders
+// alone.
 func (f *facts) checkRejectedContents(refused map[string]monoclock.Nanos) []Violation {
 	mayWin, lost := map[string]bool{}, map[string]string{}
 	for _, entry := range f.input.Entries {
--- a/testbed/checker/runs.go
+++ b/testbed/checker/runs.go
@@ -8,11 +8,11 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// checkUnknownTasks (P1): nothing runs that no caller handed in.
+// checkUnknownTasks (P1): nothing runs that no caller submitted.
 func (f *facts) checkUnknownTasks() []Violation {
 	var found []Violation
 	for _, line := range f.unknownTasks {
-		found = append(found, Violation{P1, line.Task, "a task ran that no caller handed in", []monoclock.Nanos{line.Mono}})
+		found = append(found, Violation{P1, line.Task, "a task ran that no caller submitted", []monoclock.Nanos{line.Mono}})
 	}
 	return found
 }
@@ -38,8 +38,8 @@
 	return found
 }
 
-// checkRestartAfterSuccess (P1): no task starts after a caller saw it as
-// succeeded, nor after a success that must have been acknowledged.
+// checkRestartAfterSuccess (P1): no task starts after a caller saw it as succeeded, nor
+// after a success that must have been acknowledged.
 func (f *facts) checkRestartAfterSuccess() []Violation {
 	shown := f.reportedSuccesses()
 	var found []Violation
@@ -60,7 +60,7 @@
 	return found
 }
 
-// checkUntilCancelled (P2): no task that runs until cancelled is shown as succeeded,
+// checkUntilCancelled (P2): no task that runs until cancelled is reported as succeeded,
 // nor is its job.
 func (f *facts) checkUntilCancelled() []Violation {
 	var found []Violation
@@ -80,8 +80,8 @@
 	return spec != nil && spec.UntilCancelled
 }
 
-// surelyRecordedSuccess returns the end of the first success whose report was
-// not disturbed; 0 if there is none.
+// surelyRecordedSuccess returns the end of the first success whose report was not
+// disturbed by a fault; 0 if there is none.
 func (f *facts) surelyRecordedSuccess(runs []run) monoclock.Nanos {
 	for _, one := range runs {
 		if one.End != 0 && one.Outcome == api.OutcomeSucceeded && !f.disturbed(one, one.End) {
@@ -91,8 +91,8 @@
 	return 0
 }
 
-// reportedSuccesses returns when a caller first saw each task as succeeded. A
-// job that is shown as succeeded shows so for all of its tasks.
+// reportedSuccesses returns when a caller first saw each task as succeeded. A job that
+// is reported as succeeded reports so for all of its tasks.
 func (f *facts) reportedSuccesses() map[string]monoclock.Nanos {
 	shown := map[string]monoclock.Nanos{}
 	record := func(task string, at monoclock.Nanos) {
--- a/testbed/checker/steps.go
+++ b/testbed/checker/steps.go
@@ -8,8 +8,8 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// checkStepOrder (P4): no task starts before all tasks of the steps that its
-// step waits on have succeeded.
+// checkStepOrder (P4): no task starts before all tasks of the steps that its step waits
+// for have succeeded.
 func (f *facts) checkStepOrder() []Violation {
 	firstSuccess := f.firstSuccesses()
 	var found []Violation
--- a/testbed/checker/tokens.go
+++ b/testbed/checker/tokens.go
@@ -8,8 +8,8 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// checkTokens (P12): nothing starts under a token when a higher one was in use
-// longer than a hold before.
+// checkTokens (P12): nothing starts under a fencing token when a higher one had been in
+// use for longer than a lease.
 func (f *facts) checkTokens() []Violation {
 	type step struct {
 		token uint64
@@ -32,12 +32,12 @@
 	return found
 }
 
-// staleOrderSlack is how long an order under the token before may still be on
-// its way when a new one is first used.
+// staleOrderSlack is how long an assignment under the previous token may still be in
+// flight when a new one is first used.
 const staleOrderSlack = time.Second
 
-// checkResumedSchedulers (P12): after a scheduler was frozen for 20 s and more, nothing
-// starts under a token other than the highest one in use when it woke.
+// checkResumedSchedulers (P12): after a scheduler was frozen for 20 s or more, nothing
+// starts under a token other than the highest one in use when it resumed.
 func (f *facts) checkResumedSchedulers() []Violation {
 	var found []Violation
 	for _, scheduler := range f.input.Schedulers {
@@ -58,7 +58,7 @@
 		case line.Mono <= frozen.to.Add(-staleOrderSlack):
 			inUse = max(inUse, line.Token)
 		case line.Kind == eventlog.KindStart && line.Mono > frozen.to && line.Token < inUse:
-			text := fmt.Sprintf("started under token %d after %s woke, although %d was in use", line.Token, scheduler, inUse)
+			text := fmt.Sprintf("started under token %d after %s resumed, although %d was in use", line.Token, scheduler, inUse)
 			found = append(found, Violation{P12, line.Task, text, []monoclock.Nanos{line.Mono, frozen.to}})
 		}
 	}
