--- a/testbed/scenario/faultlist.go
+++ b/testbed/scenario/catalog.go
@@ -1,6 +1,34 @@
 package scenario
 
-import "time"
+import (
+	"slices"
+	"time"
+
+	"github.com/decklever/decklever/testbed/fleet"
+)
+
+// All lists every scenario.
+func All() []Scenario { return slices.Concat(commonScenarios(), faultScenarios()) }
+
+// commonScenarios lists the scenarios of single faults, of maintenance, and of
+// unusual load.
+func commonScenarios() []Scenario {
+	return []Scenario{
+		{Name: "steady", Summary: "no faults", Run: steady},
+		{Name: "kill-leader", Summary: "SIGKILL to the leading scheduler at half time, started again after 5s", MinDuration: 10 * time.Second, Run: killLeader},
+		{Name: "kill-front", Summary: "SIGKILL to a front at half time, started again after 5s", MinDuration: 10 * time.Second, Run: killNamed("front-01")},
+		{Name: "kill-agent", Summary: "SIGKILL to an agent at half time, started again after 5s", MinDuration: 10 * time.Second, Run: killNamed("agent-01")},
+		{Name: "kill-worker", Summary: "SIGKILL to a worker at half time, started again after 5s", MinDuration: 10 * time.Second, Run: killNamed("worker-01")},
+		{Name: "freeze-leader", Summary: "the leading scheduler is frozen for 25s", MinDuration: 40 * time.Second, Run: freezeLeader},
+		{Name: "rolling-restart", Summary: "every process is asked to end and started again, in turn", MinDuration: 60 * time.Second, Run: rollingRestart},
+		{Name: "version-change", Summary: "every process is changed from the previous programs to the present ones, in turn, and back, with changes of configuration between", MinDuration: 120 * time.Second, FirstVersion: fleet.PreviousVersion, Run: changeVersions},
+		{Name: "drain", Summary: "two workers are drained for half of the time", MinDuration: 20 * time.Second, Run: drainWorkers},
+		{Name: "evacuate", Summary: "a zone is evacuated for half of the time", MinDuration: 20 * time.Second, Run: evacuateZone},
+		{Name: "shift-change", Summary: "restrepo: a full fleet, and a burst for the booked queue swaps at its moment", MinDuration: 30 * time.Second, Prepare: swapsRun.prepare, Run: swapsRun.run},
+		{Name: "billing-run", Summary: "cartago: a full fleet, and a burst for the booked queue billing at its moment", MinDuration: 30 * time.Second, Prepare: billingRun.prepare, Run: billingRun.run},
+		{Name: "flood", Summary: "20,000 jobs that must be refused and 5,000 that are cancelled in mass, after a quiet third", MinDuration: 60 * time.Second, Prepare: prepareFlood, Run: flood},
+	}
+}
 
 // faultScenarios lists the scenarios of lost machines, disks, links and
 // answers, and of operators and workers that go wrong.
