--- a/internal/scheduler/assignments_test.go
+++ b/internal/scheduler/assignments_test.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// An order in an answer that nobody takes would cost the task a run.
+// An assignment in an answer that nobody takes would cost the task a run.
 func TestAssignment_CallerThatLeftGetsNone(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
@@ -20,10 +20,10 @@
 	leave()
 	worker.heartbeat.Seq++
 	if answer, _ := h.deliver(gone, worker.heartbeat); len(answer.Start) != 0 {
-		t.Errorf("orders that cannot arrive: %+v", answer.Start)
+		t.Errorf("assignments that cannot arrive: %+v", answer.Start)
 	}
 	if answer := worker.exchange(); len(answer.Start) != 1 || answer.Start[0].Run != 1 {
-		t.Errorf("want the order for run 1, got %+v", answer.Start)
+		t.Errorf("want the assignment for run 1, got %+v", answer.Start)
 	}
 }
 
@@ -33,10 +33,10 @@
 	worker.exchange()
 	h.submit("j", tasks(1))
 	if answer := worker.exchange(); len(answer.Start) != 1 || answer.Start[0].Task != "j/s/0" || answer.Start[0].Spec.Service != "s" {
-		t.Fatalf("want one whole order for j/s/0, got %+v", answer.Start)
+		t.Fatalf("want one complete assignment for j/s/0, got %+v", answer.Start)
 	}
 	if answer := worker.exchange(); len(answer.Start) != 0 || len(answer.Stop) != 0 {
-		t.Fatalf("want no second order, got %+v", answer)
+		t.Fatalf("want no second assignment, got %+v", answer)
 	}
 	worker.end(api.OutcomeSucceeded)
 	if answer := worker.exchange(); len(answer.Acknowledged) != 1 {
@@ -54,7 +54,7 @@
 	h.submit("j", tasks(1))
 	lost, err := worker.send() // this answer never arrives
 	if err != nil || len(lost.Start) != 1 {
-		t.Fatalf("first order: %+v, %v", lost, err)
+		t.Fatalf("first assignment: %+v, %v", lost, err)
 	}
 	if answer := worker.exchange(); len(answer.Start) != 0 {
 		t.Fatalf("the run is closed by this heartbeat and placed after it, got %+v", answer.Start)
@@ -64,7 +64,7 @@
 		t.Fatalf("want run 2, got %+v", answer.Start)
 	}
 	if task := h.task("j", 0); task.Failures != 0 {
-		t.Errorf("a lost order counted as %d failures", task.Failures)
+		t.Errorf("a lost assignment counted as %d failures", task.Failures)
 	}
 }
 
@@ -100,7 +100,7 @@
 			want = "7"
 		}
 		if string(order.Spec.Payload) != want {
-			t.Errorf("%s was ordered with payload %s", order.Task, order.Spec.Payload)
+			t.Errorf("%s was assigned with payload %s", order.Task, order.Spec.Payload)
 		}
 	}
 }
@@ -121,6 +121,6 @@
 	h.submit("j", bare)
 	orders := worker.exchange().Start
 	if len(orders) != 1 || orders[0].Spec.Service != "s" {
-		t.Fatalf("orders %+v", orders)
+		t.Fatalf("assignments %+v", orders)
 	}
 }
--- a/internal/scheduler/backupruns_test.go
+++ b/internal/scheduler/backupruns_test.go
@@ -34,7 +34,7 @@
 }
 
 // TestBackupRuns_NoSecondRunBeforeLeaseExpiry: the worker of the
-// only run falls silent; the next run starts once that one is closed as lost.
+// only run stops sending heartbeats; the next run starts once that one is closed as lost.
 func TestBackupRuns_NoSecondRunBeforeLeaseExpiry(t *testing.T) {
 	h := newHarness(t)
 	workers := h.fleetOf(2)
@@ -43,20 +43,20 @@
 	if len(silent.exchange().Start) == 0 {
 		silent, other = other, silent
 		if len(silent.exchange().Start) == 0 {
-			t.Fatal("nothing was ordered")
+			t.Fatal("nothing was assigned")
 		}
 	}
 	lapses := h.leader.registry.leaseDuration() + h.leader.registry.driftMargin()
 	for quiet := time.Duration(0); quiet < lapses; quiet += 100 * time.Millisecond {
 		if orders := other.exchange().Start; len(orders) != 0 {
-			t.Fatalf("ordered %+v after %v of silence", orders, quiet)
+			t.Fatalf("assigned %+v after %v without heartbeats", orders, quiet)
 		}
 		h.requireOpenRuns(1)
 		h.advance(100 * time.Millisecond)
 	}
 	h.advance(100 * time.Millisecond)
 	if orders := other.exchange().Start; len(orders) != 1 || orders[0].Run != 2 {
-		t.Fatalf("after the hold: orders %+v", orders)
+		t.Fatalf("after the lease: assignments %+v", orders)
 	}
 	h.requireOpenRuns(1)
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -95,7 +95,7 @@
 	return f
 }
 
-// submit hands in one job.
+// submit submits one job.
 func (f *benchFleet) submit() {
 	step := api.StepSpec{Name: "s"}
 	for range benchJob {
@@ -109,7 +109,7 @@
 }
 
 func (f *benchFleet) place() {
-	for f.leader.placeOnce() {
+	for f.leader.commitPlacements() {
 	}
 	f.leader.proposePending()
 }
@@ -122,7 +122,7 @@
 	}
 }
 
-// beat exchanges one heartbeat: orders are then running.
+// heartbeat exchanges one heartbeat: its assignments then run.
 func (f *benchFleet) heartbeat(number int) {
 	heartbeat := &f.workers[number]
 	heartbeat.Seq++
@@ -186,7 +186,7 @@
 	}
 }
 
-// BenchmarkTick is one look at all holds, drains and timers; there are 20 a
+// BenchmarkTick is one review of all leases, drains and timers; there are 20 a
 // second.
 func BenchmarkTick(b *testing.B) {
 	f := newBenchFleet(b)
@@ -196,7 +196,7 @@
 	}
 }
 
-// BenchmarkLoseZone is the lapse of an eighth of the workers with their runs:
+// BenchmarkLoseZone is the expiry of the leases of an eighth of the workers with their runs:
 // what the loss of a zone costs the leader at once.
 func BenchmarkLoseZone(b *testing.B) {
 	for b.Loop() {
--- a/internal/scheduler/burst_test.go
+++ b/internal/scheduler/burst_test.go
@@ -22,14 +22,14 @@
 	lastingJob = "b-lasting"
 )
 
-// burstFleet plays jobs of one task that are handed in to several queues.
+// burstFleet plays jobs of one task that are submitted to several queues.
 type burstFleet struct {
 	*harness
 	workers []*fakeWorker
 	began   time.Duration
 	// due is when each run that goes ends.
 	due map[api.RunRef]time.Duration
-	// submitted is when an accepted job was handed in first; waits holds the times
+	// submitted is when an accepted job was submitted first; waits holds the times
 	// from then to their starts, by queue.
 	submitted map[string]time.Duration
 	waits     map[string][]time.Duration
@@ -63,7 +63,7 @@
 	return f
 }
 
-// submit hands a job of one task in; refused, it comes again when it was told.
+// submit hands a job of one task in; refused, it comes again when it was asked to.
 func (f *burstFleet) submit(queue, id string) {
 	f.t.Helper()
 	f.submitStep(queue, id, estimated(1, burstWork))
@@ -116,7 +116,7 @@
 	return (steps+1)*perSecond/second - steps*perSecond/second
 }
 
-// exchange ends the runs that are over and takes new orders.
+// exchange ends the runs that are over and takes new assignments.
 func (f *burstFleet) exchange(worker *fakeWorker) {
 	f.t.Helper()
 	worker.heartbeat.Running = slices.DeleteFunc(worker.heartbeat.Running, func(run api.RunRef) bool {
@@ -126,7 +126,7 @@
 		worker.heartbeat.Ended = append(worker.heartbeat.Ended, api.EndedRun{RunRef: run, Outcome: api.OutcomeSucceeded})
 		return true
 	})
-	for range 2 { // the first answer takes the ends, the second fills the room
+	for range 2 { // the first answer takes the ends, the second fills the capacity
 		for _, order := range worker.exchange().Start {
 			job := order.Task[:len(order.Task)-len("/s/0")]
 			f.due[order.RunRef] = f.now + cmp.Or(f.lengths[job], burstWork)
@@ -230,6 +230,6 @@
 	}
 	f.submitSpec("b-big", api.JobSpec{Queue: "b", Steps: []api.StepSpec{big}})
 	if _, err := f.leader.submit(t.Context(), protocol.SubmitRequest{ID: "a-big", Spec: api.JobSpec{Queue: "a", Steps: []api.StepSpec{big}}}); err == nil {
-		t.Error("one more that has no room was taken")
+		t.Error("one more that has no capacity was taken")
 	}
 }
--- a/internal/scheduler/burstsizes_test.go
+++ b/internal/scheduler/burstsizes_test.go
@@ -30,7 +30,7 @@
 	sizedSeeds = 20
 )
 
-// dayWaits are the times that jobs of a queue waited: those that were handed in before
+// dayWaits are the times that jobs of a queue waited: those that were submitted before
 // the burst, and those from its beginning on.
 type dayWaits struct{ calm, burst []time.Duration }
 
@@ -72,7 +72,7 @@
 	return days
 }
 
-// submitSized hands in what comes at a moment of the day.
+// submitSized submits what comes at a moment of the day.
 func (f *burstFleet) submitSized(random *rand.Rand, at time.Duration) {
 	if at >= sizedDay {
 		return
--- a/internal/scheduler/checkpoints_test.go
+++ b/internal/scheduler/checkpoints_test.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// reportProgress sets what the worker's next heartbeat tells of a run's progress.
+// reportProgress sets what the worker's next heartbeat says of a run's progress.
 func (w *fakeWorker) reportProgress(run api.RunRef, percent int, checkpoint string) {
 	w.heartbeat.Progress = []api.RunProgress{{RunRef: run, Percent: percent, Checkpoint: checkpoint}}
 }
@@ -24,19 +24,19 @@
 	h.submit("j", step)
 	answer := worker.exchange()
 	if len(answer.Start) != 1 || answer.Start[0].Checkpoint != "" {
-		t.Fatalf("want one order without a checkpoint, got %+v", answer.Start)
+		t.Fatalf("want one assignment without a checkpoint, got %+v", answer.Start)
 	}
 	return h, worker, answer.Start[0].RunRef
 }
 
-// wantOrderFrom checks that a new worker is instructed to go on from a checkpoint.
-func (h *harness) wantOrderFrom(checkpoint string) {
+// wantAssignmentFrom checks that a new worker is instructed to go on from a checkpoint.
+func (h *harness) wantAssignmentFrom(checkpoint string) {
 	h.t.Helper()
 	other := h.worker("other", "o-1")
 	other.exchange()
 	answer := other.exchange()
 	if len(answer.Start) != 1 || answer.Start[0].Checkpoint != checkpoint {
-		h.t.Fatalf("want an order from %q, got %+v", checkpoint, answer.Start)
+		h.t.Fatalf("want an assignment from %q, got %+v", checkpoint, answer.Start)
 	}
 }
 
@@ -50,8 +50,8 @@
 	worker.exchange()
 	worker.reportProgress(run, 30, strings.Repeat("x", api.MaxCheckpointBytes+1))
 	worker.exchange()
-	h.advance(testHold + testMargin + time.Millisecond)
-	h.wantOrderFrom("twenty")
+	h.advance(testLease + testDriftMargin + time.Millisecond)
+	h.wantAssignmentFrom("twenty")
 }
 
 func TestCheckpoints_StopReportCarriesNewest(t *testing.T) {
@@ -64,7 +64,7 @@
 		worker.heartbeat.Ended[0].Checkpoint = test.reported
 		worker.heartbeat.Draining = true
 		worker.exchange()
-		h.wantOrderFrom(test.want)
+		h.wantAssignmentFrom(test.want)
 	}
 }
 
@@ -73,17 +73,17 @@
 	h.newTerm()
 	worker.reportProgress(run, 10, "ten")
 	worker.exchange()
-	h.newTerm() // another one, which hears nothing of the worker
-	h.advance(testHold + testMargin + time.Millisecond)
-	h.wantOrderFrom("")
+	h.newTerm() // another one, which sees nothing of the worker
+	h.advance(testLease + testDriftMargin + time.Millisecond)
+	h.wantAssignmentFrom("")
 
 	h, worker, run = resumableOne(t)
 	h.newTerm()
 	worker.reportProgress(run, 10, "ten")
 	worker.exchange()
-	h.advance(testHold + testMargin + time.Millisecond)
+	h.advance(testLease + testDriftMargin + time.Millisecond)
 	h.newTerm() // what was closed is in the record
-	h.wantOrderFrom("ten")
+	h.wantAssignmentFrom("ten")
 }
 
 func TestCheckpoints_ProgressOfOtherWorkersRunIsIgnored(t *testing.T) {
@@ -94,8 +94,8 @@
 	stranger.exchange()
 	worker.reportProgress(api.RunRef{Task: run.Task, Run: run.Run + 1}, 99, "of no run")
 	worker.exchange()
-	h.advance(testHold + testMargin + time.Millisecond)
-	h.wantOrderFrom("")
+	h.advance(testLease + testDriftMargin + time.Millisecond)
+	h.wantAssignmentFrom("")
 }
 
 func TestCheckpoints_GangWithCommonOutcomeSharesOne(t *testing.T) {
--- a/internal/scheduler/commonoutcome_test.go
+++ b/internal/scheduler/commonoutcome_test.go
@@ -20,7 +20,7 @@
 	return first, second
 }
 
-// wantRun checks that every order is of one run number.
+// wantRun checks that every assignment is of one run number.
 func wantRun(t *testing.T, answer api.HeartbeatAnswer, count int, number uint32) {
 	t.Helper()
 	if len(answer.Start) != count {
@@ -54,14 +54,14 @@
 	second.exchange()
 	h.advance(time.Second)
 	if answer := second.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("started while runs of the group are open: %+v", answer.Start)
+		t.Fatalf("started while runs of the gang are open: %+v", answer.Start)
 	}
 	first.end(api.OutcomeStopped)
 	first.exchange()
 	wantRun(t, first.exchange(), 4, 2)
 	wantRun(t, second.exchange(), 4, 2)
 	if failures := h.task("g", 7).Failures; failures != 1 {
-		t.Errorf("%d failures of the group, want 1", failures)
+		t.Errorf("%d failures of the gang, want 1", failures)
 	}
 }
 
@@ -77,12 +77,12 @@
 	}
 	h.submit("next", tasks(8))
 	if answer := second.exchange(); len(answer.Stop) != 4 || len(answer.Start) != 0 {
-		t.Fatalf("want 4 stops and their room kept, got %+v", answer)
+		t.Fatalf("want 4 stops and their capacity kept, got %+v", answer)
 	}
 	second.end(api.OutcomeFailed)
 	second.exchange()
 	if answer := second.exchange(); len(answer.Start) != 4 {
-		t.Errorf("want the room given out after the ends were listed, got %+v", answer.Start)
+		t.Errorf("want the capacity given out after the ends were listed, got %+v", answer.Start)
 	}
 	if state := h.status("g").State; state != api.StateSucceeded {
 		t.Errorf("job is %s", state)
@@ -94,7 +94,7 @@
 	first, second := commonOutcomePair(h)
 	h.advance(gangSeenIntervals*h.leader.registry.heartbeatInterval() + time.Millisecond)
 	wantRun(t, first.exchange(), 0, 0)
-	wantRun(t, second.exchange(), 4, 1) // both were heard now
+	wantRun(t, second.exchange(), 4, 1) // both were seen now
 	wantRun(t, first.exchange(), 4, 1)
 }
 
@@ -102,7 +102,7 @@
 	h := newHarness(t)
 	first, second := commonOutcomePair(h)
 	wantRun(t, first.exchange(), 4, 1)
-	h.advance(gangStartTimeout - time.Millisecond) // the other worker is silent
+	h.advance(gangStartTimeout - time.Millisecond) // the other worker misses heartbeats
 	if answer := first.exchange(); len(answer.Stop) != 0 {
 		t.Fatalf("broken before the bound: %+v", answer.Stop)
 	}
@@ -124,7 +124,7 @@
 	wantRun(t, first.exchange(), 0, 0)
 	h.advance(gangStartTimeout - time.Second)
 	if run := h.task("g", 0).Run; run != 2 {
-		t.Fatalf("want the group placed anew, got run %d", run)
+		t.Fatalf("want the gang placed again, got run %d", run)
 	}
 	if answer := first.exchange(); len(answer.Start)+len(answer.Stop) != 0 {
 		t.Errorf("want nothing started or stopped, got %+v", answer)
@@ -140,7 +140,7 @@
 	second.exchange()
 	h.advance(gangStartTimeout)
 	if answer := first.exchange(); len(answer.Stop) != 0 || len(h.leader.gangs.starting) != 0 {
-		t.Errorf("a whole group was broken: %+v", answer)
+		t.Errorf("a started gang was broken: %+v", answer)
 	}
 }
 
@@ -151,7 +151,7 @@
 		wantRun(t, first.exchange(), 4, 1)
 		h.newTerm()
 		first.exchange()
-		second.exchange() // lists nothing: its orders were never given
+		second.exchange() // lists nothing: its assignments were never given
 		if answer := first.exchange(); len(answer.Stop) != 4 {
 			t.Fatalf("want the started half stopped, got %+v", answer)
 		}
@@ -169,7 +169,7 @@
 		first.exchange()
 		h.advance(gangStartTimeout)
 		if answer := first.exchange(); len(answer.Stop) != 4 {
-			t.Errorf("want the group broken, got %+v", answer)
+			t.Errorf("want the gang broken, got %+v", answer)
 		}
 	})
 	t.Run("old, one worker silent", func(t *testing.T) {
@@ -184,7 +184,7 @@
 		first.exchange()
 		h.advance(gangStartTimeout)
 		if answer := first.exchange(); len(answer.Stop) != 0 {
-			t.Errorf("a group that goes on was broken: %+v", answer)
+			t.Errorf("a gang that goes on was broken: %+v", answer)
 		}
 	})
 	t.Run("broken before", func(t *testing.T) {
@@ -222,11 +222,11 @@
 }
 
 // TestCommonOutcome_StartsDespiteRareHeartbeats: too seldom for the
-// orders of a gang, and often enough for its hold.
+// assignments of a gang, and often enough for its lease.
 func TestCommonOutcome_StartsDespiteRareHeartbeats(t *testing.T) {
-	const beats = 13
+	const intervals = 13
 	var longest time.Duration
-	for phase := range beats {
+	for phase := range intervals {
 		h := newHarness(t)
 		workers := h.fleetOf(3)
 		gang := endlessTasks(8)
@@ -237,17 +237,17 @@
 			return len(state.open) == 8 && state.allStarted()
 		}
 		var took time.Duration
-		for beat := 0; !whole(); beat++ {
+		for interval := 0; !whole(); interval++ {
 			h.advance(200 * time.Millisecond)
 			took += 200 * time.Millisecond
 			longest = max(longest, took)
 			for i, worker := range workers {
-				if i != 1 || beat%beats == phase {
+				if i != 1 || interval%intervals == phase {
 					worker.obeyStops()
 				}
 			}
 			if took > 10*time.Second {
-				t.Fatalf("phase %d: the group has not started whole in 10 s", phase)
+				t.Fatalf("phase %d: not all of the gang has started in 10 s", phase)
 			}
 		}
 	}
--- a/internal/scheduler/conflicts_test.go
+++ b/internal/scheduler/conflicts_test.go
@@ -47,7 +47,7 @@
 		h := newHarness(t)
 		worker := h.worker("w", "w-1")
 		worker.exchange()
-		h.submit("j", tasks(1)) // placed, and not ordered yet
+		h.submit("j", tasks(1)) // placed, and not assigned yet
 		worker.heartbeat.Ended = []api.EndedRun{{RunRef: api.RunRef{Task: "j/s/0", Run: 1}, Outcome: outcome}}
 		if answer := worker.exchange(); len(answer.Start) != 0 || len(answer.Acknowledged) != 1 {
 			t.Fatalf("%s: %+v", outcome, answer)
@@ -113,7 +113,7 @@
 		worker.end(api.OutcomeStopped)
 		worker.exchange()
 		if answer := worker.exchange(); len(answer.Start) != 4 {
-			t.Errorf("%s: want the room given out, got %+v", reason, answer.Start)
+			t.Errorf("%s: want the capacity given out, got %+v", reason, answer.Start)
 		}
 	}
 }
--- a/internal/scheduler/departure_test.go
+++ b/internal/scheduler/departure_test.go
@@ -99,7 +99,7 @@
 	}
 	other.exchange()
 	if answer := other.exchange(); len(answer.Start) != 1 || answer.Start[0].Task != "unordered/s/0" {
-		t.Errorf("want the withdrawn task elsewhere, got %+v", answer.Start)
+		t.Errorf("want the revoked task elsewhere, got %+v", answer.Start)
 	}
 }
 
@@ -145,22 +145,22 @@
 	for elapsed := time.Duration(0); elapsed < remaining; elapsed += interval {
 		worker.heartbeat.RemainingMillis = (remaining - elapsed).Milliseconds()
 		for _, stop := range worker.exchange().Stop {
-			if _, told := stoppedAfter[stop.Task]; !told {
+			if _, stopped := stoppedAfter[stop.Task]; !stopped {
 				stoppedAfter[stop.Task] = elapsed
 			}
 		}
 		other.exchange()
 		h.advance(interval)
 	}
-	if after, told := stoppedAfter["hopeless/s/0"]; !told || after != 0 {
-		t.Errorf("hopeless work: stopped %v after %v, want at once", told, after)
+	if after, stopped := stoppedAfter["hopeless/s/0"]; !stopped || after != 0 {
+		t.Errorf("work that cannot end in time: stopped %v after %v, want at once", stopped, after)
 	}
 	lead := maxStopTime + heartbeatsPerStop*interval
-	after, told := stoppedAfter["resumable/s/0"]
-	if !told || after > remaining-lead || after < remaining-lead-departureMargin-interval {
-		t.Errorf("resumable work: stopped %v after %v, want just before %v", told, after, remaining-lead)
+	after, stopped := stoppedAfter["resumable/s/0"]
+	if !stopped || after > remaining-lead || after < remaining-lead-departureMargin-interval {
+		t.Errorf("resumable work: stopped %v after %v, want just before %v", stopped, after, remaining-lead)
 	}
-	if after, told := stoppedAfter["quick/s/0"]; told && after < remaining-lead-departureMargin-interval {
+	if after, stopped := stoppedAfter["quick/s/0"]; stopped && after < remaining-lead-departureMargin-interval {
 		t.Errorf("work that ends in time was stopped after %v", after)
 	}
 	worker.end(api.OutcomeStopped)
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -36,7 +36,7 @@
 	return h.leader.workerStatus(h.leader.registry.byName[name])
 }
 
-// beat lets time pass while the workers send a heartbeat each second.
+// heartbeatFor lets time pass while the workers send a heartbeat each second.
 func (h *harness) heartbeatFor(length time.Duration, workers ...*fakeWorker) {
 	h.t.Helper()
 	for range int(length / time.Second) {
@@ -74,7 +74,7 @@
 	}
 	other.exchange()
 	if answer := other.exchange(); len(answer.Start) != 1 || answer.Start[0].Task != "unordered/s/0" {
-		t.Errorf("want the withdrawn task elsewhere, got %+v", answer.Start)
+		t.Errorf("want the revoked task elsewhere, got %+v", answer.Start)
 	}
 	grace := h.leader.settings.config.Timings.DrainGrace.Std()
 	h.heartbeatFor(grace-time.Second, worker, other)
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestDrains_ConfigAndZoneDrainAreIndependent holds every worker, after any
+// TestDrains_ConfigAndZoneDrainAreIndependent compares every worker, after any
 // sequence of configurations, orders and new leaders, against what both say.
 func TestDrains_ConfigAndZoneDrainAreIndependent(t *testing.T) {
 	zones := []string{"z1", "z2", "z3"}
--- a/internal/scheduler/endlesstask_test.go
+++ b/internal/scheduler/endlesstask_test.go
@@ -19,7 +19,7 @@
 	return step
 }
 
-// obeyStops sends a heartbeat and stops what its answer tells to stop.
+// obeyStops sends a heartbeat and stops what its answer asks to stop.
 func (w *fakeWorker) obeyStops() {
 	w.harness.t.Helper()
 	for _, stop := range w.exchange().Stop {
@@ -61,7 +61,7 @@
 	for run := uint32(1); run <= 5; run++ {
 		orders := worker.exchange().Start
 		if len(orders) != 1 || orders[0].Run != run {
-			t.Fatalf("run %d: orders %+v", run, orders)
+			t.Fatalf("run %d: assignments %+v", run, orders)
 		}
 		outcome := api.OutcomeSucceeded
 		if run == 3 {
@@ -82,7 +82,7 @@
 	h.submit("endless", endlessTasks(3))
 	others[0].exchange()
 	if answer := suspect.exchange(); len(answer.Start) == 0 {
-		t.Fatalf("want what has no other room, got %+v", answer.Start)
+		t.Fatalf("want what has no other capacity, got %+v", answer.Start)
 	}
 	for _, run := range suspect.heartbeat.Running {
 		if run.Task[:len("endless")] != "endless" {
--- a/internal/scheduler/expire.go
+++ b/internal/scheduler/expire.go
@@ -33,12 +33,12 @@
 		if !found {
 			return
 		}
-		counts := l.archive.Bytes()
+		sizeBefore := l.archive.Bytes()
 		expire := &record.ExpireArchive{Before: before, Limit: expireBatch}
 		if _, done := l.proposeUntilDone("expire", record.Command{ExpireArchive: expire}); !done {
 			return
 		}
-		if l.archive.Bytes() >= counts {
+		if l.archive.Bytes() >= sizeBefore {
 			return // it waits for a snapshot that hides them
 		}
 	}
--- a/internal/scheduler/expire_test.go
+++ b/internal/scheduler/expire_test.go
@@ -30,7 +30,7 @@
 	sizeBefore := h.archive.Bytes()
 	h.leader.expireArchive()
 	if h.archive.Bytes() != sizeBefore || h.log.index != before+1 {
-		t.Fatalf("%d bytes and %d entries, want them hidden by one entry and held until a snapshot hides them", h.archive.Bytes(), h.log.index-before)
+		t.Fatalf("%d bytes and %d entries, want them hidden by one entry and kept until a snapshot hides them", h.archive.Bytes(), h.log.index-before)
 	}
 	h.log.machine.Read(func(view record.View) {
 		for id, want := range map[string]bool{"job-00030": false, "job-00031": true} {
@@ -46,10 +46,10 @@
 	}
 	h.leader.expireArchive()
 	if bytes := h.archive.Bytes(); bytes != 5000 {
-		t.Fatalf("%d bytes are held, want 5000", bytes)
+		t.Fatalf("%d bytes are kept, want 5000", bytes)
 	}
 	if jobs, err := h.archive.List("", 1); err != nil || jobs[0].ID != "job-00031" {
-		t.Fatalf("oldest held: %v, %v", jobs, err)
+		t.Fatalf("oldest kept: %v, %v", jobs, err)
 	}
 }
 
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	testHold   = 3 * time.Second
-	testMargin = 300 * time.Millisecond
+	testLease       = 3 * time.Second
+	testDriftMargin = 300 * time.Millisecond
 )
 
 // fakeLog applies each command at once. It is the log of one replica that
@@ -119,7 +119,7 @@
 func (h *harness) settle() {
 	h.leader.tick()
 	h.leader.proposePending()
-	for h.leader.placeOnce() {
+	for h.leader.commitPlacements() {
 		h.leader.proposePending()
 	}
 	h.leader.proposePending()
@@ -199,7 +199,7 @@
 	return answer.Answer, err
 }
 
-// exchange sends a heartbeat and accepts its answer: orders are then running.
+// exchange sends a heartbeat and accepts its answer: its assignments then run.
 func (w *fakeWorker) exchange() api.HeartbeatAnswer {
 	w.harness.t.Helper()
 	answer, err := w.send()
--- a/internal/scheduler/healthreview_test.go
+++ b/internal/scheduler/healthreview_test.go
@@ -75,7 +75,7 @@
 		}
 	}
 	if row := h.stateOf("a"); row.State != api.WorkerProbation {
-		t.Fatalf("a after its hold: %+v", row)
+		t.Fatalf("a after its lease: %+v", row)
 	}
 	h.submit("short", estimated(2, time.Second))
 	if answer := failing.exchange(); len(answer.Start) != 1 {
@@ -172,9 +172,9 @@
 		worker.exchange()
 		worker.heartbeat.Progress = []api.RunProgress{{RunRef: worker.heartbeat.Running[0], Percent: 10}}
 		worker.exchange()
-		h.advance(testHold - time.Millisecond)
+		h.advance(testLease - time.Millisecond)
 		if h.leader.assignments.runs[record.RunID{Task: record.TaskID{Job: "j", Step: "s"}, Number: 1}].stop != record.StopNone {
-			t.Error("silence was taken for a standstill")
+			t.Error("missed heartbeats were taken for a stall")
 		}
 	})
 }
@@ -201,7 +201,7 @@
 	}
 	h.submit("next", estimated(1, time.Second))
 	if answer := slow.exchange(); len(answer.Start) != 0 {
-		t.Errorf("a was given work though others have room: %+v", answer.Start)
+		t.Errorf("a was given work though others have capacity: %+v", answer.Start)
 	}
 }
 
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestHeartbeat_SecondFollowsFirstPromptly: only the second one brings orders, since
+// TestHeartbeat_SecondFollowsFirstPromptly: only the second one brings assignments, since
 // the first opens the ready gate.
 func TestHeartbeat_SecondFollowsFirstPromptly(t *testing.T) {
 	h := newHarness(t)
--- a/internal/scheduler/incarnations_test.go
+++ b/internal/scheduler/incarnations_test.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-const testSilence = replacedAfterIntervals*200*time.Millisecond + time.Millisecond
+const testGap = replacedAfterIntervals*200*time.Millisecond + time.Millisecond
 
 // workerAt is a worker that names its place.
 func (h *harness) workerAt(name, address string) *fakeWorker {
@@ -29,7 +29,7 @@
 	h.advance(time.Millisecond)
 	next.exchange()
 	next.exchange()
-	h.advance(testSilence)
+	h.advance(testGap)
 	if answer := next.exchange(); len(answer.Start) != 1 || answer.Start[0].Run != 2 {
 		t.Fatalf("want run 2 of the task of the ended process, got %+v", answer.Start)
 	}
@@ -47,7 +47,7 @@
 	h.advance(time.Millisecond)
 	next.exchange()
 	next.exchange()
-	h.advance(testSilence)
+	h.advance(testGap)
 	if answer := next.exchange(); len(answer.Start) != 1 || answer.Start[0].Run != 2 {
 		t.Fatalf("want run 2 of the task of the ended process, got %+v", answer.Start)
 	}
@@ -72,7 +72,7 @@
 		{name: "the first is heard still", place: "p", happens: func(h *harness, first, second *fakeWorker) {
 			for range 8 {
 				second.exchange()
-				h.advance(testSilence / 4)
+				h.advance(testGap / 4)
 				first.exchange()
 			}
 			second.exchange()
@@ -91,7 +91,7 @@
 			h.advance(time.Millisecond)
 			_, _ = second.send()
 			c.happens(h, first, second)
-			h.advance(testHold - 8*testSilence)
+			h.advance(testLease - 8*testGap)
 			if task := h.task("j", 0); task.Worker != "a" || task.Run != 1 {
 				t.Errorf("the run was given up: %+v", task)
 			}
@@ -105,7 +105,7 @@
 func TestIncarnations_HeartbeatOfEndedWorkerReplacesNobody(t *testing.T) {
 	h := newHarness(t)
 	ended, living := h.workerAt("a", "p"), h.workerAt("b", "p")
-	ended.heartbeat.Capacity.CPUMillis = 1 // it has no room for the job
+	ended.heartbeat.Capacity.CPUMillis = 1 // it has no capacity for the job
 	ended.exchange()
 	ended.exchange()
 	h.advance(time.Millisecond)
@@ -114,7 +114,7 @@
 	living.exchange()
 	for range 3 {
 		_, _ = ended.send()
-		h.advance(testSilence / 2)
+		h.advance(testGap / 2)
 	}
 	if task := h.task("j", 0); task.Worker != "b" || task.Run != 1 || task.State != api.StateRunning {
 		t.Fatalf("the living worker's run was given up: %+v", task)
--- a/internal/scheduler/leaderstalls_test.go
+++ b/internal/scheduler/leaderstalls_test.go
@@ -8,9 +8,9 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-// ownPause is how long a leader has stalled in these tests: over the silence after
-// which a worker counts as silent, and far from a hold.
-const ownPause = longSilence * testBeat
+// ownStall is how long a leader has stalled in these tests: over the time after
+// which a worker counts as missing heartbeats, and far from a lease.
+const ownStall = longGap * testInterval
 
 // stallLeader lets time pass in which neither the leader's loops nor any heartbeat are
 // served, and then has the loops run.
@@ -22,7 +22,7 @@
 }
 
 // fleetWithUnassignedRuns are workers that were answered, of which each has a run that
-// was not ordered yet.
+// was not assigned yet.
 func fleetWithUnassignedRuns(t *testing.T, count int) (*harness, []*fakeWorker) {
 	t.Helper()
 	h := newHarness(t)
@@ -32,22 +32,22 @@
 		workers[i] = h.worker(name, name+"-1")
 		workers[i].exchange()
 	}
-	h.submit("j", tasks(4*count)) // all the room that there is
+	h.submit("j", tasks(4*count)) // all the capacity that there is
 	return h, workers
 }
 
 // TestLeaderStall_IsNoMissedHeartbeat: after the leader itself stalled, heartbeats
 // that came meanwhile are read one after the other. The workers that are not read yet
-// are not silent, although half of them were seen already.
+// miss none, although half of them were seen already.
 func TestLeaderStall_IsNoMissedHeartbeat(t *testing.T) {
-	for _, gap := range []time.Duration{ownPause, 2 * ownPause, 2500 * time.Millisecond} {
+	for _, gap := range []time.Duration{ownStall, 2 * ownStall, 2500 * time.Millisecond} {
 		h, workers := fleetWithUnassignedRuns(t, 10)
 		h.stallLeader(gap)
 		for _, worker := range workers {
 			worker.exchange()
 		}
 		if revoked := testutil.ToFloat64(h.leader.metrics.runsRevoked); revoked != 0 {
-			t.Errorf("pause of %v: %v runs withdrawn from workers that were not read yet", gap, revoked)
+			t.Errorf("pause of %v: %v runs revoked from workers that were not read yet", gap, revoked)
 		}
 		for index := range 40 {
 			if task := h.task("j", index); task.Run != 1 {
@@ -58,30 +58,30 @@
 }
 
 // TestLeaderStall_MissingWorkerIsStillFound: a worker that is not seen once the leader
-// goes on is silent as soon as it would be without the pause.
+// goes on misses heartbeats as soon as it would be without the pause.
 func TestLeaderStall_MissingWorkerIsStillFound(t *testing.T) {
 	h, workers := fleetWithUnassignedRuns(t, 10)
-	h.stallLeader(ownPause)
-	for range longSilence + 1 {
+	h.stallLeader(ownStall)
+	for range longGap + 1 {
 		for _, worker := range workers[1:] {
 			worker.exchange()
 		}
-		h.advance(testBeat)
+		h.advance(testInterval)
 	}
 	if revoked := testutil.ToFloat64(h.leader.metrics.runsRevoked); revoked != 4 {
-		t.Errorf("%v runs withdrawn, want the 4 of the worker that is gone", revoked)
+		t.Errorf("%v runs revoked, want the 4 of the worker that is gone", revoked)
 	}
 }
 
 // TestLeaderStall_SlowReadingIsNoMissedHeartbeat: a leader that reads each heartbeat three intervals after
 // the answer before it, as one does whose processor is too small, takes none of its
-// workers for silent once it has seen that pace.
+// workers as missing heartbeats once it has seen that pace.
 func TestLeaderStall_SlowReadingIsNoMissedHeartbeat(t *testing.T) {
 	h, workers := fleetWithUnassignedRuns(t, 40)
 	const rounds = 8
 	for range rounds {
 		for _, worker := range workers {
-			h.advance(longSilence * testBeat / time.Duration(len(workers)))
+			h.advance(longGap * testInterval / time.Duration(len(workers)))
 			worker.exchange()
 		}
 	}
@@ -89,11 +89,11 @@
 	before := testutil.ToFloat64(h.leader.metrics.runsRevoked)
 	for _, worker := range workers {
 		if h.leader.registry.missesHeartbeats(h.leader.registry.byID[worker.heartbeat.WorkerID], h.now) {
-			t.Errorf("%s counts as silent at the pace of all", worker.heartbeat.Name)
+			t.Errorf("%s counts as missing heartbeats at the pace of all", worker.heartbeat.Name)
 		}
 	}
 	if after := testutil.ToFloat64(h.leader.metrics.runsRevoked); after != before {
-		t.Errorf("%v runs withdrawn", after-before)
+		t.Errorf("%v runs revoked", after-before)
 	}
 }
 
--- a/internal/scheduler/leases_test.go
+++ b/internal/scheduler/leases_test.go
@@ -13,21 +13,21 @@
 	h := newHarness(t)
 	worker := h.runningOne()
 	worker.end(api.OutcomeSucceeded)
-	h.advance(testHold + testMargin + time.Millisecond)
+	h.advance(testLease + testDriftMargin + time.Millisecond)
 	h.log.whileProposing = func() { h.leader.tick() }
 	if answer := worker.exchange(); len(answer.Acknowledged) != 1 {
 		t.Errorf("acknowledged %+v", answer.Acknowledged)
 	}
 }
 
-// Its placement may have been under way while the hold lapsed.
+// Its placement may have been under way while the lease expired.
 func TestLease_RunOpenedAfterExpiryIsClosed(t *testing.T) {
 	h := newHarness(t)
 	worker := h.worker("w", "w-1")
 	worker.exchange()
 	worker.exchange()
 	h.submit("j", tasks(1))
-	h.now += testHold + testMargin + time.Millisecond
+	h.now += testLease + testDriftMargin + time.Millisecond
 	entry := h.leader.registry.byID["w-1"]
 	h.leader.mu.Lock()
 	entry.lease.expire()
@@ -43,10 +43,10 @@
 	h.running("a", 1)
 	other := h.worker("b", "b-1")
 	other.exchange()
-	h.advance(testHold + testMargin)
+	h.advance(testLease + testDriftMargin)
 	other.exchange()
 	if answer := other.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("task given away while the hold stands: %+v", answer.Start)
+		t.Fatalf("task given away while the lease stands: %+v", answer.Start)
 	}
 	h.advance(time.Millisecond)
 	answer := other.exchange()
@@ -59,14 +59,14 @@
 	h := newHarness(t)
 	h.running("a", 1)
 	other := h.worker("b", "b-1")
-	h.advance(testHold)
+	h.advance(testLease)
 	h.newTerm()
 	other.exchange()
-	h.advance(testHold - time.Second)
-	other.exchange() // keeps its own hold
-	h.advance(time.Second + testMargin)
+	h.advance(testLease - time.Second)
+	other.exchange() // keeps its own lease
+	h.advance(time.Second + testDriftMargin)
 	if answer := other.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("given away within a hold of the new term's start: %+v", answer.Start)
+		t.Fatalf("given away within a lease of the new term's start: %+v", answer.Start)
 	}
 	h.advance(time.Millisecond)
 	if answer := other.exchange(); len(answer.Start) != 1 {
@@ -78,11 +78,11 @@
 	h := newHarness(t)
 	earlier := h.running("w", 1)
 	later := h.worker("w", "w-2")
-	h.advance(testHold)
+	h.advance(testLease)
 	if answer := later.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("new incarnation got work under the old hold: %+v", answer.Start)
+		t.Fatalf("new incarnation got work under the old lease: %+v", answer.Start)
 	}
-	h.advance(testMargin + time.Millisecond)
+	h.advance(testDriftMargin + time.Millisecond)
 	later.exchange()
 	answer := later.exchange()
 	if len(answer.Start) != 1 || answer.Start[0].Run != 2 {
--- a/internal/scheduler/localitywait_test.go
+++ b/internal/scheduler/localitywait_test.go
@@ -74,7 +74,7 @@
 	x.end(api.OutcomeSucceeded)
 	x.exchange()
 	if answer := x.exchange(); len(answer.Start) != 1 {
-		t.Errorf("no order in its rack")
+		t.Errorf("no assignment in its rack")
 	}
 	if answer := y.exchange(); len(answer.Start) != 0 {
 		t.Errorf("elsewhere as well: %+v", answer.Start)
--- a/internal/scheduler/pendingstarts_test.go
+++ b/internal/scheduler/pendingstarts_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// workerWithOrders is a worker that was just given orders for all that fits.
-func (h *harness) workerWithOrders() *fakeWorker {
+// workerWithAssignments is a worker that was just given assignments for all that fits.
+func (h *harness) workerWithAssignments() *fakeWorker {
 	h.t.Helper()
 	worker := h.worker("w", "w-1")
 	worker.exchange()
@@ -37,7 +37,7 @@
 	h.submit("one", tasks(1))
 	h.wantWaitingJobs("without workers", 2)
 
-	worker := h.workerWithOrders()
+	worker := h.workerWithAssignments()
 	h.wantWaitingJobs("once ordered", 2)
 	worker.exchange()
 	h.wantWaitingJobs("once listed as running", 0)
@@ -68,7 +68,7 @@
 func TestPendingStarts_EndBetweenHeartbeatsCountsAsStarted(t *testing.T) {
 	h := newHarness(t)
 	h.submit("j", tasks(2))
-	worker := h.workerWithOrders()
+	worker := h.workerWithAssignments()
 	worker.end(api.OutcomeFailed)
 	worker.exchange()
 	h.wantWaitingJobs("after its runs failed", 0)
@@ -79,7 +79,7 @@
 func TestPendingStarts_AcrossTerms(t *testing.T) {
 	h := newHarness(t)
 	h.submit("runs", tasks(1))
-	worker := h.workerWithOrders()
+	worker := h.workerWithAssignments()
 	worker.exchange()
 	h.submit("waits", api.StepSpec{Name: "s", Tasks: []api.TaskSpec{{Service: "s", Resources: api.Resources{CPUMillis: 4000}}}})
 	h.wantWaitingJobs("in the first term", 1)
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -15,14 +15,14 @@
 			return
 		case <-l.wakePlanner:
 		}
-		for l.placeOnce() {
+		for l.commitPlacements() {
 		}
 	}
 }
 
-// placeOnce plans and commits one batch. It returns false if there was nothing
+// commitPlacements plans and commits one batch. It returns false if there was nothing
 // to place or the term ended.
-func (l *leader) placeOnce() bool {
+func (l *leader) commitPlacements() bool {
 	placements := l.plan()
 	if len(placements) == 0 {
 		return false
--- a/internal/scheduler/ranks_test.go
+++ b/internal/scheduler/ranks_test.go
@@ -33,7 +33,7 @@
 		h.advance(time.Millisecond)
 		answer := worker.exchange()
 		if len(answer.Start) != 1 {
-			h.t.Fatalf("after %v: want one order, got %+v", jobs, answer.Start)
+			h.t.Fatalf("after %v: want one assignment, got %+v", jobs, answer.Start)
 		}
 		job, _, _ := strings.Cut(answer.Start[0].Task, "/")
 		jobs = append(jobs, job)
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -84,7 +84,7 @@
 	if answer := keeper.exchange(); len(answer.Stop) != 0 || len(answer.Start) != 0 {
 		t.Errorf("runs that go on were touched: %+v", answer)
 	}
-	dropper.exchange() // in neither list: lost at once, without waiting for the hold
+	dropper.exchange() // in neither list: lost at once, without waiting for the lease
 	answer := dropper.exchange()
 	if len(answer.Start) != 1 || answer.Start[0].Task != "unordered/s/0" || answer.Start[0].Run != 2 {
 		t.Errorf("want run 2 of the unordered task, got %+v", answer.Start)
--- a/internal/scheduler/refusedheartbeat_test.go
+++ b/internal/scheduler/refusedheartbeat_test.go
@@ -39,7 +39,7 @@
 	h.wantState("j", api.StateSucceeded)
 	other := h.worker("other", "o-1")
 	other.exchange()
-	h.advance(testHold + testMargin + time.Millisecond)
+	h.advance(testLease + testDriftMargin + time.Millisecond)
 	for range 3 {
 		if answer := other.exchange(); len(answer.Start) != 0 {
 			t.Errorf("started again: %+v", answer.Start)
@@ -75,7 +75,7 @@
 }
 
 // TestRefusedHeartbeat_LateSuccessIsRecorded: its run was closed as lost before,
-// and the next one, which was not ordered, is revoked.
+// and the next one, which was not assigned, is revoked.
 func TestRefusedHeartbeat_LateSuccessIsRecorded(t *testing.T) {
 	h := newHarness(t)
 	silent, other := h.expiredWorker()
--- a/internal/scheduler/repeats_test.go
+++ b/internal/scheduler/repeats_test.go
@@ -149,11 +149,11 @@
 	h.advance(50 * time.Millisecond)
 	orders := worker.exchange().Start
 	if len(orders) != 4 {
-		t.Fatalf("want both groups of two started, got %+v", orders)
+		t.Fatalf("want both gangs of two started, got %+v", orders)
 	}
 	worker.end(api.OutcomeSucceeded)
 	worker.exchange()
 	if got := h.status("j"); got.State != api.StateSucceeded || len(h.leader.gangs.byStep) != 0 {
-		t.Fatalf("%s, %d groups kept", got.State, len(h.leader.gangs.byStep))
+		t.Fatalf("%s, %d gangs kept", got.State, len(h.leader.gangs.byStep))
 	}
 }
--- a/internal/scheduler/reports_test.go
+++ b/internal/scheduler/reports_test.go
@@ -96,10 +96,10 @@
 	other.exchange()
 	other.exchange()
 	for range 4 {
-		h.advance(testHold / 4)
+		h.advance(testLease / 4)
 		other.exchange()
 	}
-	h.advance(testMargin + time.Millisecond)
+	h.advance(testDriftMargin + time.Millisecond)
 	return silent, other
 }
 
@@ -107,7 +107,7 @@
 	h := newHarness(t)
 	silent, other := h.expiredWorker()
 	if open := h.leader.assignments.openByTask[testTask()]; open == nil || open.worker.info.ID != "o-1" || open.assignment.seq != 0 {
-		t.Fatalf("want the task placed anew and not ordered, got %+v", open)
+		t.Fatalf("want the task placed again and not ordered, got %+v", open)
 	}
 	if answer := silent.exchange(); len(answer.Acknowledged) != 1 {
 		t.Errorf("acknowledged %+v", answer.Acknowledged)
@@ -168,7 +168,7 @@
 	worker.end(api.OutcomeSucceeded)
 	success := worker.heartbeat.Ended
 	worker.heartbeat.Ended = nil
-	h.advance(testHold + testMargin + time.Millisecond)
+	h.advance(testLease + testDriftMargin + time.Millisecond)
 	worker.exchange()
 	worker.exchange()
 	if answer := worker.exchange(); len(answer.Start) != 1 {
@@ -193,7 +193,7 @@
 	worker.exchange()
 	worker.exchange()
 	worker.end(api.OutcomeSucceeded)
-	h.advance(testHold + testMargin + time.Millisecond)
+	h.advance(testLease + testDriftMargin + time.Millisecond)
 	if answer := worker.exchange(); len(answer.Acknowledged) != 1 {
 		t.Errorf("acknowledged %+v", answer.Acknowledged)
 	}
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -35,7 +35,7 @@
 	h.settle()
 }
 
-// exchangeAndAdvance lets time go by while the worker keeps its hold.
+// exchangeAndAdvance lets time go by while the worker keeps its lease.
 func (h *harness) exchangeAndAdvance(worker *fakeWorker, by time.Duration) {
 	h.t.Helper()
 	const step = time.Second
@@ -91,7 +91,7 @@
 	worker.stopped(answer.Stop)
 	worker.exchange()
 	if answer := worker.exchange(); len(answer.Start) != 2 || answer.Start[0].Task[:5] != "burst" {
-		t.Fatalf("want the burst in the room that was freed, got %+v", answer.Start)
+		t.Fatalf("want the burst in the capacity that was freed, got %+v", answer.Start)
 	}
 	for i := range 4 {
 		if task := h.task("filler", i); task.Failures != 0 {
--- a/internal/scheduler/status_test.go
+++ b/internal/scheduler/status_test.go
@@ -13,7 +13,7 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// TestWorkerStatus_LastSeenCountsFromTerm: a worker that a new leader never saw was silent
+// TestWorkerStatus_LastSeenCountsFromTerm: a worker that a new leader never saw sent no heartbeat
 // since the term began, not since the process did.
 func TestWorkerStatus_LastSeenCountsFromTerm(t *testing.T) {
 	h := newHarness(t)
@@ -22,8 +22,8 @@
 	h.submit("j", tasks(1))
 	h.newTerm()
 	h.leader.logger = slog.New(slog.NewTextHandler(&lines, nil))
-	h.advance(testHold + time.Second)
-	if want := fmt.Sprintf("since_last_seen=%v\n", testHold+time.Second); !strings.Contains(lines.String(), want) {
+	h.advance(testLease + time.Second)
+	if want := fmt.Sprintf("since_last_seen=%v\n", testLease+time.Second); !strings.Contains(lines.String(), want) {
 		t.Errorf("logged %q, want %q", lines.String(), want)
 	}
 }
