--- a/internal/placement/runs.go
+++ b/internal/placement/runs.go
@@ -24,13 +24,14 @@
 	priority int
 	runTimes
 	preemptibility
+	// slot is the one in which the run counts, or nil.
+	slot *slotSet
+	// inReservation tells whether the run was placed in a slot.
+	inReservation bool
 	// untilCancelled is set if the run has no end of its own.
 	untilCancelled bool
 	// nominated is set while the resources are only promised.
 	nominated bool
-	// slot is where the run counts; inReservation tells whether it was placed in one.
-	slot          *slotSet
-	inReservation bool
 }
 
 // runTimes is when a run starts and ends.
