--- a/internal/placement/resources/resources_test.go
+++ b/internal/placement/resources/resources_test.go
@@ -65,7 +65,9 @@
 		limit      int
 		want       int
 	}{
-		"scarcest dimension":        {amount(2, 3, 0), amount(9, 7, 0), 10, 2},
+		"memory is scarcest":        {amount(2, 3, 0), amount(9, 7, 0), 10, 2},
+		"processors are scarcest":   {amount(3, 1, 1), amount(7, 9, 9), 10, 2},
+		"accelerators are scarcest": {amount(1, 1, 2), amount(9, 9, 7), 10, 3},
 		"up to the limit":           {amount(1, 0, 0), amount(9, 0, 0), 4, 4},
 		"nothing needed":            {amount(0, 0, 0), amount(1, 1, 1), 7, 7},
 		"does not fit":              {amount(2, 0, 1), amount(9, 0, 0), 10, 0},
