--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -89,7 +89,7 @@
 	}
 	heartbeat, refusal := readHeartbeat(http.MaxBytesReader(writer, request.Body, maxHeartbeatBytes))
 	if refusal != nil {
-		a.metrics.count(resultInvalid)
+		a.metrics.countResult(resultInvalid)
 		httpjson.WriteError(writer, refusal)
 		return
 	}
@@ -104,7 +104,7 @@
 // Heartbeat relays one heartbeat of a worker, as a POST to HeartbeatPath does.
 func (a *Agent) Heartbeat(ctx context.Context, heartbeat api.Heartbeat) (api.HeartbeatAnswer, *api.Error) {
 	if fields := validateHeartbeat(heartbeat); len(fields) > 0 {
-		a.metrics.count(resultInvalid)
+		a.metrics.countResult(resultInvalid)
 		return api.HeartbeatAnswer{}, httpjson.Invalid("heartbeat", fields)
 	}
 	return a.relayNewest(ctx, heartbeat)
@@ -117,17 +117,17 @@
 	defer cancel()
 	ticket, ok := a.workers.beginRelay(heartbeat.WorkerID, heartbeat.Seq, cancel, time.Now())
 	if !ok {
-		a.metrics.count(resultOldSeq)
+		a.metrics.countResult(resultOldSeq)
 		return api.HeartbeatAnswer{}, oldSeq(heartbeat)
 	}
 	answer, refusal := a.relay(ctx, a.departures.annotate(heartbeat, time.Now()))
 	isNewest := a.workers.endRelay(ticket)
 	if refusal == nil && !isNewest {
-		a.metrics.count(resultSuperseded)
+		a.metrics.countResult(resultSuperseded)
 		refusal = unavailable("a newer heartbeat of this worker came in")
 	}
 	if refusal == nil {
-		a.metrics.count(resultRelayed)
+		a.metrics.countResult(resultRelayed)
 	}
 	return answer, refusal
 }
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -78,7 +78,7 @@
 	return protocol.HeartbeatAnswer{Answer: answer}, err
 }
 
-// count is the number of heartbeats so far.
+// countResult is the number of heartbeats so far.
 func (f *fakeScheduler) count() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -75,4 +75,5 @@
 	}, func() float64 { return float64(link.Token()) })
 }
 
-func (m *metrics) count(outcome result) { m.heartbeats.WithLabelValues(string(outcome)).Inc() }
+// countResult counts a heartbeat by its outcome.
+func (m *metrics) countResult(outcome result) { m.heartbeats.WithLabelValues(string(outcome)).Inc() }
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -49,7 +49,7 @@
 	for {
 		leader, known := a.pickTarget()
 		if !known && !a.awaitLeader(ctx) {
-			a.metrics.count(resultNoLeader)
+			a.metrics.countResult(resultNoLeader)
 			return api.HeartbeatAnswer{}, unavailable("the leading scheduler is not known")
 		}
 		if !known {
@@ -102,7 +102,7 @@
 func (a *Agent) acceptAnswer(leader leaderTarget, heartbeat api.Heartbeat, answer api.HeartbeatAnswer, sentAt time.Time, took time.Duration) (api.HeartbeatAnswer, *api.Error) {
 	// A process that was frozen finds answers that came long ago.
 	if took >= a.config.RelayTimeout {
-		a.metrics.count(resultLate)
+		a.metrics.countResult(resultLate)
 		return api.HeartbeatAnswer{}, unavailable("the leading scheduler answered too late")
 	}
 	checked, refusal := a.checkAnswer(heartbeat, answer)
@@ -131,11 +131,11 @@
 // checkAnswer returns an answer, or an error for one that the worker must not get.
 func (a *Agent) checkAnswer(heartbeat api.Heartbeat, answer api.HeartbeatAnswer) (api.HeartbeatAnswer, *api.Error) {
 	if answer.Seq != heartbeat.Seq {
-		a.metrics.count(resultFailed)
+		a.metrics.countResult(resultFailed)
 		return api.HeartbeatAnswer{}, unavailable("the answer was to another heartbeat")
 	}
 	if !a.config.Link.ObserveToken(answer.Token) {
-		a.metrics.count(resultStaleToken)
+		a.metrics.countResult(resultStaleToken)
 		a.metrics.staleTokens.Inc()
 		a.config.Logger.Warn("answer under a stale token dropped", slog.String("worker_id", heartbeat.WorkerID),
 			slog.Uint64("token", answer.Token), slog.Uint64("highest", a.config.Link.Token()))
@@ -147,7 +147,7 @@
 // handleRelayFailure passes a failed call on to the link, and returns the worker's answer.
 func (a *Agent) handleRelayFailure(ctx context.Context, leader leaderTarget, heartbeat api.Heartbeat, err error) *api.Error {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		a.metrics.count(resultSuperseded)
+		a.metrics.countResult(resultSuperseded)
 		return unavailable("a newer heartbeat of this worker came in, or it went away")
 	}
 	a.config.Logger.Debug("relay failed", slog.String("worker_id", heartbeat.WorkerID), slog.Uint64("seq", heartbeat.Seq),
@@ -158,12 +158,12 @@
 	}
 	switch failure.Code {
 	case rpc.CodeNotLeader:
-		a.metrics.count(resultNotLeader)
+		a.metrics.countResult(resultNotLeader)
 		a.redirect(leader.address, failure.LeaderAddress)
 		return unavailable("the scheduler asked does not lead")
 	case rpc.CodeRefused:
 		if failure.API != nil {
-			a.metrics.count(resultRefused)
+			a.metrics.countResult(resultRefused)
 			return failure.API
 		}
 	case rpc.CodeTransport:
@@ -171,7 +171,7 @@
 			a.config.Link.ReportFailure(leader.address)
 		}
 	}
-	a.metrics.count(resultFailed)
+	a.metrics.countResult(resultFailed)
 	return unavailable("the leading scheduler did not answer")
 }
 
--- a/internal/front/attempts.go
+++ b/internal/front/attempts.go
@@ -57,7 +57,7 @@
 	if failure.Code == rpc.CodeRefused {
 		return a.handleRejection(failure)
 	}
-	a.front.metrics.retried(a.method, string(failure.Code))
+	a.front.metrics.countRetry(a.method, string(failure.Code))
 	switch failure.Code {
 	case rpc.CodeNotLeader:
 		a.front.link.ObserveHint(failure.LeaderAddress)
--- a/internal/front/doc.go
+++ b/internal/front/doc.go
@@ -15,6 +15,6 @@
 //
 // # Concurrency
 //
-// A Front is safe for concurrent use and starts goroutines only within a request, which
-// waits for them. Settings are replaced as a whole; requests in flight keep the old ones.
+// A Front is safe for concurrent use. The goroutines that it starts are each of one request
+// and end with it. Settings are replaced all at once; requests in flight keep the old ones.
 package front
--- a/internal/front/job_calls.go
+++ b/internal/front/job_calls.go
@@ -62,12 +62,12 @@
 		queue = ""
 	}
 	if refusal := f.limits.enterQueue(f.settings.Load().MaxInflight, queue, weights); refusal != nil {
-		f.metrics.refused(refusedQueueInflight)
+		f.metrics.countRejection(reasonQueueInFlight)
 		return nil, refusal
 	}
 	if refusal := f.limits.takeToken(f.limitConfig().SubmitsPerSecond, queue, weights); refusal != nil {
 		f.limits.leaveQueue(queue)
-		f.metrics.refused(refusedRate)
+		f.metrics.countRejection(reasonSubmitRate)
 		return nil, refusal
 	}
 	return func() { f.limits.leaveQueue(queue) }, nil
--- a/internal/front/metrics.go
+++ b/internal/front/metrics.go
@@ -12,17 +12,17 @@
 
 // Reasons of rejections by localLimits, as a metrics label.
 const (
-	refusedInflight      = "inflight"
-	refusedQueueInflight = "queue_inflight"
-	refusedRate          = "submit_rate"
+	reasonInFlight      = "inflight"
+	reasonQueueInFlight = "queue_inflight"
+	reasonSubmitRate    = "submit_rate"
 )
 
 // metrics are the front's own metrics.
 type metrics struct {
-	requests *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	retries  *prometheus.CounterVec
-	refusals *prometheus.CounterVec
+	requests   *prometheus.CounterVec
+	latency    *prometheus.HistogramVec
+	retries    *prometheus.CounterVec
+	rejections *prometheus.CounterVec
 }
 
 // newMetrics makes the metrics, and registers them if there is a registerer.
@@ -38,7 +38,7 @@
 		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "decklever_front_relay_retries_total", Help: "Failed tries to relay a call, by method and reason.",
 		}, []string{"method", "reason"}),
-		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{
+		rejections: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "decklever_front_refusals_total", Help: "Requests refused by this front's own limits, by reason.",
 		}, []string{"reason"}),
 	}
@@ -46,8 +46,8 @@
 		return m, nil
 	}
 	for _, collector := range []prometheus.Collector{
-		m.requests, m.latency, m.retries, m.refusals,
-		inflightGauge("held_reads", &limits.longPolls), inflightGauge("others", &limits.others),
+		m.requests, m.latency, m.retries, m.rejections,
+		newInFlightGauge("held_reads", &limits.longPolls), newInFlightGauge("others", &limits.others),
 	} {
 		if err := registerer.Register(collector); err != nil {
 			return nil, fmt.Errorf("register the front's metrics: %w", err)
@@ -56,21 +56,24 @@
 	return m, nil
 }
 
-// inflightGauge has the number of requests of a class that are being served.
-func inflightGauge(class string, requests *inFlight) prometheus.Collector {
+// newInFlightGauge returns a gauge of the requests of a class that are being served.
+func newInFlightGauge(class string, requests *inFlight) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "decklever_front_inflight_requests", Help: "Requests being served, by class.",
 		ConstLabels: prometheus.Labels{"class": class},
 	}, func() float64 { return float64(requests.count.Load()) })
 }
 
-func (m *metrics) request(route string, status int, took time.Duration) {
+// observeRequest counts and times an answered request.
+func (m *metrics) observeRequest(route string, status int, took time.Duration) {
 	m.requests.WithLabelValues(route, strconv.Itoa(status)).Inc()
 	m.latency.WithLabelValues(route).Observe(took.Seconds())
 }
 
-func (m *metrics) retried(method protocol.Method, reason string) {
+// countRetry counts a failed attempt of a call.
+func (m *metrics) countRetry(method protocol.Method, reason string) {
 	m.retries.WithLabelValues(string(method), reason).Inc()
 }
 
-func (m *metrics) refused(reason string) { m.refusals.WithLabelValues(reason).Inc() }
+// countRejection counts a request that localLimits rejected.
+func (m *metrics) countRejection(reason string) { m.rejections.WithLabelValues(reason).Inc() }
--- a/internal/front/middleware.go
+++ b/internal/front/middleware.go
@@ -47,7 +47,7 @@
 			status = http.StatusOK
 		}
 		route := routeOf(request)
-		f.metrics.request(route, status, time.Since(started))
+		f.metrics.observeRequest(route, status, time.Since(started))
 		f.logger.LogAttrs(request.Context(), logLevel(status), "request",
 			slog.String("request_id", recorder.Header().Get(requestIDHeader)),
 			slog.String("route", route),
@@ -109,7 +109,7 @@
 		}
 		limit := f.settings.Load().MaxInflight
 		if !class.enter(limit) {
-			f.metrics.refused(refusedInflight)
+			f.metrics.countRejection(reasonInFlight)
 			writeError(writer, &api.Error{
 				Status:           http.StatusServiceUnavailable,
 				Code:             api.CodeUnavailable,
--- a/internal/rpc/doc.go
+++ b/internal/rpc/doc.go
@@ -14,7 +14,7 @@
 //
 // # Cost
 //
-// Calls are most of a process's work, so that carriage takes buffers from pools and makes
-// timers only when something waits for them. TestCall_HeartbeatAllocationsAreBounded holds
-// that. Nothing that is decoded points into a pooled buffer.
+// Calls are most of a process's work. Buffers are pooled, and a handler's context has a
+// timer only once something waits for its end; TestCall_HeartbeatAllocationsAreBounded
+// bounds the allocations. Nothing that is decoded points into a pooled buffer.
 package rpc
--- a/internal/taskhandlers/handlers_test.go
+++ b/internal/taskhandlers/handlers_test.go
@@ -25,7 +25,7 @@
 	return time.Since(began), err
 }
 
-func TestHandlers(t *testing.T) {
+func TestHandlers_DurationAndOutcome(t *testing.T) {
 	cases := []struct {
 		name, payload string
 		run           uint32
