--- a/testbed/calllog/log.go
+++ b/testbed/calllog/log.go
@@ -10,8 +10,7 @@
 	"sync"
 )
 
-// Log is an append-only list of entries. It is safe for use by many
-// goroutines.
+// Log is an append-only list of entries. It is safe for concurrent use.
 type Log struct {
 	mutex   sync.Mutex
 	entries []Entry
@@ -20,20 +19,20 @@
 	failure error
 }
 
-// Open returns a ledger that also writes to a new file at path. With an empty
-// path it stands in memory only.
+// Open returns a log that is also written to a new file at path. With an empty path it
+// stands in memory only.
 func Open(path string) (*Log, error) {
 	if path == "" {
 		return &Log{}, nil
 	}
 	file, err := os.Create(path)
 	if err != nil {
-		return nil, fmt.Errorf("create ledger: %w", err)
+		return nil, fmt.Errorf("create call log: %w", err)
 	}
 	return &Log{file: file, writer: bufio.NewWriter(file)}, nil
 }
 
-// Add appends an entry. A failure to write is kept for Close.
+// Add appends an entry. A failure to write is returned by Close.
 func (l *Log) Add(entry Entry) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -42,7 +41,7 @@
 		return
 	}
 	if err := json.NewEncoder(l.writer).Encode(entry); err != nil {
-		l.failure = fmt.Errorf("write ledger: %w", err)
+		l.failure = fmt.Errorf("write call log: %w", err)
 	}
 }
 
@@ -53,7 +52,7 @@
 	return slices.Clone(l.entries)
 }
 
-// Close writes out what is buffered.
+// Close flushes and closes the file.
 func (l *Log) Close() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/testbed/childprocess/launcher.go
+++ b/testbed/childprocess/launcher.go
@@ -11,9 +11,9 @@
 // ErrClosed is returned for a start after Close.
 var ErrClosed = errors.New("the launcher is closed")
 
-// Launcher starts processes from one operating system thread that it keeps.
-// A process is told to die when the thread that started it ends, so this must
-// not be a thread that the Go runtime may retire.
+// Launcher starts processes from one operating system thread that it locks. The kernel
+// kills a process when the thread that started it ends, so this must not be a thread
+// that the Go runtime may retire.
 type Launcher struct {
 	requests chan startRequest
 	closing  chan struct{}
@@ -21,6 +21,7 @@
 	done     sync.WaitGroup
 }
 
+// startRequest asks the thread to start a command and gets the result of that.
 type startRequest struct {
 	command *exec.Cmd
 	result  chan error
@@ -58,7 +59,7 @@
 	}
 }
 
-// Close ends the thread. All processes must have ended before.
+// Close gives the thread up. All children must have ended before.
 func (l *Launcher) Close() {
 	l.once.Do(func() { close(l.closing) })
 	l.done.Wait()
--- a/testbed/eventlog/event.go
+++ b/testbed/eventlog/event.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Kind is what a line tells.
+// Kind is what an event records.
 type Kind string
 
 // Events. Lines with other events are skipped.
@@ -18,7 +18,7 @@
 	KindEnd   Kind = "end"
 )
 
-// Event is one line of a worker's journal.
+// Event is one line of a worker's event log.
 type Event struct {
 	Mono monoclock.Nanos `json:"mono_ns"`
 	Kind Kind            `json:"event"`
@@ -28,14 +28,14 @@
 	WorkerID string `json:"worker_id"`
 	// Worker is the worker's name, the same over restarts.
 	Worker string `json:"worker"`
-	// Token is the token of the answer that ordered the start.
+	// Token is the fencing token of the answer that assigned the run.
 	Token uint64 `json:"token"`
-	// Outcome stands on end lines.
+	// Outcome is set on end events.
 	Outcome api.Outcome `json:"outcome,omitempty"`
 }
 
-// parse reads whole lines. It returns the lines and the number of bytes that
-// it read; a last line without its newline is left for the next call.
+// parse reads complete lines. It returns their events and the number of bytes that it
+// read; a last line without its newline is left for the next call.
 func parse(data []byte) (events []Event, read int, err error) {
 	for {
 		end := bytes.IndexByte(data[read:], '\n')
@@ -44,31 +44,31 @@
 		}
 		text := data[read : read+end]
 		read += end + 1
-		line, ok, err := parseLine(text)
+		event, ok, err := parseLine(text)
 		if err != nil {
 			return events, read, err
 		}
 		if ok {
-			events = append(events, line)
+			events = append(events, event)
 		}
 	}
 }
 
-// parseLine reads one line. A worker that was killed while it wrote leaves
-// half a line, to which its next life appends: then only what follows the last
-// opening of an object is a line.
+// parseLine reads one line; it reports false for events of other kinds. A worker that
+// was killed while it wrote leaves a partial line, to which its next incarnation
+// appends: then only what follows the last opening of an object is an event.
 func parseLine(text []byte) (Event, bool, error) {
 	text = bytes.TrimSpace(text)
 	if len(text) == 0 {
 		return Event{}, false, nil
 	}
-	var line Event
-	err := json.Unmarshal(text, &line)
+	var event Event
+	err := json.Unmarshal(text, &event)
 	if err != nil {
-		complete := bytes.LastIndex(text, []byte(`{"`))
-		if complete <= 0 || json.Unmarshal(text[complete:], &line) != nil {
-			return Event{}, false, fmt.Errorf("journal line %q: %w", text, err)
+		object := bytes.LastIndex(text, []byte(`{"`))
+		if object <= 0 || json.Unmarshal(text[object:], &event) != nil {
+			return Event{}, false, fmt.Errorf("line %q: %w", text, err)
 		}
 	}
-	return line, line.Kind == KindStart || line.Kind == KindEnd, nil
+	return event, event.Kind == KindStart || event.Kind == KindEnd, nil
 }
--- a/testbed/eventlog/reader.go
+++ b/testbed/eventlog/reader.go
@@ -16,12 +16,12 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Suffix ends the name of each journal file in a folder.
+// Suffix ends the name of each event log in a folder.
 const Suffix = ".journal"
 
 const pollInterval = 100 * time.Millisecond
 
-// Reader follows all journals of a folder.
+// Reader follows all event logs of a folder. It is safe for concurrent use.
 type Reader struct {
 	directory string
 
@@ -50,13 +50,13 @@
 	}
 }
 
-// Poll reads what the files have gained.
+// Poll reads what was appended to the files.
 func (r *Reader) Poll() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	paths, err := filepath.Glob(filepath.Join(r.directory, "*"+Suffix))
 	if err != nil {
-		r.errors = append(r.errors, fmt.Errorf("list journals: %w", err))
+		r.errors = append(r.errors, fmt.Errorf("list event logs: %w", err))
 		return
 	}
 	for _, path := range paths {
@@ -72,21 +72,21 @@
 		return nil
 	}
 	if err != nil {
-		return fmt.Errorf("open journal: %w", err)
+		return fmt.Errorf("open event log: %w", err)
 	}
 	defer func() { _ = file.Close() }()
 	if _, err := file.Seek(r.offsets[path], io.SeekStart); err != nil {
-		return fmt.Errorf("seek in journal %s: %w", path, err)
+		return fmt.Errorf("seek in event log %s: %w", path, err)
 	}
 	data, err := io.ReadAll(file)
 	if err != nil {
-		return fmt.Errorf("read journal %s: %w", path, err)
+		return fmt.Errorf("read event log %s: %w", path, err)
 	}
 	return r.consume(path, data)
 }
 
-// consume reads all whole lines of data. A line that cannot be read is reported
-// and skipped; those behind it are still read.
+// consume reads all complete lines of data. A line that cannot be read is reported and
+// skipped; those behind it are still read.
 func (r *Reader) consume(path string, data []byte) error {
 	var failures []error
 	for {
@@ -101,7 +101,7 @@
 	}
 }
 
-// Events returns all lines read so far, in the order of their times.
+// Events returns all events read so far, in the order of their times.
 func (r *Reader) Events() []Event {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -121,8 +121,8 @@
 func (r *Reader) Counts() (starts, ends int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, line := range r.events {
-		if line.Kind == KindStart {
+	for _, event := range r.events {
+		if event.Kind == KindStart {
 			starts++
 		} else {
 			ends++
@@ -131,25 +131,25 @@
 	return starts, ends
 }
 
-// Sort orders lines by time; of equal times, ends go first, because they free
-// what a start may take.
+// Sort orders events by time; of equal times, ends go first, because they free what a
+// start may use.
 func Sort(events []Event) {
 	slices.SortStableFunc(events, func(a, b Event) int {
 		return cmp.Or(cmp.Compare(a.Mono, b.Mono), cmp.Compare(kindOrder(a.Kind), kindOrder(b.Kind)))
 	})
 }
 
-func kindOrder(event Kind) int {
-	if event == KindEnd {
+func kindOrder(kind Kind) int {
+	if kind == KindEnd {
 		return 0
 	}
 	return 1
 }
 
-// Run is one run of a task as its worker journalled it.
+// Run is one run of a task as its worker logged it.
 type Run struct {
 	Event
-	// End is the time of the end line; 0 if there is none.
+	// End is the time of the end event; 0 if there is none.
 	End monoclock.Nanos
 }
 
@@ -162,19 +162,19 @@
 	}
 	var runs []Run
 	open := map[key]int{}
-	for _, line := range events {
-		id := key{line.Task, line.Run, line.WorkerID}
-		if line.Kind == KindStart {
+	for _, event := range events {
+		id := key{event.Task, event.Run, event.WorkerID}
+		if event.Kind == KindStart {
 			open[id] = len(runs)
-			runs = append(runs, Run{Event: line})
+			runs = append(runs, Run{Event: event})
 			continue
 		}
 		index, found := open[id]
 		if !found {
 			continue
 		}
-		runs[index].End = line.Mono
-		runs[index].Outcome = line.Outcome
+		runs[index].End = event.Mono
+		runs[index].Outcome = event.Outcome
 		delete(open, id)
 	}
 	return runs
--- a/testbed/eventlog/taskname.go
+++ b/testbed/eventlog/taskname.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// TaskName is the split form of "JOB/STEP/INDEX".
+// TaskName is the parsed form of "JOB/STEP/INDEX".
 type TaskName struct {
 	Job   string
 	Step  string
@@ -30,10 +30,10 @@
 }
 
 // ErrLaterOccurrence means that a task belongs to a later occurrence of a repeating
-// job. The test bed hands in no such job, and its checks would mix up occurrences.
+// job. The test bed submits no such job, and the checker would mix up occurrences.
 var ErrLaterOccurrence = errors.New("tasks of repeating jobs are not judged")
 
-// ParseTask splits a task's full name. A name JOB/STEP/INDEX/OCCURRENCE is an
+// ParseTask parses a task's full name. A name JOB/STEP/INDEX/OCCURRENCE is an
 // ErrLaterOccurrence.
 func ParseTask(task string) (TaskName, error) {
 	parts := strings.Split(task, "/")
@@ -53,8 +53,7 @@
 	return TaskName{Job: parts[0], Step: parts[1], Index: index}, nil
 }
 
-// occurrenceError says what is wrong with a name of four parts. Occurrence 0 has
-// none.
+// occurrenceError says what is wrong with a name of four parts. Occurrence 0 has none.
 func occurrenceError(task, text string) error {
 	occurrence, err := strconv.Atoi(text)
 	if err != nil || occurrence < 1 {
--- a/testbed/fleet/network.go
+++ b/testbed/fleet/network.go
@@ -10,11 +10,11 @@
 	"github.com/decklever/decklever/testbed/netem"
 )
 
-// zoneDelay is how long data takes from one zone to another, one way.
+// zoneDelay is the delay of data from one zone to another, one way.
 const zoneDelay = 500 * time.Microsecond
 
-// openNetwork starts the relays between the processes. Callers reach the fronts
-// without any.
+// openNetwork starts the emulated network between the processes. Callers reach the
+// fronts directly.
 func (f *Fleet) openNetwork() error {
 	config := netem.Config{Sources: map[string]string{}, Delay: f.linkDelay, Seed: f.config.Seed}
 	for _, process := range f.processes {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// linkDelay is the delay between two processes in their usual state.
+// linkDelay is the delay between two processes without a fault.
 func (f *Fleet) linkDelay(link netem.Link) time.Duration {
 	from, to := f.byName[link.From], f.byName[link.To]
 	if from == nil || to == nil || from.Spec.Zone == to.Spec.Zone {
@@ -65,7 +65,8 @@
 	return zoneDelay
 }
 
-// settingsChoices is what the settings file of a process says beyond the deployment.
+// settingsChoices returns what the settings file of a process says beyond the
+// deployment.
 func (f *Fleet) settingsChoices(spec deployment.Process) settingsChoices {
 	choices := settingsChoices{seeds: f.config.Deployment.Seeds(), logLevel: f.config.LogLevel}
 	for _, agent := range f.config.Deployment.ByRole(deployment.RoleAgent) {
@@ -76,8 +77,8 @@
 	return choices
 }
 
-// Partition lets nothing pass on the links and no connection come about over them,
-// until the returned function is called.
+// Partition blocks all data on the links and new connections over them, until the
+// returned function is called.
 func (f *Fleet) Partition(links ...netem.Link) (heal func()) {
 	f.recordLinkFaults(calllog.ActionPartition, links)
 	end := f.network.Partition(links...)
@@ -87,8 +88,8 @@
 	}
 }
 
-// Stall keeps back what is sent on the links, until the returned function is
-// called: then it is passed on in order.
+// Stall holds what is sent on the links until the returned function is called: then it
+// is forwarded in order.
 func (f *Fleet) Stall(links ...netem.Link) (release func()) {
 	f.recordLinkFaults(calllog.ActionStall, links)
 	end := f.network.Stall(links...)
@@ -98,7 +99,7 @@
 	}
 }
 
-// Reorder holds up a share of what is sent on the links, each piece for a time
+// Reorder delays chunks of what is sent on the links with a probability, each by a time
 // drawn up to maxDelay, until the returned function is called.
 func (f *Fleet) Reorder(probability float64, maxDelay time.Duration, links ...netem.Link) (end func()) {
 	f.recordLinkFaults(calllog.ActionReorder, links)
--- a/testbed/fleet/ready.go
+++ b/testbed/fleet/ready.go
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// waitUntil repeats a question until it is answered true or the context ends.
+// waitUntil repeats a check until it is true or the context ends.
 func waitUntil(ctx context.Context, condition func() bool) error {
 	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
--- a/testbed/fleet/schedulers.go
+++ b/testbed/fleet/schedulers.go
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// ReplicaID returns the replica id of a scheduler that the fleet shows as a
-// voter; empty if it shows none.
+// ReplicaID returns the replica id of a scheduler that is a voter by the members call;
+// empty if it is none.
 func (f *Fleet) ReplicaID(ctx context.Context, scheduler *Process) (string, error) {
 	members, err := f.client.Members(ctx)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return "", nil
 }
 
-// WaitJoined waits until the fleet shows the scheduler as a voter with a
-// replica id other than the one given.
+// WaitJoined waits until the members call lists the scheduler as a voter with a replica
+// id other than the one given.
 func (f *Fleet) WaitJoined(ctx context.Context, scheduler *Process, old string) error {
 	shown := ""
 	err := waitUntil(ctx, func() bool {
@@ -54,8 +54,7 @@
 	return nil
 }
 
-// SetClock has a scheduler add an offset to the wall clock that it reads, while
-// it runs.
+// SetClock adds an offset to the wall clock that a running scheduler reads.
 func (f *Fleet) SetClock(scheduler *Process, offset time.Duration) error {
 	choices := f.settingsChoices(scheduler.Spec)
 	choices.clockOffset = offset
@@ -70,8 +69,7 @@
 	return nil
 }
 
-// WaitCaughtUp waits until a scheduler has all that was committed when the wait
-// began.
+// WaitCaughtUp waits until a scheduler has all that was committed when the wait began.
 func (f *Fleet) WaitCaughtUp(ctx context.Context, scheduler *Process) error {
 	var committed, matched uint64
 	err := waitUntil(ctx, func() bool {
--- a/testbed/fleet/settings_file.go
+++ b/testbed/fleet/settings_file.go
@@ -24,8 +24,8 @@
 	Name   string `yaml:"name"`
 	Zone   string `yaml:"zone"`
 	Listen string `yaml:"listen"`
-	// Advertise is where a relay takes connections for the process, Source by
-	// what the relays know it.
+	// Advertise is where the emulated network takes connections for the process, Source
+	// the address by which it knows the process.
 	Advertise string       `yaml:"advertise,omitempty"`
 	Source    string       `yaml:"source"`
 	Seeds     []string     `yaml:"seeds"`
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// writeSettings writes the settings file of one process, in one step: the
-// process may be looking.
+// writeSettings writes the settings file of one process atomically, as the process may
+// read it at that moment.
 func (l layout) writeSettings(process deployment.Process, choices settingsChoices) error {
 	data, err := yaml.Marshal(l.settingsOf(process, choices))
 	if err != nil {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// settingsChoices is what the deployment does not say.
+// settingsChoices is what the deployment leaves open.
 type settingsChoices struct {
 	seeds    []string
 	logLevel string
--- a/testbed/fleet/usage.go
+++ b/testbed/fleet/usage.go
@@ -29,8 +29,8 @@
 // Usage is what the processes of one role took, sampled each second.
 type Usage struct {
 	Role deployment.Role `json:"role"`
-	// CPUMedian and CPUMax are shares of one core: 1 is a whole core. The
-	// median and maximum are over all samples of all processes of the role.
+	// CPUMedian and CPUMax are shares of one core, of which 1 is all. The median and
+	// maximum are over all samples of all processes of the role.
 	CPUMedian float64 `json:"cpu_median"`
 	CPUMax    float64 `json:"cpu_max"`
 	// MemoryMedianMB and MemoryMaxMB are resident memory in mebibytes.
--- a/testbed/fleet/version.go
+++ b/testbed/fleet/version.go
@@ -19,7 +19,7 @@
 // versionCount is the number of versions.
 const versionCount = 2
 
-// String names the version in errors and in the ledger.
+// String names the version in errors.
 func (v Version) String() string {
 	if v == PreviousVersion {
 		return "previous"
--- a/testbed/hollow/loopback.go
+++ b/testbed/hollow/loopback.go
@@ -21,7 +21,7 @@
 	requests *atomic.Int64
 }
 
-// connect makes the loopback lead to handler; nil cuts it.
+// connect makes the loopback lead to handler; nil disconnects it.
 func (l *loopback) connect(handler http.Handler) {
 	if handler == nil {
 		l.handler.Store(nil)
@@ -54,7 +54,7 @@
 	}, nil
 }
 
-// answerWriter keeps what a handler answers.
+// answerWriter buffers what a handler answers.
 type answerWriter struct {
 	header http.Header
 	status int
--- a/testbed/hollow/node.go
+++ b/testbed/hollow/node.go
@@ -36,8 +36,8 @@
 	requests atomic.Int64
 }
 
-// node is one side machine: an agent and a worker, each with lives that end
-// and begin anew.
+// node is one side machine: an agent and a worker, each of which can be killed and
+// started again. The goroutine of Process.Run owns it.
 type node struct {
 	shared    *shared
 	spec      NodeSpec
@@ -103,7 +103,7 @@
 	killed bool
 }
 
-// write writes to the journal unless the worker has been killed.
+// write writes to the event log unless the worker has been killed.
 func (l *workerIncarnation) write(write func(worker.Event), event worker.Event) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -118,7 +118,7 @@
 	l.killed = true
 }
 
-// killSwitch cuts a killed worker off from its agent, which may well run on.
+// killSwitch disconnects a killed worker from its agent, which may run on.
 type killSwitch struct {
 	incarnation *workerIncarnation
 	next        http.RoundTripper
--- a/testbed/hollow/process.go
+++ b/testbed/hollow/process.go
@@ -115,7 +115,7 @@
 	case CommandStartAgent:
 		return one.startAgent(ctx)
 	}
-	return fmt.Errorf("order is %q, which is not known", request.Command)
+	return fmt.Errorf("command is %q, expected one that is known", request.Command)
 }
 
 // counters sums what the nodes have sent and received.
--- a/testbed/hollow/spec.go
+++ b/testbed/hollow/spec.go
@@ -55,17 +55,17 @@
 	return nil
 }
 
-// Command is what the test bed tells a hollow process, one JSON line each.
+// Command is what a hollow process is asked to do, one JSON line each.
 type Command string
 
 // Orders.
 const (
-	// CommandKillWorker ends a worker as SIGKILL would: nothing is journalled or
-	// reported any more.
+	// CommandKillWorker ends a worker as SIGKILL would: nothing is logged or reported
+	// any more.
 	CommandKillWorker Command = "kill-worker"
 	// CommandStartWorker starts a killed worker again, with a new worker id.
 	CommandStartWorker Command = "start-worker"
-	// CommandKillAgent ends an agent: its worker is cut off and its hold lapses.
+	// CommandKillAgent ends an agent: its worker is isolated and its lease expires.
 	CommandKillAgent Command = "kill-agent"
 	// CommandStartAgent starts a killed agent again.
 	CommandStartAgent Command = "start-agent"
@@ -81,7 +81,7 @@
 
 // Reply answers one Request.
 type Reply struct {
-	// At is when the order had been carried out.
+	// At is when the command had been carried out.
 	At       monoclock.Nanos `json:"at_ns"`
 	Error    string          `json:"error,omitempty"`
 	Counters *Counters       `json:"counters,omitempty"`
--- a/testbed/load/caller.go
+++ b/testbed/load/caller.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// pollWait is how long a front may hold a poll. It is shorter than the
-	// 3 s in which a state must be readable, because the client waits anew at
-	// the next front when one is gone.
+	// pollWait is how long a front may hold a long poll. It is shorter than the 3 s in
+	// which a state must be readable, because the client waits anew at the next front
+	// when one has failed.
 	pollWait = 2 * time.Second
-	// callTimeout is how long a caller tries one call at all fronts before
-	// the ledger notes that there was no answer.
+	// callTimeout is how long a caller retries one call at all fronts before it is
+	// recorded as unanswered.
 	callTimeout = 15 * time.Second
-	// pollInterval follows a poll that failed or was answered early.
+	// pollInterval is the backoff after a poll that failed or was answered early.
 	pollInterval = 50 * time.Millisecond
 
 	idleConnections = 256
@@ -34,12 +34,12 @@
 type caller struct {
 	client  *api.Client
 	callLog *calllog.Log
-	// seenSucceeded are the tasks that a poll showed as succeeded already.
+	// seenSucceeded are the tasks that a poll reported as succeeded already.
 	seenSucceeded map[string]bool
 }
 
-// submit hands in a job until there is a plain answer. It reports whether the
-// job was accepted.
+// submit submits a job until there is a final answer. It reports whether the job was
+// accepted.
 func (c *caller) submit(ctx context.Context, one jobPlan) bool {
 	for {
 		entry := c.submitOnce(ctx, one, false)
@@ -54,7 +54,7 @@
 	}
 }
 
-// resend hands in an accepted job once more.
+// resend submits an accepted job once more.
 func (c *caller) resend(ctx context.Context, one jobPlan) { c.submitOnce(ctx, one, true) }
 
 func (c *caller) submitOnce(ctx context.Context, one jobPlan, resend bool) calllog.Entry {
@@ -97,7 +97,7 @@
 	return status.State
 }
 
-// newlySucceeded returns tasks that no earlier poll showed as succeeded.
+// newlySucceeded returns tasks that no earlier poll reported as succeeded.
 func (c *caller) newlySucceeded(status api.JobStatus) []string {
 	var tasks []string
 	for _, step := range status.Steps {
--- a/testbed/load/flood.go
+++ b/testbed/load/flood.go
@@ -14,15 +14,14 @@
 )
 
 const (
-	// attemptTimeout bounds one try of a flood. A front answers within 3 s.
+	// attemptTimeout bounds one attempt of a flood. A front answers within 3 s.
 	attemptTimeout = 4 * time.Second
-	// limitBackoff is the pause of a caller that a limit turned away.
+	// limitBackoff is the backoff of a caller that was rejected by a limit.
 	limitBackoff = 100 * time.Millisecond
 )
 
-// Flood hands in each job once, from that many callers, each as fast as it
-// gets answers. It goes round the api client, which would hide a 503 by asking
-// again.
+// Flood submits each job once, from that many callers, each as fast as it gets answers.
+// It bypasses the api client, which would hide a 503 by retrying.
 func (g *Generator) Flood(ctx context.Context, concurrency, jobs int, job func(number int) Job) {
 	transport := newTransport()
 	defer transport.CloseIdleConnections()
@@ -36,7 +35,7 @@
 	})
 }
 
-// attempt hands in a job at one front and returns what was answered.
+// attempt submits a job at one front and returns what was answered.
 func attempt(ctx context.Context, transport *http.Client, endpoint string, job Job) calllog.Entry {
 	entry := calllog.Entry{Kind: calllog.KindSubmit, Sent: monoclock.Now(), JobID: job.ID, Spec: &job.Spec, Class: job.Class}
 	answer, err := put(ctx, transport, endpoint+"/v1/jobs/"+job.ID, job.Spec)
@@ -55,7 +54,7 @@
 	return entry
 }
 
-// rawResponse is what stood in one HTTP answer.
+// rawResponse is one HTTP response.
 type rawResponse struct {
 	status     int
 	retryAfter bool
@@ -76,7 +75,7 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := transport.Do(request)
 	if err != nil {
-		return rawResponse{}, fmt.Errorf("hand in: %w", err)
+		return rawResponse{}, fmt.Errorf("submit: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	answer := rawResponse{status: response.StatusCode, retryAfter: response.Header.Get("Retry-After") != ""}
--- a/testbed/load/generator.go
+++ b/testbed/load/generator.go
@@ -12,11 +12,11 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
-// callers is the number of clients that share the load, each of which stays
-// with one front while that answers.
+// callers is the number of clients that share the load, each of which stays with one
+// front while that answers.
 const callers = 16
 
-// Config says what to hand in and where.
+// Config says what to submit and where.
 type Config struct {
 	// Endpoints are the fronts' base URLs.
 	Endpoints []string
@@ -32,13 +32,14 @@
 	Ended     int64
 }
 
-// Generator is all callers of one run.
+// Generator is all callers of one run. It owns one goroutine for each job that it
+// follows, and the connections to the fronts.
 type Generator struct {
 	config  Config
 	clients []*api.Client
 	endless []string
 
-	// following bounds the life of all followers; followers counts them.
+	// following bounds the lifetime of all followers; followers counts them.
 	following context.Context
 	stop      context.CancelFunc
 	followers sync.WaitGroup
@@ -66,8 +67,8 @@
 	return Counts{Submitted: g.submitted.Load(), Accepted: g.accepted.Load(), Ended: g.ended.Load()}
 }
 
-// Run hands in the endless jobs, and then the others at their rates until the
-// context ends.
+// Run submits the jobs that run until cancelled, and then the others at their rates
+// until the context ends.
 func (g *Generator) Run(ctx context.Context) {
 	shapes := g.config.Shapes
 	endless := newPlanner(g.config.Seed, "endless", shapes.Endless, false)
@@ -82,8 +83,8 @@
 	streams.Wait()
 }
 
-// stream hands in one planner's jobs. Each is due a drawn time after the one
-// before it was due, so that slow answers do not slow the load.
+// stream submits one planner's jobs. Each is due a drawn time after the one before it
+// was due, so that slow answers do not slow the load.
 func (g *Generator) stream(ctx context.Context, planner *planner) {
 	due := time.Now()
 	for {
@@ -100,8 +101,7 @@
 	}
 }
 
-// follow hands in a job and watches it until it is final, in its own
-// goroutine.
+// follow submits a job and polls it until it is final, in a goroutine of its own.
 func (g *Generator) follow(one jobPlan) {
 	number := g.submitted.Add(1)
 	caller := &caller{client: g.clients[number%callers], callLog: g.config.CallLog}
@@ -120,8 +120,8 @@
 	})
 }
 
-// Finish cancels the endless jobs and waits until all jobs are final or the
-// context ends.
+// Finish cancels the jobs that run until cancelled, and waits until all jobs are final
+// or the context ends.
 func (g *Generator) Finish(ctx context.Context) {
 	defer g.stop()
 	for index, id := range g.endless {
--- a/testbed/load/jobs.go
+++ b/testbed/load/jobs.go
@@ -13,7 +13,7 @@
 	"github.com/decklever/decklever/testbed/operator"
 )
 
-// Job is one that a scenario hands in beside the ordinary load.
+// Job is one that a scenario submits beside the ordinary load.
 type Job struct {
 	ID    string
 	Spec  api.JobSpec
@@ -22,13 +22,11 @@
 
 func (j Job) jobPlan() jobPlan { return jobPlan{id: j.ID, spec: j.Spec, class: j.Class} }
 
-// Submit hands in a job and watches it until it is final, in its own
-// goroutine.
+// Submit submits a job and polls it until it is final, in a goroutine of its own.
 func (g *Generator) Submit(job Job) { g.follow(job.jobPlan()) }
 
-// SubmitAll hands in jobs from that many callers at once and returns the ids
-// of those accepted. It asks again while a limit is in the way, and it does
-// not watch the jobs.
+// SubmitAll submits jobs from that many callers at once and returns the ids of those
+// accepted. It retries while a limit rejects a job, and it does not watch the jobs.
 func (g *Generator) SubmitAll(ctx context.Context, concurrency int, jobs []Job) []string {
 	accepted := make([]bool, len(jobs))
 	g.forEach(concurrency, len(jobs), func(index int) {
@@ -45,8 +43,8 @@
 	return ids
 }
 
-// submitWhileLimited hands in a job until it is accepted, refused for another
-// reason than a limit, or the context ends.
+// submitWhileLimited submits a job until it is accepted, rejected for another reason
+// than a limit, or the context ends.
 func (c *caller) submitWhileLimited(ctx context.Context, one jobPlan) bool {
 	for ctx.Err() == nil {
 		entry := c.submitOnce(ctx, one, false)
@@ -62,8 +60,8 @@
 	return false
 }
 
-// Watch reads each job, that many at once, until it is final. It returns how
-// many are; fewer than all if the context ended before.
+// Watch polls each job, that many at once, until it is final. It returns how many are;
+// fewer than all if the context ended before.
 func (g *Generator) Watch(ctx context.Context, concurrency int, ids []string) int {
 	var final atomic.Int64
 	g.forEach(concurrency, len(ids), func(index int) {
@@ -80,9 +78,9 @@
 	g.forEach(concurrency, len(ids), func(index int) { g.caller(index).cancel(ctx, ids[index]) })
 }
 
-// CancelQueue cancels all jobs of a queue in one call, and asks again until
-// there is an answer. The ledger gets one entry for each of the ids, which are
-// the queue's accepted jobs. It returns how many jobs the call cancelled.
+// CancelQueue cancels all jobs of a queue in one call, and retries until there is an
+// answer. The call log gets one entry for each of the ids, which are the queue's
+// accepted jobs. It returns how many jobs the call cancelled.
 func (g *Generator) CancelQueue(ctx context.Context, queue string, ids []string) (int, error) {
 	sent := monoclock.Now()
 	cancelled, err := g.clients[0].CancelJobs(ctx, api.CancelRequest{Queue: queue})
@@ -95,7 +93,7 @@
 	return cancelled, err
 }
 
-// RecordMilestone notes a time that the scenario set.
+// RecordMilestone records a time of the scenario.
 func (g *Generator) RecordMilestone(milestone calllog.Milestone, at monoclock.Nanos) {
 	g.config.CallLog.Add(calllog.Entry{Kind: calllog.KindMilestone, Sent: at, Answered: at, Milestone: milestone})
 }
@@ -105,7 +103,7 @@
 	return &caller{client: g.clients[number%callers], callLog: g.config.CallLog}
 }
 
-// forEach calls visit for every index below count, width at once.
+// forEach calls visit for every index below count, that many at once.
 func (g *Generator) forEach(concurrency, count int, visit func(index int)) {
 	var group errgroup.Group
 	group.SetLimit(concurrency)
--- a/testbed/load/plan.go
+++ b/testbed/load/plan.go
@@ -13,29 +13,30 @@
 
 // Shares of jobs that use one of the rules which few callers need.
 const (
+	// Shares of jobs that use one of the rarer rules.
 	resendShare = 0.02
 	timedShare  = 0.05
 	gangShare   = 0.05
 	spreadShare = 0.05
 	labelShare  = 0.05
 
-	// timedDelay is how far in the future a timed step lies when handed in.
+	// timedDelay is how far in the future a timed step lies at its submission.
 	timedDelay = time.Second
-	// spreadZones is how many zones must be there for all tasks of a step that
-	// is spread by zone to run at once.
+	// spreadZones is how many zones must be available for all tasks of a step that is
+	// spread by zone to run at once.
 	spreadZones = deployment.Zones - 1
 )
 
-// jobPlan is one job that will be handed in.
+// jobPlan is one job to be submitted.
 type jobPlan struct {
 	id    string
 	spec  api.JobSpec
 	class calllog.Class
-	// interval is the pause since the job before it.
+	// interval is the time since the job before it.
 	interval time.Duration
-	// resend: it is handed in again once it was accepted.
+	// resend: it is submitted again once it was accepted.
 	resend bool
-	// timed: its last step gets a not_before when it is handed in.
+	// timed: its last step gets a not_before when it is submitted.
 	timed bool
 }
 
@@ -45,7 +46,7 @@
 	shape  deployment.Shape
 	random *rand.Rand
 	count  int
-	// special allows the rules that few callers need.
+	// special allows the rarer rules.
 	special bool
 }
 
--- a/testbed/netem/connection.go
+++ b/testbed/netem/connection.go
@@ -8,47 +8,47 @@
 )
 
 const (
-	// chunkBytes bounds what is passed on at once.
+	// chunkBytes bounds what is forwarded at once.
 	chunkBytes  = 32 << 10
 	dialTimeout = 2 * time.Second
 )
 
-// connection is one relayed connection: link is the direction from the process
-// that opened it.
+// connection is one forwarded connection; link is the direction from the process that
+// opened it. The goroutine of serve owns it.
 type connection struct {
 	link              Link
 	forward, backward *direction
 	client, server    *net.TCPConn
-	// stop ends both pumps.
+	// stop ends both pumps and resets the connection.
 	stop context.CancelFunc
 }
 
-// serve relays until both directions have ended.
+// serve forwards until both directions have ended.
 func (n *Network) serve(ctx context.Context, client *net.TCPConn, route Route, source string) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	link := Link{From: source, To: route.Name}
-	one := &connection{
+	conn := &connection{
 		link: link, forward: n.direction(link), backward: n.direction(Link{From: link.To, To: link.From}), client: client, stop: stop,
 	}
-	release := n.track(one)
+	release := n.track(conn)
 	defer release()
-	if !one.open(ctx, route.Target) {
+	if !conn.open(ctx, route.Target) {
 		abort(client)
 		return
 	}
-	closing := context.AfterFunc(ctx, func() { abort(one.client); abort(one.server) })
+	closing := context.AfterFunc(ctx, func() { abort(conn.client); abort(conn.server) })
 	defer closing()
 	var pumps sync.WaitGroup
-	pumps.Go(func() { one.pump(ctx, one.client, one.server, one.forward) })
-	pumps.Go(func() { one.pump(ctx, one.server, one.client, one.backward) })
+	pumps.Go(func() { conn.pump(ctx, conn.client, conn.server, conn.forward) })
+	pumps.Go(func() { conn.pump(ctx, conn.server, conn.client, conn.backward) })
 	pumps.Wait()
-	_, _ = one.client.Close(), one.server.Close()
+	_, _ = conn.client.Close(), conn.server.Close()
 }
 
-// open connects to the target. A connection that is begun while either
-// direction is cut never comes about: it stays without an answer until the cut
-// ends and is dropped then.
+// open connects to the target. A connection that begins while either direction is
+// partitioned is never established: it has no answer until the partition heals and is
+// reset then.
 func (c *connection) open(ctx context.Context, target string) bool {
 	if c.forward.partitioned() || c.backward.partitioned() {
 		c.forward.waitToForward(ctx)
@@ -64,8 +64,8 @@
 	return true
 }
 
-// pump passes on what comes from one end to the other. The end of the stream
-// takes the same way as the data. A failure ends both directions.
+// pump forwards what it reads from one end to the other. The end of the stream waits
+// for the same faults as the data. A failure ends both directions.
 func (c *connection) pump(ctx context.Context, from, to *net.TCPConn, through *direction) {
 	buffer := make([]byte, chunkBytes)
 	for {
@@ -86,8 +86,7 @@
 	}
 }
 
-// forwardEnd passes on the end of a stream: an orderly one as such, another as a
-// reset.
+// forwardEnd forwards the end of a stream: an orderly one as such, another as a reset.
 func (c *connection) forwardEnd(err error, to *net.TCPConn) {
 	if !isOrderlyEnd(err) || to.CloseWrite() != nil {
 		c.stop()
@@ -95,7 +94,7 @@
 }
 
 // abort closes a connection with a reset.
-func abort(one *net.TCPConn) {
-	_ = one.SetLinger(0) // fails only if it is closed already
-	_ = one.Close()
+func abort(conn *net.TCPConn) {
+	_ = conn.SetLinger(0) // fails only if it is closed already
+	_ = conn.Close()
 }
--- a/testbed/netem/link.go
+++ b/testbed/netem/link.go
@@ -15,14 +15,14 @@
 // BothDirections returns the two directions between two processes.
 func BothDirections(a, b string) []Link { return []Link{{From: a, To: b}, {From: b, To: a}} }
 
-// reordering holds up some of the data, each piece for a drawn time.
+// reordering delays some of the chunks of data, each by a drawn time.
 type reordering struct {
 	probability float64
 	maxDelay    time.Duration
 }
 
-// direction is the state of one link. Its faults are counted, so that those
-// that overlap do not end each other.
+// direction is the state of one link. Its faults are counted, so that overlapping ones
+// do not end each other.
 type direction struct {
 	delay time.Duration
 
@@ -31,7 +31,7 @@
 	stalls      int
 	reorderings []reordering
 	random      *rand.Rand
-	// changed is closed and made anew whenever a fault begins or ends.
+	// changed is closed and replaced whenever a fault begins or ends.
 	changed chan struct{}
 }
 
@@ -39,7 +39,7 @@
 	return &direction{delay: delay, random: rand.New(rand.NewPCG(seed, 0)), changed: make(chan struct{})}
 }
 
-// change changes the faults and wakes those that wait.
+// change changes the faults and wakes the goroutines that wait for that.
 func (d *direction) change(apply func(*direction)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -48,14 +48,14 @@
 	d.changed = make(chan struct{})
 }
 
-// partitioned reports whether the direction is cut now.
+// partitioned reports whether the direction is partitioned now.
 func (d *direction) partitioned() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.partitions > 0
 }
 
-// blocked returns whether nothing may pass now, and a channel that is closed at
+// blocked returns whether nothing may be forwarded now, and a channel that is closed at
 // the next change.
 func (d *direction) blocked() (blocked bool, changed <-chan struct{}) {
 	d.mutex.Lock()
@@ -63,7 +63,7 @@
 	return d.partitions > 0 || d.stalls > 0, d.changed
 }
 
-// waitToForward waits until one piece of data may go on. It reports false if the
+// waitToForward waits until one chunk of data may be forwarded. It reports false if the
 // context ended before.
 func (d *direction) waitToForward(ctx context.Context) bool {
 	if !waitFor(ctx, d.delay+d.drawDelay()) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// drawDelay returns how long this piece is held up.
+// drawDelay returns the additional delay of one chunk.
 func (d *direction) drawDelay() time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/testbed/netem/network.go
+++ b/testbed/netem/network.go
@@ -22,18 +22,20 @@
 	Source string
 }
 
-// Config says what is relayed.
+// Config says which connections are forwarded.
 type Config struct {
 	Routes []Route
 	// Sources maps source IP addresses to process names.
 	Sources map[string]string
 	// Delay returns the usual delay of a link. Default none.
 	Delay func(Link) time.Duration
-	// Seed draws which data is held up by Cross.
+	// Seed draws which chunks of data Reorder delays.
 	Seed uint64
 }
 
-// Network is all relays of a fleet. Its methods are safe for concurrent use.
+// Network is the emulated network of a fleet. Its methods are safe for concurrent use.
+// It owns its listeners, the connections between them and the processes, and the faults
+// of each link; mutex guards the latter two.
 type Network struct {
 	config    Config
 	listeners []net.Listener
@@ -52,7 +54,7 @@
 	for _, route := range config.Routes {
 		listener, err := net.Listen("tcp", route.Listen)
 		if err != nil {
-			return nil, errors.Join(fmt.Errorf("relay to %s: %w", route.Name, err), n.Close())
+			return nil, errors.Join(fmt.Errorf("forward to %s: %w", route.Name, err), n.Close())
 		}
 		n.listeners = append(n.listeners, listener)
 		n.running.Go(func() { n.accept(ctx, listener, route) })
@@ -60,7 +62,7 @@
 	return n, nil
 }
 
-// Close ends all relays and waits for that.
+// Close ends all connections and listeners and waits for that.
 func (n *Network) Close() error {
 	var failures []error
 	for _, listener := range n.listeners {
@@ -113,38 +115,37 @@
 	return found
 }
 
-// track lists a connection until the returned function is called.
-func (n *Network) track(one *connection) (release func()) {
+// track registers a connection until the returned function is called.
+func (n *Network) track(conn *connection) (release func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.connections[one] = struct{}{}
+	n.connections[conn] = struct{}{}
 	return func() {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
-		delete(n.connections, one)
+		delete(n.connections, conn)
 	}
 }
 
-// Partition lets nothing pass on the links and no new connection come about over
-// them, in either direction. It returns what ends the cut.
+// Partition blocks all data on the links, and any new connection over them in either
+// direction. It returns what heals the partition.
 func (n *Network) Partition(links ...Link) (heal func()) {
 	return n.inject(links, func(d *direction) { d.partitions++ }, func(d *direction) { d.partitions-- })
 }
 
-// Stall keeps back what is sent on the links. It returns what releases it, in
-// order.
+// Stall holds what is sent on the links. It returns what forwards it, in order.
 func (n *Network) Stall(links ...Link) (release func()) {
 	return n.inject(links, func(d *direction) { d.stalls++ }, func(d *direction) { d.stalls-- })
 }
 
-// Reorder holds up a share of the pieces of data on the links, each for a time
-// drawn up to maxDelay, while other connections pass: answers come late and cross
-// each other. It returns what ends it.
+// Reorder delays chunks of data on the links with a probability, each by a time drawn
+// up to maxDelay, while other connections go on: answers come late and in another order
+// than they were sent. It returns what ends that.
 func (n *Network) Reorder(probability float64, maxDelay time.Duration, links ...Link) (end func()) {
 	added := reordering{probability, maxDelay}
 	remove := func(d *direction) {
-		for index, one := range d.reorderings {
-			if one == added {
+		for index, present := range d.reorderings {
+			if present == added {
 				d.reorderings = append(d.reorderings[:index:index], d.reorderings[index+1:]...)
 				return
 			}
@@ -158,10 +159,10 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	count := 0
-	for one := range n.connections {
+	for conn := range n.connections {
 		for _, link := range links {
-			if one.link == link || one.link == (Link{From: link.To, To: link.From}) {
-				one.stop()
+			if conn.link == link || conn.link == (Link{From: link.To, To: link.From}) {
+				conn.stop()
 				count++
 				break
 			}
@@ -170,7 +171,7 @@
 	return count
 }
 
-// inject applies a fault and returns what takes it back, once.
+// inject begins a fault and returns what ends it, once.
 func (n *Network) inject(links []Link, begin, end func(*direction)) func() {
 	for _, link := range links {
 		n.direction(link).change(begin)
@@ -182,5 +183,5 @@
 	})
 }
 
-// isOrderlyEnd reports whether a read ended in order.
+// isOrderlyEnd reports whether a read ended with the end of the stream.
 func isOrderlyEnd(err error) bool { return errors.Is(err, io.EOF) }
--- a/testbed/operator/operator.go
+++ b/testbed/operator/operator.go
@@ -11,7 +11,7 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Operator makes the calls of an operator and notes each in the ledger.
+// Operator makes the calls of an operator and records each in the call log.
 type Operator struct {
 	client  *api.Client
 	callLog *calllog.Log
@@ -52,8 +52,8 @@
 	return rollout, err
 }
 
-// Refusal returns the code and text of an error as they stand in a ledger
-// entry; both are empty for nil.
+// Refusal returns the code and text of an error as an entry of the call log has them;
+// both are empty for nil.
 func Refusal(err error) (api.ErrorCode, string) {
 	if err == nil {
 		return "", ""
--- a/testbed/report/observations.go
+++ b/testbed/report/observations.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// observations are ledger and journals, sorted out by job.
+// observations are the call log and the event logs, indexed by job.
 type observations struct {
 	specs    map[string]*api.JobSpec
 	classes  map[string]calllog.Class
@@ -23,7 +23,7 @@
 	runs          []eventlog.Run
 }
 
-// submitAnswer is the first accepted submit of an ordinary job.
+// submitAnswer is the first accepted submission of an ordinary job.
 type submitAnswer struct{ sent, answered monoclock.Nanos }
 
 func newObservations(input checker.Input) *observations {
@@ -77,8 +77,8 @@
 	return counts
 }
 
-// endToVisible returns, for each job seen as final, the time since the last
-// end of its runs before that.
+// endToVisible returns, for each job reported as succeeded, the time since the last end
+// of its runs before that.
 func (o *observations) endToVisible() []time.Duration {
 	lastEnd := map[string]monoclock.Nanos{}
 	for _, run := range o.runs {
--- a/testbed/report/percentiles.go
+++ b/testbed/report/percentiles.go
@@ -20,8 +20,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// percentilesOf takes delays in; those out of range count as the nearest
-// bound.
+// percentilesOf summarizes delays; those out of range count as the nearest bound.
 func percentilesOf(delays []time.Duration) Percentiles {
 	histogram := hdrhistogram.New(1, highestMicros, significantDigits)
 	for _, delay := range delays {
--- a/testbed/report/phases.go
+++ b/testbed/report/phases.go
@@ -10,16 +10,16 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Flood is what was seen of a flood and of the time before it.
+// Flood compares a flood with the time before it.
 type Flood struct {
-	// Answers counts the submits that had to be refused by HTTP status; 0 is
-	// no answer.
+	// Answers counts the submissions that had to be rejected by HTTP status; 0 is no
+	// answer.
 	Answers          map[calllog.Class]map[int]int `json:"answers"`
 	AnswersPerSecond float64                       `json:"answers_per_second"`
 	// Unavailable counts those of Answers that are 503.
 	Unavailable int `json:"unavailable"`
-	// Discarded counts the jobs that were accepted in the flood to be cancelled
-	// in mass, Cancelled those of them that were last seen as cancelled.
+	// Discarded counts the jobs that were accepted in the flood to be cancelled in
+	// bulk, Cancelled those of them that were last reported as cancelled.
 	Discarded int `json:"discarded"`
 	Cancelled int `json:"cancelled"`
 	// Baseline is the time before the flood, Flooded that of the flood.
@@ -30,14 +30,14 @@
 // Phase is what ordinary callers saw in a part of the run.
 type Phase struct {
 	Seconds float64 `json:"seconds"`
-	// JobsRefused counts refused submits.
+	// JobsRefused counts rejected submissions.
 	JobsAccepted int         `json:"jobs_accepted"`
 	JobsRefused  int         `json:"jobs_refused"`
 	SubmitAnswer Percentiles `json:"submit_answer"`
 	ReadyToStart Percentiles `json:"ready_to_start"`
 }
 
-// span is a part of a run, without its end.
+// span is a part of a run, its end excluded.
 type span struct{ from, until monoclock.Nanos }
 
 func (s span) contains(at monoclock.Nanos) bool { return at >= s.from && at < s.until }
@@ -65,8 +65,8 @@
 	return flood
 }
 
-// countAnswers counts the answers to what had to be refused, and their rate
-// between the first and the last of them.
+// countAnswers counts the answers to what had to be rejected, and their rate between
+// the first and the last of them.
 func (f *Flood) countAnswers(entries []calllog.Entry) {
 	count := 0
 	var total span
--- a/testbed/report/summary.go
+++ b/testbed/report/summary.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Summary is the outcome of one run.
+// Summary is the outcome of one run. Its JSON names are read by other programs.
 type Summary struct {
 	Deployment string       `json:"deployment"`
 	Scenario   string       `json:"scenario"`
@@ -24,16 +24,15 @@
 	JobsAccepted  int               `json:"jobs_accepted"`
 	JobsEnded     int               `json:"jobs_ended"`
 	JobsByState   map[api.State]int `json:"jobs_by_state"`
-	// Refusals counts submits that were not accepted, by their code.
+	// Refusals counts rejected submissions by their code.
 	Refusals map[api.ErrorCode]int `json:"refusals"`
 
 	TasksStarted       int     `json:"tasks_started"`
 	StartsPerSecond    float64 `json:"starts_per_second"`
 	DuplicateSuccesses int     `json:"duplicate_successes"`
 
-	// SubmitAnswer is from the sending of a first submit to its acceptance, and
-	// ReadyToStart from a task being ready to its first start, both of ordinary
-	// work only.
+	// SubmitAnswer is from a first submission to its acceptance, and ReadyToStart from
+	// a task being ready to its first start, both of ordinary work only.
 	SubmitAnswer Percentiles `json:"submit_answer"`
 	ReadyToStart Percentiles `json:"ready_to_start"`
 	// EndToVisible is from a job's last end to a caller seeing it as final.
@@ -51,20 +50,20 @@
 	// LongestServiceGapMillis leaves out times without a majority of the
 	// schedulers.
 	LongestServiceGapMillis float64 `json:"longest_service_gap_ms"`
-	// LongestReplacementMillis is from the beginning of a worker's silence to
-	// the start elsewhere of a task that it cut off; 0 if there was none.
+	// LongestReplacementMillis is from when a worker became unreachable to the start
+	// elsewhere of a task that it ran; 0 if there was none.
 	LongestReplacementMillis float64 `json:"longest_replacement_ms"`
-	// FaultsInjected counts what the test bed did, a fault of many links as one.
+	// FaultsInjected counts the faults of the test bed, a fault of many links as one.
 	FaultsInjected int `json:"faults_caused"`
 
 	Usage           []fleet.Usage       `json:"usage"`
 	Violations      []checker.Violation `json:"broken"`
 	UnexpectedExits []string            `json:"unexpected_exits"`
-	// Errors are failures of the test bed itself, such as an unreadable journal.
+	// Errors are failures of the test bed itself, such as an unreadable event log.
 	Errors []string `json:"errors"`
 }
 
-// Input is what a summary is made of.
+// Input is what a summary is built from.
 type Input struct {
 	Deployment string
 	Scenario   string
@@ -76,7 +75,7 @@
 	Errors     []error
 }
 
-// Build makes the summary.
+// Build builds the summary.
 func Build(input Input) Summary {
 	o := newObservations(input.Observed)
 	delays := checker.StartDelays(input.Observed)
@@ -121,7 +120,7 @@
 	return summary
 }
 
-// faultsInjected counts kills, freezes, wipes, jumps and faults of links during
+// faultsInjected counts kills, freezes, wipes, clock jumps and faults of links during
 // the load. Links with a fault at the same moment count as one.
 func faultsInjected(observed checker.Input) int {
 	count := 0
@@ -147,7 +146,7 @@
 	return false
 }
 
-// unexpectedExits names processes that ended without being told to.
+// unexpectedExits names processes that ended although nobody ended them.
 func unexpectedExits(entries []calllog.Entry) []string {
 	var names []string
 	for _, entry := range entries {
--- a/testbed/report/text.go
+++ b/testbed/report/text.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// shownViolations bounds how many broken promises the text lists.
+// shownViolations bounds how many violations the text lists.
 const shownViolations = 20
 
 // WriteText writes a short form for people.
--- a/testbed/run/progress.go
+++ b/testbed/run/progress.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// progress writes one line; a failure to write is of no concern to the trial.
+// progress writes one line; a failure to write does not concern the run.
 func (t *activeRun) progress(format string, values ...any) {
 	if t.config.Progress != nil {
 		_, _ = fmt.Fprintf(t.config.Progress, format+"\n", values...)
--- a/testbed/run/rollout.go
+++ b/testbed/run/rollout.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// rolloutInterval is the pause between two reads of the rollout.
+	// rolloutInterval is the time between two reads of the rollout.
 	rolloutInterval = 500 * time.Millisecond
 	rolloutTimeout  = 3 * time.Second
 )
 
-// watchRollout has the ledger note which process has which configuration in
-// force, until the context ends.
+// watchRollout records which process has which configuration in force, until the
+// context ends.
 func (t *activeRun) watchRollout(ctx context.Context) {
 	ticker := time.NewTicker(rolloutInterval)
 	defer ticker.Stop()
--- a/testbed/run/run.go
+++ b/testbed/run/run.go
@@ -56,7 +56,7 @@
 	Progress io.Writer
 }
 
-// activeRun is a run under way.
+// activeRun is a run in progress.
 type activeRun struct {
 	config         Config
 	calls          *calllog.Log
@@ -68,8 +68,8 @@
 	failures       []error
 }
 
-// Run runs one trial. An error means that there is no summary: the fleet did
-// not start or the context ended.
+// Run carries out one run. An error means that there is no summary: the fleet did not
+// start or the context ended.
 func Run(ctx context.Context, config Config) (report.Summary, error) {
 	t, err := open(config)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return summary, writeSummary(filepath.Join(config.Out, SummaryFile), summary)
 }
 
-// open makes everything and starts nothing.
+// open prepares everything and starts nothing.
 func open(config Config) (*activeRun, error) {
 	if err := emptyFolder(config.Out); err != nil {
 		return nil, err
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// observe runs the fleet and returns what was seen.
+// observe runs the fleet and returns the history of the run.
 func (t *activeRun) observe(ctx context.Context) (checker.Input, error) {
 	if err := t.start(ctx); err != nil {
 		return checker.Input{}, err
@@ -209,7 +209,7 @@
 	t.waitRunsEnded(ending)
 }
 
-// waitRunsEnded waits until the journals show no open run or the context ends.
+// waitRunsEnded waits until the event logs have no open run or the context ends.
 func (t *activeRun) waitRunsEnded(ctx context.Context) {
 	ticker := time.NewTicker(runsEndInterval)
 	defer ticker.Stop()
@@ -225,7 +225,7 @@
 	}
 }
 
-// summarize has what was observed checked.
+// summarize checks the history and sums it up.
 func (t *activeRun) summarize(observed checker.Input) report.Summary {
 	return report.Build(report.Input{
 		Deployment: t.config.Deployment.Name, Scenario: t.config.Scenario.Name, Seed: t.config.Seed,
--- a/testbed/run/workers.go
+++ b/testbed/run/workers.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
-// schedulers names the schedulers of a deployment.
+// schedulers returns the names of the schedulers of a deployment.
 func schedulers(d deployment.Deployment) []string {
 	var names []string
 	for _, scheduler := range d.ByRole(deployment.RoleScheduler) {
@@ -16,7 +16,7 @@
 	return names
 }
 
-// workers is what the checker must know of a deployment's workers.
+// workers returns what the checker must know of a deployment's workers.
 func workers(d deployment.Deployment) []checker.Worker {
 	agents := map[string]string{}
 	for _, agent := range d.ByRole(deployment.RoleAgent) {
