--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -61,6 +61,7 @@
 
 // updateFree times releases, adds and passes, and reports tasks placed a second.
 func (l *load) measure(b *testing.B) {
+	b.Helper()
 	placed := 0
 	tasks := make(map[record.TaskID]Task, tasksPerPass)
 	for b.Loop() {
--- a/internal/record/harness_test.go
+++ b/internal/record/harness_test.go
@@ -24,6 +24,7 @@
 const testQueue = "q"
 
 func newHarness(t testing.TB) *harness {
+	t.Helper()
 	h := &harness{t: t, archive: newTestArchive(), now: 1000}
 	h.machine = NewMachine(Config{Archive: h.archive, MaxConfigOrders: 3})
 	h.putConfig("order-1", 0, testConfig())
--- a/internal/rpc/call_test.go
+++ b/internal/rpc/call_test.go
@@ -80,6 +80,7 @@
 
 // requireDeadline makes a call that only its deadline ends, in a bubble.
 func requireDeadline(t *testing.T, clients, contexts, want time.Duration) {
+	t.Helper()
 	left, ended := make(chan time.Duration, 1), make(chan error, 1)
 	server := NewServer(ServerConfig{})
 	Handle(server, methodTest, func(ctx context.Context, _ protocol.Empty) (protocol.Empty, error) {
@@ -138,9 +139,12 @@
 		"connection closed":  func(http.ResponseWriter) { panic(http.ErrAbortHandler) },
 		"not a Server":       func(w http.ResponseWriter) { w.WriteHeader(http.StatusBadGateway); _, _ = io.WriteString(w, "<html>") },
 		"error without code": func(w http.ResponseWriter) { w.WriteHeader(http.StatusBadGateway); _, _ = w.Write([]byte{0xa0}) },
-		"redirect":           func(w http.ResponseWriter) { w.Header().Set("Location", "/rpc/test"); w.WriteHeader(307) },
-		"malformed answer":   func(w http.ResponseWriter) { _, _ = io.WriteString(w, "<html>") },
-		"answer too large":   func(w http.ResponseWriter) { _, _ = w.Write(make([]byte, 65)) },
+		"redirect": func(w http.ResponseWriter) {
+			w.Header().Set("Location", "/rpc/test")
+			w.WriteHeader(http.StatusTemporaryRedirect)
+		},
+		"malformed answer": func(w http.ResponseWriter) { _, _ = io.WriteString(w, "<html>") },
+		"answer too large": func(w http.ResponseWriter) { _, _ = w.Write(make([]byte, 65)) },
 		"chunked too large": func(w http.ResponseWriter) {
 			_, _ = w.Write(make([]byte, 33))
 			w.(http.Flusher).Flush()
--- a/internal/rpc/deadline_test.go
+++ b/internal/rpc/deadline_test.go
@@ -38,14 +38,17 @@
 
 func TestDeadlineContext_EndsWithoutWaiter(t *testing.T) {
 	runInBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
+		t.Helper()
 		time.Sleep(time.Second)
 		requireEnded(ctx, t, context.DeadlineExceeded)
 	})
 	runInBubble(t, func(t *testing.T, cancel context.CancelFunc, ctx *deadlineContext) {
+		t.Helper()
 		cancel()
 		requireEnded(ctx, t, context.Canceled)
 	})
 	runInBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
+		t.Helper()
 		ctx.end()
 		requireEnded(ctx, t, context.Canceled)
 	})
@@ -53,6 +56,7 @@
 
 func TestDeadlineContext_EndsWithWaiter(t *testing.T) {
 	runInBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
+		t.Helper()
 		began := time.Now()
 		<-ctx.Done()
 		if took := time.Since(began); took != time.Second {
@@ -61,12 +65,14 @@
 		requireEnded(ctx, t, context.DeadlineExceeded)
 	})
 	runInBubble(t, func(t *testing.T, cancel context.CancelFunc, ctx *deadlineContext) {
+		t.Helper()
 		done := ctx.Done()
 		cancel()
 		<-done
 		requireEnded(ctx, t, context.Canceled)
 	})
 	runInBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
+		t.Helper()
 		done := ctx.Done()
 		ctx.end()
 		<-done
@@ -77,6 +83,7 @@
 // TestDeadlineContext_EndsDerivedContexts: also those that ask it for values.
 func TestDeadlineContext_EndsDerivedContexts(t *testing.T) {
 	runInBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
+		t.Helper()
 		type key struct{}
 		child, cancel := context.WithCancel(context.WithValue(ctx, key{}, "value"))
 		defer cancel()
--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -15,6 +15,7 @@
 
 func roundTripOf[Message any]() roundTrip {
 	return func(t *testing.T, codec codec, body []byte) {
+		t.Helper()
 		var message, again Message
 		if codec.decode(body, &message) != nil {
 			return
--- a/internal/rpc/served_bench_test.go
+++ b/internal/rpc/served_bench_test.go
@@ -64,7 +64,7 @@
 }
 
 // exchange makes one call.
-func (c *rawConnection) exchange(t testing.TB) {
+func (c *rawConnection) exchange(t testing.TB) { //nolint:thelper // Helper would be timed
 	if _, err := c.connection.Write(c.request); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scheduler/burst_test.go
+++ b/internal/scheduler/burst_test.go
@@ -44,10 +44,12 @@
 }
 
 func newBurstFleet(t *testing.T, queues ...api.QueueConfig) *burstFleet {
+	t.Helper()
 	return newBurstFleetOf(t, burstWorkers, queues...)
 }
 
 func newBurstFleetOf(t *testing.T, workers int, queues ...api.QueueConfig) *burstFleet {
+	t.Helper()
 	f := &burstFleet{
 		harness: newHarness(t), due: map[api.RunRef]time.Duration{}, submitted: map[string]time.Duration{},
 		waits: map[string][]time.Duration{}, again: map[time.Duration][]string{}, refused: map[string]int{},
--- a/internal/scheduler/burstsizes_test.go
+++ b/internal/scheduler/burstsizes_test.go
@@ -36,6 +36,7 @@
 
 // sizedDayOf is sizedDayByQueue for both queues together.
 func sizedDayOf(t *testing.T, seed uint64) (calm, burst []time.Duration) {
+	t.Helper()
 	for _, day := range sizedDayByQueue(t, seed) {
 		calm, burst = append(calm, day.calm...), append(burst, day.burst...)
 	}
@@ -46,6 +47,7 @@
 // all queues ask for different shares of a worker. It returns how long the jobs of "b"
 // and "c" waited.
 func sizedDayByQueue(t *testing.T, seed uint64) map[string]*dayWaits {
+	t.Helper()
 	f := newBurstFleetOf(t, sizedWorkers, objectiveOfDay("a"), objectiveOfDay("b"), objectiveOfDay("c"))
 	random := rand.New(rand.NewPCG(seed, 0))
 	for at := time.Duration(0); at < sizedDay || len(f.started) < len(f.submitted); at += burstStep {
--- a/internal/scheduler/checkpoints_test.go
+++ b/internal/scheduler/checkpoints_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -120,7 +121,7 @@
 	first.exchange()
 	second.end(api.OutcomeStopped)
 	second.exchange()
-	orders := append(first.exchange().Start, second.exchange().Start...)
+	orders := slices.Concat(first.exchange().Start, second.exchange().Start)
 	if len(orders) != 8 {
 		t.Fatalf("want all members again, got %d", len(orders))
 	}
--- a/internal/workerhealth/history.go
+++ b/internal/workerhealth/history.go
@@ -23,7 +23,7 @@
 	ends []runEnd
 	// paces are the newest paces of runs, one for each run; at most maxPaceSamples.
 	paces []paceSample
-	// status holds until until at least.
+	// status holds at least until the time until.
 	status Status
 	until  time.Duration
 	// ejections counts how often in a row the worker became Suspect or Slow. It sets
