--- a/testbed/deployment/deployment.go
+++ b/testbed/deployment/deployment.go
@@ -62,8 +62,8 @@
 	Zone string
 	// Address is "IP:PORT"; empty for workers, which do not listen.
 	Address string
-	// AdvertiseAddress is the "IP:PORT" that others are given; a relay of the test bed listens
-	// there. If it is empty others use Address, without a relay, as callers do
+	// AdvertiseAddress is the "IP:PORT" that other processes are given; the emulated
+	// network listens there. If it is empty others use Address directly, as callers do
 	// with a front.
 	AdvertiseAddress string
 	// Agent is the base URL of a worker's agent; empty for other roles.
@@ -85,7 +85,7 @@
 	return p.Address
 }
 
-// Deployment is a whole fleet.
+// Deployment is a fleet with its first configuration and its load.
 type Deployment struct {
 	Name      string
 	Instance  int
--- a/testbed/deployment/profiles.go
+++ b/testbed/deployment/profiles.go
@@ -25,7 +25,7 @@
 	Tasks int
 	// MinRun and MaxRun bound the time that a task runs, drawn per task.
 	MinRun, MaxRun time.Duration
-	// Resources is the room of each task.
+	// Resources is what each task needs.
 	Resources api.Resources
 	// PerSecond is the rate of submissions; 0 for jobs that run until they
 	// are cancelled.
@@ -40,7 +40,7 @@
 	SlowFactor float64
 }
 
-// Shapes are the kinds of job that a deployment's callers hand in.
+// Shapes are the kinds of job that a deployment's callers submit.
 type Shapes struct {
 	// Short jobs are many and small.
 	Short Shape
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -20,7 +20,8 @@
 const (
 	// programPrefix and a role make the name of a program.
 	programPrefix = "decklever-"
-	// stopTimeout is how long a process may take to end when asked to.
+	// stopTimeout is how long a process may take for a graceful shutdown, killTimeout
+	// how long after SIGKILL.
 	stopTimeout = 3 * time.Second
 	killTimeout = 5 * time.Second
 )
@@ -28,7 +29,7 @@
 // Config says what to start.
 type Config struct {
 	Deployment deployment.Deployment
-	// Directory gets settings, logs, data and journals.
+	// Directory gets settings, logs, data and event logs.
 	Directory string
 	// Binaries is the folder of the programs.
 	Binaries string
@@ -42,11 +43,12 @@
 	CallLog *calllog.Log
 	// LogLevel of all processes. Default "info".
 	LogLevel string
-	// Seed draws what the relays hold up.
+	// Seed draws the delays of reordered data.
 	Seed uint64
 }
 
-// Fleet is the processes of one deployment.
+// Fleet is the processes of one deployment and the emulated network between them. It
+// owns all of them until Stop.
 type Fleet struct {
 	config    Config
 	layout    layout
@@ -169,8 +171,8 @@
 	deployment.RoleWorker, deployment.RoleAgent, deployment.RoleFront, deployment.RoleScheduler,
 }
 
-// Stop asks all processes to end, role by role, and kills those that have not
-// ended in time.
+// Stop terminates all processes, role by role, and kills those that have not ended in
+// time.
 func (f *Fleet) Stop() error {
 	var failures []error
 	for _, role := range stopOrder {
@@ -213,7 +215,7 @@
 // Deployment returns what the fleet was made from.
 func (f *Fleet) Deployment() deployment.Deployment { return f.config.Deployment }
 
-// EventLogDirectory returns the folder of the workers' journals.
+// EventLogDirectory returns the folder of the workers' event logs.
 func (f *Fleet) EventLogDirectory() string { return f.layout.eventLogs() }
 
 // LogDirectory returns the folder of the processes' logs.
--- a/testbed/fleet/process.go
+++ b/testbed/fleet/process.go
@@ -18,7 +18,8 @@
 // errNotRunning is returned for an action on a process that does not run.
 var errNotRunning = errors.New("process is not running")
 
-// Process is one process of the fleet, over all of its lives.
+// Process is one process of the fleet, over all of its incarnations. The mutex guards
+// the fields below it.
 type Process struct {
 	// Spec is what the deployment says of it.
 	Spec deployment.Process
@@ -41,7 +42,7 @@
 	command *exec.Cmd
 	// ended is closed once the process was reaped.
 	ended chan struct{}
-	// expected is true once the test bed told the process to end.
+	// expected is true once the test bed signalled the process to end.
 	expected bool
 }
 
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// reap waits for the end of a life and notes it.
+// reap waits for the end of an incarnation and records it.
 func (p *Process) reap(one *incarnation) {
 	_ = one.command.Wait()
 	p.mutex.Lock()
@@ -77,7 +78,7 @@
 	close(one.ended)
 }
 
-// running returns the present life, or nil. The mutex must be held.
+// running returns the present incarnation, or nil. The mutex must be held.
 func (p *Process) running() *incarnation {
 	if p.incarnation == nil {
 		return nil
@@ -90,7 +91,7 @@
 	}
 }
 
-// recordStart also notes the program. The mutex must be held.
+// recordStart also records the program. The mutex must be held.
 func (p *Process) recordStart() {
 	now := monoclock.Now()
 	p.callLog.Add(calllog.Entry{
@@ -117,7 +118,7 @@
 // Kill ends the process at once, with SIGKILL.
 func (p *Process) Kill() error { return p.signal(calllog.ActionKill, syscall.SIGKILL) }
 
-// Terminate asks the process to end, with SIGTERM.
+// Terminate asks for a graceful shutdown, with SIGTERM.
 func (p *Process) Terminate() error { return p.signal(calllog.ActionTerminate, syscall.SIGTERM) }
 
 // Freeze stops the process from running, with SIGSTOP.
@@ -163,8 +164,8 @@
 	}
 }
 
-// Restart asks the process to end, waits for that, and starts it again. A
-// process that does not end in time is killed.
+// Restart terminates the process, waits for its end, and starts it again. A process
+// that does not end in time is killed.
 func (p *Process) Restart(ctx context.Context) error {
 	if err := p.Terminate(); err != nil && !errors.Is(err, errNotRunning) {
 		return err
--- a/testbed/matrix/matrix.go
+++ b/testbed/matrix/matrix.go
@@ -48,7 +48,7 @@
 	Out string
 	// Run carries out one cell.
 	Run func(context.Context, Cell) (report.Summary, error)
-	// Done is told of each cell that is over. Optional.
+	// Done is called after each cell. Optional.
 	Done func(Outcome)
 }
 
@@ -66,9 +66,9 @@
 // Passed reports whether the run came to an end and broke nothing.
 func (o Outcome) Passed() bool { return o.Summary != nil && o.Summary.Passed }
 
-// Run runs all cells and writes the report anew after each, so that what was
-// done stands even if the rest is given up. It returns the outcomes in the
-// order of the cells; those that were not begun are missing.
+// Run runs all cells and writes the report after each, so that a cancelled matrix
+// leaves the report of what ran. It returns the outcomes in the order of the cells;
+// those that did not start are missing.
 func Run(ctx context.Context, config Config) ([]Outcome, error) {
 	if err := os.MkdirAll(config.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("out folder: %w", err)
--- a/testbed/matrix/table.go
+++ b/testbed/matrix/table.go
@@ -89,7 +89,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// replacement is "–" if no task was cut off.
+// replacement is "–" if no task lost its worker.
 func (r *row) replacement() string {
 	if r.replacing == 0 {
 		return "–"
--- a/testbed/operator/operator.go
+++ b/testbed/operator/operator.go
@@ -1,5 +1,5 @@
 // Package operator puts and reads configurations as an operator does, and
-// keeps each order and its answer in the ledger.
+// records each order and its answer in the call log.
 package operator
 
 import (
--- a/testbed/scale/callers.go
+++ b/testbed/scale/callers.go
@@ -28,7 +28,7 @@
 	idlePerHost    = 256
 )
 
-// callers hand in jobs and see each to its end.
+// callers submit jobs and follow each to its end.
 type callers struct {
 	size   Size
 	seed   uint64
@@ -48,7 +48,7 @@
 	return &callers{size: config.Size, seed: config.Seed, calls: calls, client: client, closing: make(chan struct{})}, nil
 }
 
-// run hands in jobs until loading ends; following bounds their watching.
+// run submits jobs until loading ends; following bounds how long they are followed.
 func (c *callers) run(loading, following context.Context) {
 	var streams sync.WaitGroup
 	for number, one := range c.size.streams() {
@@ -79,9 +79,9 @@
 	c.jobs.Wait()
 }
 
-// follow hands in a job, leaves it alone for the time that it takes, and then
-// watches it until it is final. Polling it all the while would weigh on the
-// fleet more than its users do.
+// follow submits a job, waits for as long as its tasks run, and then polls it until it
+// is final. Polling it all the time would be more load on the fleet than its users
+// make.
 func (c *callers) follow(ctx context.Context, id string, spec api.JobSpec, length time.Duration) {
 	if !c.submit(ctx, id, spec) {
 		return
--- a/testbed/scale/changes.go
+++ b/testbed/scale/changes.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// inForce tells whether every process has said that it has the version.
+// inForce reports whether every process has reported the version.
 func (c *changes) inForce(ctx context.Context, version uint64) (bool, error) {
 	rollout, err := c.client.Rollout(ctx)
 	if err != nil {
--- a/testbed/scale/config.go
+++ b/testbed/scale/config.go
@@ -27,7 +27,7 @@
 	// StartsPerSecond is the rate of task starts. A task runs for Tasks divided
 	// by it.
 	StartsPerSecond float64 `json:"starts_per_second"`
-	// Gangs is the number of groups kept running, their tasks part of Tasks.
+	// Gangs is the number of gangs kept running, their tasks part of Tasks.
 	Gangs    int `json:"gangs"`
 	GangSize int `json:"gang_size"`
 }
@@ -37,8 +37,8 @@
 	return time.Duration(float64(s.Tasks) / s.StartsPerSecond * float64(time.Second))
 }
 
-// spareGangs is for how many more groups there are devices: groups overlap for
-// a while, since their tasks do not all run equally long.
+// spareGangs is for how many additional gangs there are devices: gangs overlap for some
+// time, since their tasks do not all run equally long.
 const spareGangs = 2
 
 // accelerators is the number of devices of the fleet; each task of a gang takes
--- a/testbed/scale/faults.go
+++ b/testbed/scale/faults.go
@@ -15,7 +15,8 @@
 	// the jobs they hit end by themselves, so that the checker can tell whether
 	// their tasks started elsewhere in time.
 	faultAt = 0.3
-	// faultLength is how long a killed part stays down: beyond its hold.
+	// faultLength is how long a killed agent or worker stays down: longer than its
+	// lease.
 	faultLength = 7 * time.Second
 	// faultShare is the part of the hollow nodes that loses its worker, and
 	// again as many lose their agent.
--- a/testbed/scale/layout.go
+++ b/testbed/scale/layout.go
@@ -16,7 +16,7 @@
 	regions        = 2
 	zonesPerRegion = 4
 	zones          = regions * zonesPerRegion
-	// capacityMargin is how much more room there is than the tasks take.
+	// capacityMargin is the factor by which capacity exceeds what the tasks use.
 	capacityMargin = 1.25
 
 	service     = "work"
@@ -27,7 +27,7 @@
 	taskMemory  = 256
 )
 
-// layout is where everything of one run stands.
+// layout is all processes, real and hollow, of one run.
 type layout struct {
 	deployment deployment.Deployment
 	// hollow has one Spec for each hollow process.
@@ -78,8 +78,8 @@
 	return fmt.Sprintf("region-%d-zone-%d", zone/zonesPerRegion+1, zone%zonesPerRegion+1)
 }
 
-// addWorker notes the worker of the node with that index, counted over real
-// and hollow ones.
+// addWorker adds the worker of the node with that index, counted over real and hollow
+// ones.
 func (l *layout) addWorker(size Size, index int, agent string) checker.Worker {
 	slots := int64(math.Ceil(float64(size.Tasks) * capacityMargin / float64(size.Workers)))
 	devices := (index+1)*size.accelerators()/size.Workers - index*size.accelerators()/size.Workers
--- a/testbed/scale/measure.go
+++ b/testbed/scale/measure.go
@@ -137,7 +137,7 @@
 
 func hollowName(index int) string { return fmt.Sprintf("hollow-%02d", index+1) }
 
-// resetMemory begins the sampling anew.
+// resetMemory restarts the sampling.
 func (m *meter) resetMemory() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/testbed/scale/observe.go
+++ b/testbed/scale/observe.go
@@ -11,7 +11,8 @@
 
 const maxExamples = 10
 
-// addObserved adds what journals, ledger and checker say.
+// addObserved adds the measures of the event logs and the call log, and the verdict of
+// the checker.
 func (r *run) addObserved(result *Result, observed checker.Input) {
 	from, to := result.Window[0], result.Window[1]
 	first := firstStarts(observed.Events)
@@ -48,8 +49,8 @@
 	return first
 }
 
-// addDelays measures the jobs handed in during the window, but for its last
-// seconds, whose tasks may be cancelled before they start.
+// addDelays measures the jobs submitted during the window, except for its last seconds,
+// whose tasks may be cancelled before they start.
 func addDelays(result *Result, entries []calllog.Entry, first map[string]monoclock.Nanos) {
 	const tail = 3 * time.Second
 	from, to := result.Window[0], result.Window[1].Add(-tail)
--- a/testbed/scale/result.go
+++ b/testbed/scale/result.go
@@ -109,12 +109,12 @@
 type Result struct {
 	Size          Size    `json:"size"`
 	WindowSeconds float64 `json:"window_seconds"`
-	// StartsPerSecond was reached, from the journals.
+	// StartsPerSecond was reached, from the event logs.
 	StartsPerSecond float64     `json:"starts_per_second"`
 	Roles           []RoleUsage `json:"roles"`
 	Hollow          HollowUsage `json:"hollow"`
 	// Plain, Urgent and Gangs are times from the sending of the submission to
-	// the start of a task, of gangs to that of the last member, for jobs handed
+	// the start of a task, of gangs to that of the last member, for jobs submitted
 	// in during the window. Unstarted counts tasks of these that never started.
 	Plain     Delays `json:"plain_submit_to_start"`
 	Urgent    Delays `json:"urgent_submit_to_start"`
--- a/testbed/scale/run.go
+++ b/testbed/scale/run.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// minWindow has room for all changes of the configuration.
+	// minWindow has time for all changes of the configuration.
 	minWindow = 15 * time.Second
 	// minRamp lets the killed nodes come back before the window.
 	minRamp = 14 * time.Second
@@ -52,7 +52,7 @@
 	errors []error
 }
 
-// Run measures one size. The result stands in the out folder as well.
+// Run measures one size. The result is also written to the out folder.
 func Run(ctx context.Context, config Config) (Result, error) {
 	if err := config.check(); err != nil {
 		return Result{}, err
@@ -238,7 +238,7 @@
 	return result
 }
 
-// waitRunsEnded waits until the journals show no open run but those of killed
+// waitRunsEnded waits until the event logs have no open run but those of killed
 // workers.
 func (r *run) waitRunsEnded(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
@@ -256,7 +256,7 @@
 	}
 }
 
-// recordError notes what went wrong in the test bed without ending the run.
+// recordError records a failure of the test bed without ending the run.
 func (r *run) recordError(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/testbed/scale/streams.go
+++ b/testbed/scale/streams.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// stream is one kind of job that is handed in at equal pauses.
+// stream is one kind of job that is submitted at equal intervals.
 type stream struct {
 	name     string
 	queue    string
@@ -41,7 +41,7 @@
 	return all
 }
 
-// intervalOf returns the pause between events of that rate a second.
+// intervalOf returns the time between events of that rate a second.
 func intervalOf(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
 
 // job draws one job of the stream.
--- a/testbed/scenario/booked.go
+++ b/testbed/scenario/booked.go
@@ -22,24 +22,24 @@
 	queueUnbooked    = "unbooked"
 )
 
-// The window and what is handed in at its start.
+// The window and what is submitted at its start.
 const (
-	// windowAhead is how far ahead the booked minute lies at least.
+	// windowAhead is the least time until the booked minute.
 	windowAhead    = 30 * time.Second
 	windowDuration = 2 * time.Minute
 	bookingLead    = 25 * time.Second
 
 	// slicesPerWorker and slicesBooked: a slice is one of that many parts of a
-	// worker's room, and that many of the parts are booked on average.
+	// worker's capacity, and that many of the parts are booked on average.
 	slicesPerWorker = 64
 	slicesBooked    = 20
 	burstJobs       = deployment.Workers
-	// burstRun is so long that a burst cannot use its own room again.
+	// burstRun is so long that a burst cannot use its own capacity twice.
 	burstRun     = 10 * time.Second
 	burstTimeout = 45 * time.Second
 )
 
-// The background: more than all the room, in tasks of twice a slice.
+// The background: more than all capacity, in tasks of twice a slice.
 const (
 	backgroundPerWorker = slicesPerWorker / 2
 	backgroundCapacity  = backgroundPerWorker * deployment.Workers
@@ -69,7 +69,7 @@
 )
 
 // prepare gives all queues the same priority, so that nothing but the booking
-// tells them apart, and keeps ordinary work out of the booked queue.
+// distinguishes them, and moves ordinary work out of the booked queue.
 func (b bookedBurst) prepare(d *deployment.Deployment) {
 	for _, name := range []string{queueOthers, queueFirm, queuePreemptible, queueUnbooked} {
 		d.Config.Queues = append(d.Config.Queues, api.QueueConfig{Name: name})
@@ -86,8 +86,8 @@
 	}
 }
 
-// run fills the fleet, books the next minute, and hands in two equal bursts
-// when it begins.
+// run fills the fleet, books the next minute, and submits two equal bursts when it
+// begins.
 func (b bookedBurst) run(ctx context.Context, env Env) error {
 	moment := nextMinute(time.Now())
 	if err := b.putBooking(ctx, env, moment); err != nil {
@@ -123,7 +123,7 @@
 	if index < 0 {
 		return fmt.Errorf("the deployment %s has no queue %s", env.Fleet.Deployment().Name, b.queue)
 	}
-	// The ledger keeps what was read.
+	// The call log holds what was read.
 	present.Config.Queues = slices.Clone(present.Config.Queues)
 	present.Config.Queues[index].Bookings = []api.BookingConfig{b.booking(workerCapacity(env.Fleet.Deployment()), moment)}
 	if _, err := env.Operator.Put(ctx, present.Version, "lab-booking", present.Config); err != nil {
@@ -140,14 +140,14 @@
 	}
 }
 
-// workerCapacity returns the room of one worker.
+// workerCapacity returns the capacity of one worker; all have the same.
 func workerCapacity(d deployment.Deployment) api.Resources {
 	return d.ByRole(deployment.RoleWorker)[0].Capacity
 }
 
-// background returns jobs that take all room until the bursts are over: half
-// of it firm, in turns, the other half preemptible, in one turn after the
-// other. Both queues wait for more than their half.
+// background returns jobs that use all capacity until the bursts have ended: half of it
+// by tasks that may not be preempted, the other half by preemptible ones, in one turn
+// after the other. Both queues wait for more than their half.
 func (b bookedBurst) background(d deployment.Deployment, seed uint64, lead time.Duration) []load.Job {
 	task := api.TaskSpec{Service: b.service, Resources: fractionOf(workerCapacity(d), backgroundPerWorker)}
 	firm := jobTemplate{
@@ -167,8 +167,8 @@
 	)
 }
 
-// backgroundJobs is the number of jobs with which tasks of that length take
-// all room for a time.
+// backgroundJobs is the number of jobs whose tasks of that length use all capacity for
+// a time.
 func backgroundJobs(needed, length time.Duration) int {
 	turns := int(needed/length) + 1
 	return (turns*backgroundCapacity + backgroundTasks - 1) / backgroundTasks
@@ -190,7 +190,7 @@
 	return jobs
 }
 
-// burst hands in both bursts at once and waits for their ends.
+// burst submits both bursts at once and waits until all their jobs have ended.
 func (b bookedBurst) burst(ctx context.Context, env Env) error {
 	jobs := b.bursts(env.Fleet.Deployment(), env.Seed)
 	ctx, cancel := context.WithTimeout(ctx, burstTimeout)
--- a/testbed/scenario/faults.go
+++ b/testbed/scenario/faults.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// downTime is how long a killed process stays away.
+	// downTime is how long a killed process stays down.
 	downTime = 5 * time.Second
-	// frozenTime is how long a frozen process stays silent.
+	// frozenTime is how long a leader stays frozen.
 	frozenTime = 25 * time.Second
 	// leaderTimeout bounds the search for the leader.
 	leaderTimeout = 10 * time.Second
--- a/testbed/scenario/flood.go
+++ b/testbed/scenario/flood.go
@@ -28,8 +28,8 @@
 
 	discardedJobs  = 5000
 	discardedWidth = 16
-	// discardedRunning bounds how many tasks of the jobs to be cancelled run,
-	// so that they leave the room to ordinary work.
+	// discardedRunning bounds how many tasks of the jobs to be cancelled run, so that
+	// they leave capacity for ordinary work.
 	discardedRunning = 20
 
 	// lowPriority is below that of all ordinary queues.
@@ -38,7 +38,7 @@
 	// it full, less the one task that may run; a job of two is over it.
 	quotaTasks     = 10
 	overQuotaTasks = 2
-	// oversize is how many times a worker's room an impossible task asks for.
+	// oversize is the number of workers whose capacity an impossible task needs.
 	oversize = 10
 )
 
@@ -49,9 +49,9 @@
 	)
 }
 
-// flood leaves the ordinary load alone for a third of the time. Then it hands
-// in jobs that must be refused as fast as they are, and beside them jobs that
-// are accepted and cancelled in mass.
+// flood leaves the ordinary load alone for a third of the time. Then it submits jobs
+// that must be rejected as fast as they are, and beside them jobs that are accepted and
+// cancelled in bulk.
 func flood(ctx context.Context, env Env) error {
 	kinds := newFloodTemplates(env.Fleet.Deployment())
 	filler := kinds.filler.job(env.Seed, 0)
@@ -107,8 +107,8 @@
 	}
 }
 
-// discard hands in jobs, cancels all of their queue in one call, and reads
-// each until it is cancelled.
+// discard submits jobs, cancels all of their queue in one call, and polls each until it
+// is cancelled.
 func discard(ctx context.Context, env Env, jobs []load.Job) error {
 	accepted := env.Callers.SubmitAll(ctx, discardedWidth, jobs)
 	if len(accepted) < len(jobs) {
--- a/testbed/scenario/jobs.go
+++ b/testbed/scenario/jobs.go
@@ -10,7 +10,8 @@
 	"github.com/decklever/decklever/testbed/load"
 )
 
-// jobTemplate is jobs that differ only in their ids and in how long their tasks run.
+// jobTemplate is a set of jobs that differ only in their ids and in how long their
+// tasks run.
 type jobTemplate struct {
 	// name is a part of the ids.
 	name  string
@@ -62,7 +63,7 @@
 	return ids
 }
 
-// fractionOf returns an equal part of a worker's room.
+// fractionOf returns an equal part of a worker's capacity.
 func fractionOf(capacity api.Resources, parts int64) api.Resources {
 	return api.Resources{CPUMillis: capacity.CPUMillis / parts, MemoryMB: capacity.MemoryMB / parts}
 }
--- a/testbed/scenario/losses.go
+++ b/testbed/scenario/losses.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// powerOffTime is how long a machine without power stays away.
+	// powerOffTime is how long a machine without power stays down.
 	powerOffTime = 2 * time.Second
 	// joinTimeout bounds the time from an empty start to being a voter.
 	joinTimeout = 40 * time.Second
 )
 
-// loseDisk deletes the data folder of one scheduler. As soon as it is a voter
-// again another is killed: the service then hangs on the repaired one.
+// loseDisk deletes the data folder of one scheduler. As soon as it is a voter again
+// another is killed: the majority then depends on the repaired one.
 func loseDisk(ctx context.Context, env Env) error {
 	first, err := leader(ctx, env)
 	if err != nil {
@@ -118,8 +118,7 @@
 	return startAll(ctx, []*fleet.Process{target, worker})
 }
 
-// freezeWorker freezes one worker for longer than its hold and one agent for
-// less.
+// freezeWorker freezes one worker for longer than its lease and one agent for less.
 func freezeWorker(ctx context.Context, env Env) error {
 	worker := env.Fleet.ByRole(deployment.RoleWorker)[env.Seed%deployment.Workers]
 	agent := env.Fleet.ByRole(deployment.RoleAgent)[(env.Seed+1)%deployment.Workers]
--- a/testbed/scenario/operators.go
+++ b/testbed/scenario/operators.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// orderTimeout bounds one try of an operator; afterwards the same order is
-	// sent again.
+	// orderTimeout bounds one attempt of an operator; afterwards the same order is sent
+	// again.
 	orderTimeout = 5 * time.Second
-	// raceInterval lies between two races.
+	// raceInterval is the time between two races.
 	raceInterval = 200 * time.Millisecond
-	// lostAnswersTime and lostAnswersInterval are how long answers to the fronts
-	// are lost, and the time between.
+	// lostAnswersTime and lostAnswersInterval are how long answers to the fronts are
+	// lost, and the time between two such faults.
 	lostAnswersTime     = 1500 * time.Millisecond
 	lostAnswersInterval = 2500 * time.Millisecond
 	// manyConfigs is how many configurations a scheduler misses.
 	manyConfigs = 300
 	// tagBase is added to a number for a bound that no load reaches, by which
-	// configurations are told apart.
+	// configurations are distinguished.
 	tagBase = 60_000
 	// catchUpTimeout bounds the wait for a scheduler to have all of the log.
 	catchUpTimeout = 20 * time.Second
@@ -69,8 +69,8 @@
 	config api.Config
 }
 
-// sendUntilAnswered sends an order until there is an answer that tells its
-// outcome, or the context ends.
+// sendUntilAnswered sends an order until an answer says its outcome, or the context
+// ends.
 func sendUntilAnswered(ctx context.Context, client *operator.Operator, one order) {
 	for ctx.Err() == nil {
 		limited, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -83,8 +83,8 @@
 	}
 }
 
-// raceOperators has two operators order on the same base again and again, and
-// send old orders once more, while answers to the fronts get lost.
+// raceOperators has two operators order on the same base again and again, and resend
+// old orders, while answers to the fronts get lost.
 func raceOperators(ctx context.Context, env Env) error {
 	racing, cancel := context.WithTimeout(ctx, env.Duration*3/4)
 	defer cancel()
@@ -129,7 +129,7 @@
 	}
 }
 
-// loseAnswers cuts the links of answers to the fronts now and then.
+// loseAnswers partitions the links of answers to the fronts at intervals.
 func loseAnswers(ctx context.Context, env Env) {
 	var answers []netem.Link
 	for _, scheduler := range env.Fleet.ByRole(deployment.RoleScheduler) {
@@ -144,9 +144,9 @@
 	}
 }
 
-// manyConfigurations has a scheduler miss 300 configurations. Once it has
-// caught up the leading one is killed, so that the service hangs on it, and the
-// first of the orders is sent again.
+// manyConfigurations has a scheduler miss 300 configurations. Once it has caught up the
+// leader is killed, so that the majority depends on it, and the first of the orders is
+// sent again.
 func manyConfigurations(ctx context.Context, env Env) error {
 	leading, err := leader(ctx, env)
 	if err != nil {
--- a/testbed/scenario/partitions.go
+++ b/testbed/scenario/partitions.go
@@ -14,22 +14,22 @@
 	zonePartitionTime   = 15 * time.Second
 	workerPartitionTime = 10 * time.Second
 	leaderPartitionTime = 10 * time.Second
-	// reorderProbability of all pieces of data is held up for as long as reorderMaxDelay, or
-	// until after the bound on one heartbeat of 1s.
+	// reorderProbability of all chunks of data are delayed for up to reorderMaxDelay,
+	// which is longer than the bound of 1 s on one heartbeat.
 	reorderProbability = 0.2
 	reorderMaxDelay    = 1500 * time.Millisecond
-	// stallTime is how long all answers to an agent are kept back.
+	// stallTime is how long all answers to an agent are held.
 	stallTime = 1200 * time.Millisecond
 )
 
-// partitionZone cuts all links between a zone and the others.
+// partitionZone partitions a zone from the others.
 func partitionZone(ctx context.Context, env Env, zone string, length time.Duration) error {
 	defer env.Fleet.Partition(env.Fleet.ZoneLinks(zone)...)()
 	return sleep(ctx, length)
 }
 
-// partitionLeaderZone cuts off the zone of the leading scheduler for an odd seed, the next
-// one for an even.
+// partitionLeaderZone partitions the zone of the leader for an odd seed, the next one
+// for an even seed.
 func partitionLeaderZone(ctx context.Context, env Env) error {
 	target, err := leader(ctx, env)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return partitionZone(ctx, env, zone, zonePartitionTime)
 }
 
-// partitionWorkers cuts three workers off their agents: one cannot be heard, one
-// cannot hear, one neither.
+// partitionWorkers partitions three workers from their agents: one cannot send, one
+// cannot receive, one neither.
 func partitionWorkers(ctx context.Context, env Env) error {
 	workers := env.Fleet.ByRole(deployment.RoleWorker)
 	both := func(index int) []netem.Link {
@@ -55,8 +55,8 @@
 	return sleep(ctx, workerPartitionTime)
 }
 
-// partitionLeader cuts the leading scheduler off the others, while agents and fronts
-// still reach all of them.
+// partitionLeader partitions the leader from the other schedulers, while agents and
+// fronts still reach all of them.
 func partitionLeader(ctx context.Context, env Env) error {
 	target, err := leader(ctx, env)
 	if err != nil {
@@ -67,8 +67,8 @@
 	return sleep(ctx, leaderPartitionTime)
 }
 
-// reorderAnswers has answers to agents come late, out of order, all at once, or
-// not at all, for half of the time.
+// reorderAnswers has answers to agents come late, out of order, all at once, or not at
+// all, for half of the time.
 func reorderAnswers(ctx context.Context, env Env) error {
 	agents, schedulers := env.Fleet.ByRole(deployment.RoleAgent), env.Fleet.ByRole(deployment.RoleScheduler)
 	defer env.Fleet.Reorder(reorderProbability, reorderMaxDelay, fleet.LinksBetween(agents, schedulers)...)()
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// stallAnswers keeps back all answers to an agent and lets them go at once.
+// stallAnswers holds all answers to an agent and releases them at once.
 func stallAnswers(ctx context.Context, env Env, agent *fleet.Process) error {
 	var answers []netem.Link
 	for _, scheduler := range env.Fleet.ByRole(deployment.RoleScheduler) {
@@ -107,8 +107,8 @@
 	return others
 }
 
-// afterFraction returns a scenario that does something a part of the duration after
-// the start of the load.
+// afterFraction returns a scenario that acts once a fraction of the duration has passed
+// since the start of the load.
 func afterFraction(divisor time.Duration, do func(context.Context, Env) error) func(context.Context, Env) error {
 	return func(ctx context.Context, env Env) error {
 		if err := sleep(ctx, env.Duration/divisor); err != nil {
--- a/testbed/scenario/restarts.go
+++ b/testbed/scenario/restarts.go
@@ -32,5 +32,5 @@
 // restartOrder is the order of roles in which processes are restarted.
 var restartOrder = []deployment.Role{deployment.RoleScheduler, deployment.RoleFront, deployment.RoleAgent, deployment.RoleWorker}
 
-// restartInterval lies between the restarts of two processes.
+// restartInterval is the time between the restarts of two processes.
 const restartInterval = 500 * time.Millisecond
--- a/testbed/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -12,19 +12,19 @@
 	"github.com/decklever/decklever/testbed/operator"
 )
 
-// Env is what a scenario works on.
+// Env is the running fleet that a scenario acts on.
 type Env struct {
 	Fleet    *fleet.Fleet
 	Operator *operator.Operator
-	// Callers hand in work beside the ordinary load.
+	// Callers submit work beside the ordinary load.
 	Callers *load.Generator
-	// Seed draws what the scenario hands in.
+	// Seed draws what the scenario submits and which faults it injects.
 	Seed uint64
 	// Duration is how long callers submit.
 	Duration time.Duration
 }
 
-// Scenario is one course of events.
+// Scenario is one sequence of faults, changes and additional load.
 type Scenario struct {
 	Name    string
 	Summary string
@@ -51,7 +51,7 @@
 	return Scenario{}, fmt.Errorf("scenario is %q, expected one of %v", name, names)
 }
 
-// sleep waits; it reports an error if the context ends before.
+// sleep waits; it returns an error if the context ends before.
 func sleep(ctx context.Context, length time.Duration) error {
 	if !contexttime.Sleep(ctx, length) {
 		return ctx.Err()
--- a/testbed/scenario/storm.go
+++ b/testbed/scenario/storm.go
@@ -14,7 +14,8 @@
 const (
 	// stormMaxFaults is how many faults there are at the same time at most.
 	stormMaxFaults = 3
-	// stormIntervalMin and stormIntervalMax bound the time between two beginnings.
+	// stormIntervalMin and stormIntervalMax bound the time between the beginnings of
+	// two faults.
 	stormIntervalMin = 500 * time.Millisecond
 	stormIntervalMax = 2500 * time.Millisecond
 	// stormFaultMin and stormFaultMax bound the length of a fault.
@@ -26,27 +27,26 @@
 	stormIDs = 1 << 40
 )
 
-// storm is faults of all kinds, drawn from the seed, which may overlap. Two
-// rules keep it within what the fleet must bear: while a disk is being
-// replaced no other fault hits the schedulers, and no two zones are without
-// their workers at once.
+// storm is faults of all kinds, drawn from the seed, which may overlap. Two rules keep
+// it within what the fleet must tolerate: while a disk is being replaced no other fault
+// hits the schedulers, and no two zones are without their workers at once.
 type storm struct {
 	env    Env
 	random *rand.Rand
 
-	// schedulers is held for reading during a fault of schedulers, for writing
-	// while a disk is replaced. zones and config allow one fault at a time.
+	// schedulers is locked for reading during a fault of schedulers, for writing while
+	// a disk is replaced. zones and config allow one fault at a time.
 	schedulers sync.RWMutex
 	zones      sync.Mutex
 	config     sync.Mutex
 
 	mutex sync.Mutex
-	// claimed are the processes that a fault has in hand.
+	// claimed are the processes that have a fault now.
 	claimed  map[string]bool
 	failures []error
 }
 
-// fault is one fault, with all that chance decided.
+// fault is one fault, with all that was drawn for it.
 type fault struct {
 	// targets are the processes to be killed, frozen or wiped.
 	targets []*fleet.Process
@@ -54,12 +54,11 @@
 	begin attempt
 }
 
-// attempt returns the action of a fault, or nil if a fault that is under way
-// rules it out now. An action that is returned must be run, as it may hold a
-// lock until its end.
+// attempt returns the action of a fault, or nil if a fault in progress excludes it now.
+// An action that is returned must be run, as it may hold a lock until its end.
 type attempt func() action
 
-// action causes a fault, lets it last, and undoes it.
+// action injects a fault, waits, and ends it.
 type action func(context.Context) error
 
 func runStorm(ctx context.Context, env Env) error {
@@ -78,7 +77,7 @@
 	return errors.Join(append(s.failures, ctx.Err())...)
 }
 
-// run carries out a fault unless another one rules it out.
+// run carries out a fault unless another one excludes it.
 func (s *storm) run(ctx context.Context, one fault) {
 	if !s.claim(one.targets) {
 		return
@@ -135,7 +134,7 @@
 	return processes[s.drawInt(len(processes))]
 }
 
-// leaderOrDrawn returns the leading scheduler, or any if none is known.
+// leaderOrDrawn returns the leader, or a drawn scheduler if none is known.
 func (s *storm) leaderOrDrawn(ctx context.Context) *fleet.Process {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/testbed/scenario/versions.go
+++ b/testbed/scenario/versions.go
@@ -64,10 +64,10 @@
 	return nil
 }
 
-// changeSchedulers changes the configuration while the schedulers are of two
-// versions. The first to change is a follower that loses its disk, so that it
-// gets snapshot and archive from a leader of the other version; the leader comes
-// second, so that the leadership passes while both versions are there.
+// changeSchedulers changes the configuration while the schedulers are of two versions.
+// The first to change is a follower that loses its disk, so that it gets snapshot and
+// archive from a leader of the other version; the leader comes second, so that the
+// leadership is transferred while both versions run.
 func (c *versionChange) changeSchedulers(ctx context.Context) error {
 	leading, err := leader(ctx, c.env)
 	if err != nil {
--- a/testbed/scenario/workers.go
+++ b/testbed/scenario/workers.go
@@ -8,7 +8,7 @@
 
 const (
 	// slowWorkers is how many workers are slow, slowFactor how much longer their
-	// tasks take. All must still fit the fleet's room, and both steps of a job
+	// tasks take. All must still fit the fleet's capacity, and both steps of a job
 	// the time that is waited for its end.
 	slowWorkers = 3
 	slowFactor  = 3
