--- a/testbed/model/callers_test.go
+++ b/testbed/model/callers_test.go
@@ -50,16 +50,16 @@
 }
 
 // plan draws the jobs of a load by the day's seed.
-func (f *fleet) plan(todo load) []plannedJob {
+func (f *fleet) plan(work load) []plannedJob {
 	random := rand.New(rand.NewPCG(f.seed, 0x6c6f6164))
 	var jobs []plannedJob
-	for number := range todo.jobs {
-		one := plannedJob{id: fmt.Sprintf("job-%d", number), at: todo.over * time.Duration(number) / time.Duration(todo.jobs)}
+	for number := range work.jobs {
+		one := plannedJob{id: fmt.Sprintf("job-%d", number), at: work.over * time.Duration(number) / time.Duration(work.jobs)}
 		one.spec, one.endless = f.drawJob(random)
-		one.resent = random.Float64() < todo.resent
+		one.resent = random.Float64() < work.resent
 		if one.endless {
 			one.cancel = endlessFor
-		} else if random.Float64() < todo.cancelled {
+		} else if random.Float64() < work.cancelled {
 			one.cancel = time.Duration(1 + random.Int64N(int64(time.Second)))
 		}
 		jobs = append(jobs, one)
@@ -97,14 +97,14 @@
 }
 
 // step is a step of equal tasks.
-func step(name string, count int, todo payload) api.StepSpec {
-	content, err := json.Marshal(todo)
+func step(name string, count int, work payload) api.StepSpec {
+	content, err := json.Marshal(work)
 	if err != nil {
 		panic(err)
 	}
 	task := api.TaskSpec{
 		Service: serviceName, Payload: content, Resources: api.Resources{CPUMillis: 1000, MemoryMB: 500},
-		Estimate: api.Duration(time.Duration(todo.WorkMillis) * time.Millisecond),
+		Estimate: api.Duration(time.Duration(work.WorkMillis) * time.Millisecond),
 	}
 	return api.StepSpec{Name: name, Replicas: count, Tasks: []api.TaskSpec{task}}
 }
@@ -129,13 +129,13 @@
 	return client
 }
 
-// handIn hands in a load and follows each job to its end.
-func (f *fleet) handIn(ctx context.Context, todo load) {
-	ctx, cancel := context.WithTimeout(ctx, todo.over+finishTime)
+// submitLoad hands in a load and follows each job to its end.
+func (f *fleet) submitLoad(ctx context.Context, work load) {
+	ctx, cancel := context.WithTimeout(ctx, work.over+finishTime)
 	defer cancel()
 	client := f.newClient(nil)
 	var callers sync.WaitGroup
-	for _, one := range f.plan(todo) {
+	for _, one := range f.plan(work) {
 		callers.Go(func() {
 			contexttime.Sleep(ctx, one.at)
 			(&caller{fleet: f, client: client, shown: map[string]bool{}}).follow(ctx, one)
@@ -185,14 +185,14 @@
 	entry := calllog.Entry{Kind: calllog.KindSubmit, Sent: c.fleet.now(), JobID: one.id, Spec: &one.spec, Resend: resend}
 	created, err := c.client.SubmitJob(ctx, one.id, one.spec)
 	entry.Created = created
-	return c.add(entry, err)
+	return c.record(entry, err)
 }
 
-// add notes the answer to a call.
-func (c *caller) add(entry calllog.Entry, err error) calllog.Entry {
+// record notes the answer to a call.
+func (c *caller) record(entry calllog.Entry, err error) calllog.Entry {
 	entry.Answered = c.fleet.now()
 	entry.Code, entry.Error = operator.Refusal(err)
-	c.fleet.ledger.Add(entry)
+	c.fleet.calls.Add(entry)
 	return entry
 }
 
@@ -215,7 +215,7 @@
 			}
 		}
 	}
-	entry = c.add(entry, err)
+	entry = c.record(entry, err)
 	return entry.State.Final() || entry.Code == api.CodeNotFound
 }
 
@@ -226,7 +226,7 @@
 		status, err := c.client.CancelJob(limited, id)
 		stop()
 		entry.State = status.State
-		if c.add(entry, err); err == nil {
+		if c.record(entry, err); err == nil {
 			return
 		}
 		contexttime.Sleep(ctx, pollPause)
--- a/testbed/model/checker_test.go
+++ b/testbed/model/checker_test.go
@@ -13,8 +13,8 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// allowance is what a day excuses.
-type allowance struct {
+// tolerances is what a day excuses.
+type tolerances struct {
 	// alone excuses members of groups that gave up waiting for the others: a
 	// disturbance was near.
 	alone bool
@@ -30,17 +30,17 @@
 // observed is what was seen from outside.
 func (f *fleet) observed(loadFrom, loadTo monoclock.Nanos) checker.Input {
 	input := checker.Input{
-		Entries: f.ledger.Entries(), Events: f.lines, Config: firstConfig().WithDefaults(), Schedulers: names(f.schedulers),
+		Entries: f.calls.Entries(), Events: f.events, Config: firstConfig().WithDefaults(), Schedulers: names(f.schedulers),
 		Anchor: monoclock.Anchor{Mono: startReading, Wall: f.started}, LoadFrom: loadFrom, LoadTo: loadTo, EndedAt: f.now(),
 	}
-	for _, one := range f.places {
+	for _, one := range f.slots {
 		input.Workers = append(input.Workers, one.described())
 	}
 	return input
 }
 
-// judge reports every broken promise.
-func (f *fleet) judge(loadFrom, loadTo monoclock.Nanos, allowed allowance) {
+// check reports every broken promise.
+func (f *fleet) check(loadFrom, loadTo monoclock.Nanos, allowed tolerances) {
 	input := f.observed(loadFrom, loadTo)
 	result := checker.All(input)
 	for _, violation := range result.Violations {
@@ -67,13 +67,13 @@
 	if counts[api.StateSucceeded] < allowed.minJobs {
 		f.t.Errorf("%d jobs succeeded, want %d at least", counts[api.StateSucceeded], allowed.minJobs)
 	}
-	failed := failedWhereKnown(f.lines, allowed.learned)
+	failed := failedWhereKnown(f.events, allowed.learned)
 	if allowed.maxFailed > 0 && failed > allowed.maxFailed {
 		f.t.Errorf("%d runs failed on workers that were known as unsound for %v, want %d at most: work goes on to them", failed, allowed.learned, allowed.maxFailed)
 	}
 	f.t.Logf("%d runs failed on workers that were known as unsound for %v", failed, allowed.learned)
 	f.t.Logf("%s, seed %d: %.1f s; jobs %v; %d runs; longest gaps: service %v, starts %v, replacement %v; %d successes doubled; %d alone",
-		f.shape.name, f.seed, f.now().Sub(startReading).Seconds(), counts, len(f.lines)/2, result.LongestServiceGap,
+		f.shape.name, f.seed, f.now().Sub(startReading).Seconds(), counts, len(f.events)/2, result.LongestServiceGap,
 		result.LongestStartGap, result.LongestReplacement, result.DuplicateSuccesses, len(f.gangs.alone))
 }
 
@@ -84,7 +84,7 @@
 // failedWhereKnown counts the failed runs that started on a worker later than a time
 // after it could be told that the worker is unsound. What fails before is no fault of
 // the scheduler: a worker that had no work yet shows nothing.
-func failedWhereKnown(lines []eventlog.Event, after time.Duration) int {
+func failedWhereKnown(events []eventlog.Event, after time.Duration) int {
 	type run struct {
 		task   string
 		number uint32
@@ -93,7 +93,7 @@
 	jobs := map[string]map[string]bool{}
 	known := map[string]monoclock.Nanos{}
 	failed := 0
-	for _, line := range slices.SortedStableFunc(slices.Values(lines), func(a, b eventlog.Event) int { return cmp.Compare(a.Mono, b.Mono) }) {
+	for _, line := range slices.SortedStableFunc(slices.Values(events), func(a, b eventlog.Event) int { return cmp.Compare(a.Mono, b.Mono) }) {
 		this := run{line.Task, line.Run}
 		if line.Kind == eventlog.KindStart {
 			started[this] = line.Mono
--- a/testbed/model/faults_test.go
+++ b/testbed/model/faults_test.go
@@ -11,13 +11,13 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// some draws places that no fault has yet, by the day's seed.
-func (s *stage) some(count int) []*place {
+// drawSlots draws places that no fault has yet, by the day's seed.
+func (s *scenarioRun) drawSlots(count int) []*workerSlot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var drawn []*place
-	for _, number := range s.random.Perm(len(s.places)) {
-		one := s.places[number]
+	var drawn []*workerSlot
+	for _, number := range s.random.Perm(len(s.slots)) {
+		one := s.slots[number]
 		if len(drawn) < count && !s.struck[one] {
 			s.struck[one] = true
 			drawn = append(drawn, one)
@@ -26,27 +26,27 @@
 	return drawn
 }
 
-// each does something in all places at once.
-func each(places []*place, what func(*place)) {
+// forEach does something in all places at once.
+func forEach(slots []*workerSlot, what func(*workerSlot)) {
 	var all sync.WaitGroup
-	for _, one := range places {
+	for _, one := range slots {
 		all.Go(func() { what(one) })
 	}
 	all.Wait()
 }
 
-func (s *stage) misbehave(ctx context.Context, places []*place, behaves behaviour, length time.Duration) {
-	for _, one := range places {
-		one.behave(behaves)
+func (s *scenarioRun) misbehaveFor(ctx context.Context, slots []*workerSlot, behaves behaviour, length time.Duration) {
+	for _, one := range slots {
+		one.setBehaviour(behaves)
 	}
 	contexttime.Sleep(ctx, length)
-	for _, one := range places {
-		one.behave(behaviour{})
+	for _, one := range slots {
+		one.setBehaviour(behaviour{})
 	}
 }
 
-func (s *stage) crashAndReturn(ctx context.Context, places []*place, down time.Duration, times int) {
-	each(places, func(one *place) {
+func (s *scenarioRun) crashAndReturn(ctx context.Context, slots []*workerSlot, down time.Duration, times int) {
+	forEach(slots, func(one *workerSlot) {
 		for range times {
 			one.crash()
 			contexttime.Sleep(ctx, down)
@@ -56,44 +56,44 @@
 	})
 }
 
-func (s *stage) leaveAndReturn(ctx context.Context, places []*place, down time.Duration) {
-	each(places, func(one *place) {
+func (s *scenarioRun) leaveAndReturn(ctx context.Context, slots []*workerSlot, down time.Duration) {
+	forEach(slots, func(one *workerSlot) {
 		one.drain()
 		contexttime.Sleep(ctx, down)
 		one.start()
 	})
 }
 
-// cutOff cuts workers' agents from all schedulers; the workers run on.
-func (s *stage) cutOff(ctx context.Context, places []*place, length time.Duration) {
+// partitionWorkers cuts workers' agents from all schedulers; the workers run on.
+func (s *scenarioRun) partitionWorkers(ctx context.Context, slots []*workerSlot, length time.Duration) {
 	var agents []string
-	for _, one := range places {
+	for _, one := range slots {
 		agents = append(agents, one.described().Agent)
 	}
-	s.cut(ctx, length, agents, names(s.schedulers))
+	s.partition(ctx, length, agents, names(s.schedulers))
 }
 
 // isolateLeader cuts the leader from the other schedulers and from nothing else.
-func (s *stage) isolateLeader(ctx context.Context, length time.Duration) {
+func (s *scenarioRun) isolateLeader(ctx context.Context, length time.Duration) {
 	leader := s.awaitLeader()
-	s.cut(ctx, length, []string{leader.name}, names(s.others(leader)))
+	s.partition(ctx, length, []string{leader.name}, names(s.peers(leader)))
 }
 
-// cutZone cuts the leader's zone from all others.
-func (s *stage) cutZone(ctx context.Context, length time.Duration) {
+// partitionZone cuts the leader's zone from all others.
+func (s *scenarioRun) partitionZone(ctx context.Context, length time.Duration) {
 	inside := s.processes(s.awaitLeader().zone)
 	outside := slices.DeleteFunc(s.processes(""), func(name string) bool { return slices.Contains(inside, name) })
-	s.cut(ctx, length, inside, outside)
+	s.partition(ctx, length, inside, outside)
 }
 
-func (s *stage) killLeader(ctx context.Context, down time.Duration) {
+func (s *scenarioRun) killLeader(ctx context.Context, down time.Duration) {
 	leader := s.awaitLeader()
 	leader.kill()
 	contexttime.Sleep(ctx, down)
 	leader.start()
 }
 
-func (s *stage) restartInTurn(ctx context.Context) {
+func (s *scenarioRun) restartInTurn(ctx context.Context) {
 	for _, one := range s.schedulers {
 		one.terminate()
 		contexttime.Sleep(ctx, 200*time.Millisecond)
@@ -102,9 +102,9 @@
 	}
 }
 
-// jump has the wall clocks of the leader and of another voter jump, one ahead
+// jumpClock has the wall clocks of the leader and of another voter jump, one ahead
 // and one back, and then back again.
-func (s *stage) jump(ctx context.Context, offset time.Duration) {
+func (s *scenarioRun) jumpClock(ctx context.Context, offset time.Duration) {
 	leader := s.awaitLeader()
 	other := slices.DeleteFunc(s.voters(), func(one *schedulerMachine) bool { return one == leader })[0]
 	leader.wallOffset.Store(int64(offset))
@@ -114,9 +114,9 @@
 	other.wallOffset.Store(0)
 }
 
-// crossAnswers has a share of what schedulers answer to agents come late.
-func (s *stage) crossAnswers(ctx context.Context, share float64, by, length time.Duration) {
-	end := s.network.cross(share, by, func(way link) bool {
+// reorderAnswers has a share of what schedulers answer to agents come late.
+func (s *scenarioRun) reorderAnswers(ctx context.Context, probability float64, by, length time.Duration) {
+	end := s.network.reorder(probability, by, func(way link) bool {
 		return strings.HasPrefix(way.from, "scheduler-") && strings.HasPrefix(way.to, "agent-")
 	})
 	contexttime.Sleep(ctx, length)
@@ -125,8 +125,8 @@
 
 // losePowerAfterAcknowledging has schedulers lose their power, with all that
 // they did not sync, at the moment at which an order is acknowledged.
-func (s *stage) losePowerAfterAcknowledging(ctx context.Context, machines []*schedulerMachine, down time.Duration) {
-	s.office.put(ctx, s.office.changed(nil))
+func (s *scenarioRun) losePowerAfterAcknowledging(ctx context.Context, machines []*schedulerMachine, down time.Duration) {
+	s.office.put(ctx, s.office.changedOrder(nil))
 	var ending sync.WaitGroup
 	for _, one := range machines {
 		ending.Go(one.losePower)
@@ -143,10 +143,10 @@
 // loseLeadersWhileWorkEnds cuts a leader from the other schedulers, so that
 // nothing it is told can be committed, while workers still tell it of ends, and
 // then has it lose its power.
-func (s *stage) loseLeadersWhileWorkEnds(ctx context.Context, times int) {
+func (s *scenarioRun) loseLeadersWhileWorkEnds(ctx context.Context, times int) {
 	for range times {
 		leader := s.awaitLeader()
-		s.cut(ctx, 350*time.Millisecond, []string{leader.name}, names(s.others(leader)))
+		s.partition(ctx, 350*time.Millisecond, []string{leader.name}, names(s.peers(leader)))
 		leader.losePower()
 		contexttime.Sleep(ctx, time.Second)
 		leader.start()
@@ -157,10 +157,10 @@
 
 // loseDisksInTurn has voters, the leader first, lose their disks right after an
 // acknowledgement, each one as soon as the one before votes again.
-func (s *stage) loseDisksInTurn(ctx context.Context, count int) {
+func (s *scenarioRun) loseDisksInTurn(ctx context.Context, count int) {
 	lost := s.awaitLeader()
 	for range count {
-		s.office.put(ctx, s.office.changed(nil))
+		s.office.put(ctx, s.office.changedOrder(nil))
 		lost.kill()
 		lost.newDisk()
 		s.fault(calllog.Entry{Process: lost.name, Action: calllog.ActionWipe})
@@ -174,7 +174,7 @@
 
 // awaitVoterInPlaceOf waits until as many vote as should, each of which has its
 // disk, and the machine has joined.
-func (s *stage) awaitVoterInPlaceOf(machine *schedulerMachine) {
+func (s *scenarioRun) awaitVoterInPlaceOf(machine *schedulerMachine) {
 	s.await("all seats are taken again, and "+machine.name+" has joined", func() bool {
 		leader := s.leader()
 		if leader == nil {
@@ -195,7 +195,7 @@
 
 // missManyChanges has a scheduler away while the configuration changes many
 // times; it comes back, and the leader goes.
-func (s *stage) missManyChanges(ctx context.Context, changes int) {
+func (s *scenarioRun) missManyChanges(ctx context.Context, changes int) {
 	leader := s.awaitLeader()
 	away := slices.DeleteFunc(s.voters(), func(one *schedulerMachine) bool { return one == leader })[0]
 	away.losePower()
--- a/testbed/model/fleet_test.go
+++ b/testbed/model/fleet_test.go
@@ -55,8 +55,8 @@
 const (
 	// formTimeout bounds the forming of a fleet with all its voters, and every
 	// other wait of a day for the fleet to come to a state.
-	formTimeout = 30 * time.Second
-	askPause    = 10 * time.Millisecond
+	formTimeout  = 30 * time.Second
+	pollInterval = 10 * time.Millisecond
 	// startReading is what the monotonic clock shows when a day begins.
 	startReading = monoclock.Nanos(time.Second)
 )
@@ -77,27 +77,27 @@
 	schedulers []*schedulerMachine
 	seeds      []string
 	fronts     map[string]*frontMachine
-	places     []*place
+	slots      []*workerSlot
 	gangs      gangs
 
-	// abandon ends the day, once it cannot go on; nil before it begins.
-	abandon context.CancelFunc
+	// abort ends the day, once it cannot go on; nil before it begins.
+	abort context.CancelFunc
 
-	ledger *calllog.Log
+	calls  *calllog.Log
 	mutex  sync.Mutex
-	lines  []eventlog.Event
+	events []eventlog.Event
 }
 
 // newFleet starts a fleet and waits until all seats are taken.
 func newFleet(t *testing.T, size shape, seed uint64) *fleet {
 	t.Helper()
-	book, err := calllog.Open("")
+	calls, err := calllog.Open("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := &fleet{
 		t: t, shape: size, seed: seed, random: rand.New(rand.NewPCG(seed, 0x646179)), logs: logHandler(t),
-		network: newNetwork(seed), started: time.Now(), fronts: map[string]*frontMachine{}, ledger: book,
+		network: newNetwork(seed), started: time.Now(), fronts: map[string]*frontMachine{}, calls: calls,
 	}
 	for number := range size.schedulers {
 		f.addScheduler(number)
@@ -157,12 +157,12 @@
 
 // close ends all processes.
 func (f *fleet) close() {
-	for _, one := range f.places {
+	for _, one := range f.slots {
 		one.crash()
 	}
-	for _, one := range f.places {
-		for _, life := range one.lives {
-			<-life.over
+	for _, one := range f.slots {
+		for _, started := range one.lives {
+			<-started.over
 		}
 		one.agent.stop()
 	}
@@ -183,7 +183,7 @@
 	entry.Kind = calllog.KindFault
 	entry.Sent = f.now()
 	entry.Answered = entry.Sent
-	f.ledger.Add(entry)
+	f.calls.Add(entry)
 }
 
 // await waits for the fleet to come to a state.
@@ -195,7 +195,7 @@
 			f.fail("not within %v: %s", formTimeout, what)
 			return
 		}
-		time.Sleep(askPause)
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -203,8 +203,8 @@
 func (f *fleet) fail(format string, arguments ...any) {
 	f.t.Helper()
 	f.t.Errorf(format, arguments...)
-	if f.abandon != nil {
-		f.abandon()
+	if f.abort != nil {
+		f.abort()
 	}
 }
 
@@ -240,13 +240,13 @@
 	})
 }
 
-// others returns the schedulers but one.
-func (f *fleet) others(left *schedulerMachine) []*schedulerMachine {
+// peers returns the schedulers but one.
+func (f *fleet) peers(left *schedulerMachine) []*schedulerMachine {
 	return slices.DeleteFunc(slices.Clone(f.schedulers), func(one *schedulerMachine) bool { return one == left })
 }
 
-// cut stops what passes both ways between processes of two sets for a time.
-func (f *fleet) cut(ctx context.Context, length time.Duration, from, to []string) {
+// partition stops what passes both ways between processes of two sets for a time.
+func (f *fleet) partition(ctx context.Context, length time.Duration, from, to []string) {
 	var links []link
 	for _, one := range from {
 		for _, other := range to {
@@ -261,7 +261,7 @@
 		}
 	}
 	note(calllog.ActionPartition)
-	heal := f.network.cut(links...)
+	heal := f.network.partition(links...)
 	contexttime.Sleep(ctx, length)
 	heal()
 	note(calllog.ActionHeal)
--- a/testbed/model/floods_test.go
+++ b/testbed/model/floods_test.go
@@ -16,11 +16,11 @@
 // floodOver is the time over which a flood comes.
 const floodOver = 2 * time.Second
 
-// floodImpossible hands in jobs that no worker has room for: each is refused.
-func (s *stage) floodImpossible(ctx context.Context, count int) {
+// submitImpossible hands in jobs that no worker has room for: each is refused.
+func (s *scenarioRun) submitImpossible(ctx context.Context, count int) {
 	client := s.newClient(nil)
 	too := step("too-large", 1, payload{})
-	too.Tasks[0].Resources = api.Resources{CPUMillis: 2 * room().CPUMillis}
+	too.Tasks[0].Resources = api.Resources{CPUMillis: 2 * workerCapacity().CPUMillis}
 	s.spread(ctx, count, func(number int) {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
@@ -33,7 +33,7 @@
 }
 
 // floodCancelled hands in jobs and cancels each as soon as it was accepted.
-func (s *stage) floodCancelled(ctx context.Context, count int) {
+func (s *scenarioRun) floodCancelled(ctx context.Context, count int) {
 	client := s.newClient(nil)
 	s.spread(ctx, count, func(number int) {
 		one := plannedJob{id: fmt.Sprint("discarded-", number), cancel: time.Millisecond}
@@ -43,7 +43,7 @@
 }
 
 // burst hands in jobs at one moment.
-func (s *stage) burst(ctx context.Context, count int) {
+func (s *scenarioRun) burst(ctx context.Context, count int) {
 	client := s.newClient(nil)
 	var callers sync.WaitGroup
 	for number := range count {
@@ -55,7 +55,7 @@
 }
 
 // spread does something many times, evenly over the time of a flood.
-func (s *stage) spread(ctx context.Context, count int, what func(int)) {
+func (s *scenarioRun) spread(ctx context.Context, count int, what func(int)) {
 	var all sync.WaitGroup
 	for number := range count {
 		all.Go(func() {
@@ -68,8 +68,8 @@
 }
 
 // refuseInvalid states a configuration that is wrong in itself.
-func (o *office) refuseInvalid(ctx context.Context) {
-	order := o.changed(func(config *api.Config) { config.Queues = []api.QueueConfig{{Name: queueName, Weight: -1}} })
+func (o *operators) refuseInvalid(ctx context.Context) {
+	order := o.changedOrder(func(config *api.Config) { config.Queues = []api.QueueConfig{{Name: queueName, Weight: -1}} })
 	if o.put(ctx, order) {
 		o.fleet.t.Error("an invalid configuration was taken")
 	}
--- a/testbed/model/gang_test.go
+++ b/testbed/model/gang_test.go
@@ -41,7 +41,7 @@
 	step := run.Task[:strings.LastIndex(run.Task, "/")]
 	key := fmt.Sprintf("%s#%d", step, run.Run)
 	one := g.arrive(step, key, run, size)
-	leave = func() { g.left(step, run.Run) }
+	leave = func() { g.leave(step, run.Run) }
 	timer := time.NewTimer(gangTimeout)
 	defer timer.Stop()
 	select {
@@ -84,7 +84,7 @@
 	return one
 }
 
-func (g *gangs) left(step string, run uint32) {
+func (g *gangs) leave(step string, run uint32) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.working[step][run]--
--- a/testbed/model/mechanisms_test.go
+++ b/testbed/model/mechanisms_test.go
@@ -9,10 +9,10 @@
 	"github.com/decklever/decklever/internal/featuregate"
 )
 
-// TestPromisesHoldWithoutMechanisms: whatever an experiment switches off, alone or all
+// TestPromises_HoldWithoutOptionalMechanisms: whatever an experiment switches off, alone or all
 // at once, no promise is broken, since none rests on it. Work may be slower: how many
 // jobs end in time is not asked.
-func TestPromisesHoldWithoutMechanisms(t *testing.T) {
+func TestPromises_HoldWithoutOptionalMechanisms(t *testing.T) {
 	t.Parallel()
 	sets := map[string][]featuregate.Feature{"all": featuregate.All()}
 	for _, name := range featuregate.All() {
@@ -22,15 +22,15 @@
 		size := smallShape(t, off)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			play(t, size, 1, day{
+			runScenario(t, size, 1, scenario{
 				load:    load{over: 8 * time.Second, jobs: 40, resent: 0.1, cancelled: 0.1},
-				allowed: allowance{alone: true, learned: time.Second, maxFailed: 1000},
-				happen: func(ctx context.Context, s *stage) {
-					s.at(ctx, time.Second, func(ctx context.Context) { s.misbehave(ctx, s.some(2), behaviour{failing: 1}, 3*time.Second) })
-					s.at(ctx, 2*time.Second, func(ctx context.Context) { s.crashAndReturn(ctx, s.some(2), time.Second, 1) })
-					s.at(ctx, 3*time.Second, func(ctx context.Context) { s.cutOff(ctx, s.some(2), 2*time.Second) })
-					s.at(ctx, 4*time.Second, func(ctx context.Context) { s.leaveAndReturn(ctx, s.some(2), time.Second) })
-					s.at(ctx, 5*time.Second, func(context.Context) { s.killLeader(ctx, time.Second) })
+				allowed: tolerances{alone: true, learned: time.Second, maxFailed: 1000},
+				happen: func(ctx context.Context, s *scenarioRun) {
+					s.atTime(ctx, time.Second, func(ctx context.Context) { s.misbehaveFor(ctx, s.drawSlots(2), behaviour{failing: 1}, 3*time.Second) })
+					s.atTime(ctx, 2*time.Second, func(ctx context.Context) { s.crashAndReturn(ctx, s.drawSlots(2), time.Second, 1) })
+					s.atTime(ctx, 3*time.Second, func(ctx context.Context) { s.partitionWorkers(ctx, s.drawSlots(2), 2*time.Second) })
+					s.atTime(ctx, 4*time.Second, func(ctx context.Context) { s.leaveAndReturn(ctx, s.drawSlots(2), time.Second) })
+					s.atTime(ctx, 5*time.Second, func(context.Context) { s.killLeader(ctx, time.Second) })
 				},
 			})
 		})
--- a/testbed/model/network_test.go
+++ b/testbed/model/network_test.go
@@ -184,7 +184,7 @@
 	broken := false
 	for one := range chunks {
 		time.Sleep(time.Until(one.due))
-		broken = broken || c.network.isCut(way)
+		broken = broken || c.network.partitioned(way)
 		if broken {
 			continue
 		}
@@ -195,7 +195,7 @@
 	}
 }
 
-func (n *network) isCut(way link) bool {
+func (n *network) partitioned(way link) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.cuts[way] > 0
@@ -214,9 +214,9 @@
 	return delay + time.Duration(n.random.Int64N(int64(hopDelay)))
 }
 
-// cut stops what passes on links until heal is called; connections on them are
+// partition stops what passes on links until heal is called; connections on them are
 // reset then.
-func (n *network) cut(links ...link) (heal func()) {
+func (n *network) partition(links ...link) (heal func()) {
 	n.change(links, 1)
 	return func() {
 		n.change(links, -1)
@@ -264,11 +264,11 @@
 	}
 }
 
-// cross holds up a share of what passes on links until the end is called.
-func (n *network) cross(share float64, by time.Duration, on func(link) bool) (end func()) {
+// reorder holds up a share of what passes on links until the end is called.
+func (n *network) reorder(probability float64, by time.Duration, on func(link) bool) (end func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.crossed, n.crossedBy, n.isCrossed = share, by, on
+	n.crossed, n.crossedBy, n.isCrossed = probability, by, on
 	return func() {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
--- a/testbed/model/operators_test.go
+++ b/testbed/model/operators_test.go
@@ -15,8 +15,8 @@
 	"github.com/decklever/decklever/testbed/operator"
 )
 
-// office is the operators, who state configurations.
-type office struct {
+// operators is the operators, who state configurations.
+type operators struct {
 	fleet  *fleet
 	client *api.Client
 
@@ -41,12 +41,12 @@
 	return api.Config{Queues: []api.QueueConfig{{Name: queueName, DefaultAllowedFailures: 6}}}
 }
 
-// newOffice puts the first configuration in force. Of the answers to operators
+// newOperators puts the first configuration in force. Of the answers to operators
 // a share is lost.
-func (f *fleet) newOffice(lost float64) *office {
+func (f *fleet) newOperators(lost float64) *operators {
 	random := rand.New(rand.NewPCG(f.seed, 0x6f7073))
 	var mutex sync.Mutex
-	o := &office{fleet: f, client: f.newClient(func() bool {
+	o := &operators{fleet: f, client: f.newClient(func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return random.Float64() < lost
@@ -56,16 +56,16 @@
 }
 
 // next makes an order on the newest version.
-func (o *office) next(config api.Config) sentOrder {
+func (o *operators) next(config api.Config) sentOrder {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.serial++
 	return sentOrder{id: fmt.Sprintf("order-%d", o.serial), base: o.version, config: config}
 }
 
-// changed is the newest configuration with another mark, by which it can be
+// changedOrder is the newest configuration with another mark, by which it can be
 // told from all others.
-func (o *office) changed(change func(*api.Config)) sentOrder {
+func (o *operators) changedOrder(change func(*api.Config)) sentOrder {
 	o.mutex.Lock()
 	config := o.config
 	mark := fmt.Sprint("change ", o.serial)
@@ -79,7 +79,7 @@
 
 // put sends an order until there is a plain answer, and reports whether it was
 // taken.
-func (o *office) put(ctx context.Context, order sentOrder) bool {
+func (o *operators) put(ctx context.Context, order sentOrder) bool {
 	ctx, cancel := context.WithTimeout(ctx, formTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
@@ -89,7 +89,7 @@
 		cancel()
 		entry.Answered, entry.Version = o.fleet.now(), version
 		entry.Code, entry.Error = operator.Refusal(err)
-		o.fleet.ledger.Add(entry)
+		o.fleet.calls.Add(entry)
 		var refusal *api.Error
 		if err == nil {
 			o.acknowledged(order, version)
@@ -104,7 +104,7 @@
 	return false
 }
 
-func (o *office) acknowledged(order sentOrder, version uint64) {
+func (o *operators) acknowledged(order sentOrder, version uint64) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	order.version = version
@@ -115,31 +115,31 @@
 }
 
 // read reads the configuration in force.
-func (o *office) read(ctx context.Context) {
+func (o *operators) read(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	entry := calllog.Entry{Kind: calllog.KindConfigRead, Sent: o.fleet.now()}
 	status, err := o.client.Config(ctx)
 	entry.Answered, entry.Version, entry.Config = o.fleet.now(), status.Version, &status.Config
 	entry.Code, entry.Error = operator.Refusal(err)
-	o.fleet.ledger.Add(entry)
+	o.fleet.calls.Add(entry)
 }
 
 // change makes changes one after another.
-func (o *office) change(ctx context.Context, times int, pause time.Duration) {
+func (o *operators) change(ctx context.Context, times int, pause time.Duration) {
 	for range times {
-		o.put(ctx, o.changed(nil))
+		o.put(ctx, o.changedOrder(nil))
 		contexttime.Sleep(ctx, pause)
 		o.read(ctx)
 	}
 }
 
 // race has operators change one base at once; exactly one may win.
-func (o *office) race(ctx context.Context, times, racers int) {
+func (o *operators) race(ctx context.Context, times, racers int) {
 	for range times {
 		var orders []sentOrder
 		for range racers {
-			orders = append(orders, o.changed(nil))
+			orders = append(orders, o.changedOrder(nil))
 		}
 		var racing sync.WaitGroup
 		var mutex sync.Mutex
@@ -162,7 +162,7 @@
 
 // resendAll sends every order that was taken once more: each is acknowledged
 // again, with its version.
-func (o *office) resendAll(ctx context.Context) {
+func (o *operators) resendAll(ctx context.Context) {
 	o.mutex.Lock()
 	kept := append([]sentOrder(nil), o.kept...)
 	o.mutex.Unlock()
@@ -174,8 +174,8 @@
 }
 
 // drainZone empties a zone by the configuration, and takes that back.
-func (o *office) drainZone(ctx context.Context, zone string, length time.Duration) {
-	o.put(ctx, o.changed(func(config *api.Config) { config.Drains.Zones = []string{zone} }))
+func (o *operators) drainZone(ctx context.Context, zone string, length time.Duration) {
+	o.put(ctx, o.changedOrder(func(config *api.Config) { config.Drains.Zones = []string{zone} }))
 	contexttime.Sleep(ctx, length)
-	o.put(ctx, o.changed(func(config *api.Config) { config.Drains.Zones = nil }))
+	o.put(ctx, o.changedOrder(func(config *api.Config) { config.Drains.Zones = nil }))
 }
--- a/testbed/model/linked_test.go
+++ b/testbed/model/processes_test.go
@@ -24,14 +24,14 @@
 // relayTimeout bounds the relay of a heartbeat, as agents' settings do.
 const relayTimeout = time.Second
 
-// linked is a process that follows the leader.
-type linked struct {
+// linkedProcess is a process that follows the leader.
+type linkedProcess struct {
 	client *rpc.Client
 	link   *leaderclient.Client
 	stop   func()
 }
 
-func (f *fleet) newLinked(name, role, zone string, versionOnly bool) linked {
+func (f *fleet) newLinkedProcess(name, role, zone string, versionOnly bool) linkedProcess {
 	f.network.mutex.Lock()
 	f.network.zones[name] = zone
 	f.network.mutex.Unlock()
@@ -43,7 +43,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { _ = made.Run(ctx) })
-	return linked{client: client, link: made, stop: func() {
+	return linkedProcess{client: client, link: made, stop: func() {
 		cancel()
 		f.network.reset(name)
 		running.Wait()
@@ -53,13 +53,13 @@
 
 // frontMachine is a front.
 type frontMachine struct {
-	linked
+	linkedProcess
 	front *front.Front
 }
 
 func (f *fleet) addFront(number int) {
 	name := fmt.Sprintf("front-%d", number+1)
-	made := &frontMachine{linked: f.newLinked(name, "front", f.zone(number), false)}
+	made := &frontMachine{linkedProcess: f.newLinkedProcess(name, "front", f.zone(number), false)}
 	var err error
 	made.front, err = front.New(front.Config{Link: made.link, Client: made.client, Registerer: prometheus.NewRegistry()})
 	if err != nil {
@@ -70,12 +70,12 @@
 
 // agentMachine is an agent; processes on it come and go.
 type agentMachine struct {
-	linked
+	linkedProcess
 	agent atomic.Pointer[agent.Agent]
 }
 
 func (f *fleet) newAgent(name, zone string) *agentMachine {
-	made := &agentMachine{linked: f.newLinked(name, "agent", zone, true)}
+	made := &agentMachine{linkedProcess: f.newLinkedProcess(name, "agent", zone, true)}
 	running, err := agent.New(agent.Config{
 		Name: name, Zone: func() string { return zone }, RelayTimeout: relayTimeout, Link: made.link, Client: made.client,
 		Logger: slog.New(f.logs).With("agent", name), Registerer: prometheus.NewRegistry(),
--- a/testbed/model/spread_test.go
+++ b/testbed/model/spread_test.go
@@ -15,17 +15,17 @@
 // placeBound is how soon a task starts where there is room for many times more.
 const placeBound = 1500 * time.Millisecond
 
-// TestTasksKeptApartStartAtOnce: with room on every worker, tasks that may not
+// TestSpread_TasksStartWithoutDelay: with room on every worker, tasks that may not
 // share one start as soon as any others. A planner that does not know the rule
 // would have its placements rejected by the record, and they would start one
 // after the other.
-func TestTasksKeptApartStartAtOnce(t *testing.T) {
+func TestSpread_TasksStartWithoutDelay(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, grownCartago(), 1)
 		defer f.close()
-		f.newOffice(0)
-		f.hire()
+		f.newOperators(0)
+		f.startWorkers()
 		time.Sleep(time.Second)
 		from := f.now()
 		client := f.newClient(nil)
@@ -48,6 +48,6 @@
 				t.Errorf("%s started %v after it was ready, want %v at most", delay.Task, delay.Length(), placeBound)
 			}
 		}
-		f.judge(from, f.now(), allowance{minJobs: jobs})
+		f.check(from, f.now(), tolerances{minJobs: jobs})
 	})
 }
--- a/testbed/model/worker_test.go
+++ b/testbed/model/worker_test.go
@@ -27,8 +27,8 @@
 	wholePart = 100 // percent
 )
 
-// room is that of each worker.
-func room() api.Resources { return api.Resources{CPUMillis: 4000, MemoryMB: 8000} }
+// workerCapacity is that of each worker.
+func workerCapacity() api.Resources { return api.Resources{CPUMillis: 4000, MemoryMB: 8000} }
 
 // behaviour is how a worker treats what it runs.
 type behaviour struct {
@@ -41,8 +41,8 @@
 
 var errUnsound = errors.New("the worker is unsound")
 
-// place is where a worker stands; incarnations come and go.
-type place struct {
+// workerSlot is where a worker stands; incarnations come and go.
+type workerSlot struct {
 	fleet  *fleet
 	number int
 	name   string
@@ -75,127 +75,127 @@
 	}
 }
 
-// hire brings up a worker in each place.
-func (f *fleet) hire() {
+// startWorkers brings up a worker in each place.
+func (f *fleet) startWorkers() {
 	for number := range f.shape.workers {
 		agentName := fmt.Sprintf("agent-%d", number+1)
-		one := &place{
+		one := &workerSlot{
 			fleet: f, number: number, name: fmt.Sprintf("worker-%d", number+1), zone: f.zone(number),
 			agent: f.newAgent(agentName, f.zone(number)), random: rand.New(rand.NewPCG(f.seed, uint64(1000+number))),
 		}
-		f.places = append(f.places, one)
+		f.slots = append(f.slots, one)
 		one.start()
 	}
 }
 
 // described is what the judge knows of the worker.
-func (p *place) described() checker.Worker {
+func (p *workerSlot) described() checker.Worker {
 	return checker.Worker{
-		Name: p.name, Zone: p.zone, Capacity: room(), Services: []string{serviceName}, Labels: p.labels(),
+		Name: p.name, Zone: p.zone, Capacity: workerCapacity(), Services: []string{serviceName}, Labels: p.labels(),
 		Agent: fmt.Sprintf("agent-%d", p.number+1),
 	}
 }
 
-func (p *place) labels() map[string]string {
+func (p *workerSlot) labels() map[string]string {
 	return map[string]string{"kind": kindOf(p.number), "rack": fmt.Sprint("rack-", p.number/p.fleet.shape.rack)}
 }
 
 func kindOf(number int) string { return []string{"a", "b"}[number%2] }
 
 // start brings a new incarnation up.
-func (p *place) start() {
-	life := &incarnation{dead: make(chan struct{}), over: make(chan struct{})}
+func (p *workerSlot) start() {
+	started := &incarnation{dead: make(chan struct{}), over: make(chan struct{})}
 	began := time.Now()
 	clock := func() time.Duration {
 		passed := time.Since(began)
 		return passed - passed*time.Duration(clockSlow*(p.number%2))/wholePart
 	}
 	made, err := worker.New(worker.Config{
-		Name: p.name, AgentURL: "http://agent", Capacity: room(), Labels: p.labels(), Clock: clock,
+		Name: p.name, AgentURL: "http://agent", Capacity: workerCapacity(), Labels: p.labels(), Clock: clock,
 		Logger: slog.New(p.fleet.logs).With("worker", p.name),
 		HTTPClient: &http.Client{Transport: direct{handler: func(*http.Request) http.Handler {
-			if life.isDead() {
+			if started.isDead() {
 				return nil
 			}
 			return p.agent.agent.Load()
 		}}},
-		OnStart: func(event worker.Event) { p.note(life, event, eventlog.KindStart) },
-		OnEnd:   func(event worker.Event) { p.note(life, event, eventlog.KindEnd) },
+		OnStart: func(event worker.Event) { p.record(started, event, eventlog.KindStart) },
+		OnEnd:   func(event worker.Event) { p.record(started, event, eventlog.KindEnd) },
 	})
 	if err != nil {
 		p.fleet.t.Error(err)
 		return
 	}
-	life.worker = made
-	made.Handle(serviceName, func(ctx context.Context, task worker.Task) error { return p.work(ctx, life, task) })
+	started.worker = made
+	made.Handle(serviceName, func(ctx context.Context, task worker.Task) error { return p.work(ctx, started, task) })
 	ctx, cancel := context.WithCancel(context.Background())
-	life.leave = cancel
+	started.leave = cancel
 	p.mutex.Lock()
-	p.present = life
-	p.lives = append(p.lives, life)
+	p.present = started
+	p.lives = append(p.lives, started)
 	p.mutex.Unlock()
 	p.fleet.fault(calllog.Entry{Process: p.name, Action: calllog.ActionStart})
 	go func() {
-		defer close(life.over)
+		defer close(started.over)
 		_ = made.Run(ctx) // reports handlers that go on, as those of the dead do
 	}()
 }
 
-// note journals what an incarnation that lives does.
-func (p *place) note(life *incarnation, event worker.Event, kind eventlog.Kind) {
-	if life.isDead() {
+// record journals what an incarnation that lives does.
+func (p *workerSlot) record(started *incarnation, event worker.Event, kind eventlog.Kind) {
+	if started.isDead() {
 		return
 	}
 	p.fleet.mutex.Lock()
 	defer p.fleet.mutex.Unlock()
-	p.fleet.lines = append(p.fleet.lines, eventlog.Event{
+	p.fleet.events = append(p.fleet.events, eventlog.Event{
 		Mono: p.fleet.now(), Kind: kind, Task: event.Task, Run: event.Run, WorkerID: event.WorkerID,
 		Worker: event.Worker, Token: event.Token, Outcome: event.Outcome,
 	})
 }
 
 // crash ends the incarnation, and all it runs, at once.
-func (p *place) crash() {
+func (p *workerSlot) crash() {
 	p.mutex.Lock()
-	life := p.present
+	started := p.present
 	p.mutex.Unlock()
-	if life == nil || life.isDead() {
+	if started == nil || started.isDead() {
 		return
 	}
 	p.fleet.fault(calllog.Entry{Process: p.name, Action: calllog.ActionExit, Expected: true})
-	close(life.dead)
-	life.leave()
+	close(started.dead)
+	started.leave()
 }
 
 // drain has the incarnation end in order, and waits for that.
-func (p *place) drain() {
+func (p *workerSlot) drain() {
 	p.mutex.Lock()
-	life := p.present
+	started := p.present
 	p.mutex.Unlock()
-	life.leave()
-	<-life.over
+	started.leave()
+	<-started.over
 	p.fleet.fault(calllog.Entry{Process: p.name, Action: calllog.ActionExit, Expected: true})
 }
 
-// behave changes how the worker treats what it starts from now on.
-func (p *place) behave(behaves behaviour) {
+// setBehaviour changes how the worker treats what it starts from now on.
+func (p *workerSlot) setBehaviour(behaves behaviour) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.behaves = behaves
 }
 
-// drawn is what becomes of one run.
-type drawn struct {
+// drawnRun is what becomes of one run.
+type drawnRun struct {
 	fails, stalls bool
 	slower        int
 }
 
-func (p *place) draw() drawn {
+func (p *workerSlot) draw() drawnRun {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	chance := p.random.Float64()
 	fails := chance < p.behaves.failing
-	return drawn{fails: fails, stalls: !fails && chance < p.behaves.failing+p.behaves.stalling, slower: max(1, p.behaves.slower)}
+	return drawnRun{fails: fails, stalls: !fails && chance < p.behaves.failing+p.behaves.stalling, slower: max(1, p.behaves.slower)}
 }
 
 // payload says what a task does.
@@ -209,18 +209,18 @@
 }
 
 // work does what a task says, as the worker behaves.
-func (p *place) work(ctx context.Context, life *incarnation, task worker.Task) error {
+func (p *workerSlot) work(ctx context.Context, started *incarnation, task worker.Task) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-life.dead:
+		case <-started.dead:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	var todo payload
-	if err := task.Decode(&todo); err != nil {
+	var work payload
+	if err := task.Decode(&work); err != nil {
 		return err
 	}
 	fate := p.draw()
@@ -228,21 +228,21 @@
 		contexttime.Sleep(ctx, progressPause)
 		return errUnsound
 	}
-	if todo.Gang > 0 {
-		leave, err := p.fleet.gangs.join(ctx, task.RunRef, todo.Gang)
+	if work.Gang > 0 {
+		leave, err := p.fleet.gangs.join(ctx, task.RunRef, work.Gang)
 		if err != nil {
 			return err
 		}
 		defer leave()
 	}
-	if fate.stalls || todo.Endless {
+	if fate.stalls || work.Endless {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	return p.workOff(ctx, task, time.Duration(todo.WorkMillis)*time.Millisecond*time.Duration(fate.slower))
+	return p.execute(ctx, task, time.Duration(work.WorkMillis)*time.Millisecond*time.Duration(fate.slower))
 }
 
-func (p *place) workOff(ctx context.Context, task worker.Task, work time.Duration) error {
+func (p *workerSlot) execute(ctx context.Context, task worker.Task, work time.Duration) error {
 	for done := time.Duration(0); done < work; done += progressPause {
 		if !contexttime.Sleep(ctx, min(progressPause, work-done)) {
 			return ctx.Err()
