--- a/internal/placement/backfill_test.go
+++ b/internal/placement/backfill_test.go
@@ -30,13 +30,13 @@
 
 // hold has a worker run tasks of "burst" of one cpu each.
 func holdBurst(e *Engine, worker string, count int) []Task {
-	var held []Task
+	var running []Task
 	for number := range count {
 		task := queueTask("burst", "held-"+worker, number, 1)
 		e.AddRun(task, worker+"-1")
-		held = append(held, task)
+		running = append(running, task)
 	}
-	return held
+	return running
 }
 
 // TestBackfill_WorkerReservedForLargeTask: two workers are full of small runs of "burst", which
@@ -84,9 +84,9 @@
 // needs all; w2 is full, so that w1 is the only free capacity. A task of the queue that defers
 // waits as well.
 func TestBackfill_TasksThatRespectReservation(t *testing.T) {
-	group := gangOf("group", 1, 1)
-	for at := range group {
-		group[at].Queue = "burst"
+	gang := gangOf("group", 1, 1)
+	for at := range gang {
+		gang[at].Queue = "burst"
 	}
 	cases := []struct {
 		name  string
@@ -94,18 +94,18 @@
 		want  string
 	}{
 		{"the queue that defers", nil, ""},
-		{"a group of it", group, ""},
+		{"a gang of it", gang, ""},
 		{"what comes later in the same queue", []Task{queueTask("calm", "small", 101, 1)}, ""},
 		{"not what came first in the same queue", []Task{queueTask("calm", "small", 99, 1)}, "small@w1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			e := deferringEngine(2, burstDefers)
-			held := holdBurst(e, "w1", 4)
+			running := holdBurst(e, "w1", 4)
 			holdBurst(e, "w2", 4)
 			e.Add(queueTask("calm", "large", 100, 4))
 			e.Plan(99)
-			for _, task := range held[1:] {
+			for _, task := range running[1:] {
 				e.Release(task.ID)
 			}
 			e.Add(queueTask("burst", "more", 0, 1))
@@ -116,7 +116,7 @@
 			}
 			e.Remove(queueTask("calm", "large", 100, 4).ID)
 			if len(e.Plan(99)) != len(c.tasks)+1 {
-				t.Error("what left the room does not get it once nothing waits for it")
+				t.Error("what left the capacity does not get it once nothing waits for it")
 			}
 		})
 	}
@@ -126,11 +126,11 @@
 // capacity there is.
 func TestBackfill_LongRunningTasksIgnoreReservation(t *testing.T) {
 	e := deferringEngine(2, burstDefers)
-	held := holdBurst(e, "w1", 4)
+	running := holdBurst(e, "w1", 4)
 	holdBurst(e, "w2", 4)
 	e.Add(queueTask("calm", "large", 100, 4))
 	e.Plan(99)
-	e.Release(held[0].ID)
+	e.Release(running[0].ID)
 	lasting := queueTask("burst", "lasting", 0, 1)
 	lasting.UntilCancelled = true
 	addAll(e, lasting, queueTask("burst", "more", 1, 1))
@@ -194,14 +194,14 @@
 func TestBackfill_NoReservationForNominatedTask(t *testing.T) {
 	e := deferringEngine(2, burstDefers)
 	holdBurst(e, "w1", 4)
-	held := holdBurst(e, "w2", 4)
+	running := holdBurst(e, "w2", 4)
 	urgent := func(task Task) Task {
 		task.Priority = 1
 		return task
 	}
 	e.Add(urgent(queueTask("calm", "large", 100, 4)))
 	e.Plan(99)
-	e.Release(held[0].ID)
+	e.Release(running[0].ID)
 	victim := queueTask("calm", "victim", 0, 4)
 	victim.Spec.Preemptible = true
 	e.SetWorker(testWorker("w3", cpu(4)))
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -159,8 +159,8 @@
 // addLargeGroups adds gangs of 128 whose members fit one by one, but which
 // never have as many places: the fleet has 100 accelerators, or a zone takes 40
 // of a step.
-func (l *load) addLargeGroups(groups int, spread *api.Spread) {
-	for i := range groups * 128 {
+func (l *load) addLargeGroups(gangs int, spread *api.Spread) {
+	for i := range gangs * 128 {
 		task := l.task()
 		task.ID = record.TaskID{Job: fmt.Sprint("large", i/128), Step: "a", Index: i % 128}
 		task.Priority = 10
@@ -206,13 +206,13 @@
 
 // reserve reserves slots that find capacity, in windows of four queues: one
 // open, the others to come.
-func (l *load) reserve(slices int) {
+func (l *load) reserve(slots int) {
 	var windows []Reservation
 	for i := range 4 {
 		windows = append(windows, Reservation{
 			ID: fmt.Sprint("window", i), Queue: fmt.Sprint("booked", i), Service: "s",
 			Start: record.Millis(1 + i*600_000), End: record.Millis(1 + i*600_000 + 3_600_000),
-			Slots: slices / 4, SlotSize: api.Resources{CPUMillis: 200, MemoryMB: 128},
+			Slots: slots / 4, SlotSize: api.Resources{CPUMillis: 200, MemoryMB: 128},
 		})
 	}
 	l.engine.SetTime(1)
@@ -243,7 +243,7 @@
 				placed += s.Slots
 			}
 			if placed != 2000 {
-				b.Fatalf("%d slices have a worker, expected 2000", placed)
+				b.Fatalf("%d slots have a worker, expected 2000", placed)
 			}
 			l.addImpossible(count)
 			l.engine.Plan(tasksPerPass)
--- a/internal/placement/decisions_test.go
+++ b/internal/placement/decisions_test.go
@@ -141,12 +141,12 @@
 		count, spec.Resources = 4, api.Resources{CPUMillis: 8, MemoryMB: 8}
 		spec.Labels, spec.Prefer = nil, nil
 	}
-	wishes := Preferences{StepSize: count, AllowsProbation: g.chance(5), PrefersProbation: g.chance(10), WaitsForPreferred: g.chance(4)}
+	preferences := Preferences{StepSize: count, AllowsProbation: g.chance(5), PrefersProbation: g.chance(10), WaitsForPreferred: g.chance(4)}
 	if g.chance(4) {
-		wishes.Colocate = []string{"zone", "label:rack"}[g.random.IntN(2)]
+		preferences.Colocate = []string{"zone", "label:rack"}[g.random.IntN(2)]
 	}
 	if g.chance(6) {
-		wishes.Avoid = []string{fmt.Sprintf("w%02d", g.random.IntN(8))}
+		preferences.Avoid = []string{fmt.Sprintf("w%02d", g.random.IntN(8))}
 	}
 	for index := range count {
 		task := Task{
@@ -157,7 +157,7 @@
 			task.Gang, task.GangSize = job+"/s", count
 		}
 		if !g.chance(3) {
-			shared := wishes
+			shared := preferences
 			task.Preferences = &shared
 		}
 		g.add(task)
--- a/internal/placement/engine_test.go
+++ b/internal/placement/engine_test.go
@@ -17,9 +17,9 @@
 	expect(t, "removed twice", e.Waiting(), 0)
 	e.AddRun(task, "w-1")
 	e.AddRun(task, "w-1")
-	expect(t, "held twice", e.workers.byID["w-1"].free, cpu(6))
+	expect(t, "added twice", e.workers.byID["w-1"].free, cpu(6))
 	e.Add(task)
-	expect(t, "held does not wait", e.Waiting(), 0)
+	expect(t, "running does not wait", e.Waiting(), 0)
 	e.Release(task.ID)
 	e.Release(task.ID)
 	expect(t, "released twice", e.workers.byID["w-1"].free, cpu(10))
@@ -56,7 +56,7 @@
 	e.AddRun(testTask("held", 0, 6), "w-1")
 	e.Add(testTask("j", 0, 5))
 	e.SetWorker(testWorker("w", cpu(10)))
-	expect(t, "held room counts", placed(e, 10), "")
+	expect(t, "the run added before counts", placed(e, 10), "")
 	expect(t, "reason", e.Reason(testTask("j", 0, 5).ID), "no room: needs 5 cpu_millis, most free 4")
 	e.SetWorker(testWorker("w", cpu(5)))
 	e.Add(testTask("none", 1, 0))
@@ -72,8 +72,8 @@
 	worker.Services = []string{"s"}
 	worker.Labels = map[string]string{"kind": "a"}
 	e := newEngine(worker)
-	held := testTask("j", 0, 3)
-	e.AddRun(held, "w-1")
+	running := testTask("j", 0, 3)
+	e.AddRun(running, "w-1")
 	spec := func(need int64, service string, labels map[string]string) *api.TaskSpec {
 		return &api.TaskSpec{Service: service, Resources: cpu(need), Labels: labels}
 	}
@@ -95,14 +95,14 @@
 	}
 	for name, change := range map[string]func(*Worker){
 		"not usable":   func(w *Worker) { w.Usable = false },
-		"held back":    func(w *Worker) { w.Suspect = true },
+		"suspect":      func(w *Worker) { w.Suspect = true },
 		"on probation": func(w *Worker) { w.Probation = true },
 	} {
 		changed := worker
 		change(&changed)
 		e.SetWorker(changed)
 		if e.HasFreeCapacity(cases[0].spec) {
-			t.Errorf("a worker that is %s has room", name)
+			t.Errorf("a worker that is %s has capacity", name)
 		}
 	}
 }
--- a/internal/placement/gangdrain_test.go
+++ b/internal/placement/gangdrain_test.go
@@ -17,10 +17,10 @@
 	}
 	addAll(e, testTask("small", 8, 1), testTask("small", 9, 1))
 	e.Release(testTask("long", 0, 2).ID)
-	expect(t, "kept for the group", placed(e, 10), "")
+	expect(t, "reserved for the gang", placed(e, 10), "")
 	e.Release(testTask("long", 1, 2).ID)
-	expect(t, "room of the second", placed(e, 10), "")
-	expect(t, "whole", placed(e, 10), "g/a/0@a g/a/1@b")
+	expect(t, "capacity of the second", placed(e, 10), "")
+	expect(t, "complete", placed(e, 10), "g/a/0@a g/a/1@b")
 	e.Release(record.TaskID{Job: "g", Step: "a"})
 	expect(t, "others go on", placed(e, 10), "small/a/8@a small/a/9@a")
 }
@@ -29,15 +29,15 @@
 	e := newEngine(testWorker("a", cpu(2)), testWorker("b", cpu(2)))
 	e.AddRun(testTask("long", 0, 2), "a-1")
 	e.AddRun(testTask("long", 1, 2), "b-1")
-	group := gangOf("g", 2, 2)
-	addAll(e, group...)
+	gang := gangOf("g", 2, 2)
+	addAll(e, gang...)
 	for range gangDrainAfterPasses + gangDrainSearchInterval + 1 {
 		e.Plan(10)
 	}
 	e.Release(testTask("long", 0, 2).ID)
 	e.Add(testTask("small", 8, 1))
-	expect(t, "kept", placed(e, 10), "")
-	e.Remove(group[0].ID)
+	expect(t, "reserved", placed(e, 10), "")
+	e.Remove(gang[0].ID)
 	expect(t, "a member left", placed(e, 10), "small/a/8@a")
 	expect(t, "nothing promised", e.workers.byID["a-1"].nominated, api.Resources{})
 }
@@ -53,7 +53,7 @@
 	expect(t, "still put aside", e.workers.byID["a-1"].nominated, cpu(4))
 }
 
-// TestGangDrain_OthersUseWhatIsLeft: an long-running task needs only a part of it.
+// TestGangDrain_OthersUseWhatIsLeft: a long-running task needs only a part of it.
 func TestGangDrain_OthersUseWhatIsLeft(t *testing.T) {
 	e := engineWithGangDrain(4, testTask("small", 8, 3))
 	expect(t, "put aside", placed(e, 10), "")
@@ -62,19 +62,19 @@
 	expect(t, "the rest", placed(e, 10), "small/a/8@a")
 }
 
-// TestGangDrain_EndsOnceGangCannotFit: an long-running run has come where the gang needs all.
+// TestGangDrain_EndsOnceGangCannotFit: a long-running run has come where the gang needs all.
 func TestGangDrain_EndsOnceGangCannotFit(t *testing.T) {
 	e := engineWithGangDrain(4, untilCancelled([]Task{testTask("x", 8, 1)})...)
-	expect(t, "endless", placed(e, 10), "x/a/8@a")
+	expect(t, "long-running", placed(e, 10), "x/a/8@a")
 	e.Release(testTask("long", 1, 4).ID)
-	expect(t, "gathers on", placed(e, 10), "")
+	expect(t, "drain goes on", placed(e, 10), "")
 	e.Add(testTask("small", 9, 4))
 	for range gangDrainSearchInterval {
 		if placed(e, 10) == "small/a/9@b" {
 			return
 		}
 	}
-	t.Fatal("room is kept for a group that cannot come whole")
+	t.Fatal("capacity is reserved for a gang that cannot come complete")
 }
 
 // TestGangDrain_LongRunningGangUsesRestrictedWorkers: several of them on one.
@@ -87,7 +87,7 @@
 	}
 	expect(t, "put aside", e.workers.byID["a-1"].nominated, cpu(4))
 	e.Release(testTask("long", 0, 2).ID)
-	expect(t, "whole, at once or in the next pass", len(e.Plan(10))+len(e.Plan(10)), 3)
+	expect(t, "complete, at once or in the next pass", len(e.Plan(10))+len(e.Plan(10)), 3)
 }
 
 // TestGangDrain_NotStartedBehindLongRunningRuns: it never comes free, and what the gang
@@ -158,11 +158,11 @@
 	e := newEngine(rackedWorker("a", room), rackedWorker("b", room))
 	e.AddRun(testTask("long", 0, room), "a-1")
 	e.AddRun(testTask("long", 1, room), "b-1")
-	group := labelled(gangOf("g", room, room), "r")
-	for i := range group {
-		group[i].Spec.Spread = &api.Spread{By: "worker"}
+	gang := labelled(gangOf("g", room, room), "r")
+	for i := range gang {
+		gang[i].Spec.Spread = &api.Spread{By: "worker"}
 	}
-	addAll(e, group...)
+	addAll(e, gang...)
 	for range gangDrainAfterPasses + gangDrainSearchInterval + 1 {
 		e.Plan(10)
 	}
--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -16,27 +16,27 @@
 	expect(t, "reason", e.Reason(members[0].ID), "group has 3 of 4 members")
 	e.Add(members[3])
 	before := trace(e)
-	expect(t, "no room for all", placed(e, 10), "")
+	expect(t, "no capacity for all", placed(e, 10), "")
 	expect(t, "trace of the trial", trace(e), before)
 	expect(t, "reason", e.Reason(members[0].ID), "group needs 4 places, 3 free now")
 	e.Add(testTask("behind", 9, 1))
 	expect(t, "does not block", placed(e, 10), "behind/a/9@a")
 	e.Release(testTask("behind", 9, 1).ID)
 	e.SetWorker(testWorker("c", cpu(1)))
-	expect(t, "whole, beyond the limit", placed(e, 1), "g/a/1@a g/a/2@b g/a/0@b g/a/3@c")
+	expect(t, "complete, beyond the limit", placed(e, 1), "g/a/1@a g/a/2@b g/a/0@b g/a/3@c")
 }
 
 func TestGang_QueueAndPassLimits(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(9)))
 	e.Add(testTask("alone", 0, 1))
-	group := gangOf("g", 1, 1)
-	for i := range group {
-		group[i].Sequence = 1
+	gang := gangOf("g", 1, 1)
+	for i := range gang {
+		gang[i].Sequence = 1
 	}
-	addAll(e, group...)
+	addAll(e, gang...)
 	e.Add(testTask("later", 2, 1))
-	expect(t, "stops before the group", placed(e, 2), "alone/a/0@a")
-	expect(t, "group is first", placed(e, 2), "g/a/0@a g/a/1@a")
+	expect(t, "stops before the gang", placed(e, 2), "alone/a/0@a")
+	expect(t, "gang is first", placed(e, 2), "g/a/0@a g/a/1@a")
 	one := gangOf("one", 1)[0]
 	e.Add(one)
 	expect(t, "member alone", e.Plan(1), []Decision{{Task: one.ID, WorkerID: "a-1", Worker: "a", Gang: "one/a"}})
@@ -46,7 +46,7 @@
 	e := newEngine(testWorker("a", cpu(9)))
 	members := gangOf("g", 5, 5)
 	addAll(e, members...)
-	expect(t, "no room", placed(e, 10), "")
+	expect(t, "no capacity", placed(e, 10), "")
 	e.Remove(members[1].ID)
 	for _, p := range e.workers.pools {
 		expect(t, "parked", len(p.unschedulable), 0)
@@ -70,7 +70,7 @@
 	expect(t, "all", len(e.Plan(100)), 16)
 }
 
-// trace is all that a attempt may not leave behind.
+// trace is all that an attempt may not leave behind.
 func trace(e *Engine) string {
 	var text strings.Builder
 	for _, id := range []string{"a-1", "b-1"} {
--- a/internal/placement/headroom_test.go
+++ b/internal/placement/headroom_test.go
@@ -38,7 +38,7 @@
 func TestHeadroom_LargeTaskIsStillPlaced(t *testing.T) {
 	for what, tasks := range map[string][]Task{
 		"a large task": lowTasks("low", 1, 90),
-		"a group":      stepOf("low", 2, 50, func(task *Task) { task.Queue, task.Gang, task.GangSize = "low", "low/a", 2 }),
+		"a gang":       stepOf("low", 2, 50, func(task *Task) { task.Queue, task.Gang, task.GangSize = "low", "low/a", 2 }),
 	} {
 		e := newEngine(testWorker("a", cpu(100)))
 		e.SetQueues([]QueueRule{{Name: "low", Weight: 1, Headroom: 50}})
@@ -111,7 +111,7 @@
 	addAll(e, elsewhere...)
 	expect(t, "urgent", countBy(e, name), map[string]int{"b": 10, "c": 10})
 	addAll(e, labelled(lowTasks("low", 8, 10), "a")...)
-	expect(t, "held back", countBy(e, name), map[string]int{"a": 7})
+	expect(t, "blocked", countBy(e, name), map[string]int{"a": 7})
 	expect(t, "nothing came free", countBy(e, name), map[string]int{})
 	for _, task := range elsewhere[:10] {
 		e.Release(task.ID)
--- a/internal/placement/longrunning_test.go
+++ b/internal/placement/longrunning_test.go
@@ -34,7 +34,7 @@
 	expect(t, "of low priority", countBy(e, name), map[string]int{"a": 7})
 	addAll(e, lowTasks("more", 1, 10)...)
 	addAll(e, untilCancelled(lowTasks("endless", 2, 10))...)
-	expect(t, "endless", placed(e, 10), "endless/a/0@a endless/a/1@a")
+	expect(t, "long-running", placed(e, 10), "endless/a/0@a endless/a/1@a")
 }
 
 // TestLongRunning_LeavesHeadroomWhereOtherWorkersFit: only waiting for it is not
@@ -43,10 +43,10 @@
 	e := newEngine(testWorker("a", cpu(100)), testWorker("b", cpu(100)))
 	e.SetQueues([]QueueRule{{Name: "low", Weight: 1, Headroom: 30}, {Name: "q", Weight: 1}})
 	addAll(e, untilCancelled(lowTasks("endless", 14, 10))...)
-	expect(t, "endless", countBy(e, name), map[string]int{"a": 7, "b": 7})
+	expect(t, "long-running", countBy(e, name), map[string]int{"a": 7, "b": 7})
 	addAll(e, untilCancelled(lowTasks("more", 2, 10))...)
 	if got := placed(e, 10); got == "" {
-		t.Error("none is placed where no room leaves headroom")
+		t.Error("none is placed where no capacity leaves headroom")
 	}
 }
 
@@ -55,8 +55,8 @@
 func TestLongRunning_UsesRestrictedWorkersLast(t *testing.T) {
 	onProbation := testWorker("p", cpu(20))
 	onProbation.Probation = true
-	for what, guarded := range map[string]Worker{"held back": suspectWorker("p", 20), "on probation": onProbation} {
-		e := newEngine(guarded, testWorker("t", cpu(20)))
+	for what, restricted := range map[string]Worker{"suspect": suspectWorker("p", 20), "on probation": onProbation} {
+		e := newEngine(restricted, testWorker("t", cpu(20)))
 		addAll(e, untilCancelled(stepOf("j", 5, 10, func(task *Task) { task.StepSize = 0 }))...)
 		expect(t, what, placed(e, 10), "j/a/0@t j/a/1@t j/a/2@p j/a/3@p")
 	}
@@ -107,22 +107,22 @@
 // TestLongRunning_UsesCapacityDrainedForGang: it may be drained for long.
 func TestLongRunning_UsesCapacityDrainedForGang(t *testing.T) {
 	for what, tasks := range map[string][]Task{
-		"one alone":          untilCancelled([]Task{testTask("x", 8, 1)}),
-		"two alone":          untilCancelled([]Task{testTask("x", 8, 1), testTask("x", 9, 1)}),
-		"all the room":       untilCancelled([]Task{testTask("x", 8, 2), testTask("x", 9, 2)}),
-		"a group":            untilCancelled(gangWithCommonOutcome("x", 2, 1)),
-		"a group, all of it": untilCancelled(gangWithCommonOutcome("x", 2, 2)),
+		"one alone":         untilCancelled([]Task{testTask("x", 8, 1)}),
+		"two alone":         untilCancelled([]Task{testTask("x", 8, 1), testTask("x", 9, 1)}),
+		"all the room":      untilCancelled([]Task{testTask("x", 8, 2), testTask("x", 9, 2)}),
+		"a gang":            untilCancelled(gangWithCommonOutcome("x", 2, 1)),
+		"a gang, all of it": untilCancelled(gangWithCommonOutcome("x", 2, 2)),
 	} {
 		e := engineWithGangDrain(4, tasks...)
 		expect(t, what, countBy(e, name), map[string]int{"a": len(tasks)})
 		for _, task := range tasks {
 			e.Release(task.ID)
 		}
-		expect(t, "gathers again", countBy(e, name), map[string]int{})
+		expect(t, "drained again", countBy(e, name), map[string]int{})
 		expect(t, "put aside", e.workers.byID["a-1"].nominated, cpu(4))
 		e.Release(testTask("long", 1, 4).ID)
-		expect(t, "room of the second", placed(e, 10), "")
-		expect(t, "whole", placed(e, 10), "g/a/0@a g/a/1@b")
+		expect(t, "capacity of the second", placed(e, 10), "")
+		expect(t, "complete", placed(e, 10), "g/a/0@a g/a/1@b")
 	}
 }
 
@@ -130,8 +130,8 @@
 // alone.
 func TestLongRunning_ActivatedByCapacityBesideGangDrain(t *testing.T) {
 	for what, tasks := range map[string][]Task{
-		"alone":   untilCancelled([]Task{testTask("x", 8, 6)}),
-		"a group": untilCancelled(gangWithCommonOutcome("x", 2, 3)),
+		"alone":  untilCancelled([]Task{testTask("x", 8, 6)}),
+		"a gang": untilCancelled(gangWithCommonOutcome("x", 2, 3)),
 	} {
 		e := engineWithGangDrain(4)
 		expect(t, what, placed(e, 10), "")
@@ -149,12 +149,12 @@
 // rest is drained.
 func TestGang_ActivatedByCapacityBesideGangDrain(t *testing.T) {
 	e := engineWithGangDrain(4)
-	expect(t, "gathers", placed(e, 10), "")
+	expect(t, "drained", placed(e, 10), "")
 	e.SetWorker(rackedWorker("a", 8))
 	e.SetWorker(testWorker("c", cpu(6)))
 	e.AddRun(testTask("beside", 0, 4), "a-1")
 	addAll(e, untilCancelled(gangWithCommonOutcome("x", 2, 6))...)
-	expect(t, "in no room", placed(e, 10), "")
+	expect(t, "without capacity", placed(e, 10), "")
 	e.Release(testTask("beside", 0, 4).ID)
 	expect(t, "members", countBy(e, name), map[string]int{"a": 1, "c": 1})
 }
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -86,7 +86,7 @@
 	expect(t, "second pass", len(e.Preemptions()), 100-maxPreemptionsPerPass)
 	e.Remove(requests[0].Beneficiary)
 	e.Plan(1000)
-	expect(t, "a stopping run's room goes on", e.Reason(record.TaskID{Job: "limited", Step: "a", Index: 1}), reasonPreempting)
+	expect(t, "a stopping run's capacity goes on", e.Reason(record.TaskID{Job: "limited", Step: "a", Index: 1}), reasonPreempting)
 	expect(t, "no other victim", preemptions(e), "")
 }
 
@@ -94,11 +94,11 @@
 	e := newEngine(testWorker("a", cpu(4)), testWorker("b", cpu(4)))
 	e.AddRun(preemptibleTask("low", 0, 0, 3), "a-1")
 	e.AddRun(preemptibleTask("low", 1, 7, 3), "b-1")
-	group := gangOf("g", 4, 4)
-	for i := range group {
-		group[i].Priority = 5
+	gang := gangOf("g", 4, 4)
+	for i := range gang {
+		gang[i].Priority = 5
 	}
-	addAll(e, group...)
+	addAll(e, gang...)
 	e.workers.refresh()
 	before := trace(e)
 	expect(t, "one cannot", placed(e, 10), "")
@@ -111,5 +111,5 @@
 	e.Release(record.TaskID{Job: "low", Step: "a", Index: 0})
 	expect(t, "not half", placed(e, 10), "")
 	e.Release(record.TaskID{Job: "low", Step: "a", Index: 1})
-	expect(t, "whole", placed(e, 10), "g/a/0@a g/a/1@b")
+	expect(t, "complete", placed(e, 10), "g/a/0@a g/a/1@b")
 }
--- a/internal/placement/preferences_test.go
+++ b/internal/placement/preferences_test.go
@@ -54,7 +54,7 @@
 		e.Add(testTask("others", i, 10))
 	}
 	expect(t, "runs", countBy(e, name), map[string]int{"a": 10})
-	expect(t, "labels kept", e.preferred.labels.Len(), 0)
+	expect(t, "labels remembered", e.preferred.labels.Len(), 0)
 }
 
 func TestPreferredLabels_AreBounded(t *testing.T) {
@@ -64,7 +64,7 @@
 		task.Spec.Prefer = map[string]string{"rack": record.TaskID{Job: "rack", Index: i}.String()}
 		e.Add(task)
 	}
-	expect(t, "labels kept", e.preferred.labels.Len(), preferredlabels.Max)
+	expect(t, "labels remembered", e.preferred.labels.Len(), preferredlabels.Max)
 }
 
 // TestLocalityWait_WaitsForPreferredRack: and takes any other worker once it waits no more.
@@ -81,7 +81,7 @@
 	e.Add(other)
 	expect(t, "another rack's", placed(e, 10), "other/a/0@b")
 	e.Release(taken.ID)
-	expect(t, "once there is room", placed(e, 10), "near/a/0@a")
+	expect(t, "once there is capacity", placed(e, 10), "near/a/0@a")
 	e.Add(preferring("last", "x", 10))
 	expect(t, "without the wait", placed(e, 10), "last/a/0@b")
 }
@@ -95,7 +95,7 @@
 	}{
 		{"gone", func(w *Worker) { w.Usable = false }},
 		{"slow", func(w *Worker) { w.Slow = true }},
-		{"held back", func(w *Worker) { w.Suspect = true }},
+		{"suspect", func(w *Worker) { w.Suspect = true }},
 		{"on probation", func(w *Worker) { w.Probation = true }},
 	}
 	for _, c := range cases {
--- a/internal/placement/property_longrunning_test.go
+++ b/internal/placement/property_longrunning_test.go
@@ -39,7 +39,7 @@
 		Services:  []string{"s"},
 		Labels:    rapid.SampledFrom([]map[string]string{nil, {"k": "1"}}).Draw(t, "labels"),
 		Usable:    rapid.IntRange(0, 4).Draw(t, "usable") > 0,
-		Suspect:   rapid.IntRange(0, 2).Draw(t, "held back") == 0,
+		Suspect:   rapid.IntRange(0, 2).Draw(t, "suspect") == 0,
 		Probation: rapid.IntRange(0, 2).Draw(t, "probation") == 0,
 	}
 	m.workers[w.ID] = w
@@ -68,7 +68,7 @@
 
 func (m *longRunningModel) add(t *rapid.T) {
 	m.next++
-	step := longRunningStep{group: rapid.Bool().Draw(t, "group")}
+	step := longRunningStep{group: rapid.Bool().Draw(t, "gang")}
 	count, need := rapid.IntRange(1, 4).Draw(t, "count"), rapid.Int64Range(1, 8).Draw(t, "need")
 	untilCancelled := rapid.Bool().Draw(t, "until cancelled")
 	queue := rapid.SampledFrom([]string{"q", "low"}).Draw(t, "queue")
@@ -277,7 +277,7 @@
 	}
 	for _, other := range m.workers {
 		if !restricted(other) && m.accepts(task, other) && !m.isNominatedOn(other.ID, task) {
-			t.Fatalf("%v is placed on %s though %s has room", task.ID, on.ID, other.ID)
+			t.Fatalf("%v is placed on %s though %s has capacity", task.ID, on.ID, other.ID)
 		}
 	}
 }
--- a/internal/placement/property_reservation_test.go
+++ b/internal/placement/property_reservation_test.go
@@ -242,7 +242,7 @@
 func (m *model) checkReservedSlots(t *rapid.T) {
 	placed, used := map[string]int{}, map[string]int{}
 	if got, want := fmt.Sprint(m.engine.ReservedSlots()), fmt.Sprint(m.twin.ReservedSlots()); got != want {
-		t.Fatalf("same calls, other slices:\n%v\n%v", got, want)
+		t.Fatalf("same calls, other slots:\n%v\n%v", got, want)
 	}
 	for _, s := range m.engine.ReservedSlots() {
 		r, w := m.reservation(s.Reservation), m.workers[s.WorkerID]
@@ -259,7 +259,7 @@
 		r := m.engine.runs.open[id].slot.reservation.Reservation
 		used[r.ID+p.worker]--
 		if p.task.Queue != r.Queue || r.Start > p.started || !p.task.Spec.Resources.Fits(r.SlotSize) {
-			t.Fatalf("%v in a slice of %v", p, r)
+			t.Fatalf("%v in a slot of %v", p, r)
 		}
 	}
 	for _, n := range m.engine.nominations.ordered {
@@ -271,7 +271,7 @@
 	}
 	for where, count := range used {
 		if count != 0 {
-			t.Fatalf("%s: %d slices in use without a run", where, count)
+			t.Fatalf("%s: %d slots in use without a run", where, count)
 		}
 	}
 	for _, s := range m.engine.ReservedSlots() {
@@ -279,7 +279,7 @@
 		for _, start := range m.starts(s.WorkerID) {
 			slack := m.slack(m.workers[s.WorkerID], start, record.TaskID{})
 			if s.Used < s.Slots && r.Start <= start && start < r.End && resources.IsNegative(slack) {
-				t.Fatalf("%v has no room at %d: %v", s, start, slack)
+				t.Fatalf("%v has no capacity at %d: %v", s, start, slack)
 			}
 		}
 	}
--- a/internal/placement/property_test.go
+++ b/internal/placement/property_test.go
@@ -107,7 +107,7 @@
 		Services:  rapid.SampledFrom([][]string{{"s"}, {"s", "x"}, {"x"}}).Draw(t, "services"),
 		Labels:    rapid.SampledFrom([]map[string]string{nil, {"k": "1"}, {"k": "2"}}).Draw(t, "labels"),
 		Usable:    rapid.IntRange(0, 3).Draw(t, "usable") > 0,
-		Suspect:   rapid.IntRange(0, 5).Draw(t, "held back") == 0,
+		Suspect:   rapid.IntRange(0, 5).Draw(t, "suspect") == 0,
 		Probation: rapid.IntRange(0, 3).Draw(t, "probation") == 0,
 		Slow:      rapid.IntRange(0, 3).Draw(t, "slow") == 0,
 	}
@@ -273,7 +273,7 @@
 		}
 	}
 	if len(members) > 0 {
-		t.Fatalf("groups split: %v", members)
+		t.Fatalf("gangs split: %v", members)
 	}
 	return len(decisions)
 }
@@ -285,7 +285,7 @@
 		{{Queue: "q1", To: []string{"q2"}}},
 		{{Queue: "q2", To: []string{"q1"}}},
 		{{Queue: "q1", To: []string{"q2"}}, {Queue: "q2", To: []string{"q1"}}},
-	}).Draw(t, "yields")
+	}).Draw(t, "deferences")
 	m.both(func(e *Engine) { e.SetDeferences(deferences) })
 }
 
--- a/internal/placement/reservations_test.go
+++ b/internal/placement/reservations_test.go
@@ -16,10 +16,10 @@
 )
 
 // reservationOf is a window of queue "b" from 5:00 to 6:00.
-func reservationOf(slots int, slice int64) Reservation {
+func reservationOf(slots int, slotSize int64) Reservation {
 	return Reservation{
 		ID: "b/daily/1", Queue: "b", Start: window, End: window + hour,
-		Slots: slots, SlotSize: cpu(slice), Service: "s",
+		Slots: slots, SlotSize: cpu(slotSize), Service: "s",
 	}
 }
 
@@ -67,11 +67,11 @@
 	addAll(e, testTask("firm", 1, 3), shortTask("exact", 3, hour), shortTask("long", 3, hour+1000), reservedTask(0, 4))
 	e.Add(preemptibleTask("harmless", 9, 0, 5))
 	expect(t, "in the lead", placed(e, 10), "exact/a/0@w harmless/a/9@w")
-	expect(t, "slices", reservedSlots(e), "w 0/2")
+	expect(t, "slots", reservedSlots(e), "w 0/2")
 	expect(t, "nobody is preempted", preemptions(e), "")
 	e.Add(testTask("small", 10, 2))
-	expect(t, "outside of slices", placed(e, 10), "small/a/10@w")
-	expect(t, "no room at all", e.Reason(record.TaskID{Job: "firm", Step: "a", Index: 1}), "no room: needs 3 cpu_millis, most free 0")
+	expect(t, "outside of slots", placed(e, 10), "small/a/10@w")
+	expect(t, "no capacity at all", e.Reason(record.TaskID{Job: "firm", Step: "a", Index: 1}), "no room: needs 3 cpu_millis, most free 0")
 	e.Release(record.TaskID{Job: "exact", Step: "a"})
 	e.Release(record.TaskID{Job: "small", Step: "a", Index: 10})
 	e.Add(testTask("large", 1, 4))
@@ -88,17 +88,17 @@
 	expect(t, "before", placed(e, 10), "large/a/1@w small/a/0@w")
 	addAll(e, reservedTask(0, 4), reservedTask(1, 4), reservedTask(2, 4))
 	e.SetTime(window)
-	expect(t, "room is taken", placed(e, 10), "")
+	expect(t, "capacity is taken", placed(e, 10), "")
 	expect(t, "fewest victims", preemptions(e), "large/a/1>booked/a/0 small/a/0>booked/a/1")
 	expect(t, "nominated", e.Reason(reservedTask(0, 4).ID), reasonPreempting)
-	expect(t, "slices", reservedSlots(e), "w 2/2")
+	expect(t, "slots", reservedSlots(e), "w 2/2")
 	e.Plan(10)
 	expect(t, "not named twice", preemptions(e), "")
 	e.Add(preemptibleTask("other", 0, 9, 1))
-	expect(t, "room is not there yet", placed(e, 10), "")
+	expect(t, "capacity is not there yet", placed(e, 10), "")
 	e.Release(record.TaskID{Job: "large", Step: "a", Index: 1})
-	expect(t, "the first has room, and what both leave", placed(e, 10), "other/a/0@w booked/a/0@w")
-	expect(t, "waiting beyond the slices", e.Reason(reservedTask(2, 4).ID) != reasonPreempting, true)
+	expect(t, "the first has capacity, and what both leave", placed(e, 10), "other/a/0@w booked/a/0@w")
+	expect(t, "waiting beyond the slots", e.Reason(reservedTask(2, 4).ID) != reasonPreempting, true)
 }
 
 func TestReservation_PlacedOncePreemptedRunsStopped(t *testing.T) {
@@ -127,18 +127,18 @@
 	expect(t, "one is pending", reservedSlots(e), "b 0/1")
 	e.Add(testTask("waits", 1, 1))
 	e.Release(testTask("firm", 0, 4).ID)
-	expect(t, "freed room is for the slice", placed(e, 10), "")
+	expect(t, "freed capacity is for the slot", placed(e, 10), "")
 	expect(t, "both", reservedSlots(e), "a 0/1 b 0/1")
 	e.SetWorker(testWorker("c", cpu(5)))
 	e.RemoveWorker("a-1")
-	expect(t, "beside the slice", placed(e, 10), "waits/a/1@c")
+	expect(t, "beside the slot", placed(e, 10), "waits/a/1@c")
 	expect(t, "moved", reservedSlots(e), "b 0/1 c 0/1")
 	closed := testWorker("b", cpu(4))
 	closed.Usable = false
 	e.SetWorker(closed)
 	expect(t, "pending", reservedSlots(e), "c 0/1")
 	e.SetWorker(testWorker("c", cpu(4)))
-	expect(t, "no room left", reservedSlots(e), "")
+	expect(t, "no capacity left", reservedSlots(e), "")
 }
 
 func TestReservedSlots_AssignedWhereLeastIsPreempted(t *testing.T) {
@@ -152,11 +152,11 @@
 func TestReservedSlots_AdoptRunsAfterLeaderChange(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(4)), testWorker("b", cpu(4)))
 	e.SetTime(window + 2000)
-	held, early := reservedTask(0, 3), reservedTask(1, 3)
-	held.StartedAt, early.StartedAt = window+1000, window-1000
-	e.AddRun(held, "a-1")
+	running, early := reservedTask(0, 3), reservedTask(1, 3)
+	running.StartedAt, early.StartedAt = window+1000, window-1000
+	e.AddRun(running, "a-1")
 	e.AddRun(early, "b-1")
 	e.SetReservations([]Reservation{reservationOf(2, 4)})
 	e.Plan(10)
-	expect(t, "slices", reservedSlots(e), "a 1/1")
+	expect(t, "slots", reservedSlots(e), "a 1/1")
 }
--- a/internal/placement/restricted_test.go
+++ b/internal/placement/restricted_test.go
@@ -20,7 +20,7 @@
 		{"one task that tries", []Worker{guarded("p", true, false), trusted(10)}, true, true, "j/a/0@p j/a/1@t"},
 		{"one without other room", []Worker{guarded("p", true, false), trusted(10)}, true, false, "j/a/0@t j/a/1@p"},
 		{"no last attempt", []Worker{guarded("p", true, false), trusted(10)}, false, false, "j/a/0@t"},
-		{"one on one held back while most is free", []Worker{guarded("h", false, true), trusted(10)}, true, true, "j/a/0@t j/a/1@h"},
+		{"one on one suspect while most is free", []Worker{guarded("h", false, true), trusted(10)}, true, true, "j/a/0@t j/a/1@h"},
 		{"none on a last attempt", []Worker{guarded("h", false, true), trusted(10)}, false, false, "j/a/0@t"},
 		{"none while the service is crowded", []Worker{small, trusted(20)}, true, true, "j/a/0@t j/a/1@t"},
 		{"what no other could hold", []Worker{guarded("h", false, true), trusted(5)}, false, false, "j/a/0@h"},
@@ -79,7 +79,7 @@
 	w.Probation = true
 	e := newEngine(w, testWorker("t", cpu(20)))
 	addAll(e, gangOf("g", 10, 10, 10)...)
-	expect(t, "not whole elsewhere", placed(e, 10), "")
+	expect(t, "not complete elsewhere", placed(e, 10), "")
 	w.Probation = false
 	e.SetWorker(w)
 	expect(t, "runs", len(e.Plan(10)), 3)
@@ -96,7 +96,7 @@
 	urgent := testTask("urgent", 1, 10)
 	urgent.Priority = 1
 	e.Add(urgent)
-	expect(t, "waits for room", placed(e, 10), "")
+	expect(t, "waits for capacity", placed(e, 10), "")
 	expect(t, "asked to stop", len(e.Preemptions()), 1)
 	w.Suspect = true
 	e.SetWorker(w)
--- a/internal/placement/score_test.go
+++ b/internal/placement/score_test.go
@@ -100,7 +100,7 @@
 	e.Release(task.ID)
 	e.RemoveWorker("c-1")
 	e.Add(task)
-	expect(t, "there if no other has room", placed(e, 10), "j/a/0@a")
+	expect(t, "there if no other has capacity", placed(e, 10), "j/a/0@a")
 }
 
 func TestPreferences_SlowWorkerComesLast(t *testing.T) {
@@ -160,7 +160,7 @@
 		{"the tightest that takes all", racks(100, 40), 6, false, map[string]int{"y": 6}},
 		{"the one that takes all", racks(100, 10), 6, false, map[string]int{"x": 6}},
 		{"most in the roomiest", racks(20, 10), 8, false, map[string]int{"x": 6, "y": 2}},
-		{"as a group", racks(20, 10), 8, true, map[string]int{"x": 6, "y": 2}},
+		{"as a gang", racks(20, 10), 8, true, map[string]int{"x": 6, "y": 2}},
 		{"no domain at all", []Worker{testWorker("z", cpu(100))}, 2, false, map[string]int{"z": 2}},
 	}
 	for _, by := range []string{"zone", "label:rack"} {
--- a/internal/placement/spread_test.go
+++ b/internal/placement/spread_test.go
@@ -48,10 +48,10 @@
 	e.Add(spreadTask(1, "zone", 1))
 	late := testWorker("late", cpu(10))
 	e.SetWorker(late)
-	expect(t, "held in the zone", placed(e, 10), "")
+	expect(t, "running in the zone", placed(e, 10), "")
 	late.Zone = "z2"
 	e.SetWorker(late)
-	expect(t, "held elsewhere", placed(e, 10), "spread/a/1@a")
+	expect(t, "running elsewhere", placed(e, 10), "spread/a/1@a")
 }
 
 func TestSpread_CountsRunsAddedBeforeRule(t *testing.T) {
@@ -64,5 +64,5 @@
 	e.SetWorker(a)
 	expect(t, "still taken", placed(e, 10), "")
 	e.Release(testTask("spread", 0, 1).ID)
-	expect(t, "room on another worker of the zone", placed(e, 10), "spread/a/1@b")
+	expect(t, "capacity on another worker of the zone", placed(e, 10), "spread/a/1@b")
 }
