--- a/testbed/checker/facts.go
+++ b/testbed/checker/facts.go
@@ -177,7 +177,7 @@
 	}
 }
 
-func (f *facts) endedBy(logged eventlog.Run) (over monoclock.Nanos, cut bool) {
+func (f *facts) endedBy(logged eventlog.Run) (endedBy monoclock.Nanos, lost bool) {
 	if logged.End != 0 {
 		return logged.End, false
 	}
@@ -199,8 +199,8 @@
 // schedulerLease is how long a worker may run on after its last accepted heartbeat, by
 // the scheduler's reckoning: its lease and the margin for clock drift.
 func (f *facts) schedulerLease() time.Duration {
-	hold := cmp.Or(f.input.Config.Timings.Hold.Std(), defaultLease)
-	return hold + cmp.Or(f.input.Config.Timings.DriftMargin.Std(), defaultDrift)
+	lease := cmp.Or(f.input.Config.Timings.Hold.Std(), defaultLease)
+	return lease + cmp.Or(f.input.Config.Timings.DriftMargin.Std(), defaultDrift)
 }
 
 // disturbed reports whether a fault hit the run's worker or its agent so near to a time
--- a/testbed/fleet/usage.go
+++ b/testbed/fleet/usage.go
@@ -164,9 +164,9 @@
 }
 
 func parseResidentMemory(status []byte) (int64, error) {
-	lines := bufio.NewScanner(bytes.NewReader(status))
-	for lines.Scan() {
-		text, found := strings.CutPrefix(lines.Text(), "VmRSS:")
+	statusLines := bufio.NewScanner(bytes.NewReader(status))
+	for statusLines.Scan() {
+		text, found := strings.CutPrefix(statusLines.Text(), "VmRSS:")
 		if !found {
 			continue
 		}
--- a/testbed/hollow/process.go
+++ b/testbed/hollow/process.go
@@ -67,18 +67,18 @@
 }
 
 func (p *Process) serve(ctx context.Context, requests io.Reader, replies io.Writer) error {
-	lines := bufio.NewScanner(requests)
+	requestLines := bufio.NewScanner(requests)
 	encoder := json.NewEncoder(replies)
-	for ctx.Err() == nil && lines.Scan() {
+	for ctx.Err() == nil && requestLines.Scan() {
 		var request Request
-		if err := json.Unmarshal(lines.Bytes(), &request); err != nil {
+		if err := json.Unmarshal(requestLines.Bytes(), &request); err != nil {
 			return fmt.Errorf("read request: %w", err)
 		}
 		if err := encoder.Encode(p.reply(ctx, request)); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
 	}
-	return lines.Err()
+	return requestLines.Err()
 }
 
 func (p *Process) reply(ctx context.Context, request Request) Reply {
--- a/testbed/load/jobs.go
+++ b/testbed/load/jobs.go
@@ -31,7 +31,7 @@
 	accepted := make([]bool, len(jobs))
 	g.forEach(concurrency, len(jobs), func(index int) {
 		g.submitted.Add(1)
-		accepted[index] = g.caller(index).submitWhileLimited(ctx, jobs[index].jobPlan())
+		accepted[index] = g.caller(index).retryOverLimit(ctx, jobs[index].jobPlan())
 	})
 	var ids []string
 	for index, job := range jobs {
@@ -43,9 +43,9 @@
 	return ids
 }
 
-// submitWhileLimited submits a job until it is accepted, rejected for another reason
+// retryOverLimit submits a job until it is accepted, rejected for another reason
 // than a limit, or the context ends.
-func (c *caller) submitWhileLimited(ctx context.Context, one jobPlan) bool {
+func (c *caller) retryOverLimit(ctx context.Context, one jobPlan) bool {
 	for ctx.Err() == nil {
 		entry := c.submitOnce(ctx, one, false)
 		switch {
--- a/testbed/scale/observe.go
+++ b/testbed/scale/observe.go
@@ -17,11 +17,11 @@
 	from, to := result.Window[0], result.Window[1]
 	first := firstStarts(observed.Events)
 	started := 0
-	for _, line := range observed.Events {
-		if line.Kind == eventlog.KindStart && line.Mono >= from && line.Mono < to {
+	for _, text := range observed.Events {
+		if text.Kind == eventlog.KindStart && text.Mono >= from && text.Mono < to {
 			started++
 		}
-		if line.Kind == eventlog.KindStart && line.Run > 1 {
+		if text.Kind == eventlog.KindStart && text.Run > 1 {
 			result.Restarted++
 		}
 	}
@@ -39,11 +39,11 @@
 }
 
 // firstStarts returns the first start of each task.
-func firstStarts(lines []eventlog.Event) map[string]monoclock.Nanos {
+func firstStarts(events []eventlog.Event) map[string]monoclock.Nanos {
 	first := map[string]monoclock.Nanos{}
-	for _, line := range lines {
-		if _, known := first[line.Task]; !known && line.Kind == eventlog.KindStart {
-			first[line.Task] = line.Mono
+	for _, text := range events {
+		if _, known := first[text.Task]; !known && text.Kind == eventlog.KindStart {
+			first[text.Task] = text.Mono
 		}
 	}
 	return first
--- a/testbed/scale/run.go
+++ b/testbed/scale/run.go
@@ -25,14 +25,14 @@
 	minRamp = 14 * time.Second
 	// rampMargin follows the task length, so that tasks end as fast as they
 	// start when the window begins.
-	rampMargin    = 3 * time.Second
-	readyTimeout  = 60 * time.Second
-	finishTimeout = 30 * time.Second
-	settleTimeout = 6 * time.Second
-	settleStep    = 200 * time.Millisecond
+	rampMargin      = 3 * time.Second
+	readyTimeout    = 60 * time.Second
+	finishTimeout   = 30 * time.Second
+	runsEndTimeout  = 6 * time.Second
+	runsEndInterval = 200 * time.Millisecond
 
-	resultFile = "result.json"
-	ledgerFile = "ledger.jsonl"
+	resultFile  = "result.json"
+	callLogFile = "ledger.jsonl"
 )
 
 // run is a scale run under way.
@@ -83,7 +83,7 @@
 	config.Out = out
 	root := filepath.Join(out, "fleet")
 	r := &run{config: config, layout: newLayout(config, filepath.Join(root, "journals"))}
-	if r.calls, err = calllog.Open(filepath.Join(out, ledgerFile)); err != nil {
+	if r.calls, err = calllog.Open(filepath.Join(out, callLogFile)); err != nil {
 		return nil, err
 	}
 	r.fleet, err = fleet.New(fleet.Config{
@@ -241,7 +241,7 @@
 // waitRunsEnded waits until the event logs have no open run but those of killed
 // workers.
 func (r *run) waitRunsEnded(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+	ctx, cancel := context.WithTimeout(ctx, runsEndTimeout)
 	defer cancel()
 	before := -1
 	for {
@@ -250,7 +250,7 @@
 			return
 		}
 		before = starts + ends
-		if !contexttime.Sleep(ctx, 5*settleStep) {
+		if !contexttime.Sleep(ctx, 5*runsEndInterval) {
 			return
 		}
 	}
--- a/testbed/scale/sweep.go
+++ b/testbed/scale/sweep.go
@@ -166,21 +166,21 @@
 // WriteText writes the sweep as tables for people.
 func (s Sweep) WriteText(output io.Writer) error {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', tabwriter.AlignRight)
-	line := func(format string, arguments ...any) { _, _ = fmt.Fprintf(table, format, arguments...) }
-	line("quantity\tunit\t")
+	text := func(format string, arguments ...any) { _, _ = fmt.Fprintf(table, format, arguments...) }
+	text("quantity\tunit\t")
 	for _, result := range s.Results {
-		line("%d/%d/%.0f\t", result.Size.Workers, result.Size.Tasks, result.Size.StartsPerSecond)
+		text("%d/%d/%.0f\t", result.Size.Workers, result.Size.Tasks, result.Size.StartsPerSecond)
 	}
-	line("base\tper worker\tper task\tper start/s\tR2\tfit at target\t\n")
+	text("base\tper worker\tper task\tper start/s\tR2\tfit at target\t\n")
 	for _, one := range s.Quantities {
-		line("%s\t%s\t", one.Name, one.Unit)
+		text("%s\t%s\t", one.Name, one.Unit)
 		for _, value := range one.Values {
-			line("%.4g\t", value)
+			text("%.4g\t", value)
 		}
-		line("%.4g\t%.4g\t%.4g\t%.4g\t%.3f\t%.4g\t\n", one.Fit.Base, one.Fit.PerWorker, one.Fit.PerTask, one.Fit.PerStart, one.Fit.R2, one.AtTarget)
+		text("%.4g\t%.4g\t%.4g\t%.4g\t%.3f\t%.4g\t\n", one.Fit.Base, one.Fit.PerWorker, one.Fit.PerTask, one.Fit.PerStart, one.Fit.R2, one.AtTarget)
 	}
 	for _, failure := range s.Failed {
-		line("failed: %s\n", failure)
+		text("failed: %s\n", failure)
 	}
 	return table.Flush()
 }
--- a/testbed/scenario/catalog.go
+++ b/testbed/scenario/catalog.go
@@ -34,7 +34,7 @@
 // answers, and of operators and workers that go wrong.
 func faultScenarios() []Scenario {
 	return []Scenario{
-		{Name: "double-kill", Summary: "SIGKILL to the leading scheduler and a worker at the same moment, started again after 5s", MinDuration: 20 * time.Second, Run: afterFraction(2, killTogether)},
+		{Name: "double-kill", Summary: "SIGKILL to the leading scheduler and a worker at the same moment, started again after 5s", MinDuration: 20 * time.Second, Run: afterFraction(2, killLeaderAndWorker)},
 		{Name: "power-loss", Summary: "SIGKILL to two schedulers, later to all three, right after an acknowledgement; what the system's file cache holds survives that, so lost unsynced writes are left to the simulator", MinDuration: 40 * time.Second, Run: afterFraction(4, losePower)},
 		{Name: "lost-disk", Summary: "a scheduler loses its data folder; once it is a voter again another is killed", MinDuration: 40 * time.Second, Run: afterFraction(4, loseDisk)},
 		{Name: "freeze-worker", Summary: "an agent is frozen for 1.5s, then a worker for 8s", MinDuration: 30 * time.Second, Run: afterFraction(4, freezeWorker)},
--- a/testbed/scenario/losses.go
+++ b/testbed/scenario/losses.go
@@ -102,8 +102,8 @@
 	return errors.Join(failures...)
 }
 
-// killTogether kills the leading scheduler and a worker at the same moment.
-func killTogether(ctx context.Context, env Env) error {
+// killLeaderAndWorker kills the leading scheduler and a worker at the same moment.
+func killLeaderAndWorker(ctx context.Context, env Env) error {
 	target, err := leader(ctx, env)
 	if err != nil {
 		return err
