--- a/internal/scheduler/healthreview_test.go
+++ b/internal/scheduler/healthreview_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"context"
 	"fmt"
 	"testing"
 	"time"
@@ -240,3 +241,37 @@
 		}
 	}
 }
+
+// TestHealthReview_GangMemberMayWaitForTheOthers: a run without progress is not stopped
+// while another member of its gang has not got its assignment.
+func TestHealthReview_GangMemberMayWaitForTheOthers(t *testing.T) {
+	for _, together := range []bool{false, true} {
+		t.Run(fmt.Sprintf("together %t", together), func(t *testing.T) {
+			h := newHarness(t)
+			workers := h.fleetOf(2)
+			step := estimated(8, time.Second) // fills both workers
+			step.Together = together
+			h.submit("j", step)
+			first, second := workers[0], workers[1]
+			first.exchange()
+			gone, leave := context.WithCancel(t.Context())
+			leave()
+			stops := 0
+			for range 20 {
+				h.advance(200 * time.Millisecond)
+				first.heartbeat.Progress = nil
+				for _, run := range first.heartbeat.Running {
+					first.heartbeat.Progress = append(first.heartbeat.Progress, api.RunProgress{RunRef: run, Percent: 10})
+				}
+				stops += len(first.exchange().Stop)
+				second.heartbeat.Seq++
+				if answer, err := h.deliver(gone, second.heartbeat); err != nil || len(answer.Start) != 0 {
+					t.Fatalf("an answer that nobody takes: %+v, %v", answer, err)
+				}
+			}
+			if isStopped := stops > 0; isStopped == together {
+				t.Errorf("%d stops of runs without progress", stops)
+			}
+		})
+	}
+}
--- a/internal/scheduler/registry_test.go
+++ b/internal/scheduler/registry_test.go
@@ -79,3 +79,29 @@
 		t.Error("updated although it was not usable before")
 	}
 }
+
+// TestRegistry_OnlyAnIncarnationThatLivedLaterReplaces: that another one lives at the
+// address proves nothing if it was last proven alive before this one was known.
+func TestRegistry_OnlyAnIncarnationThatLivedLaterReplaces(t *testing.T) {
+	const known = time.Hour
+	for _, test := range []struct {
+		name     string
+		provenAt time.Duration
+		want     bool
+	}{
+		{"proven alive before", known - 1, false},
+		{"proven alive after", known + 1, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c, queue := &clock{now: known}, newFakeQueue()
+			registry, worker := testRegistry(c, queue)
+			worker.info.Address = "a/1"
+			other := registry.add(record.Worker{Name: "other", ID: "other-1", Address: "a/1"}, known)
+			other.provenAliveAt = test.provenAt
+			registry.claimAddress(other)
+			if got := registry.replaced(worker, known+time.Minute); got != test.want {
+				t.Errorf("replaced %t, want %t", got, test.want)
+			}
+		})
+	}
+}
