--- a/api/decode_test.go
+++ b/api/decode_test.go
@@ -21,6 +21,7 @@
 		{"trailing", `{"queue":"q"} {}`, nil},
 		{"trailing rubbish", `{"queue":"q"}]`, nil},
 		{"unknown fields", `{"que":"q","steps":[{"name":"a","tasks":[{"servise":"s"}]}]}`, []string{"que", "steps[0].tasks[0].servise"}},
+		{"known field in another case", `{"Queue":"q","que":"q"}`, []string{"que"}},
 		{
 			"wrong types", `{"queue":1,"steps":[{"tasks":[{"resources":{"cpu_millis":1.5},"labels":{"x":1},"max_duration":5,"allowed_failures":"3"}],"not_before":"soon","after":"a"}]}`,
 			[]string{
--- a/internal/cli/completion_test.go
+++ b/internal/cli/completion_test.go
@@ -27,8 +27,10 @@
 		"config apply ":                      "yaml\nyml\njson\n:8\n",
 	}
 	for line, want := range cases {
-		got := runCommand(t, newFakeFront(t, fleetReplies()), "", append([]string{"__complete"}, strings.Split(line, " ")...)...)
-		assertText(t, line, got.out, want)
+		t.Run(line, func(t *testing.T) {
+			got := runCommand(t, newFakeFront(t, fleetReplies()), "", append([]string{"__complete"}, strings.Split(line, " ")...)...)
+			assertText(t, line, got.out, want)
+		})
 	}
 	refused := newFakeFront(t, map[string][]reply{"GET /v1/jobs": {refusal(500, api.CodeInternal)}})
 	got := runCommand(t, refused, "", "__complete", "job", "status", "")
--- a/internal/cli/config_drains_test.go
+++ b/internal/cli/config_drains_test.go
@@ -17,17 +17,19 @@
 		{"zone evacuate z1 z2", `"drains":{"workers":["w0"],"zones":["z1","z2"]}`},
 	}
 	for _, c := range cases {
-		replies := fleetReplies()
-		replies["GET /v1/config"] = []reply{configAt(7, "w0")}
-		replies[putConfigRoute] = []reply{accepted(8)}
-		front := newFakeFront(t, replies)
-		got := runCommand(t, front, "", strings.Fields(c.arguments)...)
-		puts := front.requestsTo(putConfigRoute)
-		if got.code != ExitOK || len(puts) != 1 || puts[0].base != `"7"` || !strings.Contains(puts[0].body, c.drains) {
-			t.Errorf("%s: exit code %d, sent %+v", c.arguments, got.code, puts)
-			continue
-		}
-		assertText(t, c.arguments, got.out, "version 8 is accepted (order "+puts[0].order+")\n")
+		t.Run(c.arguments, func(t *testing.T) {
+			replies := fleetReplies()
+			replies["GET /v1/config"] = []reply{configAt(7, "w0")}
+			replies[putConfigRoute] = []reply{accepted(8)}
+			front := newFakeFront(t, replies)
+			got := runCommand(t, front, "", strings.Fields(c.arguments)...)
+			puts := front.requestsTo(putConfigRoute)
+			if got.code != ExitOK || len(puts) != 1 || puts[0].base != `"7"` || !strings.Contains(puts[0].body, c.drains) {
+				t.Errorf("%s: exit code %d, sent %+v", c.arguments, got.code, puts)
+				return
+			}
+			assertText(t, c.arguments, got.out, "version 8 is accepted (order "+puts[0].order+")\n")
+		})
 	}
 }
 
--- a/internal/cli/drains_test.go
+++ b/internal/cli/drains_test.go
@@ -19,12 +19,14 @@
 		{"drains list", "ZONE\nz3\n", ""},
 	}
 	for _, c := range cases {
-		got := runCommand(t, front, "", strings.Fields(c.arguments)...)
-		assertText(t, c.arguments, got.out, c.out)
-		assertText(t, c.arguments, got.err, c.err)
-		if got.code != ExitOK {
-			t.Errorf("%s: exit code %d", c.arguments, got.code)
-		}
+		t.Run(c.arguments, func(t *testing.T) {
+			got := runCommand(t, front, "", strings.Fields(c.arguments)...)
+			assertText(t, c.arguments, got.out, c.out)
+			assertText(t, c.arguments, got.err, c.err)
+			if got.code != ExitOK {
+				t.Errorf("%s: exit code %d", c.arguments, got.code)
+			}
+		})
 	}
 	if len(front.requestsTo("PUT /v1/drains/zones/z1")) != 1 || len(front.requestsTo("DELETE /v1/drains/zones/z1")) != 1 {
 		t.Error("want one call for each order")
--- a/internal/cli/exit_codes_test.go
+++ b/internal/cli/exit_codes_test.go
@@ -78,10 +78,12 @@
 		{"completion tcsh", "decklever: invalid argument \"tcsh\" for \"decklever completion\"\n"},
 	}
 	for _, c := range cases {
-		got := runCommand(t, newFakeFront(t, nil), "", strings.Fields(c.arguments)...)
-		if got.code != ExitUsage || got.out != "" {
-			t.Errorf("%s: exit code %d, output %q", c.arguments, got.code, got.out)
-		}
-		assertText(t, c.arguments, got.err, c.err)
+		t.Run(c.arguments, func(t *testing.T) {
+			got := runCommand(t, newFakeFront(t, nil), "", strings.Fields(c.arguments)...)
+			if got.code != ExitUsage || got.out != "" {
+				t.Errorf("%s: exit code %d, output %q", c.arguments, got.code, got.out)
+			}
+			assertText(t, c.arguments, got.err, c.err)
+		})
 	}
 }
--- a/internal/cli/input_file_test.go
+++ b/internal/cli/input_file_test.go
@@ -25,12 +25,14 @@
 		{"job.json", `{"queue":"q"} {}`, ": there is more behind the JSON object of the body"},
 	}
 	for _, c := range cases {
-		path := writeFile(t, c.name, c.content)
-		got := runCommand(t, newFakeFront(t, nil), "", "job", "submit", path, "--id", "j")
-		if got.code != ExitUsage {
-			t.Errorf("%q: exit code %d", c.content, got.code)
-		}
-		assertText(t, c.content, got.err, "decklever: "+path+c.err+"\n")
+		t.Run(c.content, func(t *testing.T) {
+			path := writeFile(t, c.name, c.content)
+			got := runCommand(t, newFakeFront(t, nil), "", "job", "submit", path, "--id", "j")
+			if got.code != ExitUsage {
+				t.Errorf("%q: exit code %d", c.content, got.code)
+			}
+			assertText(t, c.content, got.err, "decklever: "+path+c.err+"\n")
+		})
 	}
 }
 
--- a/internal/cli/job_cancel_test.go
+++ b/internal/cli/job_cancel_test.go
@@ -18,12 +18,14 @@
 		{"job cancel --queue q --yes -o json", `{"queue":"q"}`, jsonOf(api.CancelAnswer{Cancelled: 2})},
 	}
 	for _, c := range cases {
-		front := newFakeFront(t, map[string][]reply{route: {ok(api.CancelAnswer{Cancelled: 2})}})
-		got := runCommand(t, front, "", strings.Fields(c.arguments)...)
-		assertText(t, c.arguments, got.out+got.err, c.out)
-		if sent := front.requestsTo(route); got.code != ExitOK || len(sent) != 1 || sent[0].body != c.body {
-			t.Errorf("%s: exit code %d, sent %+v", c.arguments, got.code, sent)
-		}
+		t.Run(c.arguments, func(t *testing.T) {
+			front := newFakeFront(t, map[string][]reply{route: {ok(api.CancelAnswer{Cancelled: 2})}})
+			got := runCommand(t, front, "", strings.Fields(c.arguments)...)
+			assertText(t, c.arguments, got.out+got.err, c.out)
+			if sent := front.requestsTo(route); got.code != ExitOK || len(sent) != 1 || sent[0].body != c.body {
+				t.Errorf("%s: exit code %d, sent %+v", c.arguments, got.code, sent)
+			}
+		})
 	}
 	ids := make([]string, api.MaxCancelledJobs+1)
 	for number := range ids {
--- a/internal/cli/read_commands_test.go
+++ b/internal/cli/read_commands_test.go
@@ -62,8 +62,10 @@
 		"job list":       replies["GET /v1/jobs"][0].body,
 	}
 	for arguments, want := range cases {
-		got := runCommand(t, newFakeFront(t, fleetReplies()), "", append(strings.Fields(arguments), "-o", "json")...)
-		assertText(t, arguments, got.out+got.err, jsonOf(want))
+		t.Run(arguments, func(t *testing.T) {
+			got := runCommand(t, newFakeFront(t, fleetReplies()), "", append(strings.Fields(arguments), "-o", "json")...)
+			assertText(t, arguments, got.out+got.err, jsonOf(want))
+		})
 	}
 	got := runCommand(t, newFakeFront(t, fleetReplies()), "", "queue", "list", "-o", "yaml")
 	assertText(t, "yaml", got.out, "queues:\n  - name: q\n    jobs: 4\n    waiting_jobs: 1\n    pending_tasks: 2\n    running_tasks: 3\n")
--- a/internal/cli/unified_diff_test.go
+++ b/internal/cli/unified_diff_test.go
@@ -33,5 +33,9 @@
 	want := "--- x\n+++ y\n@@ -3,7 +3,7 @@\n 3\n 4\n 5\n-6\n+A\n 7\n 8\n 9\n@@ -13,4 +13,3 @@\n 13\n 14\n 15\n-16\n"
 	assertText(t, "two hunks", got, want)
 	assertText(t, "from nothing", unifiedDiff("x", "y", nil, text("1 2")), "--- x\n+++ y\n@@ -0,0 +1,2 @@\n+1\n+2\n")
+	assertText(t, "six lines between changes", unifiedDiff("x", "y", text("A 1 2 3 4 5 6 B"), text("C 1 2 3 4 5 6 D")),
+		"--- x\n+++ y\n@@ -1,8 +1,8 @@\n-A\n+C\n 1\n 2\n 3\n 4\n 5\n 6\n-B\n+D\n")
+	assertText(t, "seven lines between changes", unifiedDiff("x", "y", text("A 1 2 3 4 5 6 7 B"), text("C 1 2 3 4 5 6 7 D")),
+		"--- x\n+++ y\n@@ -1,4 +1,4 @@\n-A\n+C\n 1\n 2\n 3\n@@ -6,4 +6,4 @@\n 5\n 6\n 7\n-B\n+D\n")
 	assertText(t, "equal", unifiedDiff("x", "y", text("1"), text("1")), "")
 }
--- a/internal/cli/yaml_test.go
+++ b/internal/cli/yaml_test.go
@@ -18,10 +18,12 @@
 		{"a: &x {k: [1, 2]}\nb: *x", `{"a":{"k":[1,2]},"b":{"k":[1,2]}}`},
 	}
 	for _, c := range cases {
-		got, err := jsonFromYAML([]byte(c.yaml))
-		if err != nil || string(got) != c.json {
-			t.Errorf("%s\nis %s, %v, want %s", c.yaml, got, err, c.json)
-		}
+		t.Run(c.yaml, func(t *testing.T) {
+			got, err := jsonFromYAML([]byte(c.yaml))
+			if err != nil || string(got) != c.json {
+				t.Errorf("%s\nis %s, %v, want %s", c.yaml, got, err, c.json)
+			}
+		})
 	}
 }
 
