--- a/internal/placement/deference.go
+++ b/internal/placement/deference.go
@@ -69,7 +69,7 @@
 func firstBySlack(queues []*priorityQueue, wanted func(*priorityQueue) bool) *priorityQueue {
 	var first *priorityQueue
 	for _, q := range queues {
-		if q.queue.Rule().BySlack && q.canPlace() && (first == nil || q.hasEarlierTask(first)) && wanted(q) {
+		if q.queue.Rule().BySlack && q.isSchedulable() && (first == nil || q.hasEarlierTask(first)) && wanted(q) {
 			first = q
 		}
 	}
--- a/internal/placement/filter.go
+++ b/internal/placement/filter.go
@@ -111,9 +111,9 @@
 // probation.
 func (c *equivalenceClass) admits(w *worker) bool { return c.admitsBesideOwn(w, 0) }
 
-// stillAdmits reports whether what is promised on the worker is still for the class, the
+// admitsNominated reports whether what is promised on the worker is still for the class, the
 // worker's health considered: the class has a run there already.
-func (c *equivalenceClass) stillAdmits(w *worker) bool {
+func (c *equivalenceClass) admitsNominated(w *worker) bool {
 	return c.key.untilCancelled || c.admitsBesideOwn(w, 1)
 }
 
@@ -223,8 +223,8 @@
 	return fitsOn() || ignoringHeadroom(c, fitsOn) || w.restricted && withRestricted(c, fitsOn)
 }
 
-// canStillUse reports whether a target that the class had is still one for it.
-func (c *equivalenceClass) canStillUse(to placementTarget) bool {
+// isTargetFeasible reports whether a target that the class had is still one for it.
+func (c *equivalenceClass) isTargetFeasible(to placementTarget) bool {
 	if to.slot != nil {
 		return c.canEnterSlot(to.slot) && fits(c.key.need, to.worker.free)
 	}
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -188,7 +188,7 @@
 	sub.resetFitCounts()
 	opened := open()
 	for i, member := range members {
-		if opened && !member.class.canStillUse(targets[i]) {
+		if opened && !member.class.isTargetFeasible(targets[i]) {
 			delete(g.runs, member)
 			d.runs.workers.addChanged(targets[i].worker)
 			continue
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -136,7 +136,7 @@
 // and slot.
 func breaksRule(r *run, member *waiting) bool {
 	c := member.class
-	if !c.pool.matches(r.worker) || resources.IsNegative(r.worker.freeOnceStopped()) || !c.stillAdmits(r.worker) {
+	if !c.pool.matches(r.worker) || resources.IsNegative(r.worker.freeOnceStopped()) || !c.admitsNominated(r.worker) {
 		return true
 	}
 	if c.spread != nil && !c.spread.holds(&r.worker.Worker) {
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -128,15 +128,15 @@
 func (level *priorityLevel) activeQueues() []*priorityQueue {
 	var queues []*priorityQueue
 	for _, q := range level.queues {
-		if q.canPlace() {
+		if q.isSchedulable() {
 			queues = append(queues, q)
 		}
 	}
 	return queues
 }
 
-// canPlace reports whether the queue has something active and is below its limits.
-func (q *priorityQueue) canPlace() bool { return len(q.active) > 0 && q.queue.CanRun(1) }
+// isSchedulable reports whether the queue has something active and is below its limits.
+func (q *priorityQueue) isSchedulable() bool { return len(q.active) > 0 && q.queue.CanRun(1) }
 
 // nextQueue returns the queue with the lowest share, then the one with the lowest
 // Sequence; nil if none may place. This is weighted max-min fairness over one resource,
@@ -146,7 +146,7 @@
 	var best *priorityQueue
 	var sharing fairshare.Sum
 	for _, q := range queues {
-		if !q.canPlace() {
+		if !q.isSchedulable() {
 			continue
 		}
 		if !q.queue.Rule().BySlack {
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -302,7 +302,7 @@
 		finder: e.finder, preemptor: e.preemptor, runTable: e.runs,
 		members: e.finder.placementOrder(sub.tasks), spent: p.allowance,
 	}
-	if !t.placeAll(priority) {
+	if !t.nominateAll(priority) {
 		t.undo()
 		return true
 	}
@@ -332,19 +332,19 @@
 	return true
 }
 
-// placeAll finds a target for each member, or stops at the first without.
-func (t *gangPreemption) placeAll(priority int) bool {
+// nominateAll finds a target for each member, or stops at the first without.
+func (t *gangPreemption) nominateAll(priority int) bool {
 	for _, member := range t.members {
-		if !t.placeMember(member, priority) {
+		if !t.nominateMember(member, priority) {
 			return false
 		}
 	}
 	return true
 }
 
-// placeMember finds a target that is free, else the best that preemption makes. It
+// nominateMember finds a target that is free, else the best that preemption makes. It
 // returns false also once the allowance is used up.
-func (t *gangPreemption) placeMember(member *waiting, priority int) bool {
+func (t *gangPreemption) nominateMember(member *waiting, priority int) bool {
 	c := member.class
 	var chosen preemptionChoice
 	if to, found := t.finder.findTarget(member); found {
