--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -17,9 +17,8 @@
 // although they go first. So, as in EASY backfilling (Lifka, "The ANL/IBM SP scheduling
 // system", 1995), for each shape of task that found no worker one worker is reserved: that
 // which is expected to have the capacity first, its shadow time. What goes after the task
-// leaves that worker alone until the task is placed. Other than in EASY, no task is
-// backfilled on a reserved worker because it would end before the shadow time: estimates
-// are too rare to rest on.
+// leaves that worker alone until the task is placed. Other than in EASY, a task that would
+// end before the shadow time is not let onto the reserved worker.
 
 const (
 	// backfillWorkerDivisor: one worker in so many is reserved at most.
@@ -36,7 +35,7 @@
 type backfillReservations struct {
 	// disabled has no worker reserved.
 	disabled bool
-	// reserved are the workers with backfillFor, between two passes. Room that comes free
+	// reserved are the workers with backfillFor, between two passes. Capacity that comes free
 	// there piece by piece must not go to others before it is enough.
 	reserved []*worker
 	// blocked are sub-queues that fitted in the last pass only on workers reserved for
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -17,7 +17,7 @@
 	// Seed is for choices among equals. Names break every tie today, so it
 	// has no effect yet.
 	Seed int64
-	// Off are the mechanisms that an experiment switches off. Default: none.
+	// Off are the policies that an experiment switches off. Default: none.
 	Off featuregate.DisabledSet
 }
 
--- a/internal/placement/profile.go
+++ b/internal/placement/profile.go
@@ -16,7 +16,7 @@
 // whether a run uses them or not. A run outside of slots is counted against them at each
 // such start, unless it is preemptible or surely ended by then. So work that cannot be
 // made to leave stays off the slots, and other work may use their capacity until it is
-// needed. Between two starts nothing new begins, so that the points suffice.
+// needed. Between two starts no window opens, so that the points suffice.
 type profilePoint struct {
 	at record.Millis
 	// slack is the capacity less the slots whose windows are open at that moment, and
