--- a/api/example_test.go
+++ b/api/example_test.go
@@ -13,7 +13,8 @@
 func ExampleClient_SubmitJob() {
 	client, err := api.NewClient(api.ClientConfig{Endpoints: []string{"http://127.1.0.1:7200", "http://127.1.0.2:7200"}})
 	if err != nil {
-		log.Fatal(err)
+		log.Print(err)
+		return
 	}
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -25,14 +26,17 @@
 		Steps: []api.StepSpec{{Name: "render", Tasks: []api.TaskSpec{task}}},
 	})
 	if errors.Is(err, &api.Error{Code: api.CodeConflict}) {
-		log.Fatal("another job has this id")
+		log.Print("another job has this id")
+		return
 	}
 	if err != nil {
-		log.Fatal(err)
+		log.Print(err)
+		return
 	}
 	status, err := client.Job(ctx, "report-17", 30*time.Second)
 	if err != nil {
-		log.Fatal(err)
+		log.Print(err)
+		return
 	}
 	fmt.Println(status.State)
 }
