--- a/testbed/checker/cases_faults_test.go
+++ b/testbed/checker/cases_faults_test.go
@@ -105,8 +105,8 @@
 		},
 		{
 			"a run stopped behind an unreachable agent that is not started elsewhere", P11,
-			func(f *fixture) { silentAgent(f, 6500) },
-			func(f *fixture) { silentAgent(f, 6100) },
+			func(f *fixture) { unreachableAgent(f, 6500) },
+			func(f *fixture) { unreachableAgent(f, 6100) },
 		},
 		{
 			"an assignment under a stale token", P12,
@@ -199,7 +199,7 @@
 	f.poll("j", again+500, api.StateSucceeded)
 }
 
-// loseWorkerAndLeader has a worker and two schedulers fall silent.
+// loseWorkerAndLeader makes a worker and two schedulers unreachable.
 func loseWorkerAndLeader(f *fixture, again int64) {
 	f.twoDown(300, 9000)
 	exitAndRestart(f, again)
@@ -232,7 +232,7 @@
 	f.poll("j", 8000, api.StateSucceeded)
 }
 
-func silentAgent(f *fixture, again int64) {
+func unreachableAgent(f *fixture, again int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, 3200, api.OutcomeStopped)
 	f.fault("agent-1", 200, calllog.ActionExit)
--- a/testbed/checker/cases_tasks_test.go
+++ b/testbed/checker/cases_tasks_test.go
@@ -35,6 +35,11 @@
 			func(f *fixture) { threeAtOnce(f, "one") },
 			func(f *fixture) { threeAtOnce(f, "two") },
 		},
+		{
+			"a worker overfilled until a run ends", P5,
+			func(f *fixture) { startAtEnd(f, 199) },
+			func(f *fixture) { startAtEnd(f, 200) },
+		},
 		{
 			"a service that the worker does not offer", P5,
 			func(f *fixture) { placed(f, api.TaskSpec{Service: "other"}) },
@@ -108,6 +113,16 @@
 	f.poll("j", 300, api.StateSucceeded)
 }
 
+// startAtEnd fills a worker and starts another task there, about when the first of
+// its runs ends.
+func startAtEnd(f *fixture, start int64) {
+	f.submit("j", 10, task(), task(), task())
+	f.succeed("j/s/0", "one", 1, 100, 200)
+	f.succeed("j/s/1", "one", 1, 100, 300)
+	f.succeed("j/s/2", "one", 1, start, 300)
+	f.poll("j", 400, api.StateSucceeded)
+}
+
 func placed(f *fixture, spec api.TaskSpec) {
 	f.submit("j", 10, spec)
 	f.succeed("j/s/0", "one", 1, 100, 200)
--- a/testbed/load/jobs_test.go
+++ b/testbed/load/jobs_test.go
@@ -15,7 +15,7 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// generatorFor returns a generator of one front and its ledger.
+// generatorFor returns a generator of one front and its call log.
 func generatorFor(t *testing.T, front http.HandlerFunc) (*Generator, *calllog.Log) {
 	t.Helper()
 	server := httptest.NewServer(front)
--- a/testbed/model/callers_test.go
+++ b/testbed/model/callers_test.go
@@ -18,12 +18,12 @@
 
 const (
 	queueName = "q"
-	// pollWait is how long a front may hold a poll, callTimeout how long a caller
-	// tries one call at all fronts.
+	// pollWait is how long a front may hold a long poll, callTimeout how long a caller
+	// retries one call at all fronts.
 	pollWait    = 2 * time.Second
 	callTimeout = 15 * time.Second
 	pollPause   = 50 * time.Millisecond
-	// longWork is more than a hold.
+	// longWork is longer than a lease.
 	longWork = 4 * time.Second
 	// endlessFor is how long jobs that run until cancelled go on.
 	endlessFor = 5 * time.Second
@@ -31,7 +31,7 @@
 	finishTime = 60 * time.Second
 )
 
-// load is what callers hand in, evenly over a time.
+// load is what callers submit, evenly over a time.
 type load struct {
 	over time.Duration
 	jobs int
@@ -49,7 +49,7 @@
 	endless bool
 }
 
-// plan draws the jobs of a load by the day's seed.
+// plan draws the jobs of a load by the seed of the scenario.
 func (f *fleet) plan(work load) []plannedJob {
 	random := rand.New(rand.NewPCG(f.seed, 0x6c6f6164))
 	var jobs []plannedJob
@@ -67,8 +67,9 @@
 	return jobs
 }
 
-// drawJob draws one of the shapes of jobs: chains of short tasks, longer tasks
-// than a hold, tasks kept apart, groups in lockstep, and tasks that last.
+// drawJob draws one of the shapes of jobs: chains of short tasks, tasks longer than a
+// lease, tasks with a spread rule, gangs with a common outcome, and tasks that run
+// until cancelled.
 func (f *fleet) drawJob(random *rand.Rand) (spec api.JobSpec, endless bool) {
 	work := 200 + random.Int64N(800)
 	switch draw := random.IntN(10); {
@@ -129,7 +130,7 @@
 	return client
 }
 
-// submitLoad hands in a load and follows each job to its end.
+// submitLoad submits a load and follows each job to its end.
 func (f *fleet) submitLoad(ctx context.Context, work load) {
 	ctx, cancel := context.WithTimeout(ctx, work.over+finishTime)
 	defer cancel()
@@ -188,7 +189,7 @@
 	return c.record(entry, err)
 }
 
-// record notes the answer to a call.
+// record adds a call and its answer to the call log.
 func (c *caller) record(entry calllog.Entry, err error) calllog.Entry {
 	entry.Answered = c.fleet.now()
 	entry.Code, entry.Error = operator.Refusal(err)
@@ -196,8 +197,8 @@
 	return entry
 }
 
-// poll asks for a job once, and reports whether there is no more to ask: it is
-// over, or it was forgotten, which breaks a promise.
+// poll polls a job once, and reports whether there is nothing more to poll: it is
+// final, or it was lost, which breaks a promise.
 func (c *caller) poll(ctx context.Context, id string) (over bool) {
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/testbed/model/checker_test.go
+++ b/testbed/model/checker_test.go
@@ -13,21 +13,21 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// tolerances is what a day excuses.
+// tolerances is what a scenario allows beyond the promises.
 type tolerances struct {
-	// alone excuses members of groups that gave up waiting for the others: a
+	// alone excuses members of gangs that gave up waiting for the others: a
 	// disturbance was near.
 	alone bool
 	// minJobs is the least number of jobs that must have succeeded.
 	minJobs int
-	// learned is when a worker must be known as unsound, counted from when work of
+	// learned is when a worker must be known as unhealthy, counted from when work of
 	// jobsToTell jobs had failed there; maxFailed is how many runs may start there
 	// after that and fail, on all workers together; no bound if it is 0.
 	learned   time.Duration
 	maxFailed int
 }
 
-// observed is what was seen from outside.
+// observed is the history of the run.
 func (f *fleet) observed(loadFrom, loadTo monoclock.Nanos) checker.Input {
 	input := checker.Input{
 		Entries: f.calls.Entries(), Events: f.events, Config: firstConfig().WithDefaults(), Schedulers: names(f.schedulers),
@@ -82,8 +82,8 @@
 const jobsToTell = 3
 
 // failedWhereKnown counts the failed runs that started on a worker later than a time
-// after it could be told that the worker is unsound. What fails before is no fault of
-// the scheduler: a worker that had no work yet shows nothing.
+// after its failures showed that it is unhealthy. What fails before is no fault of the
+// scheduler: a worker that had no work yet shows nothing.
 func failedWhereKnown(events []eventlog.Event, after time.Duration) int {
 	type run struct {
 		task   string
@@ -118,7 +118,7 @@
 	return failed
 }
 
-// lastStates returns the state that each accepted job was last shown in.
+// lastStates returns the state that each accepted job was last reported in.
 func lastStates(entries []calllog.Entry) map[string]api.State {
 	states := map[string]api.State{}
 	for _, entry := range entries {
--- a/testbed/model/faults_test.go
+++ b/testbed/model/faults_test.go
@@ -11,7 +11,7 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// drawSlots draws places that no fault has yet, by the day's seed.
+// drawSlots draws worker slots that no fault has yet, by the seed of the scenario.
 func (s *scenarioRun) drawSlots(count int) []*workerSlot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -26,7 +26,7 @@
 	return drawn
 }
 
-// forEach does something in all places at once.
+// forEach does something for all slots at once.
 func forEach(slots []*workerSlot, what func(*workerSlot)) {
 	var all sync.WaitGroup
 	for _, one := range slots {
@@ -64,7 +64,7 @@
 	})
 }
 
-// partitionWorkers cuts workers' agents from all schedulers; the workers run on.
+// partitionWorkers partitions workers' agents from all schedulers; the workers run on.
 func (s *scenarioRun) partitionWorkers(ctx context.Context, slots []*workerSlot, length time.Duration) {
 	var agents []string
 	for _, one := range slots {
@@ -73,13 +73,13 @@
 	s.partition(ctx, length, agents, names(s.schedulers))
 }
 
-// isolateLeader cuts the leader from the other schedulers and from nothing else.
+// isolateLeader partitions the leader from the other schedulers and from nothing else.
 func (s *scenarioRun) isolateLeader(ctx context.Context, length time.Duration) {
 	leader := s.awaitLeader()
 	s.partition(ctx, length, []string{leader.name}, names(s.peers(leader)))
 }
 
-// partitionZone cuts the leader's zone from all others.
+// partitionZone partitions the leader's zone from all others.
 func (s *scenarioRun) partitionZone(ctx context.Context, length time.Duration) {
 	inside := s.processes(s.awaitLeader().zone)
 	outside := slices.DeleteFunc(s.processes(""), func(name string) bool { return slices.Contains(inside, name) })
@@ -102,8 +102,8 @@
 	}
 }
 
-// jumpClock has the wall clocks of the leader and of another voter jump, one ahead
-// and one back, and then back again.
+// jumpClock has the wall clocks of the leader and of another voter jump, one ahead and
+// one back, and then right again.
 func (s *scenarioRun) jumpClock(ctx context.Context, offset time.Duration) {
 	leader := s.awaitLeader()
 	other := slices.DeleteFunc(s.voters(), func(one *schedulerMachine) bool { return one == leader })[0]
@@ -114,7 +114,7 @@
 	other.wallOffset.Store(0)
 }
 
-// reorderAnswers has a share of what schedulers answer to agents come late.
+// reorderAnswers delays a share of what schedulers answer to agents.
 func (s *scenarioRun) reorderAnswers(ctx context.Context, probability float64, by, length time.Duration) {
 	end := s.network.reorder(probability, by, func(way link) bool {
 		return strings.HasPrefix(way.from, "scheduler-") && strings.HasPrefix(way.to, "agent-")
@@ -123,8 +123,8 @@
 	end()
 }
 
-// losePowerAfterAcknowledging has schedulers lose their power, with all that
-// they did not sync, at the moment at which an order is acknowledged.
+// losePowerAfterAcknowledging has schedulers lose power, with all that they did not
+// sync, right after an order is acknowledged.
 func (s *scenarioRun) losePowerAfterAcknowledging(ctx context.Context, machines []*schedulerMachine, down time.Duration) {
 	s.office.put(ctx, s.office.changedOrder(nil))
 	var ending sync.WaitGroup
@@ -140,9 +140,9 @@
 	s.office.read(ctx)
 }
 
-// loseLeadersWhileWorkEnds cuts a leader from the other schedulers, so that
-// nothing it is told can be committed, while workers still tell it of ends, and
-// then has it lose its power.
+// loseLeadersWhileWorkEnds partitions a leader from the other schedulers, so that
+// nothing it receives can be committed, while workers still report ends to it, and then
+// has it lose power.
 func (s *scenarioRun) loseLeadersWhileWorkEnds(ctx context.Context, times int) {
 	for range times {
 		leader := s.awaitLeader()
@@ -193,8 +193,8 @@
 	})
 }
 
-// missManyChanges has a scheduler away while the configuration changes many
-// times; it comes back, and the leader goes.
+// missManyChanges has a scheduler down while the configuration changes many times; it
+// returns, and the leader is stopped.
 func (s *scenarioRun) missManyChanges(ctx context.Context, changes int) {
 	leader := s.awaitLeader()
 	away := slices.DeleteFunc(s.voters(), func(one *schedulerMachine) bool { return one == leader })[0]
--- a/testbed/model/fleet_test.go
+++ b/testbed/model/fleet_test.go
@@ -54,10 +54,10 @@
 
 const (
 	// formTimeout bounds the forming of a fleet with all its voters, and every
-	// other wait of a day for the fleet to come to a state.
+	// other wait of a scenario for the fleet to come to a state.
 	formTimeout  = 30 * time.Second
 	pollInterval = 10 * time.Millisecond
-	// startReading is what the monotonic clock shows when a day begins.
+	// startReading is what the monotonic clock shows when a scenario begins.
 	startReading = monoclock.Nanos(time.Second)
 )
 
@@ -80,7 +80,7 @@
 	slots      []*workerSlot
 	gangs      gangs
 
-	// abort ends the day, once it cannot go on; nil before it begins.
+	// abort ends the scenario, once it cannot go on; nil before it begins.
 	abort context.CancelFunc
 
 	calls  *calllog.Log
@@ -88,7 +88,7 @@
 	events []eventlog.Event
 }
 
-// newFleet starts a fleet and waits until all seats are taken.
+// newFleet starts a fleet and waits until it has all voters.
 func newFleet(t *testing.T, size shape, seed uint64) *fleet {
 	t.Helper()
 	calls, err := calllog.Open("")
@@ -148,7 +148,7 @@
 
 func (f *fleet) zone(number int) string { return f.shape.zones[number%len(f.shape.zones)] }
 
-// seedOf draws a number that depends on the day's seed and a name alone.
+// seedOf draws a number that depends on the seed of the scenario and a name alone.
 func (f *fleet) seedOf(name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
@@ -175,10 +175,10 @@
 	f.network.close()
 }
 
-// now is the reading of the clock by which everything is noted.
+// now reads the clock by which everything is recorded.
 func (f *fleet) now() monoclock.Nanos { return startReading.Add(time.Since(f.started)) }
 
-// fault notes what was done to a process.
+// fault records what was done to a process.
 func (f *fleet) fault(entry calllog.Entry) {
 	entry.Kind = calllog.KindFault
 	entry.Sent = f.now()
@@ -199,7 +199,7 @@
 	}
 }
 
-// fail reports that a day cannot go on, and ends it.
+// fail reports that a scenario cannot go on, and ends it.
 func (f *fleet) fail(format string, arguments ...any) {
 	f.t.Helper()
 	f.t.Errorf(format, arguments...)
@@ -208,7 +208,7 @@
 	}
 }
 
-// leader returns the scheduler that acts, or nil.
+// leader returns the scheduler that acts as leader, or nil.
 func (f *fleet) leader() *schedulerMachine {
 	for _, one := range f.schedulers {
 		if one.leads() {
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// awaitLeader waits until a scheduler acts.
+// awaitLeader waits until a scheduler acts as leader.
 func (f *fleet) awaitLeader() *schedulerMachine {
 	var leader *schedulerMachine
 	f.await("a leader", func() bool {
@@ -240,12 +240,12 @@
 	})
 }
 
-// peers returns the schedulers but one.
+// peers returns the schedulers except one.
 func (f *fleet) peers(left *schedulerMachine) []*schedulerMachine {
 	return slices.DeleteFunc(slices.Clone(f.schedulers), func(one *schedulerMachine) bool { return one == left })
 }
 
-// partition stops what passes both ways between processes of two sets for a time.
+// partition blocks both directions between processes of two sets for a time.
 func (f *fleet) partition(ctx context.Context, length time.Duration, from, to []string) {
 	var links []link
 	for _, one := range from {
--- a/testbed/model/floods_test.go
+++ b/testbed/model/floods_test.go
@@ -16,7 +16,7 @@
 // floodOver is the time over which a flood comes.
 const floodOver = 2 * time.Second
 
-// submitImpossible hands in jobs that no worker has room for: each is refused.
+// submitImpossible submits jobs that no worker has the capacity for: each is rejected.
 func (s *scenarioRun) submitImpossible(ctx context.Context, count int) {
 	client := s.newClient(nil)
 	too := step("too-large", 1, payload{})
@@ -32,7 +32,7 @@
 	})
 }
 
-// floodCancelled hands in jobs and cancels each as soon as it was accepted.
+// floodCancelled submits jobs and cancels each as soon as it was accepted.
 func (s *scenarioRun) floodCancelled(ctx context.Context, count int) {
 	client := s.newClient(nil)
 	s.spread(ctx, count, func(number int) {
@@ -42,7 +42,7 @@
 	})
 }
 
-// burst hands in jobs at one moment.
+// burst submits jobs at one moment.
 func (s *scenarioRun) burst(ctx context.Context, count int) {
 	client := s.newClient(nil)
 	var callers sync.WaitGroup
@@ -67,7 +67,7 @@
 	all.Wait()
 }
 
-// refuseInvalid states a configuration that is wrong in itself.
+// refuseInvalid sends an invalid configuration, which must be rejected.
 func (o *operators) refuseInvalid(ctx context.Context) {
 	order := o.changedOrder(func(config *api.Config) { config.Queues = []api.QueueConfig{{Name: queueName, Weight: -1}} })
 	if o.put(ctx, order) {
--- a/testbed/model/gang_test.go
+++ b/testbed/model/gang_test.go
@@ -11,20 +11,20 @@
 	"github.com/decklever/decklever/api"
 )
 
-// gangTimeout is how long a member of a group waits for the others.
+// gangTimeout is how long a member of a gang waits for the others.
 const gangTimeout = 4 * time.Second
 
 var errAlone = errors.New("waited for the other members")
 
-// gangs bring the members of groups together: a member works only while all
-// members of the same run are there.
+// gangs synchronize the members of gangs: a member works only while all members of the
+// same run are there.
 type gangs struct {
 	mutex sync.Mutex
 	// arrived has, by step and run, a channel that is closed once all members
 	// are there, and how many are.
 	arrived map[string]*gang
 	// alone are members that gave up waiting, mixed those that came while
-	// another run of their group was at work.
+	// another run of their gang was at work.
 	alone, mixed []string
 	// working has the run numbers at work by step.
 	working map[string]map[uint32]int
--- a/testbed/model/mechanisms_test.go
+++ b/testbed/model/mechanisms_test.go
@@ -9,9 +9,9 @@
 	"github.com/decklever/decklever/internal/featuregate"
 )
 
-// TestPromises_HoldWithoutOptionalMechanisms: whatever an experiment switches off, alone or all
-// at once, no promise is broken, since none rests on it. Work may be slower: how many
-// jobs end in time is not asked.
+// TestPromises_HoldWithoutOptionalMechanisms: whatever an experiment switches off,
+// alone or all at once, no promise is broken, since none depends on it. Work may be
+// slower: how many jobs end in time is not checked.
 func TestPromises_HoldWithoutOptionalMechanisms(t *testing.T) {
 	t.Parallel()
 	sets := map[string][]featuregate.Feature{"all": featuregate.All()}
--- a/testbed/model/network_test.go
+++ b/testbed/model/network_test.go
@@ -14,7 +14,7 @@
 	// hopDelay within a zone.
 	zoneDelay = 1400 * time.Microsecond
 	hopDelay  = 100 * time.Microsecond
-	// dialTimeout ends attempts to reach a process that is cut off.
+	// dialTimeout ends attempts to reach a process that is partitioned.
 	dialTimeout = 1500 * time.Millisecond
 	// pipeChunks and pipeChunkBytes bound what is on its way on a connection.
 	pipeChunks     = 256
@@ -29,32 +29,31 @@
 // link is one direction between two processes.
 type link struct{ from, to string }
 
-// network carries data between the processes of a fleet. What is sent on a
-// link that is cut is lost, and the connection hangs, as it does when packets
-// are dropped.
+// network carries data between the processes of a fleet. What is sent on a partitioned
+// link is lost, and the connection stalls, as it does when packets are dropped.
 type network struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 	// zones are those of the processes by name.
-	zones     map[string]string
-	listeners map[string]*listener
-	cuts      map[link]int
-	// crossed is the share of what goes from schedulers to agents that comes
-	// late by crossedBy.
-	crossed   float64
-	crossedBy time.Duration
-	isCrossed func(link) bool
-	open      map[*connection]struct{}
-	pumps     sync.WaitGroup
+	zones      map[string]string
+	listeners  map[string]*listener
+	partitions map[link]int
+	// reorderProbability is the share of what goes from schedulers to agents that comes
+	// late by reorderDelay.
+	reorderProbability float64
+	reorderDelay       time.Duration
+	isReordered        func(link) bool
+	open               map[*connection]struct{}
+	pumps              sync.WaitGroup
 }
 
 func newNetwork(seed uint64) *network {
 	return &network{
-		random:    rand.New(rand.NewPCG(seed, 0x6e6574)),
-		zones:     map[string]string{},
-		listeners: map[string]*listener{},
-		cuts:      map[link]int{},
-		open:      map[*connection]struct{}{},
+		random:     rand.New(rand.NewPCG(seed, 0x6e6574)),
+		zones:      map[string]string{},
+		listeners:  map[string]*listener{},
+		partitions: map[link]int{},
+		open:       map[*connection]struct{}{},
 	}
 }
 
@@ -109,12 +108,12 @@
 		defer cancel()
 		n.mutex.Lock()
 		target := n.listeners[address]
-		cut := target != nil && (n.cuts[link{from, target.process}] > 0 || n.cuts[link{target.process, from}] > 0)
+		partitioned := target != nil && (n.partitions[link{from, target.process}] > 0 || n.partitions[link{target.process, from}] > 0)
 		n.mutex.Unlock()
 		if target == nil {
 			return nil, errRefused
 		}
-		if cut {
+		if partitioned {
 			<-ctx.Done()
 			return nil, errCutOff
 		}
@@ -156,13 +155,13 @@
 	delete(c.network.open, c)
 }
 
-// chunk is data on its way.
+// chunk is data in flight.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// pump carries data one way, late by the way's length, until an end closes.
+// pump forwards data in one direction, delayed by the link, until an end closes.
 func (c *connection) pump(from, to net.Conn, way link) {
 	chunks := make(chan chunk, pipeChunks)
 	var reading sync.WaitGroup
@@ -195,10 +194,11 @@
 	}
 }
 
+// partitioned reports whether a link is partitioned now.
 func (n *network) partitioned(way link) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.cuts[way] > 0
+	return n.partitions[way] > 0
 }
 
 func (n *network) delay(way link) time.Duration {
@@ -208,14 +208,13 @@
 	if n.zones[way.from] != n.zones[way.to] {
 		delay = zoneDelay
 	}
-	if n.crossed > 0 && n.isCrossed(way) && n.random.Float64() < n.crossed {
-		delay += n.crossedBy
+	if n.reorderProbability > 0 && n.isReordered(way) && n.random.Float64() < n.reorderProbability {
+		delay += n.reorderDelay
 	}
 	return delay + time.Duration(n.random.Int64N(int64(hopDelay)))
 }
 
-// partition stops what passes on links until heal is called; connections on them are
-// reset then.
+// partition blocks links until heal is called; connections on them are reset then.
 func (n *network) partition(links ...link) (heal func()) {
 	n.change(links, 1)
 	return func() {
@@ -230,7 +229,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, one := range links {
-		n.cuts[one] += by
+		n.partitions[one] += by
 	}
 }
 
@@ -264,15 +263,15 @@
 	}
 }
 
-// reorder holds up a share of what passes on links until the end is called.
+// reorder delays a share of what is sent on links until end is called.
 func (n *network) reorder(probability float64, by time.Duration, on func(link) bool) (end func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.crossed, n.crossedBy, n.isCrossed = probability, by, on
+	n.reorderProbability, n.reorderDelay, n.isReordered = probability, by, on
 	return func() {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
-		n.crossed = 0
+		n.reorderProbability = 0
 	}
 }
 
--- a/testbed/model/operators_test.go
+++ b/testbed/model/operators_test.go
@@ -15,7 +15,7 @@
 	"github.com/decklever/decklever/testbed/operator"
 )
 
-// operators is the operators, who state configurations.
+// operators is the operators, who change the configuration.
 type operators struct {
 	fleet  *fleet
 	client *api.Client
@@ -25,7 +25,7 @@
 	version uint64
 	config  api.Config
 	serial  int
-	// kept are orders that were acknowledged, to be sent again later.
+	// kept are acknowledged orders, to be sent again later.
 	kept []sentOrder
 }
 
@@ -36,7 +36,7 @@
 	version uint64
 }
 
-// firstConfig is in force when a day begins.
+// firstConfig is in force when a scenario begins.
 func firstConfig() api.Config {
 	return api.Config{Queues: []api.QueueConfig{{Name: queueName, DefaultAllowedFailures: 6}}}
 }
@@ -63,8 +63,8 @@
 	return sentOrder{id: fmt.Sprintf("order-%d", o.serial), base: o.version, config: config}
 }
 
-// changedOrder is the newest configuration with another mark, by which it can be
-// told from all others.
+// changedOrder is the newest configuration with a value that no other has, by which it
+// can be identified.
 func (o *operators) changedOrder(change func(*api.Config)) sentOrder {
 	o.mutex.Lock()
 	config := o.config
@@ -77,8 +77,8 @@
 	return o.next(config)
 }
 
-// put sends an order until there is a plain answer, and reports whether it was
-// taken.
+// put sends an order until there is a final answer, and reports whether it was
+// accepted.
 func (o *operators) put(ctx context.Context, order sentOrder) bool {
 	ctx, cancel := context.WithTimeout(ctx, formTimeout)
 	defer cancel()
@@ -160,8 +160,8 @@
 	}
 }
 
-// resendAll sends every order that was taken once more: each is acknowledged
-// again, with its version.
+// resendAll sends every accepted order once more: each is acknowledged again, with its
+// version.
 func (o *operators) resendAll(ctx context.Context) {
 	o.mutex.Lock()
 	kept := append([]sentOrder(nil), o.kept...)
@@ -173,7 +173,7 @@
 	}
 }
 
-// drainZone empties a zone by the configuration, and takes that back.
+// drainZone drains a zone by the configuration, and ends that after a time.
 func (o *operators) drainZone(ctx context.Context, zone string, length time.Duration) {
 	o.put(ctx, o.changedOrder(func(config *api.Config) { config.Drains.Zones = []string{zone} }))
 	contexttime.Sleep(ctx, length)
--- a/testbed/model/processes_test.go
+++ b/testbed/model/processes_test.go
@@ -68,7 +68,7 @@
 	f.fronts[name] = made
 }
 
-// agentMachine is an agent; processes on it come and go.
+// agentMachine is a machine with an agent, which can be stopped and started again.
 type agentMachine struct {
 	linkedProcess
 	agent atomic.Pointer[agent.Agent]
--- a/testbed/model/scenarios_test.go
+++ b/testbed/model/scenarios_test.go
@@ -13,26 +13,26 @@
 	"github.com/decklever/decklever/internal/contexttime"
 )
 
-// scenario is one bad day.
+// scenario is a load with the faults that happen beside it.
 type scenario struct {
 	load load
 	// lostAnswers is the share of answers to operators that are lost.
 	lostAnswers float64
 	allowed     tolerances
-	// happen causes what makes the day bad, beside the load.
+	// happen causes the faults, beside the load.
 	happen func(context.Context, *scenarioRun)
 }
 
-// scenarioRun is a day under way.
+// scenarioRun is a scenario in progress.
 type scenarioRun struct {
 	*fleet
 	office *operators
 	events sync.WaitGroup
-	// struck are the places that a fault was drawn for.
+	// struck are the slots that a fault was drawn for.
 	struck map[*workerSlot]bool
 }
 
-// atTime has something happen at a time after the load's beginning.
+// atTime does something at a time after the beginning of the load.
 func (s *scenarioRun) atTime(ctx context.Context, when time.Duration, what func(context.Context)) {
 	s.events.Go(func() {
 		if contexttime.Sleep(ctx, when) {
@@ -44,11 +44,12 @@
 // settleTime lets stops take effect after the last job.
 const settleTime = time.Second
 
-// seedsVariable is the number of seeds of each day, for longer runs. The seeds
-// count from one; odd ones play the first grown shape, even ones the second.
+// seedsVariable is the number of seeds of each scenario, for longer runs. The seeds
+// count from one; odd ones use the first grown shape, even ones the second.
 const seedsVariable = "DECKLEVER_MODEL_SEEDS"
 
-// runOnGrownFleets plays a day with one seed, or with all up to the number asked for.
+// runOnGrownFleets runs a scenario with one seed, or with all seeds up to the number
+// that was given.
 func runOnGrownFleets(t *testing.T, seed uint64, one scenario) {
 	t.Helper()
 	seeds := []uint64{seed}
@@ -74,7 +75,7 @@
 	}
 }
 
-// runScenario plays a day on the virtual clock and judges it.
+// runScenario runs a scenario on the virtual clock and checks its history.
 func runScenario(t *testing.T, size shape, seed uint64, one scenario) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -112,8 +113,8 @@
 	})
 }
 
-// TestWorkers_DeparturesBreakNoPromise: workers drain and leave, are cut off and run on, and a zone
-// is emptied and taken back.
+// TestWorkers_DeparturesBreakNoPromise: workers drain and leave, are partitioned and
+// run on, and a zone is drained and used again.
 func TestWorkers_DeparturesBreakNoPromise(t *testing.T) {
 	t.Parallel()
 	runOnGrownFleets(t, 2, scenario{
@@ -127,9 +128,10 @@
 	})
 }
 
-// TestControl_FailuresBreakNoPromise: the leader is killed, is cut off from the other schedulers
-// for 22 s while agents still reach it, a zone is cut off, all schedulers are
-// restarted in turn, clocks jump, and answers come late and cross.
+// TestControl_FailuresBreakNoPromise: the leader is killed, is partitioned from the
+// other schedulers for 22 s while agents still reach it, a zone is partitioned, all
+// schedulers are restarted in turn, clocks jump, and answers come late and out of
+// order.
 func TestControl_FailuresBreakNoPromise(t *testing.T) {
 	t.Parallel()
 	runOnGrownFleets(t, 1, scenario{
@@ -145,10 +147,10 @@
 	})
 }
 
-// TestStorage_LostPowerAndDisksBreakNoPromise: right after an acknowledgement all schedulers lose
-// their power, then the leader its disk, and right after that was repaired a
-// second voter its own; leaders are lost while workers tell of ends; and a
-// scheduler comes back after hundreds of changes, to lead.
+// TestStorage_LostPowerAndDisksBreakNoPromise: right after an acknowledgement all
+// schedulers lose power, then the leader its disk, and right after that was repaired a
+// second voter its own; leaders are lost while workers report ends; and a scheduler
+// comes back after hundreds of changes, to lead.
 func TestStorage_LostPowerAndDisksBreakNoPromise(t *testing.T) {
 	t.Parallel()
 	runOnGrownFleets(t, 2, scenario{
--- a/testbed/model/scheduler_test.go
+++ b/testbed/model/scheduler_test.go
@@ -23,10 +23,10 @@
 
 const (
 	// snapshotEvery is small, so that snapshots and their transfer happen in a
-	// day, and keptEntries stay in the log behind one.
+	// scenario, and keptEntries stay in the log behind one.
 	snapshotEvery = 400
 	keptEntries   = 50
-	// handOverTimeout bounds the passing on of the lead and of a seat.
+	// handOverTimeout bounds the transfer of the leadership and of a voter slot.
 	handOverTimeout = 2 * time.Second
 )
 
@@ -36,7 +36,7 @@
 	name    string
 	zone    string
 	address string
-	// mayForm: its address is among the seeds.
+	// mayForm: it may bootstrap the cluster, as its address is among the seeds.
 	mayForm bool
 	// disks counts the disks that it had.
 	disks      int
@@ -123,7 +123,7 @@
 	m.store.Crash()
 }
 
-// terminate has the process hand over what it leads and end.
+// terminate has the process transfer its leadership and end.
 func (m *schedulerMachine) terminate() {
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
@@ -144,7 +144,7 @@
 	return m.stop != nil
 }
 
-// leads reports whether the machine acts under its lease.
+// leads reports whether the machine acts under its leader lease.
 func (m *schedulerMachine) leads() bool {
 	if !m.up() {
 		return false
@@ -153,5 +153,5 @@
 	return status.TermReady && m.running().HoldsLease(status.Term)
 }
 
-// membership is the newest that the machine knows.
+// membership is the newest membership that the machine knows.
 func (m *schedulerMachine) membership() raft.Membership { return m.running().Status().Membership }
--- a/testbed/model/spread_test.go
+++ b/testbed/model/spread_test.go
@@ -12,13 +12,12 @@
 	"github.com/decklever/decklever/testbed/checker"
 )
 
-// placeBound is how soon a task starts where there is room for many times more.
+// placeBound is how soon a task starts where there is capacity for many times more.
 const placeBound = 1500 * time.Millisecond
 
-// TestSpread_TasksStartWithoutDelay: with room on every worker, tasks that may not
-// share one start as soon as any others. A planner that does not know the rule
-// would have its placements rejected by the record, and they would start one
-// after the other.
+// TestSpread_TasksStartWithoutDelay: with capacity on every worker, tasks that may not
+// share one start as soon as any others. A planner that does not know the rule would
+// have its placements rejected by the record, and they would start one after the other.
 func TestSpread_TasksStartWithoutDelay(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/testbed/model/worker_test.go
+++ b/testbed/model/worker_test.go
@@ -20,7 +20,7 @@
 
 const (
 	serviceName = "work"
-	// progressPause is how often a run says how far it is.
+	// progressPause is how often a run reports its progress.
 	progressPause = 100 * time.Millisecond
 	// clockSlow is by how much every other worker's clock runs slow, in percent.
 	clockSlow = 2
@@ -41,7 +41,8 @@
 
 var errUnsound = errors.New("the worker is unsound")
 
-// workerSlot is where a worker stands; incarnations come and go.
+// workerSlot is a machine and address for one worker at a time, over all of its
+// incarnations.
 type workerSlot struct {
 	fleet  *fleet
 	number int
@@ -56,7 +57,7 @@
 	behaves behaviour
 }
 
-// incarnation is one life of a worker's process.
+// incarnation is one start of a worker's process.
 type incarnation struct {
 	worker *worker.Worker
 	// dead is closed at a crash, leave ends it in order, and over is closed once
@@ -75,7 +76,7 @@
 	}
 }
 
-// startWorkers brings up a worker in each place.
+// startWorkers starts a worker in each slot.
 func (f *fleet) startWorkers() {
 	for number := range f.shape.workers {
 		agentName := fmt.Sprintf("agent-%d", number+1)
@@ -88,7 +89,7 @@
 	}
 }
 
-// described is what the judge knows of the worker.
+// described is what the checker must know of the worker.
 func (p *workerSlot) described() checker.Worker {
 	return checker.Worker{
 		Name: p.name, Zone: p.zone, Capacity: workerCapacity(), Services: []string{serviceName}, Labels: p.labels(),
@@ -102,7 +103,7 @@
 
 func kindOf(number int) string { return []string{"a", "b"}[number%2] }
 
-// start brings a new incarnation up.
+// start starts a new incarnation.
 func (p *workerSlot) start() {
 	started := &incarnation{dead: make(chan struct{}), over: make(chan struct{})}
 	began := time.Now()
@@ -141,7 +142,7 @@
 	}()
 }
 
-// record journals what an incarnation that lives does.
+// record logs what an incarnation does, until it crashes.
 func (p *workerSlot) record(started *incarnation, event worker.Event, kind eventlog.Kind) {
 	if started.isDead() {
 		return
@@ -167,7 +168,7 @@
 	started.leave()
 }
 
-// drain has the incarnation end in order, and waits for that.
+// drain has the incarnation shut down gracefully, and waits for that.
 func (p *workerSlot) drain() {
 	p.mutex.Lock()
 	started := p.present
@@ -184,7 +185,7 @@
 	p.behaves = behaves
 }
 
-// drawnRun is what becomes of one run.
+// drawnRun is the drawn fate of one run.
 type drawnRun struct {
 	fails, stalls bool
 	slower        int
--- a/testbed/report/phases_test.go
+++ b/testbed/report/phases_test.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/testbed/eventlog"
 )
 
-// add hands in a job of one task of a class that starts at a time.
+// add submits a job of one task of a class that starts at a time.
 func add(input *checker.Input, class calllog.Class, id string, millis, start int64) {
 	spec := &api.JobSpec{Steps: []api.StepSpec{{Name: "s", Tasks: []api.TaskSpec{{Service: "swap"}}}}}
 	input.Entries = append(input.Entries, calllog.Entry{
--- a/testbed/run/rollout.go
+++ b/testbed/run/rollout.go
@@ -22,7 +22,7 @@
 			return
 		case <-ticker.C:
 			limited, cancel := context.WithTimeout(ctx, rolloutTimeout)
-			_, _ = t.operatorClient.Rollout(limited) // the ledger has the failure
+			_, _ = t.operatorClient.Rollout(limited) // the call log has the failure
 			cancel()
 		}
 	}
--- a/testbed/scale/scale_test.go
+++ b/testbed/scale/scale_test.go
@@ -50,7 +50,7 @@
 			t.Errorf("%+v: %d names in %d zones", size, len(names), len(zonesSeen))
 		}
 		if cpu < int64(size.Tasks)*taskCPU || devices != int64(size.accelerators()) || devices < int64(size.Gangs*size.GangSize) {
-			t.Errorf("%+v: room for %d tasks and %d devices", size, cpu/taskCPU, devices)
+			t.Errorf("%+v: capacity for %d tasks and %d devices", size, cpu/taskCPU, devices)
 		}
 		hollowNodes := 0
 		for _, spec := range l.hollow {
--- a/testbed/scenario/jobs_test.go
+++ b/testbed/scenario/jobs_test.go
@@ -25,7 +25,7 @@
 }
 
 // valid asserts that all jobs are taken and that no id comes twice. It returns
-// the number of tasks and their room by class.
+// the number of tasks and their resources by class.
 func valid(t *testing.T, d deployment.Deployment, jobs []load.Job) (map[calllog.Class]int, map[calllog.Class]api.Resources) {
 	t.Helper()
 	ids := map[string]bool{}
@@ -60,7 +60,7 @@
 			}
 		}
 		if d.Shapes.Short.Queue == run.queue || d.Shapes.Batch.Queue == run.queue {
-			t.Errorf("%s: ordinary work is handed in for the booked queue", name)
+			t.Errorf("%s: ordinary work is submitted to the booked queue", name)
 		}
 	}
 }
