--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -126,7 +126,8 @@
 	}
 }
 
-// runOpened takes over an open run.
+// runOpened takes over an open run. The planner takes its capacity before the worker and
+// the gang learn of it: what they do may have it closed at once.
 func (l *leader) runOpened(open *record.Run, by placedBy) *runState {
 	task := open.Task
 	run := newRunState(open, by, l.now())
@@ -159,6 +160,7 @@
 	return run
 }
 
+// runStopping records that the record has a run stop.
 func (l *leader) runStopping(open *record.Run) {
 	run, known := l.assignments.runs[open.ID()]
 	if !known {
@@ -171,6 +173,8 @@
 	}
 }
 
+// runClosed frees what a run took. The planner comes first: a gang that breaks by it
+// offers its members again at once.
 func (l *leader) runClosed(open *record.Run, outcome api.Outcome) {
 	run := l.assignments.remove(open.ID())
 	if run == nil {
@@ -188,6 +192,7 @@
 	l.metrics.runsClosed.WithLabelValues(string(outcome)).Inc()
 }
 
+// jobEnded forgets a job, and wakes those that wait for its end.
 func (l *leader) jobEnded(job *record.Job) {
 	l.jobWaiters.jobEnded(job.ID)
 	l.repeats.Remove(job.ID)
@@ -205,7 +210,8 @@
 	}
 }
 
-// configChangedTo takes over a configuration.
+// configChangedTo takes over a configuration. Tasks are ordered anew last, when the
+// planner knows the queues that they are in.
 func (l *leader) configChangedTo(version uint64, config *api.Config) {
 	orderChanged := l.settings.config != nil && !sameOrder(l.settings.config, config)
 	l.settings.set(version, config)
@@ -260,6 +266,7 @@
 	l.registry.updatePlannerWorker(worker)
 }
 
+// workerForgotten drops what is known of a worker that the record dropped.
 func (l *leader) workerForgotten(info *record.Worker) {
 	if l.registry.forget(info) {
 		l.health.tracker.Forget(info.ID)
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -46,7 +46,7 @@
 	return l.answerHeartbeat(ctx, observed, acknowledged)
 }
 
-// observation is a heartbeat in work.
+// observation is a heartbeat in progress.
 type observation struct {
 	request protocol.HeartbeatRequest
 	worker  *workerEntry
--- a/internal/scheduler/leaderstalls.go
+++ b/internal/scheduler/leaderstalls.go
@@ -8,15 +8,15 @@
 const (
 	// heartbeatGapWeight is the weight of a new pause in the average of pauses.
 	heartbeatGapWeight = 1.0 / 64
-	// maxHeartbeatGapIntervals bounds one pause in the average, in heartbeat intervals: a worker
-	// that was cut off says nothing of how soon the others are seen.
+	// maxHeartbeatGapIntervals bounds one pause in the average, in heartbeat intervals: a
+	// worker that was partitioned says nothing of how soon the others are seen.
 	maxHeartbeatGapIntervals = 4
 	// lateTickThreshold is by how much a tick has to be late to count: timers are never
 	// exact.
 	lateTickThreshold = tickInterval
 )
 
-// lateness is what a leader knows of its own delays. Time for which the process
+// stallTracker is what a leader knows of its own delays. Time for which the process
 // itself stalled, and time that heartbeats wait before they are read, are no
 // missed heartbeats of workers.
 type stallTracker struct {
@@ -30,30 +30,30 @@
 }
 
 // observeTick records that a tick came now, and returns by how much it was late.
-func (d *stallTracker) observeTick(now time.Duration) time.Duration {
-	late := now - d.lastTick - tickInterval
-	isFirst := d.lastTick == 0
-	d.lastTick = now
+func (s *stallTracker) observeTick(now time.Duration) time.Duration {
+	late := now - s.lastTick - tickInterval
+	isFirst := s.lastTick == 0
+	s.lastTick = now
 	if isFirst || late < lateTickThreshold {
 		return 0
 	}
-	d.total += late
+	s.total += late
 	return late
 }
 
 // observeHeartbeatGap records for how long a worker was not seen after an answer that
 // named an interval.
-func (d *stallTracker) observeHeartbeatGap(gap, interval time.Duration) {
+func (s *stallTracker) observeHeartbeatGap(gap, interval time.Duration) {
 	gap = min(gap, maxHeartbeatGapIntervals*interval)
-	if d.heartbeatGap == 0 {
-		d.heartbeatGap = interval
+	if s.heartbeatGap == 0 {
+		s.heartbeatGap = interval
 	}
-	d.heartbeatGap += time.Duration(heartbeatGapWeight * float64(gap-d.heartbeatGap))
+	s.heartbeatGap += time.Duration(heartbeatGapWeight * float64(gap-s.heartbeatGap))
 }
 
 // expectedHeartbeatGap is how soon after an answer a worker is seen again at present.
-func (d *stallTracker) expectedHeartbeatGap(interval time.Duration) time.Duration {
-	return max(interval, d.heartbeatGap)
+func (s *stallTracker) expectedHeartbeatGap(interval time.Duration) time.Duration {
+	return max(interval, s.heartbeatGap)
 }
 
 // observeTick records that the leader's own tick came now.
@@ -76,7 +76,7 @@
 }
 
 // heartbeatDelay is for how long the worker could have been seen since its newest
-// answer and was not. While a heartbeat is in work the worker waits for its answer,
+// answer and was not. While a heartbeat is in progress the worker waits for its answer,
 // and misses none.
 func (r *workerRegistry) heartbeatDelay(worker *workerEntry, now time.Duration) time.Duration {
 	if !worker.answered() || worker.seq != worker.answeredSeq {
@@ -85,8 +85,8 @@
 	return now - worker.answeredAt - r.leaderStallSince(worker)
 }
 
-// missesHeartbeats reports whether the worker's next heartbeat is overdue, by the pace at which
-// the others are seen at present.
+// missesHeartbeats reports whether the worker's next heartbeat is overdue, by the pace at
+// which the others are seen at present.
 func (r *workerRegistry) missesHeartbeats(worker *workerEntry, now time.Duration) bool {
 	return r.heartbeatDelay(worker, now) > missedHeartbeatsLimit*r.stalls.expectedHeartbeatGap(r.heartbeatInterval())
 }
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -49,8 +49,8 @@
 // lease is until when a worker may be running what it was given.
 type lease struct {
 	expiresAt time.Duration
-	// expirations counts how often expiresAt has passed; a heartbeat that was in work
-	// meanwhile gets no answer.
+	// expirations counts how often expiresAt has passed; a heartbeat that was in
+	// progress meanwhile gets no answer.
 	expirations uint64
 	// lastExpired is the expiresAt that has passed last.
 	lastExpired time.Duration
