--- a/testbed/load/load_test.go
+++ b/testbed/load/load_test.go
@@ -45,6 +45,40 @@
 	}
 }
 
+func TestPlanner_DrawsShareOfRarerRules(t *testing.T) {
+	d, err := deployment.New("restrepo", 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const count = 5000
+	plain, special := newPlanner(7, "short", d.Shapes.Short, false), newPlanner(7, "short", d.Shapes.Short, true)
+	var resent, timed, gangs int
+	for range count {
+		if one := plain.next(); one.timed || one.spec.Steps[0].Together {
+			t.Fatalf("%s has a rarer rule, which was not allowed", one.id)
+		}
+		one := special.next()
+		resent += ifTrue(one.resend)
+		timed += ifTrue(one.timed)
+		gangs += ifTrue(one.spec.Steps[0].Together)
+	}
+	for name, drawn := range map[string]struct {
+		count int
+		share float64
+	}{"resent": {resent, resendShare}, "timed": {timed, timedShare}, "gangs": {gangs, gangShare}} {
+		if share := float64(drawn.count) / count; share < drawn.share/2 || share > 2*drawn.share {
+			t.Errorf("%s: a share of %.3f, want about %.3f", name, share, drawn.share)
+		}
+	}
+}
+
+func ifTrue(condition bool) int {
+	if condition {
+		return 1
+	}
+	return 0
+}
+
 // standIn is a front that knows every job and lets it end at its second poll.
 type standIn struct {
 	mutex sync.Mutex
