--- a/testbed/scale/scale_test.go
+++ b/testbed/scale/scale_test.go
@@ -6,7 +6,10 @@
 	"testing"
 	"time"
 
+	"github.com/decklever/decklever/api"
+	"github.com/decklever/decklever/testbed/calllog"
 	"github.com/decklever/decklever/testbed/deployment"
+	"github.com/decklever/decklever/testbed/monoclock"
 )
 
 func TestFit_FindsSlopesOfExactValues(t *testing.T) {
@@ -94,7 +97,7 @@
 	}
 }
 
-func TestStartDelays_CountUnstartedTasks(t *testing.T) {
+func TestDelaysOf_ReturnsPercentiles(t *testing.T) {
 	var delays []time.Duration
 	for number := range 100 {
 		delays = append(delays, time.Duration(100-number)*time.Millisecond)
@@ -107,3 +110,16 @@
 		t.Errorf("delays of nothing are %+v", none)
 	}
 }
+
+func TestAddDelays_CountsTasksThatNeverStarted(t *testing.T) {
+	second := monoclock.Nanos(time.Second)
+	spec := &api.JobSpec{Queue: queueBulk, Steps: []api.StepSpec{{Name: "s", Tasks: make([]api.TaskSpec, 3)}}}
+	submit := calllog.Entry{Kind: calllog.KindSubmit, Sent: second, Answered: second, JobID: "j", Spec: spec}
+	late := submit
+	late.Sent, late.JobID = 9*second, "late"
+	result := Result{Window: [2]monoclock.Nanos{0, 10 * second}}
+	addDelays(&result, []calllog.Entry{submit, late}, map[string]monoclock.Nanos{"j/s/0": 2 * second, "j/s/2": 3 * second})
+	if result.Unstarted != 1 || result.Plain.Count != 2 || result.Submit.Count != 1 {
+		t.Errorf("%d unstarted, %d started, %d submitted, want 1, 2 and 1", result.Unstarted, result.Plain.Count, result.Submit.Count)
+	}
+}
