--- a/internal/scheduler/admissioncontrol.go
+++ b/internal/scheduler/admissioncontrol.go
@@ -58,7 +58,7 @@
 }
 
 // refusesLate reports whether a queue refuses a job that would end too late. What goes
-// before others by its priority, or later by its own time, is let in.
+// before others by its priority, or later by its own time, is admitted.
 func refusesLate(queue *api.QueueConfig, spec *api.JobSpec) bool {
 	rule := queue.Objective
 	return rule != nil && rule.RefuseBeyond != 0 && spec.Priority <= 0 && !isTimed(spec)
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -79,7 +79,7 @@
 	// subject says whose bound it is, in messages.
 	subject string
 	limit   int
-	// ownIndex is the place of the job's queue in queues; waiting is what they hold.
+	// ownIndex is the place of the job's queue in queues; waiting is what waits in them.
 	ownIndex int
 	queues   []admission.Share
 	waiting  int
--- a/internal/scheduler/calendar/calendar.go
+++ b/internal/scheduler/calendar/calendar.go
@@ -17,7 +17,7 @@
 )
 
 // horizon is how far ahead windows are worked out at a time; working them out
-// anew costs a walk over every schedule.
+// again costs a walk over every schedule.
 const horizon = 10 * time.Minute
 
 // Calendar holds the windows of the configuration's reservations that concern the
@@ -26,7 +26,7 @@
 	logger *slog.Logger
 	// queues are those of the configuration in force.
 	queues []api.QueueConfig
-	// computedUntil is how far windows are worked out; zero forces it anew.
+	// computedUntil is how far windows are worked out; zero forces it again.
 	computedUntil time.Time
 	windows       []reservation.Window
 	// released has the ends of the windows that were given back.
@@ -40,7 +40,7 @@
 	return Calendar{logger: logger, released: make(map[string]time.Time)}
 }
 
-// Configure takes over the queues of a configuration. Everything is worked out anew at
+// Configure takes over the queues of a configuration. Everything is worked out again at
 // the next refresh.
 func (c *Calendar) Configure(queues []api.QueueConfig) {
 	c.queues = queues
--- a/internal/scheduler/cancel.go
+++ b/internal/scheduler/cancel.go
@@ -29,7 +29,7 @@
 }
 
 // cancelMany cancels jobs in bounded batches. If a batch fails, those before it
-// are cancelled; the same call again goes on with the rest.
+// are cancelled; the same call again continues with the rest.
 func (l *leader) cancelMany(ctx context.Context, request protocol.CancelManyRequest) (protocol.CancelManyAnswer, error) {
 	jobs := l.cancellable(request.Cancel)
 	for batch := range slices.Chunk(jobs, cancelBatch) {
--- a/internal/scheduler/conflicts.go
+++ b/internal/scheduler/conflicts.go
@@ -21,7 +21,7 @@
 // cannot be true by the record, so that nothing follows from a worker's report
 // against it. They are logged and acknowledged. A run that is open elsewhere
 // stays open there. A run that was never assigned is closed as lost, as its worker
-// would not start it any more; one that goes on all the same counts as assigned.
+// would not start it any more; one that still runs counts as assigned.
 func (a *assignments) quarantineConflicts(worker *workerEntry, differences *reconciliation) {
 	differences.ended = slices.DeleteFunc(differences.ended, func(end record.RunEnd) bool {
 		run := worker.runs[end.Run]
--- a/internal/scheduler/departure.go
+++ b/internal/scheduler/departure.go
@@ -88,9 +88,9 @@
 
 // mustStopNow decides on a run while its worker has some time left; a stop is
 // in the record lead after it was decided. Work without an end of its own moves
-// at once. What surely ends is left alone. All else goes on until there is just
+// at once. What surely ends is left alone. All else continues until there is just
 // the time to stop it, so that resumable work leaves its checkpoint as late as
-// it can; only work that would be lost in any case is not gone on with.
+// it can; only work that would be lost in any case is not continued.
 func mustStopNow(run departingRun, left, lead time.Duration) bool {
 	switch {
 	case run.untilCancelled:
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -19,7 +19,7 @@
 //   - gangs: steps whose tasks start together, and those with a common outcome
 //   - calendar: the windows of reservations
 //   - admissionControl: SLO tracking by queue, submissions that are being committed
-//   - healthReview: what runs tell of workers and of their own progress
+//   - healthReview: what runs show of workers and of their own progress
 //   - drains: drained workers and zones, departures
 //   - repeats: occurrences to be added
 //   - proposer: the leader's own commands until they are committed
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -35,7 +35,7 @@
 	configured *api.DrainConfig
 	// grace is how long runs may go on after their worker was drained.
 	grace time.Duration
-	// zones are those drained by orders, beside the configuration.
+	// zones are those drained by orders, in addition to the configuration.
 	zones []string
 	ends  runEnder
 }
@@ -67,7 +67,7 @@
 	return count
 }
 
-// causeOf tells what drains a worker: the configuration, an order on its
+// causeOf returns what drains a worker: the configuration, an order on its
 // zone, or nothing.
 func (d *drains) causeOf(worker *workerEntry) drainCause {
 	switch {
--- a/internal/scheduler/errors.go
+++ b/internal/scheduler/errors.go
@@ -22,7 +22,7 @@
 
 func (t *term) notLeader() *rpc.Error { return notLeaderError(t.log) }
 
-// proposalError tells the caller whether its command may have had an effect.
+// proposalError says to the caller whether its command may have had an effect.
 func (t *term) proposalError(err error) *rpc.Error {
 	switch {
 	case errors.Is(err, replica.ErrNotLeader):
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -210,7 +210,7 @@
 	}
 }
 
-// configChangedTo takes over a configuration. Tasks are ordered anew last, when the
+// configChangedTo takes over a configuration. Tasks are ordered again last, when the
 // planner knows the queues that they are in.
 func (l *leader) configChangedTo(version uint64, config *api.Config) {
 	orderChanged := l.settings.config != nil && !sameOrder(l.settings.config, config)
--- a/internal/scheduler/expire.go
+++ b/internal/scheduler/expire.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// expireInterval is the pause between two looks at the archive.
+	// expireInterval is the pause between two reviews of the archive.
 	expireInterval = 10 * time.Second
 	// DefaultArchiveBytes bounds the archive, in bytes.
 	DefaultArchiveBytes = 24 << 20
-	// expireBatches bounds the drops at one look at the archive.
+	// expireBatches bounds the drops at one review of the archive.
 	expireBatches = 10
 	// expireBatch bounds what one log entry drops from the archive.
 	expireBatch = 1000
--- a/internal/scheduler/getjob.go
+++ b/internal/scheduler/getjob.go
@@ -27,7 +27,7 @@
 	return l.jobAnswer(l.status(request.ID, request.Brief))
 }
 
-// jobAnswer gives out a state only while the lease shows that it is the
+// jobAnswer returns a state only while the lease shows that it is the
 // newest.
 func (l *leader) jobAnswer(status api.JobStatus, err error) (protocol.JobAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
--- a/internal/scheduler/healthreview.go
+++ b/internal/scheduler/healthreview.go
@@ -17,11 +17,11 @@
 	// maxProbationEstimate: tasks of at most this estimate try workers on probation first.
 	maxProbationEstimate = 2 * time.Second
 	// maxFreshStartPercent is the greatest percent of a run's first report at which its
-	// total time says something: one that goes on from a checkpoint begins later.
+	// total time says something: one that resumes from a checkpoint begins later.
 	maxFreshStartPercent = 5
 )
 
-// healthReview is what a leader has learned of workers and of how work goes on. It
+// healthReview is what a leader has learned of workers and of how work progresses. It
 // lives in memory: a new leader starts afresh.
 type healthReview struct {
 	*environment
@@ -58,7 +58,7 @@
 	}
 }
 
-// advise tells the planner what the leader has learned about a task: where not
+// advise gives the planner what the leader has learned about a task: where not
 // to run it again, and whether it may try a worker on probation. Its last
 // attempt may not.
 func (h *healthReview) advise(planned *placement.Task, task *record.Task) {
@@ -144,7 +144,7 @@
 	return run.stepSize
 }
 
-// hasAll reports whether the labels hold all that are wanted.
+// hasAll reports whether the labels have all that are wanted.
 func hasAll(labels, wanted map[string]string) bool {
 	for key, value := range wanted {
 		if labels[key] != value {
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -157,6 +157,6 @@
 	l.offerChanged(l.pending.refreshRanks(clusterNow))
 	l.releaseTimers(clusterNow)
 	l.proposer.enqueueExpansions(l.repeats.TakeDue(clusterNow))
-	// The planner frees capacity step by step, and goes on although nothing came.
+	// The planner frees capacity step by step, and continues although nothing came.
 	l.wake()
 }
--- a/internal/scheduler/leaderstalls.go
+++ b/internal/scheduler/leaderstalls.go
@@ -92,7 +92,7 @@
 }
 
 // observeHeartbeatGap observes a heartbeat that is seen now, before the worker is answered
-// anew. After a prompt answer, and in the first answer of a term, the pause differs.
+// again. After a prompt answer, and in the first answer of a term, the pause differs.
 func (r *workerRegistry) observeHeartbeatGap(worker *workerEntry, now time.Duration) {
 	if !worker.answered() || worker.answeredPromptly || worker.lease.expired {
 		return
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -90,7 +90,7 @@
 	l.proposer.enqueueStop(run, record.StopPreempted)
 }
 
-// revokeRejected offers tasks anew whose placement no longer held when it was
+// revokeRejected offers tasks again whose placement no longer held when it was
 // applied.
 func (l *leader) revokeRejected(rejected []record.RunID) {
 	if len(rejected) == 0 {
--- a/internal/scheduler/proposer.go
+++ b/internal/scheduler/proposer.go
@@ -95,7 +95,7 @@
 	signal(p.wake)
 }
 
-// take returns what is queued, and begins anew.
+// take returns what is queued, and starts empty.
 func (p *proposer) take() ownCommands {
 	taken := p.pending
 	p.clear()
--- a/internal/scheduler/ranks.go
+++ b/internal/scheduler/ranks.go
@@ -131,7 +131,7 @@
 	return *a == *b
 }
 
-// reorder ranks every waiting task anew, since a change of a queue's priority or
+// reorder ranks every waiting task again, since a change of a queue's priority or
 // objective changes where each stands. It returns those that are to be offered again.
 func (p *pendingWork) reorder(config *api.Config) []*waitingTask {
 	now := p.clusterNow()
--- a/internal/scheduler/registry.go
+++ b/internal/scheduler/registry.go
@@ -136,7 +136,7 @@
 }
 
 // registeredWorkers returns the workers that the record knows. The list is made
-// anew after a change of any of them, and never changed once it is made.
+// again after a change of any of them, and never changed once it is made.
 func (r *workerRegistry) registeredWorkers() []placement.Worker {
 	if r.registered == nil {
 		r.registered = make([]placement.Worker, 0, len(r.byName))
--- a/internal/scheduler/slo/tracker.go
+++ b/internal/scheduler/slo/tracker.go
@@ -37,7 +37,7 @@
 )
 
 // Tracker follows how fast the tasks of queues start. It lives in memory: a
-// new leader learns it anew.
+// new leader learns it again.
 type Tracker struct {
 	// now reads the monotonic clock.
 	now func() time.Duration
--- a/internal/scheduler/submit.go
+++ b/internal/scheduler/submit.go
@@ -47,8 +47,8 @@
 	return &api.Error{Status: http.StatusConflict, Code: api.CodeConflict, Message: "job " + id + " is known with other content"}
 }
 
-// checkFeasible refuses tasks that no known worker could hold even when empty.
-// While no worker is known nothing can be said, and all is let in. Tasks in a
+// checkFeasible refuses tasks that no known worker has the capacity for even when empty.
+// While no worker is known nothing can be said, and all is admitted. Tasks in a
 // row that ask for the same are examined once.
 func (l *leader) checkFeasible(spec *api.JobSpec) error {
 	l.mu.Lock()
