--- a/testbed/checker/placement.go
+++ b/testbed/checker/placement.go
@@ -105,8 +105,8 @@
 // checkSpread (P5): no start puts more runs of a step into a domain than its spread
 // rule allows.
 func (f *facts) checkSpread() []Violation {
-	type place struct{ job, step, by, domain string }
-	open := map[place]int{}
+	type stepDomain struct{ job, step, by, domain string }
+	open := map[stepDomain]int{}
 	var found []Violation
 	for _, change := range changes(f.runs) {
 		spread := f.spec(change.one.name).Spread
@@ -114,7 +114,7 @@
 			continue
 		}
 		name := change.one.name
-		at := place{name.Job, name.Step, spread.By, f.workers[change.one.Worker].domain(spread.By)}
+		at := stepDomain{name.Job, name.Step, spread.By, f.workers[change.one.Worker].domain(spread.By)}
 		if !change.start {
 			open[at]--
 			continue
