--- a/api/config.go
+++ b/api/config.go
@@ -103,8 +103,8 @@
 	// Name is unique in the queue, 1 to 64 of a-z, 0-9, '-', '_' or '.'.
 	// Required.
 	Name string `json:"name"`
-	// Cron is a schedule of five fields: minute, hour, day of month, month,
-	// day of week. Its times are local; Schedule documents changes of local
+	// Cron is a schedule of five fields: minute, hour, day of the month, month and
+	// day of the week. Its times are local; Schedule documents changes of local
 	// time.
 	Cron string `json:"cron,omitempty"`
 	// DailyAt is a local time of each day, "HH:MM". On a day without that
