--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -12,12 +12,24 @@
 // "raft.Node" in its figure.
 var codeName = regexp.MustCompile("[`\"]([a-z][a-z0-9]*)((?:\\.[A-Za-z][A-Za-z0-9]*){1,2})[`\",]")
 
-// TestArchitecturePage_NamesWhatExists checks each name of the page against the
-// declarations of the package that it names.
+// pagesThatNameCode are the pages that lead a reader through the code by its names.
+var pagesThatNameCode = []string{"ARCHITECTURE.md", "notes/first-change.md", "operating/late-job.md"}
+
+// TestArchitecturePage_NamesWhatExists checks each name of the page, and of those that
+// lead through the code in the same way, against the declarations of the package that it
+// names.
 func TestArchitecturePage_NamesWhatExists(t *testing.T) {
 	folders := foldersByPackage(t)
+	for _, page := range pagesThatNameCode {
+		t.Run(page, func(t *testing.T) { checkNames(t, page, folders) })
+	}
+}
+
+// checkNames checks the names of one page.
+func checkNames(t *testing.T, page string, folders map[string]string) {
+	t.Helper()
 	declared := map[string]map[string]bool{}
-	names := codeName.FindAllStringSubmatch(read(t, "ARCHITECTURE.md"), -1)
+	names := codeName.FindAllStringSubmatch(read(t, page), -1)
 	if len(names) == 0 {
 		t.Fatal("the page names no function; the pattern is wrong")
 	}
@@ -27,14 +39,14 @@
 			continue // a file
 		}
 		if folders[packageName] == "" {
-			t.Errorf("ARCHITECTURE.md names %s.%s; there is no package %s", packageName, name, packageName)
+			t.Errorf("%s names %s.%s; there is no package %s", page, packageName, name, packageName)
 			continue
 		}
 		if declared[packageName] == nil {
 			declared[packageName] = declarations(t, folders[packageName])
 		}
 		if !declared[packageName][name] {
-			t.Errorf("ARCHITECTURE.md names %s.%s, which %s does not declare", packageName, name, folders[packageName])
+			t.Errorf("%s names %s.%s, which %s does not declare", page, packageName, name, folders[packageName])
 		}
 	}
 }
--- a/docs/contributing_test.go
+++ b/docs/contributing_test.go
@@ -12,17 +12,24 @@
 
 // TestContributing_NamedFilesExist: the files that a contributor is sent to are there.
 func TestContributing_NamedFilesExist(t *testing.T) {
-	content, err := os.ReadFile(filepath.Join(repository, "CONTRIBUTING.md"))
+	for _, page := range []string{"CONTRIBUTING.md", "docs/notes/first-change.md"} {
+		t.Run(page, func(t *testing.T) { checkNamedFiles(t, page) })
+	}
+}
+
+func checkNamedFiles(t *testing.T, page string) {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join(repository, page))
 	if err != nil {
 		t.Fatal(err)
 	}
 	named := namedFile.FindAllSubmatch(content, -1)
 	if len(named) == 0 {
-		t.Fatal("CONTRIBUTING.md names no file")
+		t.Fatal("the page names no file")
 	}
 	for _, file := range named {
 		if _, err := os.Stat(filepath.Join(repository, string(file[1]))); err != nil {
-			t.Errorf("CONTRIBUTING.md names %s: %v", file[1], err)
+			t.Errorf("%s names %s: %v", page, file[1], err)
 		}
 	}
 }
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -33,8 +33,10 @@
 //
 // Choice. Best fit, "fill the fullest": of the workers on which a task fits, the one
 // with the least free takes it, so that large holes stay for large tasks. Preferences
-// are weighed before fullness and never make a task wait. A task that runs until
-// cancelled takes as a last resort whatever capacity there is.
+// are weighed before fullness and never make a task wait, but for the locality wait. A
+// task of a queue with headroom leaves part of a worker free, and waits for that while its
+// service is highly utilized. A task that runs until cancelled takes as a last resort
+// whatever capacity there is.
 //
 // Reservations. Slots take capacity from the start of their window to its end, used or
 // not. Pending slots are assigned before anything else is placed; they move when their
--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -42,7 +42,7 @@
 //
 // # Order of steps
 //
-// For each Ready (loop.handleReady):
+// For each Ready (loop.drainReady, from step 2 on in loop.handleReady):
 //
 //  1. Publish the status before anything is sent. A leader that relinquishes its lease
 //     must stop claiming it before a message of this Ready lets another lead.
@@ -77,6 +77,7 @@
 //	replica.go, config.go, restore.go      construction, Run, what the store held
 //	log.go, errors.go                      what package scheduler sees
 //	loop.go, loopticker.go, ready.go       the loop
+//	apply.go                               what a committed entry does to the record
 //	mailbox.go                             the way into it
 //	published.go, watermark.go             the way out of it
 //	propose.go, appender.go, batchpacer.go proposals: callers' side, loop's side, batches
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -6,7 +6,7 @@
 // # Ownership
 //
 // A directory holds lock (one process at a time), log-NUMBER.wal (the write-ahead
-// log), snapshot (replaced as a whole), and archive.db. Store owns them all;
+// log), snapshot (replaced as a whole), and archive.db. Disk owns them all;
 // nothing else may write there. diskLog has two mutexes, snapshotMutex locked
 // before mutex. DiskArchive has one of its own, which may be locked last: diskLog
 // asks it for its newest transaction, and it never calls diskLog.
