--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -138,7 +138,8 @@
 	// then by Sequence. Queues with BySlack count as one in that, with the sum of their
 	// weights, and take turns by Sequence alone.
 	Plan(limit int) []Decision
-	// Reason says why a waiting task was passed over in the last pass.
+	// Reason says why a task waits, from the state at the time of the call; empty for one
+	// that does not wait. The texts are shown to users.
 	Reason(task record.TaskID) string
 	// Feasible reports whether any of the given workers, all empty, could hold the task;
 	// if not, why.
