--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -41,6 +41,13 @@
 
 // pages lists every Markdown file of the repository.
 func pages(t *testing.T) []string {
+	t.Helper()
+	return filesEndingIn(t, ".md")
+}
+
+// filesEndingIn lists the files of the repository whose names end so, but for those in
+// skipped folders.
+func filesEndingIn(t *testing.T, ending string) []string {
 	t.Helper()
 	var found []string
 	err := filepath.WalkDir(repository, func(path string, entry fs.DirEntry, err error) error {
@@ -50,14 +57,12 @@
 		if entry.IsDir() && skipped[entry.Name()] {
 			return fs.SkipDir
 		}
-		if !entry.IsDir() && filepath.Ext(path) == ".md" {
+		if !entry.IsDir() && strings.HasSuffix(path, ending) {
 			found = append(found, path)
 		}
 		return nil
 	})
-	if err != nil {
-		t.Fatal(err)
-	}
+	must(t, err)
 	return found
 }
 
--- a/docs/testnames_test.go
+++ b/docs/testnames_test.go
@@ -1,7 +1,6 @@
 package docs_test
 
 import (
-	"io/fs"
 	"path/filepath"
 	"regexp"
 	"strings"
@@ -39,19 +38,5 @@
 // testFiles lists the test files of the repository.
 func testFiles(t *testing.T) []string {
 	t.Helper()
-	var found []string
-	err := filepath.WalkDir(repository, func(path string, entry fs.DirEntry, err error) error {
-		if err != nil {
-			return err
-		}
-		if entry.IsDir() && skipped[entry.Name()] {
-			return fs.SkipDir
-		}
-		if strings.HasSuffix(path, "_test.go") {
-			found = append(found, path)
-		}
-		return nil
-	})
-	must(t, err)
-	return found
+	return filesEndingIn(t, "_test.go")
 }
--- a/internal/compatibility/stored/earlier_test.go
+++ b/internal/compatibility/stored/earlier_test.go
@@ -33,12 +33,7 @@
 func TestEarlierCommands_AreAppliedTheSame(t *testing.T) {
 	for _, commit := range []string{bboltLogCommit, firstWALCommit} {
 		t.Run(commit, func(t *testing.T) {
-			store, err := storage.OpenDisk(storage.DiskConfig{Directory: t.TempDir()})
-			if err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(func() { _ = store.Close() })
-			machine := newMachine(store)
+			machine := newMachine(emptyStore(t))
 			for i, line := range strings.Fields(string(readGolden(t, earlier(commit+".commands.txt")))) {
 				data, err := hex.DecodeString(line)
 				if err != nil {
@@ -55,6 +50,17 @@
 	}
 }
 
+// emptyStore opens a new data folder for the time of the test.
+func emptyStore(t *testing.T) *storage.Disk {
+	t.Helper()
+	store, err := storage.OpenDisk(storage.DiskConfig{Directory: t.TempDir()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = store.Close() })
+	return store
+}
+
 // encodesTheSame decodes a command and encodes it again.
 func encodesTheSame(t *testing.T, data []byte) {
 	t.Helper()
@@ -76,12 +82,7 @@
 func TestEarlierSnapshot_IsReadAndWrittenTheSame(t *testing.T) {
 	for _, commit := range []string{bboltLogCommit, firstWALCommit} {
 		t.Run(commit, func(t *testing.T) {
-			store, err := storage.OpenDisk(storage.DiskConfig{Directory: t.TempDir()})
-			if err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(func() { _ = store.Close() })
-			machine := newMachine(store)
+			machine := newMachine(emptyStore(t))
 			snapshot := readGolden(t, earlier(commit+".snapshot"))
 			if err := machine.Restore(bytes.NewReader(snapshot)); err != nil {
 				t.Fatal(err)
