--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -11,57 +11,65 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// Backfill reservations. Capacity that comes free piece by piece goes to small tasks, and
-// a large task waits for as long as there are such. A burst that defers has small tasks
-// without end, so that large tasks of the other queues would wait until it is over,
-// although they go first. So, as in EASY backfilling (Lifka, "The ANL/IBM SP scheduling
-// system", 1995), for each shape of task that found no worker one worker is reserved: that
-// which is expected to have the capacity first, its shadow time. What goes after the task
-// leaves that worker alone until the task is placed. Other than in EASY, a task that would
-// end before the shadow time is not let onto the reserved worker.
+// Backfill reservations. Where capacity is freed in small pieces, small tasks take each
+// piece, and a large task waits for as long as small ones are waiting. A burst of a queue
+// that defers has a steady supply of small tasks, so it would keep large tasks of the
+// other queues waiting until it is over, although those tasks go first. So, as in EASY
+// backfilling (Lifka, "The ANL/IBM SP scheduling system", 1995), one worker is reserved
+// for each sub-queue of those other queues that found no worker: the worker that is
+// expected to have the capacity earliest. That moment is its shadow time. Tasks that go
+// after the first task of the sub-queue leave that worker alone until the task is placed.
+// Unlike in EASY, a task that would end before the shadow time is not placed on the
+// reserved worker either.
 
 const (
-	// backfillWorkerDivisor: one worker in so many is reserved at most.
+	// backfillWorkerDivisor bounds the reserved workers of a priority level to this
+	// fraction of all workers: 1/backfillWorkerDivisor.
 	backfillWorkerDivisor = 2
-	// maxBackfillReservations bounds the workers reserved in one pass: each costs a look
-	// at all workers.
+	// maxBackfillReservations bounds the reserved workers of a priority level: to find
+	// each one takes a scan of all workers.
 	maxBackfillReservations = 16
-	// maxBackfillCandidates bounds the workers whose runs are looked at for one sub-queue.
+	// maxBackfillCandidates bounds the workers whose shadow time is computed for one
+	// sub-queue.
 	maxBackfillCandidates = 32
 )
 
-// backfillReservations owns the workers that are reserved for a sub-queue, and
-// worker.backfillFor.
+// backfillReservations owns the list of workers that are reserved for a sub-queue, and
+// the field worker.backfillFor.
 type backfillReservations struct {
-	// disabled has no worker reserved.
+	// disabled is set if no worker is to be reserved.
 	disabled bool
-	// reserved are the workers with backfillFor, between two passes. Capacity that comes free
-	// there piece by piece must not go to others before it is enough.
+	// reserved are the workers with backfillFor set. They stay reserved between two
+	// passes: capacity that is freed there in pieces must not go to other tasks before it
+	// suffices.
 	reserved []*worker
-	// blocked are sub-queues that fitted in the last pass only on workers reserved for
-	// others; the next pass looks at them again.
+	// blocked are sub-queues whose first task or gang fitted in the last pass only on
+	// workers reserved for others. The next pass activates them.
 	blocked []*subQueue
 
 	clock   *clock
 	workers *workerIndex
 }
 
-// levelBackfill is the reservations of one priority level during a pass.
+// levelBackfill holds the backfill reservations of one priority level during a pass.
 type levelBackfill struct {
-	all *backfillReservations
-	// competing are the queues that share by slack; none while no queue defers and no
+	backfill *backfillReservations
+	// competing are the queues of the level with BySlack; empty if no queue defers and no
 	// worker is reserved.
 	competing competingQueues
-	// reserved are the workers that are reserved now; made is set once those sub-queues
-	// that found no worker before have one.
-	reserved []*worker
-	made     bool
-	// deferredTo are the queues whose sub-queues get one.
+	// reserved are the workers reserved in this level now; initialized is set once
+	// reserveWorkers has reserved workers for the sub-queues that found none in earlier
+	// passes.
+	reserved    []*worker
+	initialized bool
+	// deferredTo is true for the queues whose sub-queues get reservations: those to which
+	// another queue defers.
 	deferredTo map[*fairshare.Queue]bool
 }
 
-// dropStale ends reservations for sub-queues that wait no longer, and of workers
-// that will not have it.
+// dropStale drops the reservations whose sub-queue no longer waits as unschedulable,
+// whose service is no longer short of processors, or whose worker can no longer run the
+// class, even once the runs that have an end are over.
 func (b *backfillReservations) dropStale() {
 	b.reserved = slices.DeleteFunc(b.reserved, func(w *worker) bool {
 		sub := w.backfillFor
@@ -73,7 +81,7 @@
 	})
 }
 
-// activateBlocked lets the pass look at the sub-queues that the last one blocked.
+// activateBlocked lets the pass look at the sub-queues that the last pass blocked.
 func (b *backfillReservations) activateBlocked() {
 	for _, sub := range b.blocked {
 		if len(sub.tasks) > 0 {
@@ -83,22 +91,23 @@
 	b.blocked = nil
 }
 
-// block has the next pass look at a sub-queue again.
+// block lets the next pass look at a sub-queue again.
 func (b *backfillReservations) block(sub *subQueue) { b.blocked = append(b.blocked, sub) }
 
-// begin starts with a level, and takes over the workers that are reserved in it.
+// begin returns the reservations of a level for this pass, starting with the workers that
+// earlier passes reserved.
 func (b *backfillReservations) begin(level *priorityLevel, anyDeferences bool) *levelBackfill {
-	found := &levelBackfill{all: b, reserved: b.take(level)}
-	if anyDeferences || len(found.reserved) > 0 {
-		found.competing = competingQueuesOf(level)
+	opened := &levelBackfill{backfill: b, reserved: b.reassign(level)}
+	if anyDeferences || len(opened.reserved) > 0 {
+		opened.competing = competingQueuesOf(level)
 	}
-	return found
+	return opened
 }
 
-// take returns the workers that are reserved for sub-queues of a level. Which of them is
-// for which sub-queue is decided anew, since what went before may have taken capacity there:
-// the sub-queue that goes first gets the worker with the earliest shadow time.
-func (b *backfillReservations) take(level *priorityLevel) []*worker {
+// reassign returns the workers that are reserved for sub-queues of a level, and chooses
+// anew which worker each sub-queue gets: earlier placements may have taken capacity
+// there. The sub-queue that goes first gets the worker with the earliest shadow time.
+func (b *backfillReservations) reassign(level *priorityLevel) []*worker {
 	var reserved []*worker
 	var subQueues []*subQueue
 	for _, w := range b.reserved {
@@ -109,64 +118,68 @@
 	}
 	slices.SortFunc(subQueues, compareFirstTask)
 	for _, sub := range subQueues {
-		if on := b.earliestWorker(sub.class); on != nil {
-			on.backfillFor = sub
-			reserved = append(reserved, on)
+		if w := b.earliestWorker(sub.class); w != nil {
+			w.backfillFor = sub
+			reserved = append(reserved, w)
 		}
 	}
 	return reserved
 }
 
-// end hands the workers that are still reserved in a level to the next pass.
+// end keeps the workers that are still reserved in a level for the next pass.
 func (r *levelBackfill) end(level *priorityLevel) {
-	b := r.all
+	b := r.backfill
 	b.reserved = slices.DeleteFunc(b.reserved, func(w *worker) bool {
 		return w.backfillFor == nil || w.backfillFor.parent.level == level
 	})
 	b.reserved = append(b.reserved, r.reserved...)
 }
 
-// reserveWorkers reserves, once a pass, workers for sub-queues that found no worker before.
+// reserveWorkers reserves workers, once a pass, for the sub-queues that found no worker
+// in earlier passes.
 func (r *levelBackfill) reserveWorkers() {
-	if r.made || r.all.disabled {
+	if r.initialized || r.backfill.disabled {
 		return
 	}
-	r.made = true
+	r.initialized = true
 	r.deferredTo = r.competing.deferredTo()
-	var without []*subQueue
+	var unschedulable []*subQueue
 	for _, q := range r.competing {
 		if r.deferredTo[q.queue] {
-			without = q.appendUnschedulable(without)
+			unschedulable = q.appendUnschedulable(unschedulable)
 		}
 	}
-	slices.SortFunc(without, compareFirstTask)
-	for _, sub := range without {
+	slices.SortFunc(unschedulable, compareFirstTask)
+	for _, sub := range unschedulable {
 		if r.indexFor(sub) < 0 {
 			r.reserveFor(sub)
 		}
 	}
 }
 
-// indexFor is the index of the worker that is reserved for a sub-queue; negative without.
+// indexFor returns the index in reserved of the worker that is reserved for a sub-queue,
+// or -1 if there is none.
 func (r *levelBackfill) indexFor(sub *subQueue) int {
 	return slices.IndexFunc(r.reserved, func(w *worker) bool { return w.backfillFor == sub })
 }
 
-// reserveFor reserves a worker for a sub-queue, unless so many are reserved already or
-// most processors of its service are free: then nothing is to wait beside free capacity.
+// reserveFor reserves a worker for a sub-queue. It does nothing if the level has its
+// maximum of reserved workers, or if the service is not short of processors: no task
+// should wait while many processors are free.
 func (r *levelBackfill) reserveFor(sub *subQueue) {
-	bound := min(len(r.all.workers.byID)/backfillWorkerDivisor, maxBackfillReservations)
-	if len(r.reserved) >= bound || !sub.class.isProcessorBound() {
+	maxReserved := min(len(r.backfill.workers.byID)/backfillWorkerDivisor, maxBackfillReservations)
+	if len(r.reserved) >= maxReserved || !sub.class.isProcessorBound() {
 		return
 	}
-	if on := r.all.earliestWorker(sub.class); on != nil {
-		on.backfillFor = sub
-		r.reserved = append(r.reserved, on)
+	if w := r.backfill.earliestWorker(sub.class); w != nil {
+		w.backfillFor = sub
+		r.reserved = append(r.reserved, w)
 	}
 }
 
-// update takes over what became of a sub-queue: one that was placed needs no worker any
-// more, one that found no worker gets one.
+// update adjusts the reservations after an attempt to place from the sub-queue: a
+// sub-queue without tasks loses its worker; one that found no worker gets one if another
+// queue defers to its queue.
 func (r *levelBackfill) update(sub *subQueue) {
 	at := r.indexFor(sub)
 	placed := len(sub.tasks) == 0
@@ -179,7 +192,7 @@
 	}
 }
 
-// appendUnschedulable adds the sub-queues of classes that found no worker.
+// appendUnschedulable appends the queue's sub-queues whose class is unschedulable.
 func (q *priorityQueue) appendUnschedulable(subQueues []*subQueue) []*subQueue {
 	for c, sub := range q.subQueues {
 		if c.unschedulable {
@@ -189,53 +202,56 @@
 	return subQueues
 }
 
-// backfillCandidate is a worker that may be reserved for a class, and how much it lacks.
+// backfillCandidate is a worker that may be reserved for a class. shortfall is the
+// normalized size of what it has too little of for one task now.
 type backfillCandidate struct {
-	worker *worker
-	lacks  float64
+	worker    *worker
+	shortfall float64
 }
 
-// earliestWorker returns the candidate with the earliest shadow time; nil if none will
-// ever have the capacity.
+// earliestWorker returns the candidate with the earliest shadow time, ties by name; nil
+// if no worker will have the capacity.
 func (b *backfillReservations) earliestWorker(c *equivalenceClass) *worker {
 	var best *worker
-	var least record.Millis
+	var earliest record.Millis
 	for _, candidate := range b.candidates(c) {
 		w := candidate.worker
-		at := w.shadowTime(c.key.need, b.clock.now)
-		if best == nil || cmp.Or(cmp.Compare(at, least), compareName(w, best)) < 0 {
-			best, least = w, at
+		shadowTime := w.shadowTime(c.key.need, b.clock.now)
+		if best == nil || cmp.Or(cmp.Compare(shadowTime, earliest), compareName(w, best)) < 0 {
+			best, earliest = w, shadowTime
 		}
 	}
 	return best
 }
 
-// candidates returns the workers of the class's pool that lack least of what it needs now,
-// of those that are not reserved yet and will have it once the runs that have an end are
-// over.
+// candidates returns up to maxBackfillCandidates workers of the class's pool, smallest
+// shortfall first. It leaves out workers that are reserved already and those on which the
+// class would not fit once the runs that have an end are over.
 func (b *backfillReservations) candidates(c *equivalenceClass) []backfillCandidate {
-	least := make([]backfillCandidate, 0, maxBackfillCandidates+1)
+	closest := make([]backfillCandidate, 0, maxBackfillCandidates+1)
 	for _, w := range c.pool.workers {
 		if w.backfillFor != nil || !c.fitsOnceRunsEnd(w) {
 			continue
 		}
-		lacks := resources.NormalizedSize(resources.Lacking(c.key.need, c.availableOn(w)), b.workers.largest)
-		one := backfillCandidate{worker: w, lacks: lacks}
-		if len(least) == maxBackfillCandidates && one.lacks >= least[maxBackfillCandidates-1].lacks {
+		shortfall := resources.NormalizedSize(resources.Shortfall(c.key.need, c.availableOn(w)), b.workers.largestCapacity)
+		candidate := backfillCandidate{worker: w, shortfall: shortfall}
+		if len(closest) == maxBackfillCandidates && candidate.shortfall >= closest[maxBackfillCandidates-1].shortfall {
 			continue
 		}
-		// Those that lack as much stay in the order of the pool: a new one goes after them.
-		at, _ := slices.BinarySearchFunc(least, one, func(a, b backfillCandidate) int {
-			return cmp.Or(cmp.Compare(a.lacks, b.lacks), -1)
+		// Workers with equal shortfall stay in the order of the pool, so a new one goes
+		// after them.
+		at, _ := slices.BinarySearchFunc(closest, candidate, func(a, b backfillCandidate) int {
+			return cmp.Or(cmp.Compare(a.shortfall, b.shortfall), -1)
 		})
-		least = slices.Insert(least, at, one)
-		least = least[:min(len(least), maxBackfillCandidates)]
+		closest = slices.Insert(closest, at, candidate)
+		closest = closest[:min(len(closest), maxBackfillCandidates)]
 	}
-	return least
+	return closest
 }
 
-// shadowTime is when the worker will have what is needed, if all its runs end as expected
-// and nothing else comes. A run that is overdue ends at any moment.
+// shadowTime returns when the worker will have what is needed, if its runs end as
+// expected and no run is added; forever if it will not. A run that is overdue is taken to
+// end now, one that runs until cancelled never ends.
 func (w *worker) shadowTime(need api.Resources, now record.Millis) record.Millis {
 	free := w.free
 	if fits(need, free) {
@@ -256,28 +272,28 @@
 	return forever
 }
 
-// fitsOnceRunsEnd reports whether the class fits on the worker once the runs that have an
-// end are over.
+// fitsOnceRunsEnd reports whether the class fits on the worker once all runs there have
+// ended, except those counted in worker.longRunning.
 func (c *equivalenceClass) fitsOnceRunsEnd(w *worker) bool {
 	return !w.restricted && withinSpread(c.spread, &w.Worker) &&
 		fits(c.key.need, w.Capacity.Sub(w.longRunning)) && c.fitsBesideReservedSlots(w)
 }
 
-// isProcessorBound reports whether the class's service is short of processors.
+// isProcessorBound reports whether the class's service is highly utilized in processors.
 func (c *equivalenceClass) isProcessorBound() bool {
 	return c.utilization.IsProcessorBound(c.key.selector.service)
 }
 
-// backfillSearch is a search for the first task of a sub-queue, or for its gang, while
-// workers are reserved for others.
+// backfillSearch describes a search for the first task of a sub-queue, or for its gang,
+// while workers are reserved for others.
 type backfillSearch struct {
 	subQueue *subQueue
-	// defers is set if the sub-queue's queue defers now.
+	// defers is set if the queue of the sub-queue defers to others now.
 	defers bool
 }
 
-// excludes reports whether the search leaves the worker alone: it is reserved for a task
-// that goes first.
+// excludes reports whether the search must skip the worker, because it is reserved for a
+// task of the same priority level that goes first. A nil search excludes no worker.
 func (s *backfillSearch) excludes(w *worker) bool {
 	switch {
 	case s == nil, w.backfillFor == nil, w.backfillFor == s.subQueue, w.backfillFor.parent.level != s.subQueue.parent.level:
@@ -289,7 +305,8 @@
 	}
 }
 
-// planNext plans what is first in the queue. It returns false once the pass is over.
+// planNext plans the first active sub-queue of the queue. It returns false once the pass
+// is over.
 func (p *pass) planNext(q *priorityQueue, r *levelBackfill) bool {
 	first := q.active[0]
 	if len(r.competing) == 0 {
@@ -303,9 +320,9 @@
 	return p.planAroundReservations(first, r.competing.defers(q.queue))
 }
 
-// planAroundReservations places the first task of the sub-queue, or its gang, off the
-// workers that are reserved for what goes before it. What finds capacity there only is looked
-// at again in the next pass. It returns false once the pass is over.
+// planAroundReservations places the first task of the sub-queue, or its gang, without the
+// workers that are reserved for tasks that go before it. A task that fits only on those
+// workers is blocked until the next pass. It returns false once the pass is over.
 func (p *pass) planAroundReservations(sub *subQueue, defers bool) bool {
 	classes := sub.searchedClasses()
 	setBackfillSearch(classes, &backfillSearch{subQueue: sub, defers: defers})
@@ -313,7 +330,7 @@
 	if sub.class == nil {
 		return p.planGangAroundReservations(sub)
 	}
-	if sub.class.unschedulable || p.hasFitOrNone(sub) {
+	if sub.class.unschedulable || p.isUnaffectedByBackfill(sub) {
 		return p.planSubQueue(sub)
 	}
 	sub.deactivate()
@@ -321,22 +338,23 @@
 	return true
 }
 
-// planGangAroundReservations is planAroundReservations for a gang. One that fits, as far
-// as the number of fits tells, may lack only workers that are reserved.
+// planGangAroundReservations is planAroundReservations for a gang. Its class counts
+// include the reserved workers: if they show no shortage, the gang may lack only those
+// workers, and is blocked until the next pass.
 func (p *pass) planGangAroundReservations(sub *subQueue) bool {
-	goesOn := p.placeGang(sub)
+	proceed := p.placeGang(sub)
 	if len(sub.awaitedClasses) == 0 {
-		return goesOn
+		return proceed
 	}
 	if short, _ := sub.findShortage(); short == nil {
 		p.engine.backfill.block(sub)
 	}
-	return goesOn
+	return proceed
 }
 
-// hasFitOrNone reports whether the first task of the sub-queue fits off the reserved
-// workers, or on none at all.
-func (p *pass) hasFitOrNone(sub *subQueue) bool {
+// isUnaffectedByBackfill reports whether the first task of the sub-queue fits on a worker
+// that is not excluded, or fits on no worker at all, excluded or not.
+func (p *pass) isUnaffectedByBackfill(sub *subQueue) bool {
 	if _, found := p.engine.finder.findTarget(sub.tasks[0]); found {
 		return true
 	}
@@ -347,7 +365,8 @@
 	return !found
 }
 
-// searchedClasses returns the classes for which a target is searched.
+// searchedClasses returns the classes for which placing from the sub-queue searches
+// targets.
 func (sub *subQueue) searchedClasses() []*equivalenceClass {
 	if sub.class == nil {
 		return sub.classes()
@@ -355,7 +374,7 @@
 	return []*equivalenceClass{sub.class}
 }
 
-// setBackfillSearch has searches for classes leave reserved workers alone.
+// setBackfillSearch sets the backfill search of the classes; nil ends it.
 func setBackfillSearch(classes []*equivalenceClass, s *backfillSearch) {
 	for _, c := range classes {
 		c.backfill = s
--- a/internal/placement/backfill_test.go
+++ b/internal/placement/backfill_test.go
@@ -8,7 +8,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// deferringEngine has workers "w1", "w2", ... with 4 cpu each, and "burst" deferring to "calm".
+// deferringEngine returns an engine with workers "w1", "w2", ... of 4 CPU each, the
+// queues "burst" and "calm" with BySlack, and the given deferences.
 func deferringEngine(workers int, deferences ...Deference) *Engine {
 	var all []Worker
 	for number := range workers {
@@ -28,7 +29,8 @@
 	return task
 }
 
-// hold has a worker run tasks of "burst" of one cpu each.
+// holdBurst adds count runs of "burst" to a worker, of one CPU each, and returns their
+// tasks.
 func holdBurst(e *Engine, worker string, count int) []Task {
 	var running []Task
 	for number := range count {
@@ -39,13 +41,15 @@
 	return running
 }
 
-// TestBackfill_WorkerReservedForLargeTask: two workers are full of small runs of "burst", which
-// has more of them that came first. A task of "calm" needs a whole worker.
+// TestBackfill_WorkerReservedForLargeTask: two workers are full of small runs of "burst",
+// which has more small tasks waiting with a lower Sequence. A task of "calm" needs a
+// complete worker. Unless "burst" defers to "calm", small tasks take each freed piece.
 func TestBackfill_WorkerReservedForLargeTask(t *testing.T) {
 	cases := []struct {
-		name   string
-		yields []Deference
-		// want is what is placed as the runs of w1 end one by one, and then one of w2.
+		name       string
+		deferences []Deference
+		// want lists what is placed after each run of w1 ends, then after one run of w2
+		// ends.
 		want string
 	}{
 		{"no queue defers", nil, "s0@w1, s1@w1, s2@w1, s3@w1, s4@w2"},
@@ -54,7 +58,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			e := deferringEngine(2, c.yields...)
+			e := deferringEngine(2, c.deferences...)
 			ending := append(holdBurst(e, "w1", 4), holdBurst(e, "w2", 4)[0])
 			e.Add(queueTask("calm", "large", 100, 4))
 			for number := range 10 {
@@ -80,10 +84,11 @@
 	return strings.Join(texts, " ")
 }
 
-// TestBackfill_TasksThatRespectReservation: w1 has three free cpu of four and is reserved for a task that
-// needs all; w2 is full, so that w1 is the only free capacity. A task of the queue that defers
-// waits as well.
-func TestBackfill_TasksThatRespectReservation(t *testing.T) {
+// TestBackfill_OnlyEarlierTasksUseReservedWorker: w1 has three of four CPU free and is
+// reserved for a task that needs all four. w2 is full, so w1 has the only free capacity.
+// A task of the queue that defers waits in each case, in addition to the tasks of the
+// case.
+func TestBackfill_OnlyEarlierTasksUseReservedWorker(t *testing.T) {
 	gang := gangOf("group", 1, 1)
 	for at := range gang {
 		gang[at].Queue = "burst"
@@ -94,9 +99,9 @@
 		want  string
 	}{
 		{"the queue that defers", nil, ""},
-		{"a gang of it", gang, ""},
-		{"what comes later in the same queue", []Task{queueTask("calm", "small", 101, 1)}, ""},
-		{"not what came first in the same queue", []Task{queueTask("calm", "small", 99, 1)}, "small@w1"},
+		{"a gang of the queue that defers", gang, ""},
+		{"a later task of the same queue", []Task{queueTask("calm", "small", 101, 1)}, ""},
+		{"an earlier task of the same queue", []Task{queueTask("calm", "small", 99, 1)}, "small@w1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -116,14 +121,14 @@
 			}
 			e.Remove(queueTask("calm", "large", 100, 4).ID)
 			if len(e.Plan(99)) != len(c.tasks)+1 {
-				t.Error("what left the capacity does not get it once nothing waits for it")
+				t.Error("tasks that waited because of the reservation were not all placed once the large task was removed")
 			}
 		})
 	}
 }
 
-// TestBackfill_LongRunningTasksIgnoreReservation: a task that runs until cancelled takes whatever
-// capacity there is.
+// TestBackfill_LongRunningTasksIgnoreReservation: a task that runs until cancelled may
+// use any free capacity, on reserved workers too.
 func TestBackfill_LongRunningTasksIgnoreReservation(t *testing.T) {
 	e := deferringEngine(2, burstDefers)
 	running := holdBurst(e, "w1", 4)
@@ -131,14 +136,14 @@
 	e.Add(queueTask("calm", "large", 100, 4))
 	e.Plan(99)
 	e.Release(running[0].ID)
-	lasting := queueTask("burst", "lasting", 0, 1)
-	lasting.UntilCancelled = true
-	addAll(e, lasting, queueTask("burst", "more", 1, 1))
+	longRunning := queueTask("burst", "lasting", 0, 1)
+	longRunning.UntilCancelled = true
+	addAll(e, longRunning, queueTask("burst", "more", 1, 1))
 	expect(t, "placed", jobsPlaced(e), "lasting@w1")
 }
 
-// TestBackfill_NoReservationAtLowUtilization: little of the service is used, and nothing shall
-// wait beside so much capacity.
+// TestBackfill_NoReservationAtLowUtilization: most capacity of the service is free, so no
+// task should wait because of a reservation.
 func TestBackfill_NoReservationAtLowUtilization(t *testing.T) {
 	e := deferringEngine(2, burstDefers)
 	holdBurst(e, "w1", 1)
@@ -149,31 +154,32 @@
 		e.Add(queueTask("burst", fmt.Sprintf("s%d", number), number, 1))
 	}
 	if placed := e.Plan(2); len(placed) != 2 || placed[0].Worker != "w1" {
-		t.Errorf("placed %v, want two, the first on w1", placed)
+		t.Errorf("got decisions %v, want two, the first on w1", placed)
 	}
 }
 
-// TestBackfill_ReservationDroppedWhenUseless: a run without an end holds a part of w1, so that a task that
-// needs a whole worker will not find it there, and w2 is too small.
+// TestBackfill_ReservationDroppedWhenUseless: a run without an end holds a part of w1, so
+// a task that needs all of w1 will not fit there, and w2 is too small. Neither worker may
+// stay reserved for it.
 func TestBackfill_ReservationDroppedWhenUseless(t *testing.T) {
 	e := deferringEngine(1, burstDefers)
 	e.SetWorker(testWorker("w2", cpu(2)))
-	lasting := queueTask("burst", "lasting", 0, 1)
-	lasting.UntilCancelled = true
-	e.AddRun(lasting, "w1-1")
+	longRunning := queueTask("burst", "lasting", 0, 1)
+	longRunning.UntilCancelled = true
+	e.AddRun(longRunning, "w1-1")
 	e.Add(queueTask("calm", "large", 100, 4))
 	e.Plan(99)
 	e.Add(queueTask("burst", "small", 1, 1))
 	if placed := e.Plan(99); len(placed) != 1 {
-		t.Errorf("placed: %v", placed)
+		t.Errorf("got decisions %v, want one", placed)
 	}
-	e.Release(lasting.ID)
+	e.Release(longRunning.ID)
 	e.SetWorker(testWorker("w1", api.Resources{CPUMillis: 5}))
-	expect(t, "placed once it has ended", jobsPlaced(e), "large@w1")
+	expect(t, "placed once the run without an end was released", jobsPlaced(e), "large@w1")
 }
 
-// TestBackfill_ReservesAtMostHalfOfWorkers: each of four workers has one cpu free, and each
-// of four shapes of task needs more.
+// TestBackfill_ReservesAtMostHalfOfWorkers: each of four workers has one CPU free, and
+// each of four equivalence classes needs more.
 func TestBackfill_ReservesAtMostHalfOfWorkers(t *testing.T) {
 	e := deferringEngine(4, burstDefers)
 	for number := range 4 {
@@ -189,8 +195,9 @@
 	expect(t, "placed", jobsPlaced(e), "s0@w3 s1@w4")
 }
 
-// TestBackfill_NoReservationForNominatedTask: the large task is nominated for what a run of lower
-// priority has that came after it, so that w2 is free for others in the same pass.
+// TestBackfill_NoReservationForNominatedTask: the large task is nominated on w3 by
+// preemption of a run of lower priority that was added after it. Another task is placed
+// on w2 in the same pass.
 func TestBackfill_NoReservationForNominatedTask(t *testing.T) {
 	e := deferringEngine(2, burstDefers)
 	holdBurst(e, "w1", 4)
--- a/internal/placement/backlog.go
+++ b/internal/placement/backlog.go
@@ -10,65 +10,66 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// backlog owns the tasks that wait, in the order in which passes look at them: by
-// priority, then by queue, then by class or gang. Of these a pass looks at the active
-// sub-queues only; one that found no worker is unschedulable and out of the heap until
-// something changed that could make it fit.
+// backlog owns the waiting tasks, in the order in which passes visit them: by priority,
+// then by queue, then by class or gang. A pass visits only active sub-queues. A sub-queue
+// for which no worker was found is unschedulable: it leaves the heap until something
+// changed that could make it fit.
 //
-// A pass costs what it places and what was activated, however much waits.
+// So the cost of a pass depends on what it places and what was activated, not on the
+// number of waiting tasks.
 type backlog struct {
-	tasks map[record.TaskID]*waiting
+	tasks map[record.TaskID]*waitingTask
 	// levels are ordered by priority, highest first.
 	levels []*priorityLevel
-	// gangs are the sub-queues of gangs by Task.Gang.
+	// gangs holds the sub-queues of gangs by Task.Gang.
 	gangs map[string]*subQueue
-	// noPreferences is shared by the tasks that have none.
-	noPreferences Preferences
+	// sharedEmptyPreferences is used by all tasks without preferences.
+	sharedEmptyPreferences Preferences
 
 	queues *fairshare.Table
 }
 
-// priorityLevel holds all that waits with one priority.
+// priorityLevel holds the waiting tasks of one priority.
 type priorityLevel struct {
 	priority int
 	queues   []*priorityQueue
 }
 
-// priorityQueue holds all that waits in one queue with one priority.
+// priorityQueue holds the waiting tasks of one queue and one priority.
 type priorityQueue struct {
 	level     *priorityLevel
 	queue     *fairshare.Queue
 	subQueues map[*equivalenceClass]*subQueue
-	// gangCount counts the sub-queues of gangs.
+	// gangCount is the number of sub-queues of gangs.
 	gangCount int
-	// active holds the sub-queues to look at, lowest Sequence first.
+	// active holds the sub-queues to visit, lowest Sequence first.
 	active indexheap.Heap[*subQueue]
 }
 
-// subQueue holds the tasks of one class, or the members of one gang, in a priority
-// queue.
+// subQueue holds the tasks of one class, or the members of one gang, in a heap ordered by
+// Sequence.
 type subQueue struct {
 	parent *priorityQueue
-	// class is nil for a gang, gang is empty for a class.
+	// class is nil for a gang; gang is empty for a class.
 	class *equivalenceClass
 	gang  string
-	tasks indexheap.Heap[*waiting]
-	// position is the index in priorityQueue.active; indexheap.None while the
-	// sub-queue is not active.
+	tasks indexheap.Heap[*waitingTask]
+	// position is the index in priorityQueue.active; indexheap.None while the sub-queue
+	// is not active.
 	position int
 	// inPreemptRetries is set while the sub-queue is listed for another attempt to
-	// preempt; mayPreemptNow lets it make one in this pass though its class is
+	// preempt. mayPreemptNow allows one such attempt in this pass although the class is
 	// unschedulable.
 	inPreemptRetries, mayPreemptNow bool
-	// gangState is used for gangs only.
+	// gangState is used only for gangs.
 	gangState
 }
 
-// waiting is a task that waits.
-type waiting struct {
+// waitingTask is a waiting task and its position in the backlog.
+type waitingTask struct {
 	Task
 	class *equivalenceClass
-	// subQueue is nil while the task is nominated, nomination otherwise.
+	// subQueue is nil while the task is nominated; nomination is nil while it is not.
 	subQueue   *subQueue
 	nomination *nomination
 	// position is the index in subQueue.tasks.
@@ -76,37 +77,36 @@
 }
 
 func newBacklog(queues *fairshare.Table) *backlog {
-	return &backlog{tasks: map[record.TaskID]*waiting{}, gangs: map[string]*subQueue{}, queues: queues}
+	return &backlog{tasks: map[record.TaskID]*waitingTask{}, gangs: map[string]*subQueue{}, queues: queues}
 }
 
-// priorityQueue returns the queue of a task at its priority and makes it if there is
-// none.
+// priorityQueue returns the priority queue of a task, and creates it if there is none.
 func (b *backlog) priorityQueue(task *Task) *priorityQueue {
 	level := b.level(task.Priority)
-	q := b.queues.Get(task.Queue)
+	q := b.queues.GetOrCreate(task.Queue)
 	for _, other := range level.queues {
 		if other.queue == q {
 			return other
 		}
 	}
-	made := &priorityQueue{level: level, queue: q, subQueues: map[*equivalenceClass]*subQueue{}}
-	level.queues = append(level.queues, made)
-	return made
+	created := &priorityQueue{level: level, queue: q, subQueues: map[*equivalenceClass]*subQueue{}}
+	level.queues = append(level.queues, created)
+	return created
 }
 
-// level returns the level of a priority and makes it if there is none.
+// level returns the level of a priority, and creates it if there is none.
 func (b *backlog) level(priority int) *priorityLevel {
 	at, found := slices.BinarySearchFunc(b.levels, priority, compareLevel)
 	if found {
 		return b.levels[at]
 	}
-	made := &priorityLevel{priority: priority}
-	b.levels = slices.Insert(b.levels, at, made)
-	return made
+	created := &priorityLevel{priority: priority}
+	b.levels = slices.Insert(b.levels, at, created)
+	return created
 }
 
-// dropIfEmpty removes a priority queue in which nothing waits, and its level with the
-// last.
+// dropIfEmpty removes a priority queue without waiting tasks, and its level if that was
+// its last queue.
 func (b *backlog) dropIfEmpty(q *priorityQueue) {
 	if len(q.subQueues) > 0 || q.gangCount > 0 {
 		return
@@ -122,14 +122,15 @@
 	}
 }
 
-// ofClass returns the sub-queue of a task that is placed alone and makes it if there
-// is none.
-func (b *backlog) ofClass(w *waiting) *subQueue {
+// classSubQueue returns the sub-queue of a task that is not in a gang, and creates it if
+// there is none.
+func (b *backlog) classSubQueue(w *waitingTask) *subQueue {
 	return b.priorityQueue(&w.Task).subQueue(w.class)
 }
 
-// ofGang returns the sub-queue of a member's gang and makes it if there is none.
-func (b *backlog) ofGang(member *Task) *subQueue {
+// gangSubQueue returns the sub-queue of the gang of a member, and creates it if there is
+// none.
+func (b *backlog) gangSubQueue(member *Task) *subQueue {
 	sub, ok := b.gangs[member.Gang]
 	if !ok {
 		sub = &subQueue{parent: b.priorityQueue(member), gang: member.Gang, position: indexheap.None}
@@ -140,8 +141,9 @@
 	return sub
 }
 
-// dequeue removes a task from its sub-queue and drops the sub-queue with its last task.
-func (b *backlog) dequeue(w *waiting) {
+// dequeue removes a task from its sub-queue, and drops the sub-queue if that was its last
+// task.
+func (b *backlog) dequeue(w *waitingTask) {
 	sub := w.subQueue
 	heap.Remove(&sub.tasks, w.position)
 	sub.countMember(w.class, -1)
@@ -160,35 +162,36 @@
 	b.dropIfEmpty(sub.parent)
 }
 
-// find returns a task that waits, nominated or not; nil if it does not.
-func (b *backlog) find(task record.TaskID) *waiting { return b.tasks[task] }
+// find returns a waiting task, nominated or not; nil if the task does not wait.
+func (b *backlog) find(task record.TaskID) *waitingTask { return b.tasks[task] }
 
-// add makes a task known that is to be enqueued.
-func (b *backlog) add(w *waiting) { b.tasks[w.ID] = w }
+// add records a waiting task; the caller then enqueues it.
+func (b *backlog) add(w *waitingTask) { b.tasks[w.ID] = w }
 
-// withoutPreferences is shared by the tasks that have none; none changes it.
-func (b *backlog) withoutPreferences() *Preferences { return &b.noPreferences }
+// emptyPreferences returns the value shared by all tasks without preferences. It must not
+// be changed.
+func (b *backlog) emptyPreferences() *Preferences { return &b.sharedEmptyPreferences }
 
-// size is the number of tasks that wait.
+// size returns the number of waiting tasks, including nominated ones.
 func (b *backlog) size() int { return len(b.tasks) }
 
-// planOrder returns the levels, highest priority first. It is a copy: levels that run
-// empty during a pass are dropped.
+// planOrder returns the levels, highest priority first. It returns a copy, because a
+// level that becomes empty during a pass is dropped.
 func (b *backlog) planOrder() []*priorityLevel { return slices.Clone(b.levels) }
 
-// forget takes a task out of all that waits.
-func (b *backlog) forget(w *waiting) {
+// forget removes a task from the backlog and, unless it is nominated, from its sub-queue.
+func (b *backlog) forget(w *waitingTask) {
 	delete(b.tasks, w.ID)
 	if w.subQueue != nil {
 		b.dequeue(w)
 	}
 }
 
-// matching returns the waiting tasks for which concerned holds, in order of Sequence.
-func (b *backlog) matching(concerned func(*Task) bool) []*waiting {
-	var tasks []*waiting
+// matching returns the waiting tasks for which match returns true, ordered by Sequence.
+func (b *backlog) matching(match func(*Task) bool) []*waitingTask {
+	var tasks []*waitingTask
 	for _, w := range b.tasks {
-		if concerned(&w.Task) {
+		if match(&w.Task) {
 			tasks = append(tasks, w)
 		}
 	}
@@ -196,7 +199,7 @@
 	return tasks
 }
 
-// Before implements indexheap.Item: the sub-queue with the first task first.
+// Before implements indexheap.Item: it compares the first tasks of the sub-queues.
 func (sub *subQueue) Before(other *subQueue) bool {
 	return compareWaiting(sub.tasks[0], other.tasks[0]) < 0
 }
@@ -204,16 +207,16 @@
 // SetPosition implements indexheap.Item.
 func (sub *subQueue) SetPosition(position int) { sub.position = position }
 
-// Before implements indexheap.Item: the first task first.
-func (w *waiting) Before(other *waiting) bool { return compareWaiting(w, other) < 0 }
+// Before implements indexheap.Item: the task with the lower Sequence comes first.
+func (w *waitingTask) Before(other *waitingTask) bool { return compareWaiting(w, other) < 0 }
 
 // SetPosition implements indexheap.Item.
-func (w *waiting) SetPosition(position int) { w.position = position }
+func (w *waitingTask) SetPosition(position int) { w.position = position }
 
-// compareLevel puts high priorities first.
+// compareLevel compares a level with a priority, highest priority first.
 func compareLevel(l *priorityLevel, priority int) int { return cmp.Compare(priority, l.priority) }
 
-// subQueue returns the sub-queue of a class and makes it if there is none.
+// subQueue returns the sub-queue of a class, and creates it if there is none.
 func (q *priorityQueue) subQueue(c *equivalenceClass) *subQueue {
 	if found, ok := q.subQueues[c]; ok {
 		return found
@@ -225,7 +228,7 @@
 }
 
 // push adds a task to the sub-queue.
-func (sub *subQueue) push(w *waiting) {
+func (sub *subQueue) push(w *waitingTask) {
 	w.subQueue = sub
 	heap.Push(&sub.tasks, w)
 	sub.countMember(w.class, 1)
@@ -239,17 +242,18 @@
 	}
 }
 
-// Activate implements fairshare.Waiter: the next pass looks at the sub-queue. An incomplete gang stays out.
+// Activate implements fairshare.Waiter: the next pass visits the sub-queue. An incomplete
+// gang stays inactive.
 func (sub *subQueue) Activate() {
 	sub.stopAwaiting()
-	if sub.position == indexheap.None && sub.complete() {
+	if sub.position == indexheap.None && sub.isComplete() {
 		heap.Push(&sub.parent.active, sub)
 	}
 }
 
-// deactivate takes the sub-queue out of what passes look at: it is unschedulable, or
-// must not be looked at again in this pass. Whoever calls it sees to it that something
-// activates the sub-queue again.
+// deactivate excludes the sub-queue from passes: it is unschedulable, or must not be
+// visited again in this pass. The caller must ensure that something activates the
+// sub-queue again.
 func (sub *subQueue) deactivate() {
 	sub.stopAwaiting()
 	if sub.position != indexheap.None {
@@ -257,8 +261,8 @@
 	}
 }
 
-// compareWaiting orders by Sequence; the name makes the order total.
-func compareWaiting(a, b *waiting) int {
+// compareWaiting orders by Sequence, and by task ID to make the order total.
+func compareWaiting(a, b *waitingTask) int {
 	if bySequence := cmp.Compare(a.Sequence, b.Sequence); bySequence != 0 {
 		return bySequence
 	}
@@ -268,7 +272,7 @@
 // compareFirstTask orders sub-queues by their first tasks.
 func compareFirstTask(a, b *subQueue) int { return compareWaiting(a.tasks[0], b.tasks[0]) }
 
-// compareTask orders task ids.
+// compareTask orders task IDs.
 func compareTask(a, b record.TaskID) int {
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Step, b.Step), cmp.Compare(a.Index, b.Index), cmp.Compare(a.Occurrence, b.Occurrence))
 }
--- a/internal/placement/bench_score_test.go
+++ b/internal/placement/bench_score_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// BenchmarkPlanWithPreferences has tasks that look past the fullest worker: for
-// others once it holds half of their step, for a label that no worker has (the
-// worst case: all that fit are ranked), or for capacity in one zone.
+// BenchmarkPlanWithPreferences measures tasks whose search must look past the worker with
+// the least free capacity: because that worker holds half of their step, because they
+// prefer a label that no worker has (the worst case: all workers that fit are ranked), or
+// because they prefer one zone.
 func BenchmarkPlanWithPreferences(b *testing.B) {
 	for _, c := range []struct {
 		name   string
@@ -19,17 +20,18 @@
 		{"colocate", func(task *Task) { task.StepSize, task.Colocate = 20, "zone" }},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			l := newLoad(1200, 22000)
+			l := newBenchLoad(1200, 22000)
 			l.change = c.change
 			l.measure(b)
 		})
 	}
 }
 
-// BenchmarkPlanBesidePreferredWorkers has tasks without a preference on workers that
-// others prefer, all of them nearly full (the worst case: all that fit are ranked).
+// BenchmarkPlanBesidePreferredWorkers measures tasks without preferences on workers that
+// other tasks prefer, all of them nearly full (the worst case: all workers that fit are
+// ranked).
 func BenchmarkPlanBesidePreferredWorkers(b *testing.B) {
-	l := newLoad(1200, 22000)
+	l := newBenchLoad(1200, 22000)
 	for number := range 1200 {
 		described := l.engine.workers.byID[fmt.Sprint("id", number)].Worker
 		described.Labels = map[string]string{"rack": fmt.Sprint("r", number/12)}
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -8,28 +8,29 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// tasksPerPass is how many runs end and how many tasks come between passes.
+// tasksPerPass is the number of runs that end, and of tasks that are added, between
+// passes.
 const tasksPerPass = 100
 
-// accelerators is how many workers of a fleet have one.
-const accelerators = 100
+// acceleratorWorkers is the number of workers of a fleet that have one accelerator.
+const acceleratorWorkers = 100
 
-// load is a fleet near its full capacity on which tasks end and others come.
-type load struct {
+// benchLoad is a fleet near its total capacity on which runs end and new tasks arrive.
+type benchLoad struct {
 	engine  *Engine
 	running []Task
 	next    int
-	// change alters each task that comes; it may be nil.
+	// change modifies each task added during the measurement; it may be nil.
 	change func(*Task)
 }
 
-func newLoad(workers, running int) *load {
-	l := &load{engine: New(Config{})}
+func newBenchLoad(workers, running int) *benchLoad {
+	l := &benchLoad{engine: New(Config{})}
 	l.engine.SetQueues([]QueueRule{{Name: "q0", Weight: 1}, {Name: "q1", Weight: 2}, {Name: "q2", Weight: 3}})
 	perWorker := int64(running/workers + 2)
 	for i := range workers {
 		capacity := api.Resources{CPUMillis: perWorker * 250, MemoryMB: perWorker * 512}
-		if i < accelerators {
+		if i < acceleratorWorkers {
 			capacity.Accelerators = 1
 		}
 		l.engine.SetWorker(Worker{
@@ -46,8 +47,8 @@
 	return l
 }
 
-// task returns the next task; there are eight shapes.
-func (l *load) task() Task {
+// task returns the next task. There are eight shapes.
+func (l *benchLoad) task() Task {
 	l.next++
 	return Task{
 		ID:    record.TaskID{Job: fmt.Sprint("job", l.next/20), Step: "a", Index: l.next % 20},
@@ -59,8 +60,8 @@
 	}
 }
 
-// updateFree times releases, adds and passes, and reports tasks placed a second.
-func (l *load) measure(b *testing.B) {
+// measure times releases, adds and passes, and reports the tasks placed per second.
+func (l *benchLoad) measure(b *testing.B) {
 	b.Helper()
 	placed := 0
 	tasks := make(map[record.TaskID]Task, tasksPerPass)
@@ -69,26 +70,26 @@
 		ending := l.running[:tasksPerPass]
 		l.running = l.running[tasksPerPass:]
 		clear(tasks)
-		coming := make([]Task, tasksPerPass)
-		for i := range coming {
-			coming[i] = l.task()
+		added := make([]Task, tasksPerPass)
+		for i := range added {
+			added[i] = l.task()
 			if l.change != nil {
-				coming[i].Preferences = &Preferences{}
-				l.change(&coming[i])
+				added[i].Preferences = &Preferences{}
+				l.change(&added[i])
 			}
-			tasks[coming[i].ID] = coming[i]
+			tasks[added[i].ID] = added[i]
 		}
 		b.StartTimer()
 		for _, task := range ending {
 			l.engine.Release(task.ID)
 		}
-		for _, task := range coming {
+		for _, task := range added {
 			l.engine.Add(task)
 		}
 		decisions := l.engine.Plan(tasksPerPass)
 		b.StopTimer()
 		if len(decisions) != tasksPerPass {
-			b.Fatalf("placed %d of %d", len(decisions), tasksPerPass)
+			b.Fatalf("placed %d tasks, want %d", len(decisions), tasksPerPass)
 		}
 		for _, d := range decisions {
 			l.running = append(l.running, tasks[d.Task])
@@ -102,39 +103,39 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, fleet := range []struct{ workers, running int }{{11, 200}, {1200, 22000}} {
 		b.Run(fmt.Sprintf("workers=%d", fleet.workers), func(b *testing.B) {
-			newLoad(fleet.workers, fleet.running).measure(b)
+			newBenchLoad(fleet.workers, fleet.running).measure(b)
 		})
 	}
 }
 
-// BenchmarkPlanWithDeferringQueue has tasks of 400 shapes wait for a whole worker, and a
-// queue that defers to them.
+// BenchmarkPlanWithDeferringQueue measures passes while tasks of 400 shapes wait, each
+// for an entire worker, and another queue defers to theirs.
 func BenchmarkPlanWithDeferringQueue(b *testing.B) {
-	l := newLoad(1200, 22000)
-	for number := range 1200 { // that no worker is ever empty
+	l := newBenchLoad(1200, 22000)
+	for number := range 1200 { // so that no worker ever becomes empty
 		l.engine.AddRun(l.task(), fmt.Sprint("id", number))
 	}
-	for _, task := range l.running[:2000] { // capacity beside the reserved workers
+	for _, task := range l.running[:2000] { // free capacity outside the reserved workers
 		l.engine.Release(task.ID)
 	}
 	l.running = l.running[2000:]
 	l.engine.SetQueues([]QueueRule{{Name: "q0", Weight: 1, BySlack: true}, {Name: "q1", Weight: 2, BySlack: true}, {Name: "q2", Weight: 3, BySlack: true}})
 	l.engine.SetDeferences([]Deference{{Queue: "q0", To: []string{"q1", "q2"}}})
 	for number := range 400 {
-		whole := l.engine.workers.byID["id500"].Capacity
-		whole.MemoryMB -= int64(number)
+		needed := l.engine.workers.byID["id500"].Capacity
+		needed.MemoryMB -= int64(number)
 		l.engine.Add(Task{
 			ID: record.TaskID{Job: "large", Step: "a", Index: number}, Queue: "q1",
-			Spec: &api.TaskSpec{Service: "s", Resources: whole},
+			Spec: &api.TaskSpec{Service: "s", Resources: needed},
 		})
 	}
 	l.engine.Plan(1)
 	l.measure(b)
 }
 
-// addImpossible adds tasks that no worker can hold, in some 400 classes and
-// in gangs of 20, ahead of all others.
-func (l *load) addImpossible(count int) {
+// addImpossible adds tasks that no worker can hold, in some 400 classes and in gangs of
+// 20, with a higher priority than all other tasks.
+func (l *benchLoad) addImpossible(count int) {
 	for i := range count {
 		task := l.task()
 		task.ID.Job = fmt.Sprint("impossible", i/20)
@@ -156,10 +157,9 @@
 	}
 }
 
-// addLargeGroups adds gangs of 128 whose members fit one by one, but which
-// never have as many places: the fleet has 100 accelerators, or a zone takes 40
-// of a step.
-func (l *load) addLargeGroups(gangs int, spread *api.Spread) {
+// addLargeGangs adds gangs of 128 whose members fit individually but never all at once:
+// the fleet has 100 accelerators, or a zone may hold 40 runs of a step.
+func (l *benchLoad) addLargeGangs(gangs int, spread *api.Spread) {
 	for i := range gangs * 128 {
 		task := l.task()
 		task.ID = record.TaskID{Job: fmt.Sprint("large", i/128), Step: "a", Index: i % 128}
@@ -173,18 +173,18 @@
 	}
 }
 
-// BenchmarkPlanWithGangs has gangs that wait for capacity that every release
-// could add to.
+// BenchmarkPlanWithGangs measures gangs that wait for capacity that any release could add
+// to.
 func BenchmarkPlanWithGangs(b *testing.B) {
 	spread := &api.Spread{By: api.SpreadByZone, MaxPerDomain: 40}
 	for _, c := range []struct {
 		name   string
-		groups int
+		gangs  int
 		spread *api.Spread
 	}{{"none", 0, nil}, {"alike", 150, nil}, {"spread", 150, spread}} {
 		b.Run(c.name, func(b *testing.B) {
-			l := newLoad(1200, 22000)
-			l.addLargeGroups(c.groups, c.spread)
+			l := newBenchLoad(1200, 22000)
+			l.addLargeGangs(c.gangs, c.spread)
 			l.measure(b)
 		})
 	}
@@ -193,20 +193,20 @@
 func BenchmarkPlanWithWaiting(b *testing.B) {
 	for _, count := range []int{0, 1000, 20000} {
 		b.Run(fmt.Sprintf("waiting=%d", count), func(b *testing.B) {
-			l := newLoad(1200, 22000)
+			l := newBenchLoad(1200, 22000)
 			l.addImpossible(count)
 			l.engine.Plan(tasksPerPass)
 			l.measure(b)
 			if l.engine.Waiting() != count {
-				b.Fatalf("%d wait, expected %d", l.engine.Waiting(), count)
+				b.Fatalf("%d tasks wait, want %d", l.engine.Waiting(), count)
 			}
 		})
 	}
 }
 
-// reserve reserves slots that find capacity, in windows of four queues: one
-// open, the others to come.
-func (l *load) reserve(slots int) {
+// reserve reserves slots for which there is capacity, in windows of four queues: one
+// window is open, the others open later.
+func (l *benchLoad) reserve(slots int) {
 	var windows []Reservation
 	for i := range 4 {
 		windows = append(windows, Reservation{
@@ -220,9 +220,10 @@
 	l.engine.Plan(0)
 }
 
-// newLoadWithReservations has capacity for its tasks beside the slots.
-func newLoadWithReservations() *load {
-	l := newLoad(1200, 22000)
+// newBenchLoadWithReservations returns a load with capacity for its tasks beside the
+// slots.
+func newBenchLoadWithReservations() *benchLoad {
+	l := newBenchLoad(1200, 22000)
 	for i := range 1200 {
 		w := l.engine.workers.byID[fmt.Sprint("id", i)].Worker
 		w.Capacity.CPUMillis += 400
@@ -233,17 +234,17 @@
 	return l
 }
 
-// BenchmarkPlanWithReservations has 2,000 slots on 1,200 workers.
+// BenchmarkPlanWithReservations measures passes with 2,000 slots on 1,200 workers.
 func BenchmarkPlanWithReservations(b *testing.B) {
 	for _, count := range []int{0, 1000, 20000} {
 		b.Run(fmt.Sprintf("waiting=%d", count), func(b *testing.B) {
-			l := newLoadWithReservations()
+			l := newBenchLoadWithReservations()
 			placed := 0
 			for _, s := range l.engine.ReservedSlots() {
 				placed += s.Slots
 			}
 			if placed != 2000 {
-				b.Fatalf("%d slots have a worker, expected 2000", placed)
+				b.Fatalf("%d slots have a worker, want 2000", placed)
 			}
 			l.addImpossible(count)
 			l.engine.Plan(tasksPerPass)
@@ -252,9 +253,9 @@
 	}
 }
 
-// BenchmarkAssignReservedSlots finds workers for 2,000 slots at once.
+// BenchmarkAssignReservedSlots measures finding workers for 2,000 slots at once.
 func BenchmarkAssignReservedSlots(b *testing.B) {
-	l := newLoadWithReservations()
+	l := newBenchLoadWithReservations()
 	for b.Loop() {
 		l.engine.SetReservations(nil)
 		l.reserve(2000)
--- a/internal/placement/classes.go
+++ b/internal/placement/classes.go
@@ -12,24 +12,25 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// equivalenceClass stands for all waiting tasks of one shape, as in Borg (Verma and
-// others, "Large-scale cluster management at Google with Borg", EuroSys 2015): what one
-// of them finds on the workers holds for all, so that a search that found nothing is not
-// made again until something changed.
+// equivalenceClass stands for all waiting tasks of one shape, as in Borg (Verma et al.,
+// "Large-scale cluster management at Google with Borg", EuroSys 2015): the result of a
+// search of the workers for one of the tasks holds for all of them, so a search that
+// found nothing is not repeated until something changed.
 type equivalenceClass struct {
 	key  classKey
 	pool *pool
-	// spread is nil without a spread rule.
+	// spread is nil if there is no spread rule.
 	spread *spreadRule
-	// tasks counts waiting tasks, members of gangs too.
+	// tasks is the number of waiting tasks, including gang members.
 	tasks int
-	// subQueues hold the class's tasks that are not members of a gang.
+	// subQueues holds the sub-queues of tasks that are not in a gang.
 	subQueues map[*subQueue]struct{}
-	// unschedulable is set when a pass found no worker; it stays until a worker of the
-	// pool changed and might hold the class, or a run of its step ended.
+	// unschedulable is set when a pass found no worker. It is reset once a changed worker
+	// of the pool might hold the class, a run of its step ended, or the utilization of
+	// its service fell (see blockedByUtilization).
 	unschedulable bool
-	// blockedByUtilization is set if it may have found none only because its service is
-	// highly utilized.
+	// blockedByUtilization is set if high utilization of the service may be the only
+	// reason why no worker was found.
 	blockedByUtilization bool
 	searchScope
 	gangWait
@@ -40,33 +41,34 @@
 	utilization *utilization.Table
 }
 
-// searchScope is what a search of workers for a class takes into account. It is set for
-// the time of one search, so that the many searches that need none of it are not given
-// it as arguments.
+// searchScope modifies a search of workers for a class. It is set for the duration of one
+// search, so that the many searches that need no modification have no additional
+// parameters.
 type searchScope struct {
 	// ignoresHeadroom is set during a search that need not leave headroom.
 	ignoresHeadroom bool
-	// allowsRestricted is set during a search among restricted workers too.
+	// allowsRestricted is set during a search that includes restricted workers.
 	allowsRestricted bool
-	// backfill is set during one that leaves alone the workers reserved for others.
+	// backfill is set during a search that excludes workers reserved for other tasks.
 	backfill *backfillSearch
 }
 
-// gangWait is the gangs that wait until a class fits somewhere more often.
+// gangWait holds the gangs that wait until more tasks of the class fit.
 type gangWait struct {
-	// awaitingGangs are these gangs, with the value of freedFits at which each may fit;
-	// activateAt is the least of these.
-	awaitingGangs map[*subQueue]uint64
-	activateAt    uint64
-	// freedFits counts how often the class fits on workers that changed; it may count
-	// the same capacity often.
+	// awaitingGangs maps each waiting gang to the value of freedFits at which it may fit;
+	// activationThreshold is the lowest of these values.
+	awaitingGangs       map[*subQueue]uint64
+	activationThreshold uint64
+	// freedFits counts how many tasks of the class fit on workers that changed. The same
+	// capacity may be counted repeatedly.
 	freedFits uint64
-	// lastFitCount is the last count of fits for a gang.
+	// lastFitCount is the result of the last count of fits for a gang.
 	lastFitCount fitCount
 }
 
-// classIndex owns the classes of waiting tasks. A class lives while a task of it waits;
-// it acquires its pool of workers when it is made and releases it when it goes.
+// classIndex owns the classes of waiting tasks. A class exists while a task of it waits;
+// it acquires its pool of workers when it is created and releases the pool when it is
+// dropped.
 type classIndex struct {
 	byKey map[classKey]*equivalenceClass
 
@@ -86,8 +88,9 @@
 	}
 }
 
-// join returns the class of that key for one more task, and makes it if there is none.
-func (x *classIndex) join(key classKey, spread *api.Spread, labels map[string]string) *equivalenceClass {
+// addTask counts one more task in the class of a key and returns the class. It creates
+// the class if there is none.
+func (x *classIndex) addTask(key classKey, spread *api.Spread, labels map[string]string) *equivalenceClass {
 	c, ok := x.byKey[key]
 	if !ok {
 		c = x.create(key, spread, labels)
@@ -99,16 +102,16 @@
 func (x *classIndex) create(key classKey, spread *api.Spread, labels map[string]string) *equivalenceClass {
 	c := &equivalenceClass{
 		key:         key,
-		pool:        x.workers.acquire(key.selector, labels),
+		pool:        x.workers.acquirePool(key.selector, labels),
 		subQueues:   map[*subQueue]struct{}{},
-		gangWait:    gangWait{awaitingGangs: map[*subQueue]uint64{}, activateAt: math.MaxUint64},
+		gangWait:    gangWait{awaitingGangs: map[*subQueue]uint64{}, activationThreshold: math.MaxUint64},
 		clock:       x.clock,
 		utilization: x.utilization,
 	}
 	c.reservations = x.reservations.usableBy(c)
 	if spread != nil {
 		step := x.steps.get(key.step)
-		step.track(key.spreadBy)
+		step.trackDomains(key.spreadBy)
 		step.classes[c] = struct{}{}
 		c.spread = &spreadRule{by: key.spreadBy, maxPerDomain: key.maxPerDomain, step: step}
 	}
@@ -116,30 +119,31 @@
 	return c
 }
 
-// leave counts a task out and drops a class without tasks.
-func (x *classIndex) leave(c *equivalenceClass) {
+// removeTask counts a task out of its class, and drops the class if that was its last
+// task.
+func (x *classIndex) removeTask(c *equivalenceClass) {
 	c.tasks--
 	if c.tasks > 0 {
 		return
 	}
 	delete(x.byKey, c.key)
-	delete(c.pool.unschedulable, c)
-	x.workers.release(c.pool)
+	delete(c.pool.waitingClasses, c)
+	x.workers.releasePool(c.pool)
 	if c.spread != nil {
 		delete(c.spread.step.classes, c)
-		x.steps.forgetIfUnused(c.spread.step)
+		x.steps.deleteIfUnused(c.spread.step)
 	}
 }
 
-// refreshReservations tells classes the reservations whose slots they may use now.
+// refreshReservations updates for each class the reservations whose slots it may use.
 func (x *classIndex) refreshReservations() {
 	for _, c := range x.byKey {
 		c.reservations = x.reservations.usableBy(c)
 	}
 }
 
-// activateAtLowUtilization lets the pass look at classes whose service was highly
-// utilized when they were found unschedulable, and no longer is.
+// activateAtLowUtilization activates the classes whose service was highly utilized when
+// they became unschedulable and no longer is.
 func (x *classIndex) activateAtLowUtilization() {
 	for _, c := range x.byKey {
 		if c.blockedByUtilization && !c.isHighlyUtilized() {
@@ -148,27 +152,28 @@
 	}
 }
 
-// activateOn lets the pass look at unschedulable classes again, but only where a worker
-// changed and only if the class may fit on that worker.
-func activateOn(changed []*worker) {
+// activateForChangedWorkers activates the unschedulable classes and the waiting gangs
+// that may fit on a changed worker of their pool. Other classes are not compared.
+func activateForChangedWorkers(changed []*worker) {
 	for _, w := range changed {
 		for _, p := range w.pools {
-			for c := range p.unschedulable {
-				c.workerChanged(w)
+			for c := range p.waitingClasses {
+				c.onWorkerChanged(w)
 			}
 		}
 	}
 }
 
-// setUnschedulable records that a pass found no worker. From then on workers of the pool
-// that change are compared with the class.
+// setUnschedulable records that a pass found no worker. From then on, changed workers of
+// the pool are compared with the class.
 func (c *equivalenceClass) setUnschedulable() {
 	c.unschedulable = true
-	c.blockedByUtilization = c.isHighlyUtilized() && (c.key.headroom != 0 || c.key.allowsProbation)
-	c.pool.unschedulable[c] = struct{}{}
+	c.blockedByUtilization = c.isHighlyUtilized() && (c.key.headroomPercent != 0 || c.key.allowsProbation)
+	c.pool.waitingClasses[c] = struct{}{}
 }
 
-// activate lets the next pass look at everything that waits for the class.
+// activate makes the next pass visit all tasks of the class and all gangs that wait for
+// it.
 func (c *equivalenceClass) activate() {
 	c.activateSubQueues()
 	for sub := range c.awaitingGangs {
@@ -176,27 +181,28 @@
 	}
 }
 
-// activateSubQueues does that for tasks that are placed alone.
+// activateSubQueues makes the next pass visit the tasks of the class that are not in a
+// gang.
 func (c *equivalenceClass) activateSubQueues() {
 	c.unschedulable, c.blockedByUtilization = false, false
-	c.leaveUnschedulable()
+	c.unregisterIfIdle()
 	for sub := range c.subQueues {
 		sub.Activate()
 	}
 }
 
-// leaveUnschedulable stops comparing changed workers with the class once nothing waits
-// for them.
-func (c *equivalenceClass) leaveUnschedulable() {
+// unregisterIfIdle removes the class from the set of its pool that is compared with
+// changed workers, unless the class is unschedulable or a gang still waits for it.
+func (c *equivalenceClass) unregisterIfIdle() {
 	if c.unschedulable || len(c.awaitingGangs) > 0 {
 		return
 	}
-	c.activateAt = math.MaxUint64
-	delete(c.pool.unschedulable, c)
+	c.activationThreshold = math.MaxUint64
+	delete(c.pool.waitingClasses, c)
 }
 
-// workerChanged lets the pass look at what may fit on a worker that changed.
-func (c *equivalenceClass) workerChanged(w *worker) {
+// onWorkerChanged activates the tasks and gangs that may fit on a changed worker.
+func (c *equivalenceClass) onWorkerChanged(w *worker) {
 	if c.unschedulable && c.mightFitOn(w) {
 		c.activateSubQueues()
 	}
@@ -206,9 +212,10 @@
 	}
 }
 
-// classKey is the shape of a task: all that decides where it fits. The step is part of
-// it only where a spread rule applies, the queue only while it has a reservation, so
-// that as many tasks as possible are of one class. What a task prefers is no part of it.
+// classKey is the shape of a task: everything that decides where it fits. The step is
+// part of the shape only with a spread rule, and the queue only while it has a
+// reservation, so that as many tasks as possible share a class. Preferences are not part
+// of it, except through waitsForPreferred.
 type classKey struct {
 	selector    selector
 	need        api.Resources
@@ -216,22 +223,22 @@
 	preemptible bool
 	// allowsProbation allows workers on probation.
 	allowsProbation bool
-	// waitsForPreferred: the labels of the selector are those that the task requires and
-	// those that it prefers, and workers that are slow or restricted are none for it.
+	// waitsForPreferred is set if the labels of the selector include those that the task
+	// prefers. The class then excludes workers that are slow or restricted.
 	waitsForPreferred bool
-	// untilCancelled lets the class take whatever capacity there is.
+	// untilCancelled allows the class to take any free capacity as a last resort.
 	untilCancelled bool
-	// headroom is the share of a worker that is to stay free, in hundredths.
-	headroom int
-	// duration bounds a run; 0 is no bound.
+	// headroomPercent is the percentage of a worker that must stay free.
+	headroomPercent int
+	// duration is the maximum duration of a run; 0 means unlimited.
 	duration     record.Millis
 	spreadBy     string
 	maxPerDomain int
 	step         record.StepID
 }
 
-// classKeyOf is the class of a task as the rules are now. It composes what queues,
-// reservations, preemption and locality wait say of the task.
+// classKeyOf returns the key of the class of a task under the current rules. It combines
+// the conditions of queues, reservations, preemption and the locality wait.
 func (e *Engine) classKeyOf(task *Task, required *requirements) classKey {
 	id, spec := task.ID, task.Spec
 	key := classKey{
@@ -250,7 +257,7 @@
 		if q.IsReserved() {
 			key.queue = task.Queue
 		}
-		key.headroom = headroomPercentOf(task, q.Rule())
+		key.headroomPercent = headroomPercentOf(task, q.Rule())
 	}
 	if spec.Spread != nil {
 		key.spreadBy = spec.Spread.By
@@ -260,8 +267,8 @@
 	return key
 }
 
-// durationOf is the longest run of the spec in whole seconds, rounded up so that there
-// are not too many classes; 0 is no bound.
+// durationOf returns the maximum duration of a run of the spec, rounded up to whole
+// seconds to limit the number of classes. 0 means unlimited.
 func durationOf(spec *api.TaskSpec) record.Millis {
 	const second = 1000
 	longest := record.MillisOf(spec.MaxDuration.Std())
@@ -271,8 +278,8 @@
 	return (longest + second - 1) / second * second
 }
 
-// canonicalLabels is the same text for equal labels. Quotes keep apart what separators
-// could not.
+// canonicalLabels returns the same text for equal label sets. Keys and values are quoted,
+// so that different sets with separators in their texts give different results.
 func canonicalLabels(labels map[string]string) string {
 	if len(labels) == 0 {
 		return ""
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,62 +1,64 @@
-// Package placement decides which worker runs which task. It is pure: no input or
-// output, no clock, no goroutine, and the same calls give the same decisions. It is no
-// source of truth: it caches what the record says of workers and tasks, and the record
-// checks each decision again when it is applied.
+// Package placement decides which worker runs which task. It is deterministic: it does no
+// input or output, reads no clock and starts no goroutine, so the same calls give the
+// same decisions. It is not the source of truth: it caches what the record states about
+// workers and tasks, and the record checks each decision again when it is applied.
 //
-// An Engine is not safe for concurrent use; the scheduler's leader calls it under its
-// lock. Its cost follows what changed since the last pass, not what waits.
+// An Engine is not safe for concurrent use; the scheduler's leader calls it while holding
+// its lock. The cost of a pass depends on what changed since the last pass, not on the
+// number of waiting tasks.
 //
-// Concerns. The Engine composes one type for each concern, in a file of that concern. A
-// type owns its state: others change it through its methods alone, and it is given only
-// those others that it calls.
+// Structure. The Engine is composed of one type per concern, each in a file of its own. A
+// type owns its state: other types change it only through its methods, and each type gets
+// references only to the types that it calls.
 //
-//   - backlog: what waits, by priority, queue and class; active or unschedulable
+//   - backlog: waiting tasks by priority, queue and class; active or unschedulable
 //   - classIndex: equivalence classes of waiting tasks
-//   - runTable, stepTable: open and nominated runs, and counts of steps for spread
-//   - workerIndex: what is free on workers, and pools in the order of fullness
+//   - runTable, stepTable: open and nominated runs, and counts per step for spread
+//   - workerIndex: free capacity of workers, and pools ordered by free capacity
 //   - targetFinder: which workers are feasible (Filter) and which is best (Score)
-//   - preferredReserve: what others leave free on workers that tasks prefer
+//   - preferredReserve: the share of a preferred worker that other tasks leave free
 //   - reservationTable: windows, their slots and the profile of free capacity
-//   - preemptor, nominationList: which runs make way, and for whom
-//   - gangDrainer: capacity drained for a gang that found too little for long
-//   - backfillReservations: workers reserved for tasks that others must not delay
-//
-// Packages below hold what needs none of these: queues, teams and fair share,
-// arithmetic on resources, what could ever hold a task, utilization by service, and
-// labels preferred lately.
-//
-// Equivalence classes. Waiting tasks of the same shape share a class (as in Borg). Once
-// a pass found no worker for a class, the class is unschedulable: it is skipped until a
-// worker changed on which it might fit. What a task prefers is no part of its shape, so
-// that classes stay few; the one exception is a task that waits for what it prefers
-// (locality wait), for as long as whoever added it lets it.
-//
-// Choice. Best fit, "fill the fullest": of the workers on which a task fits, the one
-// with the least free takes it, so that large holes stay for large tasks. Preferences
-// are weighed before fullness and never make a task wait, but for the locality wait. A
-// task of a queue with headroom leaves part of a worker free, and waits for that while its
-// service is highly utilized. A task that runs until cancelled takes as a last resort
-// whatever capacity there is.
-//
-// Reservations. Slots take capacity from the start of their window to its end, used or
-// not. Pending slots are assigned before anything else is placed; they move when their
-// worker cannot hold them any more.
-//
-// Preemption. A task for which a slot is reserved takes the slot's capacity from
-// preemptible runs of any priority; other tasks and gangs take it from preemptible runs
-// of a lower priority. The task is then nominated: its target is promised, it counts as
-// running for limits and fair share, and it is placed once the runs asked to stop were
-// released. Runs in slots are never victims.
-//
-// Gangs. All members are placed in one pass or none is. For a gang that found too little
-// for gangDrainAfterPasses, capacity is drained: members get their targets one by one as
-// capacity comes free, for one gang at a time.
-//
-// Deference and backfill. A queue that defers goes after those to which it does.
-// Meanwhile what goes after a task that found no worker leaves alone the worker that is
-// expected to have the capacity first (EASY backfilling).
-//
-// Invariants, which the property tests check: resources are never taken twice nor lost;
-// limits, spread rules, labels and reserved slots hold for every decision; nothing waits
-// beside capacity that it could use, but for what other concerns reserve.
+//   - preemptor, nominationList: which runs are preempted, and for which tasks
+//   - gangDrainer: capacity drained for a gang that found too little for a long time
+//   - backfillReservations: workers reserved for tasks that other tasks must not delay
+//
+// The packages below this one hold what needs none of the types above: queues, teams and
+// fair share, resource arithmetic, which workers could ever hold a task, utilization by
+// service, and labels preferred recently.
+//
+// Equivalence classes. Waiting tasks of the same shape share a class (as in Borg). Once a
+// pass found no worker for a class, the class is unschedulable: passes skip it until a
+// worker changed on which it might fit. Preferences are not part of the shape, so that
+// there are few classes. The one exception is the locality wait: the preferred labels are
+// part of the shape until the caller adds the task again without WaitsForPreferred.
+//
+// Choice of a worker. Best fit ("fill the fullest"): of the workers on which a task fits,
+// the one with the least free capacity takes it, so that large holes remain for large
+// tasks. Preferences are weighed before free capacity and never make a task wait, except
+// for the locality wait. A task of a queue with headroom leaves part of a worker free,
+// and waits for such a worker while its service is highly utilized. A task that runs
+// until cancelled takes any free capacity as a last resort.
+//
+// Reservations. Slots take capacity from the start of their window to its end, whether
+// used or not. Pending slots are assigned before anything else is placed; a slot moves
+// when its worker can no longer hold it.
+//
+// Preemption. A task for which a slot is reserved may preempt runs of any priority to get
+// the capacity of the slot; other tasks and gangs may preempt only runs of a lower
+// priority. Only preemptible runs are preempted, and never those in slots. The preempting
+// task or gang is then nominated: its targets are promised, it counts as running for
+// limits and fair share, and it is placed once the preempted runs were released.
+//
+// Gangs. Either all members are placed in one pass or none is. For a gang that found too
+// little capacity for gangDrainAfterPasses passes, capacity is drained: members get their
+// targets one by one as capacity is released. Capacity is drained for one gang at a time.
+//
+// Deference and backfill. A queue that defers is served after the queues to which it
+// defers. Meanwhile, tasks ordered after a task that found no worker do not use the
+// worker that is expected to have the capacity for that task first (EASY backfilling).
+//
+// Invariants, checked by the property tests: resources are never allocated twice and
+// never lost; limits, spread rules, labels and reserved slots hold for every decision; no
+// task waits while there is free capacity that it could use, except for capacity that
+// another concern reserves.
 package placement
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -14,27 +14,27 @@
 
 // Config configures an Engine.
 type Config struct {
-	// Seed is for choices among equals. Names break every tie today, so it
-	// has no effect yet.
+	// Seed is meant for choices among equals. It has no effect yet: all ties are broken
+	// by name.
 	Seed int64
-	// Off are the policies that an experiment switches off. Default: none.
-	Off featuregate.DisabledSet
+	// DisabledFeatures are the features that an experiment disables. Default: none.
+	DisabledFeatures featuregate.DisabledSet
 }
 
 // Engine implements Planner and ReservationPlanner. It is not safe for concurrent use.
 //
-// It only composes the concerns: each owns its state and gets, when it is made, those
-// others that it may call. What spans several (a run that ends, a nomination, a change of
-// rules that moves tasks to other classes) is a method of the engine, each step of which
-// is one call of one owner.
+// It only composes the concerns: each owns its state and gets, on construction, the other
+// concerns that it may call. An operation that spans several concerns (the end of a run,
+// a nomination, a change of rules that moves tasks to other classes) is a method of the
+// engine, and each step of it is one call to one owner.
 type Engine struct {
 	clock   *clock
 	workers *workerIndex
 	queues  *fairshare.Table
-	// runs owns the open runs, and through them the counts of steps.
+	// runs owns the open runs and, through them, the counts of steps.
 	runs    *runTable
 	classes *classIndex
-	// backlog owns what waits; what is nominated waits in no sub-queue of it.
+	// backlog owns the waiting tasks. A nominated task is in none of its sub-queues.
 	backlog      *backlog
 	reservations *reservationTable
 	nominations  nominationList
@@ -43,7 +43,8 @@
 	backfill     *backfillReservations
 	finder       *targetFinder
 	preferred    *preferredReserve
-	// utilization is as of the start of the pass, and what it has placed since.
+	// utilization holds the state at the start of the pass plus the runs that the pass
+	// placed.
 	utilization *utilization.Table
 }
 
@@ -52,13 +53,13 @@
 	_ ReservationPlanner = (*Engine)(nil)
 )
 
-// New returns an Engine that knows no worker, queue or task.
+// New returns an Engine without workers, queues or tasks.
 func New(config Config) *Engine {
 	clock := &clock{}
 	workers, queues, steps := newWorkerIndex(), fairshare.NewTable(), newStepTable()
 	runs := newRunTable(clock, workers, queues, steps)
-	preferred := newPreferredReserve(config.Off.Has(featuregate.PreferredShare), clock, workers)
-	finder := &targetFinder{off: config.Off, workers: workers, steps: steps, preferred: preferred}
+	preferred := newPreferredReserve(config.DisabledFeatures.Has(featuregate.PreferredShare), clock, workers)
+	finder := &targetFinder{disabledFeatures: config.DisabledFeatures, workers: workers, steps: steps, preferred: preferred}
 	e := &Engine{
 		clock:       clock,
 		workers:     workers,
@@ -66,8 +67,8 @@
 		runs:        runs,
 		backlog:     newBacklog(queues),
 		preemptor:   &preemptor{runs: runs, workers: workers},
-		gangDrains:  newGangDrainer(config.Off.Has(featuregate.LastResortCapacity), clock, finder, runs),
-		backfill:    &backfillReservations{disabled: config.Off.Has(featuregate.BackfillReservation), clock: clock, workers: workers},
+		gangDrains:  newGangDrainer(config.DisabledFeatures.Has(featuregate.LastResortCapacity), clock, finder, runs),
+		backfill:    &backfillReservations{disabled: config.DisabledFeatures.Has(featuregate.BackfillReservation), clock: clock, workers: workers},
 		finder:      finder,
 		preferred:   preferred,
 		utilization: utilization.New(),
@@ -77,15 +78,15 @@
 	return e
 }
 
-// SetQueues implements Planner. A queue that is not named has weight 1 and no bound.
+// SetQueues implements Planner. A queue without a rule has weight 1 and no limit.
 func (e *Engine) SetQueues(rules []QueueRule) {
 	changed := e.queues.SetQueues(rules)
 	if len(changed) > 0 {
-		e.reclassify(func(task *Task) bool { return changed[task.Queue] })
+		e.reclassifyTasks(func(task *Task) bool { return changed[task.Queue] })
 	}
 }
 
-// SetTeams implements ReservationPlanner. A team that is not named has no bound.
+// SetTeams implements ReservationPlanner. A team without a rule has no limit.
 func (e *Engine) SetTeams(rules []TeamRule) { e.queues.SetTeams(rules) }
 
 // SetDeferences implements Planner.
@@ -93,23 +94,23 @@
 
 // SetWorker implements Planner.
 func (e *Engine) SetWorker(to Worker) {
-	w := e.workers.get(to.ID)
+	w := e.workers.getOrCreate(to.ID)
 	if w.known && sameWorker(&w.Worker, &to) {
 		return
 	}
 	if w.known && w.Name != to.Name {
 		e.reservations.dropAllSlots(w)
 	}
-	// Runs count by the domains of their worker: those of the old description are
-	// taken back before it changes.
+	// Runs are counted by the domains of their worker: remove them from the domains of
+	// the old description before it changes.
 	runs := w.runsByStep()
 	for s, count := range runs {
-		s.count(w, -count)
+		s.addRuns(w, -count)
 	}
 	e.workers.set(w, to)
-	e.preferred.describe(w)
+	e.preferred.updateWorker(w)
 	for s, count := range runs {
-		s.count(w, count)
+		s.addRuns(w, count)
 		activateStep(s)
 	}
 	e.reservations.dropMismatchedSlots(w)
@@ -122,21 +123,21 @@
 		return
 	}
 	for _, w := range e.workers.byName() {
-		e.runs.reconsiderPreemptible(w)
+		e.runs.updatePreemptible(w)
 		e.reservations.dropUnsupportedSlots(w)
 		e.workers.addChanged(w)
 	}
-	e.reclassify(func(task *Task) bool { return task.Spec.Preemptible })
+	e.reclassifyTasks(func(task *Task) bool { return task.Spec.Preemptible })
 }
 
-// sameWorker reports whether nothing about a worker changed.
+// sameWorker reports whether two descriptions of a worker are equal.
 func sameWorker(a, b *Worker) bool {
 	return a.ID == b.ID && a.Name == b.Name && a.Zone == b.Zone &&
 		a.Capacity == b.Capacity && a.Usable == b.Usable && a.Slow == b.Slow && a.Probation == b.Probation && a.Suspect == b.Suspect &&
 		slices.Equal(a.Services, b.Services) && maps.Equal(a.Labels, b.Labels)
 }
 
-// sameTask reports whether nothing about a task changed.
+// sameTask reports whether two versions of a task are equal. It compares Spec by pointer.
 func sameTask(a, b *Task) bool {
 	return a.ID == b.ID && a.Queue == b.Queue && a.Priority == b.Priority && a.Sequence == b.Sequence &&
 		a.Spec == b.Spec && a.Gang == b.Gang && a.GangSize == b.GangSize &&
@@ -158,13 +159,14 @@
 	e.cancelNominationsOn(w)
 	e.reservations.dropAllSlots(w)
 	for _, r := range w.sortedRuns(func(*run) bool { return true }) {
-		e.end(r)
+		e.closeRun(r)
 	}
 	e.workers.remove(w)
 }
 
-// AddRun implements Planner. A task with a run elsewhere moves; one that waits no longer
-// does. A worker that is not known yet is accounted for by SetWorker.
+// AddRun implements Planner. If the task has a run on another worker, that run is
+// replaced. If the task waits, it stops waiting. The worker may be one that SetWorker has
+// not described yet; SetWorker then accounts for the run.
 func (e *Engine) AddRun(task Task, workerID string) {
 	if present := e.runs.find(task.ID); present != nil {
 		if present.worker.ID == workerID {
@@ -173,14 +175,14 @@
 		e.Release(task.ID)
 	}
 	e.Remove(task.ID)
-	to := placementTarget{worker: e.workers.get(workerID)}
+	to := placementTarget{worker: e.workers.getOrCreate(workerID)}
 	started := task.StartedAt
 	if started == 0 {
 		started = e.clock.now
 	}
 	e.runs.restore(&task, to, started)
-	if e.queues.Get(task.Queue).IsReserved() {
-		// It may fill a pending slot.
+	if e.queues.GetOrCreate(task.Queue).IsReserved() {
+		// The run may fill a pending slot.
 		e.workers.addChanged(to.worker)
 	}
 	e.reservations.dropUnsupportedSlots(to.worker)
@@ -192,14 +194,14 @@
 	if r == nil {
 		return
 	}
-	e.end(r)
+	e.closeRun(r)
 	if !r.worker.known && len(r.worker.runs) == 0 {
 		e.workers.remove(r.worker)
 	}
 }
 
-// end closes a run and has the next pass look at what may now fit.
-func (e *Engine) end(r *run) {
+// closeRun closes a run and makes the next pass reconsider what may now fit.
+func (e *Engine) closeRun(r *run) {
 	e.runs.close(r)
 	e.reservations.dropUnsupportedSlots(r.worker)
 	e.workers.addChanged(r.worker)
@@ -207,14 +209,14 @@
 	activateStep(r.step)
 }
 
-// Add implements Planner. A task with an open run does not wait: Release it first. A
-// task that waits already is replaced if it differs.
+// Add implements Planner. It ignores a task with an open run: call Release first. A task
+// that already waits is replaced if it differs.
 func (e *Engine) Add(task Task) {
 	if e.runs.find(task.ID) != nil {
 		return
 	}
 	if task.Preferences == nil {
-		task.Preferences = e.backlog.withoutPreferences()
+		task.Preferences = e.backlog.emptyPreferences()
 	}
 	if present := e.backlog.find(task.ID); present != nil {
 		if sameTask(&present.Task, &task) {
@@ -222,20 +224,20 @@
 		}
 		e.Remove(task.ID)
 	}
-	w := &waiting{Task: task, class: e.joinClass(&task)}
+	w := &waitingTask{Task: task, class: e.joinClass(&task)}
 	e.backlog.add(w)
-	e.preferred.record(task.Spec)
+	e.preferred.recordLabels(task.Spec)
 	e.enqueue(w)
 }
 
-// enqueue puts a task into its sub-queue. One whose class is unschedulable is not
-// active, but may preempt.
-func (e *Engine) enqueue(w *waiting) {
+// enqueue puts a task into its sub-queue. If its class is unschedulable, the sub-queue is
+// not activated but listed for an attempt to preempt.
+func (e *Engine) enqueue(w *waitingTask) {
 	if w.Gang != "" && w.GangSize > 1 {
 		e.addToGang(w)
 		return
 	}
-	sub := e.backlog.ofClass(w)
+	sub := e.backlog.classSubQueue(w)
 	sub.push(w)
 	if w.class.unschedulable {
 		e.preemptor.retries.add(sub)
@@ -244,14 +246,15 @@
 	sub.Activate()
 }
 
-// addToGang puts a member into the sub-queue of its gang. A drain for the gang ends: it
-// was for the members known so far.
-func (e *Engine) addToGang(w *waiting) {
-	sub := e.backlog.ofGang(&w.Task)
-	if e.gangDrains.isFor(sub) {
+// addToGang puts a member into the sub-queue of its gang. A drain for the gang is
+// stopped, since it was for the members known so far.
+func (e *Engine) addToGang(w *waitingTask) {
+	sub := e.backlog.gangSubQueue(&w.Task)
+	if e.gangDrains.isDrainingFor(sub) {
 		e.stopGangDrain()
 	}
-	// Out of the heap first: a gang without tasks has no order in it.
+	// Remove the sub-queue from the heap first: a gang without tasks cannot be ordered in
+	// it.
 	sub.deactivate()
 	sub.push(w)
 	sub.reconsider()
@@ -264,24 +267,25 @@
 		return
 	}
 	e.revokeNomination(w)
-	e.forget(w)
+	e.removeWaiting(w)
 	if sub := w.subQueue; sub.class == nil && len(sub.tasks) > 0 {
 		sub.reconsider()
 	}
 }
 
-// forget takes a task out of all that waits.
-func (e *Engine) forget(w *waiting) {
+// removeWaiting removes a task from the backlog and from its class.
+func (e *Engine) removeWaiting(w *waitingTask) {
 	e.backlog.forget(w)
-	e.classes.leave(w.class)
+	e.classes.removeTask(w.class)
 }
 
 // Waiting implements Planner.
 func (e *Engine) Waiting() int { return e.backlog.size() }
 
-// reclassify adds tasks anew whose class may have changed: a class lives by its key.
-func (e *Engine) reclassify(concerned func(*Task) bool) {
-	tasks := e.backlog.matching(concerned)
+// reclassifyTasks removes the affected tasks and adds them again, since their class may
+// have changed: the key of a class is fixed.
+func (e *Engine) reclassifyTasks(affected func(*Task) bool) {
+	tasks := e.backlog.matching(affected)
 	for _, w := range tasks {
 		e.Remove(w.ID)
 	}
@@ -290,8 +294,8 @@
 	}
 }
 
-// SetTime implements ReservationPlanner. Time that goes back has no effect. A window is
-// dropped when it ends.
+// SetTime implements ReservationPlanner. A time before the current one has no effect. A
+// window is dropped when it ends.
 func (e *Engine) SetTime(now record.Millis) {
 	before := e.clock.now
 	if !e.clock.advance(now) {
@@ -309,24 +313,26 @@
 	}
 }
 
-// ReservedSlots implements ReservationPlanner, in the order of reservations and workers'
-// names.
+// ReservedSlots implements ReservationPlanner, ordered by reservation and then by worker
+// name.
 func (e *Engine) ReservedSlots() []ReservedSlots { return e.reservations.list() }
 
-// refreshReservations sorts the waiting tasks of queues anew that got their first window
-// or lost their last, and tells classes the reservations whose slots they may use.
+// refreshReservations reclassifies the waiting tasks of queues that got their first
+// window or lost their last one, and updates for each class the reservations whose slots
+// it may use.
 func (e *Engine) refreshReservations() {
 	changed := e.queues.SetReserved(e.reservations.queues())
 	if len(changed) > 0 {
-		e.reclassify(func(task *Task) bool { return changed[task.Queue] })
+		e.reclassifyTasks(func(task *Task) bool { return changed[task.Queue] })
 	}
 	e.classes.refreshReservations()
 }
 
-// joinClass counts a task in the class that it is of now.
+// joinClass adds a task to the class that its current requirements select, and returns
+// the class.
 func (e *Engine) joinClass(task *Task) *equivalenceClass {
 	required := e.workers.requirementsOf(task)
-	return e.classes.join(e.classKeyOf(task, &required), task.Spec.Spread, required.labels)
+	return e.classes.addTask(e.classKeyOf(task, &required), task.Spec.Spread, required.labels)
 }
 
 // Preemptions implements ReservationPlanner.
@@ -338,22 +344,23 @@
 }
 
 // Feasible implements Planner. It considers service, labels, the label of the spread
-// domain and full capacity; Usable does not matter. It looks at the arguments alone.
+// domain and total capacity, but not Usable. It depends on its arguments only.
 func (e *Engine) Feasible(spec *api.TaskSpec, workers []Worker) (bool, string) {
 	return feasibility.Check(spec, workers)
 }
 
-// clock is the engine's idea of time: it reads none. The concerns share one clock,
-// which only Plan and SetTime move.
+// clock holds the time and pass number that the engine was given; it does not read the
+// system clock. All concerns share one clock, which only Plan and SetTime advance.
 type clock struct {
-	// now is the cluster time as last set; it decides which windows are open and
-	// which runs surely end before one opens.
+	// now is the cluster time last set, in Unix milliseconds. It decides which windows
+	// are open and which runs are certain to end before a window opens.
 	now record.Millis
 	// pass counts calls of Plan.
 	pass uint64
 }
 
-// advance moves the time. Time that goes back has no effect: it reports false.
+// advance sets the time. It returns false and has no effect if the time does not
+// increase.
 func (c *clock) advance(now record.Millis) bool {
 	if now <= c.now {
 		return false
--- a/internal/placement/engine_test.go
+++ b/internal/placement/engine_test.go
@@ -11,24 +11,24 @@
 	e := newEngine(testWorker("w", cpu(10)))
 	task := testTask("j", 0, 4)
 	addAll(e, task, task)
-	expect(t, "added twice", e.Waiting(), 1)
+	expect(t, "tasks waiting after adding one twice", e.Waiting(), 1)
 	e.Remove(task.ID)
 	e.Remove(task.ID)
-	expect(t, "removed twice", e.Waiting(), 0)
+	expect(t, "tasks waiting after removing one twice", e.Waiting(), 0)
 	e.AddRun(task, "w-1")
 	e.AddRun(task, "w-1")
-	expect(t, "added twice", e.workers.byID["w-1"].free, cpu(6))
+	expect(t, "free after adding a run twice", e.workers.byID["w-1"].free, cpu(6))
 	e.Add(task)
-	expect(t, "running does not wait", e.Waiting(), 0)
+	expect(t, "tasks waiting after adding a running one", e.Waiting(), 0)
 	e.Release(task.ID)
 	e.Release(task.ID)
-	expect(t, "released twice", e.workers.byID["w-1"].free, cpu(10))
+	expect(t, "free after releasing a run twice", e.workers.byID["w-1"].free, cpu(10))
 	e.Add(task)
 	e.AddRun(task, "w-1")
-	expect(t, "hold takes it out", e.Waiting(), 0)
+	expect(t, "tasks waiting after adding the run of one", e.Waiting(), 0)
 	e.RemoveWorker("w-1")
 	e.RemoveWorker("w-1")
-	expect(t, "runs forgotten", len(e.runs.open)+e.queues.Get("q").Running()+len(e.runs.steps.byID), 0)
+	expect(t, "runs and steps left after removing the worker", len(e.runs.open)+e.queues.GetOrCreate("q").Running()+len(e.runs.steps.byID), 0)
 	e.Remove(record.TaskID{Job: "unknown"})
 	e.Release(record.TaskID{Job: "unknown"})
 }
@@ -45,9 +45,9 @@
 	for id := range e.backlog.tasks {
 		e.Remove(id)
 	}
-	expect(t, "state", len(e.classes.byKey)+len(e.runs.steps.byID)+len(e.backlog.gangs)+len(e.backlog.levels)+len(e.runs.open)+len(e.backlog.tasks), 0)
+	expect(t, "entries left in the engine", len(e.classes.byKey)+len(e.runs.steps.byID)+len(e.backlog.gangs)+len(e.backlog.levels)+len(e.runs.open)+len(e.backlog.tasks), 0)
 	for _, p := range e.workers.pools {
-		expect(t, "pool", p.classes+len(p.unschedulable), 0)
+		expect(t, "users and unschedulable classes of a pool", p.users+len(p.waitingClasses), 0)
 	}
 }
 
@@ -56,15 +56,15 @@
 	e.AddRun(testTask("held", 0, 6), "w-1")
 	e.Add(testTask("j", 0, 5))
 	e.SetWorker(testWorker("w", cpu(10)))
-	expect(t, "the run added before counts", placed(e, 10), "")
-	expect(t, "reason", e.Reason(testTask("j", 0, 5).ID), "no room: needs 5 cpu_millis, most free 4")
+	expect(t, "placed beside a run added before its worker", placed(e, 10), "")
+	expect(t, "reason with 4 free", e.Reason(testTask("j", 0, 5).ID), "no room: needs 5 cpu_millis, most free 4")
 	e.SetWorker(testWorker("w", cpu(5)))
 	e.Add(testTask("none", 1, 0))
-	expect(t, "below zero", placed(e, 10), "")
+	expect(t, "placed with negative free capacity", placed(e, 10), "")
 	e.SetWorker(testWorker("w", cpu(6)))
-	expect(t, "zero", placed(e, 10), "none/a/1@w")
+	expect(t, "placed with no free capacity", placed(e, 10), "none/a/1@w")
 	e.Release(testTask("held", 0, 6).ID)
-	expect(t, "released", placed(e, 10), "j/a/0@w")
+	expect(t, "placed after the release", placed(e, 10), "j/a/0@w")
 }
 
 func TestEngine_HasFreeCapacity(t *testing.T) {
@@ -82,15 +82,15 @@
 		spec *api.TaskSpec
 		want bool
 	}{
-		{"what is left", spec(1, "s", nil), true},
-		{"more than is left", spec(2, "s", nil), false},
+		{"the free capacity", spec(1, "s", nil), true},
+		{"more than the free capacity", spec(2, "s", nil), false},
 		{"with the label", spec(1, "s", map[string]string{"kind": "a"}), true},
 		{"with another label", spec(1, "s", map[string]string{"kind": "b"}), false},
 		{"of another service", spec(1, "other", nil), false},
 	}
 	for _, c := range cases {
 		if got := e.HasFreeCapacity(c.spec); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: HasFreeCapacity = %v", c.name, got)
 		}
 	}
 	for name, change := range map[string]func(*Worker){
@@ -102,7 +102,7 @@
 		change(&changed)
 		e.SetWorker(changed)
 		if e.HasFreeCapacity(cases[0].spec) {
-			t.Errorf("a worker that is %s has capacity", name)
+			t.Errorf("worker that is %s: HasFreeCapacity = true, want false", name)
 		}
 	}
 }
--- a/internal/placement/fairshare/fairshare_test.go
+++ b/internal/placement/fairshare/fairshare_test.go
@@ -6,17 +6,18 @@
 	"testing"
 )
 
-// newTable returns a table with these rules; running are open runs by queue.
+// newTable returns a table with the given rules; running is the number of open runs by
+// queue.
 func newTable(rules []QueueRule, running map[string]int) *Table {
 	t := NewTable()
 	t.SetQueues(rules)
 	for name, count := range running {
-		t.Get(name).CountRun(count)
+		t.GetOrCreate(name).CountRun(count)
 	}
 	return t
 }
 
-// waiter counts how often it was activated, and leaves its list then.
+// waiter counts how often it was activated, and then leaves its list.
 type waiter struct {
 	list      Waitlist
 	activated int
@@ -27,7 +28,7 @@
 	w.list.Leave(w)
 }
 
-// await has a new waiter wait for the limit that does not allow one more run.
+// await registers a new waiter with the limit that does not allow one more run.
 func await(q *Queue) *waiter {
 	w := &waiter{}
 	w.list = q.Await(w, 1)
@@ -40,10 +41,10 @@
 		running [2]int
 		want    int
 	}{
-		"equal weights":      {[2]int{1, 1}, [2]int{3, 2}, 1},
-		"by weight":          {[2]int{3, 1}, [2]int{5, 2}, -1},
-		"equal shares":       {[2]int{2, 1}, [2]int{4, 2}, 0},
-		"no weight counts 1": {[2]int{0, 1}, [2]int{2, 2}, 0},
+		"equal weights":        {[2]int{1, 1}, [2]int{3, 2}, 1},
+		"by weight":            {[2]int{3, 1}, [2]int{5, 2}, -1},
+		"equal shares":         {[2]int{2, 1}, [2]int{4, 2}, 0},
+		"weight 0 counts as 1": {[2]int{0, 1}, [2]int{2, 2}, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -51,11 +52,11 @@
 				[]QueueRule{{Name: "a", Weight: c.weights[0]}, {Name: "b", Weight: c.weights[1]}},
 				map[string]int{"a": c.running[0], "b": c.running[1]},
 			)
-			a, b := table.Get("a"), table.Get("b")
+			a, b := table.GetOrCreate("a"), table.GetOrCreate("b")
 			if got := Compare(a, b); got != c.want {
 				t.Errorf("Compare = %d, want %d", got, c.want)
 			}
-			var sum Sum
+			var sum CombinedShare
 			sum.Add(a)
 			if got := sum.Compare(b); got != c.want {
 				t.Errorf("Sum.Compare = %d, want %d", got, c.want)
@@ -84,7 +85,7 @@
 		{"free", 1000, true, Limit{}},
 	}
 	for _, c := range cases {
-		q := table.Get(c.queue)
+		q := table.GetOrCreate(c.queue)
 		if got := q.CanRun(c.count); got != c.want {
 			t.Errorf("%s: CanRun(%d) = %v, want %v", c.queue, c.count, got, c.want)
 		}
@@ -93,23 +94,23 @@
 		}
 	}
 	table.SetQueues([]QueueRule{{Name: "a", MaxRunning: 4}, {Name: "b", Team: "t"}})
-	if !table.Get("b").CanRun(4) || table.Get("b").CanRun(5) {
-		t.Error("the runs of a queue that left the team count there still")
+	if !table.GetOrCreate("b").CanRun(4) || table.GetOrCreate("b").CanRun(5) {
+		t.Error("after a left the team: CanRun(4) and CanRun(5) of b, want true and false")
 	}
 }
 
 func TestQueue_WaitersAreActivatedOnce(t *testing.T) {
 	table := newTable([]QueueRule{{Name: "a", MaxRunning: 1}, {Name: "b", Team: "t"}}, map[string]int{"a": 1, "b": 1})
 	table.SetTeams([]TeamRule{{Name: "t", MaxRunning: 1}})
-	forQueue, forTeam := await(table.Get("a")), await(table.Get("b"))
-	table.Get("a").RunEnded()
-	table.Get("a").RunEnded()
+	forQueue, forTeam := await(table.GetOrCreate("a")), await(table.GetOrCreate("b"))
+	table.GetOrCreate("a").RunEnded()
+	table.GetOrCreate("a").RunEnded()
 	if forQueue.activated != 1 || forTeam.activated != 0 {
-		t.Errorf("a run of a ended: activated %d and %d times, want 1 and 0", forQueue.activated, forTeam.activated)
+		t.Errorf("after a run of a ended: waiters of a and of the team activated %d and %d times, want 1 and 0", forQueue.activated, forTeam.activated)
 	}
-	table.Get("b").RunEnded()
+	table.GetOrCreate("b").RunEnded()
 	if forTeam.activated != 1 {
-		t.Errorf("a run of the team ended: activated %d times, want 1", forTeam.activated)
+		t.Errorf("after a run of the team ended: its waiter activated %d times, want 1", forTeam.activated)
 	}
 }
 
@@ -117,14 +118,14 @@
 	rules := []QueueRule{{Name: "a", MaxRunning: 1, Team: "t"}, {Name: "b", Team: "t"}}
 	table := newTable(rules, map[string]int{"a": 1})
 	table.SetTeams([]TeamRule{{Name: "t", MaxRunning: 1}})
-	forQueue, forTeam := await(table.Get("a")), await(table.Get("b"))
+	forQueue, forTeam := await(table.GetOrCreate("a")), await(table.GetOrCreate("b"))
 	table.SetTeams(nil)
 	if forTeam.activated != 1 || forQueue.activated != 0 {
-		t.Error("a change of teams does not activate what waits for a team alone")
+		t.Error("SetTeams: want only the waiter of the team activated, once")
 	}
 	table.SetQueues(rules)
 	if forQueue.activated != 1 {
-		t.Error("a change of queues does not activate what waits for a queue")
+		t.Error("SetQueues: want the waiter of the queue activated once")
 	}
 }
 
@@ -135,8 +136,8 @@
 		want  []string
 		needs bool
 	}{
-		{[]QueueRule{{Name: "a", Headroom: 20}, {Name: "b", Headroom: 20}, {Name: "c"}}, []string{"a", "b"}, true},
-		{[]QueueRule{{Name: "a", Headroom: 20}, {Name: "b", Headroom: 30}, {Name: "c", Weight: 4}}, []string{"b"}, true},
+		{[]QueueRule{{Name: "a", HeadroomPercent: 20}, {Name: "b", HeadroomPercent: 20}, {Name: "c"}}, []string{"a", "b"}, true},
+		{[]QueueRule{{Name: "a", HeadroomPercent: 20}, {Name: "b", HeadroomPercent: 30}, {Name: "c", Weight: 4}}, []string{"b"}, true},
 		{[]QueueRule{{Name: "c"}}, []string{"a", "b"}, false},
 		{nil, nil, false},
 	}
@@ -151,9 +152,9 @@
 	}
 }
 
-func TestTable_SetReservedReturnsFirstAndLast(t *testing.T) {
+func TestTable_SetReservedReturnsChangedQueues(t *testing.T) {
 	table := NewTable()
-	table.Get("a")
+	table.GetOrCreate("a")
 	steps := []struct{ reserved, want []string }{
 		{[]string{"a", "new"}, []string{"a", "new"}},
 		{[]string{"a"}, []string{"new"}},
@@ -170,31 +171,31 @@
 			t.Errorf("step %d: changed %v, want %v", number, changed, step.want)
 		}
 		for _, name := range []string{"a", "new"} {
-			if got := table.Get(name).IsReserved(); got != reserved[name] {
+			if got := table.GetOrCreate(name).IsReserved(); got != reserved[name] {
 				t.Errorf("step %d: %s reserved %v, want %v", number, name, got, reserved[name])
 			}
 		}
 	}
 }
 
-func TestTable_DeferencesOfQueuesBySlack(t *testing.T) {
+func TestTable_DeferencesApplyToQueuesBySlackOnly(t *testing.T) {
 	table := newTable([]QueueRule{{Name: "burst", BySlack: true}, {Name: "calm", BySlack: true}, {Name: "plain"}}, nil)
 	table.SetDeferences([]Deference{{Queue: "burst", To: []string{"calm"}}, {Queue: "plain", To: []string{"calm"}}})
-	burst, calm, plain := table.Get("burst"), table.Get("calm"), table.Get("plain")
+	burst, calm, plain := table.GetOrCreate("burst"), table.GetOrCreate("calm"), table.GetOrCreate("plain")
 	if !burst.MayDefer() || calm.MayDefer() || plain.MayDefer() {
-		t.Error("not the burst alone may defer")
+		t.Error("MayDefer: want true for burst only")
 	}
 	if !burst.DefersTo(calm) || burst.DefersTo(plain) || calm.DefersTo(burst) {
-		t.Error("the burst does not defer to calm alone")
+		t.Error("DefersTo: want burst to defer to calm only")
 	}
-	if to := slices.Collect(burst.DeferredTo); len(to) != 1 || to[0] != calm {
-		t.Errorf("the burst defers to %d queues, want calm alone", len(to))
+	if to := slices.Collect(burst.DeferenceTargets); len(to) != 1 || to[0] != calm {
+		t.Errorf("burst defers to %d queues, want 1 (calm)", len(to))
 	}
 	if !table.MayDefer() {
-		t.Error("the table does not tell that a queue defers")
+		t.Error("Table.MayDefer = false, want true")
 	}
 	table.SetDeferences(nil)
 	if table.MayDefer() || burst.MayDefer() {
-		t.Error("a deference is left")
+		t.Error("after SetDeferences(nil): MayDefer = true, want false")
 	}
 }
--- a/internal/placement/fairshare/queue.go
+++ b/internal/placement/fairshare/queue.go
@@ -2,14 +2,14 @@
 
 import "cmp"
 
-// Waiter is what waits for a limit: Activate is called once it may be looked at again.
+// Waiter waits for a limit. Activate is called when the limit may allow it to run.
 type Waiter interface{ Activate() }
 
-// Waitlist holds those that wait for one limit. A Waiter leaves it by itself, also
-// while it is activated.
+// Waitlist holds the waiters of one limit. A Waiter removes itself by Leave, which may be
+// called from Activate.
 type Waitlist map[Waiter]struct{}
 
-// Leave takes a waiter off the list.
+// Leave removes a waiter from the list.
 func (l Waitlist) Leave(w Waiter) { delete(l, w) }
 
 func (l Waitlist) activate() {
@@ -18,43 +18,45 @@
 	}
 }
 
-// limited is a bound on open runs, what counts against it and who waits for it.
-type limited struct {
+// runLimit is a limit on open runs, the number of runs counted against it, and its
+// waiters.
+type runLimit struct {
 	maxRunning int
 	running    int
 	waiters    Waitlist
 }
 
-// allows reports whether count more runs may open.
-func (l *limited) allows(count int) bool {
+// allows reports whether count more runs may open. A limit of 0 or less allows any
+// number.
+func (l *runLimit) allows(count int) bool {
 	return l.maxRunning <= 0 || l.running+count <= l.maxRunning
 }
 
-func (l *limited) add(w Waiter) Waitlist {
+func (l *runLimit) addWaiter(w Waiter) Waitlist {
 	l.waiters[w] = struct{}{}
 	return l.waiters
 }
 
-// Queue is a queue's rule and its open runs.
+// Queue is the rule of a queue and the count of its open runs.
 type Queue struct {
 	rule QueueRule
-	limited
-	// team is nil if the queue is of no team.
+	runLimit
+	// team is nil if the queue belongs to no team.
 	team *team
 	// reserved is set while capacity is reserved for a window of the queue.
 	reserved bool
-	// defersTo are the queues that go first while this one has more than its share.
+	// defersTo holds the queues that are served first while this one exceeds its share.
 	defersTo map[*Queue]bool
 }
 
-// team is a team's name and the open runs of its queues.
+// team is the name of a team and the count of the open runs of its queues.
 type team struct {
 	name string
-	limited
+	runLimit
 }
 
 func newQueue(name string) *Queue {
-	q := &Queue{limited: limited{waiters: Waitlist{}}}
+	q := &Queue{runLimit: runLimit{waiters: Waitlist{}}}
 	q.setRule(QueueRule{Name: name, Weight: 1})
 	return q
 }
@@ -64,27 +66,27 @@
 	q.rule, q.maxRunning = rule, rule.MaxRunning
 }
 
-// Name is the queue's name.
+// Name returns the name of the queue.
 func (q *Queue) Name() string { return q.rule.Name }
 
-// Rule is the queue's rule; the caller must not change it.
+// Rule returns the rule of the queue; the caller must not change it.
 func (q *Queue) Rule() *QueueRule { return &q.rule }
 
-// Running is the number of open and nominated runs.
+// Running returns the number of open and nominated runs.
 func (q *Queue) Running() int { return q.running }
 
 // IsReserved reports whether capacity is reserved for a window of the queue.
 func (q *Queue) IsReserved() bool { return q.reserved }
 
-// DefersTo reports whether the queue lets the other go first while it has more than
-// its share.
+// DefersTo reports whether the queue defers to other while it exceeds its share.
 func (q *Queue) DefersTo(other *Queue) bool { return q.defersTo[other] }
 
-// MayDefer reports whether the queue defers to any other, now or under load.
+// MayDefer reports whether the queue defers to any other queue while it exceeds its
+// share. Only queues with BySlack defer.
 func (q *Queue) MayDefer() bool { return q.rule.BySlack && len(q.defersTo) > 0 }
 
-// DeferredTo yields the queues to which this one defers, in no order.
-func (q *Queue) DeferredTo(yield func(*Queue) bool) {
+// DeferenceTargets yields the queues to which this one defers, in no particular order.
+func (q *Queue) DeferenceTargets(yield func(*Queue) bool) {
 	for other := range q.defersTo {
 		if !yield(other) {
 			return
@@ -92,7 +94,7 @@
 	}
 }
 
-// CountRun adds to the open runs of the queue and of its team.
+// CountRun adds change to the open runs of the queue and of its team.
 func (q *Queue) CountRun(change int) {
 	q.running += change
 	if q.team != nil {
@@ -105,18 +107,18 @@
 	return q.allows(count) && (q.team == nil || q.team.allows(count))
 }
 
-// Await has a waiter wait for the limit that does not allow count more runs, and
-// returns the list from which it must leave once it waits no more. Call it only if
-// CanRun is false.
+// Await registers a waiter with the limit that does not allow count more runs. It returns
+// the list that the waiter must leave once it no longer waits. It must be called only if
+// CanRun returns false.
 func (q *Queue) Await(w Waiter, count int) Waitlist {
 	if !q.allows(count) {
-		return q.limited.add(w)
+		return q.runLimit.addWaiter(w)
 	}
-	return q.team.limited.add(w)
+	return q.team.runLimit.addWaiter(w)
 }
 
-// Exceeded returns the limit that does not allow count more runs. Call it only if
-// CanRun is false.
+// Exceeded returns the limit that does not allow count more runs. It must be called only
+// if CanRun returns false.
 func (q *Queue) Exceeded(count int) Limit {
 	if !q.allows(count) {
 		return Limit{Kind: "queue", Name: q.rule.Name, Running: q.running, MaxRunning: q.maxRunning}
@@ -124,7 +126,7 @@
 	return Limit{Kind: "team", Name: q.team.name, Running: q.team.running, MaxRunning: q.team.maxRunning}
 }
 
-// RunEnded activates what waits for the limits of the queue and its team.
+// RunEnded activates the waiters of the limits of the queue and its team.
 func (q *Queue) RunEnded() {
 	q.waiters.activate()
 	if q.team != nil {
@@ -132,25 +134,26 @@
 	}
 }
 
-// Compare orders queues by running/weight. It multiplies crosswise, so that no
-// rounding decides.
+// Compare orders queues by running/weight. It cross-multiplies, so that rounding has no
+// effect.
 func Compare(a, b *Queue) int {
 	return cmp.Compare(a.running*b.rule.Weight, b.running*a.rule.Weight)
 }
 
-// Sum is several queues that share as one: the sums of what runs and of the weights.
-type Sum struct{ running, weight int }
+// CombinedShare is a group of queues that share as one queue: the sums of their open runs and of
+// their weights.
+type CombinedShare struct{ running, weight int }
 
 // Add adds a queue to the sum.
-func (s *Sum) Add(q *Queue) {
+func (s *CombinedShare) Add(q *Queue) {
 	s.running += q.running
 	s.weight += q.rule.Weight
 }
 
-// Compare orders the sum against a queue, as Compare orders queues.
-func (s *Sum) Compare(q *Queue) int {
+// Compare compares the sum with a queue, as the function Compare compares two queues.
+func (s *CombinedShare) Compare(q *Queue) int {
 	return cmp.Compare(s.running*q.rule.Weight, q.running*s.weight)
 }
 
-// IsExceededBy reports whether the queue has more than its weight's share of the sum.
-func (s *Sum) IsExceededBy(q *Queue) bool { return s.Compare(q) < 0 }
+// IsExceededBy reports whether the queue has more than its share, by weight, of the sum.
+func (s *CombinedShare) IsExceededBy(q *Queue) bool { return s.Compare(q) < 0 }
--- a/internal/placement/fairshare/rules.go
+++ b/internal/placement/fairshare/rules.go
@@ -1,38 +1,38 @@
 package fairshare
 
-// QueueRule is what placement must know of a queue.
+// QueueRule holds the settings of a queue that placement needs.
 type QueueRule struct {
 	Name string
-	// MaxRunning bounds open runs; 0 is no bound.
+	// MaxRunning bounds open runs; 0 means unlimited.
 	MaxRunning int
-	// Weight is the queue's share against others; at least 1.
+	// Weight is the weight of the queue's share; values below 1 count as 1.
 	Weight int
-	// BySlack: Sequence tells how urgent a task is against those of other queues with
-	// it, whatever their weights.
+	// BySlack is set if the Sequence of a task expresses its urgency compared with the
+	// tasks of other queues with BySlack, regardless of weights.
 	BySlack bool
-	// Team is the queue's team, or empty.
+	// Team is the name of the queue's team, or empty.
 	Team string
-	// Headroom is the share of each worker that tasks of the queue leave free, in
-	// hundredths; gangs do not.
-	Headroom int
+	// HeadroomPercent is the percentage of each worker that tasks of the queue leave free. Gangs
+	// and tasks with a spread rule leave none.
+	HeadroomPercent int
 }
 
-// TeamRule is what placement must know of a team. MaxRunning bounds the open runs of
-// its queues together; 0 is no bound.
+// TeamRule holds the settings of a team that placement needs. MaxRunning bounds the open
+// runs of all its queues together; 0 means unlimited.
 type TeamRule struct {
 	Name       string
 	MaxRunning int
 }
 
-// Deference says that a queue lets others go first under load.
+// Deference lists the queues to which a queue defers under load.
 type Deference struct {
 	Queue string
 	To    []string
 }
 
-// Limit is the bound that holds something back, and what counts against it.
+// Limit is the limit that holds work back, and the number of runs counted against it.
 type Limit struct {
-	// Kind is "queue" or "team", Name whose limit it is.
+	// Kind is "queue" or "team"; Name is the name of that queue or team.
 	Kind, Name string
 	Running    int
 	MaxRunning int
--- a/internal/placement/feasibility/doc.go
+++ b/internal/placement/feasibility/doc.go
@@ -1,7 +1,7 @@
-// Package feasibility describes workers and says which of them could ever hold a
-// task: by service, labels, spread domain and capacity.
+// Package feasibility describes workers and decides which of them could hold a task
+// when empty, by service, labels, spread domain and capacity.
 //
-// It knows nothing of runs: whether a task fits beside what runs now is for
-// package placement. It is pure, and the texts that it returns are shown to users
+// It does not consider runs: package placement decides whether a task fits beside
+// the open runs. Its functions are pure. The texts that they return are shown to users
 // as the reason why a task waits or a job is rejected.
 package feasibility
--- a/internal/placement/feasibility/explain.go
+++ b/internal/placement/feasibility/explain.go
@@ -10,8 +10,8 @@
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
-// Check reports whether any of the workers, taken as empty, could hold the task; if
-// not, why. It looks at no more workers than it takes to find one.
+// Check reports whether any of the workers could hold the task when empty. If none
+// could, it returns the reason. It stops at the first worker that could.
 func Check(spec *api.TaskSpec, workers []Worker) (bool, string) {
 	for i := range workers {
 		if workers[i].CouldHold(spec) {
@@ -21,7 +21,7 @@
 	return false, explain(spec, workers)
 }
 
-// explain says why no worker could hold the task.
+// explain returns the reason why no worker could hold the task.
 func explain(spec *api.TaskSpec, workers []Worker) string {
 	if reason := Mismatch(spec, workers); reason != "" {
 		return reason
@@ -36,33 +36,34 @@
 	return "no worker is large enough: " + Shortage(spec.Resources, largest, "largest has")
 }
 
-// Mismatch says which of service, labels and spread domain no worker meets; empty if
-// one meets all.
+// Mismatch returns the first requirement that no worker meets together with those before
+// it, in the order service, labels, spread domain. It is empty if a worker meets them all.
 func Mismatch(spec *api.TaskSpec, workers []Worker) string {
 	if len(workers) == 0 {
 		return "no worker"
 	}
-	left := filter(workers, func(w *Worker) bool { return w.Offers(spec.Service) })
-	if len(left) == 0 {
+	matching := filter(workers, func(w *Worker) bool { return w.Offers(spec.Service) })
+	if len(matching) == 0 {
 		return fmt.Sprintf("no worker offers service %q", spec.Service)
 	}
-	left = filter(left, func(w *Worker) bool { return w.HasLabels(spec.Labels) })
-	if len(left) == 0 {
+	matching = filter(matching, func(w *Worker) bool { return w.HasLabels(spec.Labels) })
+	if len(matching) == 0 {
 		return "no worker with labels " + labelText(spec.Labels)
 	}
-	left = filter(left, func(w *Worker) bool { return w.hasDomain(spec.Spread) })
-	if len(left) == 0 {
+	matching = filter(matching, func(w *Worker) bool { return w.hasDomain(spec.Spread) })
+	if len(matching) == 0 {
 		return NoDomain(spec.Spread.By)
 	}
 	return ""
 }
 
-// NoDomain says that no worker lies in a domain of the spread rule.
+// NoDomain returns the reason that no worker has a domain for a spread rule with this
+// api.Spread.By.
 func NoDomain(by string) string { return "spread: no worker has a " + by }
 
-// Shortage names the dimensions of most that fall short of need; found says what most
-// is of.
-func Shortage(need, most api.Resources, found string) string {
+// Shortage names the dimensions in which most is less than need. mostLabel is the text
+// before each amount of most, such as "largest has".
+func Shortage(need, most api.Resources, mostLabel string) string {
 	dimensions := []struct {
 		name       string
 		need, most int64
@@ -74,7 +75,7 @@
 	var parts []string
 	for _, d := range dimensions {
 		if d.need > d.most {
-			parts = append(parts, fmt.Sprintf("needs %d %s, %s %d", d.need, d.name, found, d.most))
+			parts = append(parts, fmt.Sprintf("needs %d %s, %s %d", d.need, d.name, mostLabel, d.most))
 		}
 	}
 	if len(parts) == 0 {
@@ -83,14 +84,14 @@
 	return strings.Join(parts, "; ")
 }
 
-func filter(workers []Worker, wanted func(*Worker) bool) []Worker {
-	var left []Worker
+func filter(workers []Worker, matches func(*Worker) bool) []Worker {
+	var matching []Worker
 	for i := range workers {
-		if wanted(&workers[i]) {
-			left = append(left, workers[i])
+		if matches(&workers[i]) {
+			matching = append(matching, workers[i])
 		}
 	}
-	return left
+	return matching
 }
 
 func labelText(labels map[string]string) string {
--- a/internal/placement/feasibility/feasibility_test.go
+++ b/internal/placement/feasibility/feasibility_test.go
@@ -6,7 +6,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// newWorker is a worker of service "s" in zone "z1" and rack "x".
+// newWorker returns a worker with service "s" in zone "z1" and rack "x".
 func newWorker(name string, cpu int64) Worker {
 	return Worker{
 		ID: name + "-1", Name: name, Zone: "z1", Capacity: api.Resources{CPUMillis: cpu},
@@ -29,20 +29,20 @@
 	for by, c := range cases {
 		t.Run(by, func(t *testing.T) {
 			if domain, ok := w.Domain(by); domain != c.domain || ok != c.ok {
-				t.Errorf("Domain = %q, %v, want %q, %v", domain, ok, c.domain, c.ok)
+				t.Errorf("Domain: got %q, %v, want %q, %v", domain, ok, c.domain, c.ok)
 			}
 		})
 	}
 }
 
-func TestCheck_ExplainsWhatNoWorkerMeets(t *testing.T) {
+func TestCheck_ExplainsMismatch(t *testing.T) {
 	workers := []Worker{newWorker("a", 4), newWorker("b", 8)}
 	cases := map[string]struct {
 		spec   api.TaskSpec
 		reason string
 	}{
-		"the larger one could": {api.TaskSpec{Service: "s", Resources: api.Resources{CPUMillis: 8}}, ""},
-		"service":              {api.TaskSpec{Service: "t"}, `no worker offers service "t"`},
+		"larger worker fits": {api.TaskSpec{Service: "s", Resources: api.Resources{CPUMillis: 8}}, ""},
+		"service":            {api.TaskSpec{Service: "t"}, `no worker offers service "t"`},
 		"labels": {
 			api.TaskSpec{Service: "s", Labels: map[string]string{"rack": "y", "disk": "ssd"}},
 			"no worker with labels disk=ssd, rack=y",
@@ -60,19 +60,20 @@
 		t.Run(name, func(t *testing.T) {
 			ok, reason := Check(&c.spec, workers)
 			if ok != (c.reason == "") || reason != c.reason {
-				t.Errorf("Check = %v, %q, want %q", ok, reason, c.reason)
+				t.Errorf("Check: got %v, %q, want reason %q", ok, reason, c.reason)
 			}
 		})
 	}
 	if ok, reason := Check(&api.TaskSpec{Service: "s"}, nil); ok || reason != "no worker" {
-		t.Errorf("Check without workers = %v, %q", ok, reason)
+		t.Errorf(`Check without workers: got %v, %q, want false, "no worker"`, ok, reason)
 	}
 }
 
-// TestShortage_NoSingleDimension: each dimension fits on some worker, and all on none.
+// TestShortage_NoSingleDimension guards the text for a task of which each dimension fits
+// on some worker, but all of them together on none.
 func TestShortage_NoSingleDimension(t *testing.T) {
 	need := api.Resources{CPUMillis: 2, MemoryMB: 2}
 	if got, want := Shortage(need, need, "largest has"), "no worker has all that it needs at once"; got != want {
-		t.Errorf("Shortage = %q, want %q", got, want)
+		t.Errorf("Shortage: got %q, want %q", got, want)
 	}
 }
--- a/internal/placement/feasibility/worker.go
+++ b/internal/placement/feasibility/worker.go
@@ -7,9 +7,9 @@
 	"github.com/decklever/decklever/api"
 )
 
-// Worker is what placement knows of a worker incarnation.
+// Worker describes a worker incarnation for placement.
 type Worker struct {
-	// ID is that of the incarnation, Name outlives it.
+	// ID identifies the incarnation; Name is the same for all incarnations of a worker.
 	ID       string
 	Name     string
 	Zone     string
@@ -17,22 +17,23 @@
 	Services []string
 	Labels   map[string]string
 	// Usable is false while the ready gate is closed, on draining workers and in
-	// evacuated zones: open runs keep what they have, nothing new is placed.
+	// evacuated zones: open runs keep their resources, and no new run is placed.
 	Usable bool
-	// Slow workers are taken by tasks that fit nowhere else.
+	// Slow: the worker is slower than others at the same work; tasks prefer other workers.
 	Slow bool
-	// Probation: the worker takes one run at a time, and only of tasks that allow
+	// Probation: the worker holds one run at a time, and only of tasks that allow
 	// probation or that no other worker could hold.
 	Probation bool
-	// Suspect: the worker takes one run at a time, and only of tasks that no other
-	// worker could hold, or has free capacity for. Reserved slots leave it.
+	// Suspect: the worker holds one run at a time, and only of tasks that no other
+	// worker could hold or has free capacity for. It has no reserved slots. Tasks that run
+	// until cancelled are exempt from the rules of Probation and Suspect as a last resort.
 	Suspect bool
 }
 
-// Offers reports whether the worker has the handler of a service.
+// Offers reports whether the worker has a handler for the service.
 func (w *Worker) Offers(service string) bool { return slices.Contains(w.Services, service) }
 
-// HasLabels reports whether the worker has all labels with these values.
+// HasLabels reports whether the worker has all of the labels with the same values.
 func (w *Worker) HasLabels(labels map[string]string) bool {
 	for key, value := range labels {
 		if have, ok := w.Labels[key]; !ok || have != value {
@@ -42,8 +43,8 @@
 	return true
 }
 
-// Domain returns the worker's domain under an api.Spread.By; false means that the
-// worker has none and is not eligible.
+// Domain returns the worker's domain for a value of api.Spread.By. It returns false if
+// the worker has none; it is then not eligible under such a spread rule.
 func (w *Worker) Domain(by string) (string, bool) {
 	switch by {
 	case api.SpreadByWorker:
@@ -59,7 +60,8 @@
 	return domain, ok
 }
 
-// hasDomain reports whether the worker lies in a domain of the spread rule.
+// hasDomain reports whether the worker has a domain for the spread rule; a nil rule needs
+// none.
 func (w *Worker) hasDomain(spread *api.Spread) bool {
 	if spread == nil {
 		return true
@@ -68,8 +70,8 @@
 	return ok
 }
 
-// CouldHold reports whether the worker could hold the task when empty. It does not
-// matter whether the worker is usable now.
+// CouldHold reports whether the worker could hold the task when empty, whether or not it
+// is usable now.
 func (w *Worker) CouldHold(spec *api.TaskSpec) bool {
 	return spec.Resources.Fits(w.Capacity) && w.Offers(spec.Service) && w.HasLabels(spec.Labels) && w.hasDomain(spec.Spread)
 }
--- a/internal/placement/filter.go
+++ b/internal/placement/filter.go
@@ -8,22 +8,23 @@
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
-// fits reports whether need fits in free. No need fits where any dimension is
-// negative.
+// fits reports whether need fits in free. Nothing fits, not even a need of zero, if any
+// dimension of free is negative.
 func fits(need, free api.Resources) bool { return need.Fits(free) }
 
-// withinSpread reports whether one more run of the step is allowed in the
-// worker's domain. A nil rule allows any.
+// withinSpread reports whether the spread rule allows one more run of its step in the
+// worker's domain. A nil rule always does.
 func withinSpread(rule *spreadRule, worker *Worker) bool {
 	return rule == nil || rule.remaining(worker) > 0
 }
 
-// isUsable reports whether the worker may get new runs.
+// isUsable reports whether new runs may be placed on the worker.
 func isUsable(worker *worker) bool { return worker.known && worker.Usable }
 
-// availableOn is what the class may use of a worker outside of slots for its own queue:
-// a task that can be preempted uses all that is free, others leave what reserved slots
-// need before their run surely ends.
+// availableOn returns the resources of a worker that the class may use outside of slots
+// reserved for its own queue. Preemptible tasks may use all that is free. Other tasks
+// leave what reserved slots need until the latest end of the task's run, or at any time
+// if the run has no maximum duration.
 func (c *equivalenceClass) availableOn(w *worker) api.Resources {
 	if len(w.profile) == 0 || c.key.preemptible {
 		return w.free
@@ -39,12 +40,13 @@
 }
 
 // fitsOn reports whether the class fits on a worker of its pool now, outside of reserved
-// slots, within the scope of the search. Cheap conditions come first.
+// slots. The class's searchScope decides about headroom, restricted workers and workers
+// reserved for backfill. Cheap conditions are checked first.
 func (c *equivalenceClass) fitsOn(w *worker) bool {
 	if !c.key.untilCancelled && c.backfill.excludes(w) {
 		return false
 	}
-	if c.key.waitsForPreferred && !isSound(w) {
+	if c.key.waitsForPreferred && !isHealthy(w) {
 		return false
 	}
 	if !fits(c.key.need, w.free) || !c.leavesHeadroom(w) || len(w.profile) > 0 && !fits(c.key.need, c.availableOn(w)) {
@@ -54,79 +56,80 @@
 }
 
 // mightFitOn reports whether the class may fit on a worker that changed. A slot counts
-// also if preemptible runs have its capacity: they can be made to stop.
+// even if preemptible runs use its capacity, because they can be preempted.
 func (c *equivalenceClass) mightFitOn(w *worker) bool {
-	if c.fitsOnAnyTerms(w) || c.freeSlots(w.slots) > 0 {
+	if c.fitsOnWithFallbacks(w) || c.freeSlots(w.slots) > 0 {
 		return true
 	}
 	return w.nominated != (api.Resources{}) && fits(c.key.need, c.availableWithNominated(w)) && c.key.untilCancelled
 }
 
-// Headroom: tasks of a queue that has it are placed where they leave its share of the
-// worker free, wherever there is such a worker. Where there is none, they wait if their
-// service is highly utilized, and take any free capacity if not: nothing urgent can be
-// short of capacity then.
+// Headroom: a queue may have a share of each worker that its tasks leave free. Its tasks
+// are placed on workers where that share stays free, if there are any. If there are none,
+// the tasks wait while their service is highly utilized; otherwise they use any free
+// capacity, because urgent tasks cannot be short of capacity then.
 
-// waitsForHeadroom reports whether tasks of the class wait where no worker has headroom
-// left. Those that run until cancelled never do.
+// waitsForHeadroom reports whether tasks of the class wait if no worker has headroom
+// left. Tasks that run until cancelled never do.
 func (c *equivalenceClass) waitsForHeadroom() bool {
-	return c.key.headroom != 0 && !c.key.untilCancelled && c.isHighlyUtilized()
+	return c.key.headroomPercent != 0 && !c.key.untilCancelled && c.isHighlyUtilized()
 }
 
-// ignoringHeadroom has find search workers that need not keep headroom, if the class
-// need not wait for those that do.
-func ignoringHeadroom[T any](c *equivalenceClass, find func() T) T {
-	if c.key.headroom == 0 || c.waitsForHeadroom() {
-		var none T
-		return none
+// ignoringHeadroom runs search with headroom ignored and returns its result. It returns
+// the zero value without searching if the class has no headroom or must wait for it.
+func ignoringHeadroom[T any](c *equivalenceClass, search func() T) T {
+	if c.key.headroomPercent == 0 || c.waitsForHeadroom() {
+		var zero T
+		return zero
 	}
 	c.ignoresHeadroom = true
 	defer func() { c.ignoresHeadroom = false }()
-	return find()
+	return search()
 }
 
-// leavesHeadroom reports whether the class leaves on a worker what its queue is to leave
-// free for others. What could not leave it even on an empty worker may use it all: it
-// would never run.
+// leavesHeadroom reports whether a task of the class leaves its queue's headroom free on
+// the worker. A task too large to do so even on an empty worker may use all of it, as it
+// would never run otherwise.
 func (c *equivalenceClass) leavesHeadroom(w *worker) bool {
-	if c.key.headroom == 0 || c.ignoresHeadroom {
+	if c.key.headroomPercent == 0 || c.ignoresHeadroom {
 		return true
 	}
-	wanted := c.key.need.Add(resources.Percent(w.Capacity, c.key.headroom))
-	return fits(wanted, w.free) || !fits(wanted, w.Capacity)
+	needWithHeadroom := c.key.need.Add(resources.Percent(w.Capacity, c.key.headroomPercent))
+	return fits(needWithHeadroom, w.free) || !fits(needWithHeadroom, w.Capacity)
 }
 
-// headroomPercentOf is what a task leaves free of a worker, in hundredths. Gangs and
-// tasks with a spread rule leave nothing: they need many targets, and could wait for the
-// same few workers for ever.
+// headroomPercentOf returns the percentage of a worker that a task leaves free. It is 0
+// for gangs and tasks with a spread rule: they need many targets, and could wait forever
+// for the same few workers.
 func headroomPercentOf(task *Task, rule *QueueRule) int {
 	if task.GangSize > 1 || task.Spec.Spread != nil {
 		return 0
 	}
-	return rule.Headroom
+	return rule.HeadroomPercent
 }
 
-// admits reports whether the class may use the worker, as far as its health goes. A
-// class that no other worker could hold may, so that it need not wait for the end of a
-// probation.
-func (c *equivalenceClass) admits(w *worker) bool { return c.admitsBesideOwn(w, 0) }
+// admits reports whether the worker's health allows a run of the class. A restricted
+// worker holds one run at a time, except of tasks that run until cancelled. A class that
+// only restricted workers could hold may use one, so that it does not wait for the end of
+// a probation.
+func (c *equivalenceClass) admits(w *worker) bool { return c.admitsBesideOwnRuns(w, 0) }
 
-// admitsNominated reports whether what is promised on the worker is still for the class, the
-// worker's health considered: the class has a run there already.
+// admitsNominated reports whether the worker's health still allows the class to use the
+// capacity nominated for it there. The nominated run counts among the worker's runs.
 func (c *equivalenceClass) admitsNominated(w *worker) bool {
-	return c.key.untilCancelled || c.admitsBesideOwn(w, 1)
+	return c.key.untilCancelled || c.admitsBesideOwnRuns(w, 1)
 }
 
-// admitsBesideOwn is admits for a class that has some runs there already.
-func (c *equivalenceClass) admitsBesideOwn(w *worker, own int) bool {
+// admitsBesideOwnRuns is admits for a class that already has ownRuns runs on the worker.
+func (c *equivalenceClass) admitsBesideOwnRuns(w *worker, ownRuns int) bool {
 	if !w.restricted || c.allowsRestricted && c.key.untilCancelled {
 		return true
 	}
-	return len(w.runs) <= own && (c.allowsRestricted || c.key.allowsProbation && !w.Suspect || c.hasOnlyRestricted())
+	return len(w.runs) <= ownRuns && (c.allowsRestricted || c.key.allowsProbation && !w.Suspect || c.hasOnlyRestricted())
 }
 
-// maxRunsOn is how many runs of the class the worker may get at once, as far as its
-// health goes.
+// maxRunsOn returns how many runs of the class the worker's health allows to be placed
+// there at once.
 func (c *equivalenceClass) maxRunsOn(w *worker) int {
 	switch {
 	case !w.restricted || c.key.untilCancelled:
@@ -138,16 +141,17 @@
 	}
 }
 
-// hasOnlyRestricted reports whether only restricted workers could hold the class, taken
-// as empty.
+// hasOnlyRestricted reports whether no unrestricted worker of the pool could hold the
+// class even when empty.
 func (c *equivalenceClass) hasOnlyRestricted() bool {
 	return !slices.ContainsFunc(c.pool.workers, func(w *worker) bool {
 		return !w.restricted && fits(c.key.need, w.Capacity)
 	})
 }
 
-// probationTarget returns a worker on probation for a task that is to try one, or nil.
-func (f *targetFinder) probationTarget(task *waiting) *worker {
+// probationTarget returns a worker on probation that a task with PrefersProbation fits on
+// and does not avoid, or nil.
+func (f *targetFinder) probationTarget(task *waitingTask) *worker {
 	if !task.PrefersProbation {
 		return nil
 	}
@@ -159,11 +163,11 @@
 	return nil
 }
 
-// addHealthCounts counts a worker that is slow or restricted, and removeHealthCounts
-// takes it out.
+// addHealthCounts adds a worker to the count of slow workers and to the list of
+// restricted ones, as far as it is either.
 func (x *workerIndex) addHealthCounts(w *worker) {
 	if w.Slow {
-		x.slow++
+		x.slowCount++
 	}
 	if w.restricted {
 		at, _ := slices.BinarySearchFunc(x.restricted, w, compareName)
@@ -172,9 +176,10 @@
 	x.addRestrictedToChanged()
 }
 
+// removeHealthCounts is the reverse of addHealthCounts.
 func (x *workerIndex) removeHealthCounts(w *worker) {
 	if w.known && w.Slow {
-		x.slow--
+		x.slowCount--
 	}
 	if w.known && w.restricted {
 		x.restricted = slices.DeleteFunc(x.restricted, func(other *worker) bool { return other == w })
@@ -182,57 +187,62 @@
 	x.addRestrictedToChanged()
 }
 
-// addRestrictedToChanged lists the restricted workers as changed: whether a class may
-// use them depends on the others.
+// addRestrictedToChanged lists the restricted workers as changed, because whether a class
+// may use them depends on the other workers.
 func (x *workerIndex) addRestrictedToChanged() {
 	for _, w := range x.restricted {
 		x.addChanged(w)
 	}
 }
 
-// Last resort. A task that runs until cancelled takes whatever capacity there is. It
-// never waits for headroom; where it fits on no other worker, it takes restricted ones,
-// several runs on one and beside what runs there already; and it takes capacity that is
-// drained for a gang. What holds for it as for others are limits, spread, reserved
-// slots, and what preempted runs are about to leave to another task.
+// Last resort. A task that runs until cancelled uses any capacity there is. It never
+// waits for headroom. If it fits on no other worker, it uses restricted ones, also with
+// several such runs on one worker and beside other runs. It also uses capacity drained
+// for a gang. It is still subject to limits, spread rules and reserved slots, and leaves
+// the capacity that preempted runs are about to free for another task.
 //
-// Of other tasks, one at a time may try a suspect worker, if it has an attempt to spare,
-// fits on no other worker and its service is not highly utilized.
+// Other tasks may use a suspect worker, one run at a time, if the task has an attempt to
+// spare (AllowsProbation) and fits on no other worker, and if its service is not highly
+// utilized.
 
-// withRestricted has find search restricted workers too, if the class may use them where
-// it fits on no other.
-func withRestricted[T any](c *equivalenceClass, find func() T) T {
+// withRestricted runs search with restricted workers allowed and headroom ignored, and
+// returns its result. It returns the zero value without searching if the class may not
+// use restricted workers as a last resort.
+func withRestricted[T any](c *equivalenceClass, search func() T) T {
 	if !c.key.untilCancelled && (!c.key.allowsProbation || c.isHighlyUtilized()) {
-		var none T
-		return none
+		var zero T
+		return zero
 	}
 	c.allowsRestricted, c.ignoresHeadroom = true, true
 	defer func() { c.allowsRestricted, c.ignoresHeadroom = false, false }()
-	return find()
+	return search()
 }
 
-// isHighlyUtilized reports whether the service of the class is short of capacity.
+// isHighlyUtilized reports whether the service of the class is highly utilized, as
+// utilization.Table.IsHigh defines it.
 func (c *equivalenceClass) isHighlyUtilized() bool {
 	return c.utilization.IsHigh(c.key.selector.service)
 }
 
-// fitsOnAnyTerms reports whether the class fits on a worker of its pool now, if it fits
-// on none that it would rather have.
-func (c *equivalenceClass) fitsOnAnyTerms(w *worker) bool {
+// fitsOnWithFallbacks reports whether the class fits on a worker of its pool now, directly
+// or by a fallback that is open to the class: ignoring headroom or using a restricted
+// worker.
+func (c *equivalenceClass) fitsOnWithFallbacks(w *worker) bool {
 	fitsOn := func() bool { return c.fitsOn(w) }
 	return fitsOn() || ignoringHeadroom(c, fitsOn) || w.restricted && withRestricted(c, fitsOn)
 }
 
-// isTargetFeasible reports whether a target that the class had is still one for it.
-func (c *equivalenceClass) isTargetFeasible(to placementTarget) bool {
-	if to.slot != nil {
-		return c.canEnterSlot(to.slot) && fits(c.key.need, to.worker.free)
+// isTargetFeasible reports whether the class could still be placed on a target chosen
+// for it before.
+func (c *equivalenceClass) isTargetFeasible(target placementTarget) bool {
+	if target.slot != nil {
+		return c.canEnterSlot(target.slot) && fits(c.key.need, target.worker.free)
 	}
-	return c.pool.matches(to.worker) && c.fitsOnAnyTerms(to.worker)
+	return c.pool.matches(target.worker) && c.fitsOnWithFallbacks(target.worker)
 }
 
-// availableWithNominated is what came free on a worker, for a class that takes also what
-// is promised there.
+// availableWithNominated is availableOn, except on a worker with nominated capacity for a
+// class that runs until cancelled: it may use all that open runs leave free there.
 func (c *equivalenceClass) availableWithNominated(w *worker) api.Resources {
 	if c.key.untilCancelled && w.nominated != (api.Resources{}) {
 		return w.freeNow()
@@ -240,8 +250,8 @@
 	return c.availableOn(w)
 }
 
-// runsUntilCancelled reports whether the tasks of the sub-queue take whatever capacity
-// there is. One member decides for its gang.
+// runsUntilCancelled reports whether the tasks of the sub-queue run until cancelled. A
+// gang does if any of its members does.
 func (sub *subQueue) runsUntilCancelled() bool {
 	if sub.class != nil {
 		return sub.class.key.untilCancelled
--- a/internal/placement/fleet_bench_test.go
+++ b/internal/placement/fleet_bench_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// BenchmarkPlanFleet is BenchmarkPlan at the sizes of fleets that versions are
-// compared at. Older versions have it by a copy of this file.
+// BenchmarkPlanFleet is BenchmarkPlan at the fleet sizes at which versions are compared.
+// To measure an older version, copy this file into it.
 func BenchmarkPlanFleet(b *testing.B) {
 	const tasksPerWorker = 18
 	for _, workers := range []int{60, 240, 1200} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			b.ReportAllocs()
-			newLoad(workers, workers*tasksPerWorker).measure(b)
+			newBenchLoad(workers, workers*tasksPerWorker).measure(b)
 		})
 	}
 }
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -6,45 +6,49 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// A gang needs capacity for all members at once, and small tasks could take each piece of it
-// as it comes free. So the capacity is drained for the gang that has waited longest at
-// the highest priority: after gangDrainAfterPasses, members get their targets one by one
-// as nominated runs, until all have one. Capacity is drained for one gang at a time, so
-// that two cannot wait for each other, and for gangDrainMaxPasses at most, so that a gang
-// that never gets complete does not keep it. While a service of its members is not highly
-// utilized the drain ends sooner: nothing of that service is to wait for long with most
-// of the capacity free.
+// A gang needs capacity for all members at once, and small tasks could take each piece of
+// it as soon as it is freed. So capacity is drained for a gang that has waited for
+// gangDrainAfterPasses, the first by priority, then by Sequence: its members get targets
+// one by one, as nominated runs, until all have one. Only one gang at a time has capacity
+// drained for it, so that two gangs cannot wait for each other. A drain lasts for
+// gangDrainMaxPasses at most, so that a gang that never gets all its targets does not
+// hold the capacity forever. While the service of a member is not highly utilized the
+// drain ends sooner: no task of that service should wait for long while much of the
+// capacity is free.
 const (
 	gangDrainAfterPasses = 256
 	gangDrainMaxPasses   = 4096
-	// gangDrainSearchInterval is how many passes are between searches for such a gang.
+	// gangDrainSearchInterval is the number of passes between searches for a gang to
+	// drain for.
 	gangDrainSearchInterval = 64
-	// gangDrainLowUtilizationLimit bounds a drain for a service that is not highly
-	// utilized.
+	// gangDrainLowUtilizationLimit bounds the duration of a drain while the service of a
+	// member is not highly utilized.
 	gangDrainLowUtilizationLimit record.Millis = 2_000
 )
 
-// gangDrain is the gang for which capacity is drained now.
+// gangDrain is a drain of capacity for one gang.
 type gangDrain struct {
 	gang *subQueue
-	// since is the pass in which the drain started, startedAt the time of that pass.
-	since     uint64
-	startedAt record.Millis
+	// startPass is the pass in which the drain started, startTime the cluster time of
+	// that pass.
+	startPass uint64
+	startTime record.Millis
 	// runs are the nominated runs of the members that have a target.
-	runs map[*waiting]*run
+	runs map[*waitingTask]*run
 }
 
-// gangDrainer owns the drain. It nominates runs for members; ending those runs and
-// making them a nomination are left to the engine, as others may gain by it.
+// gangDrainer owns the current drain and nominates runs for the gang's members. The
+// engine ends these runs or turns them into a nomination, because that also affects other
+// tasks.
 type gangDrainer struct {
-	// closedToLongRunning has tasks that run until cancelled leave the drained
-	// capacity alone as others do.
+	// closedToLongRunning keeps tasks that run until cancelled off the drained capacity,
+	// like other tasks. By default they may use it.
 	closedToLongRunning bool
-	// current is nil while capacity is drained for no gang.
+	// current is the drain in progress; nil if there is none.
 	current *gangDrain
-	// lastPass is the pass in which a drain was last given up: what waits goes first in
-	// the next one.
-	lastPass uint64
+	// lastStopPass is the pass in which a drain was last given up. No drain starts in the
+	// pass after it, so that waiting tasks get the capacity first.
+	lastStopPass uint64
 
 	clock  *clock
 	finder *targetFinder
@@ -55,8 +59,8 @@
 	return &gangDrainer{closedToLongRunning: closedToLongRunning, clock: clock, finder: finder, runs: runs}
 }
 
-// drainForGang drains capacity for the gang whose turn it is, and nominates the gang once
-// all members have a target.
+// drainForGang starts, continues or gives up the drain, and nominates the gang once all
+// members have a target.
 func (p *pass) drainForGang() {
 	e, d := p.engine, p.engine.gangDrains
 	if d.isDue() {
@@ -65,7 +69,7 @@
 	if !d.isDraining() {
 		return
 	}
-	if d.hasExpired() || !d.isValid() {
+	if d.shouldStop() || !d.isValid() {
 		e.stopGangDrain()
 		return
 	}
@@ -76,32 +80,33 @@
 	}
 }
 
-// stopGangDrain gives the drained capacity back.
+// stopGangDrain gives up the drain, ends its nominated runs and activates the gang.
 func (e *Engine) stopGangDrain() {
 	gang, runs := e.gangDrains.stop()
 	for _, r := range runs {
-		e.end(r)
+		e.closeRun(r)
 	}
 	gang.reconsider()
 }
 
-// isDue reports whether the pass is one that looks for a gang.
+// isDue reports whether this pass searches for a gang to drain for.
 func (d *gangDrainer) isDue() bool {
-	isRested := d.clock.pass > d.lastPass+1
-	return d.current == nil && isRested && d.clock.pass%gangDrainSearchInterval == 0
+	cooledDown := d.clock.pass > d.lastStopPass+1
+	return d.current == nil && cooledDown && d.clock.pass%gangDrainSearchInterval == 0
 }
 
-// start picks the gang that waits longest, of the highest priority.
+// start starts a drain for the first gang by priority, then by Sequence, of those that
+// have waited long, are complete and could be drained for.
 func (d *gangDrainer) start(gangs map[string]*subQueue) {
 	var first *subQueue
 	for _, gang := range gangs {
-		if d.hasWaitedLong(gang) && gang.complete() && gang.couldDrain() && (first == nil || gang.drainsBefore(first)) {
+		if d.hasWaitedLong(gang) && gang.isComplete() && gang.couldDrain() && (first == nil || gang.drainsBefore(first)) {
 			first = gang
 		}
 	}
 	if first != nil {
 		first.deactivate()
-		d.current = &gangDrain{gang: first, since: d.clock.pass, startedAt: d.clock.now, runs: map[*waiting]*run{}}
+		d.current = &gangDrain{gang: first, startPass: d.clock.pass, startTime: d.clock.now, runs: map[*waitingTask]*run{}}
 	}
 }
 
@@ -109,23 +114,26 @@
 	return gang.unschedulableSince != 0 && d.clock.pass-gang.unschedulableSince >= gangDrainAfterPasses
 }
 
-// isDraining reports whether capacity is drained for some gang.
+// isDraining reports whether a drain is in progress.
 func (d *gangDrainer) isDraining() bool { return d.current != nil }
 
-// isFor reports whether capacity is drained for the gang.
-func (d *gangDrainer) isFor(gang *subQueue) bool { return d.current != nil && d.current.gang == gang }
+// isDrainingFor reports whether capacity is drained for the gang.
+func (d *gangDrainer) isDrainingFor(gang *subQueue) bool {
+	return d.current != nil && d.current.gang == gang
+}
 
-// hasExpired reports whether the drain must be given up, or is in vain.
-func (d *gangDrainer) hasExpired() bool {
+// shouldStop reports whether the drain must be given up: it has exceeded a bound, or the
+// gang would no longer fit even once the runs that have an end are over.
+func (d *gangDrainer) shouldStop() bool {
 	g := d.current
-	if d.clock.pass-g.since > gangDrainMaxPasses || d.clock.pass%gangDrainSearchInterval == 0 && !g.gang.fitsOnIdleWorkers() {
+	if d.clock.pass-g.startPass > gangDrainMaxPasses || d.clock.pass%gangDrainSearchInterval == 0 && !g.gang.fitsOnIdleWorkers() {
 		return true
 	}
-	return d.clock.now-g.startedAt > gangDrainLowUtilizationLimit && g.gang.hasServiceAtLowUtilization()
+	return d.clock.now-g.startTime > gangDrainLowUtilizationLimit && g.gang.hasServiceAtLowUtilization()
 }
 
 // isValid reports whether the limits still allow the gang, and the nominated runs still
-// keep the rules.
+// comply with the rules.
 func (d *gangDrainer) isValid() bool {
 	g := d.current
 	if !g.gang.parent.queue.CanRun(len(g.gang.tasks) - len(g.runs)) {
@@ -139,7 +147,7 @@
 	return true
 }
 
-// nominateMembers promises targets that are free now to members that have none.
+// nominateMembers nominates members that have no target for targets that are free now.
 func (d *gangDrainer) nominateMembers() {
 	g := d.current
 	for _, member := range d.finder.placementOrder(g.gang.tasks) {
@@ -155,30 +163,33 @@
 // isComplete reports whether all members have a target.
 func (d *gangDrainer) isComplete() bool { return len(d.current.runs) == len(d.current.gang.tasks) }
 
-// finish ends a drain that is complete. It returns the members with their runs.
-func (d *gangDrainer) finish() ([]*waiting, []*run) {
+// finish ends a complete drain. It returns the members and their runs in the same order.
+func (d *gangDrainer) finish() ([]*waitingTask, []*run) {
 	g := d.current
 	d.current = nil
 	members := d.finder.placementOrder(g.gang.tasks)
 	return members, g.runsOf(members)
 }
 
-// stop ends a drain that is given up. It returns the gang, and the runs to end.
+// stop ends a drain that is given up. It returns the gang, and the runs that the caller
+// must end. The gang must wait for gangDrainAfterPasses again before the next drain.
 func (d *gangDrainer) stop() (*subQueue, []*run) {
 	g := d.current
-	d.current, d.lastPass = nil, d.clock.pass
+	d.current, d.lastStopPass = nil, d.clock.pass
 	g.gang.unschedulableSince = d.clock.pass
-	return g.gang, g.runsOf(d.finder.placementOrder(g.members()))
+	return g.gang, g.runsOf(d.finder.placementOrder(g.membersWithTarget()))
 }
 
-// retry has open try once more with the drained capacity, if the sub-queue may take that.
-// What open leaves of it stays drained.
-func (d *gangDrainer) retry(sub *subQueue, open func() bool) {
+// retry lets a sub-queue that runs until cancelled use the drained capacity: it closes
+// the nominated runs, calls openRuns, which reports whether it opened any, and nominates
+// again each target that openRuns left free. Fits are counted anew before and after. It
+// does nothing if there is no drained capacity or the sub-queue may not use it.
+func (d *gangDrainer) retry(sub *subQueue, openRuns func() bool) {
 	g := d.current
 	if g == nil || len(g.runs) == 0 || d.closedToLongRunning || !sub.runsUntilCancelled() {
 		return
 	}
-	members := d.finder.placementOrder(g.members())
+	members := d.finder.placementOrder(g.membersWithTarget())
 	targets := make([]placementTarget, len(members))
 	for i, member := range members {
 		r := g.runs[member]
@@ -186,7 +197,7 @@
 		d.runs.close(r)
 	}
 	sub.resetFitCounts()
-	opened := open()
+	opened := openRuns()
 	for i, member := range members {
 		if opened && !member.class.isTargetFeasible(targets[i]) {
 			delete(g.runs, member)
@@ -198,16 +209,16 @@
 	sub.resetFitCounts()
 }
 
-// members returns those that have a target, in no order.
-func (g *gangDrain) members() []*waiting {
-	members := make([]*waiting, 0, len(g.runs))
+// membersWithTarget returns the members that have a target, in no order.
+func (g *gangDrain) membersWithTarget() []*waitingTask {
+	members := make([]*waitingTask, 0, len(g.runs))
 	for member := range g.runs {
 		members = append(members, member)
 	}
 	return members
 }
 
-func (g *gangDrain) runsOf(members []*waiting) []*run {
+func (g *gangDrain) runsOf(members []*waitingTask) []*run {
 	runs := make([]*run, 0, len(members))
 	for _, member := range members {
 		runs = append(runs, g.runs[member])
@@ -215,7 +226,7 @@
 	return runs
 }
 
-// drainsBefore orders gangs for which capacity may be drained.
+// drainsBefore orders the gangs to drain for: by priority, then by Sequence.
 func (sub *subQueue) drainsBefore(other *subQueue) bool {
 	if sub.parent.level.priority != other.parent.level.priority {
 		return sub.parent.level.priority > other.parent.level.priority
@@ -223,14 +234,14 @@
 	return compareWaiting(sub.tasks[0], other.tasks[0]) < 0
 }
 
-// couldDrain reports whether the limits allow the gang now, and it fits once what ends by
-// itself has ended.
+// couldDrain reports whether the limits allow the gang now, and it fits once all runs
+// that have an end are over.
 func (sub *subQueue) couldDrain() bool {
 	return sub.parent.queue.CanRun(len(sub.tasks)) && sub.fitsOnIdleWorkers()
 }
 
-// fitsOnIdleWorkers reports whether workers on which nothing ran but what runs until
-// cancelled would have capacity for the members of each class.
+// fitsOnIdleWorkers reports whether each class would fit often enough for its members if
+// the workers had no runs except those that run until cancelled.
 func (sub *subQueue) fitsOnIdleWorkers() bool {
 	for _, m := range sub.members {
 		if m.class.fitCountOnIdleWorkers(m.count) < m.count {
@@ -240,7 +251,7 @@
 	return true
 }
 
-// hasServiceAtLowUtilization reports whether the service of a member is not highly
+// hasServiceAtLowUtilization reports whether the service of some member is not highly
 // utilized.
 func (sub *subQueue) hasServiceAtLowUtilization() bool {
 	return slices.ContainsFunc(sub.members, func(m memberCount) bool { return !m.class.isHighlyUtilized() })
--- a/internal/placement/gangdrain_test.go
+++ b/internal/placement/gangdrain_test.go
@@ -19,13 +19,13 @@
 	e.Release(testTask("long", 0, 2).ID)
 	expect(t, "reserved for the gang", placed(e, 10), "")
 	e.Release(testTask("long", 1, 2).ID)
-	expect(t, "capacity of the second", placed(e, 10), "")
-	expect(t, "complete", placed(e, 10), "g/a/0@a g/a/1@b")
+	expect(t, "capacity for the second member reserved", placed(e, 10), "")
+	expect(t, "gang complete", placed(e, 10), "g/a/0@a g/a/1@b")
 	e.Release(record.TaskID{Job: "g", Step: "a"})
-	expect(t, "others go on", placed(e, 10), "small/a/8@a small/a/9@a")
+	expect(t, "other tasks after the gang", placed(e, 10), "small/a/8@a small/a/9@a")
 }
 
-func TestGangDrain_EndsAfterMaxPasses(t *testing.T) {
+func TestGangDrain_EndsOnceMemberRemoved(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(2)), testWorker("b", cpu(2)))
 	e.AddRun(testTask("long", 0, 2), "a-1")
 	e.AddRun(testTask("long", 1, 2), "b-1")
@@ -36,48 +36,52 @@
 	}
 	e.Release(testTask("long", 0, 2).ID)
 	e.Add(testTask("small", 8, 1))
-	expect(t, "reserved", placed(e, 10), "")
+	expect(t, "reserved for the gang", placed(e, 10), "")
 	e.Remove(gang[0].ID)
-	expect(t, "a member left", placed(e, 10), "small/a/8@a")
-	expect(t, "nothing promised", e.workers.byID["a-1"].nominated, api.Resources{})
+	expect(t, "after a member was removed", placed(e, 10), "small/a/8@a")
+	expect(t, "nominated after the drain", e.workers.byID["a-1"].nominated, api.Resources{})
 }
 
-// TestGangDrain_KeepsCapacityLongRunningTaskLeaves: what does not help it stays put
-// aside, and so does the rest of it.
-func TestGangDrain_KeepsCapacityLongRunningTaskLeaves(t *testing.T) {
+// TestGangDrain_KeepsCapacityUnusedByLongRunningTask: drained capacity stays nominated if
+// a long-running task does not fit in it, and if the task fits beside it.
+func TestGangDrain_KeepsCapacityUnusedByLongRunningTask(t *testing.T) {
 	e := engineWithGangDrain(4, untilCancelled([]Task{testTask("large", 8, 5)})...)
-	expect(t, "too large", placed(e, 10), "")
-	expect(t, "put aside", e.workers.byID["a-1"].nominated, cpu(4))
-	e.SetWorker(rackedWorker("a", 9))
-	expect(t, "beside it", placed(e, 10), "large/a/8@a")
-	expect(t, "still put aside", e.workers.byID["a-1"].nominated, cpu(4))
+	expect(t, "too large for the free capacity", placed(e, 10), "")
+	expect(t, "drained", e.workers.byID["a-1"].nominated, cpu(4))
+	e.SetWorker(workerInRack("a", 9))
+	expect(t, "fits beside the drained capacity", placed(e, 10), "large/a/8@a")
+	expect(t, "still drained", e.workers.byID["a-1"].nominated, cpu(4))
 }
 
-// TestGangDrain_OthersUseWhatIsLeft: a long-running task needs only a part of it.
-func TestGangDrain_OthersUseWhatIsLeft(t *testing.T) {
+// TestGangDrain_OtherTasksUseRemainingCapacity: a long-running task takes a part of the
+// drained capacity. The rest is too small for the gang's member, so other tasks may use
+// it.
+func TestGangDrain_OtherTasksUseRemainingCapacity(t *testing.T) {
 	e := engineWithGangDrain(4, testTask("small", 8, 3))
-	expect(t, "put aside", placed(e, 10), "")
+	expect(t, "waits during the drain", placed(e, 10), "")
 	addAll(e, untilCancelled([]Task{testTask("x", 9, 1)})...)
-	expect(t, "a part", placed(e, 10), "x/a/9@a")
-	expect(t, "the rest", placed(e, 10), "small/a/8@a")
+	expect(t, "takes a part of the drained capacity", placed(e, 10), "x/a/9@a")
+	expect(t, "gets the rest", placed(e, 10), "small/a/8@a")
 }
 
-// TestGangDrain_EndsOnceGangCannotFit: a long-running run has come where the gang needs all.
+// TestGangDrain_EndsOnceGangCannotFit: the gang needs all of a, where a long-running task
+// was placed.
 func TestGangDrain_EndsOnceGangCannotFit(t *testing.T) {
 	e := engineWithGangDrain(4, untilCancelled([]Task{testTask("x", 8, 1)})...)
-	expect(t, "long-running", placed(e, 10), "x/a/8@a")
+	expect(t, "long-running task", placed(e, 10), "x/a/8@a")
 	e.Release(testTask("long", 1, 4).ID)
-	expect(t, "drain goes on", placed(e, 10), "")
+	expect(t, "drain continues", placed(e, 10), "")
 	e.Add(testTask("small", 9, 4))
 	for range gangDrainSearchInterval {
 		if placed(e, 10) == "small/a/9@b" {
 			return
 		}
 	}
-	t.Fatal("capacity is reserved for a gang that cannot come complete")
+	t.Fatal("small task was not placed on b: capacity is still drained for a gang that cannot fit")
 }
 
-// TestGangDrain_LongRunningGangUsesRestrictedWorkers: several of them on one.
+// TestGangDrain_LongRunningGangUsesRestrictedWorkers: two members of a long-running gang
+// are nominated on one suspect worker.
 func TestGangDrain_LongRunningGangUsesRestrictedWorkers(t *testing.T) {
 	e := newEngine(suspectWorker("a", 4), testWorker("b", cpu(2)))
 	e.AddRun(testTask("long", 0, 2), "b-1")
@@ -85,13 +89,14 @@
 	for range gangDrainAfterPasses + gangDrainSearchInterval + 1 {
 		e.Plan(10)
 	}
-	expect(t, "put aside", e.workers.byID["a-1"].nominated, cpu(4))
+	expect(t, "drained", e.workers.byID["a-1"].nominated, cpu(4))
 	e.Release(testTask("long", 0, 2).ID)
-	expect(t, "complete, at once or in the next pass", len(e.Plan(10))+len(e.Plan(10)), 3)
+	expect(t, "members placed in this pass and the next", len(e.Plan(10))+len(e.Plan(10)), 3)
 }
 
-// TestGangDrain_NotStartedBehindLongRunningRuns: it never comes free, and what the gang
-// puts aside meanwhile nobody could use.
+// TestGangDrain_NotStartedBehindLongRunningRuns: a run until cancelled holds capacity
+// that the gang needs. A drain could never complete, and no other task could use the
+// drained capacity meanwhile.
 func TestGangDrain_NotStartedBehindLongRunningRuns(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(4)), testWorker("b", cpu(4)))
 	e.AddRun(untilCancelled([]Task{testTask("endless", 0, 1)})[0], "b-1")
@@ -100,16 +105,17 @@
 		e.Plan(10)
 	}
 	e.Add(testTask("small", 9, 4))
-	expect(t, "others go on", placed(e, 10), "small/a/9@a")
+	expect(t, "other task", placed(e, 10), "small/a/9@a")
 }
 
-// TestGangDrain_IsShortAtLowUtilization: others have nothing to run on though
-// the service is hardly used.
-func TestGangDrain_IsShortAtLowUtilization(t *testing.T) {
-	for what, crowded := range map[string]bool{"most is free": false, "crowded": true} {
+// TestGangDrain_LimitedAtLowUtilization: a drain holds the only worker on which a small
+// task fits. If most capacity of the service is free, the drain must end soon after
+// gangDrainLowUtilizationLimit; at high utilization it continues.
+func TestGangDrain_LimitedAtLowUtilization(t *testing.T) {
+	for what, highlyUtilized := range map[string]bool{"low utilization": false, "high utilization": true} {
 		e := newEngine(testWorker("a", cpu(6)), testWorker("b", cpu(4)))
 		e.AddRun(testTask("long", 0, 1), "b-1")
-		if crowded {
+		if highlyUtilized {
 			e.SetWorker(testWorker("c", cpu(20)))
 			e.AddRun(testTask("beside", 0, 20), "c-1")
 		}
@@ -123,20 +129,21 @@
 		for range gangDrainAfterPasses + gangDrainSearchInterval {
 			pass()
 		}
-		expect(t, what+": put aside", e.workers.byID["a-1"].nominated, cpu(6))
+		expect(t, what+": drained", e.workers.byID["a-1"].nominated, cpu(6))
 		e.Add(testTask("small", 1, 6))
-		waited := now
-		for now-waited < 3000 && pass() == "" {
+		added := now
+		for now-added < 3000 && pass() == "" {
 			continue
 		}
-		if goesOn := now-waited < 2500; goesOn == crowded {
-			t.Errorf("%s: small went on after %d ms: %v", what, now-waited, goesOn)
+		if placedEarly := now-added < 2500; placedEarly == highlyUtilized {
+			t.Errorf("%s: small task was placed or given up after %d ms; placed soon after the limit: %v", what, now-added, placedEarly)
 		}
 	}
 }
 
-// TestGangDrain_NextGangWaitsOnePass: what waited for the first goes before it, also
-// where the next pass looks for a gang.
+// TestGangDrain_NextGangWaitsOnePass: a drain is given up in the pass before one that
+// searches for a gang. A task that waited during the drain must be placed before the next
+// drain starts.
 func TestGangDrain_NextGangWaitsOnePass(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(6)), testWorker("b", cpu(4)))
 	e.AddRun(testTask("long", 0, 1), "b-1")
@@ -146,19 +153,20 @@
 		e.Plan(10)
 	}
 	e.Add(testTask("small", 1, 6))
-	expect(t, "waits", placed(e, 10), "")
+	expect(t, "waits during the drain", placed(e, 10), "")
 	e.SetTime(gangDrainLowUtilizationLimit + 1)
-	expect(t, "gives up", placed(e, 10), "")
-	expect(t, "first", placed(e, 10), "small/a/1@a")
+	expect(t, "drain given up", placed(e, 10), "")
+	expect(t, "waiting task goes first", placed(e, 10), "small/a/1@a")
 }
 
-// engineWithGangDrain is an engine in which a gang of two has capacity drained on a, and waits
-// for capacity on b.
-func engineWithGangDrain(room int64, others ...Task) *Engine {
-	e := newEngine(rackedWorker("a", room), rackedWorker("b", room))
-	e.AddRun(testTask("long", 0, room), "a-1")
-	e.AddRun(testTask("long", 1, room), "b-1")
-	gang := labelled(gangOf("g", room, room), "r")
+// engineWithGangDrain returns an engine with workers a and b of that capacity, in which
+// capacity is drained for a gang with one member for each worker. a is free for the gang
+// from the next pass on, a run holds b.
+func engineWithGangDrain(capacity int64, others ...Task) *Engine {
+	e := newEngine(workerInRack("a", capacity), workerInRack("b", capacity))
+	e.AddRun(testTask("long", 0, capacity), "a-1")
+	e.AddRun(testTask("long", 1, capacity), "b-1")
+	gang := withRackLabel(gangOf("g", capacity, capacity), "r")
 	for i := range gang {
 		gang[i].Spec.Spread = &api.Spread{By: "worker"}
 	}
@@ -167,12 +175,12 @@
 		e.Plan(10)
 	}
 	addAll(e, others...)
-	e.Release(testTask("long", 0, room).ID)
+	e.Release(testTask("long", 0, capacity).ID)
 	return e
 }
 
-// rackedWorker is a worker of the rack r.
-func rackedWorker(name string, capacity int64) Worker {
+// workerInRack returns a worker with the label rack=r.
+func workerInRack(name string, capacity int64) Worker {
 	w := testWorker(name, cpu(capacity))
 	w.Labels = map[string]string{"rack": "r"}
 	return w
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -9,37 +9,42 @@
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
-// gangState is what a sub-queue keeps if it holds the members of a gang. A gang that is
-// not placed waits for one thing at a time: a class to fit more often, or a limit.
+// gangState is the part of a sub-queue that only gangs use. A gang that is not placed
+// waits for one condition at a time: that a class fits more often, or that a limit of its
+// queue or team allows more runs.
 type gangState struct {
-	// size is the number of members that must wait together.
+	// size is the number of members that must be waiting before the gang is placed.
 	size int
-	// members counts the members by class, in the order that classes came.
+	// members counts the waiting members by class, in the order in which the classes were
+	// added.
 	members []memberCount
-	// awaitedClasses are the classes of which one must fit more often before another
+	// awaitedClasses are the classes of which one must fit more often before the next
 	// attempt.
 	awaitedClasses []*equivalenceClass
-	// awaitedLimit is the list on which the gang waits for a limit; nil if it does not.
+	// awaitedLimit is the waitlist of the limit for which the gang waits; nil if it waits
+	// for none.
 	awaitedLimit fairshare.Waitlist
-	// freeMembers is how many members fit at the last attempt; tried tells whether there
-	// was one.
-	freeMembers int
-	tried       bool
-	// unschedulableSince is the pass in which an attempt first found too little; 0 if
-	// none did.
+	// fittingMembers is how many members fitted at the last attempt.
+	fittingMembers int
+	// attempted is set by an attempt and cleared by reconsider.
+	attempted bool
+	// unschedulableSince is the pass in which an attempt first found too little capacity,
+	// or in which the last drain for the gang was given up; 0 if there was neither.
 	unschedulableSince uint64
 }
 
-// memberCount is how many members of a gang are of one class.
+// memberCount is the number of members of a gang that are of one class.
 type memberCount struct {
 	class *equivalenceClass
 	count int
 }
 
-// complete reports whether all members wait. The sub-queue of a class always is.
-func (sub *subQueue) complete() bool { return sub.class != nil || len(sub.tasks) >= sub.size }
+// isComplete reports whether all members of the gang are waiting. It is always true for the
+// sub-queue of a class.
+func (sub *subQueue) isComplete() bool { return sub.class != nil || len(sub.tasks) >= sub.size }
 
-// countMember adds to the number of members of a class, if this is a gang.
+// countMember adds change to the number of members of a class. It does nothing if the
+// sub-queue is not a gang's.
 func (sub *subQueue) countMember(c *equivalenceClass, change int) {
 	if sub.class != nil {
 		return
@@ -55,103 +60,104 @@
 	}
 }
 
-// reconsider lets the next pass look at a gang whose members changed.
+// reconsider activates a gang whose members changed or whose drain was given up, and
+// forgets its last attempt.
 func (sub *subQueue) reconsider() {
 	sub.deactivate()
-	sub.tried = false
+	sub.attempted = false
 	sub.Activate()
 }
 
-// awaitClasses keeps a gang out of passes until one of the classes fits once more.
+// awaitClasses keeps a gang out of passes until one of the classes may fit once more.
 func (sub *subQueue) awaitClasses(classes ...*equivalenceClass) {
 	sub.deactivate()
 	for _, c := range classes {
-		// Members of several classes compete for the same capacity, also where the
-		// spread rule alone leaves one of them nothing.
-		c.lastFitCount.full = nil
+		// Members of several classes compete for the same capacity: capacity freed in a
+		// domain that the spread rule closes to one class may help another.
+		c.lastFitCount.fullDomains = nil
 		sub.awaitFreedFits(c, 1)
 	}
 	sub.awaitedClasses = classes
 }
 
-// awaitShortage keeps a gang out of passes until the class fits as many times more as it
-// was short of.
+// awaitShortage keeps a gang out of passes until the class may fit as many more times as
+// are missing.
 func (sub *subQueue) awaitShortage(c *equivalenceClass, missing int) {
 	sub.deactivate()
 	sub.awaitFreedFits(c, missing)
 	sub.awaitedClasses = []*equivalenceClass{c}
 }
 
-// awaitFreedFits has the class activate the gang once it was freed so many more fits.
+// awaitFreedFits makes the class activate the gang once count more fits have been freed.
 func (sub *subQueue) awaitFreedFits(c *equivalenceClass, count int) {
 	c.awaitingGangs[sub] = c.freedFits + uint64(count)
-	c.activateAt = min(c.activateAt, c.awaitingGangs[sub])
-	c.pool.unschedulable[c] = struct{}{}
+	c.activationThreshold = min(c.activationThreshold, c.awaitingGangs[sub])
+	c.pool.waitingClasses[c] = struct{}{}
 }
 
 // activateGangs lets the next pass look at gangs for which enough fits may have been
-// freed. Freed fits are counted too high rather than too low, so that no gang waits
-// beside capacity; an attempt in vain costs one count.
+// freed. Freed fits are counted too high rather than too low, so that no gang waits while
+// it would fit; an attempt that fails costs one count of fits.
 func (c *equivalenceClass) activateGangs() {
-	if c.freedFits < c.activateAt {
+	if c.freedFits < c.activationThreshold {
 		return
 	}
-	c.activateAt = math.MaxUint64
-	for sub, at := range c.awaitingGangs {
-		if at <= c.freedFits {
+	c.activationThreshold = math.MaxUint64
+	for sub, threshold := range c.awaitingGangs {
+		if threshold <= c.freedFits {
 			sub.Activate()
 			continue
 		}
-		c.activateAt = min(c.activateAt, at)
+		c.activationThreshold = min(c.activationThreshold, threshold)
 	}
 }
 
-// awaitLimit keeps a gang out of passes until the queue or its team may run more.
+// awaitLimit keeps a gang out of passes until its queue or team may run size more tasks.
 func (sub *subQueue) awaitLimit(size int) {
 	sub.deactivate()
 	sub.awaitedLimit = sub.parent.queue.Await(sub, size)
 }
 
-// stopAwaiting forgets what the gang waits for. The sub-queue of a class waits for
-// nothing here: its class tells whether it is unschedulable.
+// stopAwaiting ends the gang's wait for classes or a limit. It changes nothing for the
+// sub-queue of a class: equivalenceClass.unschedulable tells whether that waits.
 func (sub *subQueue) stopAwaiting() {
 	for _, c := range sub.awaitedClasses {
 		delete(c.awaitingGangs, sub)
-		c.leaveUnschedulable()
+		c.unregisterIfIdle()
 	}
 	sub.awaitedClasses = nil
 	sub.awaitedLimit.Leave(sub)
 	sub.awaitedLimit = nil
 }
 
-// placeGang places all members of the gang or none. It returns false if the gang fits
-// but not in what is left of the limit of the pass: the pass then ends, and the next one
-// starts with this gang.
+// placeGang places all members of the gang or none. It returns false if the gang fits but
+// exceeds the remaining limit of the pass: the pass then ends, and the next one starts
+// with this gang.
 func (p *pass) placeGang(sub *subQueue) bool {
 	if !sub.parent.queue.CanRun(len(sub.tasks)) {
 		sub.awaitLimit(len(sub.tasks))
 		return true
 	}
 	sub.mayPreemptNow = false
-	if p.engine.gangDrains.isFor(sub) {
+	if p.engine.gangDrains.isDrainingFor(sub) {
 		sub.deactivate()
 		return true
 	}
-	sub.tried = true
+	sub.attempted = true
 	members := p.engine.finder.placementOrder(sub.tasks)
-	found := p.openAll(sub, members)
-	if found.opened == nil {
+	result := p.openAll(sub, members)
+	if result.opened == nil {
 		p.engine.gangDrains.retry(sub, func() bool {
-			found = p.openAll(sub, members)
-			return found.opened != nil
+			result = p.openAll(sub, members)
+			return result.opened != nil
 		})
 	}
-	if found.opened == nil {
-		sub.awaitFits(found)
+	if result.opened == nil {
+		sub.awaitFits(result)
 		sub.recordUnschedulableSince(p.engine.clock.pass)
 		return p.preemptForGang(sub)
 	}
-	opened := found.opened
+	opened := result.opened
 	if len(p.decisions) > 0 && len(p.decisions)+len(members) > p.limit {
 		p.rollBack(opened)
 		return false
@@ -163,48 +169,51 @@
 	return true
 }
 
-// gangPlacement is what an attempt to place a gang found: a run for each member, or the
-// class that does not fit often enough, if that alone tells.
+// gangPlacement is the result of an attempt to place a gang: a run for each member, or
+// the class that fits too seldom and how many fits are missing. Both are nil if each
+// class fits often enough alone but not all of them together.
 type gangPlacement struct {
-	opened  []*run
-	short   *equivalenceClass
-	missing int
+	opened     []*run
+	shortClass *equivalenceClass
+	missing    int
 }
 
-// openAll opens runs for all members of the gang or for none. It counts first, which is
-// cheap: only a gang whose classes fit often enough, each for itself, is tried member by
-// member.
-func (p *pass) openAll(sub *subQueue, members []*waiting) gangPlacement {
-	if short, missing := sub.findShortage(); short != nil {
-		return gangPlacement{short: short, missing: missing}
+// openAll opens runs for all members of the gang or for none. It counts fits first, which
+// is cheap: only a gang whose classes, each counted alone, fit often enough is tried
+// member by member.
+func (p *pass) openAll(sub *subQueue, members []*waitingTask) gangPlacement {
+	if shortClass, missing := sub.findShortage(); shortClass != nil {
+		return gangPlacement{shortClass: shortClass, missing: missing}
 	}
-	opened := p.tryAll(members)
+	opened := p.openUntilNoTarget(members)
 	if len(opened) < len(members) {
-		sub.freeMembers = len(opened)
+		sub.fittingMembers = len(opened)
 		p.rollBack(opened)
 		return gangPlacement{}
 	}
 	return gangPlacement{opened: opened}
 }
 
-// awaitFits keeps a gang that found too little out of passes until it may find enough.
-func (sub *subQueue) awaitFits(found gangPlacement) {
-	if found.short != nil {
-		sub.awaitShortage(found.short, found.missing)
+// awaitFits keeps a gang that found too little capacity out of passes until it may find
+// enough.
+func (sub *subQueue) awaitFits(result gangPlacement) {
+	if result.shortClass != nil {
+		sub.awaitShortage(result.shortClass, result.missing)
 		return
 	}
 	sub.awaitClasses(sub.classes()...)
 }
 
-// recordUnschedulableSince keeps the first pass in which the gang found too little.
+// recordUnschedulableSince records the first pass in which the gang found too little
+// capacity.
 func (sub *subQueue) recordUnschedulableSince(pass uint64) {
 	if sub.unschedulableSince == 0 {
 		sub.unschedulableSince = pass
 	}
 }
 
-// tryAll opens runs for members until one finds no target.
-func (p *pass) tryAll(members []*waiting) []*run {
+// openUntilNoTarget opens runs for members in order until one finds no target.
+func (p *pass) openUntilNoTarget(members []*waitingTask) []*run {
 	opened := make([]*run, 0, len(members))
 	for _, member := range members {
 		to, found := p.engine.finder.findTarget(member)
@@ -216,7 +225,7 @@
 	return opened
 }
 
-// rollBack closes the runs of an attempt that failed.
+// rollBack closes the runs of a failed attempt.
 func (p *pass) rollBack(opened []*run) {
 	for _, r := range opened {
 		p.engine.runs.close(r)
@@ -232,20 +241,21 @@
 	return classes
 }
 
-// fitCount is how often a class fitted when it was last counted, up to enough.
+// fitCount is the last count of how often a class fits, which stopped at limit.
 type fitCount struct {
-	pass         uint64
-	enough, fits int
-	// full are the domains that the spread rule closed, if it was counted to the end:
-	// what is freed there makes no fit. It holds for one version of the pool.
-	full    map[string]bool
-	version uint64
+	pass        uint64
+	limit, fits int
+	// fullDomains are the domains in which the spread rule allows no run beyond those
+	// counted: capacity freed there adds no fit. They are known only if the count
+	// included all workers, and are valid for one version of the pool.
+	fullDomains map[string]bool
+	version     uint64
 }
 
-// freedFitsOn is by how much at most a changed worker can raise the last count.
+// freedFitsOn returns an upper bound on how much a changed worker raises the last count.
 func (c *equivalenceClass) freedFitsOn(w *worker) uint64 {
-	if c.spread != nil && c.lastFitCount.full != nil && c.lastFitCount.version == c.pool.version {
-		if domain, ok := w.Domain(c.spread.by); !ok || c.lastFitCount.full[domain] {
+	if c.spread != nil && c.lastFitCount.fullDomains != nil && c.lastFitCount.version == c.pool.version {
+		if domain, ok := w.Domain(c.spread.by); !ok || c.lastFitCount.fullDomains[domain] {
 			return 0
 		}
 	}
@@ -253,60 +263,62 @@
 }
 
 // findShortage returns a class that fits less often than the gang has members of it, and
-// how many are missing, or nil. Classes are counted one by one, so nil does not say that
-// all fit together.
-func (sub *subQueue) findShortage() (short *equivalenceClass, missing int) {
-	sub.freeMembers = 0
+// how many fits are missing; nil if there is none. Classes are counted one by one, so nil
+// does not mean that all members fit together.
+func (sub *subQueue) findShortage() (shortClass *equivalenceClass, missing int) {
+	sub.fittingMembers = 0
 	for _, m := range sub.members {
 		count := m.class.fitCountThisPass(m.count)
-		sub.freeMembers += count
-		if count < m.count && short == nil {
-			short, missing = m.class, m.count-count
+		sub.fittingMembers += count
+		if count < m.count && shortClass == nil {
+			shortClass, missing = m.class, m.count-count
 		}
 	}
-	return short, missing
+	return shortClass, missing
 }
 
-// fitCountThisPass is fitCount, counted once a pass where it fell short: free capacity
-// only shrinks during a pass, so that many gangs of one class cost one count.
-func (c *equivalenceClass) fitCountThisPass(enough int) int {
+// fitCountThisPass is fitCount, but does not repeat a count of this pass that fell short
+// of its limit: free capacity only shrinks during a pass. So many gangs of one class cost
+// one count.
+func (c *equivalenceClass) fitCountThisPass(limit int) int {
 	last := &c.lastFitCount
-	if last.pass == c.clock.pass && last.fits < last.enough {
-		return min(last.fits, enough)
+	if last.pass == c.clock.pass && last.fits < last.limit {
+		return min(last.fits, limit)
 	}
-	c.lastFitCount = fitCount{pass: c.clock.pass, enough: enough, version: c.pool.version}
-	c.lastFitCount.fits = c.fitCount(enough)
+	c.lastFitCount = fitCount{pass: c.clock.pass, limit: limit, version: c.pool.version}
+	c.lastFitCount.fits = c.fitCount(limit)
 	return c.lastFitCount.fits
 }
 
-// fitCount counts how many tasks of the class fit now, up to enough. Slots count whole:
-// with a spread rule fewer may fit. It costs one look at each worker of the pool.
-func (c *equivalenceClass) fitCount(enough int) int {
-	left := map[string]int{}
+// fitCount counts how many tasks of the class fit now, up to limit. Free slots are
+// counted without the spread rule, so with such a rule fewer tasks may fit. It visits
+// each worker of the pool once.
+func (c *equivalenceClass) fitCount(limit int) int {
+	remaining := map[string]int{}
 	total := 0
 	for _, r := range c.reservations {
-		total += min(c.freeSlots(r.slots), enough-total)
+		total += min(c.freeSlots(r.slots), limit-total)
 	}
 	for _, w := range c.pool.workers {
-		if total >= enough {
-			return enough
+		if total >= limit {
+			return limit
 		}
-		here := min(resources.FitCount(c.key.need, c.availableOn(w), enough-total), c.maxRunsOn(w))
-		if c.spread != nil && here > 0 {
-			here = takeFromDomain(left, c.spread, &w.Worker, here)
+		fitsHere := min(resources.FitCount(c.key.need, c.availableOn(w), limit-total), c.maxRunsOn(w))
+		if c.spread != nil && fitsHere > 0 {
+			fitsHere = takeFromDomain(remaining, c.spread, &w.Worker, fitsHere)
 		}
-		total += here
+		total += fitsHere
 	}
 	if c.spread != nil {
-		c.lastFitCount.full = fullDomains(left)
+		c.lastFitCount.fullDomains = fullDomains(remaining)
 	}
 	return total
 }
 
-// fullDomains returns the domains of which nothing is left.
-func fullDomains(left map[string]int) map[string]bool {
+// fullDomains returns the domains that have no runs remaining.
+func fullDomains(remaining map[string]int) map[string]bool {
 	full := map[string]bool{}
-	for domain, runs := range left {
+	for domain, runs := range remaining {
 		if runs == 0 {
 			full[domain] = true
 		}
@@ -314,61 +326,61 @@
 	return full
 }
 
-// takeFromDomain returns how many of the wanted runs the worker's domain still takes,
-// and counts them in left.
-func takeFromDomain(left map[string]int, rule *spreadRule, worker *Worker, wanted int) int {
+// takeFromDomain returns how many of the wanted runs the worker's domain still allows,
+// and subtracts them from remaining.
+func takeFromDomain(remaining map[string]int, rule *spreadRule, worker *Worker, wanted int) int {
 	domain, ok := worker.Domain(rule.by)
 	if !ok {
 		return 0
 	}
-	if _, seen := left[domain]; !seen {
-		left[domain] = max(rule.remaining(worker), 0)
+	if _, seen := remaining[domain]; !seen {
+		remaining[domain] = max(rule.remaining(worker), 0)
 	}
-	taken := min(wanted, left[domain])
-	left[domain] -= taken
+	taken := min(wanted, remaining[domain])
+	remaining[domain] -= taken
 	return taken
 }
 
-// fitCountOnIdleWorkers counts how many tasks of the class would fit on workers on which
-// nothing ran but what runs until cancelled, up to enough.
-func (c *equivalenceClass) fitCountOnIdleWorkers(enough int) int {
-	return c.fitCountWith(enough, 0, func(w *worker) api.Resources { return w.Capacity.Sub(w.longRunning) })
+// fitCountOnIdleWorkers counts how many tasks of the class would fit, up to limit, if the
+// workers had no runs except those counted in worker.longRunning.
+func (c *equivalenceClass) fitCountOnIdleWorkers(limit int) int {
+	return c.fitCountWith(limit, 0, func(w *worker) api.Resources { return w.Capacity.Sub(w.longRunning) })
 }
 
-// fitCountWithPreemption counts how many would fit if all preemptible runs stopped, up to
-// enough; slots count whole.
-func (c *equivalenceClass) fitCountWithPreemption(enough int) int {
+// fitCountWithPreemption counts how many tasks of the class would fit if all preemptible
+// runs stopped, up to limit. Free slots are counted without the spread rule.
+func (c *equivalenceClass) fitCountWithPreemption(limit int) int {
 	inSlots := 0
 	for _, r := range c.reservations {
 		inSlots += c.freeSlots(r.slots)
 	}
-	return c.fitCountWith(enough, inSlots, func(w *worker) api.Resources {
+	return c.fitCountWith(limit, inSlots, func(w *worker) api.Resources {
 		if w.restricted && !c.key.untilCancelled {
-			// No need fits where a dimension is negative.
+			// Nothing fits where a dimension is negative.
 			return api.Resources{CPUMillis: -1}
 		}
 		return w.freeOnceStopped().Add(w.preemptible)
 	})
 }
 
-// fitCountWith counts on top of total what fits in free of each worker of the pool, and
-// in the domains of the spread rule, up to enough.
-func (c *equivalenceClass) fitCountWith(enough, total int, free func(*worker) api.Resources) int {
-	left := map[string]int{}
+// fitCountWith adds to total how many tasks of the class fit in free(w) of each worker w
+// of the pool, within the domains of the spread rule. It stops once total reaches limit.
+func (c *equivalenceClass) fitCountWith(limit, total int, free func(*worker) api.Resources) int {
+	remaining := map[string]int{}
 	for _, w := range c.pool.workers {
-		if total >= enough {
+		if total >= limit {
 			break
 		}
-		here := resources.FitCount(c.key.need, free(w), enough-total)
-		if c.spread != nil && here > 0 {
-			here = takeFromDomain(left, c.spread, &w.Worker, here)
+		fitsHere := resources.FitCount(c.key.need, free(w), limit-total)
+		if c.spread != nil && fitsHere > 0 {
+			fitsHere = takeFromDomain(remaining, c.spread, &w.Worker, fitsHere)
 		}
-		total += here
+		total += fitsHere
 	}
 	return total
 }
 
-// resetFitCounts has the classes of a gang counted anew in this pass.
+// resetFitCounts makes this pass count the fits of the gang's classes anew.
 func (sub *subQueue) resetFitCounts() {
 	for _, m := range sub.members {
 		m.class.lastFitCount = fitCount{}
--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -12,18 +12,18 @@
 	e := newEngine(testWorker("a", cpu(4)), testWorker("b", cpu(5)))
 	members := gangOf("g", 1, 4, 4, 1)
 	addAll(e, members[:3]...)
-	expect(t, "incomplete", placed(e, 10), "")
+	expect(t, "incomplete gang", placed(e, 10), "")
 	expect(t, "reason", e.Reason(members[0].ID), "group has 3 of 4 members")
 	e.Add(members[3])
-	before := trace(e)
+	before := engineState(e)
 	expect(t, "no capacity for all", placed(e, 10), "")
-	expect(t, "trace of the trial", trace(e), before)
+	expect(t, "state after the failed attempt", engineState(e), before)
 	expect(t, "reason", e.Reason(members[0].ID), "group needs 4 places, 3 free now")
 	e.Add(testTask("behind", 9, 1))
-	expect(t, "does not block", placed(e, 10), "behind/a/9@a")
+	expect(t, "gang does not block others", placed(e, 10), "behind/a/9@a")
 	e.Release(testTask("behind", 9, 1).ID)
 	e.SetWorker(testWorker("c", cpu(1)))
-	expect(t, "complete, beyond the limit", placed(e, 1), "g/a/1@a g/a/2@b g/a/0@b g/a/3@c")
+	expect(t, "complete gang exceeds the limit of the pass", placed(e, 1), "g/a/1@a g/a/2@b g/a/0@b g/a/3@c")
 }
 
 func TestGang_QueueAndPassLimits(t *testing.T) {
@@ -35,11 +35,11 @@
 	}
 	addAll(e, gang...)
 	e.Add(testTask("later", 2, 1))
-	expect(t, "stops before the gang", placed(e, 2), "alone/a/0@a")
-	expect(t, "gang is first", placed(e, 2), "g/a/0@a g/a/1@a")
+	expect(t, "pass ends before the gang", placed(e, 2), "alone/a/0@a")
+	expect(t, "next pass starts with the gang", placed(e, 2), "g/a/0@a g/a/1@a")
 	one := gangOf("one", 1)[0]
 	e.Add(one)
-	expect(t, "member alone", e.Plan(1), []Decision{{Task: one.ID, WorkerID: "a-1", Worker: "a", Gang: "one/a"}})
+	expect(t, "gang of one", e.Plan(1), []Decision{{Task: one.ID, WorkerID: "a-1", Worker: "a", Gang: "one/a"}})
 }
 
 func TestGang_MemberRemovedAndAddedAgain(t *testing.T) {
@@ -49,12 +49,12 @@
 	expect(t, "no capacity", placed(e, 10), "")
 	e.Remove(members[1].ID)
 	for _, p := range e.workers.pools {
-		expect(t, "parked", len(p.unschedulable), 0)
+		expect(t, "unschedulable classes", len(p.waitingClasses), 0)
 	}
 	e.SetWorker(testWorker("a", cpu(10)))
-	expect(t, "incomplete", placed(e, 10), "")
+	expect(t, "incomplete gang", placed(e, 10), "")
 	e.Add(members[1])
-	expect(t, "complete", placed(e, 10), "g/a/0@a g/a/1@a")
+	expect(t, "complete gang", placed(e, 10), "g/a/0@a g/a/1@a")
 }
 
 func TestGang_ActivatedOnceShortageIsFreed(t *testing.T) {
@@ -64,14 +64,14 @@
 		needs[i] = 10
 	}
 	addAll(e, gangOf("g", needs...)...)
-	expect(t, "none", placed(e, 100), "")
+	expect(t, "too little capacity", placed(e, 100), "")
 	expect(t, "reason", e.Reason(record.TaskID{Job: "g", Step: "a"}), "group needs 16 places, 9 free now")
 	e.SetWorker(testWorker("b", cpu(70)))
-	expect(t, "all", len(e.Plan(100)), 16)
+	expect(t, "members placed", len(e.Plan(100)), 16)
 }
 
-// trace is all that an attempt may not leave behind.
-func trace(e *Engine) string {
+// engineState describes the state that a failed attempt must leave unchanged.
+func engineState(e *Engine) string {
 	var text strings.Builder
 	for _, id := range []string{"a-1", "b-1"} {
 		w := e.workers.byID[id]
@@ -82,6 +82,6 @@
 			fmt.Fprintln(&text, w.ID)
 		}
 	}
-	fmt.Fprintln(&text, e.queues.Get("q").Running(), len(e.runs.steps.byID), len(e.runs.open), e.Waiting())
+	fmt.Fprintln(&text, e.queues.GetOrCreate("q").Running(), len(e.runs.steps.byID), len(e.runs.open), e.Waiting())
 	return text.String()
 }
--- a/internal/placement/helper_test.go
+++ b/internal/placement/helper_test.go
@@ -12,12 +12,13 @@
 
 func cpu(millis int64) api.Resources { return api.Resources{CPUMillis: millis} }
 
-// testWorker is a usable worker that offers "s"; its id is the name plus "-1".
+// testWorker returns a usable worker that offers service "s"; its ID is the name plus
+// "-1".
 func testWorker(name string, capacity api.Resources) Worker {
 	return Worker{ID: name + "-1", Name: name, Zone: "z1", Capacity: capacity, Services: []string{"s"}, Usable: true}
 }
 
-// testTask is task JOB/a/SEQUENCE of queue "q".
+// testTask returns task JOB/a/SEQUENCE of queue "q" with that Sequence.
 func testTask(job string, sequence int, need int64) Task {
 	return Task{
 		ID: record.TaskID{Job: job, Step: "a", Index: sequence}, Queue: "q", Sequence: uint64(sequence), Preferences: &Preferences{},
@@ -55,7 +56,7 @@
 	}
 }
 
-// placed plans and returns "TASK@WORKER" in the order of decisions.
+// placed calls Plan and returns "TASK@WORKER" in the order of the decisions.
 func placed(e *Engine, limit int) string {
 	var texts []string
 	for _, d := range e.Plan(limit) {
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -8,17 +8,17 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// nomination is a task, or a whole gang, that is promised what preempted runs still
-// have, as a pod is nominated to a node in Kubernetes. Its tasks count as running for
-// limits, fair share and spread rules, but take part in no pass; they are placed once
-// all that they need is free.
+// nomination is a task, or a complete gang, to which capacity is promised that preempted
+// runs still hold or that was drained for it, as a pod is nominated to a node in
+// Kubernetes. Its tasks count as running for limits, fair share and spread rules, but
+// take no part in passes; they are placed once all the capacity they need is free.
 type nomination struct {
-	members []*waiting
+	members []*waitingTask
 	// runs are the members' nominated runs, in the order of members.
 	runs []*run
 }
 
-// compareNomination puts the highest priority first, then the lowest Sequence.
+// compareNomination orders by priority, highest first, then by Sequence.
 func compareNomination(a, b *nomination) int {
 	return cmp.Or(
 		cmp.Compare(b.members[0].Priority, a.members[0].Priority),
@@ -28,7 +28,7 @@
 
 // nominationList owns the nominations.
 type nominationList struct {
-	// ordered are in the order in which they are placed.
+	// ordered are the nominations in the order in which they are placed.
 	ordered []*nomination
 }
 
@@ -41,12 +41,13 @@
 	l.ordered = slices.DeleteFunc(l.ordered, func(other *nomination) bool { return other == n })
 }
 
-// all returns a copy: nominations end while they are looked at.
+// all returns a copy, so that nominations can be dropped while the caller iterates.
 func (l *nominationList) all() []*nomination { return slices.Clone(l.ordered) }
 
-// nominate promises targets to tasks and asks for the victims to be stopped. runs are
-// the nominated runs of the members.
-func (e *Engine) nominate(members []*waiting, runs []*run, victims []Preemption) {
+// nominate takes tasks out of their sub-queues and promises targets to them, as a
+// nomination, and requests that the victims be stopped. runs are the nominated runs of
+// the members, in the same order.
+func (e *Engine) nominate(members []*waitingTask, runs []*run, victims []Preemption) {
 	n := &nomination{members: members, runs: runs}
 	for _, member := range members {
 		e.backlog.dequeue(member)
@@ -62,12 +63,12 @@
 	}
 }
 
-// cancelNomination ends a nomination: its tasks wait as others do. Runs that were asked
-// to stop stay so.
+// cancelNomination ends a nomination and enqueues its tasks again. Runs that were asked
+// to stop for it still stop.
 func (e *Engine) cancelNomination(n *nomination) {
 	e.nominations.drop(n)
 	for _, r := range n.runs {
-		e.end(r)
+		e.closeRun(r)
 	}
 	for _, member := range n.members {
 		member.nomination = nil
@@ -75,13 +76,13 @@
 	}
 }
 
-// revokeNomination ends what a task that waits is promised, by its nomination or by the
-// drain for its gang; nothing if it is promised none.
-func (e *Engine) revokeNomination(w *waiting) {
+// revokeNomination ends the promise to a waiting task: its nomination, or the drain for
+// its gang. It does nothing if the task is promised nothing.
+func (e *Engine) revokeNomination(w *waitingTask) {
 	switch {
 	case w.nomination != nil:
 		e.cancelNomination(w.nomination)
-	case e.gangDrains.isFor(w.subQueue):
+	case e.gangDrains.isDrainingFor(w.subQueue):
 		e.stopGangDrain()
 	}
 }
@@ -89,18 +90,19 @@
 // revokeNominationOf is revokeNomination for the task of a nominated run.
 func (e *Engine) revokeNominationOf(task record.TaskID) { e.revokeNomination(e.backlog.find(task)) }
 
-// cancelNominationsOn ends the nominations that promise something on a worker.
+// cancelNominationsOn ends the nominations and the drain that have nominated runs on a
+// worker.
 func (e *Engine) cancelNominationsOn(w *worker) {
 	for _, r := range w.sortedRuns(func(r *run) bool { return r.nominated }) {
-		// A nomination that ended may have had several runs here.
+		// The nomination of an earlier run may have had this run as well.
 		if _, open := w.runs[r]; open {
 			e.revokeNominationOf(r.task)
 		}
 	}
 }
 
-// placeNominated places the nominations for which all that is promised is free. Those
-// that no longer keep the rules end.
+// placeNominated places the nominations for which all promised capacity is free, up to
+// the limit of the pass, and cancels those that no longer comply with the rules.
 func (p *pass) placeNominated() {
 	e := p.engine
 	for _, n := range e.nominations.all() {
@@ -122,7 +124,7 @@
 	}
 }
 
-// isObsolete reports whether a promised target no longer keeps the rules.
+// isObsolete reports whether a promised target no longer complies with the rules.
 func (n *nomination) isObsolete() bool {
 	for i, r := range n.runs {
 		if !r.queue.CanRun(0) || breaksRule(r, n.members[i]) {
@@ -132,14 +134,14 @@
 	return false
 }
 
-// breaksRule reports whether a nominated run no longer keeps the rules for its worker
-// and slot.
-func breaksRule(r *run, member *waiting) bool {
+// breaksRule reports whether a nominated run no longer complies with the rules for its
+// worker and slot.
+func breaksRule(r *run, member *waitingTask) bool {
 	c := member.class
 	if !c.pool.matches(r.worker) || resources.IsNegative(r.worker.freeOnceStopped()) || !c.admitsNominated(r.worker) {
 		return true
 	}
-	if c.spread != nil && !c.spread.holds(&r.worker.Worker) {
+	if c.spread != nil && !c.spread.isSatisfiedOn(&r.worker.Worker) {
 		return true
 	}
 	if r.inReservation {
@@ -149,14 +151,14 @@
 }
 
 // respectsReservedSlots reports whether a run outside of reserved slots, if it starts
-// now, takes nothing that they need.
-func respectsReservedSlots(r *run, member *waiting) bool {
+// now, takes no capacity that the slots need.
+func respectsReservedSlots(r *run, member *waitingTask) bool {
 	if r.preemptible {
 		return true
 	}
 	end := endOf(member.class.clock.now, member.Spec)
 	for _, p := range r.worker.profile {
-		if p.at < end && !fits(r.need, r.addNeedAt(p.slack, p.at)) {
+		if p.at < end && !fits(r.need, r.addBackNeedAt(p.slack, p.at)) {
 			return false
 		}
 	}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -2,29 +2,30 @@
 
 import "github.com/decklever/decklever/internal/placement/fairshare"
 
-// pass is one call of Plan: a round over the backlog, highest priority first, that ends
-// with the limit or when nothing active is left.
+// pass is one call of Plan: it goes through the backlog, highest priority first, and ends
+// when the limit is reached or no schedulable queue is left.
 type pass struct {
 	engine    *Engine
 	limit     int
 	decisions []Decision
-	// allowance bounds what the pass spends on preemption.
+	// allowance bounds the preemption work of the pass.
 	allowance allowance
 }
 
-// Plan implements Planner. The order of its steps matters. Measures that all searches
-// use are renewed first. Pending slots are assigned before other work could take their
-// capacity, and nominated tasks are placed before what they were promised could go to
-// others. Only then are unschedulable classes compared with the workers that changed,
-// since both steps take from these. The drain for a gang comes before the backlog, or
-// the small tasks in it would take each piece that came free.
+// Plan implements Planner. The order of the steps matters. Values that all searches use
+// are refreshed first. Pending slots are assigned before other tasks can take their
+// capacity, and nominated tasks are placed before their promised capacity can go to
+// others. Only then are unschedulable classes compared with the changed workers, since
+// both steps take capacity of these workers. The drain for a gang precedes the backlog,
+// because small tasks of the backlog would otherwise take each piece of capacity as it is
+// released.
 //
-// A pass costs what it places, what changed since the last one and what is active, not
-// what waits.
+// The cost of a pass depends on what it places, what changed since the last pass and what
+// is active, not on the number of waiting tasks.
 func (e *Engine) Plan(limit int) []Decision {
 	e.clock.beginPass()
 	e.workers.refresh()
-	e.preferred.refresh()
+	e.preferred.refreshWorkers()
 	if e.needsUtilization() {
 		e.workers.countUtilization(e.utilization)
 		e.classes.activateAtLowUtilization()
@@ -32,7 +33,7 @@
 	p := &pass{engine: e, limit: limit, allowance: newAllowance()}
 	e.reservations.assignSlots(e.workers.pendingChanges())
 	p.placeNominated()
-	activateOn(e.workers.takeChanged())
+	activateForChangedWorkers(e.workers.takeChanged())
 	p.drainForGang()
 	e.preemptor.retries.activate(e.runs)
 	e.backfill.dropStale()
@@ -45,13 +46,13 @@
 	return p.decisions
 }
 
-// needsUtilization reports whether anything depends on the utilization of services. It
-// is not counted while nothing does.
+// needsUtilization reports whether any rule depends on the utilization of services.
+// Otherwise utilization is not counted.
 func (e *Engine) needsUtilization() bool {
 	return e.queues.NeedsUtilization() || e.workers.anyRestricted() || e.gangDrains.isDraining()
 }
 
-// planLevel places what waits with one priority. It returns false once the pass is over.
+// planLevel places waiting tasks of one priority. It returns false once the pass is over.
 func (p *pass) planLevel(level *priorityLevel) bool {
 	queues := level.activeQueues()
 	reservations := p.engine.backfill.begin(level, p.engine.queues.MayDefer())
@@ -68,8 +69,8 @@
 	return false
 }
 
-// planSubQueue places the first task of the sub-queue, or its gang, or takes the
-// sub-queue out of this and later passes. It returns false once the pass is over.
+// planSubQueue places the first task of the sub-queue, or its gang, or deactivates the
+// sub-queue. It returns false once the pass is over.
 func (p *pass) planSubQueue(sub *subQueue) bool {
 	if sub.class == nil {
 		return p.placeGang(sub)
@@ -81,17 +82,18 @@
 	}
 	first := sub.tasks[0]
 	if !sub.class.unschedulable {
-		if opened := p.openOne(first); opened != nil {
+		if opened := p.startSingle(first); opened != nil {
 			p.recordDecision(first, opened)
 			return true
 		}
 	}
-	p.preemptOrBlock(sub)
+	p.preemptOrDeactivate(sub)
 	return true
 }
 
-// openOne opens a run of a task that is placed alone; nil if there is no target.
-func (p *pass) openOne(task *waiting) *run {
+// startSingle opens a run of a task that is not in a gang. It returns nil if there is no
+// target.
+func (p *pass) startSingle(task *waitingTask) *run {
 	var opened *run
 	open := func() bool {
 		if to, found := p.engine.finder.findTarget(task); found {
@@ -105,8 +107,8 @@
 	return opened
 }
 
-// recordDecision adds the decision and takes the task out of what waits.
-func (p *pass) recordDecision(placed *waiting, opened *run) {
+// recordDecision adds the decision and removes the task from the waiting tasks.
+func (p *pass) recordDecision(placed *waitingTask, opened *run) {
 	on := opened.worker
 	if p.engine.needsUtilization() {
 		p.engine.utilization.AddRun(on.Services, opened.need)
@@ -117,14 +119,15 @@
 		Worker:   on.Name,
 		Gang:     placed.Gang,
 	})
-	p.engine.forget(placed)
+	p.engine.removeWaiting(placed)
 	if opened.slot != nil {
-		// The run may outlast its window and need what others have reserved.
+		// The run may outlast its window and then need capacity that other windows
+		// reserve.
 		p.engine.reservations.dropUnsupportedSlots(on)
 	}
 }
 
-// activeQueues returns the queues of the level that may place something.
+// activeQueues returns the schedulable queues of the level.
 func (level *priorityLevel) activeQueues() []*priorityQueue {
 	var queues []*priorityQueue
 	for _, q := range level.queues {
@@ -135,16 +138,18 @@
 	return queues
 }
 
-// isSchedulable reports whether the queue has something active and is below its limits.
+// isSchedulable reports whether the queue has an active sub-queue and may open one more
+// run.
 func (q *priorityQueue) isSchedulable() bool { return len(q.active) > 0 && q.queue.CanRun(1) }
 
-// nextQueue returns the queue with the lowest share, then the one with the lowest
-// Sequence; nil if none may place. This is weighted max-min fairness over one resource,
-// the number of runs: each time the queue furthest below its share goes next. Queues
-// with BySlack count as one in that; mostUrgent says which of them goes first.
+// nextQueue returns the schedulable queue with the lowest share, ties by the lowest
+// Sequence; nil if there is none. This is weighted max-min fairness over one resource,
+// the number of runs: each time, the queue furthest below its share is served next.
+// Queues with BySlack count as one queue; mostUrgent selects the one of them to serve
+// first.
 func nextQueue(queues []*priorityQueue, competing competingQueues) *priorityQueue {
 	var best *priorityQueue
-	var sharing fairshare.Sum
+	var combined fairshare.CombinedShare
 	for _, q := range queues {
 		if !q.isSchedulable() {
 			continue
@@ -155,7 +160,7 @@
 			}
 			continue
 		}
-		sharing.Add(q.queue)
+		combined.Add(q.queue)
 	}
 	urgent := competing.mostUrgent(queues)
 	switch {
@@ -164,19 +169,20 @@
 	case best == nil:
 		return urgent
 	}
-	byShare := sharing.Compare(best.queue)
+	byShare := combined.Compare(best.queue)
 	if byShare < 0 || byShare == 0 && urgent.hasEarlierTask(best) {
 		return urgent
 	}
 	return best
 }
 
-// hasEarlierTask reports whether the first task of the queue has the lower Sequence.
+// hasEarlierTask reports whether the first task of the queue has a lower Sequence than
+// that of other.
 func (q *priorityQueue) hasEarlierTask(other *priorityQueue) bool {
 	return compareWaiting(q.active[0].tasks[0], other.active[0].tasks[0]) < 0
 }
 
-// before orders queues without BySlack.
+// before orders queues without BySlack: by share, ties by the lowest Sequence.
 func (q *priorityQueue) before(other *priorityQueue) bool {
 	if byShare := fairshare.Compare(q.queue, other.queue); byShare != 0 {
 		return byShare < 0
