--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -8,26 +8,27 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// Bounds of what one pass spends on preemption; what does not fit in is tried in later
+// Bounds on the preemption that one pass does; what exceeds them is tried in later
 // passes.
 const (
 	maxPreemptionsPerPass = 64
-	// Work in reserved slots has its own bound: the tasks of a window come all at once.
+	// Preemptions for reserved slots have a bound of their own, because the tasks of a
+	// window start all at once.
 	maxReservedPreemptionsPerPass = 256
-	// An attempt may look at all workers, that of a gang many times; of single tasks
-	// only attempts that find nothing count.
+	// An attempt may visit all workers, the attempt of a gang many times. For single
+	// tasks only attempts that find no victims count.
 	maxPreemptionAttemptsPerPass     = 16
 	maxGangPreemptionAttemptsPerPass = 1
 )
 
-// anyPriority lets work in reserved slots preempt whatever is preemptible.
+// anyPriority lets tasks in reserved slots preempt preemptible runs of any priority.
 const anyPriority = math.MaxInt
 
-// preemptor chooses runs that make way for others, and owns which were asked to stop.
-// What a run takes is counted until it was released: a preempted run stops at its own
-// pace.
+// preemptor chooses the runs to preempt, and owns the record of those that were asked to
+// stop. The resources of a preempted run stay allocated until its release, because it
+// stops at its own pace.
 type preemptor struct {
-	// requested are the preemptions since takeRequested was last called.
+	// requested are the preemptions since the last call of takeRequested.
 	requested []Preemption
 	// retries are the sub-queues that get another attempt later.
 	retries preemptionRetries
@@ -39,7 +40,8 @@
 // request records that the victims of a nomination are to be stopped.
 func (p *preemptor) request(victims []Preemption) { p.requested = append(p.requested, victims...) }
 
-// takeRequested returns and forgets the runs to stop, without those that ended since.
+// takeRequested returns and clears the requested preemptions, without runs that have
+// ended since.
 func (p *preemptor) takeRequested() []Preemption {
 	requested := slices.DeleteFunc(p.requested, func(request Preemption) bool {
 		r, open := p.runs.open[request.Task]
@@ -49,7 +51,8 @@
 	return requested
 }
 
-// stop records that runs are asked to stop for a task.
+// stop marks runs as stopping, and returns the preemptions to request for the
+// beneficiary.
 func (p *preemptor) stop(victims []*run, beneficiary record.TaskID) []Preemption {
 	requests := make([]Preemption, 0, len(victims))
 	for _, r := range victims {
@@ -59,13 +62,13 @@
 	return requests
 }
 
-// setStopping records it of one run, or takes it back.
+// setStopping marks a run as stopping, or undoes that.
 func (p *preemptor) setStopping(r *run, stopping bool) {
 	p.workers.updateRun(r, func() { r.stopping = stopping })
 }
 
-// allowance is what a pass may still spend on preemption: victims, those for reserved
-// slots, attempts, and attempts of gangs.
+// allowance is what a pass may still spend on preemption: victims, victims for reserved
+// slots, attempts for single tasks, and attempts for gangs.
 type allowance struct{ preemptions, reserved, attempts, gangAttempts int }
 
 func newAllowance() allowance {
@@ -75,9 +78,11 @@
 	}
 }
 
-// preemptOrBlock nominates the first task of the sub-queue for what preemption makes
-// free, or takes the sub-queue out of this and later passes.
-func (p *pass) preemptOrBlock(sub *subQueue) {
+// preemptOrDeactivate nominates the first task of the sub-queue for capacity that preemption
+// will free. If that is not possible it deactivates the sub-queue: until the next pass if
+// the allowance is too small for the victims, else until its class is activated or its
+// next retry.
+func (p *pass) preemptOrDeactivate(sub *subQueue) {
 	if sub.class.key.waitsForPreferred {
 		sub.mayPreemptNow = false
 		sub.class.setUnschedulable()
@@ -85,45 +90,45 @@
 		return
 	}
 	first := sub.tasks[0]
-	found, later := p.findVictims(sub.class, sub.parent.level.priority)
-	if later {
+	choice, overAllowance := p.findVictims(sub.class, sub.parent.level.priority)
+	if overAllowance {
 		sub.deactivate()
 		p.engine.preemptor.retries.addOverAllowance(sub)
 		return
 	}
-	if !found.possible() {
+	if !choice.possible() {
 		sub.mayPreemptNow = false
 		sub.class.setUnschedulable()
 		sub.deactivate()
 		p.engine.preemptor.retries.add(sub)
 		return
 	}
-	p.allowance.spend(&found)
-	victims := p.engine.preemptor.stop(found.victims, first.ID)
-	r := p.engine.runs.nominate(&first.Task, found.to)
-	p.engine.nominate([]*waiting{first}, []*run{r}, victims)
+	p.allowance.spend(&choice)
+	victims := p.engine.preemptor.stop(choice.victims, first.ID)
+	r := p.engine.runs.nominate(&first.Task, choice.target)
+	p.engine.nominate([]*waitingTask{first}, []*run{r}, victims)
 }
 
-// spend takes the victims of a choice off.
+// spend subtracts the victims of a choice.
 func (a *allowance) spend(c *preemptionChoice) {
-	if c.to.slot != nil {
+	if c.target.slot != nil {
 		a.reserved -= len(c.victims)
 		return
 	}
 	a.preemptions -= len(c.victims)
 }
 
-// preemptionChoice is a target and the runs that must stop for it; without a target it
-// is not possible.
+// preemptionChoice is a target and the runs that must stop for it. Without a target,
+// preemption is not possible.
 type preemptionChoice struct {
-	to      placementTarget
+	target  placementTarget
 	victims []*run
 }
 
-func (c *preemptionChoice) possible() bool { return c.to.worker != nil }
+func (c *preemptionChoice) possible() bool { return c.target.worker != nil }
 
-// highest is the highest priority of the victims.
-func (c *preemptionChoice) highest() int {
+// highestPriority returns the highest priority of the victims.
+func (c *preemptionChoice) highestPriority() int {
 	highest := math.MinInt
 	for _, r := range c.victims {
 		highest = max(highest, r.priority)
@@ -131,23 +136,25 @@
 	return highest
 }
 
-// before orders choices: fewest victims, lowest priority, fullest worker.
-func (c *preemptionChoice) before(other *preemptionChoice) bool {
+// isBetterThan prefers fewer victims, then the lower highest priority of the victims,
+// then the fuller worker.
+func (c *preemptionChoice) isBetterThan(other *preemptionChoice) bool {
 	return cmp.Or(
 		cmp.Compare(len(c.victims), len(other.victims)),
-		cmp.Compare(c.highest(), other.highest()),
-		compareFullest(c.to.worker, other.to.worker),
+		cmp.Compare(c.highestPriority(), other.highestPriority()),
+		compareFullest(c.target.worker, other.target.worker),
 	) < 0
 }
 
-// findVictims finds the best target that preemption makes for a task; later tells that
-// the pass has no allowance left for it.
-func (p *pass) findVictims(c *equivalenceClass, priority int) (best preemptionChoice, later bool) {
+// findVictims returns the best target that preemption can free for a task; none if there
+// is no such target or the attempts are used up. overAllowance is set if the target needs
+// more victims than the pass may still preempt.
+func (p *pass) findVictims(c *equivalenceClass, priority int) (best preemptionChoice, overAllowance bool) {
 	best = c.chooseReservedSlot()
 	if best.possible() {
 		return best, len(best.victims) > p.allowance.reserved
 	}
-	if !p.engine.runs.anyPreemptible(priority) || p.allowance.attempts == 0 {
+	if !p.engine.runs.hasPreemptibleBelow(priority) || p.allowance.attempts == 0 {
 		return preemptionChoice{}, false
 	}
 	best = p.engine.preemptor.chooseByPriority(c, priority)
@@ -160,15 +167,16 @@
 	return best, false
 }
 
-// improve takes over the other choice if that is better.
+// improve replaces the choice by the other one if that is better.
 func (c *preemptionChoice) improve(other preemptionChoice) {
-	if !c.possible() || other.before(c) {
+	if !c.possible() || other.isBetterThan(c) {
 		*c = other
 	}
 }
 
-// chooseReservedSlot finds a free slot on a worker whose capacity preemptible runs have.
-// The search ends with the first that needs one victim at most.
+// chooseReservedSlot returns the best free slot that the class may enter, on a worker
+// where preempting runs of any priority frees the capacity. The search ends at the first
+// that needs at most one victim.
 func (c *equivalenceClass) chooseReservedSlot() preemptionChoice {
 	var best preemptionChoice
 	for _, r := range c.reservations {
@@ -177,7 +185,7 @@
 				continue
 			}
 			if victims, ok := s.worker.victimsFor(c.key.need, anyPriority); ok {
-				best.improve(preemptionChoice{to: placementTarget{worker: s.worker, slot: s}, victims: victims})
+				best.improve(preemptionChoice{target: placementTarget{worker: s.worker, slot: s}, victims: victims})
 			}
 			if best.possible() && len(best.victims) <= 1 {
 				return best
@@ -187,9 +195,9 @@
 	return best
 }
 
-// chooseByPriority finds a worker on which runs of a lower priority can make way. The
-// search ends early once no choice could be better: one victim at most, and of the
-// lowest priority there is.
+// chooseByPriority returns the best worker on which preempting runs of a lower priority
+// frees the capacity. The search ends early once no choice could be better: it needs at
+// most one victim, and no preemptible run has a lower priority.
 func (p *preemptor) chooseByPriority(c *equivalenceClass, priority int) preemptionChoice {
 	var best preemptionChoice
 	for _, w := range c.pool.workers {
@@ -197,26 +205,27 @@
 			continue
 		}
 		if victims, ok := w.victimsFor(c.key.need, priority); ok {
-			best.improve(preemptionChoice{to: placementTarget{worker: w}, victims: victims})
+			best.improve(preemptionChoice{target: placementTarget{worker: w}, victims: victims})
 		}
-		if best.possible() && len(best.victims) <= 1 && !p.runs.anyPreemptible(best.highest()) {
+		if best.possible() && len(best.victims) <= 1 && !p.runs.hasPreemptibleBelow(best.highestPriority()) {
 			return best
 		}
 	}
 	return best
 }
 
-// minRetryCompaction is the least length at which preemptionRetries drops sub-queues
+// minRetryCompaction is the minimum length at which preemptionRetries drops sub-queues
 // without tasks.
 const minRetryCompaction = 256
 
-// preemptionRetries owns the unschedulable sub-queues that get another attempt to
-// preempt, since runs that could make way for them may have started meanwhile. Each
-// pass takes some of them in turn, so that its cost does not grow with their number.
+// preemptionRetries owns the list of sub-queues that get another attempt to preempt,
+// because runs that they could preempt may have started since the last one. Each pass
+// activates some of them in turn, so that its cost does not grow with their number.
 type preemptionRetries struct {
-	// waiting are in the order in which they get their attempt.
+	// waiting are the sub-queues in the order of their next attempts.
 	waiting []*subQueue
-	// overAllowance are those for which the last pass had no allowance left.
+	// overAllowance are the sub-queues whose victims exceeded the allowance of the last
+	// pass.
 	overAllowance []*subQueue
 }
 
@@ -232,26 +241,26 @@
 	r.waiting = append(r.waiting, sub)
 }
 
-// addOverAllowance lists a sub-queue that is to be looked at in the next pass.
+// addOverAllowance lists a sub-queue for the next pass.
 func (r *preemptionRetries) addOverAllowance(sub *subQueue) {
 	r.overAllowance = append(r.overAllowance, sub)
 }
 
-// activate lets the pass look at what the last one had no allowance for, and at some of
-// those that may preempt by now, in turn.
+// activate lets the pass look at the sub-queues that exceeded the allowance of the last
+// pass, and at the next ones in waiting if there are runs that they may preempt.
 func (r *preemptionRetries) activate(runs *runTable) {
 	r.activateOverAllowance()
 	if len(runs.preemptible) == 0 {
 		return
 	}
 	count := min(maxPreemptionAttemptsPerPass, len(r.waiting))
-	turn := slices.Clone(r.waiting[:count])
+	batch := slices.Clone(r.waiting[:count])
 	r.waiting = slices.Delete(r.waiting, 0, count)
-	for _, sub := range turn {
+	for _, sub := range batch {
 		sub.inPreemptRetries = false
 		switch {
 		case len(sub.tasks) == 0:
-		case !runs.anyPreemptible(sub.parent.level.priority):
+		case !runs.hasPreemptibleBelow(sub.parent.level.priority):
 			r.add(sub)
 		default:
 			sub.mayPreemptNow = true
@@ -261,9 +270,9 @@
 }
 
 func (r *preemptionRetries) activateOverAllowance() {
-	unfinished := r.overAllowance
+	activated := r.overAllowance
 	r.overAllowance = nil
-	for _, sub := range unfinished {
+	for _, sub := range activated {
 		if len(sub.tasks) > 0 {
 			sub.mayPreemptNow = sub.class == nil || sub.class.unschedulable
 			sub.Activate()
@@ -272,42 +281,42 @@
 }
 
 // gangPreemption is an attempt to preempt for a gang: the targets of its members, as
-// nominated runs, and the runs that would have to stop. All of it can be undone.
+// nominated runs, and the runs that would have to stop. undo reverts it.
 type gangPreemption struct {
 	finder    *targetFinder
 	preemptor *preemptor
 	runTable  *runTable
 
-	members []*waiting
+	members []*waitingTask
 	runs    []*run
 	victims []Preemption
 	stopped []*run
 	spent   allowance
 }
 
-// preemptForGang nominates all members of a gang that finds too little, or leaves all as
-// it was. It always lets the pass go on.
+// preemptForGang nominates all members of a gang that found too little capacity, or
+// changes nothing. It always returns true: the pass continues.
 func (p *pass) preemptForGang(sub *subQueue) bool {
 	e := p.engine
 	priority := sub.parent.level.priority
 	e.preemptor.retries.add(sub)
-	if !e.runs.anyPreemptible(priority) && !sub.mayUseReservedSlots() {
+	if !e.runs.hasPreemptibleBelow(priority) && !sub.mayUseReservedSlots() {
 		return true
 	}
 	if p.allowance.gangAttempts == 0 || !sub.couldPreempt() {
 		return true
 	}
 	p.allowance.gangAttempts--
-	t := &gangPreemption{
+	attempt := &gangPreemption{
 		finder: e.finder, preemptor: e.preemptor, runTable: e.runs,
 		members: e.finder.placementOrder(sub.tasks), spent: p.allowance,
 	}
-	if !t.nominateAll(priority) {
-		t.undo()
+	if !attempt.nominateAll(priority) {
+		attempt.undo()
 		return true
 	}
-	p.allowance = t.spent
-	e.nominate(t.members, t.runs, t.victims)
+	p.allowance = attempt.spent
+	e.nominate(attempt.members, attempt.runs, attempt.victims)
 	return true
 }
 
@@ -322,7 +331,7 @@
 }
 
 // couldPreempt reports whether each class would fit often enough if all preemptible runs
-// stopped; a cheap bound before an attempt.
+// stopped. It is a cheap check before an attempt.
 func (sub *subQueue) couldPreempt() bool {
 	for _, m := range sub.members {
 		if m.class.fitCountWithPreemption(m.count) < m.count {
@@ -332,7 +341,8 @@
 	return true
 }
 
-// nominateAll finds a target for each member, or stops at the first without.
+// nominateAll nominates all members. It returns false at the first member that cannot be
+// nominated.
 func (t *gangPreemption) nominateAll(priority int) bool {
 	for _, member := range t.members {
 		if !t.nominateMember(member, priority) {
@@ -342,13 +352,13 @@
 	return true
 }
 
-// nominateMember finds a target that is free, else the best that preemption makes. It
-// returns false also once the allowance is used up.
-func (t *gangPreemption) nominateMember(member *waiting, priority int) bool {
+// nominateMember nominates a member for a target that is free now, else for the best one
+// that preemption frees. It returns false if there is none or the allowance is exceeded.
+func (t *gangPreemption) nominateMember(member *waitingTask, priority int) bool {
 	c := member.class
 	var chosen preemptionChoice
-	if to, found := t.finder.findTarget(member); found {
-		chosen.to = to
+	if target, found := t.finder.findTarget(member); found {
+		chosen.target = target
 	} else {
 		chosen = c.chooseReservedSlot()
 	}
@@ -361,11 +371,11 @@
 	t.spent.spend(&chosen)
 	t.victims = append(t.victims, t.preemptor.stop(chosen.victims, member.ID)...)
 	t.stopped = append(t.stopped, chosen.victims...)
-	t.runs = append(t.runs, t.runTable.nominate(&member.Task, chosen.to))
+	t.runs = append(t.runs, t.runTable.nominate(&member.Task, chosen.target))
 	return t.spent.preemptions >= 0 && t.spent.reserved >= 0
 }
 
-// undo leaves all as it was before the attempt.
+// undo reverts the attempt.
 func (t *gangPreemption) undo() {
 	for _, r := range t.runs {
 		t.runTable.close(r)
--- a/internal/placement/preferences.go
+++ b/internal/placement/preferences.go
@@ -9,9 +9,10 @@
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
-// preferredDomainOf returns the domain in which the next task of a step is to lie. The
-// step keeps its domain for as long as the task fits there; then it gets another one.
-func (f *targetFinder) preferredDomainOf(w *waiting) string {
+// preferredDomainOf returns the domain in which to place the next task of a step, empty
+// if there is none. The step keeps its preferred domain while the task fits there;
+// otherwise another one is chosen.
+func (f *targetFinder) preferredDomainOf(w *waitingTask) string {
 	s := f.steps.get(w.ID.StepID())
 	if s.preferredDomain != "" && w.class.fitsInDomain(w.Colocate, s.preferredDomain, f.workers.sizeOf(w.class)) {
 		return s.preferredDomain
@@ -21,44 +22,46 @@
 }
 
 // fitsInDomain reports whether a task of the class fits on a worker of the domain.
-func (c *equivalenceClass) fitsInDomain(by, domain string, least float64) bool {
-	return slices.ContainsFunc(c.pool.withFreeSize(least), func(w *worker) bool {
-		here, ok := w.Domain(by)
-		return ok && here == domain && c.fitsOn(w)
+func (c *equivalenceClass) fitsInDomain(by, domain string, minSize float64) bool {
+	return slices.ContainsFunc(c.pool.withFreeSize(minSize), func(w *worker) bool {
+		workerDomain, ok := w.Domain(by)
+		return ok && workerDomain == domain && c.fitsOn(w)
 	})
 }
 
-// choosePreferredDomain returns the domain for the rest of a step: of those in which all
-// that is wanted fits the tightest, else the one in which most of it does; ties by name.
-// It is empty if no worker has such a domain.
-func (c *equivalenceClass) choosePreferredDomain(by string, least float64, wanted int) string {
-	fitsIn := map[string]int{}
-	left := map[string]int{}
-	for _, w := range c.pool.withFreeSize(least) {
+// choosePreferredDomain returns the domain for the remaining tasks of a step, of which
+// there are taskCount: of the domains in which all of them fit the one with the least
+// capacity for them, else the one in which most fit; ties by name. It is empty if the
+// class fits on no worker that has a domain.
+func (c *equivalenceClass) choosePreferredDomain(by string, minSize float64, taskCount int) string {
+	fitCounts := map[string]int{}
+	remaining := map[string]int{}
+	for _, w := range c.pool.withFreeSize(minSize) {
 		domain, ok := w.Domain(by)
 		if !ok || !c.fitsOn(w) {
 			continue
 		}
-		// Counted up to twice what is wanted: enough to tell a tight domain from a wide
-		// one.
-		here := resources.FitCount(c.key.need, c.availableOn(w), 2*wanted)
+		// Counting up to twice the tasks wanted is enough to distinguish a tight domain
+		// from a wide one.
+		count := resources.FitCount(c.key.need, c.availableOn(w), 2*taskCount)
 		if c.spread != nil {
-			here = takeFromDomain(left, c.spread, &w.Worker, here)
+			count = takeFromDomain(remaining, c.spread, &w.Worker, count)
 		}
-		fitsIn[domain] += here
+		fitCounts[domain] += count
 	}
 	best := ""
-	for domain, count := range fitsIn {
-		if best == "" || isBetterDomain(domain, count, best, fitsIn[best], wanted) {
+	for domain, count := range fitCounts {
+		if best == "" || isBetterDomain(domain, count, best, fitCounts[best], taskCount) {
 			best = domain
 		}
 	}
 	return best
 }
 
-// isBetterDomain orders domains for choosePreferredDomain.
-func isBetterDomain(domain string, count int, other string, otherCount, wanted int) bool {
-	complete, otherComplete := count >= wanted, otherCount >= wanted
+// isBetterDomain reports whether choosePreferredDomain prefers domain, in which count
+// tasks fit, to other, in which otherCount tasks fit.
+func isBetterDomain(domain string, count int, other string, otherCount, taskCount int) bool {
+	complete, otherComplete := count >= taskCount, otherCount >= taskCount
 	switch {
 	case complete != otherComplete:
 		return complete
@@ -69,19 +72,21 @@
 	}
 }
 
-// Reserve for preferred labels. A task that prefers a label takes any other worker where
-// those with the label are full, and may run for a multiple of its time there. "Fill the
-// fullest" fills some of them with tasks that would run as well anywhere. So, while some
-// task has preferred a label of a worker lately, tasks that do not prefer it leave a share
-// of that worker free for as long as others have free capacity.
+// Reserve for preferred labels. A task that prefers a label is placed on another worker
+// if the workers with the label are full, and may take several times as long there. Best
+// fit alone would fill some workers that have the label with tasks that run equally well
+// anywhere. So, while a task has preferred a label of a worker recently, tasks that do
+// not prefer the worker leave a share of it free as long as other workers have free
+// capacity.
 
-// preferredReservePercent is the share of a preferred worker that others leave free, in
-// hundredths.
+// preferredReservePercent is the percentage of a preferred worker that tasks which do not
+// prefer it leave free.
 const preferredReservePercent = 30
 
-// preferredReserve owns the labels that tasks have preferred lately, and worker.preferred.
+// preferredReserve owns the labels that tasks have preferred recently, and
+// worker.preferred.
 type preferredReserve struct {
-	// disabled has no label recorded.
+	// disabled means that no labels are recorded, so that there is no reserve.
 	disabled bool
 	labels   *preferredlabels.Set
 
@@ -93,32 +98,32 @@
 	return &preferredReserve{disabled: disabled, labels: preferredlabels.New(), clock: clock, workers: workers}
 }
 
-// any reports whether any label is preferred.
-func (p *preferredReserve) any() bool { return p.labels.Len() > 0 }
+// hasLabels reports whether any label is recorded as preferred.
+func (p *preferredReserve) hasLabels() bool { return p.labels.Len() > 0 }
 
-// record takes in what a task that waits prefers.
-func (p *preferredReserve) record(spec *api.TaskSpec) {
+// recordLabels adds the labels that a waiting task prefers.
+func (p *preferredReserve) recordLabels(spec *api.TaskSpec) {
 	if !p.disabled {
 		p.labels.Record(spec.Prefer, p.clock.now)
 	}
 }
 
-// describe records on a worker whose description changed whether a label of it is
-// preferred.
-func (p *preferredReserve) describe(w *worker) { w.preferred = p.labels.Matches(w.Labels) }
+// updateWorker updates worker.preferred of a worker whose description changed.
+func (p *preferredReserve) updateWorker(w *worker) { w.preferred = p.labels.Matches(w.Labels) }
 
-// refresh records the same on all workers, if labels came or went.
-func (p *preferredReserve) refresh() {
+// refreshWorkers drops expired labels and, if the set of labels changed, updates
+// worker.preferred of all workers.
+func (p *preferredReserve) refreshWorkers() {
 	if !p.labels.Refresh(p.clock.now) {
 		return
 	}
 	for _, w := range p.workers.byID {
-		p.describe(w)
+		p.updateWorker(w)
 	}
 }
 
-// leavesPreferredReserve reports whether a task leaves those that prefer the worker their
-// share of it, or is one of them.
+// leavesPreferredReserve reports whether a task prefers the worker, leaves
+// preferredReservePercent of it free, or need not because the worker is not preferred.
 func leavesPreferredReserve(spec *api.TaskSpec, w *worker) bool {
 	if !w.preferred || len(spec.Prefer) > 0 && w.HasLabels(spec.Prefer) {
 		return true
@@ -127,37 +132,39 @@
 }
 
 // Locality wait: a task may wait a bounded time for a worker with the labels that it
-// prefers. Whoever adds it sets WaitsForPreferred and takes that back later. Meanwhile
-// it is of a class of its own, so that no other task waits for it, and that class
-// preempts nobody. Where no sound worker has the labels, it takes any at once.
+// prefers. The caller of Engine.Add sets WaitsForPreferred, and ends the wait by adding the
+// task again without it. A waiting task is in another equivalence class than tasks that do
+// not wait, so that it does not hold them up, and that class never preempts. If no healthy
+// worker has the labels, the task may be placed on any worker at once.
 
-// requirements is what a task requires of its worker now.
+// requirements holds the labels that a task requires of its worker now.
 type requirements struct {
-	// labels are those that the worker must have.
+	// labels are the labels that the worker must have.
 	labels map[string]string
-	// preferred is set while labels hold those that the task prefers, too.
+	// preferred is set while labels include those that the task prefers.
 	preferred bool
 }
 
-// requirementsOf is what the task requires now.
+// requirementsOf returns what the task requires now: also its preferred labels while it
+// waits for them and a healthy worker has them.
 func (x *workerIndex) requirementsOf(task *Task) requirements {
 	required := requirements{labels: task.Spec.Labels}
 	if !task.WaitsForPreferred || len(task.Spec.Prefer) == 0 {
 		return required
 	}
-	wanted := requirements{labels: maps.Clone(task.Spec.Prefer), preferred: true}
-	maps.Copy(wanted.labels, task.Spec.Labels)
-	if !x.hasSound(task.Spec, wanted.labels) {
+	withPreferred := requirements{labels: maps.Clone(task.Spec.Prefer), preferred: true}
+	maps.Copy(withPreferred.labels, task.Spec.Labels)
+	if !x.hasHealthyWorker(task.Spec, withPreferred.labels) {
 		return required
 	}
-	return wanted
+	return withPreferred
 }
 
-// hasSound reports whether some sound worker that takes work has the labels, and the
-// capacity when it is empty.
-func (x *workerIndex) hasSound(spec *api.TaskSpec, labels map[string]string) bool {
+// hasHealthyWorker reports whether some usable and healthy worker offers the service, has
+// the labels, and could hold the task when empty.
+func (x *workerIndex) hasHealthyWorker(spec *api.TaskSpec, labels map[string]string) bool {
 	for _, w := range x.byID {
-		if isUsable(w) && isSound(w) && fits(spec.Resources, w.Capacity) &&
+		if isUsable(w) && isHealthy(w) && fits(spec.Resources, w.Capacity) &&
 			w.Offers(spec.Service) && w.HasLabels(labels) {
 			return true
 		}
@@ -165,5 +172,6 @@
 	return false
 }
 
-// isSound reports whether it is worth waiting for the worker.
-func isSound(w *worker) bool { return !w.Slow && !w.restricted }
+// isHealthy reports whether a task with a locality wait should wait for the worker: it is
+// neither slow nor restricted.
+func isHealthy(w *worker) bool { return !w.Slow && !w.restricted }
--- a/internal/placement/preferredlabels/preferredlabels.go
+++ b/internal/placement/preferredlabels/preferredlabels.go
@@ -1,8 +1,8 @@
-// Package preferredlabels remembers which labels of workers tasks have preferred
-// lately, so that others can leave those workers a reserve.
+// Package preferredlabels records which worker labels tasks have preferred recently,
+// so that other tasks can leave a reserve on workers with those labels.
 //
-// A Set owns its labels alone. It reads no clock: the cluster time is an argument.
-// It is not safe for concurrent use.
+// A Set owns its labels and reads no clock: the caller passes the cluster time. It is
+// not safe for concurrent use.
 package preferredlabels
 
 import (
@@ -12,48 +12,47 @@
 )
 
 const (
-	// TTL is how long a label counts as preferred after the newest task that
-	// preferred it came.
+	// TTL is how long a label counts as preferred after a task last preferred it.
 	TTL = record.Millis(60_000)
-	// Max bounds the labels that a Set remembers; more are ignored.
+	// Max bounds the labels in a Set; further labels are ignored.
 	Max = 1024
 )
 
-// label is one label of a worker with its value.
+// label is the key and value of a worker label.
 type label struct{ key, value string }
 
-// Set holds the labels that tasks have preferred lately.
+// Set holds the labels that tasks have preferred recently.
 type Set struct {
-	until map[label]record.Millis
-	// nextExpiry is the time before which no label is dropped: expired labels are
-	// looked for every half TTL, not on each call.
+	expiresAt map[label]record.Millis
+	// nextExpiry is the cluster time of the next search for expired labels, TTL/2 after the
+	// last one.
 	nextExpiry record.Millis
-	// changed is set while labels came or went since the last Refresh.
+	// changed is set if labels were added or dropped since the last Refresh.
 	changed bool
 }
 
 // New returns an empty Set.
-func New() *Set { return &Set{until: map[label]record.Millis{}} }
+func New() *Set { return &Set{expiresAt: map[label]record.Millis{}} }
 
-// Len is the number of labels remembered.
-func (s *Set) Len() int { return len(s.until) }
+// Len returns the number of labels in the Set.
+func (s *Set) Len() int { return len(s.expiresAt) }
 
-// Record takes in the labels that a task prefers at the time now.
+// Record adds the labels that a task prefers at cluster time now, or extends their time.
 func (s *Set) Record(preferred map[string]string, now record.Millis) {
 	for key, value := range preferred {
-		wanted := label{key, value}
-		if _, known := s.until[wanted]; !known {
-			if len(s.until) >= Max {
+		current := label{key, value}
+		if _, known := s.expiresAt[current]; !known {
+			if len(s.expiresAt) >= Max {
 				continue
 			}
 			s.changed = true
 		}
-		s.until[wanted] = now + TTL
+		s.expiresAt[current] = now + TTL
 	}
 }
 
-// Refresh drops the labels that no task has preferred for TTL, and reports whether
-// labels came or went since it was last called.
+// Refresh drops expired labels, and reports whether labels were added or dropped since it
+// was last called. It searches for expired labels only once every TTL/2.
 func (s *Set) Refresh(now record.Millis) bool {
 	s.expire(now)
 	changed := s.changed
@@ -65,16 +64,16 @@
 	if now < s.nextExpiry {
 		return
 	}
-	known := len(s.until)
-	maps.DeleteFunc(s.until, func(_ label, until record.Millis) bool { return until <= now })
-	s.changed = s.changed || len(s.until) < known
+	before := len(s.expiresAt)
+	maps.DeleteFunc(s.expiresAt, func(_ label, expiry record.Millis) bool { return expiry <= now })
+	s.changed = s.changed || len(s.expiresAt) < before
 	s.nextExpiry = now + TTL/2
 }
 
 // Matches reports whether one of a worker's labels is preferred.
 func (s *Set) Matches(labels map[string]string) bool {
 	for key, value := range labels {
-		if _, preferred := s.until[label{key, value}]; preferred {
+		if _, preferred := s.expiresAt[label{key, value}]; preferred {
 			return true
 		}
 	}
--- a/internal/placement/profile.go
+++ b/internal/placement/profile.go
@@ -9,23 +9,23 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// profilePoint is a moment at which windows of slots on a worker start.
+// profilePoint is a time at which windows of slots on a worker start.
 //
-// The points of a worker are its availability profile, as schedulers with advance
-// reservations keep one: slots take capacity from the start of their window to its end,
-// whether a run uses them or not. A run outside of slots is counted against them at each
-// such start, unless it is preemptible or surely ended by then. So work that cannot be
-// made to leave stays off the slots, and other work may use their capacity until it is
-// needed. Between two starts no window opens, so that the points suffice.
+// The points of a worker are its availability profile, as used by schedulers with advance
+// reservations. Slots take capacity from the start of their window to its end, whether a
+// run uses them or not. At each such start, a run outside of slots counts against the
+// slots unless it is preemptible or is certain to have ended. So tasks that cannot be
+// preempted do not take the capacity of slots, and other tasks may use it until the
+// window opens. No window opens between two points, so checking the points is sufficient.
 type profilePoint struct {
 	at record.Millis
-	// slack is the capacity less the slots whose windows are open at that moment, and
-	// less the runs that may still be there then and cannot be made to leave. It is
-	// negative after the capacity shrank.
+	// slack is the capacity less the slots whose windows are open at that time, and less
+	// the runs that may still be open then and cannot be preempted. It is negative if the
+	// capacity shrank below that.
 	slack api.Resources
 }
 
-// allocationChange tells whether a run takes resources or gives them back.
+// allocationChange states whether a run takes resources or frees them.
 type allocationChange bool
 
 const (
@@ -33,7 +33,7 @@
 	deallocated allocationChange = false
 )
 
-// apply adds the amount to the sum, or subtracts it.
+// apply adds amount to sum, or subtracts it.
 func (s allocationChange) apply(sum, amount api.Resources) api.Resources {
 	if s == allocated {
 		return sum.Add(amount)
@@ -41,17 +41,18 @@
 	return sum.Sub(amount)
 }
 
-// freeNow is what open runs leave.
+// freeNow returns the capacity that open runs do not take.
 func (w *worker) freeNow() api.Resources { return w.Capacity.Sub(w.used) }
 
-// freeOnceStopped is what will be left when the stopping runs have left and the
-// nominated ones have come.
+// freeOnceStopped returns the free capacity once the stopping runs ended and the
+// nominated runs started.
 func (w *worker) freeOnceStopped() api.Resources {
 	return w.freeNow().Add(w.stopping).Sub(w.nominated)
 }
 
-// account adds a run to the sums and the profile of its worker, or takes it off. The
-// state of the run must not change between the two: workerIndex.updateRun sees to it.
+// account adds a run to the sums and the profile of its worker, or removes it. The state
+// of the run must not change between adding and removing it; workerIndex.updateRun
+// ensures that.
 func (w *worker) account(r *run, change allocationChange) {
 	if r.nominated {
 		w.nominated = change.apply(w.nominated, r.need)
@@ -74,7 +75,7 @@
 	}
 }
 
-// rebuildProfile works the profile out from the slots and runs of the worker.
+// rebuildProfile recomputes the profile from the slots and runs of the worker.
 func (w *worker) rebuildProfile() {
 	w.profile = w.profile[:0]
 	for _, s := range w.slots {
@@ -87,12 +88,12 @@
 	}
 }
 
-// slackAt is profilePoint.slack at any moment.
+// slackAt returns profilePoint.slack for any time.
 func (w *worker) slackAt(moment record.Millis) api.Resources {
 	slack := w.Capacity
 	for _, s := range w.slots {
 		if s.reservation.openAt(moment) {
-			slack = slack.Sub(resources.Times(s.reservation.SlotSize, s.slots))
+			slack = slack.Sub(resources.Multiply(s.reservation.SlotSize, s.slots))
 		}
 	}
 	for r := range w.runs {
@@ -103,36 +104,36 @@
 	return slack
 }
 
-// slackDuring is the least slack while the window of the reservation is open, with what
-// one run takes, if it is not nil.
-func (w *worker) slackDuring(r *reservation, without *run) api.Resources {
-	slack := without.addNeedAt(w.slackAt(r.Start), r.Start)
+// slackDuring returns the minimum slack while the window of the reservation is open. What
+// the excluded run takes counts as free; excluded may be nil.
+func (w *worker) slackDuring(r *reservation, excluded *run) api.Resources {
+	slack := excluded.addBackNeedAt(w.slackAt(r.Start), r.Start)
 	for _, p := range w.profile {
 		if r.openAt(p.at) {
-			slack = resources.Min(slack, without.addNeedAt(p.slack, p.at))
+			slack = resources.Min(slack, excluded.addBackNeedAt(p.slack, p.at))
 		}
 	}
 	return slack
 }
 
-// slackUntil is the least slack before a moment; bound is false if no window starts
-// before it.
-func (w *worker) slackUntil(end record.Millis) (slack api.Resources, bound bool) {
+// slackUntil returns the minimum slack of the profile points before end; found is false
+// if no window starts before end.
+func (w *worker) slackUntil(end record.Millis) (slack api.Resources, found bool) {
 	for i := range w.profile {
 		if w.profile[i].at >= end {
 			break
 		}
-		if !bound {
-			slack, bound = w.profile[i].slack, true
+		if !found {
+			slack, found = w.profile[i].slack, true
 			continue
 		}
 		slack = resources.Min(slack, w.profile[i].slack)
 	}
-	return slack, bound
+	return slack, found
 }
 
-// fitsBesideReservedSlots reports whether the class fits beside slots and the runs that
-// cannot be made to leave.
+// fitsBesideReservedSlots reports whether a task of the class fits beside the reserved
+// slots and the runs that cannot be preempted. A preemptible task always does.
 func (c *equivalenceClass) fitsBesideReservedSlots(w *worker) bool {
 	if c.key.preemptible {
 		return true
@@ -141,6 +142,6 @@
 	if c.key.duration > 0 {
 		end = c.clock.now + c.key.duration
 	}
-	slack, bound := w.slackUntil(end)
-	return !bound || fits(c.key.need, slack)
+	slack, found := w.slackUntil(end)
+	return !found || fits(c.key.need, slack)
 }
--- a/internal/placement/property_longrunning_test.go
+++ b/internal/placement/property_longrunning_test.go
@@ -13,22 +13,22 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// longRunningModel holds the engine against one rule: once passes place nothing more,
-// no task or gang that runs until cancelled waits while workers that take work have
-// places for it. Quotas, reservations and preemption are left out: what these keep from
-// a task is the exception. Members of one gang are alike.
+// longRunningModel checks one rule of the engine: once passes place nothing more, no task
+// or gang that runs until cancelled waits while it fits on usable workers. The model has no
+// quotas, reservations and preemption, because they are exceptions to the rule. Members of
+// one gang are alike.
 type longRunningModel struct {
 	engine  *Engine
 	workers map[string]Worker
 	steps   []longRunningStep
 	open    map[record.TaskID]string
-	next    int
+	lastJob int
 }
 
-// longRunningStep is a gang, or tasks that stand alone.
+// longRunningStep is a gang, or a step of separate tasks.
 type longRunningStep struct {
-	tasks []Task
-	group bool
+	tasks  []Task
+	isGang bool
 }
 
 func (m *longRunningModel) setWorker(t *rapid.T) {
@@ -54,12 +54,13 @@
 	m.addAgain()
 }
 
-// addAgain lets tasks wait whose run has ended, those of a gang once none of it runs.
+// addAgain adds the tasks without an open run again; members of a gang only once no
+// member has an open run.
 func (m *longRunningModel) addAgain() {
 	for _, step := range m.steps {
 		running := slices.ContainsFunc(step.tasks, func(task Task) bool { return m.open[task.ID] != "" })
 		for _, task := range step.tasks {
-			if m.open[task.ID] == "" && (!step.group || !running) {
+			if m.open[task.ID] == "" && (!step.isGang || !running) {
 				m.engine.Add(task)
 			}
 		}
@@ -67,8 +68,8 @@
 }
 
 func (m *longRunningModel) add(t *rapid.T) {
-	m.next++
-	step := longRunningStep{group: rapid.Bool().Draw(t, "gang")}
+	m.lastJob++
+	step := longRunningStep{isGang: rapid.Bool().Draw(t, "gang")}
 	count, need := rapid.IntRange(1, 4).Draw(t, "count"), rapid.Int64Range(1, 8).Draw(t, "need")
 	untilCancelled := rapid.Bool().Draw(t, "until cancelled")
 	queue := rapid.SampledFrom([]string{"q", "low"}).Draw(t, "queue")
@@ -78,11 +79,11 @@
 		Spread: rapid.SampledFrom([]*api.Spread{nil, {By: "worker", MaxPerDomain: 1}, {By: "worker", MaxPerDomain: 2}}).Draw(t, "spread"),
 	}
 	for i := range count {
-		task := testTask(fmt.Sprint("job", m.next), i, need)
-		task.Queue, task.Spec, task.UntilCancelled, task.Sequence = queue, spec, untilCancelled, uint64(m.next)
-		task.AllowsProbation = !step.group && rapid.Bool().Draw(t, "may try")
+		task := testTask(fmt.Sprint("job", m.lastJob), i, need)
+		task.Queue, task.Spec, task.UntilCancelled, task.Sequence = queue, spec, untilCancelled, uint64(m.lastJob)
+		task.AllowsProbation = !step.isGang && rapid.Bool().Draw(t, "may try")
 		task.Priority = rapid.IntRange(0, 1).Draw(t, "priority")
-		if step.group {
+		if step.isGang {
 			task.Gang, task.GangSize, task.Priority = task.ID.Job+"/a", count, 0
 		}
 		step.tasks = append(step.tasks, task)
@@ -91,15 +92,15 @@
 	m.addAgain()
 }
 
-// end closes a run, or those of a whole gang.
-func (m *longRunningModel) end(t *rapid.T) {
+// endRuns ends the run of one task of a step, or all runs of a gang.
+func (m *longRunningModel) endRuns(t *rapid.T) {
 	if len(m.steps) == 0 {
 		return
 	}
 	step := m.steps[rapid.IntRange(0, len(m.steps)-1).Draw(t, "step")]
 	first := rapid.IntRange(0, len(step.tasks)-1).Draw(t, "task")
 	for i, task := range step.tasks {
-		if _, runs := m.open[task.ID]; runs && (step.group || i == first) {
+		if _, runs := m.open[task.ID]; runs && (step.isGang || i == first) {
 			delete(m.open, task.ID)
 			m.engine.Release(task.ID)
 		}
@@ -107,7 +108,7 @@
 	m.addAgain()
 }
 
-// remove takes a step out.
+// remove removes a step with its waiting tasks and open runs.
 func (m *longRunningModel) remove(t *rapid.T) {
 	if len(m.steps) == 0 {
 		return
@@ -122,7 +123,7 @@
 }
 
 func (m *longRunningModel) setHeadroom(t *rapid.T) {
-	m.engine.SetQueues([]QueueRule{{Name: "q", Weight: 1}, {Name: "low", Weight: 1, Headroom: rapid.IntRange(0, 60).Draw(t, "headroom")}})
+	m.engine.SetQueues([]QueueRule{{Name: "q", Weight: 1}, {Name: "low", Weight: 1, HeadroomPercent: rapid.IntRange(0, 60).Draw(t, "headroom")}})
 }
 
 func (m *longRunningModel) plan(limit int) bool {
@@ -133,8 +134,8 @@
 	return len(decisions) > 0
 }
 
-// wait lets so many passes go by that gangs drain capacity.
-func (m *longRunningModel) wait(*rapid.T) {
+// waitForGangDrain runs enough passes for a gang drain to start.
+func (m *longRunningModel) waitForGangDrain(*rapid.T) {
 	for range gangDrainAfterPasses + gangDrainSearchInterval {
 		m.plan(100)
 	}
@@ -152,14 +153,14 @@
 	return free
 }
 
-// places counts the places of a step's tasks on workers that take work.
+// fitCount counts how many more tasks of a step fit on usable workers.
 func (m *longRunningModel) fitCount(step longRunningStep) int {
 	spec, total := step.tasks[0].Spec, 0
 	for _, w := range m.workers {
 		if !w.Usable || !w.HasLabels(spec.Labels) {
 			continue
 		}
-		here := int(max(m.free(w), 0) / spec.Resources.CPUMillis)
+		workerFits := int(max(m.free(w), 0) / spec.Resources.CPUMillis)
 		if spec.Spread != nil {
 			running := 0
 			for _, task := range step.tasks {
@@ -167,15 +168,16 @@
 					running++
 				}
 			}
-			here = min(here, max(spec.Spread.MaxPerDomain-running, 0))
+			workerFits = min(workerFits, max(spec.Spread.MaxPerDomain-running, 0))
 		}
-		total += here
+		total += workerFits
 	}
 	return total
 }
 
 func (m *longRunningModel) check(t *rapid.T) {
-	// A gang that has drained all its capacity is placed in the pass after that.
+	// Two passes without decisions are needed: a gang whose drain has all its capacity is
+	// placed only in the next pass.
 	for idle := 0; idle < 2; idle++ {
 		if m.plan(100) {
 			idle = 0
@@ -189,17 +191,17 @@
 			}
 		}
 		wanted := 1
-		if step.group {
+		if step.isGang {
 			wanted = len(step.tasks)
 		}
 		if places := m.fitCount(step); step.tasks[0].UntilCancelled && waiting >= wanted && places >= wanted {
-			t.Fatalf("%d of %d tasks of %s wait, %d places: %s", waiting, len(step.tasks),
+			t.Fatalf("%d of %d tasks of %s wait though %d fit: %s", waiting, len(step.tasks),
 				step.tasks[0].ID.Job, places, m.engine.Reason(step.tasks[0].ID))
 		}
 	}
 	for id, w := range m.workers {
 		if got, want := m.engine.workers.byID[id].freeNow().CPUMillis, m.free(w); got != want {
-			t.Fatalf("%s has %d free, expected %d", id, got, want)
+			t.Fatalf("free CPU of worker %s: got %d, want %d", id, got, want)
 		}
 	}
 }
@@ -213,21 +215,21 @@
 			"":             m.check,
 			"add":          m.add,
 			"addMore":      m.add,
-			"end":          m.end,
-			"endAnother":   m.end,
+			"end":          m.endRuns,
+			"endAnother":   m.endRuns,
 			"remove":       m.remove,
 			"setWorker":    m.setWorker,
 			"addWorker":    m.setWorker,
 			"removeWorker": m.removeWorker,
 			"setHeadroom":  m.setHeadroom,
-			"wait":         m.wait,
+			"wait":         m.waitForGangDrain,
 		})
 	})
 }
 
 func restricted(w Worker) bool { return w.Probation || w.Suspect }
 
-// admits applies the rule of probation and that of last resort.
+// admits reports whether the rules for restricted workers allow the task on the worker.
 func (m *model) admits(task Task, w Worker) bool {
 	if !restricted(w) || task.UntilCancelled {
 		return true
@@ -254,7 +256,7 @@
 	return true
 }
 
-// isHighlyUtilized applies the rule for services that are short of capacity, from scratch.
+// isHighlyUtilized computes utilization.Table.IsHigh from the complete state of the model.
 func (m *model) isHighlyUtilized(service string) bool {
 	var capacity, used api.Resources
 	for id, w := range m.workers {
@@ -268,16 +270,17 @@
 	return isShort(used.CPUMillis, capacity.CPUMillis) && isShort(used.MemoryMB, capacity.MemoryMB)
 }
 
-// checkLongRunning checks that a restricted worker was not taken while a trusted one had
-// capacity, but by a task that may try it; and that a suspect one was taken by no such
-// task either. Promised capacity may explain it.
+// checkLongRunning checks that the task was not placed on a restricted worker while an
+// unrestricted one had capacity. Exempt are tasks that allow probation on a worker that is
+// not suspect, tasks that only restricted workers could hold, and gang members. Capacity
+// nominated for others may also explain such a placement.
 func (m *model) checkLongRunning(t *rapid.T, task Task, on Worker) {
 	if !restricted(on) || task.AllowsProbation && !on.Suspect || m.hasOnlyRestricted(task) || task.Gang != "" {
 		return
 	}
 	for _, other := range m.workers {
-		if !restricted(other) && m.accepts(task, other) && !m.isNominatedOn(other.ID, task) {
-			t.Fatalf("%v is placed on %s though %s has capacity", task.ID, on.ID, other.ID)
+		if !restricted(other) && m.accepts(task, other) && !m.isAffectedByNominations(other.ID, task) {
+			t.Fatalf("task %v placed on restricted worker %s though unrestricted worker %s has capacity", task.ID, on.ID, other.ID)
 		}
 	}
 }
--- a/internal/placement/property_test.go
+++ b/internal/placement/property_test.go
@@ -13,28 +13,30 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// model is the naive picture that the engine is held against.
+// model is a simple reference implementation that the engine is compared with.
 type model struct {
-	engine  *Engine
-	twin    *Engine // gets the same calls: decisions must be the same
-	workers map[string]Worker
-	queues  map[string]QueueRule
-	waiting map[record.TaskID]Task
-	open    map[record.TaskID]placement
-	tasks   map[record.TaskID]Task
-	next    int
+	engine       *Engine
+	secondEngine *Engine // gets the same calls as engine, and must return the same decisions
+	workers      map[string]Worker
+	queues       map[string]QueueRule
+	waiting      map[record.TaskID]Task
+	open         map[record.TaskID]openRun
+	tasks        map[record.TaskID]Task
+	lastNumber   int
 	reservationModel
 }
 
-type placement struct {
+// openRun is an open run in the model.
+type openRun struct {
 	task    Task
 	worker  string
 	started record.Millis
 }
 
-func (m *model) both(call func(*Engine)) {
+// onBothEngines makes the same call on engine and twin.
+func (m *model) onBothEngines(call func(*Engine)) {
 	call(m.engine)
-	call(m.twin)
+	call(m.secondEngine)
 }
 
 func (m *model) used(worker string) api.Resources {
@@ -57,8 +59,8 @@
 	return count
 }
 
-// inDomain counts other open runs of the task's step in the worker's domain.
-func (m *model) inDomain(task Task, domain string) int {
+// runsInDomain counts other open runs of the task's step in the worker's domain.
+func (m *model) runsInDomain(task Task, domain string) int {
 	count := 0
 	for id, p := range m.open {
 		w, known := m.workers[p.worker]
@@ -72,7 +74,8 @@
 	return count
 }
 
-// accepts applies every rule but the queue's limit, from scratch.
+// accepts reports whether the worker may hold the task by every rule but the limits of
+// queues and teams, computed from the complete state of the model.
 func (m *model) accepts(task Task, w Worker) bool {
 	if !w.Usable || !w.Offers(task.Spec.Service) || !w.HasLabels(task.Spec.Labels) {
 		return false
@@ -90,9 +93,10 @@
 		return true
 	}
 	domain, ok := w.Domain(task.Spec.Spread.By)
-	return ok && m.inDomain(task, domain) < max(task.Spec.Spread.MaxPerDomain, 1)
+	return ok && m.runsInDomain(task, domain) < max(task.Spec.Spread.MaxPerDomain, 1)
 }
 
+// mayRun reports whether the limits of the queue and its team allow one more run.
 func (m *model) mayRun(queue string) bool {
 	limit := m.queues[queue].MaxRunning
 	return (limit == 0 || m.running(queue) < limit) && m.teamMayRun(m.queues[queue].Team)
@@ -127,14 +131,14 @@
 	}
 }
 
-// add adds a step: some tasks, or a gang.
+// add adds a step of separate tasks, or a gang.
 func (m *model) add(t *rapid.T) {
-	m.next++
-	name := fmt.Sprint("job", m.next)
+	m.lastNumber++
+	name := fmt.Sprint("job", m.lastNumber)
 	queue := rapid.SampledFrom([]string{"q1", "q2"}).Draw(t, "queue")
 	priority := rapid.IntRange(0, 2).Draw(t, "priority")
 	count := rapid.IntRange(1, 5).Draw(t, "count")
-	together := rapid.IntRange(0, 2).Draw(t, "together") == 0
+	isGang := rapid.IntRange(0, 2).Draw(t, "together") == 0
 	spec := drawSpec(t)
 	untilCancelled := rapid.IntRange(0, 3).Draw(t, "until cancelled") == 0
 	colocate := rapid.SampledFrom([]string{"", "", "zone", "label:k"}).Draw(t, "colocate")
@@ -144,26 +148,26 @@
 		}
 		task := Task{
 			ID: record.TaskID{Job: name, Step: "a", Index: i}, Queue: queue, Priority: priority,
-			Sequence: uint64(m.next), Spec: spec, UntilCancelled: untilCancelled, Preferences: &Preferences{
+			Sequence: uint64(m.lastNumber), Spec: spec, UntilCancelled: untilCancelled, Preferences: &Preferences{
 				Colocate: colocate, StepSize: rapid.SampledFrom([]int{0, count}).Draw(t, "size"),
 				AllowsProbation: rapid.Bool().Draw(t, "may try"), PrefersProbation: rapid.Bool().Draw(t, "tries"),
 				Avoid: rapid.SampledFrom([][]string{nil, nil, {"w1"}, {"w1", "w2"}}).Draw(t, "avoid"),
 			},
 		}
-		if together {
+		if isGang {
 			task.Gang, task.GangSize = name+"/a", count
 		}
 		m.tasks[task.ID], m.waiting[task.ID] = task, task
-		m.both(func(e *Engine) { e.Add(task) })
+		m.onBothEngines(func(e *Engine) { e.Add(task) })
 	}
 }
 
-func (m *model) draw(t *rapid.T) (Task, bool) {
-	if m.next == 0 {
+func (m *model) drawKnownTask(t *rapid.T) (Task, bool) {
+	if m.lastNumber == 0 {
 		return Task{}, false
 	}
 	id := record.TaskID{
-		Job: fmt.Sprint("job", rapid.IntRange(1, m.next).Draw(t, "job")), Step: "a",
+		Job: fmt.Sprint("job", rapid.IntRange(1, m.lastNumber).Draw(t, "job")), Step: "a",
 		Index: rapid.IntRange(0, 4).Draw(t, "index"),
 	}
 	task, ok := m.tasks[id]
@@ -171,54 +175,54 @@
 }
 
 func (m *model) release(t *rapid.T) {
-	if task, ok := m.draw(t); ok {
+	if task, ok := m.drawKnownTask(t); ok {
 		delete(m.open, task.ID)
-		delete(m.named, task.ID)
-		m.both(func(e *Engine) { e.Release(task.ID) })
+		delete(m.stopRequested, task.ID)
+		m.onBothEngines(func(e *Engine) { e.Release(task.ID) })
 	}
 }
 
 func (m *model) remove(t *rapid.T) {
-	if task, ok := m.draw(t); ok {
+	if task, ok := m.drawKnownTask(t); ok {
 		delete(m.waiting, task.ID)
-		m.both(func(e *Engine) { e.Remove(task.ID) })
+		m.onBothEngines(func(e *Engine) { e.Remove(task.ID) })
 	}
 }
 
-// addAgain adds a known task again: the same, or alone as a retry is.
+// addAgain adds a known task again: unchanged, or without its gang as in a retry.
 func (m *model) addAgain(t *rapid.T) {
-	task, ok := m.draw(t)
+	task, ok := m.drawKnownTask(t)
 	if !ok {
 		return
 	}
 	if rapid.Bool().Draw(t, "alone") {
 		task.GangSize = min(task.GangSize, 1)
 	}
-	if _, held := m.open[task.ID]; !held {
+	if _, isOpen := m.open[task.ID]; !isOpen {
 		m.tasks[task.ID], m.waiting[task.ID] = task, task
 	}
-	m.both(func(e *Engine) { e.Add(task) })
+	m.onBothEngines(func(e *Engine) { e.Add(task) })
 }
 
-func (m *model) hold(t *rapid.T) {
+func (m *model) addRun(t *rapid.T) {
 	worker := fmt.Sprint("id", rapid.IntRange(0, 5).Draw(t, "worker"))
-	if task, ok := m.draw(t); ok {
+	if task, ok := m.drawKnownTask(t); ok {
 		delete(m.waiting, task.ID)
 		started := max(m.now-record.Millis(rapid.IntRange(0, 9).Draw(t, "age"))*1000, 1)
-		if p, held := m.open[task.ID]; held && p.worker == worker {
+		if p, isOpen := m.open[task.ID]; isOpen && p.worker == worker {
 			started = p.started
 		}
-		m.open[task.ID] = placement{task, worker, started}
+		m.open[task.ID] = openRun{task, worker, started}
 		task.StartedAt = started
-		delete(m.named, task.ID)
-		m.both(func(e *Engine) { e.AddRun(task, worker) })
+		delete(m.stopRequested, task.ID)
+		m.onBothEngines(func(e *Engine) { e.AddRun(task, worker) })
 	}
 }
 
 func (m *model) setWorker(t *rapid.T) {
 	w := drawWorker(t)
 	m.workers[w.ID] = w
-	m.both(func(e *Engine) { e.SetWorker(w) })
+	m.onBothEngines(func(e *Engine) { e.SetWorker(w) })
 }
 
 func (m *model) removeWorker(t *rapid.T) {
@@ -227,10 +231,10 @@
 	for task, p := range m.open {
 		if p.worker == id {
 			delete(m.open, task)
-			delete(m.named, task)
+			delete(m.stopRequested, task)
 		}
 	}
-	m.both(func(e *Engine) { e.RemoveWorker(id) })
+	m.onBothEngines(func(e *Engine) { e.RemoveWorker(id) })
 }
 
 func (m *model) setQueues(t *rapid.T) {
@@ -245,26 +249,27 @@
 		rules = append(rules, rule)
 		m.queues[name] = rule
 	}
-	m.both(func(e *Engine) { e.SetQueues(rules) })
+	m.onBothEngines(func(e *Engine) { e.SetQueues(rules) })
 }
 
-// plan checks each decision against the model as of that decision.
+// plan runs a pass and checks each decision against the model's state at that decision. It
+// returns the number of decisions.
 func (m *model) plan(t *rapid.T, limit int) int {
 	decisions := m.engine.Plan(limit)
-	expectSame(t, decisions, m.twin.Plan(limit))
+	expectEqualDecisions(t, decisions, m.secondEngine.Plan(limit))
 	defer m.checkPreemptions(t)
 	members := map[string]int{}
 	for _, d := range decisions {
 		task, waits := m.waiting[d.Task]
 		if !waits || d.Worker != m.workers[d.WorkerID].Name || d.Gang != task.Gang {
-			t.Fatalf("%v: waits %v, task %v", d, waits, task)
+			t.Fatalf("decision %v is not for a waiting task and a known worker: waiting %v, task %v", d, waits, task)
 		}
 		if !m.accepts(task, m.workers[d.WorkerID]) || !m.mayRun(task.Queue) {
 			t.Fatalf("%v breaks a rule", d)
 		}
 		m.checkLongRunning(t, task, m.workers[d.WorkerID])
 		delete(m.waiting, d.Task)
-		m.open[d.Task] = placement{task, d.WorkerID, m.now}
+		m.open[d.Task] = openRun{task, d.WorkerID, m.now}
 		if task.GangSize > 1 {
 			members[task.Gang]++
 		}
@@ -273,12 +278,12 @@
 		}
 	}
 	if len(members) > 0 {
-		t.Fatalf("gangs split: %v", members)
+		t.Fatalf("gangs placed only in part, with placed members: %v", members)
 	}
 	return len(decisions)
 }
 
-// setDeferences has queues defer, or no longer.
+// setDeferences changes which queues defer to which.
 func (m *model) setDeferences(t *rapid.T) {
 	deferences := rapid.SampledFrom([][]Deference{
 		nil,
@@ -286,17 +291,18 @@
 		{{Queue: "q2", To: []string{"q1"}}},
 		{{Queue: "q1", To: []string{"q2"}}, {Queue: "q2", To: []string{"q1"}}},
 	}).Draw(t, "deferences")
-	m.both(func(e *Engine) { e.SetDeferences(deferences) })
+	m.onBothEngines(func(e *Engine) { e.SetDeferences(deferences) })
 }
 
-// planAll checks that nothing that could be placed alone still waits, once no queue
-// leaves capacity alone for others. A reserved run may make slots move in the middle of a
-// pass, so that there is capacity for tasks that were passed over: they come in the next.
+// planAll plans until nothing more is placed, first with the current deferences and then
+// without any, and checks that no task still waits that could be placed alone. One pass is
+// not enough: a run in a reserved slot may move slots in the middle of a pass, which frees
+// capacity for tasks that the pass has already skipped.
 func (m *model) planAll(t *rapid.T) {
 	for m.plan(t, 1_000_000) > 0 {
 		continue
 	}
-	m.both(func(e *Engine) { e.SetDeferences(nil) })
+	m.onBothEngines(func(e *Engine) { e.SetDeferences(nil) })
 	for m.plan(t, 1_000_000) > 0 {
 		continue
 	}
@@ -306,34 +312,34 @@
 			continue
 		}
 		for _, w := range m.workers {
-			if m.accepts(task, w) && !m.isNominatedOn(w.ID, task) {
+			if m.accepts(task, w) && !m.isAffectedByNominations(w.ID, task) {
 				t.Fatalf("%v still waits but fits on %s: %s", task.ID, w.ID, m.engine.Reason(task.ID))
 			}
 		}
 	}
 }
 
-func expectSame(t *rapid.T, a, b []Decision) {
+func expectEqualDecisions(t *rapid.T, a, b []Decision) {
 	if fmt.Sprint(a) != fmt.Sprint(b) {
-		t.Fatalf("same calls, other decisions:\n%v\n%v", a, b)
+		t.Fatalf("two engines returned different decisions after the same calls:\n%v\n%v", a, b)
 	}
 }
 
-// check compares what both know.
+// check compares the state of the engine with that of the model.
 func (m *model) check(t *rapid.T) {
 	if m.engine.Waiting() != len(m.waiting) {
-		t.Fatalf("%d wait, expected %d", m.engine.Waiting(), len(m.waiting))
+		t.Fatalf("waiting tasks: got %d, want %d", m.engine.Waiting(), len(m.waiting))
 	}
 	for id, w := range m.workers {
 		if got, want := m.engine.workers.byID[id].freeNow(), w.Capacity.Sub(m.used(id)); got != want {
-			t.Fatalf("%s has %v free, expected %v", id, got, want)
+			t.Fatalf("free capacity of worker %s: got %v, want %v", id, got, want)
 		}
 	}
 	m.checkSums(t)
 	m.checkReservedSlots(t)
 	for id := range m.waiting {
 		if m.engine.Reason(id) == "" {
-			t.Fatalf("%v has no reason", id)
+			t.Fatalf("waiting task %v has no reason", id)
 		}
 	}
 }
@@ -341,9 +347,9 @@
 func TestEngine_MatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
-			engine: New(Config{Seed: 1}), twin: New(Config{Seed: 1}),
+			engine: New(Config{Seed: 1}), secondEngine: New(Config{Seed: 1}),
 			workers: map[string]Worker{}, queues: map[string]QueueRule{},
-			waiting: map[record.TaskID]Task{}, open: map[record.TaskID]placement{}, tasks: map[record.TaskID]Task{},
+			waiting: map[record.TaskID]Task{}, open: map[record.TaskID]openRun{}, tasks: map[record.TaskID]Task{},
 			reservationModel: newReservationModel(),
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -353,7 +359,7 @@
 			"addAgain":     m.addAgain,
 			"release":      m.release,
 			"remove":       m.remove,
-			"hold":         m.hold,
+			"hold":         m.addRun,
 			"setWorker":    m.setWorker,
 			"addWorker":    m.setWorker,
 			"removeWorker": m.removeWorker,
@@ -362,7 +368,7 @@
 			"setYields":    m.setDeferences,
 			"setTime":      m.setTime,
 			"reserve":      m.reserve,
-			"obey":         m.obey,
+			"obey":         m.releaseStopped,
 			"setMost":      m.setMaxPreemptions,
 			"planSome":     func(t *rapid.T) { m.plan(t, rapid.IntRange(1, 4).Draw(t, "limit")) },
 			"planAll":      m.planAll,
--- a/internal/placement/reasons.go
+++ b/internal/placement/reasons.go
@@ -12,21 +12,22 @@
 
 // Reasons that need no details.
 const (
-	reasonNoUsableWorker = "no usable worker"
-	reasonTurn           = "waits for its turn"
-	reasonPreempting     = "waits for preempted runs to stop"
-	reasonRestricted     = "waits for a worker on which work does not fail"
+	reasonNoUsableWorker   = "no usable worker"
+	reasonAwaitsTurn       = "waits for its turn"
+	reasonAwaitsPreemption = "waits for preempted runs to stop"
+	reasonOnlyRestricted   = "waits for a worker on which work does not fail"
 )
 
-// Reason implements Planner. It is worked out from the state at the time of the call; a
-// task that would fit now waits for its turn. Users see the texts.
+// Reason implements Planner. The reason is derived from the state at the time of the call,
+// and its text is shown to users. It says that a task that would fit now waits for its
+// turn, and is empty for a task that does not wait.
 func (e *Engine) Reason(task record.TaskID) string {
 	w := e.backlog.find(task)
 	if w == nil {
 		return ""
 	}
 	if w.nomination != nil {
-		return reasonPreempting
+		return reasonAwaitsPreemption
 	}
 	if w.subQueue.class == nil {
 		return e.gangReason(w)
@@ -37,7 +38,8 @@
 	return e.classReason(w)
 }
 
-// limitReason names the limit that does not allow count more runs.
+// limitReason names the limit of the queue or its team that does not allow count more
+// runs.
 func limitReason(q *fairshare.Queue, count int) string {
 	limit := q.Exceeded(count)
 	if limit.Running >= limit.MaxRunning {
@@ -46,10 +48,10 @@
 	return fmt.Sprintf("quota: %s %q has %d of its %d running tasks", limit.Kind, limit.Name, limit.Running, limit.MaxRunning)
 }
 
-// gangReason explains a member of a gang.
-func (e *Engine) gangReason(w *waiting) string {
+// gangReason explains why a member of a gang waits.
+func (e *Engine) gangReason(w *waitingTask) string {
 	sub := w.subQueue
-	if !sub.complete() {
+	if !sub.isComplete() {
 		return fmt.Sprintf("group has %d of %d members", len(sub.tasks), sub.size)
 	}
 	if q := sub.parent.queue; !q.CanRun(len(sub.tasks)) {
@@ -58,53 +60,54 @@
 	if reason := e.workers.eligibilityReason(w); reason != "" {
 		return reason
 	}
-	if !sub.tried {
-		return reasonTurn
+	if !sub.attempted {
+		return reasonAwaitsTurn
 	}
-	return fmt.Sprintf("group needs %d places, %d free now", len(sub.tasks), sub.freeMembers)
+	return fmt.Sprintf("group needs %d places, %d free now", len(sub.tasks), sub.fittingMembers)
 }
 
-// classReason explains a task that is placed alone.
-func (e *Engine) classReason(w *waiting) string {
+// classReason explains why a task that is placed alone waits.
+func (e *Engine) classReason(w *waitingTask) string {
 	if reason := e.workers.eligibilityReason(w); reason != "" {
 		return reason
 	}
 	c := w.class
 	if c.fullestFreeSlot() != nil {
-		return reasonTurn
+		return reasonAwaitsTurn
 	}
-	var most api.Resources
-	var reserved record.Millis
-	fitsFree, spreadable, onlyRestricted := false, false, true
+	var mostFree api.Resources
+	var earliestEnd record.Millis
+	fitsFree, spreadAllows, onlyRestricted := false, false, true
 	for _, candidate := range c.pool.workers {
-		if c.fitsOnAnyTerms(candidate) {
-			return reasonTurn
+		if c.fitsOnWithFallbacks(candidate) {
+			return reasonAwaitsTurn
 		}
 		if !c.admits(candidate) {
 			continue
 		}
 		onlyRestricted = false
-		most = resources.Max(most, candidate.free)
+		mostFree = resources.Max(mostFree, candidate.free)
 		fitsFree = fitsFree || fits(c.key.need, candidate.free)
-		if until := c.reservedUntil(candidate); until > 0 && (reserved == 0 || until < reserved) {
-			reserved = until
+		if until := c.reservedUntil(candidate); until > 0 && (earliestEnd == 0 || until < earliestEnd) {
+			earliestEnd = until
 		}
-		spreadable = spreadable || withinSpread(c.spread, &candidate.Worker)
+		spreadAllows = spreadAllows || withinSpread(c.spread, &candidate.Worker)
 	}
 	if onlyRestricted {
-		return reasonRestricted
+		return reasonOnlyRestricted
 	}
-	if reserved > 0 {
-		return fmt.Sprintf("no room until %s (booked)", reserved.Time().Format("15:04"))
+	if earliestEnd > 0 {
+		return fmt.Sprintf("no room until %s (booked)", earliestEnd.Time().Format("15:04"))
 	}
-	if !spreadable || fitsFree {
-		return spreadReason(c.key.spreadBy, c.key.maxPerDomain, fitsFree && spreadable)
+	if !spreadAllows || fitsFree {
+		return spreadReason(c.key.spreadBy, c.key.maxPerDomain, fitsFree && spreadAllows)
 	}
-	return "no room: " + feasibility.Shortage(c.key.need, most, "most free")
+	return "no room: " + feasibility.Shortage(c.key.need, mostFree, "most free")
 }
 
-// reservedUntil is when the last window ends of the slots that alone keep the class off
-// a worker; 0 if something else does too.
+// reservedUntil returns the end of the last window that has slots on a worker, as the time
+// until which slots prevent placing the class there. It is 0 if the worker has no slots,
+// or if its free capacity or the spread rule prevents it too.
 func (c *equivalenceClass) reservedUntil(w *worker) record.Millis {
 	if !fits(c.key.need, w.free) || !withinSpread(c.spread, &w.Worker) {
 		return 0
@@ -116,9 +119,9 @@
 	return until
 }
 
-// eligibilityReason says why no worker could ever take the task as the workers are now;
-// empty if one could, free capacity and spread counts aside.
-func (x *workerIndex) eligibilityReason(w *waiting) string {
+// eligibilityReason explains why no worker is eligible for the task, as the workers are
+// described now. It is empty if one is; free capacity and spread counts are not considered.
+func (x *workerIndex) eligibilityReason(w *waitingTask) string {
 	if len(w.class.pool.workers) > 0 {
 		return missingDomain(w.Spec, w.class.pool.workers)
 	}
@@ -132,8 +135,8 @@
 	return reasonNoUsableWorker
 }
 
-// missingDomain says that none of the workers lies in a domain of the spread rule; empty
-// if one does.
+// missingDomain returns the reason that none of the workers has a domain for the task's
+// spread rule; empty if one has or there is no rule.
 func missingDomain(spec *api.TaskSpec, workers []*worker) string {
 	if spec.Spread == nil {
 		return ""
@@ -146,9 +149,11 @@
 	return feasibility.NoDomain(spec.Spread.By)
 }
 
-func spreadReason(by string, maxPerDomain int, noneFitsElsewhere bool) string {
+// spreadReason names the spread rule that the task waits for; othersFull says that other
+// domains have too little free capacity.
+func spreadReason(by string, maxPerDomain int, othersFull bool) string {
 	reason := fmt.Sprintf("spread: at most %d running per %s", maxPerDomain, by)
-	if noneFitsElsewhere {
+	if othersFull {
 		reason += ", no room in others"
 	}
 	return reason
--- a/internal/placement/reasons_test.go
+++ b/internal/placement/reasons_test.go
@@ -6,7 +6,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-func TestReason_AndFeasible(t *testing.T) {
+func TestReasonAndFeasible_Explanations(t *testing.T) {
 	ready := testWorker("w", cpu(1200))
 	ready.Labels = map[string]string{"disk": "ssd"}
 	closed := ready
@@ -27,7 +27,7 @@
 			"no worker with labels disk=ssd, k=v", "no worker with labels disk=ssd, k=v",
 		},
 		{
-			"room",
+			"capacity",
 			[]Worker{ready},
 			func(s *api.TaskSpec) { s.Resources = cpu(4000) },
 			"no room: needs 4000 cpu_millis, most free 1200", "no worker is large enough: needs 4000 cpu_millis, largest has 1200",
@@ -47,10 +47,10 @@
 			c.edit(task.Spec)
 			e.Add(task)
 			e.Plan(10)
-			expect(t, "reason", e.Reason(task.ID), c.reason)
+			expect(t, "Reason", e.Reason(task.ID), c.reason)
 			possible, why := e.Feasible(task.Spec, c.workers)
-			expect(t, "possible", possible, c.possible == "")
-			expect(t, "why", why, c.possible)
+			expect(t, "Feasible", possible, c.possible == "")
+			expect(t, "reason of Feasible", why, c.possible)
 		})
 	}
 }
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -8,33 +8,34 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// reservation is a window of a queue and the slots that were found for it.
+// reservation is a window of a queue and the slots that were assigned to workers for it.
 type reservation struct {
 	Reservation
-	// pool are the workers that serve the reservation.
+	// pool holds the workers that can serve the reservation.
 	pool *pool
-	// slots are those found so far by worker, in the order of workers' names.
+	// slots are the assigned slots by worker, in the order of workers' names.
 	slots []*slotSet
-	// placed counts the slots that have a worker.
-	placed int
-	// searched is set once all workers were searched: from then on only those that
+	// assigned counts the slots that have a worker.
+	assigned int
+	// searched is set once all workers were searched: from then on only workers that
 	// changed can have capacity for a pending slot.
 	searched bool
 }
 
 // reservationTable owns the windows for which capacity is reserved now, and their slots.
 //
-// The capacity of a slot is taken from the profile of its worker (see profile.go) for the
-// whole window, used or not. A slot stays on its worker for as long as that serves it
-// and has the capacity; otherwise the slot is pending until another worker has.
+// The capacity of a slot is subtracted from the profile of its worker (see profile.go)
+// for the whole window, used or not. A slot stays on its worker while that worker matches
+// the reservation and has the capacity. Otherwise the slot is pending until another
+// worker has the capacity.
 type reservationTable struct {
-	// windows are ordered by their start.
+	// windows are ordered by start, then by ID.
 	windows []*reservation
 
 	clock   *clock
 	workers *workerIndex
-	// revokeNomination ends the nomination that a task is part of. A slot that goes
-	// takes the nominations for it along, whose tasks wait again.
+	// revokeNomination ends the nomination that a task is part of, so that its tasks wait
+	// again. Dropping a slot ends the nominations for it.
 	revokeNomination func(record.TaskID)
 }
 
@@ -42,7 +43,8 @@
 	return &reservationTable{clock: clock, workers: workers, revokeNomination: revokeNomination}
 }
 
-// set replaces the windows. It reports whether windows came or went.
+// set replaces the windows. It reports whether windows were added or dropped; a window
+// that differs in more than the number of slots is dropped and added anew.
 func (t *reservationTable) set(reservations []Reservation) bool {
 	wanted := map[string]*Reservation{}
 	for i := range reservations {
@@ -52,14 +54,14 @@
 	}
 	changed := false
 	for _, r := range slices.Clone(t.windows) {
-		to, stays := wanted[r.ID]
-		if !stays || !r.sameSlots(to) {
+		updated, found := wanted[r.ID]
+		if !found || !r.hasSameSlots(updated) {
 			t.drop(r)
 			changed = true
 			continue
 		}
 		delete(wanted, r.ID)
-		t.resize(r, to.Slots)
+		t.resize(r, updated.Slots)
 	}
 	for _, added := range wanted {
 		t.add(added)
@@ -71,10 +73,11 @@
 	return true
 }
 
-// advance applies the time, which was before until now: windows end and open. It
-// reports whether any ended.
+// advance applies a change of the cluster time since before: it drops windows that ended,
+// and lets the next pass search all workers for pending slots of windows that opened and
+// look at the workers with slots. It reports whether any window ended.
 func (t *reservationTable) advance(before record.Millis) bool {
-	now, known := t.clock.now, len(t.windows)
+	now, countBefore := t.clock.now, len(t.windows)
 	for _, r := range slices.Clone(t.windows) {
 		switch {
 		case r.End <= now:
@@ -84,26 +87,27 @@
 			t.addWorkersChanged(r)
 		}
 	}
-	return len(t.windows) != known
+	return len(t.windows) != countBefore
 }
 
 func (t *reservationTable) add(added *Reservation) {
 	r := &reservation{Reservation: *added}
 	r.Labels = maps.Clone(added.Labels)
-	r.pool = t.workers.acquire(selector{service: r.Service, labels: canonicalLabels(r.Labels), byUnreserved: true}, r.Labels)
+	r.pool = t.workers.acquirePool(selector{service: r.Service, labels: canonicalLabels(r.Labels), byUnreserved: true}, r.Labels)
 	t.windows = append(t.windows, r)
 }
 
-// drop gives back the capacity of its slots. What runs in them goes on as ordinary runs.
+// drop removes a reservation and gives back the capacity of its slots. Runs in them
+// continue as ordinary runs.
 func (t *reservationTable) drop(r *reservation) {
 	t.windows = slices.DeleteFunc(t.windows, func(other *reservation) bool { return other == r })
 	for _, s := range slices.Clone(r.slots) {
 		t.dropSlots(s, s.slots)
 	}
-	t.workers.release(r.pool)
+	t.workers.releasePool(r.pool)
 }
 
-// resize changes the number of slots; those in use go last.
+// resize changes the number of slots. It drops unused slots before those in use.
 func (t *reservationTable) resize(r *reservation, slots int) {
 	r.Slots = slots
 	for _, inUse := range []bool{false, true} {
@@ -120,14 +124,15 @@
 	}
 }
 
-// addWorkersChanged has the next pass look again at the workers with slots.
+// addWorkersChanged lets the next pass look again at the workers with slots of the
+// reservation.
 func (t *reservationTable) addWorkersChanged(r *reservation) {
 	for _, s := range r.slots {
 		t.workers.addChanged(s.worker)
 	}
 }
 
-// queues are the names of the queues that have a window.
+// queues returns the names of the queues that have a window.
 func (t *reservationTable) queues() map[string]bool {
 	reserved := map[string]bool{}
 	for _, r := range t.windows {
@@ -151,7 +156,8 @@
 	return usable
 }
 
-// list is the public view of the slots, in the order of windows and workers' names.
+// list returns the public view of the slots, in the order of windows, then of workers'
+// names.
 func (t *reservationTable) list() []ReservedSlots {
 	var all []ReservedSlots
 	for _, r := range t.windows {
@@ -168,16 +174,18 @@
 // openAt reports whether the window is open at that moment.
 func (r *reservation) openAt(moment record.Millis) bool { return r.Start <= moment && moment < r.End }
 
-// pending is the number of slots without a worker.
-func (r *reservation) pending() int { return r.Slots - r.placed }
+// pending returns the number of slots without a worker; it is negative while resize has
+// slots to drop.
+func (r *reservation) pending() int { return r.Slots - r.assigned }
 
-// sameSlots reports whether slots of one reservation serve the other.
-func (r *reservation) sameSlots(other *Reservation) bool {
+// hasSameSlots reports whether slots of one reservation can serve the other: the two
+// differ at most in ID and number of slots.
+func (r *reservation) hasSameSlots(other *Reservation) bool {
 	return r.Queue == other.Queue && r.Start == other.Start && r.End == other.End && r.SlotSize == other.SlotSize &&
 		r.Service == other.Service && maps.Equal(r.Labels, other.Labels)
 }
 
-// compareReservation puts the window that starts first first.
+// compareReservation orders by start of the window, then by ID.
 func compareReservation(a, b *reservation) int {
 	return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.ID, b.ID))
 }
--- a/internal/placement/reservedslots.go
+++ b/internal/placement/reservedslots.go
@@ -9,45 +9,46 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// slotSet is the slots of one reservation on one worker.
+// slotSet holds the slots of one reservation on one worker.
 type slotSet struct {
 	reservation *reservation
 	worker      *worker
 	slots       int
-	// used counts the slots in which a run is open or nominated.
+	// used counts the slots that have an open or nominated run.
 	used int
 }
 
-// addSlot puts one slot of the reservation on a worker.
-func (t *reservationTable) addSlot(r *reservation, on *worker) *slotSet {
-	at, found := slices.BinarySearchFunc(r.slots, on, func(s *slotSet, w *worker) int { return compareName(s.worker, w) })
+// addSlot assigns one more slot of the reservation to a worker.
+func (t *reservationTable) addSlot(r *reservation, target *worker) *slotSet {
+	at, found := slices.BinarySearchFunc(r.slots, target, func(s *slotSet, w *worker) int { return compareName(s.worker, w) })
 	if !found {
-		r.slots = slices.Insert(r.slots, at, &slotSet{reservation: r, worker: on})
+		r.slots = slices.Insert(r.slots, at, &slotSet{reservation: r, worker: target})
 	}
 	s := r.slots[at]
-	t.workers.updateSlots(on, func() {
+	t.workers.updateSlots(target, func() {
 		if !found {
-			on.slots = append(on.slots, s)
+			target.slots = append(target.slots, s)
 		}
 		s.slots++
-		r.placed++
+		r.assigned++
 	})
-	t.workers.addChanged(on)
+	t.workers.addChanged(target)
 	return s
 }
 
-// dropSlots takes slots off a worker; they are pending from then on. Runs in slots that
-// are gone go on as ordinary ones, nominations for them end.
+// dropSlots takes slots off a worker; they are pending afterwards. Open runs in dropped
+// slots continue as ordinary runs, nominations for them end.
 func (t *reservationTable) dropSlots(s *slotSet, count int) {
 	if count <= 0 {
 		return
 	}
-	left := s.slots - count
-	t.evict(s, s.used-left)
+	remaining := s.slots - count
+	t.evictRuns(s, s.used-remaining)
 	t.workers.updateSlots(s.worker, func() {
-		// Evicting ends runs, and so may have dropped some already.
-		s.reservation.placed -= max(s.slots-left, 0)
-		s.slots = min(s.slots, left)
+		// Evicting may cancel nominations, which may have dropped some of these slots
+		// already.
+		s.reservation.assigned -= max(s.slots-remaining, 0)
+		s.slots = min(s.slots, remaining)
 		if s.slots == 0 {
 			s.remove()
 		}
@@ -56,20 +57,21 @@
 	t.workers.addChanged(s.worker)
 }
 
-// remove takes a set without slots off its worker and its reservation.
+// remove takes an empty set off its worker and its reservation.
 func (s *slotSet) remove() {
 	isThis := func(other *slotSet) bool { return other == s }
 	s.worker.slots = slices.DeleteFunc(s.worker.slots, isThis)
 	s.reservation.slots = slices.DeleteFunc(s.reservation.slots, isThis)
 }
 
-// evict makes so many runs in slots ordinary runs, and ends nominations for slots.
-func (t *reservationTable) evict(s *slotSet, count int) {
+// evictRuns frees count slots in use: open runs in them become ordinary runs, nominations
+// for them end.
+func (t *reservationTable) evictRuns(s *slotSet, count int) {
 	for _, r := range s.worker.sortedRuns(func(r *run) bool { return r.slot == s }) {
 		if count <= 0 {
 			return
 		}
-		// A nomination that ended may have had more runs here.
+		// The nomination of an earlier run may have had this run as well.
 		if r.slot != s {
 			continue
 		}
@@ -83,16 +85,16 @@
 	}
 }
 
-// dropUnsupportedSlots takes slots off a worker that no longer has the capacity for
-// them: those that are not in use, and of these the window that starts last first. Each
-// drop changes the profile, so that the look at it starts anew.
+// dropUnsupportedSlots drops slots for which a worker no longer has the capacity: only
+// unused ones, those of the window that starts last first. Each drop changes the profile,
+// so the check restarts at its first point.
 func (t *reservationTable) dropUnsupportedSlots(w *worker) {
 	for at := 0; at < len(w.profile); {
 		if !resources.IsNegative(w.profile[at].slack) {
 			at++
 			continue
 		}
-		unused := w.lastUnused(w.profile[at].at)
+		unused := w.latestUnused(w.profile[at].at)
 		if unused == nil {
 			at++
 			continue
@@ -102,29 +104,30 @@
 	}
 }
 
-// lastUnused returns a set with an unused slot that counts at that moment, the window
-// that starts last; nil if there is none.
-func (w *worker) lastUnused(moment record.Millis) *slotSet {
-	var last *slotSet
+// latestUnused returns a set with an unused slot whose window is open at that moment, the
+// one whose window starts last; nil if there is none.
+func (w *worker) latestUnused(moment record.Millis) *slotSet {
+	var latest *slotSet
 	for _, s := range w.slots {
 		if s.used == s.slots || !s.reservation.openAt(moment) {
 			continue
 		}
-		if last == nil || compareReservation(last.reservation, s.reservation) < 0 {
-			last = s
+		if latest == nil || compareReservation(latest.reservation, s.reservation) < 0 {
+			latest = s
 		}
 	}
-	return last
+	return latest
 }
 
-// dropAllSlots takes all slots off a worker.
+// dropAllSlots drops all slots of a worker.
 func (t *reservationTable) dropAllSlots(w *worker) {
 	for _, s := range slices.Clone(w.slots) {
 		t.dropSlots(s, s.slots)
 	}
 }
 
-// dropMismatchedSlots takes off the slots that a worker does not serve any more.
+// dropMismatchedSlots drops the slots of reservations that the worker no longer matches;
+// all slots if it is suspect.
 func (t *reservationTable) dropMismatchedSlots(w *worker) {
 	for _, s := range slices.Clone(w.slots) {
 		if !s.reservation.pool.matches(w) || w.Suspect {
@@ -133,8 +136,8 @@
 	}
 }
 
-// assignSlots finds workers for pending slots. Once all workers were searched, only
-// those that changed are searched again.
+// assignSlots assigns pending slots to workers. For a reservation for which all workers
+// were searched it searches only those that changed.
 func (t *reservationTable) assignSlots(changed []*worker) {
 	for _, r := range t.windows {
 		if r.pending() <= 0 {
@@ -149,34 +152,36 @@
 	}
 }
 
-// assign fills the best worker first, and looks at it again after each slot: a heap
-// keeps the candidates, so that each slot costs the logarithm of their number.
+// assign assigns slots to the best candidate first, and compares that worker again after
+// each slot. A heap holds the candidates, so that each slot costs the logarithm of their
+// number.
 func (t *reservationTable) assign(r *reservation, candidates []*worker) {
-	var open slotCandidateHeap
+	var candidateHeap slotCandidateHeap
 	for _, w := range slices.Clone(candidates) {
 		if !r.pool.matches(w) || !r.SlotSize.Fits(w.Capacity) {
 			continue
 		}
 		t.adopt(r, w)
 		if s, ok := t.slotCandidateOn(r, w); ok {
-			open = append(open, s)
+			candidateHeap = append(candidateHeap, s)
 		}
 	}
-	heap.Init(&open)
-	for r.pending() > 0 && len(open) > 0 {
-		best := open[0].worker
+	heap.Init(&candidateHeap)
+	for r.pending() > 0 && len(candidateHeap) > 0 {
+		best := candidateHeap[0].worker
 		t.addSlot(r, best)
 		if s, ok := t.slotCandidateOn(r, best); ok {
-			open[0] = s
-			heap.Fix(&open, 0)
+			candidateHeap[0] = s
+			heap.Fix(&candidateHeap, 0)
 			continue
 		}
-		heap.Pop(&open)
+		heap.Pop(&candidateHeap)
 	}
 }
 
-// adopt lets runs that the queue started in the open window fill pending slots where
-// they are, as after a change of the leader.
+// adopt assigns pending slots to a worker for runs that the reservation's queue started
+// there in the open window, and moves the runs into them. This restores the slots in use
+// after a change of leader.
 func (t *reservationTable) adopt(r *reservation, w *worker) {
 	if r.Start > t.clock.now || len(w.runs) == 0 {
 		return
@@ -198,16 +203,18 @@
 	}
 }
 
-// slotCandidate is a worker that has capacity for one more slot.
+// slotCandidate is a worker that has the capacity for one more slot. Sizes are
+// normalized.
 type slotCandidate struct {
 	worker *worker
-	// preempted is the size of what preemptible runs take that the slot needs.
+	// preempted is the size of what the slot needs and preemptible runs hold now.
 	preempted float64
 	// freeSize is the size of the least slack during the window.
 	freeSize float64
 }
 
-// slotCandidateOn returns the candidate that a worker is, if it is one.
+// slotCandidateOn returns the candidate for a worker; false if it has no capacity for a
+// slot or is restricted.
 func (t *reservationTable) slotCandidateOn(r *reservation, w *worker) (slotCandidate, bool) {
 	slack := w.slackDuring(r, nil)
 	if !fits(r.SlotSize, slack) || w.restricted {
@@ -215,12 +222,13 @@
 	}
 	return slotCandidate{
 		worker:    w,
-		preempted: resources.NormalizedSize(resources.Lacking(r.SlotSize, slack.Sub(w.preemptible)), t.workers.largest),
-		freeSize:  resources.NormalizedSize(slack, t.workers.largest),
+		preempted: resources.NormalizedSize(resources.Shortfall(r.SlotSize, slack.Sub(w.preemptible)), t.workers.largestCapacity),
+		freeSize:  resources.NormalizedSize(slack, t.workers.largestCapacity),
 	}, true
 }
 
-// slotCandidateHeap implements heap.Interface: least preempted first, then the fullest.
+// slotCandidateHeap implements heap.Interface: least preempted first, then the fullest
+// worker, then by name.
 type slotCandidateHeap []slotCandidate
 
 func (h slotCandidateHeap) Len() int { return len(h) }
--- a/internal/placement/resources/doc.go
+++ b/internal/placement/resources/doc.go
@@ -1,8 +1,8 @@
-// Package resources is the arithmetic that placement does on amounts of
-// processors, memory and accelerators: extremes, shares, how often one amount
-// fits in another, and the size of an amount as one number, by which workers
-// are ordered.
+// Package resources implements arithmetic on amounts of processors, memory and
+// accelerators for placement: minimum and maximum, percentages, how often one amount
+// fits in another, and the size of an amount as one number, by which workers are
+// ordered.
 //
-// It is pure, knows neither workers nor tasks, and allocates nothing: every
-// trial of a task on a worker calls it.
+// Its functions are pure, know neither workers nor tasks, and allocate nothing,
+// because they are called for each check of a task on a worker.
 package resources
--- a/internal/placement/resources/resources.go
+++ b/internal/placement/resources/resources.go
@@ -6,15 +6,15 @@
 	"github.com/decklever/decklever/api"
 )
 
-// hundred is the whole of which percentages are parts.
-const hundred = 100
+// percentScale is the percentage that stands for a complete amount.
+const percentScale = 100
 
-// NormalizedSize is the sum over dimensions of the amount, each as a fraction of
-// the largest worker's. A dimension that no worker has counts nothing.
+// NormalizedSize returns the sum over the dimensions of amount, each as a fraction of
+// largest. A dimension in which largest is not positive counts as 0.
 //
-// It never falls when a dimension grows, so a worker whose free resources are
-// smaller than the size of a need cannot hold that need: a sorted list of workers
-// can be searched by it.
+// The size never decreases when a dimension grows. So a worker whose free resources have
+// a smaller size than a need cannot hold that need, and a list of workers sorted by size
+// can be searched for the need.
 func NormalizedSize(amount, largest api.Resources) float64 {
 	return fraction(amount.CPUMillis, largest.CPUMillis) +
 		fraction(amount.MemoryMB, largest.MemoryMB) +
@@ -46,8 +46,8 @@
 	}
 }
 
-// Lacking is what need exceeds free by, 0 in the dimensions that suffice.
-func Lacking(need, free api.Resources) api.Resources {
+// Shortfall returns by how much need exceeds free in each dimension, 0 where free suffices.
+func Shortfall(need, free api.Resources) api.Resources {
 	return Max(need.Sub(free), api.Resources{})
 }
 
@@ -56,8 +56,8 @@
 	return !(api.Resources{}).Fits(amount)
 }
 
-// Times is the amount taken count times.
-func Times(amount api.Resources, count int) api.Resources {
+// Multiply returns the amount multiplied by count.
+func Multiply(amount api.Resources, count int) api.Resources {
 	return api.Resources{
 		CPUMillis:    amount.CPUMillis * int64(count),
 		MemoryMB:     amount.MemoryMB * int64(count),
@@ -65,17 +65,17 @@
 	}
 }
 
-// Percent is so many hundredths of the amount, rounded down in each dimension.
+// Percent returns the percentage of the amount, with each dimension rounded toward zero.
 func Percent(amount api.Resources, percent int) api.Resources {
 	return api.Resources{
-		CPUMillis:    amount.CPUMillis * int64(percent) / hundred,
-		MemoryMB:     amount.MemoryMB * int64(percent) / hundred,
-		Accelerators: amount.Accelerators * int64(percent) / hundred,
+		CPUMillis:    amount.CPUMillis * int64(percent) / percentScale,
+		MemoryMB:     amount.MemoryMB * int64(percent) / percentScale,
+		Accelerators: amount.Accelerators * int64(percent) / percentScale,
 	}
 }
 
-// FitCount counts how often need fits in free, up to limit. Nothing fits where a
-// dimension of free is negative.
+// FitCount returns how often need fits in free, at most limit. It is 0 if a dimension of
+// free is negative.
 func FitCount(need, free api.Resources, limit int) int {
 	if !need.Fits(free) {
 		return 0
@@ -88,7 +88,7 @@
 	return int(min(count, int64(limit)))
 }
 
-// quotient is how often need goes into free; without bound if nothing is needed.
+// quotient returns how often need fits in free; math.MaxInt64 if nothing is needed.
 func quotient(need, free int64) int64 {
 	if need <= 0 {
 		return math.MaxInt64
--- a/internal/placement/runs.go
+++ b/internal/placement/runs.go
@@ -8,12 +8,12 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// forever is the end of a run that has no bound.
+// forever is the end of a run without a maximum duration.
 const forever = record.Millis(1<<63 - 1)
 
-// run is an open run, or a nominated one: it takes resources of its worker. Only
-// runTable makes and closes runs; workerIndex.updateRun applies each change of what
-// the sums of the worker depend on.
+// run is an open or a nominated run: it takes resources of its worker. Only runTable
+// creates and closes runs. A change of a field on which the sums of the worker depend
+// must go through workerIndex.updateRun.
 type run struct {
 	task     record.TaskID
 	service  string
@@ -24,36 +24,38 @@
 	priority int
 	runTimes
 	preemptibility
-	// slot is the one in which the run counts, or nil.
+	// slot is the slot set in which the run is counted, or nil.
 	slot *slotSet
-	// inReservation tells whether the run was placed in a slot.
+	// inReservation is set if the run was placed in a slot; it remains set if the slot is
+	// dropped.
 	inReservation bool
 	// untilCancelled is set if the run has no end of its own.
 	untilCancelled bool
-	// nominated is set while the resources are only promised.
+	// nominated is set while the resources are promised but not yet taken.
 	nominated bool
 }
 
-// runTimes is when a run starts and ends.
+// runTimes holds when a run starts and ends, in Unix milliseconds.
 type runTimes struct {
-	// started is when it was placed, end when the worker stops it at last.
+	// started is when the run was placed; end is when the worker stops it at the latest.
 	started, end record.Millis
-	// expectedEnd is when its estimate says that it ends; end without one.
+	// expectedEnd is the end according to the estimate of the task; without an estimate
+	// it equals end.
 	expectedEnd record.Millis
 }
 
-// preemptibility is what decides whether a run may be preempted.
+// preemptibility holds what decides whether a run may be preempted.
 type preemptibility struct {
-	// preemptions is how often the task was preempted before.
+	// preemptions counts how often the task was preempted before.
 	preemptions int
-	// specPreemptible is the spec's Preemptible; preemptible is false also once the
-	// task was preempted too often.
+	// specPreemptible is the Preemptible setting of the spec. preemptible is also false
+	// once the task was preempted maxPreemptions times.
 	specPreemptible, preemptible bool
-	// stopping is set once it was named for preemption.
+	// stopping is set once the run was chosen for preemption.
 	stopping bool
 }
 
-// startAt sets when the run starts, and so when it ends at the latest.
+// startAt sets the start of the run and, from the spec, its latest and its expected end.
 func (t *runTimes) startAt(moment record.Millis, spec *api.TaskSpec) {
 	t.started = moment
 	t.end = endOf(moment, spec)
@@ -63,7 +65,8 @@
 	}
 }
 
-// endOf is the latest end of a run that starts at that moment.
+// endOf returns the latest end of a run that starts at the given time; forever if the
+// spec sets no maximum duration.
 func endOf(start record.Millis, spec *api.TaskSpec) record.Millis {
 	if spec.MaxDuration <= 0 {
 		return forever
@@ -71,8 +74,8 @@
 	return start + record.MillisOf(spec.MaxDuration.Std())
 }
 
-// occupiesAt reports whether the run takes resources outside of reserved slots at that
-// moment and cannot be made to leave.
+// occupiesAt reports whether at that time the run takes resources outside of reserved
+// slots and cannot be preempted.
 func (r *run) occupiesAt(moment record.Millis) bool {
 	if r.preemptible {
 		return false
@@ -83,16 +86,17 @@
 	return r.end > moment
 }
 
-// addNeedAt adds to the slack at a moment what the run takes then.
-func (r *run) addNeedAt(slack api.Resources, moment record.Millis) api.Resources {
+// addBackNeedAt returns slack plus what the run takes of it at the given time. A nil run
+// takes nothing.
+func (r *run) addBackNeedAt(slack api.Resources, moment record.Millis) api.Resources {
 	if r == nil || !r.occupiesAt(moment) {
 		return slack
 	}
 	return slack.Add(r.need)
 }
 
-// mayBeVictim reports whether the run may be preempted. Those in slots are not: what
-// they take is not for others.
+// mayBeVictim reports whether the run may be preempted. Runs in slots may not: the
+// capacity of a slot is not available to other tasks.
 func (r *run) mayBeVictim() bool {
 	return r.preemptible && !r.stopping && !r.nominated && r.slot == nil
 }
@@ -109,8 +113,8 @@
 	}
 }
 
-// sortedRuns returns runs of the worker in the order of their tasks: iteration over the
-// map would not be repeatable.
+// sortedRuns returns the runs of the worker for which wanted returns true, ordered by
+// task ID: the order of map iteration is not deterministic.
 func (w *worker) sortedRuns(wanted func(*run) bool) []*run {
 	var runs []*run
 	for r := range w.runs {
@@ -131,18 +135,18 @@
 	return counts
 }
 
-// defaultMaxPreemptions holds until SetMaxPreemptions.
+// defaultMaxPreemptions applies until SetMaxPreemptions is called.
 const defaultMaxPreemptions = 3
 
-// runTable owns the runs and keeps the counts that follow from them: those of queues
-// and steps, and the sums of workers. Each run is counted in all of them or in none.
+// runTable owns the runs and maintains the counts derived from them: those of queues and
+// steps, and the sums of workers. Each run is counted in all of them or in none.
 type runTable struct {
-	// open are the runs that are not only nominated.
+	// open holds the runs that are not nominated.
 	open map[record.TaskID]*run
-	// preemptible counts by priority the open runs that may be preempted, those in
-	// reserved slots too.
+	// preemptible counts, by priority, the open runs that may be preempted, including
+	// those in reserved slots.
 	preemptible map[int]int
-	// maxPreemptions is the bound on preemptions of one task.
+	// maxPreemptions bounds how often one task may be preempted.
 	maxPreemptions int
 
 	clock   *clock
@@ -161,7 +165,7 @@
 	}
 }
 
-// find returns the open run of a task; nil if there is none. A nominated one is not open.
+// find returns the open run of a task; nil if there is none. A nominated run is not open.
 func (t *runTable) find(task record.TaskID) *run { return t.open[task] }
 
 // start opens a run that starts now.
@@ -179,19 +183,20 @@
 	return t.add(task, to, started, false)
 }
 
-// renominate is nominate for a run that was closed for an attempt: its start stays.
+// renominate nominates a run again that was closed temporarily, and keeps its start.
 func (t *runTable) renominate(task *Task, to placementTarget, started record.Millis) *run {
 	return t.add(task, to, started, true)
 }
 
-// add makes a run on a target: its resources are taken, or promised if nominated.
+// add creates a run on a target. Its resources are taken, or promised if nominated is
+// set.
 func (t *runTable) add(task *Task, to placementTarget, started record.Millis, nominated bool) *run {
 	r := &run{
 		task:          task.ID,
 		service:       task.Spec.Service,
 		need:          task.Spec.Resources,
 		worker:        to.worker,
-		queue:         t.queues.Get(task.Queue),
+		queue:         t.queues.GetOrCreate(task.Queue),
 		step:          t.steps.get(task.ID.StepID()),
 		priority:      task.Priority,
 		nominated:     nominated,
@@ -213,12 +218,12 @@
 	to.worker.runs[r] = struct{}{}
 	t.workers.allocate(r)
 	r.queue.CountRun(1)
-	r.step.count(to.worker, 1)
+	r.step.addRuns(to.worker, 1)
 	t.countPreemptible(r, 1)
 	return r
 }
 
-// close gives back what a run takes; it is the exact reverse of add.
+// close frees what a run takes; it is the exact reverse of add.
 func (t *runTable) close(r *run) {
 	if !r.nominated {
 		delete(t.open, r.task)
@@ -228,12 +233,12 @@
 	delete(r.worker.runs, r)
 	r.leaveSlot()
 	r.queue.CountRun(-1)
-	r.step.count(r.worker, -1)
-	t.steps.forgetIfUnused(r.step)
+	r.step.addRuns(r.worker, -1)
+	t.steps.deleteIfUnused(r.step)
 }
 
-// claim turns the runs of a nomination into open ones, if what all of them need is free
-// by now: all or none.
+// claim opens the runs of a nomination if the resources of all of them are free now.
+// Otherwise it returns false and all of them stay nominated.
 func (t *runTable) claim(n *nomination) bool {
 	for i, r := range n.runs {
 		if !fits(r.need, r.worker.freeNow()) {
@@ -255,22 +260,22 @@
 	return true
 }
 
-// setMaxPreemptions changes the bound on preemptions of one task, and reports whether it
-// is another one. reconsiderPreemptible applies it to the runs on a worker.
+// setMaxPreemptions sets how often one task may be preempted, and reports whether that
+// changed. The caller applies the change to existing runs by updatePreemptible.
 func (t *runTable) setMaxPreemptions(limit int) bool {
 	changed := limit != t.maxPreemptions
 	t.maxPreemptions = limit
 	return changed
 }
 
-// isPreemptible reports whether the task may be preempted, and was not preempted too
-// often yet.
+// isPreemptible reports whether the task is preemptible and was preempted fewer than
+// maxPreemptions times.
 func (t *runTable) isPreemptible(task *Task) bool {
 	return task.Spec.Preemptible && task.Preemptions < t.maxPreemptions
 }
 
-// reconsiderPreemptible applies a change of maxPreemptions to the runs on a worker.
-func (t *runTable) reconsiderPreemptible(w *worker) {
+// updatePreemptible applies a change of maxPreemptions to the runs on a worker.
+func (t *runTable) updatePreemptible(w *worker) {
 	for r := range w.runs {
 		t.countPreemptible(r, -1)
 		t.workers.updateRun(r, func() { r.preemptible = r.specPreemptible && r.preemptions < t.maxPreemptions })
@@ -278,7 +283,8 @@
 	}
 }
 
-// countPreemptible counts the runs by priority that may be preempted.
+// countPreemptible adds change to the number of preemptible open runs of the priority of
+// the run, if the run is one of them.
 func (t *runTable) countPreemptible(r *run, change int) {
 	if !r.preemptible || r.nominated {
 		return
@@ -289,8 +295,9 @@
 	}
 }
 
-// anyPreemptible reports whether any run of a lower priority may be preempted.
-func (t *runTable) anyPreemptible(priority int) bool {
+// hasPreemptibleBelow reports whether there is a preemptible open run with a priority lower
+// than the given one.
+func (t *runTable) hasPreemptibleBelow(priority int) bool {
 	for lower := range t.preemptible {
 		if lower < priority {
 			return true
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -8,45 +8,47 @@
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
-// placementTarget is where a task may run: a reserved slot if one is named, else what a
-// worker has free outside of slots of the task's own queue.
+// placementTarget is where a task may run: in a reserved slot of the worker if slot is
+// set, else in its free capacity outside of slots of the task's own queue.
 type placementTarget struct {
 	worker *worker
 	slot   *slotSet
 }
 
-// targetFinder searches the workers for a task that waits: which are feasible (Filter),
-// and of these the best (Score). It changes nothing but the preferred domain of a step.
+// targetFinder searches workers for a waiting task: it selects the feasible workers
+// (filter) and the best of those (score). The only state it changes is a step's
+// preferred domain.
 type targetFinder struct {
-	// off are the policies that an experiment switches off.
-	off featuregate.DisabledSet
+	// disabledFeatures holds the policies that are disabled for an experiment.
+	disabledFeatures featuregate.DisabledSet
 
 	workers   *workerIndex
 	steps     *stepTable
 	preferred *preferredReserve
 }
 
-// findTarget finds a target that is free now: reserved slots first, then workers that
-// leave headroom, then any, at last restricted ones.
-func (f *targetFinder) findTarget(w *waiting) (placementTarget, bool) {
+// findTarget returns a target that is free now, and false if there is none. It tries, in
+// this order, reserved slots, workers on which the task leaves headroom, workers with
+// headroom ignored, and restricted workers.
+func (f *targetFinder) findTarget(w *waitingTask) (placementTarget, bool) {
 	if s := w.class.fullestFreeSlot(); s != nil {
 		return placementTarget{worker: s.worker, slot: s}, true
 	}
-	on := f.fullest(w)
-	if on == nil {
-		on = ignoringHeadroom(w.class, func() *worker { return f.fullest(w) })
+	best := f.bestWorker(w)
+	if best == nil {
+		best = ignoringHeadroom(w.class, func() *worker { return f.bestWorker(w) })
 	}
-	if on == nil && f.workers.anyRestricted() && !f.off.Has(featuregate.LastResortCapacity) {
-		on = withRestricted(w.class, func() *worker { return f.fullest(w) })
+	if best == nil && f.workers.anyRestricted() && !f.disabledFeatures.Has(featuregate.LastResortCapacity) {
+		best = withRestricted(w.class, func() *worker { return f.bestWorker(w) })
 	}
-	return placementTarget{worker: on}, on != nil
+	return placementTarget{worker: best}, best != nil
 }
 
-// placementOrder puts gang members that need most first, as in first fit decreasing: the
-// small ones fit in what these leave.
-func (f *targetFinder) placementOrder(tasks []*waiting) []*waiting {
+// placementOrder sorts gang members by need, largest first, as in first-fit decreasing:
+// small members fit into the capacity that large ones leave.
+func (f *targetFinder) placementOrder(tasks []*waitingTask) []*waitingTask {
 	members := slices.Clone(tasks)
-	slices.SortFunc(members, func(a, b *waiting) int {
+	slices.SortFunc(members, func(a, b *waitingTask) int {
 		if byNeed := cmp.Compare(f.workers.sizeOf(b.class), f.workers.sizeOf(a.class)); byNeed != 0 {
 			return byNeed
 		}
@@ -55,8 +57,8 @@
 	return members
 }
 
-// fullestFreeSlot returns the free slot on the fullest worker that has its capacity now,
-// or nil.
+// fullestFreeSlot returns a free slot that the class may enter and whose worker has the
+// capacity now, on the fullest such worker; nil if there is none.
 func (c *equivalenceClass) fullestFreeSlot() *slotSet {
 	var best *slotSet
 	for _, r := range c.reservations {
@@ -72,40 +74,41 @@
 	return best
 }
 
-// canEnterSlot reports whether a task of the class may run in a slot of the set, if the
-// worker has the capacity.
+// canEnterSlot reports whether a task of the class may run in a slot of the set, provided
+// that the worker has the capacity.
 func (c *equivalenceClass) canEnterSlot(s *slotSet) bool {
 	return s.used < s.slots && c.isSlotReservedFor(s) && withinSpread(c.spread, &s.worker.Worker) && c.admits(s.worker)
 }
 
-// isSlotReservedFor reports whether the set is of a reservation for the class, in its
-// window and on a worker that serves the class.
+// isSlotReservedFor reports whether the set belongs to a reservation for the class's
+// queue, its window is open now, a task of the class fits in a slot, and the worker
+// matches the class.
 func (c *equivalenceClass) isSlotReservedFor(s *slotSet) bool {
 	r := s.reservation
 	if c.key.queue == "" || r.Queue != c.key.queue || !r.openAt(c.clock.now) || !c.key.need.Fits(r.SlotSize) {
 		return false
 	}
-	served, wanted := r.pool.selector, c.pool.selector
-	if served.service == wanted.service && served.labels == wanted.labels {
+	reservationSelector, classSelector := r.pool.selector, c.pool.selector
+	if reservationSelector.service == classSelector.service && reservationSelector.labels == classSelector.labels {
 		return true
 	}
-	return (r.Service == "" || r.Service == wanted.service) && c.pool.matches(s.worker)
+	return (r.Service == "" || r.Service == classSelector.service) && c.pool.matches(s.worker)
 }
 
-// freeSlots counts the slots of the sets that the class may enter.
+// freeSlots counts the free slots that the class may enter.
 func (c *equivalenceClass) freeSlots(slots []*slotSet) int {
-	open := 0
+	count := 0
 	for _, s := range slots {
 		if c.canEnterSlot(s) {
-			open += s.slots - s.used
+			count += s.slots - s.used
 		}
 	}
-	return open
+	return count
 }
 
-// compareFullest orders workers by "fill the fullest" (best fit): the least free first,
-// ties by name. What a task takes is the same on every worker, so the order before
-// placing is the order after it.
+// compareFullest orders workers for best fit: the least free first, ties by name. A task
+// needs the same on every worker, so the order by free capacity before placing it equals
+// the order after it.
 func compareFullest(a, b *worker) int {
 	if bySize := cmp.Compare(a.freeSize, b.freeSize); bySize != 0 {
 		return bySize
@@ -113,7 +116,8 @@
 	return compareName(a, b)
 }
 
-// compareLeastUnreserved is compareFullest by what no reserved slot needs.
+// compareLeastUnreserved is compareFullest by the free capacity that no reserved slot
+// needs.
 func compareLeastUnreserved(a, b *worker) int {
 	if bySize := cmp.Compare(a.unreservedSize, b.unreservedSize); bySize != 0 {
 		return bySize
@@ -121,7 +125,7 @@
 	return compareName(a, b)
 }
 
-// compareName makes the order of workers total.
+// compareName orders workers by name and then by ID, which makes the order total.
 func compareName(a, b *worker) int {
 	if byName := cmp.Compare(a.Name, b.Name); byName != 0 {
 		return byName
@@ -129,14 +133,14 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// sizeOf is the size of what a task of the class needs.
+// sizeOf returns the normalized size of the need of one task of the class.
 func (x *workerIndex) sizeOf(c *equivalenceClass) float64 {
-	return resources.NormalizedSize(c.key.need, x.largest)
+	return resources.NormalizedSize(c.key.need, x.largestCapacity)
 }
 
-// Costs of a worker for a task, by what the task would rather not have. Each is greater
-// than the sum of those after it, so that they are weighed in this order. None ever
-// makes a task wait.
+// Costs of a worker for a task, one for each soft constraint that the worker breaks. Each
+// cost is greater than the sum of those after it, so that constraints are weighed in this
+// order. No cost makes a task wait.
 const (
 	// costFailedBefore: a run of the task failed on the worker.
 	costFailedBefore = 1 << (6 - iota)
@@ -146,76 +150,78 @@
 	costSlow
 	// costNotPreferred: the worker lacks a label of TaskSpec.Prefer.
 	costNotPreferred
-	// costOtherDomain: the worker lies outside of the step's preferred domain.
+	// costOtherDomain: the worker is outside of the step's preferred domain.
 	costOtherDomain
-	// costOverSoftLimit: the worker holds as many tasks of the step as it should.
+	// costOverSoftLimit: the worker holds softLimitPerWorker or more tasks of the step.
 	costOverSoftLimit
-	// costPreferredReserve: the task would take what is left for tasks which prefer the
+	// costPreferredReserve: the task would use the reserve for tasks that prefer the
 	// worker; see preferredReserve.
 	costPreferredReserve
 )
 
-// ranking is what workers are ranked by for one task.
+// ranking holds the criteria by which workers are ranked for one task.
 type ranking struct {
 	task *Task
-	// step holds the step's open runs; nil if there are none.
+	// step counts the step's open runs; nil if there are none or no soft limit applies.
 	step *step
-	// softLimit is the number of runs of the step on one worker from which on others come
-	// first; used with step only.
+	// softLimit is softLimitPerWorker of the step; used only if step is set.
 	softLimit int
-	// domain is the preferred domain of the step; anyDomain is set if the task prefers
-	// none.
-	domain    string
-	anyDomain bool
+	// preferredDomain is the preferred domain of the step; anyDomain is set if the task
+	// prefers none or the policy is disabled.
+	preferredDomain string
+	anyDomain       bool
 }
 
-// softLimitPerWorker is how many tasks of a step one worker may hold before others come
-// first: half, rounded up. So no single worker takes a whole step with it, and a step
-// still lies on few workers.
+// softLimitPerWorker returns the number of a step's tasks on one worker from which on
+// other workers are preferred: half of the step, rounded up. The loss of one worker then
+// does not end the complete step, and the step still runs on few workers.
 func softLimitPerWorker(stepSize int) int { return (stepSize + 1) / 2 }
 
-// hasPreferences reports whether the task may have to look past the fullest worker.
+// hasPreferences reports whether the best worker for the task may be another than the
+// fullest one on which it fits.
 func (f *targetFinder) hasPreferences(task *Task) bool {
 	return len(task.Avoid) > 0 || task.Colocate != "" || task.StepSize > 1 ||
-		len(task.Spec.Prefer) > 0 || f.preferred.any() || f.workers.slow > 0 || f.workers.anyRestricted()
+		len(task.Spec.Prefer) > 0 || f.preferred.hasLabels() || f.workers.slowCount > 0 || f.workers.anyRestricted()
 }
 
-// fullest returns the worker that a task which waits takes, or nil: of those on which it
-// fits the one that costs least, and of these the fullest. A task without preferences
-// costs one look at each worker until the first on which it fits.
-func (f *targetFinder) fullest(w *waiting) *worker {
-	c, least := w.class, f.workers.sizeOf(w.class)
-	first := c.pool.fullest(c, least)
-	if first == nil || !f.hasPreferences(&w.Task) {
-		return first
+// bestWorker returns the worker to place a waiting task on, or nil: of the workers on
+// which the task fits, the probationTarget if there is one, else the fullest of those with
+// the lowest cost. For a task without preferences the search ends at the first worker on
+// which it fits.
+func (f *targetFinder) bestWorker(w *waitingTask) *worker {
+	c, minSize := w.class, f.workers.sizeOf(w.class)
+	fullest := c.pool.fullest(c, minSize)
+	if fullest == nil || !f.hasPreferences(&w.Task) {
+		return fullest
 	}
-	if tried := f.probationTarget(w); tried != nil {
-		return tried
+	if onProbation := f.probationTarget(w); onProbation != nil {
+		return onProbation
 	}
-	wanted := f.rankingFor(w)
-	if wanted.cost(first) == 0 {
-		return first
+	rank := f.rankingFor(w)
+	if rank.cost(fullest) == 0 {
+		return fullest
 	}
-	return c.pool.lowestCost(c, least, &wanted)
+	return c.pool.lowestCost(c, minSize, &rank)
 }
 
-// rankingFor works out what a task ranks workers by.
-func (f *targetFinder) rankingFor(w *waiting) ranking {
-	wanted := ranking{task: &w.Task, anyDomain: w.Colocate == "" || f.off.Has(featuregate.PreferredDomain)}
-	if w.StepSize > 1 && !f.off.Has(featuregate.StepShare) {
-		wanted.step = f.steps.byID[w.ID.StepID()]
-		wanted.softLimit = softLimitPerWorker(w.StepSize)
+// rankingFor returns the criteria by which workers are ranked for a task.
+func (f *targetFinder) rankingFor(w *waitingTask) ranking {
+	rank := ranking{task: &w.Task, anyDomain: w.Colocate == "" || f.disabledFeatures.Has(featuregate.PreferredDomain)}
+	if w.StepSize > 1 && !f.disabledFeatures.Has(featuregate.StepShare) {
+		rank.step = f.steps.byID[w.ID.StepID()]
+		rank.softLimit = softLimitPerWorker(w.StepSize)
 	}
-	if !wanted.anyDomain {
-		wanted.domain = f.preferredDomainOf(w)
+	if !rank.anyDomain {
+		rank.preferredDomain = f.preferredDomainOf(w)
 	}
-	return wanted
+	return rank
 }
 
-// cost is 0 for a worker that has all that is preferred.
-func (s *ranking) cost(w *worker) int {
+// cost returns the sum of the costs of the soft constraints that the worker breaks; 0 if
+// it meets them all.
+func (r *ranking) cost(w *worker) int {
 	cost := 0
-	if slices.Contains(s.task.Avoid, w.Name) {
+	if slices.Contains(r.task.Avoid, w.Name) {
 		cost += costFailedBefore
 	}
 	if w.restricted {
@@ -224,40 +230,42 @@
 	if w.Slow {
 		cost += costSlow
 	}
-	if !w.HasLabels(s.task.Spec.Prefer) {
+	if !w.HasLabels(r.task.Spec.Prefer) {
 		cost += costNotPreferred
 	}
-	if !s.inPreferredDomain(w) {
+	if !r.inPreferredDomain(w) {
 		cost += costOtherDomain
 	}
-	if s.step != nil && s.step.workers[w] >= s.softLimit {
+	if r.step != nil && r.step.runsByWorker[w] >= r.softLimit {
 		cost += costOverSoftLimit
 	}
-	if !leavesPreferredReserve(s.task.Spec, w) {
+	if !leavesPreferredReserve(r.task.Spec, w) {
 		cost += costPreferredReserve
 	}
 	return cost
 }
 
-// inPreferredDomain reports whether the worker lies in the preferred domain, if there is
-// one.
-func (s *ranking) inPreferredDomain(w *worker) bool {
-	if s.anyDomain {
+// inPreferredDomain reports whether the worker is in the preferred domain, or the task
+// has none.
+func (r *ranking) inPreferredDomain(w *worker) bool {
+	if r.anyDomain {
 		return true
 	}
-	domain, ok := w.Domain(s.task.Colocate)
-	return ok && domain == s.domain
+	domain, ok := w.Domain(r.task.Colocate)
+	return ok && domain == r.preferredDomain
 }
 
-// lowestCost returns the worker that costs least, the fullest of equals.
-func (p *pool) lowestCost(c *equivalenceClass, least float64, wanted *ranking) *worker {
+// lowestCost returns the worker of the lowest cost on which the class fits, the first in
+// pool order among equals; nil if it fits on none. minSize is the normalized size of the
+// class's need.
+func (p *pool) lowestCost(c *equivalenceClass, minSize float64, rank *ranking) *worker {
 	var best *worker
 	lowest := 0
-	for _, w := range p.withFreeSize(least) {
+	for _, w := range p.withFreeSize(minSize) {
 		if !c.fitsOn(w) {
 			continue
 		}
-		cost := wanted.cost(w)
+		cost := rank.cost(w)
 		if best == nil || cost < lowest {
 			best, lowest = w, cost
 		}
--- a/internal/placement/score_test.go
+++ b/internal/placement/score_test.go
@@ -15,9 +15,9 @@
 		workers []Worker
 		want    string
 	}{
-		{"least room", []Worker{testWorker("a", cpu(100)), testWorker("b", cpu(40)), testWorker("c", cpu(9))}, "j/a/0@b"},
+		{"least free", []Worker{testWorker("a", cpu(100)), testWorker("b", cpu(40)), testWorker("c", cpu(9))}, "j/a/0@b"},
 		{"ties by name", []Worker{testWorker("c", cpu(40)), testWorker("b", cpu(40))}, "j/a/0@b"},
-		{"measured against the largest", []Worker{
+		{"size relative to the largest amounts", []Worker{
 			testWorker("a", api.Resources{CPUMillis: 100, MemoryMB: 1000}),
 			testWorker("b", api.Resources{CPUMillis: 20, MemoryMB: 900}),
 			testWorker("c", api.Resources{CPUMillis: 90, MemoryMB: 100}),
@@ -32,7 +32,7 @@
 	}
 }
 
-// rackWorker is a testWorker in a zone, with labels "KEY=VALUE".
+// rackWorker returns a testWorker in a zone, with labels given as "KEY=VALUE".
 func rackWorker(name, zone string, capacity int64, labels ...string) Worker {
 	w := testWorker(name, cpu(capacity))
 	w.Zone = zone
@@ -44,7 +44,7 @@
 	return w
 }
 
-// stepOf returns the tasks of one step, each changed by the given function.
+// stepOf returns count tasks of one step, each modified by change if that is not nil.
 func stepOf(job string, count int, need int64, change func(*Task)) []Task {
 	var tasks []Task
 	for i := range count {
@@ -58,8 +58,8 @@
 	return tasks
 }
 
-// countBy plans all and counts decisions by what the function makes of a
-// worker's name.
+// countBy plans without an effective limit and counts the decisions by the key that the
+// function returns for the worker's name.
 func countBy(e *Engine, key func(worker string) string) map[string]int {
 	counts := map[string]int{}
 	for _, d := range e.Plan(1000) {
@@ -68,7 +68,8 @@
 	return counts
 }
 
-func name(worker string) string { return worker }
+// workerName is the key for countBy that counts by worker.
+func workerName(worker string) string { return worker }
 
 func TestPreferences_PreferredWorkerIsTakenIfItFits(t *testing.T) {
 	cases := []struct {
@@ -77,8 +78,8 @@
 		want    string
 	}{
 		{"before a fuller one", []Worker{rackWorker("a", "z1", 10), rackWorker("b", "z1", 90, "disk=ssd")}, "j/a/0@b"},
-		{"any other without room", []Worker{rackWorker("a", "z1", 50), rackWorker("b", "z1", 9, "disk=ssd")}, "j/a/0@a"},
-		{"any other with another value", []Worker{rackWorker("a", "z1", 50), rackWorker("b", "z1", 60, "disk=hdd")}, "j/a/0@a"},
+		{"any other if it is full", []Worker{rackWorker("a", "z1", 50), rackWorker("b", "z1", 9, "disk=ssd")}, "j/a/0@a"},
+		{"any other if the label value differs", []Worker{rackWorker("a", "z1", 50), rackWorker("b", "z1", 60, "disk=hdd")}, "j/a/0@a"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -96,11 +97,11 @@
 	task := testTask("j", 0, 10)
 	task.Avoid = []string{"a", "b"}
 	e.Add(task)
-	expect(t, "elsewhere", placed(e, 10), "j/a/0@c")
+	expect(t, "decisions while another worker has capacity", placed(e, 10), "j/a/0@c")
 	e.Release(task.ID)
 	e.RemoveWorker("c-1")
 	e.Add(task)
-	expect(t, "there if no other has capacity", placed(e, 10), "j/a/0@a")
+	expect(t, "decisions if runs failed on all workers left", placed(e, 10), "j/a/0@a")
 }
 
 func TestPreferences_SlowWorkerComesLast(t *testing.T) {
@@ -111,7 +112,7 @@
 	expect(t, "decisions", placed(e, 10), "j/a/0@b j/a/1@b j/a/2@a")
 	slow.Slow = false
 	e.SetWorker(slow)
-	expect(t, "slow workers", e.workers.slow, 0)
+	expect(t, "slow workers", e.workers.slowCount, 0)
 }
 
 func TestPreferences_AtMostHalfOfStepOnOneWorker(t *testing.T) {
@@ -124,7 +125,7 @@
 		{"two halves", 6, []int64{100, 100, 100}, map[string]int{"w0": 3, "w1": 3}},
 		{"odd", 5, []int64{100, 100}, map[string]int{"w0": 3, "w1": 2}},
 		{"a pair", 2, []int64{100, 100}, map[string]int{"w0": 1, "w1": 1}},
-		{"no room elsewhere", 6, []int64{100, 10}, map[string]int{"w0": 5, "w1": 1}},
+		{"no capacity elsewhere", 6, []int64{100, 10}, map[string]int{"w0": 5, "w1": 1}},
 		{"a single task", 1, []int64{100, 100}, map[string]int{"w0": 1}},
 	}
 	for _, c := range cases {
@@ -134,13 +135,14 @@
 				e.SetWorker(testWorker(fmt.Sprint("w", i), cpu(capacity)))
 			}
 			addAll(e, stepOf("j", c.tasks, 10, nil)...)
-			expect(t, "runs by worker", countBy(e, name), c.want)
+			expect(t, "runs by worker", countBy(e, workerName), c.want)
 		})
 	}
 }
 
 func TestPreferences_Colocate(t *testing.T) {
-	// Two racks of three workers; rack y is the tighter one.
+	// racks returns racks x and y of three workers each, whose capacities are x and y.
+	// Rack y always has less capacity.
 	racks := func(x, y int64) []Worker {
 		var workers []Worker
 		for i := range 3 {
@@ -154,14 +156,14 @@
 		name    string
 		workers []Worker
 		tasks   int
-		group   bool
+		isGang  bool
 		want    map[string]int
 	}{
-		{"the tightest that takes all", racks(100, 40), 6, false, map[string]int{"y": 6}},
-		{"the one that takes all", racks(100, 10), 6, false, map[string]int{"x": 6}},
-		{"most in the roomiest", racks(20, 10), 8, false, map[string]int{"x": 6, "y": 2}},
-		{"as a gang", racks(20, 10), 8, true, map[string]int{"x": 6, "y": 2}},
-		{"no domain at all", []Worker{testWorker("z", cpu(100))}, 2, false, map[string]int{"z": 2}},
+		{"least capacity that holds all", racks(100, 40), 6, false, map[string]int{"y": 6}},
+		{"the only one that holds all", racks(100, 10), 6, false, map[string]int{"x": 6}},
+		{"most in the one with most capacity", racks(20, 10), 8, false, map[string]int{"x": 6, "y": 2}},
+		{"gang", racks(20, 10), 8, true, map[string]int{"x": 6, "y": 2}},
+		{"single worker without a rack", []Worker{testWorker("z", cpu(100))}, 2, false, map[string]int{"z": 2}},
 	}
 	for _, by := range []string{"zone", "label:rack"} {
 		for _, c := range cases {
@@ -169,7 +171,7 @@
 				e := newEngine(c.workers...)
 				addAll(e, stepOf("j", c.tasks, 10, func(task *Task) {
 					task.Colocate = by
-					if c.group {
+					if c.isGang {
 						task.Gang, task.GangSize = "j/a", c.tasks
 					}
 				})...)
@@ -180,7 +182,7 @@
 }
 
 func TestPreferences_CostsAreWeighedInOrder(t *testing.T) {
-	// Each worker fails one preference more than the next; the fullest fails most.
+	// Each worker has a higher cost than the next one, and is fuller.
 	failed := rackWorker("a", "z1", 10, "disk=ssd")
 	slow := rackWorker("b", "z1", 20, "disk=ssd")
 	slow.Slow = true
@@ -197,7 +199,7 @@
 	for _, d := range e.Plan(100) {
 		order = append(order, d.Worker)
 	}
-	expect(t, "order", strings.Join(order, ""), "ddddcccbba")
+	expect(t, "workers in the order of decisions", strings.Join(order, ""), "ddddcccbba")
 }
 
 func TestPreferences_PreferredDomainForgottenWithStep(t *testing.T) {
@@ -207,6 +209,6 @@
 	e.Add(task)
 	e.Plan(1)
 	e.Release(task.ID)
-	expect(t, "steps", len(e.runs.steps.byID), 0)
-	expect(t, "no run", e.runs.open[record.TaskID{}] == nil, true)
+	expect(t, "number of steps", len(e.runs.steps.byID), 0)
+	expect(t, "no open run of the zero task", e.runs.open[record.TaskID{}] == nil, true)
 }
--- a/internal/placement/spread.go
+++ b/internal/placement/spread.go
@@ -2,20 +2,20 @@
 
 import "github.com/decklever/decklever/internal/record"
 
-// step counts the open runs of one step, as spread rules need it. It lives while it has
+// step counts the open runs of one step for spread rules. It exists while the step has
 // open runs or classes with a spread rule.
 type step struct {
 	key  record.StepID
 	runs int
-	// workers counts open runs by worker.
-	workers map[*worker]int
-	// domains counts open runs by Spread.By, then by domain. Only kinds of domains that a
-	// rule names are counted.
-	domains map[string]map[string]int
-	// preferredDomain is the domain in which tasks are placed that want one in common.
-	// targetFinder writes it.
+	// runsByWorker counts open runs by worker.
+	runsByWorker map[*worker]int
+	// runsByDomain counts open runs by Spread.By, then by domain. It has only the values
+	// of Spread.By that spread rules on this step have named.
+	runsByDomain map[string]map[string]int
+	// preferredDomain is the domain for tasks of the step that are to be colocated; empty
+	// if none is chosen. targetFinder writes it.
 	preferredDomain string
-	// classes are those with a spread rule on this step. classIndex writes it.
+	// classes are the classes with a spread rule on this step. classIndex writes it.
 	classes map[*equivalenceClass]struct{}
 }
 
@@ -26,74 +26,76 @@
 	step         *step
 }
 
-// remaining is how many more runs the worker's domain may take.
+// remaining returns how many more runs the rule allows in the worker's domain: 0 if the
+// worker has no domain, negative if the domain has more runs than allowed.
 func (r *spreadRule) remaining(worker *Worker) int {
 	domain, ok := worker.Domain(r.by)
 	if !ok {
 		return 0
 	}
-	return r.maxPerDomain - r.step.domains[r.by][domain]
+	return r.maxPerDomain - r.step.runsByDomain[r.by][domain]
 }
 
-// holds reports whether the worker's domain has no more runs than allowed.
-func (r *spreadRule) holds(worker *Worker) bool {
+// isSatisfiedOn reports whether the worker has a domain, with no more runs than allowed.
+func (r *spreadRule) isSatisfiedOn(worker *Worker) bool {
 	_, ok := worker.Domain(r.by)
 	return ok && r.remaining(worker) >= 0
 }
 
-// stepTable owns the counts of steps.
+// stepTable owns the run counts of all steps.
 type stepTable struct{ byID map[record.StepID]*step }
 
 func newStepTable() *stepTable { return &stepTable{byID: map[record.StepID]*step{}} }
 
-// get returns the state of a step and makes it if there is none.
+// get returns the state of a step and creates it if there is none.
 func (t *stepTable) get(key record.StepID) *step {
 	if found, ok := t.byID[key]; ok {
 		return found
 	}
-	made := &step{
-		key:     key,
-		workers: map[*worker]int{},
-		domains: map[string]map[string]int{},
-		classes: map[*equivalenceClass]struct{}{},
+	created := &step{
+		key:          key,
+		runsByWorker: map[*worker]int{},
+		runsByDomain: map[string]map[string]int{},
+		classes:      map[*equivalenceClass]struct{}{},
 	}
-	t.byID[key] = made
-	return made
+	t.byID[key] = created
+	return created
 }
 
-// forgetIfUnused drops a step that has neither open runs nor classes.
-func (t *stepTable) forgetIfUnused(s *step) {
+// deleteIfUnused removes a step that has neither open runs nor classes.
+func (t *stepTable) deleteIfUnused(s *step) {
 	if s.runs == 0 && len(s.classes) == 0 {
 		delete(t.byID, s.key)
 	}
 }
 
-// track starts counting by another kind of domain.
-func (s *step) track(by string) {
-	if _, ok := s.domains[by]; ok {
+// trackDomains starts counting the step's runs by another value of Spread.By. It has no effect
+// if they are counted by it already.
+func (s *step) trackDomains(by string) {
+	if _, ok := s.runsByDomain[by]; ok {
 		return
 	}
 	counts := map[string]int{}
-	s.domains[by] = counts
-	for worker, runs := range s.workers {
+	s.runsByDomain[by] = counts
+	for worker, runs := range s.runsByWorker {
 		addToDomain(counts, worker, by, runs)
 	}
 }
 
-// count adds runs on a worker; a negative number takes them off.
-func (s *step) count(worker *worker, runs int) {
+// addRuns adds runs on a worker; a negative number subtracts them.
+func (s *step) addRuns(worker *worker, runs int) {
 	s.runs += runs
-	s.workers[worker] += runs
-	if s.workers[worker] == 0 {
-		delete(s.workers, worker)
+	s.runsByWorker[worker] += runs
+	if s.runsByWorker[worker] == 0 {
+		delete(s.runsByWorker, worker)
 	}
-	for by, counts := range s.domains {
+	for by, counts := range s.runsByDomain {
 		addToDomain(counts, worker, by, runs)
 	}
 }
 
-// addToDomain counts in the domain of a worker. One that is not known yet has none;
-// SetWorker counts its runs.
+// addToDomain adds runs to the count of the worker's domain. A worker that is not known
+// yet has no domain; SetWorker counts its runs later.
 func addToDomain(counts map[string]int, worker *worker, by string, runs int) {
 	if !worker.known {
 		return
@@ -108,8 +110,8 @@
 	}
 }
 
-// activateStep lets the next pass look at classes whose spread rule counts runs of the
-// step.
+// activateStep has the next pass try the classes again whose spread rule counts runs of
+// the step.
 func activateStep(s *step) {
 	for c := range s.classes {
 		c.activate()
--- a/internal/placement/spread_test.go
+++ b/internal/placement/spread_test.go
@@ -13,10 +13,10 @@
 		workers[i].Labels = []map[string]string{{"rack": "r1"}, nil, {"rack": "r1"}}[i]
 	}
 	cases := []struct {
-		by      string
-		most    int
-		want    int
-		blocked string
+		by           string
+		maxPerDomain int
+		want         int
+		reason       string
 	}{
 		{"worker", 0, 3, "spread: at most 1 running per worker"},
 		{"worker", 2, 6, "spread: at most 2 running per worker"},
@@ -25,33 +25,33 @@
 		{"label:row", 1, 0, "spread: no worker has a label:row"},
 	}
 	for _, c := range cases {
-		t.Run(fmt.Sprint(c.by, c.most), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.by, c.maxPerDomain), func(t *testing.T) {
 			e := newEngine(workers...)
 			for i := range 7 {
-				e.Add(spreadTask(i, c.by, c.most))
+				e.Add(spreadTask(i, c.by, c.maxPerDomain))
 			}
 			decisions := e.Plan(100)
-			expect(t, "placed", len(decisions), c.want)
-			expect(t, "reason", e.Reason(spreadTask(6, c.by, c.most).ID), c.blocked)
+			expect(t, "number of decisions", len(decisions), c.want)
+			expect(t, "reason", e.Reason(spreadTask(6, c.by, c.maxPerDomain).ID), c.reason)
 			if c.want == 0 {
 				return
 			}
 			e.Release(decisions[0].Task)
-			expect(t, "after a release", len(e.Plan(100)), 1)
+			expect(t, "number of decisions after a release", len(e.Plan(100)), 1)
 		})
 	}
 }
 
-func TestSpread_CountsAddedRunsAndFollowsWorkerLabels(t *testing.T) {
+func TestSpread_CountsAddedRunsAndFollowsWorkerZone(t *testing.T) {
 	e := newEngine(testWorker("a", cpu(10)))
 	e.AddRun(spreadTask(0, "zone", 1), "late-1")
 	e.Add(spreadTask(1, "zone", 1))
 	late := testWorker("late", cpu(10))
 	e.SetWorker(late)
-	expect(t, "running in the zone", placed(e, 10), "")
+	expect(t, "decisions while a run is in the zone", placed(e, 10), "")
 	late.Zone = "z2"
 	e.SetWorker(late)
-	expect(t, "running elsewhere", placed(e, 10), "spread/a/1@a")
+	expect(t, "decisions once it is in another zone", placed(e, 10), "spread/a/1@a")
 }
 
 func TestSpread_CountsRunsAddedBeforeRule(t *testing.T) {
@@ -59,10 +59,10 @@
 	e := newEngine(a, testWorker("b", cpu(10)))
 	e.AddRun(testTask("spread", 0, 1), "a-1")
 	e.Add(spreadTask(1, "zone", 1))
-	expect(t, "zone is taken", placed(e, 10), "")
+	expect(t, "decisions while a run is in the zone", placed(e, 10), "")
 	a.Usable = false
 	e.SetWorker(a)
-	expect(t, "still taken", placed(e, 10), "")
+	expect(t, "decisions while its worker is unusable", placed(e, 10), "")
 	e.Release(testTask("spread", 0, 1).ID)
-	expect(t, "capacity on another worker of the zone", placed(e, 10), "spread/a/1@b")
+	expect(t, "decisions after the release", placed(e, 10), "spread/a/1@b")
 }
--- a/internal/placement/utilization/utilization.go
+++ b/internal/placement/utilization/utilization.go
@@ -1,9 +1,9 @@
-// Package utilization tells which services are highly utilized: how much of the
-// capacity of a service's workers its open runs take.
+// Package utilization determines which services are highly utilized, by the share of
+// the capacity of a service's workers that open runs use.
 //
-// A Table is counted anew at the start of a pass, and the runs that the pass
-// places are added to it. It owns its counts alone and knows workers only by what
-// it is given of them. It is not safe for concurrent use.
+// The caller recounts a Table at the start of each pass that needs it, and adds the runs
+// that the pass places. A Table owns its counts and knows of workers only what these
+// calls pass. It is not safe for concurrent use.
 package utilization
 
 import (
@@ -11,18 +11,18 @@
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
-// HighPercent is the share of a service's capacity, in hundredths, above which the
-// service is highly utilized.
+// HighPercent is the percentage of a service's capacity above which the service is
+// highly utilized.
 const HighPercent = 60
 
 // Table counts capacity and usage by service.
 type Table struct {
-	// services holds the usage by service; that of "" is of all workers.
+	// services holds the usage by service; "" stands for all workers.
 	services map[string]*usage
 }
 
-// usage is the capacity of all workers of a service, whether or not they take
-// work, and what open runs take of it.
+// usage is the capacity of all workers of a service, whether or not they are usable, and
+// the part of it that open runs use.
 type usage struct {
 	capacity, used api.Resources
 }
@@ -30,10 +30,11 @@
 // New returns a Table without workers: nothing is highly utilized.
 func New() *Table { return &Table{services: map[string]*usage{}} }
 
-// Reset forgets all that was counted.
+// Reset removes all workers and runs from the Table.
 func (t *Table) Reset() { clear(t.services) }
 
-// AddWorker counts a worker of these services, and what its runs take of it.
+// AddWorker adds a worker that offers the services: its capacity, and what its open runs
+// use of it.
 func (t *Table) AddWorker(services []string, capacity, used api.Resources) {
 	t.add("", capacity, used)
 	for _, service := range services {
@@ -41,8 +42,8 @@
 	}
 }
 
-// AddRun counts one more run on a worker of these services. A run takes capacity
-// from every service of its worker.
+// AddRun adds one run on a worker that offers the services. A run uses capacity of every
+// service of its worker.
 func (t *Table) AddRun(services []string, need api.Resources) {
 	t.AddWorker(services, api.Resources{}, need)
 }
@@ -57,8 +58,8 @@
 	u.used = u.used.Add(used)
 }
 
-// IsHigh reports whether the service is highly utilized in processors and in
-// memory. A service without workers is not.
+// IsHigh reports whether the service is highly utilized both in processors and in memory.
+// A service without workers is not.
 func (t *Table) IsHigh(service string) bool {
 	u, ok := t.services[service]
 	if !ok {
@@ -68,13 +69,13 @@
 	return exceeds(u.used.CPUMillis, bound.CPUMillis) && exceeds(u.used.MemoryMB, bound.MemoryMB)
 }
 
-// IsProcessorBound reports whether the service is highly utilized in processors,
-// whatever it takes of memory.
+// IsProcessorBound reports whether the service is highly utilized in processors, whatever
+// its use of memory. A service without workers is not.
 func (t *Table) IsProcessorBound(service string) bool {
 	u, ok := t.services[service]
 	return ok && exceeds(u.used.CPUMillis, resources.Percent(u.capacity, HighPercent).CPUMillis)
 }
 
-// exceeds holds also in a dimension that no worker has: it must not hide that the
-// others are exhausted.
+// exceeds reports whether used is above bound. It also holds if bound is 0, so that a
+// dimension that no worker has does not hide that the other one is highly utilized.
 func exceeds(used, bound int64) bool { return used > bound || bound == 0 }
--- a/internal/placement/utilization/utilization_test.go
+++ b/internal/placement/utilization/utilization_test.go
@@ -6,15 +6,15 @@
 	"github.com/decklever/decklever/api"
 )
 
-// amount is an amount of processors and memory.
+// amount returns an amount of processors and memory.
 func amount(cpu, memory int64) api.Resources {
 	return api.Resources{CPUMillis: cpu, MemoryMB: memory}
 }
 
 func TestTable_HighUtilization(t *testing.T) {
 	cases := map[string]struct {
-		capacity, used     api.Resources
-		high, processorBnd bool
+		capacity, used       api.Resources
+		high, processorBound bool
 	}{
 		"at the bound in both":    {amount(100, 100), amount(60, 60), false, false},
 		"above it in both":        {amount(100, 100), amount(61, 61), true, true},
@@ -30,10 +30,10 @@
 			table := New()
 			table.AddWorker([]string{"s"}, c.capacity, c.used)
 			if got := table.IsHigh("s"); got != c.high {
-				t.Errorf("IsHigh = %v, want %v", got, c.high)
+				t.Errorf("IsHigh: got %v, want %v", got, c.high)
 			}
-			if got := table.IsProcessorBound("s"); got != c.processorBnd {
-				t.Errorf("IsProcessorBound = %v, want %v", got, c.processorBnd)
+			if got := table.IsProcessorBound("s"); got != c.processorBound {
+				t.Errorf("IsProcessorBound: got %v, want %v", got, c.processorBound)
 			}
 		})
 	}
@@ -46,11 +46,11 @@
 	table.AddRun([]string{"s", "t"}, amount(7, 7))
 	for service, want := range map[string]bool{"s": true, "t": false, "": false, "unknown": false} {
 		if got := table.IsHigh(service); got != want {
-			t.Errorf("IsHigh(%q) = %v, want %v", service, got, want)
+			t.Errorf("IsHigh(%q): got %v, want %v", service, got, want)
 		}
 	}
 	table.Reset()
 	if table.IsHigh("s") || table.IsProcessorBound("s") {
-		t.Error("a service is highly utilized after Reset")
+		t.Error("service s is still highly utilized after Reset")
 	}
 }
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -8,33 +8,35 @@
 	"github.com/decklever/decklever/internal/placement/resources"
 )
 
-// victimsResult is the answer to a call of victimsFor.
+// victimsResult is the cached result of a call of victimsFor.
 type victimsResult struct {
-	version uint64
-	need    api.Resources
-	below   int
-	victims []*run
-	found   bool
+	version  uint64
+	need     api.Resources
+	priority int
+	victims  []*run
+	found    bool
 }
 
-// victimsFor is chooseVictims, worked out once until what is free on the worker changes:
-// many tasks of one shape ask all workers in turn.
-func (w *worker) victimsFor(need api.Resources, below int) ([]*run, bool) {
+// victimsFor is chooseVictims with its last result cached until the free capacity of the
+// worker changes: many tasks of one class ask all workers in turn.
+func (w *worker) victimsFor(need api.Resources, priority int) ([]*run, bool) {
 	last := &w.cachedVictims
-	if last.version != w.version || last.need != need || last.below != below {
-		victims, found := w.chooseVictims(need, below)
-		*last = victimsResult{version: w.version, need: need, below: below, victims: victims, found: found}
+	if last.version != w.version || last.need != need || last.priority != priority {
+		victims, found := w.chooseVictims(need, priority)
+		*last = victimsResult{version: w.version, need: need, priority: priority, victims: victims, found: found}
 	}
 	return last.victims, last.found
 }
 
-// chooseVictims returns the runs below a priority that must stop so that need fits once
-// they and those asked before are gone; none if those asked before are enough. One or
-// two victims are the cheapest of that number, found by trying all pairs.
+// chooseVictims returns the runs of a lower priority that must stop so that need fits
+// once they, and the runs already stopping, are gone: none if the runs already stopping
+// suffice. It returns false if stopping all candidates does not suffice. If one or two
+// victims suffice it returns the cheapest such set, found by trying all single runs and
+// then all pairs.
 //
-// Of more, the largest are taken first and those not needed left out, so that there may
-// be a smaller set: the exact one would be a knapsack problem.
-func (w *worker) chooseVictims(need api.Resources, below int) ([]*run, bool) {
+// If more are needed it takes the largest first and leaves out those not needed, so there
+// may be a smaller set: to find the smallest is a knapsack problem.
+func (w *worker) chooseVictims(need api.Resources, priority int) ([]*run, bool) {
 	free := w.freeOnceStopped()
 	if fits(need, free) {
 		return nil, true
@@ -44,12 +46,12 @@
 	}
 	var candidates []*run
 	for r := range w.runs {
-		if r.mayBeVictim() && r.priority < below {
+		if r.mayBeVictim() && r.priority < priority {
 			candidates = append(candidates, r)
 		}
 	}
 	slices.SortFunc(candidates, compareCheapest)
-	enough := func(victims ...*run) bool {
+	suffices := func(victims ...*run) bool {
 		sum := free
 		for _, r := range victims {
 			sum = sum.Add(r.need)
@@ -57,47 +59,50 @@
 		return fits(need, sum)
 	}
 	for _, r := range candidates {
-		if enough(r) {
+		if suffices(r) {
 			return []*run{r}, true
 		}
 	}
-	// The costlier one decides, so its loop is the outer one.
+	// The outer loop is over the costlier run, because that decides which pair is
+	// cheaper.
 	for i, costlier := range candidates {
 		for _, cheaper := range candidates[:i] {
-			if enough(cheaper, costlier) {
+			if suffices(cheaper, costlier) {
 				return []*run{cheaper, costlier}, true
 			}
 		}
 	}
-	return largestFirst(candidates, resources.Lacking(need, free), enough)
+	return chooseLargestFirst(candidates, resources.Shortfall(need, free), suffices)
 }
 
-// largestFirst takes the victims that give most of what is lacking, then leaves out the
-// most expensive that are not needed.
-func largestFirst(candidates []*run, lacks api.Resources, enough func(...*run) bool) ([]*run, bool) {
-	if !enough(candidates...) {
+// chooseLargestFirst takes the candidates that free most of the shortfall, then leaves
+// out those that are not needed, most expensive first. It returns false if all candidates
+// together do not suffice.
+func chooseLargestFirst(candidates []*run, shortfall api.Resources, suffices func(...*run) bool) ([]*run, bool) {
+	if !suffices(candidates...) {
 		return nil, false
 	}
 	bySize := slices.Clone(candidates)
 	slices.SortStableFunc(bySize, func(a, b *run) int {
-		return cmp.Compare(resources.NormalizedSize(resources.Min(b.need, lacks), lacks), resources.NormalizedSize(resources.Min(a.need, lacks), lacks))
+		return cmp.Compare(resources.NormalizedSize(resources.Min(b.need, shortfall), shortfall), resources.NormalizedSize(resources.Min(a.need, shortfall), shortfall))
 	})
 	count := 1
-	for !enough(bySize[:count]...) {
+	for !suffices(bySize[:count]...) {
 		count++
 	}
 	chosen := bySize[:count]
 	slices.SortFunc(chosen, compareCheapest)
 	for at := len(chosen) - 1; at >= 0; at-- {
-		without := slices.Delete(slices.Clone(chosen), at, at+1)
-		if enough(without...) {
-			chosen = without
+		rest := slices.Delete(slices.Clone(chosen), at, at+1)
+		if suffices(rest...) {
+			chosen = rest
 		}
 	}
 	return chosen, true
 }
 
-// compareCheapest orders victims: lowest priority first, then the youngest.
+// compareCheapest orders victims by priority, lowest first, then by start, youngest
+// first.
 func compareCheapest(a, b *run) int {
 	return cmp.Or(
 		cmp.Compare(a.priority, b.priority),
--- a/internal/placement/workers.go
+++ b/internal/placement/workers.go
@@ -10,83 +10,84 @@
 	"github.com/decklever/decklever/internal/placement/utilization"
 )
 
-// worker is a worker incarnation and the open runs on it. workerIndex keeps its sums and
-// its place in pools true; other fields name the one who writes them.
+// worker is a worker incarnation and the runs on it. workerIndex maintains its sums and
+// its positions in pools; the comments of other fields name the type that writes them.
 type worker struct {
-	// What searches read comes first, so that it shares a cache line.
+	// Fields read by searches come first, so that they share a cache line.
 	availability
-	// backfillFor is the sub-queue for which the worker is reserved, or nil: what goes
-	// after that leaves the worker alone. backfillReservations writes it.
+	// backfillFor is the sub-queue for which the worker is reserved, or nil. Tasks
+	// ordered after that sub-queue do not use the worker. Written by
+	// backfillReservations.
 	backfillFor *subQueue
-	// restricted is true on probation and while suspect: the worker may take a part of
-	// what comes only.
+	// restricted is set while the worker is on probation or suspect: it takes only some
+	// of the tasks that fit.
 	restricted bool
-	// preferred is set while tasks have preferred a label of the worker lately.
-	// preferredReserve writes it.
+	// preferred is set while a label of the worker counts as recently preferred by tasks.
+	// Written by preferredReserve.
 	preferred bool
-	// Worker is as last set; only ID is set while known is false.
+	// Worker is the description last set; only ID is set while known is false.
 	Worker
-	// known is false while there are only runs held for it.
+	// known is false if the worker exists only because runs on it were added.
 	known bool
 	usage
-	// runs are the open runs and the nominated ones. runTable writes it.
+	// runs holds the open and the nominated runs. Written by runTable.
 	runs map[*run]struct{}
-	// slots lie here for reservations. reservationTable writes it.
+	// slots are the reserved slots on this worker. Written by reservationTable.
 	slots []*slotSet
 	pools []*pool
-	// version grows with every change of what is free; cachedVictims is the last answer
-	// of victimsFor.
+	// version is incremented when the free capacity changes; cachedVictims is the last
+	// result of victimsFor.
 	version       uint64
 	cachedVictims victimsResult
 	// changed is set while the worker is listed in workerIndex.changed.
 	changed bool
 }
 
-// availability is what is left on a worker, as of the last change or refresh.
+// availability is the free capacity of a worker, as of the last change or refresh.
 type availability struct {
-	// freeSize and unreservedSize are the sizes of free and of unreserved.
+	// freeSize and unreservedSize are the normalized sizes of free and unreserved.
 	freeSize, unreservedSize float64
-	// free is what is left for a task that can be preempted: now, and once the stopping
-	// runs have left and the nominated ones have come. It is negative after the capacity
-	// shrank.
+	// free is what a preemptible task may use: the minimum of what is free now and what
+	// is free once stopping runs ended and nominated runs started. It is negative if the
+	// capacity shrank below what is used.
 	free api.Resources
-	// profile is what will be left when windows of reserved slots start.
+	// profile is the capacity that remains when the windows of reserved slots start.
 	profile []profilePoint
 	// unreserved is the part of free that no reserved slot needs at any time.
 	unreserved api.Resources
 }
 
-// usage is the sums of what runs take of a worker.
+// usage holds the sums of what runs take of a worker.
 type usage struct {
-	// used is what open runs take; stopping the part of it whose runs are asked to stop;
-	// nominated what the runs take that were promised targets here; preemptible the part
-	// of used that preemption could free.
+	// used is what open runs take; stopping is the part of used whose runs were asked to
+	// stop; nominated is what is promised to nominated runs; preemptible is the part of
+	// used that preemption could free.
 	used, stopping, nominated, preemptible api.Resources
-	// longRunning is the part of used that runs keep until they are cancelled, whatever
-	// else waits.
+	// longRunning is the part of used whose runs keep it until they are cancelled,
+	// whatever else waits.
 	longRunning api.Resources
 }
 
-// workerIndex owns the workers, what is free on them, and their order in pools. Each
-// pool is a sorted slice: a search starts where enough is free, and moving a worker is
-// one binary search and one copy in each of its pools.
+// workerIndex owns the workers, their free capacity, and their order in pools. Each pool
+// is a sorted slice: a search starts at the first worker with enough free capacity, and
+// moving a worker takes one binary search and one copy in each of its pools.
 //
-// Every change of what is free goes through allocate, deallocate, updateRun or
-// updateSlots, which take the worker out of its pools first: they find it by the size
-// that it had.
+// Every change of free capacity goes through allocate, deallocate, updateRun or
+// updateSlots. They remove the worker from its pools before the change, because it is
+// found there by its size before the change.
 type workerIndex struct {
 	byID  map[string]*worker
 	pools map[selector]*pool
-	// idle counts pools without classes.
-	idle int
-	// largest is the greatest amount of each dimension that a worker has, by which sizes
-	// are normalized; refresh renews it.
-	largest api.Resources
-	// stale is set when largest must be worked out again.
-	stale bool
-	// slow counts the workers that are slow, restricted lists those on probation or
-	// suspect.
-	slow       int
+	// idlePools is the number of pools without users.
+	idlePools int
+	// largestCapacity is the maximum capacity of any worker in each dimension, used to normalize
+	// sizes; refresh updates it.
+	largestCapacity api.Resources
+	// largestStale is set when largest must be recomputed.
+	largestStale bool
+	// slowCount is the number of slow workers; restricted lists the workers that are on
+	// probation or suspect, ordered by name.
+	slowCount  int
 	restricted []*worker
 	// changed lists the workers on which more may fit than in the last pass.
 	changed []*worker
@@ -96,28 +97,30 @@
 	return &workerIndex{byID: map[string]*worker{}, pools: map[selector]*pool{}}
 }
 
-// get returns the worker of that id; a new one is not known yet.
-func (x *workerIndex) get(id string) *worker {
+// getOrCreate returns the worker with the given ID, and creates one that is not known if there is
+// none.
+func (x *workerIndex) getOrCreate(id string) *worker {
 	if found, ok := x.byID[id]; ok {
 		return found
 	}
-	made := &worker{Worker: Worker{ID: id}, runs: map[*run]struct{}{}}
-	x.byID[id] = made
-	return made
+	created := &worker{Worker: Worker{ID: id}, runs: map[*run]struct{}{}}
+	x.byID[id] = created
+	return created
 }
 
-// find returns the worker of that id, known or not; nil if there is none.
+// find returns the worker with the given ID, known or not; nil if there is none.
 func (x *workerIndex) find(id string) *worker { return x.byID[id] }
 
-// byName returns all workers in the order of their names.
+// byName returns all workers ordered by name.
 func (x *workerIndex) byName() []*worker {
 	return slices.SortedFunc(maps.Values(x.byID), compareName)
 }
 
-// anyRestricted reports whether some worker is restricted.
+// anyRestricted reports whether any worker is restricted.
 func (x *workerIndex) anyRestricted() bool { return len(x.restricted) > 0 }
 
-// hasFreeCapacity reports whether a task fits on some worker now, spread aside.
+// hasFreeCapacity reports whether a task fits now on a usable, unrestricted worker
+// outside of reserved capacity. It ignores spread rules.
 func (x *workerIndex) hasFreeCapacity(spec *api.TaskSpec) bool {
 	for _, w := range x.byID {
 		if isUsable(w) && !w.restricted && fits(spec.Resources, w.unreserved) &&
@@ -128,7 +131,7 @@
 	return false
 }
 
-// countUtilization counts the capacity and the usage of all workers anew.
+// countUtilization recounts the capacity and the usage of all known workers.
 func (x *workerIndex) countUtilization(table *utilization.Table) {
 	table.Reset()
 	for _, w := range x.byID {
@@ -138,7 +141,7 @@
 	}
 }
 
-// descriptions returns the workers that are known, and those of them that are usable.
+// descriptions returns the known workers, and those of them that are usable.
 func (x *workerIndex) descriptions() (known, usable []Worker) {
 	for _, w := range x.byID {
 		if !w.known {
@@ -152,9 +155,9 @@
 	return known, usable
 }
 
-// set takes over the description of a worker.
+// set replaces the description of a worker.
 func (x *workerIndex) set(w *worker, to Worker) {
-	x.leavePools(w)
+	x.removeFromPools(w)
 	x.removeHealthCounts(w)
 	to.Services = slices.Clone(to.Services)
 	to.Labels = maps.Clone(to.Labels)
@@ -162,7 +165,7 @@
 	w.restricted = to.Probation || to.Suspect
 	x.addHealthCounts(w)
 	w.pools = nil
-	x.stale = true
+	x.largestStale = true
 	w.rebuildProfile()
 	x.updateFree(w)
 	for _, p := range x.pools {
@@ -171,63 +174,63 @@
 			p.version++
 		}
 	}
-	x.enterPools(w)
+	x.insertIntoPools(w)
 	x.addChanged(w)
 }
 
-// remove forgets a worker that has no runs.
+// remove drops a worker that has no runs.
 func (x *workerIndex) remove(w *worker) {
-	x.leavePools(w)
+	x.removeFromPools(w)
 	x.removeHealthCounts(w)
 	w.pools = nil
-	// It may still be listed as changed; no slot may go there.
+	// The worker may still be listed as changed; no slot may be assigned to it.
 	w.known = false
-	x.stale = true
+	x.largestStale = true
 	delete(x.byID, w.ID)
 }
 
-// allocate counts a run on its worker.
+// allocate adds a run to the sums of its worker.
 func (x *workerIndex) allocate(r *run) {
 	w := r.worker
-	x.leavePools(w)
+	x.removeFromPools(w)
 	w.account(r, allocated)
 	x.updateFree(w)
-	x.enterPools(w)
+	x.insertIntoPools(w)
 }
 
 // deallocate is the reverse of allocate.
 func (x *workerIndex) deallocate(r *run) {
 	w := r.worker
-	x.leavePools(w)
+	x.removeFromPools(w)
 	w.account(r, deallocated)
 	x.updateFree(w)
-	x.enterPools(w)
+	x.insertIntoPools(w)
 }
 
-// updateRun applies a change of the state of a run to the sums of its worker.
+// updateRun changes the state of a run and updates the sums of its worker.
 func (x *workerIndex) updateRun(r *run, change func()) {
 	x.deallocate(r)
 	change()
 	x.allocate(r)
 }
 
-// updateSlots applies a change of the slots on a worker to what is free there.
+// updateSlots changes the slots on a worker and updates its profile and free capacity.
 func (x *workerIndex) updateSlots(w *worker, change func()) {
-	x.leavePools(w)
+	x.removeFromPools(w)
 	change()
 	w.rebuildProfile()
 	x.updateFree(w)
-	x.enterPools(w)
+	x.insertIntoPools(w)
 }
 
-// updateFree works out what is free on a worker.
+// updateFree recomputes the free capacity of a worker.
 func (x *workerIndex) updateFree(w *worker) {
 	w.version++
 	w.free = w.freeNow()
 	if w.stopping != (api.Resources{}) || w.nominated != (api.Resources{}) {
 		w.free = resources.Min(w.free, w.freeOnceStopped())
 	}
-	w.freeSize = resources.NormalizedSize(w.free, x.largest)
+	w.freeSize = resources.NormalizedSize(w.free, x.largestCapacity)
 	w.unreserved, w.unreservedSize = w.free, w.freeSize
 	if len(w.profile) == 0 {
 		return
@@ -235,10 +238,10 @@
 	for i := range w.profile {
 		w.unreserved = resources.Min(w.unreserved, w.profile[i].slack)
 	}
-	w.unreservedSize = resources.NormalizedSize(w.unreserved, x.largest)
+	w.unreservedSize = resources.NormalizedSize(w.unreserved, x.largestCapacity)
 }
 
-// addChanged lists a worker for the next pass.
+// addChanged lists a worker as changed for the next pass.
 func (x *workerIndex) addChanged(w *worker) {
 	if w.changed {
 		return
@@ -247,10 +250,10 @@
 	x.changed = append(x.changed, w)
 }
 
-// pendingChanges is what takeChanged will return, as it is now.
+// pendingChanges returns the list that takeChanged would return now, and keeps it.
 func (x *workerIndex) pendingChanges() []*worker { return x.changed }
 
-// takeChanged empties the list of changed workers.
+// takeChanged returns the list of changed workers and empties it.
 func (x *workerIndex) takeChanged() []*worker {
 	changed := x.changed
 	x.changed = nil
@@ -260,20 +263,20 @@
 	return changed
 }
 
-// refresh renews the sizes of all workers after the largest changed.
+// refresh recomputes the sizes of all workers if the largest capacity changed.
 func (x *workerIndex) refresh() {
-	if !x.stale {
+	if !x.largestStale {
 		return
 	}
-	x.stale = false
+	x.largestStale = false
 	var largest api.Resources
 	for _, w := range x.byID {
 		largest = resources.Max(largest, w.Capacity)
 	}
-	if largest == x.largest {
+	if largest == x.largestCapacity {
 		return
 	}
-	x.largest = largest
+	x.largestCapacity = largest
 	for _, w := range x.byID {
 		x.updateFree(w)
 	}
@@ -282,60 +285,61 @@
 	}
 }
 
-// maxIdlePools bounds the pools that are retained though no waiting task uses them, so
-// that a steady stream of like tasks does not build its pool again and again.
+// maxIdlePools bounds the pools kept without a user, so that a steady stream of similar
+// tasks does not rebuild its pool each time.
 const maxIdlePools = 64
 
-// selector names the workers that a class may use, whatever is free on them, and how
-// they are ordered.
+// selector determines which workers a class may use, regardless of their free capacity,
+// and how they are ordered.
 type selector struct {
 	service, labels string
-	// byUnreserved orders by worker.unreservedSize, for tasks that cannot be made to
-	// leave.
+	// byUnreserved orders the workers by worker.unreservedSize. It is set for
+	// reservations, and for tasks that cannot be preempted and have no maximum duration.
 	byUnreserved bool
 }
 
-// pool holds the usable workers that match a selector, fullest first.
+// pool holds the usable workers that match a selector, least free capacity first.
 type pool struct {
 	selector selector
 	labels   map[string]string
 	workers  []*worker
 	compare  func(a, b *worker) int
-	// classes counts the classes and reservations that use the pool.
-	classes int
-	// unschedulable holds the classes to look at when a worker here changed.
-	unschedulable map[*equivalenceClass]struct{}
-	// version grows when workers come, go or are described anew.
+	// users is the number of classes and reservations that use the pool.
+	users int
+	// waitingClasses holds the classes that are unschedulable or for which a gang waits: a
+	// changed worker of the pool is compared with them.
+	waitingClasses map[*equivalenceClass]struct{}
+	// version is incremented when a worker that matches the pool is described.
 	version uint64
 }
 
-// acquire returns the pool of a selector for one more class or reservation.
-func (x *workerIndex) acquire(wanted selector, labels map[string]string) *pool {
+// acquirePool returns the pool of a selector for one more class or reservation.
+func (x *workerIndex) acquirePool(wanted selector, labels map[string]string) *pool {
 	p, ok := x.pools[wanted]
 	if !ok {
-		p = x.build(wanted, maps.Clone(labels))
-	} else if p.classes == 0 {
-		x.idle--
+		p = x.buildPool(wanted, maps.Clone(labels))
+	} else if p.users == 0 {
+		x.idlePools--
 	}
-	p.classes++
+	p.users++
 	return p
 }
 
-// release takes one class off the pool.
-func (x *workerIndex) release(p *pool) {
-	p.classes--
-	if p.classes > 0 {
+// releasePool ends the use of the pool by one class or reservation.
+func (x *workerIndex) releasePool(p *pool) {
+	p.users--
+	if p.users > 0 {
 		return
 	}
-	x.idle++
-	if x.idle > maxIdlePools {
-		x.dropIdle()
+	x.idlePools++
+	if x.idlePools > maxIdlePools {
+		x.dropIdlePools()
 	}
 }
 
-// build makes a pool of the workers there are.
-func (x *workerIndex) build(wanted selector, labels map[string]string) *pool {
-	p := &pool{selector: wanted, labels: labels, compare: compareFullest, unschedulable: map[*equivalenceClass]struct{}{}}
+// buildPool creates a pool of the current workers.
+func (x *workerIndex) buildPool(wanted selector, labels map[string]string) *pool {
+	p := &pool{selector: wanted, labels: labels, compare: compareFullest, waitingClasses: map[*equivalenceClass]struct{}{}}
 	if wanted.byUnreserved {
 		p.compare = compareLeastUnreserved
 	}
@@ -350,27 +354,27 @@
 	return p
 }
 
-// dropIdle drops the pools that nothing uses.
-func (x *workerIndex) dropIdle() {
+// dropIdlePools drops the pools without users.
+func (x *workerIndex) dropIdlePools() {
 	for wanted, p := range x.pools {
-		if p.classes == 0 {
+		if p.users == 0 {
 			delete(x.pools, wanted)
 		}
 	}
 	for _, w := range x.byID {
-		w.pools = slices.DeleteFunc(w.pools, func(p *pool) bool { return p.classes == 0 })
+		w.pools = slices.DeleteFunc(w.pools, func(p *pool) bool { return p.users == 0 })
 	}
-	x.idle = 0
+	x.idlePools = 0
 }
 
-func (x *workerIndex) enterPools(w *worker) {
+func (x *workerIndex) insertIntoPools(w *worker) {
 	for _, p := range w.pools {
 		at, _ := slices.BinarySearchFunc(p.workers, w, p.compare)
 		p.workers = slices.Insert(p.workers, at, w)
 	}
 }
 
-func (x *workerIndex) leavePools(w *worker) {
+func (x *workerIndex) removeFromPools(w *worker) {
 	for _, p := range w.pools {
 		at, found := slices.BinarySearchFunc(p.workers, w, p.compare)
 		if found {
@@ -383,7 +387,8 @@
 	return isUsable(w) && w.Offers(p.selector.service) && w.HasLabels(p.labels)
 }
 
-// withFreeSize returns the workers of which at least that size is free, fullest first.
+// withFreeSize returns the workers whose free capacity has at least the given size, least
+// free first. With byUnreserved, only the unreserved part counts.
 func (p *pool) withFreeSize(least float64) []*worker {
 	start := sort.Search(len(p.workers), func(i int) bool {
 		if p.selector.byUnreserved {
@@ -394,8 +399,8 @@
 	return p.workers[start:]
 }
 
-// fullest returns the fullest worker on which the class fits, or nil. least is the size
-// of what the class needs.
+// fullest returns the worker with the least free capacity on which the class fits, or
+// nil. least is the size of what a task of the class needs.
 func (p *pool) fullest(c *equivalenceClass, least float64) *worker {
 	for _, w := range p.withFreeSize(least) {
 		if c.fitsOn(w) {
--- a/internal/process/schedulerprocess/process.go
+++ b/internal/process/schedulerprocess/process.go
@@ -84,7 +84,7 @@
 	service := scheduler.NewService(scheduler.Config{
 		Archive:      p.store.Archive(),
 		ArchiveBytes: p.initial.ArchiveMaxBytes,
-		NewPlanner:   func() scheduler.Planner { return placement.New(placement.Config{Off: off}) },
+		NewPlanner:   func() scheduler.Planner { return placement.New(placement.Config{DisabledFeatures: off}) },
 		Off:          off,
 		Logger:       p.base.Logger,
 		Registerer:   p.base.Registry,
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -221,7 +221,7 @@
 	for _, queue := range config.Queues {
 		rules = append(rules, placement.QueueRule{
 			Name: queue.Name, MaxRunning: queue.MaxRunningTasks, Weight: queue.Weight, Team: queue.Team,
-			BySlack: queue.Objective != nil, Headroom: l.queueHeadroom(&queue),
+			BySlack: queue.Objective != nil, HeadroomPercent: l.queueHeadroom(&queue),
 		})
 	}
 	teams := make([]placement.TeamRule, 0, len(config.Teams))
--- a/testbed/model/scheduler_test.go
+++ b/testbed/model/scheduler_test.go
@@ -61,7 +61,7 @@
 	logger := slog.New(f.logs).With("scheduler", m.name)
 	service := scheduler.NewService(scheduler.Config{
 		Archive:    m.store.Archive(),
-		NewPlanner: func() scheduler.Planner { return placement.New(placement.Config{Off: f.shape.off}) },
+		NewPlanner: func() scheduler.Planner { return placement.New(placement.Config{DisabledFeatures: f.shape.off}) },
 		Off:        f.shape.off,
 		Logger:     logger,
 		Registerer: prometheus.NewRegistry(),
