--- a/internal/admission/retryschedule.go
+++ b/internal/admission/retryschedule.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// RetrySchedule spreads the retries of rejected work, so that it does not come back all
-// at once to be rejected again. The zero value has no retries reserved.
+// RetrySchedule spreads the retries of rejected work over time, so that callers do not
+// all retry at once and are rejected again. The zero value has no retries reserved.
 type RetrySchedule struct {
-	// nextAt is the earliest time of the next retry.
+	// nextAt is the earliest time at which the next retry may be scheduled.
 	nextAt time.Duration
 }
 
-// Reserve returns after how long a rejected caller should retry: not before earliest,
-// when its work would be admitted, and not before the work of the retries reserved
-// earlier has started. length is how long its own work takes to start. Where the
-// result would be over maxWait, it is maxWait and nothing is reserved.
-func (s *RetrySchedule) Reserve(now, earliest, length, maxWait time.Duration) time.Duration {
-	retryAt := max(now+earliest, s.nextAt)
+// Reserve returns how long a rejected caller should wait before it retries, and reserves
+// that time. The wait is at least earliestDelay, after which the work is expected to be
+// admitted, and lasts until the work of all retries reserved before is expected to have
+// started. startDuration is how long the caller's own work takes to start. If the wait
+// would reach maxWait, Reserve returns maxWait and reserves nothing.
+func (s *RetrySchedule) Reserve(now, earliestDelay, startDuration, maxWait time.Duration) time.Duration {
+	retryAt := max(now+earliestDelay, s.nextAt)
 	if retryAt-now >= maxWait {
 		return maxWait
 	}
-	s.nextAt = retryAt + length
+	s.nextAt = retryAt + startDuration
 	return retryAt - now
 }
--- a/internal/admission/share.go
+++ b/internal/admission/share.go
@@ -1,60 +1,66 @@
 package admission
 
-// guaranteeDivisor is the divisor of a limit that gives the part of it that is
-// guaranteed to its participants, by their weights. The rest goes to whoever comes first.
+// guaranteeDivisor is what a limit is divided by to get the part that is guaranteed to
+// its participants in proportion to their weights. The rest is first come, first served.
 const guaranteeDivisor = 2
 
-// Share is one of the participants of a limit, such as a queue.
-type Share struct {
-	// Weight is its part of the guarantees in relation to the others, at least 1.
+// Participant is the state of one participant of a limit, such as a queue.
+type Participant struct {
+	// Weight is the participant's part of the guarantees relative to the weights of the
+	// others; at least 1.
 	Weight int
-	// Used is how much of the limit it uses.
+	// Used is how much of the limit the participant uses.
 	Used int
 }
 
-// Free returns how much more the participant at index own may take of a limit. The unused
-// guarantees of the others are left to them, unless the participant uses nothing: then all
-// that is unused is free, so that whatever fits into the limit is admitted at some
-// time. A sole participant may take all.
-func Free(limit, own int, shares []Share) int {
-	weights, used := 0, 0
+// Free returns how much more of a limit the participant at ownIndex may take, at least 0.
+// The unused guarantees of the other participants are not available to it. The exception
+// is a participant that uses nothing: it may take all that is unused, so that any work
+// that fits into the limit is eventually admitted. A sole participant may take all.
+func Free(limit, ownIndex int, shares []Participant) int {
+	totalWeight, used := 0, 0
 	for _, share := range shares {
-		weights += share.Weight
+		totalWeight += share.Weight
 		used += share.Used
 	}
 	free := limit - used
-	if shares[own].Used > 0 {
-		free = min(free, maxUse(limit, own, weights, shares)-shares[own].Used)
+	if shares[ownIndex].Used > 0 {
+		free = min(free, maxUse(limit, ownIndex, totalWeight, shares)-shares[ownIndex].Used)
 	}
 	return max(free, 0)
 }
 
-// maxUse is the most that a participant may use while the others use what they do.
-func maxUse(limit, own, weights int, shares []Share) int {
+// maxUse returns the most that the participant at ownIndex may use, given the current use
+// and the guarantees of the others. It is at least the participant's own guarantee.
+func maxUse(limit, ownIndex, totalWeight int, shares []Participant) int {
 	reserved := 0
 	for index, share := range shares {
-		if index != own {
-			reserved += max(share.Used, guaranteedTo(limit, share.Weight, weights))
+		if index != ownIndex {
+			reserved += max(share.Used, guaranteedPart(limit, share.Weight, totalWeight))
 		}
 	}
-	return max(limit-reserved, guaranteedTo(limit, shares[own].Weight, weights))
+	return max(limit-reserved, guaranteedPart(limit, shares[ownIndex].Weight, totalWeight))
 }
 
-func guaranteedTo(limit, weight, weights int) int {
-	return int(int64(limit) * int64(weight) / (guaranteeDivisor * int64(weights)))
+// guaranteedPart returns how much of the limit is guaranteed to a participant of the
+// given weight, rounded down.
+func guaranteedPart(limit, weight, totalWeight int) int {
+	return int(int64(limit) * int64(weight) / (guaranteeDivisor * int64(totalWeight)))
 }
 
-// CallerFree returns how much a caller that uses used may take of what is free in its
-// queue. Afterwards it must not use more than share times what is then free. So one
-// caller that floods leaves room, several share it equally, and what is left shrinks
-// with each of them but is never gone. A caller that uses nothing may take all.
+// CallerFree returns how much of the free capacity of a queue a caller may take, at least
+// 0. used is what the caller uses already. After it has taken that amount, the caller
+// uses at most share times the capacity that is then still free. A single flooding caller
+// thus leaves capacity free, and several of them get equal parts; the free capacity
+// shrinks with each further flooding caller, but is never used up. A caller that uses
+// nothing may take all that is free.
 //
-// This is the dynamic threshold by which Choudhury and Hahne share the buffers of
-// a switch (IEEE/ACM Transactions on Networking 6:2, 1998).
+// The rule is the dynamic threshold scheme that Choudhury and Hahne describe for the
+// shared buffers of a switch (IEEE/ACM Transactions on Networking 6:2, 1998).
 func CallerFree(free, used int, share float64) int {
 	if used == 0 {
 		return max(free, 0)
 	}
-	// The most that satisfies used + taken <= share x (free - taken).
+	// The largest taken for which used + taken <= share x (free - taken).
 	return max(int((share*float64(free)-float64(used))/(1+share)), 0)
 }
--- a/internal/admission/startrate_test.go
+++ b/internal/admission/startrate_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// startSteadily has perSecond waiting tasks a second start between two times.
-func startSteadily(starts *StartRate, from, to time.Duration, perSecond int) {
+// recordSteadyStarts records perSecond starts of waiting tasks in each second between two
+// times, at equal intervals.
+func recordSteadyStarts(starts *StartRate, from, to time.Duration, perSecond int) {
 	interval := time.Second / time.Duration(perSecond)
 	for now := from + interval; now <= to; now += interval {
 		starts.RecordStart(now)
@@ -18,45 +19,45 @@
 	var starts StartRate
 	starts.AddWaiting(0, 1000)
 	if wait, known := starts.ExpectedWait(minObservation - time.Millisecond); known {
-		t.Errorf("known too early: %v", wait)
+		t.Errorf("ExpectedWait before minObservation: got %v, want unknown", wait)
 	}
 	if wait, known := starts.ExpectedWait(minObservation); known {
-		t.Errorf("known though nothing started: %v", wait)
+		t.Errorf("ExpectedWait before any start: got %v, want unknown", wait)
 	}
-	startSteadily(&starts, 0, 4*time.Second, 50)
+	recordSteadyStarts(&starts, 0, 4*time.Second, 50)
 	if wait, known := starts.ExpectedWait(4 * time.Second); !known || wait != 16*time.Second {
-		t.Errorf("800 wait, 50 start a second: %v, %v", wait, known)
+		t.Errorf("ExpectedWait with 800 waiting and 50 starts per second: got %v, %v, want 16s, true", wait, known)
 	}
 	if wait, known := starts.TimeToStart(4*time.Second, 25); !known || wait != 500*time.Millisecond {
-		t.Errorf("25 of them: %v, %v", wait, known)
+		t.Errorf("TimeToStart of 25 tasks at 50 starts per second: got %v, %v, want 500ms, true", wait, known)
 	}
-	startSteadily(&starts, 4*time.Second, 12*time.Second, 20)
+	recordSteadyStarts(&starts, 4*time.Second, 12*time.Second, 20)
 	if rate, known := starts.PerSecond(12 * time.Second); !known || rate < 19 || rate > 21 {
-		t.Errorf("after the rate fell to 20 for longer than the window: %v, %v", rate, known)
+		t.Errorf("PerSecond after more than one window at 20 starts per second: got %v, %v, want 19 to 21, true", rate, known)
 	}
 	if rate, known := starts.PerSecond(time.Minute); known {
-		t.Errorf("after a pause longer than the window: %v", rate)
+		t.Errorf("PerSecond after a pause longer than the window: got %v, want unknown", rate)
 	}
 }
 
-// TestStartRate_EmptyBacklogRestartsMeasurement: starts before the backlog was empty do
-// not count in the next one.
+// TestStartRate_EmptyBacklogRestartsMeasurement checks that the starts of one backlog are
+// not counted in the rate of the next one.
 func TestStartRate_EmptyBacklogRestartsMeasurement(t *testing.T) {
 	var starts StartRate
 	starts.AddWaiting(0, 10)
-	startSteadily(&starts, 0, time.Second, 10)
+	recordSteadyStarts(&starts, 0, time.Second, 10)
 	if starts.Waiting() != 0 {
-		t.Fatalf("%d wait", starts.Waiting())
+		t.Fatalf("got %d waiting tasks, want 0", starts.Waiting())
 	}
 	if _, known := starts.PerSecond(2 * time.Second); known {
-		t.Error("a rate is known though nothing waits")
+		t.Error("PerSecond is known without a backlog")
 	}
 	starts.AddWaiting(3*time.Second, 100)
 	if _, known := starts.PerSecond(3*time.Second + minObservation); known {
-		t.Error("starts of the previous backlog count")
+		t.Error("PerSecond counts starts of the previous backlog")
 	}
-	startSteadily(&starts, 3*time.Second, 5*time.Second, 40)
+	recordSteadyStarts(&starts, 3*time.Second, 5*time.Second, 40)
 	if rate, known := starts.PerSecond(5 * time.Second); !known || rate != 40 {
-		t.Errorf("the new backlog: %v, %v, want 40", rate, known)
+		t.Errorf("PerSecond of the new backlog: got %v, %v, want 40, true", rate, known)
 	}
 }
--- a/internal/admission/tokenbucket_test.go
+++ b/internal/admission/tokenbucket_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestTokenBucket_SoleSharerTakesFullBucket(t *testing.T) {
+func TestTokenBucket_SoleParticipantTakesFullBucket(t *testing.T) {
 	var bucket TokenBucket
 	weights := map[string]int{"q": 3}
 	taken := 0
@@ -17,19 +17,19 @@
 		}
 	}
 	if taken != 5 {
-		t.Errorf("%d at once, want 5", taken)
+		t.Errorf("got %d tokens at once, want 5", taken)
 	}
 	wait, ok := bucket.Take(0, 5, "q", weights)
 	if ok || wait != 200*time.Millisecond {
-		t.Errorf("the next: %v, %v", wait, ok)
+		t.Errorf("Take from the empty bucket: got %v, %v, want 200ms, false", wait, ok)
 	}
 	if _, ok := bucket.Take(200*time.Millisecond, 5, "q", weights); !ok {
-		t.Error("no token after the stated wait")
+		t.Error("got no token after the returned wait")
 	}
 }
 
-// TestTokenBucket_FloodDoesNotDelayOthers: "flood" draws at over ten times the rate and
-// "steady" at less than its guarantee.
+// TestTokenBucket_FloodDoesNotDelayOthers checks that "steady", which draws at less than
+// its guarantee, always gets a token while "flood" draws at over ten times the rate.
 func TestTokenBucket_FloodDoesNotDelayOthers(t *testing.T) {
 	var bucket TokenBucket
 	weights := map[string]int{"flood": 1, "steady": 1, "idle": 2}
@@ -44,19 +44,19 @@
 			continue
 		}
 		if wait, ok := bucket.Take(now, rate, "steady", weights); !ok {
-			t.Fatalf("steady has no token at %v, for %v", now, wait)
+			t.Fatalf("steady got no token at %v and is to wait %v, want a token at once", now, wait)
 		}
 	}
-	// The guarantee of the idle participant is reserved once, not each second.
+	// The guarantee of the idle participant is reserved once, not again in each second.
 	least, most := rate*seconds-10*seconds, rate*(seconds+1)-10*seconds
 	if flood < least || flood > most {
-		t.Errorf("the flood got %d, want %d to %d", flood, least, most)
+		t.Errorf("flood got %d tokens, want %d to %d", flood, least, most)
 	}
 }
 
-// TestTokenBucket_TokenIsThereAfterStatedWait: a participant that gets no token gets one
-// after the stated wait, if nobody draws meanwhile.
-func TestTokenBucket_TokenIsThereAfterStatedWait(t *testing.T) {
+// TestTokenBucket_TokenAvailableAfterReturnedWait checks that a participant that got no
+// token gets one after the returned wait, if nobody draws meanwhile.
+func TestTokenBucket_TokenAvailableAfterReturnedWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var bucket TokenBucket
 		weights := map[string]int{"a": 1, "b": rapid.IntRange(1, 5).Draw(t, "weight"), "c": 2}
@@ -70,11 +70,11 @@
 				continue
 			}
 			if wait <= 0 || wait > 3*time.Second {
-				t.Fatalf("%s is to wait %v", participant, wait)
+				t.Fatalf("%s is to wait %v, want more than 0 and at most 3s", participant, wait)
 			}
 			now += wait + time.Millisecond
 			if again, taken := bucket.Take(now, rate, participant, weights); !taken {
-				t.Fatalf("%s waited %v and is to wait %v again: %+v", participant, wait, again, bucket)
+				t.Fatalf("%s got no token after the returned wait of %v and is to wait %v more: %+v", participant, wait, again, bucket)
 			}
 		}
 	})
@@ -84,7 +84,7 @@
 	var bucket TokenBucket
 	for range 10 {
 		if _, ok := bucket.Take(0, 1, "q", map[string]int{"q": 1}); !ok {
-			t.Fatal("no token although each was returned")
+			t.Fatal("got no token although each token was returned")
 		}
 		bucket.Return()
 	}
--- a/internal/admission/waitthreshold.go
+++ b/internal/admission/waitthreshold.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// clearFraction is the part of the limit below which an exceeded threshold clears.
+// clearFraction is the fraction of the limit below which an exceeded threshold clears.
 const clearFraction = 0.8
 
-// WaitThreshold tells with hysteresis whether an expected wait exceeds a limit. The
-// zero value is not exceeded, and reacts to the first wait above the limit.
+// WaitThreshold decides with hysteresis whether an expected wait exceeds a limit. The
+// zero value is not exceeded, and becomes so at the first wait above the limit.
 type WaitThreshold struct {
-	// MinDuration is how long the wait must be above the limit without a break before
-	// the threshold counts as exceeded, so that one large job or a short pause of the
-	// workers has no effect. Default 0.
+	// MinDuration is how long the wait must stay above the limit before the threshold
+	// is exceeded, so that one large job or a short pause of the workers has no effect.
+	// Default 0.
 	MinDuration time.Duration
 	exceeded    bool
-	// above is true while the wait has been above the limit, since aboveSince.
+	// above is true if the last observed wait was above the limit. Since aboveSince all
+	// observed waits were.
 	above      bool
 	aboveSince time.Duration
 }
@@ -21,14 +22,15 @@
 // Exceeded reports whether the threshold is exceeded.
 func (t *WaitThreshold) Exceeded() bool { return t.exceeded }
 
-// Observe takes in an expected wait and the limit on it. known is false while there is
-// no expectation, which clears the threshold.
+// Observe updates the threshold with an expected wait and its limit. If known is false,
+// the wait is not known, and the threshold clears.
 func (t *WaitThreshold) Observe(now, wait, limit time.Duration, known bool) {
 	switch {
 	case !known, wait < ClearBelow(limit):
 		*t = WaitThreshold{MinDuration: t.MinDuration}
 	case wait <= limit:
-		// Between both bounds nothing changes, but time above the limit starts anew.
+		// Between ClearBelow(limit) and limit, the threshold stays exceeded or not, but
+		// the time above the limit is measured anew.
 		t.above = false
 	case !t.above:
 		t.above, t.aboveSince = true, now
@@ -38,7 +40,7 @@
 	}
 }
 
-// ClearBelow returns the wait below which an exceeded threshold of a limit clears.
+// ClearBelow returns the wait below which a threshold that was exceeded at a limit clears.
 func ClearBelow(limit time.Duration) time.Duration {
 	return time.Duration(clearFraction * float64(limit))
 }
--- a/internal/front/locallimits.go
+++ b/internal/front/locallimits.go
@@ -88,15 +88,15 @@
 // shares are the shares of the slots, that of the given queue first. Requests that are no
 // submissions have one share, together with submissions to unknown queues, whose name is
 // empty.
-func (l *localLimits) shares(queue string, weights map[string]int) []admission.Share {
-	shares := make([]admission.Share, 1, len(weights)+1)
-	shares[0] = admission.Share{Weight: max(weights[queue], api.DefaultQueueWeight), Used: l.inFlightByQueue[queue]}
+func (l *localLimits) shares(queue string, weights map[string]int) []admission.Participant {
+	shares := make([]admission.Participant, 1, len(weights)+1)
+	shares[0] = admission.Participant{Weight: max(weights[queue], api.DefaultQueueWeight), Used: l.inFlightByQueue[queue]}
 	if queue != "" {
-		shares = append(shares, admission.Share{Weight: api.DefaultQueueWeight, Used: l.inFlightByQueue[""]})
+		shares = append(shares, admission.Participant{Weight: api.DefaultQueueWeight, Used: l.inFlightByQueue[""]})
 	}
 	for name, weight := range weights {
 		if name != queue {
-			shares = append(shares, admission.Share{Weight: weight, Used: l.inFlightByQueue[name]})
+			shares = append(shares, admission.Participant{Weight: weight, Used: l.inFlightByQueue[name]})
 		}
 	}
 	return shares
--- a/internal/reservation/check.go
+++ b/internal/reservation/check.go
@@ -9,24 +9,24 @@
 	"github.com/decklever/decklever/api"
 )
 
-// Horizon is how far ahead Check looks. Of a schedule without a start in that time, it
-// checks the next window.
+// Horizon is how far ahead Check looks. For a schedule without a start within the
+// Horizon, Check examines the next window instead.
 const Horizon = 8 * 24 * time.Hour
 
 // Check returns a field error for each booking that does not fit onto the registered
-// workers. It checks the times within the Horizon at which a reservation begins, and
-// those within the next window of each schedule that is rarer: the slots of all bookings
-// that are reserved at such a time must fit onto the workers together, as if the
-// workers were empty. Reservations begin with the lead, so a window whose lead reaches
-// into another one needs capacity beside it.
+// workers. It checks each time within the Horizon at which a reservation begins, and, for
+// each schedule without a start within the Horizon, each such time within its next
+// window. The slots of all bookings that are reserved at a checked time must fit together
+// onto the workers, which are taken as empty. A reservation begins with the lead: if the
+// lead of a window overlaps another window, both need capacity at the same time.
 //
-// Workers that the configuration drains, by name or zone, do not count, and best effort
-// bookings need not fit. Without any registered worker nothing is known, and nothing is
-// rejected. The configuration must have passed api.ValidateConfig.
+// Workers that the configuration drains, by name or zone, do not count. Best effort
+// bookings are not checked. Without any registered worker the capacity is unknown, and
+// Check returns nil. The configuration must have passed api.ValidateConfig.
 //
-// Each booking is named once, at the first time at which it is short. Packing is first
-// fit decreasing (see pack): bookings that pass do fit, but a tight set that another
-// arrangement would hold may be rejected.
+// Each booking is reported once, for the first time at which it does not fit. Packing is
+// first fit decreasing (see pack): bookings that pass do fit, but bookings that fit only
+// in another arrangement may be rejected.
 func Check(config *api.Config, workers []Worker, now time.Time) []api.FieldError {
 	if len(workers) == 0 {
 		return nil
@@ -48,23 +48,26 @@
 	now     time.Time
 	demands []*demand
 	workers []Worker
-	// shortagesBySet has the outcome of packing each set of demands, by their indexes:
-	// most times have a set that was packed before.
+	// shortagesBySet caches the result of packing each set of demands, by their
+	// indexes: at most packing times the set of demands was packed before.
 	shortagesBySet map[string][]shortage
 }
 
-// interval is the time from and up to which packing times are checked.
+// interval is a period of time whose packing times are checked.
 type interval struct {
 	from, to time.Time
 }
 
-// packingTime is a time at which a reservation begins, and the start of its window. Only
-// at such times can demands newly fail to fit.
+// packingTime is a time at which a reservation begins. Only at such times can demands
+// that fitted before fail to fit.
 type packingTime struct {
+	// at is when the reservation begins, start when its window does. Both are at least
+	// the start of the checked interval.
 	at, start time.Time
 }
 
-// intervals lists the horizon and the next window of each rarer schedule, by time.
+// intervals returns the Horizon, and the next window with its lead of each schedule that
+// has no start within the Horizon, ordered by start.
 func (c *checker) intervals() []interval {
 	end := c.now.Add(Horizon)
 	intervals := []interval{{c.now, end}}
@@ -88,21 +91,22 @@
 	}
 }
 
-// windowsIn lists the windows of each demand that overlap an interval.
+// windowsIn returns, by index of the demand, the windows that overlap an interval.
 func (c *checker) windowsIn(checked interval) [][]Window {
 	windows := make([][]Window, len(c.demands))
 	for index, demand := range c.demands {
 		found, err := Windows(demand.queue, &demand.booking, checked.from, checked.to)
 		if err != nil {
-			continue // guaranteedDemands left such a booking out
+			continue // unreachable: guaranteedDemands skips invalid schedules
 		}
 		windows[index] = found
 	}
 	return windows
 }
 
-// packingTimes lists the packing times from a time on, in their order. Of those at the
-// same time the one with the latest start comes first: its start is reported.
+// packingTimes returns the packing times of the windows in order. A reservation that
+// began before from counts as beginning at from. Among equal times the one with the latest
+// start comes first, since the first time that finds a shortage is reported with its start.
 func packingTimes(windows [][]Window, from time.Time) []packingTime {
 	var times []packingTime
 	for _, windowsOfDemand := range windows {
@@ -120,8 +124,8 @@
 	return times
 }
 
-// reservedAt lists the demands that are reserved at a time. It moves next forward, so the
-// times of its calls must not go back.
+// reservedAt returns the demands that are reserved at a time. It advances the indexes in
+// next, so successive calls must not go back in time.
 func (c *checker) reservedAt(at time.Time, windows [][]Window, next []int) []*demand {
 	var reserved []*demand
 	for index, list := range windows {
@@ -135,32 +139,34 @@
 	return reserved
 }
 
-// checkAt packs the demands of a packing time and records their first shortages.
+// checkAt packs the demands that are reserved at a packing time, and records a shortage
+// for each that does not fit and has none yet.
 func (c *checker) checkAt(packing packingTime, reserved []*demand) {
 	for _, found := range c.shortagesOf(reserved) {
 		if found.demand.shortage == nil {
 			found.demand.shortage = &found
-			found.demand.shortAt = packing.start
+			found.demand.shortageStart = packing.start
 		}
 	}
 }
 
-// shortagesOf packs a set of demands, once for each set.
+// shortagesOf returns the shortages of a set of demands. It packs each set only once.
 func (c *checker) shortagesOf(reserved []*demand) []shortage {
 	indexes := make([]string, len(reserved))
 	for index, demand := range reserved {
 		indexes[index] = strconv.Itoa(demand.index)
 	}
 	key := strings.Join(indexes, ",")
-	known, found := c.shortagesBySet[key]
+	shortages, found := c.shortagesBySet[key]
 	if !found {
-		known = pack(reserved, c.workers)
-		c.shortagesBySet[key] = known
+		shortages = pack(reserved, c.workers)
+		c.shortagesBySet[key] = shortages
 	}
-	return known
+	return shortages
 }
 
-// fieldErrors lists the demands that are short, in the order of the configuration.
+// fieldErrors returns an error for each demand with a shortage, in the order of the
+// configuration.
 func (c *checker) fieldErrors() []api.FieldError {
 	var fields []api.FieldError
 	for _, demand := range c.demands {
--- a/internal/reservation/check_test.go
+++ b/internal/reservation/check_test.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// now is a Tuesday, at 23:00 in Bogota.
+// now is Tuesday 23:00 in Bogota.
 var now = mustParseTime("2026-12-02T04:00:00Z")
 
 // newBooking returns a daily booking of one hour in Bogota.
@@ -20,21 +20,21 @@
 	}
 }
 
-// newWorkers returns workers "w1", "w2" and so on, each in a zone and with a label of
-// its own, with room for three slots of newBooking.
+// newWorkers returns workers "w1", "w2" and so on, each with its own zone and "number"
+// label, and with capacity for three slots of newBooking.
 func newWorkers(count int) []Worker {
-	var all []Worker
+	var workers []Worker
 	for i := range count {
-		all = append(all, Worker{
+		workers = append(workers, Worker{
 			Name: "w" + string(rune('1'+i)), Zone: "z" + string(rune('1'+i)),
 			Capacity: api.Resources{CPUMillis: 3500, MemoryMB: 8192}, Services: []string{"s"},
 			Labels: map[string]string{"number": string(rune('1' + i))},
 		})
 	}
-	return all
+	return workers
 }
 
-func TestCheck_NamesShortBookings(t *testing.T) {
+func TestCheck_ReportsShortBookings(t *testing.T) {
 	cases := []struct {
 		name    string
 		change  func(c *api.Config)
@@ -44,7 +44,7 @@
 		{"fits", func(*api.Config) {}, 4, nil},
 		{"no registered worker", func(*api.Config) {}, 0, nil},
 		{
-			"short", func(*api.Config) {}, 3,
+			"too few workers", func(*api.Config) {}, 3,
 			[]api.FieldError{{
 				Field: "queues[1].bookings[0].slots", Value: "12",
 				Expected: "room at 2026-12-02T06:00:00-05:00: 12 slots, 9 fit; short 3000 cpu_millis, 1536 memory_mb",
@@ -59,13 +59,13 @@
 			}},
 		},
 		{
-			"all zones evacuated", func(c *api.Config) { c.Drains.Zones = []string{"z1"} }, 1,
+			"all zones drained", func(c *api.Config) { c.Drains.Zones = []string{"z1"} }, 1,
 			[]api.FieldError{{
 				Field: "queues[1].bookings[0].slots", Value: "12",
 				Expected: "room at 2026-12-02T06:00:00-05:00: 12 slots, 0 fit; no registered worker that is not drained offers its service and labels; short 12000 cpu_millis, 6144 memory_mb",
 			}},
 		},
-		{"one window after the other", func(c *api.Config) {
+		{"windows with their leads do not overlap", func(c *api.Config) {
 			c.Queues[0].Bookings = []api.BookingConfig{newBooking("before", "04:55", 12), newBooking("after", "07:05", 12)}
 		}, 4, nil},
 		{"lead reaches into another window", func(c *api.Config) {
@@ -74,7 +74,7 @@
 			Field: "queues[1].bookings[0].slots", Value: "12",
 			Expected: "room at 2026-12-02T07:04:00-05:00: 12 slots, 11 fit; short 1000 cpu_millis, 512 memory_mb",
 		}}},
-		{"schedule rarer than the horizon", func(c *api.Config) {
+		{"schedule without a start within the horizon", func(c *api.Config) {
 			rare := newBooking("rare", "", 1)
 			rare.Cron, rare.TimeZone, rare.Slice.Accelerators = "30 12 24 12 *", "Europe/Berlin", 1
 			c.Queues[0].Bookings = []api.BookingConfig{rare}
@@ -82,7 +82,7 @@
 			Field: "queues[0].bookings[0].slots", Value: "1",
 			Expected: "room at 2026-12-24T12:30:00+01:00: 1 slots, 0 fit; short 1000 cpu_millis, 512 memory_mb, 1 accelerators",
 		}}},
-		{"rarer schedule together with a daily one", func(c *api.Config) {
+		{"window beyond the horizon together with a daily booking", func(c *api.Config) {
 			rare := newBooking("rare", "", 1)
 			rare.Cron, rare.Duration = "30 5 24 12 *", api.Duration(6*time.Hour)
 			rare.Slice = api.Resources{CPUMillis: 3500}
@@ -112,16 +112,18 @@
 			}}
 			c.change(config)
 			if fields := api.ValidateConfigAt(config, now); len(fields) > 0 {
-				t.Fatalf("not valid: %v", fields)
+				t.Fatalf("configuration is not valid: %v", fields)
 			}
 			if diff := cmp.Diff(c.want, Check(config, newWorkers(c.workers), now)); diff != "" {
-				t.Fatalf("wrong fields (-want +got):\n%s", diff)
+				t.Fatalf("Check: wrong field errors (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-func TestCheck_CountsOpenWindows(t *testing.T) {
+// TestCheck_IncludesOpenWindows checks that a window that started before the check takes
+// capacity from one that starts later.
+func TestCheck_IncludesOpenWindows(t *testing.T) {
 	config := &api.Config{Queues: []api.QueueConfig{{Name: "q", Bookings: []api.BookingConfig{
 		newBooking("long", "22:30", 6), newBooking("next", "23:02", 4),
 	}}}}
@@ -130,6 +132,6 @@
 	fields := Check(config, newWorkers(3), now)
 	want := "room at 2026-12-01T23:02:00-05:00: 4 slots, 3 fit; short 1000 cpu_millis, 512 memory_mb"
 	if len(fields) != 1 || fields[0].Field != "queues[0].bookings[1].slots" || fields[0].Expected != want {
-		t.Fatalf("%+v", fields)
+		t.Fatalf("got field errors %+v, want one for queues[0].bookings[1].slots, 3 of 4 slots fit", fields)
 	}
 }
--- a/internal/reservation/demand.go
+++ b/internal/reservation/demand.go
@@ -9,32 +9,34 @@
 	"github.com/decklever/decklever/api"
 )
 
-// demand is a booking that must fit, with the outcome of the check.
+// demand is a booking that must fit, and the result of checking it.
 type demand struct {
-	// index is its position among the demands, which have the order of the
+	// index is the demand's position among all demands, in the order of the
 	// configuration.
 	index int
 	queue string
-	// field is the path of its number of slots in the configuration.
-	field    string
+	// field is the path of the booking's number of slots in the configuration.
+	field string
+	// booking has its defaults filled in.
 	booking  api.BookingConfig
 	location *time.Location
-	// shortage is the first shortage found, nil while there is none; shortAt is the
-	// start of the window in which it was found.
-	shortage *shortage
-	shortAt  time.Time
+	// shortage is the first shortage found, nil if none was; shortageStart is the
+	// start of the packing time at which it was found.
+	shortage      *shortage
+	shortageStart time.Time
 }
 
-// shortage says that a demand does not fit completely.
+// shortage describes a demand that does not fit completely.
 type shortage struct {
 	demand *demand
-	// placedSlots is how many of its slots fit.
+	// placedSlots is how many of the demand's slots fit.
 	placedSlots int
-	// eligible is false if no usable worker offers the service and labels.
+	// eligible is false if no usable worker offers the booking's service and labels.
 	eligible bool
 }
 
-// guaranteedDemands lists the bookings that are not best effort.
+// guaranteedDemands returns a demand for each booking that is not best effort and whose
+// schedule is valid.
 func guaranteedDemands(config *api.Config) []*demand {
 	var demands []*demand
 	for queueIndex, queue := range config.Queues {
@@ -56,9 +58,10 @@
 	return demands
 }
 
-// fieldError says in the words of the API when and of what the demand is short.
+// fieldError returns the API error for the demand's shortage: when it occurs, and how
+// many slots and which resources are missing.
 func (d *demand) fieldError() api.FieldError {
-	start := d.shortAt.In(d.location).Format(time.RFC3339)
+	start := d.shortageStart.In(d.location).Format(time.RFC3339)
 	expected := fmt.Sprintf("room at %s: %d slots, %d fit", start, d.booking.Slots, d.shortage.placedSlots)
 	if !d.shortage.eligible {
 		expected += "; no registered worker that is not drained offers its service and labels"
@@ -71,8 +74,8 @@
 	}
 }
 
-// describeSlots lists the resources of a number of slots, without those that a slot
-// does not take.
+// describeSlots returns the total resources of a number of slots as text, without the
+// resources that a slot does not use.
 func describeSlots(slot api.Resources, count int64) string {
 	var parts []string
 	for _, resource := range []struct {
--- a/internal/reservation/worker.go
+++ b/internal/reservation/worker.go
@@ -7,11 +7,11 @@
 	"github.com/decklever/decklever/api"
 )
 
-// Worker is what Check must know of a registered worker.
+// Worker has the properties of a registered worker that Check needs.
 type Worker struct {
 	Name string
 	Zone string
-	// Capacity is its total capacity, whatever runs on it.
+	// Capacity is the worker's total capacity, including what runs on it.
 	Capacity api.Resources
 	Services []string
 	Labels   map[string]string
@@ -30,7 +30,8 @@
 	return true
 }
 
-// usableWorkers returns the workers that the configuration does not drain, by name.
+// usableWorkers returns the workers that the configuration does not drain, ordered by
+// name.
 func usableWorkers(workers []Worker, drains api.DrainConfig) []Worker {
 	var usable []Worker
 	for _, worker := range workers {
@@ -43,7 +44,7 @@
 	return usable
 }
 
-// eligibleWorkers returns the indexes of the workers that serve the booking.
+// eligibleWorkers returns the indexes of the workers that can serve the booking.
 func eligibleWorkers(booking *api.BookingConfig, workers []Worker) []int {
 	var eligible []int
 	for index := range workers {
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -81,7 +81,7 @@
 	limit   int
 	// ownIndex is the place of the job's queue in queues; waiting is what waits in them.
 	ownIndex int
-	queues   []admission.Share
+	queues   []admission.Participant
 	waiting  int
 }
 
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -260,7 +260,7 @@
 func (l *leader) workerRegistered(info *record.Worker) {
 	worker, earlier := l.registry.register(info)
 	if earlier != nil {
-		l.health.tracker.Forget(earlier.info.ID)
+		l.health.tracker.ForgetWorker(earlier.info.ID)
 	}
 	l.drains.apply(worker)
 	l.registry.updatePlannerWorker(worker)
@@ -269,6 +269,6 @@
 // workerForgotten drops what is known of a worker that the record dropped.
 func (l *leader) workerForgotten(info *record.Worker) {
 	if l.registry.forget(info) {
-		l.health.tracker.Forget(info.ID)
+		l.health.tracker.ForgetWorker(info.ID)
 	}
 }
--- a/internal/scheduler/healthreview.go
+++ b/internal/scheduler/healthreview.go
@@ -212,7 +212,7 @@
 	worker.health = change.Status
 	l.logger.Info("worker health changed", slog.String("worker", worker.info.Name),
 		slog.String("worker_id", worker.info.ID), slog.String("state", string(change.State)),
-		slog.String("reason", change.Reason), slog.Duration("for", max(change.Until-now, 0)))
+		slog.String("reason", change.Reason), slog.Duration("for", max(change.ReviewAt-now, 0)))
 	if change.State == workerhealth.Suspect {
 		l.metrics.workersEjected.Inc()
 		l.assignments.revokeUnassigned(worker)
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -26,6 +26,6 @@
 }
 
 // quotaPart is what a queue that uses some of a shared bound counts for there.
-func quotaPart(queue *api.QueueConfig, used int) admission.Share {
-	return admission.Share{Weight: max(queue.Weight, api.DefaultQueueWeight), Used: used}
+func quotaPart(queue *api.QueueConfig, used int) admission.Participant {
+	return admission.Participant{Weight: max(queue.Weight, api.DefaultQueueWeight), Used: used}
 }
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -42,7 +42,7 @@
 
 // free is how many more submissions of a queue may be committed at once.
 func (s *submissions) free(config *api.Config, name string) int {
-	parts := make([]admission.Share, 0, len(config.Queues))
+	parts := make([]admission.Participant, 0, len(config.Queues))
 	own := 0
 	for index := range config.Queues {
 		queue := &config.Queues[index]
--- a/internal/workerhealth/baseline.go
+++ b/internal/workerhealth/baseline.go
@@ -7,34 +7,37 @@
 )
 
 const (
-	// maxQueueSamples is the number of a queue's newest runs that its baseline covers.
+	// maxQueueSamples is the number of a queue's newest ended runs in its baseline.
 	maxQueueSamples = 64
 	// minStepSamples is the number of runs of a step that must have ended on other
-	// workers to tell the pace of one, maxStepSamples the number that is kept.
+	// workers before a run of the step can be compared with them. maxStepSamples is the
+	// number of a step's newest ended runs in its baseline.
 	minStepSamples, maxStepSamples = 2, 16
-	// maxQueues and maxSteps bound the baselines that are kept.
-	maxQueues = 1024
-	maxSteps  = 4096
+	// maxQueueBaselines and maxStepBaselines bound the number of baselines in memory.
+	maxQueueBaselines = 1024
+	maxStepBaselines  = 4096
 )
 
-// RunPace is how long one run took, or will take by its progress so far, in relation
-// to its estimate.
+// RunPace is the duration of one run relative to its estimate. The duration of a run that
+// has not ended is extrapolated from its progress.
 type RunPace struct {
 	Run record.RunID
-	// Queue is the queue of the run's job. Its other runs are the baseline of steps
-	// that are too small to be one.
+	// Queue is the queue of the run's job. Its ended runs are the baseline for runs of
+	// steps that have too few tasks for a baseline of their own.
 	Queue string
-	// StepSize is the number of tasks of the run's step; 0 makes the queue the baseline.
+	// StepSize is the number of tasks of the run's step. Up to minStepSamples, and so also
+	// at 0, the run is compared with the baseline of its queue.
 	StepSize int
-	// Ratio is the run's time over its estimate. A pace is ignored unless it is over 0.
+	// Ratio is the run's duration divided by its estimate. A pace with a ratio of 0 or
+	// less is ignored.
 	Ratio float64
-	// Ended is true once the run has succeeded. Only ended runs become part of a
-	// baseline.
+	// Ended is true once the run has succeeded. Only ended runs are added to a baseline.
 	Ended bool
 }
 
-// ObservePace records the pace of a run on a worker, in the place of what was
-// recorded of that run before.
+// ObservePace records the pace of a run on a worker. It replaces the pace recorded for
+// that run before. While the baseline has too few runs for a comparison, the worker's
+// history stays as it is; an ended run is added to the baseline nevertheless.
 func (t *Tracker) ObservePace(workerID string, pace RunPace, now time.Duration) {
 	if pace.Ratio <= 0 {
 		return
@@ -46,21 +49,23 @@
 	t.historyOf(workerID).addPace(paceSample{run: pace.Run, at: now, multiple: pace.Ratio / expected})
 }
 
-// expectedRatio is the ratio that the run would have on another worker; false if too
-// little is known. The estimates of a job are often all wrong by the same factor, so
-// a run is compared with those of its step on other workers. Only where a step has
-// too few tasks for that is it compared with the runs of its queue.
+// expectedRatio returns the ratio that the run is expected to have according to its
+// baseline, or false if the baseline has too few runs. It adds an ended run to the baseline.
+//
+// The estimates of a job are often all wrong by the same factor, so a run is compared with
+// the runs of its step on other workers. If the step has too few tasks for that, the run
+// is compared with the ended runs of its queue, on any worker.
 func (t *Tracker) expectedRatio(workerID string, pace RunPace) (ratio float64, known bool) {
 	if pace.StepSize > minStepSamples {
-		step := getOrCreate(t.stepBaselines, pace.Run.Task.StepID(), maxSteps)
-		// The run is not part of what it is compared with.
+		step := getOrCreate(t.stepBaselines, pace.Run.Task.StepID(), maxStepBaselines)
+		// The median is taken before the run is added to the baseline.
 		ratio, known = step.medianOnOthers(workerID)
 		if pace.Ended {
 			step.samples.add(stepSample{workerID, pace.Ratio}, maxStepSamples)
 		}
 		return ratio, known
 	}
-	queue := getOrCreate(t.queueBaselines, pace.Queue, maxQueues)
+	queue := getOrCreate(t.queueBaselines, pace.Queue, maxQueueBaselines)
 	if pace.Ended {
 		queue.add(pace.Ratio)
 	}
@@ -70,7 +75,7 @@
 // queueBaseline holds the ratios of the newest ended runs of one queue.
 type queueBaseline struct {
 	ratios ring[float64]
-	// median is 0 until there are minPaceSamples.
+	// median is the median of ratios; 0 until there are minPaceSamples of them.
 	median float64
 }
 
@@ -91,8 +96,8 @@
 	ratio    float64
 }
 
-// medianOnOthers returns the median ratio of the runs on other workers; false if
-// there are too few.
+// medianOnOthers returns the median ratio of the runs on other workers, or false if
+// there are fewer than minStepSamples.
 func (b *stepBaseline) medianOnOthers(workerID string) (ratio float64, known bool) {
 	var others []float64
 	for _, sample := range b.samples.values {
@@ -106,14 +111,15 @@
 	return median(others), true
 }
 
-// ring keeps the newest of the values that are added to it, in no useful order.
+// ring keeps the newest values that were added to it. Their order is unspecified.
 type ring[T any] struct {
 	values []T
 	// next is the index of the oldest value once the ring is full.
 	next int
 }
 
-// add adds a value, in the place of the oldest once there are limit values.
+// add adds a value. Once there are limit values, it replaces the oldest one. limit must be
+// the same in all calls.
 func (r *ring[T]) add(value T, limit int) {
 	if len(r.values) < limit {
 		r.values = append(r.values, value)
@@ -123,8 +129,8 @@
 	r.next = (r.next + 1) % limit
 }
 
-// getOrCreate returns the value of a key, a new one if there is none. It bounds the
-// map by clearing it when a key comes that would be beyond limit.
+// getOrCreate returns the value of a key, or adds a zero value if there is none. If the
+// map already has limit keys, it is cleared before a key is added.
 func getOrCreate[K comparable, V any](values map[K]*V, key K, limit int) *V {
 	if found, ok := values[key]; ok {
 		return found
--- a/internal/workerhealth/harness_test.go
+++ b/internal/workerhealth/harness_test.go
@@ -8,14 +8,14 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// harness drives a Tracker whose active workers "w0" to "wN" offer service "s", with a
-// clock of its own.
+// harness drives a Tracker with its own clock. The active workers are named "w0", "w1" and
+// so on, and offer service "s".
 type harness struct {
 	*Tracker
 	now     time.Duration
 	workers []ActiveWorker
-	// jobs is the number of jobs made by task.
-	jobs int
+	// jobCount is the number of jobs created by task.
+	jobCount int
 }
 
 func newHarness(workers int) *harness {
@@ -26,30 +26,30 @@
 	return h
 }
 
-// task returns the only task of a new job.
-func (h *harness) task() record.TaskID {
-	h.jobs++
-	return record.TaskID{Job: fmt.Sprint("job", h.jobs), Step: "s"}
+// newTask returns the only task of a new job.
+func (h *harness) newTask() record.TaskID {
+	h.jobCount++
+	return record.TaskID{Job: fmt.Sprint("job", h.jobCount), Step: "s"}
 }
 
-// endRuns has runs of different jobs end on a worker.
+// endRuns reports ends of runs of different jobs on the worker with the given index.
 func (h *harness) endRuns(worker, successes, failures int) {
 	id := h.workers[worker].ID
 	for range successes {
-		h.ObserveSuccess(id, h.task(), h.now)
+		h.ObserveSuccess(id, h.newTask(), h.now)
 	}
 	for range failures {
-		h.ObserveFailure(id, h.task(), h.now)
+		h.ObserveFailure(id, h.newTask(), h.now)
 	}
 }
 
-// review lets time pass and reviews all workers.
+// review advances the clock and reviews all workers.
 func (h *harness) review(after time.Duration) []StatusChange {
 	h.now += after
 	return h.Review(h.now, h.workers)
 }
 
-// ejectedCount is the number of workers that are Suspect or on Probation.
+// ejectedCount returns the number of workers that are Suspect or on Probation.
 func (h *harness) ejectedCount() int {
 	count := 0
 	for _, worker := range h.workers {
@@ -60,9 +60,10 @@
 	return count
 }
 
+// requireEjected fails the test unless ejectedCount returns want.
 func (h *harness) requireEjected(t *testing.T, want int) {
 	t.Helper()
 	if got := h.ejectedCount(); got != want {
-		t.Fatalf("%d workers are ejected, want %d", got, want)
+		t.Fatalf("got %d ejected workers, want %d", got, want)
 	}
 }
--- a/internal/workerhealth/history.go
+++ b/internal/workerhealth/history.go
@@ -7,35 +7,39 @@
 )
 
 const (
-	// maxRunEnds is the number of a worker's newest run ends that count.
+	// maxRunEnds is the number of a worker's newest run ends that are counted.
 	maxRunEnds = 16
-	// runEndWindow is how long a run end counts.
+	// runEndWindow is how long a run end is counted.
 	runEndWindow = 2 * time.Minute
-	// stallWeight is the number of failures that a stalled run counts for: it occupied
-	// its resources and delayed its job, and sound work seldom stalls.
+	// stallWeight is the number of failures that a stalled run counts as: it occupied
+	// its resources and delayed its job, and runs seldom stall on a healthy worker.
 	stallWeight = 2
 )
 
-// history is what is known of one worker incarnation. It belongs to the Tracker.
+// history is the status of one worker incarnation and the observations behind it. It is
+// owned by the Tracker.
 type history struct {
+	// id is the worker id of the incarnation.
 	id string
-	// ends are the newest run ends, the oldest first; at most maxRunEnds.
+	// ends has the newest run ends, the oldest first; at most maxRunEnds.
 	ends []runEnd
-	// paces are the newest paces of runs, one for each run; at most maxPaceSamples.
+	// paces has the newest pace of each run, the oldest first; at most maxPaceSamples.
 	paces []paceSample
-	// status holds at least until the time until.
-	status Status
-	until  time.Duration
-	// ejections counts how often in a row the worker became Suspect or Slow. It sets
-	// the length of the next ejection.
+	// status is due for review at reviewAt, which does not apply to Healthy. Probation
+	// may end before, and a Slow worker may be ejected before.
+	status   Status
+	reviewAt time.Duration
+	// ejections counts the transitions to Suspect or Slow since the worker was last
+	// healthy for ejectionsResetAfter. It determines the duration of the next one.
 	ejections int
-	// successes counts succeeded runs since the last transition to Probation or Healthy.
+	// successes counts the succeeded runs since the last transition to Probation or
+	// Healthy.
 	successes int
-	// healthySince is when the worker was last reinstated.
+	// healthySince is when the worker was last reinstated; 0 if it never was.
 	healthySince time.Duration
 }
 
-// outcome says how a run ended.
+// outcome is how a run ended.
 type outcome uint8
 
 const (
@@ -49,11 +53,12 @@
 	at      time.Duration
 	task    record.TaskID
 	outcome outcome
-	// discounted is true for a fault whose task failed on another worker too.
+	// discounted is true for a fault whose task also failed or stalled on another
+	// worker. It is not counted.
 	discounted bool
 }
 
-// addRunEnd appends a run end in the place of the oldest if there are too many.
+// addRunEnd appends a run end. It drops the oldest if there are maxRunEnds already.
 func (h *history) addRunEnd(added runEnd) {
 	if len(h.ends) == maxRunEnds {
 		h.ends = append(h.ends[:0], h.ends[1:]...)
@@ -61,8 +66,7 @@
 	h.ends = append(h.ends, added)
 }
 
-// discount takes the faults of a task out of the count, and reports whether there
-// are any.
+// discount marks the faults of a task as discounted, and reports whether there are any.
 func (h *history) discount(task record.TaskID) bool {
 	found := false
 	for i := range h.ends {
@@ -74,8 +78,8 @@
 	return found
 }
 
-// expire drops run ends that are too old to count. It reports whether a fault is
-// left, discounted or not.
+// expire drops the run ends that are at least runEndWindow old. It reports whether a fault
+// remains, discounted or not.
 func (h *history) expire(now time.Duration) (hasFaults bool) {
 	unexpired := h.ends[:0]
 	for _, end := range h.ends {
@@ -89,13 +93,13 @@
 	return hasFaults
 }
 
-// reset drops what was observed, at the transition to Probation or Healthy: what led
-// to an ejection must not count a second time.
+// reset clears what was observed. It is called at the transition to Probation or Healthy,
+// so that the faults that led to an ejection do not count a second time.
 func (h *history) reset() {
 	h.ends, h.paces, h.successes = nil, nil, 0
 }
 
-// countOutcomes sums up the run ends that count.
+// countOutcomes counts the run ends that are not discounted.
 func (h *history) countOutcomes() outcomeCount {
 	var count outcomeCount
 	failedJobs := make(map[string]bool, len(h.ends))
--- a/internal/workerhealth/outcomes.go
+++ b/internal/workerhealth/outcomes.go
@@ -2,24 +2,24 @@
 
 import "fmt"
 
-// Thresholds of outlier detection. A worker is an outlier if faults make up half of
-// its outcomes, in three jobs, or a quarter, in four. At a share of 2% of tasks that
-// fail by their own fault, 3 faults among 6 outcomes are seen once in 6,000 such
-// windows.
+// Thresholds of outlier detection. A worker can be an outlier if faults make up half of
+// its outcomes and concern at least three jobs, or make up a quarter and concern at least
+// four jobs. If 2% of tasks fail by their own fault, 3 faults among 6 outcomes occur in
+// one of 6,000 such windows.
 const (
 	fewFaultyJobs, highFaultShare  = 3, 0.5
 	manyFaultyJobs, someFaultShare = 4, 0.25
-	// outlierFactor is the multiple of the other workers' share of faults from which
-	// on a worker can be an outlier: a service that fails everywhere ejects nobody.
+	// outlierFactor is the least multiple of the other workers' share of faults at which
+	// a worker can be an outlier: if work fails on all workers, none is ejected.
 	outlierFactor = 2
-	// priorFaults among priorOutcomes are added to the outcomes of the other workers,
-	// so that a few of them do not decide.
+	// priorFaults and priorOutcomes are added to the faults and outcomes of the other
+	// workers, so that few outcomes have little influence.
 	priorFaults, priorOutcomes = 0.5, 10
 )
 
-// outcomeCount sums up run ends, of one worker or of several.
+// outcomeCount counts run ends, of one worker or of several.
 type outcomeCount struct {
-	// faultWeight is the weight of failed and stalled runs; see stallWeight.
+	// faultWeight is the number of failed runs, plus stallWeight for each stalled run.
 	faultWeight int
 	// successes is the number of succeeded runs.
 	successes int
@@ -36,7 +36,7 @@
 	return outcomeCount{c.faultWeight - other.faultWeight, c.successes - other.successes, c.faultyJobs - other.faultyJobs}
 }
 
-// faultShare is the part of the outcomes that are faults, from 0 to 1.
+// faultShare returns the fraction of the outcomes that are faults, from 0 to 1.
 func (c outcomeCount) faultShare() float64 {
 	if c.faultWeight == 0 {
 		return 0
@@ -44,13 +44,13 @@
 	return float64(c.faultWeight) / float64(c.faultWeight+c.successes)
 }
 
-// smoothedFaultShare is faultShare with the prior added.
+// smoothedFaultShare returns faultShare with priorFaults and priorOutcomes added.
 func (c outcomeCount) smoothedFaultShare() float64 {
 	return (float64(c.faultWeight) + priorFaults) / (float64(c.faultWeight+c.successes) + priorOutcomes)
 }
 
-// isOutlier reports whether a worker with these outcomes is an outlier among others
-// that have others together.
+// isOutlier reports whether a worker with these outcomes is an outlier, where others is
+// the sum of the outcomes of the workers that it is compared with.
 func (c outcomeCount) isOutlier(others outcomeCount) bool {
 	share := c.faultShare()
 	if share < outlierFactor*others.smoothedFaultShare() {
@@ -59,7 +59,7 @@
 	return c.faultyJobs >= fewFaultyJobs && share >= highFaultShare || c.faultyJobs >= manyFaultyJobs && share >= someFaultShare
 }
 
-// reason is the Status.Reason of an outlier.
+// reason returns the Status.Reason of a worker that is ejected for these outcomes.
 func (c outcomeCount) reason() string {
 	return fmt.Sprintf("work fails or stands still here and not elsewhere: weight %d against %d successes", c.faultWeight, c.successes)
 }
--- a/internal/workerhealth/slow.go
+++ b/internal/workerhealth/slow.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// maxPaceSamples is the number of a worker's newest runs that count for its pace;
-	// minPaceSamples runs of minPaceJobs jobs are needed to tell it.
+	// maxPaceSamples is the number of a worker's newest runs that determine its pace. The
+	// pace is known from minPaceSamples runs of minPaceJobs different jobs on.
 	maxPaceSamples, minPaceSamples, minPaceJobs = 16, 4, 3
-	// paceWindow is how long a run counts for its worker's pace.
+	// paceWindow is how long a pace sample is used.
 	paceWindow = time.Minute
-	// slowThreshold and slowRecovery are the paces, as multiples of the baseline, from
-	// which on a worker becomes slow, and below which it no longer is.
+	// slowThreshold is the pace, as a multiple of the baseline, at which a worker becomes
+	// Slow; below slowRecovery it is reinstated.
 	slowThreshold, slowRecovery = 2.0, 1.5
 )
 
@@ -23,12 +23,12 @@
 type paceSample struct {
 	run record.RunID
 	at  time.Duration
-	// multiple is the run's time over the time that the baseline lets expect.
+	// multiple is the run's duration divided by the duration expected by the baseline.
 	multiple float64
 }
 
-// addPace records the newest pace of a run. It takes the place of an older one of
-// the same run, or else of the oldest if there are too many.
+// addPace records the newest pace of a run. It replaces an older pace of the same run. If
+// there is none and there are maxPaceSamples already, it drops the oldest.
 func (h *history) addPace(added paceSample) {
 	h.paces = slices.DeleteFunc(h.paces, func(sample paceSample) bool { return sample.run == added.run })
 	if len(h.paces) == maxPaceSamples {
@@ -37,9 +37,10 @@
 	h.paces = append(h.paces, added)
 }
 
-// medianPace returns the median, over jobs, of the medians of the worker's runs of
-// each job; false if too little is known. The median over jobs keeps one job whose
-// estimates are wrong from making a worker slow.
+// medianPace returns the worker's pace: the median over jobs of the median pace of each
+// job's runs. It returns false if there are fewer than minPaceSamples runs or minPaceJobs
+// jobs. Due to the median over jobs, one job with wrong estimates cannot make a worker
+// Slow. medianPace drops samples that are older than paceWindow.
 func (h *history) medianPace(now time.Duration) (pace float64, known bool) {
 	h.paces = slices.DeleteFunc(h.paces, func(sample paceSample) bool { return now-sample.at >= paceWindow })
 	byJob := make(map[string][]float64)
@@ -56,36 +57,38 @@
 	return median(medians), true
 }
 
-// median returns the upper median of at least one value.
+// median returns the upper median of values, which must not be empty.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
 }
 
-// detectSlow finds healthy workers that are far slower than others.
+// detectSlow makes Healthy workers Slow whose pace reaches slowThreshold, as far as the
+// bounds allow.
 func (r *review) detectSlow(active []ActiveWorker) {
 	for _, worker := range active {
-		known := r.tracker.historyOf(worker.ID)
-		if known.status.State != Healthy || len(known.paces) < minPaceSamples {
+		h := r.tracker.historyOf(worker.ID)
+		if h.status.State != Healthy || len(h.paces) < minPaceSamples {
 			continue
 		}
-		pace, measured := known.medianPace(r.now)
-		if !measured || pace < slowThreshold || !r.mayCount(worker, r.slow) {
+		pace, measured := h.medianPace(r.now)
+		if !measured || pace < slowThreshold || !r.fitsServiceBound(worker, r.slow) {
 			continue
 		}
 		worker.countIn(r.slow)
-		r.setSlow(known, pace)
+		r.setSlow(h, pace)
 	}
 }
 
-// setSlow makes a worker Slow, each time for longer.
+// setSlow makes a worker Slow for its next ejection time.
 func (r *review) setSlow(worker *history, pace float64) {
 	reason := fmt.Sprintf("takes %.1f times as long as others", pace)
 	r.setStatus(worker, Status{State: Slow, Reason: reason}, worker.nextEjectionTime())
 }
 
-// reviewSlow decides once the time of a Slow status is over: a worker whose runs are
-// still slow stays so; one that got no runs is reinstated, to be measured again.
+// reviewSlow reviews a Slow worker at its reviewAt. The worker stays Slow if its pace is
+// still at least slowRecovery. Otherwise it is reinstated, also if it got too few runs for
+// a pace, so that it is measured again.
 func (r *review) reviewSlow(worker *history) {
 	if pace, measured := worker.medianPace(r.now); measured && pace >= slowRecovery {
 		r.setSlow(worker, pace)
--- a/internal/workerhealth/stall.go
+++ b/internal/workerhealth/stall.go
@@ -4,55 +4,60 @@
 
 const (
 	// minStallTimeout is the least stall timeout of a run with an estimate that reports
-	// its progress, or is known to.
+	// its progress, or whose queue's runs are known to report in small steps.
 	minStallTimeout = 2 * time.Second
-	// fineGrainedAdvances is the number of advances of the percent from which on a run,
-	// or the runs of its queue, are known to report in small steps.
+	// fineGrainedAdvances is the number of advances of the percent after which a run, and
+	// the runs of its queue, are known to report in small steps.
 	fineGrainedAdvances = 3
-	// estimatePerStallTimeout divides the estimate of a run that reports in small steps
-	// into its timeout: a worker 25 times slower still advances within it.
-	estimatePerStallTimeout = 4
-	// unreportedEstimateFactor multiplies the estimate of a run without any report into
-	// its timeout, which is minUnreportedTimeout at least.
+	// stallTimeoutDivisor is what the estimate of a run that reports in small steps is
+	// divided by to get its timeout. A run that takes 25 times its estimate still
+	// advances by one percent within that timeout.
+	stallTimeoutDivisor = 4
+	// unreportedEstimateFactor is the multiple of the estimate that is the timeout of a
+	// run without any report; minUnreportedTimeout is the least such timeout.
 	unreportedEstimateFactor = 8
 	minUnreportedTimeout     = 10 * time.Second
-	// advanceIntervalFactor multiplies the mean time between the advances of a run
-	// without an estimate into its timeout, which is minTimeoutWithoutEstimate at least.
+	// advanceIntervalFactor is the multiple of the mean time between advances that is the
+	// timeout of a run without an estimate; minTimeoutWithoutEstimate is the least such
+	// timeout.
 	advanceIntervalFactor     = 20
 	minTimeoutWithoutEstimate = 30 * time.Second
-	// completePercent is the percent of a run that only has to end, which may take long.
+	// completePercent is the percent of a run that has done its work and only has to end.
+	// Ending may take long, so the timeout for small steps does not apply to it.
 	completePercent = 100
-	// maxStallStops is the number of times that one task is stopped for a stall. The
-	// timeout doubles each time, so that slow but sound work ends.
+	// maxStallStops is how often the runs of one task may be stopped for a stall. The
+	// timeout doubles each time, so that a slow task eventually completes.
 	maxStallStops = 4
-	// minMeasuredPercent is the least progress from which a duration is extrapolated.
+	// minMeasuredPercent is the least progress, in percentage points, from which the
+	// duration of a run is extrapolated.
 	minMeasuredPercent = 5
 )
 
-// Progress is the progress of one run as its worker reported it. It belongs to the
-// leader that follows the run.
+// Progress is the progress of one run as reported by its worker. It is owned by the
+// leader that tracks the run.
 type Progress struct {
 	// StartedAt is when the run was first reported as running.
 	StartedAt time.Duration
-	// AdvancedAt is when the percent last grew; StartedAt before the first report.
+	// AdvancedAt is when the percent was first reported or last grew; StartedAt before
+	// the first report.
 	AdvancedAt time.Duration
-	// Percent is the highest percent reported, FirstPercent the first. The first is over
-	// 0 for a run that resumes from a checkpoint.
+	// Percent is the highest reported percent, FirstPercent the first one, which is above
+	// 0 if the run resumes from a checkpoint.
 	Percent, FirstPercent int
 	// FirstReportedAt is when FirstPercent was reported.
 	FirstReportedAt time.Duration
-	// Advances is the number of times that the percent grew.
+	// Advances counts how often the percent grew after the first report.
 	Advances int
-	// Reported is true once any percent was reported.
+	// Reported is true once a percent has been reported.
 	Reported bool
 }
 
 // NewProgress returns the progress of a run that is reported as running for the first
-// time.
+// time, at now.
 func NewProgress(now time.Duration) Progress { return Progress{StartedAt: now, AdvancedAt: now} }
 
-// Observe records a reported percent, and reports whether the run advanced. It ignores
-// a percent that is not higher than before. The first report is no advance.
+// Observe records a reported percent and returns whether the run advanced. It ignores a
+// percent that is not higher than before. The first report does not count as an advance.
 func (p *Progress) Observe(percent int, now time.Duration) (advanced bool) {
 	if !p.Reported {
 		p.Reported = true
@@ -71,8 +76,9 @@
 // IsFineGrained reports whether the run is known to report in small steps.
 func (p *Progress) IsFineGrained() bool { return p.Advances >= fineGrainedAdvances }
 
-// DurationRatio is the time that the run will take, extrapolated from its progress
-// since the first report, over its estimate. It is 0 if that cannot be told.
+// DurationRatio returns the run's total duration, extrapolated from its progress since the
+// first report, divided by its estimate. It returns 0 if there is no estimate or too
+// little progress.
 func (p *Progress) DurationRatio(estimate time.Duration) float64 {
 	measured := p.Percent - p.FirstPercent
 	if estimate <= 0 || measured < minMeasuredPercent || p.AdvancedAt <= p.FirstReportedAt {
@@ -82,10 +88,11 @@
 	return total / float64(estimate)
 }
 
-// StallTimeout is how long the run may go without progress before it counts as
-// stalled; 0 if that cannot be told, and the run is never stalled. fineGrained says
-// that runs of this kind report in small steps; earlierStops is how often the task
-// was stopped for a stall before.
+// StallTimeout returns how long the run may go without progress before it counts as
+// stalled. It returns 0 if the run never counts as stalled: after maxStallStops, or if too
+// little is known for a timeout. fineGrained is whether runs of this queue are known to
+// report in small steps; earlierStops is how often runs of the task were stopped for a
+// stall before.
 func (p *Progress) StallTimeout(estimate time.Duration, fineGrained bool, earlierStops int) time.Duration {
 	if earlierStops >= maxStallStops {
 		return 0
@@ -94,13 +101,15 @@
 	return timeout << earlierStops
 }
 
-// baseStallTimeout is the timeout of a task that was not stopped before.
+// baseStallTimeout returns the timeout for a task that was not stopped before, or 0 if
+// too little is known. Without an estimate, a timeout requires that the run itself, not
+// only its queue, reports in small steps.
 func (p *Progress) baseStallTimeout(estimate time.Duration, fineGrained bool) time.Duration {
 	switch {
 	case estimate > 0 && !p.Reported && !fineGrained:
 		return max(unreportedEstimateFactor*estimate, minUnreportedTimeout)
 	case estimate > 0 && p.Reported && fineGrained && p.Percent < completePercent:
-		return max(estimate/estimatePerStallTimeout, minStallTimeout)
+		return max(estimate/stallTimeoutDivisor, minStallTimeout)
 	case estimate > 0:
 		return max(estimate*3/2, minStallTimeout)
 	case p.IsFineGrained():
@@ -111,9 +120,9 @@
 	}
 }
 
-// IsStalled reports whether the run has made no progress for its timeout. lastSeen is
-// when its worker's last heartbeat came: time without heartbeats does not count, as
-// reports are then missing and not progress.
+// IsStalled reports whether the run has made no progress for its timeout; a timeout of 0
+// means never. lastSeen is when the last heartbeat of the run's worker was received. Time
+// after it does not count: while heartbeats are missing, so are the progress reports.
 func (p *Progress) IsStalled(lastSeen, timeout time.Duration) bool {
 	return timeout > 0 && lastSeen-p.AdvancedAt >= timeout
 }
--- a/internal/workerhealth/stall_test.go
+++ b/internal/workerhealth/stall_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// newMovingProgress returns the progress of a run that reports a percent each second.
-func newMovingProgress(percents ...int) Progress {
+// newReportedProgress returns the progress of a run that reports the given percents, one
+// per second.
+func newReportedProgress(percents ...int) Progress {
 	p := NewProgress(time.Hour)
 	for i, percent := range percents {
 		p.Observe(percent, time.Hour+time.Duration(i)*time.Second)
@@ -21,25 +22,25 @@
 		name     string
 		progress Progress
 		estimate time.Duration
-		// fineGrained is what is known of the queue.
+		// fineGrained is whether the runs of the queue report in small steps.
 		fineGrained  bool
 		earlierStops int
 		want         time.Duration
 	}{
 		{"nothing known", NewProgress(0), 0, false, 0, 0},
-		{"at 0 without an estimate", newMovingProgress(0), 0, true, 0, 0},
-		{"no report, short", NewProgress(0), time.Second, false, 0, minUnreportedTimeout},
-		{"no report, long", NewProgress(0), time.Minute, false, 0, 8 * time.Minute},
+		{"one report, no estimate, fine-grained queue", newReportedProgress(0), 0, true, 0, 0},
+		{"no report, short estimate", NewProgress(0), time.Second, false, 0, minUnreportedTimeout},
+		{"no report, long estimate", NewProgress(0), time.Minute, false, 0, 8 * time.Minute},
 		{"no report, fine-grained queue", NewProgress(0), time.Minute, true, 0, 90 * time.Second},
-		{"no report, fine-grained queue, short", NewProgress(0), time.Second, true, 0, minStallTimeout},
-		{"coarse", newMovingProgress(0), time.Minute, false, 0, 90 * time.Second},
-		{"fine-grained run", newMovingProgress(0, 1, 2, 3), time.Minute, false, 0, 15 * time.Second},
-		{"fine-grained queue", newMovingProgress(0), time.Minute, true, 0, 15 * time.Second},
-		{"short", newMovingProgress(0), time.Second, true, 0, minStallTimeout},
-		{"complete but not ended", newMovingProgress(97, 98, 99, 100), time.Minute, true, 0, 90 * time.Second},
-		{"fine-grained run without an estimate", newMovingProgress(0, 1, 2, 3), 0, false, 0, minTimeoutWithoutEstimate},
-		{"doubles with each stop", newMovingProgress(0), time.Minute, true, 2, time.Minute},
-		{"no timeout after the last stop", newMovingProgress(0), time.Minute, true, maxStallStops, 0},
+		{"no report, fine-grained queue, short estimate", NewProgress(0), time.Second, true, 0, minStallTimeout},
+		{"coarse-grained reports", newReportedProgress(0), time.Minute, false, 0, 90 * time.Second},
+		{"fine-grained run", newReportedProgress(0, 1, 2, 3), time.Minute, false, 0, 15 * time.Second},
+		{"fine-grained queue", newReportedProgress(0), time.Minute, true, 0, 15 * time.Second},
+		{"fine-grained queue, short estimate", newReportedProgress(0), time.Second, true, 0, minStallTimeout},
+		{"complete but not ended", newReportedProgress(97, 98, 99, 100), time.Minute, true, 0, 90 * time.Second},
+		{"fine-grained run without an estimate", newReportedProgress(0, 1, 2, 3), 0, false, 0, minTimeoutWithoutEstimate},
+		{"doubles with each stop", newReportedProgress(0), time.Minute, true, 2, time.Minute},
+		{"no timeout after the last stop", newReportedProgress(0), time.Minute, true, maxStallStops, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,34 +52,34 @@
 }
 
 func TestProgress_IsStalledOnlyAtTimeout(t *testing.T) {
-	p := newMovingProgress(0)
+	p := newReportedProgress(0)
 	if p.IsStalled(p.AdvancedAt+minStallTimeout-1, minStallTimeout) {
-		t.Error("stalled before its timeout")
+		t.Error("IsStalled just before the timeout: got true, want false")
 	}
 	if !p.IsStalled(p.AdvancedAt+minStallTimeout, minStallTimeout) {
-		t.Error("not stalled at its timeout")
+		t.Error("IsStalled at the timeout: got false, want true")
 	}
 	if p.IsStalled(p.AdvancedAt+time.Hour, 0) {
-		t.Error("stalled without a timeout")
+		t.Error("IsStalled with a timeout of 0: got true, want false")
 	}
 }
 
 func TestProgress_DurationRatio(t *testing.T) {
-	p := newMovingProgress(40, 42, 50)
+	p := newReportedProgress(40, 42, 50)
 	if got := p.DurationRatio(10 * time.Second); got != 2 {
-		t.Errorf("10%% in 2 s of 10 s: %v", got)
+		t.Errorf("DurationRatio after 10%% in 2 s at an estimate of 10 s: got %v, want 2", got)
 	}
 	if got := p.DurationRatio(0); got != 0 {
-		t.Errorf("without an estimate: %v", got)
+		t.Errorf("DurationRatio without an estimate: got %v, want 0", got)
 	}
-	few := newMovingProgress(0, 4)
+	few := newReportedProgress(0, 4)
 	if got := few.DurationRatio(time.Second); got != 0 {
-		t.Errorf("too early to tell: %v", got)
+		t.Errorf("DurationRatio after 4%%, below minMeasuredPercent: got %v, want 0", got)
 	}
 }
 
-// TestProgress_SlowReportingRunIsNeverStalled: a run that reports each percent never
-// counts as stalled, up to ten times slower than its estimate.
+// TestProgress_SlowReportingRunIsNeverStalled checks that a run that reports each percent
+// never counts as stalled, even if it takes up to ten times its estimate.
 func TestProgress_SlowReportingRunIsNeverStalled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		estimate := time.Duration(rapid.IntRange(100, 3_600_000).Draw(t, "estimate ms")) * time.Millisecond
@@ -91,14 +92,15 @@
 			p.Observe(int(now*100/total), now)
 			timeout := p.StallTimeout(estimate, true, 0)
 			if p.IsStalled(now, timeout) {
-				t.Fatalf("at %v of %v, %d%%, timeout %v", now, total, p.Percent, timeout)
+				t.Fatalf("stalled at %v of %v, at %d%%, with timeout %v, want never stalled", now, total, p.Percent, timeout)
 			}
 		}
 	})
 }
 
-// TestProgress_StoppedRunIsStalledAtTimeout: a run that stops advancing at any percent
-// counts as stalled at its timeout, for the first maxStallStops runs of its task only.
+// TestProgress_StoppedRunIsStalledAtTimeout checks that a run that stops advancing at any
+// percent counts as stalled exactly at its timeout, but only until runs of its task were
+// stopped maxStallStops times.
 func TestProgress_StoppedRunIsStalledAtTimeout(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		estimate := time.Duration(rapid.IntRange(100, 600_000).Draw(t, "estimate ms")) * time.Millisecond
@@ -112,12 +114,12 @@
 				break
 			}
 			if p.IsStalled(p.AdvancedAt+timeout-1, timeout) || !p.IsStalled(p.AdvancedAt+timeout, timeout) {
-				t.Fatalf("stop %d: timeout %v", earlierStops, timeout)
+				t.Fatalf("after %d stops: not stalled exactly at the timeout %v", earlierStops, timeout)
 			}
 			earlierStops++
 		}
 		if earlierStops != maxStallStops {
-			t.Fatalf("%d stops", earlierStops)
+			t.Fatalf("got a timeout of 0 after %d stops, want after maxStallStops", earlierStops)
 		}
 	})
 }
--- a/internal/workerhealth/status.go
+++ b/internal/workerhealth/status.go
@@ -2,34 +2,33 @@
 
 import "time"
 
-// HealthState says how far a worker is trusted with runs. Its text appears in logs.
+// HealthState is the health of a worker, which determines the runs that it gets. Its text
+// appears in logs.
 type HealthState string
 
 // Health states.
 const (
-	// Healthy workers take any work.
+	// Healthy workers get any task.
 	Healthy HealthState = "trusted"
-	// Slow workers take work that fits on no other worker.
+	// Slow workers get a task only if no suitable worker that is not slow has capacity.
 	Slow HealthState = "slow"
-	// Suspect workers are ejected: they take no new work that any other worker
-	// could take.
+	// Suspect workers are ejected: they get no new task that another worker could run.
 	Suspect HealthState = "suspect"
-	// Probation follows on Suspect: the worker gets one run at a time, and none that
-	// is the last attempt of its task.
+	// Probation follows Suspect: the worker gets one run at a time, and none that is the
+	// last attempt of its task.
 	Probation HealthState = "probation"
 )
 
-// ActiveWorker is a worker incarnation that is able to take work at the time of a
-// review.
+// ActiveWorker is a worker incarnation that can get tasks at the time of a review.
 type ActiveWorker struct {
 	// ID is the worker id of the incarnation.
 	ID string
-	// Services are the services that it offers. The bounds on ejected and slow workers
-	// hold for each of them.
+	// Services has the services that the worker offers. The bounds on ejected and slow
+	// workers apply to each of them.
 	Services []string
 }
 
-// countIn counts the worker for each of its services.
+// countIn adds one to the count of each of the worker's services.
 func (a ActiveWorker) countIn(byService map[string]int) {
 	for _, service := range a.Services {
 		byService[service]++
@@ -39,15 +38,16 @@
 // Status is the health of a worker incarnation.
 type Status struct {
 	State HealthState
-	// Reason says why the worker is not healthy; empty if it is.
+	// Reason is why the worker is not healthy; empty if it is.
 	Reason string
 }
 
 // StatusChange is a transition of a worker to a new status.
 type StatusChange struct {
-	// WorkerID is the incarnation that the status is of.
+	// WorkerID is the worker id of the incarnation.
 	WorkerID string
 	Status
-	// Until is when the status is reviewed again. It does not apply to Healthy.
-	Until time.Duration
+	// ReviewAt is when the status is due for review. Probation may end before, and a Slow
+	// worker may be ejected before. It does not apply to Healthy.
+	ReviewAt time.Duration
 }
--- a/internal/workerhealth/tracker.go
+++ b/internal/workerhealth/tracker.go
@@ -6,21 +6,22 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// Tracker keeps the history of the workers during one leader's term. The leader
-// reports outcomes to it and calls Review from time to time. It is not safe for
+// Tracker keeps the history of the workers during one leader's term. The leader reports
+// outcomes and paces of runs to it and calls Review periodically. It is not safe for
 // concurrent use.
 type Tracker struct {
-	// workers has the history of each known incarnation, by worker id.
+	// workers has the history of each known worker incarnation, by worker id.
 	workers map[string]*history
-	// withFaults are those of workers with a fault that has not expired, so that a
-	// review does not have to look at the others.
+	// withFaults has the histories in workers with at least one fault that had not
+	// expired at the last review, so that outliers are searched only among them.
 	withFaults map[string]*history
-	// queueBaselines and stepBaselines say how long runs take on other workers.
+	// queueBaselines and stepBaselines have the durations of ended runs relative to their
+	// estimates, by queue and by step.
 	queueBaselines map[string]*queueBaseline
 	stepBaselines  map[record.StepID]*stepBaseline
 }
 
-// New returns a Tracker for which every worker is healthy.
+// New returns a Tracker that takes every worker as healthy.
 func New() *Tracker {
 	return &Tracker{
 		workers:        make(map[string]*history),
@@ -30,8 +31,8 @@
 	}
 }
 
-// Status returns the status of a worker as of the last review; a worker that is not
-// known is healthy.
+// Status returns the status of a worker as of the last review. An unknown worker is
+// healthy.
 func (t *Tracker) Status(workerID string) Status {
 	if found, known := t.workers[workerID]; known {
 		return found.status
@@ -46,18 +47,21 @@
 	h.successes++
 }
 
-// ObserveFailure records that a run of the task failed on a worker. If the task
-// failed on another worker before, the failure counts against neither.
+// ObserveFailure records that a run of the task failed on a worker. If an unexpired
+// failure or stall of the task is known of another worker, neither worker's is counted.
 func (t *Tracker) ObserveFailure(workerID string, task record.TaskID, now time.Duration) {
 	t.observeFault(workerID, runEnd{at: now, task: task, outcome: failed})
 }
 
-// ObserveStall records that a run of the task was stopped for lack of progress on a
-// worker. If the task failed on another worker before, it counts against neither.
+// ObserveStall records that a run of the task was stopped on a worker for lack of
+// progress. If an unexpired failure or stall of the task is known of another worker,
+// neither worker's is counted.
 func (t *Tracker) ObserveStall(workerID string, task record.TaskID, now time.Duration) {
 	t.observeFault(workerID, runEnd{at: now, task: task, outcome: stalled})
 }
 
+// observeFault records a failure or stall. If the task has faults on other workers, it
+// discounts them and the new one.
 func (t *Tracker) observeFault(workerID string, fault runEnd) {
 	for id, other := range t.withFaults {
 		if id != workerID && other.discount(fault.task) {
@@ -69,16 +73,17 @@
 	t.withFaults[workerID] = h
 }
 
-// Forget drops the history of an incarnation that is gone.
-func (t *Tracker) Forget(workerID string) {
+// ForgetWorker drops the history of a worker incarnation that no longer exists.
+func (t *Tracker) ForgetWorker(workerID string) {
 	delete(t.workers, workerID)
 	delete(t.withFaults, workerID)
 }
 
-// ForgetStep drops the baseline of the step that a task is of, once it has ended.
+// ForgetStep drops the baseline of a task's step. It is called once the step has ended.
 func (t *Tracker) ForgetStep(task record.TaskID) { delete(t.stepBaselines, task.StepID()) }
 
-// historyOf returns the history of a worker, which begins as healthy.
+// historyOf returns the history of a worker. It adds a new, healthy one for an unknown
+// worker.
 func (t *Tracker) historyOf(workerID string) *history {
 	found, known := t.workers[workerID]
 	if !known {
@@ -88,8 +93,8 @@
 	return found
 }
 
-// outcomesOf counts the outcomes of a worker. It skips the count by job where no
-// fault is known, which is the case for most workers.
+// outcomesOf returns the outcomes of a worker. Most workers have no fault; for them it
+// counts all run ends as successes without a count by job.
 func (t *Tracker) outcomesOf(h *history) outcomeCount {
 	if _, hasFaults := t.withFaults[h.id]; !hasFaults {
 		return outcomeCount{successes: len(h.ends)}
--- a/internal/workerhealth/tracker_test.go
+++ b/internal/workerhealth/tracker_test.go
@@ -11,23 +11,23 @@
 	h := newHarness(11)
 	h.endRuns(0, 0, 3)
 	h.review(0)
-	h.Forget("w0")
+	h.ForgetWorker("w0")
 	if got := h.Status("w0").State; got != Healthy || len(h.withFaults) != 0 {
-		t.Errorf("%s, %d workers with faults", got, len(h.withFaults))
+		t.Errorf("after Forget: got state %s and %d workers with faults, want trusted and 0", got, len(h.withFaults))
 	}
 }
 
 func TestTracker_StepBaselinesAreBounded(t *testing.T) {
 	h := newHarness(2)
-	for job := range maxSteps + 1 {
+	for job := range maxStepBaselines + 1 {
 		id := record.RunID{Task: record.TaskID{Job: fmt.Sprint("j", job), Step: "s"}, Number: 1}
 		h.ObservePace("w0", RunPace{Run: id, StepSize: 4, Ratio: 1, Ended: true}, h.now)
 	}
 	if len(h.stepBaselines) != 1 {
-		t.Errorf("%d step baselines after one more than %d", len(h.stepBaselines), maxSteps)
+		t.Errorf("got %d step baselines after one step more than the bound of %d, want 1", len(h.stepBaselines), maxStepBaselines)
 	}
-	h.ForgetStep(record.TaskID{Job: fmt.Sprint("j", maxSteps), Step: "s"})
+	h.ForgetStep(record.TaskID{Job: fmt.Sprint("j", maxStepBaselines), Step: "s"})
 	if len(h.stepBaselines) != 0 {
-		t.Errorf("%d step baselines after all were forgotten", len(h.stepBaselines))
+		t.Errorf("got %d step baselines after the last was forgotten, want 0", len(h.stepBaselines))
 	}
 }
