--- a/internal/compatibility/stored/describe_test.go
+++ b/internal/compatibility/stored/describe_test.go
@@ -231,7 +231,7 @@
 }
 
 func viewCounts(v record.View) fields {
-	counts := fields{"caller alice": v.CallerPending("batch", "alice")}
+	counts := fields{"caller alice": v.CallerPendingTasks("batch", "alice")}
 	show := func(name string, c record.QueueCounts) {
 		counts[name] = fields{"jobs": c.Jobs, "pending": c.PendingTasks, "running": c.RunningTasks}
 	}
--- a/internal/record/archive.go
+++ b/internal/record/archive.go
@@ -2,44 +2,45 @@
 
 import "fmt"
 
-// The archive on disk can be ahead of the state: after a restart the log is
-// applied again from the snapshot, while the archive already has what later
-// entries put there. An archived job therefore counts only from the entry that
-// ended it on, see findArchived. For the same reason expired jobs are hidden at
-// once but dropped only when no later restart can apply entries that would have
-// seen them, see archiveExpiry.
+// The archive on disk can be ahead of the state: after a restart the log is applied
+// again from the last snapshot, while the archive already holds the jobs that later
+// entries archived. An archived job is therefore visible only once the entry that
+// ended it has been applied (see findArchived). For the same reason, expired jobs
+// are hidden at once but deleted only when no later restart can apply entries that
+// would have seen them (see archiveExpiry).
 
-// Archive stores ended jobs outside of memory. Its writes must be idempotent:
-// after a restart the log is applied again from the snapshot. Its errors are fatal
-// for the replica.
+// Archive stores ended jobs outside of memory. Its writes must be idempotent,
+// because the log is applied again from the last snapshot after a restart. An error
+// from an Archive is fatal for the replica.
 type Archive interface {
-	// Put stores jobs, replacing those with the same id. They need not be durable
+	// Put stores jobs and replaces those with the same id. They need not be durable
 	// before Sync returns.
 	Put(jobs []ArchivedJob) error
-	// Get returns the job with an id, and false if there is none.
+	// Get returns the job with the given id, or false if there is none.
 	Get(id string) (ArchivedJob, bool, error)
-	// Page returns at most limit jobs in the order of (Index, ID), from after that
-	// position on, for the copy of a new replica.
+	// Page returns at most limit jobs in (Index, ID) order, starting after the
+	// given position. It is used to copy the archive to a new replica.
 	Page(afterIndex uint64, afterID string, limit int) ([]ArchivedJob, error)
-	// List returns at most limit jobs whose ids are greater than afterID, in the
-	// order of their ids.
+	// List returns at most limit jobs in id order, starting after afterID.
 	List(afterID string, limit int) ([]ArchivedJob, error)
-	// Expire drops at most limit jobs that ended before a time, oldest first, and
-	// returns how many.
+	// Expire deletes at most limit jobs that ended before the given time, oldest
+	// first, and returns the number of deleted jobs.
 	Expire(before Millis, limit int) (int, error)
-	// Bytes is the present size of the store, in bytes.
+	// Bytes returns the current size of the store, in bytes.
 	Bytes() int64
-	// OldestEnd returns when the last of the oldest jobs ended that together
-	// take at least that many bytes, or of the limit oldest ones, and how many
-	// they are; 0 if the store is empty.
+	// OldestEnd selects the oldest jobs that together take at least the given
+	// number of bytes, but at most limit jobs. It returns the end time of the
+	// newest job selected and the number of jobs selected, both 0 if the store is
+	// empty.
 	OldestEnd(bytes int64, limit int) (end Millis, count int, err error)
-	// Sync makes all earlier calls durable. The machine calls it before a snapshot
-	// that leaves those jobs out is written.
+	// Sync makes all earlier calls durable. The machine calls it before it writes a
+	// snapshot, because the snapshot omits the archived jobs.
 	Sync() error
 }
 
-// findArchived returns an archived job that the present state knows of: one that
-// an applied entry ended and that is not hidden by an expiry.
+// findArchived returns an archived job that is visible in the current state: the
+// entry that ended it has been applied, and no expiry hides it. Otherwise it
+// returns false. The error is that of the archive.
 func (m *Machine) findArchived(id string) (ArchivedJob, bool, error) {
 	job, found, err := m.archive.Get(id)
 	if err != nil {
@@ -51,8 +52,8 @@
 	return job, true, nil
 }
 
-// archiveEndedJobs moves the jobs that the entry ended to the archive, in one
-// batch.
+// archiveEndedJobs moves the jobs that the current entry ended to the archive, in
+// one batch.
 func (m *Machine) archiveEndedJobs() error {
 	if len(m.archiveBatch) == 0 {
 		return nil
--- a/internal/record/archivedjob.go
+++ b/internal/record/archivedjob.go
@@ -2,9 +2,8 @@
 
 import "github.com/decklever/decklever/api"
 
-// ArchivedJob is what the archive stores of an ended job. Its encoding and that of
-// the types that it holds is stored data: keys and the order of fields must not
-// change.
+// ArchivedJob is the stored outcome of an ended job. Its encoding and that of the
+// types it contains is stored data: keys and the order of fields must not change.
 type ArchivedJob struct {
 	ID          string         `cbor:"1,keyasint"`
 	Digest      string         `cbor:"2,keyasint"`
@@ -14,8 +13,8 @@
 	SubmittedAt Millis         `cbor:"6,keyasint"`
 	EndedAt     Millis         `cbor:"7,keyasint"`
 	Steps       []ArchivedStep `cbor:"8,keyasint"`
-	Index       uint64         `cbor:"9,keyasint"` // position in the log of the entry that ended it
-	// Occurrences is nil unless the job repeated; Steps is empty then.
+	Index       uint64         `cbor:"9,keyasint"` // log index of the entry that ended the job
+	// Occurrences is nil unless the job repeated. A repeating job has no Steps.
 	Occurrences *ArchivedOccurrences `cbor:"10,keyasint,omitempty"`
 }
 
@@ -28,10 +27,11 @@
 	Tasks int `cbor:"4,keyasint"`
 }
 
-// total is the number of all occurrences.
+// total returns the number of occurrences of all outcomes.
 func (o *ArchivedOccurrences) total() int { return o.Succeeded + o.Failed + o.Cancelled }
 
-// status converts the counts to the public API; nil if the job did not repeat.
+// status converts the counts to the public API. It returns nil if the job did not
+// repeat.
 func (o *ArchivedOccurrences) status() *api.OccurrenceStatus {
 	if o == nil {
 		return nil
@@ -54,7 +54,8 @@
 	Reason   string    `cbor:"5,keyasint,omitempty"`
 }
 
-// newArchivedJob reduces a job that an entry ended to its outcome.
+// newArchivedJob returns the outcome of a job that the entry at the given index
+// ended.
 func newArchivedJob(job *Job, endedAt Millis, index uint64) ArchivedJob {
 	archived := ArchivedJob{
 		ID:          job.ID,
@@ -74,7 +75,8 @@
 	return archived
 }
 
-// newArchivedOccurrences returns nil unless the job repeats.
+// newArchivedOccurrences returns the outcome counts of a repeating job, or nil if
+// the job does not repeat.
 func newArchivedOccurrences(job *Job) *ArchivedOccurrences {
 	if job.Repetition == nil {
 		return nil
@@ -114,7 +116,7 @@
 	return status
 }
 
-// statusWithoutSteps is Status without the steps.
+// statusWithoutSteps converts the job to the public API and leaves Steps empty.
 func (a *ArchivedJob) statusWithoutSteps() api.JobStatus {
 	endedAt := a.EndedAt.Time()
 	return api.JobStatus{
@@ -129,7 +131,7 @@
 	}
 }
 
-// Summary is the job's entry in a list of jobs.
+// Summary returns the job's entry in a list of jobs.
 func (a *ArchivedJob) Summary() api.JobSummary {
 	tasks := 0
 	for i := range a.Steps {
@@ -148,8 +150,8 @@
 	}
 }
 
-// status converts the step of a job to the public API.
-func (s *ArchivedStep) status(job string) api.StepStatus {
+// status converts the step to the public API.
+func (s *ArchivedStep) status(jobID string) api.StepStatus {
 	status := api.StepStatus{
 		Name:  s.Name,
 		State: s.state(),
@@ -157,7 +159,7 @@
 	}
 	for i, task := range s.Tasks {
 		status.Tasks[i] = api.TaskStatus{
-			Task:     TaskID{Job: job, Step: s.Name, Index: i}.String(),
+			Task:     TaskID{Job: jobID, Step: s.Name, Index: i}.String(),
 			State:    task.State,
 			Reason:   task.Reason,
 			Run:      task.Run,
@@ -168,7 +170,8 @@
 	return status
 }
 
-// state is failed if any task failed, else cancelled if any was, else succeeded.
+// state returns failed if any task failed, else cancelled if any task was
+// cancelled, else succeeded.
 func (s *ArchivedStep) state() api.State {
 	state := api.StateSucceeded
 	for _, task := range s.Tasks {
--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// BenchmarkApplySubmitPlaceClose runs one job of ten tasks through its life
-// beside 20,000 live jobs.
+// BenchmarkApplySubmitPlaceClose submits, places and closes one job of ten tasks
+// per iteration, with 20,000 other live jobs in the state.
 func BenchmarkApplySubmitPlaceClose(b *testing.B) {
 	h := newHarness(b)
 	h.machine.observers = nil
@@ -22,19 +22,19 @@
 	for i := range b.N {
 		job := fmt.Sprintf("job-%d", i)
 		h.submit(job, stepSpec("a", 10))
-		place, closing := &PlaceTasks{}, &CloseRuns{}
+		placeTasks, closeRuns := &PlaceTasks{}, &CloseRuns{}
 		for task := range 10 {
 			placement := placementOn(taskID(job, "a", task), 1, "w")
-			place.Placements = append(place.Placements, placement)
-			closing.Runs = append(closing.Runs, RunEnd{Run: placement.Run, Outcome: api.OutcomeSucceeded})
+			placeTasks.Placements = append(placeTasks.Placements, placement)
+			closeRuns.Runs = append(closeRuns.Runs, RunEnd{Run: placement.Run, Outcome: api.OutcomeSucceeded})
 		}
-		h.apply(Command{PlaceTasks: place})
-		h.apply(Command{CloseRuns: closing})
+		h.apply(Command{PlaceTasks: placeTasks})
+		h.apply(Command{CloseRuns: closeRuns})
 	}
 }
 
-// BenchmarkCapture is the time that a snapshot holds the lock, with 20,000
-// live jobs of ten tasks.
+// BenchmarkCapture measures how long a snapshot holds the lock, with 20,000 live
+// jobs of ten tasks each.
 func BenchmarkCapture(b *testing.B) {
 	h := newHarness(b)
 	h.machine.observers = nil
--- a/internal/record/canceljobs.go
+++ b/internal/record/canceljobs.go
@@ -1,7 +1,7 @@
 package record
 
-// applyCancelJobs cancels live jobs that MayCancel. A job that waits only for the
-// last runs of a gang that succeeded has ended already.
+// applyCancelJobs cancels the live jobs for which MayCancel holds. A job whose gang
+// has succeeded but still has open runs is already complete and is skipped.
 func (m *Machine) applyCancelJobs(cancel *CancelJobs) {
 	for _, id := range cancel.Jobs {
 		job := m.state.jobs.byID[id]
@@ -15,8 +15,8 @@
 	}
 }
 
-// cancelTasks makes tasks without an open run cancelled, and requests the stop
-// of all open runs; those tasks are cancelled once the runs are closed.
+// cancelTasks moves every task without an open run to TaskCancelled and requests a
+// stop of every open run. A task with an open run is cancelled when that run closes.
 func (m *Machine) cancelTasks(job *Job) {
 	for _, step := range job.Steps {
 		for _, task := range step.Tasks {
@@ -31,8 +31,8 @@
 	}
 }
 
-// cancelFutureOccurrences counts the occurrences that will not be added any more
-// as cancelled.
+// cancelFutureOccurrences counts the occurrences that have not been added yet as
+// cancelled; they will never be added.
 func (j *Job) cancelFutureOccurrences() {
 	if j.Repetition == nil {
 		return
--- a/internal/record/canceljobs_test.go
+++ b/internal/record/canceljobs_test.go
@@ -17,14 +17,14 @@
 	h.cancel("j")
 	h.cancel("j")
 	expectEvents(t, h, "stopping j/a/0 cancelled", "stopping j/a/1 cancelled", "left j/a/2")
-	expect(t, "at once", h.status("j").State, api.StateCancelled)
+	expect(t, "state right after the cancel", h.status("j").State, api.StateCancelled)
 	h.stop(StopPreempted, taskID("j", "a", 0))
 	h.close(taskID("j", "a", 0), 1, api.OutcomeFailed)
 	h.close(taskID("j", "a", 1), 1, api.OutcomeSucceeded)
 	expectEvents(t, h, "closed j/a/0 failed", "closed j/a/1 succeeded", "ended j cancelled")
 	tasks := h.status("j").Steps[0].Tasks
-	expect(t, "stopped", tasks[0].State, api.StateCancelled)
-	expect(t, "succeeded", tasks[1].State, api.StateSucceeded)
+	expect(t, "state of the task whose run failed after the cancel", tasks[0].State, api.StateCancelled)
+	expect(t, "state of the task whose run succeeded after the cancel", tasks[1].State, api.StateSucceeded)
 }
 
 func TestCancelJobs_ArchivesInOneBatch(t *testing.T) {
@@ -35,14 +35,14 @@
 		h.submit(ids[i], stepSpec("a", 1))
 	}
 	h.cancel(ids[:98]...)
-	expect(t, "puts", h.archive.puts, 1)
-	expect(t, "archived", len(h.archive.jobs), 98)
+	expect(t, "archive puts", h.archive.putCalls, 1)
+	expect(t, "archived jobs", len(h.archive.jobs), 98)
 	h.machine.Read(func(v View) {
-		var left []string
+		var remaining []string
 		for job := range v.Jobs("j98") {
-			left = append(left, job.ID)
+			remaining = append(remaining, job.ID)
 		}
-		expect(t, "after", fmt.Sprint(left), "[j99]")
-		expect(t, "jobs", v.QueueCounts(testQueue).Jobs, 2)
+		expect(t, "live jobs after j98", fmt.Sprint(remaining), "[j99]")
+		expect(t, "live jobs in the queue", v.QueueCounts(testQueue).Jobs, 2)
 	})
 }
--- a/internal/record/capture.go
+++ b/internal/record/capture.go
@@ -2,10 +2,10 @@
 
 import "github.com/decklever/decklever/api"
 
-// capture is a copy of all of the state that can change, made under the lock, from
-// which a snapshot is written without it. Specs, workers, configuration orders and
-// released windows never change and are shared. Few large slices are quicker to
-// fill than many small ones.
+// capture is a copy of all mutable parts of the state. It is made under the
+// machine's lock, and a snapshot is written from it without the lock. Specs,
+// workers, configuration orders and released windows are immutable and therefore
+// shared. A few large slices are faster to fill than many small ones.
 type capture struct {
 	header   snapshotHeader
 	versions []api.ConfigVersion
@@ -17,41 +17,43 @@
 	runs     []snapshotRun
 }
 
-// capturedJob is a job whose steps are stepCount elements of capture.steps, from
-// firstStep on.
+// capturedJob is a job. Its steps are the stepCount elements of capture.steps that
+// begin at firstStep.
 type capturedJob struct {
 	job       *Job
 	cancelled bool
 	firstStep int
 	stepCount int
-	// repetition, occurrences and started are set only of a repeating job.
+	// repetition, occurrences and started are set only for a repeating job.
 	repetition  *Repetition
 	occurrences []int
 	started     bool
 }
 
-// capturedStep is a step whose tasks are taskCount elements of capture.tasks, from
-// firstTask on.
+// capturedStep is a step. Its tasks are the taskCount elements of capture.tasks
+// that begin at firstTask.
 type capturedStep struct {
-	waitsOn   int
-	failedRun uint32
-	firstTask int
-	taskCount int
+	openDependencies int
+	lastFailedRun    uint32
+	firstTask        int
+	taskCount        int
 }
 
-// capture copies the state under the lock, and returns with it the expiry that the
-// snapshot will hold.
+// capture copies the state under the lock. It also returns the expiry that the
+// snapshot will contain. The previous snapshot counts as durable if it has been
+// written, see archiveExpiry.
 func (m *Machine) capture() (*capture, *snapshotExpiry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if last := m.expiry.latest; last != nil && last.written.Load() {
+	if last := m.expiry.latestSnapshot; last != nil && last.written.Load() {
 		m.expiry.durableBefore = max(m.expiry.durableBefore, last.expiredBefore)
 	}
-	m.expiry.latest = &snapshotExpiry{expiredBefore: m.state.expiredBefore}
-	return captureState(m.state), m.expiry.latest
+	m.expiry.latestSnapshot = &snapshotExpiry{expiredBefore: m.state.expiredBefore}
+	return captureState(m.state), m.expiry.latestSnapshot
 }
 
-// captureState copies a state.
+// captureState copies the mutable parts of a state and shares the immutable ones.
+// The caller holds the machine's lock.
 func captureState(s *state) *capture {
 	config := &s.config
 	c := &capture{
@@ -87,10 +89,10 @@
 	c.jobs = append(c.jobs, c.captureJob(job))
 	for _, step := range job.Steps {
 		c.steps = append(c.steps, capturedStep{
-			waitsOn:   step.OpenDependencies,
-			failedRun: step.lastFailedRun,
-			firstTask: len(c.tasks),
-			taskCount: len(step.Tasks),
+			openDependencies: step.OpenDependencies,
+			lastFailedRun:    step.lastFailedRun,
+			firstTask:        len(c.tasks),
+			taskCount:        len(step.Tasks),
 		})
 		for _, task := range step.Tasks {
 			c.addTask(task)
@@ -98,7 +100,7 @@
 	}
 }
 
-// captureJob copies what can change of a job itself.
+// captureJob copies the mutable fields of a job, without its steps.
 func (c *capture) captureJob(job *Job) capturedJob {
 	captured := capturedJob{job: job, cancelled: job.Cancelled, firstStep: len(c.steps), stepCount: len(job.Steps)}
 	if job.Repetition != nil {
@@ -130,8 +132,9 @@
 	})
 }
 
-// addRun copies an open run. The capacity of runs is the number of all, so that
-// appending never moves the elements that pointers were taken of.
+// addRun copies an open run and returns a pointer to the copy, or nil if run is
+// nil. The capacity of c.runs is the number of all open runs, so appending never
+// moves elements that are already pointed to.
 func (c *capture) addRun(run *Run) *snapshotRun {
 	if run == nil {
 		return nil
--- a/internal/record/checkpoint.go
+++ b/internal/record/checkpoint.go
@@ -2,17 +2,18 @@
 
 import "github.com/decklever/decklever/api"
 
-// checkpoint is the newest text that an earlier run of a task left, from which the
-// next run continues.
+// checkpoint is the newest checkpoint text reported by a run of a task. The task's
+// next run resumes from it.
 type checkpoint struct {
 	text string
-	// run is the number of the run that left it, percent its progress then.
+	// run is the number of the run that reported text; percent is its progress then.
 	run     uint32
 	percent int
 }
 
-// NewestCheckpoint is the checkpoint from which the next run of the task starts,
-// or empty. It is the same for all members of a gang with a common outcome.
+// NewestCheckpoint returns the checkpoint from which the next run of the task
+// starts, or "" if there is none or the task is not resumable. Resumable members
+// of a gang with a common outcome share one checkpoint.
 func (t *Task) NewestCheckpoint() string {
 	if !t.Spec.Resumable {
 		return ""
@@ -20,8 +21,8 @@
 	return t.checkpointOwner().checkpoint.text
 }
 
-// checkpointOwner is the task whose checkpoint counts: a gang with a common
-// outcome has one, that of its first member.
+// checkpointOwner returns the task that stores the checkpoint: the first member in
+// a gang with a common outcome, otherwise t itself.
 func (t *Task) checkpointOwner() *Task {
 	if t.Step.SharesOutcome() {
 		return t.Step.Tasks[0]
@@ -29,10 +30,11 @@
 	return t
 }
 
-// updateCheckpoint takes the checkpoint of a run that is being closed, or was
-// closed before. It changes nothing if the run left none, succeeded, or is older
-// than the one that left the present checkpoint. Of several ends with one run
-// number, as the members of a gang have, the one with the most progress counts.
+// updateCheckpoint stores the checkpoint of a run that is being closed or was
+// already closed. It changes nothing if the run reported no checkpoint or one
+// longer than api.MaxCheckpointBytes, succeeded, or has a lower number than the run
+// that reported the current checkpoint. Members of a gang share a run number; of
+// their checkpoints the one with the most progress is kept, and on a tie the last.
 func (t *Task) updateCheckpoint(end *RunEnd) {
 	if !t.Spec.Resumable || end.Checkpoint == "" || len(end.Checkpoint) > api.MaxCheckpointBytes {
 		return
--- a/internal/record/checkpoint_test.go
+++ b/internal/record/checkpoint_test.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// resumable makes every task of a step resumable.
+// resumable marks every task of a step as resumable.
 func resumable(spec api.StepSpec) api.StepSpec {
 	for i := range spec.Tasks {
 		spec.Tasks[i].Resumable = true
@@ -37,12 +37,12 @@
 		text    string
 		want    string
 	}{
-		{"lost", api.OutcomeLost, 50, "first", "first"},
-		{"none", api.OutcomeStopped, 0, "", "first"},
-		{"a later run that was less far", api.OutcomeFailed, 20, "third", "third"},
-		{"a success", api.OutcomeSucceeded, 100, "fourth", "third"},
-		{"too long", api.OutcomeLost, 30, strings.Repeat("x", api.MaxCheckpointBytes+1), "third"},
-		{"as long as may be", api.OutcomeLost, 30, strings.Repeat("x", api.MaxCheckpointBytes), strings.Repeat("x", api.MaxCheckpointBytes)},
+		{"run lost", api.OutcomeLost, 50, "first", "first"},
+		{"no checkpoint reported", api.OutcomeStopped, 0, "", "first"},
+		{"later run with less progress", api.OutcomeFailed, 20, "third", "third"},
+		{"run succeeded", api.OutcomeSucceeded, 100, "fourth", "third"},
+		{"checkpoint too long", api.OutcomeLost, 30, strings.Repeat("x", api.MaxCheckpointBytes+1), "third"},
+		{"checkpoint of the maximum length", api.OutcomeLost, 30, strings.Repeat("x", api.MaxCheckpointBytes), strings.Repeat("x", api.MaxCheckpointBytes)},
 	}
 	for i, step := range steps {
 		number := uint32(i + 1)
@@ -51,13 +51,13 @@
 		h.closeWithCheckpoint(task, number, step.outcome, step.percent, step.text)
 		h.closeWithCheckpoint(other, number, step.outcome, step.percent, step.text)
 		expect(t, step.what, h.task(task).NewestCheckpoint(), step.want)
-		expect(t, "a task that is not resumable", h.task(other).NewestCheckpoint(), "")
+		expect(t, "checkpoint of a task that is not resumable", h.task(other).NewestCheckpoint(), "")
 	}
 	snapshot := snapshotBytes(t, h.machine)
-	again := restored(t, snapshot, h.archive)
-	expect(t, "restored", again.state.jobs.task(task).checkpoint, h.task(task).checkpoint)
-	if !bytes.Equal(snapshot, snapshotBytes(t, again)) {
-		t.Fatal("a restored machine writes another snapshot")
+	restoredMachine := restoreMachine(t, snapshot, h.archive)
+	expect(t, "checkpoint after a restore", restoredMachine.state.jobs.task(task).checkpoint, h.task(task).checkpoint)
+	if !bytes.Equal(snapshot, snapshotBytes(t, restoredMachine)) {
+		t.Fatal("snapshot of the restored machine differs from the original")
 	}
 }
 
@@ -69,13 +69,13 @@
 	h.mustPlace(placementOn(task, 1, "w1"))
 	h.closeWithCheckpoint(task, 1, api.OutcomeLost, 40, "heard")
 	h.closeWithCheckpoint(task, 1, api.OutcomeStopped, 40, "at the stop")
-	expect(t, "newer of one run", h.task(task).NewestCheckpoint(), "at the stop")
+	expect(t, "checkpoint after a second report of the same run", h.task(task).NewestCheckpoint(), "at the stop")
 	h.mustPlace(placementOn(task, 2, "w1"))
 	h.closeWithCheckpoint(task, 1, api.OutcomeStopped, 90, "stale")
-	expect(t, "while a newer run is open", h.task(task).NewestCheckpoint(), "at the stop")
+	expect(t, "checkpoint after a late report while a newer run is open", h.task(task).NewestCheckpoint(), "at the stop")
 	h.closeWithCheckpoint(task, 2, api.OutcomeLost, 0, "")
 	h.closeWithCheckpoint(task, 1, api.OutcomeStopped, 90, "stale")
-	expect(t, "of an older run", h.task(task).NewestCheckpoint(), "at the stop")
+	expect(t, "checkpoint after a late report of an older run", h.task(task).NewestCheckpoint(), "at the stop")
 }
 
 func TestGang_CommonOutcomeSharesOneCheckpoint(t *testing.T) {
@@ -84,7 +84,7 @@
 	gang.Lockstep = true
 	h.submit("k", gang)
 	h.members = []TaskID{taskID("k", "a", 0), taskID("k", "a", 1), taskID("k", "a", 2)}
-	want := func(what, text string) {
+	expectAll := func(what, text string) {
 		t.Helper()
 		for _, member := range h.members {
 			expect(t, what, h.task(member).NewestCheckpoint(), text)
@@ -94,14 +94,14 @@
 	h.closeWithCheckpoint(h.members[2], 1, api.OutcomeLost, 30, "at 30")
 	h.closeWithCheckpoint(h.members[0], 1, api.OutcomeStopped, 40, "at 40")
 	h.closeWithCheckpoint(h.members[1], 1, api.OutcomeStopped, 35, "at 35")
-	want("the one that got furthest", "at 40")
+	expectAll("checkpoint of the member with the most progress", "at 40")
 	h.mustPlace(h.allMembers(2)...)
 	h.closeWithCheckpoint(h.members[1], 2, api.OutcomeFailed, 0, "")
 	h.closeWithCheckpoint(h.members[2], 2, api.OutcomeStopped, 5, "second at 5")
 	h.closeWithCheckpoint(h.members[0], 2, api.OutcomeStopped, 0, "")
-	want("a newer run", "second at 5")
-	again := restored(t, snapshotBytes(t, h.machine), h.archive)
+	expectAll("checkpoint of the newer run", "second at 5")
+	restoredMachine := restoreMachine(t, snapshotBytes(t, h.machine), h.archive)
 	for _, member := range h.members {
-		expect(t, "restored", again.state.jobs.task(member).NewestCheckpoint(), "second at 5")
+		expect(t, "checkpoint after a restore", restoredMachine.state.jobs.task(member).NewestCheckpoint(), "second at 5")
 	}
 }
--- a/internal/record/closeruns.go
+++ b/internal/record/closeruns.go
@@ -2,7 +2,8 @@
 
 import "github.com/decklever/decklever/api"
 
-// applyCloseRuns ends runs in the order given.
+// applyCloseRuns closes runs in the given order, after the gang successes among
+// them, which applyGangSuccesses applies first.
 func (m *Machine) applyCloseRuns(command *CloseRuns) {
 	m.applyGangSuccesses(command.Runs)
 	for i := range command.Runs {
@@ -20,11 +21,12 @@
 	}
 }
 
-// closeRun ends an open run.
+// closeRun closes an open run: it sets the task's next state, then stops or fails
+// the task's gang if that is due.
 func (m *Machine) closeRun(run *Run, end *RunEnd) {
 	task := run.Task
 	m.state.runs.remove(run)
-	if task.State.Final() { // by the success of its gang
+	if task.State.Final() { // its gang succeeded while the run was open
 		m.state.setRun(task, task.State, nil)
 		m.emit(RunClosed{Run: run, Outcome: end.Outcome})
 		return
@@ -42,12 +44,12 @@
 	m.failGangIfExhausted(task.Step)
 }
 
-// stateAfterRun returns the task's next state, and counts failures and
-// preemptions; a run that succeeded although it was to be preempted counts as
-// none. A worker reports a run that it stopped as stopped, so a failure that it
-// reports of a run that was to be stopped is the task's own and counts, unless
-// the job was cancelled. A task that runs until cancelled is ready again however
-// its run ended.
+// stateAfterRun returns the task's next state and counts failures and preemptions.
+// A run that succeeds after a preemption was requested is not counted as preempted.
+// A worker reports a run that it stopped as stopped. A failure reported for a run
+// with a requested stop is therefore the task's own and counts, unless the job was
+// cancelled. A task that runs until cancelled becomes ready again whatever the outcome,
+// unless the job was cancelled.
 func (m *Machine) stateAfterRun(run *Run, end *RunEnd) TaskState {
 	task := run.Task
 	succeeded := end.Outcome == api.OutcomeSucceeded
@@ -66,15 +68,15 @@
 		return m.stateAfterFailure(run, end)
 	}
 	if run.Stop == StopGang && task.Step.SharesOutcome() {
-		return TaskReady // the reason stays that of the member that ended first
+		return TaskReady // keep the reason, which names the member that ended first
 	}
 	task.Reason = interruptionReason(run, end.Outcome)
 	return TaskReady
 }
 
-// stateAfterFailure counts a failure and returns TaskReady, or TaskFailed if it
-// was the last one allowed. A gang with a common outcome fails later, in
-// failGangIfExhausted.
+// stateAfterFailure counts a failure and returns TaskReady, or TaskFailed if no
+// further failure is allowed. It always returns TaskReady for a gang with a common
+// outcome, which failGangIfExhausted fails once all of its runs are closed.
 func (m *Machine) stateAfterFailure(run *Run, end *RunEnd) TaskState {
 	task := run.Task
 	if task.Step.SharesOutcome() {
@@ -90,11 +92,11 @@
 	return TaskReady
 }
 
-// applyLateReport applies the end of a run that is closed already. A success
-// counts if the task is ready: the work of that run is done, whatever became of
-// newer runs, and none of them is open. Any other late report changes nothing
-// but the checkpoint, if it is of the newest run. Successes of gangs with a
-// common outcome were applied by applyGangSuccesses.
+// applyLateReport applies the end of a run that is already closed. A success
+// completes the task if it is ready, that is, no newer run is open: the work of
+// the reported run is done whatever the outcome of newer runs. Any other late
+// report can only update the checkpoint, and only if it is for the newest run.
+// Successes of gangs with a common outcome are applied by applyGangSuccesses.
 func (m *Machine) applyLateReport(task *Task, end *RunEnd) {
 	if task.State == TaskReady && end.Run.Number == task.LastRun {
 		task.updateCheckpoint(end)
@@ -103,7 +105,7 @@
 		return
 	}
 	if end.Run.Number == 0 || end.Run.Number > task.LastRun {
-		return // no such run was placed
+		return // no run with this number was placed
 	}
 	m.finishWithoutRun(task, TaskSucceeded, "")
 }
--- a/internal/record/confighistory.go
+++ b/internal/record/confighistory.go
@@ -6,17 +6,17 @@
 	"github.com/decklever/decklever/api"
 )
 
-// maxConfigVersions bounds the history of accepted configurations; the oldest are
-// dropped first.
+// maxConfigVersions is the number of accepted configurations kept in the history;
+// the oldest are dropped first.
 const maxConfigVersions = 1000
 
-// configState is the configuration in force, its history and its orders.
+// configState holds the active configuration, its history and the decided orders.
 type configState struct {
 	version uint64
-	// accepted is as the operator gave it; effective has defaults filled in.
+	// accepted is the configuration as submitted; effective has defaults filled in.
 	accepted  *api.Config
 	effective *api.Config
-	// queues and teams are those of effective, by name.
+	// queues and teams index the entries of effective by name.
 	queues map[string]api.QueueConfig
 	teams  map[string]api.TeamConfig
 	// versions is the history, oldest first.
@@ -24,8 +24,8 @@
 	orders   orderHistory
 }
 
-// configOrder is one decided PutConfig. It is stored in snapshots, and never
-// changed, so that a capture may share it.
+// configOrder is a decided PutConfig. It is stored in snapshots and immutable, so
+// that a capture may share it.
 type configOrder struct {
 	ID     string       `cbor:"1,keyasint"`
 	Digest string       `cbor:"2,keyasint"`
@@ -37,20 +37,20 @@
 type orderHistory struct {
 	limit int
 	byID  map[string]*configOrder
-	// ring is in the order of decision until it is full; after that, next is the
-	// index of the oldest, which the next order replaces.
+	// ring is in the order of decision until it holds limit orders. From then on,
+	// next is the index of the oldest order, which the next order replaces.
 	ring []*configOrder
 	next int
 }
 
-// newConfigState returns version 0, an empty configuration.
+// newConfigState returns a state with version 0, an empty configuration.
 func newConfigState(maxConfigOrders int) configState {
 	c := configState{orders: orderHistory{limit: maxConfigOrders, byID: make(map[string]*configOrder)}}
 	c.activate(0, &api.Config{})
 	return c
 }
 
-// activate puts a configuration in force. The caller then calls
+// activate makes config the active configuration. The caller must then call
 // countTable.recountTeams, unless there are no counts yet.
 func (c *configState) activate(version uint64, config *api.Config) {
 	effective := config.WithDefaults()
@@ -67,28 +67,29 @@
 	}
 }
 
-// addVersion appends to the history. What lies in versions is never changed, so
-// that a capture may share it.
+// addVersion appends to the history and drops the oldest versions beyond
+// maxConfigVersions. Stored elements are never modified, so that a capture may
+// share the slice.
 func (c *configState) addVersion(version api.ConfigVersion) {
 	c.versions = append(c.versions, version)
-	if surplus := len(c.versions) - maxConfigVersions; surplus > 0 {
-		c.versions = slices.Clone(c.versions[surplus:])
+	if excess := len(c.versions) - maxConfigVersions; excess > 0 {
+		c.versions = slices.Clone(c.versions[excess:])
 	}
 }
 
-// add records a decided order whose id is not known yet.
-func (h *orderHistory) add(added *configOrder) {
-	h.byID[added.ID] = added
+// add records a decided order. Its id must not be in the history.
+func (h *orderHistory) add(order *configOrder) {
+	h.byID[order.ID] = order
 	if len(h.ring) < h.limit {
-		h.ring = append(h.ring, added)
+		h.ring = append(h.ring, order)
 		return
 	}
 	delete(h.byID, h.ring[h.next].ID)
-	h.ring[h.next] = added
+	h.ring[h.next] = order
 	h.next = (h.next + 1) % len(h.ring)
 }
 
-// oldestFirst returns the orders in the order in which they were decided.
+// oldestFirst returns the orders in the order of decision.
 func (h *orderHistory) oldestFirst() []*configOrder {
 	return slices.Concat(h.ring[h.next:], h.ring[:h.next])
 }
--- a/internal/record/counts.go
+++ b/internal/record/counts.go
@@ -1,14 +1,14 @@
 package record
 
 // QueueCounts counts the live jobs and their tasks in one queue, or in all queues
-// of a team. Pending are tasks without an open run that are not final, also blocked
-// ones.
+// of a team. Pending tasks are not final and have no open run; they include
+// blocked tasks.
 type QueueCounts struct {
 	Jobs, PendingTasks, RunningTasks int
 }
 
-// minus subtracts other counts.
-func (c QueueCounts) minus(other QueueCounts) QueueCounts {
+// subtract returns c minus other, field by field.
+func (c QueueCounts) subtract(other QueueCounts) QueueCounts {
 	return QueueCounts{
 		Jobs:         c.Jobs - other.Jobs,
 		PendingTasks: c.PendingTasks - other.PendingTasks,
@@ -16,9 +16,9 @@
 	}
 }
 
-// countsOf is what one task adds to its queue. A task counts as running while its
-// run is open, also beyond the success of its gang.
-func countsOf(task *Task) QueueCounts {
+// taskCounts returns what one task adds to the counts of its queue. A task counts as
+// running while its run is open, even after its gang has succeeded.
+func taskCounts(task *Task) QueueCounts {
 	switch {
 	case task.Run != nil:
 		return QueueCounts{RunningTasks: 1}
@@ -28,18 +28,19 @@
 	return QueueCounts{}
 }
 
-// countTable has the counts of queues, teams and callers. They are updated as tasks
-// change, so that admission need not look at all jobs; counts of zero are dropped.
+// countTable holds the counts of queues, teams and callers. They are updated with
+// every change of a job or task, so that admission does not iterate over all jobs.
+// Entries whose counts are zero are deleted.
 type countTable struct {
-	// queues and teams are by name. A team's counts are the sum over the queues
-	// that name it in the configuration in force.
+	// queues and teams are keyed by name. A team's counts are the sum over the
+	// queues assigned to it in the active configuration.
 	queues map[string]*QueueCounts
 	teams  map[string]*QueueCounts
-	// pendingByCaller counts the pending tasks of each caller of a queue.
+	// pendingByCaller counts the pending tasks of each caller in each queue.
 	pendingByCaller map[queueCaller]int
 }
 
-// queueCaller is one caller in one queue.
+// queueCaller identifies a caller within a queue.
 type queueCaller struct{ queue, caller string }
 
 func newCountTable() countTable {
@@ -50,18 +51,18 @@
 	}
 }
 
-// adjust adds a change to the counts of a job's queue, of the queue's team, which
-// may be empty, and of the job's caller.
+// adjust adds a change to the counts of the job's queue, of the job's caller, and
+// of the queue's team. team is empty if the queue has none.
 func (t *countTable) adjust(job *Job, team string, change QueueCounts) {
 	queue := job.Spec.Queue
-	adjustNamed(t.queues, queue, change)
+	adjustByName(t.queues, queue, change)
 	t.adjustPending(queueCaller{queue, job.Spec.Caller}, change.PendingTasks)
 	if team != "" {
-		adjustNamed(t.teams, team, change)
+		adjustByName(t.teams, team, change)
 	}
 }
 
-// adjustPending adds to a caller's pending tasks.
+// adjustPending adds a change to the pending tasks of a caller.
 func (t *countTable) adjustPending(key queueCaller, change int) {
 	if change == 0 {
 		return
@@ -72,35 +73,35 @@
 	}
 }
 
-// recountTeams sums the counts of the teams under a configuration that has just
-// come into force.
+// recountTeams recomputes the counts of all teams. It is called after a
+// configuration was activated.
 func (t *countTable) recountTeams(config *configState) {
 	t.teams = make(map[string]*QueueCounts)
 	for name, counts := range t.queues {
 		if team := config.queues[name].Team; team != "" {
-			adjustNamed(t.teams, team, *counts)
+			adjustByName(t.teams, team, *counts)
 		}
 	}
 }
 
-// adjustNamed adds to the counts under a name.
-func adjustNamed(all map[string]*QueueCounts, name string, change QueueCounts) {
-	counts := all[name]
+// adjustByName adds a change to the counts stored under a name.
+func adjustByName(countsByName map[string]*QueueCounts, name string, change QueueCounts) {
+	counts := countsByName[name]
 	if counts == nil {
 		counts = &QueueCounts{}
-		all[name] = counts
+		countsByName[name] = counts
 	}
 	counts.Jobs += change.Jobs
 	counts.PendingTasks += change.PendingTasks
 	counts.RunningTasks += change.RunningTasks
 	if *counts == (QueueCounts{}) {
-		delete(all, name)
+		delete(countsByName, name)
 	}
 }
 
-// countsIn returns the counts under a name, zero if there are none.
-func countsIn(all map[string]*QueueCounts, name string) QueueCounts {
-	if counts := all[name]; counts != nil {
+// lookupCounts returns the counts stored under a name, or zero counts if there are none.
+func lookupCounts(countsByName map[string]*QueueCounts, name string) QueueCounts {
+	if counts := countsByName[name]; counts != nil {
 		return *counts
 	}
 	return QueueCounts{}
--- a/internal/record/drainzone.go
+++ b/internal/record/drainzone.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// applyDrainZone sets or clears an operator's drain of a zone. The drains of the
-// configuration are independent of it. The slice is copied, so that a capture may
-// share the old one.
+// applyDrainZone sets or clears an operator's drain of a zone. Drains in the
+// configuration are independent of it. The slice is cloned because a capture may
+// share the previous one.
 func (m *Machine) applyDrainZone(drain *DrainZone) {
 	position, drained := slices.BinarySearch(m.state.drainedZones, drain.Zone)
 	if drained == drain.Drained {
--- a/internal/record/drainzone_test.go
+++ b/internal/record/drainzone_test.go
@@ -27,7 +27,7 @@
 	h.drainZone("z1", true)
 	h.drainZone("z1", true)
 	expectDrained(t, h.machine, "z1", "z2")
-	expectDrained(t, restored(t, snapshotBytes(t, h.machine), h.archive), "z1", "z2")
+	expectDrained(t, restoreMachine(t, snapshotBytes(t, h.machine), h.archive), "z1", "z2")
 
 	h.submit("j", stepSpec("a", 1))
 	expectDrained(t, h.machine, "z1", "z2")
--- a/internal/record/encode_bench_test.go
+++ b/internal/record/encode_bench_test.go
@@ -9,13 +9,13 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// tasksPerSubmission is the size of the job in the encoded command.
+// tasksPerSubmission is the number of tasks of the submitted job.
 const tasksPerSubmission = 10
 
-// submission is an encoded command that hands a job in, made of the numbers on
-// disk: 1 time, 2 token, 3 the submission with 1 id, 2 job, 3 digest. Names of Go
-// fields do not occur, so that older versions have the benchmarks by a copy of
-// this file.
+// submission returns an encoded SubmitJob command. It is built from the stored CBOR
+// keys (1 time, 2 token, 3 the submission with 1 id, 2 job spec, 3 digest) instead
+// of Go field names, so that a copy of this file can also benchmark older versions
+// of the package.
 func submission(b *testing.B) []byte {
 	b.Helper()
 	step := api.StepSpec{Name: "a"}
--- a/internal/record/encoding.go
+++ b/internal/record/encoding.go
@@ -10,18 +10,20 @@
 
 // Errors of Encode and Decode.
 var (
-	// ErrNoCommand: none of the command's pointers is set.
+	// ErrNoCommand is returned if none of the command's pointers is set.
 	ErrNoCommand = errors.New("record: command is empty or unknown")
-	// ErrSeveralCommands: more than one of the command's pointers is set.
+	// ErrSeveralCommands is returned if more than one of the command's pointers is
+	// set.
 	ErrSeveralCommands = errors.New("record: command holds more than one change")
-	// ErrTimeRange: a time cannot be written in RFC 3339. See TimeRangeError.
+	// ErrTimeRange matches every TimeRangeError: a time cannot be written in RFC
+	// 3339.
 	ErrTimeRange = errors.New("record: time lies outside of the years 0 to 9999")
 )
 
-// TimeRangeError reports a time that Encode cannot write so that Decode reads
-// it back. It matches ErrTimeRange.
+// TimeRangeError reports a time that Encode cannot write in a form that Decode can
+// read. It matches ErrTimeRange.
 type TimeRangeError struct {
-	// Field is the field of the job's specification.
+	// Field is the path of the field in the job's specification.
 	Field string
 	Value time.Time
 }
@@ -34,20 +36,20 @@
 // Unwrap returns ErrTimeRange.
 func (e *TimeRangeError) Unwrap() error { return ErrTimeRange }
 
-// maxCBORElements bounds the elements of one array or map. The memory that
-// decoding takes is bounded by the length of the input, since the decoder checks
-// that an item is well formed before it allocates for it.
+// maxCBORElements is the maximum number of elements of one array or map. The length
+// of the input bounds the memory that decoding takes, because the decoder checks
+// that an item is well formed before it allocates memory for it.
 const maxCBORElements = 1 << 24
 
-// maxYear is the last year that RFC 3339 can write.
+// maxYear is the last year that RFC 3339 can represent.
 const maxYear = 9999
 
 // encoding is deterministic (RFC 8949, section 4.2): equal values give equal
 // bytes on every replica.
 var encoding = mustEncoding()
 
-// decoding accepts text that is not UTF-8: a committed entry must be readable
-// whatever text a worker put into it.
+// decoding accepts text that is not valid UTF-8: a committed entry must be readable
+// whatever text a worker reported.
 var decoding = mustDecoding()
 
 func mustEncoding() cbor.EncMode {
@@ -73,8 +75,8 @@
 	return mode
 }
 
-// Encode writes a command as CBOR. It refuses what Decode could not read back:
-// ErrNoCommand, ErrSeveralCommands or a TimeRangeError.
+// Encode writes a command as CBOR. It rejects commands that Decode could not read
+// back, with ErrNoCommand, ErrSeveralCommands or a TimeRangeError.
 func Encode(command Command) ([]byte, error) {
 	if err := command.validate(); err != nil {
 		return nil, err
@@ -91,9 +93,9 @@
 	return data, nil
 }
 
-// Decode reads a command that Encode wrote. Unknown fields are ignored, so that
-// a replica can follow a log with fields of newer programs; a command without
-// any known change is ErrNoCommand.
+// Decode reads a command that Encode wrote. Unknown fields are ignored, so that a
+// replica can follow a log with fields of newer programs. A command without any
+// known change returns ErrNoCommand.
 func Decode(data []byte) (Command, error) {
 	var command Command
 	if err := decoding.Unmarshal(data, &command); err != nil {
@@ -105,8 +107,8 @@
 	return command, nil
 }
 
-// validateTimes returns a TimeRangeError for the first time of the job that
-// cannot be encoded.
+// validateTimes returns a TimeRangeError for the first time in the job that cannot
+// be encoded.
 func validateTimes(submit *SubmitJob) error {
 	if repeat := submit.Spec.Repeat; repeat != nil && !representable(repeat.First) {
 		return &TimeRangeError{Field: "repeat.first", Value: repeat.First}
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// representable reports whether RFC 3339 can write a time.
+// representable reports whether RFC 3339 can represent a time.
 func representable(t time.Time) bool {
 	year := t.UTC().Year()
 	return year >= 0 && year <= maxYear
--- a/internal/record/events.go
+++ b/internal/record/events.go
@@ -2,75 +2,77 @@
 
 import "github.com/decklever/decklever/api"
 
-// Event is one change of the state. Observers get the events of an entry while it
-// is applied, in the order of the changes.
+// Event is one change of the state. Observers receive the events of an entry while
+// it is applied, in the order of the changes.
 type Event interface{ event() }
 
-// TaskBecameReady: the task can be placed from its NotBefore on.
+// TaskBecameReady reports a task that can be placed from its NotBefore on.
 type TaskBecameReady struct{ Task *Task }
 
-// TaskLeftReady: a ready task became final without a run.
+// TaskLeftReady reports a ready task that became final without a run.
 type TaskLeftReady struct{ Task *Task }
 
-// RunOpened: a placement was accepted.
+// RunOpened reports an accepted placement.
 type RunOpened struct{ Run *Run }
 
-// RunStopping: the run is to be stopped, for the reason in Run.Stop; or that
-// reason became StopCancelled.
+// RunStopping reports that a stop of the run was requested for the reason in
+// Run.Stop, or that this reason changed to StopCancelled.
 type RunStopping struct{ Run *Run }
 
-// RunClosed: the run's resources are free again. If the task is to run again,
-// TaskBecameReady follows.
+// RunClosed reports that a run ended and its resources are free again. If the task
+// is to run again, TaskBecameReady follows.
 type RunClosed struct {
 	Run     *Run
 	Outcome api.Outcome
 }
 
-// JobAdded: a job is live.
+// JobAdded reports a new live job.
 type JobAdded struct{ Job *Job }
 
-// OccurrenceAdded: a repeating job's next occurrence is live. The first comes with
-// JobAdded.
+// OccurrenceAdded reports that the next occurrence of a repeating job is live. The
+// first occurrence is reported by JobAdded only.
 type OccurrenceAdded struct {
 	Job        *Job
 	Occurrence int
 }
 
-// OccurrenceEnded: an occurrence of a repeating job has ended and was removed from
-// the state.
+// OccurrenceEnded reports that an occurrence of a repeating job ended and is
+// removed from the state.
 type OccurrenceEnded struct {
 	Job        *Job
 	Occurrence int
 	Steps      []*Step
 }
 
-// JobEnded: a job has ended and was moved to the archive.
+// JobEnded reports that a job ended and was removed from the live jobs. It is
+// archived at the end of the entry.
 type JobEnded struct{ Job *Job }
 
-// ConfigChanged: a new version of the configuration is in force; Config has
-// defaults filled in.
+// ConfigChanged reports that a new version of the configuration is in force. Config
+// has defaults filled in.
 type ConfigChanged struct {
 	Version uint64
 	Config  *api.Config
 }
 
-// WorkerChanged: a worker was registered, or what is known of it changed.
+// WorkerChanged reports that a worker was registered or its description changed.
 type WorkerChanged struct{ Worker *Worker }
 
-// WorkerForgotten: the name is no longer known.
+// WorkerForgotten reports that a worker was removed.
 type WorkerForgotten struct{ Worker *Worker }
 
-// WindowReleased: the capacity of a reservation window was given back.
+// WindowReleased reports that the capacity of a reservation window was returned
+// before its end.
 type WindowReleased struct{ Window ReleaseWindow }
 
-// ZoneDrainChanged: an operator's drain of a zone was set or cleared.
+// ZoneDrainChanged reports that an operator's drain of a zone was set or cleared.
 type ZoneDrainChanged struct {
 	Zone    string
 	Drained bool
 }
 
-// StateReplaced: a snapshot was restored. Observers must read the complete state
-// again; there are no events for the differences.
+// StateReplaced reports that a snapshot was restored. Observers must read the
+// complete state again; there are no events for the differences.
 type StateReplaced struct{}
 
 func (TaskBecameReady) event()  {}
@@ -89,16 +91,17 @@
 func (ZoneDrainChanged) event() {}
 func (StateReplaced) event()    {}
 
-// observer is a struct so that its pointer identifies one call of Observe.
+// observer holds the callback of one call of Observe. It is a struct so that its
+// pointer identifies that call.
 type observer struct {
 	notify func(Event)
 }
 
-// Observe calls start, which may be nil, with the present state, and notify with
-// every event after it, without a gap. Both run under the write lock: they must
-// neither block nor call the Machine. What an event points to has the state right
-// after that event. stop ends the observation; it must not be called from within
-// start or notify.
+// Observe calls start, which may be nil, with the current state, and then notify
+// with every later event, without missing any. Both run under the write lock: they
+// must neither block nor call the Machine. The values that an event points to have
+// the state right after that event. stop ends the observation; it must not be
+// called from start or notify.
 func (m *Machine) Observe(start func(View), notify func(Event)) (stop func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -121,7 +124,7 @@
 	}
 }
 
-// emit calls all observers, in the order in which they were added.
+// emit passes an event to all observers, in the order in which they were added.
 func (m *Machine) emit(event Event) {
 	for _, observer := range m.observers {
 		observer.notify(event)
--- a/internal/record/expandrepeats.go
+++ b/internal/record/expandrepeats.go
@@ -2,24 +2,25 @@
 
 import "github.com/decklever/decklever/api"
 
-// Repetition is the progress of a repeating job. Occurrences that have ended are
-// only counted here; those that have not been added take no memory.
+// Repetition is the progress of a repeating job. Ended occurrences are kept only as
+// counts, and occurrences that have not been added take no memory.
 type Repetition struct {
-	// Next is the number of the occurrence that is added next, or Job.Occurrences
-	// if all were.
+	// Next is the number of the next occurrence to add, or Job.Occurrences if
+	// all have been added.
 	Next int `cbor:"1,keyasint"`
 	// Succeeded, Failed and Cancelled count ended occurrences by outcome.
-	// Cancelled also counts those that a cancel kept from being added.
+	// Cancelled includes the occurrences that were never added because the job
+	// was cancelled.
 	Succeeded int `cbor:"2,keyasint,omitempty"`
 	Failed    int `cbor:"3,keyasint,omitempty"`
 	Cancelled int `cbor:"4,keyasint,omitempty"`
-	// AllowedFailures applies to tasks that name none: the default of the queue
-	// when the job was accepted.
+	// AllowedFailures applies to tasks whose spec sets no limit. It is the
+	// queue's default at the time when the job was accepted.
 	AllowedFailures int `cbor:"5,keyasint"`
 }
 
-// applyExpandRepeats adds the occurrences that fall due, one after the other. One
-// for which the job has too many open tasks is left for a later command.
+// applyExpandRepeats adds the occurrences that are due, in ascending order. An
+// occurrence that would give the job too many open tasks is left to a later command.
 func (m *Machine) applyExpandRepeats(expand *ExpandRepeats) {
 	for _, expansion := range expand.Jobs {
 		job := m.state.jobs.byID[expansion.Job]
@@ -33,9 +34,9 @@
 	}
 }
 
-// canAddOccurrence reports whether the next occurrence is at most through, and may
-// be open beside the live ones: a job's open tasks stay below
-// api.MaxOpenTasksPerJob, or are those of one occurrence.
+// canAddOccurrence reports whether the next occurrence has a number of at most
+// through and may be added beside the live ones. Occurrences are added only while
+// the job's open tasks stay within api.MaxOpenTasksPerJob, or if it has none.
 func (j *Job) canAddOccurrence(through int) bool {
 	if j.Repetition.Next > through || j.Repetition.Next >= j.Occurrences() {
 		return false
@@ -43,7 +44,7 @@
 	return j.OpenTasks == 0 || j.OpenTasks+j.Spec.TaskCount() <= api.MaxOpenTasksPerJob
 }
 
-// addNextOccurrence adds a repeating job's next occurrence.
+// addNextOccurrence adds the next occurrence of a repeating job and starts it.
 func (m *Machine) addNextOccurrence(job *Job) {
 	added := job.addOccurrence(job.Repetition.Next)
 	added.initializeTasks(job.Repetition.AllowedFailures)
--- a/internal/record/expandrepeats_test.go
+++ b/internal/record/expandrepeats_test.go
@@ -16,16 +16,16 @@
 	h.register(testWorker("w1"))
 	h.submitSpec("j", repeatingJob(3, 2000, stepSpec("a", 1), stepSpec("b", 1, "a")))
 	if got := h.status("j"); got.State != api.StatePending || len(got.Steps) != 2 || got.Occurrences.Open != 1 {
-		t.Fatalf("at first: %+v", got)
+		t.Fatalf("got status %+v after the submit, want pending, 2 steps and 1 open occurrence", got)
 	}
-	h.mustRejectAll(placementOn(occurrenceTaskID("j", "a", 0, 0), 1, "w1")) // before it falls due
+	h.mustRejectAll(placementOn(occurrenceTaskID("j", "a", 0, 0), 1, "w1")) // before the occurrence is due
 	h.now = 2000
 	h.placeAndClose(occurrenceTaskID("j", "a", 0, 0), api.OutcomeSucceeded)
 	h.expand("j", 1)
-	h.expand("j", 1) // again
+	h.expand("j", 1) // repeated command
 	h.mustRejectAll(placementOn(occurrenceTaskID("j", "a", 0, 1), 1, "w1"))
 	h.now = 2100
-	h.placeAndClose(occurrenceTaskID("j", "a", 0, 1), api.OutcomeSucceeded) // beside the first
+	h.placeAndClose(occurrenceTaskID("j", "a", 0, 1), api.OutcomeSucceeded) // while occurrence 0 is still live
 	status := h.status("j")
 	var names []string
 	for _, step := range status.Steps {
@@ -39,12 +39,12 @@
 	due := Millis(2200).Time()
 	want := &api.OccurrenceStatus{Times: 3, Open: 2, NextDue: &due}
 	if diff := cmp.Diff(want, status.Occurrences); diff != "" || status.State != api.StateRunning {
-		t.Fatalf("%s: %s", status.State, diff)
+		t.Fatalf("got state %s, want running; occurrences (-want +got):\n%s", status.State, diff)
 	}
 	h.placeAndClose(occurrenceTaskID("j", "b", 0, 0), api.OutcomeSucceeded)
 	h.placeAndClose(occurrenceTaskID("j", "b", 0, 1), api.OutcomeSucceeded)
 	if got := h.status("j"); got.State != api.StateRunning || len(got.Steps) != 0 || got.Occurrences.Succeeded != 2 {
-		t.Fatalf("between occurrences: %+v", got)
+		t.Fatalf("got status %+v between occurrences, want running, no steps and 2 succeeded occurrences", got)
 	}
 	h.expand("j", 99)
 	h.now = 2200
@@ -52,11 +52,11 @@
 	h.placeAndClose(occurrenceTaskID("j", "b", 0, 2), api.OutcomeSucceeded)
 	got := h.status("j")
 	if got.State != api.StateSucceeded || !got.Archived || got.Occurrences.Succeeded != 3 || got.Occurrences.Times != 3 {
-		t.Fatalf("at last: %+v", got)
+		t.Fatalf("got status %+v after the last occurrence, want archived as succeeded with 3 of 3 occurrences", got)
 	}
 	archived, _, _ := h.archive.Get("j")
-	if row := archived.Summary(); row.TasksTotal != 6 || row.TasksEnded != 6 {
-		t.Fatalf("row %+v", row)
+	if summary := archived.Summary(); summary.TasksTotal != 6 || summary.TasksEnded != 6 {
+		t.Fatalf("got archived summary %+v, want 6 tasks, all ended", summary)
 	}
 }
 
@@ -69,7 +69,7 @@
 	h.submitSpec("j", repeatingJob(2, 1000, failing, stepSpec("b", 1, "a")))
 	h.placeAndClose(occurrenceTaskID("j", "a", 0, 0), api.OutcomeFailed)
 	if got := h.status("j"); got.State != api.StateRunning || got.Occurrences.Failed != 1 || got.Occurrences.Open != 0 {
-		t.Fatalf("after the first: %+v", got)
+		t.Fatalf("got status %+v after the first occurrence, want running with 1 failed and no open occurrence", got)
 	}
 	h.expand("j", 1)
 	h.now = 1100
@@ -78,7 +78,7 @@
 	got := h.status("j")
 	want := &api.OccurrenceStatus{Times: 2, Succeeded: 1, Failed: 1}
 	if diff := cmp.Diff(want, got.Occurrences); diff != "" || got.State != api.StateFailed || !got.Archived {
-		t.Fatalf("%s: %s", got.State, diff)
+		t.Fatalf("got state %s, want archived as failed; occurrences (-want +got):\n%s", got.State, diff)
 	}
 }
 
@@ -93,17 +93,17 @@
 	h.cancel("j")
 	h.expand("j", 500)
 	if got := h.status("j"); got.State != api.StateCancelled || got.EndedAt != nil || got.Occurrences.Open != 1 {
-		t.Fatalf("while one runs: %+v", got)
+		t.Fatalf("got status %+v while an occurrence runs, want cancelled, not ended, 1 open occurrence", got)
 	}
 	h.close(occurrenceTaskID("j", "a", 0, 1), 1, api.OutcomeStopped)
 	got := h.status("j")
 	want := &api.OccurrenceStatus{Times: 1000, Succeeded: 1, Cancelled: 999}
 	if diff := cmp.Diff(want, got.Occurrences); diff != "" || got.State != api.StateCancelled || got.EndedAt == nil {
-		t.Fatalf("%+v: %s", got, diff)
+		t.Fatalf("got status %+v, want cancelled with an end time; occurrences (-want +got):\n%s", got, diff)
 	}
 }
 
-func TestRepeat_EndedOccurrencesLeaveMemory(t *testing.T) {
+func TestRepeat_EndedOccurrencesRemovedFromState(t *testing.T) {
 	h := newHarness(t)
 	h.register(testWorker("w1"))
 	h.submitSpec("j", repeatingJob(api.MaxOccurrences, 1000, replicatedStep("a", 3)))
@@ -116,15 +116,15 @@
 		}
 		job := h.machine.state.jobs.byID["j"]
 		if len(job.Steps) != 0 || len(job.occurrences) != 0 || h.machine.state.jobs.taskTotal != 0 {
-			t.Fatalf("after occurrence %d: %d steps, %d tasks", number, len(job.Steps), h.machine.state.jobs.taskTotal)
+			t.Fatalf("after occurrence %d: got %d steps and %d tasks in the state, want none", number, len(job.Steps), h.machine.state.jobs.taskTotal)
 		}
 	}
 	if grown := len(snapshotBytes(t, h.machine)); grown > size {
-		t.Fatalf("a snapshot of %d bytes grew to %d", size, grown)
+		t.Fatalf("snapshot grew from %d to %d bytes", size, grown)
 	}
 	job := h.machine.state.jobs.byID["j"]
-	if row := job.Summary(); row.TasksTotal != 3*api.MaxOccurrences || row.TasksEnded != 600 {
-		t.Fatalf("row %+v", row)
+	if summary := job.Summary(); summary.TasksTotal != 3*api.MaxOccurrences || summary.TasksEnded != 600 {
+		t.Fatalf("got summary %+v, want 3 tasks per occurrence and 600 ended tasks", summary)
 	}
 }
 
@@ -135,19 +135,19 @@
 	h.expand("j", api.MaxOccurrences)
 	job := h.machine.state.jobs.byID["j"]
 	if job.OpenTasks != api.MaxOpenTasksPerJob || job.Repetition.Next != api.MaxOpenTasksPerJob/1000 {
-		t.Fatalf("%d open tasks, next %d", job.OpenTasks, job.Repetition.Next)
+		t.Fatalf("got %d open tasks and next occurrence %d, want as many as api.MaxOpenTasksPerJob allows", job.OpenTasks, job.Repetition.Next)
 	}
 	if allocated := testing.AllocsPerRun(1, func() { h.expand("j", api.MaxOccurrences) }); allocated > 1000 {
-		t.Fatalf("an expansion beyond the bound allocates %v times", allocated)
+		t.Fatalf("an expansion at the bound made %v allocations, want at most 1000", allocated)
 	}
 }
 
 func TestRepeat_SpreadAppliesWithinOneOccurrence(t *testing.T) {
 	h := newHarness(t)
 	h.register(testWorker("w1"))
-	apart := replicatedStep("a", 2)
-	apart.Tasks[0].Spread = &api.Spread{By: api.SpreadByWorker}
-	h.submitSpec("j", repeatingJob(2, 1000, apart))
+	spread := replicatedStep("a", 2)
+	spread.Tasks[0].Spread = &api.Spread{By: api.SpreadByWorker}
+	h.submitSpec("j", repeatingJob(2, 1000, spread))
 	h.now = 1100
 	h.expand("j", 1)
 	h.mustPlace(placementOn(occurrenceTaskID("j", "a", 0, 0), 1, "w1"))
@@ -163,13 +163,13 @@
 	failing.Tasks[0].AllowedFailures = &one
 	h.submitSpec("j", repeatingJob(3, 1000, failing))
 	h.placeAndClose(occurrenceTaskID("j", "a", 0, 0), api.OutcomeFailed)
-	again := restored(t, snapshotBytes(t, h.machine), h.archive)
-	if before, after := h.machine.state.jobs.byID["j"], again.state.jobs.byID["j"]; !reflect.DeepEqual(before, after) {
-		t.Fatalf("%+v became %+v", before, after)
+	restoredMachine := restoreMachine(t, snapshotBytes(t, h.machine), h.archive)
+	if before, after := h.machine.state.jobs.byID["j"], restoredMachine.state.jobs.byID["j"]; !reflect.DeepEqual(before, after) {
+		t.Fatalf("the restore changed the job from %+v to %+v", before, after)
 	}
-	h.machine = again
+	h.machine = restoredMachine
 	if got := h.status("j"); got.State != api.StateRunning || got.Occurrences.Failed != 1 {
-		t.Fatalf("%s, %+v", got.State, got.Occurrences)
+		t.Fatalf("got state %s and occurrences %+v after the restore, want running with 1 failed", got.State, got.Occurrences)
 	}
 }
 
@@ -191,7 +191,7 @@
 			}
 		})
 		if len(open) != 2 || open[first] {
-			t.Errorf("after the end of occurrence %d, open are %v", first, open)
+			t.Errorf("after the end of occurrence %d: got open runs in occurrences %v, want the other two", first, open)
 		}
 	}
 }
@@ -208,23 +208,23 @@
 	}
 	h.mustPlace(placementOn(occurrenceTaskID("j", "a", 0, 4), 1, "w1"))
 	written := snapshotBytes(t, h.machine)
-	again := restored(t, written, h.archive)
-	if !bytes.Equal(written, snapshotBytes(t, again)) {
-		t.Fatal("a restored machine writes another snapshot")
+	restoredMachine := restoreMachine(t, written, h.archive)
+	if !bytes.Equal(written, snapshotBytes(t, restoredMachine)) {
+		t.Fatal("snapshot of the restored machine differs from the original")
 	}
-	if live := again.state.jobs.byID["j"].liveOccurrences(); !slices.Equal(live, []int{1, 2, 4, 5}) {
-		t.Fatalf("live %v", live)
+	if live := restoredMachine.state.jobs.byID["j"].liveOccurrences(); !slices.Equal(live, []int{1, 2, 4, 5}) {
+		t.Fatalf("got live occurrences %v, want [1 2 4 5]", live)
 	}
-	h.machine = again
+	h.machine = restoredMachine
 	h.close(occurrenceTaskID("j", "a", 0, 4), 1, api.OutcomeSucceeded)
 	h.placeAndClose(occurrenceTaskID("j", "b", 0, 4), api.OutcomeSucceeded)
 	if got := h.status("j"); got.Occurrences.Succeeded != 3 || got.State != api.StateRunning {
-		t.Fatalf("%s, %+v", got.State, got.Occurrences)
+		t.Fatalf("got state %s and occurrences %+v after the restore, want running with 3 succeeded", got.State, got.Occurrences)
 	}
 }
 
-// TestRepeat_CancelBetweenOccurrences: a job none of whose occurrences is open at the
-// moment still has some to come, which a cancel must end.
+// TestRepeat_CancelBetweenOccurrences guards against a cancel that ignores a job with
+// no open occurrence: the occurrences that were not added yet must be cancelled.
 func TestRepeat_CancelBetweenOccurrences(t *testing.T) {
 	h := newHarness(t)
 	h.register(testWorker("w1"))
@@ -235,6 +235,6 @@
 	h.expand("j", 1)
 	got := h.status("j")
 	if got.State != api.StateCancelled || got.Occurrences == nil || got.Occurrences.Cancelled != 2 {
-		t.Fatalf("after the cancel: %+v, occurrences %+v", got, got.Occurrences)
+		t.Fatalf("got status %+v and occurrences %+v after the cancel, want cancelled with 2 cancelled occurrences", got, got.Occurrences)
 	}
 }
--- a/internal/record/expirearchive.go
+++ b/internal/record/expirearchive.go
@@ -5,28 +5,28 @@
 	"sync/atomic"
 )
 
-// archiveExpiry bounds which expired jobs may be dropped from the archive: only
-// those that a durable snapshot hides too, since a replica that restarts from an
-// older one applies entries again that could still see them.
+// archiveExpiry limits which expired jobs may be deleted from the archive: only
+// jobs that a durable snapshot hides as well. A replica that restarts from an older
+// snapshot applies entries again that could still look up those jobs.
 type archiveExpiry struct {
-	// durableBefore is expiredBefore of a snapshot that is durable for certain.
+	// durableBefore is expiredBefore of a snapshot that is known to be durable.
 	durableBefore Millis
-	// latest is the newest snapshot taken. It counts as durable once it was written
-	// and the next one is asked for, which the replica does only after it stored
-	// the one before.
-	latest *snapshotExpiry
+	// latestSnapshot is the newest snapshot taken. It counts as durable once it was
+	// written and the next snapshot is requested, because the replica requests a
+	// snapshot only after it stored the previous one.
+	latestSnapshot *snapshotExpiry
 }
 
-// snapshotExpiry is the expiry that one snapshot holds. The goroutine that writes
+// snapshotExpiry is the expiry contained in one snapshot. The goroutine that writes
 // the snapshot sets written.
 type snapshotExpiry struct {
 	expiredBefore Millis
 	written       atomic.Bool
 }
 
-// applyExpireArchive hides all archived jobs that ended before a time, and drops
-// at most Limit of those that a durable snapshot hides too. Which jobs are dropped
-// differs by replica; which are hidden does not.
+// applyExpireArchive hides all archived jobs that ended before expire.Before, and
+// deletes at most expire.Limit of the jobs that a durable snapshot hides as well.
+// Replicas hide the same jobs but may have deleted different ones.
 func (m *Machine) applyExpireArchive(expire *ExpireArchive) error {
 	m.state.expiredBefore = max(m.state.expiredBefore, expire.Before)
 	before := min(m.state.expiredBefore, m.expiry.durableBefore)
--- a/internal/record/expirearchive_test.go
+++ b/internal/record/expirearchive_test.go
@@ -11,13 +11,13 @@
 	h.apply(expire)
 	h.machine.Read(func(v View) {
 		_, known, _ := v.Status("j", nil)
-		expect(t, "hidden at once", known, false)
+		expect(t, "job found after the expiry", known, false)
 	})
 	snapshotBytes(t, h.machine)
 	h.apply(expire)
-	expect(t, "one snapshot may not be durable", len(h.archive.jobs), 1)
+	expect(t, "archived jobs after one snapshot, which may not be durable", len(h.archive.jobs), 1)
 	snapshotBytes(t, h.machine)
 	h.apply(expire)
-	expect(t, "dropped", len(h.archive.jobs), 0)
-	expect(t, "id is free again", h.submit("j", stepSpec("b", 1)), SubmitAccepted)
+	expect(t, "archived jobs after a second snapshot", len(h.archive.jobs), 0)
+	expect(t, "outcome of a submit with the id of the deleted job", h.submit("j", stepSpec("b", 1)), SubmitAccepted)
 }
--- a/internal/record/forgetworkers.go
+++ b/internal/record/forgetworkers.go
@@ -1,10 +1,10 @@
 package record
 
-// applyForgetWorkers removes workers that have no open run.
+// applyForgetWorkers removes the named workers that have no open run.
 func (m *Machine) applyForgetWorkers(forget *ForgetWorkers) {
 	for _, name := range forget.Names {
 		worker := m.state.workers.byName[name]
-		if worker == nil || m.state.runs.anyOn(worker.ID) {
+		if worker == nil || m.state.runs.hasRunsOn(worker.ID) {
 			continue
 		}
 		m.state.workers.remove(worker)
--- a/internal/record/fuzz_test.go
+++ b/internal/record/fuzz_test.go
@@ -38,7 +38,7 @@
 		h.submit("j", stepSpec("a", 2), stepSpec("b", 1, "a"))
 		h.submitSpec("r", repeatingJob(3, 2000, stepSpec("a", 1)))
 		if _, err := h.machine.Apply(h.index+1, data); err != nil {
-			t.Fatalf("a readable entry could not be applied: %v", err)
+			t.Fatalf("Apply of an entry that Decode accepts: got error %v, want nil", err)
 		}
 	})
 }
@@ -61,14 +61,14 @@
 		if err := machine.Restore(bytes.NewReader(append(framed, sum[:]...))); err != nil {
 			return
 		}
-		again := snapshotBytes(t, machine)
-		if !bytes.Equal(again, snapshotBytes(t, restoredDefault(t, again))) {
-			t.Fatal("a restored machine writes another snapshot")
+		restoredBytes := snapshotBytes(t, machine)
+		if !bytes.Equal(restoredBytes, snapshotBytes(t, restoreWithDefaults(t, restoredBytes))) {
+			t.Fatal("restoring a snapshot and taking another: got different bytes, want equal bytes")
 		}
 	})
 }
 
-func restoredDefault(t *testing.T, data []byte) *Machine {
+func restoreWithDefaults(t *testing.T, data []byte) *Machine {
 	t.Helper()
 	machine := NewMachine(Config{Archive: newTestArchive()})
 	if err := machine.Restore(bytes.NewReader(data)); err != nil {
--- a/internal/record/gang.go
+++ b/internal/record/gang.go
@@ -6,48 +6,48 @@
 	"github.com/decklever/decklever/api"
 )
 
-// A gang is a step whose tasks, its members, start together. There are two kinds:
+// A gang is a step whose tasks, the members, start together. There are two kinds.
 //
-// A gang with Together starts together and then continues as single tasks: a member
-// that fails is retried by itself. See GangSize.
+// The members of a gang with Together are independent once they have started: a
+// member that fails is retried alone. See GangSize.
 //
-// A gang with a common outcome (Lockstep in the API) stays one unit until it
-// ends. All members are placed by one PlaceTasks with one run number. What ends
-// the gang's newest run is the first end of a member that is applied:
+// A gang with a common outcome (Lockstep in the API) is one unit until it ends. One
+// PlaceTasks places all of its members under the same run number. The gang's newest
+// run ends when the first end of a member's run is applied:
 //
-//   - A success makes every member that is not final succeeded.
-//   - Anything else interrupts the gang: the other members get StopGang, and the
-//     gang waits until all of its runs are closed.
+//   - A success moves every member that is not final to TaskSucceeded.
+//   - Any other outcome interrupts the gang: the other members are stopped with
+//     StopGang, and the gang waits until all of its runs are closed.
 //
-// The first failure that a member reports under a run number counts as one failure
-// of the gang, whatever interrupted it; all others under that number count for
-// nothing. Once its failures are used up, the gang fails when its last run is
-// closed.
+// The first failure that a member reports under a run number counts as one failure of
+// the gang, whatever interrupted the gang; further failures under that number are not
+// counted. Once no further failure is allowed, the gang fails when its last run
+// closes.
 //
-// Within one CloseRuns a success is applied before all other ends. A success that
-// comes after the gang was interrupted still counts, unless the gang was placed
-// again or has failed meanwhile. Runs that are open beyond a success take their
-// resources until they are closed, and change nothing then.
+// Within one CloseRuns, a success is applied before all other ends. A success reported
+// after the gang was interrupted still counts, unless the gang has been placed again
+// or has failed in the meantime. Runs still open after a success hold their resources
+// until they are closed; closing them has no other effect.
 //
-// A gang with a common outcome one of whose members runs until cancelled has no
-// success and no limit of failures: whatever ends a member interrupts the gang,
-// and it runs again.
+// If any member of a gang with a common outcome runs until cancelled, the gang cannot
+// succeed and its failures are not limited: any end of a member's run interrupts the
+// gang, and the gang runs again.
 
-// IsGang reports whether the tasks of the step start together.
+// IsGang reports whether the tasks of the step must start together.
 func (s *Step) IsGang() bool { return s.Spec.Together || s.Spec.Lockstep }
 
 // SharesOutcome reports whether the step is a gang with a common outcome.
 func (s *Step) SharesOutcome() bool { return s.Spec.Lockstep }
 
-// GangSize is the number of members that must be placed in one PlaceTasks, or 0
-// if a member of the step may be placed alone.
+// GangSize returns the number of members that must be placed in one PlaceTasks, or 0
+// if a task of the step may be placed alone.
 //
-// A gang must be placed with all its members that are not final, unless some
-// member has an open run that is not being stopped; then a member that is retried
-// joins it alone. An open run with StopGang holds the whole step back until it is
-// closed. So members wait together again after the gang was stopped, and a member
-// that fails once all have started is retried by itself. A gang with a common
-// outcome is always placed together.
+// A gang must be placed with all of its members that are not final, except that a
+// member may be retried alone while another member has an open run that is not being
+// stopped. An open run with StopGang blocks the whole step until it is closed.
+// Therefore the members start together again after the gang was stopped, and a
+// member that fails after all have started is retried alone. A gang with a common
+// outcome is always placed as a unit.
 func (s *Step) GangSize() int {
 	if !s.IsGang() {
 		return 0
@@ -73,8 +73,8 @@
 	return slices.ContainsFunc(s.Tasks, func(task *Task) bool { return task.Spec.UntilCancelled })
 }
 
-// applyGangSuccesses applies the successes of gangs with a common outcome that
-// one CloseRuns holds, before its other ends.
+// applyGangSuccesses applies the successes of gangs with a common outcome in one
+// CloseRuns, before its other ends.
 func (m *Machine) applyGangSuccesses(ends []RunEnd) {
 	for i := range ends {
 		end := &ends[i]
@@ -88,8 +88,10 @@
 	}
 }
 
-// succeedGang ends a gang whose newest run has succeeded. The runs of the other
-// members that are still open are to be stopped: their work is not needed.
+// succeedGang completes a gang after a member succeeded in the gang's newest run. It
+// requests a stop of the other members' open runs, whose work is no longer needed.
+// It does nothing if number is not the newest run, if the member is final, or if the
+// gang runs until cancelled.
 func (m *Machine) succeedGang(task *Task, number uint32) {
 	if number == 0 || number != task.LastRun || task.State.Final() || task.RunsUntilCancelled() {
 		return
@@ -106,31 +108,31 @@
 	}
 }
 
-// succeedWithOpenRun makes a member succeeded whose run stays open until its own
-// end is applied.
+// succeedWithOpenRun moves a member to TaskSucceeded while its run is open. The run
+// stays open until its own end is applied.
 func (m *Machine) succeedWithOpenRun(member *Task) {
 	member.Reason = ""
 	m.state.setState(member, TaskSucceeded)
 	m.taskFinished(member)
 }
 
-// stopPeerRun requests the stop of a run, unless it is the cause's own.
-func (m *Machine) stopPeerRun(run *Run, cause *Task) {
-	if run.Task != cause {
+// stopPeerRun requests a stop of a run, unless the run is the trigger's own.
+func (m *Machine) stopPeerRun(run *Run, trigger *Task) {
+	if run.Task != trigger {
 		m.requestStop(run, StopGang)
 	}
 }
 
-// stopGangPeers follows the first end of a member's run that is no success, or a
-// request to stop it: the other members of a gang with a common outcome must stop
-// too. Once the gang is interrupted it changes nothing.
-func (m *Machine) stopGangPeers(cause *Task, why string) {
-	if !cause.Step.SharesOutcome() || cause.Step.Job.Cancelled {
+// stopGangPeers stops the other members of a gang with a common outcome after the
+// run of trigger ended without success or was asked to stop. Members that already
+// have a stop request are left alone, so repeated calls change nothing.
+func (m *Machine) stopGangPeers(trigger *Task, triggerReason string) {
+	if !trigger.Step.SharesOutcome() || trigger.Step.Job.Cancelled {
 		return
 	}
-	reason := gangMemberReason(cause, why)
-	for _, member := range cause.Step.Tasks {
-		if member == cause || member.Run == nil || member.State.Final() || member.Run.Stop != StopNone {
+	reason := gangMemberReason(trigger, triggerReason)
+	for _, member := range trigger.Step.Tasks {
+		if member == trigger || member.Run == nil || member.State.Final() || member.Run.Stop != StopNone {
 			continue
 		}
 		member.Reason = reason
@@ -138,8 +140,8 @@
 	}
 }
 
-// failGangIfExhausted fails a gang with a common outcome once its last run is
-// closed and its failures are used up.
+// failGangIfExhausted fails a gang with a common outcome if all of its runs are
+// closed and no further failure is allowed.
 func (m *Machine) failGangIfExhausted(step *Step) {
 	if !step.SharesOutcome() || !step.failuresExhausted() {
 		return
@@ -154,8 +156,8 @@
 	}
 }
 
-// failuresExhausted reports whether the gang has failed as often as the least
-// tolerant of its members allows.
+// failuresExhausted reports whether the gang has reached the lowest
+// AllowedFailures of its members.
 func (s *Step) failuresExhausted() bool {
 	if s.runsUntilCancelled() {
 		return false
@@ -168,8 +170,8 @@
 	return false
 }
 
-// countGangFailure counts the first failure under a run number as one of the
-// gang, that is of each member, and sets when it may run again.
+// countGangFailure counts the first failure under a run number as a failure of the
+// gang, that is, of each member, and sets the backoff before the next run.
 func (m *Machine) countGangFailure(run *Run, end *RunEnd) {
 	step := run.Task.Step
 	if step.lastFailedRun == run.Number {
--- a/internal/record/gang_invariants_test.go
+++ b/internal/record/gang_invariants_test.go
@@ -1,72 +1,74 @@
 package record
 
-// recordFailedRun counts the failed runs of a gang by their numbers.
+// recordFailedRun records the number of a failed run of a step. The failure of a long
+// run of a task that runs until cancelled starts a new count.
 func (c *invariantChecker) recordFailedRun(run *Run) {
 	step := run.Task.Step
-	isFirst := run.Task.RunsUntilCancelled() && c.machine.state.clock-run.PlacedAt >= failureResetAfter
-	if c.failedRuns[step] == nil || isFirst && !c.failedRuns[step][run.Number] {
+	resetsCount := run.Task.RunsUntilCancelled() && c.machine.state.clock-run.PlacedAt >= failureResetAfter
+	if c.failedRuns[step] == nil || resetsCount && !c.failedRuns[step][run.Number] {
 		c.failedRuns[step] = make(map[uint32]bool)
 	}
 	c.failedRuns[step][run.Number] = true
 }
 
-// checkGangMember checks a member of a gang with a common outcome against the
-// others.
+// checkGangMember checks a member of a gang with a common outcome against the other
+// members.
 func (c *invariantChecker) checkGangMember(task *Task) {
 	allowed := lowestAllowedFailures(task.Step)
-	outOfFailures := task.Failures == allowed
+	exhausted := task.Failures == allowed
 	if task.RunsUntilCancelled() {
-		outOfFailures = false
+		exhausted = false
 		if task.State == TaskSucceeded || task.State == TaskFailed {
-			c.t.Fatalf("%s has no end of its own and is in state %d", task.ID, task.State)
+			c.t.Fatalf("%s runs until cancelled but is in state %d", task.ID, task.State)
 		}
-	} else if task.Failures > allowed || (task.State == TaskFailed && !outOfFailures) {
-		c.t.Fatalf("%s: %d failures of %d allowed in state %d", task.ID, task.Failures, allowed, task.State)
+	} else if task.Failures > allowed || (task.State == TaskFailed && !exhausted) {
+		c.t.Fatalf("%s: got %d failures of %d allowed in state %d", task.ID, task.Failures, allowed, task.State)
 	}
 	gang := gangCountsOf(task.Step)
-	if gang.open == 0 && outOfFailures && !task.State.Final() {
-		c.t.Fatalf("%s: its gang is out of failures and waits", task.ID)
+	if gang.openRuns == 0 && exhausted && !task.State.Final() {
+		c.t.Fatalf("%s: the gang has reached its failure limit and has no open run, but is not final", task.ID)
 	}
-	if !task.Step.Job.Cancelled && gang.open < gang.placedBefore && gang.notStopping > 0 {
-		c.t.Fatalf("%s: a member was closed and others may go on", task.ID)
+	if !task.Step.Job.Cancelled && gang.openRuns < gang.previouslyPlaced && gang.notStopping > 0 {
+		c.t.Fatalf("%s: a member's run was closed, but other runs of the gang have no stop request", task.ID)
 	}
 	first := task.Step.Tasks[0]
 	cancelled := task.Step.Job.Cancelled
 	if task.Failures != first.Failures || task.LastRun != first.LastRun || (!cancelled && task.State.Final() != first.State.Final()) {
-		c.t.Fatalf("%s differs from the first of its gang", task.ID)
+		c.t.Fatalf("%s differs from the first member of its gang in failures, last run or being final", task.ID)
 	}
 	if failed := len(c.failedRuns[task.Step]); task.Failures != failed {
-		c.t.Fatalf("%s: %d failures, %d runs of the gang failed", task.ID, task.Failures, failed)
+		c.t.Fatalf("%s: got %d failures, want %d, the failed runs of the gang", task.ID, task.Failures, failed)
 	}
 }
 
-// lowestAllowedFailures is the limit of failures of a gang: that of its least
-// tolerant member.
+// lowestAllowedFailures returns the failure limit of a gang, which is the lowest of
+// its members.
 func lowestAllowedFailures(step *Step) int {
-	least := step.Tasks[0].AllowedFailures
+	lowest := step.Tasks[0].AllowedFailures
 	for _, member := range step.Tasks {
-		least = min(least, member.AllowedFailures)
+		lowest = min(lowest, member.AllowedFailures)
 	}
-	return least
+	return lowest
 }
 
 // gangCounts counts the members of a gang with a common outcome.
 type gangCounts struct {
-	// open have an open run, notStopping one that is not to be stopped, and
-	// placedBefore are not final and were placed before.
-	open, notStopping, placedBefore int
+	// openRuns counts members with an open run, notStopping those whose open run
+	// has no stop request, and previouslyPlaced those that are not final and were
+	// placed before.
+	openRuns, notStopping, previouslyPlaced int
 }
 
 func gangCountsOf(step *Step) gangCounts {
 	var counts gangCounts
 	for _, member := range step.Tasks {
 		if !member.State.Final() && member.LastRun > 0 {
-			counts.placedBefore++
+			counts.previouslyPlaced++
 		}
 		if member.Run == nil {
 			continue
 		}
-		counts.open++
+		counts.openRuns++
 		if member.Run.Stop == StopNone {
 			counts.notStopping++
 		}
--- a/internal/record/gang_test.go
+++ b/internal/record/gang_test.go
@@ -7,8 +7,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// gangHarness has a job "j" whose step "a" is a gang with a common outcome, followed
-// by a step "b".
+// gangHarness has a job "j" whose step "a" is a gang with a common outcome. Step "b"
+// depends on it.
 type gangHarness struct {
 	*harness
 	members []TaskID
@@ -27,8 +27,8 @@
 	return h
 }
 
-// allMembers is a placement of every member with one run number, in turn on both
-// workers.
+// allMembers returns a placement of every member under one run number, alternating
+// between the two workers.
 func (h *gangHarness) allMembers(number uint32) []Placement {
 	var placements []Placement
 	for i, member := range h.members {
@@ -52,7 +52,7 @@
 	for _, member := range h.members {
 		task := h.task(member)
 		if task.State != state || task.Failures != failures {
-			h.t.Fatalf("%s: state %d with %d failures, want %d with %d", member, task.State, task.Failures, state, failures)
+			h.t.Fatalf("%s: got state %d with %d failures, want state %d with %d failures", member, task.State, task.Failures, state, failures)
 		}
 	}
 }
@@ -61,9 +61,9 @@
 	h := newGangHarness(t, 3)
 	h.mustRejectAll(h.allMembers(1)[:2]...)
 	h.mustRejectAll(h.allMembers(2)...)
-	unequal := h.allMembers(1)
-	unequal[2].Run.Number = 2
-	h.mustRejectAll(unequal...)
+	mismatched := h.allMembers(1)
+	mismatched[2].Run.Number = 2
+	h.mustRejectAll(mismatched...)
 	h.mustPlace(h.allMembers(1)...)
 	h.close(h.members[1], 1, api.OutcomeLost)
 	h.mustRejectAll(placementOn(h.members[1], 2, "w1"))
@@ -89,8 +89,8 @@
 	h.close(h.members[2], 1, api.OutcomeLost)
 	h.expectMembers(TaskSucceeded, 0)
 	h.machine.Read(func(v View) {
-		expect(t, "resources used on w1 in the end", v.UsedResources("w1-1").CPUMillis, 0)
-		expect(t, "running tasks in the end", v.QueueCounts(testQueue).RunningTasks, 0)
+		expect(t, "resources used on w1 after all runs closed", v.UsedResources("w1-1").CPUMillis, 0)
+		expect(t, "running tasks after all runs closed", v.QueueCounts(testQueue).RunningTasks, 0)
 	})
 	h.mustRejectAll(h.allMembers(2)...)
 }
@@ -104,12 +104,12 @@
 	h.mustPlace(h.allMembers(1)...)
 	h.close(h.members[0], 1, api.OutcomeSucceeded)
 	expect(t, "state", h.status("j").State, api.StateSucceeded)
-	expect(t, "ended", h.status("j").EndedAt == nil, true)
+	expect(t, "job has no end time", h.status("j").EndedAt == nil, true)
 	h.cancel("j")
 	expect(t, "state after a late cancel", h.status("j").State, api.StateSucceeded)
-	again := restored(t, snapshotBytes(t, h.machine), h.archive)
-	if !bytes.Equal(snapshotBytes(t, h.machine), snapshotBytes(t, again)) {
-		t.Fatal("a run that outlasts its gang is not in the snapshot")
+	restoredMachine := restoreMachine(t, snapshotBytes(t, h.machine), h.archive)
+	if !bytes.Equal(snapshotBytes(t, h.machine), snapshotBytes(t, restoredMachine)) {
+		t.Fatal("snapshot of the restored machine differs while a run of the succeeded gang is open")
 	}
 	h.close(h.members[1], 1, api.OutcomeStopped)
 	expect(t, "archived", h.status("j").Archived, true)
@@ -122,22 +122,22 @@
 	h.closeRuns(h.end(0, 1, api.OutcomeFailed), h.end(1, 1, api.OutcomeFailed))
 	expectEvents(t, h.harness, "closed j/a/0 failed", "ready j/a/0", "stopping j/a/1 group", "stopping j/a/2 group",
 		"closed j/a/1 failed", "ready j/a/1")
-	expect(t, "failures", h.task(h.members[2]).Failures, 1)
+	expect(t, "failures of a member with an open run", h.task(h.members[2]).Failures, 1)
 	h.close(h.members[2], 1, api.OutcomeFailed)
 	h.expectMembers(TaskReady, 1)
 	h.mustRejectAll(h.allMembers(2)...) // the backoff before the retry
 	h.now += 100_000
 	h.mustPlace(h.allMembers(2)...)
 	h.close(h.members[2], 2, api.OutcomeFailed)
-	expect(t, "state until all are closed", h.status("j").State, api.StateRunning)
+	expect(t, "state while runs are open", h.status("j").State, api.StateRunning)
 	h.close(h.members[0], 2, api.OutcomeStopped)
 	h.close(h.members[1], 2, api.OutcomeStopped)
 	expect(t, "state", h.status("j").State, api.StateFailed)
 	expect(t, "reason of the member that failed", h.status("j").Steps[0].Tasks[2].Reason, "why")
-	expect(t, "reason of another", h.status("j").Steps[0].Tasks[0].Reason, "member 2: why")
+	expect(t, "reason of another member", h.status("j").Steps[0].Tasks[0].Reason, "member 2: why")
 }
 
-func TestGang_LossAndStopAreNoFailure(t *testing.T) {
+func TestGang_LostAndStoppedRunsNotCountedAsFailures(t *testing.T) {
 	h := newGangHarness(t, 3)
 	interruptions := []func(number uint32){
 		func(number uint32) { h.close(h.members[1], number, api.OutcomeLost) },
@@ -161,16 +161,16 @@
 	expect(t, "preemptions", h.task(h.members[1]).Preemptions, 1)
 }
 
-// TestGang_FailureAfterLossCountsOnce: the gang was interrupted by a loss, and then
-// members report that they failed. That is one failure of the
-// gang, and a new leader does not count it again.
+// TestGang_FailureAfterLossCountsOnce guards against counting several failures for one
+// run of a gang: a lost run interrupts the gang, and then members report failures.
+// They count as one failure, also after a restore from a snapshot.
 func TestGang_FailureAfterLossCountsOnce(t *testing.T) {
 	h := newGangHarness(t, 4)
 	h.mustPlace(h.allMembers(1)...)
 	h.close(h.members[1], 1, api.OutcomeLost)
 	h.close(h.members[0], 1, api.OutcomeFailed)
 	h.expectFailures(1)
-	h.machine = restored(t, snapshotBytes(t, h.machine), h.archive)
+	h.machine = restoreMachine(t, snapshotBytes(t, h.machine), h.archive)
 	h.close(h.members[2], 1, api.OutcomeFailed)
 	h.close(h.members[3], 1, api.OutcomeStopped)
 	h.expectMembers(TaskReady, 1)
@@ -185,13 +185,13 @@
 	h.t.Helper()
 	for _, member := range h.members {
 		if got := h.task(member).Failures; got != failures {
-			h.t.Fatalf("%s has %d failures, want %d", member, got, failures)
+			h.t.Fatalf("%s: got %d failures, want %d", member, got, failures)
 		}
 	}
 }
 
 func TestGang_SuccessWinsUntilNextPlacement(t *testing.T) {
-	t.Run("with failures in one close", func(t *testing.T) {
+	t.Run("with failures in one CloseRuns", func(t *testing.T) {
 		h := newGangHarness(t, 3)
 		h.mustPlace(h.allMembers(1)...)
 		h.closeRuns(h.end(0, 1, api.OutcomeFailed), h.end(2, 1, api.OutcomeSucceeded), h.end(1, 1, api.OutcomeFailed))
@@ -221,12 +221,12 @@
 		h.close(h.members[0], 1, api.OutcomeSucceeded)
 		h.expectMembers(TaskPlaced, 0)
 	})
-	t.Run("not after it failed for good", func(t *testing.T) {
+	t.Run("not after the gang failed", func(t *testing.T) {
 		h := newGangHarness(t, 2)
-		once := 1
+		one := 1
 		gang := stepSpec("a", 2)
 		gang.Lockstep = true
-		gang.Tasks[0].AllowedFailures = &once
+		gang.Tasks[0].AllowedFailures = &one
 		h.submit("k", gang, stepSpec("c", 1))
 		h.mustPlace(placementOn(taskID("k", "a", 0), 1, "w1"), placementOn(taskID("k", "a", 1), 1, "w2"))
 		h.close(taskID("k", "a", 1), 1, api.OutcomeFailed)
@@ -242,7 +242,7 @@
 	h.close(h.members[0], 1, api.OutcomeLost)
 	h.cancel("j")
 	h.close(h.members[1], 1, api.OutcomeFailed)
-	expect(t, "archived early", h.status("j").Archived, false)
+	expect(t, "archived while a run is open", h.status("j").Archived, false)
 	h.close(h.members[2], 1, api.OutcomeStopped)
 	expect(t, "state", h.status("j").State, api.StateCancelled)
 	expect(t, "archived", h.status("j").Archived, true)
@@ -277,7 +277,7 @@
 	first, second := occurrenceTaskID("j", "a", 0, 0), occurrenceTaskID("j", "a", 1, 0)
 	h.mustPlace(placementOn(first, 1, "w1"), placementOn(second, 1, "w1"))
 	h.close(first, 1, api.OutcomeSucceeded)
-	expect(t, "open runs", h.task(second).Run != nil, true)
+	expect(t, "second member has an open run", h.task(second).Run != nil, true)
 	h.close(second, 1, api.OutcomeStopped)
 	got := h.status("j")
 	expect(t, "state", got.State, api.StateRunning)
--- a/internal/record/harness_test.go
+++ b/internal/record/harness_test.go
@@ -11,7 +11,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// harness drives one machine and records its events as texts.
+// harness applies commands to one Machine and records its events as texts.
 type harness struct {
 	t       testing.TB
 	machine *Machine
@@ -28,7 +28,7 @@
 	h := &harness{t: t, archive: newTestArchive(), now: 1000}
 	h.machine = NewMachine(Config{Archive: h.archive, MaxConfigOrders: 3})
 	h.putConfig("order-1", 0, testConfig())
-	h.machine.Observe(nil, func(event Event) { h.events = append(h.events, describe(event)) })
+	h.machine.Observe(nil, func(event Event) { h.events = append(h.events, eventText(event)) })
 	return h
 }
 
@@ -39,7 +39,7 @@
 	}}
 }
 
-func describe(event Event) string {
+func eventText(event Event) string {
 	switch e := event.(type) {
 	case TaskBecameReady:
 		return "ready " + e.Task.ID.String()
@@ -83,7 +83,7 @@
 	return result
 }
 
-// takeEvents returns the events since it was last called.
+// takeEvents returns the events since its last call.
 func (h *harness) takeEvents() []string {
 	events := h.events
 	h.events = nil
@@ -93,7 +93,7 @@
 func expectEvents(t *testing.T, h *harness, expected ...string) {
 	t.Helper()
 	if diff := cmp.Diff(expected, h.takeEvents()); diff != "" {
-		t.Fatalf("events (-expected +got):\n%s", diff)
+		t.Fatalf("events differ (-want +got):\n%s", diff)
 	}
 }
 
@@ -154,14 +154,14 @@
 func (h *harness) mustPlace(placements ...Placement) {
 	h.t.Helper()
 	if rejected := h.place(placements...); len(rejected) > 0 {
-		h.t.Fatalf("rejected %v", rejected)
+		h.t.Fatalf("got rejected runs %v, want none", rejected)
 	}
 }
 
 func (h *harness) mustRejectAll(placements ...Placement) {
 	h.t.Helper()
 	if rejected := h.place(placements...); len(rejected) != len(placements) {
-		h.t.Fatalf("rejected %v, expected all of %v", rejected, placements)
+		h.t.Fatalf("got rejected runs %v, want all of %v", rejected, placements)
 	}
 }
 
@@ -180,7 +180,8 @@
 	h.apply(Command{StopRuns: stop})
 }
 
-// placeAndClose takes a task through one run.
+// placeAndClose places a task on worker w1 and closes that run with the given
+// outcome.
 func (h *harness) placeAndClose(task TaskID, outcome api.Outcome) {
 	h.t.Helper()
 	number := h.task(task).LastRun + 1
@@ -192,7 +193,7 @@
 	h.t.Helper()
 	task := h.machine.state.jobs.task(id)
 	if task == nil {
-		h.t.Fatalf("task %s is not live", id)
+		h.t.Fatalf("task %s: got no live task, want one", id)
 	}
 	return task
 }
@@ -202,7 +203,7 @@
 	h.machine.Read(func(v View) {
 		found, known, err := v.Status(id, nil)
 		if err != nil || !known {
-			h.t.Fatalf("status of %q: %v, %v", id, known, err)
+			h.t.Fatalf("status of job %q: got known %v, error %v, want true, nil", id, known, err)
 		}
 		status = found
 	})
@@ -210,17 +211,17 @@
 }
 
 func stepSpec(name string, tasks int, after ...string) api.StepSpec {
-	made := api.StepSpec{Name: name, After: after}
+	step := api.StepSpec{Name: name, After: after}
 	for range tasks {
-		made.Tasks = append(made.Tasks, api.TaskSpec{Service: "s", Resources: api.Resources{CPUMillis: 1000}})
+		step.Tasks = append(step.Tasks, api.TaskSpec{Service: "s", Resources: api.Resources{CPUMillis: 1000}})
 	}
-	return made
+	return step
 }
 
 func replicatedStep(name string, count int, after ...string) api.StepSpec {
-	made := stepSpec(name, 1, after...)
-	made.Replicas = count
-	return made
+	step := stepSpec(name, 1, after...)
+	step.Replicas = count
+	return step
 }
 
 const testInterval = 100 * time.Millisecond
@@ -239,17 +240,17 @@
 func expect[T comparable](t *testing.T, what string, got, expected T) {
 	t.Helper()
 	if got != expected {
-		t.Fatalf("%s: got %v, expected %v", what, got, expected)
+		t.Fatalf("%s: got %v, want %v", what, got, expected)
 	}
 }
 
-// failer is met by the tests of package testing and of rapid.
-type failer interface {
+// fatalReporter is implemented by both testing.TB and rapid.T.
+type fatalReporter interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-func snapshotBytes(t failer, machine *Machine) []byte {
+func snapshotBytes(t fatalReporter, machine *Machine) []byte {
 	t.Helper()
 	_, write, err := machine.Snapshot()
 	if err != nil {
@@ -262,7 +263,7 @@
 	return data.Bytes()
 }
 
-func restored(t failer, data []byte, archive Archive) *Machine {
+func restoreMachine(t fatalReporter, data []byte, archive Archive) *Machine {
 	t.Helper()
 	machine := NewMachine(Config{Archive: archive, MaxConfigOrders: 3})
 	if err := machine.Restore(bytes.NewReader(data)); err != nil {
--- a/internal/record/lifecycle.go
+++ b/internal/record/lifecycle.go
@@ -1,11 +1,10 @@
 package record
 
-// This file has the transitions of a task that are not caused by a run: blocked
-// to ready, and waiting to final, with what follows for the steps that depend on
-// it and for the job.
+// This file has the task transitions that no run causes: from blocked to ready, and
+// from waiting to final, with the consequences for dependent steps and for the job.
 
-// startStep makes the blocked tasks of a step ready. A step without tasks has
-// succeeded at once.
+// startStep moves the blocked tasks of a step to ready. A step without tasks
+// succeeds immediately.
 func (m *Machine) startStep(step *Step) {
 	for _, task := range step.Tasks {
 		if task.State == TaskBlocked {
@@ -22,7 +21,7 @@
 	m.emit(TaskBecameReady{Task: task})
 }
 
-// finishWithoutRun makes a task final that has no open run.
+// finishWithoutRun moves a task without an open run to a final state.
 func (m *Machine) finishWithoutRun(task *Task, final TaskState, reason string) {
 	wasReady := task.State == TaskReady
 	task.Reason = reason
@@ -33,9 +32,9 @@
 	m.taskFinished(task)
 }
 
-// taskFinished follows a task that has just become final: the next steps start,
-// or those that can never start are cancelled. The caller then calls
-// archiveJobIfComplete, once all tasks that it makes final are.
+// taskFinished handles a task that has just become final: it starts the steps whose
+// dependencies have all succeeded, or cancels those that can never start. The caller
+// must call archiveJobIfComplete after its last task has become final.
 func (m *Machine) taskFinished(task *Task) {
 	step := task.Step
 	task.countFinal()
@@ -52,7 +51,7 @@
 	}
 }
 
-// unblockDependents follows a step that has just succeeded.
+// unblockDependents starts the steps for which step was the last open dependency.
 func (m *Machine) unblockDependents(step *Step) {
 	for _, dependent := range step.dependents {
 		dependent.OpenDependencies--
@@ -62,9 +61,8 @@
 	}
 }
 
-// cancelDependents cancels the tasks of all steps that wait, directly or
-// through others, on a step that failed, breadth first. None of them has
-// started.
+// cancelDependents cancels, breadth first, the tasks of all steps that depend
+// directly or transitively on a failed step. None of those steps has started.
 func (m *Machine) cancelDependents(failed *Step) {
 	reason := stepFailedReason(failed)
 	seen := map[*Step]bool{failed: true}
@@ -91,10 +89,10 @@
 	}
 }
 
-// archiveJobIfComplete removes what has ended from the state: the ended
-// occurrences of a repeating job, and the job itself once it is complete and
-// none of its runs is open. It may be called any number of times for one entry,
-// also for a job that was removed before.
+// archiveJobIfComplete removes ended parts of a job from the state: the ended
+// occurrences of a repeating job, and the job itself once it is complete and has no
+// open run. It may be called several times per entry, also for a job that was
+// already removed.
 func (m *Machine) archiveJobIfComplete(job *Job) {
 	if m.state.jobs.byID[job.ID] != job {
 		return
--- a/internal/record/machine.go
+++ b/internal/record/machine.go
@@ -6,41 +6,42 @@
 	"sync"
 )
 
-// ErrOutOfOrder: an entry was applied that is not after all earlier ones.
+// ErrOutOfOrder is returned by Apply if the entry's index is not higher than that
+// of the last applied entry.
 var ErrOutOfOrder = errors.New("record: entry is not newer than those applied")
 
 // DefaultMaxConfigOrders is the default of Config.MaxConfigOrders.
 const DefaultMaxConfigOrders = 10000
 
-// Config sets up a Machine.
+// Config contains the settings of a Machine.
 type Config struct {
 	// Archive stores ended jobs. Required.
 	Archive Archive
-	// MaxConfigOrders bounds the outcomes of configuration orders that are kept;
-	// the oldest are dropped first. It must be the same on every replica. Default
-	// DefaultMaxConfigOrders.
+	// MaxConfigOrders is the maximum number of configuration orders whose outcomes
+	// are kept; the oldest are dropped first. It must be the same on every replica.
+	// Default DefaultMaxConfigOrders.
 	MaxConfigOrders int
 }
 
-// Machine is the state machine of one replica, which owns it for as long as it
-// runs. Its methods are safe for concurrent use, but Apply, Skip and Restore
+// Machine is the state machine of one replica, which owns it for the replica's
+// lifetime. Its methods are safe for concurrent use, but Apply, Skip and Restore
 // must be called by one goroutine, in the order of the log.
 type Machine struct {
 	archive Archive
 
 	// mu is held for writing while an entry is applied or a snapshot is restored,
-	// and while observers are called; for reading while a View is in use. It
-	// guards all fields below, and all that they point to.
+	// and while observers are called. It is held for reading while a View is in
+	// use. It guards all fields below and everything that they point to.
 	mu        sync.RWMutex
 	state     *state
 	observers []*observer
-	// archiveBatch and endedJobs collect the jobs that the entry being applied
-	// ended; both are empty between entries.
+	// archiveBatch and endedJobs collect the jobs that the current entry ended.
+	// Both are empty between entries.
 	archiveBatch []ArchivedJob
 	endedJobs    []*Job
 
-	// expiry bounds what may be dropped from the archive. It is local to the
-	// replica and no part of the replicated state.
+	// expiry limits which jobs may be deleted from the archive. It is local to the
+	// replica and not part of the replicated state.
 	expiry archiveExpiry
 }
 
@@ -52,13 +53,13 @@
 	return &Machine{archive: config.Archive, state: newState(config.MaxConfigOrders)}
 }
 
-// Apply applies one entry of the log. The entry must have a higher index than all
-// before; indexes may be left out, since not every entry carries a command.
+// Apply applies one entry of the log. Its index must be higher than that of all
+// earlier entries. Indexes may be skipped, since not every entry carries a command.
 //
-// What a command asks for that cannot be done any more is no error but part of the
-// Result. An error is fatal for the replica: the entry cannot be read, comes out
-// of order (ErrOutOfOrder), or the archive failed; the state may then hold a part
-// of the entry.
+// A request that is no longer possible is skipped or refused in the Result; it is
+// not an error. An error is fatal for the replica: the entry cannot be decoded, is
+// out of order (ErrOutOfOrder), or the archive failed. The state may then contain a
+// part of the entry's changes.
 func (m *Machine) Apply(index uint64, data []byte) (Result, error) {
 	command, err := Decode(data)
 	if err != nil {
@@ -81,7 +82,7 @@
 	return result, nil
 }
 
-// dispatch applies the one change that the command holds.
+// dispatch applies the one change that the command contains.
 func (m *Machine) dispatch(command *Command, result *Result) error {
 	switch {
 	case command.SubmitJob != nil:
@@ -114,15 +115,15 @@
 	return nil
 }
 
-// Skip records that an entry was applied that carries no command.
+// Skip records that an entry without a command was applied.
 func (m *Machine) Skip(index uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state.applied = max(m.state.applied, index)
 }
 
-// Read calls read under the read lock. The View must not be used after read
-// returns.
+// Read calls the callback under the read lock. The View must not be used after the
+// callback returns.
 func (m *Machine) Read(read func(View)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/internal/record/machine_test.go
+++ b/internal/record/machine_test.go
@@ -6,7 +6,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-func TestJob_RunsThroughItsSteps(t *testing.T) {
+func TestJob_RunsStepsInDependencyOrder(t *testing.T) {
 	h := newHarness(t)
 	h.register(testWorker("w"))
 	h.submit("j", stepSpec("a", 2), stepSpec("b", 1, "a", "a"))
@@ -43,7 +43,7 @@
 	expect(t, "submitted at", h.status("j").SubmittedAt.UnixMilli(), 1000)
 }
 
-func TestObserve_NoGapAndNothingAfterStop(t *testing.T) {
+func TestObserve_NoMissedEventAndNoneAfterStop(t *testing.T) {
 	h := newHarness(t)
 	h.submit("j", stepSpec("a", 1))
 	jobs, events := 0, 0
--- a/internal/record/millis.go
+++ b/internal/record/millis.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Millis is cluster time in Unix milliseconds, or a span of it.
+// Millis is a point in cluster time in Unix milliseconds, or a duration in
+// milliseconds.
 type Millis int64
 
-// MillisOf converts a span to milliseconds, rounded towards zero.
+// MillisOf converts a duration to milliseconds, rounded towards zero.
 func MillisOf(span time.Duration) Millis { return Millis(span.Milliseconds()) }
 
 // Time returns the value as a time in UTC.
--- a/internal/record/occurrence.go
+++ b/internal/record/occurrence.go
@@ -7,8 +7,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// addOccurrence makes the steps and tasks of an occurrence, every task blocked.
-// The number must be higher than all before.
+// addOccurrence adds an occurrence with its steps and tasks; all tasks are blocked.
+// number must be higher than that of every earlier occurrence.
 func (j *Job) addOccurrence(number int) *occurrence {
 	added := &occurrence{number: number, steps: make([]*Step, len(j.Spec.Steps))}
 	byName := make(map[string]*Step, len(added.steps))
@@ -29,28 +29,28 @@
 }
 
 // occurrence is one execution of a job's steps. A job that does not repeat has
-// one, number 0.
+// exactly one, with number 0.
 type occurrence struct {
 	number int
 	steps  []*Step
-	// openTasks counts tasks that are not final; openRuns counts open runs, also
-	// of members of a gang that has succeeded.
+	// openTasks counts tasks that are not final. openRuns counts open runs,
+	// including those of members of a gang that has succeeded.
 	openTasks int
 	openRuns  int
 }
 
-// ended reports whether nothing of the occurrence can change any more.
+// ended reports whether the occurrence is final: no open task and no open run.
 func (o *occurrence) ended() bool { return o.openTasks == 0 && o.openRuns == 0 }
 
-// flagIfOccurrenceEnded makes the next removeEndedOccurrences look for the step's
-// occurrence if that has ended.
+// flagIfOccurrenceEnded sets mayHaveEndedOccurrence if the step's occurrence has
+// ended, so that the next removeEndedOccurrences looks for it.
 func (s *Step) flagIfOccurrenceEnded() {
 	if s.occurrence.ended() {
 		s.Job.mayHaveEndedOccurrence = true
 	}
 }
 
-// findOccurrence returns a live occurrence, or nil.
+// findOccurrence returns the live occurrence with the given number, or nil.
 func (j *Job) findOccurrence(number int) *occurrence {
 	position, found := slices.BinarySearchFunc(j.occurrences, number, func(other *occurrence, number int) int {
 		return cmp.Compare(other.number, number)
@@ -70,8 +70,8 @@
 	return numbers
 }
 
-// initializeTasks sets what the tasks of a new occurrence take from the queue and
-// from the time at which it falls due.
+// initializeTasks sets the failure limit and the earliest start of each task of a
+// new occurrence.
 func (o *occurrence) initializeTasks(defaultAllowedFailures int) {
 	for _, step := range o.steps {
 		earliest := step.earliestTaskStart()
@@ -82,7 +82,7 @@
 	}
 }
 
-// startOccurrence makes the first steps of a new occurrence ready.
+// startOccurrence starts the steps of a new occurrence that have no dependencies.
 func (m *Machine) startOccurrence(added *occurrence) {
 	for _, step := range added.steps {
 		if len(step.dependencies) == 0 {
@@ -92,8 +92,8 @@
 }
 
 // removeEndedOccurrences removes the ended occurrences of a repeating job from the
-// state and counts their outcomes, so that the memory of a job does not grow with
-// its number of occurrences.
+// state and counts their outcomes, so that the memory used by a job does not grow
+// with the number of its occurrences.
 func (m *Machine) removeEndedOccurrences(job *Job) {
 	if job.Repetition == nil || !job.mayHaveEndedOccurrence {
 		return
@@ -111,7 +111,7 @@
 }
 
 // countOutcome counts an ended occurrence by its outcome: failed if any step
-// failed, else cancelled if any step was, else succeeded.
+// failed, otherwise cancelled if any step was cancelled, otherwise succeeded.
 func (j *Job) countOutcome(ended *occurrence) {
 	outcome := api.StateSucceeded
 	for _, step := range ended.steps {
@@ -133,8 +133,8 @@
 	}
 }
 
-// nilIfEmpty makes a slice that ran empty equal to one that never had anything, so
-// that a live state and a restored one are deeply equal.
+// nilIfEmpty returns nil for an empty slice, so that a live state and one restored
+// from a snapshot are deeply equal.
 func nilIfEmpty[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
--- a/internal/record/placementchecker.go
+++ b/internal/record/placementchecker.go
@@ -7,32 +7,32 @@
 	"github.com/decklever/decklever/api"
 )
 
-// placementChecker decides whether the placements of one unit still hold: each
-// is checked against the state and against those of the unit that were accepted
-// before it. It changes nothing. A placement holds if
+// placementChecker decides whether the placements of one unit are still valid. It
+// checks each placement against the state and against the placements of the unit
+// accepted before; it does not change the state. A placement is valid if
 //
-//   - the task is ready, its NotBefore has come, and the run number is its next;
-//   - the worker's current incarnation is the one named;
-//   - the worker offers the task's service and labels and has the resources free;
+//   - the task is ready, its NotBefore has passed, and the run number is its next;
+//   - the named incarnation is the worker's current one;
+//   - the worker offers the task's service and labels and has free resources for it;
 //   - the task's spread allows one more run in the worker's domain;
-//   - queue and team are below their limits of running tasks.
+//   - the queue and the team are below their limits of running tasks.
 //
-// What only the leader knows (heartbeats, drains, health, reservations) is not
-// checked here.
+// Conditions known only to the leader (heartbeats, drains, health, reservations) are
+// not checked here.
 type placementChecker struct {
 	state    *state
 	accepted []acceptedPlacement
 }
 
-// acceptedPlacement is a placement whose names were resolved.
+// acceptedPlacement is a valid placement with its task and worker looked up.
 type acceptedPlacement struct {
 	task   *Task
 	worker *Worker
 	number uint32
 }
 
-// accept reports whether a placement holds, and adds it to those accepted if it
-// does.
+// accept reports whether a placement is valid. A valid placement is added to
+// c.accepted.
 func (c *placementChecker) accept(placement *Placement) bool {
 	task := c.state.jobs.task(placement.Run.Task)
 	if task == nil || !c.taskIsPlaceable(task, placement.Run.Number) {
@@ -49,8 +49,8 @@
 	return true
 }
 
-// taskIsPlaceable reports whether the task may be started now, under that run
-// number, and is not in the unit already.
+// taskIsPlaceable reports whether the task may start now under the given run number
+// and is not yet part of the unit.
 func (c *placementChecker) taskIsPlaceable(task *Task, number uint32) bool {
 	if task.State != TaskReady || task.Step.Job.Cancelled {
 		return false
@@ -63,7 +63,8 @@
 	})
 }
 
-// workerIsFeasible reports whether the worker can run the task beside what it runs.
+// workerIsFeasible reports whether the worker can run the task in addition to its
+// open runs.
 func (c *placementChecker) workerIsFeasible(worker *Worker, task *Task) bool {
 	return slices.Contains(worker.Services, task.Spec.Service) &&
 		labelsMatch(task.Spec.Labels, worker.Labels) &&
@@ -71,7 +72,7 @@
 		c.spreadSatisfied(worker, task)
 }
 
-// labelsMatch reports whether a worker offers every label that a task asks for.
+// labelsMatch reports whether a worker offers every label that a task requires.
 func labelsMatch(wanted, offered map[string]string) bool {
 	for key, value := range wanted {
 		if found, ok := offered[key]; !ok || found != value {
@@ -81,7 +82,7 @@
 	return true
 }
 
-// fits reports whether the task's resources are free on the worker.
+// fits reports whether the worker has enough free resources for the task.
 func (c *placementChecker) fits(worker *Worker, task *Task) bool {
 	used := c.state.runs.used(worker.ID)
 	for _, accepted := range c.accepted {
@@ -92,8 +93,8 @@
 	return used.Add(task.Spec.Resources).Fits(worker.Capacity)
 }
 
-// spreadSatisfied reports whether the worker's domain has fewer open runs of the
-// task's step than its spread allows.
+// spreadSatisfied reports whether the open runs of the task's step in the worker's
+// domain are fewer than the task's spread allows.
 func (c *placementChecker) spreadSatisfied(worker *Worker, task *Task) bool {
 	spread := task.Spec.Spread
 	if spread == nil {
@@ -114,7 +115,7 @@
 	return count < max(spread.MaxPerDomain, 1)
 }
 
-// spreadDomain is the worker's failure domain: its name, its zone, or the value
+// spreadDomain returns the worker's failure domain: its name, its zone, or the value
 // of a label. Workers without that label share one domain.
 func spreadDomain(spread *api.Spread, worker *Worker) string {
 	switch spread.By {
@@ -126,8 +127,8 @@
 	return worker.Labels[strings.TrimPrefix(spread.By, api.SpreadByLabelPrefix)]
 }
 
-// withinRunningLimits reports whether the task's queue and its team may have one
-// more running task.
+// withinRunningLimits reports whether the limits of the task's queue and of its team
+// allow one more running task.
 func (c *placementChecker) withinRunningLimits(task *Task) bool {
 	queue := c.state.config.queues[task.Step.Job.Spec.Queue]
 	if !c.withinLimit(queue.MaxRunningTasks, c.state.counts.queues[queue.Name]) {
@@ -137,13 +138,14 @@
 	return c.withinLimit(team.MaxRunningTasks, c.state.counts.teams[team.Name])
 }
 
-// withinLimit reports whether a limit of running tasks, 0 for none, allows one
-// more than those counted and those accepted. counts is nil if none are counted.
+// withinLimit reports whether a limit of running tasks allows one more in addition
+// to those counted and those accepted. A limit of 0 means no limit. counts is nil if
+// no tasks are counted.
 func (c *placementChecker) withinLimit(limit int, counts *QueueCounts) bool {
 	if limit <= 0 {
 		return true
 	}
-	running := len(c.accepted) // a unit lies within one job, hence one queue
+	running := len(c.accepted) // all placements of a unit are of one job, hence of one queue
 	if counts != nil {
 		running += counts.RunningTasks
 	}
--- a/internal/record/placetasks.go
+++ b/internal/record/placetasks.go
@@ -1,7 +1,8 @@
 package record
 
-// applyPlaceTasks opens the runs that still fit, in the order given, and rejects
-// the others. The members of a gang are tried at the position of the first.
+// applyPlaceTasks opens the runs of the valid placements, in the given order, and
+// reports the others as rejected. A gang is checked at the position of its first
+// placement.
 func (m *Machine) applyPlaceTasks(command *PlaceTasks, token uint64, result *Result) {
 	for _, unit := range m.groupIntoUnits(command.Placements) {
 		if !m.applyUnit(unit, token) {
@@ -12,17 +13,17 @@
 	}
 }
 
-// placementUnit is accepted or rejected as one: a single placement, or all of a
-// gang.
+// placementUnit is accepted or rejected as a whole. It is a single placement, or all
+// placements of a gang.
 type placementUnit struct {
 	placements []Placement
-	// size is the number of placements that the unit must have.
+	// size is the required number of placements.
 	size int
 }
 
-// groupIntoUnits joins the placements of each gang; all others are units of
-// their own. Units are in the order of their first placements. GangSize is read
-// before any run of the command is opened.
+// groupIntoUnits groups the placements of each gang into one unit; every other
+// placement is a unit of its own. Units are in the order of their first placements.
+// It calls GangSize before any run of the command is opened.
 func (m *Machine) groupIntoUnits(placements []Placement) []*placementUnit {
 	units := make([]*placementUnit, 0, len(placements))
 	gangUnits := make(map[*Step]*placementUnit)
@@ -47,7 +48,7 @@
 	return units
 }
 
-// applyUnit opens the unit's runs if all of them are accepted, and reports
+// applyUnit opens the unit's runs if all of its placements are valid, and reports
 // whether it did.
 func (m *Machine) applyUnit(unit *placementUnit, token uint64) bool {
 	if len(unit.placements) != unit.size {
--- a/internal/record/placetasks_test.go
+++ b/internal/record/placetasks_test.go
@@ -8,40 +8,40 @@
 	"github.com/decklever/decklever/api"
 )
 
-// TestPlaceTasks_BackupRunsHaveNoEffect: the field is accepted, and a task has one
-// open run all the same.
+// TestPlaceTasks_BackupRunsHaveNoEffect checks that a spec with BackupRuns is accepted
+// and that its task still has at most one open run.
 func TestPlaceTasks_BackupRunsHaveNoEffect(t *testing.T) {
 	h := newHarness(t)
 	h.register(testWorker("w1"), testWorker("w2"))
-	backed := stepSpec("a", 1)
-	backed.Tasks[0].BackupRuns = true
-	h.submit("j", backed)
+	step := stepSpec("a", 1)
+	step.Tasks[0].BackupRuns = true
+	h.submit("j", step)
 	task := h.task(taskID("j", "a", 0))
 	h.mustPlace(placementOn(task.ID, 1, "w1"))
 	h.mustRejectAll(placementOn(task.ID, 2, "w2"))
 	if task.State != TaskPlaced || task.LastRun != 1 || task.Run.Worker != "w1" {
-		t.Fatalf("state %d, run %d on %s", task.State, task.LastRun, task.LastWorker)
+		t.Fatalf("got state %d, run %d on %s, want the placed run 1 on w1", task.State, task.LastRun, task.LastWorker)
 	}
 }
 
 func TestTeamLimit_BoundsSumOfItsQueues(t *testing.T) {
 	h := newHarness(t)
 	h.register(testWorker("w1"), testWorker("w2"))
-	shared := testConfig()
-	shared.Teams = []api.TeamConfig{{Name: "t", MaxRunningTasks: 2}}
-	shared.Queues[0].Team, shared.Queues[1].Team = "t", "t"
-	shared.Queues[1].MaxRunningTasks = 0
+	config := testConfig()
+	config.Teams = []api.TeamConfig{{Name: "t", MaxRunningTasks: 2}}
+	config.Queues[0].Team, config.Queues[1].Team = "t", "t"
+	config.Queues[1].MaxRunningTasks = 0
 	h.submit("j", stepSpec("a", 3))
 	h.mustPlace(placementOn(taskID("j", "a", 0), 1, "w1"))
-	h.putConfig("team", 1, shared)
+	h.putConfig("team", 1, config)
 	gang := stepSpec("g", 2)
 	gang.Together = true
 	h.submitTo("narrow", "n", stepSpec("a", 2), gang)
 	counts := func(pending, running int) {
 		t.Helper()
 		h.machine.Read(func(v View) {
-			expect(t, "counts", v.TeamCounts("t"), QueueCounts{Jobs: 2, PendingTasks: pending, RunningTasks: running})
-			expect(t, "other", v.TeamCounts("u"), QueueCounts{})
+			expect(t, "counts of the team", v.TeamCounts("t"), QueueCounts{Jobs: 2, PendingTasks: pending, RunningTasks: running})
+			expect(t, "counts of an unknown team", v.TeamCounts("u"), QueueCounts{})
 		})
 	}
 	counts(6, 1)
@@ -54,19 +54,19 @@
 	h.close(taskID("n", "a", 0), 1, api.OutcomeLost)
 	counts(6, 0)
 	h.mustPlace(placementOn(taskID("n", "g", 0), 1, "w2"), placementOn(taskID("n", "g", 1), 1, "w2"))
-	restored(t, snapshotBytes(t, h.machine), h.archive).Read(func(v View) {
-		expect(t, "restored", v.TeamCounts("t"), QueueCounts{Jobs: 2, PendingTasks: 4, RunningTasks: 2})
+	restoreMachine(t, snapshotBytes(t, h.machine), h.archive).Read(func(v View) {
+		expect(t, "counts after a restore", v.TeamCounts("t"), QueueCounts{Jobs: 2, PendingTasks: 4, RunningTasks: 2})
 	})
 
-	shared.Queues[1].Team = ""
-	h.putConfig("left", 2, shared)
+	config.Queues[1].Team = ""
+	h.putConfig("left", 2, config)
 	h.machine.Read(func(v View) {
-		expect(t, "after a queue left", v.TeamCounts("t"), QueueCounts{Jobs: 1, PendingTasks: 2})
+		expect(t, "counts after a queue left the team", v.TeamCounts("t"), QueueCounts{Jobs: 1, PendingTasks: 2})
 	})
 	h.mustPlace(placementOn(taskID("j", "a", 1), 1, "w1"), placementOn(taskID("j", "a", 2), 1, "w1"))
 }
 
-func TestPlaceTasks_RejectsWhatNoLongerFits(t *testing.T) {
+func TestPlaceTasks_RejectsInfeasiblePlacements(t *testing.T) {
 	h := newHarness(t)
 	other := testWorker("other")
 	other.Services = []string{"t"}
@@ -86,13 +86,13 @@
 	stale.WorkerID = "w-0"
 	h.mustRejectAll(stale)
 
-	var five []Placement
+	var placements []Placement
 	for i := range 5 {
-		five = append(five, placementOn(taskID("j", "a", i), 1, "w"))
+		placements = append(placements, placementOn(taskID("j", "a", i), 1, "w"))
 	}
-	rejected := h.place(append(five, five[0])...)
-	expect(t, "too many", len(rejected), 2)
-	expect(t, "first too many", rejected[0], five[4].Run)
+	rejected := h.place(append(placements, placements[0])...)
+	expect(t, "rejected placements", len(rejected), 2)
+	expect(t, "first rejected run", rejected[0], placements[4].Run)
 	h.close(taskID("j", "a", 0), 1, api.OutcomeSucceeded)
 	h.now = 2000
 	h.mustPlace(placementOn(taskID("j", "timed", 0), 1, "w"))
@@ -100,7 +100,7 @@
 	h.submitTo("narrow", "n", stepSpec("a", 2))
 	h.register(testWorker("w2"))
 	rejected = h.place(placementOn(taskID("n", "a", 0), 1, "w2"), placementOn(taskID("n", "a", 1), 1, "w2"))
-	expect(t, "beyond the queue's bound", len(rejected), 1)
+	expect(t, "rejected placements beyond the queue's limit", len(rejected), 1)
 }
 
 func TestPlaceTasks_SpreadLimitsEachDomain(t *testing.T) {
--- a/internal/record/property_test.go
+++ b/internal/record/property_test.go
@@ -13,7 +13,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// appliedEntries is what a random run applied, to be applied again elsewhere.
+// appliedEntries records the entries of a random run and their results, to be applied
+// again to a restored machine.
 type appliedEntries struct {
 	data    [][]byte
 	results []Result
@@ -24,9 +25,10 @@
 		archive := newTestArchive()
 		machine := NewMachine(Config{Archive: archive, MaxConfigOrders: 3})
 		count := rapid.IntRange(5, 120).Draw(t, "count")
-		cut := rapid.IntRange(0, count).Draw(t, "cut")
-		// An id that expires and is used again loses its first life in the
-		// archive, so only a run without expiry may restart on a later one.
+		snapshotAt := rapid.IntRange(0, count).Draw(t, "cut")
+		// If an expired id is reused, the archive at the end no longer has the first
+		// job of that id. A replay with that archive is therefore only possible in a
+		// run without expiry.
 		expiry := rapid.Bool().Draw(t, "expiry")
 		check := newInvariantChecker(t, machine)
 		var log appliedEntries
@@ -35,11 +37,11 @@
 		workers := []Worker{testWorker("w1"), testWorker("w2")}
 		log.apply(t, machine, Command{RegisterWorkers: &RegisterWorkers{Workers: workers}})
 		var snapshot []byte
-		var first int // entry after the snapshot
-		var archiveAtCut *testArchive
+		var first int // index of the first entry after the snapshot
+		var archiveAtSnapshot *testArchive
 		for i := range count {
-			if i == cut {
-				snapshot, archiveAtCut = snapshotBytes(t, machine), archive.clone()
+			if i == snapshotAt {
+				snapshot, archiveAtSnapshot = snapshotBytes(t, machine), archive.clone()
 				first = len(log.data)
 			}
 			command := drawCommand(t, machine, expiry)
@@ -49,7 +51,7 @@
 		if snapshot == nil {
 			return
 		}
-		log.replay(t, snapshot, archiveAtCut, first, machine)
+		log.replay(t, snapshot, archiveAtSnapshot, first, machine)
 		if !expiry {
 			log.replay(t, snapshot, archive.clone(), first, machine)
 		}
@@ -69,12 +71,12 @@
 	e.results = append(e.results, result)
 }
 
-// replay applies the entries from first on to a restored machine, which must
-// give the same results and end the same.
+// replay applies the entries from index first on to a restored machine, which must
+// return the same results and reach the same state.
 func (e *appliedEntries) replay(t *rapid.T, snapshot []byte, archive *testArchive, first int, original *Machine) {
-	machine := restored(t, snapshot, archive)
+	machine := restoreMachine(t, snapshot, archive)
 	if !bytes.Equal(snapshot, snapshotBytes(t, machine)) {
-		t.Fatal("a restored machine writes another snapshot")
+		t.Fatal("snapshot of the restored machine differs from the original")
 	}
 	for i := first; i < len(e.data); i++ {
 		result, err := machine.Apply(uint64(i+1), e.data[i])
@@ -82,20 +84,20 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(e.results[i], result); diff != "" {
-			t.Fatalf("entry %d after a restore:\n%s", i+1, diff)
+			t.Fatalf("result of entry %d after a restore (-want +got):\n%s", i+1, diff)
 		}
 	}
 	if !bytes.Equal(snapshotBytes(t, original), snapshotBytes(t, machine)) {
-		t.Fatal("a restored machine ended in another state")
+		t.Fatal("snapshots of the original and the restored machine differ after the replay")
 	}
 	requireSameState(t, original.state, machine.state)
 }
 
-// requireSameState compares more than snapshots do: a field that is left out
-// of them, and the indexes.
+// requireSameState compares the states themselves, to detect differences that
+// snapshots do not show: a field missing from the snapshot, and wrong indexes.
 func requireSameState(t *rapid.T, a, b *state) {
 	pairs := []struct {
-		what string
+		name string
 		a, b any
 	}{
 		{"jobs", slices.Concat(a.jobs.sorted), slices.Concat(b.jobs.sorted)}, // nil if empty
@@ -111,7 +113,7 @@
 	}
 	for _, pair := range pairs {
 		if !reflect.DeepEqual(pair.a, pair.b) {
-			t.Fatalf("%s differ after a restore", pair.what)
+			t.Fatalf("%s differ after a restore and replay", pair.name)
 		}
 	}
 }
@@ -127,29 +129,29 @@
 	}
 	switch kind := rapid.IntRange(0, limit).Draw(t, "kind"); kind {
 	case 0, 1, 2:
-		command.SubmitJob = drawSubmit(t)
+		command.SubmitJob = drawSubmitJob(t)
 	case 3:
 		command.CancelJobs = &CancelJobs{Jobs: rapid.SliceOfN(drawJobID, 1, 3).Draw(t, "jobs")}
 	case 4, 5:
 		command.PutConfig = drawPutConfig(t)
 	case 6, 7, 8:
-		command.PlaceTasks = drawPlace(t, machine)
+		command.PlaceTasks = drawPlaceTasks(t, machine)
 	case 9, 10, 11:
-		command.CloseRuns = drawClose(t, machine)
+		command.CloseRuns = drawCloseRuns(t, machine)
 	case 12:
-		command.RegisterWorkers = drawRegister(t)
+		command.RegisterWorkers = drawRegisterWorkers(t)
 	case 13, 14:
 		if rapid.Bool().Draw(t, "stop") {
-			command.StopRuns = &StopRuns{Runs: drawOpen(t, machine), Reason: rapid.SampledFrom([]StopReason{StopDrained, StopGang, StopPreempted}).Draw(t, "reason")}
+			command.StopRuns = &StopRuns{Runs: drawOpenRuns(t, machine), Reason: rapid.SampledFrom([]StopReason{StopDrained, StopGang, StopPreempted}).Draw(t, "reason")}
 		} else {
 			command.ForgetWorkers = &ForgetWorkers{Names: []string{drawWorker.Draw(t, "name")}}
 		}
 	case 15:
-		command.ReleaseWindow = drawRelease(t, machine)
+		command.ReleaseWindow = drawReleaseWindow(t, machine)
 	case 16:
 		command.DrainZone = &DrainZone{Zone: drawZone.Draw(t, "zone"), Drained: rapid.Bool().Draw(t, "drained")}
 	case 17, 18:
-		command.ExpandRepeats = drawExpand(t)
+		command.ExpandRepeats = drawExpandRepeats(t)
 	default:
 		command.ExpireArchive = &ExpireArchive{Before: machine.state.clock - 100, Limit: 2}
 	}
@@ -162,7 +164,7 @@
 	drawZone   = rapid.SampledFrom([]string{"z1", "z2", "z3"})
 )
 
-func drawSubmit(t *rapid.T) *SubmitJob {
+func drawSubmitJob(t *rapid.T) *SubmitJob {
 	first := stepSpec("one", rapid.IntRange(1, 3).Draw(t, "tasks"))
 	first.Together = rapid.Bool().Draw(t, "together")
 	first.Lockstep = rapid.Bool().Draw(t, "lockstep")
@@ -191,7 +193,7 @@
 	return &SubmitJob{ID: drawJobID.Draw(t, "id"), Spec: spec, Digest: spec.Digest()}
 }
 
-func drawExpand(t *rapid.T) *ExpandRepeats {
+func drawExpandRepeats(t *rapid.T) *ExpandRepeats {
 	expand := &ExpandRepeats{}
 	for _, job := range rapid.SliceOfN(drawJobID, 1, 4).Draw(t, "jobs") {
 		through := rapid.IntRange(-1, 5).Draw(t, "through")
@@ -218,7 +220,7 @@
 	}
 }
 
-func drawRelease(t *rapid.T, machine *Machine) *ReleaseWindow {
+func drawReleaseWindow(t *rapid.T, machine *Machine) *ReleaseWindow {
 	start := Millis(rapid.IntRange(0, 3).Draw(t, "start")) * 1000
 	return &ReleaseWindow{
 		Queue:   rapid.SampledFrom([]string{testQueue, "narrow"}).Draw(t, "queue"),
@@ -228,14 +230,14 @@
 	}
 }
 
-func drawRegister(t *rapid.T) *RegisterWorkers {
+func drawRegisterWorkers(t *rapid.T) *RegisterWorkers {
 	worker := testWorker(drawWorker.Draw(t, "name"))
 	worker.ID = fmt.Sprintf("%s-%d", worker.Name, rapid.IntRange(1, 2).Draw(t, "incarnation"))
 	return &RegisterWorkers{Workers: []Worker{worker}}
 }
 
-// drawPlace mostly names placements that can hold.
-func drawPlace(t *rapid.T, machine *Machine) *PlaceTasks {
+// drawPlaceTasks draws placements of which most are valid.
+func drawPlaceTasks(t *rapid.T, machine *Machine) *PlaceTasks {
 	command := &PlaceTasks{}
 	for _, job := range machine.state.jobs.sorted {
 		for _, step := range job.Steps {
@@ -258,7 +260,7 @@
 	return command
 }
 
-func drawOpen(t *rapid.T, machine *Machine) []RunID {
+func drawOpenRuns(t *rapid.T, machine *Machine) []RunID {
 	var runs []RunID
 	for _, run := range machine.state.runs.sorted() {
 		if rapid.Bool().Draw(t, "take") {
@@ -268,13 +270,13 @@
 	return runs
 }
 
-func drawClose(t *rapid.T, machine *Machine) *CloseRuns {
+func drawCloseRuns(t *rapid.T, machine *Machine) *CloseRuns {
 	outcomes := []api.Outcome{api.OutcomeSucceeded, api.OutcomeFailed, api.OutcomeStopped, api.OutcomeLost}
 	command := &CloseRuns{}
-	runs := drawOpen(t, machine)
-	strayTask := occurrenceTaskID(drawJobID.Draw(t, "job"), "one", 0, rapid.IntRange(0, 3).Draw(t, "occurrence"))
-	stray := RunID{Task: strayTask, Number: uint32(rapid.IntRange(0, 2).Draw(t, "number"))}
-	for _, run := range append(runs, stray) {
+	runs := drawOpenRuns(t, machine)
+	arbitraryTask := occurrenceTaskID(drawJobID.Draw(t, "job"), "one", 0, rapid.IntRange(0, 3).Draw(t, "occurrence"))
+	arbitraryRun := RunID{Task: arbitraryTask, Number: uint32(rapid.IntRange(0, 2).Draw(t, "number"))}
+	for _, run := range append(runs, arbitraryRun) {
 		outcome := rapid.SampledFrom(outcomes).Draw(t, "outcome")
 		end := RunEnd{Run: run, Outcome: outcome}
 		if rapid.Bool().Draw(t, "checkpoint") {
--- a/internal/record/putconfig.go
+++ b/internal/record/putconfig.go
@@ -7,13 +7,12 @@
 	"github.com/decklever/decklever/api"
 )
 
-// applyPutConfig decides an order once and records the outcome, so that a resend
-// gets the same answer as long as the order is among the newest
-// Config.MaxConfigOrders.
+// applyPutConfig decides an order once and records the outcome. A resent order gets
+// the recorded answer while it is among the newest Config.MaxConfigOrders orders.
 func (m *Machine) applyPutConfig(put *PutConfig, result *Result) {
 	config := &m.state.config
-	if known := config.orders.byID[put.OrderID]; known != nil {
-		result.Config = resendResult(known, put, config.version)
+	if recorded := config.orders.byID[put.OrderID]; recorded != nil {
+		result.Config = resendResult(recorded, put, config.version)
 		return
 	}
 	decided := m.decideConfig(put)
@@ -24,8 +23,8 @@
 	}
 }
 
-// decideConfig refuses an order that failed validation or whose base version is
-// not in force, and else puts its configuration in force.
+// decideConfig refuses an order that failed validation or whose base version is not
+// the active one. Otherwise it activates the order's configuration.
 func (m *Machine) decideConfig(put *PutConfig) ConfigResult {
 	config := &m.state.config
 	if put.Refusal != nil {
@@ -45,26 +44,27 @@
 	return ConfigResult{Version: config.version}
 }
 
-// resendResult answers an order whose id is known: with the recorded outcome, or
-// with a conflict if the content is another.
-func resendResult(known *configOrder, put *PutConfig, inForce uint64) *ConfigResult {
-	if known.Digest == put.Digest {
-		result := known.Result
+// resendResult answers an order whose id is already recorded: with the recorded
+// outcome, or with a conflict if the configuration differs.
+func resendResult(recorded *configOrder, put *PutConfig, activeVersion uint64) *ConfigResult {
+	if recorded.Digest == put.Digest {
+		result := recorded.Result
 		return &result
 	}
-	return &ConfigResult{Version: inForce, Refusal: &api.Error{
+	return &ConfigResult{Version: activeVersion, Refusal: &api.Error{
 		Status:  http.StatusConflict,
 		Code:    api.CodeConflict,
 		Message: fmt.Sprintf("order %q was given with another configuration", put.OrderID),
 	}}
 }
 
-// versionConflict refuses an order that was made on another version than the one
-// in force. Exactly one of several orders on one version is accepted.
-func versionConflict(base, inForce uint64) *api.Error {
+// versionConflict returns the refusal of an order based on a version that is not the
+// active one. Of several valid orders with the same base, at most the first one
+// applied is accepted.
+func versionConflict(base, activeVersion uint64) *api.Error {
 	return &api.Error{
 		Status:  http.StatusPreconditionFailed,
 		Code:    api.CodeLostRace,
-		Message: fmt.Sprintf("version %d is in force, not %d", inForce, base),
+		Message: fmt.Sprintf("version %d is in force, not %d", activeVersion, base),
 	}
 }
--- a/internal/record/reason.go
+++ b/internal/record/reason.go
@@ -7,17 +7,18 @@
 	"github.com/decklever/decklever/api"
 )
 
-// This file has the texts of Task.Reason. They are part of the replicated state:
-// snapshots and the archive store them, so that programs which apply the same
-// entry must write the same text, byte by byte.
+// This file contains the texts of Task.Reason. They are part of the replicated
+// state and are stored in snapshots and in the archive, so programs that apply the
+// same entry must write the same text, byte for byte.
 
-// maxReasonBytes bounds the text that is kept of a worker's message.
+// maxReasonBytes is the maximum length of a stored reason that contains a worker's
+// message.
 const maxReasonBytes = 1024
 
 // reasonJobCancelled is the reason of tasks that CancelJobs ended.
 const reasonJobCancelled = "job cancelled"
 
-// interruptionReason says why a run ended that neither failed nor ended its
+// interruptionReason returns why a run ended that neither failed nor ended its
 // task.
 func interruptionReason(run *Run, outcome api.Outcome) string {
 	if outcome == api.OutcomeSucceeded {
@@ -32,7 +33,8 @@
 	return fmt.Sprintf("run %d lost on worker %q", run.Number, run.Worker)
 }
 
-// failureReason is the worker's message about a failure, bounded.
+// failureReason returns the worker's message about a failure, truncated to
+// maxReasonBytes, or "failed" if the message is empty.
 func failureReason(message string) string {
 	if message == "" {
 		return "failed"
@@ -40,20 +42,21 @@
 	return truncate(message, maxReasonBytes)
 }
 
-// stopRequestedReason says why a run is to be stopped.
+// stopRequestedReason returns why the stop of a run was requested.
 func stopRequestedReason(stop StopReason) string { return "stopped: " + string(stop) }
 
-// gangMemberReason says which member of a gang ended first, and why.
+// gangMemberReason returns which member of a gang ended first, and why.
 func gangMemberReason(member *Task, why string) string {
 	return truncate(fmt.Sprintf("member %d: %s", member.ID.Index, why), maxReasonBytes)
 }
 
-// stepFailedReason is the reason of tasks that wait on a step that failed.
+// stepFailedReason returns the reason for tasks that wait for a failed step.
 func stepFailedReason(step *Step) string {
 	return fmt.Sprintf("step %q failed", step.Spec.Name)
 }
 
-// truncate cuts text to at most limit bytes, not within a character.
+// truncate shortens text to at most limit bytes without splitting a UTF-8
+// character.
 func truncate(text string, limit int) string {
 	if len(text) <= limit {
 		return text
--- a/internal/record/registerworkers.go
+++ b/internal/record/registerworkers.go
@@ -1,6 +1,7 @@
 package record
 
-// applyRegisterWorkers adds workers or updates what is known of them.
+// applyRegisterWorkers adds or updates workers, and reports the names of those
+// that were rejected.
 func (m *Machine) applyRegisterWorkers(register *RegisterWorkers, result *Result) {
 	for i := range register.Workers {
 		worker := register.Workers[i]
@@ -10,10 +11,10 @@
 	}
 }
 
-// registerWorker adds or replaces one worker. It returns false, and changes
-// nothing, if the name has an earlier incarnation with open runs, or if another
-// name has the incarnation's id. Registering the same description again changes
-// nothing and emits no event.
+// registerWorker adds or replaces one worker. It returns false, and changes nothing,
+// if an earlier incarnation of the name has open runs, or if another name uses the
+// incarnation's id. Registering an unchanged description again changes nothing and
+// emits no event.
 func (m *Machine) registerWorker(worker *Worker) bool {
 	known := m.state.workers.byName[worker.Name]
 	if other := m.state.workers.byID[worker.ID]; other != nil && other != known {
@@ -26,7 +27,7 @@
 			return true
 		}
 	}
-	if known != nil && known.ID != worker.ID && m.state.runs.anyOn(known.ID) {
+	if known != nil && known.ID != worker.ID && m.state.runs.hasRunsOn(known.ID) {
 		return false
 	}
 	m.state.workers.put(worker)
--- a/internal/record/registerworkers_test.go
+++ b/internal/record/registerworkers_test.go
@@ -17,10 +17,10 @@
 	h.mustPlace(placementOn(taskID("j", "a", 0), 1, "w"))
 	next := w
 	next.ID = "w-2"
-	expect(t, "runs are open", fmt.Sprint(h.register(next)), "[w]")
-	thief := w
-	thief.Name = "thief"
-	expect(t, "id is taken", fmt.Sprint(h.register(thief)), "[thief]")
+	expect(t, "rejected: earlier incarnation has open runs", fmt.Sprint(h.register(next)), "[w]")
+	duplicate := w
+	duplicate.Name = "duplicate"
+	expect(t, "rejected: another name uses the incarnation id", fmt.Sprint(h.register(duplicate)), "[duplicate]")
 	h.takeEvents()
 	h.apply(Command{ForgetWorkers: &ForgetWorkers{Names: []string{"w"}}})
 	w.Zone = "z9"
--- a/internal/record/releasewindow.go
+++ b/internal/record/releasewindow.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// applyReleaseWindow records that the capacity of a reservation window is given
-// back. A window that has ended by the clock of the record, or was released
-// before, is skipped.
+// applyReleaseWindow records that the capacity of a reservation window was released.
+// A window that has already ended by the state's clock, or was already released, is
+// ignored.
 func (m *Machine) applyReleaseWindow(release *ReleaseWindow) {
 	if m.state.addReleasedWindow(*release) {
 		m.emit(WindowReleased{Window: *release})
 	}
 }
 
-// addReleasedWindow records a released window until its end, and reports whether
-// it is new. The slice is copied, so that a capture may share the old one.
+// addReleasedWindow records a released window until its end, and reports whether it
+// was added. It builds a new slice because a capture may share the previous one.
 func (s *state) addReleasedWindow(window ReleaseWindow) bool {
 	if window.End <= s.clock || slices.ContainsFunc(s.releasedWindows, window.sameWindow) {
 		return false
@@ -26,12 +26,13 @@
 	return true
 }
 
-// sameWindow compares what identifies a window; its end follows from that.
+// sameWindow reports whether r and other identify the same window. End is not
+// compared because it follows from the other fields.
 func (r ReleaseWindow) sameWindow(other ReleaseWindow) bool {
 	return r.Queue == other.Queue && r.Booking == other.Booking && r.Start == other.Start
 }
 
-// compareReleases orders windows by end, then by name.
+// compareReleases orders windows by end, then by queue, booking and start.
 func compareReleases(a, b ReleaseWindow) int {
 	return cmp.Or(
 		cmp.Compare(a.End, b.End),
--- a/internal/record/restore.go
+++ b/internal/record/restore.go
@@ -12,16 +12,16 @@
 	"github.com/decklever/decklever/api"
 )
 
-// ErrSnapshot: the bytes of a snapshot are damaged or of an unknown format. See
-// SnapshotError.
+// ErrSnapshot matches every SnapshotError: the bytes of a snapshot are damaged,
+// inconsistent or of an unknown format.
 var ErrSnapshot = errors.New("record: snapshot cannot be read")
 
 // SnapshotError reports the part of a snapshot that cannot be restored. It matches
 // ErrSnapshot.
 type SnapshotError struct {
-	// Part is the kind of the part, followed by its name if that was read.
+	// Part is the kind of the part, followed by its name if the name was read.
 	Part string
-	// Problem is what was found and what was expected.
+	// Problem says what was found and what was expected.
 	Problem string
 	// Err is the cause, or nil.
 	Err error
@@ -44,7 +44,7 @@
 	return []error{ErrSnapshot, e.Err}
 }
 
-// Names of the parts of a snapshot in a SnapshotError.
+// Part kinds in a SnapshotError.
 const (
 	partFrame   = "frame"
 	partHeader  = "header"
@@ -63,9 +63,9 @@
 	return &SnapshotError{Part: part, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Restore replaces the state by a snapshot, which must be in durable storage
-// already, and emits StateReplaced. On an error, which is a SnapshotError if the
-// bytes are at fault, nothing was changed.
+// Restore replaces the state by a snapshot, which must already be in durable
+// storage, and emits StateReplaced. On an error nothing is changed. The error is a
+// SnapshotError if the bytes are damaged, inconsistent or of an unknown format.
 func (m *Machine) Restore(reader io.Reader) error {
 	data, err := io.ReadAll(reader)
 	if err != nil {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// verifySnapshot checks the frame and the checksum, and returns the parts.
+// verifySnapshot checks the frame and the checksum, and returns the encoded parts.
 func verifySnapshot(data []byte) ([]byte, error) {
 	if len(data) < len(snapshotMagic)+sha256.Size {
 		return nil, snapshotErrorf(partFrame, "", "%d bytes, expected at least %d", len(data), len(snapshotMagic)+sha256.Size)
@@ -103,10 +103,11 @@
 	return data[len(snapshotMagic):end], nil
 }
 
-// snapshotReader builds a state from the parts, read one after the other.
+// snapshotReader builds a state from the parts of a snapshot, in the order in which
+// they are stored.
 type snapshotReader struct {
 	decoder *cbor.Decoder
-	// size is the length of all parts, in bytes.
+	// size is the total length of the parts, in bytes.
 	size  int
 	state *state
 }
@@ -136,14 +137,14 @@
 }
 
 // next decodes the next part.
-func (r *snapshotReader) next(into any, part string) error {
-	if err := r.decoder.Decode(into); err != nil {
+func (r *snapshotReader) next(target any, part string) error {
+	if err := r.decoder.Decode(target); err != nil {
 		return &SnapshotError{Part: part, Problem: "cannot be decoded", Err: err}
 	}
 	return nil
 }
 
-// readHeader takes what the header itself holds.
+// readHeader restores the values stored in the header itself.
 func (r *snapshotReader) readHeader(header *snapshotHeader) {
 	r.state.applied = header.Applied
 	r.state.clock = header.Clock
@@ -155,8 +156,9 @@
 	}
 }
 
-// readParts reads the parts that the header counts. No memory is taken for a count:
-// one beyond the data ends in an error at the first part that is missing.
+// readParts reads the parts that the header counts. It does not allocate memory by
+// these counts: a count that exceeds the data ends in an error at the first missing
+// part.
 func (r *snapshotReader) readParts(header *snapshotHeader) error {
 	readers := []struct {
 		count int
@@ -187,7 +189,7 @@
 	return nil
 }
 
-// readOrder reads one decided configuration order; ids are unique.
+// readOrder reads one decided configuration order. Order ids are unique.
 func (r *snapshotReader) readOrder() error {
 	var order configOrder
 	if err := r.next(&order, partOrder); err != nil {
@@ -200,7 +202,7 @@
 	return nil
 }
 
-// readWorker reads one worker; names and incarnations are unique.
+// readWorker reads one worker. Names and incarnation ids are unique.
 func (r *snapshotReader) readWorker() error {
 	var worker Worker
 	if err := r.next(&worker, partWorker); err != nil {
@@ -213,27 +215,27 @@
 	return nil
 }
 
-// readJob reads a live job. The counts of the queues follow from the tasks.
+// readJob reads a live job. The queue counts are derived from its tasks.
 func (r *snapshotReader) readJob() error {
-	var read snapshotJob
-	if err := r.next(&read, partJob); err != nil {
+	var stored snapshotJob
+	if err := r.next(&stored, partJob); err != nil {
 		return err
 	}
-	if r.state.jobs.byID[read.ID] != nil {
-		return snapshotErrorf(partJob, read.ID, "found twice, expected once")
+	if r.state.jobs.byID[stored.ID] != nil {
+		return snapshotErrorf(partJob, stored.ID, "found twice, expected once")
 	}
-	if err := read.matchesSpec(); err != nil {
+	if err := stored.validate(); err != nil {
 		return err
 	}
-	job := &Job{ID: read.ID, Digest: read.Digest, Spec: *read.Spec, SubmittedAt: read.SubmittedAt}
-	job.Cancelled = read.Cancelled
-	job.Repetition = read.Repetition
-	job.started = read.Started
-	for _, number := range read.liveOccurrences() {
+	job := &Job{ID: stored.ID, Digest: stored.Digest, Spec: *stored.Spec, SubmittedAt: stored.SubmittedAt}
+	job.Cancelled = stored.Cancelled
+	job.Repetition = stored.Repetition
+	job.started = stored.Started
+	for _, number := range stored.liveOccurrences() {
 		job.addOccurrence(number)
 	}
 	for i, step := range job.Steps {
-		if err := r.restoreStep(step, &read.Steps[i]); err != nil {
+		if err := r.restoreStep(step, &stored.Steps[i]); err != nil {
 			return err
 		}
 	}
@@ -241,9 +243,9 @@
 	return nil
 }
 
-// matchesSpec checks what was read against the spec, before memory is taken for
-// what the spec only counts.
-func (j *snapshotJob) matchesSpec() error {
+// validate checks the stored job against its spec, before memory is allocated by
+// the spec's task counts.
+func (j *snapshotJob) validate() error {
 	if j.Spec == nil {
 		return snapshotErrorf(partJob, j.ID, "has no spec")
 	}
@@ -266,7 +268,7 @@
 	return nil
 }
 
-// liveOccurrences returns the numbers of the live occurrences.
+// liveOccurrences returns the numbers of the job's live occurrences.
 func (j *snapshotJob) liveOccurrences() []int {
 	if j.Repetition == nil {
 		return []int{0}
@@ -274,8 +276,8 @@
 	return j.Occurrences
 }
 
-// occurrenceNumbersValid reports whether the numbers of the live occurrences ascend
-// and were added.
+// occurrenceNumbersValid reports whether the numbers of the live occurrences are
+// ascending and belong to occurrences that were already added.
 func (j *snapshotJob) occurrenceNumbersValid(live []int) bool {
 	previous := -1
 	for _, number := range live {
@@ -287,70 +289,71 @@
 	return true
 }
 
-// restoreStep restores a step of a live occurrence with its tasks.
-func (r *snapshotReader) restoreStep(step *Step, read *snapshotStep) error {
-	step.OpenDependencies = read.WaitsOn
-	step.lastFailedRun = read.FailedRun
+// restoreStep restores a step of a live occurrence and its tasks.
+func (r *snapshotReader) restoreStep(step *Step, stored *snapshotStep) error {
+	step.OpenDependencies = stored.WaitsOn
+	step.lastFailedRun = stored.FailedRun
 	for i, task := range step.Tasks {
-		if err := r.restoreTask(task, &read.Tasks[i]); err != nil {
+		if err := r.restoreTask(task, &stored.Tasks[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// restoreTask restores a task with its open run.
-func (r *snapshotReader) restoreTask(task *Task, read *snapshotTask) error {
-	if !runMatchesState(task, read) {
-		return snapshotErrorf(partTask, task.ID.String(), "state %d with open run: %t", read.State, read.Run != nil)
-	}
-	task.State = read.State
-	task.Failures = read.Failures
-	task.AllowedFailures = read.AllowedFailures
-	task.LastRun = read.LastRun
-	task.LastWorker = read.LastWorker
-	task.NotBefore = read.NotBefore
-	task.Reason = read.Reason
-	task.Preemptions = read.Preemptions
-	task.checkpoint = checkpoint{text: read.Checkpoint, run: read.CheckpointRun, percent: read.CheckpointPercent}
-	task.Step.Job.started = task.Step.Job.started || read.LastRun > 0
+// restoreTask restores a task and its open run.
+func (r *snapshotReader) restoreTask(task *Task, stored *snapshotTask) error {
+	if !runMatchesState(task, stored) {
+		return snapshotErrorf(partTask, task.ID.String(), "state %d with open run: %t", stored.State, stored.Run != nil)
+	}
+	task.State = stored.State
+	task.Failures = stored.Failures
+	task.AllowedFailures = stored.AllowedFailures
+	task.LastRun = stored.LastRun
+	task.LastWorker = stored.LastWorker
+	task.NotBefore = stored.NotBefore
+	task.Reason = stored.Reason
+	task.Preemptions = stored.Preemptions
+	task.checkpoint = checkpoint{text: stored.Checkpoint, run: stored.CheckpointRun, percent: stored.CheckpointPercent}
+	task.Step.Job.started = task.Step.Job.started || stored.LastRun > 0
 	if task.State.Final() {
 		task.countFinal()
 	}
-	return r.restoreRun(task, read.Run)
+	return r.restoreRun(task, stored.Run)
 }
 
-// runMatchesState reports whether the state is known, and a run is open exactly if
-// the task is placed; the run of a member of a gang with a common outcome may also
-// be open after the success of the gang.
-func runMatchesState(task *Task, read *snapshotTask) bool {
-	if read.State > TaskCancelled {
+// runMatchesState reports whether the state is known and consistent with the
+// presence of an open run: a task has an open run exactly if it is placed. A
+// succeeded member of a gang with a common outcome may also have one, since its run
+// can stay open after the gang's success.
+func runMatchesState(task *Task, stored *snapshotTask) bool {
+	if stored.State > TaskCancelled {
 		return false
 	}
-	if read.State == TaskSucceeded && task.Step.SharesOutcome() {
+	if stored.State == TaskSucceeded && task.Step.SharesOutcome() {
 		return true
 	}
-	return (read.State == TaskPlaced) == (read.Run != nil)
+	return (stored.State == TaskPlaced) == (stored.Run != nil)
 }
 
-// restoreRun restores the open run of a task, if it has one. Its worker must be
-// among those read before.
-func (r *snapshotReader) restoreRun(task *Task, read *snapshotRun) error {
-	if read == nil {
+// restoreRun restores the open run of a task, if it has one. The run's worker must
+// have been restored before.
+func (r *snapshotReader) restoreRun(task *Task, stored *snapshotRun) error {
+	if stored == nil {
 		return nil
 	}
 	worker := r.state.workers.byName[task.LastWorker]
-	if worker == nil || worker.ID != read.WorkerID {
-		return snapshotErrorf(partTask, task.ID.String(), "its open run is on worker %q with id %q, which is not known", task.LastWorker, read.WorkerID)
+	if worker == nil || worker.ID != stored.WorkerID {
+		return snapshotErrorf(partTask, task.ID.String(), "its open run is on worker %q with id %q, which is not known", task.LastWorker, stored.WorkerID)
 	}
 	task.Run = &Run{
 		Task:     task,
 		Number:   task.LastRun,
-		WorkerID: read.WorkerID,
+		WorkerID: stored.WorkerID,
 		Worker:   task.LastWorker,
-		Token:    read.Token,
-		PlacedAt: read.PlacedAt,
-		Stop:     read.Stop,
+		Token:    stored.Token,
+		PlacedAt: stored.PlacedAt,
+		Stop:     stored.Stop,
 	}
 	return nil
 }
--- a/internal/record/restore_test.go
+++ b/internal/record/restore_test.go
@@ -9,17 +9,18 @@
 	"testing"
 )
 
-func TestRestore_SnapshotWithoutNewerFields(t *testing.T) {
-	// The header as it was before reservations: fields 1 to 10.
+func TestRestore_SnapshotWithoutNewerFieldsAccepted(t *testing.T) {
+	// The header before ReleasedWindows and DrainedZones were added: fields 1 to
+	// 10.
 	data := snapshotOf(t, map[int]any{
 		1: 1, 2: 9, 3: 1234, 4: 0, 5: 1, 6: testConfig(), 7: 0, 8: 0, 9: 0, 10: 0,
 	})
-	machine := restored(t, data, newTestArchive())
+	machine := restoreMachine(t, data, newTestArchive())
 	machine.Read(func(v View) {
 		expect(t, "applied", v.Applied(), 9)
 		expect(t, "clock", v.Clock(), 1234)
 	})
-	expectReleased(t, machine)
+	expectReleasedWindows(t, machine)
 }
 
 func TestRestore_DamagedSnapshotChangesNothing(t *testing.T) {
@@ -31,16 +32,16 @@
 		damaged []byte
 	}{
 		{"empty", nil},
-		{"cut short", before[:len(before)-1]},
-		{"a bit of a part", withFlippedBit(before, 40)},
-		{"a bit of the checksum", withFlippedBit(before, len(before)-1)},
+		{"truncated", before[:len(before)-1]},
+		{"flipped bit in a part", withFlippedBit(before, 40)},
+		{"flipped bit in the checksum", withFlippedBit(before, len(before)-1)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			err := h.machine.Restore(bytes.NewReader(c.damaged))
 			var snapshotError *SnapshotError
 			if !errors.Is(err, ErrSnapshot) || !errors.As(err, &snapshotError) {
-				t.Fatalf("damaged snapshot: %v", err)
+				t.Fatalf("restore damaged snapshot: got error %v, want a SnapshotError", err)
 			}
 			expect(t, "part", snapshotError.Part, partFrame)
 		})
@@ -53,9 +54,10 @@
 	expectEvents(t, h, "replaced")
 }
 
-// TestRestore_InvalidPartIsNamed: a snapshot with a good checksum and a part that
-// contradicts another is refused with the name of that part.
-func TestRestore_InvalidPartIsNamed(t *testing.T) {
+// TestRestore_InvalidPartNamedInError checks that Restore rejects a snapshot with a
+// valid checksum and an invalid part, changes nothing, and names that part in its
+// error.
+func TestRestore_InvalidPartNamedInError(t *testing.T) {
 	worker := map[int]any{1: "w", 2: "w-1"}
 	config := testConfig()
 	cases := []struct {
@@ -78,18 +80,18 @@
 			err := h.machine.Restore(bytes.NewReader(snapshotOf(t, append([]any{c.header}, c.parts...)...)))
 			var snapshotError *SnapshotError
 			if !errors.Is(err, ErrSnapshot) || !errors.As(err, &snapshotError) {
-				t.Fatalf("got %v, expected a SnapshotError", err)
+				t.Fatalf("got error %v, want a SnapshotError", err)
 			}
 			expect(t, "part", snapshotError.Part, c.part)
 			if !strings.Contains(snapshotError.Problem, c.want) {
-				t.Fatalf("problem %q, expected %q", snapshotError.Problem, c.want)
+				t.Fatalf("got problem %q, want one that contains %q", snapshotError.Problem, c.want)
 			}
 			expect(t, "unchanged", bytes.Equal(before, snapshotBytes(t, h.machine)), true)
 		})
 	}
 }
 
-// snapshotOf frames parts as a snapshot with a good checksum.
+// snapshotOf returns a snapshot with the given parts and a valid checksum.
 func snapshotOf(t *testing.T, parts ...any) []byte {
 	t.Helper()
 	data := []byte(snapshotMagic)
@@ -104,9 +106,10 @@
 	return append(data, sum[:]...)
 }
 
-// withFlippedBit returns a copy of data with the lowest bit of one byte changed.
-func withFlippedBit(data []byte, at int) []byte {
+// withFlippedBit returns a copy of data with the lowest bit of the byte at offset
+// flipped.
+func withFlippedBit(data []byte, offset int) []byte {
 	changed := slices.Clone(data)
-	changed[at] ^= 1
+	changed[offset] ^= 1
 	return changed
 }
--- a/internal/record/retry.go
+++ b/internal/record/retry.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// maxBackoffDoublings bounds the growth of the backoff before a retry.
+	// maxBackoffDoublings is how often the retry backoff doubles at most.
 	maxBackoffDoublings = 5
-	// maxUntilCancelledBackoff bounds the backoff of a task that runs until
-	// cancelled, unless the configured first one is longer.
+	// maxUntilCancelledBackoff limits the backoff of a task that runs until
+	// cancelled, in milliseconds, unless the configured retry delay is longer.
 	maxUntilCancelledBackoff Millis = 2_000
-	// failureResetAfter is how long a run of a task that runs until cancelled
-	// must have been open for its failure to count as the first: its cause is
-	// taken for another than that of the failures before.
+	// failureResetAfter is how long, in milliseconds, a run of a task that runs
+	// until cancelled must have been open for its failure to reset the failure
+	// count to 1. Such a failure is assumed to have another cause than earlier ones.
 	failureResetAfter Millis = 10_000
 )
 
-// countFailure counts a failure that ended a run: the task's own, or that of
-// another member of its gang with a common outcome.
+// countFailure counts a failed run: the task's own, or that of another member of its
+// gang with a common outcome.
 func (t *Task) countFailure(run *Run, now Millis) {
 	if t.RunsUntilCancelled() && now-run.PlacedAt >= failureResetAfter {
 		t.Failures = 0
@@ -23,7 +23,7 @@
 	t.Failures++
 }
 
-// retryBackoff is the backoff after a task's newest failure, in milliseconds.
+// retryBackoff returns the backoff after the newest failure of a task.
 func (m *Machine) retryBackoff(task *Task) Millis {
 	backoff := m.backoffAfter(task.Failures)
 	if task.RunsUntilCancelled() {
@@ -32,8 +32,8 @@
 	return backoff
 }
 
-// backoffAfter is the backoff after a number of failures, of at least 1: the
-// configured retry delay, doubled with each further failure up to
+// backoffAfter returns the backoff after the given number of failures, which must be
+// at least 1: the configured retry delay, doubled for each further failure up to
 // maxBackoffDoublings times.
 func (m *Machine) backoffAfter(failures int) Millis {
 	doublings := min(failures-1, maxBackoffDoublings)
--- a/internal/record/retry_test.go
+++ b/internal/record/retry_test.go
@@ -9,9 +9,9 @@
 	"github.com/decklever/decklever/api"
 )
 
-// failRepeatedly lets a number of runs of a task fail, each after it was open for
-// some time and placed as soon as the task may run, and returns the backoffs after
-// them.
+// failRepeatedly runs a task the given number of times and returns the backoff after
+// each run. Each run is placed as soon as the task may start, stays open for openFor
+// milliseconds and then fails.
 func failRepeatedly(h *harness, task *Task, times int, openFor Millis) []Millis {
 	h.t.Helper()
 	var backoffs []Millis
@@ -29,7 +29,7 @@
 func expectBackoffs(t *testing.T, what string, got, want []Millis) {
 	t.Helper()
 	if !slices.Equal(got, want) {
-		t.Errorf("%s: backoffs %v, want %v", what, got, want)
+		t.Errorf("%s: got backoffs %v, want %v", what, got, want)
 	}
 }
 
@@ -42,14 +42,15 @@
 	}
 }
 
-// TestRetryBackoff_LongRunKeepsFailuresOfLimitedTask: a task whose failures are
-// limited must reach the limit however long its runs were.
+// TestRetryBackoff_LongRunKeepsFailuresOfLimitedTask guards against resetting the
+// failure count of a task with limited failures: it must reach its limit however long
+// its runs were open.
 func TestRetryBackoff_LongRunKeepsFailuresOfLimitedTask(t *testing.T) {
 	h := newHarness(t)
 	h.register(testWorker("w1"))
-	made, limit := stepSpec("a", 1), 9
-	made.Tasks[0].AllowedFailures = &limit
-	h.submit("j", made)
+	step, limit := stepSpec("a", 1), 9
+	step.Tasks[0].AllowedFailures = &limit
+	h.submit("j", step)
 	want := []Millis{200, 400, 800, 1600, 3200, 6400, 6400, 6400}
 	expectBackoffs(t, "long runs", failRepeatedly(h, h.task(taskID("j", "a", 0)), len(want), failureResetAfter), want)
 }
@@ -69,22 +70,22 @@
 			h.putConfig("order-2", 1, api.Config{Queues: []api.QueueConfig{{Name: testQueue}}, Timings: timings})
 			h.register(testWorker("w1"))
 			h.submit("j", untilCancelledStep("a", 1))
-			expectBackoffs(t, "of all failures", failRepeatedly(h, h.task(taskID("j", "a", 0)), len(c.want), 100), c.want)
+			expectBackoffs(t, "after each failure", failRepeatedly(h, h.task(taskID("j", "a", 0)), len(c.want), 100), c.want)
 		})
 	}
 }
 
-// TestUntilCancelled_LongRunResetsFailures: the cause of a failure after a long run
-// is taken for another than that of the failures before.
+// TestUntilCancelled_LongRunResetsFailures checks that a failure after a long run
+// starts a new count, because it is assumed to have another cause than earlier ones.
 func TestUntilCancelled_LongRunResetsFailures(t *testing.T) {
 	h := newHarness(t)
 	h.register(testWorker("w1"))
 	h.submit("j", untilCancelledStep("a", 1))
 	task := h.task(taskID("j", "a", 0))
 	expectBackoffs(t, "short runs", failRepeatedly(h, task, 3, failureResetAfter-1), []Millis{200, 400, 800})
-	expectBackoffs(t, "after a long one", failRepeatedly(h, task, 1, failureResetAfter), []Millis{200})
-	expectBackoffs(t, "short ones again", failRepeatedly(h, task, 2, 0), []Millis{400, 800})
+	expectBackoffs(t, "after a long run", failRepeatedly(h, task, 1, failureResetAfter), []Millis{200})
+	expectBackoffs(t, "short runs after the long run", failRepeatedly(h, task, 2, 0), []Millis{400, 800})
 	if task.Failures != 3 {
-		t.Errorf("%d failures since the long run, want 3", task.Failures)
+		t.Errorf("got %d failures since the long run, want 3", task.Failures)
 	}
 }
--- a/internal/record/runtable.go
+++ b/internal/record/runtable.go
@@ -8,17 +8,17 @@
 	"github.com/decklever/decklever/api"
 )
 
-// runTable has the open runs.
+// runTable contains the open runs.
 type runTable struct {
-	// byWorkerID has the worker incarnations with open runs.
+	// byWorkerID maps each worker incarnation that has open runs to these runs.
 	byWorkerID map[string]*workerLoad
 	// total counts the open runs.
 	total int
 }
 
-// workerLoad is the open runs on one worker incarnation.
+// workerLoad contains the open runs of one worker incarnation.
 type workerLoad struct {
-	// used is the sum of their resources.
+	// used is the sum of the resources of runs.
 	used api.Resources
 	// runs is ordered by compareRuns.
 	runs []*Run
@@ -26,7 +26,8 @@
 
 func newRunTable() runTable { return runTable{byWorkerID: make(map[string]*workerLoad)} }
 
-// add counts an open run on its worker, its occurrence and its job.
+// add adds an open run and counts it in its worker's load, its occurrence and its
+// job.
 func (t *runTable) add(run *Run) {
 	load := t.byWorkerID[run.WorkerID]
 	if load == nil {
@@ -41,7 +42,8 @@
 	t.total++
 }
 
-// remove discounts a run that is being closed.
+// remove removes a run that is being closed and subtracts it from the counts of its
+// occurrence and its job.
 func (t *runTable) remove(run *Run) {
 	load := t.byWorkerID[run.WorkerID]
 	load.used = load.used.Sub(run.Task.Spec.Resources)
@@ -57,7 +59,7 @@
 	t.total--
 }
 
-// used is the sum of the resources of the open runs on a worker incarnation.
+// used returns the sum of the resources of the open runs on a worker incarnation.
 func (t *runTable) used(workerID string) api.Resources {
 	if load := t.byWorkerID[workerID]; load != nil {
 		return load.used
@@ -65,8 +67,8 @@
 	return api.Resources{}
 }
 
-// anyOn reports whether a run is open on a worker incarnation.
-func (t *runTable) anyOn(workerID string) bool {
+// hasRunsOn reports whether a worker incarnation has an open run.
+func (t *runTable) hasRunsOn(workerID string) bool {
 	return t.byWorkerID[workerID] != nil
 }
 
@@ -80,7 +82,8 @@
 	return runs
 }
 
-// search returns the position of a run in runs, or that where it belongs.
+// search returns the position of a run in runs, or the position at which to insert
+// it.
 func (l *workerLoad) search(run *Run) (position int, found bool) {
 	return slices.BinarySearchFunc(l.runs, run, compareRuns)
 }
--- a/internal/record/snapshot.go
+++ b/internal/record/snapshot.go
@@ -9,20 +9,20 @@
 	"github.com/decklever/decklever/api"
 )
 
-// A snapshot is snapshotMagic, a CBOR sequence (RFC 8742) of one snapshotHeader
-// and the parts that it counts, and the SHA-256 of all before. Equal states give
-// equal bytes on every replica.
+// A snapshot consists of snapshotMagic, a CBOR sequence (RFC 8742) of one
+// snapshotHeader and the parts that it counts, and the SHA-256 of all preceding
+// bytes. Equal states give equal bytes on every replica.
 //
-// Snapshots are stored data: a field keeps its key and meaning, and one that was
-// added later is marked omitempty and says what its absence means.
+// Snapshots are stored data: a field keeps its key and meaning. A field added later
+// is marked omitempty, and its comment states what its absence means.
 const (
 	snapshotMagic  = "decklever record\n"
 	snapshotFormat = 1
 )
 
-// snapshotHeader is the first part of a snapshot. Configuration versions and
-// orders, both oldest first, then workers by name and jobs by id follow, in the
-// numbers given here.
+// snapshotHeader is the first part of a snapshot. It is followed by the
+// configuration versions and the configuration orders, both oldest first, then the
+// workers by name and the jobs by id. The header contains the number of each.
 type snapshotHeader struct {
 	Format        int        `cbor:"1,keyasint"`
 	Applied       uint64     `cbor:"2,keyasint"`
@@ -35,13 +35,13 @@
 	Workers       int        `cbor:"9,keyasint"`
 	Jobs          int        `cbor:"10,keyasint"`
 	// ReleasedWindows and DrainedZones are absent from snapshots of earlier
-	// programs: there were none.
+	// programs, which had neither.
 	ReleasedWindows []ReleaseWindow `cbor:"11,keyasint,omitempty"`
 	DrainedZones    []string        `cbor:"12,keyasint,omitempty"`
 }
 
-// snapshotJob is a live job. Steps and Tasks are in the order of the spec, and the
-// steps of the live occurrences of a repeating job follow each other.
+// snapshotJob is a live job. Steps and Tasks are in the order of the spec. The
+// steps of a repeating job are listed occurrence by occurrence.
 type snapshotJob struct {
 	ID          string         `cbor:"1,keyasint"`
 	Digest      string         `cbor:"2,keyasint"`
@@ -49,11 +49,11 @@
 	SubmittedAt Millis         `cbor:"4,keyasint"`
 	Cancelled   bool           `cbor:"5,keyasint,omitempty"`
 	Steps       []snapshotStep `cbor:"6,keyasint"`
-	// Repetition is absent unless the job repeats; Occurrences are then the numbers
-	// of the live ones.
+	// Repetition is absent unless the job repeats. Occurrences contains the numbers
+	// of the live occurrences of a repeating job.
 	Repetition  *Repetition `cbor:"7,keyasint,omitempty"`
 	Occurrences []int       `cbor:"8,keyasint,omitempty"`
-	// Started is set only of a repeating job, for which it cannot be derived from
+	// Started is set only for a repeating job, for which it cannot be derived from
 	// the live tasks.
 	Started bool `cbor:"9,keyasint,omitempty"`
 }
@@ -62,7 +62,8 @@
 type snapshotStep struct {
 	WaitsOn int            `cbor:"1,keyasint,omitempty"`
 	Tasks   []snapshotTask `cbor:"2,keyasint"`
-	// FailedRun is Step.lastFailedRun; absent from snapshots of earlier programs.
+	// FailedRun is Step.lastFailedRun. It is absent from snapshots of earlier
+	// programs.
 	FailedRun uint32 `cbor:"3,keyasint,omitempty"`
 }
 
@@ -83,8 +84,8 @@
 	CheckpointPercent int          `cbor:"12,keyasint,omitempty"`
 }
 
-// snapshotRun is the open run of a task; its number and worker are LastRun and
-// LastWorker of the task.
+// snapshotRun is the open run of a task. Its number and worker are the task's
+// LastRun and LastWorker.
 type snapshotRun struct {
 	WorkerID string     `cbor:"1,keyasint"`
 	Token    uint64     `cbor:"2,keyasint"`
@@ -92,13 +93,14 @@
 	Stop     StopReason `cbor:"4,keyasint,omitempty"`
 }
 
-// Snapshot captures the state and returns the index of the last entry in it and a
-// function that writes it. The capture holds the lock; write does not, may take its
-// time while entries are applied, and is called at most once, from any goroutine.
-// The archive is synced before Snapshot returns, since the snapshot leaves out the
-// jobs that are in it. The error is that of the archive or of the writer.
+// Snapshot captures the state. It returns the index of the last entry in the
+// capture and a function that writes the capture. Only the capture holds the lock:
+// write may run while entries are applied. write must be called at most once, from
+// any goroutine. Snapshot syncs the archive before it returns, because the snapshot
+// omits the archived jobs. Its error is that of the archive; the error of write is
+// that of the writer.
 func (m *Machine) Snapshot() (index uint64, write func(io.Writer) error, err error) {
-	captured, accepted := m.capture()
+	captured, expiry := m.capture()
 	if err := m.archive.Sync(); err != nil {
 		return 0, nil, fmt.Errorf("record: sync archive: %w", err)
 	}
@@ -106,7 +108,7 @@
 		if err := captured.write(writer); err != nil {
 			return fmt.Errorf("record: write snapshot: %w", err)
 		}
-		accepted.written.Store(true)
+		expiry.written.Store(true)
 		return nil
 	}
 	return captured.header.Applied, write, nil
@@ -126,7 +128,7 @@
 	return err
 }
 
-// writeParts writes all but the checksum.
+// writeParts writes everything before the checksum.
 func (c *capture) writeParts(writer io.Writer) error {
 	if _, err := io.WriteString(writer, snapshotMagic); err != nil {
 		return err
@@ -158,7 +160,7 @@
 	return nil
 }
 
-// snapshotJob puts the parts of a captured job together.
+// snapshotJob assembles the stored form of a captured job.
 func (c *capture) snapshotJob(captured *capturedJob) *snapshotJob {
 	job := captured.job
 	written := &snapshotJob{
@@ -173,11 +175,11 @@
 		Started:     captured.started,
 	}
 	for i := range written.Steps {
-		from := c.steps[captured.firstStep+i]
+		source := c.steps[captured.firstStep+i]
 		written.Steps[i] = snapshotStep{
-			WaitsOn:   from.waitsOn,
-			FailedRun: from.failedRun,
-			Tasks:     c.tasks[from.firstTask : from.firstTask+from.taskCount],
+			WaitsOn:   source.openDependencies,
+			FailedRun: source.lastFailedRun,
+			Tasks:     c.tasks[source.firstTask : source.firstTask+source.taskCount],
 		}
 	}
 	return written
--- a/internal/record/state.go
+++ b/internal/record/state.go
@@ -1,14 +1,14 @@
 package record
 
-// state is all that is replicated, with the counts and indexes derived from it.
-// Its tables keep those right; what a command may do is decided by the methods of
-// Machine. Snapshots hold what cannot be derived.
+// state is the complete replicated state, with the counts and indexes derived from
+// it. Its tables keep the derived values consistent; the methods of Machine decide
+// which changes a command may make. Snapshots contain only what cannot be derived.
 type state struct {
-	// applied is the index of the last entry applied, clock the greatest command
-	// time.
+	// applied is the index of the last applied entry, and clock the greatest
+	// command time.
 	applied uint64
 	clock   Millis
-	// expiredBefore hides archived jobs that ended earlier.
+	// expiredBefore hides archived jobs that ended before it.
 	expiredBefore Millis
 
 	config  configState
@@ -17,12 +17,12 @@
 	workers workerTable
 	counts  countTable
 
-	// releasedWindows are the reservation windows given back that have not ended,
-	// ordered by compareReleases. The elements are never changed, so that a capture
-	// may share the slice.
+	// releasedWindows contains the released reservation windows that have not
+	// ended, ordered by compareReleases. The elements are never changed, so that a
+	// capture may share the slice.
 	releasedWindows []ReleaseWindow
-	// drainedZones are those drained by DrainZone, sorted. The elements are never
-	// changed, so that a capture may share the slice.
+	// drainedZones contains the zones drained by DrainZone, sorted. The elements
+	// are never changed, so that a capture may share the slice.
 	drainedZones []string
 }
 
@@ -36,20 +36,20 @@
 	}
 }
 
-// addJob adds a job whose tasks have their states and runs already, and counts
-// them.
+// addJob adds a job whose tasks already have their states and runs, and counts the
+// job and its tasks.
 func (s *state) addJob(job *Job) {
 	s.jobs.add(job)
 	s.adjustCounts(job, QueueCounts{Jobs: 1})
 	s.addSteps(job, job.Steps)
 }
 
-// addSteps counts the tasks and runs of steps that a job was given.
+// addSteps counts the tasks and runs of steps that were added to a job.
 func (s *state) addSteps(job *Job, steps []*Step) {
 	s.jobs.addSteps(steps)
 	for _, step := range steps {
 		for _, task := range step.Tasks {
-			s.adjustCounts(job, countsOf(task))
+			s.adjustCounts(job, taskCounts(task))
 			if task.Run != nil {
 				s.runs.add(task.Run)
 			}
@@ -70,18 +70,19 @@
 
 // setRun changes a task's state and open run, and the counts of its queue.
 func (s *state) setRun(task *Task, next TaskState, run *Run) {
-	before := countsOf(task)
+	before := taskCounts(task)
 	task.State = next
 	task.Run = run
-	s.adjustCounts(task.Step.Job, countsOf(task).minus(before))
+	s.adjustCounts(task.Step.Job, taskCounts(task).subtract(before))
 }
 
-// adjustCounts adds a change of a job to the counts.
+// adjustCounts adds a change of a job's counts to those of its queue, team and
+// caller.
 func (s *state) adjustCounts(job *Job, change QueueCounts) {
 	s.counts.adjust(job, s.config.queues[job.Spec.Queue].Team, change)
 }
 
-// advanceClock moves the clock, which never goes back, and drops the released
+// advanceClock advances the clock, which never goes back, and drops the released
 // windows that have ended.
 func (s *state) advanceClock(clock Millis) {
 	s.clock = max(s.clock, clock)
--- a/internal/record/status.go
+++ b/internal/record/status.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// Public converts the state to that of the public API, where blocked and ready
+// Public converts the state to a state of the public API, in which blocked and ready
 // tasks are both pending.
 func (s TaskState) Public() api.State {
 	switch s {
@@ -24,8 +24,8 @@
 	return api.StatePending
 }
 
-// State is the job's state in the public API: cancelled as soon as a cancel was
-// accepted, pending until the first run was placed.
+// State returns the job's state in the public API. A job is cancelled as soon as a
+// cancel was accepted, and pending until its first run is placed.
 func (j *Job) State() api.State {
 	switch {
 	case j.Cancelled:
@@ -40,8 +40,8 @@
 	return api.StatePending
 }
 
-// State is the step's state in the public API: pending until a task was placed or
-// has ended.
+// State returns the step's state in the public API. A step is pending until one of
+// its tasks was placed or has ended.
 func (s *Step) State() api.State {
 	switch {
 	case s.OpenTasks > 0 && s.hasStarted():
@@ -56,7 +56,7 @@
 	return api.StateCancelled
 }
 
-// Summary is the job's entry in a list of jobs.
+// Summary returns the job's entry for a list of jobs.
 func (j *Job) Summary() api.JobSummary {
 	perOccurrence := j.Spec.TaskCount()
 	total := perOccurrence * j.Occurrences()
@@ -74,7 +74,7 @@
 	}
 }
 
-// statusWithoutSteps is the job's status without the steps.
+// statusWithoutSteps returns the job's status with Steps left empty.
 func (j *Job) statusWithoutSteps() api.JobStatus {
 	return api.JobStatus{
 		ID:          j.ID,
@@ -86,8 +86,8 @@
 	}
 }
 
-// status converts the job to the public API at a time of the cluster clock. reason
-// is that of View.Status and may be nil.
+// status converts the job to the public API at the given time of the cluster clock.
+// reason is that of View.Status and may be nil.
 func (j *Job) status(clock Millis, reason func(*Task) string) api.JobStatus {
 	status := j.statusWithoutSteps()
 	status.Steps = make([]api.StepStatus, len(j.Steps))
@@ -97,7 +97,7 @@
 	return status
 }
 
-// occurrenceStatus counts the occurrences of a repeating job; nil for others.
+// occurrenceStatus returns the occurrence counts of a repeating job, or nil for others.
 func (j *Job) occurrenceStatus() *api.OccurrenceStatus {
 	if j.Repetition == nil {
 		return nil
@@ -138,7 +138,7 @@
 	return status
 }
 
-// waitReason names the steps that the step waits for, or is empty.
+// waitReason names the dependencies that have not succeeded, or returns "".
 func (s *Step) waitReason() string {
 	var names []string
 	for _, dependency := range s.dependencies {
@@ -152,7 +152,7 @@
 	return "waits for step " + strings.Join(names, ", ")
 }
 
-// reason says why the task waits or is being stopped, or how it ended.
+// reason returns why the task waits or is being stopped, or how it ended.
 func (t *Task) reason(blockedReason string, clock Millis, readyReason func(*Task) string) string {
 	switch t.State {
 	case TaskBlocked:
@@ -168,8 +168,8 @@
 	return t.Reason
 }
 
-// readyReason says why a ready task was not placed yet: what the leader knows of
-// it, or else why its last run ended and how long its backoff lasts.
+// readyReason returns why a ready task has not been placed. It prefers the leader's
+// reason. Otherwise it returns why the last run ended and when the task may start.
 func (t *Task) readyReason(clock Millis, leaderReason func(*Task) string) string {
 	if leaderReason != nil {
 		if text := leaderReason(t); text != "" {
@@ -179,9 +179,9 @@
 	if t.NotBefore <= clock {
 		return t.Reason
 	}
-	waits := "not before " + t.NotBefore.Time().Format(time.RFC3339Nano)
+	notBefore := "not before " + t.NotBefore.Time().Format(time.RFC3339Nano)
 	if t.Reason == "" {
-		return waits
+		return notBefore
 	}
-	return t.Reason + "; " + waits
+	return t.Reason + "; " + notBefore
 }
--- a/internal/record/stopruns.go
+++ b/internal/record/stopruns.go
@@ -1,7 +1,7 @@
 package record
 
-// applyStopRuns requests the stop of open runs, and of the peers of a member of a
-// gang with a common outcome.
+// applyStopRuns requests a stop of open runs. If a run belongs to a gang with a
+// common outcome, the runs of the other members are stopped as well.
 func (m *Machine) applyStopRuns(stop *StopRuns) {
 	if stop.Reason == StopNone {
 		return
@@ -14,9 +14,9 @@
 	}
 }
 
-// requestStop sets why an open run is to be stopped. The first reason is final,
-// except that StopCancelled replaces any other. The run stays open until its end
-// is applied.
+// requestStop sets the stop reason of an open run. The first reason is kept, except
+// that StopCancelled replaces any other. The run stays open until its end is
+// applied.
 func (m *Machine) requestStop(run *Run, reason StopReason) {
 	replaces := reason == StopCancelled && run.Stop != StopCancelled
 	if run.Stop != StopNone && !replaces {
@@ -26,7 +26,7 @@
 	m.emit(RunStopping{Run: run})
 }
 
-// findOpenRun returns the run if it is open, else nil.
+// findOpenRun returns the run with the given id if it is open, otherwise nil.
 func (m *Machine) findOpenRun(id RunID) *Run {
 	task := m.state.jobs.task(id.Task)
 	if task == nil || task.Run == nil || task.Run.Number != id.Number {
--- a/internal/record/stopruns_test.go
+++ b/internal/record/stopruns_test.go
@@ -6,10 +6,10 @@
 	"github.com/decklever/decklever/api"
 )
 
-// TestStopRuns_StopIsNoFailureButFailureCounts: a run that a worker reports as
-// stopped is no failure; one that it reports as failed is, also after a stop was
-// requested, so that a task that used up its failures is not started again.
-func TestStopRuns_StopIsNoFailureButFailureCounts(t *testing.T) {
+// TestStopRuns_OnlyReportedFailureCounts guards against restarting a task that has used
+// up its failures. A run reported as stopped is not a failure. A run reported as failed
+// is one, also after a stop was requested.
+func TestStopRuns_OnlyReportedFailureCounts(t *testing.T) {
 	h := newHarness(t)
 	h.register(testWorker("w"))
 	twice := 2
@@ -20,7 +20,7 @@
 	h.mustPlace(placementOn(task, 1, "w"))
 	h.stop(StopDrained, task)
 	h.stop(StopPreempted, task)
-	expect(t, "first reason", h.task(task).Run.Stop, StopDrained)
+	expect(t, "stop reason after two requests", h.task(task).Run.Stop, StopDrained)
 	h.close(task, 1, api.OutcomeStopped)
 	expect(t, "failures after a stop", h.task(task).Failures, 0)
 	expect(t, "state after a stop", h.task(task).State, TaskReady)
--- a/internal/record/submitjob.go
+++ b/internal/record/submitjob.go
@@ -2,10 +2,10 @@
 
 import "github.com/decklever/decklever/api"
 
-// applySubmitJob adds a job unless its id is known, live or archived. The error
-// is that of the archive. The spec was validated before it was proposed; what
-// validation would refuse is ignored here rather than an error, since an entry
-// that is committed must be applied.
+// applySubmitJob adds a job unless a live or archived job has its id. It returns only
+// errors of the archive. The spec was validated before it was proposed. Content that
+// validation would refuse is tolerated here without an error, because a committed
+// entry must be applied.
 func (m *Machine) applySubmitJob(submit *SubmitJob, result *Result) error {
 	digest, known, err := m.knownDigest(submit.ID)
 	if err != nil {
@@ -26,9 +26,8 @@
 	return nil
 }
 
-// acceptJob adds a job with the queue's service filled in where a task names
-// none; later configurations do not change it. The digest stays that of the spec
-// as submitted.
+// acceptJob adds a job. Tasks without a service get that of the queue; later
+// configurations do not change it. The digest remains that of the submitted spec.
 func (m *Machine) acceptJob(submit *SubmitJob, queue api.QueueConfig) SubmitOutcome {
 	spec := submit.Spec.WithService(queue.Service)
 	if len(spec.MissingServices()) > 0 {
@@ -38,7 +37,7 @@
 	return SubmitAccepted
 }
 
-// knownDigest returns the digest with which a job of that id was accepted.
+// knownDigest returns the digest of the live or archived job with the given id.
 func (m *Machine) knownDigest(id string) (digest string, known bool, err error) {
 	if job := m.state.jobs.byID[id]; job != nil {
 		return job.Digest, true, nil
@@ -47,8 +46,8 @@
 	return archived.Digest, known, err
 }
 
-// addJob adds a job with its first occurrence and starts its first steps. A job
-// without any task ends within the same entry.
+// addJob adds a job with its first occurrence and starts the steps without
+// dependencies. A job without tasks ends within the same entry.
 func (m *Machine) addJob(id, digest string, spec api.JobSpec, queue api.QueueConfig) {
 	job := &Job{ID: id, Spec: spec, Digest: digest, SubmittedAt: m.state.clock}
 	if spec.Repeat != nil {
--- a/internal/record/submitjob_test.go
+++ b/internal/record/submitjob_test.go
@@ -4,15 +4,15 @@
 
 func TestSubmitJob_Outcomes(t *testing.T) {
 	h := newHarness(t)
-	expect(t, "first", h.submit("j", stepSpec("a", 1)), SubmitAccepted)
-	expect(t, "same", h.submit("j", stepSpec("a", 1)), SubmitDuplicate)
-	expect(t, "other", h.submit("j", stepSpec("a", 2)), SubmitConflict)
-	expect(t, "queue", h.submitTo("none", "k", stepSpec("a", 1)), SubmitUnknownQueue)
+	expect(t, "outcome of a first submit", h.submit("j", stepSpec("a", 1)), SubmitAccepted)
+	expect(t, "outcome of a resend", h.submit("j", stepSpec("a", 1)), SubmitDuplicate)
+	expect(t, "outcome of another spec with the same id", h.submit("j", stepSpec("a", 2)), SubmitConflict)
+	expect(t, "outcome with an unknown queue", h.submitTo("none", "k", stepSpec("a", 1)), SubmitUnknownQueue)
 	h.cancel("j")
-	expect(t, "archived same", h.submit("j", stepSpec("a", 1)), SubmitDuplicate)
-	expect(t, "archived other", h.submit("j", stepSpec("a", 2)), SubmitConflict)
+	expect(t, "outcome of a resend of an archived job", h.submit("j", stepSpec("a", 1)), SubmitDuplicate)
+	expect(t, "outcome of another spec with the id of an archived job", h.submit("j", stepSpec("a", 2)), SubmitConflict)
 	h.cancel("j", "unknown")
-	expect(t, "puts", h.archive.puts, 1)
+	expect(t, "archive puts", h.archive.putCalls, 1)
 }
 
 func TestSubmitJob_QueueServiceFilledInOnce(t *testing.T) {
@@ -20,33 +20,33 @@
 	config := testConfig()
 	config.Queues[0].Service = "first"
 	h.putConfig("order-2", 1, config)
-	bare := stepSpec("a", 2)
-	bare.Tasks[1].Service = ""
-	if outcome := h.submit("j", bare); outcome != SubmitAccepted {
-		t.Fatalf("outcome %d", outcome)
+	withoutService := stepSpec("a", 2)
+	withoutService.Tasks[1].Service = ""
+	if outcome := h.submit("j", withoutService); outcome != SubmitAccepted {
+		t.Fatalf("got submit outcome %d, want accepted", outcome)
 	}
 	config.Queues[0].Service = "second"
 	h.putConfig("order-3", 2, config)
-	if outcome := h.submit("j", bare); outcome != SubmitDuplicate {
-		t.Fatalf("a resend after a change of the configuration: outcome %d", outcome)
+	if outcome := h.submit("j", withoutService); outcome != SubmitDuplicate {
+		t.Fatalf("got outcome %d of a resend after a configuration change, want duplicate", outcome)
 	}
-	again := restored(t, snapshotBytes(t, h.machine), h.archive)
-	for _, machine := range []*Machine{h.machine, again} {
+	restoredMachine := restoreMachine(t, snapshotBytes(t, h.machine), h.archive)
+	for _, machine := range []*Machine{h.machine, restoredMachine} {
 		tasks := machine.state.jobs.byID["j"].Steps[0].Tasks
 		if tasks[0].Spec.Service != "s" || tasks[1].Spec.Service != "first" {
-			t.Fatalf("services %q and %q", tasks[0].Spec.Service, tasks[1].Spec.Service)
+			t.Fatalf("got services %q and %q, want \"s\" and \"first\"", tasks[0].Spec.Service, tasks[1].Spec.Service)
 		}
 	}
 }
 
 func TestSubmitJob_WithoutServiceRejected(t *testing.T) {
 	h := newHarness(t)
-	bare := stepSpec("a", 1)
-	bare.Tasks[0].Service = ""
-	if outcome := h.submit("j", bare); outcome != SubmitNoService {
-		t.Fatalf("outcome %d", outcome)
+	withoutService := stepSpec("a", 1)
+	withoutService.Tasks[0].Service = ""
+	if outcome := h.submit("j", withoutService); outcome != SubmitNoService {
+		t.Fatalf("got submit outcome %d, want a refusal for the missing service", outcome)
 	}
 	if len(h.machine.state.jobs.byID) != 0 {
-		t.Fatal("the job was added")
+		t.Fatal("the refused job was added to the state")
 	}
 }
--- a/internal/record/testarchive_test.go
+++ b/internal/record/testarchive_test.go
@@ -8,8 +8,8 @@
 
 // testArchive stores ended jobs in memory.
 type testArchive struct {
-	jobs map[string]ArchivedJob
-	puts int
+	jobs     map[string]ArchivedJob
+	putCalls int
 }
 
 func newTestArchive() *testArchive {
@@ -21,7 +21,7 @@
 }
 
 func (a *testArchive) Put(jobs []ArchivedJob) error {
-	a.puts++
+	a.putCalls++
 	for _, job := range jobs {
 		a.jobs[job.ID] = job
 	}
--- a/internal/record/untilcancelled_test.go
+++ b/internal/record/untilcancelled_test.go
@@ -6,13 +6,13 @@
 	"github.com/decklever/decklever/api"
 )
 
-// untilCancelledStep is a step whose tasks run until cancelled.
+// untilCancelledStep returns a step whose tasks run until cancelled.
 func untilCancelledStep(name string, count int) api.StepSpec {
-	made := stepSpec(name, count)
-	for i := range made.Tasks {
-		made.Tasks[i].UntilCancelled = true
+	step := stepSpec(name, count)
+	for i := range step.Tasks {
+		step.Tasks[i].UntilCancelled = true
 	}
-	return made
+	return step
 }
 
 func TestUntilCancelled_ReadyAgainAfterEveryOutcome(t *testing.T) {
@@ -29,16 +29,16 @@
 		h.mustPlace(placementOn(task.ID, number, "w1"))
 		h.close(task.ID, number, outcome)
 		if task.State != TaskReady || task.Run != nil {
-			t.Fatalf("state %d after run %d %s", task.State, number, outcome)
+			t.Fatalf("got state %d after run %d ended as %s, want ready without a run", task.State, number, outcome)
 		}
-		waits := task.NotBefore > h.now
-		if waits != (outcome == api.OutcomeFailed) {
-			t.Fatalf("not before %d at %d after run %d %s", task.NotBefore, h.now, number, outcome)
+		hasBackoff := task.NotBefore > h.now
+		if hasBackoff != (outcome == api.OutcomeFailed) {
+			t.Fatalf("got NotBefore %d at time %d after run %d ended as %s, want a backoff only after a failure", task.NotBefore, h.now, number, outcome)
 		}
 		h.now = max(h.now, task.NotBefore)
 	}
 	if task.Failures != 3 || task.AllowedFailures != 2 {
-		t.Fatalf("%d failures of %d", task.Failures, task.AllowedFailures)
+		t.Fatalf("got %d failures of %d allowed, want 3 of 2", task.Failures, task.AllowedFailures)
 	}
 }
 
@@ -50,19 +50,19 @@
 	h.mustPlace(placementOn(task.ID, 1, "w1"))
 	h.close(task.ID, 1, api.OutcomeLost)
 	for range 2 {
-		h.close(task.ID, 1, api.OutcomeSucceeded) // late, and again
+		h.close(task.ID, 1, api.OutcomeSucceeded) // a late report, then repeated
 		h.close(task.ID, 1, api.OutcomeFailed)
 	}
 	if task.State != TaskReady || task.Failures != 0 {
-		t.Fatalf("state %d with %d failures after late reports", task.State, task.Failures)
+		t.Fatalf("got state %d with %d failures after late reports, want ready with 0", task.State, task.Failures)
 	}
 	h.mustPlace(placementOn(task.ID, 2, "w1"))
 	h.close(task.ID, 1, api.OutcomeSucceeded)
 	if task.State != TaskPlaced {
-		t.Fatalf("state %d after a report of an earlier run", task.State)
+		t.Fatalf("got state %d after a report of an earlier run, want placed", task.State)
 	}
 	if outcome := h.submit("j", untilCancelledStep("a", 1)); outcome != SubmitDuplicate || task.State != TaskPlaced {
-		t.Fatalf("a resend: outcome %d, state %d", outcome, task.State)
+		t.Fatalf("got outcome %d and state %d after a resend, want a duplicate and a placed task", outcome, task.State)
 	}
 }
 
@@ -77,11 +77,11 @@
 			h.close(taskID("j", "a", 0), 1, outcome)
 			status := h.status("j")
 			if status.State != api.StateCancelled || !status.Archived {
-				t.Fatalf("job %s after the run %s", status.State, outcome)
+				t.Fatalf("got job state %s after the run ended as %s, want archived as cancelled", status.State, outcome)
 			}
 			for _, task := range status.Steps[0].Tasks {
 				if task.State != api.StateCancelled {
-					t.Errorf("%s is %s after the run %s", task.Task, task.State, outcome)
+					t.Errorf("%s: got state %s after the run ended as %s, want cancelled", task.Task, task.State, outcome)
 				}
 			}
 		})
--- a/internal/record/view.go
+++ b/internal/record/view.go
@@ -8,54 +8,55 @@
 )
 
 // View reads the state. It is valid only within the callback that it is passed to.
-// What it returns must not be changed, and pointers to jobs, steps, tasks and runs
-// must not be used after the callback; workers and configurations never change and
-// may be kept.
+// The values it returns must not be changed, and pointers to jobs, steps, tasks and
+// runs must not be used after the callback. Workers and configurations are
+// immutable and may be kept.
 type View interface {
-	// Job returns a live job.
+	// Job returns a live job, or false if there is none with this id.
 	Job(id string) (*Job, bool)
-	// Jobs yields the live jobs whose ids are greater than after, in the order of
-	// their ids.
+	// Jobs yields the live jobs whose ids are greater than after, in id order.
 	Jobs(after string) iter.Seq[*Job]
-	// Workers yields the newest incarnation of each name, in the order of the names.
+	// Workers yields the newest incarnation of each worker name, in name order.
 	Workers() iter.Seq[*Worker]
 	// AllOpenRuns yields the open runs, ordered by job, occurrence, step and task.
 	AllOpenRuns() iter.Seq[*Run]
-	// UsedResources is the sum of the resources of the open runs on a worker
+	// UsedResources returns the sum of the resources of the open runs on a worker
 	// incarnation.
 	UsedResources(workerID string) api.Resources
 	// Config returns the configuration in force with defaults filled in.
 	Config() (version uint64, config *api.Config)
-	// AcceptedConfig returns the configuration in force as it was given.
+	// AcceptedConfig returns the configuration in force as the operator submitted
+	// it, without defaults filled in.
 	AcceptedConfig() (version uint64, config *api.Config)
 	// ConfigVersions returns the accepted versions, newest first.
 	ConfigVersions() []api.ConfigVersion
-	// ConfigOrder returns the outcome of a configuration order and the digest that
-	// came with it, as long as the order is among the newest MaxConfigOrders.
+	// ConfigOrder returns the outcome and the digest of a configuration order.
+	// known is false unless the order is among the newest MaxConfigOrders.
 	ConfigOrder(id string) (result ConfigResult, digest string, known bool)
-	// ReleasedWindows returns the reservation windows given back whose end has not
-	// passed, by end, then by queue, booking and start.
+	// ReleasedWindows returns the released reservation windows that have not ended,
+	// ordered by end, then queue, booking and start.
 	ReleasedWindows() []ReleaseWindow
-	// DrainedZones returns the zones drained by DrainZone, by name.
+	// DrainedZones returns the zones drained by DrainZone, in name order.
 	DrainedZones() []string
 	// QueueCounts returns the counts of a queue.
 	QueueCounts(queue string) QueueCounts
-	// TeamCounts returns the counts of all queues of a team, by the configuration
-	// in force.
+	// TeamCounts returns the total counts of the queues that belong to a team in
+	// the configuration in force.
 	TeamCounts(team string) QueueCounts
-	// CallerPending returns the number of pending tasks of a caller's jobs in a
+	// CallerPendingTasks returns the number of pending tasks of a caller's jobs in a
 	// queue.
-	CallerPending(queue, caller string) int
-	// Status returns the status of a live or archived job, and false if the id is
+	CallerPendingTasks(queue, caller string) int
+	// Status returns the status of a live or archived job, or false if the id is
 	// not known. reason, which may be nil, returns why a ready task waits, or "".
 	// The error is that of the archive.
 	Status(id string, reason func(*Task) string) (api.JobStatus, bool, error)
-	// StatusWithoutSteps is Status without the steps, at a cost that does not grow
-	// with the size of a live job.
+	// StatusWithoutSteps returns the status without the steps. Its cost does not
+	// grow with the size of a live job.
 	StatusWithoutSteps(id string) (api.JobStatus, bool, error)
-	// Clock is the clock of the record: the greatest command time applied.
+	// Clock returns the clock of the state, which is the greatest applied command
+	// time.
 	Clock() Millis
-	// Applied is the index of the last entry applied.
+	// Applied returns the index of the last applied entry.
 	Applied() uint64
 }
 
@@ -70,7 +71,7 @@
 	return job, job != nil
 }
 
-// Jobs implements View; the job named after is itself left out.
+// Jobs implements View.
 func (v view) Jobs(after string) iter.Seq[*Job] {
 	s := v.machine.state
 	return func(yield func(*Job) bool) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// Workers implements View, in the order of names.
+// Workers implements View.
 func (v view) Workers() iter.Seq[*Worker] {
 	return slices.Values(v.machine.state.workers.sorted())
 }
@@ -139,16 +140,16 @@
 
 // QueueCounts implements View.
 func (v view) QueueCounts(queue string) QueueCounts {
-	return countsIn(v.machine.state.counts.queues, queue)
+	return lookupCounts(v.machine.state.counts.queues, queue)
 }
 
 // TeamCounts implements View.
 func (v view) TeamCounts(team string) QueueCounts {
-	return countsIn(v.machine.state.counts.teams, team)
+	return lookupCounts(v.machine.state.counts.teams, team)
 }
 
-// CallerPending implements View.
-func (v view) CallerPending(queue, caller string) int {
+// CallerPendingTasks implements View.
+func (v view) CallerPendingTasks(queue, caller string) int {
 	return v.machine.state.counts.pendingByCaller[queueCaller{queue, caller}]
 }
 
--- a/internal/record/workertable.go
+++ b/internal/record/workertable.go
@@ -5,10 +5,11 @@
 	"strings"
 )
 
-// workerTable has the known workers. A Worker is never changed, only replaced.
+// workerTable contains the registered workers. A Worker is never changed, only
+// replaced.
 type workerTable struct {
 	byName map[string]*Worker
-	// byID is by incarnation.
+	// byID maps incarnation ids to workers.
 	byID map[string]*Worker
 }
 
@@ -16,8 +17,8 @@
 	return workerTable{byName: make(map[string]*Worker), byID: make(map[string]*Worker)}
 }
 
-// put adds a worker, or replaces that of its name. Its id must not be that of
-// another name.
+// put adds a worker, or replaces the worker of the same name. The incarnation id
+// must not belong to another name.
 func (t *workerTable) put(worker *Worker) {
 	if replaced := t.byName[worker.Name]; replaced != nil {
 		delete(t.byID, replaced.ID)
@@ -32,7 +33,7 @@
 	delete(t.byID, worker.ID)
 }
 
-// sorted returns the workers in the order of their names.
+// sorted returns the workers in name order.
 func (t *workerTable) sorted() []*Worker {
 	workers := make([]*Worker, 0, len(t.byName))
 	for _, worker := range t.byName {
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -152,7 +152,7 @@
 
 // checkCallerShare checks a caller's share. Where nobody names a caller there is none.
 func (l *leader) checkCallerShare(view record.View, queue *api.QueueConfig, spec *api.JobSpec, free int) error {
-	counts := view.CallerPending(queue.Name, spec.Caller)
+	counts := view.CallerPendingTasks(queue.Name, spec.Caller)
 	if spec.Caller == "" && counts == view.QueueCounts(queue.Name).PendingTasks {
 		return nil
 	}
