--- a/internal/clusterclock/clock.go
+++ b/internal/clusterclock/clock.go
@@ -9,40 +9,43 @@
 )
 
 const (
-	// maxReadingAge is how long a voter's reading counts.
+	// maxReadingAge is the age beyond which a voter's reading is ignored.
 	maxReadingAge = 10 * time.Second
-	// slewTime is how fast the clock closes a gap to a median ahead of it: the
-	// gap shrinks by its own size over this time.
+	// slewTime sets how fast the clock closes the gap to a median ahead of it: per
+	// second of elapsed time, the gap divided by slewTime in seconds.
 	slewTime = 10 * time.Second
-	// minSlewDivisor makes the least forward slew a tenth of the passing time.
+	// minSlewDivisor makes the minimum forward slew a tenth of the elapsed time.
 	minSlewDivisor = 10
 	// slowDivisor makes the clock run at half speed while the median is behind.
 	slowDivisor = 2
 )
 
-// reading is one voter's wall clock and when it was observed.
+// reading is one voter's wall clock with the time at which it was observed.
 type reading struct {
 	wall       time.Duration // since the Unix epoch
 	observedAt time.Duration // monotonic
 }
 
-// extrapolate carries the reading forward on the monotonic clock.
+// extrapolate returns the voter's wall clock at the monotonic time at, assuming that
+// it advanced like the monotonic clock since the reading.
 func (r reading) extrapolate(at time.Duration) time.Duration { return r.wall + (at - r.observedAt) }
 
 // Clock computes cluster time. The zero value is ready for use. It is not safe
-// for concurrent use: the replica's driver loop owns it. Every monotonic time
-// passed in is on the same clock; one earlier than the latest counts as that.
+// for concurrent use: the replica's driver loop owns it. All monotonic times passed
+// in must come from the same clock. Now treats a time earlier than that of the
+// previous call of Now or Restart as equal to it.
 type Clock struct {
 	voters   []raft.ReplicaID
 	readings map[raft.ReplicaID]reading
 	// base is cluster time (since the Unix epoch) at the monotonic baseAt.
 	base   time.Duration
 	baseAt time.Duration
-	// synchronized is true once a median was used since the last Restart.
+	// synchronized is true once Now has used a median since the last Restart.
 	synchronized bool
 }
 
-// SetVoters says whose readings count; those of others are dropped.
+// SetVoters sets the replicas whose readings count, and drops the readings of all
+// others.
 func (c *Clock) SetVoters(voters []raft.ReplicaID) {
 	c.voters = slices.Clone(voters)
 	for id := range c.readings {
@@ -53,8 +56,8 @@
 }
 
 // Observe records a voter's wall clock, in Unix milliseconds, observed at the
-// monotonic time at. It replaces the voter's reading before. Other replicas are
-// ignored.
+// monotonic time at. It replaces the voter's previous reading. Readings of replicas
+// that are not voters are ignored.
 func (c *Clock) Observe(voter raft.ReplicaID, wall int64, at time.Duration) {
 	if !slices.Contains(c.voters, voter) {
 		return
@@ -66,16 +69,16 @@
 }
 
 // Restart begins a term: the clock continues from floor, the latest time in the
-// log, in Unix milliseconds; 0 means that none is known. Readings stay, since they
-// do not depend on who leads.
+// log, in Unix milliseconds; 0 means that the log has no time. Readings are kept,
+// since they do not depend on which replica leads.
 func (c *Clock) Restart(floor record.Millis, at time.Duration) {
 	c.base = time.Duration(floor) * time.Millisecond
 	c.baseAt = at
 	c.synchronized = false
 }
 
-// Now returns cluster time in Unix milliseconds. It never goes back between two
-// calls of Restart, and never behind the floor.
+// Now returns cluster time in Unix milliseconds at the monotonic time at. Between
+// two calls of Restart it never decreases, and it is never below the floor.
 func (c *Clock) Now(at time.Duration) record.Millis {
 	at = max(at, c.baseAt)
 	elapsed := at - c.baseAt
@@ -89,7 +92,8 @@
 	return record.Millis(extrapolated / time.Millisecond)
 }
 
-// correct moves the extrapolated time towards the median, never behind c.base.
+// correct moves the extrapolated time towards the median. The result is never
+// earlier than c.base.
 func (c *Clock) correct(extrapolated, median, elapsed time.Duration) time.Duration {
 	gap := median - extrapolated
 	switch {
@@ -103,9 +107,10 @@
 	}
 }
 
-// median returns the median of the recent readings; known is false without those
-// of a majority of voters. Of the two middle ones of an even number, the one
-// nearer to the extrapolated time counts, the lower one if there is no such time.
+// median returns the median of the readings not older than maxReadingAge; known is
+// false if fewer than a majority of the voters have one. For an even number of
+// readings it returns the middle one nearer to the extrapolated time, or the lower
+// one if c.base is 0.
 func (c *Clock) median(at, extrapolated time.Duration) (median time.Duration, known bool) {
 	walls := make([]time.Duration, 0, len(c.readings))
 	for _, r := range c.readings {
--- a/internal/clusterclock/clock_test.go
+++ b/internal/clusterclock/clock_test.go
@@ -12,7 +12,8 @@
 
 var voters = []raft.ReplicaID{"a", "b", "c"}
 
-// observeVoters lets each voter in offsets answer at the monotonic time at.
+// observeVoters observes each voter in offsets at the monotonic time at, with its
+// wall clock ahead of the true time by its offset.
 func observeVoters(c *Clock, at time.Duration, offsets map[raft.ReplicaID]time.Duration) {
 	for id, offset := range offsets {
 		c.Observe(id, epoch+(at+offset).Milliseconds(), at)
@@ -23,17 +24,20 @@
 	t.Helper()
 	got := c.Now(at)
 	if got < want-tolerance || got > want+tolerance {
-		t.Fatalf("at %v: cluster time %d is %d ms off, allowed %d", at, got, got-want, tolerance)
+		t.Fatalf("at %v: got cluster time %d, which is off by %d ms, want at most %d ms", at, got, got-want, tolerance)
 	}
 }
 
+// trueTime returns the cluster time that correct clocks show at the monotonic time at.
 func trueTime(at time.Duration) record.Millis { return record.Millis(epoch + at.Milliseconds()) }
 
+// A jump of one voter's clock by an hour must not move cluster time, also when one of
+// the other voters, or none, is disconnected 10 s later.
 func TestClock_OneJumpDoesNotMoveClusterTime(t *testing.T) {
 	for _, jump := range []time.Duration{time.Hour, -time.Hour} {
-		for _, jumper := range voters {
+		for _, jumpingVoter := range voters {
 			for _, disconnected := range append([]raft.ReplicaID{""}, voters...) {
-				if disconnected == jumper {
+				if disconnected == jumpingVoter {
 					continue
 				}
 				var c Clock
@@ -43,7 +47,7 @@
 				last := record.Millis(0)
 				for at := time.Duration(0); at < time.Minute; at += 50 * time.Millisecond {
 					if at == 5*time.Second {
-						offsets[jumper] += jump
+						offsets[jumpingVoter] += jump
 					}
 					if at == 15*time.Second {
 						delete(offsets, disconnected)
@@ -51,7 +55,7 @@
 					observeVoters(&c, at, offsets)
 					requireClusterTime(t, &c, at, trueTime(at), 30)
 					if now := c.Now(at); now < last {
-						t.Fatalf("went back from %d to %d", last, now)
+						t.Fatalf("cluster time went back from %d to %d", last, now)
 					} else {
 						last = now
 					}
@@ -67,17 +71,17 @@
 	floor := trueTime(time.Minute) // logged by a leader whose clock was ahead
 	c.Restart(floor, 0)
 	if got := c.Now(0); got != floor {
-		t.Fatalf("started at %d, floor is %d", got, floor)
+		t.Fatalf("got first cluster time %d, want the floor %d", got, floor)
 	}
-	requireClusterTime(t, &c, time.Second, floor+1000, 0) // no majority yet: carried
+	requireClusterTime(t, &c, time.Second, floor+1000, 0) // no reading yet: extrapolated
 	c.Observe("a", epoch+1000, time.Second)
-	requireClusterTime(t, &c, 2*time.Second, floor+2000, 0) // one of three is no majority
+	requireClusterTime(t, &c, 2*time.Second, floor+2000, 0) // one of three voters is not a majority
 	last := c.Now(2 * time.Second)
 	for at := 2 * time.Second; at < 3*time.Minute; at += 50 * time.Millisecond {
 		observeVoters(&c, at, map[raft.ReplicaID]time.Duration{"a": 0, "b": 0, "c": 0})
 		now := c.Now(at)
 		if now < last {
-			t.Fatalf("went back from %d to %d", last, now)
+			t.Fatalf("cluster time went back from %d to %d", last, now)
 		}
 		last = now
 	}
@@ -115,7 +119,7 @@
 	var c Clock
 	c.SetVoters(voters)
 	c.Restart(1000, 0)
-	c.Observe("stranger", epoch, 0)
+	c.Observe("non-voter", epoch, 0)
 	observeVoters(&c, 0, map[raft.ReplicaID]time.Duration{"a": 0, "b": 0})
 	c.SetVoters([]raft.ReplicaID{"b", "c", "d"})
 	requireClusterTime(t, &c, 0, 1000, 0)
--- a/internal/featuregate/feature.go
+++ b/internal/featuregate/feature.go
@@ -7,30 +7,30 @@
 
 // Features of package scheduler.
 const (
-	// ObjectiveTiers orders waiting tasks by the slack that their objectives leave.
+	// ObjectiveTiers orders waiting tasks by their slack before their objectives.
 	ObjectiveTiers Feature = "objective_tiers"
-	// LoadDeference has an overloaded queue defer to queues that are within their share.
+	// LoadDeference makes an overloaded queue defer to queues that are within their share.
 	LoadDeference Feature = "yields"
-	// LocalityWait has a task wait for a short time for a worker that it prefers.
+	// LocalityWait makes a task wait for a short time for a worker that it prefers.
 	LocalityWait Feature = "locality_wait"
 	// StallTracking stops runs that make no progress.
 	StallTracking Feature = "stall_tracking"
-	// SlowTracking finds slow workers and places work on them last.
+	// SlowTracking detects slow workers and places work on them last.
 	SlowTracking Feature = "slow_tracking"
 	// SiblingPace compares the pace of a run with the runs of its step on other workers.
 	SiblingPace Feature = "sibling_pace"
-	// OutlierEjection ejects workers on which runs fail or stall, until they have
-	// succeeded on probation.
+	// OutlierEjection ejects workers on which runs fail or stall, until the workers have
+	// passed probation.
 	OutlierEjection Feature = "suspicion"
-	// FailedWorkerAvoidance places a task on another worker than the one it failed on.
+	// FailedWorkerAvoidance places a task on a worker other than the one it failed on.
 	FailedWorkerAvoidance Feature = "avoidance"
-	// RevokeOnMissedHeartbeats revokes runs that were not assigned yet from workers that
-	// have missed heartbeats.
+	// RevokeOnMissedHeartbeats takes runs whose assignment was not sent yet away from
+	// workers that have missed heartbeats.
 	RevokeOnMissedHeartbeats Feature = "withdrawal"
 	// UnresponsiveWorkersLast places work last on workers that have missed heartbeats, or
 	// whose newest answer did not arrive.
 	UnresponsiveWorkersLast Feature = "doubt"
-	// Preemption stops runs that allow it in favor of work that goes first.
+	// Preemption stops runs that allow it in favor of work that takes precedence.
 	Preemption Feature = "preemption"
 	// HeartbeatWidening lengthens the heartbeat interval with the number of workers.
 	HeartbeatWidening Feature = "heartbeat_widening"
@@ -38,18 +38,19 @@
 
 // Features of package placement.
 const (
-	// Headroom reserves a part of each worker for urgent queues.
+	// Headroom reserves part of each worker for urgent queues.
 	Headroom Feature = "headroom"
 	// BackfillReservation reserves workers for blocked large tasks while a queue defers.
 	BackfillReservation Feature = "kept_room"
 	// LastResortCapacity lets tasks that run until they are cancelled use capacity that
-	// is withheld from others: headroom, restricted workers, and what a gang drains.
+	// is withheld from other tasks: headroom, restricted workers, and the capacity that
+	// is being drained for a gang.
 	LastResortCapacity Feature = "last_room"
-	// PreferredShare reserves a part of preferred workers for tasks that prefer them.
+	// PreferredShare reserves part of preferred workers for the tasks that prefer them.
 	PreferredShare Feature = "preferred_share"
-	// StepShare spreads the tasks of a step over two workers at least.
+	// StepShare spreads the tasks of a step over at least two workers.
 	StepShare Feature = "step_share"
-	// PreferredDomain places the tasks of a step that asks for it in one domain.
+	// PreferredDomain places all tasks of a step in one domain if the step asks for it.
 	PreferredDomain Feature = "home_domain"
 )
 
@@ -63,5 +64,5 @@
 	}
 }
 
-// IsKnown reports whether there is a feature of that name.
+// IsKnown reports whether there is a feature with that name.
 func IsKnown(name string) bool { return slices.Contains(All(), Feature(name)) }
--- a/internal/objective/objective.go
+++ b/internal/objective/objective.go
@@ -1,18 +1,18 @@
 // Package objective computes how urgent a task is from its queue's objective: the
-// time within which a job of the queue should end (api.ObjectiveConfig). It is pure:
-// it reads no clock and keeps no state.
+// time within which a job of the queue should end (api.ObjectiveConfig). It reads no
+// clock and keeps no state.
 //
-// The order is least slack first. The slack of a task is the time left until its
-// job's deadline, less the critical path from the task on. At any one moment tasks
-// are in the order of their slack if they are in the order of their latest starts,
-// deadline less remaining critical path, and that does not change while a task
-// waits. So it is computed once.
+// Tasks are ordered by least slack first. The slack of a task is the time left until
+// its job's deadline, less the critical path from the task on. Ordering tasks by
+// their latest start, which is the deadline less the remaining critical path, gives
+// the same order. The latest start does not change while a task waits, so it is
+// computed once.
 //
-// Least slack first alone would, in a burst, spend the capacity on jobs that are
-// late already and make all others late too. So tasks whose objective can still be
-// met come first, then those that are late, then those beyond lostMultiple times
-// their objective. None starves: one that has waited for long beyond that is
-// promoted before all others.
+// In a burst, least slack first alone would spend the capacity on jobs that are late
+// already and make all other jobs late too. So tasks whose objective can still be met
+// come first, then late tasks, then tasks beyond lostMultiple times their objective.
+// To prevent starvation, a task that has waited long beyond lostMultiple is promoted
+// before all others.
 package objective
 
 import (
@@ -24,27 +24,27 @@
 )
 
 const (
-	// lostMultiple is the multiple of its objective beyond which a job is worth
-	// little.
+	// lostMultiple is the multiple of its objective beyond which ending a job is of
+	// little value.
 	lostMultiple = 3
-	// starvationMultiple is the multiple of its objective, and minStarvationDelay
-	// the least time, after which a task beyond lostMultiple is promoted.
+	// A task is promoted once it has been beyond lostMultiple for starvationMultiple
+	// times its objective, and for at least minStarvationDelay.
 	starvationMultiple = 10
 	minStarvationDelay = time.Minute
 )
 
 // CriticalPaths are the longest chains of estimated run times through the steps of
-// a job. Tasks of one step count as running side by side.
+// a job. The tasks of one step are assumed to run in parallel.
 type CriticalPaths struct {
-	// FromStep is the longest chain that begins with a step, by the step's index in
-	// the spec.
+	// FromStep is the length of the longest chain that begins with a step, by the
+	// step's index in the spec.
 	FromStep []time.Duration
-	// Job is the longest chain of the job.
+	// Job is the length of the longest chain of the job.
 	Job time.Duration
 }
 
 // CriticalPathsOf computes the critical paths of a job's steps. A step without
-// estimates counts as nothing.
+// estimates counts as 0.
 func CriticalPathsOf(steps []api.StepSpec) CriticalPaths {
 	paths := CriticalPaths{FromStep: make([]time.Duration, len(steps))}
 	visited := make([]bool, len(steps))
@@ -54,8 +54,8 @@
 	return paths
 }
 
-// pathFrom computes the path from a step by depth-first search. Steps that form a
-// cycle, which validation refuses, end the search.
+// pathFrom computes the critical path from a step by depth-first search. It ends at
+// steps already visited, so also on a cycle, which validation refuses.
 func (p *CriticalPaths) pathFrom(steps []api.StepSpec, visited []bool, index int) time.Duration {
 	if visited[index] {
 		return p.FromStep[index]
@@ -71,7 +71,7 @@
 	return p.FromStep[index]
 }
 
-// longestEstimate is the longest estimated run time of a step's tasks.
+// longestEstimate returns the longest estimated run time of a step's tasks.
 func longestEstimate(step *api.StepSpec) time.Duration {
 	var longest time.Duration
 	for i := range step.Tasks {
@@ -80,20 +80,21 @@
 	return longest
 }
 
-// Deadlines are the moments, in cluster time, at which the rank of a task changes.
+// Deadlines are the cluster times at which the rank of a task changes.
 type Deadlines struct {
-	// Since is when the objective began to count.
+	// Since is the start of the period that the objective bounds.
 	Since record.Millis
-	// LatestStart is the latest start with which the job can meet its objective,
-	// LostAt the latest with which it can end within lostMultiple of it.
+	// LatestStart is the latest start of the task with which its job can meet the
+	// objective, LostAt the latest with which the job can end within lostMultiple
+	// times the objective.
 	LatestStart, LostAt record.Millis
-	// PromotedAt is from when on the task goes before all others.
+	// PromotedAt is the time from which the task ranks before all others.
 	PromotedAt record.Millis
 }
 
-// DeadlinesOf returns the deadlines of a task whose objective counts since a
-// moment, and false if the queue has no objective for it. jobPath is the critical
-// path of the job, remainingPath that from the task on.
+// DeadlinesOf returns the deadlines of a task whose objective counts from since, and
+// false if rule is nil or gives an objective of 0. jobPath is the critical path of
+// the job, remainingPath the critical path from the task on.
 func DeadlinesOf(rule *api.ObjectiveConfig, since record.Millis, jobPath, remainingPath time.Duration) (Deadlines, bool) {
 	if rule == nil {
 		return Deadlines{}, false
@@ -111,23 +112,23 @@
 	}, true
 }
 
-// StartAllowance is how long a job may wait for its start and still end within a
-// multiple of its objective; at least 0. jobPath is its critical path.
+// StartAllowance returns how long a job may wait for its start and still end within
+// a multiple of its objective; at least 0. jobPath is the job's critical path.
 func StartAllowance(rule *api.ObjectiveConfig, jobPath time.Duration, multiple float64) time.Duration {
 	objective := float64(rule.Target.Std()) + rule.Stretch*float64(jobPath)
 	return max(time.Duration(multiple*objective)-jobPath, 0)
 }
 
-// Tier ranks before the order within it: all tasks of a lower tier go first.
+// Tier is the primary sort key of a rank: all tasks of a lower tier go first.
 type Tier uint64
 
-// Tiers.
+// Tiers of tasks, the most urgent first.
 const (
 	// TierOnTime: the objective can still be met, or the task was promoted.
 	TierOnTime Tier = iota
 	// TierLate: the job can still end within lostMultiple of its objective.
 	TierLate
-	// TierLost: it cannot.
+	// TierLost: the job cannot end within lostMultiple of its objective any more.
 	TierLost
 )
 
@@ -136,11 +137,11 @@
 type Rank struct {
 	Tier Tier
 	Key  record.Millis
-	// ValidUntil is when the rank changes; 0 if it does not.
+	// ValidUntil is when the rank changes; 0 if it does not change any more.
 	ValidUntil record.Millis
 }
 
-// RankAt returns the rank that holds at a moment.
+// RankAt returns the rank of the task at now.
 func (d Deadlines) RankAt(now record.Millis) Rank {
 	switch {
 	case now < d.LatestStart:
@@ -150,7 +151,8 @@
 	case now < d.PromotedAt:
 		return Rank{Tier: TierLost, Key: d.PromotedAt, ValidUntil: d.PromotedAt}
 	default:
-		// Since is earlier than any latest start that is still to come.
+		// Since is in the past, and so before the LatestStart of every task that can
+		// still meet its objective.
 		return Rank{Tier: TierOnTime, Key: d.Since}
 	}
 }
--- a/internal/objective/objective_test.go
+++ b/internal/objective/objective_test.go
@@ -12,12 +12,13 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
+// step returns a step of two tasks, the longer one of which takes estimate.
 func step(name string, estimate time.Duration, after ...string) api.StepSpec {
 	tasks := []api.TaskSpec{{Estimate: api.Duration(estimate / 2)}, {Estimate: api.Duration(estimate)}}
 	return api.StepSpec{Name: name, After: after, Tasks: tasks}
 }
 
-func TestCriticalPathsOf(t *testing.T) {
+func TestCriticalPathsOf_LongestChain(t *testing.T) {
 	const s = time.Second
 	cases := []struct {
 		name  string
@@ -45,7 +46,7 @@
 	deadlines, known := DeadlinesOf(rule, 1_000_000, 3*time.Second, time.Second)
 	want := Deadlines{Since: 1_000_000, LatestStart: 1_009_000, LostAt: 1_029_000, PromotedAt: 1_129_000}
 	if diff := cmp.Diff(want, deadlines); diff != "" || !known {
-		t.Fatalf("known %v, %s", known, diff)
+		t.Fatalf("got known %v, want true; deadlines (-want +got):\n%s", known, diff)
 	}
 	cases := []struct {
 		now  record.Millis
@@ -66,33 +67,33 @@
 	for name, rule := range map[string]*api.ObjectiveConfig{"none": nil, "of no length": {}} {
 		t.Run("objective "+name, func(t *testing.T) {
 			if _, known := DeadlinesOf(rule, 1, time.Second, time.Second); known {
-				t.Error("taken for an objective")
+				t.Error("got deadlines, want none")
 			}
 		})
 	}
 	short, _ := DeadlinesOf(&api.ObjectiveConfig{Target: api.Duration(time.Second)}, 0, 0, 0)
-	hopeless, _ := DeadlinesOf(&api.ObjectiveConfig{Target: api.Duration(time.Second)}, 0, time.Hour, time.Hour)
-	if rank := hopeless.RankAt(1); rank.Tier != TierLost || hopeless.PromotedAt != 60_000 {
-		t.Errorf("an objective shorter than the work: %+v, %+v", rank, hopeless)
+	unreachable, _ := DeadlinesOf(&api.ObjectiveConfig{Target: api.Duration(time.Second)}, 0, time.Hour, time.Hour)
+	if rank := unreachable.RankAt(1); rank.Tier != TierLost || unreachable.PromotedAt != 60_000 {
+		t.Errorf("objective shorter than the critical path: got rank %+v, deadlines %+v, want TierLost and promotion at 60000", rank, unreachable)
 	}
 	if short.PromotedAt-short.LostAt != record.Millis(minStarvationDelay.Milliseconds()) {
-		t.Errorf("starvation delay: %+v", short)
+		t.Errorf("got deadlines %+v, want PromotedAt minStarvationDelay after LostAt", short)
 	}
 }
 
-// TestRankAt_LeastSlackFirst: of two tasks that can meet their objectives, the one
-// with less slack has the lower key, at any moment.
+// Of two tasks that can meet their objectives, the one with less slack has the lower
+// key at any time.
 func TestRankAt_LeastSlackFirst(t *testing.T) {
-	type drawn struct {
+	type sampledTask struct {
 		deadlines Deadlines
 		slack     func(now record.Millis) record.Millis
 	}
-	draw := func(t *rapid.T, name string) drawn {
+	draw := func(t *rapid.T, name string) sampledTask {
 		target := time.Duration(rapid.IntRange(1, 60_000).Draw(t, name+" target")) * time.Millisecond
 		since := record.Millis(rapid.IntRange(0, 60_000).Draw(t, name+" since"))
 		remainingPath := time.Duration(rapid.IntRange(0, 60_000).Draw(t, name+" remaining")) * time.Millisecond
 		deadlines, _ := DeadlinesOf(&api.ObjectiveConfig{Target: api.Duration(target)}, since, remainingPath, remainingPath)
-		return drawn{deadlines, func(now record.Millis) record.Millis {
+		return sampledTask{deadlines, func(now record.Millis) record.Millis {
 			return since + record.Millis(target.Milliseconds()) - now - record.Millis(remainingPath.Milliseconds())
 		}}
 	}
@@ -104,25 +105,25 @@
 		}
 		first, second := a.deadlines.RankAt(now), b.deadlines.RankAt(now)
 		if first.Tier != TierOnTime || second.Tier != TierOnTime {
-			t.Fatalf("slack is left: %v, %v", first, second)
+			t.Fatalf("tasks with slack: got ranks %v and %v, want TierOnTime for both", first, second)
 		}
 		if (first.Key < second.Key) != (a.slack(now) < b.slack(now)) {
-			t.Fatalf("slack %d and %d, keys %d and %d", a.slack(now), b.slack(now), first.Key, second.Key)
+			t.Fatalf("got slack %d and %d with keys %d and %d, want keys in the order of the slack", a.slack(now), b.slack(now), first.Key, second.Key)
 		}
 	})
 }
 
-// TestRankAt_OverdueTaskIsPromoted: whatever the objective, from PromotedAt on a task
-// goes before all that came later and can still meet theirs.
+// Whatever the objective, from PromotedAt on a task ranks before all tasks that arrived
+// later and can still meet theirs.
 func TestRankAt_OverdueTaskIsPromoted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		target := time.Duration(rapid.IntRange(1, 600_000).Draw(t, "target")) * time.Millisecond
 		rule := &api.ObjectiveConfig{Target: api.Duration(target)}
 		waiting, _ := DeadlinesOf(rule, 0, 0, 0)
-		newcomer, _ := DeadlinesOf(rule, waiting.PromotedAt, 0, 0)
+		later, _ := DeadlinesOf(rule, waiting.PromotedAt, 0, 0)
 		now := waiting.PromotedAt
-		if a, b := waiting.RankAt(now), newcomer.RankAt(now); a.Tier != TierOnTime || a.Key >= b.Key {
-			t.Fatalf("%v is not before %v", a, b)
+		if a, b := waiting.RankAt(now), later.RankAt(now); a.Tier != TierOnTime || a.Key >= b.Key {
+			t.Fatalf("got rank %v of the promoted task, want it before %v", a, b)
 		}
 	})
 }
--- a/internal/process/schedulerprocess/process.go
+++ b/internal/process/schedulerprocess/process.go
@@ -82,12 +82,12 @@
 	}
 	p.client = rpc.NewClient(rpc.ClientConfig{Dialer: rpc.DialFrom(p.initial.Source), Metrics: p.base.Calls})
 	service := scheduler.NewService(scheduler.Config{
-		Archive:      p.store.Archive(),
-		ArchiveBytes: p.initial.ArchiveMaxBytes,
-		NewPlanner:   func() scheduler.Planner { return placement.New(placement.Config{DisabledFeatures: off}) },
-		Off:          off,
-		Logger:       p.base.Logger,
-		Registerer:   p.base.Registry,
+		Archive:          p.store.Archive(),
+		ArchiveBytes:     p.initial.ArchiveMaxBytes,
+		NewPlanner:       func() scheduler.Planner { return placement.New(placement.Config{DisabledFeatures: off}) },
+		DisabledFeatures: off,
+		Logger:           p.base.Logger,
+		Registerer:       p.base.Registry,
 	})
 	created, err := replica.New(p.replicaConfig(withGCPercent(p.initial.LeaderGCPercent, service.Lead)))
 	if err != nil {
--- a/internal/scheduler/admissioncontrol.go
+++ b/internal/scheduler/admissioncontrol.go
@@ -11,28 +11,30 @@
 	"github.com/decklever/decklever/internal/scheduler/slo"
 )
 
-// admissionControl holds what decides on new jobs beside the record: how long their
-// tasks would wait, and how many submissions are being committed.
+// admissionControl decides on new jobs with the state that is not in the record: the
+// measured wait of each queue, and the submissions that are being committed. It is
+// guarded by leader.mu.
 type admissionControl struct {
 	*environment
 	slo slo.Tracker
-	// submitting are the submissions being committed.
+	// submitting counts the submissions that are being committed.
 	submitting submissions
 }
 
 func newAdmissionControl(environment *environment) admissionControl {
-	return admissionControl{environment: environment, slo: slo.NewTracker(environment.now, environment.off), submitting: newSubmissions()}
+	return admissionControl{environment: environment, slo: slo.NewTracker(environment.now, environment.disabledFeatures), submitting: newSubmissions()}
 }
 
-// refuse is the answer to a job over a limit that has to come back once a number of
-// waiting tasks more has started to run.
-func (a *admissionControl) refuse(queue string, reason refusalReason, message string, tooMany int) error {
-	known := a.slo.Queue(queue)
-	earliest, _ := known.TimeFor(a.now(), tooMany)
-	return a.refuseFor(queue, reason, message, known.RetryAfter(a.now(), earliest, tooMany))
+// refuse returns the error for a job that exceeds a limit by a number of waiting tasks.
+// Its retry time is when that many tasks are expected to have started.
+func (a *admissionControl) refuse(queue string, reason refusalReason, message string, excess int) error {
+	load := a.slo.Queue(queue)
+	earliest, _ := load.TimeToStart(a.now(), excess)
+	return a.refuseFor(queue, reason, message, load.RetryAfter(a.now(), earliest, excess))
 }
 
-// refuseFor is the answer to a job that may come back after some time.
+// refuseFor counts a refusal in the metrics and returns its error. The retry time is at
+// least slo.MinRetryAfter.
 func (a *admissionControl) refuseFor(queue string, reason refusalReason, message string, retryAfter time.Duration) error {
 	a.metrics.refusals.WithLabelValues(queue, string(reason)).Inc()
 	refusal := overLimitError(message)
@@ -40,41 +42,45 @@
 	return refusal
 }
 
-// checkObjective refuses a job that by the measured rate will end beyond the multiple
-// of its objective that the queue allows, while no worker has capacity for its
-// beginning. The queue must be one that refusesLate.
+// checkObjective refuses a job that at the measured start rate would end later than the
+// multiple of its objective that the queue allows. It returns nil while no rate is
+// measured, until the expected wait has been too long for slo.Queue.IsRefusing, and if a
+// worker has capacity for one of the first steps now. The queue and the job must satisfy
+// enforcesObjective.
 func (a *admissionControl) checkObjective(queue *api.QueueConfig, spec *api.JobSpec, hasCapacity func(*api.JobSpec) bool) error {
 	rule := queue.Objective
-	known := a.slo.Queue(queue.Name)
-	wait, measured := known.ExpectedWait(a.now())
+	load := a.slo.Queue(queue.Name)
+	wait, measured := load.ExpectedWait(a.now())
 	allowed := objective.StartAllowance(rule, objective.CriticalPathsOf(spec.Steps).Job, rule.RefuseBeyond)
-	if !measured || !known.IsRefusing() || wait <= allowed || hasCapacity(spec) {
+	if !measured || !load.IsRefusing() || wait <= allowed || hasCapacity(spec) {
 		return nil
 	}
 	message := fmt.Sprintf("a job that comes now waits %v in queue %s, and ends later than %v times its objective",
 		wait.Round(time.Millisecond), queue.Name, rule.RefuseBeyond)
-	retryAfter := known.RetryAfter(a.now(), wait-admission.ClearBelow(allowed), spec.TaskCount())
+	retryAfter := load.RetryAfter(a.now(), wait-admission.ClearBelow(allowed), spec.TaskCount())
 	return a.refuseFor(queue.Name, refusedTooLate, message, retryAfter)
 }
 
-// refusesLate reports whether a queue refuses a job that would end too late. What goes
-// before others by its priority, or later by its own time, is admitted.
-func refusesLate(queue *api.QueueConfig, spec *api.JobSpec) bool {
+// enforcesObjective reports whether a queue refuses the job if it would end too late.
+// Exempt are jobs with a raised priority, which go ahead of the backlog, scheduled jobs,
+// which start at their own time, and endless jobs.
+func enforcesObjective(queue *api.QueueConfig, spec *api.JobSpec) bool {
 	rule := queue.Objective
-	return rule != nil && rule.RefuseBeyond != 0 && spec.Priority <= 0 && !isTimed(spec)
+	return rule != nil && rule.RefuseBeyond != 0 && spec.Priority <= 0 && !isScheduledOrEndless(spec)
 }
 
-// isTimed reports whether a job has work that waits for its time, or that has no
-// end.
-func isTimed(spec *api.JobSpec) bool {
+// isScheduledOrEndless reports whether a job repeats, has a step with a start time, or
+// has a task that runs until it is cancelled.
+func isScheduledOrEndless(spec *api.JobSpec) bool {
 	return spec.Repeat != nil || slices.ContainsFunc(spec.Steps, func(step api.StepSpec) bool {
 		return step.NotBefore != nil ||
 			slices.ContainsFunc(step.Tasks, func(task api.TaskSpec) bool { return task.UntilCancelled })
 	})
 }
 
-// beginSubmit counts a submission in that is to be committed, unless too many of its
-// queue are. Each is to be counted out by endSubmit.
+// beginSubmit counts a submission that is about to be committed. It fails if the queue
+// has no free place, unless the same job is already being committed. Each success must be
+// followed by endSubmit.
 func (a *admissionControl) beginSubmit(id, queue string, config *api.Config) error {
 	if a.submitting.byJob[id] == 0 && a.submitting.free(config, queue) == 0 {
 		message := fmt.Sprintf("%d submissions of queue %s are being committed", a.submitting.byQueue[queue], queue)
@@ -84,7 +90,7 @@
 	return nil
 }
 
-// endSubmit counts a submission out.
+// endSubmit removes a submission that beginSubmit counted.
 func (a *admissionControl) endSubmit(id, queue string) { a.submitting.add(id, queue, -1) }
 
 // isSubmitting reports whether a submission of the job is being committed.
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -10,8 +10,7 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// refusalReason is a reason under which refused jobs are counted, as the metric's
-// label has it.
+// refusalReason is the label value under which the metrics count a refused job.
 type refusalReason string
 
 const (
@@ -23,9 +22,10 @@
 	refusedCommitting refusalReason = "committing"
 )
 
-// admit refuses what can be seen to be wrong, over a limit, impossible or hopeless.
-// A job that is known, or being committed, is let through whatever the limits say:
-// the record says that it is the same job.
+// admit checks a job before it is proposed. It refuses an invalid job, one that exceeds a
+// limit or would end too late, and one that no worker could ever run. A job that the
+// record knows passes without any check, and one that is being committed passes without
+// the limits: the record then recognizes the duplicate.
 func (l *leader) admit(request protocol.SubmitRequest) error {
 	var known bool
 	var refusal error
@@ -37,7 +37,7 @@
 		}
 		_, config := view.Config()
 		if fields := api.ValidateJob(request.ID, &request.Spec, config); len(fields) > 0 {
-			refusal = invalid("job", fields)
+			refusal = invalidError("job", fields)
 			return
 		}
 		queue := findQueue(config, spec.Queue)
@@ -52,12 +52,13 @@
 	return l.checkFeasible(&spec)
 }
 
-// checkLimits refuses a job that may come back later.
+// checkLimits checks the limits whose refusals may be retried later: waiting tasks and
+// the queue's objective.
 func (l *leader) checkLimits(view record.View, config *api.Config, queue *api.QueueConfig, spec *api.JobSpec) error {
 	if err := l.checkPendingLimits(view, config, queue, spec); err != nil {
 		return err
 	}
-	if !refusesLate(queue, spec) {
+	if !enforcesObjective(queue, spec) {
 		return nil
 	}
 	l.mu.Lock()
@@ -65,6 +66,8 @@
 	return l.admission.checkObjective(queue, spec, l.hasCapacity)
 }
 
+// isKnown reports whether a job is live or archived. If the archive cannot be read, an
+// archived job counts as unknown.
 func isKnown(view record.View, id string) bool {
 	if _, live := view.Job(id); live {
 		return true
@@ -73,46 +76,50 @@
 	return known && err == nil
 }
 
-// pendingLimit is a bound on waiting tasks that queues share.
+// pendingLimit is a limit on waiting tasks that one or more queues share.
 type pendingLimit struct {
 	reason refusalReason
-	// subject says whose bound it is, in messages.
+	// subject begins the refusal message, such as "queue q has".
 	subject string
 	limit   int
-	// ownIndex is the place of the job's queue in queues; waiting is what waits in them.
+	// ownIndex is the index of the job's queue in queues. waiting is the number of
+	// waiting tasks in all of queues.
 	ownIndex int
 	queues   []admission.Participant
 	waiting  int
 }
 
-func (b *pendingLimit) add(queue *api.QueueConfig, own bool, waiting int) {
+// add adds a queue to those that share the limit; own marks the job's queue.
+func (p *pendingLimit) add(queue *api.QueueConfig, own bool, waiting int) {
 	if own {
-		b.ownIndex = len(b.queues)
+		p.ownIndex = len(p.queues)
 	}
-	b.queues = append(b.queues, quotaPart(queue, waiting))
-	b.waiting += waiting
+	p.queues = append(p.queues, queueShare(queue, waiting))
+	p.waiting += waiting
 }
 
-func (b *pendingLimit) free() int { return admission.Free(b.limit, b.ownIndex, b.queues) }
+// free returns how many more waiting tasks the job's queue may have.
+func (p *pendingLimit) free() int { return admission.Free(p.limit, p.ownIndex, p.queues) }
 
-// refusal says why a number of tasks is too many.
-func (b *pendingLimit) refusal(tasks int) string {
-	if b.waiting+tasks > b.limit {
-		return fmt.Sprintf("%s %d waiting tasks of at most %d", b.subject, b.waiting, b.limit)
+// refusal returns the message for a job whose tasks exceed the limit or the queue's share
+// of it.
+func (p *pendingLimit) refusal(tasks int) string {
+	if p.waiting+tasks > p.limit {
+		return fmt.Sprintf("%s %d waiting tasks of at most %d", p.subject, p.waiting, p.limit)
 	}
 	return fmt.Sprintf("%s %d waiting tasks of at most %d, and keeps places for other queues than this one, which has %d",
-		b.subject, b.waiting, b.limit, b.queues[b.ownIndex].Used)
+		p.subject, p.waiting, p.limit, p.queues[p.ownIndex].Used)
 }
 
-// pendingLimitsOn returns the bounds on a queue's waiting tasks: its own, its team's and
-// that of all queues.
-func pendingLimitsOn(view record.View, config *api.Config, queue *api.QueueConfig) []*pendingLimit {
+// pendingLimitsOf returns the limits that apply to a queue's waiting tasks: its own, its
+// team's and that of the fleet. Limits of 0 are left out.
+func pendingLimitsOf(view record.View, config *api.Config, queue *api.QueueConfig) []*pendingLimit {
 	own := &pendingLimit{reason: refusedQueue, subject: "queue " + queue.Name + " has", limit: queue.MaxPendingTasks}
 	team := &pendingLimit{reason: refusedTeam, subject: "team " + queue.Team + " has"}
 	all := &pendingLimit{reason: refusedTotal, subject: "the fleet has", limit: config.Limits.MaxPendingTasks}
-	for _, one := range config.Teams {
-		if one.Name == queue.Team {
-			team.limit = one.MaxPendingTasks
+	for _, teamConfig := range config.Teams {
+		if teamConfig.Name == queue.Team {
+			team.limit = teamConfig.MaxPendingTasks
 		}
 	}
 	for index := range config.Queues {
@@ -127,65 +134,68 @@
 			own.add(other, same, pending)
 		}
 	}
-	return slices.DeleteFunc([]*pendingLimit{own, team, all}, func(one *pendingLimit) bool { return one.limit == 0 })
+	return slices.DeleteFunc([]*pendingLimit{own, team, all}, func(bound *pendingLimit) bool { return bound.limit == 0 })
 }
 
-// checkPendingLimits checks the bounds on waiting tasks, and the caller's share of what they
-// leave.
+// checkPendingLimits checks the limits on waiting tasks, then the caller's share of the
+// free places. A job larger than the limit of its queue or team is invalid; otherwise it
+// may be retried.
 func (l *leader) checkPendingLimits(view record.View, config *api.Config, queue *api.QueueConfig, spec *api.JobSpec) error {
 	tasks := spec.TaskCount()
-	limits := pendingLimitsOn(view, config, queue)
-	for _, one := range limits {
-		if tasks > one.limit && one.reason != refusedTotal {
-			return tooManyTasks(tasks, one.limit, one.reason, queue)
+	limits := pendingLimitsOf(view, config, queue)
+	for _, bound := range limits {
+		if tasks > bound.limit && bound.reason != refusedTotal {
+			return jobTooLargeError(tasks, bound.limit, bound.reason, queue)
 		}
 	}
 	free := limits[0].free()
-	for _, one := range limits {
-		if capacity := one.free(); tasks > capacity {
-			return l.refuse(queue.Name, one.reason, one.refusal(tasks), tasks-capacity)
+	for _, bound := range limits {
+		if allowed := bound.free(); tasks > allowed {
+			return l.refuse(queue.Name, bound.reason, bound.refusal(tasks), tasks-allowed)
 		}
-		free = min(free, one.free())
+		free = min(free, bound.free())
 	}
 	return l.checkCallerShare(view, queue, spec, free)
 }
 
-// checkCallerShare checks a caller's share. Where nobody names a caller there is none.
+// checkCallerShare checks the caller's share of the free places. It does not apply while
+// no waiting task of the queue has a named caller and this job has none either.
 func (l *leader) checkCallerShare(view record.View, queue *api.QueueConfig, spec *api.JobSpec, free int) error {
-	counts := view.CallerPendingTasks(queue.Name, spec.Caller)
-	if spec.Caller == "" && counts == view.QueueCounts(queue.Name).PendingTasks {
+	pending := view.CallerPendingTasks(queue.Name, spec.Caller)
+	if spec.Caller == "" && pending == view.QueueCounts(queue.Name).PendingTasks {
 		return nil
 	}
 	tasks := spec.TaskCount()
-	share := admission.CallerFree(free, counts, queue.CallerShare)
+	share := admission.CallerFree(free, pending, queue.CallerShare)
 	if tasks <= share {
 		return nil
 	}
-	message := fmt.Sprintf("caller %q has %d waiting tasks in queue %s, where %d places are free and some are kept for other callers", spec.Caller, counts, queue.Name, free)
+	message := fmt.Sprintf("caller %q has %d waiting tasks in queue %s, where %d places are free and some are kept for other callers", spec.Caller, pending, queue.Name, free)
 	return l.refuse(queue.Name, refusedCaller, message, tasks-share)
 }
 
-// tooManyTasks refuses a job that would not be taken even if nothing waited.
-func tooManyTasks(tasks, limit int, reason refusalReason, queue *api.QueueConfig) error {
-	of := "queue " + queue.Name
+// jobTooLargeError refuses a job that exceeds the limit of its queue or team even if no
+// other task waits.
+func jobTooLargeError(tasks, limit int, reason refusalReason, queue *api.QueueConfig) error {
+	owner := "queue " + queue.Name
 	if reason == refusedTeam {
-		of = "team " + queue.Team
+		owner = "team " + queue.Team
 	}
-	field := api.FieldError{Field: "steps", Value: fmt.Sprintf("%d tasks", tasks), Expected: fmt.Sprintf("at most %d, the most that may wait in %s", limit, of)}
-	return invalid("job", []api.FieldError{field})
+	field := api.FieldError{Field: "steps", Value: fmt.Sprintf("%d tasks", tasks), Expected: fmt.Sprintf("at most %d, the most that may wait in %s", limit, owner)}
+	return invalidError("job", []api.FieldError{field})
 }
 
-// hasCapacity reports whether the first task of some first step has capacity on a worker
-// now.
+// hasCapacity reports whether the first task of some step without predecessors fits on a
+// worker now. The caller holds leader.mu.
 func (l *leader) hasCapacity(spec *api.JobSpec) bool {
 	return slices.ContainsFunc(spec.Steps, func(step api.StepSpec) bool {
 		return len(step.After) == 0 && l.planner.HasFreeCapacity(&step.Tasks[0])
 	})
 }
 
-// refuse is the answer to a job over a limit, see admissionControl.refuse.
-func (l *leader) refuse(queue string, reason refusalReason, message string, tooMany int) error {
+// refuse calls admissionControl.refuse under leader.mu.
+func (l *leader) refuse(queue string, reason refusalReason, message string, excess int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.admission.refuse(queue, reason, message, tooMany)
+	return l.admission.refuse(queue, reason, message, excess)
 }
--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -5,35 +5,35 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// maxRevocations is how often a task is revoked from workers that miss heartbeats until
-// an assignment names it, so that work does not go round for long where heartbeats are
-// slow.
+// maxRevocations limits how often runs of a task are revoked because their workers miss
+// heartbeats. The count restarts when the task is assigned. The limit keeps a task from
+// moving between workers for long where heartbeats are slow.
 const maxRevocations = 3
 
-// gangMembers is what assignments ask of the gangs.
+// gangMembers lists the methods of gangs that assignments call.
 type gangMembers interface {
-	// mayAssign reports whether the assignment of a member may be given now.
+	// mayAssign reports whether the worker may be sent the member's assignment now.
 	mayAssign(run *runState) bool
-	// runStarted records that a member was seen started.
+	// runStarted records that a heartbeat showed that the member has started.
 	runStarted(run *runState)
 }
 
-// waitingTasks finds the tasks that wait.
+// waitingTasks looks up waiting tasks.
 type waitingTasks interface {
 	find(id record.TaskID) (*waitingTask, bool)
 }
 
-// assignments holds the open runs of the record, with what was observed of them. It
-// gives each to its worker once, and compares with it what the worker lists.
+// assignments holds the record's open runs and their observed states. It assigns each run
+// to its worker once, and reconciles the runs that workers list with the open runs.
 type assignments struct {
 	*environment
 	runs map[record.RunID]*runState
-	// openByTask finds the open run of a task.
+	// openByTask maps a task to its open run.
 	openByTask map[record.TaskID]*runState
-	// pendingStarts are the jobs of which nothing was seen to have started.
+	// pendingStarts holds the jobs of which no task is known to have started.
 	pendingStarts pendingStarts
-	// revocations counts how often tasks that no assignment has named since were
-	// revoked since their worker missed heartbeats.
+	// revocations counts, by task, the runs revoked because their worker missed
+	// heartbeats. A task's entry is removed when the task is assigned.
 	revocations map[record.TaskID]int
 	ends        runEnder
 	gangs       gangMembers
@@ -53,13 +53,13 @@
 	}
 }
 
-// add adds a run that was opened.
+// add adds an opened run.
 func (a *assignments) add(run *runState) {
 	a.runs[run.id] = run
 	a.openByTask[run.id.Task] = run
 }
 
-// remove takes out a run that was closed; nil if it was not known.
+// remove removes a closed run and returns it, or nil if the run is unknown.
 func (a *assignments) remove(id record.RunID) *runState {
 	run, known := a.runs[id]
 	if !known {
@@ -71,7 +71,7 @@
 	return run
 }
 
-// forgetSteps drops what is known of the tasks of steps that have ended.
+// forgetSteps removes the revocation counts of the tasks of ended steps.
 func (a *assignments) forgetSteps(steps []*record.Step) {
 	for _, step := range steps {
 		for _, task := range step.Tasks {
@@ -80,7 +80,9 @@
 	}
 }
 
-// start gives each run placed on the worker its one assignment.
+// start returns the start orders for the worker's runs that this leader placed and has not
+// assigned yet, and marks these runs as assigned. It skips runs that are being closed or
+// stopped, and members of a gang with a common outcome while the gang may not be assigned.
 func (a *assignments) start(worker *workerEntry) []api.StartOrder {
 	orders := []api.StartOrder{}
 	for _, run := range worker.runs {
@@ -98,15 +100,16 @@
 	return orders
 }
 
-// revokeUnassigned closes the runs of a worker whose assignments were not given yet.
+// revokeUnassigned closes the worker's runs that were never assigned.
 func (a *assignments) revokeUnassigned(worker *workerEntry) {
 	for _, run := range worker.runs {
 		a.ends.closeIfNeverAssigned(run)
 	}
 }
 
-// revokeUnassignedOutsideGangs closes the runs of a worker that were never assigned,
-// belong to no gang, and whose tasks were not revoked too often. It returns their number.
+// revokeUnassignedOutsideGangs closes the worker's runs that were never assigned, belong to
+// no gang, and whose tasks were revoked fewer than maxRevocations times. It returns the
+// number of runs closed.
 func (a *assignments) revokeUnassignedOutsideGangs(worker *workerEntry) int {
 	revoked := 0
 	for _, run := range worker.runs {
@@ -120,8 +123,7 @@
 	return revoked
 }
 
-// startOrder is the run's start order, with the job's payload filled in for a task
-// that has none.
+// startOrder returns the run's start order. A task without a payload gets the job's.
 func (r *runState) startOrder() api.StartOrder {
 	order := api.StartOrder{RunRef: runRef(r.id), Spec: *r.spec}
 	order.Spec.Payload = r.payload
@@ -129,8 +131,10 @@
 	return order
 }
 
-// stopRequests names what the worker must stop. It is repeated in each answer
-// until the worker lists the run no more.
+// stopRequests returns the runs that the worker must stop: runs that it lists without being
+// allowed to run them, runs whose assignment it accepted but which it does not list, and
+// runs that it has listed and that are to be stopped. The requests are repeated in every
+// answer while this holds.
 func (a *assignments) stopRequests(worker *workerEntry, differences reconciliation) []api.RunRef {
 	stops := append([]api.RunRef{}, differences.unwanted...)
 	for _, run := range differences.dropped {
--- a/internal/scheduler/backupruns_test.go
+++ b/internal/scheduler/backupruns_test.go
@@ -8,18 +8,18 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// withBackupRuns is a step of one task that allows backup runs.
+// withBackupRuns returns a step of one task that allows backup runs.
 func withBackupRuns(estimate time.Duration) api.StepSpec {
-	step := estimated(1, estimate)
+	step := tasksWithEstimate(1, estimate)
 	step.Tasks[0].BackupRuns = true
 	return step
 }
 
-// TestBackupRuns_HaveNoEffectYet: a run goes on for ten times its estimate
-// beside an idle worker, and none is started next to it.
+// TestBackupRuns_HaveNoEffectYet: a run takes ten times its estimate while another worker is
+// idle. No backup run may be started.
 func TestBackupRuns_HaveNoEffectYet(t *testing.T) {
 	h := newHarness(t)
-	workers := h.fleetOf(2)
+	workers := h.registerWorkers(2)
 	h.submit("j", withBackupRuns(time.Second))
 	starts := 0
 	for range 50 {
@@ -29,39 +29,39 @@
 		h.advance(200 * time.Millisecond)
 	}
 	if task := h.task("j", 0); starts != 1 || task.Run != 1 || task.State != api.StateRunning {
-		t.Fatalf("%d starts, task %+v", starts, task)
+		t.Fatalf("got %d starts, task %+v, want 1 start and run 1 running", starts, task)
 	}
 }
 
-// TestBackupRuns_NoSecondRunBeforeLeaseExpiry: the worker of the
-// only run stops sending heartbeats; the next run starts once that one is closed as lost.
+// TestBackupRuns_NoSecondRunBeforeLeaseExpiry: the worker of the only run stops sending
+// heartbeats. The next run may start only once the first is closed as lost.
 func TestBackupRuns_NoSecondRunBeforeLeaseExpiry(t *testing.T) {
 	h := newHarness(t)
-	workers := h.fleetOf(2)
+	workers := h.registerWorkers(2)
 	h.submit("j", withBackupRuns(time.Minute))
 	silent, other := workers[0], workers[1]
 	if len(silent.exchange().Start) == 0 {
 		silent, other = other, silent
 		if len(silent.exchange().Start) == 0 {
-			t.Fatal("nothing was assigned")
+			t.Fatal("got no assignment on either worker, want one")
 		}
 	}
-	lapses := h.leader.registry.leaseDuration() + h.leader.registry.driftMargin()
-	for quiet := time.Duration(0); quiet < lapses; quiet += 100 * time.Millisecond {
+	expiresAfter := h.leader.registry.leaseDuration() + h.leader.registry.driftMargin()
+	for elapsed := time.Duration(0); elapsed < expiresAfter; elapsed += 100 * time.Millisecond {
 		if orders := other.exchange().Start; len(orders) != 0 {
-			t.Fatalf("assigned %+v after %v without heartbeats", orders, quiet)
+			t.Fatalf("got %+v after %v without heartbeats, want no assignment before the lease expired", orders, elapsed)
 		}
 		h.requireOpenRuns(1)
 		h.advance(100 * time.Millisecond)
 	}
 	h.advance(100 * time.Millisecond)
 	if orders := other.exchange().Start; len(orders) != 1 || orders[0].Run != 2 {
-		t.Fatalf("after the lease: assignments %+v", orders)
+		t.Fatalf("after the lease: got %+v, want the assignment of run 2", orders)
 	}
 	h.requireOpenRuns(1)
 }
 
-// requireOpenRuns holds the number of open runs against the record's.
+// requireOpenRuns fails the test unless the record has the wanted number of open runs.
 func (h *harness) requireOpenRuns(want int) {
 	h.t.Helper()
 	open := 0
@@ -71,6 +71,6 @@
 		}
 	})
 	if open != want {
-		h.t.Fatalf("%d open runs, expected %d", open, want)
+		h.t.Fatalf("got %d open runs, want %d", open, want)
 	}
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -18,15 +18,15 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
-// The size that docs/CAPACITY.md is made for.
+// Cluster size that docs/CAPACITY.md is written for.
 const (
-	benchWorkers = 1200
-	benchTasks   = 22_000
-	benchJob     = 50
-	benchSlots   = 25
+	benchWorkers        = 1200
+	benchTasks          = 22_000
+	benchTasksPerJob    = 50
+	benchSlotsPerWorker = 25
 )
 
-// benchLog applies each command at once, and always leads.
+// benchLog is a log that applies each command at once and always holds the lease.
 type benchLog struct {
 	machine *record.Machine
 	index   uint64
@@ -50,7 +50,7 @@
 func (l *benchLog) Status() raft.Status               { return raft.Status{} }
 func (l *benchLog) Leader() (raft.Member, bool)       { return raft.Member{Address: "127.0.0.9:1"}, true }
 
-// benchFleet is a leader with all workers and tasks running.
+// benchFleet is a leader with benchWorkers workers, which run benchTasks tasks.
 type benchFleet struct {
 	b       *testing.B
 	log     *benchLog
@@ -79,26 +79,26 @@
 	for number := range benchWorkers {
 		f.workers = append(f.workers, api.Heartbeat{
 			WorkerID: fmt.Sprintf("id-%04d", number), Name: fmt.Sprintf("worker-%04d", number), Services: []string{"s"},
-			Capacity: api.Resources{CPUMillis: benchSlots * 1000, MemoryMB: benchSlots},
+			Capacity: api.Resources{CPUMillis: benchSlotsPerWorker * 1000, MemoryMB: benchSlotsPerWorker},
 			Labels:   map[string]string{"zone": fmt.Sprintf("z%d", number%8)},
 		})
 	}
-	// While no worker is known the leader cannot look for impossible tasks, which
-	// would take most of the time of this set-up.
-	for range benchTasks / benchJob {
+	// The jobs are submitted while no worker is known, since the leader then skips the
+	// check for infeasible tasks, which would take most of the set-up time.
+	for range benchTasks / benchTasksPerJob {
 		f.submit()
 	}
-	f.round()
+	f.exchangeAll()
 	f.place()
-	f.round()
-	f.round()
+	f.exchangeAll()
+	f.exchangeAll()
 	return f
 }
 
-// submit submits one job.
+// submit submits one job of benchTasksPerJob tasks.
 func (f *benchFleet) submit() {
 	step := api.StepSpec{Name: "s"}
-	for range benchJob {
+	for range benchTasksPerJob {
 		step.Tasks = append(step.Tasks, api.TaskSpec{Service: "s", Resources: api.Resources{CPUMillis: 1000, MemoryMB: 1}})
 	}
 	f.jobs++
@@ -108,21 +108,22 @@
 	}
 }
 
+// place places all tasks that fit, and commits the leader's own commands.
 func (f *benchFleet) place() {
 	for f.leader.commitPlacements() {
 	}
 	f.leader.proposePending()
 }
 
-// round lets each worker exchange one heartbeat.
-func (f *benchFleet) round() {
+// exchangeAll advances the clock by 100 ms and exchanges one heartbeat with each worker.
+func (f *benchFleet) exchangeAll() {
 	f.now += 100 * time.Millisecond
 	for number := range f.workers {
 		f.heartbeat(number)
 	}
 }
 
-// heartbeat exchanges one heartbeat: its assignments then run.
+// heartbeat exchanges one heartbeat; the worker then runs its assignments.
 func (f *benchFleet) heartbeat(number int) {
 	heartbeat := &f.workers[number]
 	heartbeat.Seq++
@@ -138,15 +139,15 @@
 	}
 }
 
-// end reports the oldest run of a worker as succeeded with the next heartbeat.
-func (f *benchFleet) end(number int) {
+// reportOldestEnded makes a worker's next heartbeat report its oldest run as succeeded.
+func (f *benchFleet) reportOldestEnded(number int) {
 	heartbeat := &f.workers[number]
 	heartbeat.Ended = []api.EndedRun{{RunRef: heartbeat.Running[0], Outcome: api.OutcomeSucceeded}}
 	heartbeat.Running = append([]api.RunRef(nil), heartbeat.Running[1:]...)
 }
 
-// BenchmarkHeartbeat is one heartbeat that lists about 18 runs and changes
-// nothing.
+// BenchmarkHeartbeat measures one heartbeat that lists about 18 runs and reports no
+// change.
 func BenchmarkHeartbeat(b *testing.B) {
 	f := newBenchFleet(b)
 	b.ReportAllocs()
@@ -155,29 +156,29 @@
 	}
 }
 
-// BenchmarkTaskCycle is all of the leader's work for one task but the log: its
-// part of the submission, the placement, the order, the report and the
+// BenchmarkTaskCycle measures all of the leader's work for one task except for the
+// log: its part of the submission, the placement, the assignment, the report and the
 // closing.
 func BenchmarkTaskCycle(b *testing.B) {
 	f := newBenchFleet(b)
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
 		worker := number % benchWorkers
-		if number%benchJob == 0 {
+		if number%benchTasksPerJob == 0 {
 			f.submit()
 		}
 		for len(f.workers[worker].Running) == 0 {
 			worker = (worker + 1) % benchWorkers
 		}
-		f.end(worker)
+		f.reportOldestEnded(worker)
 		f.heartbeat(worker)
 		f.place()
 		f.heartbeat(worker)
 	}
 }
 
-// BenchmarkSubmit is the submission of a job of 50 tasks while 1,200 workers are
-// known, and the placement of its tasks.
+// BenchmarkSubmit measures the submission of a job of 50 tasks while 1,200 workers are
+// known. The tasks are not placed.
 func BenchmarkSubmit(b *testing.B) {
 	f := newBenchFleet(b)
 	b.ReportAllocs()
@@ -186,7 +187,7 @@
 	}
 }
 
-// BenchmarkTick is one review of all leases, drains and timers; there are 20 a
+// BenchmarkTick measures one check of all leases, drains and timers; there are 20 per
 // second.
 func BenchmarkTick(b *testing.B) {
 	f := newBenchFleet(b)
@@ -196,8 +197,8 @@
 	}
 }
 
-// BenchmarkLoseZone is the expiry of the leases of an eighth of the workers with their runs:
-// what the loss of a zone costs the leader at once.
+// BenchmarkLoseZone measures the immediate cost of the loss of a zone: the leases of an
+// eighth of the workers expire, and their runs are closed and placed again.
 func BenchmarkLoseZone(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
@@ -216,7 +217,7 @@
 	}
 }
 
-// BenchmarkLoad is the start of a term on a full record.
+// BenchmarkLoad measures the start of a term on a full record.
 func BenchmarkLoad(b *testing.B) {
 	f := newBenchFleet(b)
 	b.ReportAllocs()
--- a/internal/scheduler/burst_test.go
+++ b/internal/scheduler/burst_test.go
@@ -13,32 +13,35 @@
 )
 
 const (
-	// burstStep is the step of a simulated clock, burstWork the length of each run.
+	// burstStep is the step of the simulated clock, burstWork the default length of a
+	// run.
 	burstStep = 50 * time.Millisecond
 	burstWork = 500 * time.Millisecond
-	// burstWorkers have capacity for 4 tasks each: 40 tasks a second in all.
+	// burstWorkers is the default number of workers. Each has capacity for 4 tasks, so
+	// that together they run 40 tasks per second.
 	burstWorkers = 5
-	// lastingJob is the job whose tasks do not end.
-	lastingJob = "b-lasting"
+	// endlessJob is the id of the job whose tasks run until they are cancelled.
+	endlessJob = "b-lasting"
 )
 
-// burstFleet plays jobs of one task that are submitted to several queues.
+// burstFleet simulates workers and the submission of jobs to several queues.
 type burstFleet struct {
 	*harness
-	workers []*fakeWorker
-	began   time.Duration
-	// due is when each run that goes ends.
-	due map[api.RunRef]time.Duration
-	// submitted is when an accepted job was submitted first; waits holds the times
-	// from then to their starts, by queue.
+	workers   []*fakeWorker
+	startedAt time.Duration
+	// endsAt is when each open run ends.
+	endsAt map[api.RunRef]time.Duration
+	// submitted is when a job was first submitted; waits holds the times from then to the
+	// starts of its runs, by queue.
 	submitted map[string]time.Duration
 	waits     map[string][]time.Duration
-	// again are refused submissions by when they come again.
-	again map[time.Duration][]string
-	// lengths are the lengths of the runs of a job, burstWork if it has none;
-	// started is when its first run began.
-	lengths map[string]time.Duration
-	started map[string]time.Duration
+	// retries holds the ids of refused jobs by the time of their next submission.
+	retries map[time.Duration][]string
+	// workOf is the length of a job's runs, by default burstWork; firstStart is when its
+	// first run started.
+	workOf     map[string]time.Duration
+	firstStart map[string]time.Duration
+	// refused counts refusals by queue; count is the number of generated jobs.
 	refused map[string]int
 	count   int
 }
@@ -51,30 +54,31 @@
 func newBurstFleetOf(t *testing.T, workers int, queues ...api.QueueConfig) *burstFleet {
 	t.Helper()
 	f := &burstFleet{
-		harness: newHarness(t), due: map[api.RunRef]time.Duration{}, submitted: map[string]time.Duration{},
-		waits: map[string][]time.Duration{}, again: map[time.Duration][]string{}, refused: map[string]int{},
-		lengths: map[string]time.Duration{}, started: map[string]time.Duration{},
+		harness: newHarness(t), endsAt: map[api.RunRef]time.Duration{}, submitted: map[string]time.Duration{},
+		waits: map[string][]time.Duration{}, retries: map[time.Duration][]string{}, refused: map[string]int{},
+		workOf: map[string]time.Duration{}, firstStart: map[string]time.Duration{},
 	}
 	f.putConfig(api.Config{Queues: queues})
 	for number := range workers {
-		worker := f.worker(fmt.Sprintf("w%d", number), fmt.Sprintf("w%d-1", number))
+		worker := f.newWorker(fmt.Sprintf("w%d", number), fmt.Sprintf("w%d-1", number))
 		worker.exchange()
 		f.workers = append(f.workers, worker)
 	}
-	f.began = f.now
+	f.startedAt = f.now
 	return f
 }
 
-// submit hands a job of one task in; refused, it comes again when it was asked to.
+// submit submits a job of one task. A refused job is submitted again at its retry time.
 func (f *burstFleet) submit(queue, id string) {
 	f.t.Helper()
-	f.submitStep(queue, id, estimated(1, burstWork))
+	f.submitStep(queue, id, tasksWithEstimate(1, burstWork))
 }
 
+// submitStep submits a job of one step, as submit does.
 func (f *burstFleet) submitStep(queue, id string, step api.StepSpec) {
 	f.t.Helper()
 	spec := api.JobSpec{Queue: queue, Steps: []api.StepSpec{step}}
-	if _, again := f.submitted[id]; !again {
+	if _, resubmitted := f.submitted[id]; !resubmitted {
 		f.submitted[id] = f.now
 	}
 	_, err := f.leader.submit(f.t.Context(), protocol.SubmitRequest{ID: id, Spec: spec})
@@ -83,68 +87,70 @@
 	}
 	refusal := asRefusal(f.t, err)
 	if refusal.Code != api.CodeOverLimit || refusal.RetryAfterMillis < slo.MinRetryAfter.Milliseconds() {
-		f.t.Fatalf("%s: %+v", id, refusal)
+		f.t.Fatalf("submit %s: got %+v, want over limit with a retry time", id, refusal)
 	}
 	f.refused[queue]++
 	gap := time.Duration(refusal.RetryAfterMillis) * time.Millisecond
-	back := f.now + gap - gap%burstStep + burstStep
-	f.again[back] = append(f.again[back], id)
+	retryAt := f.now + gap - gap%burstStep + burstStep
+	f.retries[retryAt] = append(f.retries[retryAt], id)
 }
 
-// run hands jobs in for a while; perSecond says how many of each queue.
+// run simulates a time in which perSecond jobs per second are submitted to each queue.
 func (f *burstFleet) run(length time.Duration, perSecond map[string]int) {
 	f.t.Helper()
 	for end := f.now + length; f.now < end; {
-		for _, id := range f.again[f.now] {
+		for _, id := range f.retries[f.now] {
 			f.submit(id[:1], id)
 		}
-		delete(f.again, f.now)
+		delete(f.retries, f.now)
 		for _, queue := range []string{"a", "b"} {
-			for range f.dueNow(perSecond[queue]) {
+			for range f.submissionsInStep(perSecond[queue]) {
 				f.count++
 				f.submit(queue, fmt.Sprintf("%s-%d", queue, f.count))
 			}
 		}
 		f.advance(burstStep)
 		for _, worker := range f.workers {
-			f.exchange(worker)
+			f.exchangeAndEndRuns(worker)
 		}
 	}
 }
 
-// dueNow is how many of so many a second come in the present step.
-func (f *burstFleet) dueNow(perSecond int) int {
-	steps, second := int((f.now-f.began)/burstStep), int(time.Second/burstStep)
+// submissionsInStep returns how many jobs to submit in the current step of the clock at a
+// rate of perSecond.
+func (f *burstFleet) submissionsInStep(perSecond int) int {
+	steps, second := int((f.now-f.startedAt)/burstStep), int(time.Second/burstStep)
 	return (steps+1)*perSecond/second - steps*perSecond/second
 }
 
-// exchange ends the runs that are over and takes new assignments.
-func (f *burstFleet) exchange(worker *fakeWorker) {
+// exchangeAndEndRuns ends the runs of a worker that are over, and takes its new
+// assignments.
+func (f *burstFleet) exchangeAndEndRuns(worker *fakeWorker) {
 	f.t.Helper()
 	worker.heartbeat.Running = slices.DeleteFunc(worker.heartbeat.Running, func(run api.RunRef) bool {
-		if f.now < f.due[run] {
+		if f.now < f.endsAt[run] {
 			return false
 		}
 		worker.heartbeat.Ended = append(worker.heartbeat.Ended, api.EndedRun{RunRef: run, Outcome: api.OutcomeSucceeded})
 		return true
 	})
-	for range 2 { // the first answer takes the ends, the second fills the capacity
+	for range 2 { // the first heartbeat reports the ends, the answer to the second fills the freed capacity
 		for _, order := range worker.exchange().Start {
 			job := order.Task[:len(order.Task)-len("/s/0")]
-			f.due[order.RunRef] = f.now + cmp.Or(f.lengths[job], burstWork)
-			if _, begun := f.started[job]; !begun {
-				f.started[job] = f.now
+			f.endsAt[order.RunRef] = f.now + cmp.Or(f.workOf[job], burstWork)
+			if _, begun := f.firstStart[job]; !begun {
+				f.firstStart[job] = f.now
 			}
-			if job == lastingJob {
-				f.due[order.RunRef] = f.now + time.Hour
+			if job == endlessJob {
+				f.endsAt[order.RunRef] = f.now + time.Hour
 			}
 			f.waits[job[:1]] = append(f.waits[job[:1]], f.now-f.submitted[job])
 		}
 	}
 }
 
-// p95 returns the wait that 95 of 100 jobs of a queue do not exceed, and forgets
-// the waits so far.
+// p95 returns the 95th percentile of the waits in a queue, and clears the waits of all
+// queues.
 func (f *burstFleet) p95(queue string) time.Duration {
 	f.t.Helper()
 	waits := f.waits[queue]
@@ -160,78 +166,80 @@
 	return api.QueueConfig{Name: name, Objective: &api.ObjectiveConfig{Target: api.Duration(2 * time.Second), RefuseBeyond: refuseBeyond}}
 }
 
-// TestAdmission_BurstDoesNotDelayOtherQueues: queue "a" gets ten times its load, twice
-// what the fleet can do. By slack alone its older jobs would go before those of
-// "b".
+// TestAdmission_BurstDoesNotDelayOtherQueues: queue "a" gets ten times its load, which is
+// twice the capacity of the fleet. In the order of slack alone, its older jobs would go
+// before those of "b", so "a" must defer to "b".
 func TestAdmission_BurstDoesNotDelayOtherQueues(t *testing.T) {
 	for _, refuseBeyond := range []float64{0, 3} {
 		t.Run(fmt.Sprintf("refuse beyond %v", refuseBeyond), func(t *testing.T) {
 			f := newBurstFleet(t, objectiveQueue("a", refuseBeyond), objectiveQueue("b", refuseBeyond))
 			f.run(10*time.Second, map[string]int{"a": 8, "b": 8})
-			calm := f.p95("b")
+			beforeBurst := f.p95("b")
 			f.run(30*time.Second, map[string]int{"a": 80, "b": 8})
-			burst := f.p95("b")
-			t.Logf("p95 of the wait in b: %v before, %v in the burst; refused: %v", calm, burst, f.refused)
-			if burst > calm+2*burstStep {
-				t.Errorf("b waits for %v, %v before the burst", burst, calm)
+			inBurst := f.p95("b")
+			t.Logf("p95 of the wait in b: %v before, %v in the burst; refused: %v", beforeBurst, inBurst, f.refused)
+			if inBurst > beforeBurst+2*burstStep {
+				t.Errorf("p95 wait in b: got %v in the burst, %v before it, want at most 2 steps more", inBurst, beforeBurst)
 			}
 			if f.refused["b"] > 0 || (f.refused["a"] > 0) != (refuseBeyond > 0) {
-				t.Errorf("refused: %v", f.refused)
+				t.Errorf("got refusals %v, want none in b, and some in a only if it refuses late jobs", f.refused)
 			}
 		})
 	}
 }
 
-// TestAdmission_RefusedJobIsAcceptedLater: what a burst cannot have done within three times its
-// objective is refused; after it, all of it comes back and is done.
+// TestAdmission_RefusedJobIsAcceptedLater: a queue refuses the jobs of a burst that would
+// end later than three times its objective. After the burst all refused jobs must be
+// accepted on a retry, and run.
 func TestAdmission_RefusedJobIsAcceptedLater(t *testing.T) {
 	f := newBurstFleet(t, objectiveQueue("a", 3), objectiveQueue("b", 0))
 	f.run(20*time.Second, map[string]int{"a": 80})
 	if f.refused["a"] == 0 {
-		t.Fatal("nothing was refused")
+		t.Fatal("got no refusals, want some")
 	}
 	status, err := f.leader.readQueue(t.Context(), protocol.QueueRequest{Name: "a"})
 	if err != nil || !status.Status.Overloaded || status.Status.ExpectedWaitMillis < 4000 {
-		t.Errorf("the queue: %+v, %v", status.Status, err)
+		t.Errorf("status in the burst: got %+v, %v, want overloaded with a wait of at least 4000 ms", status.Status, err)
 	}
-	// A resend of what was accepted is answered as that, also now.
-	spec := api.JobSpec{Queue: "a", Steps: []api.StepSpec{estimated(1, burstWork)}}
+	// A resend of an accepted job is not refused, even while the queue refuses new ones.
+	spec := api.JobSpec{Queue: "a", Steps: []api.StepSpec{tasksWithEstimate(1, burstWork)}}
 	if answer, err := f.leader.submit(t.Context(), protocol.SubmitRequest{ID: "a-1", Spec: spec}); err != nil || answer.Created {
-		t.Errorf("a resend: %+v, %v", answer, err)
+		t.Errorf("resend of an accepted job: got %+v, %v, want no new job and no error", answer, err)
 	}
 	f.run(2*time.Minute, nil)
-	if started := len(f.waits["a"]); started != f.count || len(f.again) > 0 {
-		t.Errorf("%d of %d jobs started, %d are still to come back", started, f.count, len(f.again))
+	if started := len(f.waits["a"]); started != f.count || len(f.retries) > 0 {
+		t.Errorf("%d of %d jobs started, %d retry times are pending, want all started and none pending", started, f.count, len(f.retries))
 	}
 	if status, err := f.leader.readQueue(t.Context(), protocol.QueueRequest{Name: "a"}); err != nil || status.Status.Overloaded {
-		t.Errorf("the queue after it: %+v, %v", status.Status, err)
+		t.Errorf("status after the burst: got %+v, %v, want not overloaded", status.Status, err)
 	}
 }
 
-// TestAdmission_FreeCapacityRefusesNothing: tasks that ask for more capacity than a worker
-// has free wait for long, and small ones still get in.
-func TestAdmission_FreeCapacityRefusesNothing(t *testing.T) {
+// TestAdmission_JobThatFitsIsNotRefused: tasks that need more capacity than any worker
+// has free make the queue overloaded. Small jobs that fit on a worker must still be
+// accepted.
+func TestAdmission_JobThatFitsIsNotRefused(t *testing.T) {
 	f := newBurstFleet(t, objectiveQueue("a", 1), objectiveQueue("b", 0))
-	lasting := tasks(burstWorkers) // one on each worker
-	for index := range lasting.Tasks {
-		lasting.Tasks[index].UntilCancelled = true
-		lasting.Tasks[index].Spread = &api.Spread{By: api.SpreadByWorker}
+	endless := tasks(burstWorkers) // one on each worker
+	for index := range endless.Tasks {
+		endless.Tasks[index].UntilCancelled = true
+		endless.Tasks[index].Spread = &api.Spread{By: api.SpreadByWorker}
 	}
-	big := estimated(1, burstWork)
+	big := tasksWithEstimate(1, burstWork)
 	big.Tasks[0].Resources.CPUMillis = 4000
-	f.submitSpec(lastingJob, api.JobSpec{Queue: "b", Steps: []api.StepSpec{lasting}})
+	f.submitSpec(endlessJob, api.JobSpec{Queue: "b", Steps: []api.StepSpec{endless}})
 	for number := range 200 {
 		f.submitSpec(fmt.Sprintf("a-big-%d", number), api.JobSpec{Queue: "a", Steps: []api.StepSpec{big}})
 	}
-	f.run(4*time.Second, map[string]int{"a": 8}) // later, the large ones are lost and count no more
+	f.run(4*time.Second, map[string]int{"a": 8}) // later the large tasks are beyond lostMultiple of their objective and no longer count
 	if status, err := f.leader.readQueue(t.Context(), protocol.QueueRequest{Name: "a"}); err != nil || !status.Status.Overloaded {
-		t.Errorf("the queue: %+v, %v", status.Status, err)
+		t.Errorf("queue status: got %+v, %v, want overloaded", status.Status, err)
 	}
 	if f.refused["a"] > 0 {
-		t.Errorf("%d small ones were refused", f.refused["a"])
+		t.Errorf("%d small jobs were refused, want none", f.refused["a"])
 	}
 	f.submitSpec("b-big", api.JobSpec{Queue: "b", Steps: []api.StepSpec{big}})
 	if _, err := f.leader.submit(t.Context(), protocol.SubmitRequest{ID: "a-big", Spec: api.JobSpec{Queue: "a", Steps: []api.StepSpec{big}}}); err == nil {
-		t.Error("one more that has no capacity was taken")
+		t.Error("a large job that fits on no worker was accepted, want a refusal")
 	}
 }
--- a/internal/scheduler/burstdays_test.go
+++ b/internal/scheduler/burstdays_test.go
@@ -6,22 +6,24 @@
 )
 
 const (
-	// dayHarm is by how much longer a job beside a burst may wait on any one day than
-	// 95 of 100 did before it: twice the mean work, and a step of the simulated clock,
-	// by which a start is seen late.
-	dayHarm = 2*sizedMeanWork + burstStep
-	// dayCount is how many days are played; on each, two queues stand beside the burst.
-	dayCount = 60
+	// scenarioMaxExtraWait is how much longer than the 95th percentile before the burst
+	// any job of another queue may wait in one scenario: twice the mean work, plus one
+	// step of the simulated clock by which a start is seen late.
+	scenarioMaxExtraWait = 2*sizedMeanWork + burstStep
+	// scenarioCount is the number of simulated scenarios. In each, two queues compete
+	// with the bursting one.
+	scenarioCount = 60
 )
 
-// TestAdmission_BurstDayBoundsWaitOfOtherJobs: on any one day a few jobs only stand beside the
-// burst, and the longest wait of all is that of a task that needs a whole worker.
-func TestAdmission_BurstDayBoundsWaitOfOtherJobs(t *testing.T) {
-	for seed := range uint64(dayCount) {
-		for queue, day := range sizedDayByQueue(t, seed) {
-			allowed := percentile95(day.calm) + dayHarm
-			if longest := slices.Max(day.burst); longest > allowed {
-				t.Errorf("seed %d: a job of %s waits for %v, more than %v", seed, queue, longest, allowed)
+// TestAdmission_BurstBoundsLongestWaitOfOtherQueues: bounds the longest wait in each
+// single scenario. Only a few jobs of other queues are submitted in a burst, and the
+// longest wait is that of a task that needs a complete worker.
+func TestAdmission_BurstBoundsLongestWaitOfOtherQueues(t *testing.T) {
+	for seed := range uint64(scenarioCount) {
+		for queue, waits := range runSizedScenarioByQueue(t, seed) {
+			allowed := percentile95(waits.beforeBurst) + scenarioMaxExtraWait
+			if longest := slices.Max(waits.inBurst); longest > allowed {
+				t.Errorf("seed %d: longest wait in queue %s in the burst: got %v, want at most %v", seed, queue, longest, allowed)
 			}
 		}
 	}
--- a/internal/scheduler/burstsizes_test.go
+++ b/internal/scheduler/burstsizes_test.go
@@ -10,73 +10,74 @@
 	"github.com/decklever/decklever/api"
 )
 
-// Sizes and times of the tasks of a sizedFleet: evenly spread up to a whole worker,
-// and around the mean work.
+// Sizes and times in a sized scenario. The CPU demand of tasks is uniform up to that of a
+// complete worker, and their work is spread around the mean.
 const (
 	sizedWorkers  = 6
-	sizedMostCPU  = 4000
+	sizedMaxCPU   = 4000
 	sizedMeanWork = 600 * time.Millisecond
-	// sizedBurstAt is when the burst begins, sizedBurst how long it lasts.
-	sizedBurstAt = 3 * time.Second
-	sizedBurst   = 5 * time.Second
-	sizedDay     = 9 * time.Second
-	// sizedWidth is the most tasks of a job of the burst.
-	sizedWidth = 6
-	// sizedHarm is by how much longer 95 of 100 jobs may wait in the burst than before
-	// it: as long as the mean work. sizedLongest is the most that any may wait.
-	sizedHarm    = sizedMeanWork
-	sizedLongest = 2 * time.Second
-	// sizedSeeds is over how many days waits are counted.
+	// sizedBurstAt is when the burst begins, sizedBurst its length, sizedDuration the
+	// time in which jobs are submitted.
+	sizedBurstAt  = 3 * time.Second
+	sizedBurst    = 5 * time.Second
+	sizedDuration = 9 * time.Second
+	// sizedMaxTasks is the largest number of tasks of a job in the bursting queue.
+	sizedMaxTasks = 6
+	// sizedMaxExtraWait is how much the 95th percentile of the waits may grow in the
+	// burst: by the mean work. sizedMaxWait limits every single wait.
+	sizedMaxExtraWait = sizedMeanWork
+	sizedMaxWait      = 2 * time.Second
+	// sizedSeeds is the number of scenarios whose waits are combined.
 	sizedSeeds = 20
 )
 
-// dayWaits are the times that jobs of a queue waited: those that were submitted before
-// the burst, and those from its beginning on.
-type dayWaits struct{ calm, burst []time.Duration }
+// scenarioWaits holds the waits of a queue's jobs, separately for those submitted before
+// the burst and from its beginning on.
+type scenarioWaits struct{ beforeBurst, inBurst []time.Duration }
 
-// sizedDayOf is sizedDayByQueue for both queues together.
-func sizedDayOf(t *testing.T, seed uint64) (calm, burst []time.Duration) {
+// runSizedScenario returns the waits of runSizedScenarioByQueue for both queues together.
+func runSizedScenario(t *testing.T, seed uint64) (beforeBurst, inBurst []time.Duration) {
 	t.Helper()
-	for _, day := range sizedDayByQueue(t, seed) {
-		calm, burst = append(calm, day.calm...), append(burst, day.burst...)
+	for _, waits := range runSizedScenarioByQueue(t, seed) {
+		beforeBurst, inBurst = append(beforeBurst, waits.beforeBurst...), append(inBurst, waits.inBurst...)
 	}
-	return calm, burst
+	return beforeBurst, inBurst
 }
 
-// sizedDayByQueue plays a day on which queue "a" gets ten times its load, and tasks of
-// all queues ask for different shares of a worker. It returns how long the jobs of "b"
-// and "c" waited.
-func sizedDayByQueue(t *testing.T, seed uint64) map[string]*dayWaits {
+// runSizedScenarioByQueue simulates a burst in which queue "a" gets ten times its load,
+// while tasks of all queues need different parts of a worker. It returns the waits of the
+// jobs of "b" and "c".
+func runSizedScenarioByQueue(t *testing.T, seed uint64) map[string]*scenarioWaits {
 	t.Helper()
-	f := newBurstFleetOf(t, sizedWorkers, objectiveOfDay("a"), objectiveOfDay("b"), objectiveOfDay("c"))
+	f := newBurstFleetOf(t, sizedWorkers, sizedObjectiveQueue("a"), sizedObjectiveQueue("b"), sizedObjectiveQueue("c"))
 	random := rand.New(rand.NewPCG(seed, 0))
-	for at := time.Duration(0); at < sizedDay || len(f.started) < len(f.submitted); at += burstStep {
+	for at := time.Duration(0); at < sizedDuration || len(f.firstStart) < len(f.submitted); at += burstStep {
 		if at > time.Minute {
-			t.Fatalf("%d of %d jobs started", len(f.started), len(f.submitted))
+			t.Fatalf("%d of %d jobs started within a minute", len(f.firstStart), len(f.submitted))
 		}
 		f.submitSized(random, at)
 		f.advance(burstStep)
 		for _, worker := range f.workers {
-			f.exchange(worker)
+			f.exchangeAndEndRuns(worker)
 		}
 	}
-	days := map[string]*dayWaits{"b": {}, "c": {}}
+	waitsByQueue := map[string]*scenarioWaits{"b": {}, "c": {}}
 	for job, at := range f.submitted {
-		day := days[job[:1]]
+		waits := waitsByQueue[job[:1]]
 		switch {
-		case day == nil:
-		case at < f.began+sizedBurstAt:
-			day.calm = append(day.calm, f.started[job]-at)
+		case waits == nil:
+		case at < f.startedAt+sizedBurstAt:
+			waits.beforeBurst = append(waits.beforeBurst, f.firstStart[job]-at)
 		default:
-			day.burst = append(day.burst, f.started[job]-at)
+			waits.inBurst = append(waits.inBurst, f.firstStart[job]-at)
 		}
 	}
-	return days
+	return waitsByQueue
 }
 
-// submitSized submits what comes at a moment of the day.
+// submitSized submits the jobs of one step of the clock.
 func (f *burstFleet) submitSized(random *rand.Rand, at time.Duration) {
-	if at >= sizedDay {
+	if at >= sizedDuration {
 		return
 	}
 	perSecond := map[string]int{"a": 1, "b": 3, "c": 3}
@@ -87,56 +88,59 @@
 		perSecond["a"] = 10
 	}
 	for _, queue := range []string{"a", "b", "c"} {
-		for range f.dueNow(perSecond[queue]) {
+		for range f.submissionsInStep(perSecond[queue]) {
 			width := 1
 			if queue == "a" {
-				width += random.IntN(sizedWidth)
+				width += random.IntN(sizedMaxTasks)
 			}
 			f.count++
 			id := fmt.Sprintf("%s-%d", queue, f.count)
 			step, work := sizedStep(random, width)
-			f.lengths[id] = work
+			f.workOf[id] = work
 			f.submitStep(queue, id, step)
 		}
 	}
 }
 
-// sizedStep is a step of equal tasks of a size by chance.
+// sizedStep returns a step of equal tasks with a random size, and the length of its runs.
 func sizedStep(random *rand.Rand, width int) (api.StepSpec, time.Duration) {
 	work := time.Duration(float64(sizedMeanWork) * (0.5 + random.Float64()))
-	step := estimated(width, time.Duration(float64(work)*(0.5+random.Float64())))
-	cpu := 1 + random.Int64N(sizedMostCPU)
+	step := tasksWithEstimate(width, time.Duration(float64(work)*(0.5+random.Float64())))
+	cpu := 1 + random.Int64N(sizedMaxCPU)
 	for index := range step.Tasks {
 		step.Tasks[index].Resources.CPUMillis = cpu
 	}
 	return step, work
 }
 
-func objectiveOfDay(name string) api.QueueConfig {
+// sizedObjectiveQueue returns a queue with an objective of 3 s plus twice the critical
+// path.
+func sizedObjectiveQueue(name string) api.QueueConfig {
 	return api.QueueConfig{Name: name, Objective: &api.ObjectiveConfig{Target: api.Duration(3 * time.Second), Stretch: 2}}
 }
 
+// percentile95 returns the 95th percentile of the waits, and sorts them.
 func percentile95(waits []time.Duration) time.Duration {
 	slices.Sort(waits)
 	return waits[len(waits)*95/100]
 }
 
-// TestAdmission_BurstLeavesCapacityToLargeTasks: the days together are as
-// burst-one-queue of platform/emulator, without processes. The burst could be served within
-// its objective if all others waited for as long, and its small tasks would take each
-// piece of a worker before a large task finds a whole one.
+// TestAdmission_BurstLeavesCapacityToLargeTasks: the scenarios together correspond to
+// burst-one-queue of platform/emulator, without processes. The burst could meet its
+// objective if the jobs of all other queues waited for as long, and its small tasks would
+// take each free part of a worker before a large task finds a complete one.
 func TestAdmission_BurstLeavesCapacityToLargeTasks(t *testing.T) {
-	var calm, burst []time.Duration
+	var beforeBurst, inBurst []time.Duration
 	for seed := range uint64(sizedSeeds) {
-		before, in := sizedDayOf(t, seed)
-		calm, burst = append(calm, before...), append(burst, in...)
+		before, during := runSizedScenario(t, seed)
+		beforeBurst, inBurst = append(beforeBurst, before...), append(inBurst, during...)
 	}
-	allowed := percentile95(calm) + sizedHarm
-	t.Logf("p95 of the wait: %v before, %v in the burst, there at most %v", percentile95(calm), percentile95(burst), slices.Max(burst))
-	if percentile95(burst) > allowed {
-		t.Errorf("95 of 100 jobs beside the burst wait up to %v, more than %v", percentile95(burst), allowed)
+	allowed := percentile95(beforeBurst) + sizedMaxExtraWait
+	t.Logf("p95 of the wait: %v before, %v in the burst, there at most %v", percentile95(beforeBurst), percentile95(inBurst), slices.Max(inBurst))
+	if percentile95(inBurst) > allowed {
+		t.Errorf("p95 wait of other queues in the burst: got %v, want at most %v", percentile95(inBurst), allowed)
 	}
-	if slices.Max(burst) > sizedLongest {
-		t.Errorf("a job beside the burst waits for %v", slices.Max(burst))
+	if slices.Max(inBurst) > sizedMaxWait {
+		t.Errorf("longest wait of other queues in the burst: got %v, want at most 2s", slices.Max(inBurst))
 	}
 }
--- a/internal/scheduler/calendar/calendar.go
+++ b/internal/scheduler/calendar/calendar.go
@@ -1,6 +1,6 @@
-// Package calendar says for which windows of reservations capacity is reserved now. It
-// owns no clock, no lock and no goroutine: its caller tells the cluster time and
-// guards it.
+// Package calendar determines for which windows of reservations capacity is reserved now.
+// It has no clock, lock or goroutine: the caller passes the cluster time and serializes
+// the calls.
 package calendar
 
 import (
@@ -16,22 +16,24 @@
 	"github.com/decklever/decklever/internal/reservation"
 )
 
-// horizon is how far ahead windows are worked out at a time; working them out
-// again costs a walk over every schedule.
+// horizon is how far ahead windows are computed at a time, because each computation goes
+// through the schedules of all reservations.
 const horizon = 10 * time.Minute
 
-// Calendar holds the windows of the configuration's reservations that concern the
-// coming minutes, and says for which of them capacity is reserved.
+// Calendar holds the windows that reserve capacity within the coming horizon, and which
+// of them do so now.
 type Calendar struct {
 	logger *slog.Logger
-	// queues are those of the configuration in force.
+	// queues are the queues of the configuration in force.
 	queues []api.QueueConfig
-	// computedUntil is how far windows are worked out; zero forces it again.
+	// computedUntil is the end of the time for which windows are computed; zero forces a
+	// new computation.
 	computedUntil time.Time
 	windows       []reservation.Window
-	// released has the ends of the windows that were given back.
+	// released holds the ends of the released windows, by window id.
 	released map[string]time.Time
-	// reserved are the ids of the windows for which capacity is reserved.
+	// reserved holds the ids of the windows that reserve capacity, as of the last
+	// refresh.
 	reserved []string
 }
 
@@ -40,16 +42,16 @@
 	return Calendar{logger: logger, released: make(map[string]time.Time)}
 }
 
-// Configure takes over the queues of a configuration. Everything is worked out again at
-// the next refresh.
+// Configure installs the queues of a configuration. The next refresh computes all windows
+// again.
 func (c *Calendar) Configure(queues []api.QueueConfig) {
 	c.queues = queues
 	c.computedUntil = time.Time{}
 }
 
-// Refresh returns the windows for which capacity is to be reserved now, and whether
-// they have changed. It costs a look at the windows of the coming minutes, and more
-// only when one begins or ends.
+// Refresh returns the windows that reserve capacity now, or nil and false if they have
+// not changed since the last call. Its cost grows with the windows within the horizon
+// only, apart from a new computation once per horizon.
 func (c *Calendar) Refresh(now time.Time) (reservations []placement.Reservation, changed bool) {
 	if !now.Before(c.computedUntil) {
 		c.compute(now)
@@ -70,16 +72,18 @@
 	return reservations, true
 }
 
-// compute works out the windows of the coming minutes.
+// compute computes the windows of the coming horizon, and forgets released windows that
+// have ended.
 func (c *Calendar) compute(now time.Time) {
 	c.computedUntil = now.Add(horizon)
-	c.windows = c.between(now, c.computedUntil)
+	c.windows = c.windowsBetween(now, c.computedUntil)
 	maps.DeleteFunc(c.released, func(_ string, end time.Time) bool { return end.Before(now) })
 }
 
-// between returns all windows for which capacity is reserved at some time between the
-// two, by queue and reservation.
-func (c *Calendar) between(from, to time.Time) []reservation.Window {
+// windowsBetween returns all windows that reserve capacity at some time between from and
+// to, by queue and reservation in the order of the configuration. It logs and skips a
+// reservation whose schedule is invalid.
+func (c *Calendar) windowsBetween(from, to time.Time) []reservation.Window {
 	var windows []reservation.Window
 	for q := range c.queues {
 		queue := &c.queues[q]
@@ -96,9 +100,10 @@
 	return windows
 }
 
-// Find returns the window of a reservation that starts at a time.
+// Find returns the window of a reservation that starts exactly at the requested time, or
+// false.
 func (c *Calendar) Find(release api.ReleaseRequest) (reservation.Window, bool) {
-	for _, window := range c.between(release.Start, release.Start.Add(time.Millisecond)) {
+	for _, window := range c.windowsBetween(release.Start, release.Start.Add(time.Millisecond)) {
 		if window.Queue == release.Queue && window.Booking.Name == release.Booking && window.Start.Equal(release.Start) {
 			return window, true
 		}
@@ -106,7 +111,7 @@
 	return reservation.Window{}, false
 }
 
-// Release records that the capacity of a window was given back.
+// Release records that a window no longer reserves capacity.
 func (c *Calendar) Release(window record.ReleaseWindow) {
 	c.released[releasedID(window)] = window.End.Time()
 }
@@ -130,18 +135,19 @@
 }
 
 func releasedID(window record.ReleaseWindow) string {
-	named := reservation.Window{Queue: window.Queue, Booking: &api.BookingConfig{Name: window.Booking}, Start: window.Start.Time()}
-	return named.ID()
+	released := reservation.Window{Queue: window.Queue, Booking: &api.BookingConfig{Name: window.Booking}, Start: window.Start.Time()}
+	return released.ID()
 }
 
-// Statuses describes the windows between two times, with the slots that are reserved.
+// Statuses returns the status of the windows between from and to, with the slots that the
+// planner has reserved for each. Their states are those at from.
 func (c *Calendar) Statuses(from, to time.Time, reserved []placement.ReservedSlots) api.BookingList {
 	list := api.BookingList{Bookings: []api.BookingStatus{}}
 	byWindow := make(map[string][]placement.ReservedSlots)
 	for _, slots := range reserved {
 		byWindow[slots.Reservation] = append(byWindow[slots.Reservation], slots)
 	}
-	for _, window := range c.between(from, to) {
+	for _, window := range c.windowsBetween(from, to) {
 		status := c.status(window, from)
 		for _, slots := range byWindow[window.ID()] {
 			status.Placed += slots.Slots
--- a/internal/scheduler/calendar/calendar_test.go
+++ b/internal/scheduler/calendar/calendar_test.go
@@ -12,9 +12,11 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
+// start is the start of the window that the tests use.
 var start = time.Date(2026, time.March, 2, 9, 0, 0, 0, time.UTC)
 
-// newCalendar has a window of an hour in queue "q" each day, one of them from start on.
+// newCalendar returns a calendar with a daily window of one hour in queue "q", of which
+// one begins at start.
 func newCalendar() Calendar {
 	calendar := New(slog.New(slog.DiscardHandler))
 	calendar.Configure([]api.QueueConfig{{Name: "q", Bookings: []api.BookingConfig{{
@@ -23,7 +25,7 @@
 	return calendar
 }
 
-// reservedIDs are the windows for which capacity is reserved.
+// reservedIDs returns the ids of the windows that reserve capacity.
 func reservedIDs(reservations []placement.Reservation) []string {
 	var ids []string
 	for _, reservation := range reservations {
@@ -48,7 +50,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			reservations, changed := calendar.Refresh(c.now)
 			if len(reservations) != c.want || changed != c.changed {
-				t.Errorf("reserved %v, changed %t; want %d, %t", reservedIDs(reservations), changed, c.want, c.changed)
+				t.Errorf("got windows %v, changed %t, want %d windows, %t", reservedIDs(reservations), changed, c.want, c.changed)
 			}
 		})
 	}
@@ -62,11 +64,11 @@
 	})
 	reservations, changed := calendar.Refresh(start.Add(time.Second))
 	if len(reservations) != 0 || !changed {
-		t.Errorf("reserved %v, changed %t; want none, true", reservedIDs(reservations), changed)
+		t.Errorf("got windows %v, changed %t, want none, true", reservedIDs(reservations), changed)
 	}
 	list := calendar.Statuses(start, start.Add(time.Minute), nil)
 	if len(list.Bookings) != 1 || list.Bookings[0].State != api.BookingReleased {
-		t.Errorf("want one released window, got %+v", list.Bookings)
+		t.Errorf("got windows %+v, want one that is released", list.Bookings)
 	}
 }
 
@@ -74,7 +76,7 @@
 	calendar := newCalendar()
 	reservations, _ := calendar.Refresh(start)
 	if len(reservations) != 1 {
-		t.Fatalf("reserved %v, want one window", reservedIDs(reservations))
+		t.Fatalf("got windows %v, want one", reservedIDs(reservations))
 	}
 	slots := []placement.ReservedSlots{
 		{Reservation: reservations[0].ID, Worker: "a", Slots: 1, Used: 1},
@@ -83,12 +85,12 @@
 	}
 	list := calendar.Statuses(start, start.Add(time.Minute), slots)
 	if len(list.Bookings) != 1 {
-		t.Fatalf("want one window, got %+v", list.Bookings)
+		t.Fatalf("got windows %+v, want one", list.Bookings)
 	}
 	got := list.Bookings[0]
 	want := []api.BookingSlices{{Worker: "a", Slots: 1, Used: 1}, {Worker: "b", Slots: 1}}
 	if diff := cmp.Diff(want, got.Workers); diff != "" || got.Placed != 2 || got.Used != 1 || got.State != api.BookingOpen {
-		t.Errorf("placed %d, used %d, %s; workers (-want +got):\n%s", got.Placed, got.Used, got.State, diff)
+		t.Errorf("got %d slots placed, %d used, state %s, want 2, 1, open; workers (-want +got):\n%s", got.Placed, got.Used, got.State, diff)
 	}
 }
 
@@ -105,7 +107,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, known := calendar.Find(c.release); known != c.known {
-				t.Errorf("found %t, want %t", known, c.known)
+				t.Errorf("got found %t, want %t", known, c.known)
 			}
 		})
 	}
--- a/internal/scheduler/cancel.go
+++ b/internal/scheduler/cancel.go
@@ -9,11 +9,12 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// cancelBatch bounds the jobs that one log entry cancels, so that a mass cancel
-// neither makes a huge entry nor holds the record's lock for long.
-const cancelBatch = 500
+// cancelBatchSize limits the jobs that one log entry cancels, which bounds the size of
+// the entry and how long the record is locked to apply it.
+const cancelBatchSize = 500
 
-// cancel cancels a job and returns its state.
+// cancel cancels a job and returns its state. A job that is already final is left as it
+// is.
 func (l *leader) cancel(ctx context.Context, request protocol.CancelRequest) (protocol.JobAnswer, error) {
 	status, err := l.status(request.ID, true)
 	if err != nil {
@@ -28,11 +29,11 @@
 	return l.jobAnswer(l.status(request.ID, request.Brief))
 }
 
-// cancelMany cancels jobs in bounded batches. If a batch fails, those before it
-// are cancelled; the same call again continues with the rest.
+// cancelMany cancels jobs in batches of at most cancelBatchSize. If a batch fails, the
+// earlier ones remain cancelled, and the same call again cancels the rest.
 func (l *leader) cancelMany(ctx context.Context, request protocol.CancelManyRequest) (protocol.CancelManyAnswer, error) {
 	jobs := l.cancellable(request.Cancel)
-	for batch := range slices.Chunk(jobs, cancelBatch) {
+	for batch := range slices.Chunk(jobs, cancelBatchSize) {
 		if _, err := l.propose(ctx, record.Command{CancelJobs: &record.CancelJobs{Jobs: batch}}); err != nil {
 			return protocol.CancelManyAnswer{}, l.proposalError(err)
 		}
@@ -43,8 +44,8 @@
 	return protocol.CancelManyAnswer{Answer: api.CancelAnswer{Cancelled: len(jobs)}}, nil
 }
 
-// cancellable returns the jobs that the request names and that have neither
-// ended nor been cancelled.
+// cancellable returns the live jobs selected by the request that a cancel would change
+// (see record.Job.MayCancel).
 func (l *leader) cancellable(request api.CancelRequest) []string {
 	var jobs []string
 	l.log.Record().Read(func(view record.View) {
--- a/internal/scheduler/cancel_test.go
+++ b/internal/scheduler/cancel_test.go
@@ -8,8 +8,8 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-func TestCancelMany_ByQueueGoesInBatches(t *testing.T) {
-	const jobs = 2*cancelBatch + 1
+func TestCancelMany_ByQueueIsSplitIntoBatches(t *testing.T) {
+	const jobs = 2*cancelBatchSize + 1
 	h := newHarness(t)
 	for i := range jobs {
 		h.submit(fmt.Sprintf("j%d", i), tasks(1))
@@ -18,30 +18,30 @@
 	for _, want := range []int{jobs, 0} {
 		answer, err := h.leader.cancelMany(t.Context(), protocol.CancelManyRequest{Cancel: api.CancelRequest{Queue: "q"}})
 		if err != nil || answer.Answer.Cancelled != want {
-			t.Fatalf("want %d cancelled, got %+v, %v", want, answer, err)
+			t.Fatalf("cancelled jobs: want %d, got %+v, %v", want, answer, err)
 		}
 	}
 	if entries := h.log.index - before; entries != 3 {
-		t.Errorf("want 3 log entries, got %d", entries)
+		t.Errorf("got %d log entries, want 3", entries)
 	}
 }
 
 func TestCancel_StopsRunsAndStartsNone(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	worker.exchange()
-	h.submit("j", tasks(6)) // 4 fit
+	h.submit("j", tasks(6)) // the worker has capacity for 4
 	worker.exchange()
 	answer, err := h.leader.cancel(t.Context(), protocol.CancelRequest{ID: "j"})
 	if err != nil || answer.Status.State != api.StateCancelled {
-		t.Fatalf("cancel: %+v, %v", answer.Status.State, err)
+		t.Fatalf("cancel: got %+v, %v, want state cancelled", answer.Status.State, err)
 	}
 	if answer := worker.exchange(); len(answer.Stop) != 4 || len(answer.Start) != 0 {
-		t.Fatalf("want 4 stops, got %+v", answer)
+		t.Fatalf("got %+v, want 4 stops and no start", answer)
 	}
-	worker.end(api.OutcomeStopped)
+	worker.endAllRuns(api.OutcomeStopped)
 	worker.exchange()
 	if answer := worker.exchange(); len(answer.Start) != 0 {
-		t.Errorf("a cancelled job started %+v", answer.Start)
+		t.Errorf("cancelled job: got starts %+v, want none", answer.Start)
 	}
 }
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -5,8 +5,9 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// recordCheckpoints keeps the newest that a worker says of runs open on it. What is
-// said of others, or with a checkpoint beyond the bound, is passed over.
+// recordCheckpoints records the percentage and the checkpoint that a worker reports for runs
+// open on it. It ignores reports on other runs, and those with a checkpoint of more than
+// api.MaxCheckpointBytes. An empty checkpoint does not replace an earlier one.
 func (w *workerEntry) recordCheckpoints(all []api.RunProgress) {
 	for _, progress := range all {
 		id, ok := parseRun(progress.RunRef)
@@ -24,8 +25,8 @@
 	}
 }
 
-// addCheckpoint puts what was last reported of the run into its end. The
-// checkpoint that came with the end is newer.
+// addCheckpoint copies the run's last reported percentage and checkpoint to its end. A
+// checkpoint that was reported with the end is newer and stays.
 func (r *runState) addCheckpoint(end *record.RunEnd) {
 	end.Percent = r.observed.percent
 	if end.Checkpoint == "" {
--- a/internal/scheduler/commonoutcome.go
+++ b/internal/scheduler/commonoutcome.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// gangStartTimeout is how long a gang with a common outcome may take from when its
-	// assignments begin to go out, or from its placement if they do not, until all its
-	// members were seen started. Beyond it all of the gang is requeued, so that none
-	// waits for the others until its worker gives up: workers may do so 3 s after the
-	// first member started, and a stop takes up to a second.
+	// gangStartTimeout is the time within which all members of a gang with a common
+	// outcome must be seen started. It counts from the release of the gang's assignments,
+	// or from its placement while they are not released. After it the whole gang is
+	// requeued, before a worker gives up on a member that waits for the others: workers
+	// may do so 3 s after the first member started, and a stop takes up to a second.
 	gangStartTimeout = 2 * time.Second
-	// gangSeenIntervals: assignments of a gang go out only if each member's worker was
-	// seen within this many heartbeat intervals, so that all are out within about one.
-	gangSeenIntervals = 2
+	// maxGangHeartbeatAgeIntervals is the maximum age of the newest heartbeat of each member's worker,
+	// in heartbeat intervals, for the assignments of a gang to be released. All of them are
+	// then sent within about one interval.
+	maxGangHeartbeatAgeIntervals = 2
 )
 
-// commonOutcomeRunOpened begins to watch that all of the gang starts. A gang that an
-// earlier leader placed longer ago than the timeout counts as started: that leader
-// watched it, and the leases of its workers guard it now.
+// commonOutcomeRunOpened begins to watch the start of the run's gang. A gang that an earlier
+// leader placed more than gangStartTimeout ago counts as started: that leader watched its
+// start, and a member lost since is detected by the lease of its worker.
 func (g *gangs) commonOutcomeRunOpened(gang *gangState, run *runState, open *record.Run) {
 	gang.sharesOutcome = true
 	if len(gang.open) == 1 {
@@ -37,31 +38,32 @@
 	}
 }
 
+// watchStart sets the gang's start deadline, unless the gang is already watched.
 func (g *gangs) watchStart(gang *gangState) {
 	if _, watched := g.starting[gang.key]; watched {
 		return
 	}
-	gang.startBy = g.now() + gangStartTimeout
+	gang.startDeadline = g.now() + gangStartTimeout
 	g.starting[gang.key] = gang
 }
 
-// stopWatchingIfStarted ends the watch once every member was seen started.
-func (g *gangs) stopWatchingIfStarted(gang *gangState) {
+// unwatchIfStarted stops watching a gang once all its open runs were seen started.
+func (g *gangs) unwatchIfStarted(gang *gangState) {
 	if gang.sharesOutcome && gang.allStarted() {
 		delete(g.starting, gang.key)
 	}
 }
 
-// mayAssign reports whether the assignment of a member may be given now: those of its
-// gang are going out, or the workers of all its members can be given theirs within
-// about a heartbeat interval.
+// mayAssign reports whether the worker may be sent the member's assignment now: the
+// assignments of its gang were released before, or the workers of all members are expected
+// to take theirs within about a heartbeat interval. In the second case it releases them.
 func (g *gangs) mayAssign(run *runState) bool {
 	gang := g.byStep[run.step]
 	if gang.assignmentsReleased {
 		return true
 	}
 	if len(gang.open) != gang.size {
-		return false // the events of the placement are still coming
+		return false // some events of the placement have not been handled yet
 	}
 	now := g.now()
 	for member := range gang.open {
@@ -70,12 +72,12 @@
 		}
 	}
 	gang.assignmentsReleased = true
-	gang.startBy = now + gangStartTimeout
+	gang.startDeadline = now + gangStartTimeout
 	return true
 }
 
-// canReceiveAssignmentSoon reports whether the worker of a run can be expected to take an
-// assignment with its next heartbeat.
+// canReceiveAssignmentSoon reports whether the run is neither being closed nor stopped and
+// its worker is expected to take an assignment with its next heartbeat.
 func (g *gangs) canReceiveAssignmentSoon(run *runState, now time.Duration) bool {
 	if run.closing || run.stop != record.StopNone {
 		return false
@@ -83,10 +85,10 @@
 	return g.workers.respondsSoon(run.worker, now)
 }
 
-// breakLate requeues gangs not all of whose members started in time.
-func (g *gangs) breakLate(now time.Duration) {
+// requeueOverdue requeues the watched gangs whose start deadline has passed.
+func (g *gangs) requeueOverdue(now time.Duration) {
 	for key, gang := range g.starting {
-		if now < gang.startBy {
+		if now < gang.startDeadline {
 			continue
 		}
 		g.logger.Warn("gang did not start in time", slog.String("gang", key.String()),
@@ -97,9 +99,9 @@
 	}
 }
 
-// avoidLateWorkers has the gang avoid the workers that kept all of it from starting: those
-// that were not seen in time to take their assignments, or to report that they have
-// started.
+// avoidLateWorkers records the workers that delayed the start as failed for all members, so
+// that the gang avoids them. Such a worker did not report its member as started or, if the
+// assignments were not released, was not expected to take its assignment soon.
 func (g *gangs) avoidLateWorkers(gang *gangState) {
 	now := g.now()
 	for run, started := range gang.open {
--- a/internal/scheduler/components_test.go
+++ b/internal/scheduler/components_test.go
@@ -12,10 +12,10 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// clock is the time of components that are tested without a leader.
+// clock is a settable clock for components that are tested without a leader.
 type clock struct{ now time.Duration }
 
-// environment returns one whose clocks are this one.
+// environment returns an environment whose monotonic and cluster clocks are c.
 func (c *clock) environment() *environment {
 	return &environment{
 		logger:     slog.New(slog.DiscardHandler),
@@ -25,49 +25,49 @@
 	}
 }
 
-// fakeEnder records which runs components want ended.
-type fakeEnder struct{ closed, stopped []*runState }
+// fakeRunEnder implements runEnder and records the runs that components close or stop.
+type fakeRunEnder struct{ closed, stopped []*runState }
 
-func (f *fakeEnder) enqueueClose(run *runState, _ string) { f.closed = append(f.closed, run) }
+func (f *fakeRunEnder) enqueueClose(run *runState, _ string) { f.closed = append(f.closed, run) }
 
-func (f *fakeEnder) enqueueStop(run *runState, _ record.StopReason) {
+func (f *fakeRunEnder) enqueueStop(run *runState, _ record.StopReason) {
 	f.stopped = append(f.stopped, run)
 }
 
-func (f *fakeEnder) closeIfNeverAssigned(run *runState) {
+func (f *fakeRunEnder) closeIfNeverAssigned(run *runState) {
 	if run.neverAssigned() {
 		f.enqueueClose(run, "")
 	}
 }
 
-// fakeQueue is the planner's queue of tasks and its picture of workers.
-type fakeQueue struct {
+// fakePlanner implements the parts of Planner that track waiting tasks and workers.
+type fakePlanner struct {
 	Planner
 	waiting []placement.Task
 	workers map[string]placement.Worker
 }
 
-func newFakeQueue() *fakeQueue {
-	return &fakeQueue{workers: make(map[string]placement.Worker)}
+func newFakePlanner() *fakePlanner {
+	return &fakePlanner{workers: make(map[string]placement.Worker)}
 }
 
-func (f *fakeQueue) Add(task placement.Task) { f.waiting = append(f.waiting, task) }
+func (f *fakePlanner) Add(task placement.Task) { f.waiting = append(f.waiting, task) }
 
-func (f *fakeQueue) Remove(id record.TaskID) {
+func (f *fakePlanner) Remove(id record.TaskID) {
 	f.waiting = slices.DeleteFunc(f.waiting, func(task placement.Task) bool { return task.ID == id })
 }
 
-func (f *fakeQueue) SetWorker(worker placement.Worker) { f.workers[worker.ID] = worker }
+func (f *fakePlanner) SetWorker(worker placement.Worker) { f.workers[worker.ID] = worker }
 
-func (f *fakeQueue) RemoveWorker(id string) { delete(f.workers, id) }
+func (f *fakePlanner) RemoveWorker(id string) { delete(f.workers, id) }
 
-// testTerm is a term of components that are tested without a leader.
-func testTerm(c *clock, queue *fakeQueue) *term {
+// newTestTerm returns a term for components that are tested without a leader.
+func newTestTerm(c *clock, queue *fakePlanner) *term {
 	return &term{environment: c.environment(), planner: queue, startedAt: c.now}
 }
 
-// testTimings are the timings that such components have in force.
-func testTimings() *api.TimingConfig {
+// defaultTimings returns the default timings of a configuration.
+func defaultTimings() *api.TimingConfig {
 	config := (&api.Config{}).WithDefaults()
 	return &config.Timings
 }
--- a/internal/scheduler/config.go
+++ b/internal/scheduler/config.go
@@ -8,15 +8,15 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// putConfig proposes a configuration. The outcome is decided when the command
-// is applied and kept under its order id, a refusal as well: the same order
-// gets the same answer for as long as it is kept.
+// putConfig proposes a configuration. The outcome, including a refusal, is decided when
+// the command is applied and is stored under the order id: a resend of the order gets the
+// same answer for as long as the outcome is kept.
 func (l *leader) putConfig(ctx context.Context, request protocol.PutConfigRequest) (protocol.PutConfigAnswer, error) {
 	command := &record.PutConfig{
 		OrderID: request.OrderID, Base: request.Base, Config: request.Config, Digest: request.Config.Digest(),
 	}
-	if fields := l.wrongInConfig(&request.Config); len(fields) > 0 {
-		command.Refusal = invalid("configuration", fields)
+	if fields := l.configErrors(&request.Config); len(fields) > 0 {
+		command.Refusal = invalidError("configuration", fields)
 	}
 	result, err := l.propose(ctx, record.Command{PutConfig: command})
 	if err != nil {
@@ -28,27 +28,27 @@
 	return protocol.PutConfigAnswer{Version: result.Config.Version}, nil
 }
 
-// wrongInConfig checks a configuration for itself, and if that is right against
-// the registered capacity.
-func (l *leader) wrongInConfig(config *api.Config) []api.FieldError {
+// configErrors returns what is wrong with a configuration: first its own fields and, if
+// those are valid, the reservations that exceed the registered capacity.
+func (l *leader) configErrors(config *api.Config) []api.FieldError {
 	if fields := api.ValidateConfig(config); len(fields) > 0 {
 		return fields
 	}
-	full := config.WithDefaults()
-	return l.checkReservations(&full)
+	withDefaults := config.WithDefaults()
+	return l.checkReservations(&withDefaults)
 }
 
-// validateConfig checks a configuration without taking it.
+// validateConfig checks a configuration without applying it.
 func (l *leader) validateConfig(_ context.Context, request protocol.ValidateConfigRequest) (protocol.Empty, error) {
-	if fields := l.wrongInConfig(&request.Config); len(fields) > 0 {
-		return protocol.Empty{}, invalid("configuration", fields)
+	if fields := l.configErrors(&request.Config); len(fields) > 0 {
+		return protocol.Empty{}, invalidError("configuration", fields)
 	}
 	return protocol.Empty{}, nil
 }
 
-// getConfig answers with the configuration as it was given, so that reading it,
-// changing one thing and putting it back changes that one thing. A caller that
-// needs one annotation gets no more than that.
+// getConfig returns the configuration as submitted, without defaults, so that a caller
+// can read it, change one field and put it back without changing others. If the request
+// names an annotation, the answer holds only that one.
 func (l *leader) getConfig(_ context.Context, request protocol.ConfigRequest) (protocol.ConfigAnswer, error) {
 	var answer protocol.ConfigAnswer
 	l.log.Record().Read(func(view record.View) {
@@ -64,6 +64,7 @@
 	return answer, nil
 }
 
+// configVersions lists the stored versions of the configuration.
 func (l *leader) configVersions(context.Context, protocol.Empty) (protocol.ConfigVersionsAnswer, error) {
 	var answer protocol.ConfigVersionsAnswer
 	l.log.Record().Read(func(view record.View) {
--- a/internal/scheduler/config_test.go
+++ b/internal/scheduler/config_test.go
@@ -9,8 +9,9 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// TestGetConfig_AnnotationIsReadAlone as it may be large.
-func TestGetConfig_AnnotationIsReadAlone(t *testing.T) {
+// TestGetConfig_AnnotationRequestOmitsOthers: a request that names an annotation must return
+// it without the others and the queues, as those may be large.
+func TestGetConfig_AnnotationRequestOmitsOthers(t *testing.T) {
 	h := newHarness(t)
 	h.putConfig(api.Config{
 		Annotations: map[string]string{"number": "12", "document": "a large one"},
@@ -23,15 +24,15 @@
 		}
 		only := api.ConfigStatus{Version: 2, Config: api.Config{Annotations: map[string]string{name: want}}}
 		if difference := cmp.Diff(only, answer.Status); difference != "" {
-			t.Errorf("annotation %q: %s", name, difference)
+			t.Errorf("annotation %q (-want +got):\n%s", name, difference)
 		}
 	}
-	whole, err := h.leader.getConfig(t.Context(), protocol.ConfigRequest{})
-	if err != nil || len(whole.Status.Config.Annotations) != 2 || len(whole.Status.Config.Queues) != 1 {
-		t.Errorf("whole configuration %+v, %v", whole.Status, err)
+	full, err := h.leader.getConfig(t.Context(), protocol.ConfigRequest{})
+	if err != nil || len(full.Status.Config.Annotations) != 2 || len(full.Status.Config.Queues) != 1 {
+		t.Errorf("full configuration: got %+v, %v, want 2 annotations and 1 queue", full.Status, err)
 	}
-	h.log.lease = false
+	h.log.holdsLease = false
 	if _, err := h.leader.getConfig(t.Context(), protocol.ConfigRequest{Annotation: "number"}); err == nil {
-		t.Error("an annotation was read without the lease")
+		t.Error("annotation read without the lease: got no error")
 	}
 }
--- a/internal/scheduler/conflicts.go
+++ b/internal/scheduler/conflicts.go
@@ -7,23 +7,23 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// conflict is what a heartbeat says against the record, as it is logged.
-type conflict string
+// conflictKind is how a heartbeat contradicts the record, in words for the log.
+type conflictKind string
 
 const (
-	endedUnassigned      conflict = "end of a run that was not ordered"
-	endedOpenElsewhere   conflict = "end of a run that is open on another worker"
-	runningUnassigned    conflict = "a run goes on that was not ordered"
-	runningOpenElsewhere conflict = "a run goes on that is open on another worker"
+	endedUnassigned      conflictKind = "end of a run that was not assigned"
+	endedOpenElsewhere   conflictKind = "end of a run that is open on another worker"
+	runningUnassigned    conflictKind = "running run that was not assigned"
+	runningOpenElsewhere conflictKind = "running run that is open on another worker"
 )
 
-// quarantineConflicts takes out of what a heartbeat showed the reports that
-// cannot be true by the record, so that nothing follows from a worker's report
-// against it. They are logged and acknowledged. A run that is open elsewhere
-// stays open there. A run that was never assigned is closed as lost, as its worker
-// would not start it any more; one that still runs counts as assigned.
+// quarantineConflicts removes from the differences the reported ends that contradict the
+// record, so that they are not committed. They are logged and acknowledged. A run that is
+// open on another worker stays open there. A run that ended without ever having been
+// assigned is closed as lost, since its worker would no longer start it; one that is
+// running without having been assigned counts as assigned from now on.
 func (a *assignments) quarantineConflicts(worker *workerEntry, differences *reconciliation) {
-	differences.ended = slices.DeleteFunc(differences.ended, func(end record.RunEnd) bool {
+	differences.ends = slices.DeleteFunc(differences.ends, func(end record.RunEnd) bool {
 		run := worker.runs[end.Run]
 		if !run.neverAssigned() {
 			return false
@@ -33,7 +33,7 @@
 		a.ends.enqueueClose(run, "its end was reported before it was ordered")
 		return true
 	})
-	differences.late = slices.DeleteFunc(differences.late, func(end record.RunEnd) bool {
+	differences.lateEnds = slices.DeleteFunc(differences.lateEnds, func(end record.RunEnd) bool {
 		if _, open := a.runs[end.Run]; !open {
 			return false
 		}
@@ -56,8 +56,8 @@
 	}
 }
 
-func (a *assignments) logConflict(worker *workerEntry, run record.RunID, what conflict) {
-	a.logger.Warn("report conflicts with the record", slog.String("conflict", string(what)), slog.String("task", run.Task.String()),
+func (a *assignments) logConflict(worker *workerEntry, run record.RunID, kind conflictKind) {
+	a.logger.Warn("report conflicts with the record", slog.String("conflict", string(kind)), slog.String("task", run.Task.String()),
 		slog.Uint64("run", uint64(run.Number)), slog.String("worker", worker.info.Name),
 		slog.String("worker_id", worker.info.ID))
 }
--- a/internal/scheduler/conflicts_test.go
+++ b/internal/scheduler/conflicts_test.go
@@ -7,23 +7,23 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-var everyOutcome = []api.Outcome{api.OutcomeSucceeded, api.OutcomeFailed, api.OutcomeStopped}
+var allOutcomes = []api.Outcome{api.OutcomeSucceeded, api.OutcomeFailed, api.OutcomeStopped}
 
 func TestConflicts_EndOfRunOpenElsewhereIsIgnored(t *testing.T) {
-	for _, outcome := range everyOutcome {
+	for _, outcome := range allOutcomes {
 		h := newHarness(t)
 		worker := h.runningOne()
-		stranger := h.worker("stranger", "s-1")
-		stranger.exchange()
-		stranger.heartbeat.Ended = []api.EndedRun{{RunRef: worker.heartbeat.Running[0], Outcome: outcome}}
-		if answer := stranger.exchange(); len(answer.Acknowledged) != 1 || len(answer.Start) != 0 {
-			t.Fatalf("%s: %+v", outcome, answer)
+		other := h.newWorker("stranger", "s-1")
+		other.exchange()
+		other.heartbeat.Ended = []api.EndedRun{{RunRef: worker.heartbeat.Running[0], Outcome: outcome}}
+		if answer := other.exchange(); len(answer.Acknowledged) != 1 || len(answer.Start) != 0 {
+			t.Fatalf("%s: want the report acknowledged and no start, got %+v", outcome, answer)
 		}
 		if answer := worker.exchange(); len(answer.Stop)+len(answer.Start) != 0 {
-			t.Errorf("%s: the run that goes on was touched: %+v", outcome, answer)
+			t.Errorf("%s: want no start and no stop for the running run, got %+v", outcome, answer)
 		}
 		if task := h.task("j", 0); task.State != api.StateRunning || task.Run != 1 || task.Failures != 0 {
-			t.Errorf("%s: %+v", outcome, task)
+			t.Errorf("%s: want run 1 running without failures, got %+v", outcome, task)
 		}
 	}
 }
@@ -31,69 +31,70 @@
 func TestConflicts_RunOpenElsewhereIsStopped(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
-	stranger := h.worker("stranger", "s-1")
-	stranger.exchange()
-	stranger.heartbeat.Running = worker.heartbeat.Running
-	if answer := stranger.exchange(); len(answer.Stop) != 1 {
-		t.Errorf("want a stop, got %+v", answer)
+	other := h.newWorker("stranger", "s-1")
+	other.exchange()
+	other.heartbeat.Running = worker.heartbeat.Running
+	if answer := other.exchange(); len(answer.Stop) != 1 {
+		t.Errorf("want the run stopped on the other worker, got %+v", answer)
 	}
 	if answer := worker.exchange(); len(answer.Stop) != 0 {
-		t.Errorf("the run that goes on was stopped: %+v", answer)
+		t.Errorf("want no stop on the worker of the open run, got %+v", answer)
 	}
 }
 
 func TestConflicts_EndOfUnassignedRunIsIgnored(t *testing.T) {
-	for _, outcome := range everyOutcome {
+	for _, outcome := range allOutcomes {
 		h := newHarness(t)
-		worker := h.worker("w", "w-1")
+		worker := h.newWorker("w", "w-1")
 		worker.exchange()
-		h.submit("j", tasks(1)) // placed, and not assigned yet
+		h.submit("j", tasks(1)) // placed and not assigned yet
 		worker.heartbeat.Ended = []api.EndedRun{{RunRef: api.RunRef{Task: "j/s/0", Run: 1}, Outcome: outcome}}
 		if answer := worker.exchange(); len(answer.Start) != 0 || len(answer.Acknowledged) != 1 {
-			t.Fatalf("%s: %+v", outcome, answer)
+			t.Fatalf("%s: want the report acknowledged and no start, got %+v", outcome, answer)
 		}
 		answer := worker.exchange()
 		if len(answer.Start) != 1 || answer.Start[0].Run != 2 {
 			t.Errorf("%s: want run 2, got %+v", outcome, answer.Start)
 		}
 		if task := h.task("j", 0); task.Failures != 0 {
-			t.Errorf("%s: %d failures", outcome, task.Failures)
+			t.Errorf("%s: got %d failures, want 0", outcome, task.Failures)
 		}
 	}
 }
 
 func TestConflicts_UnassignedRunningRunIsNotAssignedAgain(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	worker.exchange()
 	h.submit("j", tasks(1))
 	worker.heartbeat.Running = []api.RunRef{{Task: "j/s/0", Run: 1}}
 	if answer := worker.exchange(); len(answer.Start)+len(answer.Stop) != 0 {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("want no start and no stop, got %+v", answer)
 	}
-	worker.end(api.OutcomeSucceeded)
+	worker.endAllRuns(api.OutcomeSucceeded)
 	worker.exchange()
 	h.wantState("j", api.StateSucceeded)
 }
 
 func TestConflicts_EndOfUnknownTaskIsAcknowledged(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	worker.exchange()
-	for _, outcome := range everyOutcome {
+	for _, outcome := range allOutcomes {
 		worker.heartbeat.Ended = []api.EndedRun{{RunRef: api.RunRef{Task: "none/s/0", Run: 1}, Outcome: outcome}}
 		if answer := worker.exchange(); len(answer.Acknowledged) != 1 {
-			t.Errorf("%s: %+v", outcome, answer)
+			t.Errorf("%s: want the report acknowledged, got %+v", outcome, answer)
 		}
 	}
 }
 
-// TestConflicts_StoppedRunKeepsCapacityUntilEndIsReported: whatever the stop is for.
+// TestConflicts_StoppedRunKeepsCapacityUntilEndIsReported guards against placing runs in the
+// capacity of a run that was asked to stop, for whatever reason, and may still be running.
 func TestConflicts_StoppedRunKeepsCapacityUntilEndIsReported(t *testing.T) {
 	reasons := []record.StopReason{record.StopPreempted, record.StopDrained, record.StopGang, record.StopStalled}
 	for _, reason := range reasons {
 		h := newHarness(t)
-		worker := h.worker("w", "w-1")
+		worker := h.newWorker("w", "w-1")
 		worker.exchange()
 		gang := tasks(4) // fills the worker
 		gang.Lockstep = true
@@ -107,13 +108,13 @@
 		h.submit("next", tasks(4))
 		for range 3 {
 			if answer := worker.exchange(); len(answer.Start) != 0 || len(answer.Stop) != 4 {
-				t.Fatalf("%s: want stops alone while the runs go on, got %+v", reason, answer)
+				t.Fatalf("%s: want 4 stops and no start while the runs are running, got %+v", reason, answer)
 			}
 		}
-		worker.end(api.OutcomeStopped)
+		worker.endAllRuns(api.OutcomeStopped)
 		worker.exchange()
 		if answer := worker.exchange(); len(answer.Start) != 4 {
-			t.Errorf("%s: want the capacity given out, got %+v", reason, answer.Start)
+			t.Errorf("%s: want 4 starts in the freed capacity, got %+v", reason, answer.Start)
 		}
 	}
 }
--- a/internal/scheduler/departure.go
+++ b/internal/scheduler/departure.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	// maxStopTime is the longest that a worker takes to stop a run and to note its
+	// maxStopTime is the longest time that a worker takes to stop a run and to record its
 	// checkpoint.
 	maxStopTime = 200 * time.Millisecond
-	// heartbeatsPerStop: one heartbeat carries the stop request to the worker, the
-	// next its report.
+	// heartbeatsPerStop is the number of heartbeats that a stop takes: the answer to the
+	// first carries the stop request, the second carries the worker's report.
 	heartbeatsPerStop = 2
-	// departureMargin is for the way to the worker and back, and for the pause
-	// between two reviews of the departures.
+	// departureMargin covers the network round trip to the worker, and the pause between
+	// two checks of the departing workers.
 	departureMargin = 100 * time.Millisecond
-	// estimateTolerance: a run may take this many times as long as was estimated, or
-	// only such a part of it.
+	// estimateTolerance is the factor by which the time that a run still needs may be
+	// longer or shorter than by its estimate.
 	estimateTolerance = 2
-	// maxRemaining bounds what is believed of the time that a worker has left.
+	// maxRemaining limits the remaining time that a worker can announce.
 	maxRemaining = 24 * time.Hour
 )
 
-// departure is what a worker has said of its leaving.
+// departure is what a worker has announced about its end.
 type departure struct {
-	// noticeGiven: the worker gave notice that it leaves. It stays set.
+	// noticeGiven is true once the worker gave notice that it leaves. It stays set.
 	noticeGiven bool
-	// hasEnd: at is the earliest end of the worker, on the leader's monotonic
-	// clock.
+	// hasEnd is true if endsAt is known: the earliest end of the worker, on the leader's
+	// monotonic clock.
 	hasEnd bool
 	endsAt time.Duration
 }
 
-// announced reports whether the worker surely ends.
-func (d *departure) announced() bool { return d.noticeGiven || d.hasEnd }
+// isAnnounced reports whether the worker will certainly end.
+func (d *departure) isAnnounced() bool { return d.noticeGiven || d.hasEnd }
 
-// observeRemaining records the least time that the worker still has; 0 says nothing.
+// observeRemaining records the least time that the worker still has, in milliseconds; 0 or
+// less means unknown and changes nothing.
 func (d *departure) observeRemaining(remainingMillis int64, now time.Duration) {
 	if remainingMillis <= 0 {
 		return
@@ -48,8 +49,8 @@
 	d.endsAt = now + time.Duration(min(remainingMillis, maxRemaining.Milliseconds()))*time.Millisecond
 }
 
-// observeHeartbeat observes a heartbeat. A worker that no longer drains, and gave no notice,
-// goes on.
+// observeHeartbeat updates the departure from a heartbeat. It clears the departure of a
+// worker that no longer drains, unless the worker gave notice.
 func (d *departure) observeHeartbeat(heartbeat api.Heartbeat, now time.Duration) {
 	if !heartbeat.Draining && !d.noticeGiven {
 		*d = departure{}
@@ -60,52 +61,55 @@
 	}
 }
 
-// departingRun is a run on a worker that surely ends.
+// departingRun describes a run on a worker that will certainly end.
 type departingRun struct {
 	untilCancelled bool
 	resumable      bool
-	// estimate is the caller's guess of the whole run; 0 if there is none.
+	// estimate is the estimated duration of the complete run, given at submission; 0 if
+	// there is none.
 	estimate time.Duration
 	// elapsed is the time since the run was placed.
 	elapsed time.Duration
 }
 
-// remaining is the time that the run still needs by the estimate; 0 if that is not
-// known.
+// remaining returns the time that the run still needs by its estimate; 0 if there is no
+// estimate or the run has exceeded it.
 func (r departingRun) remaining() time.Duration { return max(0, r.estimate-r.elapsed) }
 
-// surelyEnds reports whether the run ends within the time left, even if it
-// takes longer than was estimated.
-func (r departingRun) surelyEnds(left time.Duration) bool {
-	return r.remaining() > 0 && r.remaining()*estimateTolerance <= left
+// finishesWithin reports whether the run ends within the time left even if it still needs
+// estimateTolerance times the remaining time.
+func (r departingRun) finishesWithin(timeLeft time.Duration) bool {
+	return r.remaining() > 0 && r.remaining()*estimateTolerance <= timeLeft
 }
 
-// surelyExceeds reports whether the run does not end within the time left,
-// even if it takes less than was estimated.
-func (r departingRun) surelyExceeds(left time.Duration) bool {
-	return r.remaining() > left*estimateTolerance
+// exceeds reports whether the run does not end within the time left even if it needs only
+// 1/estimateTolerance of the remaining time.
+func (r departingRun) exceeds(timeLeft time.Duration) bool {
+	return r.remaining() > timeLeft*estimateTolerance
 }
 
-// mustStopNow decides on a run while its worker has some time left; a stop is
-// in the record lead after it was decided. Work without an end of its own moves
-// at once. What surely ends is left alone. All else continues until there is just
-// the time to stop it, so that resumable work leaves its checkpoint as late as
-// it can; only work that would be lost in any case is not continued.
-func mustStopNow(run departingRun, left, lead time.Duration) bool {
+// mustStopNow reports whether a run must be stopped now, given the time that its worker has
+// left and the lead time from the decision until the record has the run's end. A run
+// until cancelled is stopped at once. A run that certainly ends in time is not stopped.
+// Any other run continues until only the lead time is left, so that resumable work
+// records its checkpoint as late as possible; but a run that cannot end in time and
+// cannot resume is stopped at once, since its work would be lost in any case.
+func mustStopNow(run departingRun, timeLeft, leadTime time.Duration) bool {
 	switch {
 	case run.untilCancelled:
 		return true
-	case run.surelyEnds(left):
+	case run.finishesWithin(timeLeft):
 		return false
-	case left <= lead:
+	case timeLeft <= leadTime:
 		return true
 	default:
-		return !run.resumable && run.surelyExceeds(left)
+		return !run.resumable && run.exceeds(timeLeft)
 	}
 }
 
-// leave marks a worker that gave notice. Nothing is committed: what follows
-// from the mark is, and a new leader learns it from the worker's heartbeats.
+// leave handles the notice of a worker that leaves. The notice itself is not committed:
+// the closes and stops that follow from it are, and a new leader learns of the notice from
+// the worker's heartbeats. It returns no error for an unknown worker.
 func (l *leader) leave(_ context.Context, request protocol.LeaveRequest) (protocol.Empty, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,9 +133,9 @@
 	return protocol.Empty{}, nil
 }
 
-// mustStopDeparting decides on one run. Without a known end of the worker only
-// work without an end of its own is moved.
-func mustStopDeparting(run *runState, announced departure, now, lead time.Duration) bool {
+// mustStopDepartingRun reports whether a run on a worker that will end must be stopped now.
+// While the worker's end is not known, only a run until cancelled is.
+func mustStopDepartingRun(run *runState, announced departure, now, leadTime time.Duration) bool {
 	if !announced.hasEnd {
 		return run.spec.UntilCancelled
 	}
@@ -141,5 +145,5 @@
 		estimate:       run.spec.Estimate.Std(),
 		elapsed:        now - run.openedAt,
 	}
-	return mustStopNow(departing, announced.endsAt-now, lead)
+	return mustStopNow(departing, announced.endsAt-now, leadTime)
 }
--- a/internal/scheduler/departure_test.go
+++ b/internal/scheduler/departure_test.go
@@ -16,52 +16,52 @@
 		left time.Duration
 		stop bool
 	}{
-		{"without an end of its own, at once", departingRun{untilCancelled: true}, time.Hour, true},
-		{"unknown length, time left", departingRun{}, lead + 1, false},
-		{"unknown length, just the time to stop it", departingRun{}, lead, true},
-		{"unknown length, overdue", departingRun{}, -time.Second, true},
-		{"ends within half of the time", departingRun{estimate: 4 * time.Second, elapsed: 2 * time.Second}, 4 * time.Second, false},
-		{"ends within half of the last moment", departingRun{estimate: 2 * time.Second, elapsed: 1700 * time.Millisecond}, 600 * time.Millisecond, false},
-		{"may end, time left", departingRun{estimate: 4 * time.Second, elapsed: 2 * time.Second}, 3 * time.Second, false},
-		{"may end, no time left", departingRun{estimate: 2 * time.Second, elapsed: 1500 * time.Millisecond}, lead, true},
-		{"may end although longer than the time", departingRun{estimate: 10 * time.Second}, 5 * time.Second, false},
-		{"surely does not end, nothing to save", departingRun{estimate: 11 * time.Second}, 5 * time.Second, true},
-		{"surely does not end, saves its work", departingRun{estimate: 11 * time.Second, resumable: true}, 5 * time.Second, false},
-		{"saves its work, just the time for it", departingRun{estimate: 11 * time.Second, resumable: true}, lead, true},
+		{"until cancelled, time left", departingRun{untilCancelled: true}, time.Hour, true},
+		{"no estimate, time left", departingRun{}, lead + 1, false},
+		{"no estimate, only the lead time left", departingRun{}, lead, true},
+		{"no estimate, no time left", departingRun{}, -time.Second, true},
+		{"certainly ends in time", departingRun{estimate: 4 * time.Second, elapsed: 2 * time.Second}, 4 * time.Second, false},
+		{"certainly ends in time, less than the lead time left", departingRun{estimate: 2 * time.Second, elapsed: 1700 * time.Millisecond}, 600 * time.Millisecond, false},
+		{"may end in time, time left", departingRun{estimate: 4 * time.Second, elapsed: 2 * time.Second}, 3 * time.Second, false},
+		{"may end in time, only the lead time left", departingRun{estimate: 2 * time.Second, elapsed: 1500 * time.Millisecond}, lead, true},
+		{"may end in time although its estimate is longer", departingRun{estimate: 10 * time.Second}, 5 * time.Second, false},
+		{"cannot end in time, not resumable", departingRun{estimate: 11 * time.Second}, 5 * time.Second, true},
+		{"cannot end in time, resumable", departingRun{estimate: 11 * time.Second, resumable: true}, 5 * time.Second, false},
+		{"resumable, only the lead time left", departingRun{estimate: 11 * time.Second, resumable: true}, lead, true},
 		{"beyond its estimate, time left", departingRun{estimate: time.Second, elapsed: 9 * time.Second}, 5 * time.Second, false},
-		{"beyond its estimate, no time left", departingRun{estimate: time.Second, elapsed: 9 * time.Second}, lead, true},
+		{"beyond its estimate, only the lead time left", departingRun{estimate: time.Second, elapsed: 9 * time.Second}, lead, true},
 	}
 	for _, c := range cases {
 		if got := mustStopNow(c.run, c.left, lead); got != c.stop {
-			t.Errorf("%s: stop %v, want %v", c.name, got, c.stop)
+			t.Errorf("%s: got stop %v, want %v", c.name, got, c.stop)
 		}
 	}
 }
 
-func TestDeparture_IsLearnedFromHeartbeatsAndNotices(t *testing.T) {
+func TestDeparture_EndIsTakenFromHeartbeatsAndNotices(t *testing.T) {
 	var d departure
 	d.observeHeartbeat(api.Heartbeat{Draining: true}, time.Second)
-	if d.announced() {
-		t.Error("announced without a time")
+	if d.isAnnounced() {
+		t.Error("got announced after a heartbeat without a remaining time, want not announced")
 	}
 	d.observeHeartbeat(api.Heartbeat{Draining: true, RemainingMillis: 5000}, 2*time.Second)
 	d.observeHeartbeat(api.Heartbeat{Draining: true}, 3*time.Second)
-	if !d.announced() || d.endsAt != 7*time.Second {
-		t.Errorf("ends at %v, want 7s: a heartbeat without a time says nothing", d.endsAt)
+	if !d.isAnnounced() || d.endsAt != 7*time.Second {
+		t.Errorf("got end at %v, want 7s: a heartbeat without a remaining time changes nothing", d.endsAt)
 	}
 	d.observeHeartbeat(api.Heartbeat{Draining: true, RemainingMillis: 9000}, 4*time.Second)
 	if d.endsAt != 13*time.Second {
-		t.Errorf("ends at %v, want the newest, 13s", d.endsAt)
+		t.Errorf("got end at %v, want the newest one, 13s", d.endsAt)
 	}
 	d.observeHeartbeat(api.Heartbeat{}, 5*time.Second)
-	if d.announced() {
-		t.Error("announced although the worker goes on")
+	if d.isAnnounced() {
+		t.Error("got announced, want not announced: the worker no longer drains")
 	}
 	d.noticeGiven = true
 	d.observeRemaining(1000, 6*time.Second)
-	d.observeHeartbeat(api.Heartbeat{}, 7*time.Second) // was under way at the notice
-	if !d.announced() || d.endsAt != 7*time.Second {
-		t.Errorf("a notice was forgotten: %+v", d)
+	d.observeHeartbeat(api.Heartbeat{}, 7*time.Second) // sent before the notice
+	if !d.isAnnounced() || d.endsAt != 7*time.Second {
+		t.Errorf("got %+v, want the notice and the end at 7s kept", d)
 	}
 }
 
@@ -75,18 +75,18 @@
 
 func TestDeparture_LeaveStopsPlacementsAtOnce(t *testing.T) {
 	h := newHarness(t)
-	worker, other := h.worker("a", "a-1"), h.worker("b", "b-1")
+	worker, other := h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
 	worker.exchange()
-	endless := tasks(1)
-	endless.Tasks[0].UntilCancelled = true
-	h.submit("endless", endless)
+	untilCancelled := tasks(1)
+	untilCancelled.Tasks[0].UntilCancelled = true
+	h.submit("endless", untilCancelled)
 	h.submit("finite", tasks(1))
 	worker.exchange()
-	h.submit("unordered", tasks(1))
+	h.submit("unassigned", tasks(1))
 	before := h.log.index
 	h.leave("a-1", 0)
 	if h.log.index != before {
-		t.Error("a notice was committed before it was answered")
+		t.Error("got a log entry before the notice was answered, want none")
 	}
 	h.settle()
 	worker.heartbeat.Draining = false // sent before the notice
@@ -95,47 +95,48 @@
 		t.Fatalf("want the endless run stopped and nothing started, got %+v", answer)
 	}
 	if status := h.workerStatus("a"); status.State != api.WorkerDraining {
-		t.Errorf("worker is %s: %s", status.State, status.Reason)
+		t.Errorf("got worker state %s (%s), want draining", status.State, status.Reason)
 	}
 	other.exchange()
-	if answer := other.exchange(); len(answer.Start) != 1 || answer.Start[0].Task != "unordered/s/0" {
-		t.Errorf("want the revoked task elsewhere, got %+v", answer.Start)
+	if answer := other.exchange(); len(answer.Start) != 1 || answer.Start[0].Task != "unassigned/s/0" {
+		t.Errorf("want the revoked task on the other worker, got %+v", answer.Start)
 	}
 }
 
 func TestDeparture_UnknownOrRepeatedLeaveChangesNothing(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("a", "a-1")
+	worker := h.newWorker("a", "a-1")
 	worker.exchange()
 	h.leave("a-0", time.Second)
 	h.submit("j", tasks(1))
 	if answer := worker.exchange(); len(answer.Start) != 1 {
-		t.Fatalf("another incarnation's notice counted: %+v", answer)
+		t.Fatalf("want a start after the notice of an unknown incarnation, got %+v", answer)
 	}
 	h.leave("a-1", 0)
 	h.leave("a-1", 0)
 	if answer := worker.exchange(); len(answer.Stop) != 0 {
-		t.Errorf("stopped a run without a known end of the worker: %+v", answer.Stop)
+		t.Errorf("want no stop while the end of the worker is not known, got %+v", answer.Stop)
 	}
-	h.log.lease = false
+	h.log.holdsLease = false
 	if _, err := h.leader.leave(t.Context(), protocol.LeaveRequest{WorkerID: "a-1"}); err == nil {
-		t.Error("acknowledged without a lease")
+		t.Error("got no error from leave without the leader lease, want one")
 	}
 }
 
-// TestDeparture_WorkMovesBeforeWorkerEnds runs a resumable task, one that
-// ends in time and one that cannot, on a worker that has five seconds left.
+// TestDeparture_WorkMovesBeforeWorkerEnds runs a resumable task, one that ends in time
+// and one that cannot end in time on a worker that has 5 s left. It guards against
+// stopping work too early, and against losing it because it is stopped too late.
 func TestDeparture_WorkMovesBeforeWorkerEnds(t *testing.T) {
 	h := newHarness(t)
-	worker, other := h.worker("a", "a-1"), h.worker("b", "b-1")
+	worker, other := h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
 	worker.exchange()
-	resumable, quick, hopeless := tasks(1), tasks(1), tasks(1)
+	resumable, quick, tooLong := tasks(1), tasks(1), tasks(1)
 	resumable.Tasks[0].Resumable = true
 	quick.Tasks[0].Estimate = api.Duration(time.Second)
-	hopeless.Tasks[0].Estimate = api.Duration(time.Hour)
+	tooLong.Tasks[0].Estimate = api.Duration(time.Hour)
 	h.submit("resumable", resumable)
 	h.submit("quick", quick)
-	h.submit("hopeless", hopeless)
+	h.submit("too-long", tooLong)
 	worker.exchange()
 	other.exchange()
 	const remaining = 5 * time.Second
@@ -152,31 +153,31 @@
 		other.exchange()
 		h.advance(interval)
 	}
-	if after, stopped := stoppedAfter["hopeless/s/0"]; !stopped || after != 0 {
-		t.Errorf("work that cannot end in time: stopped %v after %v, want at once", stopped, after)
+	if after, stopped := stoppedAfter["too-long/s/0"]; !stopped || after != 0 {
+		t.Errorf("work that cannot end in time: got stopped %v after %v, want stopped at once", stopped, after)
 	}
-	lead := maxStopTime + heartbeatsPerStop*interval
+	leadTime := maxStopTime + heartbeatsPerStop*interval
 	after, stopped := stoppedAfter["resumable/s/0"]
-	if !stopped || after > remaining-lead || after < remaining-lead-departureMargin-interval {
-		t.Errorf("resumable work: stopped %v after %v, want just before %v", stopped, after, remaining-lead)
+	if !stopped || after > remaining-leadTime || after < remaining-leadTime-departureMargin-interval {
+		t.Errorf("resumable work: got stopped %v after %v, want stopped just before %v", stopped, after, remaining-leadTime)
 	}
-	if after, stopped := stoppedAfter["quick/s/0"]; stopped && after < remaining-lead-departureMargin-interval {
-		t.Errorf("work that ends in time was stopped after %v", after)
+	if after, stopped := stoppedAfter["quick/s/0"]; stopped && after < remaining-leadTime-departureMargin-interval {
+		t.Errorf("work that ends in time: got a stop after %v, want none before the lead time", after)
 	}
-	worker.end(api.OutcomeStopped)
+	worker.endAllRuns(api.OutcomeStopped)
 	worker.exchange()
 	other.exchange()
-	for _, job := range []string{"resumable", "hopeless"} {
+	for _, job := range []string{"resumable", "too-long"} {
 		task := h.task(job, 0)
 		if task.Failures != 0 || task.Worker != "b" {
-			t.Errorf("%s: %d failures, on %s", job, task.Failures, task.Worker)
+			t.Errorf("%s: got %d failures, on worker %s; want 0 failures, on b", job, task.Failures, task.Worker)
 		}
 	}
 }
 
 func TestDeparture_NewLeaderLearnsFromHeartbeats(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("a", "a-1")
+	worker := h.newWorker("a", "a-1")
 	worker.exchange()
 	quick := tasks(1)
 	quick.Tasks[0].Estimate = api.Duration(4 * time.Second)
@@ -185,25 +186,25 @@
 	h.leave("a-1", time.Minute)
 	h.heartbeatFor(3*time.Second, worker)
 	h.newTerm()
-	// The agent adds what it remembers of the notice.
+	// The agent repeats the notice in the heartbeats that it relays.
 	worker.heartbeat.Draining, worker.heartbeat.RemainingMillis = true, 2500
 	if answer := worker.exchange(); len(answer.Stop) != 0 {
-		t.Errorf("stopped work that ends in time: its start before this term counts, %+v", answer.Stop)
+		t.Errorf("want no stop: with its time before this term, the run ends in time; got %+v", answer.Stop)
 	}
 	h.submit("k", tasks(1))
 	if answer := worker.exchange(); len(answer.Start) != 0 {
-		t.Errorf("started on a departing worker: %+v", answer.Start)
+		t.Errorf("want no start on a departing worker, got %+v", answer.Start)
 	}
 }
 
 func TestDeparture_MissedHeartbeatsExpireLease(t *testing.T) {
 	h := newHarness(t)
-	other := h.worker("b", "b-1")
-	h.running("a", 1)
+	other := h.newWorker("b", "b-1")
+	h.startRunning("a", 1)
 	h.leave("a-1", 0)
 	h.heartbeatFor(h.leader.registry.leaseDuration()+h.leader.registry.driftMargin()+time.Second, other)
 	task := h.task("j", 0)
 	if task.Worker != "b" || task.Run != 2 || task.Failures != 0 {
-		t.Errorf("want the second run elsewhere without a failure, got %+v", task)
+		t.Errorf("want run 2 on b without failures, got %+v", task)
 	}
 }
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -8,81 +8,83 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// drainCause is what drains a worker, as it is shown to people.
+// drainCause is the reason for a worker's drain, as shown to operators.
 type drainCause string
 
-// Causes. Where several hold, the first in this order is shown.
+// Causes of a drain. If several apply, the first in this order is shown.
 const (
 	notDrained      drainCause = ""
 	drainedByConfig drainCause = "drained by the configuration"
 	drainedByOrder  drainCause = "its zone is drained by an order"
 )
 
-// drain is what drains one worker.
+// drain is the drain state of one worker.
 type drain struct {
-	// requested is the worker's own flag.
+	// requested is set if the worker itself asks to be drained.
 	requested bool
-	// cause is what else drains it, since when.
+	// cause is the drain by configuration or order; since is when it began, on the
+	// monotonic clock.
 	cause drainCause
 	since time.Duration
 }
 
-// drains decides which workers are drained, by the configuration or by orders on
-// their zones, and which runs have to leave workers that drain or depart.
+// drains decides which workers are drained by the configuration or by orders on their
+// zones, and which runs must leave workers that are drained or depart. It is guarded by
+// leader.mu.
 type drains struct {
 	*environment
-	// configured are the drains of the configuration in force.
+	// configured holds the drains of the configuration in force.
 	configured *api.DrainConfig
-	// grace is how long runs may go on after their worker was drained.
+	// grace is how long runs may continue after their worker was drained.
 	grace time.Duration
-	// zones are those drained by orders, in addition to the configuration.
-	zones []string
-	ends  runEnder
+	// drainedZones are the zones drained by orders, in addition to the configured ones.
+	drainedZones []string
+	runEnder     runEnder
 }
 
-func newDrains(environment *environment, ends runEnder) drains {
-	return drains{environment: environment, ends: ends}
+func newDrains(environment *environment, runEnds runEnder) drains {
+	return drains{environment: environment, runEnder: runEnds}
 }
 
-// configure takes over a configuration.
+// configure installs the drains and the grace of a configuration.
 func (d *drains) configure(config *api.Config) {
 	d.configured = &config.Drains
 	d.grace = config.Timings.DrainGrace.Std()
 }
 
-// zoneChanged takes over an order on a zone.
-func (d *drains) zoneChanged(zone string, drained bool) {
-	d.zones = slices.DeleteFunc(d.zones, func(one string) bool { return one == zone })
+// setZoneDrained records that an order drained a zone or ended its drain.
+func (d *drains) setZoneDrained(zone string, drained bool) {
+	d.drainedZones = slices.DeleteFunc(d.drainedZones, func(other string) bool { return other == zone })
 	if drained {
-		d.zones = append(d.zones, zone)
+		d.drainedZones = append(d.drainedZones, zone)
 	}
 }
 
-// countOthers counts the zones drained by orders, without this one.
+// countOthers returns the number of zones drained by orders, not counting the given one.
 func (d *drains) countOthers(zone string) int {
-	count := len(d.zones)
-	if slices.Contains(d.zones, zone) {
+	count := len(d.drainedZones)
+	if slices.Contains(d.drainedZones, zone) {
 		count--
 	}
 	return count
 }
 
-// causeOf returns what drains a worker: the configuration, an order on its
-// zone, or nothing.
+// causeOf returns why a worker is drained: the configuration, an order on its zone, or
+// notDrained.
 func (d *drains) causeOf(worker *workerEntry) drainCause {
 	switch {
 	case slices.Contains(d.configured.Workers, worker.info.Name), slices.Contains(d.configured.Zones, worker.info.Zone):
 		return drainedByConfig
-	case slices.Contains(d.zones, worker.info.Zone):
+	case slices.Contains(d.drainedZones, worker.info.Zone):
 		return drainedByOrder
 	default:
 		return notDrained
 	}
 }
 
-// apply takes over what the configuration and the orders say of a worker.
-// The drain grace counts from the first of them.
-func (d *drains) apply(worker *workerEntry) {
+// applyTo updates the drain state of a worker from the configuration and the orders. The
+// drain grace counts from when the first cause began to apply.
+func (d *drains) applyTo(worker *workerEntry) {
 	cause := d.causeOf(worker)
 	if cause != notDrained && !worker.isDrained() {
 		worker.drain.since = d.now()
@@ -90,8 +92,8 @@
 	worker.drain.cause = cause
 }
 
-// stopDrained stops what a drained worker still runs: tasks without an end of their
-// own at once, others after the drain grace.
+// stopDrained requests a stop of the runs on a drained worker: tasks that run until
+// cancelled at once, others after the drain grace.
 func (d *drains) stopDrained(worker *workerEntry, now time.Duration) {
 	if !worker.isDrained() {
 		return
@@ -99,21 +101,23 @@
 	overdue := now-worker.drain.since >= d.grace
 	for _, run := range worker.runs {
 		if overdue || run.spec.UntilCancelled {
-			d.ends.enqueueStop(run, record.StopDrained)
+			d.runEnder.enqueueStop(run, record.StopDrained)
 		}
 	}
 }
 
-// stopDeparting stops the runs of a worker that surely ends and that must not
-// be left alone any longer. interval is the pause between its heartbeats.
+// stopDeparting requests a stop of the runs on a departing worker that mustStopDepartingRun
+// selects: those that have to stop now to finish stopping before the worker ends or, if
+// its end is not known, tasks that run until cancelled. interval is the time between its
+// heartbeats.
 func (d *drains) stopDeparting(worker *workerEntry, now, interval time.Duration) {
-	if !worker.departure.announced() {
+	if !worker.departure.isAnnounced() {
 		return
 	}
 	lead := maxStopTime + heartbeatsPerStop*interval + departureMargin
 	for _, run := range worker.runs {
-		if mustStopDeparting(run, worker.departure, now, lead) {
-			d.ends.enqueueStop(run, record.StopDrained)
+		if mustStopDepartingRun(run, worker.departure, now, lead) {
+			d.runEnder.enqueueStop(run, record.StopDrained)
 		}
 	}
 }
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -36,7 +36,8 @@
 	return h.leader.workerStatus(h.leader.registry.byName[name])
 }
 
-// heartbeatFor lets time pass while the workers send a heartbeat each second.
+// heartbeatFor advances the clocks by a duration, with a heartbeat of each worker every
+// second.
 func (h *harness) heartbeatFor(length time.Duration, workers ...*fakeWorker) {
 	h.t.Helper()
 	for range int(length / time.Second) {
@@ -47,9 +48,9 @@
 	}
 }
 
-// workerIn is a worker of another zone than the harness's own.
+// workerIn returns a worker in the given zone.
 func (h *harness) workerIn(zone, name, incarnation string) *fakeWorker {
-	worker := h.worker(name, incarnation)
+	worker := h.newWorker(name, incarnation)
 	worker.zone = zone
 	return worker
 }
@@ -67,64 +68,64 @@
 	h.drainZone("z1", true)
 	answer := worker.exchange()
 	if len(answer.Start) != 0 || len(answer.Stop) != 1 || answer.Stop[0].Task != "endless/s/0" {
-		t.Fatalf("want the endless run stopped and nothing started, got %+v", answer)
+		t.Fatalf("got %+v, want only the endless run stopped and nothing started", answer)
 	}
 	if status := h.workerStatus("a"); status.State != api.WorkerDraining || status.Reason != string(drainedByOrder) {
-		t.Errorf("worker is %s: %s", status.State, status.Reason)
+		t.Errorf("got worker state %s with reason %q, want draining by an order", status.State, status.Reason)
 	}
 	other.exchange()
 	if answer := other.exchange(); len(answer.Start) != 1 || answer.Start[0].Task != "unordered/s/0" {
-		t.Errorf("want the revoked task elsewhere, got %+v", answer.Start)
+		t.Errorf("other worker: got starts %+v, want the revoked task", answer.Start)
 	}
 	grace := h.leader.settings.config.Timings.DrainGrace.Std()
 	h.heartbeatFor(grace-time.Second, worker, other)
 	if answer := worker.exchange(); len(answer.Stop) != 1 {
-		t.Errorf("stopped within the grace: %+v", answer.Stop)
+		t.Errorf("within the drain grace: got stops %+v, want only the endless run", answer.Stop)
 	}
 	h.heartbeatFor(time.Second, worker, other)
 	if answer := worker.exchange(); len(answer.Stop) != 2 {
-		t.Errorf("want both stopped after the grace, got %+v", answer.Stop)
+		t.Errorf("after the drain grace: got stops %+v, want both runs", answer.Stop)
 	}
-	worker.end(api.OutcomeStopped)
+	worker.endAllRuns(api.OutcomeStopped)
 	worker.exchange()
 	for _, job := range []string{"endless", "finite", "unordered"} {
 		if failures := h.task(job, 0).Failures; failures != 0 {
-			t.Errorf("%s: a drain counted as %d failures", job, failures)
+			t.Errorf("job %s: got %d failures after the drain, want 0", job, failures)
 		}
 	}
 }
 
 func TestZoneDrain_IsIdempotentAndReversible(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("a", "a-1")
+	worker := h.newWorker("a", "a-1")
 	worker.exchange()
 	h.drainZone("z1", true)
 	h.drainZone("z1", true)
 	h.submit("j", tasks(1))
 	if answer := worker.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("started in a drained zone: %+v", answer.Start)
+		t.Fatalf("drained zone: got starts %+v, want none", answer.Start)
 	}
 	h.drainZone("z1", false)
 	h.drainZone("z1", false)
 	h.advance(tickInterval)
 	if answer := worker.exchange(); len(answer.Start) != 1 {
-		t.Errorf("want the task started, got %+v", answer.Start)
+		t.Errorf("after the drain: got starts %+v, want the task", answer.Start)
 	}
 }
 
 func TestZoneDrain_SurvivesLeaderChange(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("a", "a-1")
+	worker := h.newWorker("a", "a-1")
 	worker.exchange()
 	h.drainZone("z1", true)
 	h.newTerm()
 	h.submit("j", tasks(1))
 	worker.exchange()
 	if answer := worker.exchange(); len(answer.Start) != 0 {
-		t.Errorf("a new leader started in a drained zone: %+v", answer.Start)
+		t.Errorf("drained zone under a new leader: got starts %+v, want none", answer.Start)
 	}
 	if drains := h.drains(); len(drains) != 1 || drains[0] != (api.ZoneDrain{Zone: "z1", Drained: true}) {
-		t.Errorf("drains %+v", drains)
+		t.Errorf("got drains %+v, want zone z1", drains)
 	}
 }
 
@@ -133,25 +134,26 @@
 	for _, zone := range []string{"", "z 1", "z/1"} {
 		request := protocol.DrainZoneRequest{Drain: api.ZoneDrain{Zone: zone, Drained: true}}
 		if _, err := h.leader.drainZone(t.Context(), request); err == nil {
-			t.Errorf("zone %q was taken", zone)
+			t.Errorf("zone %q was accepted, want an error", zone)
 		}
 	}
 	for i := range maxDrainedZones {
 		h.drainZone(fmt.Sprint("z", i), true)
 	}
-	h.drainZone("z0", true) // is drained already
+	h.drainZone("z0", true) // already drained, so not counted again
 	request := protocol.DrainZoneRequest{Drain: api.ZoneDrain{Zone: "more", Drained: true}}
 	if _, err := h.leader.drainZone(t.Context(), request); err == nil {
-		t.Error("a zone beyond the bound was taken")
+		t.Error("a zone beyond maxDrainedZones was accepted, want an error")
 	}
-	h.log.lease = false
+	h.log.holdsLease = false
 	if _, err := h.leader.drainZone(t.Context(), protocol.DrainZoneRequest{Drain: api.ZoneDrain{Zone: "z0"}}); err == nil {
-		t.Error("an order was acknowledged without a commit")
+		t.Error("order that was not committed: got no error")
 	}
 }
 
-// TestDrains_ConfigAndZoneDrainAreIndependent compares every worker, after any
-// sequence of configurations, orders and new leaders, against what both say.
+// TestDrains_ConfigAndZoneDrainAreIndependent: after any sequence of configurations,
+// orders and leader changes, a worker must be drained exactly if the last configuration
+// or the last order on its zone says so.
 func TestDrains_ConfigAndZoneDrainAreIndependent(t *testing.T) {
 	zones := []string{"z1", "z2", "z3"}
 	rapid.Check(t, func(r *rapid.T) {
@@ -177,14 +179,16 @@
 			for _, zone := range zones {
 				worker := h.leader.registry.byName["w-"+zone]
 				if want := byConfig[zone] || byOrder[zone]; worker.isDrained() != want || worker.isLeaving() != want {
-					r.Fatalf("worker in %s: drained %v, want %v", zone, worker.isDrained(), want)
+					r.Fatalf("worker in zone %s: got drained %v, want %v", zone, worker.isDrained(), want)
 				}
 			}
 		}
-		h.stop()
+		h.stopObserving()
 	})
 }
 
+// configDraining returns a configuration that drains the given zones for which drained is
+// true.
 func configDraining(zones []string, drained map[string]bool) api.Config {
 	config := api.Config{Queues: []api.QueueConfig{{Name: "q"}}}
 	for _, zone := range zones {
@@ -197,7 +201,7 @@
 
 func TestDrains_GraceCountsFromFirstDrain(t *testing.T) {
 	h := newHarness(t)
-	worker := h.running("a", 1)
+	worker := h.startRunning("a", 1)
 	grace := h.leader.settings.config.Timings.DrainGrace.Std()
 	h.drainZone("z1", true)
 	for range int(grace / time.Second) {
@@ -205,13 +209,13 @@
 		h.putConfig(configDraining([]string{"z1"}, map[string]bool{"z1": true}))
 	}
 	if answer := worker.exchange(); len(answer.Stop) != 1 {
-		t.Errorf("want the run stopped after the grace of the first drain, got %+v", answer.Stop)
+		t.Errorf("got stops %+v, want the run stopped after the grace of the first drain", answer.Stop)
 	}
 }
 
 func TestDrains_RevokeAndStop(t *testing.T) {
 	h := newHarness(t)
-	worker, other := h.worker("a", "a-1"), h.worker("b", "b-1")
+	worker, other := h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
 	worker.exchange()
 	endless := tasks(1)
 	endless.Tasks[0].UntilCancelled = true
@@ -221,15 +225,15 @@
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q"}}, Drains: api.DrainConfig{Workers: []string{"a"}}})
 	answer := worker.exchange()
 	if len(answer.Start) != 0 || len(answer.Stop) != 1 || answer.Stop[0].Task != "endless/s/0" {
-		t.Fatalf("want the endless run stopped and nothing started, got %+v", answer)
+		t.Fatalf("got %+v, want only the endless run stopped and nothing started", answer)
 	}
-	worker.end(api.OutcomeStopped)
+	worker.endAllRuns(api.OutcomeStopped)
 	worker.exchange()
 	other.exchange()
 	if answer := other.exchange(); len(answer.Start) != 2 {
-		t.Errorf("want both tasks on the other worker, got %+v", answer.Start)
+		t.Errorf("other worker: got starts %+v, want both tasks", answer.Start)
 	}
 	if failures := h.task("endless", 0).Failures; failures != 0 {
-		t.Errorf("a drain counted as %d failures", failures)
+		t.Errorf("got %d failures after the drain, want 0", failures)
 	}
 }
--- a/internal/scheduler/endlesstask_test.go
+++ b/internal/scheduler/endlesstask_test.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/internal/workerhealth"
 )
 
-// endlessTasks are tasks(count) that run until cancelled.
+// endlessTasks returns tasks(count) with tasks that run until cancelled.
 func endlessTasks(count int) api.StepSpec {
 	step := tasks(count)
 	for i := range step.Tasks {
@@ -19,8 +19,8 @@
 	return step
 }
 
-// obeyStops sends a heartbeat and stops what its answer asks to stop.
-func (w *fakeWorker) obeyStops() {
+// exchangeAndStop sends a heartbeat and ends the runs that its answer asks to stop.
+func (w *fakeWorker) exchangeAndStop() {
 	w.harness.t.Helper()
 	for _, stop := range w.exchange().Stop {
 		if at := slices.Index(w.heartbeat.Running, stop); at >= 0 {
@@ -30,21 +30,21 @@
 	}
 }
 
-// suspectWorker makes a worker suspect by runs that fail there, and returns the others.
-func (h *harness) suspectWorker(count int) (suspect *fakeWorker, others []*fakeWorker) {
+// fleetWithSuspect registers count workers and makes the first suspect by three failing runs.
+func (h *harness) fleetWithSuspect(count int) (suspect *fakeWorker, others []*fakeWorker) {
 	h.t.Helper()
-	workers := h.fleetOf(count)
+	workers := h.registerWorkers(count)
 	for i := range 3 {
 		h.submit(fmt.Sprint("bad", i), tasks(1))
 		workers[0].exchange()
-		workers[0].end(api.OutcomeFailed)
+		workers[0].endAllRuns(api.OutcomeFailed)
 		workers[0].exchange()
 	}
 	h.advance(reviewInterval)
-	if row := h.stateOf("a"); row.State != api.WorkerSuspect {
-		h.t.Fatalf("a: %+v", row)
+	if row := h.workerRow("a"); row.State != api.WorkerSuspect {
+		h.t.Fatalf("worker a: got %+v, want state suspect", row)
 	}
-	h.advance(100 * time.Millisecond) // what failed is placed again
+	h.advance(100 * time.Millisecond) // the failed tasks are placed again
 	for _, worker := range workers[1:] {
 		worker.exchange()
 	}
@@ -53,7 +53,7 @@
 
 func TestEndlessTask_SuccessIsAssignedAgain(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	worker.exchange()
 	endless := tasks(1)
 	endless.Tasks[0].UntilCancelled = true
@@ -61,44 +61,45 @@
 	for run := uint32(1); run <= 5; run++ {
 		orders := worker.exchange().Start
 		if len(orders) != 1 || orders[0].Run != run {
-			t.Fatalf("run %d: assignments %+v", run, orders)
+			t.Fatalf("want one assignment of run %d, got %+v", run, orders)
 		}
 		outcome := api.OutcomeSucceeded
 		if run == 3 {
 			outcome = api.OutcomeFailed
 		}
-		worker.end(outcome)
+		worker.endAllRuns(outcome)
 		worker.exchange()
-		h.advance(time.Second) // longer than the pause after one failure
+		h.advance(time.Second) // longer than the backoff after one failure
 	}
 }
 
-// TestEndlessTask_RunsOnSuspectWorkerWithoutOtherCapacity: its suspicion may last for a
-// minute.
+// TestEndlessTask_RunsOnSuspectWorkerWithoutOtherCapacity: a worker may stay suspect for a
+// minute. Tasks that run until cancelled and fit nowhere else must not wait for that.
 func TestEndlessTask_RunsOnSuspectWorkerWithoutOtherCapacity(t *testing.T) {
 	h := newHarness(t)
-	suspect, others := h.suspectWorker(2)
+	suspect, others := h.fleetWithSuspect(2)
 	h.submit("full", tasks(1))
 	h.submit("endless", endlessTasks(3))
 	others[0].exchange()
 	if answer := suspect.exchange(); len(answer.Start) == 0 {
-		t.Fatalf("want what has no other capacity, got %+v", answer.Start)
+		t.Fatalf("got %+v, want the endless tasks that fit on no other worker", answer.Start)
 	}
 	for _, run := range suspect.heartbeat.Running {
 		if run.Task[:len("endless")] != "endless" {
-			t.Errorf("%s runs on a suspect worker", run.Task)
+			t.Errorf("got %s on the suspect worker, want endless tasks only", run.Task)
 		}
 	}
 	if state := h.status("endless").State; state != api.StateRunning || len(h.leader.pending.waiting) != 0 {
-		t.Errorf("job is %s, %d tasks wait", state, len(h.leader.pending.waiting))
+		t.Errorf("got job state %s and %d waiting tasks, want running and 0", state, len(h.leader.pending.waiting))
 	}
 }
 
-// TestEndlessTask_SoonRunsAgainOnSuspectWorker: it fails wherever it runs, and the one
-// worker with capacity is suspect for as long as can be.
-func TestEndlessTask_SoonRunsAgainOnSuspectWorker(t *testing.T) {
+// TestEndlessTask_RetriesSoonOnSuspectWorker: every run on worker a, the only one with free
+// capacity, fails, so that it stays suspect for as long as possible. Its endless tasks must
+// still be retried within 3 s.
+func TestEndlessTask_RetriesSoonOnSuspectWorker(t *testing.T) {
 	h := newHarness(t)
-	workers := h.fleetOf(2)
+	workers := h.registerWorkers(2)
 	workers[1].heartbeat.Capacity = api.Resources{CPUMillis: 2000, MemoryMB: 2000}
 	workers[1].exchange()
 	h.submit("full", endlessTasks(2))
@@ -110,9 +111,9 @@
 		h.advance(200 * time.Millisecond)
 		for i, worker := range workers {
 			if i == 0 {
-				worker.end(api.OutcomeFailed)
+				worker.endAllRuns(api.OutcomeFailed)
 			}
-			worker.obeyStops()
+			worker.exchangeAndStop()
 		}
 		waits += 200 * time.Millisecond
 		if len(workers[0].heartbeat.Running) > 0 {
@@ -120,11 +121,11 @@
 		}
 		longest = max(longest, waits)
 	}
-	t.Logf("none of the tasks ran for %v at most", longest)
+	t.Logf("longest time without a running task: %v", longest)
 	if longest > 3*time.Second {
-		t.Errorf("none of the tasks ran for %v", longest)
+		t.Errorf("got no running task on worker a for %v, want at most 3 s", longest)
 	}
-	if standing := h.leader.registry.byID["a-1"].health.State; standing == workerhealth.Healthy {
-		t.Errorf("worker a is %s", standing)
+	if state := h.leader.registry.byID["a-1"].health.State; state == workerhealth.Healthy {
+		t.Errorf("worker a: got state %s, want it not healthy", state)
 	}
 }
--- a/internal/scheduler/errors.go
+++ b/internal/scheduler/errors.go
@@ -11,9 +11,10 @@
 	"github.com/decklever/decklever/internal/scheduler/slo"
 )
 
-// notLeaderError names the leader as known, so that the caller can go there.
+// notLeaderError returns the error of a replica that does not lead. It has the address
+// of the leader, if known, so that the caller can call that one.
 func notLeaderError(log replica.Log) *rpc.Error {
-	refusal := &rpc.Error{Code: rpc.CodeNotLeader, Message: "this scheduler is not acting"}
+	refusal := &rpc.Error{Code: rpc.CodeNotLeader, Message: "this scheduler is not the leader"}
 	if leader, known := log.Leader(); known {
 		refusal.LeaderAddress = leader.Address
 	}
@@ -22,7 +23,8 @@
 
 func (t *term) notLeader() *rpc.Error { return notLeaderError(t.log) }
 
-// proposalError says to the caller whether its command may have had an effect.
+// proposalError converts the error of a failed proposal. Its code tells the caller
+// whether the command may have taken effect (rpc.CodeUnknownOutcome).
 func (t *term) proposalError(err error) *rpc.Error {
 	switch {
 	case errors.Is(err, replica.ErrNotLeader):
@@ -37,12 +39,12 @@
 	}
 }
 
-func notFound(what, id string) *api.Error {
-	return &api.Error{Status: http.StatusNotFound, Code: api.CodeNotFound, Message: what + " " + id + " is not known"}
+func notFoundError(kind, id string) *api.Error {
+	return &api.Error{Status: http.StatusNotFound, Code: api.CodeNotFound, Message: kind + " " + id + " is not known"}
 }
 
-func invalid(what string, fields []api.FieldError) *api.Error {
-	return &api.Error{Status: http.StatusUnprocessableEntity, Code: api.CodeInvalid, Message: what + " is invalid", Fields: fields}
+func invalidError(subject string, fields []api.FieldError) *api.Error {
+	return &api.Error{Status: http.StatusUnprocessableEntity, Code: api.CodeInvalid, Message: subject + " is invalid", Fields: fields}
 }
 
 func overLimitError(message string) *api.Error {
--- a/internal/scheduler/eventhandlers.go
+++ b/internal/scheduler/eventhandlers.go
@@ -9,8 +9,8 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// handleEvent keeps the leader's state true to the record. The record calls it under its
-// lock, in the order of the log.
+// handleEvent applies an event of the record to the leader's state. The record calls it
+// under its own lock, in the order of the log.
 func (l *leader) handleEvent(event record.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -27,10 +27,10 @@
 		l.runClosed(change.Run, change.Outcome)
 	case record.JobAdded:
 		l.repeats.Add(change.Job)
-		l.admission.slo.ObserveChain(change.Job.Spec.Queue, l.pending.chainsOf(change.Job).Job)
+		l.admission.slo.ObserveCriticalPath(change.Job.Spec.Queue, l.pending.criticalPathsOf(change.Job).Job)
 		l.assignments.pendingStarts.add(change.Job)
 	case record.OccurrenceAdded:
-		l.repeats.Added(change.Job)
+		l.repeats.OccurrenceAdded(change.Job)
 	case record.OccurrenceEnded:
 		l.stepsEnded(change.Steps)
 	case record.JobEnded:
@@ -39,7 +39,7 @@
 		l.configChangedTo(change.Version, change.Config)
 		l.applyDrains()
 	case record.ZoneDrainChanged:
-		l.drains.zoneChanged(change.Zone, change.Drained)
+		l.drains.setZoneDrained(change.Zone, change.Drained)
 		l.applyDrains()
 	case record.WorkerChanged:
 		l.workerRegistered(change.Worker)
@@ -48,12 +48,12 @@
 	case record.WindowReleased:
 		l.calendar.Release(change.Window)
 	case record.StateReplaced:
-		// A leader never installs a snapshot; the term is about to end.
+		// A leader never installs a snapshot, so this term is about to end.
 	}
 	l.wake()
 }
 
-// loadStep takes over a step's waiting tasks at the start of a term.
+// loadStep adds the ready tasks and the gang of a step at the start of a term.
 func (l *leader) loadStep(step *record.Step) {
 	for _, task := range step.Tasks {
 		if task.State == record.TaskReady {
@@ -65,10 +65,11 @@
 	}
 }
 
-// taskReady has a task wait, and offers it once it is due.
+// taskReady adds a task that became ready to the waiting tasks, and offers it to the
+// planner if it is due. Other tasks are offered by releaseTimers.
 func (l *leader) taskReady(task *record.Task) {
 	entry := l.pending.newTask(task, l.settings.config)
-	l.health.advise(&entry.task, task)
+	l.health.setPlacementHints(&entry.task, task)
 	l.pending.add(entry)
 	if task.Step.IsGang() {
 		l.gangs.join(entry, task.Step)
@@ -78,7 +79,8 @@
 	}
 }
 
-// taskLeftReady takes back what was offered.
+// taskLeftReady removes a task that became final without a run from the waiting tasks,
+// the planner and its gang.
 func (l *leader) taskLeftReady(task *record.Task) {
 	entry := l.pending.remove(task.ID)
 	if entry == nil {
@@ -89,8 +91,8 @@
 	l.gangs.leave(entry.step, task)
 }
 
-// offer lets the planner place a task that is due. Members of a gang are offered
-// together.
+// offer offers a due task to the planner for placement. For a member of a gang it
+// offers the gang.
 func (l *leader) offer(entry *waitingTask) {
 	if gang := l.gangs.find(entry.step); gang != nil {
 		l.gangs.offer(gang)
@@ -99,7 +101,7 @@
 	l.pending.offer(entry)
 }
 
-// offerChanged offers tasks that changed; members of one gang once.
+// offerChanged offers again the tasks whose rank has changed; each gang only once.
 func (l *leader) offerChanged(entries []*waitingTask) {
 	offered := make(map[record.StepID]bool)
 	for _, entry := range entries {
@@ -113,7 +115,7 @@
 	}
 }
 
-// releaseTimers offers the tasks whose time has come.
+// releaseTimers offers the tasks that have become due at the cluster time now.
 func (l *leader) releaseTimers(now record.Millis) {
 	due := l.pending.timers.takeDue(now)
 	for _, id := range due {
@@ -126,12 +128,13 @@
 	}
 }
 
-// runOpened takes over an open run. The planner takes its capacity before the worker and
-// the gang learn of it: what they do may have it closed at once.
+// runOpened starts to track an open run. The planner accounts for the run's capacity
+// before the worker and the gang are updated, since these updates may queue the closing
+// of the run at once.
 func (l *leader) runOpened(open *record.Run, by placedBy) *runState {
 	task := open.Task
 	run := newRunState(open, by, l.now())
-	l.pending.placed(task.ID)
+	l.pending.setPlaced(task.ID)
 	l.planner.Remove(task.ID)
 	job := task.Step.Job
 	l.planner.AddRun(placement.Task{
@@ -142,9 +145,9 @@
 	worker := l.registry.byID[open.WorkerID]
 	if worker == nil {
 		// The record accepts placements on registered incarnations only, so
-		// this is an older one that the record has replaced since.
+		// this is an earlier incarnation that has been replaced since.
 		worker = l.registry.add(record.Worker{ID: open.WorkerID, Name: open.Worker}, l.now())
-		worker.lease.extend(l.registry.expiryUnlessAnswered())
+		worker.lease.extend(l.registry.inheritedLeaseExpiry())
 	}
 	run.worker = worker
 	worker.runs[run.id] = run
@@ -160,7 +163,7 @@
 	return run
 }
 
-// runStopping records that the record has a run stop.
+// runStopping handles the record's request to stop a run.
 func (l *leader) runStopping(open *record.Run) {
 	run, known := l.assignments.runs[open.ID()]
 	if !known {
@@ -173,8 +176,8 @@
 	}
 }
 
-// runClosed frees what a run took. The planner comes first: a gang that breaks by it
-// offers its members again at once.
+// runClosed drops a run that was closed. The planner releases the run's capacity first,
+// since a gang that breaks by the closing offers its members again at once.
 func (l *leader) runClosed(open *record.Run, outcome api.Outcome) {
 	run := l.assignments.remove(open.ID())
 	if run == nil {
@@ -192,26 +195,26 @@
 	l.metrics.runsClosed.WithLabelValues(string(outcome)).Inc()
 }
 
-// jobEnded forgets a job, and wakes those that wait for its end.
+// jobEnded drops the state of an ended job, and wakes the calls that wait for its end.
 func (l *leader) jobEnded(job *record.Job) {
 	l.jobWaiters.jobEnded(job.ID)
 	l.repeats.Remove(job.ID)
-	delete(l.pending.chains, job.ID)
+	delete(l.pending.criticalPaths, job.ID)
 	l.assignments.pendingStarts.remove(job.ID)
 	l.stepsEnded(job.Steps)
 }
 
-// stepsEnded forgets steps whose tasks are all final.
+// stepsEnded drops the state of steps whose tasks are all final.
 func (l *leader) stepsEnded(steps []*record.Step) {
 	l.health.forgetSteps(steps)
 	l.assignments.forgetSteps(steps)
 	for _, step := range steps {
-		l.gangs.drop(step)
+		l.gangs.remove(step)
 	}
 }
 
-// configChangedTo takes over a configuration. Tasks are ordered again last, when the
-// planner knows the queues that they are in.
+// configChangedTo applies a configuration. Waiting tasks are ranked again last, when the
+// planner knows the queues of the new configuration.
 func (l *leader) configChangedTo(version uint64, config *api.Config) {
 	orderChanged := l.settings.config != nil && !sameOrder(l.settings.config, config)
 	l.settings.set(version, config)
@@ -239,34 +242,37 @@
 	l.logger.Info("configuration in force", slog.Uint64("version", version))
 }
 
-// queueHeadroom is the share of a worker that the queue leaves free, in hundredths.
+// queueHeadroom returns the percentage of each worker that the queue leaves free; 0 if
+// the feature Headroom is disabled.
 func (l *leader) queueHeadroom(queue *api.QueueConfig) int {
-	if l.off.Has(featuregate.Headroom) {
+	if l.disabledFeatures.Has(featuregate.Headroom) {
 		return 0
 	}
 	return queue.HeadroomPercent
 }
 
-// maxPreemptions bounds the preemptions of one task.
+// maxPreemptions returns the maximum number of preemptions of one task; 0 if the feature
+// Preemption is disabled.
 func (l *leader) maxPreemptions(config *api.Config) int {
-	if l.off.Has(featuregate.Preemption) {
+	if l.disabledFeatures.Has(featuregate.Preemption) {
 		return 0
 	}
 	return config.Timings.MaxPreemptions
 }
 
-// workerRegistered takes over what the record knows of a worker. The record
-// replaces an incarnation only when it has no open run.
+// workerRegistered adds or updates a worker as registered in the record, and drops the
+// incarnation that it replaces. The record replaces an incarnation only when it has no
+// open run.
 func (l *leader) workerRegistered(info *record.Worker) {
 	worker, earlier := l.registry.register(info)
 	if earlier != nil {
 		l.health.tracker.ForgetWorker(earlier.info.ID)
 	}
-	l.drains.apply(worker)
+	l.drains.applyTo(worker)
 	l.registry.updatePlannerWorker(worker)
 }
 
-// workerForgotten drops what is known of a worker that the record dropped.
+// workerForgotten drops the state of a worker that was removed from the record.
 func (l *leader) workerForgotten(info *record.Worker) {
 	if l.registry.forget(info) {
 		l.health.tracker.ForgetWorker(info.ID)
--- a/internal/scheduler/expire.go
+++ b/internal/scheduler/expire.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// expireInterval is the pause between two reviews of the archive.
+	// expireInterval is the time between two checks of the archive.
 	expireInterval = 10 * time.Second
-	// DefaultArchiveBytes bounds the archive, in bytes.
+	// DefaultArchiveBytes is the default limit on the size of the archive, in bytes.
 	DefaultArchiveBytes = 24 << 20
-	// expireBatches bounds the drops at one review of the archive.
-	expireBatches = 10
-	// expireBatch bounds what one log entry drops from the archive.
-	expireBatch = 1000
+	// maxExpireBatches limits the log entries that one check of the archive proposes.
+	maxExpireBatches = 10
+	// expireBatchSize limits the jobs that one log entry drops from the archive.
+	expireBatchSize = 1000
 )
 
-// expireArchive drops archived jobs beyond their retention, and the oldest ones
-// if the archive takes more bytes than it may, in bounded batches. It proposes
-// a drop only if there is something to drop, so that an idle archive adds
-// nothing to the log. What is dropped is decided once, by the leader, and in
-// the log: every replica hides the same jobs from the same entry on.
+// expireArchive drops archived jobs older than their retention and, while the archive
+// exceeds its size limit, the oldest ones, in batches. It proposes an entry only if there
+// is a job to drop, so that an idle archive adds nothing to the log. The leader alone
+// decides what to drop and records it in the log, so that every replica hides the same
+// jobs from the same entry on.
 func (l *leader) expireArchive() {
-	for range expireBatches {
-		before, found, err := l.expireBefore()
+	for range maxExpireBatches {
+		before, found, err := l.expiryCutoff()
 		if err != nil {
 			l.logger.Error("archive cannot be read", slog.Any("error", err))
 			return
@@ -34,24 +34,25 @@
 			return
 		}
 		sizeBefore := l.archive.Bytes()
-		expire := &record.ExpireArchive{Before: before, Limit: expireBatch}
-		if _, done := l.proposeUntilDone("expire", record.Command{ExpireArchive: expire}); !done {
+		expire := &record.ExpireArchive{Before: before, Limit: expireBatchSize}
+		if _, done := l.proposeUntilCommitted("expire", record.Command{ExpireArchive: expire}); !done {
 			return
 		}
 		if l.archive.Bytes() >= sizeBefore {
-			return // it waits for a snapshot that hides them
+			return // the dropped jobs are deleted only after a snapshot that hides them
 		}
 	}
 }
 
-// expireBefore is the end before which jobs are to be dropped now.
-func (l *leader) expireBefore() (before record.Millis, found bool, err error) {
+// expiryCutoff returns the end time before which jobs are to be dropped now; found is
+// false if there is no such job.
+func (l *leader) expiryCutoff() (before record.Millis, found bool, err error) {
 	l.mu.Lock()
 	retention := l.settings.config.Timings.Retention.Std()
 	l.mu.Unlock()
 	before = l.log.Now() - record.MillisOf(retention)
-	if over := l.archive.Bytes() - l.archiveBytes; over > 0 {
-		end, count, err := l.archive.OldestEnd(over, expireBatch)
+	if excess := l.archive.Bytes() - l.archiveBytes; excess > 0 {
+		end, count, err := l.archive.OldestEnd(excess, expireBatchSize)
 		if err != nil || count > 0 {
 			return max(before, end+1), true, err
 		}
--- a/internal/scheduler/expire_test.go
+++ b/internal/scheduler/expire_test.go
@@ -8,8 +8,9 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// TestArchiveExpiry_OverSizeLimitDropsOldest: the oldest ended jobs are dropped until the archive
-// is within its bytes, and an archive within them proposes nothing.
+// TestArchiveExpiry_OverSizeLimitDropsOldest: if the archive exceeds its size limit, the
+// jobs that ended first must be dropped until it is within the limit. An archive within
+// the limit must not add log entries.
 func TestArchiveExpiry_OverSizeLimitDropsOldest(t *testing.T) {
 	h := newHarness(t)
 	h.leader.archiveBytes = 5000
@@ -24,32 +25,32 @@
 	before := h.log.index
 	h.leader.expireArchive()
 	if h.log.index != before {
-		t.Fatalf("%d entries for an archive within its bytes", h.log.index-before)
+		t.Fatalf("archive within its size limit: got %d log entries, want none", h.log.index-before)
 	}
 	put(51, 80)
 	sizeBefore := h.archive.Bytes()
 	h.leader.expireArchive()
 	if h.archive.Bytes() != sizeBefore || h.log.index != before+1 {
-		t.Fatalf("%d bytes and %d entries, want them hidden by one entry and kept until a snapshot hides them", h.archive.Bytes(), h.log.index-before)
+		t.Fatalf("got %d bytes and %d entries, want the size unchanged until a snapshot, and one entry that hides the oldest jobs", h.archive.Bytes(), h.log.index-before)
 	}
 	h.log.machine.Read(func(view record.View) {
 		for id, want := range map[string]bool{"job-00030": false, "job-00031": true} {
 			if _, known, err := view.Status(id, nil); err != nil || known != want {
-				t.Errorf("%s is known: %v, %v, want %v", id, known, err, want)
+				t.Errorf("job %s: got known %v, error %v, want known %v", id, known, err, want)
 			}
 		}
 	})
-	for range 3 { // durable once another is asked for
+	for range 3 { // a snapshot counts as durable once a later one is requested
 		_, write, err := h.log.machine.Snapshot()
 		must(t, err)
 		must(t, write(io.Discard))
 	}
 	h.leader.expireArchive()
 	if bytes := h.archive.Bytes(); bytes != 5000 {
-		t.Fatalf("%d bytes are kept, want 5000", bytes)
+		t.Fatalf("got %d bytes after the snapshot, want 5000", bytes)
 	}
 	if jobs, err := h.archive.List("", 1); err != nil || jobs[0].ID != "job-00031" {
-		t.Fatalf("oldest kept: %v, %v", jobs, err)
+		t.Fatalf("oldest job in the archive: got %v, %v, want job-00031", jobs, err)
 	}
 }
 
--- a/internal/scheduler/failedworkers.go
+++ b/internal/scheduler/failedworkers.go
@@ -6,15 +6,15 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// maxAvoidedWorkers is how many workers are kept for one task, the newest ones.
+// maxAvoidedWorkers is the number of workers kept for one task; the newest ones are kept.
 const maxAvoidedWorkers = 4
 
-// failedWorkers remembers the names of the workers on which runs of a task failed,
-// for as long as the task is not final. It lives in the leader's memory: a new
-// leader knows of the newest run only.
+// failedWorkers holds the names of the workers on which runs of a task failed, oldest
+// first, until the task's step has ended. It exists only in the leader's memory: a new
+// leader knows only the worker of the newest run.
 type failedWorkers map[record.TaskID][]string
 
-// add adds a worker on which a run of the task failed.
+// add adds the name of a worker on which a run of the task failed.
 func (f failedWorkers) add(task record.TaskID, worker string) {
 	if slices.Contains(f[task], worker) {
 		return
@@ -23,16 +23,17 @@
 	f[task] = names[max(len(names)-maxAvoidedWorkers, 0):]
 }
 
-// subject returns the workers that a retry of the task should avoid. What it returns
-// is never changed.
-func (f failedWorkers) of(task *record.Task) []string {
+// workersToAvoid returns the names of the workers that a retry of the task should avoid. The
+// returned slice is never modified. For a task that failed under an earlier leader it
+// begins with the worker of the newest run.
+func (f failedWorkers) workersToAvoid(task *record.Task) []string {
 	if task.Failures > 0 && len(f[task.ID]) == 0 && task.LastWorker != "" {
 		f.add(task.ID, task.LastWorker)
 	}
 	return f[task.ID]
 }
 
-// forgetSteps drops what is known of the tasks of steps that have ended.
+// forgetSteps removes the tasks of steps that have ended.
 func (f failedWorkers) forgetSteps(steps []*record.Step) {
 	for _, step := range steps {
 		for _, task := range step.Tasks {
--- a/internal/scheduler/failedworkers_test.go
+++ b/internal/scheduler/failedworkers_test.go
@@ -8,18 +8,19 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// TestFailedWorkers_RetryRunsElsewhere: the fullest worker would be the same one again.
+// TestFailedWorkers_RetryRunsElsewhere guards against a retry on the worker on which the task
+// failed: without the list of failed workers the planner would choose the same one again.
 func TestFailedWorkers_RetryRunsElsewhere(t *testing.T) {
 	for _, newTerm := range []bool{false, true} {
 		h := newHarness(t)
-		failing, other := h.worker("a", "a-1"), h.worker("b", "b-1")
+		failing, other := h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
 		failing.exchange()
 		other.exchange()
 		h.submit("j", tasks(1))
 		if answer := failing.exchange(); len(answer.Start) != 1 {
 			t.Fatalf("want the first run on a, got %+v", answer.Start)
 		}
-		failing.end(api.OutcomeFailed)
+		failing.endAllRuns(api.OutcomeFailed)
 		failing.exchange()
 		if newTerm {
 			h.newTerm()
@@ -28,34 +29,34 @@
 		}
 		h.advance(time.Second)
 		if answer := other.exchange(); len(answer.Start) != 1 {
-			t.Fatalf("new term %v: want the retry on b, got %+v, task %+v", newTerm, answer.Start, h.task("j", 0))
+			t.Fatalf("new term %v: want the retry on b, got starts %+v, task %+v", newTerm, answer.Start, h.task("j", 0))
 		}
 	}
 }
 
 func TestFailedWorkers_KeepsNewestAndForgets(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("a", "a-1")
+	worker := h.newWorker("a", "a-1")
 	worker.exchange()
 	h.submit("j", tasks(1))
 	for range 3 {
 		worker.exchange()
-		worker.end(api.OutcomeFailed)
+		worker.endAllRuns(api.OutcomeFailed)
 		worker.exchange()
 		h.advance(time.Second)
 	}
 	if state := h.status("j").State; state != api.StateFailed {
-		t.Fatalf("job is %s", state)
+		t.Fatalf("got job state %s, want failed", state)
 	}
 	if len(h.leader.health.failedWorkers) != 0 {
-		t.Errorf("kept after the job's end: %v", h.leader.health.failedWorkers)
+		t.Errorf("got failed workers %v after the end of the job, want none", h.leader.health.failedWorkers)
 	}
-	known := failedWorkers{}
+	failed := failedWorkers{}
 	id := record.TaskID{Job: "j"}
 	for _, name := range []string{"a", "b", "b", "c", "d", "e"} {
-		known.add(id, name)
+		failed.add(id, name)
 	}
-	if got := len(known[id]); got != maxAvoidedWorkers || known[id][0] != "b" {
-		t.Errorf("kept %v", known[id])
+	if got := len(failed[id]); got != maxAvoidedWorkers || failed[id][0] != "b" {
+		t.Errorf("got %v, want the 4 newest workers, b to e", failed[id])
 	}
 }
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -9,30 +9,29 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// taskQueue is the planner's queue of tasks that wait.
+// taskQueue is the planner's queue of waiting tasks.
 type taskQueue interface {
 	Add(task placement.Task)
 	Remove(task record.TaskID)
 }
 
-// workerResponsiveness reports whether a worker can be expected to take an assignment
-// within about a heartbeat interval.
+// workerResponsiveness tells whether a worker is expected to take an assignment within about
+// a heartbeat interval.
 type workerResponsiveness interface {
 	respondsSoon(worker *workerEntry, now time.Duration) bool
 }
 
-// workerFailures records on which workers a task had better not run again.
+// workerFailures records the workers that a task should avoid.
 type workerFailures interface {
 	add(task record.TaskID, worker string)
 }
 
-// gangs follows the steps whose tasks must start together. It offers their members
-// to the planner, and has those that started without the others stopped.
+// gangs tracks the steps whose tasks must start together. It offers their members to the
+// planner, and stops the members that have started if others cannot.
 type gangs struct {
 	*environment
 	byStep map[record.StepID]*gangState
-	// starting are the gangs with a common outcome not all of whose members have
-	// started.
+	// starting holds the gangs with a common outcome whose start is being watched.
 	starting map[record.StepID]*gangState
 	planner  taskQueue
 	ends     runEnder
@@ -40,24 +39,25 @@
 	failures workerFailures
 }
 
-// gangState is one gang.
+// gangState is the state of one gang.
 type gangState struct {
 	key record.StepID
-	// size is the number of members that must be placed together, 0 if one may
-	// be placed alone: the record's rule (record.Step.GroupSize).
+	// size is the number of members that must be placed together, as the record requires
+	// it (record.Step.GangSize); 0 if a member may be placed alone.
 	size int
-	// ready are the members that wait; open the open runs, with true for
-	// those that were seen started.
+	// ready holds the waiting members. open holds the open runs, each with true once it was
+	// seen started.
 	ready map[record.TaskID]*waitingTask
 	open  map[*runState]bool
-	// broken is true from the loss of a member before all had started until
-	// no member has an open run: none may be placed meanwhile.
+	// broken is true from when the gang is to be requeued, because a member was lost before
+	// all had started or the start took too long, until no member has an open run. No member
+	// may be placed meanwhile.
 	broken bool
-	// sharesOutcome is set for a gang whose members also end together. startBy is when
-	// all its members must have started, and assignmentsReleased is true once their
-	// assignments are given out.
+	// sharesOutcome is set for a gang with a common outcome: its members also end together.
+	// The next two fields apply to such gangs only: startDeadline is when all members must
+	// have started, assignmentsReleased is true once their assignments may be sent.
 	sharesOutcome       bool
-	startBy             time.Duration
+	startDeadline       time.Duration
 	assignmentsReleased bool
 }
 
@@ -73,6 +73,7 @@
 	}
 }
 
+// allStarted reports whether all open runs were seen started.
 func (s *gangState) allStarted() bool {
 	for _, started := range s.open {
 		if !started {
@@ -82,7 +83,8 @@
 	return true
 }
 
-// isDue reports whether the members that wait may be offered now.
+// isDue reports whether the waiting members may be offered now: they are all due and, if they
+// must be placed together, complete.
 func (s *gangState) isDue() bool {
 	if s.size > 0 && len(s.ready) != s.size {
 		return false
@@ -95,11 +97,11 @@
 	return true
 }
 
-// find returns the gang of a step; nil if it is none.
+// find returns the gang of a step, or nil if none is known.
 func (g *gangs) find(key record.StepID) *gangState { return g.byStep[key] }
 
-// gang returns the gang of a step, which is added if it is not known.
-func (g *gangs) gang(key record.StepID) *gangState {
+// findOrAdd returns the gang of a step and adds it if it is not known.
+func (g *gangs) findOrAdd(key record.StepID) *gangState {
 	gang, known := g.byStep[key]
 	if !known {
 		gang = &gangState{key: key, ready: make(map[record.TaskID]*waitingTask), open: make(map[*runState]bool)}
@@ -108,14 +110,14 @@
 	return gang
 }
 
-// join adds a member that begins to wait.
+// join adds a waiting member.
 func (g *gangs) join(entry *waitingTask, step *record.Step) {
-	gang := g.gang(entry.step)
+	gang := g.findOrAdd(entry.step)
 	gang.ready[entry.task.ID] = entry
 	gang.size = step.GangSize()
 }
 
-// leave removes a member that no longer waits and was not placed.
+// leave removes a member that stopped waiting without being placed.
 func (g *gangs) leave(step record.StepID, task *record.Task) {
 	gang := g.find(step)
 	if gang == nil {
@@ -126,8 +128,8 @@
 	g.offer(gang)
 }
 
-// offer lets the planner place the members that wait: all together, or each alone
-// once all of the gang has started.
+// offer gives the waiting members to the planner: all together as one gang, or each alone if
+// the gang's size is 0. While the gang is broken or not due, it withdraws them instead.
 func (g *gangs) offer(gang *gangState) {
 	if gang.broken || !gang.isDue() {
 		g.withhold(gang)
@@ -147,15 +149,16 @@
 	}
 }
 
+// withhold withdraws the waiting members from the planner.
 func (g *gangs) withhold(gang *gangState) {
 	for id := range gang.ready {
 		g.planner.Remove(id)
 	}
 }
 
-// runOpened records that a member was placed.
+// runOpened records that a run of a member was opened.
 func (g *gangs) runOpened(run *runState, open *record.Run) {
-	gang := g.gang(run.step)
+	gang := g.findOrAdd(run.step)
 	delete(gang.ready, run.id.Task)
 	gang.open[run] = false
 	gang.size = open.Task.Step.GangSize()
@@ -166,22 +169,23 @@
 
 // runStopping records that a member is being stopped.
 func (g *gangs) runStopping(run *runState, step *record.Step) {
-	gang := g.gang(run.step)
+	gang := g.findOrAdd(run.step)
 	gang.size = step.GangSize()
 	g.offer(gang)
 }
 
-// runStarted records that a member was seen started.
+// runStarted records that a heartbeat showed that the member has started.
 func (g *gangs) runStarted(run *runState) {
 	if gang := g.find(run.step); gang != nil {
 		gang.open[run] = true
-		g.stopWatchingIfStarted(gang)
+		g.unwatchIfStarted(gang)
 	}
 }
 
-// runClosed breaks the gang if a member was lost before all had started.
+// runClosed removes a member's closed run. A gang without a common outcome is broken if the
+// run was lost or stopped before all members had started.
 func (g *gangs) runClosed(run *runState, outcome api.Outcome, step *record.Step) {
-	gang := g.gang(run.step)
+	gang := g.findOrAdd(run.step)
 	allStarted := gang.allStarted()
 	delete(gang.open, run)
 	gang.size = step.GangSize()
@@ -193,13 +197,13 @@
 		gang.broken = false
 	}
 	if run.sharesOutcome {
-		// The record has the other members stop.
+		// The record itself stops the other members.
 		delete(g.starting, run.step)
 	}
 	g.offer(gang)
 }
 
-// breakGang stops the other members, so that all of the gang waits.
+// breakGang closes or stops the gang's open runs, so that all members wait together again.
 func (g *gangs) breakGang(gang *gangState) {
 	if gang.broken {
 		return
@@ -211,17 +215,17 @@
 	}
 }
 
-// load takes over a gang at the start of a term. It cannot be known whether all had
-// started; members that wait without ever having failed show that a run was lost,
-// and then the gang counts as broken.
+// load restores a gang at the start of a term. The record does not show whether all members
+// had started. A ready member that has had a run and no failure shows that a run was lost:
+// the gang then counts as broken, as it does if a member is being stopped with StopGang.
 func (g *gangs) load(step *record.Step) {
 	if len(step.Tasks) == 0 {
 		return
 	}
-	gang := g.gang(step.Tasks[0].ID.StepID())
+	gang := g.findOrAdd(step.Tasks[0].ID.StepID())
 	gang.size = step.GangSize()
 	if step.Spec.Lockstep {
-		// The record alone says whether it is broken.
+		// The record itself stops and requeues a gang with a common outcome.
 		g.offer(gang)
 		return
 	}
@@ -237,8 +241,8 @@
 	g.offer(gang)
 }
 
-// waitsForMembers reports whether the run is of a gang not all of whose members have started:
-// the others may then rightly wait.
+// waitsForMembers reports whether the run belongs to a gang whose open runs have not all
+// started. A member that makes no progress then counts as waiting, not as stalled.
 func (g *gangs) waitsForMembers(run *runState) bool {
 	if !run.inGang {
 		return false
@@ -247,8 +251,8 @@
 	return gang != nil && !gang.allStarted()
 }
 
-// drop forgets the gang of a step whose job has ended.
-func (g *gangs) drop(step *record.Step) {
+// remove removes the gang of an ended step.
+func (g *gangs) remove(step *record.Step) {
 	if len(step.Tasks) == 0 {
 		return
 	}
--- a/internal/scheduler/gangs_test.go
+++ b/internal/scheduler/gangs_test.go
@@ -9,43 +9,43 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-func TestGang_LostAssignmentRequeuesWholeGang(t *testing.T) {
+func TestGang_LostAssignmentRequeuesGang(t *testing.T) {
 	h := newHarness(t)
-	first, second := h.worker("a", "a-1"), h.worker("b", "b-1")
+	first, second := h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
 	first.exchange()
 	second.exchange()
 	gang := tasks(8) // fills both workers
 	gang.Together = true
 	h.submit("g", gang)
 	if answer := first.exchange(); len(answer.Start) != 4 {
-		t.Fatalf("want 4 members here, got %+v", answer.Start)
+		t.Fatalf("got %+v, want 4 members assigned to worker a", answer.Start)
 	}
 	if answer, err := second.send(); err != nil || len(answer.Start) != 4 {
-		t.Fatalf("want 4 members there, got %+v, %v", answer, err)
+		t.Fatalf("got %+v, %v, want 4 members assigned to worker b", answer, err)
 	}
-	second.exchange() // shows that the answer before was not accepted
+	second.exchange() // shows that the previous answer was not accepted
 	if answer := first.exchange(); len(answer.Stop) != 4 {
-		t.Fatalf("want the 4 started members stopped, got %+v", answer)
+		t.Fatalf("got %+v, want the 4 started members stopped", answer)
 	}
 	if answer := second.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("members started alone: %+v", answer.Start)
+		t.Fatalf("got %+v, want no member assigned before the others were stopped", answer.Start)
 	}
-	first.end(api.OutcomeStopped)
+	first.endAllRuns(api.OutcomeStopped)
 	first.exchange()
 	again := len(first.exchange().Start) + len(second.exchange().Start)
 	if again != 8 {
-		t.Errorf("want all 8 members together again, got %d", again)
+		t.Errorf("got %d assignments, want all 8 members assigned again", again)
 	}
 }
 
-// responsive is a set of workers that all respond soon, or none of which does.
-type responsive bool
+// fixedResponsiveness answers respondsSoon with its value for every worker.
+type fixedResponsiveness bool
 
-func (r responsive) respondsSoon(*workerEntry, time.Duration) bool { return bool(r) }
+func (r fixedResponsiveness) respondsSoon(*workerEntry, time.Duration) bool { return bool(r) }
 
-// testGang is a gang of two tasks that are due, in a component of its own.
-func testGang(c *clock, queue *fakeQueue, ends *fakeEnder, workers responsive) (*gangs, []*waitingTask) {
-	component := newGangs(testTerm(c, queue), ends, workers, make(failedWorkers))
+// testGang returns a gangs component with a gang of two due tasks, and the two tasks.
+func testGang(c *clock, queue *fakePlanner, ends *fakeRunEnder, workers fixedResponsiveness) (*gangs, []*waitingTask) {
+	component := newGangs(newTestTerm(c, queue), ends, workers, make(failedWorkers))
 	step := &record.Step{Spec: &api.StepSpec{Together: true}}
 	var members []*waitingTask
 	for index := range 2 {
@@ -61,18 +61,18 @@
 }
 
 func TestGangs_MembersAreOfferedOnceAllAreDue(t *testing.T) {
-	queue := newFakeQueue()
-	component, members := testGang(&clock{now: time.Hour}, queue, &fakeEnder{}, true)
+	queue := newFakePlanner()
+	component, members := testGang(&clock{now: time.Hour}, queue, &fakeRunEnder{}, true)
 	gang := component.find(members[0].step)
 	members[1].due = false
 	component.offer(gang)
 	if len(queue.waiting) != 0 {
-		t.Errorf("%d members offered before all are due", len(queue.waiting))
+		t.Errorf("got %d members offered before all are due, want 0", len(queue.waiting))
 	}
 	members[1].due = true
 	component.offer(gang)
 	if len(queue.waiting) != 2 || queue.waiting[0].GangSize != gang.size {
-		t.Errorf("offered %+v, want both members as one gang", queue.waiting)
+		t.Errorf("got %+v offered, want both members as one gang", queue.waiting)
 	}
 }
 
@@ -83,8 +83,8 @@
 		stopped    int
 	}{{"one has not started", false, 1}, {"all have started", true, 0}} {
 		t.Run(c.name, func(t *testing.T) {
-			ends := &fakeEnder{}
-			component, members := testGang(&clock{now: time.Hour}, newFakeQueue(), ends, true)
+			ends := &fakeRunEnder{}
+			component, members := testGang(&clock{now: time.Hour}, newFakePlanner(), ends, true)
 			gang := component.find(members[0].step)
 			var runs []*runState
 			for _, entry := range members {
@@ -96,7 +96,7 @@
 			step := &record.Step{Spec: &api.StepSpec{Together: true}}
 			component.runClosed(runs[0], api.OutcomeLost, step)
 			if len(ends.stopped) != c.stopped || gang.broken == c.allStarted {
-				t.Errorf("%d stopped, broken %t", len(ends.stopped), gang.broken)
+				t.Errorf("got %d runs stopped, broken %t; want the other member stopped only if not all had started", len(ends.stopped), gang.broken)
 			}
 		})
 	}
--- a/internal/scheduler/getjob.go
+++ b/internal/scheduler/getjob.go
@@ -10,7 +10,8 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// getJob reads a job; the answer is delayed until it is final or the wait is over.
+// getJob returns the state of a job. With a wait it answers once the job is final, the
+// wait has passed, or the call or the term ends.
 func (l *leader) getJob(ctx context.Context, request protocol.GetJobRequest) (protocol.JobAnswer, error) {
 	status, err := l.status(request.ID, request.Brief)
 	if err != nil || status.State.Final() || request.WaitMillis <= 0 {
@@ -27,8 +28,8 @@
 	return l.jobAnswer(l.status(request.ID, request.Brief))
 }
 
-// jobAnswer returns a state only while the lease shows that it is the
-// newest.
+// jobAnswer returns a state that was read from the record, or notLeader unless the lease
+// is held, which ensures that no other leader has committed a newer state.
 func (l *leader) jobAnswer(status api.JobStatus, err error) (protocol.JobAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
 		return protocol.JobAnswer{}, l.notLeader()
@@ -39,7 +40,7 @@
 	return protocol.JobAnswer{Status: status}, nil
 }
 
-// status reads a job; brief leaves its steps out.
+// status reads the state of a job; brief omits its steps.
 func (l *leader) status(id string, brief bool) (api.JobStatus, error) {
 	var status api.JobStatus
 	var known bool
@@ -55,18 +56,19 @@
 		return status, fmt.Errorf("read job %s: %w", id, err)
 	}
 	if !known {
-		return status, notFound("job", id)
+		return status, notFoundError("job", id)
 	}
 	return status, nil
 }
 
-// waitReason says why a ready task waits. The record calls it under its lock.
+// waitReason returns why a ready task waits, empty if it does not. The record calls it
+// while holding its own lock, so the record's lock is taken before leader.mu here.
 func (l *leader) waitReason(task *record.Task) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	entry, waits := l.pending.find(task.ID)
+	entry, waiting := l.pending.find(task.ID)
 	switch {
-	case !waits:
+	case !waiting:
 		return ""
 	case !entry.due:
 		return "not before " + time.UnixMilli(int64(entry.notBefore)).UTC().Format(time.RFC3339)
