--- a/internal/scheduler/getjob_test.go
+++ b/internal/scheduler/getjob_test.go
@@ -10,42 +10,43 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// TestGetJob_BriefLeavesOutStepsOnly reads a job that waits, one that runs and
-// one that has ended, and cancels one.
+// TestGetJob_BriefLeavesOutStepsOnly: except for the steps, a brief read must return the
+// same as a full one, of a waiting, a running and an ended job. A brief cancel must omit
+// the steps too.
 func TestGetJob_BriefLeavesOutStepsOnly(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	worker.exchange()
 	h.submit("ended", tasks(1))
 	worker.exchange()
-	worker.end(api.OutcomeSucceeded)
+	worker.endAllRuns(api.OutcomeSucceeded)
 	worker.exchange()
 	h.submit("running", tasks(4))
 	worker.exchange()
 	h.submit("waiting", tasks(1))
 	for _, id := range []string{"ended", "running", "waiting"} {
-		whole, err := h.leader.getJob(t.Context(), protocol.GetJobRequest{ID: id})
+		full, err := h.leader.getJob(t.Context(), protocol.GetJobRequest{ID: id})
 		if err != nil {
 			t.Fatal(err)
 		}
 		brief, err := h.leader.getJob(t.Context(), protocol.GetJobRequest{ID: id, Brief: true})
 		if err != nil || brief.Status.Steps != nil {
-			t.Fatalf("%s: %+v, %v", id, brief, err)
+			t.Fatalf("brief read of %s: got %+v, %v, want no steps and no error", id, brief, err)
 		}
-		whole.Status.Steps = nil
-		if diff := cmp.Diff(whole, brief); diff != "" {
-			t.Errorf("%s (-whole +brief):\n%s", id, diff)
+		full.Status.Steps = nil
+		if diff := cmp.Diff(full, brief); diff != "" {
+			t.Errorf("job %s (-full +brief):\n%s", id, diff)
 		}
 	}
-	for range 2 { // the second finds it cancelled
+	for range 2 { // the second call finds the job cancelled already
 		answer, err := h.leader.cancel(t.Context(), protocol.CancelRequest{ID: "waiting", Brief: true})
 		if err != nil || answer.Status.State != api.StateCancelled || answer.Status.Steps != nil {
-			t.Errorf("cancel: %+v, %v", answer, err)
+			t.Errorf("brief cancel: got %+v, %v, want state cancelled and no steps", answer, err)
 		}
 	}
 }
 
-// BenchmarkReadJob compares the two reads of a job of a thousand tasks.
+// BenchmarkReadJob compares the full and the brief read of a job of 1000 tasks.
 func BenchmarkReadJob(b *testing.B) {
 	for _, brief := range []bool{false, true} {
 		b.Run(fmt.Sprintf("brief=%v", brief), func(b *testing.B) {
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -23,62 +23,62 @@
 	testDriftMargin = 300 * time.Millisecond
 )
 
-// fakeLog applies each command at once. It is the log of one replica that
-// leads for as long as lease is true.
+// fakeLog is the log of a single replica, which leads while lease is true. It applies
+// each command at once.
 type fakeLog struct {
-	t       *testing.T
-	machine *record.Machine
-	index   uint64
-	clock   record.Millis
-	lease   bool
-	// overloaded refuses all proposals.
+	t          *testing.T
+	machine    *record.Machine
+	index      uint64
+	clock      record.Millis
+	holdsLease bool
+	// overloaded makes all proposals fail with replica.ErrOverloaded.
 	overloaded bool
-	// whileProposing is done while a proposal is being committed, if not nil.
-	whileProposing func()
+	// duringProposal, if not nil, is called while a proposal is being committed.
+	duringProposal func()
 }
 
-// Propose gives up, as a replica does, for a caller that has gone away.
+// Propose fails, as a replica does, if the caller's context is done.
 func (f *fakeLog) Propose(ctx context.Context, token uint64, command record.Command) (record.Result, error) {
 	f.t.Helper()
 	if ctx.Err() != nil || f.overloaded {
 		return record.Result{}, replica.ErrOverloaded
 	}
-	if f.whileProposing != nil {
-		f.whileProposing()
+	if f.duringProposal != nil {
+		f.duringProposal()
 	}
-	if !f.lease {
+	if !f.holdsLease {
 		return record.Result{}, replica.ErrNotLeader
 	}
 	command.Time, command.Token = f.clock, token
 	data, err := record.Encode(command)
 	if err != nil {
-		f.t.Fatalf("encode: %v", err)
+		f.t.Fatalf("encode command: %v", err)
 	}
 	f.index++
 	result, err := f.machine.Apply(f.index, data)
 	if err != nil {
-		f.t.Fatalf("apply: %v", err)
+		f.t.Fatalf("apply command: %v", err)
 	}
 	return result, nil
 }
 
-func (f *fakeLog) HoldsLease(uint64) bool            { return f.lease }
+func (f *fakeLog) HoldsLease(uint64) bool            { return f.holdsLease }
 func (f *fakeLog) ReadBarrier(context.Context) error { return nil }
 func (f *fakeLog) Now() record.Millis                { return f.clock }
 func (f *fakeLog) Record() *record.Machine           { return f.machine }
 func (f *fakeLog) Status() raft.Status               { return raft.Status{} }
 func (f *fakeLog) Leader() (raft.Member, bool)       { return raft.Member{Address: "127.0.0.9:1"}, true }
 
-// harness drives a leader step by step, without its loops.
+// harness drives a leader step by step, without the leader's loops.
 type harness struct {
-	t       *testing.T
-	log     *fakeLog
-	archive record.Archive
-	now     time.Duration
-	leader  *leader
-	token   uint64
-	stop    func()
-	workers map[string]*fakeWorker
+	t             *testing.T
+	log           *fakeLog
+	archive       record.Archive
+	now           time.Duration
+	leader        *leader
+	token         uint64
+	stopObserving func()
+	workers       map[string]*fakeWorker
 }
 
 func newHarness(t *testing.T) *harness {
@@ -87,17 +87,17 @@
 	machine := record.NewMachine(record.Config{Archive: archive})
 	h := &harness{
 		t: t, archive: archive, now: time.Hour, workers: map[string]*fakeWorker{},
-		log: &fakeLog{t: t, machine: machine, clock: 1_700_000_000_000, lease: true},
+		log: &fakeLog{t: t, machine: machine, clock: 1_700_000_000_000, holdsLease: true},
 	}
 	h.newTerm()
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q"}}})
 	return h
 }
 
-// newTerm replaces the leader by one of the next term.
+// newTerm replaces the leader by a leader of the next term.
 func (h *harness) newTerm() {
-	if h.stop != nil {
-		h.stop()
+	if h.stopObserving != nil {
+		h.stopObserving()
 	}
 	h.token++
 	h.leader = newLeader(leaderConfig{
@@ -106,16 +106,18 @@
 		Now:        func() time.Duration { return h.now },
 		Leadership: replica.Leadership{Token: h.token, Context: h.t.Context()},
 	})
-	h.stop = h.log.machine.Observe(h.leader.load, h.leader.handleEvent)
+	h.stopObserving = h.log.machine.Observe(h.leader.load, h.leader.handleEvent)
 }
 
-// advance lets time pass on all clocks and then does what the loops would.
-func (h *harness) advance(by time.Duration) {
-	h.now += by
-	h.log.clock += record.MillisOf(by)
+// advance advances all clocks and then calls settle.
+func (h *harness) advance(elapsed time.Duration) {
+	h.now += elapsed
+	h.log.clock += record.MillisOf(elapsed)
 	h.settle()
 }
 
+// settle does the work of the leader's loops: a tick, and proposals and placements until
+// nothing is left to place.
 func (h *harness) settle() {
 	h.leader.tick()
 	h.leader.proposePending()
@@ -145,7 +147,7 @@
 	request := protocol.SubmitRequest{ID: id, Spec: spec}
 	answer, err := h.leader.submit(h.t.Context(), request)
 	if err != nil || !answer.Created {
-		h.t.Fatalf("submit %s: %+v, %v", id, answer, err)
+		h.t.Fatalf("submit %s: got answer %+v, error %v, want a new job", id, answer, err)
 	}
 	h.settle()
 }
@@ -164,26 +166,27 @@
 	return h.status(id).Steps[0].Tasks[index]
 }
 
-// fakeWorker keeps the worker's side of the protocol.
+// fakeWorker implements the worker's side of the heartbeat protocol.
 type fakeWorker struct {
-	harness     *harness
-	heartbeat   api.Heartbeat
-	agent       string
-	zone        string
-	acknowledge []api.RunRef
+	harness      *harness
+	heartbeat    api.Heartbeat
+	agent        string
+	zone         string
+	acknowledged []api.RunRef
 }
 
-func (h *harness) worker(name, incarnation string) *fakeWorker {
+// newWorker returns a worker with 4000 cpu_millis that has sent no heartbeat yet.
+func (h *harness) newWorker(name, incarnation string) *fakeWorker {
 	return &fakeWorker{harness: h, agent: "a", zone: "z1", heartbeat: api.Heartbeat{
 		WorkerID: incarnation, Name: name, Services: []string{"s"},
 		Capacity: api.Resources{CPUMillis: 4000, MemoryMB: 4000}, Labels: map[string]string{"zone": "z1"},
 	}}
 }
 
-// recordedRuns registers a worker and has it run the tasks of job "j".
-func (h *harness) running(name string, count int) *fakeWorker {
+// startRunning registers a worker, and makes it run a new job "j" of count tasks.
+func (h *harness) startRunning(name string, count int) *fakeWorker {
 	h.t.Helper()
-	worker := h.worker(name, name+"-1")
+	worker := h.newWorker(name, name+"-1")
 	worker.exchange()
 	h.submit("j", tasks(count))
 	worker.exchange()
@@ -199,7 +202,8 @@
 	return answer.Answer, err
 }
 
-// exchange sends a heartbeat and accepts its answer: its assignments then run.
+// exchange sends a heartbeat and accepts its answer; the worker then runs the
+// assignments in it.
 func (w *fakeWorker) exchange() api.HeartbeatAnswer {
 	w.harness.t.Helper()
 	answer, err := w.send()
@@ -207,7 +211,7 @@
 		w.harness.t.Fatalf("heartbeat %d of %s: %v", w.heartbeat.Seq, w.heartbeat.Name, err)
 	}
 	w.heartbeat.AcceptedSeq = answer.Seq
-	w.acknowledge = answer.Acknowledged
+	w.acknowledged = answer.Acknowledged
 	w.heartbeat.Ended = nil
 	for _, order := range answer.Start {
 		w.heartbeat.Running = append(w.heartbeat.Running, order.RunRef)
@@ -215,8 +219,8 @@
 	return answer
 }
 
-// end moves every running run to ended.
-func (w *fakeWorker) end(outcome api.Outcome) {
+// endAllRuns makes the next heartbeat report all running runs as ended with the outcome.
+func (w *fakeWorker) endAllRuns(outcome api.Outcome) {
 	for _, reference := range w.heartbeat.Running {
 		w.heartbeat.Ended = append(w.heartbeat.Ended, api.EndedRun{RunRef: reference, Outcome: outcome})
 	}
--- a/internal/scheduler/healthreview.go
+++ b/internal/scheduler/healthreview.go
@@ -12,26 +12,29 @@
 )
 
 const (
-	// reviewInterval is how often workers and runs are judged.
+	// reviewInterval is the time between two reviews of workers and runs.
 	reviewInterval = 250 * time.Millisecond
-	// maxProbationEstimate: tasks of at most this estimate try workers on probation first.
+	// maxProbationEstimate is the longest estimate of tasks that prefer workers on
+	// probation.
 	maxProbationEstimate = 2 * time.Second
-	// maxFreshStartPercent is the greatest percent of a run's first report at which its
-	// total time says something: one that resumes from a checkpoint begins later.
+	// maxFreshStartPercent is the highest percentage in a run's first report at which the
+	// run's total time counts as a pace: a run that resumes from a checkpoint begins with
+	// a higher one, and has done only a part of the work.
 	maxFreshStartPercent = 5
 )
 
-// healthReview is what a leader has learned of workers and of how work progresses. It
-// lives in memory: a new leader starts afresh.
+// healthReview is what the leader has learned about the health of workers and the progress
+// of runs. It exists only in memory: a new leader starts without it.
 type healthReview struct {
 	*environment
-	tracker    *workerhealth.Tracker
+	tracker *workerhealth.Tracker
+	// reviewedAt is when the newest review took place, on the monotonic clock.
 	reviewedAt time.Duration
-	// fineGrainedQueues marks the queues whose runs report percents in small steps.
+	// fineGrainedQueues marks the queues whose runs report progress in small steps.
 	fineGrainedQueues map[string]bool
-	// stalls counts how often a run of a task was stopped for standing still.
+	// stalls counts for each task how often one of its runs was stopped as stalled.
 	stalls map[record.TaskID]int
-	// failedWorkers are the workers on which runs of tasks failed or stalled.
+	// failedWorkers holds the workers on which runs of a task failed or stalled.
 	failedWorkers failedWorkers
 }
 
@@ -45,7 +48,7 @@
 	}
 }
 
-// forgetSteps drops what is known of the tasks of steps that have ended.
+// forgetSteps removes the tasks of steps that have ended.
 func (h *healthReview) forgetSteps(steps []*record.Step) {
 	h.failedWorkers.forgetSteps(steps)
 	for _, step := range steps {
@@ -58,12 +61,12 @@
 	}
 }
 
-// advise gives the planner what the leader has learned about a task: where not
-// to run it again, and whether it may try a worker on probation. Its last
-// attempt may not.
-func (h *healthReview) advise(planned *placement.Task, task *record.Task) {
-	planned.Avoid = h.failedWorkers.of(task)
-	if h.off.Has(featuregate.FailedWorkerAvoidance) {
+// setPlacementHints sets in a planner's task which workers it should avoid, and whether it may be
+// placed on a worker on probation or prefers one. Neither the last allowed attempt of a
+// task nor a member of a gang is placed on such a worker.
+func (h *healthReview) setPlacementHints(planned *placement.Task, task *record.Task) {
+	planned.Avoid = h.failedWorkers.workersToAvoid(task)
+	if h.disabledFeatures.Has(featuregate.FailedWorkerAvoidance) {
 		planned.Avoid = nil
 	}
 	hasAttempts := task.Spec.UntilCancelled || task.Failures+1 < task.AllowedFailures
@@ -72,7 +75,8 @@
 	planned.PrefersProbation = planned.AllowsProbation && (task.Spec.UntilCancelled || estimate > 0 && estimate <= maxProbationEstimate)
 }
 
-// observeProgress records how far the runs of a worker say that they are.
+// observeProgress records the reported progress of the runs open on a worker, and the pace
+// that follows from it.
 func (h *healthReview) observeProgress(worker *workerEntry, reports []api.RunProgress, now time.Duration) {
 	for _, report := range reports {
 		id, ok := parseRun(report.RunRef)
@@ -94,7 +98,9 @@
 	}
 }
 
-// observeRunEnd learns from the end of a run.
+// observeRunEnd updates the health of the worker, and the workers that the task avoids,
+// from the end of a run. A failure counts only if the run was not to be stopped; a run
+// stopped as stalled makes its task avoid the worker.
 func (h *healthReview) observeRunEnd(run *runState, open *record.Run, outcome api.Outcome) {
 	now := h.now()
 	switch {
@@ -105,15 +111,15 @@
 		h.failedWorkers.add(run.id.Task, open.Worker)
 	case outcome == api.OutcomeFailed && open.Stop == record.StopNone:
 		h.failedWorkers.add(run.id.Task, open.Worker)
-		if !h.off.Has(featuregate.OutlierEjection) {
+		if !h.disabledFeatures.Has(featuregate.OutlierEjection) {
 			h.tracker.ObserveFailure(run.worker.info.ID, run.id.Task, now)
 		}
 	}
 }
 
-// observePace records the total time of a run that this leader assigned, from its
-// assignment until its end was seen. One that was not seen running before its end says
-// nothing: most of that time may be the wait for a heartbeat.
+// observePace records the total time of a run that this leader assigned, from its assignment
+// until its end was reported. It ignores a run that no earlier heartbeat listed as
+// running: most of its time may have been the wait for a heartbeat.
 func (h *healthReview) observePace(run *runState, now time.Duration) {
 	estimate := run.spec.Estimate.Std()
 	seenRunning := run.observed.listed && run.observed.progress.StartedAt < run.observed.endedAt
@@ -128,24 +134,25 @@
 	h.tracker.ObservePace(run.worker.info.ID, pace, now)
 }
 
-// isPaceComparable reports whether the run's time says something about its worker. One away
-// from what its task prefers may take a multiple of its time on a sound worker, and one
-// of a gang with a common outcome waits for the others.
+// isPaceComparable reports whether the run's time tells something about the health of its
+// worker. It does not if the worker lacks a label that the task prefers, since the run may
+// then take a multiple of its time on a healthy worker, nor for a gang with a common
+// outcome, whose members wait for each other.
 func (h *healthReview) isPaceComparable(run *runState) bool {
-	return !h.off.Has(featuregate.SlowTracking) && !run.sharesOutcome && hasAll(run.worker.info.Labels, run.spec.Prefer)
+	return !h.disabledFeatures.Has(featuregate.SlowTracking) && !run.sharesOutcome && hasAllLabels(run.worker.info.Labels, run.spec.Prefer)
 }
 
-// comparisonStepSize is the size of the step whose runs the run is compared with; 0 if it is
-// compared with its queue's.
+// comparisonStepSize returns the size of the step with whose runs the run is compared; 0 if
+// it is compared with the runs of its queue.
 func (h *healthReview) comparisonStepSize(run *runState) int {
-	if h.off.Has(featuregate.SiblingPace) {
+	if h.disabledFeatures.Has(featuregate.SiblingPace) {
 		return 0
 	}
 	return run.stepSize
 }
 
-// hasAll reports whether the labels have all that are wanted.
-func hasAll(labels, wanted map[string]string) bool {
+// hasAllLabels reports whether labels contains all wanted labels with the same values.
+func hasAllLabels(labels, wanted map[string]string) bool {
 	for key, value := range wanted {
 		if labels[key] != value {
 			return false
@@ -154,7 +161,7 @@
 	return true
 }
 
-// isDue reports whether a review is due, and if so counts it as done now.
+// isDue reports whether a review is due, and if so records that it takes place now.
 func (h *healthReview) isDue(now time.Duration) bool {
 	if now-h.reviewedAt < reviewInterval {
 		return false
@@ -163,19 +170,19 @@
 	return true
 }
 
-// mustStopStalled decides whether a run has stalled, and counts it: it is to be
-// stopped, so that its task runs elsewhere. That is no failure of the task.
+// mustStopStalled reports whether a run has stalled and must be stopped, so that its task
+// runs on another worker. It counts the stall, which is not a failure of the task.
 func (h *healthReview) mustStopStalled(run *runState, now time.Duration) bool {
 	if !run.observed.listed || run.closing || run.stop != record.StopNone || run.spec.UntilCancelled {
 		return false
 	}
-	if h.off.Has(featuregate.StallTracking) {
+	if h.disabledFeatures.Has(featuregate.StallTracking) {
 		return false
 	}
 	worker := run.worker
 	stops := h.stalls[run.id.Task]
-	bound := run.observed.progress.StallTimeout(run.spec.Estimate.Std(), h.fineGrainedQueues[run.queue], stops)
-	if worker.lease.expired || !run.observed.progress.IsStalled(worker.lastSeen, bound) {
+	timeout := run.observed.progress.StallTimeout(run.spec.Estimate.Std(), h.fineGrainedQueues[run.queue], stops)
+	if worker.lease.expired || !run.observed.progress.IsStalled(worker.lastSeen, timeout) {
 		return false
 	}
 	h.logger.Warn("run stalled", slog.String("task", run.id.Task.String()),
@@ -183,15 +190,16 @@
 		slog.Int("percent", run.observed.progress.Percent), slog.Duration("without_progress", worker.lastSeen-run.observed.progress.AdvancedAt))
 	h.stalls[run.id.Task]++
 	h.metrics.runsStalled.Inc()
-	if !run.inGang && !h.off.Has(featuregate.OutlierEjection) {
-		// Members of a gang may wait for one of them: none is to blame alone.
+	if !run.inGang && !h.disabledFeatures.Has(featuregate.OutlierEjection) {
+		// The members of a gang may all wait for one of them, so that a stall does not
+		// show which worker is at fault.
 		h.tracker.ObserveStall(run.worker.info.ID, run.id.Task, now)
 	}
 	return true
 }
 
-// reviewHealth stops runs that stall, and ejects workers on which work
-// fails, stalls or crawls.
+// reviewHealth stops stalled runs and applies the changes of worker health: workers are
+// ejected if runs fail or stall on them, and used last if runs are slow on them.
 func (l *leader) reviewHealth(now time.Duration) {
 	if !l.health.isDue(now) {
 		return
@@ -201,13 +209,13 @@
 			l.proposer.enqueueStop(run, record.StopStalled)
 		}
 	}
-	for _, change := range l.health.tracker.Review(now, l.registry.reviewedWorkers()) {
+	for _, change := range l.health.tracker.Review(now, l.registry.activeWorkers()) {
 		l.applyHealthChange(l.registry.byID[change.WorkerID], change, now)
 	}
 }
 
-// applyHealthChange takes over a worker's new health state. A suspect worker loses what was
-// not assigned yet.
+// applyHealthChange applies a worker's new health state. The unassigned runs of a worker
+// that becomes suspect are revoked.
 func (l *leader) applyHealthChange(worker *workerEntry, change workerhealth.StatusChange, now time.Duration) {
 	worker.health = change.Status
 	l.logger.Info("worker health changed", slog.String("worker", worker.info.Name),
--- a/internal/scheduler/healthreview_test.go
+++ b/internal/scheduler/healthreview_test.go
@@ -11,8 +11,8 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// stateOf is a worker's row of GET /v1/workers.
-func (h *harness) stateOf(name string) api.WorkerStatus {
+// workerRow returns the worker's entry in the answer to GET /v1/workers.
+func (h *harness) workerRow(name string) api.WorkerStatus {
 	h.t.Helper()
 	answer, err := h.leader.listWorkers(h.t.Context(), protocol.Empty{})
 	if err != nil {
@@ -23,12 +23,12 @@
 			return row
 		}
 	}
-	h.t.Fatalf("no worker %s", name)
+	h.t.Fatalf("worker %s is not listed", name)
 	return api.WorkerStatus{}
 }
 
-// estimated is tasks(count) with estimates.
-func estimated(count int, estimate time.Duration) api.StepSpec {
+// tasksWithEstimate returns tasks(count) with an estimate for each task.
+func tasksWithEstimate(count int, estimate time.Duration) api.StepSpec {
 	step := tasks(count)
 	for i := range step.Tasks {
 		step.Tasks[i].Estimate = api.Duration(estimate)
@@ -36,38 +36,40 @@
 	return step
 }
 
-// fleetOf registers workers "a", "b", ...
-func (h *harness) fleetOf(count int) []*fakeWorker {
+// registerWorkers returns count workers "a", "b", ..., each registered by one heartbeat.
+func (h *harness) registerWorkers(count int) []*fakeWorker {
 	var workers []*fakeWorker
 	for i := range count {
 		name := string(rune('a' + i))
-		workers = append(workers, h.worker(name, name+"-1"))
+		workers = append(workers, h.newWorker(name, name+"-1"))
 		workers[i].exchange()
 	}
 	return workers
 }
 
-// TestHealthReview_FailingWorkerIsEjected: worker a fails whatever it starts; after three
-// jobs it gets nothing, and then one task at a time.
+// TestHealthReview_FailingWorkerIsEjected guards against placing more and more work on a
+// worker on which every run fails. Worker a is ejected after the failures of three jobs;
+// then it is on probation and gets one task at a time. A new leader starts with every
+// worker healthy.
 func TestHealthReview_FailingWorkerIsEjected(t *testing.T) {
 	h := newHarness(t)
-	workers := h.fleetOf(4)
+	workers := h.registerWorkers(4)
 	failing := workers[0]
 	for i := range 3 {
 		h.submit(fmt.Sprint("j", i), tasks(1))
 		if answer := failing.exchange(); len(answer.Start) != 1 {
 			t.Fatalf("job %d: want its run on a, got %+v", i, answer.Start)
 		}
-		failing.end(api.OutcomeFailed)
+		failing.endAllRuns(api.OutcomeFailed)
 		failing.exchange()
 	}
 	h.advance(reviewInterval)
-	if row := h.stateOf("a"); row.State != api.WorkerSuspect || row.Reason == "" {
-		t.Fatalf("a: %+v", row)
+	if row := h.workerRow("a"); row.State != api.WorkerSuspect || row.Reason == "" {
+		t.Fatalf("got worker a %+v, want suspect with a reason", row)
 	}
 	h.submit("after", tasks(8))
 	if answer := failing.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("a was given work: %+v", answer.Start)
+		t.Fatalf("want no start on the suspect worker, got %+v", answer.Start)
 	}
 	for range 10 {
 		h.advance(200 * time.Millisecond)
@@ -75,31 +77,33 @@
 			worker.exchange()
 		}
 	}
-	if row := h.stateOf("a"); row.State != api.WorkerProbation {
-		t.Fatalf("a after its lease: %+v", row)
+	if row := h.workerRow("a"); row.State != api.WorkerProbation {
+		t.Fatalf("got worker a %+v after its ejection, want probation", row)
 	}
-	h.submit("short", estimated(2, time.Second))
+	h.submit("short", tasksWithEstimate(2, time.Second))
 	if answer := failing.exchange(); len(answer.Start) != 1 {
-		t.Fatalf("a on probation: %+v", answer.Start)
+		t.Fatalf("want one start on probation, got %+v", answer.Start)
 	}
-	failing.end(api.OutcomeFailed)
+	failing.endAllRuns(api.OutcomeFailed)
 	failing.exchange()
 	h.advance(reviewInterval)
-	if row := h.stateOf("a"); row.State != api.WorkerSuspect {
-		t.Fatalf("a after another failure: %+v", row)
+	if row := h.workerRow("a"); row.State != api.WorkerSuspect {
+		t.Fatalf("got worker a %+v after another failure, want suspect", row)
 	}
 	h.newTerm()
 	failing.exchange()
-	if row := h.stateOf("a"); row.State != api.WorkerReady {
-		t.Errorf("a under a new leader: %+v", row)
+	if row := h.workerRow("a"); row.State != api.WorkerReady {
+		t.Errorf("got worker a %+v under a new leader, want ready", row)
 	}
 }
 
-// TestHealthReview_StalledRunRunsElsewhere: run 1 reports 10% for 2 s.
+// TestHealthReview_StalledRunRunsElsewhere guards against a task that waits for a run without
+// progress. Run 1 reports 10% for 2 s, and is stopped; run 2 starts on the other worker
+// only after the end of run 1 is reported.
 func TestHealthReview_StalledRunRunsElsewhere(t *testing.T) {
 	h := newHarness(t)
-	workers := h.fleetOf(2)
-	h.submit("j", estimated(1, time.Second))
+	workers := h.registerWorkers(2)
+	h.submit("j", tasksWithEstimate(1, time.Second))
 	workers[0].exchange()
 	var stops []api.RunRef
 	for range 11 {
@@ -111,7 +115,7 @@
 		workers[1].exchange()
 	}
 	if len(stops) != 0 {
-		t.Fatalf("stopped before its bound: %+v", stops)
+		t.Fatalf("want no stop before the stall time-out, got %+v", stops)
 	}
 	for range 3 {
 		h.advance(200 * time.Millisecond)
@@ -119,34 +123,34 @@
 		workers[1].exchange()
 	}
 	if len(stops) == 0 {
-		t.Fatal("not stopped")
+		t.Fatal("got no stop after the stall time-out, want one")
 	}
 	if answer := workers[1].exchange(); len(answer.Start) != 0 {
-		t.Fatalf("run 2 beside run 1: %+v", answer.Start)
+		t.Fatalf("want no start of run 2 while run 1 is running, got %+v", answer.Start)
 	}
-	workers[0].end(api.OutcomeStopped)
+	workers[0].endAllRuns(api.OutcomeStopped)
 	workers[0].heartbeat.Progress = nil
 	workers[0].exchange()
 	if answer := workers[1].exchange(); len(answer.Start) != 1 || answer.Start[0].Run != 2 {
 		t.Fatalf("want run 2 on b, got %+v", answer.Start)
 	}
 	if task := h.task("j", 0); task.Failures != 0 {
-		t.Errorf("counted as %d failures", task.Failures)
+		t.Errorf("got %d failures, want 0", task.Failures)
 	}
 	if got := h.leader.health.stalls[record.TaskID{Job: "j", Step: "s"}]; got != 1 {
-		t.Errorf("%d stalls", got)
+		t.Errorf("got %d stalls, want 1", got)
 	}
-	workers[1].end(api.OutcomeSucceeded)
+	workers[1].endAllRuns(api.OutcomeSucceeded)
 	workers[1].exchange()
 	if len(h.leader.health.stalls) != 0 {
-		t.Error("kept after the job's end")
+		t.Error("got stall counts after the end of the job, want none")
 	}
 }
 
-// TestHealthReview_ProgressingRunsContinue have no estimate, or run until cancelled, or belong
-// to a worker that is not seen.
+// TestHealthReview_ProgressingRunsContinue guards against stopping runs as stalled that have
+// no estimate, run until cancelled, or are on a worker that sends no heartbeats.
 func TestHealthReview_ProgressingRunsContinue(t *testing.T) {
-	lasting := estimated(1, time.Second)
+	lasting := tasksWithEstimate(1, time.Second)
 	lasting.Tasks[0].UntilCancelled = true
 	cases := []struct {
 		name string
@@ -155,75 +159,77 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
-			worker := h.fleetOf(2)[0]
+			worker := h.registerWorkers(2)[0]
 			h.submit("j", c.step)
 			worker.exchange()
 			for range 300 {
 				h.advance(time.Second)
 				if answer := worker.exchange(); len(answer.Stop) != 0 {
-					t.Fatalf("stopped: %+v", answer.Stop)
+					t.Fatalf("want no stop, got %+v", answer.Stop)
 				}
 			}
 		})
 	}
 	t.Run("silent", func(t *testing.T) {
 		h := newHarness(t)
-		worker := h.fleetOf(2)[0]
-		h.submit("j", estimated(1, 10*time.Millisecond))
+		worker := h.registerWorkers(2)[0]
+		h.submit("j", tasksWithEstimate(1, 10*time.Millisecond))
 		worker.exchange()
 		worker.heartbeat.Progress = []api.RunProgress{{RunRef: worker.heartbeat.Running[0], Percent: 10}}
 		worker.exchange()
 		h.advance(testLease - time.Millisecond)
 		if h.leader.assignments.runs[record.RunID{Task: record.TaskID{Job: "j", Step: "s"}, Number: 1}].stop != record.StopNone {
-			t.Error("missed heartbeats were taken for a stall")
+			t.Error("got a run stopped as stalled because of missed heartbeats, want none")
 		}
 	})
 }
 
-// TestHealthReview_SlowWorkerGetsWorkLast: worker a takes three times as long as others.
+// TestHealthReview_SlowWorkerGetsWorkLast guards against placing work on a slow worker while
+// others have capacity. Worker a takes three times as long as the others.
 func TestHealthReview_SlowWorkerGetsWorkLast(t *testing.T) {
 	h := newHarness(t)
-	workers := h.fleetOf(4)
+	workers := h.registerWorkers(4)
 	slow := workers[0]
 	for i := range 6 {
-		h.submit(fmt.Sprint("j", i), estimated(8, time.Second))
+		h.submit(fmt.Sprint("j", i), tasksWithEstimate(8, time.Second))
 		for tenth := range 31 {
 			h.advance(100 * time.Millisecond)
 			for _, worker := range workers {
 				if tenth == 9 && worker != slow || tenth == 29 {
-					worker.end(api.OutcomeSucceeded)
+					worker.endAllRuns(api.OutcomeSucceeded)
 				}
 				worker.exchange()
 			}
 		}
 	}
-	if row := h.stateOf("a"); row.State != api.WorkerReady || row.Reason == "" {
-		t.Fatalf("a: %+v", row)
+	if row := h.workerRow("a"); row.State != api.WorkerReady || row.Reason == "" {
+		t.Fatalf("got worker a %+v, want ready with a reason", row)
 	}
-	h.submit("next", estimated(1, time.Second))
+	h.submit("next", tasksWithEstimate(1, time.Second))
 	if answer := slow.exchange(); len(answer.Start) != 0 {
-		t.Errorf("a was given work though others have capacity: %+v", answer.Start)
+		t.Errorf("want no start on a while others have capacity, got %+v", answer.Start)
 	}
 }
 
-// TestHealthReview_RunsSeenOnlyEndedGiveNoPace: short tasks end before any heartbeat
-// lists them as running. How long they took is not known, so longer ones of the
-// same queue that go at their estimated pace do not look slow beside them.
+// TestHealthReview_RunsSeenOnlyEndedGiveNoPace guards against workers marked slow in error.
+// Short tasks end before a heartbeat lists them as running, so how long they took is not
+// known. If they counted, longer tasks of the queue that run at their estimated pace would
+// look slow in comparison.
 func TestHealthReview_RunsSeenOnlyEndedGiveNoPace(t *testing.T) {
 	h := newHarness(t)
-	workers := h.fleetOf(4)
-	h.log.whileProposing = func() { h.now += 5 * time.Millisecond }
+	workers := h.registerWorkers(4)
+	h.log.duringProposal = func() { h.now += 5 * time.Millisecond }
 	for i := range 8 {
-		h.submit(fmt.Sprint("short", i), estimated(4, 200*time.Millisecond))
+		h.submit(fmt.Sprint("short", i), tasksWithEstimate(4, 200*time.Millisecond))
 		for range 2 {
 			for _, worker := range workers {
-				worker.end(api.OutcomeSucceeded)
+				worker.endAllRuns(api.OutcomeSucceeded)
 				worker.exchange()
 			}
 		}
 	}
 	const estimate = 4 * time.Second
-	h.submit("long", estimated(8, estimate))
+	h.submit("long", tasksWithEstimate(8, estimate))
 	for elapsed := time.Duration(0); elapsed < estimate; elapsed += estimate / 20 {
 		for _, worker := range workers {
 			worker.heartbeat.Progress = nil
@@ -235,27 +241,28 @@
 		}
 		h.advance(estimate / 20)
 		for _, worker := range workers {
-			if row := h.stateOf(worker.heartbeat.Name); row.Reason != "" {
-				t.Fatalf("after %v: %s %q", elapsed, row.Name, row.Reason)
+			if row := h.workerRow(worker.heartbeat.Name); row.Reason != "" {
+				t.Fatalf("after %v: got worker %s with reason %q, want no reason", elapsed, row.Name, row.Reason)
 			}
 		}
 	}
 }
 
-// TestHealthReview_GangMemberMayWaitForTheOthers: a run without progress is not stopped
-// while another member of its gang has not got its assignment.
-func TestHealthReview_GangMemberMayWaitForTheOthers(t *testing.T) {
+// TestHealthReview_GangMemberWaitingForOthersIsNotStopped guards against stopping a run
+// without progress that waits for another member of its gang, which was not assigned yet
+// because nobody read the answers to its worker. Outside a gang such a run is stopped.
+func TestHealthReview_GangMemberWaitingForOthersIsNotStopped(t *testing.T) {
 	for _, together := range []bool{false, true} {
 		t.Run(fmt.Sprintf("together %t", together), func(t *testing.T) {
 			h := newHarness(t)
-			workers := h.fleetOf(2)
-			step := estimated(8, time.Second) // fills both workers
+			workers := h.registerWorkers(2)
+			step := tasksWithEstimate(8, time.Second) // fills both workers
 			step.Together = together
 			h.submit("j", step)
 			first, second := workers[0], workers[1]
 			first.exchange()
-			gone, leave := context.WithCancel(t.Context())
-			leave()
+			cancelled, cancel := context.WithCancel(t.Context())
+			cancel()
 			stops := 0
 			for range 20 {
 				h.advance(200 * time.Millisecond)
@@ -265,12 +272,12 @@
 				}
 				stops += len(first.exchange().Stop)
 				second.heartbeat.Seq++
-				if answer, err := h.deliver(gone, second.heartbeat); err != nil || len(answer.Start) != 0 {
-					t.Fatalf("an answer that nobody takes: %+v, %v", answer, err)
+				if answer, err := h.deliver(cancelled, second.heartbeat); err != nil || len(answer.Start) != 0 {
+					t.Fatalf("want no starts in an answer that nobody reads, got %+v, error %v", answer, err)
 				}
 			}
 			if isStopped := stops > 0; isStopped == together {
-				t.Errorf("%d stops of runs without progress", stops)
+				t.Errorf("got %d stops of runs without progress; want some only outside a gang", stops)
 			}
 		})
 	}
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	// promptInterval is given to a worker whose reports were just committed, or that was
-	// just seen for the first time: its free capacity is likely to be used within it.
+	// promptInterval is the heartbeat interval given to a worker whose reports were just
+	// committed, or that is answered for the first time in this term: the planner is
+	// likely to use its free capacity within that time.
 	promptInterval = 20 * time.Millisecond
-	// workersPerBaseInterval: beyond this many workers the heartbeat interval
-	// grows with their number, so that the leader's load does not.
+	// workersPerBaseInterval is the number of workers above which the heartbeat
+	// interval grows with their number, so that the leader's load does not.
 	workersPerBaseInterval = 200
-	// intervalsPerLease bounds the interval, so that a lease survives the loss
-	// of two heartbeats in a row.
+	// intervalsPerLease limits the grown interval to this fraction of the lease, so that
+	// a lease survives the loss of two consecutive heartbeats.
 	intervalsPerLease = 4
 )
 
-// heartbeat answers one heartbeat of one worker. It checks the leader's lease
-// before it draws conclusions and right before it answers.
+// heartbeat answers one heartbeat of one worker. It checks that the leader holds its
+// lease before it draws conclusions, and again right before it answers.
 //
-// What a heartbeat reports is true whether or not its caller still waits, so the
-// caller's context bounds nothing here. It only keeps assignments from an answer
-// that nobody takes. The ends that it lists are taken also when it is refused.
+// What a heartbeat reports is true whether or not its caller still waits, so ctx does
+// not bound the commits. It only keeps assignments out of an answer that nobody reads.
+// The run ends in a heartbeat are recorded even if the heartbeat is refused.
 func (l *leader) heartbeat(ctx context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
 		l.observeRefusedEnds(request)
@@ -41,29 +42,31 @@
 		return protocol.HeartbeatAnswer{}, err
 	}
 	if observed.late {
-		return protocol.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable, Message: "heartbeat is not newer than one already heard"}
+		return protocol.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable, Message: "heartbeat is not newer than one already received"}
 	}
 	return l.answerHeartbeat(ctx, observed, acknowledged)
 }
 
-// observation is a heartbeat in progress.
-type observation struct {
+// heartbeatObservation is a heartbeat that is being handled, and the conclusions drawn
+// from it.
+type heartbeatObservation struct {
 	request protocol.HeartbeatRequest
 	worker  *workerEntry
-	// late is true if a newer heartbeat was seen before: then it reports
-	// ended runs and nothing else.
+	// late is true if the heartbeat is not newer than one seen before. Then only the
+	// run ends that it lists are used.
 	late bool
-	// leaseExpirations is the worker's count when the heartbeat was seen.
+	// leaseExpirations is the worker's lease.expirations when the heartbeat arrived.
 	leaseExpirations uint64
-	// mustRegister is true if the record has to learn of the worker first.
+	// mustRegister is true if the worker's description must be committed before the
+	// heartbeat is answered.
 	mustRegister bool
 	differences  reconciliation
 	reports      reports
 }
 
-// observeHeartbeat takes over what a heartbeat says of its worker, and compares the runs
-// that it lists with the record.
-func (l *leader) observeHeartbeat(request protocol.HeartbeatRequest) *observation {
+// observeHeartbeat updates the worker's entry from a heartbeat, and compares the runs
+// that the heartbeat lists with those open on the worker.
+func (l *leader) observeHeartbeat(request protocol.HeartbeatRequest) *heartbeatObservation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	heartbeat := request.Heartbeat
@@ -73,7 +76,7 @@
 	if !known {
 		worker = l.registry.add(workerInfo(request, l.log.Now()), now)
 	}
-	observed := &observation{request: request, worker: worker, leaseExpirations: worker.lease.expirations}
+	observed := &heartbeatObservation{request: request, worker: worker, leaseExpirations: worker.lease.expirations}
 	l.registry.observeHeartbeatGap(worker, now)
 	if worker.observeHeartbeat(heartbeat, now) {
 		l.registry.claimAddress(worker)
@@ -106,18 +109,18 @@
 	}
 }
 
-// commit puts what the heartbeat reports into the record, and returns the reports
-// that may be acknowledged.
-func (l *leader) commit(observed *observation) ([]api.RunRef, error) {
+// commit commits the worker's registration and the reported run ends, and returns the
+// reports that may be acknowledged.
+func (l *leader) commit(observed *heartbeatObservation) ([]api.RunRef, error) {
 	if err := l.register(observed); err != nil {
 		return nil, err
 	}
 	return l.commitReports(observed)
 }
 
-// register commits what the record must know of the worker. A worker that
-// cannot be registered yet is answered all the same, without assignments.
-func (l *leader) register(observed *observation) error {
+// register commits the worker's description if the record lacks it. A worker that cannot
+// be registered yet is answered all the same, without assignments.
+func (l *leader) register(observed *heartbeatObservation) error {
 	if !observed.mustRegister {
 		return nil
 	}
@@ -133,15 +136,16 @@
 	return nil
 }
 
-// answerHeartbeat extends the lease and gives the assignments, unless the heartbeat has
-// been overtaken meanwhile by a newer one or by the expiry of the lease.
-func (l *leader) answerHeartbeat(ctx context.Context, observed *observation, acknowledged []api.RunRef) (protocol.HeartbeatAnswer, error) {
+// answerHeartbeat extends the worker's lease and returns its assignments. It fails with
+// rpc.CodeUnavailable if a newer heartbeat arrived or the lease expired while this one
+// was being handled.
+func (l *leader) answerHeartbeat(ctx context.Context, observed *heartbeatObservation, acknowledged []api.RunRef) (protocol.HeartbeatAnswer, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	worker := observed.worker
 	if worker.seq != observed.request.Heartbeat.Seq || worker.lease.expirations != observed.leaseExpirations {
 		l.metrics.heartbeats.WithLabelValues("overtaken").Inc()
-		return protocol.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable, Message: "heartbeat was overtaken"}
+		return protocol.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable, Message: "heartbeat was superseded: a newer one arrived or the lease expired"}
 	}
 	interval := l.registry.heartbeatInterval()
 	prompt := len(acknowledged) > 0 || !worker.answered()
@@ -149,7 +153,7 @@
 		interval = promptInterval
 	}
 	worker.answer(l.now(), l.registry.leaseDuration(), l.registry.driftMargin())
-	worker.answeredPromptly, worker.leaderStallAtAnswer = prompt, l.registry.stalls.total
+	worker.answeredPromptly, worker.leaderStallAtAnswer = prompt, l.registry.stalls.totalDelay
 	if l.registry.refreshPlannerWorker(worker, l.now()) {
 		l.wake()
 	}
@@ -167,12 +171,13 @@
 		return protocol.HeartbeatAnswer{}, l.notLeader()
 	}
 	l.metrics.heartbeats.WithLabelValues("answered").Inc()
-	l.metrics.orders.Add(float64(len(answer.Start)))
+	l.metrics.assignments.Add(float64(len(answer.Start)))
 	return protocol.HeartbeatAnswer{Answer: answer}, nil
 }
 
-// startAssignments gives each run placed on the worker its one assignment, if the
-// caller still waits for it.
+// startAssignments returns the start orders of the runs placed on the worker; each run
+// is assigned once. It returns none if the worker is leaving, whose unassigned runs it
+// revokes, or if the caller no longer waits.
 func (l *leader) startAssignments(ctx context.Context, worker *workerEntry) []api.StartOrder {
 	if worker.isLeaving() {
 		l.assignments.revokeUnassigned(worker)
--- a/internal/scheduler/incarnations.go
+++ b/internal/scheduler/incarnations.go
@@ -6,17 +6,19 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// Addresses: of two incarnations at one address, which can never live at once, one that
-// lived when the other was known already is the later one, so that the other has ended. That
-// a worker lived at some moment is proven by an answer that was given then and
-// that it has accepted; a heartbeat alone may have been on its way for long.
-// Clocks of other machines have no part in it.
+// Two incarnations at one address are never alive at the same time. If one of them is
+// proven alive at a moment when this leader already knew the other, it is the later one,
+// and the other has ended. An incarnation is proven alive at the moment at which an
+// answer was given that it is known to have accepted; a heartbeat alone proves nothing,
+// since it may have been in transit for long. Clocks of other machines are not used.
 
-// replacedAfterIntervals is for how many heartbeat intervals an incarnation must have been
-// unseen before it counts as replaced, whatever is proven of another one.
+// replacedAfterIntervals is the number of heartbeat intervals for which no heartbeat of an
+// incarnation must have arrived before it counts as replaced, even if another one is
+// proven alive at its address.
 const replacedAfterIntervals = 2
 
-// addressOf names a worker's address in the whole fleet; empty if it has none.
+// addressOf returns the worker's address, which is unique in the cluster; empty if the
+// worker has none.
 func addressOf(request protocol.HeartbeatRequest) string {
 	if request.Heartbeat.Place == "" {
 		return ""
@@ -24,7 +26,7 @@
 	return request.Agent + "/" + request.Heartbeat.Place
 }
 
-// hasOpenRuns reports whether a run is open here that is not being closed.
+// hasOpenRuns reports whether the worker has an open run that is not being closed.
 func (w *workerEntry) hasOpenRuns() bool {
 	for _, run := range w.runs {
 		if !run.closing {
@@ -34,7 +36,8 @@
 	return false
 }
 
-// claimAddress records a worker that may have proven that it lives.
+// claimAddress makes the worker the current incarnation at its address, unless the worker
+// is not proven alive, or another one was proven alive there later.
 func (r *workerRegistry) claimAddress(worker *workerEntry) {
 	address := worker.info.Address
 	if address == "" || worker.provenAliveAt == 0 {
@@ -45,16 +48,17 @@
 	}
 }
 
-// releaseAddress forgets a worker that is not known any more.
+// releaseAddress removes a worker that was dropped from the index by address.
 func (r *workerRegistry) releaseAddress(worker *workerEntry) {
 	if r.currentByAddress[worker.info.Address] == worker {
 		delete(r.currentByAddress, worker.info.Address)
 	}
 }
 
-// replaced reports that a worker has ended although its lease still stands, as a later
-// incarnation lives at its address, and that this must be acted on.
-func (r *workerRegistry) replaced(worker *workerEntry, now time.Duration) bool {
+// mustExpireReplaced reports whether a later incarnation has replaced the worker at its
+// address, so that its runs must be closed although its lease may not have expired. It is
+// false once the worker counts as expired and has no run left to close.
+func (r *workerRegistry) mustExpireReplaced(worker *workerEntry, now time.Duration) bool {
 	if worker.info.Address == "" || worker.lease.expired && !worker.hasOpenRuns() {
 		return false
 	}
--- a/internal/scheduler/jobwaiters.go
+++ b/internal/scheduler/jobwaiters.go
@@ -2,10 +2,12 @@
 
 import "github.com/decklever/decklever/internal/record"
 
-// jobWaiters are channels that are closed when a job ends, by job.
+// jobWaiters holds, by job id, a channel that is closed when the job ends. It is guarded
+// by leader.mu.
 type jobWaiters map[string]chan struct{}
 
-// wait returns the channel of a live job.
+// wait returns the channel of a live job. All callers that wait for a job share one
+// channel.
 func (w jobWaiters) wait(id string) <-chan struct{} {
 	if w[id] == nil {
 		w[id] = make(chan struct{})
@@ -13,7 +15,7 @@
 	return w[id]
 }
 
-// jobEnded wakes those that wait for a job.
+// jobEnded closes the channel of a job, if a caller waits for it.
 func (w jobWaiters) jobEnded(id string) {
 	if waiter, waited := w[id]; waited {
 		close(waiter)
@@ -21,7 +23,9 @@
 	}
 }
 
-// jobEndedChannel returns a channel that is closed when the job is final.
+// jobEndedChannel returns a channel that is closed when the job ends, or a closed one if
+// it is not live. It registers under the record's lock, so that the job cannot end
+// between the check and the registration.
 func (l *leader) jobEndedChannel(id string) <-chan struct{} {
 	var ended <-chan struct{}
 	l.log.Record().Read(func(view record.View) {
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// tickInterval is how often leases, timed starts and drains are examined.
+	// tickInterval is the interval between two checks of leases, timed starts and drains.
 	tickInterval = 50 * time.Millisecond
-	// planLimit bounds the placements of one pass, and so the size of one log
-	// entry and the time for which the leader's lock is held.
+	// planLimit is the maximum number of placements of one planner pass. It bounds the
+	// size of one log entry and the time for which the leader's lock is held.
 	planLimit = 512
-	// proposalTimeout bounds the leader's own proposals.
+	// proposalTimeout is the time-out of one of the leader's own proposals.
 	proposalTimeout = 3 * time.Second
 )
 
-// leader is one term as acting scheduler.
+// leader implements the acting scheduler for one term.
 //
-// Lock order: the record's lock comes before mu, since the record calls
-// handleEvent under its lock. So nothing that holds mu may read the record.
+// Lock order: the record's lock is acquired before mu, since the record calls
+// handleEvent under its lock. So code that holds mu must not read the record.
 type leader struct {
 	term
 	proposer proposer
@@ -42,31 +42,31 @@
 	gangs       gangs
 	health      healthReview
 	admission   admissionControl
-	// repeats are jobs with occurrences to come.
+	// repeats has the jobs with occurrences that are still to be added.
 	repeats repeats.Jobs
-	// jobWaiters are closed when the job ends.
+	// jobWaiters has a channel for each job whose end calls wait for.
 	jobWaiters jobWaiters
 }
 
-// Planner is what a leader needs of package placement.
+// Planner is the part of package placement that a leader uses.
 type Planner interface {
 	placement.Planner
 	placement.ReservationPlanner
 }
 
-// leaderConfig makes a leader.
+// leaderConfig configures a leader.
 type leaderConfig struct {
 	Log     replica.Log
 	Archive record.Archive
-	// ArchiveBytes bounds the archive, in bytes.
+	// ArchiveBytes is the maximum size of the archive, in bytes.
 	ArchiveBytes int64
 	Planner      Planner
 	Logger       *slog.Logger
 	Metrics      *metrics
 	Now          func() time.Duration
 	Leadership   replica.Leadership
-	// Off are the mechanisms that are switched off.
-	Off featuregate.DisabledSet
+	// DisabledFeatures are the features that an experiment disables.
+	DisabledFeatures featuregate.DisabledSet
 }
 
 func newLeader(config leaderConfig) *leader {
@@ -89,22 +89,24 @@
 	return l
 }
 
-// run works until the term ends. ready is called once calls can be served.
+// run runs the leader's loops until the term ends. It calls ready once calls can be
+// served.
 func (l *leader) run(ready func()) {
 	stopObserving := l.log.Record().Observe(l.load, l.handleEvent)
 	defer stopObserving()
 	ready()
 	var loops sync.WaitGroup
-	loops.Go(func() { l.every(tickInterval, l.observeTick, l.tick) })
+	loops.Go(func() { l.runPeriodically(tickInterval, l.observeTick, l.tick) })
 	loops.Go(l.planLoop)
 	loops.Go(l.proposeLoop)
-	loops.Go(func() { l.every(expireInterval, l.expireArchive) })
+	loops.Go(func() { l.runPeriodically(expireInterval, l.expireArchive) })
 	<-l.context.Done()
 	loops.Wait()
 }
 
-// load builds the components from the record. Every worker with an open run counts
-// as answered now: an earlier leader may have done so a moment ago.
+// load builds the state of the components from the record. The lease of every worker
+// with an open run lasts as if the worker had been answered at the start of the term,
+// since the previous leader may have answered it just before.
 func (l *leader) load(view record.View) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,11 +115,11 @@
 	for _, window := range view.ReleasedWindows() {
 		l.calendar.Release(window)
 	}
-	l.drains.zones = slices.Clone(view.DrainedZones())
+	l.drains.drainedZones = slices.Clone(view.DrainedZones())
 	for worker := range view.Workers() {
 		l.workerRegistered(worker)
 	}
-	expiry := l.registry.expiryUnlessAnswered()
+	expiry := l.registry.inheritedLeaseExpiry()
 	for open := range view.AllOpenRuns() {
 		run := l.runOpened(open, placedByEarlierLeader)
 		run.openedAt -= time.Duration(view.Clock()-open.PlacedAt) * time.Millisecond
@@ -125,8 +127,8 @@
 	}
 	for job := range view.Jobs("") {
 		l.repeats.Add(job)
-		l.admission.slo.ObserveChain(job.Spec.Queue, l.pending.chainsOf(job).Job)
-		if !mayHaveStarted(job) {
+		l.admission.slo.ObserveCriticalPath(job.Spec.Queue, l.pending.criticalPathsOf(job).Job)
+		if !hasRecordedStart(job) {
 			l.assignments.pendingStarts.add(job)
 		}
 		for _, step := range job.Steps {
@@ -136,7 +138,8 @@
 	l.wake()
 }
 
-// tick does what time alone brings about: leases, drains, reviews, reservations, timers.
+// tick does the work that depends on time alone: leases, drains, reviews, reservations,
+// timers.
 func (l *leader) tick() {
 	clusterNow := l.log.Now()
 	l.mu.Lock()
@@ -146,7 +149,7 @@
 	l.registry.refreshPlannerWorkers(now)
 	l.revokeOnMissedHeartbeats(now)
 	l.stopDrained(now)
-	l.gangs.breakLate(now)
+	l.gangs.requeueOverdue(now)
 	l.stopDeparting(now)
 	l.reviewHealth(now)
 	if l.admission.slo.Review(now, l.settings.config.Queues) {
@@ -157,6 +160,6 @@
 	l.offerChanged(l.pending.refreshRanks(clusterNow))
 	l.releaseTimers(clusterNow)
 	l.proposer.enqueueExpansions(l.repeats.TakeDue(clusterNow))
-	// The planner frees capacity step by step, and continues although nothing came.
+	// The planner frees capacity over several passes, so it is woken without an event too.
 	l.wake()
 }
--- a/internal/scheduler/leaderstalls.go
+++ b/internal/scheduler/leaderstalls.go
@@ -6,43 +6,44 @@
 )
 
 const (
-	// heartbeatGapWeight is the weight of a new pause in the average of pauses.
+	// heartbeatGapWeight is the weight of a new gap in the moving average of heartbeat gaps.
 	heartbeatGapWeight = 1.0 / 64
-	// maxHeartbeatGapIntervals bounds one pause in the average, in heartbeat intervals: a
-	// worker that was partitioned says nothing of how soon the others are seen.
+	// maxHeartbeatGapIntervals limits one gap in the average, in heartbeat intervals: the gap
+	// of a partitioned worker does not show how often the leader sees the other workers.
 	maxHeartbeatGapIntervals = 4
-	// lateTickThreshold is by how much a tick has to be late to count: timers are never
-	// exact.
+	// lateTickThreshold is the least delay of a tick that counts as a stall, since timers
+	// are never exact.
 	lateTickThreshold = tickInterval
 )
 
-// stallTracker is what a leader knows of its own delays. Time for which the process
-// itself stalled, and time that heartbeats wait before they are read, are no
-// missed heartbeats of workers.
+// stallTracker measures the leader's own delays. The time for which the leader's process
+// stalled, and the time for which heartbeats wait to be read, must not count as missed
+// heartbeats of workers.
 type stallTracker struct {
-	// lastTick is when the newest tick came; 0 before the first.
+	// lastTick is the time of the newest tick; 0 before the first.
 	lastTick time.Duration
-	// total is the sum of the time by which ticks came late.
-	total time.Duration
-	// heartbeatGap is the average pause between the answer to a worker and its next
-	// heartbeat.
+	// totalDelay is the sum of the delays of late ticks.
+	totalDelay time.Duration
+	// heartbeatGap is the moving average of the time between an answer to a worker and the
+	// worker's next heartbeat; 0 before the first gap.
 	heartbeatGap time.Duration
 }
 
-// observeTick records that a tick came now, and returns by how much it was late.
+// observeTick records a tick and returns its delay, or 0 if the delay is below
+// lateTickThreshold or the tick is the first.
 func (s *stallTracker) observeTick(now time.Duration) time.Duration {
-	late := now - s.lastTick - tickInterval
+	delay := now - s.lastTick - tickInterval
 	isFirst := s.lastTick == 0
 	s.lastTick = now
-	if isFirst || late < lateTickThreshold {
+	if isFirst || delay < lateTickThreshold {
 		return 0
 	}
-	s.total += late
-	return late
+	s.totalDelay += delay
+	return delay
 }
 
-// observeHeartbeatGap records for how long a worker was not seen after an answer that
-// named an interval.
+// observeHeartbeatGap adds to the average the time between an answer, which asked the worker
+// for the given heartbeat interval, and the worker's next heartbeat.
 func (s *stallTracker) observeHeartbeatGap(gap, interval time.Duration) {
 	gap = min(gap, maxHeartbeatGapIntervals*interval)
 	if s.heartbeatGap == 0 {
@@ -51,33 +52,36 @@
 	s.heartbeatGap += time.Duration(heartbeatGapWeight * float64(gap-s.heartbeatGap))
 }
 
-// expectedHeartbeatGap is how soon after an answer a worker is seen again at present.
+// expectedHeartbeatGap returns the average time from an answer to the worker's next
+// heartbeat, and at least the heartbeat interval.
 func (s *stallTracker) expectedHeartbeatGap(interval time.Duration) time.Duration {
 	return max(interval, s.heartbeatGap)
 }
 
-// observeTick records that the leader's own tick came now.
+// observeTick records a tick of the leader's loop. A stall of at least a heartbeat interval
+// is logged.
 func (l *leader) observeTick() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	late := l.registry.stalls.observeTick(l.now())
-	if late == 0 {
+	delay := l.registry.stalls.observeTick(l.now())
+	if delay == 0 {
 		return
 	}
-	l.metrics.lateSeconds.Add(late.Seconds())
-	if late >= l.registry.heartbeatInterval() {
-		l.logger.Warn("leader stalled", slog.Duration("late", late))
+	l.metrics.tickDelaySeconds.Add(delay.Seconds())
+	if delay >= l.registry.heartbeatInterval() {
+		l.logger.Warn("leader stalled", slog.Duration("late", delay))
 	}
 }
 
-// leaderStallSince is for how long the leader has stalled since it answered the worker.
+// leaderStallSince returns the time for which the leader has stalled since it last answered
+// the worker.
 func (r *workerRegistry) leaderStallSince(worker *workerEntry) time.Duration {
-	return r.stalls.total - worker.leaderStallAtAnswer
+	return r.stalls.totalDelay - worker.leaderStallAtAnswer
 }
 
-// heartbeatDelay is for how long the worker could have been seen since its newest
-// answer and was not. While a heartbeat is in progress the worker waits for its answer,
-// and misses none.
+// heartbeatDelay returns the time since the newest answer to the worker, less the leader's
+// own stalls. It returns 0 before the first answer of the term, and while a heartbeat is in
+// progress: the worker then waits for the answer and misses no heartbeat.
 func (r *workerRegistry) heartbeatDelay(worker *workerEntry, now time.Duration) time.Duration {
 	if !worker.answered() || worker.seq != worker.answeredSeq {
 		return 0
@@ -85,14 +89,16 @@
 	return now - worker.answeredAt - r.leaderStallSince(worker)
 }
 
-// missesHeartbeats reports whether the worker's next heartbeat is overdue, by the pace at
-// which the others are seen at present.
+// missesHeartbeats reports whether the worker's next heartbeat is overdue, measured by the
+// average gap between the heartbeats of all workers.
 func (r *workerRegistry) missesHeartbeats(worker *workerEntry, now time.Duration) bool {
 	return r.heartbeatDelay(worker, now) > missedHeartbeatsLimit*r.stalls.expectedHeartbeatGap(r.heartbeatInterval())
 }
 
-// observeHeartbeatGap observes a heartbeat that is seen now, before the worker is answered
-// again. After a prompt answer, and in the first answer of a term, the pause differs.
+// observeHeartbeatGap records the gap before a heartbeat that was just received, and must be
+// called before the heartbeat is answered. It ignores gaps that are not regular: before the
+// first answer of the term, after an answer that asked for a prompt heartbeat, and after the
+// worker's lease expired.
 func (r *workerRegistry) observeHeartbeatGap(worker *workerEntry, now time.Duration) {
 	if !worker.answered() || worker.answeredPromptly || worker.lease.expired {
 		return
--- a/internal/scheduler/leaderstalls_test.go
+++ b/internal/scheduler/leaderstalls_test.go
@@ -8,12 +8,12 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-// ownStall is how long a leader has stalled in these tests: over the time after
-// which a worker counts as missing heartbeats, and far from a lease.
-const ownStall = longGap * testInterval
+// testLeaderStall is the duration of a leader's stall: longer than the time after which a
+// worker counts as missing heartbeats, and much shorter than a lease.
+const testLeaderStall = missedGap * testInterval
 
-// stallLeader lets time pass in which neither the leader's loops nor any heartbeat are
-// served, and then has the loops run.
+// stallLeader advances the leader's monotonic clock without running the leader's loops or
+// handling any heartbeat, and then runs the loops once.
 func (h *harness) stallLeader(gap time.Duration) {
 	h.leader.observeTick()
 	h.now += gap
@@ -21,67 +21,67 @@
 	h.advance(0)
 }
 
-// fleetWithUnassignedRuns are workers that were answered, of which each has a run that
-// was not assigned yet.
+// fleetWithUnassignedRuns returns a harness with count workers that were answered and have 4
+// runs each that were not assigned yet.
 func fleetWithUnassignedRuns(t *testing.T, count int) (*harness, []*fakeWorker) {
 	t.Helper()
 	h := newHarness(t)
 	workers := make([]*fakeWorker, count)
 	for i := range workers {
 		name := fmt.Sprintf("w%02d", i)
-		workers[i] = h.worker(name, name+"-1")
+		workers[i] = h.newWorker(name, name+"-1")
 		workers[i].exchange()
 	}
-	h.submit("j", tasks(4*count)) // all the capacity that there is
+	h.submit("j", tasks(4*count)) // takes the capacity of all workers
 	return h, workers
 }
 
-// TestLeaderStall_IsNoMissedHeartbeat: after the leader itself stalled, heartbeats
-// that came meanwhile are read one after the other. The workers that are not read yet
-// miss none, although half of them were seen already.
-func TestLeaderStall_IsNoMissedHeartbeat(t *testing.T) {
-	for _, gap := range []time.Duration{ownStall, 2 * ownStall, 2500 * time.Millisecond} {
+// TestLeaderStall_NotCountedAsMissedHeartbeat: after a stall of the leader, the heartbeats
+// that arrived meanwhile are handled one after the other. A worker whose heartbeat is not
+// handled yet must not count as missing heartbeats, even when those of half of the workers are.
+func TestLeaderStall_NotCountedAsMissedHeartbeat(t *testing.T) {
+	for _, gap := range []time.Duration{testLeaderStall, 2 * testLeaderStall, 2500 * time.Millisecond} {
 		h, workers := fleetWithUnassignedRuns(t, 10)
 		h.stallLeader(gap)
 		for _, worker := range workers {
 			worker.exchange()
 		}
 		if revoked := testutil.ToFloat64(h.leader.metrics.runsRevoked); revoked != 0 {
-			t.Errorf("pause of %v: %v runs revoked from workers that were not read yet", gap, revoked)
+			t.Errorf("stall of %v: got %v runs revoked, want 0", gap, revoked)
 		}
 		for index := range 40 {
 			if task := h.task("j", index); task.Run != 1 {
-				t.Errorf("pause of %v: task %d is at run %d", gap, index, task.Run)
+				t.Errorf("stall of %v: task %d: got run %d, want run 1", gap, index, task.Run)
 			}
 		}
 	}
 }
 
-// TestLeaderStall_MissingWorkerIsStillFound: a worker that is not seen once the leader
-// goes on misses heartbeats as soon as it would be without the pause.
+// TestLeaderStall_MissingWorkerIsStillFound: a worker that sends nothing after the leader's
+// stall must count as missing heartbeats as soon as it would without the stall.
 func TestLeaderStall_MissingWorkerIsStillFound(t *testing.T) {
 	h, workers := fleetWithUnassignedRuns(t, 10)
-	h.stallLeader(ownStall)
-	for range longGap + 1 {
+	h.stallLeader(testLeaderStall)
+	for range missedGap + 1 {
 		for _, worker := range workers[1:] {
 			worker.exchange()
 		}
 		h.advance(testInterval)
 	}
 	if revoked := testutil.ToFloat64(h.leader.metrics.runsRevoked); revoked != 4 {
-		t.Errorf("%v runs revoked, want the 4 of the worker that is gone", revoked)
+		t.Errorf("got %v runs revoked, want the 4 of the missing worker", revoked)
 	}
 }
 
-// TestLeaderStall_SlowReadingIsNoMissedHeartbeat: a leader that reads each heartbeat three intervals after
-// the answer before it, as one does whose processor is too small, takes none of its
-// workers as missing heartbeats once it has seen that pace.
-func TestLeaderStall_SlowReadingIsNoMissedHeartbeat(t *testing.T) {
+// TestLeaderStall_SlowReadingNotCountedAsMissedHeartbeat: a leader with too little processor
+// time handles each heartbeat three intervals after its previous answer to the worker. Once
+// it has measured that gap, no worker may count as missing heartbeats.
+func TestLeaderStall_SlowReadingNotCountedAsMissedHeartbeat(t *testing.T) {
 	h, workers := fleetWithUnassignedRuns(t, 40)
 	const rounds = 8
 	for range rounds {
 		for _, worker := range workers {
-			h.advance(longGap * testInterval / time.Duration(len(workers)))
+			h.advance(missedGap * testInterval / time.Duration(len(workers)))
 			worker.exchange()
 		}
 	}
@@ -89,30 +89,31 @@
 	before := testutil.ToFloat64(h.leader.metrics.runsRevoked)
 	for _, worker := range workers {
 		if h.leader.registry.missesHeartbeats(h.leader.registry.byID[worker.heartbeat.WorkerID], h.now) {
-			t.Errorf("%s counts as missing heartbeats at the pace of all", worker.heartbeat.Name)
+			t.Errorf("%s counts as missing heartbeats at the average gap of all workers", worker.heartbeat.Name)
 		}
 	}
 	if after := testutil.ToFloat64(h.leader.metrics.runsRevoked); after != before {
-		t.Errorf("%v runs revoked", after-before)
+		t.Errorf("got %v runs revoked, want 0", after-before)
 	}
 }
 
-// TestLeaderStall_LateTicksAreCounted: ticks that come a little late are as timers are.
+// TestLeaderStall_LateTicksAreCounted: the first tick and ticks that are only a little late,
+// as timers are, must not count as a stall.
 func TestLeaderStall_LateTicksAreCounted(t *testing.T) {
 	h := newHarness(t)
 	tickAfter := func(gap time.Duration) float64 {
-		before := testutil.ToFloat64(h.leader.metrics.lateSeconds)
+		before := testutil.ToFloat64(h.leader.metrics.tickDelaySeconds)
 		h.now += gap
 		h.leader.observeTick()
-		return testutil.ToFloat64(h.leader.metrics.lateSeconds) - before
+		return testutil.ToFloat64(h.leader.metrics.tickDelaySeconds) - before
 	}
 	if late := tickAfter(time.Hour); late != 0 {
-		t.Errorf("the first tick counts as %v s late", late)
+		t.Errorf("first tick: got a delay of %v s, want 0", late)
 	}
 	if late := tickAfter(tickInterval + 20*time.Millisecond); late != 0 {
-		t.Errorf("a tick 20 ms late counts as %v s", late)
+		t.Errorf("tick 20 ms late: got a delay of %v s, want 0", late)
 	}
 	if late := tickAfter(tickInterval + 400*time.Millisecond); late < 0.39 || late > 0.41 {
-		t.Errorf("a tick 400 ms late counts as %v s", late)
+		t.Errorf("tick 400 ms late: got a delay of %v s, want 0.4", late)
 	}
 }
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// expireLeases closes the runs of workers whose lease has surely expired: the worker has
-// stopped them by itself before now (P11). The same goes for workers that another
-// incarnation has replaced: they have ended, and their runs with them.
-func (r *workerRegistry) expireLeases(now time.Duration, ends runEnder) {
+// expireLeases closes the runs of workers whose lease has certainly expired: by then the
+// worker has stopped them on its own (P11). It also closes the runs of workers that
+// another incarnation has replaced: their processes have ended, and their runs with them.
+func (r *workerRegistry) expireLeases(now time.Duration, ender runEnder) {
 	for _, worker := range r.byID {
-		if !worker.mustExpireLease(now) && !r.replaced(worker, now) {
+		if !worker.mustExpireLease(now) && !r.mustExpireReplaced(worker, now) {
 			continue
 		}
 		worker.lease.expire()
@@ -18,7 +18,7 @@
 			slog.String("worker", worker.info.Name), slog.String("worker_id", worker.info.ID),
 			slog.Int("runs", len(worker.runs)), slog.Duration("since_last_seen", r.sinceLastSeen(worker, now)))
 		for _, run := range worker.runs {
-			ends.enqueueClose(run, "worker silent beyond its hold")
+			ender.enqueueClose(run, "worker silent beyond its hold")
 		}
 		if worker.registered {
 			r.updatePlannerWorker(worker)
@@ -29,8 +29,8 @@
 	}
 }
 
-// refreshPlannerWorkers updates the planner on workers whose answers stopped arriving, or
-// arrive again. It reports whether there were any.
+// refreshPlannerWorkers updates the planner for workers whose answers have stopped
+// arriving or arrive again. It reports whether there were any.
 func (r *workerRegistry) refreshPlannerWorkers(now time.Duration) bool {
 	changed := false
 	for _, worker := range r.byID {
@@ -41,44 +41,46 @@
 	return changed
 }
 
-// sinceLastSeen is for how long a worker was not seen in this term.
+// sinceLastSeen returns the time since the worker's newest heartbeat, or since the start of
+// the term if none arrived in it.
 func (r *workerRegistry) sinceLastSeen(worker *workerEntry, now time.Duration) time.Duration {
 	return now - max(worker.lastSeen, r.startedAt)
 }
 
-// lease is until when a worker may be running what it was given.
+// lease limits how long a worker may run what it was assigned.
 type lease struct {
+	// expiresAt is the end of the lease with the drift margin; 0 if there is no lease.
 	expiresAt time.Duration
-	// expirations counts how often expiresAt has passed; a heartbeat that was in
-	// progress meanwhile gets no answer.
+	// expirations counts the calls of expire. A heartbeat that was being handled during
+	// one of them gets no answer.
 	expirations uint64
-	// lastExpired is the expiresAt that has passed last.
+	// lastExpired is the value of expiresAt at the newest call of expire.
 	lastExpired time.Duration
-	// expired is true from the expiry to the next heartbeat.
+	// expired is true from an expiry until the next heartbeat.
 	expired bool
 }
 
-// extend extends the lease; it is never shortened.
+// extend extends the lease to until; it never shortens the lease.
 func (l *lease) extend(until time.Duration) {
 	l.expiresAt = max(l.expiresAt, until)
 }
 
-// expire records that the lease has passed without a newer answer.
+// expire records that the leader acts on the end of the lease.
 func (l *lease) expire() {
 	l.expirations++
 	l.lastExpired = l.expiresAt
 	l.expired = true
 }
 
-// hasPassed reports whether the lease has passed.
+// hasPassed reports whether there is a lease and now is after its end.
 func (l *lease) hasPassed(now time.Duration) bool {
 	return l.expiresAt != 0 && now > l.expiresAt
 }
 
-// mustExpireLease reports whether the lease has passed and that has not been acted on
-// yet, or a run was opened since. A lease expires once: a worker that is seen
-// again must not expire at each tick until its heartbeat is answered, since that
-// would keep a heartbeat whose reports take a while from ever being answered.
+// mustExpireLease reports whether the lease has passed and the leader has not acted on it
+// yet, or a run was opened since. A lease expires only once: if it expired again at each
+// tick, a worker that is back would never be answered while the commit of its reports
+// takes longer than a tick.
 func (w *workerEntry) mustExpireLease(now time.Duration) bool {
 	if !w.lease.hasPassed(now) {
 		return false
--- a/internal/scheduler/leases_test.go
+++ b/internal/scheduler/leases_test.go
@@ -7,23 +7,25 @@
 	"github.com/decklever/decklever/api"
 )
 
-// Otherwise a worker with reports would never be answered while a commit takes
-// longer than a tick.
+// TestLease_ExpiresOnceUntilAnswered guards against a worker that is never answered: if an
+// expired lease expired again at each tick, every heartbeat with reports would be
+// superseded while a commit takes longer than a tick.
 func TestLease_ExpiresOnceUntilAnswered(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
-	worker.end(api.OutcomeSucceeded)
+	worker.endAllRuns(api.OutcomeSucceeded)
 	h.advance(testLease + testDriftMargin + time.Millisecond)
-	h.log.whileProposing = func() { h.leader.tick() }
+	h.log.duringProposal = func() { h.leader.tick() }
 	if answer := worker.exchange(); len(answer.Acknowledged) != 1 {
-		t.Errorf("acknowledged %+v", answer.Acknowledged)
+		t.Errorf("got acknowledged %+v, want the one report", answer.Acknowledged)
 	}
 }
 
-// Its placement may have been under way while the lease expired.
+// TestLease_RunOpenedAfterExpiryIsClosed guards against a run that stays open on an expired
+// worker because its placement was being committed while the lease expired.
 func TestLease_RunOpenedAfterExpiryIsClosed(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	worker.exchange()
 	worker.exchange()
 	h.submit("j", tasks(1))
@@ -34,53 +36,53 @@
 	h.leader.mu.Unlock()
 	h.settle()
 	if len(h.leader.assignments.runs) != 0 || len(h.leader.pending.waiting) != 1 {
-		t.Errorf("%d runs open, %d tasks wait", len(h.leader.assignments.runs), len(h.leader.pending.waiting))
+		t.Errorf("got %d open runs and %d waiting tasks, want 0 and 1", len(h.leader.assignments.runs), len(h.leader.pending.waiting))
 	}
 }
 
 func TestLease_RunsAreLostOnlyAfterExpiryAndDriftMargin(t *testing.T) {
 	h := newHarness(t)
-	h.running("a", 1)
-	other := h.worker("b", "b-1")
+	h.startRunning("a", 1)
+	other := h.newWorker("b", "b-1")
 	other.exchange()
 	h.advance(testLease + testDriftMargin)
 	other.exchange()
 	if answer := other.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("task given away while the lease stands: %+v", answer.Start)
+		t.Fatalf("want no start on b before the lease of a expires, got %+v", answer.Start)
 	}
 	h.advance(time.Millisecond)
 	answer := other.exchange()
 	if len(answer.Start) != 1 || answer.Start[0].Run != 2 {
-		t.Fatalf("want run 2 elsewhere, got %+v", answer.Start)
+		t.Fatalf("want run 2 on b, got %+v", answer.Start)
 	}
 }
 
-func TestLease_NewTermAssumesEveryWorkerHoldsOne(t *testing.T) {
+func TestLease_NewTermAssumesUnexpiredLeases(t *testing.T) {
 	h := newHarness(t)
-	h.running("a", 1)
-	other := h.worker("b", "b-1")
+	h.startRunning("a", 1)
+	other := h.newWorker("b", "b-1")
 	h.advance(testLease)
 	h.newTerm()
 	other.exchange()
 	h.advance(testLease - time.Second)
-	other.exchange() // keeps its own lease
+	other.exchange() // extends its own lease
 	h.advance(time.Second + testDriftMargin)
 	if answer := other.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("given away within a lease of the new term's start: %+v", answer.Start)
+		t.Fatalf("want no start within one lease after the start of the term, got %+v", answer.Start)
 	}
 	h.advance(time.Millisecond)
 	if answer := other.exchange(); len(answer.Start) != 1 {
-		t.Fatalf("want the task elsewhere now, got %+v", answer.Start)
+		t.Fatalf("want a start on b after the lease, got %+v", answer.Start)
 	}
 }
 
 func TestLease_NewIncarnationWaitsForOldExpiry(t *testing.T) {
 	h := newHarness(t)
-	earlier := h.running("w", 1)
-	later := h.worker("w", "w-2")
+	earlier := h.startRunning("w", 1)
+	later := h.newWorker("w", "w-2")
 	h.advance(testLease)
 	if answer := later.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("new incarnation got work under the old lease: %+v", answer.Start)
+		t.Fatalf("want no start on the new incarnation before the old lease expires, got %+v", answer.Start)
 	}
 	h.advance(testDriftMargin + time.Millisecond)
 	later.exchange()
@@ -89,6 +91,6 @@
 		t.Fatalf("want run 2 on the new incarnation, got %+v", answer.Start)
 	}
 	if answer := earlier.exchange(); len(answer.Stop) != 1 {
-		t.Errorf("the old incarnation must stop its run, got %+v", answer)
+		t.Errorf("want the run stopped on the old incarnation, got %+v", answer)
 	}
 }
--- a/internal/scheduler/list.go
+++ b/internal/scheduler/list.go
@@ -12,12 +12,12 @@
 const (
 	defaultListLimit = 100
 	maxListLimit     = 1000
-	// archiveBatch is how many archived jobs are read at a time for a list.
-	archiveBatch = 256
+	// archiveBatchSize is how many archived jobs one read returns for a list.
+	archiveBatchSize = 256
 )
 
-// listJobs returns a page of live and archived jobs in the order of their ids.
-// The page token is the last id of the page before.
+// listJobs returns a page of live and archived jobs, ordered by id. The page token is the
+// last id of the previous page.
 func (l *leader) listJobs(_ context.Context, request protocol.ListJobsRequest) (protocol.ListJobsAnswer, error) {
 	limit := request.Limit
 	if limit <= 0 {
@@ -41,6 +41,7 @@
 	return protocol.ListJobsAnswer{List: list}, nil
 }
 
+// listLive returns up to limit live jobs after the page token that match the request.
 func (l *leader) listLive(request protocol.ListJobsRequest, limit int) []api.JobSummary {
 	rows := []api.JobSummary{}
 	l.log.Record().Read(func(view record.View) {
@@ -67,11 +68,13 @@
 	return request.State == "" || request.State == state
 }
 
+// listArchived returns up to limit archived jobs after the page token that match the
+// request.
 func (l *leader) listArchived(request protocol.ListJobsRequest, limit int) ([]api.JobSummary, error) {
 	rows := []api.JobSummary{}
 	after := request.PageToken
 	for {
-		batch, err := l.archive.List(after, archiveBatch)
+		batch, err := l.archive.List(after, archiveBatchSize)
 		if err != nil {
 			return nil, fmt.Errorf("list archived jobs: %w", err)
 		}
@@ -85,14 +88,14 @@
 				return rows, nil
 			}
 		}
-		if len(batch) < archiveBatch {
+		if len(batch) < archiveBatchSize {
 			return rows, nil
 		}
 	}
 }
 
-// mergeByID merges two lists that are each in the order of ids. A job that
-// moved to the archive between the two reads stands in both; one row stays.
+// mergeByID merges two lists that are both ordered by id. A job that was archived between
+// the two reads is in both; its archived row is kept.
 func mergeByID(live, archived []api.JobSummary) []api.JobSummary {
 	merged := make([]api.JobSummary, 0, len(live)+len(archived))
 	for len(live) > 0 && len(archived) > 0 {
--- a/internal/scheduler/localitywait.go
+++ b/internal/scheduler/localitywait.go
@@ -7,21 +7,21 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// A task that runs for a multiple of its time away from what it prefers is better off
-// if it waits a moment for capacity there (delay scheduling, Zaharia et al. 2010). Room
-// comes soon where many short tasks run, and the wait is bounded by what the task can
-// spare.
+// A task can take a multiple of its usual time on a worker without the labels that it
+// prefers. It ends sooner if it waits a short time for capacity on a preferred worker (delay
+// scheduling, Zaharia et al. 2010). Capacity is soon released where many short tasks run,
+// and the wait is limited to a part of the task's slack.
 
 const (
-	// maxLocalityWait is the longest wait for a preferred worker.
+	// maxLocalityWait is the maximum wait for a preferred worker.
 	maxLocalityWait = 300 * time.Millisecond
-	// localityWaitOfSlack: a task waits for one part in so many of the time that is left
-	// until its latest start.
-	localityWaitOfSlack = 4
+	// localityWaitSlackDivisor limits the wait to this fraction of the time left until the
+	// task's latest start: 4 allows a quarter.
+	localityWaitSlackDivisor = 4
 )
 
-// startLocalityWait has a task wait for a worker that it prefers, once, from when it is offered
-// first.
+// startLocalityWait makes a task wait for a preferred worker when it is first offered. Later
+// calls for the task do nothing.
 func (p *pendingWork) startLocalityWait(entry *waitingTask) {
 	if entry.localityWaitEnds != 0 {
 		return
@@ -29,7 +29,7 @@
 	now := p.clusterNow()
 	entry.localityWaitEnds = now
 	wait := entry.localityWait(now)
-	if wait <= 0 || p.off.Has(featuregate.LocalityWait) {
+	if wait <= 0 || p.disabledFeatures.Has(featuregate.LocalityWait) {
 		return
 	}
 	entry.localityWaitEnds += wait
@@ -37,8 +37,9 @@
 	p.ranks.add(entry.localityWaitEnds, entry.task.ID)
 }
 
-// localityWait is how long the task can wait for a worker that it prefers. One that failed
-// before does not: it would go back to where it failed.
+// localityWait returns how long the task may wait for a preferred worker. A value of 0 or
+// less means that it must not wait. A task that has failed or has run before does not wait,
+// since it would return to the worker on which it failed.
 func (e *waitingTask) localityWait(now record.Millis) record.Millis {
 	spec := e.task.Spec
 	if len(spec.Prefer) == 0 || e.task.UntilCancelled || len(e.task.Avoid) > 0 || e.nextRun > 1 {
@@ -48,14 +49,14 @@
 	if estimate := spec.Estimate.Std(); estimate > 0 {
 		wait = min(wait, record.MillisOf(estimate))
 	}
-	if e.urgency.timely {
-		wait = min(wait, (e.urgency.times.LatestStart-now)/localityWaitOfSlack)
+	if e.urgency.hasObjective {
+		wait = min(wait, (e.urgency.deadlines.LatestStart-now)/localityWaitSlackDivisor)
 	}
 	return wait
 }
 
-// endLocalityWait lets a task take any worker once its time to wait is over. It reports
-// whether that is so now.
+// endLocalityWait lets the task take any worker if its locality wait has expired. It reports
+// whether this call ended the wait.
 func (e *waitingTask) endLocalityWait(now record.Millis) bool {
 	if !e.task.WaitsForPreferred || now < e.localityWaitEnds {
 		return false
@@ -64,8 +65,8 @@
 	return true
 }
 
-// setLocalityWait changes the task's preferences. The planner may have the old ones, so
-// that they are replaced, not changed.
+// setLocalityWait sets WaitsForPreferred in a copy of the task's preferences, since the
+// planner may share the old ones.
 func (e *waitingTask) setLocalityWait(waits bool) {
 	if e.task.WaitsForPreferred == waits {
 		return
--- a/internal/scheduler/localitywait_test.go
+++ b/internal/scheduler/localitywait_test.go
@@ -10,9 +10,10 @@
 	"github.com/decklever/decklever/internal/workerhealth"
 )
 
-// racks registers worker "x" of rack x with capacity for one task, and "y" of rack y.
-func (h *harness) racks() (x, y *fakeWorker) {
-	x, y = h.worker("x", "x-1"), h.worker("y", "y-1")
+// registerRackWorkers registers worker "x" in rack x, with capacity for one task, and worker
+// "y" in rack y, with capacity for four.
+func (h *harness) registerRackWorkers() (x, y *fakeWorker) {
+	x, y = h.newWorker("x", "x-1"), h.newWorker("y", "y-1")
 	x.heartbeat.Capacity.CPUMillis = 1000
 	for _, worker := range []*fakeWorker{x, y} {
 		worker.heartbeat.Labels = map[string]string{"rack": worker.heartbeat.Name}
@@ -21,9 +22,9 @@
 	return x, y
 }
 
-// nearRack is a step of one task that prefers the rack.
-func nearRack(rack string, estimate time.Duration) api.StepSpec {
-	step := estimated(1, estimate)
+// preferringRack returns a step of one task that prefers the rack.
+func preferringRack(rack string, estimate time.Duration) api.StepSpec {
+	step := tasksWithEstimate(1, estimate)
 	step.Tasks[0].Prefer = map[string]string{"rack": rack}
 	return step
 }
@@ -35,30 +36,30 @@
 		objective time.Duration
 		waits     time.Duration
 	}{
-		{"the longest time", 10 * time.Second, time.Minute, maxLocalityWait},
-		{"for its estimate", 150 * time.Millisecond, time.Minute, 150 * time.Millisecond},
-		{"for a part of its slack", 400 * time.Millisecond, 800 * time.Millisecond, 100 * time.Millisecond},
-		{"not at all if it is late", 10 * time.Second, time.Second, 0},
+		{"limited by maxLocalityWait", 10 * time.Second, time.Minute, maxLocalityWait},
+		{"limited by its estimate", 150 * time.Millisecond, time.Minute, 150 * time.Millisecond},
+		{"limited by its slack", 400 * time.Millisecond, 800 * time.Millisecond, 100 * time.Millisecond},
+		{"no wait if it is late", 10 * time.Second, time.Second, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
 			h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q", Objective: &api.ObjectiveConfig{Target: api.Duration(c.objective)}}}})
-			x, y := h.racks()
-			h.submit("first", nearRack("x", time.Second))
+			x, y := h.registerRackWorkers()
+			h.submit("first", preferringRack("x", time.Second))
 			if answer := x.exchange(); len(answer.Start) != 1 {
-				t.Fatalf("the rack's own: %+v", answer.Start)
+				t.Fatalf("got %+v, want the first task assigned in its preferred rack", answer.Start)
 			}
-			h.submit("second", nearRack("x", c.estimate))
+			h.submit("second", preferringRack("x", c.estimate))
 			if c.waits > 0 {
 				h.advance(c.waits - time.Millisecond)
 				if answer := y.exchange(); len(answer.Start) != 0 {
-					t.Fatalf("elsewhere before %v: %+v", c.waits, answer.Start)
+					t.Fatalf("want no assignment in the other rack before %v, got %+v", c.waits, answer.Start)
 				}
 				h.advance(time.Millisecond)
 			}
 			if answer := y.exchange(); len(answer.Start) != 1 {
-				t.Fatalf("not elsewhere after %v", c.waits)
+				t.Fatalf("second task not assigned in the other rack after %v", c.waits)
 			}
 		})
 	}
@@ -66,79 +67,82 @@
 
 func TestLocalityWait_UsesPreferredRackOnceFree(t *testing.T) {
 	h := newHarness(t)
-	x, y := h.racks()
-	h.submit("first", nearRack("x", time.Second))
+	x, y := h.registerRackWorkers()
+	h.submit("first", preferringRack("x", time.Second))
 	x.exchange()
-	h.submit("second", nearRack("x", time.Second))
+	h.submit("second", preferringRack("x", time.Second))
 	h.advance(100 * time.Millisecond)
-	x.end(api.OutcomeSucceeded)
+	x.endAllRuns(api.OutcomeSucceeded)
 	x.exchange()
 	if answer := x.exchange(); len(answer.Start) != 1 {
-		t.Errorf("no assignment in its rack")
+		t.Errorf("second task not assigned in its preferred rack")
 	}
 	if answer := y.exchange(); len(answer.Start) != 0 {
-		t.Errorf("elsewhere as well: %+v", answer.Start)
+		t.Errorf("got %+v in the other rack, want no assignment", answer.Start)
 	}
 }
 
-// TestLocalityWait_RetryDoesNotWait: it would go back to where it failed.
+// TestLocalityWait_RetryDoesNotWait: a retry that waited for its preferred rack would return
+// to the worker on which it failed.
 func TestLocalityWait_RetryDoesNotWait(t *testing.T) {
 	h := newHarness(t)
-	x, y := h.racks()
-	step := nearRack("x", time.Second)
+	x, y := h.registerRackWorkers()
+	step := preferringRack("x", time.Second)
 	allowed := 3
 	step.Tasks[0].AllowedFailures = &allowed
 	h.submit("j", step)
 	x.exchange()
-	x.end(api.OutcomeFailed)
+	x.endAllRuns(api.OutcomeFailed)
 	x.exchange()
-	h.submit("taken", nearRack("x", time.Second))
+	h.submit("taken", preferringRack("x", time.Second))
 	x.exchange()
 	h.advance(time.Second)
 	if answer := y.exchange(); len(answer.Start) != 1 {
-		t.Errorf("the retry waits")
+		t.Errorf("retry not assigned in the other rack")
 	}
 }
 
-// TestLocalityWait_ChangedQueueOrderEndsIt: the wait's timer goes with the order of queues.
-func TestLocalityWait_ChangedQueueOrderEndsIt(t *testing.T) {
+// TestLocalityWait_ChangedQueueOrderEndsWait: a change of queue priorities drops the rank
+// timers, among them that of a locality wait. A wait that stayed would never end.
+func TestLocalityWait_ChangedQueueOrderEndsWait(t *testing.T) {
 	h := newHarness(t)
-	x, y := h.racks()
-	h.submit("first", nearRack("x", time.Second))
+	x, y := h.registerRackWorkers()
+	h.submit("first", preferringRack("x", time.Second))
 	x.exchange()
-	h.submit("second", nearRack("x", time.Second))
+	h.submit("second", preferringRack("x", time.Second))
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q", Priority: 3}}})
 	if answer := y.exchange(); len(answer.Start) != 1 {
-		t.Errorf("waits on without a timer")
+		t.Errorf("second task not assigned in the other rack after the change of queue order")
 	}
 }
 
-// TestHealthReview_RunsOutsidePreferredRackGiveNoPace: they take three times as long as
-// usual on worker y, which is sound.
-func TestHealthReview_RunsOutsidePreferredRackGiveNoPace(t *testing.T) {
+// TestHealthReview_RunsOutsidePreferredRackAreNotCompared: runs take three times as long as
+// usual on worker y. Runs of tasks that prefer rack x must not make y count as slow, as those
+// of tasks that prefer rack y do.
+func TestHealthReview_RunsOutsidePreferredRackAreNotCompared(t *testing.T) {
 	for prefers, slow := range map[string]bool{"x": false, "y": true} {
 		t.Run("near "+prefers, func(t *testing.T) {
 			h := newHarness(t)
-			x, y := h.racks()
-			h.submit("taken", nearRack("x", time.Minute))
+			x, y := h.registerRackWorkers()
+			h.submit("taken", preferringRack("x", time.Minute))
 			x.exchange()
 			for i := range 8 {
 				usual := workerhealth.RunPace{Run: record.RunID{Task: record.TaskID{Job: fmt.Sprint("usual", i)}}, Queue: "q", Ratio: 1, Ended: true}
 				h.leader.health.tracker.ObservePace("elsewhere", usual, h.now)
 			}
 			for i := range 6 {
-				h.submit(fmt.Sprint("j", i), nearRack(prefers, time.Second))
+				h.submit(fmt.Sprint("j", i), preferringRack(prefers, time.Second))
 				for range 35 {
 					h.advance(100 * time.Millisecond)
 					x.exchange()
 					y.exchange()
 				}
-				y.end(api.OutcomeSucceeded)
+				y.endAllRuns(api.OutcomeSucceeded)
 				y.exchange()
 			}
 			h.advance(reviewInterval)
-			if row := h.stateOf("y"); (row.Reason != "") != slow {
-				t.Errorf("y: %s %q", row.State, row.Reason)
+			if row := h.workerRow("y"); (row.Reason != "") != slow {
+				t.Errorf("worker y: got state %s, reason %q, want a reason only for tasks that prefer its rack", row.State, row.Reason)
 			}
 		})
 	}
--- a/internal/scheduler/metrics.go
+++ b/internal/scheduler/metrics.go
@@ -2,19 +2,20 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the acting scheduler's own; they live as long as the process.
+// metrics has the metrics of the acting scheduler. They are registered once per process
+// and shared by all its terms.
 type metrics struct {
 	proposals   prometheus.Counter
 	placements  prometheus.Counter
-	orders      prometheus.Counter
+	assignments prometheus.Counter
 	heartbeats  *prometheus.CounterVec
 	runsClosed  *prometheus.CounterVec
 	planSeconds prometheus.Histogram
 
 	runsStalled, runsRevoked, workersEjected prometheus.Counter
-	// lateSeconds is by how much the leader's own ticks came late.
-	lateSeconds prometheus.Counter
-	// refusals counts jobs not taken for now.
+	// tickDelaySeconds sums the delays of the leader's own late ticks.
+	tickDelaySeconds prometheus.Counter
+	// refusals counts jobs that were refused for now, by queue and reason.
 	refusals *prometheus.CounterVec
 }
 
@@ -27,7 +28,7 @@
 		placements: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "placements_total", Help: "Runs opened.",
 		}),
-		orders: prometheus.NewCounter(prometheus.CounterOpts{
+		assignments: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "orders_total", Help: "Start orders given in answers.",
 		}),
 		heartbeats: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -47,7 +48,7 @@
 	m.runsRevoked = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: namespace, Name: "runs_withdrawn_total", Help: "Runs taken back from silent workers before any order named them.",
 	})
-	m.lateSeconds = prometheus.NewCounter(prometheus.CounterOpts{
+	m.tickDelaySeconds = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: namespace, Name: "late_seconds_total", Help: "Time by which the leader's own ticks came late.",
 	})
 	m.workersEjected = prometheus.NewCounter(prometheus.CounterOpts{
@@ -56,7 +57,7 @@
 	m.refusals = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "refusals_total", Help: "Jobs not taken for now, by queue and reason.",
 	}, []string{"queue", "reason"})
-	registerer.MustRegister(m.runsStalled, m.runsRevoked, m.workersEjected, m.lateSeconds, m.refusals)
-	registerer.MustRegister(m.proposals, m.placements, m.orders, m.heartbeats, m.runsClosed, m.planSeconds)
+	registerer.MustRegister(m.runsStalled, m.runsRevoked, m.workersEjected, m.tickDelaySeconds, m.refusals)
+	registerer.MustRegister(m.proposals, m.placements, m.assignments, m.heartbeats, m.runsClosed, m.planSeconds)
 	return m
 }
--- a/internal/scheduler/missedheartbeats.go
+++ b/internal/scheduler/missedheartbeats.go
@@ -7,18 +7,17 @@
 	"github.com/decklever/decklever/internal/featuregate"
 )
 
-// missedHeartbeatsLimit is for how many heartbeat intervals a worker may go unseen after an
-// answer until it counts as missing heartbeats.
+// missedHeartbeatsLimit is the number of heartbeat intervals after an answer within which
+// the next heartbeat must arrive; after that the worker counts as missing heartbeats.
 const missedHeartbeatsLimit = 2
 
-// revokeOnMissedHeartbeats closes the runs on workers that miss heartbeats and that no
-// assignment has named, while most workers respond. They surely never start there, so
-// nothing need be waited for, and their tasks can run elsewhere long before the lease
-// expires. It is done once until the worker is answered again: what is placed there
-// afterwards found no capacity elsewhere. A member of a gang stays, since its loss would
-// requeue the gang.
+// revokeOnMissedHeartbeats closes the unassigned runs of workers that miss heartbeats,
+// provided that most workers respond. A run that was never assigned certainly does not
+// start, so its task can run on another worker long before the lease expires. It does so
+// once after each answer to the worker: a run placed there later found no capacity on
+// another worker. Members of gangs stay, since the loss of one would requeue its gang.
 func (l *leader) revokeOnMissedHeartbeats(now time.Duration) {
-	if l.off.Has(featuregate.RevokeOnMissedHeartbeats) || !l.registry.mostWorkersRespond(now) {
+	if l.disabledFeatures.Has(featuregate.RevokeOnMissedHeartbeats) || !l.registry.mostWorkersRespond(now) {
 		return
 	}
 	for _, worker := range l.registry.byID {
@@ -33,18 +32,19 @@
 	}
 }
 
-// isUnresponsive reports whether an assignment to the worker would probably come late: it
-// misses heartbeats, or the newest answer that it can report on did not arrive. Such a
-// worker gets work last.
+// isUnresponsive reports whether an assignment would probably reach the worker late: the
+// worker misses heartbeats, or its newest heartbeat showed that it did not accept the
+// answer before. The planner uses unresponsive workers last.
 func (r *workerRegistry) isUnresponsive(worker *workerEntry, now time.Duration) bool {
-	if r.off.Has(featuregate.UnresponsiveWorkersLast) {
+	if r.disabledFeatures.Has(featuregate.UnresponsiveWorkersLast) {
 		return false
 	}
 	return worker.registered && (worker.answerMissed || r.missesHeartbeats(worker, now))
 }
 
-// mostWorkersRespond reports whether at least half of the workers would take an
-// assignment soon. They would not after a stall of this process itself.
+// mostWorkersRespond reports whether at least half of the registered workers, and at least
+// one, can take an assignment soon. It is false after a stall of this process that made
+// most workers look unresponsive.
 func (r *workerRegistry) mostWorkersRespond(now time.Duration) bool {
 	responsive := 0
 	for _, worker := range r.byName {
--- a/internal/scheduler/missedheartbeats_test.go
+++ b/internal/scheduler/missedheartbeats_test.go
@@ -10,14 +10,15 @@
 const (
 	// testInterval is the default heartbeat interval.
 	testInterval = 200 * time.Millisecond
-	// shortGap and longGap are numbers of heartbeat intervals: the longest
-	// pause that is none yet, and one that is longer, though far from a lease.
-	shortGap = missedHeartbeatsLimit
-	longGap  = missedHeartbeatsLimit + 1
+	// toleratedGap and missedGap are numbers of heartbeat intervals: the longest gap that
+	// does not count as missed heartbeats, and one that does but is far shorter than a
+	// lease.
+	toleratedGap = missedHeartbeatsLimit
+	missedGap    = missedHeartbeatsLimit + 1
 )
 
-// heartbeatIntervals lets time pass in heartbeat intervals, in each of which the workers
-// exchange a heartbeat.
+// heartbeatIntervals advances the time by heartbeat intervals; in each, the workers exchange
+// a heartbeat.
 func (h *harness) heartbeatIntervals(intervals int, workers ...*fakeWorker) {
 	h.t.Helper()
 	for range intervals {
@@ -28,12 +29,12 @@
 	}
 }
 
-// missingAndResponding are two workers, of which the first has a run that was not
-// assigned yet.
-func missingAndResponding(t *testing.T, step api.StepSpec) (h *harness, silent, other *fakeWorker) {
+// newMissingAndResponding returns two workers. The first has an unassigned run, and misses
+// heartbeats unless the test sends them.
+func newMissingAndResponding(t *testing.T, step api.StepSpec) (h *harness, silent, other *fakeWorker) {
 	t.Helper()
 	h = newHarness(t)
-	silent, other = h.worker("a", "a-1"), h.worker("b", "b-1")
+	silent, other = h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
 	silent.exchange()
 	h.submit("j", step)
 	other.exchange()
@@ -44,46 +45,46 @@
 }
 
 func TestRevocation_UnassignedRunLeavesMissingWorker(t *testing.T) {
-	h, _, other := missingAndResponding(t, tasks(1))
-	h.heartbeatIntervals(shortGap, other)
+	h, _, other := newMissingAndResponding(t, tasks(1))
+	h.heartbeatIntervals(toleratedGap, other)
 	if task := h.task("j", 0); task.Run != 1 || task.Worker != "a" {
-		t.Fatalf("revoked after %d heartbeat intervals: %+v", shortGap, task)
+		t.Fatalf("after %d heartbeat intervals: got %+v, want run 1 still on a", toleratedGap, task)
 	}
 	h.heartbeatIntervals(2, other)
 	if len(other.heartbeat.Running) != 1 || other.heartbeat.Running[0].Run != 2 {
-		t.Fatalf("want run 2 on the other worker long before the lease expires, got %+v", other.heartbeat.Running)
+		t.Fatalf("want run 2 on b long before the lease expires, got %+v", other.heartbeat.Running)
 	}
 	if task := h.task("j", 0); task.Failures != 0 {
-		t.Errorf("a revoked run counted as %d failures", task.Failures)
+		t.Errorf("got %d failures after a revocation, want 0", task.Failures)
 	}
 }
 
 func TestRevocation_RevokedRunIsNeverAssigned(t *testing.T) {
-	h, silent, other := missingAndResponding(t, tasks(1))
-	h.heartbeatIntervals(longGap, other)
+	h, silent, other := newMissingAndResponding(t, tasks(1))
+	h.heartbeatIntervals(missedGap, other)
 	if answer := silent.exchange(); len(answer.Start) != 0 {
-		t.Errorf("assigned where it was revoked: %+v", answer.Start)
+		t.Errorf("want no start of the revoked run, got %+v", answer.Start)
 	}
 }
 
 func TestRevocation_PossiblyAssignedRunStays(t *testing.T) {
-	h, silent, other := missingAndResponding(t, tasks(1))
+	h, silent, other := newMissingAndResponding(t, tasks(1))
 	if answer, err := silent.send(); err != nil || len(answer.Start) != 1 {
 		t.Fatalf("want the assignment, got %+v, %v", answer, err)
 	}
 	h.heartbeatIntervals(int(testLease/testInterval), other)
 	if task := h.task("j", 0); task.Run != 1 || task.Worker != "a" {
-		t.Errorf("given away while the lease stands: %+v", task)
+		t.Errorf("got %+v, want run 1 still on a before its lease expires", task)
 	}
 }
 
 func TestUnresponsiveWorker_GetsWorkLast(t *testing.T) {
 	h := newHarness(t)
-	silent, other := h.worker("a", "a-1"), h.worker("b", "b-1")
+	silent, other := h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
 	silent.exchange()
 	other.exchange()
-	h.heartbeatIntervals(longGap, other)
-	h.submit("j", tasks(5)) // one more than there is capacity elsewhere
+	h.heartbeatIntervals(missedGap, other)
+	h.submit("j", tasks(5)) // one more than fits on b
 	counts := map[string]int{}
 	for index := range 5 {
 		counts[h.task("j", index).Worker]++
@@ -94,19 +95,19 @@
 	h.heartbeatIntervals(2, other)
 	for index := range 5 {
 		if task := h.task("j", index); task.Run != 1 {
-			t.Errorf("revoked though there is no capacity elsewhere: %+v", task)
+			t.Errorf("got %+v, want run 1 kept: there is no capacity elsewhere", task)
 		}
 	}
 }
 
-// TestUnresponsiveWorker_RecoversOnHeartbeat has work go to the worker that it would go
-// to anyway.
+// TestUnresponsiveWorker_RecoversOnHeartbeat guards against a worker that stays unresponsive
+// after its heartbeats have resumed: the planner chooses it as before.
 func TestUnresponsiveWorker_RecoversOnHeartbeat(t *testing.T) {
 	h := newHarness(t)
-	silent, other := h.worker("a", "a-1"), h.worker("b", "b-1")
+	silent, other := h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
 	silent.exchange()
 	other.exchange()
-	h.heartbeatIntervals(longGap, other)
+	h.heartbeatIntervals(missedGap, other)
 	h.heartbeatIntervals(2, silent, other)
 	h.submit("j", tasks(1))
 	if task := h.task("j", 0); task.Worker != "a" {
@@ -114,46 +115,46 @@
 	}
 }
 
-// TestRevocation_HeartbeatInProgressIsNotMissed has the log take so long that a worker, which
-// waits for its answer, cannot be seen meanwhile.
+// TestRevocation_HeartbeatInProgressIsNotMissed guards against revoking runs of a worker
+// whose heartbeat is being handled: a slow commit keeps it waiting for its answer, so that
+// it cannot send another heartbeat.
 func TestRevocation_HeartbeatInProgressIsNotMissed(t *testing.T) {
-	h, silent, _ := missingAndResponding(t, tasks(2))
+	h, silent, _ := newMissingAndResponding(t, tasks(2))
 	silent.exchange()
 	h.submit("k", tasks(1))
-	silent.end(api.OutcomeSucceeded)
-	h.log.whileProposing = func() {
-		h.log.whileProposing = nil
-		h.advance(longGap * testInterval)
+	silent.endAllRuns(api.OutcomeSucceeded)
+	h.log.duringProposal = func() {
+		h.log.duringProposal = nil
+		h.advance(missedGap * testInterval)
 	}
 	if answer := silent.exchange(); len(answer.Start) != 1 || answer.Start[0].Run != 1 {
 		t.Errorf("want run 1 of k assigned in the late answer, got %+v", answer.Start)
 	}
 }
 
-// TestRevocation_NothingWhileNoWorkerResponds: it would have nowhere to go.
-func TestRevocation_NothingWhileNoWorkerResponds(t *testing.T) {
-	h, _, other := missingAndResponding(t, tasks(1))
-	h.heartbeatIntervals(longGap)
+// TestRevocation_SkippedWhileNoWorkerResponds: no worker could take the revoked task.
+func TestRevocation_SkippedWhileNoWorkerResponds(t *testing.T) {
+	h, _, other := newMissingAndResponding(t, tasks(1))
+	h.heartbeatIntervals(missedGap)
 	if task := h.task("j", 0); task.Run != 1 {
-		t.Errorf("revoked: %+v", task)
+		t.Errorf("got %+v, want run 1 kept while no worker responds", task)
 	}
 	h.heartbeatIntervals(1)
 	other.exchange()
 	h.heartbeatIntervals(2, other)
 	if task := h.task("j", 0); task.Run != 2 || task.Worker != "b" {
-		t.Errorf("want run 2 on b once that is seen, got %+v", task)
+		t.Errorf("want run 2 on b once b responds, got %+v", task)
 	}
 }
 
-// TestRevocation_IsBoundedPerTask: work does not go round for ever
-// between workers whose heartbeats are slow. Here each misses heartbeats as soon as the
-// task is placed on it.
+// TestRevocation_IsBoundedPerTask guards against a task that is moved between workers with
+// slow heartbeats for ever. Each worker misses heartbeats while the task is placed on it.
 func TestRevocation_IsBoundedPerTask(t *testing.T) {
-	h, first, second := missingAndResponding(t, tasks(1))
-	third := h.worker("c", "c-1")
+	h, first, second := newMissingAndResponding(t, tasks(1))
+	third := h.newWorker("c", "c-1")
 	third.exchange()
 	workers := map[string]*fakeWorker{"a": first, "b": second, "c": third}
-	for range (maxRevocations + 3) * longGap { // less than a lease after the last
+	for range (maxRevocations + 3) * missedGap { // ends less than a lease after the last revocation
 		h.advance(testInterval)
 		holder := h.task("j", 0).Worker
 		for name, worker := range workers {
@@ -163,40 +164,41 @@
 		}
 	}
 	if task := h.task("j", 0); task.Run != 1+maxRevocations {
-		t.Fatalf("want it revoked %d times, got %+v", maxRevocations, task)
+		t.Fatalf("want the task revoked %d times, got %+v", maxRevocations, task)
 	}
 }
 
-// TestRevocation_NothingWhileMostWorkersAreMissing: the pause is then a common one.
-func TestRevocation_NothingWhileMostWorkersAreMissing(t *testing.T) {
-	h, _, other := missingAndResponding(t, tasks(1))
-	h.worker("c", "c-1").exchange()
-	h.heartbeatIntervals(longGap+1, other)
+// TestRevocation_SkippedWhileMostWorkersAreMissing: if most workers miss heartbeats, the cause
+// is probably not with one of them.
+func TestRevocation_SkippedWhileMostWorkersAreMissing(t *testing.T) {
+	h, _, other := newMissingAndResponding(t, tasks(1))
+	h.newWorker("c", "c-1").exchange()
+	h.heartbeatIntervals(missedGap+1, other)
 	if task := h.task("j", 0); task.Run != 1 {
-		t.Errorf("revoked: %+v", task)
+		t.Errorf("got %+v, want run 1 kept while most workers miss heartbeats", task)
 	}
 }
 
-// TestRevocation_GangMemberStays: a run that is revoked sends its whole
-// gang back, so a gang waits for the lease.
+// TestRevocation_GangMemberStays guards against requeuing a complete gang because one worker
+// misses heartbeats: runs of a gang are closed only when the lease expires.
 func TestRevocation_GangMemberStays(t *testing.T) {
 	step := tasks(2)
 	step.Together = true
-	h, _, other := missingAndResponding(t, step)
-	h.heartbeatIntervals(longGap, other)
+	h, _, other := newMissingAndResponding(t, step)
+	h.heartbeatIntervals(missedGap, other)
 	for index := range 2 {
 		if task := h.task("j", index); task.Run != 1 || task.Worker != "a" {
-			t.Errorf("member %d: %+v", index, task)
+			t.Errorf("member %d: got %+v, want run 1 still on a", index, task)
 		}
 	}
 }
 
 func TestUnresponsiveWorker_LostAssignmentGoesElsewhere(t *testing.T) {
-	h, missing, other := missingAndResponding(t, tasks(1))
+	h, missing, other := newMissingAndResponding(t, tasks(1))
 	if answer, err := missing.send(); err != nil || len(answer.Start) != 1 {
 		t.Fatalf("want the assignment, got %+v, %v", answer, err)
 	}
-	missing.exchange() // reports that the answer was not accepted
+	missing.exchange() // shows that the worker did not accept the answer
 	if task := h.task("j", 0); task.Run != 2 || task.Worker != "b" {
 		t.Fatalf("want run 2 on b, got %+v", task)
 	}
@@ -205,15 +207,15 @@
 	}
 }
 
-func TestUnresponsiveWorker_MissedAnswerIsForgiven(t *testing.T) {
+func TestUnresponsiveWorker_RecoversOnAcceptedAnswer(t *testing.T) {
 	h := newHarness(t)
-	worker, other := h.worker("a", "a-1"), h.worker("b", "b-1")
+	worker, other := h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
 	worker.exchange()
 	if _, err := worker.send(); err != nil {
 		t.Fatal(err)
 	}
 	worker.exchange()
-	worker.exchange() // reports that the answer before was accepted
+	worker.exchange() // shows that the worker accepted the answer before
 	h.submit("j", tasks(1))
 	other.exchange()
 	if task := h.task("j", 0); task.Worker != "a" {
--- a/internal/scheduler/pendingstarts.go
+++ b/internal/scheduler/pendingstarts.go
@@ -2,10 +2,11 @@
 
 import "github.com/decklever/decklever/internal/record"
 
-// pendingStarts are the live jobs of which no task was seen to have started on a worker,
-// with their queues. A placement alone does not start a task: its assignment may
-// wait for a heartbeat, or have no effect.
+// pendingStarts holds the live jobs of which no task is known to have started on a worker. A
+// placed task has not started yet: its assignment may be waiting for a heartbeat, or have no
+// effect.
 type pendingStarts struct {
+	// queueOf maps a job's id to its queue, byQueue a queue to its number of such jobs.
 	queueOf map[string]string
 	byQueue map[string]int
 }
@@ -14,32 +15,32 @@
 	return pendingStarts{queueOf: make(map[string]string), byQueue: make(map[string]int)}
 }
 
-// add takes a job in that was just submitted, or found at the start of a term.
-func (n *pendingStarts) add(job *record.Job) {
-	if _, known := n.queueOf[job.ID]; known {
+// add adds a job that was just submitted, or was loaded at the start of a term.
+func (p *pendingStarts) add(job *record.Job) {
+	if _, known := p.queueOf[job.ID]; known {
 		return
 	}
-	n.queueOf[job.ID] = job.Spec.Queue
-	n.byQueue[job.Spec.Queue]++
+	p.queueOf[job.ID] = job.Spec.Queue
+	p.byQueue[job.Spec.Queue]++
 }
 
 // remove removes a job that has started or ended.
-func (n *pendingStarts) remove(id string) {
-	queue, known := n.queueOf[id]
+func (p *pendingStarts) remove(id string) {
+	queue, known := p.queueOf[id]
 	if !known {
 		return
 	}
-	delete(n.queueOf, id)
-	n.byQueue[queue]--
-	if n.byQueue[queue] == 0 {
-		delete(n.byQueue, queue)
+	delete(p.queueOf, id)
+	p.byQueue[queue]--
+	if p.byQueue[queue] == 0 {
+		delete(p.byQueue, queue)
 	}
 }
 
-// mayHaveStarted reports by the record alone, at the start of a term, whether a task of
-// the job has started. A job that has open runs and nothing else counts as not started
-// until a heartbeat lists one of them.
-func mayHaveStarted(job *record.Job) bool {
+// hasRecordedStart reports whether a task of the job has started, as far as the record shows
+// at the start of a term. A job with open runs only, without a failure or a final task,
+// counts as not started until a heartbeat lists one of the runs.
+func hasRecordedStart(job *record.Job) bool {
 	if job.Repetition != nil && job.Repetition.Succeeded+job.Repetition.Failed > 0 {
 		return true
 	}
@@ -53,7 +54,8 @@
 	return false
 }
 
-// jobsPendingStart counts the jobs of a queue of which no task has started.
+// jobsPendingStart returns the number of the queue's jobs of which no task is known to have
+// started.
 func (l *leader) jobsPendingStart(queue string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scheduler/pendingstarts_test.go
+++ b/internal/scheduler/pendingstarts_test.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// wantWaitingJobs checks the count of jobs of queue q of which nothing has started.
+// wantWaitingJobs checks the number of jobs of queue q of which no task has started.
 func (h *harness) wantWaitingJobs(when string, want int) {
 	h.t.Helper()
 	answer, err := h.leader.readQueue(context.Background(), protocol.QueueRequest{Name: "q"})
@@ -17,20 +17,21 @@
 		h.t.Fatalf("%s: %v", when, err)
 	}
 	if answer.Status.WaitingJobs != want {
-		h.t.Errorf("%s: %d jobs wait, want %d", when, answer.Status.WaitingJobs, want)
+		h.t.Errorf("%s: got %d waiting jobs, want %d", when, answer.Status.WaitingJobs, want)
 	}
 }
 
-// workerWithAssignments is a worker that was just given assignments for all that fits.
+// workerWithAssignments registers a worker and has it take assignments for all tasks that fit.
 func (h *harness) workerWithAssignments() *fakeWorker {
 	h.t.Helper()
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	worker.exchange()
 	worker.exchange()
 	return worker
 }
 
-// TestPendingStarts_JobWaitsUntilTaskStarts counts jobs, not tasks, and those placed only too.
+// TestPendingStarts_JobWaitsUntilTaskStarts: the count is of jobs, not of tasks, and includes
+// jobs whose tasks are placed or assigned but not seen started.
 func TestPendingStarts_JobWaitsUntilTaskStarts(t *testing.T) {
 	h := newHarness(t)
 	h.submit("many", tasks(3))
@@ -38,44 +39,45 @@
 	h.wantWaitingJobs("without workers", 2)
 
 	worker := h.workerWithAssignments()
-	h.wantWaitingJobs("once ordered", 2)
+	h.wantWaitingJobs("once assigned", 2)
 	worker.exchange()
 	h.wantWaitingJobs("once listed as running", 0)
 
 	h.submit("third", tasks(2))
-	h.wantWaitingJobs("after another came", 1)
+	h.wantWaitingJobs("after the third job was submitted", 1)
 }
 
-// TestPendingStarts_LostAssignmentKeepsJobWaiting: a run that was refused or never arrived
-// has not started.
+// TestPendingStarts_LostAssignmentKeepsJobWaiting: a run whose assignment was lost, or refused
+// by the worker, has not started.
 func TestPendingStarts_LostAssignmentKeepsJobWaiting(t *testing.T) {
 	h := newHarness(t)
 	h.submit("j", tasks(1))
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	worker.exchange()
-	if _, err := worker.send(); err != nil { // its answer, with the order, is lost
+	if _, err := worker.send(); err != nil { // the worker does not accept the answer with the assignment
 		t.Fatal(err)
 	}
 	worker.exchange()
-	h.wantWaitingJobs("after the order was lost", 1)
+	h.wantWaitingJobs("after the assignment was lost", 1)
 
-	worker.end(api.OutcomeStopped)
+	worker.endAllRuns(api.OutcomeStopped)
 	worker.exchange()
-	h.wantWaitingJobs("after the order was refused", 1)
+	h.wantWaitingJobs("after the assignment was refused", 1)
 }
 
-// TestPendingStarts_EndBetweenHeartbeatsCountsAsStarted: its runs were never listed as running.
+// TestPendingStarts_EndBetweenHeartbeatsCountsAsStarted: runs that start and end between two
+// heartbeats are never listed as running; the report of their end must count as a start.
 func TestPendingStarts_EndBetweenHeartbeatsCountsAsStarted(t *testing.T) {
 	h := newHarness(t)
 	h.submit("j", tasks(2))
 	worker := h.workerWithAssignments()
-	worker.end(api.OutcomeFailed)
+	worker.endAllRuns(api.OutcomeFailed)
 	worker.exchange()
 	h.wantWaitingJobs("after its runs failed", 0)
 }
 
-// TestPendingStarts_AcrossTerms: a new leader counts what may not have started until
-// a heartbeat tells, and nothing that has.
+// TestPendingStarts_AcrossTerms: a new leader counts a job with open runs until a heartbeat
+// lists one of them, and does not count a job of which a task has ended.
 func TestPendingStarts_AcrossTerms(t *testing.T) {
 	h := newHarness(t)
 	h.submit("runs", tasks(1))
@@ -89,13 +91,14 @@
 	h.advance(100 * time.Millisecond)
 	worker.exchange()
 	h.wantWaitingJobs("after a heartbeat", 1)
-	worker.end(api.OutcomeSucceeded)
+	worker.endAllRuns(api.OutcomeSucceeded)
 	worker.exchange()
 	h.newTerm()
 	h.wantWaitingJobs("in the third term", 1)
 }
 
-// TestPendingStarts_CancelledJobDoesNotWait: they have ended.
+// TestPendingStarts_CancelledJobDoesNotWait: a cancelled job has ended and must not be counted
+// any more.
 func TestPendingStarts_CancelledJobDoesNotWait(t *testing.T) {
 	h := newHarness(t)
 	h.submit("j", tasks(2))
--- a/internal/scheduler/pendingwork.go
+++ b/internal/scheduler/pendingwork.go
@@ -7,51 +7,53 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// waitingTask is a ready task of the record.
+// waitingTask is a task that is ready in the record and waits for placement.
 type waitingTask struct {
 	task placement.Task
 	step record.StepID
-	// jobPriority is the job's own, without the queue's.
+	// jobPriority is the job's priority without that of its queue.
 	jobPriority int
 	urgency     urgency
 	// nextRun is the number of the run to place.
 	nextRun uint32
-	// notBefore is the earliest start on the cluster clock.
+	// notBefore is the earliest start in cluster time; 0 if there is none.
 	notBefore record.Millis
-	// due is true once that time has come.
+	// due is true once notBefore has passed.
 	due bool
 	// placing is true while a placement of the task is being committed.
 	placing bool
-	// localityWaitEnds is until when the task waits for a worker that it prefers; 0 before
-	// it was offered first.
+	// localityWaitEnds is the cluster time until which the task waits for a preferred
+	// worker; 0 until the task is first offered.
 	localityWaitEnds record.Millis
-	// counted is true while the task counts for how long newcomers will wait.
-	counted bool
+	// inBacklog is true while the task is counted in its queue's backlog, from which the
+	// wait of new jobs is estimated.
+	inBacklog bool
 }
 
-// backlogObserver follows how many tasks of each queue wait, and how fast they start.
+// backlogObserver tracks how many tasks of each queue wait, and how fast they start.
 type backlogObserver interface {
-	// CountWaiting records that some tasks more, or fewer, of a queue wait.
+	// CountWaiting changes the number of waiting tasks of a queue by change.
 	CountWaiting(queue string, change int)
-	// CountStarted records that a task of a queue was given a worker.
+	// CountStarted records that a task of a queue was placed on a worker.
 	CountStarted(queue string)
 }
 
-// pendingWork holds the ready tasks of the record until they are placed, the order
-// in which the planner takes them, and the times at which that changes.
+// pendingWork holds the record's ready tasks until they are placed, with the order in which
+// the planner takes them and the times at which that order changes.
 type pendingWork struct {
 	*environment
 	waiting map[record.TaskID]*waitingTask
-	// preemptOnOpen are tasks to be stopped once their placement is applied.
+	// preemptOnOpen holds the tasks that were preempted while their placement was being
+	// committed. Their runs are stopped once they are open.
 	preemptOnOpen map[record.TaskID]bool
-	// timers are the times at which waiting tasks fall due.
+	// timers holds the times at which waiting tasks become due.
 	timers taskTimers
-	// ranks are the times at which waiting tasks change their place in the order.
+	// ranks holds the times at which the ranks or the locality waits of waiting tasks end.
 	ranks taskTimers
-	// chains are the estimates of live jobs.
-	chains  map[string]objective.CriticalPaths
-	planner taskQueue
-	backlog backlogObserver
+	// criticalPaths caches the critical paths of live jobs, by job id.
+	criticalPaths map[string]objective.CriticalPaths
+	planner       taskQueue
+	backlog       backlogObserver
 }
 
 func newPendingWork(term *term, backlog backlogObserver) pendingWork {
@@ -59,19 +61,19 @@
 		environment:   term.environment,
 		waiting:       make(map[record.TaskID]*waitingTask),
 		preemptOnOpen: make(map[record.TaskID]bool),
-		chains:        make(map[string]objective.CriticalPaths),
+		criticalPaths: make(map[string]objective.CriticalPaths),
 		planner:       term.planner,
 		backlog:       backlog,
 	}
 }
 
-// find finds a task that waits.
+// find returns a waiting task, and false if the task does not wait.
 func (p *pendingWork) find(id record.TaskID) (*waitingTask, bool) {
 	entry, waits := p.waiting[id]
 	return entry, waits
 }
 
-// newTask describes a task that became ready. It does not wait until it is added.
+// newTask returns an entry for a task that became ready. The caller adds it with add.
 func (p *pendingWork) newTask(task *record.Task, config *api.Config) *waitingTask {
 	job := task.Step.Job
 	entry := &waitingTask{
@@ -93,22 +95,23 @@
 		notBefore:   task.NotBefore,
 		due:         task.NotBefore == 0,
 	}
-	entry.urgency.apply(p.objectiveOf(config, job.Spec.Queue))
+	entry.urgency.setObjective(p.objectiveOf(config, job.Spec.Queue))
 	return entry
 }
 
-// add has a task wait; it is offered only once it is due.
+// add adds a waiting task. A task that is not due gets a timer; add offers nothing to the
+// planner.
 func (p *pendingWork) add(entry *waitingTask) {
 	id := entry.task.ID
 	p.updateRank(entry, p.clusterNow())
 	p.waiting[id] = entry
-	p.countWaiting(entry)
+	p.updateBacklog(entry)
 	if !entry.due {
 		p.timers.add(entry.notBefore, id)
 	}
 }
 
-// offer lets the planner place a task that is due and in no gang.
+// offer adds a task, which must be due and in no gang, to the planner's queue.
 func (p *pendingWork) offer(entry *waitingTask) {
 	if entry.placing {
 		return
@@ -117,49 +120,48 @@
 	p.planner.Add(entry.task)
 }
 
-// becomeDue records that a timer of a task has come. It returns the task if it is due
-// by that, else nil.
+// becomeDue handles an expired timer of a task. It returns the task if it becomes due by
+// that, else nil.
 func (p *pendingWork) becomeDue(id record.TaskID, now record.Millis) *waitingTask {
 	entry, waits := p.waiting[id]
 	if !waits || entry.due || entry.notBefore > now {
 		return nil
 	}
 	entry.due = true
-	p.countWaiting(entry)
+	p.updateBacklog(entry)
 	return entry
 }
 
-// remove takes out a task that is not ready any more, and returns it; nil if it did
-// not wait.
+// remove removes a task that is no longer ready and returns it, or nil if it did not wait.
 func (p *pendingWork) remove(id record.TaskID) *waitingTask {
 	entry, waits := p.waiting[id]
 	if !waits {
 		return nil
 	}
-	p.uncountWaiting(entry)
+	p.removeFromBacklog(entry)
 	delete(p.waiting, id)
 	delete(p.preemptOnOpen, id)
 	return entry
 }
 
-// placed takes out a waiting task that was given a worker, and counts it into its
-// queue's rate.
-func (p *pendingWork) placed(id record.TaskID) {
+// setPlaced removes a waiting task whose run was opened, and counts it in the start rate of its
+// queue if the task was in the backlog.
+func (p *pendingWork) setPlaced(id record.TaskID) {
 	entry, waits := p.waiting[id]
 	if !waits {
 		return
 	}
-	if entry.counted {
+	if entry.inBacklog {
 		p.backlog.CountStarted(entry.task.Queue)
 	}
-	p.uncountWaiting(entry)
+	p.removeFromBacklog(entry)
 	delete(p.waiting, id)
 }
 
-// rejected records that a placement of a task was not applied, and returns the task,
-// which is to be offered again. It returns nil for one that waits no more: that was
-// placed by a doubled command, or is final.
-func (p *pendingWork) rejected(id record.TaskID) *waitingTask {
+// setRejected records that the record rejected a placement of a task, and returns the task,
+// which must be offered again. It returns nil for a task that no longer waits: the command
+// was committed twice and the first one placed the task, or the task is final.
+func (p *pendingWork) setRejected(id record.TaskID) *waitingTask {
 	entry, waits := p.waiting[id]
 	if !waits || !entry.placing {
 		return nil
@@ -169,8 +171,8 @@
 	return entry
 }
 
-// takePreempted reports whether a run of the task is to be stopped now that its
-// placement was applied.
+// takePreempted reports whether the task was preempted while its placement was being
+// committed, and clears that mark. The caller then stops the run, which is now open.
 func (p *pendingWork) takePreempted(id record.TaskID) bool {
 	if !p.preemptOnOpen[id] {
 		return false
@@ -179,20 +181,20 @@
 	return true
 }
 
-// countWaiting counts a waiting task that is due and can still end within three
-// times its objective: others go after whatever comes new.
-func (p *pendingWork) countWaiting(entry *waitingTask) {
-	p.setCounted(entry, entry.due && !entry.urgency.lost)
+// updateBacklog counts a waiting task in its queue's backlog if it is due and not lost. A lost
+// task, whose job can no longer end within three times its objective, ranks after new tasks.
+func (p *pendingWork) updateBacklog(entry *waitingTask) {
+	p.setInBacklog(entry, entry.due && !entry.urgency.lost)
 }
 
-// uncountWaiting counts a task no longer that waits no longer.
-func (p *pendingWork) uncountWaiting(entry *waitingTask) { p.setCounted(entry, false) }
+// removeFromBacklog stops counting a task in its queue's backlog.
+func (p *pendingWork) removeFromBacklog(entry *waitingTask) { p.setInBacklog(entry, false) }
 
-func (p *pendingWork) setCounted(entry *waitingTask, counted bool) {
-	if counted == entry.counted {
+func (p *pendingWork) setInBacklog(entry *waitingTask, counted bool) {
+	if counted == entry.inBacklog {
 		return
 	}
-	entry.counted = counted
+	entry.inBacklog = counted
 	change := 1
 	if !counted {
 		change = -1
--- a/internal/scheduler/pendingwork_test.go
+++ b/internal/scheduler/pendingwork_test.go
@@ -9,44 +9,44 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// backlogCount counts what pending work reports of one queue.
-type backlogCount struct{ waiting, started int }
+// fakeBacklog is a backlogObserver that sums the reported counts of all queues.
+type fakeBacklog struct{ waiting, started int }
 
-func (b *backlogCount) CountWaiting(_ string, change int) { b.waiting += change }
+func (b *fakeBacklog) CountWaiting(_ string, change int) { b.waiting += change }
 
-func (b *backlogCount) CountStarted(string) { b.started++ }
+func (b *fakeBacklog) CountStarted(string) { b.started++ }
 
-func newTestPendingWork(queue *fakeQueue, backlog *backlogCount) *pendingWork {
-	pending := newPendingWork(testTerm(&clock{now: time.Hour}, queue), backlog)
+func newTestPendingWork(queue *fakePlanner, backlog *fakeBacklog) *pendingWork {
+	pending := newPendingWork(newTestTerm(&clock{now: time.Hour}, queue), backlog)
 	return &pending
 }
 
 func TestPendingWork_BacklogCountsDueTasksOnly(t *testing.T) {
-	backlog := &backlogCount{}
-	pending := newTestPendingWork(newFakeQueue(), backlog)
+	backlog := &fakeBacklog{}
+	pending := newTestPendingWork(newFakePlanner(), backlog)
 	due := &waitingTask{task: placement.Task{ID: testTask()}, due: true}
 	pending.add(due)
 	later := &waitingTask{task: placement.Task{ID: record.TaskID{Job: "later"}}, notBefore: 10}
 	pending.add(later)
 	if backlog.waiting != 1 {
-		t.Errorf("%d counted, want the one that is due", backlog.waiting)
+		t.Errorf("got backlog %d, want 1: the due task", backlog.waiting)
 	}
 	if entry := pending.becomeDue(later.task.ID, 9); entry != nil || later.due {
-		t.Error("due before its time")
+		t.Error("got the task due at 9, want it due at 10")
 	}
 	if entry := pending.becomeDue(later.task.ID, 10); entry != later || backlog.waiting != 2 {
-		t.Errorf("due at its time: %v, %d counted", entry, backlog.waiting)
+		t.Errorf("at 10: got task %v and backlog %d, want the task due and 2", entry, backlog.waiting)
 	}
-	pending.placed(due.task.ID)
+	pending.setPlaced(due.task.ID)
 	pending.remove(later.task.ID)
 	if backlog.waiting != 0 || backlog.started != 1 || len(pending.waiting) != 0 {
-		t.Errorf("%d counted, %d started, %d wait", backlog.waiting, backlog.started, len(pending.waiting))
+		t.Errorf("got backlog %d, %d started, %d waiting, want 0, 1, 0", backlog.waiting, backlog.started, len(pending.waiting))
 	}
 }
 
 func TestPendingWork_TaskBeingPlacedIsNotOffered(t *testing.T) {
-	queue := newFakeQueue()
-	pending := newTestPendingWork(queue, &backlogCount{})
+	queue := newFakePlanner()
+	pending := newTestPendingWork(queue, &fakeBacklog{})
 	entry := &waitingTask{
 		task: placement.Task{ID: testTask(), Spec: &api.TaskSpec{}, Preferences: &placement.Preferences{}}, due: true,
 	}
@@ -54,21 +54,21 @@
 	entry.placing = true
 	pending.offer(entry)
 	if len(queue.waiting) != 0 {
-		t.Error("offered while it is being placed")
+		t.Error("task was offered while its placement is being committed")
 	}
-	if rejected := pending.rejected(testTask()); rejected != entry || entry.placing {
-		t.Errorf("rejected: %v, placing %t", rejected, entry.placing)
+	if rejected := pending.setRejected(testTask()); rejected != entry || entry.placing {
+		t.Errorf("got rejected task %v, placing %t, want the task and false", rejected, entry.placing)
 	}
 	pending.offer(entry)
 	if len(queue.waiting) != 1 {
-		t.Errorf("%d tasks offered, want 1", len(queue.waiting))
+		t.Errorf("got %d tasks offered, want 1", len(queue.waiting))
 	}
 }
 
 func TestPendingWork_PreemptionIsTakenOnce(t *testing.T) {
-	pending := newTestPendingWork(newFakeQueue(), &backlogCount{})
+	pending := newTestPendingWork(newFakePlanner(), &fakeBacklog{})
 	pending.preemptOnOpen[testTask()] = true
 	if !pending.takePreempted(testTask()) || pending.takePreempted(testTask()) {
-		t.Error("want one preemption")
+		t.Error("want takePreempted to return true once and then false")
 	}
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// planLoop places waiting tasks whenever something changed.
+// planLoop places waiting tasks whenever the planner is woken, until the term ends.
 func (l *leader) planLoop() {
 	for {
 		select {
@@ -20,26 +20,28 @@
 	}
 }
 
-// commitPlacements plans and commits one batch. It returns false if there was nothing
-// to place or the term ended.
+// commitPlacements plans and commits one batch of placements. It reports whether planning
+// again at once is useful: false if there was nothing to place, if every placement was
+// rejected, or if the term ended.
 func (l *leader) commitPlacements() bool {
 	placements := l.plan()
 	if len(placements) == 0 {
 		return false
 	}
 	command := record.Command{PlaceTasks: &record.PlaceTasks{Placements: placements}}
-	result, done := l.proposeUntilDone("place", command)
+	result, done := l.proposeUntilCommitted("place", command)
 	if !done {
 		return false
 	}
 	l.metrics.placements.Add(float64(len(placements) - len(result.Rejected)))
-	l.revokeRejected(result.Rejected)
-	// When nothing held, planning again at once would only spin: the next
-	// change of the record or the next tick wakes the planner.
+	l.requeueRejected(result.Rejected)
+	// If every placement was rejected, planning again at once would be a busy loop: the
+	// next change of the record or the next tick wakes the planner.
 	return len(result.Rejected) < len(placements)
 }
 
-// plan asks the planner for one batch of decisions.
+// plan asks the planner for at most planLimit decisions and its preemptions. It returns the
+// placements of tasks that still wait, and applies the preemptions.
 func (l *leader) plan() []record.Placement {
 	clusterNow := l.log.Now()
 	l.mu.Lock()
@@ -67,8 +69,8 @@
 	return placements
 }
 
-// preempt stops the runs that the planner wants out of the way. One whose
-// placement is still being committed is stopped as soon as it is open.
+// preempt stops the runs of preempted tasks. A run whose placement is still being committed
+// is stopped as soon as it is open.
 func (l *leader) preempt(preemptions []placement.Preemption) {
 	for _, preemption := range preemptions {
 		run, open := l.assignments.openByTask[preemption.Task]
@@ -82,17 +84,17 @@
 	}
 }
 
-// preemptRun stops a run to free capacity. One that was never assigned is closed at
-// once.
+// preemptRun stops a run to free its capacity. A run that was never assigned is closed
+// instead.
 func (l *leader) preemptRun(run *runState) {
 	l.logger.Info("run preempted", slog.String("task", run.id.Task.String()), slog.Uint64("run", uint64(run.id.Number)))
 	l.proposer.closeIfNeverAssigned(run)
 	l.proposer.enqueueStop(run, record.StopPreempted)
 }
 
-// revokeRejected offers tasks again whose placement no longer held when it was
-// applied.
-func (l *leader) revokeRejected(rejected []record.RunID) {
+// requeueRejected offers the tasks again whose placements the record rejected because its
+// state had changed since they were planned.
+func (l *leader) requeueRejected(rejected []record.RunID) {
 	if len(rejected) == 0 {
 		return
 	}
@@ -100,7 +102,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, run := range rejected {
-		if entry := l.pending.rejected(run.Task); entry != nil {
+		if entry := l.pending.setRejected(run.Task); entry != nil {
 			l.planner.Release(run.Task)
 			l.offer(entry)
 		}
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -7,24 +7,24 @@
 
 func TestPlacement_WaitsForFirstAnswer(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	worker.exchange()
 	h.newTerm()
 	h.submit("j", tasks(1))
 	if task := h.task("j", 0); task.Run != 0 {
-		t.Fatalf("placed before the worker was heard in this term: %+v", task)
+		t.Fatalf("got task %+v, want no run before the worker is answered in this term", task)
 	}
 	worker.exchange()
 	if task := h.task("j", 0); task.Run != 1 {
-		t.Errorf("not placed after the ready gate opened: %+v", task)
+		t.Errorf("got task %+v, want run 1 after the worker was answered", task)
 	}
 }
 
-func TestPlacement_UnacceptedAnswersStopNewWork(t *testing.T) {
+func TestPlacement_UnacceptedAnswersStopPlacements(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	worker.exchange()
-	for range 8 { // heard, but nothing is accepted any more
+	for range 8 { // heartbeats arrive, but the worker accepts no answer any more
 		h.advance(500 * time.Millisecond)
 		if _, err := worker.send(); err != nil {
 			t.Fatal(err)
@@ -32,6 +32,6 @@
 	}
 	h.submit("j", tasks(1))
 	if task := h.task("j", 0); task.Run != 0 {
-		t.Errorf("placed on a worker that cannot hear: %+v", task)
+		t.Errorf("got task %+v, want no run on a worker that receives no answers", task)
 	}
 }
--- a/internal/scheduler/proposer.go
+++ b/internal/scheduler/proposer.go
@@ -5,32 +5,34 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// proposer queues the leader's own commands, which no call asks for, until
-// leader.proposeLoop commits them. It decides nothing: each run is queued at most
-// once for closing and once for stopping, since the run itself records that.
+// proposer queues the leader's own commands, which no call requests, until
+// leader.proposeLoop commits them. It makes no decisions. enqueueClose and enqueueStop
+// queue a run at most once each, which the run records (runState.closing and
+// runState.stop).
 type proposer struct {
 	pending ownCommands
-	// reportedEnds are the runs among pending.closes whose end a worker reported.
+	// reportedEnds has the runs in pending.closes whose end was reported by a worker.
 	reportedEnds map[record.RunID]bool
-	// wake has a buffer of one signal: pending is not empty.
+	// wake signals that pending is not empty; it has a buffer of one signal.
 	wake chan struct{}
 }
 
-// ownCommands are commands of the leader's own, in the order of their commit.
+// ownCommands are commands of the leader's own. The fields are in the order in which
+// proposePending commits them.
 type ownCommands struct {
 	closes     []record.RunEnd
 	expansions []record.Expansion
 	stops      map[record.StopReason][]record.RunID
 }
 
-// runEnder is what other components may ask of the proposer.
+// runEnder is the interface through which other components end runs.
 type runEnder interface {
-	// enqueueClose queues the closing of a run that no report asks for.
+	// enqueueClose queues the closing of a run as lost, without a worker's report.
 	enqueueClose(run *runState, message string)
-	// enqueueStop queues the stopping of a run.
+	// enqueueStop queues a request to stop a run.
 	enqueueStop(run *runState, reason record.StopReason)
-	// closeIfNeverAssigned closes a run whose assignment was surely not given, so
-	// that it need not be stopped.
+	// closeIfNeverAssigned queues the closing of a run whose assignment was certainly
+	// never sent, so that it need not be stopped first.
 	closeIfNeverAssigned(run *runState)
 }
 
@@ -45,7 +47,7 @@
 	p.reportedEnds = make(map[record.RunID]bool)
 }
 
-// enqueueClose implements runEnder. A run that is being closed already is left alone.
+// enqueueClose implements runEnder. It has no effect if a close is already queued.
 func (p *proposer) enqueueClose(run *runState, message string) {
 	if run.closing {
 		return
@@ -57,7 +59,8 @@
 	signal(p.wake)
 }
 
-// enqueueStop implements runEnder. The first reason stays.
+// enqueueStop implements runEnder. It has no effect if the run is already being stopped,
+// so the first reason is kept, or being closed.
 func (p *proposer) enqueueStop(run *runState, reason record.StopReason) {
 	if run.stop != record.StopNone || run.closing {
 		return
@@ -74,8 +77,8 @@
 	}
 }
 
-// enqueueEnds queues ends that are not in the record yet, though they were
-// reported. The worker repeats them, so each is queued once.
+// enqueueEnds queues reported ends that are not in the record yet. Workers repeat their
+// reports, so an end that is queued already is skipped.
 func (p *proposer) enqueueEnds(ends []record.RunEnd) {
 	for _, end := range ends {
 		if !p.reportedEnds[end.Run] {
@@ -86,7 +89,7 @@
 	}
 }
 
-// enqueueExpansions queues the expansion of repeating jobs.
+// enqueueExpansions queues expansions of repeating jobs.
 func (p *proposer) enqueueExpansions(expansions []record.Expansion) {
 	if len(expansions) == 0 {
 		return
@@ -95,14 +98,14 @@
 	signal(p.wake)
 }
 
-// take returns what is queued, and starts empty.
+// take returns the queued commands and clears the queue.
 func (p *proposer) take() ownCommands {
 	taken := p.pending
 	p.clear()
 	return taken
 }
 
-// proposeLoop commits what is queued, until the term ends.
+// proposeLoop commits queued commands until the term ends.
 func (l *leader) proposeLoop() {
 	for {
 		select {
@@ -114,31 +117,31 @@
 	}
 }
 
-// proposePending commits what is queued. Closes go first: they free capacity.
+// proposePending commits the queued commands. Closes go first, since they free capacity.
 func (l *leader) proposePending() {
 	l.mu.Lock()
 	commands := l.proposer.take()
 	l.mu.Unlock()
 	if len(commands.closes) > 0 {
-		l.proposeUntilDone("close", record.Command{CloseRuns: &record.CloseRuns{Runs: commands.closes}})
+		l.proposeUntilCommitted("close", record.Command{CloseRuns: &record.CloseRuns{Runs: commands.closes}})
 	}
 	l.proposeExpansions(commands.expansions)
 	for reason, runs := range commands.stops {
-		l.proposeUntilDone("stop", record.Command{StopRuns: &record.StopRuns{Runs: runs, Reason: reason}})
+		l.proposeUntilCommitted("stop", record.Command{StopRuns: &record.StopRuns{Runs: runs, Reason: reason}})
 	}
 }
 
-// proposeExpansions commits what enqueueExpansions has queued.
+// proposeExpansions commits expansions, and then schedules the next ones of their jobs.
 func (l *leader) proposeExpansions(expansions []record.Expansion) {
 	if len(expansions) == 0 {
 		return
 	}
 	command := record.Command{ExpandRepeats: &record.ExpandRepeats{Jobs: expansions}}
-	if _, done := l.proposeUntilDone("expand", command); !done {
+	if _, done := l.proposeUntilCommitted("expand", command); !done {
 		return
 	}
 	now := l.log.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.repeats.Proposed(expansions, now)
+	l.repeats.Reschedule(expansions, now)
 }
--- a/internal/scheduler/proposer_test.go
+++ b/internal/scheduler/proposer_test.go
@@ -9,13 +9,14 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// testRun is a run of which nothing was observed.
+// testRun returns a run that no heartbeat has listed yet.
 func testRun(number uint32) *runState {
 	return &runState{placedRun: placedRun{id: record.RunID{Task: testTask(), Number: number}}}
 }
 
-// isSignalled takes a signal from a channel, if there is one.
-func isSignalled(wake <-chan struct{}) bool {
+// takeSignal receives a signal from a channel without blocking, and reports whether there
+// was one.
+func takeSignal(wake <-chan struct{}) bool {
 	select {
 	case <-wake:
 		return true
@@ -37,11 +38,11 @@
 		t.Errorf("closes (-want +got):\n%s", diff)
 	}
 	if len(taken.stops) != 0 || !run.closing {
-		t.Errorf("a run that is being closed: stops %v, closing %t", taken.stops, run.closing)
+		t.Errorf("run that is being closed: got stops %v, closing %t, want no stops, closing true", taken.stops, run.closing)
 	}
 }
 
-func TestProposer_FirstStopReasonStays(t *testing.T) {
+func TestProposer_FirstStopReasonWins(t *testing.T) {
 	p := newProposer()
 	run := testRun(1)
 	p.enqueueStop(run, record.StopPreempted)
@@ -68,7 +69,7 @@
 			run.assignment = c.assignment
 			p.closeIfNeverAssigned(run)
 			if got := len(p.take().closes); got != c.closes {
-				t.Errorf("%d closes, want %d", got, c.closes)
+				t.Errorf("got %d closes, want %d", got, c.closes)
 			}
 		})
 	}
@@ -80,11 +81,11 @@
 	p.enqueueEnds([]record.RunEnd{end})
 	p.enqueueEnds([]record.RunEnd{end})
 	if got := len(p.take().closes); got != 1 {
-		t.Errorf("%d closes, want 1", got)
+		t.Errorf("got %d closes, want 1", got)
 	}
 	p.enqueueEnds([]record.RunEnd{end})
 	if got := len(p.take().closes); got != 1 {
-		t.Errorf("after a commit that may have failed: %d closes, want 1", got)
+		t.Errorf("reported again after the queue was taken, as the commit may have failed: got %d closes, want 1", got)
 	}
 }
 
@@ -92,11 +93,11 @@
 	p := newProposer()
 	p.enqueueExpansions(nil)
 	p.enqueueEnds(nil)
-	if isSignalled(p.wake) {
-		t.Error("signalled although nothing is pending")
+	if takeSignal(p.wake) {
+		t.Error("got a wake-up signal with nothing pending, want none")
 	}
 	p.enqueueExpansions([]record.Expansion{{Job: "j"}})
-	if !isSignalled(p.wake) {
-		t.Error("not signalled although an expansion is pending")
+	if !takeSignal(p.wake) {
+		t.Error("got no wake-up signal with an expansion pending, want one")
 	}
 }
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/internal/admission"
 )
 
-// findQueue finds a queue of the configuration; nil if it has none of that name.
+// findQueue returns the configuration of a queue, or nil if there is none of that name.
 func findQueue(config *api.Config, name string) *api.QueueConfig {
 	index := slices.IndexFunc(config.Queues, func(queue api.QueueConfig) bool { return queue.Name == name })
 	if index < 0 {
@@ -16,7 +16,8 @@
 	return &config.Queues[index]
 }
 
-// queuePriority is the priority that a queue adds to that of its jobs.
+// queuePriority returns the priority that a queue adds to its jobs' own, 0 if the queue
+// is not configured.
 func queuePriority(config *api.Config, name string) int {
 	queue := findQueue(config, name)
 	if queue == nil {
@@ -25,7 +26,8 @@
 	return queue.Priority
 }
 
-// quotaPart is what a queue that uses some of a shared bound counts for there.
-func quotaPart(queue *api.QueueConfig, used int) admission.Participant {
+// queueShare returns a queue's share of a shared limit of which it uses some. A weight
+// below the default counts as the default.
+func queueShare(queue *api.QueueConfig, used int) admission.Participant {
 	return admission.Participant{Weight: max(queue.Weight, api.DefaultQueueWeight), Used: used}
 }
--- a/internal/scheduler/ranks.go
+++ b/internal/scheduler/ranks.go
@@ -10,35 +10,36 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// A planner's sequence holds, from the highest bits down, a tier, a moment in
-// milliseconds and the task's place in its job.
+// The Sequence of a placement.Task holds, from the highest bits down, a tier, a time in
+// milliseconds and the task's position in its job.
 const (
 	tasksPerStep    = 1 << 10
 	stepsPerJob     = 1 << 8
-	momentBits      = 43
+	timeBits        = 43
 	positionsPerJob = tasksPerStep * stepsPerJob
 )
 
-// urgency is what decides on a waiting task's place among those of equal
-// priority.
+// urgency determines the rank of a waiting task among tasks of equal priority.
 type urgency struct {
-	// position is the task's place in its job.
-	position uint64
-	// readyAt orders tasks of queues without an objective.
+	// positionInJob orders the tasks of a job: by step, then by index.
+	positionInJob uint64
+	// readyAt orders the tasks of queues without an objective.
 	readyAt record.Millis
-	// since is when the objective begins to count; chains and step give the
-	// estimates that lie ahead.
-	since  record.Millis
-	chains objective.CriticalPaths
-	step   int
-	// times are set while the task has an objective.
-	times  objective.Deadlines
-	timely bool
-	// total: the job can no longer end within three times its objective.
+	// objectiveStart is when the objective begins to count. criticalPaths holds the critical
+	// paths of the job, stepIndex is the index of the task's step in it.
+	objectiveStart record.Millis
+	criticalPaths  objective.CriticalPaths
+	stepIndex      int
+	// deadlines is valid while hasObjective is true.
+	deadlines    objective.Deadlines
+	hasObjective bool
+	// lost is true if the job can no longer end within three times its objective and the
+	// task is not promoted yet.
 	lost bool
 }
 
-// urgencyOf gathers it for a task that begins to wait.
+// urgencyOf returns the urgency of a task that begins to wait. It has no objective until
+// setObjective is called.
 func (p *pendingWork) urgencyOf(task *record.Task) urgency {
 	step := task.Step
 	position := step.Index%stepsPerJob*tasksPerStep + task.ID.Index%tasksPerStep
@@ -47,39 +48,42 @@
 		since = max(since, record.Millis(step.Spec.NotBefore.UnixMilli()))
 	}
 	return urgency{
-		position: uint64(position), readyAt: step.DueAt(), since: since,
-		chains: p.chainsOf(step.Job), step: step.Index,
+		positionInJob: uint64(position), readyAt: step.DueAt(), objectiveStart: since,
+		criticalPaths: p.criticalPathsOf(step.Job), stepIndex: step.Index,
 	}
 }
 
-// chainsOf works a job's chains out once.
-func (p *pendingWork) chainsOf(job *record.Job) objective.CriticalPaths {
-	chains, known := p.chains[job.ID]
+// criticalPathsOf returns the critical paths of a job. They are computed once per job.
+func (p *pendingWork) criticalPathsOf(job *record.Job) objective.CriticalPaths {
+	paths, known := p.criticalPaths[job.ID]
 	if !known {
-		chains = objective.CriticalPathsOf(job.Spec.Steps)
-		p.chains[job.ID] = chains
+		paths = objective.CriticalPathsOf(job.Spec.Steps)
+		p.criticalPaths[job.ID] = paths
 	}
-	return chains
+	return paths
 }
 
-// apply takes over the queue's objective.
-func (u *urgency) apply(rule *api.ObjectiveConfig) {
-	u.times, u.timely = objective.DeadlinesOf(rule, u.since, u.chains.Job, u.chains.FromStep[u.step])
+// setObjective computes the deadlines from the queue's objective; rule is nil if the queue has
+// none.
+func (u *urgency) setObjective(rule *api.ObjectiveConfig) {
+	u.deadlines, u.hasObjective = objective.DeadlinesOf(rule, u.objectiveStart, u.criticalPaths.Job, u.criticalPaths.FromStep[u.stepIndex])
 }
 
-// sequence is the task's place at a moment, and until when it holds; 0 for ever.
+// sequence returns the task's sequence at the cluster time now, and the time until which it is
+// valid; 0 if it does not change. It updates lost.
 func (u *urgency) sequence(now record.Millis) (sequence uint64, until record.Millis) {
 	u.lost = false
-	if !u.timely {
-		return uint64(u.readyAt)*positionsPerJob + u.position, 0
+	if !u.hasObjective {
+		return uint64(u.readyAt)*positionsPerJob + u.positionInJob, 0
 	}
-	rank := u.times.RankAt(now)
+	rank := u.deadlines.RankAt(now)
 	u.lost = rank.Tier == objective.TierLost
-	moment := uint64(rank.Tier)<<momentBits + uint64(max(rank.Key, 0))
-	return moment*positionsPerJob + u.position, rank.ValidUntil
+	tierAndTime := uint64(rank.Tier)<<timeBits + uint64(max(rank.Key, 0))
+	return tierAndTime*positionsPerJob + u.positionInJob, rank.ValidUntil
 }
 
-// updateRank gives an entry its place as of now. It reports whether that changed.
+// updateRank sets the task's sequence as of now, and a timer for the sequence's next change.
+// It reports whether the sequence changed.
 func (p *pendingWork) updateRank(entry *waitingTask, now record.Millis) bool {
 	sequence, until := entry.urgency.sequence(now)
 	if until > 0 {
@@ -90,8 +94,8 @@
 	return changed
 }
 
-// refreshRanks returns the waiting tasks whose place among others has changed; they
-// are to be offered again.
+// refreshRanks handles the expired rank timers. It returns the due tasks whose sequence
+// changed or whose locality wait ended; the caller offers them again.
 func (p *pendingWork) refreshRanks(now record.Millis) []*waitingTask {
 	var moved []*waitingTask
 	for _, id := range p.ranks.takeDue(now) {
@@ -101,23 +105,25 @@
 		}
 		changed := p.updateRank(entry, now)
 		if (entry.endLocalityWait(now) || changed) && entry.due {
-			p.countWaiting(entry)
+			p.updateBacklog(entry)
 			moved = append(moved, entry)
 		}
 	}
 	return moved
 }
 
-// objectiveOf returns a queue's objective, or nil.
+// objectiveOf returns a queue's objective, or nil if the queue is unknown or has none, or if
+// featuregate.ObjectiveTiers is disabled.
 func (p *pendingWork) objectiveOf(config *api.Config, name string) *api.ObjectiveConfig {
 	queue := findQueue(config, name)
-	if queue == nil || p.off.Has(featuregate.ObjectiveTiers) {
+	if queue == nil || p.disabledFeatures.Has(featuregate.ObjectiveTiers) {
 		return nil
 	}
 	return queue.Objective
 }
 
-// sameOrder reports whether two configurations order waiting tasks alike.
+// sameOrder reports whether two configurations have the same queues with the same priorities
+// and objectives, so that waiting tasks keep their order.
 func sameOrder(a, b *api.Config) bool {
 	return slices.EqualFunc(a.Queues, b.Queues, func(a, b api.QueueConfig) bool {
 		return a.Name == b.Name && a.Priority == b.Priority && sameObjective(a.Objective, b.Objective)
@@ -131,8 +137,9 @@
 	return *a == *b
 }
 
-// reorder ranks every waiting task again, since a change of a queue's priority or
-// objective changes where each stands. It returns those that are to be offered again.
+// reorder ranks all waiting tasks again after a change of queue priorities or objectives. It
+// removes them from the planner, ends their locality waits and returns those that are due;
+// the caller offers them again.
 func (p *pendingWork) reorder(config *api.Config) []*waitingTask {
 	now := p.clusterNow()
 	p.logger.Info("queue order changed", slog.Int("waiting", len(p.waiting)))
@@ -141,10 +148,10 @@
 	for id, entry := range p.waiting {
 		p.planner.Remove(id)
 		entry.task.Priority = entry.jobPriority + queuePriority(config, entry.task.Queue)
-		entry.urgency.apply(p.objectiveOf(config, entry.task.Queue))
+		entry.urgency.setObjective(p.objectiveOf(config, entry.task.Queue))
 		p.updateRank(entry, now)
-		entry.setLocalityWait(false) // its timer is gone
-		p.countWaiting(entry)
+		entry.setLocalityWait(false) // its timer was dropped with p.ranks
+		p.updateBacklog(entry)
 		if entry.due {
 			due = append(due, entry)
 		}
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -8,38 +8,40 @@
 	"github.com/decklever/decklever/internal/workerhealth"
 )
 
-// reconciliation is what follows from one heartbeat: the differences between
-// the record's open runs on the worker and what the worker lists.
+// reconciliation holds the differences between the runs that the record has open on a
+// worker and the runs that one heartbeat of the worker lists.
 type reconciliation struct {
-	// started are runs seen for the first time.
+	// started holds the open runs that the worker lists for the first time.
 	started []*runState
-	// startedTasks are tasks of which a run has surely started, seen for the first time or
-	// reported again.
+	// startedTasks holds the tasks of which a run has certainly started, whether it is
+	// listed for the first time or reported again.
 	startedTasks []record.TaskID
-	// lost are runs whose assignment can no longer take effect, or that the worker
-	// surely does not run any more.
+	// lost holds the runs whose assignment can no longer take effect, or that the worker
+	// certainly no longer runs.
 	lost []*runState
-	// dropped are runs whose assignment was accepted and that the worker does not
-	// list: it is asked to stop them before they count as lost.
+	// dropped holds the runs whose assignment the worker accepted or that it listed
+	// before, and that it does not list now: it is asked to stop them before they count
+	// as lost.
 	dropped []*runState
-	// unwanted are runs that the worker lists and must not run.
+	// unwanted holds the runs that the worker lists as running and must stop.
 	unwanted []api.RunRef
-	// ended are the worker's reports of runs open on it, late those of others.
-	ended []record.RunEnd
-	late  []record.RunEnd
-	// unreadable are reports that name no task; they are acknowledged.
+	// ends holds the reported ends of runs open on the worker, lateEnds those of other
+	// runs.
+	ends     []record.RunEnd
+	lateEnds []record.RunEnd
+	// unreadable holds reports whose run reference is malformed; they are acknowledged.
 	unreadable []api.RunRef
-	// conflicting are reports that cannot be true by the record; they are
-	// acknowledged, and nothing else follows.
+	// conflicting holds reported ends that contradict the record; they are acknowledged
+	// and not committed.
 	conflicting []api.RunRef
 }
 
-// listedRuns are the open runs that a heartbeat names.
+// listedRuns is the set of open runs that a heartbeat lists as running or ended.
 type listedRuns map[*runState]bool
 
-// reconcile compares a heartbeat, which is the newest of its worker, with the
-// runs open there. It changes nothing. The rules are the table "Holds, tokens
-// and the life of a run" in docs/DESIGN.md.
+// reconcile compares the newest heartbeat of a worker with runs, which are open on that
+// worker. It modifies no run. The rules are the table "Holds, tokens and the life of a
+// run" in docs/DESIGN.md.
 func reconcile(runs map[record.RunID]*runState, heartbeat api.Heartbeat) reconciliation {
 	var result reconciliation
 	listed := make(listedRuns, len(runs))
@@ -57,8 +59,8 @@
 	return result
 }
 
-// reconcileLate takes from a heartbeat that is not the newest of its worker
-// what stays true: the ends of runs.
+// reconcileLate compares a heartbeat that is not the newest of its worker, or is refused.
+// It uses only what remains true: the ends of runs.
 func reconcileLate(runs map[record.RunID]*runState, heartbeat api.Heartbeat) reconciliation {
 	var result reconciliation
 	listed := make(listedRuns, len(heartbeat.Ended))
@@ -100,7 +102,7 @@
 	}
 	run, open := runs[id]
 	if !open {
-		r.late = append(r.late, end)
+		r.lateEnds = append(r.lateEnds, end)
 		return
 	}
 	listed[run] = true
@@ -108,32 +110,33 @@
 		r.started = append(r.started, run)
 	}
 	run.addCheckpoint(&end)
-	r.ended = append(r.ended, end)
+	r.ends = append(r.ends, end)
 }
 
-// addUnlisted decides on an open run that the worker lists neither as running
-// nor as ended.
+// addUnlisted classifies an open run that the worker lists neither as running nor as
+// ended.
 func (r *reconciliation) addUnlisted(run *runState, heartbeat api.Heartbeat) {
 	switch {
 	case run.assignment.seq == 0 && !run.isInherited():
-		// Not assigned yet: nothing to conclude.
+		// The run is not assigned yet, so the worker cannot list it.
 	case run.assignment.seq == 0 && !run.observed.listed:
-		// Inherited. Any answer of an earlier leader went to an earlier seq,
-		// which the worker accepts no more now that it has sent this one.
+		// An earlier leader placed the run. Any answer of that leader was to an earlier
+		// seq; the worker has sent this heartbeat, so it no longer accepts that answer.
 		r.lost = append(r.lost, run)
 	case run.assignment.seq >= heartbeat.Seq:
-		// The assignment went out with a later answer than this heartbeat.
+		// The assignment was sent in the answer to this heartbeat or to a later one.
 	case !run.observed.listed && heartbeat.AcceptedSeq < run.assignment.seq:
 		r.lost = append(r.lost, run)
 	case run.assignment.droppedSeq != 0 && heartbeat.AcceptedSeq >= run.assignment.droppedSeq:
-		// The worker accepted a stop for it and still does not list it.
+		// The worker accepted a request to stop the run and still does not list it.
 		r.lost = append(r.lost, run)
 	default:
 		r.dropped = append(r.dropped, run)
 	}
 }
 
-// parseRun reads a task's name and a run number.
+// parseRun parses a run reference; false if the task's name is malformed or the run number
+// is 0.
 func parseRun(reference api.RunRef) (record.RunID, bool) {
 	task, ok := record.ParseTaskID(reference.Task)
 	if !ok || reference.Run == 0 {
@@ -142,18 +145,19 @@
 	return record.RunID{Task: task, Number: reference.Run}, true
 }
 
-// runRef is the form of a run's name that workers see.
+// runRef returns the reference by which workers know a run.
 func runRef(id record.RunID) api.RunRef {
 	return api.RunRef{Task: id.Task.String(), Run: id.Number}
 }
 
-// hasStarted reports whether a run that ended so has surely started: one that was stopped
-// may have been refused at once.
+// hasStarted reports whether a run with this outcome has certainly started. A stopped run
+// may have been rejected by the worker before its start.
 func hasStarted(outcome api.Outcome) bool {
 	return outcome == api.OutcomeSucceeded || outcome == api.OutcomeFailed
 }
 
-// applyDifferences takes over what the heartbeat showed.
+// applyDifferences updates the runs from the differences, and queues the closing of lost
+// runs.
 func (a *assignments) applyDifferences(worker *workerEntry, differences *reconciliation) {
 	now := a.now()
 	for _, run := range differences.started {
@@ -166,7 +170,7 @@
 	for _, task := range differences.startedTasks {
 		a.pendingStarts.remove(task.Job)
 	}
-	for _, end := range differences.ended {
+	for _, end := range differences.ends {
 		if run, open := worker.runs[end.Run]; open && run.observed.endedAt == 0 {
 			run.observed.endedAt = now
 		}
--- a/internal/scheduler/registry.go
+++ b/internal/scheduler/registry.go
@@ -12,28 +12,28 @@
 	"github.com/decklever/decklever/internal/workerhealth"
 )
 
-// plannerWorkers is the planner's picture of the workers.
+// plannerWorkers is the part of the planner that the registry updates.
 type plannerWorkers interface {
 	SetWorker(worker placement.Worker)
 	RemoveWorker(id string)
 }
 
-// workerRegistry holds the worker incarnations of this term, with their leases. It
-// brings the planner's picture of a worker up to date whenever that changes.
+// workerRegistry holds the worker incarnations known in this term and their leases, and
+// updates the planner when a worker changes. It is guarded by leader.mu.
 type workerRegistry struct {
 	*environment
-	// byID are all incarnations, byName the registered ones.
+	// byID holds all incarnations, byName the registered ones.
 	byID   map[string]*workerEntry
 	byName map[string]*workerEntry
-	// currentByAddress are the incarnations that were last proven to live there.
+	// currentByAddress holds for each address the incarnation proven alive there last.
 	currentByAddress map[string]*workerEntry
-	// registered is the list of byName for admission; nil after a change.
+	// registered caches the workers of byName for admission; nil after a change.
 	registered []placement.Worker
-	// stalls are the leader's own, which are no missed heartbeats of workers.
+	// stalls tracks the leader's own delays, which must not count as missed heartbeats.
 	stalls stallTracker
-	// timings are those of the configuration in force.
+	// timings belongs to the configuration in force.
 	timings *api.TimingConfig
-	// startedAt is when the term began.
+	// startedAt is the start of the term, on the monotonic clock.
 	startedAt time.Duration
 	planner   plannerWorkers
 }
@@ -49,15 +49,15 @@
 	}
 }
 
-// add adds an incarnation that was not known.
+// add adds an incarnation that is not known yet.
 func (r *workerRegistry) add(info record.Worker, now time.Duration) *workerEntry {
 	worker := newWorkerEntry(info, now)
 	r.byID[info.ID] = worker
 	return worker
 }
 
-// register takes over what the record knows of a worker. It returns the
-// incarnation, and the one that it replaces, which is forgotten; nil if none.
+// register makes the incarnation of a record's worker the registered one under its name.
+// It returns the incarnation, and the one that it replaced, which is dropped; nil if none.
 func (r *workerRegistry) register(info *record.Worker) (worker, replaced *workerEntry) {
 	if earlier, known := r.byName[info.Name]; known && earlier.info.ID != info.ID {
 		earlier.registered = false
@@ -75,7 +75,8 @@
 	return worker, replaced
 }
 
-// forget drops a registered incarnation. It reports whether it was known.
+// forget drops a worker that the record no longer has. It returns false, and does
+// nothing, if that incarnation is not the registered one under its name.
 func (r *workerRegistry) forget(info *record.Worker) bool {
 	worker, known := r.byName[info.Name]
 	if !known || worker.info.ID != info.ID {
@@ -87,56 +88,56 @@
 	return true
 }
 
-// drop drops what was observed of an incarnation.
+// drop removes an incarnation from the planner and from the indexes by ID and address.
 func (r *workerRegistry) drop(worker *workerEntry) {
 	r.removePlannerWorker(worker)
 	delete(r.byID, worker.info.ID)
 	r.releaseAddress(worker)
 }
 
-// expiryUnlessAnswered is until when a worker may be running what an earlier leader
-// gave it: that one may have answered a moment before the term began.
-func (r *workerRegistry) expiryUnlessAnswered() time.Duration {
+// inheritedLeaseExpiry returns the end of the lease of a worker that this leader has not
+// answered: an earlier leader may have extended the lease right before the term began.
+func (r *workerRegistry) inheritedLeaseExpiry() time.Duration {
 	return r.startedAt + r.leaseDuration() + r.driftMargin()
 }
 
-// leaseDuration is how long an answer lets a worker run on.
+// leaseDuration returns the length of the lease that an answer grants.
 func (r *workerRegistry) leaseDuration() time.Duration { return r.timings.Hold.Std() }
 
 func (r *workerRegistry) driftMargin() time.Duration { return r.timings.DriftMargin.Std() }
 
-// updatePlannerWorker brings the planner's picture of a worker up to date.
+// updatePlannerWorker passes a registered worker to the planner.
 func (r *workerRegistry) updatePlannerWorker(worker *workerEntry) {
 	if !worker.registered {
 		return
 	}
-	worker.planned.usable = worker.canTakeWork(r.now(), r.leaseDuration())
-	worker.planned.unresponsive = r.isUnresponsive(worker, r.now())
-	worker.planned.known = true
-	r.planner.SetWorker(worker.plannerWorker(worker.planned.usable))
+	worker.plannerView.usable = worker.canTakeWork(r.now(), r.leaseDuration())
+	worker.plannerView.unresponsive = r.isUnresponsive(worker, r.now())
+	worker.plannerView.known = true
+	r.planner.SetWorker(worker.plannerWorker(worker.plannerView.usable))
 }
 
 func (r *workerRegistry) removePlannerWorker(worker *workerEntry) {
-	if !worker.planned.known {
+	if !worker.plannerView.known {
 		return
 	}
-	worker.planned.known = false
-	worker.planned.usable, worker.planned.unresponsive = false, false
+	worker.plannerView.known = false
+	worker.plannerView.usable, worker.plannerView.unresponsive = false, false
 	r.planner.RemoveWorker(worker.info.ID)
 }
 
-// refreshPlannerWorker updates the planner's picture of a worker if that has changed. It
-// reports whether that was so.
+// refreshPlannerWorker updates the planner if the worker has become usable, unusable,
+// responsive or unresponsive. It reports whether that was so.
 func (r *workerRegistry) refreshPlannerWorker(worker *workerEntry, now time.Duration) bool {
-	if worker.planned.usable == worker.canTakeWork(now, r.leaseDuration()) && worker.planned.unresponsive == r.isUnresponsive(worker, now) {
+	if worker.plannerView.usable == worker.canTakeWork(now, r.leaseDuration()) && worker.plannerView.unresponsive == r.isUnresponsive(worker, now) {
 		return false
 	}
 	r.updatePlannerWorker(worker)
 	return true
 }
 
-// registeredWorkers returns the workers that the record knows. The list is made
-// again after a change of any of them, and never changed once it is made.
+// registeredWorkers returns the workers in the record, all as usable. The slice is rebuilt
+// after a worker was registered or forgotten, and not modified once returned.
 func (r *workerRegistry) registeredWorkers() []placement.Worker {
 	if r.registered == nil {
 		r.registered = make([]placement.Worker, 0, len(r.byName))
@@ -147,8 +148,8 @@
 	return r.registered
 }
 
-// mustRegister reports whether the worker must be registered in the record now. A new
-// incarnation waits until the lease of the one before it has expired.
+// mustRegister reports whether the worker's description must be committed now. A new
+// incarnation waits until the earlier one has no open runs and its lease has expired.
 func (r *workerRegistry) mustRegister(worker *workerEntry, info record.Worker, now time.Duration) bool {
 	if worker.registered {
 		return !worker.info.SameDescription(&info)
@@ -160,32 +161,33 @@
 	return len(earlier.runs) == 0 && now > earlier.lease.expiresAt
 }
 
-// heartbeatInterval is the pause that workers make between heartbeats, unless they are
-// asked to send the next one promptly.
+// heartbeatInterval returns the regular pause between heartbeats of a worker: at least the
+// configured one, growing with the number of workers up to 1/intervalsPerLease of the
+// lease.
 func (r *workerRegistry) heartbeatInterval() time.Duration {
 	base := r.timings.HeartbeatInterval.Std()
-	if r.off.Has(featuregate.HeartbeatWidening) {
+	if r.disabledFeatures.Has(featuregate.HeartbeatWidening) {
 		return base
 	}
 	scaled := base * time.Duration(len(r.byName)) / workersPerBaseInterval
 	return min(max(base, scaled), max(base, r.leaseDuration()/intervalsPerLease))
 }
 
-// reviewedWorkers are the workers that would take work, whatever their health.
-func (r *workerRegistry) reviewedWorkers() []workerhealth.ActiveWorker {
-	subjects := make([]workerhealth.ActiveWorker, 0, len(r.byName))
+// activeWorkers returns the workers that would get new work if they were healthy, by ID.
+func (r *workerRegistry) activeWorkers() []workerhealth.ActiveWorker {
+	active := make([]workerhealth.ActiveWorker, 0, len(r.byName))
 	for _, worker := range r.byName {
 		if worker.answered() && !worker.lease.expired && !worker.isLeaving() {
-			subjects = append(subjects, workerhealth.ActiveWorker{ID: worker.info.ID, Services: worker.info.Services})
+			active = append(active, workerhealth.ActiveWorker{ID: worker.info.ID, Services: worker.info.Services})
 		}
 	}
-	slices.SortFunc(subjects, func(a, b workerhealth.ActiveWorker) int { return strings.Compare(a.ID, b.ID) })
-	return subjects
+	slices.SortFunc(active, func(a, b workerhealth.ActiveWorker) int { return strings.Compare(a.ID, b.ID) })
+	return active
 }
 
-// respondsSoon reports whether the worker would take an assignment, and was seen so
-// lately that its next heartbeat is near.
+// respondsSoon implements workerResponsiveness. It reports whether the worker can take
+// work and was seen within maxGangHeartbeatAgeIntervals heartbeat intervals.
 func (r *workerRegistry) respondsSoon(worker *workerEntry, now time.Duration) bool {
-	within := gangSeenIntervals * r.heartbeatInterval()
-	return worker.canTakeWork(now, r.leaseDuration()) && worker.seenWithin(now, within)
+	maxAge := maxGangHeartbeatAgeIntervals * r.heartbeatInterval()
+	return worker.canTakeWork(now, r.leaseDuration()) && worker.seenWithin(now, maxAge)
 }
--- a/internal/scheduler/repeats/repeats.go
+++ b/internal/scheduler/repeats/repeats.go
@@ -1,6 +1,6 @@
-// Package repeats keeps the live jobs that have occurrences still to be added to the
-// record, and says which to add when. It owns no clock, no lock and no goroutine: its
-// caller tells the cluster time and guards it.
+// Package repeats tracks the live jobs with occurrences that are not yet in the record,
+// and determines when to add which. It has no clock, lock or goroutine: the caller passes
+// the cluster time and serializes the calls.
 package repeats
 
 import (
@@ -12,59 +12,60 @@
 )
 
 const (
-	// expandAheadMillis is how long before it falls due an occurrence is added
-	// to the record, so that its tasks can be placed right when it does.
+	// expandAheadMillis is how long before its due time an occurrence is added to the
+	// record, so that its tasks can be placed as soon as it is due.
 	expandAheadMillis = 300
-	// expandRetryMillis is the pause before an occurrence is added that the
-	// record did not take, since the job has too many open tasks.
+	// expandRetryMillis is the delay before another attempt to add an occurrence that the
+	// record rejected because the job has too many open tasks.
 	expandRetryMillis = 500
-	// MaxExpansionTasks bounds the tasks that one command adds, beyond those of
-	// its first occurrence, and so the time for which the record is held.
+	// MaxExpansionTasks limits the tasks that one command adds, apart from those of its
+	// first occurrence, and thereby how long the record is locked.
 	MaxExpansionTasks = 4096
 )
 
-// repeatingJob is a live job with occurrences that are still to be added.
+// repeatingJob is a live job with occurrences that are not yet in the record.
 type repeatingJob struct {
 	id   string
 	spec *api.RepeatSpec
 	// tasks is the number of tasks of one occurrence.
 	tasks int
-	// next is the number of the occurrence to be added next.
+	// next is the number of the next occurrence to add.
 	next int
-	// addAt is when it is to be added, on the cluster clock.
+	// addAt is when to add it, on the cluster clock.
 	addAt record.Millis
-	// heapIndex is the job's place in the heap; indexheap.None while it has none
-	// because an expansion of it is being committed.
+	// heapIndex is the job's index in the heap, or indexheap.None while an expansion of
+	// it is being committed.
 	heapIndex int
 }
 
-// Before implements indexheap.Item: the earliest first.
+// Before implements indexheap.Item: the job with the earliest addAt is first.
 func (j *repeatingJob) Before(other *repeatingJob) bool { return j.addAt < other.addAt }
 
 // SetPosition implements indexheap.Item.
 func (j *repeatingJob) SetPosition(position int) { j.heapIndex = position }
 
-// Jobs are the repeating jobs, first the one to be expanded next.
+// Jobs holds the repeating jobs, ordered by when their next occurrence is to be added.
 type Jobs struct {
 	byID map[string]*repeatingJob
 	heap indexheap.Heap[*repeatingJob]
 }
 
-// New returns no repeating jobs.
+// New returns an empty Jobs.
 func New() Jobs { return Jobs{byID: make(map[string]*repeatingJob)} }
 
-// Add takes in a job that may have occurrences to come.
+// Add adds a live job, unless it has no occurrences left to add.
 func (r *Jobs) Add(job *record.Job) {
 	if job.Repetition == nil || job.Repetition.Next >= job.Occurrences() {
 		return
 	}
 	entry := &repeatingJob{id: job.ID, spec: job.Spec.Repeat, tasks: job.Spec.TaskCount(), next: job.Repetition.Next}
 	r.byID[job.ID] = entry
-	r.arm(entry, entry.nextAddTime())
+	r.schedule(entry, entry.nextAddTime())
 }
 
-// Added records that the record holds a job's occurrences before its next one.
-func (r *Jobs) Added(job *record.Job) {
+// OccurrenceAdded notes which occurrence of a job is next after the record has added others. A job
+// without further occurrences is removed.
+func (r *Jobs) OccurrenceAdded(job *record.Job) {
 	entry, known := r.byID[job.ID]
 	if !known {
 		return
@@ -75,7 +76,7 @@
 	}
 }
 
-// Remove takes out a job that has ended. Unknown: no effect.
+// Remove removes a job that has ended. It has no effect on an unknown one.
 func (r *Jobs) Remove(id string) {
 	entry, known := r.byID[id]
 	if !known {
@@ -87,16 +88,18 @@
 	}
 }
 
-// Len is the number of jobs with occurrences to come.
+// Len returns the number of jobs with occurrences left to add.
 func (r *Jobs) Len() int { return len(r.byID) }
 
-func (r *Jobs) arm(entry *repeatingJob, at record.Millis) {
+// schedule puts a job into the heap, to be expanded at a given time.
+func (r *Jobs) schedule(entry *repeatingJob, at record.Millis) {
 	entry.addAt = at
 	heap.Push(&r.heap, entry)
 }
 
-// TakeDue returns what is to be added now. The jobs in it come up again after Proposed
-// was called with it.
+// TakeDue returns the expansions to propose now and removes their jobs from the heap. The
+// caller must pass the expansions to Proposed once they are committed; until then their
+// jobs are not due again.
 func (r *Jobs) TakeDue(now record.Millis) []record.Expansion {
 	var due []record.Expansion
 	capacity := MaxExpansionTasks
@@ -109,8 +112,9 @@
 	return due
 }
 
-// Proposed arms the jobs again of an expansion that was committed.
-func (r *Jobs) Proposed(expansions []record.Expansion, now record.Millis) {
+// Reschedule schedules the jobs of committed expansions again. A job whose expansion the
+// record rejected, at least in part, is due after expandRetryMillis.
+func (r *Jobs) Reschedule(expansions []record.Expansion, now record.Millis) {
 	for _, expansion := range expansions {
 		entry, known := r.byID[expansion.Job]
 		if !known || entry.heapIndex != indexheap.None {
@@ -120,12 +124,12 @@
 		if entry.next <= expansion.Through {
 			at = now + expandRetryMillis
 		}
-		r.arm(entry, at)
+		r.schedule(entry, at)
 	}
 }
 
-// lastDue is the last occurrence to be added now, within the capacity for tasks;
-// the next one in any case.
+// lastDue returns the number of the last occurrence to add now so that the tasks stay
+// within capacity; it is at least the next one.
 func (j *repeatingJob) lastDue(now record.Millis, capacity int) int {
 	last := j.next
 	capacity -= j.tasks
@@ -138,7 +142,7 @@
 
 func (j *repeatingJob) nextAddTime() record.Millis { return j.addTime(j.next) }
 
-// addTime is when an occurrence is to be added.
+// addTime returns when an occurrence is to be added.
 func (j *repeatingJob) addTime(occurrence int) record.Millis {
 	return record.Millis(j.spec.DueMillis(occurrence)) - expandAheadMillis
 }
--- a/internal/scheduler/repeats/repeats_test.go
+++ b/internal/scheduler/repeats/repeats_test.go
@@ -10,9 +10,10 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
+// first is the due time of the first occurrence.
 const first = record.Millis(1_700_000_000_000)
 
-// repeating returns a job of one task whose occurrences fall due a second apart.
+// repeating returns a job of one task whose occurrences are due one second apart.
 func repeating(id string, times int) *record.Job {
 	repeat := &api.RepeatSpec{Times: times, First: first.Time(), Interval: api.Duration(time.Second)}
 	steps := []api.StepSpec{{Name: "s", Tasks: []api.TaskSpec{{Service: "s"}}}}
@@ -23,7 +24,7 @@
 	jobs := New()
 	jobs.Add(repeating("j", 2))
 	if due := jobs.TakeDue(first - expandAheadMillis - 1); len(due) != 0 {
-		t.Errorf("due too early: %+v", due)
+		t.Errorf("more than 300 ms ahead: got expansions %+v, want none", due)
 	}
 	want := []record.Expansion{{Job: "j", Through: 0}}
 	if diff := cmp.Diff(want, jobs.TakeDue(first-expandAheadMillis)); diff != "" {
@@ -37,11 +38,11 @@
 	jobs.Add(job)
 	expansions := jobs.TakeDue(first)
 	if due := jobs.TakeDue(first + 10_000); len(due) != 0 {
-		t.Errorf("due while an expansion is being committed: %+v", due)
+		t.Errorf("while an expansion is being committed: got expansions %+v, want none", due)
 	}
 	job.Repetition.Next = 1
-	jobs.Added(job)
-	jobs.Proposed(expansions, first)
+	jobs.OccurrenceAdded(job)
+	jobs.Reschedule(expansions, first)
 	want := []record.Expansion{{Job: "j", Through: 1}}
 	if diff := cmp.Diff(want, jobs.TakeDue(first+1000)); diff != "" {
 		t.Errorf("due (-want +got):\n%s", diff)
@@ -52,12 +53,12 @@
 	jobs := New()
 	jobs.Add(repeating("j", 3))
 	expansions := jobs.TakeDue(first)
-	jobs.Proposed(expansions, first)
+	jobs.Reschedule(expansions, first)
 	if due := jobs.TakeDue(first + expandRetryMillis - 1); len(due) != 0 {
-		t.Errorf("due before the retry: %+v", due)
+		t.Errorf("before the retry: got expansions %+v, want none", due)
 	}
 	if due := jobs.TakeDue(first + expandRetryMillis); len(due) != 1 {
-		t.Errorf("%d expansions are due at the retry, want 1", len(due))
+		t.Errorf("at the retry: got %d expansions, want 1", len(due))
 	}
 }
 
@@ -68,13 +69,13 @@
 	jobs.Add(completed)
 	jobs.Add(&record.Job{ID: "plain", Spec: api.JobSpec{}})
 	if jobs.Len() != 2 {
-		t.Fatalf("%d jobs, want the two that repeat", jobs.Len())
+		t.Fatalf("got %d jobs, want the 2 that repeat", jobs.Len())
 	}
 	jobs.Remove("removed")
 	jobs.Remove("unknown")
 	completed.Repetition.Next = 1
-	jobs.Added(completed)
+	jobs.OccurrenceAdded(completed)
 	if jobs.Len()+len(jobs.heap) != 0 {
-		t.Errorf("%d jobs are kept, %d in the heap", jobs.Len(), len(jobs.heap))
+		t.Errorf("got %d jobs, %d of them in the heap, want none", jobs.Len(), len(jobs.heap))
 	}
 }
--- a/internal/scheduler/repeats_test.go
+++ b/internal/scheduler/repeats_test.go
@@ -10,13 +10,15 @@
 	"github.com/decklever/decklever/internal/scheduler/repeats"
 )
 
-// repeating runs a step of one task again and again, first after a delay.
+// repeating returns a job that runs a step of one task a number of times, first after a
+// delay.
 func (h *harness) repeating(times int, delay, interval time.Duration) api.JobSpec {
 	first := (h.log.clock + record.MillisOf(delay)).Time()
 	repeat := &api.RepeatSpec{Times: times, First: first, Interval: api.Duration(interval)}
 	return api.JobSpec{Queue: "q", Repeat: repeat, Steps: []api.StepSpec{tasks(1)}}
 }
 
+// job returns a live job and fails the test if there is none.
 func (h *harness) job(id string) (job *record.Job) {
 	h.t.Helper()
 	h.log.machine.Read(func(view record.View) { job, _ = view.Job(id) })
@@ -30,7 +32,7 @@
 	const times = 5
 	for _, newTerms := range []bool{false, true} {
 		h := newHarness(t)
-		worker := h.worker("w", "w-1")
+		worker := h.newWorker("w", "w-1")
 		worker.exchange()
 		spec := h.repeating(times, time.Second, 500*time.Millisecond)
 		h.submitSpec("j", spec)
@@ -46,20 +48,20 @@
 			for _, order := range worker.exchange().Start {
 				started[order.Task] = h.log.clock
 			}
-			worker.end(api.OutcomeSucceeded)
+			worker.endAllRuns(api.OutcomeSucceeded)
 			worker.exchange()
 			if open := h.status("j").Occurrences.Open; open > 2 {
-				t.Fatalf("%d occurrences are open at once", open)
+				t.Fatalf("got %d occurrences open at once, want at most 2", open)
 			}
 			if h.log.clock > record.Millis(spec.Repeat.DueMillis(times))+1000 {
-				t.Fatalf("not over: %+v", h.status("j").Occurrences)
+				t.Fatalf("job has not ended 1 s after its last occurrence: %+v", h.status("j").Occurrences)
 			}
 		}
 		for number := range times {
 			name := record.TaskID{Job: "j", Step: "s", Occurrence: number}.String()
 			due := record.Millis(spec.Repeat.DueMillis(number))
 			if late := started[name] - due; late < 0 || late > 100 {
-				t.Errorf("new terms %v: %s started %d ms after it fell due", newTerms, name, late)
+				t.Errorf("new terms %v: task %s started %d ms after its due time, want 0 to 100 ms", newTerms, name, late)
 			}
 		}
 	}
@@ -73,7 +75,7 @@
 		job := h.job("j")
 		due := int((h.log.clock-record.Millis(job.Spec.Repeat.First.UnixMilli()))/1000) + 1
 		if next := job.Repetition.Next; next != due && next != due+1 {
-			t.Fatalf("%d occurrences were added of %d that fell due", next, due)
+			t.Fatalf("got %d occurrences added with %d due, want at most one more than due", next, due)
 		}
 	}
 }
@@ -84,18 +86,18 @@
 		h.submitSpec(fmt.Sprintf("j-%d", number), h.repeating(3, time.Second, time.Second))
 	}
 	before := h.log.index
-	h.advance(2 * time.Second) // occurrences 1 and, with the next tick, none
+	h.advance(2 * time.Second) // adds occurrence 1 of each job; the next tick adds none
 	if commands := h.log.index - before; commands != 1 {
-		t.Errorf("%d commands", commands)
+		t.Errorf("got %d commands, want 1", commands)
 	}
 	for number := range 50 {
 		if next := h.job(fmt.Sprintf("j-%d", number)).Repetition.Next; next != 2 {
-			t.Errorf("job %d: next is %d", number, next)
+			t.Errorf("job %d: got next occurrence %d, want 2", number, next)
 		}
 	}
 }
 
-func TestRepeats_MissedOccurrencesComeInBatches(t *testing.T) {
+func TestRepeats_MissedOccurrencesAreAddedInBatches(t *testing.T) {
 	h := newHarness(t)
 	spec := h.repeating(20_000, -time.Hour, time.Millisecond)
 	h.submitSpec("j", spec)
@@ -104,12 +106,12 @@
 		h.advance(50 * time.Millisecond)
 		now := h.job("j").Repetition.Next
 		if now-next > repeats.MaxExpansionTasks {
-			t.Fatalf("%d occurrences in one command", now-next)
+			t.Fatalf("got %d occurrences in one command, want at most MaxExpansionTasks", now-next)
 		}
 		next = now
 	}
 	if next != api.MaxOpenTasksPerJob {
-		t.Fatalf("%d of at most %d are open", next, api.MaxOpenTasksPerJob)
+		t.Fatalf("got %d open tasks, want the maximum of %d", next, api.MaxOpenTasksPerJob)
 	}
 	before := h.log.index
 	h.advance(time.Second)
@@ -117,7 +119,7 @@
 		h.advance(10 * time.Millisecond)
 	}
 	if commands := h.log.index - before; commands > 2 {
-		t.Errorf("%d commands although nothing can be added", commands)
+		t.Errorf("got %d commands while nothing can be added, want at most 2", commands)
 	}
 }
 
@@ -128,18 +130,18 @@
 		t.Fatal(err)
 	}
 	if got := h.status("j"); got.State != api.StateCancelled || got.Occurrences.Cancelled != 10 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got status %+v, want cancelled with 10 occurrences cancelled", got)
 	}
 	before := h.log.index
 	h.advance(5 * time.Second)
 	if h.log.index != before || h.leader.repeats.Len() != 0 {
-		t.Errorf("%d commands after the cancel, %d jobs kept", h.log.index-before, h.leader.repeats.Len())
+		t.Errorf("after the cancel: got %d commands and %d repeating jobs, want none", h.log.index-before, h.leader.repeats.Len())
 	}
 }
 
 func TestRepeats_GangsOfOccurrencesArePlacedSeparately(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	worker.exchange()
 	spec := h.repeating(2, 0, 100*time.Millisecond)
 	spec.Steps[0].Together = true
@@ -149,11 +151,11 @@
 	h.advance(50 * time.Millisecond)
 	orders := worker.exchange().Start
 	if len(orders) != 4 {
-		t.Fatalf("want both gangs of two started, got %+v", orders)
+		t.Fatalf("got starts %+v, want both gangs of 2", orders)
 	}
-	worker.end(api.OutcomeSucceeded)
+	worker.endAllRuns(api.OutcomeSucceeded)
 	worker.exchange()
 	if got := h.status("j"); got.State != api.StateSucceeded || len(h.leader.gangs.byStep) != 0 {
-		t.Fatalf("%s, %d gangs kept", got.State, len(h.leader.gangs.byStep))
+		t.Fatalf("got state %s and %d gangs, want succeeded and none", got.State, len(h.leader.gangs.byStep))
 	}
 }
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -8,31 +8,33 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// reports is what a heartbeat says of ended runs, and what follows from it.
-// The rules are in docs/DESIGN.md, "What an acknowledgement means".
+// reports holds the run ends of one heartbeat that are committed now, and the runs that
+// are revoked because of them. The rules are in docs/DESIGN.md, "What an acknowledgement
+// means".
 type reports struct {
-	// unreadable name no task, or contradict the record; they are acknowledged.
+	// unreadable holds reports that name no run or contradict the record; they are
+	// acknowledged and not committed.
 	unreadable []api.RunRef
-	// revoked are runs never assigned of tasks that turn out to be done.
+	// revoked holds unassigned runs of tasks of which an earlier run has succeeded.
 	revoked []record.RunEnd
-	// ended are of runs open on the worker, late of runs closed before.
-	ended, late []record.RunEnd
+	// ends belong to runs open on the worker, lateEnds to all other runs.
+	ends, lateEnds []record.RunEnd
 }
 
-// closes lists the runs in the order in which the record has to end them: a
-// late success counts only once no run of its task is open.
-func (r *reports) closes() []record.RunEnd {
+// endsInOrder returns all run ends in the order in which the record must apply them: a
+// late success counts only if no run of its task is open.
+func (r *reports) endsInOrder() []record.RunEnd {
 	var all []record.RunEnd
 	all = append(all, r.revoked...)
-	all = append(all, r.ended...)
-	return append(all, r.late...)
+	all = append(all, r.ends...)
+	return append(all, r.lateEnds...)
 }
 
-// commitReports puts the worker's reports into the record and returns what may
-// be acknowledged.
-func (l *leader) commitReports(observed *observation) ([]api.RunRef, error) {
+// commitReports commits the reported run ends and returns the reports that may be
+// acknowledged.
+func (l *leader) commitReports(observed *heartbeatObservation) ([]api.RunRef, error) {
 	reported := &observed.reports
-	closes := reported.closes()
+	closes := reported.endsInOrder()
 	if len(closes) == 0 {
 		return reported.unreadable, nil
 	}
@@ -44,14 +46,15 @@
 	return l.assignments.acknowledge(reported), nil
 }
 
-// observeRefusedEnds takes the ends from a heartbeat that is refused for want of the lease,
-// and draws no other conclusion: its worker may be gone before it can report them
-// again. No lease is needed for it. What is proposed takes effect only if this
-// leads still, and else the worker reports it to the next leader.
+// observeRefusedEnds queues the run ends of a heartbeat that is refused because the leader
+// does not hold its lease, since the worker may be gone before it can report them again.
+// It draws no other conclusion. This needs no lease: the proposal takes effect only if
+// this replica still leads; otherwise the worker reports the ends to the next leader.
 func (l *leader) observeRefusedEnds(request protocol.HeartbeatRequest) {
 	l.enqueueEnds(l.observeEnds(request))
 }
 
+// observeEnds classifies the run ends of a heartbeat without recording the heartbeat.
 func (l *leader) observeEnds(request protocol.HeartbeatRequest) reports {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,40 +68,41 @@
 	return l.assignments.classifyReports(&differences)
 }
 
-// enqueueEnds queues ends that could not be committed.
+// enqueueEnds queues reported run ends that were not committed.
 func (l *leader) enqueueEnds(reported reports) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.proposer.enqueueEnds(reported.closes())
+	l.proposer.enqueueEnds(reported.endsInOrder())
 }
 
-// classifyReports decides which reports go to the record now. A late success whose
-// task is run again is not, unless that run was never assigned: then it is revoked. One
-// of a gang is not revoked, since that would requeue the whole gang.
+// classifyReports decides which reports are committed now. A late success is not while a
+// newer run of its task is open, unless that run ends with the same heartbeat or was never
+// assigned: then the newer run is revoked. A run of a gang is not revoked, since that would
+// requeue the gang.
 func (a *assignments) classifyReports(differences *reconciliation) reports {
-	sorted := reports{unreadable: slices.Concat(differences.unreadable, differences.conflicting), ended: differences.ended}
-	ending := make(map[record.RunID]bool, len(differences.ended))
-	for _, end := range differences.ended {
+	sorted := reports{unreadable: slices.Concat(differences.unreadable, differences.conflicting), ends: differences.ends}
+	ending := make(map[record.RunID]bool, len(differences.ends))
+	for _, end := range differences.ends {
 		ending[end.Run] = true
 	}
-	for _, end := range differences.late {
+	for _, end := range differences.lateEnds {
 		newer, open := a.openByTask[end.Run.Task]
 		switch {
 		case !a.mayCountSuccess(end) || !open || ending[newer.id]:
-			sorted.late = append(sorted.late, end)
+			sorted.lateEnds = append(sorted.lateEnds, end)
 		case newer.neverAssigned() && !newer.closing && !newer.inGang:
 			newer.closing = true
 			sorted.revoked = append(sorted.revoked, record.RunEnd{
 				Run: newer.id, Outcome: api.OutcomeLost, Message: "an earlier run of the task has succeeded",
 			})
-			sorted.late = append(sorted.late, end)
+			sorted.lateEnds = append(sorted.lateEnds, end)
 		}
 	}
 	return sorted
 }
 
-// mayCountSuccess reports whether a late report is a success of a task that is not
-// final. A task that runs until cancelled has no success.
+// mayCountSuccess reports whether a late report is a success of a task that is running or
+// waiting. A task that runs until cancelled cannot succeed.
 func (a *assignments) mayCountSuccess(end record.RunEnd) bool {
 	if end.Outcome != api.OutcomeSucceeded {
 		return false
@@ -110,14 +114,14 @@
 	return waits && !entry.task.Spec.UntilCancelled
 }
 
-// acknowledge lists the reports that the worker need not repeat. A success of
-// a task that is not final was not taken, and is not acknowledged.
+// acknowledge returns the reports that the worker need not repeat. A late success is not
+// acknowledged while its task is not final, since the record has not applied it.
 func (a *assignments) acknowledge(reported *reports) []api.RunRef {
 	acknowledged := reported.unreadable
-	for _, end := range reported.ended {
+	for _, end := range reported.ends {
 		acknowledged = append(acknowledged, runRef(end.Run))
 	}
-	for _, end := range reported.late {
+	for _, end := range reported.lateEnds {
 		if !a.mayCountSuccess(end) {
 			acknowledged = append(acknowledged, runRef(end.Run))
 		}
--- a/internal/scheduler/reports_test.go
+++ b/internal/scheduler/reports_test.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// deliver brings a heartbeat to the leader under a context of its own.
+// deliver sends a heartbeat to the leader with the context ctx, then settles the harness.
 func (h *harness) deliver(ctx context.Context, heartbeat api.Heartbeat) (api.HeartbeatAnswer, error) {
 	answer, err := h.leader.heartbeat(ctx, protocol.HeartbeatRequest{Agent: "a", Zone: "z1", Heartbeat: heartbeat})
 	h.settle()
@@ -20,7 +20,7 @@
 // runningOne returns a worker that runs the one task of job "j".
 func (h *harness) runningOne() *fakeWorker {
 	h.t.Helper()
-	worker := h.running("w", 1)
+	worker := h.startRunning("w", 1)
 	worker.exchange()
 	return worker
 }
@@ -28,49 +28,50 @@
 func (h *harness) wantState(id string, want api.State) {
 	h.t.Helper()
 	if state := h.status(id).State; state != want {
-		h.t.Errorf("job %s is %s, want %s", id, state, want)
+		h.t.Errorf("job %s: got state %s, want %s", id, state, want)
 	}
 }
 
 func TestReports_EndIsRecordedAfterCallerLeft(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
-	worker.end(api.OutcomeSucceeded)
+	worker.endAllRuns(api.OutcomeSucceeded)
 	worker.heartbeat.Seq++
-	gone, leave := context.WithCancel(t.Context())
-	leave()
-	_, _ = h.deliver(gone, worker.heartbeat) // nobody reads the answer
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	_, _ = h.deliver(cancelled, worker.heartbeat) // nobody reads the answer
 	h.wantState("j", api.StateSucceeded)
 }
 
 func TestReports_LateHeartbeatRecordsEndsOnly(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
-	worker.end(api.OutcomeSucceeded)
+	worker.endAllRuns(api.OutcomeSucceeded)
 	worker.heartbeat.Seq++
 	late := worker.heartbeat
-	late.Draining = true // the newer one's word on this counts
+	late.Draining = true // the newer heartbeat says otherwise, and counts
 	worker.heartbeat.Ended = nil
-	worker.exchange() // the newer one does not bring the end
+	worker.exchange() // the newer heartbeat does not list the end
 	h.wantState("j", api.StateRunning)
 	h.submit("k", tasks(1))
 	if answer, err := h.deliver(t.Context(), late); err == nil {
-		t.Errorf("a late heartbeat was answered: %+v", answer)
+		t.Errorf("got answer %+v to a late heartbeat, want an error", answer)
 	}
 	h.wantState("j", api.StateSucceeded)
 	entry := h.leader.registry.byID["w-1"]
 	if entry.drain.requested || entry.seq != worker.heartbeat.Seq {
-		t.Errorf("conclusions from a late heartbeat: draining %t, seq %d", entry.drain.requested, entry.seq)
+		t.Errorf("got draining %t, seq %d after a late heartbeat, want those of the newer one", entry.drain.requested, entry.seq)
 	}
 	if answer := worker.exchange(); len(answer.Start) != 1 || answer.Start[0].Task != "k/s/0" {
-		t.Errorf("orders of the next heartbeat: %+v", answer.Start)
+		t.Errorf("want the start of k/s/0 in the next answer, got %+v", answer.Start)
 	}
 }
 
-// A late heartbeat does not list what was started since.
+// TestReports_LateHeartbeatClosesNoRun guards against closing as lost a run that a late
+// heartbeat does not list because it was assigned later.
 func TestReports_LateHeartbeatClosesNoRun(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	worker.exchange()
 	worker.heartbeat.Seq++
 	late := worker.heartbeat
@@ -78,21 +79,21 @@
 	worker.exchange()
 	worker.exchange()
 	if _, err := h.deliver(t.Context(), late); err == nil {
-		t.Error("a late heartbeat was answered")
+		t.Error("got an answer to a late heartbeat, want an error")
 	}
 	h.wantState("j", api.StateRunning)
 	if task := h.task("j", 0); task.Run != 1 {
-		t.Errorf("the task is at run %d, want 1", task.Run)
+		t.Errorf("got run %d, want 1", task.Run)
 	}
 }
 
-// expiredWorker returns a worker that is lost although its run of "j/s/0" has
-// succeeded, and another that is free to take the task.
+// expiredWorker returns a worker whose lease has expired and that has an unreported success
+// of "j/s/0", and another worker with capacity for the task.
 func (h *harness) expiredWorker() (silent, other *fakeWorker) {
 	h.t.Helper()
 	silent = h.runningOne()
-	silent.end(api.OutcomeSucceeded)
-	other = h.worker("other", "o-1")
+	silent.endAllRuns(api.OutcomeSucceeded)
+	other = h.newWorker("other", "o-1")
 	other.exchange()
 	other.exchange()
 	for range 4 {
@@ -107,17 +108,19 @@
 	h := newHarness(t)
 	silent, other := h.expiredWorker()
 	if open := h.leader.assignments.openByTask[testTask()]; open == nil || open.worker.info.ID != "o-1" || open.assignment.seq != 0 {
-		t.Fatalf("want the task placed again and not ordered, got %+v", open)
+		t.Fatalf("want the task placed again and not assigned, got %+v", open)
 	}
 	if answer := silent.exchange(); len(answer.Acknowledged) != 1 {
-		t.Errorf("acknowledged %+v", answer.Acknowledged)
+		t.Errorf("got acknowledged %+v, want the one report", answer.Acknowledged)
 	}
 	h.wantState("j", api.StateSucceeded)
 	if answer := other.exchange(); len(answer.Start) != 0 {
-		t.Errorf("started again: %+v", answer.Start)
+		t.Errorf("want no start of a task that has succeeded, got %+v", answer.Start)
 	}
 }
 
+// TestReports_RevokedRunIsClosedAfterFailedReport guards against a revoked run that stays open
+// because the commit of the late success failed.
 func TestReports_RevokedRunIsClosedAfterFailedReport(t *testing.T) {
 	h := newHarness(t)
 	silent, other := h.expiredWorker()
@@ -125,16 +128,16 @@
 	silent.heartbeat.Seq++
 	request := protocol.HeartbeatRequest{Agent: "a", Zone: "z1", Heartbeat: silent.heartbeat}
 	if _, err := h.leader.heartbeat(t.Context(), request); err == nil {
-		t.Fatal("answered although nothing could be recorded")
+		t.Fatal("got an answer while the log is overloaded, want an error")
 	}
 	h.log.overloaded = false
 	h.settle()
 	if answer := silent.exchange(); len(answer.Acknowledged) != 1 {
-		t.Errorf("acknowledged %+v", answer.Acknowledged)
+		t.Errorf("got acknowledged %+v, want the one report", answer.Acknowledged)
 	}
 	h.wantState("j", api.StateSucceeded)
 	if answer := other.exchange(); len(answer.Start) != 0 {
-		t.Errorf("started again: %+v", answer.Start)
+		t.Errorf("want no start of a task that has succeeded, got %+v", answer.Start)
 	}
 }
 
@@ -148,57 +151,61 @@
 			}
 			reported := silent.heartbeat.Ended
 			if answer := silent.exchange(); len(answer.Acknowledged) != 0 {
-				t.Fatalf("acknowledged while a newer run is open: %+v", answer.Acknowledged)
+				t.Fatalf("want no acknowledgement while a newer run is open, got %+v", answer.Acknowledged)
 			}
-			other.end(outcome)
+			other.endAllRuns(outcome)
 			other.exchange()
 			silent.heartbeat.Ended = reported
 			if answer := silent.exchange(); len(answer.Acknowledged) != 1 {
-				t.Errorf("acknowledged %+v", answer.Acknowledged)
+				t.Errorf("got acknowledged %+v, want the one report", answer.Acknowledged)
 			}
 			h.wantState("j", api.StateSucceeded)
 		})
 	}
 }
 
-// The worker refuses to run a task whose success it still reports.
+// TestReports_LateSuccessCountsWithEndOfNewerRun guards against losing a success that is
+// reported together with the end of a newer run: the worker rejects a start order for a
+// task whose success it still reports.
 func TestReports_LateSuccessCountsWithEndOfNewerRun(t *testing.T) {
 	h := newHarness(t)
 	worker := h.runningOne()
-	worker.end(api.OutcomeSucceeded)
+	worker.endAllRuns(api.OutcomeSucceeded)
 	success := worker.heartbeat.Ended
 	worker.heartbeat.Ended = nil
 	h.advance(testLease + testDriftMargin + time.Millisecond)
 	worker.exchange()
 	worker.exchange()
 	if answer := worker.exchange(); len(answer.Start) != 1 {
-		t.Fatalf("want the task ordered anew, got %+v", answer.Start)
+		t.Fatalf("want the task assigned again, got %+v", answer.Start)
 	}
-	worker.end(api.OutcomeStopped)
+	worker.endAllRuns(api.OutcomeStopped)
 	worker.heartbeat.Ended = append(success, worker.heartbeat.Ended...)
 	if answer := worker.exchange(); len(answer.Acknowledged) != 2 {
-		t.Errorf("acknowledged %+v", answer.Acknowledged)
+		t.Errorf("got acknowledged %+v, want both reports", answer.Acknowledged)
 	}
 	h.wantState("j", api.StateSucceeded)
 }
 
-// It has no success, so a worker must not wait until it is taken.
-func TestReports_LateSuccessOfEndlessTaskIsAcknowledged(t *testing.T) {
+// TestReports_LateSuccessOfTaskUntilCancelledIsAcknowledged guards against a worker that
+// repeats a report for ever: a task that runs until cancelled never succeeds, so its
+// success is acknowledged without effect.
+func TestReports_LateSuccessOfTaskUntilCancelledIsAcknowledged(t *testing.T) {
 	h := newHarness(t)
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	worker.exchange()
 	step := tasks(1)
 	step.Tasks[0].UntilCancelled = true
 	h.submit("j", step)
 	worker.exchange()
 	worker.exchange()
-	worker.end(api.OutcomeSucceeded)
+	worker.endAllRuns(api.OutcomeSucceeded)
 	h.advance(testLease + testDriftMargin + time.Millisecond)
 	if answer := worker.exchange(); len(answer.Acknowledged) != 1 {
-		t.Errorf("acknowledged %+v", answer.Acknowledged)
+		t.Errorf("got acknowledged %+v, want the one report", answer.Acknowledged)
 	}
 	if state := h.status("j").State; state == api.StateSucceeded {
-		t.Error("the job has succeeded")
+		t.Error("got job state succeeded, want any other")
 	}
 }
 
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -12,13 +12,15 @@
 )
 
 const (
-	// defaultReservationHorizon is listed when a caller names no time.
+	// defaultReservationHorizon is how far ahead windows are listed if the request has no
+	// horizon.
 	defaultReservationHorizon = 24 * time.Hour
-	// maxReservationHorizon bounds what a caller may ask for.
+	// maxReservationHorizon limits the horizon of a request.
 	maxReservationHorizon = 7 * 24 * time.Hour
 )
 
-// refreshReservations updates the planner on the windows to reserve capacity for now.
+// refreshReservations passes the windows that reserve capacity now to the planner if they
+// have changed, and wakes it.
 func (l *leader) refreshReservations(clusterNow record.Millis) {
 	if reservations, changed := l.calendar.Refresh(clusterNow.Time()); changed {
 		l.planner.SetReservations(reservations)
@@ -26,7 +28,7 @@
 	}
 }
 
-// listReservations describes the windows of the coming hours.
+// listReservations returns the status of the windows that overlap the requested horizon.
 func (l *leader) listReservations(_ context.Context, request protocol.BookingsRequest) (protocol.BookingsAnswer, error) {
 	horizon := time.Duration(request.HorizonMillis) * time.Millisecond
 	if horizon <= 0 {
@@ -42,7 +44,7 @@
 	return protocol.BookingsAnswer{List: list}, nil
 }
 
-// releaseReservation gives the capacity of a window back before its end.
+// releaseReservation ends the reservation of a window's capacity before the window's end.
 func (l *leader) releaseReservation(ctx context.Context, request protocol.ReleaseRequest) (protocol.Empty, error) {
 	window, known := l.findWindow(request.Release)
 	if !known {
@@ -61,13 +63,15 @@
 	return protocol.Empty{}, nil
 }
 
+// findWindow calls calendar.Find under leader.mu.
 func (l *leader) findWindow(release api.ReleaseRequest) (reservation.Window, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.calendar.Find(release)
 }
 
-// checkReservations returns which reservations the registered workers have no capacity for.
+// checkReservations returns an error for each reservation of a configuration for which
+// the registered workers do not have enough capacity.
 func (l *leader) checkReservations(config *api.Config) []api.FieldError {
 	var workers []reservation.Worker
 	l.log.Record().Read(func(view record.View) {
