--- a/internal/scheduler/runstate.go
+++ b/internal/scheduler/runstate.go
@@ -9,78 +9,83 @@
 	"github.com/decklever/decklever/internal/workerhealth"
 )
 
-// runState is one open run of the record, with what was observed of it. Assignments
-// own it; the proposer writes stop and closing.
+// runState is an open run of the record and its observed state. It is owned by assignments.
+// Others write these fields too: the proposer stop and closing, the leader worker and stop,
+// the health review observed.progress, workerEntry.recordCheckpoints observed.checkpoint and
+// observed.percent. leader.mu guards the struct.
 type runState struct {
 	placedRun
 	assignment assignmentState
 	observed   observedRun
-	// stop is why the run is to be stopped.
+	// stop is why the run is to be stopped; record.StopNone if it is not.
 	stop record.StopReason
-	// closing is true once a Close was proposed that no report asked for.
+	// closing is true once the leader has decided to close the run without a report of its
+	// end.
 	closing bool
 }
 
-// placedRun is what the record says of an open run.
+// placedRun is the part of a run's state that is fixed by its placement.
 type placedRun struct {
 	id   record.RunID
 	spec *api.TaskSpec
-	// payload is the task's own or the job's; it is shared with the record.
+	// payload is the task's payload or, if it has none, the job's. It is shared with the
+	// record and must not be changed.
 	payload json.RawMessage
 	queue   string
 	step    record.StepID
 	// stepSize is the number of tasks of the step.
 	stepSize int
-	// inGang: the tasks of the step start together; sharesOutcome: they also end
+	// inGang is true if the tasks of the step start together, sharesOutcome if they also end
 	// together.
 	inGang, sharesOutcome bool
-	// worker is where the run is open.
+	// worker is the worker on which the run is open.
 	worker *workerEntry
-	// openedAt is when the run was placed.
+	// openedAt is when the run was placed, on this process's monotonic clock.
 	openedAt time.Duration
-	// checkpoint is what the assignment carries: the newest of earlier runs.
+	// checkpoint is sent with the assignment: the newest checkpoint of earlier runs.
 	checkpoint string
 }
 
-// placedBy says which leader placed a run.
+// placedBy tells whether this leader or an earlier one placed a run.
 type placedBy uint8
 
 const (
-	// placedByThisLeader: the leader knows whether it gave the assignment.
+	// placedByThisLeader: this leader knows whether it sent the assignment.
 	placedByThisLeader placedBy = iota
-	// placedByEarlierLeader: placed under an earlier token, so that it is not known
-	// whether its assignment was given.
+	// placedByEarlierLeader: the run was placed under an earlier token, and this leader does
+	// not know whether the assignment was sent.
 	placedByEarlierLeader
 )
 
-// assignmentState is how far the run's worker was notified of it.
+// assignmentState records who placed the run, and which answers told the worker to start it
+// and to stop it.
 type assignmentState struct {
 	placedBy placedBy
-	// seq is that of the answer that carried the assignment; 0 if this leader has
-	// given none. at is when it was given.
+	// seq is the seq of the answer that carried the assignment; 0 if this leader has sent
+	// none. at is when it was sent.
 	seq uint64
 	at  time.Duration
 	// droppedSeq is the seq of the first answer that asked the worker to stop the run
-	// because it accepted the assignment and does not list it; 0 if none.
+	// because it accepted the assignment and does not list the run; 0 if there is none.
 	droppedSeq uint64
 }
 
-// observedRun is what heartbeats said of a run.
+// observedRun is the state of a run as heartbeats reported it.
 type observedRun struct {
 	// listed is true once a heartbeat listed the run as running or ended.
 	listed bool
 	// endedAt is when the run's end was first reported; 0 if it was not.
 	endedAt time.Duration
-	// progress is how far the run said that it is, from when it was listed.
+	// progress tracks the run's reported progress since it was first listed.
 	progress workerhealth.Progress
-	// checkpoint is the newest that was reported of the run itself, and percent how
-	// far it was.
+	// checkpoint is the newest non-empty checkpoint that this run reported, percent the last
+	// percentage.
 	checkpoint string
 	percent    int
 }
 
-// newRunState returns an open run of which nothing was observed yet, and which is on
-// no worker.
+// newRunState returns the state of an open run that was not observed yet. The caller sets its
+// worker.
 func newRunState(open *record.Run, by placedBy, now time.Duration) *runState {
 	task := open.Task
 	return &runState{
@@ -101,8 +106,9 @@
 	}
 }
 
-// neverAssigned reports that the run's assignment was surely not given.
+// neverAssigned reports whether the run was certainly never assigned. It returns false for an
+// inherited run, whose assignment an earlier leader may have sent.
 func (r *runState) neverAssigned() bool { return r.assignment.seq == 0 && !r.isInherited() }
 
-// isInherited reports that an earlier leader placed the run.
+// isInherited reports whether an earlier leader placed the run.
 func (r *runState) isInherited() bool { return r.assignment.placedBy == placedByEarlierLeader }
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -15,25 +15,25 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// Config makes a Service.
+// Config configures a Service.
 type Config struct {
-	// Archive is the store of ended jobs that the record writes.
+	// Archive is the store to which the record writes ended jobs.
 	Archive record.Archive
-	// ArchiveBytes bounds the archive: beyond it the oldest ended jobs are
-	// dropped. Default DefaultArchiveBytes.
+	// ArchiveBytes is the maximum size of the archive, in bytes: beyond it the oldest
+	// ended jobs are dropped. Default: DefaultArchiveBytes.
 	ArchiveBytes int64
-	// NewPlanner makes an empty planner for each term.
+	// NewPlanner returns an empty planner; it is called once per term.
 	NewPlanner func() Planner
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
-	// Off are the mechanisms that an experiment switches off. Default: none.
-	Off featuregate.DisabledSet
-	// Now reads the monotonic clock. Default: time since the start.
+	// DisabledFeatures has the features that an experiment disables. Default: none.
+	DisabledFeatures featuregate.DisabledSet
+	// Now reads the monotonic clock. Default: time since the call of NewService.
 	Now func() time.Duration
 }
 
-// Service runs a leader during each term in which its replica leads, and
-// refuses calls at all other times.
+// Service runs a leader during each term in which its replica leads, and refuses
+// calls while it does not lead.
 type Service struct {
 	config  Config
 	metrics *metrics
@@ -55,14 +55,15 @@
 	return service
 }
 
-// SetLog gives the replica, which itself needs Lead to be made.
+// SetLog sets the replica's log. It is not part of Config because the replica is created
+// with Lead, and so after the Service.
 func (s *Service) SetLog(log replica.Log) { s.log = log }
 
-// Lead works as the acting scheduler until the leadership ends.
+// Lead runs a leader until the leadership ends.
 func (s *Service) Lead(leadership replica.Leadership) {
 	current := newLeader(leaderConfig{
 		Log: s.log, Archive: s.config.Archive, ArchiveBytes: s.config.ArchiveBytes, Planner: s.config.NewPlanner(), Logger: s.config.Logger,
-		Metrics: s.metrics, Now: s.config.Now, Leadership: leadership, Off: s.config.Off,
+		Metrics: s.metrics, Now: s.config.Now, Leadership: leadership, DisabledFeatures: s.config.DisabledFeatures,
 	})
 	s.config.Logger.Info("started leading", slog.Uint64("token", leadership.Token))
 	current.run(func() { s.leader.Store(current) })
@@ -70,7 +71,7 @@
 	s.config.Logger.Info("stopped leading", slog.Uint64("token", leadership.Token))
 }
 
-// Register offers the calls that only the acting scheduler answers.
+// Register registers the methods that only the acting scheduler serves.
 func (s *Service) Register(server *rpc.Server) {
 	handle(s, server, protocol.MethodHeartbeat, (*leader).heartbeat)
 	handle(s, server, protocol.MethodLeave, (*leader).leave)
@@ -100,7 +101,8 @@
 	handle(s, server, protocol.MethodQueue, (*leader).readQueue)
 }
 
-// handle serves a call by the present leader, or names where to go.
+// handle registers a method that the current leader serves. Without one, calls fail with
+// notLeaderError.
 func handle[Request, Answer any](
 	s *Service, server *rpc.Server, method protocol.Method,
 	serve func(*leader, context.Context, Request) (Answer, error),
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -12,22 +12,25 @@
 const (
 	// agentRole is the role of the processes that relay heartbeats.
 	agentRole = "agent"
-	// forgetProcessAfter drops a process that was not seen from the roll-out.
-	forgetProcessAfter = 30 * time.Second
+	// processRetention is how long after its last call a process is still listed in the
+	// roll-out.
+	processRetention = 30 * time.Second
 )
 
-// settings holds the configuration in force, and which processes have confirmed
-// which version of it.
+// settings holds the configuration in force and the version that each process has
+// confirmed. It is guarded by leader.mu.
 type settings struct {
-	// config has its defaults filled in.
+	// config is the configuration in force, with its defaults filled in.
 	config  *api.Config
 	version uint64
-	// changed is closed when the configuration changes.
-	changed   chan struct{}
+	// changed is closed and replaced when the configuration changes.
+	changed chan struct{}
+	// processes holds fronts and agents by name.
 	processes map[string]*processEntry
 }
 
-// processEntry is what a front or an agent last said.
+// processEntry is the last confirmation by a front or an agent. lastSeen is on the
+// monotonic clock.
 type processEntry struct {
 	role     string
 	zone     string
@@ -39,16 +42,16 @@
 	return settings{changed: make(chan struct{}), processes: make(map[string]*processEntry)}
 }
 
-// set takes over a configuration, and wakes those that wait for a change.
+// set installs a configuration and wakes the callers that wait for a change.
 func (s *settings) set(version uint64, config *api.Config) {
 	s.config, s.version = config, version
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// observeWatch records what a process has in force. A process that has just started
-// and knows no configuration yet serves nobody, and is recorded once it confirms its
-// first.
+// observeWatch records the version that a process confirms. A process that has just
+// started and has no configuration yet serves no calls; it is left out until it confirms
+// one.
 func (s *settings) observeWatch(request protocol.WatchRequest, now time.Duration) {
 	if request.ConfigVersion == 0 && s.version > 0 {
 		delete(s.processes, request.Process)
@@ -59,30 +62,31 @@
 	})
 }
 
-// observeAgent records what the agent that relays a heartbeat has in force.
+// observeAgent records the version confirmed by the agent that relays a heartbeat.
 func (s *settings) observeAgent(request protocol.HeartbeatRequest, now time.Duration) {
 	if request.ConfigVersion > 0 {
 		s.confirm(request.Agent, processEntry{role: agentRole, zone: request.Zone, version: request.ConfigVersion, lastSeen: now})
 	}
 }
 
-// confirm records what a process has in force.
+// confirm replaces the entry of a process.
 func (s *settings) confirm(process string, entry processEntry) {
-	known, exists := s.processes[process]
+	existing, exists := s.processes[process]
 	if !exists {
-		known = &processEntry{}
-		s.processes[process] = known
+		existing = &processEntry{}
+		s.processes[process] = existing
 	}
-	*known = entry
+	*existing = entry
 }
 
-// rollout says which process has which version. Complete counts only processes that
-// were seen within their lease: others have stopped serving.
+// rollout returns the version that each process has confirmed. Complete considers only
+// processes seen within watchLease: the others no longer serve. Processes not seen for
+// longer than processRetention are removed.
 func (s *settings) rollout(now time.Duration) api.Rollout {
 	rollout := api.Rollout{Version: s.version, Complete: true, Processes: []api.ProcessRollout{}}
 	for name, process := range s.processes {
 		age := now - process.lastSeen
-		if age > forgetProcessAfter {
+		if age > processRetention {
 			delete(s.processes, name)
 			continue
 		}
--- a/internal/scheduler/settings_test.go
+++ b/internal/scheduler/settings_test.go
@@ -8,18 +8,18 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-func TestSettings_ChangeWakesThoseThatWait(t *testing.T) {
+func TestSettings_ChangeWakesWatchers(t *testing.T) {
 	s := newSettings()
 	first := s.changed
 	s.set(1, &api.Config{})
 	select {
 	case <-first:
 	default:
-		t.Error("the channel of the earlier configuration is open")
+		t.Error("channel of the previous configuration: got open, want closed")
 	}
 	select {
 	case <-s.changed:
-		t.Error("the channel of the configuration in force is closed")
+		t.Error("channel of the configuration in force: got closed, want open")
 	default:
 	}
 }
@@ -37,14 +37,14 @@
 		complete  bool
 		processes int
 	}{
-		{"an agent has an earlier version", 0, false, 2},
+		{"an agent has a previous version", 0, false, 2},
 		{"its lease has expired", watchLease + time.Millisecond, true, 2},
-		{"both are forgotten", forgetProcessAfter + time.Millisecond, true, 0},
+		{"both are removed", processRetention + time.Millisecond, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rollout := s.rollout(now + c.after)
 			if rollout.Complete != c.complete || len(rollout.Processes) != c.processes {
-				t.Errorf("complete %t with %d processes, want %t with %d", rollout.Complete, len(rollout.Processes), c.complete, c.processes)
+				t.Errorf("got complete %t with %d processes, want %t with %d", rollout.Complete, len(rollout.Processes), c.complete, c.processes)
 			}
 		})
 	}
--- a/internal/scheduler/slo/deference.go
+++ b/internal/scheduler/slo/deference.go
@@ -9,15 +9,15 @@
 	"github.com/decklever/decklever/internal/placement"
 )
 
-// comparableAllowanceFactor: a queue is about as urgent as another if its objective leaves at most
-// so many times as long.
+// comparableAllowanceFactor: a queue counts as about as urgent as another, or more, if
+// its start allowance is at most this multiple of the other's.
 const comparableAllowanceFactor = 2
 
-// deferencesOf says which queues let which others go first, in the order of the
-// configuration.
+// deferencesOf returns which queues defer to which others, in the order of the
+// configuration; none if the feature is disabled.
 func (s *Tracker) deferencesOf(queues []api.QueueConfig) []placement.Deference {
 	var deferences []placement.Deference
-	if s.off.Has(featuregate.LoadDeference) {
+	if s.disabled.Has(featuregate.LoadDeference) {
 		return deferences
 	}
 	for index := range queues {
@@ -33,22 +33,23 @@
 	return deferences
 }
 
-// defersTo returns the queues that go first. What cannot meet its objective whatever
-// the order lets all go first that have one. What is pressed only lets those that are
-// about as urgent: its work is no more urgent than theirs, only older, while less
-// urgent work is not to go before it as long as its objective can be met.
+// defersTo returns the queues to which a queue defers. An overloaded queue cannot meet
+// its objective in any order, so it defers to all queues with an objective. A queue at
+// risk defers only to queues that are about as urgent or more: its tasks are not more
+// urgent than theirs, only older, and less urgent tasks should not go first while its own
+// objective can be met.
 func (q *Queue) defersTo(own *api.QueueConfig, queues []api.QueueConfig) []string {
 	overloaded := q.overloaded.Exceeded()
-	if !overloaded && !q.pressed.Exceeded() {
+	if !overloaded && !q.atRisk.Exceeded() {
 		return nil
 	}
-	longest := comparableAllowanceFactor * objective.StartAllowance(own.Objective, q.chain, 1)
+	maxAllowance := comparableAllowanceFactor * objective.StartAllowance(own.Objective, q.criticalPath, 1)
 	var to []string
 	for _, other := range queues {
 		if other.Name == own.Name || other.Objective == nil {
 			continue
 		}
-		if overloaded || objective.StartAllowance(other.Objective, q.chain, 1) <= longest {
+		if overloaded || objective.StartAllowance(other.Objective, q.criticalPath, 1) <= maxAllowance {
 			to = append(to, other.Name)
 		}
 	}
--- a/internal/scheduler/slo/deference_test.go
+++ b/internal/scheduler/slo/deference_test.go
@@ -12,54 +12,56 @@
 	"github.com/decklever/decklever/internal/placement"
 )
 
-// closeGate has a gate take in a wait that is too long for long enough.
-func closeGate(gate *admission.WaitThreshold) {
+// exceedThreshold makes a threshold exceeded by a wait that is above the limit for long
+// enough.
+func exceedThreshold(threshold *admission.WaitThreshold) {
 	for _, now := range []time.Duration{0, time.Hour} {
-		gate.Observe(now, 2*time.Second, time.Second, true)
+		threshold.Observe(now, 2*time.Second, time.Second, true)
 	}
 }
 
-// TestDeference_QueuesDeferredTo: "a" has an objective of 2 s, those of the others are told by
-// their names.
+// TestDeference_QueuesDeferredTo: queue "a" has an objective of 2 s. The names of the
+// others end with their objective in seconds.
 func TestDeference_QueuesDeferredTo(t *testing.T) {
 	queues := []api.QueueConfig{{Name: "none"}}
 	for name, target := range map[string]time.Duration{"a": 2, "shorter-1": 1, "equal-2": 2, "twice-4": 4, "longer-5": 5} {
 		queues = append(queues, api.QueueConfig{Name: name, Objective: &api.ObjectiveConfig{Target: api.Duration(target * time.Second)}})
 	}
 	cases := []struct {
-		name   string
-		closed func(*Queue)
-		want   map[string]bool
+		name    string
+		prepare func(*Queue)
+		want    map[string]bool
 	}{
-		{"served in time", func(*Queue) {}, nil},
-		{"pressed", func(q *Queue) { closeGate(&q.pressed) }, map[string]bool{"shorter-1": true, "equal-2": true, "twice-4": true}},
+		{"within its objective", func(*Queue) {}, nil},
+		{"at risk", func(q *Queue) { exceedThreshold(&q.atRisk) }, map[string]bool{"shorter-1": true, "equal-2": true, "twice-4": true}},
 		{
-			"overloaded", func(q *Queue) { closeGate(&q.overloaded) },
+			"overloaded", func(q *Queue) { exceedThreshold(&q.overloaded) },
 			map[string]bool{"shorter-1": true, "equal-2": true, "twice-4": true, "longer-5": true},
 		},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			tracker := NewTracker(func() time.Duration { return 0 }, featuregate.DisabledSet{})
-			c.closed(tracker.Queue("a"))
+			c.prepare(tracker.Queue("a"))
 			if diff := cmp.Diff(c.want, deferencesOf(t, tracker.deferencesOf(queues), "a")); diff != "" {
-				t.Errorf("a defers to (-want +got):\n%s", diff)
+				t.Errorf("queues to which a defers (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// deferencesOf returns to whom a queue defers; no other may.
+// deferencesOf returns the queues to which a queue defers, and fails the test if another
+// queue defers.
 func deferencesOf(t *testing.T, deferences []placement.Deference, name string) map[string]bool {
 	t.Helper()
 	var found map[string]bool
-	for _, yield := range deferences {
-		if yield.Queue != name {
-			t.Errorf("%s defers", yield.Queue)
+	for _, deference := range deferences {
+		if deference.Queue != name {
+			t.Errorf("queue %s defers, want no other than a to defer", deference.Queue)
 			continue
 		}
 		found = map[string]bool{}
-		for _, to := range yield.To {
+		for _, to := range deference.To {
 			found[to] = true
 		}
 	}
--- a/internal/scheduler/slo/tracker.go
+++ b/internal/scheduler/slo/tracker.go
@@ -1,6 +1,6 @@
-// Package slo follows how long the tasks of each queue wait, and compares that with the
-// queue's objective. From that follows which queues let others go first, and when jobs
-// are refused. It owns no lock and no goroutine: its caller guards it.
+// Package slo measures how long the tasks of each queue wait, and compares that with the
+// queue's objective. The result decides which queues defer to others and which refuse
+// jobs. It has no lock or goroutine: the caller serializes the calls.
 package slo
 
 import (
@@ -16,90 +16,95 @@
 )
 
 const (
-	// MinRetryAfter is the least time after which a refused job is asked to come back.
+	// MinRetryAfter is the shortest retry time in a refusal.
 	MinRetryAfter = time.Second
-	// MaxRetryAfter is the greatest time after which a refused job is asked to come back.
+	// MaxRetryAfter is the longest retry time in a refusal.
 	MaxRetryAfter = 30 * time.Second
-	// chainAverageWindow is over how many jobs the typical chain of a queue is averaged.
-	chainAverageWindow = 8
-	// minOverloadWait is the least wait that counts as too long for an objective.
+	// criticalPathWindow is the number of jobs over which the typical critical path of a
+	// queue is averaged.
+	criticalPathWindow = 8
+	// minOverloadWait is the shortest expected wait that counts as too long for an
+	// objective.
 	minOverloadWait = 500 * time.Millisecond
-	// deferAfter is how long the wait must be too long for a queue's objective
-	// before the queue yields to others, refuseAfter before it refuses jobs.
+	// deferAfter is how long the expected wait must be too long for a queue's objective
+	// before the queue defers to others, refuseAfter how long before it refuses jobs.
 	deferAfter  = 100 * time.Millisecond
 	refuseAfter = time.Second
-	// pressedFraction: a queue is pressed while a newcomer waits for longer than one part
-	// in so many of what its objective leaves, and for longer than minPressedWait.
-	// Until then a burst fills every worker, and large tasks of other queues wait for
-	// that to drain.
-	pressedFraction = 12
-	minPressedWait  = 350 * time.Millisecond
+	// atRiskDivisor: a queue is at risk while the expected wait of a new task exceeds
+	// both minAtRiskWait and the queue's start allowance divided by atRiskDivisor. Until
+	// then a burst fills every worker, and large tasks of other queues wait for those
+	// runs to end.
+	atRiskDivisor = 12
+	minAtRiskWait = 350 * time.Millisecond
 )
 
-// Tracker follows how fast the tasks of queues start. It lives in memory: a
-// new leader learns it again.
+// Tracker measures how fast the tasks of each queue start. Its state is only in memory: a
+// new leader measures again.
 type Tracker struct {
 	// now reads the monotonic clock.
 	now func() time.Duration
-	// off are the mechanisms that are switched off.
-	off    featuregate.DisabledSet
-	queues map[string]*Queue
-	// deferences is what the planner was told.
+	// disabled holds the features that are switched off.
+	disabled featuregate.DisabledSet
+	queues   map[string]*Queue
+	// deferences is the result of the last review, which the planner uses.
 	deferences []placement.Deference
 }
 
-// Queue is what is known of one queue.
+// Queue holds the measurements of one queue.
 type Queue struct {
-	flow admission.StartRate
-	// chain is the longest chain of estimates of a typical job.
-	chain time.Duration
-	// pressed closes while newcomers wait for a good part of the objective,
-	// overloaded while it cannot be met, refusing while a job would end beyond the
-	// multiple from which on it is refused.
-	pressed, overloaded, refusing admission.WaitThreshold
-	// retries are the times at which refused jobs are to come back.
+	startRate admission.StartRate
+	// criticalPath is the average critical path of the queue's jobs by their estimates.
+	criticalPath time.Duration
+	// atRisk is exceeded while the expected wait is a considerable part of the
+	// objective's start allowance, overloaded while the objective cannot be met, and
+	// refusing while a new job would end beyond the multiple of the objective from which
+	// on the queue refuses jobs.
+	atRisk, overloaded, refusing admission.WaitThreshold
+	// retries spreads the retries of refused jobs over time.
 	retries admission.RetrySchedule
 }
 
-// ExpectedWait is how long a newcomer would wait, and whether that is known.
+// ExpectedWait returns how long a new task would wait for its start; false while that is
+// not known.
 func (q *Queue) ExpectedWait(now time.Duration) (time.Duration, bool) {
-	return q.flow.ExpectedWait(now)
+	return q.startRate.ExpectedWait(now)
 }
 
-// TimeFor is how long it takes until some tasks more have started, and whether that is
-// known.
-func (q *Queue) TimeFor(now time.Duration, tasks int) (time.Duration, bool) {
-	return q.flow.TimeToStart(now, tasks)
+// TimeToStart returns how long it takes until a number of waiting tasks has started;
+// false while that is not known.
+func (q *Queue) TimeToStart(now time.Duration, tasks int) (time.Duration, bool) {
+	return q.startRate.TimeToStart(now, tasks)
 }
 
-// Waiting is the number of tasks that wait.
-func (q *Queue) Waiting() int { return q.flow.Waiting() }
+// Waiting returns the number of tasks that wait.
+func (q *Queue) Waiting() int { return q.startRate.Waiting() }
 
-// IsRefusing reports whether a job that comes now would end beyond the multiple of the
-// objective from which on the queue refuses jobs.
+// IsRefusing reports whether a new job would end beyond the multiple of the objective
+// from which on the queue refuses jobs.
 func (q *Queue) IsRefusing() bool { return q.refusing.Exceeded() }
 
-// RetryAfter is after what time a refused job of some tasks is to come back that will
-// find a place after earliest; while no rate is known, all are told the least time.
+// RetryAfter returns after how long a refused job with a number of tasks should retry,
+// given that it would be admitted no sooner than earliest. It is MinRetryAfter while the
+// start rate is not known, and at most MaxRetryAfter.
 func (q *Queue) RetryAfter(now, earliest time.Duration, tasks int) time.Duration {
-	length, known := q.flow.TimeToStart(now, tasks)
+	length, known := q.startRate.TimeToStart(now, tasks)
 	if !known {
 		return MinRetryAfter
 	}
 	return q.retries.Reserve(now, max(earliest, MinRetryAfter), length, MaxRetryAfter)
 }
 
-// NewTracker returns a tracker that knows no queue.
-func NewTracker(now func() time.Duration, off featuregate.DisabledSet) Tracker {
-	return Tracker{now: now, off: off, queues: make(map[string]*Queue)}
+// NewTracker returns a tracker without queues. now reads the monotonic clock.
+func NewTracker(now func() time.Duration, disabled featuregate.DisabledSet) Tracker {
+	return Tracker{now: now, disabled: disabled, queues: make(map[string]*Queue)}
 }
 
-// Queue returns what is known of a queue, which is added if it is not known.
+// Queue returns the measurements of a queue, and adds the queue if it is unknown.
 func (s *Tracker) Queue(name string) *Queue {
 	found, known := s.queues[name]
 	if !known {
 		found = &Queue{
-			pressed: admission.WaitThreshold{MinDuration: deferAfter}, overloaded: admission.WaitThreshold{MinDuration: deferAfter},
+			atRisk: admission.WaitThreshold{MinDuration: deferAfter}, overloaded: admission.WaitThreshold{MinDuration: deferAfter},
 			refusing: admission.WaitThreshold{MinDuration: refuseAfter},
 		}
 		s.queues[name] = found
@@ -107,27 +112,28 @@
 	return found
 }
 
-// ObserveChain takes a job's chain into what is typical for its queue.
-func (s *Tracker) ObserveChain(name string, chain time.Duration) {
+// ObserveCriticalPath includes the critical path of a job in the average of its queue.
+func (s *Tracker) ObserveCriticalPath(name string, criticalPath time.Duration) {
 	queue := s.Queue(name)
-	if queue.chain == 0 {
-		queue.chain = chain
+	if queue.criticalPath == 0 {
+		queue.criticalPath = criticalPath
 	}
-	queue.chain += (chain - queue.chain) / chainAverageWindow
+	queue.criticalPath += (criticalPath - queue.criticalPath) / criticalPathWindow
 }
 
-// CountWaiting records that some tasks more, or fewer, of a queue wait.
+// CountWaiting adds change, which may be negative, to the number of a queue's waiting
+// tasks.
 func (s *Tracker) CountWaiting(queue string, change int) {
-	s.Queue(queue).flow.AddWaiting(s.now(), change)
+	s.Queue(queue).startRate.AddWaiting(s.now(), change)
 }
 
-// CountStarted records that a task of a queue was given a worker.
+// CountStarted records that a task of a queue was placed on a worker.
 func (s *Tracker) CountStarted(queue string) {
-	s.Queue(queue).flow.RecordStart(s.now())
+	s.Queue(queue).startRate.RecordStart(s.now())
 }
 
-// Review looks at how long newcomers of each queue would wait. It reports whether
-// the deferences have changed by that.
+// Review updates the state of all queues from their expected waits, and reports whether
+// the deferences have changed.
 func (s *Tracker) Review(now time.Duration, queues []api.QueueConfig) bool {
 	for index := range queues {
 		config := &queues[index]
@@ -144,35 +150,35 @@
 	return true
 }
 
-// review sets the gates of a queue by how long a newcomer would wait.
+// review updates the thresholds of a queue from the expected wait of a new task.
 func (q *Queue) review(now time.Duration, rule *api.ObjectiveConfig) {
-	wait, measured := q.flow.ExpectedWait(now)
-	allowance := objective.StartAllowance(rule, q.chain, 1)
+	wait, measured := q.startRate.ExpectedWait(now)
+	allowance := objective.StartAllowance(rule, q.criticalPath, 1)
 	q.overloaded.Observe(now, wait, max(allowance, minOverloadWait), measured)
-	q.pressed.Observe(now, wait, max(allowance/pressedFraction, minPressedWait), measured)
+	q.atRisk.Observe(now, wait, max(allowance/atRiskDivisor, minAtRiskWait), measured)
 	if beyond := rule.RefuseBeyond; beyond > 0 {
-		q.refusing.Observe(now, wait, max(objective.StartAllowance(rule, q.chain, beyond), minOverloadWait), measured)
+		q.refusing.Observe(now, wait, max(objective.StartAllowance(rule, q.criticalPath, beyond), minOverloadWait), measured)
 	}
 }
 
-// Deferences are those that the last review found.
+// Deferences returns the deferences that the last review found.
 func (s *Tracker) Deferences() []placement.Deference { return s.deferences }
 
-// ForgetUnused drops what is known of queues that are gone and empty.
+// ForgetUnused removes the queues that are not configured and have no waiting tasks.
 func (s *Tracker) ForgetUnused(queues []api.QueueConfig) {
 	maps.DeleteFunc(s.queues, func(name string, queue *Queue) bool {
 		isConfigured := slices.ContainsFunc(queues, func(config api.QueueConfig) bool { return config.Name == name })
-		return !isConfigured && queue.flow.Waiting() == 0
+		return !isConfigured && queue.startRate.Waiting() == 0
 	})
 }
 
-// ExpectedWait is how long a newcomer of a queue would wait, 0 while that is not
+// ExpectedWait returns how long a new task of a queue would wait, 0 while that is not
 // known, and whether the queue is overloaded.
 func (s *Tracker) ExpectedWait(name string) (time.Duration, bool) {
 	queue, known := s.queues[name]
 	if !known {
 		return 0, false
 	}
-	wait, _ := queue.flow.ExpectedWait(s.now())
+	wait, _ := queue.startRate.ExpectedWait(s.now())
 	return wait, queue.overloaded.Exceeded()
 }
--- a/internal/scheduler/statemetrics.go
+++ b/internal/scheduler/statemetrics.go
@@ -6,8 +6,9 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// stateCollector counts, at each collection, what this process has in memory: the record
-// on every scheduler, and on the acting one what it observed beside it.
+// stateCollector implements prometheus.Collector. At each collection it counts the
+// objects in this process's memory: those of the record on every scheduler, and on the
+// acting scheduler those of the leader too.
 type stateCollector struct {
 	service *Service
 
@@ -32,8 +33,8 @@
 
 // Describe implements prometheus.Collector.
 func (c *stateCollector) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, one := range []*prometheus.Desc{c.jobs, c.pending, c.recordedRuns, c.workers, c.openRuns, c.watchers} {
-		descriptions <- one
+	for _, description := range []*prometheus.Desc{c.jobs, c.pending, c.recordedRuns, c.workers, c.openRuns, c.watchers} {
+		descriptions <- description
 	}
 }
 
@@ -61,7 +62,7 @@
 	gauge(c.watchers, len(current.settings.processes))
 }
 
-// countQueues sums the counts of all queues in force.
+// countQueues returns the sum of the counts of all configured queues.
 func countQueues(view record.View) record.QueueCounts {
 	var sum record.QueueCounts
 	_, config := view.Config()
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -12,7 +12,8 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// listWorkers describes every worker that the record or this term knows.
+// listWorkers returns the status of every worker incarnation that the leader tracks
+// from the record or from this term's heartbeats, sorted by name.
 func (l *leader) listWorkers(context.Context, protocol.Empty) (protocol.WorkersAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
 		return protocol.WorkersAnswer{}, l.notLeader()
@@ -44,7 +45,7 @@
 	return status
 }
 
-// listMembers describes the control plane.
+// listMembers returns the status of the voters and learners of the control plane.
 func (l *leader) listMembers(context.Context, protocol.Empty) (protocol.MembersAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
 		return protocol.MembersAnswer{}, l.notLeader()
@@ -58,9 +59,9 @@
 	return protocol.MembersAnswer{List: list}, nil
 }
 
-// memberStatus describes a member. A newcomer is shown as a voter only once it
-// votes whatever becomes of the change that brought it: before, the loss of
-// another voter may leave no majority.
+// memberStatus returns the status of a member. A new member is shown as a voter only
+// once it votes whether or not the membership change that added it takes effect.
+// Before that, the loss of another voter may leave no majority.
 func memberStatus(status *raft.Status, member raft.Member, now time.Duration) api.MemberStatus {
 	row := api.MemberStatus{
 		ReplicaID: string(member.ID), Name: member.Name, Zone: member.Zone, Address: member.Address,
@@ -78,7 +79,7 @@
 	return row
 }
 
-// readQueue counts the jobs and tasks of one queue.
+// readQueue returns the status of one queue.
 func (l *leader) readQueue(_ context.Context, request protocol.QueueRequest) (protocol.QueueAnswer, error) {
 	var answer protocol.QueueAnswer
 	var known bool
@@ -91,7 +92,7 @@
 		return protocol.QueueAnswer{}, l.notLeader()
 	}
 	if !known {
-		return protocol.QueueAnswer{}, notFound("queue", request.Name)
+		return protocol.QueueAnswer{}, notFoundError("queue", request.Name)
 	}
 	return answer, nil
 }
@@ -108,7 +109,7 @@
 	}
 }
 
-// listQueues counts the jobs and tasks of each queue.
+// listQueues returns the status of each queue.
 func (l *leader) listQueues(context.Context, protocol.Empty) (protocol.QueuesAnswer, error) {
 	list := api.QueueList{Queues: []api.QueueStatus{}}
 	l.log.Record().Read(func(view record.View) {
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -12,14 +12,15 @@
 	"github.com/decklever/decklever/internal/scheduler/slo"
 )
 
-// maxSubmitting bounds the submissions that are being committed at once, shared by
-// the queues: the log takes some more commands than that, so that the ends of runs
-// always find a place beside a flood of jobs.
+// maxSubmitting limits the submissions that are being committed at once, shared by the
+// queues. It is below the log's limit on queued proposals, so that ends of runs can still
+// be proposed during a flood of submissions.
 const maxSubmitting = 1024
 
-// submissions are those being committed.
+// submissions counts the submissions that are being committed. It is guarded by
+// leader.mu.
 type submissions struct {
-	// byJob counts them by job: the same may come several times.
+	// byJob counts them by job id, more than one if a job was resent.
 	byJob   map[string]int
 	byQueue map[string]int
 }
@@ -40,24 +41,26 @@
 	}
 }
 
-// free is how many more submissions of a queue may be committed at once.
+// free returns how many more submissions of a queue may be committed at once, 0 if no
+// queue is configured. A queue that is not configured counts as the first one.
 func (s *submissions) free(config *api.Config, name string) int {
-	parts := make([]admission.Participant, 0, len(config.Queues))
+	shares := make([]admission.Participant, 0, len(config.Queues))
 	own := 0
 	for index := range config.Queues {
 		queue := &config.Queues[index]
 		if queue.Name == name {
 			own = index
 		}
-		parts = append(parts, quotaPart(queue, s.byQueue[queue.Name]))
+		shares = append(shares, queueShare(queue, s.byQueue[queue.Name]))
 	}
-	if len(parts) == 0 {
+	if len(shares) == 0 {
 		return 0
 	}
-	return admission.Free(maxSubmitting, own, parts)
+	return admission.Free(maxSubmitting, own, shares)
 }
 
-// beginSubmit counts a submission in that is to be committed; end counts it out.
+// beginSubmit counts a submission that is about to be committed, or refuses it. The
+// caller calls end once the outcome is known.
 func (l *leader) beginSubmit(request *protocol.SubmitRequest) (end func(), refusal error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,13 +81,14 @@
 	return l.admission.isSubmitting(id)
 }
 
-// submitError is proposalError for a job. One that surely was not taken, since the
-// log has more to do than it can, is refused at once: to try again from the front
-// would only add to that. One that was withdrawn when its caller's time was over is
-// not: this leader may have been cut off, and another one may take the job.
+// submitError converts the error of a proposed submission for the caller. If the log is
+// overloaded, the job certainly had no effect and is refused at once with a retry time,
+// because a retry by the front would add to the load. A proposal withdrawn because its
+// context ended gets proposalError instead, which lets the front retry: this leader may
+// be partitioned, and another leader may accept the job.
 func (l *leader) submitError(err error) error {
-	revoked := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
-	if !errors.Is(err, replica.ErrOverloaded) || revoked {
+	contextEnded := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
+	if !errors.Is(err, replica.ErrOverloaded) || contextEnded {
 		return l.proposalError(err)
 	}
 	return &api.Error{
--- a/internal/scheduler/submissions_test.go
+++ b/internal/scheduler/submissions_test.go
@@ -11,8 +11,9 @@
 	"github.com/decklever/decklever/internal/replica"
 )
 
-// TestSubmissions_InFlightLimitIsShared: "a" fills all places but those that are
-// guaranteed; a resend of what is being committed gets in all the same.
+// TestSubmissions_InFlightLimitIsShared: queue "a" may take all places except those
+// guaranteed to others. A resend of a job that is being committed must be accepted even
+// when "a" has no free place.
 func TestSubmissions_InFlightLimitIsShared(t *testing.T) {
 	h := newHarness(t)
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "a"}, {Name: "b"}}})
@@ -21,43 +22,44 @@
 		end, err := h.leader.beginSubmit(&protocol.SubmitRequest{ID: id, Spec: api.JobSpec{Queue: queue}})
 		if err != nil {
 			if refusal := asRefusal(t, err); refusal.Status != 429 || refusal.RetryAfterMillis <= 0 {
-				t.Errorf("%s: %+v", id, refusal)
+				t.Errorf("submission %s: got %+v, want status 429 with a retry time", id, refusal)
 			}
 			return false
 		}
 		ends = append(ends, end)
 		return true
 	}
-	taken := 0
-	for begin("a", fmt.Sprintf("a-%d", taken)) {
-		taken++
+	accepted := 0
+	for begin("a", fmt.Sprintf("a-%d", accepted)) {
+		accepted++
 	}
-	if taken != maxSubmitting*3/4 {
-		t.Errorf("a took %d places", taken)
+	if accepted != maxSubmitting*3/4 {
+		t.Errorf("queue a: got %d places, want three quarters of maxSubmitting", accepted)
 	}
 	if !begin("b", "b-0") || !begin("a", "a-0") || begin("a", "a-new") {
-		t.Error("the places are not kept for b and for resends")
+		t.Error("want b and a resend of a accepted, and a new job of a refused")
 	}
 	for _, end := range ends {
 		end()
 	}
-	if left := len(h.leader.admission.submitting.byJob) + len(h.leader.admission.submitting.byQueue); left > 0 {
-		t.Errorf("%d counts are left", left)
+	if remaining := len(h.leader.admission.submitting.byJob) + len(h.leader.admission.submitting.byQueue); remaining > 0 {
+		t.Errorf("got %d counts after all submissions ended, want 0", remaining)
 	}
 }
 
-// TestSubmissions_ResendInFlightIsNoNewJob: while the first submission is on its
-// way into the log, the queue becomes full; the resend is the same job.
-func TestSubmissions_ResendInFlightIsNoNewJob(t *testing.T) {
+// TestSubmissions_ResendInFlightIsNotCountedAgain: while the first submission of a job is
+// being committed, another job fills the queue. A resend of the first job must still be
+// accepted, since it adds no tasks.
+func TestSubmissions_ResendInFlightIsNotCountedAgain(t *testing.T) {
 	h := newHarness(t)
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q", MaxPendingTasks: 10}}})
-	h.log.whileProposing = func() {
-		h.log.whileProposing = nil
+	h.log.duringProposal = func() {
+		h.log.duringProposal = nil
 		if refusal := h.trySubmit("other", "q", "", 8); refusal != nil {
-			t.Errorf("another: %v", refusal)
+			t.Errorf("another job: got %v, want no refusal", refusal)
 		}
 		if refusal := h.trySubmit("job", "q", "", 8); refusal != nil {
-			t.Errorf("the resend: %v", refusal)
+			t.Errorf("resend: got %v, want no refusal", refusal)
 		}
 	}
 	if refusal := h.trySubmit("job", "q", "", 8); refusal != nil {
@@ -65,22 +67,25 @@
 	}
 }
 
-// TestSubmissions_OverloadedLogRefusesAtOnce: the front does not try such a call again.
+// TestSubmissions_OverloadedLogRefusesAtOnce: a submission that the overloaded log
+// certainly did not accept must be refused with an api.Error, which the front does not
+// retry. Other errors must not become an api.Error, since the job may have been accepted,
+// or another leader may accept it.
 func TestSubmissions_OverloadedLogRefusesAtOnce(t *testing.T) {
 	h := newHarness(t)
 	h.log.overloaded = true
 	spec := api.JobSpec{Queue: "q", Steps: []api.StepSpec{tasks(1)}}
 	_, err := h.leader.submit(t.Context(), protocol.SubmitRequest{ID: "j", Spec: spec})
 	if refusal := asRefusal(t, err); refusal.Status != 503 || refusal.Code != api.CodeUnavailable || refusal.RetryAfterMillis <= 0 {
-		t.Errorf("%+v", refusal)
+		t.Errorf("got %+v, want status 503, unavailable, with a retry time", refusal)
 	}
 	for name, err := range map[string]error{
-		"an outcome that is not known":                                             replica.ErrOutcomeUnknown,
-		"withdrawn when the time of a try was over, as another leader may take it": fmt.Errorf("%w: %w", replica.ErrOverloaded, context.DeadlineExceeded),
-		"withdrawn when the caller had gone":                                       fmt.Errorf("%w: %w", replica.ErrOverloaded, context.Canceled),
+		"unknown outcome": replica.ErrOutcomeUnknown,
+		"withdrawn when the time-out of an attempt passed": fmt.Errorf("%w: %w", replica.ErrOverloaded, context.DeadlineExceeded),
+		"withdrawn when the caller cancelled":              fmt.Errorf("%w: %w", replica.ErrOverloaded, context.Canceled),
 	} {
 		if refusal := h.leader.submitError(err); errors.As(refusal, new(*api.Error)) {
-			t.Errorf("%s: %v", name, refusal)
+			t.Errorf("%s: got refusal %v, want no api.Error", name, refusal)
 		}
 	}
 }
--- a/internal/scheduler/submit.go
+++ b/internal/scheduler/submit.go
@@ -11,8 +11,9 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// submit takes a job in. A job that is known already is answered before any
-// check, so that a resend gets the same answer whatever changed meanwhile.
+// submit admits and commits a job. A job that is already known skips all checks, so that
+// a resend gets the same answer even if the configuration or the load has changed
+// meanwhile.
 func (l *leader) submit(ctx context.Context, request protocol.SubmitRequest) (protocol.SubmitAnswer, error) {
 	digest := request.Spec.Digest()
 	if err := l.admit(request); err != nil {
@@ -36,10 +37,10 @@
 	case record.SubmitConflict:
 		return protocol.SubmitAnswer{}, jobConflict(request.ID)
 	case record.SubmitNoService:
-		return protocol.SubmitAnswer{}, invalid("job", request.Spec.MissingServices())
+		return protocol.SubmitAnswer{}, invalidError("job", request.Spec.MissingServices())
 	default:
 		unknown := api.FieldError{Field: "queue", Value: request.Spec.Queue, Expected: "a queue of the configuration in force"}
-		return protocol.SubmitAnswer{}, invalid("job", []api.FieldError{unknown})
+		return protocol.SubmitAnswer{}, invalidError("job", []api.FieldError{unknown})
 	}
 }
 
@@ -47,9 +48,9 @@
 	return &api.Error{Status: http.StatusConflict, Code: api.CodeConflict, Message: "job " + id + " is known with other content"}
 }
 
-// checkFeasible refuses tasks that no known worker has the capacity for even when empty.
-// While no worker is known nothing can be said, and all is admitted. Tasks in a
-// row that ask for the same are examined once.
+// checkFeasible refuses a job with a task that does not fit on any registered worker even
+// when the worker is empty. While no worker is registered, all jobs pass. Consecutive
+// tasks with the same demand are checked once.
 func (l *leader) checkFeasible(spec *api.JobSpec) error {
 	l.mu.Lock()
 	workers := l.registry.registeredWorkers()
@@ -58,14 +59,14 @@
 		return nil
 	}
 	var fields []api.FieldError
-	var before *api.TaskSpec
+	var previous *api.TaskSpec
 	for s := range spec.Steps {
 		for t := range spec.Steps[s].Tasks {
 			task := &spec.Steps[s].Tasks[t]
-			if before != nil && sameDemand(before, task) {
+			if previous != nil && sameDemand(previous, task) {
 				continue
 			}
-			before = task
+			previous = task
 			if possible, reason := l.planner.Feasible(task, workers); !possible {
 				path := fmt.Sprintf("steps[%d].tasks[%d]", s, t)
 				fields = append(fields, api.FieldError{Field: path, Value: task.Service, Expected: "a task that some worker could hold: " + reason})
@@ -78,7 +79,7 @@
 	return &api.Error{Status: http.StatusUnprocessableEntity, Code: api.CodeImpossible, Message: "no known worker could ever run the job", Fields: fields}
 }
 
-// sameDemand reports whether two tasks fit on the same workers.
+// sameDemand reports whether two tasks can run on the same workers.
 func sameDemand(a, b *api.TaskSpec) bool {
 	sameSpread := (a.Spread == nil) == (b.Spread == nil) && (a.Spread == nil || a.Spread.By == b.Spread.By)
 	return sameSpread && a.Service == b.Service && a.Resources == b.Resources && maps.Equal(a.Labels, b.Labels)
--- a/internal/scheduler/term.go
+++ b/internal/scheduler/term.go
@@ -10,43 +10,46 @@
 	"github.com/decklever/decklever/internal/replica"
 )
 
-// environment is what every component of a leader may use. It stays the same for
-// the whole term and leads to no component's state, so that it needs no lock.
+// environment has the dependencies that every component of a leader may use. It is
+// immutable during the term and gives no access to a component's state, so it needs no
+// lock.
 type environment struct {
 	logger  *slog.Logger
 	metrics *metrics
-	// now reads this process's monotonic clock, clusterNow the cluster's.
+	// now reads this process's monotonic clock, clusterNow the cluster time.
 	now        func() time.Duration
 	clusterNow func() record.Millis
-	// off are the mechanisms that are switched off.
-	off featuregate.DisabledSet
+	// disabledFeatures has the features that are disabled.
+	disabledFeatures featuregate.DisabledSet
 }
 
-// term is what one leadership works with. It stays the same until the term ends.
+// term has the dependencies of a leader for one term. It is immutable until the term
+// ends.
 type term struct {
 	*environment
 	token   uint64
 	context context.Context
 	log     replica.Log
 	archive record.Archive
-	// archiveBytes bounds the archive, in bytes.
+	// archiveBytes is the maximum size of the archive, in bytes.
 	archiveBytes int64
 	// planner is guarded by leader.mu.
 	planner Planner
-	// startedAt is when the term began, on the monotonic clock.
+	// startedAt is the start of the term on the monotonic clock.
 	startedAt time.Duration
-	// wakePlanner has a buffer of one signal: a pass of the planner may find something.
+	// wakePlanner signals that a pass of the planner may place tasks; it has a buffer of
+	// one signal.
 	wakePlanner chan struct{}
 }
 
 func newTerm(config leaderConfig) term {
 	return term{
 		environment: &environment{
-			logger:     config.Logger.With(slog.Uint64("token", config.Leadership.Token)),
-			metrics:    config.Metrics,
-			now:        config.Now,
-			clusterNow: config.Log.Now,
-			off:        config.Off,
+			logger:           config.Logger.With(slog.Uint64("token", config.Leadership.Token)),
+			metrics:          config.Metrics,
+			now:              config.Now,
+			clusterNow:       config.Log.Now,
+			disabledFeatures: config.DisabledFeatures,
 		},
 		token:        config.Leadership.Token,
 		context:      config.Leadership.Context,
@@ -59,7 +62,7 @@
 	}
 }
 
-// wake makes the planner run again soon.
+// wake requests another pass of the planner.
 func (t *term) wake() { signal(t.wakePlanner) }
 
 // propose commits a command under this term's token.
@@ -68,18 +71,18 @@
 	return t.log.Propose(ctx, t.token, command)
 }
 
-// proposeOwn commits a command of the leader's own, whoever asked for it.
+// proposeOwn commits a command within proposalTimeout under the term's context instead
+// of a caller's: a caller that goes away does not cancel it.
 func (t *term) proposeOwn(command record.Command) (record.Result, error) {
 	ctx, cancel := context.WithTimeout(t.context, proposalTimeout)
 	defer cancel()
 	return t.propose(ctx, command)
 }
 
-// proposeUntilDone commits a command of the leader's own, again and again
-// until it is committed or the term ends. Every such command may be committed
-// twice without harm: the record decides on each run by its number. It returns
-// false if the term ended.
-func (t *term) proposeUntilDone(command string, proposal record.Command) (record.Result, bool) {
+// proposeUntilCommitted retries a command of the leader's own every tickInterval until it
+// is committed or the term ends. Committing such a command twice is harmless, since
+// the record identifies each run by its number. It returns false if the term ended.
+func (t *term) proposeUntilCommitted(command string, proposal record.Command) (record.Result, bool) {
 	for t.context.Err() == nil {
 		result, err := t.proposeOwn(proposal)
 		if err == nil {
@@ -94,8 +97,8 @@
 	return record.Result{}, false
 }
 
-// every does some work again and again, part after part, until the term ends.
-func (t *term) every(interval time.Duration, work ...func()) {
+// runPeriodically calls the steps in order once per interval, until the term ends.
+func (t *term) runPeriodically(interval time.Duration, steps ...func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -103,14 +106,15 @@
 		case <-t.context.Done():
 			return
 		case <-ticker.C:
-			for _, part := range work {
-				part()
+			for _, step := range steps {
+				step()
 			}
 		}
 	}
 }
 
-// signal wakes a loop whose channel has a buffer of one signal.
+// signal wakes the loop that receives from wake, which has a buffer of one signal. It
+// never blocks.
 func signal(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
--- a/internal/scheduler/timers.go
+++ b/internal/scheduler/timers.go
@@ -6,14 +6,14 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// timedTask is a ready task whose time may not have come.
+// timedTask is a waiting task and the cluster time at which its timer expires.
 type timedTask struct {
 	due  record.Millis
 	task record.TaskID
 }
 
-// taskTimers is a heap of ready tasks by the cluster time at which they can be
-// placed.
+// taskTimers is a heap of timers of waiting tasks, earliest expiry first. A task may have
+// several.
 type taskTimers []timedTask
 
 func (t taskTimers) Len() int           { return len(t) }
@@ -35,7 +35,7 @@
 	heap.Push(t, timedTask{due: due, task: task})
 }
 
-// takeDue removes and returns the tasks whose time has come.
+// takeDue removes the timers that have expired by now and returns their tasks.
 func (t *taskTimers) takeDue(now record.Millis) []record.TaskID {
 	var due []record.TaskID
 	for t.Len() > 0 && (*t)[0].due <= now {
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// watchLease is how long a process may serve after it asked, without a
-	// newer answer. P8 allows 2 s from the acknowledgement of a configuration
-	// until no live process is without it.
+	// watchLease is how long a process may serve without a newer answer, counted from
+	// when it sent its request. P8 allows 2 s from the acknowledgement of a
+	// configuration until every live process has it.
 	watchLease = 1500 * time.Millisecond
-	// maxWatchWait bounds how long a watch is pending. Processes ask for less than a
-	// third of watchLease, so that they renew it in time even if one call is lost;
-	// agents for more while their workers' heartbeats renew it.
+	// maxWatchWait is the maximum time for which a watch is pending. Processes request
+	// less than a third of watchLease, so that they renew it in time even if one call
+	// is lost; agents request more while their workers' heartbeats renew it.
 	maxWatchWait = 5 * time.Second
 )
 
-// watch answers at once if the process does not know the newest configuration
-// or token, else when one changes or when the wait is over.
+// watch answers at once if the process does not have the newest configuration and
+// token, else when the configuration changes, the term ends or the requested wait is
+// over.
 func (l *leader) watch(ctx context.Context, request protocol.WatchRequest) (protocol.WatchAnswer, error) {
 	changed := l.recordProcess(request)
 	if changed != nil {
@@ -52,9 +53,9 @@
 	return answer
 }
 
-// recordProcess records what the process has in force. It returns nil if the process
-// must be notified now, else a channel that is closed when the configuration
-// changes.
+// recordProcess records the configuration version that the process has in force. It
+// returns nil if the process must be notified now, else a channel that is closed when
+// the configuration changes.
 func (l *leader) recordProcess(request protocol.WatchRequest) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,7 +66,7 @@
 	return l.settings.changed
 }
 
-// rollout says which process has which version.
+// rollout returns the configuration version that each process has in force.
 func (l *leader) rollout(context.Context, protocol.Empty) (protocol.RolloutAnswer, error) {
 	if !l.log.HoldsLease(l.token) {
 		return protocol.RolloutAnswer{}, l.notLeader()
--- a/internal/scheduler/watch_test.go
+++ b/internal/scheduler/watch_test.go
@@ -14,26 +14,26 @@
 	for _, versionOnly := range []bool{false, true} {
 		answer, err := h.leader.watch(t.Context(), protocol.WatchRequest{Process: "p", VersionOnly: versionOnly})
 		if err != nil || answer.ConfigVersion != 1 || (answer.Config == nil) != versionOnly {
-			t.Errorf("version only %v: %+v, %v", versionOnly, answer, err)
+			t.Errorf("version only %v: got answer %+v, error %v, want version 1 and a configuration unless version only", versionOnly, answer, err)
 		}
 	}
 }
 
-// TestWatch_PendingCallsAnswerOnChange has processes that know the newest
-// configuration wait for the next one.
+// Pending watches of processes that have the newest configuration must all be answered
+// when the configuration changes.
 func TestWatch_PendingCallsAnswerOnChange(t *testing.T) {
 	h := newHarness(t)
 	const watchers = 20
 	versions := make(chan uint64, watchers)
-	counts := make([]<-chan struct{}, watchers)
+	changes := make([]<-chan struct{}, watchers)
 	for i := range watchers {
 		request := protocol.WatchRequest{Process: string(rune('a' + i)), ConfigVersion: 1, Token: h.token}
-		counts[i] = h.leader.recordProcess(request)
-		if counts[i] == nil {
-			t.Fatal("answered at once although nothing is new")
+		changes[i] = h.leader.recordProcess(request)
+		if changes[i] == nil {
+			t.Fatal("process is up to date: got an answer at once, want a pending watch")
 		}
 		go func() {
-			<-counts[i]
+			<-changes[i]
 			versions <- h.leader.watchAnswer(request).ConfigVersion
 		}()
 	}
@@ -42,16 +42,16 @@
 		select {
 		case version := <-versions:
 			if version != 2 {
-				t.Fatalf("version %d, want 2", version)
+				t.Fatalf("got version %d, want 2", version)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("a held watch was not answered at the change")
+			t.Fatal("got no answer to a pending watch within 10 s of the change")
 		}
 	}
 }
 
-// TestRollout_HeartbeatsConfirmConfig of the agent that relays them, so that
-// it need not watch as often for that.
+// A relayed heartbeat confirms the configuration version of the agent that relays it, so
+// that agents need fewer watches.
 func TestRollout_HeartbeatsConfirmConfig(t *testing.T) {
 	h := newHarness(t)
 	rollout := func() api.Rollout {
@@ -70,10 +70,10 @@
 			t.Fatal(err)
 		}
 	}
-	worker := h.worker("w", "w-1")
+	worker := h.newWorker("w", "w-1")
 	relay(worker, 0)
 	if processes := rollout().Processes; len(processes) != 0 {
-		t.Fatalf("an agent that has nothing in force is listed: %+v", processes)
+		t.Fatalf("agent without a configuration in force: got processes %+v, want none", processes)
 	}
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q"}, {Name: "r"}}})
 	for _, step := range []struct {
@@ -85,34 +85,34 @@
 		got := rollout()
 		want := api.ProcessRollout{Process: "agent-1", Role: agentRole, Zone: "z1", Version: step.version}
 		if got.Complete != step.complete || len(got.Processes) != 1 || got.Processes[0] != want {
-			t.Errorf("roll-out %+v, want %+v, complete %v", got, want, step.complete)
+			t.Errorf("got roll-out %+v, want process %+v, complete %v", got, want, step.complete)
 		}
 	}
 	h.advance(watchLease + time.Millisecond)
 	if age := rollout().Processes[0].AgeMillis; age != watchLease.Milliseconds()+1 {
-		t.Errorf("a silent agent was heard %d ms ago", age)
+		t.Errorf("agent without heartbeats for watchLease + 1 ms: got age %d ms", age)
 	}
 }
 
-// TestWatch_WaitsAsLongAsRequested at most maxWatchWait.
+// A watch stays pending for the requested time, but at most maxWatchWait.
 func TestWatch_WaitsAsLongAsRequested(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
-		for _, c := range []struct{ asked, held time.Duration }{
+		for _, c := range []struct{ requested, want time.Duration }{
 			{0, 0},
 			{500 * time.Millisecond, 500 * time.Millisecond},
 			{maxWatchWait, maxWatchWait},
 			{time.Hour, maxWatchWait},
 		} {
 			request := protocol.WatchRequest{
-				Process: "p", ConfigVersion: 1, Token: h.token, VersionOnly: true, MaxWaitMillis: c.asked.Milliseconds(),
+				Process: "p", ConfigVersion: 1, Token: h.token, VersionOnly: true, MaxWaitMillis: c.requested.Milliseconds(),
 			}
 			began := time.Now()
 			if _, err := h.leader.watch(t.Context(), request); err != nil {
 				t.Fatal(err)
 			}
-			if counts := time.Since(began); counts != c.held {
-				t.Errorf("asked for %v, held for %v, want %v", c.asked, counts, c.held)
+			if elapsed := time.Since(began); elapsed != c.want {
+				t.Errorf("requested wait %v: got an answer after %v, want %v", c.requested, elapsed, c.want)
 			}
 		}
 	})
--- a/internal/scheduler/workerentry.go
+++ b/internal/scheduler/workerentry.go
@@ -9,56 +9,63 @@
 	"github.com/decklever/decklever/internal/workerhealth"
 )
 
-// workerEntry is what was observed, in this term, of one worker incarnation, beside
-// the runs that the record has open on it. All times are on this process's monotonic
-// clock. The registry owns it; drains write drain, the health review health.
+// workerEntry is what the leader observed of one worker incarnation in this term, and the
+// runs that the record has open on it. All times are on this process's monotonic clock.
+// The registry owns it; drains write drain.cause and drain.since, the health review writes
+// health. It is guarded by leader.mu.
 type workerEntry struct {
 	heartbeats
-	// info is what the worker last said of itself.
+	// info is the description in the record or, until the incarnation is registered, the
+	// one in its first heartbeat.
 	info record.Worker
-	// registered is true while the record has this incarnation as the newest
-	// under its name.
+	// registered is true while this incarnation is the one in the record under its
+	// name.
 	registered bool
-	// firstKnownAt is when this leader first knew of the incarnation, which was then
-	// alive or had ended. provenAliveAt is a moment at which it surely lived still:
-	// when the newest answer was given that it is known to have accepted; 0 if
-	// none is.
+	// firstKnownAt is when this leader first knew of the incarnation, whose process had
+	// started by then. provenAliveAt is the last time at which it was certainly alive:
+	// when the newest answer was given that it is known to have accepted; 0 if there is
+	// none.
 	firstKnownAt, provenAliveAt time.Duration
 	lease                       lease
 	drain                       drain
-	// departure is what the worker has said of its leaving.
-	departure departure
-	planned   plannedWorker
-	// health is how far the worker is trusted; of no state as yet, it is.
+	// departure is what the worker announced about its end.
+	departure   departure
+	plannerView plannerView
+	// health is set by the health review; the zero value counts as healthy.
 	health workerhealth.Status
 	runs   map[record.RunID]*runState
 }
 
-// heartbeats are those seen of a worker, and the answers to them.
+// heartbeats is what the leader knows of a worker's newest heartbeats and its answers.
 type heartbeats struct {
-	// seq is the highest heartbeat seen; acceptedSeq what that one said.
+	// seq is the highest sequence number of a heartbeat seen, 0 before the first;
+	// acceptedSeq is the AcceptedSeq of that heartbeat, lastSeen when it arrived.
 	seq         uint64
 	acceptedSeq uint64
 	lastSeen    time.Duration
-	// answeredSeq and answeredAt are of the newest answer in this term.
+	// answeredSeq and answeredAt belong to the newest answer in this term; 0 before the
+	// first.
 	answeredSeq uint64
 	answeredAt  time.Duration
-	// answeredPromptly: that answer asked for the next heartbeat sooner than usual.
+	// answeredPromptly is true if that answer asked for the next heartbeat after
+	// promptInterval.
 	answeredPromptly bool
-	// leaderStallAtAnswer is the time for which the leader had stalled by then.
+	// leaderStallAtAnswer is the leader's total stall time when that answer was given.
 	leaderStallAtAnswer time.Duration
-	// answerMissed: the newest heartbeat showed that the answer before it was not accepted.
+	// answerMissed is true if the newest heartbeat showed that the worker had not
+	// accepted the answer before it.
 	answerMissed bool
 	// missedHeartbeatsSince is the answeredAt after which the worker was last found to
-	// miss heartbeats.
+	// miss heartbeats, so that its runs are revoked once per answer.
 	missedHeartbeatsSince time.Duration
-	// acceptedAt is when the newest answer known to be accepted was given.
+	// acceptedAt is when the newest answer that the worker is known to have accepted
+	// was given; before that, when the first answer was given.
 	acceptedAt time.Duration
 }
 
-// plannedWorker is the planner's picture of a worker.
-type plannedWorker struct {
-	// known is true while the planner knows the worker.
+// plannerView is what the planner last received about a worker.
+type plannerView struct {
+	// known is true while the planner has the worker.
 	known                bool
 	usable, unresponsive bool
 }
@@ -67,21 +74,22 @@
 	return &workerEntry{info: info, firstKnownAt: now, runs: make(map[record.RunID]*runState)}
 }
 
-// answered reports whether the worker was answered in this term: the ready
-// gate.
+// answered reports whether the worker was answered in this term. No run is placed on a
+// worker before that.
 func (w *workerEntry) answered() bool { return w.answeredSeq > 0 }
 
-// isLeaving reports whether the worker gets no new work.
+// isLeaving reports whether the worker gets no new work, since it is drained, asked to be
+// drained or gave notice that it ends.
 func (w *workerEntry) isLeaving() bool {
 	return w.drain.requested || w.departure.noticeGiven || w.isDrained()
 }
 
-// isDrained reports whether the configuration or an order drains the worker.
+// isDrained reports whether the configuration or an operator's order drains the worker.
 func (w *workerEntry) isDrained() bool { return w.drain.cause != notDrained }
 
-// canTakeWork reports whether new runs may be placed on the worker: it is the
-// registered incarnation, the ready gate is open, it is not leaving, and the
-// answers to it do arrive.
+// canTakeWork reports whether new runs may be placed on the worker: it is the registered
+// incarnation, was answered in this term, has not expired and is not leaving, and it
+// accepted an answer that was given within the lease duration.
 func (w *workerEntry) canTakeWork(now, leaseDuration time.Duration) bool {
 	if !w.registered || !w.answered() || w.lease.expired || w.isLeaving() {
 		return false
@@ -89,13 +97,14 @@
 	return now-w.acceptedAt < leaseDuration
 }
 
-// seenWithin reports whether a heartbeat came within some time.
-func (w *workerEntry) seenWithin(now, within time.Duration) bool {
-	return w.seq > 0 && now-w.lastSeen <= within
+// seenWithin reports whether the newest heartbeat is at most maxAge old.
+func (w *workerEntry) seenWithin(now, maxAge time.Duration) bool {
+	return w.seq > 0 && now-w.lastSeen <= maxAge
 }
 
-// observeHeartbeat records a heartbeat. It returns false if the heartbeat is no newer than
-// one seen before, which then allows no conclusion but that runs have ended.
+// observeHeartbeat records a heartbeat. It returns false and records nothing if the
+// heartbeat is not newer than one seen before; then only the run ends that it lists are
+// still valid.
 func (w *workerEntry) observeHeartbeat(heartbeat api.Heartbeat, now time.Duration) bool {
 	if heartbeat.Seq <= w.seq {
 		return false
@@ -114,7 +123,7 @@
 	return true
 }
 
-// answer records that the newest heartbeat is being answered now.
+// answer records that the newest heartbeat is answered now, and extends the lease.
 func (w *workerEntry) answer(now, leaseDuration, driftMargin time.Duration) {
 	if !w.answered() {
 		w.acceptedAt = now
@@ -124,7 +133,7 @@
 	w.lease.extend(now + leaseDuration + driftMargin)
 }
 
-// plannerWorker is the worker as the planner sees it.
+// plannerWorker returns the worker in the planner's form.
 func (w *workerEntry) plannerWorker(usable bool) placement.Worker {
 	return placement.Worker{
 		ID:       w.info.ID,
@@ -135,14 +144,14 @@
 		Labels:   w.info.Labels,
 		Usable:   usable,
 
-		Slow:      w.health.State == workerhealth.Slow || w.planned.unresponsive,
+		Slow:      w.health.State == workerhealth.Slow || w.plannerView.unresponsive,
 		Probation: w.health.State == workerhealth.Probation,
 		Suspect:   w.health.State == workerhealth.Suspect,
 	}
 }
 
-// state is the worker's state for people, with a reason where it takes no
-// work.
+// state returns the worker's state for the API, with a reason unless the worker is ready
+// and gets work like any other.
 func (w *workerEntry) state(now, leaseDuration time.Duration) (api.WorkerState, string) {
 	switch {
 	case w.lease.expired:
--- a/internal/scheduler/zonedrains.go
+++ b/internal/scheduler/zonedrains.go
@@ -10,17 +10,17 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// maxDrainedZones bounds the zones that are drained by orders, which stay in
-// the record until they are revoked.
+// maxDrainedZones limits the zones drained by orders, which the record keeps until they
+// are revoked.
 const maxDrainedZones = 1024
 
-// drainZone drains a zone by an order of its own, or ends that. It
-// answers once the order is committed, also if nothing changed by it: another
-// leader may have been asked before.
+// drainZone drains a zone by an order, or ends that drain. It answers once the order is
+// committed. An order that changes nothing succeeds too, since an earlier leader may
+// already have received it.
 func (l *leader) drainZone(ctx context.Context, request protocol.DrainZoneRequest) (protocol.Empty, error) {
 	drain := request.Drain
 	if fields := api.ValidateZoneDrain(&drain); len(fields) > 0 {
-		return protocol.Empty{}, invalid("drain", fields)
+		return protocol.Empty{}, invalidError("drain", fields)
 	}
 	if drain.Drained && l.countOtherDrainedZones(drain.Zone) >= maxDrainedZones {
 		return protocol.Empty{}, overLimitError(fmt.Sprintf("%d zones are drained by orders already", maxDrainedZones))
@@ -32,7 +32,7 @@
 	return protocol.Empty{}, nil
 }
 
-// listDrains lists the zones that are drained by orders.
+// listDrains returns the zones that are drained by orders.
 func (l *leader) listDrains(context.Context, protocol.Empty) (protocol.DrainsAnswer, error) {
 	list := api.DrainList{Zones: []api.ZoneDrain{}}
 	l.log.Record().Read(func(view record.View) {
@@ -46,10 +46,11 @@
 	return protocol.DrainsAnswer{List: list}, nil
 }
 
-// applyDrains applies the drains of a new configuration or order at once.
+// applyDrains applies a changed configuration or order to all workers, and revokes the
+// assignments not yet sent to workers that are leaving. The caller holds leader.mu.
 func (l *leader) applyDrains() {
 	for _, worker := range l.registry.byID {
-		l.drains.apply(worker)
+		l.drains.applyTo(worker)
 		l.registry.updatePlannerWorker(worker)
 		if worker.isLeaving() {
 			l.assignments.revokeUnassigned(worker)
@@ -57,21 +58,21 @@
 	}
 }
 
-// countOtherDrainedZones counts the zones drained by orders, without this one.
+// countOtherDrainedZones calls drains.countOthers under leader.mu.
 func (l *leader) countOtherDrainedZones(zone string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.drains.countOthers(zone)
 }
 
-// stopDrained stops what must not go on any longer on workers that are drained.
+// stopDrained calls drains.stopDrained for all workers.
 func (l *leader) stopDrained(now time.Duration) {
 	for _, worker := range l.registry.byID {
 		l.drains.stopDrained(worker, now)
 	}
 }
 
-// stopDeparting stops what must not go on any longer on workers that surely end.
+// stopDeparting calls drains.stopDeparting for all workers.
 func (l *leader) stopDeparting(now time.Duration) {
 	interval := l.registry.heartbeatInterval()
 	for _, worker := range l.registry.byID {
--- a/testbed/model/scheduler_test.go
+++ b/testbed/model/scheduler_test.go
@@ -60,11 +60,11 @@
 	client := rpc.NewClient(rpc.ClientConfig{Dialer: f.network.dialer(m.name)})
 	logger := slog.New(f.logs).With("scheduler", m.name)
 	service := scheduler.NewService(scheduler.Config{
-		Archive:    m.store.Archive(),
-		NewPlanner: func() scheduler.Planner { return placement.New(placement.Config{DisabledFeatures: f.shape.off}) },
-		Off:        f.shape.off,
-		Logger:     logger,
-		Registerer: prometheus.NewRegistry(),
+		Archive:          m.store.Archive(),
+		NewPlanner:       func() scheduler.Planner { return placement.New(placement.Config{DisabledFeatures: f.shape.off}) },
+		DisabledFeatures: f.shape.off,
+		Logger:           logger,
+		Registerer:       prometheus.NewRegistry(),
 	})
 	made, err := replica.New(replica.Config{
 		Name: m.name, Zone: m.zone, Address: m.address, Seeds: f.seeds,
