--- a/internal/raft/bench_test.go
+++ b/internal/raft/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkProposeCommit commits batches of 100 commands of 200 bytes among
-// three nodes in memory; one operation is one command.
+// BenchmarkProposeCommit proposes batches of 100 commands of 200 bytes to a
+// leader and commits them on three in-memory nodes. One operation is one command.
 func BenchmarkProposeCommit(b *testing.B) {
 	const batch = 100
 	nodes := make(map[ReplicaID]*Node, 3)
@@ -50,7 +50,7 @@
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
-	for done := 0; done < b.N; done += batch {
+	for proposed := 0; proposed < b.N; proposed += batch {
 		now += time.Millisecond
 		if _, _, err := leader.Propose(now, commands); err != nil {
 			b.Fatal(err)
@@ -60,11 +60,12 @@
 	}
 	b.StopTimer()
 	if status := leader.Status(); status.Commit < uint64(b.N) {
-		b.Fatalf("commit %d after %d commands", status.Commit, b.N)
+		b.Fatalf("got commit index %d, want at least %d", status.Commit, b.N)
 	}
 }
 
-// compactAll keeps the logs at a size that an owner would.
+// compactAll compacts each log that has more than 10,000 applied entries, as the
+// owner of a node would.
 func compactAll(nodes map[ReplicaID]*Node, order []ReplicaID) {
 	for _, id := range order {
 		node := nodes[id]
--- a/internal/raft/config.go
+++ b/internal/raft/config.go
@@ -17,9 +17,9 @@
 )
 
 // Config holds the parameters of a Node. Points in time are on the owner's
-// monotonic clock. A zero field other than ID takes its default.
+// monotonic clock. A field that is zero takes its default; ID has none.
 type Config struct {
-	// ID is this replica. It is required.
+	// ID identifies this replica. It is required.
 	ID ReplicaID
 	// TickInterval is how often the owner calls Tick. It must be less than
 	// ElectionTimeoutMin. Default 50 ms.
@@ -28,21 +28,23 @@
 	// timeout. Defaults 500 ms and 1 s.
 	ElectionTimeoutMin time.Duration
 	ElectionTimeoutMax time.Duration
-	// LeaseDuration is how long a leader lease lasts, counted from when a round
-	// of heartbeats was sent that a quorum answered. It must be less than
-	// ElectionTimeoutMin. Default 400 ms.
+	// LeaseDuration is how long a leader lease lasts, counted from the send time
+	// of the newest round of heartbeats that a quorum has acknowledged. It must
+	// be less than ElectionTimeoutMin. Default 400 ms.
 	LeaseDuration time.Duration
-	// MaxAppendBytes bounds the entries of one append, in bytes; a larger entry
-	// is sent alone. Default 1 MiB.
+	// MaxAppendBytes bounds the total size of the entries in one append, in
+	// bytes; an entry that is larger is sent alone. Default 1 MiB.
 	MaxAppendBytes int
-	// MaxInflightAppends bounds the unanswered appends to one follower. Default 64.
+	// MaxInflightAppends bounds the unacknowledged appends to one follower.
+	// Default 64.
 	MaxInflightAppends int
-	// Seed determines the election timeouts, together with ID.
+	// Seed and ID together seed the randomized election timeouts.
 	Seed int64
-	// NoVoteBefore delays the votes and campaigns of a restarted replica, which
-	// may have forgotten that it answered a leader's heartbeat. The owner sets
-	// it to one ElectionTimeoutMin after the start, as long as such an answer
-	// binds, unless the replica is brand new.
+	// NoVoteBefore is the time before which this replica neither votes nor
+	// campaigns. A restarted replica does not remember whether it acknowledged a
+	// heartbeat of a leader, which obliges it to support no other leader for
+	// ElectionTimeoutMin. The owner therefore sets NoVoteBefore to the start time
+	// plus ElectionTimeoutMin, except for a newly created replica.
 	NoVoteBefore time.Duration
 }
 
@@ -51,7 +53,7 @@
 	Field string
 	// Value is nil if the field is empty.
 	Value any
-	// Problem names the bound that Value violates: it completes the sentence
+	// Problem describes the violation; it completes the sentence
 	// "Field Value is ...".
 	Problem string
 }
@@ -64,7 +66,7 @@
 	return fmt.Sprintf("%s %v is %s", e.Field, e.Value, e.Problem)
 }
 
-// withDefaults returns the config with its zero fields replaced.
+// withDefaults returns a copy of the config with defaults in place of zero fields.
 func (c Config) withDefaults() Config {
 	setDefault(&c.TickInterval, DefaultTickInterval)
 	setDefault(&c.ElectionTimeoutMin, DefaultElectionTimeoutMin)
@@ -82,8 +84,8 @@
 	}
 }
 
-// validate returns a ConfigError for each field out of range, joined. The
-// defaults must be set.
+// validate returns the joined ConfigErrors of all fields that are out of range.
+// The defaults must be set before the call.
 func (c Config) validate() error {
 	var problems []error
 	check := func(ok bool, field string, value any, problem string) {
@@ -91,14 +93,14 @@
 			problems = append(problems, &ConfigError{Field: field, Value: value, Problem: problem})
 		}
 	}
-	lessThanElectionTimeout := fmt.Sprintf("not less than ElectionTimeoutMin %v", c.ElectionTimeoutMin)
+	notBelowElectionTimeout := fmt.Sprintf("not less than ElectionTimeoutMin %v", c.ElectionTimeoutMin)
 	check(c.ID != "", "ID", nil, "empty")
 	check(c.TickInterval > 0, "TickInterval", c.TickInterval, "not positive")
-	check(c.TickInterval < c.ElectionTimeoutMin, "TickInterval", c.TickInterval, lessThanElectionTimeout)
+	check(c.TickInterval < c.ElectionTimeoutMin, "TickInterval", c.TickInterval, notBelowElectionTimeout)
 	check(c.ElectionTimeoutMin <= c.ElectionTimeoutMax, "ElectionTimeoutMin", c.ElectionTimeoutMin,
 		fmt.Sprintf("more than ElectionTimeoutMax %v", c.ElectionTimeoutMax))
 	check(c.LeaseDuration > 0, "LeaseDuration", c.LeaseDuration, "not positive")
-	check(c.LeaseDuration < c.ElectionTimeoutMin, "LeaseDuration", c.LeaseDuration, lessThanElectionTimeout)
+	check(c.LeaseDuration < c.ElectionTimeoutMin, "LeaseDuration", c.LeaseDuration, notBelowElectionTimeout)
 	check(c.MaxAppendBytes > 0, "MaxAppendBytes", c.MaxAppendBytes, "not positive")
 	check(c.MaxInflightAppends > 0, "MaxInflightAppends", c.MaxInflightAppends, "not positive")
 	return errors.Join(problems...)
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -10,13 +10,13 @@
 type electionTimer struct {
 	min, max time.Duration
 	random   *rand.Rand
-	// started is false until the owner's first call tells the time.
+	// started is false until the owner first passes in the time.
 	started  bool
 	deadline time.Duration
 }
 
-// newElectionTimer seeds each replica differently, so that replicas with equal
-// configs do not campaign at the same time.
+// newElectionTimer returns a timer seeded from Config.Seed and the replica id, so
+// that replicas with the same Seed do not campaign at the same time.
 func newElectionTimer(config Config) electionTimer {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(config.ID))
@@ -27,40 +27,44 @@
 	}
 }
 
-// reset draws a new timeout, counted from now.
+// reset draws a new random timeout and sets the deadline to now plus that.
 func (t *electionTimer) reset(now time.Duration) {
 	timeout := t.min + time.Duration(t.random.Int64N(int64(t.max-t.min)+1))
 	t.deadline = now + timeout
 	t.started = true
 }
 
-// leaderContact is when this replica last had an append or snapshot of a leader,
-// and in which term. From then on it supports no other leader for
-// ElectionTimeoutMin, also when its term or role changes meanwhile.
+// leaderContact records when and in which term this replica last received an
+// append or a snapshot from a leader. For ElectionTimeoutMin after that it
+// supports no other leader, even if its term or role changes. known is false if
+// there was no contact since the start.
 type leaderContact struct {
 	known bool
 	at    time.Duration
 	term  uint64
 }
 
-// campaignKind says who asked for an election.
+// campaignKind is the cause of an election.
 type campaignKind uint8
 
 const (
-	// campaignElection follows a timeout and a won pre-vote.
+	// campaignElection follows an election timeout and a successful pre-vote.
 	campaignElection campaignKind = iota
-	// campaignTransfer was asked for by the leader of the preceding term.
+	// campaignTransfer is requested by the leader of the preceding term, to
+	// transfer leadership.
 	campaignTransfer
 )
 
-// ElectionDeadline is the time at which Tick has something to do unless a
-// message comes before; ok is false for a leader, which needs every tick.
+// ElectionDeadline returns the time from which on Tick acts on an election
+// timeout, unless a message resets the timeout before. ok is false for a leader,
+// which needs every tick.
 func (n *Node) ElectionDeadline() (deadline time.Duration, ok bool) {
 	return n.electionTimer.deadline, n.role != RoleLeader
 }
 
-// becomeFollower ends whatever role there was. What binds this replica to an
-// earlier leader (leaderContact) outlives the term.
+// becomeFollower discards the state of any other role. leader is empty if it is
+// unknown. leaderContact is kept, since the promise to an earlier leader stays in
+// force across terms.
 func (n *Node) becomeFollower(term uint64, leader ReplicaID) {
 	if term > n.term {
 		n.term = term
@@ -84,17 +88,17 @@
 }
 
 // promotable reports whether this replica may campaign. A candidate votes for
-// itself, so what forbids a vote forbids a campaign as well. A replica that the
-// newest membership leaves out may campaign as long as that one may be
-// uncommitted: it can be the only one whose log the others would elect. It then
-// counts no vote of its own (Ongaro's thesis, 4.2.2).
+// itself, so it must not campaign before NoVoteBefore. A replica that the newest
+// membership leaves out may still campaign while that membership may be
+// uncommitted: it can be the only replica with a log that is up to date enough to
+// be elected. It does not count its own vote then (Ongaro's thesis, 4.2.2).
 func (n *Node) promotable() bool {
 	return n.now >= n.config.NoVoteBefore && n.memberships.mayVote(n.config.ID, n.log.committed)
 }
 
-// becomePreCandidate asks whether an election could be won, without a new term
-// (Ongaro's thesis, 9.6): a replica that was partitioned does not depose a
-// leader by coming back.
+// becomePreCandidate starts a pre-vote (Ongaro's thesis, 9.6), which asks the
+// voters whether this replica could win an election without starting a new term.
+// A replica that rejoins after a partition thus does not depose the leader.
 func (n *Node) becomePreCandidate() {
 	n.role = RolePreCandidate
 	n.leader = ""
@@ -102,7 +106,7 @@
 	n.requestVotes(Message{Kind: MessagePreVote, Term: n.term + 1})
 }
 
-// becomeCandidate campaigns for the next term.
+// becomeCandidate starts a new term, votes for itself and requests votes.
 func (n *Node) becomeCandidate(kind campaignKind) {
 	n.role = RoleCandidate
 	n.leader = ""
@@ -112,12 +116,13 @@
 	n.requestVotes(Message{Kind: MessageVote, Term: n.term, Transfer: kind == campaignTransfer})
 }
 
-// requestVotes sends the request to every voter, with the own last entry.
+// requestVotes sends the request, with the index and term of this replica's last
+// entry, to all other voters. It records this replica's own vote as granted.
 func (n *Node) requestVotes(request Message) {
 	request.Index = n.log.lastIndex()
 	request.LogTerm = n.log.lastTerm()
 	for _, p := range n.tracker.all {
-		p.vote = voteMissing
+		p.vote = votePending
 		if p.id == n.config.ID {
 			p.vote = voteGranted
 			continue
@@ -130,6 +135,8 @@
 	n.countVotes()
 }
 
+// countVotes moves to the next role if a quorum granted its vote, and back to
+// follower if so many rejected that no quorum is possible.
 func (n *Node) countVotes() {
 	if n.tracker.hasQuorum(func(p *progress) bool { return p.vote == voteGranted }) {
 		if n.role == RolePreCandidate {
@@ -144,8 +151,9 @@
 	}
 }
 
-// becomeLeader starts the term with a no-op entry: entries of earlier terms are
-// committed through it and never counted by themselves (Raft paper, 5.4.2).
+// becomeLeader appends a no-op entry at the start of the term. Entries of earlier
+// terms are committed along with it, and never by counting their own replicas
+// (Raft paper, 5.4.2).
 func (n *Node) becomeLeader() {
 	n.role = RoleLeader
 	n.leader = n.config.ID
@@ -160,18 +168,21 @@
 	n.broadcastHeartbeat()
 }
 
-// committedEntryInTerm reports whether this node leads and has committed an
-// entry of its term. Its commit index may be behind before.
-func (n *Node) committedEntryInTerm() bool {
+// hasCommittedEntryInTerm reports whether this node is leader and has committed an
+// entry of its term. Until then its commit index may be lower than that of an
+// earlier leader.
+func (n *Node) hasCommittedEntryInTerm() bool {
 	return n.role == RoleLeader && n.log.committed >= n.leadership.firstIndex
 }
 
-// withholdsVote is leader stickiness (Ongaro's thesis, 4.2.3): a voter that
-// answered a leader's heartbeat supports no other leader for ElectionTimeoutMin,
-// which is what a lease rests on. A restarted voter may have forgotten such an
-// answer and withholds its vote for as long as one can bind (NoVoteBefore).
-// Only the election that the old leader asked for is exempt (see transfer.go),
-// and not from NoVoteBefore.
+// withholdsVote implements leader stickiness (Ongaro's thesis, 4.2.3) and reports
+// whether this replica must not grant the request. A voter that acknowledged a
+// leader's heartbeat supports no other leader for ElectionTimeoutMin; the safety
+// of the lease depends on this. A leader grants no request while it holds a lease.
+// A restarted voter does not remember its acknowledgements, so it withholds its
+// vote until NoVoteBefore. An election that the previous leader requested is
+// exempt from the promise to that leader (see transfer.go), but not from
+// NoVoteBefore.
 func (n *Node) withholdsVote(request Message) bool {
 	if n.now < n.config.NoVoteBefore {
 		return true
@@ -185,7 +196,8 @@
 	return n.leaderContact.known && n.now < n.leaderContact.at+n.config.ElectionTimeoutMin
 }
 
-// isUpToDate compares the candidate's last entry with the own (Raft paper,
+// isUpToDate reports whether the candidate's log is at least as up to date as the
+// log of this replica, by the term and index of the last entries (Raft paper,
 // 5.4.1).
 func (n *Node) isUpToDate(request Message) bool {
 	lastTerm := n.log.lastTerm()
@@ -195,10 +207,11 @@
 	return request.Index >= n.log.lastIndex()
 }
 
-// handlePreVote and handleVote do not ask whether this replica is a voter: the
-// candidate counts by its own, possibly newer, membership. A learner whose
-// promotion is committed but has not reached it must be able to answer, or the
-// loss of one more replica would leave no quorum.
+// handlePreVote responds to a pre-vote request. Neither it nor handleVote checks
+// whether this replica is a voter, since the candidate counts votes by its own
+// membership, which may be newer. A learner that has not yet received the
+// committed entry that promotes it must be able to vote; otherwise the loss of
+// one more replica could leave no quorum.
 func (n *Node) handlePreVote(m Message) {
 	granted := m.Term > n.term && !n.withholdsVote(m) && n.isUpToDate(m)
 	response := Message{Kind: MessagePreVoteResponse, To: m.From, Reject: !granted}
@@ -208,13 +221,15 @@
 	n.send(response)
 }
 
+// handleVote responds to a vote request. It sends no response if withholdsVote is
+// true for a request of this term or a later one.
 func (n *Node) handleVote(m Message) {
 	if m.Term < n.term {
 		n.send(Message{Kind: MessageVoteResponse, To: m.From, Reject: true})
 		return
 	}
-	// The check goes before the term is adopted: a request that stickiness
-	// rejects must not depose the leader either.
+	// This check comes before the term is adopted: a request that is ignored
+	// because of stickiness must not depose the leader either.
 	if n.withholdsVote(m) {
 		return
 	}
@@ -231,7 +246,8 @@
 }
 
 func (n *Node) handlePreVoteResponse(m Message) {
-	// A granted response repeats the term asked for, which nobody is in yet.
+	// A granted response repeats the requested term, which its sender has not
+	// entered; only a rejection carries the sender's own term.
 	if m.Reject && n.adoptHigherTerm(m) {
 		return
 	}
@@ -251,8 +267,9 @@
 	n.recordVote(m)
 }
 
-// adoptHigherTerm follows a response whose sender is in a later term, and
-// reports whether it did. A replica outside the membership cannot depose.
+// adoptHigherTerm becomes a follower in the term of the response if that is later
+// than this node's, and reports whether it did. It ignores replicas outside the
+// membership, which must not depose a leader.
 func (n *Node) adoptHigherTerm(m Message) bool {
 	if m.Term <= n.term || n.tracker.get(m.From) == nil {
 		return false
@@ -261,6 +278,8 @@
 	return true
 }
 
+// recordVote counts a response to a vote or pre-vote request, unless its sender
+// is outside the membership.
 func (n *Node) recordVote(m Message) {
 	p := n.tracker.get(m.From)
 	if p == nil {
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -16,10 +16,10 @@
 	}
 	ready := node.Ready()
 	if response := requireOneMessage(t, ready.Messages, MessageVoteResponse); response.Reject || response.Term != 5 {
-		t.Errorf("response %+v, want a grant in term 5", response)
+		t.Errorf("got response %+v, want the vote granted in term 5", response)
 	}
 	if !ready.MustSync || ready.HardState == nil || *ready.HardState != (HardState{Term: 5, VotedFor: "b", Commit: 1}) {
-		t.Errorf("hard state %+v, sync %v", ready.HardState, ready.MustSync)
+		t.Errorf("got hard state %+v with sync %v, want term 5, vote for b, commit 1 and a sync", ready.HardState, ready.MustSync)
 	}
 }
 
@@ -27,17 +27,17 @@
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	node.step(0, voteRequest("b", 5))
 	if response := requireOneMessage(t, node.step(0, voteRequest("c", 5)), MessageVoteResponse); !response.Reject {
-		t.Error("second candidate of the term got the vote")
+		t.Error("second candidate of the term: vote granted, want it rejected")
 	}
 	if response := requireOneMessage(t, node.step(0, voteRequest("b", 5)), MessageVoteResponse); response.Reject {
-		t.Error("the repeated request was rejected")
+		t.Error("repeated request of the same candidate: vote rejected, want it granted")
 	}
 	restarted := newTestNode(t, Config{ID: "a"}, RestoredState{
 		HardState: node.hardState(),
 		Snapshot:  initialState("a", "b", "c").Snapshot,
 	})
 	if response := requireOneMessage(t, restarted.step(0, voteRequest("c", 5)), MessageVoteResponse); !response.Reject {
-		t.Error("a restart forgot the vote")
+		t.Error("second candidate after a restart: vote granted, want it rejected")
 	}
 }
 
@@ -60,59 +60,59 @@
 			node := newTestNode(t, Config{ID: "a"}, restored)
 			request := Message{Kind: MessageVote, From: "b", Term: 5, Index: c.index, LogTerm: c.logTerm}
 			if response := requireOneMessage(t, node.step(0, request), MessageVoteResponse); response.Reject == c.granted {
-				t.Errorf("rejected: %v", response.Reject)
+				t.Errorf("got rejected %v, want the opposite", response.Reject)
 			}
 		})
 	}
 }
 
-func TestLeaderStickiness_KeepsTermAndOutlivesIt(t *testing.T) {
+func TestLeaderStickiness_RejectsVotesAcrossTermChange(t *testing.T) {
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
-	contact := time.Second
-	node.step(contact, Message{Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Round: 1})
-	early := contact + DefaultElectionTimeoutMin - 1
-	if messages := node.step(early, voteRequest("c", 9)); len(messages) != 0 || node.Status().Term != 2 {
-		t.Errorf("term %d, messages %+v", node.Status().Term, messages)
+	contactAt := time.Second
+	node.step(contactAt, Message{Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Round: 1})
+	beforeExpiry := contactAt + DefaultElectionTimeoutMin - 1
+	if messages := node.step(beforeExpiry, voteRequest("c", 9)); len(messages) != 0 || node.Status().Term != 2 {
+		t.Errorf("vote request during stickiness: got term %d and messages %+v, want term 2 and none", node.Status().Term, messages)
 	}
 	preVote := voteRequest("c", 9)
 	preVote.Kind = MessagePreVote
-	if response := requireOneMessage(t, node.step(early, preVote), MessagePreVoteResponse); !response.Reject || response.Term != 2 {
-		t.Errorf("pre-vote response %+v", response)
+	if response := requireOneMessage(t, node.step(beforeExpiry, preVote), MessagePreVoteResponse); !response.Reject || response.Term != 2 {
+		t.Errorf("got pre-vote response %+v, want a rejection in term 2", response)
 	}
-	// The term rises through another's response; the stickiness still holds.
-	node.step(early, Message{Kind: MessageAppendResponse, From: "c", Term: 4, Reject: true})
-	if messages := node.step(early, voteRequest("c", 9)); len(messages) != 0 {
-		t.Errorf("a new term ended the stickiness: %+v", messages)
+	// A response of another replica raises the term; stickiness stays in force.
+	node.step(beforeExpiry, Message{Kind: MessageAppendResponse, From: "c", Term: 4, Reject: true})
+	if messages := node.step(beforeExpiry, voteRequest("c", 9)); len(messages) != 0 {
+		t.Errorf("vote request after a change of term: got messages %+v, want none", messages)
 	}
-	if response := requireOneMessage(t, node.step(early+1, voteRequest("c", 9)), MessageVoteResponse); response.Reject {
-		t.Error("vote rejected after the stickiness")
+	if response := requireOneMessage(t, node.step(beforeExpiry+1, voteRequest("c", 9)), MessageVoteResponse); response.Reject {
+		t.Error("vote rejected after the end of stickiness, want it granted")
 	}
 }
 
 func TestVote_TransferBypassesStickinessButNotVoteDelay(t *testing.T) {
 	heartbeat := Message{Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Round: 1}
-	transfer := voteRequest("c", 3)
-	transfer.Transfer = true
+	transferRequest := voteRequest("c", 3)
+	transferRequest.Transfer = true
 
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	node.step(time.Second, heartbeat)
-	if response := requireOneMessage(t, node.step(time.Second, transfer), MessageVoteResponse); response.Reject {
-		t.Error("transfer vote rejected")
+	if response := requireOneMessage(t, node.step(time.Second, transferRequest), MessageVoteResponse); response.Reject {
+		t.Error("vote for the target of a transfer rejected, want it granted")
 	}
 	restarted := newTestNode(t, Config{ID: "a", NoVoteBefore: 2 * time.Second}, initialState("a", "b", "c"))
 	restarted.step(time.Second, heartbeat)
-	if messages := restarted.step(time.Second, transfer); len(messages) != 0 || restarted.Status().Term != 2 {
-		t.Errorf("a restarted voter responded %+v", messages)
+	if messages := restarted.step(time.Second, transferRequest); len(messages) != 0 || restarted.Status().Term != 2 {
+		t.Errorf("restarted voter before NoVoteBefore: got messages %+v, want none and term 2", messages)
 	}
 }
 
-func TestVoteDelay_ReplicaNeitherVotesNorCampaigns(t *testing.T) {
+func TestVoteDelay_ReplicaDoesNotCampaign(t *testing.T) {
 	noVoteBefore := 10 * time.Second
 	node := newTestNode(t, Config{ID: "a", NoVoteBefore: noVoteBefore}, initialState("a"))
 	for now := time.Duration(0); now < noVoteBefore; now += DefaultTickInterval {
 		node.Tick(now)
 		if node.Status().Term != 1 {
-			t.Fatalf("campaigned at %v", now)
+			t.Fatalf("campaigned at %v, before NoVoteBefore", now)
 		}
 	}
 	for now := noVoteBefore; now < noVoteBefore+2*DefaultElectionTimeoutMax; now += DefaultTickInterval {
@@ -120,7 +120,7 @@
 		node.processReady()
 	}
 	if node.Status().Role != RoleLeader {
-		t.Error("never campaigned")
+		t.Error("not leader after NoVoteBefore and two election timeouts")
 	}
 }
 
@@ -131,12 +131,12 @@
 	cluster.isolate("c")
 	cluster.advance(10 * time.Second)
 	if got := cluster.node("c").Status().Term; got != term {
-		t.Errorf("term %d of the partitioned replica, want %d", got, term)
+		t.Errorf("partitioned replica: got term %d, want %d", got, term)
 	}
 	cluster.heal()
 	cluster.advance(2 * time.Second)
 	if status := leader.Status(); status.Role != RoleLeader || status.Term != term {
-		t.Errorf("the return disturbed the leader: %+v", status)
+		t.Errorf("after the partition: got leader status %+v, want the same leader and term", status)
 	}
 }
 
@@ -145,7 +145,7 @@
 	for now := time.Duration(0); now < time.Minute; now += DefaultTickInterval {
 		node.Tick(now)
 		if messages := node.processReady(); len(messages) != 0 {
-			t.Fatalf("sent %+v", messages)
+			t.Fatalf("got messages %+v, want none", messages)
 		}
 	}
 }
@@ -156,11 +156,11 @@
 	cluster.isolate("a")
 	cluster.advance(DefaultElectionTimeoutMax - 2*DefaultTickInterval)
 	if leader.Status().Role != RoleLeader {
-		t.Error("stepped down early")
+		t.Error("stepped down before ElectionTimeoutMax without a quorum")
 	}
 	cluster.advance(3 * DefaultTickInterval)
 	if role := leader.Status().Role; role == RoleLeader {
-		t.Error("still leads without a quorum")
+		t.Error("still leader after ElectionTimeoutMax without a quorum")
 	}
 }
 
@@ -168,24 +168,24 @@
 	config := Config{ID: "a", Seed: 1}.withDefaults()
 	other := config
 	other.ID = "b"
-	timer, otherTimer, same := newElectionTimer(config), newElectionTimer(other), newElectionTimer(config)
+	timer, otherTimer, sameSeedTimer := newElectionTimer(config), newElectionTimer(other), newElectionTimer(config)
 	differ := 0
 	for now := time.Duration(0); now < 100*time.Second; now += time.Second {
 		timer.reset(now)
 		otherTimer.reset(now)
-		same.reset(now)
+		sameSeedTimer.reset(now)
 		timeout := timer.deadline - now
 		if timeout < config.ElectionTimeoutMin || timeout > config.ElectionTimeoutMax {
-			t.Fatalf("timeout %v", timeout)
+			t.Fatalf("got timeout %v, want one between ElectionTimeoutMin and ElectionTimeoutMax", timeout)
 		}
-		if same.deadline != timer.deadline {
-			t.Fatalf("one seed gave %v and %v", timer.deadline, same.deadline)
+		if sameSeedTimer.deadline != timer.deadline {
+			t.Fatalf("equal seed and id: got deadlines %v and %v, want equal ones", timer.deadline, sameSeedTimer.deadline)
 		}
 		if otherTimer.deadline != timer.deadline {
 			differ++
 		}
 	}
 	if differ < 90 {
-		t.Errorf("only %d of 100 timeouts of two replicas differ", differ)
+		t.Errorf("replicas a and b: got %d different timeouts of 100, want at least 90", differ)
 	}
 }
--- a/internal/raft/follower.go
+++ b/internal/raft/follower.go
@@ -2,16 +2,17 @@
 
 import "fmt"
 
-// stepLeaderMessage handles what only a leader sends. It makes this node a
-// follower of the sender, unless the sender's term is over.
+// stepLeaderMessage handles an append or a snapshot message, which only a leader
+// sends. This node becomes a follower of the sender, unless the sender's term is
+// older than this node's. It fails if this node leads the same term.
 func (n *Node) stepLeaderMessage(m Message) error {
 	if m.Term < n.term {
-		// The response tells the sender that its term is over.
+		// The response carries the newer term, so that the sender steps down.
 		n.send(Message{Kind: MessageAppendResponse, To: m.From, Index: m.Index, Reject: true})
 		return nil
 	}
 	if m.Term == n.term && n.role == RoleLeader {
-		return fmt.Errorf("raft: replica %s also leads term %d", m.From, m.Term)
+		return fmt.Errorf("raft: replica %s claims to lead term %d, which this replica leads", m.From, m.Term)
 	}
 	if m.Term > n.term || n.role != RoleFollower {
 		n.becomeFollower(m.Term, m.From)
@@ -26,7 +27,7 @@
 	return n.handleAppendEntries(m)
 }
 
-// handleAppendEntries is the receiver's side of AppendEntries (Raft paper,
+// handleAppendEntries implements the receiver of AppendEntries (Raft paper,
 // figure 2).
 func (n *Node) handleAppendEntries(m Message) error {
 	if err := checkContiguous(m); err != nil {
@@ -50,18 +51,19 @@
 	return nil
 }
 
-// checkContiguous requires that the entries follow Index without a gap.
+// checkContiguous returns an error unless the entries follow m.Index without a gap.
 func checkContiguous(m Message) error {
 	for i, entry := range m.Entries {
 		if expected := m.Index + 1 + uint64(i); entry.Index != expected {
-			return fmt.Errorf("raft: append from %s has entry %d in place of %d", m.From, entry.Index, expected)
+			return fmt.Errorf("raft: append from %s has entry %d, want entry %d", m.From, entry.Index, expected)
 		}
 	}
 	return nil
 }
 
-// trimCommitted leaves out what is committed here already: it cannot differ, and
-// may be compacted.
+// trimCommitted returns the append without the entries that this replica has
+// already committed. Those cannot differ, and may be compacted here. If all
+// entries end before the commit index, so does the previous index returned.
 func (n *Node) trimCommitted(m Message) (previous, previousTerm uint64, entries []Entry) {
 	if m.Index >= n.log.committed {
 		return m.Index, m.LogTerm, m.Entries
@@ -71,14 +73,15 @@
 	return m.Index + skipped, previousTerm, m.Entries[skipped:]
 }
 
-// acceptAppend acknowledges the log up to an index. The response repeats the
-// round, which the leader's lease counts from.
+// acceptAppend acknowledges the log up to the index matched. The response repeats
+// the round, so that the leader can extend its lease from that round's send time.
 func (n *Node) acceptAppend(m Message, matched uint64) {
 	n.send(Message{Kind: MessageAppendResponse, To: m.From, Index: matched, Round: m.Round})
 }
 
-// rejectAppend says how far back the logs may match: not above the last entry,
-// and not where the own terms are higher than the leader's (Raft paper, 5.3).
+// rejectAppend responds with the highest index at which the logs may match. It is
+// below m.Index, at most the last index, and skips entries of a term higher than
+// m.LogTerm (Raft paper, 5.3). It is at least the commit index.
 func (n *Node) rejectAppend(m Message) {
 	var hint uint64
 	if m.Index > 0 {
@@ -97,21 +100,22 @@
 	})
 }
 
-// appendNewEntries appends what is new and truncates what contradicts the
-// leader. An entry that matches is never truncated: a late append must not undo
-// a newer one.
+// appendNewEntries appends the entries that the log does not have, after it
+// truncates the ones that conflict with them. Matching entries are never
+// truncated, so that a delayed append does not undo a newer one. It fails before
+// any change if a committed entry conflicts or a membership cannot be decoded.
 func (n *Node) appendNewEntries(entries []Entry) error {
-	known := 0
-	for known < len(entries) && n.log.matchTerm(entries[known].Index, entries[known].Term) {
-		known++
+	matching := 0
+	for matching < len(entries) && n.log.matchTerm(entries[matching].Index, entries[matching].Term) {
+		matching++
 	}
-	entries = entries[known:]
+	entries = entries[matching:]
 	if len(entries) == 0 {
 		return nil
 	}
 	first := entries[0].Index
 	if first <= n.log.committed {
-		return fmt.Errorf("raft: entry %d of term %d contradicts a committed one", first, entries[0].Term)
+		return fmt.Errorf("raft: entry %d of term %d conflicts with a committed entry", first, entries[0].Term)
 	}
 	decoded, err := decodeMemberships(entries)
 	if err != nil {
@@ -125,8 +129,8 @@
 	return nil
 }
 
-// truncateFrom drops the entry at index and all after it, and with them the
-// memberships that they brought.
+// truncateFrom removes the entry at index and all later ones from the log, along
+// with the memberships that they contain.
 func (n *Node) truncateFrom(index uint64) {
 	n.log.truncateFrom(index)
 	if n.memberships.truncateFrom(index) {
--- a/internal/raft/fuzz_test.go
+++ b/internal/raft/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FuzzDecodeMembership holds that no data panic, and that what is read is read
-// the same from what it is written as.
+// FuzzDecodeMembership checks that DecodeMembership does not panic on any input,
+// and that a decoded membership survives encoding and decoding unchanged.
 func FuzzDecodeMembership(f *testing.F) {
 	joint := testMembership("a", "b", "c")
 	joint.Outgoing, joint.Learners = joint.Voters[:2], []Member{{ID: "d", Zone: "z", Address: "127.0.0.1:1"}}
@@ -27,21 +27,21 @@
 		}
 		encoded, err := EncodeMembership(membership)
 		if err != nil {
-			t.Fatalf("decoded but not encoded: %v", err)
+			t.Fatalf("cannot encode the decoded membership: %v", err)
 		}
-		again, err := DecodeMembership(encoded)
+		decodedAgain, err := DecodeMembership(encoded)
 		if err != nil {
-			t.Fatalf("encoded but not decoded: %v", err)
+			t.Fatalf("cannot decode the encoded membership: %v", err)
 		}
-		second, err := EncodeMembership(again)
-		if err != nil || !reflect.DeepEqual(encoded, second) {
-			t.Fatalf("%x became %x, error %v", encoded, second, err)
+		encodedAgain, err := EncodeMembership(decodedAgain)
+		if err != nil || !reflect.DeepEqual(encoded, encodedAgain) {
+			t.Fatalf("the encoding changed in a round trip from %x to %x, error %v", encoded, encodedAgain, err)
 		}
 	})
 }
 
-// FuzzStep holds that no message from another replica makes a follower or a
-// leader panic, or go back in its term or its commit index.
+// FuzzStep checks that no message from another replica makes a follower or a
+// leader panic, or decreases its term or its commit index.
 func FuzzStep(f *testing.F) {
 	entries := []Entry{{Index: 3, Term: 2, Data: []byte("x")}}
 	for _, seed := range []Message{
@@ -70,20 +70,21 @@
 	})
 }
 
+// stepFollower delivers the message to a follower.
 func stepFollower(t *testing.T, message Message) {
 	t.Helper()
 	follower := newTestNode(t, Config{ID: "a", Seed: 1}, initialState("a", "b", "c"))
 	follower.Tick(0)
-	stepChecked(t, follower, time.Millisecond, message)
+	requireMonotonicStep(t, follower, time.Millisecond, message)
 }
 
-// stepLeader elects the node and then gives it the message.
+// stepLeader makes a node win an election and then delivers the message to it.
 func stepLeader(t *testing.T, message Message) {
 	t.Helper()
-	const elected = 2 * time.Second
+	const electedAt = 2 * time.Second
 	leader := newTestNode(t, Config{ID: "a", Seed: 1}, initialState("a", "b", "c"))
 	leader.Tick(0)
-	leader.Tick(elected)
+	leader.Tick(electedAt)
 	for range 2 {
 		for _, request := range leader.processReady() {
 			response := Message{From: request.To, To: "a", Term: request.Term}
@@ -95,27 +96,29 @@
 			default:
 				continue
 			}
-			if err := leader.Step(elected, response); err != nil {
+			if err := leader.Step(electedAt, response); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	leader.processReady()
 	if leader.Status().Role != RoleLeader {
-		t.Fatalf("not elected: %+v", leader.Status())
+		t.Fatalf("the node is not the leader: %+v", leader.Status())
 	}
-	stepChecked(t, leader, elected+time.Millisecond, message)
+	requireMonotonicStep(t, leader, electedAt+time.Millisecond, message)
 }
 
-func stepChecked(t *testing.T, node *testNode, now time.Duration, message Message) {
+// requireMonotonicStep delivers the message, ticks the node one second later, and
+// requires that neither the term nor the commit index decreased.
+func requireMonotonicStep(t *testing.T, node *testNode, now time.Duration, message Message) {
 	t.Helper()
 	before := node.Status()
-	_ = node.Step(now, message) // an error is as good
+	_ = node.Step(now, message) // the node may reject the message
 	node.processReady()
 	node.Tick(now + time.Second)
 	node.processReady()
 	after := node.Status()
 	if after.Term < before.Term || after.Commit < before.Commit {
-		t.Fatalf("from term %d, commit %d back to %d, %d", before.Term, before.Commit, after.Term, after.Commit)
+		t.Fatalf("term %d and commit index %d decreased to %d and %d", before.Term, before.Commit, after.Term, after.Commit)
 	}
 }
--- a/internal/raft/harness_test.go
+++ b/internal/raft/harness_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testNode is a node with an owner that persists and applies at once.
+// testNode is a Node whose owner persists and applies immediately.
 type testNode struct {
 	*Node
 	t       *testing.T
@@ -37,7 +37,8 @@
 	return &testNode{Node: node, t: t}
 }
 
-// processReady does what is ready and returns the messages.
+// processReady does the work of each Ready until there is none, and returns the
+// messages.
 func (n *testNode) processReady() []Message {
 	var messages []Message
 	for n.HasReady() {
@@ -50,7 +51,8 @@
 	return messages
 }
 
-// step delivers a message that the node must take, and does what is ready.
+// step delivers a message that the node must accept, and then does the work of
+// Ready.
 func (n *testNode) step(now time.Duration, message Message) []Message {
 	n.t.Helper()
 	message.To = n.config.ID
@@ -60,7 +62,8 @@
 	return n.processReady()
 }
 
-// requireOneMessage returns the one message of a kind.
+// requireOneMessage returns the only message of a kind, and fails the test if there
+// is not exactly one.
 func requireOneMessage(t *testing.T, messages []Message, kind MessageKind) Message {
 	t.Helper()
 	found := messagesOfKind(messages, kind)
@@ -80,7 +83,7 @@
 	return found
 }
 
-// testCluster delivers every message at once unless a filter drops it.
+// testCluster delivers every message immediately unless the filter drop discards it.
 type testCluster struct {
 	t     testing.TB
 	now   time.Duration
@@ -106,7 +109,7 @@
 	return nil
 }
 
-// deliverAll delivers until no message is in flight.
+// deliverAll delivers messages until none is in flight.
 func (c *testCluster) deliverAll() {
 	c.t.Helper()
 	for range 1000 {
@@ -127,10 +130,10 @@
 			}
 		}
 	}
-	c.t.Fatal("messages never end")
+	c.t.Fatal("messages are still in flight after 1000 rounds of delivery")
 }
 
-// advance lets time go by in ticks.
+// advance moves the time forward by duration, tick by tick.
 func (c *testCluster) advance(duration time.Duration) {
 	c.t.Helper()
 	for end := c.now + duration; c.now < end; {
@@ -142,7 +145,7 @@
 	}
 }
 
-// elect makes a replica lead by its timeout.
+// elect makes a replica leader, by letting only its election timeout expire.
 func (c *testCluster) elect(id ReplicaID) *testNode {
 	c.t.Helper()
 	node := c.node(id)
@@ -173,4 +176,5 @@
 	c.drop = func(message Message) bool { return message.To == id || message.From == id }
 }
 
+// heal ends a partition and any other loss of messages.
 func (c *testCluster) heal() { c.drop = func(Message) bool { return false } }
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -2,26 +2,27 @@
 
 import "sort"
 
-// entryOverheadBytes is counted for each entry on top of its data.
+// entryOverheadBytes is added to the size of each entry's data.
 const entryOverheadBytes = 32
 
-// raftLog holds the entries after the compacted ones, and how far they are
-// durable, committed and applied:
+// raftLog holds the entries that are not compacted, and the indexes up to which
+// the log is durable, committed and applied:
 //
 //	compactedIndex <= applied <= committed <= lastIndex, stable <= lastIndex
 //
-// Slices that it returns share its memory. An entry is never overwritten in
-// place (see truncateFrom), so they do not change.
+// Slices that its methods return share its memory. They stay unchanged, because
+// an entry is never overwritten in place (see truncateFrom).
 type raftLog struct {
-	// compactedIndex and compactedTerm are those of the entry before the first
-	// one in entries.
+	// compactedIndex and compactedTerm are the index and term of the entry that
+	// precedes entries.
 	compactedIndex uint64
 	compactedTerm  uint64
 	entries        []Entry
 	// stable is the last index that the owner has persisted.
 	stable    uint64
 	committed uint64
-	// applied is the last index that was in Ready.Committed and advanced over.
+	// applied is the last index that was returned in Ready.Committed and confirmed
+	// by Advance.
 	applied uint64
 }
 
@@ -34,8 +35,8 @@
 	return term
 }
 
-// term returns the term of the entry at index; ok is false if the entry is
-// compacted or not there.
+// term returns the term of the entry at index. ok is false if index is before
+// compactedIndex or after the last entry.
 func (l *raftLog) term(index uint64) (term uint64, ok bool) {
 	switch {
 	case index == l.compactedIndex:
@@ -47,15 +48,16 @@
 	}
 }
 
-// matchTerm reports whether the log is known to have the entry of that term at
-// index. Then all entries before it match as well (Raft paper, 5.3).
+// matchTerm reports whether the log has an entry of that term at index. If so, all
+// entries before it match as well (Raft paper, 5.3). It is false if index is
+// before compactedIndex.
 func (l *raftLog) matchTerm(index, term uint64) bool {
-	known, ok := l.term(index)
-	return ok && known == term
+	localTerm, ok := l.term(index)
+	return ok && localTerm == term
 }
 
-// slice returns the entries from first to last, at least one if there is any,
-// and otherwise no more than fit in maxBytes and maxCount.
+// slice returns the entries from first to last, as many as maxBytes and maxCount
+// allow. The first entry is returned even if it exceeds maxBytes.
 func (l *raftLog) slice(first, last uint64, maxBytes, maxCount int) []Entry {
 	if first > last {
 		return nil
@@ -72,7 +74,7 @@
 	return l.entries[start:end:end]
 }
 
-// unstableEntries returns the entries that the owner has yet to persist.
+// unstableEntries returns the entries that the owner has not persisted yet.
 func (l *raftLog) unstableEntries() []Entry {
 	if l.stable >= l.lastIndex() {
 		return nil
@@ -85,17 +87,18 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// truncateFrom drops the entry at index and all after it. The slice loses its
-// spare capacity, so that the next append copies and slices returned earlier
-// stay unchanged.
+// truncateFrom removes the entry at index and all later ones. It leaves entries
+// without spare capacity, so that the next append copies them and slices that
+// were returned earlier stay unchanged.
 func (l *raftLog) truncateFrom(index uint64) {
 	kept := index - l.firstIndex()
 	l.entries = l.entries[:kept:kept]
 	l.stable = min(l.stable, index-1)
 }
 
-// stableTo records that entries are durable, as far as they were not replaced
-// since: the owner may have persisted what was truncated meanwhile.
+// stableTo records that the persisted entries are durable. It skips entries that
+// are no longer in the log, since they may have been truncated while the owner
+// persisted them.
 func (l *raftLog) stableTo(persisted []Entry) {
 	for i := len(persisted) - 1; i >= 0; i-- {
 		if l.matchTerm(persisted[i].Index, persisted[i].Term) {
@@ -105,7 +108,7 @@
 	}
 }
 
-// compactTo discards the entries up to index, which the log must have.
+// compactTo discards the entries up to index, which must be in the log.
 func (l *raftLog) compactTo(index uint64) {
 	term, _ := l.term(index)
 	kept := l.entries[index-l.compactedIndex:]
@@ -113,7 +116,7 @@
 	l.compactedIndex, l.compactedTerm = index, term
 }
 
-// restore makes the log that of a snapshot alone.
+// restore resets the log to the position of a snapshot, without entries.
 func (l *raftLog) restore(snapshot SnapshotMeta) {
 	*l = raftLog{
 		compactedIndex: snapshot.Index,
@@ -124,14 +127,15 @@
 	}
 }
 
-// findConflictByTerm returns the highest index not above index whose term is at
-// most term. No entry between it and index can match a log with that term at
-// index, so a probe skips them. It does not go below compactedIndex.
+// findConflictByTerm returns the highest index, at most index and the last index,
+// whose entry has at most the given term. No entry between the result and index
+// can match a log that has that term at index, so a probe skips them. The result
+// is not lowered below compactedIndex.
 func (l *raftLog) findConflictByTerm(index, term uint64) uint64 {
 	index = min(index, l.lastIndex())
 	if index <= l.compactedIndex {
 		return index
 	}
-	above := sort.Search(int(index-l.compactedIndex), func(i int) bool { return l.entries[i].Term > term })
-	return l.compactedIndex + uint64(above)
+	count := sort.Search(int(index-l.compactedIndex), func(i int) bool { return l.entries[i].Term > term })
+	return l.compactedIndex + uint64(count)
 }
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -7,26 +7,28 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Member is one replica of a membership and where it runs.
+// Member is one replica of a membership, with its machine and address.
 type Member struct {
 	ID ReplicaID `cbor:"1,keyasint"`
-	// Name is the machine's stable name: a replacement has the same name and
-	// another ID.
+	// Name is the machine's stable name. A replica that replaces a lost one on
+	// the same machine has the same name and a new ID.
 	Name    string `cbor:"2,keyasint"`
 	Zone    string `cbor:"3,keyasint"`
 	Address string `cbor:"4,keyasint"`
 }
 
-// Membership says which replicas vote and which only learn the log. While
-// Outgoing is not empty the change is joint: every decision needs a majority of
-// Voters and one of Outgoing (Raft paper, 6).
+// Membership is the cluster configuration: the replicas that vote, and the
+// learners, which receive the log without a vote. While Outgoing is not empty the
+// membership is joint: elections and commits need both a majority of Voters and a
+// majority of Outgoing (Raft paper, 6).
 type Membership struct {
 	Voters   []Member `cbor:"1,keyasint"`
 	Outgoing []Member `cbor:"2,keyasint,omitempty"`
 	Learners []Member `cbor:"3,keyasint,omitempty"`
 }
 
-// EncodeMembership returns the data of an EntryMembership: CBOR.
+// EncodeMembership returns the CBOR encoding of a membership, which is the data of
+// an EntryMembership entry.
 func EncodeMembership(membership Membership) ([]byte, error) {
 	data, err := cbor.Marshal(membership)
 	if err != nil {
@@ -35,7 +37,7 @@
 	return data, nil
 }
 
-// DecodeMembership reads the data of an EntryMembership.
+// DecodeMembership decodes the data of an EntryMembership entry.
 func DecodeMembership(data []byte) (Membership, error) {
 	var membership Membership
 	if err := cbor.Unmarshal(data, &membership); err != nil {
@@ -44,14 +46,16 @@
 	return membership, nil
 }
 
-// isVoter reports whether a replica votes in each half of the membership.
+// isVoter reports whether the replica is in Voters and, if the membership is
+// joint, in Outgoing as well.
 func (m Membership) isVoter(id ReplicaID) bool {
-	return containsID(m.Voters, id) && (!m.joint() || containsID(m.Outgoing, id))
+	return containsID(m.Voters, id) && (!m.isJoint() || containsID(m.Outgoing, id))
 }
 
-func (m Membership) joint() bool { return len(m.Outgoing) > 0 }
+// isJoint reports whether the membership is a joint one (see Membership).
+func (m Membership) isJoint() bool { return len(m.Outgoing) > 0 }
 
-func (m Membership) empty() bool {
+func (m Membership) isEmpty() bool {
 	return len(m.Voters) == 0 && len(m.Outgoing) == 0 && len(m.Learners) == 0
 }
 
@@ -63,16 +67,18 @@
 	}
 }
 
-// sameReplicas compares the ids, in any order; names and addresses may differ.
+// sameReplicas reports whether both memberships have the same replica IDs in each
+// role. Order, names, zones and addresses may differ.
 func (m Membership) sameReplicas(other Membership) bool {
 	return sameIDs(m.Voters, other.Voters) && sameIDs(m.Outgoing, other.Outgoing) && sameIDs(m.Learners, other.Learners)
 }
 
-// validate checks a target of ChangeMembership. It fails with
-// ErrInvalidMembership.
+// validate checks a target membership of ChangeMembership. It returns an
+// ErrInvalidMembership if there are no voters, if the membership is joint, or if
+// a replica ID is empty or repeated.
 func (m Membership) validate() error {
-	if len(m.Voters) == 0 || m.joint() {
-		return fmt.Errorf("%w: it has %d voters and %d outgoing ones, expected at least 1 and 0",
+	if len(m.Voters) == 0 || m.isJoint() {
+		return fmt.Errorf("%w: got %d voters and %d outgoing voters, want at least 1 and 0",
 			ErrInvalidMembership, len(m.Voters), len(m.Outgoing))
 	}
 	seen := make(map[ReplicaID]bool, len(m.Voters)+len(m.Learners))
@@ -89,6 +95,8 @@
 	return slices.ContainsFunc(members, func(member Member) bool { return member.ID == id })
 }
 
+// sameIDs reports whether a and b have the same replica IDs, in any order. Neither
+// may repeat an ID.
 func sameIDs(a, b []Member) bool {
 	if len(a) != len(b) {
 		return false
@@ -101,31 +109,35 @@
 	return true
 }
 
-// membershipEntry is a membership and the index of the entry that brought it.
+// membershipEntry is a membership and the index of its log entry, or of the
+// snapshot that contained it.
 type membershipEntry struct {
 	index      uint64
 	membership Membership
 }
 
-// membershipHistory holds the memberships that the log contains, oldest first:
-// the newest one at or before the log's compacted part, and every later one. It
-// is never empty. A membership is in force from when its entry is appended,
-// committed or not (Raft paper, 6), so a truncation brings an older one back.
+// membershipHistory holds the memberships of the log, oldest first: the one in
+// force at the end of the log's compacted part, and every later one. It is never
+// empty once the node is restored. A replica uses a membership as soon as its
+// entry is appended, committed or not (Raft paper, 6), so truncating the log
+// restores an older membership.
 type membershipHistory struct {
 	entries []membershipEntry
 }
 
-// newest returns the membership in force.
+// newest returns the membership in force. The result shares the history's memory.
 func (h *membershipHistory) newest() Membership {
 	return h.entries[len(h.entries)-1].membership
 }
 
-// newestIndex returns the index of the entry that brought it.
+// newestIndex returns the index of the entry or snapshot that holds the newest
+// membership.
 func (h *membershipHistory) newestIndex() uint64 {
 	return h.entries[len(h.entries)-1].index
 }
 
-// at returns a copy of the membership in force when index was the last entry.
+// at returns a copy of the membership that is in force in a log that ends at
+// index. Before the oldest membership's index it returns the oldest one.
 func (h *membershipHistory) at(index uint64) Membership {
 	found := h.entries[0].membership
 	for _, entry := range h.entries {
@@ -136,8 +148,9 @@
 	return found.clone()
 }
 
-// fallbacks returns those from the committed one on, without the newest; nil
-// once the newest is committed.
+// fallbacks returns copies of the memberships to which a truncation may still
+// revert: the committed one and every later one except the newest. It returns nil
+// once the newest membership is committed.
 func (h *membershipHistory) fallbacks(committed uint64) []Membership {
 	var fallbacks []Membership
 	for i, next := range h.entries[1:] {
@@ -148,8 +161,8 @@
 	return fallbacks
 }
 
-// mayVote reports whether a replica is a voter in the committed membership or a
-// newer one.
+// mayVote reports whether the replica is in Voters or Outgoing of the committed
+// membership or of any newer one.
 func (h *membershipHistory) mayVote(id ReplicaID, committed uint64) bool {
 	for i := len(h.entries) - 1; i >= 0; i-- {
 		entry := h.entries[i]
@@ -163,7 +176,7 @@
 	return false
 }
 
-// reset leaves the membership of a snapshot alone.
+// reset replaces the history by the membership of a snapshot.
 func (h *membershipHistory) reset(snapshot SnapshotMeta) {
 	h.entries = []membershipEntry{{index: snapshot.Index, membership: snapshot.Membership}}
 }
@@ -172,8 +185,8 @@
 	h.entries = append(h.entries, added...)
 }
 
-// truncateFrom drops those whose entries are truncated from index on, and
-// reports whether there were any.
+// truncateFrom drops the memberships at index and later, except the oldest of the
+// history, and reports whether it dropped any.
 func (h *membershipHistory) truncateFrom(index uint64) bool {
 	kept := len(h.entries)
 	for kept > 1 && h.entries[kept-1].index >= index {
@@ -186,7 +199,7 @@
 	return true
 }
 
-// compactTo drops those before the one in force at index.
+// compactTo drops the memberships older than the one in force at index.
 func (h *membershipHistory) compactTo(index uint64) {
 	first := 0
 	for first+1 < len(h.entries) && h.entries[first+1].index <= index {
@@ -195,7 +208,8 @@
 	h.entries = slices.Delete(h.entries, 0, first)
 }
 
-// decodeMemberships finds and decodes the memberships among entries.
+// decodeMemberships decodes the EntryMembership entries among entries. It returns
+// nil if there are none.
 func decodeMemberships(entries []Entry) ([]membershipEntry, error) {
 	var decoded []membershipEntry
 	for _, entry := range entries {
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -9,8 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// withLearner adds an empty replica to a running cluster.
-func withLearner(t *testing.T, cluster *testCluster, leader *testNode, id ReplicaID) Membership {
+// addLearner adds an empty replica to a running cluster as a learner. It returns
+// the proposed membership.
+func addLearner(t *testing.T, cluster *testCluster, leader *testNode, id ReplicaID) Membership {
 	t.Helper()
 	cluster.nodes = append(cluster.nodes, newTestNode(t, Config{ID: id}, RestoredState{}))
 	target := leader.Status().Membership
@@ -22,8 +23,9 @@
 	return target
 }
 
-// installSnapshots lets the new replica take the founders' first place.
-func installSnapshots(cluster *testCluster, leader *testNode, id ReplicaID) {
+// installLeaderSnapshot installs the leader's snapshot on a new replica, whose log
+// is empty, reports the transfer to the leader, and advances four ticks.
+func installLeaderSnapshot(cluster *testCluster, leader *testNode, id ReplicaID) {
 	meta := leader.snapshot
 	if node := cluster.node(id); node.ShouldInstallSnapshot(meta) {
 		node.SnapshotInstalled(cluster.now, meta)
@@ -42,69 +44,72 @@
 	}
 	decoded, err := DecodeMembership(data)
 	if err != nil || !cmp.Equal(membership, decoded) {
-		t.Errorf("%v: %s", err, cmp.Diff(membership, decoded))
+		t.Errorf("decoded membership differs, error %v: %s", err, cmp.Diff(membership, decoded))
 	}
 	if _, err := DecodeMembership(data[:len(data)-1]); err == nil {
-		t.Error("truncated data was read")
+		t.Error("truncated data was decoded without an error")
 	}
 }
 
-func TestMembershipChange_ReplacementIsJoint(t *testing.T) {
+func TestMembershipChange_ReplacementUsesJointMembership(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
 	cluster.isolate("c")
-	withLearner(t, cluster, leader, "d")
+	addLearner(t, cluster, leader, "d")
 	target := testMembership("a", "b", "d")
 	if err := leader.ChangeMembership(cluster.now, target); !errors.Is(err, ErrNotCaughtUp) {
-		t.Fatalf("promotion of a learner that never responded: %v", err)
+		t.Fatalf("promotion of a learner that never responded: got error %v, want ErrNotCaughtUp", err)
 	}
 	cluster.advance(4 * DefaultTickInterval)
-	installSnapshots(cluster, leader, "d")
+	installLeaderSnapshot(cluster, leader, "d")
 	if err := leader.ChangeMembership(cluster.now, target); err != nil {
 		t.Fatal(err)
 	}
 	joint := leader.Status()
 	if len(joint.Membership.Outgoing) != 3 {
-		t.Errorf("membership %+v is not joint", joint.Membership)
+		t.Errorf("got membership %+v, want a joint one with 3 outgoing voters", joint.Membership)
 	}
 	if joint.IsVoter("d") || joint.IsVoter("c") || !joint.IsVoter("a") {
-		t.Errorf("while the change is joint d votes: %v, c: %v, a: %v", joint.IsVoter("d"), joint.IsVoter("c"), joint.IsVoter("a"))
+		t.Errorf("during the joint membership got IsVoter d %v, c %v, a %v, want false, false, true",
+			joint.IsVoter("d"), joint.IsVoter("c"), joint.IsVoter("a"))
 	}
 	if err := leader.ChangeMembership(cluster.now, target); !errors.Is(err, ErrMembershipChangePending) {
-		t.Errorf("second change: %v", err)
+		t.Errorf("second change: got error %v, want ErrMembershipChangePending", err)
 	}
 	cluster.advance(2 * DefaultTickInterval)
 	for _, id := range []ReplicaID{"a", "b", "d"} {
 		if got := cluster.node(id).Status().Membership; !cmp.Equal(got, target) {
-			t.Errorf("replica %s: %s", id, cmp.Diff(target, got))
+			t.Errorf("replica %s: membership differs: %s", id, cmp.Diff(target, got))
 		}
 	}
 	if committed := leader.Status(); !committed.IsVoter("d") || len(committed.FallbackMemberships) > 0 {
-		t.Errorf("once the change is committed d votes: %v, fallbacks are %+v", committed.IsVoter("d"), committed.FallbackMemberships)
+		t.Errorf("after the commit of the change got IsVoter d %v and fallbacks %+v, want true and none",
+			committed.IsVoter("d"), committed.FallbackMemberships)
 	}
-	// The new voter completes the quorum after the loss of another.
+	// With b isolated the new voter d completes the quorum of a and d.
 	cluster.isolate("b")
 	cluster.propose(leader, 1)
 	if status := leader.Status(); status.Commit != status.LastIndex {
-		t.Errorf("status %+v", status)
+		t.Errorf("got status %+v, want the commit index at the last index", status)
 	}
 }
 
-// TestMembershipChange_NewVoterCountsOnceFinalCommitted: the entry that ends a joint
-// membership may be lost, and with it the new voter's vote.
-func TestMembershipChange_NewVoterCountsOnceFinalCommitted(t *testing.T) {
+// TestMembershipChange_NewVoterCountsOnceFinalEntryCommitted guards against a leader that
+// reports a new voter before the entry that ends the joint membership is
+// committed. That entry can still be truncated, and the new voter's vote with it.
+func TestMembershipChange_NewVoterCountsOnceFinalEntryCommitted(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
-	withLearner(t, cluster, leader, "d")
+	addLearner(t, cluster, leader, "d")
 	cluster.advance(4 * DefaultTickInterval)
-	installSnapshots(cluster, leader, "d")
+	installLeaderSnapshot(cluster, leader, "d")
 	if err := leader.ChangeMembership(cluster.now, testMembership("a", "b", "d")); err != nil {
 		t.Fatal(err)
 	}
-	joined := leader.Status().LastIndex
+	jointIndex := leader.Status().LastIndex
 	cluster.drop = func(message Message) bool {
 		for _, entry := range message.Entries {
-			if entry.Index > joined {
+			if entry.Index > jointIndex {
 				return true
 			}
 		}
@@ -112,38 +117,38 @@
 	}
 	cluster.advance(2 * DefaultTickInterval)
 	status := leader.Status()
-	if len(status.Membership.Outgoing) != 0 || status.Commit != joined {
-		t.Fatalf("the end of the change is not appended alone: %+v", status)
+	if len(status.Membership.Outgoing) != 0 || status.Commit != jointIndex {
+		t.Fatalf("got status %+v, want the final membership appended but not committed", status)
 	}
 	if status.IsVoter("d") || !status.IsVoter("b") {
-		t.Errorf("d votes: %v, b: %v", status.IsVoter("d"), status.IsVoter("b"))
+		t.Errorf("got IsVoter d %v, b %v, want false, true", status.IsVoter("d"), status.IsVoter("b"))
 	}
 }
 
 func TestLearner_DoesNotCountTowardsQuorum(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
-	withLearner(t, cluster, leader, "d")
+	addLearner(t, cluster, leader, "d")
 	cluster.advance(4 * DefaultTickInterval)
-	installSnapshots(cluster, leader, "d")
+	installLeaderSnapshot(cluster, leader, "d")
 	cluster.drop = func(message Message) bool { return message.From == "b" || message.From == "c" }
-	before := leader.Status()
+	statusBefore := leader.Status()
 	cluster.propose(leader, 1)
 	cluster.advance(DefaultLeaseDuration)
 	status := leader.Status()
 	if progressOf(t, leader, "d").Match != status.LastIndex {
-		t.Error("the learner got no entries")
+		t.Error("the learner did not receive every entry")
 	}
-	if status.Commit != before.Commit || status.LeaseUntil > cluster.now {
-		t.Errorf("a learner counted: %+v", status)
+	if status.Commit != statusBefore.Commit || status.LeaseUntil > cluster.now {
+		t.Errorf("the learner counted towards a commit or a lease: %+v", status)
 	}
 }
 
 func TestMembershipChange_InvalidRejected(t *testing.T) {
-	node := leaderOfThree(t, 10*time.Second)
+	node := newLeaderOfThree(t, 10*time.Second)
 	now := 10 * time.Second
 	if err := node.ChangeMembership(now, testMembership("a", "b")); !errors.Is(err, ErrMembershipChangePending) {
-		t.Errorf("before the no-op: %v", err)
+		t.Errorf("before the commit of the no-op: got error %v, want ErrMembershipChangePending", err)
 	}
 	node.step(now, appendResponse("b", 2, 1))
 	repeated := testMembership("a", "b", "c")
@@ -153,32 +158,32 @@
 	for name, invalid := range map[string]Membership{"no voters": {}, "repeated id": repeated, "joint": joint} {
 		t.Run(name, func(t *testing.T) {
 			if err := node.ChangeMembership(now, invalid); !errors.Is(err, ErrInvalidMembership) {
-				t.Errorf("%+v: %v", invalid, err)
+				t.Errorf("%+v: got error %v, want ErrInvalidMembership", invalid, err)
 			}
 		})
 	}
 	if err := node.ChangeMembership(now, testMembership("a", "b", "x")); !errors.Is(err, ErrNotCaughtUp) {
-		t.Errorf("non-member as voter: %v", err)
+		t.Errorf("non-member as voter: got error %v, want ErrNotCaughtUp", err)
 	}
 }
 
 func TestMembershipChange_LaggingLearnerNotPromoted(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	leader := cluster.elect("a")
-	withLearner(t, cluster, leader, "d")
+	addLearner(t, cluster, leader, "d")
 	cluster.advance(4 * DefaultTickInterval)
-	installSnapshots(cluster, leader, "d")
+	installLeaderSnapshot(cluster, leader, "d")
 	cluster.drop = func(message Message) bool { return message.To == "d" && len(message.Entries) > 0 }
 	if _, _, err := leader.Propose(cluster.now, make([][]byte, maxPromotionLag+10)); err != nil {
 		t.Fatal(err)
 	}
 	cluster.deliverAll()
 	if err := leader.ChangeMembership(cluster.now, testMembership("a", "b", "d")); !errors.Is(err, ErrNotCaughtUp) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want ErrNotCaughtUp", err)
 	}
 }
 
-func TestMembership_RollsBackWithTruncation(t *testing.T) {
+func TestMembership_TruncationRestoresPreviousMembership(t *testing.T) {
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	data, err := EncodeMembership(testMembership("a", "b"))
 	if err != nil {
@@ -189,14 +194,14 @@
 		Entries: []Entry{{Index: 2, Term: 2, Kind: EntryMembership, Data: data}},
 	})
 	if got := len(node.Status().Membership.Voters); got != 2 {
-		t.Fatalf("%d voters after the append", got)
+		t.Fatalf("got %d voters after the append, want 2", got)
 	}
 	node.step(0, Message{
 		Kind: MessageAppend, From: "c", Term: 3, Index: 1, LogTerm: 1,
 		Entries: []Entry{{Index: 2, Term: 3, Kind: EntryNoop}},
 	})
 	if got := len(node.Status().Membership.Voters); got != 3 {
-		t.Errorf("%d voters after the truncation", got)
+		t.Errorf("got %d voters after the truncation, want 3", got)
 	}
 }
 
@@ -209,23 +214,23 @@
 	cluster.deliverAll()
 	cluster.advance(3 * DefaultElectionTimeoutMax)
 	if leader.Status().Role == RoleLeader {
-		t.Error("the removed leader leads")
+		t.Error("the removed leader is still the leader")
 	}
 	successor := cluster.node(cluster.node("b").Status().Leader)
 	if successor == nil || successor == leader || !successor.Status().TermReady {
-		t.Fatalf("successor %+v", successor)
+		t.Fatalf("got successor %+v, want another leader that committed an entry of its term", successor)
 	}
-	// The removed replica cannot disturb.
+	// The removed replica cannot force an election.
 	term := successor.Status().Term
 	cluster.advance(5 * DefaultElectionTimeoutMax)
 	if status := successor.Status(); status.Role != RoleLeader || status.Term != term {
-		t.Errorf("disturbed: %+v", status)
+		t.Errorf("the removed replica disrupted the leader: %+v", status)
 	}
 }
 
-// TestCampaign_ReplicaRemovedByUncommittedChangeCampaigns: the loss of a disk in
-// the middle of a change may leave a replica that was to be removed as the only
-// one that can be elected.
+// TestCampaign_ReplicaRemovedByUncommittedChangeCampaigns guards against a cluster
+// without an electable replica: if a disk is lost during a change, a replica that
+// the uncommitted change removes may be the only one that can win an election.
 func TestCampaign_ReplicaRemovedByUncommittedChangeCampaigns(t *testing.T) {
 	data, err := EncodeMembership(testMembership("b", "c"))
 	if err != nil {
@@ -245,7 +250,7 @@
 			node.Tick(DefaultElectionTimeoutMax)
 			campaigns := len(messagesOfKind(node.processReady(), MessagePreVote)) > 0
 			if campaigns == committed {
-				t.Errorf("campaigns %v", campaigns)
+				t.Errorf("got campaigning %v, want true only while the removal is uncommitted", campaigns)
 			}
 		})
 	}
--- a/internal/raft/membershipchange.go
+++ b/internal/raft/membershipchange.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// maxPromotionLag is how many of the committed entries a learner may lack when
-// it becomes a voter.
+// maxPromotionLag is the maximum number of committed entries that a learner may
+// lack when it is promoted to voter.
 const maxPromotionLag = 1000
 
-// ChangeMembership proposes target as the next membership. Learners and member
-// data change directly; a change of voters goes through a joint membership
-// (Raft paper, 6), and the node itself proposes the final one once the joint one
-// is committed. It fails with ErrNotLeader, ErrLeadershipTransferPending,
-// ErrMembershipChangePending (also before the term's first commit),
-// ErrInvalidMembership, or ErrNotCaughtUp.
+// ChangeMembership proposes target as the next membership. Changes of learners or
+// of member names, zones and addresses take one entry. A change of voters goes
+// through a joint membership (Raft paper, 6): the leader proposes the final
+// membership once the joint one is committed. It returns ErrNotLeader,
+// ErrLeadershipTransferPending, ErrMembershipChangePending (also while no entry
+// of the leader's term is committed), ErrInvalidMembership or ErrNotCaughtUp.
 func (n *Node) ChangeMembership(now time.Duration, target Membership) error {
 	n.advanceTime(now)
 	if n.role != RoleLeader {
@@ -24,7 +24,7 @@
 		return ErrLeadershipTransferPending
 	}
 	current := n.memberships.newest()
-	if !n.committedEntryInTerm() || current.joint() || n.memberships.newestIndex() > n.log.committed {
+	if !n.hasCommittedEntryInTerm() || current.isJoint() || n.memberships.newestIndex() > n.log.committed {
 		return ErrMembershipChangePending
 	}
 	if err := target.validate(); err != nil {
@@ -40,8 +40,9 @@
 	return n.proposeMembership(target)
 }
 
-// checkPromotions requires that each new voter has caught up as a learner: a
-// quorum would have to wait for it otherwise (Ongaro's thesis, 4.2.1).
+// checkPromotions returns ErrNotCaughtUp unless each new voter has caught up as a
+// learner. Otherwise commits could have to wait until the new voter catches up
+// (Ongaro's thesis, 4.2.1).
 func (n *Node) checkPromotions(current, target Membership) error {
 	for _, voter := range target.Voters {
 		if containsID(current.Voters, voter.ID) {
@@ -55,13 +56,16 @@
 	return nil
 }
 
-// isCaughtUp reports whether the replica responds, its log agrees with the
-// leader's, and it lacks little of it.
+// isCaughtUp reports whether the replica has responded in this term and is still
+// active, its log is known to agree with the leader's (stateReplicate), and it
+// lacks at most maxPromotionLag committed entries.
 func (n *Node) isCaughtUp(p *progress) bool {
 	return p.respondedThisTerm && !n.isInactive(p) &&
 		p.state == stateReplicate && p.match+maxPromotionLag >= n.log.committed
 }
 
+// proposeMembership appends an entry with a copy of the membership, which takes
+// effect at once.
 func (n *Node) proposeMembership(membership Membership) error {
 	membership = membership.clone()
 	data, err := EncodeMembership(membership)
@@ -73,7 +77,8 @@
 	return nil
 }
 
-// adoptMemberships puts in force what was just appended to the log.
+// adoptMemberships adds memberships that were just appended to the log to the
+// history. The newest takes effect at once.
 func (n *Node) adoptMemberships(added []membershipEntry) {
 	if len(added) == 0 {
 		return
@@ -82,24 +87,25 @@
 	n.switchToNewestMembership()
 }
 
-// switchToNewestMembership makes the tracker follow the history.
+// switchToNewestMembership makes the progress tracker use the newest membership.
 func (n *Node) switchToNewestMembership() {
 	n.tracker.switchTo(n.memberships.newest(), n.log.lastIndex()+1)
 }
 
-// advanceMembershipChange leaves a joint membership once it is committed, and
-// steps down once a membership without this leader's vote is.
+// advanceMembershipChange does a leader's next step once the newest membership is
+// committed: if the membership is joint it proposes the final one; if this leader
+// is not a voter of it the leader steps down.
 func (n *Node) advanceMembershipChange() {
-	if n.role != RoleLeader || n.memberships.newestIndex() > n.log.committed || !n.committedEntryInTerm() {
+	if n.role != RoleLeader || n.memberships.newestIndex() > n.log.committed || !n.hasCommittedEntryInTerm() {
 		return
 	}
 	current := n.memberships.newest()
-	if current.joint() {
+	if current.isJoint() {
 		if n.leadership.transfer.pending() {
-			return // the next leader does it
+			return // no proposals during a transfer; the next leader proposes it
 		}
 		current.Outgoing = nil
-		// It was decoded or encoded before, so encoding it cannot fail.
+		// The membership was decoded or encoded before, so encoding cannot fail.
 		_ = n.proposeMembership(current)
 		return
 	}
@@ -108,9 +114,10 @@
 	}
 }
 
-// stepDownAsNonVoter ends the term of a leader that is no longer a voter. Its
-// last heartbeat tells the others that the change is committed; the most caught
-// up of them may campaign at once, since the lease ends here (see transfer.go).
+// stepDownAsNonVoter makes a leader that is no longer a voter a follower. A last
+// heartbeat carries the commit index of the change to the other replicas. The
+// most caught-up voter may campaign at once if it has every entry, since the
+// leader relinquishes its lease here (see transfer.go).
 func (n *Node) stepDownAsNonVoter() {
 	n.broadcastHeartbeat()
 	n.leadership.lease.relinquished = true
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// Node is one replica's part of the replicated log. Its owner serializes all
-// calls: a Node has no lock and starts no goroutine.
+// Node is the Raft state machine of one replica. It has no lock and starts no
+// goroutine; its owner serializes all calls.
 //
-// Each concern keeps its state in a type of its own: raftLog the entries,
-// membershipHistory the memberships in them, progressTracker what is known of
-// the other replicas, electionTimer and leaderContact what elections depend on,
-// and leadership what is only meaningful while this node leads.
+// Its state is divided by concern: raftLog holds the entries, membershipHistory
+// the memberships among them, progressTracker the known state of the replicas,
+// electionTimer and leaderContact the state for elections, and leadership the
+// state that exists only while this node is leader.
 type Node struct {
 	config Config
-	// now is the latest time that the owner passed in.
+	// now is the latest monotonic time that the owner passed in.
 	now time.Duration
 
-	// term, votedFor and log.committed are the hard state.
+	// term, votedFor and log.committed make up the hard state.
 	term     uint64
 	votedFor ReplicaID
 	role     Role
-	// leader is the leader of term; empty while unknown.
+	// leader is the leader of term, or empty if it is unknown.
 	leader ReplicaID
 
 	log         raftLog
 	memberships membershipHistory
-	// snapshot is the newest one that the owner reported; a leader announces it.
+	// snapshot is the newest snapshot that the owner reported. A leader offers it
+	// to replicas that need compacted entries.
 	snapshot SnapshotMeta
 
 	tracker       progressTracker
@@ -34,8 +35,8 @@
 	leaderContact leaderContact
 	leadership    leadership
 
-	// persistedHardState, messages and readStates are what Ready is made of,
-	// besides the log.
+	// persistedHardState is the hard state that the owner last persisted; messages
+	// and readStates are returned by the next Ready.
 	persistedHardState HardState
 	messages           []Message
 	readStates         []ReadState
@@ -48,15 +49,16 @@
 	firstIndex uint64
 	lease      lease
 	transfer   transfer
-	// reads are waiting for the no-op to be committed or for a quorum to answer
-	// their heartbeat.
+	// reads holds the read requests that wait for the no-op to be committed, or
+	// for a quorum to acknowledge their round of heartbeats.
 	reads []pendingRead
-	// broadcastPending: entries were appended that no peer was sent yet.
+	// broadcastPending is true if entries were appended since the last broadcast.
 	broadcastPending bool
 }
 
-// New makes a Node from what its owner found on disk. It fails with a
-// ConfigError, or if the restored state has a gap or contradicts itself.
+// New returns a Node with the state that its owner found on disk. It fails with a
+// ConfigError, or if the restored state has a gap, is inconsistent, or has a
+// membership that cannot be decoded.
 func New(config Config, restored RestoredState) (*Node, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
@@ -69,7 +71,8 @@
 	return n, nil
 }
 
-// advanceTime adopts the owner's time, which never goes back.
+// advanceTime sets now to the owner's time, and never moves it back. The first call
+// starts the election timer.
 func (n *Node) advanceTime(now time.Duration) {
 	n.now = max(n.now, now)
 	if !n.electionTimer.started {
@@ -77,8 +80,8 @@
 	}
 }
 
-// Tick lets time pass: elections, heartbeats and time-outs start from here.
-// now is monotonic, here and in all other calls.
+// Tick handles election timeouts, heartbeats and other time-outs that are due at
+// now. In all calls now is a monotonic time.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceTime(now)
 	if n.role == RoleLeader {
@@ -88,10 +91,11 @@
 	n.tickElection()
 }
 
-// Step handles a message from another replica. now must have been read after
-// the message was received: the voter's side of a lease counts from it. An
-// error means that the message contradicts what this node has; its entries were
-// not appended then.
+// Step handles a message from another replica. The owner must read now after it
+// received the message, since a voter withholds its vote from other candidates
+// for a time counted from now. Step fails if the message is addressed to another
+// replica (ErrUnknownReplica), has an unknown kind, or contradicts this node's
+// state; none of its entries are appended then.
 func (n *Node) Step(now time.Duration, message Message) error {
 	n.advanceTime(now)
 	if message.To != n.config.ID {
@@ -118,8 +122,9 @@
 	return nil
 }
 
-// send queues a message for the next Ready, which persists first whatever the
-// message depends on. A message without a term gets the current one.
+// send queues a message for the next Ready. The owner persists the state that the
+// message depends on before it sends the message. Term is set to the current term
+// unless the message has one.
 func (n *Node) send(message Message) {
 	message.From = n.config.ID
 	if message.Term == 0 {
--- a/internal/raft/raftsim/checker.go
+++ b/internal/raft/raftsim/checker.go
@@ -8,32 +8,37 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// appliedEntry is what is compared of an entry: as the first machine that applied
-// it saw it.
+// appliedEntry holds the properties of an applied entry that must be equal on all
+// machines.
 type appliedEntry struct {
 	term uint64
 	kind raft.EntryKind
 	hash uint64
 }
 
-// firstAppliedIndex is the index of the first entry that is applied: the initial
-// voters begin with a snapshot at 1.
+// firstAppliedIndex is the index of the first entry that a machine can apply: the
+// initial voters start from a snapshot at index 1.
 const firstAppliedIndex = 2
 
-// checker records all that was ever applied or acknowledged, whichever machine
-// did it, and so knows more than any machine does.
+// checker records everything that any machine applied or acknowledged during the
+// run.
 type checker struct {
+	// applied has the entries from firstAppliedIndex on, each as the first machine
+	// applied it.
 	applied []appliedEntry
-	// membership is the newest one applied anywhere.
+	// membership is the newest one that any machine applied.
 	membership raft.Membership
-	// commandIndex has the index of each command; it may have only one.
+	// commandIndex maps the id of each applied command to its index. A command
+	// may be applied at one index only.
 	commandIndex map[uint64]uint64
+	// acknowledged maps the id of each acknowledged command to its index.
 	acknowledged map[uint64]uint64
-	// highestAcknowledged is the highest index acknowledged,
-	// newestAcknowledgedProposal the highest id of a proposal.
-	highestAcknowledged        uint64
+	// highestAcknowledgedIndex is the highest acknowledged index;
+	// newestAcknowledgedProposal is the highest acknowledged command id.
+	highestAcknowledgedIndex   uint64
 	newestAcknowledgedProposal uint64
-	leaders                    map[uint64]raft.ReplicaID
+	// leaders maps each term to its leader.
+	leaders map[uint64]raft.ReplicaID
 }
 
 func newChecker() checker {
@@ -44,8 +49,11 @@
 	}
 }
 
+// lastIndex returns the highest index that any machine applied.
 func (c *checker) lastIndex() uint64 { return uint64(len(c.applied)) + firstAppliedIndex - 1 }
 
+// termAt returns the term of the applied entry, or of the initial snapshot, at
+// index; ok is false if no machine has applied index.
 func (c *checker) termAt(index uint64) (uint64, bool) {
 	switch {
 	case index == firstAppliedIndex-1:
@@ -57,11 +65,14 @@
 	}
 }
 
+// acknowledgedAfter reports whether a command newer than the proposal is
+// acknowledged.
 func (c *checker) acknowledgedAfter(proposal uint64) bool {
 	return c.newestAcknowledgedProposal > proposal
 }
 
-// checkApplied compares an entry with what others applied at its index.
+// checkApplied requires that an entry that m applies equals the entry that other
+// machines applied at its index, and records it if m is the first.
 func (s *simulation) checkApplied(m *machine, entry raft.Entry) {
 	c := &s.checker
 	s.recordEvent(m.index, "apply", entry.Index, entry.Term, uint64(entry.Kind))
@@ -73,14 +84,14 @@
 		}
 		m.membership = membership
 	}
-	seen := appliedEntry{term: entry.Term, kind: entry.Kind, hash: hashBytes(entry.Data)}
+	current := appliedEntry{term: entry.Term, kind: entry.Kind, hash: hashBytes(entry.Data)}
 	if entry.Index <= c.lastIndex() {
-		if known := c.applied[entry.Index-firstAppliedIndex]; known != seen {
-			s.fail("machine %d applies %+v at %d, where %+v was applied", m.index, seen, entry.Index, known)
+		if known := c.applied[entry.Index-firstAppliedIndex]; known != current {
+			s.fail("machine %d applies %+v at %d, where %+v was applied", m.index, current, entry.Index, known)
 		}
 		return
 	}
-	c.applied = append(c.applied, seen)
+	c.applied = append(c.applied, current)
 	switch entry.Kind {
 	case raft.EntryCommand:
 		s.recordCommand(entry)
@@ -89,6 +100,8 @@
 	}
 }
 
+// recordCommand records the index of a command and requires that it was not applied
+// at another index.
 func (s *simulation) recordCommand(entry raft.Entry) {
 	id := binary.LittleEndian.Uint64(entry.Data)
 	if earlier, ok := s.checker.commandIndex[id]; ok {
@@ -97,19 +110,22 @@
 	s.checker.commandIndex[id] = entry.Index
 }
 
+// recordMembership records the newest applied membership. If it completes the
+// replacement of lost voters, another disk may be lost right afterwards.
 func (s *simulation) recordMembership(membership raft.Membership) {
-	wasDamaged := s.lostIn(s.checker.membership.Voters) > 0 || s.lostIn(s.checker.membership.Outgoing) > 0
+	hadLostVoter := s.countLost(s.checker.membership.Voters) > 0 || s.countLost(s.checker.membership.Outgoing) > 0
 	s.checker.membership = membership
-	if len(membership.Outgoing) > 0 || s.lostIn(membership.Voters) > 0 || !wasDamaged {
+	if len(membership.Outgoing) > 0 || s.countLost(membership.Voters) > 0 || !hadLostVoter {
 		return
 	}
 	s.report.Replacements++
 	if !s.healed && s.chance(0.6) {
-		s.after(s.between(0, 30), s.secondLoss)
+		s.after(s.randomDuration(0, 30), s.loseSecondDisk)
 	}
 }
 
-// acknowledge records that a client got a response to its command.
+// acknowledge records that m responded to the client of a command, and requires
+// that the command was applied at that index.
 func (s *simulation) acknowledge(m *machine, id, index uint64) {
 	c := &s.checker
 	s.recordEvent(m.index, "acknowledge", id, index, 0)
@@ -117,26 +133,28 @@
 		s.fail("command %d is acknowledged at %d and lies at %d", id, index, c.commandIndex[id])
 	}
 	c.acknowledged[id] = index
-	c.highestAcknowledged = max(c.highestAcknowledged, index)
+	c.highestAcknowledgedIndex = max(c.highestAcknowledgedIndex, index)
 	c.newestAcknowledgedProposal = max(c.newestAcknowledgedProposal, id)
 	s.report.Acknowledged++
 }
 
-// checkRead: a read may not miss what was acknowledged before its request.
+// checkRead requires that a read covers every entry that was acknowledged before
+// its request.
 func (s *simulation) checkRead(m *machine, state raft.ReadState) {
-	floor, ok := m.reads[state.Request]
+	minIndex, ok := m.reads[state.Request]
 	if !ok {
-		s.fail("machine %d answers read %d, which is not asked there", m.index, state.Request)
+		s.fail("machine %d answers read %d, which was not requested there", m.index, state.Request)
 		return
 	}
 	delete(m.reads, state.Request)
-	s.recordEvent(m.index, "read", state.Request, state.Index, floor)
+	s.recordEvent(m.index, "read", state.Request, state.Index, minIndex)
 	s.report.Reads++
-	if state.Index < floor {
-		s.fail("machine %d reads at %d, though %d was acknowledged before", m.index, state.Index, floor)
+	if state.Index < minIndex {
+		s.fail("machine %d reads at %d, though %d was acknowledged before", m.index, state.Index, minIndex)
 	}
 }
 
+// checkLeader requires that each term has at most one leader.
 func (s *simulation) checkLeader(m *machine) {
 	if m.status.Role != raft.RoleLeader {
 		return
@@ -153,11 +171,11 @@
 	}
 }
 
-// checkLease: at one true time only one machine may claim a lease, those that are
-// frozen included.
+// checkLease requires that no other machine, frozen ones included, claims a lease
+// at the same virtual time as m.
 func (s *simulation) checkLease(m *machine) {
 	if s.options.mutation == mutationForgetVote || !m.claimsLease() {
-		return // without the vote delay leases overlap; that run is about votes
+		return // mutationForgetVote disables the vote delay too, so leases may overlap
 	}
 	for _, other := range s.machines {
 		if other != m && other.claimsLease() {
@@ -167,10 +185,13 @@
 	}
 }
 
-// converged: every voter of the membership is up and has applied all that is
-// acknowledged.
+// converged reports whether the newest applied membership is not joint and has the
+// initial number of voters, and each voter still has its disk and has applied every
+// acknowledged entry.
 func (s *simulation) converged() bool { return s.notConvergedReason() == "" }
 
+// notConvergedReason returns the first condition of converged that does not hold,
+// or an empty string.
 func (s *simulation) notConvergedReason() string {
 	membership := s.checker.membership
 	if len(membership.Outgoing) > 0 || len(membership.Voters) != s.initialVoters {
@@ -181,16 +202,16 @@
 		if m == nil {
 			return fmt.Sprintf("voter %s was not replaced", voter.ID)
 		}
-		if m.applied < s.checker.highestAcknowledged {
-			return fmt.Sprintf("machine %d applied %d of %d", m.index, m.applied, s.checker.highestAcknowledged)
+		if m.applied < s.checker.highestAcknowledgedIndex {
+			return fmt.Sprintf("machine %d applied %d of %d", m.index, m.applied, s.checker.highestAcknowledgedIndex)
 		}
 	}
 	return ""
 }
 
-// checkFinal requires each acknowledged command at the index of its
-// acknowledgement. All voters applied that far, and checkApplied compared each
-// entry.
+// checkFinal requires that each acknowledged command was applied at its
+// acknowledged index, and that every voter has applied that index. It is called
+// after convergence; checkApplied has compared the entries between machines.
 func (s *simulation) checkFinal() {
 	c := &s.checker
 	lowest := uint64(math.MaxUint64)
--- a/internal/raft/raftsim/clients.go
+++ b/internal/raft/raftsim/clients.go
@@ -7,12 +7,14 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// clientTurn proposes and reads at one machine that believes it leads. Proposals
-// pause at times: only then can a follower that was partitioned be elected.
-func (s *simulation) clientTurn() {
-	s.after(s.between(10*time.Millisecond, 60*time.Millisecond), s.clientTurn)
+// issueClientRequests sends proposals and reads to a random machine that believes
+// it is the leader, and schedules the next call in 10 to 60 ms. Proposals pause at
+// times, because a follower that was partitioned can be elected only if its log is
+// not behind.
+func (s *simulation) issueClientRequests() {
+	s.after(s.randomDuration(10*time.Millisecond, 60*time.Millisecond), s.issueClientRequests)
 	if !s.healed && s.chance(0.02) {
-		s.pauseProposals(s.between(500*time.Millisecond, 4*time.Second))
+		s.pauseProposals(s.randomDuration(500*time.Millisecond, 4*time.Second))
 	}
 	leaders := s.believedLeaders()
 	if len(leaders) == 0 {
@@ -27,10 +29,13 @@
 	}
 }
 
+// pauseProposals stops the clients from proposing for at least the duration.
 func (s *simulation) pauseProposals(duration time.Duration) {
 	s.proposalsPausedUntil = max(s.proposalsPausedUntil, s.now+duration)
 }
 
+// believedLeaders returns the running machines, frozen ones included, whose last
+// status has the leader role.
 func (s *simulation) believedLeaders() []*machine {
 	var leaders []*machine
 	for _, m := range s.machines {
@@ -41,6 +46,7 @@
 	return leaders
 }
 
+// propose proposes one to four commands, each with its id in the first eight bytes.
 func (s *simulation) propose(m *machine) {
 	count := 1 + s.random.IntN(4)
 	commands := make([][]byte, count)
@@ -51,7 +57,7 @@
 		binary.LittleEndian.PutUint64(command, s.nextProposal)
 		commands[i] = command
 	}
-	m.do(func(now time.Duration) {
+	m.runOrQueue(func(now time.Duration) {
 		index, term, err := m.node.Propose(now, commands)
 		if err != nil {
 			return
@@ -62,17 +68,19 @@
 	})
 }
 
+// read requests a read index at m. The read must cover the highest index that is
+// acknowledged now.
 func (s *simulation) read(m *machine) {
 	s.nextRead++
-	request, floor := s.nextRead, s.checker.highestAcknowledged
-	m.do(func(now time.Duration) {
+	request, minIndex := s.nextRead, s.checker.highestAcknowledgedIndex
+	m.runOrQueue(func(now time.Duration) {
 		if s.options.mutation == mutationUnconfirmedReads && m.status.Role == raft.RoleLeader {
-			m.reads[request] = floor
+			m.reads[request] = minIndex
 			s.checkRead(m, raft.ReadState{Request: request, Index: m.status.Commit})
 			return
 		}
 		if m.node.ReadIndex(now, request) == nil {
-			m.reads[request] = floor
+			m.reads[request] = minIndex
 		}
 	})
 }
--- a/internal/raft/raftsim/doc.go
+++ b/internal/raft/raftsim/doc.go
@@ -1,20 +1,21 @@
-// Package raftsim tests package raft: it drives many nodes through seeded faults
-// in virtual time and checks the guarantees of the replicated log after each
-// step.
+// Package raftsim is a deterministic simulator that tests package raft. It runs a
+// cluster of nodes in virtual time, injects faults, and checks the guarantees of
+// the replicated log after each step.
 //
-// A run is a single goroutine that takes events from one queue, and all chance
-// comes from one seeded source, so a seed gives the same run each time. Faults:
-// messages that are lost, late, duplicated or reordered; links partitioned, also
-// one way; crashes that lose unsynced writes, also between persisting and
-// sending; machines that freeze for seconds; clocks that drift; lost disks with
-// replacement by a new replica; membership changes; leadership transfers.
+// A run is a single goroutine that processes events from one queue and draws all
+// random values from one seeded source, so a seed reproduces its run exactly. The
+// faults are: lost, late, duplicated and reordered messages; partitioned links, in
+// one or both directions; crashes that lose unsynced writes, also between
+// persisting and sending; machines that freeze for seconds; clock drift; lost
+// disks, with replacement by a new replica; membership changes; and leadership
+// transfers.
 //
-// Checked: one leader in each term, one lease at a time (in true time), equal
-// applied entries everywhere, no acknowledged entry lost, reads that are
-// linearizable, and that the cluster converges once the faults are over.
+// The checks are: at most one leader in each term; at most one lease holder at any
+// virtual time; equal applied entries on all machines; no loss of an acknowledged
+// entry; linearizable reads; and convergence of the cluster after the last fault.
 //
-// A mutation switches off one safety rule. The tests require that some seed then
-// shows a violation, which proves that the checks can fail.
+// A mutation disables one safety rule. The tests require that some seed then
+// reports a violation, which proves that the checks can fail.
 //
-// It is used by tests alone and must not be imported by a program.
+// Only tests use this package; programs must not import it.
 package raftsim
--- a/internal/raft/raftsim/faults.go
+++ b/internal/raft/raftsim/faults.go
@@ -7,7 +7,8 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// nextFault makes one fault and schedules the next.
+// nextFault injects one fault of the run's scenario and schedules the next, until
+// the simulation is healed.
 func (s *simulation) nextFault() {
 	if s.healed {
 		return
@@ -15,7 +16,7 @@
 	switch s.options.scenario {
 	case scenarioVoterRestarts:
 		s.restartVoterRepeatedly()
-		s.after(s.between(2*time.Second, 4*time.Second), s.nextFault)
+		s.after(s.randomDuration(2*time.Second, 4*time.Second), s.nextFault)
 	case scenarioLateTransfers:
 		s.delayTimeoutNow()
 		s.transferLeadership()
@@ -25,17 +26,18 @@
 	}
 }
 
-// mixedFault makes a random one of all faults.
+// mixedFault injects a random fault of any kind. The numbers are percentages,
+// cumulative.
 func (s *simulation) mixedFault() {
-	s.after(s.between(50*time.Millisecond, 1200*time.Millisecond), s.nextFault)
+	s.after(s.randomDuration(50*time.Millisecond, 1200*time.Millisecond), s.nextFault)
 	m := s.faultTarget()
 	switch draw := s.random.IntN(100); {
 	case draw < 14:
-		m.crash(s.between(50*time.Millisecond, 5*time.Second))
+		m.crash(s.randomDuration(50*time.Millisecond, 5*time.Second))
 	case draw < 26:
 		s.restartRepeatedly(m)
 	case draw < 38:
-		m.freeze(s.freezeTime())
+		m.freeze(s.freezeDuration())
 	case draw < 48:
 		s.isolate(m)
 	case draw < 64:
@@ -54,7 +56,8 @@
 	}
 }
 
-// faultTarget prefers a leader.
+// faultTarget returns the machine for the next fault: a believed leader with
+// probability 0.4, otherwise any machine.
 func (s *simulation) faultTarget() *machine {
 	if leaders := s.believedLeaders(); len(leaders) > 0 && s.chance(0.4) {
 		return leaders[s.random.IntN(len(leaders))]
@@ -62,32 +65,35 @@
 	return s.machines[s.random.IntN(len(s.machines))]
 }
 
-// freezeTime is mostly short, and sometimes longer than the faults last.
-func (s *simulation) freezeTime() time.Duration {
+// freezeDuration returns a random duration: mostly up to 3 s, and sometimes longer
+// than the time in which faults are injected.
+func (s *simulation) freezeDuration() time.Duration {
 	if s.chance(0.2) {
-		return s.between(time.Second, 25*time.Second)
+		return s.randomDuration(time.Second, 25*time.Second)
 	}
-	return s.between(300*time.Millisecond, 3*time.Second)
+	return s.randomDuration(300*time.Millisecond, 3*time.Second)
 }
 
-// restartRepeatedly restarts a machine at once, a few times: a voter may forget
-// the heartbeats that it answered.
+// restartRepeatedly restarts a machine one to four times with at most 50 ms of
+// downtime each: a restarted voter may have forgotten the heartbeats that it
+// answered.
 func (s *simulation) restartRepeatedly(m *machine) {
-	m.crash(s.between(time.Millisecond, 50*time.Millisecond))
+	m.crash(s.randomDuration(time.Millisecond, 50*time.Millisecond))
 	for i := range s.random.IntN(4) {
-		s.after(time.Duration(i+1)*s.between(100*time.Millisecond, 400*time.Millisecond), func() {
+		s.after(time.Duration(i+1)*s.randomDuration(100*time.Millisecond, 400*time.Millisecond), func() {
 			if !s.healed {
-				m.crash(s.between(time.Millisecond, 50*time.Millisecond))
+				m.crash(s.randomDuration(time.Millisecond, 50*time.Millisecond))
 			}
 		})
 	}
 }
 
-// restartVoterRepeatedly restarts a voter again and again while nothing is
-// proposed, so that any log may win. A follower that is partitioned from the
-// leader is elected too early should the voter forget a heartbeat that it
-// answered. If the leader restarts as well, and messages are slow, both are
-// elected in one term should it forget its vote.
+// restartVoterRepeatedly keeps restarting a voter while a follower is partitioned
+// from the leader and no proposals are made, so that any log may win an election.
+// If the voter ignored the heartbeats that it answered before a restart, the
+// follower would be elected too early. In half of the calls the leader restarts as
+// well and messages are slow: if the voter then forgot its vote, two candidates
+// could be elected in one term.
 func (s *simulation) restartVoterRepeatedly() {
 	leaders := s.believedLeaders()
 	if len(leaders) == 0 {
@@ -97,29 +103,29 @@
 	order := s.random.Perm(len(s.machines))
 	order = slices.DeleteFunc(order, func(i int) bool { return i == leader.index })
 	candidate, voter := s.machines[order[0]], s.machines[order[1]]
-	duration := s.between(2*time.Second, 4*time.Second)
+	duration := s.randomDuration(2*time.Second, 4*time.Second)
 	s.pauseProposals(duration)
 	s.partitionLink(leader.index, candidate.index, duration)
 	s.partitionLink(candidate.index, leader.index, duration)
-	s.network.slowRate = 0
+	s.network.delayRate = 0
 	if s.chance(0.5) {
-		s.network.slowRate = 0.6
-		leader.crash(s.between(10*time.Millisecond, 300*time.Millisecond))
+		s.network.delayRate = 0.6
+		leader.crash(s.randomDuration(10*time.Millisecond, 300*time.Millisecond))
 	}
-	for at := time.Duration(0); at < duration; at += s.between(60*time.Millisecond, 200*time.Millisecond) {
+	for at := time.Duration(0); at < duration; at += s.randomDuration(60*time.Millisecond, 200*time.Millisecond) {
 		s.after(at, func() {
 			if !s.healed {
-				voter.crash(s.between(time.Millisecond, 20*time.Millisecond))
+				voter.crash(s.randomDuration(time.Millisecond, 20*time.Millisecond))
 			}
 		})
 	}
 }
 
-// isolate partitions a machine from all others, both ways or one.
+// isolate partitions a machine from all others, in one or both directions.
 func (s *simulation) isolate(m *machine) {
 	incoming := s.chance(0.7)
 	outgoing := !incoming || s.chance(0.7)
-	duration := s.between(200*time.Millisecond, 4*time.Second)
+	duration := s.randomDuration(200*time.Millisecond, 4*time.Second)
 	if incoming {
 		s.partitionIncoming(m, duration)
 	}
@@ -130,24 +136,25 @@
 	}
 }
 
-// partitionIncoming blocks all links to a machine.
+// partitionIncoming blocks the links from all other machines to m.
 func (s *simulation) partitionIncoming(m *machine, duration time.Duration) {
 	for _, other := range s.machines {
 		s.partitionLink(other.index, m.index, duration)
 	}
 }
 
-// partitionPair blocks the links between a machine and another, both ways or one.
+// partitionPair blocks the links between m and a random machine, in one or both
+// directions. It does nothing if the random machine is m.
 func (s *simulation) partitionPair(m *machine) {
 	other := s.machines[s.random.IntN(len(s.machines))]
-	duration := s.between(200*time.Millisecond, 5*time.Second)
+	duration := s.randomDuration(200*time.Millisecond, 5*time.Second)
 	s.partitionLink(m.index, other.index, duration)
 	if s.chance(0.6) {
 		s.partitionLink(other.index, m.index, duration)
 	}
 }
 
-// partitionLink blocks one direction between two machines.
+// partitionLink blocks the link from one machine to another in that direction.
 func (s *simulation) partitionLink(from, to int, duration time.Duration) {
 	if from == to {
 		return
@@ -161,31 +168,34 @@
 	})
 }
 
+// changeLinkQuality draws new rates of lost, duplicated and delayed messages.
 func (s *simulation) changeLinkQuality() {
 	s.network.dropRate = s.random.Float64() * s.random.Float64() * 0.4
-	s.network.doubleRate = s.random.Float64() * 0.1
-	s.network.slowRate = s.random.Float64() * s.random.Float64() * 0.4
+	s.network.duplicateRate = s.random.Float64() * 0.1
+	s.network.delayRate = s.random.Float64() * s.random.Float64() * 0.4
 }
 
-// delayTimeoutNow makes a transfer fail, with its TimeoutNow arriving after
-// another election. Proposals pause, so that the target still has a log that may
-// win.
+// delayTimeoutNow delays each TimeoutNow that is sent soon, so that the leadership
+// transfer fails and the message arrives after another election. Proposals pause,
+// so that the target's log can still win an election then.
 func (s *simulation) delayTimeoutNow() {
 	s.network.delayTimeoutNowUntil = s.now + electionTimeoutMax + electionTimeoutMin
 	s.pauseProposals(maxTimeoutNowDelay)
 }
 
+// transferLeadership starts a leadership transfer at each believed leader, to any
+// voter or to a random machine.
 func (s *simulation) transferLeadership() {
 	for _, m := range s.believedLeaders() {
 		if s.options.scenario == scenarioMixed && s.chance(0.4) {
-			// It does not learn that there is a new leader.
-			s.partitionIncoming(m, s.between(300*time.Millisecond, 2*time.Second))
+			// The old leader does not learn of the new one.
+			s.partitionIncoming(m, s.randomDuration(300*time.Millisecond, 2*time.Second))
 		}
 		target := raft.ReplicaID("")
 		if s.chance(0.5) {
 			target = s.machines[s.random.IntN(len(s.machines))].id
 		}
-		m.do(func(now time.Duration) {
+		m.runOrQueue(func(now time.Duration) {
 			if m.node.TransferLeadership(now, target) == nil {
 				s.report.Transfers++
 				s.recordEvent(m.index, "transfer", m.status.Term, 0, 0)
@@ -194,25 +204,28 @@
 	}
 }
 
+// loseDisk loses the disk of m, if canLoseDisk allows it.
 func (s *simulation) loseDisk(m *machine) {
 	if s.canLoseDisk(m.id) {
-		m.loseDisk(s.between(50*time.Millisecond, 2*time.Second))
+		m.loseDisk(s.randomDuration(50*time.Millisecond, 2*time.Second))
 	}
 }
 
-// secondLoss loses a disk right after a replacement was complete.
-func (s *simulation) secondLoss() {
+// loseSecondDisk loses the disk of a random machine right after the replacement of
+// another was complete, if canLoseDisk allows it.
+func (s *simulation) loseSecondDisk() {
 	m := s.machines[s.random.IntN(len(s.machines))]
 	if s.healed || !s.canLoseDisk(m.id) {
 		return
 	}
 	s.report.SecondLosses++
-	m.loseDisk(s.between(50*time.Millisecond, 2*time.Second))
+	m.loseDisk(s.randomDuration(50*time.Millisecond, 2*time.Second))
 }
 
-// canLoseDisk keeps a majority of every voter set that may decide: the newest one
-// applied, and those that its voters hold in their logs. Losing more is beyond
-// what a replicated log can survive.
+// canLoseDisk reports whether every voter set that may elect or commit keeps a
+// majority of its disks without the replica: the voter sets of the newest applied
+// membership, and of the newest membership in the log of each running voter or
+// learner of it. A replicated log cannot survive the loss of more disks.
 func (s *simulation) canLoseDisk(id raft.ReplicaID) bool {
 	if !s.retainsMajority(s.checker.membership, id) {
 		return false
@@ -225,11 +238,13 @@
 	return true
 }
 
+// retainsMajority reports whether each voter set of the membership keeps a majority
+// of its disks without the replica.
 func (s *simulation) retainsMajority(membership raft.Membership, id raft.ReplicaID) bool {
 	return s.retainsMajorityOf(membership.Voters, id) && s.retainsMajorityOf(membership.Outgoing, id)
 }
 
 func (s *simulation) retainsMajorityOf(voters []raft.Member, id raft.ReplicaID) bool {
 	votes := slices.ContainsFunc(voters, func(voter raft.Member) bool { return voter.ID == id })
-	return !votes || s.lostIn(voters)+1 <= (len(voters)-1)/2
+	return !votes || s.countLost(voters)+1 <= (len(voters)-1)/2
 }
--- a/internal/raft/raftsim/machine.go
+++ b/internal/raft/raftsim/machine.go
@@ -6,7 +6,8 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// Sizes of a machine's node: small, so that batches and windows matter.
+// Limits and time-outs of a machine. The sizes are small, so that the limits on
+// append batches and on appends in flight take effect.
 const (
 	tickInterval       = 50 * time.Millisecond
 	electionTimeoutMin = 500 * time.Millisecond
@@ -14,35 +15,41 @@
 	leaseDuration      = 400 * time.Millisecond
 	maxAppendBytes     = 200
 	maxInflightAppends = 4
-	maxInbox           = 4000
-	retainedEntries    = 10
+	// maxInbox is the number of work items that a frozen process queues; further
+	// ones are dropped.
+	maxInbox = 4000
+	// retainedEntries is the number of entries that some snapshots leave in the log.
+	retainedEntries = 10
 )
 
-// Probabilities of an interruption between two steps of handling a Ready.
+// Probabilities of a crash and of a freeze before each step of handling a Ready.
+// freezeRate also applies before each work item.
 const (
 	crashRate  = 0.0004
 	freezeRate = 0.0003
 )
 
-// proposal is a client's command in a leader's log.
+// proposal is a client's command that a leader appended to its log: the term of the
+// entry and the command's id.
 type proposal struct {
 	term uint64
 	id   uint64
 }
 
-// machine is one control machine: its disk, and its process while it is up.
+// machine is one simulated machine: its disk, and its process while it is up.
 type machine struct {
 	simulation *simulation
 	index      int
 	name       string
 	id         raft.ReplicaID
 	disk       *disk
-	// neverStarted: no process has used the disk yet.
+	// neverStarted is true until a process first uses the disk.
 	neverStarted bool
 	process
 }
 
-// process is one control process. Only incarnation outlives a crash.
+// process is the scheduler process of a machine. A restart resets every field
+// except incarnation.
 type process struct {
 	// incarnation counts the starts of the machine's process.
 	incarnation int
@@ -50,28 +57,33 @@
 	frozen      bool
 	// resume completes the work that a freeze interrupted.
 	resume func()
-	// inbox has the work that arrived while the process was frozen.
+	// inbox has the work that arrived while the process was frozen, oldest first.
 	inbox []func(now time.Duration)
 	clock monotonicClock
 
-	node       *raft.Node
-	status     raft.Status
-	applied    uint64
-	membership raft.Membership
-	nextSave   uint64
-	proposals  map[uint64]proposal
-	// reads has, by request, the highest index acknowledged before it.
+	node *raft.Node
+	// status is the node's status as of the last refreshStatus.
+	status raft.Status
+	// applied is the last applied index, membership the newest applied membership.
+	applied        uint64
+	membership     raft.Membership
+	nextSnapshotAt uint64
+	// proposals has, by index, the commands whose clients wait for a response.
+	proposals map[uint64]proposal
+	// reads has, by request, the highest index that was acknowledged before the
+	// request. The read must cover it.
 	reads map[uint64]uint64
 }
 
-// monotonicClock is the clock of one incarnation: it starts anywhere and drifts.
+// monotonicClock is the clock of one incarnation. It has a random offset and drifts
+// against virtual time.
 type monotonicClock struct {
 	offset time.Duration
 	// drift is in parts per 10,000.
 	drift int64
 }
 
-// at returns the clock's reading at a true time.
+// at returns the clock's reading at a virtual time.
 func (c monotonicClock) at(now time.Duration) time.Duration {
 	return c.offset + now + now/10000*time.Duration(c.drift)
 }
@@ -80,19 +92,21 @@
 	return raft.Member{ID: m.id, Name: m.name, Zone: "z", Address: m.name}
 }
 
-// monotonicNow returns the machine's monotonic time at this true time.
+// monotonicNow returns the reading of the machine's clock at the current virtual
+// time.
 func (m *machine) monotonicNow() time.Duration { return m.clock.at(m.simulation.now) }
 
-// start starts the process from the disk.
+// start starts a new incarnation of the process from the disk, unless the machine
+// is up.
 func (m *machine) start() {
 	if m.up {
 		return
 	}
 	s := m.simulation
 	m.incarnation++
-	m.clock = monotonicClock{offset: s.between(0, 1000*time.Second), drift: s.random.Int64N(201) - 100}
+	m.clock = monotonicClock{offset: s.randomDuration(0, 1000*time.Second), drift: s.random.Int64N(201) - 100}
 	config := m.config()
-	node, err := raft.New(config, m.disk.restored())
+	node, err := raft.New(config, m.disk.restoredState())
 	if err != nil {
 		s.fail("machine %d does not start: %v", m.index, err)
 		return
@@ -103,13 +117,15 @@
 	m.node = node
 	m.applied = m.disk.snapshot.Index
 	m.membership = m.disk.snapshot.Membership
-	m.nextSave = m.applied + 20 + s.random.Uint64N(60)
+	m.nextSnapshotAt = m.applied + 20 + s.random.Uint64N(60)
 	m.proposals = make(map[uint64]proposal)
 	m.reads = make(map[uint64]uint64)
 	m.refreshStatus()
 	m.scheduleTick(m.incarnation)
 }
 
+// config returns the node's configuration. A replica that has started before gets a
+// vote delay (NoVoteBefore), unless a mutation disables it.
 func (m *machine) config() raft.Config {
 	config := raft.Config{
 		ID:                 m.id,
@@ -129,20 +145,24 @@
 	return config
 }
 
+// scheduleTick ticks the node about every tickInterval until the incarnation ends.
+// Ticks are skipped while the process is frozen.
 func (m *machine) scheduleTick(incarnation int) {
-	m.simulation.after(m.simulation.between(tickInterval-2*time.Millisecond, tickInterval+5*time.Millisecond), func() {
+	m.simulation.after(m.simulation.randomDuration(tickInterval-2*time.Millisecond, tickInterval+5*time.Millisecond), func() {
 		if !m.up || m.incarnation != incarnation {
 			return
 		}
 		if !m.frozen {
-			m.do(m.node.Tick)
+			m.runOrQueue(m.node.Tick)
 		}
 		m.scheduleTick(incarnation)
 	})
 }
 
-// do runs work in the process, or queues it while the process is frozen.
-func (m *machine) do(work func(now time.Duration)) {
+// runOrQueue runs work in the process with the current monotonic time and then
+// handles what is ready. It queues work while the process is frozen, and drops it
+// while the machine is down.
+func (m *machine) runOrQueue(work func(now time.Duration)) {
 	if !m.up {
 		return
 	}
@@ -154,8 +174,9 @@
 	}
 	now := m.monotonicNow()
 	if s := m.simulation; !s.healed && s.chance(freezeRate) {
-		// It freezes after it read its clock, and continues with that time.
-		m.freeze(s.freezeTime())
+		// The process freezes after it read the clock, and later continues with
+		// that stale time.
+		m.freeze(s.freezeDuration())
 		m.resume = func() { work(now) }
 		return
 	}
@@ -163,6 +184,8 @@
 	m.processReadies()
 }
 
+// step delivers a message to the node. It drops a message to a replica that the
+// machine had before it lost its disk.
 func (m *machine) step(now time.Duration, message raft.Message) {
 	m.simulation.recordEvent(m.index, "step", uint64(message.Kind), message.Term, message.Index)
 	if message.To != m.id {
@@ -172,11 +195,12 @@
 		message.Term = max(message.Term, m.status.Term)
 	}
 	if err := m.node.Step(now, message); err != nil {
-		m.simulation.fail("machine %d refuses a message: %v", m.index, err)
+		m.simulation.fail("machine %d rejects a message: %v", m.index, err)
 	}
 }
 
-// processReadies handles every Ready until there is none.
+// processReadies handles each Ready until there is none, or until the process stops
+// or a guarantee is violated.
 func (m *machine) processReadies() {
 	m.refreshStatus()
 	for m.up && !m.frozen && m.simulation.violation == nil && m.node.HasReady() {
@@ -185,7 +209,7 @@
 	}
 }
 
-// readyStep is a step of handling a Ready, in the order that raft.Ready wants.
+// readyStep is a step of handling a Ready, in the order that raft.Ready requires.
 type readyStep int
 
 const (
@@ -197,8 +221,8 @@
 	readyDone
 )
 
-// handleReady does the steps of a Ready from one on; a crash or a freeze may
-// come before each.
+// handleReady handles a Ready from the given step on. A crash or a freeze may
+// interrupt it before each step.
 func (m *machine) handleReady(ready raft.Ready, step readyStep) {
 	for ; step < readyDone; step++ {
 		if m.interrupted(ready, step) {
@@ -220,7 +244,8 @@
 	}
 }
 
-// interrupted decides at random whether the process stops before a step.
+// interrupted crashes or freezes the process at random before a step, and reports
+// whether it did. After a freeze the process resumes with that step.
 func (m *machine) interrupted(ready raft.Ready, step readyStep) bool {
 	s := m.simulation
 	if s.healed || s.violation != nil {
@@ -229,10 +254,10 @@
 	draw := s.random.Float64()
 	switch {
 	case draw < crashRate:
-		m.crash(s.between(10*time.Millisecond, 2*time.Second))
+		m.crash(s.randomDuration(10*time.Millisecond, 2*time.Second))
 		return true
 	case draw < crashRate+freezeRate:
-		m.freeze(s.freezeTime())
+		m.freeze(s.freezeDuration())
 		m.resume = func() { m.handleReady(ready, step) }
 		return true
 	default:
@@ -240,6 +265,7 @@
 	}
 }
 
+// persist writes a Ready to the disk and requires that entries come with a sync.
 func (m *machine) persist(ready raft.Ready) {
 	if !ready.MustSync && len(ready.Entries) > 0 {
 		m.simulation.fail("machine %d: entries without a sync", m.index)
@@ -247,6 +273,7 @@
 	m.disk.write(ready)
 }
 
+// sendAll sends messages over the network, and starts a transfer for each snapshot.
 func (m *machine) sendAll(messages []raft.Message) {
 	for _, message := range messages {
 		if message.Kind == raft.MessageSnapshot {
@@ -257,6 +284,8 @@
 	}
 }
 
+// apply applies the committed entries, which must be consecutive, responds to their
+// clients and completes reads.
 func (m *machine) apply(ready raft.Ready) {
 	s := m.simulation
 	for _, entry := range ready.Committed {
@@ -273,7 +302,8 @@
 	}
 }
 
-// acknowledge responds to the client whose proposal this is.
+// acknowledge responds to the client whose proposal is at the entry's index, if the
+// entry has the proposal's term. Otherwise another leader's entry replaced it.
 func (m *machine) acknowledge(entry raft.Entry) {
 	waiting, ok := m.proposals[entry.Index]
 	if !ok {
@@ -285,31 +315,32 @@
 	}
 }
 
-// saveSnapshot compacts from time to time, and sometimes retains some entries.
+// saveSnapshot saves a snapshot and compacts the log once nextSnapshotAt is applied.
+// In half of the cases it retains the last entries before the snapshot's index.
 func (m *machine) saveSnapshot() {
-	if m.applied < m.nextSave {
+	if m.applied < m.nextSnapshotAt {
 		return
 	}
 	s := m.simulation
-	keep := uint64(0)
+	retained := uint64(0)
 	if s.chance(0.5) {
-		keep = retainedEntries
+		retained = retainedEntries
 	}
 	term, _ := s.checker.termAt(m.applied)
 	meta := raft.SnapshotMeta{Index: m.applied, Term: term, Membership: m.membership}
-	m.disk.saveSnapshot(meta, keep)
-	early := meta
-	early.Index -= min(keep, early.Index-1)
-	early.Term, _ = s.checker.termAt(early.Index)
-	m.node.Compact(early)
-	m.nextSave = m.applied + 20 + s.random.Uint64N(60)
-	s.recordEvent(m.index, "save", m.applied, keep, 0)
+	m.disk.saveSnapshot(meta, retained)
+	compactMeta := meta
+	compactMeta.Index -= min(retained, compactMeta.Index-1)
+	compactMeta.Term, _ = s.checker.termAt(compactMeta.Index)
+	m.node.Compact(compactMeta)
+	m.nextSnapshotAt = m.applied + 20 + s.random.Uint64N(60)
+	s.recordEvent(m.index, "save", m.applied, retained, 0)
 }
 
-// install installs a snapshot from the leader, unless it came too late.
+// install installs a snapshot from the leader, unless the log already covers it.
 func (m *machine) install(now time.Duration, meta raft.SnapshotMeta) {
-	// The owner handles what is ready first; without interruption here, since
-	// this is one step of it.
+	// The owner handles each Ready before it installs a snapshot. No crash or
+	// freeze interrupts this, because the installation is a single step.
 	for m.node.HasReady() {
 		ready := m.node.Ready()
 		m.sendAll(ready.EarlyMessages)
@@ -324,13 +355,14 @@
 	m.disk.installSnapshot(meta)
 	m.applied = meta.Index
 	m.membership = meta.Membership
-	m.nextSave = max(m.nextSave, m.applied+20)
+	m.nextSnapshotAt = max(m.nextSnapshotAt, m.applied+20)
 	m.node.SnapshotInstalled(now, meta)
 	m.simulation.report.SnapshotsInstalled++
 	m.simulation.recordEvent(m.index, "install", meta.Index, meta.Term, 0)
 }
 
-// refreshStatus reads the status and checks what must hold at every moment.
+// refreshStatus updates the status and checks the guarantees on leaders and leases,
+// which must hold at any time.
 func (m *machine) refreshStatus() {
 	if !m.up {
 		return
@@ -345,7 +377,8 @@
 	m.simulation.checkLease(m)
 }
 
-// claimsLease is what a request handler on this machine would conclude now.
+// claimsLease reports whether a request handler on this machine would take the lease
+// as valid now, by its last status and its own clock.
 func (m *machine) claimsLease() bool {
 	if !m.up || m.status.LeaseUntil == 0 {
 		return false
--- a/internal/raft/raftsim/options.go
+++ b/internal/raft/raftsim/options.go
@@ -7,98 +7,105 @@
 	"time"
 )
 
-// Options chooses a run.
+// Options configures a run.
 type Options struct {
 	Seed int64
-	// Machines is 3 or 5; zero lets the seed choose. One spare joins them in
-	// some runs.
+	// Machines is the number of initial voters. With zero the seed chooses 3 or 5.
 	Machines int
-	// Spares is how many machines join beside those as learners; zero lets the
-	// seed choose none or one.
+	// Spares is the number of further machines, which join as learners. With zero
+	// the seed chooses none or one.
 	Spares int
-	// FaultTime is how long faults go on, in virtual time. Default 15s.
-	FaultTime time.Duration
-	// Trace, if not nil, gets a line for each event.
+	// FaultDuration is the virtual time during which faults are injected. Default
+	// 15 s.
+	FaultDuration time.Duration
+	// Trace, if not nil, receives one line for each event.
 	Trace io.Writer
 
 	mutation mutation
-	// scenario is chosen by the seed if it is zero.
+	// scenario is chosen by the seed if it is scenarioRandom (zero).
 	scenario scenario
 }
 
-// scenario is the kind of faults in a run.
+// scenario selects the kinds of faults in a run.
 type scenario uint8
 
 const (
-	scenarioDrawn scenario = iota
-	// scenarioMixed has all of them, and is most common.
+	scenarioRandom scenario = iota
+	// scenarioMixed injects all kinds of faults. The seed chooses it in 80 % of the
+	// runs.
 	scenarioMixed
-	// scenarioVoterRestarts has only restartVoterRepeatedly, and
-	// scenarioLateTransfers only failing transfers of leadership: other faults
-	// would mostly keep the rare outcome from showing.
+	// scenarioVoterRestarts uses only restartVoterRepeatedly, and
+	// scenarioLateTransfers only failing leadership transfers. Other faults would
+	// mostly prevent the rare violations that these two look for.
 	scenarioVoterRestarts
 	scenarioLateTransfers
 )
 
-// mutation switches off one safety rule, to prove that the checks can fail.
+// mutation disables one safety rule, to prove that the checks can fail.
 type mutation uint8
 
 const (
-	// The zero value keeps every rule.
+	// The zero value disables no rule.
 	_ mutation = iota
-	// mutationNoVoteDelay: restarted voters vote at once.
+	// mutationNoVoteDelay lets restarted voters vote at once.
 	mutationNoVoteDelay
-	// mutationForgetVote: a restart forgets the vote, and there is no vote delay.
+	// mutationForgetVote loses the vote in a crash and disables the vote delay.
 	mutationForgetVote
-	// mutationOverlongLease: a lease counts for two seconds too long.
+	// mutationOverlongLease treats a lease as valid for two more seconds.
 	mutationOverlongLease
-	// mutationLeaseDuringTransfer: a lease counts during a leadership transfer.
+	// mutationLeaseDuringTransfer treats a lease as valid during a leadership
+	// transfer.
 	mutationLeaseDuringTransfer
-	// mutationStaleTimeoutNow: TimeoutNow is followed in any later term.
+	// mutationStaleTimeoutNow accepts a TimeoutNow of an earlier term.
 	mutationStaleTimeoutNow
-	// mutationNoStickiness: every vote request bypasses leader stickiness.
+	// mutationNoStickiness makes every vote request bypass leader stickiness.
 	mutationNoStickiness
-	// mutationLoseSyncedWrite: a crash loses the last synced entries as well.
+	// mutationLoseSyncedWrite loses the entries of the last write in a crash,
+	// although they were synced.
 	mutationLoseSyncedWrite
-	// mutationReuseReplicaID: an emptied machine comes back as the voter it was.
+	// mutationReuseReplicaID restarts a machine that lost its disk under the same
+	// replica ID.
 	mutationReuseReplicaID
-	// mutationUnconfirmedReads: reads are answered from the commit index at once.
+	// mutationUnconfirmedReads answers reads at the commit index without confirming
+	// leadership.
 	mutationUnconfirmedReads
 )
 
-// Report says what happened in a run.
+// Report counts what happened in a run.
 type Report struct {
 	Seed int64
-	// TraceHash is equal for runs with the same events.
+	// TraceHash is a hash of all events: runs with the same events have equal
+	// hashes.
 	TraceHash uint64
 	Events    int
-	// Acknowledged counts proposals, Reads answered read requests.
+	// Acknowledged counts acknowledged commands, Reads completed reads.
 	Acknowledged int
 	Reads        int
 	Leaders      int
 	Crashes      int
 	Freezes      int
 	LostDisks    int
-	// SecondLosses are disks lost right after a replacement was complete.
+	// SecondLosses counts disks lost right after a replacement was complete.
 	SecondLosses       int
 	Replacements       int
 	SnapshotsInstalled int
 	Transfers          int
-	// LateTimeoutNows are those that arrived more than an election timeout
-	// after they were sent.
+	// LateTimeoutNows counts TimeoutNow messages that arrived more than 1 s, the
+	// longest election timeout, after they were sent.
 	LateTimeoutNows int
 }
 
-// ViolationError is a broken guarantee, with the events that led to it.
+// ViolationError reports a violated guarantee, with the last events before it.
 type ViolationError struct {
-	Seed   int64
+	Seed int64
+	// At is the virtual time of the violation.
 	At     time.Duration
 	Reason string
-	// Last has the last events, oldest first.
-	Last []string
+	// LastEvents has the last events of the trace, oldest first.
+	LastEvents []string
 }
 
-// Error names the seed, which reproduces the run.
+// Error returns the seed, which reproduces the run, the reason and the last events.
 func (v *ViolationError) Error() string {
-	return fmt.Sprintf("raftsim: seed %d at %v: %s\n%s", v.Seed, v.At, v.Reason, strings.Join(v.Last, "\n"))
+	return fmt.Sprintf("raftsim: seed %d at %v: %s\n%s", v.Seed, v.At, v.Reason, strings.Join(v.LastEvents, "\n"))
 }
--- a/internal/raft/raftsim/outage.go
+++ b/internal/raft/raftsim/outage.go
@@ -6,7 +6,8 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// crash stops the process; it starts again after downTime.
+// crash stops the process and schedules its restart after downTime. The disk loses
+// its unsynced writes in half of the crashes.
 func (m *machine) crash(downTime time.Duration) {
 	if !m.up {
 		return
@@ -26,7 +27,8 @@
 	s.after(downTime, m.start)
 }
 
-// freeze stops the process from running; what comes meanwhile is queued.
+// freeze suspends the process for the duration. Work that arrives meanwhile is
+// queued.
 func (m *machine) freeze(duration time.Duration) {
 	if !m.up || m.frozen {
 		return
@@ -44,8 +46,9 @@
 	})
 }
 
-// unfreeze lets the process go on. Before anything else it checks its lease, as
-// a handler does that was in the middle of a response.
+// unfreeze resumes a frozen process. It checks the lease first, as a request handler
+// does that was suspended while it prepared a response. The interrupted work comes
+// next, then the queued work.
 func (m *machine) unfreeze() {
 	if !m.up || !m.frozen {
 		return
@@ -63,22 +66,25 @@
 	m.drainInbox()
 }
 
+// drainInbox runs the queued work in order. If the process freezes again, the rest
+// goes back to the front of the inbox.
 func (m *machine) drainInbox() {
-	waiting := m.inbox
+	queued := m.inbox
 	m.inbox = nil
-	for i, work := range waiting {
+	for i, work := range queued {
 		if !m.up {
 			return
 		}
 		if m.frozen {
-			m.inbox = append(waiting[i:len(waiting):len(waiting)], m.inbox...)
+			m.inbox = append(queued[i:len(queued):len(queued)], m.inbox...)
 			return
 		}
-		m.do(work)
+		m.runOrQueue(work)
 	}
 }
 
-// loseDisk makes the machine come back empty, as another replica.
+// loseDisk crashes the machine and empties its disk. The machine restarts as a new
+// replica with another ID, unless mutationReuseReplicaID is set.
 func (m *machine) loseDisk(downTime time.Duration) {
 	s := m.simulation
 	s.report.LostDisks++
--- a/internal/raft/raftsim/queue.go
+++ b/internal/raft/raftsim/queue.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// event is something that happens at a virtual time.
+// event is a function that runs at a virtual time.
 type event struct {
-	at    time.Duration
+	at time.Duration
+	// order is the sequence number of the event, in the order of scheduling.
 	order uint64
 	run   func()
 }
 
-// eventQueue is a heap by time, then by when the event was scheduled.
+// eventQueue is a heap of events, ordered by time and then by order.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -26,10 +27,10 @@
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is for package heap.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(value any) { *q = append(*q, value.(event)) }
 
-// Pop is for package heap.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -38,13 +39,14 @@
 	return last
 }
 
-// after schedules an event.
+// after schedules run after a delay of virtual time.
 func (s *simulation) after(delay time.Duration, run func()) {
-	s.scheduled++
-	heap.Push(&s.queue, event{at: s.now + delay, order: s.scheduled, run: run})
+	s.scheduledEvents++
+	heap.Push(&s.queue, event{at: s.now + delay, order: s.scheduledEvents, run: run})
 }
 
-// runUntil runs the events up to a time, or until a guarantee is violated.
+// runUntil runs the events up to and including end and advances the virtual time to
+// end. It stops running events once a guarantee is violated.
 func (s *simulation) runUntil(end time.Duration) {
 	for s.violation == nil && len(s.queue) > 0 && s.queue[0].at <= end {
 		next := heap.Pop(&s.queue).(event)
--- a/internal/raft/raftsim/raftsim_test.go
+++ b/internal/raft/raftsim/raftsim_test.go
@@ -10,51 +10,57 @@
 	"testing"
 )
 
-// Seeds of the long and the short test.
+// Numbers of seeds. seedsShort applies to go test -short.
 const (
 	seedsLong  = 2000
 	seedsShort = 200
-	// seedsForMutation is how many seeds may be tried until a switched-off safety
-	// rule shows.
+	// seedsForMutation is the maximum number of seeds that are run to find the
+	// violation that a mutation causes.
 	seedsForMutation = 400
-	batchSize        = 50
-	// seedsFiveVoters are of eight machines, of which five vote.
+	// batchSize is the number of seeds of one parallel subtest.
+	batchSize = 50
+	// seedsFiveVoters is the number of seeds with eight machines, five of them
+	// voters.
 	seedsFiveVoters = 150
 )
 
-// TestSimulation_SeedsKeepGuarantees plays many seeds; RAFTSIM_SEED=n plays one and prints its trace.
+// TestSimulation_SeedsKeepGuarantees runs many seeds. RAFTSIM_SEED=n runs only seed n
+// and prints its trace.
 func TestSimulation_SeedsKeepGuarantees(t *testing.T) {
 	if text := os.Getenv("RAFTSIM_SEED"); text != "" {
-		playOne(t, text)
+		runSingleSeed(t, text)
 		return
 	}
 	count := seedsLong
 	if testing.Short() {
 		count = seedsShort
 	}
-	playSeeds(t, count, Options{})
+	runSeeds(t, count, Options{})
 }
 
-// fiveVoters is a cluster of a grown deployment: five voters and three learners.
-func fiveVoters() Options { return Options{Machines: 5, Spares: 3} }
+// fiveVoterOptions returns the options of a larger cluster: five voters and three
+// learners.
+func fiveVoterOptions() Options { return Options{Machines: 5, Spares: 3} }
 
-func fiveVotersWith(mutated mutation) Options {
-	options := fiveVoters()
+func fiveVoterMutation(mutated mutation) Options {
+	options := fiveVoterOptions()
 	options.mutation = mutated
 	return options
 }
 
-// TestSimulation_FiveVotersKeepGuarantees plays the same faults on eight machines.
+// TestSimulation_FiveVotersKeepGuarantees runs seeds with the same faults on eight
+// machines.
 func TestSimulation_FiveVotersKeepGuarantees(t *testing.T) {
 	count := seedsFiveVoters
 	if testing.Short() {
 		count = seedsShort
 	}
-	playSeeds(t, count, fiveVoters())
+	runSeeds(t, count, fiveVoterOptions())
 }
 
-// playSeeds plays seeds from zero on and requires that no guarantee is violated.
-func playSeeds(t *testing.T, count int, options Options) {
+// runSeeds runs the seeds from zero to count-1 and requires that none violates a
+// guarantee, and that each kind of fault occurred.
+func runSeeds(t *testing.T, count int, options Options) {
 	t.Helper()
 	var mutex sync.Mutex
 	var total Report
@@ -63,9 +69,9 @@
 			t.Run(fmt.Sprint(first), func(t *testing.T) {
 				t.Parallel()
 				for seed := first; seed < first+batchSize; seed++ {
-					one := options
-					one.Seed = int64(seed)
-					report, err := Run(one)
+					seedOptions := options
+					seedOptions.Seed = int64(seed)
+					report, err := Run(seedOptions)
 					if err != nil {
 						t.Error(err)
 					}
@@ -80,7 +86,8 @@
 	total.requireCoverage(t)
 }
 
-func playOne(t *testing.T, text string) {
+// runSingleSeed runs the seed given as text and prints its trace.
+func runSingleSeed(t *testing.T, text string) {
 	t.Helper()
 	seed, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
@@ -93,6 +100,7 @@
 	t.Logf("%+v", report)
 }
 
+// add adds the counts of another report.
 func (r *Report) add(other Report) {
 	r.Events += other.Events
 	r.Acknowledged += other.Acknowledged
@@ -108,7 +116,8 @@
 	r.LateTimeoutNows += other.LateTimeoutNows
 }
 
-// requireCoverage: a run that met none of a fault proves nothing about it.
+// requireCoverage requires that each count is above zero: seeds in which a fault
+// never occurred prove nothing about that fault.
 func (r *Report) requireCoverage(t *testing.T) {
 	t.Helper()
 	counts := []int{
@@ -117,7 +126,7 @@
 	}
 	for i, count := range counts {
 		if count == 0 {
-			t.Errorf("count %d of %+v is zero", i, *r)
+			t.Errorf("count %d of %+v is zero, want at least 1", i, *r)
 		}
 	}
 }
@@ -127,13 +136,13 @@
 		first, firstErr := Run(Options{Seed: seed})
 		second, secondErr := Run(Options{Seed: seed})
 		if first != second || (firstErr == nil) != (secondErr == nil) {
-			t.Errorf("seed %d: %+v, then %+v", seed, first, second)
+			t.Errorf("seed %d: the first run reported %+v, the second %+v", seed, first, second)
 		}
 	}
 }
 
-// TestSimulation_MutationsAreDetected proves that the checks can fail: for each rule that
-// is switched off, some seed shows the violation that the rule prevents.
+// TestSimulation_MutationsAreDetected proves that the checks can fail: for each
+// disabled safety rule, some seed reports the violation that the rule prevents.
 func TestSimulation_MutationsAreDetected(t *testing.T) {
 	const twoLeases, twoLeaders = "both hold a lease", "both lead term"
 	cases := []struct {
@@ -149,8 +158,8 @@
 		{"stickiness", Options{mutation: mutationNoStickiness}, twoLeases},
 		{"sync", Options{mutation: mutationLoseSyncedWrite}, "applies"},
 		{"replica id", Options{mutation: mutationReuseReplicaID}, "applies"},
-		{"sync, grown", fiveVotersWith(mutationLoseSyncedWrite), "applies"},
-		{"lease, grown", fiveVotersWith(mutationOverlongLease), twoLeases},
+		{"sync, grown", fiveVoterMutation(mutationLoseSyncedWrite), "applies"},
+		{"lease, grown", fiveVoterMutation(mutationOverlongLease), twoLeases},
 		{"reads", Options{mutation: mutationUnconfirmedReads}, "was acknowledged before"},
 	}
 	for _, c := range cases {
@@ -161,6 +170,8 @@
 	}
 }
 
+// requireViolation requires that one of the first seedsForMutation seeds reports a
+// violation whose reason contains the given text.
 func requireViolation(t *testing.T, options Options, reason string) {
 	t.Helper()
 	for options.Seed = 0; options.Seed < seedsForMutation; options.Seed++ {
@@ -171,5 +182,5 @@
 			return
 		}
 	}
-	t.Errorf("no %q in %d seeds", reason, seedsForMutation)
+	t.Errorf("no violation with %q in %d seeds", reason, seedsForMutation)
 }
--- a/internal/raft/raftsim/simulation.go
+++ b/internal/raft/raftsim/simulation.go
@@ -8,47 +8,58 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// Times of a run.
+// Durations of a run, in virtual time.
 const (
-	defaultFaultTime = 15 * time.Second
-	// recoveryTimeout is how long after the last fault the cluster may take until
-	// a new proposal is acknowledged.
+	defaultFaultDuration = 15 * time.Second
+	// recoveryTimeout is the maximum time from the end of the faults until a new
+	// proposal is acknowledged.
 	recoveryTimeout = 12 * time.Second
-	// convergenceTimeout is how long until all voters are up and equal again.
-	convergenceTimeout      = 30 * time.Second
+	// convergenceTimeout is the maximum time from the end of the faults until the
+	// cluster has converged.
+	convergenceTimeout = 30 * time.Second
+	// convergencePollInterval is the time between checks for recovery and
+	// convergence.
 	convergencePollInterval = 250 * time.Millisecond
 )
 
-// simulation is one run.
+// simulation is the state of one run. One goroutine owns it.
 type simulation struct {
-	options   Options
-	random    *rand.Rand
-	now       time.Duration
-	queue     eventQueue
-	scheduled uint64
-	machines  []*machine
-	// initialVoters is how many of the machines form the cluster; spares follow
-	// them in machines.
+	options Options
+	// random is the source of all random values of the run.
+	random *rand.Rand
+	// now is the virtual time, zero at the start of the run.
+	now   time.Duration
+	queue eventQueue
+	// scheduledEvents counts the events that were ever scheduled.
+	scheduledEvents uint64
+	machines        []*machine
+	// initialVoters is the number of machines in the initial membership. They come
+	// first in machines, before the spares.
 	initialVoters int
 	network       network
 	checker       checker
-	healed        bool
+	// healed is true once no more faults are injected.
+	healed bool
 
+	// nextReplica, nextProposal and nextRead are the last ids that were assigned.
 	nextReplica  uint64
 	nextProposal uint64
 	nextRead     uint64
-	// proposalsPausedUntil is when the clients propose again.
+	// proposalsPausedUntil is the virtual time at which clients propose again.
 	proposalsPausedUntil time.Duration
 
-	report    Report
-	trace     [maxTraceEvents]traceEvent
+	report Report
+	// trace is a ring buffer of the last events.
+	trace [maxTraceEvents]traceEvent
+	// violation is the first violated guarantee, which ends the run; nil if none.
 	violation *ViolationError
 }
 
-// Run plays one seed. A violated guarantee is returned as a *Violation.
+// Run runs one seed: faults for Options.FaultDuration, then recovery without
+// faults. It returns a *ViolationError if a guarantee is violated.
 func Run(options Options) (Report, error) {
 	s := newSimulation(options)
-	s.runUntil(s.options.FaultTime)
+	s.runUntil(s.options.FaultDuration)
 	s.heal()
 	s.checkRecovery()
 	if s.violation != nil {
@@ -58,8 +69,8 @@
 }
 
 func newSimulation(options Options) *simulation {
-	if options.FaultTime == 0 {
-		options.FaultTime = defaultFaultTime
+	if options.FaultDuration == 0 {
+		options.FaultDuration = defaultFaultDuration
 	}
 	s := &simulation{
 		options: options,
@@ -73,8 +84,8 @@
 			s.initialVoters = 5
 		}
 	}
-	if s.options.scenario == scenarioDrawn {
-		s.options.scenario = s.drawScenario()
+	if s.options.scenario == scenarioRandom {
+		s.options.scenario = s.randomScenario()
 	}
 	s.checker = newChecker()
 	s.addMachines()
@@ -83,7 +94,7 @@
 	return s
 }
 
-func (s *simulation) drawScenario() scenario {
+func (s *simulation) randomScenario() scenario {
 	switch draw := s.random.Float64(); {
 	case draw < 0.1:
 		return scenarioVoterRestarts
@@ -119,38 +130,42 @@
 func (s *simulation) startAll() {
 	for _, m := range s.machines {
 		m.neverStarted = true
-		s.after(s.between(0, 300*time.Millisecond), m.start)
+		s.after(s.randomDuration(0, 300*time.Millisecond), m.start)
 	}
-	s.after(time.Second, s.operatorTurn)
-	s.after(200*time.Millisecond, s.clientTurn)
+	s.after(time.Second, s.proposeMembershipChange)
+	s.after(200*time.Millisecond, s.issueClientRequests)
 	s.after(1500*time.Millisecond, s.nextFault)
 }
 
+// newReplicaID returns an ID that no replica of the run has had.
 func (s *simulation) newReplicaID() raft.ReplicaID {
 	s.nextReplica++
 	return raft.ReplicaID(fmt.Sprintf("%016x", s.nextReplica))
 }
 
+// chance returns true with the given probability.
 func (s *simulation) chance(probability float64) bool { return s.random.Float64() < probability }
 
-func (s *simulation) between(low, high time.Duration) time.Duration {
+// randomDuration returns a random duration from low to high, both included.
+func (s *simulation) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(s.random.Int64N(int64(high-low)+1))
 }
 
-// fail records the first violated guarantee and ends the run.
+// fail records a violated guarantee, which ends the run. Only the first one is kept.
 func (s *simulation) fail(format string, arguments ...any) {
 	if s.violation != nil {
 		return
 	}
 	s.violation = &ViolationError{
-		Seed:   s.options.Seed,
-		At:     s.now,
-		Reason: fmt.Sprintf(format, arguments...),
-		Last:   s.lastTraceEvents(),
+		Seed:       s.options.Seed,
+		At:         s.now,
+		Reason:     fmt.Sprintf(format, arguments...),
+		LastEvents: s.lastTraceEvents(),
 	}
 }
 
-// machineOf returns the machine that has a replica's disk; nil if it is lost.
+// machineOf returns the machine that holds the replica's disk, or nil if the disk is
+// lost.
 func (s *simulation) machineOf(id raft.ReplicaID) *machine {
 	for _, m := range s.machines {
 		if m.id == id {
@@ -160,7 +175,8 @@
 	return nil
 }
 
-// heal ends all faults.
+// heal ends all faults: it heals the network, resumes frozen processes and starts
+// crashed ones.
 func (s *simulation) heal() {
 	s.healed = true
 	s.recordEvent(0, "heal", 0, 0, 0)
@@ -173,8 +189,8 @@
 	}
 }
 
-// checkRecovery requires that a new proposal is acknowledged, and then that the
-// cluster converges.
+// checkRecovery requires that a new proposal is acknowledged within recoveryTimeout
+// and that the cluster converges within convergenceTimeout, both from now.
 func (s *simulation) checkRecovery() {
 	before := s.nextProposal
 	healedAt := s.now
--- a/internal/raft/read.go
+++ b/internal/raft/read.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// minReadHeartbeatInterval keeps a burst of reads from starting a round of
-// heartbeats for each.
+// minReadHeartbeatInterval is the minimum age of the newest round of heartbeats at
+// which a read starts another one, so that a burst of reads shares rounds.
 const minReadHeartbeatInterval = 5 * time.Millisecond
 
-// pendingRead is a read request that waits for its round of heartbeats, and
-// before that for the term's no-op entry.
+// pendingRead is a read request that waits for the commit of the term's no-op
+// entry, and then for the acknowledgement of its round of heartbeats.
 type pendingRead struct {
 	request uint64
-	// index is the read point, round the round that a quorum must answer; both
-	// are zero until the no-op is committed, since the commit index may be behind
-	// before.
+	// index is the read index, and round the round of heartbeats that a quorum
+	// must acknowledge. Both are zero until the no-op is committed, since the
+	// commit index may be lower than an earlier leader's until then.
 	index uint64
 	round uint64
 }
 
-// ReadIndex asks for a read point (Ongaro's thesis, 6.4); it is returned in
-// Ready.ReadStates under the id of the request. It is given under the lease if
-// that holds at now, which therefore must have been read after the request
-// arrived, and otherwise once a quorum has answered a round of heartbeats that
-// began later. Requests are dropped without an answer when the term ends. It
-// fails with ErrNotLeader.
+// ReadIndex requests a read index (Ongaro's thesis, 6.4), which Ready.ReadStates
+// returns with the id of the request. The read waits for the commit of the term's
+// no-op entry. It then completes at once if the lease is valid at now, so the owner
+// must read now after the request arrived; otherwise it completes when a quorum
+// acknowledges a round of heartbeats that was sent after the request. Requests are
+// dropped without a response when this node stops being leader. ReadIndex fails
+// with ErrNotLeader.
 func (n *Node) ReadIndex(now time.Duration, request uint64) error {
 	n.advanceTime(now)
 	if n.role != RoleLeader {
 		return ErrNotLeader
 	}
-	if !n.committedEntryInTerm() {
+	if !n.hasCommittedEntryInTerm() {
 		n.leadership.reads = append(n.leadership.reads, pendingRead{request: request})
 		return nil
 	}
@@ -36,14 +37,16 @@
 	return nil
 }
 
-// startRead fixes the read point of a request. The no-op must be committed.
+// startRead sets the read index of a request to the commit index. The no-op must
+// be committed.
 func (n *Node) startRead(read pendingRead) {
 	read.index = n.log.committed
 	if n.leaseUntil() > n.now {
 		n.readStates = append(n.readStates, ReadState{Request: read.request, Index: read.index})
 		return
 	}
-	// The newest round may have been sent before the request came.
+	// The newest round may have been sent before the request arrived, so it
+	// cannot confirm it.
 	read.round = n.leadership.lease.newestRound + 1
 	n.leadership.reads = append(n.leadership.reads, read)
 	if n.now-n.leadership.lease.lastHeartbeatAt() >= minReadHeartbeatInterval {
@@ -51,7 +54,7 @@
 	}
 }
 
-// startPendingReads starts the requests that waited for the no-op.
+// startPendingReads starts the requests that waited for the commit of the no-op.
 func (n *Node) startPendingReads() {
 	waiting := n.leadership.reads
 	n.leadership.reads = nil
@@ -64,7 +67,7 @@
 	}
 }
 
-// completeReads releases the requests whose round is confirmed.
+// completeReads queues the read states of requests whose round is confirmed.
 func (n *Node) completeReads() {
 	waiting := n.leadership.reads[:0]
 	for _, read := range n.leadership.reads {
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -1,42 +1,42 @@
 package raft
 
-// Bounds of Ready.Committed, so that one turn of the owner stays short.
+// Bounds of Ready.Committed, which keep one iteration of the owner's loop short.
 const (
 	maxCommittedBytes   = 4 << 20
 	maxCommittedEntries = 4096
 )
 
-// Ready is what the owner must do now, in this order: send EarlyMessages;
-// persist HardState and Entries with one sync; send Messages; apply Committed;
-// answer ReadStates once the state machine has reached their index; call
-// Advance. A vote or an acknowledgement that is sent before it is durable could
-// be forgotten by a crash, and so break the election or commit that counted it.
+// Ready is the work of the owner, in this order: send EarlyMessages; persist
+// HardState and Entries with one sync; send Messages; apply Committed; answer the
+// reads in ReadStates once the state machine has applied their index; call
+// Advance. If a vote or an acknowledgement were sent before it is durable, a crash
+// could lose it after an election or a commit has counted it.
 type Ready struct {
-	// EarlyMessages are a leader's appends. They claim nothing that is not
-	// durable yet: a leader counts itself only once its entries are persisted,
-	// so its followers may write at the same time (Ongaro's thesis, 10.2.1).
+	// EarlyMessages are a leader's appends, which may be sent before the sync. A
+	// leader counts its own copy of an entry only once it is persisted, so its
+	// followers may write the entry at the same time (Ongaro's thesis, 10.2.1).
 	EarlyMessages []Message
-	// HardState is nil when unchanged.
+	// HardState is nil if it is unchanged.
 	HardState *HardState
-	// Entries replace all stored entries from their first index on.
+	// Entries replace all stored entries from the index of the first one on.
 	Entries   []Entry
 	Messages  []Message
 	Committed []Entry
-	// ReadStates are the read requests whose index is now confirmed.
+	// ReadStates are the read requests whose read index is confirmed.
 	ReadStates []ReadState
-	// MustSync is false if the owner may skip the sync, since a crash can lose
-	// no more than the commit index.
+	// MustSync is false if the owner may skip the sync, because a crash could lose
+	// nothing but the commit index.
 	MustSync bool
 }
 
-// ReadState says that the read with this request id is linearizable once the
-// owner has applied Index.
+// ReadState means that the read with the id Request is linearizable once the owner
+// has applied Index.
 type ReadState struct {
 	Request uint64
 	Index   uint64
 }
 
-// HasReady reports whether Ready has anything to do.
+// HasReady reports whether Ready would return any work.
 func (n *Node) HasReady() bool {
 	return n.hardState() != n.persistedHardState ||
 		n.log.stable < n.log.lastIndex() ||
@@ -46,9 +46,9 @@
 		len(n.readStates) > 0
 }
 
-// Ready returns what the owner must do now. Its messages and read states are
-// returned once. The owner calls Advance before the next Ready; Step, Tick and
-// the like may come between.
+// Ready returns the work of the owner. Each message and read state is returned
+// only once. The owner calls Advance before it calls Ready again; it may call
+// Step, Tick and the other methods in between.
 func (n *Node) Ready() Ready {
 	if n.leadership.broadcastPending {
 		n.broadcastAppend()
@@ -64,7 +64,8 @@
 		ready.HardState = &hardState
 	}
 	voteChanged := hardState.Term != n.persistedHardState.Term || hardState.VotedFor != n.persistedHardState.VotedFor
-	// A lost commit index is learned again; a lost vote, term or entry is not.
+	// A replica learns a lost commit index again, but not a lost vote, term or
+	// entry.
 	ready.MustSync = len(ready.Entries) > 0 || voteChanged
 	n.messages, n.readStates = nil, nil
 	if n.role == RoleLeader && !voteChanged {
@@ -73,20 +74,21 @@
 	return ready
 }
 
-// splitEarlyMessages separates a leader's appends from what must wait for the
-// sync. The order within each part stays.
-func splitEarlyMessages(messages []Message) (early, late []Message) {
+// splitEarlyMessages separates a leader's appends from the messages that must wait
+// for the sync. It preserves the order within each part.
+func splitEarlyMessages(messages []Message) (early, afterSync []Message) {
 	for _, message := range messages {
 		if message.Kind == MessageAppend {
 			early = append(early, message)
 			continue
 		}
-		late = append(late, message)
+		afterSync = append(afterSync, message)
 	}
-	return early, late
+	return early, afterSync
 }
 
-// Advance reports that everything in ready was done.
+// Advance records that the owner has completed all the work in ready. A leader
+// then counts its own persisted entries towards commit.
 func (n *Node) Advance(ready Ready) {
 	if ready.HardState != nil {
 		n.persistedHardState = *ready.HardState
--- a/internal/raft/ready_test.go
+++ b/internal/raft/ready_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestReady_NoEarlyMessagesBeforeVoteIsDurable: a leader whose own vote is not on
-// disk yet could be another candidate's voter after a crash, so its appends wait.
+// TestReady_NoEarlyMessagesBeforeVoteIsDurable guards against two leaders in a term:
+// a leader whose vote for itself is not durable could vote for another candidate
+// after a crash. Its appends must wait for the sync.
 func TestReady_NoEarlyMessagesBeforeVoteIsDurable(t *testing.T) {
 	const elected = 2 * time.Second
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
@@ -18,11 +19,11 @@
 		}
 	}
 	if status := node.Status(); status.Role != RoleLeader || status.Term != 2 {
-		t.Fatalf("status %+v", status)
+		t.Fatalf("got status %+v, want the leader of term 2", status)
 	}
 	ready := node.Ready()
 	if len(ready.EarlyMessages) != 0 || len(messagesOfKind(ready.Messages, MessageAppend)) == 0 {
-		t.Errorf("early %+v, after the sync %+v", ready.EarlyMessages, ready.Messages)
+		t.Errorf("got early messages %+v and later ones %+v, want the appends among the later ones", ready.EarlyMessages, ready.Messages)
 	}
 	node.Advance(ready)
 	if _, _, err := node.Propose(elected, [][]byte{[]byte("command")}); err != nil {
@@ -33,6 +34,6 @@
 		t.Fatal(err)
 	}
 	if ready := node.Ready(); len(messagesOfKind(ready.EarlyMessages, MessageAppend)) == 0 {
-		t.Errorf("no early append once the vote is durable: %+v", ready)
+		t.Errorf("after the vote is durable: got %+v, want an early append", ready)
 	}
 }
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// noCountLimit lets the size alone bound an append.
+// noCountLimit is the maxCount of an append, which only its size limits.
 const noCountLimit = math.MaxInt32
 
-// Propose appends commands to the leader's log. The entry of the first gets the
-// index returned and the others follow it; they are committed unless another
-// term's entry appears at their index. Without commands it returns the index
-// after the last entry. It fails with ErrNotLeader or
-// ErrLeadershipTransferPending.
+// Propose appends commands to the leader's log, one entry each, and returns the
+// index of the first entry and the term. A command is lost if an entry of another
+// term is committed at its index. Without commands Propose returns the index after
+// the last entry. It fails with ErrNotLeader or ErrLeadershipTransferPending.
 func (n *Node) Propose(now time.Duration, commands [][]byte) (index, term uint64, err error) {
 	n.advanceTime(now)
 	if n.role != RoleLeader {
@@ -28,14 +27,14 @@
 	return index, n.term, nil
 }
 
-// appendEntry appends one entry as leader. It is sent with the next Ready, so
-// that the entries of one turn of the owner share an append.
+// appendEntry appends one entry as leader. The next Ready sends it, so that all
+// entries appended between two Ready calls share an append.
 func (n *Node) appendEntry(kind EntryKind, data []byte) {
 	n.log.append(Entry{Index: n.log.lastIndex() + 1, Term: n.term, Kind: kind, Data: data})
 	n.leadership.broadcastPending = true
 }
 
-// broadcastAppend sends new entries to every peer, learners included.
+// broadcastAppend sends new entries to every other replica, learners included.
 func (n *Node) broadcastAppend() {
 	n.leadership.broadcastPending = false
 	for _, p := range n.tracker.all {
@@ -45,8 +44,8 @@
 	}
 }
 
-// replicateTo sends a replica the entries that it lacks, as far as its window
-// of unanswered appends allows.
+// replicateTo sends a replica the entries that it lacks, up to the limit on
+// in-flight appends. A probing replica gets at most one append.
 func (n *Node) replicateTo(p *progress) {
 	for p.state == stateReplicate && n.hasInflightCapacity(p) {
 		n.sendEntries(p)
@@ -56,15 +55,15 @@
 	}
 }
 
-// hasInflightCapacity reports whether there is an entry to send and room for
-// its append in the window.
+// hasInflightCapacity reports whether there are entries to send and the number of
+// in-flight appends is below the limit.
 func (n *Node) hasInflightCapacity(p *progress) bool {
 	return p.next <= n.log.lastIndex() && len(p.inflight) < n.config.MaxInflightAppends
 }
 
-// sendHeartbeat carries the newest round to a replica, with entries if there are
-// any to send. The entry that it names as the previous one is the last that was
-// sent, so that a lost append shows as a rejection.
+// sendHeartbeat sends the newest round to a replica, along with entries if there
+// are any to send. Its previous entry is the last one that was sent, so that the
+// replica rejects the heartbeat if an append was lost.
 func (n *Node) sendHeartbeat(p *progress) {
 	if p.state == stateReplicate && n.isInactive(p) {
 		p.becomeProbe(p.match + 1)
@@ -82,19 +81,22 @@
 	}
 }
 
-// sendEmptyHeartbeat names no previous entry, so that any log accepts it.
+// sendEmptyHeartbeat sends the newest round without a previous entry, so that a
+// replica accepts it whatever its log contains.
 func (n *Node) sendEmptyHeartbeat(p *progress) {
 	n.send(Message{Kind: MessageAppend, To: p.id, Round: n.leadership.lease.newestRound})
 }
 
-// isInactive reports whether no response came for an election timeout. Entries
-// would likely be lost, so an inactive replica is sent heartbeats alone.
+// isInactive reports whether the replica has not responded for ElectionTimeoutMax.
+// An inactive replica gets heartbeats without entries, which would probably be
+// lost.
 func (n *Node) isInactive(p *progress) bool {
 	return n.now-p.lastSeen >= n.config.ElectionTimeoutMax
 }
 
-// sendEntries sends one append in stateReplicate and does not wait for its
-// response.
+// sendEntries sends one append to a replica in stateReplicate, and advances next
+// without waiting for the response. If the entries are compacted it sends the
+// snapshot instead.
 func (n *Node) sendEntries(p *progress) {
 	if p.next < n.log.firstIndex() {
 		n.sendSnapshot(p)
@@ -106,8 +108,10 @@
 	p.inflight = append(p.inflight, p.next-1)
 }
 
-// sendProbe sends one append in stateProbe, without entries to an inactive
-// replica. next stays until the response shows whether the logs match before it.
+// sendProbe sends one append to a replica in stateProbe, without entries if the
+// replica is inactive. next does not change until the response shows whether the
+// logs match before it. If the entries are compacted, sendProbe sends the snapshot
+// instead, or an empty heartbeat to an inactive replica.
 func (n *Node) sendProbe(p *progress) {
 	inactive := n.isInactive(p)
 	if p.next < n.log.firstIndex() {
@@ -140,6 +144,8 @@
 	})
 }
 
+// handleAppendResponse updates the progress and the acknowledged round of the
+// sender. It ignores replicas outside the membership and responses of other terms.
 func (n *Node) handleAppendResponse(m Message) {
 	p := n.tracker.get(m.From)
 	if p == nil || n.adoptHigherTerm(m) {
@@ -155,18 +161,19 @@
 	} else {
 		n.handleAppendAccepted(p, m.Index)
 	}
-	// An accepted append can end the leadership: see advanceMembershipChange.
+	// This node may have stepped down on the accepted append: see
+	// advanceMembershipChange.
 	if n.role == RoleLeader && m.Round > p.ackedRound && m.Round <= n.leadership.lease.newestRound {
 		p.ackedRound = m.Round
 		n.confirmHeartbeats()
 	}
 }
 
-// handleAppendRejected probes further back, from the last index at which the
-// logs may match by what both sides know of their terms.
+// handleAppendRejected probes again after the last index at which the logs may
+// match, judging by the terms in both logs. It ignores outdated responses.
 func (n *Node) handleAppendRejected(p *progress, m Message) {
 	if p.state == stateSnapshot || m.Index <= p.match || m.Index >= p.next {
-		return // late: it answers an append from before
+		return // outdated, or no append can be accepted before the snapshot
 	}
 	if p.state == stateProbe && m.Index != p.next-1 {
 		return
@@ -177,8 +184,8 @@
 }
 
 // handleAppendAccepted records that a replica's durable log matches up to an
-// index, and goes on with what that allows: to commit, to send more, to let the
-// target of a leadership transfer campaign.
+// index. It then commits entries, sends further ones, and sends TimeoutNow to the
+// target of a leadership transfer, where the new match index allows it.
 func (n *Node) handleAppendAccepted(p *progress, match uint64) {
 	if match > n.log.lastIndex() {
 		return
@@ -195,7 +202,7 @@
 	if advanced {
 		n.advanceCommit()
 	}
-	// The commit may have ended the leadership, or removed the replica.
+	// On the commit this node may have stepped down or removed the replica.
 	if n.role != RoleLeader || n.tracker.get(p.id) != p {
 		return
 	}
@@ -205,9 +212,10 @@
 	}
 }
 
-// matchIndex is how far a replica's durable log is known to match. A leader
-// counts itself for what its owner has persisted, and no more: it may have sent
-// entries before they were durable here (Ready.EarlyMessages).
+// matchIndex returns the last index up to which a replica's durable log is known to
+// match. For the leader itself that is the last index that its owner has
+// persisted, since entries may be sent before they are durable on the leader
+// (Ready.EarlyMessages).
 func (n *Node) matchIndex(p *progress) uint64 {
 	if p.id == n.config.ID {
 		return n.log.stable
@@ -215,21 +223,22 @@
 	return p.match
 }
 
-// advanceCommit commits what a quorum has persisted, if the last of it is of
-// this term (Raft paper, 5.4.2), and goes on with what waits for commits.
+// advanceCommit commits the entries that a quorum has persisted, if the last of
+// them is of this term (Raft paper, 5.4.2). It then starts the reads that waited
+// for the first commit of the term, and advances a membership change.
 func (n *Node) advanceCommit() {
-	wasReady := n.committedEntryInTerm()
+	wasTermReady := n.hasCommittedEntryInTerm()
 	match := min(n.tracker.quorumValue(n.matchIndex), n.log.lastIndex())
 	if match > n.log.committed && n.log.matchTerm(match, n.term) {
 		n.commitTo(match)
 	}
-	if !wasReady && n.committedEntryInTerm() {
+	if !wasTermReady && n.hasCommittedEntryInTerm() {
 		n.startPendingReads()
 	}
 	n.advanceMembershipChange()
 }
 
-// commitTo raises the commit index; it never falls.
+// commitTo raises the commit index to index; it never lowers it.
 func (n *Node) commitTo(index uint64) {
 	n.log.committed = max(n.log.committed, index)
 }
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -20,17 +20,17 @@
 	node.step(now, Message{Kind: MessageVoteResponse, From: "b", Term: 2})
 	node.step(now, appendResponse("b", 2, 1))
 	if status := node.Status(); status.Commit != 1 || status.TermReady {
-		t.Fatalf("an earlier term's entry was counted: %+v", status)
+		t.Fatalf("quorum for an entry of an earlier term: got status %+v, want commit 1 and TermReady false", status)
 	}
 	node.step(now, appendResponse("b", 3, 1))
 	if status := node.Status(); status.Commit != 3 || !status.TermReady {
-		t.Errorf("status %+v", status)
+		t.Errorf("quorum for an entry of this term: got status %+v, want commit 3 and TermReady true", status)
 	}
 }
 
-func TestCommit_LeaderCountsItselfOncePersisted(t *testing.T) {
+func TestCommit_LeaderCountsOwnEntriesOncePersisted(t *testing.T) {
 	start := 10 * time.Second
-	node := leaderOfThree(t, start)
+	node := newLeaderOfThree(t, start)
 	index, _, err := node.Propose(start, [][]byte{nil})
 	if err != nil {
 		t.Fatal(err)
@@ -40,36 +40,37 @@
 		t.Fatal(err)
 	}
 	if commit := node.Status().Commit; commit >= index {
-		t.Fatalf("commit %d before the own write", commit)
+		t.Fatalf("before the leader persisted the entry: got commit %d, want one below its index", commit)
 	}
 	node.Advance(ready)
 	if commit := node.Status().Commit; commit != index {
-		t.Errorf("commit %d, want %d", commit, index)
+		t.Errorf("got commit %d, want %d", commit, index)
 	}
 }
 
-// TestAdvance_AfterTruncationKeepsReplacedEntriesUnstable: a write that was
-// overtaken by a truncation persists nothing of the new log.
+// TestAdvance_AfterTruncationKeepsReplacedEntriesUnstable: if entries are truncated
+// while the owner writes them, Advance must not mark the entries that replace them
+// as persisted.
 func TestAdvance_AfterTruncationKeepsReplacedEntriesUnstable(t *testing.T) {
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
-	appendOf := func(from ReplicaID, term uint64, entries ...Entry) Message {
+	newAppend := func(from ReplicaID, term uint64, entries ...Entry) Message {
 		return Message{Kind: MessageAppend, From: from, To: "a", Term: term, Index: 1, LogTerm: 1, Entries: entries}
 	}
 	old := []Entry{{Index: 2, Term: 2, Data: []byte("old")}, {Index: 3, Term: 2}}
-	if err := node.Step(0, appendOf("b", 2, old...)); err != nil {
+	if err := node.Step(0, newAppend("b", 2, old...)); err != nil {
 		t.Fatal(err)
 	}
 	ready := node.Ready()
-	if err := node.Step(0, appendOf("c", 3, Entry{Index: 2, Term: 3, Data: []byte("new")})); err != nil {
+	if err := node.Step(0, newAppend("c", 3, Entry{Index: 2, Term: 3, Data: []byte("new")})); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(ready.Entries[0].Data, []byte("old")) {
-		t.Error("entries in flight were overwritten")
+		t.Error("entries of a Ready in progress were overwritten by the truncation")
 	}
 	node.Advance(ready)
 	next := node.Ready()
 	if len(next.Entries) != 1 || next.Entries[0].Term != 3 || !next.MustSync {
-		t.Errorf("next entries %+v, sync %v", next.Entries, next.MustSync)
+		t.Errorf("got next entries %+v with sync %v, want the entry of term 3 and a sync", next.Entries, next.MustSync)
 	}
 }
 
@@ -79,15 +80,15 @@
 		Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Commit: 2,
 		Entries: []Entry{{Index: 2, Term: 2}},
 	})
-	late := Message{
+	overlapping := Message{
 		Kind: MessageAppend, From: "b", Term: 2, Index: 1, LogTerm: 1, Commit: 3,
 		Entries: []Entry{{Index: 2, Term: 2}, {Index: 3, Term: 2}},
 	}
-	if got := requireOneMessage(t, node.step(0, late), MessageAppendResponse); got.Reject || got.Index != 3 {
-		t.Errorf("response %+v", got)
+	if got := requireOneMessage(t, node.step(0, overlapping), MessageAppendResponse); got.Reject || got.Index != 3 {
+		t.Errorf("got response %+v, want index 3 accepted", got)
 	}
 	if len(node.applied) != 2 || node.Status().Commit != 3 {
-		t.Errorf("applied %+v", node.applied)
+		t.Errorf("got applied entries %+v, want 2 of them and commit 3", node.applied)
 	}
 }
 
@@ -112,13 +113,13 @@
 	}
 	leader := cluster.elect("a")
 	if rejections == 0 || rejections > 2 {
-		t.Errorf("%d rejections", rejections)
+		t.Errorf("got %d rejections, want 1 or 2", rejections)
 	}
 	if match := progressOf(t, leader, "b").Match; match != leader.Status().LastIndex {
-		t.Errorf("match %d", match)
+		t.Errorf("got match index %d, want the last index of the leader", match)
 	}
 	if !slices.EqualFunc(cluster.nodes[1].log.entries, leader.log.entries, func(a, b Entry) bool { return a.Term == b.Term }) {
-		t.Error("logs differ")
+		t.Error("terms in the logs of leader and follower differ")
 	}
 }
 
@@ -129,7 +130,7 @@
 			return progress
 		}
 	}
-	t.Fatalf("no progress of %s", id)
+	t.Fatalf("leader has no progress of replica %s", id)
 	return Progress{}
 }
 
@@ -151,16 +152,16 @@
 	}
 	appends := messagesOfKind(node.processReady(), MessageAppend)
 	if len(appends) != 3 {
-		t.Fatalf("%d appends in flight, want 3", len(appends))
+		t.Fatalf("got %d appends in flight, want 3", len(appends))
 	}
 	for i, message := range appends {
 		if len(message.Entries) != 2 || message.Index != uint64(2+2*i) {
-			t.Errorf("append %d: %d entries after %d", i, len(message.Entries), message.Index)
+			t.Errorf("append %d: got %d entries after index %d, want 2 entries each, from index 2 on", i, len(message.Entries), message.Index)
 		}
 	}
-	// One response frees one append; the window moves on.
+	// One response makes room for one further append.
 	if more := messagesOfKind(node.step(start, appendResponse("b", 4, 1)), MessageAppend); len(more) != 1 || more[0].Index != 8 {
-		t.Errorf("after a response: %+v", more)
+		t.Errorf("after a response: got appends %+v, want one after index 8", more)
 	}
 }
 
@@ -172,11 +173,11 @@
 	cluster.heal()
 	cluster.advance(2 * DefaultTickInterval)
 	if status := leader.Status(); status.Commit != status.LastIndex {
-		t.Errorf("status %+v", status)
+		t.Errorf("got status %+v, want every entry committed", status)
 	}
 }
 
-func TestReady_CommittedEntriesInBatches(t *testing.T) {
+func TestReady_CommittedEntriesAreBatched(t *testing.T) {
 	node := newTestNode(t, Config{ID: "a"}, initialState("a"))
 	node.Tick(0)
 	node.Tick(DefaultElectionTimeoutMax)
@@ -189,7 +190,7 @@
 	node.Advance(first)
 	second := node.Ready()
 	if len(first.Committed) != maxCommittedEntries || len(second.Committed) != 10 {
-		t.Errorf("batches of %d and %d", len(first.Committed), len(second.Committed))
+		t.Errorf("got batches of %d and %d entries, want maxCommittedEntries and 10", len(first.Committed), len(second.Committed))
 	}
 }
 
@@ -212,27 +213,27 @@
 	}
 	cluster.advance(4 * DefaultTickInterval)
 	if announced != 1 || !progressOf(t, leader, "c").NeedsSnapshot {
-		t.Fatalf("announced %d times, progress %+v", announced, progressOf(t, leader, "c"))
+		t.Fatalf("snapshot sent %d times with progress %+v, want once and NeedsSnapshot true", announced, progressOf(t, leader, "c"))
 	}
 	leader.ReportSnapshot(cluster.now, "c", meta.Index, false)
 	cluster.advance(DefaultElectionTimeoutMin + DefaultTickInterval)
 	if announced != 2 {
-		t.Fatalf("announced %d times after a failure", announced)
+		t.Fatalf("snapshot sent %d times after a failed transfer, want 2", announced)
 	}
 	if !follower.ShouldInstallSnapshot(meta) {
-		t.Fatal("follower does not want the snapshot")
+		t.Fatal("ShouldInstallSnapshot on the lagging follower: got false, want true")
 	}
 	follower.SnapshotInstalled(cluster.now, meta)
 	leader.ReportSnapshot(cluster.now, "c", meta.Index, true)
 	cluster.deliverAll()
 	cluster.propose(leader, 1)
 	if progress := progressOf(t, leader, "c"); progress.NeedsSnapshot || progress.Match != leader.Status().LastIndex {
-		t.Errorf("progress %+v", progress)
+		t.Errorf("got progress %+v, want NeedsSnapshot false and the last index of the leader", progress)
 	}
 }
 
-// TestSnapshot_StaleNotInstalled: a snapshot that comes late must not drop
-// acknowledged entries.
+// TestSnapshot_StaleNotInstalled: a delayed snapshot must not discard entries that
+// the replica has acknowledged.
 func TestSnapshot_StaleNotInstalled(t *testing.T) {
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	node.step(0, Message{
@@ -241,24 +242,24 @@
 	})
 	meta := SnapshotMeta{Index: 3, Term: 2, Membership: testMembership("a", "b", "c")}
 	if node.ShouldInstallSnapshot(meta) {
-		t.Error("a snapshot is wanted that the log covers")
+		t.Error("snapshot whose last entry is in the log: ShouldInstallSnapshot is true, want false")
 	}
 	if status := node.Status(); status.Commit != 3 || status.LastIndex != 4 {
-		t.Errorf("status %+v", status)
+		t.Errorf("got status %+v, want commit 3 and last index 4", status)
 	}
 }
 
-// TestSnapshot_OlderThanCompactedNotInstalled: the log cannot compare the entry of
-// a snapshot that is older than what it compacted, but has committed past it.
+// TestSnapshot_OlderThanCompactedNotInstalled: the log no longer has the entry of a
+// snapshot that is older than its compacted index, but has committed past it.
 func TestSnapshot_OlderThanCompactedNotInstalled(t *testing.T) {
 	membership := testMembership("a", "b", "c")
 	node := newTestNode(t, Config{ID: "a"}, RestoredState{Snapshot: SnapshotMeta{Index: 9, Term: 3, Membership: membership}})
 	older := SnapshotMeta{Index: 5, Term: 2, Membership: membership}
 	if node.ShouldInstallSnapshot(older) {
-		t.Error("a snapshot is wanted that is older than the log")
+		t.Error("snapshot older than the compacted index: ShouldInstallSnapshot is true, want false")
 	}
 	node.SnapshotInstalled(0, older)
 	if status := node.Status(); status.Commit != 9 || status.FirstIndex != 10 {
-		t.Errorf("status %+v", status)
+		t.Errorf("got status %+v, want commit 9 and first index 10", status)
 	}
 }
--- a/internal/raft/restore.go
+++ b/internal/raft/restore.go
@@ -2,22 +2,24 @@
 
 import "fmt"
 
-// RestoredState is what the owner found on disk.
+// RestoredState is the state that the owner found on disk.
 type RestoredState struct {
 	HardState HardState
-	// Snapshot is the zero value if there is none.
+	// Snapshot is the zero value if there is no snapshot.
 	Snapshot SnapshotMeta
-	// Entries have no gap among them or after the snapshot. They may begin
-	// before the snapshot's end, if some were kept for followers that lag.
+	// Entries must have no gaps, neither between them nor after the snapshot. They
+	// may begin at or before the snapshot's index, if the owner kept some for
+	// lagging followers.
 	Entries []Entry
-	// Membership is the newest one in Entries or the snapshot's; it is compared
-	// unless it is empty.
+	// Membership is the newest membership according to the owner. New fails if it
+	// has other replicas than the newest one in Entries and Snapshot. It is not
+	// checked if it is empty.
 	Membership Membership
 	// Applied is the last index that the owner has applied.
 	Applied uint64
 }
 
-// restore checks and adopts what the owner found on disk.
+// restore validates the state that the owner found on disk and sets it.
 func (n *Node) restore(restored RestoredState) error {
 	if err := restored.validate(); err != nil {
 		return err
@@ -29,19 +31,21 @@
 	n.persistedHardState = restored.HardState
 	n.term, n.votedFor = restored.HardState.Term, restored.HardState.VotedFor
 	if lastTerm := n.log.lastTerm(); lastTerm > n.term {
-		// Only at bootstrap, where the log begins with a snapshot that no leader
-		// made.
+		// This happens only at bootstrap, where the log begins with a snapshot that
+		// no leader wrote.
 		n.term, n.votedFor = lastTerm, ""
 	}
 	return n.restoreMemberships(restored)
 }
 
-// restoreEntries makes the log that of a restart.
+// restoreEntries sets the log to the restored snapshot position and entries. It
+// fails if the commit index is beyond the last entry.
 func (l *raftLog) restoreEntries(restored RestoredState) error {
 	l.restore(restored.Snapshot)
 	entries := restored.Entries
 	if len(entries) > 0 && entries[0].Index <= restored.Snapshot.Index {
-		// The first entry takes the place of the compacted one: its term is known.
+		// matchTerm needs the term at compactedIndex. The term of the entry before
+		// the first one is unknown, so the log is compacted up to the first one.
 		l.compactedIndex, l.compactedTerm = entries[0].Index, entries[0].Term
 		entries = entries[1:]
 	}
@@ -55,7 +59,8 @@
 	return nil
 }
 
-// validate reports a gap or a contradiction between snapshot and entries.
+// validate returns an error if there is a gap in the entries or after the snapshot,
+// or if snapshot and entries contradict each other.
 func (r RestoredState) validate() error {
 	snapshot, entries := r.Snapshot, r.Entries
 	if len(entries) == 0 {
@@ -70,27 +75,28 @@
 	return checkSequence(snapshot, entries)
 }
 
-// checkSequence requires consecutive indexes, terms that never fall, and the
-// snapshot's term at its index.
+// checkSequence returns an error unless the indexes are consecutive, terms never
+// decrease, and the entry at the snapshot's index has the snapshot's term.
 func checkSequence(snapshot SnapshotMeta, entries []Entry) error {
 	for i, entry := range entries {
 		if i > 0 && entry.Index != entries[i-1].Index+1 {
 			return fmt.Errorf("entry %d follows entry %d", entry.Index, entries[i-1].Index)
 		}
 		if i > 0 && entry.Term < entries[i-1].Term {
-			return fmt.Errorf("entry %d has term %d, below the one before it", entry.Index, entry.Term)
+			return fmt.Errorf("entry %d has term %d, below the term of the preceding entry", entry.Index, entry.Term)
 		}
 		if entry.Index == snapshot.Index && entry.Term != snapshot.Term {
-			return fmt.Errorf("entry %d has term %d, the snapshot there has %d", entry.Index, entry.Term, snapshot.Term)
+			return fmt.Errorf("entry %d has term %d, the snapshot at that index has term %d", entry.Index, entry.Term, snapshot.Term)
 		}
 	}
 	if first := entries[0]; first.Index == snapshot.Index+1 && first.Term < snapshot.Term {
-		return fmt.Errorf("entry %d has term %d, below the snapshot's %d", first.Index, first.Term, snapshot.Term)
+		return fmt.Errorf("entry %d has term %d, below the snapshot's term %d", first.Index, first.Term, snapshot.Term)
 	}
 	return nil
 }
 
-// restoreMemberships finds every membership after the snapshot.
+// restoreMemberships sets the membership history from the snapshot and the entries
+// after it, and compares the newest membership with the owner's.
 func (n *Node) restoreMemberships(restored RestoredState) error {
 	n.memberships.reset(restored.Snapshot)
 	for _, entry := range restored.Entries {
@@ -104,8 +110,8 @@
 		n.memberships.append(membershipEntry{index: entry.Index, membership: membership})
 	}
 	newest := n.memberships.newest()
-	if given := restored.Membership; !given.empty() && !given.sameReplicas(newest) {
-		return fmt.Errorf("membership given differs from the newest of the log, at index %d", n.memberships.newestIndex())
+	if expected := restored.Membership; !expected.isEmpty() && !expected.sameReplicas(newest) {
+		return fmt.Errorf("restored membership differs from the newest membership of the log, at index %d", n.memberships.newestIndex())
 	}
 	n.switchToNewestMembership()
 	return nil
--- a/internal/raft/restore_test.go
+++ b/internal/raft/restore_test.go
@@ -23,11 +23,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := New(c.config, initialState("a"))
 			if err == nil || !strings.Contains(err.Error(), c.text) {
-				t.Errorf("%+v: %v", c.config, err)
+				t.Errorf("config %+v: got error %v, want the text of the case", c.config, err)
 			}
 			var invalid *ConfigError
 			if !errors.As(err, &invalid) || invalid.Field != c.field {
-				t.Errorf("got %v, want a ConfigError of %s", err, c.field)
+				t.Errorf("got error %v, want a ConfigError of field %s", err, c.field)
 			}
 		})
 	}
@@ -45,8 +45,8 @@
 		{"gap inside", RestoredState{Entries: []Entry{{Index: 6, Term: 3}, {Index: 8, Term: 3}}}, "follows entry 6"},
 		{"ends before", RestoredState{Entries: []Entry{{Index: 3, Term: 2}}}, "before the snapshot"},
 		{"term falls", RestoredState{Entries: []Entry{{Index: 6, Term: 3}, {Index: 7, Term: 2}}}, "below"},
-		{"term below snapshot", RestoredState{Entries: []Entry{{Index: 6, Term: 1}}}, "below the snapshot's"},
-		{"snapshot differs", RestoredState{Entries: []Entry{{Index: 5, Term: 1}}}, "the snapshot there has"},
+		{"term below snapshot", RestoredState{Entries: []Entry{{Index: 6, Term: 1}}}, "below the snapshot's term"},
+		{"snapshot differs", RestoredState{Entries: []Entry{{Index: 5, Term: 1}}}, "the snapshot at that index has"},
 		{"applied beyond", RestoredState{Applied: 9}, "beyond the last entry"},
 		{"membership", RestoredState{Membership: testMembership("b")}, "differs from the newest"},
 		{"unreadable", RestoredState{Entries: []Entry{{Index: 6, Term: 3, Kind: EntryMembership, Data: []byte{0xff}}}}, "decode"},
@@ -55,7 +55,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			c.restored.Snapshot, c.restored.HardState = snapshot, state
 			if _, err := New(Config{ID: "a"}, c.restored); err == nil || !strings.Contains(err.Error(), c.text) {
-				t.Errorf("got %v", err)
+				t.Errorf("got error %v, want the text of the case", err)
 			}
 		})
 	}
@@ -69,11 +69,11 @@
 	})
 	status := node.Status()
 	if status.FirstIndex != 4 || status.LastIndex != 7 || status.Applied != 5 || status.Commit != 6 {
-		t.Errorf("status %+v", status)
+		t.Errorf("got status %+v, want first index 4, last index 7, applied 5 and commit 6", status)
 	}
 	node.processReady()
 	if len(node.applied) != 1 || node.applied[0].Index != 6 {
-		t.Errorf("applied %+v", node.applied)
+		t.Errorf("got applied entries %+v, want only index 6", node.applied)
 	}
 }
 
@@ -81,16 +81,16 @@
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	ready := node.Ready()
 	if !ready.MustSync || ready.HardState == nil || ready.HardState.Term != 1 || ready.HardState.Commit != 1 {
-		t.Errorf("ready %+v", ready)
+		t.Errorf("got ready %+v, want a sync with term 1 and commit 1", ready)
 	}
 }
 
 func TestStep_MessageForOtherReplicaRejected(t *testing.T) {
 	node := newTestNode(t, Config{ID: "a"}, initialState("a", "b", "c"))
 	if err := node.Step(0, Message{Kind: MessageVote, From: "b", To: "former", Term: 9}); err == nil {
-		t.Error("taken")
+		t.Error("message to another replica: got no error")
 	}
 	if err := node.Step(0, Message{Kind: 99, From: "b", To: "a", Term: 9}); err == nil {
-		t.Error("unknown kind taken")
+		t.Error("message of unknown kind: got no error")
 	}
 }
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// sendSnapshot announces the snapshot to a replica whose next entry is
-// compacted. The owner moves the bytes and calls ReportSnapshot.
+// sendSnapshot queues a snapshot message to a replica whose next entry is
+// compacted. The owner transfers the snapshot and calls ReportSnapshot.
 func (n *Node) sendSnapshot(p *progress) {
 	p.becomeSnapshot()
 	meta := n.snapshot
 	n.send(Message{Kind: MessageSnapshot, To: p.id, Snapshot: &meta})
 }
 
-// retrySnapshot announces again after a failed transfer, once the replica
-// responds.
+// retrySnapshot sends the snapshot again if the last transfer failed, the retry
+// time has passed and the replica is active.
 func (n *Node) retrySnapshot(p *progress) {
 	if p.snapshotRetryAt != 0 && n.now >= p.snapshotRetryAt && !n.isInactive(p) {
 		n.sendSnapshot(p)
 	}
 }
 
-// ReportSnapshot tells a leader how the transfer of a snapshot to a replica
-// ended: it probes after index, or announces the snapshot again after
-// ElectionTimeoutMin.
+// ReportSnapshot reports the result of a snapshot transfer to a replica. After a
+// success the leader probes the replica from index+1; after a failure it sends the
+// snapshot again, at the earliest after ElectionTimeoutMin.
 func (n *Node) ReportSnapshot(now time.Duration, to ReplicaID, index uint64, succeeded bool) {
 	n.advanceTime(now)
 	p := n.tracker.get(to)
@@ -35,8 +35,8 @@
 	n.sendProbe(p)
 }
 
-// handleSnapshot responds at once if the log has the snapshot's last entry;
-// otherwise the owner installs the snapshot and calls SnapshotInstalled.
+// handleSnapshot acknowledges the commit index if the log does not need the
+// snapshot. Otherwise the owner installs the snapshot and calls SnapshotInstalled.
 func (n *Node) handleSnapshot(m Message) {
 	if m.Snapshot == nil || n.ShouldInstallSnapshot(*m.Snapshot) {
 		return
@@ -44,11 +44,11 @@
 	n.acceptAppend(m, n.log.committed)
 }
 
-// ShouldInstallSnapshot reports whether the owner should replace its state by
-// this snapshot. The owner asks right before it does, after Advance of the last
-// Ready: a snapshot that comes late could otherwise drop entries which this
-// replica has acknowledged. If the log has the snapshot's last entry then that
-// entry is now known to be committed, and the result is false.
+// ShouldInstallSnapshot reports whether the owner should replace its state with
+// this snapshot. The owner calls it immediately before it installs the snapshot,
+// after Advance for the last Ready; otherwise a delayed snapshot could discard
+// entries that this replica has acknowledged. If the log has the last entry of the
+// snapshot, ShouldInstallSnapshot commits up to that entry and returns false.
 func (n *Node) ShouldInstallSnapshot(meta SnapshotMeta) bool {
 	if meta.Index <= n.log.committed {
 		return false
@@ -60,8 +60,9 @@
 	return true
 }
 
-// SnapshotInstalled reports that the owner replaced its whole state and log by
-// the snapshot, after ShouldInstallSnapshot said so.
+// SnapshotInstalled records that the owner replaced its complete state and log with
+// the snapshot, after ShouldInstallSnapshot returned true. It acknowledges the
+// snapshot to the leader, and does nothing if the log is committed up to it.
 func (n *Node) SnapshotInstalled(now time.Duration, meta SnapshotMeta) {
 	n.advanceTime(now)
 	if meta.Index <= n.log.committed {
@@ -76,9 +77,10 @@
 	}
 }
 
-// Compact discards the entries up to meta.Index, which must be applied and
-// covered by the owner's snapshot. The owner may name an earlier index than its
-// snapshot's, to keep some entries for followers that lag a little.
+// Compact discards the entries up to meta.Index, which the owner's snapshot must
+// cover. It does nothing if meta.Index is not applied yet. The owner may pass an
+// index before that of its snapshot, to keep some entries for followers that lag a
+// little.
 func (n *Node) Compact(meta SnapshotMeta) {
 	if meta.Index > n.log.applied {
 		return
--- a/internal/raft/status.go
+++ b/internal/raft/status.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// Status is a copy of a node's state, for the owner's decisions and reports.
+// Status is a copy of a node's state for its owner.
 type Status struct {
 	ID   ReplicaID
 	Role Role
 	Term uint64
-	// Leader is empty while no leader of Term is known.
+	// Leader is empty if the leader of Term is unknown.
 	Leader     ReplicaID
 	Commit     uint64
 	Applied    uint64
 	LastIndex  uint64
 	FirstIndex uint64
-	// Membership is the newest one of the log, committed or not.
+	// Membership is the newest membership in the log, committed or not.
 	Membership Membership
-	// FallbackMemberships are the older memberships that are in force again
-	// should the newest be truncated, from the committed one on. There are none
-	// once the newest is committed.
+	// FallbackMemberships are the memberships from the newest committed one up to
+	// but excluding Membership: those that can come into force again if later
+	// entries are truncated. It is empty once Membership is committed.
 	FallbackMemberships []Membership
-	// LeaseUntil is the monotonic time at which the leader lease ends; zero
-	// without a lease.
+	// LeaseUntil is the monotonic time at which the leader lease ends, or zero
+	// without a lease. It may be in the past.
 	LeaseUntil time.Duration
 	// TermReady is true on a leader that has committed an entry of its term. Its
-	// commit index is then no older than that of any earlier leader.
+	// commit index is then at least that of any earlier leader.
 	TermReady bool
-	// Progress has one item for each replica of the membership, on a leader.
+	// Progress has one item for each replica of the membership. It is nil unless
+	// this node is leader.
 	Progress []Progress
 }
 
-// IsVoter reports whether a replica votes under the newest membership, in both
-// halves of it if it is joint, and under all fallback ones: every decisive
-// majority may then count on it.
+// IsVoter reports whether a replica is a voter in Membership, in both halves if it
+// is joint, and in all FallbackMemberships. Its vote then counts whichever of them
+// is in force.
 func (s *Status) IsVoter(id ReplicaID) bool {
 	if !s.Membership.isVoter(id) {
 		return false
@@ -44,14 +45,16 @@
 	return true
 }
 
-// Progress is what a leader knows of one replica.
+// Progress is a leader's view of one replica, or of itself.
 type Progress struct {
 	ID ReplicaID
 	// Match is the last index up to which the replica's durable log is known to
-	// agree with the leader's.
+	// match the leader's.
 	Match   uint64
 	Learner bool
-	// LastSeen is the monotonic time of the replica's last response.
+	// LastSeen is the monotonic time of the replica's last response. Before the
+	// first one it is the start of the leader's term, or zero for a replica that
+	// was added during the term.
 	LastSeen time.Duration
 	// NeedsSnapshot is true while the replica waits for a snapshot.
 	NeedsSnapshot bool
@@ -71,7 +74,7 @@
 		Membership:          n.memberships.newest().clone(),
 		FallbackMemberships: n.memberships.fallbacks(n.log.committed),
 		LeaseUntil:          n.leaseUntil(),
-		TermReady:           n.committedEntryInTerm(),
+		TermReady:           n.hasCommittedEntryInTerm(),
 	}
 	if n.role == RoleLeader {
 		status.Progress = n.progressReport()
--- a/internal/raft/step_bench_test.go
+++ b/internal/raft/step_bench_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// BenchmarkStep is what a follower does for one append of ten commands of 200
-// bytes, from the message to its answer, without disk and network. Older versions
-// have it by a copy of this file, in which the state to start from is named as
-// it was there ("founding" before it was "initialState").
+// BenchmarkStep measures how a follower handles one append of ten commands of 200
+// bytes, from the message to its response, without disk or network. To measure an
+// older version, copy this file there and replace initialState by that version's
+// name for it ("founding" in earlier versions).
 func BenchmarkStep(b *testing.B) {
 	const entriesPerAppend = 10
 	follower, err := New(Config{ID: "b"}, initialState("a", "b", "c"))
@@ -41,6 +41,6 @@
 		}
 	}
 	if last := follower.Status().LastIndex; last != message.Index {
-		b.Fatalf("the log ends at %d, want %d", last, message.Index)
+		b.Fatalf("got last index %d, want %d", last, message.Index)
 	}
 }
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -2,19 +2,21 @@
 
 import "errors"
 
-// ReplicaID is drawn at random when a data directory is created: 16 hex digits.
+// ReplicaID identifies a replica. It consists of 16 hex digits, chosen at random
+// when the data directory is created.
 type ReplicaID string
 
-// EntryKind says what an entry's data are and who applies them.
+// EntryKind identifies the content of an entry's data.
 type EntryKind uint8
 
-// Entry kinds. The numbers are part of the stored log.
+// Entry kinds. Their values are part of the stored log.
 const (
-	// EntryCommand carries a command for the owner's state machine.
+	// EntryCommand holds a command, which the owner's state machine applies.
 	EntryCommand EntryKind = iota
-	// EntryNoop is what a new leader commits first. It has no data.
+	// EntryNoop is the entry that a new leader commits first. It has no data.
 	EntryNoop
-	// EntryMembership carries an encoded Membership.
+	// EntryMembership holds an encoded Membership, which a Node puts in force when
+	// it appends the entry.
 	EntryMembership
 )
 
@@ -26,29 +28,29 @@
 	Data  []byte    `cbor:"4,keyasint"`
 }
 
-// HardState is the state that must be durable before any message that depends
-// on it is sent (Raft paper, figure 2). Commit alone may be lost: a restarted
+// HardState is the state that must be durable before any message that depends on
+// it is sent (Raft paper, figure 2). Only Commit may be lost, since a restarted
 // replica learns it again.
 type HardState struct {
 	Term uint64 `cbor:"1,keyasint"`
-	// VotedFor is the candidate that got this replica's vote in Term; empty if
-	// none did.
+	// VotedFor is the candidate that this replica voted for in Term, or empty if
+	// it has not voted.
 	VotedFor ReplicaID `cbor:"2,keyasint"`
 	Commit   uint64    `cbor:"3,keyasint"`
 }
 
-// SnapshotMeta is the position in the log up to which a snapshot replaces it,
-// and the membership in force there.
+// SnapshotMeta holds the index and term of the last entry that a snapshot covers,
+// and the membership in force at that index.
 type SnapshotMeta struct {
 	Index      uint64     `cbor:"1,keyasint"`
 	Term       uint64     `cbor:"2,keyasint"`
 	Membership Membership `cbor:"3,keyasint"`
 }
 
-// Role is the part that a node plays in its term.
+// Role is the role of a node in its current term.
 type Role uint8
 
-// Roles. A learner is a follower that no quorum counts.
+// Roles. A learner has RoleFollower, but does not count towards a quorum.
 const (
 	RoleFollower Role = iota
 	RolePreCandidate
@@ -56,15 +58,15 @@
 	RoleLeader
 )
 
-// Errors of a Node. Callers compare with errors.Is.
+// Errors of a Node, possibly wrapped. Callers check for them with errors.Is.
 var (
 	// ErrNotLeader is returned by calls that only a leader can serve.
 	ErrNotLeader = errors.New("raft: not the leader")
-	// ErrLeadershipTransferPending is returned while a leader hands leadership
-	// over: it takes no proposals until the transfer succeeds or times out.
+	// ErrLeadershipTransferPending is returned while a leadership transfer is in
+	// progress: the leader accepts no proposals until it succeeds or times out.
 	ErrLeadershipTransferPending = errors.New("raft: leadership is being transferred")
-	// ErrMembershipChangePending is returned if the preceding membership change
-	// is not complete, or the leader has not committed an entry of its term.
+	// ErrMembershipChangePending is returned if the previous membership change is
+	// not complete, or the leader has not committed an entry of its term.
 	ErrMembershipChangePending = errors.New("raft: a membership change is pending")
 	// ErrInvalidMembership is returned for a target membership without voters,
 	// with outgoing voters, or with an empty or repeated replica id.
