--- a/internal/replica/appender.go
+++ b/internal/replica/appender.go
@@ -9,28 +9,28 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// Bounds of one batch of proposals, which shares one sync.
+// Limits of one batch of proposals; the proposals of a batch share one sync.
 const (
 	maxBatchCommands = 256
 	maxBatchBytes    = 1 << 20
 )
 
-// appender turns queued proposals into entries of the log, in batches, and answers
-// them once they are applied or can no longer be. It belongs to the loop.
+// appender appends queued proposals to the log in batches, and completes each once its
+// entry is applied or can no longer be. It is owned by the loop goroutine.
 type appender struct {
 	node      *raft.Node
 	monotonic monotonicClock
 	queue     <-chan *proposal
 	pacer     batchPacer
-	// pending are appended and not yet applied.
+	// pending holds the proposals that are appended but not yet applied.
 	pending pendingProposals
-	// appended counts the commands.
+	// appended counts the commands that were appended.
 	appended prometheus.Counter
 }
 
-// appendBatch appends the first proposal and what else is queued.
+// appendBatch appends first and the other queued proposals, up to the limits of a batch.
 func (a *appender) appendBatch(first *proposal) {
-	batch, commands := a.collect(first)
+	batch, commands := a.collectBatch(first)
 	if len(batch) == 0 {
 		return
 	}
@@ -52,7 +52,8 @@
 	}
 }
 
-func (a *appender) collect(next *proposal) (batch []*proposal, commands [][]byte) {
+// collectBatch returns the admitted proposals of the next batch and their encoded commands.
+func (a *appender) collectBatch(next *proposal) (batch []*proposal, commands [][]byte) {
 	status := a.node.Status()
 	for size := 0; ; {
 		if admit(next, status) {
@@ -71,8 +72,9 @@
 	}
 }
 
-// admit takes a proposal from its caller, unless it was canceled or belongs to
-// another term.
+// admit takes a queued proposal, which its caller can then no longer cancel. It returns
+// false if the proposal was canceled already, or if this replica does not lead in the
+// proposal's term; in the latter case the proposal fails with ErrNotLeader.
 func admit(p *proposal, status raft.Status) bool {
 	if !p.state.CompareAndSwap(proposalQueued, proposalTaken) {
 		return false
@@ -84,7 +86,7 @@
 	return true
 }
 
-// rejectQueued rejects all that is queued, when the loop has ended.
+// rejectQueued rejects all queued proposals with err. It is called when the loop has ended.
 func (a *appender) rejectQueued(err error) {
 	for {
 		select {
@@ -96,11 +98,12 @@
 	}
 }
 
-// pendingProposals are appended and not yet applied, by index.
+// pendingProposals holds the appended but not yet applied proposals by log index.
 type pendingProposals map[uint64]*proposal
 
-// complete gives a caller the result of its entry. An entry of another term at that
-// index means that the proposal was overwritten and never takes effect.
+// complete passes the result of an applied entry to the proposal at its index, if there
+// is one. If the entry has another term, the proposal was overwritten and never takes
+// effect, so it fails with ErrNotLeader.
 func (p pendingProposals) complete(entry raft.Entry, result record.Result) {
 	pending, ok := p[entry.Index]
 	if !ok {
@@ -114,7 +117,8 @@
 	pending.finish(result, nil)
 }
 
-// fail ends all that are pending, when their term has ended here.
+// fail completes all pending proposals with err. It is called when this replica's term as
+// leader has ended.
 func (p pendingProposals) fail(err error) {
 	for index, pending := range p {
 		pending.finish(record.Result{}, err)
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -8,8 +8,8 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// applyEntry applies a committed entry to the record, which sees every index once and
-// in order.
+// applyEntry applies a committed entry to the record, or makes the record skip an entry
+// without a command: the record must see every index once and in order.
 func applyEntry(machine *record.Machine, logger *slog.Logger, entry raft.Entry) (record.Result, error) {
 	switch entry.Kind {
 	case raft.EntryCommand:
@@ -23,7 +23,7 @@
 	}
 }
 
-// logMembership logs who votes from the entry on.
+// logMembership logs the membership that takes effect with the entry.
 func logMembership(logger *slog.Logger, entry raft.Entry) error {
 	membership, err := raft.DecodeMembership(entry.Data)
 	if err != nil {
--- a/internal/replica/archive.go
+++ b/internal/replica/archive.go
@@ -10,31 +10,33 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// maxArchivePage bounds the jobs of one ArchivePageAnswer.
-const maxArchivePage = 256
+// maxArchivePageJobs is the maximum number of jobs in one ArchivePageAnswer.
+const maxArchivePageJobs = 256
 
 // archiveCopier copies the archive of ended jobs from other replicas, and serves the
-// own one to them.
+// archive of this replica to them.
 //
-// A snapshot leaves ended jobs out, so before one is installed the archive pages after
-// the last entry applied here are copied and synced. A crash in between starts again
-// from the old state and copies again. Jobs that ended later than the snapshot may come
-// along; the record does not see them until it applies the entries that ended them.
+// A snapshot does not contain ended jobs. Before a snapshot is installed, the archive
+// pages after the last entry applied by this replica are therefore copied and synced.
+// After a crash between the two, the replica restarts from its old state and copies again.
+// The copy may include jobs that ended after the snapshot; the record does not see them
+// until it applies the entries that ended them.
 type archiveCopier struct {
 	published *published
 	archive   record.Archive
 	client    *rpc.Client
 	logger    *slog.Logger
 
-	// semaphore, of capacity 1, is filled while a copy is in progress. A channel, so
-	// that a caller who waits for it can give up.
+	// semaphore has capacity 1 and is full while a copy is in progress. It is a channel
+	// rather than a mutex so that a waiting caller can be cancelled.
 	semaphore chan struct{}
-	// position is up to where the archive was copied. It belongs to the holder of
-	// the semaphore.
+	// position is the position after which the next page starts. It is guarded by
+	// semaphore.
 	position archivePosition
 }
 
-// archivePosition is a position in the order of (index, id).
+// archivePosition is a position in the archive, which is ordered by log index and then by
+// job id.
 type archivePosition struct {
 	index uint64
 	id    string
@@ -50,7 +52,8 @@
 	}
 }
 
-// acquire waits until no other copy is in progress. Its error is the context's.
+// acquire waits until no other copy is in progress. It fails only if ctx ends first, and
+// then wraps the error of ctx.
 func (c *archiveCopier) acquire(ctx context.Context) error {
 	select {
 	case c.semaphore <- struct{}{}:
@@ -62,15 +65,16 @@
 
 func (c *archiveCopier) release() { <-c.semaphore }
 
-// copyFrom copies what the replica at address has and this one lacks.
+// copyFrom copies the archived jobs that this replica lacks from the replica at address,
+// and syncs the archive if it copied any.
 func (c *archiveCopier) copyFrom(ctx context.Context, address string) error {
 	if err := c.acquire(ctx); err != nil {
 		return err
 	}
 	defer c.release()
 	if applied := c.published.applied.load(); applied > c.position.index {
-		// All that ended up to here was archived when it was applied. The next
-		// index comes after every id of this one.
+		// Every job that ended up to the applied index was archived when its entry was
+		// applied. Index applied+1 with an empty id sorts after every id at applied.
 		c.position = archivePosition{index: applied + 1}
 	}
 	copied := 0
@@ -94,12 +98,13 @@
 	return nil
 }
 
-// copyPage copies the next page and returns the number of its jobs.
+// copyPage copies the next page and returns the number of jobs on it; 0 at the end of the
+// archive.
 func (c *archiveCopier) copyPage(ctx context.Context, address string) (int, error) {
 	request := protocol.ArchivePageRequest{
 		AfterIndex: c.position.index,
 		AfterID:    c.position.id,
-		Limit:      maxArchivePage,
+		Limit:      maxArchivePageJobs,
 	}
 	page, err := rpc.Call[protocol.ArchivePageRequest, protocol.ArchivePageAnswer](ctx, c.client, address, protocol.MethodArchivePage, request)
 	if err != nil {
@@ -117,10 +122,11 @@
 	return count, nil
 }
 
+// servePage returns the page of archived jobs after the requested position.
 func (c *archiveCopier) servePage(_ context.Context, request protocol.ArchivePageRequest) (protocol.ArchivePageAnswer, error) {
 	limit := request.Limit
-	if limit <= 0 || limit > maxArchivePage {
-		limit = maxArchivePage
+	if limit <= 0 || limit > maxArchivePageJobs {
+		limit = maxArchivePageJobs
 	}
 	jobs, err := c.archive.Page(request.AfterIndex, request.AfterID, limit)
 	if err != nil {
--- a/internal/replica/archive_test.go
+++ b/internal/replica/archive_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// TestArchiveCopier_WaitEndsWithContext: a page may be in flight from a process that does
-// not answer, and the next copy waits for its end. It waits on a channel, so that time
-// passes meanwhile under testing/synctest.
-func TestArchiveCopier_WaitEndsWithContext(t *testing.T) {
+// TestArchiveCopier_AcquireReturnsWhenContextEnds guards against a copy that waits forever
+// while another copy hangs on a process that does not answer. The wait is on a channel, so
+// that time passes during it under testing/synctest.
+func TestArchiveCopier_AcquireReturnsWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		copier := newArchiveCopier(nil, nil, nil, nil)
 		if err := copier.acquire(t.Context()); err != nil {
@@ -19,9 +19,9 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		began := time.Now()
-		if err := copier.acquire(ctx); !errors.Is(err, context.DeadlineExceeded) || time.Since(began) != time.Second {
-			t.Errorf("gave up after %v with %v", time.Since(began), err)
+		startedAt := time.Now()
+		if err := copier.acquire(ctx); !errors.Is(err, context.DeadlineExceeded) || time.Since(startedAt) != time.Second {
+			t.Errorf("acquire returned after %v with error %v, want 1 s and the deadline error", time.Since(startedAt), err)
 		}
 		copier.release()
 		if err := copier.acquire(t.Context()); err != nil {
--- a/internal/replica/background.go
+++ b/internal/replica/background.go
@@ -5,21 +5,23 @@
 	"sync"
 )
 
-// backgroundTasks are the goroutines that end with Run, which waits for them.
+// backgroundTasks tracks the goroutines whose lifetime is bounded by Run: Run waits for
+// them before it returns.
 type backgroundTasks struct {
 	running sync.WaitGroup
 
 	mutex sync.Mutex // guards ctx
-	// ctx is nil while Run does not run.
+	// ctx is the context of Run; nil before Run has started and once it is ending.
 	ctx context.Context
 }
 
-// run starts work in a goroutine of its own. Only Run, the loop and what they
-// started may call it, as Run waits only once these have ended.
+// run starts work in a new goroutine. Only Run, the loop and goroutines started by them
+// may call it; other goroutines could add a task after Run has begun to wait.
 func (b *backgroundTasks) run(work func()) { b.running.Go(work) }
 
-// runIfOpen is run for handlers, which know nothing of Run: it starts work unless
-// Run does not run (any more), and reports whether it did.
+// runIfOpen starts work in a new goroutine, with the context of Run, if Run is running.
+// It reports whether it did. RPC handlers use it, as they may be called before or after
+// Run.
 func (b *backgroundTasks) runIfOpen(work func(context.Context)) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -31,7 +33,8 @@
 	return true
 }
 
-// open is called by Run at its start, close before it waits.
+// open allows runIfOpen to start tasks. Run calls it at its start, and close before it
+// waits.
 func (b *backgroundTasks) open(ctx context.Context) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/replica/background_test.go
+++ b/internal/replica/background_test.go
@@ -7,18 +7,18 @@
 
 func TestBackgroundTasks_RunOnlyWhileOpen(t *testing.T) {
 	tasks := &backgroundTasks{}
-	started := func() bool { return tasks.runIfOpen(func(ctx context.Context) { <-ctx.Done() }) }
-	if started() {
-		t.Error("started before open")
+	start := func() bool { return tasks.runIfOpen(func(ctx context.Context) { <-ctx.Done() }) }
+	if start() {
+		t.Error("a task was started before open")
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	tasks.open(ctx)
-	if !started() {
-		t.Error("not started while open")
+	if !start() {
+		t.Error("no task was started while open")
 	}
 	tasks.close()
-	if started() {
-		t.Error("started after close")
+	if start() {
+		t.Error("a task was started after close")
 	}
 	cancel()
 	tasks.wait()
--- a/internal/replica/batchpacer_test.go
+++ b/internal/replica/batchpacer_test.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
-// countingStore is a slowStore that counts its syncs.
+// countingStore is a slowStore that counts its synced saves.
 type countingStore struct {
 	slowStore
 	mutex sync.Mutex
@@ -26,56 +26,58 @@
 	return s.slowStore.Save(hardState, entries, sync)
 }
 
-func (s *countingStore) count() int {
+func (s *countingStore) syncCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.syncs
 }
 
-// TestPropose_SteadyProposalsShareSyncs: proposals that come one after the other share a
-// batch, so that the disk is idle for about as long as it syncs, and none is delayed for
-// long. A proposal after a pause is not delayed at all.
+// TestPropose_SteadyProposalsShareSyncs guards against one sync per proposal under a steady
+// load, which would keep the disk always busy. Successive proposals must share batches, so
+// that the disk is idle for about as long as it syncs, and none may be delayed for long. A
+// proposal after a pause must not be delayed at all.
 func TestPropose_SteadyProposalsShareSyncs(t *testing.T) {
 	const (
 		syncTakes = 4 * time.Millisecond
 		duration  = 2 * time.Second
-		// mostSyncs is one for every two durations of a sync, and a few for the
-		// beginning and the end; slowestProposal is a delay, the sync in progress, its
-		// own sync and a follower's.
-		mostSyncs       = 260
-		slowestProposal = 20 * time.Millisecond
+		// maxSyncs allows one sync per two sync durations, and a few more at the
+		// beginning and the end. maxProposalTime covers the batch delay, the sync in
+		// progress, the proposal's own sync and a follower's.
+		maxSyncs        = 260
+		maxProposalTime = 20 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
 		machines := newSynctestMachines(t, 3)
 		stores := make(map[*machine]*countingStore)
 		for i, m := range machines {
 			stores[m] = &countingStore{slowStore: slowStore{Memory: storage.NewMemory(int64(i + 1))}}
-			stores[m].syncTakes.Store(int64(syncTakes))
+			stores[m].syncDelay.Store(int64(syncTakes))
 			m.store = stores[m]
 		}
 		startAll(machines)
 		leader := leaderOf(t, machines...)
 		proposeRegistration(t, "first", leader)
-		before := stores[leader].count()
+		before := stores[leader].syncCount()
 		slowest := proposeSteadily(t, leader, duration)
-		syncs := stores[leader].count() - before
+		syncs := stores[leader].syncCount() - before
 		t.Logf("%d syncs, slowest proposal %v", syncs, slowest)
-		if syncs > mostSyncs {
-			t.Errorf("%d syncs in %v, want %d at most", syncs, duration, mostSyncs)
+		if syncs > maxSyncs {
+			t.Errorf("%d syncs in %v, want at most %d", syncs, duration, maxSyncs)
 		}
-		if slowest > slowestProposal {
-			t.Errorf("a proposal took %v, want %v at most", slowest, slowestProposal)
+		if slowest > maxProposalTime {
+			t.Errorf("slowest proposal took %v, want at most %v", slowest, maxProposalTime)
 		}
 		time.Sleep(time.Second)
-		began := time.Now()
+		start := time.Now()
 		proposeRegistration(t, "after a pause", leader)
-		if took := time.Since(began); took > 3*syncTakes {
-			t.Errorf("a proposal after a pause took %v", took)
+		if took := time.Since(start); took > 3*syncTakes {
+			t.Errorf("proposal after a pause took %v, want at most three sync durations", took)
 		}
 	})
 }
 
-// proposeSteadily proposes every millisecond, and returns what the slowest proposal took.
+// proposeSteadily proposes a command every millisecond, and returns the duration of the
+// slowest proposal.
 func proposeSteadily(t *testing.T, leader *machine, duration time.Duration) time.Duration {
 	t.Helper()
 	token := leader.replica.Status().Term
@@ -84,13 +86,13 @@
 	var running sync.WaitGroup
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		running.Go(func() {
-			began := time.Now()
+			start := time.Now()
 			if _, err := leader.replica.Propose(t.Context(), token, registration("steady")); err != nil {
 				t.Errorf("propose: %v", err)
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			slowest = max(slowest, time.Since(began))
+			slowest = max(slowest, time.Since(start))
 		})
 	}
 	running.Wait()
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -16,24 +16,26 @@
 const (
 	// bootstrapInterval is how often the seeds are queried.
 	bootstrapInterval = 200 * time.Millisecond
-	// bootstrapLogInterval is how often the reason for waiting is logged.
+	// bootstrapLogInterval is the minimum time between log lines with the reason for
+	// waiting.
 	bootstrapLogInterval = 5 * time.Second
-	// bootstrapIndex and bootstrapTerm name the snapshot that every first member of
-	// a cluster begins with.
+	// bootstrapIndex and bootstrapTerm identify the snapshot from which every initial
+	// member of a cluster starts.
 	bootstrapIndex = 1
 	bootstrapTerm  = 1
 )
 
-// bootstrapState is what others may know of the bootstrap of this replica: the
-// bootstrapper writes it, and identityServer reads it.
+// bootstrapState is the bootstrap progress that this replica reports to other replicas.
+// The bootstrapper and Replica.restore write it; identityServer reads it.
 type bootstrapState struct {
-	mutex sync.Mutex // guards all below
+	mutex sync.Mutex // guards all fields below
 	// inProgress is true while the replica takes part in creating a cluster.
 	inProgress bool
-	// proposal is the membership that it proposes; empty before the first.
+	// proposal is the membership that this replica proposes; empty before its first
+	// proposal.
 	proposal raft.Membership
-	// created is the first membership of the cluster that it created, nil if it
-	// created none or its log has grown past that.
+	// created is the membership of the cluster's first snapshot. It is nil if this
+	// replica joined an existing cluster, or restarted from a newer snapshot.
 	created *raft.Membership
 }
 
@@ -55,6 +57,8 @@
 	return s.proposal
 }
 
+// end records that the bootstrap is over. created is nil if the replica joins an existing
+// cluster.
 func (s *bootstrapState) end(created *raft.Membership) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -62,8 +66,8 @@
 	s.created = created
 }
 
-// bootstrapper creates a new cluster together with the other seeds, or finds out that
-// there is one to join.
+// bootstrapper creates a new cluster together with the other seeds, or detects an
+// existing cluster to join.
 type bootstrapper struct {
 	self     raft.ReplicaID
 	joinOnly bool
@@ -74,25 +78,29 @@
 	logger   *slog.Logger
 }
 
-// run returns once the store holds the start of a new cluster, or once there is a
-// cluster to join. Exactly one cluster is created, as follows:
+// run returns once the store holds the first snapshot of a new cluster, or once there is
+// a cluster to join. Exactly one cluster is created, as follows:
 //
-//  1. An empty replica queries every seed. Once all answer, are empty and take part
-//     in the bootstrap, it proposes them all, sorted by id, as the membership.
-//  2. It creates the cluster only once every one of them answers with the same
-//     proposal: it persists the first snapshot, and only from then on answers that it
-//     is not empty.
-//  3. A replica that finds a seed no longer empty starts from the first membership of
-//     that seed if that lists its own id; any other replica joins.
+//  1. An empty replica queries every seed. Once every seed answers, is empty and takes
+//     part in the bootstrap, the replica proposes all seeds, sorted by id, as the
+//     membership.
+//  2. The replica creates the cluster only once every seed answers with the same
+//     proposal: it persists the first snapshot, and reports itself as not empty only
+//     after that.
+//  3. A replica that finds a seed that is no longer empty starts from the initial
+//     membership of that seed if the membership lists the replica's own id. Otherwise
+//     it joins the cluster.
 //
-// A proposal changes only when a seed answers with another id, that is, after its disk
-// was lost; and a replica that proposed again does not go back to the former proposal,
-// whose member is gone. So two memberships cannot both be created while all ids of
-// either live on. A member that lost its disk returns with a new id: if any other has
-// created the cluster, it finds that one not empty and joins; if none has, all propose
-// anew. A seed that does not answer may have created it, so everyone waits for it.
+// Unless the list of seeds or the zone of a member changes, a proposal changes only when
+// a seed answers with another id, that is, after the seed lost its disk. A replica that
+// has changed its proposal does not return to the earlier one, because a member of the
+// earlier one no longer exists. Two memberships can therefore not both be created while
+// all replica ids of either one exist. A member that lost its disk returns with a new id:
+// if another member has created the cluster, the returning one finds it not empty and
+// joins; if no member has, all of them propose again. A seed that does not answer may
+// have created the cluster, so the other seeds wait for it.
 //
-// A replica that may only join takes part in none of this: it waits until a seed
+// A replica with Config.JoinOnly takes no part in the bootstrap: it waits until a seed
 // belongs to a cluster.
 func (b *bootstrapper) run(ctx context.Context) error {
 	if !b.joinOnly {
@@ -129,7 +137,8 @@
 	return decideBootstrap(b.self, b.state.proposed(), responses)
 }
 
-// create persists the first snapshot, and only then lets others see it.
+// create persists the first snapshot, and only then reports the new cluster to other
+// replicas.
 func (b *bootstrapper) create(membership raft.Membership) error {
 	_, write, err := b.record.Snapshot()
 	if err != nil {
--- a/internal/replica/bootstrap_test.go
+++ b/internal/replica/bootstrap_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// TestBootstrap_WaitsForUnreachableSeed guards against three of four seeds that create a
+// cluster although the fourth, which may have created one, does not answer.
 func TestBootstrap_WaitsForUnreachableSeed(t *testing.T) {
 	machines := newMachines(t, 4)
 	startAll(machines[:3])
@@ -24,19 +26,19 @@
 	}
 }
 
-// TestBootstrap_JoinOnlyNeverCreatesCluster: an empty replica that may only join waits,
-// though all seeds are empty as well.
+// TestBootstrap_JoinOnlyNeverCreatesCluster checks that an empty replica with JoinOnly
+// waits although all seeds are empty, and that the other seeds wait for it.
 func TestBootstrap_JoinOnlyNeverCreatesCluster(t *testing.T) {
 	seeds, fourth := newClusterWithStandby(t)
 	seeds[0].joinOnly = true
 	startAll(seeds)
 	fourth.start()
-	eventually(t, "the others wait for it", func() bool {
+	eventually(t, "the other seeds take part in the bootstrap", func() bool {
 		return seeds[1].replica.identity.identity().Bootstrapping && !seeds[0].replica.identity.identity().Bootstrapping
 	})
 	for _, m := range append(seeds, fourth) {
 		if m.replica.published.running.Load() {
-			t.Fatalf("%s has formed a cluster", m.name)
+			t.Fatalf("%s has created a cluster, want it to wait", m.name)
 		}
 	}
 }
--- a/internal/replica/bootstrapdecision.go
+++ b/internal/replica/bootstrapdecision.go
@@ -8,68 +8,68 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// bootstrapAction is what an empty replica does next.
+// bootstrapAction is the next action of an empty replica.
 type bootstrapAction uint8
 
 const (
-	// bootstrapWait waits for the reason given in the decision.
+	// bootstrapWait waits, for the reason in the decision.
 	bootstrapWait bootstrapAction = iota
-	// bootstrapPropose proposes the membership.
+	// bootstrapPropose proposes the membership in the decision.
 	bootstrapPropose
-	// bootstrapCreate starts from the membership, as all its members do.
+	// bootstrapCreate creates the cluster with the membership in the decision.
 	bootstrapCreate
-	// bootstrapJoin joins the cluster of a seed.
+	// bootstrapJoin joins the cluster that a seed belongs to.
 	bootstrapJoin
 )
 
-// bootstrapDecision is an action with the membership that it takes, or the reason to
-// wait.
+// bootstrapDecision is the next action of an empty replica, with its argument.
 type bootstrapDecision struct {
 	action     bootstrapAction
-	membership raft.Membership
-	reason     string
+	membership raft.Membership // set for bootstrapPropose and bootstrapCreate
+	reason     string          // set for bootstrapWait
 }
 
-func waitBecause(format string, args ...any) bootstrapDecision {
+func waitDecision(format string, args ...any) bootstrapDecision {
 	return bootstrapDecision{action: bootstrapWait, reason: fmt.Sprintf(format, args...)}
 }
 
-// decideBootstrap follows the rules at bootstrapper.run. proposal is the current one of
-// this replica.
+// decideBootstrap applies the rules documented at bootstrapper.run. proposal is the
+// membership that this replica currently proposes.
 func decideBootstrap(self raft.ReplicaID, proposal raft.Membership, responses []seedResponse) bootstrapDecision {
 	if decision, exists := decideExistingCluster(self, responses); exists {
 		return decision
 	}
 	if unready := unreadySeeds(responses); len(unready) > 0 {
-		return waitBecause("%s", strings.Join(unready, "; "))
+		return waitDecision("%s", strings.Join(unready, "; "))
 	}
 	membership := bootstrapMembership(responses)
 	if reason := invalidMembershipReason(self, membership); reason != "" {
-		return waitBecause("%s", reason)
+		return waitDecision("%s", reason)
 	}
 	if !sameMembership(proposal, membership) {
 		return bootstrapDecision{action: bootstrapPropose, membership: membership}
 	}
 	for _, seed := range responses {
 		if !sameMembership(seed.identity.Membership, membership) {
-			return waitBecause("seed %s does not propose the same members yet", seed.address)
+			return waitDecision("seed %s does not propose the same members yet", seed.address)
 		}
 	}
 	return bootstrapDecision{action: bootstrapCreate, membership: membership}
 }
 
-// decideJoin waits for a seed that belongs to a cluster.
+// decideJoin decides to join once a seed belongs to a cluster, and to wait until then.
 func decideJoin(responses []seedResponse) bootstrapDecision {
 	for _, seed := range responses {
 		if seed.err == nil && !seed.identity.Empty {
 			return bootstrapDecision{action: bootstrapJoin}
 		}
 	}
-	return waitBecause("no seed belongs to a cluster yet, and this replica may not create one")
+	return waitDecision("no seed belongs to a cluster yet, and this replica may not create one")
 }
 
-// decideExistingCluster looks for a seed that belongs to a cluster already. One whose
-// first membership lists this replica goes before all others.
+// decideExistingCluster looks for a seed that already belongs to a cluster; exists is
+// false if there is none. A seed whose initial membership lists this replica takes
+// precedence: this replica then creates the same cluster instead of joining it.
 func decideExistingCluster(self raft.ReplicaID, responses []seedResponse) (decision bootstrapDecision, exists bool) {
 	for _, seed := range responses {
 		if seed.err != nil || seed.identity.Empty {
@@ -84,7 +84,7 @@
 	return decision, exists
 }
 
-// unreadySeeds says of each seed that takes no part in the bootstrap why not.
+// unreadySeeds returns one reason for each seed that takes no part in the bootstrap.
 func unreadySeeds(responses []seedResponse) []string {
 	var unready []string
 	for _, seed := range responses {
@@ -98,7 +98,8 @@
 	return unready
 }
 
-// bootstrapMembership has every seed once, in the order of the ids.
+// bootstrapMembership returns a membership with every seed as a voter, sorted by id and
+// without duplicates.
 func bootstrapMembership(responses []seedResponse) raft.Membership {
 	var voters []raft.Member
 	for _, seed := range responses {
@@ -110,8 +111,8 @@
 	return raft.Membership{Voters: voters}
 }
 
-// invalidMembershipReason says why no cluster may be created of the membership; empty
-// if it may.
+// invalidMembershipReason returns why no cluster may be created with the membership, or
+// the empty string if it is valid.
 func invalidMembershipReason(self raft.ReplicaID, membership raft.Membership) string {
 	idByName := make(map[string]raft.ReplicaID)
 	for _, voter := range membership.Voters {
--- a/internal/replica/bootstrapdecision_test.go
+++ b/internal/replica/bootstrapdecision_test.go
@@ -9,13 +9,14 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// bootstrappingSeed takes part in the bootstrap, with the proposal.
+// bootstrappingSeed returns the response of a seed that takes part in the bootstrap with the
+// proposal.
 func bootstrappingSeed(id string, proposal raft.Membership) seedResponse {
 	return seedResponse{address: id, identity: protocol.IdentityAnswer{Member: member(id), Empty: true, Bootstrapping: true, Membership: proposal}}
 }
 
-// TestDecideBootstrap_FollowsSeedResponses checks the rules at bootstrapper.run, for the
-// replica a.
+// TestDecideBootstrap_FollowsSeedResponses checks the rules documented at bootstrapper.run
+// for replica a.
 func TestDecideBootstrap_FollowsSeedResponses(t *testing.T) {
 	all := members("a", "b", "c")
 	unreachable := seedResponse{address: "c", err: errors.New("refused")}
@@ -50,7 +51,7 @@
 				t.Fatalf("got %+v, want action %d with %v", got, c.want, c.membership)
 			}
 			if (got.reason == "") == (got.action == bootstrapWait) {
-				t.Fatalf("reason %q", got.reason)
+				t.Fatalf("got reason %q, want a reason only for bootstrapWait", got.reason)
 			}
 		})
 	}
@@ -59,14 +60,14 @@
 func TestDecideJoin_NeverCreatesCluster(t *testing.T) {
 	empty := []seedResponse{bootstrappingSeed("a", members("a", "b")), bootstrappingSeed("b", members("a", "b"))}
 	if got := decideJoin(empty); got.action != bootstrapWait || got.reason == "" {
-		t.Fatalf("empty seeds: %+v", got)
+		t.Fatalf("empty seeds: got %+v, want bootstrapWait with a reason", got)
 	}
 	mixed := append(slices.Clone(empty), seedResponse{address: "c", identity: protocol.IdentityAnswer{Member: member("c")}})
 	if got := decideJoin(mixed); got.action != bootstrapJoin {
-		t.Fatalf("a seed has a cluster: %+v", got)
+		t.Fatalf("one seed belongs to a cluster: got %+v, want bootstrapJoin", got)
 	}
 	unreachable := []seedResponse{{address: "c", err: errors.New("refused")}}
 	if got := decideJoin(unreachable); got.action != bootstrapWait {
-		t.Fatalf("unreachable seed: %+v", got)
+		t.Fatalf("unreachable seed: got %+v, want bootstrapWait", got)
 	}
 }
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -21,11 +21,12 @@
 	"github.com/decklever/decklever/internal/testnetwork"
 )
 
-// waitTimeout bounds waits for a condition; none takes nearly as long.
+// waitTimeout is the time-out of a wait for a condition, far above the time that any of
+// them needs.
 const waitTimeout = 60 * time.Second
 
-// machine runs one replica after the other; its name, address and store outlive them. It
-// is the fixture of all tests with running replicas.
+// machine is the fixture of all tests with running replicas. It runs one replica at a time;
+// its name, address and store are kept when the replica is replaced.
 type machine struct {
 	t             testing.TB
 	name          string
@@ -34,24 +35,25 @@
 	seeds         []string
 	store         storage.Store
 	snapshotEvery uint64
-	// maxVoters and joinOnly go into the replica's Config.
+	// maxVoters and joinOnly set Config.MaxVoters and Config.JoinOnly.
 	maxVoters int
 	joinOnly  bool
-	// network connects the machines; nil means loopback.
+	// network connects the machines; nil means the loopback interface.
 	network *testnetwork.Network
-	// hangs makes every call to the replica wait until its caller gives up.
-	hangs atomic.Bool
+	// unresponsive makes every call to the replica wait until its caller cancels it.
+	unresponsive atomic.Bool
 
 	replica *Replica
-	// stop ends the replica; start sets it.
+	// stop stops the replica; it is set by start.
 	stop func()
 
-	mutex  sync.Mutex
-	active int
-	leads  []uint64 // tokens of the calls of Lead, in their order
+	mutex       sync.Mutex
+	activeLeads int
+	tokens      []uint64 // tokens of the Lead calls, in call order
 }
 
-// newMachines reserves addresses; every machine has all of them as seeds.
+// newMachines creates machines with reserved loopback addresses; every machine has all
+// addresses as seeds.
 func newMachines(t testing.TB, count int) []*machine {
 	t.Helper()
 	var addresses []string
@@ -61,8 +63,8 @@
 	return machinesAt(t, nil, addresses...)
 }
 
-// newSynctestMachines is newMachines for testing/synctest: time passes only while every
-// replica waits, so that a busy host delays none of them.
+// newSynctestMachines is newMachines for testing/synctest, with a simulated network: time
+// advances only while every replica is blocked, so that a busy host delays none of them.
 func newSynctestMachines(t testing.TB, count int) []*machine {
 	t.Helper()
 	var addresses []string
@@ -90,9 +92,9 @@
 	return machines
 }
 
-// newClusterWithStandby makes three seeds, which are to vote, and a fourth machine, which
-// is to stand by.
-func newClusterWithStandby(t *testing.T) (seeds []*machine, fourth *machine) {
+// newClusterWithStandby creates three seeds, which become the voters, and a fourth machine,
+// which becomes a standby learner.
+func newClusterWithStandby(t *testing.T) (seeds []*machine, standby *machine) {
 	t.Helper()
 	machines := newMachines(t, 4)
 	for _, m := range machines {
@@ -103,7 +105,7 @@
 	return machines[:3], machines[3]
 }
 
-// newReplica makes a replica on the machine's store.
+// newReplica creates a replica on the machine's store.
 func (m *machine) newReplica(client *rpc.Client) *Replica {
 	m.t.Helper()
 	replica, err := New(Config{
@@ -127,7 +129,7 @@
 	return replica
 }
 
-// start runs a replica on the machine's store.
+// start creates a replica on the machine's store, and runs it and its RPC server.
 func (m *machine) start() {
 	m.t.Helper()
 	listener, config := m.connect()
@@ -135,7 +137,7 @@
 	replica := m.newReplica(client)
 	server := rpc.NewServer(rpc.ServerConfig{})
 	replica.Register(server)
-	httpServer := &http.Server{Handler: m.hanging(server), ReadHeaderTimeout: time.Second}
+	httpServer := &http.Server{Handler: m.blockWhileUnresponsive(server), ReadHeaderTimeout: time.Second}
 	var running sync.WaitGroup
 	running.Go(func() { _ = httpServer.Serve(listener) })
 	ctx, cancel := context.WithCancel(context.Background())
@@ -154,7 +156,8 @@
 	m.t.Cleanup(m.stop)
 }
 
-// connect returns the listener of the machine, and how it reaches others.
+// connect returns the machine's listener, and the client configuration for calls to other
+// machines.
 func (m *machine) connect() (net.Listener, rpc.ClientConfig) {
 	m.t.Helper()
 	if m.network != nil {
@@ -167,11 +170,12 @@
 	return listener, rpc.ClientConfig{}
 }
 
-// hanging makes the server wait instead while hangs is set.
-func (m *machine) hanging(server http.Handler) http.Handler {
+// blockWhileUnresponsive passes requests to server, but makes them wait until their caller
+// cancels them while unresponsive is set.
+func (m *machine) blockWhileUnresponsive(server http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if m.hangs.Load() {
-			// The server notices that the caller is gone once the body is read.
+		if m.unresponsive.Load() {
+			// The server detects that the caller has gone only once the body is read.
 			_, _ = io.Copy(io.Discard, request.Body)
 			<-request.Context().Done()
 			return
@@ -180,7 +184,7 @@
 	})
 }
 
-// crash stops the replica and loses what was not synced.
+// crash stops the replica and discards unsynced data of a storage.Memory.
 func (m *machine) crash() {
 	m.stop()
 	if store, ok := m.store.(*storage.Memory); ok {
@@ -188,7 +192,7 @@
 	}
 }
 
-// useDisk puts the machine's data in a folder, or opens it again.
+// useDisk makes the machine use a disk store in directory, which may exist already.
 func (m *machine) useDisk(directory string) {
 	m.t.Helper()
 	disk, err := storage.OpenDisk(storage.DiskConfig{Directory: directory})
@@ -199,41 +203,42 @@
 	m.t.Cleanup(func() { _ = disk.Close() })
 }
 
-// lead is Config.Lead.
+// lead is the machine's Config.Lead. It fails the test if two calls overlap.
 func (m *machine) lead(leadership Leadership) {
 	m.mutex.Lock()
-	m.active++
-	if m.active > 1 {
+	m.activeLeads++
+	if m.activeLeads > 1 {
 		m.t.Errorf("%s: two Lead calls at once", m.name)
 	}
-	m.leads = append(m.leads, leadership.Token)
+	m.tokens = append(m.tokens, leadership.Token)
 	m.mutex.Unlock()
 	<-leadership.Context.Done()
 	m.mutex.Lock()
-	m.active--
+	m.activeLeads--
 	m.mutex.Unlock()
 }
 
-// leadTokens are those of all terms in which the machine led.
+// leadTokens returns the tokens of all Lead calls on the machine, in call order.
 func (m *machine) leadTokens() []uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return append([]uint64(nil), m.leads...)
+	return append([]uint64(nil), m.tokens...)
 }
 
-// eventually waits for a condition.
+// eventually waits until a condition holds, and fails the test after waitTimeout.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", waitTimeout, what)
+			t.Fatalf("condition not met within %v: %s", waitTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// leaderOf waits until one of the machines leads under its lease and Lead runs.
+// leaderOf waits until one of the machines holds the lease and its Lead has been called in
+// that term, and returns that machine.
 func leaderOf(t testing.TB, machines ...*machine) *machine {
 	t.Helper()
 	var leader *machine
@@ -251,8 +256,8 @@
 	return leader
 }
 
-// proposeRegistration proposes to all machines until one acknowledges, and returns the
-// index of the entry.
+// proposeRegistration proposes a worker's registration to one machine after the other until
+// one acknowledges it, and returns the index of the entry.
 func proposeRegistration(t testing.TB, name string, machines ...*machine) uint64 {
 	t.Helper()
 	var index uint64
@@ -271,11 +276,12 @@
 	return index
 }
 
+// registration returns a command that registers one worker.
 func registration(name string) record.Command {
 	return record.Command{RegisterWorkers: &record.RegisterWorkers{Workers: []record.Worker{{Name: name, ID: name + "-1"}}}}
 }
 
-// workerNames returns the names in a replica's record after a read barrier.
+// workerNames returns the names of the workers in a replica's record after a read barrier.
 func workerNames(t testing.TB, m *machine) []string {
 	t.Helper()
 	eventually(t, "read barrier on "+m.name, func() bool {
@@ -306,8 +312,9 @@
 	}
 }
 
-func without(machines []*machine, left ...*machine) []*machine {
-	return slices.DeleteFunc(slices.Clone(machines), func(m *machine) bool { return slices.Contains(left, m) })
+// without returns a copy of machines that lacks the excluded ones.
+func without(machines []*machine, excluded ...*machine) []*machine {
+	return slices.DeleteFunc(slices.Clone(machines), func(m *machine) bool { return slices.Contains(excluded, m) })
 }
 
 func workerNameRange(count int) []string {
@@ -318,8 +325,8 @@
 	return names
 }
 
-func isVoter(on, whose *machine) bool { return voterIDs(on)[whose.replica.self.id] }
+func isVoter(observer, subject *machine) bool { return voterIDs(observer)[subject.replica.self.id] }
 
-func isLearner(on, whose *machine) bool {
-	return indexOf(on.replica.Status().Membership.Learners, whose.replica.self.id) >= 0
+func isLearner(observer, subject *machine) bool {
+	return indexOf(observer.replica.Status().Membership.Learners, subject.replica.self.id) >= 0
 }
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -18,11 +18,12 @@
 	defaultSnapshotEvery   = 10_000  // entries
 	defaultSnapshotBytes   = 8 << 20 // bytes
 	defaultRetainedEntries = 2_000   // entries
-	// defaultMaxVoters bears the loss of two replicas.
+	// defaultMaxVoters tolerates the loss of two replicas.
 	defaultMaxVoters = 5
 )
 
-// Timing of the replicated log; zero values mean the defaults of raft.Config.
+// Timing holds the timing of the replicated log. A zero field means the default of
+// raft.Config.
 type Timing struct {
 	// Tick is the interval of a leader's heartbeats.
 	Tick time.Duration
@@ -30,8 +31,8 @@
 	// replica that knows no leader campaigns.
 	ElectionTimeoutMin time.Duration
 	ElectionTimeoutMax time.Duration
-	// Lease is how long a leader may act after a quorum confirmed it. A disk whose
-	// saves take as long is a slow one.
+	// Lease is how long a leader may act after a quorum confirmed it. A disk is
+	// considered slow when a save takes at least as long.
 	Lease time.Duration
 }
 
@@ -43,30 +44,32 @@
 	return t
 }
 
-// Config makes a Replica. Name, Address, Seeds, Store, Record and Client are required.
+// Config configures a Replica. Name, Address, Seeds, Store, Record and Client are
+// required.
 type Config struct {
-	// Name is the machine's stable name: a replacement replica has the same.
+	// Name is the stable name of the machine. A replica that replaces another one on
+	// the same machine has the same name.
 	Name string
-	// Zone is the failure domain that voters are spread over. Replica.SetZone changes
-	// it later.
+	// Zone is the failure domain of this replica; voters are spread over zones.
+	// Replica.SetZone changes it later.
 	Zone string
-	// Address is the IP:port at which the others reach this replica.
+	// Address is the IP:port at which other replicas reach this one.
 	Address string
 	// Seeds are the addresses to query when the store is empty or no leader is known.
 	// A replica whose own address is among them can create a cluster. Replica.SetSeeds
 	// changes them later.
 	Seeds []string
-	// JoinOnly keeps an empty replica from creating a cluster: it waits for one to
-	// join.
+	// JoinOnly prevents an empty replica from creating a cluster: it waits until there
+	// is a cluster to join.
 	JoinOnly bool
-	// MaxVoters is the number of voters up to which a newcomer gets a slot of its own;
-	// beyond it newcomers stand by as learners. Default 5.
+	// MaxVoters is the number of voters up to which a newcomer gets a new voter slot.
+	// Further newcomers stand by as learners. Default 5.
 	MaxVoters int
-	// Store stays open when Run returns; its owner closes it.
+	// Store stays open when Run returns; the caller closes it.
 	Store storage.Store
-	// Record is what entries are applied to.
+	// Record is the state machine to which committed entries are applied.
 	Record *record.Machine
-	// Client makes the calls to other replicas; its owner closes it after Run.
+	// Client makes the calls to other replicas; the caller closes it after Run.
 	Client *rpc.Client
 	// WallClock feeds the cluster clock. Default time.Now.
 	WallClock func() time.Time
@@ -74,17 +77,18 @@
 	// SnapshotEvery is the number of applied entries after which a snapshot is taken.
 	// Default 10000.
 	SnapshotEvery uint64
-	// SnapshotBytes is the size of applied entries after which a snapshot is taken as
-	// well, so that the log is bounded whatever is in it. Default 8 MiB.
+	// SnapshotBytes is the size of applied entries, in bytes, after which a snapshot is
+	// also taken, so that large entries cannot grow the log without bound. Default
+	// 8 MiB.
 	SnapshotBytes int64
-	// RetainedEntries is the number of entries that stay in the log behind a snapshot,
-	// for followers that lag a little. Default 2000.
+	// RetainedEntries is the number of entries before a snapshot that stay in the log,
+	// so that followers that lag a little need no snapshot. Default 2000.
 	RetainedEntries uint64
 	// Logger and Registerer may be nil.
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
-	// Lead is called in a goroutine of its own in each term as acting leader, and must
-	// return once Leadership.Context ends. It may be nil.
+	// Lead is called in a separate goroutine for each term in which this replica is the
+	// acting leader. It must return once Leadership.Context ends. It may be nil.
 	Lead func(Leadership)
 }
 
@@ -106,7 +110,8 @@
 	return c
 }
 
-// validate joins a ConfigError for each required field that is missing.
+// validate returns a joined error with one ConfigError for each required field that is
+// missing.
 func (c Config) validate() error {
 	var errs []error
 	require := func(present bool, field string) {
@@ -123,6 +128,7 @@
 	return errors.Join(errs...)
 }
 
+// defaultTo sets value to fallback if it is the zero value.
 func defaultTo[T comparable](value *T, fallback T) {
 	var zero T
 	if *value == zero {
--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -1,85 +1,90 @@
 // Package replica runs one replica of the replicated log: it drives a raft.Node with a
-// clock, storage and a transport, applies what is committed to the record, takes and
+// clock, storage and a transport, applies committed entries to the record, takes and
 // transfers snapshots, creates or joins a cluster, and offers proposals, linearizable
 // reads, the leader lease and the cluster clock to package scheduler.
 //
-// It decides nothing about jobs, and nothing about agreement: package raft does that,
-// and this package does the input and output that raft requests.
+// It makes no scheduling decisions and implements no consensus protocol: package raft
+// implements the protocol, and this package does the input and output that raft requests.
 //
 // # Goroutines
 //
-// The loop (loop.go, ready.go) is the goroutine that calls Run. It alone touches the
-// node and all that a type's comment says belongs to the loop; none of that has a lock.
-// Other goroutines reach it through the mailbox, and see its state in published.
+// The loop (loop.go, ready.go) is the goroutine that calls Run. Only the loop accesses the
+// node and the data that a type's comment says belong to the loop; no lock guards them.
+// Other goroutines send requests to the loop through mailbox, and read its state from
+// published.
 //
-// All others are started through backgroundTasks, and Run returns only after them:
+// All other goroutines are started through backgroundTasks, and Run returns only after
+// they have ended:
 //
 //	goroutine                 started by                     ends
-//	joiner                    Run, once the loop is made     with Run's context
+//	joiner                    Run, once the loop is created  with Run's context
 //	two send queues of a peer the loop, in transport         when the peer is stopped, or with Run's context
 //	Lead of a term            the loop, in leaderTerm        with its Leadership.Context; the loop also waits for it
-//	write of a snapshot       the loop                       when the store is done
-//	transfer of a snapshot    the loop                       at its end, or with Run's context
-//	install of a snapshot     serveChunk, from an rpc call   at its end, or with Run's context
+//	write of a snapshot       the loop                       when the store has saved it
+//	transfer of a snapshot    the loop                       when it is complete, or with Run's context
+//	install of a snapshot     serveChunk, from an rpc call   when it is complete, or with Run's context
 //
-// A goroutine that must change the node afterwards calls mailbox.runOnLoop. The queries
-// of the seeds are goroutines too; their caller waits for them.
+// A goroutine that must change the node afterwards calls mailbox.runOnLoop. Each query of
+// a seed also runs in a goroutine; the caller waits for these goroutines.
 //
 // # Locks
 //
 //	what                        guarded by              written by     read by
-//	published                   atomics, watermarks     the loop       all
+//	published                   atomics, watermarks     the loop       all goroutines
 //	sharedClock                 its mutex               the loop       callers of Now and Propose
-//	bootstrapState              its mutex               bootstrapper   identityServer
+//	bootstrapState              its mutex               Run            identityServer
 //	incomingSnapshot            its mutex               rpc handlers   the install, without the lock while installing is set
 //	archiveCopier.position      its semaphore           joiner, install
 //	sendQueue                   its mutex               the loop, the queue's goroutine
 //	backgroundTasks.ctx         its mutex               Run            rpc handlers
 //	proposal.state              compare-and-swap        the caller, the loop
 //
-// No lock is held while another is taken, except that identityServer calls the store under
-// the lock of bootstrapState.
+// No lock is held while another one is acquired, except that identityServer calls the store
+// while it holds the lock of bootstrapState.
 //
 // # Order of steps
 //
 // For each Ready (loop.drainReady, from step 2 on in loop.handleReady):
 //
 //  1. Publish the status before anything is sent. A leader that relinquishes its lease
-//     must stop claiming it before a message of this Ready lets another lead.
-//  2. Send the early messages: appends of a leader, which counts itself only once its
-//     entries are saved, so that its followers may write at the same time.
-//  3. Save hard state and entries, with a sync if Ready says so. A save is not skipped or
-//     reordered: a vote or an acknowledgement that a crash undoes breaks agreement.
+//     must stop claiming it before a message of this Ready enables another leader.
+//  2. Send the early messages, which are appends of a leader. Followers can then write in
+//     parallel with the leader, which counts itself towards the quorum only once its own
+//     entries are saved.
+//  3. Save the hard state and entries, with a sync if Ready requires it. A save is never
+//     skipped or reordered: a vote or an acknowledgement that is lost in a crash breaks
+//     agreement.
 //  4. Send the other messages.
-//  5. Apply what is committed, then advance published.applied, then answer the proposer:
-//     who has the answer can read the effect.
-//  6. Give reads their index; the reader waits until that is applied.
+//  5. Apply the committed entries, then advance published.applied, then answer the
+//     proposer: a caller that has the answer can read the effect.
+//  6. Give pending reads their read index; the reader waits until it is applied.
 //  7. Advance the node.
 //
-// Elsewhere:
-//
-//   - published stores the status before the lease, so that who sees a lease also sees
-//     the commit index that the term began with; a read under the lease relies on it.
-//   - Lead starts only once the record reflects all earlier terms, the lease is held,
-//     and the Lead of the earlier term has returned; the cluster clock restarts from
-//     the record's time just before.
-//   - A snapshot is installed after the archive up to it was copied and synced, since it
-//     leaves ended jobs out. The record is replaced before the store; a failure between
-//     the two ends the loop.
-//   - A new cluster's first snapshot is saved before identityServer says that the replica
-//     is not empty; see bootstrapper.run.
-//   - At the end, the loop gives up leadership, then fails pending proposals and reads,
-//     then closes mailbox.stopped, and only then waits for Lead: callers that Lead waits
-//     for have their answers.
+// Other operations:
+//
+//   - published stores the status before the lease, so that a goroutine that sees a lease
+//     also sees the commit index that the term began with; reads under the lease rely on
+//     it.
+//   - Lead starts only once the record reflects all earlier terms, the lease is held, and
+//     the Lead of the earlier term has returned. Just before, the cluster clock restarts
+//     from the time of the record.
+//   - A snapshot is installed after the archive up to it was copied and synced, since a
+//     snapshot does not contain ended jobs. The record is replaced before the store; a
+//     failure between the two ends the loop.
+//   - The first snapshot of a new cluster is saved before identityServer reports that the
+//     replica is not empty; see bootstrapper.run.
+//   - When the loop ends, it gives up leadership, then fails pending proposals and reads,
+//     then closes mailbox.stopped, and only then waits for Lead. Calls that Lead waits for
+//     have therefore been answered.
 //
 // # Files
 //
-//	replica.go, config.go, restore.go      construction, Run, what the store held
-//	log.go, errors.go                      what package scheduler sees
+//	replica.go, config.go, restore.go      construction, Run, restoring from the store
+//	log.go, errors.go                      the interface for package scheduler
 //	loop.go, loopticker.go, ready.go       the loop
-//	apply.go                               what a committed entry does to the record
-//	mailbox.go                             the way into it
-//	published.go, watermark.go             the way out of it
+//	apply.go                               applying committed entries to the record
+//	mailbox.go                             requests of other goroutines to the loop
+//	published.go, watermark.go             state of the loop for other goroutines
 //	propose.go, appender.go, batchpacer.go proposals: callers' side, loop's side, batches
 //	read.go                                linearizable reads
 //	leadership.go, sharedclock.go          Lead of a term, cluster clock
@@ -87,14 +92,14 @@
 //	saver.go, slowdisk.go                  persistence, full and slow disks
 //	snapshots.go, snapshotwriter.go, snapshotsender.go, snapshotreceiver.go
 //	                                       snapshots: the loop's side, writing, sending, receiving
-//	archive.go                             copies of the archive of ended jobs
-//	seeds.go, identity.go                  queries of the seeds, and their answer
+//	archive.go                             copying the archive of ended jobs
+//	seeds.go, identity.go                  queries to the seeds, and answers to them
 //	bootstrap.go, bootstrapdecision.go     creation of a cluster
 //	joining.go                             joining, standing by, joining again
-//	membershipserver.go                    changes of the membership by the leader
+//	membershipserver.go                    membership changes by the leader
 //	handlers.go, background.go, metrics.go, member.go
 //
 // Package transport sends messages to the other replicas. Package reconfig decides which
-// membership changes to make, and bootstrapdecision.go what an empty replica does; both
-// are pure functions.
+// membership changes to make, and bootstrapdecision.go decides what an empty replica does;
+// both consist of pure functions.
 package replica
--- a/internal/replica/handlers.go
+++ b/internal/replica/handlers.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// Register serves the calls between replicas. It may be called before Run.
+// Register registers the handlers of calls between replicas. It may be called before Run.
 func (r *Replica) Register(server *rpc.Server) {
 	rpc.Handle(server, protocol.MethodRaft, r.serveRaft)
 	rpc.Handle(server, protocol.MethodSnapshotChunk, r.snapshots.serveChunk)
@@ -18,7 +18,8 @@
 	rpc.Handle(server, protocol.MethodReadIndex, r.reads.serveReadIndex)
 }
 
-// serveRaft hands messages to the loop.
+// serveRaft queues raft messages for the loop. It rejects all messages of a request if
+// one is addressed to another replica id, and drops them if the queue is full.
 func (r *Replica) serveRaft(_ context.Context, request protocol.RaftRequest) (protocol.Empty, error) {
 	if !r.published.running.Load() {
 		return protocol.Empty{}, errNotRunning
@@ -28,6 +29,6 @@
 			return protocol.Empty{}, err
 		}
 	}
-	r.mailbox.deliver(inbound{sender: request.Sender, messages: request.Messages})
+	r.mailbox.enqueueMessages(inboundRequest{sender: request.Sender, messages: request.Messages})
 	return protocol.Empty{}, nil
 }
--- a/internal/replica/identity.go
+++ b/internal/replica/identity.go
@@ -7,8 +7,8 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
-// identityServer tells others who this replica is, whether it has data, what
-// membership it proposes or is part of, and which leader it knows.
+// identityServer answers queries for this replica's member data, whether its store is
+// empty, the membership that it proposes or is part of, and the leader that it knows.
 type identityServer struct {
 	self      *localMember
 	store     storage.Store
@@ -31,8 +31,8 @@
 		InitialMembership: s.bootstrap.created,
 	}
 	if s.bootstrap.inProgress && !answer.Empty {
-		// The first snapshot is being saved. Until that has surely succeeded, others
-		// get the same answer as before.
+		// The first snapshot is being saved, which may still fail. Until the save has
+		// succeeded, the answer stays the same as before.
 		answer.Empty = true
 	}
 	if s.published.running.Load() {
--- a/internal/replica/identity_test.go
+++ b/internal/replica/identity_test.go
@@ -7,7 +7,8 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
-// newTestIdentityServer is that of the replica a, at the address of member("a").
+// newTestIdentityServer returns the identityServer of replica a, with the name and address
+// of member("a").
 func newTestIdentityServer(t *testing.T) *identityServer {
 	t.Helper()
 	return &identityServer{
@@ -18,33 +19,34 @@
 	}
 }
 
-// TestIdentity_EmptyUntilClusterIsCreated: while the first snapshot is saved, the store is
-// not empty any more, but the save may still fail.
+// TestIdentity_EmptyUntilClusterIsCreated guards against a replica that reports itself as
+// not empty while the first snapshot is being saved: the store is no longer empty then, but
+// the save may still fail.
 func TestIdentity_EmptyUntilClusterIsCreated(t *testing.T) {
 	s := newTestIdentityServer(t)
 	membership := members("a", "b")
 	s.bootstrap.begin()
 	s.bootstrap.propose(membership)
 	if err := s.store.Save(&raft.HardState{Term: 1}, nil, true); err != nil || s.store.Empty() {
-		t.Fatalf("empty %v after a save, %v", s.store.Empty(), err)
+		t.Fatalf("after a save: store empty %v, error %v, want false and no error", s.store.Empty(), err)
 	}
 	if got := s.identity(); !got.Empty || !got.Bootstrapping || got.InitialMembership != nil || !sameMembership(got.Membership, membership) {
-		t.Errorf("during the bootstrap: %+v", got)
+		t.Errorf("during the bootstrap: got %+v, want empty, bootstrapping, with the proposal", got)
 	}
 	s.bootstrap.end(&membership)
 	if got := s.identity(); got.Empty || got.Bootstrapping || got.InitialMembership == nil {
-		t.Errorf("after the bootstrap: %+v", got)
+		t.Errorf("after the bootstrap: got %+v, want not empty, with the initial membership", got)
 	}
 }
 
-func TestIdentity_KnowsLeaderOnceRunning(t *testing.T) {
+func TestIdentity_ReportsLeaderOnceRunning(t *testing.T) {
 	s := newTestIdentityServer(t)
 	s.published.update(raft.Status{ID: "a", Leader: "b", Membership: members("a", "b")})
 	if got := s.identity(); got.LeaderAddress != "" {
-		t.Errorf("leader %q before the node runs", got.LeaderAddress)
+		t.Errorf("before the node runs: got leader %q, want none", got.LeaderAddress)
 	}
 	s.published.running.Store(true)
 	if got := s.identity(); got.LeaderAddress != "address-b" || len(got.Membership.Voters) != 2 {
-		t.Errorf("leader %q, membership %+v", got.LeaderAddress, got.Membership)
+		t.Errorf("got leader %q, membership %+v, want address-b and two voters", got.LeaderAddress, got.Membership)
 	}
 }
--- a/internal/replica/joining.go
+++ b/internal/replica/joining.go
@@ -12,31 +12,33 @@
 )
 
 const (
-	// joinRetryInterval is how often a replica that is no voter requests to be one.
+	// joinRetryInterval is the interval of join requests of a replica that neither
+	// votes nor stands by.
 	joinRetryInterval = 200 * time.Millisecond
-	// voterCheckInterval is how often a voter checks that it still is one, and a
-	// standby repeats its request.
+	// voterCheckInterval is how often a voter checks that it is still a voter, and the
+	// interval of join requests of a standby.
 	voterCheckInterval = time.Second
-	// replacementCheckDelay is how long a voter knows no leader before it queries the
-	// seeds whether it was replaced.
+	// replacementCheckDelay is how long a voter must have known no leader before it
+	// queries the seeds whether it was replaced.
 	replacementCheckDelay = 1500 * time.Millisecond
 )
 
-// joiner keeps this replica in the membership. It runs in a goroutine of its own.
+// joiner keeps this replica in the membership. It runs in a separate goroutine.
 type joiner struct {
 	self      *localMember
 	published *published
 	seeds     *seedDirectory
 	archive   *archiveCopier
-	// members serves the requests while this replica leads.
+	// members serves the join requests of this replica while it is the leader.
 	members *membershipServer
 	client  *rpc.Client
 	logger  *slog.Logger
 }
 
-// run requests from the leader to be taken in until this replica is a voter under its
-// current name, zone and address, as long as ctx lasts. One that stands by repeats the
-// request, more slowly, since a voter may fail.
+// run sends join requests to the leader until this replica is a voter with its current
+// name, zone and address. It monitors the membership and requests again when necessary,
+// until ctx ends. A standby keeps requesting at voterCheckInterval, since a voter may fail
+// and leave its slot.
 func (j *joiner) run(ctx context.Context) {
 	leaderKnownAt := j.now()
 	joining, replaced := false, false
@@ -66,15 +68,15 @@
 
 func (j *joiner) now() time.Duration { return j.published.monotonic.now() }
 
-// isCurrentVoter reports whether the newest membership known here lists this replica
-// as a voter with its current name, zone and address.
+// isCurrentVoter reports whether the newest membership known to this replica lists it as
+// a voter with its current name, zone and address.
 func (j *joiner) isCurrentVoter() bool {
 	return slices.Contains(j.published.status.Load().Membership.Voters, j.self.member())
 }
 
-// requestJoin copies the archive and makes one request to the leader; it reports
-// whether the replica stands by. The archive goes first: it may take long, and a
-// snapshot waits for the rest of it.
+// requestJoin copies the archive, sends one join request to the leader and reports
+// whether the replica stands by. The archive is copied first because the copy may take
+// long, and the installation of a snapshot waits for the part that is still missing.
 func (j *joiner) requestJoin(ctx context.Context) (standby bool) {
 	leader, known := j.discoverLeader(ctx)
 	if !known {
@@ -86,8 +88,8 @@
 			return false
 		}
 	}
-	// Whatever is applied here began with a snapshot, before which the archive
-	// was copied.
+	// The record starts from a snapshot, and the archive is copied before a snapshot is
+	// installed. An applied index above 0 therefore means that the archive was copied.
 	request := protocol.JoinRequest{Member: j.self.member(), ArchiveCopied: j.published.applied.load() > 0}
 	if leader == j.self.address {
 		answer, _ := j.members.serveJoin(ctx, request)
@@ -100,7 +102,8 @@
 	return answer.Standby
 }
 
-// discoverLeader returns the leader's address, as known here or by a seed.
+// discoverLeader returns the address of the leader that this replica or else a seed
+// knows; false if none is known.
 func (j *joiner) discoverLeader(ctx context.Context) (string, bool) {
 	if leader, known := j.published.leader(); known {
 		return leader.Address, true
@@ -113,9 +116,9 @@
 	return "", false
 }
 
-// wasReplaced reports that the cluster goes on without this replica, which then joins
-// again. It keeps its log: as a learner it is brought up to date, and the votes that it
-// gave are still recorded there.
+// wasReplaced reports whether a seed that knows a leader has a membership without this
+// replica, which must then join again. The replica keeps its store: the leader brings its
+// log up to date as that of a learner, and the store still records the votes that it gave.
 func (j *joiner) wasReplaced(ctx context.Context) bool {
 	for _, seed := range j.seeds.query(ctx) {
 		if seed.err != nil || seed.identity.LeaderAddress == "" || seed.identity.Relay {
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -6,42 +6,45 @@
 	"time"
 )
 
-// leadReturnGrace is how long Config.Lead may take to return without a warning.
+// leadReturnGrace is how long Config.Lead may take to return, once its context is
+// canceled, before a warning is logged.
 const leadReturnGrace = time.Second
 
-// leaderTerm is the current term of this replica as leader, and the Lead goroutine of
-// this or an earlier term, of which there is one at most. It belongs to the loop.
+// leaderTerm tracks the current term of this replica as leader, and the goroutine that
+// runs Lead for this or an earlier term; at most one such goroutine runs at a time.
+// leaderTerm is owned by the loop goroutine.
 type leaderTerm struct {
 	lead       func(Leadership)
 	background *backgroundTasks
 	logger     *slog.Logger
 
-	// leading is true while the node leads in term.
+	// leading is true while the node is leader in term.
 	leading bool
 	term    uint64
-	// readyIndex is the commit index when the first entry of the term was committed;
+	// readyIndex is the commit index at which the first entry of the term was committed;
 	// 0 before. Once it is applied, the record reflects all earlier terms.
 	readyIndex uint64
-	// started is true once Lead was called in this term.
+	// started is true once Lead has been called in this term.
 	started bool
 
-	// cancel ends the newest Lead; nil if it was cancelled or has returned.
+	// cancel cancels the context of the newest Lead; nil if that was canceled or Lead has
+	// returned.
 	cancel context.CancelFunc
 	// done is closed when the newest Lead has returned; nil if none runs.
 	done chan struct{}
-	// endedAt is when the newest Lead was cancelled, on the monotonic clock.
+	// endedAt is the monotonic time at which the newest Lead was canceled.
 	endedAt time.Duration
-	// warned is true once that it has not returned was logged.
+	// warned is true once a warning was logged that the canceled Lead has not returned.
 	warned bool
 }
 
-// begin records that the node has become leader.
+// begin records that the node has become leader in term.
 func (t *leaderTerm) begin(term uint64) {
 	t.leading, t.term = true, term
 	t.readyIndex, t.started = 0, false
 }
 
-// end records that the node does not lead in the term any more, and cancels Lead.
+// end records that the node no longer leads in the term, and cancels Lead.
 func (t *leaderTerm) end(now time.Duration) {
 	t.leading = false
 	if t.cancel == nil {
@@ -53,13 +56,14 @@
 	t.warned = false
 }
 
-// canStart reports whether the term may begin to act, up to the lease and the Lead of
-// earlier terms: the record reflects all that they acknowledged.
+// canStart reports whether the record, applied up to index applied, reflects everything
+// that earlier terms acknowledged, and Lead was not yet called in this term. The caller
+// also has to check the lease and that the Lead of an earlier term has returned.
 func (t *leaderTerm) canStart(applied uint64) bool {
 	return t.leading && !t.started && t.readyIndex != 0 && applied >= t.readyIndex
 }
 
-// start calls Lead in a goroutine of its own.
+// start calls Lead in a new goroutine.
 func (t *leaderTerm) start(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
@@ -71,8 +75,8 @@
 	})
 }
 
-// previousLeadReturned reports whether no Lead runs, and warns once of one that does
-// not return.
+// previousLeadReturned reports whether no Lead is running. It logs one warning if a
+// canceled Lead has not returned within leadReturnGrace.
 func (t *leaderTerm) previousLeadReturned(now time.Duration) bool {
 	if t.done == nil {
 		return true
@@ -89,12 +93,13 @@
 	}
 	if t.cancel == nil && !t.warned && now-t.endedAt > leadReturnGrace {
 		t.warned = true
-		t.logger.Warn("leader of an earlier term has not returned", "after", now-t.endedAt)
+		t.logger.Warn("leader work of an ended term has not stopped", "after", now-t.endedAt)
 	}
 	return false
 }
 
-// waitForLead is called when the loop has ended.
+// waitForLead waits until the newest Lead has returned. It is called when the loop has
+// ended.
 func (t *leaderTerm) waitForLead() {
 	if t.done != nil {
 		<-t.done
--- a/internal/replica/leadership_test.go
+++ b/internal/replica/leadership_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// newTestLeaderTerm has a Lead that reports each token and returns after release.
+// newTestLeaderTerm returns a leaderTerm whose Lead sends its token to tokens, and returns
+// after its context has ended and release was called.
 func newTestLeaderTerm(t *testing.T) (term *leaderTerm, tokens <-chan uint64, release func()) {
 	t.Helper()
 	started, returns := make(chan uint64, 1), make(chan struct{}, 1)
@@ -28,22 +29,22 @@
 func TestLeaderTerm_StartsOnceRecordReflectsEarlierTerms(t *testing.T) {
 	term, _, _ := newTestLeaderTerm(t)
 	if term.canStart(100) {
-		t.Error("a follower may start")
+		t.Error("follower: can start, want not")
 	}
 	term.begin(7)
 	if term.canStart(100) {
-		t.Error("may start before an entry of the term is committed")
+		t.Error("before an entry of the term is committed: can start, want not")
 	}
 	term.readyIndex = 50
 	if term.canStart(49) {
-		t.Error("may start before that entry is applied")
+		t.Error("before that entry is applied: can start, want not")
 	}
 	if !term.canStart(50) {
-		t.Error("may not start once it is applied")
+		t.Error("once that entry is applied: cannot start, want it to")
 	}
 	term.started = true
 	if term.canStart(50) {
-		t.Error("may start twice")
+		t.Error("already started in the term: can start, want not")
 	}
 }
 
@@ -52,21 +53,21 @@
 	term.begin(7)
 	term.start(context.Background())
 	if got := <-tokens; got != 7 {
-		t.Fatalf("leads with token %d, want 7", got)
+		t.Fatalf("Lead called with token %d, want 7", got)
 	}
 	term.end(time.Second)
 	if term.previousLeadReturned(time.Second) {
-		t.Fatal("Lead is said to have returned while it runs")
+		t.Fatal("Lead reported as returned while it runs")
 	}
 	if term.warned {
-		t.Error("warned at once")
+		t.Error("warning logged before leadReturnGrace has passed")
 	}
 	if term.previousLeadReturned(time.Second+leadReturnGrace+1) || !term.warned {
-		t.Error("no warning of a Lead that does not return")
+		t.Error("after leadReturnGrace: Lead reported as returned, or no warning logged")
 	}
 	release()
 	term.waitForLead()
 	if !term.previousLeadReturned(3 * time.Second) {
-		t.Error("Lead is not said to have returned")
+		t.Error("Lead not reported as returned after it has")
 	}
 }
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -10,12 +10,12 @@
 	"github.com/decklever/decklever/internal/replica/transport"
 )
 
-// maxInboxBatch bounds the requests with messages that are taken in one iteration, so
-// that their entries share one sync and heartbeats still go out in time.
+// maxInboxBatch is the maximum number of raft requests that one iteration processes. The
+// entries of a batch share one sync; the limit keeps heartbeats on time.
 const maxInboxBatch = 64
 
-// loop drives the raft node. All its fields belong to the one goroutine of run;
-// others reach it through the mailbox, and see what it does in published.
+// loop drives the raft node. All its fields are owned by the goroutine of run. Other
+// goroutines send input through the mailbox and read the node's state from published.
 type loop struct {
 	ctx       context.Context
 	node      *raft.Node
@@ -25,8 +25,8 @@
 	clock     *sharedClock
 	logger    *slog.Logger
 
-	ticks loopTicker
-	// failure ends the loop after the current iteration.
+	ticker loopTicker
+	// failure, if not nil, ends the loop after the current iteration.
 	failure error
 
 	appender   appender
@@ -38,8 +38,9 @@
 	snapshots  loopSnapshots
 }
 
-// newLoop makes the loop of a replica from what its store holds. storeWasEmpty says
-// that it was empty when the process started, so that the replica cannot have voted.
+// newLoop creates the loop of a replica from the contents of its store. storeWasEmpty
+// states that the store was empty when the process started, so that the replica cannot
+// have voted yet.
 func (r *Replica) newLoop(ctx context.Context, storeWasEmpty bool) (*loop, error) {
 	restored, err := r.restore()
 	if err != nil {
@@ -58,7 +59,7 @@
 		published: r.published,
 		clock:     r.clock,
 		logger:    config.Logger,
-		ticks:     loopTicker{interval: config.Timing.Tick, wakeups: r.metrics.tickWakeups},
+		ticker:    loopTicker{interval: config.Timing.Tick, wakeups: r.metrics.tickWakeups},
 		reads:     newPendingReads(),
 		term:      leaderTerm{lead: config.Lead, background: r.background, logger: config.Logger},
 		transport: transport.New(ctx, r.transportConfig()),
@@ -104,12 +105,12 @@
 	}
 }
 
-// now is the monotonic time.
+// now returns the monotonic time.
 func (l *loop) now() time.Duration { return l.published.monotonic.now() }
 
-// run drives the node until the context ends or a failure. At the end it stops
-// claiming leadership before it answers those who wait, and closes stopped only once
-// all of them have their answer.
+// run drives the node until the context ends or a failure occurs. It then withdraws its
+// claim to leadership before it completes the waiting proposals and reads, and closes
+// mailbox.stopped only once all of them are complete.
 func (l *loop) run() error {
 	err := l.processEvents()
 	l.publish(raft.Status{ID: l.published.id, Membership: l.published.status.Load().Membership})
@@ -120,15 +121,17 @@
 	return err
 }
 
+// processEvents processes events until the context ends or a failure occurs, and returns
+// the error of either.
 func (l *loop) processEvents() error {
-	ticker := time.NewTicker(l.ticks.interval)
+	ticker := time.NewTicker(l.ticker.interval)
 	defer ticker.Stop()
 	l.node.Tick(l.now())
 	if err := l.processReady(); err != nil {
 		return err
 	}
 	for {
-		l.ticks.reset(ticker, l.node, l.now())
+		l.ticker.reset(ticker, l.node, l.now())
 		if err := l.processEvent(ticker.C); err != nil {
 			return err
 		}
@@ -138,22 +141,22 @@
 	}
 }
 
-// processEvent waits for one event, hands it to the node, and does all that follows
-// from it.
+// processEvent waits for one event, passes it to the node, and processes the Readys that
+// result. It receives no proposals while the pacer delays the next batch.
 func (l *loop) processEvent(ticks <-chan time.Time) error {
-	proposals, paused := l.mailbox.proposals, (<-chan time.Time)(nil)
+	proposals, delayElapsed := l.mailbox.proposals, (<-chan time.Time)(nil)
 	if delay := l.appender.pacer.delay(l.now()); delay > 0 {
-		proposals, paused = nil, time.After(delay)
+		proposals, delayElapsed = nil, time.After(delay)
 	}
 	select {
 	case <-l.ctx.Done():
 		return l.ctx.Err()
 	case <-ticks:
-		l.ticks.wakeups.Inc()
+		l.ticker.wakeups.Inc()
 	case received := <-l.mailbox.messages:
 		l.tick()
 		l.stepAll(received)
-	case <-paused:
+	case <-delayElapsed:
 		return nil
 	case first := <-proposals:
 		l.tick()
@@ -169,23 +172,27 @@
 	return l.processReady()
 }
 
-// fail ends the loop after the current iteration.
+// fail makes the loop end with err after the current iteration.
 func (l *loop) fail(err error) { l.failure = err }
 
-// tick lets the node see the time before anything else does, also after the process
-// was frozen.
+// tick passes the time to the node, at most once per tick interval. It is called before
+// any other input reaches the node, so that after the process was frozen the node first
+// learns how much time has passed. On a leader it also updates the cluster
+// clock with this machine's wall clock.
 func (l *loop) tick() {
 	now := l.now()
-	if !l.ticks.due(now) {
+	if !l.ticker.due(now) {
 		return
 	}
 	l.node.Tick(now)
 	if l.term.leading {
-		l.clock.observeOwn(now)
+		l.clock.observeLocal(now)
 	}
 }
 
-func (l *loop) stepAll(received inbound) {
+// stepAll steps the node with a received request and with those queued behind it, at most
+// maxInboxBatch in total.
+func (l *loop) stepAll(received inboundRequest) {
 	for range maxInboxBatch {
 		l.step(received)
 		select {
@@ -196,7 +203,7 @@
 	}
 }
 
-func (l *loop) step(received inbound) {
+func (l *loop) step(received inboundRequest) {
 	l.transport.ObserveSender(received.sender)
 	for _, message := range received.messages {
 		now := l.now()
@@ -210,11 +217,12 @@
 	}
 }
 
-// discardInput lets time pass in which messages are lost and proposals rejected. Calls
-// wait: they may need the node, which is in the middle of a Ready.
-func (l *loop) discardInput(length time.Duration) error {
-	end := time.NewTimer(length)
-	defer end.Stop()
+// discardInput waits for duration, and meanwhile drops messages and rejects proposals. It
+// runs no calls, because they may need the node, which is in the middle of a Ready. It
+// returns the context's error if that ends first.
+func (l *loop) discardInput(duration time.Duration) error {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	for {
 		select {
 		case <-l.ctx.Done():
@@ -222,7 +230,7 @@
 		case <-l.mailbox.messages:
 		case p := <-l.mailbox.proposals:
 			p.reject(ErrNotLeader)
-		case <-end.C:
+		case <-timer.C:
 			return nil
 		}
 	}
--- a/internal/replica/loop_test.go
+++ b/internal/replica/loop_test.go
@@ -13,42 +13,43 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
-// TestTicker_FollowersSleepUntilElectionDeadline: while heartbeats arrive, time alone
-// hardly ever wakes a follower, but it wakes the leader for each heartbeat. Under synctest
-// no heartbeat is late, so leadership must not move.
+// TestTicker_FollowersSleepUntilElectionDeadline guards against followers that wake at every
+// tick: while heartbeats arrive, the ticker must hardly ever wake a follower, but it wakes
+// the leader for each heartbeat. Under synctest no heartbeat is late, so the leader must not
+// change.
 func TestTicker_FollowersSleepUntilElectionDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machines := newSynctestMachines(t, 3)
 		startAll(machines)
 		leader := leaderOf(t, machines...)
 		term := leader.replica.Status().Term
-		ticks := func(m *machine) float64 { return testutil.ToFloat64(m.replica.metrics.tickWakeups) }
+		wakeups := func(m *machine) float64 { return testutil.ToFloat64(m.replica.metrics.tickWakeups) }
 		before := make(map[*machine]float64)
 		for _, m := range machines {
-			before[m] = ticks(m)
+			before[m] = wakeups(m)
 		}
-		eventually(t, "40 ticks of the leader", func() bool { return ticks(leader)-before[leader] >= 40 })
+		eventually(t, "40 ticks of the leader", func() bool { return wakeups(leader)-before[leader] >= 40 })
 		if !leader.replica.HoldsLease(term) {
-			t.Errorf("%s lost the leadership of term %d, now %+v", leader.name, term, leader.replica.Status())
+			t.Errorf("%s no longer holds the lease of term %d: status %+v", leader.name, term, leader.replica.Status())
 		}
 		for _, m := range without(machines, leader) {
-			if woken := ticks(m) - before[m]; woken > 8 {
-				t.Errorf("%s: woken %v times while the leader was woken 40 times", m.name, woken)
+			if count := wakeups(m) - before[m]; count > 8 {
+				t.Errorf("%s: ticker woke the follower %v times during 40 wakeups of the leader, want at most 8", m.name, count)
 			}
 		}
-		t.Logf("leader %v", ticks(leader)-before[leader])
+		t.Logf("leader: %v wakeups", wakeups(leader)-before[leader])
 		for _, m := range without(machines, leader) {
-			t.Logf("follower %v", ticks(m)-before[m])
+			t.Logf("follower: %v wakeups", wakeups(m)-before[m])
 		}
 	})
 }
 
-// stoppingStore has its replica stopped while the first snapshot is saved, and counts the
-// synced saves that come after it. One goroutine makes all of them.
+// stoppingStore stops its replica while the first snapshot is saved, and counts the synced
+// saves after that. All saves are made by one goroutine.
 type stoppingStore struct {
 	*storage.Memory
-	stop  context.CancelFunc
-	after int
+	stop           context.CancelFunc
+	savesAfterStop int
 }
 
 func (s *stoppingStore) SaveSnapshot(meta raft.SnapshotMeta, keepEntries uint64, write func(io.Writer) error) error {
@@ -58,14 +59,14 @@
 
 func (s *stoppingStore) Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error {
 	if sync {
-		s.after++
+		s.savesAfterStop++
 	}
 	return s.Memory.Save(hardState, entries, sync)
 }
 
-// TestRun_StopBeginsNoFurtherSave: a busy disk may take seconds for each sync, so a stop
-// waits for the one in progress only. A single replica would next campaign and save its
-// vote.
+// TestRun_StopBeginsNoFurtherSave guards against a stop that begins another save: a busy
+// disk may take seconds for each sync, so a stop may wait only for the one in progress.
+// Without the stop, a single replica would next campaign and save its vote.
 func TestRun_StopBeginsNoFurtherSave(t *testing.T) {
 	m := newMachines(t, 1)[0]
 	ctx, stop := context.WithCancel(t.Context())
@@ -77,7 +78,7 @@
 	if err := m.newReplica(client).Run(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if ctx.Err() == nil || store.after != 0 {
-		t.Errorf("%d synced saves after the stop (%v), want none", store.after, ctx.Err())
+	if ctx.Err() == nil || store.savesAfterStop != 0 {
+		t.Errorf("%d synced saves after the stop (context error %v), want 0 after a cancellation", store.savesAfterStop, ctx.Err())
 	}
 }
--- a/internal/replica/loopticker.go
+++ b/internal/replica/loopticker.go
@@ -8,29 +8,30 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// loopTicker decides when time alone wakes the loop.
+// loopTicker determines when the loop wakes without other input. It is owned by the loop
+// goroutine.
 type loopTicker struct {
-	// interval is that of a leader's ticks.
+	// interval is the time between two ticks of a leader.
 	interval time.Duration
-	// last is when the node last saw a tick, on the monotonic clock.
-	last time.Duration
+	// lastTick is the monotonic time of the node's last tick.
+	lastTick time.Duration
 	// atInterval is true while the ticker runs at interval.
 	atInterval bool
-	// wakeups counts how often time alone woke the loop.
+	// wakeups counts how often the ticker woke the loop.
 	wakeups prometheus.Counter
 }
 
-// due reports whether the node is to see the time, and records that it does.
+// due reports whether a tick is due at now, and if so records now as the last tick.
 func (t *loopTicker) due(now time.Duration) bool {
-	if now-t.last < t.interval {
+	if now-t.lastTick < t.interval {
 		return false
 	}
-	t.last = now
+	t.lastTick = now
 	return true
 }
 
-// reset lets the next tick come when the node needs it: at interval while it leads,
-// else when its election timeout is over.
+// reset sets the ticker to fire when the node next needs a tick: at every interval while
+// the node leads, otherwise at its election deadline, but not before the next interval.
 func (t *loopTicker) reset(ticker *time.Ticker, node *raft.Node, now time.Duration) {
 	deadline, waiting := node.ElectionDeadline()
 	if !waiting {
@@ -41,6 +42,6 @@
 		return
 	}
 	t.atInterval = false
-	next := max(deadline, t.last+t.interval)
+	next := max(deadline, t.lastTick+t.interval)
 	ticker.Reset(max(next-now, 1))
 }
--- a/internal/replica/mailbox.go
+++ b/internal/replica/mailbox.go
@@ -6,16 +6,16 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// Bounds of the queues into the loop. What does not fit is rejected (proposals),
-// dropped (messages, which raft sends again) or waits (calls).
+// Capacities of the loop's input queues. If a queue is full, a proposal is rejected, a
+// message is dropped (raft sends it again), and a call waits.
 const (
 	proposalQueueLength = 4096
 	messageQueueLength  = 256
 	callQueueLength     = 64
 )
 
-// inbound is one RaftRequest.
-type inbound struct {
+// inboundRequest is a received RaftRequest.
+type inboundRequest struct {
 	sender   raft.Member
 	messages []raft.Message
 }
@@ -26,28 +26,29 @@
 	done chan error // of capacity 1
 }
 
-// mailbox is the only way into the loop for other goroutines. The loop receives
-// from its channels.
+// mailbox holds the input queues of the loop. Other goroutines reach the loop only through
+// it.
 type mailbox struct {
-	messages  chan inbound
+	messages  chan inboundRequest
 	proposals chan *proposal
 	calls     chan loopCall
 	// stopped is closed once the loop has ended and every proposal that it took
-	// has its outcome. Only then is it certain that nothing more is applied.
+	// has its outcome. Until then, further entries may be applied.
 	stopped chan struct{}
 }
 
 func newMailbox() *mailbox {
 	return &mailbox{
-		messages:  make(chan inbound, messageQueueLength),
+		messages:  make(chan inboundRequest, messageQueueLength),
 		proposals: make(chan *proposal, proposalQueueLength),
 		calls:     make(chan loopCall, callQueueLength),
 		stopped:   make(chan struct{}),
 	}
 }
 
-// runOnLoop runs a function in the loop's goroutine and returns its error. With
-// another error, which is ErrStopped or the context's, it may run yet.
+// runOnLoop runs a function in the loop's goroutine and returns its error. If the loop has
+// ended or ctx ends first, it returns ErrStopped or the context's error; the function may
+// then have run, or with the context's error may still run.
 func (m *mailbox) runOnLoop(ctx context.Context, run func(*loop) error) error {
 	call := loopCall{run: run, done: make(chan error, 1)}
 	select {
@@ -67,16 +68,16 @@
 	}
 }
 
-// deliver queues raft messages, and drops them if the queue is full.
-func (m *mailbox) deliver(received inbound) {
+// enqueueMessages queues the raft messages of one request; it drops them if the queue is full.
+func (m *mailbox) enqueueMessages(received inboundRequest) {
 	select {
 	case m.messages <- received:
 	default:
 	}
 }
 
-// submit queues a proposal; false if the queue is full.
-func (m *mailbox) submit(p *proposal) bool {
+// enqueueProposal queues a proposal. It returns false if the queue is full.
+func (m *mailbox) enqueueProposal(p *proposal) bool {
 	select {
 	case m.proposals <- p:
 		return true
@@ -85,7 +86,8 @@
 	}
 }
 
-// notLeaderOrStopped is why a replica that does not lead rejects a call.
+// notLeaderOrStopped returns the error with which a replica that does not lead rejects a
+// call: ErrStopped once the loop has ended, otherwise ErrNotLeader.
 func (m *mailbox) notLeaderOrStopped() error {
 	select {
 	case <-m.stopped:
--- a/internal/replica/mailbox_test.go
+++ b/internal/replica/mailbox_test.go
@@ -45,28 +45,28 @@
 func TestMailbox_FullQueuesRejectAndDrop(t *testing.T) {
 	m := newMailbox()
 	for i := range proposalQueueLength {
-		if !m.submit(&proposal{}) {
-			t.Fatalf("proposal %d of %d was rejected", i, proposalQueueLength)
+		if !m.enqueueProposal(&proposal{}) {
+			t.Fatalf("proposal %d rejected by a queue of capacity %d", i, proposalQueueLength)
 		}
 	}
-	if m.submit(&proposal{}) {
-		t.Error("a proposal was accepted by a full queue")
+	if m.enqueueProposal(&proposal{}) {
+		t.Error("proposal accepted by a full queue")
 	}
 	for range messageQueueLength + 1 {
-		m.deliver(inbound{}) // must not block
+		m.enqueueMessages(inboundRequest{}) // must not block
 	}
 	if got := len(m.messages); got != messageQueueLength {
-		t.Errorf("%d requests are queued, want %d", got, messageQueueLength)
+		t.Errorf("%d raft requests queued, want %d", got, messageQueueLength)
 	}
 }
 
-func TestMailbox_RejectionTellsStopFromNoLeader(t *testing.T) {
+func TestMailbox_RejectionDistinguishesStoppedFromNotLeader(t *testing.T) {
 	m := newMailbox()
 	if err := m.notLeaderOrStopped(); !errors.Is(err, ErrNotLeader) {
-		t.Errorf("while the loop runs: %v, want ErrNotLeader", err)
+		t.Errorf("while the loop runs: got %v, want ErrNotLeader", err)
 	}
 	close(m.stopped)
 	if err := m.notLeaderOrStopped(); !errors.Is(err, ErrStopped) {
-		t.Errorf("after the loop: %v, want ErrStopped", err)
+		t.Errorf("after the loop has ended: got %v, want ErrStopped", err)
 	}
 }
--- a/internal/replica/member.go
+++ b/internal/replica/member.go
@@ -7,9 +7,9 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// localMember is this replica as the membership lists it. The zone may change
-// while the process runs; the rest is fixed when the replica is made. All methods
-// may be called from any goroutine.
+// localMember is the member data of this replica. The zone may change while the process
+// runs; all other fields are fixed when the replica is created. All methods may be called
+// from any goroutine.
 type localMember struct {
 	id      raft.ReplicaID
 	name    string
@@ -30,7 +30,8 @@
 
 func (m *localMember) setZone(zone string) { m.zone.Store(&zone) }
 
-// findMember looks in all parts of a membership.
+// findMember returns the voter, outgoing voter or learner with the id; false if the
+// membership has no such member.
 func findMember(membership raft.Membership, id raft.ReplicaID) (raft.Member, bool) {
 	for _, part := range [][]raft.Member{membership.Voters, membership.Outgoing, membership.Learners} {
 		if i := indexOf(part, id); i >= 0 {
@@ -40,6 +41,7 @@
 	return raft.Member{}, false
 }
 
+// indexOf returns the index of the member with the id, or -1.
 func indexOf(members []raft.Member, id raft.ReplicaID) int {
 	return slices.IndexFunc(members, func(member raft.Member) bool { return member.ID == id })
 }
@@ -48,7 +50,7 @@
 	return slices.Equal(a.Voters, b.Voters) && slices.Equal(a.Outgoing, b.Outgoing) && slices.Equal(a.Learners, b.Learners)
 }
 
-// memberNames formats members as "name=id" for logs.
+// memberNames formats members as "name=id" for log lines.
 func memberNames(members []raft.Member) []string {
 	names := make([]string, len(members))
 	for i, member := range members {
--- a/internal/replica/membership_test.go
+++ b/internal/replica/membership_test.go
@@ -17,7 +17,7 @@
 	for _, m := range machines {
 		m.replica.SetZone("moved-" + m.name)
 	}
-	eventually(t, "every zone is known everywhere", func() bool {
+	eventually(t, "all replicas know the new zone of every voter", func() bool {
 		for _, m := range machines {
 			for _, voter := range m.replica.Status().Membership.Voters {
 				if voter.Zone != "moved-"+voter.Name {
@@ -29,14 +29,15 @@
 	})
 }
 
-// replaceDisk gives a machine an empty disk and waits until its new replica votes.
-func replaceDisk(t *testing.T, m *machine, seed int64, rest []*machine) {
+// replaceDisk restarts a machine with an empty store and waits until its new replica votes
+// in place of the old one, as seen by the other machines.
+func replaceDisk(t *testing.T, m *machine, seed int64, others []*machine) {
 	t.Helper()
 	old := m.replica.self.id
 	m.crash()
 	m.store = storage.NewMemory(seed)
 	m.start()
-	for _, other := range rest {
+	for _, other := range others {
 		eventually(t, m.name+" replaced on "+other.name, func() bool {
 			ids := voterIDs(other)
 			status := other.replica.Status()
@@ -46,11 +47,11 @@
 }
 
 func TestMembership_LostDiskReplaced(t *testing.T) {
-	for _, every := range []uint64{1_000_000, 20} { // without and with newer snapshots
-		t.Run(fmt.Sprintf("snapshot-every-%d", every), func(t *testing.T) {
+	for _, snapshotEvery := range []uint64{1_000_000, 20} { // without and with snapshots after the first
+		t.Run(fmt.Sprintf("snapshot-every-%d", snapshotEvery), func(t *testing.T) {
 			machines := newMachines(t, 3)
 			for _, m := range machines {
-				m.snapshotEvery = every
+				m.snapshotEvery = snapshotEvery
 			}
 			startAll(machines)
 			names := workerNameRange(100)
@@ -67,25 +68,27 @@
 			lost := without(machines, leader)[0]
 			replaceDisk(t, lost, 99, without(machines, lost))
 			if _, known, err := lost.store.Archive().Get("ended"); err != nil || !known {
-				t.Fatalf("the newcomer lacks the archived job: %v, %v", known, err)
+				t.Fatalf("archived job on the newcomer: found %v, error %v, want true and no error", known, err)
 			}
-			// A second loss right after the repair: the newcomer must count.
+			// A second replica is lost right after the replacement: a majority
+			// requires the vote of the newcomer.
 			second := without(machines, lost, leader)[0]
 			second.crash()
-			left := without(machines, second)
-			proposeRegistration(t, "zz-after", left...)
+			remaining := without(machines, second)
+			proposeRegistration(t, "zz-after", remaining...)
 			want := append(slices.Clone(names), "zz-after")
-			for _, m := range left {
+			for _, m := range remaining {
 				if got := workerNames(t, m); !slices.Equal(got, want) {
-					t.Fatalf("%s holds %d workers, want %d", m.name, len(got), len(want))
+					t.Fatalf("%s: got %d workers, want %d", m.name, len(got), len(want))
 				}
 			}
 		})
 	}
 }
 
-// TestMembership_EveryDiskLostInTurn: the last newcomer gets a snapshot whose membership
-// lists none of the current replicas, not even its sender.
+// TestMembership_EveryDiskLostInTurn replaces the disks of all machines one after another.
+// The last newcomer receives a snapshot whose membership lists none of the current replicas,
+// not even the sender of the snapshot.
 func TestMembership_EveryDiskLostInTurn(t *testing.T) {
 	machines := newMachines(t, 3)
 	startAll(machines)
@@ -95,24 +98,24 @@
 	}
 	for _, m := range machines {
 		if got := workerNames(t, m); !slices.Equal(got, []string{"before"}) {
-			t.Errorf("%s has the workers %v", m.name, got)
+			t.Errorf("%s: got workers %v, want [before]", m.name, got)
 		}
 	}
 }
 
-// TestMembership_StandbyReplacesLostVoter also covers the return of the lost voter: it was
-// replaced meanwhile and joins again with the data that it has.
+// TestMembership_StandbyReplacesLostVoter checks that a standby takes the slot of a lost
+// voter, and that the lost voter joins again with its old store after it was replaced.
 func TestMembership_StandbyReplacesLostVoter(t *testing.T) {
 	seeds, fourth := newClusterWithStandby(t)
 	startAll(seeds)
 	leader := leaderOf(t, seeds...)
 	fourth.start()
-	eventually(t, "the fourth is a learner", func() bool { return isLearner(leader, fourth) })
+	eventually(t, "the fourth replica is a learner", func() bool { return isLearner(leader, fourth) })
 	proposeRegistration(t, "before", leader)
 
 	lost := without(seeds, leader)[0]
 	lost.crash()
-	eventually(t, "the fourth votes, and the change is over", func() bool {
+	eventually(t, "the fourth replica votes and the membership change is complete", func() bool {
 		for _, m := range []*machine{leader, fourth} {
 			over := len(m.replica.Status().Membership.Outgoing) == 0
 			if !over || !isVoter(m, fourth) || isVoter(m, lost) || len(voterIDs(m)) != 3 {
@@ -121,21 +124,22 @@
 		}
 		return true
 	})
-	// A second loss right after: the two that are left are a majority.
+	// A second voter is lost right after: the two remaining voters are a majority.
 	second := without(seeds, leader, lost)[0]
 	second.crash()
 	proposeRegistration(t, "after", leader, fourth)
 
 	lost.start()
-	eventually(t, "the lost one is back", func() bool {
+	eventually(t, "the lost replica votes again", func() bool {
 		now := leaderOf(t, leader, fourth, lost)
 		return isVoter(now, lost) && len(voterIDs(now)) == 3
 	})
-	eventually(t, "it holds all", func() bool { return len(workerNames(t, lost)) == 2 })
+	eventually(t, "the returned replica has both workers", func() bool { return len(workerNames(t, lost)) == 2 })
 }
 
-// TestMembership_SurvivesLossOfZone: of six machines in three zones five vote. The zone of
-// the leader is lost, with one or two of the voters.
+// TestMembership_SurvivesLossOfZone checks that the loss of one zone leaves a majority. Five
+// of six machines in three zones vote; the leader's zone, with one or two of the voters, is
+// lost.
 func TestMembership_SurvivesLossOfZone(t *testing.T) {
 	machines := newMachines(t, 6)
 	for i, m := range machines {
@@ -149,22 +153,22 @@
 	for _, m := range machines[3:] {
 		m.start()
 	}
-	eventually(t, "five vote and one stands by", func() bool {
+	eventually(t, "five replicas vote and one stands by", func() bool {
 		leader = leaderOf(t, machines...)
 		membership := leader.replica.Status().Membership
 		return len(membership.Voters) == 5 && len(membership.Outgoing) == 0 && len(membership.Learners) == 1
 	})
 	if spread := reconfig.MeasureZoneSpread(leader.replica.Status().Membership.Voters); spread.OneZoneIsCritical || spread.LargestZone != 2 {
-		t.Fatalf("voters are spread as %+v", spread)
+		t.Fatalf("got spread %+v, want no critical zone and at most two voters per zone", spread)
 	}
 	proposeRegistration(t, "before", leader)
-	var left []*machine
+	var surviving []*machine
 	for _, m := range machines {
 		if m.zone == leader.zone {
 			m.crash()
 		} else {
-			left = append(left, m)
+			surviving = append(surviving, m)
 		}
 	}
-	proposeRegistration(t, "after", left...)
+	proposeRegistration(t, "after", surviving...)
 }
--- a/internal/replica/membershipserver.go
+++ b/internal/replica/membershipserver.go
@@ -13,20 +13,21 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// postponedLogInterval is how often the leader logs why it lets a newcomer wait.
+// postponedLogInterval is the minimum time between log lines about postponed joins.
 const postponedLogInterval = 5 * time.Second
 
-// membershipServer takes replicas into the membership and lets voters retire, while
-// this replica leads.
+// membershipServer serves join and retire requests of replicas while this replica is the
+// leader.
 type membershipServer struct {
 	published *published
 	mailbox   *mailbox
 }
 
-// serveJoin takes a newcomer in, one step for each request.
+// serveJoin proposes the next step of a join. The newcomer repeats its request until the
+// answer says that it votes or stands by.
 func (s *membershipServer) serveJoin(ctx context.Context, request protocol.JoinRequest) (protocol.JoinAnswer, error) {
 	if request.Member.ID == "" || request.Member.Name == "" || request.Member.Address == "" {
-		return protocol.JoinAnswer{}, &rpc.Error{Code: rpc.CodeBadRequest, Message: "member data is incomplete"}
+		return protocol.JoinAnswer{}, &rpc.Error{Code: rpc.CodeBadRequest, Message: "join request lacks the member's id, name or address"}
 	}
 	if !s.published.holdsAnyLease() {
 		return protocol.JoinAnswer{}, s.published.notLeaderError()
@@ -42,8 +43,8 @@
 	return protocol.JoinAnswer{Voter: step.Voter, Standby: step.Standby}, nil
 }
 
-// serveRetire gives the slot of a voter that is about to stop to a learner that stands
-// by.
+// serveRetire proposes to give the slot of a voter that is about to stop to a learner
+// that stands by. Done is true in the answer once the voter need not wait any longer.
 func (s *membershipServer) serveRetire(ctx context.Context, request protocol.RetireRequest) (protocol.RetireAnswer, error) {
 	if !s.published.holdsAnyLease() {
 		return protocol.RetireAnswer{}, s.published.notLeaderError()
@@ -60,19 +61,22 @@
 	return protocol.RetireAnswer{Done: done}, nil
 }
 
-// membershipChanger proposes changes of the membership as the leader. It belongs to
-// the loop.
+// membershipChanger proposes membership changes while this replica is the leader. It
+// belongs to the loop.
 type membershipChanger struct {
 	node *raft.Node
 	// maxVoters is Config.MaxVoters.
 	maxVoters int
-	// electionTimeoutMax bounds how long a live replica may be out of contact.
+	// electionTimeoutMax is how long a live replica may be out of contact. A voter is
+	// replaced after twice this time.
 	electionTimeoutMax time.Duration
 	logger             *slog.Logger
-	// postponedLoggedAt is when a postponed join was last logged; 0 if never.
+	// postponedLoggedAt is when a postponed join was last logged, on the monotonic
+	// clock; 0 if never.
 	postponedLoggedAt time.Duration
 }
 
+// nextStep decides the next step for the newcomer that sent the request.
 func (c *membershipChanger) nextStep(request protocol.JoinRequest, now time.Duration) reconfig.Step {
 	return reconfig.NextStep(reconfig.Query{
 		Member:        request.Member,
@@ -84,17 +88,19 @@
 	})
 }
 
-// nextRetireStep also reports whether the voter has nothing more to wait for.
+// nextRetireStep decides the next step for a voter that retires. done reports whether the
+// voter need not wait any longer; see reconfig.HasRetired.
 func (c *membershipChanger) nextRetireStep(leaving raft.ReplicaID, now time.Duration) (step reconfig.Step, done bool) {
 	status := c.node.Status()
 	return reconfig.NextRetireStep(leaving, status, now, c.electionTimeoutMax), reconfig.HasRetired(leaving, status.Membership)
 }
 
-// propose proposes the change of a step for a member. A change that cannot be made now
-// is requested again, so that is no error.
+// propose proposes the membership change of a step for a member, or logs why the step is
+// postponed. It returns nil if another change is pending or the learner has not caught up,
+// because the member repeats its request.
 func (c *membershipChanger) propose(step reconfig.Step, member raft.Member, now time.Duration) error {
-	if step.Postponed != "" {
-		c.logPostponed(member, step.Postponed, now)
+	if step.PostponedReason != "" {
+		c.logPostponed(member, step.PostponedReason, now)
 		return nil
 	}
 	if step.Change == reconfig.ChangeNone {
@@ -115,7 +121,7 @@
 	return nil
 }
 
-// logPostponed logs at most one line in each postponedLogInterval.
+// logPostponed logs a postponed join, at most once per postponedLogInterval.
 func (c *membershipChanger) logPostponed(member raft.Member, reason string, now time.Duration) {
 	if c.postponedLoggedAt != 0 && now-c.postponedLoggedAt < postponedLogInterval {
 		return
--- a/internal/replica/membershipserver_test.go
+++ b/internal/replica/membershipserver_test.go
@@ -9,9 +9,12 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-func TestMembershipServer_RejectsWithoutTheLoop(t *testing.T) {
+// TestMembershipServer_RejectsBeforeReachingLoop checks that join requests with incomplete
+// member data, and all requests to a leader without a lease, are rejected without a call to
+// the loop, which does not run in this test.
+func TestMembershipServer_RejectsBeforeReachingLoop(t *testing.T) {
 	s := &membershipServer{published: newTestPublished(t), mailbox: newMailbox()}
-	s.published.update(raft.Status{Role: raft.RoleLeader, Term: 3, TermReady: true}) // its lease has expired
+	s.published.update(raft.Status{Role: raft.RoleLeader, Term: 3, TermReady: true}) // leader whose lease has expired
 	for name, c := range map[string]struct {
 		member raft.Member
 		want   rpc.Code
@@ -22,11 +25,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := s.serveJoin(t.Context(), protocol.JoinRequest{Member: c.member}); !errors.Is(err, &rpc.Error{Code: c.want}) {
-				t.Errorf("got %v, want %s", err, c.want)
+				t.Errorf("join: got error %v, want %s", err, c.want)
 			}
 		})
 	}
 	if _, err := s.serveRetire(t.Context(), protocol.RetireRequest{ID: "b"}); !errors.Is(err, &rpc.Error{Code: rpc.CodeNotLeader}) {
-		t.Errorf("retire: %v, want %s", err, rpc.CodeNotLeader)
+		t.Errorf("retire: got error %v, want %s", err, rpc.CodeNotLeader)
 	}
 }
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// metrics of a replica; docs/METRICS.md describes them.
+// metrics holds the Prometheus metrics of a replica; docs/METRICS.md describes them.
 type metrics struct {
 	term        prometheus.Gauge
 	isLeader    prometheus.Gauge
@@ -20,6 +20,7 @@
 	diskFull    prometheus.Gauge
 }
 
+// newMetrics creates the metrics and registers them unless registerer is nil.
 func newMetrics(registerer prometheus.Registerer) (*metrics, error) {
 	gauge := func(name, help string) prometheus.Gauge {
 		return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "decklever", Subsystem: "replica", Name: name, Help: help})
--- a/internal/replica/proposal_test.go
+++ b/internal/replica/proposal_test.go
@@ -12,16 +12,16 @@
 	return &proposal{token: token, done: make(chan proposalOutcome, 1)}
 }
 
-func TestProposal_AbandonDependsOnWhoHasIt(t *testing.T) {
-	notTaken, taken := errors.New("not taken"), errors.New("taken")
+func TestProposal_AbandonErrorDependsOnState(t *testing.T) {
+	errNotTaken, errTaken := errors.New("not taken"), errors.New("taken")
 	leader := raft.Status{Role: raft.RoleLeader, Term: 3}
 	cases := map[string]struct {
 		prepare func(*proposal)
 		index   uint64
 		want    error
 	}{
-		"queued":   {func(*proposal) {}, 0, notTaken},
-		"taken":    {func(p *proposal) { admit(p, leader) }, 0, taken},
+		"queued":   {func(*proposal) {}, 0, errNotTaken},
+		"taken":    {func(p *proposal) { admit(p, leader) }, 0, errTaken},
 		"applied":  {func(p *proposal) { admit(p, leader); p.finish(record.Result{Index: 7}, nil) }, 7, nil},
 		"rejected": {func(p *proposal) { p.reject(ErrStopped) }, 0, ErrStopped},
 	}
@@ -29,7 +29,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := newProposal(3)
 			c.prepare(p)
-			result, err := p.abandon(notTaken, taken)
+			result, err := p.abandon(errNotTaken, errTaken)
 			if !errors.Is(err, c.want) || result.Index != c.index {
 				t.Errorf("got %+v, %v; want index %d, %v", result, err, c.index, c.want)
 			}
@@ -52,11 +52,11 @@
 		t.Run(name, func(t *testing.T) {
 			p := newProposal(c.token)
 			if got := admit(p, c.status); got != c.admit {
-				t.Fatalf("admitted: %v, want %v", got, c.admit)
+				t.Fatalf("admitted: got %v, want %v", got, c.admit)
 			}
 			if !c.admit {
 				if outcome := <-p.done; !errors.Is(outcome.err, ErrNotLeader) {
-					t.Errorf("outcome %v, want ErrNotLeader", outcome.err)
+					t.Errorf("outcome: got %v, want ErrNotLeader", outcome.err)
 				}
 			}
 		})
@@ -64,7 +64,7 @@
 	canceled := newProposal(3)
 	_, _ = canceled.abandon(ErrOverloaded, ErrOutcomeUnknown)
 	if admit(canceled, leader) || len(canceled.done) != 0 {
-		t.Error("a canceled proposal was admitted, or has an outcome")
+		t.Error("canceled proposal was admitted or completed")
 	}
 }
 
@@ -80,11 +80,11 @@
 			pending := pendingProposals{index: p}
 			pending.complete(raft.Entry{Index: index + 1, Term: c.term}, record.Result{})
 			if len(p.done) != 0 {
-				t.Fatal("the entry after it completed the proposal")
+				t.Fatal("proposal completed by the entry after its own")
 			}
 			pending.complete(raft.Entry{Index: index, Term: c.term}, record.Result{Index: index})
 			if outcome := <-p.done; !errors.Is(outcome.err, c.want) || len(pending) != 0 {
-				t.Errorf("outcome %v, %d pending; want %v, none", outcome.err, len(pending), c.want)
+				t.Errorf("got outcome %v, %d pending; want %v, 0 pending", outcome.err, len(pending), c.want)
 			}
 		})
 	}
@@ -95,10 +95,10 @@
 	reads := pendingReads{byID: map[uint64]chan<- readOutcome{1: first, 2: second}}
 	reads.complete([]raft.ReadState{{Request: 2, Index: 40}, {Request: 3, Index: 41}})
 	if outcome := <-second; outcome.index != 40 || outcome.err != nil {
-		t.Errorf("second read: %+v, want index 40", outcome)
+		t.Errorf("second read: got %+v, want index 40", outcome)
 	}
 	reads.fail(ErrNotLeader)
 	if outcome := <-first; !errors.Is(outcome.err, ErrNotLeader) || len(reads.byID) != 0 {
-		t.Errorf("first read: %+v, %d pending; want ErrNotLeader, none", outcome, len(reads.byID))
+		t.Errorf("first read: got %+v, %d pending; want ErrNotLeader, 0 pending", outcome, len(reads.byID))
 	}
 }
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -8,20 +8,21 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// States of a proposal: its caller may cancel it until the loop takes it.
+// States of a proposal. Its caller can cancel it until the loop has taken it.
 const (
 	proposalQueued int32 = iota
 	proposalTaken
 	proposalCanceled
 )
 
-// proposal is one command on its way into the log.
+// proposal is one command that is to be appended to the log.
 type proposal struct {
 	token uint64
 	data  []byte
 	state atomic.Int32
 	done  chan proposalOutcome // of capacity 1
-	// term is the one that the command was appended in. It belongs to the loop.
+	// term is the term in which the command was appended. It is owned by the loop
+	// goroutine.
 	term uint64
 }
 
@@ -30,43 +31,46 @@
 	err    error
 }
 
+// finish passes the outcome to the caller. It must be called at most once.
 func (p *proposal) finish(result record.Result, err error) {
 	p.done <- proposalOutcome{result: result, err: err}
 }
 
-// reject ends a proposal that the loop never appended.
+// reject completes a proposal with err if the loop has not taken it and its caller has not
+// canceled it.
 func (p *proposal) reject(err error) {
 	if p.state.CompareAndSwap(proposalQueued, proposalTaken) {
 		p.finish(record.Result{}, err)
 	}
 }
 
-// abandon ends the wait of the caller. It returns notTaken if the loop can no
-// longer take the proposal, else the outcome if there is one, else taken.
-func (p *proposal) abandon(notTaken, taken error) (record.Result, error) {
+// abandon is called when the caller stops waiting. It cancels the proposal and returns
+// errNotTaken if the loop has not taken it. Otherwise it returns the outcome if that is
+// known, else errTaken.
+func (p *proposal) abandon(errNotTaken, errTaken error) (record.Result, error) {
 	if p.state.CompareAndSwap(proposalQueued, proposalCanceled) {
-		return record.Result{}, notTaken
+		return record.Result{}, errNotTaken
 	}
 	select {
 	case outcome := <-p.done:
 		return outcome.result, outcome.err
 	default:
-		return record.Result{}, taken
+		return record.Result{}, errTaken
 	}
 }
 
-// proposer is the callers' side of proposals: it encodes commands, queues them for
-// the loop, and waits for their outcome.
+// proposer encodes commands, queues them for the loop, and waits for their outcome. Any
+// goroutine may call it.
 type proposer struct {
 	published *published
 	clock     *sharedClock
 	mailbox   *mailbox
 }
 
-// propose implements Log.Propose. If ctx ends first, the error matches its error
-// and either ErrOverloaded (no effect) or ErrOutcomeUnknown.
+// propose implements Log.Propose. If ctx ends first, the error matches the context's error
+// and either ErrOverloaded (the command has no effect) or ErrOutcomeUnknown.
 func (p *proposer) propose(ctx context.Context, token uint64, command record.Command) (record.Result, error) {
-	if !p.published.leads(token) {
+	if !p.published.leadsInTerm(token) {
 		return record.Result{}, p.mailbox.notLeaderOrStopped()
 	}
 	command.Time, command.Token = p.clock.now(p.published.monotonic.now()), token
@@ -75,7 +79,7 @@
 		return record.Result{}, fmt.Errorf("encode command: %w", err)
 	}
 	queued := &proposal{token: token, data: data, done: make(chan proposalOutcome, 1)}
-	if !p.mailbox.submit(queued) {
+	if !p.mailbox.enqueueProposal(queued) {
 		return record.Result{}, ErrOverloaded
 	}
 	select {
--- a/internal/replica/propose_test.go
+++ b/internal/replica/propose_test.go
@@ -23,12 +23,13 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	if err := leader.replica.ReadBarrier(ctx); err == nil {
-		t.Fatal("a read was answered without a quorum")
+		t.Fatal("read barrier succeeded without a quorum")
 	}
 }
 
-// BenchmarkPropose commits commands through three replicas on disk: many
-// proposers at once, whose commands share syncs, and one that waits for each.
+// BenchmarkPropose commits commands with three replicas on disk. "many" runs parallel
+// proposers, whose commands share syncs; "one" runs one proposer that waits for each
+// command.
 func BenchmarkPropose(b *testing.B) {
 	machines := newMachines(b, 3)
 	for _, m := range machines {
--- a/internal/replica/published.go
+++ b/internal/replica/published.go
@@ -9,25 +9,25 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// monotonicClock measures the times that are passed to the raft node, from the
-// moment that the replica was made. It goes on while the process is frozen.
+// monotonicClock measures the time since the replica was created, which is passed to the
+// raft node. It keeps running while the process is frozen.
 type monotonicClock struct{ startedAt time.Time }
 
 func (c monotonicClock) now() time.Duration { return time.Since(c.startedAt) }
 
-// leadershipView is what callers need to know of the leadership at once and
+// leadershipView holds the leadership state that callers read as one consistent value,
 // without a lock.
 type leadershipView struct {
 	leader bool
 	term   uint64
-	// leaseUntil is the monotonic end of the lease; zero before the first entry of
-	// the term is committed.
+	// leaseUntil is the monotonic time at which the lease ends; 0 before the first entry
+	// of the term is committed.
 	leaseUntil time.Duration
 }
 
-// published is what the loop tells all other goroutines, and the metrics, about its node. Only the
-// loop writes it, always before it sends the messages of the same Ready: a
-// replica that gave up its lease stops claiming it before another can lead.
+// published is the state of the node as other goroutines and the metrics see it. Only the
+// loop writes it, always before it sends the messages of the same Ready, so that a replica
+// that gave up its lease stops claiming it before another replica can lead.
 type published struct {
 	id        raft.ReplicaID
 	monotonic monotonicClock
@@ -39,7 +39,7 @@
 	applied watermark
 	// roleChanges counts changes of term, role, leader or readiness.
 	roleChanges watermark
-	// running is true from the start of the loop on.
+	// running becomes true when the loop starts, and stays true.
 	running atomic.Bool
 }
 
@@ -50,9 +50,9 @@
 	return p
 }
 
-// update publishes the state of the node and returns the status before. The
-// status is stored before the lease: who sees the lease of a term must also see
-// the commit index that the term began with.
+// update publishes the state of the node and returns the previous status. The status is
+// stored before the leadership view, because a goroutine that sees the lease of a term
+// must also see the commit index with which the term began.
 func (p *published) update(status raft.Status) (before *raft.Status) {
 	view := leadershipView{leader: status.Role == raft.RoleLeader, term: status.Term}
 	if status.TermReady {
@@ -66,34 +66,34 @@
 	return before
 }
 
-// leads reports whether this replica leads in the term that token names, whether
-// or not it holds the lease.
-func (p *published) leads(token uint64) bool {
+// leadsInTerm reports whether this replica leads in term token, with or without the lease.
+func (p *published) leadsInTerm(token uint64) bool {
 	view := p.leadership.Load()
 	return view.leader && view.term == token
 }
 
-// holdsLease compares the end of the lease with the time of the call, so that it
-// is right after the process was frozen.
+// holdsLease reports whether this replica leads in term token and holds the lease. It
+// compares the end of the lease with the time of the call, so that the answer is correct
+// even if the process was frozen.
 func (p *published) holdsLease(token uint64) bool {
 	view := p.leadership.Load()
 	return view.leader && view.term == token && p.monotonic.now() < view.leaseUntil
 }
 
-// holdsAnyLease reports whether this replica leads under its lease, in any term.
+// holdsAnyLease reports whether this replica leads and holds the lease, in any term.
 func (p *published) holdsAnyLease() bool {
 	view := p.leadership.Load()
 	return view.leader && p.holdsLease(view.term)
 }
 
-// leader returns the member that leads, if one is known.
+// leader returns the current leader; false if none is known.
 func (p *published) leader() (raft.Member, bool) {
 	status := p.status.Load()
 	return findMember(status.Membership, status.Leader)
 }
 
-// notLeaderError rejects a call that only the leader answers, with the leader's
-// address if another one is known.
+// notLeaderError returns the error that rejects a call which only the leader answers. It
+// carries the leader's address if another replica is known to lead.
 func (p *published) notLeaderError() *rpc.Error {
 	rejection := &rpc.Error{Code: rpc.CodeNotLeader, Message: "this replica does not lead"}
 	if leader, known := p.leader(); known && leader.ID != p.id {
@@ -102,11 +102,13 @@
 	return rejection
 }
 
+// roleDiffers reports whether term, role, leader or readiness of the term differ.
 func roleDiffers(a, b *raft.Status) bool {
 	return a.Term != b.Term || a.Role != b.Role || a.Leader != b.Leader || a.TermReady != b.TermReady
 }
 
-// checkReceiver rejects what is meant for a replica that was here before.
+// checkReceiver returns an error if a request is addressed to another replica, such as one
+// that previously ran at this address.
 func (p *published) checkReceiver(id raft.ReplicaID) error {
 	if id == p.id {
 		return nil
--- a/internal/replica/published_test.go
+++ b/internal/replica/published_test.go
@@ -15,15 +15,15 @@
 	r := newMachines(t, 1)[0].newReplica(client)
 	r.published.leadership.Store(&leadershipView{leader: true, term: 7, leaseUntil: r.published.monotonic.now() + time.Hour})
 	if !r.HoldsLease(7) || r.HoldsLease(6) || r.HoldsLease(8) {
-		t.Fatal("the lease is held under token 7 alone")
+		t.Fatal("lease not held in term 7, or held in term 6 or 8; want it held in term 7 only")
 	}
 	r.published.monotonic.startedAt = r.published.monotonic.startedAt.Add(-time.Hour) // the process was frozen for an hour
 	if r.HoldsLease(7) {
-		t.Fatal("the lease outlived its end")
+		t.Fatal("lease still held after its end")
 	}
 }
 
-// newTestPublished is that of the replica a.
+// newTestPublished returns the published state of replica a.
 func newTestPublished(t *testing.T) *published {
 	t.Helper()
 	metrics, err := newMetrics(nil)
@@ -51,10 +51,10 @@
 			p := newTestPublished(t)
 			before := p.update(c.status)
 			if before.ID != "a" || p.status.Load().Term != c.status.Term {
-				t.Errorf("before %+v, now %+v", before, p.status.Load())
+				t.Errorf("previous status %+v, published status %+v; want id a in the first, the new term in the second", before, p.status.Load())
 			}
-			if p.leads(term) != c.leads || p.holdsLease(term) != c.holds {
-				t.Errorf("leads %v, holds the lease %v; want %v, %v", p.leads(term), p.holdsLease(term), c.leads, c.holds)
+			if p.leadsInTerm(term) != c.leads || p.holdsLease(term) != c.holds {
+				t.Errorf("got leads %v, holds lease %v; want %v, %v", p.leadsInTerm(term), p.holdsLease(term), c.leads, c.holds)
 			}
 		})
 	}
@@ -66,7 +66,7 @@
 			p := newTestPublished(t)
 			p.update(raft.Status{Leader: leader, Membership: members("a", "b")})
 			if got := p.notLeaderError(); got.Code != rpc.CodeNotLeader || got.LeaderAddress != want {
-				t.Errorf("rejected with %+v, want the address %q", got, want)
+				t.Errorf("got %+v, want CodeNotLeader with leader address %q", got, want)
 			}
 		})
 	}
@@ -75,9 +75,9 @@
 func TestPublished_ReceiverMustBeThisReplica(t *testing.T) {
 	p := newTestPublished(t)
 	if err := p.checkReceiver("a"); err != nil {
-		t.Errorf("this replica: %v", err)
+		t.Errorf("request to this replica: got %v, want nil", err)
 	}
 	if err := p.checkReceiver("former"); !errors.Is(err, &rpc.Error{Code: rpc.CodeBadRequest}) {
-		t.Errorf("a former replica of this address: %v, want a bad request", err)
+		t.Errorf("request to a former replica at this address: got %v, want CodeBadRequest", err)
 	}
 }
--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -10,18 +10,19 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// reader makes reads of the local record linearizable: it finds a read index and
-// waits until that is applied here.
+// reader makes reads of the local record linearizable: it obtains a read index and waits
+// until that index is applied locally.
 type reader struct {
 	published *published
 	mailbox   *mailbox
 	client    *rpc.Client
 }
 
-// barrier implements Log.ReadBarrier. A leader under its lease waits only for what
-// is committed; without it a round of heartbeats confirms the read index, and a
-// follower requests one from the leader. It fails with ErrNotLeader if no leader
-// could be reached, ErrStopped, the context's error, or an *rpc.Error.
+// barrier implements Log.ReadBarrier. A leader that holds the lease waits only until its
+// committed entries are applied; without the lease, a round of heartbeats first confirms
+// the read index. A follower requests the read index from the leader. barrier fails with
+// ErrNotLeader if no leader could be reached, ErrStopped, the context's error, or an
+// *rpc.Error.
 func (r *reader) barrier(ctx context.Context) error {
 	index, err := r.readIndex(ctx)
 	if errors.Is(err, ErrNotLeader) {
@@ -33,7 +34,8 @@
 	return r.published.applied.wait(ctx, r.mailbox.stopped, index)
 }
 
-// readIndex returns a read index if this replica leads, else ErrNotLeader.
+// readIndex returns a read index if this replica leads, otherwise ErrNotLeader or
+// ErrStopped.
 func (r *reader) readIndex(ctx context.Context) (uint64, error) {
 	view := r.published.leadership.Load()
 	if !view.leader {
@@ -42,10 +44,10 @@
 	if !r.published.holdsLease(view.term) {
 		return r.confirmedReadIndex(ctx)
 	}
-	// A commit is acknowledged only after it is applied, and applied is read after
-	// the call began: nothing acknowledged lies beyond the two.
+	// An entry is acknowledged only after it is applied, and applied is read after the
+	// call began, so no acknowledged entry lies above both indexes.
 	index := max(r.published.status.Load().Commit, r.published.applied.load())
-	// The lease must still hold now that the index is read.
+	// The lease must still be held after the index was read.
 	if !r.published.holdsLease(view.term) {
 		return r.confirmedReadIndex(ctx)
 	}
@@ -73,7 +75,8 @@
 	}
 }
 
-// leaderReadIndex requests a read index from the leader.
+// leaderReadIndex requests a read index from the leader. It fails with ErrNotLeader if no
+// other replica is known to lead.
 func (r *reader) leaderReadIndex(ctx context.Context) (uint64, error) {
 	leader, known := r.published.leader()
 	if !known || leader.ID == r.published.id {
@@ -83,7 +86,7 @@
 	return answer.Index, err
 }
 
-// serveReadIndex gives a follower a read index; leader only.
+// serveReadIndex handles a follower's request for a read index. Only the leader answers it.
 func (r *reader) serveReadIndex(ctx context.Context, _ protocol.Empty) (protocol.ReadIndexAnswer, error) {
 	index, err := r.readIndex(ctx)
 	if errors.Is(err, ErrNotLeader) {
@@ -92,15 +95,16 @@
 	return protocol.ReadIndexAnswer{Index: index}, err
 }
 
-// readOutcome is the end of one read request.
+// readOutcome is the read index or the error that completes one read request.
 type readOutcome struct {
 	index uint64
 	err   error
 }
 
-// pendingReads wait for their ReadState. It belongs to the loop.
+// pendingReads holds the read requests that wait for their ReadState. It is owned by the
+// loop goroutine.
 type pendingReads struct {
-	// lastID numbers the requests.
+	// lastID is the id of the newest request; ids count up from 1.
 	lastID uint64
 	byID   map[uint64]chan<- readOutcome
 }
@@ -109,7 +113,8 @@
 	return pendingReads{byID: make(map[uint64]chan<- readOutcome)}
 }
 
-// start requests a read index from the node; done, of capacity 1, takes the outcome.
+// start requests a read index from the node. The outcome is sent to done, which must have
+// capacity 1.
 func (p *pendingReads) start(node *raft.Node, now time.Duration, done chan<- readOutcome) error {
 	p.lastID++
 	if err := node.ReadIndex(now, p.lastID); err != nil {
--- a/internal/replica/read_test.go
+++ b/internal/replica/read_test.go
@@ -8,8 +8,9 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// TestReadIndex_UnderLeaseCoversCommittedAndApplied: what was acknowledged lies below the
-// one or the other.
+// TestReadIndex_UnderLeaseCoversCommittedAndApplied guards against a read index below an
+// acknowledged entry. The published commit index and applied index are read separately, and
+// an acknowledged entry is covered by the larger of them.
 func TestReadIndex_UnderLeaseCoversCommittedAndApplied(t *testing.T) {
 	for name, c := range map[string]struct{ commit, applied, want uint64 }{
 		"applied lags":  {50, 40, 50},
@@ -20,7 +21,7 @@
 			r.published.update(raft.Status{Role: raft.RoleLeader, Term: 3, TermReady: true, LeaseUntil: time.Hour, Commit: c.commit})
 			r.published.applied.advance(c.applied)
 			if got, err := r.readIndex(t.Context()); err != nil || got != c.want {
-				t.Errorf("read index %d, %v; want %d", got, err, c.want)
+				t.Errorf("got read index %d, error %v; want %d", got, err, c.want)
 			}
 		})
 	}
@@ -32,6 +33,6 @@
 		t.Errorf("got %v, want ErrNotLeader", err)
 	}
 	if err := r.barrier(t.Context()); !errors.Is(err, ErrNotLeader) {
-		t.Errorf("barrier without a known leader: %v, want ErrNotLeader", err)
+		t.Errorf("barrier without a known leader: got %v, want ErrNotLeader", err)
 	}
 }
--- a/internal/replica/ready.go
+++ b/internal/replica/ready.go
@@ -8,9 +8,9 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// processReady processes what the node has ready, and what follows from it, until nothing
-// is left. When the replica stops it leaves the rest, as a crash would: each save may take
-// long.
+// processReady processes all Readys of the node and starts the work that depends on them:
+// a leadership transfer from a slow disk, Lead, and a snapshot. When the replica stops,
+// remaining Readys are left unprocessed, as after a crash, because each save may take long.
 func (l *loop) processReady() error {
 	if err := l.drainReady(); err != nil {
 		return err
@@ -25,8 +25,9 @@
 	return nil
 }
 
-// drainReady publishes the status before the messages of a Ready go out: what others
-// must no longer believe of this replica is withdrawn before another can act on it.
+// drainReady processes Readys until the node has none. It publishes the status before the
+// messages of a Ready are sent, so that a claim that no longer holds, such as the lease, is
+// withdrawn before another replica can act on those messages.
 func (l *loop) drainReady() error {
 	l.publish(l.node.Status())
 	for l.node.HasReady() {
@@ -41,10 +42,11 @@
 	return nil
 }
 
-// handleReady takes the steps of one Ready, in the order that raft requires. Early
-// messages are appends of a leader, which counts itself only once its entries are saved.
-// All other messages only follow the save, as they vouch for what is saved. Committed
-// entries are applied after that, and reads get their index, which the reader waits for.
+// handleReady performs the steps of one Ready in the order that raft requires. Early
+// messages are a leader's appends, which may precede the save because a leader counts
+// itself towards the quorum only once its entries are saved. All other messages are sent
+// after the save, because they assert what is saved. Then committed entries are applied and
+// reads receive their index; the reader waits until that index is applied.
 func (l *loop) handleReady(ready raft.Ready) error {
 	l.send(ready.EarlyMessages)
 	if ready.HardState != nil || len(ready.Entries) > 0 {
@@ -70,8 +72,8 @@
 	}
 }
 
-// apply applies committed entries, and answers a proposal only after its entry is
-// visible: who got the answer reads its effect.
+// apply applies committed entries. It completes a proposal only after its entry is applied
+// and published.applied covers it, so that a caller with the result can read its effect.
 func (l *loop) apply(committed []raft.Entry) error {
 	for _, entry := range committed {
 		result, err := applyEntry(l.record, l.logger, entry)
@@ -85,8 +87,8 @@
 	return nil
 }
 
-// transferFromSlowDisk transfers leadership if the disk is slow. It reports whether
-// there is something to send.
+// transferFromSlowDisk starts a leadership transfer if this replica leads and its disk is
+// slow. It reports whether it did, in which case the node may have a Ready.
 func (l *loop) transferFromSlowDisk() bool {
 	now := l.now()
 	if !l.saver.slowDisk.takeTransfer(now, l.term.leading) {
@@ -99,8 +101,8 @@
 	return true
 }
 
-// publish shows the status of the node to the other goroutines, and follows changes of
-// term, role and membership.
+// publish makes the status of the node visible to the other goroutines, and reacts to
+// changes of term, role, leader, readiness and membership.
 func (l *loop) publish(status raft.Status) {
 	before := l.published.update(status)
 	current := l.published.status.Load()
@@ -113,7 +115,7 @@
 	}
 }
 
-// handleRoleChange is called when term, role, leader or readiness changed.
+// handleRoleChange reacts to a change of term, role, leader or readiness of the term.
 func (l *loop) handleRoleChange(before, after *raft.Status) {
 	leads := after.Role == raft.RoleLeader
 	if l.term.leading && (!leads || after.Term != l.term.term) {
@@ -123,7 +125,7 @@
 	if leads && !l.term.leading {
 		l.logger.Info("became leader", "term", after.Term, "last_index", after.LastIndex)
 		l.term.begin(after.Term)
-		l.clock.observeOwn(l.now())
+		l.clock.observeLocal(l.now())
 	}
 	if !leads && after.Leader != "" && after.Leader != before.Leader {
 		l.logger.Info("following leader", "term", after.Term, "leader", string(after.Leader))
@@ -133,16 +135,18 @@
 	}
 }
 
-// endTerm ends what waits for the term as leader: pending proposals may yet be
-// committed by another leader, reads have to find that one.
+// endTerm cancels Lead and fails the proposals and reads that wait for this replica's term
+// as leader. Proposals fail with ErrOutcomeUnknown, because another leader may still commit
+// them; reads fail with ErrNotLeader and have to ask the new leader.
 func (l *loop) endTerm() {
 	l.appender.pending.fail(ErrOutcomeUnknown)
 	l.reads.fail(ErrNotLeader)
 	l.term.end(l.now())
 }
 
-// startLeadIfReady calls Lead once the record reflects all earlier terms, the lease is
-// held, and the Lead of the earlier term has returned.
+// startLeadIfReady starts Lead once the record reflects all earlier terms, the lease is
+// held, and the Lead of the earlier term has returned. Before that it restarts the cluster
+// clock from the newest time in the record.
 func (l *loop) startLeadIfReady() {
 	if !l.term.previousLeadReturned(l.now()) {
 		return
@@ -156,7 +160,8 @@
 	l.term.start(l.ctx)
 }
 
-// handleMembershipChange lets transport and cluster clock follow the membership.
+// handleMembershipChange updates the peers of the transport and the voters of the cluster
+// clock.
 func (l *loop) handleMembershipChange(membership raft.Membership) {
 	l.transport.SetMembers(membership)
 	var voters []raft.ReplicaID
--- a/internal/replica/reconfig/step.go
+++ b/internal/replica/reconfig/step.go
@@ -8,13 +8,14 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// maxPromotionLag is how many entries a learner may lack when it becomes a voter.
+// maxPromotionLag is the maximum number of log entries that a learner may lack when it
+// becomes a voter.
 const maxPromotionLag = 100
 
-// Change is the kind of a change of the membership. Its text goes into the log.
+// Change is the kind of a membership change. Its text is used in log lines.
 type Change string
 
-// Kinds of changes.
+// Kinds of membership changes.
 const (
 	ChangeNone       Change = ""
 	ChangeMemberData Change = "member data"
@@ -23,46 +24,48 @@
 	ChangeRetire     Change = "retire voter"
 )
 
-// Step is the next thing to do for a replica that joins or retires. The zero Step says
-// that nothing can be done yet.
+// Step is the next step for a replica that joins or retires. The zero Step means that
+// nothing can be done yet.
 type Step struct {
-	// Voter reports that the newcomer votes.
+	// Voter reports that the newcomer is a voter.
 	Voter bool
-	// Standby reports that the newcomer has all that it needs and stays a learner
-	// until a voter is unresponsive or retires.
+	// Standby reports that the newcomer is ready to vote, and stays a learner until a
+	// voter slot becomes available.
 	Standby bool
-	Change  Change
+	// Change is the membership change to propose; ChangeNone if there is none.
+	Change Change
 	// Target is the membership after the change.
 	Target raft.Membership
 	// Replaces is the voter whose slot the learner takes; empty if the slot is new.
 	Replaces raft.ReplicaID
-	// Learner becomes a voter by the change, if one does.
+	// Learner is the learner that the change makes a voter, or the first of two; zero
+	// if the change makes none.
 	Learner raft.Member
-	// Postponed is why the newcomer has to wait until somebody acts or a voter
-	// becomes unresponsive; empty if it has not.
-	Postponed string
+	// PostponedReason is why the newcomer must wait until an operator acts or a voter
+	// becomes unresponsive; empty if it need not wait.
+	PostponedReason string
 }
 
-// Query is all that decides the next step of a newcomer.
+// Query is the input of NextStep.
 type Query struct {
-	// Member is the newcomer, as it describes itself.
+	// Member is the newcomer, with the member data of its request.
 	Member raft.Member
-	// ArchiveCopied is true once it holds the archive of ended jobs.
+	// ArchiveCopied is true once the newcomer has copied the archive of ended jobs.
 	ArchiveCopied bool
-	// Status is that of the leader's node.
+	// Status is the status of the leader's raft node.
 	Status raft.Status
-	// Now is on the clock of Status, as is Progress.LastSeen.
+	// Now is the time on the clock of Status and Progress.LastSeen.
 	Now time.Duration
 	// VoterTimeout is how long a voter must have been out of contact to be replaced.
 	VoterTimeout time.Duration
-	// MaxVoters is the number of voters up to which slots are added.
+	// MaxVoters is the number of voters up to which new slots are added.
 	MaxVoters int
 }
 
-// NextStep decides the next step of a newcomer. It first becomes a learner. Once it has
-// caught up and holds the archive, one joint change gives it the slot of a voter that is
-// gone, or a new slot if there are few. Else it stands by. During a joint change nothing
-// is decided.
+// NextStep decides the next step of a newcomer. The newcomer first becomes a learner. Once
+// it has caught up and holds the archive, one joint change gives it the slot of another
+// voter, or a new slot; see voterSlotStep. If no slot is available, it stands by. While a
+// joint change is in progress, NextStep returns the zero Step.
 func NextStep(q Query) Step {
 	member, current := q.Member, q.Status.Membership
 	if len(current.Outgoing) > 0 {
@@ -80,7 +83,7 @@
 	return promotionStep(q)
 }
 
-// voterStep changes the data of a voter, such as its zone, if they differ.
+// voterStep updates the member data of a voter, such as its zone, if they changed.
 func voterStep(member raft.Member, current raft.Membership, slot int) Step {
 	if current.Voters[slot] == member {
 		return Step{Voter: true}
@@ -90,7 +93,8 @@
 	return Step{Voter: true, Change: ChangeMemberData, Target: target}
 }
 
-// learnerStep adds the newcomer in place of an earlier learner of its name.
+// learnerStep adds the newcomer as a learner. It replaces any learner with the same id or
+// name.
 func learnerStep(member raft.Member, current raft.Membership) Step {
 	target := copyMembership(current)
 	target.Learners = slices.DeleteFunc(target.Learners, func(learner raft.Member) bool {
@@ -100,6 +104,8 @@
 	return Step{Change: ChangeAddLearner, Target: target}
 }
 
+// caughtUp reports whether a replica needs no snapshot and lacks at most maxPromotionLag
+// entries.
 func caughtUp(status raft.Status, id raft.ReplicaID) bool {
 	progress, known := progressOf(status, id)
 	return known && !progress.NeedsSnapshot && progress.Match+maxPromotionLag >= status.LastIndex
@@ -114,8 +120,8 @@
 	return raft.Progress{}, false
 }
 
-// promotionStep gives the newcomer a voter slot: that of the earlier replica of its own
-// machine, else whichever voterSlotStep finds.
+// promotionStep gives the newcomer a voter slot: the slot of the earlier replica of the
+// same machine if that is a voter, otherwise the slot that voterSlotStep chooses.
 func promotionStep(q Query) Step {
 	member, voters := q.Member, q.Status.Membership.Voters
 	if same := slices.IndexFunc(voters, func(voter raft.Member) bool { return voter.Name == member.Name }); same >= 0 {
@@ -124,42 +130,43 @@
 	return voterSlotStep(q)
 }
 
-// replaceSameMachineStep replaces the earlier replica of the same machine. At the same
-// address there can be one process only, so the earlier one is gone; elsewhere it must
-// be unresponsive first.
+// replaceSameMachineStep replaces the earlier replica of the same machine. If both have
+// the same address, the earlier one no longer runs, since only one process can listen
+// there. Otherwise the earlier one is replaced only once it is unresponsive.
 func replaceSameMachineStep(q Query, earlier raft.Member) Step {
 	member := q.Member
 	if earlier.Address != member.Address && !unresponsive(q, earlier.ID) {
-		return Step{Postponed: fmt.Sprintf("replica %s of the same name at %s was last seen less than %v ago", earlier.ID, earlier.Address, q.VoterTimeout)}
+		return Step{PostponedReason: fmt.Sprintf("replica %s of the same name at %s was last seen less than %v ago", earlier.ID, earlier.Address, q.VoterTimeout)}
 	}
 	return replaceStep(q.Status.Membership, member, earlier.ID)
 }
 
-// replaceStep gives the slot of a voter to a learner.
+// replaceStep gives the slot of the voter replaced to a learner.
 func replaceStep(current raft.Membership, learner raft.Member, replaced raft.ReplicaID) Step {
 	target := withoutLearner(current, learner.ID)
 	target.Voters[indexOf(target.Voters, replaced)] = learner
 	return Step{Change: ChangePromote, Target: target, Replaces: replaced, Learner: learner}
 }
 
-// unresponsive reports that a voter was out of contact for the whole voterTimeout. A
-// new leader counts each voter as seen when its term begins, so the time counts from
-// there at the earliest.
+// unresponsive reports whether a voter other than the leader has been out of contact for
+// longer than VoterTimeout. A new leader counts each voter as seen when its term begins,
+// so the time-out starts no earlier than the term.
 func unresponsive(q Query, id raft.ReplicaID) bool {
 	progress, known := progressOf(q.Status, id)
 	return known && id != q.Status.ID && q.Now-progress.LastSeen > q.VoterTimeout
 }
 
-// HasRetired reports that a replica votes no more, or that nobody could take its slot.
+// HasRetired reports whether a replica no longer votes, or there is no learner that could
+// take its slot.
 func HasRetired(id raft.ReplicaID, membership raft.Membership) bool {
 	votes := indexOf(membership.Voters, id) >= 0 || indexOf(membership.Outgoing, id) >= 0
 	return !votes || len(membership.Learners) == 0
 }
 
-// NextRetireStep gives the slot of a voter that is about to stop to a learner that
-// stands by and was seen within the timeout: the one that spreads the voters best over
-// zones, and of those one of the voter's zone if there is one. Without such a learner
-// the voter keeps its slot, as it may well come back.
+// NextRetireStep gives the slot of a voter that is about to stop to a learner that has
+// caught up and was seen within the timeout. It prefers the learner that gives the best
+// spread of voters over zones, and among equal ones a learner in the zone of the voter. If
+// no learner qualifies, it returns the zero Step: the voter keeps its slot, as it may return.
 func NextRetireStep(leaving raft.ReplicaID, status raft.Status, now, timeout time.Duration) Step {
 	current := status.Membership
 	slot := indexOf(current.Voters, leaving)
@@ -178,7 +185,7 @@
 			otherZones = append(otherZones, learner)
 		}
 	}
-	step, found := bestSpread(replacements(current, append(sameZone, otherZones...), []raft.ReplicaID{leaving}))
+	step, found := bestSpreadStep(replacementSteps(current, append(sameZone, otherZones...), []raft.ReplicaID{leaving}))
 	if !found {
 		return Step{}
 	}
@@ -186,6 +193,7 @@
 	return step
 }
 
+// indexOf returns the index of the member with the id, or -1.
 func indexOf(members []raft.Member, id raft.ReplicaID) int {
 	return slices.IndexFunc(members, func(member raft.Member) bool { return member.ID == id })
 }
--- a/internal/replica/reconfig/step_test.go
+++ b/internal/replica/reconfig/step_test.go
@@ -24,7 +24,7 @@
 		current       raft.Membership
 		archiveCopied bool
 		match         uint64
-		lastSeenC     time.Duration // of now, which is 10 s
+		lastSeenC     time.Duration // now is 10 s
 		change        Change
 		postponed     bool
 		voter         bool
@@ -52,21 +52,21 @@
 				VoterTimeout: 2 * time.Second,
 				MaxVoters:    3,
 			})
-			if step.Change != c.change || (step.Postponed != "") != c.postponed || step.Voter != c.voter {
-				t.Fatalf("got %+v", step)
+			if step.Change != c.change || (step.PostponedReason != "") != c.postponed || step.Voter != c.voter {
+				t.Fatalf("got step %+v, want the change, postponed and voter of the case", step)
 			}
 			if c.change == ChangePromote && (!slices.Equal(step.Target.Voters, asVoter.Voters) || len(step.Target.Outgoing) != 0 || len(step.Target.Learners) != 0 || step.Replaces != "c") {
-				t.Fatalf("target %+v replaces %s", step.Target, step.Replaces)
+				t.Fatalf("got target %+v that replaces %s, want voters a, b and n without learners, replacing c", step.Target, step.Replaces)
 			}
 			if c.change == ChangeAddLearner && len(step.Target.Learners) != 1 {
-				t.Fatalf("learners %v, want the newcomer alone", step.Target.Learners)
+				t.Fatalf("got learners %v, want only the newcomer", step.Target.Learners)
 			}
 		})
 	}
 }
 
-// TestNextStep_PromotesCaughtUpLearner checks which slot a learner gets that has
-// caught up.
+// TestNextStep_PromotesCaughtUpLearner checks which voter slot a learner that has caught up
+// gets.
 func TestNextStep_PromotesCaughtUpLearner(t *testing.T) {
 	sameAddress := raft.Member{ID: "n", Name: "name-c", Address: "address-c"}
 	otherMachine := raft.Member{ID: "n", Name: "name-n", Address: "address-n"}
@@ -102,7 +102,7 @@
 				Now: now, VoterTimeout: voterTimeout, MaxVoters: c.maxVoters,
 			})
 			if step.Change != c.change || step.Replaces != c.replaces || step.Standby != c.standby {
-				t.Fatalf("got %+v", step)
+				t.Fatalf("got step %+v, want the change, replaces and standby of the case", step)
 			}
 			if c.change == ChangeNone {
 				return
@@ -112,7 +112,7 @@
 				wantVoters = 4
 			}
 			if len(step.Target.Voters) != wantVoters || len(step.Target.Learners) != 0 || indexOf(step.Target.Voters, "n") < 0 {
-				t.Fatalf("target %+v", step.Target)
+				t.Fatalf("got target %+v, want n as a voter in a new or replaced slot, and no learners", step.Target)
 			}
 		})
 	}
@@ -132,13 +132,13 @@
 	}}
 	step := NextRetireStep("b", status, now, timeout)
 	if step.Replaces != "b" || indexOf(step.Target.Voters, "l2") < 0 || len(step.Target.Voters) != 3 || len(step.Target.Learners) != 3 {
-		t.Fatalf("got %+v, want the learner of the same zone in the slot of b", step)
+		t.Fatalf("got %+v, want learner l2 of the same zone in the slot of b", step)
 	}
 	if step := NextRetireStep("x", status, now, timeout); step.Change != ChangeNone {
-		t.Fatalf("no voter: %+v", step)
+		t.Fatalf("x is no voter: got %+v, want no change", step)
 	}
 	status.Membership.Learners = current.Learners[2:]
 	if step := NextRetireStep("b", status, now, timeout); step.Change != ChangeNone {
-		t.Fatalf("no standby is ready: %+v", step)
+		t.Fatalf("no standby is ready: got %+v, want no change", step)
 	}
 }
--- a/internal/replica/reconfig/voterslots.go
+++ b/internal/replica/reconfig/voterslots.go
@@ -6,15 +6,17 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// ZoneSpread is how voters are spread over zones.
+// ZoneSpread describes how voters are spread over zones.
 type ZoneSpread struct {
-	// OneZoneIsCritical reports that there is a zone without which the remaining
-	// voters are no majority.
+	// OneZoneIsCritical reports that the loss of some single zone leaves no majority of
+	// the voters. Such a zone is called critical.
 	OneZoneIsCritical bool
-	// LargestZone is the number of voters in the zone with most of them.
+	// LargestZone is the number of voters in the zone with the most voters.
 	LargestZone int
 }
 
+// betterThan prefers a spread without a critical zone, and then the one with the smaller
+// LargestZone.
 func (s ZoneSpread) betterThan(other ZoneSpread) bool {
 	if s.OneZoneIsCritical != other.OneZoneIsCritical {
 		return other.OneZoneIsCritical
@@ -32,27 +34,27 @@
 	return ZoneSpread{OneZoneIsCritical: len(voters)-largest < len(voters)/2+1, LargestZone: largest}
 }
 
-// voterSlotStep gives a voter slot to a learner that has caught up, preferably the one
-// that requested it. In this order it takes
+// voterSlotStep gives a voter slot to a learner that has caught up, preferably to the one
+// that sent the request. It chooses the first available of
 //
 //  1. the slot of an unresponsive voter;
-//  2. a new slot, if there are fewer than MaxVoters and no zone becomes critical;
-//  3. the slot of a voter, if a zone is critical now and none is after;
-//  4. a new slot, if a zone is critical now.
+//  2. a new slot, if there are fewer than MaxVoters and no zone is critical afterwards;
+//  3. the slot of a follower, if a zone is critical now and none is afterwards;
+//  4. a new slot, if there are fewer than MaxVoters and a zone is critical now.
 //
-// Of several ways it takes the one with the best spread over zones. If there is none,
-// the learner stands by.
+// Among several candidates it chooses the one with the best spread over zones. If there
+// is none, the learner stands by.
 func voterSlotStep(q Query) Step {
 	current, learners := q.Status.Membership, readyLearners(q)
-	if step, found := bestSpread(replacements(current, learners, unresponsiveVoters(q))); found {
+	if step, found := bestSpreadStep(replacementSteps(current, learners, unresponsiveVoters(q))); found {
 		return step
 	}
-	addition, canAdd := bestSpread(additions(current, learners, q.MaxVoters))
+	addition, canAdd := bestSpreadStep(additionSteps(current, learners, q.MaxVoters))
 	if canAdd && !MeasureZoneSpread(addition.Target.Voters).OneZoneIsCritical {
 		return addition
 	}
 	if MeasureZoneSpread(current.Voters).OneZoneIsCritical {
-		if step, found := bestSpread(replacements(current, learners, followers(q))); found && !MeasureZoneSpread(step.Target.Voters).OneZoneIsCritical {
+		if step, found := bestSpreadStep(replacementSteps(current, learners, followers(q))); found && !MeasureZoneSpread(step.Target.Voters).OneZoneIsCritical {
 			return step
 		}
 		if canAdd {
@@ -62,8 +64,9 @@
 	return Step{Standby: true}
 }
 
-// bestSpread returns the first of the steps with the best spread.
-func bestSpread(steps []Step) (Step, bool) {
+// bestSpreadStep returns the first of the steps with the best spread; false if there are
+// no steps.
+func bestSpreadStep(steps []Step) (Step, bool) {
 	var best Step
 	for _, step := range steps {
 		if best.Change == ChangeNone || MeasureZoneSpread(step.Target.Voters).betterThan(MeasureZoneSpread(best.Target.Voters)) {
@@ -73,9 +76,9 @@
 	return best, best.Change != ChangeNone
 }
 
-// replacements are all ways to give the slot of one of the voters to one learner, in
-// the order of the voters and then of the learners.
-func replacements(current raft.Membership, learners []raft.Member, voters []raft.ReplicaID) []Step {
+// replacementSteps returns one step for each pair of a voter and a learner that takes its
+// slot, in the order of the voters and then of the learners.
+func replacementSteps(current raft.Membership, learners []raft.Member, voters []raft.ReplicaID) []Step {
 	var steps []Step
 	for _, voter := range voters {
 		for _, learner := range learners {
@@ -85,17 +88,18 @@
 	return steps
 }
 
-// additions are all ways to make one learner a voter in a new slot, and two at once:
-// of four voters a zone with two is critical, of five it is not.
-func additions(current raft.Membership, learners []raft.Member, maxVoters int) []Step {
+// additionSteps returns all steps that make one learner, or two learners at once, voters in
+// new slots. Two at once avoid a critical zone: a zone with two of four voters is critical,
+// one with two of five voters is not.
+func additionSteps(current raft.Membership, learners []raft.Member, maxVoters int) []Step {
 	var steps []Step
-	free := maxVoters - len(current.Voters)
+	freeSlots := maxVoters - len(current.Voters)
 	for i, first := range learners {
-		if free >= 1 {
+		if freeSlots >= 1 {
 			steps = append(steps, addVotersStep(current, first))
 		}
 		for _, second := range learners[i+1:] {
-			if free >= 2 {
+			if freeSlots >= 2 {
 				steps = append(steps, addVotersStep(current, first, second))
 			}
 		}
@@ -112,8 +116,9 @@
 	return Step{Change: ChangePromote, Target: target, Learner: learners[0]}
 }
 
-// readyLearners are the one that made the request, and then all others that were seen
-// lately and have caught up. A learner follows the log only once it has the archive.
+// readyLearners returns the learner that sent the request, and then all others that were
+// seen within half of VoterTimeout and have caught up. The archive need not be checked for
+// the others: a learner follows the log only once it has the archive.
 func readyLearners(q Query) []raft.Member {
 	ready := []raft.Member{q.Member}
 	for _, learner := range q.Status.Membership.Learners {
@@ -126,7 +131,8 @@
 	return ready
 }
 
-// unresponsiveVoters are ordered by the time that they were last seen, oldest first.
+// unresponsiveVoters returns the unresponsive voters, ordered by the time at which they
+// were last seen, oldest first.
 func unresponsiveVoters(q Query) []raft.ReplicaID {
 	var found []raft.Progress
 	for _, voter := range q.Status.Membership.Voters {
@@ -142,7 +148,7 @@
 	return ids
 }
 
-// followers are all voters but the leader.
+// followers returns all voters except the leader.
 func followers(q Query) []raft.ReplicaID {
 	var ids []raft.ReplicaID
 	for _, voter := range q.Status.Membership.Voters {
--- a/internal/replica/reconfig/voterslots_test.go
+++ b/internal/replica/reconfig/voterslots_test.go
@@ -8,17 +8,18 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// membersInZones makes members of names whose first letter is their zone: "a1 b1".
+// membersInZones parses names such as "a1 b1" into members. The first letter of a name is
+// the zone.
 func membersInZones(names string) []raft.Member {
-	var made []raft.Member
+	var parsed []raft.Member
 	for name := range strings.FieldsSeq(names) {
-		made = append(made, raft.Member{ID: raft.ReplicaID(name), Name: name, Zone: name[:1], Address: name})
+		parsed = append(parsed, raft.Member{ID: raft.ReplicaID(name), Name: name, Zone: name[:1], Address: name})
 	}
-	return made
+	return parsed
 }
 
-// stepForLearners is the step for the first of the learners. All learners and voters are
-// responsive but those named. The first voter leads.
+// stepForLearners returns the next step for the first of the learners. The first voter is
+// the leader. All learners and voters except those in unresponsive were seen just now.
 func stepForLearners(voters, learners, unresponsive string, maxVoters int) Step {
 	const now, voterTimeout = 10 * time.Second, 2 * time.Second
 	membership := raft.Membership{Voters: membersInZones(voters), Learners: membersInZones(learners)}
@@ -36,21 +37,22 @@
 	})
 }
 
+// joinNames returns the names of the members, separated by spaces.
 func joinNames(members []raft.Member) string {
-	var all []string
+	var names []string
 	for _, member := range members {
-		all = append(all, member.Name)
+		names = append(names, member.Name)
 	}
-	return strings.Join(all, " ")
+	return strings.Join(names, " ")
 }
 
-// TestVoterSlotStep_SpreadsVotersOverZones checks that no zone is critical where that can
-// be avoided.
+// TestVoterSlotStep_SpreadsVotersOverZones checks that no zone becomes critical where that
+// can be avoided.
 func TestVoterSlotStep_SpreadsVotersOverZones(t *testing.T) {
 	cases := map[string]struct {
 		voters, learners, unresponsive string
 		maxVoters                      int
-		want                           string // the voters after the step; empty: the learner stands by
+		want                           string // voters after the step; empty if the learner stands by
 	}{
 		"zone without a voter first":                   {"a1 b1 c1", "a2 d1", "", 5, "a1 b1 c1 d1"},
 		"then any zone":                                {"a1 b1 c1 d1", "a2 b2", "", 5, "a1 b1 c1 d1 a2"},
@@ -71,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			step := stepForLearners(c.voters, c.learners, c.unresponsive, c.maxVoters)
 			if got := joinNames(step.Target.Voters); got != c.want || step.Standby != (c.want == "") {
-				t.Fatalf("voters %q, stands by %v; want %q", got, step.Standby, c.want)
+				t.Fatalf("got voters %q, standby %v, want voters %q", got, step.Standby, c.want)
 			}
 		})
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -9,9 +9,9 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// Replica drives one raft.Node. It lives for one Run, which owns the node in one
-// goroutine, the loop; all other methods may be called from any goroutine. Its parts
-// are made by New and have locks of their own where they need them.
+// Replica drives one raft.Node. It supports a single call of Run, whose goroutine, the
+// loop, owns the node; all other methods may be called from any goroutine. New creates the
+// components in the fields, which do their own locking where they need it.
 type Replica struct {
 	config     Config
 	self       *localMember
@@ -32,7 +32,8 @@
 
 var _ Log = (*Replica)(nil)
 
-// New makes a Replica; Run starts it.
+// New creates a Replica; Run starts it. It returns an error if a required field of config
+// is missing or the metrics cannot be registered.
 func New(config Config) (*Replica, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -57,7 +58,7 @@
 	return r, nil
 }
 
-// assemble makes the parts that serve callers and other replicas.
+// assemble creates the components that serve callers and other replicas.
 func (r *Replica) assemble() {
 	config := r.config
 	r.proposals = &proposer{published: r.published, clock: r.clock, mailbox: r.mailbox}
@@ -82,9 +83,9 @@
 }
 
 // Run creates or joins a cluster if the store is empty, and then drives the node until
-// ctx ends (nil) or a failure that forbids going on: a store that cannot be read or
-// written, or an entry that cannot be applied. It may be called once, and returns after
-// every goroutine that it started.
+// ctx ends, when it returns nil, or until a fatal failure: a store that cannot be read or
+// written, or an entry that cannot be applied. It may be called only once, and returns
+// after every goroutine that it started has ended.
 func (r *Replica) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer r.background.wait()
@@ -117,7 +118,7 @@
 	return l.run()
 }
 
-// stopBeforeLoop releases callers when the loop never ran.
+// stopBeforeLoop makes waiting and later calls fail when the loop will never run.
 func (r *Replica) stopBeforeLoop() { close(r.mailbox.stopped) }
 
 func (r *Replica) newBootstrapper() *bootstrapper {
@@ -147,13 +148,14 @@
 // SetSeeds replaces the addresses of Config.Seeds.
 func (r *Replica) SetSeeds(seeds []string) { r.seeds.set(seeds) }
 
-// SetZone changes the zone that the membership names for this replica, which requests
-// that of the leader.
+// SetZone changes the zone of this replica. The replica then requests from the leader that
+// the membership be updated.
 func (r *Replica) SetZone(zone string) { r.self.setZone(zone) }
 
-// PrepareShutdown transfers leadership, if held, and then the slot of a voter, if a
-// learner stands by. It returns once that is done, no replica is left to take over, or
-// ctx ends. It is to be called while Run runs, before its context is cancelled.
+// PrepareShutdown transfers leadership, if this replica leads, and then its voter slot, if
+// it has one and there is a learner to take it. It returns once both are done, when no
+// other replica can take over, or when ctx ends. Call it while Run is running, before the
+// context of Run is canceled.
 func (r *Replica) PrepareShutdown(ctx context.Context) {
 	preparation := &shutdown{
 		published: r.published,
@@ -164,8 +166,8 @@
 	preparation.prepare(ctx)
 }
 
-// Propose implements Log. If ctx ends first, the error matches its error and either
-// ErrOverloaded (no effect) or ErrOutcomeUnknown.
+// Propose implements Log. If ctx ends first, the error matches the context's error and
+// either ErrOverloaded (the command has no effect) or ErrOutcomeUnknown.
 func (r *Replica) Propose(ctx context.Context, token uint64, command record.Command) (record.Result, error) {
 	return r.proposals.propose(ctx, token, command)
 }
@@ -183,7 +185,7 @@
 // Record implements Log.
 func (r *Replica) Record() *record.Machine { return r.config.Record }
 
-// Status implements Log. Before the loop runs it carries the id alone.
+// Status implements Log. Before the loop runs, only the ID is set.
 func (r *Replica) Status() raft.Status { return *r.published.status.Load() }
 
 // Leader implements Log.
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -35,46 +35,46 @@
 	proposers.Wait()
 	slices.Sort(indexes)
 	if got := len(slices.Compact(indexes)); got != len(names) {
-		t.Fatalf("%d places for %d commands", got, len(names))
+		t.Fatalf("got %d distinct log indexes for %d commands", got, len(names))
 	}
 	for _, m := range machines {
 		if got := workerNames(t, m); !slices.Equal(got, names) {
-			t.Fatalf("%s holds %d workers, want %d in order", m.name, len(got), len(names))
+			t.Fatalf("%s: record has %d workers, want %d in order", m.name, len(got), len(names))
 		}
 	}
 	follower := without(machines, leader)[0]
 	if _, err := follower.replica.Propose(t.Context(), token, registration("x")); !errors.Is(err, ErrNotLeader) {
-		t.Fatalf("follower: %v, want ErrNotLeader", err)
+		t.Fatalf("propose to a follower: got %v, want ErrNotLeader", err)
 	}
 	if _, err := leader.replica.Propose(t.Context(), token-1, registration("x")); !errors.Is(err, ErrNotLeader) {
-		t.Fatalf("old token: %v, want ErrNotLeader", err)
+		t.Fatalf("propose with an old token: got %v, want ErrNotLeader", err)
 	}
 
 	clock := leader.replica.Now()
 	leader.crash()
 	if _, err := leader.replica.Propose(t.Context(), token, registration("x")); !errors.Is(err, ErrStopped) {
-		t.Fatalf("stopped replica: %v, want ErrStopped", err)
+		t.Fatalf("propose to a stopped replica: got %v, want ErrStopped", err)
 	}
 	if leader.replica.HoldsLease(token) {
-		t.Fatal("a stopped replica claims the lease")
+		t.Fatal("stopped replica holds the lease")
 	}
-	rest := without(machines, leader)
-	next := leaderOf(t, rest...)
-	if got := next.replica.Status().Term; got <= token {
-		t.Fatalf("new token %d is not above %d", got, token)
+	survivors := without(machines, leader)
+	newLeader := leaderOf(t, survivors...)
+	if got := newLeader.replica.Status().Term; got <= token {
+		t.Fatalf("token of the new leader: got %d, want above %d", got, token)
 	}
-	if got := next.replica.Now(); got < clock-1 {
-		t.Fatalf("cluster clock went back from %d to %d", clock, got)
+	if got := newLeader.replica.Now(); got < clock-1 {
+		t.Fatalf("cluster clock went back from %d to %d after failover", clock, got)
 	}
-	if got := workerNames(t, next); !slices.Equal(got, names) {
-		t.Fatalf("new leader holds %d workers, want %d", len(got), len(names))
+	if got := workerNames(t, newLeader); !slices.Equal(got, names) {
+		t.Fatalf("new leader: record has %d workers, want %d", len(got), len(names))
 	}
-	proposeRegistration(t, "zz-after", rest...)
+	proposeRegistration(t, "zz-after", survivors...)
 
-	leader.start() // on its own store
+	leader.start() // with the store that it had before the crash
 	want := append(slices.Clone(names), "zz-after")
 	if got := workerNames(t, leader); !slices.Equal(got, want) {
-		t.Fatalf("restarted replica holds %d workers, want %d", len(got), len(want))
+		t.Fatalf("restarted replica: record has %d workers, want %d", len(got), len(want))
 	}
 }
 
@@ -96,10 +96,10 @@
 	m.useDisk(directory)
 	m.start()
 	if got := workerNames(t, m); !slices.Equal(got, names) {
-		t.Fatalf("holds %d workers, want %d", len(got), len(names))
+		t.Fatalf("restarted replica: record has %d workers, want %d", len(got), len(names))
 	}
 	if got := m.replica.Status().Term; got <= token {
-		t.Fatalf("term %d is not above %d", got, token)
+		t.Fatalf("term after the restart: got %d, want above %d", got, token)
 	}
 }
 
@@ -108,8 +108,8 @@
 	startAll(machines)
 	leader := leaderOf(t, machines...)
 	token := leader.replica.Status().Term
-	without(machines, leader)[0].hangs.Store(true)
-	data := make([]byte, 256<<10) // many of them fill the queue to the hanging peer
+	without(machines, leader)[0].unresponsive.Store(true)
+	data := make([]byte, 256<<10) // large enough that the commands fill the queue to the unresponsive peer
 	for i := range 60 {
 		command := registration(fmt.Sprintf("worker-%03d", i))
 		command.RegisterWorkers.Workers[0].Zone = string(data)
@@ -118,10 +118,10 @@
 		}
 	}
 	if !leader.replica.HoldsLease(token) {
-		t.Fatal("the lease was lost")
+		t.Fatal("leader lost the lease while a peer was unresponsive")
 	}
-	without(machines, leader)[0].hangs.Store(false)
+	without(machines, leader)[0].unresponsive.Store(false)
 	if got := len(workerNames(t, without(machines, leader)[0])); got != 60 {
-		t.Fatalf("the peer caught up to %d workers, want 60", got)
+		t.Fatalf("peer has %d workers after it caught up, want 60", got)
 	}
 }
--- a/internal/replica/restore.go
+++ b/internal/replica/restore.go
@@ -9,7 +9,8 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
-// restore loads the store and puts the snapshot into the record.
+// restore loads the store, restores the record from the snapshot, and returns the state
+// from which the raft node starts.
 func (r *Replica) restore() (raft.RestoredState, error) {
 	loaded, err := r.config.Store.Load()
 	if err != nil {
@@ -37,8 +38,8 @@
 	}, nil
 }
 
-// newestMembership returns the membership in force: the newest one in the log, whether
-// committed or not, else that of the snapshot.
+// newestMembership returns the membership in force: the newest one in the log, committed
+// or not, or that of the snapshot if the log has none.
 func newestMembership(loaded storage.LoadedState) (raft.Membership, error) {
 	for _, entry := range slices.Backward(loaded.Entries) {
 		if entry.Kind == raft.EntryMembership && entry.Index > loaded.Snapshot.Index {
@@ -48,9 +49,9 @@
 	return loaded.Snapshot.Membership, nil
 }
 
-// newNode makes the raft node. Unless the store was empty at the start, it may have
-// promised a leader not to vote, which it no longer knows; so it votes only once the
-// shortest election timeout has passed.
+// newNode creates the raft node. Unless the store was empty at process start, the replica
+// may have promised a leader not to vote for another replica, and the promise is not
+// persisted. The node therefore votes only once ElectionTimeoutMin has passed.
 func (r *Replica) newNode(restored raft.RestoredState, storeWasEmpty bool) (*raft.Node, error) {
 	timing := r.config.Timing
 	noVoteBefore := r.published.monotonic.now() + timing.ElectionTimeoutMin
--- a/internal/replica/seeds.go
+++ b/internal/replica/seeds.go
@@ -10,16 +10,16 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// seedDirectory queries the seeds: who they are, and who leads. The seeds may be
-// replaced while it is in use.
+// seedDirectory queries the seeds for their identity and the leader they know. The list
+// of seeds may be replaced while it is in use.
 type seedDirectory struct {
 	client *rpc.Client
-	// local answers for the seed that is this replica.
+	// local answers without a network call if a seed is this replica.
 	local *identityServer
 	seeds atomic.Pointer[[]string]
 }
 
-// seedResponse is what one seed answered; err is set if it did not.
+// seedResponse is the answer of one seed; err is set if the query failed.
 type seedResponse struct {
 	address  string
 	identity protocol.IdentityAnswer
@@ -31,8 +31,8 @@
 	d.seeds.Store(&seeds)
 }
 
-// query queries every seed at the same time, this replica without the network. The
-// responses are in the order of the seeds.
+// query queries all seeds concurrently and returns the responses in the order of the
+// seeds. A seed that is this replica is answered without a network call.
 func (d *seedDirectory) query(ctx context.Context) []seedResponse {
 	seeds := *d.seeds.Load()
 	responses := make([]seedResponse, len(seeds))
@@ -52,7 +52,8 @@
 	return seedResponse{address: seed, identity: identity, err: err}
 }
 
-// withoutRelays leaves out seeds that are no replicas. It reuses the slice.
+// withoutRelays removes the seeds that are relays rather than replicas. It modifies the
+// slice in place.
 func withoutRelays(responses []seedResponse) []seedResponse {
 	return slices.DeleteFunc(responses, func(seed seedResponse) bool { return seed.err == nil && seed.identity.Relay })
 }
--- a/internal/replica/sharedclock.go
+++ b/internal/replica/sharedclock.go
@@ -9,11 +9,11 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// sharedClock is the cluster clock behind a lock: the loop feeds it, and any
-// goroutine reads it. Times are those of the monotonic clock.
+// sharedClock guards the cluster clock with a mutex: the loop updates it, and any
+// goroutine may read it. The parameter at of its methods is a time of the monotonic clock.
 type sharedClock struct {
 	self raft.ReplicaID
-	// wallClock is that of this machine.
+	// wallClock returns the wall-clock time of this machine.
 	wallClock func() time.Time
 
 	mutex sync.Mutex // guards clock
@@ -26,20 +26,20 @@
 	return c.clock.Now(at)
 }
 
-// observe takes the wall clock of a voter, in milliseconds, into account.
+// observe records the wall-clock time of a voter, in Unix milliseconds.
 func (c *sharedClock) observe(voter raft.ReplicaID, wall int64, at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.clock.Observe(voter, wall, at)
 }
 
-// observeOwn takes the wall clock of this machine into account.
-func (c *sharedClock) observeOwn(at time.Duration) {
+// observeLocal records the wall-clock time of this machine.
+func (c *sharedClock) observeLocal(at time.Duration) {
 	c.observe(c.self, c.wallClock().UnixMilli(), at)
 }
 
-// restart continues from floor, the newest time in the record, when a term as
-// leader begins.
+// restart continues the clock from floor, the newest time in the record. The loop calls
+// it when this replica begins to act as leader of a term.
 func (c *sharedClock) restart(floor record.Millis, at time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/replica/shutdown.go
+++ b/internal/replica/shutdown.go
@@ -11,12 +11,12 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// transferPollInterval is how often a replica that stops looks whether another can
-// lead, and offers its voter slot.
+// transferPollInterval is the interval at which a stopping replica checks whether another
+// replica can lead, and offers its voter slot.
 const transferPollInterval = 50 * time.Millisecond
 
-// shutdown prepares the stop of this replica: it transfers leadership, and then the
-// slot of a voter.
+// shutdown prepares this replica for its stop: it transfers leadership and then the voter
+// slot.
 type shutdown struct {
 	published *published
 	mailbox   *mailbox
@@ -24,8 +24,8 @@
 	logger    *slog.Logger
 }
 
-// prepare returns once all is transferred, no replica is left to take over, or ctx
-// ends.
+// prepare implements Replica.PrepareShutdown. It returns at once if the loop has not
+// started.
 func (s *shutdown) prepare(ctx context.Context) {
 	if !s.published.running.Load() {
 		return
@@ -34,8 +34,9 @@
 	s.retire(ctx)
 }
 
-// transferLeadership returns once another replica leads, or none of that can be
-// reached.
+// transferLeadership transfers leadership if this replica leads. It returns once another
+// replica leads, when no quorum that could elect one is reachable, when the loop has ended,
+// or when ctx ends.
 func (s *shutdown) transferLeadership(ctx context.Context) {
 	err := s.mailbox.runOnLoop(ctx, func(l *loop) error { return l.node.TransferLeadership(l.now(), "") })
 	if err != nil {
@@ -65,8 +66,10 @@
 	}
 }
 
-// retire offers the voter slot of this replica to a standby, until one has taken it,
-// there is none or no leader to give it the slot, or ctx ends. The process stops in any case.
+// retire asks the leader to give this replica's voter slot to a learner. It returns at once
+// if there is no learner; otherwise it retries until the leader reports that the slot is
+// transferred, no quorum is reachable that could elect a leader, or ctx ends. Failure is
+// not an error: the process stops in any case.
 func (s *shutdown) retire(ctx context.Context) {
 	if len(s.published.status.Load().Membership.Learners) == 0 {
 		return
@@ -87,8 +90,9 @@
 	}
 }
 
-// successorReachable reports whether another voter can be reached, and with this one a
-// majority of the voters; during a joint change, of both sets.
+// successorReachable reports whether at least one other voter and, counting this replica, a
+// majority of the voters are reachable. During a joint membership change this must hold for
+// both sets of voters.
 func (s *shutdown) successorReachable(ctx context.Context) bool {
 	reachable := false
 	err := s.mailbox.runOnLoop(ctx, func(l *loop) error {
--- a/internal/replica/shutdown_test.go
+++ b/internal/replica/shutdown_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// shutdownPreparationTimeout is far more than any preparation takes that does not wait in
-// vain.
+// shutdownPreparationTimeout is far longer than a preparation takes unless it waits for a
+// successor that cannot take over.
 const shutdownPreparationTimeout = 10 * time.Second
 
-// wantShutdownPreparationEnds checks that it gives up by itself, and not because its
-// context has ended.
+// wantShutdownPreparationEnds checks that PrepareShutdown returns before its context ends.
 func wantShutdownPreparationEnds(t *testing.T, m *machine) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), shutdownPreparationTimeout)
 	defer cancel()
 	m.replica.PrepareShutdown(ctx)
 	if ctx.Err() != nil {
-		t.Errorf("%s waited for %v until another leads, though none can", m.name, shutdownPreparationTimeout)
+		t.Errorf("%s: PrepareShutdown returned only when its context ended after %v, want it to return earlier", m.name, shutdownPreparationTimeout)
 	}
 }
 
-// TestPrepareShutdown_NoReplicaLeft: where all stop at once, the last leader has no
-// successor, and must leave the time for its stop to what follows.
+// TestPrepareShutdown_NoReplicaLeft guards against a last leader that waits for a successor
+// until its context ends. If all replicas stop at once it has none, and the time allowed for
+// the stop is needed by the steps that follow.
 func TestPrepareShutdown_NoReplicaLeft(t *testing.T) {
 	machines := newMachines(t, 3)
 	startAll(machines)
@@ -34,8 +34,9 @@
 	wantShutdownPreparationEnds(t, leader)
 }
 
-// TestPrepareShutdown_NoQuorumLeft: of five, the one that is left is no majority with the
-// one that stops.
+// TestPrepareShutdown_NoQuorumLeft guards against waiting for a successor without a quorum:
+// three of five replicas have crashed, so the stopping leader and the remaining follower are
+// no majority.
 func TestPrepareShutdown_NoQuorumLeft(t *testing.T) {
 	machines := newMachines(t, 5)
 	startAll(machines)
@@ -46,33 +47,34 @@
 	wantShutdownPreparationEnds(t, leader)
 }
 
-// TestPrepareShutdown_VoterSlotNotOfferedWithoutReplicas: a follower that stops finds no
-// leader that could give its slot to the standby, as all others have stopped.
+// TestPrepareShutdown_VoterSlotNotOfferedWithoutReplicas guards against a stopping follower
+// that keeps offering its voter slot when all other replicas have stopped, so that there is
+// no leader to give the slot to the standby.
 func TestPrepareShutdown_VoterSlotNotOfferedWithoutReplicas(t *testing.T) {
-	seeds, fourth := newClusterWithStandby(t)
+	seeds, standby := newClusterWithStandby(t)
 	startAll(seeds)
 	leader := leaderOf(t, seeds...)
-	fourth.start()
-	left := without(seeds, leader)[0]
-	eventually(t, "the fourth is a learner", func() bool { return isLearner(left, fourth) })
-	for _, m := range append(without(seeds, left), fourth) {
+	standby.start()
+	remaining := without(seeds, leader)[0]
+	eventually(t, "the standby is a learner", func() bool { return isLearner(remaining, standby) })
+	for _, m := range append(without(seeds, remaining), standby) {
 		m.crash()
 	}
-	wantShutdownPreparationEnds(t, left)
+	wantShutdownPreparationEnds(t, remaining)
 }
 
-// TestPrepareShutdown_OneReplicaLeftLeads: of three, the one that is left leads with the
-// vote of the one that stops.
+// TestPrepareShutdown_OneReplicaLeftLeads checks that with one of three replicas crashed, the
+// remaining follower is elected with the vote of the stopping leader.
 func TestPrepareShutdown_OneReplicaLeftLeads(t *testing.T) {
 	machines := newMachines(t, 3)
 	startAll(machines)
 	leader := leaderOf(t, machines...)
-	rest := without(machines, leader)
-	rest[0].crash()
-	proposeRegistration(t, "after", leader) // so that the one left has the longer log, and is elected
+	followers := without(machines, leader)
+	followers[0].crash()
+	proposeRegistration(t, "after", leader) // gives followers[1] a longer log than the crashed one, so that the transfer targets it
 	wantShutdownPreparationEnds(t, leader)
-	if next := leaderOf(t, leader, rest[1]); next != rest[1] {
-		t.Errorf("%s leads, want %s", next.name, rest[1].name)
+	if newLeader := leaderOf(t, leader, followers[1]); newLeader != followers[1] {
+		t.Errorf("new leader is %s, want %s", newLeader.name, followers[1].name)
 	}
 }
 
@@ -85,32 +87,32 @@
 	defer cancel()
 	leader.replica.PrepareShutdown(ctx)
 	if ctx.Err() != nil || leader.replica.HoldsLease(token) {
-		t.Fatalf("after the transfer: %v, lease held %v", ctx.Err(), leader.replica.HoldsLease(token))
+		t.Fatalf("after the transfer: context error %v, lease held %v; want nil, false", ctx.Err(), leader.replica.HoldsLease(token))
 	}
-	next := leaderOf(t, without(machines, leader)...)
-	if got := next.replica.Status().Term; got <= token {
-		t.Fatalf("new token %d is not above %d", got, token)
+	newLeader := leaderOf(t, without(machines, leader)...)
+	if got := newLeader.replica.Status().Term; got <= token {
+		t.Fatalf("token of the new leader: got %d, want above %d", got, token)
 	}
 }
 
-// TestPrepareShutdown_StandbyTakesVoterSlot: with a standby, a planned stop leaves as many
-// voters as before, at once.
+// TestPrepareShutdown_StandbyTakesVoterSlot checks that with a standby, a planned stop
+// immediately leaves as many voters as before.
 func TestPrepareShutdown_StandbyTakesVoterSlot(t *testing.T) {
-	seeds, fourth := newClusterWithStandby(t)
+	seeds, standby := newClusterWithStandby(t)
 	startAll(seeds)
 	leader := leaderOf(t, seeds...)
-	fourth.start()
-	eventually(t, "the fourth is a learner", func() bool { return isLearner(leader, fourth) })
+	standby.start()
+	eventually(t, "the standby is a learner", func() bool { return isLearner(leader, standby) })
 	proposeRegistration(t, "before", leader)
 
 	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	leader.replica.PrepareShutdown(ctx)
-	left := append(without(seeds, leader), fourth)
-	eventually(t, "the fourth has the slot", func() bool {
-		now := leaderOf(t, left...)
-		return isVoter(now, fourth) && !isVoter(now, leader) && len(voterIDs(now)) == 3
+	remaining := append(without(seeds, leader), standby)
+	eventually(t, "the standby has the voter slot", func() bool {
+		newLeader := leaderOf(t, remaining...)
+		return isVoter(newLeader, standby) && !isVoter(newLeader, leader) && len(voterIDs(newLeader)) == 3
 	})
 	leader.crash()
-	proposeRegistration(t, "after", left...)
+	proposeRegistration(t, "after", remaining...)
 }
--- a/internal/replica/slowdisk.go
+++ b/internal/replica/slowdisk.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// slowDiskTransferInterval is how long a leader stays after it tried to transfer its
-// leadership because of a slow disk: if every disk is slow, passing it around does not
-// help.
+// slowDiskTransferInterval is the minimum time between two attempts of a replica to
+// transfer its leadership because of a slow disk. If every disk is slow, further transfers
+// do not help.
 const slowDiskTransferInterval = 10 * time.Second
 
-// slowDisk observes saves that take too long. It belongs to the loop.
+// slowDisk detects slow saves and decides when a leader transfers its leadership because
+// of one. It belongs to the loop.
 type slowDisk struct {
-	// leaseDuration is the duration of a save from which on the disk is slow. While
-	// a save lasts, the loop renews no lease, so a leader has lost it by then.
+	// leaseDuration is the duration at which a save counts as slow. The loop cannot
+	// renew the lease during a save, so a leader has lost its lease by then.
 	leaseDuration time.Duration
 	logger        *slog.Logger
 
-	// slow is true if the newest save was slow and has had no consequence yet.
+	// slow is true if the newest synced save was slow and takeTransfer has not been
+	// called since.
 	slow bool
-	// lastTransfer is when leadership was last transferred for it, on the monotonic
-	// clock; 0 if never.
-	lastTransfer time.Duration
+	// lastTransferAt is when takeTransfer last returned true, on the monotonic clock;
+	// 0 if never.
+	lastTransferAt time.Duration
 }
 
-// observeSave takes the duration of a synced save.
-func (d *slowDisk) observeSave(took time.Duration) {
-	d.slow = took >= d.leaseDuration
+// observeSave records the duration of a synced save.
+func (d *slowDisk) observeSave(duration time.Duration) {
+	d.slow = duration >= d.leaseDuration
 	if d.slow {
-		d.logger.Warn("disk is slow", "save_took", took)
+		d.logger.Warn("disk is slow", "save_took", duration)
 	}
 }
 
-// takeTransfer reports whether the leader should now transfer its leadership, and
-// records that it tries. It forgets the newest save.
+// takeTransfer reports whether a leader should transfer its leadership now because the
+// newest synced save was slow. It records the attempt and clears slow.
 func (d *slowDisk) takeTransfer(now time.Duration, leading bool) bool {
 	slow := d.slow
 	d.slow = false
-	if !slow || !leading || d.lastTransfer != 0 && now-d.lastTransfer < slowDiskTransferInterval {
+	if !slow || !leading || d.lastTransferAt != 0 && now-d.lastTransferAt < slowDiskTransferInterval {
 		return false
 	}
-	d.lastTransfer = now
+	d.lastTransferAt = now
 	return true
 }
--- a/internal/replica/slowdisk_test.go
+++ b/internal/replica/slowdisk_test.go
@@ -13,23 +13,25 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
-// slowStore is a store whose synced saves take long. No save ends while hangs is locked.
+// slowStore is a store whose synced saves take syncDelay longer. No save returns while
+// stallMutex is locked.
 type slowStore struct {
 	*storage.Memory
-	syncTakes atomic.Int64 // nanoseconds
-	hangs     sync.Mutex
+	syncDelay  atomic.Int64 // nanoseconds
+	stallMutex sync.Mutex
 }
 
 func (s *slowStore) Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error {
-	s.hangs.Lock()
-	defer s.hangs.Unlock()
+	s.stallMutex.Lock()
+	defer s.stallMutex.Unlock()
 	if sync {
-		time.Sleep(time.Duration(s.syncTakes.Load()))
+		time.Sleep(time.Duration(s.syncDelay.Load()))
 	}
 	return s.Memory.Save(hardState, entries, sync)
 }
 
-func slowMachines(t *testing.T) ([]*machine, map[*machine]*slowStore) {
+// startSlowMachines starts three machines and returns the slowStore of each.
+func startSlowMachines(t *testing.T) ([]*machine, map[*machine]*slowStore) {
 	t.Helper()
 	machines := newMachines(t, 3)
 	stores := make(map[*machine]*slowStore)
@@ -41,14 +43,15 @@
 	return machines, stores
 }
 
-// TestSlowDisk_LeaderTransfersLeadership: syncs that take as long as a lease, but less than
-// an election timeout, cause no election; the leader itself transfers its leadership.
+// TestSlowDisk_LeaderTransfersLeadership guards against a leader that stays on a slow disk.
+// Syncs that take longer than the lease, but less than the election time-out, cause no
+// election, so the leader itself must transfer its leadership.
 func TestSlowDisk_LeaderTransfersLeadership(t *testing.T) {
-	machines, stores := slowMachines(t)
+	machines, stores := startSlowMachines(t)
 	leader := leaderOf(t, machines...)
 	proposeRegistration(t, "before", leader)
-	stores[leader].syncTakes.Store(int64(raft.DefaultLeaseDuration + 20*time.Millisecond))
-	defer stores[leader].syncTakes.Store(0)
+	stores[leader].syncDelay.Store(int64(raft.DefaultLeaseDuration + 20*time.Millisecond))
+	defer stores[leader].syncDelay.Store(0)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	_, _ = leader.replica.Propose(ctx, leader.replica.Status().Term, registration("slow"))
@@ -56,31 +59,31 @@
 	proposeRegistration(t, "after", next)
 }
 
-// TestStalledDisk_LeaderLosesLease: a sync that does not end costs the lease, and
-// neither callers nor the other replicas wait for it.
+// TestStalledDisk_LeaderLosesLease checks that a leader loses its lease while a sync
+// stalls, and that neither callers nor other replicas wait for the sync.
 func TestStalledDisk_LeaderLosesLease(t *testing.T) {
-	machines, stores := slowMachines(t)
+	machines, stores := startSlowMachines(t)
 	leader := leaderOf(t, machines...)
 	proposeRegistration(t, "before", leader)
 	token := leader.replica.Status().Term
-	stores[leader].hangs.Lock()
-	release := sync.OnceFunc(stores[leader].hangs.Unlock)
+	stores[leader].stallMutex.Lock()
+	release := sync.OnceFunc(stores[leader].stallMutex.Unlock)
 	defer release()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	if _, err := leader.replica.Propose(ctx, token, registration("stalled")); err == nil {
-		// The others may commit it without the leader's disk, but the leader
-		// cannot know while it writes.
-		t.Fatal("a command was acknowledged by a leader whose disk stalls")
+		// The followers may commit the command without the leader's disk, but the
+		// leader cannot learn that while its save stalls.
+		t.Fatal("the leader acknowledged a command while its disk stalled, want an error")
 	}
 	next := leaderOf(t, without(machines, leader)...)
 	if leader.replica.HoldsLease(token) {
-		t.Fatal("the stalled leader claims the lease beside a new one")
+		t.Fatal("the stalled leader still claims its lease although there is a new leader")
 	}
-	leader.replica.Record().Read(func(record.View) {}) // does not wait
+	leader.replica.Record().Read(func(record.View) {}) // must not block
 	proposeRegistration(t, "after", next)
 	release()
-	eventually(t, "the old leader follows", func() bool {
+	eventually(t, "the old leader is a follower", func() bool {
 		status := leader.replica.Status()
 		return status.Role == raft.RoleFollower && status.Leader != ""
 	})
@@ -105,10 +108,10 @@
 	for _, step := range steps {
 		disk.observeSave(step.took)
 		if got := disk.takeTransfer(step.now, step.leading); got != step.want {
-			t.Errorf("%s: transfers %v, want %v", step.name, got, step.want)
+			t.Errorf("%s: got transfer %v, want %v", step.name, got, step.want)
 		}
 	}
 	if disk.takeTransfer(time.Hour, true) {
-		t.Error("transfers without a new slow save")
+		t.Error("got a transfer without a new slow save, want none")
 	}
 }
--- a/internal/replica/snapshot_test.go
+++ b/internal/replica/snapshot_test.go
@@ -22,22 +22,23 @@
 	}
 	lagging.start()
 	if got := workerNames(t, lagging); !slices.Equal(got, names) {
-		t.Fatalf("holds %d workers, want %d", len(got), len(names))
+		t.Fatalf("lagging follower: got %d workers, want %d", len(got), len(names))
 	}
 	if loaded, err := lagging.store.Load(); err != nil || loaded.Snapshot.Index <= bootstrapIndex {
-		t.Fatalf("snapshot at %d, %v: want a newer one", loaded.Snapshot.Index, err)
+		t.Fatalf("lagging follower: got snapshot at index %d, error %v, want one after the first", loaded.Snapshot.Index, err)
 	}
 }
 
-// TestSnapshot_TakenForLongEntries: the log is bounded by bytes as well.
-func TestSnapshot_TakenForLongEntries(t *testing.T) {
+// TestSnapshot_TakenWhenEntryBytesReachBound guards against a log that grows without bound
+// when few but large entries are appended.
+func TestSnapshot_TakenWhenEntryBytesReachBound(t *testing.T) {
 	machines := newMachines(t, 1)
 	m := machines[0]
 	m.useDisk(t.TempDir())
 	m.start()
 	leader := leaderOf(t, m)
 	long := strings.Repeat("x", 256<<10)
-	for i := range 80 { // 20 MiB, over the default bound twice
+	for i := range 80 { // 20 MiB, more than twice the default SnapshotBytes
 		proposeRegistration(t, fmt.Sprint(long, i%2), leader)
 	}
 	eventually(t, "a second snapshot", func() bool {
--- a/internal/replica/snapshotreceiver.go
+++ b/internal/replica/snapshotreceiver.go
@@ -14,12 +14,11 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// maxSnapshotBytes bounds what a receiver holds in memory.
+// maxSnapshotBytes is the maximum size of a received snapshot, which is held in memory.
 const maxSnapshotBytes = 1 << 30
 
-// snapshotReceiver takes the chunks of a snapshot from the leader and has it
-// installed: first the archive up to it is copied, then the loop replaces record,
-// store and log.
+// snapshotReceiver receives a snapshot from the leader in chunks and installs it: it
+// copies the archive of ended jobs first, and then the loop replaces record, store and log.
 type snapshotReceiver struct {
 	published  *published
 	mailbox    *mailbox
@@ -30,8 +29,8 @@
 	incoming incomingSnapshot
 }
 
-// serveChunk takes a chunk. It answers Installed once the log here reaches the
-// snapshot.
+// serveChunk adds a chunk to the incoming snapshot, and starts the installation after the
+// last chunk. It answers Installed once this replica has applied up to the snapshot's index.
 func (r *snapshotReceiver) serveChunk(_ context.Context, chunk protocol.SnapshotChunkRequest) (protocol.SnapshotChunkAnswer, error) {
 	var answer protocol.SnapshotChunkAnswer
 	if !r.published.running.Load() {
@@ -57,6 +56,8 @@
 	return answer, nil
 }
 
+// startInstall installs the incoming snapshot in the background, and then allows the next
+// transfer.
 func (r *snapshotReceiver) startInstall() {
 	started := r.background.runIfOpen(func(ctx context.Context) {
 		defer r.incoming.finish()
@@ -69,8 +70,9 @@
 	}
 }
 
-// install copies the archive first, as a snapshot leaves ended jobs out. It reads
-// incoming without the lock: while installing is set nobody changes it.
+// install copies the archive, because a snapshot does not contain ended jobs, and then
+// installs the snapshot in the loop. It reads incoming without the lock: no other goroutine
+// changes incoming while installing is set.
 func (r *snapshotReceiver) install(ctx context.Context) error {
 	received := receivedSnapshot{meta: r.incoming.meta, data: r.incoming.data}
 	if err := r.archive.copyFrom(ctx, r.incoming.address); err != nil {
@@ -79,26 +81,28 @@
 	return r.mailbox.runOnLoop(ctx, func(l *loop) error { return l.installSnapshot(received) })
 }
 
-// receivedSnapshot is complete.
+// receivedSnapshot is a completely received snapshot.
 type receivedSnapshot struct {
 	meta raft.SnapshotMeta
 	data []byte
 }
 
-// reader reads the snapshot from its start, as often as needed.
+// reader returns a new reader that starts at the beginning of the snapshot.
 func (s receivedSnapshot) reader() io.Reader { return bytes.NewReader(s.data) }
 
 // incomingSnapshot collects the chunks of one transfer in memory.
 type incomingSnapshot struct {
-	mutex   sync.Mutex // guards all below
-	from    raft.ReplicaID
-	address string
-	meta    raft.SnapshotMeta
-	data    []byte
-	// installing is true from the last chunk until finish.
+	mutex   sync.Mutex        // guards all fields below
+	from    raft.ReplicaID    // sender; empty if there is no transfer
+	address string            // of the sender
+	meta    raft.SnapshotMeta // of the snapshot in transfer
+	data    []byte            // received so far
+	// installing is true from the last chunk until finish is called.
 	installing bool
 }
 
+// matches reports whether a chunk from this sender, of this snapshot, belongs to the
+// current transfer.
 func (s *incomingSnapshot) matches(from raft.ReplicaID, meta raft.SnapshotMeta) bool {
 	return s.from == from && s.meta.Index == meta.Index && s.meta.Term == meta.Term
 }
@@ -107,7 +111,9 @@
 	s.from, s.address, s.meta, s.data = "", "", raft.SnapshotMeta{}, nil
 }
 
-// add takes a chunk; complete is true once, with the last one.
+// add appends a chunk. It ignores bytes that it already has, and fails on a gap, on a
+// snapshot larger than maxSnapshotBytes, and on a chunk of another snapshot unless that
+// chunk starts a new transfer. complete is true only for the call that adds the last chunk.
 func (s *incomingSnapshot) add(chunk protocol.SnapshotChunkRequest) (complete bool, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -136,7 +142,7 @@
 	return chunk.Last, nil
 }
 
-// finish lets the next transfer begin.
+// finish discards the transfer, so that the next one can begin.
 func (s *incomingSnapshot) finish() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/replica/snapshotreceiver_test.go
+++ b/internal/replica/snapshotreceiver_test.go
@@ -7,7 +7,8 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-func chunkOf(from raft.ReplicaID, index, offset uint64, data string, last bool) protocol.SnapshotChunkRequest {
+// newTestChunk returns a chunk of the snapshot at index, in term 1.
+func newTestChunk(from raft.ReplicaID, index, offset uint64, data string, last bool) protocol.SnapshotChunkRequest {
 	return protocol.SnapshotChunkRequest{
 		From: from, Address: "address-" + string(from), Meta: raft.SnapshotMeta{Index: index, Term: 1},
 		Offset: offset, Data: []byte(data), Last: last,
@@ -25,33 +26,33 @@
 		data  string
 	}{
 		"in order": {[]step{
-			{chunk: chunkOf("a", 5, 0, "one", false)},
-			{chunk: chunkOf("a", 5, 3, "two", true), complete: true},
+			{chunk: newTestChunk("a", 5, 0, "one", false)},
+			{chunk: newTestChunk("a", 5, 3, "two", true), complete: true},
 		}, "onetwo"},
 		"duplicate and overlap": {[]step{
-			{chunk: chunkOf("a", 5, 0, "one", false)},
-			{chunk: chunkOf("a", 5, 0, "one", false)},
-			{chunk: chunkOf("a", 5, 2, "etwo", true), complete: true},
+			{chunk: newTestChunk("a", 5, 0, "one", false)},
+			{chunk: newTestChunk("a", 5, 0, "one", false)},
+			{chunk: newTestChunk("a", 5, 2, "etwo", true), complete: true},
 		}, "onetwo"},
 		"last chunk again": {[]step{
-			{chunk: chunkOf("a", 5, 0, "one", true), complete: true},
-			{chunk: chunkOf("a", 5, 0, "one", true)},
+			{chunk: newTestChunk("a", 5, 0, "one", true), complete: true},
+			{chunk: newTestChunk("a", 5, 0, "one", true)},
 		}, "one"},
 		"gap": {[]step{
-			{chunk: chunkOf("a", 5, 0, "one", false)},
-			{chunk: chunkOf("a", 5, 4, "two", false), fails: true},
+			{chunk: newTestChunk("a", 5, 0, "one", false)},
+			{chunk: newTestChunk("a", 5, 4, "two", false), fails: true},
 		}, "one"},
 		"another one from its start": {[]step{
-			{chunk: chunkOf("a", 5, 0, "one", false)},
-			{chunk: chunkOf("b", 6, 0, "two", false)},
+			{chunk: newTestChunk("a", 5, 0, "one", false)},
+			{chunk: newTestChunk("b", 6, 0, "two", false)},
 		}, "two"},
 		"another one from its middle": {[]step{
-			{chunk: chunkOf("a", 5, 0, "one", false)},
-			{chunk: chunkOf("b", 6, 3, "two", false), fails: true},
+			{chunk: newTestChunk("a", 5, 0, "one", false)},
+			{chunk: newTestChunk("b", 6, 3, "two", false), fails: true},
 		}, "one"},
 		"another one while installing": {[]step{
-			{chunk: chunkOf("a", 5, 0, "one", true), complete: true},
-			{chunk: chunkOf("b", 6, 0, "two", false), fails: true},
+			{chunk: newTestChunk("a", 5, 0, "one", true), complete: true},
+			{chunk: newTestChunk("b", 6, 0, "two", false), fails: true},
 		}, "one"},
 	}
 	for name, c := range cases {
@@ -60,26 +61,26 @@
 			for i, step := range c.steps {
 				complete, err := incoming.add(step.chunk)
 				if complete != step.complete || (err != nil) != step.fails {
-					t.Fatalf("chunk %d: complete %v, %v; want %v, fails %v", i, complete, err, step.complete, step.fails)
+					t.Fatalf("chunk %d: got complete %v, error %v; want complete %v, an error %v", i, complete, err, step.complete, step.fails)
 				}
 			}
 			if got := string(incoming.data); got != c.data {
-				t.Errorf("collected %q, want %q", got, c.data)
+				t.Errorf("got data %q, want %q", got, c.data)
 			}
 		})
 	}
 }
 
-func TestIncomingSnapshot_FinishLetsAnotherBegin(t *testing.T) {
+func TestIncomingSnapshot_FinishAllowsNextTransfer(t *testing.T) {
 	var incoming incomingSnapshot
-	if complete, err := incoming.add(chunkOf("a", 5, 0, "one", true)); !complete || err != nil {
-		t.Fatalf("complete %v, %v", complete, err)
+	if complete, err := incoming.add(newTestChunk("a", 5, 0, "one", true)); !complete || err != nil {
+		t.Fatalf("first transfer: got complete %v, error %v, want true and no error", complete, err)
 	}
 	incoming.finish()
-	if _, err := incoming.add(chunkOf("b", 6, 0, "two", false)); err != nil {
+	if _, err := incoming.add(newTestChunk("b", 6, 0, "two", false)); err != nil {
 		t.Error(err)
 	}
 	if incoming.address != "address-b" || string(incoming.data) != "two" {
-		t.Errorf("collected %q from %s", incoming.data, incoming.address)
+		t.Errorf("got data %q from %s, want \"two\" from address-b", incoming.data, incoming.address)
 	}
 }
--- a/internal/replica/snapshots.go
+++ b/internal/replica/snapshots.go
@@ -6,7 +6,7 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// loopSnapshots are the loop's sides of writing snapshots and of sending them.
+// loopSnapshots writes and sends snapshots for the loop, to which it belongs.
 type loopSnapshots struct {
 	writer     snapshotWriter
 	sender     snapshotSender
@@ -17,7 +17,7 @@
 	config := r.config
 	return loopSnapshots{
 		writer: snapshotWriter{
-			bounds:  snapshotBounds{every: config.SnapshotEvery, bytes: config.SnapshotBytes, retained: config.RetainedEntries},
+			policy:  snapshotPolicy{everyEntries: config.SnapshotEvery, everyBytes: config.SnapshotBytes, retainedEntries: config.RetainedEntries},
 			record:  config.Record,
 			store:   config.Store,
 			logger:  config.Logger,
@@ -33,7 +33,8 @@
 	}
 }
 
-// startSnapshotIfDue captures the record, and lets it be written beside the loop.
+// startSnapshotIfDue captures the record if a snapshot is due, and writes the snapshot in
+// the background. Once it is written, the loop compacts the node's log.
 func (l *loop) startSnapshotIfDue() {
 	applied := l.published.applied.load()
 	if !l.snapshots.writer.due(applied) {
@@ -54,8 +55,9 @@
 	})
 }
 
-// startSnapshotTransfer sends the newest snapshot to a replica in the background,
-// unless a transfer to it is in progress.
+// startSnapshotTransfer sends the newest snapshot to a replica in the background, unless
+// the replica is not a member or a transfer to it is in progress. The outcome is reported
+// to the node.
 func (l *loop) startSnapshotTransfer(to raft.ReplicaID) {
 	status := l.node.Status()
 	member, known := findMember(status.Membership, to)
@@ -75,10 +77,10 @@
 	})
 }
 
-// installSnapshot replaces record, store and log by a snapshot of the leader; the
-// archive up to it is here already. What the node has handed out before goes first. The
-// record checks the checksum before it changes. A failure after that leaves record and
-// store at odds, and ends the loop.
+// installSnapshot replaces record, store and log with a snapshot of the leader; the caller
+// has copied the archive up to the snapshot. Any pending Ready of the node is processed
+// first. The record verifies the checksum before it changes. A failure after that point
+// leaves record and store inconsistent, and ends the loop.
 func (l *loop) installSnapshot(received receivedSnapshot) error {
 	if err := l.processReady(); err != nil {
 		l.fail(err)
