--- a/internal/replica/snapshotsender.go
+++ b/internal/replica/snapshotsender.go
@@ -15,25 +15,29 @@
 )
 
 const (
-	// snapshotChunk is the size of one chunk in bytes.
-	snapshotChunk = 256 << 10
-	// chunkAttempts is how often a chunk is sent before the transfer fails.
+	// snapshotChunkBytes is the size of one chunk in bytes.
+	snapshotChunkBytes = 256 << 10
+	// chunkAttempts is how often a chunk is sent, after transport errors, before the
+	// transfer fails.
 	chunkAttempts = 3
-	// installPollInterval is how often the sender polls whether the receiver is done.
+	// installPollInterval is how often the sender polls whether the receiver has
+	// installed the snapshot.
 	installPollInterval = 100 * time.Millisecond
 )
 
-// snapshotSender sends the newest snapshot of the store to other replicas, one
-// transfer at a time to each. The set inProgress belongs to the loop; send runs in
-// the background.
+// snapshotSender sends the newest snapshot of the store to other replicas, with at most
+// one transfer at a time to each replica. send runs in the background; all other methods
+// are called by the loop.
 type snapshotSender struct {
-	self       *localMember
-	store      storage.Store
-	client     *rpc.Client
+	self   *localMember
+	store  storage.Store
+	client *rpc.Client
+	// inProgress is the set of receivers of current transfers. It belongs to the loop.
 	inProgress map[raft.ReplicaID]bool
 }
 
-// begin reports whether a transfer to a replica may start, and records that it has.
+// begin records the start of a transfer to a replica. It returns false if a transfer to the
+// replica is in progress.
 func (s *snapshotSender) begin(to raft.ReplicaID) bool {
 	if s.inProgress[to] {
 		return false
@@ -42,24 +46,26 @@
 	return true
 }
 
+// end records that the transfer to a replica is over.
 func (s *snapshotSender) end(to raft.ReplicaID) { delete(s.inProgress, to) }
 
-// send moves the chunks and waits until the receiver has installed them. The first
-// error ends the transfer; raft requests another one.
+// send sends the newest snapshot in chunks, waits until the receiver has installed it, and
+// returns the snapshot's index. An error ends the transfer; raft requests another one.
 func (s *snapshotSender) send(ctx context.Context, to raft.Member, term uint64) (index uint64, err error) {
 	meta, data, ok, err := s.store.OpenSnapshot()
 	if err != nil {
 		return 0, fmt.Errorf("open snapshot: %w", err)
 	}
 	if !ok {
-		return 0, errors.New("there is no snapshot")
+		return 0, errors.New("store holds no snapshot")
 	}
 	defer func() { _ = data.Close() }()
 	chunk := protocol.SnapshotChunkRequest{From: s.self.id, To: to.ID, Term: term, Meta: meta, Address: s.self.address}
-	buffer := make([]byte, snapshotChunk)
+	buffer := make([]byte, snapshotChunkBytes)
 	for !chunk.Last {
 		count, err := io.ReadFull(data, buffer)
-		// io.ReadFull returns these two as they are; a wrapped one is a fault of the reader.
+		// io.ReadFull returns io.EOF and io.ErrUnexpectedEOF unwrapped; a wrapped one is an
+		// error of the reader.
 		if err != nil && err != io.EOF && err != io.ErrUnexpectedEOF { //nolint:errorlint // see above
 			return 0, fmt.Errorf("read snapshot: %w", err)
 		}
@@ -76,7 +82,8 @@
 	return meta.Index, s.awaitInstalled(ctx, to.Address, chunk)
 }
 
-// sendChunk tries again if the call was lost; the receiver ignores duplicates.
+// sendChunk sends a chunk and retries after transport errors, up to chunkAttempts attempts
+// in total. The receiver ignores duplicates.
 func (s *snapshotSender) sendChunk(ctx context.Context, address string, chunk protocol.SnapshotChunkRequest) (installed bool, err error) {
 	for range chunkAttempts {
 		var answer protocol.SnapshotChunkAnswer
@@ -89,7 +96,8 @@
 	return false, err
 }
 
-// awaitInstalled repeats the last chunk until the receiver is done with it.
+// awaitInstalled repeats the last chunk until the receiver answers that the snapshot is
+// installed.
 func (s *snapshotSender) awaitInstalled(ctx context.Context, address string, last protocol.SnapshotChunkRequest) error {
 	for {
 		if !contexttime.Sleep(ctx, installPollInterval) {
--- a/internal/replica/snapshotwriter_test.go
+++ b/internal/replica/snapshotwriter_test.go
@@ -8,11 +8,11 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// newTestSnapshotWriter has applied the entries 11 to 20 after a snapshot at 10; the
-// term changed from 2 to 3 at 15.
+// newTestSnapshotWriter returns a writer that has applied entries 11 to 20 after a snapshot
+// at index 10. The term changed from 2 to 3 at index 15.
 func newTestSnapshotWriter() *snapshotWriter {
 	w := &snapshotWriter{
-		bounds:  snapshotBounds{every: 100, bytes: 1000, retained: 4},
+		policy:  snapshotPolicy{everyEntries: 100, everyBytes: 1000, retainedEntries: 4},
 		logger:  slog.New(slog.DiscardHandler),
 		history: newAppliedHistory(raft.SnapshotMeta{Index: 10, Term: 2}),
 	}
@@ -41,9 +41,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := newTestSnapshotWriter()
-			w.history.bytes, w.writing = c.bytes, c.writing
+			w.history.bytesSinceSnapshot, w.writing = c.bytes, c.writing
 			if got := w.due(c.applied); got != c.due {
-				t.Errorf("due: %v, want %v", got, c.due)
+				t.Errorf("got due %v, want %v", got, c.due)
 			}
 		})
 	}
@@ -54,16 +54,16 @@
 	w.writing = true
 	compactTo, ok := w.end(raft.SnapshotMeta{Index: 20, Term: 3}, nil)
 	if want := (raft.SnapshotMeta{Index: 16, Term: 3}); !ok || compactTo.Index != want.Index || compactTo.Term != want.Term || w.writing {
-		t.Errorf("compacts to %+v, %v; want %+v", compactTo, ok, want)
+		t.Errorf("got compaction to %+v, %v, want %+v with writing false", compactTo, ok, want)
 	}
 	if _, ok := w.history.termAt(14); ok {
-		t.Error("the term of a compacted entry is still known")
+		t.Error("the term of compacted entry 14 is still known")
 	}
 	if _, ok := w.end(raft.SnapshotMeta{Index: 20, Term: 3}, errors.New("disk full")); ok {
-		t.Error("compacts after a failure")
+		t.Error("got a compaction after a failed write, want none")
 	}
 	if _, ok := w.end(raft.SnapshotMeta{Index: 4, Term: 1}, nil); ok {
-		t.Error("compacts entries that are to be retained")
+		t.Error("got a compaction of entries that must be retained, want none")
 	}
 }
 
@@ -71,14 +71,14 @@
 	w := newTestSnapshotWriter()
 	for index, want := range map[uint64]uint64{10: 2, 14: 2, 15: 3, 20: 3} {
 		if got, ok := w.history.termAt(index); !ok || got != want {
-			t.Errorf("term at %d: %d, %v; want %d", index, got, ok, want)
+			t.Errorf("term at index %d: got %d, %v, want %d", index, got, ok, want)
 		}
 	}
 	if _, ok := w.history.termAt(9); ok {
-		t.Error("the term before the snapshot is known")
+		t.Error("the term at index 9, before the snapshot, is known")
 	}
 	w.history.discardTermsBefore(14)
 	if got, ok := w.history.termAt(14); !ok || got != 2 {
-		t.Errorf("term at 14 after discarding what is before it: %d, %v; want 2", got, ok)
+		t.Errorf("term at index 14 after discarding earlier terms: got %d, %v, want 2", got, ok)
 	}
 }
--- a/internal/replica/transport/doc.go
+++ b/internal/replica/transport/doc.go
@@ -1,8 +1,9 @@
-// Package transport sends the messages of a raft node to the other replicas: one peer for
-// each, with bounded queues and a goroutine for each queue. It never blocks its owner and
-// never retries: what does not fit or fails is lost, and raft sends it again.
+// Package transport sends the messages of a raft node to the other replicas. It keeps one
+// peer per replica, with bounded queues and one goroutine per queue. It never blocks its
+// caller and never retries: a message that does not fit in the queue or fails to send is
+// lost, and raft sends it again.
 //
-// It owns the peers and their order of messages: appends in order, everything else beside
-// them, so that a slow transfer of entries delays no heartbeat. It does not receive, and
-// knows nothing of what the messages mean beyond that.
+// Appends to a peer are sent in order. All other messages use a second queue, so that a
+// slow transfer of entries does not delay heartbeats. The package does not receive
+// messages, and does not interpret them beyond this distinction.
 package transport
--- a/internal/replica/transport/peer.go
+++ b/internal/replica/transport/peer.go
@@ -11,17 +11,17 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// messageTimeout bounds one RaftRequest.
+// messageTimeout is the time-out of one RaftRequest.
 const messageTimeout = time.Second
 
-// peer sends to one other replica. It has two queues, each with a goroutine and at
-// most one call in flight: appends keep their order in one, and all other messages,
-// which are small, go through the other. While appends are queued, a new round of
-// heartbeats goes through the urgent queue as well, as an append without an offset in
-// the log. Such a message holds whatever the peer's log is, so it extends the lease and
-// is never rejected.
+// peer sends messages to one other replica. It has two queues, each with one goroutine and
+// at most one call in flight. One queue sends appends in order; the urgent queue sends all
+// other messages, which are small. While appends are queued, a new round of heartbeats is
+// also sent through the urgent queue, as an append without a log position. Such an append
+// is valid whatever the peer's log contains, so it extends the lease and is never rejected.
 //
-// The owner of the transport calls send and stop; the goroutines of the queues call deliver.
+// The goroutine that owns the transport calls send and stop; the goroutines of the queues
+// call deliver.
 type peer struct {
 	config  Config
 	logger  *slog.Logger
@@ -30,10 +30,10 @@
 	cancel  context.CancelFunc
 	urgent  sendQueue
 	appends sendQueue
-	// lastRound and lastTerm name the newest round of heartbeats that was queued.
-	// They belong to the owner of the transport.
+	// lastRound and lastTerm identify the newest heartbeat round that was queued. They
+	// are owned by the goroutine that owns the transport.
 	lastRound, lastTerm uint64
-	// unreachable is true while the newest call has failed.
+	// unreachable is true if the most recently finished call failed.
 	unreachable atomic.Bool
 }
 
@@ -50,7 +50,8 @@
 	}
 }
 
-// start runs the goroutines of the queues, which end with stop.
+// start starts the goroutines of the queues. They run until stop is called or the
+// transport's context ends.
 func (p *peer) start() {
 	p.config.Go(func() { p.urgent.run(p) })
 	p.config.Go(func() { p.appends.run(p) })
@@ -58,7 +59,7 @@
 
 func (p *peer) stop() { p.cancel() }
 
-// send queues a message and never blocks.
+// send queues a message without blocking.
 func (p *peer) send(message raft.Message) {
 	if message.Kind != raft.MessageAppend {
 		p.urgent.push(message)
@@ -68,7 +69,7 @@
 	if newRound {
 		p.lastTerm, p.lastRound = message.Term, message.Round
 	}
-	if queued := p.appends.push(message); queued && newRound {
+	if mustWait := p.appends.push(message); mustWait && newRound {
 		p.urgent.push(raft.Message{
 			Kind:  raft.MessageAppend,
 			From:  message.From,
@@ -79,8 +80,8 @@
 	}
 }
 
-// deliver makes one call and reports whether it succeeded. Messages of a failed call
-// are lost; raft sends them again.
+// deliver sends messages in one call and reports whether it succeeded. It sets the wall
+// clock of append responses. The messages of a failed call are lost; raft sends them again.
 func (p *peer) deliver(messages []raft.Message) bool {
 	for i := range messages {
 		if messages[i].Kind == raft.MessageAppendResponse {
@@ -95,7 +96,8 @@
 	return err == nil
 }
 
-// recordReachability logs changes only.
+// recordReachability records whether a call succeeded, and logs when that changes. It
+// ignores calls that finish after the peer was stopped.
 func (p *peer) recordReachability(err error) {
 	if p.ctx.Err() != nil || p.unreachable.Swap(err != nil) == (err != nil) {
 		return
--- a/internal/replica/transport/peer_test.go
+++ b/internal/replica/transport/peer_test.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// newTestPeer queues only: its goroutines are not started.
+// newTestPeer returns a peer that only queues messages: its goroutines are not started.
 func newTestPeer(t *testing.T) *peer {
 	t.Helper()
 	return newPeer(t.Context(), Config{Logger: slog.New(slog.DiscardHandler)}, member("b"))
@@ -24,19 +24,19 @@
 	}
 	p.send(appendOf(1))
 	if len(p.appends.messages) != 1 || len(p.urgent.messages) != 0 {
-		t.Fatalf("%d appends, %d urgent; want 1, none", len(p.appends.messages), len(p.urgent.messages))
+		t.Fatalf("got %d queued appends, %d urgent messages; want 1, 0", len(p.appends.messages), len(p.urgent.messages))
 	}
 	p.send(appendOf(2))
-	p.send(appendOf(2)) // of a round that is out already
+	p.send(appendOf(2)) // of a round that was already queued
 	if len(p.appends.messages) != 3 || len(p.urgent.messages) != 1 {
-		t.Fatalf("%d appends, %d urgent; want 3, 1", len(p.appends.messages), len(p.urgent.messages))
+		t.Fatalf("got %d queued appends, %d urgent messages; want 3, 1", len(p.appends.messages), len(p.urgent.messages))
 	}
 	heartbeat := p.urgent.messages[0]
 	if heartbeat.Kind != raft.MessageAppend || heartbeat.Round != 2 || heartbeat.Term != 3 || heartbeat.To != "b" {
-		t.Errorf("urgent message %+v, want a heartbeat of round 2", heartbeat)
+		t.Errorf("got urgent message %+v, want an append of round 2 in term 3 to b", heartbeat)
 	}
 	if len(heartbeat.Entries) != 0 || heartbeat.Index != 0 || heartbeat.LogTerm != 0 {
-		t.Errorf("the heartbeat has an offset in the log: %+v", heartbeat)
+		t.Errorf("got heartbeat %+v, want it without entries and log position", heartbeat)
 	}
 }
 
@@ -46,7 +46,7 @@
 		p.send(raft.Message{Kind: kind})
 	}
 	if len(p.appends.messages) != 0 || len(p.urgent.messages) != 2 {
-		t.Errorf("%d appends, %d urgent; want none, 2", len(p.appends.messages), len(p.urgent.messages))
+		t.Errorf("got %d queued appends, %d urgent messages; want 0, 2", len(p.appends.messages), len(p.urgent.messages))
 	}
 }
 
@@ -55,12 +55,12 @@
 	for _, err := range []error{nil, errors.New("connection refused"), nil} {
 		p.recordReachability(err)
 		if got := p.unreachable.Load(); got != (err != nil) {
-			t.Errorf("after %v: unreachable %v", err, got)
+			t.Errorf("after a call with error %v: got unreachable %v", err, got)
 		}
 	}
 	p.stop()
 	p.recordReachability(errors.New("connection refused"))
 	if p.unreachable.Load() {
-		t.Error("a call that ended with the peer makes the replica unreachable")
+		t.Error("call that failed after the peer was stopped marked the replica unreachable")
 	}
 }
--- a/internal/replica/transport/sendqueue.go
+++ b/internal/replica/transport/sendqueue.go
@@ -7,39 +7,39 @@
 )
 
 const (
-	// maxRequestBytes bounds the entries of one RaftRequest with more than one
-	// message.
+	// maxRequestBytes is the maximum size, as counted by messageSize, of a RaftRequest
+	// with more than one message.
 	maxRequestBytes = 1 << 20
-	// maxQueuedBytes and maxQueuedMessages bound what is queued for a slow peer.
+	// maxQueuedBytes and maxQueuedMessages limit the queue of a slow peer.
 	maxQueuedBytes    = 8 << 20
 	maxQueuedMessages = 1024
-	// messageOverhead is counted in bytes for each message on top of its
-	// entries, queuedEntryOverhead for each entry on top of its data.
+	// messageOverhead is the number of bytes counted per message in addition to its
+	// entries; queuedEntryOverhead is that per entry in addition to its data.
 	messageOverhead     = 128
 	queuedEntryOverhead = 32
 )
 
-// sendQueue holds the messages that are queued for one peer, in order, within bounds.
-// The owner of the transport pushes, and one goroutine, run, sends them.
+// sendQueue is a bounded first-in, first-out queue of messages for one peer. The goroutine
+// that owns the transport calls push; one other goroutine, in run, sends the messages.
 type sendQueue struct {
 	mutex    sync.Mutex // guards messages, bytes and sending
 	messages []raft.Message
-	// bytes is the size of messages, as messageSize counts it.
+	// bytes is the total size of messages, as counted by messageSize.
 	bytes int
 	// sending is true while a call is in flight.
 	sending bool
-	// wake, of capacity 1, is filled when messages were pushed.
+	// wake, of capacity 1, receives a value when a message is pushed.
 	wake chan struct{}
 }
 
 func newSendQueue() sendQueue { return sendQueue{wake: make(chan struct{}, 1)} }
 
-// push queues a message, or drops it if the queue is full. It returns true if
-// others are queued or sent before it.
-func (q *sendQueue) push(message raft.Message) (behindOthers bool) {
+// push queues a message, or drops it if the queue is full. It returns true if other
+// messages are queued or being sent, also when it drops the message.
+func (q *sendQueue) push(message raft.Message) (mustWait bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	behindOthers = q.sending || len(q.messages) > 0
+	mustWait = q.sending || len(q.messages) > 0
 	size := messageSize(message)
 	if len(q.messages) >= maxQueuedMessages || (len(q.messages) > 0 && q.bytes+size > maxQueuedBytes) {
 		return true
@@ -50,10 +50,11 @@
 	case q.wake <- struct{}{}:
 	default:
 	}
-	return behindOthers
+	return mustWait
 }
 
-// messageSize is about how many bytes a message takes in memory and in a request.
+// messageSize returns the approximate size of a message in memory and in a request, in
+// bytes.
 func messageSize(message raft.Message) int {
 	size := messageOverhead
 	for _, entry := range message.Entries {
@@ -62,7 +63,8 @@
 	return size
 }
 
-// take removes the messages of the next request, at least one if any are queued.
+// take removes and returns the messages of the next request: at least one if any are
+// queued, and more as long as they fit in maxRequestBytes.
 func (q *sendQueue) take() []raft.Message {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -82,7 +84,8 @@
 	return taken
 }
 
-// clear drops what is queued: after a loss, the peer would reject what follows.
+// clear drops all queued messages. After a lost message, the peer would reject the appends
+// that follow it.
 func (q *sendQueue) clear() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -90,7 +93,7 @@
 	q.messages, q.bytes = q.messages[:0], 0
 }
 
-// run sends until the peer is stopped.
+// run sends queued messages until the peer is stopped.
 func (q *sendQueue) run(receiver *peer) {
 	for {
 		select {
--- a/internal/replica/transport/sendqueue_test.go
+++ b/internal/replica/transport/sendqueue_test.go
@@ -13,20 +13,20 @@
 		q.push(raft.Message{Kind: raft.MessageAppend, Entries: entries})
 	}
 	if q.bytes > maxQueuedBytes {
-		t.Fatalf("%d bytes wait, allowed are %d", q.bytes, maxQueuedBytes)
+		t.Fatalf("%d bytes queued, want at most %d", q.bytes, maxQueuedBytes)
 	}
 	queued := len(q.messages)
 	taken := 0
 	for batch := q.take(); len(batch) > 0; batch = q.take() {
 		if len(batch) > 2 {
-			t.Fatalf("%d messages in one request", len(batch))
+			t.Fatalf("%d messages in one request, want at most 2", len(batch))
 		}
 		taken += len(batch)
 	}
 	if taken != queued || q.bytes != 0 {
-		t.Fatalf("took %d of %d, %d bytes left", taken, queued, q.bytes)
+		t.Fatalf("took %d of %d messages with %d bytes left, want all of them and 0 bytes", taken, queued, q.bytes)
 	}
 	if q.push(raft.Message{}) {
-		t.Fatal("an empty queue makes a message wait")
+		t.Fatal("push to an empty queue: got mustWait true, want false")
 	}
 }
--- a/internal/replica/transport/transport.go
+++ b/internal/replica/transport/transport.go
@@ -10,40 +10,41 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// maxNonMembers bounds the senders outside of the membership that are answered; the
-// newest ones are.
+// maxNonMembers is the maximum number of senders outside the membership for which a peer
+// is kept; a new sender replaces the oldest.
 const maxNonMembers = 8
 
-// Config makes a Transport. All fields are required.
+// Config configures a Transport. All fields are required.
 type Config struct {
-	// ID is that of this replica.
+	// ID is the id of this replica.
 	ID raft.ReplicaID
-	// Self returns this replica as it describes itself to receivers.
+	// Self returns the member that describes this replica to receivers.
 	Self func() raft.Member
 	// Client makes the calls.
 	Client *rpc.Client
-	// WallClock is that of this machine; append responses carry it.
+	// WallClock returns the wall-clock time of this machine; append responses carry it.
 	WallClock func() time.Time
 	Logger    *slog.Logger
-	// Go starts a goroutine, which ends with its peer or the transport's context. The
-	// caller waits for it.
+	// Go runs a function in a new goroutine. The function returns when its peer is
+	// stopped or the transport's context ends; the provider of Go waits for it.
 	Go func(func())
 }
 
-// Transport sends messages to the other replicas. One goroutine, which drives the raft
-// node, calls its methods; only the goroutines of the peers' queues run beside it.
+// Transport sends messages to the other replicas. Its methods must be called from one
+// goroutine, the one that drives the raft node; the queues of the peers have goroutines of
+// their own.
 type Transport struct {
 	config  Config
 	ctx     context.Context
 	members map[raft.ReplicaID]*peer
-	// nonMembers are senders that the membership does not list (yet): a replica that
-	// joins must answer a leader from which it has no membership.
+	// nonMembers holds the peers of senders that the membership does not (yet) list: a
+	// joining replica must answer a leader before it has received the membership.
 	nonMembers map[raft.ReplicaID]*peer
-	// nonMemberOrder has the ids of nonMembers, oldest first.
+	// nonMemberOrder lists the ids of nonMembers, oldest first.
 	nonMemberOrder []raft.ReplicaID
 }
 
-// New makes a transport without peers. They end with ctx.
+// New creates a transport without peers. Peers that it starts later end when ctx ends.
 func New(ctx context.Context, config Config) *Transport {
 	return &Transport{
 		config:     config,
@@ -53,7 +54,7 @@
 	}
 }
 
-// SetMembers starts and stops peers to follow the membership. A member whose address
+// SetMembers starts and stops peers to match the membership. A member whose address has
 // changed gets a new peer.
 func (t *Transport) SetMembers(membership raft.Membership) {
 	members := make(map[raft.ReplicaID]*peer)
@@ -76,7 +77,8 @@
 	t.members = members
 }
 
-// ObserveSender remembers where to answer a sender outside of the membership.
+// ObserveSender keeps a peer for a sender outside the membership, so that it can be
+// answered.
 func (t *Transport) ObserveSender(sender raft.Member) {
 	if sender.ID == "" || sender.ID == t.config.ID || t.members[sender.ID] != nil {
 		return
@@ -110,7 +112,7 @@
 	return started
 }
 
-// Send hands a message to its peer and never blocks. A message to an unknown replica
+// Send queues a message for its receiver without blocking. A message to an unknown replica
 // is dropped; raft sends it again.
 func (t *Transport) Send(message raft.Message) {
 	receiver := t.members[message.To]
@@ -122,15 +124,15 @@
 	}
 }
 
-// Reachable reports whether the newest call to a member succeeded, or none has failed
-// yet.
+// Reachable reports whether id is a member and the most recently finished call to it, if
+// there was one, succeeded.
 func (t *Transport) Reachable(id raft.ReplicaID) bool {
 	member := t.members[id]
 	return member != nil && !member.unreachable.Load()
 }
 
-// ReachesQuorum reports whether a majority of the voters is reachable, this replica
-// included, and at least one other.
+// ReachesQuorum reports whether a majority of the voters is reachable, counting this
+// replica, and among them at least one other than this replica.
 func (t *Transport) ReachesQuorum(voters []raft.Member) bool {
 	others, reached := 0, 0
 	for _, voter := range voters {
--- a/internal/replica/transport/transport_test.go
+++ b/internal/replica/transport/transport_test.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// newTestTransport sends to nobody: its client is never used as no message is sent.
+// newTestTransport returns a transport without a client, for tests that send no messages.
 func newTestTransport(t *testing.T) *Transport {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -31,24 +31,24 @@
 	transport := newTestTransport(t)
 	transport.ObserveSender(member("c"))
 	if transport.nonMembers["c"] == nil || transport.members["c"] != nil {
-		t.Fatal("a sender outside of the membership cannot be answered")
+		t.Fatal("sender outside the membership: want a peer in nonMembers only")
 	}
 	transport.SetMembers(members("self", "a", "b", "c"))
 	if len(transport.members) != 3 || len(transport.nonMembers) != 0 {
-		t.Errorf("%d members, %d others; want 3, none", len(transport.members), len(transport.nonMembers))
+		t.Errorf("got %d members, %d non-members; want 3, 0", len(transport.members), len(transport.nonMembers))
 	}
 	kept, moved, removed := transport.members["a"], transport.members["b"], transport.members["c"]
 	changed := members("self", "a", "b")
 	changed.Voters[2].Address = "elsewhere"
 	transport.SetMembers(changed)
 	if transport.members["a"] != kept || kept.ctx.Err() != nil {
-		t.Error("an unchanged member got another peer")
+		t.Error("unchanged member: its peer was replaced or stopped")
 	}
 	if transport.members["b"] == moved || moved.ctx.Err() == nil {
-		t.Error("a member that moved kept its peer")
+		t.Error("member with a new address: its peer was kept or not stopped")
 	}
 	if transport.members["c"] != nil || removed.ctx.Err() == nil {
-		t.Error("a removed member kept its peer")
+		t.Error("removed member: its peer was kept or not stopped")
 	}
 }
 
@@ -58,12 +58,12 @@
 		transport.ObserveSender(member(fmt.Sprint(i)))
 	}
 	if len(transport.nonMembers) != maxNonMembers || transport.nonMembers["0"] != nil {
-		t.Errorf("%d non-members with the oldest: %v; want %d without", len(transport.nonMembers), transport.nonMembers["0"] != nil, maxNonMembers)
+		t.Errorf("got %d non-members, oldest kept: %v; want %d, false", len(transport.nonMembers), transport.nonMembers["0"] != nil, maxNonMembers)
 	}
 	transport.ObserveSender(member("self"))
 	transport.ObserveSender(raft.Member{})
 	if len(transport.nonMembers) != maxNonMembers {
-		t.Errorf("%d non-members after senders without one", len(transport.nonMembers))
+		t.Errorf("got %d non-members after senders that need no peer, want no change", len(transport.nonMembers))
 	}
 }
 
@@ -88,7 +88,7 @@
 				transport.members[raft.ReplicaID(id)].unreachable.Store(true)
 			}
 			if got := transport.ReachesQuorum(membership.Voters); got != c.want {
-				t.Errorf("reaches a quorum: %v, want %v", got, c.want)
+				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/replica/watermark.go
+++ b/internal/replica/watermark.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// watermark is a number that only grows, and can be waited for. The zero value is
-// ready to use.
+// watermark is a number that only grows; goroutines can wait for it to reach a value. The
+// zero value is ready to use.
 type watermark struct {
-	mutex sync.Mutex // guards all below
+	mutex sync.Mutex // guards the fields below
 	value uint64
-	// changed is closed at the next change; nil if nobody waits.
+	// changed is closed at the next change; nil if no goroutine has asked for it.
 	changed chan struct{}
 }
 
@@ -20,7 +20,7 @@
 	return w.value
 }
 
-// advance sets the value, unless it is as high already.
+// advance raises the value to value; it does nothing if the value is already as high.
 func (w *watermark) advance(value uint64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -34,7 +34,7 @@
 	}
 }
 
-// watch returns the current value and a channel that closes when it changes.
+// watch returns the current value and a channel that is closed when it changes.
 func (w *watermark) watch() (uint64, <-chan struct{}) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/replica/watermark_test.go
+++ b/internal/replica/watermark_test.go
@@ -12,7 +12,7 @@
 	w.advance(5)
 	w.advance(3)
 	if got := w.load(); got != 5 {
-		t.Errorf("value %d, want 5", got)
+		t.Errorf("got value %d, want 5", got)
 	}
 }
 
@@ -21,26 +21,26 @@
 		var w watermark
 		stopped := make(chan struct{})
 		ctx, cancel := context.WithCancel(t.Context())
-		reached, ended, stop := make(chan error, 1), make(chan error, 1), make(chan error, 1)
+		reached, canceled, stop := make(chan error, 1), make(chan error, 1), make(chan error, 1)
 		go func() { reached <- w.wait(t.Context(), stopped, 2) }()
-		go func() { ended <- w.wait(ctx, stopped, 3) }()
+		go func() { canceled <- w.wait(ctx, stopped, 3) }()
 		go func() { stop <- w.wait(t.Context(), stopped, 3) }()
 		w.advance(1)
 		synctest.Wait()
 		if len(reached) != 0 {
-			t.Error("the wait for 2 ended at 1")
+			t.Error("wait for 2 returned at value 1")
 		}
 		w.advance(2)
 		if err := <-reached; err != nil {
-			t.Errorf("reached: %v", err)
+			t.Errorf("wait for a reached value: got %v, want nil", err)
 		}
 		cancel()
-		if err := <-ended; !errors.Is(err, context.Canceled) {
-			t.Errorf("context ended: %v", err)
+		if err := <-canceled; !errors.Is(err, context.Canceled) {
+			t.Errorf("wait with a canceled context: got %v, want context.Canceled", err)
 		}
 		close(stopped)
 		if err := <-stop; !errors.Is(err, ErrStopped) {
-			t.Errorf("stopped: %v", err)
+			t.Errorf("wait after stopped was closed: got %v, want ErrStopped", err)
 		}
 	})
 }
