--- a/internal/storage/archivebytes_test.go
+++ b/internal/storage/archivebytes_test.go
@@ -9,14 +9,14 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// TestArchive_OldestEndCoversBytes: both archives name the oldest jobs that take so many
-// bytes, and take less once they are dropped.
+// TestArchive_OldestEndCoversBytes checks that OldestEnd of both archives selects the
+// oldest jobs that cover the given bytes, and that Bytes shrinks once jobs have expired.
 func TestArchive_OldestEndCoversBytes(t *testing.T) {
 	forEachStore(t, func(t *testing.T, s Store, reopen func() Store) {
 		t.Helper()
 		archive := s.Archive()
 		if end, count, err := archive.OldestEnd(1, 9); err != nil || end != 0 || count != 0 {
-			t.Fatalf("empty archive: %d, %d, %v", end, count, err)
+			t.Fatalf("OldestEnd of an empty archive: got end %d, count %d, error %v, want 0, 0, nil", end, count, err)
 		}
 		for i := range 2000 {
 			requireNoError(t, archive.Put([]record.ArchivedJob{{ID: fmt.Sprintf("job-%d", i*7919%2000), Index: 1, EndedAt: record.Millis(100 + i)}}))
@@ -24,24 +24,25 @@
 		requireNoError(t, archive.Sync())
 		archive = reopen().Archive()
 		if end, count, err := archive.OldestEnd(1, 9); err != nil || end != 100 || count != 1 {
-			t.Fatalf("the oldest job: %d, %d, %v", end, count, err)
+			t.Fatalf("OldestEnd for 1 byte: got end %d, count %d, error %v, want 100, 1, nil", end, count, err)
 		}
 		if end, count, err := archive.OldestEnd(1<<40, 500); err != nil || end != 599 || count != 500 {
-			t.Fatalf("the 500 oldest: %d, %d, %v", end, count, err)
+			t.Fatalf("OldestEnd with a limit of 500 jobs: got end %d, count %d, error %v, want 599, 500, nil", end, count, err)
 		}
-		held := archive.Bytes()
+		sizeBefore := archive.Bytes()
 		_, err := archive.Expire(1600, 1500)
 		requireNoError(t, err)
 		requireNoError(t, archive.Sync())
-		if left := reopen().Archive().Bytes(); left <= 0 || left > held*3/4 {
-			t.Fatalf("%d bytes are left of %d after three quarters of the jobs were dropped", left, held)
+		if sizeAfter := reopen().Archive().Bytes(); sizeAfter <= 0 || sizeAfter > sizeBefore*3/4 {
+			t.Fatalf("got %d bytes after expiry of three quarters of the jobs, want more than 0 and at most 3/4 of %d", sizeAfter, sizeBefore)
 		}
 	})
 }
 
-// TestArchive_FileSizeBounded: while the oldest jobs are dropped beyond a bound of
-// bytes, the file itself is bounded, however many jobs pass through: bbolt writes
-// copies of changed pages before it frees the old ones, which are at most all.
+// TestArchive_FileSizeBounded guards against a file that grows without limit while the
+// oldest jobs are expired to keep Bytes within a bound. The file may take twice the
+// bound: bbolt writes copies of changed pages before it frees the old ones, and a
+// transaction may change every page.
 func TestArchive_FileSizeBounded(t *testing.T) {
 	const bound, jobs, batch = 2 << 20, 12_000, 1000
 	directory := t.TempDir()
@@ -56,18 +57,18 @@
 			continue
 		}
 		requireNoError(t, archive.Sync())
-		for over := archive.Bytes() - bound; over > 0; over = archive.Bytes() - bound {
-			end, count, err := archive.OldestEnd(over, batch)
+		for excess := archive.Bytes() - bound; excess > 0; excess = archive.Bytes() - bound {
+			end, count, err := archive.OldestEnd(excess, batch)
 			requireNoError(t, err)
 			if dropped, err := archive.Expire(end+1, batch); err != nil || dropped != count {
-				t.Fatalf("%d dropped of %d, %v", dropped, count, err)
+				t.Fatalf("Expire: got %d jobs, want %d, error %v", dropped, count, err)
 			}
 		}
 	}
 	info, err := os.Stat(filepath.Join(directory, archiveFile))
 	requireNoError(t, err)
-	if info.Size() > 2*(bound+archiveGrowth) {
-		t.Fatalf("the file takes %d bytes with a bound of %d", info.Size(), bound)
+	if info.Size() > 2*(bound+archiveGrowthBytes) {
+		t.Fatalf("got a file of %d bytes with a bound of %d on the pages in use", info.Size(), bound)
 	}
-	t.Logf("the file takes %d bytes, %d in use", info.Size(), archive.Bytes())
+	t.Logf("file size %d bytes, %d bytes in use", info.Size(), archive.Bytes())
 }
--- a/internal/storage/archiveopen.go
+++ b/internal/storage/archiveopen.go
@@ -17,15 +17,15 @@
 
 const (
 	archiveFile = "archive.db"
-	// archiveGrowth is by how much the file grows at once, in bytes.
-	archiveGrowth = 1 << 20
-	// lockTimeout is how long an open waits for another process to close the
-	// file.
+	// archiveGrowthBytes is the step in which the file grows, in bytes.
+	archiveGrowthBytes = 1 << 20
+	// lockTimeout is how long opening the file waits for bbolt's lock while
+	// another process holds it.
 	lockTimeout = 200 * time.Millisecond
 )
 
-// createArchive makes an empty archive without its name yet, in place of one
-// whose creation was interrupted.
+// createArchive creates an empty archive under its unfinished name, and replaces
+// one whose creation was interrupted. finishArchiveCreation renames it.
 func createArchive(files datafile.FileSystem, directory string) error {
 	path := filepath.Join(directory, archiveFile+datafile.UnfinishedSuffix)
 	if err := files.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -34,6 +34,7 @@
 	return createFile(path, createArchiveBuckets)
 }
 
+// createFile creates a bbolt file whose content is written by fill, and closes it.
 func createFile(path string, fill func(*bbolt.Tx) error) error {
 	db, err := bbolt.Open(path, datafile.FilePermission, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
@@ -49,10 +50,12 @@
 	return nil
 }
 
-// finishArchiveCreation finishes a creation that stopped between the renames of
-// log and archive. A loss of power may have taken either name; while the log is
-// empty, so is the archive, and one without its name may be incomplete.
-func finishArchiveCreation(files datafile.FileSystem, directory string, empty bool) error {
+// finishArchiveCreation gives the archive its final name if it does not have it yet.
+// It also completes a creation that stopped between the renames of log and
+// archive; a power loss may have removed either name of the archive. If the log is
+// empty, the archive is created again: it has no jobs then, and a file under the
+// unfinished name may be incomplete.
+func finishArchiveCreation(files datafile.FileSystem, directory string, logEmpty bool) error {
 	names, err := files.Names(directory)
 	if err != nil {
 		return fmt.Errorf("list data folder: %w", err)
@@ -61,12 +64,12 @@
 		return nil
 	}
 	path := filepath.Join(directory, archiveFile)
-	if empty {
+	if logEmpty {
 		if err := createArchive(files, directory); err != nil {
 			return err
 		}
 	} else if !slices.Contains(names, archiveFile+datafile.UnfinishedSuffix) {
-		return datafile.Corrupt(path, "missing")
+		return datafile.NewCorruptError(path, "missing")
 	}
 	if err := files.Rename(path+datafile.UnfinishedSuffix, path); err != nil {
 		return fmt.Errorf("rename archive: %w", err)
@@ -74,6 +77,7 @@
 	return files.SyncDirectory(directory)
 }
 
+// openBolt opens a bbolt file. Its errors are those of openError.
 func openBolt(path string, options *bbolt.Options) (db *bbolt.DB, err error) {
 	err = recoverPageFault(path, func() error {
 		db, err = bbolt.Open(path, datafile.FilePermission, options)
@@ -85,7 +89,9 @@
 	return db, nil
 }
 
-// openError distinguishes a lock, damage, and an error of the machine.
+// openError classifies an error of bbolt.Open: ErrLocked if another process has
+// locked the file, the error itself if it is ErrCorrupt or comes from the file
+// system, and ErrCorrupt for any other.
 func openError(path string, err error) error {
 	var pathError *fs.PathError
 	switch {
@@ -94,16 +100,16 @@
 	case errors.Is(err, ErrCorrupt), errors.As(err, &pathError):
 		return fmt.Errorf("open %s: %w", path, err)
 	default:
-		return datafile.Corrupt(path, "%v", err)
+		return datafile.NewCorruptError(path, "%v", err)
 	}
 }
 
-// openDiskArchive opens an archive, which must have the transaction needed or a
-// newer one. The list of free pages stays in the file: rebuilding it from a file
-// of some gigabytes would make starts slow.
-func openDiskArchive(config DiskConfig, needed uint64) (*DiskArchive, error) {
+// openDiskArchive opens an archive, whose newest transaction must be at least
+// minTransaction. bbolt's list of free pages is stored in the file, because
+// rebuilding it from a file of several gigabytes would make starts slow.
+func openDiskArchive(config DiskConfig, minTransaction uint64) (*DiskArchive, error) {
 	path := filepath.Join(config.Directory, archiveFile)
-	torn, err := checkArchiveFile(config, path, needed)
+	torn, err := checkArchiveFile(config, path, minTransaction)
 	if err != nil {
 		return nil, err
 	}
@@ -112,7 +118,7 @@
 		return nil, err
 	}
 	a := &DiskArchive{db: db, pending: make(map[string]record.ArchivedJob)}
-	db.AllocSize = archiveGrowth
+	db.AllocSize = archiveGrowthBytes
 	err = a.view(checkArchiveBuckets(path))
 	if err == nil && torn {
 		err = a.rewriteMetas()
@@ -127,17 +133,17 @@
 	return a, nil
 }
 
-// checkArchiveFile reports whether a meta page is torn. It also makes durable
-// what is found: a killed process may have left a transaction that only the
-// machine's memory holds, and bbolt overwrites the pages that the newest one
-// freed.
-func checkArchiveFile(config DiskConfig, path string, needed uint64) (torn bool, err error) {
+// checkArchiveFile checks the meta pages and reports whether one is torn. It also
+// syncs the file: the newest transaction of a killed process may be only in the
+// page cache, and bbolt would overwrite the pages that this transaction freed
+// although the older transaction needs them after a power loss.
+func checkArchiveFile(config DiskConfig, path string, minTransaction uint64) (torn bool, err error) {
 	file, err := config.files.Open(path)
 	if err != nil {
 		return false, fmt.Errorf("open archive: %w", err)
 	}
 	defer func() { err = errors.Join(err, file.Close()) }()
-	damage, err := checkBoltMetas(path, file, needed)
+	damage, err := checkBoltMetas(path, file, minTransaction)
 	if err != nil {
 		return false, err
 	}
@@ -147,7 +153,8 @@
 	return damage != nil, file.Sync()
 }
 
-// rewriteMetas overwrites both meta pages; each transaction writes one.
+// rewriteMetas overwrites both meta pages with empty transactions; each transaction
+// writes one page.
 func (a *DiskArchive) rewriteMetas() error {
 	for range boltMetaPages {
 		if err := a.update(func(*bbolt.Tx) error { return nil }); err != nil {
@@ -157,6 +164,7 @@
 	return nil
 }
 
+// createArchiveBuckets creates the buckets of an empty archive.
 func createArchiveBuckets(tx *bbolt.Tx) error {
 	for _, name := range archiveBuckets {
 		if _, err := tx.CreateBucket(name); err != nil {
@@ -166,19 +174,21 @@
 	return nil
 }
 
+// checkArchiveBuckets returns a transaction function that fails with ErrCorrupt if
+// a bucket is missing.
 func checkArchiveBuckets(path string) func(*bbolt.Tx) error {
 	return func(tx *bbolt.Tx) error {
 		for _, name := range archiveBuckets {
 			if tx.Bucket(name) == nil {
-				return datafile.Corrupt(path, "bucket %s is missing", name)
+				return datafile.NewCorruptError(path, "bucket %s is missing", name)
 			}
 		}
 		return nil
 	}
 }
 
-// countPages makes bbolt count its free pages, which it does at the end of a
-// transaction that can write. This one writes nothing.
+// countPages makes bbolt count its free pages, as Bytes requires. bbolt does so at
+// the end of each read-write transaction; this one writes nothing.
 func (a *DiskArchive) countPages() error {
 	return recoverPageFault(a.db.Path(), func() error {
 		tx, err := a.db.Begin(true)
--- a/internal/storage/boltmeta.go
+++ b/internal/storage/boltmeta.go
@@ -12,39 +12,42 @@
 	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
-// Layout of a bbolt file's two meta pages (bbolt, internal/common/meta.go and
-// page.go): after the page header, which is page number (8) and flags (2) and
-// zeros, come magic, version, page size, flags (4 bytes each),
-// root (16), free list, high water mark, transaction (8 each) and, over all
-// these, an FNV-1a checksum (8), in the byte order of the machine.
+// Layout of the two meta pages of a bbolt file (see internal/common/meta.go and
+// page.go of bbolt), with lengths in bytes. The page header is: page number (8),
+// flags (2), zeros. The meta follows it: magic, version, page size and flags (4
+// each), root (16), free list, high water mark and transaction (8 each), and an
+// FNV-1a checksum of these fields (8). Numbers are in the byte order of the machine.
+// Offsets are from the start of the meta.
 const (
-	boltMetaPages     = 2
-	boltMetaFlag      = 4
-	boltPageHeader    = 16
-	boltMagic         = 0xED0CDAED
-	boltPageSizeAt    = 8
-	boltTransactionAt = 48
-	boltChecksumAt    = 56
-	boltMetaSize      = boltChecksumAt + 8
-	boltMinPageSize   = 512
-	boltMaxPageSize   = 1 << 16
+	boltMetaPages         = 2
+	boltMetaFlag          = 4
+	boltPageHeaderSize    = 16
+	boltMagic             = 0xED0CDAED
+	boltPageSizeOffset    = 8
+	boltTransactionOffset = 48
+	boltChecksumOffset    = 56
+	boltMetaSize          = boltChecksumOffset + 8
+	boltMinPageSize       = 512
+	boltMaxPageSize       = 1 << 16
 )
 
-// boltMeta is what is used of a meta page.
+// boltMeta has the fields of a meta page that are used here.
 type boltMeta struct {
 	pageSize    int64
 	transaction uint64
 }
 
-// checkBoltMetas rejects a file without a valid meta page, or whose newest
-// transaction is older than the one needed. bbolt writes the meta pages in turn
-// and each after the pages that it names are durable, so a loss of power may
-// tear the newest; bbolt then uses the other one. Whether the transaction of the
-// torn one may be lost is known to the log. torn says what is wrong with it.
-func checkBoltMetas(path string, file io.ReaderAt, needed uint64) (torn, err error) {
+// checkBoltMetas returns an error if neither meta page is valid or the newest valid
+// transaction is older than minTransaction. bbolt writes the two meta pages
+// alternately, each after the pages that it refers to are durable, so a power loss
+// may tear the newest meta page; bbolt then uses the other one. The log determines
+// whether the torn transaction may be lost, by way of minTransaction. torn describes
+// the damage to the invalid page; it is nil if both are valid.
+func checkBoltMetas(path string, file io.ReaderAt, minTransaction uint64) (torn, err error) {
 	first, firstErr := readBoltMeta(path, file, 0, 0)
 	if errors.Is(firstErr, ErrCorrupt) {
-		// Its page size cannot be trusted; only the machine's is ever used.
+		// The page size in a damaged meta is unusable. The file was created with
+		// the machine's page size.
 		first.pageSize = int64(os.Getpagesize())
 	} else if firstErr != nil {
 		return nil, firstErr
@@ -58,44 +61,46 @@
 		return nil, torn
 	}
 	newest := max(first.transaction, second.transaction)
-	if newest < needed {
-		return nil, errors.Join(datafile.Corrupt(path, "newest transaction is %d, expected at least %d", newest, needed), torn)
+	if newest < minTransaction {
+		return nil, errors.Join(datafile.NewCorruptError(path, "newest transaction is %d, expected at least %d", newest, minTransaction), torn)
 	}
 	return torn, nil
 }
 
-// readBoltMeta reads one meta page; damage is ErrCorrupt.
+// readBoltMeta reads and verifies one meta page. It returns ErrCorrupt if the page is
+// damaged or truncated.
 func readBoltMeta(path string, file io.ReaderAt, page, pageSize int64) (boltMeta, error) {
-	content := make([]byte, boltPageHeader+boltMetaSize)
+	content := make([]byte, boltPageHeaderSize+boltMetaSize)
 	_, err := file.ReadAt(content, page*pageSize)
 	if errors.Is(err, io.EOF) {
-		return boltMeta{}, datafile.Corrupt(path, "meta page %d is cut off", page)
+		return boltMeta{}, datafile.NewCorruptError(path, "meta page %d is cut off", page)
 	}
 	if err != nil {
 		return boltMeta{}, fmt.Errorf("read %s: %w", path, err)
 	}
-	header := make([]byte, boltPageHeader)
+	header := make([]byte, boltPageHeaderSize)
 	binary.NativeEndian.PutUint64(header, uint64(page))
 	binary.NativeEndian.PutUint16(header[8:], boltMetaFlag)
-	if !bytes.Equal(content[:boltPageHeader], header) {
-		return boltMeta{}, datafile.Corrupt(path, "meta page %d has header %x", page, content[:boltPageHeader])
+	if !bytes.Equal(content[:boltPageHeaderSize], header) {
+		return boltMeta{}, datafile.NewCorruptError(path, "meta page %d has header %x", page, content[:boltPageHeaderSize])
 	}
-	return decodeBoltMeta(path, page, content[boltPageHeader:])
+	return decodeBoltMeta(path, page, content[boltPageHeaderSize:])
 }
 
+// decodeBoltMeta verifies and decodes a meta without its page header.
 func decodeBoltMeta(path string, page int64, meta []byte) (boltMeta, error) {
 	if magic := binary.NativeEndian.Uint32(meta); magic != boltMagic {
-		return boltMeta{}, datafile.Corrupt(path, "meta page %d starts with %08x, expected %08x", page, magic, uint32(boltMagic))
+		return boltMeta{}, datafile.NewCorruptError(path, "meta page %d starts with %08x, expected %08x", page, magic, uint32(boltMagic))
 	}
 	sum := fnv.New64a()
-	_, _ = sum.Write(meta[:boltChecksumAt])
-	want := binary.NativeEndian.Uint64(meta[boltChecksumAt:])
+	_, _ = sum.Write(meta[:boltChecksumOffset])
+	want := binary.NativeEndian.Uint64(meta[boltChecksumOffset:])
 	if got := sum.Sum64(); got != want {
-		return boltMeta{}, datafile.Corrupt(path, "meta page %d has checksum %016x, expected %016x", page, got, want)
+		return boltMeta{}, datafile.NewCorruptError(path, "meta page %d has checksum %016x, expected %016x", page, got, want)
 	}
-	pageSize := int64(binary.NativeEndian.Uint32(meta[boltPageSizeAt:]))
+	pageSize := int64(binary.NativeEndian.Uint32(meta[boltPageSizeOffset:]))
 	if pageSize < boltMinPageSize || pageSize > boltMaxPageSize {
-		return boltMeta{}, datafile.Corrupt(path, "meta page %d names a page size of %d bytes", page, pageSize)
+		return boltMeta{}, datafile.NewCorruptError(path, "meta page %d names a page size of %d bytes", page, pageSize)
 	}
-	return boltMeta{pageSize: pageSize, transaction: binary.NativeEndian.Uint64(meta[boltTransactionAt:])}, nil
+	return boltMeta{pageSize: pageSize, transaction: binary.NativeEndian.Uint64(meta[boltTransactionOffset:])}, nil
 }
--- a/internal/storage/datafile/checksum.go
+++ b/internal/storage/datafile/checksum.go
@@ -10,5 +10,6 @@
 // Checksum returns the CRC-32C of data.
 func Checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
 
-// UpdateChecksum returns the checksum of what sum covers followed by data.
+// UpdateChecksum extends sum, the checksum of the preceding bytes, by data and
+// returns the checksum of both together.
 func UpdateChecksum(sum uint32, data []byte) uint32 { return crc32.Update(sum, castagnoli, data) }
--- a/internal/storage/datafile/datafile_test.go
+++ b/internal/storage/datafile/datafile_test.go
@@ -13,16 +13,16 @@
 )
 
 func TestCorrupt_NamesFileAndProblem(t *testing.T) {
-	err := fmt.Errorf("load: %w", Corrupt("d/snapshot", "is of index %d, expected at least %d", 3, 5))
+	err := fmt.Errorf("load: %w", NewCorruptError("d/snapshot", "snapshot has index %d, expected at least %d", 3, 5))
 	var corrupt *CorruptError
 	if !errors.Is(err, ErrCorrupt) || !errors.As(err, &corrupt) {
-		t.Fatalf("%v is not a CorruptError", err)
+		t.Fatalf("got %v, want a CorruptError", err)
 	}
-	if corrupt.File != "d/snapshot" || corrupt.Problem != "is of index 3, expected at least 5" {
+	if corrupt.File != "d/snapshot" || corrupt.Problem != "snapshot has index 3, expected at least 5" {
 		t.Errorf("got file %q, problem %q", corrupt.File, corrupt.Problem)
 	}
-	if !strings.Contains(err.Error(), "d/snapshot: is of index 3") {
-		t.Errorf("got %q", err)
+	if !strings.Contains(err.Error(), "d/snapshot: snapshot has index 3") {
+		t.Errorf("got %q, want the file and the problem in it", err)
 	}
 }
 
@@ -40,12 +40,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			got := ClassifyWriteError(c.err)
 			if errors.Is(got, ErrNoSpace) != c.noSpace || !errors.Is(got, c.err) {
-				t.Errorf("got %v", got)
+				t.Errorf("got %v, want it to wrap the error, and ErrNoSpace only for a full disk", got)
 			}
 		})
 	}
 	if ClassifyWriteError(nil) != nil {
-		t.Error("no error became one")
+		t.Error("got an error for nil, want nil")
 	}
 }
 
@@ -76,9 +76,9 @@
 	}
 	content, err := os.ReadFile(filepath.Join(directory, "a"))
 	if size, sizeErr := file.Size(); err != nil || sizeErr != nil || size != 8 || string(content) != "\x00\x00xy\x00\x00\x00\x00" {
-		t.Errorf("size %d, content %q, %v, %v", size, content, err, sizeErr)
+		t.Errorf("got size %d, content %q, errors %v and %v, want 8 bytes with xy at offset 2", size, content, err, sizeErr)
 	}
 	if names, err := (OS{}).Names(directory); err != nil || !slices.Equal(names, []string{"a"}) {
-		t.Errorf("names %v, %v", names, err)
+		t.Errorf("got names %v, %v, want only a", names, err)
 	}
 }
--- a/internal/storage/datafile/doc.go
+++ b/internal/storage/datafile/doc.go
@@ -1,7 +1,7 @@
-// Package datafile is the common ground of what a data directory holds: the file
-// system that it lives on, the checksum over what is stored, and the errors for
-// damage and for a full disk.
+// Package datafile has what all files of a data directory share: the file system
+// interface, the checksum of stored data, and the errors for damage and for a
+// full disk.
 //
-// FileSystem exists so that tests can lose power: a caller may rely on nothing
-// that it has not synced.
+// FileSystem is an interface so that tests can simulate a power loss: a caller
+// must not rely on any write that it has not synced.
 package datafile
--- a/internal/storage/datafile/errors.go
+++ b/internal/storage/datafile/errors.go
@@ -7,23 +7,23 @@
 )
 
 var (
-	// ErrCorrupt is what every CorruptError wraps.
+	// ErrCorrupt is wrapped by every CorruptError.
 	ErrCorrupt = errors.New("storage: data folder is corrupt")
-	// ErrNoSpace is returned by a write that a full disk rejected. Nothing of it
-	// counts, and the same may be written again once there is space.
-	ErrNoSpace = errors.New("storage: no room on the disk")
+	// ErrNoSpace is returned by a write that failed because the disk is full. The
+	// write has no effect and may be repeated once there is space.
+	ErrNoSpace = errors.New("storage: no space left on the disk")
 )
 
 // CorruptError reports damage to a file: a checksum that does not match, or
 // content that contradicts itself or another file.
 type CorruptError struct {
-	File string
-	// Problem says what was found, and what was expected in its place.
+	File string // path of the damaged file
+	// Problem says what was found and what was expected instead.
 	Problem string
 }
 
-// Corrupt returns a CorruptError.
-func Corrupt(file, format string, arguments ...any) error {
+// NewCorruptError returns a CorruptError for file, with a formatted Problem.
+func NewCorruptError(file, format string, arguments ...any) error {
 	return &CorruptError{File: file, Problem: fmt.Sprintf(format, arguments...)}
 }
 
@@ -35,9 +35,10 @@
 // Unwrap returns ErrCorrupt.
 func (e *CorruptError) Unwrap() error { return ErrCorrupt }
 
-// ClassifyWriteError adds ErrNoSpace to the error of a write that a full disk
-// rejected. It must not be given the error of a sync: what the file holds is
-// unknown then.
+// ClassifyWriteError wraps err in ErrNoSpace if it reports a full disk or an
+// exceeded quota, and returns any other error unchanged. It must not be called
+// with the error of a sync: after a failed sync the content of the file is
+// unknown.
 func ClassifyWriteError(err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
 		return fmt.Errorf("%w: %w", ErrNoSpace, err)
--- a/internal/storage/datafile/filesystem.go
+++ b/internal/storage/datafile/filesystem.go
@@ -11,21 +11,22 @@
 const (
 	// FilePermission is the mode of every file of a data directory.
 	FilePermission = 0o600
-	// UnfinishedSuffix marks a file of a data directory whose creation was not
-	// finished.
+	// UnfinishedSuffix is appended to the name of a file of a data directory
+	// until its creation is finished.
 	UnfinishedSuffix = ".new"
 )
 
-// FileSystem is what the log and the snapshots need of a file system. Content is
-// durable once its file has been synced, and a name once its directory has.
+// FileSystem has the file operations that the log and the snapshots use. The
+// content of a file is durable once the file has been synced; a created, renamed
+// or removed name is durable once its directory has been synced.
 type FileSystem interface {
-	// Create makes an empty file, in place of one of that name.
+	// Create creates an empty file and replaces an existing one of that name.
 	Create(path string) (File, error)
-	// Open opens a file for reading and writing.
+	// Open opens an existing file for reading and writing.
 	Open(path string) (File, error)
 	Rename(from, to string) error
 	Remove(path string) error
-	// Names lists a directory in the order of names.
+	// Names lists the names in a directory in ascending order.
 	Names(directory string) ([]string, error)
 	SyncDirectory(directory string) error
 }
@@ -35,14 +36,14 @@
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
-	// Truncate sets the length; what it adds reads as zeros.
+	// Truncate sets the length in bytes; added bytes read as zeros.
 	Truncate(size int64) error
 	Size() (int64, error)
 	// Sync makes the content and the length durable.
 	Sync() error
 }
 
-// OS is the machine's file system.
+// OS is the FileSystem of the operating system.
 type OS struct{}
 
 var _ FileSystem = OS{}
@@ -105,8 +106,8 @@
 	return info.Size(), nil
 }
 
-// Sync implements File with fdatasync, which leaves out times but not the
-// length.
+// Sync implements File with fdatasync, which writes the content and the length
+// but not the timestamps.
 func (f osFile) Sync() error {
 	for {
 		err := syscall.Fdatasync(int(f.Fd()))
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -17,22 +17,24 @@
 )
 
 const (
-	// earlierLogFile is the log of versions that kept it in bbolt.
+	// earlierLogFile is the log file of earlier versions, which used bbolt.
 	earlierLogFile = "log.db"
-	// replicaIDBytes gives 16 hex digits.
+	// replicaIDBytes is the length of a replica id before hex encoding; it gives 16
+	// hex digits.
 	replicaIDBytes = 8
 	// directoryPermission is the mode of the data directory.
 	directoryPermission = 0o700
 )
 
-// DiskConfig says where the data directory is.
+// DiskConfig configures a Disk.
 type DiskConfig struct {
-	// Directory is created if it does not exist.
+	// Directory is the data directory. It is created if it does not exist.
 	Directory string
-	// Logger may be nil.
+	// Logger defaults to one that discards all records.
 	Logger *slog.Logger
 
-	// files and segmentSize are replaced by tests.
+	// files (default: datafile.OS) and segmentSize (bytes, default:
+	// wal.DefaultSegmentSize) are set only by tests.
 	files       datafile.FileSystem
 	segmentSize int64
 }
@@ -50,13 +52,13 @@
 	return c
 }
 
-// logConfig returns the part of the config that the write-ahead log needs.
+// logConfig returns the configuration of the write-ahead log.
 func (c DiskConfig) logConfig() wal.Config {
 	return wal.Config{Files: c.files, Directory: c.Directory, Logger: c.Logger, SegmentSize: c.segmentSize}
 }
 
-// Disk is a Store in a directory: the segments of a write-ahead log, the
-// snapshot, and the archive. Its methods may be called concurrently.
+// Disk is a Store in a directory, which holds the segments of a write-ahead log,
+// the snapshot and the archive. Its methods may be called concurrently.
 type Disk struct {
 	*diskLog
 	lock    *os.File
@@ -65,12 +67,12 @@
 
 var _ Store = (*Disk)(nil)
 
-// OpenDisk opens a data directory, or creates one where there is none. It fails
-// with ErrLocked if another process uses it, ErrEarlierFormat if an earlier
-// version created it, and ErrCorrupt if it is damaged.
+// OpenDisk opens a data directory, or creates it if it does not exist. It fails
+// with ErrLocked if another process uses the directory, ErrEarlierFormat if an
+// earlier version created it, and ErrCorrupt if it is damaged.
 func OpenDisk(config DiskConfig) (*Disk, error) {
 	config = config.withDefaults()
-	if err := makeDirectory(config.Directory); err != nil {
+	if err := ensureDirectory(config.Directory); err != nil {
 		return nil, err
 	}
 	lock, err := lockDirectory(config.Directory)
@@ -86,9 +88,9 @@
 	return d, nil
 }
 
-// makeDirectory creates the directory, and makes its name durable, if there is
-// none.
-func makeDirectory(directory string) error {
+// ensureDirectory creates the directory if it does not exist, and syncs its
+// parent so that the new name is durable.
+func ensureDirectory(directory string) error {
 	_, err := os.Stat(directory)
 	if err == nil {
 		return nil
@@ -99,13 +101,14 @@
 	return datafile.OS{}.SyncDirectory(filepath.Dir(filepath.Clean(directory)))
 }
 
-// openLocked opens the directory, whose lock is held.
+// openLocked opens the directory, or creates its files if there are none. The
+// caller holds the directory's lock.
 func openLocked(config DiskConfig) (*Disk, error) {
-	present, err := directoryInitialized(config.files, config.Directory)
+	initialized, err := directoryInitialized(config.files, config.Directory)
 	if err != nil {
 		return nil, err
 	}
-	if !present {
+	if !initialized {
 		if err := createDirectory(config); err != nil {
 			return nil, err
 		}
@@ -114,9 +117,9 @@
 	return openDirectory(config)
 }
 
-// directoryInitialized reports whether the creation of the data directory was
-// finished. The log is the last file to get its name, so any other file without
-// it is damage.
+// directoryInitialized reports whether the directory holds a log. A snapshot or an
+// archive gets its final name only after the log has got its own, so one of them
+// without a log is damage.
 func directoryInitialized(files datafile.FileSystem, directory string) (bool, error) {
 	names, err := files.Names(directory)
 	if err != nil {
@@ -131,14 +134,14 @@
 	}
 	for _, name := range []string{snapshotFile, archiveFile} {
 		if slices.Contains(names, name) {
-			return false, datafile.Corrupt(filepath.Join(directory, wal.SegmentName(wal.FirstSegment)), "missing, though %s is there", name)
+			return false, datafile.NewCorruptError(filepath.Join(directory, wal.SegmentName(wal.FirstSegment)), "missing, although %s exists", name)
 		}
 	}
 	return false, nil
 }
 
-// createDirectory makes archive and log under other names first. The archive gets
-// its name only after the log has, when the directory is opened.
+// createDirectory creates the archive and then the log, each under a temporary
+// name. The log is renamed here; openDirectory renames the archive afterwards.
 func createDirectory(config DiskConfig) error {
 	if err := createArchive(config.files, config.Directory); err != nil {
 		return err
@@ -146,15 +149,15 @@
 	return wal.Create(config.logConfig(), newReplicaID())
 }
 
-// newReplicaID draws a random id, so that an emptied directory is another
-// replica.
+// newReplicaID returns a random id, so that a replica whose directory was emptied
+// joins as a new replica.
 func newReplicaID() raft.ReplicaID {
 	var random [replicaIDBytes]byte
 	_, _ = rand.Read(random[:]) // never fails; see crypto/rand
 	return raft.ReplicaID(hex.EncodeToString(random[:]))
 }
 
-// openDirectory opens log and archive of an initialized directory.
+// openDirectory opens the log and the archive of an initialized directory.
 func openDirectory(config DiskConfig) (*Disk, error) {
 	log, err := openDiskLog(config.logConfig())
 	if err != nil {
@@ -169,14 +172,14 @@
 		_ = log.wal.Abandon()
 		return nil, err
 	}
-	log.archiveTransaction = archive.transaction
+	log.archiveTransaction = archive.newestTransaction
 	return &Disk{diskLog: log, archive: archive}, nil
 }
 
 // Archive implements Store.
 func (d *Disk) Archive() record.Archive { return d.archive }
 
-// Close writes what is pending, closes the files and unlocks the directory.
+// Close writes pending state, closes the files and unlocks the directory.
 func (d *Disk) Close() error {
 	return errors.Join(d.close(), d.archive.close(), d.lock.Close())
 }
--- a/internal/storage/diskarchive.go
+++ b/internal/storage/diskarchive.go
@@ -13,30 +13,33 @@
 )
 
 const (
-	// maxPendingJobs is how many jobs are collected in memory for a transaction.
+	// maxPendingJobs is the number of jobs in memory at which Put writes them to
+	// the file.
 	maxPendingJobs = 1024
-	// maxPendingJobsWithoutSpace bounds those in memory while the disk is full.
+	// maxPendingJobsWithoutSpace is the number of jobs in memory at which Put fails
+	// while the disk is full.
 	maxPendingJobsWithoutSpace = 16 * maxPendingJobs
 )
 
-// DiskArchive is a record.Archive in a bbolt file. Put collects jobs in memory;
-// Sync, maxPendingJobs, and every call that needs the order write them in one
-// synced transaction. bbolt's NoSync is not used: a loss of power between
-// unsynced pages can break the whole file, whereas jobs lost from memory are put
-// again when the log is applied again. Its methods may be called concurrently.
+// DiskArchive is a record.Archive in a bbolt file. Put collects jobs in memory. They
+// are written in one synced transaction by Sync, Page, List and Expire, and by Put
+// once there are maxPendingJobs. bbolt's NoSync is not used: a power loss between
+// unsynced page writes can destroy the file, whereas jobs lost from memory are put
+// again when the log is replayed. Its methods may be called concurrently.
 type DiskArchive struct {
 	db *bbolt.DB
 
-	mutex sync.RWMutex // guards the field below, and every write of the file
-	// pending has the jobs that are not in the file yet, by id.
+	mutex sync.RWMutex // guards pending, and is write-locked for every write to the file
+	// pending holds the jobs that are not in the file yet, by id.
 	pending map[string]record.ArchivedJob
 }
 
 var _ record.Archive = (*DiskArchive)(nil)
 
-// transaction returns the newest one, which is durable: flush and Expire return
-// only once theirs is, and hold the lock until then.
-func (a *DiskArchive) transaction() (newest uint64) {
+// newestTransaction returns the number of the newest transaction, or 0 if it cannot be
+// read. The transaction is durable: flush and Expire hold the mutex until their
+// transaction has been synced.
+func (a *DiskArchive) newestTransaction() (newest uint64) {
 	a.mutex.RLock()
 	defer a.mutex.RUnlock()
 	_ = a.view(func(tx *bbolt.Tx) error {
@@ -46,16 +49,19 @@
 	return newest
 }
 
+// view runs a read-only transaction. It returns ErrCorrupt if a page is invalid.
 func (a *DiskArchive) view(read func(*bbolt.Tx) error) error {
 	return recoverPageFault(a.db.Path(), func() error { return a.db.View(read) })
 }
 
+// update runs a read-write transaction and syncs it. It returns ErrCorrupt if a page is
+// invalid. The caller holds the write lock, except when the archive is being opened.
 func (a *DiskArchive) update(change func(*bbolt.Tx) error) error {
 	return recoverPageFault(a.db.Path(), func() error { return a.db.Update(change) })
 }
 
-// Bytes implements record.Archive: the bytes of the pages in use. The file does
-// not shrink, but free pages are reused.
+// Bytes implements record.Archive. It returns the size of the pages in use. The file
+// itself does not shrink, but its free pages are reused.
 func (a *DiskArchive) Bytes() int64 {
 	var used int64
 	_ = a.db.View(func(tx *bbolt.Tx) error {
@@ -66,14 +72,15 @@
 	return used
 }
 
-// OldestEnd implements record.Archive, for the jobs in the file.
-func (a *DiskArchive) OldestEnd(bytes int64, limit int) (end record.Millis, count int, err error) {
+// OldestEnd implements record.Archive. It considers only the jobs in the file, not
+// the pending ones.
+func (a *DiskArchive) OldestEnd(size int64, limit int) (end record.Millis, count int, err error) {
 	err = a.view(func(tx *bbolt.Tx) error {
 		jobs, cursor := tx.Bucket(jobsBucket), tx.Bucket(endedBucket).Cursor()
-		for key, _ := cursor.First(); key != nil && bytes > 0 && count < limit; key, _ = cursor.Next() {
+		for key, _ := cursor.First(); key != nil && size > 0 && count < limit; key, _ = cursor.Next() {
 			end = endedAtOf(key)
-			// Each of the three buckets has a key of about this length.
-			bytes -= int64(len(jobs.Get(jobIDOf(key))) + len(archiveBuckets)*len(key))
+			// Each bucket has a key of about this length for the job.
+			size -= int64(len(jobs.Get(jobIDOf(key))) + len(archiveBuckets)*len(key))
 			count++
 		}
 		return nil
@@ -81,8 +88,8 @@
 	return end, count, err
 }
 
-// Put implements record.Archive. While the disk is full the jobs stay in memory:
-// no snapshot is recorded before Sync has written them.
+// Put implements record.Archive. While the disk is full, the jobs stay in memory. This
+// is safe because no snapshot is recorded before Sync has written them.
 func (a *DiskArchive) Put(jobs []record.ArchivedJob) error {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -106,7 +113,8 @@
 	return a.flush()
 }
 
-// flush writes the pending jobs in one transaction; the lock is held.
+// flush writes the pending jobs in one transaction. The caller holds the write lock.
+// After an error the jobs stay pending.
 func (a *DiskArchive) flush() error {
 	if len(a.pending) == 0 {
 		return nil
@@ -127,17 +135,17 @@
 }
 
 // Get implements record.Archive.
-func (a *DiskArchive) Get(id string) (job record.ArchivedJob, known bool, err error) {
+func (a *DiskArchive) Get(id string) (job record.ArchivedJob, found bool, err error) {
 	a.mutex.RLock()
 	defer a.mutex.RUnlock()
-	if job, known := a.pending[id]; known {
+	if job, found := a.pending[id]; found {
 		return job, true, nil
 	}
 	err = a.view(func(tx *bbolt.Tx) error {
-		job, known, err = readJob(a.db.Path(), tx, []byte(id))
+		job, found, err = readJob(a.db.Path(), tx, []byte(id))
 		return err
 	})
-	return job, known, err
+	return job, found, err
 }
 
 // Page implements record.Archive.
@@ -150,8 +158,9 @@
 	return a.scan(jobsBucket, []byte(afterID), limit, func(key []byte) []byte { return key })
 }
 
-// scanBatches returns at most limit jobs in the order of a bucket's keys, after a key.
-func (a *DiskArchive) scan(bucket, after []byte, limit int, id func([]byte) []byte) ([]record.ArchivedJob, error) {
+// scan returns at most limit jobs in the key order of a bucket, starting after the
+// key after. idOf extracts the job id from a key. Pending jobs are written first.
+func (a *DiskArchive) scan(bucket, after []byte, limit int, idOf func([]byte) []byte) ([]record.ArchivedJob, error) {
 	if err := a.Sync(); err != nil {
 		return nil, err
 	}
@@ -163,7 +172,7 @@
 			key, _ = cursor.Next()
 		}
 		for ; key != nil && len(jobs) < limit; key, _ = cursor.Next() {
-			job, err := readListedJob(a.db.Path(), tx, bucket, id(key))
+			job, err := readListedJob(a.db.Path(), tx, bucket, idOf(key))
 			if err != nil {
 				return err
 			}
@@ -198,6 +207,7 @@
 	return expired, nil
 }
 
+// close writes the pending jobs and closes the file.
 func (a *DiskArchive) close() error {
 	err := a.Sync()
 	if closeErr := a.db.Close(); err == nil {
--- a/internal/storage/diskload.go
+++ b/internal/storage/diskload.go
@@ -8,8 +8,9 @@
 	"github.com/decklever/decklever/internal/storage/wal"
 )
 
-// Load implements Store. It also completes an InstallSnapshot that was
-// interrupted between the snapshot file and the log.
+// Load implements Store. It also completes a SaveSnapshot or InstallSnapshot that
+// was interrupted after it had replaced the snapshot file but before it had
+// appended the snapshot record to the log.
 func (d *diskLog) Load() (LoadedState, error) {
 	var loaded LoadedState
 	snapshot, data, found, err := readSnapshotFile(d.config.Files, d.config.Directory)
@@ -25,12 +26,12 @@
 		return LoadedState{}, err
 	}
 	loaded.HardState = d.hardState
-	if err := d.matchSnapshot(&loaded); err != nil {
+	if err := d.reconcileSnapshot(&loaded); err != nil {
 		return LoadedState{}, err
 	}
 	path := d.wal.NewestPath()
-	if last, expected := loaded.last(), d.wal.State().LastIndex; last != expected {
-		return LoadedState{}, datafile.Corrupt(path, "log ends at %d, expected %d", last, expected)
+	if last, expected := loaded.lastIndex(), d.wal.State().LastIndex; last != expected {
+		return LoadedState{}, datafile.NewCorruptError(path, "log ends at %d, expected %d", last, expected)
 	}
 	if err := checkLoaded(path, loaded); err != nil {
 		return LoadedState{}, err
@@ -38,39 +39,42 @@
 	return loaded, nil
 }
 
-// loadEntries returns those found at the start, and reads them again after a
-// change; mutex is locked.
+// loadEntries returns the log entries. The first call after the log was opened
+// returns the replayed entries if the log is unchanged; any other call reads the
+// files again. The caller holds mutex.
 func (d *diskLog) loadEntries() ([]raft.Entry, error) {
 	if !d.replayValid {
-		return d.wal.Entries()
+		return d.wal.ReadEntries()
 	}
 	entries := d.replayedEntries
 	d.replayValid, d.replayedEntries = false, nil
 	return entries, nil
 }
 
-// matchSnapshot compares the snapshot file with the log's record of it. An older
-// file is damage; a newer one was not recorded yet. mutex is locked.
-func (d *diskLog) matchSnapshot(loaded *LoadedState) error {
+// reconcileSnapshot compares the snapshot file with the newest snapshot record in
+// the log. It rejects a file that is older than the record, and appends the
+// missing record for a newer file. The caller holds mutex.
+func (d *diskLog) reconcileSnapshot(loaded *LoadedState) error {
 	recorded := d.wal.State().SnapshotIndex
 	if recorded > loaded.Snapshot.Index {
-		return datafile.Corrupt(filepath.Join(d.config.Directory, snapshotFile),
-			"is of index %d, expected at least %d", loaded.Snapshot.Index, recorded)
+		return datafile.NewCorruptError(filepath.Join(d.config.Directory, snapshotFile),
+			"snapshot has index %d, expected at least %d", loaded.Snapshot.Index, recorded)
 	}
 	if recorded < loaded.Snapshot.Index {
-		return d.finishSnapshot(loaded)
+		return d.recordNewerSnapshot(loaded)
 	}
 	return nil
 }
 
-// finishSnapshot records a newer snapshot file. The log is dropped unless it has
-// the snapshot's last entry.
-func (d *diskLog) finishSnapshot(loaded *LoadedState) error {
+// recordNewerSnapshot appends the snapshot record for a snapshot file that is newer
+// than the log's last record of one. All log entries are dropped unless the log
+// has the last entry that the snapshot covers. The caller holds mutex.
+func (d *diskLog) recordNewerSnapshot(loaded *LoadedState) error {
 	meta := loaded.Snapshot
-	keep := containsEntry(loaded.Entries, meta)
+	keepLog := containsEntry(loaded.Entries, meta)
 	archiveTransaction := d.archiveTransaction()
-	snapshot := d.dropLogRecord(meta, archiveTransaction)
-	if keep {
+	snapshot := d.newDropLogRecord(meta, archiveTransaction)
+	if keepLog {
 		state := d.wal.State()
 		snapshot = wal.SnapshotRecord{
 			Index:              meta.Index,
@@ -85,19 +89,21 @@
 	if err := d.appendSnapshotRecord(snapshot); err != nil {
 		return err
 	}
-	d.config.Logger.Info("interrupted snapshot finished", "index", meta.Index, "log_kept", keep)
+	d.config.Logger.Info("interrupted snapshot finished", "index", meta.Index, "log_kept", keepLog)
 	return nil
 }
 
-// last returns the last entry's index, or the snapshot's if there is none.
-func (l LoadedState) last() uint64 {
+// lastIndex returns the index of the last entry, or the snapshot's index if there are
+// no entries.
+func (l LoadedState) lastIndex() uint64 {
 	if n := len(l.Entries); n > 0 {
 		return l.Entries[n-1].Index
 	}
 	return l.Snapshot.Index
 }
 
-// containsEntry reports whether entries have the one that a snapshot ends with.
+// containsEntry reports whether entries contain the last entry that the snapshot
+// covers, with the same index and term.
 func containsEntry(entries []raft.Entry, snapshot raft.SnapshotMeta) bool {
 	for _, entry := range entries {
 		if entry.Index == snapshot.Index {
@@ -107,25 +113,27 @@
 	return false
 }
 
-// checkLoaded rejects gaps, and a commit index beyond the last entry.
+// checkLoaded returns a CorruptError of file if there is a gap in the entries or
+// between snapshot and log, if the log ends before the snapshot, or if the commit
+// index is beyond the last entry.
 func checkLoaded(file string, loaded LoadedState) error {
 	last := loaded.Snapshot.Index
 	for i, entry := range loaded.Entries {
 		if i == 0 && entry.Index > last+1 {
-			return datafile.Corrupt(file, "log starts at %d, expected at most %d", entry.Index, last+1)
+			return datafile.NewCorruptError(file, "log starts at %d, expected at most %d", entry.Index, last+1)
 		}
 		if i > 0 && entry.Index != loaded.Entries[i-1].Index+1 {
-			return datafile.Corrupt(file, "entry %d follows %d", entry.Index, loaded.Entries[i-1].Index)
+			return datafile.NewCorruptError(file, "entry %d follows %d", entry.Index, loaded.Entries[i-1].Index)
 		}
 	}
 	if n := len(loaded.Entries); n > 0 {
-		if end := loaded.Entries[n-1].Index; end < last {
-			return datafile.Corrupt(file, "log ends at %d, before the snapshot's %d", end, last)
+		if logEnd := loaded.Entries[n-1].Index; logEnd < last {
+			return datafile.NewCorruptError(file, "log ends at %d, before the snapshot's %d", logEnd, last)
 		}
 		last = loaded.Entries[n-1].Index
 	}
 	if loaded.HardState.Commit > last {
-		return datafile.Corrupt(file, "commit index %d lies beyond the last entry %d", loaded.HardState.Commit, last)
+		return datafile.NewCorruptError(file, "commit index %d lies beyond the last entry %d", loaded.HardState.Commit, last)
 	}
 	return nil
 }
--- a/internal/storage/disklog.go
+++ b/internal/storage/disklog.go
@@ -12,34 +12,36 @@
 	"github.com/decklever/decklever/internal/storage/wal"
 )
 
-// maxRetainedSegments bounds what is retained behind a snapshot for followers
-// that lag, in segments of the usual length.
+// maxRetainedSegments bounds the log that is retained after a snapshot for lagging
+// followers, in multiples of the configured segment size.
 const maxRetainedSegments = 3
 
 // diskLog is the part of a data directory that raft needs: the write-ahead log
-// and the snapshot. Its methods may be called concurrently. snapshotMutex is
-// locked before mutex, and alone while a snapshot is written, which takes long:
-// entries are saved meanwhile.
+// and the snapshot. Its methods may be called concurrently. Lock order:
+// snapshotMutex before mutex. Only snapshotMutex is held while a snapshot file is
+// written, which takes long, so that entries can be saved at the same time.
 type diskLog struct {
 	config wal.Config
-	// archiveTransaction returns the newest durable transaction of the archive.
+	// archiveTransaction returns the id of the newest durable transaction of the
+	// archive.
 	archiveTransaction func() uint64
 
-	// snapshotMutex is locked while the snapshot file is replaced.
+	// snapshotMutex is held while the snapshot file is replaced.
 	snapshotMutex sync.Mutex
 
 	mutex sync.Mutex // guards the fields below
 	wal   *wal.Log
-	empty bool
-	// hardState is the newest one; the files may lack its commit index.
+	empty bool // nothing was ever saved
+	// hardState is the newest hard state. Its commit index may not have been
+	// written to the log yet.
 	hardState raft.HardState
-	// replayedEntries are those found at the start. They are valid until the
-	// first change, and for one Load.
+	// replayedEntries are the entries read when the log was opened. replayValid is
+	// true until the log changes or Load has returned them.
 	replayedEntries []raft.Entry
 	replayValid     bool
 }
 
-// openDiskLog opens the log in a directory that holds one.
+// openDiskLog opens the log of an initialized directory.
 func openDiskLog(config wal.Config) (*diskLog, error) {
 	log, entries, err := wal.Open(config)
 	if err != nil {
@@ -58,8 +60,8 @@
 	return d, nil
 }
 
-// removeUnfinishedSnapshot removes a snapshot whose writing was interrupted, and
-// reports whether there is a complete one.
+// removeUnfinishedSnapshot removes the temporary file of an interrupted snapshot,
+// and reports whether there is a complete snapshot.
 func (d *diskLog) removeUnfinishedSnapshot() (hasSnapshot bool, err error) {
 	names, err := d.config.Files.Names(d.config.Directory)
 	if err != nil {
@@ -88,9 +90,10 @@
 	return d.empty
 }
 
-// Save implements Store: one write and one sync, unless a segment is full. A
-// change of the commit index alone, without sync, is kept in memory for the next
-// batch: a restart learns it again. A new term or vote is always synced.
+// Save implements Store with one write and at most one sync, unless the batch
+// needs a new segment. If only the commit index changed and sync is false, the
+// index stays in memory until the next batch, since a replica learns it again
+// after a restart. A new term or vote is always synced.
 func (d *diskLog) Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -102,8 +105,8 @@
 	}
 	batch := wal.Batch{Entries: entries}
 	if written := d.wal.State().HardState; d.hardState != written {
-		voted := d.hardState.Term != written.Term || d.hardState.VotedFor != written.VotedFor
-		sync = sync || voted
+		termOrVoteChanged := d.hardState.Term != written.Term || d.hardState.VotedFor != written.VotedFor
+		sync = sync || termOrVoteChanged
 		if sync || len(entries) > 0 {
 			newest := d.hardState
 			batch.HardState = &newest
@@ -112,7 +115,8 @@
 	return d.append(batch, sync, "save log")
 }
 
-// append writes a batch; mutex is locked. operation names it in an error.
+// append appends a batch to the log. operation is the prefix of its error. The
+// caller holds mutex.
 func (d *diskLog) append(batch wal.Batch, sync bool, operation string) error {
 	if !batch.Empty() {
 		d.empty, d.replayValid, d.replayedEntries = false, false, nil
@@ -132,17 +136,17 @@
 	return nil
 }
 
-// SaveSnapshot implements Store. The snapshot file is durable before the log
-// says so, and that before a segment is removed. A snapshot that is not newer
-// than the present one is ignored.
+// SaveSnapshot implements Store. The snapshot file is durable before the snapshot
+// record is appended to the log, and the record is durable before a segment is
+// removed. A snapshot that is not newer than the stored one is ignored.
 func (d *diskLog) SaveSnapshot(meta raft.SnapshotMeta, retainEntries uint64, write func(io.Writer) error) error {
 	d.snapshotMutex.Lock()
 	defer d.snapshotMutex.Unlock()
-	if stale, err := d.hasNewerSnapshot(meta); stale || err != nil {
+	if stale, err := d.hasSameOrNewerSnapshot(meta); stale || err != nil {
 		return err
 	}
-	// Read before the snapshot is written: all jobs that it leaves out are in the
-	// archive by now.
+	// The transaction is read before the snapshot is written: the caller has
+	// synced to the archive all jobs that the snapshot leaves out.
 	archiveTransaction := d.archiveTransaction()
 	if err := writeSnapshotFile(d.config.Files, d.config.Directory, meta, write); err != nil {
 		return err
@@ -164,8 +168,8 @@
 	})
 }
 
-// appendSnapshotRecord makes the record durable and then removes the segments
-// that it makes obsolete; mutex is locked.
+// appendSnapshotRecord appends and syncs the record, and then removes the segments
+// that are obsolete because of it. The caller holds mutex.
 func (d *diskLog) appendSnapshotRecord(snapshot wal.SnapshotRecord) error {
 	batch, err := wal.NewSnapshotBatch(snapshot)
 	if err != nil {
@@ -177,9 +181,10 @@
 	return d.wal.RemoveBefore(snapshot.FirstSegment)
 }
 
-// hasNewerSnapshot reports whether one from the leader was installed while this
-// one was prepared.
-func (d *diskLog) hasNewerSnapshot(meta raft.SnapshotMeta) (bool, error) {
+// hasSameOrNewerSnapshot reports whether the stored snapshot has at least the index
+// of meta. This happens if a snapshot from the leader is installed while the
+// replica prepares its own.
+func (d *diskLog) hasSameOrNewerSnapshot(meta raft.SnapshotMeta) (bool, error) {
 	file, current, _, err := openSnapshotFile(d.config.Files, d.config.Directory)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
@@ -190,8 +195,9 @@
 	return current.Index >= meta.Index, file.Close()
 }
 
-// InstallSnapshot implements Store. If it is interrupted after the file got
-// its name, Load finds the log behind the snapshot and drops it.
+// InstallSnapshot implements Store. If it is interrupted after the snapshot file
+// was renamed, Load finds a snapshot that is newer than the log's last snapshot
+// record, and completes the installation.
 func (d *diskLog) InstallSnapshot(meta raft.SnapshotMeta, data io.Reader) error {
 	d.snapshotMutex.Lock()
 	defer d.snapshotMutex.Unlock()
@@ -205,12 +211,12 @@
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.appendSnapshotRecord(d.dropLogRecord(meta, archiveTransaction))
+	return d.appendSnapshotRecord(d.newDropLogRecord(meta, archiveTransaction))
 }
 
-// dropLogRecord returns the record after which the snapshot stands alone. The
-// newest segment stays, since it holds the record.
-func (d *diskLog) dropLogRecord(meta raft.SnapshotMeta, archiveTransaction uint64) wal.SnapshotRecord {
+// newDropLogRecord returns the snapshot record that drops all log entries. The
+// newest segment is retained, since the record itself is appended to it.
+func (d *diskLog) newDropLogRecord(meta raft.SnapshotMeta, archiveTransaction uint64) wal.SnapshotRecord {
 	return wal.SnapshotRecord{
 		Index:              meta.Index,
 		Term:               meta.Term,
@@ -221,8 +227,8 @@
 	}
 }
 
-// OpenSnapshot implements Store. The data stay readable when a newer snapshot
-// takes the file's place.
+// OpenSnapshot implements Store. The data can still be read after a newer snapshot
+// has replaced the file.
 func (d *diskLog) OpenSnapshot() (raft.SnapshotMeta, io.ReadCloser, bool, error) {
 	file, meta, data, err := openSnapshotFile(d.config.Files, d.config.Directory)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -234,12 +240,14 @@
 	return meta, snapshotReader{Reader: data, Closer: file}, true, nil
 }
 
+// snapshotReader reads the data section of a snapshot file and closes the file.
 type snapshotReader struct {
 	io.Reader
 	io.Closer
 }
 
-// close writes the commit index that is only in memory, and closes the log.
+// close saves a commit index that is still only in memory, unless a write has
+// failed, and closes the log.
 func (d *diskLog) close() error {
 	d.mutex.Lock()
 	failed := d.wal.Failed()
--- a/internal/storage/disklog_test.go
+++ b/internal/storage/disklog_test.go
@@ -17,12 +17,12 @@
 	"github.com/decklever/decklever/internal/storage/wal"
 )
 
-// logConfig is that of a log on files.
+// logConfig returns the configuration of a log that is stored in files.
 func logConfig(files datafile.FileSystem, segmentSize int64) wal.Config {
 	return wal.Config{Files: files, Directory: powerLossDirectoryName, Logger: discardLogger(), SegmentSize: segmentSize}
 }
 
-// newDiskLog makes a log on files.
+// newDiskLog creates and opens a log that is stored in files.
 func newDiskLog(t testing.TB, files datafile.FileSystem, segmentSize int64) *diskLog {
 	t.Helper()
 	requireNoError(t, wal.Create(logConfig(files, segmentSize), "0123456789abcdef"))
@@ -36,8 +36,8 @@
 	return d
 }
 
-// TestSave_OneWriteAndOneSync: a Ready costs one of each, whatever is in it, and
-// nothing if nothing changed.
+// TestSave_OneWriteAndOneSync counts the writes and syncs of Save: at most one of
+// each, whatever is saved, and none if nothing changed.
 func TestSave_OneWriteAndOneSync(t *testing.T) {
 	files := newPowerLossFiles(1)
 	d := newDiskLog(t, files, wal.DefaultSegmentSize)
@@ -53,53 +53,54 @@
 		{"a vote", &state, nil, true, 1, 1},
 		{"the same vote", &state, nil, true, 0, 0},
 		{"nothing", nil, nil, true, 0, 0},
-		{"entries", nil, entries(1, 1, 1), true, 1, 1},
-		{"entries and hard state", &committed, entries(2, 256, 1), true, 1, 1},
+		{"entries", nil, testEntries(1, 1, 1), true, 1, 1},
+		{"entries and hard state", &committed, testEntries(2, 256, 1), true, 1, 1},
 		{"the commit index alone", &raft.HardState{Term: 1, VotedFor: "a", Commit: 300}, nil, false, 0, 0},
-		{"the commit index, to be synced", nil, nil, true, 1, 1},
-		{"unsynced entries", nil, entries(257, 260, 1), false, 1, 0},
+		{"a sync of the pending commit index", nil, nil, true, 1, 1},
+		{"unsynced entries", nil, testEntries(257, 260, 1), false, 1, 0},
 		{"a sync", nil, nil, true, 0, 1},
-		{"a vote without sync asked for", &raft.HardState{Term: 2, VotedFor: "b", Commit: 300}, nil, false, 1, 1},
+		{"a vote without the sync flag", &raft.HardState{Term: 2, VotedFor: "b", Commit: 300}, nil, false, 1, 1},
 	} {
 		writes, syncs, directorySyncs := files.writes, files.syncs, files.directorySyncs
 		requireNoError(t, d.Save(step.hardState, step.entries, step.sync))
 		if files.writes-writes != step.writes || files.syncs-syncs != step.syncs || files.directorySyncs != directorySyncs {
-			t.Errorf("%s: %d writes, %d syncs, %d of the directory, want %d, %d and 0", step.what,
+			t.Errorf("%s: got %d writes, %d syncs and %d directory syncs, want %d, %d and 0", step.what,
 				files.writes-writes, files.syncs-syncs, files.directorySyncs-directorySyncs, step.writes, step.syncs)
 		}
 	}
 }
 
-// TestSaveSnapshot_RemovesSegments holds the log's bytes under a bound while snapshots
-// are taken, and that followers that lag a little still find their entries.
+// TestSaveSnapshot_RemovesSegments checks that snapshots keep the length of the log
+// bounded, and that the entries to retain for lagging followers are still stored.
 func TestSaveSnapshot_RemovesSegments(t *testing.T) {
-	const size, batch, keep = 64 << 10, 20, 5
+	const size, batch, retainEntries = 64 << 10, 20, 5
 	files := newPowerLossFiles(1)
 	d := newDiskLog(t, files, size)
 	data := make([]byte, 1000)
 	for index := uint64(1); index < 20_000; index += batch {
-		made := make([]raft.Entry, batch)
-		for i := range made {
-			made[i] = raft.Entry{Index: index + uint64(i), Term: 1, Data: data}
+		newEntries := make([]raft.Entry, batch)
+		for i := range newEntries {
+			newEntries[i] = raft.Entry{Index: index + uint64(i), Term: 1, Data: data}
 		}
-		requireNoError(t, d.Save(nil, made, true))
-		if index/batch%10 == 0 { // about three segments
-			requireNoError(t, d.SaveSnapshot(raft.SnapshotMeta{Index: index + 9, Term: 1}, keep, writeText("state")))
-			if bytes := files.bytes(); bytes > 3*size {
-				t.Fatalf("%d bytes are left after a snapshot at %d", bytes, index+9)
+		requireNoError(t, d.Save(nil, newEntries, true))
+		if index/batch%10 == 0 { // after about three segments
+			requireNoError(t, d.SaveSnapshot(raft.SnapshotMeta{Index: index + 9, Term: 1}, retainEntries, writeText("state")))
+			if bytes := files.totalBytes(); bytes > 3*size {
+				t.Fatalf("got %d bytes after the snapshot at index %d, want at most three segments", bytes, index+9)
 			}
 		}
 	}
 	d = reopenDiskLog(t, files, size)
 	loaded, err := d.Load()
 	requireNoError(t, err)
-	if first := loaded.Entries[0].Index; first != loaded.Snapshot.Index-keep+1 {
-		t.Fatalf("log starts at %d, snapshot is of %d", first, loaded.Snapshot.Index)
+	if first := loaded.Entries[0].Index; first != loaded.Snapshot.Index-retainEntries+1 {
+		t.Fatalf("got a log that starts at %d with a snapshot at %d, want the retained entries up to the snapshot", first, loaded.Snapshot.Index)
 	}
 }
 
-// TestSaveSnapshot_RetainedBytesBounded: long entries are not kept behind a snapshot for as
-// many entries as short ones are.
+// TestSaveSnapshot_RetainedBytesBounded guards against a log that grows without
+// bound because the number of entries to retain is large and the entries are long:
+// their total length is bounded as well.
 func TestSaveSnapshot_RetainedBytesBounded(t *testing.T) {
 	const size = 64 << 10
 	files := newPowerLossFiles(1)
@@ -108,11 +109,11 @@
 		requireNoError(t, d.Save(nil, []raft.Entry{{Index: index, Term: 1, Data: make([]byte, size)}}, true))
 	}
 	requireNoError(t, d.SaveSnapshot(raft.SnapshotMeta{Index: 40, Term: 1}, 2000, writeText("state")))
-	if bytes := files.bytes(); bytes > (maxRetainedSegments+1)*size {
-		t.Fatalf("%d bytes are left after the snapshot", bytes)
+	if bytes := files.totalBytes(); bytes > (maxRetainedSegments+1)*size {
+		t.Fatalf("got %d bytes after the snapshot, want at most maxRetainedSegments and one more segment", bytes)
 	}
 	if loaded := loadLog(t, reopenDiskLog(t, files, size)); loaded.Snapshot.Index != 40 || len(loaded.Entries) > 1 {
-		t.Fatalf("snapshot of %d and %d entries", loaded.Snapshot.Index, len(loaded.Entries))
+		t.Fatalf("got snapshot index %d and %d entries, want 40 and at most 1", loaded.Snapshot.Index, len(loaded.Entries))
 	}
 }
 
@@ -123,34 +124,35 @@
 	return loaded
 }
 
-// TestSave_RejectedAfterFailedWrite: what a file holds after a failed write or sync
-// is unknown, so nothing more may be acknowledged.
+// TestSave_RejectedAfterFailedWrite checks that Save fails after an earlier write or
+// sync has failed: the content of the file is unknown, so nothing more may be
+// acknowledged.
 func TestSave_RejectedAfterFailedWrite(t *testing.T) {
-	for failAfter := range 2 { // the write, the sync
+	for failAfter := range 2 { // 0 fails the write, 1 the sync
 		files := newPowerLossFiles(1)
 		d := newDiskLog(t, files, wal.DefaultSegmentSize)
-		requireNoError(t, d.Save(&raft.HardState{Term: 1}, entries(1, 3, 1), true))
+		requireNoError(t, d.Save(&raft.HardState{Term: 1}, testEntries(1, 3, 1), true))
 		files.failAfter = failAfter
-		if err := d.Save(nil, entries(4, 5, 1), true); !errors.Is(err, errPowerOff) {
+		if err := d.Save(nil, testEntries(4, 5, 1), true); !errors.Is(err, errPowerOff) {
 			t.Fatalf("got %v, want %v", err, errPowerOff)
 		}
 		files.failAfter = -1
-		if err := d.Save(nil, entries(4, 5, 1), true); !errors.Is(err, wal.ErrFailed) {
-			t.Fatalf("a write after a failed one: %v, want %v", err, wal.ErrFailed)
+		if err := d.Save(nil, testEntries(4, 5, 1), true); !errors.Is(err, wal.ErrFailed) {
+			t.Fatalf("save after a failed one: got %v, want %v", err, wal.ErrFailed)
 		}
 		if err := d.close(); err != nil {
 			t.Fatalf("close: %v", err)
 		}
 		files.loseAllUnsynced()
-		want := LoadedState{HardState: raft.HardState{Term: 1}, Entries: entries(1, 3, 1)}
+		want := LoadedState{HardState: raft.HardState{Term: 1}, Entries: testEntries(1, 3, 1)}
 		if diff := cmp.Diff(want, loadLog(t, reopenDiskLog(t, files, wal.DefaultSegmentSize))); diff != "" {
 			t.Fatal(diff)
 		}
 	}
 }
 
-// TestOpen_CreationIsAtomic: a loss of power at any moment of a directory's
-// creation leaves no log, or a complete one.
+// TestOpen_CreationIsAtomic checks that a power loss at any step of a log's creation
+// leaves either no log or a complete one.
 func TestOpen_CreationIsAtomic(t *testing.T) {
 	for seed := range uint64(300) {
 		files := newPowerLossFiles(seed)
@@ -161,30 +163,30 @@
 		requireNoError(t, listErr)
 		if len(numbers) == 0 {
 			if err == nil {
-				t.Fatalf("seed %d: the log was created and is gone", seed)
+				t.Fatalf("seed %d: the log was created, but no segment exists after the power loss", seed)
 			}
 			requireNoError(t, wal.Create(logConfig(files, powerLossSegmentSize), "0123456789abcdef"))
 		}
 		d := reopenDiskLog(t, files, powerLossSegmentSize)
 		if !d.Empty() || d.ReplicaID() != "0123456789abcdef" {
-			t.Fatalf("seed %d: empty %v, id %s", seed, d.Empty(), d.ReplicaID())
+			t.Fatalf("seed %d: got empty %v and replica id %s, want an empty log with the id that it was created with", seed, d.Empty(), d.ReplicaID())
 		}
 	}
 }
 
-// TestOpen_DamagedSegmentNamed: a missing or damaged segment before the newest one
-// is rejected by its name, wherever the damage is.
+// TestOpen_DamagedSegmentNamed checks that a missing or damaged segment before the
+// newest one is rejected with an error that names it, wherever the damage is.
 func TestOpen_DamagedSegmentNamed(t *testing.T) {
 	files := newPowerLossFiles(1)
 	d := newDiskLog(t, files, powerLossSegmentSize)
 	for index := uint64(1); index <= 200; index += 4 {
-		requireNoError(t, d.Save(nil, entries(index, index+3, 1), true))
+		requireNoError(t, d.Save(nil, testEntries(index, index+3, 1), true))
 	}
 	requireNoError(t, d.close())
 	numbers, err := wal.SegmentNumbers(files, powerLossDirectoryName)
 	requireNoError(t, err)
 	if len(numbers) < 4 {
-		t.Fatalf("%d segments, want at least 4", len(numbers))
+		t.Fatalf("got %d segments, want at least 4", len(numbers))
 	}
 	path := filepath.Join(powerLossDirectoryName, wal.SegmentName(2))
 	intact := files.content(path)
@@ -192,25 +194,26 @@
 		t.Helper()
 		_, _, err := wal.Open(logConfig(files, powerLossSegmentSize))
 		if !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), path) {
-			t.Fatalf("%s: got %v, want ErrCorrupt that names %s", what, err, path)
+			t.Fatalf("%s: got %v, want an ErrCorrupt that names %s", what, err, path)
 		}
 	}
-	for at := range powerLossSegmentSize {
+	for offset := range powerLossSegmentSize {
 		damaged := append([]byte(nil), intact...)
-		damaged[at] ^= 4
-		files.put(path, damaged)
-		requireRejected(fmt.Sprintf("flipped byte %d", at))
+		damaged[offset] ^= 4
+		files.addDurableFile(path, damaged)
+		requireRejected(fmt.Sprintf("flipped byte %d", offset))
 	}
-	files.put(path, intact[:len(intact)-1])
+	files.addDurableFile(path, intact[:len(intact)-1])
 	requireRejected("truncated")
-	files.put(path, make([]byte, len(intact)))
+	files.addDurableFile(path, make([]byte, len(intact)))
 	requireRejected("zeros")
 	requireNoError(t, files.Remove(path))
 	requireRejected("missing")
 }
 
-// TestOpen_EarlierFormatRejected: a directory of a version with a bbolt log is
-// named as that, and left alone.
+// TestOpen_EarlierFormatRejected checks that a directory of an earlier version, which
+// has a bbolt log, is rejected with ErrEarlierFormat, and that no log is created in
+// it.
 func TestOpen_EarlierFormatRejected(t *testing.T) {
 	directory := t.TempDir()
 	for _, name := range []string{earlierLogFile, archiveFile, snapshotFile} {
@@ -218,16 +221,16 @@
 	}
 	_, err := OpenDisk(DiskConfig{Directory: directory})
 	if !errors.Is(err, ErrEarlierFormat) || !strings.Contains(err.Error(), earlierLogFile) {
-		t.Fatalf("got %v, want ErrEarlierFormat that names %s", err, earlierLogFile)
+		t.Fatalf("got %v, want an ErrEarlierFormat that names %s", err, earlierLogFile)
 	}
 	if _, err := os.Stat(filepath.Join(directory, wal.SegmentName(wal.FirstSegment))); !errors.Is(err, fs.ErrNotExist) {
-		t.Fatalf("a log was made beside the earlier one: %v", err)
+		t.Fatalf("stat of a new log beside the earlier one: got %v, want that it does not exist", err)
 	}
 }
 
-// TestOpen_LostNamesOfNewDirectory: while nothing was saved, a loss of power that took
-// the archive's name does no harm.
-func TestOpen_LostNamesOfNewDirectory(t *testing.T) {
+// TestOpen_RecreatesMissingArchiveOfEmptyStore checks that a store opens if a power
+// loss undid the renaming of the archive before anything was saved.
+func TestOpen_RecreatesMissingArchiveOfEmptyStore(t *testing.T) {
 	directory := t.TempDir()
 	requireNoError(t, openStore(t, directory).Close())
 	requireNoError(t, os.Remove(filepath.Join(directory, archiveFile)))
--- a/internal/storage/lock.go
+++ b/internal/storage/lock.go
@@ -10,12 +10,12 @@
 	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
-// lockFile is locked by the process that uses the directory, from before the
-// other files are created on; bbolt's own locks cover only files that exist.
+// lockFile is locked by the process that uses the directory, before it creates any
+// other file there. bbolt's own lock covers only its file, once that exists.
 const lockFile = "lock"
 
-// lockDirectory locks a directory until the file is closed. It fails with
-// ErrLocked at once if another process holds the lock.
+// lockDirectory locks a directory until the returned file is closed. It does not wait:
+// it returns ErrLocked if another process holds the lock.
 func lockDirectory(directory string) (*os.File, error) {
 	path := filepath.Join(directory, lockFile)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, datafile.FilePermission)
--- a/internal/storage/memory.go
+++ b/internal/storage/memory.go
@@ -12,9 +12,9 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// Memory is a Store for tests. It keeps what was synced apart from what was not;
-// Crash loses the latter, as a loss of power does. Close does nothing, so that a
-// test can start another replica on it.
+// Memory is a Store for tests. It keeps unsynced writes separate from synced state;
+// Crash discards the unsynced writes, as a power loss does. Close does nothing, so
+// that a test can start another replica on the same store.
 type Memory struct {
 	id      raft.ReplicaID
 	archive *MemoryArchive
@@ -26,22 +26,22 @@
 
 var _ Store = (*Memory)(nil)
 
-// memoryState is what a disk would hold.
+// memoryState is the state that Disk would store in files.
 type memoryState struct {
-	used         bool
+	used         bool // something was saved
 	hardState    raft.HardState
 	snapshot     raft.SnapshotMeta
 	snapshotData []byte // nil if there is no snapshot
 	entries      []raft.Entry
 }
 
-// unsyncedWrite is one call of Save.
+// unsyncedWrite has the arguments of one call of Save.
 type unsyncedWrite struct {
-	hardState *raft.HardState
+	hardState *raft.HardState // nil if unchanged
 	entries   []raft.Entry
 }
 
-// NewMemory returns an empty store whose replica id depends on seed.
+// NewMemory returns an empty store whose replica id is derived from seed.
 func NewMemory(seed int64) *Memory {
 	random := rand.New(rand.NewPCG(uint64(seed), 0))
 	return &Memory{
@@ -50,7 +50,7 @@
 	}
 }
 
-// Crash drops all that was not synced, in the archive as well.
+// Crash discards all unsynced writes, also those of the archive.
 func (m *Memory) Crash() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -74,8 +74,8 @@
 	defer m.mutex.Unlock()
 	state := m.synced
 	state.entries = slices.Clone(state.entries)
-	for _, save := range m.unsynced {
-		state.apply(save)
+	for _, write := range m.unsynced {
+		state.apply(write)
 	}
 	loaded := LoadedState{
 		HardState:    state.hardState,
@@ -90,38 +90,41 @@
 func (m *Memory) Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	save := unsyncedWrite{entries: slices.Clone(entries)}
+	write := unsyncedWrite{entries: slices.Clone(entries)}
 	if hardState != nil {
 		copied := *hardState
-		save.hardState = &copied
+		write.hardState = &copied
 	}
-	m.unsynced = append(m.unsynced, save)
+	m.unsynced = append(m.unsynced, write)
 	if sync {
 		m.sync()
 	}
 	return nil
 }
 
+// sync applies all unsynced writes to the synced state. The caller holds mutex.
 func (m *Memory) sync() {
-	for _, save := range m.unsynced {
-		m.synced.apply(save)
+	for _, write := range m.unsynced {
+		m.synced.apply(write)
 	}
 	m.unsynced = nil
 }
 
-func (s *memoryState) apply(save unsyncedWrite) {
+// apply applies one call of Save; its entries replace all stored entries from the
+// index of the first on.
+func (s *memoryState) apply(write unsyncedWrite) {
 	s.used = true
-	if save.hardState != nil {
-		s.hardState = *save.hardState
+	if write.hardState != nil {
+		s.hardState = *write.hardState
 	}
-	if len(save.entries) == 0 {
+	if len(write.entries) == 0 {
 		return
 	}
-	first := save.entries[0].Index
+	first := write.entries[0].Index
 	for len(s.entries) > 0 && s.entries[len(s.entries)-1].Index >= first {
 		s.entries = s.entries[:len(s.entries)-1]
 	}
-	s.entries = append(s.entries, save.entries...)
+	s.entries = append(s.entries, write.entries...)
 }
 
 // SaveSnapshot implements Store.
--- a/internal/storage/memoryarchive.go
+++ b/internal/storage/memoryarchive.go
@@ -10,10 +10,10 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// MemoryArchive is a record.Archive for tests; Crash drops what came after the
-// last Sync. Its methods may be called concurrently.
+// MemoryArchive is a record.Archive for tests. Crash reverts it to the last Sync. Its
+// methods may be called concurrently.
 type MemoryArchive struct {
-	mutex  sync.Mutex
+	mutex  sync.Mutex // guards the fields below
 	jobs   map[string]record.ArchivedJob
 	synced map[string]record.ArchivedJob
 }
@@ -28,7 +28,7 @@
 	}
 }
 
-// Crash drops what came after the last Sync.
+// Crash discards all changes since the last Sync.
 func (a *MemoryArchive) Crash() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -49,8 +49,8 @@
 func (a *MemoryArchive) Get(id string) (record.ArchivedJob, bool, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	job, known := a.jobs[id]
-	return job, known, nil
+	job, found := a.jobs[id]
+	return job, found, nil
 }
 
 // Page implements record.Archive.
@@ -81,10 +81,10 @@
 	return len(jobs), nil
 }
 
-// memoryJobBytes stands for the bytes that a job takes.
+// memoryJobBytes is the assumed size of a job, in bytes.
 const memoryJobBytes = 100
 
-// Bytes implements record.Archive with memoryJobBytes for each job.
+// Bytes implements record.Archive. It counts memoryJobBytes for each job.
 func (a *MemoryArchive) Bytes() int64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -92,9 +92,9 @@
 }
 
 // OldestEnd implements record.Archive.
-func (a *MemoryArchive) OldestEnd(bytes int64, limit int) (record.Millis, int, error) {
+func (a *MemoryArchive) OldestEnd(size int64, limit int) (record.Millis, int, error) {
 	jobs := a.sorted(byEndedAt)
-	count := min(int((bytes+memoryJobBytes-1)/memoryJobBytes), limit, len(jobs))
+	count := min(int((size+memoryJobBytes-1)/memoryJobBytes), limit, len(jobs))
 	if count <= 0 {
 		return 0, 0, nil
 	}
@@ -109,6 +109,7 @@
 	return nil
 }
 
+// sorted returns all jobs in the given order.
 func (a *MemoryArchive) sorted(order func(x, y record.ArchivedJob) int) []record.ArchivedJob {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/storage/pagefault.go
+++ b/internal/storage/pagefault.go
@@ -6,16 +6,16 @@
 	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
-// recoverPageFault runs an access to a bbolt file. bbolt trusts its pages and
-// panics on invalid ones, and a file that was truncated faults when its mapping
-// is read: both become ErrCorrupt.
-func recoverPageFault(file string, read func() error) (err error) {
-	old := debug.SetPanicOnFault(true)
-	defer debug.SetPanicOnFault(old)
+// recoverPageFault calls access, which uses the given bbolt file, and turns panics and
+// memory faults into ErrCorrupt. bbolt does not validate its pages and panics on
+// invalid ones, and reading the memory mapping of a truncated file faults.
+func recoverPageFault(file string, access func() error) (err error) {
+	previous := debug.SetPanicOnFault(true)
+	defer debug.SetPanicOnFault(previous)
 	defer func() {
-		if found := recover(); found != nil {
-			err = datafile.Corrupt(file, "unreadable page: %v", found)
+		if cause := recover(); cause != nil {
+			err = datafile.NewCorruptError(file, "unreadable page: %v", cause)
 		}
 	}()
-	return read()
+	return access()
 }
--- a/internal/storage/powerloss_log_test.go
+++ b/internal/storage/powerloss_log_test.go
@@ -20,35 +20,38 @@
 	powerLossDirectoryName = "d"
 	powerLossSegmentSize   = 2048 // bytes
 	powerLossSeeds         = 300
-	powerLossRounds        = 8
-	powerLossSteps         = 40
+	powerLossRounds        = 8  // for each seed
+	powerLossSteps         = 40 // in each round
 )
 
-// powerLossRun drives a log as raft does, and knows every state that its files may
-// be found in after a loss of power.
+// powerLossRun drives a log as raft does, and tracks every state that may be loaded
+// after a power loss.
 type powerLossRun struct {
 	random *rand.Rand
 	files  *powerLossFiles
 	log    *diskLog
-	// states are what each step made of the log, oldest first; the files may
-	// hold any of them from floor on.
+	// states has the state of the log after each step, oldest first. A restart may
+	// find any of them from index oldestPossible on.
 	states         []LoadedState
 	oldestPossible int
-	// newest is the newest hard state handed over, committed or not.
-	newest raft.HardState
-	term   uint64
-	faults map[string]int
+	// newestHardState is the newest hard state of the replica. Its commit index may
+	// not have been saved yet.
+	newestHardState raft.HardState
+	term            uint64
+	faults          map[string]int
 }
 
-func (r *powerLossRun) state() LoadedState { return r.states[len(r.states)-1] }
+func (r *powerLossRun) latestState() LoadedState { return r.states[len(r.states)-1] }
 
-func (r *powerLossRun) add(state LoadedState) { r.states = append(r.states, state) }
+func (r *powerLossRun) addState(state LoadedState) { r.states = append(r.states, state) }
 
-// recordDurable records that a step returned and all up to it is durable.
+// recordDurable records that the latest state, and so everything before it, is durable.
 func (r *powerLossRun) recordDurable() { r.oldestPossible = len(r.states) - 1 }
 
-// TestPowerLoss_LogRecovers: whatever was saved before a sync returned is there after a
-// loss of power, and what is there is the log as it stood after some step.
+// TestPowerLoss_LogRecovers guards against lost or mixed-up log content after a power
+// loss: everything saved before a sync returned must be loaded, and the loaded state
+// must be that after some step. Kills and power losses hit at random operations, also
+// while the log is being opened.
 func TestPowerLoss_LogRecovers(t *testing.T) {
 	faults := make(map[string]int)
 	for seed := range uint64(powerLossSeeds) {
@@ -59,7 +62,7 @@
 	}
 	for _, fault := range []string{"killed", "all lost", "torn", "while opening", "tail truncated", "segment removed", "obsolete segment"} {
 		if faults[fault] < 20 {
-			t.Errorf("%q came %d times, want at least 20", fault, faults[fault])
+			t.Errorf("fault %q occurred %d times, want at least 20", fault, faults[fault])
 		}
 	}
 }
@@ -79,13 +82,13 @@
 				break
 			}
 		}
-		r.fault()
+		r.injectFault()
 	}
 	return r.open()
 }
 
-// fault ends the process, at times with the power.
-func (r *powerLossRun) fault() {
+// injectFault simulates a kill of the process or a power loss.
+func (r *powerLossRun) injectFault() {
 	switch r.random.IntN(4) {
 	case 0:
 		r.files.killProcess()
@@ -99,8 +102,8 @@
 	}
 }
 
-// open starts again, at times with a fault during the start, and checks what is
-// found.
+// open reopens the log and checks the loaded state. In one of three calls, a fault
+// may interrupt a first attempt.
 func (r *powerLossRun) open() error {
 	r.files.failAfter = -1
 	if r.random.IntN(3) == 0 {
@@ -109,7 +112,7 @@
 			return r.check(loaded)
 		}
 		r.faults["while opening"]++
-		r.fault()
+		r.injectFault()
 	}
 	loaded, err := r.reopen()
 	if err != nil {
@@ -128,17 +131,17 @@
 	if r.log, err = openDiskLog(config); err != nil {
 		return LoadedState{}, err
 	}
-	left, err := wal.SegmentNumbers(r.files, powerLossDirectoryName)
+	remaining, err := wal.SegmentNumbers(r.files, powerLossDirectoryName)
 	if err != nil {
 		return LoadedState{}, err
 	}
-	if len(left) < len(numbers) && left[0] > numbers[0] {
+	if len(remaining) < len(numbers) && remaining[0] > numbers[0] {
 		r.faults["obsolete segment"]++
 	}
 	return r.log.Load()
 }
 
-// faultCounter counts what the log says that it repaired.
+// faultCounter counts the repairs that the log reports to its logger.
 type faultCounter map[string]int
 
 func (c faultCounter) Write(line []byte) (int, error) {
@@ -150,87 +153,88 @@
 	return len(line), nil
 }
 
-// check finds the state that was loaded among the possible ones, and continues
-// from it.
+// check requires the loaded state to be one of the possible states, and continues the
+// run from it.
 func (r *powerLossRun) check(loaded LoadedState) error {
 	r.files.failAfter = -1
 	found := slices.ContainsFunc(r.states[r.oldestPossible:], func(state LoadedState) bool { return matchesState(loaded, state) })
 	if !found {
-		return fmt.Errorf("found a state that never was: %s", cmp.Diff(r.states[r.oldestPossible], loaded))
+		return fmt.Errorf("loaded state is none of the possible ones (-possible +loaded):\n%s", cmp.Diff(r.states[r.oldestPossible], loaded))
 	}
 	r.states, r.oldestPossible = []LoadedState{loaded}, 0
-	r.newest = loaded.HardState
-	r.newest.Commit = max(r.newest.Commit, loaded.Snapshot.Index)
+	r.newestHardState = loaded.HardState
+	r.newestHardState.Commit = max(r.newestHardState.Commit, loaded.Snapshot.Index)
 	r.term = max(r.term, loaded.HardState.Term)
 	return nil
 }
 
-// matchesState: entries that a snapshot covers may be forgotten or not.
+// matchesState reports whether the loaded state equals state. Entries covered by the
+// snapshot may be missing from the start of the loaded log.
 func matchesState(loaded, state LoadedState) bool {
-	covered := func(entry raft.Entry) bool { return entry.Index <= state.Snapshot.Index }
-	needed := slices.DeleteFunc(slices.Clone(state.Entries), covered)
-	if len(loaded.Entries) < len(needed) || len(loaded.Entries) > len(state.Entries) {
+	isCovered := func(entry raft.Entry) bool { return entry.Index <= state.Snapshot.Index }
+	required := slices.DeleteFunc(slices.Clone(state.Entries), isCovered)
+	if len(loaded.Entries) < len(required) || len(loaded.Entries) > len(state.Entries) {
 		return false
 	}
-	held := state.Entries[len(state.Entries)-len(loaded.Entries):]
-	return loaded.HardState == state.HardState && slices.EqualFunc(loaded.Entries, held, sameEntry) &&
+	expected := state.Entries[len(state.Entries)-len(loaded.Entries):]
+	return loaded.HardState == state.HardState && slices.EqualFunc(loaded.Entries, expected, equalEntries) &&
 		cmp.Equal(loaded.Snapshot, state.Snapshot) && bytes.Equal(loaded.SnapshotData, state.SnapshotData)
 }
 
-func sameEntry(a, b raft.Entry) bool {
+func equalEntries(a, b raft.Entry) bool {
 	return a.Index == b.Index && a.Term == b.Term && a.Kind == b.Kind && bytes.Equal(a.Data, b.Data)
 }
 
 func (r *powerLossRun) step() error {
 	switch n := r.random.IntN(20); {
 	case n == 0:
-		return r.snapshot()
+		return r.takeSnapshot()
 	case n == 1:
-		return r.install()
+		return r.installSnapshot()
 	default:
 		return r.save()
 	}
 }
 
-// save is one Ready: entries that extend the log or replace uncommitted ones, a hard
-// state, or both.
+// save saves what one raft Ready may contain: entries that extend the log or replace
+// uncommitted ones, a hard state, or both.
 func (r *powerLossRun) save() error {
-	state := r.state()
+	state := r.latestState()
 	var hardState *raft.HardState
-	last := state.last()
+	last := state.lastIndex()
 	if r.random.IntN(8) == 0 {
 		r.term++
-		r.newest.Term, r.newest.VotedFor = r.term, raft.ReplicaID(fmt.Sprint("voter-", r.random.IntN(3)))
+		r.newestHardState.Term, r.newestHardState.VotedFor = r.term, raft.ReplicaID(fmt.Sprint("voter-", r.random.IntN(3)))
 	}
-	var made []raft.Entry
+	var newEntries []raft.Entry
 	if r.random.IntN(4) > 0 {
 		first := last + 1
-		if r.random.IntN(6) == 0 && last > r.newest.Commit {
-			first -= r.random.Uint64N(last - r.newest.Commit)
+		if r.random.IntN(6) == 0 && last > r.newestHardState.Commit {
+			first -= r.random.Uint64N(last - r.newestHardState.Commit)
 		}
 		for range 1 + r.random.IntN(4) {
-			made = append(made, raft.Entry{Index: first + uint64(len(made)), Term: max(r.newest.Term, 1), Data: r.data()})
+			newEntries = append(newEntries, raft.Entry{Index: first + uint64(len(newEntries)), Term: max(r.newestHardState.Term, 1), Data: r.randomData()})
 		}
-		last = made[len(made)-1].Index
+		last = newEntries[len(newEntries)-1].Index
 	}
 	sync := r.random.IntN(4) > 0
-	if sync && last > r.newest.Commit && r.random.IntN(2) == 0 {
-		r.newest.Commit += r.random.Uint64N(last - r.newest.Commit + 1)
+	if sync && last > r.newestHardState.Commit && r.random.IntN(2) == 0 {
+		r.newestHardState.Commit += r.random.Uint64N(last - r.newestHardState.Commit + 1)
 	}
-	if r.newest != state.HardState {
-		newest := r.newest
+	if r.newestHardState != state.HardState {
+		newest := r.newestHardState
 		hardState = &newest
 	}
-	voted := r.newest.Term != state.HardState.Term || r.newest.VotedFor != state.HardState.VotedFor
-	if sync || voted || len(made) > 0 {
-		state.HardState = r.newest
+	voted := r.newestHardState.Term != state.HardState.Term || r.newestHardState.VotedFor != state.HardState.VotedFor
+	if sync || voted || len(newEntries) > 0 {
+		state.HardState = r.newestHardState
 	}
 	state.Entries = slices.DeleteFunc(slices.Clone(state.Entries), func(entry raft.Entry) bool {
-		return len(made) > 0 && entry.Index >= made[0].Index
+		return len(newEntries) > 0 && entry.Index >= newEntries[0].Index
 	})
-	state.Entries = append(state.Entries, made...)
-	r.add(state)
-	if err := r.log.Save(hardState, made, sync); err != nil {
+	state.Entries = append(state.Entries, newEntries...)
+	r.addState(state)
+	if err := r.log.Save(hardState, newEntries, sync); err != nil {
 		return err
 	}
 	if sync || voted {
@@ -239,8 +243,8 @@
 	return nil
 }
 
-// data is at times longer than a segment.
-func (r *powerLossRun) data() []byte {
+// randomData returns random bytes, in one of 50 calls more than fit in a segment.
+func (r *powerLossRun) randomData() []byte {
 	length := 1 + r.random.IntN(200)
 	if r.random.IntN(50) == 0 {
 		length = 2 * powerLossSegmentSize
@@ -252,54 +256,58 @@
 	return data
 }
 
-// persist makes all durable that was saved, as a replica has before it takes
-// or installs a snapshot.
-func (r *powerLossRun) persist() error {
-	state := r.state()
-	state.HardState = r.newest
-	r.add(state)
-	if err := r.log.Save(&r.newest, nil, true); err != nil {
+// saveDurably saves the newest hard state and syncs the log, as a replica does before
+// it takes or installs a snapshot.
+func (r *powerLossRun) saveDurably() error {
+	state := r.latestState()
+	state.HardState = r.newestHardState
+	r.addState(state)
+	if err := r.log.Save(&r.newestHardState, nil, true); err != nil {
 		return err
 	}
 	r.recordDurable()
 	return nil
 }
 
-func (r *powerLossRun) snapshot() error {
-	if err := r.persist(); err != nil {
+// takeSnapshot saves a snapshot at the commit index, if the log has that entry and it is
+// newer than the last snapshot. A fault may leave the log with or without the entries that
+// the snapshot discards.
+func (r *powerLossRun) takeSnapshot() error {
+	if err := r.saveDurably(); err != nil {
 		return err
 	}
-	state := r.state()
-	at := slices.IndexFunc(state.Entries, func(entry raft.Entry) bool { return entry.Index == r.newest.Commit })
-	if at < 0 || state.Entries[at].Index <= state.Snapshot.Index {
+	state := r.latestState()
+	position := slices.IndexFunc(state.Entries, func(entry raft.Entry) bool { return entry.Index == r.newestHardState.Commit })
+	if position < 0 || state.Entries[position].Index <= state.Snapshot.Index {
 		return nil
 	}
-	keep := r.random.Uint64N(5)
-	state.Snapshot = raft.SnapshotMeta{Index: state.Entries[at].Index, Term: state.Entries[at].Term}
-	state.SnapshotData = r.data()
-	r.add(state)
+	retainEntries := r.random.Uint64N(5)
+	state.Snapshot = raft.SnapshotMeta{Index: state.Entries[position].Index, Term: state.Entries[position].Term}
+	state.SnapshotData = r.randomData()
+	r.addState(state)
 	state.Entries = slices.DeleteFunc(slices.Clone(state.Entries), func(entry raft.Entry) bool {
-		return entry.Index+keep <= state.Snapshot.Index
+		return entry.Index+retainEntries <= state.Snapshot.Index
 	})
-	r.add(state)
+	r.addState(state)
 	write := func(w io.Writer) error { _, err := w.Write(state.SnapshotData); return err }
-	if err := r.log.SaveSnapshot(state.Snapshot, keep, write); err != nil {
+	if err := r.log.SaveSnapshot(state.Snapshot, retainEntries, write); err != nil {
 		return err
 	}
 	r.recordDurable()
 	return nil
 }
 
-func (r *powerLossRun) install() error {
-	if err := r.persist(); err != nil {
+// installSnapshot installs a snapshot that is newer than all entries of the log.
+func (r *powerLossRun) installSnapshot() error {
+	if err := r.saveDurably(); err != nil {
 		return err
 	}
-	state := r.state()
-	state.Snapshot = raft.SnapshotMeta{Index: state.last() + 1 + r.random.Uint64N(9), Term: max(r.newest.Term, 1)}
-	state.SnapshotData = r.data()
+	state := r.latestState()
+	state.Snapshot = raft.SnapshotMeta{Index: state.lastIndex() + 1 + r.random.Uint64N(9), Term: max(r.newestHardState.Term, 1)}
+	state.SnapshotData = r.randomData()
 	state.Entries = nil
-	r.newest.Commit = state.Snapshot.Index
-	r.add(state)
+	r.newestHardState.Commit = state.Snapshot.Index
+	r.addState(state)
 	if err := r.log.InstallSnapshot(state.Snapshot, strings.NewReader(string(state.SnapshotData))); err != nil {
 		return err
 	}
--- a/internal/storage/powerlossarchive_test.go
+++ b/internal/storage/powerlossarchive_test.go
@@ -15,33 +15,34 @@
 	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
-// powerLossDirectory is powerLossFiles for a whole data directory. bbolt needs a real file,
-// so archive.db is one, and is followed here: what a transaction changed counts as
-// the writes and syncs that bbolt made, in the order of its Tx.Commit: length,
-// sync, data pages in any order, sync, meta page, sync.
+// powerLossDirectory is powerLossFiles for a complete data directory. bbolt needs a real
+// file, so archive.db is one, and its changes are mirrored into powerLossFiles as the
+// writes and syncs that bbolt makes in Tx.Commit: length, sync, data pages in any
+// order, sync, meta page, sync.
 type powerLossDirectory struct {
 	*powerLossFiles
 	directory string
-	// failAtMeta: the power fails when the next meta page has been written.
-	failAtMeta bool
+	// failAtMetaSync makes the sync after the next write of a meta page fail.
+	failAtMetaSync bool
 }
 
 // powerLossPageSize is the size of a page of the archive, in bytes.
 var powerLossPageSize = os.Getpagesize()
 
+// isArchiveFile reports whether path is the archive, finished or not.
 func isArchiveFile(path string) bool { return strings.HasPrefix(filepath.Base(path), archiveFile) }
 
-// Names first follows what bbolt did.
+// Names mirrors the changes of bbolt first.
 func (p *powerLossDirectory) Names(directory string) ([]string, error) {
-	if err := p.follow(); err != nil {
+	if err := p.mirrorArchive(); err != nil {
 		return nil, err
 	}
 	return p.powerLossFiles.Names(directory)
 }
 
-// Rename moves the real file as well.
+// Rename also renames the real file if it is an archive.
 func (p *powerLossDirectory) Rename(from, to string) error {
-	if err := p.follow(); err != nil {
+	if err := p.mirrorArchive(); err != nil {
 		return err
 	}
 	if err := p.powerLossFiles.Rename(from, to); err != nil || !isArchiveFile(from) {
@@ -50,7 +51,7 @@
 	return os.Rename(from, to)
 }
 
-// Remove removes the real file as well.
+// Remove also removes the real file if it is an archive.
 func (p *powerLossDirectory) Remove(path string) error {
 	if err := p.powerLossFiles.Remove(path); err != nil || !isArchiveFile(path) {
 		return err
@@ -61,16 +62,18 @@
 	return nil
 }
 
-// SyncDirectory is asked for after a file was made.
+// SyncDirectory mirrors the changes of bbolt first, so that the name of a file that
+// bbolt created becomes durable.
 func (p *powerLossDirectory) SyncDirectory(directory string) error {
-	if err := p.follow(); err != nil {
+	if err := p.mirrorArchive(); err != nil {
 		return err
 	}
 	return p.powerLossFiles.SyncDirectory(directory)
 }
 
-// follow takes over what bbolt did to real files since the last call.
-func (p *powerLossDirectory) follow() error {
+// mirrorArchive applies the changes of bbolt to real files since the last call to
+// powerLossFiles.
+func (p *powerLossDirectory) mirrorArchive() error {
 	for _, name := range []string{archiveFile, archiveFile + datafile.UnfinishedSuffix} {
 		path := filepath.Join(p.directory, name)
 		content, err := os.ReadFile(path)
@@ -80,14 +83,15 @@
 		if err != nil {
 			return err
 		}
-		if err := p.followFile(path, content); err != nil {
+		if err := p.mirrorFile(path, content); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *powerLossDirectory) followFile(path string, content []byte) error {
+// mirrorFile applies the changes of one file, whose real content is given.
+func (p *powerLossDirectory) mirrorFile(path string, content []byte) error {
 	node := p.names[path]
 	if node == nil {
 		if _, err := p.Create(path); err != nil {
@@ -107,55 +111,59 @@
 			return err
 		}
 	}
-	return p.followCommit(file, content)
+	return p.mirrorCommit(file, content)
 }
 
-// followCommit writes the changed pages, the meta pages last.
-func (p *powerLossDirectory) followCommit(file *powerLossFile, content []byte) error {
-	var data, metas []int
-	for at := 0; at < len(content); at += powerLossPageSize {
+// mirrorCommit writes and syncs the changed data pages in random order, and then the
+// changed meta pages, the older transaction first.
+func (p *powerLossDirectory) mirrorCommit(file *powerLossFile, content []byte) error {
+	var dataPages, metaPages []int
+	for offset := 0; offset < len(content); offset += powerLossPageSize {
 		switch {
-		case bytes.Equal(pageAt(content, at), pageAt(file.node.content, at)):
-		case at < 2*powerLossPageSize:
-			metas = append(metas, at)
+		case bytes.Equal(pageAt(content, offset), pageAt(file.node.content, offset)):
+		case offset < 2*powerLossPageSize:
+			metaPages = append(metaPages, offset)
 		default:
-			data = append(data, at)
+			dataPages = append(dataPages, offset)
 		}
 	}
-	p.random.Shuffle(len(data), func(i, j int) { data[i], data[j] = data[j], data[i] })
-	if err := p.followPages(file, content, data); err != nil {
+	p.random.Shuffle(len(dataPages), func(i, j int) { dataPages[i], dataPages[j] = dataPages[j], dataPages[i] })
+	if err := p.mirrorPages(file, content, dataPages); err != nil {
 		return err
 	}
-	transaction := func(at int) uint64 {
-		return binary.NativeEndian.Uint64(content[at+boltPageHeader+boltTransactionAt:])
+	transactionAt := func(offset int) uint64 {
+		return binary.NativeEndian.Uint64(content[offset+boltPageHeaderSize+boltTransactionOffset:])
 	}
-	slices.SortFunc(metas, func(a, b int) int { return cmp.Compare(transaction(a), transaction(b)) })
-	for i := range metas { // each is of a transaction of its own, with its own sync
-		if p.failAtMeta {
-			p.failAfter, p.failAtMeta = 1, false
+	slices.SortFunc(metaPages, func(a, b int) int { return cmp.Compare(transactionAt(a), transactionAt(b)) })
+	for i := range metaPages { // each belongs to a transaction of its own, with its own sync
+		if p.failAtMetaSync {
+			p.failAfter, p.failAtMetaSync = 1, false
 		}
-		if err := p.followPages(file, content, metas[i:i+1]); err != nil {
+		if err := p.mirrorPages(file, content, metaPages[i:i+1]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *powerLossDirectory) followPages(file *powerLossFile, content []byte, pages []int) error {
-	for _, at := range pages {
-		if _, err := file.WriteAt(pageAt(content, at), int64(at)); err != nil {
+// mirrorPages writes the pages at the given offsets and syncs the file.
+func (p *powerLossDirectory) mirrorPages(file *powerLossFile, content []byte, pages []int) error {
+	for _, offset := range pages {
+		if _, err := file.WriteAt(pageAt(content, offset), int64(offset)); err != nil {
 			return err
 		}
 	}
 	return file.Sync()
 }
 
-func pageAt(content []byte, at int) []byte {
-	return content[at:min(at+powerLossPageSize, len(content))]
+// pageAt returns the page at an offset.
+func pageAt(content []byte, offset int) []byte {
+	return content[offset:min(offset+powerLossPageSize, len(content))]
 }
 
-// restore makes the real files be what a fault left.
-func (p *powerLossDirectory) restore() error {
+// restoreArchive replaces the real archive files with the content that the simulated
+// fault left.
+func (p *powerLossDirectory) restoreArchive() error {
 	entries, err := os.ReadDir(p.directory)
 	if err != nil {
 		return err
@@ -178,23 +186,24 @@
 	return nil
 }
 
-// tornPages cuts unsynced pages into pieces, which are torn by themselves: at
-// the sectors of a disk, or finer than the meta of bbolt.
-func tornPages(random *rand.Rand, writes []powerLossWrite) []powerLossWrite {
-	const sector, fine = 512, 16
+// splitPageWrites splits about half of the page writes into pieces, so that a power loss
+// decides on each piece independently. The pieces are disk sectors, or 16 bytes so that
+// they are smaller than the meta of bbolt.
+func splitPageWrites(random *rand.Rand, writes []powerLossWrite) []powerLossWrite {
+	const sectorSize, fineSize = 512, 16
 	var pieces []powerLossWrite
 	for _, write := range writes {
 		if len(write.data) != powerLossPageSize || random.IntN(2) == 0 {
 			pieces = append(pieces, write)
 			continue
 		}
-		size := sector
+		pieceSize := sectorSize
 		if random.IntN(2) == 0 {
-			size = fine
+			pieceSize = fineSize
 		}
-		for piece := range slices.Chunk(write.data, size) {
-			pieces = append(pieces, powerLossWrite{at: write.at, data: piece})
-			write.at += int64(size)
+		for piece := range slices.Chunk(write.data, pieceSize) {
+			pieces = append(pieces, powerLossWrite{offset: write.offset, data: piece})
+			write.offset += int64(pieceSize)
 		}
 	}
 	return pieces
--- a/internal/storage/powerlossfiles_test.go
+++ b/internal/storage/powerlossfiles_test.go
@@ -14,63 +14,63 @@
 	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
-// powerLossFiles is a datafile.FileSystem in memory. It keeps what was synced apart from
-// what was not; at a power loss each unsynced write is kept, lost or torn, and
-// each unsynced change of a name kept or lost, by itself.
+// powerLossFiles is a datafile.FileSystem in memory that stores synced and unsynced
+// changes separately. At a power loss, each unsynced write independently survives, is
+// lost or is torn, and each unsynced change of a name survives or is lost.
 type powerLossFiles struct {
 	random *rand.Rand
-	names  map[string]*powerLossNode
-	// durable are the names as of the last sync of the directory, or of the file
-	// for one that was made since.
-	durable map[string]*powerLossNode
-	// failAfter is the number of writes and syncs that still succeed; negative
-	// for all.
+	names  map[string]*powerLossNode // the current files, by path
+	// durableNames has the files by path as of the last sync of the directory.
+	durableNames map[string]*powerLossNode
+	// failAfter is the number of changes and syncs that succeed before all fail with
+	// errPowerOff. A negative value means no limit.
 	failAfter int
-	// full rejects new files, growth and writes, of which a part may be there; syncs
-	// and removals go on.
-	full bool
-	// syncs, directorySyncs and writes are counted.
+	// diskFull makes Create, Truncate and WriteAt fail with ENOSPC; a failed write may
+	// leave a part of its data. Syncs, renames and removals still succeed.
+	diskFull bool
+	// syncs and directorySyncs count the successful syncs, writes all calls of WriteAt.
 	syncs, directorySyncs, writes int
 }
 
-// powerLossNode is a file.
+// powerLossNode is the content of a file, independent of its name.
 type powerLossNode struct {
-	content []byte
-	durable []byte
-	// unsynced changes, oldest first.
+	content []byte // as read now
+	durable []byte // as of the last sync
+	// unsynced has the changes since the last sync, oldest first.
 	unsynced []powerLossWrite
 }
 
-// powerLossWrite is a write, or a change of length if data is nil.
+// powerLossWrite is a write of data at offset or, if data is nil, a change of the file's
+// length to offset.
 type powerLossWrite struct {
-	at   int64
-	data []byte
+	offset int64
+	data   []byte
 }
 
 var (
 	_           datafile.FileSystem = (*powerLossFiles)(nil)
-	errPowerOff                     = errors.New("the power is off")
+	errPowerOff                     = errors.New("simulated power loss")
 )
 
 func newPowerLossFiles(seed uint64) *powerLossFiles {
 	return &powerLossFiles{
-		random:    rand.New(rand.NewPCG(seed, 1)),
-		names:     make(map[string]*powerLossNode),
-		durable:   make(map[string]*powerLossNode),
-		failAfter: -1,
+		random:       rand.New(rand.NewPCG(seed, 1)),
+		names:        make(map[string]*powerLossNode),
+		durableNames: make(map[string]*powerLossNode),
+		failAfter:    -1,
 	}
 }
 
-// put places a durable file.
-func (p *powerLossFiles) put(path string, content []byte) {
+// addDurableFile stores a file with durable content and name.
+func (p *powerLossFiles) addDurableFile(path string, content []byte) {
 	node := &powerLossNode{content: slices.Clone(content), durable: slices.Clone(content)}
-	p.names[path], p.durable[path] = node, node
+	p.names[path], p.durableNames[path] = node, node
 }
 
 func (p *powerLossFiles) content(path string) []byte { return slices.Clone(p.names[path].content) }
 
-// bytes is the length of all files.
-func (p *powerLossFiles) bytes() int {
+// totalBytes returns the total length of all files.
+func (p *powerLossFiles) totalBytes() int {
 	total := 0
 	for _, node := range p.names {
 		total += len(node.content)
@@ -78,16 +78,17 @@
 	return total
 }
 
-// growth is step for what a full disk rejects.
-func (p *powerLossFiles) growth() error {
-	if p.full {
+// countGrowth is countOperation for operations that a full disk rejects.
+func (p *powerLossFiles) countGrowth() error {
+	if p.diskFull {
 		return syscall.ENOSPC
 	}
-	return p.step()
+	return p.countOperation()
 }
 
-// step counts a write or sync, and fails it once the power is off.
-func (p *powerLossFiles) step() error {
+// countOperation counts a change or sync against failAfter, and returns errPowerOff once
+// none is left.
+func (p *powerLossFiles) countOperation() error {
 	if p.failAfter == 0 {
 		return errPowerOff
 	}
@@ -97,24 +98,25 @@
 	return nil
 }
 
-// killProcess ends the writer alone: nothing is lost.
+// killProcess simulates a kill of the process without a power loss: nothing is lost.
 func (p *powerLossFiles) killProcess() { p.failAfter = -1 }
 
-// loseAllUnsynced is a power loss after which nothing unsynced is there.
+// loseAllUnsynced simulates a power loss that loses every unsynced change.
 func (p *powerLossFiles) loseAllUnsynced() {
 	p.failAfter = -1
-	p.names = maps.Clone(p.durable)
+	p.names = maps.Clone(p.durableNames)
 	for _, node := range p.names {
 		node.content, node.unsynced = slices.Clone(node.durable), nil
 	}
 }
 
-// losePower decides on each unsynced write and name by itself.
+// losePower simulates a power loss that decides independently on each unsynced write and
+// name.
 func (p *powerLossFiles) losePower() {
 	p.failAfter = -1
-	survived := maps.Clone(p.durable)
-	for _, path := range slices.Sorted(maps.Keys(union(p.names, p.durable))) {
-		if p.names[path] == p.durable[path] || p.random.IntN(2) == 0 {
+	survived := maps.Clone(p.durableNames)
+	for _, path := range slices.Sorted(maps.Keys(union(p.names, p.durableNames))) {
+		if p.names[path] == p.durableNames[path] || p.random.IntN(2) == 0 {
 			continue
 		}
 		if node := p.names[path]; node != nil {
@@ -127,10 +129,11 @@
 	for _, path := range slices.Sorted(maps.Keys(survived)) {
 		if node := survived[path]; !seen[node] {
 			seen[node] = true
-			node.tear(p.random)
+			node.applyPowerLoss(p.random)
 		}
 	}
-	// A file of two names would not be two files.
+	// If only half of a rename survived, both names have the same node. Each name gets
+	// a node of its own, so that a change of one file does not change the other.
 	owners := make(map[*powerLossNode]bool)
 	for path, node := range survived {
 		if owners[node] {
@@ -139,7 +142,7 @@
 		}
 		owners[node] = true
 	}
-	p.names, p.durable = survived, maps.Clone(survived)
+	p.names, p.durableNames = survived, maps.Clone(survived)
 }
 
 func union(a, b map[string]*powerLossNode) map[string]*powerLossNode {
@@ -148,13 +151,13 @@
 	return all
 }
 
-// tear keeps, loses or tears each unsynced write.
-func (n *powerLossNode) tear(random *rand.Rand) {
+// applyPowerLoss applies, drops or tears each unsynced write.
+func (n *powerLossNode) applyPowerLoss(random *rand.Rand) {
 	content := slices.Clone(n.durable)
 	for _, write := range n.unsynced {
 		if write.data == nil {
 			if random.IntN(2) == 0 {
-				content = resized(content, write.at)
+				content = resized(content, write.offset)
 			}
 			continue
 		}
@@ -162,22 +165,23 @@
 		switch random.IntN(5) {
 		case 0:
 			continue
-		case 1: // its start is there
+		case 1: // only the start of the write survives
 			to = random.IntN(len(write.data) + 1)
-		case 2: // its end is there
+		case 2: // only the end of the write survives
 			from = random.IntN(len(write.data) + 1)
-		case 3: // garbage is there
+		case 3: // some bytes are garbage
 			garbage := slices.Clone(write.data)
 			for range 1 + random.IntN(8) {
 				garbage[random.IntN(len(garbage))] = byte(random.Uint32())
 			}
 			write.data = garbage
 		}
-		content = overwritten(content, write.at+int64(from), write.data[from:to])
+		content = overwritten(content, write.offset+int64(from), write.data[from:to])
 	}
 	n.content, n.durable, n.unsynced = content, slices.Clone(content), nil
 }
 
+// resized returns content cut or extended with zeros to the given size.
 func resized(content []byte, size int64) []byte {
 	if int64(len(content)) > size {
 		return content[:size]
@@ -185,20 +189,21 @@
 	return append(content, make([]byte, size-int64(len(content)))...)
 }
 
-func overwritten(content []byte, at int64, data []byte) []byte {
-	if end := at + int64(len(data)); end > int64(len(content)) {
+// overwritten returns content with data written at an offset, extended if necessary.
+func overwritten(content []byte, offset int64, data []byte) []byte {
+	if end := offset + int64(len(data)); end > int64(len(content)) {
 		content = resized(content, end)
 	}
-	copy(content[at:], data)
+	copy(content[offset:], data)
 	return content
 }
 
 func (p *powerLossFiles) Create(path string) (datafile.File, error) {
-	if err := p.growth(); err != nil {
+	if err := p.countGrowth(); err != nil {
 		return nil, err
 	}
-	if node := p.names[path]; node != nil && p.durable[path] == node {
-		// Cutting an existing file to nothing is a change of its length.
+	if node := p.names[path]; node != nil && p.durableNames[path] == node {
+		// Truncating an existing file is an unsynced change of its length to 0.
 		node.unsynced = append(node.unsynced, powerLossWrite{})
 		node.content = nil
 		return &powerLossFile{files: p, path: path, node: node}, nil
@@ -216,7 +221,7 @@
 }
 
 func (p *powerLossFiles) Rename(from, to string) error {
-	if err := p.step(); err != nil {
+	if err := p.countOperation(); err != nil {
 		return err
 	}
 	p.names[to] = p.names[from]
@@ -225,7 +230,7 @@
 }
 
 func (p *powerLossFiles) Remove(path string) error {
-	if err := p.step(); err != nil {
+	if err := p.countOperation(); err != nil {
 		return err
 	}
 	if p.names[path] == nil {
@@ -247,49 +252,50 @@
 }
 
 func (p *powerLossFiles) SyncDirectory(string) error {
-	if err := p.step(); err != nil {
+	if err := p.countOperation(); err != nil {
 		return err
 	}
 	p.directorySyncs++
-	p.durable = maps.Clone(p.names)
+	p.durableNames = maps.Clone(p.names)
 	return nil
 }
 
+// powerLossFile is an open file of powerLossFiles.
 type powerLossFile struct {
 	files *powerLossFiles
 	path  string
 	node  *powerLossNode
 }
 
-func (f *powerLossFile) ReadAt(into []byte, at int64) (int, error) {
-	if at >= int64(len(f.node.content)) {
+func (f *powerLossFile) ReadAt(buffer []byte, offset int64) (int, error) {
+	if offset >= int64(len(f.node.content)) {
 		return 0, io.EOF
 	}
-	n := copy(into, f.node.content[at:])
-	if n < len(into) {
+	n := copy(buffer, f.node.content[offset:])
+	if n < len(buffer) {
 		return n, io.EOF
 	}
 	return n, nil
 }
 
-func (f *powerLossFile) WriteAt(data []byte, at int64) (int, error) {
+func (f *powerLossFile) WriteAt(data []byte, offset int64) (int, error) {
 	f.files.writes++
-	err := f.files.growth()
-	if err != nil { // some of it may be there
+	err := f.files.countGrowth()
+	if err != nil { // a part of the data may have been written
 		data = data[:f.files.random.IntN(len(data)+1)]
 	}
 	if len(data) > 0 {
-		f.node.unsynced = append(f.node.unsynced, powerLossWrite{at: at, data: slices.Clone(data)})
-		f.node.content = overwritten(f.node.content, at, data)
+		f.node.unsynced = append(f.node.unsynced, powerLossWrite{offset: offset, data: slices.Clone(data)})
+		f.node.content = overwritten(f.node.content, offset, data)
 	}
 	return len(data), err
 }
 
 func (f *powerLossFile) Truncate(size int64) error {
-	if err := f.files.growth(); err != nil {
+	if err := f.files.countGrowth(); err != nil {
 		return err
 	}
-	f.node.unsynced = append(f.node.unsynced, powerLossWrite{at: size})
+	f.node.unsynced = append(f.node.unsynced, powerLossWrite{offset: size})
 	f.node.content = resized(slices.Clone(f.node.content), size)
 	return nil
 }
@@ -297,7 +303,7 @@
 func (f *powerLossFile) Size() (int64, error) { return int64(len(f.node.content)), nil }
 
 func (f *powerLossFile) Sync() error {
-	if err := f.files.step(); err != nil {
+	if err := f.files.countOperation(); err != nil {
 		return err
 	}
 	f.files.syncs++
--- a/internal/storage/snapshotfile.go
+++ b/internal/storage/snapshotfile.go
@@ -15,9 +15,9 @@
 	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
-// A snapshot file is: magic, length of the meta (4 bytes), CRC-32C of the meta,
-// the meta in CBOR, the data, length of the data (8 bytes), CRC-32C of the
-// data. Numbers are big-endian.
+// A snapshot file consists of: magic, length of the meta (4 bytes), CRC-32C of the
+// meta (4), the meta in CBOR, the data, length of the data (8), CRC-32C of the data
+// (4). Numbers are big-endian.
 const (
 	snapshotFile       = "snapshot"
 	snapshotMagic      = "DLSNAP01"
@@ -26,8 +26,8 @@
 	temporarySuffix    = ".tmp"
 )
 
-// writeSnapshotFile replaces the snapshot file, all or nothing: the new one is
-// durable under another name before it takes the name.
+// writeSnapshotFile replaces the snapshot file atomically: the new file is synced
+// under a temporary name before it is renamed.
 func writeSnapshotFile(files datafile.FileSystem, directory string, meta raft.SnapshotMeta, write func(io.Writer) error) (err error) {
 	target := filepath.Join(directory, snapshotFile)
 	file, err := files.Create(target + temporarySuffix)
@@ -82,7 +82,7 @@
 	return buffered.Flush()
 }
 
-// checksumWriter computes length and checksum of what passes through it.
+// checksumWriter computes the length and the CRC-32C of the bytes written to target.
 type checksumWriter struct {
 	target io.Writer
 	length uint64
@@ -97,8 +97,9 @@
 	return n, err
 }
 
-// openSnapshotFile returns the meta and the section that holds the data. A
-// missing file is reported as fs.ErrNotExist.
+// openSnapshotFile opens the snapshot file, which the caller closes, and returns
+// its meta and its data section. The data is not verified. The error wraps
+// fs.ErrNotExist if there is no snapshot.
 func openSnapshotFile(files datafile.FileSystem, directory string) (file datafile.File, meta raft.SnapshotMeta, data *io.SectionReader, err error) {
 	path := filepath.Join(directory, snapshotFile)
 	file, err = files.Open(path)
@@ -113,27 +114,28 @@
 	return file, meta, data, nil
 }
 
-// readSnapshotHeader verifies all but the data.
+// readSnapshotHeader reads and verifies the header and the meta, and returns the
+// data section, whose checksum it does not verify.
 func readSnapshotHeader(name string, file datafile.File) (meta raft.SnapshotMeta, data *io.SectionReader, err error) {
 	size, err := file.Size()
 	if err != nil {
 		return meta, nil, err
 	}
 	if size < int64(snapshotHeaderSize+snapshotTailSize) {
-		return meta, nil, datafile.Corrupt(name, "only %d bytes long", size)
+		return meta, nil, datafile.NewCorruptError(name, "only %d bytes long", size)
 	}
 	header := make([]byte, snapshotHeaderSize)
 	if _, err := file.ReadAt(header, 0); err != nil {
 		return meta, nil, err
 	}
 	if string(header[:len(snapshotMagic)]) != snapshotMagic {
-		return meta, nil, datafile.Corrupt(name, "starts with %q, expected %q", header[:len(snapshotMagic)], snapshotMagic)
+		return meta, nil, datafile.NewCorruptError(name, "starts with %q, expected %q", header[:len(snapshotMagic)], snapshotMagic)
 	}
 	metaLength := int64(binary.BigEndian.Uint32(header[len(snapshotMagic):]))
 	dataStart := int64(snapshotHeaderSize) + metaLength
 	dataLength := size - dataStart - int64(snapshotTailSize)
 	if dataLength < 0 {
-		return meta, nil, datafile.Corrupt(name, "meta of %d bytes does not fit in %d", metaLength, size)
+		return meta, nil, datafile.NewCorruptError(name, "meta of %d bytes does not fit in %d", metaLength, size)
 	}
 	encoded := make([]byte, metaLength)
 	if _, err := file.ReadAt(encoded, int64(snapshotHeaderSize)); err != nil {
@@ -141,16 +143,16 @@
 	}
 	want := binary.BigEndian.Uint32(header[len(snapshotMagic)+4:])
 	if got := datafile.Checksum(encoded); got != want {
-		return meta, nil, datafile.Corrupt(name, "meta has checksum %08x, expected %08x", got, want)
+		return meta, nil, datafile.NewCorruptError(name, "meta has checksum %08x, expected %08x", got, want)
 	}
 	if err := cbor.Unmarshal(encoded, &meta); err != nil {
-		return meta, nil, datafile.Corrupt(name, "meta: %v", err)
+		return meta, nil, datafile.NewCorruptError(name, "meta: %v", err)
 	}
 	return meta, io.NewSectionReader(file, dataStart, dataLength), nil
 }
 
-// readSnapshotFile reads and verifies the complete snapshot; ok is false if there
-// is none.
+// readSnapshotFile reads and verifies the complete snapshot file; ok is false if
+// there is none.
 func readSnapshotFile(files datafile.FileSystem, directory string) (meta raft.SnapshotMeta, content []byte, ok bool, err error) {
 	path := filepath.Join(directory, snapshotFile)
 	file, meta, data, err := openSnapshotFile(files, directory)
@@ -171,11 +173,11 @@
 		return meta, nil, false, fmt.Errorf("read snapshot: %w", err)
 	}
 	if length := binary.BigEndian.Uint64(tail); length != uint64(dataLength) {
-		return meta, nil, false, datafile.Corrupt(path, "data is %d bytes, expected %d", dataLength, length)
+		return meta, nil, false, datafile.NewCorruptError(path, "data is %d bytes, expected %d", dataLength, length)
 	}
 	want := binary.BigEndian.Uint32(tail[8:])
 	if got := datafile.Checksum(content); got != want {
-		return meta, nil, false, datafile.Corrupt(path, "data has checksum %08x, expected %08x", got, want)
+		return meta, nil, false, datafile.NewCorruptError(path, "data has checksum %08x, expected %08x", got, want)
 	}
 	return meta, content, true, nil
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -17,12 +17,13 @@
 	"github.com/decklever/decklever/internal/storage/wal"
 )
 
-func entries(first, last, term uint64) []raft.Entry {
-	var made []raft.Entry
+// testEntries returns the entries from index first to last, of one term.
+func testEntries(first, last, term uint64) []raft.Entry {
+	var created []raft.Entry
 	for index := first; index <= last; index++ {
-		made = append(made, raft.Entry{Index: index, Term: term, Data: fmt.Appendf(nil, "entry-%d-of-term-%d", index, term)})
+		created = append(created, raft.Entry{Index: index, Term: term, Data: fmt.Appendf(nil, "entry-%d-of-term-%d", index, term)})
 	}
-	return made
+	return created
 }
 
 func requireNoError(t testing.TB, err error) {
@@ -50,7 +51,8 @@
 	return func(w io.Writer) error { _, err := io.WriteString(w, text); return err }
 }
 
-// forEachStore runs a test on both stores; reopen starts again on the same data.
+// forEachStore runs a test on a Disk and a Memory store; reopen returns a store on
+// the same data, after a Close of Disk or a Crash of Memory.
 func forEachStore(t *testing.T, test func(t *testing.T, s Store, reopen func() Store)) {
 	t.Helper()
 	t.Run("disk", func(t *testing.T) {
@@ -69,24 +71,24 @@
 	})
 }
 
-func TestStore_RoundTripAndRelistedSuffix(t *testing.T) {
+func TestStore_RoundTripWithOverwrittenSuffix(t *testing.T) {
 	forEachStore(t, func(t *testing.T, s Store, reopen func() Store) {
 		t.Helper()
 		id := s.ReplicaID()
 		if len(id) != 16 || strings.Trim(string(id), "0123456789abcdef") != "" {
-			t.Fatalf("replica id %q is not 16 hex digits", id)
+			t.Fatalf("got replica id %q, want 16 hex digits", id)
 		}
 		if !s.Empty() {
-			t.Fatal("a new store is not empty")
+			t.Fatal("got a new store that is not empty")
 		}
 		hardState := raft.HardState{Term: 2, VotedFor: id, Commit: 1}
-		requireNoError(t, s.Save(&hardState, entries(1, 5, 1), true))
-		requireNoError(t, s.Save(nil, entries(3, 4, 2), true))
+		requireNoError(t, s.Save(&hardState, testEntries(1, 5, 1), true))
+		requireNoError(t, s.Save(nil, testEntries(3, 4, 2), true))
 		s = reopen()
 		if s.ReplicaID() != id || s.Empty() {
-			t.Fatalf("after reopening: id %q, empty %v", s.ReplicaID(), s.Empty())
+			t.Fatalf("after reopening: got replica id %q and empty %v, want the same id and false", s.ReplicaID(), s.Empty())
 		}
-		want := LoadedState{HardState: hardState, Entries: append(entries(1, 2, 1), entries(3, 4, 2)...)}
+		want := LoadedState{HardState: hardState, Entries: append(testEntries(1, 2, 1), testEntries(3, 4, 2)...)}
 		if diff := cmp.Diff(want, loadState(t, s)); diff != "" {
 			t.Fatal(diff)
 		}
@@ -98,15 +100,15 @@
 		t.Helper()
 		members := raft.Membership{Voters: []raft.Member{{ID: "a", Name: "one", Address: "127.0.0.1:1"}}}
 		meta := raft.SnapshotMeta{Index: 8, Term: 1, Membership: members}
-		requireNoError(t, s.Save(&raft.HardState{Term: 1}, entries(1, 10, 1), true))
+		requireNoError(t, s.Save(&raft.HardState{Term: 1}, testEntries(1, 10, 1), true))
 		requireNoError(t, s.SaveSnapshot(meta, 3, writeText("state at 8")))
 
-		half := func(w io.Writer) error { _, _ = io.WriteString(w, "half"); return errors.New("no more") }
-		if err := s.SaveSnapshot(raft.SnapshotMeta{Index: 9, Term: 1}, 0, half); err == nil {
-			t.Fatal("a snapshot that could not be written was taken")
+		failingWrite := func(w io.Writer) error { _, _ = io.WriteString(w, "half"); return errors.New("write failed") }
+		if err := s.SaveSnapshot(raft.SnapshotMeta{Index: 9, Term: 1}, 0, failingWrite); err == nil {
+			t.Fatal("saving a snapshot whose content cannot be written: got no error")
 		}
 		s = reopen()
-		want := LoadedState{HardState: raft.HardState{Term: 1}, Snapshot: meta, SnapshotData: []byte("state at 8"), Entries: entries(6, 10, 1)}
+		want := LoadedState{HardState: raft.HardState{Term: 1}, Snapshot: meta, SnapshotData: []byte("state at 8"), Entries: testEntries(6, 10, 1)}
 		if diff := cmp.Diff(want, loadState(t, s)); diff != "" {
 			t.Fatal(diff)
 		}
@@ -124,40 +126,44 @@
 		requireNoError(t, err)
 		requireNoError(t, data.Close())
 		if !ok || string(content) != "state at 50" || !cmp.Equal(gotMeta, newer) {
-			t.Fatalf("opened %v %q %+v", ok, content, gotMeta)
+			t.Fatalf("got snapshot %v with content %q and meta %+v, want the installed one", ok, content, gotMeta)
 		}
-		requireNoError(t, s.SaveSnapshot(raft.SnapshotMeta{Index: 9, Term: 1}, 0, writeText("late"))) // ignored
-		requireNoError(t, s.Save(nil, entries(51, 52, 3), true))
+		requireNoError(t, s.SaveSnapshot(raft.SnapshotMeta{Index: 9, Term: 1}, 0, writeText("late"))) // ignored, as it is older
+		requireNoError(t, s.Save(nil, testEntries(51, 52, 3), true))
 		if got := len(loadState(t, reopen()).Entries); got != 2 {
-			t.Fatalf("%d entries follow the installed snapshot, want 2", got)
+			t.Fatalf("got %d entries after the installed snapshot, want 2", got)
 		}
 	})
 }
 
+// TestInstallSnapshot_InterruptedDropsLog covers a power loss after the snapshot file
+// was replaced and before the snapshot record was appended: Load completes the
+// installation and drops the log.
 func TestInstallSnapshot_InterruptedDropsLog(t *testing.T) {
 	directory := t.TempDir()
 	d := openStore(t, directory)
-	requireNoError(t, d.Save(&raft.HardState{Term: 1, Commit: 2}, entries(1, 3, 1), true))
+	requireNoError(t, d.Save(&raft.HardState{Term: 1, Commit: 2}, testEntries(1, 3, 1), true))
 	meta := raft.SnapshotMeta{Index: 40, Term: 2}
 	requireNoError(t, writeSnapshotFile(datafile.OS{}, directory, meta, writeText("state")))
 	requireNoError(t, d.Close())
 	d = openStore(t, directory)
 	if loaded := loadState(t, d); len(loaded.Entries) != 0 || loaded.Snapshot.Index != 40 {
-		t.Fatalf("loaded %d entries, snapshot %d", len(loaded.Entries), loaded.Snapshot.Index)
+		t.Fatalf("got %d entries and snapshot index %d, want 0 and 40", len(loaded.Entries), loaded.Snapshot.Index)
 	}
-	requireNoError(t, d.Save(nil, entries(41, 41, 2), true))
+	requireNoError(t, d.Save(nil, testEntries(41, 41, 2), true))
 	if got := len(loadState(t, d).Entries); got != 1 {
-		t.Fatalf("%d entries, want 1", got)
+		t.Fatalf("got %d entries, want 1", got)
 	}
 	requireNoError(t, d.Close())
 }
 
-// TestInstallSnapshot_BeforeEndOfLogDropsIt: the leader's snapshot replaces a log
-// that went on behind it with entries that the leader does not have.
-func TestInstallSnapshot_BeforeEndOfLogDropsIt(t *testing.T) {
+// TestInstallSnapshot_WithinLogDropsAllEntries checks that a snapshot from the leader
+// also replaces the log entries after the snapshot's index: the leader does not have
+// them.
+func TestInstallSnapshot_WithinLogDropsAllEntries(t *testing.T) {
 	forEachStore(t, func(t *testing.T, s Store, reopen func() Store) {
 		t.Helper()
-		requireNoError(t, s.Save(&raft.HardState{Term: 1}, entries(1, 10, 1), true))
+		requireNoError(t, s.Save(&raft.HardState{Term: 1}, testEntries(1, 10, 1), true))
 		meta := raft.SnapshotMeta{Index: 5, Term: 2}
 		requireNoError(t, s.InstallSnapshot(meta, strings.NewReader("state at 5")))
 		s = reopen()
@@ -168,23 +174,24 @@
 	})
 }
 
-// flipByte inverts a bit of the text wherever it is in a file.
+// flipByte inverts the lowest bit of the last byte of each occurrence of text in a
+// file.
 func flipByte(t *testing.T, path, text string) {
 	t.Helper()
 	content, err := os.ReadFile(path)
 	requireNoError(t, err)
 	found := false
 	for start := 0; ; {
-		at := strings.Index(string(content[start:]), text)
-		if at < 0 {
+		offset := strings.Index(string(content[start:]), text)
+		if offset < 0 {
 			break
 		}
 		found = true
-		content[start+at+len(text)-1] ^= 1
-		start += at + len(text)
+		content[start+offset+len(text)-1] ^= 1
+		start += offset + len(text)
 	}
 	if !found {
-		t.Fatalf("%q is not in %s", text, path)
+		t.Fatalf("text %q not found in %s", text, path)
 	}
 	requireNoError(t, os.WriteFile(path, content, datafile.FilePermission))
 }
@@ -217,25 +224,25 @@
 		file   string
 		damage func(t *testing.T, directory, id string)
 	}{
-		"entry":           {logFile, flipIn(logFile, "entry-9-of-term-1")},
-		"replica id":      {logFile, flipReplicaID},
-		"snapshot data":   {snapshotFile, flipIn(snapshotFile, "state at 8")},
-		"snapshot meta":   {snapshotFile, flipIn(snapshotFile, "machine-one")},
-		"snapshot short":  {snapshotFile, truncate(snapshotFile, 90)},
-		"log cut short":   {logFile, truncate(logFile, 8192)},
-		"log cut a byte":  {logFile, truncate(logFile, wal.DefaultSegmentSize-1)},
-		"log cut amid":    {logFile, truncate(logFile, 300)},
-		"log too long":    {logFile, truncate(logFile, wal.DefaultSegmentSize+1)},
-		"log empty":       {logFile, truncate(logFile, 0)},
-		"log missing":     {logFile, remove(logFile)},
-		"snapshot gone":   {snapshotFile, remove(snapshotFile)},
-		"archive missing": {archiveFile, remove(archiveFile)},
+		"entry":            {logFile, flipIn(logFile, "entry-9-of-term-1")},
+		"replica id":       {logFile, flipReplicaID},
+		"snapshot data":    {snapshotFile, flipIn(snapshotFile, "state at 8")},
+		"snapshot meta":    {snapshotFile, flipIn(snapshotFile, "machine-one")},
+		"snapshot short":   {snapshotFile, truncate(snapshotFile, 90)},
+		"log shortened":    {logFile, truncate(logFile, 8192)},
+		"log minus a byte": {logFile, truncate(logFile, wal.DefaultSegmentSize-1)},
+		"log cut at 300":   {logFile, truncate(logFile, 300)},
+		"log too long":     {logFile, truncate(logFile, wal.DefaultSegmentSize+1)},
+		"log empty":        {logFile, truncate(logFile, 0)},
+		"log missing":      {logFile, remove(logFile)},
+		"snapshot missing": {snapshotFile, remove(snapshotFile)},
+		"archive missing":  {archiveFile, remove(archiveFile)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			directory := t.TempDir()
 			d := openStore(t, directory)
-			requireNoError(t, d.Save(&raft.HardState{Term: 1, VotedFor: "b"}, entries(1, 10, 1), true))
+			requireNoError(t, d.Save(&raft.HardState{Term: 1, VotedFor: "b"}, testEntries(1, 10, 1), true))
 			members := raft.Membership{Voters: []raft.Member{{ID: "a", Name: "machine-one"}}}
 			requireNoError(t, d.SaveSnapshot(raft.SnapshotMeta{Index: 8, Term: 1, Membership: members}, 2, writeText("state at 8")))
 			requireNoError(t, d.Close())
@@ -247,7 +254,7 @@
 				_ = d.Close()
 			}
 			if !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), c.file) {
-				t.Fatalf("got %v, want ErrCorrupt naming %s", err, c.file)
+				t.Fatalf("got %v, want an ErrCorrupt that names %s", err, c.file)
 			}
 		})
 	}
@@ -256,14 +263,14 @@
 func TestLoad_GapsRejected(t *testing.T) {
 	d := openStore(t, t.TempDir())
 	defer func() { _ = d.Close() }()
-	requireNoError(t, d.Save(nil, entries(2, 3, 1), true))
+	requireNoError(t, d.Save(nil, testEntries(2, 3, 1), true))
 	if _, err := d.Load(); !errors.Is(err, ErrCorrupt) {
-		t.Fatalf("a log that starts at 2: %v", err)
+		t.Fatalf("log that starts at 2: got %v, want ErrCorrupt", err)
 	}
-	requireNoError(t, d.Save(nil, entries(1, 2, 1), true))
-	requireNoError(t, d.Save(nil, entries(5, 6, 1), true))
+	requireNoError(t, d.Save(nil, testEntries(1, 2, 1), true))
+	requireNoError(t, d.Save(nil, testEntries(5, 6, 1), true))
 	if _, err := d.Load(); !errors.Is(err, ErrCorrupt) {
-		t.Fatalf("a log without 3 and 4: %v", err)
+		t.Fatalf("log without entries 3 and 4: got %v, want ErrCorrupt", err)
 	}
 }
 
@@ -279,36 +286,38 @@
 
 func TestMemory_CrashLosesOnlyUnsynced(t *testing.T) {
 	m := NewMemory(7)
-	requireNoError(t, m.Save(&raft.HardState{Term: 1}, entries(1, 2, 1), true))
-	requireNoError(t, m.Save(&raft.HardState{Term: 1, Commit: 2}, entries(3, 4, 1), false))
+	requireNoError(t, m.Save(&raft.HardState{Term: 1}, testEntries(1, 2, 1), true))
+	requireNoError(t, m.Save(&raft.HardState{Term: 1, Commit: 2}, testEntries(3, 4, 1), false))
 	requireNoError(t, m.Archive().Put([]record.ArchivedJob{{ID: "kept"}}))
 	requireNoError(t, m.Archive().Sync())
 	requireNoError(t, m.Archive().Put([]record.ArchivedJob{{ID: "lost"}}))
 	if got := len(loadState(t, m).Entries); got != 4 {
-		t.Fatalf("%d entries before the crash, want 4", got)
+		t.Fatalf("got %d entries before the crash, want 4", got)
 	}
 	m.Crash()
-	want := LoadedState{HardState: raft.HardState{Term: 1}, Entries: entries(1, 2, 1)}
+	want := LoadedState{HardState: raft.HardState{Term: 1}, Entries: testEntries(1, 2, 1)}
 	if diff := cmp.Diff(want, loadState(t, m)); diff != "" {
 		t.Fatal(diff)
 	}
 	jobs, err := m.Archive().List("", 10)
 	requireNoError(t, err)
 	if len(jobs) != 1 || jobs[0].ID != "kept" {
-		t.Fatalf("archive holds %v", jobs)
+		t.Fatalf("got archived jobs %v, want only the synced one", jobs)
 	}
 }
 
+// jobIDs returns a function that joins the ids of jobs by spaces and requires that
+// err is nil.
 func jobIDs(t *testing.T) func(jobs []record.ArchivedJob, err error) string {
 	t.Helper()
 	return func(jobs []record.ArchivedJob, err error) string {
 		t.Helper()
 		requireNoError(t, err)
-		var all []string
+		var ids []string
 		for _, job := range jobs {
-			all = append(all, job.ID)
+			ids = append(ids, job.ID)
 		}
-		return strings.Join(all, " ")
+		return strings.Join(ids, " ")
 	}
 }
 
@@ -324,9 +333,9 @@
 		}
 		requireNoError(t, archive.Put(jobs))
 		if job, known, err := archive.Get("b"); err != nil || !known || job.EndedAt != 10 {
-			t.Fatalf("unsynced job: %v %v %v", job, known, err)
+			t.Fatalf("unsynced job: got %v, known %v, error %v, want the job with end 10", job, known, err)
 		}
-		requireNoError(t, archive.Put(jobs[:2])) // applied again
+		requireNoError(t, archive.Put(jobs[:2])) // repeated, as when the log is applied again
 		requireNoError(t, archive.Sync())
 		archive = reopen().Archive()
 		expect := func(what, got, want string) {
@@ -343,11 +352,11 @@
 		expired, err := archive.Expire(40, 2)
 		requireNoError(t, err)
 		if expired != 2 {
-			t.Fatalf("expired %d, want 2", expired)
+			t.Fatalf("got %d expired jobs, want 2", expired)
 		}
-		expect("left", jobIDs(t)(archive.List("", 9)), "c d")
+		expect("remaining", jobIDs(t)(archive.List("", 9)), "c d")
 		if _, known, err := archive.Get("b"); err != nil || known {
-			t.Fatalf("expired job: known %v, %v", known, err)
+			t.Fatalf("expired job: got known %v, error %v, want false and no error", known, err)
 		}
 	})
 }
@@ -360,12 +369,12 @@
 			data := make([]byte, 400)
 			next := uint64(1)
 			for b.Loop() {
-				made := make([]raft.Entry, batch)
-				for i := range made {
-					made[i] = raft.Entry{Index: next, Term: 1, Data: data}
+				newEntries := make([]raft.Entry, batch)
+				for i := range newEntries {
+					newEntries[i] = raft.Entry{Index: next, Term: 1, Data: data}
 					next++
 				}
-				requireNoError(b, d.Save(nil, made, true))
+				requireNoError(b, d.Save(nil, newEntries, true))
 			}
 			b.ReportMetric(float64(next-1)/b.Elapsed().Seconds(), "entries/s")
 		})
--- a/internal/storage/wal/batch.go
+++ b/internal/storage/wal/batch.go
@@ -9,49 +9,58 @@
 )
 
 const (
-	// entryHeaderSize is index, term and kind, before an entry's data.
+	// entryHeaderSize is the length of index, term and kind, which precede an
+	// entry's data, in bytes.
 	entryHeaderSize = 8 + 8 + 1
-	// hardStateHeaderSize is term and commit, before the vote.
+	// hardStateHeaderSize is the length of term and commit index, which precede
+	// the vote, in bytes.
 	hardStateHeaderSize = 8 + 8
 )
 
-// segmentHeader opens a segment, so that those before it can be removed.
+// segmentHeader is the payload of the first record of a segment. It repeats the
+// State so that earlier segments can be removed.
 type segmentHeader struct {
 	ReplicaID raft.ReplicaID `cbor:"1,keyasint"`
 	Segment   uint64         `cbor:"2,keyasint"`
 	// Size is the length of the file, in bytes. It is durable before the
-	// header is written, so a shorter file was truncated.
+	// header is written, so a file with another length is damaged.
 	Size  int64 `cbor:"3,keyasint"`
 	State State `cbor:"4,keyasint"`
 }
 
-// State is what the records up to some offset amount to, the entries aside.
+// State is the result of applying all records up to some point of the log, without
+// the entries.
 type State struct {
 	HardState raft.HardState `cbor:"1,keyasint"`
-	// SnapshotIndex and SnapshotTerm name the snapshot that must be there, or
-	// a newer one; zero if none was taken.
+	// SnapshotIndex and SnapshotTerm identify the newest recorded snapshot; zero
+	// if there is none. That snapshot or a newer one must exist.
 	SnapshotIndex uint64 `cbor:"2,keyasint"`
 	SnapshotTerm  uint64 `cbor:"3,keyasint"`
-	// FirstIndex: entries before it are discarded.
+	// FirstIndex is the first index that is needed; entries before it are
+	// discarded.
 	FirstIndex uint64 `cbor:"4,keyasint"`
-	// LastIndex is the last entry, or the snapshot's if there is none after.
+	// LastIndex is the index of the last entry, or SnapshotIndex if no entry
+	// follows the snapshot.
 	LastIndex uint64 `cbor:"5,keyasint"`
-	// FirstSegment is the oldest segment that must be there.
+	// FirstSegment is the number of the oldest segment that must exist.
 	FirstSegment uint64 `cbor:"6,keyasint"`
-	// ArchiveTransaction is the archive's newest one when that snapshot was
-	// made: it holds the ended jobs that the snapshot leaves out.
+	// ArchiveTransaction is the newest durable transaction of the archive when the
+	// snapshot was taken. The archive up to it holds the ended jobs that the
+	// snapshot leaves out.
 	ArchiveTransaction uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// SnapshotRecord says that a snapshot is durable, and what it replaces.
+// SnapshotRecord records that a snapshot is durable, and which entries and segments
+// it replaces.
 type SnapshotRecord struct {
 	// Index and Term are those of the snapshot's last entry.
 	Index uint64 `cbor:"1,keyasint"`
 	Term  uint64 `cbor:"2,keyasint"`
-	// FirstIndex and FirstSegment are the oldest that are needed from now on.
+	// FirstIndex and FirstSegment are the oldest entry index and segment number
+	// that are still needed.
 	FirstIndex   uint64 `cbor:"3,keyasint"`
 	FirstSegment uint64 `cbor:"4,keyasint"`
-	// DropLog: no entry from before this record is left.
+	// DropLog discards all entries that were written before this record.
 	DropLog bool `cbor:"5,keyasint,omitempty"`
 	// ArchiveTransaction is as in State.
 	ArchiveTransaction uint64 `cbor:"6,keyasint,omitempty"`
@@ -67,33 +76,34 @@
 	}
 }
 
-// Batch is what one Append writes, all or nothing.
+// Batch is the content of one Append. It is replayed completely or not at all.
 type Batch struct {
-	// HardState is nil if it is unchanged.
+	// HardState is nil if the hard state is unchanged.
 	HardState *raft.HardState
-	// Entries replace all from the index of the first on.
+	// Entries replace all stored entries from the index of the first on.
 	Entries []raft.Entry
 
-	// snapshot is encoded as snapshotPayload.
+	// snapshot is nil if there is no snapshot record; snapshotPayload is its CBOR
+	// encoding.
 	snapshot        *SnapshotRecord
 	snapshotPayload []byte
-	// closed: the log is closed in order.
-	closed bool
+	// closesLog adds the record of a clean close.
+	closesLog bool
 }
 
-// NewSnapshotBatch returns a batch of one snapshot record.
+// NewSnapshotBatch returns a batch with only a snapshot record.
 func NewSnapshotBatch(snapshot SnapshotRecord) (Batch, error) {
 	payload, err := cbor.Marshal(snapshot)
 	return Batch{snapshot: &snapshot, snapshotPayload: payload}, err
 }
 
-// Empty reports whether there is nothing to write.
-func (b Batch) Empty() bool { return b.records() == 0 }
+// Empty reports whether the batch has no records.
+func (b Batch) Empty() bool { return b.recordCount() == 0 }
 
-// records counts the records.
-func (b Batch) records() int {
+// recordCount returns the number of records in the batch.
+func (b Batch) recordCount() int {
 	count := len(b.Entries)
-	for _, present := range []bool{b.snapshot != nil, b.HardState != nil, b.closed} {
+	for _, present := range []bool{b.snapshot != nil, b.HardState != nil, b.closesLog} {
 		if present {
 			count++
 		}
@@ -101,9 +111,9 @@
 	return count
 }
 
-// size is the length of the encoded batch, in bytes.
-func (b Batch) size() int64 {
-	size := int64(b.records()*recordHeaderSize + len(b.snapshotPayload))
+// encodedSize returns the length of the encoded batch, in bytes.
+func (b Batch) encodedSize() int64 {
+	size := int64(b.recordCount()*recordHeaderSize + len(b.snapshotPayload))
 	if b.HardState != nil {
 		size += int64(hardStateHeaderSize + len(b.HardState.VotedFor))
 	}
@@ -113,14 +123,15 @@
 	return size
 }
 
-// encode appends the batch, whose first record gets the sequence.
+// encode appends the encoded batch to buffer. sequence is the sequence number of
+// its first record, synced the newest durable sequence number.
 func (b Batch) encode(buffer []byte, sequence, synced uint64) []byte {
-	last := sequence + uint64(b.records()) - 1
+	last := sequence + uint64(b.recordCount()) - 1
 	add := func(kind recordType, payload func([]byte) []byte) {
 		var start int
 		buffer, start = beginRecord(buffer)
 		buffer = payload(buffer)
-		endRecord(buffer, start, logRecord{Sequence: sequence, Synced: synced, Type: kind, End: sequence == last})
+		endRecord(buffer, start, logRecord{Sequence: sequence, SyncedSequence: synced, Type: kind, EndOfBatch: sequence == last})
 		sequence++
 	}
 	if b.snapshot != nil {
@@ -132,13 +143,13 @@
 	for i := range b.Entries {
 		add(recordTypeEntry, func(to []byte) []byte { return appendEntry(to, &b.Entries[i]) })
 	}
-	if b.closed {
+	if b.closesLog {
 		add(recordTypeClosed, func(to []byte) []byte { return to })
 	}
 	return buffer
 }
 
-// applyTo brings a state to what it is after the batch.
+// applyTo updates state with the records of the batch.
 func (b Batch) applyTo(state *State) {
 	if b.snapshot != nil {
 		state.applySnapshot(*b.snapshot)
@@ -157,6 +168,7 @@
 	return append(buffer, state.VotedFor...)
 }
 
+// decodeHardState decodes a hard state; ok is false if the payload is too short.
 func decodeHardState(payload []byte) (state raft.HardState, ok bool) {
 	if len(payload) < hardStateHeaderSize {
 		return state, false
@@ -175,7 +187,8 @@
 	return append(buffer, entry.Data...)
 }
 
-// decodeEntry copies the data, so that the content of a segment can be freed.
+// decodeEntry decodes an entry and copies its data, so that the content of the
+// segment can be freed. ok is false if the payload is too short.
 func decodeEntry(payload []byte) (entry raft.Entry, ok bool) {
 	if len(payload) < entryHeaderSize {
 		return entry, false
--- a/internal/storage/wal/doc.go
+++ b/internal/storage/wal/doc.go
@@ -1,28 +1,31 @@
-// Package wal is the write-ahead log of a data directory: hard state, entries
-// and records of snapshots, in segments of files named log-NUMBER.wal.
+// Package wal implements the write-ahead log of a data directory. The log holds
+// the hard state, the raft entries and the snapshot records, in segment files
+// named log-NUMBER.wal.
 //
 // # Format
 //
-// What raft hands over at once is one Batch of records: one write and one
-// fdatasync. A batch counts completely or not at all. Each record has a checksum,
-// a sequence number that continues through all segments, and the newest sequence
-// that was durable when it was written. So a replay distinguishes, in the newest
-// segment, a write that was torn by a loss of power (truncated, and logged) from
-// damage (a later record says that the invalid one was durable: rejected). Damage
-// to the very last batch looks like a torn write, unless the log was closed in
-// order.
+// All that raft saves at once is one Batch of records, written with one write and
+// one fdatasync. A batch is replayed completely or not at all. Each record has a
+// checksum, a sequence number that continues across segments, and the newest
+// sequence number that was durable when the record was written. With these a
+// replay distinguishes two kinds of invalid record in the newest segment. If a
+// later record proves that the invalid one was durable, the log is damaged and
+// rejected. Otherwise a power loss tore the write: the tail is truncated and a
+// warning logged. Damage to the last batch cannot be distinguished from a torn
+// write unless the log was closed cleanly.
 //
-// A segment opens with the replica id and the State up to it, and its file has
-// its full length, durable before the header. The segment before it is synced
-// first, so only the newest can be torn. Once a snapshot is durable, a record
-// names the oldest segment that is still needed; only then are older ones
-// removed. Whichever unsynced names a loss of power brings back or takes, a
-// replay finds the same log.
+// A segment begins with a header that has the replica id and the State up to that
+// segment. Its file is created with its full length, which is durable before the
+// header is written. The previous segment is synced first, so that only the newest
+// can be torn. Once a snapshot is durable, a snapshot record names the oldest
+// segment that is still needed, and only then are older segments removed. A replay
+// therefore finds the same log whichever unsynced file creations and removals a
+// power loss undoes.
 //
 // # Ownership
 //
-// A Log owns the segments of its directory and the file that it appends to. It
-// has no lock: package storage serializes the calls. It does not know what
-// entries mean, and it never repairs damage: Open rejects it with a
+// A Log owns the segments of its directory and the open file of the newest
+// segment. It has no lock: package storage serializes the calls. It does not
+// interpret the data of entries, and it never repairs damage: Open returns a
 // datafile.CorruptError.
 package wal
--- a/internal/storage/wal/log_test.go
+++ b/internal/storage/wal/log_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// createTestLog creates and opens a log, which is closed with the test.
+// createTestLog creates and opens a log. It is abandoned at the end of the test.
 func createTestLog(t *testing.T, config Config) *Log {
 	t.Helper()
 	if err := Create(config, "0123456789abcdef"); err != nil {
@@ -48,6 +48,7 @@
 	return log, entries
 }
 
+// testEntries returns entries of term 1 with 100 bytes of data each.
 func testEntries(first, last uint64) []raft.Entry {
 	var entries []raft.Entry
 	for index := first; index <= last; index++ {
@@ -56,6 +57,7 @@
 	return entries
 }
 
+// appendEntries appends the test entries in synced batches of up to 4.
 func appendEntries(t *testing.T, log *Log, first, last uint64) {
 	t.Helper()
 	for index := first; index <= last; index += 4 {
@@ -85,24 +87,24 @@
 		t.Error(diff)
 	}
 	if reopened.State() != state || state.HardState != hardState || state.LastIndex != 52 || reopened.ReplicaID() != "0123456789abcdef" {
-		t.Errorf("state %+v, want %+v", reopened.State(), state)
+		t.Errorf("got state %+v, want %+v with last index 52", reopened.State(), state)
 	}
 	if reopened.NewestSegment() < 3 {
-		t.Errorf("all is in %d segments", reopened.NewestSegment())
+		t.Errorf("got newest segment %d, want at least 3", reopened.NewestSegment())
 	}
-	again, err := reopened.Entries()
-	if err != nil || !cmp.Equal(entries, again) {
-		t.Errorf("read again: %v, %s", err, cmp.Diff(entries, again))
+	reread, err := reopened.ReadEntries()
+	if err != nil || !cmp.Equal(entries, reread) {
+		t.Errorf("entries read again: error %v, difference %s", err, cmp.Diff(entries, reread))
 	}
 }
 
-func TestLog_SnapshotRecordLetsSegmentsGo(t *testing.T) {
+func TestLog_SnapshotRecordAllowsSegmentRemoval(t *testing.T) {
 	config := testConfig(t)
 	log := createTestLog(t, config)
 	appendEntries(t, log, 1, 100)
 	oldest, bytes := log.OldestNeeded(60)
 	if oldest <= FirstSegment || oldest >= log.NewestSegment() || bytes != int64(log.NewestSegment()-oldest+1)*testSegmentSize {
-		t.Fatalf("oldest needed is %d of %d, with %d bytes", oldest, log.NewestSegment(), bytes)
+		t.Fatalf("got oldest needed segment %d of %d with %d bytes, want one after the first and before the newest, and the bytes from it on", oldest, log.NewestSegment(), bytes)
 	}
 	batch, err := NewSnapshotBatch(SnapshotRecord{Index: 60, Term: 1, FirstIndex: 61, FirstSegment: oldest, ArchiveTransaction: 7})
 	if err != nil {
@@ -113,7 +115,7 @@
 	}
 	numbers, err := SegmentNumbers(config.Files, config.Directory)
 	if err != nil || numbers[0] != oldest {
-		t.Errorf("segments %v, %v", numbers, err)
+		t.Errorf("got segments %v, %v, want the oldest needed one first", numbers, err)
 	}
 	reopened, entries := openTestLog(t, config)
 	if diff := cmp.Diff(testEntries(61, 100), entries); diff != "" {
@@ -121,29 +123,29 @@
 	}
 	want := State{SnapshotIndex: 60, SnapshotTerm: 1, FirstIndex: 61, LastIndex: 100, FirstSegment: oldest, ArchiveTransaction: 7}
 	if got := reopened.State(); got != want {
-		t.Errorf("state %+v, want %+v", got, want)
+		t.Errorf("got state %+v, want %+v", got, want)
 	}
 }
 
-func TestLog_SegmentIsNeededUpToItsLastEntry(t *testing.T) {
+func TestOldestNeeded_SegmentNeededUntilLastEntryDiscarded(t *testing.T) {
 	log := createTestLog(t, testConfig(t))
 	appendEntries(t, log, 1, 100)
-	last := log.segments[0].last
+	last := log.segments[0].lastIndex
 	if oldest, _ := log.OldestNeeded(last - 1); oldest != FirstSegment {
-		t.Errorf("without the entries up to %d segment %d is the oldest needed, want %d", last-1, oldest, FirstSegment)
+		t.Errorf("entries up to %d discarded: got oldest needed segment %d, want %d", last-1, oldest, FirstSegment)
 	}
 	if oldest, _ := log.OldestNeeded(last); oldest != FirstSegment+1 {
-		t.Errorf("without the entries up to %d segment %d is the oldest needed, want %d", last, oldest, FirstSegment+1)
+		t.Errorf("entries up to %d discarded: got oldest needed segment %d, want %d", last, oldest, FirstSegment+1)
 	}
 	if oldest, _ := log.OldestNeeded(100); oldest != log.NewestSegment() {
-		t.Errorf("without any entry segment %d is the oldest needed, want the newest, %d", oldest, log.NewestSegment())
+		t.Errorf("all entries discarded: got oldest needed segment %d, want the newest, %d", oldest, log.NewestSegment())
 	}
 }
 
 func TestOpen_WithoutSegmentRejected(t *testing.T) {
 	var corrupt *datafile.CorruptError
 	if _, _, err := Open(testConfig(t)); !errors.As(err, &corrupt) || filepath.Base(corrupt.File) != SegmentName(FirstSegment) {
-		t.Errorf("got %v, want a CorruptError of %s", err, SegmentName(FirstSegment))
+		t.Errorf("got %v, want a CorruptError that names %s", err, SegmentName(FirstSegment))
 	}
 }
 
@@ -159,6 +161,6 @@
 	}
 	numbers, err := SegmentNumbers(config.Files, config.Directory)
 	if err != nil || !slices.Equal(numbers, []uint64{2, 16, 300}) {
-		t.Errorf("got %v, %v", numbers, err)
+		t.Errorf("got segments %v, %v, want 2, 16 and 300", numbers, err)
 	}
 }
--- a/internal/storage/wal/replay.go
+++ b/internal/storage/wal/replay.go
@@ -11,31 +11,34 @@
 	"github.com/decklever/decklever/internal/storage/datafile"
 )
 
-// replay reads a log from its files. readAll changes nothing; repair then makes
-// the files be what was read.
+// replay reads a log from its files. readAll only reads them; repair then removes
+// from the files whatever readAll did not take as part of the log.
 type replay struct {
 	config Config
 
-	id       raft.ReplicaID
-	state    State
-	entries  []raft.Entry
-	segments []segment
-	// next is the sequence of the record that follows.
-	next uint64
-	// closedCleanly: the newest record says that the log was closed in order.
+	replicaID raft.ReplicaID
+	state     State
+	entries   []raft.Entry
+	segments  []segment
+	// nextSequence is the sequence of the record that follows the last valid one.
+	nextSequence uint64
+	// closedCleanly reports that the newest record is that of a clean close.
 	closedCleanly bool
-	// end is the offset at which the newest segment is appended to.
-	end int64
-	// tail is what a torn write left behind that; nil if it is all zeros.
-	tail *tornTail
-	// obsolete are the segments before the oldest needed one.
-	obsolete []uint64
-	// unfinished is the segment that was being created when the power failed; 0
-	// if there is none.
-	unfinished uint64
+	// endOffset is the end of the last valid batch in the newest segment.
+	endOffset int64
+	// torn is the range after endOffset that a torn write left; nil if there are
+	// only zeros.
+	torn *tornTail
+	// obsoleteSegments are the numbers of the segments before the oldest needed
+	// one.
+	obsoleteSegments []uint64
+	// unfinishedSegment is the number of a segment whose creation was interrupted;
+	// 0 if there is none.
+	unfinishedSegment uint64
 }
 
-// tornTail is a range of unsynced bytes that are no valid batch.
+// tornTail is a range of offsets in the newest segment, with unsynced bytes that
+// form no valid batch.
 type tornTail struct {
 	start, end int64
 }
@@ -46,57 +49,58 @@
 
 func (r *replay) newest() *segment { return &r.segments[len(r.segments)-1] }
 
-// readAll reads all segments that are needed and changes nothing.
+// readAll reads and verifies all needed segments. It does not write.
 func (r *replay) readAll() error {
 	numbers, err := SegmentNumbers(r.config.Files, r.config.Directory)
 	if err != nil {
 		return err
 	}
 	if len(numbers) == 0 {
-		return datafile.Corrupt(r.path(FirstSegment), "missing")
+		return datafile.NewCorruptError(r.path(FirstSegment), "missing")
 	}
 	newest, err := r.findNewest(numbers)
 	if err != nil {
 		return err
 	}
-	if r.obsolete, err = r.checkNeeded(newest.numbers, newest.oldestNeeded, newest.number()); err != nil {
+	if r.obsoleteSegments, err = r.findObsoleteSegments(newest.numbers, newest.oldestNeeded, newest.number()); err != nil {
 		return err
 	}
 	for number := newest.oldestNeeded; number < newest.number(); number++ {
-		older, err := readSegment(r.config.Files, r.config.Directory, number)
+		content, err := readSegment(r.config.Files, r.config.Directory, number)
 		if err != nil {
 			return err
 		}
-		if err := r.readOlder(number, older); err != nil {
+		if err := r.readOlderSegment(number, content); err != nil {
 			return err
 		}
 	}
-	if err := r.readNewest(newest.number(), newest.content); err != nil {
+	if err := r.readNewestSegment(newest.number(), newest.content); err != nil {
 		return err
 	}
-	if provesSynced(newest.unfinished, r.next) {
-		return datafile.Corrupt(r.path(r.unfinished), "does not start with a whole segment header, though it was synced")
+	if provesSynced(newest.unfinished, r.nextSequence) {
+		return datafile.NewCorruptError(r.path(r.unfinishedSegment), "does not start with a complete segment header, although it was synced")
 	}
 	return nil
 }
 
 // newestSegment is the newest segment with a complete header.
 type newestSegment struct {
-	// numbers has its own, which is the last, and those of all older ones.
+	// numbers are the numbers of this segment, which is the last, and of all older
+	// segments.
 	numbers []uint64
 	content []byte
 	// oldestNeeded is the oldest segment that is still needed.
 	oldestNeeded uint64
-	// unfinished is the content of the segment after it, if that one was being
-	// created when the power failed.
+	// unfinished is the content of the following segment, if the creation of that
+	// one was interrupted.
 	unfinished []byte
 }
 
 func (s newestSegment) number() uint64 { return s.numbers[len(s.numbers)-1] }
 
-// findNewest finds the newest segment with a complete header. A newer one was
-// being created when the power failed: this one is complete then, and its records
-// show whether the newer one was ever synced.
+// findNewest returns the newest segment with a complete header. If the last segment
+// has none, its creation was interrupted: the segment before it must have one, and
+// readAll checks in the content of the last segment whether it had been synced.
 func (r *replay) findNewest(numbers []uint64) (newestSegment, error) {
 	newest, complete, err := r.readHeader(numbers)
 	if err != nil || complete {
@@ -106,7 +110,7 @@
 	if len(older) == 0 || older[len(older)-1] != newest.number()-1 {
 		return newest, r.errMissingHeader(newest.number())
 	}
-	r.unfinished = newest.number()
+	r.unfinishedSegment = newest.number()
 	unfinished := newest.content
 	newest, complete, err = r.readHeader(older)
 	if err == nil && !complete {
@@ -116,8 +120,8 @@
 	return newest, err
 }
 
-// readHeader reads the last of the segments; complete reports whether its header
-// is.
+// readHeader reads the last of the segments; complete reports whether that segment
+// has a complete header.
 func (r *replay) readHeader(numbers []uint64) (last newestSegment, complete bool, err error) {
 	last.numbers = numbers
 	if last.content, err = readSegment(r.config.Files, r.config.Directory, last.number()); err != nil {
@@ -128,14 +132,15 @@
 }
 
 func (r *replay) errMissingHeader(number uint64) error {
-	return datafile.Corrupt(r.path(number), "does not start with a whole segment header")
+	return datafile.NewCorruptError(r.path(number), "does not start with a complete segment header")
 }
 
-// checkNeeded returns the segments before first, and rejects a gap from there on.
-func (r *replay) checkNeeded(numbers []uint64, first, newest uint64) (obsolete []uint64, err error) {
+// findObsoleteSegments returns the numbers below first, whose segments are obsolete. It
+// returns an error if a segment from first to newest is missing.
+func (r *replay) findObsoleteSegments(numbers []uint64, first, newest uint64) (obsolete []uint64, err error) {
 	for number := first; number <= newest; number++ {
 		if !slices.Contains(numbers, number) {
-			return nil, datafile.Corrupt(r.path(number), "missing")
+			return nil, datafile.NewCorruptError(r.path(number), "missing")
 		}
 	}
 	for _, number := range numbers {
@@ -146,53 +151,55 @@
 	return obsolete, nil
 }
 
-// readOlder reads a segment that was synced before a newer one was made, so
-// that nothing in it can be torn.
-func (r *replay) readOlder(number uint64, content []byte) error {
-	result, err := r.read(number, content)
+// readOlderSegment replays a segment before the newest one. It was synced before the
+// next segment was created, so an invalid record in it is damage, not a torn write.
+func (r *replay) readOlderSegment(number uint64, content []byte) error {
+	result, err := r.replaySegment(number, content)
 	if err != nil {
 		return err
 	}
-	if !allZero(content[result.end:]) {
-		return datafile.Corrupt(r.path(number), "record %d at offset %d does not check", result.bad, result.end)
+	if !allZero(content[result.endOffset:]) {
+		return datafile.NewCorruptError(r.path(number), "record %d at offset %d does not check", result.invalidSequence, result.endOffset)
 	}
 	return nil
 }
 
-// readNewest finds the end of what was synced. Invalid bytes behind it are a torn
-// write, unless a later record proves that they were durable.
-func (r *replay) readNewest(number uint64, content []byte) error {
-	result, err := r.read(number, content)
+// readNewestSegment replays the newest segment and finds the end of its last valid
+// batch. Invalid bytes after that end are a torn write, unless a later record
+// proves that they were durable.
+func (r *replay) readNewestSegment(number uint64, content []byte) error {
+	result, err := r.replaySegment(number, content)
 	if err != nil {
 		return err
 	}
-	rest := content[result.end:]
-	if !allZero(rest) {
-		if provesSynced(rest, result.bad) {
-			return datafile.Corrupt(r.path(number), "record %d, in the batch at offset %d, does not check, though it was synced", result.bad, result.end)
+	remainder := content[result.endOffset:]
+	if !allZero(remainder) {
+		if provesSynced(remainder, result.invalidSequence) {
+			return datafile.NewCorruptError(r.path(number), "record %d, in the batch at offset %d, does not check, though it was synced", result.invalidSequence, result.endOffset)
 		}
-		end := len(rest)
-		for rest[end-1] == 0 {
+		end := len(remainder)
+		for remainder[end-1] == 0 {
 			end--
 		}
-		r.tail = &tornTail{start: int64(result.end), end: int64(result.end + end)}
+		r.torn = &tornTail{start: int64(result.endOffset), end: int64(result.endOffset + end)}
 	}
-	r.end = int64(result.end)
+	r.endOffset = int64(result.endOffset)
 	return nil
 }
 
-// read replays the batches of one segment.
-func (r *replay) read(number uint64, content []byte) (scanResult, error) {
+// replaySegment replays the complete batches of one segment up to the first invalid
+// record.
+func (r *replay) replaySegment(number uint64, content []byte) (scanResult, error) {
 	r.segments = append(r.segments, segment{number: number, size: int64(len(content))})
-	opened := false
-	result, err := scanBatches(content, r.next, func(batch []logRecord) error {
+	headerSeen := false
+	result, err := scanBatches(content, r.nextSequence, func(batch []logRecord) error {
 		for i, record := range batch {
-			// The header is the first record, and no other.
-			if (record.Type == recordTypeSegment) == (opened || i > 0) {
-				return datafile.Corrupt(r.path(number), "record %d of type %d is out of place", record.Sequence, record.Type)
+			// The first record, and no other, must be a segment header.
+			if (record.Type == recordTypeSegment) == (headerSeen || i > 0) {
+				return datafile.NewCorruptError(r.path(number), "record %d of type %d is not allowed at this position", record.Sequence, record.Type)
 			}
-			opened = true
-			if err := r.apply(number, content, record); err != nil {
+			headerSeen = true
+			if err := r.applyRecord(number, content, record); err != nil {
 				return err
 			}
 		}
@@ -201,20 +208,20 @@
 	if err != nil {
 		return result, err
 	}
-	if !opened {
-		return result, datafile.Corrupt(r.path(number), "does not start with segment header %d", r.next)
+	if !headerSeen {
+		return result, datafile.NewCorruptError(r.path(number), "does not start with segment header %d", r.nextSequence)
 	}
-	r.next = result.next
+	r.nextSequence = result.nextSequence
 	return result, nil
 }
 
-// apply adds one record to the state.
-func (r *replay) apply(number uint64, content []byte, record logRecord) error {
+// applyRecord updates state and entries with one record.
+func (r *replay) applyRecord(number uint64, content []byte, record logRecord) error {
 	ok := true
 	r.closedCleanly = record.Type == recordTypeClosed
 	switch record.Type {
 	case recordTypeSegment:
-		return r.openSegment(number, content, record)
+		return r.applySegmentHeader(number, content, record)
 	case recordTypeHardState:
 		var state raft.HardState
 		if state, ok = decodeHardState(record.Payload); ok {
@@ -227,40 +234,42 @@
 		}
 	case recordTypeSnapshot:
 		var snapshot SnapshotRecord
-		if ok = decodeInto(record.Payload, &snapshot); ok {
+		if ok = decodeCBOR(record.Payload, &snapshot); ok {
 			r.state.applySnapshot(snapshot)
-			r.discardBefore(snapshot)
+			r.discardEntries(snapshot)
 		}
 	case recordTypeClosed:
 	}
 	if !ok {
-		return datafile.Corrupt(r.path(number), "record %d of type %d cannot be decoded", record.Sequence, record.Type)
+		return datafile.NewCorruptError(r.path(number), "record %d of type %d cannot be decoded", record.Sequence, record.Type)
 	}
 	return nil
 }
 
-// openSegment checks the header against the records before it.
-func (r *replay) openSegment(number uint64, content []byte, record logRecord) error {
+// applySegmentHeader checks the header against the file and the segments replayed so
+// far. The header of the first segment provides the replica id and the state.
+func (r *replay) applySegmentHeader(number uint64, content []byte, record logRecord) error {
 	var header segmentHeader
-	if !decodeInto(record.Payload, &header) {
-		return datafile.Corrupt(r.path(number), "segment header cannot be decoded")
+	if !decodeCBOR(record.Payload, &header) {
+		return datafile.NewCorruptError(r.path(number), "segment header cannot be decoded")
 	}
 	if header.Segment != number {
-		return datafile.Corrupt(r.path(number), "is segment %d by its header", header.Segment)
+		return datafile.NewCorruptError(r.path(number), "header has segment number %d", header.Segment)
 	}
 	if header.Size != int64(len(content)) {
-		return datafile.Corrupt(r.path(number), "is %d bytes long, expected %d", len(content), header.Size)
+		return datafile.NewCorruptError(r.path(number), "is %d bytes long, expected %d", len(content), header.Size)
 	}
-	if len(r.segments) > 1 && (header.State != r.state || header.ReplicaID != r.id) {
-		return datafile.Corrupt(r.path(number), "does not go on from segment %d", number-1)
+	if len(r.segments) > 1 && (header.State != r.state || header.ReplicaID != r.replicaID) {
+		return datafile.NewCorruptError(r.path(number), "header does not match the end of segment %d", number-1)
 	}
-	r.id, r.state = header.ReplicaID, header.State
+	r.replicaID, r.state = header.ReplicaID, header.State
 	return nil
 }
 
-// addEntry puts an entry in place of all from its index on.
+// addEntry removes all entries from the index of entry on, and appends entry unless
+// its index is before FirstIndex.
 func (r *replay) addEntry(entry raft.Entry) {
-	r.newest().last = max(r.newest().last, entry.Index)
+	r.newest().lastIndex = max(r.newest().lastIndex, entry.Index)
 	r.state.LastIndex = entry.Index
 	for n := len(r.entries); n > 0 && r.entries[n-1].Index >= entry.Index; n-- {
 		r.entries = r.entries[:n-1]
@@ -270,36 +279,38 @@
 	}
 }
 
-// discardBefore drops the entries that a snapshot replaces.
-func (r *replay) discardBefore(snapshot SnapshotRecord) {
+// discardEntries discards the entries before the FirstIndex of a snapshot record, or
+// all of them if it has DropLog.
+func (r *replay) discardEntries(snapshot SnapshotRecord) {
 	if snapshot.DropLog {
 		r.entries = nil
 		return
 	}
-	kept := slices.IndexFunc(r.entries, func(entry raft.Entry) bool { return entry.Index >= snapshot.FirstIndex })
-	if kept < 0 {
-		kept = len(r.entries)
+	firstRetained := slices.IndexFunc(r.entries, func(entry raft.Entry) bool { return entry.Index >= snapshot.FirstIndex })
+	if firstRetained < 0 {
+		firstRetained = len(r.entries)
 	}
-	r.entries = r.entries[kept:]
+	r.entries = r.entries[firstRetained:]
 }
 
-// repair makes the files be what was read, and what was read durable: a killed
-// process may have left bytes and names that only the machine's memory holds.
+// repair overwrites a torn tail with zeros, syncs the newest segment, and removes
+// obsolete and unfinished segments. The syncs are needed because a killed process
+// may have left written data and changed names that are only in the page cache.
 func (r *replay) repair(newest datafile.File) error {
-	if r.tail != nil {
+	if r.torn != nil {
 		r.config.Logger.Warn("torn log tail truncated", "file", r.path(r.newest().number),
-			"offset", r.tail.start, "bytes", r.tail.end-r.tail.start)
-		if err := writeZeros(newest, r.tail.start, r.tail.end); err != nil {
+			"offset", r.torn.start, "bytes", r.torn.end-r.torn.start)
+		if err := writeZeros(newest, r.torn.start, r.torn.end); err != nil {
 			return fmt.Errorf("truncate torn tail: %w", err)
 		}
 	}
 	if err := newest.Sync(); err != nil {
 		return fmt.Errorf("sync segment: %w", err)
 	}
-	remove := r.obsolete
-	if r.unfinished != 0 {
-		r.config.Logger.Warn("unfinished segment removed", "file", r.path(r.unfinished))
-		remove = append(remove, r.unfinished)
+	remove := r.obsoleteSegments
+	if r.unfinishedSegment != 0 {
+		r.config.Logger.Warn("unfinished segment removed", "file", r.path(r.unfinishedSegment))
+		remove = append(remove, r.unfinishedSegment)
 	}
 	for _, number := range remove {
 		if err := r.config.Files.Remove(r.path(number)); err != nil {
@@ -309,17 +320,18 @@
 	return r.config.Files.SyncDirectory(r.config.Directory)
 }
 
-// writeZeros overwrites a range; the length of the file stays.
+// writeZeros overwrites the range from start to end, which lies within the file.
 func writeZeros(file datafile.File, start, end int64) error {
 	zeros := make([]byte, min(end-start, 1<<20))
-	for at := start; at < end; {
-		n, err := file.WriteAt(zeros[:min(end-at, int64(len(zeros)))], at)
+	for offset := start; offset < end; {
+		n, err := file.WriteAt(zeros[:min(end-offset, int64(len(zeros)))], offset)
 		if err != nil {
 			return err
 		}
-		at += int64(n)
+		offset += int64(n)
 	}
 	return nil
 }
 
-func decodeInto(payload []byte, into any) bool { return cbor.Unmarshal(payload, into) == nil }
+// decodeCBOR decodes the payload into target and reports whether that succeeded.
+func decodeCBOR(payload []byte, target any) bool { return cbor.Unmarshal(payload, target) == nil }
--- a/internal/storage/wal/segment.go
+++ b/internal/storage/wal/segment.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	// segmentPrefix and segmentSuffix enclose the number, in hex digits.
+	// segmentPrefix and segmentSuffix enclose the segment number in a file name. It
+	// has segmentDigits lower-case hex digits.
 	segmentPrefix = "log-"
 	segmentSuffix = ".wal"
 	segmentDigits = 16
-	// FirstSegment is the number of a new log's segment.
+	// FirstSegment is the number of the first segment of a new log.
 	FirstSegment = 1
 )
 
@@ -25,9 +26,9 @@
 	number uint64
 	// size is the length of the file, in bytes.
 	size int64
-	// last is the highest index of an entry in it, whether or not it was
-	// replaced since.
-	last uint64
+	// lastIndex is the highest index of an entry in the segment, including entries
+	// that were replaced later; 0 if there are none.
+	lastIndex uint64
 }
 
 // SegmentName returns the file name of a segment.
@@ -35,7 +36,8 @@
 	return fmt.Sprintf("%s%0*x%s", segmentPrefix, segmentDigits, number, segmentSuffix)
 }
 
-// segmentNumber returns the number in a file's name; ok is false for other files.
+// segmentNumber returns the segment number in a file name; ok is false if the name
+// is not that of a segment.
 func segmentNumber(name string) (number uint64, ok bool) {
 	digits, found := strings.CutPrefix(name, segmentPrefix)
 	if !found {
@@ -48,14 +50,14 @@
 	return number, err == nil && SegmentName(number) == name
 }
 
-// SegmentNumbers lists the segments of a directory, oldest first.
+// SegmentNumbers returns the numbers of the segments in a directory, oldest first.
 func SegmentNumbers(files datafile.FileSystem, directory string) ([]uint64, error) {
 	names, err := files.Names(directory)
 	if err != nil {
 		return nil, fmt.Errorf("list data folder: %w", err)
 	}
 	var numbers []uint64
-	for _, name := range names { // in the order of names, and so of numbers
+	for _, name := range names { // names and numbers have the same order
 		if number, ok := segmentNumber(name); ok {
 			numbers = append(numbers, number)
 		}
@@ -63,7 +65,7 @@
 	return numbers, nil
 }
 
-// readSegment reads a whole segment.
+// readSegment returns the complete content of a segment.
 func readSegment(files datafile.FileSystem, directory string, number uint64) (content []byte, err error) {
 	path := filepath.Join(directory, SegmentName(number))
 	file, err := files.Open(path)
@@ -82,57 +84,59 @@
 	return content, nil
 }
 
-// scanResult says how far a segment is valid.
+// scanResult describes the valid part of a segment.
 type scanResult struct {
-	// end is the offset behind the last complete batch, next the sequence that
-	// has to follow there.
-	end  int
-	next uint64
-	// bad is the sequence of the first invalid record.
-	bad uint64
+	// endOffset is the end of the last complete batch; nextSequence is the sequence
+	// of the record that must follow there.
+	endOffset    int
+	nextSequence uint64
+	// invalidSequence is the sequence of the first invalid record.
+	invalidSequence uint64
 }
 
-// scanBatches visits the complete batches of a segment up to the first invalid
-// record. The first record must have the sequence, unless that is 0.
+// scanBatches calls visit for each complete batch of a segment up to the first
+// invalid record. The first record must have the given sequence; 0 accepts any. The
+// batch is valid only during the call.
 func scanBatches(content []byte, sequence uint64, visit func(batch []logRecord) error) (scanResult, error) {
 	if sequence == 0 && len(content) >= recordHeaderSize {
 		sequence = binary.BigEndian.Uint64(content[8:])
 	}
-	result := scanResult{next: sequence, bad: sequence}
+	result := scanResult{nextSequence: sequence, invalidSequence: sequence}
 	var batch []logRecord
-	for at := 0; ; {
-		record, size, ok := nextRecord(content[at:], result.bad)
+	for offset := 0; ; {
+		record, size, ok := nextRecord(content[offset:], result.invalidSequence)
 		if !ok {
 			return result, nil
 		}
-		at += size
-		result.bad++
+		offset += size
+		result.invalidSequence++
 		batch = append(batch, record)
-		if !record.End {
+		if !record.EndOfBatch {
 			continue
 		}
 		if err := visit(batch); err != nil {
 			return result, err
 		}
-		result.end, result.next = at, result.bad
+		result.endOffset, result.nextSequence = offset, result.invalidSequence
 		batch = batch[:0]
 	}
 }
 
-// oldestNeededSegment returns the oldest segment that a segment says must be
-// there; ok is false if it does not open with a complete header.
+// oldestNeededSegment returns the number of the oldest segment that is still needed,
+// according to the header and the last snapshot record in content; ok is false if
+// there is no complete header.
 func oldestNeededSegment(content []byte) (number uint64, ok bool) {
 	_, _ = scanBatches(content, 0, func(batch []logRecord) error {
 		for _, record := range batch {
 			switch record.Type {
 			case recordTypeSegment:
 				var header segmentHeader
-				if decodeInto(record.Payload, &header) {
+				if decodeCBOR(record.Payload, &header) {
 					number, ok = header.State.FirstSegment, true
 				}
 			case recordTypeSnapshot:
 				var snapshot SnapshotRecord
-				if decodeInto(record.Payload, &snapshot) {
+				if decodeCBOR(record.Payload, &snapshot) {
 					number = snapshot.FirstSegment
 				}
 			default:
@@ -143,7 +147,7 @@
 	return number, ok
 }
 
-// allZero reports whether nothing was written.
+// allZero reports whether content has only zeros, as a range that was never written.
 func allZero(content []byte) bool {
 	for _, b := range content {
 		if b != 0 {
--- a/internal/storage/wal_bench_test.go
+++ b/internal/storage/wal_bench_test.go
@@ -15,10 +15,11 @@
 	"github.com/decklever/decklever/internal/storage/wal"
 )
 
-// simulatedSync is what each sync takes in BenchmarkLog.
+// simulatedSync is the duration of each sync in BenchmarkLog.
 const simulatedSync = 4 * time.Millisecond
 
-// slowFiles are real files whose syncs take simulatedSync.
+// slowFiles is the file system of the operating system with syncs that only wait
+// for simulatedSync.
 type slowFiles struct{ datafile.OS }
 
 type slowFile struct{ datafile.File }
@@ -37,9 +38,9 @@
 
 func (slowFile) Sync() error { time.Sleep(simulatedSync); return nil }
 
-// BenchmarkLog compares the write-ahead log with one transaction of bbolt for
-// each batch, as earlier versions had it. bbolt syncs twice in a transaction:
-// its pages, then its meta page.
+// BenchmarkLog compares the write-ahead log with the log of earlier versions, which
+// used one bbolt transaction for each batch. bbolt syncs twice in a transaction:
+// first its pages, then its meta page.
 func BenchmarkLog(b *testing.B) {
 	for _, batch := range []uint64{1, 16, 256} {
 		b.Run(fmt.Sprintf("write-ahead/batch-%d", batch), func(b *testing.B) {
@@ -49,8 +50,8 @@
 			log, _, err := wal.Open(config)
 			requireNoError(b, err)
 			defer func() { _ = log.Close() }()
-			benchmarkBatches(b, batch, func(made []raft.Entry) error {
-				return log.Append(wal.Batch{Entries: made}, true)
+			benchmarkBatches(b, batch, func(newEntries []raft.Entry) error {
+				return log.Append(wal.Batch{Entries: newEntries}, true)
 			})
 		})
 		b.Run(fmt.Sprintf("bbolt/batch-%d", batch), func(b *testing.B) {
@@ -58,8 +59,8 @@
 				&bbolt.Options{NoSync: true, FreelistType: bbolt.FreelistMapType, InitialMmapSize: 64 << 20})
 			requireNoError(b, err)
 			defer func() { _ = db.Close() }()
-			benchmarkBatches(b, batch, func(made []raft.Entry) error {
-				err := db.Update(func(tx *bbolt.Tx) error { return putEarlierFormat(tx, made) })
+			benchmarkBatches(b, batch, func(newEntries []raft.Entry) error {
+				err := db.Update(func(tx *bbolt.Tx) error { return putEarlierFormat(tx, newEntries) })
 				time.Sleep(2 * simulatedSync)
 				return err
 			})
@@ -67,17 +68,17 @@
 	}
 }
 
-// putEarlierFormat is what earlier versions did in the transaction of a batch.
-func putEarlierFormat(tx *bbolt.Tx, made []raft.Entry) error {
+// putEarlierFormat stores a batch as earlier versions did in its transaction.
+func putEarlierFormat(tx *bbolt.Tx, newEntries []raft.Entry) error {
 	bucket, err := tx.CreateBucketIfNotExists([]byte("log"))
 	if err != nil {
 		return err
 	}
 	bucket.FillPercent = 0.95
-	for i := range made {
-		key := binary.BigEndian.AppendUint64(nil, made[i].Index)
-		value := binary.BigEndian.AppendUint64(bytes.Clone(key), made[i].Term)
-		value = append(append(value, byte(made[i].Kind)), made[i].Data...)
+	for i := range newEntries {
+		key := binary.BigEndian.AppendUint64(nil, newEntries[i].Index)
+		value := binary.BigEndian.AppendUint64(bytes.Clone(key), newEntries[i].Term)
+		value = append(append(value, byte(newEntries[i].Kind)), newEntries[i].Data...)
 		if err := bucket.Put(key, addChecksum(key, value)); err != nil {
 			return err
 		}
@@ -87,25 +88,27 @@
 		return err
 	}
 	key := []byte("state")
-	stored, err := encodeValue(key, wal.State{LastIndex: made[len(made)-1].Index})
+	stored, err := encodeValue(key, wal.State{LastIndex: newEntries[len(newEntries)-1].Index})
 	if err != nil {
 		return err
 	}
 	return meta.Put(key, stored)
 }
 
+// benchmarkBatches calls save with batches of entries with 400 bytes of data each, and
+// reports the saved entries per second.
 func benchmarkBatches(b *testing.B, batch uint64, save func([]raft.Entry) error) {
 	b.Helper()
 	data := make([]byte, 400)
 	next := uint64(1)
 	b.ReportAllocs()
 	for b.Loop() {
-		made := make([]raft.Entry, batch)
-		for i := range made {
-			made[i] = raft.Entry{Index: next, Term: 1, Data: data}
+		newEntries := make([]raft.Entry, batch)
+		for i := range newEntries {
+			newEntries[i] = raft.Entry{Index: next, Term: 1, Data: data}
 			next++
 		}
-		requireNoError(b, save(made))
+		requireNoError(b, save(newEntries))
 	}
 	b.ReportMetric(float64(next-1)/b.Elapsed().Seconds(), "entries/s")
 }
