--- a/internal/agent/errors.go
+++ b/internal/agent/errors.go
@@ -32,9 +32,9 @@
 }
 
 func rejectMethod(writer http.ResponseWriter, path string) {
-	httpjson.RefuseMethod(writer, http.MethodPost, path+" has POST only")
+	httpjson.WriteMethodNotAllowed(writer, http.MethodPost, path+" has POST only")
 }
 
 func serveNotFound(writer http.ResponseWriter, request *http.Request) {
-	httpjson.WriteError(writer, httpjson.NothingAt(request.URL.Path))
+	httpjson.WriteError(writer, httpjson.PathNotFound(request.URL.Path))
 }
--- a/internal/front/attempts.go
+++ b/internal/front/attempts.go
@@ -15,39 +15,42 @@
 )
 
 const (
-	// initialBackoff and maxBackoff bound the backoff between attempts; half of it is
-	// jitter.
+	// initialBackoff and maxBackoff are the smallest and the largest backoff between
+	// attempts. Up to half of a backoff is random jitter.
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 200 * time.Millisecond
-	// maxBackoffDoublings keeps the doubled backoff from overflowing.
+	// maxBackoffDoublings limits the doublings of the backoff, so that it does not overflow.
 	maxBackoffDoublings = 8
-	// staleDeadline bounds a call while the link to the leader is not fresh: this front may
-	// be cut off by a partition, and the caller should then try another one soon.
+	// staleDeadline is how long a call is retried while the link to the leader is not
+	// fresh: a network partition may separate this front from the leader, and the caller
+	// should then soon try another front.
 	staleDeadline = time.Second
-	// maxImmediateRedirects is how many hints of one call are followed without a backoff:
-	// schedulers that name each other must not be called in a loop.
+	// maxImmediateRedirects is how many leader hints one call follows without a backoff, so
+	// that schedulers that name each other as leader are not called in a busy loop.
 	maxImmediateRedirects = 2
-	// retryAfterGivingUp is the Retry-After of a call that was given up.
+	// retryAfterGivingUp is the Retry-After of the answer when all attempts failed.
 	retryAfterGivingUp = 500 * time.Millisecond
 )
 
-// relayAttempts is what came of the attempts of one call.
+// relayAttempts is the state of the attempts of one call. It is not safe for concurrent
+// use.
 type relayAttempts struct {
 	front    *Front
 	method   protocol.Method
 	mutating bool
 	started  time.Time
-	// maybeApplied is true once an attempt may have had its effect.
+	// maybeApplied is true once an attempt may have taken effect.
 	maybeApplied bool
-	// lastFailure is the newest failure; empty while no leader was known.
+	// lastFailure is the message of the last failed attempt; empty before the first.
 	lastFailure string
-	// backoffs and redirects count how further attempts came about.
+	// backoffs counts the retries after a backoff; redirects counts those that followed a
+	// new leader address at once.
 	backoffs  int
 	redirects int
 }
 
-// recordFailure records a failed attempt. It returns the final answer if a further attempt
-// cannot help.
+// recordFailure records a failed attempt. It returns the final error of the call if a
+// further attempt cannot succeed, and nil if the call may be retried.
 func (a *relayAttempts) recordFailure(ctx context.Context, address string, err error) (final *api.Error) {
 	var failure *rpc.Error
 	if !errors.As(err, &failure) {
@@ -66,7 +69,8 @@
 		a.maybeApplied = true
 	case rpc.CodeTransport:
 		a.maybeApplied = a.maybeApplied || !failure.Unsent
-		// An attempt that this side cut short says nothing about the leader.
+		// If the context of the call has ended, this side cut the attempt short, which
+		// says nothing about the leader.
 		if ctx.Err() == nil {
 			a.front.link.ReportFailure(address)
 		}
@@ -76,23 +80,24 @@
 	return nil
 }
 
-// handleRejection returns the final answer for a call that the leader rejected. That the
-// leader does not accept a call now does not mean that it did not accept an earlier
-// attempt.
+// handleRejection returns the final error of a call that the leader rejected. If the leader
+// might accept the call later, the rejection does not rule out that it accepted an earlier
+// attempt; the outcome is then unknown if an earlier attempt may have taken effect.
 func (a *relayAttempts) handleRejection(failure *rpc.Error) *api.Error {
 	if failure.API == nil {
 		return httpjson.Internal(failure.Error())
 	}
-	rejectedForNow := retryable(failure.API.Status) || failure.API.Code == api.CodeImpossible
-	if a.mutating && a.maybeApplied && rejectedForNow {
+	mayBeAcceptedLater := retryable(failure.API.Status) || failure.API.Code == api.CodeImpossible
+	if a.mutating && a.maybeApplied && mayBeAcceptedLater {
 		return a.giveUp()
 	}
 	return failure.API
 }
 
-// waitForRetry waits before the next attempt, and reports whether there is time for one. A
-// hint to another address is followed at once.
-func (a *relayAttempts) waitForRetry(ctx context.Context, called string) bool {
+// waitForRetry waits before the next attempt, and reports whether there is time for one. If
+// the known leader is not at calledAddress, the first maxImmediateRedirects retries follow
+// without a wait.
+func (a *relayAttempts) waitForRetry(ctx context.Context, calledAddress string) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -100,7 +105,7 @@
 		return false
 	}
 	next, known := a.front.link.Leader()
-	if known && next != called && a.redirects < maxImmediateRedirects {
+	if known && next != calledAddress && a.redirects < maxImmediateRedirects {
 		a.redirects++
 		return true
 	}
@@ -109,7 +114,7 @@
 	return sleep(ctx, backoff/2+rand.N(backoff/2))
 }
 
-// giveUp is the answer for a call that had no answer in time.
+// giveUp returns the final error of a call that got no conclusive answer in time.
 func (a *relayAttempts) giveUp() *api.Error {
 	failure := &api.Error{
 		Status:           http.StatusServiceUnavailable,
@@ -119,7 +124,7 @@
 	}
 	if a.mutating && a.maybeApplied {
 		failure.Code = api.CodeOutcomeUnknown
-		failure.Message = "no scheduler answered in time; it may have been done, send the same again"
+		failure.Message = "no scheduler answered in time; the request may have taken effect, retry it unchanged"
 	}
 	if a.lastFailure != "" {
 		failure.Message += fmt.Sprintf(" (%s)", a.lastFailure)
--- a/internal/front/booking_calls.go
+++ b/internal/front/booking_calls.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// defaultBookingHours is how far ahead bookings are listed.
+	// defaultBookingHours is how far ahead bookings are listed by default, in hours.
 	defaultBookingHours = 24
-	// maxReleaseBytes bounds the body of a release.
+	// maxReleaseBytes limits the body of a release.
 	maxReleaseBytes = 16 << 10
 )
 
 // bookings serves GET /v1/bookings.
 func (f *Front) bookings(_ http.ResponseWriter, request *http.Request) (int, any, *api.Error) {
-	horizon, refusal := horizonOf(request.URL.Query())
+	horizon, refusal := parseHorizon(request.URL.Query())
 	if refusal != nil {
 		return 0, nil, refusal
 	}
@@ -30,9 +30,9 @@
 	return http.StatusOK, list, refusal
 }
 
-// Bookings lists the windows that overlap the time from now to the horizon.
+// Bookings lists the booking windows that overlap the time from now until horizon from now.
 func (f *Front) Bookings(ctx context.Context, horizon time.Duration) (api.BookingList, *api.Error) {
-	answer, refusal := read[protocol.BookingsAnswer](ctx, f, protocol.MethodBookings, protocol.BookingsRequest{HorizonMillis: horizon.Milliseconds()})
+	answer, refusal := relayRead[protocol.BookingsAnswer](ctx, f, protocol.MethodBookings, protocol.BookingsRequest{HorizonMillis: horizon.Milliseconds()})
 	answer.List.Bookings = nonNilSlice(answer.List.Bookings)
 	return answer.List, refusal
 }
@@ -47,17 +47,17 @@
 	return http.StatusOK, answer, refusal
 }
 
-// ReleaseBooking releases the reserved slots of a window.
+// ReleaseBooking releases the reserved slots of a booking window.
 func (f *Front) ReleaseBooking(ctx context.Context, release api.ReleaseRequest) (api.ReleaseAnswer, *api.Error) {
 	if fields := api.ValidateRelease(&release); len(fields) > 0 {
 		return api.ReleaseAnswer{}, httpjson.Invalid("release", fields)
 	}
-	_, refusal := change[protocol.Empty](ctx, f, protocol.MethodRelease, protocol.ReleaseRequest{Release: release})
+	_, refusal := relayMutation[protocol.Empty](ctx, f, protocol.MethodRelease, protocol.ReleaseRequest{Release: release})
 	return api.ReleaseAnswer{Released: true}, refusal
 }
 
-// horizonOf parses the parameter "hours".
-func horizonOf(values url.Values) (time.Duration, *api.Error) {
+// parseHorizon parses the parameter "hours". Default: defaultBookingHours.
+func parseHorizon(values url.Values) (time.Duration, *api.Error) {
 	text := values.Get("hours")
 	if text == "" {
 		return defaultBookingHours * time.Hour, nil
--- a/internal/front/booking_calls_test.go
+++ b/internal/front/booking_calls_test.go
@@ -12,48 +12,48 @@
 )
 
 func TestBookings_HorizonIsRelayed(t *testing.T) {
-	leader := newLeader(t)
-	var asked []int64
+	leader := newFakeLeader(t)
+	var horizons []int64
 	handleMethod(leader, protocol.MethodBookings, func(_ context.Context, request protocol.BookingsRequest, _ int) (protocol.BookingsAnswer, error) {
-		asked = append(asked, request.HorizonMillis)
+		horizons = append(horizons, request.HorizonMillis)
 		return protocol.BookingsAnswer{}, nil
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	for _, path := range []string{"/v1/bookings", "/v1/bookings?hours=1", "/v1/bookings?hours=168"} {
 		if answer := doRequest(t, front, "GET", path, ""); answer.Body.String() != "{\"bookings\":[]}\n" {
-			t.Errorf("%s: %s", path, answer.Body)
+			t.Errorf("%s: got the body %s, want an empty list", path, answer.Body)
 		}
 	}
 	for _, hours := range []string{"0", "169", "-1", "1.5", "x"} {
 		requireError(t, doRequest(t, front, "GET", "/v1/bookings?hours="+hours, ""), 400, api.CodeMalformed)
 	}
 	hour := time.Hour.Milliseconds()
-	if got, want := fmt.Sprint(asked), fmt.Sprint([]int64{24 * hour, hour, 168 * hour}); got != want {
-		t.Fatalf("relayed %s, want %s", got, want)
+	if got, want := fmt.Sprint(horizons), fmt.Sprint([]int64{24 * hour, hour, 168 * hour}); got != want {
+		t.Fatalf("relayed horizons: got %s ms, want %s ms", got, want)
 	}
 }
 
 func TestReleaseBooking_IsRelayed(t *testing.T) {
-	leader := newLeader(t)
+	leader := newFakeLeader(t)
 	var got api.ReleaseRequest
 	handleMethod(leader, protocol.MethodRelease, func(_ context.Context, request protocol.ReleaseRequest, _ int) (protocol.Empty, error) {
 		got = request.Release
 		return protocol.Empty{}, nil
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
-	answer := requireOK[api.ReleaseAnswer](t, doRequest(t, front, "POST", "/v1/bookings/release", goodRelease), 200)
+	answer := requireOK[api.ReleaseAnswer](t, doRequest(t, front, "POST", "/v1/bookings/release", validRelease), 200)
 	start := time.Date(2026, 1, 31, 14, 0, 0, 0, time.UTC)
 	if !answer.Released || got.Queue != "q" || got.Booking != "opening" || !got.Start.Equal(start) {
-		t.Fatalf("answer %+v to %+v", answer, got)
+		t.Fatalf("got the answer %+v to the relayed request %+v, want a release of booking \"opening\"", answer, got)
 	}
-	wrong := requireError(t, doRequest(t, front, "POST", "/v1/bookings/release", `{"queue":"Q","booking":""}`), 422, api.CodeInvalid)
-	if len(wrong.Fields) != 3 {
-		t.Fatalf("fields %+v", wrong.Fields)
+	refusal := requireError(t, doRequest(t, front, "POST", "/v1/bookings/release", `{"queue":"Q","booking":""}`), 422, api.CodeInvalid)
+	if len(refusal.Fields) != 3 {
+		t.Fatalf("invalid fields: got %+v, want 3", refusal.Fields)
 	}
 }
 
 func TestCancelMany_IsCheckedAndRelayed(t *testing.T) {
-	leader := newLeader(t)
+	leader := newFakeLeader(t)
 	handleMethod(leader, protocol.MethodCancelMany, func(_ context.Context, request protocol.CancelManyRequest, _ int) (protocol.CancelManyAnswer, error) {
 		return protocol.CancelManyAnswer{Answer: api.CancelAnswer{Cancelled: len(request.Cancel.Jobs) + 100*len(request.Cancel.Queue)}}, nil
 	})
@@ -62,22 +62,22 @@
 	limit := `{"jobs":[` + longest + strings.Repeat(","+longest, api.MaxCancelledJobs-1) + `]}`
 	for body, want := range map[string]int{`{"jobs":["a","b"]}`: 2, `{"queue":"q"}`: 100, limit: api.MaxCancelledJobs} {
 		if got := requireOK[api.CancelAnswer](t, doRequest(t, front, "POST", "/v1/cancellations", body), 200); got.Cancelled != want {
-			t.Errorf("%.40s: %+v", body, got)
+			t.Errorf("%.40s: got %+v, want the number that the leader answered", body, got)
 		}
 	}
-	calls := leader.count()
+	calls := leader.callCount()
 	tooMany := strings.Replace(limit, "[", `["a",`, 1)
 	cases := map[string]string{
 		`{}`: "jobs", `{"jobs":[]}`: "jobs", `{"jobs":["a"],"queue":"q"}`: "queue", `{"queue":"Q"}`: "queue",
 		`{"jobs":["a","b/c"]}`: "jobs[1]", tooMany: "jobs",
 	}
 	for body, field := range cases {
-		wrong := requireError(t, doRequest(t, front, "POST", "/v1/cancellations", body), 422, api.CodeInvalid)
-		if len(wrong.Fields) != 1 || wrong.Fields[0].Field != field {
-			t.Errorf("%.40s: fields %+v", body, wrong.Fields)
+		refusal := requireError(t, doRequest(t, front, "POST", "/v1/cancellations", body), 422, api.CodeInvalid)
+		if len(refusal.Fields) != 1 || refusal.Fields[0].Field != field {
+			t.Errorf("%.40s: got the invalid fields %+v, want one other field", body, refusal.Fields)
 		}
 	}
-	if leader.count() != calls {
-		t.Fatalf("%d invalid cancellations were relayed", leader.count()-calls)
+	if leader.callCount() != calls {
+		t.Fatalf("relayed %d invalid cancellations, want 0", leader.callCount()-calls)
 	}
 }
--- a/internal/front/cancel_calls.go
+++ b/internal/front/cancel_calls.go
@@ -9,8 +9,8 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// maxCancelBytes bounds the body of a cancellation. As many ids as allowed, of the greatest
-// length, fit.
+// maxCancelBytes limits the body of a cancellation. It is large enough for
+// api.MaxCancelledJobs ids of the maximum length.
 const maxCancelBytes = 2 << 20
 
 // cancelJobs serves POST /v1/cancellations.
@@ -23,11 +23,11 @@
 	return http.StatusOK, answer, refusal
 }
 
-// CancelMany cancels jobs by id or queue. It is idempotent.
+// CancelMany cancels jobs, either by id or all jobs of a queue. It is idempotent.
 func (f *Front) CancelMany(ctx context.Context, cancel api.CancelRequest) (api.CancelAnswer, *api.Error) {
 	if fields := api.ValidateCancel(&cancel); len(fields) > 0 {
 		return api.CancelAnswer{}, httpjson.Invalid("cancellation", fields)
 	}
-	answer, refusal := change[protocol.CancelManyAnswer](ctx, f, protocol.MethodCancelMany, protocol.CancelManyRequest{Cancel: cancel})
+	answer, refusal := relayMutation[protocol.CancelManyAnswer](ctx, f, protocol.MethodCancelMany, protocol.CancelManyRequest{Cancel: cancel})
 	return answer.Answer, refusal
 }
--- a/internal/front/config_calls.go
+++ b/internal/front/config_calls.go
@@ -12,17 +12,17 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// maxConfigBytes bounds the body of a configuration.
+// maxConfigBytes limits the body of a configuration.
 const maxConfigBytes = 4 << 20
 
-// Headers of PUT /v1/config.
+// Required headers of PUT /v1/config.
 const (
-	baseHeader  = "If-Match"
-	orderHeader = "Idempotency-Key"
+	baseVersionHeader = "If-Match"
+	orderIDHeader     = "Idempotency-Key"
 )
 
-// orderPattern is the form of an order id: printable, without spaces.
-var orderPattern = regexp.MustCompile(`^[!-~]{1,128}$`)
+// orderIDPattern matches a valid order id: printable ASCII characters without spaces.
+var orderIDPattern = regexp.MustCompile(`^[!-~]{1,128}$`)
 
 // getConfig serves GET /v1/config.
 func (f *Front) getConfig(writer http.ResponseWriter, request *http.Request) (int, any, *api.Error) {
@@ -30,27 +30,27 @@
 	if refusal != nil {
 		return 0, nil, refusal
 	}
-	setVersion(writer, status.Version)
+	setETag(writer, status.Version)
 	return http.StatusOK, status, nil
 }
 
-// Config returns the configuration in force, as it was put.
+// Config returns the configuration in force, as it was submitted.
 func (f *Front) Config(ctx context.Context) (api.ConfigStatus, *api.Error) {
-	answer, refusal := read[protocol.ConfigAnswer](ctx, f, protocol.MethodGetConfig, protocol.Empty{})
+	answer, refusal := relayRead[protocol.ConfigAnswer](ctx, f, protocol.MethodGetConfig, protocol.Empty{})
 	answer.Status.Config.Queues = nonNilSlice(answer.Status.Config.Queues)
 	return answer.Status, refusal
 }
 
-// ConfigAnnotation returns one annotation of the configuration, and the version. The
-// leader sends no other content, which may be large.
+// ConfigAnnotation returns one annotation of the configuration in force, and its version.
+// The leader leaves out the rest of the configuration, which may be large.
 func (f *Front) ConfigAnnotation(ctx context.Context, name string) (version uint64, value string, refusal *api.Error) {
-	answer, refusal := read[protocol.ConfigAnswer](ctx, f, protocol.MethodGetConfig, protocol.ConfigRequest{Annotation: name})
+	answer, refusal := relayRead[protocol.ConfigAnswer](ctx, f, protocol.MethodGetConfig, protocol.ConfigRequest{Annotation: name})
 	return answer.Status.Version, answer.Status.Config.Annotations[name], refusal
 }
 
 // putConfig serves PUT /v1/config.
 func (f *Front) putConfig(writer http.ResponseWriter, request *http.Request) (int, any, *api.Error) {
-	base, orderID, refusal := orderOf(request.Header)
+	base, orderID, refusal := parsePutHeaders(request.Header)
 	if refusal != nil {
 		return 0, nil, refusal
 	}
@@ -62,15 +62,15 @@
 	if refusal != nil {
 		return 0, nil, refusal
 	}
-	setVersion(writer, status.Version)
+	setETag(writer, status.Version)
 	return http.StatusOK, status, nil
 }
 
-// PutConfig proposes a configuration in the place of the version base. The order id is the
+// PutConfig proposes a configuration that replaces the version base. orderID is the
 // idempotency key.
 func (f *Front) PutConfig(ctx context.Context, orderID string, base uint64, config api.Config) (api.ConfigStatus, *api.Error) {
 	request := protocol.PutConfigRequest{OrderID: orderID, Base: base, Config: config}
-	answer, refusal := change[protocol.PutConfigAnswer](ctx, f, protocol.MethodPutConfig, request)
+	answer, refusal := relayMutation[protocol.PutConfigAnswer](ctx, f, protocol.MethodPutConfig, request)
 	return api.ConfigStatus{Version: answer.Version, Config: config}, refusal
 }
 
@@ -89,55 +89,55 @@
 	if fields := api.ValidateConfig(&config); len(fields) > 0 {
 		return api.ValidateAnswer{}, httpjson.Invalid("configuration", fields)
 	}
-	_, refusal := read[protocol.Empty](ctx, f, protocol.MethodValidateConfig, protocol.ValidateConfigRequest{Config: config})
+	_, refusal := relayRead[protocol.Empty](ctx, f, protocol.MethodValidateConfig, protocol.ValidateConfigRequest{Config: config})
 	return api.ValidateAnswer{Valid: true}, refusal
 }
 
 // ConfigVersions lists the accepted versions of the configuration.
 func (f *Front) ConfigVersions(ctx context.Context) (api.ConfigVersions, *api.Error) {
-	answer, refusal := read[protocol.ConfigVersionsAnswer](ctx, f, protocol.MethodConfigVersions, protocol.Empty{})
+	answer, refusal := relayRead[protocol.ConfigVersionsAnswer](ctx, f, protocol.MethodConfigVersions, protocol.Empty{})
 	answer.Versions.Versions = nonNilSlice(answer.Versions.Versions)
 	return answer.Versions, refusal
 }
 
-// Rollout lists which process has which version of the configuration.
+// Rollout lists the version of the configuration that each process has.
 func (f *Front) Rollout(ctx context.Context) (api.Rollout, *api.Error) {
-	answer, refusal := read[protocol.RolloutAnswer](ctx, f, protocol.MethodRollout, protocol.Empty{})
+	answer, refusal := relayRead[protocol.RolloutAnswer](ctx, f, protocol.MethodRollout, protocol.Empty{})
 	answer.Rollout.Processes = nonNilSlice(answer.Rollout.Processes)
 	return answer.Rollout, refusal
 }
 
-// readConfig decodes a configuration. The leader validates it, and stores a rejection
-// under the order id like every other outcome.
+// readConfig decodes a configuration without validating it. The leader validates a proposed
+// configuration, and stores a rejection under the order id like any other outcome.
 func readConfig(writer http.ResponseWriter, request *http.Request) (api.Config, *api.Error) {
 	return readBody[api.Config](writer, request, maxConfigBytes)
 }
 
-// orderOf parses the base version and the order id of a PUT.
-func orderOf(header http.Header) (base uint64, orderID string, refusal *api.Error) {
-	baseText, orderID := header.Get(baseHeader), header.Get(orderHeader)
+// parsePutHeaders parses the headers of PUT /v1/config: the base version and the order id.
+func parsePutHeaders(header http.Header) (base uint64, orderID string, refusal *api.Error) {
+	baseText, orderID := header.Get(baseVersionHeader), header.Get(orderIDHeader)
 	var missing []api.FieldError
 	if baseText == "" {
-		missing = append(missing, api.FieldError{Field: baseHeader, Expected: "the version that this replaces, such as \"12\""})
+		missing = append(missing, api.FieldError{Field: baseVersionHeader, Expected: "the version that this replaces, such as \"12\""})
 	}
 	if orderID == "" {
-		missing = append(missing, api.FieldError{Field: orderHeader, Expected: "an id of this order, the same when it is sent again"})
+		missing = append(missing, api.FieldError{Field: orderIDHeader, Expected: "an id of this order, the same when it is sent again"})
 	}
 	if len(missing) > 0 {
-		return 0, "", missingBase(missing)
+		return 0, "", missingHeaders(missing)
 	}
-	base, err := strconv.ParseUint(unquote(baseText), 10, 64)
+	base, err := strconv.ParseUint(unquoteETag(baseText), 10, 64)
 	if err != nil {
-		return 0, "", malformedField(baseHeader, baseText, "a version number, plain or quoted")
+		return 0, "", malformedField(baseVersionHeader, baseText, "a version number, plain or quoted")
 	}
-	if !orderPattern.MatchString(orderID) {
-		return 0, "", malformedField(orderHeader, orderID, "1 to 128 printable characters without spaces")
+	if !orderIDPattern.MatchString(orderID) {
+		return 0, "", malformedField(orderIDHeader, orderID, "1 to 128 printable characters without spaces")
 	}
 	return base, orderID, nil
 }
 
-// missingBase is the error of a PUT that does not say what it replaces.
-func missingBase(missing []api.FieldError) *api.Error {
+// missingHeaders returns the error for PUT /v1/config without one of the required headers.
+func missingHeaders(missing []api.FieldError) *api.Error {
 	return &api.Error{
 		Status:  http.StatusPreconditionRequired,
 		Code:    api.CodeNoBase,
@@ -146,15 +146,15 @@
 	}
 }
 
-// unquote removes the quotes of an entity tag.
-func unquote(tag string) string {
+// unquoteETag removes the quotes of an entity tag, if it has any.
+func unquoteETag(tag string) string {
 	if len(tag) >= 2 && strings.HasPrefix(tag, `"`) && strings.HasSuffix(tag, `"`) {
 		return tag[1 : len(tag)-1]
 	}
 	return tag
 }
 
-// setVersion sets the version as the entity tag of the answer.
-func setVersion(writer http.ResponseWriter, version uint64) {
+// setETag sets the ETag header of the answer to the version.
+func setETag(writer http.ResponseWriter, version uint64) {
 	writer.Header().Set("ETag", strconv.Quote(strconv.FormatUint(version, 10)))
 }
--- a/internal/front/exchanges_test.go
+++ b/internal/front/exchanges_test.go
@@ -9,30 +9,30 @@
 	"github.com/decklever/decklever/internal/telemetry"
 )
 
-// sampleRequestID is the id that the requests of these tests carry.
+// sampleRequestID is the request id of all requests in TestExchanges_MatchGoldenFile.
 const sampleRequestID = "request-1"
 
-// TestExchanges_AnsweredAsBefore compares status, headers and body of every
-// route's answers, refusals included, with those of an earlier commit.
-func TestExchanges_AnsweredAsBefore(t *testing.T) {
-	leader := newLeader(t)
+// TestExchanges_MatchGoldenFile compares the status, headers and body of each
+// route's answers, including errors, with those recorded from an earlier commit.
+func TestExchanges_MatchGoldenFile(t *testing.T) {
+	leader := newFakeLeader(t)
 	serveSamples(leader)
-	front := newDescribedFront(t, &fakeLink{leader: leader.address}, telemetry.NewHealth())
-	without := newDescribedFront(t, &fakeLink{}, telemetry.NewHealth())
-	stale := newDescribedFront(t, &fakeLink{leader: leader.address, stale: true}, telemetry.NewHealth())
-	found := golden.Values{}
+	front := newFrontWithStatus(t, &fakeLink{leader: leader.address}, telemetry.NewHealth())
+	leaderless := newFrontWithStatus(t, &fakeLink{}, telemetry.NewHealth())
+	stale := newFrontWithStatus(t, &fakeLink{leader: leader.address, stale: true}, telemetry.NewHealth())
+	got := golden.Values{}
 	for _, request := range exchangeRequests(t) {
-		found[request.name()] = request.answerOf(t, front)
+		got[request.name()] = request.answer(t, front)
 	}
 	for _, path := range []string{"/v1/workers", "/readyz", "/healthz"} {
 		request := sampleRequest{method: "GET", path: path}
-		found[request.name()+" without a leader"] = request.answerOf(t, without)
-		found[request.name()+" while stale"] = request.answerOf(t, stale)
+		got[request.name()+" without a leader"] = request.answer(t, leaderless)
+		got[request.name()+" while stale"] = request.answer(t, stale)
 	}
-	golden.Compare(t, "testdata/exchanges.txt", found)
+	golden.Compare(t, "testdata/exchanges.txt", got)
 }
 
-// sampleRequest is one request of a caller or an operator.
+// sampleRequest is a request from a caller or an operator.
 type sampleRequest struct {
 	method, path, body string
 	headers            []string
@@ -46,32 +46,32 @@
 	return strings.TrimSpace(fmt.Sprintf("%s %s %q %s", r.method, r.path, r.headers, body))
 }
 
-// answerOf is the answer of a front in one line.
-func (r sampleRequest) answerOf(t *testing.T, front *Front) string {
+// answer sends the request to a front and returns the answer as one line.
+func (r sampleRequest) answer(t *testing.T, front *Front) string {
 	t.Helper()
 	headers := append([]string{requestIDHeader, sampleRequestID}, r.headers...)
 	return golden.Answer(doRequest(t, front, r.method, r.path, r.body, headers...))
 }
 
-// exchangeRequests covers each route, and each way in which it refuses.
+// exchangeRequests returns requests that cover each route and each kind of error it answers.
 func exchangeRequests(t *testing.T) []sampleRequest {
 	t.Helper()
-	order := []string{"If-Match", `"7"`, "Idempotency-Key", "o"}
+	putHeaders := []string{"If-Match", `"7"`, "Idempotency-Key", "o"}
 	requests := []sampleRequest{
 		{"PUT", "/v1/jobs/new", marshalSample(t, sampleJob()), nil},
 		{"PUT", "/v1/jobs/a", `{"queue":"q","stepz":[]}`, nil},
 		{"PUT", "/v1/jobs/a", `{"queue":"Q","steps":[]}`, nil},
 		{"PUT", "/v1/jobs/a", strings.Repeat(" ", 2<<20), nil},
-		{"PUT", "/v1/config", marshalSample(t, sampleConfig()), order},
-		{"PUT", "/v1/config", goodConfig, []string{"If-Match", "6", "Idempotency-Key", "o"}},
-		{"PUT", "/v1/config", goodConfig, nil},
-		{"PUT", "/v1/config", goodConfig, []string{"If-Match", "x", "Idempotency-Key", "o"}},
-		{"PUT", "/v1/config", goodConfig, []string{"If-Match", "7"}},
-		{"PUT", "/v1/config", strings.Repeat(" ", maxConfigBytes+1), order},
-		{"POST", "/v1/config/validate", goodConfig, nil},
+		{"PUT", "/v1/config", marshalSample(t, sampleConfig()), putHeaders},
+		{"PUT", "/v1/config", validConfig, []string{"If-Match", "6", "Idempotency-Key", "o"}},
+		{"PUT", "/v1/config", validConfig, nil},
+		{"PUT", "/v1/config", validConfig, []string{"If-Match", "x", "Idempotency-Key", "o"}},
+		{"PUT", "/v1/config", validConfig, []string{"If-Match", "7"}},
+		{"PUT", "/v1/config", strings.Repeat(" ", maxConfigBytes+1), putHeaders},
+		{"POST", "/v1/config/validate", validConfig, nil},
 		{"POST", "/v1/config/validate", `{"queues":[{"name":"Q"}]}`, nil},
-		{"POST", "/v1/bookings/release", goodRelease, nil},
-		{"POST", "/v1/bookings/release", strings.Replace(goodRelease, "opening", "missing", 1), nil},
+		{"POST", "/v1/bookings/release", validRelease, nil},
+		{"POST", "/v1/bookings/release", strings.Replace(validRelease, "opening", "missing", 1), nil},
 		{"POST", "/v1/bookings/release", `{"queue":"q","booking":"b","start":"soon"}`, nil},
 		{"POST", "/v1/bookings/release", `{"queue":"q"}`, nil},
 		{"POST", "/v1/bookings/release", strings.Repeat(" ", maxReleaseBytes+1), nil},
@@ -83,7 +83,7 @@
 		{"POST", "/v1/cancellations", strings.Repeat(" ", maxCancelBytes+1), nil},
 	}
 	for _, id := range []string{"same", "conflict", "impossible", "limit", "later", "broken", "-"} {
-		requests = append(requests, sampleRequest{"PUT", "/v1/jobs/" + id, goodJob, nil})
+		requests = append(requests, sampleRequest{"PUT", "/v1/jobs/" + id, validJob, nil})
 	}
 	for _, path := range []string{
 		"/v1/jobs/new", "/v1/jobs/new?wait=1m", "/v1/jobs/new?wait=1", "/v1/jobs/new?wait=2m", "/v1/jobs/missing", "/v1/jobs/-",
--- a/internal/front/fakes_test.go
+++ b/internal/front/fakes_test.go
@@ -21,18 +21,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const goodJob = `{"queue":"default","steps":[{"name":"a","tasks":[{"service":"s","resources":{"cpu_millis":1}}]}]}`
+const validJob = `{"queue":"default","steps":[{"name":"a","tasks":[{"service":"s","resources":{"cpu_millis":1}}]}]}`
 
-const goodConfig = `{"queues":[{"name":"default"}]}`
+const validConfig = `{"queues":[{"name":"default"}]}`
 
-// fakeLink is a Link that the test controls.
+// fakeLink is a LeaderLink that the test controls. Except for stale, mutex guards the fields.
 type fakeLink struct {
-	mutex  sync.Mutex
-	leader string
-	config *api.Config
-	stale  bool
-	failed []string
-	// cancelCall cancels the newest supervised call, as if another leader were known.
+	mutex            sync.Mutex
+	leader           string
+	config           *api.Config
+	stale            bool
+	reportedFailures []string
+	// cancelCall cancels the supervised call that started last, as if another leader had
+	// become known.
 	cancelCall context.CancelFunc
 }
 
@@ -51,7 +52,7 @@
 func (l *fakeLink) ReportFailure(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.failed = append(l.failed, address)
+	l.reportedFailures = append(l.reportedFailures, address)
 }
 
 func (l *fakeLink) Supervise(ctx context.Context, _ string) (context.Context, context.CancelFunc) {
@@ -62,8 +63,8 @@
 	return ctx, cancel
 }
 
-// moveTo makes another leader known.
-func (l *fakeLink) moveTo(address string) {
+// changeLeader makes another leader known, and cancels the supervised call that started last.
+func (l *fakeLink) changeLeader(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.leader = address
@@ -78,7 +79,7 @@
 
 func (l *fakeLink) Fresh() bool { return !l.stale }
 
-// fakeLeader is a scheduler with handlers of the test.
+// fakeLeader is a leader whose handlers the test supplies.
 type fakeLeader struct {
 	server  *rpc.Server
 	address string
@@ -86,8 +87,8 @@
 	calls   []protocol.Method
 }
 
-// newLeader starts a leader without handlers.
-func newLeader(t *testing.T) *fakeLeader {
+// newFakeLeader starts a fakeLeader without handlers.
+func newFakeLeader(t *testing.T) *fakeLeader {
 	t.Helper()
 	leader := &fakeLeader{server: rpc.NewServer(rpc.ServerConfig{})}
 	server := httptest.NewServer(leader.server)
@@ -96,8 +97,9 @@
 	return leader
 }
 
-// newLeaderOn is newLeader on a network of the test, for a bubble of testing/synctest.
-func newLeaderOn(t *testing.T, network *testnetwork.Network, address string) *fakeLeader {
+// newFakeLeaderOnNetwork is like newFakeLeader, but serves on an in-memory network, for use in a
+// testing/synctest bubble.
+func newFakeLeaderOnNetwork(t *testing.T, network *testnetwork.Network, address string) *fakeLeader {
 	t.Helper()
 	leader := &fakeLeader{server: rpc.NewServer(rpc.ServerConfig{}), address: address}
 	server := &http.Server{Handler: leader.server, ReadHeaderTimeout: time.Second}
@@ -107,7 +109,8 @@
 	return leader
 }
 
-// handleMethod serves a method; the handler gets the number of the call, from 1.
+// handleMethod serves a method. The handler gets the number of calls to the leader so far, this
+// one included.
 func handleMethod[Request, Answer any](leader *fakeLeader, method protocol.Method, handler func(context.Context, Request, int) (Answer, error)) {
 	rpc.Handle(leader.server, method, func(ctx context.Context, request Request) (Answer, error) {
 		leader.mutex.Lock()
@@ -118,33 +121,33 @@
 	})
 }
 
-func (l *fakeLeader) count() int {
+func (l *fakeLeader) callCount() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.calls)
 }
 
-// failMethod serves a method with one error.
+// failMethod makes every call of a method fail with the error.
 func failMethod[Request, Answer any](leader *fakeLeader, method protocol.Method, err error) {
 	handleMethod(leader, method, func(context.Context, Request, int) (Answer, error) {
-		var none Answer
-		return none, err
+		var zero Answer
+		return zero, err
 	})
 }
 
-// newFront returns a front whose health check panics.
+// newFront returns a front whose Status handler panics.
 func newFront(t *testing.T, link *fakeLink, settings Settings) *Front {
 	t.Helper()
-	return newFrontWith(t, rpc.ClientConfig{}, link, settings)
+	return newFrontWithClient(t, rpc.ClientConfig{}, link, settings)
 }
 
-// newFrontOn is newFront on a network of the test.
-func newFrontOn(t *testing.T, network *testnetwork.Network, link *fakeLink, settings Settings) *Front {
+// newFrontOnNetwork is like newFront, but makes its calls on an in-memory network.
+func newFrontOnNetwork(t *testing.T, network *testnetwork.Network, link *fakeLink, settings Settings) *Front {
 	t.Helper()
-	return newFrontWith(t, rpc.ClientConfig{Dialer: network.DialContext}, link, settings)
+	return newFrontWithClient(t, rpc.ClientConfig{Dialer: network.DialContext}, link, settings)
 }
 
-func newFrontWith(t *testing.T, config rpc.ClientConfig, link *fakeLink, settings Settings) *Front {
+func newFrontWithClient(t *testing.T, config rpc.ClientConfig, link *fakeLink, settings Settings) *Front {
 	t.Helper()
 	config.Timeout = MaxAttemptDuration + time.Second
 	client := rpc.NewClient(config)
@@ -159,7 +162,7 @@
 	return front
 }
 
-// doRequest sends a request and returns the answer; headers are name, value pairs.
+// doRequest sends a request and returns the answer. headers alternates names and values.
 func doRequest(t *testing.T, front http.Handler, method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	t.Helper()
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
@@ -171,31 +174,32 @@
 	return recorder
 }
 
-// requireError checks status, code, and the form that all errors have.
+// requireError checks the status, the code and the form that all error answers have, and
+// returns the error.
 func requireError(t *testing.T, answer *httptest.ResponseRecorder, status int, code api.ErrorCode) api.Error {
 	t.Helper()
-	var shape api.Error
-	if refusal := api.DecodeStrict(answer.Body, &shape); refusal != nil {
-		t.Fatalf("status %d without the form of an error: %v", answer.Code, refusal)
+	var got api.Error
+	if refusal := api.DecodeStrict(answer.Body, &got); refusal != nil {
+		t.Fatalf("answer with status %d is not in the form of an error: %v", answer.Code, refusal)
 	}
-	if answer.Code != status || shape.Status != status || shape.Code != code || shape.Message == "" {
-		t.Fatalf("status %d with %+v, want %d %s", answer.Code, shape, status, code)
+	if answer.Code != status || got.Status != status || got.Code != code || got.Message == "" {
+		t.Fatalf("got status %d with the error %+v, want status %d with code %s", answer.Code, got, status, code)
 	}
 	if answer.Header().Get("Content-Type") != "application/json" || answer.Header().Get(requestIDHeader) == "" {
-		t.Fatalf("headers %v", answer.Header())
+		t.Fatalf("got the headers %v, want Content-Type application/json and a request id", answer.Header())
 	}
-	if retryable(status) && (answer.Header().Get("Retry-After") == "" || shape.RetryAfterMillis <= 0) {
-		t.Fatalf("%d without Retry-After: %+v", status, shape)
+	if retryable(status) && (answer.Header().Get("Retry-After") == "" || got.RetryAfterMillis <= 0) {
+		t.Fatalf("answer with status %d has no Retry-After: %+v", status, got)
 	}
-	return shape
+	return got
 }
 
-// requireOK checks the status and decodes the body.
+// requireOK checks that the answer has the status, and decodes its body.
 func requireOK[T any](t *testing.T, answer *httptest.ResponseRecorder, status int) T {
 	t.Helper()
 	var body T
 	if err := json.Unmarshal(answer.Body.Bytes(), &body); err != nil || answer.Code != status {
-		t.Fatalf("status %d, want %d: %s", answer.Code, status, answer.Body)
+		t.Fatalf("got status %d, want %d with a valid body: %s", answer.Code, status, answer.Body)
 	}
 	return body
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -16,61 +16,64 @@
 
 // Defaults of Settings.
 const (
-	// DefaultDeadline bounds a call to the leader with all its attempts.
+	// DefaultDeadline limits all attempts of a call to the leader together.
 	DefaultDeadline = 3 * time.Second
-	// DefaultMaxInflight bounds the requests that are served at once.
+	// DefaultMaxInflight limits the requests that are in flight at the same time.
 	DefaultMaxInflight = 1024
 )
 
-// Link tracks the leader and the configuration in force here. *leaderclient.Client
-// implements it.
-type Link interface {
-	// Leader returns the address of the leader, if it is known.
+// LeaderLink tracks the leader and the configuration in force in this process.
+// *leaderclient.Client implements it.
+type LeaderLink interface {
+	// Leader returns the address of the leader; ok is false if no leader is known.
 	Leader() (address string, ok bool)
-	// ObserveHint takes in the leader's address according to a scheduler that does not
-	// lead.
+	// ObserveHint records the leader's address as given by a scheduler that is not the
+	// leader; empty if that scheduler knows no leader.
 	ObserveHint(address string)
-	// ReportFailure records that a call to the address had no answer.
+	// ReportFailure records that a call to the address got no answer.
 	ReportFailure(address string)
-	// Supervise watches over a call to the leader at the address: the returned context ends
-	// once another one leads. The function must be called when the call has ended.
+	// Supervise supervises a call to the leader at the address: the returned context is
+	// cancelled once another scheduler is known to lead. The caller must call the returned
+	// function when the call has ended.
 	Supervise(ctx context.Context, address string) (context.Context, context.CancelFunc)
-	// Config returns the configuration in force here; nil before the first.
+	// Config returns the configuration in force in this process; nil if none has been
+	// received yet. The caller must not modify it.
 	Config() *api.Config
-	// Fresh reports whether the lease of the last answer of the leader has not expired.
+	// Fresh reports whether the lease of the leader's last answer is still valid.
 	Fresh() bool
 }
 
-// Settings may change while the front serves. A zero means the default.
+// Settings may change while the front is serving. A value of 0 means the default.
 type Settings struct {
-	// Deadline bounds a call to the leader with all its attempts, beside the time of a
-	// long poll. Default 3s.
+	// Deadline limits all attempts of a call to the leader together; the wait time of a
+	// long poll comes on top. Default 3s.
 	Deadline time.Duration
-	// MaxInflight bounds the long polls that are served at once and, separately, all other
-	// requests, so that long polls never exclude a submission. Half of it is guaranteed to
-	// the submissions of each queue, by weight, and to requests that are no submissions.
-	// Default 1024.
+	// MaxInflight limits the long polls in flight and, separately, all other requests in
+	// flight, so that long polls never block submissions. Half of the limit on the other
+	// requests is guaranteed: it is divided by weight among the submissions of each queue
+	// and the requests that are not submissions. Default 1024.
 	MaxInflight int
 }
 
-// Config is what a Front needs. Link and Client are required.
+// Config holds the dependencies and settings of a Front. Link and Client are required.
 type Config struct {
-	Link Link
-	// Client carries the calls. Its timeout must be longer than MaxAttemptDuration.
+	Link LeaderLink
+	// Client makes the calls to the leader. Its timeout must be longer than
+	// MaxAttemptDuration.
 	Client *rpc.Client
-	// Settings may be changed later with Apply.
+	// Settings are the initial settings; Apply replaces them.
 	Settings Settings
 	// Status serves /healthz, /readyz and /metrics. Optional.
 	Status http.Handler
-	// Logger defaults to none.
+	// Logger is optional. Default: discard all records.
 	Logger *slog.Logger
-	// Registerer takes the front's metrics. Optional.
+	// Registerer registers the front's metrics. Optional.
 	Registerer prometheus.Registerer
 }
 
 // Front serves the HTTP interface. It is an http.Handler.
 type Front struct {
-	link     Link
+	link     LeaderLink
 	client   *rpc.Client
 	logger   *slog.Logger
 	settings atomic.Pointer[Settings]
@@ -79,7 +82,7 @@
 	handler  http.Handler
 }
 
-// New returns a front that is ready to serve; it starts no goroutine.
+// New returns a front that is ready to serve. It starts no goroutines.
 func New(config Config) (*Front, error) {
 	if config.Link == nil || config.Client == nil {
 		return nil, errors.New("a front needs a link to the leader and an rpc client")
@@ -88,17 +91,18 @@
 	if front.logger == nil {
 		front.logger = slog.New(slog.DiscardHandler)
 	}
-	measured, err := newMetrics(config.Registerer, front.limits)
+	frontMetrics, err := newMetrics(config.Registerer, front.limits)
 	if err != nil {
 		return nil, err
 	}
-	front.metrics = measured
+	front.metrics = frontMetrics
 	front.Apply(config.Settings)
 	front.handler = front.routes(config.Status)
 	return front, nil
 }
 
-// Apply puts changed settings in force. Requests in flight keep the old ones.
+// Apply replaces the settings. A call to the leader that has already started keeps its
+// deadline.
 func (f *Front) Apply(settings Settings) {
 	if settings.Deadline <= 0 {
 		settings.Deadline = DefaultDeadline
@@ -114,7 +118,8 @@
 	f.handler.ServeHTTP(writer, request)
 }
 
-// limitConfig returns the limits of the configuration in force here, or the defaults.
+// limitConfig returns the limits of the configuration in force in this process, or the
+// defaults if there is no configuration yet.
 func (f *Front) limitConfig() api.LimitConfig {
 	if config := f.link.Config(); config != nil {
 		return config.Limits.WithDefaults()
--- a/internal/front/job_calls.go
+++ b/internal/front/job_calls.go
@@ -15,16 +15,16 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// Bounds of a page of GET /v1/jobs.
+// Default and maximum number of jobs on a page of GET /v1/jobs.
 const (
 	defaultPageJobs = 100
 	maxPageJobs     = 1000
 )
 
-// submitJob serves PUT /v1/jobs/{id}: 201 for a new job, 200 for the same
-// again.
+// submitJob serves PUT /v1/jobs/{id}. It answers 201 for a new job, and 200 if the same job
+// was submitted before.
 func (f *Front) submitJob(writer http.ResponseWriter, request *http.Request) (int, any, *api.Error) {
-	id := jobID(request)
+	id := jobIDOf(request)
 	spec, refusal := readBody[api.JobSpec](writer, request, f.limitConfig().MaxJobBytes)
 	if refusal != nil {
 		return 0, nil, refusal
@@ -37,46 +37,48 @@
 	return status, answer, refusal
 }
 
-// Submit submits a job and says whether it is new. It is idempotent.
+// Submit submits a job, and returns in Created whether it is new. It is idempotent.
 func (f *Front) Submit(ctx context.Context, id string, spec api.JobSpec) (api.SubmitAnswer, *api.Error) {
-	if fields := f.wrongFields(id, &spec); len(fields) > 0 {
+	if fields := f.invalidFields(id, &spec); len(fields) > 0 {
 		return api.SubmitAnswer{}, httpjson.Invalid("job", fields)
 	}
-	leave, refusal := f.admit(spec.Queue)
+	releaseSlot, refusal := f.admitSubmission(spec.Queue)
 	if refusal != nil {
 		return api.SubmitAnswer{}, refusal
 	}
-	defer leave()
-	answer, refusal := change[protocol.SubmitAnswer](ctx, f, protocol.MethodSubmit, protocol.SubmitRequest{ID: id, Spec: spec})
+	defer releaseSlot()
+	answer, refusal := relayMutation[protocol.SubmitAnswer](ctx, f, protocol.MethodSubmit, protocol.SubmitRequest{ID: id, Spec: spec})
 	if refusal != nil && refusal.Status < http.StatusInternalServerError {
 		f.limits.returnToken()
 	}
 	return api.SubmitAnswer{ID: id, Created: answer.Created}, refusal
 }
 
-// admit admits a submission if this front's limits have a slot and a token for its queue.
-// leave gives the slot back and must be called.
-func (f *Front) admit(queue string) (leave func(), refusal *api.Error) {
+// admitSubmission takes a slot and a token for a submission to the queue, or returns an error
+// if the limits of this front do not allow it. The caller must call releaseSlot at the end of
+// the submission.
+func (f *Front) admitSubmission(queue string) (releaseSlot func(), refusal *api.Error) {
 	weights := queueWeights(f.link.Config())
 	if _, known := weights[queue]; !known {
 		queue = ""
 	}
-	if refusal := f.limits.enterQueue(f.settings.Load().MaxInflight, queue, weights); refusal != nil {
+	if refusal := f.limits.acquireQueueSlot(f.settings.Load().MaxInflight, queue, weights); refusal != nil {
 		f.metrics.countRejection(reasonQueueInFlight)
 		return nil, refusal
 	}
 	if refusal := f.limits.takeToken(f.limitConfig().SubmitsPerSecond, queue, weights); refusal != nil {
-		f.limits.leaveQueue(queue)
+		f.limits.releaseQueueSlot(queue)
 		f.metrics.countRejection(reasonSubmitRate)
 		return nil, refusal
 	}
-	return func() { f.limits.leaveQueue(queue) }, nil
+	return func() { f.limits.releaseQueueSlot(queue) }, nil
 }
 
-// wrongFields returns the errors that a job has under any configuration: one that is newer
-// than the one known here may have its queue. Only if there are any does it add the errors
-// under the configuration known here.
-func (f *Front) wrongFields(id string, spec *api.JobSpec) []api.FieldError {
+// invalidFields returns the errors that a job has under any configuration. If there are none,
+// the job is not validated against the configuration in force here, since a newer
+// configuration may have its queue. If there are any and the link is fresh, the result also
+// has the errors under the configuration in force here.
+func (f *Front) invalidFields(id string, spec *api.JobSpec) []api.FieldError {
 	fields := api.ValidateJob(id, spec, nil)
 	config := f.link.Config()
 	if len(fields) == 0 || config == nil || !f.link.Fresh() {
@@ -85,10 +87,10 @@
 	return api.ValidateJob(id, spec, config)
 }
 
-// getJob serves GET /v1/jobs/{id}, as a long poll with the parameter "wait".
+// getJob serves GET /v1/jobs/{id}; it is a long poll if the parameter "wait" is given.
 func (f *Front) getJob(_ http.ResponseWriter, request *http.Request) (int, any, *api.Error) {
-	id := jobID(request)
-	wait, refusal := waitOf(request.URL.Query())
+	id := jobIDOf(request)
+	wait, refusal := parseWait(request.URL.Query())
 	if refusal != nil {
 		return 0, nil, refusal
 	}
@@ -96,7 +98,7 @@
 	return http.StatusOK, status, refusal
 }
 
-// Job returns the status of a job, once the job is final or wait is over.
+// Job returns the status of a job once its state is final or wait is over.
 func (f *Front) Job(ctx context.Context, id string, wait time.Duration) (api.JobStatus, *api.Error) {
 	if !api.ValidJobID(id) {
 		return api.JobStatus{}, jobNotFound(id)
@@ -109,13 +111,13 @@
 	if !api.ValidJobID(id) {
 		return "", jobNotFound(id)
 	}
-	answer, refusal := read[protocol.JobAnswer](ctx, f, protocol.MethodGetJob, protocol.GetJobRequest{ID: id, Brief: true})
+	answer, refusal := relayRead[protocol.JobAnswer](ctx, f, protocol.MethodGetJob, protocol.GetJobRequest{ID: id, Brief: true})
 	return answer.Status.State, refusal
 }
 
 // cancelJob serves POST /v1/jobs/{id}/cancel.
 func (f *Front) cancelJob(_ http.ResponseWriter, request *http.Request) (int, any, *api.Error) {
-	status, refusal := f.Cancel(request.Context(), jobID(request))
+	status, refusal := f.Cancel(request.Context(), jobIDOf(request))
 	return http.StatusOK, status, refusal
 }
 
@@ -124,7 +126,7 @@
 	return f.cancel(ctx, protocol.CancelRequest{ID: id})
 }
 
-// CancelBrief is Cancel without the steps in the answer.
+// CancelBrief is like Cancel, but returns the status without the steps.
 func (f *Front) CancelBrief(ctx context.Context, id string) (api.JobStatus, *api.Error) {
 	return f.cancel(ctx, protocol.CancelRequest{ID: id, Brief: true})
 }
@@ -133,13 +135,13 @@
 	if !api.ValidJobID(request.ID) {
 		return api.JobStatus{}, jobNotFound(request.ID)
 	}
-	answer, refusal := change[protocol.JobAnswer](ctx, f, protocol.MethodCancel, request)
+	answer, refusal := relayMutation[protocol.JobAnswer](ctx, f, protocol.MethodCancel, request)
 	return answer.Status, refusal
 }
 
 // listJobs serves GET /v1/jobs.
 func (f *Front) listJobs(_ http.ResponseWriter, request *http.Request) (int, any, *api.Error) {
-	query, refusal := listQuery(request.URL.Query())
+	query, refusal := parseListQuery(request.URL.Query())
 	if refusal != nil {
 		return 0, nil, refusal
 	}
@@ -147,15 +149,15 @@
 	return http.StatusOK, list, refusal
 }
 
-// Jobs returns a page of jobs.
+// Jobs returns one page of the jobs that match the query.
 func (f *Front) Jobs(ctx context.Context, query protocol.ListJobsRequest) (api.JobList, *api.Error) {
-	answer, refusal := read[protocol.ListJobsAnswer](ctx, f, protocol.MethodListJobs, query)
+	answer, refusal := relayRead[protocol.ListJobsAnswer](ctx, f, protocol.MethodListJobs, query)
 	answer.List.Jobs = nonNilSlice(answer.List.Jobs)
 	return answer.List, refusal
 }
 
-// listQuery parses the parameters of a list.
-func listQuery(values url.Values) (protocol.ListJobsRequest, *api.Error) {
+// parseListQuery parses the parameters of GET /v1/jobs.
+func parseListQuery(values url.Values) (protocol.ListJobsRequest, *api.Error) {
 	query := protocol.ListJobsRequest{
 		Queue:     values.Get("queue"),
 		State:     api.State(values.Get("state")),
@@ -177,8 +179,8 @@
 	return query, nil
 }
 
-// waitOf parses the parameter "wait", and bounds it by api.MaxWait.
-func waitOf(values url.Values) (time.Duration, *api.Error) {
+// parseWait parses the parameter "wait", and limits it to api.MaxWait. Default: 0.
+func parseWait(values url.Values) (time.Duration, *api.Error) {
 	text := values.Get("wait")
 	if text == "" {
 		return 0, nil
@@ -190,10 +192,10 @@
 	return min(wait, api.MaxWait), nil
 }
 
-// jobID is the id of a job in the path.
-func jobID(request *http.Request) string { return pathValue(request, "id") }
+// jobIDOf returns the job id in the path.
+func jobIDOf(request *http.Request) string { return pathValue(request, "id") }
 
-// pathValue is a parameter in the path, where it may be escaped.
+// pathValue returns the unescaped value of a path parameter.
 func pathValue(request *http.Request, name string) string {
 	value := chi.URLParam(request, name)
 	if plain, err := url.PathUnescape(value); err == nil && request.URL.RawPath != "" {
@@ -202,7 +204,7 @@
 	return value
 }
 
-// jobNotFound is the error for an id that no job has.
+// jobNotFound returns the error for an id that no job has.
 func jobNotFound(id string) *api.Error {
 	return httpjson.NotFound(fmt.Sprintf("there is no job %q", id))
 }
--- a/internal/front/locallimits.go
+++ b/internal/front/locallimits.go
@@ -11,21 +11,21 @@
 	"github.com/decklever/decklever/internal/admission"
 )
 
-// localLimits has the limits of this front alone. Submissions share them by queue, so that
-// a flood of one queue uses up neither the rate nor the slots of the others. It is safe for
-// concurrent use.
+// localLimits implements the limits that this front applies to its own requests. The limits
+// on submissions are divided among the queues, so that a flood of submissions to one queue
+// uses up neither the rate nor the slots of the others. It is safe for concurrent use.
 type localLimits struct {
-	// longPolls and others count the requests that are being served.
+	// longPolls and others count the long polls and the other requests in flight.
 	longPolls inFlight
 	others    inFlight
-	// started is when the limits were made; the times of tokens count from it.
+	// started is when the limits were created; the times of the token bucket count from it.
 	started time.Time
 
 	// mutex protects the fields below.
 	mutex  sync.Mutex
 	tokens admission.TokenBucket
-	// inFlightByQueue counts the submissions at the leader by queue. Those to queues that
-	// the configuration does not have are counted under the empty name.
+	// inFlightByQueue counts the submissions being relayed, by queue. Submissions to queues
+	// that are not in the configuration are counted under the empty name.
 	inFlightByQueue map[string]int
 }
 
@@ -33,10 +33,10 @@
 	return &localLimits{started: time.Now(), inFlightByQueue: make(map[string]int)}
 }
 
-// takeToken takes a token for one submission from a bucket of one second's tokens. If
-// there is none, the error says when there will be one. The token is to be returned if the
-// leader rejects the job: the limit is on accepted jobs, and a flood of rejected ones must
-// not use up the tokens of others.
+// takeToken takes a token for one submission from a bucket that holds the tokens of one
+// second. If none is available to the queue, it returns an error whose Retry-After is when
+// one will be. The caller must return the token if the leader rejects the job: the limit
+// applies to accepted jobs, and a flood of rejected jobs must not use up the tokens of others.
 func (l *localLimits) takeToken(perSecond int, queue string, weights map[string]int) *api.Error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -52,16 +52,16 @@
 	}
 }
 
-// returnToken returns a token.
+// returnToken puts back a token that takeToken took.
 func (l *localLimits) returnToken() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.tokens.Return()
 }
 
-// enterQueue takes a slot for a submission that is relayed, unless the queue has its
-// share of the limit already.
-func (l *localLimits) enterQueue(limit int, queue string, weights map[string]int) *api.Error {
+// acquireQueueSlot takes a slot for a submission to the queue. It returns an error if the
+// queue already uses its share of limit.
+func (l *localLimits) acquireQueueSlot(limit int, queue string, weights map[string]int) *api.Error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if admission.Free(limit, 0, l.shares(queue, weights)) == 0 {
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// leaveQueue gives a slot back.
-func (l *localLimits) leaveQueue(queue string) {
+// releaseQueueSlot releases a slot that acquireQueueSlot took.
+func (l *localLimits) releaseQueueSlot(queue string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.inFlightByQueue[queue]--; l.inFlightByQueue[queue] == 0 {
@@ -85,9 +85,9 @@
 	}
 }
 
-// shares are the shares of the slots, that of the given queue first. Requests that are no
-// submissions have one share, together with submissions to unknown queues, whose name is
-// empty.
+// shares returns the participants that share the slots, with the given queue first. Requests
+// that are not submissions and submissions to unknown queues, whose name is empty, together
+// are one participant. The caller must hold the mutex.
 func (l *localLimits) shares(queue string, weights map[string]int) []admission.Participant {
 	shares := make([]admission.Participant, 1, len(weights)+1)
 	shares[0] = admission.Participant{Weight: max(weights[queue], api.DefaultQueueWeight), Used: l.inFlightByQueue[queue]}
@@ -102,7 +102,7 @@
 	return shares
 }
 
-// queueWeights returns the weights of the queues of a configuration, which may be nil.
+// queueWeights returns the weight of each queue in the configuration, which may be nil.
 func queueWeights(config *api.Config) map[string]int {
 	weights := make(map[string]int)
 	if config != nil {
@@ -113,11 +113,12 @@
 	return weights
 }
 
-// inFlight counts the requests that are being served. It is safe for concurrent use.
+// inFlight counts requests in flight. It is safe for concurrent use.
 type inFlight struct{ count atomic.Int64 }
 
-// enter counts a request, unless as many as limit are being served.
-func (f *inFlight) enter(limit int) bool {
+// tryAcquire counts a request and returns true, or returns false if limit requests are
+// already in flight.
+func (f *inFlight) tryAcquire(limit int) bool {
 	if f.count.Add(1) > int64(limit) {
 		f.count.Add(-1)
 		return false
@@ -125,5 +126,5 @@
 	return true
 }
 
-// leave ends a request that has entered.
-func (f *inFlight) leave() { f.count.Add(-1) }
+// release undoes a successful tryAcquire when the request has ended.
+func (f *inFlight) release() { f.count.Add(-1) }
--- a/internal/front/longpoll.go
+++ b/internal/front/longpoll.go
@@ -10,24 +10,26 @@
 )
 
 const (
-	// maxLongPoll is how long the leader holds one call of a long poll. A longer wait is
-	// made of several, so that it survives a change of leader.
+	// maxLongPoll is how long the leader holds one call of a long poll. A longer wait
+	// consists of several calls, so that it survives a change of leader.
 	maxLongPoll = 2 * time.Second
-	// lateAnswerGrace is how late the answer to the last call of a wait may be before the
-	// state that was read earlier in the wait is the answer.
+	// lateAnswerGrace is how long after the end of a wait its last call may still be
+	// answered. After that, the caller gets the status that was read earlier in the wait.
 	lateAnswerGrace = 200 * time.Millisecond
-	// minPollInterval keeps a leader that does not hold calls from being called in a loop.
+	// minPollInterval is the wait before the next call if the leader did not hold the last
+	// one, so that it is not called in a busy loop.
 	minPollInterval = 50 * time.Millisecond
 )
 
-// waitForJob reads a job until it is final or the wait is over. The answer is then the
-// newest state that was read.
+// waitForJob reads the status of a job until its state is final or the wait is over, and
+// returns the status that was read last. It returns an error if no status could be read, or
+// if a later read fails with another status than 503.
 func (f *Front) waitForJob(ctx context.Context, id string, wait time.Duration) (api.JobStatus, *api.Error) {
 	end := time.Now().Add(wait)
 	var newest *api.JobStatus
 	for {
 		started := time.Now()
-		call := f.longPoll(id, end, newest != nil)
+		call := f.newLongPollCall(id, end, newest != nil)
 		answer, refusal := relay[protocol.JobAnswer](ctx, f, call)
 		switch {
 		case refusal == nil:
@@ -36,7 +38,7 @@
 			return api.JobStatus{}, refusal
 		}
 		if newest.State.Final() || time.Until(end) <= 0 || ctx.Err() != nil {
-			return *newest, nil //nolint:nilerr // the newest state is the answer, whatever a later read met
+			return *newest, nil //nolint:nilerr // after a successful read, a later 503 is not the answer
 		}
 		if time.Since(started) < call.maxWait/2 {
 			sleep(ctx, min(minPollInterval, time.Until(end)))
@@ -44,11 +46,12 @@
 	}
 }
 
-// longPoll is one call of a wait that ends at end. The leader holds each attempt no longer
-// than what is left of the wait, so that a leader that dies delays the answer by one
-// attempt only. While no state is known, the call goes on for Settings.Deadline after the
-// wait; a known state is the answer once the wait is over.
-func (f *Front) longPoll(id string, end time.Time, known bool) relayCall[protocol.GetJobRequest] {
+// newLongPollCall returns one call of a wait that ends at end. The leader holds each attempt
+// for the remainder of the wait, at most maxLongPoll, so that the failure of a leader delays
+// the answer by one attempt at most. The call is retried until Settings.Deadline after end; if
+// haveStatus, only until lateAnswerGrace after end, since the status that was read before is
+// then the answer.
+func (f *Front) newLongPollCall(id string, end time.Time, haveStatus bool) relayCall[protocol.GetJobRequest] {
 	call := relayCall[protocol.GetJobRequest]{
 		method: protocol.MethodGetJob,
 		renew: func(call *relayCall[protocol.GetJobRequest]) {
@@ -58,7 +61,7 @@
 	}
 	call.renew(&call)
 	call.deadline = end.Add(f.settings.Load().Deadline)
-	if known {
+	if haveStatus {
 		call.deadline = end.Add(lateAnswerGrace)
 	}
 	return call
--- a/internal/front/metrics.go
+++ b/internal/front/metrics.go
@@ -10,14 +10,14 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// Reasons of rejections by localLimits, as a metrics label.
+// Reasons for rejections by localLimits, as values of a metrics label.
 const (
 	reasonInFlight      = "inflight"
 	reasonQueueInFlight = "queue_inflight"
 	reasonSubmitRate    = "submit_rate"
 )
 
-// metrics are the front's own metrics.
+// metrics holds the front's metrics.
 type metrics struct {
 	requests   *prometheus.CounterVec
 	latency    *prometheus.HistogramVec
@@ -25,7 +25,7 @@
 	rejections *prometheus.CounterVec
 }
 
-// newMetrics makes the metrics, and registers them if there is a registerer.
+// newMetrics creates the metrics, and registers them if registerer is not nil.
 func newMetrics(registerer prometheus.Registerer, limits *localLimits) (*metrics, error) {
 	m := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -56,7 +56,7 @@
 	return m, nil
 }
 
-// newInFlightGauge returns a gauge of the requests of a class that are being served.
+// newInFlightGauge returns a gauge of the requests of a class that are in flight.
 func newInFlightGauge(class string, requests *inFlight) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "decklever_front_inflight_requests", Help: "Requests being served, by class.",
@@ -64,10 +64,10 @@
 	}, func() float64 { return float64(requests.count.Load()) })
 }
 
-// observeRequest counts and times an answered request.
-func (m *metrics) observeRequest(route string, status int, took time.Duration) {
+// observeRequest counts an answered request and records its duration.
+func (m *metrics) observeRequest(route string, status int, duration time.Duration) {
 	m.requests.WithLabelValues(route, strconv.Itoa(status)).Inc()
-	m.latency.WithLabelValues(route).Observe(took.Seconds())
+	m.latency.WithLabelValues(route).Observe(duration.Seconds())
 }
 
 // countRetry counts a failed attempt of a call.
--- a/internal/front/middleware.go
+++ b/internal/front/middleware.go
@@ -17,15 +17,16 @@
 	"github.com/decklever/decklever/internal/httpjson"
 )
 
-// requestIDHeader names a request in logs; the caller may choose it.
+// requestIDHeader is the header with the id of a request in logs. The caller may set it.
 const requestIDHeader = "X-Request-Id"
 
-// requestIDPattern restricts the ids of callers to what is harmless in logs.
+// requestIDPattern restricts the ids that callers choose to characters that are safe in
+// logs.
 var requestIDPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,64}$`)
 
-// identify gives each request an id, the caller's own if that is valid, and answers with
-// it.
-func identify(next http.Handler) http.Handler {
+// assignRequestID sets requestIDHeader of each answer to the id of its request: the caller's
+// if that is valid, otherwise a new one.
+func assignRequestID(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		id := request.Header.Get(requestIDHeader)
 		if !requestIDPattern.MatchString(id) {
@@ -36,8 +37,8 @@
 	})
 }
 
-// measure counts, times and logs each request.
-func (f *Front) measure(next http.Handler) http.Handler {
+// observe counts and logs each request and measures its duration.
+func (f *Front) observe(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		started := time.Now()
 		recorder := middleware.NewWrapResponseWriter(writer, request.ProtoMajor)
@@ -46,7 +47,7 @@
 		if status == 0 {
 			status = http.StatusOK
 		}
-		route := routeOf(request)
+		route := routeLabel(request)
 		f.metrics.observeRequest(route, status, time.Since(started))
 		f.logger.LogAttrs(request.Context(), logLevel(status), "request",
 			slog.String("request_id", recorder.Header().Get(requestIDHeader)),
@@ -58,9 +59,9 @@
 	})
 }
 
-// routeOf is the route of a request as a metrics label, which has few values whatever
-// callers send.
-func routeOf(request *http.Request) string {
+// routeLabel returns the route of a request as a metrics label. The label has few distinct
+// values, whatever paths callers request.
+func routeLabel(request *http.Request) string {
 	pattern := chi.RouteContext(request.Context()).RoutePattern()
 	if pattern == "" || pattern == "/v1/*" {
 		return "none"
@@ -71,7 +72,8 @@
 	return request.Method + " " + pattern
 }
 
-// logLevel keeps floods of rejected requests out of the log; the metrics count them.
+// logLevel returns Warn for server errors other than 503, and Debug otherwise, so that a
+// flood of rejected requests does not fill the log. Metrics count them.
 func logLevel(status int) slog.Level {
 	if status >= http.StatusInternalServerError && status != http.StatusServiceUnavailable {
 		return slog.LevelWarn
@@ -79,36 +81,38 @@
 	return slog.LevelDebug
 }
 
-// recoverPanic answers 500 for a panic of a handler and logs it.
+// recoverPanic recovers from a panic of a handler, logs it and answers 500. It passes on
+// http.ErrAbortHandler.
 func (f *Front) recoverPanic(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		defer func() {
-			reason := recover()
-			if reason == nil {
+			panicValue := recover()
+			if panicValue == nil {
 				return
 			}
-			if err, ok := reason.(error); ok && errors.Is(err, http.ErrAbortHandler) {
-				panic(reason)
+			if err, ok := panicValue.(error); ok && errors.Is(err, http.ErrAbortHandler) {
+				panic(panicValue)
 			}
 			f.logger.Error("panic in a handler",
 				slog.String("path", request.URL.Path),
-				slog.Any("reason", reason),
+				slog.Any("reason", panicValue),
 				slog.String("stack", string(debug.Stack())))
-			writeError(writer, httpjson.Internal("the front failed"))
+			writeError(writer, httpjson.Internal("the request handler of the front panicked"))
 		}()
 		next.ServeHTTP(writer, request)
 	})
 }
 
-// limitInFlight rejects requests over the limit of requests in flight.
+// limitInFlight rejects a request with 503 if Settings.MaxInflight requests of its kind (long
+// polls or others) are already in flight.
 func (f *Front) limitInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		class := &f.limits.others
+		counter := &f.limits.others
 		if isLongPoll(request) {
-			class = &f.limits.longPolls
+			counter = &f.limits.longPolls
 		}
 		limit := f.settings.Load().MaxInflight
-		if !class.enter(limit) {
+		if !counter.tryAcquire(limit) {
 			f.metrics.countRejection(reasonInFlight)
 			writeError(writer, &api.Error{
 				Status:           http.StatusServiceUnavailable,
@@ -118,12 +122,12 @@
 			})
 			return
 		}
-		defer class.leave()
+		defer counter.release()
 		next.ServeHTTP(writer, request)
 	})
 }
 
-// isLongPoll reports whether the caller asks for a long poll.
+// isLongPoll reports whether the request is for a long poll.
 func isLongPoll(request *http.Request) bool {
 	return request.Method == http.MethodGet && request.URL.Query().Has("wait")
 }
--- a/internal/front/openapi_fields_test.go
+++ b/internal/front/openapi_fields_test.go
@@ -15,9 +15,9 @@
 	"github.com/decklever/decklever/internal/telemetry"
 )
 
-// TestOpenAPI_HasAllFields compares schemas with Go types both ways: each
-// type that an answer or a request holds has a schema of its name, and each
-// schema of an object has a type.
+// TestOpenAPI_HasAllFields checks that each Go type in a request or an answer
+// has a schema of the same name with the same fields, and that each schema of an
+// object has a Go type.
 func TestOpenAPI_HasAllFields(t *testing.T) {
 	types := map[string]reflect.Type{}
 	for _, root := range []any{
@@ -43,7 +43,7 @@
 	} {
 		collectStructs(types, reflect.TypeOf(root))
 	}
-	schemas := loadInterface(t).Components.Schemas
+	schemas := loadOpenAPI(t).Components.Schemas
 	for name, schema := range schemas {
 		if schema.Value.Description == "" {
 			t.Errorf("%s has no description", name)
@@ -52,63 +52,65 @@
 			t.Errorf("schema %s has no Go type", name)
 		}
 	}
-	for name, kind := range types {
+	for name, typ := range types {
 		if schema, found := schemas[name]; found {
-			compareFields(t, name, schema.Value, kind)
+			compareFields(t, name, schema.Value, typ)
 			continue
 		}
 		t.Errorf("type %s has no schema", name)
 	}
 }
 
-// collectStructs finds the structs with JSON fields that a type is made of.
-func collectStructs(into map[string]reflect.Type, kind reflect.Type) {
-	switch kind.Kind() {
+// collectStructs adds the struct types that typ consists of to types, by name.
+func collectStructs(types map[string]reflect.Type, typ reflect.Type) {
+	switch typ.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Map:
-		collectStructs(into, kind.Elem())
+		collectStructs(types, typ.Elem())
 	case reflect.Struct:
-		if kind == reflect.TypeFor[time.Time]() || into[kind.Name()] != nil {
+		if typ == reflect.TypeFor[time.Time]() || types[typ.Name()] != nil {
 			return
 		}
-		into[kind.Name()] = kind
-		for _, field := range reflect.VisibleFields(kind) {
-			collectStructs(into, field.Type)
+		types[typ.Name()] = typ
+		for _, field := range reflect.VisibleFields(typ) {
+			collectStructs(types, field.Type)
 		}
 	}
 }
 
-// compareFields compares names, types and whether answers always have the
-// field: what Go never leaves out is required, unless callers may.
-func compareFields(t *testing.T, name string, schema *openapi3.Schema, kind reflect.Type) {
+// compareFields compares the names and types of the fields, and whether they are
+// required: the schema must require a field if, and only if, it has no omitempty
+// in Go. The schema need not require the fields in optionalForCallers.
+func compareFields(t *testing.T, name string, schema *openapi3.Schema, typ reflect.Type) {
 	t.Helper()
 	var fields []string
-	for _, field := range reflect.VisibleFields(kind) {
+	for _, field := range reflect.VisibleFields(typ) {
 		jsonName, options, _ := strings.Cut(field.Tag.Get("json"), ",")
 		fields = append(fields, jsonName)
 		property := schema.Properties[jsonName]
 		if property == nil {
-			continue // named below
+			continue // reported by the comparison of names below
 		}
 		if property.Value.Description == "" {
 			t.Errorf("%s.%s has no description", name, jsonName)
 		}
 		if got, want := schemaType(property.Value), goType(field.Type); got != want {
-			t.Errorf("%s.%s is %s in the file and %s in Go", name, jsonName, got, want)
+			t.Errorf("type of %s.%s: got %s in the file, want %s as in Go", name, jsonName, got, want)
 		}
 		optional := strings.Contains(options, "omitempty")
 		if required := slices.Contains(schema.Required, jsonName); required && optional || !required && !optional && !optionalForCallers[name+"."+jsonName] {
-			t.Errorf("%s.%s is required %v in the file, but omitempty %v in Go", name, jsonName, required, optional)
+			t.Errorf("%s.%s: required is %v in the file, but omitempty is %v in Go", name, jsonName, required, optional)
 		}
 	}
-	if described := slices.Sorted(maps.Keys(schema.Properties)); !slices.Equal(described, slices.Sorted(slices.Values(fields))) {
-		t.Errorf("%s has %v in the file and %v in Go", name, described, fields)
+	if documented := slices.Sorted(maps.Keys(schema.Properties)); !slices.Equal(documented, slices.Sorted(slices.Values(fields))) {
+		t.Errorf("fields of %s: got %v in the file, want %v as in Go", name, documented, fields)
 	}
 }
 
-// optionalForCallers are fields that answers always have and requests need not.
+// optionalForCallers has the fields that answers always have and requests may omit.
 var optionalForCallers = map[string]bool{"Config.drains": true, "Config.limits": true, "Config.timings": true}
 
-// schemaType is the JSON type of a schema; a described reference is wrapped.
+// schemaType returns the JSON type of a schema. A reference that has its own
+// description is the only element of an allOf.
 func schemaType(schema *openapi3.Schema) string {
 	if len(schema.AllOf) == 1 {
 		schema = schema.AllOf[0].Value
@@ -119,17 +121,17 @@
 	return strings.Join(schema.Type.Slice(), ",")
 }
 
-// goType is the JSON type that a Go type is written as.
-func goType(kind reflect.Type) string {
+// goType returns the JSON type that a Go type is encoded as.
+func goType(typ reflect.Type) string {
 	switch {
-	case kind == reflect.TypeFor[api.Duration]() || kind == reflect.TypeFor[time.Time]():
+	case typ == reflect.TypeFor[api.Duration]() || typ == reflect.TypeFor[time.Time]():
 		return "string"
-	case kind == reflect.TypeFor[json.RawMessage]():
+	case typ == reflect.TypeFor[json.RawMessage]():
 		return "any"
 	}
-	switch kind.Kind() {
+	switch typ.Kind() {
 	case reflect.Pointer:
-		return goType(kind.Elem())
+		return goType(typ.Elem())
 	case reflect.Bool:
 		return "boolean"
 	case reflect.String:
--- a/internal/front/openapi_test.go
+++ b/internal/front/openapi_test.go
@@ -21,8 +21,8 @@
 	"github.com/decklever/decklever/internal/telemetry"
 )
 
-// loadInterface reads and validates the interface file.
-func loadInterface(t *testing.T) *openapi3.T {
+// loadOpenAPI reads and validates the OpenAPI file.
+func loadOpenAPI(t *testing.T) *openapi3.T {
 	t.Helper()
 	document, err := openapi3.NewLoader().LoadFromFile("../../api/openapi.yaml")
 	if err != nil {
@@ -31,12 +31,12 @@
 	if err := document.Validate(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	document.Servers = nil // requests of the tests go to no server
+	document.Servers = nil // the requests of the tests do not match a server URL
 	return document
 }
 
-// newDescribedFront returns a front with real health checks and metrics.
-func newDescribedFront(t *testing.T, link *fakeLink, health *telemetry.Health) *Front {
+// newFrontWithStatus returns a front that serves real health checks and metrics.
+func newFrontWithStatus(t *testing.T, link *fakeLink, health *telemetry.Health) *Front {
 	t.Helper()
 	client := rpc.NewClient(rpc.ClientConfig{Timeout: MaxAttemptDuration + time.Second})
 	t.Cleanup(client.Close)
@@ -49,15 +49,15 @@
 }
 
 func TestOpenAPI_HasAllRoutes(t *testing.T) {
-	var described, routed []string
-	for path, item := range loadInterface(t).Paths.Map() {
+	var documented, routed []string
+	for path, item := range loadOpenAPI(t).Paths.Map() {
 		for method := range item.Operations() {
-			described = append(described, method+" "+path)
+			documented = append(documented, method+" "+path)
 		}
 	}
-	router, ok := newDescribedFront(t, &fakeLink{}, telemetry.NewHealth()).handler.(chi.Routes)
+	router, ok := newFrontWithStatus(t, &fakeLink{}, telemetry.NewHealth()).handler.(chi.Routes)
 	if !ok {
-		t.Fatal("the front's handler is no router")
+		t.Fatal("the front's handler does not implement chi.Routes")
 	}
 	err := chi.Walk(router, func(method, path string, _ http.Handler, _ ...func(http.Handler) http.Handler) error {
 		routed = append(routed, method+" "+path)
@@ -66,27 +66,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slices.Sort(described)
+	slices.Sort(documented)
 	slices.Sort(routed)
-	if !slices.Equal(described, routed) {
-		t.Fatalf("described\n%s\nrouted\n%s", strings.Join(described, "\n"), strings.Join(routed, "\n"))
+	if !slices.Equal(documented, routed) {
+		t.Fatalf("routes differ: in the OpenAPI file\n%s\nin the router\n%s", strings.Join(documented, "\n"), strings.Join(routed, "\n"))
 	}
 }
 
 // TestOpenAPI_AnswersMatch sends requests through the real handlers, and validates requests
-// and answers against the interface file.
+// and answers against the OpenAPI file.
 func TestOpenAPI_AnswersMatch(t *testing.T) {
-	router, err := gorillamux.NewRouter(loadInterface(t))
+	router, err := gorillamux.NewRouter(loadOpenAPI(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	leader := newLeader(t)
+	leader := newFakeLeader(t)
 	serveSamples(leader)
 	health := telemetry.NewHealth()
 	health.SetReady("leader", true, "")
-	front := newDescribedFront(t, &fakeLink{leader: leader.address}, health)
-	unready := newDescribedFront(t, &fakeLink{}, telemetry.NewHealth())
-	order := []string{"If-Match", `"7"`, "Idempotency-Key", "o"}
+	front := newFrontWithStatus(t, &fakeLink{leader: leader.address}, health)
+	unreadyFront := newFrontWithStatus(t, &fakeLink{}, telemetry.NewHealth())
+	putHeaders := []string{"If-Match", `"7"`, "Idempotency-Key", "o"}
 	fullJob := marshalSample(t, sampleJob())
 	fullConfig := marshalSample(t, sampleConfig())
 	cases := []struct {
@@ -94,19 +94,19 @@
 		method, path, body string
 		headers            []string
 		status             int
-		badRequest         bool
+		invalidRequest     bool
 	}{
 		{front, "GET", "/healthz", "", nil, 200, false},
 		{front, "GET", "/readyz", "", nil, 200, false},
-		{unready, "GET", "/readyz", "", nil, 503, false},
+		{unreadyFront, "GET", "/readyz", "", nil, 503, false},
 		{front, "GET", "/metrics", "", nil, 200, false},
 		{front, "PUT", "/v1/jobs/new", fullJob, nil, 201, false},
-		{front, "PUT", "/v1/jobs/same", goodJob, nil, 200, false},
-		{front, "PUT", "/v1/jobs/conflict", goodJob, nil, 409, false},
-		{front, "PUT", "/v1/jobs/impossible", goodJob, nil, 422, false},
-		{front, "PUT", "/v1/jobs/limit", goodJob, nil, 429, false},
-		{front, "PUT", "/v1/jobs/later", goodJob, nil, 503, false},
-		{front, "PUT", "/v1/jobs/broken", goodJob, nil, 500, false},
+		{front, "PUT", "/v1/jobs/same", validJob, nil, 200, false},
+		{front, "PUT", "/v1/jobs/conflict", validJob, nil, 409, false},
+		{front, "PUT", "/v1/jobs/impossible", validJob, nil, 422, false},
+		{front, "PUT", "/v1/jobs/limit", validJob, nil, 429, false},
+		{front, "PUT", "/v1/jobs/later", validJob, nil, 503, false},
+		{front, "PUT", "/v1/jobs/broken", validJob, nil, 500, false},
 		{front, "PUT", "/v1/jobs/a", `{"queue":"q","stepz":[]}`, nil, 400, true},
 		{front, "PUT", "/v1/jobs/a", `{"queue":"Q","steps":[]}`, nil, 422, true},
 		{front, "PUT", "/v1/jobs/a", strings.Repeat(" ", 2<<20), nil, 413, true},
@@ -120,12 +120,12 @@
 		{front, "GET", "/v1/jobs?limit=1001", "", nil, 400, true},
 		{front, "GET", "/v1/jobs?state=done", "", nil, 400, true},
 		{front, "GET", "/v1/config", "", nil, 200, false},
-		{front, "PUT", "/v1/config", fullConfig, order, 200, false},
-		{front, "PUT", "/v1/config", goodConfig, []string{"If-Match", "6", "Idempotency-Key", "o"}, 412, false},
-		{front, "PUT", "/v1/config", goodConfig, nil, 428, true},
-		{front, "PUT", "/v1/config", goodConfig, []string{"If-Match", "x", "Idempotency-Key", "o"}, 400, true},
-		{front, "PUT", "/v1/config", strings.Repeat(" ", maxConfigBytes+1), order, 413, true},
-		{front, "POST", "/v1/config/validate", goodConfig, nil, 200, false},
+		{front, "PUT", "/v1/config", fullConfig, putHeaders, 200, false},
+		{front, "PUT", "/v1/config", validConfig, []string{"If-Match", "6", "Idempotency-Key", "o"}, 412, false},
+		{front, "PUT", "/v1/config", validConfig, nil, 428, true},
+		{front, "PUT", "/v1/config", validConfig, []string{"If-Match", "x", "Idempotency-Key", "o"}, 400, true},
+		{front, "PUT", "/v1/config", strings.Repeat(" ", maxConfigBytes+1), putHeaders, 413, true},
+		{front, "POST", "/v1/config/validate", validConfig, nil, 200, false},
 		{front, "POST", "/v1/config/validate", `{"queues":[{"name":"Q"}]}`, nil, 422, true},
 		{front, "GET", "/v1/config/versions", "", nil, 200, false},
 		{front, "GET", "/v1/config/rollout", "", nil, 200, false},
@@ -137,8 +137,8 @@
 		{front, "GET", "/v1/bookings", "", nil, 200, false},
 		{front, "GET", "/v1/bookings?hours=168", "", nil, 200, false},
 		{front, "GET", "/v1/bookings?hours=169", "", nil, 400, true},
-		{front, "POST", "/v1/bookings/release", goodRelease, nil, 200, false},
-		{front, "POST", "/v1/bookings/release", strings.Replace(goodRelease, "opening", "missing", 1), nil, 404, false},
+		{front, "POST", "/v1/bookings/release", validRelease, nil, 200, false},
+		{front, "POST", "/v1/bookings/release", strings.Replace(validRelease, "opening", "missing", 1), nil, 404, false},
 		{front, "POST", "/v1/bookings/release", `{"queue":"q","booking":"b","start":"soon"}`, nil, 400, true},
 		{front, "POST", "/v1/bookings/release", `{"queue":"q"}`, nil, 422, true},
 		{front, "POST", "/v1/bookings/release", strings.Repeat(" ", maxReleaseBytes+1), nil, 413, true},
@@ -162,15 +162,15 @@
 				t.Fatalf("status %d, want %d: %s", answer.Code, c.status, answer.Body)
 			}
 			input := requestInput(t, router, c.method, c.path, c.body, c.headers)
-			if err := openapi3filter.ValidateRequest(t.Context(), input); (err != nil) != c.badRequest {
-				t.Errorf("the file takes the request: %v; want a refusal %v", err, c.badRequest)
+			if err := openapi3filter.ValidateRequest(t.Context(), input); (err != nil) != c.invalidRequest {
+				t.Errorf("validation of the request against the OpenAPI file: got the error %v, want an error: %v", err, c.invalidRequest)
 			}
 			checkAnswer(t, input, answer)
 		})
 	}
 }
 
-// requestInput returns a request with its operation in the interface file.
+// requestInput returns a request with its operation in the OpenAPI file.
 func requestInput(t *testing.T, router routers.Router, method, path, body string, headers []string) *openapi3filter.RequestValidationInput {
 	t.Helper()
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
@@ -190,8 +190,7 @@
 	}
 }
 
-// checkAnswer validates an answer against the operation, and errors against the form that
-// all errors have.
+// checkAnswer validates an answer against its operation in the OpenAPI file.
 func checkAnswer(t *testing.T, input *openapi3filter.RequestValidationInput, answer *httptest.ResponseRecorder) {
 	t.Helper()
 	body := answer.Body.Bytes()
@@ -203,6 +202,6 @@
 		Options:                &openapi3filter.Options{IncludeResponseStatus: true, MultiError: true},
 	})
 	if err != nil {
-		t.Errorf("%v\nin %s", err, body)
+		t.Errorf("invalid answer: %v\nin the body %s", err, body)
 	}
 }
--- a/internal/front/read_calls.go
+++ b/internal/front/read_calls.go
@@ -10,21 +10,21 @@
 
 // Workers lists the registered workers.
 func (f *Front) Workers(ctx context.Context) (api.WorkerList, *api.Error) {
-	answer, refusal := read[protocol.WorkersAnswer](ctx, f, protocol.MethodWorkers, protocol.Empty{})
+	answer, refusal := relayRead[protocol.WorkersAnswer](ctx, f, protocol.MethodWorkers, protocol.Empty{})
 	answer.List.Workers = nonNilSlice(answer.List.Workers)
 	return answer.List, refusal
 }
 
 // Members lists the schedulers.
 func (f *Front) Members(ctx context.Context) (api.MemberList, *api.Error) {
-	answer, refusal := read[protocol.MembersAnswer](ctx, f, protocol.MethodMembers, protocol.Empty{})
+	answer, refusal := relayRead[protocol.MembersAnswer](ctx, f, protocol.MethodMembers, protocol.Empty{})
 	answer.List.Members = nonNilSlice(answer.List.Members)
 	return answer.List, refusal
 }
 
 // Queues lists the queues.
 func (f *Front) Queues(ctx context.Context) (api.QueueList, *api.Error) {
-	answer, refusal := read[protocol.QueuesAnswer](ctx, f, protocol.MethodQueues, protocol.Empty{})
+	answer, refusal := relayRead[protocol.QueuesAnswer](ctx, f, protocol.MethodQueues, protocol.Empty{})
 	answer.List.Queues = nonNilSlice(answer.List.Queues)
 	return answer.List, refusal
 }
@@ -35,9 +35,9 @@
 	return http.StatusOK, status, refusal
 }
 
-// Queue returns the status of one queue. It fails with a 404 for one that the
-// configuration in force does not have.
+// Queue returns the status of one queue, or a 404 error if the queue is not in the
+// configuration in force.
 func (f *Front) Queue(ctx context.Context, name string) (api.QueueStatus, *api.Error) {
-	answer, refusal := read[protocol.QueueAnswer](ctx, f, protocol.MethodQueue, protocol.QueueRequest{Name: name})
+	answer, refusal := relayRead[protocol.QueueAnswer](ctx, f, protocol.MethodQueue, protocol.QueueRequest{Name: name})
 	return answer.Status, refusal
 }
--- a/internal/front/relay.go
+++ b/internal/front/relay.go
@@ -12,13 +12,16 @@
 )
 
 const (
-	// attemptTimeout bounds one attempt, beside the time that the answer may be held.
+	// attemptTimeout limits one attempt; the time for which the leader may hold the answer
+	// comes on top.
 	attemptTimeout = time.Second
-	// MaxAttemptDuration is the longest time of one attempt.
+	// MaxAttemptDuration is the longest duration of one attempt.
 	MaxAttemptDuration = attemptTimeout + maxLongPoll
-	// freshnessCheckInterval is how often a long poll checks whether the link is fresh.
+	// freshnessCheckInterval is the interval at which a long poll checks whether the link
+	// is fresh.
 	freshnessCheckInterval = 100 * time.Millisecond
-	// shutdownGrace is how long a call goes on after the context of its request ended.
+	// shutdownGrace is how long a call may continue after the context of its request has
+	// ended.
 	shutdownGrace = 500 * time.Millisecond
 )
 
@@ -26,36 +29,36 @@
 type relayCall[Request any] struct {
 	method  protocol.Method
 	request Request
-	// mutating is true if the call changes something: a lost answer then leaves its
-	// outcome unknown.
+	// mutating is true if the call changes state; if its answer is lost, its outcome is
+	// unknown.
 	mutating bool
-	// maxWait is how long the leader may hold the answer; over 0 for a long poll.
+	// maxWait is how long the leader may hold the answer; greater than 0 for a long poll.
 	maxWait time.Duration
-	// deadline bounds all attempts, as the context's own deadline does. Default: after
-	// Settings.Deadline.
+	// deadline limits all attempts together; an earlier deadline of the context takes
+	// precedence. Default: Settings.Deadline after the start of the call.
 	deadline time.Time
-	// renew, if given, updates the call before a further attempt, as time has passed.
+	// renew updates the call before each retry, for the time that has passed. Optional.
 	renew func(call *relayCall[Request])
 }
 
-// read relays a call that changes nothing.
-func read[Answer, Request any](ctx context.Context, f *Front, method protocol.Method, request Request) (Answer, *api.Error) {
+// relayRead relays a call that changes no state.
+func relayRead[Answer, Request any](ctx context.Context, f *Front, method protocol.Method, request Request) (Answer, *api.Error) {
 	return relay[Answer](ctx, f, relayCall[Request]{method: method, request: request})
 }
 
-// change relays a call that changes something.
-func change[Answer, Request any](ctx context.Context, f *Front, method protocol.Method, request Request) (Answer, *api.Error) {
+// relayMutation relays a call that changes state.
+func relayMutation[Answer, Request any](ctx context.Context, f *Front, method protocol.Method, request Request) (Answer, *api.Error) {
 	return relay[Answer](ctx, f, relayCall[Request]{method: method, request: request, mutating: true})
 }
 
-// relay calls the leader until there is an answer, a final rejection, or the deadline. Any
-// call may be retried, since all are idempotent.
+// relay calls the leader until it gets an answer or a final rejection, or until the deadline.
+// It may retry any call, since all calls are idempotent.
 func relay[Answer, Request any](ctx context.Context, f *Front, call relayCall[Request]) (Answer, *api.Error) {
 	if call.deadline.IsZero() {
 		call.deadline = time.Now().Add(f.settings.Load().Deadline)
 	}
-	if given, ok := ctx.Deadline(); ok && given.Before(call.deadline) {
-		call.deadline = given
+	if ctxDeadline, ok := ctx.Deadline(); ok && ctxDeadline.Before(call.deadline) {
+		call.deadline = ctxDeadline
 	}
 	if call.maxWait == 0 {
 		extended, release := withShutdownGrace(ctx, shutdownGrace)
@@ -77,8 +80,8 @@
 			}
 		}
 		if !attempts.waitForRetry(ctx, address) {
-			var none Answer
-			return none, attempts.giveUp()
+			var zero Answer
+			return zero, attempts.giveUp()
 		}
 		if call.renew != nil {
 			call.renew(&call)
@@ -86,23 +89,26 @@
 	}
 }
 
-// attemptCall makes one attempt.
+// attemptCall makes one attempt. It is cancelled early once the link is no longer fresh, if it
+// is a long poll, otherwise once another leader is known.
 func attemptCall[Answer, Request any](ctx context.Context, f *Front, address string, call relayCall[Request]) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+call.maxWait)
 	defer cancel()
 	if call.maxWait > 0 {
 		defer cancelWhenStale(ctx, f.link, cancel)()
 	} else {
-		supervised, end := f.link.Supervise(ctx, address)
-		defer end()
+		supervised, endSupervision := f.link.Supervise(ctx, address)
+		defer endSupervision()
 		ctx = supervised
 	}
 	return rpc.Call[Request, Answer](ctx, f.client, address, call.method, call.request)
 }
 
-// cancelWhenStale cancels a long poll when the link stops being fresh: its answer is then
-// probably not just held. The returned function ends the check and must be called.
-func cancelWhenStale(ctx context.Context, link Link, cancel context.CancelFunc) (stop func()) {
+// cancelWhenStale calls cancel, which must cancel a long poll, once the link is no longer
+// fresh: the leader is then probably unreachable rather than holding its answer. It does
+// nothing if the link is not fresh at the start. The caller must call the returned function,
+// which ends the check.
+func cancelWhenStale(ctx context.Context, link LeaderLink, cancel context.CancelFunc) (stop func()) {
 	ctx, stopCheck := context.WithCancel(ctx)
 	wasFresh := link.Fresh()
 	var checking sync.WaitGroup
@@ -119,13 +125,13 @@
 	}
 }
 
-// withShutdownGrace returns a context that ends a length of time after its parent, so that
-// a call in flight when the process is told to stop can still be answered. The returned
-// function releases it and must be called.
-func withShutdownGrace(parent context.Context, length time.Duration) (context.Context, context.CancelFunc) {
+// withShutdownGrace returns a context that ends the duration grace after its parent, so that
+// a call that is in flight when the process is asked to stop can still be answered. The
+// caller must call the returned function, which releases the context.
+func withShutdownGrace(parent context.Context, grace time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(parent))
 	release := context.AfterFunc(parent, func() {
-		sleep(ctx, length)
+		sleep(ctx, grace)
 		cancel()
 	})
 	return ctx, func() {
@@ -134,11 +140,11 @@
 	}
 }
 
-// sleep waits for a length of time, unless ctx would end earlier: then it returns at once.
-// It reports whether the whole length passed.
-func sleep(ctx context.Context, length time.Duration) (passed bool) {
-	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= length {
+// sleep waits for the duration and returns true. It returns false if ctx ends first, and
+// does so at once if the deadline of ctx is not later than the end of the wait.
+func sleep(ctx context.Context, duration time.Duration) (passed bool) {
+	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= duration {
 		return false
 	}
-	return contexttime.Sleep(ctx, length)
+	return contexttime.Sleep(ctx, duration)
 }
--- a/internal/front/relay_test.go
+++ b/internal/front/relay_test.go
@@ -16,82 +16,82 @@
 
 const shortDeadline = 250 * time.Millisecond
 
-var orderHeaders = []string{"If-Match", "1", "Idempotency-Key", "o"}
+var putConfigHeaders = []string{"If-Match", "1", "Idempotency-Key", "o"}
 
-func created(context.Context, protocol.SubmitRequest, int) (protocol.SubmitAnswer, error) {
+func answerCreated(context.Context, protocol.SubmitRequest, int) (protocol.SubmitAnswer, error) {
 	return protocol.SubmitAnswer{Created: true}, nil
 }
 
-func TestRelay_HintIsFollowed(t *testing.T) {
-	old, leader := newLeader(t), newLeader(t)
+func TestRelay_FollowsLeaderHint(t *testing.T) {
+	old, leader := newFakeLeader(t), newFakeLeader(t)
 	failMethod[protocol.SubmitRequest, protocol.SubmitAnswer](old, protocol.MethodSubmit, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: leader.address})
-	handleMethod(leader, protocol.MethodSubmit, created)
+	handleMethod(leader, protocol.MethodSubmit, answerCreated)
 	link := &fakeLink{leader: old.address}
 	front := newFront(t, link, Settings{})
-	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a", goodJob), 201)
-	if old.count() != 1 || leader.count() != 1 || len(link.failed) != 0 {
-		t.Fatalf("%d and %d calls, failed %v", old.count(), leader.count(), link.failed)
+	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a", validJob), 201)
+	if old.callCount() != 1 || leader.callCount() != 1 || len(link.reportedFailures) != 0 {
+		t.Fatalf("got %d and %d calls to the old and the new leader, reported failures %v, want 1 call each and no failure", old.callCount(), leader.callCount(), link.reportedFailures)
 	}
 }
 
 func TestRelay_MutualHintsAreBounded(t *testing.T) {
-	one, other := newLeader(t), newLeader(t)
-	failMethod[protocol.Empty, protocol.QueuesAnswer](one, protocol.MethodQueues, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: other.address})
-	failMethod[protocol.Empty, protocol.QueuesAnswer](other, protocol.MethodQueues, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: one.address})
-	front := newFront(t, &fakeLink{leader: one.address}, Settings{Deadline: shortDeadline})
+	first, second := newFakeLeader(t), newFakeLeader(t)
+	failMethod[protocol.Empty, protocol.QueuesAnswer](first, protocol.MethodQueues, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: second.address})
+	failMethod[protocol.Empty, protocol.QueuesAnswer](second, protocol.MethodQueues, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: first.address})
+	front := newFront(t, &fakeLink{leader: first.address}, Settings{Deadline: shortDeadline})
 	requireError(t, doRequest(t, front, "GET", "/v1/queues", ""), 503, api.CodeUnavailable)
-	if calls := one.count() + other.count(); calls < 3 || calls > 30 {
-		t.Fatalf("%d calls", calls)
+	if calls := first.callCount() + second.callCount(); calls < 3 || calls > 30 {
+		t.Fatalf("got %d calls, want 3 to 30", calls)
 	}
 }
 
-// TestRelay_GivesUpAtDeadline checks which calls end with an unknown outcome. The outcome
-// of an attempt that the deadline cuts short is unknown as well.
+// TestRelay_GivesUpAtDeadline checks which calls end with CodeOutcomeUnknown and which with
+// CodeUnavailable. The outcome of an attempt that the deadline cuts short is unknown, too.
 func TestRelay_GivesUpAtDeadline(t *testing.T) {
-	const silent, refusing, nobody = "silent:1", "refusing:1", "nobody:1"
+	const hanging, unavailable, notListening = "hanging:1", "unavailable:1", "not-listening:1"
 	cases := []struct {
 		name, leader, method, path, body string
 		code                             api.ErrorCode
 	}{
-		{"submit unanswered", silent, "PUT", "/v1/jobs/a", goodJob, api.CodeOutcomeUnknown},
-		{"cancel unanswered", silent, "POST", "/v1/jobs/a/cancel", "", api.CodeOutcomeUnknown},
-		{"config unanswered", silent, "PUT", "/v1/config", goodConfig, api.CodeOutcomeUnknown},
-		{"read unanswered", silent, "GET", "/v1/jobs/a", "", api.CodeUnavailable},
-		{"submit rejected for now", refusing, "PUT", "/v1/jobs/a", goodJob, api.CodeUnavailable},
-		{"no connection", nobody, "PUT", "/v1/jobs/a", goodJob, api.CodeUnavailable},
-		{"no leader known", "", "PUT", "/v1/jobs/a", goodJob, api.CodeUnavailable},
+		{"submit unanswered", hanging, "PUT", "/v1/jobs/a", validJob, api.CodeOutcomeUnknown},
+		{"cancel unanswered", hanging, "POST", "/v1/jobs/a/cancel", "", api.CodeOutcomeUnknown},
+		{"config unanswered", hanging, "PUT", "/v1/config", validConfig, api.CodeOutcomeUnknown},
+		{"read unanswered", hanging, "GET", "/v1/jobs/a", "", api.CodeUnavailable},
+		{"submit to unavailable leader", unavailable, "PUT", "/v1/jobs/a", validJob, api.CodeUnavailable},
+		{"no connection", notListening, "PUT", "/v1/jobs/a", validJob, api.CodeUnavailable},
+		{"no leader known", "", "PUT", "/v1/jobs/a", validJob, api.CodeUnavailable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				network := testnetwork.New()
-				hangAll(newLeaderOn(t, network, silent))
-				failMethod[protocol.SubmitRequest, protocol.SubmitAnswer](newLeaderOn(t, network, refusing), protocol.MethodSubmit, &rpc.Error{Code: rpc.CodeUnavailable})
-				front := newFrontOn(t, network, &fakeLink{leader: c.leader}, Settings{Deadline: shortDeadline})
-				requireError(t, doRequest(t, front, c.method, c.path, c.body, orderHeaders...), 503, c.code)
+				serveNoAnswers(newFakeLeaderOnNetwork(t, network, hanging))
+				failMethod[protocol.SubmitRequest, protocol.SubmitAnswer](newFakeLeaderOnNetwork(t, network, unavailable), protocol.MethodSubmit, &rpc.Error{Code: rpc.CodeUnavailable})
+				front := newFrontOnNetwork(t, network, &fakeLink{leader: c.leader}, Settings{Deadline: shortDeadline})
+				requireError(t, doRequest(t, front, c.method, c.path, c.body, putConfigHeaders...), 503, c.code)
 			})
 		})
 	}
 }
 
-// hangAll serves the methods of TestRelay_GivesUpAtDeadline, and never answers.
-func hangAll(leader *fakeLeader) {
-	hang(leader, protocol.MethodSubmit, protocol.SubmitRequest{}, protocol.SubmitAnswer{})
-	hang(leader, protocol.MethodCancel, protocol.CancelRequest{}, protocol.JobAnswer{})
-	hang(leader, protocol.MethodPutConfig, protocol.PutConfigRequest{}, protocol.PutConfigAnswer{})
-	hang(leader, protocol.MethodGetJob, protocol.GetJobRequest{}, protocol.JobAnswer{})
+// serveNoAnswers applies serveNoAnswer to the methods of TestRelay_GivesUpAtDeadline.
+func serveNoAnswers(leader *fakeLeader) {
+	serveNoAnswer(leader, protocol.MethodSubmit, protocol.SubmitRequest{}, protocol.SubmitAnswer{})
+	serveNoAnswer(leader, protocol.MethodCancel, protocol.CancelRequest{}, protocol.JobAnswer{})
+	serveNoAnswer(leader, protocol.MethodPutConfig, protocol.PutConfigRequest{}, protocol.PutConfigAnswer{})
+	serveNoAnswer(leader, protocol.MethodGetJob, protocol.GetJobRequest{}, protocol.JobAnswer{})
 }
 
-// hang serves a method that never answers within its deadline.
-func hang[Request, Answer any](leader *fakeLeader, method protocol.Method, _ Request, none Answer) {
+// serveNoAnswer serves a method with a handler that returns only when the call is cancelled.
+func serveNoAnswer[Request, Answer any](leader *fakeLeader, method protocol.Method, _ Request, zero Answer) {
 	handleMethod(leader, method, func(ctx context.Context, _ Request, _ int) (Answer, error) {
 		<-ctx.Done()
-		return none, &rpc.Error{Code: rpc.CodeUnknownOutcome}
+		return zero, &rpc.Error{Code: rpc.CodeUnknownOutcome}
 	})
 }
 
 func TestRelay_UnknownOutcomeIsRetriedAtNextLeader(t *testing.T) {
-	old, leader := newLeader(t), newLeader(t)
+	old, leader := newFakeLeader(t), newFakeLeader(t)
 	link := &fakeLink{leader: old.address}
 	handleMethod(old, protocol.MethodSubmit, func(context.Context, protocol.SubmitRequest, int) (protocol.SubmitAnswer, error) {
 		link.ObserveHint(leader.address)
@@ -101,36 +101,37 @@
 		return protocol.SubmitAnswer{Created: false}, nil
 	})
 	front := newFront(t, link, Settings{})
-	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a", goodJob), 200)
-	if old.count() != 1 || leader.count() != 1 {
-		t.Fatalf("%d and %d calls", old.count(), leader.count())
+	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a", validJob), 200)
+	if old.callCount() != 1 || leader.callCount() != 1 {
+		t.Fatalf("got %d and %d calls to the old and the new leader, want 1 call each", old.callCount(), leader.callCount())
 	}
 }
 
-// TestRelay_CallToSilentLeaderMovesToNext: once another leader is known, the call to the old
-// one is cancelled.
-func TestRelay_CallToSilentLeaderMovesToNext(t *testing.T) {
-	old, leader := newLeader(t), newLeader(t)
+// TestRelay_HangingCallMovesToNewLeader checks that a call that the old leader does not answer
+// is cancelled and sent to the new leader once that is known.
+func TestRelay_HangingCallMovesToNewLeader(t *testing.T) {
+	old, leader := newFakeLeader(t), newFakeLeader(t)
 	link := &fakeLink{leader: old.address}
 	handleMethod(old, protocol.MethodSubmit, func(ctx context.Context, _ protocol.SubmitRequest, _ int) (protocol.SubmitAnswer, error) {
-		link.moveTo(leader.address)
+		link.changeLeader(leader.address)
 		<-ctx.Done()
 		return protocol.SubmitAnswer{}, &rpc.Error{Code: rpc.CodeUnknownOutcome}
 	})
-	handleMethod(leader, protocol.MethodSubmit, created)
+	handleMethod(leader, protocol.MethodSubmit, answerCreated)
 	front := newFront(t, link, Settings{})
-	began := time.Now()
-	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a", goodJob), 201)
-	if took := time.Since(began); took >= attemptTimeout {
-		t.Errorf("answered after %v", took)
+	started := time.Now()
+	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a", validJob), 201)
+	if took := time.Since(started); took >= attemptTimeout {
+		t.Errorf("answered after %v, want less than attemptTimeout", took)
 	}
-	if old.count() != 1 || leader.count() != 1 {
-		t.Fatalf("%d and %d calls", old.count(), leader.count())
+	if old.callCount() != 1 || leader.callCount() != 1 {
+		t.Fatalf("got %d and %d calls to the old and the new leader, want 1 call each", old.callCount(), leader.callCount())
 	}
 }
 
-// TestRelay_RejectionAfterUnknownOutcome: a retry that is rejected for now says nothing
-// about the first attempt; a conflict does.
+// TestRelay_RejectionAfterUnknownOutcome checks the answer when the outcome of the first
+// attempt is unknown and the retry is rejected. A rejection that may change with time does not
+// show whether the first attempt took effect; a conflict is final.
 func TestRelay_RejectionAfterUnknownOutcome(t *testing.T) {
 	for code, want := range map[api.ErrorCode]struct {
 		given, status int
@@ -140,7 +141,7 @@
 		api.CodeImpossible: {422, 503, api.CodeOutcomeUnknown},
 		api.CodeConflict:   {409, 409, api.CodeConflict},
 	} {
-		leader := newLeader(t)
+		leader := newFakeLeader(t)
 		handleMethod(leader, protocol.MethodSubmit, func(_ context.Context, _ protocol.SubmitRequest, number int) (protocol.SubmitAnswer, error) {
 			if number == 1 {
 				return protocol.SubmitAnswer{}, &rpc.Error{Code: rpc.CodeUnknownOutcome}
@@ -148,18 +149,18 @@
 			return protocol.SubmitAnswer{}, apiError(want.given, code, 0)
 		})
 		front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
-		requireError(t, doRequest(t, front, "PUT", "/v1/jobs/a", goodJob), want.status, want.code)
-		if leader.count() != 2 {
-			t.Fatalf("%d calls", leader.count())
+		requireError(t, doRequest(t, front, "PUT", "/v1/jobs/a", validJob), want.status, want.code)
+		if leader.callCount() != 2 {
+			t.Fatalf("got %d calls to the leader, want 2", leader.callCount())
 		}
 	}
 }
 
 func TestLongPoll_ContinuesAcrossLeaders(t *testing.T) {
-	old, leader := newLeader(t), newLeader(t)
+	old, leader := newFakeLeader(t), newFakeLeader(t)
 	handleMethod(old, protocol.MethodGetJob, func(_ context.Context, request protocol.GetJobRequest, number int) (protocol.JobAnswer, error) {
 		if request.WaitMillis <= 0 || request.WaitMillis > maxLongPoll.Milliseconds() {
-			t.Errorf("held for %d ms", request.WaitMillis)
+			t.Errorf("got a wait of %d ms, want more than 0 and at most maxLongPoll", request.WaitMillis)
 		}
 		if number == 1 {
 			return protocol.JobAnswer{Status: api.JobStatus{State: api.StateRunning}}, nil
@@ -174,15 +175,15 @@
 	})
 	front := newFront(t, &fakeLink{leader: old.address}, Settings{})
 	if body := requireOK[api.JobStatus](t, doRequest(t, front, "GET", "/v1/jobs/a?wait=10s", ""), 200); body.State != api.StateSucceeded {
-		t.Fatalf("state %s", body.State)
+		t.Fatalf("got state %s, want succeeded", body.State)
 	}
-	if old.count() != 2 || leader.count() != 2 {
-		t.Fatalf("%d and %d calls", old.count(), leader.count())
+	if old.callCount() != 2 || leader.callCount() != 2 {
+		t.Fatalf("got %d and %d calls to the old and the new leader, want 2 calls each", old.callCount(), leader.callCount())
 	}
 }
 
 func TestLongPoll_EndsWithNewestState(t *testing.T) {
-	leader := newLeader(t)
+	leader := newFakeLeader(t)
 	handleMethod(leader, protocol.MethodGetJob, func(_ context.Context, _ protocol.GetJobRequest, number int) (protocol.JobAnswer, error) {
 		if number == 1 {
 			return protocol.JobAnswer{Status: api.JobStatus{State: api.StateRunning}}, nil
@@ -191,15 +192,15 @@
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	if body := requireOK[api.JobStatus](t, doRequest(t, front, "GET", "/v1/jobs/a?wait=2s", ""), 200); body.State != api.StateRunning {
-		t.Fatalf("state %s", body.State)
+		t.Fatalf("got state %s, want running", body.State)
 	}
-	if leader.count() < 2 {
-		t.Fatal("the wait ended with the first answer")
+	if leader.callCount() < 2 {
+		t.Fatal("the wait ended with the first answer, want at least 2 calls to the leader")
 	}
 }
 
 func TestLongPoll_OutlastsServerReadTimeout(t *testing.T) {
-	leader := newLeader(t)
+	leader := newFakeLeader(t)
 	const wait = 300 * time.Millisecond
 	started := time.Now()
 	handleMethod(leader, protocol.MethodGetJob, func(context.Context, protocol.GetJobRequest, int) (protocol.JobAnswer, error) {
@@ -219,30 +220,30 @@
 	defer client.Close()
 	status, err := client.Job(t.Context(), "a", 10*time.Second)
 	if err != nil || status.State != api.StateSucceeded {
-		t.Fatalf("state %q, error %v", status.State, err)
+		t.Fatalf("got state %q, error %v, want succeeded without an error", status.State, err)
 	}
 }
 
 func TestRelay_CallInFlightFinishesAtShutdown(t *testing.T) {
-	leader := newLeader(t)
+	leader := newFakeLeader(t)
 	ctx, stop := context.WithCancel(t.Context())
 	handleMethod(leader, protocol.MethodSubmit, func(ctx context.Context, request protocol.SubmitRequest, number int) (protocol.SubmitAnswer, error) {
 		stop()
-		return created(ctx, request, number)
+		return answerCreated(ctx, request, number)
 	})
 	front := newFront(t, &fakeLink{leader: leader.address}, Settings{})
 	recorder := httptest.NewRecorder()
-	front.ServeHTTP(recorder, httptest.NewRequestWithContext(ctx, "PUT", "/v1/jobs/a", strings.NewReader(goodJob)))
+	front.ServeHTTP(recorder, httptest.NewRequestWithContext(ctx, "PUT", "/v1/jobs/a", strings.NewReader(validJob)))
 	requireOK[api.SubmitAnswer](t, recorder, 201)
 }
 
-// TestRelay_StaleFrontGivesUpEarly: a front that is cut off by a partition must not keep its
-// callers until the deadline, which is an hour here.
+// TestRelay_StaleFrontGivesUpEarly guards against a front that a network partition separates
+// from the leader letting its callers wait until the deadline, which is an hour here.
 func TestRelay_StaleFrontGivesUpEarly(t *testing.T) {
 	front := newFront(t, &fakeLink{stale: true}, Settings{Deadline: time.Hour})
 	answer := doRequest(t, front, "GET", "/v1/jobs/a", "")
 	requireError(t, answer, 503, api.CodeUnavailable)
 	if answer.Header().Get("Retry-After") == "" {
-		t.Error("no Retry-After")
+		t.Error("answer has no Retry-After header")
 	}
 }
--- a/internal/front/routes.go
+++ b/internal/front/routes.go
@@ -12,19 +12,20 @@
 	"github.com/decklever/decklever/internal/httpjson"
 )
 
-// endpoint serves one call. It returns the status and the body, or an error.
+// endpoint handles one request. It returns the HTTP status and the body, or an error.
 type endpoint func(writer http.ResponseWriter, request *http.Request) (status int, body any, refusal *api.Error)
 
-// routes builds the router. Every request passes identify, measure and
-// recoverPanic; those of the interface pass limitInFlight as well.
+// routes returns the router. Every request passes through assignRequestID, observe and
+// recoverPanic; requests below /v1 also pass through limitInFlight. status serves the health
+// and metrics paths, unless it is nil.
 func (f *Front) routes(status http.Handler) http.Handler {
 	router := chi.NewRouter()
-	router.Use(identify, f.measure, f.recoverPanic)
+	router.Use(assignRequestID, f.observe, f.recoverPanic)
 	router.NotFound(func(writer http.ResponseWriter, request *http.Request) {
-		writeError(writer, httpjson.NothingAt(request.URL.Path))
+		writeError(writer, httpjson.PathNotFound(request.URL.Path))
 	})
 	router.MethodNotAllowed(func(writer http.ResponseWriter, request *http.Request) {
-		refuseMethod(writer, request, router)
+		rejectMethod(writer, request, router)
 	})
 	if status != nil {
 		for _, path := range []string{"/healthz", "/readyz", "/metrics"} {
@@ -64,7 +65,7 @@
 	v1.Get("/config/rollout", serveRead(f.Rollout))
 }
 
-// serve makes an endpoint an HTTP handler.
+// serve returns an HTTP handler for an endpoint.
 func serve(call endpoint) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		status, body, refusal := call(writer, request)
@@ -76,7 +77,7 @@
 	}
 }
 
-// serveRead makes a read without parameters an HTTP handler.
+// serveRead returns an HTTP handler for a read without parameters.
 func serveRead[Answer any](call func(ctx context.Context) (Answer, *api.Error)) http.HandlerFunc {
 	return serve(func(_ http.ResponseWriter, request *http.Request) (int, any, *api.Error) {
 		answer, refusal := call(request.Context())
@@ -84,9 +85,9 @@
 	})
 }
 
-// refuseMethod answers a method that the path does not have. The header Allow has those
-// that it has.
-func refuseMethod(writer http.ResponseWriter, request *http.Request, router chi.Router) {
+// rejectMethod answers 405 for a method that the path does not support. The Allow header
+// lists the supported methods.
+func rejectMethod(writer http.ResponseWriter, request *http.Request, router chi.Router) {
 	var allowed []string
 	for _, method := range []string{http.MethodGet, http.MethodPut, http.MethodPost, http.MethodDelete} {
 		if router.Match(chi.NewRouteContext(), method, request.URL.Path) {
@@ -95,5 +96,5 @@
 	}
 	list := strings.Join(allowed, ", ")
 	message := fmt.Sprintf("%s has no %s; it has %s", request.URL.Path, request.Method, list)
-	httpjson.RefuseMethod(writer, list, message)
+	httpjson.WriteMethodNotAllowed(writer, list, message)
 }
--- a/internal/front/samples_test.go
+++ b/internal/front/samples_test.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// serveSamples has the leader answer every method, with every field set.
+// serveSamples makes the leader answer every method that fronts call with sample data.
 func serveSamples(leader *fakeLeader) {
 	handleMethod(leader, protocol.MethodSubmit, func(_ context.Context, request protocol.SubmitRequest, _ int) (protocol.SubmitAnswer, error) {
 		return protocol.SubmitAnswer{Created: request.ID == "new"}, submitRefusals[request.ID]
@@ -39,15 +39,15 @@
 	serveAnswer[protocol.Empty](leader, protocol.MethodRollout, protocol.RolloutAnswer{Rollout: api.Rollout{
 		Version: 7, Processes: []api.ProcessRollout{{Process: "f1", Role: "front", Zone: "z1", Version: 6, AgeMillis: 5}},
 	}})
-	room := api.Resources{CPUMillis: 8000, MemoryMB: 64, Accelerators: 1}
+	resources := api.Resources{CPUMillis: 8000, MemoryMB: 64, Accelerators: 1}
 	serveAnswer[protocol.Empty](leader, protocol.MethodWorkers, protocol.WorkersAnswer{List: api.WorkerList{Workers: []api.WorkerStatus{
-		{Name: "w1", WorkerID: "i", Zone: "z1", State: api.WorkerDraining, Reason: "r", Capacity: room, Used: room, Services: []string{"s"}, Labels: map[string]string{"zone": "z1"}, Runs: 1, SilentMillis: 3},
+		{Name: "w1", WorkerID: "i", Zone: "z1", State: api.WorkerDraining, Reason: "r", Capacity: resources, Used: resources, Services: []string{"s"}, Labels: map[string]string{"zone": "z1"}, Runs: 1, SilentMillis: 3},
 		{Name: "w2", State: api.WorkerReady, Services: []string{}},
 	}}})
 	serveAnswer[protocol.Empty](leader, protocol.MethodMembers, protocol.MembersAnswer{List: api.MemberList{Token: 2, CommitIndex: 9, Members: []api.MemberStatus{{ReplicaID: "r", Name: "s1"}}}})
 	serveAnswer[protocol.BookingsRequest](leader, protocol.MethodBookings, protocol.BookingsAnswer{List: api.BookingList{Bookings: []api.BookingStatus{{
 		Queue: "q", Booking: "opening", Start: sampleTime, End: sampleTime, HeldFrom: sampleTime, State: api.BookingOpen, Slots: 3, Placed: 2, Used: 1,
-		Slice: room, Service: "s", BestEffort: true, Workers: []api.BookingSlices{{Worker: "w1", Slots: 2, Used: 1}},
+		Slice: resources, Service: "s", BestEffort: true, Workers: []api.BookingSlices{{Worker: "w1", Slots: 2, Used: 1}},
 	}, {Queue: "q", Booking: "closing", State: api.BookingPlanned}}}})
 	handleMethod(leader, protocol.MethodRelease, func(_ context.Context, request protocol.ReleaseRequest, _ int) (protocol.Empty, error) {
 		if request.Release.Booking == "missing" {
@@ -72,12 +72,12 @@
 	serveAnswer[protocol.Empty](leader, protocol.MethodQueues, protocol.QueuesAnswer{List: api.QueueList{Queues: []api.QueueStatus{{Name: "q", Jobs: 1}}}})
 }
 
-// serveAnswer serves a method with one answer.
+// serveAnswer makes the leader give the same answer to every call of a method.
 func serveAnswer[Request, Answer any](leader *fakeLeader, method protocol.Method, answer Answer) {
 	handleMethod(leader, method, func(context.Context, Request, int) (Answer, error) { return answer, nil })
 }
 
-// submitRefusals are the answers to jobs of these names.
+// submitRefusals has the errors that the leader answers to submissions, by job id.
 var submitRefusals = map[string]error{
 	"conflict":   apiError(409, api.CodeConflict, 0),
 	"impossible": apiError(422, api.CodeImpossible, 0),
@@ -86,7 +86,7 @@
 	"broken":     apiError(500, api.CodeInternal, 0),
 }
 
-const goodRelease = `{"queue":"q","booking":"opening","start":"2026-01-31T14:00:00Z"}`
+const validRelease = `{"queue":"q","booking":"opening","start":"2026-01-31T14:00:00Z"}`
 
 var sampleTime = time.Date(2026, 1, 31, 14, 0, 0, 5e6, time.UTC)
 
--- a/internal/httpjson/doc.go
+++ b/internal/httpjson/doc.go
@@ -1,4 +1,4 @@
-// Package httpjson writes the JSON answers of the HTTP interfaces: a body with
-// its status, or a refusal in the one error shape of package api. It says how
-// answers look; who is refused, and for what, is up to its callers.
+// Package httpjson writes the JSON answers of the HTTP interfaces: a status with
+// a body, or an error as api.Error. It defines only the form of the answers; its
+// callers decide which requests are rejected, and why.
 package httpjson
