--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,44 +16,46 @@
 )
 
 const (
-	// HeartbeatPath is where workers post their heartbeats.
+	// HeartbeatPath is the route to which workers post heartbeats.
 	HeartbeatPath = "/v1/heartbeat"
-	// maxHeartbeatBytes is the largest body of a heartbeat.
+	// maxHeartbeatBytes is the maximum size of a heartbeat's body.
 	maxHeartbeatBytes = 1 << 20
 )
 
-// Config is what an Agent needs. All but Status, Logger and Registerer is required.
+// Config configures an Agent. All fields except Status, Logger and Registerer are
+// required.
 type Config struct {
 	// Name is the agent's process name.
 	Name string
-	// Zone returns the zone that is in the settings now; it becomes the "zone" label of
-	// the workers.
+	// Zone returns the zone in the current settings. The agent sets it as the "zone" label
+	// of its workers.
 	Zone func() string
-	// RelayTimeout bounds the relay of one heartbeat, on the monotonic clock.
+	// RelayTimeout bounds the relay of one heartbeat or leave notice, on the monotonic
+	// clock.
 	RelayTimeout time.Duration
-	// Link tracks the leader; it needs only the version of the configuration.
+	// Link tracks the leader. The agent uses only the version of the configuration.
 	Link *leaderclient.Client
-	// Client carries the calls to schedulers.
+	// Client makes the calls to schedulers.
 	Client *rpc.Client
 	// Status serves /healthz, /readyz and /metrics. Optional.
 	Status http.Handler
-	// Logger defaults to none.
+	// Logger defaults to one that discards everything.
 	Logger *slog.Logger
-	// Registerer takes the agent's metrics. Optional.
+	// Registerer registers the agent's metrics. Optional.
 	Registerer prometheus.Registerer
 }
 
 // Agent serves the workers of one machine. It is an http.Handler.
 type Agent struct {
-	config  Config
-	routes  *http.ServeMux
-	workers *sequences
-	// departures are the workers that gave notice that they leave.
+	config    Config
+	routes    *http.ServeMux
+	sequences *sequences
+	// departures has the workers that sent a leave notice.
 	departures *departures
 	metrics    *metrics
 }
 
-// New returns an agent that is ready to serve; it starts no goroutine.
+// New returns an agent that is ready to serve. It starts no goroutine.
 func New(config Config) (*Agent, error) {
 	if config.Name == "" || config.Zone == nil || config.Link == nil || config.Client == nil || config.RelayTimeout <= 0 {
 		return nil, errors.New("agent: Name, Zone, RelayTimeout, Link and Client are required")
@@ -65,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{config: config, routes: http.NewServeMux(), workers: newSequences(), departures: newDepartures(), metrics: metrics}
+	a := &Agent{config: config, routes: http.NewServeMux(), sequences: newSequences(), departures: newDepartures(), metrics: metrics}
 	a.routes.HandleFunc(HeartbeatPath, a.serveHeartbeat)
 	a.routes.HandleFunc(LeavePath, a.serveLeave)
 	if config.Status != nil {
@@ -93,7 +95,7 @@
 		httpjson.WriteError(writer, refusal)
 		return
 	}
-	answer, refusal := a.relayNewest(request.Context(), heartbeat)
+	answer, refusal := a.relayIfNewest(request.Context(), heartbeat)
 	if refusal != nil {
 		httpjson.WriteError(writer, refusal)
 		return
@@ -101,27 +103,27 @@
 	httpjson.Write(writer, http.StatusOK, answer)
 }
 
-// Heartbeat relays one heartbeat of a worker, as a POST to HeartbeatPath does.
+// Heartbeat validates and relays one heartbeat of a worker, like a POST to HeartbeatPath.
 func (a *Agent) Heartbeat(ctx context.Context, heartbeat api.Heartbeat) (api.HeartbeatAnswer, *api.Error) {
 	if fields := validateHeartbeat(heartbeat); len(fields) > 0 {
 		a.metrics.countResult(resultInvalid)
 		return api.HeartbeatAnswer{}, httpjson.Invalid("heartbeat", fields)
 	}
-	return a.relayNewest(ctx, heartbeat)
+	return a.relayIfNewest(ctx, heartbeat)
 }
 
-// relayNewest relays a heartbeat, unless a newer one of the worker has come before or
-// comes meanwhile.
-func (a *Agent) relayNewest(ctx context.Context, heartbeat api.Heartbeat) (api.HeartbeatAnswer, *api.Error) {
+// relayIfNewest relays a heartbeat. It returns an error if a heartbeat of the worker with
+// the same or a higher seq came before, or a newer one arrives during the relay.
+func (a *Agent) relayIfNewest(ctx context.Context, heartbeat api.Heartbeat) (api.HeartbeatAnswer, *api.Error) {
 	ctx, cancel := context.WithTimeout(ctx, a.config.RelayTimeout)
 	defer cancel()
-	ticket, ok := a.workers.beginRelay(heartbeat.WorkerID, heartbeat.Seq, cancel, time.Now())
+	ticket, ok := a.sequences.beginRelay(heartbeat.WorkerID, heartbeat.Seq, cancel, time.Now())
 	if !ok {
 		a.metrics.countResult(resultOldSeq)
 		return api.HeartbeatAnswer{}, oldSeq(heartbeat)
 	}
 	answer, refusal := a.relay(ctx, a.departures.annotate(heartbeat, time.Now()))
-	isNewest := a.workers.endRelay(ticket)
+	isNewest := a.sequences.endRelay(ticket)
 	if refusal == nil && !isNewest {
 		a.metrics.countResult(resultSuperseded)
 		refusal = unavailable("a newer heartbeat of this worker came in")
--- a/internal/agent/errors.go
+++ b/internal/agent/errors.go
@@ -9,10 +9,11 @@
 	"github.com/decklever/decklever/internal/httpjson"
 )
 
-// retryAfter is the Retry-After of a 503. Workers keep to their own interval.
+// retryAfter is the Retry-After of a 503. Workers ignore it and send heartbeats at their
+// own interval.
 const retryAfter = time.Second
 
-// unavailable is the 503 with which a worker goes on with its next seq.
+// unavailable returns a 503, after which a worker continues with its next seq.
 func unavailable(message string) *api.Error {
 	return &api.Error{
 		Status:           http.StatusServiceUnavailable,
@@ -22,7 +23,8 @@
 	}
 }
 
-// oldSeq rejects a heartbeat that is not newer than all of its worker before.
+// oldSeq returns the error for a heartbeat whose seq is not higher than all earlier ones of
+// its worker.
 func oldSeq(heartbeat api.Heartbeat) *api.Error {
 	return &api.Error{
 		Status:  http.StatusConflict,
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -19,7 +19,7 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// fakeScheduler is a leader that records the heartbeats that reach it.
+// fakeScheduler is a leader that records the heartbeats it receives.
 type fakeScheduler struct {
 	address string
 	server  *rpc.Server
@@ -28,19 +28,19 @@
 	calls []protocol.HeartbeatRequest
 	token uint64
 	err   error
-	// configVersion is that of the answers.
+	// configVersion is the configuration version in answers.
 	configVersion uint64
-	// seq, if not 0, is answered instead of the heartbeat's.
+	// seq, if not 0, replaces the heartbeat's seq in answers.
 	seq uint64
-	// release, if not nil, is what calls wait for.
+	// release, if not nil, blocks calls until it is closed.
 	release chan struct{}
-	// begun, if not nil, gets the seq of each call.
-	begun chan uint64
-	// allowed is the time that the newest call had until its deadline.
-	allowed time.Duration
+	// started, if not nil, receives the seq of each call.
+	started chan uint64
+	// callTimeout is the time that the latest call had until its deadline.
+	callTimeout time.Duration
 }
 
-// startScheduler starts a leader with token 1.
+// startScheduler starts a leader with fencing token 1.
 func startScheduler(t *testing.T) *fakeScheduler {
 	t.Helper()
 	server := rpc.NewServer(rpc.ServerConfig{})
@@ -56,9 +56,9 @@
 	f.mutex.Lock()
 	f.calls = append(f.calls, request)
 	if deadline, bounded := ctx.Deadline(); bounded {
-		f.allowed = time.Until(deadline)
+		f.callTimeout = time.Until(deadline)
 	}
-	err, release, begun := f.err, f.release, f.begun
+	err, release, started := f.err, f.release, f.started
 	answer := api.HeartbeatAnswer{
 		Seq: request.Heartbeat.Seq, Token: f.token, HoldMillis: 3000, IntervalMillis: 200, ConfigVersion: f.configVersion,
 	}
@@ -66,8 +66,8 @@
 		answer.Seq = f.seq
 	}
 	f.mutex.Unlock()
-	if begun != nil {
-		begun <- request.Heartbeat.Seq
+	if started != nil {
+		started <- request.Heartbeat.Seq
 	}
 	if release != nil {
 		select {
@@ -78,20 +78,20 @@
 	return protocol.HeartbeatAnswer{Answer: answer}, err
 }
 
-// countResult is the number of heartbeats so far.
-func (f *fakeScheduler) count() int {
+// callCount returns the number of heartbeats received so far.
+func (f *fakeScheduler) callCount() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return len(f.calls)
 }
 
-// testAgent is an agent with the link that it uses.
+// testAgent is an agent and the leader client that it uses.
 type testAgent struct {
 	*Agent
 	link *leaderclient.Client
 }
 
-// startAgent returns an agent whose link was given a hint to the leader, and does not run.
+// startAgent returns an agent whose leader client got a hint to leader, but does not run.
 func startAgent(t *testing.T, leader string, timeout time.Duration) testAgent {
 	t.Helper()
 	client := rpc.NewClient(rpc.ClientConfig{})
@@ -110,7 +110,7 @@
 	return testAgent{Agent: agent, link: link}
 }
 
-// heartbeatBody is the body of a valid heartbeat.
+// heartbeatBody returns the body of a valid heartbeat.
 func heartbeatBody(t *testing.T, workerID string, seq uint64) []byte {
 	t.Helper()
 	body, err := json.Marshal(api.Heartbeat{
@@ -130,13 +130,13 @@
 	return recorder
 }
 
-// requireStatus checks the status of a response; a 503 must have Retry-After.
+// requireStatus checks the status of a response. A 503 must have a Retry-After header.
 func requireStatus(t *testing.T, response *httptest.ResponseRecorder, status int) {
 	t.Helper()
 	if response.Code != status {
-		t.Fatalf("status %d, want %d: %s", response.Code, status, response.Body)
+		t.Fatalf("got status %d, want %d: %s", response.Code, status, response.Body)
 	}
 	if status == http.StatusServiceUnavailable && response.Header().Get("Retry-After") == "" {
-		t.Error("503 without Retry-After")
+		t.Error("got 503 without Retry-After, want the header")
 	}
 }
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// LeavePath is where workers post the notice that they leave.
+	// LeavePath is the route to which workers post leave notices.
 	LeavePath = "/v1/leave"
-	// maxLeaveBytes is the largest body of a notice.
+	// maxLeaveBytes is the maximum size of a leave notice's body.
 	maxLeaveBytes = 4 << 10
-	// maxLeaveAttempts is how often a notice is sent, to follow a hint to another
-	// scheduler. Unlike a heartbeat, a notice is idempotent.
+	// maxLeaveAttempts is the maximum number of calls per notice, so that a leader hint can
+	// be followed. Unlike a heartbeat, a notice is idempotent.
 	maxLeaveAttempts = 2
-	// maxRemainingMillis is the longest time that a notice may have left.
+	// maxRemainingMillis is the maximum remaining time, in ms, in a notice or heartbeat.
 	maxRemainingMillis = int64(24 * time.Hour / time.Millisecond)
 )
 
@@ -45,10 +45,9 @@
 	httpjson.Write(writer, http.StatusOK, api.LeaveAnswer{Leaving: true})
 }
 
-// Leave relays the notice of a worker that it is about to end. remainingMillis is the
-// least time that the worker still has; 0 if that is not known. Whatever the outcome of
-// the call, all later heartbeats of the worker say that it is draining, so that later
-// leaders learn of it as well.
+// Leave relays a worker's notice that it is about to exit. remainingMillis is the minimum
+// time until the exit; 0 if not known. Later heartbeats of the worker are relayed as
+// draining even if the call failed, so that later leaders receive the notice as well.
 func (a *Agent) Leave(ctx context.Context, workerID string, remainingMillis int64) *api.Error {
 	if fields := validateNotice(workerID, remainingMillis); len(fields) > 0 {
 		return httpjson.Invalid("notice", fields)
@@ -72,7 +71,8 @@
 	return refusal
 }
 
-// handleLeaveFailure passes a failed call on to the link, and returns the worker's answer.
+// handleLeaveFailure updates the leader client after a failed call, and returns the error
+// for the worker.
 func (a *Agent) handleLeaveFailure(ctx context.Context, leader, workerID string, err error) *api.Error {
 	a.config.Logger.Debug("notice not relayed", slog.String("worker_id", workerID), slog.String("address", leader), slog.Any("error", err))
 	var failure *rpc.Error
@@ -94,34 +94,34 @@
 	return unavailable("the leading scheduler did not answer")
 }
 
-// validateNotice returns an error for each field that is not valid.
+// validateNotice returns an error for each invalid field.
 func validateNotice(workerID string, remainingMillis int64) []api.FieldError {
 	var c checker
 	c.check(workerID != "" && len(workerID) <= maxWorkerIDBytes, "worker_id", workerID, "1 to 128 bytes, as in the heartbeats")
-	c.remaining(remainingMillis)
+	c.checkRemaining(remainingMillis)
 	return c.fields
 }
 
-func (c *checker) remaining(millis int64) {
+func (c *checker) checkRemaining(millis int64) {
 	c.check(millis >= 0 && millis <= maxRemainingMillis, "remaining_ms", strconv.FormatInt(millis, 10), "0 to 86400000")
 }
 
-// departures has the workers that gave notice that they leave. It is safe for concurrent
-// use.
+// departures has the workers that sent a leave notice, by worker id. It is safe for
+// concurrent use.
 type departures struct {
 	mutex   sync.Mutex
 	workers map[string]*departure
 }
 
 type departure struct {
-	// endsAt is the earliest end of the worker; zero if that is not known.
+	// endsAt is the earliest time at which the worker exits; zero if not known.
 	endsAt   time.Time
 	lastSeen time.Time
 }
 
 func newDepartures() *departures { return &departures{workers: make(map[string]*departure)} }
 
-// record stores a notice, and drops workers that were idle for long.
+// record stores a notice, and removes workers that were idle for more than idleTimeout.
 func (d *departures) record(workerID string, remainingMillis int64, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -141,7 +141,8 @@
 	}
 }
 
-// annotate returns a heartbeat with the notice that its worker gave.
+// annotate returns the heartbeat, set to draining if its worker sent a leave notice. The
+// remaining time is at least 1 ms, because 0 means not known.
 func (d *departures) annotate(heartbeat api.Heartbeat, now time.Time) api.Heartbeat {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -13,8 +13,8 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// newLeaveScheduler starts a scheduler that answers notices with err, and returns its
-// address and the notices that it gets.
+// newLeaveScheduler starts a scheduler that answers leave notices with err, and returns its
+// address and the notices that it receives.
 func newLeaveScheduler(t *testing.T, err error) (address string, notices *[]protocol.LeaveRequest) {
 	t.Helper()
 	notices = &[]protocol.LeaveRequest{}
@@ -41,11 +41,11 @@
 	answer := agent.postLeave(http.MethodPost, `{"worker_id":"id","remaining_ms":2000}`)
 	requireStatus(t, answer, http.StatusOK)
 	if strings.TrimSpace(answer.Body.String()) != `{"leaving":true}` {
-		t.Errorf("answer %s", answer.Body)
+		t.Errorf("got answer %s, want leaving true", answer.Body)
 	}
 	want := protocol.LeaveRequest{WorkerID: "id", RemainingMillis: 2000}
 	if len(*notices) != 1 || (*notices)[0] != want {
-		t.Errorf("the leader got %+v", *notices)
+		t.Errorf("leader got notices %+v, want one as posted", *notices)
 	}
 }
 
@@ -54,10 +54,10 @@
 	follower, rejected := newLeaveScheduler(t, &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: address})
 	agent := startAgent(t, follower, time.Second)
 	if refusal := agent.Leave(t.Context(), "id", 0); refusal != nil {
-		t.Fatalf("rejected: %v", refusal)
+		t.Fatalf("got error %v, want none", refusal)
 	}
 	if len(*rejected) != 1 || len(*notices) != 1 {
-		t.Errorf("%d and %d calls, want one each", len(*rejected), len(*notices))
+		t.Errorf("got %d calls to the follower and %d to the leader, want one each", len(*rejected), len(*notices))
 	}
 }
 
@@ -70,8 +70,8 @@
 	requireStatus(t, agent.postLeave(http.MethodPost, `{"worker_id":"id"}`), http.StatusServiceUnavailable)
 }
 
-// TestLeave_LaterHeartbeatsSayDraining: also after a notice that no leader accepted, so that
-// the next leader learns of it.
+// TestLeave_LaterHeartbeatsSayDraining: a notice that no leader accepted must still reach the
+// next leader, with the worker's heartbeats.
 func TestLeave_LaterHeartbeatsSayDraining(t *testing.T) {
 	scheduler := startScheduler(t) // does not serve notices
 	agent := startAgent(t, scheduler.address, time.Second)
@@ -80,10 +80,10 @@
 	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusOK)
 	requireStatus(t, agent.post(heartbeatBody(t, "other", 1)), http.StatusOK)
 	if leaving := scheduler.calls[0].Heartbeat; !leaving.Draining || leaving.RemainingMillis <= 0 || leaving.RemainingMillis > 60000 {
-		t.Errorf("the heartbeat says draining %v, %d ms", leaving.Draining, leaving.RemainingMillis)
+		t.Errorf("leaving worker: got draining %v, remaining %d ms, want true, 1 to 60000 ms", leaving.Draining, leaving.RemainingMillis)
 	}
 	if other := scheduler.calls[1].Heartbeat; other.Draining || other.RemainingMillis != 0 {
-		t.Errorf("another worker's heartbeat says draining %v, %d ms", other.Draining, other.RemainingMillis)
+		t.Errorf("other worker: got draining %v, remaining %d ms, want false, 0 ms", other.Draining, other.RemainingMillis)
 	}
 }
 
@@ -93,10 +93,10 @@
 	departures.record("a", 1000, now)
 	departures.record("b", 0, now.Add(idleTimeout))
 	if got := departures.annotate(api.Heartbeat{WorkerID: "a"}, now.Add(idleTimeout)); !got.Draining || got.RemainingMillis != 1 {
-		t.Errorf("annotated %+v", got)
+		t.Errorf("got %+v, want draining and 1 ms remaining", got)
 	}
 	departures.record("c", 0, now.Add(2*idleTimeout+1))
 	if len(departures.workers) != 1 {
-		t.Errorf("%d workers, want 1", len(departures.workers))
+		t.Errorf("got %d workers, want 1", len(departures.workers))
 	}
 }
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/internal/leaderclient"
 )
 
-// result is the outcome of a heartbeat, as a metrics label.
+// result is the outcome of a heartbeat, as the value of a metric label.
 type result string
 
 const (
@@ -31,7 +31,7 @@
 	staleTokens  prometheus.Counter
 }
 
-// newMetrics makes the metrics, and registers them if there is a registerer.
+// newMetrics creates the metrics, and registers them unless registerer is nil.
 func newMetrics(registerer prometheus.Registerer, link *leaderclient.Client) (*metrics, error) {
 	m := &metrics{
 		heartbeats: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -56,12 +56,13 @@
 	return m, nil
 }
 
-// watchAge is the time since the last answer of the leader; -1 before the first.
+// watchAge returns a gauge of the seconds since the leader last answered the watch or a
+// heartbeat; -1 before the first answer.
 func watchAge(link *leaderclient.Client) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "decklever_agent_watch_age_seconds", Help: "Time since the leader last answered the watch or a heartbeat; -1 if never.",
 	}, func() float64 {
-		age, known := link.Age()
+		age, known := link.TimeSinceAnswer()
 		if !known {
 			return -1
 		}
@@ -75,5 +76,5 @@
 	}, func() float64 { return float64(link.Token()) })
 }
 
-// countResult counts a heartbeat by its outcome.
+// countResult increments the heartbeat counter of an outcome.
 func (m *metrics) countResult(outcome result) { m.heartbeats.WithLabelValues(string(outcome)).Inc() }
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -14,25 +14,26 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// zoneLabel is the worker label that the agent sets.
+// zoneLabel is the worker label that the agent sets, whatever the worker reports.
 const zoneLabel = "zone"
 
-// suspectTimeout bounds a call to a scheduler that may no longer lead, so that the next
-// leader is called before the worker's lease expires.
+// suspectTimeout bounds a call to a scheduler that may no longer be the leader, so that the
+// next leader is called before the worker's lease expires.
 const suspectTimeout = 300 * time.Millisecond
 
-// leaderPollInterval is how often a heartbeat without a leader checks for one.
+// leaderPollInterval is the time between two checks for a leader while none is known.
 const leaderPollInterval = 10 * time.Millisecond
 
 // leaderTarget is the scheduler that a heartbeat is relayed to.
 type leaderTarget struct {
 	address string
-	// suspect is true for the previous leader, while none is known.
+	// suspect is true for the previous leader, which is called while no leader is known.
 	suspect bool
 }
 
-// pickTarget picks the scheduler for a heartbeat. While no leader is known that is the
-// previous one, since the worker's reports must not wait for a leader to be confirmed.
+// pickTarget returns the leader, or the previous leader while none is known, because a
+// worker's reports must not wait for a leader to be confirmed. It returns false if there is
+// neither.
 func (a *Agent) pickTarget() (leaderTarget, bool) {
 	if address, known := a.config.Link.Leader(); known {
 		return leaderTarget{address: address}, true
@@ -41,10 +42,10 @@
 	return leaderTarget{address: address, suspect: true}, known
 }
 
-// relay relays a heartbeat to the leader. While none is known, and after a call that
-// certainly did not arrive, it waits for one until ctx ends. In the second case it waits
-// for leaderPollInterval at least, as the known leader may still be the one that failed. A
-// heartbeat that may have arrived is never sent again.
+// relay relays a heartbeat to the leader. If there is no scheduler to call, and after a call
+// that certainly did not arrive, it waits for a leader until ctx ends. After such a call it
+// waits at least leaderPollInterval, because the known leader may still be the one that
+// could not be reached. A heartbeat that may have arrived is never sent again.
 func (a *Agent) relay(ctx context.Context, heartbeat api.Heartbeat) (api.HeartbeatAnswer, *api.Error) {
 	for {
 		leader, known := a.pickTarget()
@@ -62,7 +63,8 @@
 	}
 }
 
-// awaitLeader waits until a leader is known or ctx ends, and reports whether one is known.
+// awaitLeader waits until a leader is known or ctx ends, and reports whether a leader is
+// known.
 func (a *Agent) awaitLeader(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		if _, known := a.config.Link.Leader(); known {
@@ -73,7 +75,8 @@
 	return false
 }
 
-// attempt makes one call. unsent is true if the heartbeat certainly did not arrive.
+// attempt makes one call to leader. unsent is true if the heartbeat certainly did not
+// arrive.
 func (a *Agent) attempt(ctx context.Context, leader leaderTarget, heartbeat api.Heartbeat) (answer api.HeartbeatAnswer, unsent bool, refusal *api.Error) {
 	timeout := a.config.RelayTimeout
 	if leader.suspect {
@@ -86,22 +89,22 @@
 	defer end()
 	reply, err := rpc.Call[protocol.HeartbeatRequest, protocol.HeartbeatAnswer](
 		supervised, a.config.Client, leader.address, protocol.MethodHeartbeat, a.newRequest(heartbeat))
-	took := time.Since(sentAt)
-	a.metrics.relaySeconds.Observe(took.Seconds())
+	elapsed := time.Since(sentAt)
+	a.metrics.relaySeconds.Observe(elapsed.Seconds())
 	if err != nil {
 		var failure *rpc.Error
 		unsent = errors.As(err, &failure) && failure.Unsent
 		return answer, unsent, a.handleRelayFailure(ctx, leader, heartbeat, err)
 	}
-	answer, refusal = a.acceptAnswer(leader, heartbeat, reply.Answer, sentAt, took)
+	answer, refusal = a.acceptAnswer(leader, heartbeat, reply.Answer, sentAt, elapsed)
 	return answer, false, refusal
 }
 
-// acceptAnswer takes in the answer to a heartbeat that was sent at sentAt and took took, and
-// returns it for the worker.
-func (a *Agent) acceptAnswer(leader leaderTarget, heartbeat api.Heartbeat, answer api.HeartbeatAnswer, sentAt time.Time, took time.Duration) (api.HeartbeatAnswer, *api.Error) {
-	// A process that was frozen finds answers that came long ago.
-	if took >= a.config.RelayTimeout {
+// acceptAnswer checks the answer to a heartbeat that was sent at sentAt and answered after
+// elapsed, updates the leader client, and returns the answer for the worker.
+func (a *Agent) acceptAnswer(leader leaderTarget, heartbeat api.Heartbeat, answer api.HeartbeatAnswer, sentAt time.Time, elapsed time.Duration) (api.HeartbeatAnswer, *api.Error) {
+	// A process that resumes after a suspension may read an answer that arrived long ago.
+	if elapsed >= a.config.RelayTimeout {
 		a.metrics.countResult(resultLate)
 		return api.HeartbeatAnswer{}, unavailable("the leading scheduler answered too late")
 	}
@@ -115,8 +118,8 @@
 	return checked, refusal
 }
 
-// newRequest returns the request for a heartbeat, with the agent's zone as a label of the
-// worker.
+// newRequest returns the request for a heartbeat, with the agent's zone as the worker's zone
+// label.
 func (a *Agent) newRequest(heartbeat api.Heartbeat) protocol.HeartbeatRequest {
 	zone := a.config.Zone()
 	labels := make(map[string]string, len(heartbeat.Labels)+1)
@@ -128,7 +131,8 @@
 	}
 }
 
-// checkAnswer returns an answer, or an error for one that the worker must not get.
+// checkAnswer returns the answer, or an error if the worker must not get it: it is for
+// another seq or has a stale token.
 func (a *Agent) checkAnswer(heartbeat api.Heartbeat, answer api.HeartbeatAnswer) (api.HeartbeatAnswer, *api.Error) {
 	if answer.Seq != heartbeat.Seq {
 		a.metrics.countResult(resultFailed)
@@ -144,7 +148,8 @@
 	return answer, nil
 }
 
-// handleRelayFailure passes a failed call on to the link, and returns the worker's answer.
+// handleRelayFailure counts a failed call, updates the leader client, and returns the error
+// for the worker.
 func (a *Agent) handleRelayFailure(ctx context.Context, leader leaderTarget, heartbeat api.Heartbeat, err error) *api.Error {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		a.metrics.countResult(resultSuperseded)
@@ -175,8 +180,9 @@
 	return unavailable("the leading scheduler did not answer")
 }
 
-// redirect passes a hint of the scheduler that was called on to the link, unless that
-// knows another leader by now.
+// redirect passes the leader hint of the called scheduler to the leader client, unless the
+// client knows another leader by now. A scheduler that names itself counts as one that
+// knows no leader.
 func (a *Agent) redirect(called, hint string) {
 	current, known := a.config.Link.Leader()
 	if known && current != called {
--- a/internal/agent/relay_pause_test.go
+++ b/internal/agent/relay_pause_test.go
@@ -19,9 +19,9 @@
 
 // TestRelay_RefusedConnectionWaitsBeforeNextAttempt: a leader that has just answered the
 // watch stays known for confirmedGrace, although connections to it are refused. Without a
-// wait, the relay would make as many attempts as it can.
+// wait between attempts, the relay would dial in a busy loop.
 func TestRelay_RefusedConnectionWaitsBeforeNextAttempt(t *testing.T) {
-	const relayTime = 300 * time.Millisecond
+	const relayTimeout = 300 * time.Millisecond
 	scheduler := startScheduler(t)
 	watched := make(chan struct{})
 	var once sync.Once
@@ -29,14 +29,14 @@
 		once.Do(func() { close(watched) })
 		return protocol.WatchAnswer{Token: 1, LeaseMillis: 1500}, nil
 	})
-	watching := rpc.NewClient(rpc.ClientConfig{})
+	watchClient := rpc.NewClient(rpc.ClientConfig{})
 	var dials atomic.Int64
-	relaying := rpc.NewClient(rpc.ClientConfig{Dialer: func(context.Context, string, string) (net.Conn, error) {
+	relayClient := rpc.NewClient(rpc.ClientConfig{Dialer: func(context.Context, string, string) (net.Conn, error) {
 		dials.Add(1)
 		return nil, errors.New("refused")
 	}})
 	link := leaderclient.New(leaderclient.Config{
-		Process: "agent-1", Role: "agent", Zone: "z1", Client: watching, Seeds: func() []string { return []string{scheduler.address} },
+		Process: "agent-1", Role: "agent", Zone: "z1", Client: watchClient, Seeds: func() []string { return []string{scheduler.address} },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -44,19 +44,19 @@
 	t.Cleanup(func() {
 		cancel()
 		running.Wait()
-		watching.Close()
-		relaying.Close()
+		watchClient.Close()
+		relayClient.Close()
 	})
 	agent, err := New(Config{
-		Name: "agent-1", Zone: func() string { return "z1" }, RelayTimeout: relayTime,
-		Link: link, Client: relaying, Registerer: prometheus.NewRegistry(),
+		Name: "agent-1", Zone: func() string { return "z1" }, RelayTimeout: relayTimeout,
+		Link: link, Client: relayClient, Registerer: prometheus.NewRegistry(),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-watched
 	requireStatus(t, testAgent{Agent: agent, link: link}.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
-	if most := int64(relayTime/leaderPollInterval) + 1; dials.Load() > most {
-		t.Errorf("dialled %d times in %v, want %d at most", dials.Load(), relayTime, most)
+	if maxDials := int64(relayTimeout/leaderPollInterval) + 1; dials.Load() > maxDials {
+		t.Errorf("got %d dials in %v, want at most %d", dials.Load(), relayTimeout, maxDials)
 	}
 }
--- a/internal/agent/relay_test.go
+++ b/internal/agent/relay_test.go
@@ -18,11 +18,11 @@
 	requireStatus(t, response, http.StatusOK)
 	var answer api.HeartbeatAnswer
 	if err := json.Unmarshal(response.Body.Bytes(), &answer); err != nil || answer.Seq != 1 || answer.Token != 1 {
-		t.Fatalf("answer %+v, %v", answer, err)
+		t.Fatalf("got answer %+v, error %v, want seq 1 and token 1", answer, err)
 	}
 	call := scheduler.calls[0]
 	if call.Zone != "z1" || call.Agent != "agent-1" || call.Heartbeat.Labels["zone"] != "z1" || call.Heartbeat.Labels["disk"] != "ssd" {
-		t.Fatalf("relayed %+v", call)
+		t.Fatalf("got request %+v, want agent-1, zone z1 and labels zone=z1, disk=ssd", call)
 	}
 }
 
@@ -45,12 +45,12 @@
 			c.change(scheduler)
 			agent := startAgent(t, scheduler.address, 200*time.Millisecond)
 			requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
-			if got := scheduler.count(); got != 1 {
-				t.Fatalf("%d calls, want 1", got)
+			if got := scheduler.callCount(); got != 1 {
+				t.Fatalf("got %d calls, want 1", got)
 			}
 			requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusConflict)
-			if got := scheduler.count(); got != 1 {
-				t.Fatalf("a failed heartbeat was relayed a second time: %d calls", got)
+			if got := scheduler.callCount(); got != 1 {
+				t.Fatalf("got %d calls after the same seq was posted again, want 1", got)
 			}
 		})
 	}
@@ -61,12 +61,12 @@
 	old.err = &rpc.Error{Code: rpc.CodeNotLeader, LeaderAddress: next.address}
 	agent := startAgent(t, old.address, time.Second)
 	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
-	if next.count() != 0 {
+	if next.callCount() != 0 {
 		t.Fatal("one heartbeat reached two schedulers")
 	}
 	requireStatus(t, agent.post(heartbeatBody(t, "id", 2)), http.StatusOK)
-	if old.count() != 1 || next.count() != 1 {
-		t.Fatalf("%d and %d calls", old.count(), next.count())
+	if old.callCount() != 1 || next.callCount() != 1 {
+		t.Fatalf("got %d calls to the old leader and %d to the next, want one each", old.callCount(), next.callCount())
 	}
 }
 
@@ -75,11 +75,11 @@
 	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
 }
 
-func TestRelay_DeadLeaderIsForgotten(t *testing.T) {
+func TestRelay_UnreachableLeaderIsForgotten(t *testing.T) {
 	agent := startAgent(t, "127.0.0.1:1", time.Second)
 	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
 	if leader, known := agent.link.Leader(); known {
-		t.Fatalf("still known as %s", leader)
+		t.Fatalf("got leader %s after a refused connection, want none", leader)
 	}
 }
 
@@ -93,27 +93,27 @@
 		scheduler.token = step.token
 		requireStatus(t, agent.post(heartbeatBody(t, "id", uint64(seq+1))), step.status)
 	}
-	agent.link.ObserveToken(9) // seen by the watch
+	agent.link.ObserveToken(9) // as after an answer to the watch
 	scheduler.token = 8
 	requireStatus(t, agent.post(heartbeatBody(t, "id", 9)), http.StatusServiceUnavailable)
 }
 
 func TestRelay_NewerHeartbeatSupersedesOlder(t *testing.T) {
 	scheduler := startScheduler(t)
-	scheduler.release, scheduler.begun = make(chan struct{}), make(chan uint64, 2)
+	scheduler.release, scheduler.started = make(chan struct{}), make(chan uint64, 2)
 	agent := startAgent(t, scheduler.address, 10*time.Second)
 	older := make(chan *httptest.ResponseRecorder, 1)
 	newer := make(chan *httptest.ResponseRecorder, 1)
 	first, second := heartbeatBody(t, "id", 1), heartbeatBody(t, "id", 2)
 	go func() { older <- agent.post(first) }()
-	<-scheduler.begun
+	<-scheduler.started
 	go func() { newer <- agent.post(second) }()
-	<-scheduler.begun
+	<-scheduler.started
 	requireStatus(t, <-older, http.StatusServiceUnavailable)
 	close(scheduler.release)
 	requireStatus(t, <-newer, http.StatusOK)
-	if scheduler.count() != 2 {
-		t.Fatalf("%d calls", scheduler.count())
+	if scheduler.callCount() != 2 {
+		t.Fatalf("got %d calls, want 2", scheduler.callCount())
 	}
 	if _, known := agent.link.Leader(); !known {
 		t.Error("the leader was forgotten for a superseded heartbeat")
--- a/internal/agent/relay_worker_test.go
+++ b/internal/agent/relay_worker_test.go
@@ -17,35 +17,35 @@
 	"github.com/decklever/decklever/worker"
 )
 
-// placedTask is what lossyLeader knows of one task and its newest run.
+// placedTask is the state of one task and its newest run at lossyLeader.
 type placedTask struct {
 	run uint32
-	// orderedAt is the seq whose answer has the start order; 0 if none yet.
-	orderedAt uint64
+	// assignedSeq is the seq whose answer has the run's assignment; 0 if none yet.
+	assignedSeq uint64
 	// listed is true once a heartbeat listed the run.
 	listed bool
 	done   bool
 }
 
-// lossyLeader orders the start of each run in one answer, loses many answers, and closes
-// runs as lost only by the rules of docs/DESIGN.md.
+// lossyLeader sends the assignment of each run in one answer, drops half of its answers, and
+// closes runs as lost only by the rules of docs/DESIGN.md.
 type lossyLeader struct {
-	mutex  sync.Mutex
-	random *rand.Rand
-	tasks  map[string]*placedTask
-	newest uint64
-	// closed is the number of runs closed as lost.
-	closed int
+	mutex      sync.Mutex
+	random     *rand.Rand
+	tasks      map[string]*placedTask
+	highestSeq uint64
+	// lostRuns is the number of runs closed as lost.
+	lostRuns int
 }
 
 func (l *lossyLeader) heartbeat(_ context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	heartbeat := request.Heartbeat
-	if heartbeat.Seq <= l.newest {
-		return protocol.HeartbeatAnswer{}, errors.New("seq came twice or late")
+	if heartbeat.Seq <= l.highestSeq {
+		return protocol.HeartbeatAnswer{}, errors.New("seq is not higher than all before")
 	}
-	l.newest = heartbeat.Seq
+	l.highestSeq = heartbeat.Seq
 	answer := api.HeartbeatAnswer{Seq: heartbeat.Seq, Token: 1, HoldMillis: 3000, IntervalMillis: 10}
 	for _, ended := range heartbeat.Ended {
 		task := l.tasks[ended.Task]
@@ -56,12 +56,12 @@
 	}
 	for name, task := range l.tasks {
 		l.reconcile(heartbeat, name, task)
-		if task.orderedAt == 0 && !task.done && !heartbeat.Draining {
-			task.orderedAt = heartbeat.Seq
+		if task.assignedSeq == 0 && !task.done && !heartbeat.Draining {
+			task.assignedSeq = heartbeat.Seq
 			answer.Start = append(answer.Start, api.StartOrder{RunRef: api.RunRef{Task: name, Run: task.run}, Spec: api.TaskSpec{Service: "work"}})
 		}
 	}
-	if l.random.IntN(2) == 0 { // the answer is lost: its orders can take no effect
+	if l.random.IntN(2) == 0 { // the answer is lost: its assignments have no effect
 		return protocol.HeartbeatAnswer{}, &rpc.Error{Code: rpc.CodeUnavailable}
 	}
 	return protocol.HeartbeatAnswer{Answer: answer}, nil
@@ -71,12 +71,12 @@
 	if slices.Contains(heartbeat.Running, api.RunRef{Task: name, Run: task.run}) {
 		task.listed = true
 	}
-	if task.done || task.listed || task.orderedAt == 0 || heartbeat.AcceptedSeq >= task.orderedAt {
+	if task.done || task.listed || task.assignedSeq == 0 || heartbeat.AcceptedSeq >= task.assignedSeq {
 		return
 	}
 	task.run++
-	task.orderedAt = 0
-	l.closed++
+	task.assignedSeq = 0
+	l.lostRuns++
 }
 
 func (l *lossyLeader) finished() bool {
@@ -90,8 +90,9 @@
 	return true
 }
 
-// TestRelay_LostAnswersNeverStartTaskTwice connects a real worker and agent with a leader
-// that loses half of its answers.
+// TestRelay_LostAnswersNeverStartTaskTwice connects a real worker and agent to a leader that
+// drops half of its answers. The leader closes a run whose assignment was in a dropped answer
+// and assigns a new run of the task; the worker must not have started the closed one.
 func TestRelay_LostAnswersNeverStartTaskTwice(t *testing.T) {
 	leader := &lossyLeader{random: rand.New(rand.NewPCG(1, 2)), tasks: make(map[string]*placedTask)}
 	for i := range 40 {
@@ -128,10 +129,10 @@
 	}
 	for task, count := range started {
 		if count != 1 {
-			t.Errorf("%s was started %d times", task, count)
+			t.Errorf("task %s: got %d starts, want 1", task, count)
 		}
 	}
-	if len(started) != 40 || leader.closed == 0 {
-		t.Errorf("%d tasks started, %d runs closed as lost; want 40 and some", len(started), leader.closed)
+	if len(started) != 40 || leader.lostRuns == 0 {
+		t.Errorf("got %d tasks started and %d runs closed as lost, want 40 and at least 1", len(started), leader.lostRuns)
 	}
 }
--- a/internal/agent/sequences.go
+++ b/internal/agent/sequences.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// idleTimeout is how long the state of a worker id is kept without heartbeats.
+	// idleTimeout is how long a worker id without heartbeats is retained.
 	idleTimeout = 10 * time.Minute
-	// sweepInterval is the time between two removals of idle worker ids.
+	// sweepInterval is the minimum time between two removals of idle worker ids.
 	sweepInterval = time.Minute
 )
 
-// sequences has the highest seq that was relayed for each worker id, and the relay in
+// sequences has, for each worker id, the highest seq that was relayed and the relay in
 // flight. It is safe for concurrent use.
 type sequences struct {
 	mutex   sync.Mutex
@@ -23,7 +23,7 @@
 
 type sequence struct {
 	highest uint64
-	// cancel ends the relay of highest; nil once that has ended.
+	// cancel cancels the relay of highest; nil once that relay has ended.
 	cancel   context.CancelFunc
 	lastSeen time.Time
 }
@@ -36,8 +36,8 @@
 
 func newSequences() *sequences { return &sequences{workers: make(map[string]*sequence)} }
 
-// beginRelay permits the relay of a heartbeat that is newer than all of its worker
-// before, and cancels the relay of an older one. It returns false for any other.
+// beginRelay begins the relay of a heartbeat and cancels the relay of an older one. It
+// returns false if seq is not higher than all earlier ones of the worker.
 func (s *sequences) beginRelay(workerID string, seq uint64, cancel context.CancelFunc, now time.Time) (relayTicket, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -59,7 +59,8 @@
 	return relayTicket{workerID: workerID, seq: seq}, true
 }
 
-// endRelay ends a relay, and reports whether its heartbeat is still the newest.
+// endRelay ends a relay, and reports whether its heartbeat is still the newest of its
+// worker.
 func (s *sequences) endRelay(ticket relayTicket) (isNewest bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -71,7 +72,8 @@
 	return true
 }
 
-// removeIdle drops worker ids that were idle for long. The caller holds the mutex.
+// removeIdle removes worker ids that were idle for more than idleTimeout, at most once per
+// sweepInterval. The caller holds the mutex.
 func (s *sequences) removeIdle(now time.Time) {
 	if now.Sub(s.sweptAt) < sweepInterval {
 		return
--- a/internal/agent/sequences_test.go
+++ b/internal/agent/sequences_test.go
@@ -16,8 +16,8 @@
 	}{{"a", 1, 200}, {"a", 1, 409}, {"a", 5, 200}, {"a", 4, 409}, {"b", 1, 200}, {"a", 6, 200}} {
 		requireStatus(t, agent.post(heartbeatBody(t, step.id, step.seq)), step.status)
 	}
-	if got := scheduler.count(); got != 4 {
-		t.Fatalf("%d calls, want 4", got)
+	if got := scheduler.callCount(); got != 4 {
+		t.Fatalf("got %d calls, want 4", got)
 	}
 }
 
@@ -30,6 +30,6 @@
 	}
 	workers.beginRelay("new", 1, func() {}, now.Add(idleTimeout+time.Second))
 	if len(workers.workers) != 1 {
-		t.Fatalf("%d worker ids, want only the new one", len(workers.workers))
+		t.Fatalf("got %d worker ids, want only the new one", len(workers.workers))
 	}
 }
--- a/internal/agent/validate.go
+++ b/internal/agent/validate.go
@@ -15,7 +15,7 @@
 	maxAddressBytes  = 128
 	maxMessageBytes  = 1024
 	maxPercent       = 100
-	// maxShownBytes bounds the value that an error shows.
+	// maxShownBytes is the maximum length of a value in an error.
 	maxShownBytes = 80
 )
 
@@ -33,10 +33,10 @@
 	return heartbeat, nil
 }
 
-// checker collects the errors of fields that are not valid.
+// checker collects the errors of invalid fields.
 type checker struct{ fields []api.FieldError }
 
-// check adds an error for a field unless ok.
+// check adds an error for a field unless ok is true.
 func (c *checker) check(ok bool, field, value, expected string) {
 	if ok {
 		return
@@ -47,7 +47,7 @@
 	c.fields = append(c.fields, api.FieldError{Field: field, Value: value, Expected: expected})
 }
 
-// validateHeartbeat returns an error for each field that is not valid.
+// validateHeartbeat returns an error for each invalid field.
 func validateHeartbeat(heartbeat api.Heartbeat) []api.FieldError {
 	var c checker
 	idOK := heartbeat.WorkerID != "" && len(heartbeat.WorkerID) <= maxWorkerIDBytes
@@ -56,18 +56,18 @@
 	c.check(heartbeat.Seq > 0, "seq", "0", "a number from 1")
 	c.check(heartbeat.AcceptedSeq < max(heartbeat.Seq, 1), "accepted_seq", strconv.FormatUint(heartbeat.AcceptedSeq, 10), "a number lower than seq")
 	c.check(len(heartbeat.Place) <= maxAddressBytes, "place", heartbeat.Place, "up to 128 bytes that no other living process here can have")
-	c.capacity(heartbeat.Capacity)
+	c.checkCapacity(heartbeat.Capacity)
 	for i, service := range heartbeat.Services {
 		c.check(service != "", fmt.Sprintf("services[%d]", i), service, "a name")
 	}
 	_, unnamed := heartbeat.Labels[""]
 	c.check(!unnamed, "labels", "", "no empty key")
-	c.remaining(heartbeat.RemainingMillis)
-	c.runs(heartbeat)
+	c.checkRemaining(heartbeat.RemainingMillis)
+	c.checkRuns(heartbeat)
 	return c.fields
 }
 
-func (c *checker) capacity(capacity api.Resources) {
+func (c *checker) checkCapacity(capacity api.Resources) {
 	for _, amount := range []struct {
 		field string
 		value int64
@@ -80,25 +80,25 @@
 	}
 }
 
-// runs checks both lists of runs; no run may be in them twice.
-func (c *checker) runs(heartbeat api.Heartbeat) {
+// checkRuns checks the running and the ended runs; no run may be listed twice.
+func (c *checker) checkRuns(heartbeat api.Heartbeat) {
 	seen := make(map[api.RunRef]bool, len(heartbeat.Running)+len(heartbeat.Ended))
 	for i, ref := range heartbeat.Running {
-		c.run(fmt.Sprintf("running[%d]", i), ref, seen)
+		c.checkRun(fmt.Sprintf("running[%d]", i), ref, seen)
 	}
 	for i, ended := range heartbeat.Ended {
 		path := fmt.Sprintf("ended[%d]", i)
-		c.run(path, ended.RunRef, seen)
+		c.checkRun(path, ended.RunRef, seen)
 		c.check(isReportable(ended.Outcome), path+".outcome", string(ended.Outcome), "succeeded, failed or stopped")
 		c.check(len(ended.Message) <= maxMessageBytes, path+".message", ended.Message, "at most 1024 bytes")
-		c.checkpoint(path, ended.Checkpoint)
+		c.checkCheckpoint(path, ended.Checkpoint)
 	}
-	c.progress(heartbeat)
+	c.checkProgress(heartbeat)
 }
 
-// progress checks the progress of runs. Each must be listed as running, and have one
-// progress at most.
-func (c *checker) progress(heartbeat api.Heartbeat) {
+// checkProgress checks the progress reports. Each must be for a run that is listed as
+// running, and a run may have at most one.
+func (c *checker) checkProgress(heartbeat api.Heartbeat) {
 	if len(heartbeat.Progress) == 0 {
 		return
 	}
@@ -112,23 +112,23 @@
 		c.check(unreported[report.RunRef], path, name, "a run of running, named once")
 		unreported[report.RunRef] = false
 		c.check(report.Percent >= 0 && report.Percent <= maxPercent, path+".percent", strconv.Itoa(report.Percent), "0 to 100")
-		c.checkpoint(path, report.Checkpoint)
+		c.checkCheckpoint(path, report.Checkpoint)
 	}
 }
 
-func (c *checker) checkpoint(path, checkpoint string) {
+func (c *checker) checkCheckpoint(path, checkpoint string) {
 	size := strconv.Itoa(len(checkpoint)) + " bytes"
 	c.check(len(checkpoint) <= api.MaxCheckpointBytes, path+".checkpoint", size, fmt.Sprintf("at most %d bytes", api.MaxCheckpointBytes))
 }
 
-func (c *checker) run(path string, ref api.RunRef, seen map[api.RunRef]bool) {
+func (c *checker) checkRun(path string, ref api.RunRef, seen map[api.RunRef]bool) {
 	c.check(ref.Task != "", path+".task", ref.Task, "JOB/STEP/INDEX")
 	c.check(ref.Run > 0, path+".run", "0", "a number from 1")
 	c.check(!seen[ref], path, ref.Task, "each run named once, in one list")
 	seen[ref] = true
 }
 
-// isReportable reports whether a worker may report the outcome of a run.
+// isReportable reports whether outcome is one that a worker may report.
 func isReportable(outcome api.Outcome) bool {
 	return outcome == api.OutcomeSucceeded || outcome == api.OutcomeFailed || outcome == api.OutcomeStopped
 }
--- a/internal/agent/validate_test.go
+++ b/internal/agent/validate_test.go
@@ -38,7 +38,7 @@
 				got = append(got, field.Field)
 			}
 			if !slices.Equal(got, c.want) {
-				t.Fatalf("wrong fields %v, want %v", got, c.want)
+				t.Fatalf("got invalid fields %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/contexttime/sleep.go
+++ b/internal/contexttime/sleep.go
@@ -1,4 +1,4 @@
-// Package contexttime lets time pass under a context. It has no state.
+// Package contexttime provides a sleep that ends early if its context ends. It has no state.
 package contexttime
 
 import (
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Sleep waits for a length of time, or until ctx ends if that is earlier. It reports
-// whether the whole length passed. A length of 0 or less passes at once.
-func Sleep(ctx context.Context, length time.Duration) (passed bool) {
-	timer := time.NewTimer(length)
+// Sleep waits for duration, or until ctx ends if that is earlier. It reports whether the
+// complete duration elapsed. A duration of 0 or less elapses at once.
+func Sleep(ctx context.Context, duration time.Duration) (completed bool) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/contexttime/sleep_test.go
+++ b/internal/contexttime/sleep_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-func TestSleep_WaitsForLengthOrContext(t *testing.T) {
+func TestSleep_WaitsForDurationOrContext(t *testing.T) {
 	cases := []struct {
-		name             string
-		length, deadline time.Duration
-		passed           bool
-		took             time.Duration
+		name               string
+		duration, deadline time.Duration
+		completed          bool
+		took               time.Duration
 	}{
-		{"length is earlier", time.Second, time.Hour, true, time.Second},
-		{"context is earlier", time.Hour, time.Second, false, time.Second},
-		{"no length", 0, time.Hour, true, 0},
-		{"negative length", -time.Second, time.Hour, true, 0},
-		{"context has ended", time.Second, 0, false, 0},
+		{"duration ends first", time.Second, time.Hour, true, time.Second},
+		{"context ends first", time.Hour, time.Second, false, time.Second},
+		{"zero duration", 0, time.Hour, true, 0},
+		{"negative duration", -time.Second, time.Hour, true, 0},
+		{"context ended before", time.Second, 0, false, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -26,11 +26,11 @@
 				ctx, cancel := context.WithTimeout(t.Context(), c.deadline)
 				defer cancel()
 				began := time.Now()
-				if passed := Sleep(ctx, c.length); passed != c.passed {
-					t.Errorf("passed is %v, want %v", passed, c.passed)
+				if completed := Sleep(ctx, c.duration); completed != c.completed {
+					t.Errorf("got completed %v, want %v", completed, c.completed)
 				}
 				if took := time.Since(began); took != c.took {
-					t.Errorf("took %v, want %v", took, c.took)
+					t.Errorf("got a wait of %v, want %v", took, c.took)
 				}
 			})
 		})
--- a/internal/indexheap/doc.go
+++ b/internal/indexheap/doc.go
@@ -1,5 +1,4 @@
-// Package indexheap is a binary heap, used through package container/heap, whose
-// items know their own position, so that one in the middle can be moved or removed
-// in logarithmic time. It has no lock: the owner of a heap guards it together with
-// its items.
+// Package indexheap implements a binary heap for use with container/heap. Each item
+// stores its own index, so that any item can be moved or removed in logarithmic
+// time. A heap has no lock: its owner guards it together with its items.
 package indexheap
--- a/internal/indexheap/heap.go
+++ b/internal/indexheap/heap.go
@@ -3,17 +3,17 @@
 // None is the position of an item that is in no heap.
 const None = -1
 
-// Item is an element of a heap: a pointer to something that stores its position.
+// Item is an element of a heap: a pointer to a value that stores its position.
 type Item[T any] interface {
-	// Before reports whether the item leaves the heap before other. While both are
-	// in the heap the answer must not change, except through heap.Fix.
+	// Before reports whether the item is popped before other. If an item in a heap
+	// changes so that the result changes, heap.Fix must be called for that item.
 	Before(other T) bool
-	// SetPosition sets the item's index in the heap, or None once it has left.
+	// SetPosition stores the item's index in the heap, or None after its removal.
 	SetPosition(position int)
 }
 
-// Heap implements heap.Interface. The first item is the one to leave next; the
-// zero value is an empty heap. An item must be in one heap at most.
+// Heap implements heap.Interface. The first item is the next to be popped; the zero
+// value is an empty heap. An item must be in at most one heap.
 type Heap[T Item[T]] []T
 
 // Len implements heap.Interface.
@@ -40,8 +40,8 @@
 func (h *Heap[T]) Pop() any {
 	last := len(*h) - 1
 	item := (*h)[last]
-	var none T
-	(*h)[last] = none
+	var zero T
+	(*h)[last] = zero
 	*h = (*h)[:last]
 	item.SetPosition(None)
 	return item
--- a/internal/indexheap/heap_test.go
+++ b/internal/indexheap/heap_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// entry is an item that leaves the heap by its due time.
+// entry is an item that is ordered by its due time.
 type entry struct {
 	due      int
 	position int
@@ -19,19 +19,19 @@
 // SetPosition implements Item.
 func (e *entry) SetPosition(position int) { e.position = position }
 
-// checkPositions compares the position that each item stores with its index.
+// checkPositions checks that each item stores its index in the heap.
 func checkPositions(t *testing.T, h Heap[*entry]) {
 	t.Helper()
 	for position, item := range h {
 		if item.position != position {
-			t.Fatalf("the item at %d has position %d", position, item.position)
+			t.Fatalf("item at index %d: got position %d, want its index", position, item.position)
 		}
 	}
 }
 
-// TestHeap_ItemsKnowTheirPosition: after any order of adding, moving and
-// removing, positions are right and items come out in order.
-func TestHeap_ItemsKnowTheirPosition(t *testing.T) {
+// TestHeap_PositionsMatchIndexes: after random pushes, moves and removals, each item
+// stores its index, and items are popped in order.
+func TestHeap_PositionsMatchIndexes(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var h Heap[*entry]
 	for range 2000 {
@@ -45,7 +45,7 @@
 		default:
 			removed := h[random.IntN(len(h))]
 			if heap.Remove(&h, removed.position) != any(removed) || removed.position != None {
-				t.Fatalf("removed another item, or its position is %d", removed.position)
+				t.Fatalf("removed another item, or got position %d, want None", removed.position)
 			}
 		}
 		checkPositions(t, h)
@@ -59,16 +59,17 @@
 		checkPositions(t, h)
 	}
 	if !slices.IsSorted(due) {
-		t.Errorf("came out as %v", due)
+		t.Errorf("got due times popped as %v, want ascending order", due)
 	}
 }
 
-// TestPop_ReleasesTheItem: the spare capacity of the slice keeps no item alive.
-func TestPop_ReleasesTheItem(t *testing.T) {
+// TestPop_ClearsFreedSlot: a popped item must not stay reachable through the spare capacity
+// of the slice.
+func TestPop_ClearsFreedSlot(t *testing.T) {
 	var h Heap[*entry]
 	heap.Push(&h, &entry{due: 1})
 	heap.Pop(&h)
-	if behind := h[:1]; behind[0] != nil {
-		t.Errorf("the heap still holds %v", behind[0])
+	if spare := h[:1]; spare[0] != nil {
+		t.Errorf("got %v in the spare capacity after the pop, want nil", spare[0])
 	}
 }
--- a/internal/leaderclient/client.go
+++ b/internal/leaderclient/client.go
@@ -11,22 +11,23 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// Config is what a Client needs. All but Logger and OnConfig is required.
+// Config configures a Client. All fields but VersionOnly, Logger and OnConfig are required.
 type Config struct {
-	// Process is the name of this process, Role "front" or "agent", and Zone its zone at
-	// first.
+	// Process is the name of this process, Role is "front" or "agent", and Zone is the
+	// initial zone of the process (see SetZone).
 	Process, Role, Zone string
-	// Seeds returns the addresses of schedulers that are in the settings now.
+	// Seeds returns the addresses of schedulers in the current settings.
 	Seeds func() []string
-	// VersionOnly says that this process needs only the version of the configuration:
-	// Client.Config returns nil, and OnConfig gets nil.
+	// VersionOnly says that this process needs only the version of the configuration and
+	// not its content: Client.Config returns nil, and OnConfig is called with nil.
 	VersionOnly bool
-	// Client carries the calls. Its timeout must be longer than MaxCallDuration.
+	// Client sends the calls. Its timeout must be longer than MaxCallDuration.
 	Client *rpc.Client
 	// Logger defaults to none.
 	Logger *slog.Logger
-	// OnConfig is called with each newer configuration, before that is confirmed to the
-	// leader; one call at a time, while Run does not return. Optional; it must not block
+	// OnConfig is called with each newer configuration before the client confirms the
+	// version to the leader. Calls do not overlap, and end before Run returns. A version
+	// from an answer to a heartbeat is adopted without a call. Optional; it must not block
 	// for long.
 	OnConfig func(version uint64, config *api.Config)
 }
@@ -34,33 +35,33 @@
 // watchFunc makes one watch call.
 type watchFunc func(ctx context.Context, address string, request protocol.WatchRequest) (protocol.WatchAnswer, error)
 
-// Client tracks the leader. Its methods are safe for concurrent use.
+// Client finds and watches the leader. Its methods are safe for concurrent use.
 type Client struct {
 	config Config
 	watch  watchFunc
-	// started is when the client was made; times of state count from it.
+	// started is when the client was created; times in state are durations since then.
 	started time.Time
 
-	// mutex protects the fields up to overdueCalls, and probing.
+	// mutex guards the fields up to overdueCalls, and probing.
 	mutex sync.Mutex
 	zone  string
 	state state
-	// redirects counts the hints that were followed since the last accepted answer.
+	// redirects counts the hints followed since the last accepted answer.
 	redirects int
-	// interrupt ends the iteration of Run; nil between iterations.
+	// interrupt cancels the current iteration of Run; nil between iterations.
 	interrupt context.CancelFunc
-	// overdueCalls are the supervised calls that have been without an answer for
-	// suspectAfter.
+	// overdueCalls has the supervised calls that are unanswered after suspectAfter.
 	overdueCalls map[*supervisedCall]struct{}
 
-	// resultMutex orders the results of calls. It is taken before mutex.
+	// resultMutex serialises the handling of results of calls. It is taken before mutex.
 	resultMutex sync.Mutex
-	// probes are the goroutines of probes; probing has the addresses that are probed.
+	// probes counts the goroutines of probes; probing has the addresses being probed.
 	probes  sync.WaitGroup
 	probing map[string]bool
 }
 
-// New makes a client that knows nothing until Run has had an answer.
+// New returns a client. It knows no leader and no configuration until Run receives an answer
+// or ObserveHint names a leader.
 func New(config Config) *Client {
 	if config.Logger == nil {
 		config.Logger = slog.New(slog.DiscardHandler)
@@ -79,24 +80,24 @@
 	return client
 }
 
-// Leader returns the address to send calls to; false if none is known.
+// Leader returns the address of the leader, to which calls should go; false if none is known.
 func (c *Client) Leader() (address string, known bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.state.leader, c.state.leader != ""
 }
 
-// PreviousLeader returns the leader that was last forgotten; false if there is none. It
-// may still lead, with its answers lost or its lease not renewed in time; if not, it may
-// know who does.
+// PreviousLeader returns the address of the leader that the client dropped last; false if
+// there is none. That scheduler may still be the leader, if only its answers were lost or
+// its lease was not renewed in time. Otherwise it may know the new leader.
 func (c *Client) PreviousLeader() (address string, known bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.state.previousLeader, c.state.previousLeader != ""
 }
 
-// ObserveHint takes in the leader's address from a rejection with rpc.CodeNotLeader. An
-// empty address means that the scheduler knows no leader.
+// ObserveHint records the leader's address from a rejection with rpc.CodeNotLeader. An
+// empty address means that the rejecting scheduler knows no leader.
 func (c *Client) ObserveHint(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -105,7 +106,7 @@
 	}
 }
 
-// ReportFailure records that a call to the address had no answer.
+// ReportFailure records that a call to the address was not answered.
 func (c *Client) ReportFailure(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -114,8 +115,8 @@
 	}
 }
 
-// ObserveToken records a fencing token, and reports whether it is not lower than the
-// highest seen. An answer with a lower one must be dropped.
+// ObserveToken records a fencing token, and returns false if it is lower than the highest
+// token seen. The caller must then discard the answer that carried it.
 func (c *Client) ObserveToken(token uint64) (current bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -133,31 +134,31 @@
 	return c.state.token
 }
 
-// ConfigVersion returns the version of the configuration in force here; 0 before the
-// first.
+// ConfigVersion returns the version of the configuration in force in this process; 0 before
+// the first configuration.
 func (c *Client) ConfigVersion() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.state.configVersion
 }
 
-// Config returns the configuration in force here; nil before the first. It must not be
-// changed.
+// Config returns the configuration in force in this process; nil before the first one and
+// with Config.VersionOnly. The caller must not modify it.
 func (c *Client) Config() *api.Config {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.state.config
 }
 
-// Fresh reports whether the lease of the last answer has not expired.
+// Fresh reports whether a lease granted by the leader has not expired.
 func (c *Client) Fresh() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.state.fresh(c.now())
 }
 
-// Age returns the time since the last answer; false if there was none.
-func (c *Client) Age() (age time.Duration, known bool) {
+// TimeSinceAnswer returns the time since the leader's last answer; false if there was none.
+func (c *Client) TimeSinceAnswer() (age time.Duration, known bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.state.freshUntil == 0 {
@@ -166,11 +167,12 @@
 	return c.now() - c.state.answeredAt, true
 }
 
-// SetZone changes the zone that later watch calls name.
+// SetZone changes the zone that is sent with later watch calls.
 func (c *Client) SetZone(zone string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.zone = zone
 }
 
+// now returns the time since the client was created, as state uses it.
 func (c *Client) now() time.Duration { return time.Since(c.started) }
--- a/internal/leaderclient/client_test.go
+++ b/internal/leaderclient/client_test.go
@@ -17,16 +17,16 @@
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		if leader, ok := client.Leader(); leader != "c" || !ok {
-			t.Fatalf("leader %q, %v", leader, ok)
+			t.Fatalf("got leader %q, known %v; want \"c\"", leader, ok)
 		}
 		if client.Token() != 4 || client.ConfigVersion() != 7 || !client.Fresh() || client.Config() == nil {
-			t.Fatalf("token %d, version %d, fresh %v", client.Token(), client.ConfigVersion(), client.Fresh())
+			t.Fatalf("got token %d, version %d, fresh %v; want 4, 7, true and a configuration", client.Token(), client.ConfigVersion(), client.Fresh())
 		}
 		if !slices.Equal(adopted, []uint64{7}) {
-			t.Fatalf("adopted %v, want 7 once", adopted)
+			t.Fatalf("OnConfig called with versions %v, want 7 once", adopted)
 		}
 		if schedulers.lastRequest.ConfigVersion != 7 || schedulers.lastRequest.MaxWaitMillis == 0 {
-			t.Fatalf("last watch %+v does not confirm version 7 in a long poll", schedulers.lastRequest)
+			t.Fatalf("got last watch %+v, want a long poll that confirms version 7", schedulers.lastRequest)
 		}
 	})
 }
@@ -36,19 +36,19 @@
 		schedulers := newFakeSchedulers("a")
 		client := startClient(t, schedulers, nil)
 		time.Sleep(time.Second)
-		schedulers.set(func() { schedulers.dead["a"] = true })
+		schedulers.update(func() { schedulers.dead["a"] = true })
 		client.ReportFailure("a")
 		if _, ok := client.Leader(); ok {
-			t.Fatal("a leader that failed is still known")
+			t.Fatal("got a known leader after the call to it failed, want none")
 		}
 		time.Sleep(2 * lease)
 		if client.Fresh() {
-			t.Fatal("fresh without an answer for longer than the lease")
+			t.Fatal("got fresh after the lease expired, want not fresh")
 		}
-		schedulers.set(func() { schedulers.leader, schedulers.token = "b", 5 })
+		schedulers.update(func() { schedulers.leader, schedulers.token = "b", 5 })
 		time.Sleep(2 * time.Second)
 		if leader, _ := client.Leader(); leader != "b" || client.Token() != 5 || !client.Fresh() {
-			t.Fatalf("leader %q, token %d, fresh %v", leader, client.Token(), client.Fresh())
+			t.Fatalf("got leader %q, token %d, fresh %v; want \"b\", 5, true", leader, client.Token(), client.Fresh())
 		}
 	})
 }
@@ -59,16 +59,16 @@
 		client := startClient(t, schedulers, nil)
 		time.Sleep(time.Second)
 		if !client.ObserveToken(6) || client.ObserveToken(5) || !client.ObserveToken(6) {
-			t.Fatal("tokens must only grow")
+			t.Fatal("ObserveToken must accept 6, reject 5 and accept 6 again")
 		}
-		time.Sleep(2 * lease) // "a" goes on answering under token 4
+		time.Sleep(2 * lease) // "a" still answers with token 4
 		if client.Fresh() || client.Token() != 6 {
-			t.Fatal("an answer under a lower token was accepted")
+			t.Fatal("answer with a token below 6 was accepted")
 		}
-		schedulers.set(func() { schedulers.leader, schedulers.token = "b", 6 })
+		schedulers.update(func() { schedulers.leader, schedulers.token = "b", 6 })
 		time.Sleep(time.Second)
 		if leader, _ := client.Leader(); leader != "b" || !client.Fresh() {
-			t.Fatalf("leader %q, fresh %v", leader, client.Fresh())
+			t.Fatalf("got leader %q, fresh %v; want \"b\", true", leader, client.Fresh())
 		}
 	})
 }
--- a/internal/leaderclient/discovery.go
+++ b/internal/leaderclient/discovery.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// probeTimeout bounds a call that only asks who leads.
+	// probeTimeout bounds a probe, a watch call that the leader answers at once.
 	probeTimeout = 300 * time.Millisecond
-	// probeGrace is how long a query of all candidates goes on after its first result.
+	// probeGrace is how long queryCandidates waits for other results after the first one.
 	probeGrace = 50 * time.Millisecond
 )
 
-// probeResult is the result of a call that asks who leads.
+// probeResult is the result of a probe: whether the answer was accepted, and whether the
+// next call may follow at once.
 type probeResult struct{ accepted, retryNow bool }
 
-// queryCandidates asks all candidates at once who leads, until one answers as leader:
-// any of them may be dead, and is not waited for once another one has answered. Their
-// calls go on beside later iterations, until runCtx ends, and count when they are
-// answered after all. It reports whether the next call may follow at once.
+// queryCandidates probes all candidates concurrently until one answers as leader. Any
+// candidate may be dead, so it waits for the others at most probeGrace after the first
+// result. Unanswered probes continue during later iterations, until runCtx ends, and a late
+// answer still takes effect. It reports whether the next call may follow at once.
 func (c *Client) queryCandidates(runCtx, iterationCtx context.Context, candidates []string) (retryNow bool) {
 	candidates = c.beginProbes(candidates)
 	results := make(chan probeResult, len(candidates))
@@ -45,7 +46,7 @@
 	return retryNow
 }
 
-// probe asks one candidate who leads.
+// probe sends one candidate a watch call that the leader answers at once.
 func (c *Client) probe(runCtx context.Context, address string) probeResult {
 	defer c.endProbe(address)
 	ctx, cancel := context.WithTimeout(runCtx, probeTimeout)
@@ -54,7 +55,8 @@
 	return probeResult{accepted, retryNow}
 }
 
-// beginProbes returns the candidates that are not being probed already.
+// beginProbes returns the candidates that are not being probed yet, and records them as
+// being probed.
 func (c *Client) beginProbes(candidates []string) []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -68,6 +70,7 @@
 	return idle
 }
 
+// endProbe records that the probe of the address has ended.
 func (c *Client) endProbe(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/leaderclient/doc.go
+++ b/internal/leaderclient/doc.go
@@ -1,27 +1,26 @@
-// Package leaderclient keeps a process that is no scheduler (a front, an agent) in
-// touch with the leading scheduler.
+// Package leaderclient finds the leader for a process that is not a scheduler (a front or
+// an agent), and follows the leader's fencing token and configuration.
 //
-// A [Client] sends one long-poll call at a time to the leader, the watch. Its answer
+// A [Client] keeps one long-poll call to the leader open at a time, the watch. The answer
 // names the leader's address, the highest fencing token and the configuration in force,
-// and grants a lease; the request confirms to the leader which configuration is in force
-// here. While no leader is confirmed, the client queries several schedulers at once.
-// Where the process relays heartbeats, their answers may substitute for the watch, which
-// is then held much longer.
+// and grants a lease. The request confirms to the leader which configuration is in force
+// in this process. While no leader is confirmed, the client queries several schedulers at
+// once. If the process relays heartbeats, the answers to them may substitute for short
+// watches; the leader may then delay its answer to the watch much longer.
 //
 // # Invariants
 //
-// Fencing tokens and configuration versions only grow: an answer with a lower one is
-// rejected as a whole. Without an answer for longer than the lease that the last one
-// granted, counted from when its request was sent, the client is not fresh, and its
-// process should stop serving what must not be out of date.
+// Fencing tokens and configuration versions never decrease: an answer with a lower token or
+// version is rejected completely. The lease of an answer starts when its request was sent.
+// Once all granted leases have expired, the client is not fresh, and its process should
+// stop serving data that must not be stale.
 //
 // # Concurrency
 //
-// Methods of Client are safe for concurrent use. Client.mutex protects all that is
-// known (state); resultMutex, taken before it, orders the results of calls, so that
-// Config.OnConfig sees versions in order. Neither mutex is held during a call, and
-// mutex is not held during OnConfig. [Client.Run] waits for all goroutines that it
-// starts.
+// Methods of Client are safe for concurrent use. Client.mutex guards state. resultMutex,
+// which is taken before mutex, serialises the handling of results, so that Config.OnConfig
+// is called with versions in order. Neither mutex is held during a call, and mutex is not
+// held during OnConfig. [Client.Run] waits for all goroutines that it starts.
 //
-// The decisions are in state, which does no I/O and takes time as an argument.
+// Type state makes the decisions. It does no I/O and takes the time as an argument.
 package leaderclient
--- a/internal/leaderclient/fakes_test.go
+++ b/internal/leaderclient/fakes_test.go
@@ -13,35 +13,36 @@
 )
 
 const (
-	// lease is what fakeSchedulers grant.
+	// lease is the lease that fakeSchedulers grant.
 	lease = 1500 * time.Millisecond
-	// watchTimeout bounds a watch call that heartbeats do not substitute for.
+	// watchTimeout bounds a short watch call.
 	watchTimeout = watchWait + answerGrace
 )
 
-// fakeSchedulers answers the watch calls of one client.
+// fakeSchedulers is a set of schedulers that answers the watch calls of one client. mutex
+// guards its fields.
 type fakeSchedulers struct {
 	mutex  sync.Mutex
 	leader string
-	// dead schedulers do not answer.
+	// dead has the addresses of schedulers that do not answer.
 	dead    map[string]bool
 	token   uint64
 	version uint64
-	// watched are the addresses of all calls.
-	watched     []string
-	lastRequest protocol.WatchRequest
+	// watchedAddresses has the address of each call, in order.
+	watchedAddresses []string
+	lastRequest      protocol.WatchRequest
 }
 
-// newFakeSchedulers returns schedulers that are all alive, with token 4 and version 7 of
-// the configuration.
+// newFakeSchedulers returns schedulers that are all alive, with fencing token 4 and
+// configuration version 7.
 func newFakeSchedulers(leader string) *fakeSchedulers {
 	return &fakeSchedulers{leader: leader, token: 4, version: 7, dead: map[string]bool{}}
 }
 
-// watch is the watchFunc of the client.
+// watch is the client's watchFunc.
 func (f *fakeSchedulers) watch(ctx context.Context, address string, request protocol.WatchRequest) (protocol.WatchAnswer, error) {
 	f.mutex.Lock()
-	f.watched = append(f.watched, address)
+	f.watchedAddresses = append(f.watchedAddresses, address)
 	dead, leader := f.dead[address], f.leader
 	answer := protocol.WatchAnswer{
 		Token: f.token, LeaderAddress: f.leader, ConfigVersion: f.version,
@@ -63,14 +64,14 @@
 	return answer, nil
 }
 
-// set changes the schedulers.
-func (f *fakeSchedulers) set(change func()) {
+// update calls change while it holds the mutex.
+func (f *fakeSchedulers) update(change func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	change()
 }
 
-// startClient runs a client with the seeds "a", "b" and "c" until the test ends.
+// startClient starts a client and runs it with the seeds "a", "b" and "c" until the test ends.
 func startClient(t *testing.T, schedulers *fakeSchedulers, onConfig func(uint64, *api.Config)) *Client {
 	t.Helper()
 	client := New(Config{
@@ -79,7 +80,7 @@
 	})
 	client.watch = schedulers.watch
 	if client.Fresh() {
-		t.Fatal("fresh before any answer")
+		t.Fatal("got fresh before the first answer, want not fresh")
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -91,9 +92,9 @@
 	return client
 }
 
-// watchCount is the number of calls so far.
+// watchCount returns the number of calls received.
 func (f *fakeSchedulers) watchCount() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return len(f.watched)
+	return len(f.watchedAddresses)
 }
--- a/internal/leaderclient/heartbeats_test.go
+++ b/internal/leaderclient/heartbeats_test.go
@@ -14,7 +14,7 @@
 	observedTime      = 20 * time.Second
 )
 
-// startVersionOnlyClient runs a client as an agent has it, which needs only versions.
+// startVersionOnlyClient runs a client with Config.VersionOnly, as an agent does.
 func startVersionOnlyClient(t *testing.T, schedulers *fakeSchedulers) *Client {
 	t.Helper()
 	client := startClient(t, schedulers, nil)
@@ -24,10 +24,11 @@
 	return client
 }
 
-// answerHeartbeats has heartbeats of the client's process answered by "a" for a span.
-func answerHeartbeats(client *Client, span, interval time.Duration, update HeartbeatUpdate) {
+// reportHeartbeatAnswers reports answers of "a" to heartbeats to the client, one an interval, until
+// span has passed.
+func reportHeartbeatAnswers(client *Client, duration, interval time.Duration, update HeartbeatUpdate) {
 	update.Interval = interval
-	for began := time.Now(); time.Since(began) < span; time.Sleep(interval) {
+	for began := time.Now(); time.Since(began) < duration; time.Sleep(interval) {
 		client.ObserveHeartbeatAnswer("a", time.Now(), update)
 	}
 }
@@ -51,88 +52,89 @@
 				var answering sync.WaitGroup
 				defer answering.Wait()
 				answering.Go(func() {
-					answerHeartbeats(client, 2*minStableTime+observedTime, c.interval, HeartbeatUpdate{Token: 4, ConfigVersion: 7})
+					reportHeartbeatAnswers(client, 2*minStableTime+observedTime, c.interval, HeartbeatUpdate{Token: 4, ConfigVersion: 7})
 				})
 				time.Sleep(2 * minStableTime)
 				before := schedulers.watchCount()
 				for range int(observedTime / time.Millisecond) {
 					time.Sleep(time.Millisecond)
 					if !client.Fresh() {
-						t.Fatal("not fresh although heartbeats are answered")
+						t.Fatal("got not fresh although heartbeats are answered, want fresh")
 					}
 				}
 				if count := schedulers.watchCount() - before; count > c.maxCount || count == 0 {
-					t.Errorf("%d watches in %v, want 1 to %d", count, observedTime, c.maxCount)
+					t.Errorf("got %d watches in %v, want 1 to %d", count, observedTime, c.maxCount)
 				}
 			})
 		})
 	}
 }
 
-// TestHeartbeats_StoppedKeepsClientFresh has the worker end while the leader is alive: the
-// watch takes over before the lease expires.
-func TestHeartbeats_StoppedKeepsClientFresh(t *testing.T) {
+// TestHeartbeats_StoppedClientStaysFresh guards against an expired lease when heartbeats stop
+// because the worker ended: the client must return to short watches before the lease expires.
+func TestHeartbeats_StoppedClientStaysFresh(t *testing.T) {
 	for _, interval := range []time.Duration{heartbeatInterval, maxSubstituteInterval} {
 		synctest.Test(t, func(t *testing.T) {
 			schedulers := newFakeSchedulers("a")
 			client := startVersionOnlyClient(t, schedulers)
 			time.Sleep(2 * watchWait)
-			answerHeartbeats(client, 2*minStableTime, interval, HeartbeatUpdate{Token: 4, ConfigVersion: 7})
+			reportHeartbeatAnswers(client, 2*minStableTime, interval, HeartbeatUpdate{Token: 4, ConfigVersion: 7})
 			for range 10_000 {
 				time.Sleep(time.Millisecond)
 				if !client.Fresh() {
-					t.Fatal("not fresh after the heartbeats stopped")
+					t.Fatal("got not fresh after the heartbeats stopped, want fresh")
 				}
 			}
-			if age, _ := client.Age(); age > 2*watchWait {
-				t.Errorf("last answer %v ago: the watch was not resumed", age)
+			if age, _ := client.TimeSinceAnswer(); age > 2*watchWait {
+				t.Errorf("got the last answer %v ago, want short watches after the heartbeats stopped", age)
 			}
 		})
 	}
 }
 
-// TestHeartbeats_StoppedByDeadLeaderFindsNext has the leader die during a long watch: the
-// next one is found about as soon as with short watches.
+// TestHeartbeats_StoppedByDeadLeaderFindsNext guards against a long watch to a dead leader
+// that delays the discovery of the next one: it must take about as long as with short watches.
 func TestHeartbeats_StoppedByDeadLeaderFindsNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		schedulers := newFakeSchedulers("a")
 		client := startVersionOnlyClient(t, schedulers)
 		time.Sleep(2 * watchWait)
-		answerHeartbeats(client, 2*minStableTime, heartbeatInterval, HeartbeatUpdate{Token: 4, ConfigVersion: 7})
-		schedulers.set(func() {
+		reportHeartbeatAnswers(client, 2*minStableTime, heartbeatInterval, HeartbeatUpdate{Token: 4, ConfigVersion: 7})
+		schedulers.update(func() {
 			schedulers.dead["a"] = true
 			schedulers.leader, schedulers.token = "b", 5
 		})
-		died := time.Now()
+		diedAt := time.Now()
 		for client.Token() != 5 {
 			time.Sleep(time.Millisecond)
 		}
-		if found := time.Since(died); found > heartbeatInterval+answerGrace+probeTimeout {
-			t.Fatalf("found the next leader after %v", found)
+		if found := time.Since(diedAt); found > heartbeatInterval+answerGrace+probeTimeout {
+			t.Fatalf("found the next leader after %v, want heartbeatInterval, answerGrace and probeTimeout at most", found)
 		}
 	})
 }
 
-// TestHeartbeats_LateAnswersDoNotAddWatches has each heartbeat answered when it is
-// overdue: the leader gets no more watches than without heartbeats.
+// TestHeartbeats_LateAnswersDoNotAddWatches guards against additional load on a slow leader:
+// if each answer to a heartbeat is late, the leader must not get more watches than without
+// heartbeats.
 func TestHeartbeats_LateAnswersDoNotAddWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		schedulers := newFakeSchedulers("a")
 		client := startVersionOnlyClient(t, schedulers)
 		time.Sleep(2 * watchWait)
 		before := schedulers.watchCount()
-		const late = heartbeatInterval + answerGrace + 100*time.Millisecond
-		for began := time.Now(); time.Since(began) < observedTime; time.Sleep(late) {
+		const lateInterval = heartbeatInterval + answerGrace + 100*time.Millisecond
+		for began := time.Now(); time.Since(began) < observedTime; time.Sleep(lateInterval) {
 			client.ObserveHeartbeatAnswer("a", time.Now(), HeartbeatUpdate{Token: 4, ConfigVersion: 7, Interval: heartbeatInterval})
 		}
 		if count := schedulers.watchCount() - before; count > int(observedTime/watchWait) {
-			t.Errorf("%d watches in %v, want at most %d", count, observedTime, int(observedTime/watchWait))
+			t.Errorf("got %d watches in %v, want at most %d", count, observedTime, int(observedTime/watchWait))
 		}
 	})
 }
 
-func TestHeartbeats_CountFromConfirmedLeaderOnly(t *testing.T) {
-	good := HeartbeatUpdate{Token: 4, ConfigVersion: 8, Interval: heartbeatInterval}
+func TestHeartbeats_AcceptedFromConfirmedLeaderOnly(t *testing.T) {
+	validUpdate := HeartbeatUpdate{Token: 4, ConfigVersion: 8, Interval: heartbeatInterval}
 	cases := []struct {
 		name     string
 		address  string
@@ -159,14 +161,14 @@
 			}
 			s.adopt(7, nil)
 			s.freshUntil = 0
-			update := good
+			update := validUpdate
 			c.change(&s, &update)
 			newer := s.observeHeartbeatAnswer(c.now, 0, c.address, update)
 			if newer != (c.accepted && update.ConfigVersion > 7) {
-				t.Errorf("newer %v", newer)
+				t.Errorf("got newer %v, want true only for an accepted answer with a version over 7", newer)
 			}
 			if s.fresh(c.now) != c.accepted || (s.substituteUntil > 0) != c.accepted {
-				t.Errorf("fresh %v, substitutes until %v; want %v", s.fresh(c.now), s.substituteUntil, c.accepted)
+				t.Errorf("got fresh %v, substituteUntil %v; want accepted %v", s.fresh(c.now), s.substituteUntil, c.accepted)
 			}
 		})
 	}
@@ -179,7 +181,7 @@
 		time.Sleep(time.Second)
 		client.ObserveHeartbeatAnswer("a", time.Now(), HeartbeatUpdate{Token: 4, ConfigVersion: 9, Interval: heartbeatInterval})
 		if client.ConfigVersion() != 9 {
-			t.Fatalf("version %d in force, want 9", client.ConfigVersion())
+			t.Fatalf("got version %d in force, want 9", client.ConfigVersion())
 		}
 	})
 }
--- a/internal/leaderclient/state.go
+++ b/internal/leaderclient/state.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// failureMemory is how long a hint to an address that failed is not followed:
+	// hintBackoff is how long hints to an address are ignored after it failed, because
 	// followers name a dead leader until they elect the next one.
-	failureMemory = 500 * time.Millisecond
-	// maxCandidates bounds the seeds that are queried at once.
+	hintBackoff = 500 * time.Millisecond
+	// maxCandidates bounds the number of seeds probed at once.
 	maxCandidates = 3
-	// confirmedGrace is how long after an answer of the leader failures to reach it are
-	// taken as those of calls from before.
-	confirmedGrace = 100 * time.Millisecond
+	// confirmationGrace is how long after the leader was confirmed failures of calls to it are
+	// ignored, because those calls were probably sent before.
+	confirmationGrace = 100 * time.Millisecond
 )
 
-// Reasons for which an answer to a watch is rejected.
+// Reasons to reject an answer to a watch.
 var (
 	errStaleToken    = errors.New("token is lower than one seen")
 	errStaleConfig   = errors.New("configuration is older than the one in force here")
@@ -30,46 +30,48 @@
 	errLeaseExpired  = errors.New("answer came after its lease expired")
 )
 
-// state is what a Client knows. It is pure: times are arguments, as durations since the
-// client was made. Client.mutex protects it.
+// state is what a Client knows about the leader and the configuration. Its methods do no
+// I/O, and take times as durations since the client was created. Client.mutex guards it.
 type state struct {
-	// leader is the address that calls go to; empty if none is known.
+	// leader is the address of the leader; empty if none is known.
 	leader string
-	// confirmed is true while leader is known from its own answer, since confirmedAt,
-	// and not only from a hint.
+	// confirmed is true if an accepted answer to a watch named the leader, at confirmedAt;
+	// false if it is known only from a hint, or suspected of failure.
 	confirmed   bool
 	confirmedAt time.Duration
-	// previousLeader is the last leader that was forgotten.
+	// previousLeader is the address of the leader that was dropped last; empty if none was.
 	previousLeader string
-	// failedAt has the addresses that failed since the last accepted answer.
+	// failedAt has the time of the last failure of each address, since the last accepted
+	// answer.
 	failedAt map[string]time.Duration
-	// nextSeed is the number of the seed that is queried next, so that all have a turn.
+	// nextSeed, modulo the number of seeds, is the index of the seed to probe next; seeds
+	// are probed in rotation.
 	nextSeed int
 
 	// token is the highest fencing token seen.
 	token uint64
-	// configVersion and config are the configuration in force here.
+	// configVersion and config are the configuration in force in this process.
 	configVersion uint64
 	config        *api.Config
-	// versionOnly is true if answers come without the content of configurations.
+	// versionOnly is true if answers do not contain the configuration itself.
 	versionOnly bool
 
-	// answeredAt is when the leader last answered; freshUntil is the latest end of a
-	// granted lease.
+	// answeredAt is when the leader's last answer came; freshUntil is the latest expiry of
+	// all granted leases.
 	answeredAt time.Duration
 	freshUntil time.Duration
 	// grantedLease is the lease of the last accepted answer to a watch.
 	grantedLease time.Duration
-	// substituteUntil is when the next answer to a heartbeat is overdue; stableFrom is
-	// when heartbeats have been answered in time for long enough.
-	substituteUntil, stableFrom time.Duration
+	// Answers to heartbeats substitute for short watches from substituteFrom, when they have
+	// come in time for minStableTime, until substituteUntil, when the next one is overdue.
+	substituteUntil, substituteFrom time.Duration
 }
 
-// target is the leader to watch, if it is confirmed.
-func (s *state) target() (leader string, confirmed bool) { return s.leader, s.confirmed }
+// watchTarget returns the leader, and whether it is confirmed and so can be watched.
+func (s *state) watchTarget() (leader string, confirmed bool) { return s.leader, s.confirmed }
 
-// candidates are the addresses to query at once who leads: the leader that was named,
-// and seeds in turn.
+// candidates returns the addresses to probe at once: the unconfirmed leader, if one is known,
+// and up to maxCandidates seeds in rotation.
 func (s *state) candidates(seeds []string) []string {
 	var addresses []string
 	if s.leader != "" {
@@ -85,18 +87,19 @@
 	return addresses
 }
 
-// observeFailure records that a call to the address had no answer, and reports whether
-// the leader was forgotten for that.
-func (s *state) observeFailure(now time.Duration, address string) (forgotten bool) {
-	if s.confirmed && address == s.leader && now-s.confirmedAt < confirmedGrace {
+// observeFailure records that a call to the address was not answered, and reports whether
+// the leader was dropped for that reason.
+func (s *state) observeFailure(now time.Duration, address string) (dropped bool) {
+	if s.confirmed && address == s.leader && now-s.confirmedAt < confirmationGrace {
 		return false
 	}
 	return s.reject(now, address)
 }
 
-// suspectLeader records that the leader at the address may be dead, and reports whether
-// candidates are to be queried. The suspect stays the leader until another one answers as
-// such, or it fails to answer itself.
+// suspectLeader makes the leader at the address unconfirmed, because it may be dead, and
+// reports whether candidates should be probed. It does nothing if the leader was confirmed
+// less than suspectAfter ago. The suspect remains the leader until another scheduler answers
+// as leader or a call to the suspect fails.
 func (s *state) suspectLeader(now time.Duration, address string) (query bool) {
 	if !s.confirmed || address != s.leader || now-s.confirmedAt < suspectAfter {
 		return false
@@ -105,30 +108,32 @@
 	return true
 }
 
-// reject keeps hints to the address from being followed for failureMemory, and reports
-// whether the leader was forgotten for that.
-func (s *state) reject(now time.Duration, address string) (forgotten bool) {
+// reject makes hints to the address ignored for hintBackoff, and drops the leader if it is
+// at the address. It reports whether it dropped the leader.
+func (s *state) reject(now time.Duration, address string) (dropped bool) {
 	s.failedAt[address] = now
 	if s.leader == "" || address != s.leader {
 		return false
 	}
-	s.forgetLeader()
+	s.dropLeader()
 	return true
 }
 
-// observeHint takes in who leads according to another process, and reports whether that
-// changed anything. An empty address means that the other process knows no leader.
+// observeHint records the leader's address according to another process, and reports whether
+// that differs from the known leader. The address becomes the unconfirmed leader. If the
+// address is empty, as the other process knows no leader, or failed less than hintBackoff
+// ago, the leader is dropped instead.
 func (s *state) observeHint(now time.Duration, address string) (changed bool) {
 	if address == s.leader {
 		return false
 	}
 	if address == "" {
-		s.forgetLeader()
+		s.dropLeader()
 		return true
 	}
 	failedAt, failed := s.failedAt[address]
-	if failed && now-failedAt < failureMemory {
-		s.forgetLeader()
+	if failed && now-failedAt < hintBackoff {
+		s.dropLeader()
 		return true
 	}
 	s.leader = address
@@ -136,7 +141,8 @@
 	return true
 }
 
-func (s *state) forgetLeader() {
+// dropLeader drops the leader, which becomes the previous one.
+func (s *state) dropLeader() {
 	if s.leader != "" {
 		s.previousLeader = s.leader
 	}
@@ -145,8 +151,8 @@
 	s.substituteUntil = 0
 }
 
-// observeToken raises the highest token. It reports whether the token is not lower than
-// the highest, and whether it is higher.
+// observeToken raises the highest token seen. It reports whether the token is at least the
+// highest seen before (current), and whether it is higher (raised).
 func (s *state) observeToken(token uint64) (current, raised bool) {
 	if token < s.token {
 		return false, false
@@ -156,8 +162,9 @@
 	return true, raised
 }
 
-// accept takes in an answer to a watch completely or not at all. It reports whether the
-// answer has a newer configuration, which is in force only after adopt.
+// accept applies an answer to a watch completely, or rejects it with an error and changes
+// nothing. It reports whether the answer has a newer configuration, which comes into force
+// only with adopt.
 func (s *state) accept(now, sentAt time.Duration, address string, answer protocol.WatchAnswer) (newer bool, err error) {
 	if err := s.checkAnswer(now, sentAt, answer); err != nil {
 		return false, err
@@ -176,7 +183,7 @@
 	return answer.ConfigVersion > s.configVersion, nil
 }
 
-// checkAnswer returns the reason to reject an answer to a watch; nil if there is none.
+// checkAnswer returns the reason to reject an answer to a watch, or nil.
 func (s *state) checkAnswer(now, sentAt time.Duration, answer protocol.WatchAnswer) error {
 	if answer.Token < s.token {
 		return fmt.Errorf("%w: %d after %d", errStaleToken, answer.Token, s.token)
@@ -191,13 +198,15 @@
 	if answer.LeaseMillis <= 0 {
 		return errNoLease
 	}
-	// A long watch may end after its lease, while heartbeats substituted for it.
+	// The answer to a long watch may come after its own lease expired, if answers to
+	// heartbeats extended the lease meanwhile.
 	if now >= sentAt+leaseOf(answer) && !s.fresh(now) {
 		return errLeaseExpired
 	}
 	return nil
 }
 
+// leaseOf returns the lease that an answer to a watch grants.
 func leaseOf(answer protocol.WatchAnswer) time.Duration {
 	return time.Duration(answer.LeaseMillis) * time.Millisecond
 }
@@ -208,5 +217,5 @@
 	s.config = config
 }
 
-// fresh reports whether a granted lease has not expired.
+// fresh reports whether at least one granted lease has not expired.
 func (s *state) fresh(now time.Duration) bool { return now < s.freshUntil }
--- a/internal/leaderclient/state_test.go
+++ b/internal/leaderclient/state_test.go
@@ -11,7 +11,7 @@
 
 func TestState_AcceptsAnswerCompletelyOrNotAtAll(t *testing.T) {
 	config := &api.Config{}
-	good := protocol.WatchAnswer{Token: 4, ConfigVersion: 8, Config: config, LeaseMillis: 1500}
+	validAnswer := protocol.WatchAnswer{Token: 4, ConfigVersion: 8, Config: config, LeaseMillis: 1500}
 	cases := []struct {
 		name   string
 		change func(*protocol.WatchAnswer)
@@ -28,14 +28,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := state{token: 4, configVersion: 7, failedAt: map[string]time.Duration{}}
-			answer := good
+			answer := validAnswer
 			c.change(&answer)
 			_, err := s.accept(c.now, 0, "a", answer)
 			if !errors.Is(err, c.want) {
-				t.Fatalf("error %v, want %v", err, c.want)
+				t.Fatalf("got error %v, want %v", err, c.want)
 			}
 			if err != nil && (s.leader != "" || s.fresh(c.now)) {
-				t.Fatal("a rejected answer was used")
+				t.Fatal("rejected answer changed the leader or the lease")
 			}
 		})
 	}
@@ -44,33 +44,33 @@
 func TestState_HintToFailedAddressIsNotFollowed(t *testing.T) {
 	s := state{failedAt: map[string]time.Duration{}}
 	s.observeFailure(0, "a")
-	s.observeHint(failureMemory/2, "a")
+	s.observeHint(hintBackoff/2, "a")
 	if s.leader != "" {
-		t.Fatal("followed a hint to an address that just failed")
+		t.Fatal("hint to an address that failed within hintBackoff was followed")
 	}
-	s.observeHint(2*failureMemory, "a")
+	s.observeHint(2*hintBackoff, "a")
 	if s.leader != "a" {
-		t.Fatal("a hint is not followed because of an old failure")
+		t.Fatal("hint to an address that failed before hintBackoff was not followed")
 	}
 }
 
-func TestState_RemembersPreviousLeader(t *testing.T) {
+func TestState_DroppedLeaderBecomesPreviousLeader(t *testing.T) {
 	cases := []struct {
-		name   string
-		forget func(*state)
+		name string
+		drop func(*state)
 	}{
 		{"no answer", func(s *state) { s.observeFailure(time.Second, "a") }},
 		{"unknown by hint", func(s *state) { s.observeHint(time.Second, "") }},
 		{"answer rejected", func(s *state) { s.reject(time.Second, "a") }},
-		{"forgotten twice", func(s *state) { s.forgetLeader(); s.forgetLeader() }},
+		{"dropped twice", func(s *state) { s.dropLeader(); s.dropLeader() }},
 		{"hint that failed since", func(s *state) { s.observeHint(time.Second, "a"); s.observeFailure(2*time.Second, "a") }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := state{leader: "a", confirmed: true, failedAt: map[string]time.Duration{}}
-			c.forget(&s)
+			c.drop(&s)
 			if s.leader != "" || s.previousLeader != "a" {
-				t.Errorf("leader %q, previous leader %q", s.leader, s.previousLeader)
+				t.Errorf("got leader %q, previous leader %q; want none, \"a\"", s.leader, s.previousLeader)
 			}
 		})
 	}
@@ -80,13 +80,13 @@
 	s := state{token: 4, configVersion: 7, versionOnly: true, failedAt: map[string]time.Duration{}}
 	newer, err := s.accept(0, 0, "a", protocol.WatchAnswer{Token: 4, ConfigVersion: 8, LeaseMillis: 1500})
 	if err != nil || !newer {
-		t.Fatalf("newer %v, %v", newer, err)
+		t.Fatalf("got newer %v, error %v; want true, no error", newer, err)
 	}
 }
 
-// TestState_LateWatchCountsOnlyWhileFresh has an answer come after the lease that it
-// grants. It is accepted only while answers to heartbeats kept the client fresh.
-func TestState_LateWatchCountsOnlyWhileFresh(t *testing.T) {
+// TestState_LateAnswerAcceptedOnlyWhileFresh checks an answer that comes after the lease it
+// grants has expired. It must be accepted only if answers to heartbeats extended the lease.
+func TestState_LateAnswerAcceptedOnlyWhileFresh(t *testing.T) {
 	for _, fresh := range []bool{true, false} {
 		s := state{versionOnly: true, failedAt: map[string]time.Duration{}}
 		if fresh {
@@ -94,7 +94,7 @@
 		}
 		_, err := s.accept(2*lease, 0, "a", protocol.WatchAnswer{Token: 4, ConfigVersion: 8, LeaseMillis: lease.Milliseconds()})
 		if (err == nil) != fresh {
-			t.Errorf("fresh %v: %v", fresh, err)
+			t.Errorf("fresh %v: got error %v, want an error only if not fresh", fresh, err)
 		}
 	}
 }
--- a/internal/leaderclient/supervise.go
+++ b/internal/leaderclient/supervise.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// suspectAfter is how long a call to the leader may go without an answer until the
-// leader is suspect, and all candidates are asked who leads. A dead leader is so found
-// long before calls to it time out. Answers take some 10 ms; a leader that is only slow
-// is confirmed again as soon as it answers.
+// suspectAfter is how long a call to the leader may stay unanswered before the leader is
+// suspected of failure and the candidates are probed, so that a dead leader is detected long
+// before calls to it time out. Answers usually take about 10 ms; a leader that is only slow
+// is confirmed again as soon as it answers a probe.
 const suspectAfter = 200 * time.Millisecond
 
-// supervisedCall is a call to a leader under supervision.
+// supervisedCall is a call to the leader, made with a context from Supervise.
 type supervisedCall struct {
 	address string
 	ctx     context.Context
 	cancel  context.CancelFunc
-	// timer runs checkCall.
+	// timer runs checkCall; guarded by Client.mutex.
 	timer *time.Timer
 }
 
-// Supervise watches over a call to the leader at an address. If the call is without an
-// answer for long, other schedulers are asked who leads; once another one does, the
-// returned context ends. The returned function must be called when the call has ended.
+// Supervise supervises a call to the leader at the address, which the caller makes with the
+// returned context. If the call is unanswered for suspectAfter, the client probes the leader
+// and other schedulers. It cancels the context once another leader is confirmed. The caller
+// must call the returned function when the call has ended.
 func (c *Client) Supervise(ctx context.Context, address string) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	call := &supervisedCall{address: address, ctx: ctx, cancel: cancel}
-	// The mutex keeps checkCall, which reads the timer, from running before it is set.
+	// Holding the mutex prevents checkCall from using call.timer before it is set.
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	call.timer = time.AfterFunc(suspectAfter, func() { c.checkCall(call) })
 	return ctx, func() { c.endSupervision(call) }
 }
 
-// checkCall cancels a call that is without an answer if another leader is known. If not,
-// it suspects the leader, unless that has answered lately, and checks again later.
+// checkCall cancels an unanswered call if another leader is confirmed. Otherwise it suspects
+// the leader, unless that was confirmed less than suspectAfter ago, and checks again later.
 func (c *Client) checkCall(call *supervisedCall) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -57,6 +58,7 @@
 	call.timer.Reset(next)
 }
 
+// endSupervision releases the resources of a supervised call that has ended.
 func (c *Client) endSupervision(call *supervisedCall) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -65,8 +67,8 @@
 	delete(c.overdueCalls, call)
 }
 
-// cancelOverdueCalls cancels the calls without an answer to others than the leader. The
-// caller holds the mutex.
+// cancelOverdueCalls cancels the overdue calls to schedulers other than the leader. The
+// caller must hold the mutex.
 func (c *Client) cancelOverdueCalls(leader string) {
 	for call := range c.overdueCalls {
 		if call.address != leader {
--- a/internal/leaderclient/watch.go
+++ b/internal/leaderclient/watch.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// watchWait is how long the leader may hold a watch call.
+	// watchWait is how long the leader may delay its answer to a watch call.
 	watchWait = 500 * time.Millisecond
-	// minCallInterval is the least time between two calls.
+	// minCallInterval is the minimum pause between two iterations of Run.
 	minCallInterval = 10 * time.Millisecond
 	// initialRetryBackoff and maxRetryBackoff bound the jittered backoff after a failure.
 	initialRetryBackoff = 30 * time.Millisecond
 	maxRetryBackoff     = 100 * time.Millisecond
-	// maxRedirects is how many hints in a row are followed without a backoff.
+	// maxRedirects is the maximum number of consecutive hints followed without a backoff.
 	maxRedirects = 2
 )
 
-// Run watches the leader until ctx ends. It returns nil.
+// Run finds and watches the leader until ctx ends. It always returns nil.
 func (c *Client) Run(ctx context.Context) error {
 	defer c.probes.Wait()
 	retry := backoff.NewExponentialBackOff()
@@ -38,15 +38,15 @@
 	return nil
 }
 
-// iterate makes one watch call to the confirmed leader, or queries candidates if there is
-// none, and backs off if that failed. ObserveHint, ReportFailure, ObserveToken and a
-// suspect leader cut both short.
+// iterate makes one watch call to the confirmed leader, or probes candidates if no leader is
+// confirmed, and waits for a backoff if that failed. ObserveHint, ReportFailure, ObserveToken
+// and the suspicion that the leader is dead interrupt it.
 func (c *Client) iterate(runCtx context.Context, retry *backoff.ExponentialBackOff) {
 	ctx, cancel := context.WithCancel(runCtx)
 	defer cancel()
 	c.mutex.Lock()
 	c.interrupt = cancel
-	address, confirmed := c.state.target()
+	address, confirmed := c.state.watchTarget()
 	var candidates []string
 	if !confirmed {
 		candidates = c.state.candidates(c.config.Seeds())
@@ -61,26 +61,27 @@
 	contexttime.Sleep(ctx, retry.NextBackOff())
 }
 
+// endIteration records that no iteration is in progress.
 func (c *Client) endIteration() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.interrupt = nil
 }
 
-// interruptIteration cuts the current iteration short. The caller holds the mutex.
+// interruptIteration cancels the current iteration, if any. The caller must hold the mutex.
 func (c *Client) interruptIteration() {
 	if c.interrupt != nil {
 		c.interrupt()
 	}
 }
 
-// watchLeader makes one watch call and reports whether the next may follow at once.
+// watchLeader makes one watch call and reports whether the next call may follow at once.
 func (c *Client) watchLeader(ctx context.Context, address string) (retryNow bool) {
 	maxWait := c.nextWatchWait()
 	callCtx, cancel := context.WithTimeout(ctx, maxWait+answerGrace)
 	defer cancel()
 	if maxWait > watchWait {
-		return c.watchBesideHeartbeats(ctx, callCtx, cancel, address, maxWait)
+		return c.watchWithHeartbeats(ctx, callCtx, cancel, address, maxWait)
 	}
 	_, retryNow = c.handleResult(ctx, c.watchOnce(callCtx, address, maxWait))
 	return retryNow
@@ -89,19 +90,20 @@
 // watchResult is the result of one watch call.
 type watchResult struct {
 	address string
-	// sentAt is when the request was sent, from which on its lease counts.
+	// sentAt is when the request was sent, which is when the lease of the answer starts.
 	sentAt time.Duration
 	answer protocol.WatchAnswer
 	err    error
 }
 
-// watchOnce makes one watch call, which the leader may hold for maxWait.
+// watchOnce makes one watch call. The leader may delay its answer by maxWait.
 func (c *Client) watchOnce(ctx context.Context, address string, maxWait time.Duration) watchResult {
 	sentAt := c.now()
 	answer, err := c.watch(ctx, address, c.newRequest(maxWait))
 	return watchResult{address: address, sentAt: sentAt, answer: answer, err: err}
 }
 
+// newRequest returns the request of a watch call, which confirms the configuration in force.
 func (c *Client) newRequest(maxWait time.Duration) protocol.WatchRequest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -116,7 +118,7 @@
 	}
 }
 
-// handleResult takes in the result of a watch call. It reports whether the answer was
+// handleResult handles the result of a watch call. It reports whether the answer was
 // accepted, and whether the next call may follow at once.
 func (c *Client) handleResult(ctx context.Context, result watchResult) (accepted, retryNow bool) {
 	c.resultMutex.Lock()
@@ -132,8 +134,9 @@
 	return true, true
 }
 
-// accept takes in an answer. A newer configuration is given to OnConfig before it is in
-// force, so that it is confirmed to the leader only after that.
+// accept applies an answer, or returns the reason to reject it. It calls OnConfig with a
+// newer configuration before adopting it, so that the configuration is confirmed to the
+// leader only after OnConfig returned.
 func (c *Client) accept(result watchResult) error {
 	answer := result.answer
 	newer, err := c.acceptState(result)
@@ -150,8 +153,8 @@
 	return nil
 }
 
-// acceptState takes in an answer but for its configuration, and reports whether that is
-// newer than the one in force.
+// acceptState applies an answer except for its configuration, and reports whether the
+// configuration is newer than the one in force.
 func (c *Client) acceptState(result watchResult) (newer bool, err error) {
 	c.mutex.Lock()
 	before := c.state.leader
@@ -172,15 +175,16 @@
 	c.config.Logger.Info("configuration in force", slog.Uint64("config_version", version))
 }
 
-// reject drops the scheduler at the address, whose answer was not accepted.
+// reject records that the answer from the address was rejected, as state.reject does.
 func (c *Client) reject(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.state.reject(c.now(), address)
 }
 
-// handleFailure takes in a call without an answer, and reports whether a hint makes it
-// worth calling again at once.
+// handleFailure handles a watch call that failed, and reports whether the next call may
+// follow at once because of a hint. It ignores failures of calls that were cancelled or sent
+// before the leader was confirmed.
 func (c *Client) handleFailure(ctx context.Context, result watchResult) (retryNow bool) {
 	if ctx.Err() != nil || c.predatesConfirmation(result) {
 		return false
@@ -198,25 +202,26 @@
 		return false
 	}
 	if c.state.leader == address {
-		c.state.forgetLeader()
+		c.state.dropLeader()
 	}
 	return false
 }
 
-// predatesConfirmation reports whether a leader has answered since the call was sent.
+// predatesConfirmation reports whether the call was sent before the leader was confirmed.
 func (c *Client) predatesConfirmation(result watchResult) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.state.confirmed && result.sentAt < c.state.confirmedAt
 }
 
-// followRedirect takes in the hint of a scheduler that does not lead. A hint that
-// changes nothing is no reason to call again at once.
+// followRedirect handles the hint of a scheduler that is not the leader. It reports whether
+// the next call may follow at once: only if the hint changes the known leader, and is one of
+// at most maxRedirects consecutive hints.
 func (c *Client) followRedirect(address, hint string) (retryNow bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.state.leader == address {
-		c.state.forgetLeader()
+		c.state.dropLeader()
 	}
 	if hint == "" || hint == address {
 		return false
@@ -224,7 +229,7 @@
 	if !c.state.observeHint(c.now(), hint) {
 		return false
 	}
-	// Schedulers may point at each other while they elect.
+	// During an election, schedulers may name each other as the leader.
 	c.redirects++
 	return c.state.leader != "" && c.redirects <= maxRedirects
 }
--- a/internal/rpc/allocation_test.go
+++ b/internal/rpc/allocation_test.go
@@ -6,9 +6,9 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// maxCallAllocations bounds the allocations of a served heartbeat beside those of
-// decoding it. 28 were counted, and 42 before buffers were pooled, counters cached and
-// deadline timers made only when something waits for them.
+// maxCallAllocations bounds the allocations for serving a heartbeat, without those for
+// decoding it. The count is 28; it was 42 before buffers were pooled, counters cached and
+// deadline timers created only when something waits for them.
 const maxCallAllocations = 34
 
 func TestCall_HeartbeatAllocationsAreBounded(t *testing.T) {
@@ -26,9 +26,9 @@
 			t.Fatal(err)
 		}
 	})
-	if beside := served - decoding; beside > maxCallAllocations {
-		t.Errorf("%v allocations, %v of them to decode the body: %v remain, want %d at most", served, decoding, beside, maxCallAllocations)
+	if overhead := served - decoding; overhead > maxCallAllocations {
+		t.Errorf("got %v allocations, %v of them for decoding the body: got %v for the rest, want at most %d", served, decoding, overhead, maxCallAllocations)
 	} else {
-		t.Logf("%v allocations, %v of them to decode the body", served, decoding)
+		t.Logf("%v allocations, %v of them for decoding the body", served, decoding)
 	}
 }
--- a/internal/rpc/bench_test.go
+++ b/internal/rpc/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// BenchmarkHeartbeatCall is both sides of a complete call: a heartbeat that lists 7
-// runs, and its answer.
+// BenchmarkHeartbeatCall measures client and server of a complete call: a heartbeat that
+// lists 7 runs, and its answer.
 func BenchmarkHeartbeatCall(b *testing.B) {
 	server := NewServer(ServerConfig{})
 	Handle(server, protocol.MethodHeartbeat, func(_ context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// BenchmarkHeartbeatCodec encodes and decodes the same heartbeat.
+// BenchmarkHeartbeatCodec measures encoding and decoding the same heartbeat.
 func BenchmarkHeartbeatCodec(b *testing.B) {
 	c, request := newCodec(), benchHeartbeat()
 	b.ReportAllocs()
--- a/internal/rpc/call_test.go
+++ b/internal/rpc/call_test.go
@@ -21,7 +21,7 @@
 	"github.com/decklever/decklever/internal/testnetwork"
 )
 
-func TestCall_RoundTripKeepsAllFields(t *testing.T) {
+func TestCall_RoundTripPreservesAllFields(t *testing.T) {
 	notBefore := time.Date(2031, 2, 3, 4, 5, 6, 789, time.UTC)
 	failures := 0
 	request := protocol.SubmitRequest{ID: "j", Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{{
@@ -40,14 +40,14 @@
 	address, client := serve(t, server, ClientConfig{})
 	answer, err := Call[protocol.SubmitRequest, protocol.SubmitAnswer](t.Context(), client, address, protocol.MethodSubmit, request)
 	if err != nil || !answer.Created {
-		t.Fatalf("answer %+v, error %v", answer, err)
+		t.Fatalf("got answer %+v, error %v; want Created, no error", answer, err)
 	}
 	if diff := cmp.Diff(request, received); diff != "" {
-		t.Fatalf("request differs (-sent +received):\n%s", diff)
+		t.Fatalf("request received differs from the one sent (-sent +received):\n%s", diff)
 	}
 }
 
-func TestCall_HeartbeatKeepsEmbeddedRuns(t *testing.T) {
+func TestCall_HeartbeatPreservesEmbeddedRuns(t *testing.T) {
 	request := protocol.HeartbeatRequest{Agent: "a", Heartbeat: api.Heartbeat{
 		Seq:   7,
 		Ended: []api.EndedRun{{RunRef: api.RunRef{Task: "j/s/0", Run: 3}, Outcome: api.OutcomeFailed, Message: "m"}},
@@ -61,12 +61,13 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(request, decoded); diff != "" {
-		t.Fatalf("heartbeat differs (-sent +received):\n%s", diff)
+		t.Fatalf("heartbeat differs after decoding (-encoded +decoded):\n%s", diff)
 	}
 }
 
-// TestCall_DeadlineReachesHandlerAndBoundsCall: the nearer one of the client's timeout and
-// the context's deadline counts. In the bubble a call takes no time by itself.
+// TestCall_DeadlineReachesHandlerAndBoundsCall checks that the earlier of the client's
+// time-out and the context's deadline applies. It runs in a synctest bubble, where the call
+// itself takes no time, so that durations are exact.
 func TestCall_DeadlineReachesHandlerAndBoundsCall(t *testing.T) {
 	for name, test := range map[string]struct{ client, context, want time.Duration }{
 		"client's timeout":   {client: 50 * time.Millisecond, context: time.Hour, want: 50 * time.Millisecond},
@@ -78,14 +79,15 @@
 	}
 }
 
-// requireDeadline makes a call that only its deadline ends, in a bubble.
-func requireDeadline(t *testing.T, clients, contexts, want time.Duration) {
+// requireDeadline makes a call whose handler waits for the deadline, and checks that the call
+// and the handler's context end after want. It must run in a synctest bubble.
+func requireDeadline(t *testing.T, clientTimeout, contextTimeout, want time.Duration) {
 	t.Helper()
-	left, ended := make(chan time.Duration, 1), make(chan error, 1)
+	remaining, ended := make(chan time.Duration, 1), make(chan error, 1)
 	server := NewServer(ServerConfig{})
 	Handle(server, methodTest, func(ctx context.Context, _ protocol.Empty) (protocol.Empty, error) {
 		deadline, _ := ctx.Deadline()
-		left <- time.Until(deadline)
+		remaining <- time.Until(deadline)
 		<-ctx.Done()
 		ended <- ctx.Err()
 		return protocol.Empty{}, ctx.Err()
@@ -95,42 +97,42 @@
 	listener := network.Listen(t, "127.0.0.1:1")
 	go func() { _ = httpServer.Serve(listener) }()
 	defer func() { _ = httpServer.Close() }()
-	client := NewClient(ClientConfig{Timeout: clients, Dialer: network.DialContext})
+	client := NewClient(ClientConfig{Timeout: clientTimeout, Dialer: network.DialContext})
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(t.Context(), contexts)
+	ctx, cancel := context.WithTimeout(t.Context(), contextTimeout)
 	defer cancel()
 	began := time.Now()
 	if _, err := Call[protocol.Empty, protocol.Empty](ctx, client, "127.0.0.1:1", methodTest, protocol.Empty{}); err == nil {
-		t.Fatal("the deadline did not end the call")
+		t.Fatal("got no error from a call past its deadline")
 	}
-	if took := time.Since(began); took != want {
-		t.Errorf("the call took %v, want %v", took, want)
+	if elapsed := time.Since(began); elapsed != want {
+		t.Errorf("call ended after %v, want %v", elapsed, want)
 	}
-	if got := <-left; got != want {
-		t.Errorf("the handler had %v, want %v", got, want)
+	if got := <-remaining; got != want {
+		t.Errorf("handler got a deadline in %v, want %v", got, want)
 	}
 	if err := <-ended; err == nil {
-		t.Error("the handler's context did not end")
+		t.Error("got no error from the handler's context past the deadline")
 	}
 }
 
 func TestCall_TransportErrors(t *testing.T) {
 	client := NewClient(ClientConfig{})
 	defer client.Close()
-	refusing := testaddress.New(t)
-	if failure := requireFailure(t, refusing, client); failure.Code != CodeTransport || !failure.Unsent {
-		t.Errorf("refused connection: %+v", failure)
+	closedAddress := testaddress.New(t)
+	if failure := requireFailure(t, closedAddress, client); failure.Code != CodeTransport || !failure.Unsent {
+		t.Errorf("refused connection: got %+v, want an unsent transport error", failure)
 	}
 	if failure := requireFailure(t, "not an address", client); failure.Code != CodeTransport || !failure.Unsent {
-		t.Errorf("wrong address: %+v", failure)
+		t.Errorf("malformed address: got %+v, want an unsent transport error", failure)
 	}
-	stuck := NewClient(ClientConfig{Timeout: time.Millisecond, Dialer: func(ctx context.Context, _, _ string) (net.Conn, error) {
+	blockedDialClient := NewClient(ClientConfig{Timeout: time.Millisecond, Dialer: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}})
-	defer stuck.Close()
-	if failure := requireFailure(t, refusing, stuck); failure.Code != CodeTransport || !failure.Unsent {
-		t.Errorf("dial timed out: %+v", failure)
+	defer blockedDialClient.Close()
+	if failure := requireFailure(t, closedAddress, blockedDialClient); failure.Code != CodeTransport || !failure.Unsent {
+		t.Errorf("dial timed out: got %+v, want an unsent transport error", failure)
 	}
 }
 
@@ -165,10 +167,10 @@
 				t.Fatal(err)
 			}
 			if failure := requireFailure(t, address, client); failure.Code != CodeTransport || failure.Unsent {
-				t.Fatalf("got %+v", failure)
+				t.Fatalf("got %+v, want a transport error that is not unsent", failure)
 			}
 			if calls.Load() != 2 {
-				t.Fatalf("sent %d times", calls.Load()-1)
+				t.Fatalf("call sent %d times, want 1", calls.Load()-1)
 			}
 		})
 	}
@@ -185,12 +187,12 @@
 		_ = requireFailure(t, address, client)
 	}
 	if dials.Load() != 1 {
-		t.Fatalf("%d connections for 5 calls", dials.Load())
+		t.Fatalf("got %d connections for 5 calls, want 1", dials.Load())
 	}
 }
 
-// TestCall_PooledBuffersDoNotLeakBetweenCalls: buffers are recycled, and what was decoded
-// must not point into them.
+// TestCall_PooledBuffersDoNotLeakBetweenCalls guards against decoded values that point into
+// a pooled buffer: later calls, which reuse the buffer, would overwrite them.
 func TestCall_PooledBuffersDoNotLeakBetweenCalls(t *testing.T) {
 	server := NewServer(ServerConfig{})
 	Handle(server, methodTest, func(_ context.Context, request protocol.SnapshotChunkRequest) (protocol.SnapshotChunkRequest, error) {
@@ -207,6 +209,6 @@
 		sent, got = append(sent, request), append(got, answer)
 	}
 	if diff := cmp.Diff(sent, got); diff != "" {
-		t.Fatalf("answers changed afterwards (-sent +got):\n%s", diff)
+		t.Fatalf("answers differ from the requests after later calls (-sent +got):\n%s", diff)
 	}
 }
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -19,23 +19,23 @@
 const (
 	defaultTimeout        = time.Second
 	defaultMaxAnswerBytes = 64 << 20
-	// maxIdleConnections and maxIdlePerHost bound the connections that are kept for
-	// further calls, and idleTimeout the time for which they are.
+	// maxIdleConnections and maxIdlePerHost bound the number of idle connections in the
+	// pool, and idleTimeout how long a connection stays idle before it is closed.
 	maxIdleConnections = 4096
 	maxIdlePerHost     = 512
 	idleTimeout        = 60 * time.Second
-	// maxHeaderBytes bounds the header of an answer.
+	// maxHeaderBytes bounds the HTTP header of an answer.
 	maxHeaderBytes = 16 << 10
 )
 
-// ClientConfig configures a Client. A zero field means its default.
+// ClientConfig configures a Client. Zero fields take their defaults.
 type ClientConfig struct {
-	// Timeout bounds each call whose context has no nearer deadline. Default 1s.
+	// Timeout bounds each call whose context has no earlier deadline. Default 1s.
 	Timeout time.Duration
 	// MaxAnswerBytes bounds the body of an answer. Default 64 MiB.
 	MaxAnswerBytes int64
-	// Dialer makes connections. Default: a net.Dialer whose connections notice soon that
-	// the other machine is dead.
+	// Dialer opens connections. Default: a net.Dialer with TCP keep-alive and a user
+	// time-out, so that connections to a dead machine are closed within seconds.
 	Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 	// Metrics counts calls and bytes. Optional.
 	Metrics *Metrics
@@ -51,7 +51,7 @@
 	transport *http.Transport
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client. Connections are opened by the first calls.
 func NewClient(config ClientConfig) *Client {
 	if config.Timeout <= 0 {
 		config.Timeout = defaultTimeout
@@ -63,7 +63,7 @@
 		config.Dialer = newDialer().DialContext
 	}
 	transport := &http.Transport{
-		DialContext:            config.Metrics.dialer(config.Dialer),
+		DialContext:            config.Metrics.countingDialer(config.Dialer),
 		MaxIdleConns:           maxIdleConnections,
 		MaxIdleConnsPerHost:    maxIdlePerHost,
 		IdleConnTimeout:        idleTimeout,
@@ -79,14 +79,15 @@
 	}
 }
 
-// Close closes the idle connections. Those in use end with their calls.
+// Close closes the idle connections. Calls in progress continue on theirs.
 func (c *Client) Close() {
 	c.transport.CloseIdleConnections()
 }
 
 // Call sends one request to an address ("IP:port") and returns the answer. The request is
-// sent at most once. Every failure is an *Error: the server's own, or one with
-// CodeTransport if no answer came in time.
+// sent at most once. Every error is an *Error: the one that the server returned, one with
+// CodeTransport if there was no valid answer in time, or one with CodeBadRequest if the
+// request cannot be encoded.
 func Call[Request, Answer any](ctx context.Context, c *Client, address string, method protocol.Method, request Request) (Answer, error) {
 	var answer Answer
 	body, err := c.codec.encode(request)
@@ -105,30 +106,30 @@
 	}
 	if err := c.codec.decode(reply.Bytes(), &answer); err != nil {
 		var none Answer
-		return none, transportError(method, address, fmt.Errorf("decode the answer: %w", err))
+		return none, newTransportError(method, address, fmt.Errorf("decode the answer: %w", err))
 	}
 	return answer, nil
 }
 
-// send carries one body to the address and the body of the answer back, into reply. It
-// returns *Error and not error, so that there is no failure of another type.
+// send posts the body to the address and reads the body of the answer into reply. It
+// returns *Error instead of error, so that a failure cannot have another type.
 func (c *Client) send(ctx context.Context, address string, method protocol.Method, body []byte, reply *buffer) *Error {
 	ctx, cancel := c.withDeadline(ctx)
 	defer cancel()
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	request := newRequest(httptrace.WithClientTrace(ctx, trace), address, method, body)
-	// An http.Client would follow redirects and so send a call a second time.
+	// An http.Client would follow redirects and so send the call a second time.
 	response, err := c.transport.RoundTrip(request)
 	if err != nil && !connected.Load() {
-		return unsentError(method, address, err)
+		return newUnsentError(method, address, err)
 	}
 	if err != nil {
-		return transportError(method, address, err)
+		return newTransportError(method, address, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if err := c.readBody(response, reply); err != nil {
-		return transportError(method, address, err)
+		return newTransportError(method, address, err)
 	}
 	if response.StatusCode != http.StatusOK {
 		return c.readError(method, address, response.StatusCode, reply.Bytes())
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// withDeadline bounds a call by the client's timeout, unless its deadline is as near.
+// withDeadline limits the context to the client's timeout, unless its own deadline is no later.
 func (c *Client) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= c.config.Timeout {
 		return ctx, func() {}
@@ -144,25 +145,27 @@
 	return context.WithTimeout(ctx, c.config.Timeout)
 }
 
-// newRequest makes the request of a call. GetBody lets the transport use another
-// connection if a kept one turns out to be closed before any byte was written.
+// newRequest returns the HTTP request of a call. GetBody lets the transport switch to
+// another connection if a pooled one was closed before any byte was written.
 func newRequest(ctx context.Context, address string, method protocol.Method, body []byte) *http.Request {
 	request := &http.Request{
 		Method: http.MethodPost,
 		URL:    &url.URL{Scheme: "http", Host: address, Path: pathPrefix + string(method)},
 		Header: requestHeader(ctx),
-		Body:   readerOf(body),
+		Body:   newBodyReader(body),
 
 		ContentLength: int64(len(body)),
-		GetBody:       func() (io.ReadCloser, error) { return readerOf(body), nil },
+		GetBody:       func() (io.ReadCloser, error) { return newBodyReader(body), nil },
 	}
 	return request.WithContext(ctx)
 }
 
-func readerOf(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
+func newBodyReader(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
 
 var errAnswerTooLarge = errors.New("answer too large")
 
+// readBody reads the body of the response into reply. It fails if the body exceeds
+// MaxAnswerBytes.
 func (c *Client) readBody(response *http.Response, reply *buffer) error {
 	limit := c.config.MaxAnswerBytes
 	if response.ContentLength > limit {
@@ -177,25 +180,26 @@
 	return nil
 }
 
-// readError decodes the error of a failed call. A body without one came from something
-// that is not a Server.
+// readError decodes the error in the body of an answer whose status is not 200. If the body
+// holds no error, the answer is not from a Server, and the result has CodeTransport.
 func (c *Client) readError(method protocol.Method, address string, status int, body []byte) *Error {
 	failure := &Error{}
 	if err := c.codec.decode(body, failure); err != nil {
-		return transportError(method, address, fmt.Errorf("status %d without a readable error: %w", status, err))
+		return newTransportError(method, address, fmt.Errorf("status %d without a readable error: %w", status, err))
 	}
 	if failure.Code == "" || failure.Code == CodeTransport {
-		return transportError(method, address, fmt.Errorf("status %d without an error code", status))
+		return newTransportError(method, address, fmt.Errorf("status %d without an error code", status))
 	}
 	return failure
 }
 
-func transportError(method protocol.Method, address string, err error) *Error {
+func newTransportError(method protocol.Method, address string, err error) *Error {
 	return &Error{Code: CodeTransport, Message: fmt.Sprintf("call %s at %s: %v", method, address, err)}
 }
 
-func unsentError(method protocol.Method, address string, err error) *Error {
-	failure := transportError(method, address, err)
+// newUnsentError returns a transport error of a call for which no connection was made.
+func newUnsentError(method protocol.Method, address string, err error) *Error {
+	failure := newTransportError(method, address, err)
 	failure.Unsent = true
 	return failure
 }
--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -18,7 +18,7 @@
 	}
 	var older protocol.CancelRequest
 	if err := newCodec().decode(encoded, &older); err != nil || older.ID != "j" {
-		t.Fatalf("decoded %+v, error %v", older, err)
+		t.Fatalf("got %+v, error %v; want ID \"j\", no error", older, err)
 	}
 }
 
@@ -31,7 +31,7 @@
 	for range 20 {
 		again, err := newCodec().encode(labels)
 		if err != nil || !bytes.Equal(first, again) {
-			t.Fatalf("%x and %x differ, error %v", first, again, err)
+			t.Fatalf("got %x first and %x again, error %v; want equal encodings", first, again, err)
 		}
 	}
 }
@@ -50,13 +50,13 @@
 	} {
 		var request protocol.CancelRequest
 		if err := newCodec().decode(body, &request); err == nil {
-			t.Errorf("%s: decoded as %+v", name, request)
+			t.Errorf("%s: got %+v, want an error", name, request)
 		}
 	}
 }
 
-// FuzzDecode checks that no body makes the decoder panic, and that what is decoded can be
-// encoded and decoded again with the same bytes.
+// FuzzDecode checks that no body makes the decoder panic, and that a decoded heartbeat keeps
+// its encoding when it is encoded, decoded and encoded again.
 func FuzzDecode(f *testing.F) {
 	codec := newCodec()
 	for _, seed := range []any{protocol.HeartbeatRequest{Agent: "a"}, protocol.RaftRequest{}, &Error{Code: CodeNotLeader}} {
@@ -78,14 +78,14 @@
 		}
 		first, err := codec.encode(heartbeat)
 		if err != nil {
-			t.Fatalf("decoded but not encoded: %v", err)
+			t.Fatalf("encode a decoded heartbeat: %v", err)
 		}
 		if err := codec.decode(first, &again); err != nil {
-			t.Fatalf("encoded but not decoded: %v", err)
+			t.Fatalf("decode an encoded heartbeat: %v", err)
 		}
 		second, err := codec.encode(again)
 		if err != nil || !bytes.Equal(first, second) {
-			t.Fatalf("%x became %x, error %v", first, second, err)
+			t.Fatalf("got %x first and %x again, error %v; want equal encodings", first, second, err)
 		}
 	})
 }
--- a/internal/rpc/deadline.go
+++ b/internal/rpc/deadline.go
@@ -6,21 +6,24 @@
 	"time"
 )
 
-// deadlineContext is a context.Context that ends at a deadline, with its parent, or when
-// end is called. It makes a context with a timer only once something waits for its end,
-// as most calls are answered without that. It is safe for concurrent use.
+// deadlineContext is a context.Context that ends at its deadline, when its parent ends, or
+// when end is called. It creates a context with a timer only when something waits for its
+// end, because most handlers return without waiting. It is safe for concurrent use.
 type deadlineContext struct {
 	parent   context.Context
 	deadline time.Time
 
+	// mutex guards the fields below.
 	mutex sync.Mutex
-	// timed ends like this context; nil until something waits for that. cancel ends it.
+	// timed is the context with a timer; nil until something waits for the end of this
+	// context. cancel ends it.
 	timed  context.Context
 	cancel context.CancelFunc
 	ended  bool
 }
 
-// withTimeout returns a context that ends after the timeout. The caller must call end.
+// withTimeout returns a context that ends after the timeout, or earlier if the parent does.
+// The caller must call end.
 func withTimeout(parent context.Context, timeout time.Duration) *deadlineContext {
 	deadline := time.Now().Add(timeout)
 	if earlier, ok := parent.Deadline(); ok && earlier.Before(deadline) {
@@ -29,7 +32,7 @@
 	return &deadlineContext{parent: parent, deadline: deadline}
 }
 
-// end ends the context if it has not ended.
+// end cancels the context unless it has already ended.
 func (c *deadlineContext) end() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -39,7 +42,7 @@
 	}
 }
 
-// timedContext returns the context with a timer, which can be waited for.
+// timedContext returns the context with a timer, and creates it on the first call.
 func (c *deadlineContext) timedContext() context.Context {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -69,8 +72,8 @@
 	return c.timedContext().Err()
 }
 
-// Value implements context.Context. It asks the context with a timer if there is one, so
-// that contexts derived from this one find it as their parent.
+// Value implements context.Context. It delegates to the context with a timer if there is
+// one, so that package context attaches derived contexts to that context directly.
 func (c *deadlineContext) Value(key any) any {
 	c.mutex.Lock()
 	timed := c.timed
--- a/internal/rpc/deadline_test.go
+++ b/internal/rpc/deadline_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// runInBubble runs a test with a context that ends after a second, in a bubble.
+// runInBubble runs a test in a synctest bubble. It passes the function that cancels the
+// parent context, and a context that ends after a second.
 func runInBubble(t *testing.T, run func(t *testing.T, parent context.CancelFunc, ctx *deadlineContext)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -17,22 +18,22 @@
 		ctx := withTimeout(parent, time.Second)
 		defer ctx.end()
 		if ctx.Err() != nil {
-			t.Fatal("ended at once")
+			t.Fatal("new context has already ended")
 		}
 		run(t, cancel, ctx)
 	})
 }
 
-// requireEnded checks that a context has ended with an error.
+// requireEnded checks that a context has ended with the error want.
 func requireEnded(ctx context.Context, t *testing.T, want error) {
 	t.Helper()
 	if err := ctx.Err(); !errors.Is(err, want) {
-		t.Errorf("ended with %v, want %v", err, want)
+		t.Errorf("context ended with %v, want %v", err, want)
 	}
 	select {
 	case <-ctx.Done():
 	default:
-		t.Error("Done of an ended context blocks")
+		t.Error("Done of an ended context is not closed")
 	}
 }
 
@@ -59,8 +60,8 @@
 		t.Helper()
 		began := time.Now()
 		<-ctx.Done()
-		if took := time.Since(began); took != time.Second {
-			t.Errorf("ended after %v", took)
+		if elapsed := time.Since(began); elapsed != time.Second {
+			t.Errorf("context ended after %v, want 1s", elapsed)
 		}
 		requireEnded(ctx, t, context.DeadlineExceeded)
 	})
@@ -80,7 +81,8 @@
 	})
 }
 
-// TestDeadlineContext_EndsDerivedContexts: also those that ask it for values.
+// TestDeadlineContext_EndsDerivedContexts checks a context derived through a value context,
+// which looks up its parent with Value.
 func TestDeadlineContext_EndsDerivedContexts(t *testing.T) {
 	runInBubble(t, func(t *testing.T, _ context.CancelFunc, ctx *deadlineContext) {
 		t.Helper()
@@ -88,7 +90,7 @@
 		child, cancel := context.WithCancel(context.WithValue(ctx, key{}, "value"))
 		defer cancel()
 		if child.Value(key{}) != "value" || ctx.Value(key{}) != nil {
-			t.Error("values are mixed up")
+			t.Error("got a wrong value: want it in the child context only")
 		}
 		ctx.end()
 		<-child.Done()
@@ -96,7 +98,7 @@
 	})
 }
 
-func TestDeadlineContext_KeepsNearerDeadline(t *testing.T) {
+func TestDeadlineContext_UsesEarlierDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		parent, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -104,7 +106,7 @@
 		for timeout, want := range map[time.Duration]time.Duration{time.Minute: time.Second, time.Millisecond: time.Millisecond} {
 			ctx := withTimeout(parent, timeout)
 			if deadline, ok := ctx.Deadline(); !ok || deadline.Sub(began) != want {
-				t.Errorf("after %v the deadline is %v from now, want %v", timeout, deadline.Sub(began), want)
+				t.Errorf("time-out of %v: got a deadline in %v, want %v", timeout, deadline.Sub(began), want)
 			}
 			ctx.end()
 		}
@@ -115,23 +117,23 @@
 	allocations := testing.AllocsPerRun(100, func() {
 		ctx := withTimeout(t.Context(), time.Hour)
 		if ctx.Err() != nil {
-			t.Error("ended at once")
+			t.Error("new context has already ended")
 		}
 		ctx.end()
 	})
 	if allocations > 1 {
-		t.Errorf("%v allocations, want 1 at most", allocations)
+		t.Errorf("got %v allocations, want at most 1", allocations)
 	}
 }
 
-// TestFormatTimeout_RoundsUp: a call with any time left must not say 0, which means that
-// it has no deadline.
+// TestFormatTimeout_RoundsUp guards against a header value of 0, which the server takes as
+// no deadline.
 func TestFormatTimeout_RoundsUp(t *testing.T) {
-	for left, want := range map[time.Duration]string{
+	for remaining, want := range map[time.Duration]string{
 		-time.Second: "1", 0: "1", 1: "1", time.Millisecond: "1", time.Millisecond + 1: "2", time.Second: "1000",
 	} {
-		if got := formatTimeout(left); got != want {
-			t.Errorf("%v left: %s, want %s", left, got, want)
+		if got := formatTimeout(remaining); got != want {
+			t.Errorf("remaining time %v: got %s, want %s", remaining, got, want)
 		}
 	}
 }
--- a/internal/rpc/dial.go
+++ b/internal/rpc/dial.go
@@ -6,9 +6,9 @@
 	"net/netip"
 )
 
-// DialFrom returns a dialer for ClientConfig whose connections have an IP address of this
-// machine as their source. It returns nil, which means the default dialer, if the address
-// is empty or not valid.
+// DialFrom returns a function for ClientConfig.Dialer that opens connections from the given
+// source IP address of this machine. If the address is empty or invalid, it returns nil,
+// which selects the default dialer.
 func DialFrom(source string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	address, err := netip.ParseAddr(source)
 	if err != nil {
--- a/internal/rpc/dial_test.go
+++ b/internal/rpc/dial_test.go
@@ -7,7 +7,7 @@
 
 func TestDialFrom_UsesGivenSourceAddress(t *testing.T) {
 	if DialFrom("") != nil {
-		t.Error("an empty address gave a dialer")
+		t.Error("got a dialer for an empty address, want nil")
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,6 +25,6 @@
 	}
 	defer func() { _ = accepted.Close() }()
 	if host, _, _ := net.SplitHostPort(accepted.RemoteAddr().String()); host != "127.9.8.7" {
-		t.Errorf("the connection came from %s", host)
+		t.Errorf("got a connection from %s, want 127.9.8.7", host)
 	}
 }
--- a/internal/rpc/doc.go
+++ b/internal/rpc/doc.go
@@ -1,20 +1,21 @@
-// Package rpc carries typed calls between decklever's processes: CBOR bodies over
-// HTTP/1.1, POST /rpc/METHOD, on kept-alive connections. The messages are those of
-// package protocol.
+// Package rpc implements typed calls between decklever's processes: CBOR bodies over
+// HTTP/1.1, POST /rpc/METHOD, on persistent connections. Package protocol defines the
+// messages.
 //
 // # Invariants
 //
-// A call is sent at most once. The package retries nothing: whether a call may be sent
-// again is for the caller to know. Each call has a deadline, which the handler's context
-// has as well, and bounded bodies.
+// A call is sent at most once. The package never retries, because only the caller knows
+// whether a call is safe to repeat. Each call has a deadline, which is passed on to the
+// handler's context. The sizes of request and answer bodies are bounded.
 //
-// A failed call returns an [Error] whose code says whether it may have had an effect. An
-// api.Error of the handler passes through as it is, so that a front can answer its caller
-// with it.
+// A failed call returns an [Error] whose code says whether the call may have had an
+// effect. An api.Error returned by the handler reaches the caller unchanged, so that a
+// front can send it to its own client.
 //
 // # Cost
 //
-// Calls are most of a process's work. Buffers are pooled, and a handler's context has a
-// timer only once something waits for its end; TestCall_HeartbeatAllocationsAreBounded
-// bounds the allocations. Nothing that is decoded points into a pooled buffer.
+// Calls account for most of a process's work. Buffers are therefore pooled, and a timer is
+// created for a handler's context only when something waits for its end;
+// TestCall_HeartbeatAllocationsAreBounded bounds the allocations. Decoded values never
+// point into a pooled buffer.
 package rpc
--- a/internal/rpc/errors.go
+++ b/internal/rpc/errors.go
@@ -6,41 +6,41 @@
 	"github.com/decklever/decklever/api"
 )
 
-// Code says why a call failed. Its text is part of the protocol.
+// Code is the reason for which a call failed. Its text is part of the protocol.
 type Code string
 
 // Codes.
 const (
-	// CodeNotLeader means that the scheduler does not lead; LeaderAddress may say who
-	// does. The call had no effect.
+	// CodeNotLeader means that the scheduler is not the leader; LeaderAddress may name the
+	// leader. The call had no effect.
 	CodeNotLeader Code = "not_leader"
-	// CodeUnavailable means that the call had no effect. It may be retried later or
-	// elsewhere.
+	// CodeUnavailable means that the call had no effect. It may be retried later or at
+	// another scheduler.
 	CodeUnavailable Code = "unavailable"
-	// CodeUnknownOutcome means that the call may or may not have had its effect.
+	// CodeUnknownOutcome means that the call may or may not have taken effect.
 	CodeUnknownOutcome Code = "unknown_outcome"
-	// CodeRefused means that the call was rejected; API is the final answer.
+	// CodeRefused means that the call was rejected; API is the final answer to it.
 	CodeRefused Code = "refused"
 	// CodeBadRequest means that the request is malformed.
 	CodeBadRequest Code = "bad_request"
-	// CodeTransport means that no answer came. The client makes it; it is never sent.
-	// Whether the call had an effect is unknown unless Unsent is true.
+	// CodeTransport means that there was no valid answer. Only the client sets it; it is
+	// never sent. Whether the call took effect is unknown unless Unsent is true.
 	CodeTransport Code = "transport"
 )
 
-// Error is a failed call.
+// Error is the error of a failed call.
 type Error struct {
 	Code    Code   `cbor:"1,keyasint"`
 	Message string `cbor:"2,keyasint"`
-	// LeaderAddress comes with CodeNotLeader; empty if the leader is not known.
+	// LeaderAddress is set with CodeNotLeader; empty if the leader is not known.
 	LeaderAddress string `cbor:"3,keyasint,omitempty"`
-	// API comes with CodeRefused.
+	// API is the error of the API that the handler returned; set with CodeRefused.
 	API *api.Error `cbor:"4,keyasint,omitempty"`
 	// Unsent is true if no connection was made, so that the call had no effect.
 	Unsent bool `cbor:"-"`
 }
 
-// Error implements error. The text of an API error is its own.
+// Error implements error. It returns the text of the API error if there is one.
 func (e *Error) Error() string {
 	if e.API != nil {
 		return e.API.Error()
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("rpc: %s: %s", e.Code, e.Message)
 }
 
-// Is has errors.Is match errors of the same code.
+// Is makes errors.Is match errors that have the same code.
 func (e *Error) Is(target error) bool {
 	other, ok := target.(*Error)
 	return ok && other.Code == e.Code
--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -9,10 +9,11 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// roundTrip decodes a body as a message, and checks that the message can be encoded and
-// decoded again with the same bytes.
+// roundTrip decodes a body as a message. If that succeeds, it checks that the message keeps
+// its encoding when it is encoded, decoded and encoded again.
 type roundTrip func(t *testing.T, codec codec, body []byte)
 
+// roundTripOf returns the round trip of a message type.
 func roundTripOf[Message any]() roundTrip {
 	return func(t *testing.T, codec codec, body []byte) {
 		t.Helper()
@@ -22,20 +23,20 @@
 		}
 		first, err := codec.encode(message)
 		if err != nil {
-			t.Fatalf("%T: decoded but not encoded: %v", message, err)
+			t.Fatalf("encode a decoded %T: %v", message, err)
 		}
 		if err := codec.decode(first, &again); err != nil {
-			t.Fatalf("%T: encoded but not decoded: %v", message, err)
+			t.Fatalf("decode an encoded %T: %v", message, err)
 		}
 		second, err := codec.encode(again)
 		if err != nil || !bytes.Equal(first, second) {
-			t.Fatalf("%T: %x became %x, error %v", message, first, second, err)
+			t.Fatalf("%T: got %x first and %x again, error %v; want equal encodings", message, first, second, err)
 		}
 	}
 }
 
-// messages returns a round trip for each message.
-func messages() []roundTrip {
+// messageRoundTrips returns the round trip of each message type.
+func messageRoundTrips() []roundTrip {
 	return []roundTrip{
 		roundTripOf[protocol.RaftRequest](), roundTripOf[protocol.SnapshotChunkRequest](), roundTripOf[protocol.SnapshotChunkAnswer](),
 		roundTripOf[protocol.ArchivePageRequest](), roundTripOf[protocol.ArchivePageAnswer](), roundTripOf[protocol.IdentityAnswer](),
@@ -53,7 +54,7 @@
 	}
 }
 
-// FuzzMessages decodes a body as each of the messages.
+// FuzzMessages checks the round trip of each message type with the same body.
 func FuzzMessages(f *testing.F) {
 	codec := newCodec()
 	task := api.TaskSpec{Service: "s", Payload: []byte(`{"a":1}`), Labels: map[string]string{"k": "v"}}
@@ -76,7 +77,7 @@
 		}
 		f.Add(data)
 	}
-	all := messages()
+	all := messageRoundTrips()
 	f.Fuzz(func(t *testing.T, body []byte) {
 		for _, check := range all {
 			check(t, codec, body)
--- a/internal/rpc/keepalive.go
+++ b/internal/rpc/keepalive.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// userTimeout closes a connection whose data was not acknowledged for so long: the
-	// other machine is dead, or cut off by a partition.
+	// userTimeout is how long sent data may stay unacknowledged before the kernel closes
+	// the connection: the peer's machine is dead or unreachable.
 	userTimeout = 1500 * time.Millisecond
 	// keepAliveIdle is the idle time after which a connection is probed, and
-	// keepAliveInterval the time between probes. After maxKeepAliveProbes without an
-	// answer the connection is closed.
+	// keepAliveInterval the time between probes. The connection is closed after
+	// maxKeepAliveProbes unanswered probes.
 	keepAliveIdle      = 2 * time.Second
 	keepAliveInterval  = time.Second
 	maxKeepAliveProbes = 2
 )
 
-// keepAliveConfig finds idle connections to machines that are dead.
+// keepAliveConfig returns the settings that detect idle connections to dead machines.
 func keepAliveConfig() net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: maxKeepAliveProbes}
 }
 
-// newDialer returns a dialer whose connections notice soon that the other machine is dead.
+// newDialer returns a dialer whose connections are closed soon after the peer's machine dies.
 func newDialer() *net.Dialer {
 	return &net.Dialer{KeepAliveConfig: keepAliveConfig(), Control: setUserTimeout}
 }
 
-// WithKeepAlive returns a listener whose connections notice soon that the other machine
-// is dead. It is for connections between decklever's own processes.
+// WithKeepAlive returns a listener whose connections are closed soon after the peer's
+// machine dies. It is for connections between decklever's own processes.
 func WithKeepAlive(listener net.Listener) net.Listener { return keepAliveListener{listener} }
 
 type keepAliveListener struct{ net.Listener }
@@ -45,8 +45,8 @@
 	return connection, err
 }
 
-// setKeepAlive sets up an accepted connection. Failures are ignored, as calls have
-// deadlines of their own.
+// setKeepAlive sets keep-alive and the user time-out of an accepted connection. Failures
+// are ignored, because each call has a deadline anyway.
 func setKeepAlive(connection *net.TCPConn) {
 	_ = connection.SetKeepAliveConfig(keepAliveConfig())
 	if raw, err := connection.SyscallConn(); err == nil {
@@ -54,8 +54,8 @@
 	}
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT. Failures are ignored, as calls have deadlines of
-// their own.
+// setUserTimeout sets TCP_USER_TIMEOUT. A failure to set the option is ignored, because
+// each call has a deadline anyway.
 func setUserTimeout(_, _ string, connection syscall.RawConn) error {
 	return connection.Control(func(descriptor uintptr) {
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
--- a/internal/rpc/keepalive_test.go
+++ b/internal/rpc/keepalive_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketOption reads an option of a connection's socket.
+// socketOption returns the value of an option of the connection's socket.
 func socketOption(t *testing.T, connection net.Conn, level, option int) int {
 	t.Helper()
 	raw, err := connection.(*net.TCPConn).SyscallConn()
@@ -50,7 +50,7 @@
 			timeout := socketOption(t, connection, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 			idle := socketOption(t, connection, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE)
 			if timeout != int(userTimeout.Milliseconds()) || idle != int(keepAliveIdle.Seconds()) {
-				t.Errorf("%s, %s: closed after %d ms, probed after %d s", name, side, timeout, idle)
+				t.Errorf("%s, %s: got TCP_USER_TIMEOUT %d ms and TCP_KEEPIDLE %d s, want userTimeout and keepAliveIdle", name, side, timeout, idle)
 			}
 			_ = connection.Close()
 		}
--- a/internal/rpc/metrics.go
+++ b/internal/rpc/metrics.go
@@ -27,7 +27,7 @@
 	wireBytes *prometheus.CounterVec
 }
 
-// NewMetrics makes the counters and registers them. It fails if they are registered already.
+// NewMetrics creates the counters and registers them. It fails if they are already registered.
 func NewMetrics(registerer prometheus.Registerer) (*Metrics, error) {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		options := prometheus.CounterOpts{Namespace: "decklever", Subsystem: "rpc", Name: name, Help: help}
@@ -46,26 +46,27 @@
 	return m, nil
 }
 
-// forSide returns the counters of the calls on one side, sideClient or sideServer.
-func (m *Metrics) forSide(name string) *callCounters {
+// forSide returns the call counters of one side, sideClient or sideServer; nil if m is nil.
+func (m *Metrics) forSide(side string) *callCounters {
 	if m == nil {
 		return nil
 	}
-	return &callCounters{metrics: m, side: name, methods: map[protocol.Method]methodCounters{}}
+	return &callCounters{metrics: m, side: side, methods: map[protocol.Method]methodCounters{}}
 }
 
-// callCounters caches the counters of each method that was called, which saves a look-up
-// by labels on each call. A nil one counts nothing. It is safe for concurrent use.
+// callCounters caches the counters of each method that was called, to avoid a lookup by
+// labels on each call. A nil callCounters counts nothing. It is safe for concurrent use.
 type callCounters struct {
 	metrics *Metrics
 	side    string
+	// mutex guards methods.
 	mutex   sync.RWMutex
 	methods map[protocol.Method]methodCounters
 }
 
 type methodCounters struct{ calls, sent, received prometheus.Counter }
 
-// count counts one call with the sizes of the bodies that this side sent and received.
+// count counts one call and the bytes of the bodies that this side sent and received.
 func (c *callCounters) count(method protocol.Method, sent, received int) {
 	if c == nil {
 		return
@@ -76,6 +77,7 @@
 	counters.received.Add(float64(received))
 }
 
+// forMethod returns the counters of a method, and creates them on its first call.
 func (c *callCounters) forMethod(method protocol.Method) methodCounters {
 	c.mutex.RLock()
 	counters, known := c.methods[method]
@@ -97,8 +99,8 @@
 // dialFunc opens a connection.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialer returns a dialer like dial that counts the bytes on its connections.
-func (m *Metrics) dialer(dial dialFunc) dialFunc {
+// countingDialer wraps dial so that the bytes on its connections are counted.
+func (m *Metrics) countingDialer(dial dialFunc) dialFunc {
 	if m == nil {
 		return dial
 	}
@@ -108,25 +110,25 @@
 		if err != nil {
 			return nil, err
 		}
-		return &countedConnection{Conn: connection, sent: sent, received: received}, nil
+		return &countingConnection{Conn: connection, sent: sent, received: received}, nil
 	}
 }
 
-// countedConnection counts the bytes that it carries.
-type countedConnection struct {
+// countingConnection is a net.Conn that counts the bytes read and written.
+type countingConnection struct {
 	net.Conn
 	sent, received prometheus.Counter
 }
 
 // Read implements net.Conn.
-func (c *countedConnection) Read(data []byte) (int, error) {
+func (c *countingConnection) Read(data []byte) (int, error) {
 	count, err := c.Conn.Read(data)
 	c.received.Add(float64(count))
 	return count, err
 }
 
 // Write implements net.Conn.
-func (c *countedConnection) Write(data []byte) (int, error) {
+func (c *countingConnection) Write(data []byte) (int, error) {
 	count, err := c.Conn.Write(data)
 	c.sent.Add(float64(count))
 	return count, err
--- a/internal/rpc/metrics_test.go
+++ b/internal/rpc/metrics_test.go
@@ -35,15 +35,15 @@
 	body := testutil.ToFloat64(metrics.bodyBytes.WithLabelValues(sideClient, string(protocol.MethodCancel), directionSent))
 	for _, side := range []string{sideClient, sideServer} {
 		if got := testutil.ToFloat64(metrics.calls.WithLabelValues(side, string(protocol.MethodCancel))); got != calls {
-			t.Errorf("%v calls on the %s side, want %d", got, side, calls)
+			t.Errorf("got %v calls on the %s side, want %d", got, side, calls)
 		}
 		for _, direction := range []string{directionSent, directionReceived} {
 			if got := testutil.ToFloat64(metrics.bodyBytes.WithLabelValues(side, string(protocol.MethodCancel), direction)); got != body || got == 0 {
-				t.Errorf("%s %s %v body bytes, want %v, over 0", side, direction, got, body)
+				t.Errorf("%s, %s: got %v body bytes, want %v and more than 0", side, direction, got, body)
 			}
 		}
 	}
 	if got := testutil.ToFloat64(metrics.wireBytes.WithLabelValues(directionSent)); got <= body {
-		t.Errorf("%v wire bytes sent, want over the %v of the bodies", got, body)
+		t.Errorf("got %v bytes sent on the wire, want more than the %v of the bodies", got, body)
 	}
 }
--- a/internal/rpc/served_bench_test.go
+++ b/internal/rpc/served_bench_test.go
@@ -18,7 +18,7 @@
 	"github.com/decklever/decklever/internal/protocol"
 )
 
-// rawConnection sends the same heartbeat over and over, without the cost of a Client.
+// rawConnection sends the same heartbeat repeatedly, without the overhead of a Client.
 type rawConnection struct {
 	connection net.Conn
 	reader     *bufio.Reader
@@ -26,7 +26,7 @@
 	answer     []byte
 }
 
-// serveHeartbeats starts a server that is set up like a scheduler's, and connects to it.
+// serveHeartbeats starts a server configured like a scheduler's, and connects to it.
 func serveHeartbeats(t testing.TB, heartbeat protocol.HeartbeatRequest) *rawConnection {
 	t.Helper()
 	metrics, err := NewMetrics(prometheus.NewRegistry())
@@ -63,7 +63,7 @@
 	}
 }
 
-// exchange makes one call.
+// exchange sends the request once and reads the answer.
 func (c *rawConnection) exchange(t testing.TB) { //nolint:thelper // Helper would be timed
 	if _, err := c.connection.Write(c.request); err != nil {
 		t.Fatal(err)
@@ -88,7 +88,7 @@
 	}
 }
 
-// processorTime is the processor time that the process has used so far.
+// processorTime returns the user and system CPU time that the process has used.
 func processorTime(t testing.TB) time.Duration {
 	t.Helper()
 	var usage syscall.Rusage
@@ -98,8 +98,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkHeartbeatServed is the server's side of a heartbeat that lists 7 runs, on a
-// kept-alive connection. The processor time is that of the whole process.
+// BenchmarkHeartbeatServed measures serving a heartbeat that lists 7 runs on a persistent
+// connection. The CPU time is that of the complete process.
 func BenchmarkHeartbeatServed(b *testing.B) {
 	connection := serveHeartbeats(b, benchHeartbeat())
 	b.ReportAllocs()
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -18,11 +18,11 @@
 
 const defaultMaxRequestBytes = 64 << 20
 
-// ServerConfig configures a Server. A zero field means its default.
+// ServerConfig configures a Server. Zero fields take their defaults.
 type ServerConfig struct {
 	// MaxRequestBytes bounds the body of a request. Default 64 MiB.
 	MaxRequestBytes int64
-	// Logger gets panics and answers that could not be sent. Default: none.
+	// Logger receives panics of handlers and failures to send answers. Default: none.
 	Logger *slog.Logger
 	// Metrics counts calls and bytes. Optional.
 	Metrics *Metrics
@@ -35,14 +35,16 @@
 	codec   codec
 	buffers *bufferPool
 	calls   *callCounters
-	// contentType is the value of Content-Type in all answers.
+	// contentType is the Content-Type header of all answers, shared to avoid allocations.
 	contentType []string
 
+	// mutex guards methods.
 	mutex   sync.RWMutex
 	methods map[protocol.Method]methodHandler
 }
 
-// methodHandler decodes the body of a request, handles it, and encodes the answer.
+// methodHandler decodes the body of a request, handles the request, and encodes the answer
+// into answer.
 type methodHandler func(ctx context.Context, body []byte, answer *bytes.Buffer) error
 
 // NewServer returns a server without methods.
@@ -63,13 +65,14 @@
 	}
 }
 
-// Handle serves a method with a handler. It panics if the method is served already, which
-// is a programming error.
+// Handle registers the handler of a method. It panics if the method already has a handler,
+// which is a programming error.
 //
 // The handler's context ends at the caller's deadline, when the caller closes the
 // connection, and when the process stops. The handler may return an *Error, which is sent
-// as it is, or an *api.Error, which is sent with CodeRefused. Any other error is sent with
-// CodeUnavailable, and so must mean that the call had no effect.
+// unchanged unless it has CodeTransport (see forwardedError), or an *api.Error, which is
+// sent with CodeRefused. Any other error is sent with CodeUnavailable; the handler must
+// return one only if the call had no effect.
 func Handle[Request, Answer any](s *Server, method protocol.Method, handler func(context.Context, Request) (Answer, error)) {
 	s.register(method, func(ctx context.Context, body []byte, encoded *bytes.Buffer) error {
 		var request Request
@@ -96,6 +99,7 @@
 	s.methods[method] = handler
 }
 
+// handlerOf returns the handler of a method; false if there is none.
 func (s *Server) handlerOf(method protocol.Method) (methodHandler, bool) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
@@ -114,8 +118,8 @@
 	s.write(writer, request, http.StatusOK, answer.Bytes())
 }
 
-// WithFallback returns a handler that serves the methods of the server, and leaves all
-// other requests to next. It spares calls, which are most of the requests, a mux.
+// WithFallback returns a handler that serves the methods of the server and passes all other
+// requests to next. Calls are most of the requests, and so avoid the cost of a mux.
 func (s *Server) WithFallback(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		name, found := strings.CutPrefix(request.URL.Path, pathPrefix)
@@ -130,6 +134,7 @@
 	})
 }
 
+// serve handles one call and encodes its answer into answer, which is empty on an error.
 func (s *Server) serve(writer http.ResponseWriter, request *http.Request, answer *buffer) error {
 	name, found := strings.CutPrefix(request.URL.Path, pathPrefix)
 	if !found || request.Method != http.MethodPost {
@@ -159,6 +164,7 @@
 	return err
 }
 
+// readBody reads the body of a request. It fails if the body exceeds MaxRequestBytes.
 func (s *Server) readBody(writer http.ResponseWriter, request *http.Request, body *buffer) error {
 	limit := s.config.MaxRequestBytes
 	limited := request.Body
@@ -176,7 +182,7 @@
 	return nil
 }
 
-// run calls the handler and recovers from its panic.
+// run calls the handler. It logs a panic and returns an *Error with CodeUnknownOutcome for it.
 func (s *Server) run(ctx context.Context, method protocol.Method, handler methodHandler, body []byte, answer *buffer) (err error) {
 	defer func() {
 		reason := recover()
@@ -187,17 +193,17 @@
 			slog.String("method", string(method)),
 			slog.Any("reason", reason),
 			slog.String("stack", string(debug.Stack())))
-		// How much of its work the handler did is not known.
+		// The handler may have taken effect before the panic.
 		err = &Error{Code: CodeUnknownOutcome, Message: fmt.Sprintf("internal failure in %s", method)}
 	}()
 	return handler(ctx, body, &answer.Buffer)
 }
 
-// toError converts the error of a handler to the form in which it is sent.
+// toError converts the error that a handler returned to the error that is sent.
 func toError(err error) *Error {
 	var failure *Error
 	if errors.As(err, &failure) {
-		return asForwarded(failure)
+		return forwardedError(failure)
 	}
 	var refused *api.Error
 	if errors.As(err, &refused) {
@@ -206,9 +212,11 @@
 	return &Error{Code: CodeUnavailable, Message: err.Error()}
 }
 
-// asForwarded converts a transport failure of a call that the handler made itself: its
-// caller does get an answer, and only the effect is unknown.
-func asForwarded(failure *Error) *Error {
+// forwardedError converts the transport error of a call that the handler itself made to
+// another process: CodeTransport is never sent, as the handler's caller does get an answer.
+// The result says whether the handler's call may have taken effect. Other errors are
+// returned unchanged.
+func forwardedError(failure *Error) *Error {
 	if failure.Code != CodeTransport {
 		return failure
 	}
@@ -218,6 +226,7 @@
 	return &Error{Code: CodeUnknownOutcome, Message: failure.Message}
 }
 
+// writeError sends an error as the answer to a call.
 func (s *Server) writeError(writer http.ResponseWriter, request *http.Request, failure *Error) {
 	sent := *failure
 	sent.Message = strings.ToValidUTF8(sent.Message, "?")
@@ -230,10 +239,11 @@
 	s.write(writer, request, httpStatus(&sent), body)
 }
 
-// maxImplicitLength is the size up to which net/http sets Content-Length by itself, which
-// costs less than to set the header here. The limit of net/http is 2048.
+// maxImplicitLength is the body size in bytes up to which write leaves Content-Length to
+// net/http, which is cheaper than setting the header here. The limit of net/http is 2048.
 const maxImplicitLength = 1 << 10
 
+// write sends an answer. A failure is only logged, because the header is already written.
 func (s *Server) write(writer http.ResponseWriter, request *http.Request, status int, body []byte) {
 	header := writer.Header()
 	header["Content-Type"] = s.contentType
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -48,10 +48,10 @@
 			address, client := serve(t, recording, ClientConfig{})
 			failure := requireFailure(t, address, client)
 			if diff := cmp.Diff(test.want, *failure); diff != "" {
-				t.Fatalf("error differs (-want +got):\n%s", diff)
+				t.Fatalf("caller got a different error (-want +got):\n%s", diff)
 			}
 			if status != test.status {
-				t.Fatalf("status %d, want %d", status, test.status)
+				t.Fatalf("got status %d, want %d", status, test.status)
 			}
 		})
 	}
@@ -64,36 +64,36 @@
 	address, client := serve(t, server, ClientConfig{})
 	for range 2 {
 		if failure := requireFailure(t, address, client); failure.Code != CodeUnknownOutcome {
-			t.Fatalf("got %v", failure)
+			t.Fatalf("got %v, want code unknown_outcome", failure)
 		}
 	}
 	if count := strings.Count(log.String(), "broken invariant"); count != 2 {
-		t.Fatalf("panic logged %d times:\n%s", count, log.String())
+		t.Fatalf("panic logged %d times, want 2:\n%s", count, log.String())
 	}
 }
 
 func TestServer_RejectsMalformedRequests(t *testing.T) {
 	server := NewServer(ServerConfig{MaxRequestBytes: 64})
 	Handle(server, methodTest, func(_ context.Context, r protocol.CancelRequest) (protocol.Empty, error) {
-		t.Errorf("handler got %+v", r)
+		t.Errorf("handler called with %+v, want no call", r)
 		return protocol.Empty{}, nil
 	})
 	address, client := serve(t, server, ClientConfig{})
 	_, err := Call[protocol.CancelRequest, protocol.Empty](t.Context(), client, address, methodTest, protocol.CancelRequest{ID: strings.Repeat("x", 65)})
 	if !errors.Is(err, &Error{Code: CodeBadRequest}) || !strings.Contains(err.Error(), "64 bytes") {
-		t.Errorf("body over the limit: %v", err)
+		t.Errorf("body over the limit: got %v, want bad_request with the limit of 64 bytes", err)
 	}
 	_, err = Call[protocol.Empty, protocol.Empty](t.Context(), client, address, "none", protocol.Empty{})
 	if !errors.Is(err, &Error{Code: CodeBadRequest}) || !strings.Contains(err.Error(), `"none"`) {
-		t.Errorf("unknown method: %v", err)
+		t.Errorf("unknown method: got %v, want bad_request with the method", err)
 	}
 	_, err = Call[string, protocol.Empty](t.Context(), client, address, methodTest, "text")
 	if !errors.Is(err, &Error{Code: CodeBadRequest}) {
-		t.Errorf("other type: %v", err)
+		t.Errorf("body of another type: got %v, want bad_request", err)
 	}
 	_, err = Call[chan int, protocol.Empty](t.Context(), client, address, methodTest, make(chan int))
 	if !errors.Is(err, &Error{Code: CodeBadRequest}) {
-		t.Errorf("type that cannot be encoded: %v", err)
+		t.Errorf("type that cannot be encoded: got %v, want bad_request", err)
 	}
 	response, err := http.Get("http://" + address + "/rpc/test")
 	if err != nil {
@@ -101,12 +101,12 @@
 	}
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusBadRequest {
-		t.Errorf("GET: status %d", response.StatusCode)
+		t.Errorf("GET: got status %d, want 400", response.StatusCode)
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
 
-func TestServer_CallerGoneEndsHandler(t *testing.T) {
+func TestServer_CallerCancelEndsHandlerContext(t *testing.T) {
 	entered, ended := make(chan struct{}), make(chan error, 1)
 	server := NewServer(ServerConfig{})
 	Handle(server, methodTest, func(ctx context.Context, _ protocol.Empty) (protocol.Empty, error) {
@@ -120,17 +120,17 @@
 	go func() { <-entered; cancel() }()
 	_, err := Call[protocol.Empty, protocol.Empty](ctx, client, address, methodTest, protocol.Empty{})
 	if failure := new(Error); !errors.As(err, &failure) || failure.Code != CodeTransport || failure.Unsent {
-		t.Fatalf("got %v, want a transport error of unknown effect", err)
+		t.Fatalf("got %v, want a transport error that is not unsent", err)
 	}
 	if err := <-ended; !errors.Is(err, context.Canceled) {
-		t.Fatalf("handler ended with %v", err)
+		t.Fatalf("handler's context ended with %v, want context canceled", err)
 	}
 }
 
 func TestHandle_MethodServedTwicePanics(t *testing.T) {
 	defer func() {
 		if recover() == nil {
-			t.Fatal("no panic")
+			t.Fatal("got no panic for a second handler of a method")
 		}
 	}()
 	register := func(s *Server) {
@@ -152,7 +152,7 @@
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, nil))
 		if recorder.Code != want {
-			t.Errorf("GET %s: status %d, want %d", path, recorder.Code, want)
+			t.Errorf("GET %s: got status %d, want %d", path, recorder.Code, want)
 		}
 	}
 	address, client := serve(t, handler, ClientConfig{})
@@ -161,8 +161,9 @@
 	}
 }
 
-// TestServer_AnswersOfAnySizeHaveContentLength: the header has the length, without which
-// the connection could not be kept, also where the server leaves that to net/http.
+// TestServer_AnswersOfAnySizeHaveContentLength guards against answers without
+// Content-Length. Short answers leave the header to net/http, so sizes around
+// maxImplicitLength and the limit of net/http are checked.
 func TestServer_AnswersOfAnySizeHaveContentLength(t *testing.T) {
 	server := NewServer(ServerConfig{})
 	Handle(server, methodTest, func(_ context.Context, request protocol.CancelRequest) (protocol.CancelRequest, error) {
@@ -181,11 +182,11 @@
 		}
 		_ = response.Body.Close()
 		if response.ContentLength != int64(len(body)) || response.Header.Get("Content-Type") != contentType {
-			t.Errorf("%d bytes: length %d, type %q", len(body), response.ContentLength, response.Header.Get("Content-Type"))
+			t.Errorf("body of %d bytes: got Content-Length %d, Content-Type %q", len(body), response.ContentLength, response.Header.Get("Content-Type"))
 		}
 		answer, err := Call[protocol.CancelRequest, protocol.CancelRequest](t.Context(), client, address, methodTest, request)
 		if err != nil || answer != request {
-			t.Errorf("%d bytes came back as %d, error %v", size, len(answer.ID), err)
+			t.Errorf("sent an ID of %d bytes, got one of %d, error %v", size, len(answer.ID), err)
 		}
 	}
 	http.DefaultClient.CloseIdleConnections()
--- a/internal/rpc/wire.go
+++ b/internal/rpc/wire.go
@@ -10,14 +10,15 @@
 const (
 	pathPrefix  = "/rpc/"
 	contentType = "application/cbor"
-	// deadlineHeader has the time that is left for the call, in whole milliseconds. It is
-	// a length and not a time of day, since clocks differ.
+	// deadlineHeader carries the remaining time of the call in milliseconds. It is a
+	// duration and not a time of day, because the clocks of machines differ.
 	deadlineHeader = "Decklever-Timeout-Millis"
-	// maxTimeoutMillis keeps a malformed header from overflowing a duration.
+	// maxTimeoutMillis prevents a large header value from overflowing a time.Duration.
 	maxTimeoutMillis = int64(24 * time.Hour / time.Millisecond)
 )
 
-// requestHeader is the header of a call. It has no User-Agent, which no server reads.
+// requestHeader returns the HTTP header of a call. It suppresses User-Agent, which no server
+// reads.
 func requestHeader(ctx context.Context) http.Header {
 	header := http.Header{"Content-Type": {contentType}, "User-Agent": nil}
 	if deadline, ok := ctx.Deadline(); ok {
@@ -26,14 +27,15 @@
 	return header
 }
 
-// formatTimeout formats the value of deadlineHeader. It rounds up, as the header never
-// says 0.
-func formatTimeout(left time.Duration) string {
-	millis := int64((left + time.Millisecond - 1) / time.Millisecond)
+// formatTimeout formats the remaining time as the value of deadlineHeader. It rounds up to at
+// least 1, because parseTimeout takes 0 as no deadline.
+func formatTimeout(remaining time.Duration) string {
+	millis := int64((remaining + time.Millisecond - 1) / time.Millisecond)
 	return strconv.FormatInt(max(millis, 1), 10)
 }
 
-// parseTimeout parses the value of deadlineHeader; false if it is absent or malformed.
+// parseTimeout parses the value of deadlineHeader. It returns false if the header is absent,
+// malformed or not positive.
 func parseTimeout(text string) (time.Duration, bool) {
 	millis, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || millis <= 0 {
@@ -42,8 +44,8 @@
 	return time.Duration(min(millis, maxTimeoutMillis)) * time.Millisecond, true
 }
 
-// httpStatus is the HTTP status of an error. A Client reads the body only; the status is
-// for tools that inspect the traffic.
+// httpStatus returns the HTTP status for an error. A Client takes the error from the body;
+// the particular status is for tools that inspect the traffic.
 func httpStatus(failure *Error) int {
 	switch failure.Code {
 	case CodeBadRequest:
@@ -59,6 +61,8 @@
 	}
 }
 
+// apiStatus returns the status of the API error, or 422 if it is missing or not an error
+// status.
 func apiStatus(failure *Error) int {
 	if failure.API == nil || failure.API.Status < 400 || failure.API.Status > 599 {
 		return http.StatusUnprocessableEntity
--- a/internal/taskhandlers/checkpoints.go
+++ b/internal/taskhandlers/checkpoints.go
@@ -9,22 +9,24 @@
 	"github.com/decklever/decklever/worker"
 )
 
-// checkpointInterval is the time of work between two checkpoints.
+// checkpointInterval is the working time between two checkpoints.
 const checkpointInterval = 100 * time.Millisecond
 
-// workWithCheckpoints takes the time asked, less the work of earlier runs. A checkpoint is
-// the time of work done, in milliseconds; one is reported after each checkpointInterval.
+// workWithCheckpoints works for duration, less the work of earlier runs; until cancelled if
+// the task says so. A checkpoint is the working time so far, in milliseconds; one is reported
+// after each checkpointInterval and at the end. It returns the errors of work and those of
+// task.Report.
 func workWithCheckpoints(ctx context.Context, task worker.Task, duration time.Duration) error {
 	done := parseCheckpoint(task.Checkpoint)
 	for done < duration || task.Spec.UntilCancelled {
-		part := checkpointInterval
+		step := checkpointInterval
 		if !task.Spec.UntilCancelled {
-			part = min(part, duration-done)
+			step = min(step, duration-done)
 		}
-		if !contexttime.Sleep(ctx, part) {
+		if !contexttime.Sleep(ctx, step) {
 			return context.Cause(ctx)
 		}
-		done += part
+		done += step
 		if err := task.Report(percentOf(done, duration), strconv.FormatInt(done.Milliseconds(), 10)); err != nil {
 			return err
 		}
@@ -35,8 +37,8 @@
 	return nil
 }
 
-// parseCheckpoint returns the time of work done. It is 0 for a malformed checkpoint, so
-// that the work starts anew.
+// parseCheckpoint returns the working time that a checkpoint records. It is 0 for a malformed
+// checkpoint, so that the work starts from the beginning.
 func parseCheckpoint(checkpoint string) time.Duration {
 	millis, err := strconv.ParseInt(checkpoint, 10, 64)
 	if err != nil || millis < 0 || millis > maxSleep.Milliseconds() {
--- a/internal/taskhandlers/handlers.go
+++ b/internal/taskhandlers/handlers.go
@@ -13,43 +13,43 @@
 	"github.com/decklever/decklever/worker"
 )
 
-// Names of handlers, as the settings and jobs give them.
+// Names of handlers in settings and jobs.
 const (
-	// Sleep works for the time asked.
+	// Sleep works for the requested time.
 	Sleep = "sleep"
-	// Fail works for the time asked and fails.
+	// Fail works for the requested time and fails.
 	Fail = "fail"
-	// Flaky works for the time asked, and fails in the first runs or by chance.
+	// Flaky works for the requested time, and fails in the first runs or at random.
 	Flaky = "flaky"
-	// Slow works for a multiple of the time asked.
+	// Slow works for a multiple of the requested time.
 	Slow = "slow"
 )
 
 const (
-	// defaultSlowFactor is the multiple of the time asked that Slow takes.
+	// defaultSlowFactor is the default of payload.Factor.
 	defaultSlowFactor = 5
-	// maxSleep bounds the time of work, whatever is asked.
+	// maxSleep is the maximum working time; longer requests are cut to it.
 	maxSleep = 24 * time.Hour
 )
 
-// ErrFailed is the error of runs that fail on purpose.
+// ErrFailed is the error of runs that were requested to fail.
 var ErrFailed = errors.New("failed as asked")
 
-// payload has the parameters of all handlers; each uses its own.
+// payload has the parameters of all handlers; each handler reads its own.
 type payload struct {
-	// Millis is how long to work. A task that runs until cancelled works until its context
-	// ends instead.
+	// Millis is the requested working time. A task that runs until cancelled works until
+	// its context ends instead.
 	Millis int64 `json:"millis"`
-	// Failures is the number of first runs that Flaky has fail.
+	// Failures is the number of first runs that fail with Flaky.
 	Failures uint32 `json:"failures"`
-	// Probability, from 0 to 1, is the share of the later runs that Flaky has fail. The
-	// same run of a task always has the same outcome.
+	// Probability, from 0 to 1, is the share of later runs that fail with Flaky. The same
+	// run of a task always has the same outcome.
 	Probability float64 `json:"probability"`
-	// Factor is the multiple of the time asked that Slow takes. Default 5.
+	// Factor is the multiple of the requested time for which Slow works. Default 5.
 	Factor float64 `json:"factor"`
 }
 
-// Handlers returns a map of all handlers by name.
+// Handlers returns all handlers by name.
 func Handlers() map[string]worker.Handler {
 	return map[string]worker.Handler{Sleep: sleep, Fail: fail, Flaky: flaky, Slow: slow}
 }
@@ -105,7 +105,7 @@
 	return parameters, err
 }
 
-// duration is the time to work, as a multiple of the time asked.
+// duration returns the requested working time multiplied by factor, at most maxSleep.
 func (p payload) duration(factor float64) time.Duration {
 	millis := float64(max(p.Millis, 0)) * factor
 	if millis >= float64(maxSleep.Milliseconds()) {
@@ -114,9 +114,10 @@
 	return time.Duration(millis * float64(time.Millisecond))
 }
 
-// work takes the time asked, unless the run is stopped earlier. It fails with
-// worker.ErrHoldLapsed if the worker's lease has expired, as it does in a process that was
-// frozen meanwhile: the work then does not count as done.
+// work works for duration, or until cancelled if the task says so. It returns the cause of
+// ctx if the run is stopped earlier. It returns worker.ErrHoldLapsed if the worker's lease has
+// expired, for example because the process was suspended: the work then does not count as
+// done.
 func work(ctx context.Context, task worker.Task, duration time.Duration) error {
 	if task.Spec.Resumable {
 		return workWithCheckpoints(ctx, task, duration)
@@ -134,9 +135,9 @@
 	return nil
 }
 
-// pseudoRandom returns a number from 0 to 1 that depends on the run only.
+// pseudoRandom returns a number in [0, 1) that depends only on the run.
 func pseudoRandom(ref api.RunRef) float64 {
 	hash := fnv.New64a()
-	_, _ = fmt.Fprintf(hash, "%s/%d", ref.Task, ref.Run) // a hash takes any write
+	_, _ = fmt.Fprintf(hash, "%s/%d", ref.Task, ref.Run) // writes to a hash never fail
 	return rand.New(rand.NewPCG(hash.Sum64(), 0)).Float64()
 }
--- a/internal/taskhandlers/handlers_test.go
+++ b/internal/taskhandlers/handlers_test.go
@@ -13,7 +13,7 @@
 	"github.com/decklever/decklever/worker"
 )
 
-// runHandler runs a handler as a run of a task, and returns how long that took.
+// runHandler runs a handler with the given run number, and returns how long it took.
 func runHandler(ctx context.Context, t *testing.T, name, payload string, number uint32) (time.Duration, error) {
 	t.Helper()
 	task := worker.Task{
@@ -47,7 +47,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				took, err := runHandler(t.Context(), t, c.name, c.payload, c.run)
 				if took != c.took || (err != nil) != c.fails {
-					t.Errorf("took %v, error %v, want %v, failure %v", took, err, c.took, c.fails)
+					t.Errorf("got duration %v, error %v, want %v, failure %v", took, err, c.took, c.fails)
 				}
 			})
 		})
@@ -78,7 +78,7 @@
 				task := worker.Task{Spec: api.TaskSpec{Payload: json.RawMessage(`{"millis":1050}`), Resumable: true}, Checkpoint: c.checkpoint}
 				began := time.Now()
 				if err := Handlers()[Sleep](t.Context(), task); err != nil || time.Since(began) != c.took {
-					t.Errorf("took %v, error %v, want %v", time.Since(began), err, c.took)
+					t.Errorf("got duration %v, error %v, want %v", time.Since(began), err, c.took)
 				}
 			})
 		})
@@ -88,14 +88,14 @@
 func TestServices_MapsEntriesToHandlers(t *testing.T) {
 	services, err := Services([]string{"sleep", "swap=sleep", "charge=flaky"})
 	if err != nil || len(services) != 3 || services["swap"] == nil || services["charge"] == nil {
-		t.Fatalf("%v, %v", services, err)
+		t.Fatalf("got services %v, error %v, want sleep, swap and charge", services, err)
 	}
 	for _, wrong := range []string{"nope", "swap=nope", "=sleep", ""} {
 		if _, err := Services([]string{wrong}); err == nil {
-			t.Errorf("%q was accepted", wrong)
+			t.Errorf("entry %q was accepted, want an error", wrong)
 		}
 	}
 	if _, err := Services([]string{"sleep", "sleep=fail"}); err == nil {
-		t.Error("a service offered twice was accepted")
+		t.Error("a service listed twice was accepted, want an error")
 	}
 }
--- a/internal/taskhandlers/services.go
+++ b/internal/taskhandlers/services.go
@@ -9,9 +9,9 @@
 	"github.com/decklever/decklever/worker"
 )
 
-// Services returns a map of handlers by service name, from entries as the settings list
-// them: "sleep" offers a handler under its own name, "swap=sleep" under another one. It
-// fails for an unknown handler and for a service that is listed twice.
+// Services returns the handlers by service name. Entries are as in the settings: "sleep"
+// offers a handler under its own name, "swap=sleep" under another one. Services returns an
+// error for an unknown handler, an empty service name, or a service that is listed twice.
 func Services(entries []string) (map[string]worker.Handler, error) {
 	handlers := Handlers()
 	services := make(map[string]worker.Handler, len(entries))
@@ -32,7 +32,7 @@
 	return services, nil
 }
 
-// handlerNames lists the names of all handlers, sorted.
+// handlerNames returns the sorted names of all handlers.
 func handlerNames() []string {
 	return slices.Sorted(maps.Keys(Handlers()))
 }
--- a/internal/testaddress/testaddress.go
+++ b/internal/testaddress/testaddress.go
@@ -1,7 +1,7 @@
-// Package testaddress gives tests addresses to listen on that nothing else
-// takes, also between two listens on them. A port that the system has given out
-// once and that is closed again may go to anybody: to another test, or to an
-// outgoing connection.
+// Package testaddress provides tests with loopback addresses that nothing else
+// uses, even while no listener is open on them. A port assigned by the system is
+// unsuitable: after its listener closes, the system may assign the port to another
+// test or to an outgoing connection.
 package testaddress
 
 import (
@@ -14,25 +14,25 @@
 )
 
 const (
-	// network is the second byte of the loopback addresses. Fleets of the test bed and
-	// of platform/emulator have lower ones, and outgoing connections, unless bound
-	// to another address, leave from 127.0.0.1.
-	network = 254
-	// claimPort is listened on for as long as an address is given out.
+	// secondOctet is the second byte of the loopback addresses. Fleets of the test
+	// bed and of platform/emulator use lower values, and outgoing connections use
+	// 127.0.0.1 unless bound to another address.
+	secondOctet = 254
+	// claimPort of an address has a listener while the address is in use by a test.
 	claimPort = 7099
-	// port is the one given out. Like claimPort it lies below those that the
-	// system gives out by itself.
+	// port is the port of the returned addresses. Like claimPort it is below the
+	// range from which the system assigns ports.
 	port = 7100
-	// tries bounds the search for an address that is not given out.
-	tries = 1000
+	// maxAttempts bounds the search for a free address.
+	maxAttempts = 1000
 )
 
-// New returns an IP:port on loopback that is given to nobody else until the test
-// has ended, in this process or another. Nothing listens there.
+// New returns a loopback IP:port that no other call of New returns, in this process
+// or another, until the test has ended. Nothing listens on it.
 func New(t testing.TB) string {
 	t.Helper()
-	for range tries {
-		ip := net.IPv4(127, network, byte(rand.IntN(256)), byte(rand.IntN(256)))
+	for range maxAttempts {
+		ip := net.IPv4(127, secondOctet, byte(rand.IntN(256)), byte(rand.IntN(256)))
 		claim, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, claimPort))
 		if errors.Is(err, syscall.EADDRINUSE) {
 			continue
@@ -43,6 +43,6 @@
 		t.Cleanup(func() { _ = claim.Close() })
 		return fmt.Sprintf("%s:%d", ip, port)
 	}
-	t.Fatalf("none of %d loopback addresses is free", tries)
+	t.Fatalf("no free loopback address found in %d attempts", maxAttempts)
 	return ""
 }
--- a/internal/testaddress/testaddress_test.go
+++ b/internal/testaddress/testaddress_test.go
@@ -8,26 +8,27 @@
 	"testing"
 )
 
-// TestAddressIsGivenOutOnce: as long as a test holds an address, no other gets
-// it, although nothing listens there.
-func TestAddressIsGivenOutOnce(t *testing.T) {
-	given := make(map[string]bool)
+// TestNew_AddressesAreUnique: an address in use by a test is not returned again,
+// although nothing listens on it.
+func TestNew_AddressesAreUnique(t *testing.T) {
+	seen := make(map[string]bool)
 	for range 500 {
 		address := New(t)
-		if given[address] {
-			t.Fatalf("%s was given out twice", address)
+		if seen[address] {
+			t.Fatalf("got address %s twice, want distinct addresses", address)
 		}
-		given[address] = true
+		seen[address] = true
 	}
 }
 
-// TestOutgoingConnectionsLeaveItAlone: it can be listened on again and again,
-// and refuses connections in between.
-func TestOutgoingConnectionsLeaveItAlone(t *testing.T) {
+// TestNew_OutgoingConnectionsUseOtherAddress: a test can listen on its address
+// repeatedly. Between listens the address refuses connections, and connections to it
+// have another local address.
+func TestNew_OutgoingConnectionsUseOtherAddress(t *testing.T) {
 	address := New(t)
 	for range 3 {
 		if _, err := net.Dial("tcp", address); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Fatalf("a connection to %s ended with %v, want that it is refused", address, err)
+			t.Fatalf("dial %s without a listener: got %v, want a refused connection", address, err)
 		}
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
@@ -37,8 +38,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if from, _, _ := net.SplitHostPort(dialed.LocalAddr().String()); from == hostOf(t, address) {
-			t.Errorf("a connection leaves from %s, which is the test's own", from)
+		if localHost, _, _ := net.SplitHostPort(dialed.LocalAddr().String()); localHost == hostOf(t, address) {
+			t.Errorf("got local address %s of a connection, want another than the test's", localHost)
 		}
 		_ = dialed.Close()
 		_ = listener.Close()
@@ -54,19 +55,19 @@
 	return host
 }
 
-// TestEndOfATestFreesItsAddress: claims end with their test.
-func TestEndOfATestFreesItsAddress(t *testing.T) {
-	var held string
-	t.Run("holds", func(t *testing.T) {
-		held = hostOf(t, New(t))
-		if claim, err := net.Listen("tcp", net.JoinHostPort(held, strconv.Itoa(claimPort))); err == nil {
+// TestNew_TestEndReleasesAddress: an address is claimed until its test ends.
+func TestNew_TestEndReleasesAddress(t *testing.T) {
+	var host string
+	t.Run("claims", func(t *testing.T) {
+		host = hostOf(t, New(t))
+		if claim, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(claimPort))); err == nil {
 			_ = claim.Close()
-			t.Errorf("%s is not claimed", held)
+			t.Errorf("%s is not claimed during its test", host)
 		}
 	})
-	claim, err := net.Listen("tcp", net.JoinHostPort(held, strconv.Itoa(claimPort)))
+	claim, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(claimPort)))
 	if err != nil {
-		t.Fatalf("still claimed: %v", err)
+		t.Fatalf("address is still claimed after its test: %v", err)
 	}
 	_ = claim.Close()
 }
--- a/internal/testnetwork/network.go
+++ b/internal/testnetwork/network.go
@@ -1,6 +1,6 @@
-// Package testnetwork connects the parts of a test inside its process. Its
-// connections are pipes, which no machine's load delays: in a bubble of
-// testing/synctest, time stands still until whatever was sent has been handled.
+// Package testnetwork implements an in-process network for tests. Its connections
+// are pipes, which are not delayed by the machine's load: in a testing/synctest
+// bubble, time does not advance until whatever was sent has been handled.
 package testnetwork
 
 import (
@@ -11,62 +11,64 @@
 	"testing"
 )
 
-// Network knows who listens. It is safe for use by many goroutines.
+// Network has the listeners by address. It is safe for concurrent use.
 type Network struct {
 	mutex     sync.Mutex
 	listeners map[string]*listener
 }
 
-// New returns a network on which nobody listens.
+// New returns a network without listeners.
 func New() *Network {
 	return &Network{listeners: make(map[string]*listener)}
 }
 
-// Listen takes connections to the address until the listener is closed.
+// Listen returns a listener for connections to the address. It fails the test if the address
+// has a listener.
 func (n *Network) Listen(t testing.TB, address string) net.Listener {
 	t.Helper()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.listeners[address] != nil {
-		t.Fatalf("%s is listened on already", address)
+		t.Fatalf("address %s already has a listener", address)
 	}
-	l := &listener{network: n, address: address, dialed: make(chan net.Conn), closed: make(chan struct{})}
+	l := &listener{network: n, address: address, incoming: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
 	return l
 }
 
-// DialContext is the Dialer of an rpc client.
+// DialContext connects to the listener at the address, as the Dialer of an rpc client. It
+// returns an error if there is none, or ctx ends before the connection is accepted.
 func (n *Network) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mutex.Lock()
 	l := n.listeners[address]
 	n.mutex.Unlock()
 	if l == nil {
-		return nil, fmt.Errorf("nobody listens on %s", address)
+		return nil, fmt.Errorf("no listener at %s", address)
 	}
-	near, far := net.Pipe()
+	clientEnd, serverEnd := net.Pipe()
 	select {
-	case l.dialed <- far:
-		return near, nil
+	case l.incoming <- serverEnd:
+		return clientEnd, nil
 	case <-l.closed:
-		return nil, fmt.Errorf("nobody listens on %s any longer", address)
+		return nil, fmt.Errorf("listener at %s was closed", address)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// listener is also its own address.
+// listener implements net.Listener and net.Addr. Its address is itself.
 type listener struct {
-	network *Network
-	address string
-	dialed  chan net.Conn
-	closing sync.Once
-	closed  chan struct{}
+	network   *Network
+	address   string
+	incoming  chan net.Conn
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case connection := <-l.dialed:
+	case connection := <-l.incoming:
 		return connection, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -75,7 +77,7 @@
 
 // Close implements net.Listener.
 func (l *listener) Close() error {
-	l.closing.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.closed)
 		l.network.mutex.Lock()
 		defer l.network.mutex.Unlock()
--- a/internal/testnetwork/network_test.go
+++ b/internal/testnetwork/network_test.go
@@ -6,38 +6,38 @@
 	"testing"
 )
 
-// TestOnlyAListenerIsReached: connections end where their address is listened
-// on, and nowhere before and after.
-func TestOnlyAListenerIsReached(t *testing.T) {
+// TestNetwork_DialNeedsListener: a connection reaches the listener at its address, and
+// fails before the listener exists and after it is closed.
+func TestNetwork_DialNeedsListener(t *testing.T) {
 	network := New()
-	refused := func(when string) {
+	requireRefused := func(when string) {
 		if _, err := network.DialContext(t.Context(), "tcp", "there"); err == nil {
-			t.Fatalf("connected %s", when)
+			t.Fatalf("dial succeeded %s, want an error", when)
 		}
 	}
-	refused("before anybody listens")
+	requireRefused("before the listen")
 	listener := network.Listen(t, "there")
 	network.Listen(t, "elsewhere")
 	go func() {
-		near, err := network.DialContext(t.Context(), "tcp", "there")
+		clientEnd, err := network.DialContext(t.Context(), "tcp", "there")
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		_, _ = near.Write([]byte("x"))
+		_, _ = clientEnd.Write([]byte("x"))
 	}()
-	far, err := listener.Accept()
+	serverEnd, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if read, err := far.Read(make([]byte, 2)); read != 1 || err != nil {
-		t.Fatalf("read %d bytes, %v", read, err)
+	if read, err := serverEnd.Read(make([]byte, 2)); read != 1 || err != nil {
+		t.Fatalf("got %d bytes, error %v, want 1 byte", read, err)
 	}
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("accepted after the close: %v", err)
+		t.Errorf("accept after the close: got %v, want net.ErrClosed", err)
 	}
-	refused("after the close")
+	requireRefused("after the close")
 }
