--- a/cmd/decklever-agent/main.go
+++ b/cmd/decklever-agent/main.go
@@ -1,5 +1,5 @@
-// Command decklever-agent is the local proxy of a side machine: it relays the
-// heartbeats of its workers to the leading scheduler.
+// Command decklever-agent is the local proxy of a side machine: it forwards
+// the heartbeats of the machine's workers to the leader.
 package main
 
 import (
@@ -15,9 +15,9 @@
 }
 
 func start(ctx context.Context, initial settings.Agent, options settings.LoadOptions) error {
-	made, err := agentprocess.New(initial, options)
+	process, err := agentprocess.New(initial, options)
 	if err != nil {
 		return err
 	}
-	return made.Run(ctx)
+	return process.Run(ctx)
 }
--- a/cmd/decklever-front/main.go
+++ b/cmd/decklever-front/main.go
@@ -1,5 +1,5 @@
-// Command decklever-front serves callers and operators: it checks requests and
-// relays them to the leading scheduler.
+// Command decklever-front serves the HTTP interface for callers and operators:
+// it validates requests and forwards them to the leader.
 package main
 
 import (
@@ -15,9 +15,9 @@
 }
 
 func start(ctx context.Context, initial settings.Front, options settings.LoadOptions) error {
-	made, err := frontprocess.New(initial, options)
+	process, err := frontprocess.New(initial, options)
 	if err != nil {
 		return err
 	}
-	return made.Run(ctx)
+	return process.Run(ctx)
 }
--- a/cmd/decklever-scheduler/main.go
+++ b/cmd/decklever-scheduler/main.go
@@ -1,5 +1,6 @@
-// Command decklever-scheduler keeps the replicated record and, while it leads,
-// acts as the scheduler.
+// Command decklever-scheduler runs one replica of the replicated log and, while
+// that replica is the leader, the scheduler. With the setting relay it has no
+// replica and only forwards operators' calls to the leader.
 package main
 
 import (
@@ -22,9 +23,9 @@
 		}
 		return relay.Run(ctx)
 	}
-	made, err := schedulerprocess.New(initial, options)
+	process, err := schedulerprocess.New(initial, options)
 	if err != nil {
 		return err
 	}
-	return made.Run(ctx)
+	return process.Run(ctx)
 }
--- a/cmd/decklever-testbed/fleet.go
+++ b/cmd/decklever-testbed/fleet.go
@@ -26,7 +26,7 @@
 }
 
 func newFleetUpCommand() *cobra.Command {
-	var chosen target
+	var chosen fleetOptions
 	var directory string
 	command := &cobra.Command{
 		Use:   "up",
@@ -41,12 +41,12 @@
 	return command
 }
 
-func fleetUp(ctx context.Context, output io.Writer, chosen *target, directory string) error {
-	described, binaries, err := chosen.resolve()
+func fleetUp(ctx context.Context, output io.Writer, chosen *fleetOptions, directory string) error {
+	selected, binaries, err := chosen.resolve()
 	if err != nil {
 		return err
 	}
-	if directory, err = folder(directory); err != nil {
+	if directory, err = folderOrTemporary(directory); err != nil {
 		return err
 	}
 	calls, err := calllog.Open("")
@@ -54,7 +54,7 @@
 		return err
 	}
 	processes, err := fleet.New(fleet.Config{
-		Deployment: described, Directory: directory, Binaries: binaries, CallLog: calls, LogLevel: chosen.logLevel,
+		Deployment: selected, Directory: directory, Binaries: binaries, CallLog: calls, LogLevel: chosen.logLevel,
 	})
 	if err != nil {
 		return err
@@ -63,7 +63,8 @@
 	return errors.Join(err, processes.Stop())
 }
 
-// serveFleet starts the fleet and waits for the end of the context.
+// serveFleet starts the fleet, prints how to use it and waits until ctx is
+// cancelled. The caller stops the fleet.
 func serveFleet(ctx context.Context, output io.Writer, processes *fleet.Fleet, operatorClient *operator.Operator) error {
 	if err := processes.Start(); err != nil {
 		return err
@@ -73,20 +74,20 @@
 	if err := processes.WaitReady(starting, operatorClient); err != nil {
 		return fmt.Errorf("the fleet did not start, see %s: %w", processes.LogDirectory(), err)
 	}
-	if _, err := io.WriteString(output, welcome(processes)); err != nil {
-		return fmt.Errorf("print: %w", err)
+	if _, err := io.WriteString(output, usageText(processes)); err != nil {
+		return fmt.Errorf("print how to use the fleet: %w", err)
 	}
 	<-ctx.Done()
 	return nil
 }
 
-// welcome says where the fleet listens and how to use it.
-func welcome(processes *fleet.Fleet) string {
-	described := processes.Deployment()
-	urls := described.FrontURLs()
-	shape := described.Shapes.Short
+// usageText returns the fleet's addresses and example commands for it.
+func usageText(processes *fleet.Fleet) string {
+	selected := processes.Deployment()
+	urls := selected.FrontURLs()
+	shape := selected.Shapes.Short
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s is ready: %d schedulers, %d fronts, %d agents, %d workers\n", described.Name,
+	fmt.Fprintf(&text, "%s is ready: %d schedulers, %d fronts, %d agents, %d workers\n", selected.Name,
 		deployment.Schedulers, deployment.Fronts, deployment.Workers, deployment.Workers)
 	fmt.Fprintf(&text, "files:  %s\nfronts: %s\n\n", filepath.Dir(processes.LogDirectory()), strings.Join(urls, " "))
 	fmt.Fprintf(&text, "curl -X PUT %s/v1/jobs/hello -H 'Content-Type: application/json' -d '%s'\n", urls[0], exampleJob(shape))
--- a/cmd/decklever-testbed/hollow.go
+++ b/cmd/decklever-testbed/hollow.go
@@ -7,8 +7,8 @@
 	"github.com/decklever/decklever/testbed/hollow"
 )
 
-// newHollowCommand makes the command by which a scale run starts its hollow
-// processes. It ends when its standard input does.
+// newHollowCommand returns the command with which a scale run starts its hollow
+// processes. The command ends when its standard input is closed.
 func newHollowCommand() *cobra.Command {
 	var path string
 	command := &cobra.Command{
--- a/cmd/decklever-testbed/main.go
+++ b/cmd/decklever-testbed/main.go
@@ -1,5 +1,6 @@
-// Command decklever-testbed starts whole fleets on this machine, drives load,
-// causes faults and checks the promises from outside. It is for developers.
+// Command decklever-testbed is a developer tool: it starts complete fleets on
+// this machine, generates load, injects faults and checks decklever's
+// guarantees from outside.
 package main
 
 import (
@@ -17,8 +18,9 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
-// errBroken makes the program exit with 1 after a run that did not pass.
-var errBroken = errors.New("the run did not pass")
+// errNotPassed makes the program exit with status 1 after a run that violated a
+// guarantee or had errors.
+var errNotPassed = errors.New("the run did not pass")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -41,15 +43,15 @@
 	return command
 }
 
-// target is the flags that say which fleet to start.
-type target struct {
+// fleetOptions holds the flags that select the fleet to start.
+type fleetOptions struct {
 	deployment string
 	instance   int
 	binaries   string
 	logLevel   string
 }
 
-func (t *target) bind(command *cobra.Command) {
+func (t *fleetOptions) bind(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringVar(&t.deployment, "deployment", deployment.Names()[0], "one of "+strings.Join(deployment.Names(), ", "))
 	flags.IntVar(&t.instance, "instance", 0, fmt.Sprintf("0 to %d; fleets of different instances can run side by side", deployment.MaxInstance))
@@ -57,8 +59,9 @@
 	flags.StringVar(&t.logLevel, "log-level", "info", "log level of all processes")
 }
 
-// resolve returns the deployment and the folder of the programs.
-func (t *target) resolve() (deployment.Deployment, string, error) {
+// resolve returns the selected deployment and the folder of the programs, by
+// default the folder of this program.
+func (t *fleetOptions) resolve() (deployment.Deployment, string, error) {
 	chosen, err := deployment.New(t.deployment, t.instance)
 	if err != nil {
 		return deployment.Deployment{}, "", err
@@ -66,21 +69,22 @@
 	if t.binaries != "" {
 		return chosen, t.binaries, nil
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return deployment.Deployment{}, "", fmt.Errorf("find this program: %w", err)
 	}
-	return chosen, filepath.Dir(self), nil
+	return chosen, filepath.Dir(executable), nil
 }
 
-// folder returns the given folder, or a new one for temporary files.
-func folder(given string) (string, error) {
+// folderOrTemporary returns the given folder, or creates a temporary one if the
+// name is empty.
+func folderOrTemporary(given string) (string, error) {
 	if given != "" {
 		return given, nil
 	}
-	made, err := os.MkdirTemp("", "decklever-testbed-")
+	temporary, err := os.MkdirTemp("", "decklever-testbed-")
 	if err != nil {
-		return "", fmt.Errorf("make a folder: %w", err)
+		return "", fmt.Errorf("create a temporary folder: %w", err)
 	}
-	return made, nil
+	return temporary, nil
 }
--- a/cmd/decklever-testbed/matrix.go
+++ b/cmd/decklever-testbed/matrix.go
@@ -17,9 +17,10 @@
 	"github.com/decklever/decklever/testbed/scenario"
 )
 
-// matrixChoice is the flags of the command matrix beside those of target.
-type matrixChoice struct {
-	target      target
+// matrixOptions holds the flags of the command matrix. The deployment and the
+// instance in target are set for each cell.
+type matrixOptions struct {
+	target      fleetOptions
 	deployments []string
 	scenarios   []string
 	seeds       []string
@@ -27,7 +28,7 @@
 }
 
 func newMatrixCommand() *cobra.Command {
-	var chosen matrixChoice
+	var chosen matrixOptions
 	command := &cobra.Command{
 		Use:   "matrix",
 		Short: "Run every scenario on every deployment with every seed; exit 1 if any promise was broken",
@@ -40,7 +41,7 @@
 	return command
 }
 
-func (m *matrixChoice) bind(command *cobra.Command) {
+func (m *matrixOptions) bind(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringSliceVar(&m.deployments, "deployments", deployment.Names(), "deployments to run on")
 	flags.StringSliceVar(&m.scenarios, "scenarios", nil, "scenarios to run (default: all)")
@@ -53,7 +54,7 @@
 	flags.StringVar(&m.target.logLevel, "log-level", "info", "log level of all processes")
 }
 
-func (m *matrixChoice) run(ctx context.Context, progress, output io.Writer) error {
+func (m *matrixOptions) run(ctx context.Context, progress, output io.Writer) error {
 	config, err := m.complete(progress)
 	if err != nil {
 		return err
@@ -67,14 +68,15 @@
 	}
 	for _, outcome := range outcomes {
 		if !outcome.Passed() {
-			return errBroken
+			return errNotPassed
 		}
 	}
 	return nil
 }
 
-// complete checks the flags.
-func (m *matrixChoice) complete(progress io.Writer) (matrix.Config, error) {
+// complete validates the flags and returns the configuration of the matrix. It
+// creates a temporary output folder if none is given.
+func (m *matrixOptions) complete(progress io.Writer) (matrix.Config, error) {
 	config := m.config
 	config.Deployments = m.deployments
 	for _, name := range m.deployments {
@@ -101,27 +103,27 @@
 		config.Seeds = append(config.Seeds, seed)
 	}
 	var err error
-	config.Out, err = folder(config.Out)
+	config.Out, err = folderOrTemporary(config.Out)
 	config.Run = m.runCell
 	config.Done = func(outcome matrix.Outcome) { printOutcome(progress, outcome) }
 	return config, err
 }
 
-func (m *matrixChoice) runCell(ctx context.Context, cell matrix.Cell) (report.Summary, error) {
+func (m *matrixOptions) runCell(ctx context.Context, cell matrix.Cell) (report.Summary, error) {
 	chosen := m.target
 	chosen.deployment, chosen.instance = cell.Deployment, cell.Instance
-	described, binaries, err := chosen.resolve()
+	selected, binaries, err := chosen.resolve()
 	if err != nil {
 		return report.Summary{}, err
 	}
 	return run.Run(ctx, run.Config{
-		Deployment: described, Scenario: cell.Scenario, Seed: cell.Seed, Duration: cell.Duration,
+		Deployment: selected, Scenario: cell.Scenario, Seed: cell.Seed, Duration: cell.Duration,
 		Out: cell.Out, Binaries: binaries, LogLevel: chosen.logLevel,
 	})
 }
 
-// printOutcome writes one line, or the whole text of a run that did not pass;
-// a failure to write is of no concern to the runs.
+// printOutcome prints the verdict of a run and, if the run did not pass, its
+// summary. Write errors are ignored, since they do not affect the runs.
 func printOutcome(progress io.Writer, outcome matrix.Outcome) {
 	verdict := "passed"
 	if !outcome.Passed() {
--- a/cmd/decklever-testbed/run.go
+++ b/cmd/decklever-testbed/run.go
@@ -16,7 +16,7 @@
 const defaultDuration = 60 * time.Second
 
 func newRunCommand() *cobra.Command {
-	var chosen target
+	var chosen fleetOptions
 	var name, previous, out string
 	var seed uint64
 	var duration time.Duration
@@ -25,17 +25,17 @@
 		Short: "Load a fleet during a scenario; print a JSON summary; exit 1 if a promise was broken",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			course, err := scenario.Find(name)
+			selected, err := scenario.Find(name)
 			if err != nil {
 				return err
 			}
-			if duration < course.MinDuration {
-				return fmt.Errorf("duration is %v, expected at least %v for %s", duration, course.MinDuration, name)
+			if duration < selected.MinDuration {
+				return fmt.Errorf("duration is %v, expected at least %v for %s", duration, selected.MinDuration, name)
 			}
-			if previous != "" && course.FirstVersion != fleet.PreviousVersion {
+			if previous != "" && selected.FirstVersion != fleet.PreviousVersion {
 				return fmt.Errorf("previous-programs is %q, but %s runs the present programs alone", previous, name)
 			}
-			return runScenario(command, &chosen, run.Config{Scenario: course, Seed: seed, Duration: duration, Out: out, PreviousBinaries: previous})
+			return runScenario(command, &chosen, run.Config{Scenario: selected, Seed: seed, Duration: duration, Out: out, PreviousBinaries: previous})
 		},
 	}
 	chosen.bind(command)
@@ -48,12 +48,12 @@
 	return command
 }
 
-func runScenario(command *cobra.Command, chosen *target, config run.Config) error {
+func runScenario(command *cobra.Command, chosen *fleetOptions, config run.Config) error {
 	var err error
 	if config.Deployment, config.Binaries, err = chosen.resolve(); err != nil {
 		return err
 	}
-	if config.Out, err = folder(config.Out); err != nil {
+	if config.Out, err = folderOrTemporary(config.Out); err != nil {
 		return err
 	}
 	config.LogLevel = chosen.logLevel
@@ -74,7 +74,7 @@
 		return fmt.Errorf("print summary: %w", err)
 	}
 	if !summary.Passed {
-		return errBroken
+		return errNotPassed
 	}
 	return nil
 }
@@ -86,8 +86,8 @@
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			table := tabwriter.NewWriter(command.OutOrStdout(), 0, 0, 2, ' ', 0)
-			for _, one := range scenario.All() {
-				if _, err := fmt.Fprintf(table, "%s\t%s\tat least %v\n", one.Name, one.Summary, one.MinDuration); err != nil {
+			for _, listed := range scenario.All() {
+				if _, err := fmt.Fprintf(table, "%s\t%s\tat least %v\n", listed.Name, listed.Summary, listed.MinDuration); err != nil {
 					return err
 				}
 			}
--- a/cmd/decklever-testbed/scale.go
+++ b/cmd/decklever-testbed/scale.go
@@ -23,15 +23,15 @@
 		Short: "Measure what each role takes, with hollow side machines beside real processes",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			self, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return fmt.Errorf("find this program: %w", err)
 			}
-			config.Self, config.Binaries, config.Progress = self, binaries, command.ErrOrStderr()
+			config.Self, config.Binaries, config.Progress = executable, binaries, command.ErrOrStderr()
 			if binaries == "" {
-				config.Binaries = filepath.Dir(self)
+				config.Binaries = filepath.Dir(executable)
 			}
-			if config.Out, err = folder(config.Out); err != nil {
+			if config.Out, err = folderOrTemporary(config.Out); err != nil {
 				return err
 			}
 			if sweep {
@@ -68,7 +68,7 @@
 		return fmt.Errorf("print result: %w", err)
 	}
 	if len(result.Violations) > 0 || len(result.Errors) > 0 {
-		return errBroken
+		return errNotPassed
 	}
 	return nil
 }
@@ -83,7 +83,7 @@
 	}
 	for _, result := range sweep.Results {
 		if len(result.Violations) > 0 || len(result.Errors) > 0 {
-			return errBroken
+			return errNotPassed
 		}
 	}
 	return nil
--- a/cmd/decklever-worker/main.go
+++ b/cmd/decklever-worker/main.go
@@ -1,5 +1,5 @@
-// Command decklever-worker is the reference worker: it offers the built-in
-// handlers through the public package worker.
+// Command decklever-worker is the reference worker: it runs the built-in
+// handlers with the public package worker.
 package main
 
 import "github.com/decklever/decklever/internal/daemon"
--- a/cmd/decklever-worker/process.go
+++ b/cmd/decklever-worker/process.go
@@ -18,7 +18,7 @@
 
 const program = "decklever-worker"
 
-// run works until SIGTERM or SIGINT, then drains.
+// run runs the worker until SIGTERM or SIGINT and then drains it.
 func run(ctx context.Context, initial settings.Worker, options settings.LoadOptions) (err error) {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -61,7 +61,8 @@
 	return instance.Run(ctx)
 }
 
-// watchSettings puts changes of the log level in force; it ends with ctx.
+// watchSettings applies changes of the log level until ctx is cancelled. Other
+// settings are read only at the start.
 func watchSettings(ctx context.Context, initial settings.Worker, options settings.LoadOptions, level *slog.LevelVar, logger *slog.Logger) {
 	err := settings.Watch(ctx, settings.WatchConfig[settings.Worker]{
 		Options: options,
@@ -70,6 +71,6 @@
 		Logger:  logger,
 	})
 	if err != nil {
-		logger.Error("settings are not watched", slog.Any("error", err))
+		logger.Error("watching the settings failed, log level changes are not applied", slog.Any("error", err))
 	}
 }
--- a/cmd/decklever/main.go
+++ b/cmd/decklever/main.go
@@ -1,5 +1,5 @@
-// Command decklever is the command line of callers and operators: it runs
-// package cli with the arguments, streams and environment of the process.
+// Command decklever is the command-line client for callers and operators: it
+// runs package cli with the arguments, streams and environment of the process.
 package main
 
 import (
--- a/docs/logs_test.go
+++ b/docs/logs_test.go
@@ -20,7 +20,7 @@
 var messageAt = map[string]int{"Debug": 0, "Info": 0, "Warn": 0, "Error": 0, "LogAttrs": 2}
 
 // heartbeatMessages reach the log through one function of package worker.
-var heartbeatMessages = []string{"heartbeat failed", "heartbeat answer refused"}
+var heartbeatMessages = []string{"heartbeat failed", "heartbeat answer discarded"}
 
 func TestLogsPageListsWhatIsLogged(t *testing.T) {
 	logged := loggedMessages(t)
--- a/worker/client.go
+++ b/worker/client.go
@@ -15,12 +15,14 @@
 
 const (
 	heartbeatPath = "/v1/heartbeat"
-	// maxAnswerBytes bounds an answer, which carries whole task descriptions.
+	// maxAnswerBytes bounds an answer, which contains complete task
+	// descriptions.
 	maxAnswerBytes = 64 << 20
 	maxErrorBytes  = 64 << 10
 )
 
-// client sends heartbeats to the agent, each once.
+// client sends heartbeats to the agent. It sends each heartbeat once, without
+// retries.
 type client struct {
 	url  string
 	http *http.Client
@@ -36,7 +38,8 @@
 	return &client{url: agent.JoinPath(heartbeatPath).String(), http: httpClient}
 }
 
-// post sends one heartbeat. An error answer of the agent is an *api.Error.
+// post sends one heartbeat and returns the answer. If the agent answers with
+// another status than 200, the error is an *api.Error.
 func (c *client) post(ctx context.Context, heartbeat api.Heartbeat) (answer api.HeartbeatAnswer, err error) {
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
@@ -46,7 +49,7 @@
 	if err != nil {
 		return answer, fmt.Errorf("make heartbeat request: %w", err)
 	}
-	request.GetBody = nil // so that the transport can never send it again
+	request.GetBody = nil // prevents the transport from sending the request again
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -62,12 +65,14 @@
 	return answer, nil
 }
 
+// readError returns the error in the response's body, or one with
+// api.CodeInternal if the body is not an error of the API.
 func readError(response *http.Response) error {
-	rejection := &api.Error{}
+	agentError := &api.Error{}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-	if err != nil || json.Unmarshal(body, rejection) != nil || rejection.Code == "" {
-		rejection = &api.Error{Code: api.CodeInternal, Message: "agent answered " + response.Status}
+	if err != nil || json.Unmarshal(body, agentError) != nil || agentError.Code == "" {
+		agentError = &api.Error{Code: api.CodeInternal, Message: "agent answered " + response.Status}
 	}
-	rejection.Status = response.StatusCode
-	return rejection
+	agentError.Status = response.StatusCode
+	return agentError
 }
--- a/worker/example_test.go
+++ b/worker/example_test.go
@@ -27,14 +27,14 @@
 		}
 		for index := range request.Images {
 			if err := ctx.Err(); err != nil {
-				return err // not finished: the run is reported as stopped
+				return err // the task is not done: the run is reported as stopped
 			}
 			if err := task.Report(100*index/len(request.Images), ""); err != nil {
 				return err
 			}
 		}
 		if !task.Held() {
-			return worker.ErrHoldLapsed // the task may be running elsewhere
+			return worker.ErrHoldLapsed // the task may run on another worker
 		}
 		return nil
 	})
@@ -42,6 +42,6 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := w.Run(ctx); err != nil {
-		log.Print(err) // handlers ignored their context, so the process must exit
+		log.Print(err) // handlers did not return after cancellation, so the process must exit
 	}
 }
--- a/worker/execute.go
+++ b/worker/execute.go
@@ -9,11 +9,12 @@
 	"github.com/decklever/decklever/api"
 )
 
-// execute runs one handler and returns how the run ended. It does not start
-// the handler if the lease has expired by the time that its goroutine runs.
+// execute runs the handler of one run and returns the report of the run's end.
+// It does not call the handler if the run was cancelled or the lease expired
+// before the handler's goroutine was scheduled.
 func (w *Worker) execute(ctx context.Context, handler Handler, task Task) api.EndedRun {
 	if !task.Held() {
-		return notStarted(ctx, task)
+		return notStartedReport(ctx, task)
 	}
 	if limit := task.Spec.MaxDuration.Std(); limit > 0 {
 		var cancel context.CancelFunc
@@ -34,8 +35,9 @@
 	return ended
 }
 
-// notStarted reports a run whose handler was not called.
-func notStarted(ctx context.Context, task Task) api.EndedRun {
+// notStartedReport returns the report of a run whose handler was not called
+// because the run was cancelled or the lease had expired.
+func notStartedReport(ctx context.Context, task Task) api.EndedRun {
 	cause := context.Cause(ctx)
 	if cause == nil {
 		cause = ErrHoldLapsed
--- a/worker/fake_agent_test.go
+++ b/worker/fake_agent_test.go
@@ -11,14 +11,15 @@
 	"github.com/decklever/decklever/api"
 )
 
-// fakeAgent is an in-memory agent and leader: it gives each order once and
-// acknowledges what ended in the answer after the report.
+// fakeAgent is an in-memory agent and leader, used as the HTTP transport of the
+// worker. It sends each order once and acknowledges a reported run in the answer
+// to that report. The mutex guards all fields.
 type fakeAgent struct {
 	mutex        sync.Mutex
 	orders       []api.StartOrder
 	stops        []api.RunRef
 	down         bool
-	late         time.Duration
+	delay        time.Duration
 	heartbeats   []api.Heartbeat
 	sentAt       []time.Time
 	inFlight     int
@@ -36,7 +37,7 @@
 	f.overlapped = f.overlapped || f.inFlight > 1
 	f.heartbeats = append(f.heartbeats, heartbeat)
 	f.sentAt = append(f.sentAt, time.Now())
-	down, late := f.down, f.late
+	down, late := f.down, f.delay
 	f.mutex.Unlock()
 	defer f.set(func() { f.inFlight-- })
 	select {
@@ -45,9 +46,9 @@
 		return nil, request.Context().Err()
 	}
 	if down {
-		return respond(http.StatusServiceUnavailable, api.Error{Code: api.CodeUnavailable, Message: "down"})
+		return newResponse(http.StatusServiceUnavailable, api.Error{Code: api.CodeUnavailable, Message: "down"})
 	}
-	return respond(http.StatusOK, f.answer(heartbeat))
+	return newResponse(http.StatusOK, f.answer(heartbeat))
 }
 
 func (f *fakeAgent) answer(heartbeat api.Heartbeat) api.HeartbeatAnswer {
@@ -63,7 +64,7 @@
 	return answer
 }
 
-func respond(status int, body any) (*http.Response, error) {
+func newResponse(status int, body any) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
--- a/worker/journal.go
+++ b/worker/journal.go
@@ -14,9 +14,9 @@
 )
 
 // Journal writes one line of JSON for each start and end of a handler, for
-// programs that compare the runs of several workers. All processes of a
-// machine share its clock, CLOCK_MONOTONIC, so that their journals can be
-// merged. Its methods are safe for concurrent use.
+// programs that compare the runs of several workers. Its times are read from
+// CLOCK_MONOTONIC, which all processes of a machine share, so that their
+// journals can be merged. Its methods are safe for concurrent use.
 type Journal struct {
 	file   *os.File
 	logger *slog.Logger
@@ -44,8 +44,8 @@
 	Outcome api.Outcome `json:"outcome,omitempty"`
 }
 
-// OpenJournal opens a file for appending and creates it if necessary. Errors
-// of later writes go to the logger.
+// OpenJournal opens the journal file for appending and creates it if necessary.
+// Errors of later writes are logged to logger.
 func OpenJournal(path string, logger *slog.Logger) (*Journal, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -63,8 +63,8 @@
 // End writes the end of a handler; use it as Config.OnEnd.
 func (j *Journal) End(event Event) { j.write(JournalEnd, event) }
 
-// write appends one line with a single system call, so that lines of several
-// goroutines do not mix.
+// write appends one line with a single system call, so that the lines of
+// concurrent goroutines are not interleaved.
 func (j *Journal) write(kind JournalEvent, event Event) {
 	now, clockErr := monotonicNow()
 	line, encodeErr := json.Marshal(JournalLine{
@@ -78,11 +78,11 @@
 	})
 	_, writeErr := j.file.Write(append(line, '\n'))
 	if err := errors.Join(clockErr, encodeErr, writeErr); err != nil {
-		j.logger.Error("journal line not written", slog.String("task", event.Task), slog.Any("error", err))
+		j.logger.Error("write to the run journal failed", slog.String("task", event.Task), slog.Any("error", err))
 	}
 }
 
-// monotonicNow reads the clock that all processes of the machine share.
+// monotonicNow reads CLOCK_MONOTONIC, which all processes of the machine share.
 func monotonicNow() (time.Duration, error) {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
--- a/worker/journal_test.go
+++ b/worker/journal_test.go
@@ -36,6 +36,6 @@
 	}
 	if len(lines) != 2 || lines[0].Event != JournalStart || lines[1].Event != JournalEnd ||
 		lines[0].MonoNanos <= 0 || lines[1].MonoNanos < lines[0].MonoNanos || lines[1].Outcome != api.OutcomeSucceeded || lines[0].Task != "j/s/0" {
-		t.Fatalf("lines %+v", lines)
+		t.Fatalf("journal lines: got %+v, want the start and the successful end of j/s/0 with times in order", lines)
 	}
 }
--- a/worker/loop.go
+++ b/worker/loop.go
@@ -12,28 +12,31 @@
 )
 
 const (
-	// requestTimeout bounds the request of a heartbeat, which is also bounded
-	// by half the lease.
+	// requestTimeout bounds the request of one heartbeat; half the lease is a
+	// second bound.
 	requestTimeout = 1500 * time.Millisecond
 	// heartbeatSpacing is the minimum time between two heartbeats, so that
-	// runs that end at nearly the same time share one.
+	// runs that end at nearly the same time are reported in one heartbeat.
 	heartbeatSpacing = 5 * time.Millisecond
-	// jitterPercent is by how much each pause between heartbeats varies.
+	// jitterPercent is the random variation of each pause between heartbeats,
+	// in both directions.
 	jitterPercent = 10
-	// blockedLogDelay and blockedLogInterval time the log message about
-	// handlers that continue after the lease has expired.
+	// blockedLogDelay is the time from the expiry of the lease to the first log
+	// message about handlers that are still running, and blockedLogInterval the
+	// time between repetitions of that message.
 	blockedLogDelay    = time.Second
 	blockedLogInterval = 10 * time.Second
 )
 
-// heartbeatResult is the result of the request of one heartbeat.
+// heartbeatResult is the answer to one heartbeat, or the error of its request.
 type heartbeatResult struct {
 	answer api.HeartbeatAnswer
 	err    error
 }
 
-// loop drives a session and is its only user. Goroutines of requests and
-// handlers send their results over its channels.
+// loop drives a session and is its only user. The goroutines of requests and
+// handlers send their results to it over channels. session, cancels and the
+// fields after leaseExpiry are used only by the goroutine of run.
 type loop struct {
 	worker  *Worker
 	session *session
@@ -41,19 +44,19 @@
 
 	answers   chan heartbeatResult
 	endedRuns chan api.EndedRun
-	done      chan struct{} // closed when nobody receives from endedRuns any more
+	done      chan struct{} // closed when run returns and stops receiving from endedRuns
 	cancels   map[api.RunRef]context.CancelCauseFunc
-	// leaseExpiry is the session's, in nanoseconds, for handlers that call
-	// Task.Held.
+	// leaseExpiry is a copy of session.leaseExpiry, in nanoseconds of the
+	// worker's clock. Handlers read it concurrently through Task.Held.
 	leaseExpiry atomic.Int64
 
 	nextHeartbeatAt  time.Duration
 	heartbeatPending bool          // send the next heartbeat right after the outstanding one
-	failing          bool          // the last heartbeat had no usable answer
+	failing          bool          // the last heartbeat got no acceptable answer
 	cancelAt         time.Duration // when a draining worker cancels its runs
-	leaveAt          time.Duration // when a draining worker ends in any case
-	cancelled        bool          // the runs of a draining worker were cancelled
-	blockedLogAt     time.Duration // of the next log message about blocked handlers
+	exitAt           time.Duration // when a draining worker exits even with open runs or reports
+	runsCancelled    bool          // the runs of a draining worker were cancelled
+	blockedLogAt     time.Duration // when to log next that handlers run after the lease expired
 }
 
 func newLoop(w *Worker) *loop {
@@ -68,6 +71,9 @@
 	}
 }
 
+// run sends heartbeats and executes orders until ctx is cancelled, and then
+// drains the worker. Requests and handlers do not inherit the cancellation of
+// ctx, since they continue during the drain.
 func (l *loop) run(ctx context.Context) error {
 	var requests sync.WaitGroup
 	requestContext, cancelRequests := context.WithCancel(context.WithoutCancel(ctx))
@@ -81,8 +87,8 @@
 	for {
 		now := l.now()
 		l.handleDeadlines(now)
-		if l.shouldLeave(now) {
-			return l.leave()
+		if l.shouldExit(now) {
+			return l.exit()
 		}
 		if !l.session.outstanding && now >= l.nextHeartbeatAt {
 			l.send(requestContext, &requests, now)
@@ -103,40 +109,41 @@
 
 func (l *loop) now() time.Duration { return l.worker.config.Clock() }
 
-// handleDeadlines handles everything that is due by the clock.
+// handleDeadlines expires the lease, cancels the runs of a draining worker and
+// logs blocked handlers, each if it is due.
 func (l *loop) handleDeadlines(now time.Duration) {
 	l.expireLease(now)
-	if l.session.draining && !l.cancelled && now >= l.cancelAt {
-		l.cancelled = true
+	if l.session.draining && !l.runsCancelled && now >= l.cancelAt {
+		l.runsCancelled = true
 		l.cancelRuns(l.session.stopAll(), ErrDraining)
 	}
 	if l.session.blocked() && now >= l.blockedLogAt {
 		l.blockedLogAt = now + blockedLogInterval
-		l.logger.Error("handlers go on although the hold lapsed", slog.Any("runs", l.session.runningRefs()))
+		l.logger.Error("handlers are still running after the lease expired", slog.Any("runs", l.session.runningRefs()))
 	}
 }
 
-// expireLease cancels all runs if the lease has expired.
+// expireLease cancels the handlers of all runs if the lease has expired.
 func (l *loop) expireLease(now time.Duration) {
 	stop := l.session.expireLease(now)
 	if len(stop) == 0 {
 		return
 	}
-	l.logger.Warn("hold lapsed, all runs are stopped", slog.Int("runs", len(stop)))
+	l.logger.Warn("lease expired, cancelling all runs", slog.Int("runs", len(stop)))
 	l.blockedLogAt = now + blockedLogDelay
 	l.cancelRuns(stop, ErrHoldLapsed)
 }
 
-// cancelRuns cancels the contexts of the runs' handlers.
+// cancelRuns cancels the contexts of the runs' handlers with the cause.
 func (l *loop) cancelRuns(refs []api.RunRef, cause error) {
 	for _, ref := range refs {
 		l.cancels[ref](cause)
 	}
 }
 
-// send starts the request of the next heartbeat. now must have been read
-// before, so that the lease is counted from no later than the time of
-// sending.
+// send starts the request of the next heartbeat in its own goroutine. now must
+// have been read before the call, so that the lease counts from a time that is
+// no later than the sending.
 func (l *loop) send(ctx context.Context, requests *sync.WaitGroup, now time.Duration) {
 	heartbeat := l.session.nextHeartbeat(now)
 	timeout := requestTimeout
@@ -151,7 +158,10 @@
 	})
 }
 
-// handleResult handles the end of a heartbeat's request.
+// handleResult applies the answer to a heartbeat, or schedules the next
+// heartbeat if the request failed or the answer is not acceptable. It expires
+// the lease first, so that no answer renews a lease that has already expired
+// without the runs under it being cancelled.
 func (l *loop) handleResult(ctx context.Context, result heartbeatResult) {
 	now := l.now()
 	l.expireLease(now)
@@ -161,11 +171,11 @@
 	}
 	todo, err := l.session.accept(now, result.answer)
 	if err != nil {
-		l.heartbeatFailed(now, "heartbeat answer refused", err)
+		l.heartbeatFailed(now, "heartbeat answer discarded", err)
 		return
 	}
 	if l.failing {
-		l.logger.Info("heartbeats are answered again", slog.Uint64("seq", l.session.seq))
+		l.logger.Info("heartbeats succeed again", slog.Uint64("seq", l.session.seq))
 	}
 	l.failing = false
 	l.leaseExpiry.Store(int64(l.session.leaseExpiry))
@@ -181,8 +191,8 @@
 	}
 }
 
-// heartbeatFailed logs the first of several failures as a warning and
-// schedules the next heartbeat.
+// heartbeatFailed schedules the next heartbeat after the regular pause. It logs
+// the first of consecutive failures as a warning and the others at debug level.
 func (l *loop) heartbeatFailed(now time.Duration, message string, err error) {
 	level := slog.LevelDebug
 	if !l.failing {
@@ -195,23 +205,23 @@
 	l.nextHeartbeatAt = now + jitter(l.session.interval)
 }
 
-// logOrders logs the orders that were not followed.
+// logOrders logs the duplicate and the rejected orders.
 func (l *loop) logOrders(todo actions) {
 	for _, ref := range todo.duplicates {
-		l.logger.Error("order for a known run ignored", slog.String("task", ref.Task), slog.Uint64("run", uint64(ref.Run)))
+		l.logger.Error("duplicate order for a known run ignored", slog.String("task", ref.Task), slog.Uint64("run", uint64(ref.Run)))
 	}
 	for _, run := range todo.rejected {
-		l.logger.Warn("order refused", slog.String("task", run.Task), slog.Uint64("run", uint64(run.Run)), slog.String("reason", run.Message))
+		l.logger.Warn("order to start a run rejected", slog.String("task", run.Task), slog.Uint64("run", uint64(run.Run)), slog.String("reason", run.Message))
 	}
 }
 
-// start runs the handler of an accepted order in a goroutine of its own.
+// start runs the handler of an accepted order in its own goroutine.
 func (l *loop) start(ctx context.Context, order api.StartOrder) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	l.cancels[order.RunRef] = cancel
 	task := Task{RunRef: order.RunRef, Token: l.session.token, Spec: order.Spec, Checkpoint: order.Checkpoint}
 	task.progress = &l.session.running[order.RunRef].progress
-	task.leaseHeld = func() bool { return ctx.Err() == nil && int64(l.now()) < l.leaseExpiry.Load() }
+	task.leaseValid = func() bool { return ctx.Err() == nil && int64(l.now()) < l.leaseExpiry.Load() }
 	handler := l.worker.handlers[order.Spec.Service]
 	l.logger.Debug("run starts", slog.String("task", order.Task), slog.Uint64("run", uint64(order.Run)))
 	go func() {
@@ -223,7 +233,8 @@
 	}()
 }
 
-// handleEndedRun handles the return of a handler.
+// handleEndedRun records the end of a run whose handler has returned, and
+// schedules a heartbeat that reports it.
 func (l *loop) handleEndedRun(ended api.EndedRun) {
 	l.cancels[ended.RunRef](nil)
 	delete(l.cancels, ended.RunRef)
@@ -233,8 +244,9 @@
 	l.scheduleHeartbeat(l.now())
 }
 
-// scheduleHeartbeat makes the next heartbeat go out at once, or right after
-// the outstanding one. While heartbeats fail, the regular pause stays.
+// scheduleHeartbeat schedules the next heartbeat as soon as heartbeatSpacing
+// allows, or after the answer to the outstanding one. While heartbeats fail, it
+// does not shorten the regular pause.
 func (l *loop) scheduleHeartbeat(now time.Duration) {
 	if l.failing {
 		return
@@ -246,41 +258,44 @@
 	l.nextHeartbeatAt = min(l.nextHeartbeatAt, max(now, l.session.sentAt+heartbeatSpacing))
 }
 
-// drain begins the shutdown: runs are cancelled after DrainTimeout, and the
-// loop ends at most ReportTimeout later.
+// drain starts the shutdown: the loop cancels the open runs after DrainTimeout
+// and exits at most ReportTimeout later.
 func (l *loop) drain(now time.Duration) {
 	l.logger.Info("draining", slog.Int("runs", len(l.session.running)))
 	l.session.drain()
 	l.cancelAt = now + l.worker.config.DrainTimeout
-	l.leaveAt = l.cancelAt + l.worker.config.ReportTimeout
+	l.exitAt = l.cancelAt + l.worker.config.ReportTimeout
 	l.scheduleHeartbeat(now)
 }
 
-// shouldLeave reports whether a draining worker may or must end now.
-func (l *loop) shouldLeave(now time.Duration) bool {
+// shouldExit reports whether a draining worker exits now: because it is drained,
+// because it has nothing to report and heartbeats fail, or because its time is
+// over.
+func (l *loop) shouldExit(now time.Duration) bool {
 	if !l.session.draining {
 		return false
 	}
-	nothingOpen := len(l.session.running) == 0 && len(l.session.ended) == 0
-	unheard := l.failing && !l.session.outstanding && nothingOpen
-	return l.session.drained() || unheard || now >= l.leaveAt
+	idle := len(l.session.running) == 0 && len(l.session.ended) == 0
+	unreachable := l.failing && !l.session.outstanding && idle
+	return l.session.drained() || unreachable || now >= l.exitAt
 }
 
-// leave cancels the runs that are still open. It returns ErrHandlersRunning
-// if there are any.
-func (l *loop) leave() error {
+// exit cancels the runs that are still open and returns ErrHandlersRunning if
+// there are any.
+func (l *loop) exit() error {
 	if count := len(l.session.ended); count > 0 {
-		l.logger.Warn("left with reports not acknowledged", slog.Int("reports", count))
+		l.logger.Warn("exiting with unacknowledged run reports", slog.Int("reports", count))
 	}
 	if len(l.session.running) == 0 {
 		return nil
 	}
 	l.cancelRuns(l.session.runningRefs(), ErrDraining)
-	l.logger.Error("left with handlers running", slog.Any("runs", l.session.runningRefs()))
+	l.logger.Error("exiting with handlers still running", slog.Any("runs", l.session.runningRefs()))
 	return ErrHandlersRunning
 }
 
-// wakeAt returns the next time at which something is due by the clock.
+// wakeAt returns the earliest time at which run must act without an event, at
+// most an hour from now.
 func (l *loop) wakeAt() time.Duration {
 	wakeAt := l.now() + time.Hour
 	if !l.session.outstanding {
@@ -293,15 +308,15 @@
 		wakeAt = min(wakeAt, l.blockedLogAt)
 	}
 	if l.session.draining {
-		wakeAt = min(wakeAt, l.leaveAt)
+		wakeAt = min(wakeAt, l.exitAt)
 	}
-	if l.session.draining && !l.cancelled {
+	if l.session.draining && !l.runsCancelled {
 		wakeAt = min(wakeAt, l.cancelAt)
 	}
 	return wakeAt
 }
 
-// jitter returns the pause, varied by up to jitterPercent.
+// jitter returns the pause, varied at random by up to jitterPercent.
 func jitter(pause time.Duration) time.Duration {
 	spread := pause * jitterPercent / 100
 	return pause - spread + rand.N(2*spread+1)
--- a/worker/progress.go
+++ b/worker/progress.go
@@ -9,29 +9,30 @@
 	"github.com/decklever/decklever/api"
 )
 
-// maxPercent is the progress of a run that is done.
+// maxPercent is the highest progress that a run can report.
 const maxPercent = 100
 
-// Why Task.Report refuses a checkpoint.
+// Errors with which Task.Report rejects a checkpoint.
 var (
-	// ErrNotResumable: the task's description does not say Resumable.
+	// ErrNotResumable is returned for a task without TaskSpec.Resumable.
 	ErrNotResumable = errors.New("task is not resumable")
-	// ErrCheckpoint: the checkpoint is longer than api.MaxCheckpointBytes, or
-	// not valid UTF-8.
+	// ErrCheckpoint is returned for a checkpoint that is longer than
+	// api.MaxCheckpointBytes or not valid UTF-8.
 	ErrCheckpoint = errors.New("checkpoint cannot be kept")
 )
 
-// progress is how far a run is, as its handler last reported. Handlers write
-// it while the loop reads it; the mutex guards all fields.
+// progress is the progress of a run as its handler last reported it. Handlers
+// write it while the loop reads it; the mutex guards all fields.
 type progress struct {
 	mutex      sync.Mutex
 	percent    int
 	checkpoint string
-	// changes counts calls of set; 0 until the first report.
+	// changes counts the calls of set; it is 0 until the first report.
 	changes uint64
 }
 
-// set records a percentage, and a checkpoint unless it is empty.
+// set records a percentage, limited to 0 to maxPercent, and the checkpoint
+// unless it is empty.
 func (p *progress) set(percent int, checkpoint string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -49,13 +50,13 @@
 	return p.percent, p.checkpoint, p.changes
 }
 
-// Report records how far the run is, in percent by the handler's own measure,
-// and a checkpoint from which a later run can continue; an empty checkpoint
-// keeps the previous one. It is sent with the next heartbeat. The newest
-// checkpoint is also sent with the report of a run that did not succeed, so a
-// handler may call Report after its context has ended. Only tasks with
-// TaskSpec.Resumable may have checkpoints: other calls return ErrNotResumable
-// or ErrCheckpoint and record nothing.
+// Report records the progress of the run, in percent by the handler's own
+// measure, and a checkpoint from which a later run can continue; an empty
+// checkpoint leaves the previous one unchanged. The next heartbeat sends both.
+// The newest checkpoint is also sent with the report of a run that did not
+// succeed, so a handler may call Report after its context was cancelled. Report
+// returns ErrNotResumable for a checkpoint of a task without TaskSpec.Resumable
+// and ErrCheckpoint for an invalid checkpoint; then it records nothing.
 func (t Task) Report(percent int, checkpoint string) error {
 	switch {
 	case checkpoint != "" && !t.Spec.Resumable:
@@ -71,7 +72,8 @@
 	return nil
 }
 
-// finalCheckpoint returns the checkpoint to report with the end of the run.
+// finalCheckpoint returns the checkpoint to report with the end of the run. It
+// is empty for a run that succeeded.
 func (t Task) finalCheckpoint(outcome api.Outcome) string {
 	if t.progress == nil || outcome == api.OutcomeSucceeded {
 		return ""
--- a/worker/progress_test.go
+++ b/worker/progress_test.go
@@ -13,7 +13,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// runningSession has open runs of tasks "j/s/0" and so on.
+// runningSession returns a session with count open runs, of the tasks "j/s/0",
+// "j/s/1" and so on.
 func runningSession(t *testing.T, count int) *session {
 	t.Helper()
 	s := testSession()
@@ -38,56 +39,56 @@
 		return heartbeat.Progress
 	}
 	if got := sent(true, 1); len(got) != 0 {
-		t.Fatalf("nothing was said, sent %+v", got)
+		t.Fatalf("progress sent before the first report: got %+v, want none", got)
 	}
 	run.progress.set(130, "a")
 	if got := sent(true, 1); len(got) != 1 || got[0] != (api.RunProgress{RunRef: ref("j/s/0", 1), Percent: 100, Checkpoint: "a"}) {
-		t.Fatalf("sent %+v", got)
+		t.Fatalf("progress sent: got %+v, want percent 100 and checkpoint a of j/s/0", got)
 	}
 	steps := []struct {
-		what   string
+		name   string
 		accept bool
 		token  uint64
 		want   int
 	}{
-		{"confirmed before", false, 0, 0},
+		{"already confirmed", false, 0, 0},
 		{"after a failed heartbeat", true, 1, 1},
-		{"confirmed again, and the answer has a new token", true, 2, 0},
-		{"under the new token", true, 2, 1},
-		{"confirmed under it", true, 2, 0},
+		{"already confirmed, answer with a new token", true, 2, 0},
+		{"after the token changed", true, 2, 1},
+		{"confirmed under the new token", true, 2, 0},
 	}
 	for _, step := range steps {
 		if got := sent(step.accept, step.token); len(got) != step.want {
-			t.Fatalf("%s: sent %+v", step.what, got)
+			t.Fatalf("%s: got progress %+v, want the number of entries in the step", step.name, got)
 		}
 	}
 	run.progress.set(7, "")
 	if got := sent(true, 2); len(got) != 1 || got[0].Checkpoint != "a" || got[0].Percent != 7 {
-		t.Errorf("sent %+v", got)
+		t.Errorf("progress sent: got %+v, want percent 7 with checkpoint a", got)
 	}
 }
 
-func TestProgress_ManyRunsAreBoundedAndTakeTurns(t *testing.T) {
+func TestProgress_ManyRunsAreSentInTurnWithinLimit(t *testing.T) {
 	const runs = 40
 	s := runningSession(t, runs)
-	heard := map[api.RunRef]bool{}
+	sent := map[api.RunRef]bool{}
 	for range runs * api.MaxCheckpointBytes / maxProgressBytes {
 		for _, run := range s.running {
 			run.progress.set(1, strings.Repeat("x", api.MaxCheckpointBytes))
 		}
 		heartbeat := s.nextHeartbeat(0)
 		if size := len(heartbeat.Progress) * api.MaxCheckpointBytes; size > maxProgressBytes {
-			t.Fatalf("%d bytes of checkpoints", size)
+			t.Fatalf("checkpoints in one heartbeat: got %d bytes, want at most maxProgressBytes", size)
 		}
 		for _, progress := range heartbeat.Progress {
-			heard[progress.RunRef] = true
+			sent[progress.RunRef] = true
 		}
 		if _, err := s.accept(0, answerTo(heartbeat, 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(heard) != runs {
-		t.Errorf("heard of %d runs of %d", len(heard), runs)
+	if len(sent) != runs {
+		t.Errorf("runs whose progress was sent: got %d, want %d", len(sent), runs)
 	}
 }
 
@@ -101,10 +102,10 @@
 	for s.reportsDeferred = true; s.reportsDeferred; {
 		heartbeat := s.nextHeartbeat(0)
 		if len(heartbeat.Ended)*api.MaxCheckpointBytes > maxReportBytes || len(heartbeat.Ended) == 0 {
-			t.Fatalf("%d reports in one heartbeat", len(heartbeat.Ended))
+			t.Fatalf("reports in one heartbeat: got %d, want at least 1 and at most maxReportBytes in total", len(heartbeat.Ended))
 		}
-		if named := len(heartbeat.Ended) + len(heartbeat.Running); named != runs-reported {
-			t.Fatalf("%d runs are named, want %d", named, runs-reported)
+		if listed := len(heartbeat.Ended) + len(heartbeat.Running); listed != runs-reported {
+			t.Fatalf("runs listed as ended or running: got %d, want %d", listed, runs-reported)
 		}
 		answer := answerTo(heartbeat, 1)
 		for _, ended := range heartbeat.Ended {
@@ -116,7 +117,7 @@
 		}
 	}
 	if reported != runs || len(s.ended) != 0 {
-		t.Errorf("%d reports of %d, %d left", reported, runs, len(s.ended))
+		t.Errorf("got %d reports, want %d; got %d unacknowledged, want 0", reported, runs, len(s.ended))
 	}
 }
 
@@ -130,30 +131,30 @@
 	}{
 		{"none", Task{}, "", nil},
 		{"not resumable", Task{}, "a", ErrNotResumable},
-		{"as long as may be", resumable, strings.Repeat("x", api.MaxCheckpointBytes), nil},
+		{"maximum length", resumable, strings.Repeat("x", api.MaxCheckpointBytes), nil},
 		{"too long", resumable, strings.Repeat("x", api.MaxCheckpointBytes+1), ErrCheckpoint},
-		{"not text", resumable, "\xff", ErrCheckpoint},
+		{"not UTF-8", resumable, "\xff", ErrCheckpoint},
 	}
 	for _, c := range cases {
 		if err := c.task.Report(1, c.checkpoint); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: got error %v, want the error of the case", c.name, err)
 		}
 	}
 	if _, checkpoint, changes := resumable.progress.get(); changes != 1 || len(checkpoint) != api.MaxCheckpointBytes {
-		t.Errorf("%d changes, %d bytes", changes, len(checkpoint))
+		t.Errorf("got %d changes and a checkpoint of %d bytes, want 1 change and api.MaxCheckpointBytes", changes, len(checkpoint))
 	}
 }
 
 func TestTask_RunResumesFromCheckpointAndReportsNewest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agent := &fakeAgent{}
-		given := make(chan string, 1)
+		received := make(chan string, 1)
 		w, err := New(Config{Name: "w", AgentURL: "http://agent:1", HTTPClient: &http.Client{Transport: agent}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		w.Handle("save", func(ctx context.Context, task Task) error {
-			given <- task.Checkpoint
+			received <- task.Checkpoint
 			if err := task.Report(50, "half"); err != nil {
 				return err
 			}
@@ -168,24 +169,24 @@
 		result := make(chan error, 1)
 		go func() { result <- w.Run(ctx) }()
 		time.Sleep(time.Second)
-		if got := <-given; got != "before" {
-			t.Errorf("the run was given %q", got)
+		if got := <-received; got != "before" {
+			t.Errorf("checkpoint of the task: got %q, want \"before\"", got)
 		}
 		cancel()
 		if err := <-result; err != nil {
 			t.Fatal(err)
 		}
-		var progress, left string
+		var sent, reported string
 		for _, heartbeat := range agent.heartbeats {
-			for _, said := range heartbeat.Progress {
-				progress = said.Checkpoint
+			for _, progress := range heartbeat.Progress {
+				sent = progress.Checkpoint
 			}
 			for _, ended := range heartbeat.Ended {
-				left = ended.Checkpoint
+				reported = ended.Checkpoint
 			}
 		}
-		if progress != "half" || left != "at the stop" {
-			t.Errorf("heartbeats said %q, the report %q", progress, left)
+		if sent != "half" || reported != "at the stop" {
+			t.Errorf("checkpoints: got %q as progress and %q in the report, want \"half\" and \"at the stop\"", sent, reported)
 		}
 	})
 }
--- a/worker/session.go
+++ b/worker/session.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// defaultInterval is the pause between heartbeats until an answer sets
-	// one.
+	// defaultInterval is the pause between heartbeats until an accepted answer
+	// sets one, and if the answer's pause is not positive or over maxLease.
 	defaultInterval = 200 * time.Millisecond
-	// minInterval is the shortest pause that an answer can set.
+	// minInterval is the shortest pause between heartbeats.
 	minInterval = 10 * time.Millisecond
-	// leaseShare bounds the pause: it is at most this fraction of the lease,
-	// so that a lost heartbeat does not let the lease expire.
-	leaseShare = 3
-	// maxLease bounds the lease that an answer may grant.
+	// leaseDivisor bounds the pause between heartbeats to lease/leaseDivisor, so
+	// that the lease does not expire when one heartbeat is lost.
+	leaseDivisor = 3
+	// maxLease is the longest lease that an answer may grant.
 	maxLease = time.Hour
 )
 
-// Why an answer is refused. Nothing in a refused answer is used.
+// Errors with which an answer is rejected. Nothing in a rejected answer is used.
 var (
 	errStaleSeq     = errors.New("answer is not to the newest heartbeat")
 	errStaleToken   = errors.New("token is lower than the highest accepted")
-	errLateAnswer   = errors.New("answer came after its own hold")
-	errInvalidLease = errors.New("answer grants no sensible hold")
+	errLateAnswer   = errors.New("answer arrived after the lease that it grants had expired")
+	errInvalidLease = errors.New("lease duration in the answer is out of range")
 )
 
-// identity is what every heartbeat says about the worker.
+// identity describes the worker in every heartbeat.
 type identity struct {
 	WorkerID string
 	Name     string
@@ -43,31 +43,34 @@
 // openRun is a run whose order was accepted and whose handler has not
 // returned.
 type openRun struct {
-	stopping     bool
-	leaseExpired bool
+	stopping     bool // the loop was instructed to cancel the handler
+	leaseExpired bool // the lease expired since the run was started
 	progress     progress
-	// sentChanges counts the changes of progress that the outstanding
-	// heartbeat covers, confirmedChanges those that an accepted answer
-	// covers.
+	// sentChanges is the value of progress.changes that the outstanding
+	// heartbeat contains, 0 if it contains no progress of the run.
+	// confirmedChanges is the value that the leader has received, 0 if the
+	// progress must be sent again.
 	sentChanges, confirmedChanges uint64
-	// lastSentSeq is the newest heartbeat that contained the run's progress.
+	// lastSentSeq is the Seq of the newest heartbeat that contained the run's
+	// progress.
 	lastSentSeq uint64
 }
 
-// session is the worker's side of the heartbeat protocol for one life of the
-// process. It does no I/O and reads no clock: now is time on the worker's
-// monotonic clock, since an arbitrary start. It has no lock; its loop alone
-// uses it. The rules are in docs/DESIGN.md, "Leases, tokens and runs".
+// session implements the worker's side of the heartbeat protocol for one
+// incarnation of the worker. It does no I/O and reads no clock: all times are
+// those of the worker's monotonic clock, since an arbitrary start. It has no
+// lock, since only its loop uses it. The rules of the protocol are in
+// docs/DESIGN.md, "Leases, tokens and runs".
 type session struct {
 	identity identity
 
-	seq          uint64
-	outstanding  bool
+	seq          uint64 // of the newest heartbeat, 0 before the first
+	outstanding  bool   // the newest heartbeat was neither accepted nor abandoned
 	sentAt       time.Duration
-	sentDraining bool
+	sentDraining bool // draining was set when the newest heartbeat was made
 
 	acceptedSeq      uint64
-	drainingAccepted bool // an answer to a heartbeat that said draining was accepted
+	drainingAccepted bool // an answer to a heartbeat sent while draining was accepted
 	token            uint64
 	lease            time.Duration
 	leaseExpiry      time.Duration
@@ -76,29 +79,29 @@
 
 	running map[api.RunRef]*openRun
 	ended   map[api.RunRef]api.EndedRun
-	// reportsDeferred is set if some reports did not fit into the newest
+	// reportsDeferred is true if some reports did not fit into the newest
 	// heartbeat.
 	reportsDeferred bool
 }
 
-func newSession(who identity) *session {
+func newSession(id identity) *session {
 	return &session{
-		identity: who,
+		identity: id,
 		interval: defaultInterval,
 		running:  make(map[api.RunRef]*openRun),
 		ended:    make(map[api.RunRef]api.EndedRun),
 	}
 }
 
-// nextHeartbeat returns the next heartbeat. From then on no answer to an
-// earlier one is accepted. now must be read before the request is sent, as
-// the lease is counted from it.
+// nextHeartbeat returns the next heartbeat and makes it the outstanding one:
+// answers to earlier heartbeats are rejected from now on. now must be read
+// before the request is sent, since the lease counts from it.
 func (s *session) nextHeartbeat(now time.Duration) api.Heartbeat {
 	s.seq++
 	s.outstanding = true
 	s.sentAt = now
 	s.sentDraining = s.draining
-	ended, deferred := s.splitEnded()
+	ended, deferred := s.splitEndedRuns()
 	s.reportsDeferred = len(deferred) > 0
 	return api.Heartbeat{
 		WorkerID:    s.identity.WorkerID,
@@ -115,19 +118,20 @@
 	}
 }
 
-// abandonHeartbeat gives up the outstanding heartbeat after its request
-// failed.
+// abandonHeartbeat marks the newest heartbeat as no longer outstanding after its
+// request failed or its answer was rejected. A later answer to it is rejected.
 func (s *session) abandonHeartbeat() {
 	s.outstanding = false
-	s.forgetConfirmed()
+	s.resetConfirmedProgress()
 }
 
 // leaseExpired reports whether the lease has expired or was never granted.
 func (s *session) leaseExpired(now time.Duration) bool { return now >= s.leaseExpiry }
 
-// expireLease stops all runs if the lease has expired and returns those to
-// cancel. It must be called with each new time before anything else, so that
-// nothing is done under an expired lease.
+// expireLease marks all open runs as stopping if the lease has expired, and
+// returns the runs whose lease expired since the last call, sorted, for the
+// caller to cancel. It must be called with each new time before any other method
+// that takes the time, so that nothing is done under an expired lease.
 func (s *session) expireLease(now time.Duration) []api.RunRef {
 	if !s.leaseExpired(now) {
 		return nil
@@ -145,8 +149,9 @@
 	return stop
 }
 
-// blocked reports whether a handler continues although the lease under which
-// it ran has expired. Until it returns the worker accepts no new runs.
+// blocked reports whether a handler is still running after the lease under which
+// it was started has expired. The worker rejects new runs until that handler has
+// returned.
 func (s *session) blocked() bool {
 	for _, run := range s.running {
 		if run.leaseExpired {
@@ -156,10 +161,11 @@
 	return false
 }
 
-// accept applies an answer completely or, with an error, not at all.
-// expireLease must have been called with the same now.
+// accept applies an answer completely and returns the resulting actions, or
+// returns an error and changes nothing. expireLease must have been called with
+// the same now.
 func (s *session) accept(now time.Duration, answer api.HeartbeatAnswer) (actions, error) {
-	hold, err := s.checkAnswer(now, answer)
+	lease, err := s.checkAnswer(now, answer)
 	if err != nil {
 		return actions{}, err
 	}
@@ -168,8 +174,8 @@
 	s.drainingAccepted = s.drainingAccepted || s.sentDraining
 	s.confirmProgress(answer.Token != s.token)
 	s.token = answer.Token
-	s.lease = hold
-	s.leaseExpiry = s.sentAt + hold
+	s.lease = lease
+	s.leaseExpiry = s.sentAt + lease
 	s.interval = s.boundInterval(answer.IntervalMillis)
 
 	for _, ref := range answer.Acknowledged {
@@ -185,35 +191,38 @@
 	return todo, nil
 }
 
-// checkAnswer returns the lease that an answer grants, or why the answer must
-// not be used.
+// checkAnswer returns the duration of the lease that an answer grants, or an
+// error if the answer must not be used.
 func (s *session) checkAnswer(now time.Duration, answer api.HeartbeatAnswer) (time.Duration, error) {
 	if !s.outstanding || answer.Seq != s.seq {
-		return 0, fmt.Errorf("%w: %d, newest is %d", errStaleSeq, answer.Seq, s.seq)
+		return 0, fmt.Errorf("%w: got seq %d, newest is %d", errStaleSeq, answer.Seq, s.seq)
 	}
 	if answer.Token < s.token {
-		return 0, fmt.Errorf("%w: %d after %d", errStaleToken, answer.Token, s.token)
+		return 0, fmt.Errorf("%w: got %d, highest accepted is %d", errStaleToken, answer.Token, s.token)
 	}
 	if answer.HoldMillis <= 0 || answer.HoldMillis > maxLease.Milliseconds() {
-		return 0, fmt.Errorf("%w: %d ms", errInvalidLease, answer.HoldMillis)
+		return 0, fmt.Errorf("%w: got %d ms, want more than 0 and at most 1 h", errInvalidLease, answer.HoldMillis)
 	}
-	hold := time.Duration(answer.HoldMillis) * time.Millisecond
-	if now >= s.sentAt+hold {
-		return 0, fmt.Errorf("%w: %v after it was sent", errLateAnswer, now-s.sentAt)
+	lease := time.Duration(answer.HoldMillis) * time.Millisecond
+	if now >= s.sentAt+lease {
+		return 0, fmt.Errorf("%w: %v after the heartbeat was sent", errLateAnswer, now-s.sentAt)
 	}
-	return hold, nil
+	return lease, nil
 }
 
-// boundInterval returns the pause that an answer asks for, within its bounds.
+// boundInterval returns the pause between heartbeats that an answer requests,
+// limited to at least minInterval and at most lease/leaseDivisor; minInterval
+// takes precedence.
 func (s *session) boundInterval(millis int64) time.Duration {
 	interval := defaultInterval
 	if millis > 0 && millis <= maxLease.Milliseconds() {
 		interval = time.Duration(millis) * time.Millisecond
 	}
-	return max(minInterval, min(interval, s.lease/leaseShare))
+	return max(minInterval, min(interval, s.lease/leaseDivisor))
 }
 
-// endRun records that the handler of a run has returned.
+// endRun records the report of a run whose handler has returned. It does nothing
+// if the run is not open.
 func (s *session) endRun(ended api.EndedRun) {
 	if _, open := s.running[ended.RunRef]; !open {
 		return
@@ -225,8 +234,8 @@
 // drain makes the worker reject new runs from now on.
 func (s *session) drain() { s.draining = true }
 
-// stopAll requests the stop of all open runs and returns those that were not
-// stopped before.
+// stopAll marks all open runs as stopping and returns those that were not
+// stopping before, for the caller to cancel.
 func (s *session) stopAll() []api.RunRef {
 	var todo actions
 	for _, ref := range s.runningRefs() {
@@ -235,14 +244,14 @@
 	return todo.stop
 }
 
-// drained reports whether a draining worker may end: no run is open or
-// unacknowledged, and the leader has acknowledged that the worker is
-// draining.
+// drained reports whether a draining worker may exit: no heartbeat is
+// outstanding, no run is open or unacknowledged, and the leader has acknowledged
+// that the worker is draining.
 func (s *session) drained() bool {
 	return s.draining && s.drainingAccepted && !s.outstanding && len(s.running) == 0 && len(s.ended) == 0
 }
 
-// runningRefs returns the open runs, sorted.
+// runningRefs returns the open runs, sorted by compareRefs.
 func (s *session) runningRefs() []api.RunRef {
 	refs := make([]api.RunRef, 0, len(s.running))
 	for ref := range s.running {
@@ -252,7 +261,7 @@
 	return refs
 }
 
-// endedRuns returns the unacknowledged reports, sorted.
+// endedRuns returns the unacknowledged reports, sorted by compareRefs.
 func (s *session) endedRuns() []api.EndedRun {
 	runs := make([]api.EndedRun, 0, len(s.ended))
 	for _, run := range s.ended {
@@ -262,7 +271,7 @@
 	return runs
 }
 
-// compareRefs orders runs by task and number.
+// compareRefs orders runs by task and then by run number.
 func compareRefs(a, b api.RunRef) int {
 	return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Run, b.Run))
 }
--- a/worker/session_orders.go
+++ b/worker/session_orders.go
@@ -7,18 +7,20 @@
 	"github.com/decklever/decklever/api"
 )
 
-// actions are what the loop must do after an answer was accepted.
+// actions lists what the loop must do after it accepted an answer.
 type actions struct {
 	start []api.StartOrder
 	stop  []api.RunRef
-	// rejected lists orders that are reported as ended without having been
-	// started.
+	// rejected lists the reports of orders that were not executed. Their runs
+	// are reported as ended.
 	rejected []api.EndedRun
-	// duplicates lists orders for runs that are already known.
+	// duplicates lists the runs of orders that were ignored because the run was
+	// already known.
 	duplicates []api.RunRef
 }
 
-// stopRun requests the stop of an open run, once.
+// stopRun marks an open run as stopping and adds it to todo.stop. It does
+// nothing if the run is unknown or already stopping.
 func (s *session) stopRun(ref api.RunRef, todo *actions) {
 	run, known := s.running[ref]
 	if !known || run.stopping {
@@ -28,9 +30,9 @@
 	todo.stop = append(todo.stop, ref)
 }
 
-// handleOrder handles one order to start a run. An order that must not be
-// followed is reported as ended, so that its run is closed. An order for a
-// known run has no effect.
+// handleOrder accepts or rejects one order to start a run. The run of a rejected
+// order is reported as ended, so that the leader closes it. An order for a known
+// run is recorded as a duplicate and has no other effect.
 func (s *session) handleOrder(order api.StartOrder, stops []api.RunRef, todo *actions) {
 	ref := order.RunRef
 	if s.isKnown(ref) {
@@ -47,14 +49,15 @@
 	todo.start = append(todo.start, order)
 }
 
-// isKnown reports whether the run is open or its end not yet acknowledged.
+// isKnown reports whether the run is open or has an unacknowledged report.
 func (s *session) isKnown(ref api.RunRef) bool {
 	_, running := s.running[ref]
 	_, ended := s.ended[ref]
 	return running || ended
 }
 
-// rejection returns the report of an order that must not be followed, or nil.
+// rejection returns the report for an order that must be rejected, or nil if the
+// order is accepted.
 func (s *session) rejection(order api.StartOrder, stops []api.RunRef, todo *actions) *api.EndedRun {
 	stopped := func(message string) *api.EndedRun {
 		return &api.EndedRun{RunRef: order.RunRef, Outcome: api.OutcomeStopped, Message: message}
@@ -73,13 +76,14 @@
 	case !slices.Contains(s.identity.Services, order.Spec.Service):
 		return &api.EndedRun{
 			RunRef: order.RunRef, Outcome: api.OutcomeFailed,
-			Message: shorten(fmt.Sprintf("no handler for service %q", order.Spec.Service)),
+			Message: truncateMessage(fmt.Sprintf("no handler for service %q", order.Spec.Service)),
 		}
 	}
 	return nil
 }
 
-// hasSucceeded reports whether a success of the task is not yet acknowledged.
+// hasSucceeded reports whether a run of the task has succeeded and its report is
+// not yet acknowledged.
 func (s *session) hasSucceeded(task string) bool {
 	for ref, ended := range s.ended {
 		if ref.Task == task && ended.Outcome == api.OutcomeSucceeded {
@@ -89,9 +93,9 @@
 	return false
 }
 
-// stopOtherRuns reports whether another run of the same task is open. It
-// stops runs older than the ordered one, since the scheduler has given them
-// up.
+// stopOtherRuns reports whether another run of the same task is open. It stops
+// the runs that are older than the ordered one, since the order shows that the
+// leader has abandoned them.
 func (s *session) stopOtherRuns(ordered api.RunRef, todo *actions) bool {
 	found := false
 	for ref := range s.running {
--- a/worker/session_progress.go
+++ b/worker/session_progress.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// maxProgressBytes bounds the checkpoints of open runs in one heartbeat,
-	// and maxReportBytes the texts of reports; the rest goes with the next
-	// one. The largest heartbeat is 1 MiB, and JSON may encode a byte as six.
+	// maxProgressBytes bounds the checkpoints of open runs in one heartbeat, and
+	// maxReportBytes the messages and checkpoints of reports; what exceeds them
+	// is sent with later heartbeats. A heartbeat may have at most 1 MiB, and JSON
+	// may encode one byte as six.
 	maxProgressBytes = 32 << 10
 	maxReportBytes   = 96 << 10
 )
 
-// progressToSend returns the progress that no accepted answer covers yet.
-// Under a new token and after a failed heartbeat all progress is sent again,
-// since the leader may have changed. Runs whose progress was sent longest ago
-// come first.
+// progressToSend returns the progress that no accepted answer has confirmed, up
+// to maxProgressBytes of checkpoints. After a new token or a failed heartbeat
+// all progress is sent again, since the leader may have changed. The runs whose
+// progress was sent longest ago come first, so that each run gets its turn.
 func (s *session) progressToSend() []api.RunProgress {
 	var all []api.RunProgress
 	size := 0
@@ -40,8 +41,9 @@
 	return all
 }
 
-// confirmProgress records that the answer to the heartbeat that was sent last
-// was accepted.
+// confirmProgress records that the progress in the outstanding heartbeat was
+// received, since its answer was accepted. With a new token it first discards
+// the confirmations of the earlier leader.
 func (s *session) confirmProgress(newToken bool) {
 	for _, run := range s.running {
 		if newToken {
@@ -54,17 +56,19 @@
 	}
 }
 
-// forgetConfirmed makes the next heartbeat send all progress again.
-func (s *session) forgetConfirmed() {
+// resetConfirmedProgress discards all confirmations, so that the following
+// heartbeats send the progress of all runs again.
+func (s *session) resetConfirmedProgress() {
 	for _, run := range s.running {
 		run.confirmedChanges = 0
 		run.sentChanges = 0
 	}
 }
 
-// splitEnded returns the reports that fit into one heartbeat, and the runs of
-// those that do not, which are listed as running until then.
-func (s *session) splitEnded() (ended []api.EndedRun, deferred []api.RunRef) {
+// splitEndedRuns returns the reports that fit into one heartbeat, and the runs
+// whose reports do not fit. The deferred runs are listed as running until their
+// reports are sent.
+func (s *session) splitEndedRuns() (ended []api.EndedRun, deferred []api.RunRef) {
 	size := 0
 	ended = make([]api.EndedRun, 0, len(s.ended))
 	for _, run := range s.endedRuns() {
--- a/worker/task.go
+++ b/worker/task.go
@@ -11,46 +11,47 @@
 	"github.com/decklever/decklever/api"
 )
 
-// Causes with which a handler's context is cancelled, see context.Cause.
+// Causes with which the worker cancels a handler's context; see context.Cause.
 var (
-	// ErrStopped: the scheduler requested the stop of the run.
+	// ErrStopped means that the scheduler requested the stop of the run.
 	ErrStopped = errors.New("stopped by the scheduler")
-	// ErrHoldLapsed: the worker's lease has expired, as no heartbeat was
-	// answered in time. The task may be started elsewhere.
+	// ErrHoldLapsed means that the worker's lease has expired because no
+	// heartbeat was answered in time. The task may be started on another worker.
 	ErrHoldLapsed = errors.New("hold lapsed")
-	// ErrDraining: the worker is shutting down.
+	// ErrDraining means that the worker is shutting down.
 	ErrDraining = errors.New("worker is draining")
-	// ErrMaxDuration: the run exceeded its task's MaxDuration.
+	// ErrMaxDuration means that the run exceeded its task's MaxDuration.
 	ErrMaxDuration = errors.New("max_duration exceeded")
 )
 
 // maxMessageBytes bounds the message of a report.
 const maxMessageBytes = 1024
 
-// Handler executes one run of a task. It returns nil only if the task is
-// done. The package documentation says what it must do when ctx ends.
+// Handler executes one run of a task. It must return nil only if the task is
+// done. The package documentation describes what it must do once ctx is
+// cancelled.
 type Handler func(ctx context.Context, task Task) error
 
-// Task is one run of one task, as a handler gets it.
+// Task is one run of one task, as it is passed to a handler.
 type Task struct {
 	api.RunRef
 	// Token is the fencing token of the leader that ordered the run. Systems
-	// that the task changes can use it to reject changes of an older leader's
-	// run.
+	// that the task changes can use it to reject changes by a run that an
+	// earlier leader ordered.
 	Token uint64
-	// Spec is the full description of the task.
+	// Spec is the complete description of the task.
 	Spec api.TaskSpec
 	// Checkpoint is the newest checkpoint of earlier runs of a resumable
 	// task, from which this run continues; empty if there is none. See
 	// Report.
 	Checkpoint string
 
-	leaseHeld func() bool
-	progress  *progress
+	leaseValid func() bool
+	progress   *progress
 }
 
-// Decode decodes the JSON payload into the value that into points to. Without
-// a payload it does nothing.
+// Decode decodes the JSON payload into the value that into points to. It does
+// nothing if the task has no payload.
 func (t Task) Decode(into any) error {
 	if len(t.Spec.Payload) == 0 {
 		return nil
@@ -61,20 +62,21 @@
 	return nil
 }
 
-// Held reports whether the worker's lease is valid at this moment. Unlike the
-// context, it is right even immediately after the whole process was
-// suspended.
-func (t Task) Held() bool { return t.leaseHeld == nil || t.leaseHeld() }
+// Held reports whether the worker's lease is valid now and the worker has not
+// cancelled the run. Unlike the context, whose cancellation may be delayed, it
+// is correct even immediately after the process was suspended. It does not
+// consider MaxDuration. It is always true for a Task that no Worker made.
+func (t Task) Held() bool { return t.leaseValid == nil || t.leaseValid() }
 
-// endedRunOf returns the report of a run from what its handler returned.
-// cause is why the handler's context was cancelled, or nil.
+// endedRunOf returns the report of a run whose handler returned result. cause
+// is the reason why the handler's context was cancelled, or nil.
 func endedRunOf(ref api.RunRef, result, cause error) api.EndedRun {
 	ended := api.EndedRun{RunRef: ref, Outcome: api.OutcomeSucceeded}
 	if result == nil {
 		return ended
 	}
 	ended.Outcome = api.OutcomeFailed
-	ended.Message = shorten(result.Error())
+	ended.Message = truncateMessage(result.Error())
 	switch {
 	case errors.Is(cause, ErrMaxDuration):
 		ended.Message = ErrMaxDuration.Error()
@@ -87,8 +89,8 @@
 	return ended
 }
 
-// shorten truncates a message to maxMessageBytes of valid UTF-8.
-func shorten(message string) string {
+// truncateMessage truncates a message to maxMessageBytes of valid UTF-8.
+func truncateMessage(message string) string {
 	message = strings.ToValidUTF8(message, "�")
 	if len(message) <= maxMessageBytes {
 		return message
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -17,18 +17,19 @@
 )
 
 const (
-	// DefaultDrainTimeout is how long open runs may continue once Run's
-	// context has ended.
+	// DefaultDrainTimeout is how long open runs may continue after the context
+	// of Run was cancelled.
 	DefaultDrainTimeout = time.Second
-	// DefaultReportTimeout is how long a draining worker then waits for its
-	// handlers to return and their reports to be acknowledged.
+	// DefaultReportTimeout is how long a draining worker waits, after the drain
+	// time-out, for its handlers to return and for their reports to be
+	// acknowledged.
 	DefaultReportTimeout = 700 * time.Millisecond
 )
 
-// ErrHandlersRunning is returned by Run if handlers did not return after
-// their context was cancelled. The process should exit, since nothing guards
-// those handlers any more.
-var ErrHandlersRunning = errors.New("handlers ignore their cancelled context")
+// ErrHandlersRunning is returned by Run if handlers did not return after their
+// context was cancelled. The process should exit, since the worker no longer
+// watches the lease for those handlers.
+var ErrHandlersRunning = errors.New("handlers did not return after their context was cancelled")
 
 // Clock is a monotonic clock: the time since an arbitrary start, which also
 // advances while the process is suspended.
@@ -42,41 +43,42 @@
 	Worker string
 	// Token is the fencing token of the answer that ordered the run.
 	Token uint64
-	// Outcome is empty at the start.
+	// Outcome is empty when the handler starts.
 	Outcome api.Outcome
 }
 
 // Config configures a Worker.
 type Config struct {
-	// Name identifies the worker and stays the same over restarts. Required.
+	// Name identifies the worker and must not change when it restarts.
+	// Required.
 	Name string
 	// AgentURL is the base URL of this machine's agent, such as
 	// "http://127.0.0.1:7300". Required.
 	AgentURL string
 	// Capacity is the total resources of the worker.
 	Capacity api.Resources
-	// Labels describe the worker; tasks select workers by them. Default:
+	// Labels describe the worker; tasks can select workers by label. Default:
 	// none.
 	Labels map[string]string
-	// HTTPClient sends heartbeats; it must not send a request twice. Default:
-	// a client of its own.
+	// HTTPClient sends the heartbeats; it must not retry a request. Default: a
+	// new client that the worker does not share.
 	HTTPClient *http.Client
-	// Logger gets the worker's log messages. Default: none.
+	// Logger receives the worker's log messages. Default: they are discarded.
 	Logger *slog.Logger
-	// Clock is set by tests. Default: the time since New.
+	// Clock is replaced in tests. Default: the time since New was called.
 	Clock Clock
 	// OnStart and OnEnd are called in the handler's goroutine immediately
 	// before the handler starts and after it has returned. Optional.
 	OnStart, OnEnd func(Event)
-	// DrainTimeout and ReportTimeout bound the two phases of the shutdown.
-	// Defaults: DefaultDrainTimeout, DefaultReportTimeout; negative means no
-	// time.
+	// DrainTimeout and ReportTimeout bound the two phases of the shutdown. 0
+	// means DefaultDrainTimeout and DefaultReportTimeout; a negative value means
+	// no time.
 	DrainTimeout, ReportTimeout time.Duration
 }
 
-// Worker runs tasks for one life of a process. Create it with New. The mutex
-// guards handlers and started until Run is called; after that handlers do not
-// change.
+// Worker runs tasks for one incarnation of a worker, from New until Run returns.
+// Create it with New. The mutex guards handlers and started; once Run has been
+// called, handlers does not change and is read without the mutex.
 type Worker struct {
 	config   Config
 	workerID string
@@ -94,7 +96,7 @@
 	}
 	address, err := url.Parse(config.AgentURL)
 	if err != nil || address.Host == "" || (address.Scheme != "http" && address.Scheme != "https") {
-		return nil, fmt.Errorf("worker: AgentURL is %q, expected such as \"http://127.0.0.1:7300\"", config.AgentURL)
+		return nil, fmt.Errorf("worker: AgentURL is %q, expected a URL such as \"http://127.0.0.1:7300\"", config.AgentURL)
 	}
 	if config.Logger == nil {
 		config.Logger = slog.New(slog.DiscardHandler)
@@ -121,43 +123,44 @@
 	return max(value, 0)
 }
 
-// ID returns the worker id, which identifies this life of the process.
+// ID returns the worker id, which identifies this incarnation of the worker.
 func (w *Worker) ID() string { return w.workerID }
 
-// Handle registers the handler of a service. It panics if the service already
-// has one or if Run was called, since both are mistakes in the program.
+// Handle registers the handler of a service. It panics if the service is empty
+// or already has a handler, if handler is nil, or if Run was called, since these
+// are programming errors.
 func (w *Worker) Handle(service string, handler Handler) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.started {
-		panic("worker: Handle after Run")
+		panic("worker: Handle called after Run")
 	}
 	if service == "" || handler == nil {
-		panic("worker: Handle without a service or handler")
+		panic("worker: Handle called with an empty service or a nil handler")
 	}
-	if _, taken := w.handlers[service]; taken {
-		panic("worker: service " + service + " has a handler already")
+	if _, registered := w.handlers[service]; registered {
+		panic("worker: service " + service + " already has a handler")
 	}
 	w.handlers[service] = handler
 }
 
-// Run works until ctx ends and then shuts down: it accepts no new runs,
-// cancels the open ones after DrainTimeout, reports how they ended and
-// returns nil. It returns ErrHandlersRunning if handlers did not return. It
-// can be called once. Failing heartbeats are not an error; Run keeps sending
-// them.
+// Run runs tasks until ctx is cancelled and then drains the worker: it rejects
+// new runs, cancels the open runs after DrainTimeout, reports how they ended and
+// returns nil. It returns ErrHandlersRunning if handlers did not return within
+// ReportTimeout after that, and an error if it was called before. Failed
+// heartbeats are not an error; Run continues to send them.
 func (w *Worker) Run(ctx context.Context) error {
 	w.mutex.Lock()
 	started := w.started
 	w.started = true
 	w.mutex.Unlock()
 	if started {
-		return errors.New("worker: Run was called before")
+		return errors.New("worker: Run was already called")
 	}
 	return newLoop(w).run(ctx)
 }
 
-// identity returns what heartbeats say about the worker.
+// identity returns the description of the worker for its heartbeats.
 func (w *Worker) identity() identity {
 	services := make([]string, 0, len(w.handlers))
 	for service := range w.handlers {
