--- a/internal/daemon/bounds_test.go
+++ b/internal/daemon/bounds_test.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// patience bounds waits for a condition; none takes nearly as long.
-const patience = 60 * time.Second
+// waitTimeout bounds each wait for a condition. It is far above what a passing test needs.
+const waitTimeout = 60 * time.Second
 
-// dial connects and says nothing; closed tells when the other side has closed.
+// dial opens a connection and sends nothing on it. closed is closed once the daemon has
+// closed the connection.
 func dial(t *testing.T, address string) (connection net.Conn, closed <-chan struct{}) {
 	t.Helper()
 	connection, err := net.Dial("tcp", address)
@@ -28,33 +29,35 @@
 	return connection, done
 }
 
-func wait(t *testing.T, what string, done <-chan struct{}) {
+func waitClosed(t *testing.T, condition string, done <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-done:
-	case <-time.After(patience):
-		t.Fatalf("not within %v: %s", patience, what)
+	case <-time.After(waitTimeout):
+		t.Fatalf("time-out after %v waiting until %s", waitTimeout, condition)
 	}
 }
 
-func TestSilentConnectionsMakeWay(t *testing.T) {
+// Connections that send nothing must not lock out callers: at the limit, a new connection
+// replaces the one that has been idle for longest.
+func TestConnections_LimitClosesLongestIdle(t *testing.T) {
 	const limit = 4
-	d := run(t, Config{Handler: http.NotFoundHandler(), MaxConnections: limit, ReadHeaderTimeout: patience})
+	d := startDaemon(t, Config{Handler: http.NotFoundHandler(), MaxConnections: limit, ReadHeaderTimeout: waitTimeout})
 	var closed []<-chan struct{}
 	for range 2 * limit {
 		_, end := dial(t, d.address)
 		closed = append(closed, end)
 	}
 	if got := <-get(d.address); got != http.StatusNotFound {
-		t.Errorf("a request among silent connections was answered %d", got)
+		t.Errorf("request at the limit of idle connections: got status %d, want 404", got)
 	}
-	for _, end := range closed[:limit+1] { // the request took the place of one more
-		wait(t, "the connections that were silent for longest are closed", end)
+	for _, end := range closed[:limit+1] { // the request replaced one more connection
+		waitClosed(t, "the connections idle for longest are closed", end)
 	}
 	for i, end := range closed[limit+1:] {
 		select {
 		case <-end:
-			t.Errorf("connection %d within the limit was closed", limit+1+i)
+			t.Errorf("connection %d is within the limit: got closed, want open", limit+1+i)
 		default:
 		}
 	}
@@ -64,8 +67,10 @@
 	}
 }
 
-func TestConnectionBetweenRequestsMakesWay(t *testing.T) {
-	d := run(t, Config{Handler: http.NotFoundHandler(), MaxConnections: 1})
+// A keep-alive connection between two requests counts as idle: at the limit a new
+// connection replaces it.
+func TestConnections_KeepAliveIsClosedAtLimit(t *testing.T) {
+	d := startDaemon(t, Config{Handler: http.NotFoundHandler(), MaxConnections: 1})
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
@@ -75,51 +80,54 @@
 	}
 	_, _ = io.Copy(io.Discard, response.Body)
 	_ = response.Body.Close()
-	// Its connection is idle, or about to be: until then the new one is refused.
-	for deadline := time.Now().Add(patience); <-get(d.address) != http.StatusNotFound; {
+	// The server may not have set the connection to idle yet; until it does, it refuses
+	// the new one.
+	for deadline := time.Now().Add(waitTimeout); <-get(d.address) != http.StatusNotFound; {
 		if time.Now().After(deadline) {
-			t.Fatal("an idle connection keeps the only place")
+			t.Fatal("new connection refused while the only open one is idle, want the idle one closed")
 		}
 	}
 }
 
-func TestRequestsUnderWayAreKept(t *testing.T) {
+// A connection with a request in progress is never closed for a new connection.
+func TestConnections_LimitRefusesNewWhileRequestsRun(t *testing.T) {
 	const limit = 2
 	entered, release := make(chan struct{}, limit), make(chan struct{})
-	d := run(t, Config{MaxConnections: limit, Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+	d := startDaemon(t, Config{MaxConnections: limit, Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		entered <- struct{}{}
 		<-release
 	})})
-	var held []<-chan int
+	var statuses []<-chan int
 	for range limit {
-		held = append(held, get(d.address))
+		statuses = append(statuses, get(d.address))
 		<-entered
 	}
 	for range 3 {
 		if got := <-get(d.address); got != 0 {
-			t.Errorf("a request beyond the limit was answered %d", got)
+			t.Errorf("request beyond the limit: got status %d, want no response", got)
 		}
 	}
 	close(release)
-	for _, status := range held {
+	for _, status := range statuses {
 		if got := <-status; got != http.StatusOK {
-			t.Errorf("a request under way was answered %d", got)
+			t.Errorf("request in progress: got status %d, want 200", got)
 		}
 	}
 }
 
-// TestUnreadAnswerIsCutOff: a caller that does not read holds no request.
-func TestUnreadAnswerIsCutOff(t *testing.T) {
+// A caller that does not read its response must not block the handler for longer than
+// WriteTimeout.
+func TestWriteTimeout_UnreadResponseEndsRequest(t *testing.T) {
 	returned := make(chan struct{})
-	d := run(t, Config{WriteTimeout: 100 * time.Millisecond, Handler: http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+	d := startDaemon(t, Config{WriteTimeout: 100 * time.Millisecond, Handler: http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		defer close(returned)
-		piece := make([]byte, 1<<20)
-		for range 1024 { // more than any buffer between them
-			if _, err := writer.Write(piece); err != nil {
+		chunk := make([]byte, 1<<20)
+		for range 1024 { // 1 GiB, more than the socket buffers take
+			if _, err := writer.Write(chunk); err != nil {
 				return
 			}
 		}
-		t.Error("everything was written, though nobody read")
+		t.Error("handler wrote the complete response to a caller that does not read, want a write error")
 	})})
 	connection, err := new(net.Dialer).DialContext(context.Background(), "tcp", d.address)
 	if err != nil {
@@ -129,5 +137,5 @@
 	if _, err := io.WriteString(connection, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the handler returns", returned)
+	waitClosed(t, "the handler returns", returned)
 }
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -8,9 +8,9 @@
 	"github.com/decklever/decklever/internal/settings"
 )
 
-// Command returns a program's command: it takes no arguments, has one flag for
-// each key of the settings T, and calls run with the settings once they are
-// checked.
+// Command returns a program's command. It takes no arguments and has one flag for each key
+// of the settings T. It loads and validates the settings before it calls run, and returns
+// the error of either.
 func Command[T any](
 	program, short string, run func(ctx context.Context, initial T, options settings.LoadOptions) error,
 ) *cobra.Command {
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -13,63 +13,64 @@
 	defaultStopTimeout       = 2 * time.Second
 	defaultReadHeaderTimeout = 5 * time.Second
 	defaultReadTimeout       = 30 * time.Second
-	// defaultWriteTimeout is longer than a read of the body and the longest
-	// held request together.
+	// defaultWriteTimeout exceeds defaultReadTimeout plus the longest long poll.
 	defaultWriteTimeout = 120 * time.Second
 	defaultIdleTimeout  = 120 * time.Second
 )
 
-// Config describes a daemon.
+// Config configures a daemon. Of the durations and counts, zero means the default.
 type Config struct {
 	// Listen is the IP:port to listen on. Required.
 	Listen string
 	// Handler serves all requests. Required.
 	Handler http.Handler
-	// Logger takes starts, stops and failures. Default: none.
+	// Logger logs starts, stops and failures. Default: discard.
 	Logger *slog.Logger
-	// Background functions run from the start until their context ends. An
-	// error that one returns before stops the daemon.
+	// Background functions run from the start until the daemon cancels their context, at
+	// the end of a stop. A non-nil error before that stops the daemon; a nil one does not.
 	Background []func(ctx context.Context) error
-	// Wrap changes the listener on Listen before it is served. Optional.
-	Wrap func(net.Listener) net.Listener
-	// Extra listeners serve beside Listen, from the same start to the same stop.
-	Extra []Listener
-	// Stopping is called first when the daemon is told to stop, so that it no
-	// longer calls itself ready. Optional; it must not block.
-	Stopping func()
-	// BeforeStop hands over; it is called after Stopping and has half of
-	// StopTimeout. Optional.
+	// WrapListener wraps the listener on Listen, but not those of Extra. Optional.
+	WrapListener func(net.Listener) net.Listener
+	// ExtraListeners listeners are served beside Listen, and start and stop with it.
+	ExtraListeners []Listener
+	// OnStopping is called first when a stop begins, so that the process can report itself
+	// as not ready. Optional; it must not block.
+	OnStopping func()
+	// BeforeStop hands over the process's duties. It is called after Stopping, while the
+	// daemon still serves; its context ends after half of StopTimeout. Optional.
 	BeforeStop func(ctx context.Context)
-	// ShutdownDelay is how long the daemon goes on serving after it handed over,
-	// so that callers can leave it first. A failed part stops the daemon without
-	// it. Default 0.
+	// ShutdownDelay is how long the daemon continues to serve after BeforeStop, so that
+	// callers can switch to another process. It is skipped if the daemon stops because of
+	// a failure. Default 0.
 	ShutdownDelay time.Duration
-	// StopTimeout bounds the whole stop besides ShutdownDelay. Default 2s.
+	// StopTimeout bounds the complete stop, not counting ShutdownDelay. Default 2s.
 	StopTimeout time.Duration
-	// Listening is told the address once it is listened on. Optional.
-	Listening func(address net.Addr)
+	// OnListening is called with the bound address once the daemon listens. Optional.
+	OnListening func(address net.Addr)
 
-	// ReadHeaderTimeout and ReadTimeout bound the reading of a request's header
-	// and of a whole request; a slower sender is cut off. Defaults 5s and 30s.
+	// ReadHeaderTimeout bounds reading a request's header, and ReadTimeout reading the
+	// complete request; the connection of a slower sender is closed. Defaults 5s and 30s.
 	ReadHeaderTimeout time.Duration
 	ReadTimeout       time.Duration
-	// WriteTimeout bounds a request from its header to the end of its answer,
-	// so that a caller that does not read its answer holds nothing for longer.
-	// It must be longer than any held request. Default 2m.
+	// WriteTimeout bounds a request from the end of its header to the end of its response,
+	// so that a caller that does not read its response cannot block a handler for longer.
+	// It must exceed the longest long poll. Default 2m.
 	WriteTimeout time.Duration
-	// IdleTimeout bounds the wait for the next request on a connection.
+	// IdleTimeout bounds the wait for the next request on a keep-alive connection.
 	// Default 2m.
 	IdleTimeout time.Duration
-	// MaxConnections bounds the open connections of all listeners together.
-	// Beyond it a new one takes the place of the one that is idle for longest, or
-	// is closed if none is idle. It is lowered to what the process's descriptors
-	// allow. Default: that, up to 4096.
+	// MaxConnections bounds the open connections of all listeners together. At the limit,
+	// a new connection replaces the one idle for longest, or is closed if none is idle.
+	// It is lowered to what the process's limit on file descriptors allows. Default: what
+	// that limit allows, up to 4096.
 	MaxConnections int
-	// DescriptorsPerConnection is how many descriptors a request under way can
-	// take, its own connection included. Default 1.
+	// DescriptorsPerConnection is the most file descriptors that one connection's request
+	// uses, including the connection itself. Default 1.
 	DescriptorsPerConnection int
 }
 
+// withDefaults returns the configuration with defaults for what is not set, but for
+// MaxConnections, which boundConnections sets.
 func (c Config) withDefaults() Config {
 	if c.Logger == nil {
 		c.Logger = slog.New(slog.DiscardHandler)
--- a/internal/daemon/connections.go
+++ b/internal/daemon/connections.go
@@ -8,39 +8,43 @@
 	"time"
 )
 
-// connections knows the open connections of the server and bounds them.
+// connections tracks the open connections of all servers of a daemon and limits their
+// number.
 //
-// Those that have not sent a byte yet are closed when the daemon stops:
-// http.Server.Shutdown waits up to 5 s for such a connection, longer than a
-// stop may take. No request is lost by that.
+// When the daemon stops, it closes the connections that have not sent a byte yet:
+// http.Server.Shutdown waits up to 5 s for such a connection, which may be longer than
+// StopTimeout. No request is lost that way.
 type connections struct {
-	limit  int
+	limit  int // open connections
 	logger *slog.Logger
 
-	mutex  sync.Mutex
-	open   map[net.Conn]*connectionState
-	count  uint64 // of changes, to tell which connection is idle for longest
-	closed bool
-	// refused counts connections closed for room since the last log line.
-	refused  int
-	loggedAt time.Time
+	mutex        sync.Mutex // guards the fields below
+	open         map[net.Conn]*connectionState
+	stateChanges uint64 // total, the source of connectionState.changeNumber
+	stopping     bool
+	// closedAtLimit is the number of connections closed because of the limit since
+	// loggedAt, the time of the last log line about it.
+	closedAtLimit int
+	loggedAt      time.Time
 }
 
-// connectionState says what the server last said about a connection.
+// connectionState is the last state that the server reported for a connection.
+// changeNumber orders the changes: of two idle connections, the one with the lower number
+// has been idle for longer.
 type connectionState struct {
-	state http.ConnState
-	since uint64
+	state        http.ConnState
+	changeNumber uint64
 }
 
-// roomLogInterval is the least time between two log lines about the limit.
-const roomLogInterval = 10 * time.Second
+// limitLogInterval is the minimum time between two log lines about the limit.
+const limitLogInterval = 10 * time.Second
 
 func newConnections(limit int, logger *slog.Logger) *connections {
 	return &connections{limit: limit, logger: logger, open: map[net.Conn]*connectionState{}}
 }
 
-// note is the server's ConnState hook.
-func (c *connections) note(connection net.Conn, state http.ConnState) {
+// onStateChange is the ConnState hook of the servers.
+func (c *connections) onStateChange(connection net.Conn, state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	switch state {
@@ -50,35 +54,35 @@
 	case http.StateNew:
 		c.admit(connection)
 	}
-	if known := c.open[connection]; known != nil {
-		c.count++
-		known.state, known.since = state, c.count
+	if entry := c.open[connection]; entry != nil {
+		c.stateChanges++
+		entry.state, entry.changeNumber = state, c.stateChanges
 	}
 }
 
-// admit takes a new connection in. Beyond the limit it takes the place of the
-// one that is idle for longest; if every one has a request under way, the new
-// one is closed.
+// admit tracks a new connection. At the limit it first closes the connection idle for
+// longest; if every connection has a request in progress, it closes the new one instead.
+// The caller holds the mutex.
 func (c *connections) admit(connection net.Conn) {
-	if c.closed {
+	if c.stopping {
 		_ = connection.Close() // nothing was sent on it
 		return
 	}
-	if len(c.open) >= c.limit && !c.closeIdle() {
+	if len(c.open) >= c.limit && !c.closeLongestIdle() {
 		_ = connection.Close() // nothing was sent on it
-		c.logRoom()
+		c.logLimitReached()
 		return
 	}
 	c.open[connection] = &connectionState{}
 }
 
-// closeIdle closes the connection that is without a request for longest, and
-// returns false if there is none.
-func (c *connections) closeIdle() bool {
+// closeLongestIdle closes the connection that has been without a request for longest. It
+// returns false if every connection has a request in progress. The caller holds the mutex.
+func (c *connections) closeLongestIdle() bool {
 	var oldest net.Conn
-	for connection, known := range c.open {
-		idle := known.state == http.StateNew || known.state == http.StateIdle
-		if idle && (oldest == nil || known.since < c.open[oldest].since) {
+	for connection, entry := range c.open {
+		idle := entry.state == http.StateNew || entry.state == http.StateIdle
+		if idle && (oldest == nil || entry.changeNumber < c.open[oldest].changeNumber) {
 			oldest = connection
 		}
 	}
@@ -86,29 +90,30 @@
 		return false
 	}
 	delete(c.open, oldest)
-	_ = oldest.Close() // no answer is due on it
-	c.logRoom()
+	_ = oldest.Close() // no response is pending on it
+	c.logLimitReached()
 	return true
 }
 
-// logRoom tells that the limit is met, not more often than its interval.
-func (c *connections) logRoom() {
-	c.refused++
-	if time.Since(c.loggedAt) < roomLogInterval {
+// logLimitReached counts a connection closed at the limit and logs the count, at most once
+// per limitLogInterval. The caller holds the mutex.
+func (c *connections) logLimitReached() {
+	c.closedAtLimit++
+	if time.Since(c.loggedAt) < limitLogInterval {
 		return
 	}
-	c.logger.Warn("connections closed at the limit", slog.Int("limit", c.limit), slog.Int("closed", c.refused))
-	c.refused, c.loggedAt = 0, time.Now()
+	c.logger.Warn("connections closed at the limit", slog.Int("limit", c.limit), slog.Int("closed", c.closedAtLimit))
+	c.closedAtLimit, c.loggedAt = 0, time.Now()
 }
 
-// closeFresh closes the connections that have not sent a byte, and all that
-// still come.
-func (c *connections) closeFresh() {
+// closeNew closes the connections that have not sent a byte yet, and makes admit close all
+// further ones.
+func (c *connections) closeNew() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.closed = true
-	for connection, known := range c.open {
-		if known.state == http.StateNew {
+	c.stopping = true
+	for connection, entry := range c.open {
+		if entry.state == http.StateNew {
 			_ = connection.Close() // nothing was sent on it
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -13,29 +13,36 @@
 	"syscall"
 )
 
-// maxHeaderBytes bounds the header of a request.
+// maxHeaderBytes bounds the header of a request, in bytes.
 const maxHeaderBytes = 64 << 10
 
-// daemon is one run.
+// daemon is the state of one call of Run.
 type daemon struct {
 	config      Config
 	servers     []*http.Server
 	connections *connections
-	// leaving: answers ask callers to close their connections.
-	leaving atomic.Bool
+	// stopping is set when a stop begins. Responses then ask callers to close their
+	// connections.
+	stopping atomic.Bool
 
 	endRequests   context.CancelFunc
 	endBackground context.CancelFunc
 	background    sync.WaitGroup
-	// failures takes the first error of the server or a background function.
+	// failures has room for one error: the first of a server or a background function.
 	failures chan error
 }
 
-// Run listens, serves, and stops in order on SIGTERM, SIGINT, the end of the
-// context, or a failure of a part: Stopping and BeforeStop; ShutdownDelay, with
-// all served as before; then no more connections, the contexts of all requests
-// end and their answers are finished; then the background. It returns nil after
-// a clean stop, else the part's error or that StopTimeout was not enough.
+// Run listens and serves until SIGTERM, SIGINT, the end of the context, or a failure of a
+// server or a background function. Then it stops in this order:
+//
+//  1. It calls Stopping and BeforeStop.
+//  2. It continues to serve for ShutdownDelay.
+//  3. It cancels the contexts of all requests, closes the listeners, and waits for the
+//     responses.
+//  4. It cancels the context of the background functions and waits for them.
+//
+// It returns nil after a clean stop, and otherwise the failure, an error that says what had
+// not ended within StopTimeout, or both.
 func Run(ctx context.Context, config Config) error {
 	config = config.withDefaults().boundConnections(openFileLimit())
 	ctx, stopSignals := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
@@ -47,8 +54,8 @@
 	d := start(context.WithoutCancel(ctx), config, listening)
 	for _, each := range listening {
 		config.Logger.Info("listening", slog.String("address", each.listener.Addr().String()))
-		if each.Listening != nil {
-			each.Listening(each.listener.Addr())
+		if each.OnListening != nil {
+			each.OnListening(each.listener.Addr())
 		}
 	}
 	err = d.wait(ctx)
@@ -77,31 +84,31 @@
 		d.servers = append(d.servers, server)
 		d.background.Go(func() { d.serve(server, each.listener) })
 	}
-	for _, part := range config.Background {
-		d.background.Go(func() { d.runPart(background, part) })
+	for _, task := range config.Background {
+		d.background.Go(func() { d.runBackground(background, task) })
 	}
 	return d
 }
 
 func (d *daemon) newServer(requests context.Context, handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler:           d.closeWhenLeaving(handler),
+		Handler:           d.closeWhenStopping(handler),
 		ReadHeaderTimeout: d.config.ReadHeaderTimeout,
 		ReadTimeout:       d.config.ReadTimeout,
 		WriteTimeout:      d.config.WriteTimeout,
 		IdleTimeout:       d.config.IdleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		BaseContext:       func(net.Listener) context.Context { return requests },
-		ConnState:         d.connections.note,
+		ConnState:         d.connections.onStateChange,
 		ErrorLog:          slog.NewLogLogger(d.config.Logger.Handler(), slog.LevelWarn),
 	}
 }
 
-// closeWhenLeaving asks callers of a daemon that is about to stop to close
-// their connections, so that they send nothing more on them.
-func (d *daemon) closeWhenLeaving(handler http.Handler) http.Handler {
+// closeWhenStopping sets "Connection: close" on responses once a stop has begun, so that
+// callers send no further request on the connection.
+func (d *daemon) closeWhenStopping(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if d.leaving.Load() {
+		if d.stopping.Load() {
 			writer.Header().Set("Connection", "close")
 		}
 		handler.ServeHTTP(writer, request)
@@ -114,15 +121,18 @@
 	}
 }
 
-func (d *daemon) runPart(ctx context.Context, part func(context.Context) error) {
-	err := part(ctx)
+// runBackground runs a background function and reports its error. context.Canceled after
+// the context ended is not an error.
+func (d *daemon) runBackground(ctx context.Context, task func(context.Context) error) {
+	err := task(ctx)
 	if err == nil || (ctx.Err() != nil && errors.Is(err, context.Canceled)) {
 		return
 	}
 	d.fail(err)
 }
 
-// fail keeps the first failure.
+// fail reports a failure, which stops the daemon. While an earlier one is pending, it only
+// logs the failure.
 func (d *daemon) fail(err error) {
 	select {
 	case d.failures <- err:
@@ -131,7 +141,8 @@
 	}
 }
 
-// wait returns the failure that ends the daemon, or nil if it is told to stop.
+// wait blocks until the daemon has to stop. It returns the failure that is the cause, or nil
+// if the context has ended.
 func (d *daemon) wait(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -22,13 +22,13 @@
 	goleak.VerifyTestMain(m)
 }
 
-// steps notes what happened, in order.
+// steps records the steps of a test in the order in which they happen.
 type steps struct {
 	mutex sync.Mutex
 	done  []string
 }
 
-func (s *steps) note(step string) {
+func (s *steps) add(step string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.done = append(s.done, step)
@@ -39,47 +39,48 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !slices.Equal(s.done, want) {
-		t.Errorf("steps %v, want %v", s.done, want)
+		t.Errorf("got steps %v, want %v", s.done, want)
 	}
 }
 
-// running is a daemon under test.
-type running struct {
+// runningDaemon is a daemon under test.
+type runningDaemon struct {
 	address string
 	stop    context.CancelFunc
 	result  chan error
 }
 
-func run(t *testing.T, config Config) *running {
+func startDaemon(t *testing.T, config Config) *runningDaemon {
 	t.Helper()
 	addresses := make(chan net.Addr, 1)
 	config.Listen = "127.0.0.1:0"
-	config.Listening = func(address net.Addr) { addresses <- address }
+	config.OnListening = func(address net.Addr) { addresses <- address }
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	result := make(chan error, 1)
 	go func() { result <- Run(ctx, config) }()
 	select {
 	case address := <-addresses:
-		return &running{address: address.String(), stop: stop, result: result}
+		return &runningDaemon{address: address.String(), stop: stop, result: result}
 	case err := <-result:
-		t.Fatalf("not started: %v", err)
+		t.Fatalf("start the daemon: %v", err)
 		return nil
 	}
 }
 
-// holding is a handler that answers once its context ends.
-func holding(entered chan<- struct{}, s *steps) http.Handler {
+// blockUntilCancelled returns a handler for one request. It closes entered, and responds
+// with 503 once the request's context ends.
+func blockUntilCancelled(entered chan<- struct{}, s *steps) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		close(entered)
 		<-request.Context().Done()
-		s.note("request ended")
+		s.add("request ended")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	})
 }
 
-// get sends a request on a connection of its own and delivers the status, or
-// 0 if there was no answer.
+// get sends a request on a new connection. The channel receives the response's status code,
+// or 0 if there was no response.
 func get(address string) <-chan int {
 	status := make(chan int, 1)
 	go func() {
@@ -95,15 +96,17 @@
 	return status
 }
 
-func TestStopsInOrderWithARequestHeldOpen(t *testing.T) {
+// A stop with a request in progress must not wait for StopTimeout: BeforeStop, the end of
+// the request and the end of the background functions follow in this order.
+func TestStop_RunsStepsInOrderWithOpenRequest(t *testing.T) {
 	var s steps
 	entered := make(chan struct{})
-	d := run(t, Config{
-		Handler:     holding(entered, &s),
-		StopTimeout: time.Minute, // a stop that only this bound ends fails the test by its time
-		BeforeStop:  func(context.Context) { s.note("handed over") },
+	d := startDaemon(t, Config{
+		Handler:     blockUntilCancelled(entered, &s),
+		StopTimeout: time.Minute, // a stop that waits for this time-out exceeds the time of the test
+		BeforeStop:  func(context.Context) { s.add("handed over") },
 		Background: []func(context.Context) error{
-			func(ctx context.Context) error { <-ctx.Done(); s.note("background ended"); return ctx.Err() },
+			func(ctx context.Context) error { <-ctx.Done(); s.add("background ended"); return ctx.Err() },
 			func(context.Context) error { return nil },
 		},
 	})
@@ -114,23 +117,25 @@
 		t.Fatal(err)
 	}
 	if got := <-status; got != http.StatusServiceUnavailable {
-		t.Errorf("the held request was answered %d", got)
+		t.Errorf("request in progress at the stop: got status %d, want 503", got)
 	}
 	s.want(t, "handed over", "request ended", "background ended")
 	if got := <-get(d.address); got != 0 {
-		t.Errorf("still answers: %d", got)
+		t.Errorf("request after the stop: got status %d, want no response", got)
 	}
 }
 
-func TestSilentConnectionsDoNotDelayTheStop(t *testing.T) {
-	d := run(t, Config{Handler: http.NotFoundHandler(), StopTimeout: 2 * time.Second})
+// http.Server.Shutdown waits up to 5 s for a connection that has sent nothing, which
+// exceeds the StopTimeout of 2 s; the daemon closes such connections itself.
+func TestStop_NewConnectionsDoNotDelay(t *testing.T) {
+	d := startDaemon(t, Config{Handler: http.NotFoundHandler(), StopTimeout: 2 * time.Second})
 	connection, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = connection.Close() }()
-	if got := <-get(d.address); got != http.StatusNotFound { // accepted later than the silent one
-		t.Fatalf("status %d", got)
+	if got := <-get(d.address); got != http.StatusNotFound { // accepted after the connection without a request
+		t.Fatalf("got status %d, want 404", got)
 	}
 	d.stop()
 	if err := <-d.result; err != nil {
@@ -138,42 +143,44 @@
 	}
 }
 
-func TestSignalsStop(t *testing.T) {
+func TestStop_OnSignal(t *testing.T) {
 	ignored := make(chan os.Signal, 1)
-	signal.Notify(ignored, syscall.SIGTERM, syscall.SIGINT) // keeps the test alive whoever else listens
+	signal.Notify(ignored, syscall.SIGTERM, syscall.SIGINT) // prevents the signals' default action, which ends the test process
 	defer signal.Stop(ignored)
 	for _, sent := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
-		d := run(t, Config{Handler: http.NotFoundHandler()})
+		d := startDaemon(t, Config{Handler: http.NotFoundHandler()})
 		if err := syscall.Kill(os.Getpid(), sent); err != nil {
 			t.Fatal(err)
 		}
 		if err := <-d.result; err != nil {
-			t.Fatalf("%v: %v", sent, err)
+			t.Fatalf("stop on signal %v: got error %v, want none", sent, err)
 		}
 	}
 }
 
-func TestFailureOfAPartStopsTheDaemon(t *testing.T) {
+func TestRun_BackgroundErrorStopsDaemon(t *testing.T) {
 	var s steps
 	broken := errors.New("broken")
-	d := run(t, Config{
+	d := startDaemon(t, Config{
 		Handler:    http.NotFoundHandler(),
-		BeforeStop: func(context.Context) { s.note("handed over") },
+		BeforeStop: func(context.Context) { s.add("handed over") },
 		Background: []func(context.Context) error{func(context.Context) error { return broken }},
 	})
 	if err := <-d.result; !errors.Is(err, broken) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want that of the background function", err)
 	}
 	s.want(t, "handed over")
 }
 
-func TestWorkThatDoesNotEndIsReported(t *testing.T) {
+// BeforeStop, a handler and a background function that never return must not block the
+// stop: Run returns errStopTimeout.
+func TestStop_ReportsWorkPastTimeout(t *testing.T) {
 	release := make(chan struct{})
 	entered := make(chan struct{})
 	var stuck sync.WaitGroup
 	stuck.Add(3)
 	hang := func() { defer stuck.Done(); <-release }
-	d := run(t, Config{
+	d := startDaemon(t, Config{
 		Handler:     http.HandlerFunc(func(http.ResponseWriter, *http.Request) { close(entered); hang() }),
 		StopTimeout: 40 * time.Millisecond,
 		BeforeStop:  func(context.Context) { hang() },
@@ -183,14 +190,14 @@
 	<-entered
 	d.stop()
 	if err := <-d.result; !errors.Is(err, errStopTimeout) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want errStopTimeout", err)
 	}
 	close(release)
 	stuck.Wait()
 	<-status
 }
 
-func TestListenFailure(t *testing.T) {
+func TestRun_ListenFailureIsReturned(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -198,39 +205,39 @@
 	defer func() { _ = listener.Close() }()
 	err = Run(t.Context(), Config{Listen: listener.Addr().String(), Handler: http.NotFoundHandler()})
 	if !errors.Is(err, syscall.EADDRINUSE) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want EADDRINUSE", err)
 	}
 }
 
-// TestExtraListenersServeFromStartToStop: each with its own handler.
-func TestExtraListenersServeFromStartToStop(t *testing.T) {
+// Each listener serves its own handler, and the stop closes all of them.
+func TestExtraListeners_ServeUntilStop(t *testing.T) {
 	answering := func(status int) http.Handler {
 		return http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(status) })
 	}
 	extra := make(chan net.Addr, 1)
-	d := run(t, Config{
+	d := startDaemon(t, Config{
 		Handler: answering(http.StatusOK),
-		Extra: []Listener{{
-			Address:   "127.0.0.1:0",
-			Handler:   answering(http.StatusTeapot),
-			Listening: func(address net.Addr) { extra <- address },
+		ExtraListeners: []Listener{{
+			Address:     "127.0.0.1:0",
+			Handler:     answering(http.StatusTeapot),
+			OnListening: func(address net.Addr) { extra <- address },
 		}},
 	})
 	address := (<-extra).String()
 	if own, other := <-get(d.address), <-get(address); own != http.StatusOK || other != http.StatusTeapot {
-		t.Errorf("answers %d and %d, want %d and %d", own, other, http.StatusOK, http.StatusTeapot)
+		t.Errorf("got status codes %d and %d, want %d and %d", own, other, http.StatusOK, http.StatusTeapot)
 	}
 	d.stop()
 	if err := <-d.result; err != nil {
 		t.Fatal(err)
 	}
 	if status := <-get(address); status != 0 {
-		t.Errorf("the extra listener answers %d after the stop", status)
+		t.Errorf("request to the extra listener after the stop: got status %d, want no response", status)
 	}
 }
 
-// TestTakenExtraAddressEndsTheStart: nothing is left listening.
-func TestTakenExtraAddressEndsTheStart(t *testing.T) {
+// If one address is in use, Run fails and closes the listeners that it has opened already.
+func TestExtraListeners_AddressInUseClosesAll(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -239,32 +246,32 @@
 	address := testaddress.New(t)
 	err = Run(t.Context(), Config{
 		Listen: address, Handler: http.NotFoundHandler(),
-		Extra: []Listener{{Address: taken.Addr().String(), Handler: http.NotFoundHandler()}},
+		ExtraListeners: []Listener{{Address: taken.Addr().String(), Handler: http.NotFoundHandler()}},
 	})
 	if err == nil {
-		t.Fatal("started on a taken address")
+		t.Fatal("listen on an address in use: got no error, want one")
 	}
 	again, err := net.Listen("tcp", address)
 	if err != nil {
-		t.Fatalf("the first address is still listened on: %v", err)
+		t.Fatalf("listen again on the first address after the failed start: %v", err)
 	}
 	_ = again.Close()
 }
 
-// TestShutdownDelayServesOn: readiness goes first, then the hand-over, then
-// the daemon serves on and asks callers to leave, and only then stops.
-func TestShutdownDelayServesOn(t *testing.T) {
+// During ShutdownDelay, after Stopping and BeforeStop, the daemon still serves requests and
+// asks callers to close their connections.
+func TestShutdownDelay_ServesUntilItEnds(t *testing.T) {
 	const delay = 300 * time.Millisecond
 	var s steps
-	handedOver := make(chan struct{})
-	d := run(t, Config{
-		Handler:       http.HandlerFunc(func(http.ResponseWriter, *http.Request) { s.note("served") }),
-		Stopping:      func() { s.note("stopping") },
-		BeforeStop:    func(context.Context) { s.note("handed over"); close(handedOver) },
+	beforeStopCalled := make(chan struct{})
+	d := startDaemon(t, Config{
+		Handler:       http.HandlerFunc(func(http.ResponseWriter, *http.Request) { s.add("served") }),
+		OnStopping:    func() { s.add("stopping") },
+		BeforeStop:    func(context.Context) { s.add("handed over"); close(beforeStopCalled) },
 		ShutdownDelay: delay,
 	})
 	d.stop()
-	<-handedOver
+	<-beforeStopCalled
 	started := time.Now()
 	response, err := http.Get("http://" + d.address)
 	if err != nil {
@@ -272,19 +279,19 @@
 	}
 	_ = response.Body.Close()
 	if !response.Close {
-		t.Error("the answer does not ask for the connection to be closed")
+		t.Error("response during the shutdown delay: got no \"Connection: close\", want one")
 	}
 	if err := <-d.result; err != nil {
 		t.Fatal(err)
 	}
 	if took := time.Since(started); took < delay/2 {
-		t.Errorf("stopped after %v, want about %v", took, delay)
+		t.Errorf("got a stop after %v, want about %v", took, delay)
 	}
 	s.want(t, "stopping", "handed over", "served")
 }
 
-// TestFailedPartStopsWithoutDelay: there is nothing to be gained by waiting.
-func TestFailedPartStopsWithoutDelay(t *testing.T) {
+// A daemon that stops because of a failure gains nothing by ShutdownDelay and skips it.
+func TestShutdownDelay_SkippedAfterFailure(t *testing.T) {
 	failure := errors.New("broken")
 	started := time.Now()
 	err := Run(t.Context(), Config{
@@ -292,6 +299,6 @@
 		Background: []func(context.Context) error{func(context.Context) error { return failure }},
 	})
 	if !errors.Is(err, failure) || time.Since(started) > 10*time.Second {
-		t.Errorf("%v after %v, want %v at once", err, time.Since(started), failure)
+		t.Errorf("got error %v after %v, want %v without the delay", err, time.Since(started), failure)
 	}
 }
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,8 +1,7 @@
-// Package daemon is the life that all daemons share: listen, serve, stop in
-// order on a signal within a bound, and exit with a code that says what kind
-// of failure it was.
+// Package daemon implements what all daemons share: listening, serving, an orderly stop on a
+// signal within a time-out, and an exit code for the kind of failure.
 //
-// It is given a handler, the functions that work in the background, and the
-// bounds on connections, requests and the stop (Config). Run returns once all of
-// that has ended; Command and Main make a program of it.
+// Config has the handler, the background functions, and the limits on connections, requests
+// and the stop. Run returns once the daemon has stopped. Command and Main make a program's
+// entry point of it.
 package daemon
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -7,36 +7,37 @@
 	"net/http"
 )
 
-// Listener is an address that a daemon serves beside its own.
+// Listener is an address that a daemon serves beside Config.Listen.
 type Listener struct {
 	// Address is the IP:port to listen on. Required.
 	Address string
-	// Handler serves all requests that come there. Required.
+	// Handler serves all requests to the address. Required.
 	Handler http.Handler
-	// Listening is told the address once it is listened on. Optional.
-	Listening func(address net.Addr)
+	// OnListening is called with the bound address once the daemon listens. Optional.
+	OnListening func(address net.Addr)
 }
 
-// openListener is a Listener that is listened on.
+// openListener is a Listener with its open socket.
 type openListener struct {
 	Listener
 	listener net.Listener
 }
 
-// listenOnAll listens on Listen and on the addresses of Extra, or on none.
+// listenOnAll listens on Listen and on the addresses of Extra, in this order. If one fails,
+// it closes those already open and returns the error.
 func listenOnAll(ctx context.Context, config Config) ([]openListener, error) {
-	own := Listener{Address: config.Listen, Handler: config.Handler, Listening: config.Listening}
+	own := Listener{Address: config.Listen, Handler: config.Handler, OnListening: config.OnListening}
 	var open []openListener
-	for _, each := range append([]Listener{own}, config.Extra...) {
+	for _, each := range append([]Listener{own}, config.ExtraListeners...) {
 		listener, err := new(net.ListenConfig).Listen(ctx, "tcp", each.Address)
 		if err != nil {
 			for _, earlier := range open {
-				_ = earlier.listener.Close() // nothing came in on it
+				_ = earlier.listener.Close() // no connection was accepted on it
 			}
 			return nil, fmt.Errorf("listen on %s: %w", each.Address, err)
 		}
-		if config.Wrap != nil && len(open) == 0 {
-			listener = config.Wrap(listener)
+		if config.WrapListener != nil && len(open) == 0 {
+			listener = config.WrapListener(listener)
 		}
 		open = append(open, openListener{Listener: each, listener: listener})
 	}
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -17,44 +17,44 @@
 const (
 	ExitOK      = 0
 	ExitFailure = 1
-	// ExitUsage: wrong settings, flags or arguments.
+	// ExitUsage is the code for invalid settings, flags or arguments.
 	ExitUsage = 2
 )
 
-// ErrUsage is what errors about settings, flags and arguments wrap.
+// ErrUsage is wrapped by errors about settings, and makes Execute return ExitUsage.
 var ErrUsage = settings.ErrUsage
 
-// Main runs the command and exits: 0 if it succeeded, 2 on wrong settings or
-// usage, 1 on any other error. Errors are one line on standard error.
+// Main runs the command and exits: with 0 if it succeeded, 2 on invalid settings, flags or
+// arguments, and 1 on any other error. It prints an error as one line on standard error.
 func Main(command *cobra.Command) {
 	os.Exit(Execute(context.Background(), command, os.Stderr))
 }
 
-// Execute is Main without the exit; it returns the exit code.
+// Execute does the same as Main, but returns the exit code instead of exiting.
 func Execute(ctx context.Context, command *cobra.Command, stderr io.Writer) int {
 	started := false
-	markStart(command, &started)
+	trackStart(command, &started)
 	command.SilenceErrors = true
 	command.SilenceUsage = true
 	err := command.ExecuteContext(ctx)
 	if err == nil {
 		return ExitOK
 	}
-	_, _ = fmt.Fprintf(stderr, "%s: %s\n", command.Name(), oneLine(err)) // nowhere to report a failure of it
+	_, _ = fmt.Fprintf(stderr, "%s: %s\n", command.Name(), oneLine(err)) // a failed write to stderr cannot be reported
 	if !started || errors.Is(err, ErrUsage) {
 		return ExitUsage
 	}
 	return ExitFailure
 }
 
-// oneLine is the text of an error, which has several lines if it joins others.
+// oneLine returns the text of an error on one line; errors.Join separates with newlines.
 func oneLine(err error) string {
 	return strings.ReplaceAll(err.Error(), "\n", "; ")
 }
 
-// markStart notes that a command began its work: cobra gives errors about
-// flags and arguments no type of their own, but they all come before.
-func markStart(command *cobra.Command, started *bool) {
+// trackStart makes the command and its children set started when RunE begins. Cobra has no
+// error type for invalid flags and arguments, but returns such errors before RunE only.
+func trackStart(command *cobra.Command, started *bool) {
 	if run := command.RunE; run != nil {
 		command.RunE = func(command *cobra.Command, arguments []string) error {
 			*started = true
@@ -62,6 +62,6 @@
 		}
 	}
 	for _, child := range command.Commands() {
-		markStart(child, started)
+		trackStart(child, started)
 	}
 }
--- a/internal/daemon/main_test.go
+++ b/internal/daemon/main_test.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-func TestExitCodes(t *testing.T) {
+func TestExecute_ExitCodes(t *testing.T) {
 	for name, test := range map[string]struct {
 		arguments []string
 		result    error
@@ -32,10 +32,10 @@
 			command.SetArgs(append([]string{}, test.arguments...))
 			var stderr bytes.Buffer
 			if code := Execute(t.Context(), command, &stderr); code != test.code {
-				t.Errorf("exit code %d, want %d", code, test.code)
+				t.Errorf("got exit code %d, want %d", code, test.code)
 			}
 			if stderr.String() != test.stderr || strings.Count(stderr.String(), "\n") > 1 {
-				t.Errorf("stderr %q, want %q", stderr.String(), test.stderr)
+				t.Errorf("got stderr %q, want %q", stderr.String(), test.stderr)
 			}
 		})
 	}
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -9,33 +9,36 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// errStopTimeout: something was still at work when StopTimeout had passed.
+// errStopTimeout says that requests or background functions had not ended after StopTimeout.
 var errStopTimeout = errors.New("not stopped within the stop timeout")
 
-// announceStop tells that the daemon is about to stop.
+// announceStop begins a stop: it calls Stopping and makes responses ask callers to close
+// their connections. After a failure it also cancels the shutdown delay.
 func (d *daemon) announceStop(failure error) {
 	if failure != nil {
 		d.config.ShutdownDelay = 0
 	}
-	if d.config.Stopping != nil {
-		d.config.Stopping()
+	if d.config.OnStopping != nil {
+		d.config.OnStopping()
 	}
-	d.leaving.Store(true)
+	d.stopping.Store(true)
 }
 
-// stop takes the daemon down in order.
+// stop runs the steps of a stop that follow announceStop, within StopTimeout and
+// ShutdownDelay together.
 func (d *daemon) stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), d.config.StopTimeout+d.config.ShutdownDelay)
 	defer cancel()
-	d.handOver(ctx)
-	if err := d.linger(); err != nil {
-		return errors.Join(err, d.stopParts(ctx))
+	d.callBeforeStop(ctx)
+	if err := d.waitShutdownDelay(); err != nil {
+		return errors.Join(err, d.stopServersAndBackground(ctx))
 	}
-	return d.stopParts(ctx)
+	return d.stopServersAndBackground(ctx)
 }
 
-// linger goes on serving for ShutdownDelay, or until a part fails.
-func (d *daemon) linger() error {
+// waitShutdownDelay waits for ShutdownDelay while the daemon serves. It returns early, with
+// the error, if a server or a background function fails.
+func (d *daemon) waitShutdownDelay() error {
 	if d.config.ShutdownDelay <= 0 {
 		return nil
 	}
@@ -49,10 +52,11 @@
 	}
 }
 
-// stopParts finishes the requests and ends the background.
-func (d *daemon) stopParts(ctx context.Context) error {
+// stopServersAndBackground ends the requests, then the background functions. The error also
+// includes a pending failure.
+func (d *daemon) stopServersAndBackground(ctx context.Context) error {
 	d.endRequests()
-	err := d.stopServing(ctx)
+	err := d.shutDownServers(ctx)
 	d.endBackground()
 	if !waitFor(ctx, d.background.Wait) {
 		err = errors.Join(err, fmt.Errorf("background: %w", errStopTimeout))
@@ -65,8 +69,8 @@
 	return err
 }
 
-// handOver calls BeforeStop and goes on without it at its bound.
-func (d *daemon) handOver(ctx context.Context) {
+// callBeforeStop calls BeforeStop and stops waiting for it after half of StopTimeout.
+func (d *daemon) callBeforeStop(ctx context.Context) {
 	if d.config.BeforeStop == nil {
 		return
 	}
@@ -77,28 +81,29 @@
 	}
 }
 
-// stopServing finishes the requests, whose contexts have ended. It leaves a
-// quarter of the stop timeout to the background.
-func (d *daemon) stopServing(ctx context.Context) error {
+// shutDownServers closes the listeners and waits for the requests, whose contexts are
+// cancelled already. It closes the connections of requests that have not ended when a quarter
+// of StopTimeout is left, which is reserved for the background functions.
+func (d *daemon) shutDownServers(ctx context.Context) error {
 	deadline, _ := ctx.Deadline()
 	limited, cancel := context.WithDeadline(ctx, deadline.Add(-d.config.StopTimeout/4))
 	defer cancel()
-	d.connections.closeFresh()
+	d.connections.closeNew()
 	var stopping errgroup.Group
 	for _, server := range d.servers {
 		stopping.Go(func() error { return server.Shutdown(limited) })
 	}
 	if err := stopping.Wait(); err != nil {
 		for _, server := range d.servers {
-			_ = server.Close() // the requests that are cut off are reported by err
+			_ = server.Close() // err already reports the interrupted requests
 		}
 		return fmt.Errorf("requests: %w", errors.Join(errStopTimeout, err))
 	}
 	return nil
 }
 
-// waitFor reports whether work ended before the context did. Work that does
-// not end is left behind, as the process is about to exit.
+// waitFor reports whether work returned before the context ended. Otherwise work continues in
+// its goroutine, which is acceptable because the process is about to exit.
 func waitFor(ctx context.Context, work func()) bool {
 	done := make(chan struct{})
 	go func() {
--- a/internal/process/agentprocess/process.go
+++ b/internal/process/agentprocess/process.go
@@ -13,19 +13,19 @@
 	"github.com/decklever/decklever/internal/settings"
 )
 
-// Program is the name of the product's program.
+// Program is the name of the agent's program.
 const Program = "decklever-agent"
 
-// Process is one agent with all its parts.
+// Process is an agent with all its components.
 type Process struct {
 	*process.LeaderClientBase[settings.Agent]
-	// Agent forwards heartbeats.
+	// Agent serves the workers' requests and forwards heartbeats to the leader.
 	Agent *agent.Agent
 
 	zone atomic.Pointer[string]
 }
 
-// New makes the parts and starts nothing.
+// New creates a Process. Run starts it.
 func New(initial settings.Agent, options settings.LoadOptions) (*Process, error) {
 	p := &Process{}
 	p.zone.Store(&initial.Zone)
@@ -39,7 +39,7 @@
 		},
 		Role:        "agent",
 		VersionOnly: true,
-		// Each call is bounded by its context.
+		// The context of each call sets a shorter bound.
 		CallTimeout: max(initial.RelayTimeout.Std(), leaderclient.MaxCallDuration) + time.Second,
 	})
 	if err != nil {
@@ -62,11 +62,11 @@
 	return p, nil
 }
 
-// Zone is the zone in the current settings.
+// Zone returns the zone in the current settings.
 func (p *Process) Zone() string { return *p.zone.Load() }
 
-// Run serves, on extra listeners too, until the context ends or a signal stops
-// the process.
+// Run serves the agent, and the extra listeners, until ctx ends or a signal stops the
+// process.
 func (p *Process) Run(ctx context.Context, extra ...daemon.Listener) error {
 	return p.LeaderClientBase.Run(ctx, p.Agent, extra)
 }
--- a/internal/process/base.go
+++ b/internal/process/base.go
@@ -14,48 +14,50 @@
 	"github.com/decklever/decklever/internal/telemetry"
 )
 
-// shutdownComponent is the component in /readyz that makes a stopping process not ready.
+// shutdownComponent is the component in /readyz that is not ready while the process stops.
 const shutdownComponent = "shutdown"
 
-// BaseConfig describes a process; T is its settings. All fields but Options and Apply are
-// required.
+// BaseConfig configures a Base; T is the type of the process's settings. All fields are
+// required except Options and Apply.
 type BaseConfig[T any] struct {
-	// Program is the name of the program, for the log.
+	// Program is the program's name in log messages.
 	Program string
 	// Initial are the settings at the start.
 	Initial T
-	// Options are those that Initial was loaded with.
+	// Options are the options with which Initial was loaded. Changed settings are loaded
+	// with them.
 	Options settings.LoadOptions
-	// Common returns the part of the settings that all processes have.
+	// Common returns the settings that all processes have in common.
 	Common func(*T) *settings.Common
-	// Apply applies changed settings, as far as they can change while the process
-	// runs. Base applies the log level itself.
+	// Apply applies changed settings that can take effect while the process runs. Base
+	// itself applies the log level.
 	Apply func(T)
 }
 
-// Readiness is the component of a process that /readyz depends on.
+// Readiness describes the component on which the process's /readyz depends.
 type Readiness struct {
 	Component string
-	// Unready is the reason that /readyz gives while Ready returns false.
-	Unready string
-	Ready   func() bool
+	// UnreadyReason is the reason that /readyz gives while Ready returns false.
+	UnreadyReason string
+	Ready         func() bool
 }
 
-// Base is what all processes have in common: logging, health, metrics, and the watch of
-// their settings. It lives as long as the process; its methods may be called from any
-// goroutine.
+// Base contains what all processes have in common: logging, health, metrics and the watch
+// of the settings file. It lives as long as the process. Its methods are safe for
+// concurrent use.
 type Base[T any] struct {
 	Logger   *slog.Logger
 	Health   *telemetry.Health
 	Registry *prometheus.Registry
-	// Calls are the metrics of the rpc calls that the process makes and serves.
-	Calls *rpc.Metrics
+	// CallMetrics are the metrics of the RPC calls that the process makes and serves.
+	CallMetrics *rpc.Metrics
 
 	config BaseConfig[T]
 	level  *slog.LevelVar
 }
 
-// NewBase makes the parts and starts nothing.
+// NewBase creates a Base without starting a background task. It returns an error if the
+// metrics cannot be registered.
 func NewBase[T any](config BaseConfig[T]) (*Base[T], error) {
 	b := &Base[T]{
 		Health:   telemetry.NewHealth(),
@@ -68,11 +70,11 @@
 	if err != nil {
 		return nil, err
 	}
-	b.Calls = calls
+	b.CallMetrics = calls
 	return b, nil
 }
 
-// newLogger returns the logger of a process, which omits lines below level.
+// newLogger returns the logger of a process, which omits messages below level.
 func newLogger(program string, common *settings.Common, level *slog.LevelVar) *slog.Logger {
 	telemetry.SetLevel(level, common.Log.Level)
 	return telemetry.NewLogger(telemetry.LoggerConfig{
@@ -80,16 +82,16 @@
 	})
 }
 
-// common is the part of the initial settings that all processes have.
+// common returns the part of the initial settings that all processes have.
 func (b *Base[T]) common() *settings.Common { return b.config.Common(&b.config.Initial) }
 
-// Status serves health and metrics.
+// Status returns a handler that serves health and metrics.
 func (b *Base[T]) Status() http.Handler { return telemetry.Handler(b.Registry, b.Health) }
 
-// Daemon returns the configuration of the process's daemon, but for its handler: address
-// and bounds, and as background tasks those given, the watch of the settings, and that of
-// the readiness.
-func (b *Base[T]) Daemon(readiness Readiness, background ...func(context.Context) error) daemon.Config {
+// DaemonConfig returns the configuration of the process's daemon without a handler. Its
+// background tasks are the given ones, the watch of the settings file and the watch of the
+// readiness.
+func (b *Base[T]) DaemonConfig(readiness Readiness, background ...func(context.Context) error) daemon.Config {
 	common := b.common()
 	watchHealth := func(ctx context.Context) error {
 		return b.Health.Watch(ctx, func() { b.CheckHealth(readiness) })
@@ -98,7 +100,7 @@
 		Listen:        common.Listen,
 		Logger:        b.Logger,
 		Background:    append(background, b.watchSettings, watchHealth),
-		Stopping:      func() { b.Health.SetReady(shutdownComponent, false, "the process is about to stop") },
+		OnStopping:    func() { b.Health.SetReady(shutdownComponent, false, "the process is about to stop") },
 		ShutdownDelay: time.Duration(common.ShutdownDelay),
 		StopTimeout:   time.Duration(common.StopTimeout),
 
@@ -106,16 +108,16 @@
 	}
 }
 
-// CheckHealth updates /readyz from the readiness.
+// CheckHealth updates the component's state in /readyz from readiness.
 func (b *Base[T]) CheckHealth(readiness Readiness) {
 	if readiness.Ready() {
 		b.Health.SetReady(readiness.Component, true, "")
 		return
 	}
-	b.Health.SetReady(readiness.Component, false, readiness.Unready)
+	b.Health.SetReady(readiness.Component, false, readiness.UnreadyReason)
 }
 
-// watchSettings applies changes of the settings file.
+// watchSettings applies changes to the settings file until ctx ends.
 func (b *Base[T]) watchSettings(ctx context.Context) error {
 	return settings.Watch(ctx, settings.WatchConfig[T]{
 		Options: b.config.Options,
@@ -125,7 +127,7 @@
 	})
 }
 
-// apply applies what can change while the process runs.
+// apply applies the settings that can change while the process runs.
 func (b *Base[T]) apply(changed T) {
 	telemetry.SetLevel(b.level, b.config.Common(&changed).Log.Level)
 	if b.config.Apply != nil {
--- a/internal/process/base_test.go
+++ b/internal/process/base_test.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/internal/settings"
 )
 
-// testSettings are those of a process that is never run.
+// testSettings returns settings of a process that is not run.
 func testSettings() settings.Front {
 	return settings.Front{Common: settings.Common{
 		Name: "front-1", Zone: "z1", Listen: "127.0.0.1:7200",
@@ -36,34 +36,34 @@
 
 func TestBase_DaemonConfigFollowsSettings(t *testing.T) {
 	base := newTestBase(t, nil)
-	config := base.Daemon(Readiness{Component: "p", Ready: func() bool { return true }}, func(context.Context) error { return nil })
+	config := base.DaemonConfig(Readiness{Component: "p", Ready: func() bool { return true }}, func(context.Context) error { return nil })
 	if config.Listen != "127.0.0.1:7200" || config.ShutdownDelay != time.Second || config.StopTimeout != 2*time.Second {
-		t.Errorf("listen %s, shutdown delay %v, stop timeout %v", config.Listen, config.ShutdownDelay, config.StopTimeout)
+		t.Errorf("got listen %s, shutdown delay %v, stop timeout %v, want 127.0.0.1:7200, 1s, 2s", config.Listen, config.ShutdownDelay, config.StopTimeout)
 	}
 	if config.MaxConnections != 70 {
-		t.Errorf("bound to %d connections", config.MaxConnections)
+		t.Errorf("got at most %d connections, want 70", config.MaxConnections)
 	}
 	if len(config.Background) != 3 {
-		t.Errorf("%d background tasks, want the one given and two watches", len(config.Background))
+		t.Errorf("got %d background tasks, want 3: the given one and two watches", len(config.Background))
 	}
 }
 
 func TestBase_HealthFollowsReadinessAndShutdown(t *testing.T) {
 	base := newTestBase(t, nil)
 	ready := false
-	readiness := Readiness{Component: "p", Unready: "not yet", Ready: func() bool { return ready }}
+	readiness := Readiness{Component: "p", UnreadyReason: "not yet", Ready: func() bool { return ready }}
 	base.CheckHealth(readiness)
 	if status := base.Health.Status(); status.Ready || status.Parts[0].Reason != "not yet" {
-		t.Errorf("at first %+v", status)
+		t.Errorf("before the process is ready: got %+v, want not ready with reason \"not yet\"", status)
 	}
 	ready = true
 	base.CheckHealth(readiness)
 	if status := base.Health.Status(); !status.Ready || status.Parts[0].Reason != "" {
-		t.Errorf("once ready %+v", status)
+		t.Errorf("once the process is ready: got %+v, want ready without a reason", status)
 	}
-	base.Daemon(readiness).Stopping()
+	base.DaemonConfig(readiness).OnStopping()
 	if status := base.Health.Status(); status.Ready {
-		t.Errorf("at the stop %+v", status)
+		t.Errorf("while the process stops: got %+v, want not ready", status)
 	}
 }
 
@@ -74,6 +74,6 @@
 	changed.Zone, changed.Log.Level = "z2", "debug"
 	base.apply(changed)
 	if applied.Zone != "z2" || !base.Logger.Enabled(t.Context(), -4) {
-		t.Errorf("applied %+v", applied)
+		t.Errorf("got settings %+v, want zone z2 and log level debug", applied)
 	}
 }
--- a/internal/process/doc.go
+++ b/internal/process/doc.go
@@ -1,8 +1,8 @@
-// Package process has what all daemons have in common, from the settings that were loaded
-// to the configuration of package daemon: logger, health, metrics and the watch of the
-// settings (Base), and for daemons without a replica a client of the leader
+// Package process contains what all daemons have in common. From loaded settings it creates
+// the logger, health, metrics, the watch of the settings file and the configuration of
+// package daemon (Base), and for daemons without a replica a client of the leader
 // (LeaderClientBase).
 //
-// It holds no state of the service itself. The packages below it are the daemons of the
-// product; other programs may embed them and add listeners of their own.
+// It contains no state of the service itself. Its subpackages are the product's daemons;
+// other programs may embed the daemons and add their own listeners.
 package process
--- a/internal/process/frontprocess/doc.go
+++ b/internal/process/frontprocess/doc.go
@@ -1,4 +1,4 @@
-// Package frontprocess runs a front as a process: from its settings it makes a front.Front, a client of
-// the leader and what all processes have in common, and runs them until the process is to
-// stop. It holds no logic of the front itself.
+// Package frontprocess runs a front as a process: from the settings it creates a
+// front.Front, a client of the leader and the common parts of all processes, and runs them
+// until the process stops. It contains no logic of the front itself.
 package frontprocess
--- a/internal/process/frontprocess/process.go
+++ b/internal/process/frontprocess/process.go
@@ -11,17 +11,17 @@
 	"github.com/decklever/decklever/internal/settings"
 )
 
-// Program is the name of the product's program.
+// Program is the name of the front's program.
 const Program = "decklever-front"
 
-// Process is one front with all its parts.
+// Process is a front with all its components.
 type Process struct {
 	*process.LeaderClientBase[settings.Front]
-	// Front makes the calls that the HTTP interface offers.
+	// Front serves the HTTP interface; an embedding program may call its methods directly.
 	Front *front.Front
 }
 
-// New makes the parts and starts nothing.
+// New creates a Process. Run starts it.
 func New(initial settings.Front, options settings.LoadOptions) (*Process, error) {
 	p := &Process{}
 	base, err := process.NewLeaderClientBase(process.LeaderClientConfig[settings.Front]{
@@ -33,7 +33,7 @@
 			Apply:   func(changed settings.Front) { p.Front.Apply(liveSettings(changed)) },
 		},
 		Role: "front",
-		// The front bounds each attempt by its context.
+		// The context of each attempt sets a shorter bound.
 		CallTimeout: front.MaxAttemptDuration + time.Second,
 	})
 	if err != nil {
@@ -54,12 +54,13 @@
 	return p, nil
 }
 
+// liveSettings returns the settings of the front that can change while the process runs.
 func liveSettings(s settings.Front) front.Settings {
 	return front.Settings{Deadline: s.Deadline.Std(), MaxInflight: s.MaxInflight}
 }
 
-// Run serves, on extra listeners too, until the context ends or a signal stops
-// the process.
+// Run serves the front, and the extra listeners, until ctx ends or a signal stops the
+// process.
 func (p *Process) Run(ctx context.Context, extra ...daemon.Listener) error {
 	return p.LeaderClientBase.Run(ctx, p.Front, extra)
 }
--- a/internal/process/integration/badinput_test.go
+++ b/internal/process/integration/badinput_test.go
@@ -15,17 +15,18 @@
 	"time"
 )
 
-// goroutineSlack is for goroutines of the runtime, and of connections that the
-// fleet makes for itself.
+// goroutineSlack is the number of additional goroutines allowed at the end, for those of the
+// Go runtime and of connections between the daemons.
 const goroutineSlack = 20
 
-// TestDaemons_RejectBadInput sends each daemon what no client sends. Each rejects or cuts
-// it off, goes on with ordinary requests, and keeps nothing of it.
+// TestDaemons_RejectBadInput sends invalid, oversized, slow and unfinished requests, and too
+// many connections, to each daemon. The daemon must reject the request or close the
+// connection, continue to serve valid requests, and leak no goroutine.
 func TestDaemons_RejectBadInput(t *testing.T) {
 	targets := startDaemons(t)
-	base := runtime.NumGoroutine()
-	for _, attacked := range targets {
-		t.Run(attacked.name, func(t *testing.T) {
+	goroutinesBefore := runtime.NumGoroutine()
+	for _, daemon := range targets {
+		t.Run(daemon.name, func(t *testing.T) {
 			for name, test := range map[string]func(*testing.T, target){
 				"malformed":   malformed,
 				"oversized":   oversized,
@@ -35,25 +36,25 @@
 				"flood":       flood,
 			} {
 				t.Run(name, func(t *testing.T) {
-					test(t, attacked)
-					wantServing(t, attacked)
+					test(t, daemon)
+					wantServing(t, daemon)
 				})
 			}
 		})
 	}
-	eventually(t, "the goroutines are as many as before", func() bool {
-		return runtime.NumGoroutine() <= base+goroutineSlack
+	eventually(t, "no more goroutines than before the bad input", func() bool {
+		return runtime.NumGoroutine() <= goroutinesBefore+goroutineSlack
 	})
 }
 
-// wantServing waits until an ordinary request gets its answer: one may be cut
-// off with the connections around it.
+// wantServing waits until a valid request is answered. It retries, because the daemon may
+// close the connection of a valid request together with those of the bad ones.
 func wantServing(t *testing.T, target target) {
 	t.Helper()
-	err := target.ordinary()
-	for deadline := time.Now().Add(waitTimeout); err != nil; err = target.ordinary() {
+	err := target.sendValidRequest()
+	for deadline := time.Now().Add(waitTimeout); err != nil; err = target.sendValidRequest() {
 		if time.Now().After(deadline) {
-			t.Fatalf("ordinary requests fail: %v", err)
+			t.Fatalf("valid requests fail: %v", err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -72,12 +73,12 @@
 	return connection.(*net.TCPConn)
 }
 
-// answerOn reads an answer; nil if the connection was closed without one.
-func answerOn(t *testing.T, connection net.Conn) *http.Response {
+// readResponse reads a response; it returns nil if the connection was closed without one.
+func readResponse(t *testing.T, connection net.Conn) *http.Response {
 	t.Helper()
 	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatal("neither answered nor closed")
+		t.Fatal("the daemon neither responded nor closed the connection")
 	}
 	if err != nil {
 		return nil
@@ -86,23 +87,25 @@
 	return response
 }
 
-// wantRefused wants a status that blames the sender, or the connection closed
-// without answer.
-func wantRefused(t *testing.T, response *http.Response) {
+// wantRejected checks that the response has a 4xx status or status 505, or that the
+// connection was closed without a response (nil).
+func wantRejected(t *testing.T, response *http.Response) {
 	t.Helper()
 	if response == nil || response.StatusCode == http.StatusHTTPVersionNotSupported {
 		return
 	}
 	if response.StatusCode < 400 || response.StatusCode > 499 {
-		t.Errorf("status %d, want 4xx or none", response.StatusCode)
+		t.Errorf("got status %d, want 4xx, 505 or no response", response.StatusCode)
 	}
 }
 
-// withBody is a request whose header promises length bytes.
+// withBody returns a request with the body and a Content-Length of length bytes, which may
+// differ from the size of the body.
 func (target target) withBody(length int, body string) string {
 	return fmt.Sprintf("%s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", target.post, length, body)
 }
 
+// malformed sends requests that violate HTTP, or whose body is no valid request.
 func malformed(t *testing.T, target target) {
 	t.Helper()
 	chunked := target.post + " HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
@@ -129,46 +132,46 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			connection := dial(t, target)
-			_, _ = io.WriteString(connection, request) // may be cut off meanwhile
-			response := answerOn(t, connection)
+			_, _ = io.WriteString(connection, request) // fails if the daemon closes the connection first
+			response := readResponse(t, connection)
 			if response != nil && response.StatusCode/100 == 3 && response.Header.Get("Location") != "" {
-				return // the router names the path without its detour
+				return // the router redirects to the cleaned path
 			}
-			wantRefused(t, response)
+			wantRejected(t, response)
 		})
 	}
 }
 
-// oversized sends a body of more than the limit, with and without its length.
+// oversized sends a body larger than bodyLimit, with and without a Content-Length.
 func oversized(t *testing.T, target target) {
 	t.Helper()
 	for name, body := range map[string]io.Reader{
-		"with its length": bytes.NewReader(make([]byte, bodyLimit+1)),
-		"without":         io.LimitReader(zeros{}, bodyLimit+1),
+		"with length":    bytes.NewReader(make([]byte, bodyLimit+1)),
+		"without length": io.LimitReader(zeroReader{}, bodyLimit+1),
 	} {
 		method, path, _ := strings.Cut(target.post, " ")
 		request, err := http.NewRequestWithContext(t.Context(), method, "http://"+target.address+path, body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		response, err := clientOf(t).Do(request)
+		response, err := newHTTPClient(t).Do(request)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		said, err := io.ReadAll(response.Body)
+		message, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
-		if response.StatusCode != target.tooLarge || !strings.Contains(string(said), fmt.Sprint(bodyLimit)) {
-			t.Errorf("%s: status %d, %q, %v: want status %d that names the limit", name, response.StatusCode, said, err, target.tooLarge)
+		if response.StatusCode != target.tooLarge || !strings.Contains(string(message), fmt.Sprint(bodyLimit)) {
+			t.Errorf("%s: got status %d, body %q, error %v, want status %d and a body that names the limit", name, response.StatusCode, message, err, target.tooLarge)
 		}
 	}
 }
 
-type zeros struct{}
+type zeroReader struct{}
 
-func (zeros) Read(data []byte) (int, error) { return len(data), nil }
+func (zeroReader) Read(data []byte) (int, error) { return len(data), nil }
 
-// trickle sends a byte at a time until the connection is cut off.
-func trickle(t *testing.T, connection net.Conn) {
+// sendSlowly sends a byte every 10 ms until the daemon closes the connection.
+func sendSlowly(t *testing.T, connection net.Conn) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		if _, err := connection.Write([]byte("x")); err != nil {
@@ -176,7 +179,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Error("the slow request was not cut off")
+	t.Error("the daemon did not close the connection of the slow request")
 }
 
 func slowHeader(t *testing.T, target target) {
@@ -185,7 +188,7 @@
 	if _, err := io.WriteString(connection, target.post+" HTTP/1.1\r\nHost: h\r\nX-Slow: "); err != nil {
 		t.Fatal(err)
 	}
-	trickle(t, connection)
+	sendSlowly(t, connection)
 }
 
 func slowBody(t *testing.T, target target) {
@@ -194,11 +197,11 @@
 	if _, err := io.WriteString(connection, target.withBody(bodyLimit-1, "")); err != nil {
 		t.Fatal(err)
 	}
-	trickle(t, connection)
+	sendSlowly(t, connection)
 }
 
-// halfClosed sends the end of the stream in the middle of a request and behind
-// a whole one.
+// halfClosed closes the sending direction of the connection in the middle of a request and
+// after a complete request.
 func halfClosed(t *testing.T, target target) {
 	t.Helper()
 	for name, request := range map[string]string{
@@ -206,7 +209,7 @@
 		"half a header":    target.post + " HTTP/1.1\r\nHos",
 		"half a body":      target.withBody(100, `{"queue":`),
 		"half a chunk":     target.post + " HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n64\r\n{",
-		"a whole, garbage": target.withBody(1, "x"),
+		"complete garbage": target.withBody(1, "x"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			connection := dial(t, target)
@@ -216,33 +219,34 @@
 			if err := connection.CloseWrite(); err != nil {
 				t.Fatal(err)
 			}
-			wantRefused(t, answerOn(t, connection))
+			wantRejected(t, readResponse(t, connection))
 			if _, err := io.Copy(io.Discard, connection); errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Error("the connection stays open")
+				t.Error("the daemon did not close the half-closed connection")
 			}
 		})
 	}
 }
 
-// flood opens three times as many connections as are allowed. Silent ones make
-// way for ordinary requests, and of all the rest no more than allowed stay.
+// flood opens three times as many connections as allowed and sends nothing on them. The
+// daemon must still serve valid requests, closing idle connections for them, and must close
+// all idle connections in the end.
 func flood(t *testing.T, target target) {
 	t.Helper()
-	const opened = 3 * connectionLimit
-	closed := make(chan struct{}, opened)
-	for range opened {
+	const connections = 3 * connectionLimit
+	closed := make(chan struct{}, connections)
+	for range connections {
 		connection := dial(t, target)
 		go func() {
-			_, _ = connection.Read(make([]byte, 1)) // nothing comes but the end
+			_, _ = connection.Read(make([]byte, 1)) // returns when the daemon closes the connection
 			closed <- struct{}{}
 		}()
 	}
 	wantServing(t, target)
-	for range opened { // the last ones by the timeout of their header
+	for range connections { // the last ones are closed by ReadHeaderTimeout
 		select {
 		case <-closed:
 		case <-time.After(waitTimeout):
-			t.Fatal("silent connections stay open")
+			t.Fatal("the daemon did not close the idle connections")
 		}
 	}
 }
--- a/internal/process/integration/callers_test.go
+++ b/internal/process/integration/callers_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// answerLoss is the chance that what a caller reads is lost.
-	answerLoss = 0.02
-	// queueName is in every configuration.
+	// answerLossProbability is the probability that a read on a caller's connection fails.
+	answerLossProbability = 0.02
+	// queueName is the queue that every configuration contains.
 	queueName = "q"
 )
 
-// caller makes calls one after another until its context ends.
+// caller makes random calls one after another and records them in history.
 type caller struct {
 	t       *testing.T
 	number  int
@@ -32,7 +32,7 @@
 	serial  int
 }
 
-// faultRun makes calls by chance until ctx ends.
+// run makes random calls until ctx ends.
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		switch c.random.IntN(8) {
@@ -57,20 +57,21 @@
 	began := c.history.now()
 	answer, end := call[protocol.Empty, protocol.ConfigAnswer](c, protocol.MethodGetConfig, protocol.Empty{})
 	if end.outcome != outcomeAnswered {
-		return configOutput{}, false // a read that had no answer says nothing
+		return configOutput{}, false // an unanswered read adds nothing to the history
 	}
-	c.unexpected("read the configuration", end.rejection)
+	c.reportUnexpectedRejection("read the configuration", end.rejection)
 	output := configOutput{result: configRead, version: answer.Status.Version, tag: tagOf(answer.Status.Config)}
 	c.history.addConfig(c.number, configInput{}, output, began)
 	c.counts.add("configuration read")
 	return output, true
 }
 
-// taggedConfig is a configuration that its tag tells from others.
+// taggedConfig returns a configuration that is identified by the tag.
 func taggedConfig(tag string) api.Config {
 	return api.Config{Queues: []api.QueueConfig{{Name: queueName}, {Name: tag}}}
 }
 
+// tagOf returns the tag of a taggedConfig; "" if the configuration has none.
 func tagOf(config api.Config) string {
 	if len(config.Queues) < 2 {
 		return ""
@@ -78,6 +79,7 @@
 	return config.Queues[1].Name
 }
 
+// changeConfig reads the configuration and puts another one based on it.
 func (c *caller) changeConfig() {
 	read, ok := c.readConfig()
 	if !ok {
@@ -88,7 +90,8 @@
 	c.putConfig(configInput{put: true, order: name, base: read.version, tag: name, resent: c.random.IntN(4) == 0})
 }
 
-// resendOrder gives an earlier order again, sometimes with other content.
+// resendOrder repeats an earlier PutConfigRequest with its OrderID, sometimes with other
+// content.
 func (c *caller) resendOrder() {
 	input, ok := c.history.earlierOrder(c.random)
 	if !ok {
@@ -122,21 +125,22 @@
 	c.history.addConfig(c.number, input, output, began)
 }
 
-// job names one of the newest jobs; each is used for a while.
-func (c *caller) job() string {
-	const jobLife = 250 * time.Millisecond
-	newest := int(time.Since(c.history.started) / jobLife)
+// recentJobID returns the ID of one of the three newest jobs. A new ID is used every
+// jobPeriod.
+func (c *caller) recentJobID() string {
+	const jobPeriod = 250 * time.Millisecond
+	newest := int(time.Since(c.history.started) / jobPeriod)
 	return fmt.Sprintf("job-%d", max(0, newest-c.random.IntN(3)))
 }
 
-// taggedJob is a job that the name of its step tells from others.
+// taggedJob returns a job that is identified by the tag, the name of its step.
 func taggedJob(tag string) api.JobSpec {
 	task := api.TaskSpec{Service: "s", Resources: api.Resources{CPUMillis: 1}}
 	return api.JobSpec{Queue: queueName, Steps: []api.StepSpec{{Name: tag, Tasks: []api.TaskSpec{task}}}}
 }
 
 func (c *caller) submit() {
-	input := jobInput{call: jobSubmit, job: c.job(), tag: "first"}
+	input := jobInput{call: jobSubmit, job: c.recentJobID(), tag: "first"}
 	if c.random.IntN(4) == 0 {
 		input.tag = "second"
 	}
@@ -154,40 +158,41 @@
 	c.history.addJob(c.number, input, jobOutput{result: result}, began)
 }
 
-// submitResult tells a new job from one that an earlier attempt may have created.
+// submitResult returns jobExists only if no earlier attempt of the same call can have created
+// the job.
 func submitResult(created bool, attempts int) jobResult {
 	switch {
 	case created:
 		return jobCreated
 	case attempts > 1:
-		return jobTaken
+		return jobCreatedOrExists
 	default:
-		return jobSame
+		return jobExists
 	}
 }
 
 func (c *caller) cancel() {
-	input := jobInput{call: jobCancel, job: c.job()}
+	input := jobInput{call: jobCancel, job: c.recentJobID()}
 	began := c.history.now()
 	answer, end := call[protocol.CancelRequest, protocol.JobAnswer](c, protocol.MethodCancel, protocol.CancelRequest{ID: input.job})
 	c.recordStatus(input, answer, end, began)
 }
 
 func (c *caller) readJob() {
-	input := jobInput{call: jobRead, job: c.job()}
+	input := jobInput{call: jobRead, job: c.recentJobID()}
 	began := c.history.now()
 	answer, end := call[protocol.GetJobRequest, protocol.JobAnswer](c, protocol.MethodGetJob, protocol.GetJobRequest{ID: input.job})
-	if end.outcome == outcomeAnswered { // a read that had no answer says nothing
+	if end.outcome == outcomeAnswered { // an unanswered read adds nothing to the history
 		c.recordStatus(input, answer, end, began)
 	}
 }
 
-// recordStatus notes a call that answers with the state of the job.
+// recordStatus adds a call whose answer contains the job's status to the history.
 func (c *caller) recordStatus(input jobInput, answer protocol.JobAnswer, end callResult, began int64) {
 	if end.outcome == outcomeNoEffect {
 		return
 	}
-	result := resultOf(c, "ask for a job", end, jobUnknown, jobStatus, map[api.ErrorCode]jobResult{api.CodeNotFound: jobMissing})
+	result := resultOf(c, "cancel or read a job", end, jobUnknown, jobStatus, map[api.ErrorCode]jobResult{api.CodeNotFound: jobNotFound})
 	output := jobOutput{result: result}
 	if result == jobStatus {
 		output = c.statusOutput(answer.Status)
@@ -199,7 +204,7 @@
 func (c *caller) statusOutput(status api.JobStatus) jobOutput {
 	output := jobOutput{result: jobStatus, cancelled: status.State == api.StateCancelled}
 	if len(status.Steps) != 1 || (status.State != api.StatePending && !output.cancelled) {
-		c.t.Errorf("caller %d: job in state %q with %d steps, but no worker runs it", c.number, status.State, len(status.Steps))
+		c.t.Errorf("caller %d: got job in state %q with %d steps, want one step, pending or cancelled, as there is no worker", c.number, status.State, len(status.Steps))
 		return output
 	}
 	output.tag = status.Steps[0].Name
--- a/internal/process/integration/calls_test.go
+++ b/internal/process/integration/calls_test.go
@@ -11,31 +11,37 @@
 )
 
 const (
+	// attemptTimeout bounds one attempt of a call.
 	attemptTimeout = 400 * time.Millisecond
-	callTimeout    = 1500 * time.Millisecond
-	// retryProbability is that of repeating a call of unknown outcome, rather than
-	// leaving it open.
+	// callTimeout is the time after which a call makes no further attempt.
+	callTimeout = 1500 * time.Millisecond
+	// retryProbability is the probability of retrying after an attempt of unknown
+	// outcome; otherwise the call ends with outcomeUnknown.
 	retryProbability = 0.9
 )
 
-// callOutcome is how a call ended: with an answer, without effect, or unknown.
+// callOutcome is how a call ended.
 type callOutcome uint8
 
 const (
+	// outcomeAnswered means that a node accepted or rejected the request.
 	outcomeAnswered callOutcome = iota
+	// outcomeNoEffect means that no attempt can have had an effect.
 	outcomeNoEffect
+	// outcomeUnknown means that an attempt may have had an effect.
 	outcomeUnknown
 )
 
-// callResult is the outcome of a call. rejection is set if the answer was one; attempts
-// is how many of the attempts may have had an effect.
+// callResult is the result of a call. rejection is set if the answer was a rejection.
+// attempts is the number of attempts that may have had an effect.
 type callResult struct {
 	outcome   callOutcome
 	rejection *api.Error
 	attempts  int
 }
 
-// call sends a request to nodes until one answers.
+// call sends a request to nodes until one answers, callTimeout has passed, or it gives up
+// after an attempt that may have had an effect.
 func call[Request, Answer any](c *caller, method protocol.Method, request Request) (answer Answer, end callResult) {
 	unknown := 0
 	for deadline := time.Now().Add(callTimeout); time.Now().Before(deadline); {
@@ -66,7 +72,7 @@
 	return answer, callResult{outcome: outcomeNoEffect}
 }
 
-// attemptOnce sends it to one node.
+// attemptOnce makes one attempt at c.target, or at a random node if c.target is empty.
 func (c *caller) attemptOnce(attempt func(ctx context.Context, address string) error) *rpc.Error {
 	if c.target == "" {
 		c.target = c.nodes[c.random.IntN(len(c.nodes))].address
@@ -79,12 +85,13 @@
 	}
 	var failure *rpc.Error
 	if !errors.As(err, &failure) {
-		c.t.Errorf("caller %d: an error of another type: %v", c.number, err)
+		c.t.Errorf("caller %d: got error %v, want an *rpc.Error", c.number, err)
 		return &rpc.Error{Code: rpc.CodeTransport}
 	}
 	return failure
 }
 
+// mayHaveEffect reports whether an attempt that ended with failure may have had an effect.
 func mayHaveEffect(failure *rpc.Error) bool {
 	switch failure.Code {
 	case rpc.CodeNotLeader, rpc.CodeUnavailable, rpc.CodeBadRequest:
@@ -101,8 +108,9 @@
 	return failure.API
 }
 
-// resultOf is the result of a call in terms of a model: accepted for an answer that is no
-// rejection. A rejection that is not expected fails the test.
+// resultOf translates the result of a call to a result of a model: accepted for an answer
+// that is no rejection, else the one in rejected for the rejection's code. A rejection with
+// another code fails the test.
 func resultOf[Result any](c *caller, what string, end callResult, unknown, accepted Result, rejected map[api.ErrorCode]Result) Result {
 	switch {
 	case end.outcome == outcomeUnknown:
@@ -112,14 +120,15 @@
 	}
 	result, expected := rejected[end.rejection.Code]
 	if !expected {
-		c.unexpected(what, end.rejection)
+		c.reportUnexpectedRejection(what, end.rejection)
 		return unknown
 	}
 	return result
 }
 
-func (c *caller) unexpected(what string, rejection *api.Error) {
+// reportUnexpectedRejection fails the test unless rejection is nil.
+func (c *caller) reportUnexpectedRejection(what string, rejection *api.Error) {
 	if rejection != nil {
-		c.t.Errorf("caller %d: %s: %v", c.number, what, rejection)
+		c.t.Errorf("caller %d: %s: got unexpected rejection %v", c.number, what, rejection)
 	}
 }
--- a/internal/process/integration/daemons_test.go
+++ b/internal/process/integration/daemons_test.go
@@ -20,14 +20,17 @@
 )
 
 const (
-	// connectionLimit is met by the test's flood.
+	// connectionLimit is the maximum number of connections of each daemon; flood opens
+	// more.
 	connectionLimit = 64
-	// bodyLimit is what the front and the agent take, and the scheduler here.
+	// bodyLimit is the maximum size of a request body, in bytes: the built-in limit of
+	// front and agent, and the limit set for the scheduler in these tests.
 	bodyLimit = 1 << 20
 )
 
-// tightBounds make the tests quick. Held calls end within WriteTimeout.
-func tightBounds() daemon.Config {
+// shortLimits returns limits with which daemons soon close the connections of slow senders.
+// Long polls end within WriteTimeout.
+func shortLimits() daemon.Config {
 	return daemon.Config{
 		ReadHeaderTimeout: 200 * time.Millisecond,
 		ReadTimeout:       400 * time.Millisecond,
@@ -37,23 +40,25 @@
 	}
 }
 
-// target is a daemon that gets bad input.
+// target is a daemon to which bad input is sent.
 type target struct {
 	name    string
 	address string
 	// post is the method and path of a request with a body.
 	post string
-	// tooLarge is the status for a body of more than bodyLimit.
+	// tooLarge is the expected status for a body larger than bodyLimit.
 	tooLarge int
-	// ordinary makes a request as its users do, and returns why it failed.
-	ordinary func() error
+	// sendValidRequest sends a request that the daemon must accept; it returns an error
+	// if it was not accepted.
+	sendValidRequest func() error
 }
 
-// startDaemons runs a scheduler, a front and an agent, and waits until each serves.
+// startDaemons starts a scheduler, a front and an agent, and waits until each serves
+// requests.
 func startDaemons(t *testing.T) []target {
 	t.Helper()
 	scheduler := newNodes(t, 1)[0]
-	scheduler.bounds, scheduler.maxRequest = tightBounds(), bodyLimit
+	scheduler.limits, scheduler.maxRequestBytes = shortLimits(), bodyLimit
 	scheduler.start()
 	request := protocol.PutConfigRequest{OrderID: "first", Config: taggedConfig("first")}
 	if _, err := callUntilAnswered[protocol.PutConfigRequest, protocol.PutConfigAnswer](t, newClient(t), []*node{scheduler}, protocol.MethodPutConfig, request); err != nil {
@@ -61,7 +66,7 @@
 	}
 	targets := []target{schedulerTarget(t, scheduler), frontTarget(t, scheduler), agentTarget(t, scheduler)}
 	for _, target := range targets {
-		eventually(t, target.name+" serves", func() bool { return target.ordinary() == nil })
+		eventually(t, target.name+" serves valid requests", func() bool { return target.sendValidRequest() == nil })
 	}
 	return targets
 }
@@ -73,7 +78,7 @@
 		address:  n.address,
 		post:     "POST /rpc/submit",
 		tooLarge: http.StatusBadRequest,
-		ordinary: func() error {
+		sendValidRequest: func() error {
 			client := rpc.NewClient(rpc.ClientConfig{})
 			defer client.Close()
 			_, err := rpc.Call[protocol.Empty, protocol.ConfigAnswer](t.Context(), client, n.address, protocol.MethodGetConfig, protocol.Empty{})
@@ -82,17 +87,17 @@
 	}
 }
 
-// serve runs a daemon on an address of its own until the end of the test.
-func serve(t *testing.T, name, address string, handler http.Handler, link *leaderclient.Client, clean func()) {
+// serve runs a daemon on the address until the end of the test, then calls cleanup.
+func serve(t *testing.T, name, address string, handler http.Handler, leader *leaderclient.Client, cleanup func()) {
 	t.Helper()
 	process := &node{t: t, name: name}
-	config := tightBounds()
+	config := shortLimits()
 	config.Listen, config.Handler = address, handler
-	config.Background = []func(context.Context) error{link.Run}
-	process.run(config, clean)
+	config.Background = []func(context.Context) error{leader.Run}
+	process.run(config, cleanup)
 }
 
-func newLink(name, role string, n *node, client *rpc.Client) *leaderclient.Client {
+func newLeaderClient(name, role string, n *node, client *rpc.Client) *leaderclient.Client {
 	return leaderclient.New(leaderclient.Config{
 		Process: name, Role: role, Zone: "zone", Client: client,
 		Seeds: func() []string { return n.seeds },
@@ -102,20 +107,20 @@
 func frontTarget(t *testing.T, n *node) target {
 	t.Helper()
 	client := rpc.NewClient(rpc.ClientConfig{Timeout: front.MaxAttemptDuration + time.Second})
-	link := newLink("front-1", "front", n, client)
-	served, err := front.New(front.Config{Link: link, Client: client})
+	leader := newLeaderClient("front-1", "front", n, client)
+	handler, err := front.New(front.Config{Link: leader, Client: client})
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := testaddress.New(t)
-	serve(t, "front-1", address, served, link, client.Close)
+	serve(t, "front-1", address, handler, leader, client.Close)
 	jobs := 0
 	return target{
 		name:     "front",
 		address:  address,
 		post:     "PUT /v1/jobs/bad",
 		tooLarge: http.StatusRequestEntityTooLarge,
-		ordinary: func() error {
+		sendValidRequest: func() error {
 			jobs++
 			return send(t, http.MethodPut, fmt.Sprintf("http://%s/v1/jobs/job-%d", address, jobs), taggedJob("first"), http.StatusCreated)
 		},
@@ -125,16 +130,16 @@
 func agentTarget(t *testing.T, n *node) target {
 	t.Helper()
 	client := rpc.NewClient(rpc.ClientConfig{})
-	link := newLink("agent-1", "agent", n, client)
-	served, err := agent.New(agent.Config{
-		Name: "agent-1", Zone: func() string { return "zone" }, RelayTimeout: time.Second, Link: link, Client: client,
+	leader := newLeaderClient("agent-1", "agent", n, client)
+	handler, err := agent.New(agent.Config{
+		Name: "agent-1", Zone: func() string { return "zone" }, RelayTimeout: time.Second, Link: leader, Client: client,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := testaddress.New(t)
-	serve(t, "agent-1", address, served, link, client.Close)
-	heartbeat := api.Heartbeat{ // a worker that could hold the jobs, but takes none
+	serve(t, "agent-1", address, handler, leader, client.Close)
+	heartbeat := api.Heartbeat{ // large enough for the jobs, but draining, so it gets no runs
 		WorkerID: "incarnation-1", Name: "worker-1", Services: []string{"s"}, Capacity: api.Resources{CPUMillis: 1000}, Draining: true,
 	}
 	return target{
@@ -142,14 +147,14 @@
 		address:  address,
 		post:     "POST " + agent.HeartbeatPath,
 		tooLarge: http.StatusRequestEntityTooLarge,
-		ordinary: func() error {
+		sendValidRequest: func() error {
 			heartbeat.Seq++
 			return send(t, http.MethodPost, "http://"+address+agent.HeartbeatPath, heartbeat, http.StatusOK)
 		},
 	}
 }
 
-// send sends a body as JSON on a connection of its own.
+// send sends the body as JSON on a new connection and checks the status of the response.
 func send(t *testing.T, method, url string, body any, want int) error {
 	t.Helper()
 	data, err := json.Marshal(body)
@@ -167,7 +172,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != want {
-		return fmt.Errorf("status %d, want %d", response.StatusCode, want)
+		return fmt.Errorf("got status %d, want %d", response.StatusCode, want)
 	}
 	return nil
 }
--- a/internal/process/integration/fulldisk_test.go
+++ b/internal/process/integration/fulldisk_test.go
@@ -25,18 +25,19 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
-// boundedStore is a store on a disk that can be full.
-type boundedStore struct {
+// fullDiskStore is a store that simulates a full disk.
+type fullDiskStore struct {
 	*storage.Memory
-	// full makes all writes fail, the others only those of one kind.
+	// full makes all writes fail; noSnapshots and noArchive make only the writes of
+	// snapshots and of the archive fail.
 	full         atomic.Bool
 	noSnapshots  atomic.Bool
 	noArchive    atomic.Bool
 	failedWrites atomic.Int64
 }
 
-// write fails if the disk is full, or for this kind of write.
-func (s *boundedStore) write(kind *atomic.Bool) error {
+// write returns an ENOSPC error if full or kind is set, and counts it in failedWrites.
+func (s *fullDiskStore) write(kind *atomic.Bool) error {
 	if s.full.Load() || kind.Load() {
 		s.failedWrites.Add(1)
 		return &os.PathError{Op: "write", Path: "data/log-0000000000000001.wal", Err: syscall.ENOSPC}
@@ -44,50 +45,50 @@
 	return nil
 }
 
-func (s *boundedStore) Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error {
+func (s *fullDiskStore) Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error {
 	if err := s.write(&s.full); err != nil {
 		return fmt.Errorf("%w: %w", storage.ErrNoSpace, err)
 	}
 	return s.Memory.Save(hardState, entries, sync)
 }
 
-func (s *boundedStore) SaveSnapshot(meta raft.SnapshotMeta, keepEntries uint64, write func(io.Writer) error) error {
+func (s *fullDiskStore) SaveSnapshot(meta raft.SnapshotMeta, keepEntries uint64, write func(io.Writer) error) error {
 	if err := s.write(&s.noSnapshots); err != nil {
 		return err
 	}
 	return s.Memory.SaveSnapshot(meta, keepEntries, write)
 }
 
-func (s *boundedStore) InstallSnapshot(meta raft.SnapshotMeta, data io.Reader) error {
+func (s *fullDiskStore) InstallSnapshot(meta raft.SnapshotMeta, data io.Reader) error {
 	if err := s.write(&s.noSnapshots); err != nil {
 		return err
 	}
 	return s.Memory.InstallSnapshot(meta, data)
 }
 
-func (s *boundedStore) Archive() record.Archive {
-	return boundedArchive{Archive: s.Memory.Archive(), store: s}
+func (s *fullDiskStore) Archive() record.Archive {
+	return fullDiskArchive{Archive: s.Memory.Archive(), store: s}
 }
 
-type boundedArchive struct {
+type fullDiskArchive struct {
 	record.Archive
-	store *boundedStore
+	store *fullDiskStore
 }
 
-func (a boundedArchive) Put(jobs []record.ArchivedJob) error {
+func (a fullDiskArchive) Put(jobs []record.ArchivedJob) error {
 	if err := a.store.write(&a.store.noArchive); err != nil {
 		return err
 	}
 	return a.Archive.Put(jobs)
 }
 
-// boundedNodes starts three nodes on such stores.
-func boundedNodes(t *testing.T) ([]*node, map[*node]*boundedStore) {
+// newFullDiskNodes starts three nodes, each on a fullDiskStore that is not full yet.
+func newFullDiskNodes(t *testing.T) ([]*node, map[*node]*fullDiskStore) {
 	t.Helper()
 	nodes := newNodes(t, 3)
-	stores := map[*node]*boundedStore{}
+	stores := map[*node]*fullDiskStore{}
 	for i, n := range nodes {
-		stores[n] = &boundedStore{Memory: storage.NewMemory(int64(i + 1))}
+		stores[n] = &fullDiskStore{Memory: storage.NewMemory(int64(i + 1))}
 		n.store, n.snapshotEvery = stores[n], 20
 	}
 	startAll(nodes)
@@ -98,7 +99,8 @@
 	return nodes, stores
 }
 
-// submitJobs submits jobs until each is acknowledged by one of the nodes.
+// submitJobs submits count jobs, waits until each was acknowledged by one of the nodes, and
+// returns their IDs.
 func submitJobs(t *testing.T, nodes []*node, prefix string, count int) []string {
 	t.Helper()
 	client := newClient(t)
@@ -113,29 +115,29 @@
 	return ids
 }
 
-// wantStoppedFull waits for a node that stops by itself, and checks what its
-// program would say.
-func wantStoppedFull(t *testing.T, n *node) {
+// wantStoppedByFullDisk waits until the node ends with ENOSPC, and checks the exit code and
+// message of its program for this error.
+func wantStoppedByFullDisk(t *testing.T, n *node) {
 	t.Helper()
 	err := n.result()
 	if !errors.Is(err, syscall.ENOSPC) {
-		t.Fatalf("%s ended with %v, want %v", n.name, err, syscall.ENOSPC)
+		t.Fatalf("%s: got result %v, want %v", n.name, err, syscall.ENOSPC)
 	}
 	command := &cobra.Command{Use: "program", RunE: func(*cobra.Command, []string) error { return err }}
 	command.SetArgs([]string{})
 	var stderr bytes.Buffer
 	if code := daemon.Execute(t.Context(), command, &stderr); code != daemon.ExitFailure {
-		t.Errorf("exit code %d, want %d", code, daemon.ExitFailure)
+		t.Errorf("got exit code %d, want %d", code, daemon.ExitFailure)
 	}
-	if line := stderr.String(); strings.Count(line, "\n") != 1 || !strings.Contains(line, "no space left on device") {
-		t.Errorf("said %q, want one line that names the cause", line)
+	if message := stderr.String(); strings.Count(message, "\n") != 1 || !strings.Contains(message, "no space left on device") {
+		t.Errorf("got stderr %q, want one line that names the cause", message)
 	}
 }
 
-// wantJobs waits until the record of a node itself holds every job.
+// wantJobs waits until the node's own record or archive contains all jobs.
 func wantJobs(t *testing.T, n *node, ids []string) {
 	t.Helper()
-	eventually(t, n.name+" holds all jobs", func() bool {
+	eventually(t, n.name+" has all jobs", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if n.replica.ReadBarrier(ctx) != nil {
@@ -153,59 +155,60 @@
 	})
 }
 
-// wantNotParticipating waits until a write of a node has failed, and checks that the node
-// keeps running, and neither leads nor counts for the quorum: with it and one other,
-// nothing is acknowledged.
-func wantNotParticipating(t *testing.T, full *node, store *boundedStore, nodes []*node) {
+// wantNotParticipating waits until a write of the node full has failed. It then checks that
+// the node continues to run but neither leads nor counts towards the quorum: while only it
+// and one other node run, no job is acknowledged.
+func wantNotParticipating(t *testing.T, full *node, store *fullDiskStore, nodes []*node) {
 	t.Helper()
-	eventually(t, full.name+" failed to write", func() bool { return store.failedWrites.Load() > 0 })
+	eventually(t, full.name+" failed a write", func() bool { return store.failedWrites.Load() > 0 })
 	rest := without(nodes, full)
-	eventually(t, full.name+" leads no more", func() bool { return !full.leads() && leaderOf(t, rest) != nil })
+	eventually(t, full.name+" lost leadership to another node", func() bool { return !full.leads() && leaderOf(t, rest) != nil })
 	stopped := without(rest, leaderOf(t, rest))[0]
 	stopped.crash()
 	for deadline := time.Now().Add(fullDiskObservation); time.Now().Before(deadline); {
 		ctx, cancel := context.WithTimeout(t.Context(), attemptTimeout)
-		request := protocol.SubmitRequest{ID: fmt.Sprintf("lonely-%d", time.Now().UnixNano()), Spec: taggedJob("first")}
+		request := protocol.SubmitRequest{ID: fmt.Sprintf("no-quorum-%d", time.Now().UnixNano()), Spec: taggedJob("first")}
 		_, err := rpc.Call[protocol.SubmitRequest, protocol.SubmitAnswer](ctx, newClient(t), without(rest, stopped)[0].address, protocol.MethodSubmit, request)
 		cancel()
 		if err == nil {
-			t.Fatalf("%s was acknowledged by a majority of which one has a full disk", request.ID)
+			t.Fatalf("job %s was acknowledged by two nodes of which one has a full disk", request.ID)
 		}
 	}
 	select {
 	case err := <-full.ended:
-		t.Fatalf("%s ended: %v", full.name, err)
+		t.Fatalf("%s ended with %v, want it still running", full.name, err)
 	default:
 	}
 	stopped.start()
 }
 
-// fullDiskObservation is how long a node with a full disk is observed.
+// fullDiskObservation is how long wantNotParticipating submits jobs.
 const fullDiskObservation = 1500 * time.Millisecond
 
-// TestFullDisk_FollowerStopsParticipating: a follower does not participate while its disk
-// is full, and participates again, without a restart, once there is space.
+// TestFullDisk_FollowerStopsParticipating checks that a follower does not participate while
+// its disk is full, and participates again, without a restart, once there is space.
 func TestFullDisk_FollowerStopsParticipating(t *testing.T) {
-	nodes, stores := boundedNodes(t)
+	nodes, stores := newFullDiskNodes(t)
 	ids := submitJobs(t, nodes, "before", 10)
 	leader := leaderOf(t, nodes)
 	full := without(nodes, leader)[0]
 	stores[full].full.Store(true)
 	rest := without(nodes, full)
-	ids = append(ids, submitJobs(t, rest, "meanwhile", 50)...) // more than the log retains
+	ids = append(ids, submitJobs(t, rest, "meanwhile", 50)...) // more entries than the log retains
 	wantNotParticipating(t, full, stores[full], nodes)
 	ids = append(ids, submitJobs(t, rest, "still", 10)...)
 	stores[full].full.Store(false)
 	wantJobs(t, full, ids)
-	// It counts again: without another node it makes the majority.
+	// The node counts towards the quorum again: with one other node it forms the majority.
 	rest[1].crash()
 	ids = append(ids, submitJobs(t, without(nodes, rest[1]), "after", 10)...)
 	wantJobs(t, full, ids)
 }
 
-// TestFullDisk_StartWaits: a node that is started while its disk is full waits for space.
+// TestFullDisk_StartWaits checks that a node that is started while its disk is full does not
+// participate until there is space.
 func TestFullDisk_StartWaits(t *testing.T) {
-	nodes, stores := boundedNodes(t)
+	nodes, stores := newFullDiskNodes(t)
 	ids := submitJobs(t, nodes, "before", 10)
 	full := without(nodes, leaderOf(t, nodes))[0]
 	stores[full].full.Store(true)
@@ -218,20 +221,20 @@
 	wantJobs(t, full, ids)
 }
 
-// TestFullDisk_StopSucceeds: a node whose disk is full can be stopped.
+// TestFullDisk_StopSucceeds checks that a node whose disk is full stops without an error.
 func TestFullDisk_StopSucceeds(t *testing.T) {
-	nodes, stores := boundedNodes(t)
+	nodes, stores := newFullDiskNodes(t)
 	full := without(nodes, leaderOf(t, nodes))[0]
 	stores[full].full.Store(true)
 	submitJobs(t, without(nodes, full), "meanwhile", 3)
-	eventually(t, "a write failed", func() bool { return stores[full].failedWrites.Load() > 0 })
+	eventually(t, "a write failed on the full disk", func() bool { return stores[full].failedWrites.Load() > 0 })
 	full.stop()
 }
 
-// TestFullDisk_LeaderLosesLeadership fills the leader's disk while callers submit jobs, and
-// checks that whatever was acknowledged is kept.
+// TestFullDisk_LeaderLosesLeadership fills the leader's disk while callers submit jobs. The
+// leader must lose leadership, and no acknowledged job may be lost.
 func TestFullDisk_LeaderLosesLeadership(t *testing.T) {
-	nodes, stores := boundedNodes(t)
+	nodes, stores := newFullDiskNodes(t)
 	leader := leaderOf(t, nodes)
 	acknowledged := submitJobs(t, nodes, "before", 10)
 	var mutex sync.Mutex
@@ -254,7 +257,7 @@
 			}
 		})
 	}
-	eventually(t, "some jobs acknowledged", func() bool {
+	eventually(t, "at least 100 acknowledged jobs", func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return len(acknowledged) >= 100
@@ -273,9 +276,10 @@
 	wantJobs(t, leader, acknowledged)
 }
 
-// TestFullDisk_SnapshotsFail: a snapshot only saves space; without it a replica works on.
+// TestFullDisk_SnapshotsFail checks that replicas continue to work while they cannot write
+// snapshots, which only save space, and write them once they can.
 func TestFullDisk_SnapshotsFail(t *testing.T) {
-	nodes, stores := boundedNodes(t)
+	nodes, stores := newFullDiskNodes(t)
 	for _, store := range stores {
 		store.noSnapshots.Store(true)
 	}
@@ -296,10 +300,10 @@
 	}
 }
 
-// TestFullDisk_ArchiveFails: an ended job that cannot be archived stops the replica; the
-// others still have it.
+// TestFullDisk_ArchiveFails checks that a replica that cannot archive an ended job stops, and
+// archives the job after a restart with space, because the other replicas still have it.
 func TestFullDisk_ArchiveFails(t *testing.T) {
-	nodes, stores := boundedNodes(t)
+	nodes, stores := newFullDiskNodes(t)
 	ids := submitJobs(t, nodes, "job", 3)
 	leader := leaderOf(t, nodes)
 	full := without(nodes, leader)[0]
@@ -307,14 +311,14 @@
 	rest := without(nodes, full)
 	answer, err := callUntilAnswered[protocol.CancelRequest, protocol.JobAnswer](t, newClient(t), rest, protocol.MethodCancel, protocol.CancelRequest{ID: ids[0]})
 	if err != nil || answer.Status.State != api.StateCancelled {
-		t.Fatalf("cancelled: %+v, %v", answer.Status, err)
+		t.Fatalf("cancel a job: got %+v, error %v, want state cancelled", answer.Status, err)
 	}
-	wantStoppedFull(t, full)
+	wantStoppedByFullDisk(t, full)
 	stores[full].noArchive.Store(false)
 	full.crash()
 	full.start()
 	wantJobs(t, full, ids)
 	if _, known, err := full.store.Archive().Get(ids[0]); err != nil || !known {
-		t.Fatalf("the ended job was archived: %v, %v", known, err)
+		t.Fatalf("read the ended job from the archive: got found %v, error %v, want true and nil", known, err)
 	}
 }
--- a/internal/process/integration/history_test.go
+++ b/internal/process/integration/history_test.go
@@ -8,29 +8,31 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// history collects the calls of all callers.
+// history records the calls of all callers. Call times are in nanoseconds since started.
 type history struct {
 	started time.Time
-	mutex   sync.Mutex
-	config  []porcupine.Operation
-	jobs    []porcupine.Operation
-	// orders were given with resent set and may be given again.
+	// mutex guards the fields below.
+	mutex  sync.Mutex
+	config []porcupine.Operation
+	jobs   []porcupine.Operation
+	// orders are the recorded configuration changes with resent set, which may be repeated.
 	orders []configInput
 }
 
 func (h *history) now() int64 { return time.Since(h.started).Nanoseconds() }
 
-// operation is a call that ends now, or, left open, at any time or never.
-func (h *history) operation(caller int, input, output any, call int64, open bool) porcupine.Operation {
-	operation := porcupine.Operation{ClientId: caller, Input: input, Output: output, Call: call, Return: h.now()}
-	if open {
+// operation returns the operation of a call that ends now. An unanswered call may take
+// effect at any later time or never.
+func (h *history) operation(caller int, input, output any, start int64, unanswered bool) porcupine.Operation {
+	operation := porcupine.Operation{ClientId: caller, Input: input, Output: output, Call: start, Return: h.now()}
+	if unanswered {
 		operation.Return = pendingForever
 	}
 	return operation
 }
 
-func (h *history) addConfig(caller int, input configInput, output configOutput, call int64) {
-	operation := h.operation(caller, input, output, call, output.result == configUnknown)
+func (h *history) addConfig(caller int, input configInput, output configOutput, start int64) {
+	operation := h.operation(caller, input, output, start, output.result == configUnknown)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.config = append(h.config, operation)
@@ -39,14 +41,14 @@
 	}
 }
 
-func (h *history) addJob(caller int, input jobInput, output jobOutput, call int64) {
-	operation := h.operation(caller, input, output, call, output.result == jobUnknown)
+func (h *history) addJob(caller int, input jobInput, output jobOutput, start int64) {
+	operation := h.operation(caller, input, output, start, output.result == jobUnknown)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.jobs = append(h.jobs, operation)
 }
 
-// earlierOrder returns an order that was given before, if there is one.
+// earlierOrder returns one of the five newest orders at random; false if there is none.
 func (h *history) earlierOrder(random *rand.Rand) (configInput, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/process/integration/linearizability_test.go
+++ b/internal/process/integration/linearizability_test.go
@@ -17,19 +17,21 @@
 )
 
 const (
-	callers = 6
-	// faults is the number of faults in one run.
-	faults = 14
-	// checkTimeout bounds the search for an order of one history.
+	// callerCount is the number of concurrent callers.
+	callerCount = 6
+	// faultCount is the number of faults in one run.
+	faultCount = 14
+	// checkTimeout bounds the search for a linearization of one history.
 	checkTimeout = 20 * time.Second
-	// wrongTimeout bounds it in a history that has none; the calls left open allow many
-	// orders.
-	wrongTimeout = 2 * time.Second
+	// staleCheckTimeout bounds the search in a history without a linearization, which may
+	// take long because the unanswered calls allow many orders.
+	staleCheckTimeout = 2 * time.Second
 )
 
 // TestCluster_ResponsesLinearizable makes concurrent calls during network partitions, lost
-// answers and crashes of leaders, and then looks for one order of all calls, consistent
-// with their times, that explains every answer.
+// answers, hanging disks and crashes of nodes. It then checks that the calls are
+// linearizable: that there is an order of all calls, consistent with their start and end
+// times, that explains every answer.
 func TestCluster_ResponsesLinearizable(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
@@ -42,7 +44,7 @@
 	}
 }
 
-// faultRun is one seeded run.
+// faultRun is one run of the test with a seed.
 type faultRun struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -72,14 +74,14 @@
 	}
 	r.initial = configState{version: answer.Version, tag: first}
 	r.history = &history{started: time.Now()}
-	for number := range callers {
+	for number := range callerCount {
 		r.callers = append(r.callers, r.newCaller(seed, number))
 	}
 	return r
 }
 
 func (r *faultRun) newCaller(seed uint64, number int) *caller {
-	client := rpc.NewClient(rpc.ClientConfig{Dialer: r.links.dialer(fmt.Sprintf("caller-%d", number), answerLoss)})
+	client := rpc.NewClient(rpc.ClientConfig{Dialer: r.links.dialer(fmt.Sprintf("caller-%d", number), answerLossProbability)})
 	r.t.Cleanup(client.Close)
 	return &caller{
 		t:       r.t,
@@ -92,44 +94,48 @@
 	}
 }
 
+// injectFaultsDuringCalls injects faultCount faults one after another while the callers make
+// calls.
 func (r *faultRun) injectFaultsDuringCalls() {
 	ctx, cancel := context.WithCancel(r.t.Context())
-	var working sync.WaitGroup
-	defer working.Wait()
+	var running sync.WaitGroup
+	defer running.Wait()
 	defer cancel()
 	for _, c := range r.callers {
-		working.Go(func() { c.run(ctx) })
+		running.Go(func() { c.run(ctx) })
 	}
-	for number := range faults {
+	for number := range faultCount {
 		leader := leaderOf(r.t, r.nodes)
-		repair, lasts := r.injectFault(number, leader)
-		time.Sleep(lasts) // no result depends on it
+		repair, duration := r.injectFault(number, leader)
+		time.Sleep(duration) // the verdict does not depend on the duration
 		repair()
 	}
 	leaderOf(r.t, r.nodes)
 }
 
-// wantProgress checks that the run had many answers and some losses.
+// wantProgress checks that enough calls were answered, some attempts had an unknown outcome,
+// and the leader changed several times.
 func (r *faultRun) wantProgress() {
-	for what, least := range map[string]int{
+	for what, minimum := range map[string]int{
 		"configuration read":     30,
 		"configuration accepted": 5,
 		"submitted":              20,
 		"job answered":           20,
 		"unknown attempts":       3,
 	} {
-		if got := r.counts.of(what); got < least {
-			r.t.Errorf("%s: %d, want at least %d", what, got, least)
+		if got := r.counts.get(what); got < minimum {
+			r.t.Errorf("%s: got %d, want at least %d", what, got, minimum)
 		}
 	}
 	token := leaderOf(r.t, r.nodes).replica.Status().Term
 	if token < 4 {
-		r.t.Errorf("the last leader has token %d, want several leaders", token)
+		r.t.Errorf("got token %d of the last leader, want at least 4", token)
 	}
-	r.t.Logf("%d configuration calls, %d job calls; %d left open, %d answers lost, last token %d",
-		len(r.history.config), len(r.history.jobs), r.counts.of("left open"), r.links.lost, token)
+	r.t.Logf("%d configuration calls, %d job calls; %d of unknown outcome, %d reads lost, last token %d",
+		len(r.history.config), len(r.history.jobs), r.counts.get("left open"), r.links.lostReads, token)
 }
 
+// check checks that the histories of the configuration and of the jobs are linearizable.
 func (r *faultRun) check() {
 	config := configModel(r.initial)
 	for what, checked := range map[string]struct {
@@ -139,27 +145,27 @@
 		"configuration": {config, r.history.config},
 		"jobs":          {jobModel(), r.history.jobs},
 	} {
-		began := time.Now()
+		start := time.Now()
 		if got := porcupine.CheckOperationsTimeout(checked.model, checked.history, checkTimeout); got != porcupine.Ok {
-			r.t.Errorf("%s: %v, want %v", what, got, porcupine.Ok)
+			r.t.Errorf("%s: got verdict %v, want %v", what, got, porcupine.Ok)
 		}
-		r.t.Logf("%s checked in %v", what, time.Since(began))
+		r.t.Logf("%s checked in %v", what, time.Since(start))
 	}
-	r.wantWrongHistoryDetected(config)
+	r.wantStaleReadDetected(config)
 }
 
-// wantWrongHistoryDetected checks the check: if the newest read of the configuration had
-// returned the first version, no order would explain the history.
-func (r *faultRun) wantWrongHistoryDetected(model porcupine.Model) {
-	wrong := slices.Clone(r.history.config)
-	slices.SortFunc(wrong, func(a, b porcupine.Operation) int { return int(a.Call - b.Call) })
-	for i, operation := range slices.Backward(wrong) {
+// wantStaleReadDetected checks that the check detects a wrong history: one in which the
+// newest read of the configuration returned the first version must not be accepted.
+func (r *faultRun) wantStaleReadDetected(model porcupine.Model) {
+	stale := slices.Clone(r.history.config)
+	slices.SortFunc(stale, func(a, b porcupine.Operation) int { return int(a.Call - b.Call) })
+	for i, operation := range slices.Backward(stale) {
 		if operation.Output.(configOutput).result == configRead {
-			wrong[i].Output = configOutput{result: configRead, version: r.initial.version, tag: r.initial.tag}
+			stale[i].Output = configOutput{result: configRead, version: r.initial.version, tag: r.initial.tag}
 			break
 		}
 	}
-	if got := porcupine.CheckOperationsTimeout(model, wrong, wrongTimeout); got == porcupine.Ok {
-		r.t.Error("a stale read at the end was not detected")
+	if got := porcupine.CheckOperationsTimeout(model, stale, staleCheckTimeout); got == porcupine.Ok {
+		r.t.Error("a history that ends with a stale read was accepted as linearizable")
 	}
 }
--- a/internal/process/integration/models_test.go
+++ b/internal/process/integration/models_test.go
@@ -8,21 +8,21 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// pendingForever is when a call without an answer returns: its effect may come
-// at any time after the call, or never.
+// pendingForever is the return time of an unanswered call. The call may take effect at any
+// time after its start, or never.
 const pendingForever = int64(math.MaxInt64)
 
-// configInput is one call about the configuration.
+// configInput is a call that reads the configuration or, if put is true, changes it.
 type configInput struct {
 	put   bool
 	order string
 	base  uint64
 	tag   string
-	// resent orders are given in more than one call.
+	// resent is true if the order may be sent in more than one call.
 	resent bool
 }
 
-// configResult is how a call about the configuration ended.
+// configResult is the result of a call that reads or changes the configuration.
 type configResult uint8
 
 const (
@@ -39,8 +39,8 @@
 	tag     string
 }
 
-// configState is the register: the version in force, its content, and how the
-// resent orders were decided.
+// configState is the state of configModel: the version in force, the tag of its content, and
+// the decisions on resent orders.
 type configState struct {
 	version uint64
 	tag     string
@@ -52,7 +52,8 @@
 	output configOutput
 }
 
-// configModel is a register with compare-and-set, whose orders are decided once.
+// configModel models the configuration as a register with compare-and-set. Each order is
+// decided once; if it is resent, it gets the same result again.
 func configModel(initial configState) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return initial },
@@ -75,6 +76,7 @@
 	return output.result == configUnknown || output == want, next
 }
 
+// decide returns the output and the next state for a call that changes the configuration.
 func decide(state configState, input configInput) (configOutput, configState) {
 	if known, decided := state.orders[input.order]; decided {
 		if known.tag != input.tag {
@@ -98,7 +100,7 @@
 	return output, next
 }
 
-// jobCall is what is done with a job.
+// jobCall is the kind of a call about a job.
 type jobCall uint8
 
 const (
@@ -113,17 +115,18 @@
 	tag  string
 }
 
-// jobResult is how a call about a job ended.
+// jobResult is the result of a call about a job.
 type jobResult uint8
 
 const (
 	jobUnknown jobResult = iota
 	jobCreated
-	jobSame
-	// jobTaken: created or the same; the call was sent more than once.
-	jobTaken
+	jobExists
+	// jobCreatedOrExists is the result if the call was sent more than once, so that one of
+	// its own earlier attempts may have created the job.
+	jobCreatedOrExists
 	jobConflict
-	jobMissing
+	jobNotFound
 	jobStatus
 )
 
@@ -133,13 +136,13 @@
 	cancelled bool
 }
 
-// jobState is the register of one job; an empty tag means that there is none.
+// jobState is the state of one job; an empty tag means that the job does not exist.
 type jobState struct {
 	tag       string
 	cancelled bool
 }
 
-// jobModel is one register for each job, so that histories are checked by job.
+// jobModel models each job as a register, so that each job's history is checked separately.
 func jobModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: partitionByJob,
@@ -165,7 +168,7 @@
 		return submitJob(state, input, output)
 	}
 	if state.tag == "" {
-		return unknown || output.result == jobMissing, state
+		return unknown || output.result == jobNotFound, state
 	}
 	if input.call == jobCancel {
 		state.cancelled = true
@@ -175,7 +178,7 @@
 }
 
 func submitJob(state jobState, input jobInput, output jobOutput) (bool, any) {
-	want := jobSame
+	want := jobExists
 	switch state.tag {
 	case "":
 		want = jobCreated
@@ -184,5 +187,5 @@
 	default:
 		return output.result == jobUnknown || output.result == jobConflict, state
 	}
-	return output.result == want || output.result == jobTaken || output.result == jobUnknown, state
+	return output.result == want || output.result == jobCreatedOrExists || output.result == jobUnknown, state
 }
--- a/internal/process/integration/modelscheck_test.go
+++ b/internal/process/integration/modelscheck_test.go
@@ -7,8 +7,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// TestConfigModel_DetectsWrongHistories checks that the model accepts what a correct system
-// may answer, and rejects what it may not.
+// TestConfigModel_DetectsWrongHistories checks that the model accepts histories that a correct
+// system can produce and rejects others.
 func TestConfigModel_DetectsWrongHistories(t *testing.T) {
 	put := func(order string, base uint64, tag string) configInput {
 		return configInput{put: true, order: order, base: base, tag: tag, resent: true}
@@ -24,19 +24,19 @@
 		history []porcupine.Operation
 		right   bool
 	}{
-		"read after put":               {sequence(put("a", 1, "x"), accepted(2), configInput{}, read(2, "x")), true},
-		"old read after put":           {sequence(put("a", 1, "x"), accepted(2), configInput{}, read(1, "")), false},
-		"reads go back":                {concurrent(sequence(configInput{}, read(2, "x"), configInput{}, read(1, "")), put("a", 1, "x"), accepted(2)), false},
-		"reads around a put":           {concurrent(sequence(configInput{}, read(1, ""), configInput{}, read(2, "x")), put("a", 1, "x"), accepted(2)), true},
-		"two win on one base":          {concurrent(sequence(put("b", 1, "y"), accepted(2)), put("a", 1, "x"), accepted(2)), false},
-		"one of two wins":              {concurrent(sequence(put("b", 1, "y"), accepted(2)), put("a", 1, "x"), lost), true},
-		"nobody wins":                  {sequence(put("a", 1, "x"), lost), false},
-		"a resend is decided again":    {sequence(put("a", 1, "x"), accepted(2), put("a", 1, "x"), lost), false},
-		"a resend gets the same":       {sequence(put("a", 1, "x"), accepted(2), put("b", 2, "y"), accepted(3), put("a", 1, "x"), accepted(2)), true},
-		"an order with other content":  {sequence(put("a", 1, "x"), accepted(2), put("a", 1, "y"), configOutput{result: configConflict}), true},
-		"unknown had its effect":       {pending(put("a", 1, "x"), unknown, sequence(configInput{}, read(1, ""), configInput{}, read(2, "x"))), true},
-		"unknown had none":             {pending(put("a", 1, "x"), unknown, sequence(configInput{}, read(1, ""), put("b", 1, "y"), accepted(2))), true},
-		"unknown had and then had not": {pending(put("a", 1, "x"), unknown, sequence(configInput{}, read(2, "x"), configInput{}, read(1, ""))), false},
+		"read after put":              {sequence(put("a", 1, "x"), accepted(2), configInput{}, read(2, "x")), true},
+		"old read after put":          {sequence(put("a", 1, "x"), accepted(2), configInput{}, read(1, "")), false},
+		"second read is older":        {concurrent(sequence(configInput{}, read(2, "x"), configInput{}, read(1, "")), put("a", 1, "x"), accepted(2)), false},
+		"reads around a put":          {concurrent(sequence(configInput{}, read(1, ""), configInput{}, read(2, "x")), put("a", 1, "x"), accepted(2)), true},
+		"two win on one base":         {concurrent(sequence(put("b", 1, "y"), accepted(2)), put("a", 1, "x"), accepted(2)), false},
+		"one of two wins":             {concurrent(sequence(put("b", 1, "y"), accepted(2)), put("a", 1, "x"), lost), true},
+		"lost without a rival":        {sequence(put("a", 1, "x"), lost), false},
+		"resend gets another result":  {sequence(put("a", 1, "x"), accepted(2), put("a", 1, "x"), lost), false},
+		"resend gets the same result": {sequence(put("a", 1, "x"), accepted(2), put("b", 2, "y"), accepted(3), put("a", 1, "x"), accepted(2)), true},
+		"resend with other content":   {sequence(put("a", 1, "x"), accepted(2), put("a", 1, "y"), configOutput{result: configConflict}), true},
+		"unknown took effect":         {pending(put("a", 1, "x"), unknown, sequence(configInput{}, read(1, ""), configInput{}, read(2, "x"))), true},
+		"unknown had no effect":       {pending(put("a", 1, "x"), unknown, sequence(configInput{}, read(1, ""), put("b", 1, "y"), accepted(2))), true},
+		"unknown effect is reverted":  {pending(put("a", 1, "x"), unknown, sequence(configInput{}, read(2, "x"), configInput{}, read(1, ""))), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			checkVerdict(t, configModel(configState{version: 1}), test.history, test.right)
@@ -48,16 +48,16 @@
 	submit := jobInput{call: jobSubmit, job: "j", tag: "x"}
 	other := jobInput{call: jobSubmit, job: "j", tag: "y"}
 	cancel, read := jobInput{call: jobCancel, job: "j"}, jobInput{call: jobRead, job: "j"}
-	created, same := jobOutput{result: jobCreated}, jobOutput{result: jobSame}
+	created, same := jobOutput{result: jobCreated}, jobOutput{result: jobExists}
 	live := jobOutput{result: jobStatus, tag: "x"}
 	ended := jobOutput{result: jobStatus, tag: "x", cancelled: true}
-	missing, unknown := jobOutput{result: jobMissing}, jobOutput{}
+	missing, unknown := jobOutput{result: jobNotFound}, jobOutput{}
 	for name, test := range map[string]struct {
 		history []porcupine.Operation
 		right   bool
 	}{
-		"a whole life":             {sequence(read, missing, submit, created, submit, same, read, live, cancel, ended, read, ended, submit, same), true},
-		"forgotten":                {sequence(submit, created, read, missing), false},
+		"complete life cycle":      {sequence(read, missing, submit, created, submit, same, read, live, cancel, ended, read, ended, submit, same), true},
+		"created but missing":      {sequence(submit, created, read, missing), false},
 		"created twice":            {sequence(submit, created, submit, created), false},
 		"other content accepted":   {sequence(submit, created, other, same), false},
 		"other content rejected":   {sequence(submit, created, other, jobOutput{result: jobConflict}), true},
@@ -78,12 +78,12 @@
 		want = porcupine.Illegal
 	}
 	if got := porcupine.CheckOperationsTimeout(model, history, time.Minute); got != want {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("got verdict %v, want %v", got, want)
 	}
 }
 
-// sequence makes a history of calls one after another, from inputs and outputs
-// by turns.
+// sequence returns a history of consecutive calls. Its arguments are an input and an output
+// of each call in turn.
 func sequence(calls ...any) []porcupine.Operation {
 	var history []porcupine.Operation
 	for i := 0; i < len(calls); i += 2 {
@@ -93,12 +93,12 @@
 	return history
 }
 
-// concurrent adds a call that lasts as long as the whole history.
+// concurrent adds a call that is concurrent with all calls of the history.
 func concurrent(history []porcupine.Operation, input, output any) []porcupine.Operation {
 	return append(history, porcupine.Operation{ClientId: 1, Input: input, Output: output, Call: 0, Return: 1000})
 }
 
-// pending adds a call before all others that never returned.
+// pending adds an unanswered call that begins before all calls of the history.
 func pending(input, output any, history []porcupine.Operation) []porcupine.Operation {
 	return append(history, porcupine.Operation{ClientId: 1, Input: input, Output: output, Call: 0, Return: pendingForever})
 }
--- a/internal/process/integration/network_test.go
+++ b/internal/process/integration/network_test.go
@@ -8,57 +8,58 @@
 	"sync"
 )
 
+// errCut is returned for a dial or read on a link that is cut, and for a lost read.
 var errCut = errors.New("link is cut")
 
-// links are the connections between the processes of a test. They can be cut
-// by direction, and lose answers by a seeded chance.
+// links simulates the network between the callers and nodes of a test. It can cut links in
+// one direction and lose reads at random with a seed.
 type links struct {
 	mutex  sync.Mutex
 	random *rand.Rand
-	// names are the processes by address.
-	names map[string]string
-	cut   map[link]bool
-	open  map[*linkConnection]struct{}
-	lost  int
+	// nameByAddress maps the address of a node to its name.
+	nameByAddress map[string]string
+	cut           map[link]bool
+	open          map[*linkConnection]struct{}
+	lostReads     int
 }
 
-// link is from the one that dials to the one that listens.
+// link is a direction: from the name of the dialing process to that of the listening one.
 type link struct{ from, to string }
 
 func newLinks(seed uint64, nodes []*node) *links {
 	l := &links{
-		random: rand.New(rand.NewPCG(seed, 0)),
-		names:  map[string]string{},
-		cut:    map[link]bool{},
-		open:   map[*linkConnection]struct{}{},
+		random:        rand.New(rand.NewPCG(seed, 0)),
+		nameByAddress: map[string]string{},
+		cut:           map[link]bool{},
+		open:          map[*linkConnection]struct{}{},
 	}
 	for _, n := range nodes {
-		l.names[n.address] = n.name
+		l.nameByAddress[n.address] = n.name
 		n.dialer = l.dialer(n.name, 0)
 	}
 	return l
 }
 
-// dialer makes the connections of one process; each of the reads on them is
-// lost, with the connection, by the chance.
-func (l *links) dialer(from string, loss float64) func(context.Context, string, string) (net.Conn, error) {
+// dialer returns the dial function of the process from. Each read on its connections fails
+// with lossProbability, which also closes the connection.
+func (l *links) dialer(from string, lossProbability float64) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		l.mutex.Lock()
-		between := link{from: from, to: l.names[address]}
-		cut := l.cut[between]
+		direction := link{from: from, to: l.nameByAddress[address]}
+		cut := l.cut[direction]
 		l.mutex.Unlock()
 		if cut {
 			return nil, errCut
 		}
-		plain, err := new(net.Dialer).DialContext(ctx, network, address)
+		underlying, err := new(net.Dialer).DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		connection := &linkConnection{Conn: plain, links: l, link: between, loss: loss}
+		connection := &linkConnection{Conn: underlying, links: l, link: direction, lossProbability: lossProbability}
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		if l.cut[between] { // since it was looked at above
-			_ = plain.Close()
+		if l.cut[direction] { // it was cut during the dial
+			_ = underlying.Close()
 			return nil, errCut
 		}
 		l.open[connection] = struct{}{}
@@ -66,12 +67,12 @@
 	}
 }
 
-// cutAll cuts links until heal, with the connections on them.
+// cutAll cuts links until heal is called, and closes their open connections.
 func (l *links) cutAll(cuts ...link) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for _, between := range cuts {
-		l.cut[between] = true
+	for _, direction := range cuts {
+		l.cut[direction] = true
 	}
 	for connection := range l.open {
 		if l.cut[connection.link] {
@@ -81,37 +82,39 @@
 	}
 }
 
+// heal ends all cuts.
 func (l *links) heal() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	clear(l.cut)
 }
 
-// loses draws whether an answer is lost.
-func (l *links) loses(chance float64) bool {
-	if chance == 0 {
+// drawLoss returns true with the given probability, and then counts a lost read.
+func (l *links) drawLoss(probability float64) bool {
+	if probability == 0 {
 		return false
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	lost := l.random.Float64() < chance
+	lost := l.random.Float64() < probability
 	if lost {
-		l.lost++
+		l.lostReads++
 	}
 	return lost
 }
 
+// linkConnection is a connection over a link. It is in links.open until it is closed.
 type linkConnection struct {
 	net.Conn
-	links *links
-	link  link
-	loss  float64
+	links           *links
+	link            link
+	lossProbability float64
 }
 
-// Read loses, by chance, what came.
+// Read discards the data and closes the connection with probability c.lossProbability.
 func (c *linkConnection) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
-	if err == nil && c.links.loses(c.loss) {
+	if err == nil && c.links.drawLoss(c.lossProbability) {
 		_ = c.Close()
 		return 0, errCut
 	}
--- a/internal/process/integration/node_test.go
+++ b/internal/process/integration/node_test.go
@@ -25,12 +25,12 @@
 	"github.com/decklever/decklever/internal/testaddress"
 )
 
-// waitTimeout bounds waits for a condition; none takes nearly as long.
+// waitTimeout bounds each wait for a condition. It is far longer than any wait should take.
 const waitTimeout = 60 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fastTiming makes failovers short; no result depends on it.
+// fastTiming returns a timing with short failovers. No check depends on the durations.
 func fastTiming() replica.Timing {
 	return replica.Timing{
 		Tick:               20 * time.Millisecond,
@@ -40,30 +40,31 @@
 	}
 }
 
-// node is a scheduler whose name, address and store outlive its restarts. It is the
-// fixture of all tests here.
+// node is a scheduler whose name, address and store persist over restarts. All tests of this
+// package use it.
 type node struct {
 	t       *testing.T
 	name    string
 	address string
 	seeds   []string
 	store   storage.Store
-	// snapshotEvery is in entries.
+	// snapshotEvery is the number of log entries between two snapshots.
 	snapshotEvery uint64
-	// dialer is nil for plain connections.
+	// dialer makes the node's outgoing connections; nil for the default dialer.
 	dialer func(ctx context.Context, network, address string) (net.Conn, error)
-	// bounds are those of the daemon.
-	bounds daemon.Config
-	// maxRequest is in bytes; 0 is the default.
-	maxRequest int64
+	// limits are the limits of the daemon; zero fields mean the defaults.
+	limits daemon.Config
+	// maxRequestBytes is the maximum size of a request; 0 means the default.
+	maxRequestBytes int64
 
-	// replica is that of the newest start.
+	// replica is the replica of the newest start.
 	replica *replica.Replica
 	cancel  context.CancelFunc
 	ended   chan error // of capacity 1
 }
 
-// newNodes reserves addresses; every node has all of them as seeds.
+// newNodes returns count nodes that are not started. Each has the addresses of all nodes as
+// seeds.
 func newNodes(t *testing.T, count int) []*node {
 	t.Helper()
 	nodes := make([]*node, count)
@@ -84,7 +85,7 @@
 	return nodes
 }
 
-// start runs the node as the program does, until stop or a failure.
+// start starts the node as its program does. The node runs until stop or a failure.
 func (n *node) start() {
 	n.t.Helper()
 	client := rpc.NewClient(rpc.ClientConfig{Dialer: n.dialer})
@@ -113,26 +114,27 @@
 		n.t.Fatal(err)
 	}
 	service.SetLog(created)
-	server := rpc.NewServer(rpc.ServerConfig{MaxRequestBytes: n.maxRequest})
+	server := rpc.NewServer(rpc.ServerConfig{MaxRequestBytes: n.maxRequestBytes})
 	created.Register(server)
 	service.Register(server)
 	n.replica = created
-	config := n.bounds
+	config := n.limits
 	config.Listen, config.Handler = n.address, server
 	config.Background = []func(context.Context) error{created.Run}
 	n.run(config, client.Close)
 }
 
-// faultRun runs a daemon until stop, and then cleans up.
-func (n *node) run(config daemon.Config, clean func()) {
+// run starts a daemon, which runs until stop or a failure; then it calls cleanup. run returns
+// once the daemon listens.
+func (n *node) run(config daemon.Config, cleanup func()) {
 	listening := make(chan struct{})
-	config.Listening = func(net.Addr) { close(listening) }
+	config.OnListening = func(net.Addr) { close(listening) }
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	n.cancel, n.ended = cancel, ended
 	go func() {
 		err := daemon.Run(ctx, config)
-		clean()
+		cleanup()
 		ended <- err
 	}()
 	n.t.Cleanup(n.stop)
@@ -140,11 +142,11 @@
 	case <-listening:
 	case err := <-ended:
 		ended <- err
-		n.t.Fatalf("%s: not started: %v", n.name, err)
+		n.t.Fatalf("start %s: %v", n.name, err)
 	}
 }
 
-// stop ends the node's process; it may be called again.
+// stop stops the node and waits for its end. It may be called more than once.
 func (n *node) stop() {
 	n.cancel()
 	if err := n.result(); err != nil && !errors.Is(err, errResultTaken) {
@@ -152,10 +154,10 @@
 	}
 }
 
-// errResultTaken replaces the result of a process once a test has taken it.
+// errResultTaken is returned by result after the first call.
 var errResultTaken = errors.New("result already taken")
 
-// result waits for the end of the process.
+// result waits until the node ends and returns its error.
 func (n *node) result() error {
 	n.t.Helper()
 	select {
@@ -163,12 +165,13 @@
 		n.ended <- errResultTaken
 		return err
 	case <-time.After(waitTimeout):
-		n.t.Fatalf("%s: still running", n.name)
+		n.t.Fatalf("%s is still running after the wait for its end", n.name)
 		return nil
 	}
 }
 
-// crash stops the node without a leadership transfer and loses what was not synced.
+// crash stops the node without a leadership transfer and discards writes that were not
+// synced.
 func (n *node) crash() {
 	n.stop()
 	if store, ok := n.store.(interface{ Crash() }); ok {
@@ -182,13 +185,13 @@
 	}
 }
 
-// leads reports whether the node leads under its lease.
+// leads reports whether the node leads and holds the lease.
 func (n *node) leads() bool {
 	status := n.replica.Status()
 	return status.TermReady && n.replica.HoldsLease(status.Term)
 }
 
-// leaderOf waits until one of the nodes leads.
+// leaderOf waits until one of the nodes leads and returns it.
 func leaderOf(t *testing.T, nodes []*node) *node {
 	t.Helper()
 	var leader *node
@@ -204,24 +207,24 @@
 	return leader
 }
 
-// without returns the nodes except one.
-func without(nodes []*node, left *node) []*node {
+// without returns the nodes except excluded.
+func without(nodes []*node, excluded *node) []*node {
 	var rest []*node
 	for _, n := range nodes {
-		if n != left {
+		if n != excluded {
 			rest = append(rest, n)
 		}
 	}
 	return rest
 }
 
-// eventually waits for a condition.
+// eventually waits until the condition is true; it fails the test after waitTimeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", waitTimeout, what)
+			t.Fatalf("timed out after %v waiting for: %s", waitTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -244,7 +247,7 @@
 	return answer, err
 }
 
-// newClient makes an rpc client that is closed with the test.
+// newClient returns an RPC client that is closed at the end of the test.
 func newClient(t *testing.T) *rpc.Client {
 	t.Helper()
 	client := rpc.NewClient(rpc.ClientConfig{})
@@ -252,15 +255,15 @@
 	return client
 }
 
-// clientOf makes an HTTP client that keeps no connection.
-func clientOf(t *testing.T) *http.Client {
+// newHTTPClient returns an HTTP client that does not reuse connections.
+func newHTTPClient(t *testing.T) *http.Client {
 	t.Helper()
 	transport := &http.Transport{DisableKeepAlives: true}
 	t.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport, Timeout: 10 * time.Second}
 }
 
-// counter counts by name, from several goroutines.
+// counter counts events by name. It is safe for concurrent use.
 type counter struct {
 	mutex  sync.Mutex
 	counts map[string]int
@@ -275,7 +278,7 @@
 	c.counts[name]++
 }
 
-func (c *counter) of(name string) int {
+func (c *counter) get(name string) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.counts[name]
--- a/internal/process/leaderclientbase.go
+++ b/internal/process/leaderclientbase.go
@@ -11,27 +11,28 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// leaderComponent is the client of the leader in /readyz.
+// leaderComponent is the component for the client of the leader in /readyz.
 const leaderComponent = "leader"
 
-// descriptorsPerForwardedRequest is the number of file descriptors of a request in flight:
-// the connection that it arrived on, and one to the leader.
+// descriptorsPerForwardedRequest is the number of file descriptors that a request in flight
+// uses: one for the incoming connection and one for the connection to the leader.
 const descriptorsPerForwardedRequest = 2
 
-// LeaderClientConfig describes a process that is a client of the leader; T is its
+// LeaderClientConfig configures a LeaderClientBase; T is the type of the process's
 // settings. Role and CallTimeout are required.
 type LeaderClientConfig[T any] struct {
 	BaseConfig[T]
-	// Role is the process's role as the leader knows it.
+	// Role is the role that the process reports to the leader.
 	Role string
-	// VersionOnly is set if the process needs the version of the configuration only.
+	// VersionOnly is true if the process needs the configuration's version but not its
+	// content.
 	VersionOnly bool
-	// CallTimeout bounds every call, beyond the shorter bounds of single calls.
+	// CallTimeout bounds every call. Contexts of individual calls may set shorter bounds.
 	CallTimeout time.Duration
 }
 
-// LeaderClientBase is what fronts, agents and relays have in common: a client of the
-// leader, and readiness that depends on it.
+// LeaderClientBase contains what fronts, agents and relays have in common: a client of the
+// leader, and readiness that depends on this client.
 type LeaderClientBase[T any] struct {
 	*Base[T]
 	Client *rpc.Client
@@ -41,7 +42,7 @@
 	seeds  atomic.Pointer[[]string]
 }
 
-// NewLeaderClientBase makes the parts and starts nothing.
+// NewLeaderClientBase creates a LeaderClientBase. Run starts it.
 func NewLeaderClientBase[T any](config LeaderClientConfig[T]) (*LeaderClientBase[T], error) {
 	l := &LeaderClientBase[T]{config: config}
 	baseConfig := config.BaseConfig
@@ -56,7 +57,7 @@
 	l.Client = rpc.NewClient(rpc.ClientConfig{
 		Timeout: config.CallTimeout,
 		Dialer:  rpc.DialFrom(common.Source),
-		Metrics: base.Calls,
+		Metrics: base.CallMetrics,
 	})
 	l.Leader = leaderclient.New(leaderclient.Config{
 		Process: common.Name,
@@ -72,17 +73,18 @@
 	return l, nil
 }
 
-// Run serves until the context ends or a signal stops the process.
+// Run serves handler, and the extra listeners, until ctx ends or a signal stops the process.
+// It closes Client before it returns.
 func (l *LeaderClientBase[T]) Run(ctx context.Context, handler http.Handler, extra []daemon.Listener) error {
 	defer l.Client.Close()
-	config := l.Daemon(l.readiness(), l.Leader.Run)
+	config := l.DaemonConfig(l.readiness(), l.Leader.Run)
 	config.Handler = handler
-	config.Extra = extra
+	config.ExtraListeners = extra
 	config.DescriptorsPerConnection = descriptorsPerForwardedRequest
 	return daemon.Run(ctx, config)
 }
 
-// apply applies what can change while the process runs.
+// apply applies the settings that can change while the process runs.
 func (l *LeaderClientBase[T]) apply(changed T) {
 	common := l.config.Common(&changed)
 	l.seeds.Store(&common.Seeds)
@@ -92,11 +94,12 @@
 	}
 }
 
-// readiness is true while the leader answers.
+// readiness returns the readiness of the process, which is ready while the lease of the
+// leader's last answer has not expired.
 func (l *LeaderClientBase[T]) readiness() Readiness {
 	return Readiness{
-		Component: leaderComponent,
-		Unready:   "the leading scheduler has not answered lately",
-		Ready:     l.Leader.Fresh,
+		Component:     leaderComponent,
+		UnreadyReason: "the leading scheduler has not answered lately",
+		Ready:         l.Leader.Fresh,
 	}
 }
--- a/internal/process/schedulerprocess/gateway.go
+++ b/internal/process/schedulerprocess/gateway.go
@@ -11,9 +11,10 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// NewGateway makes a front inside this process that gets the leader's address from the
-// replica, so that calls to any scheduler are forwarded to the one that leads. Run closes
-// its client.
+// NewGateway creates a front inside this process that gets the leader's address from the
+// replica, so that operators can call any scheduler and the call is forwarded to the
+// leader. Run closes the gateway's client before it returns. NewGateway must be called
+// before Run.
 func (p *Process) NewGateway() (*front.Front, error) {
 	client := rpc.NewClient(rpc.ClientConfig{Timeout: front.MaxAttemptDuration + time.Second, Dialer: rpc.DialFrom(p.initial.Source)})
 	gateway, err := front.New(front.Config{Link: replicaLeaderSource{p.replica}, Client: client, Logger: p.base.Logger})
@@ -25,7 +26,7 @@
 	return gateway, nil
 }
 
-// replicaLeaderSource lets a front get the leader's address from the replica.
+// replicaLeaderSource implements front.Link with the leader's address from the replica.
 type replicaLeaderSource struct{ replica *replica.Replica }
 
 // Leader implements front.Link.
@@ -34,16 +35,18 @@
 	return leader.Address, known
 }
 
-// ObserveHint and Failed implement front.Link; the replica learns for itself.
+// ObserveHint and ReportFailure implement front.Link. They do nothing, because the replica
+// itself tracks the leader.
 func (replicaLeaderSource) ObserveHint(string)   {}
 func (replicaLeaderSource) ReportFailure(string) {}
 
-// Supervise implements front.Link: a call goes on until its own time is over.
+// Supervise implements front.Link. A change of leader does not end the call; its own
+// time-out does.
 func (replicaLeaderSource) Supervise(ctx context.Context, _ string) (context.Context, context.CancelFunc) {
 	return context.WithCancel(ctx)
 }
 
-// Config implements front.Link: none, as a gateway's limits are the defaults.
+// Config implements front.Link. It returns nil, because a gateway uses the default limits.
 func (replicaLeaderSource) Config() *api.Config { return nil }
 
 // Fresh implements front.Link.
--- a/internal/process/schedulerprocess/gateway_test.go
+++ b/internal/process/schedulerprocess/gateway_test.go
@@ -12,8 +12,9 @@
 	"github.com/decklever/decklever/internal/settings"
 )
 
-// TestGateway_ForwardsCallsToLeader also checks that an extra listener serves beside the
-// gateway until the process ends.
+// TestGateway_ForwardsCallsToLeader checks that a gateway returns 503 while there is no
+// leader and forwards calls once there is one, and that an extra listener is served while
+// the process runs.
 func TestGateway_ForwardsCallsToLeader(t *testing.T) {
 	p, err := New(schedulerSettings(t, t.TempDir()), settings.LoadOptions{})
 	if err != nil {
@@ -26,7 +27,7 @@
 	early, cancelEarly := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancelEarly()
 	if _, rejection := gateway.Config(early); rejection == nil || rejection.Status != http.StatusServiceUnavailable {
-		t.Errorf("before there is a leader: %v, want a 503", rejection)
+		t.Errorf("before a leader is elected: got %v, want status 503", rejection)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -34,7 +35,7 @@
 	ended := make(chan error, 1)
 	go func() {
 		ended <- p.Run(ctx, daemon.Listener{
-			Address: "127.0.0.1:0", Handler: p.Handler(), Listening: func(address net.Addr) { listening <- address },
+			Address: "127.0.0.1:0", Handler: p.Handler(), OnListening: func(address net.Addr) { listening <- address },
 		})
 	}()
 	put := api.Config{Queues: []api.QueueConfig{{Name: "default"}}}
@@ -44,11 +45,11 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("version %d, %v", status.Version, rejection)
+			t.Fatalf("got version %d, rejection %v, want version 1 accepted", status.Version, rejection)
 		}
 	}
 	if status, rejection := gateway.Config(t.Context()); rejection != nil || len(status.Config.Queues) != 1 {
-		t.Errorf("read back %+v, %v", status, rejection)
+		t.Errorf("got configuration %+v, rejection %v, want one queue", status, rejection)
 	}
 	response, err := http.Get("http://" + (<-listening).String() + "/healthz")
 	if err != nil {
@@ -57,6 +58,6 @@
 	_ = response.Body.Close()
 	stop()
 	if err := <-ended; err != nil || response.StatusCode != http.StatusOK {
-		t.Errorf("status %d, then %v", response.StatusCode, err)
+		t.Errorf("got status %d, result of Run %v, want 200 and nil", response.StatusCode, err)
 	}
 }
--- a/internal/process/schedulerprocess/gcpercent.go
+++ b/internal/process/schedulerprocess/gcpercent.go
@@ -6,8 +6,9 @@
 	"github.com/decklever/decklever/internal/replica"
 )
 
-// withGCPercent sets the GC percentage while lead runs; 0 changes nothing. Serving calls
-// leaves much garbage and little live memory, and a leader serves most of them.
+// withGCPercent returns a function that sets the GC percentage while it runs lead; with
+// percent 0 it returns lead itself. A leader serves most calls, and serving calls produces
+// much garbage while little memory is live.
 func withGCPercent(percent int, lead func(replica.Leadership)) func(replica.Leadership) {
 	if percent == 0 {
 		return lead
--- a/internal/process/schedulerprocess/gcpercent_test.go
+++ b/internal/process/schedulerprocess/gcpercent_test.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/internal/replica"
 )
 
-// currentGCPercent reads the GC percentage.
+// currentGCPercent returns the GC percentage. To read it, it briefly sets it to 100.
 func currentGCPercent() int {
 	percent := debug.SetGCPercent(100)
 	debug.SetGCPercent(percent)
@@ -21,17 +21,17 @@
 		lead := withGCPercent(percent, func(replica.Leadership) {
 			led++
 			if got := currentGCPercent(); got != want {
-				t.Errorf("set to %d: %d while leading, want %d", percent, got, want)
+				t.Errorf("percent %d: got GC percentage %d while leading, want %d", percent, got, want)
 			}
 		})
 		for range 2 {
 			lead(replica.Leadership{})
 			if got := currentGCPercent(); got != before {
-				t.Errorf("set to %d: %d after leading, want %d", percent, got, before)
+				t.Errorf("percent %d: got GC percentage %d after leading, want %d", percent, got, before)
 			}
 		}
 		if led != 2 {
-			t.Errorf("set to %d: led %d times", percent, led)
+			t.Errorf("percent %d: got %d calls of lead, want 2", percent, led)
 		}
 	}
 }
--- a/internal/process/schedulerprocess/process.go
+++ b/internal/process/schedulerprocess/process.go
@@ -21,28 +21,29 @@
 )
 
 const (
-	// Program is the name of the product's program.
+	// Program is the name of the scheduler's program.
 	Program = "decklever-scheduler"
-	// logComponent is the replicated log in /readyz.
+	// logComponent is the component for the replicated log in /readyz.
 	logComponent = "log"
 )
 
-// Process is one scheduler with all its parts. It lives for one Run.
+// Process is a scheduler with all its components. Run must be called only once.
 type Process struct {
 	initial settings.Scheduler
 	base    *process.Base[settings.Scheduler]
-	// wallOffset, in nanoseconds, is added to the wall clock; it is for tests.
+	// wallOffset, in nanoseconds, is added to the wall clock. Only tests set it.
 	wallOffset atomic.Int64
 	store      storage.Store
 	client     *rpc.Client
 	replica    *replica.Replica
 	calls      *rpc.Server
 	handler    http.Handler
-	// gatewayClients are closed at the end of Run.
+	// gatewayClients are the clients of the gateways; Run closes them before it returns.
 	gatewayClients []*rpc.Client
 }
 
-// New opens the data folder, makes the parts and starts nothing.
+// New opens the data folder and creates a Process. It does not start the replica or serve
+// requests.
 func New(initial settings.Scheduler, options settings.LoadOptions) (*Process, error) {
 	p := &Process{initial: initial}
 	config := baseConfig(initial, options)
@@ -63,7 +64,7 @@
 	return p, nil
 }
 
-// baseConfig describes what a scheduler has in common with other processes.
+// baseConfig returns the configuration of the parts that all processes have in common.
 func baseConfig(initial settings.Scheduler, options settings.LoadOptions) process.BaseConfig[settings.Scheduler] {
 	return process.BaseConfig[settings.Scheduler]{
 		Program: Program,
@@ -73,30 +74,31 @@
 	}
 }
 
-// assemble connects the record, the replica and the service that acts while it leads.
+// assemble creates and connects the record, the replica, the service that acts while the
+// replica leads, and the handler.
 func (p *Process) assemble(store storage.Store) error {
 	p.store = store
-	off, err := featuregate.Parse(p.initial.Experiment.Off)
+	disabledFeatures, err := featuregate.Parse(p.initial.Experiment.DisabledFeatures)
 	if err != nil {
 		return err
 	}
-	p.client = rpc.NewClient(rpc.ClientConfig{Dialer: rpc.DialFrom(p.initial.Source), Metrics: p.base.Calls})
+	p.client = rpc.NewClient(rpc.ClientConfig{Dialer: rpc.DialFrom(p.initial.Source), Metrics: p.base.CallMetrics})
 	service := scheduler.NewService(scheduler.Config{
 		Archive:          p.store.Archive(),
 		ArchiveBytes:     p.initial.ArchiveMaxBytes,
-		NewPlanner:       func() scheduler.Planner { return placement.New(placement.Config{DisabledFeatures: off}) },
-		DisabledFeatures: off,
+		NewPlanner:       func() scheduler.Planner { return placement.New(placement.Config{DisabledFeatures: disabledFeatures}) },
+		DisabledFeatures: disabledFeatures,
 		Logger:           p.base.Logger,
 		Registerer:       p.base.Registry,
 	})
-	created, err := replica.New(p.replicaConfig(withGCPercent(p.initial.LeaderGCPercent, service.Lead)))
+	newReplica, err := replica.New(p.replicaConfig(withGCPercent(p.initial.LeaderGCPercent, service.Lead)))
 	if err != nil {
 		return fmt.Errorf("make the replica: %w", err)
 	}
-	p.replica = created
-	service.SetLog(created)
-	server := rpc.NewServer(rpc.ServerConfig{Logger: p.base.Logger, Metrics: p.base.Calls})
-	created.Register(server)
+	p.replica = newReplica
+	service.SetLog(newReplica)
+	server := rpc.NewServer(rpc.ServerConfig{Logger: p.base.Logger, Metrics: p.base.CallMetrics})
+	newReplica.Register(server)
 	service.Register(server)
 	p.calls = server
 	p.handler = routes(server, p.base.Status())
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// routes serves the calls between processes beside health and metrics.
+// routes returns a handler that serves calls between processes, health and metrics.
 func routes(calls, status http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/rpc/", calls)
@@ -117,7 +119,7 @@
 	return replica.Config{
 		Name:    p.initial.Name,
 		Zone:    p.initial.Zone,
-		Address: p.initial.Reach(),
+		Address: p.initial.AdvertisedAddress(),
 		Seeds:   p.initial.Seeds,
 		Store:   p.store,
 		Record:  record.NewMachine(record.Config{Archive: p.store.Archive()}),
@@ -133,28 +135,29 @@
 		},
 		SnapshotEvery: p.initial.SnapshotEvery,
 		JoinOnly:      !p.initial.MayForm,
-		MaxVoters:     2*p.initial.Tolerate + 1,
+		MaxVoters:     2*p.initial.ToleratedFailures + 1,
 		Logger:        p.base.Logger,
 		Registerer:    p.base.Registry,
 		Lead:          lead,
 	}
 }
 
-// Handler serves the calls between processes, health and metrics; a program
-// that embeds the process may serve more beside it, on the same address.
+// Handler returns the handler for calls between processes, health and metrics. A program
+// that embeds the process may wrap it to serve more on the same address (see SetHandler).
 func (p *Process) Handler() http.Handler { return p.handler }
 
 // SetHandler replaces the handler. It must be called before Run.
 func (p *Process) SetHandler(handler http.Handler) { p.handler = handler }
 
-// Run serves, on extra listeners too, until the context ends or a signal stops
-// the process. Before it stops serving, the replica transfers leadership and voter slot.
+// Run serves the scheduler, and the extra listeners, until ctx ends or a signal stops the
+// process. Before Run stops serving, the replica transfers its leadership and voter slot.
+// Run closes the clients and the store before it returns.
 func (p *Process) Run(ctx context.Context, extra ...daemon.Listener) error {
 	defer setProcessors(p.initial.Processors)()
-	config := p.base.Daemon(p.readiness(), p.replica.Run)
-	config.Wrap = rpc.WithKeepAlive
+	config := p.base.DaemonConfig(p.readiness(), p.replica.Run)
+	config.WrapListener = rpc.WithKeepAlive
 	config.Handler = p.calls.WithFallback(p.handler)
-	config.Extra = extra
+	config.ExtraListeners = extra
 	config.BeforeStop = p.replica.PrepareShutdown
 	err := daemon.Run(ctx, config)
 	for _, client := range append(p.gatewayClients, p.client) {
@@ -163,7 +166,7 @@
 	return errors.Join(err, p.store.Close())
 }
 
-// apply applies what can change while the process runs.
+// apply applies the settings that can change while the process runs.
 func (p *Process) apply(changed settings.Scheduler) {
 	p.setWallOffset(changed)
 	p.replica.SetSeeds(changed.Seeds)
@@ -174,11 +177,11 @@
 	p.wallOffset.Store(int64(changed.Test.WallClockOffset.Std()))
 }
 
-// readiness: a scheduler is ready while it knows a leader.
+// readiness returns the readiness of a scheduler, which is ready while it knows a leader.
 func (p *Process) readiness() process.Readiness {
 	return process.Readiness{
-		Component: logComponent,
-		Unready:   "no leader is known",
+		Component:     logComponent,
+		UnreadyReason: "no leader is known",
 		Ready: func() bool {
 			_, known := p.replica.Leader()
 			return known
--- a/internal/process/schedulerprocess/process_test.go
+++ b/internal/process/schedulerprocess/process_test.go
@@ -18,12 +18,12 @@
 	"github.com/decklever/decklever/internal/testaddress"
 )
 
-// waitTimeout bounds waits for a condition; none takes nearly as long.
+// waitTimeout bounds each wait for a condition. It is far longer than any wait should take.
 const waitTimeout = 60 * time.Second
 
-// schedulerSettings returns the settings of a single scheduler on a data folder. A stop
-// waits for the sync in progress, which may take seconds on a busy disk; no test here is
-// about how long.
+// schedulerSettings returns the settings of a single scheduler whose data folder is
+// directory. The stop timeout is 1 min because a stop waits for the disk sync in progress,
+// which may take seconds on a busy disk; no test here checks the duration of a stop.
 func schedulerSettings(t *testing.T, directory string) settings.Scheduler {
 	t.Helper()
 	address := testaddress.New(t)
@@ -40,7 +40,7 @@
 	return loaded
 }
 
-// runScheduler runs the process as main does, until ctx ends.
+// runScheduler runs a scheduler as its main function does, until ctx ends.
 func runScheduler(ctx context.Context, t *testing.T, initial settings.Scheduler) (code int, stderr string, err error) {
 	t.Helper()
 	command := &cobra.Command{Use: Program, RunE: func(command *cobra.Command, _ []string) error {
@@ -56,7 +56,7 @@
 	return code, output.String(), err
 }
 
-// createDataDirectory runs a scheduler until its folder holds a log and its first
+// createDataDirectory runs a scheduler until its data folder contains a log and the first
 // snapshot.
 func createDataDirectory(t *testing.T, directory string) {
 	t.Helper()
@@ -68,7 +68,7 @@
 		ready <- waitForSnapshot(ctx, directory)
 	}()
 	if code, stderr, err := runScheduler(ctx, t, schedulerSettings(t, directory)); code != daemon.ExitOK {
-		t.Fatalf("exit code %d, %q, %v", code, stderr, err)
+		t.Fatalf("got exit code %d, stderr %q, error %v, want exit code 0", code, stderr, err)
 	}
 	if err := <-ready; err != nil {
 		t.Fatal(err)
@@ -86,14 +86,15 @@
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
-	return errors.New("no snapshot was written")
+	return errors.New("wait for the first snapshot: timed out")
 }
 
-// logSegment is the only file of a short log.
+// logSegment is the name of the first log segment, the only one of a short log.
 const logSegment = "log-0000000000000001.wal"
 
-// TestStart_DamagedFileFails: whichever file is damaged, the program ends with exit code 1
-// and one line that names the file, and does not change the file.
+// TestStart_DamagedFileFails checks that a scheduler does not start on a damaged log,
+// snapshot or archive: it ends with exit code 1 and one line that names the file, and does
+// not change the file.
 func TestStart_DamagedFileFails(t *testing.T) {
 	intact := t.TempDir()
 	createDataDirectory(t, intact)
@@ -103,29 +104,30 @@
 			return content
 		}
 	}
-	// The record of an orderly close is the last one, and has no payload.
+	// The last record is that of an orderly close, which has no payload; the byte flipped
+	// is in the record before it.
 	flipLastRecord := func(content []byte) []byte {
 		const closeRecordSize = 26
 		content[len(bytes.TrimRight(content, "\x00"))-closeRecordSize-2] ^= 0x10
 		return content
 	}
-	half := func(content []byte) []byte { return content[:len(content)/2] }
-	none := func([]byte) []byte { return []byte{} }
+	truncateHalf := func(content []byte) []byte { return content[:len(content)/2] }
+	empty := func([]byte) []byte { return []byte{} }
 	for name, test := range map[string]struct {
 		file   string
 		damage func([]byte) []byte
 	}{
-		"log cut":                   {logSegment, half},
+		"log cut":                   {logSegment, truncateHalf},
 		"log cut a byte":            {logSegment, func(content []byte) []byte { return content[:len(content)-1] }},
-		"log empty":                 {logSegment, none},
+		"log empty":                 {logSegment, empty},
 		"log's header flipped":      {logSegment, flipAt(func(int) int { return 20 })},
 		"log's record flipped":      {logSegment, flipLastRecord},
-		"snapshot cut":              {"snapshot", half},
-		"snapshot empty":            {"snapshot", none},
+		"snapshot cut":              {"snapshot", truncateHalf},
+		"snapshot empty":            {"snapshot", empty},
 		"snapshot's header flipped": {"snapshot", flipAt(func(int) int { return 10 })},
 		"snapshot's data flipped":   {"snapshot", flipAt(func(size int) int { return size - 20 })},
-		"archive cut":               {"archive.db", half},
-		"archive empty":             {"archive.db", none},
+		"archive cut":               {"archive.db", truncateHalf},
+		"archive empty":             {"archive.db", empty},
 		"archive's header flipped":  {"archive.db", flipAt(func(int) int { return 20 })},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -144,13 +146,14 @@
 			}
 			wantStartFails(t, directory, path)
 			if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, damaged) {
-				t.Errorf("the damaged file was changed, %v", err)
+				t.Errorf("the start changed the damaged file or it cannot be read, error %v", err)
 			}
 		})
 	}
 }
 
-// TestStart_MissingFileFails: a folder that lost a file is damaged, not new.
+// TestStart_MissingFileFails checks that a data folder without one of its files is treated
+// as damaged, not as a new one.
 func TestStart_MissingFileFails(t *testing.T) {
 	intact := t.TempDir()
 	createDataDirectory(t, intact)
@@ -169,16 +172,17 @@
 	}
 }
 
-// wantStartFails checks the exit code and that the error names the file at path.
+// wantStartFails checks that a start on the directory fails with daemon.ExitFailure and one
+// line on stderr that names the file at path.
 func wantStartFails(t *testing.T, directory, path string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	code, stderr, err := runScheduler(ctx, t, schedulerSettings(t, directory))
 	if !errors.Is(err, storage.ErrCorrupt) || code != daemon.ExitFailure {
-		t.Fatalf("exit code %d with %v, want %d with %v", code, err, daemon.ExitFailure, storage.ErrCorrupt)
+		t.Fatalf("got exit code %d and error %v, want %d and %v", code, err, daemon.ExitFailure, storage.ErrCorrupt)
 	}
 	if strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, path) {
-		t.Errorf("stderr %q, want one line that names %s", stderr, path)
+		t.Errorf("got stderr %q, want one line that names %s", stderr, path)
 	}
 }
--- a/internal/process/schedulerprocess/processors.go
+++ b/internal/process/schedulerprocess/processors.go
@@ -2,13 +2,13 @@
 
 import "runtime"
 
-// minProcessors is the least GOMAXPROCS of a process that syncs files: a thread inside a
-// sync may keep its processor until the sync ends, and with only one processor no other
-// goroutine runs meanwhile.
+// minProcessors is the minimum GOMAXPROCS of a process that syncs files. A thread inside a
+// sync may occupy its processor until the sync ends; with only one processor, no other
+// goroutine could run during the sync.
 const minProcessors = 2
 
-// setProcessors sets GOMAXPROCS and returns a function that restores it. With 0 it is what
-// the runtime chose, but at least minProcessors.
+// setProcessors sets GOMAXPROCS to count and returns a function that restores the previous
+// value. With count 0 it uses the current value, but at least minProcessors.
 func setProcessors(count int) (restore func()) {
 	if count == 0 {
 		count = max(runtime.GOMAXPROCS(0), minProcessors)
--- a/internal/process/schedulerprocess/processors_test.go
+++ b/internal/process/schedulerprocess/processors_test.go
@@ -23,36 +23,37 @@
 )
 
 const (
-	// heartbeatingWorkers send a heartbeat each heartbeatInterval, so that some are in
-	// flight during each sync.
+	// heartbeatingWorkers is the number of workers. Each sends a heartbeat every
+	// heartbeatInterval, so that some heartbeats are in flight during each sync.
 	heartbeatingWorkers = 20
 	heartbeatInterval   = 10 * time.Millisecond
 	// heartbeatDuration is how long heartbeats are sent.
 	heartbeatDuration = 2 * time.Second
-	// minServedSyncPercent is the least percentage of syncs during which heartbeats are
-	// answered; with one processor it is 0.
+	// minServedSyncPercent is the minimum percentage of syncs during which heartbeats must
+	// be answered. With GOMAXPROCS 1 it would be 0.
 	minServedSyncPercent = 25
-	// maxMedianResponse is the bound on the median of heartbeats that wait for no commit.
-	maxMedianResponse = 25 * time.Millisecond
+	// maxMedianLatency bounds the median latency of heartbeats that wait for no commit.
+	maxMedianLatency = 25 * time.Millisecond
 )
 
-// blockingStore is a store on a disk whose syncs keep the thread, and with it the
-// processor that the thread runs on, as a sync does that the runtime's monitor does
-// not notice in time.
+// blockingStore is a store whose syncs occupy the processor (P) of their thread for
+// syncDuration. A sync on a real disk does the same if the Go runtime's monitor does not
+// retake the processor in time.
 type blockingStore struct {
 	*storage.Memory
-	syncTakes time.Duration
+	syncDuration time.Duration
 	// answered counts heartbeats that were answered.
 	answered *atomic.Int64
-	// syncs counts the syncs, served those during which a heartbeat was answered.
+	// syncs counts the syncs, and served counts those during which a heartbeat was
+	// answered.
 	syncs, served atomic.Int64
 }
 
 func (s *blockingStore) Save(hardState *raft.HardState, entries []raft.Entry, sync bool) error {
 	if sync {
 		before := s.answered.Load()
-		for began := time.Now(); time.Since(began) < s.syncTakes; {
-			continue // as a thread inside the kernel, it yields to no other goroutine
+		for start := time.Now(); time.Since(start) < s.syncDuration; {
+			continue // does not yield to other goroutines, like a thread inside the kernel
 		}
 		s.syncs.Add(1)
 		if s.answered.Load() > before {
@@ -62,7 +63,7 @@
 	return s.Memory.Save(hardState, entries, sync)
 }
 
-// newTestProcess makes the process of a scheduler with a given store.
+// newTestProcess creates the process of a scheduler with the given store.
 func newTestProcess(t *testing.T, initial settings.Scheduler, store storage.Store) *Process {
 	t.Helper()
 	base, err := process.NewBase(baseConfig(initial, settings.LoadOptions{}))
@@ -76,7 +77,7 @@
 	return p
 }
 
-// runProcess runs the process until the test ends.
+// runProcess starts the process and stops it at the end of the test.
 func runProcess(t *testing.T, p *Process) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -90,19 +91,20 @@
 	})
 }
 
-// heartbeatingWorker is a worker whose tasks succeed at once.
+// heartbeatingWorker is a worker whose runs succeed immediately.
 type heartbeatingWorker struct {
 	client    *rpc.Client
 	heartbeat api.Heartbeat
-	// took are the durations of heartbeats without a report.
-	took     []time.Duration
-	answered *atomic.Int64
+	// latencies are those of heartbeats without ended runs, after the first answered one.
+	latencies []time.Duration
+	answered  *atomic.Int64
 }
 
-// sendHeartbeat exchanges one heartbeat and ends the tasks that it is to start.
+// sendHeartbeat sends one heartbeat. The next one reports the runs assigned by its answer
+// as succeeded.
 func (w *heartbeatingWorker) sendHeartbeat(ctx context.Context, address string) {
 	w.heartbeat.Seq++
-	began := time.Now()
+	start := time.Now()
 	request := protocol.HeartbeatRequest{Agent: w.heartbeat.Name, Zone: "z1", Heartbeat: w.heartbeat}
 	answer, err := rpc.Call[protocol.HeartbeatRequest, protocol.HeartbeatAnswer](ctx, w.client, address, protocol.MethodHeartbeat, request)
 	if err != nil {
@@ -110,7 +112,7 @@
 	}
 	w.answered.Add(1)
 	if len(w.heartbeat.Ended) == 0 && w.heartbeat.AcceptedSeq > 0 {
-		w.took = append(w.took, time.Since(began))
+		w.latencies = append(w.latencies, time.Since(start))
 	}
 	w.heartbeat.AcceptedSeq = answer.Answer.Seq
 	w.heartbeat.Ended = slices.DeleteFunc(w.heartbeat.Ended, func(end api.EndedRun) bool {
@@ -121,7 +123,7 @@
 	}
 }
 
-// load is the load on a leader while its disk syncs.
+// load generates heartbeats and job submissions for a leader.
 type load struct {
 	t        *testing.T
 	client   *rpc.Client
@@ -142,7 +144,7 @@
 	return l
 }
 
-// run sends heartbeats and submits jobs for a time.
+// run sends heartbeats and submits jobs for the duration.
 func (l *load) run(address string, duration time.Duration) {
 	ctx, cancel := context.WithTimeout(l.t.Context(), duration)
 	defer cancel()
@@ -159,7 +161,7 @@
 	running.Wait()
 }
 
-// submitJobs submits one small job after the other.
+// submitJobs submits small jobs one after another until ctx ends.
 func (l *load) submitJobs(ctx context.Context, address string) {
 	task := api.TaskSpec{Service: "s", Resources: api.Resources{CPUMillis: 100, MemoryMB: 10}}
 	for number := 0; ctx.Err() == nil; number++ {
@@ -171,7 +173,7 @@
 	}
 }
 
-// configure puts a configuration; it waits until a leader is elected.
+// configure puts a configuration, and retries until a leader has accepted it.
 func (l *load) configure(address string) {
 	l.t.Helper()
 	request := protocol.PutConfigRequest{OrderID: "order-1", Config: api.Config{Queues: []api.QueueConfig{{Name: "q"}}}}
@@ -181,16 +183,16 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			l.t.Fatalf("no configuration: %v", err)
+			l.t.Fatalf("put a configuration: %v", err)
 		}
 	}
 }
 
-// median is that of the durations of all workers.
+// median returns the median latency over all workers; waitTimeout if there is none.
 func (l *load) median() time.Duration {
 	var all []time.Duration
 	for _, worker := range l.workers {
-		all = append(all, worker.took...)
+		all = append(all, worker.latencies...)
 	}
 	if len(all) == 0 {
 		return waitTimeout
@@ -199,46 +201,50 @@
 	return all[len(all)/2]
 }
 
-// useOneProcessor runs the test as on a machine with one core.
+// useOneProcessor sets GOMAXPROCS to 1, as on a machine with one core, until the test ends.
 func useOneProcessor(t *testing.T) {
 	t.Helper()
 	before := runtime.GOMAXPROCS(1)
 	t.Cleanup(func() { runtime.GOMAXPROCS(before) })
 }
 
-// TestProcessors_HeartbeatsAnsweredDuringDiskSync: on one core, with a disk that syncs
-// nearly all the time, heartbeats are answered during the syncs, and no lease expires.
+// TestProcessors_HeartbeatsAnsweredDuringDiskSync guards against a leader that answers no
+// heartbeats during disk syncs because the sync occupies the only processor. On one core,
+// with a disk that syncs nearly all the time, heartbeats must be answered during syncs and
+// no run may be withdrawn because of missed heartbeats.
 func TestProcessors_HeartbeatsAnsweredDuringDiskSync(t *testing.T) {
-	for _, syncTakes := range []time.Duration{4 * time.Millisecond, 9 * time.Millisecond} {
-		t.Run(syncTakes.String(), func(t *testing.T) {
+	for _, syncDuration := range []time.Duration{4 * time.Millisecond, 9 * time.Millisecond} {
+		t.Run(syncDuration.String(), func(t *testing.T) {
 			useOneProcessor(t)
 			l := newLoad(t)
-			store := &blockingStore{Memory: storage.NewMemory(1), syncTakes: syncTakes, answered: &l.answered}
+			store := &blockingStore{Memory: storage.NewMemory(1), syncDuration: syncDuration, answered: &l.answered}
 			p := newTestProcess(t, schedulerSettings(t, t.TempDir()), store)
 			runProcess(t, p)
 			l.configure(p.initial.Listen)
 			l.run(p.initial.Listen, heartbeatDuration)
 			checkHeartbeatsDuringSyncs(t, l, store)
-			checkHeartbeatsOfAll(t, p)
+			checkNoRunsWithdrawn(t, p)
 		})
 	}
 }
 
-// checkHeartbeatsDuringSyncs compares what was observed with the bounds.
+// checkHeartbeatsDuringSyncs checks the share of syncs during which heartbeats were answered
+// and the median latency of heartbeats.
 func checkHeartbeatsDuringSyncs(t *testing.T, l *load, store *blockingStore) {
 	t.Helper()
 	syncs, served := store.syncs.Load(), store.served.Load()
-	t.Logf("%d of %d syncs saw heartbeats answered; %d answered, median %v", served, syncs, l.answered.Load(), l.median())
+	t.Logf("heartbeats were answered during %d of %d syncs; %d answered in total, median latency %v", served, syncs, l.answered.Load(), l.median())
 	if syncs < 20 || 100*served < minServedSyncPercent*syncs {
-		t.Errorf("heartbeats were answered during %d of %d syncs, want %d%% at least", served, syncs, minServedSyncPercent)
+		t.Errorf("got heartbeats answered during %d of %d syncs, want at least 20 syncs and at least %d%% of them", served, syncs, minServedSyncPercent)
 	}
-	if median := l.median(); median > maxMedianResponse {
-		t.Errorf("heartbeats took %v (median), want %v at most", median, maxMedianResponse)
+	if median := l.median(); median > maxMedianLatency {
+		t.Errorf("got median heartbeat latency %v, want at most %v", median, maxMedianLatency)
 	}
 }
 
-// checkHeartbeatsOfAll checks that no run was revoked for missed heartbeats.
-func checkHeartbeatsOfAll(t *testing.T, p *Process) {
+// checkNoRunsWithdrawn checks that no run was withdrawn from a worker because of missed
+// heartbeats.
+func checkNoRunsWithdrawn(t *testing.T, p *Process) {
 	t.Helper()
 	const name = "decklever_scheduler_runs_withdrawn_total"
 	expected := "# HELP " + name + " Runs taken back from silent workers before any order named them.\n# TYPE " + name + " counter\n" + name + " 0\n"
@@ -247,28 +253,29 @@
 	}
 }
 
-// clusterSettings returns the settings of schedulers that form one cluster.
+// clusterSettings returns the settings of count schedulers that form one cluster.
 func clusterSettings(t *testing.T, count int) []settings.Scheduler {
 	t.Helper()
-	made := make([]settings.Scheduler, count)
+	schedulers := make([]settings.Scheduler, count)
 	var seeds []string
-	for i := range made {
-		made[i] = schedulerSettings(t, t.TempDir())
-		made[i].Name = fmt.Sprintf("control-%d", i+1)
-		seeds = append(seeds, made[i].Listen)
+	for i := range schedulers {
+		schedulers[i] = schedulerSettings(t, t.TempDir())
+		schedulers[i].Name = fmt.Sprintf("control-%d", i+1)
+		seeds = append(seeds, schedulers[i].Listen)
 	}
-	for i := range made {
-		made[i].Seeds = seeds
+	for i := range schedulers {
+		schedulers[i].Seeds = seeds
 	}
-	return made
+	return schedulers
 }
 
-// TestProcessors_NewLeaderServesDuringDiskSync: a follower on such a machine that becomes
-// leader serves as well as one that started there.
+// TestProcessors_NewLeaderServesDuringDiskSync checks that a follower on one core with a
+// slow disk, once it becomes leader, answers heartbeats during disk syncs as a scheduler
+// that led from the start does.
 func TestProcessors_NewLeaderServesDuringDiskSync(t *testing.T) {
 	useOneProcessor(t)
 	l := newLoad(t)
-	store := &blockingStore{Memory: storage.NewMemory(1), syncTakes: 4 * time.Millisecond, answered: &l.answered}
+	store := &blockingStore{Memory: storage.NewMemory(1), syncDuration: 4 * time.Millisecond, answered: &l.answered}
 	var processes []*Process
 	for i, initial := range clusterSettings(t, 3) {
 		var ownStore storage.Store = store
@@ -278,23 +285,23 @@
 		processes = append(processes, newTestProcess(t, initial, ownStore))
 		runProcess(t, processes[i])
 	}
-	l.configure(leaderAmong(t, processes).initial.Listen)
+	l.configure(waitForLeader(t, processes).initial.Listen)
 	follower := processes[0]
-	for leading := leaderAmong(t, processes); leading != follower; leading = leaderAmong(t, processes) {
-		l.run(leading.initial.Listen, 10*heartbeatInterval)
+	for leader := waitForLeader(t, processes); leader != follower; leader = waitForLeader(t, processes) {
+		l.run(leader.initial.Listen, 10*heartbeatInterval)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-		leading.replica.PrepareShutdown(ctx)
+		leader.replica.PrepareShutdown(ctx)
 		cancel()
 	}
 	store.syncs.Store(0)
 	store.served.Store(0)
 	l.run(follower.initial.Listen, heartbeatDuration)
 	checkHeartbeatsDuringSyncs(t, l, store)
-	checkHeartbeatsOfAll(t, follower)
+	checkNoRunsWithdrawn(t, follower)
 }
 
-// leaderAmong waits until one of the processes leads.
-func leaderAmong(t *testing.T, processes []*Process) *Process {
+// waitForLeader waits until one of the processes holds a leader's lease and returns it.
+func waitForLeader(t *testing.T, processes []*Process) *Process {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(heartbeatInterval) {
 		for _, p := range processes {
@@ -303,6 +310,6 @@
 			}
 		}
 	}
-	t.Fatal("there is no leader")
+	t.Fatal("no process became leader")
 	return nil
 }
--- a/internal/process/schedulerprocess/relay.go
+++ b/internal/process/schedulerprocess/relay.go
@@ -14,27 +14,27 @@
 	"github.com/decklever/decklever/internal/settings"
 )
 
-// relayRole is the role of a relay as the leader knows it.
+// relayRole is the role that a relay reports to the leader.
 const relayRole = "relay"
 
-// Relay is a scheduler without a data folder: it has no replica, so it never votes, and
+// Relay is a scheduler without a data folder. It has no replica, so it never votes; it
 // forwards operators' calls to the leader.
 type Relay struct {
 	*process.LeaderClientBase[settings.Scheduler]
-	// Gateway forwards the calls.
+	// Gateway forwards operators' calls to the leader.
 	Gateway *front.Front
 	handler http.Handler
 }
 
-// NewRelay makes the parts and starts nothing.
+// NewRelay creates a Relay. Run starts it.
 func NewRelay(initial settings.Scheduler, options settings.LoadOptions) (*Relay, error) {
 	r := &Relay{}
 	base, err := process.NewLeaderClientBase(process.LeaderClientConfig[settings.Scheduler]{
 		BaseConfig: baseConfig(initial, options),
 		Role:       relayRole,
-		// As in every gateway, the limits are the defaults.
+		// Like every gateway, it uses the default limits and needs no configuration.
 		VersionOnly: true,
-		// The gateway bounds each attempt by its context.
+		// The context of each attempt sets a shorter bound.
 		CallTimeout: front.MaxAttemptDuration + time.Second,
 	})
 	if err != nil {
@@ -54,14 +54,14 @@
 	return r, nil
 }
 
-// Handler serves the calls between processes, health and metrics.
+// Handler returns the handler for calls between processes, health and metrics.
 func (r *Relay) Handler() http.Handler { return r.handler }
 
 // SetHandler replaces the handler. It must be called before Run.
 func (r *Relay) SetHandler(handler http.Handler) { r.handler = handler }
 
-// Run serves, on extra listeners too, until the context ends or a signal stops
-// the process.
+// Run serves the relay, and the extra listeners, until ctx ends or a signal stops the
+// process.
 func (r *Relay) Run(ctx context.Context, extra ...daemon.Listener) error {
 	return r.LeaderClientBase.Run(ctx, r.handler, extra)
 }
--- a/internal/process/schedulerprocess/relay_test.go
+++ b/internal/process/schedulerprocess/relay_test.go
@@ -10,8 +10,9 @@
 	"github.com/decklever/decklever/internal/settings"
 )
 
-// TestRelay_ForwardsCallsAndDoesNotDelayBootstrap: a cluster whose seeds name a relay is
-// created without it, and a configuration put through the relay is accepted.
+// TestRelay_ForwardsCallsAndDoesNotDelayBootstrap checks that a cluster is bootstrapped
+// without waiting for a relay among its seeds, and that the relay forwards a configuration
+// to the leader, which accepts it.
 func TestRelay_ForwardsCallsAndDoesNotDelayBootstrap(t *testing.T) {
 	replica := schedulerSettings(t, t.TempDir())
 	relay := schedulerSettings(t, t.TempDir())
@@ -23,26 +24,26 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer cancel()
-	scheduler, err := New(replica, settings.LoadOptions{})
+	voter, err := New(replica, settings.LoadOptions{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	running.Go(func() { _ = scheduler.Run(ctx) })
-	forwarder, err := NewRelay(relay, settings.LoadOptions{})
+	running.Go(func() { _ = voter.Run(ctx) })
+	relayProcess, err := NewRelay(relay, settings.LoadOptions{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	running.Go(func() { _ = forwarder.Run(ctx) })
+	running.Go(func() { _ = relayProcess.Run(ctx) })
 
 	config := api.Config{Queues: []api.QueueConfig{{Name: "q"}}}
 	deadline := time.Now().Add(waitTimeout)
 	for {
-		status, rejection := forwarder.Gateway.PutConfig(ctx, "order-1", 0, config)
+		status, rejection := relayProcess.Gateway.PutConfig(ctx, "order-1", 0, config)
 		if rejection == nil && status.Version == 1 {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the relay forwards no call: %v", rejection)
+			t.Fatalf("put a configuration through the relay: %v", rejection)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,15 +1,15 @@
-// Package protocol has the messages that decklever's own processes exchange, as Go
-// structs that package rpc carries in CBOR. It has no behavior.
+// Package protocol defines the messages between decklever's processes as Go structs,
+// which package rpc encodes in CBOR. It contains no behavior.
 //
 // # Compatibility
 //
-// Fields are encoded by the number in their tag. A receiver ignores numbers that it does
-// not know, and a number is never used for another field, so that two versions can run
-// side by side. Renaming a field in Go changes nothing on the wire; changing its number
-// or type does.
+// Fields are encoded under the number in their tag. A receiver ignores unknown numbers,
+// and a number is never reused for another field, so that two versions can run side by
+// side. Renaming a Go field does not change the encoding; changing its number or type
+// does.
 //
 // # Delivery
 //
-// A message may be lost, late, duplicated or reordered. What follows from that is said at
-// each type where it matters.
+// A message may be lost, delayed, duplicated or reordered. Where this matters, the doc
+// comment of the type describes the consequences.
 package protocol
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -2,14 +2,14 @@
 
 import "github.com/decklever/decklever/api"
 
-// SubmitRequest submits a job. It is idempotent: a duplicate gets the answer that the job
-// exists.
+// SubmitRequest submits a job. It is idempotent: a duplicate is answered with Created
+// false.
 type SubmitRequest struct {
 	ID   string      `cbor:"1,keyasint"`
 	Spec api.JobSpec `cbor:"2,keyasint"`
 }
 
-// SubmitAnswer says whether the job is new.
+// SubmitAnswer reports whether the request created the job.
 type SubmitAnswer struct {
 	Created bool `cbor:"1,keyasint"`
 }
@@ -17,7 +17,7 @@
 // CancelRequest cancels a job. It is idempotent.
 type CancelRequest struct {
 	ID string `cbor:"1,keyasint"`
-	// Brief asks for the job's own fields only, without its steps.
+	// Brief omits the job's steps from the answer.
 	Brief bool `cbor:"2,keyasint,omitempty"`
 }
 
@@ -26,7 +26,7 @@
 	Cancel api.CancelRequest `cbor:"1,keyasint"`
 }
 
-// CancelManyAnswer says how many jobs were cancelled.
+// CancelManyAnswer reports how many jobs were cancelled.
 type CancelManyAnswer struct {
 	Answer api.CancelAnswer `cbor:"1,keyasint"`
 }
@@ -34,13 +34,13 @@
 // GetJobRequest reads a job.
 type GetJobRequest struct {
 	ID string `cbor:"1,keyasint"`
-	// WaitMillis is how long the answer may be held until the job is final.
+	// WaitMillis is the maximum time to wait for the job to reach a final state.
 	WaitMillis int64 `cbor:"2,keyasint"`
-	// Brief asks for the job's own fields only, without its steps.
+	// Brief omits the job's steps from the answer.
 	Brief bool `cbor:"3,keyasint,omitempty"`
 }
 
-// JobAnswer has the status of a job.
+// JobAnswer contains the status of a job.
 type JobAnswer struct {
 	Status api.JobStatus `cbor:"1,keyasint"`
 }
@@ -49,13 +49,13 @@
 type ListJobsRequest struct {
 	Queue string    `cbor:"1,keyasint"`
 	State api.State `cbor:"2,keyasint"`
-	// Limit is the greatest number of jobs in the answer.
+	// Limit is the maximum number of jobs in the answer.
 	Limit int `cbor:"3,keyasint"`
-	// PageToken is that of the answer with the page before; empty for the first page.
+	// PageToken is the token from the previous page's answer; empty for the first page.
 	PageToken string `cbor:"4,keyasint"`
 }
 
-// ListJobsAnswer has one page of jobs.
+// ListJobsAnswer contains one page of jobs.
 type ListJobsAnswer struct {
 	List api.JobList `cbor:"1,keyasint"`
 }
--- a/internal/protocol/method.go
+++ b/internal/protocol/method.go
@@ -5,34 +5,34 @@
 
 // Methods that every scheduler serves.
 const (
-	// MethodRaft carries a batch of messages of the replicated log.
+	// MethodRaft delivers a batch of raft messages.
 	MethodRaft Method = "raft"
-	// MethodSnapshotChunk carries a chunk of a snapshot.
+	// MethodSnapshotChunk delivers a chunk of a snapshot.
 	MethodSnapshotChunk Method = "snapshot-chunk"
 	// MethodArchivePage reads archived jobs, for a new replica.
 	MethodArchivePage Method = "archive-page"
-	// MethodIdentity asks a seed who it is and whether it is empty.
+	// MethodIdentity reads the identity of a seed and whether it is empty.
 	MethodIdentity Method = "identity"
 )
 
 // Methods that only the leader serves.
 const (
-	// MethodJoin asks to add a replica as a learner.
+	// MethodJoin requests that the leader add a replica as a learner.
 	MethodJoin Method = "join"
-	// MethodRetire offers the voter slot of a replica that is about to stop.
+	// MethodRetire offers the slot of a voter that is about to stop to a learner.
 	MethodRetire Method = "retire"
-	// MethodReadIndex asks for a linearizable read point.
+	// MethodReadIndex requests a linearizable read index.
 	MethodReadIndex Method = "read-index"
 	// MethodHeartbeat relays a worker's heartbeat.
 	MethodHeartbeat Method = "heartbeat"
-	// MethodLeave gives notice that a worker is about to leave.
+	// MethodLeave announces that a worker is about to leave.
 	MethodLeave Method = "leave"
 	// MethodWatch is the long poll by which fronts and agents track the leader and the
 	// configuration.
 	MethodWatch Method = "watch"
 )
 
-// Methods by which fronts forward the calls of callers and operators to the leader.
+// Methods by which fronts forward calls of clients and operators to the leader.
 const (
 	MethodSubmit         Method = "submit"
 	MethodCancel         Method = "cancel"
@@ -54,5 +54,5 @@
 	MethodDrains         Method = "drains"
 )
 
-// Empty is a request or answer without content.
+// Empty is a request or answer without fields.
 type Empty struct{}
--- a/internal/protocol/operations.go
+++ b/internal/protocol/operations.go
@@ -22,33 +22,34 @@
 	Name string `cbor:"1,keyasint"`
 }
 
-// QueueAnswer has the status of one queue.
+// QueueAnswer contains the status of one queue.
 type QueueAnswer struct {
 	Status api.QueueStatus `cbor:"1,keyasint"`
 }
 
-// BookingsRequest lists the windows of bookings that overlap the time from now to the
-// horizon.
+// BookingsRequest lists the booking windows that overlap the period from now to
+// HorizonMillis after now.
 type BookingsRequest struct {
 	HorizonMillis int64 `cbor:"1,keyasint"`
 }
 
-// BookingsAnswer lists windows of bookings.
+// BookingsAnswer lists booking windows.
 type BookingsAnswer struct {
 	List api.BookingList `cbor:"1,keyasint"`
 }
 
-// ReleaseRequest releases the reserved slots of a window. A duplicate has no effect.
+// ReleaseRequest releases the reserved slots of a booking window. A duplicate has no
+// effect.
 type ReleaseRequest struct {
 	Release api.ReleaseRequest `cbor:"1,keyasint"`
 }
 
-// DrainZoneRequest drains a zone, or ends that. A duplicate has no effect.
+// DrainZoneRequest drains a zone, or ends its drain. A duplicate has no effect.
 type DrainZoneRequest struct {
 	Drain api.ZoneDrain `cbor:"1,keyasint"`
 }
 
-// DrainsAnswer lists the zones that are drained by such a request.
+// DrainsAnswer lists the zones that are being drained by a DrainZoneRequest.
 type DrainsAnswer struct {
 	List api.DrainList `cbor:"1,keyasint"`
 }
--- a/internal/protocol/replication.go
+++ b/internal/protocol/replication.go
@@ -5,17 +5,18 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// RaftRequest carries messages of the replicated log from one replica to another. It has
-// no answer but its receipt. Raft repairs the loss of messages.
+// RaftRequest carries raft messages from one replica to another. Its answer only confirms
+// receipt. Raft tolerates the loss of messages.
 type RaftRequest struct {
 	Messages []raft.Message `cbor:"1,keyasint"`
-	// Sender is where to answer to if the receiver's membership does not list the sender
-	// yet.
+	// Sender contains the address for responses if the receiver's membership does not
+	// list the sender yet.
 	Sender raft.Member `cbor:"2,keyasint"`
 }
 
-// SnapshotChunkRequest carries a chunk of a snapshot. The receiver takes chunks in the
-// order of Offset. It ignores a duplicate and rejects a gap; the sender then starts again.
+// SnapshotChunkRequest carries a chunk of a snapshot. The receiver accepts chunks in the
+// order of Offset. It ignores a duplicate and rejects a gap, which ends the transfer; raft
+// then requests a new one.
 type SnapshotChunkRequest struct {
 	From raft.ReplicaID `cbor:"1,keyasint"`
 	To   raft.ReplicaID `cbor:"2,keyasint"`
@@ -25,36 +26,36 @@
 	// Offset is the position of Data in the snapshot, in bytes.
 	Offset uint64 `cbor:"5,keyasint"`
 	Data   []byte `cbor:"6,keyasint"`
-	// Last is true for the chunk that ends the snapshot.
+	// Last is true for the final chunk of the snapshot.
 	Last bool `cbor:"7,keyasint"`
-	// Address is the sender's. The receiver reads the archive from there, as no membership
-	// that it knows need list the sender.
+	// Address is the sender's address. The receiver reads the archive from it, because the
+	// memberships that the receiver knows may not list the sender.
 	Address string `cbor:"8,keyasint"`
 }
 
-// SnapshotChunkAnswer says that a chunk was taken. The sender repeats the last chunk until
-// Installed is true.
+// SnapshotChunkAnswer confirms that a chunk was accepted. The sender repeats the last
+// chunk until Installed is true.
 type SnapshotChunkAnswer struct {
 	Installed bool `cbor:"1,keyasint"`
 }
 
-// ArchivePageRequest asks for the archived jobs after a position in the archive.
+// ArchivePageRequest requests the archived jobs after a position in the archive.
 type ArchivePageRequest struct {
 	// AfterIndex and AfterID are the position: the log index at which a job was archived,
-	// and its id.
+	// and the job's ID.
 	AfterIndex uint64 `cbor:"1,keyasint"`
 	AfterID    string `cbor:"2,keyasint"`
-	// Limit is the greatest number of jobs in the answer.
+	// Limit is the maximum number of jobs in the answer.
 	Limit int `cbor:"3,keyasint"`
 }
 
-// ArchivePageAnswer has the next archived jobs; none at the end of the archive.
+// ArchivePageAnswer contains the next archived jobs; none at the end of the archive.
 type ArchivePageAnswer struct {
 	Jobs []record.ArchivedJob `cbor:"1,keyasint"`
 }
 
-// ReadIndexAnswer has a read point: once a replica has applied Index, its state reflects
-// all that was acknowledged before the request.
+// ReadIndexAnswer contains a read index: once a replica has applied Index, its state
+// reflects every write that was acknowledged before the request.
 type ReadIndexAnswer struct {
 	Index uint64 `cbor:"1,keyasint"`
 }
--- a/internal/settings/changes.go
+++ b/internal/settings/changes.go
@@ -2,7 +2,7 @@
 
 import "reflect"
 
-// ChangedKeys returns the keys in which two settings differ.
+// ChangedKeys returns the keys whose values differ, in the order of the struct's fields.
 func ChangedKeys[T any](before, after T) []string {
 	var changed []string
 	values := settingsOf(&after)
@@ -14,8 +14,8 @@
 	return changed
 }
 
-// LiveKeys returns the settings before with those of the ones after that can
-// take effect at once, and the keys that need a restart.
+// LiveKeys returns a copy of before with the changed live keys set as in after, and the
+// changed keys that take effect only after a restart.
 func LiveKeys[T any](before, after T) (applied T, restartOnly []string) {
 	applied = before
 	values := settingsOf(&after)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,19 +12,19 @@
 	"github.com/decklever/decklever/internal/featuregate"
 )
 
-// withRules is implemented by pointers to settings whose keys must fit each
-// other. It is asked only if each key is right by itself.
-type withRules interface{ broken() []Problem }
+// crossKeyRules is implemented by pointers to settings that have rules across keys.
+// brokenRules is called only if each key is valid on its own.
+type crossKeyRules interface{ brokenRules() []Problem }
 
-// withNeeds is implemented by pointers to settings of which some keys are
-// required only beside others, which a rule of one key cannot see.
-type withNeeds interface{ missing() []Problem }
+// conditionalKeys is implemented by pointers to settings with keys that are required
+// depending on the values of other keys, which the rule of a single key cannot express.
+type conditionalKeys interface{ missingKeys() []Problem }
 
-// check reports each key that breaks its rule. Keys that have a problem
-// already are left out.
-func check(pointer any, known []Problem) []Problem {
+// check returns a problem for each key that breaks its rule, without those that earlier
+// lists already. If there is none in either, it checks the rules across keys.
+func check(pointer any, earlier []Problem) []Problem {
 	reported := map[string]bool{}
-	for _, problem := range known {
+	for _, problem := range earlier {
 		reported[problem.Key] = true
 	}
 	rules := newRules()
@@ -35,34 +35,34 @@
 		}
 		value := setting.value.Interface()
 		if rules.Var(value, setting.validate) != nil {
-			problems = append(problems, Problem{Key: setting.key, Value: show(value), Expected: setting.expected})
+			problems = append(problems, Problem{Key: setting.key, Value: formatValue(value), Expected: setting.expected})
 		}
 	}
-	if subject, ok := pointer.(withNeeds); ok {
-		for _, problem := range subject.missing() {
+	if subject, ok := pointer.(conditionalKeys); ok {
+		for _, problem := range subject.missingKeys() {
 			if !reported[problem.Key] {
 				problems = append(problems, problem)
 			}
 		}
 	}
-	if subject, ok := pointer.(withRules); ok && len(known)+len(problems) == 0 {
-		problems = subject.broken()
+	if subject, ok := pointer.(crossKeyRules); ok && len(earlier)+len(problems) == 0 {
+		problems = subject.brokenRules()
 	}
 	return problems
 }
 
-// newRules adds the rules of this package to those of package validator.
+// newRules returns a validator with the rules of package validator and of this package.
 func newRules() *validator.Validate {
 	rules := validator.New(validator.WithRequiredStructEnabled())
-	for name, holds := range map[string]func(string) bool{
-		"process_name": isName,
+	for name, accepts := range map[string]func(string) bool{
+		"process_name": isProcessName,
 		"ip_port":      isAddress,
 		"reachable":    isReachable,
-		"source_ip":    isSource,
+		"source_ip":    isSourceIP,
 		"agent_url":    isAgentURL,
 		"mechanism":    featuregate.IsKnown,
 	} {
-		rule := func(field validator.FieldLevel) bool { return holds(field.Field().String()) }
+		rule := func(field validator.FieldLevel) bool { return accepts(field.Field().String()) }
 		if err := rules.RegisterValidation(name, rule); err != nil {
 			panic(fmt.Sprintf("settings: rule %s: %v", name, err))
 		}
@@ -72,21 +72,23 @@
 
 var namePattern = regexp.MustCompile(`^[a-zA-Z0-9._-]{1,64}$`)
 
-func isName(text string) bool { return namePattern.MatchString(text) }
+func isProcessName(text string) bool { return namePattern.MatchString(text) }
 
+// isAddress accepts an IP:port with a port other than 0.
 func isAddress(text string) bool {
 	address, err := netip.ParseAddrPort(text)
 	return err == nil && address.Port() != 0
 }
 
-// isReachable refuses an address that stands for all of a machine's own.
+// isReachable accepts an IP:port unless the IP is unspecified (0.0.0.0 or ::), which others
+// cannot connect to.
 func isReachable(text string) bool {
 	address, err := netip.ParseAddrPort(text)
 	return err == nil && !address.Addr().IsUnspecified()
 }
 
-// isSource refuses what no connection can leave from.
-func isSource(text string) bool {
+// isSourceIP accepts an IP address that can be the local address of a connection.
+func isSourceIP(text string) bool {
 	address, err := netip.ParseAddr(text)
 	return err == nil && !address.IsUnspecified() && !address.IsMulticast()
 }
@@ -96,7 +98,7 @@
 	return err == nil && parsed.Scheme == "http" && parsed.Host != "" && (parsed.Path == "" || parsed.Path == "/")
 }
 
-func (c *Common) broken() []Problem {
+func (c *Common) brokenRules() []Problem {
 	if c.Advertise != "" || isReachable(c.Listen) {
 		return nil
 	}
@@ -104,15 +106,15 @@
 	return []Problem{{Key: "advertise", Value: "", Expected: expected}}
 }
 
-func (s *Scheduler) missing() []Problem {
+func (s *Scheduler) missingKeys() []Problem {
 	if s.Relay || s.DataDir != "" {
 		return nil
 	}
-	return []Problem{{Key: "data_dir", Value: show(s.DataDir), Expected: "a folder"}}
+	return []Problem{{Key: "data_dir", Value: formatValue(s.DataDir), Expected: "a folder"}}
 }
 
-func (s *Scheduler) broken() []Problem {
-	problems := s.Common.broken()
+func (s *Scheduler) brokenRules() []Problem {
+	problems := s.Common.brokenRules()
 	timing := s.Timing
 	if timing.Tick >= timing.Lease {
 		problems = append(problems, tooLong("timing.tick", timing.Tick, "less than timing.lease", timing.Lease))
--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -12,8 +12,8 @@
 
 var durationType = reflect.TypeFor[api.Duration]()
 
-// assign converts what the file or a flag gave and sets the key to it. It
-// returns what was expected, or "" if the value was right.
+// assign converts a value from the file or a flag to the key's type and sets the key. If the
+// value is invalid, it sets nothing and returns what was expected, else "".
 func assign(into reflect.Value, raw any) (expected string) {
 	if flag, ok := raw.(flagText); ok {
 		return assignText(into, string(flag))
@@ -34,7 +34,7 @@
 	}
 }
 
-// assignText converts a flag's text, in which lists are separated by commas.
+// assignText converts a flag's text. Items of lists and maps are separated by commas.
 func assignText(into reflect.Value, text string) string {
 	switch into.Kind() {
 	case reflect.Slice:
@@ -58,7 +58,7 @@
 	}
 }
 
-// assignBool takes true and false, as words in flags.
+// assignBool accepts the boolean of a file and the words "true" and "false" of a flag.
 func assignBool(into reflect.Value, raw any) string {
 	switch fmt.Sprint(raw) {
 	case "true":
@@ -179,27 +179,28 @@
 	return pairs, true
 }
 
-// show returns a value as an error shows it.
-func show(raw any) string {
+// formatValue returns a value as errors, flags and the reference show it: the
+// items of a list or section separated by commas, truncated to maxValueBytes.
+func formatValue(raw any) string {
 	switch value := raw.(type) {
 	case nil:
 		return ""
 	case []string:
-		return shorten(strings.Join(value, ","))
+		return truncate(strings.Join(value, ","))
 	case []any:
 		items := make([]string, len(value))
 		for i, item := range value {
 			items[i] = fmt.Sprint(item)
 		}
-		return shorten(strings.Join(items, ","))
+		return truncate(strings.Join(items, ","))
 	case map[string]any:
-		return shorten(showMap(value))
+		return truncate(formatMap(value))
 	default:
-		return shorten(fmt.Sprint(value))
+		return truncate(fmt.Sprint(value))
 	}
 }
 
-func showMap(pairs map[string]any) string {
+func formatMap(pairs map[string]any) string {
 	items := make([]string, 0, len(pairs))
 	for key, value := range pairs {
 		items = append(items, fmt.Sprintf("%s=%v", key, value))
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -6,8 +6,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// withDefaults is implemented by pointers to the settings of this package.
-type withDefaults interface{ setDefaults() }
+// defaultSetter is implemented by pointers to the settings of each program.
+type defaultSetter interface{ setDefaults() }
 
 func (c *Common) setDefaults() {
 	c.StopTimeout = api.Duration(2 * time.Second)
@@ -25,7 +25,7 @@
 	s.SnapshotEvery = 10000
 	s.ArchiveMaxBytes = 24 << 20
 	s.MayForm = true
-	s.Tolerate = 2
+	s.ToleratedFailures = 2
 }
 
 func (f *Front) setDefaults() {
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,7 +1,7 @@
-// Package settings reads each program's YAML file and flags, checks them
-// before anything listens, and watches the file for changes. Every wrong key
-// is reported on one line with its value and what was expected.
+// Package settings loads each program's settings from a YAML file and flags, validates them
+// before the program listens, and watches the file for changes. One line of an error lists
+// every invalid key with its value and what was expected.
 //
-// The keys, their rules and their help are the struct tags in types.go, and the
-// defaults are in defaults.go; docs/SETTINGS.md is made from both.
+// The struct tags in types.go define the keys, their rules and their help texts, and
+// defaults.go has the defaults; docs/SETTINGS.md is generated from both.
 package settings
