--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// ErrUsage is what every error about wrong settings or flags wraps.
+// ErrUsage is wrapped by every error about invalid settings or flags.
 var ErrUsage = errors.New("wrong settings or usage")
 
-// Problem is one wrong key.
+// Problem describes one invalid key.
 type Problem struct {
 	// Key is the key with its section, such as "timing.lease".
 	Key string
-	// Value is what was given, shortened.
+	// Value is the given value, truncated.
 	Value string
-	// Expected says what would be right.
+	// Expected describes the valid values.
 	Expected string
 }
 
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("%s %q: expected %s", p.Key, p.Value, p.Expected)
 }
 
-// Error lists every wrong key on one line. It matches ErrUsage.
+// Error lists every invalid key on one line. errors.Is matches it with ErrUsage.
 type Error struct {
 	Problems []Problem
 }
@@ -41,7 +41,7 @@
 // Unwrap makes errors.Is match ErrUsage.
 func (e *Error) Unwrap() error { return ErrUsage }
 
-// errorOf returns nil if there is no problem.
+// errorOf returns an *Error with the problems, or nil if there is none.
 func errorOf(problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
@@ -49,17 +49,17 @@
 	return &Error{Problems: problems}
 }
 
-// maxShownBytes bounds how much of a wrong value is shown.
-const maxShownBytes = 80
+// maxValueBytes bounds the part of a value that is shown, in bytes.
+const maxValueBytes = 80
 
-func shorten(text string) string {
-	if len(text) <= maxShownBytes {
+func truncate(text string) string {
+	if len(text) <= maxValueBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:maxShownBytes], "") + "..."
+	return strings.ToValidUTF8(text[:maxValueBytes], "") + "..."
 }
 
-// oneLine makes a library's error fit on the one line.
+// oneLine returns the text of a library's error with each run of white space replaced by one space.
 func oneLine(err error) string {
 	return strings.Join(strings.Fields(err.Error()), " ")
 }
--- a/internal/settings/filestate.go
+++ b/internal/settings/filestate.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// fileState tells two states of a file apart without reading it.
+// fileState identifies a version of a file without its content. The zero value means that
+// the file could not be examined.
 type fileState struct {
 	known    bool
 	size     int64
@@ -14,7 +15,7 @@
 	inode    uint64
 }
 
-// stateOf reads the state; a file that cannot be found has none.
+// stateOf returns the file's state, or the zero value if stat fails.
 func stateOf(path string) fileState {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -27,20 +28,21 @@
 	return state
 }
 
-// surelyUnchanged reports whether the file had this state and content at the
-// last look already.
+// surelyUnchanged reports whether the file certainly has the same content as when it had the
+// state before. It returns false for a file modified within recentChange before now.
 func (s fileState) surelyUnchanged(before fileState, now time.Time) bool {
 	return s.known && s == before && now.Sub(s.modified) > recentChange
 }
 
-// mayHaveChanged looks at the file's state. It is read only if this returns
-// true; the state is taken before, so that a later change makes another one.
+// mayHaveChanged reports whether the file may have changed since the last call, and records
+// its state. The poll reads the file only if it returns true. The state is recorded before
+// the file is read, so that the next poll notices a change made after it.
 func (w *Watcher[T]) mayHaveChanged(now time.Time) bool {
 	if w.path == "" {
 		return false
 	}
 	state := stateOf(w.path)
-	unchanged := state.surelyUnchanged(w.polled, now)
-	w.polled = state
+	unchanged := state.surelyUnchanged(w.polledState, now)
+	w.polledState = state
 	return !unchanged
 }
--- a/internal/settings/filestate_test.go
+++ b/internal/settings/filestate_test.go
@@ -7,7 +7,10 @@
 	"time"
 )
 
-func TestPollReadsOnlyWhatMayHaveChanged(t *testing.T) {
+// The poll must not read an unchanged file each time, and must not miss a change that leaves
+// size and time of modification the same: a replaced file, or a second write within one tick
+// of the file system's clock.
+func TestMayHaveChanged_ByFileState(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	watcher := &Watcher[struct{}]{path: path}
 	start := time.Now()
@@ -20,35 +23,35 @@
 			t.Fatal(err)
 		}
 	}
-	look := func(what string, want bool) {
+	wantPoll := func(state string, want bool) {
 		t.Helper()
 		if got := watcher.mayHaveChanged(start); got != want {
-			t.Errorf("%s: may have changed %v, want %v", what, got, want)
+			t.Errorf("%s: got mayHaveChanged %v, want %v", state, got, want)
 		}
 	}
-	look("a file that is not there", true)
+	wantPoll("missing file", true)
 	old := start.Add(-time.Hour)
 	write("a", old)
-	look("a new file", true)
-	look("the same", false)
-	look("the same again", false)
+	wantPoll("new file", true)
+	wantPoll("unchanged", false)
+	wantPoll("unchanged for the second time", false)
 	write("bb", old)
-	look("another size", true)
-	look("the same", false)
+	wantPoll("different size", true)
+	wantPoll("unchanged", false)
 	write("cc", old.Add(time.Second))
-	look("another time", true)
-	look("the same", false)
+	wantPoll("different time of modification", true)
+	wantPoll("unchanged", false)
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	look("a file that is gone", true)
+	wantPoll("removed file", true)
 	write("dd", start)
-	look("written just now", true)
-	look("written just now, and maybe again in the same tick", true)
+	wantPoll("modified just now", true)
+	wantPoll("modified just now, possibly again in the same tick", true)
 	other := path + ".new"
 	write("ee", old)
-	look("an old time", true)
-	look("the same", false)
+	wantPoll("old time of modification", true)
+	wantPoll("unchanged", false)
 	if err := os.WriteFile(other, []byte("ff"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -58,8 +61,8 @@
 	if err := os.Rename(other, path); err != nil {
 		t.Fatal(err)
 	}
-	look("another file of the same size and time", true)
-	look("the same", false)
+	wantPoll("replaced by a file of the same size and time", true)
+	wantPoll("unchanged", false)
 }
 
 func BenchmarkPoll(b *testing.B) {
@@ -76,14 +79,14 @@
 	b.Run("stat", func(b *testing.B) {
 		for b.Loop() {
 			if watcher.mayHaveChanged(time.Now()) {
-				b.Fatal("changed")
+				b.Fatal("mayHaveChanged of an unchanged file: got true, want false")
 			}
 		}
 	})
 	b.Run("read", func(b *testing.B) {
 		for b.Loop() {
-			if digestOf(readFile(path)) == watcher.seen {
-				b.Fatal("no content")
+			if digestOf(readFile(path)) == watcher.loadedDigest {
+				b.Fatal("digest of the file: got the zero digest, want another")
 			}
 		}
 	})
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -7,14 +7,14 @@
 	"github.com/spf13/pflag"
 )
 
-// settingsFlag names the file.
+// settingsFlag is the name of the flag for the path of the settings file.
 const settingsFlag = "settings"
 
-// flagText is a value that came from a flag and is still to be converted.
+// flagText is the unconverted value of a flag.
 type flagText string
 
-// flagValue is a flag that keeps its text; Load converts and checks it like
-// the file's values, so that all wrong keys are reported at once.
+// flagValue is the pflag.Value of a key. It stores the text only: Load converts and checks it
+// together with the values of the file, so that one error lists all invalid keys.
 type flagValue struct {
 	text string
 	kind string
@@ -32,15 +32,15 @@
 // Type implements pflag.Value.
 func (v *flagValue) Type() string { return v.kind }
 
-// BindFlags adds one flag for each key of T, named like the key, and
-// --settings for the file. Load reads them.
+// BindFlags adds one flag for each key of T, with the key as its name, and --settings for the
+// path of the file. LoadOptions.Flags passes the flags to Load.
 func BindFlags[T any](flags *pflag.FlagSet) {
 	flags.String(settingsFlag, "", "settings `file` in YAML; flags override it")
 	value := defaultsOf[T]()
 	for _, setting := range settingsOf(&value) {
 		text := ""
 		if !setting.value.IsZero() {
-			text = show(setting.value.Interface())
+			text = formatValue(setting.value.Interface())
 		}
 		flags.Var(&flagValue{text: text, kind: kindOf(setting.value)}, setting.key, setting.usage)
 	}
@@ -63,9 +63,8 @@
 	}
 }
 
-// fileOf returns the file named by the options or by --settings; empty if
-// there is none.
-func fileOf(options LoadOptions) (string, error) {
+// settingsPath returns the path in the options, else that of --settings, else "".
+func settingsPath(options LoadOptions) (string, error) {
 	if options.Path != "" || options.Flags == nil || options.Flags.Lookup(settingsFlag) == nil {
 		return options.Path, nil
 	}
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzParse holds that no settings file panics, that a refusal is one line that
-// counts as wrong usage, and that what is taken keeps its rules.
+// FuzzParse checks that parse never panics, that each error is one line and wraps ErrUsage,
+// and that accepted settings satisfy their rules.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("name: control-1\nzone: z1\nlisten: 127.0.0.1:7100\nseeds: [127.0.0.1:7100]\ndata_dir: data\n"))
 	f.Add([]byte("name: front-1\nzone: z1\nlisten: 0.0.0.0:7200\nadvertise: 127.0.0.1:7200\nseeds: [127.0.0.1:7100]\ndeadline: 2s\n"))
@@ -27,11 +27,11 @@
 	value, err := parse[T]("file.yaml", content, nil)
 	if err == nil {
 		if problems := check(&value, nil); len(problems) > 0 {
-			t.Fatalf("taken with %+v", problems)
+			t.Fatalf("parse accepted settings with problems: got %+v, want none", problems)
 		}
 		return
 	}
 	if !errors.Is(err, ErrUsage) || strings.ContainsAny(err.Error(), "\r\n") {
-		t.Fatalf("%T: refused with %q", value, err)
+		t.Fatalf("parse of %T: got error %q, want one line that wraps ErrUsage", value, err)
 	}
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// setting is one key of a settings struct, and its place in a value.
+// setting is one key of a settings struct: the texts of its struct tags, and the addressable
+// field that holds its value.
 type setting struct {
 	key      string
 	value    reflect.Value
@@ -16,14 +17,14 @@
 	live     bool
 }
 
-// settingsOf returns the keys of the struct that pointer points to, in the
-// order of its fields.
+// settingsOf returns the keys of the struct that pointer points to, in the order of its
+// fields. Setting their values changes that struct.
 func settingsOf(pointer any) []setting {
 	return collect(reflect.ValueOf(pointer).Elem(), "", reflect.StructTag(""))
 }
 
-// collect walks one section. Tags of the section's own field hold for those
-// of its keys that have none.
+// collect returns the keys of one section and of the sections inside it. outer has the tags of
+// the section's own field; they apply to its keys that lack a tag of that name.
 func collect(section reflect.Value, prefix string, outer reflect.StructTag) []setting {
 	var settings []setting
 	for i := range section.NumField() {
@@ -69,6 +70,8 @@
 	return name, option == "squash"
 }
 
+// isSection reports whether a field is a section of keys: a struct that does not
+// unmarshal from text.
 func isSection(value reflect.Value) bool {
 	if value.Kind() != reflect.Struct {
 		return false
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -15,22 +15,22 @@
 
 const delimiter = "."
 
-// LoadOptions says where settings come from.
+// LoadOptions are the sources of settings.
 type LoadOptions struct {
-	// Path is the YAML file. Default: the flag --settings; if that is empty
-	// too, there is no file.
+	// Path is the path of the YAML file. Default: the value of the flag --settings; if that
+	// is empty too, no file is read.
 	Path string
-	// Flags override the file where they were given. Optional; made by
-	// BindFlags and parsed.
+	// Flags are the parsed flags of BindFlags. Those set on the command line override the
+	// file. Optional.
 	Flags *pflag.FlagSet
 }
 
-// Load returns the defaults of T, overridden by the file, overridden by the
-// flags that were given, all checked. An error that is about the settings is
-// an *Error, wraps ErrUsage, and lists every wrong key on one line.
+// Load returns the validated settings: the defaults of T, overridden by the file, overridden
+// by the flags set on the command line. An error about the settings is an *Error, which wraps
+// ErrUsage and lists every invalid key on one line.
 func Load[T any](options LoadOptions) (T, error) {
 	var none T
-	path, err := fileOf(options)
+	path, err := settingsPath(options)
 	if err != nil {
 		return none, err
 	}
@@ -41,6 +41,8 @@
 	return parse[T](path, content, options.Flags)
 }
 
+// readFile returns the content of the settings file, or nil for an empty path. The error is an
+// *Error.
 func readFile(path string) ([]byte, error) {
 	if path == "" {
 		return nil, nil
@@ -53,7 +55,7 @@
 	return content, nil
 }
 
-// parse is Load without reading the file.
+// parse does the work of Load on the content of the file. path is for errors only.
 func parse[T any](path string, content []byte, flags *pflag.FlagSet) (T, error) {
 	var none T
 	source := koanf.New(delimiter)
@@ -73,8 +75,8 @@
 	return value, nil
 }
 
-// loadFlags takes the flags that were given. Others are left out, as the
-// defaults stand in the struct already.
+// loadFlags adds the flags set on the command line to source. It leaves out the others, as the
+// struct already has the defaults.
 func loadFlags(source *koanf.Koanf, flags *pflag.FlagSet) error {
 	if flags == nil {
 		return nil
@@ -93,14 +95,14 @@
 
 func defaultsOf[T any]() T {
 	var value T
-	if settings, ok := any(&value).(withDefaults); ok {
+	if settings, ok := any(&value).(defaultSetter); ok {
 		settings.setDefaults()
 	}
 	return value
 }
 
-// fill sets each key that is given, and reports unknown keys and values of a
-// wrong type.
+// fill sets the given keys, and returns a problem for each unknown key and each value of an
+// invalid type.
 func fill(settings []setting, given map[string]any) []Problem {
 	byKey := map[string]setting{}
 	for _, setting := range settings {
@@ -119,23 +121,23 @@
 		case isSetting:
 			problems = append(problems, fillSetting(known, raw)...)
 		case !isSectionKey(byKey, key):
-			problems = append(problems, Problem{Key: key, Value: show(raw), Expected: "a known key"})
+			problems = append(problems, Problem{Key: key, Value: formatValue(raw), Expected: "a known key"})
 		case isMap:
 			problems = append(problems, fillSection(byKey, section, key+delimiter)...)
 		case raw != nil:
-			problems = append(problems, Problem{Key: key, Value: show(raw), Expected: "a section of keys"})
+			problems = append(problems, Problem{Key: key, Value: formatValue(raw), Expected: "a section of keys"})
 		}
 	}
 	return problems
 }
 
-// fillSetting leaves the default where the file has the key without a value.
+// fillSetting sets one key. It leaves the default if the file has the key without a value.
 func fillSetting(known setting, raw any) []Problem {
 	if raw == nil {
 		return nil
 	}
 	if expected := assign(known.value, raw); expected != "" {
-		return []Problem{{Key: known.key, Value: show(raw), Expected: expected}}
+		return []Problem{{Key: known.key, Value: formatValue(raw), Expected: expected}}
 	}
 	return nil
 }
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -47,7 +47,7 @@
 	return flags
 }
 
-func TestDefaultsFileAndFlagsInThatOrder(t *testing.T) {
+func TestLoad_FlagsOverrideFileAndDefaults(t *testing.T) {
 	path := settingsFile(t, goodScheduler+"timing: {tick: 40ms, lease: 300ms}\nlog:\n")
 	flags := parsedFlags[Scheduler](t, "--settings", path, "--timing.tick=30ms", "--seeds=127.0.0.1:1,127.0.0.2:2", "--snapshot_every=7", "--may_form=false")
 	got, err := Load[Scheduler](LoadOptions{Flags: flags})
@@ -68,20 +68,20 @@
 			ElectionTimeoutMin: api.Duration(500 * time.Millisecond),
 			ElectionTimeoutMax: api.Duration(time.Second),
 		},
-		SnapshotEvery:   7,
-		ArchiveMaxBytes: 24 << 20,
-		MayForm:         false,
-		Tolerate:        2,
+		SnapshotEvery:     7,
+		ArchiveMaxBytes:   24 << 20,
+		MayForm:           false,
+		ToleratedFailures: 2,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatalf("settings differ (-want +got):\n%s", diff)
 	}
-	if got.Reach() != "127.0.0.1:7100" {
-		t.Fatalf("Reach() = %q", got.Reach())
+	if got.AdvertisedAddress() != "127.0.0.1:7100" {
+		t.Fatalf("Reach: got %q, want the listen address 127.0.0.1:7100", got.AdvertisedAddress())
 	}
 }
 
-func TestWorkerFromFlagsAlone(t *testing.T) {
+func TestLoad_WorkerFromFlagsOnly(t *testing.T) {
 	flags := parsedFlags[Worker](t, "--name=w", "--agent=http://127.0.0.1:7300", "--labels=disk=ssd,rack.row=4", "--capacity.accelerators=2", "--services=sleep")
 	got, err := Load[Worker](LoadOptions{Flags: flags})
 	if err != nil {
@@ -99,18 +99,19 @@
 	}
 }
 
-// TestRelayNeedsNoDataFolder: a scheduler on a machine without a disk.
-func TestRelayNeedsNoDataFolder(t *testing.T) {
+// A relay runs on machines without a disk, so it must start without data_dir; any other
+// scheduler must not.
+func TestLoad_RelayNeedsNoDataDir(t *testing.T) {
 	const common = "name: s\nzone: z\nlisten: 127.0.0.1:7100\nseeds: [127.0.0.1:7100]\n"
 	got, err := Load[Scheduler](LoadOptions{Path: settingsFile(t, common+"relay: true\n")})
 	if err != nil || !got.Relay || got.DataDir != "" {
-		t.Fatalf("relay %v, folder %q, error %v", got.Relay, got.DataDir, err)
+		t.Fatalf("got relay %v, data_dir %q, error %v, want a relay without data_dir", got.Relay, got.DataDir, err)
 	}
 	_, err = Load[Scheduler](LoadOptions{Path: settingsFile(t, common+"relay: false\n")})
 	wantError(t, err, `data_dir "": expected a folder`)
 }
 
-func TestWrongSchedulerSettings(t *testing.T) {
+func TestLoad_InvalidSchedulerSettings(t *testing.T) {
 	for name, test := range map[string]struct{ content, want string }{
 		"empty": {
 			"",
@@ -139,24 +140,24 @@
 				`log.level "loud": expected debug, info, warn or error; ` +
 				`snapshot_every "0": expected a whole number, at least 1`,
 		},
-		"seed twice":         {strings.Replace(goodScheduler, "[127.0.0.1:7100]", "[127.0.0.1:1, 127.0.0.1:1]", 1), `seeds "127.0.0.1:1,127.0.0.1:1": expected one or more different IP:port of schedulers`},
-		"port 0":             {strings.Replace(goodScheduler, "listen: 127.0.0.1:7100", "listen: 127.0.0.1:0", 1), `listen "127.0.0.1:0": expected an IP address and port, such as 127.0.0.1:7100`},
-		"nothing to reach":   {strings.Replace(goodScheduler, "listen: 127.0.0.1:7100", "listen: 0.0.0.0:7100", 1), `advertise "": expected an IP address and port that others can reach, as listen is 0.0.0.0:7100`},
-		"unreachable":        {goodScheduler + "advertise: 0.0.0.0:7100\n", `advertise "0.0.0.0:7100": expected an IP address and port that others can reach, such as 127.0.0.1:7100`},
-		"no source":          {goodScheduler + "source: 0.0.0.0\n", `source "0.0.0.0": expected an IP address of this machine, such as 127.0.0.1`},
-		"number as duration": {goodScheduler + "timing: {tick: 50}\n", `timing.tick "50": expected a duration such as "200ms"`},
-		"no duration":        {goodScheduler + "timing: {tick: soon}\n", `timing.tick "soon": expected a duration such as "200ms"`},
-		"duration 0":         {goodScheduler + "timing: {tick: 0s}\n", `timing.tick "0s": expected a duration over 0, such as "50ms"`},
-		"not a truth value":  {goodScheduler + "may_form: perhaps\n", `may_form "perhaps": expected true or false`},
-		"negative number":    {goodScheduler + "snapshot_every: -1\n", `snapshot_every "-1": expected a whole number, 0 or more`},
-		"fewer than none":    {goodScheduler + "max_connections: -1\n", `max_connections "-1": expected a whole number, 0 or more`},
-		"processors below 0": {goodScheduler + "processors: -1\n", `processors "-1": expected a whole number, 0 to 256`},
-		"too many of them":   {goodScheduler + "processors: 257\n", `processors "257": expected a whole number, 0 to 256`},
-		"unknown mechanism":  {goodScheduler + "experiment: {off: [lease]}\n", `experiment.off "lease": expected different names of mechanisms, such as "headroom" (docs/notes/ablation.md lists them)`},
-		"mechanism twice":    {goodScheduler + "experiment: {off: [yields, yields]}\n", `experiment.off "yields,yields": expected different names of mechanisms, such as "headroom" (docs/notes/ablation.md lists them)`},
-		"tick":               {goodScheduler + "timing: {tick: 400ms}\n", `timing.tick "400ms": expected less than timing.lease, which is 400ms`},
-		"lease":              {goodScheduler + "timing: {lease: 500ms}\n", `timing.lease "500ms": expected less than timing.election_timeout_min, which is 500ms`},
-		"election":           {goodScheduler + "timing: {election_timeout_max: 499ms}\n", `timing.election_timeout_min "500ms": expected at most timing.election_timeout_max, which is 499ms`},
+		"seed twice":          {strings.Replace(goodScheduler, "[127.0.0.1:7100]", "[127.0.0.1:1, 127.0.0.1:1]", 1), `seeds "127.0.0.1:1,127.0.0.1:1": expected one or more different IP:port of schedulers`},
+		"port 0":              {strings.Replace(goodScheduler, "listen: 127.0.0.1:7100", "listen: 127.0.0.1:0", 1), `listen "127.0.0.1:0": expected an IP address and port, such as 127.0.0.1:7100`},
+		"advertise missing":   {strings.Replace(goodScheduler, "listen: 127.0.0.1:7100", "listen: 0.0.0.0:7100", 1), `advertise "": expected an IP address and port that others can reach, as listen is 0.0.0.0:7100`},
+		"advertise 0.0.0.0":   {goodScheduler + "advertise: 0.0.0.0:7100\n", `advertise "0.0.0.0:7100": expected an IP address and port that others can reach, such as 127.0.0.1:7100`},
+		"source 0.0.0.0":      {goodScheduler + "source: 0.0.0.0\n", `source "0.0.0.0": expected an IP address of this machine, such as 127.0.0.1`},
+		"number as duration":  {goodScheduler + "timing: {tick: 50}\n", `timing.tick "50": expected a duration such as "200ms"`},
+		"invalid duration":    {goodScheduler + "timing: {tick: soon}\n", `timing.tick "soon": expected a duration such as "200ms"`},
+		"duration 0":          {goodScheduler + "timing: {tick: 0s}\n", `timing.tick "0s": expected a duration over 0, such as "50ms"`},
+		"invalid boolean":     {goodScheduler + "may_form: perhaps\n", `may_form "perhaps": expected true or false`},
+		"negative number":     {goodScheduler + "snapshot_every: -1\n", `snapshot_every "-1": expected a whole number, 0 or more`},
+		"connections below 0": {goodScheduler + "max_connections: -1\n", `max_connections "-1": expected a whole number, 0 or more`},
+		"processors below 0":  {goodScheduler + "processors: -1\n", `processors "-1": expected a whole number, 0 to 256`},
+		"too many processors": {goodScheduler + "processors: 257\n", `processors "257": expected a whole number, 0 to 256`},
+		"unknown mechanism":   {goodScheduler + "experiment: {off: [lease]}\n", `experiment.off "lease": expected different names of mechanisms, such as "headroom" (docs/notes/ablation.md lists them)`},
+		"mechanism twice":     {goodScheduler + "experiment: {off: [yields, yields]}\n", `experiment.off "yields,yields": expected different names of mechanisms, such as "headroom" (docs/notes/ablation.md lists them)`},
+		"tick":                {goodScheduler + "timing: {tick: 400ms}\n", `timing.tick "400ms": expected less than timing.lease, which is 400ms`},
+		"lease":               {goodScheduler + "timing: {lease: 500ms}\n", `timing.lease "500ms": expected less than timing.election_timeout_min, which is 500ms`},
+		"election":            {goodScheduler + "timing: {election_timeout_max: 499ms}\n", `timing.election_timeout_min "500ms": expected at most timing.election_timeout_max, which is 499ms`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Load[Scheduler](LoadOptions{Path: settingsFile(t, test.content)})
@@ -164,13 +165,13 @@
 				t.Fatalf("got:\n%v\nwant:\n%s", err, test.want)
 			}
 			if !errors.Is(err, ErrUsage) {
-				t.Fatal("error does not match ErrUsage")
+				t.Fatal("errors.Is(err, ErrUsage): got false, want true")
 			}
 		})
 	}
 }
 
-func TestWrongSettingsOfOtherPrograms(t *testing.T) {
+func TestLoad_InvalidSettingsOfOtherPrograms(t *testing.T) {
 	common := "name: n\nzone: z\nlisten: 127.0.0.1:1\nseeds: [127.0.0.1:2]\n"
 	_, err := Load[Front](LoadOptions{Path: settingsFile(t, common+"deadline: -1s\nmax_inflight: 1.5\n")})
 	wantError(t, err, `max_inflight "1.5": expected a whole number; deadline "-1s": expected a duration over 0, such as "3s"`)
@@ -192,7 +193,7 @@
 	}
 }
 
-func TestUnreadableFiles(t *testing.T) {
+func TestLoad_UnreadableFile(t *testing.T) {
 	for name, path := range map[string]string{
 		"missing":   filepath.Join(t.TempDir(), "none.yaml"),
 		"broken":    settingsFile(t, "name: [\nzone: z"),
@@ -202,15 +203,14 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := Load[Agent](LoadOptions{Path: path})
 			if !errors.Is(err, ErrUsage) || !strings.HasPrefix(err.Error(), "settings ") || strings.Contains(err.Error(), "\n") {
-				t.Fatalf("got %v, expected one line about the file", err)
+				t.Fatalf("got error %v, want one line about the file that wraps ErrUsage", err)
 			}
 		})
 	}
 }
 
-// TestExamples holds the examples to the structs: each loads, and each names
-// every key.
-func TestExamples(t *testing.T) {
+// Each file in examples/ must load, and must contain every key of its program.
+func TestLoad_ExamplesAreComplete(t *testing.T) {
 	testExample[Scheduler](t, "scheduler.yaml")
 	testExample[Front](t, "front.yaml")
 	testExample[Agent](t, "agent.yaml")
@@ -234,7 +234,7 @@
 	}
 	for _, setting := range settingsOf(&value) {
 		if !hasKey(given, strings.Split(setting.key, ".")) {
-			t.Errorf("%s: key %s is missing", name, setting.key)
+			t.Errorf("%s: key %s missing, want every key", name, setting.key)
 		}
 	}
 }
--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -32,8 +32,7 @@
 Rule across keys: ` + "`advertise`" + ` is required if ` + "`listen`" + ` is ` + "`0.0.0.0`" + ` or ` + "`[::]`" + `.
 `
 
-// Reference returns the page docs/SETTINGS.md: every key of every program, in
-// Markdown.
+// Reference returns the content of docs/SETTINGS.md: every key of every program, in Markdown.
 func Reference() string {
 	var page strings.Builder
 	page.WriteString(referenceHead)
@@ -44,22 +43,23 @@
 	return page.String()
 }
 
-// describe writes the section of one program.
+// describe writes the section of one program: a table of its keys, then its rules across keys.
 func describe[T any](page *strings.Builder, program, rules string) {
 	fmt.Fprintf(page, "\n## %s\n\n", program)
 	page.WriteString("| key and flag | default | meaning | rule | change takes effect |\n|---|---|---|---|---|\n")
 	value := defaultsOf[T]()
 	for _, setting := range settingsOf(&value) {
 		fmt.Fprintf(page, "| `%s`, `--%s` | %s | %s | %s | %s |\n", setting.key, setting.key,
-			defaultText(setting), cell(setting.usage), cell(ruleText(setting)), effect(setting))
+			defaultText(setting), escapeCell(setting.usage), escapeCell(ruleText(setting)), effectText(setting))
 	}
 	page.WriteString(rules)
 }
 
-// defaultText tells a default from a key that has none.
+// defaultText returns the table cell for a key's default: the value, "required" if the key has
+// none and its rule refuses the zero value, or "none".
 func defaultText(known setting) string {
 	if !known.value.IsZero() {
-		return "`" + show(known.value.Interface()) + "`"
+		return "`" + formatValue(known.value.Interface()) + "`"
 	}
 	switch {
 	case isRequired(known):
@@ -75,7 +75,7 @@
 	}
 }
 
-// isRequired reports whether the zero value breaks the key's rule.
+// isRequired reports whether the key's default breaks its rule.
 func isRequired(known setting) bool {
 	return known.validate != "" && newRules().Var(known.value.Interface(), known.validate) != nil
 }
@@ -91,12 +91,12 @@
 	}
 }
 
-func effect(known setting) string {
+func effectText(known setting) string {
 	if known.live {
 		return "live"
 	}
 	return "restart"
 }
 
-// cell keeps a text from ending its table cell.
-func cell(text string) string { return strings.ReplaceAll(text, "|", `\|`) }
+// escapeCell escapes the pipes in a text, which would end its table cell.
+func escapeCell(text string) string { return strings.ReplaceAll(text, "|", `\|`) }
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -10,9 +10,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write docs/SETTINGS.md anew")
+var update = flag.Bool("update", false, "rewrite docs/SETTINGS.md")
 
-// The page is never edited by hand:
+// The page is generated and must match the settings. To regenerate it:
 //
 //	go test ./internal/settings -run TestReferencePage -update
 func TestReferencePage(t *testing.T) {
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestReferenceTellsDefaultsRulesAndEffect(t *testing.T) {
+func TestReference_ListsDefaultsRulesAndEffect(t *testing.T) {
 	page := Reference()
 	for _, row := range []string{
 		"| `name`, `--name` | required | name of this process, unique in the fleet (required) | 1 to 64 of a-z, A-Z, 0-9, '-', '_' or '.' | restart |",
@@ -41,7 +41,7 @@
 		"| `test.wall_clock_offset`, `--test.wall_clock_offset` | `0s` | for trials: added to the wall clock that this process reads | a duration such as \"200ms\" | live |",
 	} {
 		if !strings.Contains(page, row+"\n") {
-			t.Errorf("the reference has no row\n%s", row)
+			t.Errorf("row missing in the reference, want\n%s", row)
 		}
 	}
 }
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -19,57 +19,60 @@
 
 const (
 	defaultPollInterval = time.Second
-	// recentChange is the age below which a time of change does not tell that the
-	// file is unchanged: another write may fall into the same tick of its clock.
+	// recentChange is the age of a modification below which an equal modification time does
+	// not prove that the file is unchanged: a later write may fall into the same tick of
+	// the file system's clock.
 	recentChange = 2 * time.Second
-	// settleTime is how long a changed content must stay the same before it is
-	// taken, so that a file half written is not.
-	settleTime = 50 * time.Millisecond
+	// stableTime is how long a changed content must stay the same before it is loaded, so
+	// that a partly written file is not loaded.
+	stableTime = 50 * time.Millisecond
 )
 
-// WatchConfig says what a Watcher watches. Options and Initial are required;
-// any other zero field means its default.
+// WatchConfig configures a Watcher. Options and Initial are required; any other zero field
+// means its default.
 type WatchConfig[T any] struct {
-	// Options are those that Initial was loaded with.
+	// Options are the options with which Initial was loaded.
 	Options LoadOptions
-	// Initial is in force at the start.
+	// Initial is the configuration in force at the start.
 	Initial T
-	// Interval is the pause between two looks at the file, behind fsnotify.
-	// Default 1s. A look costs one stat unless the file changed.
+	// Interval is the time between two polls of the file, which find changes that fsnotify
+	// does not report. A poll costs one stat unless the file may have changed. Default 1s.
 	Interval time.Duration
-	// Live returns what of the new settings can take effect at once, and the
-	// keys that need a restart. Default: LiveKeys.
+	// Live returns the settings before with those changes of after that can take effect
+	// without a restart, and the changed keys that need one. Default: LiveKeys.
 	Live func(before, after T) (applied T, restartOnly []string)
-	// Apply puts settings in force. It is called by one goroutine.
+	// Apply puts changed settings in force. Only the goroutine of Run calls it. Default: no
+	// call.
 	Apply func(T)
-	// Logger takes changes and errors. Default: none.
+	// Logger logs changes and errors. Default: discard.
 	Logger *slog.Logger
 }
 
-// Watcher keeps the settings in force in step with the file. A file that is
-// wrong changes nothing. A change of the file's content is noticed by fsnotify
-// or, where that fails, by a poll; SIGHUP and Reload have it read at once.
+// Watcher updates the configuration in force when the settings file changes. An invalid file
+// changes nothing. Events of fsnotify and a poll detect a change of the file's content; SIGHUP
+// and Reload make the watcher load the file at once.
 type Watcher[T any] struct {
 	config WatchConfig[T]
 	path   string
 	reload chan struct{}
 
-	// These belong to the goroutine of Run. seen is the content last taken,
-	// candidate the one last looked at.
-	current         T
-	seen, candidate [sha256.Size]byte
-	settled         *time.Timer
-	// polled is the file's state at the last look of the poll.
-	polled fileState
+	// The fields up to polledState are used only by the goroutine of Run. current is the
+	// configuration in force. loadedDigest identifies the content last loaded, valid or not;
+	// candidateDigest the content last read. stableTimer fires after stableTime.
+	current                       T
+	loadedDigest, candidateDigest [sha256.Size]byte
+	stableTimer                   *time.Timer
+	// polledState is the file's state at the last poll.
+	polledState fileState
 
 	mutex          sync.Mutex
 	pendingRestart []string
 	lastError      error
 }
 
-// NewWatcher returns a watcher that Run sets to work.
+// NewWatcher returns a watcher; Run starts it. It fails if the flag --settings cannot be read.
 func NewWatcher[T any](config WatchConfig[T]) (*Watcher[T], error) {
-	path, err := fileOf(config.Options)
+	path, err := settingsPath(config.Options)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +91,7 @@
 	return &Watcher[T]{config: config, path: path, reload: make(chan struct{}, 1), current: config.Initial}, nil
 }
 
-// Watch runs a new watcher until the context ends.
+// Watch runs a new watcher until the context ends; then it returns nil.
 func Watch[T any](ctx context.Context, config WatchConfig[T]) error {
 	watcher, err := NewWatcher(config)
 	if err != nil {
@@ -97,30 +100,31 @@
 	return watcher.Run(ctx)
 }
 
-// Reload has the file read soon, whether it changed or not.
+// Reload makes Run load the file, even if it has not changed. It does not block.
 func (w *Watcher[T]) Reload() {
 	select {
 	case w.reload <- struct{}{}:
-	default: // one is waiting already
+	default: // a reload is pending already
 	}
 }
 
-// PendingRestart returns the keys whose values in the file differ from those
-// in force and take effect only after a restart.
+// PendingRestart returns the keys whose values in the file differ from the configuration in
+// force and take effect only after a restart. It is safe for concurrent use.
 func (w *Watcher[T]) PendingRestart() []string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.Clone(w.pendingRestart)
 }
 
-// LastError returns what is wrong with the file as last read, or nil.
+// LastError returns the error of the last load of the file, or nil. It is safe for concurrent
+// use.
 func (w *Watcher[T]) LastError() error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.lastError
 }
 
-// Run watches until the context ends; then it returns nil.
+// Run watches the file until the context ends; then it returns nil.
 func (w *Watcher[T]) Run(ctx context.Context) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -129,40 +133,41 @@
 	defer closeFiles()
 	poll := time.NewTicker(w.config.Interval)
 	defer poll.Stop()
-	w.settled = time.NewTimer(settleTime)
-	defer w.settled.Stop()
-	w.look() // takes in what changed since Initial was loaded
+	w.stableTimer = time.NewTimer(stableTime)
+	defer w.stableTimer.Stop()
+	w.checkFile() // detects a change made since Initial was loaded
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case event := <-files.Events:
-			w.handle(event)
+			w.handleEvent(event)
 		case err := <-files.Errors:
 			w.config.Logger.Warn("file events failed, the poll goes on", slog.Any("error", err))
-		case <-w.settled.C:
-			w.settle()
+		case <-w.stableTimer.C:
+			w.loadIfStable()
 		case now := <-poll.C:
 			if w.mayHaveChanged(now) {
-				w.look()
+				w.checkFile()
 			}
 		case <-hangups:
-			w.read()
+			w.reloadNow()
 		case <-w.reload:
-			w.read()
+			w.reloadNow()
 		}
 	}
 }
 
-// watchFolder watches the file's folder, since files are often replaced and
-// not written. Where that fails the watcher has no events, and the poll does.
+// watchFolder watches the file's folder, since files are often replaced by a rename instead of
+// written. If that fails, the returned watcher has no events, and only the poll detects
+// changes.
 func (w *Watcher[T]) watchFolder() (files *fsnotify.Watcher, closeFiles func()) {
 	files, err := fsnotify.NewWatcher()
 	if err != nil {
 		w.config.Logger.Info("no file events, polling only", slog.Any("error", err))
 		return &fsnotify.Watcher{}, func() {}
 	}
-	closeFiles = func() { _ = files.Close() } // nothing depends on it any more
+	closeFiles = func() { _ = files.Close() } // the watch has ended, so an error has no effect
 	if w.path == "" {
 		return files, closeFiles
 	}
@@ -172,56 +177,59 @@
 	return files, closeFiles
 }
 
-// handle passes over the folder's other files, which may be busy.
-func (w *Watcher[T]) handle(event fsnotify.Event) {
+// handleEvent checks the file after an event about it, and ignores the folder's other files.
+func (w *Watcher[T]) handleEvent(event fsnotify.Event) {
 	if filepath.Base(event.Name) == filepath.Base(w.path) {
-		w.look()
+		w.checkFile()
 	}
 }
 
-// look reads the file. A content that it finds for the first time becomes the
-// candidate and starts the settle time; settle then takes it.
-func (w *Watcher[T]) look() {
+// checkFile reads the file. Content that differs from the candidate becomes the candidate and
+// restarts stableTimer; loadIfStable then loads it.
+func (w *Watcher[T]) checkFile() {
 	if w.path == "" {
 		return
 	}
 	content, err := readFile(w.path)
-	w.consider(digestOf(content, err))
+	w.setCandidate(digestOf(content, err))
 }
 
-// settle takes the file if it differs from what was taken and has stayed the
-// same for the settle time.
-func (w *Watcher[T]) settle() {
+// loadIfStable is called when stableTimer fires. It loads the file if its content differs from
+// the content last loaded and is still that of the candidate.
+func (w *Watcher[T]) loadIfStable() {
 	if w.path == "" {
 		return
 	}
 	content, err := readFile(w.path)
 	digest := digestOf(content, err)
-	if digest == w.seen || digest != w.candidate {
-		w.consider(digest)
+	if digest == w.loadedDigest || digest != w.candidateDigest {
+		w.setCandidate(digest)
 		return
 	}
-	w.seen = digest
-	w.take(content, err)
+	w.loadedDigest = digest
+	w.load(content, err)
 }
 
-func (w *Watcher[T]) consider(digest [sha256.Size]byte) {
-	changed := digest != w.candidate
-	w.candidate = digest
-	if changed && digest != w.seen {
-		w.settled.Reset(settleTime)
+// setCandidate records the content last read. If that changed the candidate, and the content is
+// not the one last loaded, it restarts stableTimer.
+func (w *Watcher[T]) setCandidate(digest [sha256.Size]byte) {
+	changed := digest != w.candidateDigest
+	w.candidateDigest = digest
+	if changed && digest != w.loadedDigest {
+		w.stableTimer.Reset(stableTime)
 	}
 }
 
-// read takes the file at once, changed or not: whoever asks has written it.
-func (w *Watcher[T]) read() {
+// reloadNow loads the file without waiting for stableTime, even if it has not changed: SIGHUP
+// and Reload follow a completed write.
+func (w *Watcher[T]) reloadNow() {
 	content, err := readFile(w.path)
-	w.seen = digestOf(content, err)
-	w.candidate = w.seen
-	w.take(content, err)
+	w.loadedDigest = digestOf(content, err)
+	w.candidateDigest = w.loadedDigest
+	w.load(content, err)
 }
 
-// digestOf tells two contents, or two failures to read, apart.
+// digestOf returns a digest that distinguishes contents, and errors of reading the file.
 func digestOf(content []byte, err error) [sha256.Size]byte {
 	if err != nil {
 		return sha256.Sum256(fmt.Appendf(nil, "error: %v", err))
@@ -229,7 +237,9 @@
 	return sha256.Sum256(append([]byte("content: "), content...))
 }
 
-func (w *Watcher[T]) take(content []byte, err error) {
+// load validates the content of the file, or the error of reading it, and applies valid
+// settings. An error changes nothing; it is logged and returned by LastError.
+func (w *Watcher[T]) load(content []byte, err error) {
 	var loaded T
 	if err == nil {
 		loaded, err = parse[T](w.path, content, w.config.Options.Flags)
@@ -243,6 +253,8 @@
 	w.apply(loaded)
 }
 
+// apply puts the live changes of the loaded settings in force, and records the keys that need a
+// restart.
 func (w *Watcher[T]) apply(loaded T) {
 	applied, restartOnly := w.config.Live(w.current, loaded)
 	w.setPendingRestart(restartOnly)
@@ -263,10 +275,10 @@
 
 func (w *Watcher[T]) setPendingRestart(keys []string) {
 	w.mutex.Lock()
-	known := slices.Equal(w.pendingRestart, keys)
+	unchanged := slices.Equal(w.pendingRestart, keys)
 	w.pendingRestart = slices.Clone(keys)
 	w.mutex.Unlock()
-	if !known && len(keys) > 0 {
+	if !unchanged && len(keys) > 0 {
 		w.config.Logger.Warn("settings changed that need a restart", slog.String("keys", strings.Join(keys, ",")))
 	}
 }
--- a/internal/telemetry/doc.go
+++ b/internal/telemetry/doc.go
@@ -1,5 +1,5 @@
-// Package telemetry makes the structured logger, the metrics registry and the
-// handlers of /healthz, /readyz and /metrics that every daemon offers. The parts
-// of a process say whether they are ready (Health); what is logged and counted
-// is up to them (docs/LOGS.md and docs/METRICS.md list it).
+// Package telemetry provides the structured logger, the metrics registry and the handler of
+// /healthz, /readyz and /metrics that every daemon uses. Each part of a process reports its
+// readiness to Health, and defines its own log messages and metrics, which docs/LOGS.md and
+// docs/METRICS.md list.
 package telemetry
--- a/internal/telemetry/handler.go
+++ b/internal/telemetry/handler.go
@@ -20,9 +20,8 @@
 	return registry
 }
 
-// Handler serves GET /healthz (200 while the process answers), /readyz (503
-// until every part is ready, with the parts and their reasons as JSON) and
-// /metrics.
+// Handler returns a handler of GET /healthz (200 while the process responds), GET /readyz (200
+// if every part is ready, else 503, with a HealthStatus as JSON) and GET /metrics.
 func Handler(registry *prometheus.Registry, health *Health) http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /healthz", serveAlive)
@@ -33,7 +32,7 @@
 
 func serveAlive(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_, _ = writer.Write([]byte("ok\n")) // a caller that is gone needs no answer
+	_, _ = writer.Write([]byte("ok\n")) // an error means that the caller has disconnected
 }
 
 func serveReady(health *Health) http.HandlerFunc {
@@ -43,6 +42,6 @@
 		if !status.Ready {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		}
-		_ = json.NewEncoder(writer).Encode(status) // a caller that is gone needs no answer
+		_ = json.NewEncoder(writer).Encode(status) // an error means that the caller has disconnected
 	}
 }
--- a/internal/telemetry/logger.go
+++ b/internal/telemetry/logger.go
@@ -6,22 +6,22 @@
 	"os"
 )
 
-// Formats of log lines.
+// Values of LoggerConfig.Format.
 const (
 	FormatText = "text"
 	FormatJSON = "json"
 )
 
-// LoggerConfig says where and how log lines are written.
+// LoggerConfig configures a logger.
 type LoggerConfig struct {
-	// Output takes the lines. Default: standard error.
+	// Output receives the log lines. Default: standard error.
 	Output io.Writer
-	// Level is the lowest level written; it may be changed while in use.
-	// Default: info.
+	// Level is the lowest level that is logged; it may be changed while the logger is in
+	// use. Default: info.
 	Level *slog.LevelVar
 	// Format is FormatText or FormatJSON. Default: FormatText.
 	Format string
-	// Program, Process and Zone stand on each line, unless they are empty.
+	// Program, Process and Zone are attributes of each line, unless they are empty.
 	Program, Process, Zone string
 }
 
@@ -44,7 +44,7 @@
 	return slog.NewTextHandler(config.Output, options)
 }
 
-// originOf returns the fields that tell one process's lines from another's.
+// originOf returns the attributes that distinguish the lines of one process from another's.
 func originOf(config LoggerConfig) []slog.Attr {
 	var origin []slog.Attr
 	for _, field := range []slog.Attr{
@@ -59,8 +59,8 @@
 	return origin
 }
 
-// SetLevel changes the level to one that the settings name and have checked;
-// anything else changes nothing.
+// SetLevel sets the level to the one with the name, which the settings have validated. An
+// unknown name changes nothing.
 func SetLevel(level *slog.LevelVar, name string) {
 	var changed slog.Level
 	if err := changed.UnmarshalText([]byte(name)); err == nil {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestLoggerWritesOriginAndFollowsItsLevel(t *testing.T) {
+func TestLogger_WritesOriginAndFollowsLevel(t *testing.T) {
 	var output bytes.Buffer
 	level := new(slog.LevelVar)
 	logger := NewLogger(LoggerConfig{Output: &output, Level: level, Format: FormatJSON, Program: "p", Process: "s1"})
@@ -21,16 +21,16 @@
 	logger.Debug("shown", slog.Int("count", 3))
 	var line map[string]any
 	if err := json.Unmarshal(output.Bytes(), &line); err != nil {
-		t.Fatalf("%v in %q", err, output.String())
+		t.Fatalf("decode the log line: %v, got %q", err, output.String())
 	}
 	delete(line, "time")
 	want := map[string]any{"level": "DEBUG", "msg": "shown", "program": "p", "process": "s1", "count": 3.0}
 	if diff := cmp.Diff(want, line); diff != "" {
-		t.Fatalf("line differs (-want +got):\n%s", diff)
+		t.Fatalf("log line differs (-want +got):\n%s", diff)
 	}
 }
 
-func TestReadyOnceAllNamedPartsAre(t *testing.T) {
+func TestHandler_ReadyOnceAllPartsAre(t *testing.T) {
 	health := NewHealth()
 	handler := Handler(NewRegistry(), health)
 	wantAnswer(t, handler.ServeHTTP, "/readyz", 503, `{"ready":false,"parts":[]}`)
@@ -43,11 +43,11 @@
 	wantAnswer(t, handler.ServeHTTP, "/metrics", 200, "go_goroutines")
 }
 
-func wantAnswer(t *testing.T, serve http.HandlerFunc, path string, status int, part string) {
+func wantAnswer(t *testing.T, serve http.HandlerFunc, path string, status int, want string) {
 	t.Helper()
 	recorder := httptest.NewRecorder()
 	serve(recorder, httptest.NewRequest(http.MethodGet, path, nil))
-	if recorder.Code != status || !strings.Contains(recorder.Body.String(), part) {
-		t.Errorf("%s: status %d, body %q; want %d and %q", path, recorder.Code, recorder.Body, status, part)
+	if recorder.Code != status || !strings.Contains(recorder.Body.String(), want) {
+		t.Errorf("%s: got status %d, body %q, want status %d, body containing %q", path, recorder.Code, recorder.Body, status, want)
 	}
 }
--- a/internal/telemetry/watch_test.go
+++ b/internal/telemetry/watch_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestWatchWakesSeldom: readiness follows within half a second, at two wake-ups
-// a second.
-func TestWatchWakesSeldom(t *testing.T) {
+// Watch must report a change of readiness within half a second, but wake the process no more
+// than twice a second.
+func TestWatch_ChecksTwicePerSecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second+time.Millisecond)
 		defer cancel()
@@ -18,7 +18,7 @@
 			t.Fatal(err)
 		}
 		if checks != 20 {
-			t.Fatalf("%d checks in 10 s, want 20", checks)
+			t.Fatalf("got %d checks in 10 s, want 20", checks)
 		}
 	})
 }
