--- a/api/booking_status.go
+++ b/api/booking_status.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// BookingStatus is an element of BookingList: one window.
+// BookingStatus describes one window of a booking.
 type BookingStatus struct {
 	Queue   string `json:"queue"`
 	Booking string `json:"booking"`
-	// Start and End bound the window; capacity is reserved from HeldFrom on.
+	// Start and End bound the window. Its capacity is reserved from HeldFrom
+	// on.
 	Start    time.Time `json:"start"`
 	End      time.Time `json:"end"`
 	HeldFrom time.Time `json:"held_from"`
-	// State is how far the window is.
+	// State is the phase of the window.
 	State BookingState `json:"state"`
 	Slots int          `json:"slots"`
-	// Placed is the number of slices that are placed on workers, Used the
-	// number of those in use.
+	// Placed is the number of slices placed on workers. Used is the number of
+	// placed slices in use.
 	Placed     int       `json:"placed"`
 	Used       int       `json:"used"`
 	Slice      Resources `json:"slice"`
 	Service    string    `json:"service,omitempty"`
 	BestEffort bool      `json:"best_effort,omitempty"`
-	// Workers lists where the slices are placed now.
+	// Workers lists the workers on which slices are placed now.
 	Workers []BookingSlices `json:"workers,omitempty"`
 }
 
-// BookingState is how far a window is.
+// BookingState is the phase of a window.
 type BookingState string
 
 // Booking states.
 const (
-	// BookingPlanned is before its lead.
+	// BookingPlanned is a window whose lead has not begun.
 	BookingPlanned BookingState = "planned"
-	// BookingHeld is within its lead: capacity is reserved.
+	// BookingHeld is a window in its lead: its capacity is reserved.
 	BookingHeld BookingState = "held"
-	// BookingOpen is within the window.
+	// BookingOpen is a window that has started and not ended.
 	BookingOpen BookingState = "open"
-	// BookingReleased was given back early.
+	// BookingReleased is a window whose capacity was released early.
 	BookingReleased BookingState = "released"
 )
 
-// BookingSlices counts a window's slices on one worker.
+// BookingSlices is the number of a window's slices on one worker.
 type BookingSlices struct {
 	Worker string `json:"worker"`
 	Slots  int    `json:"slots"`
@@ -51,12 +52,12 @@
 	Bookings []BookingStatus `json:"bookings"`
 }
 
-// ReleaseRequest is the body of POST /v1/bookings/release: the queue no
-// longer needs a window, whose capacity is released.
+// ReleaseRequest is the body of POST /v1/bookings/release. It releases the
+// capacity of a window that the queue no longer needs.
 type ReleaseRequest struct {
 	Queue   string `json:"queue"`
 	Booking string `json:"booking"`
-	// Start is the window's start, as GET /v1/bookings gives it.
+	// Start is the window's start, as returned by GET /v1/bookings.
 	Start time.Time `json:"start"`
 }
 
--- a/api/bounds.go
+++ b/api/bounds.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// Bounds of a job that no configuration changes.
+// Fixed bounds of a job, independent of the configuration.
 const (
-	// MinPriority and MaxPriority bound priorities of jobs and queues.
+	// MinPriority and MaxPriority bound the priorities of jobs and queues.
 	MinPriority = -1000
 	MaxPriority = 1000
 	// MaxAllowedFailures bounds TaskSpec.AllowedFailures.
 	MaxAllowedFailures = 1000
-	// MaxGroupMembers bounds the tasks of a step that is a group.
+	// MaxGroupMembers bounds the tasks of a step that is a group (a gang).
 	MaxGroupMembers = 512
 	// MaxOccurrences bounds the occurrences of a repeating job.
 	MaxOccurrences = 100_000
-	// MaxOpenTasksPerJob bounds the tasks of all open occurrences of a
-	// repeating job together; one occurrence is always open.
+	// MaxOpenTasksPerJob bounds the total number of tasks in the open
+	// occurrences of a repeating job. One occurrence may be open whatever its
+	// number of tasks.
 	MaxOpenTasksPerJob = 10_000
-	// MaxReplicas bounds StepSpec.Replicas, whatever the configuration says,
-	// so that sums over steps do not overflow an int.
+	// MaxReplicas bounds StepSpec.Replicas in addition to
+	// LimitConfig.MaxTasksPerJob, so that sums over steps do not overflow an
+	// int.
 	MaxReplicas = 1_000_000
 	// MaxCheckpointBytes bounds the size of a checkpoint.
 	MaxCheckpointBytes = 4096
@@ -32,8 +34,8 @@
 const (
 	// MaxJobBytesBound is the maximum of LimitConfig.MaxJobBytes.
 	MaxJobBytesBound = int64(16 << 20)
-	// MaxAnnotations bounds the entries of one set of annotations,
-	// MaxAnnotationBytes the size of each value.
+	// MaxAnnotations bounds the entries of one set of annotations.
+	// MaxAnnotationBytes bounds the size of each value.
 	MaxAnnotations     = 64
 	MaxAnnotationBytes = 1 << 20
 	// MaxStretch bounds ObjectiveConfig.Stretch.
@@ -49,23 +51,25 @@
 	MaxQueueWeight = 1000
 	// MinHeartbeatInterval bounds TimingConfig.HeartbeatInterval.
 	MinHeartbeatInterval = 10 * time.Millisecond
-	// HeartbeatsPerHold is the minimum number of heartbeats within one lease,
-	// so that the loss of one does not let it expire.
+	// HeartbeatsPerHold is the minimum number of heartbeat intervals in the
+	// duration of a lease, so that the lease does not expire if one heartbeat
+	// is lost.
 	HeartbeatsPerHold = 4
 	// MinHold and MaxHold bound TimingConfig.Hold, the duration of a lease.
 	MinHold = 500 * time.Millisecond
 	MaxHold = 5 * time.Second
-	// DriftPerHold bounds TimingConfig.DriftMargin, which is at least
-	// Hold/DriftPerHold, since the rates of two monotonic clocks may differ
-	// by up to one percent.
+	// DriftPerHold sets the minimum of TimingConfig.DriftMargin, which is
+	// Hold/DriftPerHold: the rates of two monotonic clocks may differ by up to
+	// one percent.
 	DriftPerHold = 100
-	// FailoverAllowance bounds the time until there is a new leader,
-	// PlacingAllowance the time to place a task and send its order.
+	// FailoverAllowance is the time allowed for the election of a new leader.
+	// PlacingAllowance is the time allowed to place a task and send its
+	// assignment.
 	FailoverAllowance = 1500 * time.Millisecond
 	PlacingAllowance  = 500 * time.Millisecond
 	// MaxSilence bounds FailoverAllowance + Hold + DriftMargin +
-	// PlacingAllowance: the time from a worker's last heartbeat until its
-	// task starts elsewhere (promise P11 in docs/DESIGN.md).
+	// PlacingAllowance, which is the time from a worker's last heartbeat until
+	// its task starts on another worker (promise P11 in docs/DESIGN.md).
 	MaxSilence = 7 * time.Second
 	// MaxRetryDelay bounds TimingConfig.RetryDelay.
 	MaxRetryDelay = time.Minute
@@ -87,10 +91,10 @@
 
 // Bounds of calls.
 const (
-	// MaxWait is the longest time for which a front holds the answer to a read of
-	// a job.
+	// MaxWait is the longest time for which a front delays the answer to a
+	// read of a job that is not final.
 	MaxWait = 60 * time.Second
-	// MaxBookingHours bounds how far ahead bookings can be read.
+	// MaxBookingHours bounds how far ahead bookings can be listed, in hours.
 	MaxBookingHours = 168
 	// MaxCancelledJobs bounds the ids of one CancelRequest.
 	MaxCancelledJobs = 10_000
--- a/api/cancel_jobs.go
+++ b/api/cancel_jobs.go
@@ -1,14 +1,15 @@
 package api
 
-// CancelRequest is the body of POST /v1/cancellations. Exactly one of Jobs, a
-// list of ids, and Queue, all jobs of a queue, is set.
+// CancelRequest is the body of POST /v1/cancellations. Exactly one field is
+// set: Jobs, a list of job ids, or Queue, which selects all jobs of a queue.
 type CancelRequest struct {
 	Jobs  []string `json:"jobs,omitempty"`
 	Queue string   `json:"queue,omitempty"`
 }
 
-// CancelAnswer reports how many jobs the call cancelled. Unknown jobs and
-// jobs that had ended or were cancelled before do not count.
+// CancelAnswer is the answer of POST /v1/cancellations: the number of jobs
+// that the call cancelled, without unknown jobs and jobs that had already ended
+// or been cancelled.
 type CancelAnswer struct {
 	Cancelled int `json:"cancelled"`
 }
--- a/api/client.go
+++ b/api/client.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// defaultAttemptTimeout is a little longer than the 3 s in which a front
-	// answers, so that its own answer is what the client gets.
+	// defaultAttemptTimeout is longer than the 3 s within which a front
+	// answers, so that the client receives the front's own time-out error.
 	defaultAttemptTimeout = 4 * time.Second
-	// maxAnswerBytes bounds the answer that the client reads.
+	// maxAnswerBytes bounds the size of an answer; the rest is not read.
 	maxAnswerBytes = 64 << 20
-	// Idle connections that are kept for later calls.
+	// Limits of the pool of idle connections.
 	maxIdleConnections = 256
 	idleTimeout        = 60 * time.Second
-	// Bounds of the pause before a retry for which the front named no time.
+	// Bounds of the backoff before a retry if the front gave no retry time.
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = time.Second
-	// maxRetryAfter bounds the pause that a front asks for.
+	// maxRetryAfter bounds the retry time that a front gives, without jitter.
 	maxRetryAfter = 10 * time.Second
 )
 
@@ -37,30 +37,32 @@
 	// Endpoints are base URLs of fronts, such as "http://127.1.0.1:7100". At
 	// least one is required.
 	Endpoints []string
-	// HTTPClient sends all requests. Default: a client of its own.
+	// HTTPClient sends all requests. Default: a new client with a connection
+	// pool for many concurrent calls.
 	HTTPClient *http.Client
-	// Timeout bounds one attempt, in addition to the time for which a front
-	// holds the answer. Default 4s.
+	// Timeout bounds one attempt, in addition to the wait that the call
+	// requests from the front. Default 4s.
 	Timeout time.Duration
 }
 
-// Client calls the HTTP interface of the fronts. Every call is idempotent, so
-// after a failed connection or a 503 answer it is repeated at the next
-// endpoint, until the context ends: give the context a deadline. All errors
-// are of type *Error: the answer of a front or, if there was none, status 503
-// with CodeUnavailable, or with CodeOutcomeUnknown if the call may have taken
-// effect. A Client is safe for concurrent use.
+// Client calls the HTTP interface of the fronts. Every call is idempotent:
+// after a connection failure or a 503 answer, the client retries at the next
+// endpoint until the context ends, so the context should have a deadline. All
+// errors are of type *Error: the answer of a front or, without an answer,
+// status 503 with CodeUnavailable, or with CodeOutcomeUnknown if the call may
+// have taken effect. A Client is safe for concurrent use.
 type Client struct {
 	endpoints []string
 	http      *http.Client
 	timeout   time.Duration
-	// current is the index of the endpoint that answered last, at first a
-	// random one.
+	// current is the index of the endpoint that last gave an answer other than
+	// 503. Its initial value is random, to spread clients over the fronts.
 	current atomic.Int64
 }
 
-// NewClient returns a client after checking the endpoints. It does not
-// connect.
+// NewClient returns a client for the configured endpoints without connecting
+// to them. It returns an error if there is no endpoint or one is not an http or
+// https URL.
 func NewClient(config ClientConfig) (*Client, error) {
 	if len(config.Endpoints) == 0 {
 		return nil, errors.New("no endpoints given")
@@ -83,8 +85,8 @@
 	return client, nil
 }
 
-// newHTTPClient returns an HTTP client that keeps enough idle connections for
-// many concurrent calls.
+// newHTTPClient returns an HTTP client whose pool of idle connections suffices
+// for many concurrent calls.
 func newHTTPClient() *http.Client {
 	transport := &http.Transport{
 		Proxy:               http.ProxyFromEnvironment,
@@ -98,23 +100,26 @@
 // Close closes idle connections; it does not interrupt calls in progress.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// clientRequest is one call, over all its attempts.
+// clientRequest describes a call, which may take several attempts.
 type clientRequest struct {
 	method string
 	path   string
 	header http.Header
 	body   []byte
-	// answerWait is how long the front may hold its answer.
+	// answerWait is the wait requested from the front; it extends the time-out
+	// of the attempt.
 	answerWait time.Duration
 	// prepare updates the request before each attempt. Optional.
 	prepare func(*clientRequest)
-	// mutates says that the call changes state, so that after a lost answer
-	// its outcome is unknown.
+	// mutates is true if the call changes state, so that its outcome is unknown
+	// if the answer is lost.
 	mutates bool
 }
 
-// do attempts the call at one endpoint after the other until it gets an
-// answer other than 503 or the context ends.
+// do attempts the call, with a backoff after each 503 or connection failure, at
+// one endpoint after another. It returns on any other answer, or if the context
+// would end before the next attempt. The answer is decoded into the value that
+// into points to.
 func (c *Client) do(ctx context.Context, call clientRequest, into any) error {
 	endpoint := c.current.Load()
 	mayHaveTakenEffect := false
@@ -130,7 +135,7 @@
 			return nil
 		}
 		mayHaveTakenEffect = mayHaveTakenEffect || failure.Code == CodeOutcomeUnknown
-		if failure.Status == http.StatusServiceUnavailable && sleepBefore(ctx, c.retryDelay(attempt, failure)) {
+		if failure.Status == http.StatusServiceUnavailable && sleep(ctx, c.retryDelay(attempt, failure)) {
 			endpoint = (endpoint + 1) % int64(len(c.endpoints))
 			continue
 		}
@@ -141,7 +146,7 @@
 	}
 }
 
-// attempt makes one attempt at one endpoint.
+// attempt makes one attempt of the call at an endpoint, with its own time-out.
 func (c *Client) attempt(ctx context.Context, endpoint string, call clientRequest, into any) *Error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+call.answerWait)
 	defer cancel()
@@ -167,8 +172,9 @@
 	return readAnswer(response, body, into)
 }
 
-// readAnswer decodes the answer of a front. Unknown fields are ignored, so
-// that an older client works with a newer front.
+// readAnswer decodes the answer of a front into into, or returns the error that
+// the answer describes. Unknown fields are ignored, so that an older client
+// works with a newer front.
 func readAnswer(response *http.Response, body []byte, into any) *Error {
 	if response.StatusCode < 300 {
 		if err := json.Unmarshal(body, into); err != nil {
@@ -190,52 +196,54 @@
 	return failure
 }
 
-// retryAfterHeader returns a Retry-After of whole seconds in milliseconds.
+// retryAfterHeader returns the Retry-After header, which is in seconds, in
+// milliseconds. It returns 0 if the header is missing or invalid.
 func retryAfterHeader(header http.Header) int64 {
-	seconds, err := time.ParseDuration(header.Get("Retry-After") + "s")
-	if err != nil || seconds < 0 {
+	delay, err := time.ParseDuration(header.Get("Retry-After") + "s")
+	if err != nil || delay < 0 {
 		return 0
 	}
-	return seconds.Milliseconds()
+	return delay.Milliseconds()
 }
 
-// connectionError is the error of an attempt without an answer. Only one that
-// failed to connect certainly had no effect.
+// connectionError returns the error of an attempt without an answer. A call
+// that changes state may have taken effect unless the connection could not be
+// established.
 func connectionError(call clientRequest, err error) *Error {
 	failure := &Error{Status: http.StatusServiceUnavailable, Code: CodeUnavailable, Message: err.Error()}
-	var network *net.OpError
-	unsent := errors.As(err, &network) && network.Op == "dial"
-	if call.mutates && !unsent {
+	var opError *net.OpError
+	dialFailed := errors.As(err, &opError) && opError.Op == "dial"
+	if call.mutates && !dialFailed {
 		failure.Code = CodeOutcomeUnknown
 	}
 	return failure
 }
 
-// retryDelay returns the pause before the next attempt: what the front asked
-// for, or an exponential backoff, with jitter so that clients spread. What a
-// front asked for applies to that front only: until each endpoint was tried,
-// the next is tried after the initial backoff.
+// retryDelay returns the pause before the next attempt: the retry time that the
+// front gave, or else an exponential backoff, both with jitter so that clients
+// do not retry at the same moment. A front's retry time applies to that front
+// only, so until all endpoints have been tried, the client tries the next one
+// after the initial backoff.
 func (c *Client) retryDelay(attempt int, failure *Error) time.Duration {
 	triedAll := (attempt+1)%len(c.endpoints) == 0
 	if !triedAll {
 		attempt = 0
 	}
 	if failure.RetryAfterMillis > 0 && triedAll {
-		asked := min(time.Duration(failure.RetryAfterMillis)*time.Millisecond, maxRetryAfter)
-		return asked + rand.N(asked/4+1)
+		requestedDelay := min(time.Duration(failure.RetryAfterMillis)*time.Millisecond, maxRetryAfter)
+		return requestedDelay + rand.N(requestedDelay/4+1)
 	}
-	longest := min(initialBackoff<<min(attempt, 10), maxBackoff)
-	return longest/2 + rand.N(longest/2)
+	backoff := min(initialBackoff<<min(attempt, 10), maxBackoff)
+	return backoff/2 + rand.N(backoff/2)
 }
 
-// sleepBefore waits and reports whether the context is still active
-// afterwards. It does not wait if the context would end before the pause
-// does.
-func sleepBefore(ctx context.Context, length time.Duration) bool {
-	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= length {
+// sleep waits for the pause and reports whether the context is still active. It
+// returns false without waiting if the context's deadline is within the pause.
+func sleep(ctx context.Context, pause time.Duration) bool {
+	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= pause {
 		return false
 	}
-	timer := time.NewTimer(length)
+	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -245,7 +253,7 @@
 	}
 }
 
-// post sends a POST request that changes state.
+// post sends a POST request that changes state and decodes the answer.
 func (c *Client) post(ctx context.Context, path string, request, into any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -255,7 +263,7 @@
 	return err
 }
 
-// get sends a GET request.
+// get sends a GET request and decodes the answer.
 func (c *Client) get(ctx context.Context, path string, into any) error {
 	err := c.do(ctx, clientRequest{method: http.MethodGet, path: path}, into)
 	return err
--- a/api/client_bookings.go
+++ b/api/client_bookings.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Bookings reads the windows that overlap the time from now to the horizon,
-// which is rounded up to whole hours, 1 to MaxBookingHours.
+// Bookings returns the windows that overlap the time from now until the horizon
+// has passed. The horizon is rounded up to hours and must then be 1 to
+// MaxBookingHours.
 func (c *Client) Bookings(ctx context.Context, horizon time.Duration) (BookingList, error) {
 	hours := int64((horizon + time.Hour - 1) / time.Hour)
 	var answer BookingList
@@ -16,7 +17,7 @@
 }
 
 // ReleaseBooking releases the capacity of a window early. It is idempotent.
-// An unknown window is an error with CodeNotFound.
+// It returns an error with CodeNotFound if the window is unknown.
 func (c *Client) ReleaseBooking(ctx context.Context, request ReleaseRequest) error {
 	var answer ReleaseAnswer
 	return c.post(ctx, "/v1/bookings/release", request, &answer)
--- a/api/client_config.go
+++ b/api/client_config.go
@@ -14,17 +14,17 @@
 	Valid bool `json:"valid"`
 }
 
-// Config reads the configuration in force.
+// Config returns the configuration in force.
 func (c *Client) Config(ctx context.Context) (ConfigStatus, error) {
 	var answer ConfigStatus
 	err := c.get(ctx, "/v1/config", &answer)
 	return answer, err
 }
 
-// PutConfig proposes a configuration to replace version base. The order id
-// identifies this proposal: repeated with the same id it gets the same
-// answer. Of several proposals on the same base one is accepted; the others
-// get CodeLostRace.
+// PutConfig proposes a configuration to replace version base, and returns the
+// new version. orderID identifies the proposal: a retry with the same id gets
+// the same answer. Of several proposals with the same base one is accepted; the
+// others fail with CodeLostRace.
 func (c *Client) PutConfig(ctx context.Context, base uint64, orderID string, config Config) (version uint64, err error) {
 	body, err := json.Marshal(config)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return answer.Version, err
 }
 
-// ValidateConfig has the fleet validate a configuration without proposing it;
-// nil means that it is valid.
+// ValidateConfig has the cluster validate a configuration without proposing it.
+// It returns nil if the configuration is valid.
 func (c *Client) ValidateConfig(ctx context.Context, config Config) error {
 	body, err := json.Marshal(config)
 	if err != nil {
@@ -50,15 +50,14 @@
 	return err
 }
 
-// ConfigVersions reads the accepted versions, newest first.
+// ConfigVersions returns the accepted versions, newest first.
 func (c *Client) ConfigVersions(ctx context.Context) (ConfigVersions, error) {
 	var answer ConfigVersions
 	err := c.get(ctx, "/v1/config/versions", &answer)
 	return answer, err
 }
 
-// Rollout reads which process has which version of the configuration in
-// force.
+// Rollout returns the version of the configuration in force at each process.
 func (c *Client) Rollout(ctx context.Context) (Rollout, error) {
 	var answer Rollout
 	err := c.get(ctx, "/v1/config/rollout", &answer)
--- a/api/client_jobs.go
+++ b/api/client_jobs.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// CancelJobs cancels many jobs in one call, by id or all of a queue, and
-// returns how many it cancelled. After a lost answer the call is repeated;
-// jobs that the lost call cancelled are not counted then.
+// CancelJobs cancels jobs by their ids, or all jobs of a queue, and returns how
+// many it cancelled. If the answer is lost, the client retries, and the result
+// does not include jobs that the first attempt cancelled.
 func (c *Client) CancelJobs(ctx context.Context, request CancelRequest) (cancelled int, err error) {
 	var answer CancelAnswer
 	err = c.post(ctx, "/v1/cancellations", request, &answer)
@@ -22,23 +22,23 @@
 // SubmitAnswer is the answer of PUT /v1/jobs/{id}.
 type SubmitAnswer struct {
 	ID string `json:"id"`
-	// Created is false if the same job had been submitted before.
+	// Created is false if the same job was submitted earlier.
 	Created bool `json:"created"`
 }
 
-// JobsQuery selects jobs and a page of GET /v1/jobs; empty fields match all
-// jobs.
+// JobsQuery selects the jobs and the page of GET /v1/jobs. An empty Queue or
+// State matches all jobs; an empty PageToken selects the first page.
 type JobsQuery struct {
 	Queue string
 	State State
-	// Limit is the maximum number of jobs of the page. Default 100.
+	// Limit is the maximum number of jobs on the page. Default 100.
 	Limit     int
 	PageToken string
 }
 
-// SubmitJob submits a job under an id that the caller chose. It reports
-// whether the job is new: submitting the same content again is not an error,
-// other content under the same id is one with CodeConflict.
+// SubmitJob submits a job under an id chosen by the caller and reports whether
+// the job is new. It is not an error to submit the same content again; different
+// content under the same id fails with CodeConflict.
 func (c *Client) SubmitJob(ctx context.Context, id string, spec JobSpec) (created bool, err error) {
 	body, err := json.Marshal(spec)
 	if err != nil {
@@ -49,8 +49,8 @@
 	return answer.Created, err
 }
 
-// Job reads a job. With a wait, at most MaxWait, the front holds the answer
-// until the job is final or the wait is over.
+// Job returns the status of a job. If wait is positive, the front delays the
+// answer until the job is final or the wait, at most MaxWait, is over.
 func (c *Client) Job(ctx context.Context, id string, wait time.Duration) (JobStatus, error) {
 	end := time.Now().Add(min(wait, MaxWait))
 	call := clientRequest{method: http.MethodGet, path: jobPath(id)}
@@ -65,7 +65,7 @@
 	return answer, err
 }
 
-// Jobs reads one page of the list of jobs.
+// Jobs returns one page of the list of jobs.
 func (c *Client) Jobs(ctx context.Context, query JobsQuery) (JobList, error) {
 	values := url.Values{}
 	setValue(values, "queue", query.Queue)
@@ -79,18 +79,18 @@
 	return answer, err
 }
 
-// CancelJob cancels a job and returns its state afterwards. A job that is
-// final is not changed.
+// CancelJob cancels a job and returns its resulting status. A job that is final
+// is not changed.
 func (c *Client) CancelJob(ctx context.Context, id string) (JobStatus, error) {
 	var answer JobStatus
 	err := c.do(ctx, clientRequest{method: http.MethodPost, path: jobPath(id) + "/cancel", mutates: true}, &answer)
 	return answer, err
 }
 
-// jobPath is the path of a job.
+// jobPath returns the path of a job.
 func jobPath(id string) string { return "/v1/jobs/" + url.PathEscape(id) }
 
-// setValue sets a query value unless it is empty.
+// setValue sets a query parameter unless the value is empty.
 func setValue(values url.Values, name, value string) {
 	if value != "" {
 		values.Set(name, value)
--- a/api/client_test.go
+++ b/api/client_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// endpointOf serves fixed answers in turn, the last one from then on, and
-// counts the calls.
-func endpointOf(t *testing.T, calls *atomic.Int64, answers ...http.HandlerFunc) string {
+// newTestEndpoint starts a server that gives the answers in turn, repeats the last
+// one, and counts the calls. It returns the URL of the server.
+func newTestEndpoint(t *testing.T, calls *atomic.Int64, answers ...http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		number := int(calls.Add(1))
@@ -23,17 +23,17 @@
 	return server.URL
 }
 
-func answering(status int, body any) http.HandlerFunc {
+func answerWith(status int, body any) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(status)
 		_ = json.NewEncoder(writer).Encode(body)
 	}
 }
 
-// dropping closes the connection without an answer.
-func dropping(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// dropConnection is a handler that closes the connection without an answer.
+func dropConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func clientOf(t *testing.T, endpoints ...string) *Client {
+func newTestClient(t *testing.T, endpoints ...string) *Client {
 	t.Helper()
 	client, err := NewClient(ClientConfig{Endpoints: endpoints})
 	if err != nil {
@@ -46,50 +46,50 @@
 func TestClient_UnavailableEndpointFailsOver(t *testing.T) {
 	var firstCalls, secondCalls, thirdCalls atomic.Int64
 	unavailable := &Error{Status: 503, Code: CodeUnavailable, Message: "m", RetryAfterMillis: 1}
-	client := clientOf(t,
-		endpointOf(t, &firstCalls, dropping),
-		endpointOf(t, &secondCalls, answering(503, unavailable)),
-		endpointOf(t, &thirdCalls, answering(201, SubmitAnswer{ID: "a", Created: true})))
+	client := newTestClient(t,
+		newTestEndpoint(t, &firstCalls, dropConnection),
+		newTestEndpoint(t, &secondCalls, answerWith(503, unavailable)),
+		newTestEndpoint(t, &thirdCalls, answerWith(201, SubmitAnswer{ID: "a", Created: true})))
 	for range 2 {
 		created, err := client.SubmitJob(t.Context(), "a", *validJob())
 		if err != nil || !created {
-			t.Fatalf("created %v, error %v", created, err)
+			t.Fatalf("got created %v, error %v, want true, nil", created, err)
 		}
 	}
 	if firstCalls.Load() != 1 || secondCalls.Load() != 1 || thirdCalls.Load() != 2 {
-		t.Fatalf("calls %d %d %d", firstCalls.Load(), secondCalls.Load(), thirdCalls.Load())
+		t.Fatalf("got calls %d, %d, %d, want 1, 1, 2", firstCalls.Load(), secondCalls.Load(), thirdCalls.Load())
 	}
 }
 
 func TestClient_OtherErrorsAreNotRetried(t *testing.T) {
 	for status, code := range map[int]ErrorCode{429: CodeOverLimit, 409: CodeConflict, 422: CodeInvalid, 500: CodeInternal} {
 		var calls atomic.Int64
-		client := clientOf(t, endpointOf(t, &calls, answering(status, &Error{Status: status, Code: code, Message: "m", RetryAfterMillis: 700})))
+		client := newTestClient(t, newTestEndpoint(t, &calls, answerWith(status, &Error{Status: status, Code: code, Message: "m", RetryAfterMillis: 700})))
 		_, err := client.SubmitJob(t.Context(), "a", *validJob())
 		var refusal *Error
 		if !errors.As(err, &refusal) || refusal.Code != code || refusal.RetryAfterMillis != 700 || calls.Load() != 1 {
-			t.Fatalf("status %d: error %v after %d calls", status, err, calls.Load())
+			t.Fatalf("status %d: got error %v after %d calls, want the answer's error after 1 call", status, err, calls.Load())
 		}
 	}
 }
 
 func TestClient_LostAnswerIsOutcomeUnknown(t *testing.T) {
 	var calls atomic.Int64
-	client := clientOf(t, endpointOf(t, &calls, dropping))
-	// Nothing listens there, and no test beside this one is ever given the port.
-	unreachable := clientOf(t, "http://127.0.0.1:1")
-	// Each call has a time of its own: one that found it used up could not tell
-	// what became of it.
-	short := func() context.Context {
+	client := newTestClient(t, newTestEndpoint(t, &calls, dropConnection))
+	// No process listens on port 1, and no other test is assigned it.
+	unreachable := newTestClient(t, "http://127.0.0.1:1")
+	// Each call has its own deadline. The first call would use up a common one, and
+	// the later calls could then not tell whether they had an effect.
+	withTimeout := func() context.Context {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		t.Cleanup(cancel)
 		return ctx
 	}
-	_, submit := client.SubmitJob(short(), "a", *validJob())
-	_, read := client.Job(short(), "a", 0)
-	_, unsent := unreachable.SubmitJob(short(), "a", *validJob())
+	_, submit := client.SubmitJob(withTimeout(), "a", *validJob())
+	_, read := client.Job(withTimeout(), "a", 0)
+	_, unsent := unreachable.SubmitJob(withTimeout(), "a", *validJob())
 	if !errors.Is(submit, &Error{Code: CodeOutcomeUnknown}) || !errors.Is(read, &Error{Code: CodeUnavailable}) || !errors.Is(unsent, &Error{Code: CodeUnavailable}) {
-		t.Fatalf("errors %v; %v; %v", submit, read, unsent)
+		t.Fatalf("got errors %v; %v; %v, want outcome_unknown, unavailable, unavailable", submit, read, unsent)
 	}
 }
 
@@ -99,26 +99,26 @@
 		writer.Header().Set("Retry-After", "5")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}
-	client := clientOf(t, endpointOf(t, &calls, answer))
+	client := newTestClient(t, newTestEndpoint(t, &calls, answer))
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	_, err := client.Workers(ctx)
 	var refusal *Error
 	if !errors.As(err, &refusal) || refusal.RetryAfterMillis != 5000 || calls.Load() != 1 {
-		t.Fatalf("error %v after %d calls", err, calls.Load())
+		t.Fatalf("got error %v after %d calls, want a retry time of 5000 ms after 1 call", err, calls.Load())
 	}
 }
 
 func TestClient_PutConfigSendsBaseAndOrderID(t *testing.T) {
 	var calls atomic.Int64
-	client := clientOf(t, endpointOf(t, &calls, func(writer http.ResponseWriter, request *http.Request) {
+	client := newTestClient(t, newTestEndpoint(t, &calls, func(writer http.ResponseWriter, request *http.Request) {
 		if request.Header.Get("If-Match") != `"7"` || request.Header.Get("Idempotency-Key") != "order" {
-			t.Errorf("headers %v", request.Header)
+			t.Errorf("got headers %v, want If-Match \"7\" and Idempotency-Key order", request.Header)
 		}
-		answering(200, ConfigStatus{Version: 8})(writer, request)
+		answerWith(200, ConfigStatus{Version: 8})(writer, request)
 	}))
 	version, err := client.PutConfig(t.Context(), 7, "order", *validConfig())
 	if err != nil || version != 8 {
-		t.Fatalf("version %d, error %v", version, err)
+		t.Fatalf("got version %d, error %v, want 8, nil", version, err)
 	}
 }
--- a/api/decode.go
+++ b/api/decode.go
@@ -9,11 +9,12 @@
 	"net/http"
 )
 
-// DecodeStrict decodes one JSON object into the struct that into points to.
-// Unknown fields, values of a wrong type, an empty body, null, and anything
-// after the object give status 400 and CodeMalformed, with every invalid
-// field named. A reader of http.MaxBytesReader that reached its limit gives
-// status 413 and CodeTooLarge.
+// DecodeStrict decodes one JSON object into the struct that into points to. It
+// returns an error with status 400 and CodeMalformed for an empty body, null,
+// data after the object, unknown fields and values of a wrong type; for the last
+// two, Fields names every invalid field. If the reader is from
+// http.MaxBytesReader and reached its limit, the error has status 413 and
+// CodeTooLarge.
 func DecodeStrict(reader io.Reader, into any) *Error {
 	data, err := io.ReadAll(reader)
 	if err != nil {
@@ -29,7 +30,7 @@
 	return decodeObject(data, into)
 }
 
-// decodeObject decodes exactly one object.
+// decodeObject decodes data, which must be exactly one JSON object.
 func decodeObject(data []byte, into any) *Error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// bodyError is the error of a body that could not be read.
+// bodyError returns the error of a body that could not be read.
 func bodyError(err error) *Error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -60,7 +61,7 @@
 	return malformed(fmt.Sprintf("the body could not be read: %v", err))
 }
 
-// malformed is the error of a body that cannot be decoded.
+// malformed returns the error of a request that is not well-formed.
 func malformed(message string) *Error {
 	return &Error{Status: http.StatusBadRequest, Code: CodeMalformed, Message: message}
 }
--- a/api/decode_errors.go
+++ b/api/decode_errors.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// decodeError finds every field that made decoding fail. The decoder itself
-// reports only the first, and not always with its path.
+// decodeError returns an error with every field that made decoding fail. The
+// decoder itself reports only the first one, not always with its path.
 func decodeError(data []byte, into any, cause error) *Error {
 	var found fieldErrors
 	collectFieldErrors(&found, data, reflect.TypeOf(into).Elem(), "")
@@ -21,11 +21,11 @@
 	return refusal
 }
 
-// collectFieldErrors compares a JSON value with the Go type that is to hold
-// it.
+// collectFieldErrors records each part of a JSON value that cannot be decoded
+// into the Go type.
 func collectFieldErrors(found *fieldErrors, data json.RawMessage, goType reflect.Type, path string) {
 	target := reflect.New(goType)
-	if decodesItself(target) || !isComposite(goType) {
+	if hasUnmarshaler(target) || !isComposite(goType) {
 		if err := json.Unmarshal(data, target.Interface()); err != nil {
 			found.add(path, string(data), expectation(goType, err))
 		}
@@ -43,7 +43,7 @@
 	}
 }
 
-// collectElementErrors checks the elements of a list.
+// collectElementErrors records the errors in the elements of a list.
 func collectElementErrors(found *fieldErrors, data json.RawMessage, goType reflect.Type, path string) {
 	var elements []json.RawMessage
 	if json.Unmarshal(data, &elements) != nil {
@@ -55,9 +55,9 @@
 	}
 }
 
-// collectMapErrors checks the values of a map.
+// collectMapErrors records the errors in the values of a map.
 func collectMapErrors(found *fieldErrors, data json.RawMessage, goType reflect.Type, path string) {
-	members, ok := membersOf(data)
+	members, ok := objectMembers(data)
 	if !ok {
 		found.add(path, string(data), "an object")
 		return
@@ -67,16 +67,16 @@
 	}
 }
 
-// collectStructErrors checks the fields of a struct. Names match regardless
-// of case, as in encoding/json.
+// collectStructErrors records the errors in the fields of a struct and its
+// unknown fields. Names match regardless of case, as in encoding/json.
 func collectStructErrors(found *fieldErrors, data json.RawMessage, goType reflect.Type, path string) {
-	members, ok := membersOf(data)
+	members, ok := objectMembers(data)
 	if !ok {
 		found.add(path, string(data), "an object")
 		return
 	}
 	for _, member := range members {
-		field, known := fieldNamed(goType, member.name)
+		field, known := fieldTypeByName(goType, member.name)
 		if !known {
 			found.add(joinPath(path, member.name), string(member.value), "no such field; known are "+knownFields(goType))
 			continue
@@ -85,15 +85,15 @@
 	}
 }
 
-// jsonMember is one name and value of a JSON object.
+// jsonMember is a member of a JSON object.
 type jsonMember struct {
 	name  string
 	value json.RawMessage
 }
 
-// membersOf returns the members of an object in their order; null is an empty
-// object.
-func membersOf(data json.RawMessage) ([]jsonMember, bool) {
+// objectMembers returns the members of an object in their order, or false if
+// data is not an object. null counts as an empty object.
+func objectMembers(data json.RawMessage) ([]jsonMember, bool) {
 	if string(data) == "null" {
 		return nil, true
 	}
@@ -119,8 +119,9 @@
 	return members, true
 }
 
-// fieldNamed returns the type of the field with a JSON name.
-func fieldNamed(goType reflect.Type, name string) (reflect.Type, bool) {
+// fieldTypeByName returns the type of the struct field with a JSON name, or false
+// if there is none.
+func fieldTypeByName(goType reflect.Type, name string) (reflect.Type, bool) {
 	for _, field := range reflect.VisibleFields(goType) {
 		if !field.Anonymous && strings.EqualFold(jsonName(field), name) {
 			return field.Type, true
@@ -129,7 +130,7 @@
 	return nil, false
 }
 
-// knownFields lists the JSON names of a struct's fields.
+// knownFields returns a list of the JSON names of a struct's fields, as text.
 func knownFields(goType reflect.Type) string {
 	var names []string
 	for _, field := range reflect.VisibleFields(goType) {
@@ -140,7 +141,7 @@
 	return strings.Join(names, ", ")
 }
 
-// jsonName is the name of a struct's field in JSON.
+// jsonName returns the JSON name of a struct field.
 func jsonName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	if name == "" {
@@ -149,7 +150,8 @@
 	return name
 }
 
-// isComposite reports whether values of the type have parts to check.
+// isComposite reports whether values of the type have elements or fields to
+// check.
 func isComposite(goType reflect.Type) bool {
 	switch goType.Kind() {
 	case reflect.Struct, reflect.Slice, reflect.Map, reflect.Pointer:
@@ -159,14 +161,15 @@
 	}
 }
 
-// decodesItself reports whether the type has its own JSON form, such as a
-// time, a duration or a raw message.
-func decodesItself(target reflect.Value) bool {
+// hasUnmarshaler reports whether the type that target points to implements
+// json.Unmarshaler, such as a time, a duration or a raw message.
+func hasUnmarshaler(target reflect.Value) bool {
 	_, ok := target.Interface().(json.Unmarshaler)
 	return ok
 }
 
-// expectation describes valid values of the type.
+// expectation returns the text of FieldError.Expected for a type. cause is the
+// error of decoding, which is used for types without a text.
 func expectation(goType reflect.Type, cause error) string {
 	if goType == reflect.TypeFor[Duration]() {
 		return "a duration as text, such as \"250ms\" or \"1h30m\""
@@ -187,7 +190,7 @@
 	}
 }
 
-// joinPath appends a field to a path.
+// joinPath returns the path of a field of the object at path.
 func joinPath(path, name string) string {
 	if path == "" {
 		return name
--- a/api/decode_fuzz_test.go
+++ b/api/decode_fuzz_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// FuzzDecodeConfig checks that no body panics, that every refusal says
-// something, and that a configuration which is taken survives being written,
-// read again and completed by the defaults.
+// FuzzDecodeConfig checks that no body causes a panic, that every rejection has a
+// message, and that a decoded configuration is unchanged after it is encoded and
+// decoded again. Filling in defaults twice must give the same as once.
 func FuzzDecodeConfig(f *testing.F) {
 	f.Add(`{"queues":[{"name":"q","priority":5,"max_pending_tasks":10,"default_allowed_failures":2}]}`)
 	f.Add(`{"limits":{"max_pending_tasks":5,"submits_per_second":1},"timings":{"hold":"3s","drift_margin":"300ms"}}`)
@@ -18,35 +18,36 @@
 		var config Config
 		if refusal := DecodeStrict(strings.NewReader(body), &config); refusal != nil {
 			if refusal.Code != CodeMalformed || refusal.Message == "" {
-				t.Fatalf("refusal %+v", refusal)
+				t.Fatalf("got %+v, want code malformed and a message", refusal)
 			}
 			return
 		}
 		for _, field := range ValidateConfig(&config) {
 			if field.Field == "" || field.Expected == "" {
-				t.Fatalf("a wrong field is not explained: %+v", field)
+				t.Fatalf("got field error %+v, want a path and an expectation", field)
 			}
 		}
 		data, err := json.Marshal(config)
 		if err != nil {
-			t.Fatalf("what was taken cannot be written: %v", err)
+			t.Fatalf("encode the decoded configuration: %v", err)
 		}
-		var again Config
-		if refusal := DecodeStrict(strings.NewReader(string(data)), &again); refusal != nil {
-			t.Fatalf("what was written cannot be read: %v", refusal)
+		var decoded Config
+		if refusal := DecodeStrict(strings.NewReader(string(data)), &decoded); refusal != nil {
+			t.Fatalf("decode of the encoded configuration: %v", refusal)
 		}
-		if config.Digest() != again.Digest() {
-			t.Fatalf("digest changed for %s", data)
+		if config.Digest() != decoded.Digest() {
+			t.Fatalf("encoding and decoding changed the digest for %s", data)
 		}
-		complete := config.WithDefaults()
-		if twice := complete.WithDefaults(); twice.Digest() != complete.Digest() {
-			t.Fatalf("defaults filled in twice differ for %s", data)
+		withDefaults := config.WithDefaults()
+		if twice := withDefaults.WithDefaults(); twice.Digest() != withDefaults.Digest() {
+			t.Fatalf("filling in defaults a second time changed the digest for %s", data)
 		}
 	})
 }
 
-// FuzzDecodeJob checks that no body panics, that every refusal says something,
-// and that what is taken survives being written and read again.
+// FuzzDecodeJob checks that no body causes a panic, that every rejection has a
+// message, and that a decoded job is unchanged after it is encoded and decoded
+// again.
 func FuzzDecodeJob(f *testing.F) {
 	f.Add(`{"queue":"q","steps":[{"name":"a","tasks":[{"service":"s","payload":{"b":1,"a":null},"resources":{"cpu_millis":1}}]}]}`)
 	f.Add(`{"steps":[{"after":["a"],"not_before":"9999-12-31T23:59:59Z","tasks":[{"spread":{"by":"zone"},"max_duration":"1h"}]}]}`)
@@ -55,21 +56,21 @@
 		var spec JobSpec
 		if err := DecodeStrict(strings.NewReader(body), &spec); err != nil {
 			if err.Code != CodeMalformed || err.Message == "" {
-				t.Fatalf("refusal %+v", err)
+				t.Fatalf("got %+v, want code malformed and a message", err)
 			}
 			return
 		}
 		_ = ValidateJob("job", &spec, nil)
 		data, err := json.Marshal(spec)
 		if err != nil {
-			t.Fatalf("what was taken cannot be written: %v", err)
+			t.Fatalf("encode the decoded job: %v", err)
 		}
-		var again JobSpec
-		if err := DecodeStrict(strings.NewReader(string(data)), &again); err != nil {
-			t.Fatalf("what was written cannot be read: %v", err)
+		var decoded JobSpec
+		if err := DecodeStrict(strings.NewReader(string(data)), &decoded); err != nil {
+			t.Fatalf("decode of the encoded job: %v", err)
 		}
-		if spec.Digest() != again.Digest() {
-			t.Fatalf("digest changed for %s", data)
+		if spec.Digest() != decoded.Digest() {
+			t.Fatalf("encoding and decoding changed the digest for %s", data)
 		}
 	})
 }
--- a/api/decode_test.go
+++ b/api/decode_test.go
@@ -17,9 +17,9 @@
 		{"empty", " \n", nil},
 		{"null", "null", nil},
 		{"list", "[]", nil},
-		{"cut off", `{"queue":"q"`, nil},
-		{"trailing", `{"queue":"q"} {}`, nil},
-		{"trailing rubbish", `{"queue":"q"}]`, nil},
+		{"truncated", `{"queue":"q"`, nil},
+		{"trailing object", `{"queue":"q"} {}`, nil},
+		{"trailing bracket", `{"queue":"q"}]`, nil},
 		{"unknown fields", `{"que":"q","steps":[{"name":"a","tasks":[{"servise":"s"}]}]}`, []string{"que", "steps[0].tasks[0].servise"}},
 		{"known field in another case", `{"Queue":"q","que":"q"}`, []string{"que"}},
 		{
@@ -36,14 +36,14 @@
 			var spec JobSpec
 			err := DecodeStrict(strings.NewReader(c.body), &spec)
 			if err == nil || err.Status != http.StatusBadRequest || err.Code != CodeMalformed || err.Message == "" {
-				t.Fatalf("error %+v", err)
+				t.Fatalf("got error %+v, want status 400, code malformed and a message", err)
 			}
 			if got := fieldNames(err.Fields); !slices.Equal(got, c.fields) {
-				t.Fatalf("wrong fields %v, want %v", got, c.fields)
+				t.Fatalf("got invalid fields %v, want %v", got, c.fields)
 			}
 			for _, field := range err.Fields {
 				if field.Value == "" || field.Expected == "" {
-					t.Errorf("field %+v lacks value or expectation", field)
+					t.Errorf("got field error %+v, want a value and an expectation", field)
 				}
 			}
 		})
@@ -53,11 +53,11 @@
 func TestDecodeStrict_TooLargeBodyIsRejected(t *testing.T) {
 	body := http.MaxBytesReader(httptest.NewRecorder(), http.NoBody, 4)
 	if err := DecodeStrict(body, &JobSpec{}); err == nil || err.Code != CodeMalformed {
-		t.Fatalf("empty body: %v", err)
+		t.Fatalf("empty body: got error %v, want code malformed", err)
 	}
 	request := httptest.NewRequest(http.MethodPut, "/", strings.NewReader(`{"queue":"q"}`))
 	err := DecodeStrict(http.MaxBytesReader(httptest.NewRecorder(), request.Body, 4), &JobSpec{})
 	if !errors.Is(err, &Error{Code: CodeTooLarge}) || err.Status != http.StatusRequestEntityTooLarge {
-		t.Fatalf("large body: %v", err)
+		t.Fatalf("large body: got error %v, want status 413, code too_large", err)
 	}
 }
--- a/api/defaults.go
+++ b/api/defaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of a Config: what a zero or an absent field stands for.
+// Defaults of a Config, for fields that are absent or zero.
 const (
 	DefaultQueueWeight       = 1
 	DefaultAllowedFailures   = 3
@@ -25,8 +25,8 @@
 	DefaultTimeZone          = "UTC"
 )
 
-// WithDefaults returns a copy in which each zero that stands for a default is
-// replaced by it. The receiver's queues and bookings are not changed.
+// WithDefaults returns a copy in which each zero that means a default is replaced
+// by that default. The receiver's queues and bookings are not changed.
 func (c Config) WithDefaults() Config {
 	c.Queues = slices.Clone(c.Queues)
 	for index := range c.Queues {
@@ -72,7 +72,7 @@
 	return t
 }
 
-// setDefault replaces a zero by the default.
+// setDefault sets the value to fallback if it is zero.
 func setDefault[T comparable](value *T, fallback T) {
 	var zero T
 	if *value == zero {
--- a/api/digest.go
+++ b/api/digest.go
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// Digest identifies the content of the job: the SHA-256, in hexadecimal, of
-// its canonical JSON. It does not depend on white space and key order of
-// payloads, on the time zone in which NotBefore and Repeat.First are written,
-// or on whether an absent payload is written as null.
+// Digest returns the SHA-256, in hexadecimal, of the job's canonical JSON, which
+// identifies the content of the job. It does not depend on white space and key
+// order in payloads, on the time zone of NotBefore and Repeat.First, or on
+// whether an absent payload is written as null.
 func (s JobSpec) Digest() string {
 	s.Payload = canonicalPayload(s.Payload)
 	s.Repeat = canonicalRepeat(s.Repeat)
@@ -22,11 +22,11 @@
 	return digestOf(s)
 }
 
-// Digest identifies the content of the configuration as it was given, without
-// defaults: the SHA-256, in hexadecimal, of its canonical JSON.
+// Digest returns the SHA-256, in hexadecimal, of the configuration's canonical
+// JSON. It identifies the configuration as given: defaults are not filled in.
 func (c Config) Digest() string { return digestOf(c) }
 
-// canonicalRepeat returns a copy whose time is in UTC.
+// canonicalRepeat returns a copy with First in UTC, or nil for nil.
 func canonicalRepeat(repeat *RepeatSpec) *RepeatSpec {
 	if repeat == nil {
 		return nil
@@ -36,7 +36,7 @@
 	return &canonical
 }
 
-// canonicalStep returns a copy of the step in its canonical form.
+// canonicalStep returns a copy with NotBefore in UTC and canonical payloads.
 func canonicalStep(step StepSpec) StepSpec {
 	if step.NotBefore != nil {
 		instant := step.NotBefore.UTC()
@@ -49,9 +49,9 @@
 	return step
 }
 
-// canonicalPayload compacts a payload and sorts its keys; numbers keep their
-// digits. What is not JSON is kept as a JSON string, so that it still has a
-// digest.
+// canonicalPayload returns the payload in compact form with sorted keys and with
+// all digits of its numbers, or nil for null. A payload that is not JSON is
+// returned as a JSON string, so that the job still has a digest.
 func canonicalPayload(payload json.RawMessage) json.RawMessage {
 	if len(payload) == 0 {
 		return nil
@@ -68,15 +68,16 @@
 	return mustMarshal(value)
 }
 
-// digestOf hashes the JSON of a value whose maps and fields have one order.
+// digestOf returns the SHA-256, in hexadecimal, of the JSON of a value. Equal
+// values have equal JSON, since map keys are sorted.
 func digestOf(value any) string {
 	sum := sha256.Sum256(mustMarshal(value))
 	return hex.EncodeToString(sum[:])
 }
 
-// mustMarshal is for values that have a JSON form by their type. The one that
-// may have none is a time beyond the year 9999; validation refuses it, and
-// its error text stands in for it here.
+// mustMarshal returns the JSON of a value whose type can be encoded. Encoding
+// fails only for a time beyond the year 9999, which validation rejects; the
+// result is then the text of the error.
 func mustMarshal(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/api/doc.go
+++ b/api/doc.go
@@ -1,5 +1,5 @@
 // Package api is the public Go interface of decklever: the JSON types of its
-// HTTP interface, their validation, and a client. The command line uses this
+// HTTP interface, their validation, and a client. The command-line tool uses this
 // package like any other caller. The HTTP interface itself is described in
 // openapi.yaml.
 //
@@ -18,37 +18,37 @@
 //	})
 //	status, err := client.Job(ctx, "report-17", 30*time.Second)
 //
-// Every call is idempotent, so Client repeats one whose answer was lost. Errors
+// Every call is idempotent, so Client retries a call whose answer was lost. Errors
 // are of type *Error; errors.Is compares them by code:
 //
 //	if errors.Is(err, &api.Error{Code: api.CodeConflict}) { ... }
 //
 // # For operators
 //
-// Operators replace the whole Config with Client.PutConfig, which compares and
-// swaps on the version in force. Of several proposals on the same version
-// exactly one is accepted; the others get CodeLostRace. Zone drains
-// (Client.DrainZone) are orders beside the configuration.
+// Operators replace the complete Config with Client.PutConfig, a compare-and-swap
+// on the version in force. Of several proposals to replace the same version,
+// exactly one is accepted; the others fail with CodeLostRace. Zone drains
+// (Client.DrainZone) are independent of the configuration.
 //
 // # For workers
 //
-// Package worker implements the worker's side of the heartbeat protocol. A
-// Heartbeat and its HeartbeatAnswer are documented here for those who write a
-// worker in another language.
+// Package worker implements the worker's side of the heartbeat protocol.
+// Heartbeat and HeartbeatAnswer are documented here for authors of workers in
+// other languages.
 //
 // # Terms
 //
 // A job consists of steps, a step of tasks. A run is one attempt at a task on
 // one worker; a task has at most one open run. A step whose tasks are placed
 // all at once or not at all is a group (a gang). A worker runs its tasks under
-// a lease, called hold in JSON, that accepted heartbeats renew. A booking
+// a lease, called hold in JSON, which each accepted heartbeat answer renews. A booking
 // reserves slices of worker capacity for a queue in recurring windows.
 //
 // # Units and conventions
 //
 // Durations are text such as "1.5s" (see Duration), fields that end in Millis
 // are milliseconds, memory is in mebibytes, processor share in thousandths of a
-// core, times are RFC 3339. In a configuration and a job, an absent field or a
-// zero stands for the default that the field's comment names. Validation
+// core, times are RFC 3339. In a configuration and a job, an absent or zero field
+// means the default that the field's comment gives. Validation
 // reports every invalid field at once, as FieldErrors with the field's path.
 package api
--- a/api/duration.go
+++ b/api/duration.go
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// UnmarshalJSON accepts only a JSON string, as the unit of a bare number
-// would be a guess.
+// UnmarshalJSON implements json.Unmarshaler. It accepts only a JSON string, since
+// a number has no unit.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/api/errors.go
+++ b/api/errors.go
@@ -5,23 +5,24 @@
 	"strings"
 )
 
-// ErrorCode identifies the kind of an Error for programs. Codes are stable.
+// ErrorCode identifies the kind of an Error for programs. Codes do not change
+// between versions.
 type ErrorCode string
 
-// Error codes, with the HTTP status that each comes under.
+// Error codes, with the HTTP status of each.
 const (
-	CodeInvalid        ErrorCode = "invalid"         // 422: Fields says what
-	CodeImpossible     ErrorCode = "impossible"      // 422: no worker could ever hold it
-	CodeMalformed      ErrorCode = "malformed"       // 400: not the JSON expected
+	CodeInvalid        ErrorCode = "invalid"         // 422: Fields names the invalid fields
+	CodeImpossible     ErrorCode = "impossible"      // 422: no known worker could ever run the job
+	CodeMalformed      ErrorCode = "malformed"       // 400: body or parameters cannot be decoded
 	CodeTooLarge       ErrorCode = "too_large"       // 413
 	CodeNotFound       ErrorCode = "not_found"       // 404
-	CodeWrongMethod    ErrorCode = "wrong_method"    // 405: the Allow header says which would do
-	CodeConflict       ErrorCode = "conflict"        // 409: other content under this id
+	CodeWrongMethod    ErrorCode = "wrong_method"    // 405: the Allow header lists valid methods
+	CodeConflict       ErrorCode = "conflict"        // 409: the id is used with other content
 	CodeLostRace       ErrorCode = "lost_race"       // 412: the base version is no longer in force
-	CodeNoBase         ErrorCode = "no_base"         // 428: If-Match or Idempotency-Key missing
-	CodeOverLimit      ErrorCode = "over_limit"      // 429: Retry-After says when
-	CodeUnavailable    ErrorCode = "unavailable"     // 503: not done, ask again
-	CodeOutcomeUnknown ErrorCode = "outcome_unknown" // 503: may have been done, ask again the same
+	CodeNoBase         ErrorCode = "no_base"         // 428: If-Match or Idempotency-Key is missing
+	CodeOverLimit      ErrorCode = "over_limit"      // 429: retry after the time in Retry-After
+	CodeUnavailable    ErrorCode = "unavailable"     // 503: had no effect; retry
+	CodeOutcomeUnknown ErrorCode = "outcome_unknown" // 503: may have taken effect; retry unchanged
 	CodeInternal       ErrorCode = "internal"        // 500
 )
 
@@ -29,23 +30,23 @@
 type FieldError struct {
 	// Field is the path of the field, such as "steps[0].tasks[2].service".
 	Field string `json:"field"`
-	// Value is the value that was given, shortened.
+	// Value is the value that was given, truncated to 64 characters.
 	Value string `json:"value"`
-	// Expected says what a valid value is.
+	// Expected describes valid values.
 	Expected string `json:"expected"`
 }
 
-// Error is the body of every answer other than success, and the error type of
-// Client.
+// Error is the body of every answer that reports a failure, and the error type
+// of Client.
 type Error struct {
 	// Status is the HTTP status.
 	Status int       `json:"status"`
 	Code   ErrorCode `json:"code"`
-	// Message is text for people; it may change between versions.
+	// Message is a text for users, which may change between versions.
 	Message string       `json:"message"`
 	Fields  []FieldError `json:"fields,omitempty"`
-	// RetryAfterMillis is the time until a retry may succeed; 0 means that a
-	// retry does not help.
+	// RetryAfterMillis is the time until a retry may succeed; 0 if the answer
+	// gives none.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
--- a/api/field_errors.go
+++ b/api/field_errors.go
@@ -8,9 +8,9 @@
 	"unicode/utf8"
 )
 
-// MaxFieldErrors bounds the field errors of one answer, so that a hostile
-// body does not cause a much larger answer. A last entry without a field says
-// how many more there are.
+// MaxFieldErrors bounds the field errors of one answer, so that a hostile body
+// does not cause a much larger answer. If there are more, a last entry with an
+// empty Field gives the number of those omitted.
 const MaxFieldErrors = 256
 
 // maxValueLength bounds FieldError.Value, in characters.
@@ -26,35 +26,37 @@
 // 0-9, '.', '_', ':' and '-', the first a letter or digit.
 func ValidJobID(id string) bool { return namePattern.MatchString(id) }
 
-// ValidZone reports whether the name of a zone is well-formed: 1 to 64 of
+// ValidZone reports whether a zone name is well-formed: 1 to 64 of
 // A-Z, a-z, 0-9, '.', '_' and '-'.
 func ValidZone(name string) bool { return zonePattern.MatchString(name) }
 
-// fieldErrors collects field errors, up to MaxFieldErrors.
+// fieldErrors collects field errors, up to MaxFieldErrors. omitted counts those
+// beyond that.
 type fieldErrors struct {
 	fields  []FieldError
 	omitted int
 }
 
-// add records an invalid field; the value is shortened.
+// add records an invalid field and its value, which is truncated.
 func (f *fieldErrors) add(field string, value any, expected string) {
 	if len(f.fields) >= MaxFieldErrors {
 		f.omitted++
 		return
 	}
-	f.fields = append(f.fields, FieldError{Field: field, Value: shorten(fmt.Sprint(value)), Expected: expected})
+	f.fields = append(f.fields, FieldError{Field: field, Value: truncate(fmt.Sprint(value)), Expected: expected})
 }
 
-// result returns the recorded errors, nil if there are none.
+// result returns the recorded errors, or nil if there are none. If errors were
+// omitted, the last entry gives their number.
 func (f *fieldErrors) result() []FieldError {
 	if f.omitted == 0 {
 		return f.fields
 	}
-	more := FieldError{Expected: fmt.Sprintf("%d more wrong fields to be mended that are not listed", f.omitted)}
-	return append(f.fields, more)
+	summary := FieldError{Expected: fmt.Sprintf("%d more wrong fields to be mended that are not listed", f.omitted)}
+	return append(f.fields, summary)
 }
 
-// checkRange rejects a value outside of low to high, both inclusive.
+// checkRange rejects a value below low or above high.
 func checkRange[T cmp.Ordered](f *fieldErrors, field string, value, low, high T) {
 	if value < low || value > high {
 		f.add(field, value, fmt.Sprintf("%v to %v", low, high))
@@ -68,8 +70,9 @@
 	}
 }
 
-// shorten truncates a text to maxValueLength characters.
-func shorten(text string) string {
+// truncate shortens a text to maxValueLength characters, the last of which is
+// then an ellipsis.
+func truncate(text string) string {
 	if utf8.RuneCountInString(text) <= maxValueLength {
 		return text
 	}
@@ -77,28 +80,28 @@
 	return string(runes[:maxValueLength-1]) + "…"
 }
 
-// checkFactor validates a factor for which 0 stands for the default. NaN is
-// invalid.
+// checkFactor rejects a factor that is neither 0, which means the default, nor
+// from low to high. It rejects NaN.
 func checkFactor(errors *fieldErrors, path string, factor, low, high float64) {
 	if factor != 0 && !(factor >= low && factor <= high) {
 		errors.add(path, factor, fmt.Sprintf("0 for the default, or %v to %v", low, high))
 	}
 }
 
-// checkNames validates that names are not empty and unique.
+// checkNames rejects empty and repeated names.
 func checkNames(errors *fieldErrors, path string, names []string) {
-	first := make(map[string]int, len(names))
+	firstIndex := make(map[string]int, len(names))
 	for index, name := range names {
 		field := fmt.Sprintf("%s[%d]", path, index)
 		if name == "" {
 			errors.add(field, name, "a name")
 			continue
 		}
-		if other, taken := first[name]; taken {
+		if other, taken := firstIndex[name]; taken {
 			errors.add(field, name, fmt.Sprintf("a name other than that of %s[%d]", path, other))
 			continue
 		}
-		first[name] = index
+		firstIndex[name] = index
 	}
 }
 
@@ -109,14 +112,14 @@
 	}
 }
 
-// checkUnique rejects a name that an earlier element of the list has; first
-// holds the index of each name.
-func checkUnique(errors *fieldErrors, first map[string]int, list string, index int, name string) {
-	if other, taken := first[name]; taken {
+// checkUnique rejects a name that an earlier element of the list has. firstIndex
+// holds the index of each earlier name; checkUnique adds a new one.
+func checkUnique(errors *fieldErrors, firstIndex map[string]int, list string, index int, name string) {
+	if other, taken := firstIndex[name]; taken {
 		errors.add(fmt.Sprintf("%s[%d].name", list, index), name, fmt.Sprintf("a name other than that of %s[%d]", list, other))
 		return
 	}
-	first[name] = index
+	firstIndex[name] = index
 }
 
 // checkLabels rejects an empty key.
@@ -126,7 +129,7 @@
 	}
 }
 
-// checkTime rejects a time whose year cannot be written in RFC 3339.
+// checkTime rejects a time whose year in UTC cannot be written in RFC 3339.
 func checkTime(errors *fieldErrors, field string, moment time.Time) {
 	if year := moment.UTC().Year(); year < 1 || year > maxYear {
 		errors.add(field, moment, "a time in the years 1 to 9999")
--- a/api/field_errors_test.go
+++ b/api/field_errors_test.go
@@ -11,7 +11,7 @@
 		"": false, "a/b": false, "-a": false, "a\n": false, strings.Repeat("x", 129): false,
 	} {
 		if got := len(ValidateJob(id, validJob(), nil)) == 0; got != valid {
-			t.Errorf("id %q valid: %v, want %v", id, got, valid)
+			t.Errorf("job id %q: got valid %v, want %v", id, got, valid)
 		}
 	}
 }
@@ -22,9 +22,9 @@
 	spec.Queue = strings.Repeat("é", 100)
 	fields := ValidateJob("job-1", spec, nil)
 	if len(fields) != MaxFieldErrors+1 || fields[MaxFieldErrors].Field != "" {
-		t.Fatalf("%d fields, the last %+v", len(fields), fields[len(fields)-1])
+		t.Fatalf("got %d field errors, the last %+v, want MaxFieldErrors and one without a field", len(fields), fields[len(fields)-1])
 	}
 	if length := len([]rune(fields[0].Value)); length != maxValueLength {
-		t.Fatalf("value of %d characters", length)
+		t.Fatalf("got a value of %d characters, want maxValueLength", length)
 	}
 }
--- a/api/job_status.go
+++ b/api/job_status.go
@@ -25,17 +25,17 @@
 	Queue    string `json:"queue"`
 	Priority int    `json:"priority"`
 	State    State  `json:"state"`
-	// SubmittedAt and EndedAt are cluster time. EndedAt is absent until no
-	// run of the job can be open: a job that was cancelled, or whose lockstep
-	// group has succeeded, has its final state at once, and EndedAt once its
+	// SubmittedAt and EndedAt are cluster time. EndedAt is absent until no run of
+	// the job can be open. A job that was cancelled, or whose lockstep group has
+	// succeeded, has its final state immediately but gets EndedAt only when its
 	// last run has stopped.
 	SubmittedAt time.Time  `json:"submitted_at"`
 	EndedAt     *time.Time `json:"ended_at,omitempty"`
-	// Occurrences is absent unless the job repeats.
+	// Occurrences counts the occurrences of a repeating job; absent for others.
 	Occurrences *OccurrenceStatus `json:"occurrences,omitempty"`
 	// Steps of a repeating job are those of its open occurrences, in order.
 	Steps []StepStatus `json:"steps,omitempty"`
-	// Archived is true once the job was reduced to its outcome.
+	// Archived is true once the job has ended and only its outcome is stored.
 	Archived bool `json:"archived,omitempty"`
 }
 
@@ -43,15 +43,15 @@
 type OccurrenceStatus struct {
 	// Times is the total number of occurrences.
 	Times int `json:"times"`
-	// Open counts occurrences that are due, or will be within moments, and
-	// have not ended.
+	// Open counts occurrences whose tasks have been created and that have not
+	// ended. Tasks are created shortly before the occurrence is due.
 	Open int `json:"open"`
 	// Succeeded, Failed and Cancelled count occurrences that have ended.
-	// Those that a cancellation kept from becoming due count as cancelled.
+	// Cancelled includes those that were not yet due at the cancellation.
 	Succeeded int `json:"succeeded"`
 	Failed    int `json:"failed"`
 	Cancelled int `json:"cancelled"`
-	// NextDue is when the next occurrence is due that is neither open nor
+	// NextDue is the due time of the next occurrence that is neither open nor
 	// ended; absent if there is none.
 	NextDue *time.Time `json:"next_due,omitempty"`
 }
@@ -68,17 +68,17 @@
 // TaskStatus is the state of one task.
 type TaskStatus struct {
 	// Task is the task's full name, "JOB/STEP/INDEX", followed by "/OCCURRENCE"
-	// where that is not 0.
+	// if that is not 0.
 	Task  string `json:"task"`
 	State State  `json:"state"`
-	// Reason says why a pending task waits or how a final one ended.
+	// Reason explains why a pending task waits or how a final task ended.
 	Reason string `json:"reason,omitempty"`
-	// Run is the number of the newest run; 0 if there was none.
+	// Run is the number of the newest run; 0 if there has been none.
 	Run uint32 `json:"run"`
 	// Worker is the name of the worker of the newest run.
 	Worker string `json:"worker,omitempty"`
-	// Failures counts failed runs. For a task with UntilCancelled the count
-	// starts again with the failure of a run that was open for 10 s.
+	// Failures counts failed runs. For a task with UntilCancelled, the failure of
+	// a run that was open for at least 10 s resets the count to 1.
 	Failures int `json:"failures"`
 }
 
@@ -92,7 +92,7 @@
 	TasksEnded  int       `json:"tasks_ended"`
 }
 
-// JobList is the answer of GET /v1/jobs: one page.
+// JobList is the answer of GET /v1/jobs: one page of the list of jobs.
 type JobList struct {
 	Jobs []JobSummary `json:"jobs"`
 	// NextPageToken is empty on the last page.
--- a/api/job_tasks.go
+++ b/api/job_tasks.go
@@ -15,8 +15,8 @@
 	return len(s.Tasks)
 }
 
-// TaskAt returns the description of the task with an index from 0 to
-// TaskCount-1. Replicas share it.
+// TaskAt returns the description of the task at an index, from 0 to TaskCount-1.
+// All replicas share one description.
 func (s *StepSpec) TaskAt(index int) *TaskSpec {
 	if s.replicated() {
 		return &s.Tasks[0]
@@ -24,8 +24,8 @@
 	return &s.Tasks[index]
 }
 
-// replicated reports that the one entry of Tasks stands for all of them. Numbers
-// that validation refuses are passed over.
+// replicated reports whether the only entry of Tasks describes all of the step's
+// tasks. It is false for values of Replicas that validation rejects.
 func (s *StepSpec) replicated() bool {
 	return s.Replicas > 0 && s.Replicas <= MaxReplicas && len(s.Tasks) == 1
 }
@@ -40,8 +40,8 @@
 	return count
 }
 
-// WithService returns a copy of the job in which tasks without a service have
-// this one. The original is not changed.
+// WithService returns a copy of the job in which tasks without a service get the
+// given one. The original is not changed.
 func (s JobSpec) WithService(service string) JobSpec {
 	if service == "" || len(s.MissingServices()) == 0 {
 		return s
@@ -72,13 +72,14 @@
 	return errors.result()
 }
 
-// expectedService describes what a task without a service needs.
+// expectedService returns the text of FieldError.Expected for a task without a
+// service.
 func expectedService(queue string) string {
 	return fmt.Sprintf("a service name of 1 to %d bytes, or a queue that has one; queue %q has none", MaxServiceLength, queue)
 }
 
-// PayloadOf returns what is passed to a task: its own payload, or else the
-// job's. A payload of null counts as none.
+// PayloadOf returns the payload that is passed to a task: that of the task, or
+// that of the job if the task has none. A payload of null counts as none.
 func (s *JobSpec) PayloadOf(task *TaskSpec) json.RawMessage {
 	if isNullPayload(task.Payload) {
 		return s.Payload
--- a/api/queue_status.go
+++ b/api/queue_status.go
@@ -1,20 +1,20 @@
 package api
 
-// QueueStatus is an element of QueueList.
+// QueueStatus describes the load of one queue.
 type QueueStatus struct {
 	Name string `json:"name"`
-	// Jobs counts jobs that have not ended; WaitingJobs counts those of them
-	// without a task that has started on a worker.
+	// Jobs counts jobs that have not ended. WaitingJobs counts the jobs among
+	// them of which no task is known to have started on a worker.
 	Jobs        int `json:"jobs"`
 	WaitingJobs int `json:"waiting_jobs"`
-	// Pending counts tasks without an open run, Running those with one.
+	// Pending counts tasks without an open run. Running counts tasks with one.
 	Pending int `json:"pending_tasks"`
 	Running int `json:"running_tasks"`
-	// ExpectedWaitMillis is how long a new task would wait for its start, by
-	// the measured rate of starts; absent while that is not known.
+	// ExpectedWaitMillis is how long a new task would wait for its start at the
+	// measured start rate; absent while that rate is unknown.
 	ExpectedWaitMillis int64 `json:"expected_wait_ms,omitempty"`
-	// Overloaded says that the queue has an objective and a new job would
-	// wait longer than that allows.
+	// Overloaded is true if the queue has an objective and a new job would wait
+	// longer than the objective allows.
 	Overloaded bool `json:"overloaded,omitempty"`
 }
 
--- a/api/resources.go
+++ b/api/resources.go
@@ -1,12 +1,12 @@
 package api
 
-// Resources is an amount of resources, of a worker or of a task.
+// Resources is an amount of resources of a worker, a task or a slice.
 type Resources struct {
-	// CPUMillis is processor share in thousandths of a core.
+	// CPUMillis is the processor share in thousandths of a core.
 	CPUMillis int64 `json:"cpu_millis,omitempty" yaml:"cpu_millis"`
-	// MemoryMB is memory in mebibytes.
+	// MemoryMB is the memory in mebibytes.
 	MemoryMB int64 `json:"memory_mb,omitempty" yaml:"memory_mb"`
-	// Accelerators is a number of whole devices.
+	// Accelerators is the number of accelerator devices.
 	Accelerators int64 `json:"accelerators,omitempty" yaml:"accelerators"`
 }
 
--- a/api/schedule.go
+++ b/api/schedule.go
@@ -6,35 +6,36 @@
 	"regexp"
 	"strings"
 	"time"
-	// Zones are known on machines without a zone database too.
+	// Embeds the time zone database, for machines without one.
 	_ "time/tzdata"
 
 	"github.com/robfig/cron/v3"
 )
 
-// Schedule gives the starts of a booking's windows, in the local time of its
-// time zone. Where that local time jumps, at the change to summer time and
-// back, this holds, the same for cron and daily_at:
+// Schedule computes the start times of a booking's windows in its time zone. At a
+// change of local time, to summer time or back, these rules apply to cron and
+// daily_at alike:
 //
-//   - a start at a local time that does not exist comes at the first moment
-//     after the jump, once if there are several such times;
-//   - a start at a local time that comes twice comes at its first occurrence
-//     only, so a fixed hour never starts twice in one local day;
-//   - a cron schedule whose hour field names all 24 hours follows the hours as
-//     they pass instead: skipped hours have no start, repeated ones have two.
+//   - a start at a local time that is skipped is moved to the first moment after
+//     the change; several such starts become one;
+//   - a start at a local time that occurs twice takes place at the first
+//     occurrence only, so a fixed hour never starts twice in one local day;
+//   - a cron schedule whose hour field contains all 24 hours follows elapsed
+//     hours instead: skipped hours have no start, and repeated hours have two.
 type Schedule struct {
 	location *time.Location
-	// local is a schedule on local time, written as if it were UTC.
+	// local is the schedule on local times, which are represented as UTC times.
 	local *cron.SpecSchedule
-	// everyHour is set if the hour field names all 24 hours.
+	// everyHour is true if the hour field contains all 24 hours.
 	everyHour bool
 }
 
-// allHours has a bit for each hour of a day.
+// allHours is the hour field of a cron.SpecSchedule with all 24 hours: a bit for
+// each.
 const allHours = 1<<24 - 1
 
-// localTimeZone is the name by which package time means the machine's own
-// zone, which is not the same on all machines.
+// localTimeZone is the name that package time uses for the time zone of the
+// machine. It is rejected, since it may differ between machines.
 const localTimeZone = "Local"
 
 var (
@@ -42,8 +43,8 @@
 	dailyAtPattern = regexp.MustCompile(`^([01][0-9]|2[0-3]):[0-5][0-9]$`)
 )
 
-// Schedule parses the booking's schedule. Exactly one of Cron and DailyAt
-// must be set.
+// Schedule parses the booking's schedule. It returns an error if the time zone or
+// the schedule is invalid, or unless exactly one of Cron and DailyAt is set.
 func (b BookingConfig) Schedule() (Schedule, error) {
 	location, err := loadTimeZone(b.TimeZone)
 	if err != nil {
@@ -105,57 +106,60 @@
 // Location returns the time zone of the schedule.
 func (s Schedule) Location() *time.Location { return s.location }
 
-// Next returns the first start after a moment, or false if there is none in
-// the following five years.
+// Next returns the first start after a time, or false if there is none in the
+// following five years.
 func (s Schedule) Next(after time.Time) (time.Time, bool) {
 	at := after.In(s.location)
-	from := s.searchFrom(at)
+	from := s.searchStart(at)
 	for {
 		local := s.local.Next(from)
 		if local.IsZero() {
 			return time.Time{}, false
 		}
-		start := local.Add(-offset(at)).In(s.location)
+		start := local.Add(-utcOffset(at)).In(s.location)
 		_, end := at.ZoneBounds()
 		if end.IsZero() || start.Before(end) {
 			return start, true
 		}
-		// The local time lies beyond the next change of the offset.
-		localBefore := end.Add(offset(at)).UTC()
-		localAfter := end.Add(offset(end)).UTC()
+		// The candidate lies beyond the next change of the UTC offset: search
+		// again from that change on.
+		localBefore := end.Add(utcOffset(at)).UTC()
+		localAfter := end.Add(utcOffset(end)).UTC()
 		if !s.everyHour && local.Before(localAfter) {
 			return end, true
 		}
-		at, from = end, justBefore(s.firstNew(localBefore, localAfter))
+		at, from = end, justBefore(s.firstEligible(localBefore, localAfter))
 	}
 }
 
-// searchFrom is the local time after which the next start is to be sought.
-func (s Schedule) searchFrom(at time.Time) time.Time {
-	from := at.Add(offset(at)).UTC()
+// searchStart returns the local time after which Next searches, for a search from
+// at on. It skips local times that already occurred before the last change of the
+// UTC offset.
+func (s Schedule) searchStart(at time.Time) time.Time {
+	from := at.Add(utcOffset(at)).UTC()
 	start, _ := at.ZoneBounds()
 	if start.IsZero() {
 		return from
 	}
-	localBefore := start.Add(offset(justBefore(start))).UTC()
-	localAfter := start.Add(offset(at)).UTC()
-	if first := s.firstNew(localBefore, localAfter); from.Before(first) {
+	localBefore := start.Add(utcOffset(justBefore(start))).UTC()
+	localAfter := start.Add(utcOffset(at)).UTC()
+	if first := s.firstEligible(localBefore, localAfter); from.Before(first) {
 		return justBefore(first)
 	}
 	return from
 }
 
-// firstNew is the first local time that may start something after a change of
-// the offset, at which local time jumped.
-func (s Schedule) firstNew(localBefore, localAfter time.Time) time.Time {
+// firstEligible returns the first local time at which a window may start after a
+// change of the UTC offset, given the local times just before and after it.
+func (s Schedule) firstEligible(localBefore, localAfter time.Time) time.Time {
 	if s.everyHour || localAfter.After(localBefore) {
 		return localAfter
 	}
 	return localBefore
 }
 
-// offset is how far local time is ahead of UTC.
-func offset(at time.Time) time.Duration {
+// utcOffset returns how far local time is ahead of UTC at a time.
+func utcOffset(at time.Time) time.Duration {
 	_, seconds := at.Zone()
 	return time.Duration(seconds) * time.Second
 }
--- a/api/schedule_test.go
+++ b/api/schedule_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestSchedule_NextAgreesWithEveryMinute walks real minutes around changes of the clock
-// and holds Next against what its documentation says of each of them.
-func TestSchedule_NextAgreesWithEveryMinute(t *testing.T) {
+// TestSchedule_NextMatchesMinuteByMinuteSearch compares Next, around changes of local time,
+// with a search that applies the rules documented at Schedule to each minute.
+func TestSchedule_NextMatchesMinuteByMinuteSearch(t *testing.T) {
 	changes := map[string][]string{
 		"America/New_York":    {"2026-03-08T07:00:00Z", "2026-11-01T06:00:00Z"},
 		"Europe/Berlin":       {"2026-03-29T01:00:00Z", "2026-10-25T01:00:00Z"},
@@ -36,18 +36,18 @@
 		after := change.Add(time.Duration(rapid.IntRange(-240, 120).Draw(t, "minutes")) * time.Minute)
 		got, _ := schedule.Next(after)
 		for at := after.Add(time.Minute); at.Before(got); at = at.Add(time.Minute) {
-			if startsAt(schedule, at) {
-				t.Fatalf("next after %v is %v, expected %v", after, got, at)
+			if isStart(schedule, at) {
+				t.Fatalf("next start after %v: got %v, want %v", after, got, at)
 			}
 		}
-		if !got.After(after) || !startsAt(schedule, got) {
-			t.Fatalf("next after %v is %v", after, got)
+		if !got.After(after) || !isStart(schedule, got) {
+			t.Fatalf("next start after %v: got %v, which is not a later start", after, got)
 		}
 	})
 }
 
-// startsAt looks at one minute by itself.
-func startsAt(schedule Schedule, at time.Time) bool {
+// isStart reports whether a window starts at a minute, without use of Next.
+func isStart(schedule Schedule, at time.Time) bool {
 	local := localTime(schedule, at)
 	before := localTime(schedule, at.Add(-time.Minute))
 	if schedule.everyHour {
@@ -66,7 +66,7 @@
 	return matches(schedule, local)
 }
 
-// localTime is the local time, written as if it were UTC.
+// localTime returns the local time at a time, represented as a UTC time.
 func localTime(schedule Schedule, at time.Time) time.Time {
 	at = at.In(schedule.location)
 	return time.Date(at.Year(), at.Month(), at.Day(), at.Hour(), at.Minute(), 0, 0, time.UTC)
--- a/api/validate_annotations.go
+++ b/api/validate_annotations.go
@@ -17,7 +17,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(annotations)) {
 		if size := len(annotations[key]); size > MaxAnnotationBytes {
-			errors.add(fmt.Sprintf("%s[%q]", path, shorten(key)), fmt.Sprintf("%d bytes", size), fmt.Sprintf("at most %d bytes", MaxAnnotationBytes))
+			errors.add(fmt.Sprintf("%s[%q]", path, truncate(key)), fmt.Sprintf("%d bytes", size), fmt.Sprintf("at most %d bytes", MaxAnnotationBytes))
 		}
 	}
 }
--- a/api/validate_booking.go
+++ b/api/validate_booking.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// periodHorizon is how far ahead the starts of a schedule are compared, and
-	// maxStartsCompared how many of them; two are compared in any case.
+	// periodHorizon is how far ahead the starts of a schedule are compared.
+	// maxStartsCompared bounds the number of comparisons. The first two starts
+	// are compared in any case.
 	periodHorizon     = 400 * 24 * time.Hour
 	maxStartsCompared = 20_000
 )
 
-// checkBookings validates the bookings of every queue. Schedules are
-// evaluated from now on.
+// checkBookings validates the bookings of every queue. Schedules are evaluated
+// from the time now.
 func checkBookings(errors *fieldErrors, config *Config, now time.Time) {
 	for number := range config.Queues {
 		queue := &config.Queues[number]
@@ -31,7 +32,8 @@
 	}
 }
 
-// checkSlices validates the slices of a booking.
+// checkSlices validates number, resources and worker selection of the slices of
+// a booking.
 func checkSlices(errors *fieldErrors, path string, booking *BookingConfig, bounds []runningTasksBound) {
 	checkRange(errors, path+".slots", booking.Slots, 1, MaxBookingSlots)
 	for _, bound := range bounds {
@@ -44,8 +46,8 @@
 	checkLabels(errors, path+".labels", booking.Labels)
 }
 
-// checkWindows validates schedule, duration and lead, on their own and
-// against each other.
+// checkWindows validates schedule, duration and lead, each on its own and then
+// together.
 func checkWindows(errors *fieldErrors, path string, booking *BookingConfig, now time.Time) {
 	valid := checkSchedule(errors, path, booking)
 	if booking.Duration <= 0 || booking.Duration > Duration(MaxBookingDuration) {
@@ -61,8 +63,8 @@
 	}
 }
 
-// checkSchedule validates the schedule and reports whether it can be
-// evaluated.
+// checkSchedule validates schedule and time zone and reports whether the schedule
+// can be evaluated.
 func checkSchedule(errors *fieldErrors, path string, booking *BookingConfig) bool {
 	valid := true
 	if _, err := loadTimeZone(booking.TimeZone); err != nil {
@@ -88,12 +90,12 @@
 	return valid
 }
 
-// checkPeriod validates that each window, including its lead, begins after
-// the window before has ended.
+// checkPeriod validates that each window, including its lead, begins no earlier
+// than the previous window ends.
 func checkPeriod(errors *fieldErrors, path string, booking *BookingConfig, now time.Time) {
 	schedule, err := booking.Schedule()
 	if err != nil {
-		return // noted by checkSchedule
+		return // checkSchedule has recorded the error
 	}
 	previous, found := schedule.Next(now)
 	if !found {
@@ -112,17 +114,17 @@
 	}
 }
 
-// checkStartInterval validates duration and lead against two consecutive
-// starts.
+// checkStartInterval validates that duration and lead fit between two consecutive
+// starts, and reports whether they do.
 func checkStartInterval(errors *fieldErrors, path string, booking *BookingConfig, start, next time.Time) bool {
-	distance := Duration(next.Sub(start))
-	between := fmt.Sprintf("%v, from %s to the next start", distance, start.Format(time.RFC3339))
-	if booking.Duration > distance {
-		errors.add(path+".duration", booking.Duration, "at most "+between)
+	interval := Duration(next.Sub(start))
+	description := fmt.Sprintf("%v, from %s to the next start", interval, start.Format(time.RFC3339))
+	if booking.Duration > interval {
+		errors.add(path+".duration", booking.Duration, "at most "+description)
 		return false
 	}
-	if booking.Lead > distance-booking.Duration {
-		errors.add(path+".lead", booking.Lead, fmt.Sprintf("with duration %v at most %s", booking.Duration, between))
+	if booking.Lead > interval-booking.Duration {
+		errors.add(path+".lead", booking.Lead, fmt.Sprintf("with duration %v at most %s", booking.Duration, description))
 		return false
 	}
 	return true
--- a/api/validate_booking_test.go
+++ b/api/validate_booking_test.go
@@ -8,11 +8,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// bookingNow is a Wednesday in winter time; both clock changes of the year
-// that follows lie within the 400 days that are looked at.
+// bookingNow is a Wednesday in winter time. Both changes of local time in the
+// following year lie within periodHorizon, which is 400 days.
 var bookingNow = time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC)
 
-func bookedConfig() *Config {
+func configWithBooking() *Config {
 	return &Config{
 		Teams: []TeamConfig{{Name: "team", MaxRunningTasks: 20}},
 		Queues: []QueueConfig{{
@@ -30,7 +30,7 @@
 	cases := []struct {
 		name   string
 		change func(c *Config, b *BookingConfig)
-		// want holds the field and what was expected of it.
+		// want holds Field and Expected of each field error.
 		want [][2]string
 	}{
 		{"valid", func(*Config, *BookingConfig) {}, nil},
@@ -52,7 +52,7 @@
 		{"zone within cron", func(_ *Config, b *BookingConfig) { b.DailyAt, b.Cron = "", "TZ=UTC" }, [][2]string{
 			{at + ".cron", "five fields: minute, hour, day, month and weekday"},
 		}},
-		{"a day that never comes", func(_ *Config, b *BookingConfig) { b.DailyAt, b.Cron = "", "0 6 30 2 *" }, [][2]string{
+		{"date that does not exist", func(_ *Config, b *BookingConfig) { b.DailyAt, b.Cron = "", "0 6 30 2 *" }, [][2]string{
 			{at + ".cron", "a schedule that starts within five years"},
 		}},
 		{"daily at", func(_ *Config, b *BookingConfig) { b.DailyAt = "6:00" }, [][2]string{
@@ -75,31 +75,31 @@
 		{"lead longer than the shortest day", func(_ *Config, b *BookingConfig) { b.Lead = Duration(22*time.Hour + 1) }, [][2]string{
 			{at + ".lead", "with duration 1h0m0s at most 23h0m0s, from 2027-03-13T06:00:00-05:00 to the next start"},
 		}},
-		{"lead at the most that a duration holds", func(_ *Config, b *BookingConfig) { b.Lead = 1<<63 - 1 }, [][2]string{
+		{"largest lead that a duration can express", func(_ *Config, b *BookingConfig) { b.Lead = 1<<63 - 1 }, [][2]string{
 			{at + ".lead", "with duration 1h0m0s at most 24h0m0s, from 2026-12-02T06:00:00-05:00 to the next start"},
 		}},
-		{"a whole day without clock changes", func(_ *Config, b *BookingConfig) {
+		{"duration of 24 hours without clock changes", func(_ *Config, b *BookingConfig) {
 			b.TimeZone, b.Duration, b.Lead = "America/Bogota", Duration(24*time.Hour), Duration(time.Nanosecond)
 		}, [][2]string{
 			{at + ".lead", "with duration 24h0m0s at most 24h0m0s, from 2026-12-02T06:00:00-05:00 to the next start"},
 		}},
-		{"a lead longer than the time between rare starts", func(_ *Config, b *BookingConfig) {
+		{"lead longer than the time between rare starts", func(_ *Config, b *BookingConfig) {
 			b.DailyAt, b.Cron, b.Lead = "", "0 6 29 2 *", Duration(4*366*24*time.Hour)
 		}, [][2]string{
 			{at + ".lead", "with duration 1h0m0s at most 35064h0m0s, from 2028-02-29T06:00:00-05:00 to the next start"},
 		}},
 		{"no slots", func(_ *Config, b *BookingConfig) { b.Slots = 0 }, [][2]string{{at + ".slots", "1 to 10000"}}},
-		{"more slots than the queue runs", func(_ *Config, b *BookingConfig) { b.Slots = 13 }, [][2]string{
+		{"more slots than the queue may run", func(_ *Config, b *BookingConfig) { b.Slots = 13 }, [][2]string{
 			{at + ".slots", `at most 12, max_running_tasks of queue "default"`},
 		}},
-		{"more slots than the team runs", func(c *Config, _ *BookingConfig) { c.Teams[0].MaxRunningTasks = 11 }, [][2]string{
+		{"more slots than the team may run", func(c *Config, _ *BookingConfig) { c.Teams[0].MaxRunningTasks = 11 }, [][2]string{
 			{at + ".slots", `at most 11, max_running_tasks of team "team"`},
 		}},
 		{"too many slots", func(c *Config, b *BookingConfig) {
 			c.Queues[0].MaxRunningTasks, c.Teams[0].MaxRunningTasks = 0, 0
 			b.Slots = 10001
 		}, [][2]string{{at + ".slots", "1 to 10000"}}},
-		{"negative room", func(_ *Config, b *BookingConfig) { b.Slice = Resources{0, -1, -1} }, [][2]string{
+		{"negative resources", func(_ *Config, b *BookingConfig) { b.Slice = Resources{0, -1, -1} }, [][2]string{
 			{at + ".slice.cpu_millis", "1 to 1000000000000"},
 			{at + ".slice.memory_mb", "0 to 1000000000000"},
 			{at + ".slice.accelerators", "0 to 1000000000000"},
@@ -136,25 +136,25 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			config := bookedConfig()
+			config := configWithBooking()
 			c.change(config, &config.Queues[0].Bookings[0])
 			var got [][2]string
 			for _, field := range ValidateConfigAt(config, bookingNow) {
 				got = append(got, [2]string{field.Field, field.Expected})
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
-				t.Fatalf("wrong fields (-want +got):\n%s", diff)
+				t.Fatalf("invalid fields (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
 func TestValidateConfig_FrequentSchedulesTakeBoundedTime(t *testing.T) {
-	config := bookedConfig()
+	config := configWithBooking()
 	booking := &config.Queues[0].Bookings[0]
 	booking.DailyAt, booking.Cron = "", "* * * * *"
 	booking.Duration, booking.Lead = Duration(time.Second), Duration(59*time.Second)
 	if fields := ValidateConfigAt(config, bookingNow); len(fields) > 0 {
-		t.Fatalf("refused: %v", fields)
+		t.Fatalf("got field errors %v, want none", fields)
 	}
 }
--- a/api/validate_cancel_request.go
+++ b/api/validate_cancel_request.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// ValidateCancel validates a cancellation of many jobs and returns every
-// invalid field.
+// ValidateCancel validates the body of a cancellation and returns every invalid
+// field.
 func ValidateCancel(request *CancelRequest) []FieldError {
 	var errors fieldErrors
 	switch {
--- a/api/validate_config_test.go
+++ b/api/validate_config_test.go
@@ -16,8 +16,8 @@
 		{"defaults", func(*Config) {}, nil},
 		{"no queue", func(c *Config) { c.Queues = nil }, []string{"queues"}},
 		{"queue name", func(c *Config) { c.Queues[0].Name = "Big" }, []string{"queues[0].name"}},
-		{"doubled queue", func(c *Config) { c.Queues = append(c.Queues, c.Queues[0]) }, []string{"queues[1].name"}},
-		{"queue figures", func(c *Config) {
+		{"duplicate queue", func(c *Config) { c.Queues = append(c.Queues, c.Queues[0]) }, []string{"queues[1].name"}},
+		{"queue bounds", func(c *Config) {
 			c.Queues[0] = QueueConfig{Name: "q", Priority: 1001, Weight: 1001, MaxRunningTasks: -1, MaxPendingTasks: -1, DefaultAllowedFailures: 1001, HeadroomPercent: 91}
 		}, []string{"queues[0].default_allowed_failures", "queues[0].headroom_percent", "queues[0].max_pending_tasks", "queues[0].max_running_tasks", "queues[0].priority", "queues[0].weight"}},
 		{"long service", func(c *Config) { c.Queues[0].Service = strings.Repeat("s", 129) }, []string{"queues[0].service"}},
@@ -29,11 +29,11 @@
 			"limits", func(c *Config) { c.Limits = LimitConfig{-1, -1, -1, -1} },
 			[]string{"limits.max_job_bytes", "limits.max_pending_tasks", "limits.max_tasks_per_job", "limits.submits_per_second"},
 		},
-		{"heartbeat over a quarter", func(c *Config) { c.Timings.HeartbeatInterval = Duration(751 * time.Millisecond) }, []string{"timings.heartbeat_interval"}},
-		{"heartbeat too fast", func(c *Config) { c.Timings.HeartbeatInterval = Duration(9 * time.Millisecond) }, []string{"timings.heartbeat_interval"}},
+		{"heartbeat interval above a quarter of the hold", func(c *Config) { c.Timings.HeartbeatInterval = Duration(751 * time.Millisecond) }, []string{"timings.heartbeat_interval"}},
+		{"heartbeat interval too short", func(c *Config) { c.Timings.HeartbeatInterval = Duration(9 * time.Millisecond) }, []string{"timings.heartbeat_interval"}},
 		{"hold too short", func(c *Config) { c.Timings.Hold = Duration(499 * time.Millisecond) }, []string{"timings.heartbeat_interval", "timings.hold"}},
-		{"silence at its bound", func(c *Config) { c.Timings.Hold = Duration(4700 * time.Millisecond) }, nil},
-		{"silence over its bound", func(c *Config) { c.Timings.Hold = Duration(4701 * time.Millisecond) }, []string{"timings.hold"}},
+		{"hold at the bound of MaxSilence", func(c *Config) { c.Timings.Hold = Duration(4700 * time.Millisecond) }, nil},
+		{"hold above the bound of MaxSilence", func(c *Config) { c.Timings.Hold = Duration(4701 * time.Millisecond) }, []string{"timings.hold"}},
 		{"margin too small", func(c *Config) { c.Timings.DriftMargin = Duration(29 * time.Millisecond) }, []string{"timings.drift_margin"}},
 		{
 			"negative timings", func(c *Config) { c.Timings = TimingConfig{RetryDelay: -1, DrainGrace: -1, Retention: -1} },
@@ -48,7 +48,7 @@
 			config := validConfig()
 			c.change(config)
 			if got := fieldNames(ValidateConfig(config)); !slices.Equal(got, c.want) {
-				t.Fatalf("wrong fields %v, want %v", got, c.want)
+				t.Fatalf("got invalid fields %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/api/validate_job.go
+++ b/api/validate_job.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// ValidateJob validates everything about a job that does not depend on the
-// state of the fleet, and returns every invalid field (see MaxFieldErrors). A
-// nil config skips the checks that depend on the configuration: that the
-// queue exists, that it has a service for tasks without one, the number of
-// tasks, and that the bounds of the queue and its team allow each group to
-// run.
+// ValidateJob validates everything about a job that does not depend on the state
+// of the cluster, and returns every invalid field (see MaxFieldErrors). A nil
+// config skips the checks that depend on the configuration: that the queue
+// exists, that it has a service for tasks without one, that the job does not have
+// too many tasks, and that the bounds of the queue and its team allow each group
+// to run.
 func ValidateJob(id string, spec *JobSpec, config *Config) []FieldError {
 	check := jobValidator{spec: spec, config: config}
 	check.checkJob(id)
@@ -25,8 +25,8 @@
 	spec   *JobSpec
 	config *Config
 	errors fieldErrors
-	// stepIndex holds the index of each step by name; of several with one
-	// name, the first.
+	// stepIndex maps the name of each step to its index. If several steps have
+	// the same name, it holds the first.
 	stepIndex map[string]int
 }
 
@@ -51,8 +51,8 @@
 	c.checkTaskCount()
 }
 
-// queueConfig returns the job's queue, or nil if the configuration is not
-// known or has no such queue.
+// queueConfig returns the job's queue, or nil if the configuration is unknown or
+// has no such queue.
 func (c *jobValidator) queueConfig() *QueueConfig {
 	if c.config == nil {
 		return nil
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// checkTaskCount validates the number of tasks of the whole job.
+// checkTaskCount validates the total number of tasks of the job, or of one
+// occurrence if the job repeats.
 func (c *jobValidator) checkTaskCount() {
 	if c.config == nil {
 		return
--- a/api/validate_job_test.go
+++ b/api/validate_job_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestValidateJob_NamesEveryInvalidField(t *testing.T) {
-	minus := -1
+	negative := -1
 	task := func(s *JobSpec) *TaskSpec { return &s.Steps[1].Tasks[1] }
 	cases := []struct {
 		name   string
@@ -23,7 +23,7 @@
 		{"caller with a space", func(s *JobSpec) { s.Caller = "team 7" }, []string{"caller"}},
 		{"long caller", func(s *JobSpec) { s.Caller = strings.Repeat("c", 65) }, []string{"caller"}},
 		{"step name with slash", func(s *JobSpec) { s.Steps[2].Name = "c/d" }, []string{"steps[2].name"}},
-		{"doubled step name", func(s *JobSpec) { s.Steps[2].Name = "b"; s.Steps[2].After = nil }, []string{"steps[2].name"}},
+		{"duplicate step name", func(s *JobSpec) { s.Steps[2].Name = "b"; s.Steps[2].After = nil }, []string{"steps[2].name"}},
 		{"after unknown", func(s *JobSpec) { s.Steps[1].After = []string{"a", "z"} }, []string{"steps[1].after[1]"}},
 		{"after itself", func(s *JobSpec) { s.Steps[1].After = []string{"b"} }, []string{"steps[1].after[0]"}},
 		{"after twice", func(s *JobSpec) { s.Steps[1].After = []string{"a", "a"} }, []string{"steps[1].after[1]"}},
@@ -43,7 +43,7 @@
 			"spread", func(s *JobSpec) { task(s).Spread = &Spread{By: "label:", MaxPerDomain: -1} },
 			[]string{"steps[1].tasks[1].spread.by", "steps[1].tasks[1].spread.max_per_domain"},
 		},
-		{"allowed failures", func(s *JobSpec) { task(s).AllowedFailures = &minus }, []string{"steps[1].tasks[1].allowed_failures"}},
+		{"allowed failures", func(s *JobSpec) { task(s).AllowedFailures = &negative }, []string{"steps[1].tasks[1].allowed_failures"}},
 		{"max duration", func(s *JobSpec) { task(s).MaxDuration = -1 }, []string{"steps[1].tasks[1].max_duration"}},
 		{"job payload", func(s *JobSpec) { s.Payload = []byte("{") }, []string{"payload"}},
 		{"replicas", func(s *JobSpec) { s.Steps[0].Replicas = 997 }, nil},
@@ -70,7 +70,7 @@
 			spec := validJob()
 			c.change(spec)
 			if got := fieldNames(ValidateJob("job-1", spec, validConfig())); !slices.Equal(got, c.want) {
-				t.Fatalf("wrong fields %v, want %v", got, c.want)
+				t.Fatalf("got invalid fields %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -82,6 +82,6 @@
 	spec.Steps[2].After = nil
 	fields := ValidateJob("job-1", spec, nil)
 	if len(fields) != 1 || fields[0].Value != "a after b after a" {
-		t.Fatalf("cycle reported as %+v", fields)
+		t.Fatalf("got field errors %+v, want one with the value \"a after b after a\"", fields)
 	}
 }
--- a/api/validate_limits.go
+++ b/api/validate_limits.go
@@ -1,6 +1,6 @@
 package api
 
-// checkLimits validates the limits; zeros mean defaults.
+// checkLimits validates the limits. A zero means the default.
 func checkLimits(errors *fieldErrors, limits LimitConfig) {
 	checkRange(errors, "limits.max_job_bytes", limits.MaxJobBytes, 0, MaxJobBytesBound)
 	checkAtLeast(errors, "limits.max_tasks_per_job", limits.MaxTasksPerJob, 0)
--- a/api/validate_objective.go
+++ b/api/validate_objective.go
@@ -8,7 +8,7 @@
 		return
 	}
 	checkAtLeast(errors, path+".target", objective.Target, 0)
-	// Written so that what is not a number is wrong too.
+	// The negated condition also rejects NaN.
 	if !(objective.Stretch >= 0 && objective.Stretch <= MaxStretch) {
 		errors.add(path+".stretch", objective.Stretch, fmt.Sprintf("0 to %v", MaxStretch))
 	}
--- a/api/validate_queue.go
+++ b/api/validate_queue.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// checkQueues validates each queue and that names are unique.
+// checkQueues validates each queue, and that there is one and names are unique.
 func checkQueues(errors *fieldErrors, config *Config) {
 	if len(config.Queues) == 0 {
 		errors.add("queues", "[]", "at least one queue")
@@ -18,7 +18,8 @@
 	}
 }
 
-// checkQueue validates one queue on its own. A zero weight means the default.
+// checkQueue validates the fields of one queue, except for its team and bookings.
+// A zero weight means the default.
 func checkQueue(errors *fieldErrors, path string, queue QueueConfig) {
 	checkShortName(errors, path+".name", queue.Name)
 	checkAnnotations(errors, path+".annotations", queue.Annotations)
--- a/api/validate_repeat.go
+++ b/api/validate_repeat.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// checkRepeat validates when the job repeats.
+// checkRepeat validates the schedule of a repeating job, and that no step has a
+// start time beside it.
 func (c *jobValidator) checkRepeat() {
 	repeat := c.spec.Repeat
 	if repeat == nil {
@@ -25,8 +26,8 @@
 	}
 }
 
-// checkInterval validates the time between occurrences, and that the last is
-// due by maxYear.
+// checkInterval validates the time between occurrences, and that the last
+// occurrence is due by the end of maxYear.
 func (c *jobValidator) checkInterval(repeat *RepeatSpec) {
 	switch {
 	case repeat.Interval < 0, repeat.Interval == 0 && repeat.Times > 1:
--- a/api/validate_repeat_test.go
+++ b/api/validate_repeat_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestValidateJob_Repeat(t *testing.T) {
+func TestValidateJob_RepeatNamesInvalidFields(t *testing.T) {
 	first := time.Date(2026, 1, 31, 14, 0, 0, 0, time.UTC)
 	cases := []struct {
 		name   string
@@ -16,7 +16,7 @@
 	}{
 		{"valid", func(*JobSpec) {}, nil},
 		{"once without an interval", func(s *JobSpec) { s.Repeat.Times, s.Repeat.Interval = 1, 0 }, nil},
-		{"the most", func(s *JobSpec) { s.Repeat.Times = MaxOccurrences }, nil},
+		{"maximum", func(s *JobSpec) { s.Repeat.Times = MaxOccurrences }, nil},
 		{"too many", func(s *JobSpec) { s.Repeat.Times = MaxOccurrences + 1 }, []string{"repeat.times"}},
 		{"none", func(s *JobSpec) { s.Repeat.Times = 0 }, []string{"repeat.times"}},
 		{"negative", func(s *JobSpec) { s.Repeat.Times = -1 }, []string{"repeat.times"}},
@@ -33,7 +33,7 @@
 			spec.Repeat = &RepeatSpec{Times: 3, First: first, Interval: Duration(time.Second)}
 			c.change(spec)
 			if got := fieldNames(ValidateJob("job-1", spec, validConfig())); !slices.Equal(got, c.want) {
-				t.Fatalf("wrong fields %v, want %v", got, c.want)
+				t.Fatalf("got invalid fields %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -43,11 +43,11 @@
 	repeat := RepeatSpec{Times: MaxOccurrences, First: time.UnixMilli(1000), Interval: Duration(1500 * time.Microsecond)}
 	for occurrence, want := range map[int]int64{0: 1000, 1: 1001, 2: 1003, 3: 1004, 99_999: 150_998} {
 		if got := repeat.DueMillis(occurrence); got != want {
-			t.Errorf("occurrence %d falls due at %d, want %d", occurrence, got, want)
+			t.Errorf("occurrence %d: got due time %d, want %d", occurrence, got, want)
 		}
 	}
 	repeat.Interval = Duration(200 * 24 * time.Hour)
 	if got, want := repeat.DueMillis(99_999), int64(1000+99_999*200*24*3600*1000); got != want {
-		t.Errorf("the last falls due at %d, want %d", got, want)
+		t.Errorf("last occurrence: got due time %d, want %d", got, want)
 	}
 }
--- a/api/validate_resources.go
+++ b/api/validate_resources.go
@@ -1,8 +1,8 @@
 package api
 
 // checkResources validates the resources of one task or slice.
-func checkResources(errors *fieldErrors, path string, room Resources) {
-	checkRange(errors, path+".cpu_millis", room.CPUMillis, 1, MaxResource)
-	checkRange(errors, path+".memory_mb", room.MemoryMB, 0, MaxResource)
-	checkRange(errors, path+".accelerators", room.Accelerators, 0, MaxResource)
+func checkResources(errors *fieldErrors, path string, resources Resources) {
+	checkRange(errors, path+".cpu_millis", resources.CPUMillis, 1, MaxResource)
+	checkRange(errors, path+".memory_mb", resources.MemoryMB, 0, MaxResource)
+	checkRange(errors, path+".accelerators", resources.Accelerators, 0, MaxResource)
 }
--- a/api/validate_step.go
+++ b/api/validate_step.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// checkStepNames validates the form and uniqueness of names of steps.
+// checkStepNames validates that names of steps are well-formed and unique, and
+// fills stepIndex.
 func (c *jobValidator) checkStepNames() {
 	c.stepIndex = make(map[string]int, len(c.spec.Steps))
 	for index, step := range c.spec.Steps {
@@ -44,8 +45,8 @@
 	}
 }
 
-// checkReplicas validates the number of replicas, and that one entry
-// describes them.
+// checkReplicas validates the number of replicas, and that no more than one entry
+// of Tasks describes them.
 func (c *jobValidator) checkReplicas(path string, step *StepSpec) {
 	checkRange(&c.errors, path+".replicas", step.Replicas, 0, MaxReplicas)
 	if step.Replicas > 0 && len(step.Tasks) > 1 {
@@ -53,8 +54,8 @@
 	}
 }
 
-// checkGang validates that the members of a group can ever run at the same
-// time.
+// checkGang validates that the bounds of groups, of the queue and of its team
+// allow all members of a group to run at the same time.
 func (c *jobValidator) checkGang(path string, members int) {
 	if members > MaxGroupMembers {
 		c.errors.add(path, fmt.Sprintf("%d tasks", members),
@@ -72,7 +73,7 @@
 	}
 }
 
-// checkAfter validates the names of the steps that a step waits for.
+// checkAfter validates the names of the steps after which a step starts.
 func (c *jobValidator) checkAfter(path string, step *StepSpec) {
 	seen := make(map[string]bool, len(step.After))
 	for number, name := range step.After {
@@ -99,7 +100,7 @@
 	return path + ".tasks"
 }
 
-// checkColocate validates the optional domain of a step's tasks.
+// checkColocate validates the optional StepSpec.Colocate.
 func checkColocate(errors *fieldErrors, field, domain string) {
 	if domain != "" && !isZoneOrLabel(domain) {
 		errors.add(field, domain, `"zone" or "label:KEY"`)
--- a/api/validate_step_cycles.go
+++ b/api/validate_step_cycles.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// visitState is the progress of the depth-first search at one step.
+// visitState is the state of a step in the depth-first search.
 type visitState uint8
 
 const (
@@ -15,16 +15,16 @@
 	visited
 )
 
-// cycleSearch looks for cycles between steps by depth-first search: an edge
-// back to a step on the current path closes a cycle.
+// cycleSearch finds cycles between steps by depth-first search: an edge to a step
+// on the current path closes a cycle.
 type cycleSearch struct {
 	validator *jobValidator
 	states    []visitState
 	path      []int
 }
 
-// checkCycles records each cycle at the step that closes it. Steps that wait
-// for themselves or for unknown steps are recorded by checkAfter.
+// checkCycles records each cycle at the After entry that closes it. Entries that
+// name the step itself or an unknown step are recorded by checkAfter.
 func (c *jobValidator) checkCycles() {
 	search := cycleSearch{validator: c, states: make([]visitState, len(c.spec.Steps))}
 	for index := range c.spec.Steps {
@@ -34,7 +34,7 @@
 	}
 }
 
-// visit follows the After list of one step.
+// visit searches all steps that can be reached over the After list of a step.
 func (s *cycleSearch) visit(index int) {
 	s.states[index] = onPath
 	s.path = append(s.path, index)
@@ -54,8 +54,8 @@
 	s.states[index] = visited
 }
 
-// addCycle records the cycle that step index closes by waiting for step
-// first.
+// addCycle records the cycle that entry number of the After list of step index
+// closes. The cycle begins at step first, which is on the current path.
 func (s *cycleSearch) addCycle(index, number, first int) {
 	start := slices.Index(s.path, first)
 	names := make([]string, 0, len(s.path)-start+1)
--- a/api/validate_step_test.go
+++ b/api/validate_step_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestValidateJob_GangLargerThanQuotaIsRejected(t *testing.T) {
-	config := bookedConfig()
+	config := configWithBooking()
 	config.Queues[0].MaxRunningTasks = 3
 	config.Teams[0].MaxRunningTasks = 2
 	spec := validJob()
@@ -21,15 +21,15 @@
 		{"steps[2].tasks", "4 tasks", `at most 2 tasks in a step that starts together, max_running_tasks of team "team"`},
 	}
 	if diff := cmp.Diff(want, ValidateJob("job", spec, config)); diff != "" {
-		t.Fatalf("wrong fields (-want +got):\n%s", diff)
+		t.Fatalf("invalid fields (-want +got):\n%s", diff)
 	}
 	spec.Steps[2].Tasks = spec.Steps[2].Tasks[:2]
 	if fields := ValidateJob("job", spec, config); len(fields) > 0 {
-		t.Fatalf("refused: %v", fields)
+		t.Fatalf("got field errors %v, want none", fields)
 	}
 }
 
-func TestValidateJob_PlacementFields(t *testing.T) {
+func TestValidateJob_PlacementNamesInvalidFields(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(step *StepSpec, task *TaskSpec)
@@ -38,9 +38,9 @@
 		{"colocate by zone", func(step *StepSpec, _ *TaskSpec) { step.Colocate = "zone" }, nil},
 		{"colocate by label", func(step *StepSpec, _ *TaskSpec) { step.Colocate = "label:rack" }, nil},
 		{"colocate by worker", func(step *StepSpec, _ *TaskSpec) { step.Colocate = "worker" }, []string{"steps[0].colocate"}},
-		{"colocate by no label", func(step *StepSpec, _ *TaskSpec) { step.Colocate = "label:" }, []string{"steps[0].colocate"}},
+		{"colocate by empty label", func(step *StepSpec, _ *TaskSpec) { step.Colocate = "label:" }, []string{"steps[0].colocate"}},
 		{"prefer", func(_ *StepSpec, task *TaskSpec) { task.Prefer = map[string]string{"disk": ""} }, nil},
-		{"prefer no label", func(_ *StepSpec, task *TaskSpec) { task.Prefer = map[string]string{"": "x"} }, []string{"steps[0].tasks[0].prefer"}},
+		{"prefer empty label", func(_ *StepSpec, task *TaskSpec) { task.Prefer = map[string]string{"": "x"} }, []string{"steps[0].tasks[0].prefer"}},
 		{"estimate", func(_ *StepSpec, task *TaskSpec) { task.Estimate = Duration(time.Hour) }, nil},
 		{"negative estimate", func(_ *StepSpec, task *TaskSpec) { task.Estimate = -1 }, []string{"steps[0].tasks[0].estimate"}},
 		{"resumable", func(_ *StepSpec, task *TaskSpec) { task.Resumable = true }, nil},
@@ -59,7 +59,7 @@
 			spec := validJob()
 			c.change(&spec.Steps[0], &spec.Steps[0].Tasks[0])
 			if got := fieldNames(ValidateJob("job-1", spec, validConfig())); !slices.Equal(got, c.want) {
-				t.Fatalf("wrong fields %v, want %v", got, c.want)
+				t.Fatalf("got invalid fields %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -72,6 +72,6 @@
 	spec.Steps[0].Lockstep, spec.Steps[0].Replicas = true, 4
 	fields := ValidateJob("job-1", spec, config)
 	if len(fields) != 1 || fields[0].Field != "steps[0].replicas" || !strings.Contains(fields[0].Expected, "max_running_tasks") {
-		t.Fatalf("a group of 4 where 3 can run: %+v", fields)
+		t.Fatalf("group of 4 in a queue that may run 3: got field errors %+v, want one for replicas", fields)
 	}
 }
--- a/api/validate_task.go
+++ b/api/validate_task.go
@@ -22,8 +22,8 @@
 	checkAtLeast(&c.errors, path+".max_duration", task.MaxDuration, 0)
 }
 
-// checkService validates a task's service. Whether it may be absent depends
-// on the configuration.
+// checkService validates a task's service. It may be absent only if the queue has
+// a service, which is not checked without a configuration.
 func (c *jobValidator) checkService(field string, task *TaskSpec) {
 	if len(task.Service) > MaxServiceLength {
 		c.errors.add(field, task.Service, fmt.Sprintf("a service name of 1 to %d bytes", MaxServiceLength))
@@ -51,8 +51,8 @@
 	checkAtLeast(&c.errors, path+".max_per_domain", spread.MaxPerDomain, 0)
 }
 
-// checkBackupRuns rejects backup runs of tasks for which a second run makes
-// no sense.
+// checkBackupRuns rejects backup runs of members of a group and of tasks that run
+// until cancelled.
 func (c *jobValidator) checkBackupRuns(field string, step *StepSpec, task *TaskSpec) {
 	if !task.BackupRuns {
 		return
--- a/api/validate_team.go
+++ b/api/validate_team.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// checkTeams validates each team and that names are unique.
+// checkTeams validates each team, and that names are unique.
 func checkTeams(errors *fieldErrors, teams []TeamConfig) {
 	first := make(map[string]int, len(teams))
 	for index, team := range teams {
@@ -14,13 +14,15 @@
 	}
 }
 
-// runningTasksBound is a bound on open runs and the field that sets it.
+// runningTasksBound is a bound on open runs. field describes the field that sets
+// it, as in "max_running_tasks of queue \"q\"".
 type runningTasksBound struct {
 	limit int
 	field string
 }
 
-// queueTeam returns the queue's team, if it names one that exists.
+// queueTeam returns the queue's team, or false if the queue names no team or one
+// that does not exist.
 func (c *Config) queueTeam(queue *QueueConfig) (TeamConfig, bool) {
 	for _, team := range c.Teams {
 		if queue.Team != "" && team.Name == queue.Team {
@@ -30,8 +32,8 @@
 	return TeamConfig{}, false
 }
 
-// taskBounds returns the bounds on open runs of a queue: its own and its
-// team's.
+// taskBounds returns the bounds on open runs of a queue that its own
+// configuration and that of its team set.
 func (c *Config) taskBounds(queue *QueueConfig) []runningTasksBound {
 	var bounds []runningTasksBound
 	if queue.MaxRunningTasks > 0 {
--- a/api/validate_zone_drain.go
+++ b/api/validate_zone_drain.go
@@ -1,6 +1,6 @@
 package api
 
-// ValidateZoneDrain validates a drain order and returns every invalid field.
+// ValidateZoneDrain validates the drain of a zone and returns every invalid field.
 func ValidateZoneDrain(drain *ZoneDrain) []FieldError {
 	var errors fieldErrors
 	if !ValidZone(drain.Zone) {
--- a/api/worker_status.go
+++ b/api/worker_status.go
@@ -1,29 +1,33 @@
 package api
 
-// WorkerState is the scheduler's view of a worker.
+// WorkerState is the state of a worker as seen by the leader.
 type WorkerState string
 
 // Worker states.
 const (
-	// WorkerReady gets new tasks.
+	// WorkerReady is a worker that gets new tasks.
 	WorkerReady WorkerState = "ready"
-	// WorkerWaiting sends heartbeats but gets no tasks yet; its Reason says
-	// why.
+	// WorkerWaiting is a worker that sends heartbeats but gets no tasks yet;
+	// WorkerStatus.Reason explains why.
 	WorkerWaiting WorkerState = "waiting"
-	// WorkerDraining gets no new tasks.
+	// WorkerDraining is a worker that is drained or about to exit and gets no
+	// new tasks.
 	WorkerDraining WorkerState = "draining"
-	// WorkerSilent has missed heartbeats; its lease may still be valid.
+	// WorkerSilent is a worker that has missed heartbeats; its lease may still be
+	// valid.
 	WorkerSilent WorkerState = "silent"
-	// WorkerSuspect gets only tasks that no other worker could run, since
-	// tasks fail or stall on it and not elsewhere.
+	// WorkerSuspect is a worker on which tasks fail or stall, unlike on other
+	// workers. It gets only tasks that no other worker could run.
 	WorkerSuspect WorkerState = "suspect"
-	// WorkerProbation was suspect; it gets one task at a time.
+	// WorkerProbation is a worker that was suspect and now gets one task at a
+	// time.
 	WorkerProbation WorkerState = "probation"
-	// WorkerLost has missed heartbeats and its lease has expired.
+	// WorkerLost is a worker that has missed heartbeats and whose lease has
+	// expired.
 	WorkerLost WorkerState = "lost"
 )
 
-// WorkerStatus is an element of WorkerList.
+// WorkerStatus describes one incarnation of a worker.
 type WorkerStatus struct {
 	Name     string            `json:"name"`
 	WorkerID string            `json:"worker_id"`
--- a/api/zone_drain.go
+++ b/api/zone_drain.go
@@ -1,17 +1,17 @@
 package api
 
 // ZoneDrain is the answer of PUT and DELETE /v1/drains/zones/{zone} and an
-// element of DrainList. It is an order beside the configuration's drains: a
-// worker is drained if either says so, and neither a new configuration nor a
-// restart undoes it.
+// element of DrainList. It is independent of DrainConfig: a worker is drained if
+// either drains it, and neither a new configuration nor a restart removes a
+// ZoneDrain.
 type ZoneDrain struct {
 	Zone string `json:"zone"`
-	// Drained says that the zone's workers get no new tasks.
+	// Drained is true if the zone's workers get no new tasks.
 	Drained bool `json:"drained"`
 }
 
-// DrainList is the answer of GET /v1/drains: the zones with a drain order, by
-// name.
+// DrainList is the answer of GET /v1/drains: the zones with a ZoneDrain, sorted
+// by name.
 type DrainList struct {
 	Zones []ZoneDrain `json:"zones"`
 }
