--- a/internal/cli/booking_list.go
+++ b/internal/cli/booking_list.go
@@ -9,7 +9,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// bookingListCommand lists the windows of all bookings.
+// bookingListCommand returns the command that lists the windows of all
+// bookings.
 func (a *app) bookingListCommand() *cobra.Command {
 	var hours int
 	command := &cobra.Command{
--- a/internal/cli/booking_release.go
+++ b/internal/cli/booking_release.go
@@ -11,7 +11,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// bookingReleaseCommand releases the capacity of a window early.
+// bookingReleaseCommand returns the command that releases the capacity of a
+// booking window before its end.
 func (a *app) bookingReleaseCommand() *cobra.Command {
 	var startText string
 	command := &cobra.Command{
@@ -24,7 +25,7 @@
 		ValidArgsFunction: a.completeBookings,
 	}
 	command.Flags().StringVar(&startText, "start", "", "start of the window, such as 2026-01-31T14:00:00Z (required)")
-	mustComplete(command, "start", a.completeStarts)
+	mustRegisterCompletion(command, "start", a.completeStarts)
 	command.RunE = a.run(func(ctx context.Context, client *api.Client, arguments []string) error {
 		name, err := parseBookingName(arguments[0])
 		if err != nil {
@@ -45,7 +46,7 @@
 	return command
 }
 
-// releaseWindow sends the request.
+// releaseWindow sends the release request, bounded by --timeout.
 func (a *app) releaseWindow(ctx context.Context, client *api.Client, request api.ReleaseRequest) error {
 	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
--- a/internal/cli/booking_show.go
+++ b/internal/cli/booking_show.go
@@ -11,7 +11,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// bookingShowCommand shows the windows of one booking.
+// bookingShowCommand returns the command that shows the windows of one
+// booking.
 func (a *app) bookingShowCommand() *cobra.Command {
 	var hours int
 	command := &cobra.Command{
@@ -36,7 +37,7 @@
 		}
 		list.Bookings = filterWindows(list, func(window api.BookingStatus) bool { return bookingNameOf(window) == name })
 		if len(list.Bookings) == 0 {
-			if err := a.checkConfigured(ctx, client, name); err != nil {
+			if err := a.checkBookingConfigured(ctx, client, name); err != nil {
 				return err
 			}
 			a.printNotice(fmt.Sprintf("booking %s has no window in the coming %d hours", name, hours))
@@ -46,17 +47,17 @@
 	return command
 }
 
-// checkConfigured returns an error if the configuration in force has no
-// booking of this name, so that a booking without a window is told apart from
-// an unknown one.
-func (a *app) checkConfigured(ctx context.Context, client *api.Client, name bookingName) error {
+// checkBookingConfigured returns a not-found error if the configuration in
+// force has no booking of this name. It distinguishes an unknown booking from
+// one without a window in the requested hours.
+func (a *app) checkBookingConfigured(ctx context.Context, client *api.Client, name bookingName) error {
 	status, err := a.readConfig(ctx, client)
 	if err != nil {
 		return err
 	}
 	for _, queue := range status.Config.Queues {
-		named := func(booking api.BookingConfig) bool { return booking.Name == name.name }
-		if queue.Name == name.queue && slices.ContainsFunc(queue.Bookings, named) {
+		hasName := func(booking api.BookingConfig) bool { return booking.Name == name.name }
+		if queue.Name == name.queue && slices.ContainsFunc(queue.Bookings, hasName) {
 			return nil
 		}
 	}
@@ -64,19 +65,19 @@
 }
 
 // renderWindows writes the table of windows and, if any slices are placed, a
-// table of the workers that hold them.
+// second table with the workers on which they are placed.
 func (a *app) renderWindows(writer io.Writer, windows []api.BookingStatus) {
 	a.bookingTable(windows).render(writer)
-	places := newTextTable("start", "worker", "slots", "used")
+	placements := newTextTable("start", "worker", "slots", "used")
 	count := 0
 	for _, window := range windows {
 		for _, worker := range window.Workers {
-			places.add(a.formatTime(window.Start), worker.Worker, worker.Slots, worker.Used)
+			placements.add(a.formatTime(window.Start), worker.Worker, worker.Slots, worker.Used)
 			count++
 		}
 	}
 	if count > 0 {
 		_, _ = fmt.Fprintln(writer)
-		places.render(writer)
+		placements.render(writer)
 	}
 }
--- a/internal/cli/booking_test.go
+++ b/internal/cli/booking_test.go
@@ -27,20 +27,20 @@
 		"q/opening  2026-02-01T00:30:00Z  2026-02-01T02:30:00Z  2026-02-01T00:00:00Z  planned  4      0       0     1000m cpu, 4 MB  -        no\n"+
 		"\nSTART                 WORKER  SLOTS  USED\n2026-01-31T12:30:00Z  w1      4      3\n")
 	replies := fleetReplies()
-	replies["GET /v1/config"] = []reply{ok(api.ConfigStatus{Config: api.Config{Queues: []api.QueueConfig{{Name: "q", Bookings: []api.BookingConfig{{Name: "b"}}}}}})}
+	replies["GET /v1/config"] = []reply{okReply(api.ConfigStatus{Config: api.Config{Queues: []api.QueueConfig{{Name: "q", Bookings: []api.BookingConfig{{Name: "b"}}}}}})}
 	got = runCommand(t, newFakeFront(t, replies), "", "booking", "show", "q/b", "-o", "json")
 	assertText(t, "without a window", got.out, jsonOf(api.BookingList{Bookings: []api.BookingStatus{}}))
-	assertText(t, "note", got.err, "booking q/b has no window in the coming 24 hours\n")
+	assertText(t, "notice", got.err, "booking q/b has no window in the coming 24 hours\n")
 }
 
 func TestBookingRelease_RepeatsTheSameRequestAfterLostAnswer(t *testing.T) {
 	const route = "POST /v1/bookings/release"
-	front := newFakeFront(t, map[string][]reply{route: {{lost: true}, ok(api.ReleaseAnswer{Released: true})}})
+	front := newFakeFront(t, map[string][]reply{route: {{dropConnection: true}, okReply(api.ReleaseAnswer{Released: true})}})
 	got := runCommand(t, front, "", "booking", "release", "q/opening", "--start", "2026-01-31T13:30:00+01:00")
 	assertText(t, "output", got.out+got.err, "booking q/opening: the window at 2026-01-31T12:30:00Z is released\n")
 	sent := front.requestsTo(route)
 	if len(sent) != 2 || sent[0].body != sent[1].body {
-		t.Fatalf("sent %+v", sent)
+		t.Fatalf("got requests %+v, want the same request twice", sent)
 	}
 	assertText(t, "body", sent[0].body, `{"queue":"q","booking":"opening","start":"2026-01-31T13:30:00+01:00"}`)
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -11,30 +11,35 @@
 	"github.com/decklever/decklever/internal/contexttime"
 )
 
-// Config holds the command's input, output and environment.
+// Config holds the input, output and environment of one execution of the
+// command.
 type Config struct {
-	// In is read for a file named "-". Default: empty.
+	// In is read in place of a file named "-". Default: empty input.
 	In io.Reader
-	// Out takes results; Err takes errors and notices. Default: discarded.
+	// Out receives results; Err receives errors and notices. Default:
+	// discarded.
 	Out, Err io.Writer
-	// Getenv reads the environment. Default: empty.
+	// Getenv returns the value of an environment variable. Default: every
+	// variable is empty.
 	Getenv func(name string) string
-	// Location is the time zone of tables. Default: the local one.
+	// Location is the time zone of times in tables. Default: time.Local.
 	Location *time.Location
-	// HTTPClient sends the requests. Default: the one of api.Client.
+	// HTTPClient sends the requests. Default: a client that api.NewClient
+	// creates.
 	HTTPClient *http.Client
 
 	// now returns the current time; set by tests.
 	now func() time.Time
 	// sleep waits and reports whether the context is still active afterwards;
-	// completionTimeout bounds the request of a shell completion. Both are
-	// set by tests.
+	// completionTimeout bounds the request that a shell completion sends.
+	// Both are set by tests.
 	sleep             func(ctx context.Context, length time.Duration) bool
 	completionTimeout time.Duration
 }
 
-// Run executes the command with the arguments after the program's name and
-// returns its exit code. Cancelling the context interrupts it.
+// Run executes the command with the given arguments, which do not include the
+// program name, and returns its exit code. Errors are written to Config.Err.
+// Cancelling the context interrupts the command.
 func Run(ctx context.Context, arguments []string, config Config) int {
 	a := newApp(config)
 	root := a.rootCommand()
@@ -54,25 +59,26 @@
 	return ExitFailed
 }
 
-// app is the state of one execution of the command. Commands are its methods;
-// it is used by one goroutine, except for requests that a command sends
-// concurrently.
+// app is the state of one execution of the command; all commands are methods
+// of app. It is used by one goroutine, except that some commands send several
+// requests concurrently.
 type app struct {
 	Config
 	flags globalFlags
-	// started is set once flags and arguments were accepted. An error before
-	// that is a usage error.
+	// started is set once cobra has accepted the flags and arguments. Run
+	// treats any error before that as a usage error.
 	started bool
 }
 
-// globalFlags are the flags that every command has.
+// globalFlags holds the values of the flags that every command accepts.
 type globalFlags struct {
 	fronts  []string
 	timeout time.Duration
 	output  string
 }
 
-// newApp fills in the defaults of a Config.
+// newApp returns an app for the Config, with defaults for fields that are not
+// set.
 func newApp(config Config) *app {
 	if config.In == nil {
 		config.In = strings.NewReader("")
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -12,7 +12,8 @@
 fleet, ids of jobs and names of workers, zones, queues and
 bookings.`
 
-// completionCommand writes cobra's completion script for a shell.
+// completionCommand returns the command that writes cobra's completion script
+// for a shell.
 func (a *app) completionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:       "completion bash|zsh|fish",
--- a/internal/cli/completion_test.go
+++ b/internal/cli/completion_test.go
@@ -11,7 +11,7 @@
 	for _, shell := range []string{"bash", "zsh", "fish"} {
 		got := runCommand(t, nil, "", "completion", shell)
 		if got.code != ExitOK || !strings.Contains(got.out, "decklever") {
-			t.Errorf("%s: exit code %d, %d bytes", shell, got.code, len(got.out))
+			t.Errorf("%s: got exit code %d and a script of %d bytes, want exit code 0 and a script for decklever", shell, got.code, len(got.out))
 		}
 	}
 	cases := map[string]string{
@@ -26,13 +26,13 @@
 		"booking release q/opening --start ": "2026-01-31T12:30:00Z\n2026-02-01T00:30:00Z\n:4\n",
 		"config apply ":                      "yaml\nyml\njson\n:8\n",
 	}
-	for line, want := range cases {
-		t.Run(line, func(t *testing.T) {
-			got := runCommand(t, newFakeFront(t, fleetReplies()), "", append([]string{"__complete"}, strings.Split(line, " ")...)...)
-			assertText(t, line, got.out, want)
+	for words, want := range cases {
+		t.Run(words, func(t *testing.T) {
+			got := runCommand(t, newFakeFront(t, fleetReplies()), "", append([]string{"__complete"}, strings.Split(words, " ")...)...)
+			assertText(t, words, got.out, want)
 		})
 	}
-	refused := newFakeFront(t, map[string][]reply{"GET /v1/jobs": {refusal(500, api.CodeInternal)}})
-	got := runCommand(t, refused, "", "__complete", "job", "status", "")
-	assertText(t, "without an answer", got.out, ":4\n")
+	failing := newFakeFront(t, map[string][]reply{"GET /v1/jobs": {refusalReply(500, api.CodeInternal)}})
+	got := runCommand(t, failing, "", "__complete", "job", "status", "")
+	assertText(t, "suggestions after a failed request", got.out, ":4\n")
 }
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// configCommand groups the commands about the configuration.
+// configCommand returns the "config" command with its subcommands.
 func (a *app) configCommand() *cobra.Command {
 	return groupCommand("config", "Read and change the configuration of the fleet",
 		"  decklever config get > config.yaml\n  decklever config apply config.yaml --wait-rollout",
--- a/internal/cli/config_apply.go
+++ b/internal/cli/config_apply.go
@@ -20,7 +20,7 @@
 the command that is printed: with the same base and order id the fleet gives
 the same answer as before, however much was changed since.`
 
-// configApplyCommand proposes a configuration.
+// configApplyCommand returns the command that proposes a configuration.
 func (a *app) configApplyCommand() *cobra.Command {
 	var proposal configProposal
 	var waitRollout bool
@@ -41,7 +41,7 @@
 		if err := a.readFile(arguments[0], &config); err != nil {
 			return err
 		}
-		if err := a.completeProposal(ctx, client, &proposal, flags.Changed("base")); err != nil {
+		if err := a.fillProposal(ctx, client, &proposal, flags.Changed("base")); err != nil {
 			return err
 		}
 		if err := a.propose(ctx, client, &proposal, config); err != nil {
@@ -53,10 +53,10 @@
 	return command
 }
 
-// printResendCommand prints the command that repeats a proposal whose outcome
-// is unknown.
+// printResendCommand prints the command that sends the same proposal again, if
+// err says that its outcome is unknown.
 func (a *app) printResendCommand(path string, proposal configProposal, err error) {
-	if isCode(err, api.CodeOutcomeUnknown) {
+	if hasErrorCode(err, api.CodeOutcomeUnknown) {
 		a.printNotice(fmt.Sprintf("to learn the outcome: decklever config apply %s --base %d --order-id %s", path, proposal.Base, proposal.ID))
 	}
 }
--- a/internal/cli/config_diff.go
+++ b/internal/cli/config_diff.go
@@ -12,15 +12,16 @@
 
 // configDifference is the result of "config diff".
 type configDifference struct {
-	// Version is that of the configuration in force, with which the file was
-	// compared.
+	// Version is the version of the configuration in force that the file was
+	// compared with.
 	Version uint64 `json:"version"`
 	Equal   bool   `json:"equal"`
-	// Diff is in the unified format, empty if both are equal.
+	// Diff is a unified diff; empty if the configurations are equal.
 	Diff string `json:"diff"`
 }
 
-// configDiffCommand compares a file with the configuration in force.
+// configDiffCommand returns the command that compares a file with the
+// configuration in force.
 func (a *app) configDiffCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff FILE|-",
@@ -48,7 +49,8 @@
 	}
 }
 
-// compareConfigs compares both configurations with their defaults filled in.
+// compareConfigs compares the configuration in force with the one read from
+// path, after filling in the defaults of both.
 func compareConfigs(status api.ConfigStatus, path string, config api.Config) (configDifference, error) {
 	before, err := configYAML(status.Config.WithDefaults())
 	if err != nil {
--- a/internal/cli/config_field_names_test.go
+++ b/internal/cli/config_field_names_test.go
@@ -21,13 +21,13 @@
 		"  queues[1].bookings[0].name is \"b\", expected x\n" +
 		"  queues[7].bookings[0].slots is \"\", expected y\n  2 more wrong fields\n"
 	replies := map[string][]reply{
-		"POST /v1/config/validate": {refusal(422, api.CodeInvalid, fields...)},
-		putConfigRoute:             {refusal(422, api.CodeInvalid, fields...)},
+		"POST /v1/config/validate": {refusalReply(422, api.CodeInvalid, fields...)},
+		putConfigRoute:             {refusalReply(422, api.CodeInvalid, fields...)},
 	}
 	for _, arguments := range []string{"config validate -", "config apply - --base 1"} {
 		got := runCommand(t, newFakeFront(t, replies), file, strings.Fields(arguments)...)
 		if got.code != ExitRefused || !strings.HasSuffix(got.err, "because\n"+want) {
-			t.Errorf("%s: exit code %d\n%s", arguments, got.code, got.err)
+			t.Errorf("%s: got exit code %d, want 3 and the invalid fields with their owners; got errors:\n%s", arguments, got.code, got.err)
 		}
 	}
 }
--- a/internal/cli/config_get.go
+++ b/internal/cli/config_get.go
@@ -10,8 +10,9 @@
 	"github.com/decklever/decklever/api"
 )
 
-// configGetCommand shows the configuration in force. In place of a table it
-// prints YAML that "config apply" accepts.
+// configGetCommand returns the command that shows the configuration in force.
+// Where other commands print a table, it prints YAML that "config apply"
+// accepts.
 func (a *app) configGetCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "get",
--- a/internal/cli/config_history.go
+++ b/internal/cli/config_history.go
@@ -12,7 +12,8 @@
 // shownDigestLength is the number of characters of a digest shown in a table.
 const shownDigestLength = 12
 
-// configHistoryCommand lists the accepted versions.
+// configHistoryCommand returns the command that lists the accepted versions of
+// the configuration.
 func (a *app) configHistoryCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "history",
--- a/internal/cli/config_proposal.go
+++ b/internal/cli/config_proposal.go
@@ -11,16 +11,17 @@
 	"github.com/decklever/decklever/api"
 )
 
-// configProposal is a proposed configuration and, once accepted, its version.
+// configProposal identifies a proposed configuration by its base version and
+// order id; Version is set once the proposal is accepted.
 type configProposal struct {
 	Base    uint64 `json:"base"`
 	ID      string `json:"order_id"`
 	Version uint64 `json:"version"`
 }
 
-// completeProposal generates an order id unless one was given, and reads the
-// base version unless it was given.
-func (a *app) completeProposal(ctx context.Context, client *api.Client, proposal *configProposal, hasBase bool) error {
+// fillProposal generates an order id unless the proposal has one. Unless
+// hasBase is set, it uses the version of the configuration in force as base.
+func (a *app) fillProposal(ctx context.Context, client *api.Client, proposal *configProposal, hasBase bool) error {
 	if proposal.ID == "" {
 		proposal.ID = uuid.NewString()
 	}
@@ -36,7 +37,8 @@
 	return nil
 }
 
-// propose sends a proposal and records the version that it was accepted as.
+// propose sends a proposal and, once accepted, stores its version in
+// proposal.Version.
 func (a *app) propose(ctx context.Context, client *api.Client, proposal *configProposal, config api.Config) error {
 	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
@@ -49,7 +51,8 @@
 }
 
 // finishChange prints an accepted proposal, after waiting for its roll-out if
-// requested.
+// waitRollout is set. If that wait fails, the proposal is printed all the same
+// and the error of the wait is returned.
 func (a *app) finishChange(ctx context.Context, client *api.Client, proposal configProposal, waitRollout bool) error {
 	var waitErr error
 	if waitRollout {
--- a/internal/cli/config_rollout.go
+++ b/internal/cli/config_rollout.go
@@ -12,10 +12,11 @@
 	"github.com/decklever/decklever/api"
 )
 
-// rolloutPollInterval is the time between two reads of the roll-out.
+// rolloutPollInterval is the time between two reads of the roll-out state.
 const rolloutPollInterval = 100 * time.Millisecond
 
-// configRolloutCommand shows the version that each process has in force.
+// configRolloutCommand returns the command that shows which version of the
+// configuration each process has in force.
 func (a *app) configRolloutCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "rollout",
@@ -29,7 +30,7 @@
 				return err
 			}
 			return a.print(rollout, func(writer io.Writer) {
-				_, _ = fmt.Fprintf(writer, "version %d, %s\n\n", rollout.Version, completeness(rollout))
+				_, _ = fmt.Fprintf(writer, "version %d, %s\n\n", rollout.Version, describeRollout(rollout))
 				processes := newTextTable("process", "role", "zone", "version", "age")
 				for _, process := range rollout.Processes {
 					processes.add(process.Process, process.Role, process.Zone, process.Version, formatMillis(process.AgeMillis))
@@ -45,19 +46,19 @@
 	return doRequest(ctx, a, "read the roll-out", client.Rollout)
 }
 
-// completeness describes whether the roll-out is complete, or how many
+// describeRollout describes whether the roll-out is complete, or how many
 // processes are behind.
-func completeness(rollout api.Rollout) string {
+func describeRollout(rollout api.Rollout) string {
 	if rollout.Complete {
 		return "roll-out complete"
 	}
-	behind := behindVersion(rollout)
+	behind := processesBehind(rollout)
 	return fmt.Sprintf("roll-out incomplete, %d of %d processes behind", len(behind), len(rollout.Processes))
 }
 
-// behindVersion returns the names of processes with an older version in
-// force, sorted.
-func behindVersion(rollout api.Rollout) []string {
+// processesBehind returns the sorted names of the processes with an older
+// version in force than the newest accepted one.
+func processesBehind(rollout api.Rollout) []string {
 	var names []string
 	for _, process := range rollout.Processes {
 		if process.Version < rollout.Version {
@@ -69,7 +70,8 @@
 }
 
 // waitForRollout polls, for at most --timeout, until every process has the
-// version or a newer one.
+// version or a newer one in force. After the time-out it returns an error that
+// names the processes still behind in the last answer.
 func (a *app) waitForRollout(ctx context.Context, client *api.Client, version uint64) error {
 	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
--- a/internal/cli/config_validate.go
+++ b/internal/cli/config_validate.go
@@ -10,7 +10,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// configValidateCommand has the fleet check a file without proposing it.
+// configValidateCommand returns the command that has the fleet validate a
+// configuration file without proposing it.
 func (a *app) configValidateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "validate FILE|-",
--- a/internal/cli/drains.go
+++ b/internal/cli/drains.go
@@ -10,23 +10,24 @@
 	"github.com/decklever/decklever/api"
 )
 
-// drainsCommand groups the commands about drain orders, which drain zones
-// independently of the configuration.
+// drainsCommand returns the "drains" command with its subcommands. Drain orders
+// drain zones independently of the configuration.
 func (a *app) drainsCommand() *cobra.Command {
 	return groupCommand("drains", "Drain zones by orders that no configuration undoes",
 		"  decklever drains add zone-2\n  decklever drains list\n  decklever drains remove zone-2",
 		a.drainsListCommand(), a.drainsAddCommand(), a.drainsRemoveCommand())
 }
 
-// sendDrainOrders sends one request for each zone and stops at the first
-// error. Orders are idempotent, so the same command can be run again.
-func (a *app) sendDrainOrders(ctx context.Context, zones []string, drained bool, order func(context.Context, string) error) error {
+// sendDrainOrders sends one order for each zone and stops at the first error.
+// Orders are idempotent, so a failed command can be run again. drained is the
+// state of the zones after their orders.
+func (a *app) sendDrainOrders(ctx context.Context, zones []string, drained bool, sendOrder func(context.Context, string) error) error {
 	if err := checkZones(zones); err != nil {
 		return err
 	}
 	result := api.DrainList{Zones: []api.ZoneDrain{}}
 	for _, zone := range zones {
-		if err := a.sendDrainOrder(ctx, zone, order); err != nil {
+		if err := a.sendDrainOrder(ctx, zone, sendOrder); err != nil {
 			return err
 		}
 		result.Zones = append(result.Zones, api.ZoneDrain{Zone: zone, Drained: drained})
@@ -38,17 +39,17 @@
 	})
 }
 
-// sendDrainOrder sends the order for one zone.
-func (a *app) sendDrainOrder(ctx context.Context, zone string, order func(context.Context, string) error) error {
+// sendDrainOrder sends the order for one zone, bounded by --timeout.
+func (a *app) sendDrainOrder(ctx context.Context, zone string, sendOrder func(context.Context, string) error) error {
 	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
-	if err := order(ctx, zone); err != nil {
+	if err := sendOrder(ctx, zone); err != nil {
 		return requestError("order on zone "+zone, err)
 	}
 	return nil
 }
 
-// describeDrainOrder returns the state of a zone after its order.
+// describeDrainOrder describes the state of a zone after its order.
 func describeDrainOrder(drained bool) string {
 	if drained {
 		return "drained by an order"
@@ -56,7 +57,8 @@
 	return "no longer drained by an order"
 }
 
-// checkZones rejects invalid zone names before any order is sent.
+// checkZones returns a usage error if a zone name is invalid, so that no order
+// is sent for any of the zones.
 func checkZones(zones []string) error {
 	for _, zone := range zones {
 		if !api.ValidZone(zone) {
--- a/internal/cli/drains_add.go
+++ b/internal/cli/drains_add.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// drainsAddCommand drains zones by orders.
+// drainsAddCommand returns the command that drains zones by drain orders.
 func (a *app) drainsAddCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "add ZONE...",
@@ -22,7 +22,7 @@
 		RunE: a.run(func(ctx context.Context, client *api.Client, zones []string) error {
 			err := a.sendDrainOrders(ctx, zones, true, client.DrainZone)
 			if err == nil {
-				a.warnUnknown(ctx, client, "zone", zones, func(worker api.WorkerStatus) string { return worker.Zone })
+				a.warnUnregistered(ctx, client, "zone", zones, func(worker api.WorkerStatus) string { return worker.Zone })
 			}
 			return err
 		}),
--- a/internal/cli/drains_list.go
+++ b/internal/cli/drains_list.go
@@ -9,7 +9,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// drainsListCommand lists the zones with a drain order.
+// drainsListCommand returns the command that lists the zones with a drain
+// order.
 func (a *app) drainsListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "list",
@@ -28,7 +29,7 @@
 	}
 }
 
-// drainTable builds the table of drained zones.
+// drainTable returns a table with one row for each drained zone.
 func drainTable(list api.DrainList) *textTable {
 	drains := newTextTable("zone")
 	for _, drain := range list.Zones {
--- a/internal/cli/drains_remove.go
+++ b/internal/cli/drains_remove.go
@@ -8,7 +8,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// drainsRemoveCommand removes the drain orders of zones.
+// drainsRemoveCommand returns the command that removes the drain orders of
+// zones.
 func (a *app) drainsRemoveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "remove ZONE...",
--- a/internal/cli/drains_test.go
+++ b/internal/cli/drains_test.go
@@ -10,7 +10,7 @@
 func TestDrains_SendOneOrderPerZone(t *testing.T) {
 	replies := fleetReplies()
 	for _, route := range []string{"PUT /v1/drains/zones/z1", "PUT /v1/drains/zones/z9", "DELETE /v1/drains/zones/z1"} {
-		replies[route] = []reply{ok(api.ZoneDrain{})}
+		replies[route] = []reply{okReply(api.ZoneDrain{})}
 	}
 	front := newFakeFront(t, replies)
 	cases := []struct{ arguments, out, err string }{
@@ -24,15 +24,15 @@
 			assertText(t, c.arguments, got.out, c.out)
 			assertText(t, c.arguments, got.err, c.err)
 			if got.code != ExitOK {
-				t.Errorf("%s: exit code %d", c.arguments, got.code)
+				t.Errorf("%s: got exit code %d, want 0", c.arguments, got.code)
 			}
 		})
 	}
 	if len(front.requestsTo("PUT /v1/drains/zones/z1")) != 1 || len(front.requestsTo("DELETE /v1/drains/zones/z1")) != 1 {
-		t.Error("want one call for each order")
+		t.Error("got a different number of requests for zone z1, want one for each order")
 	}
 	if len(front.requestsTo(putConfigRoute)) != 0 {
-		t.Error("an order changed the configuration")
+		t.Error("got a proposal of a configuration, want drain orders only")
 	}
 }
 
@@ -41,23 +41,23 @@
 	for _, zone := range []string{"", "z 1", "z/1", strings.Repeat("z", 65)} {
 		got := runCommand(t, front, "", "drains", "add", "z1", zone)
 		if got.code != ExitUsage || !strings.Contains(got.err, "is no zone") {
-			t.Errorf("zone %q: exit code %d, %s", zone, got.code, got.err)
+			t.Errorf("zone %q: got exit code %d and errors %s, want exit code 2 for an invalid zone", zone, got.code, got.err)
 		}
 	}
 	if len(front.requestsTo("PUT /v1/drains/zones/z1")) != 0 {
-		t.Error("an order was given beside a wrong one")
+		t.Error("got an order for zone z1, want none if another zone is invalid")
 	}
 }
 
 func TestDrains_StopAtFirstFailure(t *testing.T) {
 	replies := fleetReplies()
-	replies["PUT /v1/drains/zones/z1"] = []reply{refusal(429, api.CodeOverLimit)}
+	replies["PUT /v1/drains/zones/z1"] = []reply{refusalReply(429, api.CodeOverLimit)}
 	front := newFakeFront(t, replies)
 	got := runCommand(t, front, "", "drains", "add", "z1", "z2")
 	if got.code == ExitOK || !strings.Contains(got.err, "order on zone z1") {
-		t.Errorf("exit code %d, %s", got.code, got.err)
+		t.Errorf("got exit code %d and errors %s, want a failure that names zone z1", got.code, got.err)
 	}
 	if len(front.requestsTo("PUT /v1/drains/zones/z2")) != 0 {
-		t.Error("went on after a refusal")
+		t.Error("got an order for zone z2 after the one for zone z1 was refused, want none")
 	}
 }
--- a/internal/cli/errors.go
+++ b/internal/cli/errors.go
@@ -10,7 +10,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// exitError is an error that determines the exit code.
+// exitError is an error with the exit code of the command and the invalid
+// fields, if any.
 type exitError struct {
 	code   int
 	text   string
@@ -18,45 +19,46 @@
 	cause  error
 }
 
-// Error implements error. It returns one line, without the fields.
+// Error implements error. It returns the text without the invalid fields.
 func (e *exitError) Error() string { return e.text }
 
 // Unwrap returns the cause, if any.
 func (e *exitError) Unwrap() error { return e.cause }
 
-// usageError reports wrong flags or arguments.
-func usageError(format string, values ...any) *exitError {
-	return &exitError{code: ExitUsage, text: fmt.Sprintf(format, values...)}
+// usageError returns the error for invalid flags or arguments.
+func usageError(format string, arguments ...any) *exitError {
+	return &exitError{code: ExitUsage, text: fmt.Sprintf(format, arguments...)}
 }
 
-// fileError reports a file that cannot be read, written or decoded.
+// fileError returns the error for a file that cannot be read, written or
+// decoded.
 func fileError(path string, cause error) *exitError {
 	result := &exitError{code: ExitUsage, text: fmt.Sprintf("%s: %v", path, cause), cause: cause}
-	var refusal *api.Error
-	if errors.As(cause, &refusal) {
-		result.text = fmt.Sprintf("%s: %s", path, refusal.Message)
-		result.fields = refusal.Fields
+	var apiError *api.Error
+	if errors.As(cause, &apiError) {
+		result.text = fmt.Sprintf("%s: %s", path, apiError.Message)
+		result.fields = apiError.Fields
 	}
 	return result
 }
 
-// requestError reports a failed request to the fleet; action says what was
-// attempted, such as "submit job swap-1".
+// requestError returns the error for a failed request to the fleet; action says
+// what was attempted, such as "submit job swap-1".
 func requestError(action string, cause error) *exitError {
-	var refusal *api.Error
-	if !errors.As(cause, &refusal) {
+	var apiError *api.Error
+	if !errors.As(cause, &apiError) {
 		return &exitError{code: ExitFailed, text: fmt.Sprintf("%s: %v", action, cause), cause: cause}
 	}
-	text := fmt.Sprintf("%s: %s: %s", action, refusal.Code, refusal.Message)
-	if refusal.RetryAfterMillis > 0 {
-		pause := time.Duration(refusal.RetryAfterMillis) * time.Millisecond
-		text += fmt.Sprintf(" (ask again in %v)", pause)
+	text := fmt.Sprintf("%s: %s: %s", action, apiError.Code, apiError.Message)
+	if apiError.RetryAfterMillis > 0 {
+		retryAfter := time.Duration(apiError.RetryAfterMillis) * time.Millisecond
+		text += fmt.Sprintf(" (ask again in %v)", retryAfter)
 	}
-	return &exitError{code: exitCodeOf(refusal), text: text, fields: refusal.Fields, cause: cause}
+	return &exitError{code: exitCodeOf(apiError), text: text, fields: apiError.Fields, cause: cause}
 }
 
-// jobResultError returns nil for a job that succeeded and an error for one
-// that ended otherwise.
+// jobResultError returns nil if an ended job succeeded, and otherwise an error
+// with its state.
 func jobResultError(status api.JobStatus) error {
 	if status.State == api.StateSucceeded {
 		return nil
@@ -64,7 +66,8 @@
 	return &exitError{code: ExitJobFailed, text: fmt.Sprintf("job %s ended %s", status.ID, status.State)}
 }
 
-// reportError writes one line for each error and one for each invalid field.
+// reportError writes one line for each joined error and, below it, one for each
+// of its invalid fields.
 func reportError(writer io.Writer, err error) {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		for _, part := range joined.Unwrap() {
@@ -82,8 +85,8 @@
 	}
 }
 
-// formatFieldError describes one invalid field. An entry without a field says
-// how many more there are.
+// formatFieldError describes one invalid field. An entry without a field name
+// says how many more invalid fields there are.
 func formatFieldError(field api.FieldError) string {
 	if field.Field == "" {
 		return strings.TrimSpace(field.Value + " " + field.Expected)
@@ -91,22 +94,23 @@
 	return fmt.Sprintf("%s is %q, expected %s", field.Field, field.Value, field.Expected)
 }
 
-// notFoundError reports a name that the fleet does not know.
+// notFoundError returns the error for a name that the fleet does not know.
 func notFoundError(kind string, name any) error {
 	return &exitError{code: ExitRefused, text: fmt.Sprintf("there is no %s %s", kind, name)}
 }
 
-// rolloutIncompleteError reports a roll-out that was not complete within
-// --timeout.
+// rolloutIncompleteError returns the error for a roll-out that did not complete
+// within --timeout; last is the last roll-out state that was read.
 func rolloutIncompleteError(version uint64, last api.Rollout) error {
 	text := fmt.Sprintf("version %d is accepted, but its roll-out is not complete", version)
-	if behind := behindVersion(last); len(behind) > 0 {
+	if behind := processesBehind(last); len(behind) > 0 {
 		text += "; behind are " + strings.Join(behind, ", ")
 	}
 	return &exitError{code: ExitUnavailable, text: text}
 }
 
-// jobNotEndedError reports a job that had not ended within --timeout.
+// jobNotEndedError returns the error for a job that did not end within
+// --timeout.
 func jobNotEndedError(id string, state api.State) error {
 	return &exitError{code: ExitUnavailable, text: fmt.Sprintf("job %s has not ended; it is %s", id, state)}
 }
--- a/internal/cli/exit_codes.go
+++ b/internal/cli/exit_codes.go
@@ -8,24 +8,26 @@
 
 // Exit codes of the command.
 const (
-	// ExitOK: done.
+	// ExitOK: the command succeeded.
 	ExitOK = 0
-	// ExitFailed: something unexpected failed.
+	// ExitFailed: an unexpected failure, such as an internal error of the
+	// fleet.
 	ExitFailed = 1
-	// ExitUsage: wrong flags or arguments, or a file that cannot be read or
-	// is not of the form expected.
+	// ExitUsage: invalid flags or arguments, or a file that cannot be read,
+	// decoded or written.
 	ExitUsage = 2
-	// ExitRefused: the fleet refused: invalid, impossible, conflict, lost
-	// race, not found or over a limit.
+	// ExitRefused: the fleet refused the request: invalid, impossible,
+	// conflict, lost race, not found or over a limit.
 	ExitRefused = 3
-	// ExitUnavailable: the fleet could not be asked, or the outcome is not
-	// known; asking the same again is safe.
+	// ExitUnavailable: the fleet was unavailable, the outcome is unknown, or
+	// the awaited job or roll-out did not finish within --timeout. Sending
+	// the same request again is safe.
 	ExitUnavailable = 4
-	// ExitJobFailed: the job that was waited for ended failed or cancelled.
+	// ExitJobFailed: the awaited job ended as failed or cancelled.
 	ExitJobFailed = 5
 )
 
-// exitCodesHelp is the section of the help that lists the exit codes.
+// exitCodesHelp is the section of the help text that lists the exit codes.
 const exitCodesHelp = `Exit codes:
   0  done
   1  something unexpected failed
@@ -35,14 +37,14 @@
   4  the fleet could not be asked, or the outcome is not known yet
   5  the job that was waited for ended failed or cancelled`
 
-// exitCodeOf returns the exit code for an error answer of the fleet.
-func exitCodeOf(refusal *api.Error) int {
+// exitCodeOf returns the exit code for an error that api.Client returned.
+func exitCodeOf(apiError *api.Error) int {
 	switch {
-	case refusal.Code == api.CodeInternal:
+	case apiError.Code == api.CodeInternal:
 		return ExitFailed
-	case refusal.Status == http.StatusServiceUnavailable:
+	case apiError.Status == http.StatusServiceUnavailable:
 		return ExitUnavailable
-	case refusal.Status >= 400 && refusal.Status < 500:
+	case apiError.Status >= 400 && apiError.Status < 500:
 		return ExitRefused
 	default:
 		return ExitFailed
--- a/internal/cli/exit_codes_test.go
+++ b/internal/cli/exit_codes_test.go
@@ -18,31 +18,31 @@
 		err       string
 	}{
 		{"accepted", map[string][]reply{submit: {{status: 201, body: api.SubmitAnswer{ID: "j", Created: true}}}}, "job submit - --id j", ExitOK, ""},
-		{"invalid", map[string][]reply{submit: {refusal(422, api.CodeInvalid, field)}}, "job submit - --id j", ExitRefused, "decklever: submit job j: invalid: because\n  steps[0].name is \"\", expected a name\n"},
-		{"conflict", map[string][]reply{submit: {refusal(409, api.CodeConflict)}}, "job submit - --id j", ExitRefused, "decklever: submit job j: conflict: because\n"},
-		{"over a limit", map[string][]reply{submit: {refusal(429, api.CodeOverLimit)}}, "job submit - --id j", ExitRefused, "decklever: submit job j: over_limit: because\n"},
-		{"internal", map[string][]reply{submit: {refusal(500, api.CodeInternal)}}, "job submit - --id j", ExitFailed, "decklever: submit job j: internal: because\n"},
+		{"invalid", map[string][]reply{submit: {refusalReply(422, api.CodeInvalid, field)}}, "job submit - --id j", ExitRefused, "decklever: submit job j: invalid: because\n  steps[0].name is \"\", expected a name\n"},
+		{"conflict", map[string][]reply{submit: {refusalReply(409, api.CodeConflict)}}, "job submit - --id j", ExitRefused, "decklever: submit job j: conflict: because\n"},
+		{"over a limit", map[string][]reply{submit: {refusalReply(429, api.CodeOverLimit)}}, "job submit - --id j", ExitRefused, "decklever: submit job j: over_limit: because\n"},
+		{"internal", map[string][]reply{submit: {refusalReply(500, api.CodeInternal)}}, "job submit - --id j", ExitFailed, "decklever: submit job j: internal: because\n"},
 		{"not a front", map[string][]reply{submit: {{status: 404}}}, "job submit - --id j", ExitFailed, "decklever: submit job j: internal: answer 404 Not Found without a reason\n"},
-		{"unavailable", map[string][]reply{submit: {refusalLater(api.CodeUnavailable)}}, "job submit - --id j", ExitUnavailable, "decklever: submit job j: unavailable: because (ask again in 10s)\n"},
-		{"not found", map[string][]reply{"GET /v1/jobs/j": {refusal(404, api.CodeNotFound)}}, "job wait j", ExitRefused, "decklever: wait for job j: not_found: because\n"},
-		{"waited, failed", map[string][]reply{submit: {ok(api.SubmitAnswer{ID: "j"})}, "GET /v1/jobs/j": {ok(sampleStatus("running")), ok(sampleStatus("failed"))}}, "job submit - --id j --wait", ExitJobFailed, "decklever: job j ended failed\n"},
-		{"waited, cancelled", map[string][]reply{"GET /v1/jobs/j": {ok(sampleStatus("cancelled"))}}, "job wait j", ExitJobFailed, "decklever: job j ended cancelled\n"},
-		{"waited too short", map[string][]reply{"GET /v1/jobs/j": {ok(sampleStatus("running"))}}, "job wait j --timeout 1ms", ExitUnavailable, "decklever: job j has not ended; it is running\n"},
-		{"failed job is read", map[string][]reply{"GET /v1/jobs/j": {ok(sampleStatus("failed"))}}, "job status j", ExitOK, ""},
-		{"one cancel of an unknown job", map[string][]reply{"POST /v1/jobs/i/cancel": {refusal(404, api.CodeNotFound)}}, "job cancel i", ExitRefused, "decklever: cancel job i: not_found: because\n"},
-		{"cancel of many, unavailable", map[string][]reply{"POST /v1/cancellations": {refusalLater(api.CodeUnavailable)}}, "job cancel i j k", ExitUnavailable, "decklever: cancel 3 jobs: unavailable: because (ask again in 10s)\n"},
-		{"cancel of an unknown queue", map[string][]reply{"POST /v1/cancellations": {refusal(404, api.CodeNotFound)}}, "job cancel --queue q --yes", ExitRefused, "decklever: cancel the jobs of queue q: not_found: because\n"},
-		{"unknown window", map[string][]reply{"POST /v1/bookings/release": {refusal(404, api.CodeNotFound)}}, "booking release q/b --start 2026-01-31T15:00:00+01:00", ExitRefused, "decklever: release q/b at 2026-01-31T14:00:00Z: not_found: because\n"},
+		{"unavailable", map[string][]reply{submit: {unavailableReply(api.CodeUnavailable)}}, "job submit - --id j", ExitUnavailable, "decklever: submit job j: unavailable: because (ask again in 10s)\n"},
+		{"not found", map[string][]reply{"GET /v1/jobs/j": {refusalReply(404, api.CodeNotFound)}}, "job wait j", ExitRefused, "decklever: wait for job j: not_found: because\n"},
+		{"awaited job failed", map[string][]reply{submit: {okReply(api.SubmitAnswer{ID: "j"})}, "GET /v1/jobs/j": {okReply(sampleStatus("running")), okReply(sampleStatus("failed"))}}, "job submit - --id j --wait", ExitJobFailed, "decklever: job j ended failed\n"},
+		{"awaited job cancelled", map[string][]reply{"GET /v1/jobs/j": {okReply(sampleStatus("cancelled"))}}, "job wait j", ExitJobFailed, "decklever: job j ended cancelled\n"},
+		{"awaited job not ended in time", map[string][]reply{"GET /v1/jobs/j": {okReply(sampleStatus("running"))}}, "job wait j --timeout 1ms", ExitUnavailable, "decklever: job j has not ended; it is running\n"},
+		{"status of a failed job", map[string][]reply{"GET /v1/jobs/j": {okReply(sampleStatus("failed"))}}, "job status j", ExitOK, ""},
+		{"cancel of an unknown job", map[string][]reply{"POST /v1/jobs/i/cancel": {refusalReply(404, api.CodeNotFound)}}, "job cancel i", ExitRefused, "decklever: cancel job i: not_found: because\n"},
+		{"cancel of many, unavailable", map[string][]reply{"POST /v1/cancellations": {unavailableReply(api.CodeUnavailable)}}, "job cancel i j k", ExitUnavailable, "decklever: cancel 3 jobs: unavailable: because (ask again in 10s)\n"},
+		{"cancel of an unknown queue", map[string][]reply{"POST /v1/cancellations": {refusalReply(404, api.CodeNotFound)}}, "job cancel --queue q --yes", ExitRefused, "decklever: cancel the jobs of queue q: not_found: because\n"},
+		{"unknown window", map[string][]reply{"POST /v1/bookings/release": {refusalReply(404, api.CodeNotFound)}}, "booking release q/b --start 2026-01-31T15:00:00+01:00", ExitRefused, "decklever: release q/b at 2026-01-31T14:00:00Z: not_found: because\n"},
 		{"unknown booking", fleetReplies(), "booking show q/x", ExitRefused, "decklever: there is no booking q/x\n"},
 		{"unknown queue", fleetReplies(), "queue show x", ExitRefused, "decklever: there is no queue x\n"},
-		{"invalid configuration", map[string][]reply{"POST /v1/config/validate": {refusal(422, api.CodeInvalid)}}, "config validate testdata/config.json", ExitRefused, "decklever: validate testdata/config.json: invalid: because\n"},
-		{"lost race", map[string][]reply{"PUT /v1/config": {refusal(412, api.CodeLostRace)}}, "config apply testdata/config.json --base 0", ExitRefused, "decklever: propose a configuration on version 0: lost_race: because\n"},
+		{"invalid configuration", map[string][]reply{"POST /v1/config/validate": {refusalReply(422, api.CodeInvalid)}}, "config validate testdata/config.json", ExitRefused, "decklever: validate testdata/config.json: invalid: because\n"},
+		{"lost race", map[string][]reply{"PUT /v1/config": {refusalReply(412, api.CodeLostRace)}}, "config apply testdata/config.json --base 0", ExitRefused, "decklever: propose a configuration on version 0: lost_race: because\n"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			got := runCommand(t, newFakeFront(t, c.replies), jobFile, strings.Fields(c.arguments)...)
 			if got.code != c.code {
-				t.Errorf("exit code %d, want %d: %s", got.code, c.code, got.err)
+				t.Errorf("got exit code %d, want %d; errors: %s", got.code, c.code, got.err)
 			}
 			assertText(t, "errors", got.err, c.err)
 		})
@@ -81,7 +81,7 @@
 		t.Run(c.arguments, func(t *testing.T) {
 			got := runCommand(t, newFakeFront(t, nil), "", strings.Fields(c.arguments)...)
 			if got.code != ExitUsage || got.out != "" {
-				t.Errorf("%s: exit code %d, output %q", c.arguments, got.code, got.out)
+				t.Errorf("%s: got exit code %d and output %q, want exit code 2 and no output", c.arguments, got.code, got.out)
 			}
 			assertText(t, c.arguments, got.err, c.err)
 		})
--- a/internal/cli/fake_front_test.go
+++ b/internal/cli/fake_front_test.go
@@ -14,40 +14,41 @@
 	"github.com/decklever/decklever/api"
 )
 
-// reply is one answer of the fake front.
+// reply is one response of the fake front.
 type reply struct {
 	status int
 	body   any
-	// lost breaks the connection in place of an answer.
-	lost bool
+	// dropConnection closes the connection without a response.
+	dropConnection bool
 }
 
-func ok(body any) reply { return reply{status: http.StatusOK, body: body} }
+func okReply(body any) reply { return reply{status: http.StatusOK, body: body} }
 
-func refusal(status int, code api.ErrorCode, fields ...api.FieldError) reply {
+func refusalReply(status int, code api.ErrorCode, fields ...api.FieldError) reply {
 	return reply{status: status, body: &api.Error{Status: status, Code: code, Message: "because", Fields: fields}}
 }
 
-// refusalLater refuses with a pause that no call has the time for, so that
-// the client gives up at once.
-func refusalLater(code api.ErrorCode) reply {
+// unavailableReply returns a 503 response with a retry delay of 10 s, the default
+// of --timeout: less time than that is left, so the client gives up at once.
+func unavailableReply(code api.ErrorCode) reply {
 	const status = http.StatusServiceUnavailable
 	return reply{status: status, body: &api.Error{Status: status, Code: code, Message: "because", RetryAfterMillis: 10_000}}
 }
 
-// received is one request that the fake front got.
-type received struct {
-	route, body, base, order, query string
+// receivedRequest is one request that the fake front received.
+type receivedRequest struct {
+	route, body, ifMatch, idempotencyKey, query string
 }
 
-// fakeFront answers each route with its replies in order; the last stays.
+// fakeFront answers the requests of each route with its replies in order, and
+// repeats the last one. A request to any other route fails the test.
 type fakeFront struct {
 	t        *testing.T
 	url      string
 	sleep    func(context.Context, time.Duration) bool
 	mutex    sync.Mutex
 	replies  map[string][]reply
-	requests []received
+	requests []receivedRequest
 }
 
 func newFakeFront(t *testing.T, replies map[string][]reply) *fakeFront {
@@ -63,9 +64,9 @@
 	body, _ := io.ReadAll(request.Body)
 	route := request.Method + " " + request.URL.EscapedPath()
 	f.mutex.Lock()
-	f.requests = append(f.requests, received{
-		route: route, body: string(body), base: request.Header.Get("If-Match"),
-		order: request.Header.Get("Idempotency-Key"), query: request.URL.RawQuery,
+	f.requests = append(f.requests, receivedRequest{
+		route: route, body: string(body), ifMatch: request.Header.Get("If-Match"),
+		idempotencyKey: request.Header.Get("Idempotency-Key"), query: request.URL.RawQuery,
 	})
 	replies := f.replies[route]
 	if len(replies) > 1 {
@@ -73,20 +74,20 @@
 	}
 	f.mutex.Unlock()
 	if len(replies) == 0 {
-		f.t.Errorf("unexpected %s", route)
+		f.t.Errorf("got unexpected request %s", route)
 		writer.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if replies[0].lost {
+	if replies[0].dropConnection {
 		panic(http.ErrAbortHandler)
 	}
 	writer.WriteHeader(replies[0].status)
 	_ = json.NewEncoder(writer).Encode(replies[0].body)
 }
 
-// requestsTo returns the requests of a route.
-func (f *fakeFront) requestsTo(route string) []received {
+// requestsTo returns the requests received for a route, in order.
+func (f *fakeFront) requestsTo(route string) []receivedRequest {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return slices.DeleteFunc(slices.Clone(f.requests), func(one received) bool { return one.route != route })
+	return slices.DeleteFunc(slices.Clone(f.requests), func(request receivedRequest) bool { return request.route != route })
 }
--- a/internal/cli/fixtures_test.go
+++ b/internal/cli/fixtures_test.go
@@ -8,20 +8,20 @@
 
 const jobFile = "queue: q\nsteps:\n  - name: a\n    tasks:\n      - {service: s, resources: {cpu_millis: 1}, max_duration: 5s}\n"
 
-// fleetReplies answers every reading call.
+// fleetReplies returns replies to every request that only reads.
 func fleetReplies() map[string][]reply {
-	room := api.Resources{CPUMillis: 8000, MemoryMB: 64}
+	capacity := api.Resources{CPUMillis: 8000, MemoryMB: 64}
 	return map[string][]reply{
-		"GET /v1/jobs/j":          {ok(sampleStatus(api.StateSucceeded))},
-		"GET /v1/jobs":            {ok(api.JobList{Jobs: []api.JobSummary{{ID: "j", Queue: "q", State: "running", SubmittedAt: submittedTime, TasksTotal: 2, TasksEnded: 1}}, NextPageToken: "j"}), ok(api.JobList{Jobs: []api.JobSummary{{ID: "k", Queue: "q", State: "failed", SubmittedAt: submittedTime, TasksTotal: 1, TasksEnded: 1}}})},
-		"GET /v1/config":          {configAt(7)},
-		"GET /v1/config/versions": {ok(api.ConfigVersions{Versions: []api.ConfigVersion{{Version: 7, OrderID: "o", AcceptedAt: submittedTime, Digest: "0123456789abcdef"}}})},
-		"GET /v1/config/rollout":  {ok(api.Rollout{Version: 7, Processes: []api.ProcessRollout{{Process: "a1", Role: "agent", Zone: "z1", Version: 6, AgeMillis: 1500}, {Process: "f1", Role: "front", Zone: "z1", Version: 7}}})},
-		"GET /v1/workers":         {ok(api.WorkerList{Workers: []api.WorkerStatus{{Name: "w1", Zone: "z1", State: api.WorkerReady, Capacity: room, Services: []string{"s", "t"}, Runs: 1}, {Name: "w2", Zone: "z2", State: api.WorkerLost, SilentMillis: 9000, Reason: "r"}}})},
-		"GET /v1/members":         {ok(api.MemberList{Token: 3, CommitIndex: 9, Members: []api.MemberStatus{{ReplicaID: "ff", Name: "s1", Zone: "z1", Address: "127.1.0.1:1", Leader: true, Voter: true, Matched: 9}}})},
-		"GET /v1/bookings":        {ok(sampleBookings())},
-		"GET /v1/drains":          {ok(api.DrainList{Zones: []api.ZoneDrain{{Zone: "z3", Drained: true}}})},
-		"GET /v1/queues":          {ok(api.QueueList{Queues: []api.QueueStatus{{Name: "q", Jobs: 4, WaitingJobs: 1, Pending: 2, Running: 3}}})},
+		"GET /v1/jobs/j":          {okReply(sampleStatus(api.StateSucceeded))},
+		"GET /v1/jobs":            {okReply(api.JobList{Jobs: []api.JobSummary{{ID: "j", Queue: "q", State: "running", SubmittedAt: submittedTime, TasksTotal: 2, TasksEnded: 1}}, NextPageToken: "j"}), okReply(api.JobList{Jobs: []api.JobSummary{{ID: "k", Queue: "q", State: "failed", SubmittedAt: submittedTime, TasksTotal: 1, TasksEnded: 1}}})},
+		"GET /v1/config":          {configReply(7)},
+		"GET /v1/config/versions": {okReply(api.ConfigVersions{Versions: []api.ConfigVersion{{Version: 7, OrderID: "o", AcceptedAt: submittedTime, Digest: "0123456789abcdef"}}})},
+		"GET /v1/config/rollout":  {okReply(api.Rollout{Version: 7, Processes: []api.ProcessRollout{{Process: "a1", Role: "agent", Zone: "z1", Version: 6, AgeMillis: 1500}, {Process: "f1", Role: "front", Zone: "z1", Version: 7}}})},
+		"GET /v1/workers":         {okReply(api.WorkerList{Workers: []api.WorkerStatus{{Name: "w1", Zone: "z1", State: api.WorkerReady, Capacity: capacity, Services: []string{"s", "t"}, Runs: 1}, {Name: "w2", Zone: "z2", State: api.WorkerLost, SilentMillis: 9000, Reason: "r"}}})},
+		"GET /v1/members":         {okReply(api.MemberList{Token: 3, CommitIndex: 9, Members: []api.MemberStatus{{ReplicaID: "ff", Name: "s1", Zone: "z1", Address: "127.1.0.1:1", Leader: true, Voter: true, Matched: 9}}})},
+		"GET /v1/bookings":        {okReply(sampleBookings())},
+		"GET /v1/drains":          {okReply(api.DrainList{Zones: []api.ZoneDrain{{Zone: "z3", Drained: true}}})},
+		"GET /v1/queues":          {okReply(api.QueueList{Queues: []api.QueueStatus{{Name: "q", Jobs: 4, WaitingJobs: 1, Pending: 2, Running: 3}}})},
 	}
 }
 
@@ -30,23 +30,23 @@
 	testNow       = time.Date(2026, 1, 31, 13, 30, 0, 0, time.UTC)
 )
 
-// windowAt is a window of two hours that starts this many hours after
-// testNow and is held from half an hour before.
+// windowAt returns a booking window of two hours that starts the given number
+// of hours after testNow and is held from 30 minutes before its start.
 func windowAt(hours int, queue, booking string, state api.BookingState, workers ...api.BookingSlices) api.BookingStatus {
 	start := testNow.Add(time.Duration(hours) * time.Hour)
 	window := api.BookingStatus{
 		Queue: queue, Booking: booking, Start: start, End: start.Add(2 * time.Hour), HeldFrom: start.Add(-30 * time.Minute),
 		State: state, Slots: 4, Slice: api.Resources{CPUMillis: 1000, MemoryMB: 4}, Workers: workers,
 	}
-	for _, one := range workers {
-		window.Placed += one.Slots
-		window.Used += one.Used
+	for _, worker := range workers {
+		window.Placed += worker.Slots
+		window.Used += worker.Used
 	}
 	return window
 }
 
-// sampleBookings are an open window, one that is held with a slice that lies
-// nowhere, one that was released and one far off.
+// sampleBookings returns an open window, a released one, a held one with 3 of 4
+// slices placed, and a planned one 11 hours ahead.
 func sampleBookings() api.BookingList {
 	return api.BookingList{Bookings: []api.BookingStatus{
 		windowAt(-1, "q", "opening", api.BookingOpen, api.BookingSlices{Worker: "w1", Slots: 4, Used: 3}),
@@ -67,11 +67,12 @@
 	}
 }
 
-// configAt is a configuration in force, with drained workers.
-func configAt(version uint64, workers ...string) reply {
-	return ok(api.ConfigStatus{Version: version, Config: api.Config{
+// configReply returns a reply with a configuration in force that drains the
+// given workers.
+func configReply(version uint64, workers ...string) reply {
+	return okReply(api.ConfigStatus{Version: version, Config: api.Config{
 		Queues: []api.QueueConfig{{Name: "q"}}, Drains: api.DrainConfig{Workers: workers},
 	}})
 }
 
-func accepted(version uint64) reply { return ok(api.ConfigStatus{Version: version}) }
+func acceptedReply(version uint64) reply { return okReply(api.ConfigStatus{Version: version}) }
--- a/internal/cli/format.go
+++ b/internal/cli/format.go
@@ -8,7 +8,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// emptyCell is shown in a cell without a value.
+// emptyCell is the text of a table cell without a value.
 const emptyCell = "-"
 
 // formatCell formats a value as one line of text.
@@ -20,7 +20,8 @@
 	return line
 }
 
-// formatTime formats a time in the configured time zone, to the second.
+// formatTime formats a time in Config.Location with a precision of one second;
+// the zero time is an empty cell.
 func (a *app) formatTime(moment time.Time) string {
 	if moment.IsZero() {
 		return emptyCell
@@ -28,7 +29,7 @@
 	return moment.In(a.Location).Format(time.RFC3339)
 }
 
-// formatOptionalTime is formatTime for a time that may be absent.
+// formatOptionalTime is like formatTime; nil is an empty cell as well.
 func (a *app) formatOptionalTime(moment *time.Time) string {
 	if moment == nil {
 		return emptyCell
@@ -36,9 +37,9 @@
 	return a.formatTime(*moment)
 }
 
-// formatMillis formats milliseconds as a duration.
-func formatMillis(count int64) string {
-	return (time.Duration(count) * time.Millisecond).String()
+// formatMillis formats a number of milliseconds as a duration.
+func formatMillis(millis int64) string {
+	return (time.Duration(millis) * time.Millisecond).String()
 }
 
 // formatUsage formats the amount in use and the capacity of a resource.
@@ -52,26 +53,26 @@
 	return "no"
 }
 
-// formatNames formats a list for one cell.
+// formatNames formats a list as comma-separated text for one cell.
 func formatNames(list []string) string { return strings.Join(list, ",") }
 
 // formatCount formats a count with its limit; 0 means no limit.
-func formatCount(count, bound int) string {
-	if bound == 0 {
+func formatCount(count, limit int) string {
+	if limit == 0 {
 		return fmt.Sprint(count)
 	}
-	return fmt.Sprintf("%d/%d", count, bound)
+	return fmt.Sprintf("%d/%d", count, limit)
 }
 
-// formatResources formats the resources that are not 0 for one cell.
-func formatResources(room api.Resources) string {
+// formatResources formats the non-zero resources for one cell.
+func formatResources(resources api.Resources) string {
 	var parts []string
-	for _, one := range []struct {
+	for _, resource := range []struct {
 		amount int64
 		unit   string
-	}{{room.CPUMillis, "m cpu"}, {room.MemoryMB, " MB"}, {room.Accelerators, " accelerators"}} {
-		if one.amount != 0 {
-			parts = append(parts, fmt.Sprintf("%d%s", one.amount, one.unit))
+	}{{resources.CPUMillis, "m cpu"}, {resources.MemoryMB, " MB"}, {resources.Accelerators, " accelerators"}} {
+		if resource.amount != 0 {
+			parts = append(parts, fmt.Sprintf("%d%s", resource.amount, resource.unit))
 		}
 	}
 	return strings.Join(parts, ", ")
--- a/internal/cli/input_file.go
+++ b/internal/cli/input_file.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// standardInput is the file name that stands for Config.In.
+	// standardInput is the file name that selects Config.In.
 	standardInput = "-"
-	// maxFileBytes bounds the size of a file, above what the fleet accepts.
+	// maxFileBytes bounds the size of a file. It is above the largest request
+	// body that the fronts accept.
 	maxFileBytes = 32 << 20
 )
 
-// readFile decodes a YAML or JSON file into the struct that into points to.
-// Unknown fields are an error.
-func (a *app) readFile(path string, into any) error {
+// readFile decodes a YAML or JSON file into the struct that target points to.
+// Unknown fields are an error. All its errors are from fileError.
+func (a *app) readFile(path string, target any) error {
 	data, err := a.readAll(path)
 	if err != nil {
 		return fileError(path, err)
@@ -31,13 +32,13 @@
 			return fileError(path, err)
 		}
 	}
-	if refusal := api.DecodeStrict(bytes.NewReader(data), into); refusal != nil {
-		return fileError(path, refusal)
+	if decodeError := api.DecodeStrict(bytes.NewReader(data), target); decodeError != nil {
+		return fileError(path, decodeError)
 	}
 	return nil
 }
 
-// readAll reads a file, or standard input.
+// readAll reads a file, or Config.In if path is standardInput.
 func (a *app) readAll(path string) ([]byte, error) {
 	if path == standardInput {
 		return readBounded(a.In)
@@ -54,7 +55,8 @@
 	return readBounded(file)
 }
 
-// readBounded reads at most maxFileBytes; more is an error.
+// readBounded reads until the end and returns an error if there are more than
+// maxFileBytes.
 func readBounded(reader io.Reader) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(reader, maxFileBytes+1))
 	if err != nil {
@@ -66,8 +68,9 @@
 	return data, nil
 }
 
-// isJSON decides by the extension of the file and then by its content. Most
-// JSON is also valid YAML, but decoding it as JSON gives better errors.
+// isJSON reports whether a file is decoded as JSON: by its extension or, for
+// any other name, if its content is valid JSON. Most JSON is also valid
+// YAML, but decoding it as JSON gives better errors.
 func isJSON(path string, data []byte) bool {
 	switch filepath.Ext(path) {
 	case ".json":
--- a/internal/cli/input_file_test.go
+++ b/internal/cli/input_file_test.go
@@ -29,7 +29,7 @@
 			path := writeFile(t, c.name, c.content)
 			got := runCommand(t, newFakeFront(t, nil), "", "job", "submit", path, "--id", "j")
 			if got.code != ExitUsage {
-				t.Errorf("%q: exit code %d", c.content, got.code)
+				t.Errorf("%q: got exit code %d, want 2", c.content, got.code)
 			}
 			assertText(t, c.content, got.err, "decklever: "+path+c.err+"\n")
 		})
@@ -44,23 +44,23 @@
 		t.Fatal(err)
 	}
 	if fields := api.ValidateConfig(&config); len(fields) > 0 {
-		t.Errorf("config.yaml: %v", fields)
+		t.Errorf("config.yaml: got invalid fields %v, want none", fields)
 	}
 	jobs, err := os.ReadDir(filepath.Join(examples, "jobs"))
 	if err != nil || len(jobs) < 2 {
-		t.Fatalf("%d jobs, %v", len(jobs), err)
+		t.Fatalf("got %d example jobs and error %v, want at least 2 and no error", len(jobs), err)
 	}
 	for _, file := range jobs {
 		var spec api.JobSpec
 		if err := a.readFile(filepath.Join(examples, "jobs", file.Name()), &spec); err != nil {
-			t.Errorf("%s: %v", file.Name(), err)
+			t.Errorf("%s: got error %v, want none", file.Name(), err)
 			continue
 		}
 		if fields := api.ValidateJob("j", &spec, &config); len(fields) > 0 {
-			t.Errorf("%s: %v", file.Name(), fields)
+			t.Errorf("%s: got invalid fields %v, want none", file.Name(), fields)
 		}
 		if spec.Steps[0].NotBefore != nil && spec.Steps[0].NotBefore.Location() != time.UTC {
-			t.Errorf("%s: a time that is not in UTC", file.Name())
+			t.Errorf("%s: got a not_before in another time zone, want UTC", file.Name())
 		}
 	}
 }
--- a/internal/cli/job_cancel.go
+++ b/internal/cli/job_cancel.go
@@ -18,12 +18,14 @@
 known, ended or cancelled before do not count and are no error. With --queue
 all jobs of the queue are cancelled, and --yes says that this is meant.`
 
-// cancelledJobs is the result of cancelling one job: its state afterwards.
+// cancelledJobs is the result of cancelling one job; it contains the status of
+// that job afterwards.
 type cancelledJobs struct {
 	Jobs []api.JobStatus `json:"jobs"`
 }
 
-// jobCancelCommand cancels jobs.
+// jobCancelCommand returns the command that cancels jobs by id, or all jobs of a
+// queue.
 func (a *app) jobCancelCommand() *cobra.Command {
 	var queue string
 	var confirmed bool
@@ -36,7 +38,7 @@
 	}
 	command.Flags().StringVar(&queue, "queue", "", "cancel all jobs of this queue")
 	command.Flags().BoolVar(&confirmed, "yes", false, "all jobs of the queue are meant")
-	mustComplete(command, "queue", a.completeQueues)
+	mustRegisterCompletion(command, "queue", a.completeQueues)
 	command.RunE = a.run(func(ctx context.Context, client *api.Client, ids []string) error {
 		if command.Flags().Changed("queue") {
 			return a.cancelQueue(ctx, client, queue, ids, confirmed)
@@ -57,7 +59,7 @@
 	return command
 }
 
-// cancelOne cancels one job and prints its state.
+// cancelOne cancels one job and prints its state afterwards.
 func (a *app) cancelOne(ctx context.Context, client *api.Client, id string) error {
 	status, err := doRequest(ctx, a, "cancel job "+id, func(ctx context.Context) (api.JobStatus, error) {
 		return client.CancelJob(ctx, id)
@@ -72,11 +74,12 @@
 	})
 }
 
-// cancelMany cancels jobs in as few requests as possible.
+// cancelMany cancels jobs in batches of up to api.MaxCancelledJobs and prints
+// how many of them were cancelled.
 func (a *app) cancelMany(ctx context.Context, client *api.Client, ids []string) error {
 	answer := api.CancelAnswer{}
-	for part := range slices.Chunk(ids, api.MaxCancelledJobs) {
-		cancelled, err := a.requestCancellation(ctx, client, fmt.Sprintf("cancel %d jobs", len(part)), api.CancelRequest{Jobs: part})
+	for batch := range slices.Chunk(ids, api.MaxCancelledJobs) {
+		cancelled, err := a.requestCancellation(ctx, client, fmt.Sprintf("cancel %d jobs", len(batch)), api.CancelRequest{Jobs: batch})
 		if err != nil {
 			return err
 		}
@@ -90,7 +93,8 @@
 	})
 }
 
-// cancelQueue cancels all jobs of a queue.
+// cancelQueue cancels all jobs of a queue. It returns a usage error if job ids
+// were given as well or if --yes was not given.
 func (a *app) cancelQueue(ctx context.Context, client *api.Client, queue string, ids []string, confirmed bool) error {
 	if queue == "" || len(ids) > 0 {
 		return usageError("expected either ids of jobs or --queue NAME --yes")
@@ -107,7 +111,8 @@
 	})
 }
 
-// requestCancellation sends one request.
+// requestCancellation sends one cancel request and returns the number of jobs
+// that it cancelled.
 func (a *app) requestCancellation(ctx context.Context, client *api.Client, action string, request api.CancelRequest) (int, error) {
 	return doRequest(ctx, a, action, func(ctx context.Context) (int, error) {
 		return client.CancelJobs(ctx, request)
--- a/internal/cli/job_cancel_test.go
+++ b/internal/cli/job_cancel_test.go
@@ -19,24 +19,24 @@
 	}
 	for _, c := range cases {
 		t.Run(c.arguments, func(t *testing.T) {
-			front := newFakeFront(t, map[string][]reply{route: {ok(api.CancelAnswer{Cancelled: 2})}})
+			front := newFakeFront(t, map[string][]reply{route: {okReply(api.CancelAnswer{Cancelled: 2})}})
 			got := runCommand(t, front, "", strings.Fields(c.arguments)...)
 			assertText(t, c.arguments, got.out+got.err, c.out)
 			if sent := front.requestsTo(route); got.code != ExitOK || len(sent) != 1 || sent[0].body != c.body {
-				t.Errorf("%s: exit code %d, sent %+v", c.arguments, got.code, sent)
+				t.Errorf("%s: got exit code %d and requests %+v, want exit code 0 and one request with the jobs or queue", c.arguments, got.code, sent)
 			}
 		})
 	}
 	ids := make([]string, api.MaxCancelledJobs+1)
-	for number := range ids {
-		ids[number] = fmt.Sprintf("j%d", number)
+	for index := range ids {
+		ids[index] = fmt.Sprintf("j%d", index)
 	}
-	front := newFakeFront(t, map[string][]reply{route: {ok(api.CancelAnswer{Cancelled: api.MaxCancelledJobs}), ok(api.CancelAnswer{Cancelled: 1})}})
+	front := newFakeFront(t, map[string][]reply{route: {okReply(api.CancelAnswer{Cancelled: api.MaxCancelledJobs}), okReply(api.CancelAnswer{Cancelled: 1})}})
 	got := runCommand(t, front, "", slices.Concat([]string{"job", "cancel"}, ids)...)
-	assertText(t, "more than one call takes", got.out, "10001 of 10001 jobs cancelled\n")
+	assertText(t, "more ids than one request may have", got.out, "10001 of 10001 jobs cancelled\n")
 	if sent := front.requestsTo(route); len(sent) != 2 || sent[1].body != `{"jobs":["j10000"]}` {
-		t.Errorf("%d calls", len(sent))
+		t.Errorf("got %d requests, want 2, the second with the last job only", len(sent))
 	}
-	one := newFakeFront(t, map[string][]reply{"POST /v1/jobs/j/cancel": {ok(sampleStatus("cancelled"))}})
-	assertText(t, "one", runCommand(t, one, "", "job", "cancel", "j").out, "ID  QUEUE  STATE      ENDED\nj   q      cancelled  -\n")
+	single := newFakeFront(t, map[string][]reply{"POST /v1/jobs/j/cancel": {okReply(sampleStatus("cancelled"))}})
+	assertText(t, "one job", runCommand(t, single, "", "job", "cancel", "j").out, "ID  QUEUE  STATE      ENDED\nj   q      cancelled  -\n")
 }
--- a/internal/cli/job_list.go
+++ b/internal/cli/job_list.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// maxPageJobs is the largest page that a front returns.
+// maxPageJobs is the largest number of jobs that a front returns in one page.
 const maxPageJobs = 1000
 
 // jobStates are the values that --state accepts.
@@ -19,7 +19,7 @@
 	string(api.StateFailed), string(api.StateCancelled),
 }
 
-// jobListCommand lists jobs.
+// jobListCommand returns the command that lists jobs.
 func (a *app) jobListCommand() *cobra.Command {
 	var query api.JobsQuery
 	var all bool
@@ -36,8 +36,8 @@
 	flags.IntVar(&query.Limit, "limit", 100, "most jobs of one page, up to 1000")
 	flags.StringVar(&query.PageToken, "page-token", "", "where the page before ended")
 	flags.BoolVar(&all, "all", false, "read all pages from there on")
-	mustComplete(command, "queue", a.completeQueues)
-	mustComplete(command, "state", cobra.FixedCompletions(jobStates, cobra.ShellCompDirectiveNoFileComp))
+	mustRegisterCompletion(command, "queue", a.completeQueues)
+	mustRegisterCompletion(command, "state", cobra.FixedCompletions(jobStates, cobra.ShellCompDirectiveNoFileComp))
 	command.RunE = a.run(func(ctx context.Context, client *api.Client, _ []string) error {
 		if query.Limit < 1 || query.Limit > maxPageJobs {
 			return usageError("--limit is %d, expected 1 to %d", query.Limit, maxPageJobs)
@@ -51,7 +51,8 @@
 	return command
 }
 
-// listJobs reads one page, or that page and all that follow as one list.
+// listJobs reads one page or, if all is set, that page and all following ones
+// as one list.
 func (a *app) listJobs(ctx context.Context, client *api.Client, query api.JobsQuery, all bool) (api.JobList, error) {
 	list := api.JobList{Jobs: []api.JobSummary{}}
 	for {
@@ -70,7 +71,8 @@
 	}
 }
 
-// printJobs prints a page of jobs, with a notice if there are more.
+// printJobs prints a list of jobs. Below a table it prints a notice if there are
+// more pages.
 func (a *app) printJobs(list api.JobList) error {
 	if list.NextPageToken != "" && a.flags.output == outputFormatTable {
 		defer a.printNotice(fmt.Sprintf("there are more; go on with --page-token %s, or use --all", list.NextPageToken))
--- a/internal/cli/job_output.go
+++ b/internal/cli/job_output.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// occurrenceTable builds the table of a repeating job's occurrences.
+// occurrenceTable builds the table that counts a repeating job's occurrences.
 func (a *app) occurrenceTable(counts *api.OccurrenceStatus) *textTable {
 	occurrences := newTextTable("occurrences", "open", "succeeded", "failed", "cancelled", "next due")
 	occurrences.add(counts.Times, counts.Open, counts.Succeeded, counts.Failed, counts.Cancelled, a.formatOptionalTime(counts.NextDue))
@@ -25,7 +25,8 @@
 	return tasks
 }
 
-// printJob prints a job with its occurrences, if it repeats, and its tasks.
+// printJob prints a job and its tasks, and the occurrence counts of a repeating
+// job.
 func (a *app) printJob(status api.JobStatus) error {
 	return a.print(status, func(writer io.Writer) {
 		job := newTextTable("id", "queue", "priority", "state", "submitted", "ended")
--- a/internal/cli/job_status.go
+++ b/internal/cli/job_status.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// jobStatusCommand shows the state of a job.
+// jobStatusCommand returns the command that shows the state of a job.
 func (a *app) jobStatusCommand() *cobra.Command {
 	var wait time.Duration
 	command := &cobra.Command{
--- a/internal/cli/job_submit.go
+++ b/internal/cli/job_submit.go
@@ -17,7 +17,7 @@
 --wait the command ends when the job does, without a bound, and its exit code
 is 5 if the job did not succeed.`
 
-// jobSubmitCommand submits a job.
+// jobSubmitCommand returns the command that submits a job.
 func (a *app) jobSubmitCommand() *cobra.Command {
 	var id string
 	var wait bool
@@ -46,12 +46,13 @@
 		if !wait {
 			return a.printSubmitted(id, created)
 		}
-		return a.followJob(ctx, client, id, 0)
+		return a.waitAndPrintJob(ctx, client, id, 0)
 	})
 	return command
 }
 
-// submit sends the job and reports whether it is new.
+// submit submits the job and reports whether it is new; submitting the same
+// content under the same id again is not an error.
 func (a *app) submit(ctx context.Context, client *api.Client, id string, spec api.JobSpec) (created bool, err error) {
 	ctx, cancel := a.requestContext(ctx)
 	defer cancel()
@@ -62,7 +63,7 @@
 	return created, nil
 }
 
-// printSubmitted prints that a job was accepted.
+// printSubmitted prints that a job was accepted, now or by an earlier request.
 func (a *app) printSubmitted(id string, created bool) error {
 	return a.print(api.SubmitAnswer{ID: id, Created: created}, func(writer io.Writer) {
 		word := "accepted"
--- a/internal/cli/job_wait.go
+++ b/internal/cli/job_wait.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// maxWaitPerRequest bounds how long a front holds one request of a longer
-	// wait.
+	// maxWaitPerRequest is the longest time for which a front delays the answer
+	// to one request; a longer wait takes several requests.
 	maxWaitPerRequest = 10 * time.Second
-	// waitRequestSpacing is the pause between two requests of a wait, as a
-	// front in trouble answers early.
+	// waitRequestSpacing is the pause between two requests of a wait. It
+	// limits the request rate when a failing front answers before the wait is
+	// over.
 	waitRequestSpacing = 50 * time.Millisecond
 )
 
@@ -24,8 +25,9 @@
 if it had not ended within --timeout or the fleet did not answer. An outage
 shorter than 10s does not end the wait.`
 
-// jobWaitCommand waits for a job to end. Its --timeout bounds the whole wait
-// and replaces the global flag, which bounds single requests.
+// jobWaitCommand returns the command that waits for a job to end. Its --timeout
+// bounds the complete wait and hides the global flag, so single requests have
+// the default time-out.
 func (a *app) jobWaitCommand() *cobra.Command {
 	var timeout time.Duration
 	command := &cobra.Command{
@@ -45,19 +47,19 @@
 		if timeout < 0 {
 			return usageError("--timeout is %v, expected 0s or more", timeout)
 		}
-		return a.followJob(ctx, client, id, timeout)
+		return a.waitAndPrintJob(ctx, client, id, timeout)
 	})
 	return command
 }
 
-// waitForJob reads the job until it has ended or the timeout is over; 0 means
-// no timeout.
+// waitForJob reads the job until it has ended. It returns a jobNotEndedError if
+// the timeout expires first; 0 means no timeout.
 func (a *app) waitForJob(ctx context.Context, client *api.Client, id string, timeout time.Duration) (api.JobStatus, error) {
-	end := time.Now().Add(timeout)
+	deadline := time.Now().Add(timeout)
 	for {
 		wait := maxWaitPerRequest
 		if timeout > 0 {
-			wait = max(0, min(wait, time.Until(end)))
+			wait = max(0, min(wait, time.Until(deadline)))
 		}
 		status, err := a.readJob(ctx, client, id, wait)
 		if err != nil {
@@ -66,24 +68,25 @@
 		if status.State.Final() {
 			return status, nil
 		}
-		if timeout > 0 && time.Until(end) <= 0 {
+		if timeout > 0 && time.Until(deadline) <= 0 {
 			return status, jobNotEndedError(id, status.State)
 		}
 		a.sleep(ctx, waitRequestSpacing)
 	}
 }
 
-// readJob requests a job once. With a wait, the front holds the answer until
-// the job has ended or the wait is over.
+// readJob reads a job in one call. If wait is above 0, the front delays its
+// answer until the job has ended or wait has passed, and the call's time-out is
+// longer by wait.
 func (a *app) readJob(ctx context.Context, client *api.Client, id string, wait time.Duration) (api.JobStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+a.flags.timeout)
 	defer cancel()
 	return client.Job(ctx, id, wait)
 }
 
-// followJob waits for a job to end, prints it, and returns an error unless it
-// succeeded. A timeout of 0 means none.
-func (a *app) followJob(ctx context.Context, client *api.Client, id string, timeout time.Duration) error {
+// waitAndPrintJob waits for a job to end, prints it, and returns an error unless
+// it succeeded. A timeout of 0 means no timeout.
+func (a *app) waitAndPrintJob(ctx context.Context, client *api.Client, id string, timeout time.Duration) error {
 	status, waitErr := a.waitForJob(ctx, client, id, timeout)
 	if waitErr != nil {
 		return waitErr
--- a/internal/cli/member_list.go
+++ b/internal/cli/member_list.go
@@ -10,8 +10,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// memberListCommand lists the schedulers and the replication progress of
-// each.
+// memberListCommand returns the command that lists the schedulers with the
+// replication progress of each.
 func (a *app) memberListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "list",
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -28,24 +28,24 @@
 	return nil
 }
 
-// print writes a result in the format of --output: as a table, or as the
-// object of the API in one JSON or YAML document.
-func (a *app) print(result any, table func(io.Writer)) error {
+// print writes a result in the format of --output: with renderTable, or encoded
+// as one JSON or YAML document.
+func (a *app) print(result any, renderTable func(io.Writer)) error {
 	if a.flags.output == outputFormatTable {
-		return a.write(table)
+		return a.write(renderTable)
 	}
 	data, err := marshal(result)
 	if err == nil && a.flags.output == outputFormatYAML {
 		data, err = yamlFromJSON(data)
 	}
 	if err != nil {
-		return fmt.Errorf("form the result: %w", err)
+		return fmt.Errorf("encode the result: %w", err)
 	}
 	return a.write(func(writer io.Writer) { _, _ = writer.Write(data) })
 }
 
-// write renders into a buffer and writes it at once, so that an error such as
-// a closed pipe is reported once.
+// write renders into a buffer and sends it to Out in one write, so that an error
+// such as a closed pipe is reported once.
 func (a *app) write(render func(io.Writer)) error {
 	var buffer bytes.Buffer
 	render(&buffer)
@@ -67,17 +67,17 @@
 	return buffer.Bytes(), nil
 }
 
-// printNotice writes a line for people to standard error.
+// printNotice writes one line to Err that is not part of the result.
 func (a *app) printNotice(text string) { writeSanitizedLine(a.Err, text) }
 
-// writeSanitizedLine writes one line. A write error is ignored, as there is
-// nowhere to report it.
+// writeSanitizedLine writes the sanitized text and a newline. It ignores a write
+// error, since the error output is where it would be reported.
 func writeSanitizedLine(writer io.Writer, text string) {
 	_, _ = fmt.Fprintln(writer, sanitizeLine(text))
 }
 
-// sanitizeLine replaces newlines and other control characters by spaces, so
-// that text from the fleet can neither break a line nor control the terminal.
+// sanitizeLine replaces newlines and other control characters with spaces, so
+// that text from the fleet cannot add lines or send terminal control sequences.
 func sanitizeLine(text string) string {
 	return strings.Map(func(character rune) rune {
 		if unicode.IsControl(character) {
--- a/internal/cli/queue.go
+++ b/internal/cli/queue.go
@@ -2,7 +2,7 @@
 
 import "github.com/spf13/cobra"
 
-// queueCommand groups the commands about queues.
+// queueCommand returns the group of commands for queues.
 func (a *app) queueCommand() *cobra.Command {
 	return groupCommand("queue", "List queues and show one",
 		"  decklever queue list\n  decklever queue show swaps",
--- a/internal/cli/queue_list.go
+++ b/internal/cli/queue_list.go
@@ -9,7 +9,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// queueListCommand lists queues with their pending and running tasks.
+// queueListCommand returns the command that lists queues with their pending and
+// running tasks.
 func (a *app) queueListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "list",
--- a/internal/cli/queue_show.go
+++ b/internal/cli/queue_show.go
@@ -13,21 +13,21 @@
 	"github.com/decklever/decklever/api"
 )
 
-// maxShownJobs bounds --jobs, since each job takes a request of its own.
+// maxShownJobs is the limit of --jobs, since each job shown takes one request.
 const maxShownJobs = 100
 
 // queueDetails is the result of "queue show". It is combined from several
 // requests that are sent concurrently, so it is not a snapshot of one
 // instant.
 type queueDetails struct {
-	// Config is absent if the configuration in force no longer has the queue.
+	// Config is nil if the configuration in force does not have the queue.
 	Config   *api.QueueConfig    `json:"config,omitempty"`
 	Status   api.QueueStatus     `json:"status"`
 	Bookings []api.BookingStatus `json:"bookings"`
 	Waiting  []waitingJob        `json:"waiting"`
 }
 
-// queueShowCommand shows one queue.
+// queueShowCommand returns the command that shows one queue.
 func (a *app) queueShowCommand() *cobra.Command {
 	var jobs, hours int
 	command := &cobra.Command{
@@ -53,7 +53,7 @@
 		if err != nil {
 			return err
 		}
-		if details.Waiting, err = a.oldestWaiting(ctx, client, arguments[0], jobs); err != nil {
+		if details.Waiting, err = a.oldestWaitingJobs(ctx, client, arguments[0], jobs); err != nil {
 			return err
 		}
 		return a.print(details, func(writer io.Writer) { a.renderQueue(writer, details) })
@@ -61,7 +61,8 @@
 	return command
 }
 
-// readQueue requests everything about a queue except its jobs.
+// readQueue reads the configuration, status and bookings of a queue; it leaves
+// Waiting empty.
 func (a *app) readQueue(ctx context.Context, client *api.Client, name string, hours int) (queueDetails, error) {
 	var config api.ConfigStatus
 	var queues api.QueueList
@@ -82,25 +83,26 @@
 	if err := group.Wait(); err != nil {
 		return queueDetails{}, err
 	}
-	// The values in force include defaults.
+	// WithDefaults fills in omitted fields with the values that take effect.
 	return selectQueue(name, config.Config.WithDefaults(), queues, bookings)
 }
 
-// selectQueue selects what belongs to one queue. It returns an error if
-// neither the configuration nor the leader knows the queue.
+// selectQueue combines the configuration, status and bookings of one queue. It
+// returns an error if the queue is neither in the configuration nor in the
+// leader's list.
 func selectQueue(name string, config api.Config, queues api.QueueList, bookings api.BookingList) (queueDetails, error) {
 	details := queueDetails{Status: api.QueueStatus{Name: name}}
 	details.Bookings = filterWindows(bookings, func(window api.BookingStatus) bool { return window.Queue == name })
-	configAt := slices.IndexFunc(config.Queues, func(queue api.QueueConfig) bool { return queue.Name == name })
-	statusAt := slices.IndexFunc(queues.Queues, func(queue api.QueueStatus) bool { return queue.Name == name })
-	if configAt < 0 && statusAt < 0 {
+	configIndex := slices.IndexFunc(config.Queues, func(queue api.QueueConfig) bool { return queue.Name == name })
+	statusIndex := slices.IndexFunc(queues.Queues, func(queue api.QueueStatus) bool { return queue.Name == name })
+	if configIndex < 0 && statusIndex < 0 {
 		return details, notFoundError("queue", name)
 	}
-	if configAt >= 0 {
-		details.Config = &config.Queues[configAt]
+	if configIndex >= 0 {
+		details.Config = &config.Queues[configIndex]
 	}
-	if statusAt >= 0 {
-		details.Status = queues.Queues[statusAt]
+	if statusIndex >= 0 {
+		details.Status = queues.Queues[statusIndex]
 	}
 	return details, nil
 }
@@ -129,7 +131,8 @@
 	}
 }
 
-// renderExpectedWait writes how long a new task would wait, if that is known.
+// renderExpectedWait writes the expected wait of a new task, and whether the queue
+// is overloaded. It writes nothing if the expected wait is not known.
 func renderExpectedWait(writer io.Writer, status api.QueueStatus) {
 	if status.ExpectedWaitMillis <= 0 {
 		return
--- a/internal/cli/queue_waiting.go
+++ b/internal/cli/queue_waiting.go
@@ -10,8 +10,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// maxWaitingPages bounds the pages read to find the oldest pending jobs,
-// since pages are sorted by id.
+// maxWaitingPages is the maximum number of pages read to find the oldest pending
+// jobs. Pages are sorted by id, so the oldest job may be on any page.
 const maxWaitingPages = 10
 
 // waitingJob is a pending job with the reasons why its tasks wait.
@@ -21,17 +21,17 @@
 	Reasons     []waitingReason `json:"reasons"`
 }
 
-// waitingReason is a reason and the number of tasks that wait for it.
+// waitingReason is a reason and the number of tasks that are pending for it.
 type waitingReason struct {
 	Reason string `json:"reason"`
 	Tasks  int    `json:"tasks"`
 }
 
-// oldestWaiting returns the pending jobs that were submitted first, with the
-// reasons why their tasks wait.
-func (a *app) oldestWaiting(ctx context.Context, client *api.Client, queue string, most int) ([]waitingJob, error) {
+// oldestWaitingJobs returns up to limit pending jobs, those submitted first, with
+// the reasons why their tasks wait.
+func (a *app) oldestWaitingJobs(ctx context.Context, client *api.Client, queue string, limit int) ([]waitingJob, error) {
 	waiting := []waitingJob{}
-	if most == 0 {
+	if limit == 0 {
 		return waiting, nil
 	}
 	jobs, err := a.pendingJobs(ctx, client, queue)
@@ -39,10 +39,10 @@
 		return nil, err
 	}
 	slices.SortStableFunc(jobs, func(a, b api.JobSummary) int { return a.SubmittedAt.Compare(b.SubmittedAt) })
-	for _, job := range jobs[:min(most, len(jobs))] {
+	for _, job := range jobs[:min(limit, len(jobs))] {
 		status, err := a.readJob(ctx, client, job.ID, 0)
-		if isCode(err, api.CodeNotFound) {
-			continue // gone since it was listed
+		if hasErrorCode(err, api.CodeNotFound) {
+			continue // removed since it was listed
 		}
 		if err != nil {
 			return nil, requestError("read job "+job.ID, err)
@@ -52,8 +52,8 @@
 	return waiting, nil
 }
 
-// pendingJobs returns the pending jobs of a queue, from at most
-// maxWaitingPages pages.
+// pendingJobs returns the pending jobs of a queue from at most maxWaitingPages
+// pages, and prints a notice if there are more.
 func (a *app) pendingJobs(ctx context.Context, client *api.Client, queue string) ([]api.JobSummary, error) {
 	query := api.JobsQuery{Queue: queue, State: api.StatePending, Limit: maxPageJobs}
 	var jobs []api.JobSummary
@@ -72,8 +72,8 @@
 	return jobs, nil
 }
 
-// waitingReasons counts the reasons of pending tasks, in the order of the
-// tasks.
+// waitingReasons counts the pending tasks of a job by reason, in the order in
+// which the reasons first occur.
 func waitingReasons(status api.JobStatus) []waitingReason {
 	reasons := []waitingReason{}
 	for _, step := range status.Steps {
@@ -81,12 +81,12 @@
 			if task.State != api.StatePending {
 				continue
 			}
-			at := slices.IndexFunc(reasons, func(one waitingReason) bool { return one.Reason == task.Reason })
-			if at < 0 {
-				at = len(reasons)
+			index := slices.IndexFunc(reasons, func(existing waitingReason) bool { return existing.Reason == task.Reason })
+			if index < 0 {
+				index = len(reasons)
 				reasons = append(reasons, waitingReason{Reason: task.Reason})
 			}
-			reasons[at].Tasks++
+			reasons[index].Tasks++
 		}
 	}
 	return reasons
@@ -97,8 +97,8 @@
 	waiting := newTextTable("waiting job", "submitted", "reasons (tasks)")
 	for _, job := range jobs {
 		reasons := make([]string, len(job.Reasons))
-		for index, one := range job.Reasons {
-			reasons[index] = fmt.Sprintf("%s (%d)", formatCell(one.Reason), one.Tasks)
+		for index, reason := range job.Reasons {
+			reasons[index] = fmt.Sprintf("%s (%d)", formatCell(reason.Reason), reason.Tasks)
 		}
 		waiting.add(job.ID, a.formatTime(job.SubmittedAt), strings.Join(reasons, "; "))
 	}
--- a/internal/cli/read_commands_test.go
+++ b/internal/cli/read_commands_test.go
@@ -41,7 +41,7 @@
 			assertText(t, "output", got.out, c.out)
 			assertText(t, "errors", got.err, c.err)
 			if got.code != ExitOK {
-				t.Errorf("exit code %d", got.code)
+				t.Errorf("got exit code %d, want 0", got.code)
 			}
 		})
 	}
@@ -72,6 +72,6 @@
 	var document map[string]json.RawMessage
 	got = runCommand(t, newFakeFront(t, fleetReplies()), "", "status", "-o", "json")
 	if err := json.Unmarshal([]byte(got.out), &document); err != nil || len(document) != 4 {
-		t.Errorf("status: %v in %s", err, got.out)
+		t.Errorf("status: got error %v in %s, want a JSON object with 4 fields", err, got.out)
 	}
 }
--- a/internal/cli/request.go
+++ b/internal/cli/request.go
@@ -12,12 +12,12 @@
 // action is the body of a command that sends requests.
 type action func(ctx context.Context, client *api.Client, arguments []string) error
 
-// run adapts an action to cobra's RunE: it checks the global flags and
-// provides a client, which it closes afterwards.
-func (a *app) run(work action) func(*cobra.Command, []string) error {
+// run adapts an action to cobra's RunE: it checks the global flags, creates a
+// client for the action and closes it afterwards.
+func (a *app) run(execute action) func(*cobra.Command, []string) error {
 	return func(command *cobra.Command, arguments []string) error {
 		a.started = true
-		if err := a.checkGlobal(); err != nil {
+		if err := a.checkGlobalFlags(); err != nil {
 			return err
 		}
 		client, err := a.client()
@@ -25,19 +25,19 @@
 			return err
 		}
 		defer client.Close()
-		return work(command.Context(), client, arguments)
+		return execute(command.Context(), client, arguments)
 	}
 }
 
-// checkGlobal validates the global flags.
-func (a *app) checkGlobal() error {
+// checkGlobalFlags validates --timeout and --output.
+func (a *app) checkGlobalFlags() error {
 	if a.flags.timeout <= 0 {
 		return usageError("--timeout is %v, expected a duration above 0", a.flags.timeout)
 	}
 	return checkOutputFormat(a.flags.output)
 }
 
-// client returns a client of the fronts given by --front.
+// client returns a client for the fronts named by --front. The caller closes it.
 func (a *app) client() (*api.Client, error) {
 	client, err := api.NewClient(api.ClientConfig{Endpoints: a.flags.fronts, HTTPClient: a.HTTPClient})
 	if err != nil {
@@ -46,7 +46,8 @@
 	return client, nil
 }
 
-// requestContext bounds one request, with all its attempts, by --timeout.
+// requestContext returns a context that bounds one request, including all
+// retries, by --timeout.
 func (a *app) requestContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, a.flags.timeout)
 }
@@ -63,7 +64,7 @@
 	return answer, nil
 }
 
-// isCode reports whether the error is an answer of the fleet with this code.
-func isCode(err error, code api.ErrorCode) bool {
+// hasErrorCode reports whether the error is an API error with this code.
+func hasErrorCode(err error, code api.ErrorCode) bool {
 	return errors.Is(err, &api.Error{Code: code})
 }
--- a/internal/cli/root_test.go
+++ b/internal/cli/root_test.go
@@ -9,7 +9,7 @@
 		command := commands[0]
 		commands = append(commands[1:], command.Commands()...)
 		if command.Short == "" || command.Example == "" {
-			t.Errorf("%s has no short help or no example", command.CommandPath())
+			t.Errorf("%s: got no short help or no example, want both", command.CommandPath())
 		}
 	}
 }
--- a/internal/cli/run_command_test.go
+++ b/internal/cli/run_command_test.go
@@ -13,14 +13,15 @@
 	"go.uber.org/goleak"
 )
 
-// outcome is what one run of the command left.
-type outcome struct {
+// commandResult is the exit code and the output of one execution of the command.
+type commandResult struct {
 	code     int
 	out, err string
 }
 
-// runCommand runs the command against a front.
-func runCommand(t *testing.T, front *fakeFront, input string, arguments ...string) outcome {
+// runCommand executes the command with input as standard input and, unless front
+// is nil, with front as the only front.
+func runCommand(t *testing.T, front *fakeFront, input string, arguments ...string) commandResult {
 	t.Helper()
 	var out, errs bytes.Buffer
 	config := Config{In: strings.NewReader(input), Out: &out, Err: &errs, Location: time.UTC, completionTimeout: time.Minute}
@@ -29,16 +30,17 @@
 		config.sleep = front.sleep
 		config.Getenv = func(name string) string {
 			if name != frontsVariable {
-				t.Errorf("read %s", name)
+				t.Errorf("got a read of environment variable %s, want only DECKLEVER_FRONTS", name)
 			}
 			return front.url
 		}
 	}
 	code := Run(t.Context(), arguments, config)
-	return outcome{code, out.String(), errs.String()}
+	return commandResult{code, out.String(), errs.String()}
 }
 
-// writeFile writes a file of the test and returns its path.
+// writeFile writes a file into a temporary folder of the test and returns its
+// path.
 func writeFile(t *testing.T, name, content string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -48,11 +50,11 @@
 	return path
 }
 
-// assertText fails with both texts unless they are the same.
+// assertText reports an error with both texts unless they are equal.
 func assertText(t *testing.T, what, got, want string) {
 	t.Helper()
 	if got != want {
-		t.Errorf("%s:\n%s\nwant:\n%s", what, got, want)
+		t.Errorf("%s: got:\n%s\nwant:\n%s", what, got, want)
 	}
 }
 
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -12,8 +12,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// fleetStatus is the result of "status". It is combined from four requests
-// that are sent concurrently, so it is not a snapshot of one instant.
+// fleetStatus is the result of "status". It combines the answers to four
+// concurrent requests, so it is not a snapshot of one instant.
 type fleetStatus struct {
 	Members api.MemberList `json:"members"`
 	Workers api.WorkerList `json:"workers"`
@@ -21,12 +21,12 @@
 	Rollout api.Rollout    `json:"rollout"`
 }
 
-// workerStates is the order in which states are counted.
+// workerStates lists the worker states in the order in which they are shown.
 var workerStates = []api.WorkerState{
 	api.WorkerReady, api.WorkerWaiting, api.WorkerSuspect, api.WorkerProbation, api.WorkerDraining, api.WorkerSilent, api.WorkerLost,
 }
 
-// statusCommand shows the fleet on one screen.
+// statusCommand returns the command that shows the fleet on one screen.
 func (a *app) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "status",
@@ -45,7 +45,7 @@
 	}
 }
 
-// readStatus sends the four requests.
+// readStatus sends the four requests concurrently and returns the first error.
 func (a *app) readStatus(ctx context.Context, client *api.Client) (fleetStatus, error) {
 	var status fleetStatus
 	group, ctx := errgroup.WithContext(ctx)
@@ -69,18 +69,19 @@
 	return status, err
 }
 
-// renderStatus writes the summary and the tables.
+// renderStatus writes the summary and the tables of members and queues.
 func renderStatus(writer io.Writer, status fleetStatus) {
-	_, _ = fmt.Fprintf(writer, "leader         %s\n", leaderOf(status.Members))
-	_, _ = fmt.Fprintf(writer, "workers        %s\n", countWorkers(status.Workers))
-	_, _ = fmt.Fprintf(writer, "configuration  version %d, %s\n\n", status.Rollout.Version, completeness(status.Rollout))
+	_, _ = fmt.Fprintf(writer, "leader         %s\n", describeLeader(status.Members))
+	_, _ = fmt.Fprintf(writer, "workers        %s\n", describeWorkerCounts(status.Workers))
+	_, _ = fmt.Fprintf(writer, "configuration  version %d, %s\n\n", status.Rollout.Version, describeRollout(status.Rollout))
 	memberTable(status.Members).render(writer)
 	_, _ = fmt.Fprintln(writer)
 	queueTable(status.Queues).render(writer)
 }
 
-// leaderOf describes the leader by name, zone and token.
-func leaderOf(list api.MemberList) string {
+// describeLeader returns the leader's name, zone and token, or emptyCell if there
+// is no leader.
+func describeLeader(list api.MemberList) string {
 	for _, member := range list.Members {
 		if member.Leader {
 			return formatCell(fmt.Sprintf("%s in %s (token %d)", member.Name, member.Zone, list.Token))
@@ -89,8 +90,9 @@
 	return emptyCell
 }
 
-// countWorkers counts workers by state, in the order of workerStates.
-func countWorkers(list api.WorkerList) string {
+// describeWorkerCounts returns the number of workers and of those in each state,
+// in the order of workerStates. States without workers are omitted.
+func describeWorkerCounts(list api.WorkerList) string {
 	counts := make(map[api.WorkerState]int, len(workerStates))
 	for _, worker := range list.Workers {
 		counts[worker.State]++
--- a/internal/cli/text_table.go
+++ b/internal/cli/text_table.go
@@ -8,10 +8,11 @@
 	"github.com/jedib0t/go-pretty/v6/text"
 )
 
-// textTable is a table with a fixed order of columns and without borders.
+// textTable is a plain-text table without borders.
 type textTable struct{ writer table.Writer }
 
-// newTextTable returns an empty table with these columns.
+// newTextTable returns an empty table with these columns; the header shows their
+// names in upper case.
 func newTextTable(columns ...string) *textTable {
 	style := table.StyleLight
 	style.Options = table.OptionsNoBordersAndSeparators
@@ -22,26 +23,26 @@
 	writer := table.NewWriter()
 	writer.SetStyle(style)
 	writer.SuppressTrailingSpaces()
-	g := &textTable{writer: writer}
-	g.writer.AppendHeader(tableRow(columns))
-	return g
+	t := &textTable{writer: writer}
+	t.writer.AppendHeader(tableRow(columns))
+	return t
 }
 
-// add appends a row.
-func (g *textTable) add(values ...any) {
+// add appends a row, with each value formatted by formatCell.
+func (t *textTable) add(values ...any) {
 	row := make([]string, len(values))
 	for index, value := range values {
 		row[index] = formatCell(value)
 	}
-	g.writer.AppendRow(tableRow(row))
+	t.writer.AppendRow(tableRow(row))
 }
 
 // render writes the table.
-func (g *textTable) render(writer io.Writer) {
-	_, _ = fmt.Fprintln(writer, g.writer.Render())
+func (t *textTable) render(writer io.Writer) {
+	_, _ = fmt.Fprintln(writer, t.writer.Render())
 }
 
-// tableRow converts text cells to a row of the table writer.
+// tableRow converts cells to a row of the table writer.
 func tableRow(values []string) table.Row {
 	row := make(table.Row, len(values))
 	for index, value := range values {
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -12,7 +12,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// Bounds of the chart in characters.
+// Width of the chart, in characters, and default of --hours.
 const (
 	defaultTimelineWidth = 100
 	minTimelineWidth     = 60
@@ -37,7 +37,8 @@
 	svg, png string
 }
 
-// timelineCommand shows booked and used capacity over the coming hours.
+// timelineCommand returns the command that shows booked and used capacity over
+// the coming hours.
 func (a *app) timelineCommand() *cobra.Command {
 	var flags timelineFlags
 	command := &cobra.Command{
@@ -54,7 +55,7 @@
 	command.Flags().StringVar(&flags.svg, "svg", "", "draw the chart into this SVG file instead")
 	command.Flags().StringVar(&flags.png, "png", "", "draw the chart into this PNG file instead")
 	command.MarkFlagsMutuallyExclusive("svg", "png")
-	mustComplete(command, "by", cobra.FixedCompletions([]string{byWorker, byQueue}, cobra.ShellCompDirectiveNoFileComp))
+	mustRegisterCompletion(command, "by", cobra.FixedCompletions([]string{byWorker, byQueue}, cobra.ShellCompDirectiveNoFileComp))
 	command.RunE = a.run(func(ctx context.Context, client *api.Client, _ []string) error {
 		if err := flags.check(); err != nil {
 			return err
@@ -79,33 +80,33 @@
 	return checkHours(f.hours)
 }
 
-// readTimeline sends the requests concurrently, so the result is not a
-// snapshot of one instant.
+// readTimeline reads workers, queues and bookings and builds the timeline. The
+// requests are concurrent, so the result is not a snapshot of one instant.
 func (a *app) readTimeline(ctx context.Context, client *api.Client, flags timelineFlags) (timeline, error) {
-	var source timelineInput
+	var input timelineInput
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() (err error) {
-		source.workers, err = doRequest(ctx, a, "list workers", client.Workers)
+		input.workers, err = doRequest(ctx, a, "list workers", client.Workers)
 		return err
 	})
 	group.Go(func() (err error) {
-		source.queues, err = doRequest(ctx, a, "list queues", client.Queues)
+		input.queues, err = doRequest(ctx, a, "list queues", client.Queues)
 		return err
 	})
 	group.Go(func() (err error) {
-		source.bookings, err = a.readBookings(ctx, client, flags.hours)
+		input.bookings, err = a.readBookings(ctx, client, flags.hours)
 		return err
 	})
 	if err := group.Wait(); err != nil {
 		return timeline{}, err
 	}
-	source.from = a.now()
-	source.to = source.from.Add(time.Duration(flags.hours) * time.Hour)
-	return source.timeline(flags.by), nil
+	input.from = a.now()
+	input.to = input.from.Add(time.Duration(flags.hours) * time.Hour)
+	return input.timeline(flags.by), nil
 }
 
-// printTimeline prints the timeline, or writes it to the file of --svg or
-// --png.
+// printTimeline prints the timeline. With --svg or --png it draws the chart into
+// that file instead and prints the path.
 func (a *app) printTimeline(view timeline, flags timelineFlags) error {
 	path, format := flags.svg, "svg"
 	if flags.png != "" {
--- a/internal/cli/timeline_chart.go
+++ b/internal/cli/timeline_chart.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// maxTimelineName bounds the name at the start of a row, in characters.
+	// maxTimelineName is the maximum length of a row's name, in characters.
 	maxTimelineName = 24
 	// minTimelineBar is the minimum width of a bar, in characters.
 	minTimelineBar = 16
-	// Characters of a column without bookings, and of one beyond the capacity.
+	// Characters of a column without bookings, and of one that is booked beyond
+	// the capacity.
 	barEmpty        = '.'
 	barOverCapacity = '!'
 )
@@ -22,23 +23,24 @@
 // barLevels are the characters for shares of up to 1/8, 2/8 and so on.
 var barLevels = []rune("▁▂▃▄▅▆▇█")
 
-// renderTimeline writes a timeline as a chart of characters.
+// renderTimeline writes a timeline as a text chart of the given width, or wider
+// if the bars would be shorter than minTimelineBar.
 func renderTimeline(writer io.Writer, view timeline, location *time.Location, width int) {
 	prefixes := timelinePrefixes(view)
-	bar := max(minTimelineBar, width-utf8.RuneCountInString(prefixes[0]))
+	barWidth := max(minTimelineBar, width-utf8.RuneCountInString(prefixes[0]))
 	_, _ = fmt.Fprintf(writer, "booked room by %s from %s to %s\n\n", view.By,
 		view.From.In(location).Format(time.RFC3339), view.To.In(location).Format(time.RFC3339))
-	_, _ = fmt.Fprintln(writer, strings.TrimRight(prefixes[0]+hourHeader(view, location, bar), " "))
+	_, _ = fmt.Fprintln(writer, strings.TrimRight(prefixes[0]+hourHeader(view, location, barWidth), " "))
 	for index, row := range view.Rows {
-		_, _ = fmt.Fprintln(writer, prefixes[index+1]+renderBar(row, view, bar))
+		_, _ = fmt.Fprintln(writer, prefixes[index+1]+renderBar(row, view, barWidth))
 	}
-	column := view.To.Sub(view.From) / time.Duration(bar)
+	columnDuration := view.To.Sub(view.From) / time.Duration(barWidth)
 	_, _ = fmt.Fprintf(writer, "\neach column is %v; %c none, %c to %c up to all of the room, %c beyond it\n",
-		column.Round(time.Second), barEmpty, barLevels[0], barLevels[len(barLevels)-1], barOverCapacity)
+		columnDuration.Round(time.Second), barEmpty, barLevels[0], barLevels[len(barLevels)-1], barOverCapacity)
 }
 
-// timelinePrefixes returns the text before the bars, padded to equal width:
-// that of the header, then one for each row.
+// timelinePrefixes returns the text before the bars, padded to equal width: the
+// first is for the header, the others for the rows.
 func timelinePrefixes(view timeline) []string {
 	rows := [][]string{{strings.ToUpper(view.By), "RUNNING", "USED", "BOOKED"}}
 	for _, row := range view.Rows {
@@ -62,7 +64,8 @@
 	return prefixes
 }
 
-// truncateName shortens a long name to maxTimelineName characters.
+// truncateName shortens a long name to maxTimelineName characters, the last of
+// which is an ellipsis.
 func truncateName(name string) string {
 	runes := []rune(name)
 	if len(runes) <= maxTimelineName {
@@ -71,17 +74,19 @@
 	return string(runes[:maxTimelineName-1]) + "…"
 }
 
-// formatPercent formats a share, rounded up so that any use shows as more
-// than 0.
+// formatPercent formats a share as a percentage. It rounds up, so that a small
+// use is not shown as 0%; the tolerance, in percent, absorbs floating-point
+// errors.
 func formatPercent(share float64) string {
-	const most, rounding = 9.99, 1e-9
-	if share > most {
+	const maxShare, tolerance = 9.99, 1e-9
+	if share > maxShare {
 		return ">999%"
 	}
-	return fmt.Sprintf("%.0f%%", math.Ceil(max(0, share*100-rounding)))
+	return fmt.Sprintf("%.0f%%", math.Ceil(max(0, share*100-tolerance)))
 }
 
-// renderBar draws the peak of the booked share in each column.
+// renderBar returns a row's bar. Each column shows the largest booked share
+// during the column's time.
 func renderBar(row timelineRow, view timeline, width int) string {
 	bar := make([]rune, width)
 	for column := range bar {
@@ -108,8 +113,9 @@
 	}
 }
 
-// hourHeader writes labels of hours above the bars, as many as fit. A label
-// starts at the column that contains its hour.
+// hourHeader returns the header above the bars, with labels of hours or days. A
+// label starts at the column that contains its time, and is left out if it
+// would extend beyond the width.
 func hourHeader(view timeline, location *time.Location, width int) string {
 	header := []rune(strings.Repeat(" ", width))
 	for _, tick := range hourTicks(view, location, float64(width)) {
--- a/internal/cli/timeline_rows.go
+++ b/internal/cli/timeline_rows.go
@@ -9,17 +9,18 @@
 	"github.com/decklever/decklever/api"
 )
 
-// What a row of the timeline stands for.
+// Values of --by: a row of the timeline is a worker or a queue.
 const (
 	byWorker = "worker"
 	byQueue  = "queue"
 )
 
-// unplacedRow is the name of the row of slices that are not placed on a
+// unplacedRow is the name of the row for booked slices that are not placed on a
 // worker yet.
 const unplacedRow = "(not placed)"
 
-// timeline is the result of "timeline".
+// timeline is the result of "timeline": the capacity that is booked from From to
+// To, and the capacity in use when it was read.
 type timeline struct {
 	From time.Time     `json:"from"`
 	To   time.Time     `json:"to"`
@@ -27,19 +28,21 @@
 	Rows []timelineRow `json:"rows"`
 }
 
-// timelineRow is the capacity of one worker or queue over time.
+// timelineRow is the used and booked capacity of one worker or queue.
 type timelineRow struct {
 	Name string `json:"name"`
-	// Capacity is what shares are relative to.
+	// Capacity is the amount that shares are relative to: that of the worker,
+	// or fleetCapacity in a row of a queue or of unplaced slices.
 	Capacity api.Resources `json:"capacity"`
-	// Running is the number of open runs and Used the resources in use, both
-	// now.
+	// Running is the number of open runs of a worker, or of running tasks of a
+	// queue. Used is the amount in use by a worker's runs, or by a queue's
+	// bookings. Both are current values.
 	Running int              `json:"running"`
 	Used    api.Resources    `json:"used"`
 	Booked  []bookedInterval `json:"booked"`
 }
 
-// bookedInterval is an amount of resources that is booked during an interval.
+// bookedInterval is an amount of resources that is booked from From until To.
 type bookedInterval struct {
 	From      time.Time     `json:"from"`
 	To        time.Time     `json:"to"`
@@ -54,7 +57,8 @@
 	bookings api.BookingList
 }
 
-// timeline builds the rows, sorted by name, with unplacedRow last.
+// timeline builds the timeline by worker or by queue. Rows are sorted by name,
+// with unplacedRow last.
 func (s timelineInput) timeline(by string) timeline {
 	rows := s.queueRows()
 	if by == byWorker {
@@ -63,8 +67,8 @@
 	return timeline{From: s.from, To: s.to, By: by, Rows: rows.sorted()}
 }
 
-// workerRows builds a row for each worker, and one for slices that are not
-// placed.
+// workerRows builds a row for each worker, and unplacedRow if a window has slices
+// that are not placed.
 func (s timelineInput) workerRows() timelineRows {
 	rows := timelineRows{}
 	for _, worker := range s.workers.Workers {
@@ -72,20 +76,20 @@
 		row.Capacity, row.Running, row.Used = worker.Capacity, worker.Runs, worker.Used
 	}
 	for _, window := range s.bookings.Bookings {
-		left := window.Slots
-		for _, place := range window.Workers {
-			s.addInterval(rows.rowOf(place.Worker), window, place.Slots)
-			left -= place.Slots
+		unplaced := window.Slots
+		for _, placement := range window.Workers {
+			s.addInterval(rows.rowOf(placement.Worker), window, placement.Slots)
+			unplaced -= placement.Slots
 		}
-		if left > 0 && s.overlaps(window) {
+		if unplaced > 0 && s.overlaps(window) {
 			rows.rowOf(unplacedRow).Capacity = s.fleetCapacity()
-			s.addInterval(rows.rowOf(unplacedRow), window, left)
+			s.addInterval(rows.rowOf(unplacedRow), window, unplaced)
 		}
 	}
 	return rows
 }
 
-// queueRows builds a row for each queue.
+// queueRows builds a row for each queue that is listed or has a window.
 func (s timelineInput) queueRows() timelineRows {
 	rows := timelineRows{}
 	for _, queue := range s.queues.Queues {
@@ -102,7 +106,8 @@
 	return rows
 }
 
-// addInterval adds the resources of a window's slices, cut to the view.
+// addInterval adds the resources of a number of a window's slices to a row, for
+// the part of the window within the view.
 func (s timelineInput) addInterval(row *timelineRow, window api.BookingStatus, slots int) {
 	if slots <= 0 || !s.overlaps(window) {
 		return
@@ -117,26 +122,27 @@
 	row.Booked = append(row.Booked, bookedInterval{From: from, To: to, Resources: multiply(window.Slice, slots)})
 }
 
-// overlaps reports whether a window takes capacity within the view.
+// overlaps reports whether a window reserves capacity within the view. A released
+// window reserves none.
 func (s timelineInput) overlaps(window api.BookingStatus) bool {
 	return window.State != api.BookingReleased && window.HeldFrom.Before(s.to) && window.End.After(s.from)
 }
 
-// fleetCapacity is the capacity of all workers that are not lost.
+// fleetCapacity returns the total capacity of all workers that are not lost.
 func (s timelineInput) fleetCapacity() api.Resources {
-	var room api.Resources
+	var total api.Resources
 	for _, worker := range s.workers.Workers {
 		if worker.State != api.WorkerLost {
-			room = room.Add(worker.Capacity)
+			total = total.Add(worker.Capacity)
 		}
 	}
-	return room
+	return total
 }
 
-// timelineRows holds rows by name.
+// timelineRows maps names to rows.
 type timelineRows map[string]*timelineRow
 
-// rowOf returns the row of a name and creates it if necessary.
+// rowOf returns the row with a name, and creates it if it does not exist.
 func (r timelineRows) rowOf(name string) *timelineRow {
 	if r[name] == nil {
 		r[name] = &timelineRow{Name: name, Booked: []bookedInterval{}}
@@ -144,7 +150,7 @@
 	return r[name]
 }
 
-// sorted returns the rows by name, with unplacedRow last.
+// sorted returns the rows sorted by name, with unplacedRow last.
 func (r timelineRows) sorted() []timelineRow {
 	rows := make([]timelineRow, 0, len(r))
 	for _, row := range r {
@@ -162,65 +168,67 @@
 	return rows
 }
 
-// peak returns the largest share that is booked at any time of an interval.
+// peak returns the largest share that is booked at any time of an interval. The
+// booked amount rises only where a booking starts, so it is enough to check these
+// times and, for bookings that started before the interval, the interval's start.
 func (r timelineRow) peak(from, to time.Time) float64 {
-	var within []bookedInterval
-	for _, one := range r.Booked {
-		if one.From.Before(to) && one.To.After(from) {
-			within = append(within, one)
+	var overlapping []bookedInterval
+	for _, interval := range r.Booked {
+		if interval.From.Before(to) && interval.To.After(from) {
+			overlapping = append(overlapping, interval)
 		}
 	}
 	highest := 0.0
-	for _, one := range within {
-		moment := one.From
+	for _, interval := range overlapping {
+		moment := interval.From
 		if moment.Before(from) {
 			moment = from
 		}
-		highest = max(highest, dominantShare(bookedAt(within, moment), r.Capacity))
+		highest = max(highest, dominantShare(bookedAt(overlapping, moment), r.Capacity))
 	}
 	return highest
 }
 
-// edges returns the distinct times, sorted, at which the booked resources may
-// change, with both ends of the view.
+// edges returns the times at which the booked resources may change, and both
+// ends of the view, sorted and without duplicates.
 func (r timelineRow) edges(from, to time.Time) []time.Time {
 	edges := []time.Time{from, to}
-	for _, one := range r.Booked {
-		edges = append(edges, one.From, one.To)
+	for _, interval := range r.Booked {
+		edges = append(edges, interval.From, interval.To)
 	}
 	slices.SortFunc(edges, time.Time.Compare)
 	return slices.CompactFunc(edges, time.Time.Equal)
 }
 
-// bookedAt returns the resources that are booked at a moment.
+// bookedAt returns the total of the resources that are booked at a moment.
 func bookedAt(booked []bookedInterval, moment time.Time) api.Resources {
 	var sum api.Resources
-	for _, one := range booked {
-		if !one.From.After(moment) && one.To.After(moment) {
-			sum = sum.Add(one.Resources)
+	for _, interval := range booked {
+		if !interval.From.After(moment) && interval.To.After(moment) {
+			sum = sum.Add(interval.Resources)
 		}
 	}
 	return sum
 }
 
-// dominantShare returns the largest share, over the kinds of resources, that
-// an amount takes of a capacity. It is infinite if the capacity has none of a
-// kind that is taken.
-func dominantShare(room, capacity api.Resources) float64 {
-	share := func(room, capacity int64) float64 {
+// dominantShare returns the largest share of the capacity that an amount takes of
+// any kind of resource. It is infinite if the amount includes a kind of which the
+// capacity has none.
+func dominantShare(amount, capacity api.Resources) float64 {
+	share := func(amount, capacity int64) float64 {
 		switch {
-		case room <= 0:
+		case amount <= 0:
 			return 0
 		case capacity <= 0:
 			return math.Inf(1)
 		default:
-			return float64(room) / float64(capacity)
+			return float64(amount) / float64(capacity)
 		}
 	}
-	return max(share(room.CPUMillis, capacity.CPUMillis), share(room.MemoryMB, capacity.MemoryMB), share(room.Accelerators, capacity.Accelerators))
+	return max(share(amount.CPUMillis, capacity.CPUMillis), share(amount.MemoryMB, capacity.MemoryMB), share(amount.Accelerators, capacity.Accelerators))
 }
 
-// multiply returns the resources of a number of equal slices.
+// multiply returns the resources of a number of slices of equal size.
 func multiply(slice api.Resources, slots int) api.Resources {
 	count := int64(slots)
 	return api.Resources{CPUMillis: slice.CPUMillis * count, MemoryMB: slice.MemoryMB * count, Accelerators: slice.Accelerators * count}
--- a/internal/cli/timeline_ticks.go
+++ b/internal/cli/timeline_ticks.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// tickCharacters is the width of one label with its mark and a space.
+// tickCharacters is the width of the longest label, such as "|Jan 02", and a space,
+// in characters.
 const tickCharacters = 8
 
-// tick is a labelled time on the axis of a timeline.
+// tick is a labelled time on the time axis of a timeline.
 type tick struct {
 	// share is the position on the axis, from 0 to 1.
 	share float64
 	label string
 }
 
-// hourTicks returns labelled full hours or days in a time zone, at most as
-// many as fit side by side in a number of characters.
+// hourTicks returns labelled full hours or days in a time zone. It chooses the
+// smallest step between labels with which they fit side by side in a number of
+// characters, or the largest step if none fits.
 func hourTicks(view timeline, location *time.Location, characters float64) []tick {
 	span := view.To.Sub(view.From)
 	step := hourStep(characters / span.Hours())
 	var ticks []tick
-	for moment := fullHour(view.From.In(location)); moment.Before(view.To); moment = moment.Add(time.Hour) {
+	for moment := firstFullHour(view.From.In(location)); moment.Before(view.To); moment = moment.Add(time.Hour) {
 		if !hasLabel(moment, step) {
 			continue
 		}
@@ -32,7 +34,8 @@
 	return ticks
 }
 
-// hourStep returns the smallest step, in hours, whose labels fit.
+// hourStep returns the smallest step between labels, in hours, with which they
+// do not overlap, or the largest step if none does.
 func hourStep(charactersPerHour float64) int {
 	steps := []int{1, 2, 3, 4, 6, 12, 24, 48, 96}
 	for _, step := range steps {
@@ -43,7 +46,9 @@
 	return steps[len(steps)-1]
 }
 
-// hasLabel reports whether a full hour gets a label.
+// hasLabel reports whether a full hour gets a label: below a step of 24 hours,
+// each hour of the day that is a multiple of step; otherwise midnight of each day
+// whose number in the year is a multiple of the step in days.
 func hasLabel(moment time.Time, step int) bool {
 	if step < 24 {
 		return moment.Hour()%step == 0
@@ -51,12 +56,12 @@
 	return moment.Hour() == 0 && moment.YearDay()%(step/24) == 0
 }
 
-// fullHour returns the first full hour of local time that is not before a
-// moment.
-func fullHour(moment time.Time) time.Time {
-	past := time.Duration(moment.Minute())*time.Minute + time.Duration(moment.Second())*time.Second + time.Duration(moment.Nanosecond())
-	if past == 0 {
+// firstFullHour returns the first full hour, in the moment's time zone, that is
+// not before the moment.
+func firstFullHour(moment time.Time) time.Time {
+	elapsed := time.Duration(moment.Minute())*time.Minute + time.Duration(moment.Second())*time.Second + time.Duration(moment.Nanosecond())
+	if elapsed == 0 {
 		return moment
 	}
-	return moment.Add(time.Hour - past)
+	return moment.Add(time.Hour - elapsed)
 }
--- a/internal/cli/unified_diff_test.go
+++ b/internal/cli/unified_diff_test.go
@@ -7,22 +7,24 @@
 	"pgregory.net/rapid"
 )
 
-// TestDiffLines_EditsRebuildBothTexts applies the edits of random texts.
+// TestDiffLines_EditsRebuildBothTexts guards against missing or surplus lines:
+// the lines that are not added must be the old text, and the lines that are not
+// removed the new text.
 func TestDiffLines_EditsRebuildBothTexts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 0, 12)
 		before, after := lines.Draw(t, "before"), lines.Draw(t, "after")
 		var removed, added []string
-		for _, one := range diffLines(before, after) {
-			if one.kind != lineAdded {
-				removed = append(removed, one.text)
+		for _, entry := range diffLines(before, after) {
+			if entry.kind != editAdded {
+				removed = append(removed, entry.text)
 			}
-			if one.kind != lineRemoved {
-				added = append(added, one.text)
+			if entry.kind != editRemoved {
+				added = append(added, entry.text)
 			}
 		}
 		if strings.Join(removed, "") != strings.Join(before, "") || strings.Join(added, "") != strings.Join(after, "") {
-			t.Fatalf("%v to %v gives %v and %v", before, after, removed, added)
+			t.Fatalf("edits from %v to %v: got %v and %v, want both texts", before, after, removed, added)
 		}
 	})
 }
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -10,17 +10,17 @@
 
 // buildVersion is the result of "version".
 type buildVersion struct {
-	// Version is that of the module, "(devel)" for a build outside of a
-	// module version.
+	// Version is the version of the main module, "(devel)" for a build without
+	// one, or "unknown" without build information.
 	Version string `json:"version"`
-	// Revision is the commit that it was built from, if known.
+	// Revision is the commit that the program was built from, if known.
 	Revision string `json:"revision,omitempty"`
-	// Modified is set if the working tree had uncommitted changes.
+	// Modified is set if the working tree had uncommitted changes at build time.
 	Modified bool   `json:"modified,omitempty"`
 	Go       string `json:"go"`
 }
 
-// versionCommand shows what this program was built from.
+// versionCommand returns the command that shows the version of this program.
 func (a *app) versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "version",
@@ -33,7 +33,7 @@
 			if err := checkOutputFormat(a.flags.output); err != nil {
 				return err
 			}
-			version := readBuild()
+			version := readBuildInfo()
 			return a.print(version, func(writer io.Writer) {
 				_, _ = fmt.Fprintf(writer, "decklever %s %s\n", version.Version, version.Go)
 			})
@@ -41,8 +41,9 @@
 	}
 }
 
-// readBuild returns the build information of this program.
-func readBuild() buildVersion {
+// readBuildInfo returns the build information that the Go toolchain embedded in
+// this program.
+func readBuildInfo() buildVersion {
 	build, ok := debug.ReadBuildInfo()
 	if !ok {
 		return buildVersion{Version: "unknown"}
--- a/internal/cli/worker_drain.go
+++ b/internal/cli/worker_drain.go
@@ -8,7 +8,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// workerDrainCommand adds workers to the drains of the configuration.
+// workerDrainCommand returns the command that adds workers to the drains of the
+// configuration.
 func (a *app) workerDrainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "drain NAME...",
@@ -23,10 +24,10 @@
 				return err
 			}
 			err := a.changeDrains(ctx, client, func(drains *api.DrainConfig) {
-				drains.Workers = withNames(drains.Workers, names)
+				drains.Workers = appendMissing(drains.Workers, names)
 			})
 			if err == nil {
-				a.warnUnknown(ctx, client, "name", names, func(worker api.WorkerStatus) string { return worker.Name })
+				a.warnUnregistered(ctx, client, "name", names, func(worker api.WorkerStatus) string { return worker.Name })
 			}
 			return err
 		}),
--- a/internal/cli/worker_list.go
+++ b/internal/cli/worker_list.go
@@ -9,7 +9,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// workerListCommand lists the registered workers.
+// workerListCommand returns the command that lists the registered workers.
 func (a *app) workerListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "list",
--- a/internal/cli/worker_undrain.go
+++ b/internal/cli/worker_undrain.go
@@ -8,7 +8,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// workerUndrainCommand removes workers from the drains of the configuration.
+// workerUndrainCommand returns the command that removes workers from the drains of
+// the configuration.
 func (a *app) workerUndrainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "undrain NAME...",
@@ -22,7 +23,7 @@
 				return err
 			}
 			return a.changeDrains(ctx, client, func(drains *api.DrainConfig) {
-				drains.Workers = withoutNames(drains.Workers, names)
+				drains.Workers = removeNames(drains.Workers, names)
 			})
 		}),
 	}
--- a/internal/cli/yaml.go
+++ b/internal/cli/yaml.go
@@ -13,11 +13,12 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// maxYAMLDepth bounds nesting, which aliases can make infinite; maxFileBytes
-// bounds the size of expanded aliases.
+// maxYAMLDepth is the maximum nesting depth. An alias to a node that contains the
+// alias makes the nesting infinite. The size of expanded aliases is limited by
+// maxFileBytes.
 const maxYAMLDepth = 100
 
-// YAML tags of JSON's values.
+// YAML tags of scalars that have a JSON form.
 const (
 	tagText      = "!!str"
 	tagInteger   = "!!int"
@@ -27,14 +28,14 @@
 	tagTimestamp = "!!timestamp"
 )
 
-// yamlFromJSON converts one JSON document to YAML and keeps the order of
-// fields.
+// yamlFromJSON converts one JSON document to YAML, with the fields in the same
+// order.
 func yamlFromJSON(data []byte) ([]byte, error) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(escapeNonASCII(data), &document); err != nil {
 		return nil, err
 	}
-	plainStyle(&document)
+	resetStyle(&document)
 	var buffer bytes.Buffer
 	encoder := yaml.NewEncoder(&buffer)
 	encoder.SetIndent(2)
@@ -47,9 +48,9 @@
 	return buffer.Bytes(), nil
 }
 
-// escapeNonASCII writes non-ASCII characters, which occur only within
-// strings, as YAML escapes, because YAML does not allow all of them
-// unescaped.
+// escapeNonASCII replaces DEL and non-ASCII characters with YAML escapes, because
+// YAML does not allow all of them unescaped. In JSON they occur only within
+// strings, where escapes are valid.
 func escapeNonASCII(data []byte) []byte {
 	escaped := make([]byte, 0, len(data))
 	for _, character := range string(data) {
@@ -62,22 +63,23 @@
 	return escaped
 }
 
-// plainStyle lets the encoder choose the style of each node. Empty lists and
-// objects keep theirs, since they have no other form, and so does text with
-// control characters: the encoder would write some of it, such as "\t\n", as
-// a block that cannot be read back.
-func plainStyle(node *yaml.Node) {
-	quoted := node.Kind == yaml.ScalarNode && strings.ContainsFunc(node.Value, unicode.IsControl)
-	if (node.Kind == yaml.ScalarNode || len(node.Content) > 0) && !quoted {
+// resetStyle clears the style of each node, so that the encoder chooses it. Empty
+// lists and objects keep their style, since they have no other form. Scalars with
+// control characters keep it too: the encoder would write some of them, such as
+// "\t\n", as a block that cannot be read back.
+func resetStyle(node *yaml.Node) {
+	hasControl := node.Kind == yaml.ScalarNode && strings.ContainsFunc(node.Value, unicode.IsControl)
+	if (node.Kind == yaml.ScalarNode || len(node.Content) > 0) && !hasControl {
 		node.Style = 0
 	}
 	for _, child := range node.Content {
-		plainStyle(child)
+		resetStyle(child)
 	}
 }
 
-// jsonFromYAML converts one YAML document to JSON. Unlike decoding into Go
-// values, it keeps the digits of numbers and the text of dates as written.
+// jsonFromYAML converts a file with exactly one YAML document to JSON. Unlike
+// decoding into Go values, it preserves the digits of numbers and the text of
+// dates as written.
 func jsonFromYAML(data []byte) ([]byte, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	var document, next yaml.Node
@@ -98,7 +100,7 @@
 	return writer.buffer.Bytes(), nil
 }
 
-// jsonWriter writes YAML nodes as JSON.
+// jsonWriter converts YAML nodes to JSON.
 type jsonWriter struct{ buffer bytes.Buffer }
 
 func (w *jsonWriter) node(node *yaml.Node, depth int) error {
@@ -183,7 +185,8 @@
 	return nil
 }
 
-// integer keeps decimal digits as written and converts other bases.
+// integer writes a decimal number that is valid JSON as it is, and converts all
+// others, such as other bases, to decimal.
 func (w *jsonWriter) integer(node *yaml.Node) error {
 	if json.Valid([]byte(node.Value)) {
 		w.buffer.WriteString(node.Value)
@@ -197,7 +200,8 @@
 	return nil
 }
 
-// float keeps the digits as written if they are valid JSON.
+// float writes a number that is valid JSON as it is, and converts all others.
+// Infinity and NaN have no JSON form and give an error.
 func (w *jsonWriter) float(node *yaml.Node) error {
 	if json.Valid([]byte(node.Value)) {
 		w.buffer.WriteString(node.Value)
@@ -215,13 +219,13 @@
 	return nil
 }
 
-// text writes a JSON string. Marshalling a string cannot fail.
+// text writes a JSON string. Encoding a string cannot fail.
 func (w *jsonWriter) text(value string) {
 	data, _ := json.Marshal(value)
 	w.buffer.Write(data)
 }
 
-// yamlError reports an invalid node with its line.
+// yamlError returns an error about a node, with the node's line number.
 func yamlError(node *yaml.Node, reason string) error {
 	return fmt.Errorf("line %d: %s", node.Line, reason)
 }
--- a/internal/cli/yaml_fuzz_test.go
+++ b/internal/cli/yaml_fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzJSONFromYAML holds that no file panics, and that what is made of one is
-// valid JSON of bounded size.
+// FuzzJSONFromYAML guards against panics on any file, and against a conversion
+// that succeeds with invalid JSON.
 func FuzzJSONFromYAML(f *testing.F) {
 	f.Add([]byte("queue: q\nsteps:\n  - name: a\n    not_before: 2031-02-03T04:05:06Z\n    tasks: [{service: s, payload: {n: 0x1f, f: 1.5e3, b: yes, none: ~}}]\n"))
 	f.Add([]byte("a: &a [x, x]\nb: &b [*a, *a]\nc: [*b, *b]\n"))
@@ -21,13 +21,13 @@
 			return
 		}
 		if !json.Valid(converted) {
-			t.Fatalf("%q became %q, which is not JSON", data, converted)
+			t.Fatalf("converting %q: got %q, want valid JSON", data, converted)
 		}
 	})
 }
 
-// FuzzYAMLFromJSON holds that a JSON object, as a server writes it, becomes YAML
-// that means the same.
+// FuzzYAMLFromJSON guards against a change of meaning: a JSON object, as a server
+// encodes it, must be unchanged after conversion to YAML and back.
 func FuzzYAMLFromJSON(f *testing.F) {
 	f.Add([]byte(`{"queue":"q","steps":[{"name":"a","tasks":[]}],"n":1.5,"t":true,"none":null}`))
 	f.Add([]byte(`{"a":"yes","b":"1","c":"2031-02-03","d":"\u2028\u0085 # x: y","e":"","f":" lead","g":"a\nb\n"}`))
@@ -37,21 +37,21 @@
 		if json.Unmarshal(data, &want) != nil || want == nil {
 			return
 		}
-		written, err := json.Marshal(want)
+		encoded, err := json.Marshal(want)
 		if err != nil {
 			t.Fatal(err)
 		}
-		converted, err := yamlFromJSON(written)
+		converted, err := yamlFromJSON(encoded)
 		if err != nil {
-			t.Fatalf("%s: %v", written, err)
+			t.Fatalf("convert %s to YAML: %v", encoded, err)
 		}
-		back, err := jsonFromYAML(converted)
+		roundTripped, err := jsonFromYAML(converted)
 		if err != nil {
-			t.Fatalf("%s became %q: %v", written, converted, err)
+			t.Fatalf("convert %s to YAML %q and back: %v", encoded, converted, err)
 		}
 		var got map[string]any
-		if err := json.Unmarshal(back, &got); err != nil || !reflect.DeepEqual(want, got) {
-			t.Fatalf("%s became %q and then %s", written, converted, back)
+		if err := json.Unmarshal(roundTripped, &got); err != nil || !reflect.DeepEqual(want, got) {
+			t.Fatalf("want %s after conversion to YAML %q and back, got %s", encoded, converted, roundTripped)
 		}
 	})
 }
--- a/internal/cli/yaml_test.go
+++ b/internal/cli/yaml_test.go
@@ -21,22 +21,23 @@
 		t.Run(c.yaml, func(t *testing.T) {
 			got, err := jsonFromYAML([]byte(c.yaml))
 			if err != nil || string(got) != c.json {
-				t.Errorf("%s\nis %s, %v, want %s", c.yaml, got, err, c.json)
+				t.Errorf("%s\ngot %s, error %v, want %s", c.yaml, got, err, c.json)
 			}
 		})
 	}
 }
 
-// TestJSONFromYAML_AliasesAreBounded: nine aliases in each of nine levels are 9^9 values.
-func TestJSONFromYAML_AliasesAreBounded(t *testing.T) {
+// TestJSONFromYAML_AliasExpansionIsBounded guards against a small file that uses up
+// the memory: nine aliases in each of nine levels expand to 9^9 values.
+func TestJSONFromYAML_AliasExpansionIsBounded(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("l0: &l0 \"" + strings.Repeat("x", 100) + "\"\n")
 	for level := '1'; level <= '9'; level++ {
-		below := "*l" + string(level-1)
-		text.WriteString("l" + string(level) + ": &l" + string(level) + " [" + strings.Repeat(below+", ", 8) + below + "]\n")
+		alias := "*l" + string(level-1)
+		text.WriteString("l" + string(level) + ": &l" + string(level) + " [" + strings.Repeat(alias+", ", 8) + alias + "]\n")
 	}
 	if _, err := jsonFromYAML([]byte(text.String())); err == nil || !strings.Contains(err.Error(), "too large") {
-		t.Fatalf("taken: %v", err)
+		t.Fatalf("got error %v, want too large", err)
 	}
 }
 
@@ -48,7 +49,7 @@
 		}
 		got, err := jsonFromYAML(text)
 		if err != nil || string(got) != want {
-			t.Errorf("%s became %s, %v", want, got, err)
+			t.Errorf("want %s after conversion to YAML and back, got %s, error %v", want, got, err)
 		}
 	}
 }
@@ -64,11 +65,11 @@
 		}
 		data, err := jsonFromYAML(text)
 		if err != nil {
-			t.Fatalf("%v in\n%s", err, text)
+			t.Fatalf("convert to JSON: %v in\n%s", err, text)
 		}
-		var read api.Config
-		if refusal := api.DecodeStrict(bytes.NewReader(data), &read); refusal != nil || read.Digest() != config.Digest() {
-			t.Fatalf("%+v became %+v, %v", config, read, refusal)
+		var decoded api.Config
+		if refusal := api.DecodeStrict(bytes.NewReader(data), &decoded); refusal != nil || decoded.Digest() != config.Digest() {
+			t.Fatalf("want %+v after conversion to YAML and back, got %+v, error %v", config, decoded, refusal)
 		}
 	})
 }
--- a/internal/cli/zone.go
+++ b/internal/cli/zone.go
@@ -2,7 +2,7 @@
 
 import "github.com/spf13/cobra"
 
-// zoneCommand groups the commands about zones.
+// zoneCommand returns the group of commands for zones.
 func (a *app) zoneCommand() *cobra.Command {
 	return groupCommand("zone", "Empty zones and take them back",
 		"  decklever zone evacuate zone-2\n  decklever zone restore zone-2",
--- a/internal/cli/zone_evacuate.go
+++ b/internal/cli/zone_evacuate.go
@@ -8,7 +8,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// zoneEvacuateCommand adds zones to the drains of the configuration.
+// zoneEvacuateCommand returns the command that adds zones to the drains of the
+// configuration.
 func (a *app) zoneEvacuateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "evacuate ZONE...",
@@ -23,10 +24,10 @@
 				return err
 			}
 			err := a.changeDrains(ctx, client, func(drains *api.DrainConfig) {
-				drains.Zones = withNames(drains.Zones, zones)
+				drains.Zones = appendMissing(drains.Zones, zones)
 			})
 			if err == nil {
-				a.warnUnknown(ctx, client, "zone", zones, func(worker api.WorkerStatus) string { return worker.Zone })
+				a.warnUnregistered(ctx, client, "zone", zones, func(worker api.WorkerStatus) string { return worker.Zone })
 			}
 			return err
 		}),
--- a/internal/cli/zone_restore.go
+++ b/internal/cli/zone_restore.go
@@ -8,7 +8,8 @@
 	"github.com/decklever/decklever/api"
 )
 
-// zoneRestoreCommand removes zones from the drains of the configuration.
+// zoneRestoreCommand returns the command that removes zones from the drains of the
+// configuration.
 func (a *app) zoneRestoreCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:               "restore ZONE...",
@@ -22,7 +23,7 @@
 				return err
 			}
 			return a.changeDrains(ctx, client, func(drains *api.DrainConfig) {
-				drains.Zones = withoutNames(drains.Zones, zones)
+				drains.Zones = removeNames(drains.Zones, zones)
 			})
 		}),
 	}
