--- a/testbed/checker/bookings.go
+++ b/testbed/checker/bookings.go
@@ -12,18 +12,18 @@
 
 const (
 	// bookedStartBound is the time after the booked moment within which booked tasks
-	// have started.
+	// must start.
 	bookedStartBound = time.Second
-	// bookedShare is how many times faster booked work starts than equal work without a
-	// booking.
-	bookedShare = 10
-	// burstPercent is the percentile by which bursts are compared.
-	burstPercent = 99
+	// bookedSpeedup is how many times faster booked work must start than equal work
+	// without a booking.
+	bookedSpeedup = 10
+	// burstPercentile is the percentile of the delays by which bursts are compared.
+	burstPercentile = 99
 )
 
 // BurstDelays returns how long each task of a burst waited from the booked moment, or
-// from the submission of its job if that was later. A task that never started counts up
-// to the end of the observation.
+// from the submission of its job if that was later. A task that never started counts as
+// waiting until the end of the observation.
 func BurstDelays(input Input, class calllog.Class) []time.Duration {
 	return newFacts(input).burstDelays(class)
 }
@@ -48,16 +48,16 @@
 func (f *facts) burst(class calllog.Class) []*jobFacts {
 	var jobs []*jobFacts
 	for _, id := range f.jobIDs {
-		if job := f.jobs[id]; job.accepted != 0 && job.class() == class {
+		if job := f.jobs[id]; job.acceptedAt != 0 && job.class() == class {
 			jobs = append(jobs, job)
 		}
 	}
 	return jobs
 }
 
-// checkBookings (P13): a burst of booked work starts within a second of its moment and
-// in a tenth of the time of an equal burst without a booking, and no work of other
-// queues that may not be preempted uses its capacity.
+// checkBookings (P13): a burst of booked work starts within 1 s of the booked moment
+// and in at most a tenth of the time of an equal burst without a booking.
+// Non-preemptible work of other queues does not use the booked capacity.
 func (f *facts) checkBookings() []Violation {
 	bookedAt := f.milestone(calllog.MilestoneBooked)
 	if bookedAt == 0 {
@@ -72,6 +72,7 @@
 	return append(found, f.checkReservedCapacity(bookedAt)...)
 }
 
+// lateStarts reports booked tasks that started later than bookedStartBound.
 func lateStarts(bookedAt monoclock.Nanos, booked []time.Duration) []Violation {
 	late, worst := 0, time.Duration(0)
 	for _, delay := range booked {
@@ -87,30 +88,32 @@
 	return []Violation{{P13, "booked", text, []monoclock.Nanos{bookedAt}}}
 }
 
+// compareBursts reports a booked burst that is not bookedSpeedup times faster than the
+// unbooked one at burstPercentile.
 func compareBursts(bookedAt monoclock.Nanos, booked, unbooked []time.Duration) []Violation {
 	if len(unbooked) == 0 {
 		return []Violation{{P13, "unbooked", "no task without a booking was accepted to compare with", []monoclock.Nanos{bookedAt}}}
 	}
-	own, other := nearestRank(booked, burstPercent), nearestRank(unbooked, burstPercent)
-	if own*bookedShare <= other {
+	bookedDelay, unbookedDelay := nearestRank(booked, burstPercentile), nearestRank(unbooked, burstPercentile)
+	if bookedDelay*bookedSpeedup <= unbookedDelay {
 		return nil
 	}
-	text := fmt.Sprintf("99 of 100 booked tasks started within %v, without a booking within %v: not a tenth", own, other)
+	text := fmt.Sprintf("99 of 100 booked tasks started within %v, without a booking within %v: not a tenth", bookedDelay, unbookedDelay)
 	return []Violation{{P13, "booked", text, []monoclock.Nanos{bookedAt}}}
 }
 
-// checkReservedCapacity (P13): when booked work must have started, the work of other
-// queues that may not be preempted leaves capacity for all slices.
+// checkReservedCapacity (P13): bookedStartBound after the booked moment,
+// non-preemptible work of other queues leaves capacity for all slices of the booking.
 func (f *facts) checkReservedCapacity(bookedAt monoclock.Nanos) []Violation {
 	queue, booking := f.bookingAt(bookedAt)
 	if booking == nil {
 		return []Violation{{P13, "booked", "no configuration with a booking was acknowledged before the moment", []monoclock.Nanos{bookedAt}}}
 	}
 	at := bookedAt.Add(bookedStartBound)
-	taken := f.committedCapacity(queue, at)
+	used := f.committedCapacity(queue, at)
 	slots := 0
 	for _, worker := range f.input.Workers {
-		slots += slicesThatFit(worker.Capacity.Sub(taken[worker.Name]), booking.Slice)
+		slots += slicesThatFit(worker.Capacity.Sub(used[worker.Name]), booking.Slice)
 	}
 	if slots >= booking.Slots {
 		return nil
@@ -119,8 +122,8 @@
 	return []Violation{{P13, queue + "/" + booking.Name, text, []monoclock.Nanos{at}}}
 }
 
-// bookingAt returns the first booking, with its queue, of the configuration that was
-// acknowledged last before a time; nil if it has none.
+// bookingAt returns the first booking, with its queue, of the highest configuration
+// version acknowledged by a time; nil if that configuration has none.
 func (f *facts) bookingAt(at monoclock.Nanos) (string, *api.BookingConfig) {
 	var queue string
 	var booking *api.BookingConfig
@@ -142,24 +145,24 @@
 	return "", nil
 }
 
-// committedCapacity returns, by worker, what the runs of other queues that may not be
-// preempted use at a time.
+// committedCapacity returns, by worker, the resources that non-preemptible runs of
+// other queues use at a time.
 func (f *facts) committedCapacity(queue string, at monoclock.Nanos) map[string]api.Resources {
-	taken := map[string]api.Resources{}
-	for _, one := range f.runs {
-		spec := f.spec(one.name)
-		if one.Mono > at || one.endedBy <= at || spec.Preemptible || f.jobs[one.name.Job].spec.Queue == queue {
+	used := map[string]api.Resources{}
+	for _, taskRun := range f.runs {
+		spec := f.spec(taskRun.name)
+		if taskRun.Mono > at || taskRun.endedBy <= at || spec.Preemptible || f.jobs[taskRun.name.Job].spec.Queue == queue {
 			continue
 		}
-		taken[one.Worker] = taken[one.Worker].Add(spec.Resources)
+		used[taskRun.Worker] = used[taskRun.Worker].Add(spec.Resources)
 	}
-	return taken
+	return used
 }
 
 // slicesThatFit returns how many slices fit into a capacity.
 func slicesThatFit(capacity, slice api.Resources) int {
 	slots := 0
-	for used := slice; used.Fits(capacity); used = used.Add(slice) {
+	for total := slice; total.Fits(capacity); total = total.Add(slice) {
 		slots++
 	}
 	return slots
--- a/testbed/checker/cases_faults_test.go
+++ b/testbed/checker/cases_faults_test.go
@@ -5,13 +5,14 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// faultCases are the cases of faults: service, gangs, unreachable workers, freezes and stale tokens.
+// faultCases are the cases of faults: service gaps, gangs, unreachable workers, freezes
+// and stale tokens.
 func faultCases() []violationCase {
 	return []violationCase{
 		{
-			"no service after a majority was back", P10,
-			func(f *fixture) { gap(f, 7900) },
-			func(f *fixture) { gap(f, 8100) },
+			"no service after a majority was connected again", P10,
+			func(f *fixture) { submitOnce(f, 7900) },
+			func(f *fixture) { submitOnce(f, 8100) },
 		},
 		{
 			"a run of a partitioned worker that starts elsewhere too late", P11,
@@ -24,39 +25,39 @@
 			func(f *fixture) { partitionWorker(f, 2300, 2800) },
 		},
 		{
-			"a run of a worker reachable again only after its start elsewhere", P11,
-			func(f *fixture) { reachableAgain(f, 2700) },
-			func(f *fixture) { reachableAgain(f, 1400) },
+			"a run that starts elsewhere too early, before its worker is reachable again", P11,
+			func(f *fixture) { partitionWorkerUntil(f, 2700) },
+			func(f *fixture) { partitionWorkerUntil(f, 1400) },
 		},
 		{
-			"a run stopped as the worker was reachable again that starts elsewhere at once", P11,
-			func(f *fixture) { reachableAgain(f, 2601) },
-			func(f *fixture) { reachableAgain(f, 2550) },
+			"a run that starts elsewhere too early, 1 ms before its worker is reachable again", P11,
+			func(f *fixture) { partitionWorkerUntil(f, 2601) },
+			func(f *fixture) { partitionWorkerUntil(f, 2550) },
 		},
 		{
-			"a failure that cannot have been reported, retried too early", P11,
-			func(f *fixture) { unreportedEnd(f, api.OutcomeFailed, 1500) },
-			func(f *fixture) { unreportedEnd(f, api.OutcomeFailed, 2800) },
+			"a failure that the worker could not report, retried too early", P11,
+			func(f *fixture) { endRunIsolated(f, api.OutcomeFailed, 1500) },
+			func(f *fixture) { endRunIsolated(f, api.OutcomeFailed, 2800) },
 		},
 		{
-			"a stop that cannot have been reported, and a start elsewhere too early", P11,
-			func(f *fixture) { unreportedEnd(f, api.OutcomeStopped, 1500) },
-			func(f *fixture) { unreportedEnd(f, api.OutcomeStopped, 2800) },
+			"a stop that the worker could not report, and a start elsewhere too early", P11,
+			func(f *fixture) { endRunIsolated(f, api.OutcomeStopped, 1500) },
+			func(f *fixture) { endRunIsolated(f, api.OutcomeStopped, 2800) },
 		},
 		{
-			"a failure after the agent had ended, tried again too early", P11,
-			func(f *fixture) { endedBehind(f, "agent-1", 700, 1500) },
-			func(f *fixture) { endedBehind(f, "agent-1", 700, 3300) },
+			"a failure after the agent exited, retried too early", P11,
+			func(f *fixture) { failAroundTermination(f, "agent-1", 700, 1500) },
+			func(f *fixture) { failAroundTermination(f, "agent-1", 700, 3300) },
 		},
 		{
-			"a failure while the agent ends, tried again at once", P11,
-			func(f *fixture) { endedBehind(f, "agent-1", 890, 1500) },
-			func(f *fixture) { endedBehind(f, "agent-1", 1100, 1500) },
+			"a failure while the agent terminates, retried at once", P11,
+			func(f *fixture) { failAroundTermination(f, "agent-1", 890, 1500) },
+			func(f *fixture) { failAroundTermination(f, "agent-1", 1100, 1500) },
 		},
 		{
-			"a failure behind an agent that was killed, tried again too early", P11,
-			func(f *fixture) { killedBehind(f, 1500) },
-			func(f *fixture) { killedBehind(f, 2800) },
+			"a failure after the agent was killed, retried too early", P11,
+			func(f *fixture) { failBehindKilledAgent(f, 1500) },
+			func(f *fixture) { failBehindKilledAgent(f, 2800) },
 		},
 		{
 			"a run of a partitioned worker that does not stop", P1,
@@ -69,29 +70,29 @@
 			func(f *fixture) { exitAndRestart(f, 2900) },
 		},
 		{
-			"a run that is not started elsewhere once a majority is back", P11,
+			"a run that is not started elsewhere once a majority is connected again", P11,
 			func(f *fixture) { loseWorkerAndLeader(f, 21_100) },
 			func(f *fixture) { loseWorkerAndLeader(f, 20_900) },
 		},
 		{
-			"a frozen worker that goes on when it resumes", P1,
-			func(f *fixture) { frozenWorker(f, api.OutcomeStopped, 11_500) },
-			func(f *fixture) { frozenWorker(f, api.OutcomeStopped, 10_900) },
+			"a frozen worker that continues its run when it resumes", P1,
+			func(f *fixture) { freezeWorker(f, api.OutcomeStopped, 11_500) },
+			func(f *fixture) { freezeWorker(f, api.OutcomeStopped, 10_900) },
 		},
 		{
-			"a frozen worker that ends its task when it resumes", P1,
-			func(f *fixture) { frozenWorker(f, api.OutcomeSucceeded, 10_300) },
-			func(f *fixture) { frozenWorker(f, api.OutcomeStopped, 10_300) },
+			"a frozen worker whose task succeeds when it resumes", P1,
+			func(f *fixture) { freezeWorker(f, api.OutcomeSucceeded, 10_300) },
+			func(f *fixture) { freezeWorker(f, api.OutcomeStopped, 10_300) },
 		},
 		{
-			"a resumed scheduler's assignment", P12,
-			func(f *fixture) { resumedScheduler(f, 19_000, 20_200) },
-			func(f *fixture) { resumedScheduler(f, 19_000, 20_050) },
+			"an assignment of a resumed scheduler", P12,
+			func(f *fixture) { freezeScheduler(f, 19_000, 20_200) },
+			func(f *fixture) { freezeScheduler(f, 19_000, 20_050) },
 		},
 		{
-			"a gang member alone", P9,
-			func(f *fixture) { group(f, 6000) },
-			func(f *fixture) { group(f, 4000) },
+			"a gang member that runs alone", P9,
+			func(f *fixture) { runGang(f, 6000) },
+			func(f *fixture) { runGang(f, 4000) },
 		},
 		{
 			"no service", P10,
@@ -100,89 +101,93 @@
 		},
 		{
 			"a lost run that is not started elsewhere", P11,
-			func(f *fixture) { lostRun(f, 6500) },
-			func(f *fixture) { lostRun(f, 6100) },
+			func(f *fixture) { loseRun(f, 6500) },
+			func(f *fixture) { loseRun(f, 6100) },
 		},
 		{
-			"a run stopped behind an unreachable agent that is not started elsewhere", P11,
-			func(f *fixture) { unreachableAgent(f, 6500) },
-			func(f *fixture) { unreachableAgent(f, 6100) },
+			"a run stopped after its agent exited that is not started elsewhere", P11,
+			func(f *fixture) { exitAgent(f, 6500) },
+			func(f *fixture) { exitAgent(f, 6100) },
 		},
 		{
 			"an assignment under a stale token", P12,
-			func(f *fixture) { staleToken(f, 3700) },
-			func(f *fixture) { staleToken(f, 3000) },
+			func(f *fixture) { startUnderStaleToken(f, 3700) },
+			func(f *fixture) { startUnderStaleToken(f, 3000) },
 		},
 	}
 }
 
-// gap is a load of 20 s with its only accepted submit at its start.
-func gap(f *fixture, majorityBack int64) {
+// submitOnce makes a load of 20 s with one accepted submission, at its start. Two of
+// three schedulers are down until majorityBack.
+func submitOnce(f *fixture, majorityBack int64) {
 	f.LoadTo = at(20_000)
-	f.twoDown(500, majorityBack)
+	f.stopTwoSchedulers(500, majorityBack)
 	f.submit("j", 10, task())
 	f.succeed("j/s/0", "one", 1, 150, 200)
 	f.poll("j", 300, api.StateSucceeded)
 }
 
-// partitionWorker partitions a worker from its agent. Its run is stopped when the
-// lease expires, or lost.
-func partitionWorker(f *fixture, stopped, again int64) {
+// partitionWorker partitions a worker from its agent. Its run ends as stopped at stop,
+// and the task starts on another worker at restart.
+func partitionWorker(f *fixture, stop, restart int64) {
 	f.submit("j", 10, task())
-	f.run("j/s/0", "one", 1, 100, stopped, api.OutcomeStopped)
-	f.link("agent-1", "one", 200, calllog.ActionPartition)
-	f.link("agent-1", "one", 12_000, calllog.ActionHeal)
-	f.succeed("j/s/0", "two", 2, again, again+100)
+	f.run("j/s/0", "one", 1, 100, stop, api.OutcomeStopped)
+	f.linkFault("agent-1", "one", 200, calllog.ActionPartition)
+	f.linkFault("agent-1", "one", 12_000, calllog.ActionHeal)
+	f.succeed("j/s/0", "two", 2, restart, restart+100)
 	f.poll("j", 9000, api.StateSucceeded)
 }
 
-// reachableAgain partitions a worker from its agent until some time. Its run is
-// stopped before its lease expires and started elsewhere.
-func reachableAgain(f *fixture, healed int64) {
+// partitionWorkerUntil partitions a worker from its agent until healed. The run is
+// stopped before a complete lease has passed, and the task starts on another worker.
+func partitionWorkerUntil(f *fixture, healed int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, 2300, api.OutcomeStopped)
-	f.link("agent-1", "one", 200, calllog.ActionPartition)
-	f.link("agent-1", "one", healed, calllog.ActionHeal)
+	f.linkFault("agent-1", "one", 200, calllog.ActionPartition)
+	f.linkFault("agent-1", "one", healed, calllog.ActionHeal)
 	f.succeed("j/s/0", "two", 2, 2600, 2700)
 	f.poll("j", 9000, api.StateSucceeded)
 }
 
-// unreportedEnd has a run end while its worker is isolated, and the task start
-// elsewhere.
-func unreportedEnd(f *fixture, outcome api.Outcome, again int64) {
+// endRunIsolated ends a run while its worker cannot send to its agent, and starts the
+// task on another worker at restart.
+func endRunIsolated(f *fixture, outcome api.Outcome, restart int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, 1000, outcome)
-	f.link("one", "agent-1", 200, calllog.ActionPartition)
-	f.link("one", "agent-1", 12_000, calllog.ActionHeal)
-	f.succeed("j/s/0", "two", 2, again, again+100)
+	f.linkFault("one", "agent-1", 200, calllog.ActionPartition)
+	f.linkFault("one", "agent-1", 12_000, calllog.ActionHeal)
+	f.succeed("j/s/0", "two", 2, restart, restart+100)
 	f.poll("j", 9000, api.StateSucceeded)
 }
 
-// endedBehind has a process told to end, which it does later, and a run fail on
-// the worker one and start again elsewhere.
-func endedBehind(f *fixture, process string, exit, again int64) {
+// failAroundTermination sends a process a termination signal, after which it exits at
+// exit. A run fails on the worker "one", and the task starts on another worker at
+// restart.
+func failAroundTermination(f *fixture, process string, exit, restart int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, 1000, api.OutcomeFailed)
 	f.fault(process, 200, calllog.ActionTerminate)
 	f.fault(process, exit, calllog.ActionExit)
 	f.fault(process, 12_000, calllog.ActionStart)
-	f.succeed("j/s/0", "two", 2, again, again+100)
+	f.succeed("j/s/0", "two", 2, restart, restart+100)
 	f.poll("j", 9000, api.StateSucceeded)
 }
 
-// killedBehind has the agent killed, and seen to be gone later.
-func killedBehind(f *fixture, again int64) {
+// failBehindKilledAgent kills the agent of a worker whose run then fails. The exit of
+// the agent is recorded only after that failure.
+func failBehindKilledAgent(f *fixture, restart int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, 1000, api.OutcomeFailed)
 	f.fault("agent-1", 200, calllog.ActionKill)
 	f.fault("agent-1", 1400, calllog.ActionExit)
 	f.fault("agent-1", 12_000, calllog.ActionStart)
-	f.succeed("j/s/0", "two", 2, again, again+100)
+	f.succeed("j/s/0", "two", 2, restart, restart+100)
 	f.poll("j", 9000, api.StateSucceeded)
 }
 
-// frozenWorker has a run's worker frozen for 10 s while the task runs elsewhere.
-func frozenWorker(f *fixture, outcome api.Outcome, ended int64) {
+// freezeWorker freezes the worker of a run for 10 s while the task runs on another
+// worker.
+func freezeWorker(f *fixture, outcome api.Outcome, ended int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, ended, outcome)
 	f.fault("one", 200, calllog.ActionFreeze)
@@ -191,22 +196,23 @@
 	f.poll("j", 12_000, api.StateSucceeded)
 }
 
-func exitAndRestart(f *fixture, again int64) {
+func exitAndRestart(f *fixture, restart int64) {
 	f.submit("j", 10, task())
 	f.start("j/s/0", "one", 1, 100)
 	f.fault("one", 300, calllog.ActionExit)
-	f.succeed("j/s/0", "two", 2, again, again+100)
-	f.poll("j", again+500, api.StateSucceeded)
+	f.succeed("j/s/0", "two", 2, restart, restart+100)
+	f.poll("j", restart+500, api.StateSucceeded)
 }
 
-// loseWorkerAndLeader makes a worker and two schedulers unreachable.
-func loseWorkerAndLeader(f *fixture, again int64) {
-	f.twoDown(300, 9000)
-	exitAndRestart(f, again)
+// loseWorkerAndLeader makes a worker and two of three schedulers exit.
+func loseWorkerAndLeader(f *fixture, restart int64) {
+	f.stopTwoSchedulers(300, 9000)
+	exitAndRestart(f, restart)
 }
 
-// resumedScheduler has a scheduler frozen for 20 s while token 2 comes into use.
-func resumedScheduler(f *fixture, firstUse, start int64) {
+// freezeScheduler freezes a scheduler for 20 s. Token 2 is first used at firstUse, and
+// a task starts under token 1 at start.
+func freezeScheduler(f *fixture, firstUse, start int64) {
 	f.Schedulers = []string{"s1", "s2", "s3"}
 	f.submit("j", 10, task(), task())
 	f.fault("s1", 100, calllog.ActionFreeze)
@@ -217,30 +223,30 @@
 	f.poll("j", 22_000, api.StateSucceeded)
 }
 
-func group(f *fixture, second int64) {
+func runGang(f *fixture, second int64) {
 	f.submit("j", 10, task(), task()).Steps[0].Together = true
 	f.succeed("j/s/0", "one", 1, 100, 7000)
 	f.succeed("j/s/1", "two", 1, second, 7000)
 	f.poll("j", 8000, api.StateSucceeded)
 }
 
-func lostRun(f *fixture, again int64) {
+func loseRun(f *fixture, restart int64) {
 	f.submit("j", 10, task())
 	f.start("j/s/0", "one", 1, 100)
 	f.fault("one", 200, calllog.ActionExit)
-	f.succeed("j/s/0", "two", 2, again, again+100)
+	f.succeed("j/s/0", "two", 2, restart, restart+100)
 	f.poll("j", 8000, api.StateSucceeded)
 }
 
-func unreachableAgent(f *fixture, again int64) {
+func exitAgent(f *fixture, restart int64) {
 	f.submit("j", 10, task())
 	f.run("j/s/0", "one", 1, 100, 3200, api.OutcomeStopped)
 	f.fault("agent-1", 200, calllog.ActionExit)
-	f.succeed("j/s/0", "two", 2, again, again+100)
+	f.succeed("j/s/0", "two", 2, restart, restart+100)
 	f.poll("j", 8000, api.StateSucceeded)
 }
 
-func staleToken(f *fixture, start int64) {
+func startUnderStaleToken(f *fixture, start int64) {
 	f.submit("j", 10, task(), task())
 	f.succeed("j/s/0", "one", 1, 100, 200)
 	f.Events[0].Token, f.Events[1].Token = 2, 2
--- a/testbed/checker/cases_jobs_test.go
+++ b/testbed/checker/cases_jobs_test.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// jobCases are the cases of jobs: what ran and what callers were shown.
+// jobCases are the cases of jobs: which tasks ran and what callers were shown.
 func jobCases() []violationCase {
 	return []violationCase{
 		{
@@ -16,7 +16,7 @@
 			func(*fixture) {},
 		},
 		{
-			"two runs at once", P1,
+			"two overlapping runs", P1,
 			func(f *fixture) {
 				f.submit("j", 10, task())
 				f.run("j/s/0", "one", 1, 100, 300, api.OutcomeStopped)
@@ -31,7 +31,7 @@
 			},
 		},
 		{
-			"a run without an end beside another", P1,
+			"a run without an end event that overlaps another", P1,
 			func(f *fixture) {
 				f.submit("j", 10, task())
 				f.start("j/s/0", "one", 1, 100)
@@ -80,21 +80,21 @@
 			},
 		},
 		{
-			"a task until cancelled that is shown as succeeded", P2,
+			"a task that runs until cancelled, shown as succeeded", P2,
 			func(f *fixture) {
-				f.submit("j", 10, untilCancelled())
+				f.submit("j", 10, untilCancelledTask())
 				f.succeed("j/s/0", "one", 1, 100, 200)
 				f.poll("j", 300, api.StateSucceeded)
 			},
 			func(f *fixture) {
-				f.submit("j", 10, untilCancelled())
+				f.submit("j", 10, untilCancelledTask())
 				f.succeed("j/s/0", "one", 1, 100, 200)
 				for run := range uint32(5) {
 					from := int64(300 + 100*run)
 					f.run("j/s/0", "one", 2+run, from, from+50, api.OutcomeFailed)
 				}
 				f.succeed("j/s/0", "one", 7, 900, 950)
-				f.entry(calllog.KindCancel, 1000, calllog.Entry{JobID: "j"})
+				f.addEntry(calllog.KindCancel, 1000, calllog.Entry{JobID: "j"})
 				f.poll("j", 1100, api.StateCancelled)
 			},
 		},
@@ -105,7 +105,7 @@
 				f.poll("j", 500, api.StateRunning)
 			},
 			func(f *fixture) {
-				f.entry(calllog.KindSubmit, 10, calllog.Entry{JobID: "j", Spec: &api.JobSpec{}, Code: api.CodeOverLimit})
+				f.addEntry(calllog.KindSubmit, 10, calllog.Entry{JobID: "j", Spec: &api.JobSpec{}, Code: api.CodeOverLimit})
 			},
 		},
 		{
@@ -142,9 +142,9 @@
 			},
 		},
 		{
-			"a state that could not be read once a majority was back", P2,
-			func(f *fixture) { slowRead(f, 15_200) },
-			func(f *fixture) { slowRead(f, 14_900) },
+			"a state that could not be read once a majority was connected again", P2,
+			func(f *fixture) { readAcrossOutage(f, 15_200) },
+			func(f *fixture) { readAcrossOutage(f, 14_900) },
 		},
 		{
 			"a job wrongly shown as cancelled", P2,
@@ -154,7 +154,7 @@
 			},
 			func(f *fixture) {
 				f.submit("j", 10, task())
-				f.entry(calllog.KindCancel, 400, calllog.Entry{JobID: "j"})
+				f.addEntry(calllog.KindCancel, 400, calllog.Entry{JobID: "j"})
 				f.poll("j", 500, api.StateCancelled)
 			},
 		},
@@ -184,15 +184,15 @@
 			},
 		},
 		{
-			"a forgotten job", P2,
+			"an accepted job answered as not found", P2,
 			func(f *fixture) {
 				f.submit("j", 10, task())
-				f.entry(calllog.KindPoll, 100, calllog.Entry{JobID: "j", Code: api.CodeNotFound, Error: "not found"})
+				f.addEntry(calllog.KindPoll, 100, calllog.Entry{JobID: "j", Code: api.CodeNotFound, Error: "not found"})
 				f.succeed("j/s/0", "one", 1, 150, 200)
 				f.poll("j", 300, api.StateSucceeded)
 			},
 			func(f *fixture) {
-				f.entry(calllog.KindPoll, 5, calllog.Entry{JobID: "j", Code: api.CodeNotFound, Error: "not found"})
+				f.addEntry(calllog.KindPoll, 5, calllog.Entry{JobID: "j", Code: api.CodeNotFound, Error: "not found"})
 				f.submit("j", 10, task())
 				f.succeed("j/s/0", "one", 1, 150, 200)
 				f.poll("j", 300, api.StateSucceeded)
@@ -214,7 +214,7 @@
 			},
 		},
 		{
-			"a resend that is answered as new", P2,
+			"a resent job answered as new", P2,
 			func(f *fixture) {
 				f.submit("j", 10, task())
 				f.submit("j", 100, task())
@@ -223,7 +223,7 @@
 			},
 			func(f *fixture) {
 				f.submit("j", 10, task())
-				f.entry(calllog.KindSubmit, 100, calllog.Entry{JobID: "j", Resend: true})
+				f.addEntry(calllog.KindSubmit, 100, calllog.Entry{JobID: "j", Resend: true})
 				f.succeed("j/s/0", "one", 1, 150, 200)
 				f.poll("j", 300, api.StateSucceeded)
 			},
@@ -231,10 +231,12 @@
 	}
 }
 
-func slowRead(f *fixture, answered int64) {
-	f.twoDown(500, 2990)
+// readAcrossOutage polls a job just before two of three schedulers exit; the answer
+// comes at answered.
+func readAcrossOutage(f *fixture, answered int64) {
+	f.stopTwoSchedulers(500, 2990)
 	f.submit("j", 10, task())
 	f.succeed("j/s/0", "one", 1, 150, 200)
-	f.entry(calllog.KindPoll, answered, calllog.Entry{JobID: "j", State: api.StateSucceeded})
+	f.addEntry(calllog.KindPoll, answered, calllog.Entry{JobID: "j", State: api.StateSucceeded})
 	f.Entries[len(f.Entries)-1].Sent = at(490)
 }
--- a/testbed/checker/cases_tasks_test.go
+++ b/testbed/checker/cases_tasks_test.go
@@ -7,7 +7,8 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// taskCases are the cases of tasks: failures, order, placement, cancellations and drains.
+// taskCases are the cases of tasks: failures, order, placement, cancellations and
+// drains.
 func taskCases() []violationCase {
 	return []violationCase{
 		{
@@ -16,66 +17,68 @@
 			func(f *fixture) { failTwice(f, 3, api.OutcomeFailed) },
 		},
 		{
-			"a lost run counts as no failure", P3,
+			"a stopped run does not count as a failure", P3,
 			func(f *fixture) { failTwice(f, 1, api.OutcomeFailed) },
 			func(f *fixture) { failTwice(f, 1, api.OutcomeStopped) },
 		},
 		{
-			"a step before the one it waits on", P4,
-			func(f *fixture) { twoSteps(f, 150) },
-			func(f *fixture) { twoSteps(f, 200) },
+			"a step that starts before the step it depends on succeeded", P4,
+			func(f *fixture) { runTwoSteps(f, 150) },
+			func(f *fixture) { runTwoSteps(f, 200) },
 		},
 		{
-			"a timed task too early", P4,
-			func(f *fixture) { timed(f, 700) },
-			func(f *fixture) { timed(f, 760) },
+			"a timed task that starts too early", P4,
+			func(f *fixture) { runTimed(f, 700) },
+			func(f *fixture) { runTimed(f, 760) },
 		},
 		{
-			"an overfilled worker", P5,
-			func(f *fixture) { threeAtOnce(f, "one") },
-			func(f *fixture) { threeAtOnce(f, "two") },
+			"a worker over its capacity", P5,
+			func(f *fixture) { runThree(f, "one") },
+			func(f *fixture) { runThree(f, "two") },
 		},
 		{
-			"a worker overfilled until a run ends", P5,
-			func(f *fixture) { startAtEnd(f, 199) },
-			func(f *fixture) { startAtEnd(f, 200) },
+			"a worker over its capacity until a run ends", P5,
+			func(f *fixture) { startNearEnd(f, 199) },
+			func(f *fixture) { startNearEnd(f, 200) },
 		},
 		{
 			"a service that the worker does not offer", P5,
-			func(f *fixture) { placed(f, api.TaskSpec{Service: "other"}) },
-			func(f *fixture) { placed(f, api.TaskSpec{Service: "swap"}) },
+			func(f *fixture) { runOnWorkerOne(f, api.TaskSpec{Service: "other"}) },
+			func(f *fixture) { runOnWorkerOne(f, api.TaskSpec{Service: "swap"}) },
 		},
 		{
-			"a label that the worker has not", P5,
-			func(f *fixture) { placed(f, api.TaskSpec{Service: "swap", Labels: map[string]string{"rack": "b"}}) },
+			"a label that the worker does not have", P5,
 			func(f *fixture) {
-				placed(f, api.TaskSpec{Service: "swap", Labels: map[string]string{"rack": "a", "zone": "zone-1"}})
+				runOnWorkerOne(f, api.TaskSpec{Service: "swap", Labels: map[string]string{"rack": "b"}})
+			},
+			func(f *fixture) {
+				runOnWorkerOne(f, api.TaskSpec{Service: "swap", Labels: map[string]string{"rack": "a", "zone": "zone-1"}})
 			},
 		},
 		{
-			"a spread rule", P5,
-			func(f *fixture) { spreadOver(f, "one") },
-			func(f *fixture) { spreadOver(f, "two") },
+			"more runs in a domain than the spread rule allows", P5,
+			func(f *fixture) { runSpread(f, "one") },
+			func(f *fixture) { runSpread(f, "two") },
 		},
 		{
-			"a start after a cancellation", P6,
-			func(f *fixture) { cancelled(f, 3600, 3700) },
-			func(f *fixture) { cancelled(f, 3400, 3500) },
+			"a start too long after a cancellation", P6,
+			func(f *fixture) { runAfterCancel(f, 3600, 3700) },
+			func(f *fixture) { runAfterCancel(f, 3400, 3500) },
 		},
 		{
-			"a run long after a cancellation", P6,
-			func(f *fixture) { cancelled(f, 450, 6000) },
-			func(f *fixture) { cancelled(f, 450, 5000) },
+			"a run that continues too long after a cancellation", P6,
+			func(f *fixture) { runAfterCancel(f, 450, 6000) },
+			func(f *fixture) { runAfterCancel(f, 450, 5000) },
 		},
 		{
 			"a start on a drained worker", P7,
-			func(f *fixture) { drained(f, api.DrainConfig{Workers: []string{"one"}}, 2200) },
-			func(f *fixture) { drained(f, api.DrainConfig{Workers: []string{"one"}}, 2000) },
+			func(f *fixture) { runAfterDrain(f, api.DrainConfig{Workers: []string{"one"}}, 2200) },
+			func(f *fixture) { runAfterDrain(f, api.DrainConfig{Workers: []string{"one"}}, 2000) },
 		},
 		{
 			"a start in an evacuated zone", P7,
-			func(f *fixture) { drained(f, api.DrainConfig{Zones: []string{"zone-1"}}, 5200) },
-			func(f *fixture) { drained(f, api.DrainConfig{Zones: []string{"zone-1"}}, 5000) },
+			func(f *fixture) { runAfterDrain(f, api.DrainConfig{Zones: []string{"zone-1"}}, 5200) },
+			func(f *fixture) { runAfterDrain(f, api.DrainConfig{Zones: []string{"zone-1"}}, 5000) },
 		},
 	}
 }
@@ -90,7 +93,7 @@
 	f.poll("j", 700, api.StateSucceeded)
 }
 
-func twoSteps(f *fixture, second int64) {
+func runTwoSteps(f *fixture, second int64) {
 	spec := f.submit("j", 10, task())
 	spec.Steps = append(spec.Steps, api.StepSpec{Name: "t", After: []string{"s"}, Tasks: []api.TaskSpec{task()}})
 	f.succeed("j/s/0", "one", 1, 100, 200)
@@ -98,14 +101,14 @@
 	f.poll("j", 400, api.StateSucceeded)
 }
 
-func timed(f *fixture, start int64) {
+func runTimed(f *fixture, start int64) {
 	notBefore := time.Unix(1001, 0)
 	f.submit("j", 10, task()).Steps[0].NotBefore = &notBefore
 	f.succeed("j/s/0", "one", 1, start, 1200)
 	f.poll("j", 1300, api.StateSucceeded)
 }
 
-func threeAtOnce(f *fixture, third string) {
+func runThree(f *fixture, third string) {
 	f.submit("j", 10, task(), task(), task())
 	f.succeed("j/s/0", "one", 1, 100, 200)
 	f.succeed("j/s/1", "one", 1, 110, 210)
@@ -113,9 +116,9 @@
 	f.poll("j", 300, api.StateSucceeded)
 }
 
-// startAtEnd fills a worker and starts another task there, about when the first of
-// its runs ends.
-func startAtEnd(f *fixture, start int64) {
+// startNearEnd fills a worker with two runs and starts a third task there at start; the
+// first run ends at 200.
+func startNearEnd(f *fixture, start int64) {
 	f.submit("j", 10, task(), task(), task())
 	f.succeed("j/s/0", "one", 1, 100, 200)
 	f.succeed("j/s/1", "one", 1, 100, 300)
@@ -123,13 +126,13 @@
 	f.poll("j", 400, api.StateSucceeded)
 }
 
-func placed(f *fixture, spec api.TaskSpec) {
+func runOnWorkerOne(f *fixture, spec api.TaskSpec) {
 	f.submit("j", 10, spec)
 	f.succeed("j/s/0", "one", 1, 100, 200)
 	f.poll("j", 300, api.StateSucceeded)
 }
 
-func spreadOver(f *fixture, second string) {
+func runSpread(f *fixture, second string) {
 	spec := task()
 	spec.Spread = &api.Spread{By: api.SpreadByZone}
 	f.submit("j", 10, spec, spec)
@@ -138,16 +141,16 @@
 	f.poll("j", 300, api.StateSucceeded)
 }
 
-func cancelled(f *fixture, from, to int64) {
+func runAfterCancel(f *fixture, from, to int64) {
 	f.submit("j", 10, task())
-	f.entry(calllog.KindCancel, 500, calllog.Entry{JobID: "j"})
+	f.addEntry(calllog.KindCancel, 500, calllog.Entry{JobID: "j"})
 	f.run("j/s/0", "one", 1, from, to, api.OutcomeStopped)
 	f.poll("j", 7000, api.StateCancelled)
 }
 
-func drained(f *fixture, drains api.DrainConfig, start int64) {
+func runAfterDrain(f *fixture, drains api.DrainConfig, start int64) {
 	f.submit("j", 10, task())
-	f.entry(calllog.KindConfigPut, 100, calllog.Entry{OrderID: "o", Version: 2, Config: &api.Config{Drains: drains}})
+	f.addEntry(calllog.KindConfigPut, 100, calllog.Entry{OrderID: "o", Version: 2, Config: &api.Config{Drains: drains}})
 	f.succeed("j/s/0", "one", 1, start, start+100)
 	f.poll("j", 7000, api.StateSucceeded)
 }
--- a/testbed/checker/checker.go
+++ b/testbed/checker/checker.go
@@ -15,83 +15,86 @@
 // Promise is the number of a promise of docs/DESIGN.md, such as "P1".
 type Promise string
 
-// Promises that the checker can see from outside.
+// Promises that can be checked from outside the product.
 const (
-	P1  Promise = "P1"  // no task runs twice at once, nor again after a recorded success
-	P2  Promise = "P2"  // an accepted job is never lost, and its state is readable and right
-	P3  Promise = "P3"  // a task out of allowed failures is not started again
-	P4  Promise = "P4"  // steps start in their order, timed tasks not early
+	P1  Promise = "P1"  // no two runs of a task overlap, and none starts after a recorded success
+	P2  Promise = "P2"  // an accepted job is never lost, and its state is readable and correct
+	P3  Promise = "P3"  // a task that has used up its allowed failures is not started again
+	P4  Promise = "P4"  // steps start in order, and no timed task starts early
 	P5  Promise = "P5"  // a start respects capacity, services, labels and spread rules
 	P6  Promise = "P6"  // a cancelled job starts nothing, and its runs end
 	P7  Promise = "P7"  // a drained worker or zone gets no new task
 	P8  Promise = "P8"  // an acknowledged configuration is in force in time, a rejected one never
-	P9  Promise = "P9"  // members of a gang run together
-	P10 Promise = "P10" // service is back soon after a majority is
-	P11 Promise = "P11" // a task of an unreachable worker starts elsewhere, after its lease
+	P9  Promise = "P9"  // members of a gang run at the same time
+	P10 Promise = "P10" // submissions are accepted again soon after a majority is connected
+	P11 Promise = "P11" // a task of an unreachable worker starts elsewhere, after its lease has expired
 	P12 Promise = "P12" // a resumed scheduler assigns nothing
-	P13 Promise = "P13" // booked work finds its capacity
-	P14 Promise = "P14" // floods do not slow others
+	P13 Promise = "P13" // booked work gets its reserved capacity
+	P14 Promise = "P14" // a flood of submissions does not slow down other work
 )
 
-// Bounds that the promises name.
+// Bounds that the promises state. The constants named default apply where neither
+// the configuration nor the job sets a value.
 const (
-	readBound           = 3 * time.Second
-	earlyStartBound     = 250 * time.Millisecond
-	cancelStartBound    = 3 * time.Second
-	cancelEndBound      = 5 * time.Second
-	workerDrainBound    = 2 * time.Second
-	zoneDrainBound      = 5 * time.Second
-	gangStartBound      = 5 * time.Second
-	serviceGapBound     = 12 * time.Second
-	restartBound        = 6 * time.Second
-	longFreezeBound     = 20 * time.Second
-	defaultLease        = 3 * time.Second
-	defaultDrift        = 300 * time.Millisecond
-	defaultFailures     = 3
-	defaultMaxPerDomain = 1
+	readBound              = 3 * time.Second
+	earlyStartBound        = 250 * time.Millisecond
+	cancelStartBound       = 3 * time.Second
+	cancelEndBound         = 5 * time.Second
+	workerDrainBound       = 2 * time.Second
+	zoneDrainBound         = 5 * time.Second
+	gangStartBound         = 5 * time.Second
+	serviceGapBound        = 12 * time.Second
+	restartBound           = 6 * time.Second
+	longFreezeBound        = 20 * time.Second
+	defaultLease           = 3 * time.Second
+	defaultDriftMargin     = 300 * time.Millisecond
+	defaultAllowedFailures = 3
+	defaultMaxPerDomain    = 1
 )
 
-// Worker is what the checker must know of a worker of the deployment.
+// Worker describes a worker of the deployment.
 type Worker struct {
 	Name     string
 	Zone     string
 	Capacity api.Resources
-	// Services are the names of the services offered, without their handlers.
+	// Services are the names of the services that the worker offers.
 	Services []string
 	Labels   map[string]string
 	// Agent is the process name of the worker's agent.
 	Agent string
 }
 
-// Input is the history of a run: all that the checker goes by.
+// Input is the recorded history of a run of the test bed. The checker uses nothing
+// else.
 type Input struct {
 	Entries []calllog.Entry
 	Events  []eventlog.Event
 	Workers []Worker
-	// Schedulers are the process names of the schedulers. Without any, a majority
-	// counts as present all the time.
+	// Schedulers are the process names of the schedulers. If the list is empty, a
+	// majority counts as present all the time.
 	Schedulers []string
 	// Config is the first configuration.
 	Config api.Config
-	// Anchor maps wall times, such as not_before, to times of the event logs.
+	// Anchor converts wall-clock times, such as not_before, to the monotonic times of
+	// the event logs.
 	Anchor monoclock.Anchor
-	// LoadFrom and LoadTo bound the time in which callers submitted.
+	// LoadFrom and LoadTo delimit the period in which callers submitted jobs.
 	LoadFrom, LoadTo monoclock.Nanos
 	// EndedAt is the end of the observation.
 	EndedAt monoclock.Nanos
 }
 
-// Violation is one broken promise.
+// Violation is one violation of a promise.
 type Violation struct {
 	Promise Promise `json:"promise"`
-	// Subject is the task, job, worker or order concerned.
+	// Subject is the task, job, worker, process or configuration order concerned.
 	Subject string `json:"subject"`
 	Text    string `json:"text"`
 	// At are the times concerned, in the order in which Text names them.
 	At []monoclock.Nanos `json:"at_ns"`
 }
 
-// String returns one line for people.
+// String returns the violation as one line of text.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s %s: %s %v", v.Promise, v.Subject, v.Text, v.At)
 }
@@ -99,24 +102,25 @@
 // Result is the verdict on a history.
 type Result struct {
 	Violations []Violation
-	// DuplicateSuccesses counts second successes of a task whose first one may never
-	// have been acknowledged, because a fault hit its worker or agent around its end.
-	// They break no promise.
+	// DuplicateSuccesses counts the successes of tasks beyond their first one, without
+	// tasks that run until cancelled. A second success violates no promise if the first
+	// may never have been acknowledged because a fault hit its worker or agent around
+	// its end.
 	DuplicateSuccesses int
 	// LongestSubmitGap is the longest time between accepted submissions.
 	LongestSubmitGap time.Duration
-	// LongestServiceGap is the longest time between accepted submissions in which a
+	// LongestServiceGap is the longest time between accepted submissions during which a
 	// majority of the schedulers was connected.
 	LongestServiceGap time.Duration
 	// LongestReplacement is the longest time from when a worker became unreachable to
-	// the start elsewhere of a task that it ran, without tasks that met a time without
-	// a majority.
+	// the next start of a task that it ran. Replacements that overlap a time without a
+	// majority are left out.
 	LongestReplacement time.Duration
 	// LongestStartGap is the longest time between task starts.
 	LongestStartGap time.Duration
 }
 
-// All runs every check. The violations are in the order of their promises and subjects.
+// All runs every check. The violations are sorted by promise, then by subject.
 func All(input Input) Result {
 	f := newFacts(input)
 	result := Result{
--- a/testbed/checker/checker_test.go
+++ b/testbed/checker/checker_test.go
@@ -9,7 +9,8 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// violationCase is a history that one check must report, and a near one that it must not.
+// violationCase is a history that a check must report as a violation, and a similar one
+// that it must not report.
 type violationCase struct {
 	name    string
 	promise Promise
@@ -29,11 +30,11 @@
 			test.violate(f)
 			violations := All(f.Input).Violations
 			if len(violations) == 0 {
-				t.Fatalf("nothing was reported, want %s", test.promise)
+				t.Fatalf("got no violation, want %s", test.promise)
 			}
 			for _, violation := range violations {
 				if violation.Promise != test.promise {
-					t.Errorf("reported %v, want %s only", violation, test.promise)
+					t.Errorf("got violation %v, want %s only", violation, test.promise)
 				}
 			}
 		})
@@ -46,13 +47,15 @@
 			f := newFixture()
 			test.comply(f)
 			for _, violation := range All(f.Input).Violations {
-				t.Errorf("reported %v", violation)
+				t.Errorf("got violation %v, want none", violation)
 			}
 		})
 	}
 }
 
-func TestAll_DuplicateSuccessAfterKillIsCountedApart(t *testing.T) {
+// A worker that exits right after a success may not have reported it, so the task may
+// succeed a second time.
+func TestAll_DuplicateSuccessAfterKillIsNoViolation(t *testing.T) {
 	f := newFixture()
 	f.submit("j", 10, task())
 	f.succeed("j/s/0", "one", 1, 100, 200)
@@ -61,15 +64,17 @@
 	f.poll("j", 5000, api.StateSucceeded)
 	result := All(f.Input)
 	if result.DuplicateSuccesses != 1 || len(result.Violations) != 0 {
-		t.Fatalf("%d duplicates and violations %v, want 1 and none", result.DuplicateSuccesses, result.Violations)
+		t.Fatalf("got %d duplicate successes and violations %v, want 1 and none", result.DuplicateSuccesses, result.Violations)
 	}
 }
 
-func TestAll_EndingWorkerMayReportItsRuns(t *testing.T) {
+// A worker that received a termination signal can still report the end of its run, so
+// the task may start again at once.
+func TestAll_TerminatingWorkerMayReportRunEnd(t *testing.T) {
 	f := newFixture()
-	endedBehind(f, "one", 1700, 1500)
+	failAroundTermination(f, "one", 1700, 1500)
 	for _, violation := range All(f.Input).Violations {
-		t.Errorf("reported %v", violation)
+		t.Errorf("got violation %v, want none", violation)
 	}
 }
 
@@ -79,6 +84,6 @@
 	f.submit("b", 700, task())
 	result := All(f.Input)
 	if result.LongestSubmitGap != 600*time.Millisecond || result.LongestStartGap != time.Second {
-		t.Fatalf("gaps are %v and %v, want 600ms and 1s", result.LongestSubmitGap, result.LongestStartGap)
+		t.Fatalf("got submit gap %v and start gap %v, want 600ms and 1s", result.LongestSubmitGap, result.LongestStartGap)
 	}
 }
--- a/testbed/checker/config.go
+++ b/testbed/checker/config.go
@@ -11,8 +11,8 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// acceptedPuts returns acknowledged configurations, one for each version, in
-// the order of their versions.
+// acceptedPuts returns the acknowledged configuration writes, one for each version,
+// sorted by version.
 func (f *facts) acceptedPuts() []calllog.Entry {
 	var puts []calllog.Entry
 	for _, entry := range f.input.Entries {
@@ -24,8 +24,8 @@
 	return slices.CompactFunc(puts, func(a, b calllog.Entry) bool { return a.Version == b.Version })
 }
 
-// checkConfigOrders (P8): each order id has one version, each version one order id, and
-// an order sent after another's acknowledgement has a higher version.
+// checkConfigOrders (P8): each order id has one version and each version one order id.
+// An order sent after another's acknowledgement has a higher version.
 func (f *facts) checkConfigOrders() []Violation {
 	versionOf := map[string]uint64{}
 	orderOf := map[uint64]string{}
@@ -41,7 +41,7 @@
 		if resent && version != entry.Version {
 			found = append(found, Violation{P8, entry.OrderID, fmt.Sprintf("acknowledged as version %d and as %d", version, entry.Version), at})
 		}
-		if other, taken := orderOf[entry.Version]; taken && other != entry.OrderID {
+		if other, known := orderOf[entry.Version]; known && other != entry.OrderID {
 			found = append(found, Violation{P8, entry.OrderID, fmt.Sprintf("has version %d, as has order %s", entry.Version, other), at})
 		}
 		if !resent && entry.Version <= highest && entry.Sent > highestAt {
@@ -56,12 +56,13 @@
 	return found
 }
 
-// checkConfigReads (P8): the version read never goes back, and the content in force is
-// the one that was acknowledged with that version.
+// checkConfigReads (P8): no read returns a version lower than one that was read or
+// acknowledged before the read was sent, and the content in force is the one
+// acknowledged with that version.
 func (f *facts) checkConfigReads() []Violation {
-	won := map[uint64]string{}
+	acknowledged := map[uint64]string{}
 	for _, put := range f.acceptedPuts() {
-		won[put.Version] = canonical(put.Config)
+		acknowledged[put.Version] = canonical(put.Config)
 	}
 	var highest uint64
 	var highestAt monoclock.Nanos
@@ -71,7 +72,7 @@
 			continue
 		}
 		if entry.Kind == calllog.KindConfigRead {
-			found = append(found, checkRead(entry, won, highest, highestAt)...)
+			found = append(found, checkRead(entry, acknowledged, highest, highestAt)...)
 		}
 		if entry.Version > highest {
 			highest, highestAt = entry.Version, entry.Answered
@@ -80,19 +81,20 @@
 	return found
 }
 
-func checkRead(entry calllog.Entry, won map[uint64]string, highest uint64, highestAt monoclock.Nanos) []Violation {
+func checkRead(entry calllog.Entry, acknowledged map[uint64]string, highest uint64, highestAt monoclock.Nanos) []Violation {
 	var found []Violation
 	subject := fmt.Sprintf("version %d", entry.Version)
 	if entry.Version < highest && entry.Sent > highestAt {
 		found = append(found, Violation{P8, subject, fmt.Sprintf("read after version %d", highest), []monoclock.Nanos{entry.Answered, highestAt}})
 	}
-	if content, known := won[entry.Version]; known && content != canonical(entry.Config) {
+	if content, known := acknowledged[entry.Version]; known && content != canonical(entry.Config) {
 		found = append(found, Violation{P8, subject, "in force with a content other than the one acknowledged", []monoclock.Nanos{entry.Answered}})
 	}
 	return found
 }
 
-// canonical is the text by which configurations are compared, with defaults filled in.
+// canonical returns the JSON text by which configurations are compared, with defaults
+// filled in; empty for nil.
 func canonical(config *api.Config) string {
 	if config == nil {
 		return ""
--- a/testbed/checker/drains.go
+++ b/testbed/checker/drains.go
@@ -8,8 +8,9 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// checkDrains (P7): no task starts on a drained worker after 2 s, or in an evacuated
-// zone after 5 s, until a configuration that ends the drain was sent.
+// checkDrains (P7): once a configuration with a drain was acknowledged, no task starts
+// on a drained worker after 2 s, or in an evacuated zone after 5 s. The check of a
+// configuration ends when the next acknowledged one was sent.
 func (f *facts) checkDrains() []Violation {
 	var found []Violation
 	puts := f.acceptedPuts()
@@ -18,18 +19,20 @@
 		if index+1 < len(puts) {
 			until = puts[index+1].Sent
 		}
-		for _, one := range f.runs {
-			if one.Mono >= until {
+		for _, taskRun := range f.runs {
+			if taskRun.Mono >= until {
 				break
 			}
-			if bound, drained := f.drainBound(one.Worker, put.Config); drained && one.Mono > put.Answered.Add(bound) {
-				found = append(found, Violation{P7, one.Task, "started on " + one.Worker + " although that is drained", []monoclock.Nanos{one.Mono, put.Answered}})
+			if bound, drained := f.drainBound(taskRun.Worker, put.Config); drained && taskRun.Mono > put.Answered.Add(bound) {
+				found = append(found, Violation{P7, taskRun.Task, "started on " + taskRun.Worker + " although that is drained", []monoclock.Nanos{taskRun.Mono, put.Answered}})
 			}
 		}
 	}
 	return found
 }
 
+// drainBound returns the bound for starts on a worker under a configuration, and
+// whether the worker is drained.
 func (f *facts) drainBound(worker string, config *api.Config) (time.Duration, bool) {
 	if config == nil {
 		return 0, false
--- a/testbed/checker/facts.go
+++ b/testbed/checker/facts.go
@@ -12,31 +12,33 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// run is a logged run with the time by which it had surely ended.
+// run is a logged run with the time by which it had certainly ended.
 type run struct {
 	eventlog.Run
 	name eventlog.TaskName
-	// endedBy is the time of the end event, else when its worker exited, else the end
-	// of the observation.
+	// endedBy is the time of the end event. Without an end event it is the exit of the
+	// worker, or the end of the observation if the worker did not exit.
 	endedBy monoclock.Nanos
 	// lost is true if the run has no end event and its worker exited.
 	lost bool
-	// frozen is true if the worker was frozen during the run and stopped it when it
-	// resumed; then endedBy is when it was frozen.
+	// frozen is true if the worker was frozen during the run and stopped the run when
+	// it resumed; endedBy is then the time of the freeze.
 	frozen bool
 }
 
-// jobFacts is all that is known about one job.
+// jobFacts holds what the history contains about one job.
 type jobFacts struct {
 	id   string
 	spec *api.JobSpec
-	// submits, polls and cancels are in the order of their answers.
+	// submits, polls and cancels are sorted by the time of the answer.
 	submits, polls, cancels []calllog.Entry
-	// accepted is the time of the first accepting answer; 0 if there was none.
-	accepted monoclock.Nanos
-	// cancelled is the time of the first accepting answer to a cancellation, cancelSent
-	// when the first cancellation was sent; each is 0 if there was none.
-	cancelled, cancelSent monoclock.Nanos
+	// acceptedAt is the time of the first answer that accepted the job; 0 if there was
+	// none.
+	acceptedAt monoclock.Nanos
+	// cancelledAt is the time of the first answer that accepted a cancellation;
+	// cancelSentAt is when the first cancellation was sent. Each is 0 if there was
+	// none.
+	cancelledAt, cancelSentAt monoclock.Nanos
 }
 
 // lastState returns the last observed state; empty if none was observed.
@@ -50,7 +52,7 @@
 	return state
 }
 
-// step returns the step of that name, or nil.
+// step returns the step with a name, or nil.
 func (j *jobFacts) step(name string) *api.StepSpec {
 	for i := range j.spec.Steps {
 		if j.spec.Steps[i].Name == name {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// task returns the description of a task, or nil.
+// task returns the specification of a task, or nil if the job has no such task.
 func (j *jobFacts) task(name eventlog.TaskName) *api.TaskSpec {
 	step := j.step(name.Step)
 	if step == nil || name.Index < 0 || name.Index >= step.TaskCount() {
@@ -70,39 +72,39 @@
 }
 
 // facts indexes an Input by process, job and task. It is built once for each verdict;
-// the fields that end the struct are caches of methods.
+// the last fields of the struct cache results of methods.
 type facts struct {
 	input   Input
 	workers map[string]Worker
-	// exits and faults are by process name, in the order of time.
+	// exits and faults are by process name, sorted by time.
 	exits, faults map[string][]monoclock.Nanos
 	faultEntries  []calllog.Entry
 	jobs          map[string]*jobFacts
 	jobIDs        []string
-	// runs are in the order of their starts; byTask is the same by task.
+	// runs are sorted by start; byTask holds the same runs by task.
 	runs         []run
 	byTask       map[string][]run
 	unknownTasks []eventlog.Event
-	// noMajority caches withoutMajority, unreachable caches unreachableSpans by worker.
+	// noMajority caches withoutMajority; unreachable caches unreachableSpans by worker.
 	noMajority  []span
 	unreachable map[string][]span
-	// isolated caches isolatedSpans, by worker.
+	// isolated caches isolatedSpans by worker.
 	isolated map[string][]span
-	// uninformed caches what informedSince looks up, by process.
-	uninformed map[string][]span
+	// disconnected caches, by process, the spans that connectedSince searches.
+	disconnected map[string][]span
 }
 
 func newFacts(input Input) *facts {
 	f := &facts{
-		input:       input,
-		workers:     map[string]Worker{},
-		exits:       map[string][]monoclock.Nanos{},
-		faults:      map[string][]monoclock.Nanos{},
-		jobs:        map[string]*jobFacts{},
-		byTask:      map[string][]run{},
-		unreachable: map[string][]span{},
-		isolated:    map[string][]span{},
-		uninformed:  map[string][]span{},
+		input:        input,
+		workers:      map[string]Worker{},
+		exits:        map[string][]monoclock.Nanos{},
+		faults:       map[string][]monoclock.Nanos{},
+		jobs:         map[string]*jobFacts{},
+		byTask:       map[string][]run{},
+		unreachable:  map[string][]span{},
+		isolated:     map[string][]span{},
+		disconnected: map[string][]span{},
 	}
 	f.input.Entries = slices.Clone(input.Entries)
 	slices.SortStableFunc(f.input.Entries, func(a, b calllog.Entry) int { return cmp.Compare(a.Answered, b.Answered) })
@@ -133,8 +135,8 @@
 			job.spec = entry.Spec
 		}
 		job.submits = append(job.submits, entry)
-		if entry.Accepted() && job.accepted == 0 {
-			job.accepted = entry.Answered
+		if entry.Accepted() && job.acceptedAt == 0 {
+			job.acceptedAt = entry.Answered
 		}
 	case calllog.KindPoll:
 		job := f.job(entry.JobID)
@@ -142,11 +144,11 @@
 	case calllog.KindCancel:
 		job := f.job(entry.JobID)
 		job.cancels = append(job.cancels, entry)
-		if job.cancelSent == 0 || entry.Sent < job.cancelSent {
-			job.cancelSent = entry.Sent
+		if job.cancelSentAt == 0 || entry.Sent < job.cancelSentAt {
+			job.cancelSentAt = entry.Sent
 		}
-		if entry.Accepted() && job.cancelled == 0 {
-			job.cancelled = entry.Answered
+		if entry.Accepted() && job.cancelledAt == 0 {
+			job.cancelledAt = entry.Answered
 		}
 	}
 }
@@ -167,16 +169,17 @@
 			f.unknownTasks = append(f.unknownTasks, logged.Event)
 			continue
 		}
-		one := run{Run: logged, name: name}
-		one.endedBy, one.lost = f.endedBy(logged)
-		if since := f.frozenSince(one.Worker, one.Mono, one.End, one.Outcome); since != 0 {
-			one.endedBy, one.frozen = since, true
+		taskRun := run{Run: logged, name: name}
+		taskRun.endedBy, taskRun.lost = f.endedBy(logged)
+		if since := f.frozenSince(taskRun.Worker, taskRun.Mono, taskRun.End, taskRun.Outcome); since != 0 {
+			taskRun.endedBy, taskRun.frozen = since, true
 		}
-		f.runs = append(f.runs, one)
-		f.byTask[one.Task] = append(f.byTask[one.Task], one)
+		f.runs = append(f.runs, taskRun)
+		f.byTask[taskRun.Task] = append(f.byTask[taskRun.Task], taskRun)
 	}
 }
 
+// endedBy returns the values of run.endedBy and run.lost, without regard to freezes.
 func (f *facts) endedBy(logged eventlog.Run) (endedBy monoclock.Nanos, lost bool) {
 	if logged.End != 0 {
 		return logged.End, false
@@ -187,7 +190,7 @@
 	return f.input.EndedAt, false
 }
 
-// spec returns the description of a task that a caller submitted, or nil.
+// spec returns the specification of a task that a caller submitted, or nil.
 func (f *facts) spec(name eventlog.TaskName) *api.TaskSpec {
 	job, found := f.jobs[name.Job]
 	if !found || job.spec == nil {
@@ -196,25 +199,26 @@
 	return job.task(name)
 }
 
-// schedulerLease is how long a worker may run on after its last accepted heartbeat, by
-// the scheduler's reckoning: its lease and the margin for clock drift.
+// schedulerLease is how long after its last accepted heartbeat the scheduler assumes
+// that a worker may still run tasks: the lease and the margin for clock drift.
 func (f *facts) schedulerLease() time.Duration {
 	lease := cmp.Or(f.input.Config.Timings.Hold.Std(), defaultLease)
-	return lease + cmp.Or(f.input.Config.Timings.DriftMargin.Std(), defaultDrift)
+	return lease + cmp.Or(f.input.Config.Timings.DriftMargin.Std(), defaultDriftMargin)
 }
 
-// disturbed reports whether a fault hit the run's worker or its agent so near to a time
-// that a report of that time may never have been acknowledged.
-func (f *facts) disturbed(one run, at monoclock.Nanos) bool {
+// disturbed reports whether, within a scheduler lease of a time, a fault hit the run's
+// worker or its agent or the worker was unreachable. A report sent at that time may
+// never have been acknowledged.
+func (f *facts) disturbed(taskRun run, at monoclock.Nanos) bool {
 	from, to := at.Add(-f.schedulerLease()), at.Add(f.schedulerLease())
-	for _, process := range []string{one.Worker, f.workers[one.Worker].Agent} {
+	for _, process := range []string{taskRun.Worker, f.workers[taskRun.Worker].Agent} {
 		for _, fault := range f.faults[process] {
 			if fault >= from && fault <= to {
 				return true
 			}
 		}
 	}
-	for _, unreachable := range f.unreachableSpans(one.Worker) {
+	for _, unreachable := range f.unreachableSpans(taskRun.Worker) {
 		if unreachable.overlaps(from, to) {
 			return true
 		}
--- a/testbed/checker/failures.go
+++ b/testbed/checker/failures.go
@@ -17,20 +17,22 @@
 		allowed := f.allowedFailures(runs[0].name)
 		failures := 0
 		var last monoclock.Nanos
-		for _, one := range runs {
-			if failures >= allowed && one.Mono > last {
-				text := fmt.Sprintf("run %d started after %d failures of %d allowed", one.Run.Run, failures, allowed)
-				found = append(found, Violation{P3, task, text, []monoclock.Nanos{one.Mono, last}})
+		for _, taskRun := range runs {
+			if failures >= allowed && taskRun.Mono > last {
+				text := fmt.Sprintf("run %d started after %d failures of %d allowed", taskRun.Run.Run, failures, allowed)
+				found = append(found, Violation{P3, task, text, []monoclock.Nanos{taskRun.Mono, last}})
 			}
-			if one.End != 0 && one.Outcome == api.OutcomeFailed && !f.disturbed(one, one.End) {
+			if taskRun.End != 0 && taskRun.Outcome == api.OutcomeFailed && !f.disturbed(taskRun, taskRun.End) {
 				failures++
-				last = max(last, one.End)
+				last = max(last, taskRun.End)
 			}
 		}
 	}
 	return found
 }
 
+// allowedFailures returns the failures allowed by the task, else by its queue, else the
+// default. Tasks that run until cancelled have no limit.
 func (f *facts) allowedFailures(name eventlog.TaskName) int {
 	if f.untilCancelled(name) {
 		return math.MaxInt
@@ -43,5 +45,5 @@
 			return queue.DefaultAllowedFailures
 		}
 	}
-	return defaultFailures
+	return defaultAllowedFailures
 }
--- a/testbed/checker/floods.go
+++ b/testbed/checker/floods.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// floodSlowdown is how much longer ordinary work may wait in a flood.
+	// floodSlowdown is how many times longer ordinary work may wait during a flood.
 	floodSlowdown = 2
-	// floodPercent is the percentile by which the phases are compared.
-	floodPercent = 95
+	// floodPercentile is the percentile of the delays by which the phases are compared.
+	floodPercentile = 95
 )
 
-// FloodPhases returns the beginning and the end of a flood; known is false if there was
+// FloodPhases returns the start and the end of the flood; known is false if there was
 // none.
 func FloodPhases(input Input) (start, end monoclock.Nanos, known bool) {
 	f := newFacts(input)
@@ -24,40 +24,40 @@
 	return start, end, start != 0
 }
 
-// checkFloodAnswers (P14): work that must be rejected gets 422 or 429 with a reason. A
-// 503 with Retry-After is no rejection and breaks nothing. Equal faults are reported
-// once, with their number.
+// checkFloodAnswers (P14): a submission that must be rejected is answered with status
+// 422 or 429 and a reason. A 503 with Retry-After is not a rejection and violates
+// nothing. Equal wrong answers are reported once, with their number.
 func (f *facts) checkFloodAnswers() []Violation {
-	type fault struct {
+	type wrongAnswer struct {
 		class calllog.Class
 		text  string
 	}
-	first := map[fault]monoclock.Nanos{}
-	count := map[fault]int{}
-	var faults []fault
+	firstAt := map[wrongAnswer]monoclock.Nanos{}
+	count := map[wrongAnswer]int{}
+	var wrongAnswers []wrongAnswer
 	for _, entry := range f.input.Entries {
-		text := floodAnswerFault(entry)
+		text := answerProblem(entry)
 		if text == "" {
 			continue
 		}
-		one := fault{entry.Class, text}
-		if count[one] == 0 {
-			faults = append(faults, one)
-			first[one] = entry.Answered
+		answer := wrongAnswer{entry.Class, text}
+		if count[answer] == 0 {
+			wrongAnswers = append(wrongAnswers, answer)
+			firstAt[answer] = entry.Answered
 		}
-		count[one]++
+		count[answer]++
 	}
 	var found []Violation
-	for _, one := range faults {
-		text := fmt.Sprintf("%d submits that must be refused: %s", count[one], one.text)
-		found = append(found, Violation{P14, string(one.class), text, []monoclock.Nanos{first[one]}})
+	for _, answer := range wrongAnswers {
+		text := fmt.Sprintf("%d submits that must be refused: %s", count[answer], answer.text)
+		found = append(found, Violation{P14, string(answer.class), text, []monoclock.Nanos{firstAt[answer]}})
 	}
 	return found
 }
 
-// floodAnswerFault says what is wrong with an answer to work that must be rejected;
-// empty for a right answer and for other work.
-func floodAnswerFault(entry calllog.Entry) string {
+// answerProblem describes what is wrong with the answer to a submission that must be
+// rejected. It is empty for a correct answer and for other entries.
+func answerProblem(entry calllog.Entry) string {
 	if entry.Kind != calllog.KindSubmit || (entry.Class != calllog.ClassImpossible && entry.Class != calllog.ClassOverQuota) {
 		return ""
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-// checkFloodSlowdown (P14): in a flood, ordinary tasks wait at most twice as long as
-// before it.
+// checkFloodSlowdown (P14): during a flood, ordinary tasks wait at most twice as long
+// as before it, at floodPercentile.
 func (f *facts) checkFloodSlowdown() []Violation {
 	start, end := f.milestone(calllog.MilestoneFloodStart), f.milestone(calllog.MilestoneFloodEnd)
 	if start == 0 {
@@ -95,7 +95,7 @@
 		text := fmt.Sprintf("%d tasks before the flood and %d in it: nothing to compare", len(baseline), len(flooded))
 		return []Violation{{P14, "ordinary", text, at}}
 	}
-	before, during := nearestRank(baseline, floodPercent), nearestRank(flooded, floodPercent)
+	before, during := nearestRank(baseline, floodPercentile), nearestRank(flooded, floodPercentile)
 	if during <= floodSlowdown*before {
 		return nil
 	}
@@ -103,8 +103,8 @@
 	return []Violation{{P14, "ordinary", text, at}}
 }
 
-// ordinaryDelays returns the delays of ordinary tasks that became ready from a time on
-// and before another.
+// ordinaryDelays returns the delays of ordinary tasks that became ready at or after
+// from and before until.
 func (f *facts) ordinaryDelays(from, until monoclock.Nanos) []time.Duration {
 	var delays []time.Duration
 	for _, delay := range f.startDelays() {
--- a/testbed/checker/gangs_test.go
+++ b/testbed/checker/gangs_test.go
@@ -7,19 +7,18 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// submitGang submits a gang of two with a common outcome.
+// submitGang submits a gang of two members with a common outcome.
 func (f *fixture) submitGang() {
 	f.submit("j", 10, task(), task()).Steps[0].Lockstep = true
 }
 
-// TestCommonOutcomeGang_IsJudgedAsOne: each case is reported under the promise, or not at
-// all if that is empty.
-func TestCommonOutcomeGang_IsJudgedAsOne(t *testing.T) {
+// Each case is reported under its promise only, or not at all if the promise is empty.
+func TestCommonOutcomeGang_MemberOutcomeCountsForGang(t *testing.T) {
 	cases := map[string]struct {
 		promise Promise
 		observe func(*fixture)
 	}{
-		"the success of one is that of all": {"", func(f *fixture) {
+		"the success of one member counts for all": {"", func(f *fixture) {
 			f.submitGang()
 			f.run("j/s/0", "one", 1, 100, 210, api.OutcomeStopped)
 			f.succeed("j/s/1", "two", 1, 100, 200)
@@ -31,7 +30,7 @@
 			f.run("j/s/1", "two", 1, 100, 200, api.OutcomeStopped)
 			f.poll("j", 300, api.StateSucceeded)
 		}},
-		"a member took no part in the run that succeeded": {P2, func(f *fixture) {
+		"a member did not run under the run number that succeeded": {P2, func(f *fixture) {
 			f.submitGang()
 			f.run("j/s/0", "one", 1, 100, 150, api.OutcomeStopped)
 			f.run("j/s/1", "two", 1, 100, 150, api.OutcomeStopped)
@@ -45,7 +44,7 @@
 			f.run("j/s/0", "one", 2, 5000, 5100, api.OutcomeStopped)
 			f.poll("j", 6000, api.StateSucceeded)
 		}},
-		"two run numbers at once": {P9, func(f *fixture) {
+		"members run under two run numbers at once": {P9, func(f *fixture) {
 			f.submitGang()
 			f.run("j/s/0", "one", 1, 100, 200, api.OutcomeStopped)
 			f.succeed("j/s/1", "two", 1, 100, 400)
@@ -67,14 +66,14 @@
 			f.succeed("j/s/1", "two", 1, 100, 2000)
 			f.poll("j", 2100, api.StateSucceeded)
 		}},
-		"an unreachable member of a gang that did not": {P11, func(f *fixture) {
+		"an unreachable member of a gang that succeeded only after the deadline": {P11, func(f *fixture) {
 			f.submitGang()
 			f.start("j/s/0", "one", 1, 100)
 			f.fault("one", 150, calllog.ActionExit)
 			f.succeed("j/s/1", "two", 1, 100, 8000)
 			f.poll("j", 8100, api.StateSucceeded)
 		}},
-		"members fail in turn, each less often than the gang may": {"", func(f *fixture) {
+		"members fail in turn, each less often than the gang is allowed to": {"", func(f *fixture) {
 			f.submitGang()
 			for number, members := range [][]string{{"j/s/0", "j/s/1"}, {"j/s/1", "j/s/0"}, {"j/s/0", "j/s/1"}} {
 				from := int64(100 + 100*number)
@@ -90,11 +89,11 @@
 			test.observe(f)
 			violations := All(f.Input).Violations
 			if test.promise != "" && len(violations) == 0 {
-				t.Errorf("nothing was reported, want %s", test.promise)
+				t.Errorf("got no violation, want %s", test.promise)
 			}
 			for _, violation := range violations {
 				if violation.Promise != test.promise {
-					t.Errorf("reported %v, want %q only", violation, test.promise)
+					t.Errorf("got violation %v, want %q only", violation, test.promise)
 				}
 			}
 		})
--- a/testbed/checker/gaps.go
+++ b/testbed/checker/gaps.go
@@ -9,7 +9,7 @@
 )
 
 // checkServiceGap (P10): while callers submit and a majority of the schedulers is
-// connected, no 12 s pass without an accepted submission.
+// connected, at most 12 s pass without an accepted submission.
 func (f *facts) checkServiceGap() []Violation {
 	gap := f.longestServiceGap()
 	if gap <= serviceGapBound {
@@ -21,8 +21,9 @@
 
 func (f *facts) longestSubmitGap() time.Duration { return f.longestGap(f.acceptedSubmits()) }
 
-// longestServiceGap leaves out the times without a majority: the time before such a
-// time and the time after it count separately.
+// longestServiceGap returns the longest time between accepted submissions with a
+// majority. A time without a majority divides a gap: the parts before and after it
+// count separately.
 func (f *facts) longestServiceGap() time.Duration {
 	last := f.input.LoadFrom
 	var longest time.Duration
@@ -39,10 +40,10 @@
 // longestWithMajority returns the longest part of a time in which there was a majority.
 func (f *facts) longestWithMajority(from, to monoclock.Nanos) time.Duration {
 	var longest time.Duration
-	for _, none := range f.withoutMajority() {
-		if none.overlaps(from, to) {
-			longest = max(longest, none.from.Sub(from))
-			from = min(to, none.to)
+	for _, outage := range f.withoutMajority() {
+		if outage.overlaps(from, to) {
+			longest = max(longest, outage.from.Sub(from))
+			from = min(to, outage.to)
 		}
 	}
 	return max(longest, to.Sub(from))
@@ -60,14 +61,14 @@
 
 func (f *facts) longestStartGap() time.Duration {
 	var times []monoclock.Nanos
-	for _, one := range f.runs {
-		times = append(times, one.Mono)
+	for _, taskRun := range f.runs {
+		times = append(times, taskRun.Mono)
 	}
 	return f.longestGap(times)
 }
 
-// longestGap returns the longest time without any of the sorted times, within the time
-// of the load.
+// longestGap returns the longest time between neighbours of the sorted times, or
+// between them and the bounds of the load. Times outside the load are ignored.
 func (f *facts) longestGap(times []monoclock.Nanos) time.Duration {
 	var longest time.Duration
 	last := f.input.LoadFrom
--- a/testbed/checker/history_test.go
+++ b/testbed/checker/history_test.go
@@ -14,7 +14,7 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// history is an Input as the corpus stores it.
+// history is an Input in the JSON format of the corpus.
 type history struct {
 	Entries    []calllog.Entry  `json:"entries"`
 	Events     []eventlog.Event `json:"lines"`
@@ -27,16 +27,16 @@
 	EndedAt    monoclock.Nanos  `json:"ended_at_ns"`
 }
 
-// recordedHistory is one line of the corpus: a history and the verdict on it
-// that an earlier version of the checker gave.
+// recordedHistory is one line of the corpus: a history and the verdict that an earlier
+// version of the checker gave on it.
 type recordedHistory struct {
 	Name    string  `json:"name"`
 	History history `json:"history"`
 	Verdict Result  `json:"verdict"`
 }
 
-// readHistories reads the corpus. Each line was written by the checker as it
-// was before the package was renamed.
+// readHistories reads the corpus. The checker wrote its lines before the package was
+// renamed.
 func readHistories(t *testing.T) []recordedHistory {
 	t.Helper()
 	file, err := os.Open(filepath.Join("testdata", "histories.jsonl"))
@@ -48,11 +48,11 @@
 	decoder := json.NewDecoder(file)
 	decoder.DisallowUnknownFields()
 	for decoder.More() {
-		var one recordedHistory
-		if err := decoder.Decode(&one); err != nil {
+		var entry recordedHistory
+		if err := decoder.Decode(&entry); err != nil {
 			t.Fatalf("history %d: %v", len(recorded)+1, err)
 		}
-		recorded = append(recorded, one)
+		recorded = append(recorded, entry)
 	}
 	return recorded
 }
@@ -62,10 +62,10 @@
 	if len(recorded) == 0 {
 		t.Fatal("the corpus is empty")
 	}
-	for _, one := range recorded {
-		t.Run(one.Name, func(t *testing.T) {
-			if difference := cmp.Diff(one.Verdict, All(Input(one.History))); difference != "" {
-				t.Errorf("the verdict differs (-recorded +now):\n%s", difference)
+	for _, entry := range recorded {
+		t.Run(entry.Name, func(t *testing.T) {
+			if difference := cmp.Diff(entry.Verdict, All(Input(entry.History))); difference != "" {
+				t.Errorf("verdict differs (-want +got):\n%s", difference)
 			}
 		})
 	}
--- a/testbed/checker/jobs.go
+++ b/testbed/checker/jobs.go
@@ -10,21 +10,22 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// checkJobsEnd (P2): each accepted job is in a final state at the end, and not wrongly
-// failed or cancelled.
+// checkJobsEnd (P2): each accepted job is in a final state at the end. It is failed
+// only if a task used up its allowed failures, cancelled only if a cancellation was
+// sent, and succeeded only if all of its tasks succeeded.
 func (f *facts) checkJobsEnd() []Violation {
 	var found []Violation
 	for _, id := range f.jobIDs {
 		job := f.jobs[id]
-		if job.accepted == 0 {
+		if job.acceptedAt == 0 {
 			continue
 		}
-		at := []monoclock.Nanos{job.accepted}
+		at := []monoclock.Nanos{job.acceptedAt}
 		state := job.lastState()
 		switch {
 		case !state.Final():
 			found = append(found, Violation{P2, id, fmt.Sprintf("accepted, but its last seen state is %q", state), at})
-		case state == api.StateCancelled && job.cancelSent == 0:
+		case state == api.StateCancelled && job.cancelSentAt == 0:
 			found = append(found, Violation{P2, id, "shown as cancelled, but no one cancelled it", at})
 		case state == api.StateFailed && !f.mayFail(job):
 			found = append(found, Violation{P2, id, "shown as failed, but no task of it failed as often as it may", at})
@@ -35,13 +36,14 @@
 	return found
 }
 
-// mayFail reports whether any task of the job failed as often as it may.
+// mayFail reports whether a task of the job, or the gang of a task, used up the allowed
+// failures.
 func (f *facts) mayFail(job *jobFacts) bool {
 	mayFail := false
 	f.forEachTask(job, func(name eventlog.TaskName) {
 		failures := 0
-		for _, one := range f.byTask[name.String()] {
-			if one.Outcome == api.OutcomeFailed {
+		for _, taskRun := range f.byTask[name.String()] {
+			if taskRun.Outcome == api.OutcomeFailed {
 				failures++
 			}
 		}
@@ -51,14 +53,15 @@
 	return mayFail
 }
 
-// checkSucceeded (P2): a job that was reported as succeeded ran all of its tasks.
+// checkSucceeded (P2): each task of a job that was reported as succeeded has a
+// successful run.
 func (f *facts) checkSucceeded(job *jobFacts) []Violation {
 	var found []Violation
 	for _, step := range job.spec.Steps {
 		for index := range step.TaskCount() {
 			task := fmt.Sprintf("%s/%s/%d", job.id, step.Name, index)
 			if !f.succeeded(task) && !f.gangSucceededWith(task) {
-				found = append(found, Violation{P2, task, "its job is shown as succeeded, but no run of it succeeded", []monoclock.Nanos{job.accepted}})
+				found = append(found, Violation{P2, task, "its job is shown as succeeded, but no run of it succeeded", []monoclock.Nanos{job.acceptedAt}})
 			}
 		}
 	}
@@ -66,17 +69,17 @@
 }
 
 func (f *facts) succeeded(task string) bool {
-	for _, one := range f.byTask[task] {
-		if one.End != 0 && one.Outcome == api.OutcomeSucceeded {
+	for _, taskRun := range f.byTask[task] {
+		if taskRun.End != 0 && taskRun.Outcome == api.OutcomeSucceeded {
 			return true
 		}
 	}
 	return false
 }
 
-// checkStates (P2): a final state never changes, and an accepted job is never unknown.
-// Only polls sent after the earlier answer came are compared, since the order of
-// concurrent ones is not known.
+// checkStates (P2): a final state never changes, and an accepted job is never reported
+// as not found. Only polls sent after the earlier answer came are compared, since the
+// order of concurrent polls is not known.
 func (f *facts) checkStates() []Violation {
 	var found []Violation
 	for _, id := range f.jobIDs {
@@ -84,8 +87,8 @@
 		final := api.State("")
 		var finalAt monoclock.Nanos
 		for _, poll := range job.polls {
-			if poll.Code == api.CodeNotFound && job.accepted != 0 && poll.Sent > job.accepted {
-				found = append(found, Violation{P2, id, "accepted, but answered as not found", []monoclock.Nanos{poll.Answered, job.accepted}})
+			if poll.Code == api.CodeNotFound && job.acceptedAt != 0 && poll.Sent > job.acceptedAt {
+				found = append(found, Violation{P2, id, "accepted, but answered as not found", []monoclock.Nanos{poll.Answered, job.acceptedAt}})
 			}
 			if poll.State == "" {
 				continue
@@ -102,7 +105,7 @@
 	return found
 }
 
-// checkReads (P2): a job's state is readable within 3 s, beyond the time for which the
+// checkReads (P2): a job's state is readable within 3 s, plus the time for which the
 // caller allowed a long poll to wait.
 func (f *facts) checkReads() []Violation {
 	var found []Violation
@@ -121,27 +124,28 @@
 	return found
 }
 
-// readBound is longer for a read that overlaps a time without a majority of the
-// schedulers: service must come back first.
+// readBound returns the longest allowed delay of a read. It is longer than 3 s for a
+// read that overlaps a time without a majority of the schedulers, since service must be
+// restored first.
 func (f *facts) readBound(poll calllog.Entry) time.Duration {
-	for _, none := range f.withoutMajority() {
-		if none.overlaps(poll.Sent, poll.Answered) {
-			return none.to.Sub(none.from) + serviceGapBound
+	for _, outage := range f.withoutMajority() {
+		if outage.overlaps(poll.Sent, poll.Answered) {
+			return outage.to.Sub(outage.from) + serviceGapBound
 		}
 	}
 	return readBound
 }
 
-// checkResends (P2): a job that is submitted again is answered as the same job.
+// checkResends (P2): a job that is submitted again is answered as the existing job.
 func (f *facts) checkResends() []Violation {
 	var found []Violation
 	for _, id := range f.jobIDs {
 		job := f.jobs[id]
 		for _, submit := range job.submits {
-			if job.accepted == 0 || submit.Sent <= job.accepted {
+			if job.acceptedAt == 0 || submit.Sent <= job.acceptedAt {
 				continue
 			}
-			at := []monoclock.Nanos{submit.Answered, job.accepted}
+			at := []monoclock.Nanos{submit.Answered, job.acceptedAt}
 			if submit.Created {
 				found = append(found, Violation{P2, id, "submitted again and answered as new", at})
 			}
--- a/testbed/checker/network.go
+++ b/testbed/checker/network.go
@@ -7,23 +7,24 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// span is the time from one reading of the clock to another, both included.
+// span is the time from one clock reading to another, both included.
 type span struct{ from, to monoclock.Nanos }
 
-// overlaps reports whether the span has a moment in common with the time from one
+// overlaps reports whether the span has a moment in common with the time from one clock
 // reading to another.
 func (s span) overlaps(from, to monoclock.Nanos) bool { return s.from <= to && s.to >= from }
 
-// link is one direction between two processes.
+// link is one direction of the connection between two processes.
 type link struct{ from, to string }
 
 func linkOf(entry calllog.Entry) link { return link{entry.Process, entry.Peer} }
 
-// network is which processes run and which links are open at a moment, by the faults
-// that the test bed injected. Faults of a link are counted, as they may overlap.
+// network is the state of the processes and links at a moment, according to the faults
+// that the test bed injected. Partitions and stalls of a link are counted, as they may
+// overlap.
 type network struct {
-	// down are the processes that ended or were told to; exited are those of them
-	// that surely do nothing any more.
+	// down are the processes that exited, were killed, or were sent a termination
+	// signal; exited are those of them that certainly do nothing any more.
 	down, exited, frozen, wiped map[string]bool
 	partitions                  map[link]int
 }
@@ -35,7 +36,7 @@
 	}
 }
 
-// apply takes one fault into account.
+// apply updates the state with one fault.
 func (n *network) apply(entry calllog.Entry) {
 	switch entry.Action {
 	case calllog.ActionStart:
@@ -59,14 +60,14 @@
 	}
 }
 
-// running reports whether a process runs.
+// running reports whether a process is neither down nor frozen.
 func (n *network) running(process string) bool { return !n.down[process] && !n.frozen[process] }
 
-// canReport reports whether a process may still send something: one that was told to
-// end reports what it stops, until it has ended.
+// canReport reports whether a process may still send something. A process that was sent
+// a termination signal reports the runs that it stops until it has exited.
 func (n *network) canReport(process string) bool { return !n.exited[process] && !n.frozen[process] }
 
-// canVote reports whether a scheduler runs and has kept what it acknowledged.
+// canVote reports whether a scheduler runs and still has the data that it acknowledged.
 func (n *network) canVote(scheduler string) bool { return n.running(scheduler) && !n.wiped[scheduler] }
 
 // connected reports whether data passes in both directions between two processes.
@@ -74,12 +75,13 @@
 	return a == b || (n.partitions[link{a, b}] == 0 && n.partitions[link{b, a}] == 0)
 }
 
-// majority reports whether some scheduler is connected with enough others to lead.
+// majority reports whether some scheduler is connected with enough others to lead. It
+// is true without schedulers.
 func (n *network) majority(schedulers []string) bool {
-	for _, one := range schedulers {
+	for _, candidate := range schedulers {
 		count := 0
 		for _, other := range schedulers {
-			if n.canVote(one) && n.canVote(other) && n.connected(one, other) {
+			if n.canVote(candidate) && n.canVote(other) && n.connected(candidate, other) {
 				count++
 			}
 		}
@@ -90,8 +92,8 @@
 	return len(schedulers) == 0
 }
 
-// reachesMajority reports whether a process is connected with a majority of the
-// schedulers, whether they run or not.
+// reachesMajority reports whether the links between a process and a majority of the
+// schedulers are open, whether the schedulers run or not.
 func (n *network) reachesMajority(process string, schedulers []string) bool {
 	count := 0
 	for _, scheduler := range schedulers {
@@ -102,32 +104,33 @@
 	return 2*count > len(schedulers) || len(schedulers) == 0
 }
 
-// canSend reports whether what a process sends can reach one of the schedulers, whether
-// it runs or not.
+// canSend reports whether a link from a process to one of the schedulers is open,
+// whether the scheduler runs or not.
 func (n *network) canSend(process string, schedulers []string) bool {
 	return len(schedulers) == 0 || slices.ContainsFunc(schedulers, func(scheduler string) bool {
 		return n.partitions[link{process, scheduler}] == 0
 	})
 }
 
-// spansWhere returns the times during which something was true of the network.
-func (f *facts) spansWhere(holds func(*network) bool) []span {
+// spansWhere returns the times after the first fault during which a condition was true
+// of the network.
+func (f *facts) spansWhere(condition func(*network) bool) []span {
 	state := newNetwork()
 	var spans []span
 	var since monoclock.Nanos
-	open := false
+	wasTrue := false
 	for _, entry := range f.faultEntries {
 		state.apply(entry)
-		now := holds(state)
+		isTrue := condition(state)
 		switch {
-		case now && !open:
+		case isTrue && !wasTrue:
 			since = entry.Answered
-		case !now && open:
+		case !isTrue && wasTrue:
 			spans = append(spans, span{since, entry.Answered})
 		}
-		open = now
+		wasTrue = isTrue
 	}
-	if open {
+	if wasTrue {
 		spans = append(spans, span{since, f.input.EndedAt})
 	}
 	return spans
@@ -143,8 +146,8 @@
 }
 
 // unreachableSpans returns the times during which a worker could not send heartbeats or
-// not receive their answers, because of a fault of its own, its agent, or a link of
-// theirs.
+// not receive the answers, because of a fault of the worker, of its agent, or of a link
+// of either.
 func (f *facts) unreachableSpans(worker string) []span {
 	known, found := f.unreachable[worker]
 	if !found {
@@ -157,8 +160,8 @@
 	return known
 }
 
-// isolatedSpans returns the times during which nothing that a worker sent could reach
-// any scheduler.
+// isolatedSpans returns the times during which no message of a worker could reach any
+// scheduler.
 func (f *facts) isolatedSpans(worker string) []span {
 	known, found := f.isolated[worker]
 	if !found {
@@ -171,13 +174,13 @@
 	return known
 }
 
-// schedulerFaults returns when schedulers or links between them failed or recovered,
-// each of which may bring a new leader.
+// schedulerFaults returns when schedulers or links between them failed or recovered.
+// Each of these events may cause a change of leader.
 func (f *facts) schedulerFaults() []monoclock.Nanos {
 	var times []monoclock.Nanos
 	for _, entry := range f.faultEntries {
-		isControl := slices.Contains(f.input.Schedulers, entry.Process)
-		if isControl && (entry.Peer == "" || slices.Contains(f.input.Schedulers, entry.Peer)) {
+		isScheduler := slices.Contains(f.input.Schedulers, entry.Process)
+		if isScheduler && (entry.Peer == "" || slices.Contains(f.input.Schedulers, entry.Peer)) {
 			times = append(times, entry.Answered)
 		}
 	}
--- a/testbed/checker/runs.go
+++ b/testbed/checker/runs.go
@@ -8,11 +8,11 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// checkUnknownTasks (P1): nothing runs that no caller submitted.
+// checkUnknownTasks (P1): every task that runs was submitted by a caller.
 func (f *facts) checkUnknownTasks() []Violation {
 	var found []Violation
-	for _, line := range f.unknownTasks {
-		found = append(found, Violation{P1, line.Task, "a task ran that no caller submitted", []monoclock.Nanos{line.Mono}})
+	for _, event := range f.unknownTasks {
+		found = append(found, Violation{P1, event.Task, "a task ran that no caller submitted", []monoclock.Nanos{event.Mono}})
 	}
 	return found
 }
@@ -21,54 +21,54 @@
 func (f *facts) checkOverlap() []Violation {
 	var found []Violation
 	for task, runs := range f.byTask {
-		open := runs[0]
+		latest := runs[0]
 		for _, next := range runs[1:] {
-			if next.Mono < open.endedBy {
+			if next.Mono < latest.endedBy {
 				found = append(found, Violation{
 					P1, task,
-					fmt.Sprintf("run %d on %s started while run %d on %s was open", next.Run.Run, next.Worker, open.Run.Run, open.Worker),
-					[]monoclock.Nanos{next.Mono, open.Mono, open.endedBy},
+					fmt.Sprintf("run %d on %s started while run %d on %s was open", next.Run.Run, next.Worker, latest.Run.Run, latest.Worker),
+					[]monoclock.Nanos{next.Mono, latest.Mono, latest.endedBy},
 				})
 			}
-			if next.endedBy > open.endedBy {
-				open = next
+			if next.endedBy > latest.endedBy {
+				latest = next
 			}
 		}
 	}
 	return found
 }
 
-// checkRestartAfterSuccess (P1): no task starts after a caller saw it as succeeded, nor
-// after a success that must have been acknowledged.
+// checkRestartAfterSuccess (P1): no task starts after a caller was shown that it
+// succeeded, or after a success on a worker that no fault disturbed.
 func (f *facts) checkRestartAfterSuccess() []Violation {
-	shown := f.reportedSuccesses()
+	reported := f.reportedSuccesses()
 	var found []Violation
 	for task, runs := range f.byTask {
 		if f.untilCancelled(runs[0].name) {
-			continue // has no success; checkUntilCancelled holds it to that
+			continue // never counts as succeeded, as checkUntilCancelled verifies
 		}
-		success := f.surelyRecordedSuccess(runs)
-		seen := shown[task]
-		for _, one := range runs {
-			if seen != 0 && one.Mono > seen {
-				found = append(found, Violation{P1, task, "started after a caller saw it as succeeded", []monoclock.Nanos{one.Mono, seen}})
-			} else if success != 0 && one.Mono > success {
-				found = append(found, Violation{P1, task, "started after it had succeeded on an undisturbed worker", []monoclock.Nanos{one.Mono, success}})
+		success := f.firstUndisturbedSuccess(runs)
+		reportedAt := reported[task]
+		for _, taskRun := range runs {
+			if reportedAt != 0 && taskRun.Mono > reportedAt {
+				found = append(found, Violation{P1, task, "started after a caller saw it as succeeded", []monoclock.Nanos{taskRun.Mono, reportedAt}})
+			} else if success != 0 && taskRun.Mono > success {
+				found = append(found, Violation{P1, task, "started after it had succeeded on an undisturbed worker", []monoclock.Nanos{taskRun.Mono, success}})
 			}
 		}
 	}
 	return found
 }
 
-// checkUntilCancelled (P2): no task that runs until cancelled is reported as succeeded,
-// nor is its job.
+// checkUntilCancelled (P2): a task that runs until cancelled is never reported as
+// succeeded, and neither is its job.
 func (f *facts) checkUntilCancelled() []Violation {
 	var found []Violation
-	shown := f.reportedSuccesses()
+	reported := f.reportedSuccesses()
 	for _, id := range f.jobIDs {
 		f.forEachTask(f.jobs[id], func(name eventlog.TaskName) {
-			if seen := shown[name.String()]; seen != 0 && f.untilCancelled(name) {
-				found = append(found, Violation{P2, name.String(), "runs until cancelled, but was shown as succeeded", []monoclock.Nanos{seen}})
+			if reportedAt := reported[name.String()]; reportedAt != 0 && f.untilCancelled(name) {
+				found = append(found, Violation{P2, name.String(), "runs until cancelled, but was shown as succeeded", []monoclock.Nanos{reportedAt}})
 			}
 		})
 	}
@@ -80,24 +80,24 @@
 	return spec != nil && spec.UntilCancelled
 }
 
-// surelyRecordedSuccess returns the end of the first success whose report was not
-// disturbed by a fault; 0 if there is none.
-func (f *facts) surelyRecordedSuccess(runs []run) monoclock.Nanos {
-	for _, one := range runs {
-		if one.End != 0 && one.Outcome == api.OutcomeSucceeded && !f.disturbed(one, one.End) {
-			return one.End
+// firstUndisturbedSuccess returns the end of the first success whose report no fault
+// disturbed; 0 if there is none. The scheduler must have acknowledged that report.
+func (f *facts) firstUndisturbedSuccess(runs []run) monoclock.Nanos {
+	for _, taskRun := range runs {
+		if taskRun.End != 0 && taskRun.Outcome == api.OutcomeSucceeded && !f.disturbed(taskRun, taskRun.End) {
+			return taskRun.End
 		}
 	}
 	return 0
 }
 
-// reportedSuccesses returns when a caller first saw each task as succeeded. A job that
-// is reported as succeeded reports so for all of its tasks.
+// reportedSuccesses returns, by task, when a caller was first shown that the task
+// succeeded. A job reported as succeeded counts for all of its tasks.
 func (f *facts) reportedSuccesses() map[string]monoclock.Nanos {
-	shown := map[string]monoclock.Nanos{}
+	reported := map[string]monoclock.Nanos{}
 	record := func(task string, at monoclock.Nanos) {
-		if _, found := shown[task]; !found {
-			shown[task] = at
+		if _, found := reported[task]; !found {
+			reported[task] = at
 		}
 	}
 	for _, job := range f.jobs {
@@ -110,7 +110,7 @@
 			}
 		}
 	}
-	return shown
+	return reported
 }
 
 func (f *facts) forEachTask(job *jobFacts, visit func(eventlog.TaskName)) {
@@ -124,7 +124,8 @@
 	}
 }
 
-// duplicateSuccesses counts successes of tasks beyond their first.
+// duplicateSuccesses counts the successes of tasks beyond their first one, without
+// tasks that run until cancelled.
 func (f *facts) duplicateSuccesses() int {
 	count := 0
 	for _, runs := range f.byTask {
@@ -132,8 +133,8 @@
 			continue
 		}
 		successes := 0
-		for _, one := range runs {
-			if one.Outcome == api.OutcomeSucceeded {
+		for _, taskRun := range runs {
+			if taskRun.Outcome == api.OutcomeSucceeded {
 				successes++
 			}
 		}
--- a/testbed/checker/steps.go
+++ b/testbed/checker/steps.go
@@ -8,15 +8,15 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// checkStepOrder (P4): no task starts before all tasks of the steps that its step waits
-// for have succeeded.
+// checkStepOrder (P4): a task starts only after all tasks of the steps that its step
+// depends on have succeeded.
 func (f *facts) checkStepOrder() []Violation {
 	firstSuccess := f.firstSuccesses()
 	var found []Violation
-	for _, one := range f.runs {
-		job := f.jobs[one.name.Job]
-		for _, before := range job.step(one.name.Step).After {
-			if violation := f.checkAfter(one, job, before, firstSuccess); violation != nil {
+	for _, taskRun := range f.runs {
+		job := f.jobs[taskRun.name.Job]
+		for _, prerequisite := range job.step(taskRun.name.Step).After {
+			if violation := f.checkAfter(taskRun, job, prerequisite, firstSuccess); violation != nil {
 				found = append(found, *violation)
 			}
 		}
@@ -24,8 +24,8 @@
 	return found
 }
 
-func (f *facts) checkAfter(one run, job *jobFacts, before string, firstSuccess map[string]monoclock.Nanos) *Violation {
-	step := job.step(before)
+func (f *facts) checkAfter(taskRun run, job *jobFacts, prerequisite string, firstSuccess map[string]monoclock.Nanos) *Violation {
+	step := job.step(prerequisite)
 	if step == nil {
 		return nil
 	}
@@ -35,8 +35,8 @@
 		if step.Lockstep {
 			success = f.gangSuccess(job.id, step)
 		}
-		if success == 0 || success > one.Mono {
-			return &Violation{P4, one.Task, "started before " + earlier + " had succeeded", []monoclock.Nanos{one.Mono, success}}
+		if success == 0 || success > taskRun.Mono {
+			return &Violation{P4, taskRun.Task, "started before " + earlier + " had succeeded", []monoclock.Nanos{taskRun.Mono, success}}
 		}
 	}
 	return nil
@@ -44,28 +44,28 @@
 
 func (f *facts) firstSuccesses() map[string]monoclock.Nanos {
 	first := map[string]monoclock.Nanos{}
-	for _, one := range f.runs {
-		if one.Outcome != api.OutcomeSucceeded {
+	for _, taskRun := range f.runs {
+		if taskRun.Outcome != api.OutcomeSucceeded {
 			continue
 		}
-		if known, found := first[one.Task]; !found || one.End < known {
-			first[one.Task] = one.End
+		if known, found := first[taskRun.Task]; !found || taskRun.End < known {
+			first[taskRun.Task] = taskRun.End
 		}
 	}
 	return first
 }
 
-// checkNotBefore (P4): no timed task starts over 250 ms early.
+// checkNotBefore (P4): no timed task starts more than 250 ms early.
 func (f *facts) checkNotBefore() []Violation {
 	var found []Violation
-	for _, one := range f.runs {
-		notBefore := f.jobs[one.name.Job].step(one.name.Step).NotBefore
+	for _, taskRun := range f.runs {
+		notBefore := f.jobs[taskRun.name.Job].step(taskRun.name.Step).NotBefore
 		if notBefore == nil {
 			continue
 		}
 		earliest := f.input.Anchor.At(*notBefore)
-		if one.Mono < earliest.Add(-earlyStartBound) {
-			found = append(found, Violation{P4, one.Task, fmt.Sprintf("started %v early", earliest.Sub(one.Mono)), []monoclock.Nanos{one.Mono, earliest}})
+		if taskRun.Mono < earliest.Add(-earlyStartBound) {
+			found = append(found, Violation{P4, taskRun.Task, fmt.Sprintf("started %v early", earliest.Sub(taskRun.Mono)), []monoclock.Nanos{taskRun.Mono, earliest}})
 		}
 	}
 	return found
--- a/testbed/checker/tokens.go
+++ b/testbed/checker/tokens.go
@@ -8,36 +8,36 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// checkTokens (P12): nothing starts under a fencing token when a higher one had been in
-// use for longer than a lease.
+// checkTokens (P12): no task starts under a fencing token once a higher token has been
+// in use for longer than a scheduler lease.
 func (f *facts) checkTokens() []Violation {
-	type step struct {
+	type tokenUse struct {
 		token uint64
 		since monoclock.Nanos
 	}
-	var raised []step
+	var increases []tokenUse
 	var found []Violation
-	for _, line := range f.input.Events {
-		for _, earlier := range raised {
-			if line.Kind == eventlog.KindStart && earlier.token > line.Token && line.Mono > earlier.since.Add(f.schedulerLease()) {
-				text := fmt.Sprintf("started under token %d although %d was in use", line.Token, earlier.token)
-				found = append(found, Violation{P12, line.Task, text, []monoclock.Nanos{line.Mono, earlier.since}})
+	for _, event := range f.input.Events {
+		for _, earlier := range increases {
+			if event.Kind == eventlog.KindStart && earlier.token > event.Token && event.Mono > earlier.since.Add(f.schedulerLease()) {
+				text := fmt.Sprintf("started under token %d although %d was in use", event.Token, earlier.token)
+				found = append(found, Violation{P12, event.Task, text, []monoclock.Nanos{event.Mono, earlier.since}})
 				break
 			}
 		}
-		if len(raised) == 0 || line.Token > raised[len(raised)-1].token {
-			raised = append(raised, step{line.Token, line.Mono})
+		if len(increases) == 0 || event.Token > increases[len(increases)-1].token {
+			increases = append(increases, tokenUse{event.Token, event.Mono})
 		}
 	}
 	return found
 }
 
-// staleOrderSlack is how long an assignment under the previous token may still be in
-// flight when a new one is first used.
-const staleOrderSlack = time.Second
+// staleAssignmentSlack is how long an assignment under the previous token may still be
+// in flight after the first use of a new token.
+const staleAssignmentSlack = time.Second
 
 // checkResumedSchedulers (P12): after a scheduler was frozen for 20 s or more, nothing
-// starts under a token other than the highest one in use when it resumed.
+// starts under a token lower than the highest one in use when the scheduler resumed.
 func (f *facts) checkResumedSchedulers() []Violation {
 	var found []Violation
 	for _, scheduler := range f.input.Schedulers {
@@ -50,16 +50,18 @@
 	return found
 }
 
+// checkResumed reports starts after the end of a freeze under a token lower than the
+// highest one in use a staleAssignmentSlack before that end.
 func (f *facts) checkResumed(scheduler string, frozen span) []Violation {
 	var inUse uint64
 	var found []Violation
-	for _, line := range f.input.Events {
+	for _, event := range f.input.Events {
 		switch {
-		case line.Mono <= frozen.to.Add(-staleOrderSlack):
-			inUse = max(inUse, line.Token)
-		case line.Kind == eventlog.KindStart && line.Mono > frozen.to && line.Token < inUse:
-			text := fmt.Sprintf("started under token %d after %s resumed, although %d was in use", line.Token, scheduler, inUse)
-			found = append(found, Violation{P12, line.Task, text, []monoclock.Nanos{line.Mono, frozen.to}})
+		case event.Mono <= frozen.to.Add(-staleAssignmentSlack):
+			inUse = max(inUse, event.Token)
+		case event.Kind == eventlog.KindStart && event.Mono > frozen.to && event.Token < inUse:
+			text := fmt.Sprintf("started under token %d after %s resumed, although %d was in use", event.Token, scheduler, inUse)
+			found = append(found, Violation{P12, event.Task, text, []monoclock.Nanos{event.Mono, frozen.to}})
 		}
 	}
 	return found
