--- a/testbed/model/callers_test.go
+++ b/testbed/model/callers_test.go
@@ -18,59 +18,62 @@
 
 const (
 	queueName = "q"
-	// pollWait is how long a front may hold a long poll, callTimeout how long a caller
-	// retries one call at all fronts.
-	pollWait    = 2 * time.Second
+	// pollWait is the longest time for which a front may delay the answer to a long poll.
+	pollWait = 2 * time.Second
+	// callTimeout bounds one call, including its retries at all fronts.
 	callTimeout = 15 * time.Second
-	pollPause   = 50 * time.Millisecond
-	// longWork is longer than a lease.
-	longWork = 4 * time.Second
-	// endlessFor is how long jobs that run until cancelled go on.
-	endlessFor = 5 * time.Second
-	// finishTime is how long after the load jobs may take to end.
-	finishTime = 60 * time.Second
+	retryPause  = 50 * time.Millisecond
+	// longTaskDuration is longer than a worker's lease.
+	longTaskDuration = 4 * time.Second
+	// untilCancelledDuration is the time after which callers cancel jobs that run until
+	// cancelled.
+	untilCancelledDuration = 5 * time.Second
+	// completionTimeout bounds the time from the end of the load until all jobs are final.
+	completionTimeout = 60 * time.Second
 )
 
-// load is what callers submit, evenly over a time.
+// load describes the jobs that callers submit, spread evenly over duration.
 type load struct {
-	over time.Duration
-	jobs int
-	// resent and cancelled are shares of the jobs.
-	resent, cancelled float64
+	duration time.Duration
+	jobs     int
+	// resentShare and cancelledShare are the shares of the jobs that callers submit twice
+	// and cancel, from 0 to 1.
+	resentShare, cancelledShare float64
 }
 
-// plannedJob is one job of a load.
+// plannedJob is one job of a load. submitAfter counts from the start of the load,
+// cancelAfter from the acceptance of the job; the job is not cancelled if it is 0.
 type plannedJob struct {
-	id      string
-	spec    api.JobSpec
-	at      time.Duration
-	resent  bool
-	cancel  time.Duration
-	endless bool
+	id             string
+	spec           api.JobSpec
+	submitAfter    time.Duration
+	resent         bool
+	cancelAfter    time.Duration
+	untilCancelled bool
 }
 
-// plan draws the jobs of a load by the seed of the scenario.
+// plan draws the jobs of a load from the scenario's seed.
 func (f *fleet) plan(work load) []plannedJob {
 	random := rand.New(rand.NewPCG(f.seed, 0x6c6f6164))
 	var jobs []plannedJob
 	for number := range work.jobs {
-		one := plannedJob{id: fmt.Sprintf("job-%d", number), at: work.over * time.Duration(number) / time.Duration(work.jobs)}
-		one.spec, one.endless = f.drawJob(random)
-		one.resent = random.Float64() < work.resent
-		if one.endless {
-			one.cancel = endlessFor
-		} else if random.Float64() < work.cancelled {
-			one.cancel = time.Duration(1 + random.Int64N(int64(time.Second)))
+		one := plannedJob{id: fmt.Sprintf("job-%d", number), submitAfter: work.duration * time.Duration(number) / time.Duration(work.jobs)}
+		one.spec, one.untilCancelled = f.drawJob(random)
+		one.resent = random.Float64() < work.resentShare
+		if one.untilCancelled {
+			one.cancelAfter = untilCancelledDuration
+		} else if random.Float64() < work.cancelledShare {
+			one.cancelAfter = time.Duration(1 + random.Int64N(int64(time.Second)))
 		}
 		jobs = append(jobs, one)
 	}
 	return jobs
 }
 
-// drawJob draws one of the shapes of jobs: chains of short tasks, tasks longer than a
-// lease, tasks with a spread rule, gangs with a common outcome, and tasks that run
-// until cancelled.
-func (f *fleet) drawJob(random *rand.Rand) (spec api.JobSpec, endless bool) {
+// drawJob draws a job of one of five kinds: two dependent steps of short tasks, tasks
+// longer than a lease, tasks with a spread rule, a gang, and tasks that run until
+// cancelled.
+func (f *fleet) drawJob(random *rand.Rand) (spec api.JobSpec, untilCancelled bool) {
 	work := 200 + random.Int64N(800)
 	switch draw := random.IntN(10); {
 	case draw < 4:
@@ -79,25 +82,25 @@
 		second.After = []string{first.Name}
 		return api.JobSpec{Queue: queueName, Steps: []api.StepSpec{first, second}}, false
 	case draw < 5:
-		long := step("long", 6+random.IntN(5), payload{WorkMillis: longWork.Milliseconds() + 4*work})
+		long := step("long", 6+random.IntN(5), payload{WorkMillis: longTaskDuration.Milliseconds() + 4*work})
 		return api.JobSpec{Queue: queueName, Steps: []api.StepSpec{long}}, false
 	case draw < 7:
-		apart := step("apart", 4+random.IntN(4), payload{WorkMillis: work})
-		apart.Tasks[0].Spread = &api.Spread{By: api.SpreadByWorker}
-		return api.JobSpec{Queue: queueName, Steps: []api.StepSpec{apart}}, false
+		spreadStep := step("apart", 4+random.IntN(4), payload{WorkMillis: work})
+		spreadStep.Tasks[0].Spread = &api.Spread{By: api.SpreadByWorker}
+		return api.JobSpec{Queue: queueName, Steps: []api.StepSpec{spreadStep}}, false
 	case draw < 9:
 		size := 4 + random.IntN(5)
 		gang := step("gang", size, payload{WorkMillis: 2 * work, Gang: size})
 		gang.Lockstep = true
 		return api.JobSpec{Queue: queueName, Steps: []api.StepSpec{gang}}, false
 	default:
-		lasting := step("lasting", 3, payload{Endless: true})
-		lasting.Tasks[0].UntilCancelled = true
-		return api.JobSpec{Queue: queueName, Steps: []api.StepSpec{lasting}}, true
+		untilCancelledStep := step("lasting", 3, payload{Endless: true})
+		untilCancelledStep.Tasks[0].UntilCancelled = true
+		return api.JobSpec{Queue: queueName, Steps: []api.StepSpec{untilCancelledStep}}, true
 	}
 }
 
-// step is a step of equal tasks.
+// step returns a step of count equal tasks.
 func step(name string, count int, work payload) api.StepSpec {
 	content, err := json.Marshal(work)
 	if err != nil {
@@ -110,9 +113,9 @@
 	return api.StepSpec{Name: name, Replicas: count, Tasks: []api.TaskSpec{task}}
 }
 
-// newClient makes a client of the fronts; loses draws whether an answer to it
-// is lost.
-func (f *fleet) newClient(loses func() bool) *api.Client {
+// newClient returns a client of all fronts. loseAnswer draws whether an answer to the
+// client is lost; with nil none is.
+func (f *fleet) newClient(loseAnswer func() bool) *api.Client {
 	var endpoints []string
 	for name := range f.fronts {
 		endpoints = append(endpoints, "http://"+name)
@@ -120,7 +123,7 @@
 	slices.Sort(endpoints)
 	client, err := api.NewClient(api.ClientConfig{
 		Endpoints: endpoints,
-		HTTPClient: &http.Client{Transport: direct{loses: loses, handler: func(request *http.Request) http.Handler {
+		HTTPClient: &http.Client{Transport: handlerTransport{loseAnswer: loseAnswer, handler: func(request *http.Request) http.Handler {
 			return f.fronts[request.URL.Host].front
 		}}},
 	})
@@ -130,27 +133,27 @@
 	return client
 }
 
-// submitLoad submits a load and follows each job to its end.
+// submitLoad submits the jobs of a load and follows each until it is final.
 func (f *fleet) submitLoad(ctx context.Context, work load) {
-	ctx, cancel := context.WithTimeout(ctx, work.over+finishTime)
+	ctx, cancel := context.WithTimeout(ctx, work.duration+completionTimeout)
 	defer cancel()
 	client := f.newClient(nil)
 	var callers sync.WaitGroup
 	for _, one := range f.plan(work) {
 		callers.Go(func() {
-			contexttime.Sleep(ctx, one.at)
-			(&caller{fleet: f, client: client, shown: map[string]bool{}}).follow(ctx, one)
+			contexttime.Sleep(ctx, one.submitAfter)
+			(&caller{fleet: f, client: client, reportedSucceeded: map[string]bool{}}).follow(ctx, one)
 		})
 	}
 	callers.Wait()
 }
 
-// caller follows one job.
+// caller submits one job and follows it until it is final.
 type caller struct {
 	fleet  *fleet
 	client *api.Client
-	// shown are the tasks that a poll showed as succeeded already.
-	shown map[string]bool
+	// reportedSucceeded contains the tasks that an earlier poll showed as succeeded.
+	reportedSucceeded map[string]bool
 }
 
 func (c *caller) follow(ctx context.Context, one plannedJob) {
@@ -159,24 +162,24 @@
 		if entry.Accepted() {
 			break
 		}
-		unclear := entry.Code == api.CodeUnavailable || entry.Code == api.CodeOutcomeUnknown
-		if !unclear || ctx.Err() != nil {
+		outcomeUnknown := entry.Code == api.CodeUnavailable || entry.Code == api.CodeOutcomeUnknown
+		if !outcomeUnknown || ctx.Err() != nil {
 			return
 		}
 	}
-	var beside sync.WaitGroup
-	defer beside.Wait()
+	var concurrent sync.WaitGroup
+	defer concurrent.Wait()
 	if one.resent {
-		beside.Go(func() { c.submit(ctx, one, true) })
+		concurrent.Go(func() { c.submit(ctx, one, true) })
 	}
-	if one.cancel > 0 {
-		beside.Go(func() {
-			contexttime.Sleep(ctx, one.cancel)
+	if one.cancelAfter > 0 {
+		concurrent.Go(func() {
+			contexttime.Sleep(ctx, one.cancelAfter)
 			c.cancel(ctx, one.id)
 		})
 	}
 	for ctx.Err() == nil && !c.poll(ctx, one.id) {
-		contexttime.Sleep(ctx, pollPause)
+		contexttime.Sleep(ctx, retryPause)
 	}
 }
 
@@ -189,7 +192,7 @@
 	return c.record(entry, err)
 }
 
-// record adds a call and its answer to the call log.
+// record adds a call and its answer to the call log and returns the completed entry.
 func (c *caller) record(entry calllog.Entry, err error) calllog.Entry {
 	entry.Answered = c.fleet.now()
 	entry.Code, entry.Error = operator.Refusal(err)
@@ -197,9 +200,9 @@
 	return entry
 }
 
-// poll polls a job once, and reports whether there is nothing more to poll: it is
-// final, or it was lost, which breaks a promise.
-func (c *caller) poll(ctx context.Context, id string) (over bool) {
+// poll polls a job once and reports whether polling is done: the job is final, or it was
+// not found. Losing an accepted job breaks a promise, which the checker reports.
+func (c *caller) poll(ctx context.Context, id string) (done bool) {
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	entry := calllog.Entry{Kind: calllog.KindPoll, Sent: c.fleet.now(), JobID: id, Wait: pollWait}
@@ -210,8 +213,8 @@
 	entry.State = status.State
 	for _, step := range status.Steps {
 		for _, task := range step.Tasks {
-			if task.State == api.StateSucceeded && !c.shown[task.Task] {
-				c.shown[task.Task] = true
+			if task.State == api.StateSucceeded && !c.reportedSucceeded[task.Task] {
+				c.reportedSucceeded[task.Task] = true
 				entry.Succeeded = append(entry.Succeeded, task.Task)
 			}
 		}
@@ -230,6 +233,6 @@
 		if c.record(entry, err); err == nil {
 			return
 		}
-		contexttime.Sleep(ctx, pollPause)
+		contexttime.Sleep(ctx, retryPause)
 	}
 }
--- a/testbed/model/doc.go
+++ b/testbed/model/doc.go
@@ -1,9 +1,10 @@
-// Package model runs scenarios on a large fleet in one process and on a virtual
-// clock: the product's own schedulers, fronts, agents and workers, as many as a
-// deployment has, with connections, disks and clocks that fail by a seed. Time
-// passes only when nothing has anything left to do, so that a scenario says nothing
-// about this machine's speed, and a slow machine changes no verdict.
+// Package model simulates a large fleet in one process on a virtual clock. It runs
+// the product's own schedulers, fronts, agents and workers, as many schedulers and
+// workers as a deployment has, and injects faults of connections, disks and clocks
+// that it draws from a seed. The virtual clock advances only when every goroutine is blocked, so a
+// scenario measures nothing about the machine's speed, and a slow machine changes no
+// verdict.
 //
-// Everything is in test files. Package checker compares what workers ran with what
-// callers were answered.
+// All code is in test files. Package checker compares what the workers ran with what
+// the callers were answered.
 package model
--- a/testbed/model/faults_test.go
+++ b/testbed/model/faults_test.go
@@ -11,33 +11,34 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// drawSlots draws worker slots that no fault has yet, by the seed of the scenario.
+// drawSlots draws up to count worker slots that were not drawn for a fault before, from
+// the scenario's seed.
 func (s *scenarioRun) drawSlots(count int) []*workerSlot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var drawn []*workerSlot
 	for _, number := range s.random.Perm(len(s.slots)) {
 		one := s.slots[number]
-		if len(drawn) < count && !s.struck[one] {
-			s.struck[one] = true
+		if len(drawn) < count && !s.faulted[one] {
+			s.faulted[one] = true
 			drawn = append(drawn, one)
 		}
 	}
 	return drawn
 }
 
-// forEach does something for all slots at once.
-func forEach(slots []*workerSlot, what func(*workerSlot)) {
+// forEach calls action for all slots concurrently and waits for all calls.
+func forEach(slots []*workerSlot, action func(*workerSlot)) {
 	var all sync.WaitGroup
 	for _, one := range slots {
-		all.Go(func() { what(one) })
+		all.Go(func() { action(one) })
 	}
 	all.Wait()
 }
 
-func (s *scenarioRun) misbehaveFor(ctx context.Context, slots []*workerSlot, behaves behaviour, length time.Duration) {
+func (s *scenarioRun) misbehaveFor(ctx context.Context, slots []*workerSlot, injected behaviour, length time.Duration) {
 	for _, one := range slots {
-		one.setBehaviour(behaves)
+		one.setBehaviour(injected)
 	}
 	contexttime.Sleep(ctx, length)
 	for _, one := range slots {
@@ -64,22 +65,24 @@
 	})
 }
 
-// partitionWorkers partitions workers' agents from all schedulers; the workers run on.
+// partitionWorkers partitions the agents of workers from all schedulers. The workers keep
+// running.
 func (s *scenarioRun) partitionWorkers(ctx context.Context, slots []*workerSlot, length time.Duration) {
 	var agents []string
 	for _, one := range slots {
-		agents = append(agents, one.described().Agent)
+		agents = append(agents, one.checkerWorker().Agent)
 	}
 	s.partition(ctx, length, agents, names(s.schedulers))
 }
 
-// isolateLeader partitions the leader from the other schedulers and from nothing else.
+// isolateLeader partitions the leader from the other schedulers only; agents and fronts
+// still reach it.
 func (s *scenarioRun) isolateLeader(ctx context.Context, length time.Duration) {
 	leader := s.awaitLeader()
 	s.partition(ctx, length, []string{leader.name}, names(s.peers(leader)))
 }
 
-// partitionZone partitions the leader's zone from all others.
+// partitionZone partitions the leader's zone from all other zones.
 func (s *scenarioRun) partitionZone(ctx context.Context, length time.Duration) {
 	inside := s.processes(s.awaitLeader().zone)
 	outside := slices.DeleteFunc(s.processes(""), func(name string) bool { return slices.Contains(inside, name) })
@@ -102,8 +105,8 @@
 	}
 }
 
-// jumpClock has the wall clocks of the leader and of another voter jump, one ahead and
-// one back, and then right again.
+// jumpClock sets the wall clock of the leader ahead and that of another voter back, both by
+// offset, and corrects both after a time of the same length.
 func (s *scenarioRun) jumpClock(ctx context.Context, offset time.Duration) {
 	leader := s.awaitLeader()
 	other := slices.DeleteFunc(s.voters(), func(one *schedulerMachine) bool { return one == leader })[0]
@@ -114,19 +117,19 @@
 	other.wallOffset.Store(0)
 }
 
-// reorderAnswers delays a share of what schedulers answer to agents.
-func (s *scenarioRun) reorderAnswers(ctx context.Context, probability float64, by, length time.Duration) {
-	end := s.network.reorder(probability, by, func(way link) bool {
-		return strings.HasPrefix(way.from, "scheduler-") && strings.HasPrefix(way.to, "agent-")
+// reorderAnswers delays chunks of data from schedulers to agents with the given probability.
+func (s *scenarioRun) reorderAnswers(ctx context.Context, probability float64, delay, length time.Duration) {
+	end := s.network.reorder(probability, delay, func(direction link) bool {
+		return strings.HasPrefix(direction.from, "scheduler-") && strings.HasPrefix(direction.to, "agent-")
 	})
 	contexttime.Sleep(ctx, length)
 	end()
 }
 
-// losePowerAfterAcknowledging has schedulers lose power, with all that they did not
-// sync, right after an order is acknowledged.
+// losePowerAfterAcknowledging makes schedulers lose power, with all data that was not
+// synced, immediately after a configuration change is acknowledged.
 func (s *scenarioRun) losePowerAfterAcknowledging(ctx context.Context, machines []*schedulerMachine, down time.Duration) {
-	s.office.put(ctx, s.office.changedOrder(nil))
+	s.operators.put(ctx, s.operators.changedOrder(nil))
 	var ending sync.WaitGroup
 	for _, one := range machines {
 		ending.Go(one.losePower)
@@ -137,13 +140,13 @@
 		one.start()
 	}
 	s.awaitLeader()
-	s.office.read(ctx)
+	s.operators.read(ctx)
 }
 
-// loseLeadersWhileWorkEnds partitions a leader from the other schedulers, so that
-// nothing it receives can be committed, while workers still report ends to it, and then
-// has it lose power.
-func (s *scenarioRun) loseLeadersWhileWorkEnds(ctx context.Context, times int) {
+// loseLeadersDuringRunEnds partitions a leader from the other schedulers, so that it can
+// commit nothing while workers still report ends of runs to it, and then makes it lose
+// power.
+func (s *scenarioRun) loseLeadersDuringRunEnds(ctx context.Context, times int) {
 	for range times {
 		leader := s.awaitLeader()
 		s.partition(ctx, 350*time.Millisecond, []string{leader.name}, names(s.peers(leader)))
@@ -155,27 +158,28 @@
 	}
 }
 
-// loseDisksInTurn has voters, the leader first, lose their disks right after an
-// acknowledgement, each one as soon as the one before votes again.
+// loseDisksInTurn makes the leader lose its disk immediately after a configuration change is
+// acknowledged, then the leader at that time, and so on. Each loss follows as soon as all
+// voter slots are filled again and the previous machine has rejoined, possibly as a learner.
 func (s *scenarioRun) loseDisksInTurn(ctx context.Context, count int) {
 	lost := s.awaitLeader()
 	for range count {
-		s.office.put(ctx, s.office.changedOrder(nil))
+		s.operators.put(ctx, s.operators.changedOrder(nil))
 		lost.kill()
 		lost.newDisk()
-		s.fault(calllog.Entry{Process: lost.name, Action: calllog.ActionWipe})
+		s.recordFault(calllog.Entry{Process: lost.name, Action: calllog.ActionWipe})
 		lost.start()
 		s.awaitVoterInPlaceOf(lost)
-		s.fault(calllog.Entry{Process: lost.name, Action: calllog.ActionJoined})
-		s.office.read(ctx)
+		s.recordFault(calllog.Entry{Process: lost.name, Action: calllog.ActionJoined})
+		s.operators.read(ctx)
 		lost = s.awaitLeader()
 	}
 }
 
-// awaitVoterInPlaceOf waits until as many vote as should, each of which has its
-// disk, and the machine has joined.
+// awaitVoterInPlaceOf waits until all voter slots are filled by replicas with their current
+// disks, and the machine has joined with its new replica ID as a voter or learner.
 func (s *scenarioRun) awaitVoterInPlaceOf(machine *schedulerMachine) {
-	s.await("all seats are taken again, and "+machine.name+" has joined", func() bool {
+	s.await("all voter slots are filled again, and "+machine.name+" has joined", func() bool {
 		leader := s.leader()
 		if leader == nil {
 			return false
@@ -189,19 +193,19 @@
 				present++
 			}
 		}
-		return joined && len(membership.Outgoing) == 0 && present == 2*s.shape.tolerate+1
+		return joined && len(membership.Outgoing) == 0 && present == 2*s.shape.toleratedLosses+1
 	})
 }
 
-// missManyChanges has a scheduler down while the configuration changes many times; it
-// returns, and the leader is stopped.
-func (s *scenarioRun) missManyChanges(ctx context.Context, changes int) {
+// missConfigChanges stops a voter while the configuration changes many times, restarts it,
+// and kills the leader one second later.
+func (s *scenarioRun) missConfigChanges(ctx context.Context, changes int) {
 	leader := s.awaitLeader()
-	away := slices.DeleteFunc(s.voters(), func(one *schedulerMachine) bool { return one == leader })[0]
-	away.losePower()
-	s.office.change(ctx, changes, time.Millisecond)
-	away.start()
+	absent := slices.DeleteFunc(s.voters(), func(one *schedulerMachine) bool { return one == leader })[0]
+	absent.losePower()
+	s.operators.change(ctx, changes, time.Millisecond)
+	absent.start()
 	contexttime.Sleep(ctx, time.Second)
 	s.killLeader(ctx, time.Second)
-	s.office.read(ctx)
+	s.operators.read(ctx)
 }
--- a/testbed/model/fleet_test.go
+++ b/testbed/model/fleet_test.go
@@ -21,50 +21,53 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// shape is the size of a fleet.
+// shape describes the size and layout of a fleet.
 type shape struct {
 	name string
-	// schedulers, fronts and workers are spread over the zones in turn; each
-	// worker has a machine and an agent of its own.
+	// schedulers, fronts and workers are assigned to the zones in turn. Each
+	// worker has its own machine and agent.
 	zones                       []string
 	schedulers, fronts, workers int
-	// tolerate is how many schedulers may be lost at once.
-	tolerate int
-	// rack is the number of workers in one.
-	rack int
-	// off are the mechanisms that are switched off.
-	off featuregate.DisabledSet
+	// toleratedLosses is the number of schedulers that may be lost at the same time. The
+	// cluster has 2*toleratedLosses+1 voters.
+	toleratedLosses int
+	// workersPerRack is the number of workers with the same rack label.
+	workersPerRack int
+	// disabledFeatures are the optional mechanisms that are disabled.
+	disabledFeatures featuregate.DisabledSet
 }
 
-// The shapes of the users' deployments once grown; of the fronts, which keep no
-// state, there are fewer.
+// The shapes of the users' deployments after growth, with fewer fronts, since fronts
+// are stateless.
 func grownRestrepo() shape {
 	return shape{
 		name: "restrepo", zones: []string{"cali-norte", "palmira", "jamundi", "tulua"},
-		schedulers: 8, fronts: 4, workers: 77, tolerate: 2, rack: 8,
+		schedulers: 8, fronts: 4, workers: 77, toleratedLosses: 2, workersPerRack: 8,
 	}
 }
 
 func grownCartago() shape {
 	return shape{
 		name: "cartago", zones: []string{"taras", "oreamuno", "paraiso"},
-		schedulers: 6, fronts: 3, workers: 61, tolerate: 2, rack: 10,
+		schedulers: 6, fronts: 3, workers: 61, toleratedLosses: 2, workersPerRack: 10,
 	}
 }
 
 const (
-	// formTimeout bounds the forming of a fleet with all its voters, and every
-	// other wait of a scenario for the fleet to come to a state.
-	formTimeout  = 30 * time.Second
+	// stateTimeout bounds each wait of a scenario for the fleet to reach a state, such as
+	// all voter slots filled after the start.
+	stateTimeout = 30 * time.Second
 	pollInterval = 10 * time.Millisecond
-	// startReading is what the monotonic clock shows when a scenario begins.
+	// startReading is the reading of the monotonic clock at the start of a scenario.
 	startReading = monoclock.Nanos(time.Second)
 )
 
-// logVariable is a file that gets the logs of the processes.
+// logVariable is the environment variable with the path prefix of the files to which the
+// logs of the processes are written, one file per test. Default: no logs.
 const logVariable = "DECKLEVER_MODEL_LOG"
 
-// fleet is all processes of a deployment.
+// fleet is all simulated processes of a deployment with the recorded calls, faults and
+// events. mutex guards events and random.
 type fleet struct {
 	t       *testing.T
 	shape   shape
@@ -80,7 +83,7 @@
 	slots      []*workerSlot
 	gangs      gangs
 
-	// abort ends the scenario, once it cannot go on; nil before it begins.
+	// abort ends a scenario that cannot continue; nil before the scenario begins.
 	abort context.CancelFunc
 
 	calls  *calllog.Log
@@ -88,7 +91,8 @@
 	events []eventlog.Event
 }
 
-// newFleet starts a fleet and waits until it has all voters.
+// newFleet starts the schedulers and fronts of a fleet and waits until all voter slots are
+// filled. startWorkers starts the agents and workers.
 func newFleet(t *testing.T, size shape, seed uint64) *fleet {
 	t.Helper()
 	calls, err := calllog.Open("")
@@ -109,9 +113,9 @@
 	for number := range size.fronts {
 		f.addFront(number)
 	}
-	f.await("all seats are taken", func() bool {
+	f.await("all voter slots are filled", func() bool {
 		leader := f.leader()
-		return leader != nil && len(leader.membership().Voters) == 2*size.tolerate+1 && len(leader.membership().Outgoing) == 0
+		return leader != nil && len(leader.membership().Voters) == 2*size.toleratedLosses+1 && len(leader.membership().Outgoing) == 0
 	})
 	return f
 }
@@ -130,39 +134,39 @@
 	return slog.NewTextHandler(file, nil)
 }
 
-// seeds are the first three schedulers, each in a zone of its own; they form
-// the cluster, and the others join it.
+// seedCount is the number of seeds: the first schedulers, each in its own zone, which
+// bootstrap the cluster. The other schedulers join it.
 const seedCount = 3
 
 func (f *fleet) addScheduler(number int) {
 	one := &schedulerMachine{
 		fleet: f, name: fmt.Sprintf("scheduler-%d", number+1), zone: f.zone(number),
-		address: fmt.Sprintf("10.0.0.%d:7100", number+1), mayForm: number < seedCount,
+		address: fmt.Sprintf("10.0.0.%d:7100", number+1), mayBootstrap: number < seedCount,
 	}
 	f.network.zones[one.name] = one.zone
 	f.schedulers = append(f.schedulers, one)
-	if one.mayForm {
+	if one.mayBootstrap {
 		f.seeds = append(f.seeds, one.address)
 	}
 }
 
 func (f *fleet) zone(number int) string { return f.shape.zones[number%len(f.shape.zones)] }
 
-// seedOf draws a number that depends on the seed of the scenario and a name alone.
+// seedOf returns a random seed that depends only on the scenario's seed and the name.
 func (f *fleet) seedOf(name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
 	return rand.New(rand.NewPCG(f.seed, hash.Sum64())).Uint64() >> 8
 }
 
-// close ends all processes.
+// close stops all processes and the network.
 func (f *fleet) close() {
 	for _, one := range f.slots {
 		one.crash()
 	}
 	for _, one := range f.slots {
-		for _, started := range one.lives {
-			<-started.over
+		for _, started := range one.incarnations {
+			<-started.ended
 		}
 		one.agent.stop()
 	}
@@ -175,31 +179,33 @@
 	f.network.close()
 }
 
-// now reads the clock by which everything is recorded.
+// now returns the current reading of the clock that timestamps all recorded entries and
+// events.
 func (f *fleet) now() monoclock.Nanos { return startReading.Add(time.Since(f.started)) }
 
-// fault records what was done to a process.
-func (f *fleet) fault(entry calllog.Entry) {
+// recordFault adds a fault, or the start or exit of a process, to the call log.
+func (f *fleet) recordFault(entry calllog.Entry) {
 	entry.Kind = calllog.KindFault
 	entry.Sent = f.now()
 	entry.Answered = entry.Sent
 	f.calls.Add(entry)
 }
 
-// await waits for the fleet to come to a state.
-func (f *fleet) await(what string, reached func() bool) {
+// await waits until reached returns true, and ends the scenario if stateTimeout passes first.
+func (f *fleet) await(state string, reached func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(formTimeout)
+	deadline := time.Now().Add(stateTimeout)
 	for !reached() {
 		if time.Now().After(deadline) {
-			f.fail("not within %v: %s", formTimeout, what)
+			f.fail("timed out after %v waiting for: %s", stateTimeout, state)
 			return
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// fail reports that a scenario cannot go on, and ends it.
+// fail reports a test error that prevents the scenario from continuing, and ends the
+// scenario.
 func (f *fleet) fail(format string, arguments ...any) {
 	f.t.Helper()
 	f.t.Errorf(format, arguments...)
@@ -208,17 +214,17 @@
 	}
 }
 
-// leader returns the scheduler that acts as leader, or nil.
+// leader returns the scheduler that leads under a valid lease, or nil.
 func (f *fleet) leader() *schedulerMachine {
 	for _, one := range f.schedulers {
-		if one.leads() {
+		if one.isLeader() {
 			return one
 		}
 	}
 	return nil
 }
 
-// awaitLeader waits until a scheduler acts as leader.
+// awaitLeader waits for a leader and returns it; nil if it timed out.
 func (f *fleet) awaitLeader() *schedulerMachine {
 	var leader *schedulerMachine
 	f.await("a leader", func() bool {
@@ -232,7 +238,7 @@
 	return slices.ContainsFunc(members, func(member raft.Member) bool { return member.ID == id })
 }
 
-// voters returns the machines that vote.
+// voters returns the machines whose replica is a voter.
 func (f *fleet) voters() []*schedulerMachine {
 	membership := f.awaitLeader().membership()
 	return slices.DeleteFunc(slices.Clone(f.schedulers), func(one *schedulerMachine) bool {
@@ -240,12 +246,13 @@
 	})
 }
 
-// peers returns the schedulers except one.
-func (f *fleet) peers(left *schedulerMachine) []*schedulerMachine {
-	return slices.DeleteFunc(slices.Clone(f.schedulers), func(one *schedulerMachine) bool { return one == left })
+// peers returns all schedulers except excluded.
+func (f *fleet) peers(excluded *schedulerMachine) []*schedulerMachine {
+	return slices.DeleteFunc(slices.Clone(f.schedulers), func(one *schedulerMachine) bool { return one == excluded })
 }
 
-// partition blocks both directions between processes of two sets for a time.
+// partition blocks both directions between each process of from and each of to, for the
+// given length of time.
 func (f *fleet) partition(ctx context.Context, length time.Duration, from, to []string) {
 	var links []link
 	for _, one := range from {
@@ -255,19 +262,19 @@
 			}
 		}
 	}
-	note := func(action calllog.Action) {
+	recordAll := func(action calllog.Action) {
 		for _, one := range links {
-			f.fault(calllog.Entry{Process: one.from, Peer: one.to, Action: action})
+			f.recordFault(calllog.Entry{Process: one.from, Peer: one.to, Action: action})
 		}
 	}
-	note(calllog.ActionPartition)
+	recordAll(calllog.ActionPartition)
 	heal := f.network.partition(links...)
 	contexttime.Sleep(ctx, length)
 	heal()
-	note(calllog.ActionHeal)
+	recordAll(calllog.ActionHeal)
 }
 
-// names are those of machines.
+// names returns the names of machines.
 func names(machines []*schedulerMachine) []string {
 	var all []string
 	for _, one := range machines {
@@ -276,8 +283,8 @@
 	return all
 }
 
-// processes are the names of everything that speaks to schedulers, or only of
-// what is in a zone.
+// processes returns the sorted names of all schedulers, fronts and agents in a zone, or in
+// all zones if zone is empty.
 func (f *fleet) processes(zone string) []string {
 	var all []string
 	for name, in := range f.network.zones {
--- a/testbed/model/floods_test.go
+++ b/testbed/model/floods_test.go
@@ -13,68 +13,73 @@
 	"github.com/decklever/decklever/testbed/operator"
 )
 
-// floodOver is the time over which a flood comes.
-const floodOver = 2 * time.Second
+// floodDuration is the time over which the calls of a flood are spread.
+const floodDuration = 2 * time.Second
 
-// submitImpossible submits jobs that no worker has the capacity for: each is rejected.
+// submitImpossible submits jobs that exceed the capacity of every worker. Each must be
+// rejected with status 422 or 429.
 func (s *scenarioRun) submitImpossible(ctx context.Context, count int) {
 	client := s.newClient(nil)
-	too := step("too-large", 1, payload{})
-	too.Tasks[0].Resources = api.Resources{CPUMillis: 2 * workerCapacity().CPUMillis}
-	s.spread(ctx, count, func(number int) {
+	tooLarge := step("too-large", 1, payload{})
+	tooLarge.Tasks[0].Resources = api.Resources{CPUMillis: 2 * workerCapacity().CPUMillis}
+	s.repeatDuringFlood(ctx, count, func(number int) {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		_, err := client.SubmitJob(ctx, fmt.Sprint("impossible-", number), api.JobSpec{Queue: queueName, Steps: []api.StepSpec{too}})
+		_, err := client.SubmitJob(ctx, fmt.Sprint("impossible-", number), api.JobSpec{Queue: queueName, Steps: []api.StepSpec{tooLarge}})
 		var refusal *api.Error
 		if !errors.As(err, &refusal) || refusal.Status != http.StatusUnprocessableEntity && refusal.Status != http.StatusTooManyRequests {
-			s.t.Errorf("an impossible job was answered with %v", err)
+			s.t.Errorf("got error %v for a job that no worker can run, want status 422 or 429", err)
 		}
 	})
 }
 
-// floodCancelled submits jobs and cancels each as soon as it was accepted.
+// floodCancelled submits jobs and cancels each one millisecond after it is accepted.
 func (s *scenarioRun) floodCancelled(ctx context.Context, count int) {
 	client := s.newClient(nil)
-	s.spread(ctx, count, func(number int) {
-		one := plannedJob{id: fmt.Sprint("discarded-", number), cancel: time.Millisecond}
+	s.repeatDuringFlood(ctx, count, func(number int) {
+		one := plannedJob{id: fmt.Sprint("discarded-", number), cancelAfter: time.Millisecond}
 		one.spec = api.JobSpec{Queue: queueName, Steps: []api.StepSpec{step("discarded", 20, payload{WorkMillis: 500})}}
-		(&caller{fleet: s.fleet, client: client, shown: map[string]bool{}}).follow(ctx, one)
+		(&caller{fleet: s.fleet, client: client, reportedSucceeded: map[string]bool{}}).follow(ctx, one)
 	})
 }
 
-// burst submits jobs at one moment.
+// burst submits count jobs at the same time.
 func (s *scenarioRun) burst(ctx context.Context, count int) {
 	client := s.newClient(nil)
 	var callers sync.WaitGroup
 	for number := range count {
 		one := plannedJob{id: fmt.Sprint("burst-", number)}
 		one.spec = api.JobSpec{Queue: queueName, Steps: []api.StepSpec{step("burst", 16, payload{WorkMillis: 300})}}
-		callers.Go(func() { (&caller{fleet: s.fleet, client: client, shown: map[string]bool{}}).follow(ctx, one) })
+		callers.Go(func() {
+			(&caller{fleet: s.fleet, client: client, reportedSucceeded: map[string]bool{}}).follow(ctx, one)
+		})
 	}
 	callers.Wait()
 }
 
-// spread does something many times, evenly over the time of a flood.
-func (s *scenarioRun) spread(ctx context.Context, count int, what func(int)) {
+// repeatDuringFlood calls action count times, spread evenly over floodDuration, and waits
+// for all calls.
+func (s *scenarioRun) repeatDuringFlood(ctx context.Context, count int, action func(int)) {
 	var all sync.WaitGroup
 	for number := range count {
 		all.Go(func() {
-			if contexttime.Sleep(ctx, floodOver*time.Duration(number)/time.Duration(count)) {
-				what(number)
+			if contexttime.Sleep(ctx, floodDuration*time.Duration(number)/time.Duration(count)) {
+				action(number)
 			}
 		})
 	}
 	all.Wait()
 }
 
-// refuseInvalid sends an invalid configuration, which must be rejected.
-func (o *operators) refuseInvalid(ctx context.Context) {
+// putInvalidConfig sends an invalid configuration, which must be rejected and leave the
+// configuration in force unchanged.
+func (o *operators) putInvalidConfig(ctx context.Context) {
 	order := o.changedOrder(func(config *api.Config) { config.Queues = []api.QueueConfig{{Name: queueName, Weight: -1}} })
 	if o.put(ctx, order) {
-		o.fleet.t.Error("an invalid configuration was taken")
+		o.fleet.t.Error("got an invalid configuration accepted, want it rejected")
 	}
 	status, err := o.client.Config(ctx)
 	if code, _ := operator.Refusal(err); code != "" || len(status.Config.Queues) != 1 || status.Config.Queues[0].Weight < 0 {
-		o.fleet.t.Errorf("in force after an invalid configuration: %+v, %v", status, err)
+		o.fleet.t.Errorf("got configuration in force %+v, error %v after an invalid configuration, want the previous one", status, err)
 	}
 }
--- a/testbed/model/gang_test.go
+++ b/testbed/model/gang_test.go
@@ -11,32 +11,33 @@
 	"github.com/decklever/decklever/api"
 )
 
-// gangTimeout is how long a member of a gang waits for the others.
+// gangTimeout is the time that a member of a gang waits for the other members.
 const gangTimeout = 4 * time.Second
 
-var errAlone = errors.New("waited for the other members")
+var errGangIncomplete = errors.New("waited for the other members")
 
-// gangs synchronize the members of gangs: a member works only while all members of the
-// same run are there.
+// gangs synchronizes the members of gangs: a member begins its work only once all members
+// of the same run have arrived. mutex guards all fields.
 type gangs struct {
 	mutex sync.Mutex
-	// arrived has, by step and run, a channel that is closed once all members
-	// are there, and how many are.
+	// arrived contains the gang of each step and run, by "step#run".
 	arrived map[string]*gang
-	// alone are members that gave up waiting, mixed those that came while
-	// another run of their gang was at work.
-	alone, mixed []string
-	// working has the run numbers at work by step.
-	working map[string]map[uint32]int
+	// timedOut lists the members that gave up waiting, overlapping those that arrived while
+	// another run of their gang was active.
+	timedOut, overlapping []string
+	// active counts the active members by step and run number.
+	active map[string]map[uint32]int
 }
 
+// gang is the set of members of one run that have arrived; complete is closed once all
+// have.
 type gang struct {
-	members map[string]bool
-	whole   chan struct{}
+	members  map[string]bool
+	complete chan struct{}
 }
 
-// join waits until all members of a run are there. The member calls leave when
-// it ends.
+// join waits until all members of a run have arrived. On success the member must
+// call leave when it ends. join returns an error if ctx ends or gangTimeout passes first.
 func (g *gangs) join(ctx context.Context, run api.RunRef, size int) (leave func(), err error) {
 	step := run.Task[:strings.LastIndex(run.Task, "/")]
 	key := fmt.Sprintf("%s#%d", step, run.Run)
@@ -45,15 +46,15 @@
 	timer := time.NewTimer(gangTimeout)
 	defer timer.Stop()
 	select {
-	case <-one.whole:
+	case <-one.complete:
 		return leave, nil
 	case <-ctx.Done():
 		err = ctx.Err()
 	case <-timer.C:
 		g.mutex.Lock()
-		g.alone = append(g.alone, fmt.Sprintf("%s run %d", run.Task, run.Run))
+		g.timedOut = append(g.timedOut, fmt.Sprintf("%s run %d", run.Task, run.Run))
 		g.mutex.Unlock()
-		err = errAlone
+		err = errGangIncomplete
 	}
 	leave()
 	return nil, err
@@ -63,23 +64,23 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.arrived == nil {
-		g.arrived, g.working = map[string]*gang{}, map[string]map[uint32]int{}
+		g.arrived, g.active = map[string]*gang{}, map[string]map[uint32]int{}
 	}
 	one := g.arrived[key]
 	if one == nil {
-		one = &gang{members: map[string]bool{}, whole: make(chan struct{})}
+		one = &gang{members: map[string]bool{}, complete: make(chan struct{})}
 		g.arrived[key] = one
 	}
 	one.members[run.Task] = true
 	if len(one.members) == size {
-		close(one.whole)
+		close(one.complete)
 	}
-	if g.working[step] == nil {
-		g.working[step] = map[uint32]int{}
+	if g.active[step] == nil {
+		g.active[step] = map[uint32]int{}
 	}
-	g.working[step][run.Run]++
-	if len(g.working[step]) > 1 {
-		g.mixed = append(g.mixed, fmt.Sprintf("%s run %d", run.Task, run.Run))
+	g.active[step][run.Run]++
+	if len(g.active[step]) > 1 {
+		g.overlapping = append(g.overlapping, fmt.Sprintf("%s run %d", run.Task, run.Run))
 	}
 	return one
 }
@@ -87,8 +88,8 @@
 func (g *gangs) leave(step string, run uint32) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.working[step][run]--
-	if g.working[step][run] == 0 {
-		delete(g.working[step], run)
+	g.active[step][run]--
+	if g.active[step][run] == 0 {
+		delete(g.active[step], run)
 	}
 }
--- a/testbed/model/mechanisms_test.go
+++ b/testbed/model/mechanisms_test.go
@@ -9,24 +9,27 @@
 	"github.com/decklever/decklever/internal/featuregate"
 )
 
-// TestPromises_HoldWithoutOptionalMechanisms: whatever an experiment switches off,
-// alone or all at once, no promise is broken, since none depends on it. Work may be
-// slower: how many jobs end in time is not checked.
+// TestPromises_HoldWithoutOptionalMechanisms guards against a promise that depends on an
+// optional mechanism. It disables each mechanism alone and then all together, under faults
+// of workers, the network and the leader. Jobs may be slower, so the number of jobs that
+// end in time is not checked.
 func TestPromises_HoldWithoutOptionalMechanisms(t *testing.T) {
 	t.Parallel()
 	sets := map[string][]featuregate.Feature{"all": featuregate.All()}
 	for _, name := range featuregate.All() {
 		sets[string(name)] = []featuregate.Feature{name}
 	}
-	for name, off := range sets {
-		size := smallShape(t, off)
+	for name, disabled := range sets {
+		size := smallShape(t, disabled)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, size, 1, scenario{
-				load:    load{over: 8 * time.Second, jobs: 40, resent: 0.1, cancelled: 0.1},
-				allowed: tolerances{alone: true, learned: time.Second, maxFailed: 1000},
-				happen: func(ctx context.Context, s *scenarioRun) {
-					s.atTime(ctx, time.Second, func(ctx context.Context) { s.misbehaveFor(ctx, s.drawSlots(2), behaviour{failing: 1}, 3*time.Second) })
+				load:    load{duration: 8 * time.Second, jobs: 40, resentShare: 0.1, cancelledShare: 0.1},
+				allowed: tolerances{incompleteGangs: true, detectionTime: time.Second, maxFailedRuns: 1000},
+				injectFaults: func(ctx context.Context, s *scenarioRun) {
+					s.atTime(ctx, time.Second, func(ctx context.Context) {
+						s.misbehaveFor(ctx, s.drawSlots(2), behaviour{failingShare: 1}, 3*time.Second)
+					})
 					s.atTime(ctx, 2*time.Second, func(ctx context.Context) { s.crashAndReturn(ctx, s.drawSlots(2), time.Second, 1) })
 					s.atTime(ctx, 3*time.Second, func(ctx context.Context) { s.partitionWorkers(ctx, s.drawSlots(2), 2*time.Second) })
 					s.atTime(ctx, 4*time.Second, func(ctx context.Context) { s.leaveAndReturn(ctx, s.drawSlots(2), time.Second) })
@@ -37,11 +40,11 @@
 	}
 }
 
-// smallShape is a fleet of a few machines without some mechanisms.
-func smallShape(t *testing.T, off []featuregate.Feature) shape {
+// smallShape returns the shape of a small fleet with the given mechanisms disabled.
+func smallShape(t *testing.T, disabled []featuregate.Feature) shape {
 	t.Helper()
 	var names []string
-	for _, name := range off {
+	for _, name := range disabled {
 		names = append(names, string(name))
 	}
 	parsed, err := featuregate.Parse(names)
@@ -50,6 +53,6 @@
 	}
 	return shape{
 		name: fmt.Sprint("without-", len(names)), zones: []string{"z1", "z2", "z3"},
-		schedulers: 3, fronts: 2, workers: 9, tolerate: 1, rack: 3, off: parsed,
+		schedulers: 3, fronts: 2, workers: 9, toleratedLosses: 1, workersPerRack: 3, disabledFeatures: parsed,
 	}
 }
--- a/testbed/model/network_test.go
+++ b/testbed/model/network_test.go
@@ -10,36 +10,40 @@
 )
 
 const (
-	// zoneDelay is how long data takes from one zone to another, one way, and
-	// hopDelay within a zone.
-	zoneDelay = 1400 * time.Microsecond
-	hopDelay  = 100 * time.Microsecond
-	// dialTimeout ends attempts to reach a process that is partitioned.
+	// interZoneDelay and intraZoneDelay are the one-way delays between two zones and within
+	// a zone. A random jitter of up to intraZoneDelay is added to both.
+	interZoneDelay = 1400 * time.Microsecond
+	intraZoneDelay = 100 * time.Microsecond
+	// dialTimeout bounds attempts to connect to a process, in particular to a partitioned
+	// one.
 	dialTimeout = 1500 * time.Millisecond
-	// pipeChunks and pipeChunkBytes bound what is on its way on a connection.
+	// pipeChunks and pipeChunkBytes bound the data in flight in one direction of a
+	// connection: the number of chunks and the size of each.
 	pipeChunks     = 256
 	pipeChunkBytes = 32 << 10
 )
 
 var (
-	errRefused = errors.New("connection refused")
-	errCutOff  = errors.New("no answer to the attempt to connect")
+	errRefused        = errors.New("connection refused")
+	errConnectTimeout = errors.New("no answer to the attempt to connect")
 )
 
 // link is one direction between two processes.
 type link struct{ from, to string }
 
-// network carries data between the processes of a fleet. What is sent on a partitioned
-// link is lost, and the connection stalls, as it does when packets are dropped.
+// network carries data between the processes of a fleet. Data sent on a partitioned link is
+// lost and its connection delivers nothing more in that direction, like a TCP connection
+// whose packets are dropped. mutex guards all fields but pumps; zones may
+// be read without it once all processes have been added.
 type network struct {
 	mutex  sync.Mutex
 	random *rand.Rand
-	// zones are those of the processes by name.
+	// zones contains the zone of each process by process name.
 	zones      map[string]string
 	listeners  map[string]*listener
 	partitions map[link]int
-	// reorderProbability is the share of what goes from schedulers to agents that comes
-	// late by reorderDelay.
+	// reorderProbability is the probability with which a chunk on a link for which
+	// isReordered returns true is delayed by an additional reorderDelay.
 	reorderProbability float64
 	reorderDelay       time.Duration
 	isReordered        func(link) bool
@@ -57,7 +61,7 @@
 	}
 }
 
-// listener is where a process takes connections.
+// listener accepts the connections to one address of a process. It implements net.Listener.
 type listener struct {
 	network  *network
 	process  string
@@ -101,7 +105,8 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// dialer connects a process to others.
+// dialer returns a dial function for the process from. An attempt to connect over a
+// partitioned link, in either direction, times out.
 func (n *network) dialer(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -115,7 +120,7 @@
 		}
 		if partitioned {
 			<-ctx.Done()
-			return nil, errCutOff
+			return nil, errConnectTimeout
 		}
 		return n.connect(ctx, from, target)
 	}
@@ -140,7 +145,8 @@
 	return nil, errRefused
 }
 
-// connection carries data both ways between two pipes.
+// connection forwards data in both directions between the pipe of the dialing process (near)
+// and that of the accepting process (far).
 type connection struct {
 	network   *network
 	out, back link
@@ -155,14 +161,15 @@
 	delete(c.network.open, c)
 }
 
-// chunk is data in flight.
+// chunk is data in flight, to be delivered at due.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// pump forwards data in one direction, delayed by the link, until an end closes.
-func (c *connection) pump(from, to net.Conn, way link) {
+// pump forwards data in one direction with the delay of the link until either end closes.
+// Once a chunk meets a partition, that chunk and all later ones are dropped.
+func (c *connection) pump(from, to net.Conn, direction link) {
 	chunks := make(chan chunk, pipeChunks)
 	var reading sync.WaitGroup
 	defer reading.Wait()
@@ -173,7 +180,7 @@
 		for {
 			count, err := from.Read(buffer)
 			if count > 0 {
-				chunks <- chunk{append([]byte(nil), buffer[:count]...), time.Now().Add(c.network.delay(way))}
+				chunks <- chunk{append([]byte(nil), buffer[:count]...), time.Now().Add(c.network.delay(direction))}
 			}
 			if err != nil {
 				return
@@ -183,7 +190,7 @@
 	broken := false
 	for one := range chunks {
 		time.Sleep(time.Until(one.due))
-		broken = broken || c.network.partitioned(way)
+		broken = broken || c.network.partitioned(direction)
 		if broken {
 			continue
 		}
@@ -195,26 +202,26 @@
 }
 
 // partitioned reports whether a link is partitioned now.
-func (n *network) partitioned(way link) bool {
+func (n *network) partitioned(direction link) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.partitions[way] > 0
+	return n.partitions[direction] > 0
 }
 
-func (n *network) delay(way link) time.Duration {
+func (n *network) delay(direction link) time.Duration {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	delay := hopDelay
-	if n.zones[way.from] != n.zones[way.to] {
-		delay = zoneDelay
+	delay := intraZoneDelay
+	if n.zones[direction.from] != n.zones[direction.to] {
+		delay = interZoneDelay
 	}
-	if n.reorderProbability > 0 && n.isReordered(way) && n.random.Float64() < n.reorderProbability {
+	if n.reorderProbability > 0 && n.isReordered(direction) && n.random.Float64() < n.reorderProbability {
 		delay += n.reorderDelay
 	}
-	return delay + time.Duration(n.random.Int64N(int64(hopDelay)))
+	return delay + time.Duration(n.random.Int64N(int64(intraZoneDelay)))
 }
 
-// partition blocks links until heal is called; connections on them are reset then.
+// partition blocks links until heal is called, which also closes the connections on them.
 func (n *network) partition(links ...link) (heal func()) {
 	n.change(links, 1)
 	return func() {
@@ -248,7 +255,7 @@
 	return found
 }
 
-// reset closes all connections of a process, as its end does.
+// reset closes all connections of a process, as the operating system does when it exits.
 func (n *network) reset(process string) {
 	n.mutex.Lock()
 	var found []*connection
@@ -263,11 +270,12 @@
 	}
 }
 
-// reorder delays a share of what is sent on links until end is called.
-func (n *network) reorder(probability float64, by time.Duration, on func(link) bool) (end func()) {
+// reorder delays chunks on the links for which matches returns true, with the given
+// probability, until end is called. Only one reordering can be active at a time.
+func (n *network) reorder(probability float64, delay time.Duration, matches func(link) bool) (end func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.reorderProbability, n.reorderDelay, n.isReordered = probability, by, on
+	n.reorderProbability, n.reorderDelay, n.isReordered = probability, delay, matches
 	return func() {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
@@ -275,7 +283,7 @@
 	}
 }
 
-// close ends all connections and waits for that.
+// close closes all connections and waits until their goroutines have ended.
 func (n *network) close() {
 	n.mutex.Lock()
 	var found []*connection
--- a/testbed/model/operators_test.go
+++ b/testbed/model/operators_test.go
@@ -15,20 +15,23 @@
 	"github.com/decklever/decklever/testbed/operator"
 )
 
-// operators is the operators, who change the configuration.
+// operators simulates the operators who change the configuration. mutex guards the fields
+// below it.
 type operators struct {
 	fleet  *fleet
 	client *api.Client
 
 	mutex sync.Mutex
-	// version is the newest acknowledged one and config what it says.
-	version uint64
-	config  api.Config
-	serial  int
-	// kept are acknowledged orders, to be sent again later.
-	kept []sentOrder
+	// version is the newest acknowledged configuration version, config its content.
+	version    uint64
+	config     api.Config
+	orderCount int
+	// acknowledgedOrders are the acknowledged orders, which resendAll sends again.
+	acknowledgedOrders []sentOrder
 }
 
+// sentOrder is a request to replace configuration version base by config. version is the
+// resulting version once the order is acknowledged.
 type sentOrder struct {
 	id      string
 	base    uint64
@@ -36,51 +39,52 @@
 	version uint64
 }
 
-// firstConfig is in force when a scenario begins.
+// firstConfig returns the configuration that is in force when a scenario begins.
 func firstConfig() api.Config {
 	return api.Config{Queues: []api.QueueConfig{{Name: queueName, DefaultAllowedFailures: 6}}}
 }
 
-// newOperators puts the first configuration in force. Of the answers to operators
-// a share is lost.
-func (f *fleet) newOperators(lost float64) *operators {
+// newOperators puts the first configuration in force. lostShare is the share of the answers
+// to operators that are lost, from 0 to 1.
+func (f *fleet) newOperators(lostShare float64) *operators {
 	random := rand.New(rand.NewPCG(f.seed, 0x6f7073))
 	var mutex sync.Mutex
 	o := &operators{fleet: f, client: f.newClient(func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
-		return random.Float64() < lost
+		return random.Float64() < lostShare
 	})}
-	o.put(f.t.Context(), o.next(firstConfig()))
+	o.put(f.t.Context(), o.newOrder(firstConfig()))
 	return o
 }
 
-// next makes an order on the newest version.
-func (o *operators) next(config api.Config) sentOrder {
+// newOrder returns an order with a new ID that is based on the newest acknowledged version.
+func (o *operators) newOrder(config api.Config) sentOrder {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.serial++
-	return sentOrder{id: fmt.Sprintf("order-%d", o.serial), base: o.version, config: config}
+	o.orderCount++
+	return sentOrder{id: fmt.Sprintf("order-%d", o.orderCount), base: o.version, config: config}
 }
 
-// changedOrder is the newest configuration with a value that no other has, by which it
-// can be identified.
+// changedOrder returns an order for the newest configuration with an annotation that
+// identifies the change. A non-nil change modifies the configuration further.
 func (o *operators) changedOrder(change func(*api.Config)) sentOrder {
 	o.mutex.Lock()
 	config := o.config
-	mark := fmt.Sprint("change ", o.serial)
+	annotation := fmt.Sprint("change ", o.orderCount)
 	o.mutex.Unlock()
-	config.Annotations = map[string]string{"mark": mark}
+	config.Annotations = map[string]string{"mark": annotation}
 	if change != nil {
 		change(&config)
 	}
-	return o.next(config)
+	return o.newOrder(config)
 }
 
-// put sends an order until there is a final answer, and reports whether it was
-// accepted.
+// put sends an order, retrying errors that leave the outcome open, until there is a final
+// answer, and reports whether the order was accepted. The scenario fails if there is no
+// final answer within stateTimeout.
 func (o *operators) put(ctx context.Context, order sentOrder) bool {
-	ctx, cancel := context.WithTimeout(ctx, formTimeout)
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		entry := calllog.Entry{Kind: calllog.KindConfigPut, Sent: o.fleet.now(), OrderID: order.id, Base: order.base, Config: &order.config}
@@ -98,9 +102,9 @@
 		if errors.As(err, &refusal) && refusal.Status != http.StatusServiceUnavailable {
 			return false
 		}
-		contexttime.Sleep(ctx, pollPause)
+		contexttime.Sleep(ctx, retryPause)
 	}
-	o.fleet.fail("%s had no plain answer", order.id)
+	o.fleet.fail("%s got no final answer", order.id)
 	return false
 }
 
@@ -108,13 +112,13 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	order.version = version
-	o.kept = append(o.kept, order)
+	o.acknowledgedOrders = append(o.acknowledgedOrders, order)
 	if version > o.version {
 		o.version, o.config = version, order.config
 	}
 }
 
-// read reads the configuration in force.
+// read reads the configuration in force once and records the answer in the call log.
 func (o *operators) read(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -125,7 +129,7 @@
 	o.fleet.calls.Add(entry)
 }
 
-// change makes changes one after another.
+// change changes the configuration times times in sequence, and reads it after each change.
 func (o *operators) change(ctx context.Context, times int, pause time.Duration) {
 	for range times {
 		o.put(ctx, o.changedOrder(nil))
@@ -134,7 +138,8 @@
 	}
 }
 
-// race has operators change one base at once; exactly one may win.
+// race sends several orders on the same base version concurrently, times times. Exactly one
+// of them must be accepted each time.
 func (o *operators) race(ctx context.Context, times, racers int) {
 	for range times {
 		var orders []sentOrder
@@ -143,37 +148,37 @@
 		}
 		var racing sync.WaitGroup
 		var mutex sync.Mutex
-		taken := 0
+		accepted := 0
 		for _, order := range orders {
 			racing.Go(func() {
 				if o.put(ctx, order) {
 					mutex.Lock()
 					defer mutex.Unlock()
-					taken++
+					accepted++
 				}
 			})
 		}
 		racing.Wait()
-		if taken != 1 {
-			o.fleet.t.Errorf("%d of %d orders on version %d were taken, want 1", taken, racers, orders[0].base)
+		if accepted != 1 {
+			o.fleet.t.Errorf("got %d of %d orders on version %d accepted, want 1", accepted, racers, orders[0].base)
 		}
 	}
 }
 
-// resendAll sends every accepted order once more: each is acknowledged again, with its
-// version.
+// resendAll sends every acknowledged order again. Each must be acknowledged again; the
+// checker compares the version with the first one.
 func (o *operators) resendAll(ctx context.Context) {
 	o.mutex.Lock()
-	kept := append([]sentOrder(nil), o.kept...)
+	orders := append([]sentOrder(nil), o.acknowledgedOrders...)
 	o.mutex.Unlock()
-	for _, order := range kept {
+	for _, order := range orders {
 		if !o.put(ctx, order) {
-			o.fleet.t.Errorf("%s, taken as version %d, was refused when it came again", order.id, order.version)
+			o.fleet.t.Errorf("%s was accepted as version %d but rejected when sent again, want it accepted again", order.id, order.version)
 		}
 	}
 }
 
-// drainZone drains a zone by the configuration, and ends that after a time.
+// drainZone drains a zone through the configuration and ends the drain after length.
 func (o *operators) drainZone(ctx context.Context, zone string, length time.Duration) {
 	o.put(ctx, o.changedOrder(func(config *api.Config) { config.Drains.Zones = []string{zone} }))
 	contexttime.Sleep(ctx, length)
--- a/testbed/model/processes_test.go
+++ b/testbed/model/processes_test.go
@@ -21,14 +21,15 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// relayTimeout bounds the relay of a heartbeat, as agents' settings do.
+// relayTimeout bounds the relay of a heartbeat. It equals the default of the agent's
+// settings.
 const relayTimeout = time.Second
 
-// linkedProcess is a process that follows the leader.
+// linkedProcess is a process that finds and follows the leader: a front or an agent.
 type linkedProcess struct {
-	client *rpc.Client
-	link   *leaderclient.Client
-	stop   func()
+	client       *rpc.Client
+	leaderClient *leaderclient.Client
+	stop         func()
 }
 
 func (f *fleet) newLinkedProcess(name, role, zone string, versionOnly bool) linkedProcess {
@@ -43,7 +44,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { _ = made.Run(ctx) })
-	return linkedProcess{client: client, link: made, stop: func() {
+	return linkedProcess{client: client, leaderClient: made, stop: func() {
 		cancel()
 		f.network.reset(name)
 		running.Wait()
@@ -51,7 +52,7 @@
 	}}
 }
 
-// frontMachine is a front.
+// frontMachine is a machine with a front.
 type frontMachine struct {
 	linkedProcess
 	front *front.Front
@@ -61,14 +62,14 @@
 	name := fmt.Sprintf("front-%d", number+1)
 	made := &frontMachine{linkedProcess: f.newLinkedProcess(name, "front", f.zone(number), false)}
 	var err error
-	made.front, err = front.New(front.Config{Link: made.link, Client: made.client, Registerer: prometheus.NewRegistry()})
+	made.front, err = front.New(front.Config{Link: made.leaderClient, Client: made.client, Registerer: prometheus.NewRegistry()})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	f.fronts[name] = made
 }
 
-// agentMachine is a machine with an agent, which can be stopped and started again.
+// agentMachine is a machine with an agent.
 type agentMachine struct {
 	linkedProcess
 	agent atomic.Pointer[agent.Agent]
@@ -77,7 +78,7 @@
 func (f *fleet) newAgent(name, zone string) *agentMachine {
 	made := &agentMachine{linkedProcess: f.newLinkedProcess(name, "agent", zone, true)}
 	running, err := agent.New(agent.Config{
-		Name: name, Zone: func() string { return zone }, RelayTimeout: relayTimeout, Link: made.link, Client: made.client,
+		Name: name, Zone: func() string { return zone }, RelayTimeout: relayTimeout, Link: made.leaderClient, Client: made.client,
 		Logger: slog.New(f.logs).With("agent", name), Registerer: prometheus.NewRegistry(),
 	})
 	if err != nil {
@@ -89,30 +90,31 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// direct carries requests to a handler in this process.
-type direct struct {
-	// handler returns who serves a request; nil if it has no answer.
+// handlerTransport is an http.RoundTripper that passes requests to a handler in this process.
+type handlerTransport struct {
+	// handler returns the handler of a request, or nil if the request gets no answer. It
+	// is called before and after the request is served.
 	handler func(*http.Request) http.Handler
-	// loses draws whether an answer is lost. Optional.
-	loses func() bool
+	// loseAnswer draws whether the answer to a served request is lost. Default: none is.
+	loseAnswer func() bool
 }
 
 // RoundTrip implements http.RoundTripper.
-func (d direct) RoundTrip(request *http.Request) (*http.Response, error) {
+func (d handlerTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	handler := d.handler(request)
 	if handler == nil {
 		return nil, errNoAnswer
 	}
-	inside := request.Clone(request.Context())
-	if inside.Body == nil {
-		inside.Body = http.NoBody
+	cloned := request.Clone(request.Context())
+	if cloned.Body == nil {
+		cloned.Body = http.NoBody
 	}
 	answer := httptest.NewRecorder()
-	handler.ServeHTTP(answer, inside)
+	handler.ServeHTTP(answer, cloned)
 	if err := request.Context().Err(); err != nil {
 		return nil, err
 	}
-	if d.handler(request) == nil || d.loses != nil && d.loses() {
+	if d.handler(request) == nil || d.loseAnswer != nil && d.loseAnswer() {
 		return nil, errNoAnswer
 	}
 	response := answer.Result()
--- a/testbed/model/scheduler_test.go
+++ b/testbed/model/scheduler_test.go
@@ -22,24 +22,28 @@
 )
 
 const (
-	// snapshotEvery is small, so that snapshots and their transfer happen in a
-	// scenario, and keptEntries stay in the log behind one.
-	snapshotEvery = 400
-	keptEntries   = 50
-	// handOverTimeout bounds the transfer of the leadership and of a voter slot.
-	handOverTimeout = 2 * time.Second
+	// snapshotInterval is the number of log entries between snapshots. It is small so that
+	// scenarios include snapshots and their transfer. retainedEntries is the number of
+	// entries that stay in the log behind a snapshot.
+	snapshotInterval = 400
+	retainedEntries  = 50
+	// transferTimeout bounds the transfer of leadership and of the voter slot before a
+	// process ends.
+	transferTimeout = 2 * time.Second
 )
 
-// schedulerMachine is a machine with a disk; processes on it come and go.
+// schedulerMachine is a machine with a disk on which at most one scheduler process runs at
+// a time. mutex guards replica and stop; stop is nil while no process runs.
 type schedulerMachine struct {
 	fleet   *fleet
 	name    string
 	zone    string
 	address string
-	// mayForm: it may bootstrap the cluster, as its address is among the seeds.
-	mayForm bool
-	// disks counts the disks that it had.
-	disks      int
+	// mayBootstrap says that the machine may bootstrap the cluster, because its address is
+	// one of the seeds.
+	mayBootstrap bool
+	// diskCount is the number of disks that the machine has had, including the current one.
+	diskCount  int
 	store      *storage.Memory
 	wallOffset atomic.Int64
 
@@ -50,28 +54,30 @@
 
 // newDisk gives the machine an empty disk.
 func (m *schedulerMachine) newDisk() {
-	m.disks++
-	m.store = storage.NewMemory(int64(m.fleet.seedOf(fmt.Sprint(m.name, " disk ", m.disks))))
+	m.diskCount++
+	m.store = storage.NewMemory(int64(m.fleet.seedOf(fmt.Sprint(m.name, " disk ", m.diskCount))))
 }
 
-// start runs a process on the machine.
+// start starts a scheduler process on the machine.
 func (m *schedulerMachine) start() {
 	f := m.fleet
 	client := rpc.NewClient(rpc.ClientConfig{Dialer: f.network.dialer(m.name)})
 	logger := slog.New(f.logs).With("scheduler", m.name)
 	service := scheduler.NewService(scheduler.Config{
-		Archive:          m.store.Archive(),
-		NewPlanner:       func() scheduler.Planner { return placement.New(placement.Config{DisabledFeatures: f.shape.off}) },
-		DisabledFeatures: f.shape.off,
+		Archive: m.store.Archive(),
+		NewPlanner: func() scheduler.Planner {
+			return placement.New(placement.Config{DisabledFeatures: f.shape.disabledFeatures})
+		},
+		DisabledFeatures: f.shape.disabledFeatures,
 		Logger:           logger,
 		Registerer:       prometheus.NewRegistry(),
 	})
 	made, err := replica.New(replica.Config{
 		Name: m.name, Zone: m.zone, Address: m.address, Seeds: f.seeds,
 		Store: m.store, Record: record.NewMachine(record.Config{Archive: m.store.Archive()}), Client: client,
-		JoinOnly: !m.mayForm, MaxVoters: 2*f.shape.tolerate + 1,
+		JoinOnly: !m.mayBootstrap, MaxVoters: 2*f.shape.toleratedLosses + 1,
 		WallClock:     func() time.Time { return time.Now().Add(time.Duration(m.wallOffset.Load())) },
-		SnapshotEvery: snapshotEvery, RetainedEntries: keptEntries, Logger: logger, Lead: service.Lead,
+		SnapshotEvery: snapshotInterval, RetainedEntries: retainedEntries, Logger: logger, Lead: service.Lead,
 	})
 	if err != nil {
 		f.t.Error(err)
@@ -88,7 +94,7 @@
 	running.Go(func() { _ = httpServer.Serve(listener) })
 	running.Go(func() {
 		if err := made.Run(ctx); err != nil {
-			f.t.Errorf("%s ended by itself: %v", m.name, err)
+			f.t.Errorf("%s ended unexpectedly: %v", m.name, err)
 		}
 	})
 	m.mutex.Lock()
@@ -101,10 +107,10 @@
 		running.Wait()
 		client.Close()
 	}
-	f.fault(calllog.Entry{Process: m.name, Action: calllog.ActionStart})
+	f.recordFault(calllog.Entry{Process: m.name, Action: calllog.ActionStart})
 }
 
-// kill ends the process at once.
+// kill ends the process immediately; it does nothing if none runs.
 func (m *schedulerMachine) kill() {
 	m.mutex.Lock()
 	stop := m.stop
@@ -113,45 +119,47 @@
 	if stop == nil {
 		return
 	}
-	m.fleet.fault(calllog.Entry{Process: m.name, Action: calllog.ActionExit, Expected: true})
+	m.fleet.recordFault(calllog.Entry{Process: m.name, Action: calllog.ActionExit, Expected: true})
 	stop()
 }
 
-// losePower ends the process and loses what was not synced.
+// losePower ends the process and discards the data that was not synced.
 func (m *schedulerMachine) losePower() {
 	m.kill()
 	m.store.Crash()
 }
 
-// terminate has the process transfer its leadership and end.
+// terminate makes the process transfer its leadership and voter slot and then end.
 func (m *schedulerMachine) terminate() {
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
-	m.running().PrepareShutdown(ctx)
+	m.currentReplica().PrepareShutdown(ctx)
 	m.kill()
 }
 
-// running returns the newest process's replica.
-func (m *schedulerMachine) running() *replica.Replica {
+// currentReplica returns the replica of the newest process, which may have ended.
+func (m *schedulerMachine) currentReplica() *replica.Replica {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.replica
 }
 
-func (m *schedulerMachine) up() bool {
+func (m *schedulerMachine) isRunning() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.stop != nil
 }
 
-// leads reports whether the machine acts under its leader lease.
-func (m *schedulerMachine) leads() bool {
-	if !m.up() {
+// isLeader reports whether the replica is ready to lead its term and holds the lease.
+func (m *schedulerMachine) isLeader() bool {
+	if !m.isRunning() {
 		return false
 	}
-	status := m.running().Status()
-	return status.TermReady && m.running().HoldsLease(status.Term)
+	status := m.currentReplica().Status()
+	return status.TermReady && m.currentReplica().HoldsLease(status.Term)
 }
 
-// membership is the newest membership that the machine knows.
-func (m *schedulerMachine) membership() raft.Membership { return m.running().Status().Membership }
+// membership returns the newest membership that the replica knows.
+func (m *schedulerMachine) membership() raft.Membership {
+	return m.currentReplica().Status().Membership
+}
--- a/testbed/model/spread_test.go
+++ b/testbed/model/spread_test.go
@@ -12,12 +12,14 @@
 	"github.com/decklever/decklever/testbed/checker"
 )
 
-// placeBound is how soon a task starts where there is capacity for many times more.
-const placeBound = 1500 * time.Millisecond
+// maxStartDelay bounds the time from ready to start of a task when workers have ample
+// spare capacity.
+const maxStartDelay = 1500 * time.Millisecond
 
-// TestSpread_TasksStartWithoutDelay: with capacity on every worker, tasks that may not
-// share one start as soon as any others. A planner that does not know the rule would
-// have its placements rejected by the record, and they would start one after the other.
+// TestSpread_TasksStartWithoutDelay guards against a planner that ignores the spread rule:
+// the record would reject its placements of several tasks on one worker, and the tasks
+// would start one after the other. With spare capacity on every worker, tasks that must not
+// share a worker start as soon as other tasks.
 func TestSpread_TasksStartWithoutDelay(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -28,23 +30,23 @@
 		time.Sleep(time.Second)
 		from := f.now()
 		client := f.newClient(nil)
-		// So few that no worker is full with one task of each.
+		// With so few jobs no worker is full when it runs one task of each.
 		const jobs = 2
 		var callers sync.WaitGroup
 		for number := range jobs {
-			apart := step("apart", 8, payload{WorkMillis: longWork.Milliseconds()})
-			apart.Tasks[0].Spread = &api.Spread{By: api.SpreadByWorker}
-			one := plannedJob{id: fmt.Sprint("apart-", number), spec: api.JobSpec{Queue: queueName, Steps: []api.StepSpec{apart}}}
+			spreadStep := step("apart", 8, payload{WorkMillis: longTaskDuration.Milliseconds()})
+			spreadStep.Tasks[0].Spread = &api.Spread{By: api.SpreadByWorker}
+			one := plannedJob{id: fmt.Sprint("apart-", number), spec: api.JobSpec{Queue: queueName, Steps: []api.StepSpec{spreadStep}}}
 			callers.Go(func() {
-				ctx, cancel := context.WithTimeout(t.Context(), finishTime)
+				ctx, cancel := context.WithTimeout(t.Context(), completionTimeout)
 				defer cancel()
-				(&caller{fleet: f, client: client, shown: map[string]bool{}}).follow(ctx, one)
+				(&caller{fleet: f, client: client, reportedSucceeded: map[string]bool{}}).follow(ctx, one)
 			})
 		}
 		callers.Wait()
-		for _, delay := range checker.StartDelays(f.observed(from, f.now())) {
-			if delay.Length() > placeBound {
-				t.Errorf("%s started %v after it was ready, want %v at most", delay.Task, delay.Length(), placeBound)
+		for _, delay := range checker.StartDelays(f.history(from, f.now())) {
+			if delay.Length() > maxStartDelay {
+				t.Errorf("got start of %s %v after it was ready, want at most %v", delay.Task, delay.Length(), maxStartDelay)
 			}
 		}
 		f.check(from, f.now(), tolerances{minJobs: jobs})
--- a/testbed/model/worker_test.go
+++ b/testbed/model/worker_test.go
@@ -20,29 +20,30 @@
 
 const (
 	serviceName = "work"
-	// progressPause is how often a run reports its progress.
+	// progressPause is the interval at which a run reports its progress.
 	progressPause = 100 * time.Millisecond
-	// clockSlow is by how much every other worker's clock runs slow, in percent.
-	clockSlow = 2
-	wholePart = 100 // percent
+	// clockLagPercent is how much slower the clock of every other worker runs, in percent.
+	clockLagPercent = 2
+	hundredPercent  = 100
 )
 
-// workerCapacity is that of each worker.
+// workerCapacity returns the capacity of each worker.
 func workerCapacity() api.Resources { return api.Resources{CPUMillis: 4000, MemoryMB: 8000} }
 
-// behaviour is how a worker treats what it runs.
+// behaviour describes the faults that a worker injects into its runs.
 type behaviour struct {
-	// failing is the share of runs that fail soon, stalling of those that never
-	// end; the worker's heartbeats go on.
-	failing, stalling float64
-	// slower stretches each run.
-	slower int
+	// failingShare is the share of the runs that fail after progressPause, stallingShare
+	// the share that never end unless they are stopped. The worker's heartbeats continue
+	// in both cases.
+	failingShare, stallingShare float64
+	// slowdown multiplies the duration of each run; values below 1 count as 1.
+	slowdown int
 }
 
-var errUnsound = errors.New("the worker is unsound")
+var errInjectedFailure = errors.New("the worker is unsound")
 
-// workerSlot is a machine and address for one worker at a time, over all of its
-// incarnations.
+// workerSlot is a machine on which one worker runs, through all of its incarnations. mutex
+// guards the fields below it.
 type workerSlot struct {
 	fleet  *fleet
 	number int
@@ -50,33 +51,33 @@
 	zone   string
 	agent  *agentMachine
 
-	mutex   sync.Mutex
-	random  *rand.Rand
-	present *incarnation
-	lives   []*incarnation
-	behaves behaviour
+	mutex        sync.Mutex
+	random       *rand.Rand
+	current      *incarnation
+	incarnations []*incarnation
+	injected     behaviour
 }
 
-// incarnation is one start of a worker's process.
+// incarnation is one process of a worker, from its start to its end.
 type incarnation struct {
 	worker *worker.Worker
-	// dead is closed at a crash, leave ends it in order, and over is closed once
-	// it has ended.
-	dead  chan struct{}
-	leave context.CancelFunc
-	over  chan struct{}
+	// crashed is closed when the incarnation crashes, shutDown begins a graceful shutdown,
+	// and ended is closed once Run has returned.
+	crashed  chan struct{}
+	shutDown context.CancelFunc
+	ended    chan struct{}
 }
 
-func (i *incarnation) isDead() bool {
+func (i *incarnation) hasCrashed() bool {
 	select {
-	case <-i.dead:
+	case <-i.crashed:
 		return true
 	default:
 		return false
 	}
 }
 
-// startWorkers starts a worker in each slot.
+// startWorkers creates all worker slots, each with its agent, and starts their workers.
 func (f *fleet) startWorkers() {
 	for number := range f.shape.workers {
 		agentName := fmt.Sprintf("agent-%d", number+1)
@@ -89,8 +90,8 @@
 	}
 }
 
-// described is what the checker must know of the worker.
-func (p *workerSlot) described() checker.Worker {
+// checkerWorker returns the description of the worker for the checker.
+func (p *workerSlot) checkerWorker() checker.Worker {
 	return checker.Worker{
 		Name: p.name, Zone: p.zone, Capacity: workerCapacity(), Services: []string{serviceName}, Labels: p.labels(),
 		Agent: fmt.Sprintf("agent-%d", p.number+1),
@@ -98,24 +99,24 @@
 }
 
 func (p *workerSlot) labels() map[string]string {
-	return map[string]string{"kind": kindOf(p.number), "rack": fmt.Sprint("rack-", p.number/p.fleet.shape.rack)}
+	return map[string]string{"kind": kindOf(p.number), "rack": fmt.Sprint("rack-", p.number/p.fleet.shape.workersPerRack)}
 }
 
 func kindOf(number int) string { return []string{"a", "b"}[number%2] }
 
 // start starts a new incarnation.
 func (p *workerSlot) start() {
-	started := &incarnation{dead: make(chan struct{}), over: make(chan struct{})}
+	started := &incarnation{crashed: make(chan struct{}), ended: make(chan struct{})}
 	began := time.Now()
 	clock := func() time.Duration {
 		passed := time.Since(began)
-		return passed - passed*time.Duration(clockSlow*(p.number%2))/wholePart
+		return passed - passed*time.Duration(clockLagPercent*(p.number%2))/hundredPercent
 	}
 	made, err := worker.New(worker.Config{
 		Name: p.name, AgentURL: "http://agent", Capacity: workerCapacity(), Labels: p.labels(), Clock: clock,
 		Logger: slog.New(p.fleet.logs).With("worker", p.name),
-		HTTPClient: &http.Client{Transport: direct{handler: func(*http.Request) http.Handler {
-			if started.isDead() {
+		HTTPClient: &http.Client{Transport: handlerTransport{handler: func(*http.Request) http.Handler {
+			if started.hasCrashed() {
 				return nil
 			}
 			return p.agent.agent.Load()
@@ -130,21 +131,22 @@
 	started.worker = made
 	made.Handle(serviceName, func(ctx context.Context, task worker.Task) error { return p.work(ctx, started, task) })
 	ctx, cancel := context.WithCancel(context.Background())
-	started.leave = cancel
+	started.shutDown = cancel
 	p.mutex.Lock()
-	p.present = started
-	p.lives = append(p.lives, started)
+	p.current = started
+	p.incarnations = append(p.incarnations, started)
 	p.mutex.Unlock()
-	p.fleet.fault(calllog.Entry{Process: p.name, Action: calllog.ActionStart})
+	p.fleet.recordFault(calllog.Entry{Process: p.name, Action: calllog.ActionStart})
 	go func() {
-		defer close(started.over)
-		_ = made.Run(ctx) // reports handlers that go on, as those of the dead do
+		defer close(started.ended)
+		_ = made.Run(ctx) // may be ErrHandlersRunning after a crash
 	}()
 }
 
-// record logs what an incarnation does, until it crashes.
+// record adds an event of an incarnation to the event log, unless the incarnation has
+// crashed.
 func (p *workerSlot) record(started *incarnation, event worker.Event, kind eventlog.Kind) {
-	if started.isDead() {
+	if started.hasCrashed() {
 		return
 	}
 	p.fleet.mutex.Lock()
@@ -155,67 +157,68 @@
 	})
 }
 
-// crash ends the incarnation, and all it runs, at once.
+// crash ends the current incarnation and all its runs immediately. It does nothing if there
+// is none or it has crashed already.
 func (p *workerSlot) crash() {
 	p.mutex.Lock()
-	started := p.present
+	started := p.current
 	p.mutex.Unlock()
-	if started == nil || started.isDead() {
+	if started == nil || started.hasCrashed() {
 		return
 	}
-	p.fleet.fault(calllog.Entry{Process: p.name, Action: calllog.ActionExit, Expected: true})
-	close(started.dead)
-	started.leave()
+	p.fleet.recordFault(calllog.Entry{Process: p.name, Action: calllog.ActionExit, Expected: true})
+	close(started.crashed)
+	started.shutDown()
 }
 
-// drain has the incarnation shut down gracefully, and waits for that.
+// drain shuts down the current incarnation gracefully and waits until it has ended.
 func (p *workerSlot) drain() {
 	p.mutex.Lock()
-	started := p.present
+	started := p.current
 	p.mutex.Unlock()
-	started.leave()
-	<-started.over
-	p.fleet.fault(calllog.Entry{Process: p.name, Action: calllog.ActionExit, Expected: true})
+	started.shutDown()
+	<-started.ended
+	p.fleet.recordFault(calllog.Entry{Process: p.name, Action: calllog.ActionExit, Expected: true})
 }
 
-// setBehaviour changes how the worker treats what it starts from now on.
-func (p *workerSlot) setBehaviour(behaves behaviour) {
+// setBehaviour sets the behaviour of the worker for runs that it starts from now on.
+func (p *workerSlot) setBehaviour(injected behaviour) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.behaves = behaves
+	p.injected = injected
 }
 
-// drawnRun is the drawn fate of one run.
+// drawnRun is the drawn behaviour of one run.
 type drawnRun struct {
 	fails, stalls bool
-	slower        int
+	slowdown      int
 }
 
 func (p *workerSlot) draw() drawnRun {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	chance := p.random.Float64()
-	fails := chance < p.behaves.failing
-	return drawnRun{fails: fails, stalls: !fails && chance < p.behaves.failing+p.behaves.stalling, slower: max(1, p.behaves.slower)}
+	fails := chance < p.injected.failingShare
+	return drawnRun{fails: fails, stalls: !fails && chance < p.injected.failingShare+p.injected.stallingShare, slowdown: max(1, p.injected.slowdown)}
 }
 
-// payload says what a task does.
+// payload is the payload of a task and describes what the task does.
 type payload struct {
 	WorkMillis int64 `json:"work_ms"`
-	// Gang is the number of tasks that can work only together; 0 if the task
-	// needs no other.
+	// Gang is the number of members of the task's gang; 0 if the task is not in a gang.
 	Gang int `json:"gang,omitempty"`
-	// Endless tasks go on until they are stopped.
+	// Endless says that the task runs until it is stopped.
 	Endless bool `json:"endless,omitempty"`
 }
 
-// work does what a task says, as the worker behaves.
+// work is the handler of all tasks: it executes a payload with the injected behaviour. A
+// crash of the incarnation cancels it.
 func (p *workerSlot) work(ctx context.Context, started *incarnation, task worker.Task) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-started.dead:
+		case <-started.crashed:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -224,10 +227,10 @@
 	if err := task.Decode(&work); err != nil {
 		return err
 	}
-	fate := p.draw()
-	if fate.fails {
+	drawn := p.draw()
+	if drawn.fails {
 		contexttime.Sleep(ctx, progressPause)
-		return errUnsound
+		return errInjectedFailure
 	}
 	if work.Gang > 0 {
 		leave, err := p.fleet.gangs.join(ctx, task.RunRef, work.Gang)
@@ -236,11 +239,11 @@
 		}
 		defer leave()
 	}
-	if fate.stalls || work.Endless {
+	if drawn.stalls || work.Endless {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	return p.execute(ctx, task, time.Duration(work.WorkMillis)*time.Millisecond*time.Duration(fate.slower))
+	return p.execute(ctx, task, time.Duration(work.WorkMillis)*time.Millisecond*time.Duration(drawn.slowdown))
 }
 
 func (p *workerSlot) execute(ctx context.Context, task worker.Task, work time.Duration) error {
@@ -248,7 +251,7 @@
 		if !contexttime.Sleep(ctx, min(progressPause, work-done)) {
 			return ctx.Err()
 		}
-		_ = task.Report(int(wholePart*min(done+progressPause, work)/work), "")
+		_ = task.Report(int(hundredPercent*min(done+progressPause, work)/work), "")
 	}
 	return nil
 }
--- a/testbed/monoclock/monoclock.go
+++ b/testbed/monoclock/monoclock.go
@@ -10,7 +10,7 @@
 // Nanos is a reading of CLOCK_MONOTONIC in nanoseconds since boot.
 type Nanos int64
 
-// Now returns the present reading.
+// Now returns the current reading. It panics if the clock cannot be read.
 func Now() Nanos {
 	var reading unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &reading); err != nil {
@@ -19,21 +19,21 @@
 	return Nanos(reading.Nano())
 }
 
-// Sub returns the time from other to n.
+// Sub returns the time elapsed from other to n.
 func (n Nanos) Sub(other Nanos) time.Duration { return time.Duration(n - other) }
 
-// Add returns the reading that lies d after n.
+// Add returns the reading d after n.
 func (n Nanos) Add(d time.Duration) Nanos { return n + Nanos(d) }
 
-// Anchor ties a reading to the wall clock of this machine.
+// Anchor pairs a reading with the wall-clock time at the same moment on this machine.
 type Anchor struct {
 	Mono Nanos     `json:"mono_ns"`
 	Wall time.Time `json:"wall"`
 }
 
-// NewAnchor reads both clocks.
+// NewAnchor reads the monotonic clock and the wall clock.
 func NewAnchor() Anchor { return Anchor{Mono: Now(), Wall: time.Now().Round(0)} }
 
-// At maps a wall time to a reading, as if the wall clock had not been set
-// since the anchor was taken.
+// At converts a wall-clock time to a reading. The result is right only if the wall clock
+// was not adjusted between the anchor and that time.
 func (a Anchor) At(wall time.Time) Nanos { return a.Mono.Add(wall.Sub(a.Wall)) }
--- a/testbed/netem/connection.go
+++ b/testbed/netem/connection.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// chunkBytes bounds what is forwarded at once.
+	// chunkBytes is the maximum size of one forwarded chunk of data.
 	chunkBytes  = 32 << 10
 	dialTimeout = 2 * time.Second
 )
 
-// connection is one forwarded connection; link is the direction from the process that
-// opened it. The goroutine of serve owns it.
+// connection is one forwarded connection. link is the direction from the process that
+// opened it to the route's process. The goroutine that runs serve owns the connection.
 type connection struct {
 	link              Link
 	forward, backward *direction
 	client, server    *net.TCPConn
-	// stop ends both pumps and resets the connection.
+	// stop ends forwarding in both directions and resets the connection.
 	stop context.CancelFunc
 }
 
-// serve forwards until both directions have ended.
+// serve connects an accepted connection to the route's target and forwards data until
+// both directions have ended.
 func (n *Network) serve(ctx context.Context, client *net.TCPConn, route Route, source string) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -46,9 +47,9 @@
 	_, _ = conn.client.Close(), conn.server.Close()
 }
 
-// open connects to the target. A connection that begins while either direction is
-// partitioned is never established: it has no answer until the partition heals and is
-// reset then.
+// open connects to the target and returns false if no connection was established. A
+// connection opened while either direction is partitioned is never established: it
+// receives nothing until the partition heals and is then reset.
 func (c *connection) open(ctx context.Context, target string) bool {
 	if c.forward.partitioned() || c.backward.partitioned() {
 		c.forward.waitToForward(ctx)
@@ -64,8 +65,8 @@
 	return true
 }
 
-// pump forwards what it reads from one end to the other. The end of the stream waits
-// for the same faults as the data. A failure ends both directions.
+// pump forwards data from one end to the other until the stream ends or fails. Faults
+// delay the end of the stream like the data. A failure ends both directions.
 func (c *connection) pump(ctx context.Context, from, to *net.TCPConn, through *direction) {
 	buffer := make([]byte, chunkBytes)
 	for {
@@ -86,7 +87,8 @@
 	}
 }
 
-// forwardEnd forwards the end of a stream: an orderly one as such, another as a reset.
+// forwardEnd forwards the end of a stream: an EOF as a half-close, any other error as a
+// reset.
 func (c *connection) forwardEnd(err error, to *net.TCPConn) {
 	if !isOrderlyEnd(err) || to.CloseWrite() != nil {
 		c.stop()
@@ -95,6 +97,6 @@
 
 // abort closes a connection with a reset.
 func abort(conn *net.TCPConn) {
-	_ = conn.SetLinger(0) // fails only if it is closed already
+	_ = conn.SetLinger(0) // fails only if the connection is already closed
 	_ = conn.Close()
 }
--- a/testbed/netem/doc.go
+++ b/testbed/netem/doc.go
@@ -1,11 +1,11 @@
 // Package netem emulates the network between the processes of a fleet. It
-// forwards their connections and injects network faults on request: delay,
-// partitions in one direction, held data, reordered answers, and connection
+// forwards their connections, delays the data, and injects network faults on
+// request: one-way partitions, stalled data, reordered responses, and connection
 // resets.
 //
-// Each process is reached at a listener of this package. Where a connection
-// comes from is known by its source address, so a fault can be injected between
-// any two processes and in one direction alone. It works on TCP streams: what
-// a partition holds up is forwarded once the partition heals, as TCP itself
-// would by retransmitting, unless an end has gone away.
+// Other processes reach a process through a listener of this package. The source
+// address of a connection identifies the process that opened it, so a fault can be
+// injected between any two processes and in a single direction. Faults act on TCP
+// streams: data that a partition blocks is forwarded once the partition heals, as
+// TCP retransmission would do, unless one end has closed the connection.
 package netem
--- a/testbed/netem/link.go
+++ b/testbed/netem/link.go
@@ -9,20 +9,21 @@
 	"github.com/decklever/decklever/internal/contexttime"
 )
 
-// Link is one direction between two processes, by their names.
+// Link is one direction between two processes, identified by their names.
 type Link struct{ From, To string }
 
-// BothDirections returns the two directions between two processes.
+// BothDirections returns the links from a to b and from b to a.
 func BothDirections(a, b string) []Link { return []Link{{From: a, To: b}, {From: b, To: a}} }
 
-// reordering delays some of the chunks of data, each by a drawn time.
+// reordering delays each chunk of data with the given probability, by a random time of up
+// to maxDelay.
 type reordering struct {
 	probability float64
 	maxDelay    time.Duration
 }
 
-// direction is the state of one link. Its faults are counted, so that overlapping ones
-// do not end each other.
+// direction is the state of one link. Partitions and stalls are counted, so that the end
+// of one does not end another that overlaps it. mutex guards the fields below it.
 type direction struct {
 	delay time.Duration
 
@@ -39,7 +40,7 @@
 	return &direction{delay: delay, random: rand.New(rand.NewPCG(seed, 0)), changed: make(chan struct{})}
 }
 
-// change changes the faults and wakes the goroutines that wait for that.
+// change applies a change to the faults and wakes the goroutines that wait for one.
 func (d *direction) change(apply func(*direction)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -55,16 +56,16 @@
 	return d.partitions > 0
 }
 
-// blocked returns whether nothing may be forwarded now, and a channel that is closed at
-// the next change.
+// blocked reports whether forwarding is blocked now, and returns a channel that is closed
+// at the next change of the faults.
 func (d *direction) blocked() (blocked bool, changed <-chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.partitions > 0 || d.stalls > 0, d.changed
 }
 
-// waitToForward waits until one chunk of data may be forwarded. It reports false if the
-// context ended before.
+// waitToForward waits until one chunk of data may be forwarded. It returns false if the
+// context ended first.
 func (d *direction) waitToForward(ctx context.Context) bool {
 	if !waitFor(ctx, d.delay+d.drawDelay()) {
 		return false
@@ -82,14 +83,15 @@
 	}
 }
 
-// drawDelay returns the additional delay of one chunk.
+// drawDelay draws the additional delay of one chunk: the longest that the active
+// reorderings give it.
 func (d *direction) drawDelay() time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var longest time.Duration
-	for _, one := range d.reorderings {
-		if d.random.Float64() < one.probability {
-			longest = max(longest, time.Duration(d.random.Int64N(int64(one.maxDelay)+1)))
+	for _, active := range d.reorderings {
+		if d.random.Float64() < active.probability {
+			longest = max(longest, time.Duration(d.random.Int64N(int64(active.maxDelay)+1)))
 		}
 	}
 	return longest
--- a/testbed/netem/network.go
+++ b/testbed/netem/network.go
@@ -10,32 +10,32 @@
 	"time"
 )
 
-// Route is how one process is reached.
+// Route describes how one process is reached.
 type Route struct {
-	// Name is the process that is reached.
+	// Name is the name of the process that the route leads to.
 	Name string
-	// Listen is the IP:port that others are given, Target the one that the
-	// process listens on.
+	// Listen is the IP:port that other processes connect to, Target the IP:port
+	// that the process itself listens on.
 	Listen, Target string
-	// Source is the one process that uses the route, for one that does not
-	// choose its source address. Default: the source address says.
+	// Source is the only process that uses the route, for a process that does not
+	// choose its source address. Default: determined by the source address.
 	Source string
 }
 
-// Config says which connections are forwarded.
+// Config configures a Network.
 type Config struct {
 	Routes []Route
 	// Sources maps source IP addresses to process names.
 	Sources map[string]string
-	// Delay returns the usual delay of a link. Default none.
+	// Delay returns the delay of a link without faults. Default: no delay.
 	Delay func(Link) time.Duration
-	// Seed draws which chunks of data Reorder delays.
+	// Seed seeds the random choice of the chunks that Reorder delays.
 	Seed uint64
 }
 
 // Network is the emulated network of a fleet. Its methods are safe for concurrent use.
-// It owns its listeners, the connections between them and the processes, and the faults
-// of each link; mutex guards the latter two.
+// It owns its listeners, the forwarded connections, and the state of each link; mutex
+// guards the two maps.
 type Network struct {
 	config    Config
 	listeners []net.Listener
@@ -47,7 +47,7 @@
 	connections map[*connection]struct{}
 }
 
-// New listens on all routes. Close must be called in the end.
+// New listens on all routes. The caller must call Close.
 func New(config Config) (*Network, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	n := &Network{config: config, stop: stop, directions: map[Link]*direction{}, connections: map[*connection]struct{}{}}
@@ -62,7 +62,7 @@
 	return n, nil
 }
 
-// Close ends all connections and listeners and waits for that.
+// Close closes all listeners and connections and waits until their goroutines have ended.
 func (n *Network) Close() error {
 	var failures []error
 	for _, listener := range n.listeners {
@@ -87,8 +87,8 @@
 	}
 }
 
-// source names the process that opened a connection; empty if it is unknown,
-// such as the test bed itself.
+// source returns the name of the process that opened a connection, or "" if the process
+// is unknown, for example the test bed itself.
 func (n *Network) source(client net.Conn, route Route) string {
 	if route.Source != "" {
 		return route.Source
@@ -127,20 +127,22 @@
 	}
 }
 
-// Partition blocks all data on the links, and any new connection over them in either
-// direction. It returns what heals the partition.
+// Partition blocks all data on the links, and new connections that use them in either
+// direction. The returned function heals the partition.
 func (n *Network) Partition(links ...Link) (heal func()) {
 	return n.inject(links, func(d *direction) { d.partitions++ }, func(d *direction) { d.partitions-- })
 }
 
-// Stall holds what is sent on the links. It returns what forwards it, in order.
+// Stall delays all data that is sent on the links until the returned function is called;
+// the data is then forwarded in order.
 func (n *Network) Stall(links ...Link) (release func()) {
 	return n.inject(links, func(d *direction) { d.stalls++ }, func(d *direction) { d.stalls-- })
 }
 
-// Reorder delays chunks of data on the links with a probability, each by a time drawn
-// up to maxDelay, while other connections go on: answers come late and in another order
-// than they were sent. It returns what ends that.
+// Reorder delays each chunk of data on the links with the given probability, by a random
+// time of up to maxDelay. Data stays in order within a connection, but responses on
+// different connections arrive late and in another order than they were sent. The
+// returned function ends the fault.
 func (n *Network) Reorder(probability float64, maxDelay time.Duration, links ...Link) (end func()) {
 	added := reordering{probability, maxDelay}
 	remove := func(d *direction) {
@@ -154,7 +156,8 @@
 	return n.inject(links, func(d *direction) { d.reorderings = append(d.reorderings, added) }, remove)
 }
 
-// Reset resets the connections that use the links now; it returns their number.
+// Reset resets all current connections that use one of the links in either direction and
+// returns their number.
 func (n *Network) Reset(links ...Link) int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -171,7 +174,8 @@
 	return count
 }
 
-// inject begins a fault and returns what ends it, once.
+// inject begins a fault on the links. The returned function ends it; further calls have
+// no effect.
 func (n *Network) inject(links []Link, begin, end func(*direction)) func() {
 	for _, link := range links {
 		n.direction(link).change(begin)
@@ -183,5 +187,5 @@
 	})
 }
 
-// isOrderlyEnd reports whether a read ended with the end of the stream.
+// isOrderlyEnd reports whether a read error is the regular end of the stream.
 func isOrderlyEnd(err error) bool { return errors.Is(err, io.EOF) }
--- a/testbed/netem/network_test.go
+++ b/testbed/netem/network_test.go
@@ -15,12 +15,12 @@
 	"github.com/decklever/decklever/internal/testaddress"
 )
 
-// testTimeout bounds waits that end much sooner if all is well.
+// testTimeout bounds waits that end much sooner when a test passes.
 const testTimeout = 10 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo answers each line with the same line until its client is gone.
+// echo starts a server that sends back all data it receives, and returns its address.
 func echo(t *testing.T) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,7 +43,8 @@
 	return listener.Addr().String()
 }
 
-// network relays to an echo named "b"; 127.5.0.1 is "a" and 127.5.0.2 is "c".
+// network starts a network that forwards to an echo server named "b", and returns it with
+// its address. Connections from 127.5.0.1 come from "a", those from 127.5.0.2 from "c".
 func network(t *testing.T) (*Network, string) {
 	t.Helper()
 	address := testaddress.New(t)
@@ -62,10 +63,10 @@
 	return n, address
 }
 
-// client is one connection to the echo.
+// client is one connection to the echo server.
 type client struct {
 	net.Conn
-	lines *bufio.Reader
+	reader *bufio.Reader
 }
 
 func dial(t *testing.T, source, address string) *client {
@@ -86,13 +87,13 @@
 	}
 }
 
-// read returns the next line, or why there is none.
+// read returns the next line, or an error if none arrives in time.
 func (c *client) read(within time.Duration) (string, error) {
 	if err := c.SetReadDeadline(time.Now().Add(within)); err != nil {
 		return "", err
 	}
-	line, err := c.lines.ReadString('\n')
-	return strings.TrimSpace(line), err
+	text, err := c.reader.ReadString('\n')
+	return strings.TrimSpace(text), err
 }
 
 func (c *client) want(t *testing.T, text string) {
@@ -102,33 +103,33 @@
 	}
 }
 
-// wantNothing fails if anything comes within a short time.
-func (c *client) wantNothing(t *testing.T) {
+// wantNoData fails the test if a line arrives within 50 ms.
+func (c *client) wantNoData(t *testing.T) {
 	t.Helper()
 	if got, err := c.read(50 * time.Millisecond); err == nil {
-		t.Fatalf("%q came through", got)
+		t.Fatalf("got data %q, want none", got)
 	}
 }
 
-func TestNetwork_FaultHitsOneLinkAndEndsInOrder(t *testing.T) {
-	for name, fault := range map[string]func(*Network, ...Link) func(){"cut": (*Network).Partition, "hold": (*Network).Stall} {
+func TestNetwork_FaultBlocksOneLinkAndDeliversInOrder(t *testing.T) {
+	for name, fault := range map[string]func(*Network, ...Link) func(){"partition": (*Network).Partition, "stall": (*Network).Stall} {
 		for _, link := range BothDirections("a", "b") {
 			t.Run(name+" from "+link.From, func(t *testing.T) {
 				n, address := network(t)
-				struck, other := dial(t, "127.5.0.1", address), dial(t, "127.5.0.2", address)
-				struck.send(t, "0")
-				struck.want(t, "0")
+				affected, unaffected := dial(t, "127.5.0.1", address), dial(t, "127.5.0.2", address)
+				affected.send(t, "0")
+				affected.want(t, "0")
 				first, second := fault(n, link), fault(n, link)
-				struck.send(t, "1")
-				struck.send(t, "2")
-				other.send(t, "x")
-				other.want(t, "x")
+				affected.send(t, "1")
+				affected.send(t, "2")
+				unaffected.send(t, "x")
+				unaffected.want(t, "x")
 				first()
 				first()
-				struck.wantNothing(t)
+				affected.wantNoData(t)
 				second()
-				struck.want(t, "1")
-				struck.want(t, "2")
+				affected.want(t, "1")
+				affected.want(t, "2")
 			})
 		}
 	}
@@ -138,16 +139,16 @@
 	for _, link := range BothDirections("a", "b") {
 		n, address := network(t)
 		heal := n.Partition(link)
-		late := dial(t, "127.5.0.1", address)
-		late.send(t, "1")
-		late.wantNothing(t)
+		during := dial(t, "127.5.0.1", address)
+		during.send(t, "1")
+		during.wantNoData(t)
 		heal()
-		if got, err := late.read(testTimeout); err == nil {
-			t.Fatalf("%q was answered to a connection begun during a cut", got)
+		if got, err := during.read(testTimeout); err == nil {
+			t.Fatalf("got %q on a connection opened during a partition, want an error", got)
 		}
-		again := dial(t, "127.5.0.1", address)
-		again.send(t, "2")
-		again.want(t, "2")
+		after := dial(t, "127.5.0.1", address)
+		after.send(t, "2")
+		after.want(t, "2")
 	}
 }
 
@@ -155,33 +156,33 @@
 	n, address := network(t)
 	end := n.Reorder(1, 20*time.Millisecond, BothDirections("a", "b")...)
 	one := dial(t, "127.5.0.1", address)
-	for _, line := range []string{"1", "2", "3"} {
-		one.send(t, line)
+	for _, text := range []string{"1", "2", "3"} {
+		one.send(t, text)
 	}
-	for _, line := range []string{"1", "2", "3"} {
-		one.want(t, line)
+	for _, text := range []string{"1", "2", "3"} {
+		one.want(t, text)
 	}
 	end()
 	if d := n.direction(Link{From: "a", To: "b"}); len(d.reorderings) != 0 {
-		t.Error("the crossing goes on")
+		t.Error("got an active reordering after its end, want none")
 	}
 }
 
 func TestReset_OnlyConnectionsOfLinkAreReset(t *testing.T) {
 	n, address := network(t)
-	struck, other := dial(t, "127.5.0.1", address), dial(t, "127.5.0.2", address)
-	for _, one := range []*client{struck, other} {
+	affected, unaffected := dial(t, "127.5.0.1", address), dial(t, "127.5.0.2", address)
+	for _, one := range []*client{affected, unaffected} {
 		one.send(t, "1")
 		one.want(t, "1")
 	}
 	if count := n.Reset(Link{From: "b", To: "a"}); count != 1 {
-		t.Errorf("%d dropped, want 1", count)
+		t.Errorf("got %d connections reset, want 1", count)
 	}
-	if got, err := struck.read(testTimeout); err == nil {
-		t.Errorf("%q came over a dropped connection", got)
+	if got, err := affected.read(testTimeout); err == nil {
+		t.Errorf("got %q on a reset connection, want an error", got)
 	}
-	other.send(t, "2")
-	other.want(t, "2")
+	unaffected.send(t, "2")
+	unaffected.want(t, "2")
 }
 
 func TestConnection_EndIsForwardedInBothDirections(t *testing.T) {
@@ -193,7 +194,7 @@
 	}
 	one.want(t, "1")
 	if got, err := one.read(testTimeout); !errors.Is(err, io.EOF) {
-		t.Errorf("read %q, %v, want the end", got, err)
+		t.Errorf("read %q, %v, want EOF", got, err)
 	}
 }
 
@@ -206,11 +207,11 @@
 	defer func() { _ = n.Close() }()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		return // the reset came before the connection was known to be there
+		return // the reset arrived before Dial returned
 	}
 	defer func() { _ = conn.Close() }()
 	one := &client{conn, bufio.NewReader(conn)}
 	if got, err := one.read(testTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("read %q, %v from a target that is away", got, err)
+		t.Errorf("read %q, %v from an unreachable target, want the connection closed", got, err)
 	}
 }
