--- a/cmd/decklever-testbed/matrix.go
+++ b/cmd/decklever-testbed/matrix.go
@@ -105,7 +105,7 @@
 	var err error
 	config.Out, err = folderOrTemporary(config.Out)
 	config.Run = m.runCell
-	config.Done = func(outcome matrix.Outcome) { printOutcome(progress, outcome) }
+	config.OnOutcome = func(outcome matrix.Outcome) { printOutcome(progress, outcome) }
 	return config, err
 }
 
--- a/cmd/decklever-testbed/scale.go
+++ b/cmd/decklever-testbed/scale.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				return fmt.Errorf("find this program: %w", err)
 			}
-			config.Self, config.Binaries, config.Progress = executable, binaries, command.ErrOrStderr()
+			config.Executable, config.Binaries, config.Progress = executable, binaries, command.ErrOrStderr()
 			if binaries == "" {
 				config.Binaries = filepath.Dir(executable)
 			}
--- a/testbed/childprocess/doc.go
+++ b/testbed/childprocess/doc.go
@@ -1,3 +1,3 @@
-// Package childprocess starts child processes that end with the process that
-// started them, however that ends. Whoever starts a child waits for its end.
+// Package childprocess starts child processes that the kernel kills when their parent
+// ends, also after a crash or SIGKILL of the parent. The caller waits for its children.
 package childprocess
--- a/testbed/childprocess/launcher.go
+++ b/testbed/childprocess/launcher.go
@@ -8,32 +8,33 @@
 	"syscall"
 )
 
-// ErrClosed is returned for a start after Close.
+// ErrClosed is returned by Start after Close.
 var ErrClosed = errors.New("the launcher is closed")
 
-// Launcher starts processes from one operating system thread that it locks. The kernel
-// kills a process when the thread that started it ends, so this must not be a thread
-// that the Go runtime may retire.
+// Launcher starts processes from one operating system thread, locked to its goroutine. The
+// kernel kills a child when the thread that started it ends (Pdeathsig), so the thread must
+// not be one that the Go runtime may end earlier.
 type Launcher struct {
-	requests chan startRequest
-	closing  chan struct{}
-	once     sync.Once
-	done     sync.WaitGroup
+	requests  chan startRequest
+	closing   chan struct{}
+	closeOnce sync.Once
+	serving   sync.WaitGroup
 }
 
-// startRequest asks the thread to start a command and gets the result of that.
+// startRequest is a command for the locked thread to start, and where it sends the result.
 type startRequest struct {
 	command *exec.Cmd
 	result  chan error
 }
 
-// New returns a launcher. Close must be called in the end.
+// New returns a running launcher. The caller must call Close.
 func New() *Launcher {
 	l := &Launcher{requests: make(chan startRequest), closing: make(chan struct{})}
-	l.done.Go(l.serve)
+	l.serving.Go(l.serve)
 	return l
 }
 
+// serve starts the requested commands on its locked thread until Close.
 func (l *Launcher) serve() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -47,7 +48,8 @@
 	}
 }
 
-// Start starts a command in its own process group.
+// Start starts a command in its own process group. It replaces command.SysProcAttr, and
+// returns ErrClosed after Close.
 func (l *Launcher) Start(command *exec.Cmd) error {
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	request := startRequest{command: command, result: make(chan error, 1)}
@@ -59,8 +61,8 @@
 	}
 }
 
-// Close gives the thread up. All children must have ended before.
+// Close ends the goroutine and unlocks its thread. All children must have ended before.
 func (l *Launcher) Close() {
-	l.once.Do(func() { close(l.closing) })
-	l.done.Wait()
+	l.closeOnce.Do(func() { close(l.closing) })
+	l.serving.Wait()
 }
--- a/testbed/deployment/deployment.go
+++ b/testbed/deployment/deployment.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-// Sizes and ports that all deployments share.
+// Sizes and ports common to all deployments.
 const (
 	Zones      = 3
 	Schedulers = 3
@@ -23,19 +23,19 @@
 	MaxInstance = 24
 
 	octetsPerInstance = 10
-	// relayOctets is added to the third octet of an address for the one that
-	// others reach the process at.
-	relayOctets = 100
+	// relayOctetOffset is added to the third octet of a process's address to get its
+	// advertised address.
+	relayOctetOffset = 100
 
-	// RackLabel is a label that every worker has.
+	// RackLabel is the key of a label that every worker has.
 	RackLabel = "rack"
-	racks     = 2
+	rackCount = 2
 )
 
 // Role is the kind of a process.
 type Role string
 
-// Roles. The text is also the end of the program's name.
+// Roles. The value is also the suffix of the program's name.
 const (
 	RoleScheduler Role = "scheduler"
 	RoleFront     Role = "front"
@@ -43,8 +43,8 @@
 	RoleWorker    Role = "worker"
 )
 
-// third is the third octet of the addresses of a role.
-func (r Role) third() int {
+// thirdOctet returns the third octet of the addresses of a role.
+func (r Role) thirdOctet() int {
 	switch r {
 	case RoleScheduler:
 		return 1
@@ -60,11 +60,12 @@
 	Name string
 	Role Role
 	Zone string
-	// Address is "IP:PORT"; empty for workers, which do not listen.
+	// Address is the "IP:PORT" that the process listens on; empty for workers, which
+	// do not listen.
 	Address string
-	// AdvertiseAddress is the "IP:PORT" that other processes are given; the emulated
-	// network listens there. If it is empty others use Address directly, as callers do
-	// with a front.
+	// AdvertiseAddress is the "IP:PORT" that other processes connect to; the emulated
+	// network listens there and relays to Address. If it is empty, as for fronts,
+	// clients connect to Address directly.
 	AdvertiseAddress string
 	// Agent is the base URL of a worker's agent; empty for other roles.
 	Agent string
@@ -74,10 +75,10 @@
 	Labels   map[string]string
 }
 
-// URL is the base URL of a process that listens.
+// URL returns the base URL of a process that listens.
 func (p Process) URL() string { return "http://" + p.Address }
 
-// Advertised is the "IP:PORT" at which others reach the process.
+// Advertised returns the "IP:PORT" that other processes connect to.
 func (p Process) Advertised() string {
 	if p.AdvertiseAddress != "" {
 		return p.AdvertiseAddress
@@ -85,7 +86,7 @@
 	return p.Address
 }
 
-// Deployment is a fleet with its first configuration and its load.
+// Deployment is a fleet with its initial configuration and its load.
 type Deployment struct {
 	Name      string
 	Instance  int
@@ -94,7 +95,7 @@
 	Shapes    Shapes
 }
 
-// ByRole returns the processes of one role in their order.
+// ByRole returns the processes of one role, in the order of Processes.
 func (d Deployment) ByRole(role Role) []Process {
 	var found []Process
 	for _, process := range d.Processes {
@@ -114,7 +115,7 @@
 	return urls
 }
 
-// Seeds returns the addresses at which all schedulers are reached.
+// Seeds returns the advertised addresses of all schedulers.
 func (d Deployment) Seeds() []string {
 	var addresses []string
 	for _, scheduler := range d.ByRole(RoleScheduler) {
@@ -123,26 +124,26 @@
 	return addresses
 }
 
-// Names lists the deployments that New knows.
+// Names returns the names that New accepts.
 func Names() []string { return []string{restrepoName, cartagoName} }
 
-// New returns the deployment of that name. The instance, from 0 to
-// MaxInstance, moves all addresses, so that several fleets can run side by
-// side.
+// New returns the named deployment. The instance, from 0 to MaxInstance, selects the
+// address range, so that several fleets can run at the same time. An unknown name or
+// an instance out of range is an error.
 func New(name string, instance int) (Deployment, error) {
 	if instance < 0 || instance > MaxInstance {
 		return Deployment{}, fmt.Errorf("instance is %d, expected 0 to %d", instance, MaxInstance)
 	}
 	switch name {
 	case restrepoName:
-		return build(name, instance, restrepo()), nil
+		return newDeployment(name, instance, restrepo()), nil
 	case cartagoName:
-		return build(name, instance, cartago()), nil
+		return newDeployment(name, instance, cartago()), nil
 	}
 	return Deployment{}, fmt.Errorf("deployment is %q, expected one of %v", name, Names())
 }
 
-// profile is what differs between deployments.
+// profile holds the settings that differ between deployments.
 type profile struct {
 	capacity api.Resources
 	services []string
@@ -150,7 +151,7 @@
 	shapes   Shapes
 }
 
-func build(name string, instance int, p profile) Deployment {
+func newDeployment(name string, instance int, p profile) Deployment {
 	d := Deployment{Name: name, Instance: instance, Config: p.config, Shapes: p.shapes}
 	d.Processes = append(d.Processes, listeners(RoleScheduler, Schedulers, SchedulerPort, instance)...)
 	d.Processes = append(d.Processes, listeners(RoleFront, Fronts, FrontPort, instance)...)
@@ -164,13 +165,13 @@
 			Agent:    agent.URL(),
 			Capacity: p.capacity,
 			Services: slices.Clone(p.services),
-			Labels:   map[string]string{RackLabel: RackName(i%racks + 1)},
+			Labels:   map[string]string{RackLabel: RackName(i%rackCount + 1)},
 		})
 	}
 	return d
 }
 
-// listeners spreads count processes of a role over the zones in turn.
+// listeners returns count processes of a role, assigned to the zones round robin.
 func listeners(role Role, count, port, instance int) []Process {
 	processes := make([]Process, 0, count)
 	for i := range count {
@@ -179,24 +180,24 @@
 			Name:    processName(role, i),
 			Role:    role,
 			Zone:    ZoneName(zone),
-			Address: address(instance, zone, role.third(), i/Zones+1, port),
+			Address: address(instance, zone, role.thirdOctet(), i/Zones+1, port),
 		}
 		if role != RoleFront {
-			process.AdvertiseAddress = address(instance, zone, role.third()+relayOctets, i/Zones+1, port)
+			process.AdvertiseAddress = address(instance, zone, role.thirdOctet()+relayOctetOffset, i/Zones+1, port)
 		}
 		processes = append(processes, process)
 	}
 	return processes
 }
 
-func address(instance, zone, third, fourth, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", instance*octetsPerInstance+zone, third, fourth, port)
+func address(instance, zone, thirdOctet, fourthOctet, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", instance*octetsPerInstance+zone, thirdOctet, fourthOctet, port)
 }
 
 func processName(role Role, index int) string { return fmt.Sprintf("%s-%02d", role, index+1) }
 
-// ZoneName names a zone, counted from 1.
+// ZoneName returns the name of a zone, counted from 1.
 func ZoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// RackName is the value of RackLabel for a rack, counted from 1.
+// RackName returns the value of RackLabel for a rack, counted from 1.
 func RackName(rack int) string { return fmt.Sprintf("rack-%d", rack) }
--- a/testbed/deployment/doc.go
+++ b/testbed/deployment/doc.go
@@ -1,4 +1,3 @@
-// Package deployment describes the fleets that the test bed starts: which process
-// runs in which zone, on which address, with what capacity, and the first
-// configuration.
+// Package deployment describes the fleets that the test bed starts: the zone, the
+// address and the capacity of each process, and the initial configuration.
 package deployment
--- a/testbed/deployment/profiles.go
+++ b/testbed/deployment/profiles.go
@@ -10,75 +10,73 @@
 	restrepoName = "restrepo"
 	cartagoName  = "cartago"
 
-	// sleepHandler is the built-in handler of the reference worker that all
-	// services of the test bed are bound to.
+	// sleepHandler is the reference worker's built-in handler to which all services
+	// of the test bed are bound.
 	sleepHandler = "sleep"
 )
 
-// Shape is one kind of job.
+// Shape describes one kind of job.
 type Shape struct {
 	Queue   string
 	Service string
-	// MinSteps and MaxSteps bound the number of steps, drawn per job.
+	// MinSteps and MaxSteps bound the number of steps, drawn at random for each job.
 	MinSteps, MaxSteps int
-	// Tasks is the number of tasks of a step.
-	Tasks int
-	// MinRun and MaxRun bound the time that a task runs, drawn per task.
-	MinRun, MaxRun time.Duration
-	// Resources is what each task needs.
+	// TasksPerStep is the number of tasks in each step.
+	TasksPerStep int
+	// MinRunTime and MaxRunTime bound the run time, drawn at random for each task.
+	MinRunTime, MaxRunTime time.Duration
+	// Resources are required by each task.
 	Resources api.Resources
-	// PerSecond is the rate of submissions; 0 for jobs that run until they
-	// are cancelled.
-	PerSecond float64
-	// FailShare is the share of runs that fail where a worker's handler is
-	// flaky, and AllowedFailures the failures allowed then; 0 means that the
-	// queue says.
-	FailShare       float64
+	// JobsPerSecond is the rate of job submissions; 0 for jobs that run until cancelled.
+	JobsPerSecond float64
+	// FailureFraction is the fraction of runs that fail on a worker with a flaky handler.
+	// AllowedFailures is each task's limit of failures; 0 means the queue's default.
+	FailureFraction float64
 	AllowedFailures int
-	// SlowFactor is how much longer a task takes where the handler is slow; 0
-	// leaves it to the handler.
+	// SlowFactor multiplies the run time on a worker with a slow handler; 0 means
+	// the handler's default.
 	SlowFactor float64
 }
 
-// Shapes are the kinds of job that a deployment's callers submit.
+// Shapes are the kinds of jobs that a deployment's callers submit.
 type Shapes struct {
-	// Short jobs are many and small.
+	// Short jobs are frequent and small.
 	Short Shape
-	// Batch jobs are about one a second, of a few seconds.
+	// Batch jobs arrive about once a second; their tasks run for a few seconds.
 	Batch Shape
-	// Endless jobs run until they are cancelled; EndlessJobs is their number.
-	Endless     Shape
-	EndlessJobs int
+	// UntilCancelled jobs run until cancelled; UntilCancelledJobs is the number of them.
+	UntilCancelled     Shape
+	UntilCancelledJobs int
 }
 
 const (
 	shortJobsPerSecond = 13.5
 	batchJobsPerSecond = 1
-	endlessJobs        = 5
+	untilCancelledJobs = 5
 )
 
-func shapes(queues, services [3]string) Shapes {
+func newShapes(queues, services [3]string) Shapes {
 	return Shapes{
 		Short: Shape{
-			Queue: queues[0], Service: services[0], MinSteps: 1, MaxSteps: 2, Tasks: 6,
-			MinRun: 100 * time.Millisecond, MaxRun: 900 * time.Millisecond,
-			Resources: api.Resources{CPUMillis: 500, MemoryMB: 256}, PerSecond: shortJobsPerSecond,
+			Queue: queues[0], Service: services[0], MinSteps: 1, MaxSteps: 2, TasksPerStep: 6,
+			MinRunTime: 100 * time.Millisecond, MaxRunTime: 900 * time.Millisecond,
+			Resources: api.Resources{CPUMillis: 500, MemoryMB: 256}, JobsPerSecond: shortJobsPerSecond,
 		},
 		Batch: Shape{
-			Queue: queues[1], Service: services[1], MinSteps: 2, MaxSteps: 2, Tasks: 16,
-			MinRun: 2 * time.Second, MaxRun: 4 * time.Second,
-			Resources: api.Resources{CPUMillis: 1000, MemoryMB: 1024}, PerSecond: batchJobsPerSecond,
+			Queue: queues[1], Service: services[1], MinSteps: 2, MaxSteps: 2, TasksPerStep: 16,
+			MinRunTime: 2 * time.Second, MaxRunTime: 4 * time.Second,
+			Resources: api.Resources{CPUMillis: 1000, MemoryMB: 1024}, JobsPerSecond: batchJobsPerSecond,
 		},
-		Endless: Shape{
-			Queue: queues[2], Service: services[2], MinSteps: 1, MaxSteps: 1, Tasks: 2,
-			MinRun: time.Hour, MaxRun: time.Hour,
+		UntilCancelled: Shape{
+			Queue: queues[2], Service: services[2], MinSteps: 1, MaxSteps: 1, TasksPerStep: 2,
+			MinRunTime: time.Hour, MaxRunTime: time.Hour,
 			Resources: api.Resources{CPUMillis: 250, MemoryMB: 128},
 		},
-		EndlessJobs: endlessJobs,
+		UntilCancelledJobs: untilCancelledJobs,
 	}
 }
 
-func config(queues [3]string) api.Config {
+func newConfig(queues [3]string) api.Config {
 	return api.Config{Queues: []api.QueueConfig{
 		{Name: queues[0], Priority: 100, Weight: 4, MaxPendingTasks: 50000},
 		{Name: queues[1], Priority: 0, Weight: 2, MaxPendingTasks: 50000},
@@ -99,7 +97,7 @@
 }
 
 func newProfile(capacity api.Resources, queues, services [3]string) profile {
-	p := profile{capacity: capacity, config: config(queues), shapes: shapes(queues, services)}
+	p := profile{capacity: capacity, config: newConfig(queues), shapes: newShapes(queues, services)}
 	for _, service := range services {
 		p.services = append(p.services, service+"="+sleepHandler)
 	}
--- a/testbed/fleet/doc.go
+++ b/testbed/fleet/doc.go
@@ -1,8 +1,8 @@
 // Package fleet starts the processes of a deployment on this machine, watches
-// them from outside, injects faults on request, and ends what it started and
-// nothing else.
+// them from outside, injects faults on request, and stops only the processes that
+// it started.
 //
-// Each process has its own process group and its own log file, and ends with the
-// test bed, however that ends. Whatever is done to a process or a link is recorded
-// in the call log with its time, by which the checker knows the state of the fleet.
+// Each process has its own process group and its own log file, and is killed when the
+// test bed ends for whatever reason. Each start, fault and exit is recorded with its time
+// in the call log, from which the checker derives the state of the fleet.
 package fleet
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -18,37 +18,36 @@
 )
 
 const (
-	// programPrefix and a role make the name of a program.
+	// programPrefix precedes the role in the name of a program.
 	programPrefix = "decklever-"
-	// stopTimeout is how long a process may take for a graceful shutdown, killTimeout
-	// how long after SIGKILL.
+	// stopTimeout bounds a graceful shutdown, killTimeout the wait for the exit after
+	// SIGKILL.
 	stopTimeout = 3 * time.Second
 	killTimeout = 5 * time.Second
 )
 
-// Config says what to start.
+// Config configures a fleet.
 type Config struct {
 	Deployment deployment.Deployment
-	// Directory gets settings, logs, data and event logs.
+	// Directory is where settings, logs, data and event logs are written.
 	Directory string
-	// Binaries is the folder of the programs.
+	// Binaries is the folder of the present version's programs.
 	Binaries string
-	// PreviousBinaries is the folder of the programs of another version. Default:
-	// Binaries.
+	// PreviousBinaries is the folder of the previous version's programs. Default: Binaries.
 	PreviousBinaries string
-	// FirstVersion is what all processes are first started from. Default
+	// FirstVersion is the version in which all processes are first started. Default:
 	// PresentVersion.
 	FirstVersion Version
-	// CallLog gets starts, faults and exits.
+	// CallLog records starts, faults and exits.
 	CallLog *calllog.Log
-	// LogLevel of all processes. Default "info".
+	// LogLevel is the log level of all processes. Default: "info".
 	LogLevel string
-	// Seed draws the delays of reordered data.
+	// Seed is the seed of the random delays of reordered data.
 	Seed uint64
 }
 
-// Fleet is the processes of one deployment and the emulated network between them. It
-// owns all of them until Stop.
+// Fleet consists of the processes of one deployment and the emulated network between them.
+// It owns both until Stop.
 type Fleet struct {
 	config    Config
 	layout    layout
@@ -59,8 +58,8 @@
 	byName    map[string]*Process
 }
 
-// New writes the settings files; it starts nothing yet. Stop must be called in
-// the end.
+// New returns a fleet and writes the settings files of its processes, which Start starts.
+// The caller must call Stop.
 func New(config Config) (*Fleet, error) {
 	if config.LogLevel == "" {
 		config.LogLevel = "info"
@@ -90,13 +89,14 @@
 	return f, nil
 }
 
+// addProcesses adds the processes of the deployment and writes their settings files.
 func (f *Fleet) addProcesses() error {
 	for _, spec := range f.config.Deployment.Processes {
 		programs, err := f.findPrograms(spec.Role)
 		if err != nil {
 			return err
 		}
-		if err := f.layout.writeSettings(spec, f.settingsChoices(spec)); err != nil {
+		if err := f.layout.writeSettings(spec, f.fleetSettings(spec)); err != nil {
 			return err
 		}
 		process := &Process{
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// findPrograms returns the paths of a role's program in both versions.
+// findPrograms returns the paths of a role's program, by version.
 func (f *Fleet) findPrograms(role deployment.Role) (programs [versionCount]string, err error) {
 	folders := [versionCount]string{PresentVersion: f.config.Binaries, PreviousVersion: f.config.PreviousBinaries}
 	for version, directory := range folders {
@@ -120,7 +120,8 @@
 	return programs, nil
 }
 
-// findProgram returns the path of a role's program.
+// findProgram returns the absolute path of a role's program in a folder, or an error if it
+// is not an executable file.
 func findProgram(directory string, role deployment.Role) (string, error) {
 	path, err := filepath.Abs(filepath.Join(directory, programPrefix+string(role)))
 	if err != nil {
@@ -131,13 +132,14 @@
 		return "", fmt.Errorf("find program: %w", err)
 	}
 	if info.IsDir() || info.Mode()&0o111 == 0 {
-		return "", fmt.Errorf("find program: %s cannot be run", path)
+		return "", fmt.Errorf("find program: %s is not an executable file", path)
 	}
 	return path, nil
 }
 
-// Start starts all processes. It refuses if anything listens on one of their
-// addresses already, such as another fleet of the same instance.
+// Start starts the emulated network and all processes. It returns an error and starts
+// nothing if one of their addresses is in use, for example by another fleet of the same
+// instance.
 func (f *Fleet) Start() error {
 	for _, process := range f.processes {
 		if err := checkAddressFree(process.Spec); err != nil {
@@ -155,6 +157,8 @@
 	return nil
 }
 
+// checkAddressFree returns an error if the address of a process is in use. Workers do not
+// listen.
 func checkAddressFree(process deployment.Process) error {
 	if process.Role == deployment.RoleWorker {
 		return nil
@@ -166,16 +170,17 @@
 	return listener.Close()
 }
 
-// stopOrder lets each role say its last words to those that it speaks to.
-var stopOrder = []deployment.Role{
+// roleStopOrder is the order in which Stop stops the roles: each before the roles that it
+// calls, which can thus still answer its calls during its shutdown.
+var roleStopOrder = []deployment.Role{
 	deployment.RoleWorker, deployment.RoleAgent, deployment.RoleFront, deployment.RoleScheduler,
 }
 
-// Stop terminates all processes, role by role, and kills those that have not ended in
-// time.
+// Stop terminates all processes, role by role, and kills those that do not exit within
+// stopTimeout. Then it closes the launcher and the emulated network.
 func (f *Fleet) Stop() error {
 	var failures []error
-	for _, role := range stopOrder {
+	for _, role := range roleStopOrder {
 		failures = append(failures, f.stopRole(role))
 	}
 	f.launcher.Close()
@@ -185,20 +190,22 @@
 	return errors.Join(failures...)
 }
 
+// stopRole stops all processes of a role concurrently.
 func (f *Fleet) stopRole(role deployment.Role) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout+killTimeout)
 	defer cancel()
 	processes := f.ByRole(role)
 	failures := make([]error, len(processes))
-	var waiting sync.WaitGroup
+	var stopping sync.WaitGroup
 	for index, process := range processes {
-		waiting.Go(func() { failures[index] = process.stop(ctx) })
+		stopping.Go(func() { failures[index] = process.stop(ctx) })
 	}
-	waiting.Wait()
+	stopping.Wait()
 	return errors.Join(failures...)
 }
 
-// stop ends the process, frozen or not.
+// stop terminates the process and waits for its exit. It also resumes the process, as a
+// frozen process handles SIGTERM only then.
 func (p *Process) stop(ctx context.Context) error {
 	if err := p.Terminate(); errors.Is(err, errNotRunning) {
 		return nil
@@ -209,10 +216,10 @@
 	return p.waitOrKill(ctx)
 }
 
-// Client returns a client of all fronts.
+// Client returns an API client with all fronts as endpoints.
 func (f *Fleet) Client() *api.Client { return f.client }
 
-// Deployment returns what the fleet was made from.
+// Deployment returns the deployment that the fleet runs.
 func (f *Fleet) Deployment() deployment.Deployment { return f.config.Deployment }
 
 // EventLogDirectory returns the folder of the workers' event logs.
@@ -221,10 +228,10 @@
 // LogDirectory returns the folder of the processes' logs.
 func (f *Fleet) LogDirectory() string { return filepath.Dir(f.layout.log("")) }
 
-// Process returns the process of that name, or nil.
+// Process returns the process with that name, or nil if there is none.
 func (f *Fleet) Process(name string) *Process { return f.byName[name] }
 
-// ByRole returns all processes of a role.
+// ByRole returns all processes of a role, in the order of the deployment.
 func (f *Fleet) ByRole(role deployment.Role) []*Process {
 	var found []*Process
 	for _, process := range f.processes {
@@ -235,7 +242,8 @@
 	return found
 }
 
-// Leader returns the scheduler that the members call names as the leader.
+// Leader returns the scheduler that the members API reports as the leader, or an error if
+// it reports none.
 func (f *Fleet) Leader(ctx context.Context) (*Process, error) {
 	members, err := f.client.Members(ctx)
 	if err != nil {
@@ -246,5 +254,5 @@
 			return process, nil
 		}
 	}
-	return nil, errors.New("find the leader: no member is shown as the leader")
+	return nil, errors.New("find the leader: no member is reported as the leader")
 }
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -13,18 +13,19 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
-// TestSettingsFile_IsAcceptedByItsDaemon loads each written file the way the
-// daemons do, which refuses unknown and wrong keys.
+// TestSettingsFile_IsAcceptedByItsDaemon loads each settings file with the loader of the
+// daemons, which rejects unknown keys and invalid values.
 func TestSettingsFile_IsAcceptedByItsDaemon(t *testing.T) {
 	f := testFleet(t, &calllog.Log{})
 	for _, process := range f.processes {
-		if err := load(process); err != nil {
+		if err := loadSettings(process); err != nil {
 			t.Errorf("%s: %v", process.Spec.Name, err)
 		}
 	}
 }
 
-func load(process *Process) error {
+// loadSettings loads the settings file of a process with the type of its role.
+func loadSettings(process *Process) error {
 	options := settings.LoadOptions{Path: process.settings}
 	var err error
 	switch process.Spec.Role {
@@ -46,7 +47,7 @@
 		t.Fatal(err)
 	}
 	if _, err := New(Config{Deployment: d, Directory: t.TempDir(), Binaries: t.TempDir()}); err == nil {
-		t.Fatal("a fleet without programs was made")
+		t.Fatal("got a fleet without programs, want an error")
 	}
 }
 
@@ -55,16 +56,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := deployment.Process{Name: "front-01", Role: deployment.RoleFront, Address: listener.Addr().String()}
-	f := &Fleet{processes: []*Process{{Spec: taken}}}
+	inUse := deployment.Process{Name: "front-01", Role: deployment.RoleFront, Address: listener.Addr().String()}
+	f := &Fleet{processes: []*Process{{Spec: inUse}}}
 	if err := f.Start(); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("Start returned %v, want that the address is in use", err)
+		t.Errorf("got error %v from Start, want EADDRINUSE", err)
 	}
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := checkAddressFree(taken); err != nil {
-		t.Errorf("the address is free again, but: %v", err)
+	if err := checkAddressFree(inUse); err != nil {
+		t.Errorf("got error %v for a free address, want none", err)
 	}
 }
 
@@ -72,16 +73,16 @@
 	stat := "12 (a (b) c) S 1 12 12 0 -1 4194304 900 0 0 0 250 50 0 0 20 0 9 0 77 1 2"
 	cpu, err := parseProcessorTime([]byte(stat))
 	if err != nil || cpu != 3*time.Second {
-		t.Errorf("processor time is %v, %v, want 3s", cpu, err)
+		t.Errorf("got processor time %v, error %v, want 3s, nil", cpu, err)
 	}
 	memory, err := parseResidentMemory([]byte("Name:\tx\nVmRSS:\t   2048 kB\nThreads:\t3\n"))
 	if err != nil || memory != 2048*1024 {
-		t.Errorf("resident memory is %d, %v, want 2 MiB", memory, err)
+		t.Errorf("got resident memory %d, error %v, want 2 MiB in bytes, nil", memory, err)
 	}
 	if _, err := parseProcessorTime([]byte("12 (x) S 1")); err == nil {
-		t.Error("a short stat line was taken")
+		t.Error("got no error for a stat line with too few fields")
 	}
 	if _, err := parseResidentMemory([]byte("Name:\tx\n")); err == nil {
-		t.Error("a status without VmRSS was taken")
+		t.Error("got no error for a status without VmRSS")
 	}
 }
--- a/testbed/fleet/network.go
+++ b/testbed/fleet/network.go
@@ -10,11 +10,11 @@
 	"github.com/decklever/decklever/testbed/netem"
 )
 
-// zoneDelay is the delay of data from one zone to another, one way.
+// zoneDelay is the one-way delay between two zones.
 const zoneDelay = 500 * time.Microsecond
 
-// openNetwork starts the emulated network between the processes. Callers reach the
-// fronts directly.
+// openNetwork starts the emulated network between the processes. Callers connect to the
+// fronts directly, without it.
 func (f *Fleet) openNetwork() error {
 	config := netem.Config{Sources: map[string]string{}, Delay: f.linkDelay, Seed: f.config.Seed}
 	for _, process := range f.processes {
@@ -33,7 +33,7 @@
 	return err
 }
 
-// workerOf names the worker of an agent; empty for other processes.
+// workerOf returns the name of an agent's worker; empty for other roles.
 func (f *Fleet) workerOf(agent deployment.Process) string {
 	if agent.Role != deployment.RoleAgent {
 		return ""
@@ -46,7 +46,7 @@
 	return ""
 }
 
-// AgentOf returns the agent of a worker, or nil.
+// AgentOf returns the agent of a worker, or nil if there is none.
 func (f *Fleet) AgentOf(worker *Process) *Process {
 	for _, process := range f.processes {
 		if process.Spec.Role == deployment.RoleAgent && process.Spec.URL() == worker.Spec.Agent {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// linkDelay is the delay between two processes without a fault.
+// linkDelay returns the delay of a link without faults: zoneDelay between zones, otherwise 0.
 func (f *Fleet) linkDelay(link netem.Link) time.Duration {
 	from, to := f.byName[link.From], f.byName[link.To]
 	if from == nil || to == nil || from.Spec.Zone == to.Spec.Zone {
@@ -65,10 +65,10 @@
 	return zoneDelay
 }
 
-// settingsChoices returns what the settings file of a process says beyond the
-// deployment.
-func (f *Fleet) settingsChoices(spec deployment.Process) settingsChoices {
-	choices := settingsChoices{seeds: f.config.Deployment.Seeds(), logLevel: f.config.LogLevel}
+// fleetSettings returns the settings of a process that do not come from its own entry in
+// the deployment.
+func (f *Fleet) fleetSettings(spec deployment.Process) fleetSettings {
+	choices := fleetSettings{seeds: f.config.Deployment.Seeds(), logLevel: f.config.LogLevel}
 	for _, agent := range f.config.Deployment.ByRole(deployment.RoleAgent) {
 		if spec.Agent == agent.URL() {
 			choices.agentURL = "http://" + agent.Advertised()
@@ -77,7 +77,7 @@
 	return choices
 }
 
-// Partition blocks all data on the links and new connections over them, until the
+// Partition blocks all data on the links, and new connections over them, until the
 // returned function is called.
 func (f *Fleet) Partition(links ...netem.Link) (heal func()) {
 	f.recordLinkFaults(calllog.ActionPartition, links)
@@ -88,8 +88,8 @@
 	}
 }
 
-// Stall holds what is sent on the links until the returned function is called: then it
-// is forwarded in order.
+// Stall buffers the data sent on the links until the returned function is called, which
+// forwards it in order.
 func (f *Fleet) Stall(links ...netem.Link) (release func()) {
 	f.recordLinkFaults(calllog.ActionStall, links)
 	end := f.network.Stall(links...)
@@ -99,8 +99,8 @@
 	}
 }
 
-// Reorder delays chunks of what is sent on the links with a probability, each by a time
-// drawn up to maxDelay, until the returned function is called.
+// Reorder delays each chunk of data sent on the links with that probability, by a random
+// time of at most maxDelay, until the returned function is called.
 func (f *Fleet) Reorder(probability float64, maxDelay time.Duration, links ...netem.Link) (end func()) {
 	f.recordLinkFaults(calllog.ActionReorder, links)
 	stop := f.network.Reorder(probability, maxDelay, links...)
@@ -110,12 +110,13 @@
 	}
 }
 
-// ResetConnections resets the connections that use the links now.
+// ResetConnections resets all open connections that use the links.
 func (f *Fleet) ResetConnections(links ...netem.Link) {
 	f.network.Reset(links...)
 	f.recordLinkFaults(calllog.ActionReset, links)
 }
 
+// recordLinkFaults records an action on each link in the call log.
 func (f *Fleet) recordLinkFaults(action calllog.Action, links []netem.Link) {
 	now := monoclock.Now()
 	for _, link := range links {
@@ -126,22 +127,22 @@
 	}
 }
 
-// LinksBetween returns both directions between each process of one list and
-// each of another; those of a process to itself are left out.
-func LinksBetween(some, others []*Process) []netem.Link {
+// LinksBetween returns the links, in both directions, between each process of one list and
+// each of the other, except from a process to itself.
+func LinksBetween(group, others []*Process) []netem.Link {
 	var links []netem.Link
-	for _, one := range some {
-		for _, other := range others {
-			if one != other {
-				links = append(links, netem.BothDirections(one.Spec.Name, other.Spec.Name)...)
+	for _, from := range group {
+		for _, to := range others {
+			if from != to {
+				links = append(links, netem.BothDirections(from.Spec.Name, to.Spec.Name)...)
 			}
 		}
 	}
 	return links
 }
 
-// ZoneLinks returns both directions of each link that leaves a zone. Only
-// schedulers are reached from other zones, so one end is a scheduler.
+// ZoneLinks returns all links, in both directions, between a zone and the others. One end
+// is always a scheduler, as only schedulers receive connections from other zones.
 func (f *Fleet) ZoneLinks(zone string) []netem.Link {
 	inside, outside := f.InZone(zone, true), f.InZone(zone, false)
 	var links []netem.Link
@@ -153,8 +154,7 @@
 	return links
 }
 
-// InZone returns the processes of a zone; with inside false those of all
-// others.
+// InZone returns the processes of a zone or, if inside is false, those of all other zones.
 func (f *Fleet) InZone(zone string, inside bool) []*Process {
 	var found []*Process
 	for _, process := range f.processes {
@@ -165,6 +165,7 @@
 	return found
 }
 
+// hostOf returns the host of a host:port address; empty if the address is invalid.
 func hostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/testbed/fleet/network_test.go
+++ b/testbed/fleet/network_test.go
@@ -13,11 +13,11 @@
 	"github.com/decklever/decklever/testbed/netem"
 )
 
-// testInstance is that of the fleets of these tests, which listen on none of its
-// addresses: a fleet that runs beside them may.
+// testInstance is the deployment instance of the tests. They listen on none of its
+// addresses, as another fleet of that instance may run on the machine.
 const testInstance = 24
 
-// testFleet is a fleet of programs that are never started.
+// testFleet returns a fleet with empty files as programs, which are never started.
 func testFleet(t *testing.T, calls *calllog.Log) *Fleet {
 	t.Helper()
 	d, err := deployment.New("cartago", testInstance)
@@ -42,7 +42,7 @@
 	return f
 }
 
-func TestSettingsFile_NamesForwardedAddressesOnly(t *testing.T) {
+func TestSettingsFile_ContainsNoListenAddressOfPeers(t *testing.T) {
 	f := testFleet(t, &calllog.Log{})
 	for _, process := range f.processes {
 		data, err := os.ReadFile(process.settings)
@@ -52,26 +52,27 @@
 		for _, other := range f.processes {
 			own := process == other || other.Spec.Address == ""
 			if !own && strings.Contains(string(data), other.Spec.Address) {
-				t.Errorf("%s is given the address of %s itself", process.Spec.Name, other.Spec.Name)
+				t.Errorf("settings of %s contain the listen address of %s, want its advertised address", process.Spec.Name, other.Spec.Name)
 			}
 		}
 	}
 	if agent := f.AgentOf(f.Process("worker-04")); agent == nil || f.workerOf(agent.Spec) != "worker-04" {
-		t.Errorf("worker-04 has the agent %+v", agent)
+		t.Errorf("got agent %+v of worker-04, want the agent whose worker is worker-04", agent)
 	}
 }
 
-func TestZoneLinks_LeadToSchedulersInOtherZones(t *testing.T) {
+func TestZoneLinks_EachHasSchedulerAtOneEnd(t *testing.T) {
 	f := testFleet(t, &calllog.Log{})
 	inside, outside := len(f.InZone("zone-1", true)), len(f.InZone("zone-1", false))
-	// One scheduler inside and two outside; the link between two counts once.
+	// Of the three schedulers one is inside. The two pairs of it and a scheduler outside are
+	// in both products, so they are subtracted once.
 	want := 2 * (2*inside + outside - 2)
 	if links := f.ZoneLinks("zone-1"); len(links) != want || inside+outside != len(f.processes) {
-		t.Errorf("%d links between %d and %d processes, want %d", len(links), inside, outside, want)
+		t.Errorf("got %d links between %d processes inside and %d outside, want %d", len(links), inside, outside, want)
 	}
 	schedulers := f.ByRole(deployment.RoleScheduler)
 	if got := len(LinksBetween(schedulers, schedulers)); got != 12 {
-		t.Errorf("%d links among three schedulers, want each direction of each pair twice", got)
+		t.Errorf("got %d links among three schedulers, want 12: each direction of each pair twice", got)
 	}
 }
 
@@ -90,11 +91,11 @@
 	var actions []calllog.Action
 	for _, entry := range calls.Entries() {
 		if entry.Process != "scheduler-01" || entry.Peer != "agent-02" {
-			t.Errorf("noted %+v", entry)
+			t.Errorf("got entry %+v, want process scheduler-01 and peer agent-02", entry)
 		}
 		actions = append(actions, entry.Action)
 	}
 	if !slices.Equal(actions, []calllog.Action{calllog.ActionPartition, calllog.ActionHeal}) {
-		t.Errorf("noted %v", actions)
+		t.Errorf("got actions %v, want a partition and its end", actions)
 	}
 }
--- a/testbed/fleet/process.go
+++ b/testbed/fleet/process.go
@@ -15,16 +15,16 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// errNotRunning is returned for an action on a process that does not run.
+// errNotRunning is returned for an action that needs a running process.
 var errNotRunning = errors.New("process is not running")
 
-// Process is one process of the fleet, over all of its incarnations. The mutex guards
-// the fields below it.
+// Process is one process of the fleet, over all its incarnations. The mutex guards the
+// fields below it.
 type Process struct {
-	// Spec is what the deployment says of it.
+	// Spec is the process as the deployment describes it.
 	Spec deployment.Process
 
-	// programs are the paths of the program, by version.
+	// programs contains the path of the program of each version.
 	programs [versionCount]string
 	settings string
 	logPath  string
@@ -32,26 +32,26 @@
 	callLog  *calllog.Log
 
 	mutex sync.Mutex
-	// version is that of the next start.
+	// version is the version that the next start uses.
 	version     Version
-	incarnation *incarnation
+	incarnation *incarnation // the latest; nil before the first start
 }
 
 // incarnation is one start of a process.
 type incarnation struct {
 	command *exec.Cmd
-	// ended is closed once the process was reaped.
+	// ended is closed once the process has been reaped.
 	ended chan struct{}
-	// expected is true once the test bed signalled the process to end.
+	// expected is true once the test bed has sent SIGTERM or SIGKILL.
 	expected bool
 }
 
-// Start starts the process.
+// Start starts a new incarnation of the process; an error if one is running.
 func (p *Process) Start() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.running() != nil {
-		return fmt.Errorf("start %s: it already runs", p.Spec.Name)
+		return fmt.Errorf("start %s: it is already running", p.Spec.Name)
 	}
 	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -69,16 +69,16 @@
 	return nil
 }
 
-// reap waits for the end of an incarnation and records it.
-func (p *Process) reap(one *incarnation) {
-	_ = one.command.Wait()
+// reap waits for the end of an incarnation and records its exit.
+func (p *Process) reap(ending *incarnation) {
+	_ = ending.command.Wait()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.recordFault(calllog.ActionExit, one.expected)
-	close(one.ended)
+	p.recordFault(calllog.ActionExit, ending.expected)
+	close(ending.ended)
 }
 
-// running returns the present incarnation, or nil. The mutex must be held.
+// running returns the running incarnation, or nil. The caller must hold the mutex.
 func (p *Process) running() *incarnation {
 	if p.incarnation == nil {
 		return nil
@@ -91,7 +91,8 @@
 	}
 }
 
-// recordStart also records the program. The mutex must be held.
+// recordStart records a start and its program in the call log. The caller must hold the
+// mutex.
 func (p *Process) recordStart() {
 	now := monoclock.Now()
 	p.callLog.Add(calllog.Entry{
@@ -100,17 +101,18 @@
 	})
 }
 
+// recordFault records an action on the process in the call log.
 func (p *Process) recordFault(action calllog.Action, expected bool) {
 	now := monoclock.Now()
 	p.callLog.Add(calllog.Entry{Kind: calllog.KindFault, Sent: now, Answered: now, Process: p.Spec.Name, Action: action, Expected: expected})
 }
 
-// PID returns the process id; 0 if the process does not run.
+// PID returns the process id; 0 if the process is not running.
 func (p *Process) PID() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if one := p.running(); one != nil {
-		return one.command.Process.Pid
+	if current := p.running(); current != nil {
+		return current.command.Process.Pid
 	}
 	return 0
 }
@@ -118,27 +120,29 @@
 // Kill ends the process at once, with SIGKILL.
 func (p *Process) Kill() error { return p.signal(calllog.ActionKill, syscall.SIGKILL) }
 
-// Terminate asks for a graceful shutdown, with SIGTERM.
+// Terminate requests a graceful shutdown, with SIGTERM.
 func (p *Process) Terminate() error { return p.signal(calllog.ActionTerminate, syscall.SIGTERM) }
 
-// Freeze stops the process from running, with SIGSTOP.
+// Freeze suspends the process, with SIGSTOP.
 func (p *Process) Freeze() error { return p.signal(calllog.ActionFreeze, syscall.SIGSTOP) }
 
-// Resume lets a frozen process run on.
+// Resume continues a frozen process, with SIGCONT.
 func (p *Process) Resume() error { return p.signal(calllog.ActionResume, syscall.SIGCONT) }
 
+// signal records an action and sends its signal. It returns errNotRunning if the process
+// is not running.
 func (p *Process) signal(action calllog.Action, signal syscall.Signal) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	one := p.running()
-	if one == nil {
+	current := p.running()
+	if current == nil {
 		return fmt.Errorf("%s %s: %w", action, p.Spec.Name, errNotRunning)
 	}
 	if action == calllog.ActionKill || action == calllog.ActionTerminate {
-		one.expected = true
+		current.expected = true
 	}
 	p.recordFault(action, true)
-	err := one.command.Process.Signal(signal)
+	err := current.command.Process.Signal(signal)
 	if errors.Is(err, os.ErrProcessDone) {
 		err = errNotRunning
 	}
@@ -148,24 +152,25 @@
 	return nil
 }
 
-// Wait waits until the process does not run or the context ends.
+// Wait waits until the process is not running. It returns an error if the context ends
+// first.
 func (p *Process) Wait(ctx context.Context) error {
 	p.mutex.Lock()
-	one := p.running()
+	current := p.running()
 	p.mutex.Unlock()
-	if one == nil {
+	if current == nil {
 		return nil
 	}
 	select {
-	case <-one.ended:
+	case <-current.ended:
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("wait for the end of %s: %w", p.Spec.Name, ctx.Err())
 	}
 }
 
-// Restart terminates the process, waits for its end, and starts it again. A process
-// that does not end in time is killed.
+// Restart terminates the process, waits for its exit, and starts it again. A process that
+// does not exit within stopTimeout is killed.
 func (p *Process) Restart(ctx context.Context) error {
 	if err := p.Terminate(); err != nil && !errors.Is(err, errNotRunning) {
 		return err
@@ -176,11 +181,12 @@
 	return p.Start()
 }
 
-// waitOrKill waits for stopTimeout and kills the process if it still runs then.
+// waitOrKill waits for the exit of the process, and kills it if it is still running after
+// stopTimeout.
 func (p *Process) waitOrKill(ctx context.Context) error {
-	grace, cancel := context.WithTimeout(ctx, stopTimeout)
+	graceCtx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
-	if p.Wait(grace) == nil {
+	if p.Wait(graceCtx) == nil {
 		return nil
 	}
 	if err := p.Kill(); err != nil && !errors.Is(err, errNotRunning) {
--- a/testbed/fleet/ready.go
+++ b/testbed/fleet/ready.go
@@ -14,22 +14,24 @@
 const (
 	readyPollInterval = 50 * time.Millisecond
 	readyCallTimeout  = time.Second
-	// firstOrderID names the order that puts the first configuration.
+	// firstOrderID is the id of the order that puts the first configuration.
 	firstOrderID = "lab-first-configuration"
 )
 
-// WaitReady waits until every process that listens is ready, sees that the
-// first configuration is in force, and waits until all workers are ready.
+// WaitReady waits until every process that listens is ready, puts the deployment's
+// configuration if none is in force, and waits until all workers are ready.
 func (f *Fleet) WaitReady(ctx context.Context, operatorClient *operator.Operator) error {
 	if err := f.waitListening(ctx); err != nil {
 		return err
 	}
-	if err := f.pushFirstConfig(ctx, operatorClient); err != nil {
+	if err := f.putFirstConfig(ctx, operatorClient); err != nil {
 		return err
 	}
 	return f.WaitWorkers(ctx, len(f.ByRole(deployment.RoleWorker)))
 }
 
+// waitListening waits until all processes except the workers, which do not listen, are
+// ready.
 func (f *Fleet) waitListening(ctx context.Context) error {
 	for _, process := range f.processes {
 		if process.Spec.Role == deployment.RoleWorker {
@@ -42,46 +44,48 @@
 	return nil
 }
 
-// WaitReady waits until the process answers that it is ready.
+// WaitReady polls /readyz until the process is ready. It returns errNotRunning if the
+// process has exited.
 func (p *Process) WaitReady(ctx context.Context) error {
-	var last string
+	var reason string
 	err := waitUntil(ctx, func() bool {
 		if p.PID() == 0 {
-			last = "it does not run"
+			reason = "it does not run"
 			return true
 		}
-		last = readyAnswer(ctx, p.Spec.URL()+"/readyz")
-		return last == ""
+		reason = notReadyReason(ctx, p.Spec.URL()+"/readyz")
+		return reason == ""
 	})
-	if err == nil && last != "" {
+	if err == nil && reason != "" {
 		err = errNotRunning
 	}
 	if err != nil {
-		return fmt.Errorf("%s is not ready: %s: %w", p.Spec.Name, last, err)
+		return fmt.Errorf("%s is not ready: %s: %w", p.Spec.Name, reason, err)
 	}
 	return nil
 }
 
-// readyAnswer returns why a process is not ready, or "".
-func readyAnswer(ctx context.Context, url string) string {
+// notReadyReason calls /readyz and returns why the process is not ready; empty if it is.
+func notReadyReason(ctx context.Context, url string) string {
 	ctx, cancel := context.WithTimeout(ctx, readyCallTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err.Error()
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err.Error()
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if answer.StatusCode != http.StatusOK {
-		return answer.Status
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode != http.StatusOK {
+		return response.Status
 	}
 	return ""
 }
 
-func (f *Fleet) pushFirstConfig(ctx context.Context, operatorClient *operator.Operator) error {
+// putFirstConfig puts the deployment's configuration unless one is already in force.
+func (f *Fleet) putFirstConfig(ctx context.Context, operatorClient *operator.Operator) error {
 	present, err := operatorClient.Read(ctx)
 	if err != nil {
 		return fmt.Errorf("read the configuration in force: %w", err)
@@ -95,7 +99,7 @@
 	return nil
 }
 
-// WaitWorkers waits until that many workers are ready.
+// WaitWorkers waits until at least count workers are ready.
 func (f *Fleet) WaitWorkers(ctx context.Context, count int) error {
 	ready := 0
 	err := waitUntil(ctx, func() bool {
@@ -114,7 +118,8 @@
 	return nil
 }
 
-// waitUntil repeats a check until it is true or the context ends.
+// waitUntil polls a condition until it is true. It returns an error if the context ends
+// first.
 func waitUntil(ctx context.Context, condition func() bool) error {
 	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
--- a/testbed/fleet/schedulers.go
+++ b/testbed/fleet/schedulers.go
@@ -11,10 +11,10 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Wipe deletes the data folder of a scheduler that does not run.
+// Wipe deletes the data folder of a scheduler that is not running.
 func (f *Fleet) Wipe(scheduler *Process) error {
 	if scheduler.PID() != 0 || scheduler.Spec.Role != deployment.RoleScheduler {
-		return fmt.Errorf("wipe %s: it runs or is no scheduler", scheduler.Spec.Name)
+		return fmt.Errorf("wipe %s: process is running or is not a scheduler", scheduler.Spec.Name)
 	}
 	if err := os.RemoveAll(f.layout.data(scheduler.Spec.Name)); err != nil {
 		return fmt.Errorf("wipe %s: %w", scheduler.Spec.Name, err)
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// ReplicaID returns the replica id of a scheduler that is a voter by the members call;
-// empty if it is none.
+// ReplicaID returns the replica id that the members API reports for a scheduler; empty if
+// the scheduler is not a voter.
 func (f *Fleet) ReplicaID(ctx context.Context, scheduler *Process) (string, error) {
 	members, err := f.client.Members(ctx)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return "", nil
 }
 
-// WaitJoined waits until the members call lists the scheduler as a voter with a replica
-// id other than the one given.
+// WaitJoined waits until the members API reports the scheduler as a voter with a replica
+// id other than old, the id that it had before it lost its data.
 func (f *Fleet) WaitJoined(ctx context.Context, scheduler *Process, old string) error {
 	shown := ""
 	err := waitUntil(ctx, func() bool {
@@ -48,15 +48,16 @@
 		return err == nil && id != "" && id != old
 	})
 	if err != nil {
-		return fmt.Errorf("%s is no voter again, replica %q is shown, %q was lost: %w", scheduler.Spec.Name, shown, old, err)
+		return fmt.Errorf("wait for %s to be a voter with a new replica id: got %q, lost %q: %w", scheduler.Spec.Name, shown, old, err)
 	}
 	scheduler.recordFault(calllog.ActionJoined, true)
 	return nil
 }
 
-// SetClock adds an offset to the wall clock that a running scheduler reads.
+// SetClock sets the offset that a running scheduler adds to its wall clock, by rewriting its
+// settings file.
 func (f *Fleet) SetClock(scheduler *Process, offset time.Duration) error {
-	choices := f.settingsChoices(scheduler.Spec)
+	choices := f.fleetSettings(scheduler.Spec)
 	choices.clockOffset = offset
 	if err := f.layout.writeSettings(scheduler.Spec, choices); err != nil {
 		return err
@@ -69,7 +70,8 @@
 	return nil
 }
 
-// WaitCaughtUp waits until a scheduler has all that was committed when the wait began.
+// WaitCaughtUp waits until a scheduler has replicated all log entries that were committed
+// when the wait began.
 func (f *Fleet) WaitCaughtUp(ctx context.Context, scheduler *Process) error {
 	var committed, matched uint64
 	err := waitUntil(ctx, func() bool {
@@ -88,7 +90,7 @@
 		return committed > 0 && matched >= committed
 	})
 	if err != nil {
-		return fmt.Errorf("%s has the log up to %d of %d: %w", scheduler.Spec.Name, matched, committed, err)
+		return fmt.Errorf("%s has replicated the log up to index %d of %d: %w", scheduler.Spec.Name, matched, committed, err)
 	}
 	return nil
 }
--- a/testbed/fleet/settings_file.go
+++ b/testbed/fleet/settings_file.go
@@ -24,8 +24,8 @@
 	Name   string `yaml:"name"`
 	Zone   string `yaml:"zone"`
 	Listen string `yaml:"listen"`
-	// Advertise is where the emulated network takes connections for the process, Source
-	// the address by which it knows the process.
+	// Advertise is the address on which the emulated network accepts connections for the
+	// process. Source is the host by which it identifies connections from the process.
 	Advertise string       `yaml:"advertise,omitempty"`
 	Source    string       `yaml:"source"`
 	Seeds     []string     `yaml:"seeds"`
@@ -34,6 +34,7 @@
 	Test      testSettings `yaml:"test"`
 }
 
+// testSettings is the section for settings that only tests use.
 type testSettings struct {
 	WallClockOffset string `yaml:"wall_clock_offset"`
 }
@@ -55,7 +56,7 @@
 	Accelerators int64 `yaml:"accelerators"`
 }
 
-// layout is where the files of a fleet lie.
+// layout returns the paths of a fleet's files below its root folder.
 type layout struct{ root string }
 
 func (l layout) settings(name string) string { return filepath.Join(l.root, "settings", name+".yaml") }
@@ -66,7 +67,7 @@
 	return filepath.Join(l.eventLogs(), name+eventlog.Suffix)
 }
 
-// prepare makes the folders.
+// prepare creates the folders.
 func (l layout) prepare() error {
 	for _, path := range []string{"settings", "logs", "data", "journals"} {
 		if err := os.MkdirAll(filepath.Join(l.root, path), 0o755); err != nil {
@@ -76,9 +77,9 @@
 	return nil
 }
 
-// writeSettings writes the settings file of one process atomically, as the process may
-// read it at that moment.
-func (l layout) writeSettings(process deployment.Process, choices settingsChoices) error {
+// writeSettings writes the settings file of one process. It replaces the file atomically,
+// as the process may be reading it.
+func (l layout) writeSettings(process deployment.Process, choices fleetSettings) error {
 	data, err := yaml.Marshal(l.settingsOf(process, choices))
 	if err != nil {
 		return fmt.Errorf("encode settings of %s: %w", process.Name, err)
@@ -93,17 +94,19 @@
 	return nil
 }
 
-// settingsChoices is what the deployment leaves open.
-type settingsChoices struct {
+// fleetSettings contains the settings of a process that do not come from its own entry in
+// the deployment.
+type fleetSettings struct {
 	seeds    []string
 	logLevel string
-	// agentURL is where a worker reaches its agent.
+	// agentURL is the URL at which a worker calls its agent.
 	agentURL string
-	// clockOffset is added to the wall clock that a scheduler reads.
+	// clockOffset is added to a scheduler's wall clock.
 	clockOffset time.Duration
 }
 
-func (l layout) settingsOf(process deployment.Process, choices settingsChoices) any {
+// settingsOf returns the content of a process's settings file.
+func (l layout) settingsOf(process deployment.Process, choices fleetSettings) any {
 	log := logSettings{Level: choices.logLevel, Format: "text"}
 	if process.Role == deployment.RoleWorker {
 		return workerSettings{
--- a/testbed/fleet/usage.go
+++ b/testbed/fleet/usage.go
@@ -19,45 +19,48 @@
 
 const (
 	sampleInterval = time.Second
-	// clockTick is the unit of processor time in /proc, which on Linux is a
-	// hundredth of a second for all programs.
+	// clockTick is the unit of processor time in /proc: Linux reports it to all programs
+	// in hundredths of a second.
 	clockTick  = 10 * time.Millisecond
 	bytesPerMB = 1 << 20
 	bytesPerKB = 1 << 10
 )
 
-// Usage is what the processes of one role took, sampled each second.
+// Usage is the processor time and memory that the processes of one role used, sampled each
+// second.
 type Usage struct {
 	Role deployment.Role `json:"role"`
-	// CPUMedian and CPUMax are shares of one core, of which 1 is all. The median and
-	// maximum are over all samples of all processes of the role.
+	// CPUMedian and CPUMax are in processor cores: 1 is one core in full use. The median
+	// and maximum are over all samples of all processes of the role.
 	CPUMedian float64 `json:"cpu_median"`
 	CPUMax    float64 `json:"cpu_max"`
-	// MemoryMedianMB and MemoryMaxMB are resident memory in mebibytes.
+	// MemoryMedianMB and MemoryMaxMB are the resident memory in mebibytes.
 	MemoryMedianMB float64 `json:"memory_median_mb"`
 	MemoryMaxMB    float64 `json:"memory_max_mb"`
 	Samples        int     `json:"samples"`
 }
 
-// Sampler samples the processor time and memory of all processes of a fleet.
+// Sampler samples the processor time and memory of all processes of a fleet. The mutex
+// guards the fields below it.
 type Sampler struct {
 	fleet *Fleet
 
 	mutex  sync.Mutex
-	last   map[int]reading
+	last   map[int]cpuSample // by process id
 	cpu    map[deployment.Role][]float64
 	memory map[deployment.Role][]float64
 }
 
-type reading struct {
+// cpuSample is the processor time that a process had used by a time.
+type cpuSample struct {
 	at  monoclock.Nanos
 	cpu time.Duration
 }
 
-// NewSampler returns a sampler of that fleet.
+// NewSampler returns a sampler for the processes of a fleet.
 func NewSampler(f *Fleet) *Sampler {
 	return &Sampler{
-		fleet: f, last: map[int]reading{},
+		fleet: f, last: map[int]cpuSample{},
 		cpu: map[deployment.Role][]float64{}, memory: map[deployment.Role][]float64{},
 	}
 }
@@ -86,7 +89,8 @@
 	}
 }
 
-// sampleProcess skips a process that has just ended.
+// sampleProcess adds one sample of a process. It skips a process that has ended since its
+// id was read.
 func (s *Sampler) sampleProcess(role deployment.Role, pid int) {
 	cpu, err := processorTime(pid)
 	if err != nil {
@@ -96,15 +100,15 @@
 	if err != nil {
 		return
 	}
-	now := reading{at: monoclock.Now(), cpu: cpu}
+	now := cpuSample{at: monoclock.Now(), cpu: cpu}
 	s.memory[role] = append(s.memory[role], float64(memory)/bytesPerMB)
-	if before, known := s.last[pid]; known {
-		s.cpu[role] = append(s.cpu[role], float64(now.cpu-before.cpu)/float64(now.at.Sub(before.at)))
+	if previous, known := s.last[pid]; known {
+		s.cpu[role] = append(s.cpu[role], float64(now.cpu-previous.cpu)/float64(now.at.Sub(previous.at)))
 	}
 	s.last[pid] = now
 }
 
-// Usages returns what was sampled so far, by role.
+// Usages returns the usage of each role over all samples so far, sorted by role.
 func (s *Sampler) Usages() []Usage {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -126,7 +130,7 @@
 	return sorted[len(sorted)/2], sorted[len(sorted)-1]
 }
 
-// processorTime reads user and system time of a process.
+// processorTime returns the sum of user and system time of a process.
 func processorTime(pid int) (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -135,10 +139,11 @@
 	return parseProcessorTime(data)
 }
 
-// parseProcessorTime reads the 14th and 15th field. The second one, the
-// program's name in parentheses, may itself hold blanks.
+// parseProcessorTime returns the sum of fields 14 and 15 of a stat file, user and system
+// time. The second field, the program's name in parentheses, may contain spaces and
+// parentheses, so fields are counted after its last parenthesis.
 func parseProcessorTime(stat []byte) (time.Duration, error) {
-	const userField, systemField = 11, 12 // counted behind the name
+	const userField, systemField = 11, 12 // counted after the name
 	fields := bytes.Fields(stat[bytes.LastIndexByte(stat, ')')+1:])
 	if len(fields) <= systemField {
 		return 0, fmt.Errorf("processor time: %d fields", len(fields))
@@ -154,7 +159,7 @@
 	return time.Duration(user+system) * clockTick, nil
 }
 
-// residentMemory reads the resident memory of a process in bytes.
+// residentMemory returns the resident memory of a process in bytes.
 func residentMemory(pid int) (int64, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -163,6 +168,7 @@
 	return parseResidentMemory(data)
 }
 
+// parseResidentMemory returns the VmRSS field of a status file in bytes.
 func parseResidentMemory(status []byte) (int64, error) {
 	statusLines := bufio.NewScanner(bytes.NewReader(status))
 	for statusLines.Scan() {
--- a/testbed/fleet/version.go
+++ b/testbed/fleet/version.go
@@ -5,21 +5,21 @@
 	"os"
 )
 
-// Version is one of the two sets of programs that a fleet can run.
+// Version identifies one of the two sets of programs that a fleet can run.
 type Version uint8
 
-// Versions.
+// The versions of a fleet's programs.
 const (
-	// PresentVersion is the programs of Config.Binaries.
+	// PresentVersion runs the programs in Config.Binaries.
 	PresentVersion Version = iota
-	// PreviousVersion is those of Config.PreviousBinaries.
+	// PreviousVersion runs the programs in Config.PreviousBinaries.
 	PreviousVersion
 )
 
 // versionCount is the number of versions.
 const versionCount = 2
 
-// String names the version in errors.
+// String returns the version's name for error messages.
 func (v Version) String() string {
 	if v == PreviousVersion {
 		return "previous"
@@ -27,15 +27,15 @@
 	return "present"
 }
 
-// UseVersion has the process run the program of a version from its next start on.
+// UseVersion selects the version that the process runs from its next start on.
 func (p *Process) UseVersion(version Version) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.version = version
 }
 
-// CheckVersion returns an error unless the process runs the program of a version, as the
-// operating system shows it.
+// CheckVersion returns an error unless the process runs the program of that version
+// according to /proc.
 func (p *Process) CheckVersion(version Version) error {
 	pid := p.PID()
 	if pid == 0 {
@@ -45,18 +45,17 @@
 	if err != nil {
 		return fmt.Errorf("program of %s: %w", p.Spec.Name, err)
 	}
-	wanted, err := os.Stat(p.programs[version])
+	expected, err := os.Stat(p.programs[version])
 	if err != nil {
 		return fmt.Errorf("program of %s: %w", p.Spec.Name, err)
 	}
-	if !os.SameFile(running, wanted) {
+	if !os.SameFile(running, expected) {
 		return fmt.Errorf("%s does not run %s, of the %s version", p.Spec.Name, p.programs[version], version)
 	}
 	return nil
 }
 
-// CheckVersion returns an error unless all processes run the programs of a
-// version.
+// CheckVersion returns an error unless all processes run the programs of that version.
 func (f *Fleet) CheckVersion(version Version) error {
 	for _, process := range f.processes {
 		if err := process.CheckVersion(version); err != nil {
--- a/testbed/load/generator.go
+++ b/testbed/load/generator.go
@@ -71,8 +71,8 @@
 // until the context ends.
 func (g *Generator) Run(ctx context.Context) {
 	shapes := g.config.Shapes
-	endless := newPlanner(g.config.Seed, "endless", shapes.Endless, false)
-	for range shapes.EndlessJobs {
+	endless := newPlanner(g.config.Seed, "endless", shapes.UntilCancelled, false)
+	for range shapes.UntilCancelledJobs {
 		one := endless.next()
 		g.endless = append(g.endless, one.id)
 		g.follow(one)
--- a/testbed/load/load_test.go
+++ b/testbed/load/load_test.go
@@ -168,7 +168,7 @@
 	cancel()
 	generator.Run(ended)
 	generator.Finish(ended)
-	if counts := generator.Counts(); counts.Accepted != 0 || counts.Submitted < int64(d.Shapes.EndlessJobs) {
+	if counts := generator.Counts(); counts.Accepted != 0 || counts.Submitted < int64(d.Shapes.UntilCancelledJobs) {
 		t.Errorf("counts are %+v", counts)
 	}
 }
--- a/testbed/load/plan.go
+++ b/testbed/load/plan.go
@@ -65,8 +65,8 @@
 func (p *planner) next() jobPlan {
 	p.count++
 	one := jobPlan{id: fmt.Sprintf("%s-%06d", p.prefix, p.count), spec: p.spec()}
-	if p.shape.PerSecond > 0 {
-		one.interval = time.Duration(p.random.ExpFloat64() / p.shape.PerSecond * float64(time.Second))
+	if p.shape.JobsPerSecond > 0 {
+		one.interval = time.Duration(p.random.ExpFloat64() / p.shape.JobsPerSecond * float64(time.Second))
 	}
 	one.resend = p.random.Float64() < resendShare
 	one.timed = p.drawSpecial(timedShare)
@@ -82,7 +82,7 @@
 		if index > 0 {
 			step.After = []string{spec.Steps[index-1].Name}
 		}
-		for range p.shape.Tasks {
+		for range p.shape.TasksPerStep {
 			step.Tasks = append(step.Tasks, p.task())
 		}
 		spec.Steps = append(spec.Steps, step)
@@ -100,14 +100,14 @@
 }
 
 func (p *planner) task() api.TaskSpec {
-	length := p.shape.MinRun + time.Duration(p.random.Int64N(int64(p.shape.MaxRun-p.shape.MinRun)+1))
-	payload, err := json.Marshal(sleepPayload{length.Milliseconds(), p.shape.FailShare, p.shape.SlowFactor})
+	length := p.shape.MinRunTime + time.Duration(p.random.Int64N(int64(p.shape.MaxRunTime-p.shape.MinRunTime)+1))
+	payload, err := json.Marshal(sleepPayload{length.Milliseconds(), p.shape.FailureFraction, p.shape.SlowFactor})
 	if err != nil {
 		panic(fmt.Sprintf("load: a payload has no JSON form: %v", err))
 	}
 	task := api.TaskSpec{
 		Service: p.shape.Service, Payload: payload, Resources: p.shape.Resources,
-		UntilCancelled: p.shape.PerSecond == 0,
+		UntilCancelled: p.shape.JobsPerSecond == 0,
 	}
 	if p.shape.AllowedFailures > 0 {
 		task.AllowedFailures = &p.shape.AllowedFailures
--- a/testbed/matrix/doc.go
+++ b/testbed/matrix/doc.go
@@ -1,4 +1,4 @@
 // Package matrix runs every chosen scenario on every chosen deployment with
-// every chosen seed, and puts what came of it into one JSON document and one
-// table.
+// every chosen seed, and writes the outcomes as one JSON document and one
+// Markdown table.
 package matrix
--- a/testbed/matrix/matrix.go
+++ b/testbed/matrix/matrix.go
@@ -14,61 +14,61 @@
 	"github.com/decklever/decklever/testbed/scenario"
 )
 
-// Files in the out folder.
+// Names of the report files in the output folder.
 const (
 	JSONFile  = "matrix.json"
 	TableFile = "matrix.md"
 )
 
-// Cell is one run.
+// Cell is one run of the matrix.
 type Cell struct {
 	Deployment string
 	Scenario   scenario.Scenario
 	Seed       uint64
-	// Duration is how long callers submit; it is no shorter than the scenario's
-	// least.
+	// Duration is how long callers submit jobs, at least the scenario's MinDuration.
 	Duration time.Duration
-	// Instance moves the addresses, so that runs at the same time do not meet.
+	// Instance selects the address range, so that concurrent runs do not conflict.
 	Instance int
-	// Out is the run's own folder.
+	// Out is the output folder of this run.
 	Out string
 }
 
-// Config says what to run.
+// Config selects the runs and how they are executed.
 type Config struct {
 	Deployments []string
 	Scenarios   []scenario.Scenario
 	Seeds       []uint64
 	Duration    time.Duration
-	// Parallel is how many runs there are at a time; they use the instances
-	// from FirstInstance on. Default 1.
+	// Parallel is the number of concurrent runs, default 1. They use the instances
+	// FirstInstance to FirstInstance+Parallel-1.
 	Parallel      int
 	FirstInstance int
-	// Out is the folder of the report and of one folder for each run.
+	// Out is the output folder: the report files and one folder for each run.
 	Out string
-	// Run carries out one cell.
+	// Run executes one cell. It is called concurrently if Parallel is over 1.
 	Run func(context.Context, Cell) (report.Summary, error)
-	// Done is called after each cell. Optional.
-	Done func(Outcome)
+	// OnOutcome is called after each cell, one call at a time. Optional.
+	OnOutcome func(Outcome)
 }
 
-// Outcome is what came of one cell.
+// Outcome is the outcome of one cell.
 type Outcome struct {
 	Deployment string `json:"deployment"`
 	Scenario   string `json:"scenario"`
 	Seed       uint64 `json:"seed"`
-	// Failure says why there is no summary; empty if there is one.
+	// Failure is the error of a run without a summary; empty if there is a summary.
 	Failure string `json:"failure,omitempty"`
-	// Summary is nil if the run came to none.
+	// Summary is nil if the run failed before it produced one.
 	Summary *report.Summary `json:"summary,omitempty"`
 }
 
-// Passed reports whether the run came to an end and broke nothing.
+// Passed reports whether the run completed and its summary passed.
 func (o Outcome) Passed() bool { return o.Summary != nil && o.Summary.Passed }
 
 // Run runs all cells and writes the report after each, so that a cancelled matrix
-// leaves the report of what ran. It returns the outcomes in the order of the cells;
-// those that did not start are missing.
+// leaves a report of the cells that ran. It returns the outcomes in the order of the
+// cells, without cells that did not start. After a cancel the error includes that of
+// ctx.
 func Run(ctx context.Context, config Config) ([]Outcome, error) {
 	if err := os.MkdirAll(config.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("out folder: %w", err)
@@ -76,12 +76,12 @@
 	config.Parallel = max(1, config.Parallel)
 	cells := config.cells()
 	r := &runner{config: config, outcomes: make([]*Outcome, len(cells))}
-	waiting := make(chan int)
+	indexes := make(chan int)
 	var workers sync.WaitGroup
-	for number := range config.Parallel {
+	for slot := range config.Parallel {
 		workers.Go(func() {
-			for index := range waiting {
-				cells[index].Instance = config.FirstInstance + number
+			for index := range indexes {
+				cells[index].Instance = config.FirstInstance + slot
 				r.run(ctx, index, cells[index])
 			}
 		})
@@ -90,22 +90,22 @@
 		if ctx.Err() != nil {
 			break
 		}
-		waiting <- index
+		indexes <- index
 	}
-	close(waiting)
+	close(indexes)
 	workers.Wait()
-	return r.finished(), errors.Join(r.failure, ctx.Err())
+	return r.finished(), errors.Join(r.writeError, ctx.Err())
 }
 
-// cells lists all runs: seed by seed, so that each scenario is seen early.
+// cells returns all runs, ordered by seed first, so that each scenario runs early.
 func (c Config) cells() []Cell {
 	var cells []Cell
 	for _, seed := range c.Seeds {
 		for _, deployment := range c.Deployments {
-			for _, found := range c.Scenarios {
+			for _, chosen := range c.Scenarios {
 				cells = append(cells, Cell{
-					Deployment: deployment, Scenario: found, Seed: seed, Duration: max(c.Duration, found.MinDuration),
-					Out: filepath.Join(c.Out, fmt.Sprintf("%s-%s-%d", deployment, found.Name, seed)),
+					Deployment: deployment, Scenario: chosen, Seed: seed, Duration: max(c.Duration, chosen.MinDuration),
+					Out: filepath.Join(c.Out, fmt.Sprintf("%s-%s-%d", deployment, chosen.Name, seed)),
 				})
 			}
 		}
@@ -116,9 +116,9 @@
 type runner struct {
 	config Config
 
-	mutex    sync.Mutex
-	outcomes []*Outcome
-	failure  error
+	mutex      sync.Mutex
+	outcomes   []*Outcome
+	writeError error
 }
 
 func (r *runner) run(ctx context.Context, index int, cell Cell) {
@@ -132,11 +132,11 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.outcomes[index] = &outcome
-	if err := write(r.config.Out, r.finishedLocked()); err != nil {
-		r.failure = err
+	if err := writeReport(r.config.Out, r.finishedLocked()); err != nil {
+		r.writeError = err
 	}
-	if r.config.Done != nil {
-		r.config.Done(outcome)
+	if r.config.OnOutcome != nil {
+		r.config.OnOutcome(outcome)
 	}
 }
 
@@ -147,16 +147,16 @@
 }
 
 func (r *runner) finishedLocked() []Outcome {
-	var listed []Outcome
+	var done []Outcome
 	for _, outcome := range r.outcomes {
 		if outcome != nil {
-			listed = append(listed, *outcome)
+			done = append(done, *outcome)
 		}
 	}
-	return listed
+	return done
 }
 
-func write(directory string, outcomes []Outcome) error {
+func writeReport(directory string, outcomes []Outcome) error {
 	data, err := json.MarshalIndent(outcomes, "", "  ")
 	if err != nil {
 		return fmt.Errorf("encode the matrix: %w", err)
--- a/testbed/matrix/matrix_test.go
+++ b/testbed/matrix/matrix_test.go
@@ -27,10 +27,10 @@
 			defer mutex.Unlock()
 			instances[cell.Instance], folders[cell.Out] = true, true
 			if (cell.Scenario.Name == "rough") != (cell.Duration == time.Minute) {
-				t.Errorf("%s runs for %v", cell.Scenario.Name, cell.Duration)
+				t.Errorf("duration of %s: got %v, want 1m0s for rough and 1s for calm", cell.Scenario.Name, cell.Duration)
 			}
 			if cell.Deployment == "there" && cell.Scenario.Name == "rough" {
-				return outcomeOf(cell.Seed)
+				return failedRun(cell.Seed)
 			}
 			return report.Summary{Passed: true, TasksStarted: 10, LongestServiceGapMillis: float64(cell.Seed)}, nil
 		},
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	if len(outcomes) != 8 || len(folders) != 8 || instances[4] || instances[7] {
-		t.Fatalf("%d outcomes in %d folders on the instances %v", len(outcomes), len(folders), instances)
+		t.Fatalf("got %d outcomes in %d folders on instances %v, want 8 in 8 on instances 5 and 6 only", len(outcomes), len(folders), instances)
 	}
 	data, err := os.ReadFile(filepath.Join(config.Out, TableFile))
 	if err != nil {
@@ -51,13 +51,13 @@
 		"| rough | there | 1, 2 | 7 | 3 | P1 (2), P11 (1), no result (1) | 0 | 4000 |\n",
 	} {
 		if !strings.Contains(string(data), want) {
-			t.Errorf("the table has no line %q:\n%s", want, data)
+			t.Errorf("table row: want %q, got table:\n%s", want, data)
 		}
 	}
 }
 
-// outcomeOf is a run without result for seed 1 and a broken one for others.
-func outcomeOf(seed uint64) (report.Summary, error) {
+// failedRun returns an error for seed 1 and a summary with violations for other seeds.
+func failedRun(seed uint64) (report.Summary, error) {
 	if seed == 1 {
 		return report.Summary{}, errors.New("the fleet did not start")
 	}
@@ -78,7 +78,7 @@
 	}
 	outcomes, err := Run(ctx, config)
 	if !errors.Is(err, context.Canceled) || len(outcomes) == 0 || len(outcomes) == 3 {
-		t.Fatalf("%d outcomes, error %v", len(outcomes), err)
+		t.Fatalf("got %d outcomes and error %v, want 1 or 2 and context canceled", len(outcomes), err)
 	}
 	if _, err := os.Stat(filepath.Join(config.Out, JSONFile)); err != nil {
 		t.Error(err)
--- a/testbed/matrix/table.go
+++ b/testbed/matrix/table.go
@@ -9,26 +9,26 @@
 	"github.com/decklever/decklever/testbed/checker"
 )
 
-// row is all seeds of one scenario on one deployment.
+// row aggregates the outcomes of all seeds of one scenario on one deployment.
 type row struct {
 	deployment, scenario string
 	seeds                []string
 	starts, faults       int
-	broken               map[checker.Promise]int
-	// others are failures that are no broken promise, by what they are.
-	others         map[string]int
-	gap, replacing float64
+	violations           map[checker.Promise]int
+	// otherFailures counts failures other than violations of a promise, by kind.
+	otherFailures                              map[string]int
+	longestGapMillis, longestReplacementMillis float64
 }
 
-// Table returns the outcomes as a table in Markdown, one row for each scenario
-// and deployment.
+// Table returns the outcomes as a Markdown table, one row for each scenario and
+// deployment.
 func Table(outcomes []Outcome) string {
 	var text strings.Builder
 	text.WriteString("| scenario | deployment | seeds tried | starts seen | faults caused | promises broken | longest gap in service, ms | longest re-placement, ms |\n")
 	text.WriteString("|---|---|---|---|---|---|---|---|\n")
-	for _, found := range rows(outcomes) {
-		fmt.Fprintf(&text, "| %s | %s | %s | %d | %d | %s | %.0f | %s |\n", found.scenario, found.deployment,
-			strings.Join(found.seeds, ", "), found.starts, found.faults, found.verdict(), found.gap, found.replacement())
+	for _, one := range rows(outcomes) {
+		fmt.Fprintf(&text, "| %s | %s | %s | %d | %d | %s | %.0f | %s |\n", one.scenario, one.deployment,
+			strings.Join(one.seeds, ", "), one.starts, one.faults, one.failuresText(), one.longestGapMillis, one.replacementText())
 	}
 	return text.String()
 }
@@ -43,7 +43,7 @@
 			index = len(all)
 			all = append(all, &row{
 				deployment: outcome.Deployment, scenario: outcome.Scenario,
-				broken: map[checker.Promise]int{}, others: map[string]int{},
+				violations: map[checker.Promise]int{}, otherFailures: map[string]int{},
 			})
 		}
 		all[index].add(outcome)
@@ -55,31 +55,32 @@
 	r.seeds = append(r.seeds, fmt.Sprint(outcome.Seed))
 	summary := outcome.Summary
 	if summary == nil {
-		r.others["no result"]++
+		r.otherFailures["no result"]++
 		return
 	}
 	r.starts += summary.TasksStarted
 	r.faults += summary.FaultsInjected
-	r.gap = max(r.gap, summary.LongestServiceGapMillis)
-	r.replacing = max(r.replacing, summary.LongestReplacementMillis)
+	r.longestGapMillis = max(r.longestGapMillis, summary.LongestServiceGapMillis)
+	r.longestReplacementMillis = max(r.longestReplacementMillis, summary.LongestReplacementMillis)
 	for _, violation := range summary.Violations {
-		r.broken[violation.Promise]++
+		r.violations[violation.Promise]++
 	}
-	r.others["ended by itself"] += len(summary.UnexpectedExits)
-	r.others["error"] += len(summary.Errors)
+	r.otherFailures["ended by itself"] += len(summary.UnexpectedExits)
+	r.otherFailures["error"] += len(summary.Errors)
 	if !summary.Passed && len(summary.Violations)+len(summary.UnexpectedExits)+len(summary.Errors) == 0 {
-		r.others["not passed"]++
+		r.otherFailures["not passed"]++
 	}
 }
 
-// verdict lists broken promises and other failures with their counts.
-func (r *row) verdict() string {
+// failuresText lists violated promises and other failures with their counts; "none" if
+// there are none.
+func (r *row) failuresText() string {
 	var parts []string
-	for _, promise := range slices.Sorted(maps.Keys(r.broken)) {
-		parts = append(parts, fmt.Sprintf("%s (%d)", promise, r.broken[promise]))
+	for _, promise := range slices.Sorted(maps.Keys(r.violations)) {
+		parts = append(parts, fmt.Sprintf("%s (%d)", promise, r.violations[promise]))
 	}
-	for _, what := range slices.Sorted(maps.Keys(r.others)) {
-		if count := r.others[what]; count > 0 {
+	for _, what := range slices.Sorted(maps.Keys(r.otherFailures)) {
+		if count := r.otherFailures[what]; count > 0 {
 			parts = append(parts, fmt.Sprintf("%s (%d)", what, count))
 		}
 	}
@@ -89,10 +90,11 @@
 	return strings.Join(parts, ", ")
 }
 
-// replacement is "–" if no task lost its worker.
-func (r *row) replacement() string {
-	if r.replacing == 0 {
+// replacementText returns the longest re-placement in milliseconds, or "–" if no task
+// was started again after it lost its worker.
+func (r *row) replacementText() string {
+	if r.longestReplacementMillis == 0 {
 		return "–"
 	}
-	return fmt.Sprintf("%.0f", r.replacing)
+	return fmt.Sprintf("%.0f", r.longestReplacementMillis)
 }
--- a/testbed/report/doc.go
+++ b/testbed/report/doc.go
@@ -1,5 +1,4 @@
-// Package report turns what a run observed, which is the call log and the workers'
-// event logs, into one summary: counts, delays and gaps in service,
-// for programs as JSON and for people as text. It judges nothing; package
-// checker does.
+// Package report summarizes the call log and the workers' event logs of a run:
+// counts, delays and gaps in service, as JSON for programs and as text for people.
+// It does not check promises; package checker does.
 package report
--- a/testbed/report/observations.go
+++ b/testbed/report/observations.go
@@ -10,26 +10,26 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// observations are the call log and the event logs, indexed by job.
+// observations holds what the call log and the event logs contain, mostly by job id.
 type observations struct {
 	specs    map[string]*api.JobSpec
 	classes  map[string]calllog.Class
 	accepted map[string]monoclock.Nanos
 	states   map[string]api.State
-	// finals are when a caller first saw a job in a final state.
-	finals        map[string]monoclock.Nanos
+	// firstFinal is when a caller first saw each job in a final state.
+	firstFinal    map[string]monoclock.Nanos
 	refusals      map[api.ErrorCode]int
 	submitAnswers []submitAnswer
 	runs          []eventlog.Run
 }
 
-// submitAnswer is the first accepted submission of an ordinary job.
+// submitAnswer has the times of the first accepted submission of an ordinary job.
 type submitAnswer struct{ sent, answered monoclock.Nanos }
 
 func newObservations(input checker.Input) *observations {
 	o := &observations{
 		specs: map[string]*api.JobSpec{}, classes: map[string]calllog.Class{}, accepted: map[string]monoclock.Nanos{},
-		states: map[string]api.State{}, finals: map[string]monoclock.Nanos{}, refusals: map[api.ErrorCode]int{},
+		states: map[string]api.State{}, firstFinal: map[string]monoclock.Nanos{}, refusals: map[api.ErrorCode]int{},
 		runs: eventlog.Runs(input.Events),
 	}
 	for _, entry := range input.Entries {
@@ -63,12 +63,13 @@
 		return
 	}
 	o.states[entry.JobID] = entry.State
-	if _, known := o.finals[entry.JobID]; !known && entry.State.Final() {
-		o.finals[entry.JobID] = entry.Answered
+	if _, known := o.firstFinal[entry.JobID]; !known && entry.State.Final() {
+		o.firstFinal[entry.JobID] = entry.Answered
 	}
 }
 
-// jobsByState counts accepted jobs by the last state that a caller saw.
+// jobsByState counts accepted jobs by the last state that a caller saw; the state is
+// empty for jobs without a successful poll.
 func (o *observations) jobsByState() map[api.State]int {
 	counts := map[api.State]int{}
 	for id := range o.accepted {
@@ -77,8 +78,9 @@
 	return counts
 }
 
-// endToVisible returns, for each job reported as succeeded, the time since the last end
-// of its runs before that.
+// endToVisible returns, for each job reported as succeeded, the time from the latest end
+// of its runs until a caller first saw it in a final state. The delay is negative if a
+// run ended after that.
 func (o *observations) endToVisible() []time.Duration {
 	lastEnd := map[string]monoclock.Nanos{}
 	for _, run := range o.runs {
@@ -88,7 +90,7 @@
 		}
 	}
 	var delays []time.Duration
-	for id, seen := range o.finals {
+	for id, seen := range o.firstFinal {
 		if o.states[id] == api.StateSucceeded && lastEnd[id] != 0 {
 			delays = append(delays, seen.Sub(lastEnd[id]))
 		}
--- a/testbed/report/percentiles.go
+++ b/testbed/report/percentiles.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	highestMicros     = int64(10 * time.Minute / time.Microsecond)
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 )
 
-// Percentiles of a delay, in milliseconds.
+// Percentiles summarizes delays, in milliseconds.
 type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -20,12 +20,13 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// percentilesOf summarizes delays; those out of range count as the nearest bound.
+// percentilesOf summarizes delays. A delay below 0 or above maxMicros counts as that
+// bound.
 func percentilesOf(delays []time.Duration) Percentiles {
-	histogram := hdrhistogram.New(1, highestMicros, significantDigits)
+	histogram := hdrhistogram.New(1, maxMicros, significantDigits)
 	for _, delay := range delays {
-		// The value is within the bounds, which is the only error there is.
-		_ = histogram.RecordValue(min(max(delay.Microseconds(), 0), highestMicros))
+		// RecordValue fails only for a value out of bounds, and min and max exclude those.
+		_ = histogram.RecordValue(min(max(delay.Microseconds(), 0), maxMicros))
 	}
 	at := func(percentile float64) float64 {
 		return millis(time.Duration(histogram.ValueAtPercentile(percentile)) * time.Microsecond)
--- a/testbed/report/phases.go
+++ b/testbed/report/phases.go
@@ -10,40 +10,40 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Flood compares a flood with the time before it.
+// Flood compares the phase of a flood of submissions with the phase before it.
 type Flood struct {
-	// Answers counts the submissions that had to be rejected by HTTP status; 0 is no
-	// answer.
+	// Answers counts, by class and HTTP status, the answers to submissions that had to
+	// be rejected; status 0 means no answer.
 	Answers          map[calllog.Class]map[int]int `json:"answers"`
 	AnswersPerSecond float64                       `json:"answers_per_second"`
-	// Unavailable counts those of Answers that are 503.
+	// Unavailable counts the answers with status 503.
 	Unavailable int `json:"unavailable"`
-	// Discarded counts the jobs that were accepted in the flood to be cancelled in
-	// bulk, Cancelled those of them that were last reported as cancelled.
+	// Discarded counts the accepted jobs that the flood submits in order to cancel
+	// them in bulk; Cancelled counts the discarded jobs last reported as cancelled.
 	Discarded int `json:"discarded"`
 	Cancelled int `json:"cancelled"`
-	// Baseline is the time before the flood, Flooded that of the flood.
+	// Baseline is from the start of the load to the flood, Flooded is the flood itself.
 	Baseline Phase `json:"quiet"`
 	Flooded  Phase `json:"flooded"`
 }
 
-// Phase is what ordinary callers saw in a part of the run.
+// Phase is what callers of ordinary jobs saw in one part of the run.
 type Phase struct {
 	Seconds float64 `json:"seconds"`
-	// JobsRefused counts rejected submissions.
+	// JobsAccepted counts jobs, JobsRefused counts rejected submissions.
 	JobsAccepted int         `json:"jobs_accepted"`
 	JobsRefused  int         `json:"jobs_refused"`
 	SubmitAnswer Percentiles `json:"submit_answer"`
 	ReadyToStart Percentiles `json:"ready_to_start"`
 }
 
-// span is a part of a run, its end excluded.
+// span is a part of a run, without the time until.
 type span struct{ from, until monoclock.Nanos }
 
 func (s span) contains(at monoclock.Nanos) bool { return at >= s.from && at < s.until }
 func (s span) seconds() float64                 { return s.until.Sub(s.from).Seconds() }
 
-// newFlood returns nil if there was no flood.
+// newFlood summarizes the flood of a run; nil if there was none.
 func newFlood(input checker.Input, o *observations, delays []checker.StartDelay) *Flood {
 	start, end, known := checker.FloodPhases(input)
 	if !known {
@@ -65,8 +65,8 @@
 	return flood
 }
 
-// countAnswers counts the answers to what had to be rejected, and their rate between
-// the first and the last of them.
+// countAnswers counts the answers to submissions that had to be rejected. Their rate is
+// over the time from the first such submission to the last answer.
 func (f *Flood) countAnswers(entries []calllog.Entry) {
 	count := 0
 	var total span
@@ -115,7 +115,7 @@
 	return phase
 }
 
-// burstPercentiles returns nil if the run had no such burst.
+// burstPercentiles summarizes the start delays of the burst of a class; nil if there was none.
 func burstPercentiles(input checker.Input, class calllog.Class) *Percentiles {
 	delays := checker.BurstDelays(input, class)
 	if len(delays) == 0 {
@@ -125,8 +125,8 @@
 	return &found
 }
 
-// ordinaryLengths returns the delays of ordinary tasks.
-func ordinaryLengths(delays []checker.StartDelay) []time.Duration {
+// ordinaryDelays returns the start delays of the tasks of ordinary jobs.
+func ordinaryDelays(delays []checker.StartDelay) []time.Duration {
 	var lengths []time.Duration
 	for _, delay := range delays {
 		if delay.Class == calllog.ClassOrdinary {
@@ -136,7 +136,7 @@
 	return lengths
 }
 
-func (o *observations) submitLengths() []time.Duration {
+func (o *observations) submitDelays() []time.Duration {
 	var lengths []time.Duration
 	for _, answer := range o.submitAnswers {
 		lengths = append(lengths, answer.answered.Sub(answer.sent))
--- a/testbed/report/report_test.go
+++ b/testbed/report/report_test.go
@@ -18,14 +18,15 @@
 	return monoclock.Nanos(time.Duration(millis) * time.Millisecond)
 }
 
-// observed is a job of two steps of one task: ready at 100 and 400, started
-// at 150 and 430, over at 600, seen as over at 620.
-func observed() checker.Input {
+// newObservedRun returns a run with one accepted job of two steps of one task each. The tasks
+// are ready at 100 and 400 ms and start at 150 and 430 ms; the job ends at 600 ms and is
+// reported as succeeded at 620 ms.
+func newObservedRun() checker.Input {
 	step := func(name string, after ...string) api.StepSpec {
 		return api.StepSpec{Name: name, After: after, Tasks: []api.TaskSpec{{Service: "swap"}}}
 	}
 	spec := &api.JobSpec{Queue: "swaps", Steps: []api.StepSpec{step("a"), step("b", "a")}}
-	line := func(millis int64, event eventlog.Kind, task string, outcome api.Outcome) eventlog.Event {
+	newEvent := func(millis int64, event eventlog.Kind, task string, outcome api.Outcome) eventlog.Event {
 		return eventlog.Event{Mono: at(millis), Kind: event, Task: task, Run: 1, WorkerID: "w", Worker: "worker-01", Outcome: outcome}
 	}
 	return checker.Input{
@@ -36,23 +37,23 @@
 			{Kind: calllog.KindPoll, Sent: at(200), Answered: at(620), JobID: "j", State: api.StateSucceeded},
 		},
 		Events: []eventlog.Event{
-			line(150, eventlog.KindStart, "j/a/0", ""), line(400, eventlog.KindEnd, "j/a/0", api.OutcomeSucceeded),
-			line(430, eventlog.KindStart, "j/b/0", ""), line(600, eventlog.KindEnd, "j/b/0", api.OutcomeSucceeded),
+			newEvent(150, eventlog.KindStart, "j/a/0", ""), newEvent(400, eventlog.KindEnd, "j/a/0", api.OutcomeSucceeded),
+			newEvent(430, eventlog.KindStart, "j/b/0", ""), newEvent(600, eventlog.KindEnd, "j/b/0", api.OutcomeSucceeded),
 		},
 	}
 }
 
 func TestBuild_CountsAndMeasuresRun(t *testing.T) {
-	summary := Build(Input{Deployment: "restrepo", Scenario: "steady", Observed: observed()})
+	summary := Build(Input{Deployment: "restrepo", Scenario: "steady", Observed: newObservedRun()})
 	if summary.JobsSubmitted != 2 || summary.JobsAccepted != 1 || summary.JobsEnded != 1 || summary.Refusals[api.CodeOverLimit] != 1 {
-		t.Errorf("jobs are counted wrong: %+v", summary)
+		t.Errorf("jobs: got %+v, want 2 submitted, 1 accepted, 1 ended and 1 refusal over the limit", summary)
 	}
 	if summary.TasksStarted != 2 || summary.StartsPerSecond != 2 {
-		t.Errorf("%d starts, %f a second, want 2 and 2", summary.TasksStarted, summary.StartsPerSecond)
+		t.Errorf("got %d starts at %f per second, want 2 and 2", summary.TasksStarted, summary.StartsPerSecond)
 	}
 	near := func(name string, got, want float64) {
 		if got < want*0.99 || got > want*1.01 {
-			t.Errorf("%s is %f ms, want %f", name, got, want)
+			t.Errorf("%s: got %f ms, want %f within 1%%", name, got, want)
 		}
 	}
 	near("submit answer", summary.SubmitAnswer.Max, 10)
@@ -60,45 +61,45 @@
 	near("ready to start max", summary.ReadyToStart.Max, 50)
 	near("end to visible", summary.EndToVisible.Max, 20)
 	if !summary.Passed {
-		t.Error("a clean run did not pass")
+		t.Error("run without failures: got not passed, want passed")
 	}
 }
 
 func TestStartDelay_CountsFromRecordedSuccess(t *testing.T) {
-	input := observed()
+	input := newObservedRun()
 	repeat := input.Events[0]
 	repeat.Run, repeat.Mono = 2, at(405)
 	end := input.Events[1]
 	end.Run, end.Mono = 2, at(420)
 	input.Events = append(input.Events, repeat, end)
 	eventlog.Sort(input.Events)
-	delays := ordinaryLengths(checker.StartDelays(input))
+	delays := ordinaryDelays(checker.StartDelays(input))
 	want := []time.Duration{50 * time.Millisecond, 10 * time.Millisecond}
 	if !slices.Equal(delays, want) {
-		t.Errorf("delays are %v, want %v", delays, want)
+		t.Errorf("start delays: got %v, want %v", delays, want)
 	}
 }
 
 func TestBuild_ViolationDoesNotPass(t *testing.T) {
 	cases := map[string]func(*Input){
-		"a broken promise": func(input *Input) { input.Result.Violations = []checker.Violation{{Promise: checker.P1}} },
-		"an error":         func(input *Input) { input.Errors = []error{errors.New("journal")} },
-		"a process that ended by itself": func(input *Input) {
+		"a violated promise": func(input *Input) { input.Result.Violations = []checker.Violation{{Promise: checker.P1}} },
+		"an error":           func(input *Input) { input.Errors = []error{errors.New("journal")} },
+		"an unexpected exit": func(input *Input) {
 			input.Observed.Entries = append(input.Observed.Entries, calllog.Entry{Kind: calllog.KindFault, Action: calllog.ActionExit, Process: "front-01"})
 		},
 		"a job that did not end": func(input *Input) { input.Observed.Entries[2].State = api.StateRunning },
 		"no accepted job":        func(input *Input) { input.Observed.Entries = nil },
 	}
-	for name, spoil := range cases {
-		input := Input{Observed: observed()}
-		spoil(&input)
+	for name, modify := range cases {
+		input := Input{Observed: newObservedRun()}
+		modify(&input)
 		summary := Build(input)
 		if summary.Passed {
-			t.Errorf("passed in spite of %s", name)
+			t.Errorf("%s: got passed, want not passed", name)
 		}
 		var text strings.Builder
 		if err := summary.WriteText(&text); err != nil || !strings.HasPrefix(text.String(), "BROKEN") {
-			t.Errorf("%s: text is %q, %v", name, text.String(), err)
+			t.Errorf("%s: got text %q and error %v, want the text to begin with BROKEN", name, text.String(), err)
 		}
 	}
 }
--- a/testbed/report/summary.go
+++ b/testbed/report/summary.go
@@ -10,50 +10,53 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Summary is the outcome of one run. Its JSON names are read by other programs.
+// Summary is the outcome of one run. Other programs read it as JSON, so its JSON names stay.
 type Summary struct {
 	Deployment string       `json:"deployment"`
 	Scenario   string       `json:"scenario"`
 	Seed       uint64       `json:"seed"`
 	Duration   api.Duration `json:"duration"`
-	// Passed is true if no promise was broken, every accepted job ended, and
-	// no process ended by itself.
+	// Passed is true if no promise was violated, at least one job was accepted, every
+	// accepted job ended, no process exited unexpectedly and there are no Errors.
 	Passed bool `json:"passed"`
 
 	JobsSubmitted int               `json:"jobs_submitted"`
 	JobsAccepted  int               `json:"jobs_accepted"`
 	JobsEnded     int               `json:"jobs_ended"`
 	JobsByState   map[api.State]int `json:"jobs_by_state"`
-	// Refusals counts rejected submissions by their code.
+	// Refusals counts rejected submissions by error code.
 	Refusals map[api.ErrorCode]int `json:"refusals"`
 
 	TasksStarted       int     `json:"tasks_started"`
 	StartsPerSecond    float64 `json:"starts_per_second"`
 	DuplicateSuccesses int     `json:"duplicate_successes"`
 
-	// SubmitAnswer is from a first submission to its acceptance, and ReadyToStart from
-	// a task being ready to its first start, both of ordinary work only.
+	// SubmitAnswer is the time from sending a job's first accepted submission to its
+	// answer, ReadyToStart the time from when a task is ready to its first start. Both
+	// cover ordinary jobs only.
 	SubmitAnswer Percentiles `json:"submit_answer"`
 	ReadyToStart Percentiles `json:"ready_to_start"`
-	// EndToVisible is from a job's last end to a caller seeing it as final.
+	// EndToVisible is the time from the end of a job's last run until a caller first
+	// saw the job in a final state, for succeeded jobs.
 	EndToVisible Percentiles `json:"end_to_visible"`
 
-	// BookedStartDelay and UnbookedStartDelay are from a booked moment to the
-	// starts of two equal bursts; absent without bursts.
+	// BookedStartDelay and UnbookedStartDelay are the delays from the booked moment, or
+	// the submission if later, to the task starts of two equal bursts; nil without bursts.
 	BookedStartDelay   *Percentiles `json:"booked_start_delay,omitempty"`
 	UnbookedStartDelay *Percentiles `json:"unbooked_start_delay,omitempty"`
-	// Flood is absent without one.
+	// Flood is nil if the run had no flood.
 	Flood *Flood `json:"flood,omitempty"`
 
 	LongestSubmitGapMillis float64 `json:"longest_submit_gap_ms"`
 	LongestStartGapMillis  float64 `json:"longest_start_gap_ms"`
-	// LongestServiceGapMillis leaves out times without a majority of the
-	// schedulers.
+	// LongestServiceGapMillis is the longest time between accepted submissions during
+	// which a majority of the schedulers was connected.
 	LongestServiceGapMillis float64 `json:"longest_service_gap_ms"`
-	// LongestReplacementMillis is from when a worker became unreachable to the start
-	// elsewhere of a task that it ran; 0 if there was none.
+	// LongestReplacementMillis is the longest time from when a worker became
+	// unreachable to the start of one of its tasks on another worker; 0 if there was
+	// none.
 	LongestReplacementMillis float64 `json:"longest_replacement_ms"`
-	// FaultsInjected counts the faults of the test bed, a fault of many links as one.
+	// FaultsInjected counts the injected faults; a fault of several links counts once.
 	FaultsInjected int `json:"faults_caused"`
 
 	Usage           []fleet.Usage       `json:"usage"`
@@ -63,7 +66,7 @@
 	Errors []string `json:"errors"`
 }
 
-// Input is what a summary is built from.
+// Input is the data that a summary is built from.
 type Input struct {
 	Deployment string
 	Scenario   string
@@ -75,7 +78,7 @@
 	Errors     []error
 }
 
-// Build builds the summary.
+// Build computes the summary of a run.
 func Build(input Input) Summary {
 	o := newObservations(input.Observed)
 	delays := checker.StartDelays(input.Observed)
@@ -85,8 +88,8 @@
 		JobsByState: o.jobsByState(), Refusals: o.refusals,
 		TasksStarted:           o.startsWithin(input.Observed.LoadFrom, input.Observed.EndedAt),
 		DuplicateSuccesses:     input.Result.DuplicateSuccesses,
-		SubmitAnswer:           percentilesOf(o.submitLengths()),
-		ReadyToStart:           percentilesOf(ordinaryLengths(delays)),
+		SubmitAnswer:           percentilesOf(o.submitDelays()),
+		ReadyToStart:           percentilesOf(ordinaryDelays(delays)),
 		EndToVisible:           percentilesOf(o.endToVisible()),
 		BookedStartDelay:       burstPercentiles(input.Observed, calllog.ClassBooked),
 		UnbookedStartDelay:     burstPercentiles(input.Observed, calllog.ClassUnbooked),
@@ -120,8 +123,8 @@
 	return summary
 }
 
-// faultsInjected counts kills, freezes, wipes, clock jumps and faults of links during
-// the load. Links with a fault at the same moment count as one.
+// faultsInjected counts kills, terminations, freezes, wipes, clock jumps and link faults
+// since the start of the load. Faults of several links at the same time count as one.
 func faultsInjected(observed checker.Input) int {
 	count := 0
 	var last monoclock.Nanos
@@ -146,7 +149,8 @@
 	return false
 }
 
-// unexpectedExits names processes that ended although nobody ended them.
+// unexpectedExits returns the names of processes that exited without a signal of the
+// test bed, one for each exit.
 func unexpectedExits(entries []calllog.Entry) []string {
 	var names []string
 	for _, entry := range entries {
--- a/testbed/report/text.go
+++ b/testbed/report/text.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// shownViolations bounds how many violations the text lists.
-const shownViolations = 20
+// maxShownViolations bounds the number of violations that the text lists.
+const maxShownViolations = 20
 
-// WriteText writes a short form for people.
+// WriteText writes a short form of the summary for people.
 func (s Summary) WriteText(writer io.Writer) error {
 	var text strings.Builder
 	verdict := "PASSED"
@@ -41,7 +41,7 @@
 	fmt.Fprintf(text, "%-14s p50 %.1f ms, p95 %.1f ms, p99 %.1f ms, max %.1f ms (%d)\n", name, p.P50, p.P95, p.P99, p.Max, p.Count)
 }
 
-// writePhases writes what only some scenarios have.
+// writePhases writes the bursts and the flood, which only some scenarios have.
 func (s Summary) writePhases(text *strings.Builder) {
 	if s.BookedStartDelay != nil {
 		writePercentiles(text, "booked start", *s.BookedStartDelay)
@@ -66,8 +66,8 @@
 
 func (s Summary) writeFailures(text *strings.Builder) {
 	for index, violation := range s.Violations {
-		if index == shownViolations {
-			fmt.Fprintf(text, "... and %d more\n", len(s.Violations)-shownViolations)
+		if index == maxShownViolations {
+			fmt.Fprintf(text, "... and %d more\n", len(s.Violations)-maxShownViolations)
 			break
 		}
 		fmt.Fprintf(text, "broken: %s\n", violation)
--- a/testbed/run/version_change_test.go
+++ b/testbed/run/version_change_test.go
@@ -106,7 +106,7 @@
 		most[process.Role]--
 		return most[process.Role] < 0
 	})
-	d.Shapes.Short.PerSecond, d.Shapes.Batch.PerSecond = testShortJobsPerSecond, testBatchJobsPerSecond
+	d.Shapes.Short.JobsPerSecond, d.Shapes.Batch.JobsPerSecond = testShortJobsPerSecond, testBatchJobsPerSecond
 	return d
 }
 
--- a/testbed/scale/callers.go
+++ b/testbed/scale/callers.go
@@ -15,90 +15,92 @@
 )
 
 const (
-	// jobsPerSecond is the rate of plain jobs, as far as maxJobTasks allows.
+	// jobsPerSecond is the rate of plain jobs; it is higher where a job would need more
+	// than maxJobTasks tasks, and lower where one would need less than one task.
 	jobsPerSecond = 4
 	maxJobTasks   = 50
-	// lengthSpread: a task runs up to this part longer or shorter.
-	lengthSpread   = 0.1
-	urgentInterval = 500 * time.Millisecond
-	urgentLength   = 200 * time.Millisecond
-	urgentPriority = 1000
-	pollWait       = 2 * time.Second
-	callTimeout    = 15 * time.Second
-	idlePerHost    = 256
+	// durationSpread is the largest relative deviation of a task's run time from its mean.
+	durationSpread     = 0.1
+	urgentInterval     = 500 * time.Millisecond
+	urgentTaskDuration = 200 * time.Millisecond
+	urgentPriority     = 1000
+	pollWait           = 2 * time.Second
+	callTimeout        = 15 * time.Second
+	maxIdlePerHost     = 256
 )
 
-// callers submit jobs and follow each to its end.
+// callers submits jobs and follows each until it is final.
 type callers struct {
-	size   Size
-	seed   uint64
-	calls  *calllog.Log
-	client *api.Client
-	// closing is closed when open jobs are to be cancelled.
-	closing chan struct{}
-	jobs    sync.WaitGroup
+	size    Size
+	seed    uint64
+	callLog *calllog.Log
+	client  *api.Client
+	// cancelOpen is closed to make all open jobs be cancelled.
+	cancelOpen chan struct{}
+	jobs       sync.WaitGroup
 }
 
-func newCallers(config Config, endpoints []string, calls *calllog.Log) (*callers, error) {
-	transport := &http.Transport{MaxIdleConnsPerHost: idlePerHost}
+func newCallers(config Config, endpoints []string, callLog *calllog.Log) (*callers, error) {
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdlePerHost}
 	client, err := api.NewClient(api.ClientConfig{Endpoints: endpoints, HTTPClient: &http.Client{Transport: transport}})
 	if err != nil {
-		return nil, fmt.Errorf("client of the callers: %w", err)
+		return nil, fmt.Errorf("create the callers' client: %w", err)
 	}
-	return &callers{size: config.Size, seed: config.Seed, calls: calls, client: client, closing: make(chan struct{})}, nil
+	return &callers{size: config.Size, seed: config.Seed, callLog: callLog, client: client, cancelOpen: make(chan struct{})}, nil
 }
 
-// run submits jobs until loading ends; following bounds how long they are followed.
-func (c *callers) run(loading, following context.Context) {
+// run submits jobs until loadCtx ends. Jobs are followed until followCtx ends. It returns
+// when the submissions have stopped; finish waits for the jobs.
+func (c *callers) run(loadCtx, followCtx context.Context) {
 	var streams sync.WaitGroup
-	for number, one := range c.size.streams() {
-		streams.Go(func() { c.runStream(loading, following, one, uint64(number)) })
+	for number, jobStream := range c.size.streams() {
+		streams.Go(func() { c.runStream(loadCtx, followCtx, jobStream, uint64(number)) })
 	}
 	streams.Wait()
 }
 
-func (c *callers) runStream(loading, following context.Context, one stream, number uint64) {
+func (c *callers) runStream(loadCtx, followCtx context.Context, jobStream stream, number uint64) {
 	random := rand.New(rand.NewPCG(c.seed, number))
-	ticker := time.NewTicker(one.interval)
+	ticker := time.NewTicker(jobStream.interval)
 	defer ticker.Stop()
 	for count := 0; ; count++ {
 		select {
-		case <-loading.Done():
+		case <-loadCtx.Done():
 			return
 		case <-ticker.C:
-			id := fmt.Sprintf("%s-%06d", one.name, count)
-			spec := one.job(random)
-			c.jobs.Go(func() { c.follow(following, id, spec, one.length) })
+			id := fmt.Sprintf("%s-%06d", jobStream.name, count)
+			spec := jobStream.job(random)
+			c.jobs.Go(func() { c.follow(followCtx, id, spec, jobStream.taskDuration) })
 		}
 	}
 }
 
-// finish cancels what is open and waits for the end of all jobs.
+// finish cancels all open jobs and waits until no job is followed any more.
 func (c *callers) finish() {
-	close(c.closing)
+	close(c.cancelOpen)
 	c.jobs.Wait()
 }
 
-// follow submits a job, waits for as long as its tasks run, and then polls it until it
-// is final. Polling it all the time would be more load on the fleet than its users
-// make.
-func (c *callers) follow(ctx context.Context, id string, spec api.JobSpec, length time.Duration) {
+// follow submits a job, waits for the longest run time of its tasks, and then polls the
+// job until it is final. Polling from the start would put more load on the fleet than
+// its users do. Once cancelOpen is closed it cancels the job.
+func (c *callers) follow(ctx context.Context, id string, spec api.JobSpec, taskDuration time.Duration) {
 	if !c.submit(ctx, id, spec) {
 		return
 	}
-	expected := time.NewTimer(time.Duration(float64(length) * (1 + lengthSpread)))
+	expected := time.NewTimer(time.Duration(float64(taskDuration) * (1 + durationSpread)))
 	defer expected.Stop()
-	closing := c.closing
+	cancelOpen := c.cancelOpen
 	select {
 	case <-expected.C:
-	case <-closing:
+	case <-cancelOpen:
 	case <-ctx.Done():
 	}
 	for ctx.Err() == nil {
 		select {
-		case <-closing:
+		case <-cancelOpen:
 			c.cancel(ctx, id)
-			closing = nil
+			cancelOpen = nil
 		default:
 		}
 		if c.poll(ctx, id).Final() {
@@ -139,5 +141,5 @@
 func (c *callers) record(entry calllog.Entry, err error) {
 	entry.Answered = monoclock.Now()
 	entry.Code, entry.Error = operator.Refusal(err)
-	c.calls.Add(entry)
+	c.callLog.Add(entry)
 }
--- a/testbed/scale/changes.go
+++ b/testbed/scale/changes.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	// changePauses part the single changes of a run from each other; at 1,100
-	// a day there is one in 78 s, so a run makes them faster than users do.
-	singleChanges       = 3
+	singleChanges = 3
+	// changeInterval is the pause before each single change. Users make 1,100 changes a
+	// day, one in 78 s, so a run makes them faster than users do.
 	changeInterval      = 3 * time.Second
 	burstChanges        = 10
 	rolloutPollInterval = 50 * time.Millisecond
-	// rolloutTimeout ends the wait for a roll-out that does not come about.
+	// rolloutTimeout bounds the wait for a roll-out to complete.
 	rolloutTimeout = 20 * time.Second
 )
 
-// changes puts configurations and measures how long each takes to be in force
-// in every process.
+// changes puts configurations and measures the time until each is in force in every
+// front and agent.
 type changes struct {
 	client         *api.Client
 	operatorClient *operator.Operator
 	config         api.Config
-	// processes is the number of fronts and agents.
+	// processes is the number of fronts and agents that report a version.
 	processes int
 
-	single []time.Duration
-	burst  time.Duration
+	singleDelays []time.Duration
+	burstDelay   time.Duration
 }
 
-// run makes single changes, then a burst in which each follows the one before
-// it at once.
+// run makes single changes, each after changeInterval, then a burst of changes without
+// pauses. It returns nil if ctx ends during a pause.
 func (c *changes) run(ctx context.Context) error {
-	present, err := c.operatorClient.Read(ctx)
+	current, err := c.operatorClient.Read(ctx)
 	if err != nil {
 		return fmt.Errorf("read the configuration: %w", err)
 	}
-	version := present.Version
+	version := current.Version
 	for range singleChanges {
 		if !contexttime.Sleep(ctx, changeInterval) {
 			return nil
@@ -53,14 +53,15 @@
 		if err != nil {
 			return err
 		}
-		c.single = append(c.single, delay)
+		c.singleDelays = append(c.singleDelays, delay)
 	}
-	c.burst, err = c.change(ctx, &version, burstChanges)
+	c.burstDelay, err = c.change(ctx, &version, burstChanges)
 	return err
 }
 
-// change puts count configurations and returns the time from the answer to the
-// last of them until it was in force everywhere.
+// change puts count configurations, starting from *version, and returns the time from
+// the answer to the last one until it is in force in every front and agent. It sets
+// *version to the last accepted version.
 func (c *changes) change(ctx context.Context, version *uint64, count int) (time.Duration, error) {
 	for range count {
 		config := c.config
@@ -86,7 +87,7 @@
 	}
 }
 
-// inForce reports whether every process has reported the version.
+// inForce reports whether every front and agent reports the version or a later one.
 func (c *changes) inForce(ctx context.Context, version uint64) (bool, error) {
 	rollout, err := c.client.Rollout(ctx)
 	if err != nil {
--- a/testbed/scale/hollows.go
+++ b/testbed/scale/hollows.go
@@ -15,7 +15,7 @@
 	"github.com/decklever/decklever/testbed/hollow"
 )
 
-// hollowStopTimeout is how long a hollow process may take to end.
+// hollowStopTimeout is how long a hollow process may take to exit before it is killed.
 const hollowStopTimeout = 10 * time.Second
 
 // hollows are the hollow processes of a run.
@@ -23,8 +23,8 @@
 	processes []*hollowProcess
 }
 
-// hollowProcess is one of them. It ends when its input does, and so with the
-// lab, however the test bed ends.
+// hollowProcess is one hollow process. It exits at the end of its standard input, so it
+// does not outlive the test bed even if that is killed. The mutex serializes calls.
 type hollowProcess struct {
 	spec    hollow.Spec
 	command *exec.Cmd
@@ -34,11 +34,12 @@
 	replies *bufio.Scanner
 }
 
-// startHollows starts one process for each spec.
-func startHollows(self, directory string, specs []hollow.Spec) (*hollows, error) {
+// startHollows starts one process for each spec. If one fails to start, it stops those
+// already started.
+func startHollows(executable, directory string, specs []hollow.Spec) (*hollows, error) {
 	h := &hollows{}
 	for index, spec := range specs {
-		process, err := startHollow(self, filepath.Join(directory, fmt.Sprintf("hollow-%02d", index+1)), spec)
+		process, err := startHollow(executable, filepath.Join(directory, fmt.Sprintf("hollow-%02d", index+1)), spec)
 		if err != nil {
 			return nil, errors.Join(err, h.stop())
 		}
@@ -47,7 +48,7 @@
 	return h, nil
 }
 
-func startHollow(self, base string, spec hollow.Spec) (*hollowProcess, error) {
+func startHollow(executable, base string, spec hollow.Spec) (*hollowProcess, error) {
 	if err := hollow.WriteSpec(base+".json", spec); err != nil {
 		return nil, err
 	}
@@ -56,7 +57,7 @@
 		return nil, fmt.Errorf("create log: %w", err)
 	}
 	defer func() { _ = log.Close() }() // the process has its own handle
-	command := exec.Command(self, "hollow", "--spec", base+".json")
+	command := exec.Command(executable, "hollow", "--spec", base+".json")
 	command.Stderr = log
 	input, err := command.StdinPipe()
 	if err != nil {
@@ -78,7 +79,7 @@
 	defer p.mutex.Unlock()
 	var reply hollow.Reply
 	if err := json.NewEncoder(p.input).Encode(request); err != nil {
-		return reply, fmt.Errorf("ask hollow process: %w", err)
+		return reply, fmt.Errorf("send request to hollow process: %w", err)
 	}
 	if !p.replies.Scan() {
 		return reply, fmt.Errorf("hollow process gave no reply: %w", errors.Join(p.replies.Err(), io.ErrUnexpectedEOF))
@@ -92,12 +93,12 @@
 	return reply, nil
 }
 
-// stop ends the process by closing its input, and kills it if that is not
-// enough.
+// stop closes the input of the process, which makes it exit, and kills it after
+// hollowStopTimeout.
 func (p *hollowProcess) stop() error {
-	_ = p.input.Close() // an error means that it has ended already
-	killer := time.AfterFunc(hollowStopTimeout, func() { _ = p.command.Process.Kill() })
-	defer killer.Stop()
+	_ = p.input.Close() // an error means that the process has already exited
+	killTimer := time.AfterFunc(hollowStopTimeout, func() { _ = p.command.Process.Kill() })
+	defer killTimer.Stop()
 	if err := p.command.Wait(); err != nil {
 		return fmt.Errorf("hollow process: %w", err)
 	}
@@ -106,15 +107,15 @@
 
 func (h *hollows) stop() error {
 	failures := make([]error, len(h.processes))
-	var ending sync.WaitGroup
+	var stopping sync.WaitGroup
 	for index, process := range h.processes {
-		ending.Go(func() { failures[index] = process.stop() })
+		stopping.Go(func() { failures[index] = process.stop() })
 	}
-	ending.Wait()
+	stopping.Wait()
 	return errors.Join(failures...)
 }
 
-// nodes is the number of hollow nodes.
+// nodes returns the number of hollow nodes.
 func (h *hollows) nodes() int {
 	count := 0
 	for _, process := range h.processes {
@@ -123,8 +124,9 @@
 	return count
 }
 
-// find returns the process and place of a hollow node, counted over all.
-func (h *hollows) find(node int) (process *hollowProcess, index int) {
+// locate returns the process of a hollow node, counted from 0 over all processes, and its
+// index there. All processes but the last have nodesPerProcess nodes.
+func (h *hollows) locate(node int) (process *hollowProcess, index int) {
 	return h.processes[node/nodesPerProcess], node % nodesPerProcess
 }
 
--- a/testbed/scale/layout.go
+++ b/testbed/scale/layout.go
@@ -16,23 +16,23 @@
 	regions        = 2
 	zonesPerRegion = 4
 	zones          = regions * zonesPerRegion
-	// capacityMargin is the factor by which capacity exceeds what the tasks use.
+	// capacityMargin is the ratio of the fleet's capacity to the usage of the tasks.
 	capacityMargin = 1.25
 
-	service     = "work"
-	queueBulk   = "bulk"
-	queueGangs  = "gangs"
-	queueUrgent = "urgent"
-	taskCPU     = 1000
-	taskMemory  = 256
+	service       = "work"
+	queueBulk     = "bulk"
+	queueGangs    = "gangs"
+	queueUrgent   = "urgent"
+	taskCPUMillis = 1000
+	taskMemoryMB  = 256
 )
 
-// layout is all processes, real and hollow, of one run.
+// layout describes all processes of one run, real and hollow.
 type layout struct {
 	deployment deployment.Deployment
-	// hollow has one Spec for each hollow process.
-	hollow []hollow.Spec
-	// workers are real and hollow ones.
+	// hollowSpecs has one entry for each hollow process.
+	hollowSpecs []hollow.Spec
+	// workers are the real workers, then the hollow ones.
 	workers []checker.Worker
 }
 
@@ -60,14 +60,15 @@
 			Capacity: worker.Capacity, Services: []string{service + "=sleep"}, Labels: worker.Labels,
 		})
 	}
-	l.addHollow(config.Size, journals)
+	l.addHollowNodes(config.Size, journals)
 	return l
 }
 
-// listener spreads the processes of a role over the zones in turn.
-func listener(instance int, role deployment.Role, third, port, index int) deployment.Process {
+// listener returns the process of a role with that index. Processes are assigned to the
+// zones round robin.
+func listener(instance int, role deployment.Role, thirdOctet, port, index int) deployment.Process {
 	const octetsPerInstance = 10
-	address := fmt.Sprintf("127.%d.%d.%d:%d", instance*octetsPerInstance+index%zones+1, third, index/zones+1, port)
+	address := fmt.Sprintf("127.%d.%d.%d:%d", instance*octetsPerInstance+index%zones+1, thirdOctet, index/zones+1, port)
 	return deployment.Process{Name: nodeName(role, index), Role: role, Zone: zoneName(index), Address: address}
 }
 
@@ -78,14 +79,13 @@
 	return fmt.Sprintf("region-%d-zone-%d", zone/zonesPerRegion+1, zone%zonesPerRegion+1)
 }
 
-// addWorker adds the worker of the node with that index, counted over real and hollow
-// ones.
+// addWorker adds the worker of a node. The index counts all nodes, real ones first.
 func (l *layout) addWorker(size Size, index int, agent string) checker.Worker {
 	slots := int64(math.Ceil(float64(size.Tasks) * capacityMargin / float64(size.Workers)))
 	devices := (index+1)*size.accelerators()/size.Workers - index*size.accelerators()/size.Workers
 	worker := checker.Worker{
 		Name: nodeName(deployment.RoleWorker, index), Zone: zoneName(index), Agent: agent,
-		Capacity: api.Resources{CPUMillis: slots * taskCPU, MemoryMB: slots * taskMemory, Accelerators: int64(devices)},
+		Capacity: api.Resources{CPUMillis: slots * taskCPUMillis, MemoryMB: slots * taskMemoryMB, Accelerators: int64(devices)},
 		Services: []string{service},
 		Labels:   map[string]string{deployment.RackLabel: fmt.Sprintf("rack-%d", index/zones)},
 	}
@@ -93,17 +93,17 @@
 	return worker
 }
 
-func (l *layout) addHollow(size Size, journals string) {
+func (l *layout) addHollowNodes(size Size, journals string) {
 	for index := realNodes; index < size.Workers; index++ {
 		if (index-realNodes)%nodesPerProcess == 0 {
-			name := fmt.Sprintf("hollow-%02d%s", len(l.hollow)+1, eventlog.Suffix)
-			l.hollow = append(l.hollow, hollow.Spec{
+			name := fmt.Sprintf("hollow-%02d%s", len(l.hollowSpecs)+1, eventlog.Suffix)
+			l.hollowSpecs = append(l.hollowSpecs, hollow.Spec{
 				Seeds: l.deployment.Seeds(), Journal: filepath.Join(journals, name), Service: service,
 			})
 		}
 		agent := nodeName(deployment.RoleAgent, index)
 		worker := l.addWorker(size, index, agent)
-		spec := &l.hollow[len(l.hollow)-1]
+		spec := &l.hollowSpecs[len(l.hollowSpecs)-1]
 		spec.Nodes = append(spec.Nodes, hollow.NodeSpec{
 			Agent: agent, Worker: worker.Name, Zone: worker.Zone, Capacity: worker.Capacity, Labels: worker.Labels,
 		})
--- a/testbed/scale/measure.go
+++ b/testbed/scale/measure.go
@@ -21,69 +21,70 @@
 
 const memoryInterval = time.Second
 
-// errMemory ends a run that takes too much of the machine.
-var errMemory = errors.New("the processes of the run take more memory than allowed")
+// errMemoryLimit cancels a run whose processes exceed memoryLimitMB.
+var errMemoryLimit = errors.New("the processes of the run exceed the memory limit")
 
-// snapshot is one reading of everything.
+// snapshot has one reading of each process, of the hollow counters and of the machine.
 type snapshot struct {
-	at       monoclock.Nanos
-	leader   string
-	real     map[string]reading
-	hollow   []reading
-	counters hollow.Counters
-	self     reading
-	// busy and total are processor seconds of the machine.
+	at              monoclock.Nanos
+	leader          string
+	realProcesses   map[string]reading
+	hollowProcesses []reading
+	counters        hollow.Counters
+	testBed         reading
+	// busy and total are processor seconds of the machine since its start.
 	busy, total float64
 }
 
-// meter reads all processes of a run.
+// meter measures all processes of a run. The mutex guards the fields below it.
 type meter struct {
 	fleet   *fleet.Fleet
 	hollows *hollows
 
 	mutex sync.Mutex
-	// memory is the highest resident memory of each process, by name.
-	memory map[string]float64
-	total  float64
+	// peakMemory is the highest resident memory in MB since resetMemory, by process
+	// name; peakTotalMemory is that of all processes together since the start.
+	peakMemory      map[string]float64
+	peakTotalMemory float64
 }
 
 func newMeter(running *fleet.Fleet, hollows *hollows) *meter {
-	return &meter{fleet: running, hollows: hollows, memory: map[string]float64{}}
+	return &meter{fleet: running, hollows: hollows, peakMemory: map[string]float64{}}
 }
 
 var realRoles = []deployment.Role{
 	deployment.RoleScheduler, deployment.RoleFront, deployment.RoleAgent, deployment.RoleWorker,
 }
 
-// snapshot reads everything once.
+// snapshot takes one snapshot.
 func (m *meter) snapshot(ctx context.Context) (snapshot, error) {
-	taken := snapshot{at: monoclock.Now(), real: map[string]reading{}}
+	current := snapshot{at: monoclock.Now(), realProcesses: map[string]reading{}}
 	leader, err := m.fleet.Leader(ctx)
 	if err != nil {
-		return taken, err
+		return current, err
 	}
-	taken.leader = leader.Spec.Name
+	current.leader = leader.Spec.Name
 	for _, role := range realRoles {
 		for _, process := range m.fleet.ByRole(role) {
-			if taken.real[process.Spec.Name], err = readProcess(ctx, process); err != nil {
-				return taken, err
+			if current.realProcesses[process.Spec.Name], err = readProcess(ctx, process); err != nil {
+				return current, err
 			}
 		}
 	}
 	for _, process := range m.hollows.processes {
-		one, err := readSystem(process.command.Process.Pid)
+		one, err := readProcfs(process.command.Process.Pid)
 		if err != nil {
-			return taken, fmt.Errorf("read hollow process: %w", err)
+			return current, fmt.Errorf("read hollow process: %w", err)
 		}
-		taken.hollow = append(taken.hollow, one)
+		current.hollowProcesses = append(current.hollowProcesses, one)
 	}
-	if taken.counters, err = m.hollows.counters(); err != nil {
-		return taken, err
+	if current.counters, err = m.hollows.counters(); err != nil {
+		return current, err
 	}
-	if taken.self, err = readSystem(os.Getpid()); err != nil {
-		return taken, err
+	if current.testBed, err = readProcfs(os.Getpid()); err != nil {
+		return current, err
 	}
-	return taken, taken.readMachine()
+	return current, current.readMachine()
 }
 
 func (s *snapshot) readMachine() error {
@@ -102,11 +103,12 @@
 	return nil
 }
 
-// watchMemory samples until the context ends, or the limit is passed.
+// watchMemory samples the memory every memoryInterval. It returns nil when ctx ends and
+// errMemoryLimit when the limit is exceeded.
 func (m *meter) watchMemory(ctx context.Context) error {
 	for {
 		if m.sampleMemory() > memoryLimitMB {
-			return errMemory
+			return errMemoryLimit
 		}
 		if !contexttime.Sleep(ctx, memoryInterval) {
 			return nil
@@ -116,44 +118,45 @@
 
 func (m *meter) sampleMemory() float64 {
 	sum := residentMB(os.Getpid())
-	found := map[string]float64{}
+	resident := map[string]float64{}
 	for _, role := range realRoles {
 		for _, process := range m.fleet.ByRole(role) {
-			found[process.Spec.Name] = residentMB(process.PID())
+			resident[process.Spec.Name] = residentMB(process.PID())
 		}
 	}
 	for index, process := range m.hollows.processes {
-		found[hollowName(index)] = residentMB(process.command.Process.Pid)
+		resident[hollowName(index)] = residentMB(process.command.Process.Pid)
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	for name, memory := range found {
+	for name, memory := range resident {
 		sum += memory
-		m.memory[name] = max(m.memory[name], memory)
+		m.peakMemory[name] = max(m.peakMemory[name], memory)
 	}
-	m.total = max(m.total, sum)
+	m.peakTotalMemory = max(m.peakTotalMemory, sum)
 	return sum
 }
 
 func hollowName(index int) string { return fmt.Sprintf("hollow-%02d", index+1) }
 
-// resetMemory restarts the sampling.
+// resetMemory discards the peak memory of each process. The peak of the total stays.
 func (m *meter) resetMemory() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	clear(m.memory)
+	clear(m.peakMemory)
 }
 
-// usages compares two snapshots, role by role.
+// usages returns the usage of each role between two snapshots. The leader of the second
+// one counts as the leader. The caller holds the mutex.
 func (m *meter) usages(from, to snapshot) []RoleUsage {
 	groups := map[Role][]RoleUsage{}
 	for _, role := range realRoles {
 		for _, process := range m.fleet.ByRole(role) {
 			name := process.Spec.Name
-			seen := roleOf(role, name == to.leader)
-			usage := difference(from.real[name], to.real[name])
-			usage.MemoryMaxMB = m.memory[name]
-			groups[seen] = append(groups[seen], usage)
+			usageRole := roleOf(role, name == to.leader)
+			usage := usageBetween(from.realProcesses[name], to.realProcesses[name])
+			usage.MemoryMaxMB = m.peakMemory[name]
+			groups[usageRole] = append(groups[usageRole], usage)
 		}
 	}
 	var usages []RoleUsage
@@ -163,9 +166,9 @@
 	return usages
 }
 
-func roleOf(role deployment.Role, leads bool) Role {
+func roleOf(role deployment.Role, isLeader bool) Role {
 	switch {
-	case role == deployment.RoleScheduler && leads:
+	case role == deployment.RoleScheduler && isLeader:
 		return RoleLeader
 	case role == deployment.RoleScheduler:
 		return RoleFollower
@@ -174,8 +177,8 @@
 	}
 }
 
-// difference is what one process took from one reading to the next.
-func difference(from, to reading) RoleUsage {
+// usageBetween returns the usage of one process between two readings.
+func usageBetween(from, to reading) RoleUsage {
 	seconds := to.at.Sub(from.at).Seconds()
 	rate := func(name string, labels ...string) float64 {
 		return (to.metric(name, labels...) - from.metric(name, labels...)) / seconds
@@ -203,8 +206,8 @@
 	}
 }
 
-// fields lists the numbers of a usage that a mean is taken of.
-func (u *RoleUsage) fields() []*float64 {
+// meanFields returns the fields of which mean computes the mean.
+func (u *RoleUsage) meanFields() []*float64 {
 	return []*float64{
 		&u.CPU, &u.Served, &u.Made, &u.ServedIn, &u.ServedOut, &u.WireIn, &u.WireOut, &u.Read, &u.Written, &u.Disk,
 		&u.Entries, &u.Heartbeats, &u.Watches, &u.SaveMillis, &u.PlanMillis,
@@ -215,8 +218,8 @@
 func mean(role Role, usages []RoleUsage) RoleUsage {
 	sum := RoleUsage{Role: role, Processes: len(usages)}
 	for _, usage := range usages {
-		for index, field := range usage.fields() {
-			*sum.fields()[index] += *field / float64(len(usages))
+		for index, field := range usage.meanFields() {
+			*sum.meanFields()[index] += *field / float64(len(usages))
 		}
 		sum.CPUMax = max(sum.CPUMax, usage.CPUMax)
 		sum.MemoryMaxMB = max(sum.MemoryMaxMB, usage.MemoryMaxMB)
@@ -224,29 +227,31 @@
 	return sum
 }
 
-// hollowUsage is the mean for one hollow node.
+// hollowUsage returns the mean usage of a hollow node between two snapshots. The caller
+// holds the mutex.
 func (m *meter) hollowUsage(from, to snapshot) HollowUsage {
 	usage := HollowUsage{Nodes: m.hollows.nodes(), Processes: len(m.hollows.processes)}
-	share := to.at.Sub(from.at).Seconds() * float64(usage.Nodes)
-	usage.Heartbeats = float64(to.counters.Heartbeats-from.counters.Heartbeats) / share
-	usage.Watches = (to.counters.Calls["watch"] - from.counters.Calls["watch"]) / share
-	usage.WireIn = (to.counters.ReceivedBytes - from.counters.ReceivedBytes) / share
-	usage.WireOut = (to.counters.SentBytes - from.counters.SentBytes) / share
-	for index := range to.hollow {
-		usage.CPU += (to.hollow[index].cpu - from.hollow[index].cpu) / share
-		usage.MemoryMB += m.memory[hollowName(index)] / float64(usage.Nodes)
+	nodeSeconds := to.at.Sub(from.at).Seconds() * float64(usage.Nodes)
+	usage.Heartbeats = float64(to.counters.Heartbeats-from.counters.Heartbeats) / nodeSeconds
+	usage.Watches = (to.counters.Calls["watch"] - from.counters.Calls["watch"]) / nodeSeconds
+	usage.WireIn = (to.counters.ReceivedBytes - from.counters.ReceivedBytes) / nodeSeconds
+	usage.WireOut = (to.counters.SentBytes - from.counters.SentBytes) / nodeSeconds
+	for index := range to.hollowProcesses {
+		usage.CPU += (to.hollowProcesses[index].cpu - from.hollowProcesses[index].cpu) / nodeSeconds
+		usage.MemoryMB += m.peakMemory[hollowName(index)] / float64(usage.Nodes)
 	}
 	return usage
 }
 
-// totalCPU is the share of a core that all processes of the run took.
+// totalCPU returns the processor time of all processes of the run between two
+// snapshots, this process included, in cores.
 func totalCPU(from, to snapshot) float64 {
-	sum := to.self.cpu - from.self.cpu
-	for _, name := range slices.Collect(maps.Keys(to.real)) {
-		sum += to.real[name].cpu - from.real[name].cpu
+	sum := to.testBed.cpu - from.testBed.cpu
+	for _, name := range slices.Collect(maps.Keys(to.realProcesses)) {
+		sum += to.realProcesses[name].cpu - from.realProcesses[name].cpu
 	}
-	for index := range to.hollow {
-		sum += to.hollow[index].cpu - from.hollow[index].cpu
+	for index := range to.hollowProcesses {
+		sum += to.hollowProcesses[index].cpu - from.hollowProcesses[index].cpu
 	}
 	return sum / to.at.Sub(from.at).Seconds()
 }
--- a/testbed/scale/observe.go
+++ b/testbed/scale/observe.go
@@ -11,17 +11,17 @@
 
 const maxExamples = 10
 
-// addObserved adds the measures of the event logs and the call log, and the verdict of
-// the checker.
+// addObserved adds the figures from the event logs and the call log, the violations that
+// the checker finds, and the failures of the test bed.
 func (r *run) addObserved(result *Result, observed checker.Input) {
 	from, to := result.Window[0], result.Window[1]
 	first := firstStarts(observed.Events)
 	started := 0
-	for _, text := range observed.Events {
-		if text.Kind == eventlog.KindStart && text.Mono >= from && text.Mono < to {
+	for _, event := range observed.Events {
+		if event.Kind == eventlog.KindStart && event.Mono >= from && event.Mono < to {
 			started++
 		}
-		if text.Kind == eventlog.KindStart && text.Run > 1 {
+		if event.Kind == eventlog.KindStart && event.Run > 1 {
 			result.Restarted++
 		}
 	}
@@ -33,27 +33,27 @@
 		result.Violations[violation.Promise]++
 	}
 	result.Examples = checked.Violations[:min(maxExamples, len(checked.Violations))]
-	for _, failure := range append(r.errors, r.events.Errors()...) {
+	for _, failure := range append(r.errors, r.eventReader.Errors()...) {
 		result.Errors = append(result.Errors, failure.Error())
 	}
 }
 
-// firstStarts returns the first start of each task.
+// firstStarts returns the time of the first start of each task, by the task's name.
 func firstStarts(events []eventlog.Event) map[string]monoclock.Nanos {
 	first := map[string]monoclock.Nanos{}
-	for _, text := range events {
-		if _, known := first[text.Task]; !known && text.Kind == eventlog.KindStart {
-			first[text.Task] = text.Mono
+	for _, event := range events {
+		if _, known := first[event.Task]; !known && event.Kind == eventlog.KindStart {
+			first[event.Task] = event.Mono
 		}
 	}
 	return first
 }
 
-// addDelays measures the jobs submitted during the window, except for its last seconds,
-// whose tasks may be cancelled before they start.
+// addDelays measures the accepted jobs submitted during the window. It excludes the last
+// seconds, since tasks submitted then may be cancelled before they start.
 func addDelays(result *Result, entries []calllog.Entry, first map[string]monoclock.Nanos) {
-	const tail = 3 * time.Second
-	from, to := result.Window[0], result.Window[1].Add(-tail)
+	const excludedEnd = 3 * time.Second
+	from, to := result.Window[0], result.Window[1].Add(-excludedEnd)
 	var plain, urgent, gangs, submits []time.Duration
 	for _, entry := range entries {
 		if entry.Kind != calllog.KindSubmit || !entry.Accepted() || entry.Sent < from || entry.Sent > to {
@@ -77,8 +77,8 @@
 	result.Submit = delaysOf(submits)
 }
 
-// startDelays returns the delay of each task of a job that started, and the
-// number of those that did not.
+// startDelays returns, for the tasks of a submitted job, the time from the submission to
+// the first start of each task that started, and the number of tasks that did not start.
 func startDelays(entry calllog.Entry, first map[string]monoclock.Nanos) (delays []time.Duration, unstarted int) {
 	for _, step := range entry.Spec.Steps {
 		for index := range step.Tasks {
--- a/testbed/scale/plot.go
+++ b/testbed/scale/plot.go
@@ -16,13 +16,13 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// axis is a factor that a plot shows, with what stands beside it.
+// axis is a factor on the x axis of a plot, with its label.
 type axis struct {
 	name  string
 	value func(Size) float64
 }
 
-// plotAll draws the processor share and memory of the roles over each factor.
+// plotAll plots the processor share and the memory of each role against each factor.
 func plotAll(directory string, sweep Sweep) error {
 	axes := []axis{
 		{"workers", func(s Size) float64 { return float64(s.Workers) }},
--- a/testbed/scale/probe.go
+++ b/testbed/scale/probe.go
@@ -17,21 +17,21 @@
 
 const bytesPerMB = 1 << 20
 
-// reading is what one process had taken and counted since its start.
+// reading has the usage and the metrics of one process since its start.
 type reading struct {
 	at monoclock.Nanos
 	// cpu is processor time in seconds.
 	cpu float64
-	// read and written pass through system calls: sockets, files and logs.
-	// disk is what was written to files.
+	// read and written are bytes passed through system calls: sockets, files and logs.
+	// disk is the bytes written to files.
 	read, written, disk float64
-	// metrics are by name and labels, "name{a=b,c=d}" in the order of the
-	// labels' names. Workers have none.
+	// metrics has the value of each series, by "name{a=b,c=d}" with the labels in the
+	// order of their names. Workers have no metrics.
 	metrics map[string]float64
 }
 
-// metric returns the sum of all series of that name whose labels include all
-// of those given, each as "label=value".
+// metric returns the sum of all series of that name that have all the given labels, each
+// as "label=value".
 func (r reading) metric(name string, labels ...string) float64 {
 	sum := 0.0
 	for series, value := range r.metrics {
@@ -52,9 +52,9 @@
 	return true
 }
 
-// readProcess reads one running process.
+// readProcess reads the usage and the metrics of a running process.
 func readProcess(ctx context.Context, process *fleet.Process) (reading, error) {
-	result, err := readSystem(process.PID())
+	result, err := readProcfs(process.PID())
 	if err != nil {
 		return result, fmt.Errorf("read %s: %w", process.Spec.Name, err)
 	}
@@ -68,7 +68,7 @@
 	return result, nil
 }
 
-func readSystem(pid int) (reading, error) {
+func readProcfs(pid int) (reading, error) {
 	result := reading{at: monoclock.Now()}
 	process, err := procfs.NewProc(pid)
 	if err != nil {
@@ -87,7 +87,8 @@
 	return result, nil
 }
 
-// residentMB returns the resident memory of a process; 0 if it does not run.
+// residentMB returns the resident memory of a process in MB, or 0 if it cannot be read
+// because the process does not run.
 func residentMB(pid int) float64 {
 	process, err := procfs.NewProc(pid)
 	if err != nil {
@@ -100,7 +101,8 @@
 	return float64(stat.ResidentMemory()) / bytesPerMB
 }
 
-// scrape reads the counters and gauges of a process.
+// scrape reads the counters and gauges of a process, and for each histogram the sum and
+// the count over all its series.
 func scrape(ctx context.Context, url string) (map[string]float64, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/testbed/scale/result.go
+++ b/testbed/scale/result.go
@@ -12,10 +12,10 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Role is a role of a real process, with schedulers parted.
+// Role is the role of a real process, with schedulers divided into leader and followers.
 type Role string
 
-// Roles, in the order of a table.
+// Roles, in the order in which results list them.
 const (
 	RoleLeader   Role = "leader"
 	RoleFollower Role = "follower"
@@ -24,42 +24,43 @@
 	RoleWorker   Role = "worker"
 )
 
-// RoleUsage is what the processes of one role took during the window, as means
-// over processes unless it says otherwise. Rates are per second.
+// RoleUsage is the usage of the processes of one role during the window. Values are means
+// over the processes unless stated otherwise; rates are per second.
 type RoleUsage struct {
 	Role      Role `json:"role"`
 	Processes int  `json:"processes"`
-	// CPU is a share of one core; CPUMax that of the busiest process.
+	// CPU is the processor time in cores; CPUMax is that of the busiest process.
 	CPU    float64 `json:"cpu"`
 	CPUMax float64 `json:"cpu_max"`
 	// MemoryMaxMB is the highest resident memory of any process in the window.
 	MemoryMaxMB float64 `json:"memory_max_mb"`
-	// Served and Made are rpc calls.
+	// Served and Made are RPC calls as a server and as a client.
 	Served float64 `json:"rpc_served_per_second"`
 	Made   float64 `json:"rpc_made_per_second"`
-	// ServedIn and ServedOut are bodies of served calls, without headers.
+	// ServedIn and ServedOut are bytes of request and response bodies of served calls,
+	// without headers.
 	ServedIn  float64 `json:"rpc_served_in_bytes_per_second"`
 	ServedOut float64 `json:"rpc_served_out_bytes_per_second"`
-	// WireIn and WireOut passed over the connections that the process opened to
-	// schedulers, with headers.
+	// WireIn and WireOut are bytes on the connections that the process opened to
+	// schedulers, headers included.
 	WireIn  float64 `json:"wire_in_bytes_per_second"`
 	WireOut float64 `json:"wire_out_bytes_per_second"`
-	// Read, Written and Disk are what the system counted for the process:
-	// sockets and files together, and what of it went to files.
+	// Read and Written are bytes that the operating system counted for the process,
+	// sockets and files together; Disk is the part written to files.
 	Read    float64 `json:"read_bytes_per_second"`
 	Written float64 `json:"written_bytes_per_second"`
 	Disk    float64 `json:"disk_bytes_per_second"`
-	// Entries are log entries committed.
+	// Entries are committed log entries.
 	Entries float64 `json:"log_entries_per_second"`
 	// Heartbeats and Watches are served calls of these methods.
 	Heartbeats float64 `json:"heartbeats_per_second"`
 	Watches    float64 `json:"watches_per_second"`
-	// SaveMillis is the mean time of a save to disk with its sync, PlanMillis
+	// SaveMillis is the mean time of a save to disk including its sync, PlanMillis
 	// that of a planning pass.
 	SaveMillis float64 `json:"save_mean_ms"`
 	PlanMillis float64 `json:"plan_mean_ms"`
-	// Jobs, Pending, Running, Workers and Watching are what is held in memory at
-	// the end of the window; Heap is the Go heap in use.
+	// Jobs, Pending, Running, Workers and Watching are the numbers of objects in memory
+	// at the end of the window; HeapMB is the Go heap in use then.
 	Jobs     float64 `json:"jobs"`
 	Pending  float64 `json:"pending_tasks"`
 	Running  float64 `json:"open_runs"`
@@ -68,7 +69,7 @@
 	HeapMB   float64 `json:"heap_mb"`
 }
 
-// HollowUsage is what the hollow nodes took, as means for one node.
+// HollowUsage is the usage of the hollow nodes, as means for one node.
 type HollowUsage struct {
 	Nodes      int     `json:"nodes"`
 	Processes  int     `json:"processes"`
@@ -76,8 +77,9 @@
 	Watches    float64 `json:"watches_per_second"`
 	WireIn     float64 `json:"wire_in_bytes_per_second"`
 	WireOut    float64 `json:"wire_out_bytes_per_second"`
-	// CPU is a share of one core, and MemoryMB resident memory, of both the
-	// agent and the worker of one node; sharing a process makes them smaller.
+	// CPU is processor time in cores and MemoryMB resident memory, of the agent and
+	// the worker of one node together. Both are smaller than those of real nodes,
+	// since the nodes share a process.
 	CPU      float64 `json:"cpu"`
 	MemoryMB float64 `json:"memory_mb"`
 }
@@ -91,7 +93,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// delaysOf takes delays in.
+// delaysOf returns the percentiles of the delays; zero if there are none.
 func delaysOf(delays []time.Duration) Delays {
 	if len(delays) == 0 {
 		return Delays{}
@@ -105,36 +107,38 @@
 
 func millis(delay time.Duration) float64 { return float64(delay.Microseconds()) / 1000 }
 
-// Result is all that a run measured.
+// Result is everything that a run measured.
 type Result struct {
 	Size          Size    `json:"size"`
 	WindowSeconds float64 `json:"window_seconds"`
-	// StartsPerSecond was reached, from the event logs.
+	// StartsPerSecond is the measured rate of task starts, from the event logs.
 	StartsPerSecond float64     `json:"starts_per_second"`
 	Roles           []RoleUsage `json:"roles"`
 	Hollow          HollowUsage `json:"hollow"`
-	// Plain, Urgent and Gangs are times from the sending of the submission to
-	// the start of a task, of gangs to that of the last member, for jobs submitted
-	// in during the window. Unstarted counts tasks of these that never started.
+	// Plain, Urgent and Gangs are the times from sending a submission to the first start
+	// of a task, for gangs to the start of the last task, for jobs submitted during the
+	// window except its last seconds. Unstarted counts tasks of these jobs that never
+	// started.
 	Plain     Delays `json:"plain_submit_to_start"`
 	Urgent    Delays `json:"urgent_submit_to_start"`
 	Gangs     Delays `json:"gang_submit_to_last_start"`
 	Unstarted int    `json:"unstarted_tasks"`
-	// Submit is the time of the submit call itself.
+	// Submit is the time from sending an accepted submission to its answer.
 	Submit Delays `json:"submit_call"`
-	// SingleChanges and BurstChange are the times from the answer to a change
-	// of the configuration, of a burst to its last one, until it was in force in
-	// every front and agent.
+	// SingleChanges and BurstChange are the times from the answer to a change of the
+	// configuration, for a burst from the answer to its last change, until the change
+	// was in force in every front and agent.
 	SingleChanges Delays  `json:"change_in_force"`
 	BurstChange   float64 `json:"burst_in_force_ms"`
-	// TotalMemoryMB and TotalCPU are of all processes of the run.
+	// TotalMemoryMB is the highest sum of the resident memory of all processes of the
+	// run, over the ramp and the window. TotalCPU is their processor time in cores.
 	TotalMemoryMB float64 `json:"total_memory_mb"`
 	TotalCPU      float64 `json:"total_cpu"`
-	// MachineCPU is the share of the machine's cores that were busy, with
-	// whatever else ran on it.
+	// MachineCPU is the busy fraction of the machine's processor time, including
+	// everything else that ran on the machine.
 	MachineCPU float64 `json:"machine_cpu"`
-	// LeaderChanges is over 0 if the leader of the window's end is not that of
-	// its beginning.
+	// LeaderChanges is 1 if the leaders at the start and the end of the window differ,
+	// else 0.
 	LeaderChanges int                     `json:"leader_changes"`
 	Restarted     int                     `json:"restarts"`
 	Violations    map[checker.Promise]int `json:"violations"`
@@ -143,7 +147,7 @@
 	Window        [2]monoclock.Nanos      `json:"window_ns"`
 }
 
-// Role returns the usage of a role; its zero if it was not measured.
+// Role returns the usage of a role; all values are 0 if it was not measured.
 func (r Result) Role(role Role) RoleUsage {
 	for _, usage := range r.Roles {
 		if usage.Role == role {
@@ -153,7 +157,7 @@
 	return RoleUsage{Role: role}
 }
 
-// readResult reads the result that a run left in its folder.
+// readResult reads the result that a run wrote to its output folder.
 func readResult(directory string) (Result, error) {
 	var result Result
 	data, err := os.ReadFile(filepath.Join(directory, resultFile))
--- a/testbed/scale/run.go
+++ b/testbed/scale/run.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	// minWindow has time for all changes of the configuration.
+	// minWindow leaves time for all changes of the configuration.
 	minWindow = 15 * time.Second
-	// minRamp lets the killed nodes come back before the window.
+	// minRamp leaves time for the killed agents and workers to restart before the window.
 	minRamp = 14 * time.Second
-	// rampMargin follows the task length, so that tasks end as fast as they
-	// start when the window begins.
+	// rampMargin extends the ramp beyond the longest run time of a task, so that tasks
+	// end at the rate at which they start when the window begins.
 	rampMargin      = 3 * time.Second
 	readyTimeout    = 60 * time.Second
 	finishTimeout   = 30 * time.Second
@@ -35,16 +35,16 @@
 	callLogFile = "ledger.jsonl"
 )
 
-// run is a scale run under way.
+// run is a scale run in progress. The mutex guards errors.
 type run struct {
 	config         Config
 	layout         layout
-	calls          *calllog.Log
+	callLog        *calllog.Log
 	fleet          *fleet.Fleet
 	hollows        *hollows
 	operatorClient *operator.Operator
 	callers        *callers
-	events         *eventlog.Reader
+	eventReader    *eventlog.Reader
 	meter          *meter
 	changes        *changes
 
@@ -52,9 +52,9 @@
 	errors []error
 }
 
-// Run measures one size. The result is also written to the out folder.
+// Run measures one size. Without an error it also writes the result to the output folder.
 func Run(ctx context.Context, config Config) (Result, error) {
-	if err := config.check(); err != nil {
+	if err := config.validate(); err != nil {
 		return Result{}, err
 	}
 	r, err := open(config)
@@ -83,26 +83,26 @@
 	config.Out = out
 	root := filepath.Join(out, "fleet")
 	r := &run{config: config, layout: newLayout(config, filepath.Join(root, "journals"))}
-	if r.calls, err = calllog.Open(filepath.Join(out, callLogFile)); err != nil {
+	if r.callLog, err = calllog.Open(filepath.Join(out, callLogFile)); err != nil {
 		return nil, err
 	}
 	r.fleet, err = fleet.New(fleet.Config{
-		Deployment: r.layout.deployment, Directory: root, Binaries: config.Binaries, CallLog: r.calls, LogLevel: "info",
+		Deployment: r.layout.deployment, Directory: root, Binaries: config.Binaries, CallLog: r.callLog, LogLevel: "info",
 	})
 	if err != nil {
-		return nil, errors.Join(err, r.calls.Close())
+		return nil, errors.Join(err, r.callLog.Close())
 	}
-	r.operatorClient = operator.New(r.fleet.Client(), r.calls)
-	r.events = eventlog.NewReader(r.fleet.EventLogDirectory())
+	r.operatorClient = operator.New(r.fleet.Client(), r.callLog)
+	r.eventReader = eventlog.NewReader(r.fleet.EventLogDirectory())
 	r.hollows = &hollows{}
 	return r, nil
 }
 
 func (r *run) close() error {
-	return errors.Join(r.hollows.stop(), r.fleet.Stop(), r.calls.Close())
+	return errors.Join(r.hollows.stop(), r.fleet.Stop(), r.callLog.Close())
 }
 
-// start starts everything and waits until all workers are ready.
+// start starts all processes and waits until all workers are ready, at most readyTimeout.
 func (r *run) start(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -113,7 +113,7 @@
 		return fmt.Errorf("the fleet did not start, see %s: %w", r.fleet.LogDirectory(), err)
 	}
 	var err error
-	if r.hollows, err = startHollows(r.config.Self, r.fleet.LogDirectory(), r.layout.hollow); err != nil {
+	if r.hollows, err = startHollows(r.config.Executable, r.fleet.LogDirectory(), r.layout.hollowSpecs); err != nil {
 		return err
 	}
 	if err := r.fleet.WaitWorkers(ctx, r.config.Size.Workers); err != nil {
@@ -121,11 +121,11 @@
 	}
 	r.meter = newMeter(r.fleet, r.hollows)
 	r.changes = newChanges(r.config.Size, r.fleet, r.operatorClient)
-	r.callers, err = newCallers(r.config, r.layout.deployment.FrontURLs(), r.calls)
+	r.callers, err = newCallers(r.config, r.layout.deployment.FrontURLs(), r.callLog)
 	return err
 }
 
-// measure runs the load and returns what was seen.
+// measure starts the fleet, runs the load and returns the measured result.
 func (r *run) measure(ctx context.Context) (Result, error) {
 	began := time.Now()
 	if err := r.start(ctx); err != nil {
@@ -136,11 +136,11 @@
 	defer cancel(nil)
 	var watchers sync.WaitGroup
 	defer watchers.Wait()
-	watching, stopWatching := context.WithCancel(ctx)
+	watchCtx, stopWatching := context.WithCancel(ctx)
 	defer stopWatching()
-	watchers.Go(func() { r.events.Follow(watching) })
+	watchers.Go(func() { r.eventReader.Follow(watchCtx) })
 	watchers.Go(func() {
-		if err := r.meter.watchMemory(watching); err != nil {
+		if err := r.meter.watchMemory(watchCtx); err != nil {
 			cancel(err)
 		}
 	})
@@ -150,34 +150,35 @@
 		return result, errors.Join(err, context.Cause(ctx))
 	}
 	r.waitRunsEnded(ctx)
-	r.events.Poll()
+	r.eventReader.Poll()
 	observed := checker.Input{
-		Entries: r.calls.Entries(), Events: r.events.Events(), Workers: r.layout.workers,
+		Entries: r.callLog.Entries(), Events: r.eventReader.Events(), Workers: r.layout.workers,
 		Config: r.layout.deployment.Config, Anchor: anchor, LoadFrom: from, LoadTo: result.Window[1], EndedAt: monoclock.Now(),
 	}
-	r.progress("checking %d journal lines", len(observed.Events))
+	r.progress("checking %d events of the event logs", len(observed.Events))
 	r.addObserved(&result, observed)
 	return result, context.Cause(ctx)
 }
 
-// load fills the fleet, measures the window and lets everything end.
+// load ramps up the load and measures the window. Then it stops the submissions, cancels
+// open jobs and waits until all jobs are final, at most finishTimeout.
 func (r *run) load(ctx context.Context) (Result, error) {
-	loading, stopLoading := context.WithCancel(ctx)
+	loadCtx, stopLoading := context.WithCancel(ctx)
 	defer stopLoading()
-	following, stopFollowing := context.WithCancel(ctx)
+	followCtx, stopFollowing := context.WithCancel(ctx)
 	defer stopFollowing()
 	var working sync.WaitGroup
 	defer working.Wait()
 	defer stopLoading()
-	working.Go(func() { r.callers.run(loading, following) })
+	working.Go(func() { r.callers.run(loadCtx, followCtx) })
 
-	ramp := max(r.config.Size.taskLength()*(100+100*lengthSpread)/100+rampMargin, minRamp)
+	ramp := max(r.config.Size.taskDuration()*(100+100*durationSpread)/100+rampMargin, minRamp)
 	r.progress("ramp of %v", ramp)
 	working.Go(func() {
 		if !r.config.Faults {
 			return
 		}
-		if err := (faults{r.hollows, r.calls}).run(loading, ramp); err != nil {
+		if err := (faults{r.hollows, r.callLog}).run(loadCtx, ramp); err != nil {
 			r.recordError(fmt.Errorf("faults: %w", err))
 		}
 	})
@@ -197,7 +198,8 @@
 	return result, nil
 }
 
-// window measures while configurations change.
+// window takes a snapshot before and after the window, during which the configuration
+// changes.
 func (r *run) window(ctx context.Context) (Result, error) {
 	r.meter.resetMemory()
 	from, err := r.meter.snapshot(ctx)
@@ -228,8 +230,8 @@
 		Size: r.config.Size, WindowSeconds: to.at.Sub(from.at).Seconds(),
 		Window: [2]monoclock.Nanos{from.at, to.at},
 		Roles:  r.meter.usages(from, to), Hollow: r.meter.hollowUsage(from, to),
-		SingleChanges: delaysOf(r.changes.single), BurstChange: millis(r.changes.burst),
-		TotalMemoryMB: r.meter.total, TotalCPU: totalCPU(from, to),
+		SingleChanges: delaysOf(r.changes.singleDelays), BurstChange: millis(r.changes.burstDelay),
+		TotalMemoryMB: r.meter.peakTotalMemory, TotalCPU: totalCPU(from, to),
 		MachineCPU: (to.busy - from.busy) / (to.total - from.total),
 	}
 	if from.leader != to.leader {
@@ -238,18 +240,19 @@
 	return result
 }
 
-// waitRunsEnded waits until the event logs have no open run but those of killed
-// workers.
+// waitRunsEnded waits until the event logs have an end for each start, or no new events
+// within 1 s, as the runs of killed workers have no end. It waits at most
+// runsEndTimeout.
 func (r *run) waitRunsEnded(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, runsEndTimeout)
 	defer cancel()
-	before := -1
+	previous := -1
 	for {
-		starts, ends := r.events.Counts()
-		if starts == ends || starts+ends == before {
+		starts, ends := r.eventReader.Counts()
+		if starts == ends || starts+ends == previous {
 			return
 		}
-		before = starts + ends
+		previous = starts + ends
 		if !contexttime.Sleep(ctx, 5*runsEndInterval) {
 			return
 		}
--- a/testbed/scale/scale_test.go
+++ b/testbed/scale/scale_test.go
@@ -26,7 +26,7 @@
 		{got.Base, want.Base}, {got.PerWorker, want.PerWorker}, {got.PerTask, want.PerTask}, {got.PerStart, want.PerStart}, {got.R2, 1},
 	} {
 		if math.Abs(pair[0]-pair[1]) > 1e-6 {
-			t.Errorf("fit is %+v, want %+v with R2 1", got, want)
+			t.Errorf("fit: got %+v, want %+v with R2 1", got, want)
 			break
 		}
 	}
@@ -35,7 +35,7 @@
 func TestFit_DependentFactorsAreRejected(t *testing.T) {
 	same := []Size{TargetSize, TargetSize, TargetSize, TargetSize}
 	if _, err := fit(same, make([]float64, len(same))); !errors.Is(err, errSingular) {
-		t.Errorf("error is %v, want %v", err, errSingular)
+		t.Errorf("got error %v, want %v", err, errSingular)
 	}
 }
 
@@ -50,21 +50,21 @@
 			devices += worker.Capacity.Accelerators
 		}
 		if len(names) != size.Workers || len(zonesSeen) != min(zones, size.Workers) {
-			t.Errorf("%+v: %d names in %d zones", size, len(names), len(zonesSeen))
+			t.Errorf("%+v: got %d worker names in %d zones, want one name for each worker and all zones", size, len(names), len(zonesSeen))
 		}
-		if cpu < int64(size.Tasks)*taskCPU || devices != int64(size.accelerators()) || devices < int64(size.Gangs*size.GangSize) {
-			t.Errorf("%+v: capacity for %d tasks and %d devices", size, cpu/taskCPU, devices)
+		if cpu < int64(size.Tasks)*taskCPUMillis || devices != int64(size.accelerators()) || devices < int64(size.Gangs*size.GangSize) {
+			t.Errorf("%+v: got capacity for %d tasks and %d devices, want enough for the size", size, cpu/taskCPUMillis, devices)
 		}
 		hollowNodes := 0
-		for _, spec := range l.hollow {
+		for _, spec := range l.hollowSpecs {
 			hollowNodes += len(spec.Nodes)
 		}
 		if hollowNodes != size.Workers-realNodes {
-			t.Errorf("%+v: %d hollow nodes", size, hollowNodes)
+			t.Errorf("%+v: got %d hollow nodes, want one for each worker that is not real", size, hollowNodes)
 		}
 		for _, process := range l.deployment.Processes {
 			if process.Role != deployment.RoleWorker && addresses[process.Address] {
-				t.Errorf("%+v: %s is used twice", size, process.Address)
+				t.Errorf("%+v: got address %s twice, want distinct addresses", size, process.Address)
 			}
 			addresses[process.Address] = true
 		}
@@ -80,7 +80,7 @@
 			}
 		}
 		if math.Abs(rate-size.StartsPerSecond) > size.StartsPerSecond/1000 {
-			t.Errorf("%+v: %.2f starts a second", size, rate)
+			t.Errorf("%+v: got %.2f starts per second, want the rate of the size within 0.1%%", size, rate)
 		}
 	}
 }
@@ -90,10 +90,10 @@
 		"calls{method=watch,side=server}": 2, "calls{method=heartbeat,side=server}": 3, "calls{method=watch,side=client}": 5, "calls_other{side=server}": 7,
 	}}
 	if got := one.metric("calls", "side=server"); got != 5 {
-		t.Errorf("served calls are %v, want 5", got)
+		t.Errorf("served calls: got %v, want 5", got)
 	}
 	if got := one.metric("calls", "method=watch"); got != 7 {
-		t.Errorf("watch calls are %v, want 7", got)
+		t.Errorf("watch calls: got %v, want 7", got)
 	}
 }
 
@@ -104,10 +104,10 @@
 	}
 	got := delaysOf(delays)
 	if want := (Delays{Count: 100, P50: 51, P95: 96, P99: 100, Max: 100}); got != want {
-		t.Errorf("delays are %+v, want %+v", got, want)
+		t.Errorf("delays: got %+v, want %+v", got, want)
 	}
 	if none := delaysOf(nil); none != (Delays{}) {
-		t.Errorf("delays of nothing are %+v", none)
+		t.Errorf("delays of no tasks: got %+v, want zero", none)
 	}
 }
 
@@ -120,6 +120,6 @@
 	result := Result{Window: [2]monoclock.Nanos{0, 10 * second}}
 	addDelays(&result, []calllog.Entry{submit, late}, map[string]monoclock.Nanos{"j/s/0": 2 * second, "j/s/2": 3 * second})
 	if result.Unstarted != 1 || result.Plain.Count != 2 || result.Submit.Count != 1 {
-		t.Errorf("%d unstarted, %d started, %d submitted, want 1, 2 and 1", result.Unstarted, result.Plain.Count, result.Submit.Count)
+		t.Errorf("got %d unstarted, %d started, %d submitted, want 1, 2 and 1", result.Unstarted, result.Plain.Count, result.Submit.Count)
 	}
 }
--- a/testbed/scenario/booked.go
+++ b/testbed/scenario/booked.go
@@ -13,52 +13,55 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Queues beside those of the deployment.
+// Queues that are added to those of the deployment.
 const (
-	// queueOthers takes the ordinary load of the booked queue.
+	// queueOthers gets the ordinary jobs that the deployment submits to the booked queue.
 	queueOthers      = "others"
 	queueFirm        = "firm-background"
 	queuePreemptible = "preemptible-background"
 	queueUnbooked    = "unbooked"
 )
 
-// The window and what is submitted at its start.
+// The booked window and the bursts that are submitted at its start.
 const (
-	// windowAhead is the least time until the booked minute.
-	windowAhead    = 30 * time.Second
-	windowDuration = 2 * time.Minute
-	bookingLead    = 25 * time.Second
-
-	// slicesPerWorker and slicesBooked: a slice is one of that many parts of a
-	// worker's capacity, and that many of the parts are booked on average.
-	slicesPerWorker = 64
-	slicesBooked    = 20
-	burstJobs       = deployment.Workers
-	// burstRun is so long that a burst cannot use its own capacity twice.
-	burstRun     = 10 * time.Second
-	burstTimeout = 45 * time.Second
+	// minTimeToWindow is the minimum time until the start of the booked window.
+	minTimeToWindow = 30 * time.Second
+	windowDuration  = 2 * time.Minute
+	bookingLead     = 25 * time.Second
+
+	// A slice is 1/slicesPerWorker of a worker's capacity. On average
+	// bookedSlicesPerWorker slices of each worker are booked.
+	slicesPerWorker       = 64
+	bookedSlicesPerWorker = 20
+	jobsPerBurst          = deployment.Workers
+	// burstTaskDuration is long enough that no task of a burst starts on capacity that
+	// another task of the burst has released.
+	burstTaskDuration = 10 * time.Second
+	burstTimeout      = 45 * time.Second
 )
 
-// The background: more than all capacity, in tasks of twice a slice.
+// The background load: more work than all capacity can run, in tasks of two slices.
 const (
-	backgroundPerWorker = slicesPerWorker / 2
-	backgroundCapacity  = backgroundPerWorker * deployment.Workers
-	backgroundTasks     = 16
-	// Firm tasks that were placed just before the lead end before the window.
-	firmMaxDuration = 20 * time.Second
-	firmShortest    = 12 * time.Second
-	firmLongest     = 18 * time.Second
-	preemptibleRun  = 60 * time.Second
-	// ordinaryPerSecond is the rate of each kind of ordinary job. The booked
-	// burst is to compete with the background, not with ordinary work.
-	ordinaryPerSecond = 0.25
-	// cancelWidth is how many jobs are cancelled at once.
-	cancelWidth = 16
+	backgroundTasksPerWorker = slicesPerWorker / 2
+	backgroundTasksPerRound  = backgroundTasksPerWorker * deployment.Workers
+	backgroundTasksPerJob    = 16
+	// firmMaxDuration is shorter than bookingLead, so that a task that cannot be preempted
+	// ends before the window even if it starts just before the lead time begins.
+	firmMaxDuration         = 20 * time.Second
+	firmMinTaskDuration     = 12 * time.Second
+	firmMaxTaskDuration     = 18 * time.Second
+	preemptibleTaskDuration = 60 * time.Second
+	// ordinaryJobsPerSecond is the rate of each kind of ordinary job. It is low, as the
+	// booked burst should compete with the background load, not with ordinary jobs.
+	ordinaryJobsPerSecond = 0.25
+	// cancelConcurrency is the number of concurrent cancel calls.
+	cancelConcurrency = 16
 )
 
-// bookedBurst is a full fleet at a booked moment.
+// bookedBurst is a scenario in which a burst for a booked queue arrives at the start of the
+// window while the fleet has no free capacity.
 type bookedBurst struct {
-	// queue has the booking, service is that of its tasks.
+	// queue is the queue with the booking, service the service of its tasks.
 	queue   string
 	service string
 }
@@ -68,8 +71,8 @@
 	billingRun = bookedBurst{queue: "billing", service: "bill"}
 )
 
-// prepare gives all queues the same priority, so that nothing but the booking
-// distinguishes them, and moves ordinary work out of the booked queue.
+// prepare gives all queues the same priority and weight, so that only the booking
+// distinguishes them, and moves ordinary jobs out of the booked queue.
 func (b bookedBurst) prepare(d *deployment.Deployment) {
 	for _, name := range []string{queueOthers, queueFirm, queuePreemptible, queueUnbooked} {
 		d.Config.Queues = append(d.Config.Queues, api.QueueConfig{Name: name})
@@ -79,42 +82,42 @@
 		d.Config.Queues[index].Weight = 0
 	}
 	for _, shape := range []*deployment.Shape{&d.Shapes.Short, &d.Shapes.Batch} {
-		shape.PerSecond = ordinaryPerSecond
+		shape.JobsPerSecond = ordinaryJobsPerSecond
 		if shape.Queue == b.queue {
 			shape.Queue = queueOthers
 		}
 	}
 }
 
-// run fills the fleet, books the next minute, and submits two equal bursts when it
-// begins.
+// run books a window at the next full minute, fills the fleet with the background load, and
+// submits two equal bursts when the window starts: one to the booked queue, one to another.
 func (b bookedBurst) run(ctx context.Context, env Env) error {
-	moment := nextMinute(time.Now())
-	if err := b.putBooking(ctx, env, moment); err != nil {
+	windowStart := nextMinute(time.Now())
+	if err := b.putBooking(ctx, env, windowStart); err != nil {
 		return err
 	}
 	anchor := monoclock.NewAnchor()
-	background := b.background(env.Fleet.Deployment(), env.Seed, time.Until(moment))
+	background := b.backgroundJobs(env.Fleet.Deployment(), env.Seed, time.Until(windowStart))
 	for _, job := range background {
 		env.Callers.Submit(job)
 	}
-	if err := sleep(ctx, time.Until(moment)); err != nil {
+	if err := sleep(ctx, time.Until(windowStart)); err != nil {
 		return err
 	}
-	env.Callers.RecordMilestone(calllog.MilestoneBooked, anchor.At(moment))
-	err := b.burst(ctx, env)
-	env.Callers.Cancel(ctx, cancelWidth, idsOf(background))
+	env.Callers.RecordMilestone(calllog.MilestoneBooked, anchor.At(windowStart))
+	err := b.runBursts(ctx, env)
+	env.Callers.Cancel(ctx, cancelConcurrency, idsOf(background))
 	return err
 }
 
-// nextMinute returns the first full minute that is far enough ahead.
+// nextMinute returns the first full minute that is at least minTimeToWindow after now.
 func nextMinute(now time.Time) time.Time {
-	earliest := now.Add(windowAhead)
+	earliest := now.Add(minTimeToWindow)
 	return earliest.Add(time.Minute - time.Nanosecond).Truncate(time.Minute).UTC()
 }
 
-// putBooking puts the configuration in force with the booking.
-func (b bookedBurst) putBooking(ctx context.Context, env Env, moment time.Time) error {
+// putBooking adds the booking to the configuration in force and puts the result.
+func (b bookedBurst) putBooking(ctx context.Context, env Env, windowStart time.Time) error {
 	present, err := env.Operator.Read(ctx)
 	if err != nil {
 		return fmt.Errorf("read the configuration in force: %w", err)
@@ -123,76 +126,78 @@
 	if index < 0 {
 		return fmt.Errorf("the deployment %s has no queue %s", env.Fleet.Deployment().Name, b.queue)
 	}
-	// The call log holds what was read.
+	// The call log refers to the slice that was read, so a copy is changed.
 	present.Config.Queues = slices.Clone(present.Config.Queues)
-	present.Config.Queues[index].Bookings = []api.BookingConfig{b.booking(workerCapacity(env.Fleet.Deployment()), moment)}
+	present.Config.Queues[index].Bookings = []api.BookingConfig{b.booking(workerCapacity(env.Fleet.Deployment()), windowStart)}
 	if _, err := env.Operator.Put(ctx, present.Version, "lab-booking", present.Config); err != nil {
 		return fmt.Errorf("put the booking: %w", err)
 	}
 	return nil
 }
 
-func (b bookedBurst) booking(capacity api.Resources, moment time.Time) api.BookingConfig {
+// booking returns the booking for a window that starts at that time of day.
+func (b bookedBurst) booking(capacity api.Resources, windowStart time.Time) api.BookingConfig {
 	return api.BookingConfig{
-		Name: "lab", DailyAt: moment.Format("15:04"), TimeZone: "UTC",
+		Name: "lab", DailyAt: windowStart.Format("15:04"), TimeZone: "UTC",
 		Duration: api.Duration(windowDuration), Lead: api.Duration(bookingLead),
-		Slots: slicesBooked * deployment.Workers, Slice: fractionOf(capacity, slicesPerWorker), Service: b.service,
+		Slots: bookedSlicesPerWorker * deployment.Workers, Slice: fractionOf(capacity, slicesPerWorker), Service: b.service,
 	}
 }
 
-// workerCapacity returns the capacity of one worker; all have the same.
+// workerCapacity returns the capacity of one worker; all workers have the same.
 func workerCapacity(d deployment.Deployment) api.Resources {
 	return d.ByRole(deployment.RoleWorker)[0].Capacity
 }
 
-// background returns jobs that use all capacity until the bursts have ended: half of it
-// by tasks that may not be preempted, the other half by preemptible ones, in one turn
-// after the other. Both queues wait for more than their half.
-func (b bookedBurst) background(d deployment.Deployment, seed uint64, lead time.Duration) []load.Job {
-	task := api.TaskSpec{Service: b.service, Resources: fractionOf(workerCapacity(d), backgroundPerWorker)}
+// backgroundJobs returns jobs that use all capacity until the bursts have ended: half of it
+// by tasks that cannot be preempted, the other half by preemptible tasks, in consecutive
+// rounds. Each queue has more work than its half can run.
+func (b bookedBurst) backgroundJobs(d deployment.Deployment, seed uint64, lead time.Duration) []load.Job {
+	task := api.TaskSpec{Service: b.service, Resources: fractionOf(workerCapacity(d), backgroundTasksPerWorker)}
 	firm := jobTemplate{
-		name: "firm", class: calllog.ClassBackground, queue: queueFirm, tasks: backgroundTasks, task: task,
-		shortest: firmShortest, longest: firmLongest,
+		name: "firm", class: calllog.ClassBackground, queue: queueFirm, tasks: backgroundTasksPerJob, task: task,
+		minTaskDuration: firmMinTaskDuration, maxTaskDuration: firmMaxTaskDuration,
 	}
 	firm.task.MaxDuration = api.Duration(firmMaxDuration)
 	preemptible := jobTemplate{
-		name: "preemptible", class: calllog.ClassBackground, queue: queuePreemptible, tasks: backgroundTasks, task: task,
-		shortest: preemptibleRun, longest: preemptibleRun,
+		name: "preemptible", class: calllog.ClassBackground, queue: queuePreemptible, tasks: backgroundTasksPerJob, task: task,
+		minTaskDuration: preemptibleTaskDuration, maxTaskDuration: preemptibleTaskDuration,
 	}
 	preemptible.task.Preemptible = true
-	needed := lead + burstTimeout
+	period := lead + burstTimeout
 	return slices.Concat(
-		firm.jobs(seed, backgroundJobs(needed, firmShortest)),
-		preemptible.jobs(seed, backgroundJobs(needed, preemptibleRun)),
+		firm.jobs(seed, backgroundJobCount(period, firmMinTaskDuration)),
+		preemptible.jobs(seed, backgroundJobCount(period, preemptibleTaskDuration)),
 	)
 }
 
-// backgroundJobs is the number of jobs whose tasks of that length use all capacity for
-// a time.
-func backgroundJobs(needed, length time.Duration) int {
-	turns := int(needed/length) + 1
-	return (turns*backgroundCapacity + backgroundTasks - 1) / backgroundTasks
+// backgroundJobCount returns the number of jobs that use all capacity for a period if each
+// of their tasks runs for taskDuration.
+func backgroundJobCount(period, taskDuration time.Duration) int {
+	rounds := int(period/taskDuration) + 1
+	return (rounds*backgroundTasksPerRound + backgroundTasksPerJob - 1) / backgroundTasksPerJob
 }
 
-// bursts returns the jobs of both bursts, one of each in turn.
-func (b bookedBurst) bursts(d deployment.Deployment, seed uint64) []load.Job {
+// burstJobs returns the jobs of both bursts, alternating between the two.
+func (b bookedBurst) burstJobs(d deployment.Deployment, seed uint64) []load.Job {
 	booked := jobTemplate{
-		name: "booked", class: calllog.ClassBooked, queue: b.queue, tasks: slicesBooked,
-		task:     api.TaskSpec{Service: b.service, Resources: fractionOf(workerCapacity(d), slicesPerWorker)},
-		shortest: burstRun, longest: burstRun,
+		name: "booked", class: calllog.ClassBooked, queue: b.queue, tasks: bookedSlicesPerWorker,
+		task:            api.TaskSpec{Service: b.service, Resources: fractionOf(workerCapacity(d), slicesPerWorker)},
+		minTaskDuration: burstTaskDuration, maxTaskDuration: burstTaskDuration,
 	}
 	unbooked := booked
 	unbooked.name, unbooked.class, unbooked.queue = "unbooked", calllog.ClassUnbooked, queueUnbooked
 	var jobs []load.Job
-	for number := range burstJobs {
+	for number := range jobsPerBurst {
 		jobs = append(jobs, booked.job(seed, number), unbooked.job(seed, number))
 	}
 	return jobs
 }
 
-// burst submits both bursts at once and waits until all their jobs have ended.
-func (b bookedBurst) burst(ctx context.Context, env Env) error {
-	jobs := b.bursts(env.Fleet.Deployment(), env.Seed)
+// runBursts submits all jobs of both bursts concurrently and waits until they have ended. It
+// returns an error if they have not ended within burstTimeout.
+func (b bookedBurst) runBursts(ctx context.Context, env Env) error {
+	jobs := b.burstJobs(env.Fleet.Deployment(), env.Seed)
 	ctx, cancel := context.WithTimeout(ctx, burstTimeout)
 	defer cancel()
 	accepted := env.Callers.SubmitAll(ctx, len(jobs), jobs)
--- a/testbed/scenario/doc.go
+++ b/testbed/scenario/doc.go
@@ -1,5 +1,5 @@
-// Package scenario holds what the test bed does to a fleet while callers load it:
-// faults, restarts, floods, bookings and changes of configuration. Each scenario
-// has a name and works on a Bench: the fleet, an operator, callers of its own, a
-// seed and the length of the load. Whether promises held is for package checker.
+// Package scenario contains the named scenarios of the test bed: faults, restarts, floods,
+// bookings and configuration changes on a fleet under load. Each acts on an Env: the fleet,
+// an operator, additional callers, a seed and the duration of the load. Package checker
+// verifies the promises afterwards.
 package scenario
--- a/testbed/scenario/drains.go
+++ b/testbed/scenario/drains.go
@@ -8,15 +8,18 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
+// drainWorkers drains two workers.
 func drainWorkers(ctx context.Context, env Env) error {
 	return drainForHalf(ctx, env, api.DrainConfig{Workers: []string{"worker-01", "worker-02"}})
 }
 
+// evacuateZone drains all workers of a zone.
 func evacuateZone(ctx context.Context, env Env) error {
 	return drainForHalf(ctx, env, api.DrainConfig{Zones: []string{deployment.ZoneName(1)}})
 }
 
-// drainForHalf drains from the first to the third quarter of the load.
+// drainForHalf sets drains after a quarter of the load's duration and removes them after
+// three quarters.
 func drainForHalf(ctx context.Context, env Env, drains api.DrainConfig) error {
 	if err := sleep(ctx, env.Duration/4); err != nil {
 		return err
@@ -30,7 +33,7 @@
 	return setDrains(ctx, env, "lab-take-back", api.DrainConfig{})
 }
 
-// setDrains puts the configuration in force with other drains.
+// setDrains replaces the drains in the configuration in force.
 func setDrains(ctx context.Context, env Env, orderID string, drains api.DrainConfig) error {
 	present, err := env.Operator.Read(ctx)
 	if err != nil {
--- a/testbed/scenario/faults.go
+++ b/testbed/scenario/faults.go
@@ -12,20 +12,22 @@
 const (
 	// downTime is how long a killed process stays down.
 	downTime = 5 * time.Second
-	// frozenTime is how long a leader stays frozen.
-	frozenTime = 25 * time.Second
-	// leaderTimeout bounds the search for the leader.
+	// leaderFreezeTime is how long a leader stays frozen.
+	leaderFreezeTime = 25 * time.Second
+	// leaderTimeout bounds the call that finds the leader.
 	leaderTimeout = 10 * time.Second
 	// readyTimeout bounds the wait for a restarted process to be ready.
 	readyTimeout = 15 * time.Second
 )
 
+// leader returns the leader as the members API reports it.
 func leader(ctx context.Context, env Env) (*fleet.Process, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	return env.Fleet.Leader(ctx)
 }
 
+// killLeader kills the leader at half of the load's duration.
 func killLeader(ctx context.Context, env Env) error {
 	if err := sleep(ctx, env.Duration/2); err != nil {
 		return err
@@ -37,7 +39,8 @@
 	return killAndStart(ctx, target)
 }
 
-// killNamed returns a scenario that kills one process of a known name.
+// killNamed returns a scenario that kills the process with that name at half of the load's
+// duration.
 func killNamed(name string) func(context.Context, Env) error {
 	return func(ctx context.Context, env Env) error {
 		target := env.Fleet.Process(name)
@@ -51,6 +54,7 @@
 	}
 }
 
+// killAndStart kills a process, starts it after downTime and waits until it is ready.
 func killAndStart(ctx context.Context, target *fleet.Process) error {
 	if err := target.Kill(); err != nil {
 		return err
@@ -64,7 +68,8 @@
 	return waitReady(ctx, target)
 }
 
-// waitReady waits until a started process is ready; workers have no such call.
+// waitReady waits until a started process is ready. It returns at once for a worker, which
+// has no readiness endpoint.
 func waitReady(ctx context.Context, target *fleet.Process) error {
 	if target.Spec.Role == deployment.RoleWorker {
 		return nil
@@ -74,6 +79,7 @@
 	return target.WaitReady(ctx)
 }
 
+// freezeLeader freezes the leader for leaderFreezeTime.
 func freezeLeader(ctx context.Context, env Env) error {
 	if err := sleep(ctx, env.Duration/4); err != nil {
 		return err
@@ -85,9 +91,9 @@
 	if err := target.Freeze(); err != nil {
 		return err
 	}
-	pauseErr := sleep(ctx, frozenTime)
+	sleepErr := sleep(ctx, leaderFreezeTime)
 	if err := target.Resume(); err != nil {
 		return err
 	}
-	return pauseErr
+	return sleepErr
 }
--- a/testbed/scenario/jobs.go
+++ b/testbed/scenario/jobs.go
@@ -10,49 +10,49 @@
 	"github.com/decklever/decklever/testbed/load"
 )
 
-// jobTemplate is a set of jobs that differ only in their ids and in how long their
-// tasks run.
+// jobTemplate is the template of a series of jobs that differ only in their ids. The tasks
+// of a job differ only in how long they run.
 type jobTemplate struct {
-	// name is a part of the ids.
+	// name is part of the job ids.
 	name  string
 	class calllog.Class
 	queue string
 	// tasks is the number of tasks of a job.
 	tasks int
-	// task is each task, but for its payload.
+	// task is the spec of each task, without the payload.
 	task api.TaskSpec
-	// shortest and longest bound how long a task runs; the tasks of a job lie
-	// evenly between them.
-	shortest, longest time.Duration
+	// minTaskDuration and maxTaskDuration bound how long a task runs. The durations of a
+	// job's tasks rise in equal steps from the minimum; the maximum is excluded.
+	minTaskDuration, maxTaskDuration time.Duration
 }
 
-// job returns the job of that number.
-func (k jobTemplate) job(seed uint64, number int) load.Job {
+// job returns the job with that number, counted from 0.
+func (t jobTemplate) job(seed uint64, number int) load.Job {
 	step := api.StepSpec{Name: "only"}
-	for index := range k.tasks {
-		task := k.task
-		task.Payload = sleepFor(k.shortest + (k.longest-k.shortest)*time.Duration(index)/time.Duration(k.tasks))
+	for index := range t.tasks {
+		task := t.task
+		task.Payload = sleepFor(t.minTaskDuration + (t.maxTaskDuration-t.minTaskDuration)*time.Duration(index)/time.Duration(t.tasks))
 		step.Tasks = append(step.Tasks, task)
 	}
 	return load.Job{
-		ID:    fmt.Sprintf("lab-%d-%s-%06d", seed, k.name, number+1),
-		Class: k.class,
-		Spec:  api.JobSpec{Queue: k.queue, Steps: []api.StepSpec{step}},
+		ID:    fmt.Sprintf("lab-%d-%s-%06d", seed, t.name, number+1),
+		Class: t.class,
+		Spec:  api.JobSpec{Queue: t.queue, Steps: []api.StepSpec{step}},
 	}
 }
 
-// jobs returns the first jobs of a kind.
-func (k jobTemplate) jobs(seed uint64, count int) []load.Job {
+// jobs returns the first count jobs.
+func (t jobTemplate) jobs(seed uint64, count int) []load.Job {
 	var all []load.Job
 	for number := range count {
-		all = append(all, k.job(seed, number))
+		all = append(all, t.job(seed, number))
 	}
 	return all
 }
 
-// sleepFor is the payload of the reference worker's sleep handler.
-func sleepFor(length time.Duration) json.RawMessage {
-	return fmt.Appendf(nil, `{"millis":%d}`, length.Milliseconds())
+// sleepFor returns the payload for the reference worker's sleep handler.
+func sleepFor(duration time.Duration) json.RawMessage {
+	return fmt.Appendf(nil, `{"millis":%d}`, duration.Milliseconds())
 }
 
 func idsOf(jobs []load.Job) []string {
@@ -63,7 +63,7 @@
 	return ids
 }
 
-// fractionOf returns an equal part of a worker's capacity.
+// fractionOf returns 1/parts of a worker's CPU and memory.
 func fractionOf(capacity api.Resources, parts int64) api.Resources {
 	return api.Resources{CPUMillis: capacity.CPUMillis / parts, MemoryMB: capacity.MemoryMB / parts}
 }
--- a/testbed/scenario/losses.go
+++ b/testbed/scenario/losses.go
@@ -12,32 +12,33 @@
 )
 
 const (
-	// powerOffTime is how long a machine without power stays down.
+	// powerOffTime is how long schedulers stay down after a power loss.
 	powerOffTime = 2 * time.Second
-	// joinTimeout bounds the time from an empty start to being a voter.
+	// joinTimeout bounds the time from a start without data to being a voter.
 	joinTimeout = 40 * time.Second
 )
 
-// loseDisk deletes the data folder of one scheduler. As soon as it is a voter again
-// another is killed: the majority then depends on the repaired one.
+// loseDisk deletes the data folder of one scheduler, the leader for odd seeds. As soon as
+// that scheduler is a voter again, another one is killed, so that the quorum depends on the
+// replaced replica.
 func loseDisk(ctx context.Context, env Env) error {
-	first, err := leader(ctx, env)
+	leading, err := leader(ctx, env)
 	if err != nil {
 		return err
 	}
-	target := first
+	target := leading
 	if env.Seed%2 == 0 {
-		target = peersOf(env, first)[0]
+		target = peersOf(env, leading)[0]
 	}
 	if err := replaceDisk(ctx, env, target); err != nil {
 		return err
 	}
-	second := peersOf(env, target)[int(env.Seed/2)%2]
-	return killAndStart(ctx, second)
+	killed := peersOf(env, target)[int(env.Seed/2)%2]
+	return killAndStart(ctx, killed)
 }
 
-// replaceDisk kills a scheduler, deletes its data, starts it and waits until
-// it is a voter again.
+// replaceDisk kills a scheduler, deletes its data folder, starts it and waits until it is a
+// voter with a new replica id.
 func replaceDisk(ctx context.Context, env Env, target *fleet.Process) error {
 	old, err := env.Fleet.ReplicaID(ctx, target)
 	if err != nil {
@@ -60,8 +61,8 @@
 	return env.Fleet.WaitJoined(ctx, target, old)
 }
 
-// losePower kills two schedulers at once, the leading one among them, right
-// after a configuration was acknowledged, and later all three.
+// losePower kills the leader and another scheduler at the same time, right after a
+// configuration has been acknowledged, and later all three schedulers in the same way.
 func losePower(ctx context.Context, env Env) error {
 	target, err := leader(ctx, env)
 	if err != nil {
@@ -76,10 +77,10 @@
 	return powerCycle(ctx, env, "second", env.Fleet.ByRole(deployment.RoleScheduler))
 }
 
-// powerCycle puts a configuration, kills processes the moment it is
-// acknowledged, and starts them again.
+// powerCycle puts a configuration, kills processes as soon as it is acknowledged, and
+// restarts them after powerOffTime. The length of name is the configuration's tag.
 func powerCycle(ctx context.Context, env Env, name string, targets []*fleet.Process) error {
-	if err := putTagged(ctx, env, "lab-power-"+name, len(name)); err != nil {
+	if err := putWithTag(ctx, env, "lab-power-"+name, len(name)); err != nil {
 		return err
 	}
 	if err := killAll(targets); err != nil {
@@ -91,7 +92,7 @@
 	return startAll(ctx, targets)
 }
 
-// killAll kills processes at the same moment, as near as this machine can.
+// killAll kills processes concurrently, as close to the same time as the machine permits.
 func killAll(targets []*fleet.Process) error {
 	failures := make([]error, len(targets))
 	var killing sync.WaitGroup
@@ -102,7 +103,7 @@
 	return errors.Join(failures...)
 }
 
-// killLeaderAndWorker kills the leading scheduler and a worker at the same moment.
+// killLeaderAndWorker kills the leader and a worker at the same time.
 func killLeaderAndWorker(ctx context.Context, env Env) error {
 	target, err := leader(ctx, env)
 	if err != nil {
@@ -118,47 +119,48 @@
 	return startAll(ctx, []*fleet.Process{target, worker})
 }
 
-// freezeWorker freezes one worker for longer than its lease and one agent for less.
+// freezeWorker freezes one agent for less than the lease of its worker, and then one worker
+// for longer than its lease.
 func freezeWorker(ctx context.Context, env Env) error {
 	worker := env.Fleet.ByRole(deployment.RoleWorker)[env.Seed%deployment.Workers]
 	agent := env.Fleet.ByRole(deployment.RoleAgent)[(env.Seed+1)%deployment.Workers]
-	if err := freezeFor(ctx, agent, shortFreeze); err != nil {
+	if err := freezeFor(ctx, agent, agentFreezeTime); err != nil {
 		return err
 	}
-	return freezeFor(ctx, worker, longFreeze)
+	return freezeFor(ctx, worker, workerFreezeTime)
 }
 
 const (
-	shortFreeze = 1500 * time.Millisecond
-	longFreeze  = 8 * time.Second
+	agentFreezeTime  = 1500 * time.Millisecond
+	workerFreezeTime = 8 * time.Second
 )
 
-func freezeFor(ctx context.Context, target *fleet.Process, length time.Duration) error {
+// freezeFor freezes a process for a duration; it resumes it also if the context ends first.
+func freezeFor(ctx context.Context, target *fleet.Process, duration time.Duration) error {
 	if err := target.Freeze(); err != nil {
 		return err
 	}
-	pauseErr := sleep(ctx, length)
-	return errors.Join(pauseErr, target.Resume())
+	sleepErr := sleep(ctx, duration)
+	return errors.Join(sleepErr, target.Resume())
 }
 
 const (
-	clockJump = time.Hour
-	// clockTime is how long each jump lasts.
-	clockTime = 6 * time.Second
+	clockJumpOffset = time.Hour
+	// clockJumpDuration is how long each jump lasts.
+	clockJumpDuration = 6 * time.Second
 )
 
-// jumpClock sets the wall clock of one scheduler an hour ahead, then an hour
-// back, then right. The scheduler is the leading one.
+// jumpClock sets the leader's wall clock an hour ahead, then an hour back, then right again.
 func jumpClock(ctx context.Context, env Env) error {
 	target, err := leader(ctx, env)
 	if err != nil {
 		return err
 	}
-	for _, offset := range []time.Duration{clockJump, -clockJump, 0} {
+	for _, offset := range []time.Duration{clockJumpOffset, -clockJumpOffset, 0} {
 		if err := env.Fleet.SetClock(target, offset); err != nil {
-			return fmt.Errorf("jump: %w", err)
+			return fmt.Errorf("set clock: %w", err)
 		}
-		if err := sleep(ctx, clockTime); err != nil {
+		if err := sleep(ctx, clockJumpDuration); err != nil {
 			return errors.Join(err, env.Fleet.SetClock(target, 0))
 		}
 	}
--- a/testbed/scenario/operators.go
+++ b/testbed/scenario/operators.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// orderTimeout bounds one attempt of an operator; afterwards the same order is sent
+	// orderTimeout bounds one attempt to send an order. After it the same order is sent
 	// again.
 	orderTimeout = 5 * time.Second
-	// raceInterval is the time between two races.
+	// raceInterval is the time between two rounds of a race.
 	raceInterval = 200 * time.Millisecond
-	// lostAnswersTime and lostAnswersInterval are how long answers to the fronts are
-	// lost, and the time between two such faults.
+	// lostAnswersTime is how long answers to the fronts are lost, lostAnswersInterval the
+	// time between two such faults.
 	lostAnswersTime     = 1500 * time.Millisecond
 	lostAnswersInterval = 2500 * time.Millisecond
-	// manyConfigs is how many configurations a scheduler misses.
+	// manyConfigs is the number of configurations that a scheduler misses.
 	manyConfigs = 300
-	// tagBase is added to a number for a bound that no load reaches, by which
-	// configurations are distinguished.
+	// tagBase is added to the tag of a configuration. The sum is the bound of pending tasks
+	// of a queue, which no load reaches, and identifies the configuration.
 	tagBase = 60_000
-	// catchUpTimeout bounds the wait for a scheduler to have all of the log.
+	// catchUpTimeout bounds the wait for a scheduler to replicate the committed log.
 	catchUpTimeout = 20 * time.Second
 )
 
-// newRandom returns a source that depends on the seed and a name.
+// newRandom returns a random source that is determined by the seed and a name.
 func newRandom(env Env, name string) *rand.Rand {
 	var stream uint64
 	for _, letter := range name {
@@ -43,38 +43,39 @@
 	return rand.New(rand.NewPCG(env.Seed, stream))
 }
 
-// tagged returns the configuration with a content that no other has.
-func tagged(config api.Config, tag int) api.Config {
+// withTag returns a copy of the configuration with the tag in the MaxPendingTasks of its
+// first queue.
+func withTag(config api.Config, tag int) api.Config {
 	config.Queues = append([]api.QueueConfig(nil), config.Queues...)
 	config.Queues[0].MaxPendingTasks = tagBase + tag
 	return config
 }
 
-// putTagged puts the configuration in force with another tag.
-func putTagged(ctx context.Context, env Env, orderID string, tag int) error {
+// putWithTag puts the configuration in force with the given tag.
+func putWithTag(ctx context.Context, env Env, orderID string, tag int) error {
 	present, err := env.Operator.Read(ctx)
 	if err != nil {
 		return fmt.Errorf("read the configuration in force: %w", err)
 	}
-	if _, err := env.Operator.Put(ctx, present.Version, orderID, tagged(present.Config, tag)); err != nil {
+	if _, err := env.Operator.Put(ctx, present.Version, orderID, withTag(present.Config, tag)); err != nil {
 		return fmt.Errorf("put order %s: %w", orderID, err)
 	}
 	return nil
 }
 
-// changeConfig is one operator's order, as it was first sent.
+// order is one put of a configuration. A resent order has the same id, base and content.
 type order struct {
 	id     string
-	base   uint64
+	base   uint64 // version that the order is based on
 	config api.Config
 }
 
-// sendUntilAnswered sends an order until an answer says its outcome, or the context
-// ends.
-func sendUntilAnswered(ctx context.Context, client *operator.Operator, one order) {
+// sendUntilAnswered sends an order until an answer states its outcome, success or refusal,
+// or the context ends.
+func sendUntilAnswered(ctx context.Context, client *operator.Operator, o order) {
 	for ctx.Err() == nil {
 		limited, cancel := context.WithTimeout(ctx, orderTimeout)
-		_, err := client.Put(limited, one.base, one.id, one.config)
+		_, err := client.Put(limited, o.base, o.id, o.config)
 		cancel()
 		var refusal *api.Error
 		if err == nil || (errors.As(err, &refusal) && refusal.Code != api.CodeUnavailable && refusal.Code != api.CodeOutcomeUnknown) {
@@ -83,53 +84,54 @@
 	}
 }
 
-// raceOperators has two operators order on the same base again and again, and resend
-// old orders, while answers to the fronts get lost.
+// raceOperators runs a configRace for three quarters of the load's duration, while answers
+// to the fronts are lost at intervals.
 func raceOperators(ctx context.Context, env Env) error {
-	racing, cancel := context.WithTimeout(ctx, env.Duration*3/4)
+	raceCtx, cancel := context.WithTimeout(ctx, env.Duration*3/4)
 	defer cancel()
-	var losing sync.WaitGroup
-	defer losing.Wait()
-	losing.Go(func() { loseAnswers(racing, env) })
-	configRace{env, newRandom(env, "race"), 0}.run(ctx, racing)
+	var faults sync.WaitGroup
+	defer faults.Wait()
+	faults.Go(func() { loseAnswers(raceCtx, env) })
+	configRace{env, newRandom(env, "race"), 0}.run(ctx, raceCtx)
 	return ctx.Err()
 }
 
-// configRace is two operators who order on the same bases.
+// configRace is a race of two operators that put configurations on the same base versions.
 type configRace struct {
 	env    Env
 	random *rand.Rand
-	// firstTag is that of the first order; each order has one of its own.
+	// firstTag is the tag of the first order; each new order of the race gets a higher one.
 	firstTag int
 }
 
-// run races until racing ends; orders sent by then are sent until they are
-// answered.
-func (r configRace) run(ctx, racing context.Context) {
+// run sends two new orders and a random earlier one, if any, per round until raceCtx ends.
+// Orders sent by then are resent until they are answered or ctx ends.
+func (r configRace) run(ctx, raceCtx context.Context) {
 	var sent []order
-	for round := 0; sleep(racing, raceInterval) == nil; round++ {
-		present, err := r.env.Operator.Read(racing)
+	for round := 0; sleep(raceCtx, raceInterval) == nil; round++ {
+		present, err := r.env.Operator.Read(raceCtx)
 		if err != nil {
 			continue
 		}
 		var orders []order
-		for racer := range 2 {
-			tag := r.firstTag + 2*round + racer
-			orders = append(orders, order{fmt.Sprintf("lab-race-%d", tag), present.Version, tagged(present.Config, tag)})
+		for sender := range 2 {
+			tag := r.firstTag + 2*round + sender
+			orders = append(orders, order{fmt.Sprintf("lab-race-%d", tag), present.Version, withTag(present.Config, tag)})
 		}
 		if len(sent) > 0 {
 			orders = append(orders, sent[r.random.IntN(len(sent))])
 		}
 		var sending sync.WaitGroup
-		for _, one := range orders {
-			sending.Go(func() { sendUntilAnswered(ctx, r.env.Operator, one) })
+		for _, o := range orders {
+			sending.Go(func() { sendUntilAnswered(ctx, r.env.Operator, o) })
 		}
 		sending.Wait()
 		sent = append(sent, orders[:2]...)
 	}
 }
 
-// loseAnswers partitions the links of answers to the fronts at intervals.
+// loseAnswers partitions the links from schedulers to fronts at intervals until the context
+// ends.
 func loseAnswers(ctx context.Context, env Env) {
 	var answers []netem.Link
 	for _, scheduler := range env.Fleet.ByRole(deployment.RoleScheduler) {
@@ -139,31 +141,31 @@
 	}
 	for sleep(ctx, lostAnswersInterval) == nil {
 		heal := env.Fleet.Partition(answers...)
-		_ = sleep(ctx, lostAnswersTime) // a cut that is over early is healed all the same
+		_ = sleep(ctx, lostAnswersTime) // if the context ends first, the partition is healed all the same
 		heal()
 	}
 }
 
-// manyConfigurations has a scheduler miss 300 configurations. Once it has caught up the
-// leader is killed, so that the majority depends on it, and the first of the orders is
-// sent again.
+// manyConfigurations puts 300 configurations while a scheduler is stopped. Once the
+// scheduler has caught up, the leader is killed, so that the quorum depends on the
+// scheduler, and the first of the orders is sent again.
 func manyConfigurations(ctx context.Context, env Env) error {
 	leading, err := leader(ctx, env)
 	if err != nil {
 		return err
 	}
-	away := peersOf(env, leading)[env.Seed%2]
-	if err := away.Kill(); err != nil {
+	stopped := peersOf(env, leading)[env.Seed%2]
+	if err := stopped.Kill(); err != nil {
 		return err
 	}
 	first, err := putMany(ctx, env)
 	if err != nil {
 		return err
 	}
-	if err := startAll(ctx, []*fleet.Process{away}); err != nil {
+	if err := startAll(ctx, []*fleet.Process{stopped}); err != nil {
 		return err
 	}
-	if err := waitCaughtUp(ctx, env, away); err != nil {
+	if err := waitCaughtUp(ctx, env, stopped); err != nil {
 		return err
 	}
 	if err := leading.Kill(); err != nil {
@@ -176,16 +178,17 @@
 	return startAll(ctx, []*fleet.Process{leading})
 }
 
-// putMany puts configurations one after the other; it returns the first order.
+// putMany puts manyConfigs configurations, each based on the one before, and returns the
+// first order.
 func putMany(ctx context.Context, env Env) (order, error) {
 	present, err := env.Operator.Read(ctx)
 	if err != nil {
 		return order{}, fmt.Errorf("read the configuration in force: %w", err)
 	}
-	first := order{"lab-many-0", present.Version, tagged(present.Config, 0)}
+	first := order{"lab-many-0", present.Version, withTag(present.Config, 0)}
 	base := present.Version
 	for number := range manyConfigs {
-		version, err := env.Operator.Put(ctx, base, fmt.Sprintf("lab-many-%d", number), tagged(present.Config, number))
+		version, err := env.Operator.Put(ctx, base, fmt.Sprintf("lab-many-%d", number), withTag(present.Config, number))
 		if err != nil {
 			return order{}, fmt.Errorf("put configuration %d of %d: %w", number+1, manyConfigs, err)
 		}
@@ -194,8 +197,8 @@
 	return first, nil
 }
 
-// waitCaughtUp waits until a scheduler has what was committed when the wait
-// began.
+// waitCaughtUp waits until a scheduler has replicated all log entries that were committed
+// when the wait began.
 func waitCaughtUp(ctx context.Context, env Env, scheduler *fleet.Process) error {
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
--- a/testbed/scenario/partitions.go
+++ b/testbed/scenario/partitions.go
@@ -14,22 +14,22 @@
 	zonePartitionTime   = 15 * time.Second
 	workerPartitionTime = 10 * time.Second
 	leaderPartitionTime = 10 * time.Second
-	// reorderProbability of all chunks of data are delayed for up to reorderMaxDelay,
-	// which is longer than the bound of 1 s on one heartbeat.
+	// reorderProbability is the share of data chunks that are delayed, for up to
+	// reorderMaxDelay, which exceeds the time-out of 1 s for one heartbeat.
 	reorderProbability = 0.2
 	reorderMaxDelay    = 1500 * time.Millisecond
-	// stallTime is how long all answers to an agent are held.
+	// stallTime is how long all answers to an agent are stalled.
 	stallTime = 1200 * time.Millisecond
 )
 
-// partitionZone partitions a zone from the others.
-func partitionZone(ctx context.Context, env Env, zone string, length time.Duration) error {
+// partitionZone partitions a zone from the others for a duration.
+func partitionZone(ctx context.Context, env Env, zone string, duration time.Duration) error {
 	defer env.Fleet.Partition(env.Fleet.ZoneLinks(zone)...)()
-	return sleep(ctx, length)
+	return sleep(ctx, duration)
 }
 
-// partitionLeaderZone partitions the zone of the leader for an odd seed, the next one
-// for an even seed.
+// partitionLeaderZone partitions the leader's zone for odd seeds, and the zone of another
+// scheduler for even seeds.
 func partitionLeaderZone(ctx context.Context, env Env) error {
 	target, err := leader(ctx, env)
 	if err != nil {
@@ -42,21 +42,21 @@
 	return partitionZone(ctx, env, zone, zonePartitionTime)
 }
 
-// partitionWorkers partitions three workers from their agents: one cannot send, one
-// cannot receive, one neither.
+// partitionWorkers partitions three workers from their agents: one cannot send, one cannot
+// receive, one can do neither.
 func partitionWorkers(ctx context.Context, env Env) error {
 	workers := env.Fleet.ByRole(deployment.RoleWorker)
-	both := func(index int) []netem.Link {
+	bothDirections := func(index int) []netem.Link {
 		worker := workers[index]
 		return netem.BothDirections(worker.Spec.Name, env.Fleet.AgentOf(worker).Spec.Name)
 	}
-	links := append(both(2), both(0)[0], both(1)[1])
+	links := append(bothDirections(2), bothDirections(0)[0], bothDirections(1)[1])
 	defer env.Fleet.Partition(links...)()
 	return sleep(ctx, workerPartitionTime)
 }
 
-// partitionLeader partitions the leader from the other schedulers, while agents and
-// fronts still reach all of them.
+// partitionLeader partitions the leader from the other schedulers. Agents and fronts still
+// reach all schedulers.
 func partitionLeader(ctx context.Context, env Env) error {
 	target, err := leader(ctx, env)
 	if err != nil {
@@ -67,8 +67,9 @@
 	return sleep(ctx, leaderPartitionTime)
 }
 
-// reorderAnswers has answers to agents come late, out of order, all at once, or not at
-// all, for half of the time.
+// reorderAnswers delays and reorders messages between agents and schedulers for half of the
+// time. Meanwhile it repeatedly stalls the answers to a random agent, which then arrive all
+// at once, and resets the agent's connections.
 func reorderAnswers(ctx context.Context, env Env) error {
 	agents, schedulers := env.Fleet.ByRole(deployment.RoleAgent), env.Fleet.ByRole(deployment.RoleScheduler)
 	defer env.Fleet.Reorder(reorderProbability, reorderMaxDelay, fleet.LinksBetween(agents, schedulers)...)()
@@ -86,7 +87,8 @@
 	return nil
 }
 
-// stallAnswers holds all answers to an agent and releases them at once.
+// stallAnswers stalls all data from schedulers to an agent for stallTime and then delivers it
+// at once.
 func stallAnswers(ctx context.Context, env Env, agent *fleet.Process) error {
 	var answers []netem.Link
 	for _, scheduler := range env.Fleet.ByRole(deployment.RoleScheduler) {
@@ -107,8 +109,7 @@
 	return others
 }
 
-// afterFraction returns a scenario that acts once a fraction of the duration has passed
-// since the start of the load.
+// afterFraction returns a scenario that calls do after 1/divisor of the load's duration.
 func afterFraction(divisor time.Duration, do func(context.Context, Env) error) func(context.Context, Env) error {
 	return func(ctx context.Context, env Env) error {
 		if err := sleep(ctx, env.Duration/divisor); err != nil {
@@ -118,7 +119,7 @@
 	}
 }
 
-// startAll starts processes that were killed and waits until they are ready.
+// startAll starts stopped processes and waits until they are ready.
 func startAll(ctx context.Context, processes []*fleet.Process) error {
 	var failures []error
 	for _, process := range processes {
--- a/testbed/scenario/partitions_test.go
+++ b/testbed/scenario/partitions_test.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/testbed/fleet"
 )
 
-// newEnv returns an environment whose fleet has programs that are never started.
+// newEnv returns an Env whose fleet has empty files as programs, which are never started.
 func newEnv(t *testing.T) Env {
 	t.Helper()
 	d, err := deployment.New("restrepo", 0)
@@ -40,11 +40,11 @@
 	target := env.Fleet.Process("scheduler-02")
 	peers := peersOf(env, target)
 	if len(peers) != deployment.Schedulers-1 {
-		t.Fatalf("%d peers, want %d", len(peers), deployment.Schedulers-1)
+		t.Fatalf("got %d peers, want %d", len(peers), deployment.Schedulers-1)
 	}
 	for _, peer := range peers {
 		if peer == target || peer.Spec.Role != deployment.RoleScheduler {
-			t.Errorf("%s is a peer of %s", peer.Spec.Name, target.Spec.Name)
+			t.Errorf("got %s as a peer of %s, want only other schedulers", peer.Spec.Name, target.Spec.Name)
 		}
 	}
 }
--- a/testbed/scenario/restarts.go
+++ b/testbed/scenario/restarts.go
@@ -7,8 +7,8 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
-// rollingRestart restarts one process after the other. It waits for each to
-// be ready before it goes on, as a platform does.
+// rollingRestart restarts one process after the other. It waits until each is ready before
+// it restarts the next, as a platform does.
 func rollingRestart(ctx context.Context, env Env) error {
 	if err := sleep(ctx, env.Duration/8); err != nil {
 		return err
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// restartOrder is the order of roles in which processes are restarted.
+// restartOrder is the order in which the roles are restarted.
 var restartOrder = []deployment.Role{deployment.RoleScheduler, deployment.RoleFront, deployment.RoleAgent, deployment.RoleWorker}
 
-// restartInterval is the time between the restarts of two processes.
+// restartInterval is the time from one process being ready to the next restart.
 const restartInterval = 500 * time.Millisecond
