--- a/testbed/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -12,51 +12,52 @@
 	"github.com/decklever/decklever/testbed/operator"
 )
 
-// Env is the running fleet that a scenario acts on.
+// Env is the environment that a scenario acts on: a running fleet and its clients.
 type Env struct {
 	Fleet    *fleet.Fleet
 	Operator *operator.Operator
-	// Callers submit work beside the ordinary load.
+	// Callers submits jobs in addition to the ordinary load.
 	Callers *load.Generator
-	// Seed draws what the scenario submits and which faults it injects.
+	// Seed determines which jobs the scenario submits and which faults it injects.
 	Seed uint64
-	// Duration is how long callers submit.
+	// Duration is the duration of the ordinary load.
 	Duration time.Duration
 }
 
-// Scenario is one sequence of faults, changes and additional load.
+// Scenario is a named sequence of faults, changes and additional load.
 type Scenario struct {
 	Name    string
 	Summary string
-	// MinDuration is the shortest load under which it makes sense.
+	// MinDuration is the shortest load duration for which the scenario is meaningful.
 	MinDuration time.Duration
-	// FirstVersion is what the fleet is started from. Default: the present
-	// programs.
+	// FirstVersion is the version in which the fleet is started. Default: the present
+	// version.
 	FirstVersion fleet.Version
-	// Prepare changes the deployment before the fleet starts. Default: nothing.
+	// Prepare changes the deployment before the fleet starts; nil for no change.
 	Prepare func(*deployment.Deployment)
-	// Run starts with the load and may outlast it.
+	// Run is called when the load starts, and may return after the load has ended.
 	Run func(context.Context, Env) error
 }
 
-// Find returns the scenario of that name.
+// Find returns the scenario with that name, or an error that lists all names.
 func Find(name string) (Scenario, error) {
 	var names []string
-	for _, one := range All() {
-		if one.Name == name {
-			return one, nil
+	for _, candidate := range All() {
+		if candidate.Name == name {
+			return candidate, nil
 		}
-		names = append(names, one.Name)
+		names = append(names, candidate.Name)
 	}
 	return Scenario{}, fmt.Errorf("scenario is %q, expected one of %v", name, names)
 }
 
-// sleep waits; it returns an error if the context ends before.
-func sleep(ctx context.Context, length time.Duration) error {
-	if !contexttime.Sleep(ctx, length) {
+// sleep waits for a duration. It returns an error if the context ends first.
+func sleep(ctx context.Context, duration time.Duration) error {
+	if !contexttime.Sleep(ctx, duration) {
 		return ctx.Err()
 	}
 	return nil
 }
 
+// steady injects no faults.
 func steady(context.Context, Env) error { return nil }
--- a/testbed/scenario/scenario_test.go
+++ b/testbed/scenario/scenario_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-func TestFind_EachScenarioByName(t *testing.T) {
+func TestFind_ReturnsEachScenarioByName(t *testing.T) {
 	seen := map[string]bool{}
-	for _, one := range All() {
-		if seen[one.Name] || one.Summary == "" || one.Run == nil {
-			t.Errorf("%q is doubled or has no summary or course", one.Name)
+	for _, listed := range All() {
+		if seen[listed.Name] || listed.Summary == "" || listed.Run == nil {
+			t.Errorf("scenario %q has a repeated name, no summary or no Run function", listed.Name)
 		}
-		seen[one.Name] = true
-		if found, err := Find(one.Name); err != nil || found.Name != one.Name {
-			t.Errorf("%q is found as %q, %v", one.Name, found.Name, err)
+		seen[listed.Name] = true
+		if found, err := Find(listed.Name); err != nil || found.Name != listed.Name {
+			t.Errorf("find %q: got %q, error %v", listed.Name, found.Name, err)
 		}
 	}
 	if _, err := Find("nonsense"); err == nil {
-		t.Error("an unknown scenario was found")
+		t.Error("got no error for an unknown scenario")
 	}
 }
 
@@ -27,6 +27,6 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := sleep(ctx, time.Hour); !errors.Is(err, context.Canceled) {
-		t.Errorf("pause returned %v", err)
+		t.Errorf("got error %v from sleep, want context.Canceled", err)
 	}
 }
--- a/testbed/scenario/storm.go
+++ b/testbed/scenario/storm.go
@@ -12,55 +12,60 @@
 )
 
 const (
-	// stormMaxFaults is how many faults there are at the same time at most.
+	// stormMaxFaults is the maximum number of concurrent faults.
 	stormMaxFaults = 3
-	// stormIntervalMin and stormIntervalMax bound the time between the beginnings of
-	// two faults.
+	// stormIntervalMin and stormIntervalMax bound the wait before the next fault is drawn.
 	stormIntervalMin = 500 * time.Millisecond
 	stormIntervalMax = 2500 * time.Millisecond
-	// stormFaultMin and stormFaultMax bound the length of a fault.
+	// stormFaultMin and stormFaultMax bound the duration of a fault.
 	stormFaultMin = time.Second
 	stormFaultMax = 12 * time.Second
-	// stormTags bounds the orders of one race, and the number of races.
+	// stormTags is the number of tags reserved for one race, and the number of such ranges
+	// of tags.
 	stormTags = 1000
-	// stormIDs bounds the numbers by which orders and streams of chance differ.
+	// stormIDs bounds the random numbers in order ids and the streams of random sources.
 	stormIDs = 1 << 40
 )
 
-// storm is faults of all kinds, drawn from the seed, which may overlap. Two rules keep
-// it within what the fleet must tolerate: while a disk is being replaced no other fault
-// hits the schedulers, and no two zones are without their workers at once.
+// storm injects overlapping faults of all kinds, drawn from the seed. Two rules limit it to
+// what the fleet must tolerate: while a disk is being replaced, no other scheduler is killed,
+// frozen or partitioned; and at most one zone is partitioned, so that no two zones are
+// without their workers at once.
 type storm struct {
 	env    Env
 	random *rand.Rand
 
-	// schedulers is locked for reading during a fault of schedulers, for writing while
-	// a disk is replaced. zones and config allow one fault at a time.
+	// schedulers is locked for reading while schedulers are killed, frozen or partitioned,
+	// and for writing while a disk is replaced. zones and config each allow one fault at a
+	// time.
 	schedulers sync.RWMutex
 	zones      sync.Mutex
 	config     sync.Mutex
 
+	// mutex guards random and the fields below it.
 	mutex sync.Mutex
-	// claimed are the processes that have a fault now.
+	// claimed contains the names of the processes that a fault in progress targets.
 	claimed  map[string]bool
 	failures []error
 }
 
-// fault is one fault, with all that was drawn for it.
+// fault is one fault with all values drawn for it.
 type fault struct {
-	// targets are the processes to be killed, frozen or wiped.
+	// targets are the processes that the fault claims, so that no other fault with targets
+	// acts on them at the same time.
 	targets []*fleet.Process
-	// begin is called once the targets are free.
+	// begin is called once the targets are claimed.
 	begin attempt
 }
 
-// attempt returns the action of a fault, or nil if a fault in progress excludes it now.
-// An action that is returned must be run, as it may hold a lock until its end.
+// attempt returns the action of a fault, or nil if a fault in progress excludes it. The
+// caller must run a returned action, which may hold a lock until it returns.
 type attempt func() action
 
-// action injects a fault, waits, and ends it.
+// action injects a fault, waits for its duration, and ends it.
 type action func(context.Context) error
 
+// runStorm draws and injects faults for the load's duration, and waits until all have ended.
 func runStorm(ctx context.Context, env Env) error {
 	s := &storm{env: env, random: newRandom(env, "storm"), claimed: map[string]bool{}}
 	slots := make(chan struct{}, stormMaxFaults)
@@ -70,30 +75,31 @@
 			break
 		}
 		slots <- struct{}{}
-		one := s.drawFault(ctx)
-		faults.Go(func() { s.run(ctx, one); <-slots })
+		next := s.drawFault(ctx)
+		faults.Go(func() { s.run(ctx, next); <-slots })
 	}
 	faults.Wait()
 	return errors.Join(append(s.failures, ctx.Err())...)
 }
 
-// run carries out a fault unless another one excludes it.
-func (s *storm) run(ctx context.Context, one fault) {
-	if !s.claim(one.targets) {
+// run injects a fault unless a fault in progress excludes it, and records its error.
+func (s *storm) run(ctx context.Context, drawn fault) {
+	if !s.claim(drawn.targets) {
 		return
 	}
-	defer s.release(one.targets)
-	do := one.begin()
-	if do == nil {
+	defer s.release(drawn.targets)
+	inject := drawn.begin()
+	if inject == nil {
 		return
 	}
-	if err := do(ctx); err != nil {
+	if err := inject(ctx); err != nil {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		s.failures = append(s.failures, err)
 	}
 }
 
+// claim claims all targets, or none and returns false if one of them is already claimed.
 func (s *storm) claim(targets []*fleet.Process) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -108,6 +114,7 @@
 	return true
 }
 
+// release releases claimed targets.
 func (s *storm) release(targets []*fleet.Process) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -116,12 +123,14 @@
 	}
 }
 
-func (s *storm) drawDuration(least, most time.Duration) time.Duration {
+// drawDuration draws a duration from shortest up to, but not including, longest.
+func (s *storm) drawDuration(shortest, longest time.Duration) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return least + time.Duration(s.random.Int64N(int64(most-least)))
+	return shortest + time.Duration(s.random.Int64N(int64(longest-shortest)))
 }
 
+// drawInt draws a number from 0 up to, but not including, below.
 func (s *storm) drawInt(below int) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -134,7 +143,7 @@
 	return processes[s.drawInt(len(processes))]
 }
 
-// leaderOrDrawn returns the leader, or a drawn scheduler if none is known.
+// leaderOrDrawn returns the leader, or a random scheduler if no leader is reported within 1 s.
 func (s *storm) leaderOrDrawn(ctx context.Context) *fleet.Process {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -144,30 +153,34 @@
 	return s.drawProcess(deployment.RoleScheduler)
 }
 
-// drawFault draws a fault.
+// drawFault draws a kind of fault and its values. Kinds that are listed twice are twice as
+// likely.
 func (s *storm) drawFault(ctx context.Context) fault {
-	length := s.drawDuration(stormFaultMin, stormFaultMax)
+	duration := s.drawDuration(stormFaultMin, stormFaultMax)
 	kinds := []func(context.Context, time.Duration) fault{
-		s.killLeader, s.killTwo, s.freezeLeader, s.partitionLeader, s.partitionZone, s.jumpClock, s.loseDisk,
-		s.killAny, s.killAny, s.freezeAny, s.partitionWorker, s.partitionWorker, s.reorderAll, s.resetAll, s.stallAny,
+		s.killLeader, s.killTwoSchedulers, s.freezeLeader, s.partitionLeader, s.partitionZone, s.jumpClock, s.loseDisk,
+		s.killRandom, s.killRandom, s.freezeRandom, s.partitionWorker, s.partitionWorker, s.reorderAgentLinks,
+		s.resetSchedulerConnections, s.stallRandom,
 		s.drain, s.raceConfigs,
 	}
-	return kinds[s.drawInt(len(kinds))](ctx, length)
+	return kinds[s.drawInt(len(kinds))](ctx, duration)
 }
 
-// onSchedulers is a fault of schedulers; several may overlap.
+// onSchedulers returns an attempt at a fault that kills, freezes or partitions schedulers.
+// Several of them may overlap, but not with a disk replacement.
 func (s *storm) onSchedulers(do action) attempt {
-	return locked(s.schedulers.TryRLock, s.schedulers.RUnlock, do)
+	return withLock(s.schedulers.TryRLock, s.schedulers.RUnlock, do)
 }
 
-// onConfig is a fault of which there is one at a time, as it changes the
-// configuration.
+// onConfig returns an attempt at a fault that changes the configuration, of which there is
+// one at a time.
 func (s *storm) onConfig(do action) attempt {
-	return locked(s.config.TryLock, s.config.Unlock, do)
+	return withLock(s.config.TryLock, s.config.Unlock, do)
 }
 
-// locked runs do only if a lock can be had at once.
-func locked(try func() bool, unlock func(), do action) attempt {
+// withLock returns an attempt that succeeds only if try takes a lock without waiting. The
+// action releases the lock after do.
+func withLock(try func() bool, unlock func(), do action) attempt {
 	return func() action {
 		if !try() {
 			return nil
@@ -179,7 +192,7 @@
 	}
 }
 
-// always needs no lock.
-func always(do action) attempt {
+// withoutLock returns an attempt that always succeeds.
+func withoutLock(do action) attempt {
 	return func() action { return do }
 }
--- a/testbed/scenario/versions.go
+++ b/testbed/scenario/versions.go
@@ -8,16 +8,16 @@
 	"github.com/decklever/decklever/testbed/fleet"
 )
 
-// versionChange takes a fleet from one version of the programs to the other.
+// versionChange changes a fleet from one version of the programs to the other.
 type versionChange struct {
-	env Env
-	to  fleet.Version
-	// tag is that of the newest configuration; each has one of its own.
+	env    Env
+	target fleet.Version
+	// tag is the tag of the latest configuration; each configuration has another.
 	tag int
 }
 
-// changeVersions changes every process from the previous programs to the present
-// ones and, once all run those, back.
+// changeVersions changes all processes from the previous to the present version and, once
+// all run the present one, back.
 func changeVersions(ctx context.Context, env Env) error {
 	if err := sleep(ctx, env.Duration/16); err != nil {
 		return err
@@ -27,7 +27,7 @@
 	}
 	change := &versionChange{env: env}
 	for _, version := range []fleet.Version{fleet.PresentVersion, fleet.PreviousVersion} {
-		change.to = version
+		change.target = version
 		if err := change.run(ctx); err != nil {
 			return fmt.Errorf("change to the %s version: %w", version, err)
 		}
@@ -38,20 +38,21 @@
 	return nil
 }
 
-// run changes all processes, one after the other, with a change of configuration
+// run changes the version of all processes, one after the other, with a configuration change
 // after each role.
 func (c *versionChange) run(ctx context.Context) error {
 	for _, role := range restartOrder {
 		if err := c.changeRole(ctx, role); err != nil {
 			return err
 		}
-		if err := c.configure(ctx); err != nil {
+		if err := c.changeConfig(ctx); err != nil {
 			return err
 		}
 	}
-	return c.env.Fleet.CheckVersion(c.to)
+	return c.env.Fleet.CheckVersion(c.target)
 }
 
+// changeRole changes the version of all processes of a role.
 func (c *versionChange) changeRole(ctx context.Context, role deployment.Role) error {
 	if role == deployment.RoleScheduler {
 		return c.changeSchedulers(ctx)
@@ -64,10 +65,10 @@
 	return nil
 }
 
-// changeSchedulers changes the configuration while the schedulers are of two versions.
-// The first to change is a follower that loses its disk, so that it gets snapshot and
-// archive from a leader of the other version; the leader comes second, so that the
-// leadership is transferred while both versions run.
+// changeSchedulers changes the version of all schedulers, and the configuration while they
+// run two versions. The first to change is a follower that loses its disk, so that it gets
+// snapshot and archive from a leader of the other version. The second is the leader, so that
+// the leadership is transferred while both versions run.
 func (c *versionChange) changeSchedulers(ctx context.Context) error {
 	leading, err := leader(ctx, c.env)
 	if err != nil {
@@ -75,17 +76,17 @@
 	}
 	followers := peersOf(c.env, leading)
 	first := followers[c.env.Seed%uint64(len(followers))]
-	first.UseVersion(c.to)
+	first.UseVersion(c.target)
 	if err := replaceDisk(ctx, c.env, first); err != nil {
 		return err
 	}
-	if err := c.configure(ctx); err != nil {
+	if err := c.changeConfig(ctx); err != nil {
 		return err
 	}
 	if err := c.restartScheduler(ctx, leading); err != nil {
 		return err
 	}
-	if err := c.configure(ctx); err != nil {
+	if err := c.changeConfig(ctx); err != nil {
 		return err
 	}
 	for _, follower := range followers {
@@ -99,7 +100,8 @@
 	return nil
 }
 
-// restartScheduler also waits until the scheduler has what the others have.
+// restartScheduler restarts a scheduler in the target version and waits until it has
+// replicated the committed log.
 func (c *versionChange) restartScheduler(ctx context.Context, scheduler *fleet.Process) error {
 	if err := c.restart(ctx, scheduler); err != nil {
 		return err
@@ -107,9 +109,9 @@
 	return waitCaughtUp(ctx, c.env, scheduler)
 }
 
-// restart ends a process and starts it in the version to come.
+// restart restarts a process in the target version and waits until it is ready.
 func (c *versionChange) restart(ctx context.Context, target *fleet.Process) error {
-	target.UseVersion(c.to)
+	target.UseVersion(c.target)
 	if err := target.Restart(ctx); err != nil {
 		return err
 	}
@@ -119,21 +121,21 @@
 	return sleep(ctx, restartInterval)
 }
 
-// configure orders a configuration and sees it in force.
-func (c *versionChange) configure(ctx context.Context) error {
+// changeConfig puts a configuration with a new tag and checks that it is in force.
+func (c *versionChange) changeConfig(ctx context.Context) error {
 	c.tag++
 	present, err := c.env.Operator.Read(ctx)
 	if err != nil {
 		return fmt.Errorf("read the configuration in force: %w", err)
 	}
-	wanted := order{fmt.Sprintf("lab-version-%d", c.tag), present.Version, tagged(present.Config, c.tag)}
-	sendUntilAnswered(ctx, c.env.Operator, wanted)
+	proposed := order{fmt.Sprintf("lab-version-%d", c.tag), present.Version, withTag(present.Config, c.tag)}
+	sendUntilAnswered(ctx, c.env.Operator, proposed)
 	inForce, err := c.env.Operator.Read(ctx)
 	if err != nil {
 		return fmt.Errorf("read the configuration in force: %w", err)
 	}
 	if found := inForce.Config.Queues[0].MaxPendingTasks; found != tagBase+c.tag {
-		return fmt.Errorf("order %s is not in force: version %d has the bound %d, expected %d", wanted.id, inForce.Version, found, tagBase+c.tag)
+		return fmt.Errorf("order %s is not in force: version %d has the bound %d, expected %d", proposed.id, inForce.Version, found, tagBase+c.tag)
 	}
 	return nil
 }
--- a/testbed/scenario/workers.go
+++ b/testbed/scenario/workers.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// slowWorkers is how many workers are slow, slowFactor how much longer their
-	// tasks take. All must still fit the fleet's capacity, and both steps of a job
-	// the time that is waited for its end.
+	// slowWorkers is the number of slow workers, slowFactor the factor by which their
+	// tasks take longer. The load must still fit the fleet's capacity, and both steps of a
+	// job must end within the time for which the test bed waits for the job.
 	slowWorkers = 3
 	slowFactor  = 3
-	// failShare of all runs fail, and a task may fail allowedFailures times.
+	// failShare is the share of runs that fail, allowedFailures the number of times that a
+	// task may fail.
 	failShare       = 0.25
 	allowedFailures = 2
 )
 
 // slowSomeWorkers binds the services of some workers to the slow handler.
 func slowSomeWorkers(d *deployment.Deployment) {
-	bound := 0
+	slowed := 0
 	for index := range d.Processes {
-		if d.Processes[index].Role == deployment.RoleWorker && bound < slowWorkers {
+		if d.Processes[index].Role == deployment.RoleWorker && slowed < slowWorkers {
 			bindServices(&d.Processes[index], "slow")
-			bound++
+			slowed++
 		}
 	}
 	for _, shape := range []*deployment.Shape{&d.Shapes.Short, &d.Shapes.Batch} {
@@ -39,7 +40,7 @@
 		}
 	}
 	for _, shape := range []*deployment.Shape{&d.Shapes.Short, &d.Shapes.Batch} {
-		shape.FailShare, shape.AllowedFailures = failShare, allowedFailures
+		shape.FailureFraction, shape.AllowedFailures = failShare, allowedFailures
 	}
 }
 
