--- a/internal/agent/exchanges_test.go
+++ b/internal/agent/exchanges_test.go
@@ -80,5 +80,5 @@
 	agent := startAgent(t, scheduler.address, time.Second)
 	answer := httptest.NewRecorder()
 	agent.ServeHTTP(answer, httptest.NewRequest(method, path, strings.NewReader(body)))
-	return golden.Answer(answer)
+	return golden.DescribeResponse(answer)
 }
--- a/internal/compatibility/golden/answer.go
+++ b/internal/compatibility/golden/answer.go
@@ -8,8 +8,9 @@
 	"strings"
 )
 
-// Answer writes the status, the headers and the body of an answer in one line.
-func Answer(answer *httptest.ResponseRecorder) string {
+// DescribeResponse returns the status, the headers in order of their names and the body of a
+// response as one line. Line breaks in the body become spaces, without the last one.
+func DescribeResponse(answer *httptest.ResponseRecorder) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d", answer.Code)
 	for _, name := range slices.Sorted(maps.Keys(answer.Header())) {
--- a/internal/compatibility/golden/golden.go
+++ b/internal/compatibility/golden/golden.go
@@ -1,11 +1,12 @@
-// Package golden compares what a test found with a file that an earlier commit
-// of the sources wrote. It is for tests only. A test binary that uses it has
-// the flag -update, whose value names the commit of the sources:
+// Package golden compares the values that a test computes with a golden file that
+// was written with the sources of an earlier commit. Only tests import it. It adds
+// the flag -update to their test binaries; the value names the commit of the
+// sources:
 //
 //	go test ./internal/compatibility/messages -update COMMIT
 //
-// The name is kept in the file MAKER beside the golden files. A file is written
-// anew to add a line, never to make a changed one pass.
+// The commit is written to the file MAKER in the folder of the golden files. Rewrite
+// a golden file only to add a line, never to make a test pass whose line changed.
 package golden
 
 import (
@@ -18,73 +19,75 @@
 	"strings"
 )
 
-// permissions are those of the files written; the repository keeps its own.
-const permissions = 0o600
+// fileMode is the mode of created files; an existing file keeps its mode.
+const fileMode = 0o600
 
-var update = flag.String("update", "", "write the golden files anew; the value names the commit of the sources")
+var update = flag.String("update", "", "rewrite the golden files; the value names the commit of the sources")
 
-// Reporter is what is needed of a *testing.T.
+// Reporter has the methods of *testing.T that this package uses.
 type Reporter interface {
 	Helper()
 	Errorf(format string, values ...any)
 	Fatal(values ...any)
 }
 
-// Values are what a golden file holds, by name. Neither names nor values may
-// hold a tab or a line break.
+// Values are the values of a golden file by name. The file has one line for each,
+// sorted by name: name, tab, value. Names and values must not contain a tab or a
+// line break.
 type Values map[string]string
 
-// Compare compares lines with those of the file at path, both ways, and reports
-// each one that is missing, added or different.
-func Compare(t Reporter, path string, found Values) {
+// Compare compares got with the file at path, and reports each value that is
+// missing, unexpected or different. With -update it writes the file instead.
+func Compare(t Reporter, path string, got Values) {
 	t.Helper()
-	CompareExplained(t, path, found, func(value string) string { return value })
+	CompareExplained(t, path, got, func(value string) string { return value })
 }
 
-// CompareExplained is Compare for values that are not readable as they are;
-// explain gives a value the form in which a difference is reported.
-func CompareExplained(t Reporter, path string, found Values, explain func(string) string) {
+// CompareExplained is Compare for values that are hard to read, such as hex digits.
+// Reports show the result of explain instead of the value.
+func CompareExplained(t Reporter, path string, got Values, explain func(string) string) {
 	t.Helper()
 	if *update != "" {
-		write(t, path, format(found))
+		write(t, path, format(got))
 		return
 	}
 	want := parse(read(t, path))
 	for _, name := range slices.Sorted(maps.Keys(want)) {
-		value, exists := found[name]
+		value, exists := got[name]
 		if !exists {
-			t.Errorf("%s: %s is gone", path, name)
+			t.Errorf("%s: missing %s", path, name)
 		} else if value != want[name] {
-			t.Errorf("%s: %s changed\n got %s\nwant %s", path, name, explain(value), explain(want[name]))
+			t.Errorf("%s: %s differs\n got %s\nwant %s", path, name, explain(value), explain(want[name]))
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(found)) {
+	for _, name := range slices.Sorted(maps.Keys(got)) {
 		if _, exists := want[name]; !exists {
-			t.Errorf("%s: %s is not in the file: %s", path, name, explain(found[name]))
+			t.Errorf("%s: unexpected %s: %s", path, name, explain(got[name]))
 		}
 	}
 }
 
-// CompareText compares a whole text with the file at path, line by line.
-func CompareText(t Reporter, path, found string) {
+// CompareText compares text with the file at path line by line, and reports the
+// first line that differs. With -update it writes the file instead.
+func CompareText(t Reporter, path, text string) {
 	t.Helper()
 	if *update != "" {
-		write(t, path, found)
+		write(t, path, text)
 		return
 	}
-	want, got := strings.Split(read(t, path), "\n"), strings.Split(found, "\n")
+	want, got := strings.Split(read(t, path), "\n"), strings.Split(text, "\n")
 	for number := range max(len(want), len(got)) {
-		wantText, gotText := entryAt(want, number), entryAt(got, number)
+		wantText, gotText := entryOrEnd(want, number), entryOrEnd(got, number)
 		if wantText != gotText {
-			t.Errorf("%s:%d: the text differs from here on\n got %q\nwant %q", path, number+1, gotText, wantText)
+			t.Errorf("%s:%d: first difference\n got %q\nwant %q", path, number+1, gotText, wantText)
 			return
 		}
 	}
 }
 
-func entryAt(entries []string, index int) string {
+func entryOrEnd(entries []string, index int) string {
 	if index >= len(entries) {
-		return "(end of the text)"
+		return "(end of file)"
 	}
 	return entries[index]
 }
@@ -121,10 +124,10 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, []byte(text), permissions); err != nil {
+	if err := os.WriteFile(path, []byte(text), fileMode); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, "MAKER"), []byte(*update+"\n"), permissions); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, "MAKER"), []byte(*update+"\n"), fileMode); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/compatibility/golden/golden_test.go
+++ b/internal/compatibility/golden/golden_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// recorder keeps what was reported.
+// recorder is a Reporter that stores the reports. Unlike (*testing.T).Fatal, its
+// Fatal returns.
 type recorder struct{ reports []string }
 
 func (r *recorder) Helper() {}
@@ -20,12 +21,12 @@
 
 func (r *recorder) Fatal(values ...any) { r.Errorf("fatal: %s", fmt.Sprint(values...)) }
 
-// reportsOf drops the lines behind the first of each report, and the folder.
-func (r *recorder) reportsOf(folder string) []string {
+// firstLinesWithout returns the first line of each report, without the folder of the file.
+func (r *recorder) firstLinesWithout(folder string) []string {
 	var first []string
 	for _, report := range r.reports {
-		line, _, _ := strings.Cut(report, "\n")
-		first = append(first, strings.ReplaceAll(line, folder+string(filepath.Separator), ""))
+		firstRow, _, _ := strings.Cut(report, "\n")
+		first = append(first, strings.ReplaceAll(firstRow, folder+string(filepath.Separator), ""))
 	}
 	return first
 }
@@ -33,7 +34,7 @@
 func writeTestFile(t *testing.T, name, content string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
-	if err := os.WriteFile(path, []byte(content), permissions); err != nil {
+	if err := os.WriteFile(path, []byte(content), fileMode); err != nil {
 		t.Fatal(err)
 	}
 	return path
@@ -41,36 +42,36 @@
 
 func TestCompare_ReportsEachDifference(t *testing.T) {
 	path := writeTestFile(t, "values.txt", "changed\told\ngone\tvalue\nsame\tvalue\n")
-	found := &recorder{}
-	Compare(found, path, Values{"same": "value", "changed": "new", "added": "value"})
-	want := []string{"values.txt: changed changed", "values.txt: gone is gone", "values.txt: added is not in the file: value"}
-	if got := found.reportsOf(filepath.Dir(path)); !slices.Equal(got, want) {
-		t.Errorf("reports %q, want %q", got, want)
+	reporter := &recorder{}
+	Compare(reporter, path, Values{"same": "value", "changed": "new", "added": "value"})
+	want := []string{"values.txt: changed differs", "values.txt: missing gone", "values.txt: unexpected added: value"}
+	if got := reporter.firstLinesWithout(filepath.Dir(path)); !slices.Equal(got, want) {
+		t.Errorf("got reports %q, want %q", got, want)
 	}
 }
 
 func TestCompare_MissingFileIsFatal(t *testing.T) {
-	found := &recorder{}
-	Compare(found, filepath.Join(t.TempDir(), "missing.txt"), Values{})
-	if len(found.reports) != 1 || !strings.HasPrefix(found.reports[0], "fatal: ") {
-		t.Errorf("reports %q, want one that is fatal", found.reports)
+	reporter := &recorder{}
+	Compare(reporter, filepath.Join(t.TempDir(), "missing.txt"), Values{})
+	if len(reporter.reports) != 1 || !strings.HasPrefix(reporter.reports[0], "fatal: ") {
+		t.Errorf("got reports %q, want one fatal report", reporter.reports)
 	}
 }
 
 func TestCompareText_ReportsFirstDifference(t *testing.T) {
 	for name, test := range map[string]struct{ found, want string }{
 		"same":      {"a\nb\n", ""},
-		"changed":   {"a\nc\n", "text.txt:2: the text differs from here on"},
-		"shortened": {"a", "text.txt:2: the text differs from here on"},
-		"extended":  {"a\nb\nc\n", "text.txt:3: the text differs from here on"},
+		"changed":   {"a\nc\n", "text.txt:2: first difference"},
+		"shortened": {"a", "text.txt:2: first difference"},
+		"extended":  {"a\nb\nc\n", "text.txt:3: first difference"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := writeTestFile(t, "text.txt", "a\nb\n")
-			found := &recorder{}
-			CompareText(found, path, test.found)
-			got := strings.Join(found.reportsOf(filepath.Dir(path)), "; ")
+			reporter := &recorder{}
+			CompareText(reporter, path, test.found)
+			got := strings.Join(reporter.firstLinesWithout(filepath.Dir(path)), "; ")
 			if got != test.want {
-				t.Errorf("reports %q, want %q", got, test.want)
+				t.Errorf("got reports %q, want %q", got, test.want)
 			}
 		})
 	}
@@ -84,7 +85,7 @@
 	for name, want := range map[string]string{"values.txt": "a\t1\nb\t2\n", "MAKER": "0123abc\n"} {
 		content, err := os.ReadFile(filepath.Join(folder, name))
 		if err != nil || string(content) != want {
-			t.Errorf("%s holds %q, want %q, error %v", name, content, want, err)
+			t.Errorf("%s: got content %q, want %q; error %v", name, content, want, err)
 		}
 	}
 }
--- a/internal/compatibility/messages/bodies_test.go
+++ b/internal/compatibility/messages/bodies_test.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/internal/compatibility/golden"
 )
 
-// badJobs are bodies of PUT /v1/jobs/{id} that are refused.
+// badJobs are bodies of PUT /v1/jobs/{id} that are rejected.
 var badJobs = map[string]string{
 	"empty":          ``,
 	"null":           `null`,
@@ -26,7 +26,7 @@
 	"wrong repeat": `{"queue":"q","repeat":{"times":100001,"first":"0001-01-01T00:00:00Z"},"steps":[{"name":"a","tasks":[{"service":"s"}]}]}`,
 }
 
-// badConfigs are bodies of PUT /v1/config that are refused.
+// badConfigs are bodies of PUT /v1/config that are rejected.
 var badConfigs = map[string]string{
 	"without queues": `{}`,
 	"unknown fields": `{"queuez":[],"queues":[{"name":"q","wait":1}],"limits":{"max":1},"timings":{"hold":"3s","grace":"1s"}}`,
@@ -41,7 +41,7 @@
 		{"name":"c","duration":"1h","slots":1,"slice":{"cpu_millis":1}}]}]}`,
 }
 
-// badCalls are bodies of the other calls that are refused.
+// badCalls are bodies of cancellations and releases that are rejected.
 var badCalls = map[string]string{
 	"cancellation of nothing":   `{}`,
 	"cancellation of both":      `{"jobs":["a","-"],"queue":"Q"}`,
@@ -50,32 +50,32 @@
 	"release, wrong types":      `{"queue":1,"booking":[],"start":"soon"}`,
 }
 
-// TestBodies_RefusedAsBefore covers the words of the refusals of bodies that
-// are malformed or make no sense.
+// TestBodies_RefusedAsBefore compares the errors for bodies that are malformed or
+// have invalid values.
 func TestBodies_RefusedAsBefore(t *testing.T) {
-	kept := golden.Values{}
+	got := golden.Values{}
 	for name, body := range badJobs {
-		kept["job "+name] = refusalOf(t, body, func(spec *api.JobSpec) []api.FieldError {
+		got["job "+name] = refusalOf(t, body, func(spec *api.JobSpec) []api.FieldError {
 			return api.ValidateJob("-", spec, &api.Config{Queues: []api.QueueConfig{{Name: "q"}}})
 		})
 	}
 	for name, body := range badConfigs {
-		kept["configuration "+name] = refusalOf(t, body, func(config *api.Config) []api.FieldError {
-			return api.ValidateConfigAt(config, firstTime)
+		got["configuration "+name] = refusalOf(t, body, func(config *api.Config) []api.FieldError {
+			return api.ValidateConfigAt(config, baseTime)
 		})
 	}
 	for name, body := range badCalls {
 		if strings.HasPrefix(name, "release") {
-			kept[name] = refusalOf(t, body, api.ValidateRelease)
+			got[name] = refusalOf(t, body, api.ValidateRelease)
 		} else {
-			kept[name] = refusalOf(t, body, api.ValidateCancel)
+			got[name] = refusalOf(t, body, api.ValidateCancel)
 		}
 	}
-	golden.Compare(t, "testdata/bodies.txt", kept)
+	golden.Compare(t, "testdata/bodies.txt", got)
 }
 
-// refusalOf decodes and checks a body as the front does, and returns why it is
-// refused.
+// refusalOf decodes and validates a body as the front does, and returns the error
+// encoded as JSON.
 func refusalOf[Body any](t *testing.T, text string, validate func(*Body) []api.FieldError) string {
 	t.Helper()
 	var body Body
@@ -84,7 +84,7 @@
 	}
 	fields := validate(&body)
 	if len(fields) == 0 {
-		t.Errorf("not refused: %s", text)
+		t.Errorf("body was accepted, want it rejected: %s", text)
 	}
 	return encodeRefusal(t, fields)
 }
--- a/internal/compatibility/messages/calls_test.go
+++ b/internal/compatibility/messages/calls_test.go
@@ -18,14 +18,14 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// exchange is one call as it was seen on the connection.
+// exchange is one call as it was sent over the connection.
 type exchange struct {
 	path, contentType string
 	status            int
 	request, answer   []byte
 }
 
-// recorder passes calls on and keeps what was sent both ways.
+// recorder forwards calls to next and stores the last exchange.
 type recorder struct {
 	next http.Handler
 	last exchange
@@ -52,28 +52,29 @@
 	_, _ = writer.Write(answer.Body.Bytes())
 }
 
-// fixture is a client and a server that are connected.
+// fixture has an RPC client and server, with a recorder between them.
 type fixture struct {
-	server  *rpc.Server
-	client  *rpc.Client
-	seen    *recorder
-	address string
-	values  golden.Values
+	server   *rpc.Server
+	client   *rpc.Client
+	recorder *recorder
+	address  string
+	got      golden.Values
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{server: rpc.NewServer(rpc.ServerConfig{}), client: rpc.NewClient(rpc.ClientConfig{}), values: golden.Values{}}
-	f.seen = &recorder{next: f.server}
-	listener := httptest.NewServer(f.seen)
+	f := &fixture{server: rpc.NewServer(rpc.ServerConfig{}), client: rpc.NewClient(rpc.ClientConfig{}), got: golden.Values{}}
+	f.recorder = &recorder{next: f.server}
+	listener := httptest.NewServer(f.recorder)
 	t.Cleanup(listener.Close)
 	t.Cleanup(f.client.Close)
 	f.address = strings.TrimPrefix(listener.URL, "http://")
 	return f
 }
 
-// record makes calls of a method with empty messages, skeletons and filled ones, checks
-// that both sides read what was sent, and keeps the bytes.
+// record calls a method with empty, skeleton and filled messages, and records their
+// bytes. It checks that both sides decode the filled messages to what was sent, and
+// that encoding the decoded messages gives the same bytes.
 func record[Request, Answer any](t *testing.T, f *fixture, method protocol.Method) {
 	t.Helper()
 	var received Request
@@ -84,27 +85,27 @@
 	})
 	var empty Request
 	call[Request, Answer](t, f, method, empty)
-	f.keep("empty")
+	f.recordExchange("empty")
 	reply = skeleton[Answer]()
 	call[Request, Answer](t, f, method, skeleton[Request]())
-	f.keep("skeleton")
+	f.recordExchange("skeleton")
 
 	sent := filled[Request](t, string(method)+" request")
 	reply = filled[Answer](t, string(method)+" answer")
 	answer := call[Request, Answer](t, f, method, sent)
-	f.keep("filled")
+	f.recordExchange("filled")
 	if !reflect.DeepEqual(received, sent) {
-		t.Errorf("%s: the server read %+v, sent was %+v", method, received, sent)
+		t.Errorf("%s: server got %+v, want %+v", method, received, sent)
 	}
 	if !reflect.DeepEqual(answer, reply) {
-		t.Errorf("%s: the client read %+v, sent was %+v", method, answer, reply)
+		t.Errorf("%s: client got %+v, want %+v", method, answer, reply)
 	}
-	first := f.seen.last
+	first := f.recorder.last
 	reply = answer
 	call[Request, Answer](t, f, method, received)
-	if again := f.seen.last; !bytes.Equal(again.request, first.request) || !bytes.Equal(again.answer, first.answer) {
-		t.Errorf("%s: encoded again, the messages are %x and %x, before %x and %x",
-			method, again.request, again.answer, first.request, first.answer)
+	if reencoded := f.recorder.last; !bytes.Equal(reencoded.request, first.request) || !bytes.Equal(reencoded.answer, first.answer) {
+		t.Errorf("%s: re-encoded request and answer: got %x and %x, want %x and %x",
+			method, reencoded.request, reencoded.answer, first.request, first.answer)
 	}
 }
 
@@ -114,16 +115,16 @@
 	if err != nil {
 		t.Fatalf("%s: %v", method, err)
 	}
-	if f.seen.last.contentType != "application/cbor" {
-		t.Errorf("%s: content type %q", method, f.seen.last.contentType)
+	if f.recorder.last.contentType != "application/cbor" {
+		t.Errorf("%s: got content type %q, want application/cbor", method, f.recorder.last.contentType)
 	}
 	return answer
 }
 
-func (f *fixture) keep(form string) {
-	name := f.seen.last.path + " " + form
-	f.values[name+" request"] = hex.EncodeToString(f.seen.last.request)
-	f.values[name+" answer"] = hex.EncodeToString(f.seen.last.answer)
+func (f *fixture) recordExchange(form string) {
+	name := f.recorder.last.path + " " + form
+	f.got[name+" request"] = hex.EncodeToString(f.recorder.last.request)
+	f.got[name+" answer"] = hex.EncodeToString(f.recorder.last.answer)
 }
 
 func TestCalls_EncodedAsBefore(t *testing.T) {
@@ -133,8 +134,8 @@
 	recordJobCalls(t, f)
 	recordConfigCalls(t, f)
 	recordOperatorCalls(t, f)
-	checkAllMethods(t, f.values)
-	golden.CompareExplained(t, "testdata/calls.txt", f.values, explainCBOR)
+	checkAllMethods(t, f.got)
+	golden.CompareExplained(t, "testdata/calls.txt", f.got, explainCBOR)
 }
 
 func recordReplicaCalls(t *testing.T, f *fixture) {
@@ -185,7 +186,8 @@
 	record[protocol.QueueRequest, protocol.QueueAnswer](t, f, protocol.MethodQueue)
 }
 
-// explainCBOR writes encoded bytes in the diagnostic notation of RFC 8949.
+// explainCBOR converts CBOR in hex digits to the diagnostic notation of RFC 8949. It
+// returns text itself if that is not valid CBOR in hex digits.
 func explainCBOR(text string) string {
 	data, err := hex.DecodeString(text)
 	if err != nil {
--- a/internal/compatibility/messages/client_test.go
+++ b/internal/compatibility/messages/client_test.go
@@ -16,7 +16,7 @@
 	"github.com/decklever/decklever/internal/compatibility/golden"
 )
 
-// transportHeaders are set by net/http and follow from its release.
+// transportHeaders are set by net/http and may change with the Go release.
 var transportHeaders = map[string]bool{"Accept-Encoding": true, "User-Agent": true}
 
 // clientCalls are the calls of the Go client, by name.
@@ -52,17 +52,17 @@
 		return err
 	},
 	"ReleaseBooking": func(ctx context.Context, c *api.Client) error {
-		return c.ReleaseBooking(ctx, api.ReleaseRequest{Queue: "q", Booking: "b", Start: firstTime})
+		return c.ReleaseBooking(ctx, api.ReleaseRequest{Queue: "q", Booking: "b", Start: baseTime})
 	},
 	"DrainZone":   func(ctx context.Context, c *api.Client) error { return c.DrainZone(ctx, "z 1") },
 	"RestoreZone": func(ctx context.Context, c *api.Client) error { return c.RestoreZone(ctx, "z 1") },
 	"Drains":      func(ctx context.Context, c *api.Client) error { _, err := c.Drains(ctx); return err },
 }
 
-// TestClient_SendsAsBefore compares the requests of the Go client: method, path,
-// headers and body.
+// TestClient_SendsAsBefore compares the method, path, headers and body of each
+// request of the Go client.
 func TestClient_SendsAsBefore(t *testing.T) {
-	found := golden.Values{}
+	got := golden.Values{}
 	var sent string
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		sent = describeRequest(request)
@@ -79,9 +79,9 @@
 		if err := call(t.Context(), client); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		found[name] = sent
+		got[name] = sent
 	}
-	golden.Compare(t, "testdata/client.txt", found)
+	golden.Compare(t, "testdata/client.txt", got)
 }
 
 func describeRequest(request *http.Request) string {
--- a/internal/compatibility/messages/doc.go
+++ b/internal/compatibility/messages/doc.go
@@ -1,14 +1,14 @@
-// Package messages holds no code of the product: its tests compare what
-// processes send each other, byte by byte, with what an earlier commit sent.
+// Package messages has only tests. They compare the messages between processes,
+// byte by byte, with those that an earlier commit sent.
 //
-// Each message is filled by reflection with values that follow from the keys on
-// the wire, so that a renamed Go field changes nothing here, while a changed
-// key, a changed type and a changed order of encoding do. The files in testdata
-// were written by the commit that testdata/MAKER names:
+// Each message is filled by reflection with values derived from its keys on the
+// wire. Renaming a Go field therefore changes nothing here, but a changed key, type
+// or encoding order does. The files in testdata were written with the commit that
+// testdata/MAKER names:
 //
 //	go test ./internal/compatibility/messages -update COMMIT
 //
-// A file is written anew only to add a message or a field, never to make a
-// changed one pass: processes of two versions run side by side during a rolling
-// change.
+// Rewrite a file only to add a message or a field, never to make a test pass whose
+// message changed: during a rolling update, processes of two versions exchange these
+// messages.
 package messages
--- a/internal/compatibility/messages/fill_test.go
+++ b/internal/compatibility/messages/fill_test.go
@@ -11,18 +11,17 @@
 	"time"
 )
 
-// maxDepth ends the filling of a type that contains itself.
+// maxDepth bounds the nesting of values, for types that contain themselves.
 const maxDepth = 16
 
-// elementsPerList is the length of each list and map that is filled.
+// elementsPerList is the length of each list and map in a filled value.
 const elementsPerList = 2
 
-// firstTime is the time from which filled times count.
-var firstTime = time.Date(2026, time.March, 1, 6, 30, 0, 0, time.UTC)
+// baseTime is the earliest filled time; hashPath gives the milliseconds to add.
+var baseTime = time.Date(2026, time.March, 1, 6, 30, 0, 0, time.UTC)
 
-// filled returns a value of the type in which every exported field is set to
-// something that depends only on the names and numbers on the wire that lead to
-// it.
+// filled returns a T in which every encoded field is set. The value of a field depends
+// only on root and on the path of names or numbers on the wire that leads to it.
 func filled[T any](t *testing.T, root string) T {
 	t.Helper()
 	var value T
@@ -32,17 +31,17 @@
 	return value
 }
 
-// skeleton returns a value of the type in which every list has one element and
-// every pointer is set, and all else is empty: it shows what is left out where
-// it is empty.
+// skeleton returns a T in which every list has one element, every pointer is set, and
+// all else is empty. Its encoding shows which fields are omitted when empty.
 func skeleton[T any]() T {
 	var value T
-	extend(reflect.ValueOf(&value).Elem(), 0)
+	setListsAndPointers(reflect.ValueOf(&value).Elem(), 0)
 	return value
 }
 
-// extend gives a value of a skeleton its lists and pointers.
-func extend(value reflect.Value, depth int) {
+// setListsAndPointers sets the lists and pointers within a value, see skeleton. Byte
+// slices stay empty.
+func setListsAndPointers(value reflect.Value, depth int) {
 	if depth > maxDepth || value.Type() == reflect.TypeFor[time.Time]() {
 		return
 	}
@@ -50,26 +49,27 @@
 	case reflect.Struct:
 		for index := range value.NumField() {
 			if value.Field(index).CanSet() {
-				extend(value.Field(index), depth+1)
+				setListsAndPointers(value.Field(index), depth+1)
 			}
 		}
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
-		extend(value.Elem(), depth+1)
+		setListsAndPointers(value.Elem(), depth+1)
 	case reflect.Slice:
 		if value.Type().Elem().Kind() != reflect.Uint8 {
 			value.Set(reflect.MakeSlice(value.Type(), 1, 1))
-			extend(value.Index(0), depth+1)
+			setListsAndPointers(value.Index(0), depth+1)
 		}
 	}
 }
 
-// fill sets one value, which stands at path.
+// fill sets the value at path and all values within it. It leaves a value deeper than
+// maxDepth empty, and returns an error for a type that it cannot fill.
 func fill(value reflect.Value, path string, depth int) error {
 	if depth > maxDepth {
 		return nil
 	}
-	if set := fillKnown(value, path); set {
+	if set := fillSpecial(value, path); set {
 		return nil
 	}
 	switch value.Kind() {
@@ -87,12 +87,13 @@
 	}
 }
 
-// fillKnown sets the types whose content must have a form of its own.
-func fillKnown(value reflect.Value, path string) bool {
-	number := numberOf(path)
+// fillSpecial sets a time, a raw JSON message or a byte slice, which need a valid
+// content or a compact form. It returns false for other types.
+func fillSpecial(value reflect.Value, path string) bool {
+	number := hashPath(path)
 	switch value.Interface().(type) {
 	case time.Time:
-		value.Set(reflect.ValueOf(firstTime.Add(time.Duration(number) * time.Millisecond)))
+		value.Set(reflect.ValueOf(baseTime.Add(time.Duration(number) * time.Millisecond)))
 	case json.RawMessage:
 		value.Set(reflect.ValueOf(json.RawMessage(fmt.Sprintf(`{"n":%d}`, number))))
 	case []byte:
@@ -120,8 +121,10 @@
 	return nil
 }
 
-// wireName is the name or number of a field on the wire. A field that would
-// travel under its Go name is an error: renaming it would change the message.
+// wireName returns the name or number of a field on the wire, from its cbor tag or
+// else its json tag. encoded is false for a field that is not sent. A field without a
+// name in a tag is an error: it would be encoded under its Go name, so that renaming
+// it would change the message.
 func wireName(field reflect.StructField) (name string, encoded bool, err error) {
 	if field.Anonymous {
 		return "", true, nil
@@ -155,11 +158,11 @@
 	entries := reflect.MakeMap(value.Type())
 	for index := range elementsPerList {
 		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
-		at := path + "/" + strconv.Itoa(index)
-		if err := fill(key, at+"/key", depth+1); err != nil {
+		elementPath := path + "/" + strconv.Itoa(index)
+		if err := fill(key, elementPath+"/key", depth+1); err != nil {
 			return err
 		}
-		if err := fill(element, at+"/value", depth+1); err != nil {
+		if err := fill(element, elementPath+"/value", depth+1); err != nil {
 			return err
 		}
 		entries.SetMapIndex(key, element)
@@ -169,7 +172,7 @@
 }
 
 func fillScalar(value reflect.Value, path string) error {
-	number := numberOf(path)
+	number := hashPath(path)
 	switch value.Kind() {
 	case reflect.String:
 		value.SetString("v" + strconv.FormatUint(uint64(number), 36))
@@ -189,8 +192,8 @@
 	return nil
 }
 
-// numberOf is a number from 1 to a million that depends on the path alone.
-func numberOf(path string) uint32 {
+// hashPath returns a number from 1 to a million that depends only on path.
+func hashPath(path string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(path))
 	return hash.Sum32()%1_000_000 + 1
--- a/internal/compatibility/messages/methods_test.go
+++ b/internal/compatibility/messages/methods_test.go
@@ -12,10 +12,10 @@
 	"github.com/decklever/decklever/internal/compatibility/golden"
 )
 
-// protocolFolder holds the declarations of all methods between processes.
+// protocolFolder is the folder of package protocol, which declares all RPC methods.
 const protocolFolder = "../../protocol"
 
-// checkAllMethods reports each declared method of which no call was recorded.
+// checkAllMethods reports each declared RPC method without a recorded call.
 func checkAllMethods(t *testing.T, recorded golden.Values) {
 	t.Helper()
 	called := map[string]bool{}
@@ -25,13 +25,13 @@
 	}
 	for _, method := range declaredMethods(t) {
 		if !called[method] {
-			t.Errorf("no message of the method %q is compared", method)
+			t.Errorf("method %q has no recorded call", method)
 		}
 	}
 }
 
-// declaredMethods returns the values of the constants whose names begin with
-// "Method".
+// declaredMethods returns the values of the constants in protocolFolder whose names
+// begin with "Method".
 func declaredMethods(t *testing.T) []string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(protocolFolder, "*.go"))
@@ -52,12 +52,13 @@
 		})
 	}
 	if len(methods) == 0 {
-		t.Fatalf("%s declares no methods; the pattern is wrong", protocolFolder)
+		t.Fatalf("found no constant Method... with a string value in %s, want at least one", protocolFolder)
 	}
 	return methods
 }
 
-// methodOf returns the value of a constant such as MethodRaft = "raft".
+// methodOf returns the value of a constant such as MethodRaft = "raft", and false for
+// any other node.
 func methodOf(t *testing.T, node ast.Node) (string, bool) {
 	t.Helper()
 	constant, ok := node.(*ast.ValueSpec)
--- a/internal/compatibility/messages/refusals_test.go
+++ b/internal/compatibility/messages/refusals_test.go
@@ -15,13 +15,13 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// refusedMethod is served by the tests of refusals only.
+// refusedMethod is a method that only the tests of errors serve.
 const refusedMethod protocol.Method = "refused"
 
 func TestRefusals_EncodedAsBefore(t *testing.T) {
 	apiError := filled[api.Error](t, "refusal")
 	apiError.Status = 409
-	lines := golden.Values{}
+	got := golden.Values{}
 	for _, refusal := range []*rpc.Error{
 		{Code: rpc.CodeNotLeader, Message: "not the leader", LeaderAddress: "127.0.0.1:7001"},
 		{Code: rpc.CodeUnavailable, Message: "unavailable"},
@@ -30,14 +30,14 @@
 		{Code: rpc.CodeRefused, Message: "refused", API: &apiError},
 	} {
 		t.Run(string(refusal.Code), func(t *testing.T) {
-			seen, received := refuse(t, refusal)
+			sent, received := refuse(t, refusal)
 			if !reflect.DeepEqual(received, refusal) {
-				t.Errorf("the client read %+v, sent was %+v", received, refusal)
+				t.Errorf("client got %+v, want %+v", received, refusal)
 			}
-			lines[string(refusal.Code)] = strconv.Itoa(seen.status) + " " + hex.EncodeToString(seen.answer)
+			got[string(refusal.Code)] = strconv.Itoa(sent.status) + " " + hex.EncodeToString(sent.answer)
 		})
 	}
-	golden.CompareExplained(t, "testdata/refusals.txt", lines, func(text string) string {
+	golden.CompareExplained(t, "testdata/refusals.txt", got, func(text string) string {
 		if len(text) < 4 {
 			return text
 		}
@@ -45,8 +45,8 @@
 	})
 }
 
-// refuse lets a server answer with a refusal and returns what was seen on the
-// connection and what the client made of it.
+// refuse calls a server that answers with refusal, and returns the exchange on the
+// connection and the error that the client returned.
 func refuse(t *testing.T, refusal *rpc.Error) (exchange, *rpc.Error) {
 	t.Helper()
 	f := newFixture(t)
@@ -56,9 +56,9 @@
 	_, err := rpc.Call[protocol.Empty, protocol.Empty](t.Context(), f.client, f.address, refusedMethod, protocol.Empty{})
 	var received *rpc.Error
 	if !errors.As(err, &received) {
-		t.Fatalf("the client returned %v, want a refusal", err)
+		t.Fatalf("client got error %v, want an *rpc.Error", err)
 	}
-	return f.seen.last, received
+	return f.recorder.last, received
 }
 
 func TestMembership_EncodedAsBefore(t *testing.T) {
@@ -69,16 +69,16 @@
 	}
 	decoded, err := raft.DecodeMembership(encoded)
 	if err != nil || !reflect.DeepEqual(decoded, membership) {
-		t.Errorf("read %+v and error %v, written was %+v", decoded, err, membership)
+		t.Errorf("got %+v and error %v, want %+v", decoded, err, membership)
 	}
-	lines := golden.Values{"log entry": hex.EncodeToString(encoded)}
-	golden.CompareExplained(t, "testdata/membership.txt", lines, explainCBOR)
+	got := golden.Values{"log entry": hex.EncodeToString(encoded)}
+	golden.CompareExplained(t, "testdata/membership.txt", got, explainCBOR)
 }
 
-// TestEnumerations_NumberedAsBefore covers the numbers that filled messages do
-// not choose by themselves.
+// TestEnumerations_NumberedAsBefore compares the numbers of the raft enumerations.
+// Filled messages have arbitrary numbers in these fields and do not cover them.
 func TestEnumerations_NumberedAsBefore(t *testing.T) {
-	lines := golden.Values{}
+	got := golden.Values{}
 	for name, number := range map[string]int{
 		"entry command":          int(raft.EntryCommand),
 		"entry no-op":            int(raft.EntryNoop),
@@ -92,7 +92,7 @@
 		"message snapshot":       int(raft.MessageSnapshot),
 		"message timeout now":    int(raft.MessageTimeoutNow),
 	} {
-		lines[name] = strconv.Itoa(number)
+		got[name] = strconv.Itoa(number)
 	}
-	golden.Compare(t, "testdata/enumerations.txt", lines)
+	golden.Compare(t, "testdata/enumerations.txt", got)
 }
--- a/internal/compatibility/programs/build_test.go
+++ b/internal/compatibility/programs/build_test.go
@@ -11,11 +11,11 @@
 	"testing"
 )
 
-// repository is the root of the sources, seen from this package.
-const repository = "../../.."
+// repositoryRoot is the root folder of the repository, relative to this package.
+const repositoryRoot = "../../.."
 
-// sources are the packages of the programs, by the programs' names.
-var sources = map[string]string{
+// programPackages has the package of each program by the program's name.
+var programPackages = map[string]string{
 	"decklever":           "./cmd/decklever",
 	"decklever-scheduler": "./cmd/decklever-scheduler",
 	"decklever-front":     "./cmd/decklever-front",
@@ -24,8 +24,9 @@
 	"decklever-platform":  "./platform/cmd/decklever-platform",
 }
 
-// binaries is the folder of the programs that TestMain built.
-var binaries string
+// binaryFolder is the temporary folder with the programs. TestMain builds them before
+// the tests and removes the folder after them.
+var binaryFolder string
 
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "decklever-programs-")
@@ -33,7 +34,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	binaries = folder
+	binaryFolder = folder
 	code := 1
 	if err := build(folder); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -44,14 +45,14 @@
 	os.Exit(code)
 }
 
-// build builds all programs into a folder.
+// build builds all programs into folder.
 func build(folder string) error {
 	arguments := []string{"build", "-o", folder + string(filepath.Separator)}
-	for _, source := range sources {
+	for _, source := range programPackages {
 		arguments = append(arguments, source)
 	}
 	command := exec.Command("go", arguments...)
-	command.Dir = repository
+	command.Dir = repositoryRoot
 	if output, err := command.CombinedOutput(); err != nil {
 		return fmt.Errorf("build the programs: %w\n%s", err, output)
 	}
@@ -62,44 +63,45 @@
 type invocation struct {
 	program   string
 	arguments []string
-	// folder is where the program runs.
+	// folder is the working directory; empty means that of the test.
 	folder string
-	// environment is added to an environment that is empty but for the time
-	// zone.
+	// environment has the variables as NAME=VALUE. Besides them, only TZ=UTC is
+	// set.
 	environment []string
 }
 
-// result is what a run left.
+// result is the exit code and the output of a program.
 type result struct {
-	code        int
-	out, errors string
+	exitCode       int
+	stdout, stderr string
 }
 
-// run runs a program to its end.
+// run runs the program and waits until it exits.
 func (i invocation) run(t *testing.T) result {
 	t.Helper()
-	var out, errs bytes.Buffer
-	command := exec.CommandContext(t.Context(), filepath.Join(binaries, i.program), i.arguments...)
+	var stdout, stderr bytes.Buffer
+	command := exec.CommandContext(t.Context(), filepath.Join(binaryFolder, i.program), i.arguments...)
 	command.Dir = i.folder
 	command.Env = append([]string{"TZ=UTC"}, i.environment...)
-	command.Stdout, command.Stderr = &out, &errs
+	command.Stdout, command.Stderr = &stdout, &stderr
 	err := command.Run()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) {
 		t.Fatalf("%s %v: %v", i.program, i.arguments, err)
 	}
-	return result{code: command.ProcessState.ExitCode(), out: out.String(), errors: errs.String()}
+	return result{exitCode: command.ProcessState.ExitCode(), stdout: stdout.String(), stderr: stderr.String()}
 }
 
-// section is a result under the line that was typed, as golden files hold it.
+// section runs the program and returns its command line, output and exit code in the
+// form of the golden files.
 func (i invocation) section(t *testing.T) string {
 	t.Helper()
 	got := i.run(t)
 	var text strings.Builder
-	fmt.Fprintf(&text, "$ %s\n%s", strings.Join(append([]string{i.program}, i.arguments...), " "), got.out)
-	if got.errors != "" {
-		fmt.Fprintf(&text, "[standard error]\n%s", got.errors)
+	fmt.Fprintf(&text, "$ %s\n%s", strings.Join(append([]string{i.program}, i.arguments...), " "), got.stdout)
+	if got.stderr != "" {
+		fmt.Fprintf(&text, "[standard error]\n%s", got.stderr)
 	}
-	fmt.Fprintf(&text, "[exit code %d]\n\n", got.code)
+	fmt.Fprintf(&text, "[exit code %d]\n\n", got.exitCode)
 	return text.String()
 }
--- a/internal/compatibility/programs/doc.go
+++ b/internal/compatibility/programs/doc.go
@@ -1,13 +1,12 @@
-// Package programs holds no code of the product: its tests build the programs
-// and compare what they print and how they exit, word for word, with what an
-// earlier commit printed: the help of every command, refusals of wrong flags,
-// arguments and settings files, and the output of the command line's reading
-// commands in each form.
+// Package programs has only tests. They build the programs and compare their output
+// and exit codes, byte by byte, with those of an earlier commit: the help of every
+// command, the errors for wrong flags, arguments and settings files, and the output
+// of decklever's read-only commands in each format.
 //
-// The files in testdata were written by the commit that testdata/MAKER names:
+// The files in testdata were written with the commit that testdata/MAKER names:
 //
 //	go test ./internal/compatibility/programs -update COMMIT
 //
-// The programs of the test bed and of the platform's emulator are left out:
-// they are for developers of this repository, who may change them.
+// The programs of the test bed and of the platform's emulator are not covered: only
+// developers of this repository use them, so their output may change.
 package programs
--- a/internal/compatibility/programs/help_test.go
+++ b/internal/compatibility/programs/help_test.go
@@ -9,29 +9,30 @@
 	"github.com/decklever/decklever/internal/compatibility/golden"
 )
 
-// commandsHeading stands above the list of a command's subcommands in its help.
+// commandsHeading precedes the list of subcommands in a help text.
 const commandsHeading = "Available Commands:\n"
 
-// TestHelp_PrintedAsBefore covers commands, flags, defaults and settings keys.
+// TestHelp_PrintedAsBefore compares the help texts: commands, flags, defaults and
+// settings keys.
 func TestHelp_PrintedAsBefore(t *testing.T) {
 	var text strings.Builder
-	for _, program := range slices.Sorted(maps.Keys(sources)) {
+	for _, program := range slices.Sorted(maps.Keys(programPackages)) {
 		writeHelp(t, &text, program, nil)
 	}
 	golden.CompareText(t, "testdata/help.txt", text.String())
 }
 
-// writeHelp writes the help of a command and of all those below it.
+// writeHelp writes the help of a command and of all its subcommands.
 func writeHelp(t *testing.T, text *strings.Builder, program string, command []string) {
 	t.Helper()
-	asked := invocation{program: program, arguments: append(slices.Clone(command), "--help")}
-	text.WriteString(asked.section(t))
-	for _, name := range subcommands(asked.run(t).out) {
+	help := invocation{program: program, arguments: append(slices.Clone(command), "--help")}
+	text.WriteString(help.section(t))
+	for _, name := range subcommands(help.run(t).stdout) {
 		writeHelp(t, text, program, append(slices.Clone(command), name))
 	}
 }
 
-// subcommands reads the names of subcommands from a help text.
+// subcommands returns the names of the subcommands that a help text lists.
 func subcommands(help string) []string {
 	_, list, found := strings.Cut(help, commandsHeading)
 	if !found {
@@ -40,7 +41,7 @@
 	list, _, _ = strings.Cut(list, "\n\n")
 	var names []string
 	for line := range strings.Lines(list) {
-		// Help and completion are cobra's own and depend on its release.
+		// cobra generates help and completion; their texts depend on its release.
 		name := strings.Fields(line)[0]
 		if name != "help" && name != "completion" {
 			names = append(names, name)
--- a/internal/compatibility/programs/output_test.go
+++ b/internal/compatibility/programs/output_test.go
@@ -11,11 +11,12 @@
 	"github.com/decklever/decklever/internal/compatibility/golden"
 )
 
-// documentsFile holds a filled answer of each route, a line each.
+// documentsFile has one line for each document: its name, a tab and the JSON. Among
+// them is a filled answer for each route.
 const documentsFile = "../messages/testdata/documents.txt"
 
-// readRoutes are the routes that the reading commands ask, and the documents
-// that answer them.
+// readRoutes has the routes that the read-only commands call, each with the name of
+// the document that answers it.
 var readRoutes = map[string]string{
 	"GET /v1/jobs/{id}":       "GET /v1/jobs/{id} answer filled",
 	"GET /v1/jobs":            "GET /v1/jobs answer filled",
@@ -30,7 +31,8 @@
 	"GET /v1/drains":          "GET /v1/drains answer filled",
 }
 
-// readCommands are the commands that only read, with whatever form of output.
+// readCommands are the read-only commands. The test runs each with every output
+// format.
 var readCommands = []string{
 	"job status j", "job list", "config get", "config history", "config rollout", "worker list", "member list",
 	"queue list", "booking list", "drains list", "status",
@@ -40,15 +42,16 @@
 	front := serveDocuments(t)
 	var text strings.Builder
 	for _, command := range readCommands {
-		for _, form := range []string{"json", "yaml", "table"} {
-			arguments := append(strings.Fields(command), "-o", form)
-			text.WriteString(invocation{program: "decklever", arguments: arguments, environment: frontsOf(front)}.section(t))
+		for _, format := range []string{"json", "yaml", "table"} {
+			arguments := append(strings.Fields(command), "-o", format)
+			text.WriteString(invocation{program: "decklever", arguments: arguments, environment: frontEnvironment(front)}.section(t))
 		}
 	}
 	golden.CompareText(t, "testdata/output.txt", text.String())
 }
 
-// serveDocuments is a front that answers every reading route.
+// serveDocuments starts a server that answers every route of readRoutes as a front
+// does.
 func serveDocuments(t *testing.T) *httptest.Server {
 	t.Helper()
 	documents := readDocuments(t)
@@ -56,7 +59,7 @@
 	for route, name := range readRoutes {
 		body, exists := documents[name]
 		if !exists {
-			t.Fatalf("no document %q", name)
+			t.Fatalf("document %q is missing in the file of documents", name)
 		}
 		mux.HandleFunc(route, func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set("Content-Type", "application/json")
@@ -82,28 +85,30 @@
 	return documents
 }
 
-func frontsOf(front *httptest.Server) []string { return []string{"DECKLEVER_FRONTS=" + front.URL} }
+func frontEnvironment(front *httptest.Server) []string {
+	return []string{"DECKLEVER_FRONTS=" + front.URL}
+}
 
-// refusedStatuses are the codes of refusals with their statuses.
-var refusedStatuses = map[string]int{
+// errorStatuses has the HTTP status of each error code.
+var errorStatuses = map[string]int{
 	"invalid": 422, "impossible": 422, "malformed": 400, "too_large": 413, "not_found": 404, "wrong_method": 405,
 	"conflict": 409, "lost_race": 412, "no_base": 428, "over_limit": 429, "internal": 500,
 }
 
 func TestRefusedCommands_ExitAsBefore(t *testing.T) {
-	found := golden.Values{}
-	for code, status := range refusedStatuses {
-		front := refuseAll(t, code, status)
+	results := golden.Values{}
+	for code, status := range errorStatuses {
+		front := serveErrors(t, code, status)
 		for _, command := range []string{"job status j", "job cancel j", "queue list", "config history", "worker list"} {
-			got := invocation{program: "decklever", arguments: strings.Fields(command), environment: frontsOf(front)}.run(t)
-			found[code+" "+command] = fmt.Sprintf("%d %q %q", got.code, got.out, got.errors)
+			got := invocation{program: "decklever", arguments: strings.Fields(command), environment: frontEnvironment(front)}.run(t)
+			results[code+" "+command] = fmt.Sprintf("%d %q %q", got.exitCode, got.stdout, got.stderr)
 		}
 	}
-	golden.Compare(t, "testdata/refused.txt", found)
+	golden.Compare(t, "testdata/refused.txt", results)
 }
 
-// refuseAll is a front that refuses every call.
-func refuseAll(t *testing.T, code string, status int) *httptest.Server {
+// serveErrors starts a server that answers every call with the given error.
+func serveErrors(t *testing.T, code string, status int) *httptest.Server {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", "application/json")
--- a/internal/compatibility/programs/settings_test.go
+++ b/internal/compatibility/programs/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/decklever/decklever/internal/compatibility/golden"
 )
 
-// badSettings are settings files that every daemon refuses, by what is wrong.
+// badSettings are settings files that every daemon rejects. The keys name the fault.
 var badSettings = map[string]string{
 	"empty":        "",
 	"no-mapping":   "- a\n- b\n",
@@ -24,11 +24,11 @@
 	"wrong-units": "name: a1\nzone: z1\nlisten: 127.0.0.1:0\nseeds: [127.0.0.1:1]\ntiming: {tick: 50}\ndrain_timeout: 5\n",
 }
 
-// daemons are the programs that read settings files by --settings.
+// daemons are the programs that read the settings file named by --settings.
 var daemons = []string{"decklever-agent", "decklever-front", "decklever-scheduler", "decklever-worker"}
 
-// roles are the subcommands of decklever-platform, whose settings file is named
-// by the environment.
+// roles are the subcommands of decklever-platform. The environment variable
+// DECKLEVER_BOOT names their settings file.
 var roles = []string{"agent", "front", "scheduler"}
 
 func TestSettings_RefusedAsBefore(t *testing.T) {
@@ -67,13 +67,13 @@
 	for _, arguments := range [][]string{{}, {"nothing"}, {"agent", "more"}, {"front", "--no-such-flag"}, {"scheduler"}} {
 		text.WriteString(invocation{program: "decklever-platform", arguments: arguments, folder: folder}.section(t))
 	}
-	for _, line := range []string{
+	for _, command := range []string{
 		"jobs", "job", "job stat", "job status", "job status a b", "job status j --wait x", "job list --limit 0", "job submit", "job submit missing.yaml",
 		"job cancel", "job cancel --queue q", "job cancel j --queue q", "config apply", "config apply missing.yaml", "config validate missing.yaml",
 		"worker drain", "zone evacuate", "queue show", "booking show q", "booking release q/b", "booking release q/b --start soon",
 		"status -o xml", "status --timeout 0s", "status --front ftp://x", "completion", "completion fish shell",
 	} {
-		text.WriteString(invocation{program: "decklever", arguments: strings.Fields(line), folder: folder}.section(t))
+		text.WriteString(invocation{program: "decklever", arguments: strings.Fields(command), folder: folder}.section(t))
 	}
 	golden.CompareText(t, "testdata/usage.txt", text.String())
 }
--- a/internal/compatibility/stored/corpus_test.go
+++ b/internal/compatibility/stored/corpus_test.go
@@ -15,22 +15,26 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
-// ordersKept is less than the script has, so that the oldest is dropped.
-const ordersKept = 3
+// maxConfigOrders is the number of configuration orders whose outcome is kept. It is
+// lower than the number of orders in the script, so that the oldest are dropped.
+const maxConfigOrders = 3
 
-// keptEntries stay in the log behind a snapshot.
-const keptEntries = 5
+// retainedEntries is the number of entries up to a snapshot's index that stay in the
+// log.
+const retainedEntries = 5
 
-// Places of the script after which the replica of the corpus takes a snapshot.
+// snapshotAfter names the commands of the script after which the voter of the corpus
+// takes a snapshot.
 var snapshotAfter = map[string]bool{"first configuration": true, "repeating job": true, "workers forgotten": true, "expiry": true}
 
-// member is a replica of the corpus.
+// member returns a replica of the corpus.
 func member(id raft.ReplicaID, zone string) raft.Member {
 	return raft.Member{ID: id, Name: "scheduler-" + zone, Zone: zone, Address: "127.0.0.1:71" + string(id[len(id)-2:])}
 }
 
-// memberships are those that the log of the corpus goes through: three founders,
-// a learner, the joint change in which it takes a voter's place, and its end.
+// memberships returns the successive memberships in the log of the corpus: three
+// founders, the same with a learner, the joint membership while the learner replaces
+// a voter, and the final membership.
 func memberships() []raft.Membership {
 	north, south, west := member("00000000000000a1", "north"), member("00000000000000a2", "south"), member("00000000000000a3", "west")
 	newcomer := member("00000000000000a4", "west")
@@ -44,19 +48,22 @@
 	}
 }
 
-// writer is a replica that writes the corpus, as package replica would.
+// writer writes the data folder of one replica of the corpus in the way of package
+// replica.
 type writer struct {
 	t         *testing.T
 	directory string
 	store     *storage.Disk
 	machine   *record.Machine
 	last      raft.Entry
-	// hardState has the commit index that the next write carries.
+	// hardState is saved with each entry; write first sets its commit index to the
+	// entry before.
 	hardState  raft.HardState
 	membership raft.Membership
-	// snapshots is false for a replica whose log goes back to its beginning.
-	snapshots bool
-	// commands and results are the lines of the golden files.
+	// takesSnapshots is false for a replica that has only its first snapshot, so that
+	// its log has every entry.
+	takesSnapshots bool
+	// commands and results are the content of commands.txt and results.txt.
 	commands, results bytes.Buffer
 }
 
@@ -72,22 +79,23 @@
 	return w
 }
 
-// found writes the snapshot with which a cluster begins.
-func (w *writer) found() {
+// bootstrap writes the first snapshot of a new cluster, with the founders.
+func (w *writer) bootstrap() {
 	w.t.Helper()
 	w.last = raft.Entry{Index: 1, Term: 1}
 	w.membership = memberships()[0]
 	w.saveSnapshot(0)
 }
 
-// lead begins a term with its first entry.
-func (w *writer) lead(term uint64) {
+// beginTerm writes the no-op entry with which a new leader begins its term.
+func (w *writer) beginTerm(term uint64) {
 	w.t.Helper()
 	w.hardState.Term, w.hardState.VotedFor = term, "00000000000000a1"
 	w.write(raft.EntryNoop, nil)
 }
 
-// write appends one entry and applies nothing; the entry before it is committed.
+// write appends one entry and commits the entry before it. It does not apply a
+// command; its caller does.
 func (w *writer) write(kind raft.EntryKind, data []byte) {
 	w.t.Helper()
 	w.hardState.Commit = w.last.Index
@@ -111,17 +119,19 @@
 	w.membership = membership
 }
 
-// run writes and applies a command, and notes what it did.
-func (w *writer) run(c command) {
+// applyCommand writes and applies a command, in a new term if the command's token
+// requires it, and records the result and the events. It takes a snapshot after the
+// commands in snapshotAfter.
+func (w *writer) applyCommand(c command) {
 	w.t.Helper()
 	if c.Token != w.hardState.Term {
-		w.lead(c.Token)
+		w.beginTerm(c.Token)
 	}
 	data, err := record.Encode(c.Command)
 	if err != nil {
 		w.t.Fatalf("%s: %v", c.name, err)
 	}
-	w.commands.WriteString(c.name + "\t" + printable(data) + "\n")
+	w.commands.WriteString(c.name + "\t" + hexOrDigest(data) + "\n")
 	w.results.WriteString(c.name + "\n")
 	w.write(raft.EntryCommand, data)
 	result, err := w.machine.Apply(w.last.Index, data)
@@ -129,63 +139,65 @@
 		w.t.Fatalf("%s: %v", c.name, err)
 	}
 	w.results.WriteString(describeResult(result))
-	if w.snapshots && snapshotAfter[c.name] {
-		w.saveSnapshot(keptEntries)
+	if w.takesSnapshots && snapshotAfter[c.name] {
+		w.saveSnapshot(retainedEntries)
 	}
 }
 
-func (w *writer) saveSnapshot(keep uint64) {
+func (w *writer) saveSnapshot(retainEntries uint64) {
 	w.t.Helper()
 	_, write, err := w.machine.Snapshot()
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	meta := raft.SnapshotMeta{Index: w.last.Index, Term: w.last.Term, Membership: w.membership}
-	if err := w.store.SaveSnapshot(meta, keep, write); err != nil {
+	if err := w.store.SaveSnapshot(meta, retainEntries, write); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// replaceTail leaves entries of an earlier term that a later one replaced, and
-// one that is not committed.
+// replaceTail writes three entries of term 5 that two entries of term 7 replace. The
+// entries of term 7 are not committed.
 func (w *writer) replaceTail() {
 	w.t.Helper()
-	w.lead(5)
-	kept := w.last
-	w.hardState.Commit = kept.Index
+	w.beginTerm(5)
+	lastOfTerm := w.last
+	w.hardState.Commit = lastOfTerm.Index
 	for range 3 {
 		w.last = raft.Entry{Index: w.last.Index + 1, Term: 5, Kind: raft.EntryNoop}
 		if err := w.store.Save(nil, []raft.Entry{w.last}, true); err != nil {
 			w.t.Fatal(err)
 		}
 	}
-	w.last = kept
+	w.last = lastOfTerm
 	w.hardState.Term, w.hardState.VotedFor = 7, "00000000000000a2"
-	entries := []raft.Entry{{Index: kept.Index + 1, Term: 7, Kind: raft.EntryNoop}, {Index: kept.Index + 2, Term: 7, Kind: raft.EntryNoop}}
+	entries := []raft.Entry{{Index: lastOfTerm.Index + 1, Term: 7, Kind: raft.EntryNoop}, {Index: lastOfTerm.Index + 2, Term: 7, Kind: raft.EntryNoop}}
 	hardState := w.hardState
 	if err := w.store.Save(&hardState, entries, true); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// corpus is what the present code writes for the script.
+// corpus is what the current code writes for the script.
 type corpus struct {
 	commands, results []byte
 	snapshot, view    []byte
-	// folders are the data folders, by name.
+	// folders has the path of each data folder by name.
 	folders map[string]string
 }
 
-// writeCorpus plays the script on a voter that takes snapshots and on one that
-// has none but the first, and hands the state to a newcomer.
+// writeCorpus applies the script on a voter that takes snapshots and on one that has
+// only its first snapshot, and then writes the folder of a newcomer that joins from
+// the voter. The folders of the voters are copied before their stores are closed, as
+// if the processes had been killed.
 func writeCorpus(t *testing.T) corpus {
 	t.Helper()
 	voter, unshortened := newWriter(t, filepath.Join(t.TempDir(), "voter")), newWriter(t, filepath.Join(t.TempDir(), "unshortened"))
-	voter.snapshots = true
+	voter.takesSnapshots = true
 	folders := make(map[string]string)
 	for name, w := range map[string]*writer{"voter": voter, "unshortened": unshortened} {
 		defer func() { _ = w.store.Close() }()
-		w.play()
+		w.applyScript()
 		folders[name] = filepath.Join(t.TempDir(), "killed")
 		copyFolder(t, w.directory, folders[name])
 	}
@@ -199,27 +211,30 @@
 	}
 }
 
-// play runs the whole script, with a change of the membership between.
-func (w *writer) play() {
+// applyScript applies the whole script, with the changes of the membership in between,
+// and ends with replaceTail.
+func (w *writer) applyScript() {
 	w.t.Helper()
-	w.found()
+	w.bootstrap()
 	for _, c := range script() {
-		w.run(c)
+		w.applyCommand(c)
 		switch c.name {
 		case "three workers":
 			w.changeMembership(memberships()[1])
 			w.changeMembership(memberships()[2])
 		case "expiry":
 			w.changeMembership(memberships()[3])
-			if w.snapshots {
-				w.saveSnapshot(keptEntries)
+			if w.takesSnapshots {
+				w.saveSnapshot(retainedEntries)
 			}
 		}
 	}
 	w.replaceTail()
 }
 
-// writeNewcomer copies archive and snapshot of a voter and goes on a little.
+// writeNewcomer writes the folder of a replica that receives the archive and the
+// snapshot of voter, appends the last command of the script and a new term, and is
+// closed. It returns the folder's path.
 func writeNewcomer(t *testing.T, voter *writer) string {
 	t.Helper()
 	directory := filepath.Join(t.TempDir(), "newcomer")
@@ -233,7 +248,7 @@
 	}
 	meta, data, found, err := voter.store.OpenSnapshot()
 	if err != nil || !found {
-		t.Fatalf("the voter has no snapshot: %v", err)
+		t.Fatalf("voter's snapshot is missing or cannot be opened: error %v", err)
 	}
 	defer func() { _ = data.Close() }()
 	content, err := io.ReadAll(data)
@@ -252,8 +267,8 @@
 		t.Fatal(err)
 	}
 	commands := script()
-	w.run(commands[len(commands)-1])
-	w.lead(5)
+	w.applyCommand(commands[len(commands)-1])
+	w.beginTerm(5)
 	if err := w.store.Save(&raft.HardState{Term: 5, VotedFor: "00000000000000a1", Commit: w.last.Index}, nil, true); err != nil {
 		t.Fatal(err)
 	}
@@ -276,7 +291,7 @@
 	return data.Bytes()
 }
 
-// copyFolder copies the files of a folder as they are now.
+// copyFolder copies the files of a folder in their current state.
 func copyFolder(t *testing.T, from, to string) {
 	t.Helper()
 	if err := os.CopyFS(to, os.DirFS(from)); err != nil {
@@ -284,7 +299,7 @@
 	}
 }
 
-// packFolder writes the files of a folder into a compressed archive.
+// packFolder writes the files of a folder into a tar file compressed with gzip.
 func packFolder(t *testing.T, directory, file string) {
 	t.Helper()
 	var packed bytes.Buffer
@@ -298,7 +313,8 @@
 	}
 }
 
-// unpackFolder is the reverse of packFolder, into a new folder.
+// unpackFolder unpacks a file that packFolder wrote into a new temporary folder, and
+// returns the folder's path.
 func unpackFolder(t *testing.T, file string) string {
 	t.Helper()
 	packed, err := os.Open(file)
--- a/internal/compatibility/stored/describe_test.go
+++ b/internal/compatibility/stored/describe_test.go
@@ -13,19 +13,21 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
-// longestHex is the length in bytes up to which data are written in full.
-const longestHex = 8 << 10
+// maxHexBytes is the length in bytes up to which hexOrDigest returns all of the data.
+const maxHexBytes = 8 << 10
 
-// printable is data as text for a golden file.
-func printable(data []byte) string {
-	if len(data) > longestHex {
+// hexOrDigest returns data in hex digits, or the length and SHA-256 of data longer
+// than maxHexBytes.
+func hexOrDigest(data []byte) string {
+	if len(data) > maxHexBytes {
 		sum := sha256.Sum256(data)
 		return fmt.Sprintf("%d bytes, SHA-256 %x", len(data), sum)
 	}
 	return hex.EncodeToString(data)
 }
 
-// describeEvent writes an event without the names of Go types, which may change.
+// describeEvent returns an event as text, without the names of Go types, which may
+// change.
 func describeEvent(event record.Event) string {
 	switch e := event.(type) {
 	case record.TaskBecameReady:
@@ -79,16 +81,16 @@
 	return text.String()
 }
 
-// describeLoaded is what a restart finds in a data folder.
+// describeLoaded returns the state that a restart loads from a data folder, as text.
 func describeLoaded(t *testing.T, loaded storage.LoadedState) string {
 	t.Helper()
 	var text strings.Builder
 	state, snapshot := loaded.HardState, loaded.Snapshot
 	fmt.Fprintf(&text, "hard state: term %d, voted for %s, commit %d\n", state.Term, state.VotedFor, state.Commit)
 	fmt.Fprintf(&text, "snapshot: index %d, term %d, %s\n", snapshot.Index, snapshot.Term, describeMembership(snapshot.Membership))
-	fmt.Fprintf(&text, "snapshot data: %s\n", printable(loaded.SnapshotData))
+	fmt.Fprintf(&text, "snapshot data: %s\n", hexOrDigest(loaded.SnapshotData))
 	for _, entry := range loaded.Entries {
-		fmt.Fprintf(&text, "entry %d, term %d, kind %d: %s\n", entry.Index, entry.Term, entry.Kind, printable(entry.Data))
+		fmt.Fprintf(&text, "entry %d, term %d, kind %d: %s\n", entry.Index, entry.Term, entry.Kind, hexOrDigest(entry.Data))
 		if entry.Kind != raft.EntryMembership {
 			continue
 		}
@@ -123,10 +125,12 @@
 	return string(data)
 }
 
-// fields are named here and not by Go types, whose names may change.
+// fields is a JSON object. Its keys are written out in this file, because the names in
+// Go types may change.
 type fields map[string]any
 
-// viewOf is all that callers can see of a state, as JSON.
+// viewOf returns the state that callers of record.View can read, as JSON. jobs names
+// the jobs to include.
 func viewOf(t *testing.T, machine *record.Machine, jobs []string) []byte {
 	t.Helper()
 	view := fields{}
@@ -160,7 +164,7 @@
 	return orders
 }
 
-// viewJobs shows jobs, live or ended.
+// viewJobs returns the status of jobs, live or ended, and the tasks of live ones.
 func viewJobs(t *testing.T, v record.View, ids []string) fields {
 	t.Helper()
 	jobs := fields{}
--- a/internal/compatibility/stored/earlier_test.go
+++ b/internal/compatibility/stored/earlier_test.go
@@ -13,45 +13,45 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
-// Commits whose sources wrote earlier forms, with testdata/earlier/maker_test.go.
+// Commits with whose sources testdata/earlier/maker_test.go wrote earlier forms.
 const (
-	// bboltLogCommit kept the log in bbolt. Its snapshots and archived jobs have
-	// none of the fields that are left out while empty.
+	// bboltLogCommit stored the log in bbolt. Its snapshots and archived jobs have
+	// none of the fields that are omitted when empty.
 	bboltLogCommit = "45979ff"
-	// firstWALCommit is the first with a write-ahead log, whose snapshot notes do
-	// not name a transaction of the archive.
+	// firstWALCommit is the first commit with a write-ahead log. The log's snapshot
+	// records do not yet contain the archive transaction.
 	firstWALCommit = "2bc5c00"
 )
 
-// earlierJobs are the jobs of the earlier forms.
+// earlierJobs are the ids of the jobs in the earlier forms.
 var earlierJobs = []string{"chain", "ended", "failed", "waiting", "gang", "endless", "cancelled", "stopping"}
 
-func earlier(name string) string { return filepath.Join("earlier", name) }
+func earlierFile(name string) string { return filepath.Join("earlier", name) }
 
-// TestEarlierCommands_AreAppliedTheSame applies commands of earlier sources, and
-// encodes them again.
-func TestEarlierCommands_AreAppliedTheSame(t *testing.T) {
+// TestEarlierCommands_AppliedToSameState checks that commands encoded by earlier
+// sources lead to the same state, and that encoding them again gives the same bytes.
+func TestEarlierCommands_AppliedToSameState(t *testing.T) {
 	for _, commit := range []string{bboltLogCommit, firstWALCommit} {
 		t.Run(commit, func(t *testing.T) {
-			machine := newMachine(emptyStore(t))
-			for i, line := range strings.Fields(string(readGolden(t, earlier(commit+".commands.txt")))) {
-				data, err := hex.DecodeString(line)
+			machine := newMachine(openEmptyStore(t))
+			for i, encoded := range strings.Fields(string(readGolden(t, earlierFile(commit+".commands.txt")))) {
+				data, err := hex.DecodeString(encoded)
 				if err != nil {
 					t.Fatal(err)
 				}
-				encodesTheSame(t, data)
-				// The first entry of the log is the snapshot that founds a cluster.
+				checkReencoding(t, data)
+				// Index 1 is that of the snapshot with which a cluster begins.
 				if _, err := machine.Apply(uint64(i)+2, data); err != nil {
 					t.Fatal(err)
 				}
 			}
-			sameGolden(t, earlier(commit+".applied.json"), viewOf(t, machine, earlierJobs))
+			compareGolden(t, earlierFile(commit+".applied.json"), viewOf(t, machine, earlierJobs))
 		})
 	}
 }
 
-// emptyStore opens a new data folder for the time of the test.
-func emptyStore(t *testing.T) *storage.Disk {
+// openEmptyStore opens a new data folder, and closes it at the end of the test.
+func openEmptyStore(t *testing.T) *storage.Disk {
 	t.Helper()
 	store, err := storage.OpenDisk(storage.DiskConfig{Directory: t.TempDir()})
 	if err != nil {
@@ -61,57 +61,59 @@
 	return store
 }
 
-// encodesTheSame decodes a command and encodes it again.
-func encodesTheSame(t *testing.T, data []byte) {
+// checkReencoding checks that decoding a command and encoding it again gives the same
+// bytes.
+func checkReencoding(t *testing.T, data []byte) {
 	t.Helper()
 	command, err := record.Decode(data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := record.Encode(command)
+	reencoded, err := record.Encode(command)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(data, again) {
-		t.Errorf("written as\n%s\nexpected\n%s", diagnose(again), diagnose(data))
+	if !bytes.Equal(data, reencoded) {
+		t.Errorf("re-encoded command: got\n%s\nwant\n%s", diagnose(reencoded), diagnose(data))
 	}
 }
 
-// TestEarlierSnapshot_IsReadAndWrittenTheSame restores snapshots of earlier
-// sources, and writes them again.
-func TestEarlierSnapshot_IsReadAndWrittenTheSame(t *testing.T) {
+// TestEarlierSnapshot_RestoredAndRewrittenUnchanged checks that snapshots of earlier
+// sources are restored to the same state, and that writing that state as a snapshot
+// gives the same bytes.
+func TestEarlierSnapshot_RestoredAndRewrittenUnchanged(t *testing.T) {
 	for _, commit := range []string{bboltLogCommit, firstWALCommit} {
 		t.Run(commit, func(t *testing.T) {
-			machine := newMachine(emptyStore(t))
-			snapshot := readGolden(t, earlier(commit+".snapshot"))
+			machine := newMachine(openEmptyStore(t))
+			snapshot := readGolden(t, earlierFile(commit+".snapshot"))
 			if err := machine.Restore(bytes.NewReader(snapshot)); err != nil {
 				t.Fatal(err)
 			}
-			sameGolden(t, earlier(commit+".restored.json"), viewOf(t, machine, earlierJobs))
-			sameSnapshot(t, snapshot, snapshotOf(t, machine))
+			compareGolden(t, earlierFile(commit+".restored.json"), viewOf(t, machine, earlierJobs))
+			compareSnapshot(t, snapshot, snapshotOf(t, machine))
 		})
 	}
 }
 
-// TestEarlierFolder_IsRead opens the data folder of the first sources that had a
-// write-ahead log.
-func TestEarlierFolder_IsRead(t *testing.T) {
-	store, loaded := openFolder(t, golden(earlier(firstWALCommit+folderSuffix)))
+// TestEarlierFolder_ReplayedToSameState checks that the data folder of the first sources
+// with a write-ahead log is loaded, and replayed to the same state.
+func TestEarlierFolder_ReplayedToSameState(t *testing.T) {
+	store, loaded := openFolder(t, goldenPath(earlierFile(firstWALCommit+folderSuffix)))
 	t.Cleanup(func() { _ = store.Close() })
-	sameGolden(t, earlier(firstWALCommit+loadedSuffix), []byte(describeLoaded(t, loaded)))
-	sameGolden(t, earlier(firstWALCommit+".replayed.json"), viewOf(t, replay(t, store, loaded), earlierJobs))
+	compareGolden(t, earlierFile(firstWALCommit+loadedSuffix), []byte(describeLoaded(t, loaded)))
+	compareGolden(t, earlierFile(firstWALCommit+".replayed.json"), viewOf(t, replay(t, store, loaded), earlierJobs))
 }
 
-// TestEarlierLog_IsRefused: a folder whose log is kept in bbolt is not taken for a
-// new one, and is left as it is.
-func TestEarlierLog_IsRefused(t *testing.T) {
-	directory := unpackFolder(t, golden(earlier(bboltLogCommit+folderSuffix)))
+// TestEarlierLog_Rejected checks that a folder whose log is stored in bbolt is rejected
+// rather than treated as new, and that no file in it is created or removed.
+func TestEarlierLog_Rejected(t *testing.T) {
+	directory := unpackFolder(t, goldenPath(earlierFile(bboltLogCommit+folderSuffix)))
 	before := fileNames(t, directory)
 	if _, err := storage.OpenDisk(storage.DiskConfig{Directory: directory}); !errors.Is(err, storage.ErrEarlierFormat) {
-		t.Fatalf("opened with %v, expected %v", err, storage.ErrEarlierFormat)
+		t.Fatalf("OpenDisk: got error %v, want %v", err, storage.ErrEarlierFormat)
 	}
 	if after := fileNames(t, directory); after != before {
-		t.Errorf("the folder has %s, expected %s", after, before)
+		t.Errorf("files in the folder: got %s, want %s", after, before)
 	}
 }
 
@@ -128,13 +130,13 @@
 	return strings.Join(names, " ")
 }
 
-// sameGolden compares with a golden file, which -update writes.
-func sameGolden(t *testing.T, name string, got []byte) {
+// compareGolden compares got with a golden file. With -update it writes the file first.
+func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	if *update {
-		if err := os.WriteFile(golden(name), got, 0o644); err != nil {
+		if err := os.WriteFile(goldenPath(name), got, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	sameText(t, readGolden(t, name), got)
+	compareText(t, readGolden(t, name), got)
 }
--- a/internal/compatibility/stored/format_test.go
+++ b/internal/compatibility/stored/format_test.go
@@ -14,9 +14,10 @@
 	"go.etcd.io/bbolt"
 )
 
-// The form of the write-ahead log, written down here once more so that a change
-// of the code is seen: length of the payload (4 bytes), CRC-32C of all else (4),
-// sequence (8), newest synced sequence (8), type (1), end of batch (1), payload.
+// The format of a write-ahead log record, repeated here so that a change in package
+// wal is detected: length of the payload (4 bytes), CRC-32C of everything but the
+// checksum (4), sequence (8), newest synced sequence (8), type (1), end of batch (1),
+// payload. Numbers are big-endian.
 const (
 	walLengthSize   = 4
 	walHeaderSize   = 26
@@ -24,8 +25,8 @@
 	replicaIDDigits = 16
 )
 
-// describeLog writes each record of each segment of a folder as a line. The id
-// of the replica, which is drawn at random, is replaced.
+// describeLog returns each record of each segment in a folder as a line of text. The
+// replica id is replaced by zeros, because it is random.
 func describeLog(t *testing.T, directory string) string {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(directory, "log-*.wal"))
@@ -50,40 +51,41 @@
 	for len(content) >= walHeaderSize && binary.BigEndian.Uint32(content[walLengthSize:]) != 0 {
 		size := walHeaderSize + int(binary.BigEndian.Uint32(content))
 		if size > len(content) {
-			t.Fatalf("a record of %d bytes does not fit", size)
+			t.Fatalf("got a record of %d bytes, want one that ends within the segment", size)
 		}
 		record := content[:size]
 		table := crc32.MakeTable(crc32.Castagnoli)
 		sum := crc32.Update(crc32.Checksum(record[:walLengthSize], table), table, record[2*walLengthSize:])
 		if want := binary.BigEndian.Uint32(record[walLengthSize:]); sum != want {
-			t.Fatalf("a record has checksum %08x, expected %08x", sum, want)
+			t.Fatalf("record checksum: computed %08x, stored %08x", sum, want)
 		}
 		payload := record[walHeaderSize:]
 		if record[24] == walTypeSegment {
 			payload = withoutReplicaID(t, payload)
 		}
 		fmt.Fprintf(text, "%d synced %d type %d end %d: %s\n",
-			binary.BigEndian.Uint64(record[8:]), binary.BigEndian.Uint64(record[16:]), record[24], record[25], printable(payload))
+			binary.BigEndian.Uint64(record[8:]), binary.BigEndian.Uint64(record[16:]), record[24], record[25], hexOrDigest(payload))
 		content = content[size:]
 	}
 	if len(bytes.Trim(content, "\x00")) > 0 {
-		t.Fatal("bytes that are no record follow the last one")
+		t.Fatal("got other bytes than zeros after the last record, want only zeros")
 	}
 }
 
-// withoutReplicaID replaces the id in the header of a segment, which is a CBOR
-// map whose first key, 1, has a text of 16 bytes.
+// withoutReplicaID returns the header of a segment with the replica id replaced by
+// zeros. The header is a CBOR map; the id is the value of its first key, 1, and a text
+// of 16 bytes.
 func withoutReplicaID(t *testing.T, payload []byte) []byte {
 	t.Helper()
 	masked := bytes.Clone(payload)
 	if len(masked) < 3+replicaIDDigits || masked[1] != 0x01 || masked[2] != 0x60+replicaIDDigits {
-		t.Fatalf("a segment header begins with %x", payload)
+		t.Fatalf("got segment header %x, want a map with the replica id under its first key", payload)
 	}
 	copy(masked[3:], strings.Repeat("0", replicaIDDigits))
 	return masked
 }
 
-// describeArchive writes every key and value of the archive in a folder.
+// describeArchive returns every key and value of the archive in a folder as text.
 func describeArchive(t *testing.T, directory string) string {
 	t.Helper()
 	db, err := bbolt.Open(filepath.Join(directory, "archive.db"), 0o600, &bbolt.Options{ReadOnly: true})
@@ -107,7 +109,8 @@
 	return text.String()
 }
 
-// describeFolder is all that is stored in a data folder.
+// describeFolder returns the content of a data folder as text: file names, log,
+// snapshot file and archive.
 func describeFolder(t *testing.T, directory string) string {
 	t.Helper()
 	snapshot, err := os.ReadFile(filepath.Join(directory, "snapshot"))
--- a/internal/compatibility/stored/script_test.go
+++ b/internal/compatibility/stored/script_test.go
@@ -9,37 +9,38 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// startTime is the cluster clock at the first command, in Unix milliseconds.
+// startTime is the cluster time of the first command, in Unix milliseconds.
 const startTime record.Millis = 1_767_225_600_000
 
 // command is one command of the script.
 type command struct {
-	// name says what the command shows.
+	// name says what the command shows in the golden files; resends share a name.
 	name string
-	// after is the time since startTime.
-	after time.Duration
+	// offset is the time of the command since startTime.
+	offset time.Duration
 	record.Command
 }
 
-// script is what the replica of the corpus applied, in order. It has every
-// kind of command, and sets every field of each at least once.
+// script returns the commands that the replicas of the corpus apply, in order. They
+// include every kind of command, and set every field of each kind at least once.
 func script() []command {
 	var commands []command
 	commands = append(commands, configurations()...)
 	commands = append(commands, registrations()...)
 	commands = append(commands, submissions()...)
-	commands = append(commands, endings()...)
-	commands = append(commands, groupRuns()...)
-	commands = append(commands, repetitions()...)
+	commands = append(commands, singleRuns()...)
+	commands = append(commands, gangRuns()...)
+	commands = append(commands, repeatingJobs()...)
 	commands = append(commands, largeJobs()...)
-	commands = append(commands, operations()...)
+	commands = append(commands, operatorCommands()...)
 	for i := range commands {
-		commands[i].Time = startTime + record.MillisOf(commands[i].after)
+		commands[i].Time = startTime + record.MillisOf(commands[i].offset)
 	}
 	return commands
 }
 
-// submittedJobs names the jobs of the script.
+// submittedJobs returns the ids in the script's submissions, in order. An id that is
+// submitted several times occurs as often.
 func submittedJobs() []string {
 	var ids []string
 	for _, c := range script() {
@@ -66,8 +67,8 @@
 	return record.RunID{Task: record.TaskID{Job: job, Step: step, Occurrence: occurrence}, Number: number}
 }
 
-// on places a run on the first incarnation of a worker.
-func on(worker string, run record.RunID) record.Placement {
+// placementOn returns the placement of a run on the first incarnation of a worker.
+func placementOn(worker string, run record.RunID) record.Placement {
 	return record.Placement{Run: run, WorkerID: worker + "-life-1", Worker: worker}
 }
 
@@ -77,11 +78,11 @@
 
 func closeRuns(ends ...record.RunEnd) *record.CloseRuns { return &record.CloseRuns{Runs: ends} }
 
-func ended(run record.RunID, outcome api.Outcome, message string) record.RunEnd {
+func runEnd(run record.RunID, outcome api.Outcome, message string) record.RunEnd {
 	return record.RunEnd{Run: run, Outcome: outcome, Message: message}
 }
 
-// configuration sets every field of api.Config.
+// configuration returns a configuration that sets every field of api.Config.
 func configuration() api.Config {
 	return api.Config{
 		Annotations: map[string]string{"owner": "operations", "change": "17"},
@@ -153,9 +154,9 @@
 	}
 }
 
-func workerNamed(name, life, zone string) record.Worker {
+func workerNamed(name, incarnation, zone string) record.Worker {
 	return record.Worker{
-		Name: name, ID: name + "-" + life, Zone: zone,
+		Name: name, ID: name + "-" + incarnation, Zone: zone,
 		Capacity:     api.Resources{CPUMillis: 16_000, MemoryMB: 32_768, Accelerators: 4},
 		Services:     []string{"convert", "index"},
 		Labels:       map[string]string{"disk": "fast", "zone": zone},
@@ -176,7 +177,8 @@
 	}
 }
 
-// taskWithEveryField sets every field of api.TaskSpec.
+// taskWithEveryField returns a task that sets every field of api.TaskSpec except
+// UntilCancelled.
 func taskWithEveryField() api.TaskSpec {
 	failures := 4
 	return api.TaskSpec{
@@ -200,15 +202,15 @@
 }
 
 func stepOf(name string, count int, after ...string) api.StepSpec {
-	made := api.StepSpec{Name: name, After: after}
+	step := api.StepSpec{Name: name, After: after}
 	for range count {
-		made.Tasks = append(made.Tasks, smallTask())
+		step.Tasks = append(step.Tasks, smallTask())
 	}
-	return made
+	return step
 }
 
-// detailedJob sets every field of api.JobSpec and api.StepSpec that a job without
-// repetition can have.
+// detailedJob returns a job that sets every field of api.JobSpec except Repeat, and
+// every field of api.StepSpec except Lockstep and Replicas.
 func detailedJob() api.JobSpec {
 	notBefore := time.UnixMilli(int64(startTime)).Add(90*time.Second + 678*time.Millisecond).UTC()
 	load := stepOf("load", 0, "extract", "transform")
@@ -236,10 +238,10 @@
 	lockstep := api.StepSpec{Name: "members", Lockstep: true, Replicas: 3, Tasks: []api.TaskSpec{{
 		Service: "convert", Resources: api.Resources{CPUMillis: 200}, Resumable: true,
 	}}}
-	resumable, once, endless := stepOf("work", 1), stepOf("try", 2), stepOf("serve", 1)
+	resumable, failing, endless := stepOf("work", 1), stepOf("try", 2), stepOf("serve", 1)
 	resumable.Tasks[0].Resumable = true
 	failures := 1
-	once.Tasks[0].AllowedFailures = &failures
+	failing.Tasks[0].AllowedFailures = &failures
 	endless.Tasks[0].UntilCancelled = true
 	submitAfter := func(milliseconds int, id string, spec api.JobSpec) command {
 		return command{"submission of " + id, 2*time.Second + time.Duration(milliseconds)*time.Millisecond, record.Command{Token: 2, SubmitJob: submit(id, spec)}}
@@ -254,7 +256,7 @@
 		submitAfter(60, "lockstep", jobOf("batch", lockstep, stepOf("after", 1, "members"))),
 		submitAfter(70, "lockstep-open", jobOf("batch", lockstep)),
 		submitAfter(80, "resumed", jobOf("open", resumable)),
-		submitAfter(90, "doomed", jobOf("open", once, stepOf("never", 2, "try"))),
+		submitAfter(90, "doomed", jobOf("open", failing, stepOf("never", 2, "try"))),
 		submitAfter(100, "endless", jobOf("open", endless)),
 		submitAfter(110, "stopped", jobOf("open", stepOf("a", 5))),
 		submitAfter(120, "lost", jobOf("narrow", stepOf("a", 3))),
@@ -266,64 +268,65 @@
 	}
 }
 
-// endings shows every way in which single runs start and end.
-func endings() []command {
+// singleRuns covers every way in which a run outside of a gang starts and ends.
+func singleRuns() []command {
 	detailed, resumed := runOf("detailed", "extract", 0, 1), runOf("resumed", "work", 0, 1)
-	invalid := "the worker's text has \xff in it"
+	invalidUTF8 := "the worker's text has \xff in it"
 	return []command{
-		{"expired job starts", 5 * time.Second, record.Command{Token: 2, PlaceTasks: place(on("w1", runOf("expired", "a", 0, 1)))}},
-		{"expired job ends", 5100 * time.Millisecond, record.Command{Token: 2, CloseRuns: closeRuns(ended(runOf("expired", "a", 0, 1), api.OutcomeSucceeded, ""))}},
+		{"expired job starts", 5 * time.Second, record.Command{Token: 2, PlaceTasks: place(placementOn("w1", runOf("expired", "a", 0, 1)))}},
+		{"expired job ends", 5100 * time.Millisecond, record.Command{Token: 2, CloseRuns: closeRuns(runEnd(runOf("expired", "a", 0, 1), api.OutcomeSucceeded, ""))}},
 		{"runs start", 6 * time.Second, record.Command{Token: 2, PlaceTasks: place(
-			on("w1", detailed), on("w2", resumed), on("w1", runOf("doomed", "try", 0, 1)), on("w1", runOf("doomed", "try", 1, 1)),
-			on("w2", runOf("endless", "serve", 0, 1)), on("w1", runOf("lost", "a", 0, 1)), on("w2", runOf("lost", "a", 1, 1)),
-			on("w1", runOf("cancelled-running", "a", 0, 1)), on("w2", runOf("retried", "a", 0, 1)), on("w1", runOf("succeeded", "a", 0, 1)),
+			placementOn("w1", detailed), placementOn("w2", resumed), placementOn("w1", runOf("doomed", "try", 0, 1)), placementOn("w1", runOf("doomed", "try", 1, 1)),
+			placementOn("w2", runOf("endless", "serve", 0, 1)), placementOn("w1", runOf("lost", "a", 0, 1)), placementOn("w2", runOf("lost", "a", 1, 1)),
+			placementOn("w1", runOf("cancelled-running", "a", 0, 1)), placementOn("w2", runOf("retried", "a", 0, 1)), placementOn("w1", runOf("succeeded", "a", 0, 1)),
 		)}},
 		{"placements that do not hold", 6010 * time.Millisecond, record.Command{Token: 2, PlaceTasks: place(
-			on("w1", runOf("lost", "a", 2, 1)), on("w1", runOf("stopped", "a", 0, 2)), on("unknown", runOf("stopped", "a", 0, 1)),
-			on("w1", runOf("unknown", "a", 0, 1)), on("plain", runOf("stopped", "a", 0, 1)), on("w1", runOf("detailed", "load", 0, 1)),
+			placementOn("w1", runOf("lost", "a", 2, 1)), placementOn("w1", runOf("stopped", "a", 0, 2)), placementOn("unknown", runOf("stopped", "a", 0, 1)),
+			placementOn("w1", runOf("unknown", "a", 0, 1)), placementOn("plain", runOf("stopped", "a", 0, 1)), placementOn("w1", runOf("detailed", "load", 0, 1)),
 		)}},
 		{"runs that are to stop start", 6100 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(
-			on("w1", runOf("stopped", "a", 0, 1)), on("w1", runOf("stopped", "a", 1, 1)), on("w2", runOf("stopped", "a", 2, 1)),
-			on("w2", runOf("stopped", "a", 3, 1)),
+			placementOn("w1", runOf("stopped", "a", 0, 1)), placementOn("w1", runOf("stopped", "a", 1, 1)), placementOn("w2", runOf("stopped", "a", 2, 1)),
+			placementOn("w2", runOf("stopped", "a", 3, 1)),
 		)}},
 		{"stop for a drain", 6200 * time.Millisecond, record.Command{Token: 3, StopRuns: &record.StopRuns{Runs: []record.RunID{runOf("stopped", "a", 0, 1)}, Reason: record.StopDrained}}},
 		{"stop for others", 6210 * time.Millisecond, record.Command{Token: 3, StopRuns: &record.StopRuns{Runs: []record.RunID{runOf("stopped", "a", 1, 1)}, Reason: record.StopPreempted}}},
 		{"stop of a stalled run", 6220 * time.Millisecond, record.Command{Token: 3, StopRuns: &record.StopRuns{Runs: []record.RunID{runOf("stopped", "a", 2, 1)}, Reason: record.StopStalled}}},
 		{"stop of a group", 6230 * time.Millisecond, record.Command{Token: 3, StopRuns: &record.StopRuns{Runs: []record.RunID{runOf("stopped", "a", 3, 1), runOf("unknown", "a", 0, 1)}, Reason: record.StopGang}}},
 		{"stopped runs end", 6300 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
-			ended(runOf("stopped", "a", 0, 1), api.OutcomeStopped, ""), ended(runOf("stopped", "a", 1, 1), api.OutcomeStopped, ""),
+			runEnd(runOf("stopped", "a", 0, 1), api.OutcomeStopped, ""), runEnd(runOf("stopped", "a", 1, 1), api.OutcomeStopped, ""),
 		)}},
 		{"run ends with a checkpoint", 6400 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
 			record.RunEnd{Run: resumed, Outcome: api.OutcomeStopped, Message: "gave way", Checkpoint: "frame 1200", Percent: 60},
 		)}},
-		{"run starts from a checkpoint", 6500 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(on("w1", runOf("resumed", "work", 0, 2)))}},
+		{"run starts from a checkpoint", 6500 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(placementOn("w1", runOf("resumed", "work", 0, 2)))}},
 		{"runs fail", 6600 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
-			ended(runOf("doomed", "try", 0, 1), api.OutcomeFailed, "broken: "+strings.Repeat("long ", 300)),
-			ended(runOf("doomed", "try", 1, 1), api.OutcomeSucceeded, ""),
-			ended(runOf("retried", "a", 0, 1), api.OutcomeFailed, invalid),
-			ended(runOf("endless", "serve", 0, 1), api.OutcomeFailed, "address in use"),
+			runEnd(runOf("doomed", "try", 0, 1), api.OutcomeFailed, "broken: "+strings.Repeat("long ", 300)),
+			runEnd(runOf("doomed", "try", 1, 1), api.OutcomeSucceeded, ""),
+			runEnd(runOf("retried", "a", 0, 1), api.OutcomeFailed, invalidUTF8),
+			runEnd(runOf("endless", "serve", 0, 1), api.OutcomeFailed, "address in use"),
 		)}},
-		{"runs are lost", 6700 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(ended(runOf("lost", "a", 0, 1), api.OutcomeLost, ""), ended(runOf("lost", "a", 1, 1), api.OutcomeLost, ""))}},
-		{"lost run reports its success late", 6800 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(ended(runOf("lost", "a", 0, 1), api.OutcomeSucceeded, ""))}},
-		{"retry before its pause is over", 6850 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(on("w1", runOf("retried", "a", 0, 2)))}},
+		{"runs are lost", 6700 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(runEnd(runOf("lost", "a", 0, 1), api.OutcomeLost, ""), runEnd(runOf("lost", "a", 1, 1), api.OutcomeLost, ""))}},
+		{"lost run reports its success late", 6800 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(runEnd(runOf("lost", "a", 0, 1), api.OutcomeSucceeded, ""))}},
+		{"retry before its pause is over", 6850 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(placementOn("w1", runOf("retried", "a", 0, 2)))}},
 		{"cancel", 6900 * time.Millisecond, record.Command{Token: 3, CancelJobs: &record.CancelJobs{Jobs: []string{"cancelled-running", "cancelled-waiting", "unknown"}}}},
-		{"first step ends", 7 * time.Second, record.Command{Token: 3, CloseRuns: closeRuns(ended(runOf("succeeded", "a", 0, 1), api.OutcomeSucceeded, "done"))}},
-		{"second step starts", 7100 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(on("w2", runOf("succeeded", "b", 0, 1)))}},
-		{"job ends", 7200 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(ended(runOf("succeeded", "b", 0, 1), api.OutcomeSucceeded, "done"))}},
-		{"endless task succeeds and starts again", 20 * time.Second, record.Command{Token: 3, PlaceTasks: place(on("w1", runOf("endless", "serve", 0, 2)))}},
-		{"endless task ended", 31 * time.Second, record.Command{Token: 3, CloseRuns: closeRuns(ended(runOf("endless", "serve", 0, 2), api.OutcomeSucceeded, ""))}},
+		{"first step ends", 7 * time.Second, record.Command{Token: 3, CloseRuns: closeRuns(runEnd(runOf("succeeded", "a", 0, 1), api.OutcomeSucceeded, "done"))}},
+		{"second step starts", 7100 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(placementOn("w2", runOf("succeeded", "b", 0, 1)))}},
+		{"job ends", 7200 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(runEnd(runOf("succeeded", "b", 0, 1), api.OutcomeSucceeded, "done"))}},
+		{"endless task succeeds and starts again", 20 * time.Second, record.Command{Token: 3, PlaceTasks: place(placementOn("w1", runOf("endless", "serve", 0, 2)))}},
+		{"endless task ended", 31 * time.Second, record.Command{Token: 3, CloseRuns: closeRuns(runEnd(runOf("endless", "serve", 0, 2), api.OutcomeSucceeded, ""))}},
 	}
 }
 
-// groupRuns takes groups through whole and broken runs.
-func groupRuns() []command {
+// gangRuns covers complete and incomplete placements of gangs, and members that fail,
+// stop and succeed.
+func gangRuns() []command {
 	members := func(job string, number uint32) *record.PlaceTasks {
-		return place(on("w1", runOf(job, "members", 0, number)), on("w2", runOf(job, "members", 1, number)), on("w1", runOf(job, "members", 2, number)))
+		return place(placementOn("w1", runOf(job, "members", 0, number)), placementOn("w2", runOf(job, "members", 1, number)), placementOn("w1", runOf(job, "members", 2, number)))
 	}
-	partly := members("gang", 1)
-	partly.Placements = partly.Placements[:2]
+	partial := members("gang", 1)
+	partial.Placements = partial.Placements[:2]
 	return []command{
-		{"gang that is not whole", 32 * time.Second, record.Command{Token: 3, PlaceTasks: partly}},
+		{"gang that is not whole", 32 * time.Second, record.Command{Token: 3, PlaceTasks: partial}},
 		{"gang", 32010 * time.Millisecond, record.Command{Token: 3, PlaceTasks: members("gang", 1)}},
 		{"group in lockstep", 32020 * time.Millisecond, record.Command{Token: 3, PlaceTasks: members("lockstep", 1)}},
 		{"member fails", 32100 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
@@ -331,16 +334,16 @@
 		)}},
 		{"others are stopped", 32200 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
 			record.RunEnd{Run: runOf("lockstep", "members", 0, 1), Outcome: api.OutcomeStopped, Checkpoint: "round 8", Percent: 35},
-			ended(runOf("lockstep", "members", 2, 1), api.OutcomeStopped, ""),
+			runEnd(runOf("lockstep", "members", 2, 1), api.OutcomeStopped, ""),
 		)}},
 		{"group starts again", 33 * time.Second, record.Command{Token: 3, PlaceTasks: members("lockstep", 2)}},
 		{"member is marked to stop", 33100 * time.Millisecond, record.Command{Token: 3, StopRuns: &record.StopRuns{Runs: []record.RunID{runOf("lockstep", "members", 2, 2)}, Reason: record.StopPreempted}}},
 		{"other group starts", 33200 * time.Millisecond, record.Command{Token: 3, PlaceTasks: members("lockstep-open", 1)}},
-		{"member succeeds", 33300 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(ended(runOf("lockstep-open", "members", 1, 1), api.OutcomeSucceeded, ""))}},
+		{"member succeeds", 33300 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(runEnd(runOf("lockstep-open", "members", 1, 1), api.OutcomeSucceeded, ""))}},
 	}
 }
 
-func repetitions() []command {
+func repeatingJobs() []command {
 	repeating := jobOf("batch", stepOf("a", 1), stepOf("b", 1, "a"))
 	first := time.UnixMilli(int64(startTime)).Add(40*time.Second + 250*time.Microsecond).UTC()
 	repeating.Repeat = &api.RepeatSpec{Times: 6, First: first, Interval: api.Duration(10*time.Second + 300*time.Microsecond)}
@@ -356,21 +359,22 @@
 		{"repeating job", 35 * time.Second, record.Command{Token: 3, SubmitJob: submit("repeating", repeating)}},
 		{"job of one occurrence", 35010 * time.Millisecond, record.Command{Token: 3, SubmitJob: submit("repeating-finished", finished)}},
 		{"repeating job to cancel", 35020 * time.Millisecond, record.Command{Token: 3, SubmitJob: submit("repeating-cancelled", cancelled)}},
-		{"occurrence before it falls due", 36 * time.Second, record.Command{Token: 3, PlaceTasks: place(on("w1", run("a", 0)))}},
+		{"occurrence before it falls due", 36 * time.Second, record.Command{Token: 3, PlaceTasks: place(placementOn("w1", run("a", 0)))}},
 		{"occurrences fall due", 60200 * time.Millisecond, record.Command{Token: 3, ExpandRepeats: expand(2)}},
-		{"occurrences start", 60300 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(on("w1", run("a", 0)), on("w2", run("a", 1)), on("w1", run("a", 2)), on("w1", occurrenceRun("repeating-finished", "a", 0, 1)))}},
+		{"occurrences start", 60300 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(placementOn("w1", run("a", 0)), placementOn("w2", run("a", 1)), placementOn("w1", run("a", 2)), placementOn("w1", occurrenceRun("repeating-finished", "a", 0, 1)))}},
 		{"first steps end", 60400 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
-			ended(run("a", 0), api.OutcomeSucceeded, ""), ended(run("a", 1), api.OutcomeFailed, "no input"), ended(occurrenceRun("repeating-finished", "a", 0, 1), api.OutcomeSucceeded, ""),
+			runEnd(run("a", 0), api.OutcomeSucceeded, ""), runEnd(run("a", 1), api.OutcomeFailed, "no input"), runEnd(occurrenceRun("repeating-finished", "a", 0, 1), api.OutcomeSucceeded, ""),
 		)}},
-		{"second steps start", 60500 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(on("w1", run("b", 0)), on("w1", occurrenceRun("repeating-finished", "b", 0, 1)))}},
+		{"second steps start", 60500 * time.Millisecond, record.Command{Token: 3, PlaceTasks: place(placementOn("w1", run("b", 0)), placementOn("w1", occurrenceRun("repeating-finished", "b", 0, 1)))}},
 		{"occurrences end", 60600 * time.Millisecond, record.Command{Token: 3, CloseRuns: closeRuns(
-			ended(run("b", 0), api.OutcomeSucceeded, ""), ended(occurrenceRun("repeating-finished", "b", 0, 1), api.OutcomeSucceeded, ""),
+			runEnd(run("b", 0), api.OutcomeSucceeded, ""), runEnd(occurrenceRun("repeating-finished", "b", 0, 1), api.OutcomeSucceeded, ""),
 		)}},
 		{"cancel of a repeating job", 60700 * time.Millisecond, record.Command{Token: 3, CancelJobs: &record.CancelJobs{Jobs: []string{"repeating-cancelled"}}}},
 	}
 }
 
-// largePayload makes the log go on to another segment after some jobs.
+// largePayload is the payload size in bytes at which a few jobs fill a segment of the
+// write-ahead log, so that it continues in another one.
 const largePayload = 900 << 10
 
 func largeJobs() []command {
@@ -379,24 +383,25 @@
 	for i, id := range []string{"large-1", "large-2", "large-3", "large-4", "large-5", "large-6"} {
 		spec := jobOf("open", stepOf("a", 1))
 		spec.Payload = payload
-		after := 61*time.Second + time.Duration(i)*time.Millisecond
+		offset := 61*time.Second + time.Duration(i)*time.Millisecond
 		commands = append(commands,
-			command{"submission of " + id, after, record.Command{Token: 3, SubmitJob: submit(id, spec)}},
-			command{"cancel of " + id, after, record.Command{Token: 3, CancelJobs: &record.CancelJobs{Jobs: []string{id}}}},
+			command{"submission of " + id, offset, record.Command{Token: 3, SubmitJob: submit(id, spec)}},
+			command{"cancel of " + id, offset, record.Command{Token: 3, CancelJobs: &record.CancelJobs{Jobs: []string{id}}}},
 		)
 	}
 	return commands
 }
 
-// operations are the operators' and the leader's own commands.
-func operations() []command {
+// operatorCommands returns commands that operators cause, and those that the leader
+// issues itself, such as the expiry of the archive.
+func operatorCommands() []command {
 	window := func(booking string, start, end time.Duration) *record.ReleaseWindow {
 		return &record.ReleaseWindow{
 			Queue: "batch", Booking: booking,
 			Start: startTime + record.MillisOf(start), End: startTime + record.MillisOf(end),
 		}
 	}
-	newLife := workerNamed("w1", "life-2", "north")
+	newIncarnation := workerNamed("w1", "life-2", "north")
 	changed := workerNamed("w2", "life-1", "south")
 	changed.Labels["film"] = "cached"
 	third := configuration()
@@ -411,7 +416,7 @@
 		{"drain taken back", 72020 * time.Millisecond, record.Command{Token: 4, DrainZone: &record.DrainZone{Zone: "east"}}},
 		{"drain of a third zone", 72030 * time.Millisecond, record.Command{Token: 4, DrainZone: &record.DrainZone{Zone: "west", Drained: true}}},
 		{"workers forgotten", 73 * time.Second, record.Command{Token: 4, ForgetWorkers: &record.ForgetWorkers{Names: []string{"plain", "w1", "unknown"}}}},
-		{"new life beside open runs, and a change", 73010 * time.Millisecond, record.Command{Token: 4, RegisterWorkers: &record.RegisterWorkers{Workers: []record.Worker{newLife, changed, workerNamed("w3", "life-1", "west")}}}},
+		{"new life beside open runs, and a change", 73010 * time.Millisecond, record.Command{Token: 4, RegisterWorkers: &record.RegisterWorkers{Workers: []record.Worker{newIncarnation, changed, workerNamed("w3", "life-1", "west")}}}},
 		{"third configuration", 74 * time.Second, record.Command{Token: 4, PutConfig: putConfig("order-5", 2, third, nil)}},
 		{"job of the added queue", 74010 * time.Millisecond, record.Command{Token: 4, SubmitJob: submit("added", jobOf("added", api.StepSpec{Name: "a", Tasks: []api.TaskSpec{{}}}))}},
 		{"earlier clock", 70 * time.Second, record.Command{Token: 4, CancelJobs: &record.CancelJobs{Jobs: []string{"doomed"}}}},
--- a/internal/compatibility/stored/stored_test.go
+++ b/internal/compatibility/stored/stored_test.go
@@ -22,7 +22,7 @@
 	"github.com/decklever/decklever/internal/storage"
 )
 
-var update = flag.Bool("update", false, "write the corpus anew with the present sources")
+var update = flag.Bool("update", false, "rewrite the corpus with the current sources")
 
 // Files of the corpus.
 const (
@@ -35,32 +35,32 @@
 	loadedSuffix = ".loaded.txt"
 )
 
-func golden(name string) string { return filepath.Join("testdata", name) }
+func goldenPath(name string) string { return filepath.Join("testdata", name) }
 
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
-	content, err := os.ReadFile(golden(name))
+	content, err := os.ReadFile(goldenPath(name))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return content
 }
 
-// TestCorpus_IsWrittenTheSame plays the script with the present code, and holds
-// what it writes against the corpus.
-func TestCorpus_IsWrittenTheSame(t *testing.T) {
+// TestCorpus_WrittenUnchanged applies the script with the current code, and compares
+// what that writes with the corpus.
+func TestCorpus_WrittenUnchanged(t *testing.T) {
 	written := writeCorpus(t)
 	if *update {
 		updateCorpus(t, written)
 	}
-	t.Run("commands", func(t *testing.T) { sameText(t, readGolden(t, commandsFile), written.commands) })
-	t.Run("results and events", func(t *testing.T) { sameText(t, readGolden(t, resultsFile), written.results) })
-	t.Run("snapshot", func(t *testing.T) { sameSnapshot(t, readGolden(t, snapshotFile), written.snapshot) })
-	t.Run("view", func(t *testing.T) { sameText(t, readGolden(t, viewFile), written.view) })
+	t.Run("commands", func(t *testing.T) { compareText(t, readGolden(t, commandsFile), written.commands) })
+	t.Run("results and events", func(t *testing.T) { compareText(t, readGolden(t, resultsFile), written.results) })
+	t.Run("snapshot", func(t *testing.T) { compareSnapshot(t, readGolden(t, snapshotFile), written.snapshot) })
+	t.Run("view", func(t *testing.T) { compareText(t, readGolden(t, viewFile), written.view) })
 	for name, directory := range written.folders {
 		t.Run("folder of the "+name, func(t *testing.T) {
-			stored := unpackFolder(t, golden(name+folderSuffix))
-			sameText(t, []byte(describeFolder(t, stored)), []byte(describeFolder(t, directory)))
+			stored := unpackFolder(t, goldenPath(name+folderSuffix))
+			compareText(t, []byte(describeFolder(t, stored)), []byte(describeFolder(t, directory)))
 		})
 	}
 }
@@ -69,44 +69,45 @@
 	t.Helper()
 	commit, err := exec.Command("git", "rev-parse", "HEAD").Output()
 	if err != nil {
-		t.Fatalf("the commit of the sources is not known: %v", err)
+		t.Fatalf("read the commit of the sources from git: %v", err)
 	}
 	files := map[string][]byte{
 		makerFile: commit, commandsFile: written.commands, resultsFile: written.results, snapshotFile: written.snapshot, viewFile: written.view,
 	}
 	for name, content := range files {
-		if err := os.WriteFile(golden(name), content, 0o600); err != nil {
+		if err := os.WriteFile(goldenPath(name), content, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for name, directory := range written.folders {
-		packFolder(t, directory, golden(name+folderSuffix))
-		store, loaded := openFolder(t, golden(name+folderSuffix))
+		packFolder(t, directory, goldenPath(name+folderSuffix))
+		store, loaded := openFolder(t, goldenPath(name+folderSuffix))
 		content := describeLoaded(t, loaded)
-		if err := errors.Join(store.Close(), os.WriteFile(golden(name+loadedSuffix), []byte(content), 0o600)); err != nil {
+		if err := errors.Join(store.Close(), os.WriteFile(goldenPath(name+loadedSuffix), []byte(content), 0o600)); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// TestFolder_IsReadToTheSameState opens the data folders of the corpus, and
-// applies what was committed to the snapshot found there.
-func TestFolder_IsReadToTheSameState(t *testing.T) {
+// TestFolder_ReplayedToSameState opens the data folders of the corpus, and applies the
+// committed entries to the stored snapshot.
+func TestFolder_ReplayedToSameState(t *testing.T) {
 	for _, name := range []string{"voter", "unshortened", "newcomer"} {
 		t.Run(name, func(t *testing.T) {
-			store, loaded := openFolder(t, golden(name+folderSuffix))
+			store, loaded := openFolder(t, goldenPath(name+folderSuffix))
 			t.Cleanup(func() { _ = store.Close() })
-			sameText(t, readGolden(t, name+loadedSuffix), []byte(describeLoaded(t, loaded)))
+			compareText(t, readGolden(t, name+loadedSuffix), []byte(describeLoaded(t, loaded)))
 			machine := replay(t, store, loaded)
 			if name != "newcomer" {
-				sameSnapshot(t, readGolden(t, snapshotFile), snapshotOf(t, machine))
-				sameText(t, readGolden(t, viewFile), viewOf(t, machine, submittedJobs()))
+				compareSnapshot(t, readGolden(t, snapshotFile), snapshotOf(t, machine))
+				compareText(t, readGolden(t, viewFile), viewOf(t, machine, submittedJobs()))
 			}
 		})
 	}
 }
 
-// openFolder opens a copy of a data folder of the corpus.
+// openFolder opens and loads a copy of a packed data folder. The caller closes the
+// store.
 func openFolder(t *testing.T, file string) (*storage.Disk, storage.LoadedState) {
 	t.Helper()
 	store, err := storage.OpenDisk(storage.DiskConfig{Directory: unpackFolder(t, file)})
@@ -120,12 +121,13 @@
 	return store, loaded
 }
 
-// newMachine returns the state machine of a replica of the corpus.
+// newMachine returns a new state machine with the settings of the corpus.
 func newMachine(store *storage.Disk) *record.Machine {
-	return record.NewMachine(record.Config{Archive: store.Archive(), MaxConfigOrders: ordersKept})
+	return record.NewMachine(record.Config{Archive: store.Archive(), MaxConfigOrders: maxConfigOrders})
 }
 
-// replay brings a machine to the state of all that was committed.
+// replay returns a state machine with the snapshot and all committed entries after it
+// applied.
 func replay(t *testing.T, store *storage.Disk, loaded storage.LoadedState) *record.Machine {
 	t.Helper()
 	machine := newMachine(store)
@@ -145,41 +147,42 @@
 	return machine
 }
 
-// TestCommand_IsReadAsItWasGiven decodes the stored commands and encodes them
-// again.
-func TestCommand_IsReadAsItWasGiven(t *testing.T) {
+// TestCommand_DecodedAndReencodedUnchanged checks that each stored command is decoded to
+// that of the script, and that encoding it again gives the same bytes.
+func TestCommand_DecodedAndReencodedUnchanged(t *testing.T) {
 	lines := strings.Split(strings.TrimSpace(string(readGolden(t, commandsFile))), "\n")
 	commands := script()
 	if len(lines) != len(commands) {
-		t.Fatalf("the corpus has %d commands, the script %d", len(lines), len(commands))
+		t.Fatalf("corpus has %d commands, want %d as in the script", len(lines), len(commands))
 	}
-	for i, line := range lines {
-		name, digits, _ := strings.Cut(line, "\t")
+	for i, text := range lines {
+		name, digits, _ := strings.Cut(text, "\t")
 		if name != commands[i].name {
-			t.Fatalf("command %d is %q, expected %q", i, name, commands[i].name)
+			t.Fatalf("command %d: got name %q, want %q", i, name, commands[i].name)
 		}
 		data, err := hex.DecodeString(digits)
 		if err != nil {
-			continue // too long to be kept whole; the log has it
+			continue // a digest because of its length; the log has all bytes
 		}
 		decoded, err := record.Decode(data)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		if difference := cmp.Diff(commands[i].Command, decoded, cmpopts.EquateEmpty()); difference != "" {
-			t.Errorf("%s (- given, + read):\n%s", name, difference)
+			t.Errorf("%s (- want, + got):\n%s", name, difference)
 		}
-		again, err := record.Encode(decoded)
+		reencoded, err := record.Encode(decoded)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if !bytes.Equal(data, again) {
-			t.Errorf("%s is written as\n%s\nexpected\n%s", name, diagnose(again), diagnose(data))
+		if !bytes.Equal(data, reencoded) {
+			t.Errorf("%s: re-encoded command: got\n%s\nwant\n%s", name, diagnose(reencoded), diagnose(data))
 		}
 	}
 }
 
-// TestScript_SetsEveryField keeps the script whole when a command gets a field.
+// TestScript_SetsEveryField checks that the script sets every field of every command,
+// so that the corpus also covers fields that are added later.
 func TestScript_SetsEveryField(t *testing.T) {
 	set := make(map[field]bool)
 	for _, c := range script() {
@@ -190,13 +193,13 @@
 	}
 }
 
-// field is a field of a type.
+// field identifies a field of a struct type by its index.
 type field struct {
-	holder reflect.Type
-	index  int
+	structType reflect.Type
+	index      int
 }
 
-// collectSet adds the fields below a value that are not zero.
+// collectSet adds the fields within a value that are not zero to set.
 func collectSet(value reflect.Value, set map[field]bool) {
 	switch value.Kind() {
 	case reflect.Pointer:
@@ -218,96 +221,97 @@
 	}
 }
 
-// missingFields names the exported fields below a type that are not in set.
-func missingFields(holder reflect.Type, set map[field]bool, seen map[reflect.Type]bool) []string {
-	for holder.Kind() == reflect.Pointer || holder.Kind() == reflect.Slice {
-		holder = holder.Elem()
+// missingFields returns the names of the exported fields within a type that are not in
+// set. It skips the types in seen, and adds those that it visits.
+func missingFields(structType reflect.Type, set map[field]bool, seen map[reflect.Type]bool) []string {
+	for structType.Kind() == reflect.Pointer || structType.Kind() == reflect.Slice {
+		structType = structType.Elem()
 	}
-	if holder.Kind() != reflect.Struct || seen[holder] {
+	if structType.Kind() != reflect.Struct || seen[structType] {
 		return nil
 	}
-	seen[holder] = true
+	seen[structType] = true
 	var missing []string
-	for i := range holder.NumField() {
-		if !holder.Field(i).IsExported() {
+	for i := range structType.NumField() {
+		if !structType.Field(i).IsExported() {
 			continue
 		}
-		if !set[field{holder, i}] {
-			missing = append(missing, holder.String()+"."+holder.Field(i).Name)
+		if !set[field{structType, i}] {
+			missing = append(missing, structType.String()+"."+structType.Field(i).Name)
 		}
-		missing = append(missing, missingFields(holder.Field(i).Type, set, seen)...)
+		missing = append(missing, missingFields(structType.Field(i).Type, set, seen)...)
 	}
 	return missing
 }
 
-// TestMembership_IsReadAndWrittenTheSame: the log holds memberships in a form of
-// package raft.
-func TestMembership_IsReadAndWrittenTheSame(t *testing.T) {
-	store, loaded := openFolder(t, golden("voter"+folderSuffix))
+// TestMembership_DecodedAndReencodedUnchanged checks the memberships in the log, which
+// package raft encodes, and that of the snapshot.
+func TestMembership_DecodedAndReencodedUnchanged(t *testing.T) {
+	store, loaded := openFolder(t, goldenPath("voter"+folderSuffix))
 	t.Cleanup(func() { _ = store.Close() })
 	if !reflect.DeepEqual(loaded.Snapshot.Membership, memberships()[3]) {
-		t.Errorf("the snapshot has the membership %+v", loaded.Snapshot.Membership)
+		t.Errorf("got membership %+v in the snapshot, want the last of memberships()", loaded.Snapshot.Membership)
 	}
-	found := 0
+	count := 0
 	for _, entry := range loaded.Entries {
 		if entry.Kind != raft.EntryMembership {
 			continue
 		}
-		found++
+		count++
 		membership, err := raft.DecodeMembership(entry.Data)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := raft.EncodeMembership(membership)
+		reencoded, err := raft.EncodeMembership(membership)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(entry.Data, again) {
-			t.Errorf("entry %d is written as %s, expected %s", entry.Index, diagnose(again), diagnose(entry.Data))
+		if !bytes.Equal(entry.Data, reencoded) {
+			t.Errorf("entry %d re-encoded: got %s, want %s", entry.Index, diagnose(reencoded), diagnose(entry.Data))
 		}
 	}
-	if found == 0 {
-		t.Error("the log of the voter has no membership")
+	if count == 0 {
+		t.Error("got no membership entry in the voter's log, want at least one")
 	}
 }
 
-// sameText compares texts by lines.
-func sameText(t *testing.T, want, got []byte) {
+// compareText compares texts line by line, and fails at the first difference.
+func compareText(t *testing.T, want, got []byte) {
 	t.Helper()
 	if bytes.Equal(want, got) {
 		return
 	}
-	wanted, found := strings.Split(string(want), "\n"), strings.Split(string(got), "\n")
-	for i := range min(len(wanted), len(found)) {
-		if wanted[i] != found[i] {
-			t.Fatalf("line %d is\n%s\nexpected\n%s", i+1, found[i], wanted[i])
+	wantRows, gotRows := strings.Split(string(want), "\n"), strings.Split(string(got), "\n")
+	for i := range min(len(wantRows), len(gotRows)) {
+		if wantRows[i] != gotRows[i] {
+			t.Fatalf("line %d: got\n%s\nwant\n%s", i+1, gotRows[i], wantRows[i])
 		}
 	}
-	t.Fatalf("%d lines, expected %d", len(found), len(wanted))
+	t.Fatalf("got %d lines, want %d", len(gotRows), len(wantRows))
 }
 
-// sameSnapshot compares snapshots of the record, and shows the first part that
-// differs.
-func sameSnapshot(t *testing.T, want, got []byte) {
+// compareSnapshot compares snapshots of a record.Machine, and reports the first part
+// that differs.
+func compareSnapshot(t *testing.T, want, got []byte) {
 	t.Helper()
 	if bytes.Equal(want, got) {
 		return
 	}
-	wanted, found := snapshotParts(t, want), snapshotParts(t, got)
-	for i := range min(len(wanted), len(found)) {
-		if !bytes.Equal(wanted[i], found[i]) {
-			t.Fatalf("part %d is\n%s\nexpected\n%s", i, diagnose(found[i]), diagnose(wanted[i]))
+	wantParts, gotParts := snapshotParts(t, want), snapshotParts(t, got)
+	for i := range min(len(wantParts), len(gotParts)) {
+		if !bytes.Equal(wantParts[i], gotParts[i]) {
+			t.Fatalf("part %d: got\n%s\nwant\n%s", i, diagnose(gotParts[i]), diagnose(wantParts[i]))
 		}
 	}
-	t.Fatalf("%d parts of %d bytes, expected %d of %d, or frame and checksum differ", len(found), len(got), len(wanted), len(want))
+	t.Fatalf("got %d parts in %d bytes, want %d in %d; if these are equal, the checksum differs", len(gotParts), len(got), len(wantParts), len(want))
 }
 
-// snapshotParts are the CBOR items between the magic and the SHA-256.
+// snapshotParts returns the CBOR items between the magic and the SHA-256 of a snapshot.
 func snapshotParts(t *testing.T, snapshot []byte) [][]byte {
 	t.Helper()
 	rest, known := bytes.CutPrefix(snapshot, []byte("decklever record\n"))
 	if !known || len(rest) < sha256.Size {
-		t.Fatalf("a snapshot begins with %q", snapshot[:min(len(snapshot), 20)])
+		t.Fatalf("snapshot begins with %q, want the magic of a record snapshot and a checksum", snapshot[:min(len(snapshot), 20)])
 	}
 	rest = rest[:len(rest)-sha256.Size]
 	var parts [][]byte
@@ -322,7 +326,7 @@
 	return parts
 }
 
-// diagnose writes CBOR as text.
+// diagnose returns CBOR in diagnostic notation, or hex digits if it is not valid.
 func diagnose(data []byte) string {
 	text, err := cbor.Diagnose(data)
 	if err != nil {
--- a/internal/compatibility/stored/testdata/earlier/maker_test.go
+++ b/internal/compatibility/stored/testdata/earlier/maker_test.go
@@ -1,6 +1,6 @@
-// Package earlier made the files of this folder. It compiles with the sources of
-// the commits that the files are named after, and not with later ones: put it
-// into a folder of such a work tree, and run
+// Package earlier wrote the commands, snapshots and data folders in this folder. It
+// compiles only with the sources of the commits that the files are named after. To run
+// it, copy it into a folder of a work tree of such a commit:
 //
 //	EARLIER_OUT=FOLDER EARLIER_COMMIT=COMMIT go test -run TestMakeEarlierForms .
 package earlier
--- a/internal/front/exchanges_test.go
+++ b/internal/front/exchanges_test.go
@@ -50,7 +50,7 @@
 func (r sampleRequest) answer(t *testing.T, front *Front) string {
 	t.Helper()
 	headers := append([]string{requestIDHeader, sampleRequestID}, r.headers...)
-	return golden.Answer(doRequest(t, front, r.method, r.path, r.body, headers...))
+	return golden.DescribeResponse(doRequest(t, front, r.method, r.path, r.body, headers...))
 }
 
 // exchangeRequests returns requests that cover each route and each kind of error it answers.
