--- a/testbed/calllog/entry.go
+++ b/testbed/calllog/entry.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Kind is what an entry records.
+// Kind is the kind of call or event that an entry records.
 type Kind string
 
 // Kinds of entries.
@@ -32,19 +32,19 @@
 	ActionTerminate Action = "terminate"
 	ActionFreeze    Action = "freeze"
 	ActionResume    Action = "resume"
-	// ActionExit is the end of a process, whoever caused it.
+	// ActionExit is the exit of a process, whether or not the test bed caused it.
 	ActionExit Action = "exit"
-	// ActionWipe is the loss of a scheduler's data folder; ActionJoined is when
-	// the fleet showed the scheduler as a voter again.
+	// ActionWipe is the loss of a scheduler's data folder; ActionJoined records that
+	// the fleet reported the scheduler as a voter again.
 	ActionWipe   Action = "wipe"
 	ActionJoined Action = "joined"
-	// ActionClock is a jump of the wall clock of one process, by Offset.
+	// ActionClock is a jump of one process's wall clock by Entry.Offset.
 	ActionClock Action = "clock"
-	// The following concern the link from Process to Peer. A partition blocks all data
-	// and new connections until it heals; stalled data is forwarded in order when the
-	// stall ends; reordered data is forwarded late, chunk by chunk; reset connections
-	// are gone. Their values are those of earlier versions, since people read old files
-	// too.
+	// The following actions apply to the link from Process to Peer. A partition blocks all
+	// data and new connections until it heals; stalled data is forwarded in order when the
+	// stall ends; reordered data is forwarded late, chunk by chunk; a reset closes the
+	// connections. The values differ from the names because files of earlier versions,
+	// which people still read, use them.
 	ActionPartition  Action = "cut"
 	ActionHeal       Action = "heal"
 	ActionStall      Action = "hold"
@@ -54,16 +54,16 @@
 	ActionReset      Action = "drop"
 )
 
-// Entry is one request with its answer, or one fault. Its JSON names are part of the
-// file format.
+// Entry is one request with its answer, one fault or one milestone. Its JSON names are
+// part of the file format.
 type Entry struct {
 	Kind Kind `json:"kind"`
-	// Sent and Answered are when the request was sent and its answer came. A fault has
-	// the same time in both.
+	// Sent and Answered are the times at which the request was sent and its answer
+	// received. For a fault both are the same.
 	Sent     monoclock.Nanos `json:"sent_ns"`
 	Answered monoclock.Nanos `json:"answered_ns"`
-	// Code and Error are those of a rejection or of a call without an answer; both are
-	// empty when the call was accepted.
+	// Code and Error describe a rejection or a call without an answer, which has no
+	// Code; both are empty if the call was accepted.
 	Code  api.ErrorCode `json:"code,omitempty"`
 	Error string        `json:"error,omitempty"`
 
@@ -71,23 +71,22 @@
 	// Spec and Class are set on submissions.
 	Spec  *api.JobSpec `json:"spec,omitempty"`
 	Class Class        `json:"class,omitempty"`
-	// Status and RetryAfter are set on submissions of a flood: the HTTP status, 0
-	// without an answer, and whether it said when to retry.
+	// Status and RetryAfter are set on submissions of a flood: the HTTP status (0
+	// without an answer) and whether the answer had a Retry-After header.
 	Status     int  `json:"status,omitempty"`
 	RetryAfter bool `json:"retry_after,omitempty"`
-	// Created is true when a submission was answered as the first of its id.
+	// Created is true if the answer said that the submission created the job.
 	Created bool `json:"created,omitempty"`
-	// Resend is true for a submission that repeats an accepted one on purpose.
+	// Resend is true for a deliberate repetition of an accepted submission.
 	Resend bool `json:"resend,omitempty"`
-	// Wait is how long the caller allowed a long poll to wait.
+	// Wait is the longest wait that the caller requested for a long poll.
 	Wait time.Duration `json:"wait_ns,omitempty"`
 	// State is the job's state in the answer to a poll or a cancellation.
 	State api.State `json:"state,omitempty"`
-	// Succeeded names tasks that this poll reported as succeeded and no earlier poll
-	// did.
+	// Succeeded names the tasks that this poll was the first to report as succeeded.
 	Succeeded []string `json:"succeeded,omitempty"`
 
-	// Milestone is set on milestones; Sent and Answered are its time.
+	// Milestone is set on milestones; Sent and Answered are both its time.
 	Milestone Milestone `json:"mark,omitempty"`
 
 	OrderID string `json:"order_id,omitempty"`
@@ -96,11 +95,11 @@
 	// Config is set on writes and reads of the configuration.
 	Config *api.Config `json:"config,omitempty"`
 
-	// Rollout is the answer to a read of the rollout.
+	// Rollout is set on reads of the rollout.
 	Rollout *api.Rollout `json:"rollout,omitempty"`
 
 	// Process, Action and Expected are set on faults. Expected is true for an exit that
-	// the test bed caused. Peer is the other end of a link.
+	// the test bed caused. Peer is the other end of the affected link.
 	Process  string        `json:"process,omitempty"`
 	Peer     string        `json:"peer,omitempty"`
 	Action   Action        `json:"action,omitempty"`
--- a/testbed/calllog/log.go
+++ b/testbed/calllog/log.go
@@ -16,11 +16,12 @@
 	entries []Entry
 	file    *os.File
 	writer  *bufio.Writer
-	failure error
+	// writeErr is the first failed write; no entry is written after it.
+	writeErr error
 }
 
 // Open returns a log that is also written to a new file at path. With an empty path it
-// stands in memory only.
+// is held in memory only.
 func Open(path string) (*Log, error) {
 	if path == "" {
 		return &Log{}, nil
@@ -32,16 +33,16 @@
 	return &Log{file: file, writer: bufio.NewWriter(file)}, nil
 }
 
-// Add appends an entry. A failure to write is returned by Close.
+// Add appends an entry. Close returns the error if writing it to the file fails.
 func (l *Log) Add(entry Entry) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.entries = append(l.entries, entry)
-	if l.writer == nil || l.failure != nil {
+	if l.writer == nil || l.writeErr != nil {
 		return
 	}
 	if err := json.NewEncoder(l.writer).Encode(entry); err != nil {
-		l.failure = fmt.Errorf("write call log: %w", err)
+		l.writeErr = fmt.Errorf("write call log: %w", err)
 	}
 }
 
@@ -52,14 +53,15 @@
 	return slices.Clone(l.entries)
 }
 
-// Close flushes and closes the file.
+// Close flushes and closes the file. Its error includes that of a failed write in Add. A
+// second call does nothing.
 func (l *Log) Close() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.writer == nil {
 		return nil
 	}
-	err := errors.Join(l.failure, l.writer.Flush(), l.file.Close())
+	err := errors.Join(l.writeErr, l.writer.Flush(), l.file.Close())
 	l.writer, l.file = nil, nil
 	return err
 }
--- a/testbed/calllog/log_test.go
+++ b/testbed/calllog/log_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestLog_KeepsOrderInMemoryAndOnDisk(t *testing.T) {
+func TestLog_PreservesOrderInMemoryAndFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger.jsonl")
 	log, err := Open(path)
 	if err != nil {
@@ -20,13 +20,13 @@
 	}
 	entries := log.Entries()
 	if len(entries) != 2 || entries[0].JobID != "a" || entries[1].JobID != "b" {
-		t.Fatalf("entries are %+v", entries)
+		t.Fatalf("got entries %+v, want those of jobs a and b in this order", entries)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if lines := bytes.Count(data, []byte("\n")); lines != 2 {
-		t.Fatalf("%d lines on disk, want 2", lines)
+		t.Fatalf("got %d lines in the file, want 2", lines)
 	}
 }
--- a/testbed/eventlog/doc.go
+++ b/testbed/eventlog/doc.go
@@ -1,7 +1,7 @@
-// Package eventlog reads the event logs in which workers write each actual start
-// and end of a run, one JSON object a line; a worker's settings call such a file
-// its journal.
+// Package eventlog reads the event logs to which workers write each actual start and
+// end of a run, one JSON object per line. A worker's settings call this file its
+// journal.
 //
-// An event log is the checker's proof of what really ran; the product never
-// reads it, and this package never writes one.
+// The checker takes the event logs as the record of what really ran. The product never
+// reads them, and this package never writes one.
 package eventlog
--- a/testbed/eventlog/event.go
+++ b/testbed/eventlog/event.go
@@ -9,10 +9,10 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Kind is what an event records.
+// Kind is the kind of an event.
 type Kind string
 
-// Events. Lines with other events are skipped.
+// Kinds of events. Lines with other kinds are skipped.
 const (
 	KindStart Kind = "start"
 	KindEnd   Kind = "end"
@@ -26,16 +26,17 @@
 	Task     string `json:"task"`
 	Run      uint32 `json:"run"`
 	WorkerID string `json:"worker_id"`
-	// Worker is the worker's name, the same over restarts.
+	// Worker is the worker's name, which survives restarts; WorkerID does not.
 	Worker string `json:"worker"`
-	// Token is the fencing token of the answer that assigned the run.
+	// Token is the fencing token of the heartbeat answer that assigned the run.
 	Token uint64 `json:"token"`
 	// Outcome is set on end events.
 	Outcome api.Outcome `json:"outcome,omitempty"`
 }
 
-// parse reads complete lines. It returns their events and the number of bytes that it
-// read; a last line without its newline is left for the next call.
+// parse parses complete lines. It returns their events and the number of bytes parsed,
+// which does not include a last line without a newline. At an invalid line it stops with
+// an error; read then includes that line.
 func parse(data []byte) (events []Event, read int, err error) {
 	for {
 		end := bytes.IndexByte(data[read:], '\n')
@@ -54,9 +55,9 @@
 	}
 }
 
-// parseLine reads one line; it reports false for events of other kinds. A worker that
-// was killed while it wrote leaves a partial line, to which its next incarnation
-// appends: then only what follows the last opening of an object is an event.
+// parseLine parses one line. It returns false for empty lines and events of other kinds.
+// A worker that is killed during a write leaves a partial line, to which its next
+// incarnation appends: in that case the event starts at the last '{"' of the line.
 func parseLine(text []byte) (Event, bool, error) {
 	text = bytes.TrimSpace(text)
 	if len(text) == 0 {
--- a/testbed/eventlog/eventlog_test.go
+++ b/testbed/eventlog/eventlog_test.go
@@ -28,35 +28,35 @@
 	}
 }
 
-func TestReader_PartialLineIsReadOnceComplete(t *testing.T) {
+func TestReader_PartialLineIsParsedOnceComplete(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "worker-01"+Suffix)
 	reader := NewReader(directory)
 	appendFile(t, path, startText+endText[:20])
 	reader.Poll()
 	if got := len(reader.Events()); got != 1 {
-		t.Fatalf("%d lines after a torn write, want 1", got)
+		t.Fatalf("got %d events after a partial write, want 1", got)
 	}
 	appendFile(t, path, endText[20:])
 	reader.Poll()
 	reader.Poll()
 	runs := Runs(reader.Events())
 	if len(runs) != 1 || runs[0].End != 200 || runs[0].Outcome != api.OutcomeSucceeded {
-		t.Fatalf("runs are %+v, want one that succeeded at 200", runs)
+		t.Fatalf("got runs %+v, want one that succeeded at 200", runs)
 	}
 	if errs := reader.Errors(); len(errs) != 0 {
-		t.Fatalf("errors: %v", errs)
+		t.Fatalf("got errors %v, want none", errs)
 	}
 }
 
-func TestReader_LineTornByKillDoesNotHideNextEvent(t *testing.T) {
+func TestReader_LineTruncatedByKillDoesNotHideNextEvent(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "worker-01"+Suffix)
 	appendFile(t, path, endText[:30]+startText+endText)
 	reader := NewReader(directory)
 	reader.Poll()
 	if got := len(reader.Events()); got != 2 {
-		t.Fatalf("%d lines, want 2: %v", got, reader.Errors())
+		t.Fatalf("got %d events, want 2; errors: %v", got, reader.Errors())
 	}
 }
 
@@ -66,16 +66,16 @@
 	reader := NewReader(directory)
 	reader.Poll()
 	if len(reader.Errors()) != 1 || len(reader.Events()) != 1 {
-		t.Fatalf("%d errors and %d lines, want 1 and 1", len(reader.Errors()), len(reader.Events()))
+		t.Fatalf("got %d errors and %d events, want 1 and 1", len(reader.Errors()), len(reader.Events()))
 	}
 }
 
-func TestParseTask_InvalidNameSaysWhatIsExpected(t *testing.T) {
+func TestParseTask_InvalidNameReturnsExpectedFormat(t *testing.T) {
 	name, err := ParseTask("job-1/step/12")
 	if err != nil || name != (TaskName{Job: "job-1", Step: "step", Index: 12}) || name.String() != "job-1/step/12" {
-		t.Fatalf("got %+v, %v", name, err)
+		t.Fatalf("got %+v, error %v, want job-1/step/12", name, err)
 	}
-	for wrong, reason := range map[string]string{
+	for invalid, want := range map[string]string{
 		"":           `task is "", expected JOB/STEP/INDEX`,
 		"a/b":        `task is "a/b", expected JOB/STEP/INDEX`,
 		"a/b/1/2/3":  `task is "a/b/1/2/3", expected JOB/STEP/INDEX`,
@@ -88,14 +88,14 @@
 		"a/b/1/last": `task is "a/b/1/last", expected an occurrence from 1 as its fourth part`,
 		"a/b/1/2":    `task is "a/b/1/2" of occurrence 2: tasks of repeating jobs are not judged`,
 	} {
-		if _, err := ParseTask(wrong); err == nil || err.Error() != reason {
-			t.Errorf("%q: %v, want %s", wrong, err, reason)
+		if _, err := ParseTask(invalid); err == nil || err.Error() != want {
+			t.Errorf("%q: got error %v, want %s", invalid, err, want)
 		}
 	}
 	if _, err := ParseTask("a/b/1/2"); !errors.Is(err, ErrLaterOccurrence) {
-		t.Errorf("a later occurrence: %v", err)
+		t.Errorf("occurrence 2: got error %v, want ErrLaterOccurrence", err)
 	}
 	if _, err := ParseTask("a/b/1/0"); errors.Is(err, ErrLaterOccurrence) {
-		t.Errorf("a wrong occurrence: %v", err)
+		t.Errorf("invalid occurrence 0: got error %v, want another than ErrLaterOccurrence", err)
 	}
 }
--- a/testbed/eventlog/reader.go
+++ b/testbed/eventlog/reader.go
@@ -16,16 +16,17 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Suffix ends the name of each event log in a folder.
+// Suffix is the file name extension of event logs.
 const Suffix = ".journal"
 
 const pollInterval = 100 * time.Millisecond
 
-// Reader follows all event logs of a folder. It is safe for concurrent use.
+// Reader reads all event logs of a folder as they grow. It is safe for concurrent use.
 type Reader struct {
 	directory string
 
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// offsets are the numbers of bytes parsed so far, by path.
 	offsets map[string]int64
 	events  []Event
 	errors  []error
@@ -36,7 +37,7 @@
 	return &Reader{directory: directory, offsets: map[string]int64{}}
 }
 
-// Follow polls the files until the context ends.
+// Follow polls the files every 100 ms until the context ends.
 func (r *Reader) Follow(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -50,7 +51,8 @@
 	}
 }
 
-// Poll reads what was appended to the files.
+// Poll reads the lines appended to the files since the last poll. Failures are returned
+// by Errors.
 func (r *Reader) Poll() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -85,8 +87,8 @@
 	return r.consume(path, data)
 }
 
-// consume reads all complete lines of data. A line that cannot be read is reported and
-// skipped; those behind it are still read.
+// consume parses all complete lines of data, which begins at the offset of path. It skips
+// invalid lines and returns their errors.
 func (r *Reader) consume(path string, data []byte) error {
 	var failures []error
 	for {
@@ -101,7 +103,7 @@
 	}
 }
 
-// Events returns all events read so far, in the order of their times.
+// Events returns all events read so far, ordered by Sort.
 func (r *Reader) Events() []Event {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -110,7 +112,7 @@
 	return events
 }
 
-// Errors returns what could not be read.
+// Errors returns the errors of all polls so far.
 func (r *Reader) Errors() []error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -131,8 +133,8 @@
 	return starts, ends
 }
 
-// Sort orders events by time; of equal times, ends go first, because they free what a
-// start may use.
+// Sort orders events by time. At equal times, ends come first, because they release
+// resources that a start may use.
 func Sort(events []Event) {
 	slices.SortStableFunc(events, func(a, b Event) int {
 		return cmp.Or(cmp.Compare(a.Mono, b.Mono), cmp.Compare(kindOrder(a.Kind), kindOrder(b.Kind)))
@@ -153,7 +155,8 @@
 	End monoclock.Nanos
 }
 
-// Runs pairs starts with their ends, in the order of the starts.
+// Runs pairs each start with its end and returns the runs in the order of their starts.
+// The events must be sorted; an end without a start is ignored.
 func Runs(events []Event) []Run {
 	type key struct {
 		task     string
--- a/testbed/eventlog/taskname.go
+++ b/testbed/eventlog/taskname.go
@@ -17,8 +17,7 @@
 	Index int
 }
 
-// TaskNames yields the names of all tasks of a job's step, in the order of their
-// indexes.
+// TaskNames yields the names of all tasks of a job's step in index order.
 func TaskNames(job string, step *api.StepSpec) iter.Seq[TaskName] {
 	return func(yield func(TaskName) bool) {
 		for index := range step.TaskCount() {
@@ -29,12 +28,12 @@
 	}
 }
 
-// ErrLaterOccurrence means that a task belongs to a later occurrence of a repeating
-// job. The test bed submits no such job, and the checker would mix up occurrences.
+// ErrLaterOccurrence means that a task belongs to a later occurrence of a repeating job.
+// The test bed submits no repeating jobs, and the checker cannot distinguish occurrences.
 var ErrLaterOccurrence = errors.New("tasks of repeating jobs are not judged")
 
-// ParseTask parses a task's full name. A name JOB/STEP/INDEX/OCCURRENCE is an
-// ErrLaterOccurrence.
+// ParseTask parses a task's full name. For a valid JOB/STEP/INDEX/OCCURRENCE it returns
+// an error that wraps ErrLaterOccurrence.
 func ParseTask(task string) (TaskName, error) {
 	parts := strings.Split(task, "/")
 	if len(parts) != 3 && len(parts) != 4 {
@@ -53,7 +52,8 @@
 	return TaskName{Job: parts[0], Step: parts[1], Index: index}, nil
 }
 
-// occurrenceError says what is wrong with a name of four parts. Occurrence 0 has none.
+// occurrenceError returns the error for a task name with four parts, of which text is the
+// last. Names of occurrence 0 have only three parts.
 func occurrenceError(task, text string) error {
 	occurrence, err := strconv.Atoi(text)
 	if err != nil || occurrence < 1 {
@@ -62,5 +62,5 @@
 	return fmt.Errorf("task is %q of occurrence %d: %w", task, occurrence, ErrLaterOccurrence)
 }
 
-// String returns the full name.
+// String returns JOB/STEP/INDEX.
 func (n TaskName) String() string { return fmt.Sprintf("%s/%s/%d", n.Job, n.Step, n.Index) }
--- a/testbed/hollow/hollow_test.go
+++ b/testbed/hollow/hollow_test.go
@@ -15,8 +15,10 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// scheduler answers watches and heartbeats, and tells of each heartbeat.
-func scheduler(t *testing.T, heard chan<- string) string {
+// startScheduler starts a fake scheduler that answers watches and heartbeats, and returns
+// its address. It sends the worker's name and id of a heartbeat to heartbeats if a receiver
+// is ready.
+func startScheduler(t *testing.T, heartbeats chan<- string) string {
 	t.Helper()
 	server := rpc.NewServer(rpc.ServerConfig{})
 	listener := httptest.NewServer(server)
@@ -30,7 +32,7 @@
 	})
 	rpc.Handle(server, protocol.MethodHeartbeat, func(_ context.Context, request protocol.HeartbeatRequest) (protocol.HeartbeatAnswer, error) {
 		select {
-		case heard <- request.Heartbeat.Name + " " + request.Heartbeat.WorkerID:
+		case heartbeats <- request.Heartbeat.Name + " " + request.Heartbeat.WorkerID:
 		default:
 		}
 		answer := api.HeartbeatAnswer{Seq: request.Heartbeat.Seq, Token: 1, HoldMillis: 3000, IntervalMillis: 20}
@@ -40,9 +42,9 @@
 }
 
 func TestNode_KilledWorkerReturnsAsNewIncarnation(t *testing.T) {
-	heard := make(chan string)
+	heartbeats := make(chan string)
 	spec := Spec{
-		Seeds: []string{scheduler(t, heard)}, Journal: filepath.Join(t.TempDir(), "journal"), Service: "work",
+		Seeds: []string{startScheduler(t, heartbeats)}, Journal: filepath.Join(t.TempDir(), "journal"), Service: "work",
 		Nodes: []NodeSpec{{Agent: "agent-1", Worker: "worker-1", Zone: "z"}},
 	}
 	process, err := NewProcess(spec, slog.New(slog.DiscardHandler))
@@ -51,48 +53,49 @@
 	}
 	requests, input := io.Pipe()
 	output, replies := io.Pipe()
-	ended := make(chan error, 1)
-	go func() { ended <- process.Run(t.Context(), requests, replies) }()
-	answers := json.NewDecoder(output)
-	ask := func(request Request) Reply {
+	runResult := make(chan error, 1)
+	go func() { runResult <- process.Run(t.Context(), requests, replies) }()
+	decoder := json.NewDecoder(output)
+	call := func(request Request) Reply {
 		t.Helper()
 		var reply Reply
 		if err := json.NewEncoder(input).Encode(request); err != nil {
 			t.Fatal(err)
 		}
-		if err := answers.Decode(&reply); err != nil {
+		if err := decoder.Decode(&reply); err != nil {
 			t.Fatal(err)
 		}
 		return reply
 	}
-	first := <-heard
-	if reply := ask(Request{Command: CommandKillWorker}); reply.Error != "" || reply.At == 0 {
-		t.Fatalf("kill was answered %+v", reply)
+	first := <-heartbeats
+	if reply := call(Request{Command: CommandKillWorker}); reply.Error != "" || reply.At == 0 {
+		t.Fatalf("kill the worker: got reply %+v, want a time and no error", reply)
 	}
-	if reply := ask(Request{Command: CommandKillWorker}); reply.Error == "" {
-		t.Error("a worker was killed twice")
+	if reply := call(Request{Command: CommandKillWorker}); reply.Error == "" {
+		t.Error("kill the worker again: got no error, want one")
 	}
-	if reply := ask(Request{Command: CommandStartWorker}); reply.Error != "" {
-		t.Fatalf("start was answered %+v", reply)
+	if reply := call(Request{Command: CommandStartWorker}); reply.Error != "" {
+		t.Fatalf("start the worker: got reply %+v, want no error", reply)
 	}
-	// The killed worker's last heartbeat may be heard late; then the new one's is.
-	second := <-heard
+	// The killed worker's last heartbeat may arrive before the first one of the new
+	// incarnation.
+	second := <-heartbeats
 	for second == first {
-		second = <-heard
+		second = <-heartbeats
 	}
 	if !strings.HasPrefix(second, "worker-1 ") {
-		t.Errorf("heard %q after %q, want the same worker with another id", second, first)
+		t.Errorf("got heartbeat of %q after %q, want worker-1 with another id", second, first)
 	}
-	if reply := ask(Request{Command: CommandCount}); reply.Counters == nil || reply.Counters.Heartbeats < 2 || reply.Counters.SentBytes == 0 {
-		t.Errorf("counters are %+v", reply.Counters)
+	if reply := call(Request{Command: CommandCount}); reply.Counters == nil || reply.Counters.Heartbeats < 2 || reply.Counters.SentBytes == 0 {
+		t.Errorf("got counters %+v, want at least 2 heartbeats and some bytes sent", reply.Counters)
 	}
-	if reply := ask(Request{Command: CommandKillAgent, Node: 1}); reply.Error == "" {
-		t.Error("an order for a node that is not there was taken")
+	if reply := call(Request{Command: CommandKillAgent, Node: 1}); reply.Error == "" {
+		t.Error("kill the agent of node 1 of 1: got no error, want one")
 	}
 	if err := input.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-ended; err != nil {
+	if err := <-runResult; err != nil {
 		t.Error(err)
 	}
 }
--- a/testbed/hollow/loopback.go
+++ b/testbed/hollow/loopback.go
@@ -8,20 +8,18 @@
 	"sync/atomic"
 )
 
-// errNoAgent is what a worker gets for a heartbeat to an agent that does not
-// run.
+// errNoAgent is the error of a worker's request while its agent is not running.
 var errNoAgent = errors.New("connection refused: the hollow agent is not running")
 
-// loopback carries a worker's requests to its agent in memory. It is an
-// http.RoundTripper.
+// loopback is an http.RoundTripper that passes a worker's requests to its agent in memory.
 type loopback struct {
-	// handler is nil while the agent does not run.
+	// handler is the agent's; nil while the agent is not running.
 	handler atomic.Pointer[http.Handler]
-	// requests counts over all nodes of the process.
+	// requests counts the requests of all nodes of the process.
 	requests *atomic.Int64
 }
 
-// connect makes the loopback lead to handler; nil disconnects it.
+// connect passes later requests to handler; nil makes them fail.
 func (l *loopback) connect(handler http.Handler) {
 	if handler == nil {
 		l.handler.Store(nil)
@@ -30,17 +28,17 @@
 	l.handler.Store(&handler)
 }
 
-// RoundTrip implements http.RoundTripper. An answer of an agent that was
-// killed meanwhile is lost, as it would be on a socket.
+// RoundTrip implements http.RoundTripper. If the agent is killed before it has answered,
+// the answer is lost, as it would be on a socket.
 func (l *loopback) RoundTrip(request *http.Request) (*http.Response, error) {
 	l.requests.Add(1)
-	serving := l.handler.Load()
-	if serving == nil {
+	handler := l.handler.Load()
+	if handler == nil {
 		return nil, errNoAgent
 	}
 	answer := &answerWriter{header: http.Header{}, status: http.StatusOK}
-	(*serving).ServeHTTP(answer, request)
-	if l.handler.Load() != serving {
+	(*handler).ServeHTTP(answer, request)
+	if l.handler.Load() != handler {
 		return nil, errNoAgent
 	}
 	if err := request.Context().Err(); err != nil {
@@ -54,7 +52,7 @@
 	}, nil
 }
 
-// answerWriter buffers what a handler answers.
+// answerWriter is an http.ResponseWriter that buffers the answer.
 type answerWriter struct {
 	header http.Header
 	status int
--- a/testbed/hollow/loopback_test.go
+++ b/testbed/hollow/loopback_test.go
@@ -27,20 +27,20 @@
 	})
 	link.connect(handler)
 	if body, err := send(); err != nil || body != "answer" {
-		t.Errorf("a running agent answered %q, %v", body, err)
+		t.Errorf("running agent: got %q, error %v, want \"answer\"", body, err)
 	}
 	link.connect(nil)
 	if _, err := send(); !errors.Is(err, errNoAgent) || served != 1 {
-		t.Errorf("a request to a stopped agent: %v, %d served", err, served)
+		t.Errorf("stopped agent: got error %v and %d served requests, want errNoAgent and 1", err, served)
 	}
 	link.connect(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		handler(writer, request)
 		link.connect(nil)
 	}))
 	if _, err := send(); !errors.Is(err, errNoAgent) || served != 2 {
-		t.Errorf("an answer of an agent that stopped meanwhile: %v, %d served", err, served)
+		t.Errorf("agent stopped while answering: got error %v and %d served requests, want errNoAgent and 2", err, served)
 	}
 	if sent := link.requests.Load(); sent != 3 {
-		t.Errorf("%d requests were counted, want 3", sent)
+		t.Errorf("got %d counted requests, want 3", sent)
 	}
 }
--- a/testbed/hollow/node.go
+++ b/testbed/hollow/node.go
@@ -17,40 +17,43 @@
 )
 
 const (
-	// agentURL is what a hollow worker calls its agent; it is never resolved.
+	// agentURL is the URL under which a hollow worker calls its agent; it is never
+	// resolved.
 	agentURL = "http://agent.invalid"
-	// relayTimeout is the agent's default.
+	// relayTimeout equals the default of the real agent.
 	relayTimeout = time.Second
 )
 
 var (
-	errRunning    = errors.New("it runs already")
-	errNotRunning = errors.New("it is not running")
+	errRunning    = errors.New("already running")
+	errNotRunning = errors.New("not running")
 )
 
-// shared is what all nodes of a process use.
+// shared is the state that all nodes of a process share.
 type shared struct {
-	spec     Spec
-	journal  *worker.Journal
-	metrics  *rpc.Metrics
+	spec    Spec
+	journal *worker.Journal
+	metrics *rpc.Metrics
+	// requests counts the requests of workers to their agents.
 	requests atomic.Int64
 }
 
-// node is one side machine: an agent and a worker, each of which can be killed and
-// started again. The goroutine of Process.Run owns it.
+// node simulates one worker machine: an agent and a worker, each of which can be killed
+// and started again. The goroutine of Process.Run owns it.
 type node struct {
 	shared    *shared
 	spec      NodeSpec
 	agentLink *loopback
-	agent     *agentIncarnation
-	worker    *workerIncarnation
+	// agent and worker are nil while not running.
+	agent  *agentIncarnation
+	worker *workerIncarnation
 }
 
 func newNode(shared *shared, spec NodeSpec) *node {
 	return &node{shared: shared, spec: spec, agentLink: &loopback{requests: &shared.requests}}
 }
 
-// agentIncarnation is one start of an agent.
+// agentIncarnation is an agent from its start until it is killed.
 type agentIncarnation struct {
 	client *rpc.Client
 	stop   context.CancelFunc
@@ -68,7 +71,7 @@
 		Process: n.spec.Agent, Role: "agent", Zone: n.spec.Zone, VersionOnly: true,
 		Seeds: func() []string { return n.shared.spec.Seeds }, Client: client,
 	})
-	served, err := agent.New(agent.Config{
+	handler, err := agent.New(agent.Config{
 		Name: n.spec.Agent, Zone: func() string { return n.spec.Zone },
 		RelayTimeout: relayTimeout, Link: link, Client: client,
 	})
@@ -77,8 +80,8 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	n.agent = &agentIncarnation{client: client, stop: stop}
-	n.agent.done.Go(func() { _ = link.Run(ctx) }) // it returns nil
-	n.agentLink.connect(served)
+	n.agent.done.Go(func() { _ = link.Run(ctx) }) // always returns nil
+	n.agentLink.connect(handler)
 	return nil
 }
 
@@ -94,7 +97,8 @@
 	return nil
 }
 
-// workerIncarnation is one start of a worker.
+// workerIncarnation is a worker from its start until it is killed. The mutex guards
+// killed.
 type workerIncarnation struct {
 	stop context.CancelFunc
 	done sync.WaitGroup
@@ -103,36 +107,36 @@
 	killed bool
 }
 
-// write writes to the event log unless the worker has been killed.
-func (l *workerIncarnation) write(write func(worker.Event), event worker.Event) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if !l.killed {
-		write(event)
+// logEvent records an event in the event log unless the worker has been killed.
+func (w *workerIncarnation) logEvent(record func(worker.Event), event worker.Event) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if !w.killed {
+		record(event)
 	}
 }
 
-func (l *workerIncarnation) kill() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.killed = true
+func (w *workerIncarnation) kill() {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.killed = true
 }
 
-// killSwitch disconnects a killed worker from its agent, which may run on.
-type killSwitch struct {
+// killableTransport disconnects a killed worker from its agent, which may still be running.
+type killableTransport struct {
 	incarnation *workerIncarnation
 	next        http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
-func (g killSwitch) RoundTrip(request *http.Request) (*http.Response, error) {
-	g.incarnation.mutex.Lock()
-	dead := g.incarnation.killed
-	g.incarnation.mutex.Unlock()
-	if dead {
+func (t killableTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	t.incarnation.mutex.Lock()
+	killed := t.incarnation.killed
+	t.incarnation.mutex.Unlock()
+	if killed {
 		return nil, errNotRunning
 	}
-	return g.next.RoundTrip(request)
+	return t.next.RoundTrip(request)
 }
 
 func (n *node) startWorker(ctx context.Context) error {
@@ -140,21 +144,22 @@
 		return fmt.Errorf("start worker %s: %w", n.spec.Worker, errRunning)
 	}
 	incarnation := &workerIncarnation{}
-	made, err := worker.New(worker.Config{
+	instance, err := worker.New(worker.Config{
 		Name: n.spec.Worker, AgentURL: agentURL, Capacity: n.spec.Capacity, Labels: n.spec.Labels,
-		HTTPClient: &http.Client{Transport: killSwitch{incarnation, n.agentLink}},
-		OnStart:    func(event worker.Event) { incarnation.write(n.shared.journal.Start, event) },
-		OnEnd:      func(event worker.Event) { incarnation.write(n.shared.journal.End, event) },
-		// The test bed ends a worker only by killing it.
+		HTTPClient: &http.Client{Transport: killableTransport{incarnation, n.agentLink}},
+		OnStart:    func(event worker.Event) { incarnation.logEvent(n.shared.journal.Start, event) },
+		OnEnd:      func(event worker.Event) { incarnation.logEvent(n.shared.journal.End, event) },
+		// No time for a shutdown: the test bed stops a worker only by killing it.
 		DrainTimeout: -1, ReportTimeout: -1,
 	})
 	if err != nil {
 		return fmt.Errorf("start worker %s: %w", n.spec.Worker, err)
 	}
-	made.Handle(n.shared.spec.Service, taskhandlers.Handlers()[taskhandlers.Sleep])
+	instance.Handle(n.shared.spec.Service, taskhandlers.Handlers()[taskhandlers.Sleep])
 	ctx, incarnation.stop = context.WithCancel(ctx)
-	// A killed worker leaves handlers and reports behind, which Run says.
-	incarnation.done.Go(func() { _ = made.Run(ctx) })
+	// Run's error only says that handlers or reports were left, which is expected of a
+	// killed worker.
+	incarnation.done.Go(func() { _ = instance.Run(ctx) })
 	n.worker = incarnation
 	return nil
 }
@@ -170,12 +175,12 @@
 	return nil
 }
 
-// kill ends whatever still runs.
-func (n *node) kill() {
+// killRunning kills the worker and the agent if they are running.
+func (n *node) killRunning() {
 	if n.worker != nil {
-		_ = n.killWorker() // it runs
+		_ = n.killWorker() // fails only if not running
 	}
 	if n.agent != nil {
-		_ = n.killAgent() // it runs
+		_ = n.killAgent() // fails only if not running
 	}
 }
--- a/testbed/hollow/process.go
+++ b/testbed/hollow/process.go
@@ -25,7 +25,8 @@
 	nodes    []*node
 }
 
-// NewProcess opens the journal; it starts nothing yet.
+// NewProcess opens the event log at spec.Journal and creates the nodes without starting
+// them.
 func NewProcess(spec Spec, logger *slog.Logger) (*Process, error) {
 	registry := prometheus.NewRegistry()
 	metrics, err := rpc.NewMetrics(registry)
@@ -37,14 +38,15 @@
 		return nil, err
 	}
 	p := &Process{shared: &shared{spec: spec, journal: journal, metrics: metrics}, registry: registry}
-	for _, one := range spec.Nodes {
-		p.nodes = append(p.nodes, newNode(p.shared, one))
+	for _, nodeSpec := range spec.Nodes {
+		p.nodes = append(p.nodes, newNode(p.shared, nodeSpec))
 	}
 	return p, nil
 }
 
-// Run starts all nodes and carries out the requests that it reads, until there
-// are no more or the context ends. Then it kills all nodes.
+// Run starts all nodes, then executes requests and writes their replies until requests
+// ends or the context is cancelled. Before it returns it kills all nodes and closes the
+// event log.
 func (p *Process) Run(ctx context.Context, requests io.Reader, replies io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -58,11 +60,11 @@
 }
 
 func (p *Process) close() error {
-	var ending sync.WaitGroup
+	var kills sync.WaitGroup
 	for _, node := range p.nodes {
-		ending.Go(node.kill)
+		kills.Go(node.killRunning)
 	}
-	ending.Wait()
+	kills.Wait()
 	return p.shared.journal.Close()
 }
 
@@ -104,21 +106,21 @@
 	if request.Node < 0 || request.Node >= len(p.nodes) {
 		return fmt.Errorf("node is %d, expected 0 to %d", request.Node, len(p.nodes)-1)
 	}
-	one := p.nodes[request.Node]
+	target := p.nodes[request.Node]
 	switch request.Command {
 	case CommandKillWorker:
-		return one.killWorker()
+		return target.killWorker()
 	case CommandStartWorker:
-		return one.startWorker(ctx)
+		return target.startWorker(ctx)
 	case CommandKillAgent:
-		return one.killAgent()
+		return target.killAgent()
 	case CommandStartAgent:
-		return one.startAgent(ctx)
+		return target.startAgent(ctx)
 	}
-	return fmt.Errorf("command is %q, expected one that is known", request.Command)
+	return fmt.Errorf("command is %q, expected kill-worker, start-worker, kill-agent, start-agent or count", request.Command)
 }
 
-// counters sums what the nodes have sent and received.
+// counters returns the sums over all nodes.
 func (p *Process) counters() (Counters, error) {
 	counters := Counters{Calls: map[string]float64{}, Heartbeats: p.shared.requests.Load()}
 	families, err := p.registry.Gather()
@@ -147,5 +149,5 @@
 
 var (
 	_ http.RoundTripper = (*loopback)(nil)
-	_ http.RoundTripper = killSwitch{}
+	_ http.RoundTripper = killableTransport{}
 )
--- a/testbed/hollow/spec.go
+++ b/testbed/hollow/spec.go
@@ -9,9 +9,9 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// NodeSpec describes one hollow side machine.
+// NodeSpec describes one hollow node.
 type NodeSpec struct {
-	// Agent and Worker are the names of its two parts.
+	// Agent and Worker are the names of the node's agent and worker.
 	Agent    string            `json:"agent"`
 	Worker   string            `json:"worker"`
 	Zone     string            `json:"zone"`
@@ -23,14 +23,14 @@
 type Spec struct {
 	// Seeds are the schedulers' addresses.
 	Seeds []string `json:"seeds"`
-	// Journal is the file that all workers of the process write to.
+	// Journal is the path of the event log that all workers of the process share.
 	Journal string `json:"journal"`
-	// Service is what every worker offers; its tasks sleep.
+	// Service is the service that every worker offers; its tasks only sleep.
 	Service string     `json:"service"`
 	Nodes   []NodeSpec `json:"nodes"`
 }
 
-// ReadSpec reads a file that WriteSpec wrote.
+// ReadSpec reads a file written by WriteSpec.
 func ReadSpec(path string) (Spec, error) {
 	var spec Spec
 	data, err := os.ReadFile(path)
@@ -43,7 +43,7 @@
 	return spec, nil
 }
 
-// WriteSpec writes the file that a hollow process starts from.
+// WriteSpec writes the file from which a hollow process reads its nodes.
 func WriteSpec(path string, spec Spec) error {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -55,33 +55,35 @@
 	return nil
 }
 
-// Command is what a hollow process is asked to do, one JSON line each.
+// Command is an action that a Request makes a hollow process take.
 type Command string
 
-// Orders.
+// Commands.
 const (
-	// CommandKillWorker ends a worker as SIGKILL would: nothing is logged or reported
-	// any more.
+	// CommandKillWorker stops a worker as SIGKILL would: it logs and reports nothing
+	// afterwards.
 	CommandKillWorker Command = "kill-worker"
 	// CommandStartWorker starts a killed worker again, with a new worker id.
 	CommandStartWorker Command = "start-worker"
-	// CommandKillAgent ends an agent: its worker is isolated and its lease expires.
+	// CommandKillAgent stops an agent: its worker is isolated and the worker's lease
+	// expires.
 	CommandKillAgent Command = "kill-agent"
 	// CommandStartAgent starts a killed agent again.
 	CommandStartAgent Command = "start-agent"
-	// CommandCount asks for the process's counters.
+	// CommandCount returns the process's counters.
 	CommandCount Command = "count"
 )
 
-// Request is one line to a hollow process. Node counts from 0.
+// Request is one JSON line sent to a hollow process. Node is an index into Spec.Nodes,
+// from 0; CommandCount ignores it.
 type Request struct {
 	Command Command `json:"order"`
 	Node    int     `json:"node"`
 }
 
-// Reply answers one Request.
+// Reply is the JSON line that answers one Request.
 type Reply struct {
-	// At is when the command had been carried out.
+	// At is the time at which the command had been executed.
 	At       monoclock.Nanos `json:"at_ns"`
 	Error    string          `json:"error,omitempty"`
 	Counters *Counters       `json:"counters,omitempty"`
@@ -89,12 +91,12 @@
 
 // Counters are sums over all nodes of the process since its start.
 type Counters struct {
-	// Calls that the agents made to schedulers, by method.
+	// Calls are the numbers of calls from agents to schedulers, by method.
 	Calls map[string]float64 `json:"calls"`
-	// SentBytes and ReceivedBytes passed between the agents and schedulers,
-	// headers included.
+	// SentBytes and ReceivedBytes are the bytes that agents sent to and received from
+	// schedulers, headers included.
 	SentBytes     float64 `json:"sent_bytes"`
 	ReceivedBytes float64 `json:"received_bytes"`
-	// Heartbeats are those that the workers sent.
+	// Heartbeats is the number of heartbeats that workers sent to their agents.
 	Heartbeats int64 `json:"heartbeats"`
 }
--- a/testbed/load/caller.go
+++ b/testbed/load/caller.go
@@ -13,36 +13,38 @@
 )
 
 const (
-	// pollWait is how long a front may hold a long poll. It is shorter than the 3 s in
-	// which a state must be readable, because the client waits anew at the next front
-	// when one has failed.
+	// pollWait is the longest wait of a long poll at a front. It is shorter than the 3 s
+	// within which a state must be readable, because the client starts a new wait at the
+	// next front when one has failed.
 	pollWait = 2 * time.Second
-	// callTimeout is how long a caller retries one call at all fronts before it is
+	// callTimeout bounds the retries of one call at all fronts; after it, the call is
 	// recorded as unanswered.
 	callTimeout = 15 * time.Second
-	// pollInterval is the backoff after a poll that failed or was answered early.
+	// pollInterval is the backoff after a poll that failed or found the job not final,
+	// and after a failed cancellation.
 	pollInterval = 50 * time.Millisecond
 
+	// idleConnections is the limit of idle connections per front.
 	idleConnections = 256
 )
 
-func newTransport() *http.Client {
+func newHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: idleConnections}}
 }
 
-// caller is one caller of the fleet.
+// caller submits, polls and cancels jobs, and records each call in the call log.
 type caller struct {
 	client  *api.Client
 	callLog *calllog.Log
-	// seenSucceeded are the tasks that a poll reported as succeeded already.
+	// seenSucceeded has the tasks that a poll of the watched job reported as succeeded.
 	seenSucceeded map[string]bool
 }
 
-// submit submits a job until there is a final answer. It reports whether the job was
-// accepted.
-func (c *caller) submit(ctx context.Context, one jobPlan) bool {
+// submit submits a job. It retries while the service is unavailable or the outcome unknown,
+// until the context ends, and reports whether the job was accepted.
+func (c *caller) submit(ctx context.Context, plan jobPlan) bool {
 	for {
-		entry := c.submitOnce(ctx, one, false)
+		entry := c.submitOnce(ctx, plan, false)
 		switch {
 		case entry.Accepted():
 			return true
@@ -55,25 +57,25 @@
 }
 
 // resend submits an accepted job once more.
-func (c *caller) resend(ctx context.Context, one jobPlan) { c.submitOnce(ctx, one, true) }
+func (c *caller) resend(ctx context.Context, plan jobPlan) { c.submitOnce(ctx, plan, true) }
 
-func (c *caller) submitOnce(ctx context.Context, one jobPlan, resend bool) calllog.Entry {
+func (c *caller) submitOnce(ctx context.Context, plan jobPlan, resend bool) calllog.Entry {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	entry := calllog.Entry{Kind: calllog.KindSubmit, Sent: monoclock.Now(), JobID: one.id, Spec: &one.spec, Class: one.class, Resend: resend}
-	created, err := c.client.SubmitJob(ctx, one.id, one.spec)
+	entry := calllog.Entry{Kind: calllog.KindSubmit, Sent: monoclock.Now(), JobID: plan.id, Spec: &plan.spec, Class: plan.class, Resend: resend}
+	created, err := c.client.SubmitJob(ctx, plan.id, plan.spec)
 	entry.Answered, entry.Created = monoclock.Now(), created
-	entry.Code, entry.Error = operator.Refusal(err)
+	entry.Code, entry.Error = operator.ErrorFields(err)
 	c.callLog.Add(entry)
 	return entry
 }
 
-// watch polls a job until it is final. It reports false if the context ended
+// watch polls a job until its state is final. It returns false if the context ended
 // before that.
-func (c *caller) watch(ctx context.Context, one jobPlan) bool {
+func (c *caller) watch(ctx context.Context, plan jobPlan) bool {
 	c.seenSucceeded = map[string]bool{}
 	for ctx.Err() == nil {
-		state := c.poll(ctx, one.id)
+		state := c.poll(ctx, plan.id)
 		if state.Final() {
 			return true
 		}
@@ -83,21 +85,22 @@
 }
 
 func (c *caller) poll(ctx context.Context, id string) api.State {
-	limited, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	entry := calllog.Entry{Kind: calllog.KindPoll, Sent: monoclock.Now(), JobID: id, Wait: pollWait}
-	status, err := c.client.Job(limited, id, pollWait)
+	status, err := c.client.Job(callCtx, id, pollWait)
 	if ctx.Err() != nil {
 		return ""
 	}
 	entry.Answered, entry.State = monoclock.Now(), status.State
-	entry.Code, entry.Error = operator.Refusal(err)
+	entry.Code, entry.Error = operator.ErrorFields(err)
 	entry.Succeeded = c.newlySucceeded(status)
 	c.callLog.Add(entry)
 	return status.State
 }
 
-// newlySucceeded returns tasks that no earlier poll reported as succeeded.
+// newlySucceeded returns the succeeded tasks that no earlier poll reported, and adds them
+// to seenSucceeded.
 func (c *caller) newlySucceeded(status api.JobStatus) []string {
 	var tasks []string
 	for _, step := range status.Steps {
@@ -111,15 +114,16 @@
 	return tasks
 }
 
-// cancel cancels a job, until there is an answer or the context ends.
+// cancel cancels a job. It retries until the job is cancelled or not found, or the
+// context ends.
 func (c *caller) cancel(ctx context.Context, id string) {
 	for ctx.Err() == nil {
-		limited, stop := context.WithTimeout(ctx, callTimeout)
+		callCtx, stop := context.WithTimeout(ctx, callTimeout)
 		entry := calllog.Entry{Kind: calllog.KindCancel, Sent: monoclock.Now(), JobID: id}
-		status, err := c.client.CancelJob(limited, id)
+		status, err := c.client.CancelJob(callCtx, id)
 		stop()
 		entry.Answered, entry.State = monoclock.Now(), status.State
-		entry.Code, entry.Error = operator.Refusal(err)
+		entry.Code, entry.Error = operator.ErrorFields(err)
 		c.callLog.Add(entry)
 		if err == nil || entry.Code == api.CodeNotFound {
 			return
--- a/testbed/load/doc.go
+++ b/testbed/load/doc.go
@@ -1,5 +1,5 @@
-// Package load is the callers of the test bed: from a seed it submits the jobs of a
-// deployment at their rates, whatever the answers (an open loop), sends some
-// again on purpose, and follows each job until it is final. All that it sees
-// is recorded in the call log.
+// Package load generates the load of the test bed: from a seed it submits the jobs of
+// a deployment at their rates, independent of the answers (an open loop), resubmits some
+// deliberately, and polls each job until it is final. It records each call and its answer
+// in the call log.
 package load
--- a/testbed/load/flood.go
+++ b/testbed/load/flood.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// attemptTimeout bounds one attempt of a flood. A front answers within 3 s.
+	// attemptTimeout bounds one submission of a flood. A front answers within 3 s.
 	attemptTimeout = 4 * time.Second
-	// limitBackoff is the backoff of a caller that was rejected by a limit.
-	limitBackoff = 100 * time.Millisecond
+	// overLimitBackoff is the backoff after a submission rejected by a limit.
+	overLimitBackoff = 100 * time.Millisecond
 )
 
-// Flood submits each job once, from that many callers, each as fast as it gets answers.
-// It bypasses the api client, which would hide a 503 by retrying.
+// Flood submits each job once, with at most concurrency requests at a time and no pause
+// between them. It bypasses the api client, whose retries would hide a 503.
 func (g *Generator) Flood(ctx context.Context, concurrency, jobs int, job func(number int) Job) {
-	transport := newTransport()
-	defer transport.CloseIdleConnections()
+	httpClient := newHTTPClient()
+	defer httpClient.CloseIdleConnections()
 	g.forEach(concurrency, jobs, func(number int) {
 		if ctx.Err() != nil {
 			return
 		}
 		g.submitted.Add(1)
 		endpoint := g.config.Endpoints[number%len(g.config.Endpoints)]
-		g.config.CallLog.Add(attempt(ctx, transport, endpoint, job(number)))
+		g.config.CallLog.Add(attempt(ctx, httpClient, endpoint, job(number)))
 	})
 }
 
-// attempt submits a job at one front and returns what was answered.
-func attempt(ctx context.Context, transport *http.Client, endpoint string, job Job) calllog.Entry {
+// attempt submits a job to one front and returns the entry for the call log.
+func attempt(ctx context.Context, httpClient *http.Client, endpoint string, job Job) calllog.Entry {
 	entry := calllog.Entry{Kind: calllog.KindSubmit, Sent: monoclock.Now(), JobID: job.ID, Spec: &job.Spec, Class: job.Class}
-	answer, err := put(ctx, transport, endpoint+"/v1/jobs/"+job.ID, job.Spec)
+	answer, err := putJob(ctx, httpClient, endpoint+"/v1/jobs/"+job.ID, job.Spec)
 	entry.Answered = monoclock.Now()
 	if err != nil {
 		entry.Error = err.Error()
@@ -54,14 +54,15 @@
 	return entry
 }
 
-// rawResponse is one HTTP response.
+// rawResponse is the HTTP response to a submission. The rejection is zero if the job was
+// accepted.
 type rawResponse struct {
 	status     int
 	retryAfter bool
 	rejection  api.Error
 }
 
-func put(ctx context.Context, transport *http.Client, url string, spec api.JobSpec) (rawResponse, error) {
+func putJob(ctx context.Context, httpClient *http.Client, url string, spec api.JobSpec) (rawResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	body, err := json.Marshal(spec)
@@ -73,7 +74,7 @@
 		return rawResponse{}, fmt.Errorf("make request: %w", err)
 	}
 	request.Header.Set("Content-Type", "application/json")
-	response, err := transport.Do(request)
+	response, err := httpClient.Do(request)
 	if err != nil {
 		return rawResponse{}, fmt.Errorf("submit: %w", err)
 	}
--- a/testbed/load/jobs.go
+++ b/testbed/load/jobs.go
@@ -13,7 +13,7 @@
 	"github.com/decklever/decklever/testbed/operator"
 )
 
-// Job is one that a scenario submits beside the ordinary load.
+// Job is a job that a scenario submits in addition to the ordinary load.
 type Job struct {
 	ID    string
 	Spec  api.JobSpec
@@ -25,13 +25,13 @@
 // Submit submits a job and polls it until it is final, in a goroutine of its own.
 func (g *Generator) Submit(job Job) { g.follow(job.jobPlan()) }
 
-// SubmitAll submits jobs from that many callers at once and returns the ids of those
-// accepted. It retries while a limit rejects a job, and it does not watch the jobs.
+// SubmitAll submits jobs, at most concurrency at a time, and returns the ids of those
+// accepted. It retries submissions that a limit rejects. It does not poll the jobs.
 func (g *Generator) SubmitAll(ctx context.Context, concurrency int, jobs []Job) []string {
 	accepted := make([]bool, len(jobs))
 	g.forEach(concurrency, len(jobs), func(index int) {
 		g.submitted.Add(1)
-		accepted[index] = g.caller(index).retryOverLimit(ctx, jobs[index].jobPlan())
+		accepted[index] = g.newCaller(index).retryOverLimit(ctx, jobs[index].jobPlan())
 	})
 	var ids []string
 	for index, job := range jobs {
@@ -43,16 +43,16 @@
 	return ids
 }
 
-// retryOverLimit submits a job until it is accepted, rejected for another reason
-// than a limit, or the context ends.
-func (c *caller) retryOverLimit(ctx context.Context, one jobPlan) bool {
+// retryOverLimit submits a job until it is accepted, it is rejected for a reason other
+// than a limit, or the context ends. It reports whether the job was accepted.
+func (c *caller) retryOverLimit(ctx context.Context, plan jobPlan) bool {
 	for ctx.Err() == nil {
-		entry := c.submitOnce(ctx, one, false)
+		entry := c.submitOnce(ctx, plan, false)
 		switch {
 		case entry.Accepted():
 			return true
 		case entry.Code == api.CodeOverLimit:
-			contexttime.Sleep(ctx, limitBackoff)
+			contexttime.Sleep(ctx, overLimitBackoff)
 		case entry.Code != api.CodeUnavailable && entry.Code != api.CodeOutcomeUnknown:
 			return false
 		}
@@ -60,12 +60,12 @@
 	return false
 }
 
-// Watch polls each job, that many at once, until it is final. It returns how many are;
-// fewer than all if the context ended before.
+// Watch polls jobs, at most concurrency at a time, until they are final. It returns the
+// number of final jobs, which is less than all if the context ended first.
 func (g *Generator) Watch(ctx context.Context, concurrency int, ids []string) int {
 	var final atomic.Int64
 	g.forEach(concurrency, len(ids), func(index int) {
-		if g.caller(index).watch(ctx, jobPlan{id: ids[index]}) {
+		if g.newCaller(index).watch(ctx, jobPlan{id: ids[index]}) {
 			final.Add(1)
 		}
 	})
@@ -73,19 +73,19 @@
 	return int(final.Load())
 }
 
-// Cancel cancels jobs one by one, that many at once.
+// Cancel cancels jobs with one call per job, at most concurrency at a time.
 func (g *Generator) Cancel(ctx context.Context, concurrency int, ids []string) {
-	g.forEach(concurrency, len(ids), func(index int) { g.caller(index).cancel(ctx, ids[index]) })
+	g.forEach(concurrency, len(ids), func(index int) { g.newCaller(index).cancel(ctx, ids[index]) })
 }
 
-// CancelQueue cancels all jobs of a queue in one call, and retries until there is an
-// answer. The call log gets one entry for each of the ids, which are the queue's
-// accepted jobs. It returns how many jobs the call cancelled.
+// CancelQueue cancels all jobs of a queue in one call, which the client retries until it
+// is answered, and returns how many jobs were cancelled. The ids must be those of the
+// queue's accepted jobs; the call log gets one entry for each.
 func (g *Generator) CancelQueue(ctx context.Context, queue string, ids []string) (int, error) {
 	sent := monoclock.Now()
 	cancelled, err := g.clients[0].CancelJobs(ctx, api.CancelRequest{Queue: queue})
 	entry := calllog.Entry{Kind: calllog.KindCancel, Sent: sent, Answered: monoclock.Now()}
-	entry.Code, entry.Error = operator.Refusal(err)
+	entry.Code, entry.Error = operator.ErrorFields(err)
 	for _, id := range ids {
 		entry.JobID = id
 		g.config.CallLog.Add(entry)
@@ -93,17 +93,18 @@
 	return cancelled, err
 }
 
-// RecordMilestone records a time of the scenario.
+// RecordMilestone records in the call log that the scenario reached a milestone.
 func (g *Generator) RecordMilestone(milestone calllog.Milestone, at monoclock.Nanos) {
 	g.config.CallLog.Add(calllog.Entry{Kind: calllog.KindMilestone, Sent: at, Answered: at, Milestone: milestone})
 }
 
-// caller returns a caller for the job of that number.
-func (g *Generator) caller(number int) *caller {
-	return &caller{client: g.clients[number%callers], callLog: g.config.CallLog}
+// newCaller returns a caller for a job; number selects the client.
+func (g *Generator) newCaller(number int) *caller {
+	return &caller{client: g.clients[number%clientCount], callLog: g.config.CallLog}
 }
 
-// forEach calls visit for every index below count, that many at once.
+// forEach calls visit for every index below count, at most concurrency at a time, and
+// waits for all calls.
 func (g *Generator) forEach(concurrency, count int, visit func(index int)) {
 	var group errgroup.Group
 	group.SetLimit(concurrency)
--- a/testbed/load/jobs_test.go
+++ b/testbed/load/jobs_test.go
@@ -15,8 +15,8 @@
 	"github.com/decklever/decklever/testbed/calllog"
 )
 
-// generatorFor returns a generator of one front and its call log.
-func generatorFor(t *testing.T, front http.HandlerFunc) (*Generator, *calllog.Log) {
+// newTestGenerator returns a generator that calls one fake front, and its call log.
+func newTestGenerator(t *testing.T, front http.HandlerFunc) (*Generator, *calllog.Log) {
 	t.Helper()
 	server := httptest.NewServer(front)
 	t.Cleanup(server.Close)
@@ -32,7 +32,7 @@
 	return generator, callLog
 }
 
-func answer(writer http.ResponseWriter, status int, body any) {
+func writeAnswer(writer http.ResponseWriter, status int, body any) {
 	if status == http.StatusServiceUnavailable {
 		writer.Header().Set("Retry-After", "1")
 	}
@@ -42,15 +42,15 @@
 
 func TestFlood_AttemptsEachJobOnceAndRecordsAnswer(t *testing.T) {
 	statuses := []int{422, 429, 503, 500, 201}
-	generator, callLog := generatorFor(t, func(writer http.ResponseWriter, request *http.Request) {
+	generator, callLog := newTestGenerator(t, func(writer http.ResponseWriter, request *http.Request) {
 		var number int
 		_, _ = fmt.Sscanf(request.URL.Path, "/v1/jobs/j%d", &number)
 		status := statuses[number%len(statuses)]
 		if status == http.StatusCreated {
-			answer(writer, status, api.SubmitAnswer{Created: true})
+			writeAnswer(writer, status, api.SubmitAnswer{Created: true})
 			return
 		}
-		answer(writer, status, api.Error{Status: status, Code: "because", Message: "m"})
+		writeAnswer(writer, status, api.Error{Status: status, Code: "because", Message: "m"})
 	})
 	const jobs = 50
 	generator.Flood(t.Context(), 4, jobs, func(number int) Job {
@@ -61,28 +61,28 @@
 	for _, entry := range callLog.Entries() {
 		counts[entry.Status]++
 		ids[entry.JobID] = true
-		refused := entry.Status != http.StatusCreated
+		rejected := entry.Status != http.StatusCreated
 		if entry.Class != calllog.ClassImpossible || entry.RetryAfter != (entry.Status == 503) ||
-			entry.Accepted() == refused || (entry.Code == "because") != refused {
-			t.Errorf("entry is %+v", entry)
+			entry.Accepted() == rejected || (entry.Code == "because") != rejected {
+			t.Errorf("got entry %+v, want class impossible, Retry-After only with 503, and a code only with a rejection", entry)
 		}
 	}
 	want := map[int]int{422: 10, 429: 10, 503: 10, 500: 10, 201: 10}
 	if difference := cmp.Diff(want, counts); difference != "" || len(ids) != jobs {
-		t.Errorf("%d jobs; statuses: %s", len(ids), difference)
+		t.Errorf("got %d jobs, want 50; statuses (-want +got): %s", len(ids), difference)
 	}
 }
 
 func TestSubmitAll_RetriesWhileLimited(t *testing.T) {
 	var calls atomic.Int64
-	generator, callLog := generatorFor(t, func(writer http.ResponseWriter, request *http.Request) {
+	generator, callLog := newTestGenerator(t, func(writer http.ResponseWriter, request *http.Request) {
 		switch {
 		case strings.HasSuffix(request.URL.Path, "wrong"):
-			answer(writer, 422, api.Error{Status: 422, Code: api.CodeInvalid, Message: "m"})
+			writeAnswer(writer, 422, api.Error{Status: 422, Code: api.CodeInvalid, Message: "m"})
 		case calls.Add(1) == 1:
-			answer(writer, 429, api.Error{Status: 429, Code: api.CodeOverLimit, Message: "m", RetryAfterMillis: 1})
+			writeAnswer(writer, 429, api.Error{Status: 429, Code: api.CodeOverLimit, Message: "m", RetryAfterMillis: 1})
 		default:
-			answer(writer, 201, api.SubmitAnswer{Created: true})
+			writeAnswer(writer, 201, api.SubmitAnswer{Created: true})
 		}
 	})
 	jobs := []Job{{ID: "a", Class: calllog.ClassBooked}, {ID: "wrong"}, {ID: "b", Class: calllog.ClassBooked}}
@@ -91,25 +91,25 @@
 		t.Error(difference)
 	}
 	if entries := callLog.Entries(); len(entries) != 4 || entries[0].Code != api.CodeOverLimit || entries[1].Class != calllog.ClassBooked {
-		t.Errorf("entries are %+v", entries)
+		t.Errorf("got entries %+v, want 4, the first over the limit and the second of class booked", entries)
 	}
 }
 
 func TestCancelQueue_RecordsEachJob(t *testing.T) {
-	generator, callLog := generatorFor(t, func(writer http.ResponseWriter, request *http.Request) {
-		var asked api.CancelRequest
-		_ = json.NewDecoder(request.Body).Decode(&asked)
-		if request.URL.Path != "/v1/cancellations" || asked.Queue != "q" {
-			t.Errorf("%s asked for %+v", request.URL.Path, asked)
+	generator, callLog := newTestGenerator(t, func(writer http.ResponseWriter, request *http.Request) {
+		var cancelRequest api.CancelRequest
+		_ = json.NewDecoder(request.Body).Decode(&cancelRequest)
+		if request.URL.Path != "/v1/cancellations" || cancelRequest.Queue != "q" {
+			t.Errorf("got path %s with %+v, want /v1/cancellations for queue q", request.URL.Path, cancelRequest)
 		}
-		answer(writer, 200, api.CancelAnswer{Cancelled: 2})
+		writeAnswer(writer, 200, api.CancelAnswer{Cancelled: 2})
 	})
 	cancelled, err := generator.CancelQueue(t.Context(), "q", []string{"a", "b"})
 	entries := callLog.Entries()
 	if err != nil || cancelled != 2 || len(entries) != 2 {
-		t.Fatalf("%d cancelled, %v, entries %+v", cancelled, err, entries)
+		t.Fatalf("got %d cancelled, error %v, entries %+v, want 2 cancelled and 2 entries", cancelled, err, entries)
 	}
 	if entries[0].JobID != "a" || entries[1].JobID != "b" || entries[1].Kind != calllog.KindCancel || !entries[1].Accepted() {
-		t.Errorf("entries are %+v", entries)
+		t.Errorf("got entries %+v, want accepted cancellations of a and b", entries)
 	}
 }
--- a/testbed/load/load_test.go
+++ b/testbed/load/load_test.go
@@ -22,26 +22,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	same, again, other := newPlanner(7, "short", d.Shapes.Short, true), newPlanner(7, "short", d.Shapes.Short, true), newPlanner(8, "short", d.Shapes.Short, true)
+	same, repeated, other := newPlanner(7, "short", d.Shapes.Short, true), newPlanner(7, "short", d.Shapes.Short, true), newPlanner(8, "short", d.Shapes.Short, true)
 	differs := false
-	var length time.Duration
+	var totalInterval time.Duration
 	const count = 500
 	for range count {
-		one := same.next()
-		if difference := cmp.Diff(one, again.next(), cmp.AllowUnexported(jobPlan{})); difference != "" {
-			t.Fatalf("the same seed gave another job: %s", difference)
+		plan := same.next()
+		if difference := cmp.Diff(plan, repeated.next(), cmp.AllowUnexported(jobPlan{})); difference != "" {
+			t.Fatalf("got another job from the same seed (-first +second): %s", difference)
 		}
-		differs = differs || one.interval != other.next().interval
-		if wrong := api.ValidateJob(one.id, &one.spec, &d.Config); len(wrong) != 0 {
-			t.Fatalf("%s is not valid: %v", one.id, wrong)
+		differs = differs || plan.interval != other.next().interval
+		if problems := api.ValidateJob(plan.id, &plan.spec, &d.Config); len(problems) != 0 {
+			t.Fatalf("%s: got problems %v, want a valid job", plan.id, problems)
 		}
-		length += one.interval
+		totalInterval += plan.interval
 	}
 	if !differs {
-		t.Error("another seed gave the same jobs")
+		t.Error("got the same intervals from seeds 7 and 8, want others")
 	}
-	if rate := count / length.Seconds(); rate < 11 || rate > 16 {
-		t.Errorf("%.1f jobs a second, want about 13.5", rate)
+	if rate := count / totalInterval.Seconds(); rate < 11 || rate > 16 {
+		t.Errorf("got %.1f jobs per second, want 11 to 16 (drawn at 13.5)", rate)
 	}
 }
 
@@ -54,38 +54,39 @@
 	plain, special := newPlanner(7, "short", d.Shapes.Short, false), newPlanner(7, "short", d.Shapes.Short, true)
 	var resent, timed, gangs int
 	for range count {
-		if one := plain.next(); one.timed || one.spec.Steps[0].Together {
-			t.Fatalf("%s has a rarer rule, which was not allowed", one.id)
+		if plan := plain.next(); plan.timed || plan.spec.Steps[0].Together {
+			t.Fatalf("%s: got a timed job or a gang from a planner without the rarer rules", plan.id)
 		}
-		one := special.next()
-		resent += ifTrue(one.resend)
-		timed += ifTrue(one.timed)
-		gangs += ifTrue(one.spec.Steps[0].Together)
+		plan := special.next()
+		resent += boolToInt(plan.resend)
+		timed += boolToInt(plan.timed)
+		gangs += boolToInt(plan.spec.Steps[0].Together)
 	}
 	for name, drawn := range map[string]struct {
 		count int
 		share float64
 	}{"resent": {resent, resendShare}, "timed": {timed, timedShare}, "gangs": {gangs, gangShare}} {
 		if share := float64(drawn.count) / count; share < drawn.share/2 || share > 2*drawn.share {
-			t.Errorf("%s: a share of %.3f, want about %.3f", name, share, drawn.share)
+			t.Errorf("%s: got a share of %.3f, want between half and twice %.3f", name, share, drawn.share)
 		}
 	}
 }
 
-func ifTrue(condition bool) int {
+func boolToInt(condition bool) int {
 	if condition {
 		return 1
 	}
 	return 0
 }
 
-// standIn is a front that knows every job and lets it end at its second poll.
-type standIn struct {
+// fakeFront is a front that accepts every job. A job succeeds at its second poll; a
+// cancellation counts as a poll.
+type fakeFront struct {
 	mutex sync.Mutex
 	polls map[string]int
 }
 
-func (s *standIn) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (s *fakeFront) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	id, _, cancel := strings.Cut(strings.TrimPrefix(request.URL.Path, "/v1/jobs/"), "/")
@@ -111,7 +112,7 @@
 }
 
 func TestCaller_RecordsEachCall(t *testing.T) {
-	server := httptest.NewServer(&standIn{polls: map[string]int{}})
+	server := httptest.NewServer(&fakeFront{polls: map[string]int{}})
 	defer server.Close()
 	client, err := api.NewClient(api.ClientConfig{Endpoints: []string{server.URL}})
 	if err != nil {
@@ -121,14 +122,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := jobPlan{id: "j", resend: true}
+	plan := jobPlan{id: "j", resend: true}
 	caller := &caller{client: client, callLog: callLog}
-	if !caller.submit(t.Context(), one) {
-		t.Fatal("the job was not accepted")
+	if !caller.submit(t.Context(), plan) {
+		t.Fatal("submit: got false, want the job accepted")
 	}
-	caller.resend(t.Context(), one)
-	if !caller.watch(t.Context(), one) {
-		t.Fatal("the job did not end")
+	caller.resend(t.Context(), plan)
+	if !caller.watch(t.Context(), plan) {
+		t.Fatal("watch: got false, want the job final")
 	}
 	var kinds []calllog.Kind
 	entries := callLog.Entries()
@@ -140,10 +141,10 @@
 		t.Fatal(difference)
 	}
 	if !entries[0].Created || entries[1].Created || !entries[1].Resend {
-		t.Errorf("submits are %+v and %+v", entries[0], entries[1])
+		t.Errorf("got submissions %+v and %+v, want the first to create the job and the second to be a resend", entries[0], entries[1])
 	}
 	if entries[2].State != api.StateRunning || !cmp.Equal(entries[3].Succeeded, []string{"j/s/0"}) {
-		t.Errorf("polls are %+v and %+v", entries[2], entries[3])
+		t.Errorf("got polls %+v and %+v, want a running job, then j/s/0 succeeded", entries[2], entries[3])
 	}
 }
 
@@ -164,11 +165,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended, cancel := context.WithCancel(t.Context())
+	cancelledCtx, cancel := context.WithCancel(t.Context())
 	cancel()
-	generator.Run(ended)
-	generator.Finish(ended)
+	generator.Run(cancelledCtx)
+	generator.Finish(cancelledCtx)
 	if counts := generator.Counts(); counts.Accepted != 0 || counts.Submitted < int64(d.Shapes.UntilCancelledJobs) {
-		t.Errorf("counts are %+v", counts)
+		t.Errorf("got counts %+v, want no job accepted and all jobs until cancelled submitted", counts)
 	}
 }
--- a/testbed/load/plan.go
+++ b/testbed/load/plan.go
@@ -11,32 +11,31 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
-// Shares of jobs that use one of the rules which few callers need.
 const (
-	// Shares of jobs that use one of the rarer rules.
+	// Shares of jobs that use one of the rarer rules, which few callers need.
 	resendShare = 0.02
 	timedShare  = 0.05
 	gangShare   = 0.05
 	spreadShare = 0.05
 	labelShare  = 0.05
 
-	// timedDelay is how far in the future a timed step lies at its submission.
+	// timedDelay is the time from the submission of a timed job to its not_before.
 	timedDelay = time.Second
-	// spreadZones is how many zones must be available for all tasks of a step that is
-	// spread by zone to run at once.
+	// spreadZones is the number of zones that suffice to run all tasks of a step spread
+	// by zone at once; one zone may be unavailable.
 	spreadZones = deployment.Zones - 1
 )
 
-// jobPlan is one job to be submitted.
+// jobPlan is a job to submit.
 type jobPlan struct {
 	id    string
 	spec  api.JobSpec
 	class calllog.Class
-	// interval is the time since the job before it.
+	// interval is the time since the previous job was due.
 	interval time.Duration
-	// resend: it is submitted again once it was accepted.
+	// resend means that the job is submitted again after it was accepted.
 	resend bool
-	// timed: its last step gets a not_before when it is submitted.
+	// timed means that the last step gets a not_before at the submission.
 	timed bool
 }
 
@@ -46,17 +45,17 @@
 	shape  deployment.Shape
 	random *rand.Rand
 	count  int
-	// special allows the rarer rules.
-	special bool
+	// allowRareRules is whether jobs may be timed, gangs, spread or labelled.
+	allowRareRules bool
 }
 
-func newPlanner(seed uint64, kind string, shape deployment.Shape, special bool) *planner {
+func newPlanner(seed uint64, kind string, shape deployment.Shape, allowRareRules bool) *planner {
 	var stream uint64
 	for _, letter := range kind {
 		stream = stream*31 + uint64(letter)
 	}
 	return &planner{
-		prefix: fmt.Sprintf("lab-%d-%s", seed, kind), shape: shape, special: special,
+		prefix: fmt.Sprintf("lab-%d-%s", seed, kind), shape: shape, allowRareRules: allowRareRules,
 		random: rand.New(rand.NewPCG(seed, stream)),
 	}
 }
@@ -64,14 +63,14 @@
 // next draws the next job.
 func (p *planner) next() jobPlan {
 	p.count++
-	one := jobPlan{id: fmt.Sprintf("%s-%06d", p.prefix, p.count), spec: p.spec()}
+	plan := jobPlan{id: fmt.Sprintf("%s-%06d", p.prefix, p.count), spec: p.spec()}
 	if p.shape.JobsPerSecond > 0 {
-		one.interval = time.Duration(p.random.ExpFloat64() / p.shape.JobsPerSecond * float64(time.Second))
+		plan.interval = time.Duration(p.random.ExpFloat64() / p.shape.JobsPerSecond * float64(time.Second))
 	}
-	one.resend = p.random.Float64() < resendShare
-	one.timed = p.drawSpecial(timedShare)
-	p.addRules(&one.spec.Steps[0])
-	return one
+	plan.resend = p.random.Float64() < resendShare
+	plan.timed = p.drawRareRule(timedShare)
+	p.addRules(&plan.spec.Steps[0])
+	return plan
 }
 
 func (p *planner) spec() api.JobSpec {
@@ -90,18 +89,18 @@
 	return spec
 }
 
-// sleepPayload is what the worker's sleep handler takes.
+// sleepPayload is the payload of the worker's sleep, flaky and slow handlers.
 type sleepPayload struct {
 	Millis int64 `json:"millis"`
-	// Probability is read by the flaky handler alone.
+	// Probability is read by the flaky handler only.
 	Probability float64 `json:"probability,omitempty"`
-	// Factor is read by the slow handler alone.
+	// Factor is read by the slow handler only.
 	Factor float64 `json:"factor,omitempty"`
 }
 
 func (p *planner) task() api.TaskSpec {
-	length := p.shape.MinRunTime + time.Duration(p.random.Int64N(int64(p.shape.MaxRunTime-p.shape.MinRunTime)+1))
-	payload, err := json.Marshal(sleepPayload{length.Milliseconds(), p.shape.FailureFraction, p.shape.SlowFactor})
+	runTime := p.shape.MinRunTime + time.Duration(p.random.Int64N(int64(p.shape.MaxRunTime-p.shape.MinRunTime)+1))
+	payload, err := json.Marshal(sleepPayload{runTime.Milliseconds(), p.shape.FailureFraction, p.shape.SlowFactor})
 	if err != nil {
 		panic(fmt.Sprintf("load: a payload has no JSON form: %v", err))
 	}
@@ -115,11 +114,12 @@
 	return task
 }
 
-// addRules draws which rules the first step has.
+// addRules draws which of the rarer rules the step has. The number of draws does not
+// depend on allowRareRules.
 func (p *planner) addRules(step *api.StepSpec) {
-	step.Together = p.drawSpecial(gangShare)
-	spread := p.drawSpecial(spreadShare)
-	labelled := p.drawSpecial(labelShare)
+	step.Together = p.drawRareRule(gangShare)
+	spread := p.drawRareRule(spreadShare)
+	labelled := p.drawRareRule(labelShare)
 	maxPerDomain := (len(step.Tasks) + spreadZones - 1) / spreadZones
 	for index := range step.Tasks {
 		if spread {
@@ -131,16 +131,16 @@
 	}
 }
 
-func (p *planner) drawSpecial(share float64) bool {
-	drawn := p.random.Float64() < share
-	return p.special && drawn
+func (p *planner) drawRareRule(share float64) bool {
+	selected := p.random.Float64() < share
+	return p.allowRareRules && selected
 }
 
-// setTime gives a timed job its earliest start.
-func (one *jobPlan) setTime(now time.Time) {
-	if !one.timed {
+// setNotBefore sets the not_before of a timed job's last step to timedDelay after now.
+func (p *jobPlan) setNotBefore(now time.Time) {
+	if !p.timed {
 		return
 	}
 	notBefore := now.Add(timedDelay).UTC().Round(time.Millisecond)
-	one.spec.Steps[len(one.spec.Steps)-1].NotBefore = &notBefore
+	p.spec.Steps[len(p.spec.Steps)-1].NotBefore = &notBefore
 }
--- a/testbed/model/callers_test.go
+++ b/testbed/model/callers_test.go
@@ -195,7 +195,7 @@
 // record adds a call and its answer to the call log and returns the completed entry.
 func (c *caller) record(entry calllog.Entry, err error) calllog.Entry {
 	entry.Answered = c.fleet.now()
-	entry.Code, entry.Error = operator.Refusal(err)
+	entry.Code, entry.Error = operator.ErrorFields(err)
 	c.fleet.calls.Add(entry)
 	return entry
 }
--- a/testbed/model/floods_test.go
+++ b/testbed/model/floods_test.go
@@ -79,7 +79,7 @@
 		o.fleet.t.Error("got an invalid configuration accepted, want it rejected")
 	}
 	status, err := o.client.Config(ctx)
-	if code, _ := operator.Refusal(err); code != "" || len(status.Config.Queues) != 1 || status.Config.Queues[0].Weight < 0 {
+	if code, _ := operator.ErrorFields(err); code != "" || len(status.Config.Queues) != 1 || status.Config.Queues[0].Weight < 0 {
 		o.fleet.t.Errorf("got configuration in force %+v, error %v after an invalid configuration, want the previous one", status, err)
 	}
 }
--- a/testbed/model/operators_test.go
+++ b/testbed/model/operators_test.go
@@ -92,7 +92,7 @@
 		version, err := o.client.PutConfig(limited, order.base, order.id, order.config)
 		cancel()
 		entry.Answered, entry.Version = o.fleet.now(), version
-		entry.Code, entry.Error = operator.Refusal(err)
+		entry.Code, entry.Error = operator.ErrorFields(err)
 		o.fleet.calls.Add(entry)
 		var refusal *api.Error
 		if err == nil {
@@ -125,7 +125,7 @@
 	entry := calllog.Entry{Kind: calllog.KindConfigRead, Sent: o.fleet.now()}
 	status, err := o.client.Config(ctx)
 	entry.Answered, entry.Version, entry.Config = o.fleet.now(), status.Version, &status.Config
-	entry.Code, entry.Error = operator.Refusal(err)
+	entry.Code, entry.Error = operator.ErrorFields(err)
 	o.fleet.calls.Add(entry)
 }
 
--- a/testbed/run/doc.go
+++ b/testbed/run/doc.go
@@ -1,7 +1,7 @@
-// Package run is one run of the test bed: it starts a fleet, loads it while a
-// scenario goes on, waits until all jobs have ended, stops the fleet, and has
-// what was observed checked.
+// Package run executes one run of the test bed: it starts a fleet, submits load while
+// a scenario runs, waits until all jobs have ended, stops the fleet, and checks the
+// recorded history.
 //
-// It owns the folder of the run and everything that it starts, and has stopped
-// all of it when Run returns.
+// It owns the run's folder and every process and goroutine that it starts; all of them
+// have stopped when Run returns.
 package run
--- a/testbed/run/rollout.go
+++ b/testbed/run/rollout.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// rolloutInterval is the time between two reads of the rollout.
+	// rolloutInterval is the interval between reads of the rollout; rolloutTimeout
+	// bounds each read.
 	rolloutInterval = 500 * time.Millisecond
 	rolloutTimeout  = 3 * time.Second
 )
 
-// watchRollout records which process has which configuration in force, until the
-// context ends.
-func (t *activeRun) watchRollout(ctx context.Context) {
+// watchRollout records periodically which configuration each process has in force, until
+// the context ends.
+func (r *activeRun) watchRollout(ctx context.Context) {
 	ticker := time.NewTicker(rolloutInterval)
 	defer ticker.Stop()
 	for {
@@ -21,8 +22,8 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			limited, cancel := context.WithTimeout(ctx, rolloutTimeout)
-			_, _ = t.operatorClient.Rollout(limited) // the call log has the failure
+			callCtx, cancel := context.WithTimeout(ctx, rolloutTimeout)
+			_, _ = r.operatorClient.Rollout(callCtx) // an error is recorded in the call log
 			cancel()
 		}
 	}
--- a/testbed/run/run.go
+++ b/testbed/run/run.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	// readyTimeout bounds the start of a fleet.
+	// readyTimeout bounds the wait until the started fleet is ready.
 	readyTimeout = 60 * time.Second
-	// finishTimeout bounds the wait for all jobs to end after the load.
+	// finishTimeout bounds the wait for all jobs to end after the load has stopped.
 	finishTimeout = 30 * time.Second
-	// runsEndTimeout bounds the wait for runs of cancelled jobs to stop. It is
-	// longer than the 5 s that the checker allows for that.
+	// runsEndTimeout bounds the wait for the runs of cancelled jobs to end. It is longer
+	// than the 5 s that the checker allows, so that a late end is still recorded.
 	runsEndTimeout  = 6 * time.Second
 	runsEndInterval = 100 * time.Millisecond
 	// SummaryFile is the name of the JSON summary in the out folder.
@@ -37,7 +37,7 @@
 	callLogFile = "ledger.jsonl"
 )
 
-// Config says what to run.
+// Config configures one run.
 type Config struct {
 	Deployment deployment.Deployment
 	Scenario   scenario.Scenario
@@ -46,175 +46,179 @@
 	Duration time.Duration
 	// Out is a new or empty folder for all files of the run.
 	Out string
-	// Binaries is the folder of the programs.
+	// Binaries is the folder of the decklever programs.
 	Binaries string
-	// PreviousBinaries is the folder of the programs of an earlier version, for
-	// scenarios that start from them. Default: Binaries.
+	// PreviousBinaries is the folder of an earlier version's programs, for scenarios
+	// that start from that version. Default: Binaries.
 	PreviousBinaries string
 	LogLevel         string
-	// Progress gets a line every 5 s.
+	// Progress receives a line every 5 s. Default: none is written.
 	Progress io.Writer
 }
 
-// activeRun is a run in progress.
+// activeRun is a run in progress. Its failures are reported in the summary.
 type activeRun struct {
 	config         Config
-	calls          *calllog.Log
+	callLog        *calllog.Log
 	fleet          *fleet.Fleet
 	operatorClient *operator.Operator
-	callers        *load.Generator
+	generator      *load.Generator
 	events         *eventlog.Reader
 	sampler        *fleet.Sampler
 	failures       []error
 }
 
-// Run carries out one run. An error means that there is no summary: the fleet did not
-// start or the context ended.
+// Run executes one run, and writes the summary that it returns to SummaryFile. It returns
+// an error without a summary if the run could not be prepared, the fleet did not start or
+// the context ended, and an error with the summary if the file could not be written.
 func Run(ctx context.Context, config Config) (report.Summary, error) {
-	t, err := open(config)
+	r, err := prepare(config)
 	if err != nil {
 		return report.Summary{}, err
 	}
 	anchor := monoclock.NewAnchor()
-	observed, err := t.observe(ctx)
-	stopErr := errors.Join(t.fleet.Stop(), t.calls.Close())
+	observed, err := r.observe(ctx)
+	stopErr := errors.Join(r.fleet.Stop(), r.callLog.Close())
 	if err != nil {
 		return report.Summary{}, errors.Join(err, stopErr)
 	}
 	if stopErr != nil {
-		t.failures = append(t.failures, stopErr)
+		r.failures = append(r.failures, stopErr)
 	}
 	observed.Anchor = anchor
-	summary := t.summarize(observed)
+	summary := r.summarize(observed)
 	return summary, writeSummary(filepath.Join(config.Out, SummaryFile), summary)
 }
 
-// open prepares everything and starts nothing.
-func open(config Config) (*activeRun, error) {
-	if err := emptyFolder(config.Out); err != nil {
+// prepare creates the out folder, the call log and the fleet; it starts no process.
+func prepare(config Config) (*activeRun, error) {
+	if err := ensureEmptyFolder(config.Out); err != nil {
 		return nil, err
 	}
 	if config.Scenario.Prepare != nil {
 		config.Scenario.Prepare(&config.Deployment)
 	}
-	calls, err := calllog.Open(filepath.Join(config.Out, callLogFile))
+	callLog, err := calllog.Open(filepath.Join(config.Out, callLogFile))
 	if err != nil {
 		return nil, err
 	}
-	t := &activeRun{config: config, calls: calls}
-	t.fleet, err = fleet.New(fleet.Config{
+	r := &activeRun{config: config, callLog: callLog}
+	r.fleet, err = fleet.New(fleet.Config{
 		Deployment: config.Deployment, Directory: filepath.Join(config.Out, "fleet"),
 		Binaries: config.Binaries, PreviousBinaries: config.PreviousBinaries, FirstVersion: config.Scenario.FirstVersion,
-		CallLog: calls, LogLevel: config.LogLevel, Seed: config.Seed,
+		CallLog: callLog, LogLevel: config.LogLevel, Seed: config.Seed,
 	})
 	if err != nil {
-		return nil, errors.Join(err, calls.Close())
+		return nil, errors.Join(err, callLog.Close())
 	}
-	t.operatorClient = operator.New(t.fleet.Client(), calls)
-	t.events = eventlog.NewReader(t.fleet.EventLogDirectory())
-	t.sampler = fleet.NewSampler(t.fleet)
-	return t, nil
+	r.operatorClient = operator.New(r.fleet.Client(), callLog)
+	r.events = eventlog.NewReader(r.fleet.EventLogDirectory())
+	r.sampler = fleet.NewSampler(r.fleet)
+	return r, nil
 }
 
-func emptyFolder(path string) error {
+func ensureEmptyFolder(path string) error {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return fmt.Errorf("out folder: %w", err)
 	}
-	found, err := os.ReadDir(path)
+	entries, err := os.ReadDir(path)
 	if err != nil {
 		return fmt.Errorf("out folder: %w", err)
 	}
-	if len(found) > 0 {
+	if len(entries) > 0 {
 		return fmt.Errorf("out folder %s is not empty", path)
 	}
 	return nil
 }
 
-// observe runs the fleet and returns the history of the run.
-func (t *activeRun) observe(ctx context.Context) (checker.Input, error) {
-	if err := t.start(ctx); err != nil {
+// observe starts the fleet, runs load and scenario, and returns the recorded history. The
+// caller stops the fleet.
+func (r *activeRun) observe(ctx context.Context) (checker.Input, error) {
+	if err := r.start(ctx); err != nil {
 		return checker.Input{}, err
 	}
-	watching, stopWatching := context.WithCancel(ctx)
+	watchCtx, stopWatchers := context.WithCancel(ctx)
 	var watchers sync.WaitGroup
 	defer watchers.Wait()
-	defer stopWatching()
-	watchers.Go(func() { t.events.Follow(watching) })
-	watchers.Go(func() { t.sampler.Run(watching) })
-	watchers.Go(func() { t.reportProgress(watching) })
-	watchers.Go(func() { t.watchRollout(watching) })
-
-	from := monoclock.Now()
-	to := t.loadDuringScenario(ctx)
-	t.finish(ctx)
+	defer stopWatchers()
+	watchers.Go(func() { r.events.Follow(watchCtx) })
+	watchers.Go(func() { r.sampler.Run(watchCtx) })
+	watchers.Go(func() { r.reportProgress(watchCtx) })
+	watchers.Go(func() { r.watchRollout(watchCtx) })
+
+	loadFrom := monoclock.Now()
+	loadTo := r.loadDuringScenario(ctx)
+	r.finish(ctx)
 	if err := ctx.Err(); err != nil {
 		return checker.Input{}, fmt.Errorf("run: %w", err)
 	}
-	t.events.Poll()
+	r.events.Poll()
 	return checker.Input{
-		Entries: t.calls.Entries(), Events: t.events.Events(), Workers: workers(t.config.Deployment), Schedulers: schedulers(t.config.Deployment),
-		Config: t.config.Deployment.Config, LoadFrom: from, LoadTo: to, EndedAt: monoclock.Now(),
+		Entries: r.callLog.Entries(), Events: r.events.Events(), Workers: checkerWorkers(r.config.Deployment), Schedulers: schedulerNames(r.config.Deployment),
+		Config: r.config.Deployment.Config, LoadFrom: loadFrom, LoadTo: loadTo, EndedAt: monoclock.Now(),
 	}, nil
 }
 
-func (t *activeRun) start(ctx context.Context) error {
-	if err := t.fleet.Start(); err != nil {
+func (r *activeRun) start(ctx context.Context) error {
+	if err := r.fleet.Start(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	began := time.Now()
-	if err := t.fleet.WaitReady(ctx, t.operatorClient); err != nil {
-		return fmt.Errorf("the fleet did not start, see %s: %w", t.fleet.LogDirectory(), err)
+	if err := r.fleet.WaitReady(ctx, r.operatorClient); err != nil {
+		return fmt.Errorf("the fleet did not start, see %s: %w", r.fleet.LogDirectory(), err)
 	}
-	t.progress("fleet ready after %v", time.Since(began).Round(time.Millisecond))
+	r.progress("fleet ready after %v", time.Since(began).Round(time.Millisecond))
 	var err error
-	t.callers, err = load.New(load.Config{
-		Endpoints: t.config.Deployment.FrontURLs(), Shapes: t.config.Deployment.Shapes, Seed: t.config.Seed, CallLog: t.calls,
+	r.generator, err = load.New(load.Config{
+		Endpoints: r.config.Deployment.FrontURLs(), Shapes: r.config.Deployment.Shapes, Seed: r.config.Seed, CallLog: r.callLog,
 	})
 	return err
 }
 
-// loadDuringScenario runs load and scenario side by side until both are over. It
-// returns the end of the load.
-func (t *activeRun) loadDuringScenario(ctx context.Context) monoclock.Nanos {
-	loading, cancel := context.WithTimeout(ctx, t.config.Duration)
+// loadDuringScenario runs load and scenario concurrently until both have ended. It
+// returns the time at which the load ended.
+func (r *activeRun) loadDuringScenario(ctx context.Context) monoclock.Nanos {
+	loadCtx, cancel := context.WithTimeout(ctx, r.config.Duration)
 	defer cancel()
-	var running sync.WaitGroup
-	var failure error
-	running.Go(func() {
-		failure = t.config.Scenario.Run(ctx, scenario.Env{
-			Fleet: t.fleet, Operator: t.operatorClient, Callers: t.callers, Seed: t.config.Seed, Duration: t.config.Duration,
+	var scenarioRun sync.WaitGroup
+	var scenarioErr error
+	scenarioRun.Go(func() {
+		scenarioErr = r.config.Scenario.Run(ctx, scenario.Env{
+			Fleet: r.fleet, Operator: r.operatorClient, Callers: r.generator, Seed: r.config.Seed, Duration: r.config.Duration,
 		})
 	})
-	t.callers.Run(loading)
-	to := monoclock.Now()
-	running.Wait()
-	if failure != nil {
-		t.failures = append(t.failures, fmt.Errorf("scenario %s: %w", t.config.Scenario.Name, failure))
+	r.generator.Run(loadCtx)
+	loadTo := monoclock.Now()
+	scenarioRun.Wait()
+	if scenarioErr != nil {
+		r.failures = append(r.failures, fmt.Errorf("scenario %s: %w", r.config.Scenario.Name, scenarioErr))
 	}
-	return to
+	return loadTo
 }
 
-// finish waits until all jobs and their runs have ended.
-func (t *activeRun) finish(ctx context.Context) {
-	finishing, cancel := context.WithTimeout(ctx, finishTimeout)
+// finish cancels the jobs that run until cancelled and waits until all jobs and their runs
+// have ended, within finishTimeout and runsEndTimeout.
+func (r *activeRun) finish(ctx context.Context) {
+	finishCtx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
-	t.callers.Finish(finishing)
-	if _, err := t.operatorClient.Read(finishing); err != nil {
-		t.failures = append(t.failures, fmt.Errorf("last read of the configuration: %w", err))
+	r.generator.Finish(finishCtx)
+	if _, err := r.operatorClient.Read(finishCtx); err != nil {
+		r.failures = append(r.failures, fmt.Errorf("last read of the configuration: %w", err))
 	}
-	ending, cancelSettling := context.WithTimeout(ctx, runsEndTimeout)
-	defer cancelSettling()
-	t.waitRunsEnded(ending)
+	runsEndCtx, cancelRunsEnd := context.WithTimeout(ctx, runsEndTimeout)
+	defer cancelRunsEnd()
+	r.waitRunsEnded(runsEndCtx)
 }
 
-// waitRunsEnded waits until the event logs have no open run or the context ends.
-func (t *activeRun) waitRunsEnded(ctx context.Context) {
+// waitRunsEnded waits until the event logs have as many ends as starts, or the context
+// ends.
+func (r *activeRun) waitRunsEnded(ctx context.Context) {
 	ticker := time.NewTicker(runsEndInterval)
 	defer ticker.Stop()
 	for {
-		if starts, ends := t.events.Counts(); starts == ends {
+		if starts, ends := r.events.Counts(); starts == ends {
 			return
 		}
 		select {
@@ -225,12 +229,12 @@
 	}
 }
 
-// summarize checks the history and sums it up.
-func (t *activeRun) summarize(observed checker.Input) report.Summary {
+// summarize checks the recorded history and builds the summary.
+func (r *activeRun) summarize(observed checker.Input) report.Summary {
 	return report.Build(report.Input{
-		Deployment: t.config.Deployment.Name, Scenario: t.config.Scenario.Name, Seed: t.config.Seed,
-		Duration: t.config.Duration, Observed: observed, Result: checker.All(observed),
-		Usage: t.sampler.Usages(), Errors: append(t.failures, t.events.Errors()...),
+		Deployment: r.config.Deployment.Name, Scenario: r.config.Scenario.Name, Seed: r.config.Seed,
+		Duration: r.config.Duration, Observed: observed, Result: checker.All(observed),
+		Usage: r.sampler.Usages(), Errors: append(r.failures, r.events.Errors()...),
 	})
 }
 
--- a/testbed/run/version_change_test.go
+++ b/testbed/run/version_change_test.go
@@ -16,8 +16,8 @@
 	"github.com/decklever/decklever/testbed/scenario"
 )
 
-// Size and load of the fleet of TestVersionChange: small, so that it takes less than
-// a minute.
+// Size and load of the fleet of TestVersionChange_BreaksNoPromise: small, so that the
+// test takes less than a minute.
 const (
 	testFronts             = 2
 	testWorkers            = 4
@@ -26,23 +26,24 @@
 	testDuration           = 40 * time.Second
 )
 
-// TestVersionChange_BreaksNoPromise changes a small fleet from one folder of
-// programs to another under load, and back. Both hold the present programs: a
-// change from those of an earlier release is run by hand, with
-// "decklever-testbed run --scenario version-change --previous-programs".
+// TestVersionChange_BreaksNoPromise guards against guarantees broken by a rolling upgrade
+// or downgrade: under load, it replaces the processes of a small fleet by those of another
+// folder of programs, and back. Both folders have the current programs; to test a change
+// from an earlier release, run
+// "decklever-testbed run --scenario version-change --previous-programs" by hand.
 func TestVersionChange_BreaksNoPromise(t *testing.T) {
-	present, previous := buildPrograms(t), t.TempDir()
-	if err := os.CopyFS(filepath.Join(previous, "programs"), os.DirFS(present)); err != nil {
+	current, previous := buildPrograms(t), t.TempDir()
+	if err := os.CopyFS(filepath.Join(previous, "programs"), os.DirFS(current)); err != nil {
 		t.Fatal(err)
 	}
-	course, err := scenario.Find("version-change")
+	versionChange, err := scenario.Find("version-change")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var progress bytes.Buffer
 	summary, err := Run(t.Context(), Config{
-		Deployment: smallDeployment(t), Scenario: course, Seed: 1, Duration: testDuration, Out: t.TempDir(),
-		Binaries: present, PreviousBinaries: filepath.Join(previous, "programs"), Progress: &progress,
+		Deployment: smallDeployment(t), Scenario: versionChange, Seed: 1, Duration: testDuration, Out: t.TempDir(),
+		Binaries: current, PreviousBinaries: filepath.Join(previous, "programs"), Progress: &progress,
 	})
 	if err != nil {
 		t.Fatalf("%v\n%s", err, progress.String())
@@ -51,16 +52,16 @@
 		if err := summary.WriteText(&progress); err != nil {
 			t.Fatal(err)
 		}
-		t.Errorf("the run did not pass:\n%s", progress.String())
+		t.Errorf("got a failed run, want a passed one:\n%s", progress.String())
 	}
-	// Each process is ended once in each direction.
-	changed := 2 * (deployment.Schedulers + testFronts + 2*testWorkers)
-	if summary.FaultsInjected < changed {
-		t.Errorf("%d faults were caused, expected one for each of %d changes", summary.FaultsInjected, changed)
+	// Each process is replaced once in each direction.
+	wantFaults := 2 * (deployment.Schedulers + testFronts + 2*testWorkers)
+	if summary.FaultsInjected < wantFaults {
+		t.Errorf("got %d injected faults, want at least one for each of %d replacements", summary.FaultsInjected, wantFaults)
 	}
 }
 
-// buildPrograms builds the programs of a fleet into a new folder.
+// buildPrograms builds the programs of a fleet into a new folder and returns its path.
 func buildPrograms(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -75,49 +76,50 @@
 	return folder
 }
 
-// claimInstance returns an instance whose addresses no other run of this test takes
-// until it has ended. Fleets started by hand seldom have such high numbers.
+// claimInstance returns an instance whose addresses no other run of this test uses until
+// this test ends. Its number is in the upper half of the range, which fleets started by
+// hand seldom use.
 func claimInstance(t *testing.T) int {
 	t.Helper()
 	for instance := deployment.MaxInstance; instance > deployment.MaxInstance/2; instance-- {
-		claim, err := net.Listen("tcp", fmt.Sprintf("127.%d.250.1:7099", 10*instance+1))
+		listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.250.1:7099", 10*instance+1))
 		if err != nil {
 			continue
 		}
-		t.Cleanup(func() { _ = claim.Close() })
+		t.Cleanup(func() { _ = listener.Close() })
 		return instance
 	}
-	t.Fatal("all instances are claimed")
+	t.Fatal("got no free instance, want one in the upper half of the range")
 	return 0
 }
 
-// smallDeployment is a deployment with fewer processes.
+// smallDeployment returns a deployment with fewer processes and less load.
 func smallDeployment(t *testing.T) deployment.Deployment {
 	t.Helper()
 	d, err := deployment.New("restrepo", claimInstance(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	most := map[deployment.Role]int{
+	remaining := map[deployment.Role]int{
 		deployment.RoleScheduler: deployment.Schedulers, deployment.RoleFront: testFronts,
 		deployment.RoleAgent: testWorkers, deployment.RoleWorker: testWorkers,
 	}
 	d.Processes = slices.DeleteFunc(d.Processes, func(process deployment.Process) bool {
-		most[process.Role]--
-		return most[process.Role] < 0
+		remaining[process.Role]--
+		return remaining[process.Role] < 0
 	})
 	d.Shapes.Short.JobsPerSecond, d.Shapes.Batch.JobsPerSecond = testShortJobsPerSecond, testBatchJobsPerSecond
 	return d
 }
 
-// TestRun_RefusesPreviousProgramsThatAreMissing: a folder without programs is
-// named before anything is started.
-func TestRun_RefusesPreviousProgramsThatAreMissing(t *testing.T) {
+// TestRun_MissingPreviousProgramsReturnsError guards against a run that begins although
+// the folder of the previous programs has none.
+func TestRun_MissingPreviousProgramsReturnsError(t *testing.T) {
 	_, err := Run(t.Context(), Config{
 		Deployment: smallDeployment(t), Scenario: scenario.Scenario{Name: "none", FirstVersion: fleet.PreviousVersion},
 		Out: t.TempDir(), Binaries: t.TempDir(), PreviousBinaries: t.TempDir(),
 	})
 	if err == nil {
-		t.Fatal("a run without programs was begun")
+		t.Fatal("got no error for folders without programs, want one")
 	}
 }
--- a/testbed/run/workers.go
+++ b/testbed/run/workers.go
@@ -7,8 +7,8 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
-// schedulers returns the names of the schedulers of a deployment.
-func schedulers(d deployment.Deployment) []string {
+// schedulerNames returns the names of the schedulers of a deployment.
+func schedulerNames(d deployment.Deployment) []string {
 	var names []string
 	for _, scheduler := range d.ByRole(deployment.RoleScheduler) {
 		names = append(names, scheduler.Name)
@@ -16,23 +16,23 @@
 	return names
 }
 
-// workers returns what the checker must know of a deployment's workers.
-func workers(d deployment.Deployment) []checker.Worker {
+// checkerWorkers returns a deployment's workers in the form that the checker takes.
+func checkerWorkers(d deployment.Deployment) []checker.Worker {
 	agents := map[string]string{}
 	for _, agent := range d.ByRole(deployment.RoleAgent) {
 		agents[agent.URL()] = agent.Name
 	}
-	var all []checker.Worker
+	var converted []checker.Worker
 	for _, worker := range d.ByRole(deployment.RoleWorker) {
-		one := checker.Worker{
+		entry := checker.Worker{
 			Name: worker.Name, Zone: worker.Zone, Capacity: worker.Capacity,
 			Labels: worker.Labels, Agent: agents[worker.Agent],
 		}
 		for _, service := range worker.Services {
 			name, _, _ := strings.Cut(service, "=")
-			one.Services = append(one.Services, name)
+			entry.Services = append(entry.Services, name)
 		}
-		all = append(all, one)
+		converted = append(converted, entry)
 	}
-	return all
+	return converted
 }
--- a/testbed/run/workers_test.go
+++ b/testbed/run/workers_test.go
@@ -7,22 +7,22 @@
 	"github.com/decklever/decklever/testbed/deployment"
 )
 
-func TestWorkers_HaveServicesAndAgent(t *testing.T) {
+func TestCheckerWorkers_HaveServicesAndAgent(t *testing.T) {
 	d, err := deployment.New("restrepo", 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := workers(d)
-	if len(all) != deployment.Workers {
-		t.Fatalf("%d workers, want %d", len(all), deployment.Workers)
+	converted := checkerWorkers(d)
+	if len(converted) != deployment.Workers {
+		t.Fatalf("got %d workers, want %d", len(converted), deployment.Workers)
 	}
 	agents := d.ByRole(deployment.RoleAgent)
-	for index, worker := range all {
+	for index, worker := range converted {
 		if !slices.Equal(worker.Services, []string{"swap", "review", "watch"}) {
-			t.Errorf("%s offers %v", worker.Name, worker.Services)
+			t.Errorf("%s: got services %v, want swap, review and watch", worker.Name, worker.Services)
 		}
 		if worker.Agent != agents[index].Name || worker.Zone != agents[index].Zone {
-			t.Errorf("%s in %s has the agent %s", worker.Name, worker.Zone, worker.Agent)
+			t.Errorf("%s: got zone %s and agent %s, want those of the agent with the same index", worker.Name, worker.Zone, worker.Agent)
 		}
 	}
 }
--- a/testbed/scale/callers.go
+++ b/testbed/scale/callers.go
@@ -140,6 +140,6 @@
 
 func (c *callers) record(entry calllog.Entry, err error) {
 	entry.Answered = monoclock.Now()
-	entry.Code, entry.Error = operator.Refusal(err)
+	entry.Code, entry.Error = operator.ErrorFields(err)
 	c.callLog.Add(entry)
 }
