--- a/internal/admission/share_test.go
+++ b/internal/admission/share_test.go
@@ -61,7 +61,7 @@
 			}
 		}
 		if used > limit {
-			t.Fatalf("participants use %d, want at most the limit %d", used, limit)
+			t.Fatalf("participants: got a total use of %d, want at most the limit %d", used, limit)
 		}
 	})
 }
@@ -107,7 +107,7 @@
 		}
 		for index, count := range used {
 			if want := limit / (callers + 1); count < want-1 || count > want+1 {
-				t.Errorf("%d callers: caller %d uses %d, want %d (within 1)", callers, index, count, want)
+				t.Errorf("%d callers: caller %d: got use %d, want %d (within 1)", callers, index, count, want)
 			}
 		}
 	}
--- a/internal/admission/startrate_test.go
+++ b/internal/admission/startrate_test.go
@@ -50,7 +50,7 @@
 		t.Fatalf("got %d waiting tasks, want 0", starts.Waiting())
 	}
 	if _, known := starts.PerSecond(2 * time.Second); known {
-		t.Error("PerSecond is known without a backlog")
+		t.Error("PerSecond without a backlog: got a known rate, want none")
 	}
 	starts.AddWaiting(3*time.Second, 100)
 	if _, known := starts.PerSecond(3*time.Second + minObservation); known {
--- a/internal/admission/tokenbucket_test.go
+++ b/internal/admission/tokenbucket_test.go
@@ -44,7 +44,7 @@
 			continue
 		}
 		if wait, ok := bucket.Take(now, rate, "steady", weights); !ok {
-			t.Fatalf("steady got no token at %v and is to wait %v, want a token at once", now, wait)
+			t.Fatalf("steady: got no token at %v but a wait of %v, want a token at once", now, wait)
 		}
 	}
 	// The guarantee of the idle participant is reserved once, not again in each second.
@@ -70,11 +70,11 @@
 				continue
 			}
 			if wait <= 0 || wait > 3*time.Second {
-				t.Fatalf("%s is to wait %v, want more than 0 and at most 3s", participant, wait)
+				t.Fatalf("%s: got a wait of %v, want more than 0 and at most 3s", participant, wait)
 			}
 			now += wait + time.Millisecond
 			if again, taken := bucket.Take(now, rate, participant, weights); !taken {
-				t.Fatalf("%s got no token after the returned wait of %v and is to wait %v more: %+v", participant, wait, again, bucket)
+				t.Fatalf("%s: got no token after the returned wait of %v but a further wait of %v, want a token: %+v", participant, wait, again, bucket)
 			}
 		}
 	})
--- a/internal/clusterclock/clock.go
+++ b/internal/clusterclock/clock.go
@@ -23,7 +23,7 @@
 // reading is one voter's wall clock with the time at which it was observed.
 type reading struct {
 	wall       time.Duration // since the Unix epoch
-	observedAt time.Duration // monotonic
+	observedAt time.Duration // on the monotonic clock
 }
 
 // extrapolate returns the voter's wall clock at the monotonic time at, assuming that
--- a/internal/featuregate/feature.go
+++ b/internal/featuregate/feature.go
@@ -7,7 +7,7 @@
 
 // Features of package scheduler.
 const (
-	// ObjectiveTiers orders waiting tasks by their slack before their objectives.
+	// ObjectiveTiers orders waiting tasks by the time left to meet their objectives.
 	ObjectiveTiers Feature = "objective_tiers"
 	// LoadDeference makes an overloaded queue defer to queues that are within their share.
 	LoadDeference Feature = "yields"
--- a/internal/objective/objective.go
+++ b/internal/objective/objective.go
@@ -124,7 +124,7 @@
 
 // Tiers of tasks, the most urgent first.
 const (
-	// TierOnTime: the objective can still be met, or the task was promoted.
+	// TierOnTime: the objective can still be met, or PromotedAt has passed.
 	TierOnTime Tier = iota
 	// TierLate: the job can still end within lostMultiple of its objective.
 	TierLate
--- a/internal/objective/objective_test.go
+++ b/internal/objective/objective_test.go
@@ -12,7 +12,7 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// step returns a step of two tasks, the longer one of which takes estimate.
+// step returns a step of two tasks with estimates of half of estimate and of estimate.
 func step(name string, estimate time.Duration, after ...string) api.StepSpec {
 	tasks := []api.TaskSpec{{Estimate: api.Duration(estimate / 2)}, {Estimate: api.Duration(estimate)}}
 	return api.StepSpec{Name: name, After: after, Tasks: tasks}
--- a/internal/placement/backfill_test.go
+++ b/internal/placement/backfill_test.go
@@ -158,7 +158,7 @@
 	}
 }
 
-// TestBackfill_ReservationDroppedWhenUseless: a run without an end holds a part of w1, so
+// TestBackfill_ReservationDroppedWhenUseless: a run until cancelled takes a part of w1, so
 // a task that needs all of w1 will not fit there, and w2 is too small. Neither worker may
 // stay reserved for it.
 func TestBackfill_ReservationDroppedWhenUseless(t *testing.T) {
@@ -175,7 +175,7 @@
 	}
 	e.Release(longRunning.ID)
 	e.SetWorker(testWorker("w1", api.Resources{CPUMillis: 5}))
-	expect(t, "placed once the run without an end was released", jobsPlaced(e), "large@w1")
+	expect(t, "placed once the run until cancelled was released", jobsPlaced(e), "large@w1")
 }
 
 // TestBackfill_ReservesAtMostHalfOfWorkers: each of four workers has one CPU free, and
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -89,7 +89,7 @@
 		decisions := l.engine.Plan(tasksPerPass)
 		b.StopTimer()
 		if len(decisions) != tasksPerPass {
-			b.Fatalf("placed %d tasks, want %d", len(decisions), tasksPerPass)
+			b.Fatalf("got %d tasks placed, want %d", len(decisions), tasksPerPass)
 		}
 		for _, d := range decisions {
 			l.running = append(l.running, tasks[d.Task])
@@ -198,7 +198,7 @@
 			l.engine.Plan(tasksPerPass)
 			l.measure(b)
 			if l.engine.Waiting() != count {
-				b.Fatalf("%d tasks wait, want %d", l.engine.Waiting(), count)
+				b.Fatalf("got %d tasks waiting, want %d", l.engine.Waiting(), count)
 			}
 		})
 	}
@@ -244,7 +244,7 @@
 				placed += s.Slots
 			}
 			if placed != 2000 {
-				b.Fatalf("%d slots have a worker, want 2000", placed)
+				b.Fatalf("got %d slots with a worker, want 2000", placed)
 			}
 			l.addImpossible(count)
 			l.engine.Plan(tasksPerPass)
--- a/internal/placement/deference.go
+++ b/internal/placement/deference.go
@@ -49,9 +49,10 @@
 	return deferredTo
 }
 
-// mostUrgent returns the queue with BySlack that goes first: the first by Sequence. If
-// that queue defers, the first of the queues to which it defers, and that do not defer
-// themselves, goes before it. It returns nil if no queue may place.
+// mostUrgent returns the queue with BySlack whose tasks are placed next: the first by
+// Sequence. If that queue defers, it is the first by Sequence of the queues to which it
+// defers and which do not defer themselves, if there is one. It returns nil if no queue
+// may place.
 func (c competingQueues) mostUrgent(queues []*priorityQueue) *priorityQueue {
 	first := firstBySlack(queues, func(*priorityQueue) bool { return true })
 	if first == nil || !c.defers(first.queue) {
--- a/internal/placement/engine_test.go
+++ b/internal/placement/engine_test.go
@@ -90,7 +90,7 @@
 	}
 	for _, c := range cases {
 		if got := e.HasFreeCapacity(c.spec); got != c.want {
-			t.Errorf("%s: HasFreeCapacity = %v", c.name, got)
+			t.Errorf("%s: got HasFreeCapacity %v, want the opposite", c.name, got)
 		}
 	}
 	for name, change := range map[string]func(*Worker){
@@ -102,7 +102,7 @@
 		change(&changed)
 		e.SetWorker(changed)
 		if e.HasFreeCapacity(cases[0].spec) {
-			t.Errorf("worker that is %s: HasFreeCapacity = true, want false", name)
+			t.Errorf("worker that is %s: HasFreeCapacity: got true, want false", name)
 		}
 	}
 }
--- a/internal/placement/fairshare/fairshare_test.go
+++ b/internal/placement/fairshare/fairshare_test.go
@@ -54,15 +54,15 @@
 			)
 			a, b := table.GetOrCreate("a"), table.GetOrCreate("b")
 			if got := Compare(a, b); got != c.want {
-				t.Errorf("Compare = %d, want %d", got, c.want)
+				t.Errorf("Compare: got %d, want %d", got, c.want)
 			}
 			var sum CombinedShare
 			sum.Add(a)
 			if got := sum.Compare(b); got != c.want {
-				t.Errorf("Sum.Compare = %d, want %d", got, c.want)
+				t.Errorf("Sum.Compare: got %d, want %d", got, c.want)
 			}
 			if got := sum.IsExceededBy(b); got != (c.want < 0) {
-				t.Errorf("IsExceededBy = %v, want %v", got, c.want < 0)
+				t.Errorf("IsExceededBy: got %v, want %v", got, c.want < 0)
 			}
 		})
 	}
@@ -87,10 +87,10 @@
 	for _, c := range cases {
 		q := table.GetOrCreate(c.queue)
 		if got := q.CanRun(c.count); got != c.want {
-			t.Errorf("%s: CanRun(%d) = %v, want %v", c.queue, c.count, got, c.want)
+			t.Errorf("%s: CanRun(%d): got %v, want %v", c.queue, c.count, got, c.want)
 		}
 		if !c.want && q.Exceeded(c.count) != c.limit {
-			t.Errorf("%s: Exceeded(%d) = %v, want %v", c.queue, c.count, q.Exceeded(c.count), c.limit)
+			t.Errorf("%s: Exceeded(%d): got %v, want %v", c.queue, c.count, q.Exceeded(c.count), c.limit)
 		}
 	}
 	table.SetQueues([]QueueRule{{Name: "a", MaxRunning: 4}, {Name: "b", Team: "t"}})
@@ -106,11 +106,11 @@
 	table.GetOrCreate("a").RunEnded()
 	table.GetOrCreate("a").RunEnded()
 	if forQueue.activated != 1 || forTeam.activated != 0 {
-		t.Errorf("after a run of a ended: waiters of a and of the team activated %d and %d times, want 1 and 0", forQueue.activated, forTeam.activated)
+		t.Errorf("after a run of a ended: waiters of a and of the team: got %d and %d activations, want 1 and 0", forQueue.activated, forTeam.activated)
 	}
 	table.GetOrCreate("b").RunEnded()
 	if forTeam.activated != 1 {
-		t.Errorf("after a run of the team ended: its waiter activated %d times, want 1", forTeam.activated)
+		t.Errorf("after a run of the team ended: got %d activations of its waiter, want 1", forTeam.activated)
 	}
 }
 
@@ -144,10 +144,10 @@
 	for number, step := range steps {
 		changed := slices.Sorted(maps.Keys(table.SetQueues(step.rules)))
 		if !slices.Equal(changed, step.want) {
-			t.Errorf("step %d: changed %v, want %v", number, changed, step.want)
+			t.Errorf("step %d: got changed %v, want %v", number, changed, step.want)
 		}
 		if got := table.NeedsUtilization(); got != step.needs {
-			t.Errorf("step %d: NeedsUtilization = %v, want %v", number, got, step.needs)
+			t.Errorf("step %d: NeedsUtilization: got %v, want %v", number, got, step.needs)
 		}
 	}
 }
@@ -168,11 +168,11 @@
 		}
 		changed := slices.Sorted(maps.Keys(table.SetReserved(reserved)))
 		if !slices.Equal(changed, step.want) {
-			t.Errorf("step %d: changed %v, want %v", number, changed, step.want)
+			t.Errorf("step %d: got changed %v, want %v", number, changed, step.want)
 		}
 		for _, name := range []string{"a", "new"} {
 			if got := table.GetOrCreate(name).IsReserved(); got != reserved[name] {
-				t.Errorf("step %d: %s reserved %v, want %v", number, name, got, reserved[name])
+				t.Errorf("step %d: %s: got reserved %v, want %v", number, name, got, reserved[name])
 			}
 		}
 	}
@@ -189,13 +189,13 @@
 		t.Error("DefersTo: want burst to defer to calm only")
 	}
 	if to := slices.Collect(burst.DeferenceTargets); len(to) != 1 || to[0] != calm {
-		t.Errorf("burst defers to %d queues, want 1 (calm)", len(to))
+		t.Errorf("deferences of burst: got %d queues, want 1 (calm)", len(to))
 	}
 	if !table.MayDefer() {
-		t.Error("Table.MayDefer = false, want true")
+		t.Error("Table.MayDefer: got false, want true")
 	}
 	table.SetDeferences(nil)
 	if table.MayDefer() || burst.MayDefer() {
-		t.Error("after SetDeferences(nil): MayDefer = true, want false")
+		t.Error("after SetDeferences(nil): MayDefer: got true, want false")
 	}
 }
--- a/internal/placement/fairshare/rules.go
+++ b/internal/placement/fairshare/rules.go
@@ -30,7 +30,8 @@
 	To    []string
 }
 
-// Limit is the limit that holds work back, and the number of runs counted against it.
+// Limit is a limit on open runs that does not allow the requested ones, and the number of
+// runs counted against it.
 type Limit struct {
 	// Kind is "queue" or "team"; Name is the name of that queue or team.
 	Kind, Name string
--- a/internal/placement/gangdrain.go
+++ b/internal/placement/gangdrain.go
@@ -240,7 +240,7 @@
 	return sub.parent.queue.CanRun(len(sub.tasks)) && sub.fitsOnIdleWorkers()
 }
 
-// fitsOnIdleWorkers reports whether each class would fit often enough for its members if
+// fitsOnIdleWorkers reports whether all members of each class, counted alone, would fit if
 // the workers had no runs except those that run until cancelled.
 func (sub *subQueue) fitsOnIdleWorkers() bool {
 	for _, m := range sub.members {
--- a/internal/placement/gangdrain_test.go
+++ b/internal/placement/gangdrain_test.go
@@ -136,7 +136,7 @@
 			continue
 		}
 		if placedEarly := now-added < 2500; placedEarly == highlyUtilized {
-			t.Errorf("%s: small task was placed or given up after %d ms; placed soon after the limit: %v", what, now-added, placedEarly)
+			t.Errorf("%s: got the small task placed, or still waiting, after %d ms, placed before 2500 ms %v, want the opposite", what, now-added, placedEarly)
 		}
 	}
 }
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -18,13 +18,13 @@
 	// members counts the waiting members by class, in the order in which the classes were
 	// added.
 	members []memberCount
-	// awaitedClasses are the classes of which one must fit more often before the next
-	// attempt.
+	// awaitedClasses are classes that the gang waits for: more tasks of one of them must
+	// fit before the next attempt.
 	awaitedClasses []*equivalenceClass
 	// awaitedLimit is the waitlist of the limit for which the gang waits; nil if it waits
 	// for none.
 	awaitedLimit fairshare.Waitlist
-	// fittingMembers is how many members fitted at the last attempt.
+	// fittingMembers is the number of members that fitted at the last attempt.
 	fittingMembers int
 	// attempted is set by an attempt and cleared by reconsider.
 	attempted bool
@@ -118,8 +118,8 @@
 	sub.awaitedLimit = sub.parent.queue.Await(sub, size)
 }
 
-// stopAwaiting ends the gang's wait for classes or a limit. It changes nothing for the
-// sub-queue of a class: equivalenceClass.unschedulable tells whether that waits.
+// stopAwaiting ends the gang's wait for classes or a limit. It does not affect
+// the sub-queue of a class, whose wait is recorded in equivalenceClass.unschedulable.
 func (sub *subQueue) stopAwaiting() {
 	for _, c := range sub.awaitedClasses {
 		delete(c.awaitingGangs, sub)
@@ -170,8 +170,8 @@
 }
 
 // gangPlacement is the result of an attempt to place a gang: a run for each member, or
-// the class that fits too seldom and how many fits are missing. Both are nil if each
-// class fits often enough alone but not all of them together.
+// a class of which fewer tasks fit than the gang needs, and how many are missing. Both are
+// nil if enough tasks of each class fit when counted alone, but not all members together.
 type gangPlacement struct {
 	opened     []*run
 	shortClass *equivalenceClass
@@ -179,8 +179,8 @@
 }
 
 // openAll opens runs for all members of the gang or for none. It counts fits first, which
-// is cheap: only a gang whose classes, each counted alone, fit often enough is tried
-// member by member.
+// is cheap: it tries to place member by member only if enough tasks of each class fit when
+// counted alone.
 func (p *pass) openAll(sub *subQueue, members []*waitingTask) gangPlacement {
 	if shortClass, missing := sub.findShortage(); shortClass != nil {
 		return gangPlacement{shortClass: shortClass, missing: missing}
@@ -278,8 +278,8 @@
 }
 
 // fitCountThisPass is fitCount, but does not repeat a count of this pass that fell short
-// of its limit: free capacity only shrinks during a pass. So many gangs of one class cost
-// one count.
+// of its limit: free capacity only shrinks during a pass. Many gangs of one class
+// therefore cost one count.
 func (c *equivalenceClass) fitCountThisPass(limit int) int {
 	last := &c.lastFitCount
 	if last.pass == c.clock.pass && last.fits < last.limit {
--- a/internal/placement/headroom_test.go
+++ b/internal/placement/headroom_test.go
@@ -122,8 +122,8 @@
 	expect(t, "no longer highly utilized", countBy(e, workerName), map[string]int{"a": 1})
 }
 
-// TestHeadroom_SpreadTasksAreExempt: the spread rule may allow a task only a few workers
-// for as long as it waits.
+// TestHeadroom_SpreadTasksAreExempt: a task with a spread rule may use headroom, since the
+// rule may allow it only a few workers for as long as it waits.
 func TestHeadroom_SpreadTasksAreExempt(t *testing.T) {
 	e := threeRacks()
 	addAll(e, stepOf("urgent", 24, 10, nil)...)
--- a/internal/placement/nominations.go
+++ b/internal/placement/nominations.go
@@ -94,7 +94,7 @@
 // worker.
 func (e *Engine) cancelNominationsOn(w *worker) {
 	for _, r := range w.sortedRuns(func(r *run) bool { return r.nominated }) {
-		// The nomination of an earlier run may have had this run as well.
+		// A gang's nomination has several runs: an earlier iteration may have ended this one.
 		if _, open := w.runs[r]; open {
 			e.revokeNominationOf(r.task)
 		}
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -174,7 +174,7 @@
 	}
 }
 
-// chooseReservedSlot returns the best free slot that the class may enter, on a worker
+// chooseReservedSlot returns the best free slot that tasks of the class may use, on a worker
 // where preempting runs of any priority frees the capacity. The search ends at the first
 // that needs at most one victim.
 func (c *equivalenceClass) chooseReservedSlot() preemptionChoice {
@@ -246,8 +246,8 @@
 	r.overAllowance = append(r.overAllowance, sub)
 }
 
-// activate lets the pass look at the sub-queues that exceeded the allowance of the last
-// pass, and at the next ones in waiting if there are runs that they may preempt.
+// activate makes the pass retry the sub-queues that exceeded the allowance of the last
+// pass. If there are preemptible runs, it also retries the next sub-queues of waiting.
 func (r *preemptionRetries) activate(runs *runTable) {
 	r.activateOverAllowance()
 	if len(runs.preemptible) == 0 {
@@ -330,8 +330,8 @@
 	return false
 }
 
-// couldPreempt reports whether each class would fit often enough if all preemptible runs
-// stopped. It is a cheap check before an attempt.
+// couldPreempt reports whether enough tasks of each class would fit if all preemptible
+// runs stopped. It is a cheap check before an attempt.
 func (sub *subQueue) couldPreempt() bool {
 	for _, m := range sub.members {
 		if m.class.fitCountWithPreemption(m.count) < m.count {
--- a/internal/placement/profile.go
+++ b/internal/placement/profile.go
@@ -33,7 +33,7 @@
 	deallocated allocationChange = false
 )
 
-// apply adds amount to sum, or subtracts it.
+// apply adds amount to sum if it was allocated, and subtracts it if it was deallocated.
 func (s allocationChange) apply(sum, amount api.Resources) api.Resources {
 	if s == allocated {
 		return sum.Add(amount)
--- a/internal/placement/property_longrunning_test.go
+++ b/internal/placement/property_longrunning_test.go
@@ -54,8 +54,8 @@
 	m.addAgain()
 }
 
-// addAgain adds the tasks without an open run again; members of a gang only once no
-// member has an open run.
+// addAgain adds the tasks without an open run to the engine again. It adds the members of
+// a gang only once none of them has an open run.
 func (m *longRunningModel) addAgain() {
 	for _, step := range m.steps {
 		running := slices.ContainsFunc(step.tasks, func(task Task) bool { return m.open[task.ID] != "" })
--- a/internal/placement/reasons.go
+++ b/internal/placement/reasons.go
@@ -19,8 +19,9 @@
 )
 
 // Reason implements Planner. The reason is derived from the state at the time of the call,
-// and its text is shown to users. It says that a task that would fit now waits for its
-// turn, and is empty for a task that does not wait.
+// and its text is shown to users. For a task that
+// would fit now it says that the task waits for its turn. It is empty for a task that does
+// not wait.
 func (e *Engine) Reason(task record.TaskID) string {
 	w := e.backlog.find(task)
 	if w == nil {
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -73,9 +73,9 @@
 	return true
 }
 
-// advance applies a change of the cluster time since before: it drops windows that ended,
-// and lets the next pass search all workers for pending slots of windows that opened and
-// look at the workers with slots. It reports whether any window ended.
+// advance applies a change of the cluster time since before. It drops windows that ended.
+// For windows that opened, the next pass searches all workers for pending slots, and tries
+// again to place tasks on the workers with slots. It reports whether any window ended.
 func (t *reservationTable) advance(before record.Millis) bool {
 	now, countBefore := t.clock.now, len(t.windows)
 	for _, r := range slices.Clone(t.windows) {
@@ -124,8 +124,8 @@
 	}
 }
 
-// addWorkersChanged lets the next pass look again at the workers with slots of the
-// reservation.
+// addWorkersChanged lists the workers with slots of the reservation as changed, so that
+// the next pass tries again to place tasks on them.
 func (t *reservationTable) addWorkersChanged(r *reservation) {
 	for _, s := range r.slots {
 		t.workers.addChanged(s.worker)
--- a/internal/placement/runs.go
+++ b/internal/placement/runs.go
@@ -29,7 +29,7 @@
 	// inReservation is set if the run was placed in a slot; it remains set if the slot is
 	// dropped.
 	inReservation bool
-	// untilCancelled is set if the run has no end of its own.
+	// untilCancelled is set if the run ends only when it is cancelled.
 	untilCancelled bool
 	// nominated is set while the resources are promised but not yet taken.
 	nominated bool
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -57,8 +57,8 @@
 	return members
 }
 
-// fullestFreeSlot returns a free slot that the class may enter and whose worker has the
-// capacity now, on the fullest such worker; nil if there is none.
+// fullestFreeSlot returns a free slot that tasks of the class may use, on the fullest
+// worker that has the capacity for one now; nil if there is none.
 func (c *equivalenceClass) fullestFreeSlot() *slotSet {
 	var best *slotSet
 	for _, r := range c.reservations {
@@ -95,7 +95,7 @@
 	return (r.Service == "" || r.Service == classSelector.service) && c.pool.matches(s.worker)
 }
 
-// freeSlots counts the free slots that the class may enter.
+// freeSlots counts the free slots that tasks of the class may use.
 func (c *equivalenceClass) freeSlots(slots []*slotSet) int {
 	count := 0
 	for _, s := range slots {
@@ -172,12 +172,12 @@
 	anyDomain       bool
 }
 
-// softLimitPerWorker returns the number of a step's tasks on one worker from which on
-// other workers are preferred: half of the step, rounded up. The loss of one worker then
+// softLimitPerWorker returns the number of a step's tasks on one worker that makes other
+// workers preferred for the next one: half of the step, rounded up. The loss of one worker then
 // does not end the complete step, and the step still runs on few workers.
 func softLimitPerWorker(stepSize int) int { return (stepSize + 1) / 2 }
 
-// hasPreferences reports whether the best worker for the task may be another than the
+// hasPreferences reports whether the best worker for the task may differ from the
 // fullest one on which it fits.
 func (f *targetFinder) hasPreferences(task *Task) bool {
 	return len(task.Avoid) > 0 || task.Colocate != "" || task.StepSize > 1 ||
--- a/internal/placement/score_test.go
+++ b/internal/placement/score_test.go
@@ -182,7 +182,7 @@
 }
 
 func TestPreferences_CostsAreWeighedInOrder(t *testing.T) {
-	// Each worker has a higher cost than the next one, and is fuller.
+	// In this order, each worker has a higher cost than the next one, and is fuller.
 	failed := rackWorker("a", "z1", 10, "disk=ssd")
 	slow := rackWorker("b", "z1", 20, "disk=ssd")
 	slow.Slow = true
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -28,7 +28,7 @@
 	// Preemptions counts how often the task was preempted; once it reaches the bound of
 	// SetMaxPreemptions the task is not preemptible.
 	Preemptions int
-	// UntilCancelled is set if the task, or a member of its gang, has no end of its own:
+	// UntilCancelled is set if the task, or a member of its gang, runs until cancelled:
 	// the members of a gang share one outcome. The task takes any free capacity as a last
 	// resort.
 	UntilCancelled bool
@@ -46,7 +46,7 @@
 	// Colocate is the domain that the step prefers to share, as in api.StepSpec.
 	Colocate string
 	// WaitsForPreferred makes the task wait for a worker with all labels of
-	// TaskSpec.Prefer, as long as some sound worker (neither slow, on probation nor
+	// TaskSpec.Prefer, as long as some healthy worker (neither slow, on probation nor
 	// suspect) has them. The caller bounds the wait: it adds the task again without the
 	// flag.
 	WaitsForPreferred bool
--- a/internal/reservation/demand.go
+++ b/internal/reservation/demand.go
@@ -20,8 +20,8 @@
 	// booking has its defaults filled in.
 	booking  api.BookingConfig
 	location *time.Location
-	// shortage is the first shortage found, nil if none was; shortageStart is the
-	// start of the packing time at which it was found.
+	// shortage is the first shortage found, nil if there is none; shortageStart is the
+	// start of the window at whose packing time it was found.
 	shortage      *shortage
 	shortageStart time.Time
 }
--- a/internal/scheduler/admissioncontrol.go
+++ b/internal/scheduler/admissioncontrol.go
@@ -63,15 +63,15 @@
 
 // enforcesObjective reports whether a queue refuses the job if it would end too late.
 // Exempt are jobs with a raised priority, which go ahead of the backlog, scheduled jobs,
-// which start at their own time, and endless jobs.
+// which start at their own time, and jobs with a task that runs until cancelled.
 func enforcesObjective(queue *api.QueueConfig, spec *api.JobSpec) bool {
 	rule := queue.Objective
-	return rule != nil && rule.RefuseBeyond != 0 && spec.Priority <= 0 && !isScheduledOrEndless(spec)
+	return rule != nil && rule.RefuseBeyond != 0 && spec.Priority <= 0 && !isScheduledOrUntilCancelled(spec)
 }
 
-// isScheduledOrEndless reports whether a job repeats, has a step with a start time, or
-// has a task that runs until it is cancelled.
-func isScheduledOrEndless(spec *api.JobSpec) bool {
+// isScheduledOrUntilCancelled reports whether a job repeats, has a step with a start time, or
+// has a task that runs until cancelled.
+func isScheduledOrUntilCancelled(spec *api.JobSpec) bool {
 	return spec.Repeat != nil || slices.ContainsFunc(spec.Steps, func(step api.StepSpec) bool {
 		return step.NotBefore != nil ||
 			slices.ContainsFunc(step.Tasks, func(task api.TaskSpec) bool { return task.UntilCancelled })
--- a/internal/scheduler/admit.go
+++ b/internal/scheduler/admit.go
@@ -158,8 +158,8 @@
 	return l.checkCallerShare(view, queue, spec, free)
 }
 
-// checkCallerShare checks the caller's share of the free places. It does not apply while
-// no waiting task of the queue has a named caller and this job has none either.
+// checkCallerShare checks the caller's share of the free places. It does not apply to
+// a job without a named caller while the queue's waiting tasks have no named caller either.
 func (l *leader) checkCallerShare(view record.View, queue *api.QueueConfig, spec *api.JobSpec, free int) error {
 	pending := view.CallerPendingTasks(queue.Name, spec.Caller)
 	if spec.Caller == "" && pending == view.QueueCounts(queue.Name).PendingTasks {
--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// start returns the start orders for the worker's runs that this leader placed and has not
+// start returns the assignments of the worker's runs that this leader placed and has not
 // assigned yet, and marks these runs as assigned. It skips runs that are being closed or
 // stopped, and members of a gang with a common outcome while the gang may not be assigned.
 func (a *assignments) start(worker *workerEntry) []api.StartOrder {
@@ -123,7 +123,7 @@
 	return revoked
 }
 
-// startOrder returns the run's start order. A task without a payload gets the job's.
+// startOrder returns the run's assignment. A task without a payload gets the job's.
 func (r *runState) startOrder() api.StartOrder {
 	order := api.StartOrder{RunRef: runRef(r.id), Spec: *r.spec}
 	order.Spec.Payload = r.payload
--- a/internal/scheduler/backupruns_test.go
+++ b/internal/scheduler/backupruns_test.go
@@ -39,10 +39,10 @@
 	h := newHarness(t)
 	workers := h.registerWorkers(2)
 	h.submit("j", withBackupRuns(time.Minute))
-	silent, other := workers[0], workers[1]
-	if len(silent.exchange().Start) == 0 {
-		silent, other = other, silent
-		if len(silent.exchange().Start) == 0 {
+	missing, other := workers[0], workers[1]
+	if len(missing.exchange().Start) == 0 {
+		missing, other = other, missing
+		if len(missing.exchange().Start) == 0 {
 			t.Fatal("got no assignment on either worker, want one")
 		}
 	}
--- a/internal/scheduler/burst_test.go
+++ b/internal/scheduler/burst_test.go
@@ -20,8 +20,8 @@
 	// burstWorkers is the default number of workers. Each has capacity for 4 tasks, so
 	// that together they run 40 tasks per second.
 	burstWorkers = 5
-	// endlessJob is the id of the job whose tasks run until they are cancelled.
-	endlessJob = "b-lasting"
+	// untilCancelledJob is the id of the job whose tasks run until cancelled.
+	untilCancelledJob = "b-lasting"
 )
 
 // burstFleet simulates workers and the submission of jobs to several queues.
@@ -141,7 +141,7 @@
 			if _, begun := f.firstStart[job]; !begun {
 				f.firstStart[job] = f.now
 			}
-			if job == endlessJob {
+			if job == untilCancelledJob {
 				f.endsAt[order.RunRef] = f.now + time.Hour
 			}
 			f.waits[job[:1]] = append(f.waits[job[:1]], f.now-f.submitted[job])
@@ -227,7 +227,7 @@
 	}
 	big := tasksWithEstimate(1, burstWork)
 	big.Tasks[0].Resources.CPUMillis = 4000
-	f.submitSpec(endlessJob, api.JobSpec{Queue: "b", Steps: []api.StepSpec{endless}})
+	f.submitSpec(untilCancelledJob, api.JobSpec{Queue: "b", Steps: []api.StepSpec{endless}})
 	for number := range 200 {
 		f.submitSpec(fmt.Sprintf("a-big-%d", number), api.JobSpec{Queue: "a", Steps: []api.StepSpec{big}})
 	}
@@ -236,7 +236,7 @@
 		t.Errorf("queue status: got %+v, %v, want overloaded", status.Status, err)
 	}
 	if f.refused["a"] > 0 {
-		t.Errorf("%d small jobs were refused, want none", f.refused["a"])
+		t.Errorf("got %d small jobs refused, want none", f.refused["a"])
 	}
 	f.submitSpec("b-big", api.JobSpec{Queue: "b", Steps: []api.StepSpec{big}})
 	if _, err := f.leader.submit(t.Context(), protocol.SubmitRequest{ID: "a-big", Spec: api.JobSpec{Queue: "a", Steps: []api.StepSpec{big}}}); err == nil {
--- a/internal/scheduler/checkpoints_test.go
+++ b/internal/scheduler/checkpoints_test.go
@@ -38,7 +38,7 @@
 	other.exchange()
 	answer := other.exchange()
 	if len(answer.Start) != 1 || answer.Start[0].Checkpoint != checkpoint {
-		h.t.Fatalf("want one assignment with checkpoint %q, got %+v", checkpoint, answer.Start)
+		h.t.Fatalf("checkpoint %q: got %+v, want one assignment with it", checkpoint, answer.Start)
 	}
 }
 
--- a/internal/scheduler/commonoutcome.go
+++ b/internal/scheduler/commonoutcome.go
@@ -10,9 +10,10 @@
 const (
 	// gangStartTimeout is the time within which all members of a gang with a common
 	// outcome must be seen started. It counts from the release of the gang's assignments,
-	// or from its placement while they are not released. After it the whole gang is
-	// requeued, before a worker gives up on a member that waits for the others: workers
-	// may do so 3 s after the first member started, and a stop takes up to a second.
+	// or from its placement while they are not released. After that time the
+	// complete gang is requeued, before a worker gives up on a member that waits for the
+	// others: workers may do so 3 s after the first member started, and a stop takes up to a
+	// second.
 	gangStartTimeout = 2 * time.Second
 	// maxGangHeartbeatAgeIntervals is the maximum age of the newest heartbeat of each member's worker,
 	// in heartbeat intervals, for the assignments of a gang to be released. All of them are
--- a/internal/scheduler/commonoutcome_test.go
+++ b/internal/scheduler/commonoutcome_test.go
@@ -28,7 +28,7 @@
 	}
 	for _, order := range answer.Start {
 		if order.Run != number {
-			t.Fatalf("want run %d, got %+v", number, order.RunRef)
+			t.Fatalf("run %d: got %+v, want that run", number, order.RunRef)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	second.exchange()
 	h.advance(gangStartTimeout)
 	if answer := first.exchange(); len(answer.Stop) != 0 || len(h.leader.gangs.starting) != 0 {
-		t.Errorf("got %+v, want no stop and no watch of a started gang", answer)
+		t.Errorf("got %+v, want no stop, and the started gang no longer watched", answer)
 	}
 }
 
--- a/internal/scheduler/conflicts_test.go
+++ b/internal/scheduler/conflicts_test.go
@@ -17,13 +17,13 @@
 		other.exchange()
 		other.heartbeat.Ended = []api.EndedRun{{RunRef: worker.heartbeat.Running[0], Outcome: outcome}}
 		if answer := other.exchange(); len(answer.Acknowledged) != 1 || len(answer.Start) != 0 {
-			t.Fatalf("%s: want the report acknowledged and no start, got %+v", outcome, answer)
+			t.Fatalf("%s: got %+v, want the report acknowledged and no start", outcome, answer)
 		}
 		if answer := worker.exchange(); len(answer.Stop)+len(answer.Start) != 0 {
-			t.Errorf("%s: want no start and no stop for the running run, got %+v", outcome, answer)
+			t.Errorf("%s: got %+v, want no start and no stop for the running run", outcome, answer)
 		}
 		if task := h.task("j", 0); task.State != api.StateRunning || task.Run != 1 || task.Failures != 0 {
-			t.Errorf("%s: want run 1 running without failures, got %+v", outcome, task)
+			t.Errorf("%s: got %+v, want run 1 running without failures", outcome, task)
 		}
 	}
 }
@@ -35,10 +35,10 @@
 	other.exchange()
 	other.heartbeat.Running = worker.heartbeat.Running
 	if answer := other.exchange(); len(answer.Stop) != 1 {
-		t.Errorf("want the run stopped on the other worker, got %+v", answer)
+		t.Errorf("got %+v, want the run stopped on the other worker", answer)
 	}
 	if answer := worker.exchange(); len(answer.Stop) != 0 {
-		t.Errorf("want no stop on the worker of the open run, got %+v", answer)
+		t.Errorf("got %+v, want no stop on the worker of the open run", answer)
 	}
 }
 
@@ -50,11 +50,11 @@
 		h.submit("j", tasks(1)) // placed and not assigned yet
 		worker.heartbeat.Ended = []api.EndedRun{{RunRef: api.RunRef{Task: "j/s/0", Run: 1}, Outcome: outcome}}
 		if answer := worker.exchange(); len(answer.Start) != 0 || len(answer.Acknowledged) != 1 {
-			t.Fatalf("%s: want the report acknowledged and no start, got %+v", outcome, answer)
+			t.Fatalf("%s: got %+v, want the report acknowledged and no start", outcome, answer)
 		}
 		answer := worker.exchange()
 		if len(answer.Start) != 1 || answer.Start[0].Run != 2 {
-			t.Errorf("%s: want run 2, got %+v", outcome, answer.Start)
+			t.Errorf("%s: got %+v, want run 2", outcome, answer.Start)
 		}
 		if task := h.task("j", 0); task.Failures != 0 {
 			t.Errorf("%s: got %d failures, want 0", outcome, task.Failures)
@@ -69,7 +69,7 @@
 	h.submit("j", tasks(1))
 	worker.heartbeat.Running = []api.RunRef{{Task: "j/s/0", Run: 1}}
 	if answer := worker.exchange(); len(answer.Start)+len(answer.Stop) != 0 {
-		t.Fatalf("want no start and no stop, got %+v", answer)
+		t.Fatalf("got %+v, want no start and no stop", answer)
 	}
 	worker.endAllRuns(api.OutcomeSucceeded)
 	worker.exchange()
@@ -83,7 +83,7 @@
 	for _, outcome := range allOutcomes {
 		worker.heartbeat.Ended = []api.EndedRun{{RunRef: api.RunRef{Task: "none/s/0", Run: 1}, Outcome: outcome}}
 		if answer := worker.exchange(); len(answer.Acknowledged) != 1 {
-			t.Errorf("%s: want the report acknowledged, got %+v", outcome, answer)
+			t.Errorf("%s: got %+v, want the report acknowledged", outcome, answer)
 		}
 	}
 }
@@ -108,13 +108,13 @@
 		h.submit("next", tasks(4))
 		for range 3 {
 			if answer := worker.exchange(); len(answer.Start) != 0 || len(answer.Stop) != 4 {
-				t.Fatalf("%s: want 4 stops and no start while the runs are running, got %+v", reason, answer)
+				t.Fatalf("%s: got %+v, want 4 stops and no start while the runs are running", reason, answer)
 			}
 		}
 		worker.endAllRuns(api.OutcomeStopped)
 		worker.exchange()
 		if answer := worker.exchange(); len(answer.Start) != 4 {
-			t.Errorf("%s: want 4 starts in the freed capacity, got %+v", reason, answer.Start)
+			t.Errorf("%s: got %+v, want 4 starts in the freed capacity", reason, answer.Start)
 		}
 	}
 }
--- a/internal/scheduler/departure.go
+++ b/internal/scheduler/departure.go
@@ -107,9 +107,9 @@
 	}
 }
 
-// leave handles the notice of a worker that leaves. The notice itself is not committed:
-// the closes and stops that follow from it are, and a new leader learns of the notice from
-// the worker's heartbeats. It returns no error for an unknown worker.
+// leave handles the notice of a worker that leaves. The notice itself is not committed,
+// only the closing and stopping of runs that follows from it; a new leader learns of the
+// notice from the worker's heartbeats. It returns no error for an unknown worker.
 func (l *leader) leave(_ context.Context, request protocol.LeaveRequest) (protocol.Empty, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scheduler/departure_test.go
+++ b/internal/scheduler/departure_test.go
@@ -92,14 +92,14 @@
 	worker.heartbeat.Draining = false // sent before the notice
 	answer := worker.exchange()
 	if len(answer.Start) != 0 || len(answer.Stop) != 1 || answer.Stop[0].Task != "endless/s/0" {
-		t.Fatalf("want the endless run stopped and nothing started, got %+v", answer)
+		t.Fatalf("got %+v, want the run of job endless stopped and nothing started", answer)
 	}
 	if status := h.workerStatus("a"); status.State != api.WorkerDraining {
 		t.Errorf("got worker state %s (%s), want draining", status.State, status.Reason)
 	}
 	other.exchange()
 	if answer := other.exchange(); len(answer.Start) != 1 || answer.Start[0].Task != "unassigned/s/0" {
-		t.Errorf("want the revoked task on the other worker, got %+v", answer.Start)
+		t.Errorf("got %+v, want the revoked task on the other worker", answer.Start)
 	}
 }
 
@@ -110,12 +110,12 @@
 	h.leave("a-0", time.Second)
 	h.submit("j", tasks(1))
 	if answer := worker.exchange(); len(answer.Start) != 1 {
-		t.Fatalf("want a start after the notice of an unknown incarnation, got %+v", answer)
+		t.Fatalf("got %+v, want a start after the notice of an unknown incarnation", answer)
 	}
 	h.leave("a-1", 0)
 	h.leave("a-1", 0)
 	if answer := worker.exchange(); len(answer.Stop) != 0 {
-		t.Errorf("want no stop while the end of the worker is not known, got %+v", answer.Stop)
+		t.Errorf("got %+v, want no stop while the end of the worker is not known", answer.Stop)
 	}
 	h.log.holdsLease = false
 	if _, err := h.leader.leave(t.Context(), protocol.LeaveRequest{WorkerID: "a-1"}); err == nil {
@@ -193,7 +193,7 @@
 	}
 	h.submit("k", tasks(1))
 	if answer := worker.exchange(); len(answer.Start) != 0 {
-		t.Errorf("want no start on a departing worker, got %+v", answer.Start)
+		t.Errorf("got %+v, want no start on a departing worker", answer.Start)
 	}
 }
 
@@ -205,6 +205,6 @@
 	h.heartbeatFor(h.leader.registry.leaseDuration()+h.leader.registry.driftMargin()+time.Second, other)
 	task := h.task("j", 0)
 	if task.Worker != "b" || task.Run != 2 || task.Failures != 0 {
-		t.Errorf("want run 2 on b without failures, got %+v", task)
+		t.Errorf("got %+v, want run 2 on b without failures", task)
 	}
 }
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,5 +1,5 @@
-// Package scheduler implements the acting scheduler: the work of a replica while it
-// leads. It compares the runs that workers list in heartbeats (observed state) with the
+// Package scheduler implements the leader: the work of a replica while it holds the
+// leadership. It compares the runs that workers list in heartbeats (observed state) with the
 // record (desired state), and reconciles them by opening, assigning, stopping and
 // closing runs. It also serves the calls that fronts relay.
 //
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -68,7 +68,7 @@
 	h.drainZone("z1", true)
 	answer := worker.exchange()
 	if len(answer.Start) != 0 || len(answer.Stop) != 1 || answer.Stop[0].Task != "endless/s/0" {
-		t.Fatalf("got %+v, want only the endless run stopped and nothing started", answer)
+		t.Fatalf("got %+v, want only the run of job endless stopped and nothing started", answer)
 	}
 	if status := h.workerStatus("a"); status.State != api.WorkerDraining || status.Reason != string(drainedByOrder) {
 		t.Errorf("got worker state %s with reason %q, want draining by an order", status.State, status.Reason)
@@ -80,7 +80,7 @@
 	grace := h.leader.settings.config.Timings.DrainGrace.Std()
 	h.heartbeatFor(grace-time.Second, worker, other)
 	if answer := worker.exchange(); len(answer.Stop) != 1 {
-		t.Errorf("within the drain grace: got stops %+v, want only the endless run", answer.Stop)
+		t.Errorf("within the drain grace: got stops %+v, want only the run of job endless", answer.Stop)
 	}
 	h.heartbeatFor(time.Second, worker, other)
 	if answer := worker.exchange(); len(answer.Stop) != 2 {
@@ -225,7 +225,7 @@
 	h.putConfig(api.Config{Queues: []api.QueueConfig{{Name: "q"}}, Drains: api.DrainConfig{Workers: []string{"a"}}})
 	answer := worker.exchange()
 	if len(answer.Start) != 0 || len(answer.Stop) != 1 || answer.Stop[0].Task != "endless/s/0" {
-		t.Fatalf("got %+v, want only the endless run stopped and nothing started", answer)
+		t.Fatalf("got %+v, want only the run of job endless stopped and nothing started", answer)
 	}
 	worker.endAllRuns(api.OutcomeStopped)
 	worker.exchange()
--- a/internal/scheduler/endlesstask_test.go
+++ b/internal/scheduler/endlesstask_test.go
@@ -51,7 +51,7 @@
 	return workers[0], workers[1:]
 }
 
-func TestEndlessTask_SuccessIsAssignedAgain(t *testing.T) {
+func TestUntilCancelled_SuccessIsAssignedAgain(t *testing.T) {
 	h := newHarness(t)
 	worker := h.newWorker("w", "w-1")
 	worker.exchange()
@@ -61,7 +61,7 @@
 	for run := uint32(1); run <= 5; run++ {
 		orders := worker.exchange().Start
 		if len(orders) != 1 || orders[0].Run != run {
-			t.Fatalf("want one assignment of run %d, got %+v", run, orders)
+			t.Fatalf("run %d: got %+v, want one assignment of that run", run, orders)
 		}
 		outcome := api.OutcomeSucceeded
 		if run == 3 {
@@ -73,20 +73,20 @@
 	}
 }
 
-// TestEndlessTask_RunsOnSuspectWorkerWithoutOtherCapacity: a worker may stay suspect for a
+// TestUntilCancelled_RunsOnSuspectWorkerWithoutOtherCapacity: a worker may stay suspect for a
 // minute. Tasks that run until cancelled and fit nowhere else must not wait for that.
-func TestEndlessTask_RunsOnSuspectWorkerWithoutOtherCapacity(t *testing.T) {
+func TestUntilCancelled_RunsOnSuspectWorkerWithoutOtherCapacity(t *testing.T) {
 	h := newHarness(t)
 	suspect, others := h.fleetWithSuspect(2)
 	h.submit("full", tasks(1))
 	h.submit("endless", endlessTasks(3))
 	others[0].exchange()
 	if answer := suspect.exchange(); len(answer.Start) == 0 {
-		t.Fatalf("got %+v, want the endless tasks that fit on no other worker", answer.Start)
+		t.Fatalf("got %+v, want the tasks until cancelled that fit on no other worker", answer.Start)
 	}
 	for _, run := range suspect.heartbeat.Running {
 		if run.Task[:len("endless")] != "endless" {
-			t.Errorf("got %s on the suspect worker, want endless tasks only", run.Task)
+			t.Errorf("got %s on the suspect worker, want tasks of job endless only", run.Task)
 		}
 	}
 	if state := h.status("endless").State; state != api.StateRunning || len(h.leader.pending.waiting) != 0 {
@@ -94,10 +94,10 @@
 	}
 }
 
-// TestEndlessTask_RetriesSoonOnSuspectWorker: every run on worker a, the only one with free
-// capacity, fails, so that it stays suspect for as long as possible. Its endless tasks must
-// still be retried within 3 s.
-func TestEndlessTask_RetriesSoonOnSuspectWorker(t *testing.T) {
+// TestUntilCancelled_RetriesSoonOnSuspectWorker: every run on worker a, the only one with
+// free capacity, fails, so that it stays suspect for as long as possible. Its tasks that run
+// until cancelled must still be retried within 3 s.
+func TestUntilCancelled_RetriesSoonOnSuspectWorker(t *testing.T) {
 	h := newHarness(t)
 	workers := h.registerWorkers(2)
 	workers[1].heartbeat.Capacity = api.Resources{CPUMillis: 2000, MemoryMB: 2000}
--- a/internal/scheduler/failedworkers_test.go
+++ b/internal/scheduler/failedworkers_test.go
@@ -18,7 +18,7 @@
 		other.exchange()
 		h.submit("j", tasks(1))
 		if answer := failing.exchange(); len(answer.Start) != 1 {
-			t.Fatalf("want the first run on a, got %+v", answer.Start)
+			t.Fatalf("got %+v, want the first run on a", answer.Start)
 		}
 		failing.endAllRuns(api.OutcomeFailed)
 		failing.exchange()
@@ -29,7 +29,7 @@
 		}
 		h.advance(time.Second)
 		if answer := other.exchange(); len(answer.Start) != 1 {
-			t.Fatalf("new term %v: want the retry on b, got starts %+v, task %+v", newTerm, answer.Start, h.task("j", 0))
+			t.Fatalf("new term %v: got starts %+v, task %+v, want the retry on b", newTerm, answer.Start, h.task("j", 0))
 		}
 	}
 }
--- a/internal/scheduler/healthreview.go
+++ b/internal/scheduler/healthreview.go
@@ -30,7 +30,7 @@
 	tracker *workerhealth.Tracker
 	// reviewedAt is when the newest review took place, on the monotonic clock.
 	reviewedAt time.Duration
-	// fineGrainedQueues marks the queues whose runs report progress in small steps.
+	// fineGrainedQueues marks the queues whose runs report progress in small increments.
 	fineGrainedQueues map[string]bool
 	// stalls counts for each task how often one of its runs was stopped as stalled.
 	stalls map[record.TaskID]int
--- a/internal/scheduler/healthreview_test.go
+++ b/internal/scheduler/healthreview_test.go
@@ -58,7 +58,7 @@
 	for i := range 3 {
 		h.submit(fmt.Sprint("j", i), tasks(1))
 		if answer := failing.exchange(); len(answer.Start) != 1 {
-			t.Fatalf("job %d: want its run on a, got %+v", i, answer.Start)
+			t.Fatalf("job %d: got %+v, want its run on a", i, answer.Start)
 		}
 		failing.endAllRuns(api.OutcomeFailed)
 		failing.exchange()
@@ -69,7 +69,7 @@
 	}
 	h.submit("after", tasks(8))
 	if answer := failing.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("want no start on the suspect worker, got %+v", answer.Start)
+		t.Fatalf("got %+v, want no start on the suspect worker", answer.Start)
 	}
 	for range 10 {
 		h.advance(200 * time.Millisecond)
@@ -82,7 +82,7 @@
 	}
 	h.submit("short", tasksWithEstimate(2, time.Second))
 	if answer := failing.exchange(); len(answer.Start) != 1 {
-		t.Fatalf("want one start on probation, got %+v", answer.Start)
+		t.Fatalf("got %+v, want one start on probation", answer.Start)
 	}
 	failing.endAllRuns(api.OutcomeFailed)
 	failing.exchange()
@@ -115,7 +115,7 @@
 		workers[1].exchange()
 	}
 	if len(stops) != 0 {
-		t.Fatalf("want no stop before the stall time-out, got %+v", stops)
+		t.Fatalf("got %+v, want no stop before the stall timeout", stops)
 	}
 	for range 3 {
 		h.advance(200 * time.Millisecond)
@@ -123,16 +123,16 @@
 		workers[1].exchange()
 	}
 	if len(stops) == 0 {
-		t.Fatal("got no stop after the stall time-out, want one")
+		t.Fatal("got no stop after the stall timeout, want one")
 	}
 	if answer := workers[1].exchange(); len(answer.Start) != 0 {
-		t.Fatalf("want no start of run 2 while run 1 is running, got %+v", answer.Start)
+		t.Fatalf("got %+v, want no start of run 2 while run 1 is running", answer.Start)
 	}
 	workers[0].endAllRuns(api.OutcomeStopped)
 	workers[0].heartbeat.Progress = nil
 	workers[0].exchange()
 	if answer := workers[1].exchange(); len(answer.Start) != 1 || answer.Start[0].Run != 2 {
-		t.Fatalf("want run 2 on b, got %+v", answer.Start)
+		t.Fatalf("got %+v, want run 2 on b", answer.Start)
 	}
 	if task := h.task("j", 0); task.Failures != 0 {
 		t.Errorf("got %d failures, want 0", task.Failures)
@@ -165,12 +165,12 @@
 			for range 300 {
 				h.advance(time.Second)
 				if answer := worker.exchange(); len(answer.Stop) != 0 {
-					t.Fatalf("want no stop, got %+v", answer.Stop)
+					t.Fatalf("got %+v, want no stop", answer.Stop)
 				}
 			}
 		})
 	}
-	t.Run("silent", func(t *testing.T) {
+	t.Run("missed heartbeats", func(t *testing.T) {
 		h := newHarness(t)
 		worker := h.registerWorkers(2)[0]
 		h.submit("j", tasksWithEstimate(1, 10*time.Millisecond))
@@ -207,7 +207,7 @@
 	}
 	h.submit("next", tasksWithEstimate(1, time.Second))
 	if answer := slow.exchange(); len(answer.Start) != 0 {
-		t.Errorf("want no start on a while others have capacity, got %+v", answer.Start)
+		t.Errorf("got %+v, want no start on a while others have capacity", answer.Start)
 	}
 }
 
@@ -273,11 +273,11 @@
 				stops += len(first.exchange().Stop)
 				second.heartbeat.Seq++
 				if answer, err := h.deliver(cancelled, second.heartbeat); err != nil || len(answer.Start) != 0 {
-					t.Fatalf("want no starts in an answer that nobody reads, got %+v, error %v", answer, err)
+					t.Fatalf("got %+v, error %v, want no starts in an answer that nobody reads", answer, err)
 				}
 			}
 			if isStopped := stops > 0; isStopped == together {
-				t.Errorf("got %d stops of runs without progress; want some only outside a gang", stops)
+				t.Errorf("got %d stops of runs without progress, want none in a gang and at least one outside", stops)
 			}
 		})
 	}
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -175,7 +175,7 @@
 	return protocol.HeartbeatAnswer{Answer: answer}, nil
 }
 
-// startAssignments returns the start orders of the runs placed on the worker; each run
+// startAssignments returns the assignments of the runs placed on the worker; each run
 // is assigned once. It returns none if the worker is leaving, whose unassigned runs it
 // revokes, or if the caller no longer waits.
 func (l *leader) startAssignments(ctx context.Context, worker *workerEntry) []api.StartOrder {
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -22,7 +22,7 @@
 	worker := h.newWorker("w", "w-1")
 	worker.exchange()
 	h.submit("j", tasks(1))
-	worker.heartbeat.Seq-- // the next heartbeat repeats the last seq
+	worker.heartbeat.Seq-- // so that the next heartbeat has the same seq
 	if answer, err := worker.send(); err == nil || len(answer.Start) != 0 {
 		t.Errorf("got answer %+v, error %v to a repeated seq, want an error and no starts", answer, err)
 	}
--- a/internal/scheduler/incarnations_test.go
+++ b/internal/scheduler/incarnations_test.go
@@ -34,7 +34,7 @@
 	next.exchange()
 	h.advance(replacementGap)
 	if answer := next.exchange(); len(answer.Start) != 1 || answer.Start[0].Run != 2 {
-		t.Fatalf("want run 2 of the task of the ended process, got %+v", answer.Start)
+		t.Fatalf("got %+v, want run 2 of the task of the ended process", answer.Start)
 	}
 }
 
@@ -52,7 +52,7 @@
 	next.exchange()
 	h.advance(replacementGap)
 	if answer := next.exchange(); len(answer.Start) != 1 || answer.Start[0].Run != 2 {
-		t.Fatalf("want run 2 of the task of the ended process, got %+v", answer.Start)
+		t.Fatalf("got %+v, want run 2 of the task of the ended process", answer.Start)
 	}
 }
 
@@ -158,12 +158,12 @@
 				outdated.Tasks[0].Service, outdated.Tasks[0].Labels = "other", labels
 				request := protocol.SubmitRequest{ID: "third", Spec: api.JobSpec{Queue: "q", Steps: []api.StepSpec{outdated}}}
 				if answer, err := h.leader.submit(t.Context(), request); err == nil {
-					t.Errorf("want a job refused that needs the earlier %s, got %+v", what, answer)
+					t.Errorf("job that needs the earlier %s: got %+v, want a refusal", what, answer)
 				}
 			}
 			after.exchange()
 			if len(after.heartbeat.Running) != 2 {
-				t.Fatalf("want two runs, as the new capacity allows, got %+v", after.heartbeat.Running)
+				t.Fatalf("got %+v, want two runs, as the new capacity allows", after.heartbeat.Running)
 			}
 			for _, run := range after.heartbeat.Running {
 				if run.Task[:len("second")] != "second" {
--- a/internal/scheduler/leader.go
+++ b/internal/scheduler/leader.go
@@ -20,11 +20,11 @@
 	// planLimit is the maximum number of placements of one planner pass. It bounds the
 	// size of one log entry and the time for which the leader's lock is held.
 	planLimit = 512
-	// proposalTimeout is the time-out of one of the leader's own proposals.
+	// proposalTimeout is the timeout of one of the leader's own proposals.
 	proposalTimeout = 3 * time.Second
 )
 
-// leader implements the acting scheduler for one term.
+// leader implements the work of the leading replica for one term.
 //
 // Lock order: the record's lock is acquired before mu, since the record calls
 // handleEvent under its lock. So code that holds mu must not read the record.
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -6,8 +6,9 @@
 )
 
 // expireLeases closes the runs of workers whose lease has certainly expired: by then the
-// worker has stopped them on its own (P11). It also closes the runs of workers that
-// another incarnation has replaced: their processes have ended, and their runs with them.
+// worker has stopped them on its own (promise P11 in docs/DESIGN.md). It also closes the
+// runs of workers that another incarnation has replaced: their processes have ended, and
+// their runs with them.
 func (r *workerRegistry) expireLeases(now time.Duration, ender runEnder) {
 	for _, worker := range r.byID {
 		if !worker.mustExpireLease(now) && !r.mustExpireReplaced(worker, now) {
--- a/internal/scheduler/leases_test.go
+++ b/internal/scheduler/leases_test.go
@@ -48,12 +48,12 @@
 	h.advance(testLease + testDriftMargin)
 	other.exchange()
 	if answer := other.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("want no start on b before the lease of a expires, got %+v", answer.Start)
+		t.Fatalf("got %+v, want no start on b before the lease of a expires", answer.Start)
 	}
 	h.advance(time.Millisecond)
 	answer := other.exchange()
 	if len(answer.Start) != 1 || answer.Start[0].Run != 2 {
-		t.Fatalf("want run 2 on b, got %+v", answer.Start)
+		t.Fatalf("got %+v, want run 2 on b", answer.Start)
 	}
 }
 
@@ -68,11 +68,11 @@
 	other.exchange() // extends its own lease
 	h.advance(time.Second + testDriftMargin)
 	if answer := other.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("want no start within one lease after the start of the term, got %+v", answer.Start)
+		t.Fatalf("got %+v, want no start within one lease after the start of the term", answer.Start)
 	}
 	h.advance(time.Millisecond)
 	if answer := other.exchange(); len(answer.Start) != 1 {
-		t.Fatalf("want a start on b after the lease, got %+v", answer.Start)
+		t.Fatalf("got %+v, want a start on b after the lease", answer.Start)
 	}
 }
 
@@ -82,15 +82,15 @@
 	later := h.newWorker("w", "w-2")
 	h.advance(testLease)
 	if answer := later.exchange(); len(answer.Start) != 0 {
-		t.Fatalf("want no start on the new incarnation before the old lease expires, got %+v", answer.Start)
+		t.Fatalf("got %+v, want no start on the new incarnation before the old lease expires", answer.Start)
 	}
 	h.advance(testDriftMargin + time.Millisecond)
 	later.exchange()
 	answer := later.exchange()
 	if len(answer.Start) != 1 || answer.Start[0].Run != 2 {
-		t.Fatalf("want run 2 on the new incarnation, got %+v", answer.Start)
+		t.Fatalf("got %+v, want run 2 on the new incarnation", answer.Start)
 	}
 	if answer := earlier.exchange(); len(answer.Stop) != 1 {
-		t.Errorf("want the run stopped on the old incarnation, got %+v", answer)
+		t.Errorf("got %+v, want the run stopped on the old incarnation", answer)
 	}
 }
--- a/internal/scheduler/localitywait_test.go
+++ b/internal/scheduler/localitywait_test.go
@@ -54,7 +54,7 @@
 			if c.waits > 0 {
 				h.advance(c.waits - time.Millisecond)
 				if answer := y.exchange(); len(answer.Start) != 0 {
-					t.Fatalf("want no assignment in the other rack before %v, got %+v", c.waits, answer.Start)
+					t.Fatalf("before %v: got %+v, want no assignment in the other rack", c.waits, answer.Start)
 				}
 				h.advance(time.Millisecond)
 			}
--- a/internal/scheduler/metrics.go
+++ b/internal/scheduler/metrics.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics has the metrics of the acting scheduler. They are registered once per process
-// and shared by all its terms.
+// metrics has the metrics of the leader. They are registered once per process and shared
+// by all its terms.
 type metrics struct {
 	proposals   prometheus.Counter
 	placements  prometheus.Counter
--- a/internal/scheduler/missedheartbeats_test.go
+++ b/internal/scheduler/missedheartbeats_test.go
@@ -31,17 +31,17 @@
 
 // newMissingAndResponding returns two workers. The first has an unassigned run, and misses
 // heartbeats unless the test sends them.
-func newMissingAndResponding(t *testing.T, step api.StepSpec) (h *harness, silent, other *fakeWorker) {
+func newMissingAndResponding(t *testing.T, step api.StepSpec) (h *harness, missing, other *fakeWorker) {
 	t.Helper()
 	h = newHarness(t)
-	silent, other = h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
-	silent.exchange()
+	missing, other = h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
+	missing.exchange()
 	h.submit("j", step)
 	other.exchange()
 	if task := h.task("j", 0); task.Run != 1 || task.Worker != "a" {
-		t.Fatalf("want run 1 on a, got %+v", task)
+		t.Fatalf("got %+v, want run 1 on a", task)
 	}
-	return h, silent, other
+	return h, missing, other
 }
 
 func TestRevocation_UnassignedRunLeavesMissingWorker(t *testing.T) {
@@ -52,7 +52,7 @@
 	}
 	h.heartbeatIntervals(2, other)
 	if len(other.heartbeat.Running) != 1 || other.heartbeat.Running[0].Run != 2 {
-		t.Fatalf("want run 2 on b long before the lease expires, got %+v", other.heartbeat.Running)
+		t.Fatalf("got %+v, want run 2 on b long before the lease expires", other.heartbeat.Running)
 	}
 	if task := h.task("j", 0); task.Failures != 0 {
 		t.Errorf("got %d failures after a revocation, want 0", task.Failures)
@@ -60,17 +60,17 @@
 }
 
 func TestRevocation_RevokedRunIsNeverAssigned(t *testing.T) {
-	h, silent, other := newMissingAndResponding(t, tasks(1))
+	h, missing, other := newMissingAndResponding(t, tasks(1))
 	h.heartbeatIntervals(missedGap, other)
-	if answer := silent.exchange(); len(answer.Start) != 0 {
-		t.Errorf("want no start of the revoked run, got %+v", answer.Start)
+	if answer := missing.exchange(); len(answer.Start) != 0 {
+		t.Errorf("got %+v, want no start of the revoked run", answer.Start)
 	}
 }
 
 func TestRevocation_PossiblyAssignedRunStays(t *testing.T) {
-	h, silent, other := newMissingAndResponding(t, tasks(1))
-	if answer, err := silent.send(); err != nil || len(answer.Start) != 1 {
-		t.Fatalf("want the assignment, got %+v, %v", answer, err)
+	h, missing, other := newMissingAndResponding(t, tasks(1))
+	if answer, err := missing.send(); err != nil || len(answer.Start) != 1 {
+		t.Fatalf("got %+v, %v, want the assignment", answer, err)
 	}
 	h.heartbeatIntervals(int(testLease/testInterval), other)
 	if task := h.task("j", 0); task.Run != 1 || task.Worker != "a" {
@@ -80,8 +80,8 @@
 
 func TestUnresponsiveWorker_GetsWorkLast(t *testing.T) {
 	h := newHarness(t)
-	silent, other := h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
-	silent.exchange()
+	missing, other := h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
+	missing.exchange()
 	other.exchange()
 	h.heartbeatIntervals(missedGap, other)
 	h.submit("j", tasks(5)) // one more than fits on b
@@ -90,7 +90,7 @@
 		counts[h.task("j", index).Worker]++
 	}
 	if counts["a"] != 1 || counts["b"] != 4 {
-		t.Fatalf("want 4 tasks on b and the last on a, got %v", counts)
+		t.Fatalf("got %v, want 4 tasks on b and the last on a", counts)
 	}
 	h.heartbeatIntervals(2, other)
 	for index := range 5 {
@@ -104,14 +104,14 @@
 // after its heartbeats have resumed: the planner chooses it as before.
 func TestUnresponsiveWorker_RecoversOnHeartbeat(t *testing.T) {
 	h := newHarness(t)
-	silent, other := h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
-	silent.exchange()
+	missing, other := h.newWorker("a", "a-1"), h.newWorker("b", "b-1")
+	missing.exchange()
 	other.exchange()
 	h.heartbeatIntervals(missedGap, other)
-	h.heartbeatIntervals(2, silent, other)
+	h.heartbeatIntervals(2, missing, other)
 	h.submit("j", tasks(1))
 	if task := h.task("j", 0); task.Worker != "a" {
-		t.Errorf("want it placed on a, got %+v", task)
+		t.Errorf("got %+v, want it placed on a", task)
 	}
 }
 
@@ -119,20 +119,21 @@
 // whose heartbeat is being handled: a slow commit keeps it waiting for its answer, so that
 // it cannot send another heartbeat.
 func TestRevocation_HeartbeatInProgressIsNotMissed(t *testing.T) {
-	h, silent, _ := newMissingAndResponding(t, tasks(2))
-	silent.exchange()
+	h, missing, _ := newMissingAndResponding(t, tasks(2))
+	missing.exchange()
 	h.submit("k", tasks(1))
-	silent.endAllRuns(api.OutcomeSucceeded)
+	missing.endAllRuns(api.OutcomeSucceeded)
 	h.log.duringProposal = func() {
 		h.log.duringProposal = nil
 		h.advance(missedGap * testInterval)
 	}
-	if answer := silent.exchange(); len(answer.Start) != 1 || answer.Start[0].Run != 1 {
-		t.Errorf("want run 1 of k assigned in the late answer, got %+v", answer.Start)
+	if answer := missing.exchange(); len(answer.Start) != 1 || answer.Start[0].Run != 1 {
+		t.Errorf("got %+v, want run 1 of k assigned in the late answer", answer.Start)
 	}
 }
 
-// TestRevocation_SkippedWhileNoWorkerResponds: no worker could take the revoked task.
+// TestRevocation_SkippedWhileNoWorkerResponds: a run must not be revoked while no other
+// worker responds that could take the task.
 func TestRevocation_SkippedWhileNoWorkerResponds(t *testing.T) {
 	h, _, other := newMissingAndResponding(t, tasks(1))
 	h.heartbeatIntervals(missedGap)
@@ -143,7 +144,7 @@
 	other.exchange()
 	h.heartbeatIntervals(2, other)
 	if task := h.task("j", 0); task.Run != 2 || task.Worker != "b" {
-		t.Errorf("want run 2 on b once b responds, got %+v", task)
+		t.Errorf("got %+v, want run 2 on b once b responds", task)
 	}
 }
 
@@ -196,14 +197,14 @@
 func TestUnresponsiveWorker_LostAssignmentGoesElsewhere(t *testing.T) {
 	h, missing, other := newMissingAndResponding(t, tasks(1))
 	if answer, err := missing.send(); err != nil || len(answer.Start) != 1 {
-		t.Fatalf("want the assignment, got %+v, %v", answer, err)
+		t.Fatalf("got %+v, %v, want the assignment", answer, err)
 	}
-	missing.exchange() // shows that the worker did not accept the answer
+	missing.exchange() // this heartbeat shows that the worker did not accept the answer
 	if task := h.task("j", 0); task.Run != 2 || task.Worker != "b" {
-		t.Fatalf("want run 2 on b, got %+v", task)
+		t.Fatalf("got %+v, want run 2 on b", task)
 	}
 	if answer := other.exchange(); len(answer.Start) != 1 {
-		t.Errorf("want the assignment, got %+v", answer.Start)
+		t.Errorf("got %+v, want the assignment", answer.Start)
 	}
 }
 
@@ -219,6 +220,6 @@
 	h.submit("j", tasks(1))
 	other.exchange()
 	if task := h.task("j", 0); task.Worker != "a" {
-		t.Errorf("want it placed on a, got %+v", task)
+		t.Errorf("got %+v, want it placed on a", task)
 	}
 }
--- a/internal/scheduler/ownership_test.go
+++ b/internal/scheduler/ownership_test.go
@@ -25,7 +25,7 @@
 func TestLeader_ComposesComponents(t *testing.T) {
 	leaderType := reflect.TypeFor[leader]()
 	if count := leaderType.NumField(); count > maxLeaderFields {
-		t.Errorf("leader has %d fields, want at most %d", count, maxLeaderFields)
+		t.Errorf("got %d fields of leader, want at most %d", count, maxLeaderFields)
 	}
 	owned := make(map[reflect.Type]int)
 	for i := range leaderType.NumField() {
@@ -33,7 +33,7 @@
 	}
 	for _, component := range components() {
 		if owned[component] != 1 {
-			t.Errorf("leader has %d fields of type %s, want 1", owned[component], component)
+			t.Errorf("got %d fields of leader with type %s, want 1", owned[component], component)
 		}
 	}
 }
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -12,11 +12,11 @@
 	h.newTerm()
 	h.submit("j", tasks(1))
 	if task := h.task("j", 0); task.Run != 0 {
-		t.Fatalf("got task %+v, want no run before the worker is answered in this term", task)
+		t.Fatalf("got task %+v, want no run before the leader has answered the worker in this term", task)
 	}
 	worker.exchange()
 	if task := h.task("j", 0); task.Run != 1 {
-		t.Errorf("got task %+v, want run 1 after the worker was answered", task)
+		t.Errorf("got task %+v, want run 1 after the leader answered the worker", task)
 	}
 }
 
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -26,8 +26,8 @@
 	return queue.Priority
 }
 
-// queueShare returns a queue's share of a shared limit of which it uses some. A weight
-// below the default counts as the default.
+// queueShare returns a queue as a participant of a limit that queues share; used is its
+// current use. A weight below the default counts as the default.
 func queueShare(queue *api.QueueConfig, used int) admission.Participant {
 	return admission.Participant{Weight: max(queue.Weight, api.DefaultQueueWeight), Used: used}
 }
--- a/internal/scheduler/ranks_test.go
+++ b/internal/scheduler/ranks_test.go
@@ -33,7 +33,7 @@
 		h.advance(time.Millisecond)
 		answer := worker.exchange()
 		if len(answer.Start) != 1 {
-			h.t.Fatalf("after %v: want one assignment, got %+v", jobs, answer.Start)
+			h.t.Fatalf("after %v: got %+v, want one assignment", jobs, answer.Start)
 		}
 		job, _, _ := strings.Cut(answer.Start[0].Task, "/")
 		jobs = append(jobs, job)
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -36,7 +36,7 @@
 		{"accepted and unlisted must be stopped first", &runState{assignment: assignmentState{seq: 4}}, api.Heartbeat{Seq: 5, AcceptedSeq: 4}, differenceCounts{Dropped: 1}},
 		{"stop not accepted yet keeps it dropped", &runState{assignment: assignmentState{seq: 4, droppedSeq: 5}}, api.Heartbeat{Seq: 6, AcceptedSeq: 4}, differenceCounts{Dropped: 1}},
 		{"stop accepted and still unlisted is lost", &runState{assignment: assignmentState{seq: 4, droppedSeq: 5}}, api.Heartbeat{Seq: 6, AcceptedSeq: 5}, differenceCounts{Lost: 1}},
-		{"listed before and now unlisted must be stopped first", &runState{assignment: assignmentState{placedBy: placedByEarlierLeader}, observed: observedRun{listed: true}}, api.Heartbeat{Seq: 9, AcceptedSeq: 8}, differenceCounts{Dropped: 1}},
+		{"listed before and unlisted now must be stopped first", &runState{assignment: assignmentState{placedBy: placedByEarlierLeader}, observed: observedRun{listed: true}}, api.Heartbeat{Seq: 9, AcceptedSeq: 8}, differenceCounts{Dropped: 1}},
 		{"heartbeat not newer than the assignment changes nothing", &runState{assignment: assignmentState{seq: 7}}, api.Heartbeat{Seq: 7, AcceptedSeq: 6}, differenceCounts{}},
 		{"running and listed already changes nothing", &runState{assignment: assignmentState{seq: 4}, observed: observedRun{listed: true}}, api.Heartbeat{Seq: 6, AcceptedSeq: 5, Running: running}, differenceCounts{}},
 		{"ended is reported", &runState{assignment: assignmentState{seq: 4}}, api.Heartbeat{Seq: 6, AcceptedSeq: 5, Ended: ended}, differenceCounts{Started: 1, Ended: 1}},
@@ -83,11 +83,11 @@
 	h.submit("unassigned", tasks(1)) // placed on b; the old leader has not assigned it yet
 	h.newTerm()
 	if answer := running.exchange(); len(answer.Stop) != 0 || len(answer.Start) != 0 {
-		t.Errorf("want no start and no stop for runs that continue, got %+v", answer)
+		t.Errorf("got %+v, want no start and no stop for runs that continue", answer)
 	}
 	empty.exchange() // in neither list: lost at once, without waiting for the lease
 	answer := empty.exchange()
 	if len(answer.Start) != 1 || answer.Start[0].Task != "unassigned/s/0" || answer.Start[0].Run != 2 {
-		t.Errorf("want run 2 of the unassigned task, got %+v", answer.Start)
+		t.Errorf("got %+v, want run 2 of the unassigned task", answer.Start)
 	}
 }
--- a/internal/scheduler/refusedheartbeat_test.go
+++ b/internal/scheduler/refusedheartbeat_test.go
@@ -43,7 +43,7 @@
 	h.advance(testLease + testDriftMargin + time.Millisecond)
 	for range 3 {
 		if answer := other.exchange(); len(answer.Start) != 0 {
-			t.Errorf("want no start of a task that has succeeded, got %+v", answer.Start)
+			t.Errorf("got %+v, want no start of a task that has succeeded", answer.Start)
 		}
 	}
 }
@@ -81,14 +81,14 @@
 // lost. The next run of the task, which was not assigned yet, is revoked.
 func TestRefusedHeartbeat_LateSuccessIsRecorded(t *testing.T) {
 	h := newHarness(t)
-	silent, other := h.expiredWorker()
+	expired, other := h.expiredWorker()
 	h.log.holdsLease = false
-	_ = silent.refusedHeartbeat()
+	_ = expired.refusedHeartbeat()
 	h.log.holdsLease = true
 	h.settle()
 	h.wantState("j", api.StateSucceeded)
 	if answer := other.exchange(); len(answer.Start) != 0 {
-		t.Errorf("want no start of a task that has succeeded, got %+v", answer.Start)
+		t.Errorf("got %+v, want no start of a task that has succeeded", answer.Start)
 	}
 }
 
@@ -124,7 +124,7 @@
 	}
 	run := record.RunID{Task: record.TaskID{Job: "continues", Step: "s"}, Number: 1}
 	if open := entry.runs[run]; open == nil || open.closing || open.assignment.droppedSeq != 0 || len(entry.runs) != 1 {
-		t.Errorf("got runs %+v, want only the run of continues, unchanged", entry.runs)
+		t.Errorf("got runs %+v, want only the run of job continues, unchanged", entry.runs)
 	}
 	worker.heartbeat.Draining, worker.heartbeat.Running = false, listed.Running[1:]
 	if answer := worker.exchange(); len(answer.Acknowledged) != 1 || len(answer.Stop) != 0 {
--- a/internal/scheduler/registry.go
+++ b/internal/scheduler/registry.go
@@ -31,7 +31,7 @@
 	registered []placement.Worker
 	// stalls tracks the leader's own delays, which must not count as missed heartbeats.
 	stalls stallTracker
-	// timings belongs to the configuration in force.
+	// timings are those of the configuration in force.
 	timings *api.TimingConfig
 	// startedAt is the start of the term, on the monotonic clock.
 	startedAt time.Duration
--- a/internal/scheduler/repeats/repeats.go
+++ b/internal/scheduler/repeats/repeats.go
@@ -63,8 +63,8 @@
 	r.schedule(entry, entry.nextAddTime())
 }
 
-// OccurrenceAdded notes which occurrence of a job is next after the record has added others. A job
-// without further occurrences is removed.
+// OccurrenceAdded updates the next occurrence of a job after the record has added others.
+// It removes a job without further occurrences.
 func (r *Jobs) OccurrenceAdded(job *record.Job) {
 	entry, known := r.byID[job.ID]
 	if !known {
--- a/internal/scheduler/repeats/repeats_test.go
+++ b/internal/scheduler/repeats/repeats_test.go
@@ -28,7 +28,7 @@
 	}
 	want := []record.Expansion{{Job: "j", Through: 0}}
 	if diff := cmp.Diff(want, jobs.TakeDue(first-expandAheadMillis)); diff != "" {
-		t.Errorf("due (-want +got):\n%s", diff)
+		t.Errorf("due jobs (-want +got):\n%s", diff)
 	}
 }
 
@@ -45,7 +45,7 @@
 	jobs.Reschedule(expansions, first)
 	want := []record.Expansion{{Job: "j", Through: 1}}
 	if diff := cmp.Diff(want, jobs.TakeDue(first+1000)); diff != "" {
-		t.Errorf("due (-want +got):\n%s", diff)
+		t.Errorf("due jobs (-want +got):\n%s", diff)
 	}
 }
 
--- a/internal/scheduler/reports_test.go
+++ b/internal/scheduler/reports_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("got draining %t, seq %d after a late heartbeat, want those of the newer one", entry.drain.requested, entry.seq)
 	}
 	if answer := worker.exchange(); len(answer.Start) != 1 || answer.Start[0].Task != "k/s/0" {
-		t.Errorf("want the start of k/s/0 in the next answer, got %+v", answer.Start)
+		t.Errorf("got %+v, want the start of k/s/0 in the next answer", answer.Start)
 	}
 }
 
@@ -89,10 +89,10 @@
 
 // expiredWorker returns a worker whose lease has expired and that has an unreported success
 // of "j/s/0", and another worker with capacity for the task.
-func (h *harness) expiredWorker() (silent, other *fakeWorker) {
+func (h *harness) expiredWorker() (expired, other *fakeWorker) {
 	h.t.Helper()
-	silent = h.runningOne()
-	silent.endAllRuns(api.OutcomeSucceeded)
+	expired = h.runningOne()
+	expired.endAllRuns(api.OutcomeSucceeded)
 	other = h.newWorker("other", "o-1")
 	other.exchange()
 	other.exchange()
@@ -101,21 +101,21 @@
 		other.exchange()
 	}
 	h.advance(testDriftMargin + time.Millisecond)
-	return silent, other
+	return expired, other
 }
 
 func TestReports_LateSuccessRevokesUnassignedRun(t *testing.T) {
 	h := newHarness(t)
-	silent, other := h.expiredWorker()
+	expired, other := h.expiredWorker()
 	if open := h.leader.assignments.openByTask[testTask()]; open == nil || open.worker.info.ID != "o-1" || open.assignment.seq != 0 {
-		t.Fatalf("want the task placed again and not assigned, got %+v", open)
+		t.Fatalf("got %+v, want the task placed again and not assigned", open)
 	}
-	if answer := silent.exchange(); len(answer.Acknowledged) != 1 {
+	if answer := expired.exchange(); len(answer.Acknowledged) != 1 {
 		t.Errorf("got acknowledged %+v, want the one report", answer.Acknowledged)
 	}
 	h.wantState("j", api.StateSucceeded)
 	if answer := other.exchange(); len(answer.Start) != 0 {
-		t.Errorf("want no start of a task that has succeeded, got %+v", answer.Start)
+		t.Errorf("got %+v, want no start of a task that has succeeded", answer.Start)
 	}
 }
 
@@ -123,21 +123,21 @@
 // because the commit of the late success failed.
 func TestReports_RevokedRunIsClosedAfterFailedReport(t *testing.T) {
 	h := newHarness(t)
-	silent, other := h.expiredWorker()
+	expired, other := h.expiredWorker()
 	h.log.overloaded = true
-	silent.heartbeat.Seq++
-	request := protocol.HeartbeatRequest{Agent: "a", Zone: "z1", Heartbeat: silent.heartbeat}
+	expired.heartbeat.Seq++
+	request := protocol.HeartbeatRequest{Agent: "a", Zone: "z1", Heartbeat: expired.heartbeat}
 	if _, err := h.leader.heartbeat(t.Context(), request); err == nil {
 		t.Fatal("got an answer while the log is overloaded, want an error")
 	}
 	h.log.overloaded = false
 	h.settle()
-	if answer := silent.exchange(); len(answer.Acknowledged) != 1 {
+	if answer := expired.exchange(); len(answer.Acknowledged) != 1 {
 		t.Errorf("got acknowledged %+v, want the one report", answer.Acknowledged)
 	}
 	h.wantState("j", api.StateSucceeded)
 	if answer := other.exchange(); len(answer.Start) != 0 {
-		t.Errorf("want no start of a task that has succeeded, got %+v", answer.Start)
+		t.Errorf("got %+v, want no start of a task that has succeeded", answer.Start)
 	}
 }
 
@@ -145,18 +145,18 @@
 	for _, outcome := range []api.Outcome{api.OutcomeSucceeded, api.OutcomeFailed, api.OutcomeStopped} {
 		t.Run(string(outcome), func(t *testing.T) {
 			h := newHarness(t)
-			silent, other := h.expiredWorker()
+			expired, other := h.expiredWorker()
 			if answer := other.exchange(); len(answer.Start) != 1 || answer.Start[0].Run != 2 {
-				t.Fatalf("want run 2 on the other worker, got %+v", answer.Start)
+				t.Fatalf("got %+v, want run 2 on the other worker", answer.Start)
 			}
-			reported := silent.heartbeat.Ended
-			if answer := silent.exchange(); len(answer.Acknowledged) != 0 {
-				t.Fatalf("want no acknowledgement while a newer run is open, got %+v", answer.Acknowledged)
+			reported := expired.heartbeat.Ended
+			if answer := expired.exchange(); len(answer.Acknowledged) != 0 {
+				t.Fatalf("got %+v, want no acknowledgement while a newer run is open", answer.Acknowledged)
 			}
 			other.endAllRuns(outcome)
 			other.exchange()
-			silent.heartbeat.Ended = reported
-			if answer := silent.exchange(); len(answer.Acknowledged) != 1 {
+			expired.heartbeat.Ended = reported
+			if answer := expired.exchange(); len(answer.Acknowledged) != 1 {
 				t.Errorf("got acknowledged %+v, want the one report", answer.Acknowledged)
 			}
 			h.wantState("j", api.StateSucceeded)
@@ -165,7 +165,7 @@
 }
 
 // TestReports_LateSuccessCountsWithEndOfNewerRun guards against losing a success that is
-// reported together with the end of a newer run: the worker rejects a start order for a
+// reported together with the end of a newer run: the worker rejects an assignment of a
 // task whose success it still reports.
 func TestReports_LateSuccessCountsWithEndOfNewerRun(t *testing.T) {
 	h := newHarness(t)
@@ -177,7 +177,7 @@
 	worker.exchange()
 	worker.exchange()
 	if answer := worker.exchange(); len(answer.Start) != 1 {
-		t.Fatalf("want the task assigned again, got %+v", answer.Start)
+		t.Fatalf("got %+v, want the task assigned again", answer.Start)
 	}
 	worker.endAllRuns(api.OutcomeStopped)
 	worker.heartbeat.Ended = append(success, worker.heartbeat.Ended...)
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -61,7 +61,7 @@
 	}
 	bookings := h.reservations()
 	if len(bookings) == 0 || bookings[0].State != api.BookingHeld || bookings[0].Placed != 3 || bookings[0].Used != 0 {
-		t.Fatalf("got %+v, want three slots held and unused", bookings)
+		t.Fatalf("got %+v, want state held, three slots placed and none used", bookings)
 	}
 	h.exchangeAndAdvance(worker, untilWindow-untilReserved)
 	h.submitTo("booked", "burst", tasks(3))
--- a/internal/scheduler/runstate.go
+++ b/internal/scheduler/runstate.go
@@ -10,9 +10,9 @@
 )
 
 // runState is an open run of the record and its observed state. It is owned by assignments.
-// Others write these fields too: the proposer stop and closing, the leader worker and stop,
-// the health review observed.progress, workerEntry.recordCheckpoints observed.checkpoint and
-// observed.percent. leader.mu guards the struct.
+// Some fields are written by other components: stop and closing by the proposer, worker and
+// stop by the leader, observed.progress by the health review, observed.checkpoint and
+// observed.percent by workerEntry.recordCheckpoints. leader.mu guards the struct.
 type runState struct {
 	placedRun
 	assignment assignmentState
@@ -57,8 +57,8 @@
 	placedByEarlierLeader
 )
 
-// assignmentState records who placed the run, and which answers told the worker to start it
-// and to stop it.
+// assignmentState records who placed the run, and which answers carried its assignment and
+// its stop request.
 type assignmentState struct {
 	placedBy placedBy
 	// seq is the seq of the answer that carried the assignment; 0 if this leader has sent
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -71,7 +71,7 @@
 	s.config.Logger.Info("stopped leading", slog.Uint64("token", leadership.Token))
 }
 
-// Register registers the methods that only the acting scheduler serves.
+// Register registers the methods that only the leader serves.
 func (s *Service) Register(server *rpc.Server) {
 	handle(s, server, protocol.MethodHeartbeat, (*leader).heartbeat)
 	handle(s, server, protocol.MethodLeave, (*leader).leave)
--- a/internal/scheduler/slo/deference.go
+++ b/internal/scheduler/slo/deference.go
@@ -35,9 +35,9 @@
 
 // defersTo returns the queues to which a queue defers. An overloaded queue cannot meet
 // its objective in any order, so it defers to all queues with an objective. A queue at
-// risk defers only to queues that are about as urgent or more: its tasks are not more
-// urgent than theirs, only older, and less urgent tasks should not go first while its own
-// objective can be met.
+// risk defers only to queues that are more urgent or about as urgent: its tasks are older
+// than theirs but not more urgent. Less urgent tasks should not be placed first while its
+// own objective can be met.
 func (q *Queue) defersTo(own *api.QueueConfig, queues []api.QueueConfig) []string {
 	overloaded := q.overloaded.Exceeded()
 	if !overloaded && !q.atRisk.Exceeded() {
--- a/internal/scheduler/slo/tracker.go
+++ b/internal/scheduler/slo/tracker.go
@@ -57,8 +57,7 @@
 	criticalPath time.Duration
 	// atRisk is exceeded while the expected wait is a considerable part of the
 	// objective's start allowance, overloaded while the objective cannot be met, and
-	// refusing while a new job would end beyond the multiple of the objective from which
-	// on the queue refuses jobs.
+	// refusing while a new job would end later than RefuseBeyond times its objective.
 	atRisk, overloaded, refusing admission.WaitThreshold
 	// retries spreads the retries of refused jobs over time.
 	retries admission.RetrySchedule
@@ -79,8 +78,8 @@
 // Waiting returns the number of tasks that wait.
 func (q *Queue) Waiting() int { return q.startRate.Waiting() }
 
-// IsRefusing reports whether a new job would end beyond the multiple of the objective
-// from which on the queue refuses jobs.
+// IsRefusing reports whether a new job would end later than RefuseBeyond times its
+// objective. The queue may refuse jobs only while it would.
 func (q *Queue) IsRefusing() bool { return q.refusing.Exceeded() }
 
 // RetryAfter returns after how long a refused job with a number of tasks should retry,
--- a/internal/scheduler/statemetrics.go
+++ b/internal/scheduler/statemetrics.go
@@ -8,7 +8,7 @@
 
 // stateCollector implements prometheus.Collector. At each collection it counts the
 // objects in this process's memory: those of the record on every scheduler, and on the
-// acting scheduler those of the leader too.
+// leader also its workers, open runs and watching processes.
 type stateCollector struct {
 	service *Service
 
--- a/internal/scheduler/submissions_test.go
+++ b/internal/scheduler/submissions_test.go
@@ -37,7 +37,7 @@
 		t.Errorf("queue a: got %d places, want three quarters of maxSubmitting", accepted)
 	}
 	if !begin("b", "b-0") || !begin("a", "a-0") || begin("a", "a-new") {
-		t.Error("want b and a resend of a accepted, and a new job of a refused")
+		t.Error("want a job of queue b and a resend of job a-0 accepted, and a new job of queue a refused")
 	}
 	for _, end := range ends {
 		end()
@@ -81,8 +81,8 @@
 	}
 	for name, err := range map[string]error{
 		"unknown outcome": replica.ErrOutcomeUnknown,
-		"withdrawn when the time-out of an attempt passed": fmt.Errorf("%w: %w", replica.ErrOverloaded, context.DeadlineExceeded),
-		"withdrawn when the caller cancelled":              fmt.Errorf("%w: %w", replica.ErrOverloaded, context.Canceled),
+		"withdrawn when the timeout of an attempt passed": fmt.Errorf("%w: %w", replica.ErrOverloaded, context.DeadlineExceeded),
+		"withdrawn when the caller cancelled":             fmt.Errorf("%w: %w", replica.ErrOverloaded, context.Canceled),
 	} {
 		if refusal := h.leader.submitError(err); errors.As(refusal, new(*api.Error)) {
 			t.Errorf("%s: got refusal %v, want no api.Error", name, refusal)
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -9,8 +9,8 @@
 
 const (
 	// watchLease is how long a process may serve without a newer answer, counted from
-	// when it sent its request. P8 allows 2 s from the acknowledgement of a
-	// configuration until every live process has it.
+	// when it sent its request. Promise P8 in docs/DESIGN.md allows 2 s from the
+	// acknowledgement of a configuration until every live process has it.
 	watchLease = 1500 * time.Millisecond
 	// maxWatchWait is the maximum time for which a watch is pending. Processes request
 	// less than a third of watchLease, so that they renew it in time even if one call
--- a/internal/scheduler/watch_test.go
+++ b/internal/scheduler/watch_test.go
@@ -90,7 +90,7 @@
 	}
 	h.advance(watchLease + time.Millisecond)
 	if age := rollout().Processes[0].AgeMillis; age != watchLease.Milliseconds()+1 {
-		t.Errorf("agent without heartbeats for watchLease + 1 ms: got age %d ms", age)
+		t.Errorf("agent without heartbeats: got age %d ms, want watchLease + 1 ms", age)
 	}
 }
 
--- a/internal/workerhealth/stall.go
+++ b/internal/workerhealth/stall.go
@@ -4,12 +4,12 @@
 
 const (
 	// minStallTimeout is the least stall timeout of a run with an estimate that reports
-	// its progress, or whose queue's runs are known to report in small steps.
+	// its progress, or whose queue's runs are known to report in small increments.
 	minStallTimeout = 2 * time.Second
 	// fineGrainedAdvances is the number of advances of the percent after which a run, and
-	// the runs of its queue, are known to report in small steps.
+	// the runs of its queue, are known to report in small increments.
 	fineGrainedAdvances = 3
-	// stallTimeoutDivisor is what the estimate of a run that reports in small steps is
+	// stallTimeoutDivisor is what the estimate of a run that reports in small increments is
 	// divided by to get its timeout. A run that takes 25 times its estimate still
 	// advances by one percent within that timeout.
 	stallTimeoutDivisor = 4
@@ -23,7 +23,7 @@
 	advanceIntervalFactor     = 20
 	minTimeoutWithoutEstimate = 30 * time.Second
 	// completePercent is the percent of a run that has done its work and only has to end.
-	// Ending may take long, so the timeout for small steps does not apply to it.
+	// Ending may take long, so the timeout for small increments does not apply to it.
 	completePercent = 100
 	// maxStallStops is how often the runs of one task may be stopped for a stall. The
 	// timeout doubles each time, so that a slow task eventually completes.
@@ -73,7 +73,7 @@
 	return true
 }
 
-// IsFineGrained reports whether the run is known to report in small steps.
+// IsFineGrained reports whether the run is known to report in small increments.
 func (p *Progress) IsFineGrained() bool { return p.Advances >= fineGrainedAdvances }
 
 // DurationRatio returns the run's total duration, extrapolated from its progress since the
@@ -91,7 +91,7 @@
 // StallTimeout returns how long the run may go without progress before it counts as
 // stalled. It returns 0 if the run never counts as stalled: after maxStallStops, or if too
 // little is known for a timeout. fineGrained is whether runs of this queue are known to
-// report in small steps; earlierStops is how often runs of the task were stopped for a
+// report in small increments; earlierStops is how often runs of the task were stopped for a
 // stall before.
 func (p *Progress) StallTimeout(estimate time.Duration, fineGrained bool, earlierStops int) time.Duration {
 	if earlierStops >= maxStallStops {
@@ -103,7 +103,7 @@
 
 // baseStallTimeout returns the timeout for a task that was not stopped before, or 0 if
 // too little is known. Without an estimate, a timeout requires that the run itself, not
-// only its queue, reports in small steps.
+// only its queue, reports in small increments.
 func (p *Progress) baseStallTimeout(estimate time.Duration, fineGrained bool) time.Duration {
 	switch {
 	case estimate > 0 && !p.Reported && !fineGrained:
--- a/internal/workerhealth/stall_test.go
+++ b/internal/workerhealth/stall_test.go
@@ -22,7 +22,7 @@
 		name     string
 		progress Progress
 		estimate time.Duration
-		// fineGrained is whether the runs of the queue report in small steps.
+		// fineGrained is whether the runs of the queue report in small increments.
 		fineGrained  bool
 		earlierStops int
 		want         time.Duration
