--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -10,7 +10,8 @@
 type electionTimer struct {
 	min, max time.Duration
 	random   *rand.Rand
-	// started is false until the owner first passes in the time.
+	// started is true once the owner has passed the time to the node, which sets
+	// the first deadline.
 	started  bool
 	deadline time.Duration
 }
@@ -136,7 +137,7 @@
 }
 
 // countVotes moves to the next role if a quorum granted its vote, and back to
-// follower if so many rejected that no quorum is possible.
+// follower if enough replicas rejected to make a quorum impossible.
 func (n *Node) countVotes() {
 	if n.tracker.hasQuorum(func(p *progress) bool { return p.vote == voteGranted }) {
 		if n.role == RolePreCandidate {
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -60,7 +60,7 @@
 			node := newTestNode(t, Config{ID: "a"}, restored)
 			request := Message{Kind: MessageVote, From: "b", Term: 5, Index: c.index, LogTerm: c.logTerm}
 			if response := requireOneMessage(t, node.step(0, request), MessageVoteResponse); response.Reject == c.granted {
-				t.Errorf("got rejected %v, want the opposite", response.Reject)
+				t.Errorf("vote response: got rejected %v, want the other value", response.Reject)
 			}
 		})
 	}
--- a/internal/raft/follower.go
+++ b/internal/raft/follower.go
@@ -55,7 +55,7 @@
 func checkContiguous(m Message) error {
 	for i, entry := range m.Entries {
 		if expected := m.Index + 1 + uint64(i); entry.Index != expected {
-			return fmt.Errorf("raft: append from %s has entry %d, want entry %d", m.From, entry.Index, expected)
+			return fmt.Errorf("raft: append from %s has entry %d, expected entry %d", m.From, entry.Index, expected)
 		}
 	}
 	return nil
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -92,8 +92,8 @@
 	if n.tickTransfer() {
 		return
 	}
-	// No new round if one, such as for a read, was sent less than half a tick
-	// interval ago.
+	// Skip the heartbeat if a round was sent less than half a tick interval ago,
+	// for example for a read.
 	if n.now-n.leadership.lease.lastHeartbeatAt() >= n.config.TickInterval/2 {
 		n.broadcastHeartbeat()
 	}
--- a/internal/raft/lease_test.go
+++ b/internal/raft/lease_test.go
@@ -73,12 +73,12 @@
 	now := start + DefaultElectionTimeoutMax
 	node.step(now, Message{Kind: MessagePreVoteResponse, From: "b", Term: 2})
 	if node.Status().Role != RolePreCandidate {
-		t.Fatal("pre-vote with one of two majorities: not a pre-candidate any more")
+		t.Fatal("pre-vote with one of two majorities: got another role, want pre-candidate")
 	}
 	node.step(now, Message{Kind: MessagePreVoteResponse, From: "d", Term: 2})
 	node.step(now, Message{Kind: MessageVoteResponse, From: "b", Term: 2})
 	if node.Status().Role != RoleCandidate {
-		t.Fatal("vote with one of two majorities: not a candidate any more")
+		t.Fatal("vote with one of two majorities: got another role, want candidate")
 	}
 	node.step(now, Message{Kind: MessageVoteResponse, From: "d", Term: 2})
 	node.step(now, appendResponse("d", 2, 1))
@@ -116,7 +116,7 @@
 	}
 	node.Tick(start + DefaultElectionTimeoutMax)
 	if node.Status().Role != RoleFollower {
-		t.Error("not a follower at the deadline of the transfer")
+		t.Error("at the deadline of the transfer: got another role, want follower")
 	}
 }
 
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -11,7 +11,7 @@
 type Member struct {
 	ID ReplicaID `cbor:"1,keyasint"`
 	// Name is the machine's stable name. A replica that replaces a lost one on
-	// the same machine has the same name and a new ID.
+	// the same machine has the same name and a new id.
 	Name    string `cbor:"2,keyasint"`
 	Zone    string `cbor:"3,keyasint"`
 	Address string `cbor:"4,keyasint"`
@@ -67,7 +67,7 @@
 	}
 }
 
-// sameReplicas reports whether both memberships have the same replica IDs in each
+// sameReplicas reports whether both memberships have the same replica ids in each
 // role. Order, names, zones and addresses may differ.
 func (m Membership) sameReplicas(other Membership) bool {
 	return sameIDs(m.Voters, other.Voters) && sameIDs(m.Outgoing, other.Outgoing) && sameIDs(m.Learners, other.Learners)
@@ -75,7 +75,7 @@
 
 // validate checks a target membership of ChangeMembership. It returns an
 // ErrInvalidMembership if there are no voters, if the membership is joint, or if
-// a replica ID is empty or repeated.
+// a replica id is empty or repeated.
 func (m Membership) validate() error {
 	if len(m.Voters) == 0 || m.isJoint() {
 		return fmt.Errorf("%w: got %d voters and %d outgoing voters, want at least 1 and 0",
@@ -95,8 +95,8 @@
 	return slices.ContainsFunc(members, func(member Member) bool { return member.ID == id })
 }
 
-// sameIDs reports whether a and b have the same replica IDs, in any order. Neither
-// may repeat an ID.
+// sameIDs reports whether a and b have the same replica ids, in any order. Neither
+// may repeat an id.
 func sameIDs(a, b []Member) bool {
 	if len(a) != len(b) {
 		return false
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// Tick handles election timeouts, heartbeats and other time-outs that are due at
+// Tick handles election timeouts, heartbeats and other timeouts that are due at
 // now. In all calls now is a monotonic time.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceTime(now)
@@ -91,11 +91,11 @@
 	n.tickElection()
 }
 
-// Step handles a message from another replica. The owner must read now after it
-// received the message, since a voter withholds its vote from other candidates
-// for a time counted from now. Step fails if the message is addressed to another
-// replica (ErrUnknownReplica), has an unknown kind, or contradicts this node's
-// state; none of its entries are appended then.
+// Step handles a message from another replica. The owner must read the time now
+// from its clock after it received the message, since a voter withholds its vote
+// from other candidates for a time counted from now. Step fails if the message is
+// addressed to another replica (ErrUnknownReplica), has an unknown kind, or
+// contradicts this node's state; none of its entries are appended then.
 func (n *Node) Step(now time.Duration, message Message) error {
 	n.advanceTime(now)
 	if message.To != n.config.ID {
--- a/internal/raft/raftsim/checker.go
+++ b/internal/raft/raftsim/checker.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// acknowledgedAfter reports whether a command newer than the proposal is
-// acknowledged.
+// acknowledgedAfter reports whether a command that was proposed after the given
+// proposal is acknowledged.
 func (c *checker) acknowledgedAfter(proposal uint64) bool {
 	return c.newestAcknowledgedProposal > proposal
 }
--- a/internal/raft/raftsim/faults.go
+++ b/internal/raft/raftsim/faults.go
@@ -175,9 +175,10 @@
 	s.network.delayRate = s.random.Float64() * s.random.Float64() * 0.4
 }
 
-// delayTimeoutNow delays each TimeoutNow that is sent soon, so that the leadership
-// transfer fails and the message arrives after another election. Proposals pause,
-// so that the target's log can still win an election then.
+// delayTimeoutNow delays each TimeoutNow that is sent before delayTimeoutNowUntil, so
+// that the leadership transfer fails and the message arrives after another election.
+// It pauses proposals, so that the target's log is still up to date enough to win an
+// election when the message arrives.
 func (s *simulation) delayTimeoutNow() {
 	s.network.delayTimeoutNowUntil = s.now + electionTimeoutMax + electionTimeoutMin
 	s.pauseProposals(maxTimeoutNowDelay)
--- a/internal/raft/raftsim/machine.go
+++ b/internal/raft/raftsim/machine.go
@@ -6,7 +6,7 @@
 	"github.com/decklever/decklever/internal/raft"
 )
 
-// Limits and time-outs of a machine. The sizes are small, so that the limits on
+// Limits and timeouts of a machine. The sizes are small, so that the limits on
 // append batches and on appends in flight take effect.
 const (
 	tickInterval       = 50 * time.Millisecond
--- a/internal/raft/raftsim/network.go
+++ b/internal/raft/raftsim/network.go
@@ -16,7 +16,7 @@
 // network is the state of the links between machines, by machine index.
 type network struct {
 	// partitions[from][to] counts the partitions that block the link in that
-	// direction; it works at zero.
+	// direction. Messages pass if the count is zero.
 	partitions [][]int
 	// dropRate, duplicateRate and delayRate are the probabilities that a message
 	// is lost, duplicated or delayed.
--- a/internal/raft/raftsim/options.go
+++ b/internal/raft/raftsim/options.go
@@ -35,8 +35,8 @@
 	// runs.
 	scenarioMixed
 	// scenarioVoterRestarts uses only restartVoterRepeatedly, and
-	// scenarioLateTransfers only failing leadership transfers. Other faults would
-	// mostly prevent the rare violations that these two look for.
+	// scenarioLateTransfers only leadership transfers that fail. Other faults would
+	// mostly prevent the rare violations that these two scenarios look for.
 	scenarioVoterRestarts
 	scenarioLateTransfers
 )
@@ -64,7 +64,7 @@
 	// although they were synced.
 	mutationLoseSyncedWrite
 	// mutationReuseReplicaID restarts a machine that lost its disk under the same
-	// replica ID.
+	// replica id.
 	mutationReuseReplicaID
 	// mutationUnconfirmedReads answers reads at the commit index without confirming
 	// leadership.
--- a/internal/raft/raftsim/outage.go
+++ b/internal/raft/raftsim/outage.go
@@ -84,7 +84,7 @@
 }
 
 // loseDisk crashes the machine and empties its disk. The machine restarts as a new
-// replica with another ID, unless mutationReuseReplicaID is set.
+// replica with another id, unless mutationReuseReplicaID is set.
 func (m *machine) loseDisk(downTime time.Duration) {
 	s := m.simulation
 	s.report.LostDisks++
--- a/internal/raft/raftsim/queue.go
+++ b/internal/raft/raftsim/queue.go
@@ -13,7 +13,8 @@
 	run   func()
 }
 
-// eventQueue is a heap of events, ordered by time and then by order.
+// eventQueue is a heap of events, ordered by time, and by the order of scheduling if
+// the times are equal.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
--- a/internal/raft/raftsim/simulation.go
+++ b/internal/raft/raftsim/simulation.go
@@ -137,7 +137,7 @@
 	s.after(1500*time.Millisecond, s.nextFault)
 }
 
-// newReplicaID returns an ID that no replica of the run has had.
+// newReplicaID returns an id that no replica of the run has had.
 func (s *simulation) newReplicaID() raft.ReplicaID {
 	s.nextReplica++
 	return raft.ReplicaID(fmt.Sprintf("%016x", s.nextReplica))
--- a/internal/raft/read.go
+++ b/internal/raft/read.go
@@ -20,10 +20,10 @@
 // ReadIndex requests a read index (Ongaro's thesis, 6.4), which Ready.ReadStates
 // returns with the id of the request. The read waits for the commit of the term's
 // no-op entry. It then completes at once if the lease is valid at now, so the owner
-// must read now after the request arrived; otherwise it completes when a quorum
-// acknowledges a round of heartbeats that was sent after the request. Requests are
-// dropped without a response when this node stops being leader. ReadIndex fails
-// with ErrNotLeader.
+// must read the time now from its clock after the request arrived; otherwise it
+// completes when a quorum acknowledges a round of heartbeats that was sent after the
+// request. Requests are dropped without a response when this node stops being
+// leader. ReadIndex fails with ErrNotLeader if this node is not the leader.
 func (n *Node) ReadIndex(now time.Duration, request uint64) error {
 	n.advanceTime(now)
 	if n.role != RoleLeader {
@@ -45,8 +45,8 @@
 		n.readStates = append(n.readStates, ReadState{Request: read.request, Index: read.index})
 		return
 	}
-	// The newest round may have been sent before the request arrived, so it
-	// cannot confirm it.
+	// The newest round may have been sent before the request arrived, so only a
+	// later round can confirm the leadership for it.
 	read.round = n.leadership.lease.newestRound + 1
 	n.leadership.reads = append(n.leadership.reads, read)
 	if n.now-n.leadership.lease.lastHeartbeatAt() >= minReadHeartbeatInterval {
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -173,7 +173,7 @@
 // match, judging by the terms in both logs. It ignores outdated responses.
 func (n *Node) handleAppendRejected(p *progress, m Message) {
 	if p.state == stateSnapshot || m.Index <= p.match || m.Index >= p.next {
-		return // outdated, or no append can be accepted before the snapshot
+		return // outdated, or the replica must install the snapshot before it can accept an append
 	}
 	if p.state == stateProbe && m.Index != p.next-1 {
 		return
@@ -202,7 +202,8 @@
 	if advanced {
 		n.advanceCommit()
 	}
-	// On the commit this node may have stepped down or removed the replica.
+	// If the commit index advanced, this node may have stepped down or removed the
+	// replica.
 	if n.role != RoleLeader || n.tracker.get(p.id) != p {
 		return
 	}
--- a/internal/raft/restore_test.go
+++ b/internal/raft/restore_test.go
@@ -23,7 +23,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := New(c.config, initialState("a"))
 			if err == nil || !strings.Contains(err.Error(), c.text) {
-				t.Errorf("config %+v: got error %v, want the text of the case", c.config, err)
+				t.Errorf("config %+v: got error %v, want one that contains the text of the test case", c.config, err)
 			}
 			var invalid *ConfigError
 			if !errors.As(err, &invalid) || invalid.Field != c.field {
@@ -42,20 +42,20 @@
 		text     string
 	}{
 		{"gap after snapshot", RestoredState{Entries: []Entry{{Index: 7, Term: 3}}}, "gap after the snapshot"},
-		{"gap inside", RestoredState{Entries: []Entry{{Index: 6, Term: 3}, {Index: 8, Term: 3}}}, "follows entry 6"},
-		{"ends before", RestoredState{Entries: []Entry{{Index: 3, Term: 2}}}, "before the snapshot"},
-		{"term falls", RestoredState{Entries: []Entry{{Index: 6, Term: 3}, {Index: 7, Term: 2}}}, "below"},
+		{"gap between entries", RestoredState{Entries: []Entry{{Index: 6, Term: 3}, {Index: 8, Term: 3}}}, "follows entry 6"},
+		{"entries end before the snapshot", RestoredState{Entries: []Entry{{Index: 3, Term: 2}}}, "before the snapshot"},
+		{"term decreases", RestoredState{Entries: []Entry{{Index: 6, Term: 3}, {Index: 7, Term: 2}}}, "below"},
 		{"term below snapshot", RestoredState{Entries: []Entry{{Index: 6, Term: 1}}}, "below the snapshot's term"},
-		{"snapshot differs", RestoredState{Entries: []Entry{{Index: 5, Term: 1}}}, "the snapshot at that index has"},
-		{"applied beyond", RestoredState{Applied: 9}, "beyond the last entry"},
-		{"membership", RestoredState{Membership: testMembership("b")}, "differs from the newest"},
-		{"unreadable", RestoredState{Entries: []Entry{{Index: 6, Term: 3, Kind: EntryMembership, Data: []byte{0xff}}}}, "decode"},
+		{"entry differs from the snapshot", RestoredState{Entries: []Entry{{Index: 5, Term: 1}}}, "the snapshot at that index has"},
+		{"applied index beyond the last entry", RestoredState{Applied: 9}, "beyond the last entry"},
+		{"membership differs from the newest one", RestoredState{Membership: testMembership("b")}, "differs from the newest"},
+		{"membership cannot be decoded", RestoredState{Entries: []Entry{{Index: 6, Term: 3, Kind: EntryMembership, Data: []byte{0xff}}}}, "decode"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			c.restored.Snapshot, c.restored.HardState = snapshot, state
 			if _, err := New(Config{ID: "a"}, c.restored); err == nil || !strings.Contains(err.Error(), c.text) {
-				t.Errorf("got error %v, want the text of the case", err)
+				t.Errorf("got error %v, want one that contains the text of the test case", err)
 			}
 		})
 	}
--- a/internal/raft/status.go
+++ b/internal/raft/status.go
@@ -16,8 +16,8 @@
 	// Membership is the newest membership in the log, committed or not.
 	Membership Membership
 	// FallbackMemberships are the memberships from the newest committed one up to
-	// but excluding Membership: those that can come into force again if later
-	// entries are truncated. It is empty once Membership is committed.
+	// but excluding Membership. One of them comes into force again if the entries of
+	// later memberships are truncated. The list is empty once Membership is committed.
 	FallbackMemberships []Membership
 	// LeaseUntil is the monotonic time at which the leader lease ends, or zero
 	// without a lease. It may be in the past.
--- a/internal/raft/tracker.go
+++ b/internal/raft/tracker.go
@@ -142,8 +142,8 @@
 	t.add(&previous, membership.Learners, false, next)
 }
 
-// add returns the progress of the given members, and appends to all those that it
-// does not contain. A member of both halves of a joint membership has a single
+// add returns the progress of the given members, and appends to t.all those that it
+// does not contain yet. A member of both halves of a joint membership has a single
 // progress.
 func (t *progressTracker) add(previous *progressTracker, members []Member, voter bool, next uint64) []*progress {
 	added := make([]*progress, 0, len(members))
--- a/internal/record/closeruns.go
+++ b/internal/record/closeruns.go
@@ -2,8 +2,8 @@
 
 import "github.com/decklever/decklever/api"
 
-// applyCloseRuns closes runs in the given order, after the gang successes among
-// them, which applyGangSuccesses applies first.
+// applyCloseRuns closes runs in the given order. First it completes the gangs with a
+// common outcome of which a run succeeded; see succeedGang.
 func (m *Machine) applyCloseRuns(command *CloseRuns) {
 	m.applyGangSuccesses(command.Runs)
 	for i := range command.Runs {
--- a/internal/record/confighistory.go
+++ b/internal/record/confighistory.go
@@ -10,7 +10,8 @@
 // the oldest are dropped first.
 const maxConfigVersions = 1000
 
-// configState holds the active configuration, its history and the decided orders.
+// configState holds the configuration in force, its history and the decided PutConfig
+// orders.
 type configState struct {
 	version uint64
 	// accepted is the configuration as submitted; effective has defaults filled in.
@@ -43,15 +44,16 @@
 	next int
 }
 
-// newConfigState returns a state with version 0, an empty configuration.
+// newConfigState returns the state before the first PutConfig: version 0, with an empty
+// configuration.
 func newConfigState(maxConfigOrders int) configState {
 	c := configState{orders: orderHistory{limit: maxConfigOrders, byID: make(map[string]*configOrder)}}
 	c.activate(0, &api.Config{})
 	return c
 }
 
-// activate makes config the active configuration. The caller must then call
-// countTable.recountTeams, unless there are no counts yet.
+// activate puts config in force. The caller must then call countTable.recountTeams,
+// unless there are no counts yet.
 func (c *configState) activate(version uint64, config *api.Config) {
 	effective := config.WithDefaults()
 	c.version = version
--- a/internal/record/counts.go
+++ b/internal/record/counts.go
@@ -33,7 +33,7 @@
 // Entries whose counts are zero are deleted.
 type countTable struct {
 	// queues and teams are keyed by name. A team's counts are the sum over the
-	// queues assigned to it in the active configuration.
+	// queues assigned to it in the configuration in force.
 	queues map[string]*QueueCounts
 	teams  map[string]*QueueCounts
 	// pendingByCaller counts the pending tasks of each caller in each queue.
--- a/internal/record/drainzone_test.go
+++ b/internal/record/drainzone_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	machine.Read(func(v View) {
 		if diff := cmp.Diff(expected, v.DrainedZones(), cmpopts.EquateEmpty()); diff != "" {
-			t.Fatalf("drained zones (-expected +got):\n%s", diff)
+			t.Fatalf("drained zones differ (-want +got):\n%s", diff)
 		}
 	})
 }
--- a/internal/record/expandrepeats.go
+++ b/internal/record/expandrepeats.go
@@ -35,8 +35,8 @@
 }
 
 // canAddOccurrence reports whether the next occurrence has a number of at most
-// through and may be added beside the live ones. Occurrences are added only while
-// the job's open tasks stay within api.MaxOpenTasksPerJob, or if it has none.
+// through and may be added now. An occurrence may be added if the job has no open
+// tasks, or if it has at most api.MaxOpenTasksPerJob with that occurrence.
 func (j *Job) canAddOccurrence(through int) bool {
 	if j.Repetition.Next > through || j.Repetition.Next >= j.Occurrences() {
 		return false
--- a/internal/record/expirearchive.go
+++ b/internal/record/expirearchive.go
@@ -6,8 +6,8 @@
 )
 
 // archiveExpiry limits which expired jobs may be deleted from the archive: only
-// jobs that a durable snapshot hides as well. A replica that restarts from an older
-// snapshot applies entries again that could still look up those jobs.
+// jobs that have expired in a durable snapshot too. A replica that restarts from an
+// older snapshot applies entries again that could still look up those jobs.
 type archiveExpiry struct {
 	// durableBefore is expiredBefore of a snapshot that is known to be durable.
 	durableBefore Millis
@@ -25,7 +25,7 @@
 }
 
 // applyExpireArchive hides all archived jobs that ended before expire.Before, and
-// deletes at most expire.Limit of the jobs that a durable snapshot hides as well.
+// deletes at most expire.Limit of the jobs that have expired in a durable snapshot too.
 // Replicas hide the same jobs but may have deleted different ones.
 func (m *Machine) applyExpireArchive(expire *ExpireArchive) error {
 	m.state.expiredBefore = max(m.state.expiredBefore, expire.Before)
--- a/internal/record/gang.go
+++ b/internal/record/gang.go
@@ -73,8 +73,9 @@
 	return slices.ContainsFunc(s.Tasks, func(task *Task) bool { return task.Spec.UntilCancelled })
 }
 
-// applyGangSuccesses applies the successes of gangs with a common outcome in one
-// CloseRuns, before its other ends.
+// applyGangSuccesses completes the gangs with a common outcome of which a run
+// succeeded, under the conditions of succeedGang. applyCloseRuns calls it before it
+// closes any run.
 func (m *Machine) applyGangSuccesses(ends []RunEnd) {
 	for i := range ends {
 		end := &ends[i]
@@ -124,8 +125,8 @@
 }
 
 // stopGangPeers stops the other members of a gang with a common outcome after the
-// run of trigger ended without success or was asked to stop. Members that already
-// have a stop request are left alone, so repeated calls change nothing.
+// run of trigger ended without success or got a stop request. Members that already
+// have a stop request are skipped, so repeated calls change nothing.
 func (m *Machine) stopGangPeers(trigger *Task, triggerReason string) {
 	if !trigger.Step.SharesOutcome() || trigger.Step.Job.Cancelled {
 		return
--- a/internal/record/gang_test.go
+++ b/internal/record/gang_test.go
@@ -191,20 +191,20 @@
 }
 
 func TestGang_SuccessWinsUntilNextPlacement(t *testing.T) {
-	t.Run("with failures in one CloseRuns", func(t *testing.T) {
+	t.Run("success and failures in one CloseRuns", func(t *testing.T) {
 		h := newGangHarness(t, 3)
 		h.mustPlace(h.allMembers(1)...)
 		h.closeRuns(h.end(0, 1, api.OutcomeFailed), h.end(2, 1, api.OutcomeSucceeded), h.end(1, 1, api.OutcomeFailed))
 		h.expectMembers(TaskSucceeded, 0)
 	})
-	t.Run("after a failure", func(t *testing.T) {
+	t.Run("success after a failure", func(t *testing.T) {
 		h := newGangHarness(t, 3)
 		h.mustPlace(h.allMembers(1)...)
 		h.close(h.members[0], 1, api.OutcomeFailed)
 		h.close(h.members[1], 1, api.OutcomeSucceeded)
 		h.expectMembers(TaskSucceeded, 1)
 	})
-	t.Run("of a closed run", func(t *testing.T) {
+	t.Run("late success of a closed run", func(t *testing.T) {
 		h := newGangHarness(t, 2)
 		h.mustPlace(h.allMembers(1)...)
 		h.close(h.members[0], 1, api.OutcomeLost)
@@ -212,7 +212,7 @@
 		h.close(h.members[0], 1, api.OutcomeSucceeded)
 		h.expectMembers(TaskSucceeded, 0)
 	})
-	t.Run("not after a newer placement", func(t *testing.T) {
+	t.Run("late success after a newer placement", func(t *testing.T) {
 		h := newGangHarness(t, 2)
 		h.mustPlace(h.allMembers(1)...)
 		h.close(h.members[0], 1, api.OutcomeLost)
@@ -221,7 +221,7 @@
 		h.close(h.members[0], 1, api.OutcomeSucceeded)
 		h.expectMembers(TaskPlaced, 0)
 	})
-	t.Run("not after the gang failed", func(t *testing.T) {
+	t.Run("late success after the gang failed", func(t *testing.T) {
 		h := newGangHarness(t, 2)
 		one := 1
 		gang := stepSpec("a", 2)
--- a/internal/record/invariants_test.go
+++ b/internal/record/invariants_test.go
@@ -150,7 +150,7 @@
 			return other.End > s.clock && release.sameWindow(other)
 		})
 		if notified := len(c.released) > before; notified == (known || release.End <= s.clock) {
-			c.t.Fatalf("release of window %v: got event %v, want the opposite", *release, notified)
+			c.t.Fatalf("release of window %v: got event %v, want an event if and only if the window is not released yet and has not ended", *release, notified)
 		}
 	}
 	c.released = slices.DeleteFunc(c.released, func(window ReleaseWindow) bool { return window.End <= s.clock })
@@ -217,7 +217,7 @@
 	}
 	gangSucceeded := task.Step.Spec.Lockstep && task.State == TaskSucceeded
 	if (task.State == TaskPlaced) != (task.Run != nil) && !gangSucceeded {
-		c.t.Fatalf("%s: state %d does not match whether a run is open", task.ID, task.State)
+		c.t.Fatalf("%s: got state %d, want TaskPlaced if and only if a run is open", task.ID, task.State)
 	}
 	if gangSucceeded && task.Run != nil && task.Run.Stop == StopNone {
 		c.t.Fatalf("%s: the gang has succeeded, but the open run has no stop request", task.ID)
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -13,9 +13,9 @@
 	// Cancelled is set by CancelJobs. The open runs of a cancelled job have
 	// StopCancelled.
 	Cancelled bool
-	// Steps contains the steps of the spec, or for a repeating job those of each
-	// live occurrence in turn. An occurrence is live from when it is added until
-	// all of its tasks are final and none of its runs is open.
+	// Steps contains the steps of the spec; for a repeating job, the steps of one
+	// live occurrence after the other. An occurrence is live from when it is added
+	// until all of its tasks are final and none of its runs is open.
 	Steps []*Step
 	// Repetition is nil unless the job repeats.
 	Repetition *Repetition
--- a/internal/record/placementchecker.go
+++ b/internal/record/placementchecker.go
@@ -145,7 +145,7 @@
 	if limit <= 0 {
 		return true
 	}
-	running := len(c.accepted) // all placements of a unit are of one job, hence of one queue
+	running := len(c.accepted) // all placements of a unit belong to one job, and so to one queue
 	if counts != nil {
 		running += counts.RunningTasks
 	}
--- a/internal/record/property_test.go
+++ b/internal/record/property_test.go
@@ -26,9 +26,9 @@
 		machine := NewMachine(Config{Archive: archive, MaxConfigOrders: 3})
 		count := rapid.IntRange(5, 120).Draw(t, "count")
 		snapshotAt := rapid.IntRange(0, count).Draw(t, "cut")
-		// If an expired id is reused, the archive at the end no longer has the first
-		// job of that id. A replay with that archive is therefore only possible in a
-		// run without expiry.
+		// If the id of an expired job is reused, the archive at the end of the run no
+		// longer has the first job of that id. A replay with that archive is therefore
+		// only possible in a run without expiry.
 		expiry := rapid.Bool().Draw(t, "expiry")
 		check := newInvariantChecker(t, machine)
 		var log appliedEntries
@@ -113,7 +113,7 @@
 	}
 	for _, pair := range pairs {
 		if !reflect.DeepEqual(pair.a, pair.b) {
-			t.Fatalf("%s differ after a restore and replay", pair.name)
+			t.Fatalf("%s: the states differ after a restore and replay", pair.name)
 		}
 	}
 }
--- a/internal/record/putconfig.go
+++ b/internal/record/putconfig.go
@@ -24,7 +24,7 @@
 }
 
 // decideConfig refuses an order that failed validation or whose base version is not
-// the active one. Otherwise it activates the order's configuration.
+// in force. Otherwise it puts the order's configuration in force.
 func (m *Machine) decideConfig(put *PutConfig) ConfigResult {
 	config := &m.state.config
 	if put.Refusal != nil {
@@ -58,9 +58,9 @@
 	}}
 }
 
-// versionConflict returns the refusal of an order based on a version that is not the
-// active one. Of several valid orders with the same base, at most the first one
-// applied is accepted.
+// versionConflict returns the refusal of an order based on a version that is not in
+// force. Of several valid orders with the same base, at most the first one applied
+// is accepted.
 func versionConflict(base, activeVersion uint64) *api.Error {
 	return &api.Error{
 		Status:  http.StatusPreconditionFailed,
--- a/internal/record/reason.go
+++ b/internal/record/reason.go
@@ -18,8 +18,8 @@
 // reasonJobCancelled is the reason of tasks that CancelJobs ended.
 const reasonJobCancelled = "job cancelled"
 
-// interruptionReason returns why a run ended that neither failed nor ended its
-// task.
+// interruptionReason returns why a run ended, for a run that did not fail and did
+// not make its task final.
 func interruptionReason(run *Run, outcome api.Outcome) string {
 	if outcome == api.OutcomeSucceeded {
 		return fmt.Sprintf("run %d succeeded; the task runs until cancelled", run.Number)
--- a/internal/record/releasewindow_test.go
+++ b/internal/record/releasewindow_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	machine.Read(func(v View) {
 		if diff := cmp.Diff(expected, v.ReleasedWindows(), cmpopts.EquateEmpty()); diff != "" {
-			t.Fatalf("released windows (-expected +got):\n%s", diff)
+			t.Fatalf("released windows differ (-want +got):\n%s", diff)
 		}
 	})
 }
--- a/internal/record/restore_test.go
+++ b/internal/record/restore_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestRestore_SnapshotWithoutNewerFieldsAccepted(t *testing.T) {
-	// The header before ReleasedWindows and DrainedZones were added: fields 1 to
-	// 10.
+	// A header from before ReleasedWindows and DrainedZones were added has only the
+	// fields 1 to 10.
 	data := snapshotOf(t, map[int]any{
 		1: 1, 2: 9, 3: 1234, 4: 0, 5: 1, 6: testConfig(), 7: 0, 8: 0, 9: 0, 10: 0,
 	})
--- a/internal/record/untilcancelled_test.go
+++ b/internal/record/untilcancelled_test.go
@@ -50,7 +50,7 @@
 	h.mustPlace(placementOn(task.ID, 1, "w1"))
 	h.close(task.ID, 1, api.OutcomeLost)
 	for range 2 {
-		h.close(task.ID, 1, api.OutcomeSucceeded) // a late report, then repeated
+		h.close(task.ID, 1, api.OutcomeSucceeded) // late reports; the second round repeats them
 		h.close(task.ID, 1, api.OutcomeFailed)
 	}
 	if task.State != TaskReady || task.Failures != 0 {
--- a/internal/replica/archive.go
+++ b/internal/replica/archive.go
@@ -28,7 +28,7 @@
 	logger    *slog.Logger
 
 	// semaphore has capacity 1 and is full while a copy is in progress. It is a channel
-	// rather than a mutex so that a waiting caller can be cancelled.
+	// rather than a mutex so that a waiting caller can be canceled.
 	semaphore chan struct{}
 	// position is the position after which the next page starts. It is guarded by
 	// semaphore.
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -21,7 +21,7 @@
 	"github.com/decklever/decklever/internal/testnetwork"
 )
 
-// waitTimeout is the time-out of a wait for a condition, far above the time that any of
+// waitTimeout is the timeout of a wait for a condition, far above the time that any of
 // them needs.
 const waitTimeout = 60 * time.Second
 
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -87,8 +87,8 @@
 	// Logger and Registerer may be nil.
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
-	// Lead is called in a separate goroutine for each term in which this replica is the
-	// acting leader. It must return once Leadership.Context ends. It may be nil.
+	// Lead is called in a separate goroutine for each term in which this replica leads,
+	// see Leadership. It must return once Leadership.Context ends. It may be nil.
 	Lead func(Leadership)
 }
 
--- a/internal/replica/leadership.go
+++ b/internal/replica/leadership.go
@@ -21,8 +21,8 @@
 	// leading is true while the node is leader in term.
 	leading bool
 	term    uint64
-	// readyIndex is the commit index at which the first entry of the term was committed;
-	// 0 before. Once it is applied, the record reflects all earlier terms.
+	// readyIndex is the commit index when the first entry of the term had been committed;
+	// 0 until then. Once it is applied, the record reflects all earlier terms.
 	readyIndex uint64
 	// started is true once Lead has been called in this term.
 	started bool
--- a/internal/replica/leadership_test.go
+++ b/internal/replica/leadership_test.go
@@ -29,22 +29,22 @@
 func TestLeaderTerm_StartsOnceRecordReflectsEarlierTerms(t *testing.T) {
 	term, _, _ := newTestLeaderTerm(t)
 	if term.canStart(100) {
-		t.Error("follower: can start, want not")
+		t.Error("follower: got canStart true, want false")
 	}
 	term.begin(7)
 	if term.canStart(100) {
-		t.Error("before an entry of the term is committed: can start, want not")
+		t.Error("before an entry of the term is committed: got canStart true, want false")
 	}
 	term.readyIndex = 50
 	if term.canStart(49) {
-		t.Error("before that entry is applied: can start, want not")
+		t.Error("before that entry is applied: got canStart true, want false")
 	}
 	if !term.canStart(50) {
-		t.Error("once that entry is applied: cannot start, want it to")
+		t.Error("once that entry is applied: got canStart false, want true")
 	}
 	term.started = true
 	if term.canStart(50) {
-		t.Error("already started in the term: can start, want not")
+		t.Error("already started in the term: got canStart true, want false")
 	}
 }
 
@@ -68,6 +68,6 @@
 	release()
 	term.waitForLead()
 	if !term.previousLeadReturned(3 * time.Second) {
-		t.Error("Lead not reported as returned after it has")
+		t.Error("Lead has returned, but is not reported as returned")
 	}
 }
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -7,7 +7,7 @@
 	"github.com/decklever/decklever/internal/record"
 )
 
-// Leadership describes one term of this replica as acting leader. It begins once the
+// Leadership describes one term in which this replica leads. It begins once the
 // local record reflects every entry of earlier terms.
 type Leadership struct {
 	// Token is the raft term. It is the fencing token of every instruction of the leader.
@@ -22,8 +22,8 @@
 	// record. It sets the command's Time and Token. A command whose token is not the
 	// current term is rejected with ErrNotLeader.
 	Propose(ctx context.Context, token uint64, command record.Command) (record.Result, error)
-	// HoldsLease reports whether this replica leads in term token and its lease
-	// excludes any other leader at the time of the call.
+	// HoldsLease reports whether this replica leads in the term given by token and its
+	// lease excludes any other leader at the time of the call.
 	HoldsLease(token uint64) bool
 	// ReadBarrier returns nil once the local record reflects everything that was
 	// acknowledged before the call. It works on the leader and on followers.
--- a/internal/replica/mailbox.go
+++ b/internal/replica/mailbox.go
@@ -23,7 +23,7 @@
 // loopCall is a function to run in the loop's goroutine.
 type loopCall struct {
 	run  func(*loop) error
-	done chan error // of capacity 1
+	done chan error // capacity 1, so that sending the result never blocks
 }
 
 // mailbox holds the input queues of the loop. Other goroutines reach the loop only through
--- a/internal/replica/mailbox_test.go
+++ b/internal/replica/mailbox_test.go
@@ -8,7 +8,7 @@
 
 func TestMailbox_RunOnLoop(t *testing.T) {
 	failure := errors.New("failure of the call")
-	cancelled, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	cases := map[string]struct {
 		ctx   context.Context
@@ -24,7 +24,7 @@
 			<-m.calls
 			close(m.stopped)
 		}, ErrStopped},
-		"context ended": {cancelled, func(*mailbox) {}, context.Canceled},
+		"context ended": {canceled, func(*mailbox) {}, context.Canceled},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 		t.Error("proposal accepted by a full queue")
 	}
 	for range messageQueueLength + 1 {
-		m.enqueueMessages(inboundRequest{}) // must not block
+		m.enqueueMessages(inboundRequest{}) // must not block on the full queue
 	}
 	if got := len(m.messages); got != messageQueueLength {
 		t.Errorf("%d raft requests queued, want %d", got, messageQueueLength)
--- a/internal/replica/membership_test.go
+++ b/internal/replica/membership_test.go
@@ -47,7 +47,7 @@
 }
 
 func TestMembership_LostDiskReplaced(t *testing.T) {
-	for _, snapshotEvery := range []uint64{1_000_000, 20} { // without and with snapshots after the first
+	for _, snapshotEvery := range []uint64{1_000_000, 20} { // 1,000,000 entries are never reached, so no snapshot follows the first
 		t.Run(fmt.Sprintf("snapshot-every-%d", snapshotEvery), func(t *testing.T) {
 			machines := newMachines(t, 3)
 			for _, m := range machines {
--- a/internal/replica/membershipserver.go
+++ b/internal/replica/membershipserver.go
@@ -43,8 +43,9 @@
 	return protocol.JoinAnswer{Voter: step.Voter, Standby: step.Standby}, nil
 }
 
-// serveRetire proposes to give the slot of a voter that is about to stop to a learner
-// that stands by. Done is true in the answer once the voter need not wait any longer.
+// serveRetire proposes to give the slot of a voter that is about to stop to a standby
+// learner. Done is true in the answer once the voter need not wait any longer, see
+// reconfig.HasRetired.
 func (s *membershipServer) serveRetire(ctx context.Context, request protocol.RetireRequest) (protocol.RetireAnswer, error) {
 	if !s.published.holdsAnyLease() {
 		return protocol.RetireAnswer{}, s.published.notLeaderError()
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -20,7 +20,7 @@
 	token uint64
 	data  []byte
 	state atomic.Int32
-	done  chan proposalOutcome // of capacity 1
+	done  chan proposalOutcome // capacity 1, so that finish never blocks
 	// term is the term in which the command was appended. It is owned by the loop
 	// goroutine.
 	term uint64
--- a/internal/replica/published.go
+++ b/internal/replica/published.go
@@ -66,15 +66,16 @@
 	return before
 }
 
-// leadsInTerm reports whether this replica leads in term token, with or without the lease.
+// leadsInTerm reports whether this replica leads in the term given by token, with
+// or without the lease.
 func (p *published) leadsInTerm(token uint64) bool {
 	view := p.leadership.Load()
 	return view.leader && view.term == token
 }
 
-// holdsLease reports whether this replica leads in term token and holds the lease. It
-// compares the end of the lease with the time of the call, so that the answer is correct
-// even if the process was frozen.
+// holdsLease reports whether this replica leads in the term given by token and holds the
+// lease. It compares the end of the lease with the time of the call, so that the answer
+// is correct even if the process was frozen.
 func (p *published) holdsLease(token uint64) bool {
 	view := p.leadership.Load()
 	return view.leader && view.term == token && p.monotonic.now() < view.leaseUntil
--- a/internal/replica/read_test.go
+++ b/internal/replica/read_test.go
@@ -13,8 +13,8 @@
 // an acknowledged entry is covered by the larger of them.
 func TestReadIndex_UnderLeaseCoversCommittedAndApplied(t *testing.T) {
 	for name, c := range map[string]struct{ commit, applied, want uint64 }{
-		"applied lags":  {50, 40, 50},
-		"applied leads": {40, 50, 50},
+		"applied index below the commit index": {50, 40, 50},
+		"applied index above the commit index": {40, 50, 50},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &reader{published: newTestPublished(t), mailbox: newMailbox()}
--- a/internal/replica/reconfig/step.go
+++ b/internal/replica/reconfig/step.go
@@ -150,7 +150,7 @@
 
 // unresponsive reports whether a voter other than the leader has been out of contact for
 // longer than VoterTimeout. A new leader counts each voter as seen when its term begins,
-// so the time-out starts no earlier than the term.
+// so the timeout starts no earlier than the term.
 func unresponsive(q Query, id raft.ReplicaID) bool {
 	progress, known := progressOf(q.Status, id)
 	return known && id != q.Status.ID && q.Now-progress.LastSeen > q.VoterTimeout
--- a/internal/replica/reconfig/step_test.go
+++ b/internal/replica/reconfig/step_test.go
@@ -53,7 +53,7 @@
 				MaxVoters:    3,
 			})
 			if step.Change != c.change || (step.PostponedReason != "") != c.postponed || step.Voter != c.voter {
-				t.Fatalf("got step %+v, want the change, postponed and voter of the case", step)
+				t.Fatalf("got step %+v, want the change, postponed and voter of the test case", step)
 			}
 			if c.change == ChangePromote && (!slices.Equal(step.Target.Voters, asVoter.Voters) || len(step.Target.Outgoing) != 0 || len(step.Target.Learners) != 0 || step.Replaces != "c") {
 				t.Fatalf("got target %+v that replaces %s, want voters a, b and n without learners, replacing c", step.Target, step.Replaces)
@@ -102,7 +102,7 @@
 				Now: now, VoterTimeout: voterTimeout, MaxVoters: c.maxVoters,
 			})
 			if step.Change != c.change || step.Replaces != c.replaces || step.Standby != c.standby {
-				t.Fatalf("got step %+v, want the change, replaces and standby of the case", step)
+				t.Fatalf("got step %+v, want the change, replaces and standby of the test case", step)
 			}
 			if c.change == ChangeNone {
 				return
@@ -135,7 +135,7 @@
 		t.Fatalf("got %+v, want learner l2 of the same zone in the slot of b", step)
 	}
 	if step := NextRetireStep("x", status, now, timeout); step.Change != ChangeNone {
-		t.Fatalf("x is no voter: got %+v, want no change", step)
+		t.Fatalf("x is not a voter: got %+v, want no change", step)
 	}
 	status.Membership.Learners = current.Learners[2:]
 	if step := NextRetireStep("b", status, now, timeout); step.Change != ChangeNone {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -35,7 +35,7 @@
 	proposers.Wait()
 	slices.Sort(indexes)
 	if got := len(slices.Compact(indexes)); got != len(names) {
-		t.Fatalf("got %d distinct log indexes for %d commands", got, len(names))
+		t.Fatalf("got %d distinct log indexes, want one for each of %d commands", got, len(names))
 	}
 	for _, m := range machines {
 		if got := workerNames(t, m); !slices.Equal(got, names) {
--- a/internal/replica/shutdown_test.go
+++ b/internal/replica/shutdown_test.go
@@ -36,7 +36,7 @@
 
 // TestPrepareShutdown_NoQuorumLeft guards against waiting for a successor without a quorum:
 // three of five replicas have crashed, so the stopping leader and the remaining follower are
-// no majority.
+// not a majority.
 func TestPrepareShutdown_NoQuorumLeft(t *testing.T) {
 	machines := newMachines(t, 5)
 	startAll(machines)
--- a/internal/replica/slowdisk_test.go
+++ b/internal/replica/slowdisk_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestSlowDisk_LeaderTransfersLeadership guards against a leader that stays on a slow disk.
-// Syncs that take longer than the lease, but less than the election time-out, cause no
+// Syncs that take longer than the lease, but less than the election timeout, cause no
 // election, so the leader itself must transfer its leadership.
 func TestSlowDisk_LeaderTransfersLeadership(t *testing.T) {
 	machines, stores := startSlowMachines(t)
@@ -80,7 +80,7 @@
 	if leader.replica.HoldsLease(token) {
 		t.Fatal("the stalled leader still claims its lease although there is a new leader")
 	}
-	leader.replica.Record().Read(func(record.View) {}) // must not block
+	leader.replica.Record().Read(func(record.View) {}) // the stalled save must not block reads of the record
 	proposeRegistration(t, "after", next)
 	release()
 	eventually(t, "the old leader is a follower", func() bool {
@@ -112,6 +112,6 @@
 		}
 	}
 	if disk.takeTransfer(time.Hour, true) {
-		t.Error("got a transfer without a new slow save, want none")
+		t.Error("got a leadership transfer without another slow save, want none")
 	}
 }
--- a/internal/replica/snapshotreceiver_test.go
+++ b/internal/replica/snapshotreceiver_test.go
@@ -42,15 +42,15 @@
 			{chunk: newTestChunk("a", 5, 0, "one", false)},
 			{chunk: newTestChunk("a", 5, 4, "two", false), fails: true},
 		}, "one"},
-		"another one from its start": {[]step{
+		"another snapshot from its start": {[]step{
 			{chunk: newTestChunk("a", 5, 0, "one", false)},
 			{chunk: newTestChunk("b", 6, 0, "two", false)},
 		}, "two"},
-		"another one from its middle": {[]step{
+		"another snapshot from its middle": {[]step{
 			{chunk: newTestChunk("a", 5, 0, "one", false)},
 			{chunk: newTestChunk("b", 6, 3, "two", false), fails: true},
 		}, "one"},
-		"another one while installing": {[]step{
+		"another snapshot while installing": {[]step{
 			{chunk: newTestChunk("a", 5, 0, "one", true), complete: true},
 			{chunk: newTestChunk("b", 6, 0, "two", false), fails: true},
 		}, "one"},
--- a/internal/replica/snapshotwriter.go
+++ b/internal/replica/snapshotwriter.go
@@ -16,9 +16,9 @@
 // snapshotPolicy determines when a snapshot is due, and how many entries before it stay in
 // the log; see Config.
 type snapshotPolicy struct {
-	everyEntries    uint64 // entries
-	everyBytes      int64
-	retainedEntries uint64 // entries
+	everyEntries    uint64 // applied entries between snapshots
+	everyBytes      int64  // bytes of applied entries between snapshots
+	retainedEntries uint64 // entries before a snapshot that stay in the log
 }
 
 // snapshotWriter decides when a snapshot of the record is due, and adds the term and the
--- a/internal/replica/snapshotwriter_test.go
+++ b/internal/replica/snapshotwriter_test.go
@@ -33,10 +33,10 @@
 		writing bool
 		due     bool
 	}{
-		"too few":              {109, 999, false, false},
-		"enough entries":       {110, 0, false, true},
-		"enough bytes":         {20, 1000, false, true},
-		"one is being written": {500, 5000, true, false},
+		"too few entries and bytes": {109, 999, false, false},
+		"enough entries":            {110, 0, false, true},
+		"enough bytes":              {20, 1000, false, true},
+		"one is being written":      {500, 5000, true, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/replica/transport/peer.go
+++ b/internal/replica/transport/peer.go
@@ -11,7 +11,7 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// messageTimeout is the time-out of one RaftRequest.
+// messageTimeout is the timeout of one RaftRequest.
 const messageTimeout = time.Second
 
 // peer sends messages to one other replica. It has two queues, each with one goroutine and
--- a/internal/replica/transport/peer_test.go
+++ b/internal/replica/transport/peer_test.go
@@ -27,7 +27,7 @@
 		t.Fatalf("got %d queued appends, %d urgent messages; want 1, 0", len(p.appends.messages), len(p.urgent.messages))
 	}
 	p.send(appendOf(2))
-	p.send(appendOf(2)) // of a round that was already queued
+	p.send(appendOf(2)) // no second urgent message for round 2
 	if len(p.appends.messages) != 3 || len(p.urgent.messages) != 1 {
 		t.Fatalf("got %d queued appends, %d urgent messages; want 3, 1", len(p.appends.messages), len(p.urgent.messages))
 	}
--- a/internal/storage/disklog_test.go
+++ b/internal/storage/disklog_test.go
@@ -17,12 +17,12 @@
 	"github.com/decklever/decklever/internal/storage/wal"
 )
 
-// logConfig returns the configuration of a log that is stored in files.
+// logConfig returns the configuration of a log in the given file system.
 func logConfig(files datafile.FileSystem, segmentSize int64) wal.Config {
 	return wal.Config{Files: files, Directory: powerLossDirectoryName, Logger: discardLogger(), SegmentSize: segmentSize}
 }
 
-// newDiskLog creates and opens a log that is stored in files.
+// newDiskLog creates a log in the given file system and opens it.
 func newDiskLog(t testing.TB, files datafile.FileSystem, segmentSize int64) *diskLog {
 	t.Helper()
 	requireNoError(t, wal.Create(logConfig(files, segmentSize), "0123456789abcdef"))
@@ -224,7 +224,7 @@
 		t.Fatalf("got %v, want an ErrEarlierFormat that names %s", err, earlierLogFile)
 	}
 	if _, err := os.Stat(filepath.Join(directory, wal.SegmentName(wal.FirstSegment))); !errors.Is(err, fs.ErrNotExist) {
-		t.Fatalf("stat of a new log beside the earlier one: got %v, want that it does not exist", err)
+		t.Fatalf("stat of a new log next to the earlier one: got %v, want fs.ErrNotExist", err)
 	}
 }
 
--- a/internal/storage/powerlossfiles_test.go
+++ b/internal/storage/powerlossfiles_test.go
@@ -34,8 +34,8 @@
 
 // powerLossNode is the content of a file, independent of its name.
 type powerLossNode struct {
-	content []byte // as read now
-	durable []byte // as of the last sync
+	content []byte // current content, including unsynced writes
+	durable []byte // content at the last sync
 	// unsynced has the changes since the last sync, oldest first.
 	unsynced []powerLossWrite
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -128,7 +128,7 @@
 		if !ok || string(content) != "state at 50" || !cmp.Equal(gotMeta, newer) {
 			t.Fatalf("got snapshot %v with content %q and meta %+v, want the installed one", ok, content, gotMeta)
 		}
-		requireNoError(t, s.SaveSnapshot(raft.SnapshotMeta{Index: 9, Term: 1}, 0, writeText("late"))) // ignored, as it is older
+		requireNoError(t, s.SaveSnapshot(raft.SnapshotMeta{Index: 9, Term: 1}, 0, writeText("late"))) // ignored, because it is older than the installed snapshot
 		requireNoError(t, s.Save(nil, testEntries(51, 52, 3), true))
 		if got := len(loadState(t, reopen()).Entries); got != 2 {
 			t.Fatalf("got %d entries after the installed snapshot, want 2", got)
--- a/internal/storage/wal/record.go
+++ b/internal/storage/wal/record.go
@@ -121,7 +121,7 @@
 func provesSynced(content []byte, sequence uint64) bool {
 	last := sequence + uint64(len(content))
 	for ; len(content) >= recordHeaderSize; content = content[1:] {
-		// Check the sequence before the checksum, which costs more: no record
+		// Compare the sequence before the checksum, which costs more to compute: no record
 		// begins at most offsets.
 		if synced := binary.BigEndian.Uint64(content[16:]); synced < sequence || synced > last {
 			continue
--- a/internal/storage/wal/replay.go
+++ b/internal/storage/wal/replay.go
@@ -91,8 +91,8 @@
 	content []byte
 	// oldestNeeded is the oldest segment that is still needed.
 	oldestNeeded uint64
-	// unfinished is the content of the following segment, if the creation of that
-	// one was interrupted.
+	// unfinished is the content of the next segment, if its creation was
+	// interrupted.
 	unfinished []byte
 }
 
--- a/internal/storage/wal/segment.go
+++ b/internal/storage/wal/segment.go
@@ -57,7 +57,7 @@
 		return nil, fmt.Errorf("list data folder: %w", err)
 	}
 	var numbers []uint64
-	for _, name := range names { // names and numbers have the same order
+	for _, name := range names { // sorted by name, which is also the order of the numbers
 		if number, ok := segmentNumber(name); ok {
 			numbers = append(numbers, number)
 		}
