--- a/api/config.go
+++ b/api/config.go
@@ -49,7 +49,7 @@
 	// leave free, so that more urgent tasks find capacity at once. A task is
 	// placed on a worker where this headroom stays free, if there is one.
 	// Otherwise it waits while more than 60 percent of the capacity for its
-	// service is in use, and else uses the headroom. Groups, tasks with Spread,
+	// service is in use, and uses the headroom at 60 percent or less. Groups, tasks with Spread,
 	// tasks with UntilCancelled, and tasks that would not leave the headroom
 	// free even on an empty worker never wait for it. Default 0, at most
 	// MaxHeadroomPercent.
--- a/api/doc.go
+++ b/api/doc.go
@@ -49,6 +49,6 @@
 // Durations are text such as "1.5s" (see Duration), fields that end in Millis
 // are milliseconds, memory is in mebibytes, processor share in thousandths of a
 // core, times are RFC 3339. In a configuration and a job, an absent or zero field
-// means the default that the field's comment gives. Validation
-// reports every invalid field at once, as FieldErrors with the field's path.
+// means the default that the field's comment gives. Validation reports every
+// invalid field at once, each as a FieldError with the field's path.
 package api
--- a/api/schedule.go
+++ b/api/schedule.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// searchStart returns the local time after which Next searches, for a search from
-// at on. It skips local times that already occurred before the last change of the
+// searchStart returns the local time after which Next searches if it is to find
+// starts after the time at. It skips local times that already occurred before the last change of the
 // UTC offset.
 func (s Schedule) searchStart(at time.Time) time.Time {
 	from := at.Add(utcOffset(at)).UTC()
--- a/api/schedule_test.go
+++ b/api/schedule_test.go
@@ -66,7 +66,7 @@
 	return matches(schedule, local)
 }
 
-// localTime returns the local time at a time, represented as a UTC time.
+// localTime returns the local time of an instant, represented as a UTC time.
 func localTime(schedule Schedule, at time.Time) time.Time {
 	at = at.In(schedule.location)
 	return time.Date(at.Year(), at.Month(), at.Day(), at.Hour(), at.Minute(), 0, 0, time.UTC)
--- a/api/validate_step.go
+++ b/api/validate_step.go
@@ -54,8 +54,9 @@
 	}
 }
 
-// checkGang validates that the bounds of groups, of the queue and of its team
-// allow all members of a group to run at the same time.
+// checkGang validates that all members of a group may run at the same time: that
+// there are at most MaxGroupMembers and no more than the open runs that the queue
+// and its team allow.
 func (c *jobValidator) checkGang(path string, members int) {
 	if members > MaxGroupMembers {
 		c.errors.add(path, fmt.Sprintf("%d tasks", members),
--- a/cmd/decklever-testbed/hollow.go
+++ b/cmd/decklever-testbed/hollow.go
@@ -8,7 +8,8 @@
 )
 
 // newHollowCommand returns the command with which a scale run starts its hollow
-// processes. The command ends when its standard input is closed.
+// processes, each of which simulates many side machines (package hollow). The
+// command ends when its standard input is closed.
 func newHollowCommand() *cobra.Command {
 	var path string
 	command := &cobra.Command{
--- a/cmd/decklever-testbed/run.go
+++ b/cmd/decklever-testbed/run.go
@@ -33,7 +33,7 @@
 				return fmt.Errorf("duration is %v, expected at least %v for %s", duration, selected.MinDuration, name)
 			}
 			if previous != "" && selected.FirstVersion != fleet.PreviousVersion {
-				return fmt.Errorf("previous-programs is %q, but %s runs the present programs alone", previous, name)
+				return fmt.Errorf("previous-programs is %q, but %s runs only the current programs", previous, name)
 			}
 			return runScenario(command, &chosen, run.Config{Scenario: selected, Seed: seed, Duration: duration, Out: out, PreviousBinaries: previous})
 		},
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -48,7 +48,7 @@
 		})
 	}
 	if scheduler.callCount() != 0 {
-		t.Fatal("an invalid heartbeat was relayed")
+		t.Fatal("got an invalid heartbeat relayed, want it rejected")
 	}
 }
 
@@ -81,7 +81,7 @@
 		}
 		decoded, refusal := readHeartbeat(bytes.NewReader(encoded))
 		if refusal != nil || decoded.Seq != heartbeat.Seq || len(decoded.Running) != len(heartbeat.Running) {
-			t.Fatalf("encoded heartbeat was read back as %+v, error %v", decoded, refusal)
+			t.Fatalf("encoded heartbeat read back: got %+v, error %v, want the same seq and number of runs", decoded, refusal)
 		}
 	})
 }
--- a/internal/agent/relay_pause_test.go
+++ b/internal/agent/relay_pause_test.go
@@ -18,8 +18,8 @@
 )
 
 // TestRelay_RefusedConnectionWaitsBeforeNextAttempt: a leader that has just answered the
-// watch stays known for confirmedGrace, although connections to it are refused. Without a
-// wait between attempts, the relay would dial in a busy loop.
+// watch stays known for the confirmationGrace of package leaderclient, although connections
+// to it are refused. Without a wait between attempts, the relay would dial in a busy loop.
 func TestRelay_RefusedConnectionWaitsBeforeNextAttempt(t *testing.T) {
 	const relayTimeout = 300 * time.Millisecond
 	scheduler := startScheduler(t)
--- a/internal/agent/relay_test.go
+++ b/internal/agent/relay_test.go
@@ -62,7 +62,7 @@
 	agent := startAgent(t, old.address, time.Second)
 	requireStatus(t, agent.post(heartbeatBody(t, "id", 1)), http.StatusServiceUnavailable)
 	if next.callCount() != 0 {
-		t.Fatal("one heartbeat reached two schedulers")
+		t.Fatal("got one heartbeat at two schedulers, want it at one")
 	}
 	requireStatus(t, agent.post(heartbeatBody(t, "id", 2)), http.StatusOK)
 	if old.callCount() != 1 || next.callCount() != 1 {
@@ -116,6 +116,6 @@
 		t.Fatalf("got %d calls, want 2", scheduler.callCount())
 	}
 	if _, known := agent.link.Leader(); !known {
-		t.Error("the leader was forgotten for a superseded heartbeat")
+		t.Error("got no leader after the call for a superseded heartbeat was cancelled, want it unchanged")
 	}
 }
--- a/internal/agent/sequences.go
+++ b/internal/agent/sequences.go
@@ -73,7 +73,7 @@
 }
 
 // removeIdle removes worker ids that were idle for more than idleTimeout, at most once per
-// sweepInterval. The caller holds the mutex.
+// sweepInterval. The caller must hold the mutex.
 func (s *sequences) removeIdle(now time.Time) {
 	if now.Sub(s.sweptAt) < sweepInterval {
 		return
--- a/internal/agent/validate_test.go
+++ b/internal/agent/validate_test.go
@@ -18,8 +18,8 @@
 		ended    string
 		want     []string
 	}{
-		{"nothing", nil, "", nil},
-		{"the most", []api.RunProgress{{RunRef: run, Percent: 100, Checkpoint: largest}}, largest, nil},
+		{"no progress", nil, "", nil},
+		{"highest values", []api.RunProgress{{RunRef: run, Percent: 100, Checkpoint: largest}}, largest, nil},
 		{"percent", []api.RunProgress{{RunRef: run, Percent: 101}}, "", []string{"progress[0].percent"}},
 		{"negative percent", []api.RunProgress{{RunRef: run, Percent: -1}}, "", []string{"progress[0].percent"}},
 		{"checkpoint", []api.RunProgress{{RunRef: run, Checkpoint: largest + "x"}}, "", []string{"progress[0].checkpoint"}},
--- a/internal/cli/drains.go
+++ b/internal/cli/drains.go
@@ -19,8 +19,8 @@
 }
 
 // sendDrainOrders sends one order for each zone and stops at the first error.
-// Orders are idempotent, so a failed command can be run again. drained is the
-// state of the zones after their orders.
+// Orders are idempotent, so a failed command can be run again. drained is true if
+// the orders drain the zones, and false if they end earlier drain orders.
 func (a *app) sendDrainOrders(ctx context.Context, zones []string, drained bool, sendOrder func(context.Context, string) error) error {
 	if err := checkZones(zones); err != nil {
 		return err
--- a/internal/cli/fake_front_test.go
+++ b/internal/cli/fake_front_test.go
@@ -28,8 +28,9 @@
 	return reply{status: status, body: &api.Error{Status: status, Code: code, Message: "because", Fields: fields}}
 }
 
-// unavailableReply returns a 503 response with a retry delay of 10 s, the default
-// of --timeout: less time than that is left, so the client gives up at once.
+// unavailableReply returns a 503 response with a retry delay of 10 s. That is the
+// default of --timeout, so the client would retry after its deadline and instead
+// gives up at once.
 func unavailableReply(code api.ErrorCode) reply {
 	const status = http.StatusServiceUnavailable
 	return reply{status: status, body: &api.Error{Status: status, Code: code, Message: "because", RetryAfterMillis: 10_000}}
--- a/internal/cli/job_wait.go
+++ b/internal/cli/job_wait.go
@@ -53,7 +53,7 @@
 }
 
 // waitForJob reads the job until it has ended. It returns a jobNotEndedError if
-// the timeout expires first; 0 means no timeout.
+// timeout passes first; a timeout of 0 means no bound.
 func (a *app) waitForJob(ctx context.Context, client *api.Client, id string, timeout time.Duration) (api.JobStatus, error) {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -85,7 +85,7 @@
 }
 
 // waitAndPrintJob waits for a job to end, prints it, and returns an error unless
-// it succeeded. A timeout of 0 means no timeout.
+// it succeeded. A timeout of 0 means no bound.
 func (a *app) waitAndPrintJob(ctx context.Context, client *api.Client, id string, timeout time.Duration) error {
 	status, waitErr := a.waitForJob(ctx, client, id, timeout)
 	if waitErr != nil {
--- a/internal/cli/yaml_test.go
+++ b/internal/cli/yaml_test.go
@@ -10,7 +10,7 @@
 	"github.com/decklever/decklever/api"
 )
 
-func TestJSONFromYAML_KeepsValuesAsWritten(t *testing.T) {
+func TestJSONFromYAML_PreservesValuesAsWritten(t *testing.T) {
 	cases := []struct{ yaml, json string }{
 		{"a: 2026-01-31\nb: 2026-01-31T14:00:00Z", `{"a":"2026-01-31","b":"2026-01-31T14:00:00Z"}`},
 		{"a: 123456789012345678901234567890\nb: 0x10\nc: 1.50\nd: .5", `{"a":123456789012345678901234567890,"b":16,"c":1.50,"d":0.5}`},
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestYAMLFromJSON_KeepsControlCharacters(t *testing.T) {
+func TestYAMLFromJSON_PreservesControlCharacters(t *testing.T) {
 	for _, want := range []string{`{"a":["\t\n"]}`, `{"a":["\n\ta\n"]}`, `{"a":[" \n"]}`, `{"a":["\u0001\r"]}`} {
 		text, err := yamlFromJSON([]byte(want))
 		if err != nil {
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -29,14 +29,14 @@
 	// Background functions run from the start until the daemon cancels their context, at
 	// the end of a stop. A non-nil error before that stops the daemon; a nil one does not.
 	Background []func(ctx context.Context) error
-	// WrapListener wraps the listener on Listen, but not those of Extra. Optional.
+	// WrapListener wraps the listener on Listen, but not those of ExtraListeners. Optional.
 	WrapListener func(net.Listener) net.Listener
-	// ExtraListeners listeners are served beside Listen, and start and stop with it.
+	// ExtraListeners are served beside Listen, and start and stop with it.
 	ExtraListeners []Listener
 	// OnStopping is called first when a stop begins, so that the process can report itself
 	// as not ready. Optional; it must not block.
 	OnStopping func()
-	// BeforeStop hands over the process's duties. It is called after Stopping, while the
+	// BeforeStop hands over the process's duties. It is called after OnStopping, while the
 	// daemon still serves; its context ends after half of StopTimeout. Optional.
 	BeforeStop func(ctx context.Context)
 	// ShutdownDelay is how long the daemon continues to serve after BeforeStop, so that
@@ -69,8 +69,8 @@
 	DescriptorsPerConnection int
 }
 
-// withDefaults returns the configuration with defaults for what is not set, but for
-// MaxConnections, which boundConnections sets.
+// withDefaults returns the configuration with the defaults of all fields that are not set,
+// except MaxConnections, which boundConnections sets.
 func (c Config) withDefaults() Config {
 	if c.Logger == nil {
 		c.Logger = slog.New(slog.DiscardHandler)
--- a/internal/daemon/connections.go
+++ b/internal/daemon/connections.go
@@ -62,7 +62,7 @@
 
 // admit tracks a new connection. At the limit it first closes the connection idle for
 // longest; if every connection has a request in progress, it closes the new one instead.
-// The caller holds the mutex.
+// The caller must hold the mutex.
 func (c *connections) admit(connection net.Conn) {
 	if c.stopping {
 		_ = connection.Close() // nothing was sent on it
@@ -77,7 +77,7 @@
 }
 
 // closeLongestIdle closes the connection that has been without a request for longest. It
-// returns false if every connection has a request in progress. The caller holds the mutex.
+// returns false if every connection has a request in progress. The caller must hold the mutex.
 func (c *connections) closeLongestIdle() bool {
 	var oldest net.Conn
 	for connection, entry := range c.open {
@@ -96,7 +96,7 @@
 }
 
 // logLimitReached counts a connection closed at the limit and logs the count, at most once
-// per limitLogInterval. The caller holds the mutex.
+// per limitLogInterval. The caller must hold the mutex.
 func (c *connections) logLimitReached() {
 	c.closedAtLimit++
 	if time.Since(c.loggedAt) < limitLogInterval {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -35,7 +35,7 @@
 // Run listens and serves until SIGTERM, SIGINT, the end of the context, or a failure of a
 // server or a background function. Then it stops in this order:
 //
-//  1. It calls Stopping and BeforeStop.
+//  1. It calls OnStopping and BeforeStop.
 //  2. It continues to serve for ShutdownDelay.
 //  3. It cancels the contexts of all requests, closes the listeners, and waits for the
 //     responses.
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -258,7 +258,7 @@
 	_ = again.Close()
 }
 
-// During ShutdownDelay, after Stopping and BeforeStop, the daemon still serves requests and
+// During ShutdownDelay, after OnStopping and BeforeStop, the daemon still serves requests and
 // asks callers to close their connections.
 func TestShutdownDelay_ServesUntilItEnds(t *testing.T) {
 	const delay = 300 * time.Millisecond
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -2,6 +2,6 @@
 // signal within a time-out, and an exit code for the kind of failure.
 //
 // Config has the handler, the background functions, and the limits on connections, requests
-// and the stop. Run returns once the daemon has stopped. Command and Main make a program's
-// entry point of it.
+// and the stop. Run returns once the daemon has stopped. Command and Main build a
+// program's entry point from it.
 package daemon
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -23,8 +23,8 @@
 	listener net.Listener
 }
 
-// listenOnAll listens on Listen and on the addresses of Extra, in this order. If one fails,
-// it closes those already open and returns the error.
+// listenOnAll listens on Listen and on the addresses of ExtraListeners, in this order. If one
+// fails, it closes those already open and returns the error.
 func listenOnAll(ctx context.Context, config Config) ([]openListener, error) {
 	own := Listener{Address: config.Listen, Handler: config.Handler, OnListening: config.OnListening}
 	var open []openListener
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -12,7 +12,7 @@
 // errStopTimeout says that requests or background functions had not ended after StopTimeout.
 var errStopTimeout = errors.New("not stopped within the stop timeout")
 
-// announceStop begins a stop: it calls Stopping and makes responses ask callers to close
+// announceStop begins a stop: it calls OnStopping and makes responses ask callers to close
 // their connections. After a failure it also cancels the shutdown delay.
 func (d *daemon) announceStop(failure error) {
 	if failure != nil {
--- a/internal/front/openapi_test.go
+++ b/internal/front/openapi_test.go
@@ -159,7 +159,7 @@
 		t.Run(c.method+" "+c.path, func(t *testing.T) {
 			answer := doRequest(t, c.front, c.method, c.path, c.body, c.headers...)
 			if answer.Code != c.status {
-				t.Fatalf("status %d, want %d: %s", answer.Code, c.status, answer.Body)
+				t.Fatalf("got status %d, want %d: %s", answer.Code, c.status, answer.Body)
 			}
 			input := requestInput(t, router, c.method, c.path, c.body, c.headers)
 			if err := openapi3filter.ValidateRequest(t.Context(), input); (err != nil) != c.invalidRequest {
--- a/internal/front/relay_test.go
+++ b/internal/front/relay_test.go
@@ -122,7 +122,7 @@
 	started := time.Now()
 	requireOK[api.SubmitAnswer](t, doRequest(t, front, "PUT", "/v1/jobs/a", validJob), 201)
 	if took := time.Since(started); took >= attemptTimeout {
-		t.Errorf("answered after %v, want less than attemptTimeout", took)
+		t.Errorf("got an answer after %v, want less than attemptTimeout", took)
 	}
 	if old.callCount() != 1 || leader.callCount() != 1 {
 		t.Fatalf("got %d and %d calls to the old and the new leader, want 1 call each", old.callCount(), leader.callCount())
--- a/internal/httpjson/write_test.go
+++ b/internal/httpjson/write_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestRefuseMethod_ListsAllowedMethods(t *testing.T) {
+func TestWriteMethodNotAllowed_ListsAllowedMethods(t *testing.T) {
 	answer := httptest.NewRecorder()
 	WriteMethodNotAllowed(answer, "PUT, GET", "/x has no POST")
 	if answer.Code != http.StatusMethodNotAllowed || answer.Header().Get("Allow") != "PUT, GET" {
--- a/internal/leaderclient/client_test.go
+++ b/internal/leaderclient/client_test.go
@@ -59,11 +59,11 @@
 		client := startClient(t, schedulers, nil)
 		time.Sleep(time.Second)
 		if !client.ObserveToken(6) || client.ObserveToken(5) || !client.ObserveToken(6) {
-			t.Fatal("ObserveToken must accept 6, reject 5 and accept 6 again")
+			t.Fatal("got another result of ObserveToken for 6, 5 and 6, want accepted, rejected and accepted")
 		}
 		time.Sleep(2 * lease) // "a" still answers with token 4
 		if client.Fresh() || client.Token() != 6 {
-			t.Fatal("answer with a token below 6 was accepted")
+			t.Fatal("got an answer with a token below 6 accepted, want it rejected")
 		}
 		schedulers.update(func() { schedulers.leader, schedulers.token = "b", 6 })
 		time.Sleep(time.Second)
--- a/internal/leaderclient/heartbeats_test.go
+++ b/internal/leaderclient/heartbeats_test.go
@@ -109,7 +109,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		if found := time.Since(diedAt); found > heartbeatInterval+answerGrace+probeTimeout {
-			t.Fatalf("found the next leader after %v, want heartbeatInterval, answerGrace and probeTimeout at most", found)
+			t.Fatalf("found the next leader after %v, want at most heartbeatInterval + answerGrace + probeTimeout", found)
 		}
 	})
 }
--- a/internal/leaderclient/state_test.go
+++ b/internal/leaderclient/state_test.go
@@ -35,7 +35,7 @@
 				t.Fatalf("got error %v, want %v", err, c.want)
 			}
 			if err != nil && (s.leader != "" || s.fresh(c.now)) {
-				t.Fatal("rejected answer changed the leader or the lease")
+				t.Fatal("got the leader or the lease changed by a rejected answer, want both unchanged")
 			}
 		})
 	}
@@ -46,11 +46,11 @@
 	s.observeFailure(0, "a")
 	s.observeHint(hintBackoff/2, "a")
 	if s.leader != "" {
-		t.Fatal("hint to an address that failed within hintBackoff was followed")
+		t.Fatal("got a hint to an address followed that failed within hintBackoff, want it ignored")
 	}
 	s.observeHint(2*hintBackoff, "a")
 	if s.leader != "a" {
-		t.Fatal("hint to an address that failed before hintBackoff was not followed")
+		t.Fatal("got a hint to an address ignored that failed more than hintBackoff ago, want it followed")
 	}
 }
 
--- a/internal/leaderclient/supervise_test.go
+++ b/internal/leaderclient/supervise_test.go
@@ -40,7 +40,7 @@
 	defer end()
 	<-ctx.Done()
 	if elapsed := time.Since(began); elapsed > suspectAfter+3*minCallInterval {
-		t.Errorf("call cancelled after %v, want suspectAfter and 3 times minCallInterval at most", elapsed)
+		t.Errorf("call cancelled after %v, want at most suspectAfter + 3*minCallInterval", elapsed)
 	}
 }
 
--- a/internal/process/base.go
+++ b/internal/process/base.go
@@ -14,8 +14,8 @@
 	"github.com/decklever/decklever/internal/telemetry"
 )
 
-// shutdownComponent is the component in /readyz that is not ready while the process stops.
-const shutdownComponent = "shutdown"
+// shutdownPart is the part in /readyz that is not ready while the process stops.
+const shutdownPart = "shutdown"
 
 // BaseConfig configures a Base; T is the type of the process's settings. All fields are
 // required except Options and Apply.
@@ -34,9 +34,9 @@
 	Apply func(T)
 }
 
-// Readiness describes the component on which the process's /readyz depends.
+// Readiness describes the part of the process on whose state /readyz depends.
 type Readiness struct {
-	Component string
+	Part string
 	// UnreadyReason is the reason that /readyz gives while Ready returns false.
 	UnreadyReason string
 	Ready         func() bool
@@ -100,7 +100,7 @@
 		Listen:        common.Listen,
 		Logger:        b.Logger,
 		Background:    append(background, b.watchSettings, watchHealth),
-		OnStopping:    func() { b.Health.SetReady(shutdownComponent, false, "the process is about to stop") },
+		OnStopping:    func() { b.Health.SetReady(shutdownPart, false, "the process is about to stop") },
 		ShutdownDelay: time.Duration(common.ShutdownDelay),
 		StopTimeout:   time.Duration(common.StopTimeout),
 
@@ -108,13 +108,13 @@
 	}
 }
 
-// CheckHealth updates the component's state in /readyz from readiness.
+// CheckHealth updates the part's state in /readyz from readiness.
 func (b *Base[T]) CheckHealth(readiness Readiness) {
 	if readiness.Ready() {
-		b.Health.SetReady(readiness.Component, true, "")
+		b.Health.SetReady(readiness.Part, true, "")
 		return
 	}
-	b.Health.SetReady(readiness.Component, false, readiness.UnreadyReason)
+	b.Health.SetReady(readiness.Part, false, readiness.UnreadyReason)
 }
 
 // watchSettings applies changes to the settings file until ctx ends.
--- a/internal/process/base_test.go
+++ b/internal/process/base_test.go
@@ -36,7 +36,7 @@
 
 func TestBase_DaemonConfigFollowsSettings(t *testing.T) {
 	base := newTestBase(t, nil)
-	config := base.DaemonConfig(Readiness{Component: "p", Ready: func() bool { return true }}, func(context.Context) error { return nil })
+	config := base.DaemonConfig(Readiness{Part: "p", Ready: func() bool { return true }}, func(context.Context) error { return nil })
 	if config.Listen != "127.0.0.1:7200" || config.ShutdownDelay != time.Second || config.StopTimeout != 2*time.Second {
 		t.Errorf("got listen %s, shutdown delay %v, stop timeout %v, want 127.0.0.1:7200, 1s, 2s", config.Listen, config.ShutdownDelay, config.StopTimeout)
 	}
@@ -51,7 +51,7 @@
 func TestBase_HealthFollowsReadinessAndShutdown(t *testing.T) {
 	base := newTestBase(t, nil)
 	ready := false
-	readiness := Readiness{Component: "p", UnreadyReason: "not yet", Ready: func() bool { return ready }}
+	readiness := Readiness{Part: "p", UnreadyReason: "not yet", Ready: func() bool { return ready }}
 	base.CheckHealth(readiness)
 	if status := base.Health.Status(); status.Ready || status.Parts[0].Reason != "not yet" {
 		t.Errorf("before the process is ready: got %+v, want not ready with reason \"not yet\"", status)
--- a/internal/process/integration/faults_test.go
+++ b/internal/process/integration/faults_test.go
@@ -17,8 +17,8 @@
 	hangDuration = 1500 * time.Millisecond
 )
 
-// injectFault starts a fault whose kind follows from number, so that all kinds occur in
-// turn. The caller must call repair after the duration to end the fault.
+// injectFault starts a fault. number selects its kind, so that consecutive numbers cover all
+// kinds. The caller must call repair after the duration to end the fault.
 func (r *faultRun) injectFault(number int, leader *node) (repair func(), duration time.Duration) {
 	follower := without(r.nodes, leader)[r.random.IntN(2)]
 	kinds := []func() (repair func(), lasts time.Duration){
--- a/internal/process/integration/fulldisk_test.go
+++ b/internal/process/integration/fulldisk_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// wantJobs waits until the node's own record or archive contains all jobs.
+// wantJobs waits until the node's own replicated state or archive contains all jobs.
 func wantJobs(t *testing.T, n *node, ids []string) {
 	t.Helper()
 	eventually(t, n.name+" has all jobs", func() bool {
@@ -155,8 +155,8 @@
 	})
 }
 
-// wantNotParticipating waits until a write of the node full has failed. It then checks that
-// the node continues to run but neither leads nor counts towards the quorum: while only it
+// wantNotParticipating waits until a write has failed on full, the node whose disk is full.
+// It then checks that this node continues to run but neither leads nor counts towards the quorum: while only it
 // and one other node run, no job is acknowledged.
 func wantNotParticipating(t *testing.T, full *node, store *fullDiskStore, nodes []*node) {
 	t.Helper()
--- a/internal/process/leaderclientbase.go
+++ b/internal/process/leaderclientbase.go
@@ -11,8 +11,8 @@
 	"github.com/decklever/decklever/internal/rpc"
 )
 
-// leaderComponent is the component for the client of the leader in /readyz.
-const leaderComponent = "leader"
+// leaderPart is the part in /readyz for the client of the leader.
+const leaderPart = "leader"
 
 // descriptorsPerForwardedRequest is the number of file descriptors that a request in flight
 // uses: one for the incoming connection and one for the connection to the leader.
@@ -98,7 +98,7 @@
 // leader's last answer has not expired.
 func (l *LeaderClientBase[T]) readiness() Readiness {
 	return Readiness{
-		Component:     leaderComponent,
+		Part:          leaderPart,
 		UnreadyReason: "the leading scheduler has not answered lately",
 		Ready:         l.Leader.Fresh,
 	}
--- a/internal/process/schedulerprocess/gateway.go
+++ b/internal/process/schedulerprocess/gateway.go
@@ -26,30 +26,30 @@
 	return gateway, nil
 }
 
-// replicaLeaderSource implements front.Link with the leader's address from the replica.
+// replicaLeaderSource implements front.LeaderLink with the leader's address from the replica.
 type replicaLeaderSource struct{ replica *replica.Replica }
 
-// Leader implements front.Link.
+// Leader implements front.LeaderLink.
 func (l replicaLeaderSource) Leader() (address string, ok bool) {
 	leader, known := l.replica.Leader()
 	return leader.Address, known
 }
 
-// ObserveHint and ReportFailure implement front.Link. They do nothing, because the replica
+// ObserveHint and ReportFailure implement front.LeaderLink. They do nothing, because the replica
 // itself tracks the leader.
 func (replicaLeaderSource) ObserveHint(string)   {}
 func (replicaLeaderSource) ReportFailure(string) {}
 
-// Supervise implements front.Link. A change of leader does not end the call; its own
+// Supervise implements front.LeaderLink. A change of leader does not end the call; its own
 // time-out does.
 func (replicaLeaderSource) Supervise(ctx context.Context, _ string) (context.Context, context.CancelFunc) {
 	return context.WithCancel(ctx)
 }
 
-// Config implements front.Link. It returns nil, because a gateway uses the default limits.
+// Config implements front.LeaderLink. It returns nil, because a gateway uses the default limits.
 func (replicaLeaderSource) Config() *api.Config { return nil }
 
-// Fresh implements front.Link.
+// Fresh implements front.LeaderLink.
 func (l replicaLeaderSource) Fresh() bool {
 	_, known := l.replica.Leader()
 	return known
--- a/internal/process/schedulerprocess/process.go
+++ b/internal/process/schedulerprocess/process.go
@@ -23,8 +23,8 @@
 const (
 	// Program is the name of the scheduler's program.
 	Program = "decklever-scheduler"
-	// logComponent is the component for the replicated log in /readyz.
-	logComponent = "log"
+	// logPart is the part in /readyz for the replicated log.
+	logPart = "log"
 )
 
 // Process is a scheduler with all its components. Run must be called only once.
@@ -74,7 +74,7 @@
 	}
 }
 
-// assemble creates and connects the record, the replica, the service that acts while the
+// assemble creates and connects the record, the replica, the service that runs while the
 // replica leads, and the handler.
 func (p *Process) assemble(store storage.Store) error {
 	p.store = store
@@ -180,7 +180,7 @@
 // readiness returns the readiness of a scheduler, which is ready while it knows a leader.
 func (p *Process) readiness() process.Readiness {
 	return process.Readiness{
-		Component:     logComponent,
+		Part:          logPart,
 		UnreadyReason: "no leader is known",
 		Ready: func() bool {
 			_, known := p.replica.Leader()
--- a/internal/rpc/call_test.go
+++ b/internal/rpc/call_test.go
@@ -106,7 +106,7 @@
 		t.Fatal("got no error from a call past its deadline")
 	}
 	if elapsed := time.Since(began); elapsed != want {
-		t.Errorf("call ended after %v, want %v", elapsed, want)
+		t.Errorf("got the end of the call after %v, want %v", elapsed, want)
 	}
 	if got := <-remaining; got != want {
 		t.Errorf("handler got a deadline in %v, want %v", got, want)
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// withDeadline limits the context to the client's timeout, unless its own deadline is no later.
+// withDeadline limits the context to the client's time-out, unless its own deadline is no later.
 func (c *Client) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= c.config.Timeout {
 		return ctx, func() {}
@@ -181,7 +181,7 @@
 }
 
 // readError decodes the error in the body of an answer whose status is not 200. If the body
-// holds no error, the answer is not from a Server, and the result has CodeTransport.
+// contains no error, the answer is not from a Server, and the result has CodeTransport.
 func (c *Client) readError(method protocol.Method, address string, status int, body []byte) *Error {
 	failure := &Error{}
 	if err := c.codec.decode(body, failure); err != nil {
--- a/internal/rpc/deadline_test.go
+++ b/internal/rpc/deadline_test.go
@@ -28,7 +28,7 @@
 func requireEnded(ctx context.Context, t *testing.T, want error) {
 	t.Helper()
 	if err := ctx.Err(); !errors.Is(err, want) {
-		t.Errorf("context ended with %v, want %v", err, want)
+		t.Errorf("got context error %v, want %v", err, want)
 	}
 	select {
 	case <-ctx.Done():
@@ -61,7 +61,7 @@
 		began := time.Now()
 		<-ctx.Done()
 		if elapsed := time.Since(began); elapsed != time.Second {
-			t.Errorf("context ended after %v, want 1s", elapsed)
+			t.Errorf("got the end of the context after %v, want 1s", elapsed)
 		}
 		requireEnded(ctx, t, context.DeadlineExceeded)
 	})
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -68,7 +68,7 @@
 		}
 	}
 	if count := strings.Count(log.String(), "broken invariant"); count != 2 {
-		t.Fatalf("panic logged %d times, want 2:\n%s", count, log.String())
+		t.Fatalf("got the panic logged %d times, want 2:\n%s", count, log.String())
 	}
 }
 
@@ -123,7 +123,7 @@
 		t.Fatalf("got %v, want a transport error that is not unsent", err)
 	}
 	if err := <-ended; !errors.Is(err, context.Canceled) {
-		t.Fatalf("handler's context ended with %v, want context canceled", err)
+		t.Fatalf("handler's context: got error %v, want context canceled", err)
 	}
 }
 
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -20,8 +20,8 @@
 // depending on the values of other keys, which the rule of a single key cannot express.
 type conditionalKeys interface{ missingKeys() []Problem }
 
-// check returns a problem for each key that breaks its rule, without those that earlier
-// lists already. If there is none in either, it checks the rules across keys.
+// check returns a problem for each key that breaks its rule, except the keys that earlier
+// already lists. If there are no problems at all, it checks the rules across keys.
 func check(pointer any, earlier []Problem) []Problem {
 	reported := map[string]bool{}
 	for _, problem := range earlier {
--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -56,7 +56,7 @@
 }
 
 // defaultText returns the table cell for a key's default: the value, "required" if the key has
-// none and its rule refuses the zero value, or "none".
+// none and its rule rejects the zero value, or "none".
 func defaultText(known setting) string {
 	if !known.value.IsZero() {
 		return "`" + formatValue(known.value.Interface()) + "`"
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -33,7 +33,7 @@
 type WatchConfig[T any] struct {
 	// Options are the options with which Initial was loaded.
 	Options LoadOptions
-	// Initial is the configuration in force at the start.
+	// Initial are the settings in force at the start.
 	Initial T
 	// Interval is the time between two polls of the file, which find changes that fsnotify
 	// does not report. A poll costs one stat unless the file may have changed. Default 1s.
@@ -48,7 +48,7 @@
 	Logger *slog.Logger
 }
 
-// Watcher updates the configuration in force when the settings file changes. An invalid file
+// Watcher updates the settings in force when the settings file changes. An invalid file
 // changes nothing. Events of fsnotify and a poll detect a change of the file's content; SIGHUP
 // and Reload make the watcher load the file at once.
 type Watcher[T any] struct {
@@ -56,8 +56,8 @@
 	path   string
 	reload chan struct{}
 
-	// The fields up to polledState are used only by the goroutine of Run. current is the
-	// configuration in force. loadedDigest identifies the content last loaded, valid or not;
+	// The fields up to polledState are used only by the goroutine of Run. current are the
+	// settings in force. loadedDigest identifies the content last loaded, valid or not;
 	// candidateDigest the content last read. stableTimer fires after stableTime.
 	current                       T
 	loadedDigest, candidateDigest [sha256.Size]byte
@@ -108,7 +108,7 @@
 	}
 }
 
-// PendingRestart returns the keys whose values in the file differ from the configuration in
+// PendingRestart returns the keys whose values in the file differ from the settings in
 // force and take effect only after a restart. It is safe for concurrent use.
 func (w *Watcher[T]) PendingRestart() []string {
 	w.mutex.Lock()
--- a/internal/settings/watch_test.go
+++ b/internal/settings/watch_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// An invalid or removed file leaves the configuration in force as it is, until the file is
+// An invalid or removed file leaves the settings in force as they are, until the file is
 // valid again.
 func TestWatcher_InvalidFileChangesNothing(t *testing.T) {
 	w := startWatcher(t, settingsFile(t, goodFront), time.Hour)
--- a/worker/loop.go
+++ b/worker/loop.go
@@ -269,8 +269,8 @@
 }
 
 // shouldExit reports whether a draining worker exits now: because it is drained,
-// because it has nothing to report and heartbeats fail, or because its time is
-// over.
+// because it has nothing to report and heartbeats fail, or because DrainTimeout
+// and ReportTimeout have passed.
 func (l *loop) shouldExit(now time.Duration) bool {
 	if !l.session.draining {
 		return false
--- a/worker/session_progress.go
+++ b/worker/session_progress.go
@@ -19,7 +19,8 @@
 // progressToSend returns the progress that no accepted answer has confirmed, up
 // to maxProgressBytes of checkpoints. After a new token or a failed heartbeat
 // all progress is sent again, since the leader may have changed. The runs whose
-// progress was sent longest ago come first, so that each run gets its turn.
+// progress was sent longest ago come first, so that the progress of each run is
+// sent eventually.
 func (s *session) progressToSend() []api.RunProgress {
 	var all []api.RunProgress
 	size := 0
