--- a/internal/compatibility/stored/corpus_test.go
+++ b/internal/compatibility/stored/corpus_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// corpus is what the current code writes for the script.
+// corpus has the outputs and data folders that the current code writes for the script.
 type corpus struct {
 	commands, results []byte
 	snapshot, view    []byte
@@ -211,7 +211,7 @@
 	}
 }
 
-// applyScript applies the whole script, with the changes of the membership in between,
+// applyScript applies the complete script, interleaved with changes of the membership,
 // and ends with replaceTail.
 func (w *writer) applyScript() {
 	w.t.Helper()
--- a/internal/compatibility/stored/earlier_test.go
+++ b/internal/compatibility/stored/earlier_test.go
@@ -40,7 +40,8 @@
 					t.Fatal(err)
 				}
 				checkReencoding(t, data)
-				// Index 1 is that of the snapshot with which a cluster begins.
+				// The commands start at log index 2: index 1 belongs to the snapshot with which
+				// a cluster begins.
 				if _, err := machine.Apply(uint64(i)+2, data); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/compatibility/stored/script_test.go
+++ b/internal/compatibility/stored/script_test.go
@@ -238,11 +238,11 @@
 	lockstep := api.StepSpec{Name: "members", Lockstep: true, Replicas: 3, Tasks: []api.TaskSpec{{
 		Service: "convert", Resources: api.Resources{CPUMillis: 200}, Resumable: true,
 	}}}
-	resumable, failing, endless := stepOf("work", 1), stepOf("try", 2), stepOf("serve", 1)
+	resumable, failing, untilCancelled := stepOf("work", 1), stepOf("try", 2), stepOf("serve", 1)
 	resumable.Tasks[0].Resumable = true
 	failures := 1
 	failing.Tasks[0].AllowedFailures = &failures
-	endless.Tasks[0].UntilCancelled = true
+	untilCancelled.Tasks[0].UntilCancelled = true
 	submitAfter := func(milliseconds int, id string, spec api.JobSpec) command {
 		return command{"submission of " + id, 2*time.Second + time.Duration(milliseconds)*time.Millisecond, record.Command{Token: 2, SubmitJob: submit(id, spec)}}
 	}
@@ -257,7 +257,7 @@
 		submitAfter(70, "lockstep-open", jobOf("batch", lockstep)),
 		submitAfter(80, "resumed", jobOf("open", resumable)),
 		submitAfter(90, "doomed", jobOf("open", failing, stepOf("never", 2, "try"))),
-		submitAfter(100, "endless", jobOf("open", endless)),
+		submitAfter(100, "endless", jobOf("open", untilCancelled)),
 		submitAfter(110, "stopped", jobOf("open", stepOf("a", 5))),
 		submitAfter(120, "lost", jobOf("narrow", stepOf("a", 3))),
 		submitAfter(130, "cancelled-running", jobOf("open", stepOf("a", 2), stepOf("b", 1, "a"))),
--- a/internal/taskhandlers/checkpoints.go
+++ b/internal/taskhandlers/checkpoints.go
@@ -12,10 +12,11 @@
 // checkpointInterval is the working time between two checkpoints.
 const checkpointInterval = 100 * time.Millisecond
 
-// workWithCheckpoints works for duration, less the work of earlier runs; until cancelled if
-// the task says so. A checkpoint is the working time so far, in milliseconds; one is reported
-// after each checkpointInterval and at the end. It returns the errors of work and those of
-// task.Report.
+// workWithCheckpoints works for duration, less the work of earlier runs, or until cancelled if
+// the task has UntilCancelled set. A checkpoint is the working time so far, in milliseconds;
+// one is reported after each checkpointInterval and at the end. It returns the cause of ctx if
+// the run is stopped earlier, an error of task.Report, or worker.ErrHoldLapsed if task.Held is
+// false after the work.
 func workWithCheckpoints(ctx context.Context, task worker.Task, duration time.Duration) error {
 	done := parseCheckpoint(task.Checkpoint)
 	for done < duration || task.Spec.UntilCancelled {
--- a/internal/taskhandlers/handlers.go
+++ b/internal/taskhandlers/handlers.go
@@ -114,10 +114,10 @@
 	return time.Duration(millis * float64(time.Millisecond))
 }
 
-// work works for duration, or until cancelled if the task says so. It returns the cause of
-// ctx if the run is stopped earlier. It returns worker.ErrHoldLapsed if the worker's lease has
-// expired, for example because the process was suspended: the work then does not count as
-// done.
+// work works for duration, or until cancelled if the task has UntilCancelled set. It returns
+// the cause of ctx if the run is stopped earlier. It returns worker.ErrHoldLapsed if the
+// worker's lease has expired, for example because the process was suspended: the work then
+// does not count as done.
 func work(ctx context.Context, task worker.Task, duration time.Duration) error {
 	if task.Spec.Resumable {
 		return workWithCheckpoints(ctx, task, duration)
--- a/testbed/calllog/class.go
+++ b/testbed/calllog/class.go
@@ -23,7 +23,7 @@
 // checker and the report compare.
 type Milestone string
 
-// Milestones.
+// The milestones.
 const (
 	// MilestoneBooked is the start of a booked window.
 	MilestoneBooked Milestone = "booked"
--- a/testbed/checker/bookings.go
+++ b/testbed/checker/bookings.go
@@ -145,8 +145,8 @@
 	return "", nil
 }
 
-// committedCapacity returns, by worker, the resources that non-preemptible runs of
-// other queues use at a time.
+// committedCapacity returns, by worker, the resources in use at a moment by
+// non-preemptible runs of other queues.
 func (f *facts) committedCapacity(queue string, at monoclock.Nanos) map[string]api.Resources {
 	used := map[string]api.Resources{}
 	for _, taskRun := range f.runs {
--- a/testbed/checker/checker.go
+++ b/testbed/checker/checker.go
@@ -15,7 +15,7 @@
 // Promise is the number of a promise of docs/DESIGN.md, such as "P1".
 type Promise string
 
-// Promises that can be checked from outside the product.
+// These are the promises that can be checked from outside the product.
 const (
 	P1  Promise = "P1"  // no two runs of a task overlap, and none starts after a recorded success
 	P2  Promise = "P2"  // an accepted job is never lost, and its state is readable and correct
@@ -102,8 +102,8 @@
 // Result is the verdict on a history.
 type Result struct {
 	Violations []Violation
-	// DuplicateSuccesses counts the successes of tasks beyond their first one, without
-	// tasks that run until cancelled. A second success violates no promise if the first
+	// DuplicateSuccesses counts the successes of tasks after their first one, except
+	// for tasks that run until cancelled. A second success violates no promise if the first
 	// may never have been acknowledged because a fault hit its worker or agent around
 	// its end.
 	DuplicateSuccesses int
--- a/testbed/checker/drains.go
+++ b/testbed/checker/drains.go
@@ -31,8 +31,8 @@
 	return found
 }
 
-// drainBound returns the bound for starts on a worker under a configuration, and
-// whether the worker is drained.
+// drainBound returns how long after the acknowledgement of a configuration tasks may
+// still start on a worker that it drains, and whether it drains the worker.
 func (f *facts) drainBound(worker string, config *api.Config) (time.Duration, bool) {
 	if config == nil {
 		return 0, false
--- a/testbed/checker/replacements.go
+++ b/testbed/checker/replacements.go
@@ -212,7 +212,7 @@
 			taskRun, next := runs[index], runs[index+1].Mono
 			leaseExpired := taskRun.Outcome == api.OutcomeStopped && f.leaseExpiredSince(taskRun) != 0
 			if taskRun.End == 0 || leaseExpired || next < taskRun.endedBy {
-				continue // no end event, or covered by checkEarlyRestart or checkOverlap
+				continue // the run has no end event, or checkEarlyRestart or checkOverlap checks it
 			}
 			if isolated := f.isolatedDuring(taskRun.Worker, taskRun.End, next); isolated != 0 {
 				found = append(found, f.earlyRestart(taskRun, isolated, next)...)
--- a/testbed/checker/runs.go
+++ b/testbed/checker/runs.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// duplicateSuccesses counts the successes of tasks beyond their first one, without
-// tasks that run until cancelled.
+// duplicateSuccesses counts the successes of tasks after their first one, except
+// for tasks that run until cancelled.
 func (f *facts) duplicateSuccesses() int {
 	count := 0
 	for _, runs := range f.byTask {
--- a/testbed/fleet/process.go
+++ b/testbed/fleet/process.go
@@ -34,7 +34,7 @@
 	mutex sync.Mutex
 	// version is the version that the next start uses.
 	version     Version
-	incarnation *incarnation // the latest; nil before the first start
+	incarnation *incarnation // the latest one; nil before the first start
 }
 
 // incarnation is one start of a process.
--- a/testbed/fleet/usage.go
+++ b/testbed/fleet/usage.go
@@ -143,7 +143,7 @@
 // time. The second field, the program's name in parentheses, may contain spaces and
 // parentheses, so fields are counted after its last parenthesis.
 func parseProcessorTime(stat []byte) (time.Duration, error) {
-	const userField, systemField = 11, 12 // counted after the name
+	const userField, systemField = 11, 12 // indexes in the fields after the program's name
 	fields := bytes.Fields(stat[bytes.LastIndexByte(stat, ')')+1:])
 	if len(fields) <= systemField {
 		return 0, fmt.Errorf("processor time: %d fields", len(fields))
--- a/testbed/hollow/node.go
+++ b/testbed/hollow/node.go
@@ -149,7 +149,8 @@
 		HTTPClient: &http.Client{Transport: killableTransport{incarnation, n.agentLink}},
 		OnStart:    func(event worker.Event) { incarnation.logEvent(n.shared.journal.Start, event) },
 		OnEnd:      func(event worker.Event) { incarnation.logEvent(n.shared.journal.End, event) },
-		// No time for a shutdown: the test bed stops a worker only by killing it.
+		// A graceful shutdown gets no time, as the test bed stops a hollow worker only by
+		// killing it.
 		DrainTimeout: -1, ReportTimeout: -1,
 	})
 	if err != nil {
--- a/testbed/load/load_test.go
+++ b/testbed/load/load_test.go
@@ -55,7 +55,7 @@
 	var resent, timed, gangs int
 	for range count {
 		if plan := plain.next(); plan.timed || plan.spec.Steps[0].Together {
-			t.Fatalf("%s: got a timed job or a gang from a planner without the rarer rules", plan.id)
+			t.Fatalf("%s: got a timed job or a gang from a planner with allowRareRules false, want neither", plan.id)
 		}
 		plan := special.next()
 		resent += boolToInt(plan.resend)
@@ -170,6 +170,6 @@
 	generator.Run(cancelledCtx)
 	generator.Finish(cancelledCtx)
 	if counts := generator.Counts(); counts.Accepted != 0 || counts.Submitted < int64(d.Shapes.UntilCancelledJobs) {
-		t.Errorf("got counts %+v, want no job accepted and all jobs until cancelled submitted", counts)
+		t.Errorf("got counts %+v, want no job accepted and all jobs that run until cancelled submitted", counts)
 	}
 }
--- a/testbed/model/operators_test.go
+++ b/testbed/model/operators_test.go
@@ -129,7 +129,8 @@
 	o.fleet.calls.Add(entry)
 }
 
-// change changes the configuration times times in sequence, and reads it after each change.
+// change puts the given number of configurations one after the other, and reads the
+// configuration in force after each of them.
 func (o *operators) change(ctx context.Context, times int, pause time.Duration) {
 	for range times {
 		o.put(ctx, o.changedOrder(nil))
@@ -138,8 +139,8 @@
 	}
 }
 
-// race sends several orders on the same base version concurrently, times times. Exactly one
-// of them must be accepted each time.
+// race sends several orders on the same base version concurrently. It does so as often
+// as times says; exactly one order must be accepted each time.
 func (o *operators) race(ctx context.Context, times, racers int) {
 	for range times {
 		var orders []sentOrder
--- a/testbed/model/scenarios_test.go
+++ b/testbed/model/scenarios_test.go
@@ -41,7 +41,8 @@
 	})
 }
 
-// stopEffectTime is the time after the last job in which stop requests take effect.
+// stopEffectTime is the wait after the load and the faults have ended, in which the last
+// stop requests take effect.
 const stopEffectTime = time.Second
 
 // seedsVariable is the environment variable with the number of seeds of each scenario, for
--- a/testbed/report/phases.go
+++ b/testbed/report/phases.go
@@ -37,7 +37,7 @@
 	ReadyToStart Percentiles `json:"ready_to_start"`
 }
 
-// span is a part of a run, without the time until.
+// span is the part of a run from the time from up to, but not including, the time until.
 type span struct{ from, until monoclock.Nanos }
 
 func (s span) contains(at monoclock.Nanos) bool { return at >= s.from && at < s.until }
--- a/testbed/report/report_test.go
+++ b/testbed/report/report_test.go
@@ -61,7 +61,7 @@
 	near("ready to start max", summary.ReadyToStart.Max, 50)
 	near("end to visible", summary.EndToVisible.Max, 20)
 	if !summary.Passed {
-		t.Error("run without failures: got not passed, want passed")
+		t.Error("run without failures: got Passed false, want true")
 	}
 }
 
@@ -95,7 +95,7 @@
 		modify(&input)
 		summary := Build(input)
 		if summary.Passed {
-			t.Errorf("%s: got passed, want not passed", name)
+			t.Errorf("%s: got Passed true, want false", name)
 		}
 		var text strings.Builder
 		if err := summary.WriteText(&text); err != nil || !strings.HasPrefix(text.String(), "BROKEN") {
--- a/testbed/scenario/booked.go
+++ b/testbed/scenario/booked.go
@@ -40,7 +40,8 @@
 	burstTimeout      = 45 * time.Second
 )
 
-// The background load: more work than all capacity can run, in tasks of two slices.
+// These constants describe the background load: more work than the fleet has capacity for,
+// in tasks of two slices.
 const (
 	backgroundTasksPerWorker = slicesPerWorker / 2
 	backgroundTasksPerRound  = backgroundTasksPerWorker * deployment.Workers
@@ -126,7 +127,7 @@
 	if index < 0 {
 		return fmt.Errorf("the deployment %s has no queue %s", env.Fleet.Deployment().Name, b.queue)
 	}
-	// The call log refers to the slice that was read, so a copy is changed.
+	// The call log has a reference to the slice that was read, so only a copy may be changed.
 	present.Config.Queues = slices.Clone(present.Config.Queues)
 	present.Config.Queues[index].Bookings = []api.BookingConfig{b.booking(workerCapacity(env.Fleet.Deployment()), windowStart)}
 	if _, err := env.Operator.Put(ctx, present.Version, "lab-booking", present.Config); err != nil {
--- a/testbed/scenario/flood.go
+++ b/testbed/scenario/flood.go
@@ -13,7 +13,7 @@
 	"github.com/decklever/decklever/testbed/monoclock"
 )
 
-// Queues that the flood adds.
+// These queues are added to the configuration for the flood.
 const (
 	queueQuota    = "quota"
 	queueDiscards = "discards"
@@ -102,7 +102,8 @@
 	}
 }
 
-// nextRejected returns a function whose jobs alternate between the rejected templates.
+// nextRejected returns a function that maps the number of a job to the job. Consecutive numbers
+// cycle through the rejected templates.
 func (t floodTemplates) nextRejected(seed uint64) func(number int) load.Job {
 	return func(number int) load.Job {
 		return t.rejected[number%len(t.rejected)].job(seed, number/len(t.rejected))
--- a/testbed/scenario/operators.go
+++ b/testbed/scenario/operators.go
@@ -25,7 +25,7 @@
 	// time between two such faults.
 	lostAnswersTime     = 1500 * time.Millisecond
 	lostAnswersInterval = 2500 * time.Millisecond
-	// manyConfigs is the number of configurations that a scheduler misses.
+	// manyConfigs is the number of configurations that are put while a scheduler is stopped.
 	manyConfigs = 300
 	// tagBase is added to the tag of a configuration. The sum is the bound of pending tasks
 	// of a queue, which no load reaches, and identifies the configuration.
