--- a/internal/clusterclock/doc.go
+++ b/internal/clusterclock/doc.go
@@ -10,12 +10,13 @@
 // ignored; if no time was ever logged, the lower reading is used, since a late
 // start is preferred to an early one.
 //
-// A new leader continues from the latest time in the log. The first median of a
-// term may step the clock forward, since cluster time stood still while there was
-// no leader. After that the clock is slewed: forward by a tenth of the elapsed time
-// or by a tenth of the gap per second, whichever is more, so that even a large gap
-// closes within about a minute; and at half speed while the median is behind. It
-// never goes back, so a start that was due stays due.
+// A new leader continues from the latest time in the log. Cluster time does not
+// advance while there is no leader, so it can be behind when a term begins: the
+// first median of the term may step it forward. After that the clock is slewed:
+// forward by a tenth of the elapsed time or by a tenth of the gap per second,
+// whichever is more, so that even a large gap closes within about a minute; and at
+// half speed while the median is behind. It never goes back, so a start that was
+// due stays due.
 //
 // A reading that was delayed by the network makes a voter's clock appear behind,
 // never ahead: such errors start tasks late, not early.
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -143,7 +143,7 @@
 		case event := <-files.Events:
 			w.handleEvent(event)
 		case err := <-files.Errors:
-			w.config.Logger.Warn("file events failed, the poll goes on", slog.Any("error", err))
+			w.config.Logger.Warn("file notification failed, polling still detects changes", slog.Any("error", err))
 		case <-w.stableTimer.C:
 			w.loadIfStable()
 		case now := <-poll.C:
