--- a/api/client.go
+++ b/api/client.go
@@ -18,7 +18,7 @@
 
 const (
 	// defaultAttemptTimeout is longer than the 3 s within which a front
-	// answers, so that the client receives the front's own time-out error.
+	// answers, so that the client receives the front's own timeout error.
 	defaultAttemptTimeout = 4 * time.Second
 	// maxAnswerBytes bounds the size of an answer; the rest is not read.
 	maxAnswerBytes = 64 << 20
@@ -106,7 +106,7 @@
 	path   string
 	header http.Header
 	body   []byte
-	// answerWait is the wait requested from the front; it extends the time-out
+	// answerWait is the wait requested from the front; it extends the timeout
 	// of the attempt.
 	answerWait time.Duration
 	// prepare updates the request before each attempt. Optional.
@@ -146,7 +146,7 @@
 	}
 }
 
-// attempt makes one attempt of the call at an endpoint, with its own time-out.
+// attempt makes one attempt of the call at an endpoint, with its own timeout.
 func (c *Client) attempt(ctx context.Context, endpoint string, call clientRequest, into any) *Error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+call.answerWait)
 	defer cancel()
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -9,7 +9,7 @@
 // a 503 and continues with its next seq; a later answer to the call is dropped. The
 // scheduler relies on this to close a run whose assignment was in an answer that the
 // worker did not accept
-// (docs/DESIGN.md, "Holds, tokens and the life of a run").
+// (docs/DESIGN.md, "Leases, tokens and runs").
 //
 // Only the newest heartbeat of a worker is relayed: a newer one cancels the call of an
 // older one. An answer with a fencing token lower than the highest seen is dropped.
--- a/internal/cli/config_rollout.go
+++ b/internal/cli/config_rollout.go
@@ -70,7 +70,7 @@
 }
 
 // waitForRollout polls, for at most --timeout, until every process has the
-// version or a newer one in force. After the time-out it returns an error that
+// version or a newer one in force. After the timeout it returns an error that
 // names the processes still behind in the last answer.
 func (a *app) waitForRollout(ctx context.Context, client *api.Client, version uint64) error {
 	ctx, cancel := a.requestContext(ctx)
--- a/internal/cli/job_wait.go
+++ b/internal/cli/job_wait.go
@@ -27,7 +27,7 @@
 
 // jobWaitCommand returns the command that waits for a job to end. Its --timeout
 // bounds the complete wait and hides the global flag, so single requests have
-// the default time-out.
+// the default timeout.
 func (a *app) jobWaitCommand() *cobra.Command {
 	var timeout time.Duration
 	command := &cobra.Command{
@@ -76,7 +76,7 @@
 }
 
 // readJob reads a job in one call. If wait is above 0, the front delays its
-// answer until the job has ended or wait has passed, and the call's time-out is
+// answer until the job has ended or wait has passed, and the call's timeout is
 // longer by wait.
 func (a *app) readJob(ctx context.Context, client *api.Client, id string, wait time.Duration) (api.JobStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+a.flags.timeout)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -103,7 +103,7 @@
 	entered := make(chan struct{})
 	d := startDaemon(t, Config{
 		Handler:     blockUntilCancelled(entered, &s),
-		StopTimeout: time.Minute, // a stop that waits for this time-out exceeds the time of the test
+		StopTimeout: time.Minute, // a stop that waits for this timeout exceeds the time of the test
 		BeforeStop:  func(context.Context) { s.add("handed over") },
 		Background: []func(context.Context) error{
 			func(ctx context.Context) error { <-ctx.Done(); s.add("background ended"); return ctx.Err() },
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -58,7 +58,7 @@
 // Config holds the dependencies and settings of a Front. Link and Client are required.
 type Config struct {
 	Link LeaderLink
-	// Client makes the calls to the leader. Its time-out must be longer than
+	// Client makes the calls to the leader. Its timeout must be longer than
 	// MaxAttemptDuration.
 	Client *rpc.Client
 	// Settings are the initial settings; Apply replaces them.
--- a/internal/leaderclient/client.go
+++ b/internal/leaderclient/client.go
@@ -21,7 +21,7 @@
 	// VersionOnly says that this process needs only the version of the configuration and
 	// not its content: Client.Config returns nil, and OnConfig is called with nil.
 	VersionOnly bool
-	// Client sends the calls. Its time-out must be longer than MaxCallDuration.
+	// Client sends the calls. Its timeout must be longer than MaxCallDuration.
 	Client *rpc.Client
 	// Logger defaults to none.
 	Logger *slog.Logger
--- a/internal/leaderclient/heartbeats.go
+++ b/internal/leaderclient/heartbeats.go
@@ -21,7 +21,7 @@
 	// minStableTime is how long heartbeats must be answered in time before the answers
 	// substitute for short watches, so that a slow leader is not suspected repeatedly.
 	minStableTime = 3 * time.Second
-	// MaxCallDuration bounds each call of a Client. The time-out of Config.Client must be
+	// MaxCallDuration bounds each call of a Client. The timeout of Config.Client must be
 	// longer.
 	MaxCallDuration = longWatchWait + answerGrace
 )
--- a/internal/process/schedulerprocess/gateway.go
+++ b/internal/process/schedulerprocess/gateway.go
@@ -41,7 +41,7 @@
 func (replicaLeaderSource) ReportFailure(string) {}
 
 // Supervise implements front.LeaderLink. A change of leader does not end the call; its own
-// time-out does.
+// timeout does.
 func (replicaLeaderSource) Supervise(ctx context.Context, _ string) (context.Context, context.CancelFunc) {
 	return context.WithCancel(ctx)
 }
--- a/internal/process/schedulerprocess/process_test.go
+++ b/internal/process/schedulerprocess/process_test.go
@@ -22,7 +22,7 @@
 const waitTimeout = 60 * time.Second
 
 // schedulerSettings returns the settings of a single scheduler whose data folder is
-// directory. The stop time-out is 1 min because a stop waits for the disk sync in progress,
+// directory. The stop timeout is 1 min because a stop waits for the disk sync in progress,
 // which may take seconds on a busy disk; no test here checks the duration of a stop.
 func schedulerSettings(t *testing.T, directory string) settings.Scheduler {
 	t.Helper()
--- a/internal/rpc/call_test.go
+++ b/internal/rpc/call_test.go
@@ -66,7 +66,7 @@
 }
 
 // TestCall_DeadlineReachesHandlerAndBoundsCall checks that the earlier of the client's
-// time-out and the context's deadline applies. It runs in a synctest bubble, where the call
+// timeout and the context's deadline applies. It runs in a synctest bubble, where the call
 // itself takes no time, so that durations are exact.
 func TestCall_DeadlineReachesHandlerAndBoundsCall(t *testing.T) {
 	for name, test := range map[string]struct{ client, context, want time.Duration }{
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -35,7 +35,7 @@
 	// MaxAnswerBytes bounds the body of an answer. Default 64 MiB.
 	MaxAnswerBytes int64
 	// Dialer opens connections. Default: a net.Dialer with TCP keep-alive and a user
-	// time-out, so that connections to a dead machine are closed within seconds.
+	// timeout, so that connections to a dead machine are closed within seconds.
 	Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 	// Metrics counts calls and bytes. Optional.
 	Metrics *Metrics
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// withDeadline limits the context to the client's time-out, unless its own deadline is no later.
+// withDeadline limits the context to the client's timeout, unless its own deadline is no later.
 func (c *Client) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= c.config.Timeout {
 		return ctx, func() {}
--- a/internal/rpc/deadline.go
+++ b/internal/rpc/deadline.go
@@ -22,7 +22,7 @@
 	ended  bool
 }
 
-// withTimeout returns a context that ends after the time-out, or earlier if the parent does.
+// withTimeout returns a context that ends after the timeout, or earlier if the parent does.
 // The caller must call end.
 func withTimeout(parent context.Context, timeout time.Duration) *deadlineContext {
 	deadline := time.Now().Add(timeout)
--- a/internal/rpc/keepalive.go
+++ b/internal/rpc/keepalive.go
@@ -45,7 +45,7 @@
 	return connection, err
 }
 
-// setKeepAlive sets keep-alive and the user time-out of an accepted connection. Failures
+// setKeepAlive sets keep-alive and the user timeout of an accepted connection. Failures
 // are ignored, because each call has a deadline anyway.
 func setKeepAlive(connection *net.TCPConn) {
 	_ = connection.SetKeepAliveConfig(keepAliveConfig())
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -83,7 +83,7 @@
 	// the quorum: up to twice this number plus one are voters, further ones are standby
 	// replicas. Default 2.
 	ToleratedFailures int `koanf:"tolerate" validate:"min=0,max=4" expected:"a whole number, 0 to 4" usage:"schedulers whose loss at once is borne; twice as many and one vote"`
-	// Timing has the intervals and time-outs of the replicated log.
+	// Timing has the intervals and timeouts of the replicated log.
 	Timing SchedulerTiming `koanf:"timing"`
 	// ArchiveMaxBytes bounds the archive of ended jobs, in bytes; beyond it the oldest jobs
 	// are deleted. Default 25165824.
@@ -110,7 +110,7 @@
 	DisabledFeatures []string `koanf:"off" validate:"unique,dive,mechanism" expected:"different names of mechanisms, such as \"headroom\" (docs/notes/ablation.md lists them)" usage:"for experiments: mechanisms of placement and scheduling that are switched off, separated by commas"`
 }
 
-// SchedulerTiming has the intervals and time-outs of the replicated log. They must satisfy
+// SchedulerTiming has the intervals and timeouts of the replicated log. They must satisfy
 // Tick < Lease < ElectionTimeoutMin <= ElectionTimeoutMax.
 type SchedulerTiming struct {
 	// Tick is the interval at which the timers of the log advance. Default 50ms.
--- a/testbed/scenario/partitions.go
+++ b/testbed/scenario/partitions.go
@@ -15,7 +15,7 @@
 	workerPartitionTime = 10 * time.Second
 	leaderPartitionTime = 10 * time.Second
 	// reorderProbability is the share of data chunks that are delayed, for up to
-	// reorderMaxDelay, which exceeds the time-out of 1 s for one heartbeat.
+	// reorderMaxDelay, which exceeds the timeout of 1 s for one heartbeat.
 	reorderProbability = 0.2
 	reorderMaxDelay    = 1500 * time.Millisecond
 	// stallTime is how long all answers to an agent are stalled.
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -21,7 +21,7 @@
 	// of Run was cancelled.
 	DefaultDrainTimeout = time.Second
 	// DefaultReportTimeout is how long a draining worker waits, after the drain
-	// time-out, for its handlers to return and for their reports to be
+	// timeout, for its handlers to return and for their reports to be
 	// acknowledged.
 	DefaultReportTimeout = 700 * time.Millisecond
 )
