--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -25,6 +25,8 @@
 	packages map[string]bool
 	// allowed are names that may stay, as "PACKAGE NAME".
 	allowed map[string]bool
+	// phrases are the terms that take the place of each phrase of comments.
+	phrases map[string]string
 }
 
 // declaredName is one identifier that a package declares.
@@ -59,11 +61,16 @@
 	}
 }
 
-// readWithdrawn reads lines of the forms "word WORD: TERM", "package FOLDER" and
-// "allow FOLDER NAME: REASON".
+// readWithdrawn reads lines of the forms "word WORD: TERM", "package FOLDER",
+// "allow FOLDER NAME: REASON" and "comment PHRASE, PHRASE: TERM".
 func readWithdrawn(t *testing.T) withdrawnNames {
 	t.Helper()
-	names := withdrawnNames{terms: map[string]string{}, packages: map[string]bool{}, allowed: map[string]bool{}}
+	names := withdrawnNames{
+		terms:    map[string]string{},
+		packages: map[string]bool{},
+		allowed:  map[string]bool{},
+		phrases:  map[string]string{},
+	}
 	for line := range strings.Lines(read(t, withdrawnFile)) {
 		line = strings.TrimSpace(line)
 		kind, rest, _ := strings.Cut(line, " ")
@@ -74,6 +81,10 @@
 			for _, word := range strings.Split(subject, ", ") {
 				names.terms[word] = reason
 			}
+		case kind == "comment" && explained:
+			for _, phrase := range strings.Split(subject, ", ") {
+				names.phrases[phrase] = reason
+			}
 		case kind == "package" && !explained:
 			names.packages[subject] = true
 		case kind == "allow" && explained:
