--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 BIN := bin
 TOOLS := $(BIN)/tools
 FUZZ_TIME ?= 10s
-# Tries to shorten each input of interest; unbounded, it stalls large ones.
+# Attempts to minimize each interesting input; without a limit, large inputs stall.
 FUZZ_MINIMIZE ?= 5x
 BENCH ?= .
 
@@ -20,7 +20,7 @@
 	$(GO) build -trimpath -o $(BIN)/ ./cmd/...
 
 .PHONY: run
-run: build ## run a whole fleet for a minute and check the promises
+run: build ## run a fleet under load for a minute and check the promises
 	rm -rf out/steady
 	$(BIN)/decklever-testbed run --deployment restrepo --scenario steady --duration 60s --seed 1 --out out/steady
 
@@ -64,7 +64,7 @@
 BENCHSTAT := golang.org/x/perf/cmd/benchstat@v0.0.0-20260908200009-22c9c6c9d4da
 ROUNDS ?= 6
 
-# Old and new take turns, so that both meet the same load of the machine.
+# Runs old and new alternately, so that other load on the machine affects both.
 # CONTRIBUTING.md says how to prepare the tree of an older version.
 .PHONY: bench-compare
 bench-compare: ## compare benchmarks with the sources in OLD, in ROUNDS (6)
